--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -32,7 +32,10 @@
     }
 
     pub fn fault<T>(&self, what: impl Into<String>) -> Read<T> {
-        Err(Malformed { what: what.into(), at: self.at })
+        Err(Malformed {
+            what: what.into(),
+            at: self.at,
+        })
     }
 
     pub fn take(&mut self, n: usize, what: &str) -> Read<&'a [u8]> {
--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -2,7 +2,9 @@
 
 use crate::frame::{Address, Read, Reader, Reply};
 use crate::link::Entry;
-use garnetwall::api::{Answer, Batch, Condition, End, Listed, Next, Note, Outcome, Place, Report, Wait};
+use garnetwall::api::{
+    Answer, Batch, Condition, End, Listed, Next, Note, Outcome, Place, Report, Wait,
+};
 use garnetwall::control::Control;
 use garnetwall_settings::{decode, Decoded, Flat};
 use std::collections::BTreeMap;
@@ -46,7 +48,9 @@
 impl Instance {
     pub fn new(seed: u64, text: &str, clock: f64) -> Result<Self, String> {
         let decoded = Flat::from_text(text).and_then(|flat| decode(&flat));
-        let Decoded { settings, fields, .. } = decoded.map_err(|fault| fault.to_string())?;
+        let Decoded {
+            settings, fields, ..
+        } = decoded.map_err(|fault| fault.to_string())?;
         Ok(Instance {
             groups: settings.groups.len(),
             control: Control::new(settings, seed, clock),
@@ -169,8 +173,28 @@
         let id = i.next_id;
         i.next_id += 1;
         i.ids.insert(wire, id);
-        i.in_hand.insert(id, InHand { wire, out: 0, closed: false });
-        i.control.take(clock, Batch { id, group, tenant, key, left, cost, memory, data_set, lane: None });
+        i.in_hand.insert(
+            id,
+            InHand {
+                wire,
+                out: 0,
+                closed: false,
+            },
+        );
+        i.control.take(
+            clock,
+            Batch {
+                id,
+                group,
+                tenant,
+                key,
+                left,
+                cost,
+                memory,
+                data_set,
+                lane: None,
+            },
+        );
         Ok(())
     }
 
@@ -193,7 +217,15 @@
         let Some(&id) = i.ids.get(&wire) else {
             return Ok(());
         };
-        let outcome = Outcome { engine, dispatch, end, latency, closed, work, memory };
+        let outcome = Outcome {
+            engine,
+            dispatch,
+            end,
+            latency,
+            closed,
+            work,
+            memory,
+        };
         let next = i.control.after(clock, id, outcome);
         if let Some(b) = i.in_hand.get_mut(&id) {
             b.out = b.out.saturating_sub(1);
@@ -242,7 +274,12 @@
     }
 
     fn report(&self, values: &[f64]) -> Option<Report> {
-        garnetwall_settings::report(self.fields.iter().map(String::as_str).zip(values.iter().copied()))
+        garnetwall_settings::report(
+            self.fields
+                .iter()
+                .map(String::as_str)
+                .zip(values.iter().copied()),
+        )
     }
 
     /// Asks the module until it wants to wait, then sets the one timer that wakes it.
@@ -284,7 +321,12 @@
         match self.control.place(clock, id) {
             Place::NotYet => {}
             Place::Over(answer) => self.answer(who, id, answer, reply),
-            Place::To { engine, time_out, memory, .. } => {
+            Place::To {
+                engine,
+                time_out,
+                memory,
+                ..
+            } => {
                 let Some(b) = self.in_hand.get_mut(&id) else {
                     return;
                 };
--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -108,7 +108,10 @@
 
 fn entries(r: &mut Reader) -> Read<Vec<Entry>> {
     let n = r.u32("list length")? as usize;
-    let whole = n.checked_mul(ENTRY).ok_or(Malformed { what: "list length: impossible".into(), at: 0 })?;
+    let whole = n.checked_mul(ENTRY).ok_or(Malformed {
+        what: "list length: impossible".into(),
+        at: 0,
+    })?;
     let mut r = Reader::new(r.take(whole, "list entries")?);
     (0..n).map(|_| entry(&mut r)).collect()
 }
@@ -124,5 +127,12 @@
     if condition > 2 {
         return r.fault(format!("unknown condition {condition}"));
     }
-    Ok(Entry { address, zone, came_up, kind, cell, condition })
+    Ok(Entry {
+        address,
+        zone,
+        came_up,
+        kind,
+        cell,
+        condition,
+    })
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -24,9 +24,16 @@
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
     let mut link = link::Link::default();
     let mut frame = 0u64;
-    while let Some((count, clock, body)) = read_frame(input).map_err(|e| format!("frame {frame}: {e}"))? {
-        let reply = link.round(count, clock, &body).map_err(|e| format!("frame {frame}: {e}"))?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("reply: {e}"))?;
+    while let Some((count, clock, body)) =
+        read_frame(input).map_err(|e| format!("frame {frame}: {e}"))?
+    {
+        let reply = link
+            .round(count, clock, &body)
+            .map_err(|e| format!("frame {frame}: {e}"))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("reply: {e}"))?;
         frame += 1;
     }
     Ok(())
@@ -53,7 +60,10 @@
         body.resize(length.min(start + CHUNK), 0);
         let got = fill(input, &mut body[start..])?;
         if start + got < body.len() {
-            return Err(format!("body: {length} bytes announced, input ends after {}", start + got));
+            return Err(format!(
+                "body: {length} bytes announced, input ends after {}",
+                start + got
+            ));
         }
     }
     Ok(Some((count, clock, body)))
--- a/crates/benchlink/src/tests.rs
+++ b/crates/benchlink/src/tests.rs
@@ -22,7 +22,8 @@
     out
 }
 
-const SITE: &str = "categories.count=1\ncategories.0.semantics=retryable\ncategories.0.give-up=4000.0\n\
+const SITE: &str =
+    "categories.count=1\ncategories.0.semantics=retryable\ncategories.0.give-up=4000.0\n\
     categories.0.goal-time=1000.0\nallowed.max-attempts=3\nunknown.key=1\n";
 
 const LIST: &str = "0b 00000000 00000001 3f800000 0a124a07 138b 0000 0000000000000000 0000 0000 01
@@ -69,13 +70,41 @@
     let cases: [(&str, Vec<u8>, &str); 9] = [
         ("short header", vec![0; 7], "header"),
         ("short body", frame(1, &[0; 9])[..20].to_vec(), "input ends"),
-        ("huge length", bytes("ffffffff 00000001 40c06e2000000000 0a"), "input ends"),
-        ("unknown code", frame(2, &bytes("0a 0003 63")), "unknown record code 99"),
-        ("no instance", frame(1, &bytes("05 0000000000000001")), "before any instance"),
-        ("too few records", frame(3, &bytes("0a 0003")), "3 records announced"),
-        ("too many bytes", frame(1, &bytes("0a 0003 00")), "after the last record"),
-        ("impossible list", frame(1, &bytes("0b 00000000 ffffffff")), "list entries"),
-        ("bad settings", frame(2, &bad_settings), "not a possible count"),
+        (
+            "huge length",
+            bytes("ffffffff 00000001 40c06e2000000000 0a"),
+            "input ends",
+        ),
+        (
+            "unknown code",
+            frame(2, &bytes("0a 0003 63")),
+            "unknown record code 99",
+        ),
+        (
+            "no instance",
+            frame(1, &bytes("05 0000000000000001")),
+            "before any instance",
+        ),
+        (
+            "too few records",
+            frame(3, &bytes("0a 0003")),
+            "3 records announced",
+        ),
+        (
+            "too many bytes",
+            frame(1, &bytes("0a 0003 00")),
+            "after the last record",
+        ),
+        (
+            "impossible list",
+            frame(1, &bytes("0b 00000000 ffffffff")),
+            "list entries",
+        ),
+        (
+            "bad settings",
+            frame(2, &bad_settings),
+            "not a possible count",
+        ),
     ];
     for (name, input, expected) in cases {
         let (end, out) = run(&input);
@@ -95,7 +124,9 @@
     let mut link = Link::default();
     let mut body = attach(SITE);
     body.extend(bytes(LIST));
-    body.extend(bytes("0b 00000000 00000001 3f800000 0a124a08 138b 0000 0000000000000000 0000 0000 01"));
+    body.extend(bytes(
+        "0b 00000000 00000001 3f800000 0a124a08 138b 0000 0000000000000000 0000 0000 01",
+    ));
     body.extend(bytes(
         "09 00000001 00 00000000 0000000000000000 409f400000000000 0000000000000000 00000000 00000000 00",
     ));
--- a/crates/bodies/benches/bodies.rs
+++ b/crates/bodies/benches/bodies.rs
@@ -34,13 +34,22 @@
 const KINDS: [&str; 4] = ["memory", "spool", "plain_vec", "plain_file"];
 
 fn peaks() {
-    println!("peak memory MiB  {:>10} {:>10} {:>10} {:>10}", "1 KB", "100 KB", "10 MB", "200 MB");
+    println!(
+        "peak memory MiB  {:>10} {:>10} {:>10} {:>10}",
+        "1 KB", "100 KB", "10 MB", "200 MB"
+    );
     for kind in KINDS {
         print!("{kind:<16}");
         for size in SIZES {
-            let Ok(exe) = std::env::current_exe() else { return };
-            let out = std::process::Command::new(exe).env(PEAK, format!("{kind}:{size}")).output();
-            let said = out.map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string()).unwrap_or_default();
+            let Ok(exe) = std::env::current_exe() else {
+                return;
+            };
+            let out = std::process::Command::new(exe)
+                .env(PEAK, format!("{kind}:{size}"))
+                .output();
+            let said = out
+                .map(|o| String::from_utf8_lossy(&o.stdout).trim().to_string())
+                .unwrap_or_default();
             print!(" {said:>10}");
         }
         println!();
@@ -49,10 +58,18 @@
 
 /// Takes one body through, made as it goes, so that only what keeps it counts.
 fn peak_of(what: &str) {
-    let Some((kind, size)) = what.split_once(':') else { return };
-    let Ok(size) = size.parse::<u64>() else { return };
+    let Some((kind, size)) = what.split_once(':') else {
+        return;
+    };
+    let Ok(size) = size.parse::<u64>() else {
+        return;
+    };
     let chunk = Bytes::from(vec![7u8; CHUNK]);
-    let chunks = || (0..size).step_by(CHUNK).map(|at| chunk.slice(..CHUNK.min((size - at) as usize)));
+    let chunks = || {
+        (0..size)
+            .step_by(CHUNK)
+            .map(|at| chunk.slice(..CHUNK.min((size - at) as usize)))
+    };
     let memory = if kind == "memory" { 256 * MIB } else { 0 };
     match kind {
         "plain_vec" => {
@@ -68,7 +85,9 @@
             let _ = std::fs::remove_file(path);
         }
         _ => runtime().block_on(async {
-            let Ok(body) = store(memory).admit(0, 0, Some(size)) else { return };
+            let Ok(body) = store(memory).admit(0, 0, Some(size)) else {
+                return;
+            };
             for c in chunks() {
                 // As from a socket: each has its own memory.
                 let _ = body.push(Bytes::copy_from_slice(&c)).await;
@@ -82,8 +101,14 @@
         }),
     }
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find(|l| l.starts_with("VmHWM:")).and_then(|l| l.split_whitespace().nth(1));
-    println!("{:.1}", line.and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0);
+    let line = status
+        .lines()
+        .find(|l| l.starts_with("VmHWM:"))
+        .and_then(|l| l.split_whitespace().nth(1));
+    println!(
+        "{:.1}",
+        line.and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+    );
 }
 
 fn limits(memory: u64) -> Limits {
@@ -100,21 +125,32 @@
 
 fn store(memory: u64) -> Arc<Store> {
     let disk = Disk::open(&std::env::temp_dir(), "bench").unwrap_or_else(|e| panic!("{e}"));
-    Store::new(limits(memory), Policy::Largest, Some(Spool::new(disk, 512 * MIB)))
+    Store::new(
+        limits(memory),
+        Policy::Largest,
+        Some(Spool::new(disk, 512 * MIB)),
+    )
 }
 
 fn runtime() -> Runtime {
-    tokio::runtime::Builder::new_current_thread().build().unwrap_or_else(|e| panic!("{e}"))
+    tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap_or_else(|e| panic!("{e}"))
 }
 
 fn chunks(size: u64) -> Vec<Bytes> {
     let all = Bytes::from(vec![7u8; size as usize]);
-    (0..size as usize).step_by(CHUNK).map(|at| all.slice(at..(at + CHUNK).min(size as usize))).collect()
+    (0..size as usize)
+        .step_by(CHUNK)
+        .map(|at| all.slice(at..(at + CHUNK).min(size as usize)))
+        .collect()
 }
 
 /// In, whole, and read twice, as by a dispatch and a further one.
 async fn through(store: &Arc<Store>, chunks: &[Bytes], size: u64) -> usize {
-    let Ok(body) = store.admit(0, 0, Some(size)) else { return 0 };
+    let Ok(body) = store.admit(0, 0, Some(size)) else {
+        return 0;
+    };
     for chunk in chunks {
         if body.push(chunk.clone()).await.is_err() {
             return 0;
@@ -123,7 +159,9 @@
     body.finish().await;
     let mut read = 0;
     for further in [false, true] {
-        let Ok(mut reader) = body.reader(further) else { return 0 };
+        let Ok(mut reader) = body.reader(further) else {
+            return 0;
+        };
         while let Ok(Some(bytes)) = reader.next().await {
             read += black_box(bytes).len();
         }
@@ -135,7 +173,10 @@
 fn memory(bencher: Bencher, size: u64) {
     let (store, runtime, chunks) = (store(256 * MIB), runtime(), chunks(size));
     bencher.counter(BytesCount::new(size)).bench_local(|| {
-        assert_eq!(runtime.block_on(through(&store, &chunks, size)) as u64, 2 * size);
+        assert_eq!(
+            runtime.block_on(through(&store, &chunks, size)) as u64,
+            2 * size
+        );
     });
 }
 
@@ -143,7 +184,10 @@
 fn spool(bencher: Bencher, size: u64) {
     let (store, runtime, chunks) = (store(0), runtime(), chunks(size));
     bencher.counter(BytesCount::new(size)).bench_local(|| {
-        assert_eq!(runtime.block_on(through(&store, &chunks, size)) as u64, 2 * size);
+        assert_eq!(
+            runtime.block_on(through(&store, &chunks, size)) as u64,
+            2 * size
+        );
     });
 }
 
@@ -164,8 +208,12 @@
     let path = std::env::temp_dir().join(format!("garnetwall-plain-{}", std::process::id()));
     bencher.counter(BytesCount::new(size)).bench_local(|| {
         let read = || -> std::io::Result<usize> {
-            let mut file =
-                std::fs::OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
+            let mut file = std::fs::OpenOptions::new()
+                .read(true)
+                .write(true)
+                .create(true)
+                .truncate(true)
+                .open(&path)?;
             std::fs::remove_file(&path)?;
             chunks.iter().try_for_each(|c| file.write_all(c))?;
             let mut read = 0;
@@ -191,9 +239,19 @@
     println!("policy    to files MiB   small bodies in files   not kept");
     for policy in [Policy::Newest, Policy::Largest, Policy::Oldest] {
         let mut rng = StdRng::seed_from_u64(18);
-        let (sizes, stays) = (LogNormal::new((20.0 * KIB as f64).ln(), 2.2), Exp::new(1.0 / 2.0));
-        let (Ok(sizes), Ok(stays)) = (sizes, stays) else { return };
-        let limits = Limits { files: 4096 * MIB, batch_memory: 8 * MIB, memory: 64 * MIB, ..limits(0) };
+        let (sizes, stays) = (
+            LogNormal::new((20.0 * KIB as f64).ln(), 2.2),
+            Exp::new(1.0 / 2.0),
+        );
+        let (Ok(sizes), Ok(stays)) = (sizes, stays) else {
+            return;
+        };
+        let limits = Limits {
+            files: 4096 * MIB,
+            batch_memory: 8 * MIB,
+            memory: 64 * MIB,
+            ..limits(0)
+        };
         let mut room = Room::new(limits, policy);
         // Ends by time in microseconds.
         let mut ends: BTreeMap<(u64, u64), (BodyId, u64, bool)> = BTreeMap::new();
@@ -201,7 +259,9 @@
             (0u64, 0u64, 0u64, 0u64, 0u64);
         for n in 0..120_000u64 {
             let now = n * 5000;
-            while let Some((&at, &(id, _, _))) = ends.first_key_value().filter(|((at, _), _)| *at <= now) {
+            while let Some((&at, &(id, _, _))) =
+                ends.first_key_value().filter(|((at, _), _)| *at <= now)
+            {
                 if ends
                     .remove(&at)
                     .is_some_and(|(_, size, _)| size < 64 * KIB && room.place(id) == Place::File)
@@ -223,10 +283,16 @@
                 Place::NotKept => not_kept += 1,
                 Place::Memory => {}
             }
-            ends.insert((now + (stays.sample(&mut rng) * 1e6) as u64, n), (id, size, false));
+            ends.insert(
+                (now + (stays.sample(&mut rng) * 1e6) as u64, n),
+                (id, size, false),
+            );
             // Moving takes a while; here it is done at once.
             while let Some(id) = room.move_out() {
-                written += ends.values().find(|(i, _, _)| *i == id).map_or(0, |(_, size, _)| *size);
+                written += ends
+                    .values()
+                    .find(|(i, _, _)| *i == id)
+                    .map_or(0, |(_, size, _)| *size);
                 room.moved(id, true);
             }
         }
--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -99,7 +99,15 @@
             pending: BytesMut::new(),
         };
         let (inner, changed) = (Mutex::new(inner), Notify::new());
-        let body = Arc::new(Body { store: self.clone(), id, group, length, once_only, inner, changed });
+        let body = Arc::new(Body {
+            store: self.clone(),
+            id,
+            group,
+            length,
+            once_only,
+            inner,
+            changed,
+        });
         lock(&self.bodies).insert(id, Arc::downgrade(&body));
         Ok(body)
     }
@@ -108,7 +116,9 @@
     async fn move_out(&self) {
         let Some(spool) = &self.spool else { return };
         loop {
-            let Some(id) = lock(&self.room).move_out() else { return };
+            let Some(id) = lock(&self.room).move_out() else {
+                return;
+            };
             let body = lock(&self.bodies).get(&id).and_then(Weak::upgrade);
             let done = match body {
                 Some(body) => body.to_spool(spool).await,
@@ -124,7 +134,11 @@
 
 enum Kept {
     Memory(Bytes),
-    File { slot: Slot, number: u32, length: usize },
+    File {
+        slot: Slot,
+        number: u32,
+        length: usize,
+    },
 }
 
 impl Kept {
@@ -251,8 +265,15 @@
         if self.length.is_some_and(|told| now > told) {
             return Err(Stop::TooMany);
         }
-        let place = self.room().came(self.id, bytes.len() as u64).map_err(Stop::Refused)?;
-        let least = if place == Place::File { PIECE as usize } else { CHUNK };
+        let place = self
+            .room()
+            .came(self.id, bytes.len() as u64)
+            .map_err(Stop::Refused)?;
+        let least = if place == Place::File {
+            PIECE as usize
+        } else {
+            CHUNK
+        };
         let mut rest = {
             let mut inner = self.inner();
             if inner.pending.is_empty() && bytes.len() >= least {
@@ -325,7 +346,11 @@
         };
         let (spool, id, length) = (spool.clone(), self.id.0, piece.len());
         let written = spawn_blocking(move || spool.write(id, number, &piece)).await;
-        written.ok()?.ok().map(|slot| Kept::File { slot, number, length })
+        written.ok()?.ok().map(|slot| Kept::File {
+            slot,
+            number,
+            length,
+        })
     }
 
     /// All has come; what was cut off or too short is told to the reader.
@@ -342,7 +367,8 @@
         };
         self.changed.notify_waiters();
         if whole {
-            self.store.count(self.group, self.place(), |c| c.bodies += 1);
+            self.store
+                .count(self.group, self.place(), |c| c.bodies += 1);
             self.store.move_out().await;
         }
     }
@@ -367,9 +393,15 @@
         let (mut memory, mut file) = (0, 0);
         let mut inner = self.inner();
         let read = inner.read;
-        while inner.pieces.front().is_some_and(|(begins, kept)| begins + kept.len() <= read) {
+        while inner
+            .pieces
+            .front()
+            .is_some_and(|(begins, kept)| begins + kept.len() <= read)
+        {
             inner.whole_start = false;
-            let Some((_, kept)) = inner.pieces.pop_front() else { break };
+            let Some((_, kept)) = inner.pieces.pop_front() else {
+                break;
+            };
             match &*kept {
                 Kept::Memory(bytes) => memory += bytes.len() as u64,
                 Kept::File { .. } => file += PIECE,
@@ -387,11 +419,15 @@
         let pieces: Vec<(u64, Arc<Kept>)> = self.inner().pieces.iter().cloned().collect();
         let mut moved = Vec::new();
         for (at, kept) in pieces {
-            let Kept::Memory(bytes) = &*kept else { continue };
+            let Kept::Memory(bytes) = &*kept else {
+                continue;
+            };
             match self.write(spool, bytes.clone()).await {
                 Some(kept) => moved.push((at, Arc::new(kept))),
                 None => {
-                    moved.into_iter().for_each(|(_, kept)| free(kept, &self.store.spool));
+                    moved
+                        .into_iter()
+                        .for_each(|(_, kept)| free(kept, &self.store.spool));
                     return false;
                 }
             }
@@ -416,15 +452,20 @@
         let mut inner = self.inner();
         if !inner.whole_start {
             drop(inner);
-            self.store.count(self.group, Place::NotKept, |c| c.missed += 1);
+            self.store
+                .count(self.group, Place::NotKept, |c| c.missed += 1);
             return Err(ReadFault::Gone);
         }
         inner.read = 0;
         drop(inner);
         if further {
-            self.store.count(self.group, self.place(), |c| c.further += 1);
+            self.store
+                .count(self.group, self.place(), |c| c.further += 1);
         }
-        Ok(Reader { body: self.clone(), at: 0 })
+        Ok(Reader {
+            body: self.clone(),
+            at: 0,
+        })
     }
 }
 
@@ -439,7 +480,10 @@
     fn drop(&mut self) {
         let spool = self.store.spool.clone();
         let inner = self.inner.get_mut().unwrap_or_else(PoisonError::into_inner);
-        inner.pieces.drain(..).for_each(|(_, kept)| free(kept, &spool));
+        inner
+            .pieces
+            .drain(..)
+            .for_each(|(_, kept)| free(kept, &spool));
         lock(&self.store.bodies).remove(&self.id);
         lock(&self.store.room).over(self.id);
     }
@@ -493,18 +537,28 @@
     }
 
     async fn read(&self, kept: Arc<Kept>) -> Result<Bytes, ReadFault> {
-        let Some(spool) = self.body.store.spool.clone() else { return Err(ReadFault::Gone) };
+        let Some(spool) = self.body.store.spool.clone() else {
+            return Err(ReadFault::Gone);
+        };
         let id = self.body.id.0;
         let read = spawn_blocking(move || {
             let read = match &*kept {
-                Kept::File { slot, number, length } => spool.read(slot, id, *number, *length),
+                Kept::File {
+                    slot,
+                    number,
+                    length,
+                } => spool.read(slot, id, *number, *length),
                 Kept::Memory(bytes) => Ok(bytes.to_vec()),
             };
             // Where this is the last that has it, its slot is free.
             free(kept, &Some(spool));
             read
         });
-        Ok(Bytes::from(read.await.map_err(|_| ReadFault::Gone)?.map_err(ReadFault::Spool)?))
+        Ok(Bytes::from(
+            read.await
+                .map_err(|_| ReadFault::Gone)?
+                .map_err(ReadFault::Spool)?,
+        ))
     }
 
     /// Bytes read so far.
@@ -520,7 +574,9 @@
 
     fn look(&self) -> Result<Look, ReadFault> {
         let inner = self.body.inner();
-        let after = inner.pieces.partition_point(|(begins, _)| *begins <= self.at);
+        let after = inner
+            .pieces
+            .partition_point(|(begins, _)| *begins <= self.at);
         let piece = after.checked_sub(1).and_then(|n| inner.pieces.get(n));
         match piece.filter(|(begins, kept)| self.at < begins + kept.len()) {
             Some((begins, kept)) => Ok(Look::Piece(*begins, kept.clone())),
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -33,7 +33,9 @@
 
     fn read_at(&self, out: &mut [u8], at: u64) -> io::Result<()> {
         let (at, disk) = (at as usize, lock(&self.bytes));
-        let kept = disk.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let kept = disk
+            .get(at..at + out.len())
+            .ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(kept);
         if self.damaged.load(Ordering::Relaxed) > 0 {
             out[40] ^= 1;
@@ -64,7 +66,10 @@
 }
 
 fn bytes(length: u64) -> Bytes {
-    (0..length).map(|n| (n * 31 % 251) as u8).collect::<Vec<_>>().into()
+    (0..length)
+        .map(|n| (n * 31 % 251) as u8)
+        .collect::<Vec<_>>()
+        .into()
 }
 
 async fn fill(body: &Body, mut all: Bytes, step: usize) {
@@ -87,7 +92,18 @@
 
 #[tokio::test]
 async fn what_is_read_is_what_came_at_every_size_and_again() {
-    for length in [0, 1, 1000, 16 << 10, PIECE - 1, PIECE, PIECE + 1, MIB, MIB + 1, 10 * MIB + 7] {
+    for length in [
+        0,
+        1,
+        1000,
+        16 << 10,
+        PIECE - 1,
+        PIECE,
+        PIECE + 1,
+        MIB,
+        MIB + 1,
+        10 * MIB + 7,
+    ] {
         for told in [Some(length), None] {
             for step in [700, 16 << 10, 1 << 20] {
                 let (store, _) = store(-1);
@@ -100,12 +116,28 @@
                         "{length} {told:?} {step}"
                     );
                 }
-                let place = if length <= MIB { Place::Memory } else { Place::File };
+                let place = if length <= MIB {
+                    Place::Memory
+                } else {
+                    Place::File
+                };
                 let counts = store.counts()[&(0, place)];
-                assert_eq!(counts, Counts { bodies: 1, further: 2, missed: 0 }, "{length} {told:?}");
+                assert_eq!(
+                    counts,
+                    Counts {
+                        bodies: 1,
+                        further: 2,
+                        missed: 0
+                    },
+                    "{length} {told:?}"
+                );
                 drop(body);
                 assert_eq!(store.used(), (0, 0));
-                assert_eq!(store.spool.as_ref().map(|s| s.used()), Some(0), "every slot is free");
+                assert_eq!(
+                    store.spool.as_ref().map(|s| s.used()),
+                    Some(0),
+                    "every slot is free"
+                );
             }
         }
     }
@@ -143,14 +175,23 @@
             let (body, all) = (body.clone(), all.clone());
             tokio::spawn(async move { fill(&body, all, 50_000).await })
         };
-        assert!(read(&body, false).await.expect("it passes through") == all, "after {writes} writes");
+        assert!(
+            read(&body, false).await.expect("it passes through") == all,
+            "after {writes} writes"
+        );
         writer.await.expect("written");
         assert!(!body.is_kept());
-        assert!(matches!(body.reader(true), Err(ReadFault::Gone)), "not again");
+        assert!(
+            matches!(body.reader(true), Err(ReadFault::Gone)),
+            "not again"
+        );
         assert_eq!(store.counts()[&(0, Place::NotKept)].missed, 1);
         fake.left.store(-1, Ordering::Relaxed);
         drop(body);
-        assert_eq!((store.used(), store.spool.as_ref().map(|s| s.used())), ((0, 0), Some(0)));
+        assert_eq!(
+            (store.used(), store.spool.as_ref().map(|s| s.used())),
+            ((0, 0), Some(0))
+        );
     }
 }
 
@@ -160,14 +201,25 @@
     let body = store.admit(0, 0, Some(2 * MIB)).expect("room");
     fill(&body, bytes(2 * MIB), 1 << 20).await;
     fake.damaged.store(1, Ordering::Relaxed);
-    assert!(matches!(read(&body, false).await, Err(ReadFault::Spool(Fault::Damaged))));
+    assert!(matches!(
+        read(&body, false).await,
+        Err(ReadFault::Spool(Fault::Damaged))
+    ));
 }
 
 /// What is not kept holds its writer back: no more than the window is in memory.
 #[tokio::test]
 async fn a_slow_reader_holds_the_writer_back() {
-    let store =
-        Store::new(Limits { memory: MIB, files: 0, batch_memory: 0, ..limits() }, Policy::Largest, None);
+    let store = Store::new(
+        Limits {
+            memory: MIB,
+            files: 0,
+            batch_memory: 0,
+            ..limits()
+        },
+        Policy::Largest,
+        None,
+    );
     let body = store.admit(0, 0, Some(8 * MIB)).expect("it passes through");
     let all = bytes(8 * MIB);
     let writer = {
@@ -198,7 +250,10 @@
             "stops" => body.cut_off(),
             _ => body.finish().await,
         }
-        let told = timeout(Duration::from_secs(1), reading).await.expect("it ends").expect("no panic");
+        let told = timeout(Duration::from_secs(1), reading)
+            .await
+            .expect("it ends")
+            .expect("no panic");
         assert!(matches!(told, Err(ReadFault::CutOff)), "{cut}");
     }
     let body = store.admit(0, 0, Some(10)).expect("room");
@@ -214,7 +269,12 @@
         let all = bytes(length);
         fill(&body, all.clone(), 1 << 20).await;
         let mut reader = body.reader(false).expect("its start");
-        let mut out = reader.next().await.expect("bytes").expect("not the end").to_vec();
+        let mut out = reader
+            .next()
+            .await
+            .expect("bytes")
+            .expect("not the end")
+            .to_vec();
         body.let_go();
         assert!(!body.is_kept());
         while let Some(more) = reader.next().await.expect("bytes") {
@@ -223,7 +283,11 @@
         assert!(out == all, "its one reader has all of it");
         drop(reader);
         assert!(matches!(body.reader(true), Err(ReadFault::Gone)));
-        assert!(store.used().0 <= WINDOW && store.used().1 == 0, "{:?}", store.used());
+        assert!(
+            store.used().0 <= WINDOW && store.used().1 == 0,
+            "{:?}",
+            store.used()
+        );
         drop(body);
     }
 }
@@ -239,12 +303,22 @@
         fill(&body, bytes(size << 10), 1 << 20).await;
         all.push((size << 10, body));
     }
-    let moved: Vec<u64> =
-        all.iter().filter(|(_, b)| b.place() == Place::File).map(|(s, _)| *s >> 10).collect();
-    assert_eq!(moved, [900, 800], "from three quarters of the memory down to a half");
+    let moved: Vec<u64> = all
+        .iter()
+        .filter(|(_, b)| b.place() == Place::File)
+        .map(|(s, _)| *s >> 10)
+        .collect();
+    assert_eq!(
+        moved,
+        [900, 800],
+        "from three quarters of the memory down to a half"
+    );
     for (size, body) in &all {
         assert!(read(body, false).await.expect("kept") == bytes(*size));
     }
     drop(all);
-    assert_eq!((store.used(), store.spool.as_ref().map(|s| s.used())), ((0, 0), Some(0)));
+    assert_eq!(
+        (store.used(), store.spool.as_ref().map(|s| s.used())),
+        ((0, 0), Some(0))
+    );
 }
--- a/crates/bodies/src/room.rs
+++ b/crates/bodies/src/room.rs
@@ -130,7 +130,9 @@
     }
 
     fn reserve(&mut self, id: BodyId, more: Sum) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         (held.memory, held.file) = (held.memory + more.memory, held.file + more.file);
         let own = self.tenants.entry(held.tenant).or_default();
         for sum in [own, &mut self.all] {
@@ -139,7 +141,9 @@
     }
 
     fn release(&mut self, id: BodyId, less: Sum) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         (held.memory, held.file) = (held.memory - less.memory, held.file - less.file);
         let tenant = held.tenant;
         let own = self.tenants.entry(tenant).or_default();
@@ -156,7 +160,12 @@
     /// # Errors
     ///
     /// The batch is not to be taken.
-    pub fn admit(&mut self, tenant: usize, group: usize, length: Option<u64>) -> Result<BodyId, Refused> {
+    pub fn admit(
+        &mut self,
+        tenant: usize,
+        group: usize,
+        length: Option<u64>,
+    ) -> Result<BodyId, Refused> {
         let most = self.limits.batch;
         match length {
             Some(length) if length > most => return Err(Refused::TooLarge { most }),
@@ -166,24 +175,47 @@
         let first = length.unwrap_or(PIECE.min(most));
         // What may come to a file or through a window has room for that from the start.
         let window = |place| Sum {
-            memory: if place == Place::Memory && length.is_some() { 0 } else { WINDOW },
+            memory: if place == Place::Memory && length.is_some() {
+                0
+            } else {
+                WINDOW
+            },
             file: 0,
         };
         let wanted = |place: Place| {
             let (kept, window) = (sum_at(place, first), window(place));
-            Sum { memory: kept.memory + window.memory, file: kept.file }
+            Sum {
+                memory: kept.memory + window.memory,
+                file: kept.file,
+            }
         };
         let can = |place: &Place| match place {
-            Place::Memory => first <= self.limits.batch_memory && self.fits(tenant, wanted(Place::Memory)),
+            Place::Memory => {
+                first <= self.limits.batch_memory && self.fits(tenant, wanted(Place::Memory))
+            }
             Place::File => self.limits.files > 0 && self.fits(tenant, wanted(Place::File)),
             Place::NotKept => !self.must_keep(group) && self.fits(tenant, wanted(Place::NotKept)),
         };
         let places = [Place::Memory, Place::File, Place::NotKept];
-        let Some(place) = places.into_iter().find(|place| can(place)) else { return Err(Refused::NoRoom) };
+        let Some(place) = places.into_iter().find(|place| can(place)) else {
+            return Err(Refused::NoRoom);
+        };
         let id = BodyId(self.next);
         self.next += 1;
         let told = length.is_some();
-        self.held.insert(id, Held { tenant, group, memory: 0, file: 0, came: 0, told, place, moving: false });
+        self.held.insert(
+            id,
+            Held {
+                tenant,
+                group,
+                memory: 0,
+                file: 0,
+                came: 0,
+                told,
+                place,
+                moving: false,
+            },
+        );
         self.reserve(id, wanted(place));
         Ok(id)
     }
@@ -201,7 +233,11 @@
     }
 
     fn must_keep(&self, group: usize) -> bool {
-        self.limits.must_keep.get(group).copied().unwrap_or_default()
+        self.limits
+            .must_keep
+            .get(group)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// More bytes of a body are there to be kept: where they go.
@@ -210,11 +246,15 @@
     ///
     /// It is longer than any may be, or can't be kept any more though it must.
     pub fn came(&mut self, id: BodyId, bytes: u64) -> Result<Place, Refused> {
-        let Some(held) = self.held.get_mut(&id) else { return Ok(Place::NotKept) };
+        let Some(held) = self.held.get_mut(&id) else {
+            return Ok(Place::NotKept);
+        };
         held.came += bytes;
         let held = held.clone();
         if held.came > self.limits.batch {
-            return Err(Refused::TooLarge { most: self.limits.batch });
+            return Err(Refused::TooLarge {
+                most: self.limits.batch,
+            });
         }
         if held.told || held.place == Place::NotKept {
             return Ok(held.place);
@@ -228,7 +268,9 @@
         let more = wanted - reserved;
         // What goes to a file goes on there.
         let place = match (held.place, self.place_for(held.tenant, more, wanted)) {
-            (Place::File, Place::Memory) if self.fits(held.tenant, sum_at(Place::File, more)) => Place::File,
+            (Place::File, Place::Memory) if self.fits(held.tenant, sum_at(Place::File, more)) => {
+                Place::File
+            }
             (Place::File, Place::Memory) => Place::NotKept,
             (_, place) => place,
         };
@@ -250,7 +292,12 @@
         if self.policy == Policy::Newest || self.limits.files == 0 {
             return None;
         }
-        let moving: u64 = self.held.values().filter(|h| h.moving).map(|h| h.memory).sum();
+        let moving: u64 = self
+            .held
+            .values()
+            .filter(|h| h.moving)
+            .map(|h| h.memory)
+            .sum();
         let left = (self.all.memory - moving) as f64;
         let from = if self.short { LOW } else { HIGH };
         self.short = left > self.limits.memory as f64 * from;
@@ -258,14 +305,26 @@
             return None;
         }
         let even = self.all.memory / self.tenants.len().max(1) as u64;
-        let pays = |h: &Held| self.tenants.get(&h.tenant).is_some_and(|own| own.memory >= even);
+        let pays = |h: &Held| {
+            self.tenants
+                .get(&h.tenant)
+                .is_some_and(|own| own.memory >= even)
+        };
         let can = |(_, h): &(&BodyId, &Held)| {
-            let room = self.fits(h.tenant, Sum { memory: 0, file: in_pieces(h.memory) });
+            let room = self.fits(
+                h.tenant,
+                Sum {
+                    memory: 0,
+                    file: in_pieces(h.memory),
+                },
+            );
             h.place == Place::Memory && h.told && !h.moving && h.memory > 0 && room
         };
         let candidates = self.held.iter().filter(can);
         let chosen = match self.policy {
-            Policy::Largest => candidates.max_by_key(|(id, h)| (pays(h), h.memory, std::cmp::Reverse(**id))),
+            Policy::Largest => {
+                candidates.max_by_key(|(id, h)| (pays(h), h.memory, std::cmp::Reverse(**id)))
+            }
             _ => candidates.max_by_key(|(id, h)| (pays(h), std::cmp::Reverse(**id))),
         };
         let (id, file) = chosen.map(|(id, h)| (*id, in_pieces(h.memory)))?;
@@ -276,7 +335,9 @@
 
     /// A body that was to move is in its file now; or it is not, and stays where it was.
     pub fn moved(&mut self, id: BodyId, done: bool) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| h.moving) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| h.moving) else {
+            return;
+        };
         held.moving = false;
         let (memory, file) = (held.memory, in_pieces(held.memory));
         if done {
@@ -299,7 +360,11 @@
 
     /// So many bytes of a body that is not kept are gone.
     pub fn freed(&mut self, id: BodyId, memory: u64, file: u64) {
-        let Some(held) = self.held.get(&id).filter(|h| h.place == Place::NotKept && !h.moving) else {
+        let Some(held) = self
+            .held
+            .get(&id)
+            .filter(|h| h.place == Place::NotKept && !h.moving)
+        else {
             return;
         };
         let window = if held.told { 0 } else { WINDOW };
@@ -311,7 +376,10 @@
     /// A body's batch is over.
     pub fn over(&mut self, id: BodyId) {
         if let Some(held) = self.held.get(&id) {
-            let all = Sum { memory: held.memory, file: held.file };
+            let all = Sum {
+                memory: held.memory,
+                file: held.file,
+            };
             self.release(id, all);
             self.held.remove(&id);
         }
@@ -337,8 +405,14 @@
 
 fn sum_at(place: Place, bytes: u64) -> Sum {
     match place {
-        Place::Memory => Sum { memory: bytes, file: 0 },
-        Place::File => Sum { memory: 0, file: in_pieces(bytes) },
+        Place::Memory => Sum {
+            memory: bytes,
+            file: 0,
+        },
+        Place::File => Sum {
+            memory: 0,
+            file: in_pieces(bytes),
+        },
         Place::NotKept => Sum::default(),
     }
 }
--- a/crates/bodies/src/room/tests.rs
+++ b/crates/bodies/src/room/tests.rs
@@ -17,7 +17,11 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Admit { tenant: usize, group: usize, length: Option<u64> },
+    Admit {
+        tenant: usize,
+        group: usize,
+        length: Option<u64>,
+    },
     Came(usize, u64),
     MoveOut,
     Moved(usize, bool),
@@ -48,8 +52,13 @@
 
 /// What the whole list of bodies adds up to.
 fn sums(room: &Room, tenant: Option<usize>) -> (u64, u64) {
-    let of = room.held.values().filter(|h| tenant.is_none_or(|t| h.tenant == t));
-    of.fold((0, 0), |(memory, file), h| (memory + h.memory, file + h.file))
+    let of = room
+        .held
+        .values()
+        .filter(|h| tenant.is_none_or(|t| h.tenant == t));
+    of.fold((0, 0), |(memory, file), h| {
+        (memory + h.memory, file + h.file)
+    })
 }
 
 proptest! {
@@ -144,15 +153,36 @@
 
 #[test]
 fn where_bodies_go_by_their_size() {
-    let mut room = Room::new(Limits { must_keep: vec![false, true], share: 1.0, ..LIMITS }, Policy::Largest);
+    let mut room = Room::new(
+        Limits {
+            must_keep: vec![false, true],
+            share: 1.0,
+            ..LIMITS
+        },
+        Policy::Largest,
+    );
     let small = room.admit(0, 0, Some(100 * KIB)).expect("room");
     let large = room.admit(0, 0, Some(1024 * KIB)).expect("room");
-    assert_eq!((room.place(small), room.place(large)), (Place::Memory, Place::File));
-    assert_eq!(room.admit(0, 0, Some(2049 * KIB)), Err(Refused::TooLarge { most: 2048 * KIB }));
-    let others: Vec<_> = (0..3).map(|_| room.admit(1, 0, Some(1024 * KIB)).expect("room")).collect();
-    let through = room.admit(0, 0, Some(1024 * KIB)).expect("it passes through");
+    assert_eq!(
+        (room.place(small), room.place(large)),
+        (Place::Memory, Place::File)
+    );
+    assert_eq!(
+        room.admit(0, 0, Some(2049 * KIB)),
+        Err(Refused::TooLarge { most: 2048 * KIB })
+    );
+    let others: Vec<_> = (0..3)
+        .map(|_| room.admit(1, 0, Some(1024 * KIB)).expect("room"))
+        .collect();
+    let through = room
+        .admit(0, 0, Some(1024 * KIB))
+        .expect("it passes through");
     assert_eq!(room.place(through), Place::NotKept);
-    assert_eq!(room.admit(0, 1, Some(1024 * KIB)), Err(Refused::NoRoom), "its group must be kept");
+    assert_eq!(
+        room.admit(0, 1, Some(1024 * KIB)),
+        Err(Refused::NoRoom),
+        "its group must be kept"
+    );
     room.over(others[0]);
     assert!(room.admit(0, 1, Some(1024 * KIB)).is_ok());
 }
@@ -160,7 +190,11 @@
 /// One whose length is not told grows from memory to files, and from there to not kept.
 #[test]
 fn an_unknown_length_grows_through_the_places() {
-    let limits = Limits { files: 512 * KIB, share: 1.0, ..LIMITS };
+    let limits = Limits {
+        files: 512 * KIB,
+        share: 1.0,
+        ..LIMITS
+    };
     let mut room = Room::new(limits, Policy::Largest);
     let id = room.admit(0, 0, None).expect("room");
     let mut places = Vec::new();
@@ -172,7 +206,14 @@
     }
     assert_eq!(places, [Place::Memory, Place::File, Place::NotKept]);
     assert_eq!(
-        Room::new(Limits { unknown_length: false, ..LIMITS }, Policy::Largest).admit(0, 0, None),
+        Room::new(
+            Limits {
+                unknown_length: false,
+                ..LIMITS
+            },
+            Policy::Largest
+        )
+        .admit(0, 0, None),
         Err(Refused::UnknownLength)
     );
 }
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -34,11 +34,20 @@
     ///
     /// With the path in the text.
     pub fn open(directory: &Path, gateway: &str) -> io::Result<Disk> {
-        let named = |path: &Path, e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
+        let named = |path: &Path, e: io::Error| {
+            io::Error::new(e.kind(), format!("{}: {e}", path.display()))
+        };
         left_overs(directory, gateway).map_err(|e| named(directory, e))?;
-        let nanos = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
+        let nanos = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_nanos();
         let path = directory.join(format!("{gateway}-{}-{nanos}{SUFFIX}", std::process::id()));
-        let file = OpenOptions::new().read(true).write(true).create_new(true).open(&path);
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(&path);
         let file = file.map_err(|e| named(&path, e))?;
         std::fs::remove_file(&path).map_err(|e| named(&path, e))?;
         Ok(Disk(file))
@@ -50,11 +59,18 @@
     let mut removed = 0;
     for entry in std::fs::read_dir(directory)? {
         let path: PathBuf = entry?.path();
-        let name = path.file_name().and_then(|n| n.to_str()).unwrap_or_default();
-        let middle =
-            name.strip_prefix(gateway).and_then(|n| n.strip_prefix('-')).and_then(|n| n.strip_suffix(SUFFIX));
-        let numbers =
-            |text: &str| text.split('-').all(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()));
+        let name = path
+            .file_name()
+            .and_then(|n| n.to_str())
+            .unwrap_or_default();
+        let middle = name
+            .strip_prefix(gateway)
+            .and_then(|n| n.strip_prefix('-'))
+            .and_then(|n| n.strip_suffix(SUFFIX));
+        let numbers = |text: &str| {
+            text.split('-')
+                .all(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()))
+        };
         if middle.is_some_and(|m| m.split('-').count() == 2 && numbers(m)) {
             std::fs::remove_file(&path)?;
             removed += 1;
@@ -117,7 +133,14 @@
     /// A spool that keeps so many bytes of bodies.
     pub fn new(media: impl Media + 'static, bytes: u64) -> Self {
         let most = u32::try_from(bytes / PIECE).unwrap_or(u32::MAX);
-        Spool { media: Box::new(media), slots: Mutex::new(Slots { free: Vec::new(), fresh: 0, most }) }
+        Spool {
+            media: Box::new(media),
+            slots: Mutex::new(Slots {
+                free: Vec::new(),
+                fresh: 0,
+                most,
+            }),
+        }
     }
 
     fn slots(&self) -> MutexGuard<'_, Slots> {
@@ -156,12 +179,20 @@
     }
 
     /// The piece of a slot. It blocks.
-    pub fn read(&self, slot: &Slot, body: u64, number: u32, length: usize) -> Result<Vec<u8>, Fault> {
+    pub fn read(
+        &self,
+        slot: &Slot,
+        body: u64,
+        number: u32,
+        length: usize,
+    ) -> Result<Vec<u8>, Fault> {
         let mut out = vec![0; HEAD + length];
-        self.media.read_at(&mut out, u64::from(slot.0) * SLOT).map_err(|e| match e.kind() {
-            io::ErrorKind::UnexpectedEof => Fault::Damaged,
-            _ => Fault::Disk(e),
-        })?;
+        self.media
+            .read_at(&mut out, u64::from(slot.0) * SLOT)
+            .map_err(|e| match e.kind() {
+                io::ErrorKind::UnexpectedEof => Fault::Damaged,
+                _ => Fault::Disk(e),
+            })?;
         let bytes = out.split_off(HEAD);
         match out == head(body, number, &bytes) {
             true => Ok(bytes),
--- a/crates/fleet/src/grantor.rs
+++ b/crates/fleet/src/grantor.rs
@@ -66,7 +66,10 @@
 
     /// One that remembers nothing and speaks at once: for tests that show what that breaks.
     pub fn hasty(now: Duration, unix_ms: u64, life: u64, terms: &Terms) -> Grantor {
-        Grantor { mute_until: now, ..Grantor::start(now, unix_ms, life, terms, 8, 8) }
+        Grantor {
+            mute_until: now,
+            ..Grantor::start(now, unix_ms, life, terms, 8, 8)
+        }
     }
 
     /// Answers an ask that has come at `now`.
@@ -80,9 +83,15 @@
         }
         self.sessions.retain(|_, session| now < session.until);
         let session = self.stays(now, ask)?;
-        ask.returns.iter().for_each(|claim| self.takes_back(ask.from, claim));
+        ask.returns
+            .iter()
+            .for_each(|claim| self.takes_back(ask.from, claim));
         // What an older ask claims may have been given back since.
-        let claims = if session.last == ask.number { &ask.claims[..] } else { &[] };
+        let claims = if session.last == ask.number {
+            &ask.claims[..]
+        } else {
+            &[]
+        };
         let weigh = |claim: &Claim| (*claim, self.weigh(claim, ask.from, session.number));
         let verdicts = claims.iter().map(weigh).collect();
         Ok(Told {
@@ -105,7 +114,11 @@
         if self.sessions.len() >= self.most_members {
             return Err(Mute::Crowded(self.most_members));
         }
-        let session = Session { number: self.next_session, until, last: ask.number };
+        let session = Session {
+            number: self.next_session,
+            until,
+            last: ask.number,
+        };
         self.next_session += 1;
         self.sessions.insert(ask.from, session);
         Ok(session)
@@ -114,13 +127,23 @@
     /// Who has a thing in a session that still lasts.
     fn has(&self, given: &Given) -> Option<Member> {
         let (member, number) = given.to?;
-        self.sessions.get(&member).filter(|session| session.number == number).map(|_| member)
+        self.sessions
+            .get(&member)
+            .filter(|session| session.number == number)
+            .map(|_| member)
     }
 
     fn weigh(&mut self, claim: &Claim, from: Member, session: u64) -> Verdict {
         let Claim { thing, epoch } = *claim;
-        let new = Given { epoch, to: Some((from, session)) };
-        match self.given.get(&thing).map(|given| (*given, self.has(given))) {
+        let new = Given {
+            epoch,
+            to: Some((from, session)),
+        };
+        match self
+            .given
+            .get(&thing)
+            .map(|given| (*given, self.has(given)))
+        {
             Some((given, Some(holder))) if holder == from => {
                 // The same, or a later epoch of the same holder.
                 if epoch < given.epoch {
@@ -142,8 +165,14 @@
 
     /// Forgets a thing that nobody has, with the lowest epoch: the floor stands in for all that were forgotten.
     fn makes_room(&mut self) -> bool {
-        let free = self.given.iter().filter(|(_, given)| self.has(given).is_none());
-        let Some((thing, given)) = free.min_by_key(|(_, given)| given.epoch).map(|(t, g)| (*t, *g)) else {
+        let free = self
+            .given
+            .iter()
+            .filter(|(_, given)| self.has(given).is_none());
+        let Some((thing, given)) = free
+            .min_by_key(|(_, given)| given.epoch)
+            .map(|(t, g)| (*t, *g))
+        else {
             return false;
         };
         self.floor = self.floor.max(given.epoch);
@@ -153,7 +182,11 @@
 
     /// Frees what the member gives back, if it has it under this epoch.
     fn takes_back(&mut self, from: Member, claim: &Claim) {
-        if let Some(given) = self.given.get_mut(&claim.thing).filter(|given| given.epoch == claim.epoch) {
+        if let Some(given) = self
+            .given
+            .get_mut(&claim.thing)
+            .filter(|given| given.epoch == claim.epoch)
+        {
             given.to = given.to.filter(|(member, _)| *member != from);
         }
     }
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/holder.rs
@@ -75,7 +75,13 @@
             return;
         }
         let epoch = self.next_epoch();
-        let wanted = Wanted { epoch, given: [None; MOST_GRANTORS], held: 0, rests_until: now, since: now };
+        let wanted = Wanted {
+            epoch,
+            given: [None; MOST_GRANTORS],
+            held: 0,
+            rests_until: now,
+            since: now,
+        };
         self.wanted.insert(thing, wanted);
         self.next_ask = self.next_ask.min(now);
     }
@@ -83,7 +89,13 @@
     /// Gives a thing back: it is not held from this call on, and others may have it as soon as the grantors know.
     pub fn let_go(&mut self, now: Duration, thing: Thing) {
         if let Some(wanted) = self.wanted.remove(&thing) {
-            self.returned.insert(Claim { thing, epoch: wanted.epoch }, 0);
+            self.returned.insert(
+                Claim {
+                    thing,
+                    epoch: wanted.epoch,
+                },
+                0,
+            );
             self.next_ask = self.next_ask.min(now);
         }
     }
@@ -97,14 +109,17 @@
     /// Whether a majority gives it now: only what a grantor gave in the stay that it renews counts.
     fn is_held(&self, now: Duration, wanted: &Wanted) -> bool {
         let pairs = self.grants.iter().zip(&wanted.given);
-        let lasting = pairs.filter(|(grant, given)| **given == Some(grant.session) && now < grant.until);
+        let lasting =
+            pairs.filter(|(grant, given)| **given == Some(grant.session) && now < grant.until);
         lasting.count() >= self.terms.majority()
     }
 
     /// So many grantors give it in the stay that is going on.
     fn giving(&self, wanted: &Wanted) -> usize {
         let pairs = self.grants.iter().zip(&wanted.given);
-        pairs.filter(|(grant, given)| **given == Some(grant.session)).count()
+        pairs
+            .filter(|(grant, given)| **given == Some(grant.session))
+            .count()
     }
 
     /// When the next ask is due.
@@ -125,7 +140,9 @@
         self.starts_over(now);
         self.number += 1;
         self.asked[self.number as usize % ASKED] = (self.number, now);
-        (0..self.terms.grantors()).flat_map(|n| self.asks_of(now, n)).collect()
+        (0..self.terms.grantors())
+            .flat_map(|n| self.asks_of(now, n))
+            .collect()
     }
 
     /// One ask renews all; more go along only while there is more to claim or to give back than it can carry.
@@ -133,14 +150,36 @@
         let session = self.grants[n].session;
         let due = |w: &&Wanted| w.rests_until <= now && w.given[n] != Some(session);
         let missing = self.wanted.iter().filter(|(_, w)| due(w));
-        let claims = missing.map(|(thing, w)| Claim { thing: *thing, epoch: w.epoch });
-        let returns =
-            self.returned.iter().filter(|(_, known)| **known & (1 << n) == 0).map(|(claim, _)| *claim);
-        let both: Vec<_> =
-            returns.map(|c| (c, true)).chain(claims.map(|c| (c, false))).take(MOST * BURST).collect();
+        let claims = missing.map(|(thing, w)| Claim {
+            thing: *thing,
+            epoch: w.epoch,
+        });
+        let returns = self
+            .returned
+            .iter()
+            .filter(|(_, known)| **known & (1 << n) == 0)
+            .map(|(claim, _)| *claim);
+        let both: Vec<_> = returns
+            .map(|c| (c, true))
+            .chain(claims.map(|c| (c, false)))
+            .take(MOST * BURST)
+            .collect();
         let ask = |part: &[(Claim, bool)]| {
-            let of = |back: bool| part.iter().filter(|(_, b)| *b == back).map(|(claim, _)| *claim).collect();
-            (n, Ask { from: self.me, number: self.number, claims: of(false), returns: of(true) })
+            let of = |back: bool| {
+                part.iter()
+                    .filter(|(_, b)| *b == back)
+                    .map(|(claim, _)| *claim)
+                    .collect()
+            };
+            (
+                n,
+                Ask {
+                    from: self.me,
+                    number: self.number,
+                    claims: of(false),
+                    returns: of(true),
+                },
+            )
         };
         match both.is_empty() {
             true => vec![ask(&[])],
@@ -161,10 +200,24 @@
         for thing in stuck {
             let rests = self.terms.pause().mul_f64(1.0 + 3.0 * self.draws());
             let epoch = self.next_epoch();
-            let Some(w) = self.wanted.get_mut(&thing) else { continue };
-            self.returned.insert(Claim { thing, epoch: w.epoch }, 0);
+            let Some(w) = self.wanted.get_mut(&thing) else {
+                continue;
+            };
+            self.returned.insert(
+                Claim {
+                    thing,
+                    epoch: w.epoch,
+                },
+                0,
+            );
             let (rests_until, since) = (now + rests, now + rests);
-            *w = Wanted { epoch, given: [None; MOST_GRANTORS], held: 0, rests_until, since };
+            *w = Wanted {
+                epoch,
+                given: [None; MOST_GRANTORS],
+                held: 0,
+                rests_until,
+                since,
+            };
         }
     }
 
@@ -179,14 +232,18 @@
     }
 
     fn draws(&mut self) -> f64 {
-        self.dice = self.dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.dice = self
+            .dice
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.dice >> 40) as f64 / (1 << 24) as f64
     }
 
     /// Takes in an answer of grantor `n`.
     pub fn told(&mut self, n: usize, told: &Told) {
         let (number, sent) = self.asked[told.number as usize % ASKED];
-        if n >= self.terms.grantors() || told.to != self.me || told.number != number || number == 0 {
+        if n >= self.terms.grantors() || told.to != self.me || told.number != number || number == 0
+        {
             return;
         }
         let until = sent + self.terms.term();
@@ -195,7 +252,10 @@
             true => grant.until = grant.until.max(until),
             // Another stay: what was given in the one before is gone. An answer that comes late must not bring that back.
             false if until > grant.until || grant.session == 0 => {
-                *grant = Grant { session: told.session, until };
+                *grant = Grant {
+                    session: told.session,
+                    until,
+                };
             }
             false => return,
         }
@@ -212,7 +272,13 @@
     }
 
     fn weigh(&mut self, n: usize, session: u64, claim: &Claim, verdict: Verdict) {
-        let Some(w) = self.wanted.get_mut(&claim.thing).filter(|w| w.epoch == claim.epoch) else { return };
+        let Some(w) = self
+            .wanted
+            .get_mut(&claim.thing)
+            .filter(|w| w.epoch == claim.epoch)
+        else {
+            return;
+        };
         match verdict {
             Verdict::Given => {
                 w.given[n] = Some(session);
@@ -231,10 +297,17 @@
 
     /// Claims a thing under an epoch later than this, where fewer grantors than that give it.
     fn raise(&mut self, thing: Thing, over: Epoch, giving: usize) {
-        let Some(w) = self.wanted.get(&thing).filter(|w| w.epoch <= over && self.giving(w) < giving) else {
+        let Some(w) = self
+            .wanted
+            .get(&thing)
+            .filter(|w| w.epoch <= over && self.giving(w) < giving)
+        else {
             return;
         };
-        let mut raised = Wanted { given: [None; MOST_GRANTORS], ..w.clone() };
+        let mut raised = Wanted {
+            given: [None; MOST_GRANTORS],
+            ..w.clone()
+        };
         self.last_epoch = self.last_epoch.max(over);
         raised.epoch = self.next_epoch();
         self.wanted.insert(thing, raised);
@@ -243,7 +316,9 @@
     /// Drops what was given back to grantors that have not answered for a term: by then it is over there anyway.
     fn forget(&mut self, now: Duration) {
         let lapsed = |n: usize| self.grants[n].until + self.terms.length() < now;
-        let gone = (0..self.terms.grantors()).filter(|n| lapsed(*n)).fold(0, |all, n| all | 1 << n);
+        let gone = (0..self.terms.grantors())
+            .filter(|n| lapsed(*n))
+            .fold(0, |all, n| all | 1 << n);
         let all = (1_u16 << self.terms.grantors()) - 1;
         self.returned.retain(|_, known| *known | gone != all);
     }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -32,7 +32,10 @@
 
 impl Peer {
     pub fn new(address: SocketAddrV4, life: u64) -> Peer {
-        Peer { address: (address.ip().octets(), address.port()), life }
+        Peer {
+            address: (address.ip().octets(), address.port()),
+            life,
+        }
     }
 
     pub fn address(&self) -> SocketAddrV4 {
@@ -44,7 +47,10 @@
     type Addr = ([u8; 4], u16);
 
     fn renew(&self) -> Option<Self> {
-        Some(Peer { life: self.life + 1, ..*self })
+        Some(Peer {
+            life: self.life + 1,
+            ..*self
+        })
     }
 
     fn addr(&self) -> Self::Addr {
@@ -122,7 +128,11 @@
         let (ip, port) = fact.of.address;
         let at = (ip, port, fact.kind);
         let order = (fact.of.life, fact.version);
-        if self.told.get(&at).is_some_and(|old| (old.of.life, old.version) >= order) {
+        if self
+            .told
+            .get(&at)
+            .is_some_and(|old| (old.of.life, old.version) >= order)
+        {
             return Ok(None);
         }
         self.told.insert(at, fact);
@@ -253,14 +263,22 @@
 impl Members {
     /// A member that knows nobody yet. `peers` are the addresses of all gateways of the fleet: nothing is kept of others.
     pub fn new(now: Duration, me: Peer, peers: &[SocketAddrV4], seed: u64, wire: Wire) -> Members {
-        let known = Known { peers: peers.iter().map(|a| (a.ip().octets(), a.port())).collect() };
+        let known = Known {
+            peers: peers.iter().map(|a| (a.ip().octets(), a.port())).collect(),
+        };
         let size = NonZeroU32::new(known.peers.len().max(2) as u32).expect("at least two");
         let config = Members::config(size);
         let stopped_after = config.suspect_to_down_after;
-        let facts = Shared(Arc::new(Mutex::new(Facts { peers: known.peers.clone(), ..Facts::default() })));
+        let facts = Shared(Arc::new(Mutex::new(Facts {
+            peers: known.peers.clone(),
+            ..Facts::default()
+        })));
         let rng = SmallRng::seed_from_u64(seed);
         let foca = Foca::with_custom_broadcast(me, config, rng, known.clone(), facts.clone());
-        let out = Out { now, ..Out::default() };
+        let out = Out {
+            now,
+            ..Out::default()
+        };
         Members {
             foca,
             known,
@@ -283,7 +301,9 @@
             probe_period: Duration::from_millis(500),
             probe_rtt: Duration::from_millis(200),
             num_indirect_probes: few(3),
-            max_transmissions: told.max_transmissions.max(NonZeroU8::new(6).expect("not zero")),
+            max_transmissions: told
+                .max_transmissions
+                .max(NonZeroU8::new(6).expect("not zero")),
             suspect_to_down_after: Duration::from_millis(1500),
             remove_down_after: Duration::from_secs(60),
             max_packet_size: few(SWIM_LONGEST),
@@ -320,7 +340,9 @@
     /// Where it is to be dropped.
     pub fn came(&mut self, now: Duration, bytes: &[u8]) -> Result<(), Dropped> {
         self.at(now);
-        self.foca.handle_data(bytes, &mut self.out).map_err(|_| Dropped::Malformed)?;
+        self.foca
+            .handle_data(bytes, &mut self.out)
+            .map_err(|_| Dropped::Malformed)?;
         self.unsure = false;
         self.tells_again();
         Ok(())
@@ -329,7 +351,12 @@
     /// What is due by now.
     pub fn tick(&mut self, now: Duration) {
         self.at(now);
-        while let Some(entry) = self.out.timers.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self
+            .out
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             let event = entry.remove();
             // Timers of what is over by now say so by an error, which changes nothing.
             let _ = self.foca.handle_timer(event, &mut self.out);
@@ -347,7 +374,8 @@
     }
 
     fn at(&mut self, now: Duration) {
-        self.unsure |= now.saturating_sub(self.last_call) > self.stopped_after && self.foca.num_members() > 0;
+        self.unsure |=
+            now.saturating_sub(self.last_call) > self.stopped_after && self.foca.num_members() > 0;
         (self.last_call, self.out.now) = (now, now);
     }
 
@@ -365,7 +393,12 @@
     pub fn tells(&mut self, kind: u8, value: u64) {
         self.version += 1;
         self.mine.insert(kind, value);
-        let fact = Fact { of: *self.foca.identity(), kind, version: self.version, value };
+        let fact = Fact {
+            of: *self.foca.identity(),
+            kind,
+            version: self.version,
+            value,
+        };
         if let Ok(bytes) = postcard::to_allocvec(&fact) {
             // It fails only where the fact can't be read back.
             let _ = self.foca.add_broadcast(&bytes);
@@ -383,10 +416,14 @@
     /// Datagrams to be sent, with where to.
     pub fn sends(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
         let all = std::mem::take(&mut self.out.sends);
-        let wired =
-            |(to, bytes): (Peer, Vec<u8>)| Some((to.address(), self.wire.write(&Message::Swim(bytes))?));
+        let wired = |(to, bytes): (Peer, Vec<u8>)| {
+            Some((to.address(), self.wire.write(&Message::Swim(bytes))?))
+        };
         // What a forged message names as a member is not sent to.
-        all.into_iter().filter(|(to, _)| self.known.knows(to).is_ok()).filter_map(wired).collect()
+        all.into_iter()
+            .filter(|(to, _)| self.known.knows(to).is_ok())
+            .filter_map(wired)
+            .collect()
     }
 
     /// What has changed since the last call.
@@ -406,7 +443,12 @@
     /// The last that a member has told of this kind, in this life.
     pub fn fact(&self, peer: &Peer, kind: u8) -> Option<Fact> {
         let (ip, port) = peer.address;
-        self.facts.facts().told.get(&(ip, port, kind)).copied().filter(|fact| fact.of.life == peer.life)
+        self.facts
+            .facts()
+            .told
+            .get(&(ip, port, kind))
+            .copied()
+            .filter(|fact| fact.of.life == peer.life)
     }
 
     /// This member.
@@ -420,6 +462,9 @@
             State::Suspect => Standing::Suspected,
             State::Alive | State::Down => Standing::There,
         };
-        self.foca.iter_members().map(|m| (*m.id(), standing(m.state()))).collect()
+        self.foca
+            .iter_members()
+            .map(|m| (*m.id(), standing(m.state())))
+            .collect()
     }
 }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -69,6 +69,8 @@
 pub enum Mute {
     #[error("grantor started less than the longest lease ago: it gives nothing for another {0:?}; nothing is to be done")]
     Started(Duration),
-    #[error("grantor has {0} members, as many as it is told to keep: raise the fleet's most members")]
+    #[error(
+        "grantor has {0} members, as many as it is told to keep: raise the fleet's most members"
+    )]
     Crowded(usize),
 }
--- a/crates/fleet/src/shares.rs
+++ b/crates/fleet/src/shares.rs
@@ -22,7 +22,10 @@
         let hash = blake3::hash(name.as_bytes());
         let mut first = [0; 8];
         first.copy_from_slice(&hash.as_bytes()[..8]);
-        Budget { name: u64::from_le_bytes(first), units: units.clamp(1, MOST_UNITS) }
+        Budget {
+            name: u64::from_le_bytes(first),
+            units: units.clamp(1, MOST_UNITS),
+        }
     }
 
     pub fn units(&self) -> u32 {
@@ -41,7 +44,9 @@
     pub fn due<'a>(&'a self, me: u64, there: &'a [u64]) -> impl Iterator<Item = Thing> + 'a {
         self.things().filter(move |unit| {
             let mine = (mix(unit.0, me), me);
-            there.iter().all(|other| (mix(unit.0, *other), *other) <= mine)
+            there
+                .iter()
+                .all(|other| (mix(unit.0, *other), *other) <= mine)
         })
     }
 
@@ -58,7 +63,9 @@
 
     /// The units that are held now. To be looked at right before what they allow is used.
     pub fn held(&self, holder: &Holder, now: Duration) -> u32 {
-        self.things().filter(|unit| holder.holds(now, *unit).is_some()).count() as u32
+        self.things()
+            .filter(|unit| holder.holds(now, *unit).is_some())
+            .count() as u32
     }
 }
 
--- a/crates/fleet/src/terms.rs
+++ b/crates/fleet/src/terms.rs
@@ -18,7 +18,12 @@
         "a lease of {length:?} is too short for a drift of {drift} parts in a million and {trip:?} on the way: \
          its holder would be left {term:?}; take a longer lease or a smaller drift"
     )]
-    Short { length: Duration, drift: u32, trip: Duration, term: Duration },
+    Short {
+        length: Duration,
+        drift: u32,
+        trip: Duration,
+        term: Duration,
+    },
     #[error("a drift of {0} parts in a million is half a clock or more: measure the machines' clocks, usual is under 500")]
     Drift(u32),
 }
@@ -38,7 +43,12 @@
     /// # Errors
     ///
     /// Each says which setting is at fault and what to do.
-    pub fn new(length: Duration, drift: u32, trip: Duration, grantors: &[u64]) -> Result<Terms, Fault> {
+    pub fn new(
+        length: Duration,
+        drift: u32,
+        trip: Duration,
+        grantors: &[u64],
+    ) -> Result<Terms, Fault> {
         if grantors.len().is_multiple_of(2) || grantors.len() > MOST_GRANTORS {
             return Err(Fault::Grantors(grantors.len()));
         }
@@ -53,14 +63,27 @@
         let early = length.mul_f64(2.0 * f64::from(drift) / 1e6) + Duration::from_nanos(1);
         let term = length.saturating_sub(early);
         if term < trip * ASKS {
-            return Err(Fault::Short { length, drift, trip, term });
+            return Err(Fault::Short {
+                length,
+                drift,
+                trip,
+                term,
+            });
         }
-        Ok(Terms { length, term, grantors: grantors.len() })
+        Ok(Terms {
+            length,
+            term,
+            grantors: grantors.len(),
+        })
     }
 
     /// Terms as they are wanted, right or wrong: for tests that show what a wrong one breaks.
     pub fn unchecked(length: Duration, term: Duration, grantors: usize) -> Terms {
-        Terms { length, term, grantors }
+        Terms {
+            length,
+            term,
+            grantors,
+        }
     }
 
     /// For how long a grantor gives a lease, by its clock.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -53,7 +53,9 @@
 impl std::fmt::Debug for Wire {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         // The key stays out of logs.
-        f.debug_struct("Wire").field("keyed", &self.key.is_some()).finish_non_exhaustive()
+        f.debug_struct("Wire")
+            .field("keyed", &self.key.is_some())
+            .finish_non_exhaustive()
     }
 }
 
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -18,22 +18,53 @@
 }
 
 fn claim(n: u64) -> Claim {
-    Claim { thing: Thing(u64::MAX - n), epoch: Epoch(u64::MAX - n) }
+    Claim {
+        thing: Thing(u64::MAX - n),
+        epoch: Epoch(u64::MAX - n),
+    }
 }
 
 fn ask(number: u32, claims: Vec<Claim>) -> Ask {
-    Ask { from: Member { gateway: u64::MAX, life: u64::MAX }, number, claims, returns: Vec::new() }
+    Ask {
+        from: Member {
+            gateway: u64::MAX,
+            life: u64::MAX,
+        },
+        number,
+        claims,
+        returns: Vec::new(),
+    }
 }
 
 #[test]
 fn each_fault_of_the_settings_is_told_with_what_to_do() {
     let short = Terms::new(ms(300), 500, ms(100), &[1, 2, 3]).unwrap_err();
     let faults = [
-        (Terms::new(ms(2000), 500, ms(100), &[1, 2]).unwrap_err(), Fault::Grantors(2), "odd number"),
-        (Terms::new(ms(2000), 500, ms(100), &[]).unwrap_err(), Fault::Grantors(0), "odd number"),
-        (Terms::new(ms(2000), 500, ms(100), &[1; 11]).unwrap_err(), Fault::Grantors(11), "1 to 9"),
-        (Terms::new(ms(2000), 500, ms(100), &[1, 2, 1]).unwrap_err(), Fault::Twice(2), "gateway of its own"),
-        (Terms::new(ms(2000), 600_000, ms(100), &[1]).unwrap_err(), Fault::Drift(600_000), "measure"),
+        (
+            Terms::new(ms(2000), 500, ms(100), &[1, 2]).unwrap_err(),
+            Fault::Grantors(2),
+            "odd number",
+        ),
+        (
+            Terms::new(ms(2000), 500, ms(100), &[]).unwrap_err(),
+            Fault::Grantors(0),
+            "odd number",
+        ),
+        (
+            Terms::new(ms(2000), 500, ms(100), &[1; 11]).unwrap_err(),
+            Fault::Grantors(11),
+            "1 to 9",
+        ),
+        (
+            Terms::new(ms(2000), 500, ms(100), &[1, 2, 1]).unwrap_err(),
+            Fault::Twice(2),
+            "gateway of its own",
+        ),
+        (
+            Terms::new(ms(2000), 600_000, ms(100), &[1]).unwrap_err(),
+            Fault::Drift(600_000),
+            "measure",
+        ),
         (short, short, "take a longer lease"),
     ];
     for (fault, wanted, says) in faults {
@@ -55,13 +86,33 @@
     altered[12] ^= 1;
     let plain = ours.write(&message).unwrap();
     let cases: [(&Wire, Vec<u8>, Dropped, &str); 7] = [
-        (&keyed, vec![1; LONGEST + 1], Dropped::Long(LONGEST + 1), "longest"),
+        (
+            &keyed,
+            vec![1; LONGEST + 1],
+            Dropped::Long(LONGEST + 1),
+            "longest",
+        ),
         (&keyed, vec![1; 20], Dropped::Short(20), "too short"),
         (&keyed, other_version, Dropped::Version(9), "one version"),
-        (&Wire::new("other", Some(b"key")), good.clone(), Dropped::Foreign, "a name"),
+        (
+            &Wire::new("other", Some(b"key")),
+            good.clone(),
+            Dropped::Foreign,
+            "a name",
+        ),
         (&keyed, altered, Dropped::Forged, "key files"),
-        (&Wire::new("sale", Some(b"old key")), good, Dropped::Forged, "key files"),
-        (&ours, plain[..plain.len() - 3].to_vec(), Dropped::Malformed, "builds"),
+        (
+            &Wire::new("sale", Some(b"old key")),
+            good,
+            Dropped::Forged,
+            "key files",
+        ),
+        (
+            &ours,
+            plain[..plain.len() - 3].to_vec(),
+            Dropped::Malformed,
+            "builds",
+        ),
     ];
     let mut seen = HashSet::new();
     for (wire, bytes, wanted, says) in cases {
@@ -71,45 +122,75 @@
         seen.insert(std::mem::discriminant(&fault));
     }
     assert_eq!(seen.len(), 6, "every kind of fault");
-    assert!(!format!("{keyed:?}").contains("107"), "the key is in no log");
+    assert!(
+        !format!("{keyed:?}").contains("107"),
+        "the key is in no log"
+    );
 }
 
 #[test]
 fn the_largest_messages_fit_and_larger_ones_are_not_written() {
     let wire = Wire::new("sale", Some(b"key"));
     let claims: Vec<_> = (0..MOST as u64).map(claim).collect();
-    assert!(wire.write(&Message::Ask(ask(u32::MAX, claims.clone()))).is_some());
+    assert!(wire
+        .write(&Message::Ask(ask(u32::MAX, claims.clone())))
+        .is_some());
     let late = |claim: &Claim| (*claim, Verdict::Late(Epoch(u64::MAX)));
     let told = Told {
-        to: Member { gateway: u64::MAX, life: u64::MAX },
+        to: Member {
+            gateway: u64::MAX,
+            life: u64::MAX,
+        },
         number: u32::MAX,
         session: u64::MAX,
         verdicts: claims.iter().map(late).collect(),
         returned: Vec::new(),
     };
     assert!(wire.write(&Message::Told(told)).is_some());
-    assert!(wire.write(&Message::Swim(vec![0xff; SWIM_LONGEST])).is_some());
-    assert!(wire.write(&Message::Ask(ask(1, (0..=MOST as u64).map(claim).collect()))).is_none());
+    assert!(wire
+        .write(&Message::Swim(vec![0xff; SWIM_LONGEST]))
+        .is_some());
+    assert!(wire
+        .write(&Message::Ask(ask(
+            1,
+            (0..=MOST as u64).map(claim).collect()
+        )))
+        .is_none());
 }
 
 #[test]
 fn a_grantor_that_has_started_is_mute_for_a_lease_and_bounds_what_it_keeps() {
     let mut grantor = Grantor::start(ms(0), 0, 1, &terms(), 2, 3);
-    let fault = grantor.asked(ms(1999), &ask(1, vec![claim(0)])).unwrap_err();
+    let fault = grantor
+        .asked(ms(1999), &ask(1, vec![claim(0)]))
+        .unwrap_err();
     assert_eq!(fault, Mute::Started(ms(1)));
     assert!(fault.to_string().contains("nothing is to be done"));
     let verdict = |grantor: &mut Grantor, now, number, n| {
-        grantor.asked(ms(now), &ask(number, vec![claim(n)])).unwrap().verdicts[0].1
+        grantor
+            .asked(ms(now), &ask(number, vec![claim(n)]))
+            .unwrap()
+            .verdicts[0]
+            .1
     };
     for n in 0..3 {
-        assert_eq!(verdict(&mut grantor, 2000, n as u32 + 1, 10 - n), Verdict::Given);
+        assert_eq!(
+            verdict(&mut grantor, 2000, n as u32 + 1, 10 - n),
+            Verdict::Given
+        );
     }
     assert_eq!(verdict(&mut grantor, 2000, 4, 3), Verdict::Full);
     // Its session is over: what it had gives way, and what was forgotten is not given under an old epoch.
     assert_eq!(verdict(&mut grantor, 9000, 5, 3), Verdict::Given);
-    assert_eq!(verdict(&mut grantor, 9000, 6, 20), Verdict::Late(claim(10).epoch));
+    assert_eq!(
+        verdict(&mut grantor, 9000, 6, 20),
+        Verdict::Late(claim(10).epoch)
+    );
     for life in 0..10 {
-        let one = Ask { from: Member { gateway: 1, life }, ..ask(1, Vec::new()) };
+        let one = Ask {
+            from: Member { gateway: 1, life },
+            ..ask(1, Vec::new())
+        };
         let told = grantor.asked(ms(9000), &one);
         assert_eq!(told.is_err(), life > 0, "{told:?}");
         if let Err(fault) = told {
@@ -124,8 +205,17 @@
 #[test]
 fn ten_thousand_things_are_renewed_by_one_message_to_each_grantor() {
     let terms = terms();
-    let mut grantors: Vec<_> = (0..3).map(|n| Grantor::start(ms(0), 0, n << 32, &terms, 8, 20_000)).collect();
-    let mut holder = Holder::new(Member { gateway: 1, life: 1 }, terms, 1);
+    let mut grantors: Vec<_> = (0..3)
+        .map(|n| Grantor::start(ms(0), 0, n << 32, &terms, 8, 20_000))
+        .collect();
+    let mut holder = Holder::new(
+        Member {
+            gateway: 1,
+            life: 1,
+        },
+        terms,
+        1,
+    );
     (0..10_000).for_each(|n| holder.want(ms(2000), Thing(n)));
     let mut now = ms(2000);
     let mut last = 0;
@@ -139,7 +229,9 @@
         now = holder.next_ask();
     }
     assert_eq!(last, 3);
-    let held = (0..10_000).filter(|n| holder.holds(now, Thing(*n)).is_some()).count();
+    let held = (0..10_000)
+        .filter(|n| holder.holds(now, Thing(*n)).is_some())
+        .count();
     assert_eq!(held, 10_000);
 }
 
@@ -148,8 +240,21 @@
 fn shares_sum_up_to_no_more_than_the_budget_and_settle_on_the_whole() {
     let terms = terms();
     let budget = Budget::new("return of east", 60);
-    let mut grantors: Vec<_> = (0..3).map(|n| Grantor::start(ms(0), 0, n << 32, &terms, 16, 200)).collect();
-    let mut holders: Vec<_> = (0..6).map(|n| Holder::new(Member { gateway: n, life: n }, terms, n)).collect();
+    let mut grantors: Vec<_> = (0..3)
+        .map(|n| Grantor::start(ms(0), 0, n << 32, &terms, 16, 200))
+        .collect();
+    let mut holders: Vec<_> = (0..6)
+        .map(|n| {
+            Holder::new(
+                Member {
+                    gateway: n,
+                    life: n,
+                },
+                terms,
+                n,
+            )
+        })
+        .collect();
     let mut now = ms(2000);
     for step in 0..400 {
         // The fifth joins in the middle; two see a part of the fleet only for a while; the first is gone at last.
@@ -173,10 +278,20 @@
                 }
             }
         }
-        let held: Vec<u32> = holders.iter().map(|holder| budget.held(holder, now)).collect();
-        assert!(held.iter().sum::<u32>() <= budget.units(), "{held:?} at step {step}");
+        let held: Vec<u32> = holders
+            .iter()
+            .map(|holder| budget.held(holder, now))
+            .collect();
+        assert!(
+            held.iter().sum::<u32>() <= budget.units(),
+            "{held:?} at step {step}"
+        );
         if [99, 299, 399].contains(&step) {
-            assert_eq!(held.iter().sum::<u32>(), budget.units(), "{held:?} at step {step}");
+            assert_eq!(
+                held.iter().sum::<u32>(),
+                budget.units(),
+                "{held:?} at step {step}"
+            );
         }
         now += ms(100);
     }
@@ -186,10 +301,19 @@
 #[test]
 fn a_lease_is_looked_at_quickly() {
     let terms = terms();
-    let mut holder = Holder::new(Member { gateway: 1, life: 1 }, terms, 1);
+    let mut holder = Holder::new(
+        Member {
+            gateway: 1,
+            life: 1,
+        },
+        terms,
+        1,
+    );
     (0..10_000).for_each(|n| holder.want(ms(0), Thing(n)));
     let began = std::time::Instant::now();
-    let held = (0..100_000).filter(|n| holder.holds(ms(1), Thing(n % 10_000)).is_some()).count();
+    let held = (0..100_000)
+        .filter(|n| holder.holds(ms(1), Thing(n % 10_000)).is_some())
+        .count();
     let each = began.elapsed() / 100_000;
     println!("{each:?} a look");
     assert_eq!(held, 0);
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -13,7 +13,10 @@
 
 impl Dice {
     fn roll(&mut self, below: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % below.max(1)
     }
 }
@@ -78,7 +81,9 @@
     }
 
     fn joins(&mut self, n: usize) {
-        let few: Vec<_> = (0..3).map(|k| address((n + 1 + k * 7) % self.off_until.len())).collect();
+        let few: Vec<_> = (0..3)
+            .map(|k| address((n + 1 + k * 7) % self.off_until.len()))
+            .collect();
         self.members[n].joins(Duration::from_millis(self.now), &few);
     }
 
@@ -90,8 +95,9 @@
         let end = self.now + span;
         while self.now < end {
             let now = Duration::from_millis(self.now);
-            let (due, later) =
-                std::mem::take(&mut self.on_the_way).into_iter().partition(|(at, ..)| *at <= self.now);
+            let (due, later) = std::mem::take(&mut self.on_the_way)
+                .into_iter()
+                .partition(|(at, ..)| *at <= self.now);
             self.on_the_way = later;
             for (_, to, bytes) in due {
                 if self.runs(to) {
@@ -100,8 +106,13 @@
                     }
                 }
             }
-            for n in (0..self.members.len()).filter(|n| self.now >= self.off_until[*n]).collect::<Vec<_>>() {
-                if self.members[n].next().is_some_and(|at| at <= now) || self.now.is_multiple_of(100) {
+            for n in (0..self.members.len())
+                .filter(|n| self.now >= self.off_until[*n])
+                .collect::<Vec<_>>()
+            {
+                if self.members[n].next().is_some_and(|at| at <= now)
+                    || self.now.is_multiple_of(100)
+                {
                     self.members[n].tick(now);
                 }
                 for (to, bytes) in self.members[n].sends() {
@@ -114,7 +125,8 @@
                     }
                 }
                 let news = self.members[n].news();
-                self.news.extend(news.into_iter().map(|news| (self.now, n, news)));
+                self.news
+                    .extend(news.into_iter().map(|news| (self.now, n, news)));
             }
             self.now += STEP;
         }
@@ -122,7 +134,9 @@
 
     /// How many of those that run see so many others.
     fn see(&self, others: usize) -> usize {
-        (0..self.members.len()).filter(|n| self.runs(*n) && self.members[*n].there().len() == others).count()
+        (0..self.members.len())
+            .filter(|n| self.runs(*n) && self.members[*n].there().len() == others)
+            .count()
     }
 
     /// When each member heard this of a peer, from a moment on.
@@ -152,7 +166,11 @@
     assert_eq!(heard.len(), 19, "all have heard");
     assert!(heard[18] < 8_000, "the last after {} ms", heard[18]);
     assert!(
-        net.heard(from, |news| matches!(news, News::Down(peer) if *peer != gone)).is_empty(),
+        net.heard(
+            from,
+            |news| matches!(news, News::Down(peer) if *peer != gone)
+        )
+        .is_empty(),
         "a false alarm"
     );
 }
@@ -169,7 +187,12 @@
     net.plays(8_000);
     let left = net.heard(from, |news| *news == News::Left(gone));
     let down = net.heard(from, |news| *news == News::Down(gone));
-    assert!(left.len() >= 8, "{} heard that it left, {} took it for dead", left.len(), down.len());
+    assert!(
+        left.len() >= 8,
+        "{} heard that it left, {} took it for dead",
+        left.len(),
+        down.len()
+    );
     assert!(left[0] < 1_000, "{} ms", left[0]);
     assert_eq!(net.see(8), 9);
 }
@@ -187,10 +210,16 @@
     let now = Duration::from_millis(net.now);
     assert!(!net.members[stops].is_sure(now), "by its clock alone");
     net.members[stops].tick(now);
-    assert!(!net.members[stops].is_sure(now), "nobody has spoken to it yet");
+    assert!(
+        !net.members[stops].is_sure(now),
+        "nobody has spoken to it yet"
+    );
     net.plays(6_000);
     assert!(net.members[stops].is_sure(Duration::from_millis(net.now)));
-    assert!(net.news.iter().any(|(_, n, news)| *n == stops && *news == News::WasGone));
+    assert!(net
+        .news
+        .iter()
+        .any(|(_, n, news)| *n == stops && *news == News::WasGone));
     assert!(net.members[stops].me().life > before.life, "another life");
     net.plays(6_000);
     assert_eq!(net.see(9), 10, "it is back with all");
@@ -203,7 +232,13 @@
     net.members[2] = net.member(2, 12, 50, 9);
     net.joins(2);
     net.plays(8_000);
-    let lives = |net: &Net| net.members[0].there().iter().filter(|(p, _)| p.life == 50).count();
+    let lives = |net: &Net| {
+        net.members[0]
+            .there()
+            .iter()
+            .filter(|(p, _)| p.life == 50)
+            .count()
+    };
     assert_eq!(lives(&net), 1);
     (0..6).for_each(|n| net.part[n] = 1);
     net.plays(12_000);
@@ -225,7 +260,11 @@
     }
     net.plays(15_000);
     let teller = net.members[1].me();
-    let know = net.members.iter().filter(|m| m.fact(&teller, 1).is_some_and(|f| f.value == 104)).count();
+    let know = net
+        .members
+        .iter()
+        .filter(|m| m.fact(&teller, 1).is_some_and(|f| f.value == 104))
+        .count();
     assert_eq!(know, 15);
 }
 
@@ -240,7 +279,11 @@
     }
     let now = Duration::from_millis(net.now);
     let mut dice = Dice(9);
-    let seen: Vec<Vec<u8>> = net.on_the_way.iter().map(|(.., bytes)| bytes.clone()).collect();
+    let seen: Vec<Vec<u8>> = net
+        .on_the_way
+        .iter()
+        .map(|(.., bytes)| bytes.clone())
+        .collect();
     let seen: Vec<Vec<u8>> = seen
         .iter()
         .filter_map(|b| match net.wire.read(b) {
@@ -260,7 +303,11 @@
         net.members[0].tick(now);
         let _ = (net.members[0].sends(), net.members[0].news());
     }
-    assert!(net.members[0].there().len() <= 5, "{:?}", net.members[0].there());
+    assert!(
+        net.members[0].there().len() <= 5,
+        "{:?}",
+        net.members[0].there()
+    );
 }
 
 /// Prints the table of docs/fleet.md; by hand, as it takes minutes: cargo test --release -p garnetwall-fleet -- --ignored --nocapture
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -73,13 +73,21 @@
 }
 
 fn member(n: usize, life: u64) -> Member {
-    Member { gateway: n as u64, life }
+    Member {
+        gateway: n as u64,
+        life,
+    }
 }
 
 impl World {
     fn new(slip: Slip, left: Left) -> World {
         let terms = terms(slip);
-        let grantor = |n| (Grantor::hasty(Duration::ZERO, 0, 1000 * (n as u64 + 1), &terms), Duration::ZERO);
+        let grantor = |n| {
+            (
+                Grantor::hasty(Duration::ZERO, 0, 1000 * (n as u64 + 1), &terms),
+                Duration::ZERO,
+            )
+        };
         let holder = |n| {
             let mut holder = Holder::new(member(n, n as u64), terms, n as u64);
             holder.heard(Epoch(100 + n as u64));
@@ -118,7 +126,12 @@
             acts.extend((0..HOLDERS).map(Act::HolderRestarts));
         }
         if self.left.returns > 0 {
-            let holds = |n: &usize| self.holders[*n].0.holds(self.holders[*n].1, THING).is_some();
+            let holds = |n: &usize| {
+                self.holders[*n]
+                    .0
+                    .holds(self.holders[*n].1, THING)
+                    .is_some()
+            };
             acts.extend((0..HOLDERS).filter(holds).map(Act::Returns));
         }
         acts
@@ -128,13 +141,20 @@
         match act {
             Act::Step => {
                 self.left.steps -= 1;
-                self.grantors.iter_mut().for_each(|(_, clock)| *clock += FAST);
-                self.holders.iter_mut().for_each(|(_, clock)| *clock += SLOW);
+                self.grantors
+                    .iter_mut()
+                    .for_each(|(_, clock)| *clock += FAST);
+                self.holders
+                    .iter_mut()
+                    .for_each(|(_, clock)| *clock += SLOW);
             }
             Act::Asks(n) => {
                 self.left.asks[*n] -= 1;
                 let (holder, clock) = &mut self.holders[*n];
-                let asks = holder.ask(*clock).into_iter().map(|(g, ask)| Message::Ask(*n, g, ask));
+                let asks = holder
+                    .ask(*clock)
+                    .into_iter()
+                    .map(|(g, ask)| Message::Ask(*n, g, ask));
                 self.on_the_way.extend(asks);
             }
             Act::Comes(message, again) => {
@@ -156,7 +176,8 @@
                 self.left.restarts -= 1;
                 self.lives += 1;
                 let (grantor, clock) = &mut self.grantors[*n];
-                let (life, unix, terms) = (1000 * self.lives, clock.as_millis() as u64, terms(slip));
+                let (life, unix, terms) =
+                    (1000 * self.lives, clock.as_millis() as u64, terms(slip));
                 *grantor = match slip {
                     Slip::NoSilence => Grantor::hasty(*clock, unix, life, &terms),
                     _ => Grantor::start(*clock, unix, life, &terms, 8, 8),
@@ -182,15 +203,26 @@
 
     /// What is wrong in this state.
     fn fault(&mut self) -> Option<String> {
-        let holding = |n: usize| self.holders[n].0.holds(self.holders[n].1, THING).map(|epoch| (n, epoch));
+        let holding = |n: usize| {
+            self.holders[n]
+                .0
+                .holds(self.holders[n].1, THING)
+                .map(|epoch| (n, epoch))
+        };
         let now: Vec<(usize, Epoch)> = (0..HOLDERS).filter_map(holding).collect();
         if now.len() > 1 {
             return Some(format!("two holders: {now:?}"));
         }
         if let Some((n, epoch)) = now.first().copied() {
             let this = (n, self.born[n], epoch);
-            if self.last.is_some_and(|last| last != this && last.2 >= epoch) {
-                return Some(format!("epoch does not grow: {:?}, then {this:?}", self.last));
+            if self
+                .last
+                .is_some_and(|last| last != this && last.2 >= epoch)
+            {
+                return Some(format!(
+                    "epoch does not grow: {:?}, then {this:?}",
+                    self.last
+                ));
             }
             self.last = Some(this);
         }
@@ -230,42 +262,113 @@
         let fault = next.fault();
         held += usize::from(next.last.is_some());
         if let Some(fault) = fault {
-            let trace = path.iter().filter_map(|(_, _, a)| a.clone()).chain([act]).collect();
-            return Found { states: seen.len(), held, fault: Some((fault, trace)) };
+            let trace = path
+                .iter()
+                .filter_map(|(_, _, a)| a.clone())
+                .chain([act])
+                .collect();
+            return Found {
+                states: seen.len(),
+                held,
+                fault: Some((fault, trace)),
+            };
         }
         if seen.insert(next.mark()) {
             let acts = next.acts();
             path.push((next, acts, Some(act)));
         }
     }
-    Found { states: seen.len(), held, fault: None }
+    Found {
+        states: seen.len(),
+        held,
+        fault: None,
+    }
 }
 
 #[test]
 fn never_two_holders_and_epochs_grow_in_every_order_of_events() {
     // Each explores another corner; all at once are too many states for a test of seconds.
     let corners = [
-        ("steps", Left { steps: 2, asks: [1, 1], restarts: 0, repeats: 0, returns: 0 }),
-        ("restart", Left { steps: 1, asks: [1, 1], restarts: 1, repeats: 0, returns: 0 }),
-        ("return", Left { steps: 0, asks: [2, 1], restarts: 0, repeats: 0, returns: 1 }),
-        ("repeat", Left { steps: 1, asks: [1, 1], restarts: 0, repeats: 1, returns: 0 }),
+        (
+            "steps",
+            Left {
+                steps: 2,
+                asks: [1, 1],
+                restarts: 0,
+                repeats: 0,
+                returns: 0,
+            },
+        ),
+        (
+            "restart",
+            Left {
+                steps: 1,
+                asks: [1, 1],
+                restarts: 1,
+                repeats: 0,
+                returns: 0,
+            },
+        ),
+        (
+            "return",
+            Left {
+                steps: 0,
+                asks: [2, 1],
+                restarts: 0,
+                repeats: 0,
+                returns: 1,
+            },
+        ),
+        (
+            "repeat",
+            Left {
+                steps: 1,
+                asks: [1, 1],
+                restarts: 0,
+                repeats: 1,
+                returns: 0,
+            },
+        ),
     ];
     for (name, left) in corners {
         let found = search(Slip::None, left);
-        println!("{name}: {} states, {} with a holder so far", found.states, found.held);
+        println!(
+            "{name}: {} states, {} with a holder so far",
+            found.states, found.held
+        );
         assert!(found.fault.is_none(), "{name}: {:#?}", found.fault);
-        assert!(found.held > 0, "{name}: nobody ever held it, so nothing was checked");
+        assert!(
+            found.held > 0,
+            "{name}: nobody ever held it, so nothing was checked"
+        );
     }
 }
 
 #[test]
 fn without_the_drift_bound_or_the_silence_two_hold_it() {
-    let left = Left { steps: 2, asks: [1, 1], restarts: 0, repeats: 0, returns: 0 };
-    let restart = Left { steps: 0, asks: [1, 1], restarts: 1, repeats: 0, returns: 0 };
+    let left = Left {
+        steps: 2,
+        asks: [1, 1],
+        restarts: 0,
+        repeats: 0,
+        returns: 0,
+    };
+    let restart = Left {
+        steps: 0,
+        asks: [1, 1],
+        restarts: 1,
+        repeats: 0,
+        returns: 0,
+    };
     for (slip, left) in [(Slip::NoDriftBound, left), (Slip::NoSilence, restart)] {
-        let (fault, trace) = search(slip, left).fault.unwrap_or_else(|| panic!("{slip:?} was not found"));
+        let (fault, trace) = search(slip, left)
+            .fault
+            .unwrap_or_else(|| panic!("{slip:?} was not found"));
         println!("{slip:?}: {fault} after {trace:#?}");
         assert!(fault.contains("two holders"), "{fault}");
-        assert!(search(Slip::None, left).fault.is_none(), "with it nothing is wrong");
+        assert!(
+            search(Slip::None, left).fault.is_none(),
+            "with it nothing is wrong"
+        );
     }
 }
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -30,7 +30,10 @@
 
 impl Dice {
     fn roll(&mut self, below: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % below.max(1)
     }
 
@@ -106,7 +109,12 @@
             loss,
             seen: vec![None; THINGS as usize],
             since_kill: vec![None; THINGS as usize],
-            played: Played { broken: Vec::new(), acts: 0, unheld: Vec::new(), gaps: Vec::new() },
+            played: Played {
+                broken: Vec::new(),
+                acts: 0,
+                unheld: Vec::new(),
+                gaps: Vec::new(),
+            },
             dice,
         };
         for n in 0..GATEWAYS {
@@ -115,7 +123,14 @@
             let part = 1.0 - world.dice.roll(3) as f64 / 10.0;
             let rate = if world.dice.one_in(2) { part } else { -part } * f64::from(DRIFT) / 1e6;
             let life = world.dice.roll(u64::MAX);
-            let holder = Holder::new(Member { gateway: n as u64, life }, terms, life);
+            let holder = Holder::new(
+                Member {
+                    gateway: n as u64,
+                    life,
+                },
+                terms,
+                life,
+            );
             let (stopped_until, dead_until) = (0, 0);
             let node = Node {
                 ahead,
@@ -146,7 +161,14 @@
         let unix = 1_000_000 + self.now + self.nodes[n].ahead % (LENGTH / 2);
         let node = &mut self.nodes[n];
         node.life = life;
-        node.holder = Holder::new(Member { gateway: n as u64, life }, terms, life);
+        node.holder = Holder::new(
+            Member {
+                gateway: n as u64,
+                life,
+            },
+            terms,
+            life,
+        );
         node.held.clear();
         node.grantor = (n < self.grantors).then(|| match self.slip == Slip::NoSilence && !first {
             true => Grantor::hasty(now, unix, life, &terms),
@@ -163,7 +185,10 @@
 
     fn sends(&mut self, from: usize, to: usize, message: &Message) {
         let Some(bytes) = self.wires.write(message) else {
-            return self.played.broken.push(format!("too long for a datagram: {message:?}"));
+            return self
+                .played
+                .broken
+                .push(format!("too long for a datagram: {message:?}"));
         };
         let quiet = self.now >= DAY;
         if !quiet && self.dice.roll(100) < self.loss {
@@ -171,7 +196,11 @@
         }
         let times = if !quiet && self.dice.one_in(20) { 2 } else { 1 };
         for _ in 0..times {
-            let late = if !quiet && self.dice.one_in(10) { 3000 } else { 40 };
+            let late = if !quiet && self.dice.one_in(10) {
+                3000
+            } else {
+                40
+            };
             let mut bytes = bytes.clone();
             if !quiet && self.dice.one_in(50) {
                 let at = self.dice.roll(bytes.len() as u64) as usize;
@@ -191,7 +220,10 @@
             return self.kills_one_that_grants_nothing();
         }
         if self.dice.one_in(400) {
-            let (a, b) = (self.dice.roll(GATEWAYS as u64) as usize, self.dice.roll(GATEWAYS as u64) as usize);
+            let (a, b) = (
+                self.dice.roll(GATEWAYS as u64) as usize,
+                self.dice.roll(GATEWAYS as u64) as usize,
+            );
             let until = self.now + self.dice.roll(6000);
             self.cuts.push((a, b, until));
             if self.dice.one_in(2) {
@@ -202,7 +234,12 @@
             let n = self.dice.roll(GATEWAYS as u64) as usize;
             if self.runs(n) {
                 let clock = self.clock(n);
-                let held = |thing| Some((Thing(thing), self.nodes[n].holder.holds(clock, Thing(thing))?));
+                let held = |thing| {
+                    Some((
+                        Thing(thing),
+                        self.nodes[n].holder.holds(clock, Thing(thing))?,
+                    ))
+                };
                 self.nodes[n].held = (0..THINGS).filter_map(held).collect();
                 self.nodes[n].stopped_until = self.now + 200 + self.dice.roll(5000);
             }
@@ -212,7 +249,10 @@
             self.kills(n);
         }
         if self.dice.one_in(600) {
-            let (n, thing) = (self.dice.roll(GATEWAYS as u64) as usize, Thing(self.dice.roll(THINGS)));
+            let (n, thing) = (
+                self.dice.roll(GATEWAYS as u64) as usize,
+                Thing(self.dice.roll(THINGS)),
+            );
             if self.runs(n) {
                 let clock = self.clock(n);
                 let node = &mut self.nodes[n];
@@ -246,13 +286,20 @@
     }
 
     fn comes(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        if self.cuts.iter().any(|(a, b, until)| (*a, *b) == (from, to) && self.now < *until) {
+        if self
+            .cuts
+            .iter()
+            .any(|(a, b, until)| (*a, *b) == (from, to) && self.now < *until)
+        {
             return;
         }
         let now = self.clock(to);
         match self.wires.read(bytes) {
             Ok(Message::Ask(ask)) => {
-                let told = self.nodes[to].grantor.as_mut().and_then(|grantor| grantor.asked(now, &ask).ok());
+                let told = self.nodes[to]
+                    .grantor
+                    .as_mut()
+                    .and_then(|grantor| grantor.asked(now, &ask).ok());
                 if let Some(told) = told {
                     self.sends(to, from, &Message::Told(told));
                 }
@@ -281,7 +328,9 @@
         for (thing, mut acts) in acting.into_iter().enumerate() {
             acts.dedup();
             if acts.len() > 1 {
-                self.played.broken.push(format!("at {} ms {acts:?} act on thing {thing}", self.now));
+                self.played
+                    .broken
+                    .push(format!("at {} ms {acts:?} act on thing {thing}", self.now));
             }
             for act in acts {
                 self.played.acts += 1;
@@ -290,7 +339,9 @@
                 }
                 if self.seen[thing].is_some_and(|last| last != act && last.2 >= act.2) {
                     let last = self.seen[thing];
-                    self.played.broken.push(format!("at {} ms {act:?} acts after {last:?}", self.now));
+                    self.played
+                        .broken
+                        .push(format!("at {} ms {act:?} acts after {last:?}", self.now));
                 }
                 self.seen[thing] = Some(act);
             }
@@ -333,7 +384,8 @@
             self.now += STEP;
         }
         for thing in (0..THINGS).map(Thing) {
-            let held = (0..GATEWAYS).any(|n| self.nodes[n].holder.holds(self.clock(n), thing).is_some());
+            let held =
+                (0..GATEWAYS).any(|n| self.nodes[n].holder.holds(self.clock(n), thing).is_some());
             if !held {
                 self.played.unheld.push(thing);
             }
@@ -374,7 +426,17 @@
     let mut gaps: Vec<u64> = (0..200).flat_map(gaps).collect();
     gaps.sort_unstable();
     let at = |part: f64| gaps[((gaps.len() - 1) as f64 * part) as usize];
-    println!("{} kills, lease {LENGTH} ms: p50 {} ms, p99 {} ms", gaps.len(), at(0.5), at(0.99));
+    println!(
+        "{} kills, lease {LENGTH} ms: p50 {} ms, p99 {} ms",
+        gaps.len(),
+        at(0.5),
+        at(0.99)
+    );
     assert!(gaps.len() > 100, "{} are too few to tell", gaps.len());
-    assert!(at(0.5) < 2 * LENGTH && at(0.99) < 4 * LENGTH, "{} ms, {} ms", at(0.5), at(0.99));
+    assert!(
+        at(0.5) < 2 * LENGTH && at(0.99) < 4 * LENGTH,
+        "{} ms, {} ms",
+        at(0.5),
+        at(0.99)
+    );
 }
--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -29,7 +29,8 @@
 
 /// An event of the lines of these engines, as the change log writes it.
 fn text(number: u64, whole: bool, engines: impl Iterator<Item = usize>, started: u64) -> Vec<u8> {
-    let mut out = format!(r#"{{"seq":{number},"fleet":{{"version":{number},"full":{whole},"servers":["#);
+    let mut out =
+        format!(r#"{{"seq":{number},"fleet":{{"version":{number},"full":{whole},"servers":["#);
     for (n, engine) in engines.enumerate() {
         let separator = if n == 0 { "" } else { "," };
         let (zone, kind, cell) = (engine % ZONES, engine / ZONES % KINDS, engine / 100);
@@ -69,7 +70,11 @@
 }
 
 fn list(subset: bool) -> EngineList {
-    EngineList::new(Duration::from_secs(32), Clock::start(), subset.then(selection))
+    EngineList::new(
+        Duration::from_secs(32),
+        Clock::start(),
+        subset.then(selection),
+    )
 }
 
 #[divan::bench]
@@ -87,17 +92,21 @@
 #[divan::bench(args = [false, true])]
 fn apply_first_list(bencher: Bencher, subset: bool) {
     let event = decoded(&whole_text());
-    bencher.with_inputs(|| (list(subset), event.clone())).bench_local_values(|(list, event)| {
-        black_box(list.apply(event));
-        list
-    });
+    bencher
+        .with_inputs(|| (list(subset), event.clone()))
+        .bench_local_values(|(list, event)| {
+            black_box(list.apply(event));
+            list
+        });
 }
 
 #[divan::bench(args = [false, true])]
 fn apply_whole_list_again(bencher: Bencher, subset: bool) {
     let (event, list) = (decoded(&whole_text()), list(subset));
     list.apply(event.clone());
-    bencher.with_inputs(|| event.clone()).bench_local_values(|event| list.apply(event));
+    bencher
+        .with_inputs(|| event.clone())
+        .bench_local_values(|event| list.apply(event));
 }
 
 /// Each time another engine has started anew.
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -55,8 +55,15 @@
         return Ok(());
     }
     let name = arguments.subcommand().map_err(|e| e.to_string())?;
-    let mut named = |option| arguments.opt_value_from_str(option).map_err(|e| e.to_string());
-    let files = Files { config: named("--config")?, plan: named("--plan")? };
+    let mut named = |option| {
+        arguments
+            .opt_value_from_str(option)
+            .map_err(|e| e.to_string())
+    };
+    let files = Files {
+        config: named("--config")?,
+        plan: named("--plan")?,
+    };
     if let Some(left) = arguments.finish().first() {
         return Err(format!("unknown argument {left:?}; see garnetwall help"));
     }
@@ -117,7 +124,10 @@
     let listen = config.listen;
     let (reload, reloads) = unbounded_channel();
     tokio::spawn(reload_on_hangup(files, hangup, reload));
-    Gateway::new(config).run(stopped, reloads).await.map_err(|e| format!("{listen}: {e}"))
+    Gateway::new(config)
+        .run(stopped, reloads)
+        .await
+        .map_err(|e| format!("{listen}: {e}"))
 }
 
 /// Reads the files again at each SIGHUP; a faulty one is told and passed over.
@@ -134,5 +144,7 @@
 /// Reads the files in a thread of its own: nothing that serves waits for a file.
 async fn read_beside(files: Files) -> Result<Config, String> {
     let reading = tokio::task::spawn_blocking(move || read(files));
-    reading.await.unwrap_or_else(|e| Err(format!("the configuration could not be read: {e}")))
+    reading
+        .await
+        .unwrap_or_else(|e| Err(format!("the configuration could not be read: {e}")))
 }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -10,8 +10,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { anchor: Instant::now(), unix: unix.as_secs_f64() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            anchor: Instant::now(),
+            unix: unix.as_secs_f64(),
+        }
     }
 
     pub fn now(&self) -> f64 {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -63,7 +63,8 @@
             return Vec::new();
         };
         let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
-        let changed = |key: &&String| !RELOADED.contains(&key.as_str()) && old.get(*key) != new.get(*key);
+        let changed =
+            |key: &&String| !RELOADED.contains(&key.as_str()) && old.get(*key) != new.get(*key);
         keys.into_iter().filter(changed).cloned().collect()
     }
 }
@@ -71,7 +72,9 @@
 /// What is wrong: where, why, and what to do.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
-    #[error("{FILE_VARIABLE}: not set; name the file of the configuration there, or with --config")]
+    #[error(
+        "{FILE_VARIABLE}: not set; name the file of the configuration there, or with --config"
+    )]
     NoFile,
     #[error("{file}: {cause}; name a file that can be read")]
     Unreadable { file: String, cause: String },
@@ -89,7 +92,11 @@
     #[error(
         "plan {file}: memory of bodies: {bodies} bytes, {most} at most by limits.memory_mb; give them less"
     )]
-    Bodies { file: String, bodies: u64, most: u64 },
+    Bodies {
+        file: String,
+        bodies: u64,
+        most: u64,
+    },
     #[error(
         "plan {file}: pool {pool}: names engines by id, address or exception, which may be in no subset; name zones \
          and kinds there, or leave subset out of the configuration"
@@ -100,7 +107,12 @@
 type Checked<T> = Result<T, ConfigError>;
 
 /// A key that holds what is not `expected`, or nothing.
-fn wrong_type(place: &str, expected: &'static str, found: Option<&Value>, remedy: &str) -> ConfigError {
+fn wrong_type(
+    place: &str,
+    expected: &'static str,
+    found: Option<&Value>,
+    remedy: &str,
+) -> ConfigError {
     match found {
         Some(found) => Fault::wrong_type(place, expected, found, remedy),
         None => Fault::new(place, Cause::Missing, remedy),
@@ -126,7 +138,10 @@
     if let Some(file) = plan {
         let settings = planning::settings(&config.decoded);
         let compiled = garnetwall_plan::compile(&plan_cli::Disk, &file, Some(&settings));
-        let faulty = |faulty: Faulty| ConfigError::Plan { file: file.clone(), what: faulty.to_string() };
+        let faulty = |faulty: Faulty| ConfigError::Plan {
+            file: file.clone(),
+            what: faulty.to_string(),
+        };
         let compiled = compiled.map_err(faulty)?;
         let bodies = compiled.plan.bodies.as_ref().map_or(0, |b| b.memory);
         let most = (config.memory_mb as u64) << 20 >> BODIES_PART;
@@ -145,26 +160,42 @@
 /// The settings of a gateway's configuration, or settings that stand alone in their file.
 pub fn settings(file: &str) -> Checked<Decoded> {
     let json = json(file)?;
-    let decoded = Flat::from_json(json.get("settings").unwrap_or(&json)).and_then(|flat| decode(&flat));
-    decoded.map_err(|fault| ConfigError::Settings { file: file.into(), fault })
+    let decoded =
+        Flat::from_json(json.get("settings").unwrap_or(&json)).and_then(|flat| decode(&flat));
+    decoded.map_err(|fault| ConfigError::Settings {
+        file: file.into(),
+        fault,
+    })
 }
 
 fn json(file: &str) -> Checked<Value> {
-    let unreadable = |e: std::io::Error| ConfigError::Unreadable { file: file.into(), cause: e.to_string() };
+    let unreadable = |e: std::io::Error| ConfigError::Unreadable {
+        file: file.into(),
+        cause: e.to_string(),
+    };
     let text = std::fs::read(file).map_err(unreadable)?;
-    serde_json::from_slice(&text)
-        .map_err(|e| ConfigError::NotJson { file: file.into(), cause: e.to_string() })
+    serde_json::from_slice(&text).map_err(|e| ConfigError::NotJson {
+        file: file.into(),
+        cause: e.to_string(),
+    })
 }
 
 fn read_config(file: Option<String>, variable: impl Fn(&str) -> Option<String>) -> Checked<Config> {
-    let file = file.or_else(|| variable(FILE_VARIABLE)).ok_or(ConfigError::NoFile)?;
+    let file = file
+        .or_else(|| variable(FILE_VARIABLE))
+        .ok_or(ConfigError::NoFile)?;
     check(json(&file)?, variable)
 }
 
 fn check(told: Value, variable: impl Fn(&str) -> Option<String>) -> Checked<Config> {
     let json = &told;
     if !json.is_object() {
-        return Err(wrong_type("file", "an object", Some(json), "write {...} with the keys of a gateway"));
+        return Err(wrong_type(
+            "file",
+            "an object",
+            Some(json),
+            "write {...} with the keys of a gateway",
+        ));
     }
     let listen = match variable(LISTEN_VARIABLE) {
         Some(word) => address(LISTEN_VARIABLE, &word)?,
@@ -172,10 +203,19 @@
     };
     let seed = text(json, "seed")?;
     let seed = u64::from_str_radix(seed, 16).map_err(|_| {
-        unusable("seed", format!("'{seed}' is no seed"), "write up to 16 hex digits, new at each start")
+        unusable(
+            "seed",
+            format!("'{seed}' is no seed"),
+            "write up to 16 hex digits, new at each start",
+        )
     })?;
     let flat = json.get("settings").ok_or_else(|| {
-        wrong_type("settings", "an object", None, "write {...} with the settings of the platform")
+        wrong_type(
+            "settings",
+            "an object",
+            None,
+            "write {...} with the settings of the platform",
+        )
     })?;
     let decoded = decode(&Flat::from_json(flat)?)?;
     decoded.check()?;
@@ -187,7 +227,12 @@
         None | Some(Value::Null) => &Value::Null,
         Some(limits) if limits.is_object() => limits,
         other => {
-            return Err(wrong_type("limits", "an object", other, "write {...} with sockets and memory_mb"))
+            return Err(wrong_type(
+                "limits",
+                "an object",
+                other,
+                "write {...} with sockets and memory_mb",
+            ))
         }
     };
     let name = variable(NAME_VARIABLE).map_or_else(|| text(json, "name").map(String::from), Ok)?;
@@ -238,14 +283,28 @@
         None | Some(Value::Null) => return Ok(usual as usize),
         Some(told) => told,
     };
-    let (place, remedy) = (format!("limits.{key}"), format!("give a whole number from {least} to {MOST}"));
+    let (place, remedy) = (
+        format!("limits.{key}"),
+        format!("give a whole number from {least} to {MOST}"),
+    );
     if !told.is_number() {
         return Err(wrong_type(&place, "a number", Some(told), &remedy));
     }
-    let whole = told.as_u64().filter(|n| (least..=MOST).contains(n)).and_then(|n| usize::try_from(n).ok());
+    let whole = told
+        .as_u64()
+        .filter(|n| (least..=MOST).contains(n))
+        .and_then(|n| usize::try_from(n).ok());
     whole.ok_or_else(|| {
         let off = format!("not from {least} to {MOST}");
-        Fault::new(place, Cause::OutOfRange { found: shown(told), off }, remedy).into()
+        Fault::new(
+            place,
+            Cause::OutOfRange {
+                found: shown(told),
+                off,
+            },
+            remedy,
+        )
+        .into()
     })
 }
 
@@ -266,14 +325,17 @@
             "write that of the last of the results",
         )
     })?;
-    let results = json.get("results").and_then(Value::as_array).ok_or_else(|| {
-        wrong_type(
-            "known.results",
-            "a list",
-            json.get("results"),
-            "write the change log's events up to known.seq",
-        )
-    })?;
+    let results = json
+        .get("results")
+        .and_then(Value::as_array)
+        .ok_or_else(|| {
+            wrong_type(
+                "known.results",
+                "a list",
+                json.get("results"),
+                "write the change log's events up to known.seq",
+            )
+        })?;
     let names = NameIndex::new(&decoded.names);
     let mut events: Vec<Event> = Vec::with_capacity(results.len());
     for (i, one) in results.iter().enumerate() {
@@ -281,8 +343,12 @@
         let event = discovery::event(one, &names).map_err(|what| in_event(&place, &what))?;
         let before = events.last().map(|event| event.number);
         if before.is_some_and(|before| event.number <= before) || event.number > last {
-            let after = before.map_or_else(|| "up".to_string(), |before| format!("after {before}, up"));
-            let what = format!("{} goes back or past known.seq, which is {last}", event.number);
+            let after =
+                before.map_or_else(|| "up".to_string(), |before| format!("after {before}, up"));
+            let what = format!(
+                "{} goes back or past known.seq, which is {last}",
+                event.number
+            );
             return Err(unusable(
                 &format!("{place}.seq"),
                 what,
@@ -297,7 +363,11 @@
 /// What is wrong with an event of the change log, whose reader names the place in it first.
 fn in_event(event: &str, what: &str) -> ConfigError {
     let (key, cause) = what.split_once(": ").unwrap_or(("", what));
-    let place = if key.is_empty() { event.to_string() } else { format!("{event}.{key}") };
+    let place = if key.is_empty() {
+        event.to_string()
+    } else {
+        format!("{event}.{key}")
+    };
     unusable(
         &place,
         cause.into(),
--- a/crates/gateway/src/config/subset.rs
+++ b/crates/gateway/src/config/subset.rs
@@ -23,20 +23,36 @@
         None | Some(Value::Null) => return Ok(None),
         Some(block) if block.is_object() => block,
         other => {
-            return Err(wrong_type("subset", "an object", other, "write {\"size\": ...}, or leave it out"));
+            return Err(wrong_type(
+                "subset",
+                "an object",
+                other,
+                "write {\"size\": ...}, or leave it out",
+            ));
         }
     };
     let size = count(block, "size", 1)?.ok_or_else(|| {
-        wrong_type("subset.size", "a number", None, "write how many engines the gateway is to work with")
+        wrong_type(
+            "subset.size",
+            "a number",
+            None,
+            "write how many engines the gateway is to work with",
+        )
     })?;
     let usual = SubsetSettings::with_size(size, decoded.settings.gateways);
     let settings = SubsetSettings {
         class_floor: count(block, "class_floor", 0)?.unwrap_or(usual.class_floor),
         reserve: count(block, "reserve", 0)?.unwrap_or(usual.reserve),
-        joins_per_second: number(block, "joins_per_second", f64::MIN_POSITIVE, MOST_JOINS_PER_SECOND)?
-            .unwrap_or(usual.joins_per_second),
+        joins_per_second: number(
+            block,
+            "joins_per_second",
+            f64::MIN_POSITIVE,
+            MOST_JOINS_PER_SECOND,
+        )?
+        .unwrap_or(usual.joins_per_second),
         zone: zone(block, &decoded.names)?,
-        near_weight: number(block, "near_weight", 1.0, MAX_NEAR_WEIGHT)?.unwrap_or(usual.near_weight),
+        near_weight: number(block, "near_weight", 1.0, MAX_NEAR_WEIGHT)?
+            .unwrap_or(usual.near_weight),
         classes: classes(&decoded.settings.groups),
         retry_scope: retry_scope(&decoded.settings.groups),
         ..usual
@@ -57,7 +73,8 @@
         return Err(wrong_type(&place(key), "a number", Some(told), &remedy));
     }
     let whole = told.as_u64().filter(|n| (least..=MOST_ENGINES).contains(n));
-    let whole = whole.ok_or_else(|| out_of_range(key, told, least as f64, MOST_ENGINES as f64, remedy))?;
+    let whole =
+        whole.ok_or_else(|| out_of_range(key, told, least as f64, MOST_ENGINES as f64, remedy))?;
     Ok(Some(whole as usize))
 }
 
@@ -67,7 +84,11 @@
         None | Some(Value::Null) => return Ok(None),
         Some(told) => told,
     };
-    let bounds = if least < 1.0 { "more than 0".to_string() } else { format!("from {least}") };
+    let bounds = if least < 1.0 {
+        "more than 0".to_string()
+    } else {
+        format!("from {least}")
+    };
     let remedy = format!("give a number {bounds}, {most} at most");
     let Some(number) = told.as_f64() else {
         return Err(wrong_type(&place(key), "a number", Some(told), &remedy));
@@ -78,13 +99,27 @@
     Ok(Some(number))
 }
 
-fn out_of_range(key: &str, told: &Value, least: f64, most: f64, remedy: String) -> super::ConfigError {
+fn out_of_range(
+    key: &str,
+    told: &Value,
+    least: f64,
+    most: f64,
+    remedy: String,
+) -> super::ConfigError {
     let off = if least < 1.0 && least > 0.0 {
         format!("not more than 0, or more than {most}")
     } else {
         format!("not from {least} to {most}")
     };
-    Fault::new(place(key), Cause::OutOfRange { found: shown(told), off }, remedy).into()
+    Fault::new(
+        place(key),
+        Cause::OutOfRange {
+            found: shown(told),
+            off,
+        },
+        remedy,
+    )
+    .into()
 }
 
 /// The gateway's own zone, by its name in the settings.
@@ -92,12 +127,24 @@
     let name = match block.get("zone") {
         None | Some(Value::Null) => return Ok(None),
         Some(Value::String(name)) => name,
-        other => return Err(wrong_type("subset.zone", "a text", other, "write a name of settings.zones")),
+        other => {
+            return Err(wrong_type(
+                "subset.zone",
+                "a text",
+                other,
+                "write a name of settings.zones",
+            ))
+        }
     };
     let name = name.replace([' ', ','], "_");
     match names.zones.iter().position(|zone| *zone == name) {
         Some(zone) => Ok(Some(zone as u32)),
-        None => Err(Fault::new("subset.zone", Cause::Unknown(name), "write a name of settings.zones").into()),
+        None => Err(Fault::new(
+            "subset.zone",
+            Cause::Unknown(name),
+            "write a name of settings.zones",
+        )
+        .into()),
     }
 }
 
@@ -107,10 +154,15 @@
 
 /// The placement classes of the service groups that may not go everywhere.
 fn classes(groups: &[ServiceGroup]) -> Vec<PlacementClass> {
-    let class =
-        |group: &ServiceGroup| PlacementClass { zones: group.zones.clone(), kinds: group.kinds.clone() };
-    let mut classes: Vec<PlacementClass> =
-        groups.iter().map(class).filter(|class| *class != PlacementClass::default()).collect();
+    let class = |group: &ServiceGroup| PlacementClass {
+        zones: group.zones.clone(),
+        kinds: group.kinds.clone(),
+    };
+    let mut classes: Vec<PlacementClass> = groups
+        .iter()
+        .map(class)
+        .filter(|class| *class != PlacementClass::default())
+        .collect();
     classes.sort();
     classes.dedup();
     classes
@@ -119,21 +171,36 @@
 /// The narrowest scope in which a group's queries may be tried again.
 pub fn retry_scope(groups: &[ServiceGroup]) -> RetryScope {
     let scope = |group: &ServiceGroup| match group.effect {
-        Effect::Referenced { scope: Scope::Zone, .. } => RetryScope::Zone,
-        Effect::Referenced { scope: Scope::Cell, .. } => RetryScope::Cell,
+        Effect::Referenced {
+            scope: Scope::Zone, ..
+        } => RetryScope::Zone,
+        Effect::Referenced {
+            scope: Scope::Cell, ..
+        } => RetryScope::Cell,
         _ => RetryScope::Everywhere,
     };
-    groups.iter().map(scope).max().unwrap_or(RetryScope::Everywhere)
+    groups
+        .iter()
+        .map(scope)
+        .max()
+        .unwrap_or(RetryScope::Everywhere)
 }
 
 /// Adds the classes of a plan's pools; the name of a pool that is no such class.
-pub(super) fn add_pools(settings: &mut SubsetSettings, plan: &Plan, names: &Names) -> Result<(), String> {
+pub(super) fn add_pools(
+    settings: &mut SubsetSettings,
+    plan: &Plan,
+    names: &Names,
+) -> Result<(), String> {
     for pool in &plan.pools {
         if !is_class(pool) {
             return Err(pool.name.clone());
         }
         let zones = places(&pool.zones, &names.zones);
-        let class = PlacementClass { zones, kinds: places(&pool.kinds, &names.kinds) };
+        let class = PlacementClass {
+            zones,
+            kinds: places(&pool.kinds, &names.kinds),
+        };
         // A pool that only unites others has engines where they have.
         if pool.selects() && class != PlacementClass::default() {
             settings.classes.push(class);
@@ -151,6 +218,11 @@
 
 /// The places of names; none where nothing is named.
 fn places(words: &[String], names: &[String]) -> Option<Vec<u32>> {
-    let place = |word: &String| names.iter().position(|name| name == word).map(|place| place as u32);
+    let place = |word: &String| {
+        names
+            .iter()
+            .position(|name| name == word)
+            .map(|place| place as u32)
+    };
     (!words.is_empty()).then(|| words.iter().filter_map(place).collect())
 }
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -15,7 +15,9 @@
 use crate::discovery::EngineUpdate;
 use crate::planning::Planner;
 use crate::pulse::Pulse;
-use garnetwall::api::{BatchId, Effect, End, EngineId, Next, Note, Outcome, Report, ServiceGroup, Wait};
+use garnetwall::api::{
+    BatchId, Effect, End, EngineId, Next, Note, Outcome, Report, ServiceGroup, Wait,
+};
 use garnetwall::control::Control;
 use garnetwall_ledger::book::Sent;
 use garnetwall_plan::Plan;
@@ -73,7 +75,19 @@
         let (in_hand, ends) = (watch::Sender::new(0), watch::Sender::new(None));
         let seats = Mutex::new(seats);
         let hashing = RandomState::new();
-        (Desk { clock, seats, earlier: Notify::new(), probes, in_hand, ends, remembered, hashing }, wanted)
+        (
+            Desk {
+                clock,
+                seats,
+                earlier: Notify::new(),
+                probes,
+                in_hand,
+                ends,
+                remembered,
+                hashing,
+            },
+            wanted,
+        )
     }
 
     pub fn clock(&self) -> Clock {
@@ -125,14 +139,20 @@
         let told: Vec<_> = lines.iter().map(|line| line.listed).collect();
         self.fact(|seats, _| {
             seats.control.listed(&told, whole);
-            let lanes = seats.planner.as_mut().map(|planner| planner.listed(lines, whole));
+            let lanes = seats
+                .planner
+                .as_mut()
+                .map(|planner| planner.listed(lines, whole));
             seats.tell(lanes.unwrap_or_default());
         });
     }
 
     /// The groups as they are now: which are once-only.
     pub fn grouped(&self, groups: &[ServiceGroup]) {
-        let once_only = groups.iter().map(|g| g.effect == Effect::OnceOnly).collect();
+        let once_only = groups
+            .iter()
+            .map(|g| g.effect == Effect::OnceOnly)
+            .collect();
         self.fact(|seats, _| seats.once_only = once_only);
     }
 
@@ -157,17 +177,26 @@
 
     /// Whether batches of a group are once-only now.
     pub fn is_once_only(&self, group: usize) -> bool {
-        self.seats().once_only.get(group).copied().unwrap_or_default()
+        self.seats()
+            .once_only
+            .get(group)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Takes up another plan, with the groups as it has them; whether there is one to take the place of.
     pub fn replan(&self, plan: Arc<Plan>, groups: &[ServiceGroup]) -> bool {
         self.fact(|seats, _| {
-            let Some(planner) = seats.planner.as_mut() else { return false };
+            let Some(planner) = seats.planner.as_mut() else {
+                return false;
+            };
             let lanes = planner.replan(plan);
             seats.tell(lanes);
             seats.control.regroup(groups);
-            seats.once_only = groups.iter().map(|g| g.effect == Effect::OnceOnly).collect();
+            seats.once_only = groups
+                .iter()
+                .map(|g| g.effect == Effect::OnceOnly)
+                .collect();
             true
         })
     }
@@ -216,8 +245,17 @@
     /// Until the gateway ends.
     pub async fn ended(&self) {
         // It fails only with the sender gone, which this desk holds.
-        let at = self.ends.subscribe().wait_for(Option::is_some).await.ok().and_then(|at| *at);
-        sleep_until(Instant::from_std(self.clock.instant(at.unwrap_or_default()))).await;
+        let at = self
+            .ends
+            .subscribe()
+            .wait_for(Option::is_some)
+            .await
+            .ok()
+            .and_then(|at| *at);
+        sleep_until(Instant::from_std(
+            self.clock.instant(at.unwrap_or_default()),
+        ))
+        .await;
     }
 
     /// The earliest time at which what was read at this instant can have come.
--- a/crates/gateway/src/desk/ending.rs
+++ b/crates/gateway/src/desk/ending.rs
@@ -8,7 +8,12 @@
     /// Gives a batch its final answer; only the first counts.
     pub fn answer(&self, id: BatchId, last: Final) {
         if let Some(b) = self.seats().in_hand.get(&id).filter(|b| !b.is_over()) {
-            tracing::debug!(batch = id, left = b.limit - self.clock.now(), end = last.name(), "answer");
+            tracing::debug!(
+                batch = id,
+                left = b.limit - self.clock.now(),
+                end = last.name(),
+                "answer"
+            );
             b.answer.send_replace(Some(last));
         }
     }
@@ -21,7 +26,9 @@
             let now = self.clock.now();
             let last = b.answer.borrow().clone();
             if let (Some(fingerprint), Some(last)) = (b.fingerprint, last) {
-                seats.kept_answers.keep(now, b.job, fingerprint, last, b.limit);
+                seats
+                    .kept_answers
+                    .keep(now, b.job, fingerprint, last, b.limit);
             }
             seats.over.push_back((now + self.remembered, b.job));
             seats.leaves(now, b.passage);
--- a/crates/gateway/src/desk/in_hand.rs
+++ b/crates/gateway/src/desk/in_hand.rs
@@ -92,16 +92,31 @@
         match self.control.place(now, id) {
             Place::NotYet => {}
             Place::Over(answer) => self.order(id, Order::Over(answer)),
-            Place::To { engine, time_out, within, .. } => {
-                let (until, comes_by) = (clock.instant(now + time_out), clock.instant(now + within));
-                self.order(id, Order::Go { engine, until, comes_by });
+            Place::To {
+                engine,
+                time_out,
+                within,
+                ..
+            } => {
+                let (until, comes_by) =
+                    (clock.instant(now + time_out), clock.instant(now + within));
+                self.order(
+                    id,
+                    Order::Go {
+                        engine,
+                        until,
+                        comes_by,
+                    },
+                );
             }
         }
     }
 
     /// Nobody waits for this batch any more; whoever still asks for it finds it errored.
     pub(super) fn gone(&mut self, now: f64, id: BatchId) {
-        let Some(b) = self.in_hand.get(&id).filter(|b| !b.is_over()) else { return };
+        let Some(b) = self.in_hand.get(&id).filter(|b| !b.is_over()) else {
+            return;
+        };
         tracing::debug!(batch = id, left = b.limit - now, "client gone");
         b.answer.send_replace(Some(Final::Errored));
         b.order(Order::Gone);
--- a/crates/gateway/src/desk/intake.rs
+++ b/crates/gateway/src/desk/intake.rs
@@ -37,12 +37,24 @@
             if seats.recovered.contains_key(&a.job) {
                 return Taken::MayHaveRun;
             }
-            let passage = match seats.planner.as_mut().map(|planner| planner.admit(now, &routed(now, &a))) {
+            let passage = match seats
+                .planner
+                .as_mut()
+                .map(|planner| planner.admit(now, &routed(now, &a)))
+            {
                 Some(Err(turned)) => return Taken::Turned(turned),
                 Some(Ok(passage)) => Some(passage),
                 None => None,
             };
-            let Arrival { group, tenant, key, cost, memory, data_set, .. } = a;
+            let Arrival {
+                group,
+                tenant,
+                key,
+                cost,
+                memory,
+                data_set,
+                ..
+            } = a;
             let group = passage.as_ref().map_or(group, |p| p.group);
             let is_once_only = seats.once_only.get(group).copied().unwrap_or_default();
             if is_once_only && seats.awaits_recovery {
@@ -50,7 +62,10 @@
                 return Taken::MayHaveRun;
             }
             let lane = passage.as_ref().and_then(|p| p.lane);
-            let shorter = passage.as_ref().and_then(|p| p.limit).map(|limit| now + limit.as_secs_f64());
+            let shorter = passage
+                .as_ref()
+                .and_then(|p| p.limit)
+                .map(|limit| now + limit.as_secs_f64());
             let limit = shorter.map_or(a.limit, |at| a.limit.min(at));
             let id = seats.next;
             seats.next = id.wrapping_add(1);
@@ -75,32 +90,76 @@
             seats.in_hand.insert(id, new);
             self.in_hand.send_replace(seats.in_hand.len());
             let left = self.ends.borrow().map_or(limit, |at| limit.min(at)) - now;
-            let b = Batch { id, group, tenant, key, left, cost, memory, data_set, lane };
+            let b = Batch {
+                id,
+                group,
+                tenant,
+                key,
+                left,
+                cost,
+                memory,
+                data_set,
+                lane,
+            };
             let (job, line) = (Hex(a.job), key.map(Hex));
             tracing::debug!(batch = id, ?job, group, key = ?line, left, "taken");
             seats.control.take(now, b);
             let until = millis(limit + CLEAR.as_secs_f64());
-            let once_only = is_once_only.then_some(Sent { id: a.job, key, until });
-            let waiter = Waiter { desk: self.clone(), id, answer: receiver };
-            Taken::New { id, orders, waiter, once_only, attended }
+            let once_only = is_once_only.then_some(Sent {
+                id: a.job,
+                key,
+                until,
+            });
+            let waiter = Waiter {
+                desk: self.clone(),
+                id,
+                answer: receiver,
+            };
+            Taken::New {
+                id,
+                orders,
+                waiter,
+                once_only,
+                attended,
+            }
         })
     }
 
     /// What makes this call the same as another; none where its statement is not kept.
     fn fingerprint(&self, a: &Arrival, call: &Call) -> Option<Fingerprint> {
-        let Statement::Whole(statement) = &call.statement else { return None };
-        let Call { id, group, mark, .. } = call;
-        Some(Fingerprint(self.hashing.hash_one((a.tenant, a.key, id, group, mark, statement))))
+        let Statement::Whole(statement) = &call.statement else {
+            return None;
+        };
+        let Call {
+            id, group, mark, ..
+        } = call;
+        Some(Fingerprint(
+            self.hashing
+                .hash_one((a.tenant, a.key, id, group, mark, statement)),
+        ))
     }
 
-    fn join(self: &Arc<Self>, seats: &mut Seats, now: f64, id: BatchId, a: &Arrival, call: &Call) -> Taken {
-        let Some(b) = seats.in_hand.get_mut(&id) else { return Taken::Over };
+    fn join(
+        self: &Arc<Self>,
+        seats: &mut Seats,
+        now: f64,
+        id: BatchId,
+        a: &Arrival,
+        call: &Call,
+    ) -> Taken {
+        let Some(b) = seats.in_hand.get_mut(&id) else {
+            return Taken::Over;
+        };
         if (b.tenant, b.key) != (a.tenant, a.key) || *b.call != *call {
             return Taken::Other;
         }
         (b.waiters, b.waited) = (b.waiters + 1, b.waited + 1);
         b.attended.set(true);
-        let waiter = Waiter { desk: self.clone(), id, answer: b.answer.subscribe() };
+        let waiter = Waiter {
+            desk: self.clone(),
+            id,
+            answer: b.answer.subscribe(),
+        };
         seats.control.attended(now, id, true);
         Taken::Joined(waiter)
     }
--- a/crates/gateway/src/desk/kept_answers.rs
+++ b/crates/gateway/src/desk/kept_answers.rs
@@ -50,13 +50,31 @@
 impl KeptAnswers {
     /// Keeps so many bytes at most.
     pub(super) fn new(most_bytes: usize) -> Self {
-        KeptAnswers { entries: HashMap::new(), order: BTreeMap::new(), next: 0, bytes: 0, most_bytes }
+        KeptAnswers {
+            entries: HashMap::new(),
+            order: BTreeMap::new(),
+            next: 0,
+            bytes: 0,
+            most_bytes,
+        }
     }
 
     /// Keeps the answer of a query until its deadline, or until newer ones need the room.
-    pub(super) fn keep(&mut self, now: f64, id: u64, fingerprint: Fingerprint, answer: Final, until: f64) {
+    pub(super) fn keep(
+        &mut self,
+        now: f64,
+        id: u64,
+        fingerprint: Fingerprint,
+        answer: Final,
+        until: f64,
+    ) {
         let number = self.next;
-        let entry = Entry { fingerprint, answer, until, number };
+        let entry = Entry {
+            fingerprint,
+            answer,
+            until,
+            number,
+        };
         if until <= now || entry.bytes() > self.most_bytes {
             return;
         }
@@ -80,7 +98,10 @@
     /// Lets go of the oldest while they are past their deadlines or over the bound.
     pub(super) fn make_room(&mut self, now: f64) {
         while let Some((&number, &oldest)) = self.order.first_key_value() {
-            let is_past = self.entries.get(&oldest).is_none_or(|entry| entry.until <= now);
+            let is_past = self
+                .entries
+                .get(&oldest)
+                .is_none_or(|entry| entry.until <= now);
             if !is_past && self.bytes <= self.most_bytes {
                 return;
             }
--- a/crates/gateway/src/desk/waiter.rs
+++ b/crates/gateway/src/desk/waiter.rs
@@ -21,13 +21,17 @@
 impl Waiter {
     pub async fn answer(mut self) -> Final {
         let last = self.answer.wait_for(Option::is_some).await;
-        last.ok().and_then(|last| last.clone()).unwrap_or(Final::Errored)
+        last.ok()
+            .and_then(|last| last.clone())
+            .unwrap_or(Final::Errored)
     }
 }
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        let Some(waited) = self.desk.waiter_left(self.id) else { return };
+        let Some(waited) = self.desk.waiter_left(self.id) else {
+            return;
+        };
         let (desk, id) = (self.desk.clone(), self.id);
         match Handle::try_current() {
             Ok(runtime) => drop(runtime.spawn(async move {
@@ -58,7 +62,11 @@
     /// Nobody has come again for a batch since so many had waited for it: its clients have gone.
     fn not_back(&self, id: BatchId, waited: u64) {
         self.fact(|seats, now| {
-            if seats.in_hand.get(&id).is_some_and(|b| b.waiters == 0 && b.waited == waited) {
+            if seats
+                .in_hand
+                .get(&id)
+                .is_some_and(|b| b.waiters == 0 && b.waited == waited)
+            {
                 seats.gone(now, id);
             }
         });
--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -50,6 +50,8 @@
     if let Ok(host) = HeaderValue::try_from(log.to_string()) {
         request.headers_mut().insert(HOST, host);
     }
-    request.headers_mut().insert(LAST_EVENT, HeaderValue::from(last));
+    request
+        .headers_mut()
+        .insert(LAST_EVENT, HeaderValue::from(last));
     request
 }
--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -172,7 +172,11 @@
         self.open[place].received(now, received);
         // Two that live are one too many once the newer has had its time; what is half told on the older is heard out.
         if self.open[place].is_proven() {
-            let older = self.open.iter().take(place).filter(|connection| !connection.unfinished);
+            let older = self
+                .open
+                .iter()
+                .take(place)
+                .filter(|connection| !connection.unfinished);
             let older: Vec<ConnectionId> = older.map(|connection| connection.id).collect();
             self.remove_redundant(|id| older.contains(&id));
         }
@@ -197,8 +201,15 @@
         if let Some(id) = self.redundant.pop() {
             return Some(Action::Close(id, CloseReason::Redundant));
         }
-        if let Some(place) = self.open.iter().position(|connection| connection.silent_at() <= now) {
-            return Some(Action::Close(self.open.remove(place).id, CloseReason::Silent));
+        if let Some(place) = self
+            .open
+            .iter()
+            .position(|connection| connection.silent_at() <= now)
+        {
+            return Some(Action::Close(
+                self.open.remove(place).id,
+                CloseReason::Silent,
+            ));
         }
         if self.open_at() > now {
             return None;
@@ -207,7 +218,10 @@
             return Some(Action::Open(self.open(now)));
         }
         let place = self.replaceable(now)?;
-        Some(Action::Close(self.open.remove(place).id, CloseReason::Replaced))
+        Some(Action::Close(
+            self.open.remove(place).id,
+            CloseReason::Replaced,
+        ))
     }
 
     /// When to poll next, if nothing comes until then.
@@ -221,7 +235,11 @@
     }
 
     fn remove_redundant(&mut self, redundant: impl Fn(ConnectionId) -> bool) {
-        let gone = self.open.iter().map(|connection| connection.id).filter(|id| redundant(*id));
+        let gone = self
+            .open
+            .iter()
+            .map(|connection| connection.id)
+            .filter(|id| redundant(*id));
         self.redundant.extend(gone);
         self.open.retain(|connection| !redundant(connection.id));
     }
@@ -229,7 +247,8 @@
     fn open(&mut self, now: Duration) -> ConnectionId {
         let id = ConnectionId(self.opened);
         self.opened += 1;
-        self.open.push(Connection::new(id, now, !self.open.is_empty()));
+        self.open
+            .push(Connection::new(id, now, !self.open.is_empty()));
         (self.last_opened, self.not_before) = (now, now);
         self.jitter = self.reconnect.jitter_beside();
         id
@@ -238,8 +257,14 @@
     /// When the next connection is due: at its pace, and not while one that is open makes progress.
     fn open_at(&self) -> Duration {
         let alone = self.open.len() == 1;
-        let overdue = self.open.iter().map(|connection| connection.overdue_at(alone)).max();
-        let Some(overdue) = overdue else { return self.not_before };
+        let overdue = self
+            .open
+            .iter()
+            .map(|connection| connection.overdue_at(alone))
+            .max();
+        let Some(overdue) = overdue else {
+            return self.not_before;
+        };
         let due = self.not_before.max(overdue + self.jitter);
         match self.open.len() < MOST_OPEN {
             true => due,
@@ -257,7 +282,10 @@
 
     /// The one that is replaced.
     fn replaceable(&self, now: Duration) -> Option<usize> {
-        let had_time = self.open.iter().position(|connection| connection.replaceable_at() <= now);
+        let had_time = self
+            .open
+            .iter()
+            .position(|connection| connection.replaceable_at() <= now);
         had_time.or(self.open.len().checked_sub(1))
     }
 }
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -53,9 +53,19 @@
     /// What comes in the step that ends at this age.
     fn comes(self, age: u64) -> Option<Received> {
         let lives = |from: u64| age >= from && (age - from) % 1000 < STEP;
-        let whole = Received { bytes: 3, lines: 2, unfinished: false };
-        let part = |bytes| Received { bytes, lines: 0, unfinished: true };
-        let told = self.told_after().is_some_and(|told| (told..told + STEP).contains(&age));
+        let whole = Received {
+            bytes: 3,
+            lines: 2,
+            unfinished: false,
+        };
+        let part = |bytes| Received {
+            bytes,
+            lines: 0,
+            unfinished: true,
+        };
+        let told = self
+            .told_after()
+            .is_some_and(|told| (told..told + STEP).contains(&age));
         match self {
             _ if told => Some(whole),
             Served::Ends { .. } | Served::Silent => None,
@@ -99,7 +109,9 @@
 impl<F: Fn(usize) -> Served> World<'_, F> {
     /// What comes on a connection in the step that ends now; whether anything did.
     fn step(&mut self, id: ConnectionId, now: u64) -> bool {
-        let Some(place) = self.open.iter().position(|open| open.id == id) else { return false };
+        let Some(place) = self.open.iter().position(|open| open.id == id) else {
+            return false;
+        };
         let Open { served, opened, .. } = self.open[place];
         let age = now - opened;
         if matches!(served, Served::Ends { after } if age >= after) {
@@ -107,11 +119,15 @@
             self.open.remove(place);
             return true;
         }
-        let Some(received) = served.comes(age) else { return false };
+        let Some(received) = served.comes(age) else {
+            return false;
+        };
         self.set.received(id, ms(now), received);
         self.played.bytes += received.bytes;
         self.open[place].last_byte = now;
-        let told = served.told_after().is_some_and(|told| (told..told + STEP).contains(&age));
+        let told = served
+            .told_after()
+            .is_some_and(|told| (told..told + STEP).contains(&age));
         if told && self.played.heard.is_none() {
             self.set.advanced(id);
             self.played.heard = Some(now);
@@ -129,23 +145,47 @@
                 Action::Open(id) => {
                     let served = (self.served)(self.played.opened.len());
                     self.played.opened.push(now);
-                    self.open.push(Open { id, served, opened: now, last_byte: now });
+                    self.open.push(Open {
+                        id,
+                        served,
+                        opened: now,
+                        last_byte: now,
+                    });
                 }
                 Action::Close(id, reason) => {
-                    let place = self.open.iter().position(|open| open.id == id).expect("it is open");
-                    judge_close(&self.open[place], place, now, reason, self.played.heard.is_some());
+                    let place = self
+                        .open
+                        .iter()
+                        .position(|open| open.id == id)
+                        .expect("it is open");
+                    judge_close(
+                        &self.open[place],
+                        place,
+                        now,
+                        reason,
+                        self.played.heard.is_some(),
+                    );
                     self.open.remove(place);
                 }
             }
         }
-        assert!(self.open.len() <= BOUND, "{} open at {now} ms", self.open.len());
+        assert!(
+            self.open.len() <= BOUND,
+            "{} open at {now} ms",
+            self.open.len()
+        );
         actions
     }
 }
 
 /// Plays a log for so long, and judges each step.
 fn play(set: &mut ConnectionSet, served: impl Fn(usize) -> Served, long: u64) -> Played {
-    let mut world = World { set, served, open: Vec::new(), played: Played::default() };
+    let mut world = World {
+        set,
+        served,
+        open: Vec::new(),
+        played: Played::default(),
+    };
     let mut wake = Duration::ZERO;
     for now in (0..long).step_by(STEP as usize) {
         let ids: Vec<ConnectionId> = world.open.iter().map(|open| open.id).collect();
@@ -157,22 +197,34 @@
             }
         }
         let actions = world.act(now);
-        assert!(came || actions == 0 || wake <= ms(now), "acts at {now} ms, woken for {wake:?}");
+        assert!(
+            came || actions == 0 || wake <= ms(now),
+            "acts at {now} ms, woken for {wake:?}"
+        );
         wake = world.set.wake();
         assert!(wake > ms(now), "awake again at once at {now} ms");
     }
-    Played { open: world.open.len(), ..world.played }
+    Played {
+        open: world.open.len(),
+        ..world.played
+    }
 }
 
 /// A connection is closed only where it may be.
 fn judge_close(open: &Open, place: usize, now: u64, reason: CloseReason, heard: bool) {
     let (age, quiet) = (ms(now - open.opened), ms(now - open.last_byte));
     match reason {
-        CloseReason::Silent => assert!(quiet >= TOLD || age >= LONGEST_LINE, "{age:?} old, {quiet:?} quiet"),
+        CloseReason::Silent => assert!(
+            quiet >= TOLD || age >= LONGEST_LINE,
+            "{age:?} old, {quiet:?} quiet"
+        ),
         CloseReason::Redundant => assert!(heard || age >= TOLD, "{age:?} old and nothing heard"),
         CloseReason::Replaced => {
             let newest = place == MOST_OPEN - 1 && age >= SILENT;
-            assert!(age >= TOLD && quiet >= SILENT || newest, "{age:?} old, {quiet:?} quiet, place {place}");
+            assert!(
+                age >= TOLD && quiet >= SILENT || newest,
+                "{age:?} old, {quiet:?} quiet, place {place}"
+            );
         }
     }
 }
@@ -281,15 +333,25 @@
 
 #[test]
 fn a_healthy_log_has_one_connection() {
-    let played = play(&mut set(1, 250), |_| Served::Comments { event: 100 }, 60_000);
+    let played = play(
+        &mut set(1, 250),
+        |_| Served::Comments { event: 100 },
+        60_000,
+    );
     assert_eq!(played.opened, [0]);
 }
 
 #[test]
 fn a_comment_that_is_late_by_a_second_costs_no_connection() {
     let mut set = set(1, 250);
-    let Some(Action::Open(id)) = set.poll(Duration::ZERO) else { panic!("the first is opened at once") };
-    let whole = Received { bytes: 3, lines: 2, unfinished: false };
+    let Some(Action::Open(id)) = set.poll(Duration::ZERO) else {
+        panic!("the first is opened at once")
+    };
+    let whole = Received {
+        bytes: 3,
+        lines: 2,
+        unfinished: false,
+    };
     for second in [1000, 2000, 4000, 5000, 7000, 9000] {
         assert_eq!(set.poll(ms(second)), None, "at {second} ms");
         set.received(id, ms(second), whole);
@@ -311,7 +373,11 @@
 fn two_that_live_are_one_again_after_a_while() {
     let mut set = set(1, 250);
     let mut open = Vec::new();
-    let whole = Received { bytes: 3, lines: 2, unfinished: false };
+    let whole = Received {
+        bytes: 3,
+        lines: 2,
+        unfinished: false,
+    };
     for now in (0..15_000).step_by(100) {
         while let Some(action) = set.poll(ms(now)) {
             match action {
@@ -336,7 +402,13 @@
 /// Beside one that lives, one that only trickles is heard out for a time, and no longer.
 #[test]
 fn a_trickle_is_closed_in_the_end() {
-    let served = |n: usize| if n == 0 { Served::Trickles } else { Served::Comments { event: 60_000 } };
+    let served = |n: usize| {
+        if n == 0 {
+            Served::Trickles
+        } else {
+            Served::Comments { event: 60_000 }
+        }
+    };
     assert_eq!(play(&mut set(1, 250), served, 19_900).open, 2);
     assert_eq!(play(&mut set(1, 250), served, 20_500).open, 1);
 }
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -34,7 +34,10 @@
 
 impl Discovery {
     pub fn new(list: Arc<EngineList>, deliver: Deliver) -> Self {
-        Discovery { list, deliver: Mutex::new(deliver) }
+        Discovery {
+            list,
+            deliver: Mutex::new(deliver),
+        }
     }
 
     /// Applies a change of the list.
@@ -65,7 +68,9 @@
         loop {
             self.poll();
             while warming.len() < WARM_AT_ONCE {
-                let Some(candidate) = self.list.next_candidate() else { break };
+                let Some(candidate) = self.list.next_candidate() else {
+                    break;
+                };
                 let outcome = warm(candidate.address);
                 warming.spawn(async move { (candidate, outcome.await) });
             }
@@ -89,12 +94,19 @@
         }
     }
 
-    fn candidate_warmed(&self, candidate: Candidate, outcome: Warmed, warmed: &impl Fn(EngineId, Warmed)) {
+    fn candidate_warmed(
+        &self,
+        candidate: Candidate,
+        outcome: Warmed,
+        warmed: &impl Fn(EngineId, Warmed),
+    ) {
         // An engine that answers at all was reached.
         let reached = matches!(outcome.end, End::Returned | End::Errored | End::Full);
         let id = self.list.candidate_warmed(candidate, reached);
         let updates = self.poll();
-        let joined = updates.iter().find(|update| Some(&update.id) == id.as_ref());
+        let joined = updates
+            .iter()
+            .find(|update| Some(&update.id) == id.as_ref());
         if let Some(update) = joined.filter(|_| reached) {
             warmed(update.listed.engine, outcome);
         }
--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -38,24 +38,38 @@
 
 impl NameIndex {
     pub fn new(names: &Names) -> Self {
-        NameIndex { zones: by_name(&names.zones), kinds: by_name(&names.kinds) }
+        NameIndex {
+            zones: by_name(&names.zones),
+            kinds: by_name(&names.kinds),
+        }
     }
 }
 
 /// The place of each name; of one that is there twice the first.
 fn by_name(names: &[String]) -> HashMap<String, usize> {
-    names.iter().cloned().enumerate().rev().map(|(place, name)| (name, place)).collect()
+    names
+        .iter()
+        .cloned()
+        .enumerate()
+        .rev()
+        .map(|(place, name)| (name, place))
+        .collect()
 }
 
 /// Decodes an event, or says what is wrong with it.
 pub fn event(json: &Value, names: &NameIndex) -> Result<Event, String> {
-    ReadInto(RawEvent::new(names)).deserialize(json).unwrap_or(RawEvent::new(names)).check()
+    ReadInto(RawEvent::new(names))
+        .deserialize(json)
+        .unwrap_or(RawEvent::new(names))
+        .check()
 }
 
 /// Decodes an event from its text; one that is no JSON has nothing that is expected.
 pub fn event_of_text(text: &[u8], names: &NameIndex) -> Result<Event, String> {
     let mut json = serde_json::Deserializer::from_slice(text);
-    let raw = ReadInto(RawEvent::new(names)).deserialize(&mut json).and_then(|raw| json.end().map(|()| raw));
+    let raw = ReadInto(RawEvent::new(names))
+        .deserialize(&mut json)
+        .and_then(|raw| json.end().map(|()| raw));
     raw.unwrap_or(RawEvent::new(names)).check()
 }
 
@@ -90,17 +104,35 @@
 
 impl<'n> RawEvent<'_, 'n> {
     fn new(names: &'n NameIndex) -> Self {
-        RawEvent { names, seq: Field::Absent, fleet: None }
+        RawEvent {
+            names,
+            seq: Field::Absent,
+            fleet: None,
+        }
     }
 
     fn check(self) -> Result<Event, String> {
         let number = self.seq.number().ok_or("seq: a number expected")?;
         let Some(fleet) = self.fleet else {
-            return Ok(Event { number, whole: false, lines: Vec::new() });
+            return Ok(Event {
+                number,
+                whole: false,
+                lines: Vec::new(),
+            });
         };
-        let whole = fleet.full.flag().ok_or("fleet.full: true or false expected")?;
-        let lines = fleet.servers.lines.ok_or("fleet.servers: a list expected")??;
-        Ok(Event { number, whole, lines })
+        let whole = fleet
+            .full
+            .flag()
+            .ok_or("fleet.full: true or false expected")?;
+        let lines = fleet
+            .servers
+            .lines
+            .ok_or("fleet.servers: a list expected")??;
+        Ok(Event {
+            number,
+            whole,
+            lines,
+        })
     }
 }
 
@@ -109,8 +141,14 @@
         match key {
             "seq" => self.seq = map.next_value()?,
             "fleet" => {
-                let servers = RawLines { names: self.names, lines: None };
-                let empty = RawFleet { full: Field::Absent, servers };
+                let servers = RawLines {
+                    names: self.names,
+                    lines: None,
+                };
+                let empty = RawFleet {
+                    full: Field::Absent,
+                    servers,
+                };
                 self.fleet = Some(map.next_value_seed(ReadInto(empty))?);
             }
             _ => drop(map.next_value::<IgnoredAny>()?),
@@ -124,7 +162,10 @@
         match key {
             "full" => self.full = map.next_value()?,
             "servers" => {
-                let empty = RawLines { names: self.servers.names, lines: None };
+                let empty = RawLines {
+                    names: self.servers.names,
+                    lines: None,
+                };
                 self.servers = map.next_value_seed(ReadInto(empty))?;
             }
             _ => drop(map.next_value::<IgnoredAny>()?),
@@ -181,15 +222,28 @@
         let address = address.map_err(|_| "addr: an address with its port expected".to_string())?;
         let zone = place("zone", &self.zone, &names.zones)? as u32;
         let kind = place("kind", &self.kind, &names.kinds)?;
-        let cell = u32::try_from(number("cell", &self.cell)?).map_err(|_| "cell: too large".to_string())?;
+        let cell = u32::try_from(number("cell", &self.cell)?)
+            .map_err(|_| "cell: too large".to_string())?;
         let started = number("started_ms", &self.started)?;
-        let came_up = Some(started).filter(|ms| *ms != 0).map(|ms| ms as f64 / 1000.0);
-        Ok(EngineLine { id, address, zone, kind, cell, came_up, condition })
+        let came_up = Some(started)
+            .filter(|ms| *ms != 0)
+            .map(|ms| ms as f64 / 1000.0);
+        Ok(EngineLine {
+            id,
+            address,
+            zone,
+            kind,
+            cell,
+            came_up,
+            condition,
+        })
     }
 }
 
 fn text<'a>(key: &str, field: &'a Field) -> Result<&'a str, String> {
-    field.text().ok_or_else(|| format!("{key}: a text expected"))
+    field
+        .text()
+        .ok_or_else(|| format!("{key}: a text expected"))
 }
 
 /// A number, 0 where none is told.
@@ -197,7 +251,9 @@
     if field.is_empty() {
         return Ok(0);
     }
-    field.number().ok_or_else(|| format!("{key}: a number expected"))
+    field
+        .number()
+        .ok_or_else(|| format!("{key}: a number expected"))
 }
 
 /// The place of a name, the first where none is told. The settings write spaces and commas as `_`.
@@ -205,10 +261,14 @@
     if field.is_empty() {
         return Ok(0);
     }
-    let name = field.text().ok_or_else(|| format!("{key}: {field} is no name"))?;
+    let name = field
+        .text()
+        .ok_or_else(|| format!("{key}: {field} is no name"))?;
     let found = names.get(name).filter(|_| !name.contains([' ', ',']));
     let found = found.or_else(|| names.get(&name.replace([' ', ','], "_")));
-    found.copied().ok_or_else(|| format!("{key}: '{name}' is not in the settings"))
+    found
+        .copied()
+        .ok_or_else(|| format!("{key}: '{name}' is not in the settings"))
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/discovery/lenient.rs
+++ b/crates/gateway/src/discovery/lenient.rs
@@ -2,7 +2,9 @@
 //! that is there twice the last counts.
 
 use serde::de::value::{MapAccessDeserializer, SeqAccessDeserializer};
-use serde::de::{Deserialize, DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
+use serde::de::{
+    Deserialize, DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor,
+};
 use serde_json::Value;
 use std::borrow::Cow;
 use std::fmt;
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -56,8 +56,17 @@
 impl EngineList {
     /// An empty list. `kept` is how long queries may know of an engine after it has gone.
     pub fn new(kept: Duration, clock: Clock, selection: Option<Selection>) -> Self {
-        let state = Mutex::new(State { list: List::new(kept), selection, told: None });
-        EngineList { state, clock, known: watch::Sender::new(false), subset_changed: Notify::new() }
+        let state = Mutex::new(State {
+            list: List::new(kept),
+            selection,
+            told: None,
+        });
+        EngineList {
+            state,
+            clock,
+            known: watch::Sender::new(false),
+            subset_changed: Notify::new(),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -95,7 +104,10 @@
 
     /// The next engine that a connection is to be brought up to.
     pub(super) fn next_candidate(&self) -> Option<Candidate> {
-        self.state().selection.as_mut()?.next_candidate(self.clock.now())
+        self.state()
+            .selection
+            .as_mut()?
+            .next_candidate(self.clock.now())
     }
 
     /// Whether the connection to a candidate came up; the engine's id, where it is still in the list.
@@ -109,8 +121,17 @@
     /// Tells the subset how an attempt ended: whether its engine failed.
     pub fn attempted(&self, engine: EngineId, failed: bool) {
         let mut state = self.state();
-        let State { list, selection: Some(selection), .. } = &mut *state else { return };
-        let Some(known) = list.known.get(engine) else { return };
+        let State {
+            list,
+            selection: Some(selection),
+            ..
+        } = &mut *state
+        else {
+            return;
+        };
+        let Some(known) = list.known.get(engine) else {
+            return;
+        };
         let before = selection.wake();
         selection.attempted(self.clock.now(), &known.line.id, failed);
         if selection.wake() != before {
@@ -126,7 +147,10 @@
 
     /// Where attempts at an engine go.
     pub fn target(&self, engine: EngineId) -> Option<Target> {
-        self.state().list.known.get(engine).map(|known| Target { engine, address: known.line.address })
+        self.state().list.known.get(engine).map(|known| Target {
+            engine,
+            address: known.line.address,
+        })
     }
 
     /// Whether an engine is listed as one that takes new attempts, at this address.
@@ -137,15 +161,23 @@
     /// Notes whether an engine could be reached at this address; whether that was otherwise before.
     pub fn reached(&self, target: Target, reached: bool) -> bool {
         let known = &mut self.state().list.known;
-        let known = known.get_mut(target.engine).filter(|k| k.line.address == target.address);
+        let known = known
+            .get_mut(target.engine)
+            .filter(|k| k.line.address == target.address);
         known.is_some_and(|known| std::mem::replace(&mut known.out_of_reach, !reached) == reached)
     }
 }
 
 impl State {
     fn apply(&mut self, event: Event, now: f64) -> ListChange {
-        let Event { number, whole, lines } = event;
-        self.list.starts.hear(now, lines.iter().filter_map(|line| line.came_up));
+        let Event {
+            number,
+            whole,
+            lines,
+        } = event;
+        self.list
+            .starts
+            .hear(now, lines.iter().filter_map(|line| line.came_up));
         let Some(selection) = &mut self.selection else {
             let updates = self.list.apply(lines, whole, Instant::now());
             let Counts { ready, draining } = self.list.counts;
@@ -158,11 +190,16 @@
         let (Status { known, .. }, updated) = (status, updates.len());
         tracing::info!(change = number, known, updated, "engine list");
         self.tell_status(status);
-        ListChange { updates, whole: false }
+        ListChange {
+            updates,
+            whole: false,
+        }
     }
 
     fn poll_subset(&mut self, now: f64) -> Vec<EngineUpdate> {
-        let Some(selection) = &mut self.selection else { return Vec::new() };
+        let Some(selection) = &mut self.selection else {
+            return Vec::new();
+        };
         let selected = selection.poll(now);
         let status = selection.status();
         let updates = self.list.select(selected);
@@ -174,14 +211,34 @@
 
     /// Logs the subset, with a warning where it begins to differ from what the settings ask for.
     fn tell_status(&mut self, status: Status) {
-        let Status { members, size, reason, widened_by, failing, unreached, unserved_classes, .. } = status;
-        tracing::info!(members, size, ?reason, widened_by, failing, unreached, "engine subset");
+        let Status {
+            members,
+            size,
+            reason,
+            widened_by,
+            failing,
+            unreached,
+            unserved_classes,
+            ..
+        } = status;
+        tracing::info!(
+            members,
+            size,
+            ?reason,
+            widened_by,
+            failing,
+            unreached,
+            "engine subset"
+        );
         let before = self.told.replace(status);
         if reason == SizeReason::MinHolders && before.is_none_or(|before| before.reason != reason) {
             tracing::warn!(size, "subset.size is too small for so few gateways: raised");
         }
         if unserved_classes > before.map_or(0, |before| before.unserved_classes) {
-            tracing::warn!(unserved_classes, "the list has no engine for a set of zones and kinds");
+            tracing::warn!(
+                unserved_classes,
+                "the list has no engine for a set of zones and kinds"
+            );
         }
     }
 }
@@ -268,17 +325,29 @@
     /// Takes in lines; engines that a whole list does not name have gone.
     fn apply(&mut self, lines: Vec<EngineLine>, whole: bool, now: Instant) -> Vec<EngineUpdate> {
         self.changes += 1;
-        let updates = lines.into_iter().filter_map(|line| self.take(line, None, now)).collect();
+        let updates = lines
+            .into_iter()
+            .filter_map(|line| self.take(line, None, now))
+            .collect();
         if whole {
             let unnamed = |known: &Known| known.named_by != self.changes;
-            let unnamed: Vec<EngineId> = (0..self.known.len()).filter(|n| unnamed(&self.known[*n])).collect();
-            unnamed.into_iter().for_each(|engine| self.turn(engine, Condition::Gone, now));
+            let unnamed: Vec<EngineId> = (0..self.known.len())
+                .filter(|n| unnamed(&self.known[*n]))
+                .collect();
+            unnamed
+                .into_iter()
+                .for_each(|engine| self.turn(engine, Condition::Gone, now));
         }
         updates
     }
 
     /// Takes in a line; one of an engine that was never known and has gone says nothing.
-    fn take(&mut self, line: EngineLine, holders: Option<f64>, now: Instant) -> Option<EngineUpdate> {
+    fn take(
+        &mut self,
+        line: EngineLine,
+        holders: Option<f64>,
+        now: Instant,
+    ) -> Option<EngineUpdate> {
         let engine = match self.ids.get(&line.id) {
             Some(engine) => *engine,
             None if line.condition == Condition::Gone => return None,
@@ -295,7 +364,11 @@
             holders,
         };
         self.turn(engine, line.condition, now);
-        let update = EngineUpdate { listed, id: line.id.clone(), address: line.address };
+        let update = EngineUpdate {
+            listed,
+            id: line.id.clone(),
+            address: line.address,
+        };
         let known = self.known.get_mut(engine)?;
         (known.line, known.started, known.named_by) = (line, started, self.changes);
         Some(update)
@@ -303,20 +376,39 @@
 
     /// When an engine started by this line of it; a start that was told before stays what it was held to be.
     fn started(&self, engine: EngineId, line: &EngineLine) -> Option<f64> {
-        let before = self.known.get(engine).filter(|known| known.line.came_up == line.came_up);
-        before.and_then(|known| known.started).or_else(|| line.came_up.map(|told| self.starts.latest(told)))
+        let before = self
+            .known
+            .get(engine)
+            .filter(|known| known.line.came_up == line.came_up);
+        before
+            .and_then(|known| known.started)
+            .or_else(|| line.came_up.map(|told| self.starts.latest(told)))
     }
 
     /// An index for a new engine: the lowest of those long gone, or the next.
     fn index(&mut self, line: &EngineLine, now: Instant) -> EngineId {
-        while let Some((_, engine)) = self.gone.first().copied().filter(|(at, _)| now - *at > self.kept) {
+        while let Some((_, engine)) = self
+            .gone
+            .first()
+            .copied()
+            .filter(|(at, _)| now - *at > self.kept)
+        {
             self.gone.pop_first();
             self.free.insert(engine);
         }
         let engine = self.free.pop_first().unwrap_or(self.known.len());
-        let line = EngineLine { condition: Condition::Gone, ..line.clone() };
+        let line = EngineLine {
+            condition: Condition::Gone,
+            ..line.clone()
+        };
         self.ids.insert(line.id.clone(), engine);
-        let new = Known { line, started: None, gone: None, out_of_reach: false, named_by: 0 };
+        let new = Known {
+            line,
+            started: None,
+            gone: None,
+            out_of_reach: false,
+            named_by: 0,
+        };
         match self.known.get_mut(engine) {
             Some(old) => drop(self.ids.remove(&std::mem::replace(old, new).line.id)),
             None => self.known.push(new),
@@ -326,7 +418,9 @@
 
     /// Gives an engine another condition; one that has gone before went then.
     fn turn(&mut self, engine: EngineId, condition: Condition, now: Instant) {
-        let Some(known) = self.known.get_mut(engine) else { return };
+        let Some(known) = self.known.get_mut(engine) else {
+            return;
+        };
         self.counts.remove(known.line.condition);
         self.counts.add(condition);
         known.line.condition = condition;
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -4,7 +4,15 @@
 
 fn line(id: &str, condition: Condition) -> EngineLine {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    EngineLine { id: id.into(), address, zone: 0, kind: 0, cell: 0, came_up: None, condition }
+    EngineLine {
+        id: id.into(),
+        address,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        came_up: None,
+        condition,
+    }
 }
 
 /// Days on which engines come under new ids without end: what is kept does not grow with them.
@@ -14,13 +22,19 @@
     let mut now = Instant::now();
     let mut take = |id: &str, condition, wait: u64| {
         now += Duration::from_secs(wait);
-        let engine = list.take(line(id, condition), None, now).map(|l| l.listed.engine);
+        let engine = list
+            .take(line(id, condition), None, now)
+            .map(|l| l.listed.engine);
         (engine, list.known.len(), list.ids.len())
     };
     assert_eq!(take("a", Condition::Ready, 0), (Some(0), 1, 1));
     assert_eq!(take("a", Condition::Gone, 1), (Some(0), 1, 1));
     assert_eq!(take("never known", Condition::Gone, 1), (None, 1, 1));
-    assert_eq!(take("b", Condition::Ready, 10), (Some(1), 2, 2), "batches may still know a");
+    assert_eq!(
+        take("b", Condition::Ready, 10),
+        (Some(1), 2, 2),
+        "batches may still know a"
+    );
     assert_eq!(take("a", Condition::Gone, 5), (Some(0), 2, 2), "told twice");
     assert_eq!(take("c", Condition::Ready, 10), (Some(0), 2, 2));
     for n in 0..100 {
@@ -37,14 +51,22 @@
 }
 
 impl PlainList {
-    fn apply(&mut self, lines: &[EngineLine], whole: bool, now: Instant) -> Vec<(EngineId, Condition)> {
+    fn apply(
+        &mut self,
+        lines: &[EngineLine],
+        whole: bool,
+        now: Instant,
+    ) -> Vec<(EngineId, Condition)> {
         if whole {
             for (line, gone) in &mut self.known {
                 line.condition = Condition::Gone;
                 gone.get_or_insert(now);
             }
         }
-        lines.iter().filter_map(|line| self.take(line, now)).collect()
+        lines
+            .iter()
+            .filter_map(|line| self.take(line, now))
+            .collect()
     }
 
     fn take(&mut self, line: &EngineLine, now: Instant) -> Option<(EngineId, Condition)> {
@@ -52,7 +74,8 @@
             Some(engine) => engine,
             None if line.condition == Condition::Gone => return None,
             None => {
-                let long_gone = |gone: &Option<Instant>| gone.is_some_and(|at| now - at > self.kept);
+                let long_gone =
+                    |gone: &Option<Instant>| gone.is_some_and(|at| now - at > self.kept);
                 let engine = self.known.iter().position(|(_, gone)| long_gone(gone));
                 let engine = engine.unwrap_or(self.known.len());
                 match self.known.get_mut(engine) {
@@ -70,7 +93,9 @@
 
     fn counts(&self) -> Counts {
         let mut counts = Counts::default();
-        self.known.iter().for_each(|(line, _)| counts.add(line.condition));
+        self.known
+            .iter()
+            .for_each(|(line, _)| counts.add(line.condition));
         counts
     }
 }
@@ -113,21 +138,55 @@
     let ready = |id: &str| line(id, Condition::Ready);
     let gone = |id: &str| line(id, Condition::Gone);
     for (whole, lines, engines) in [
-        (true, vec![ready("b"), ready("a"), ready("c")], vec![0, 1, 2]),
-        (false, vec![ready("c"), ready("c"), gone("a"), gone("x")], vec![2, 2, 1]),
+        (
+            true,
+            vec![ready("b"), ready("a"), ready("c")],
+            vec![0, 1, 2],
+        ),
+        (
+            false,
+            vec![ready("c"), ready("c"), gone("a"), gone("x")],
+            vec![2, 2, 1],
+        ),
         (false, vec![], vec![]),
-        (true, vec![ready("d"), line("b", Condition::Draining)], vec![3, 0]),
+        (
+            true,
+            vec![ready("d"), line("b", Condition::Draining)],
+            vec![3, 0],
+        ),
         (true, vec![], vec![]),
     ] {
-        let change = list.apply(Event { number: 1, whole, lines: lines.clone() });
+        let change = list.apply(Event {
+            number: 1,
+            whole,
+            lines: lines.clone(),
+        });
         assert_eq!(change.whole, whole);
-        assert_eq!(change.updates.iter().map(|u| u.listed.engine).collect::<Vec<_>>(), engines);
+        assert_eq!(
+            change
+                .updates
+                .iter()
+                .map(|u| u.listed.engine)
+                .collect::<Vec<_>>(),
+            engines
+        );
         let told = lines.iter().filter(|line| line.id != "x");
         for (update, line) in change.updates.iter().zip(told) {
-            let Listed { zone, kind, cell, came_up, condition, holders, .. } = update.listed;
+            let Listed {
+                zone,
+                kind,
+                cell,
+                came_up,
+                condition,
+                holders,
+                ..
+            } = update.listed;
             assert_eq!((&update.id, update.address), (&line.id, line.address));
             assert_eq!((zone, kind, cell), (line.zone, line.kind, line.cell));
-            assert_eq!((came_up, condition, holders), (line.came_up, line.condition, None));
+            assert_eq!(
+                (came_up, condition, holders),
+                (line.came_up, line.condition, None)
+            );
         }
     }
 }
@@ -140,14 +199,30 @@
         let clock = Clock::start();
         let list = EngineList::new(Duration::from_secs(20), clock, None);
         let now = clock.now();
-        let started =
-            |id: &str, ago: f64| EngineLine { came_up: Some(now + off - ago), ..line(id, Condition::Ready) };
-        let lines = vec![started("new", 0.0), started("old", 600.0), line("long ago", Condition::Ready)];
-        let first = list.apply(Event { number: 1, whole: true, lines: lines.clone() });
+        let started = |id: &str, ago: f64| EngineLine {
+            came_up: Some(now + off - ago),
+            ..line(id, Condition::Ready)
+        };
+        let lines = vec![
+            started("new", 0.0),
+            started("old", 600.0),
+            line("long ago", Condition::Ready),
+        ];
+        let first = list.apply(Event {
+            number: 1,
+            whole: true,
+            lines: lines.clone(),
+        });
         let age = |update: &EngineUpdate| update.listed.came_up.map(|at| now - at);
         let told: Vec<_> = first.updates.iter().map(age).collect();
-        assert!(told[0].is_some_and(|age| (-0.5..0.5).contains(&age)), "{off}: {told:?}");
-        assert!(told[1].is_some_and(|age| (-0.5..600.5).contains(&age)), "{off}: {told:?}");
+        assert!(
+            told[0].is_some_and(|age| (-0.5..0.5).contains(&age)),
+            "{off}: {told:?}"
+        );
+        assert!(
+            told[1].is_some_and(|age| (-0.5..600.5).contains(&age)),
+            "{off}: {told:?}"
+        );
         assert_eq!(told[2], None);
         // Told again, also when more is known by then, it is the same start.
         let later = list.apply(Event {
@@ -155,6 +230,9 @@
             whole: false,
             lines: vec![started("newer", -30.0), lines[0].clone()],
         });
-        assert_eq!(later.updates[1].listed.came_up, first.updates[0].listed.came_up);
+        assert_eq!(
+            later.updates[1].listed.came_up,
+            first.updates[0].listed.came_up
+        );
     }
 }
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -5,7 +5,8 @@
 use garnetwall::api::Condition;
 use garnetwall_subset as subset;
 use garnetwall_subset::{
-    Action, Catalog, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset, SubsetError, SubsetSettings,
+    Action, Catalog, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset, SubsetError,
+    SubsetSettings,
 };
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -87,8 +88,10 @@
 
     /// Takes in lines, the whole list or only what has changed, and tells what that changes for the members.
     pub(super) fn apply(&mut self, now: f64, lines: Vec<EngineLine>, whole: bool) -> Vec<Selected> {
-        let known =
-            lines.iter().map(|line| subset::EngineLine { id: line.id.clone(), facts: self.facts(line) });
+        let known = lines.iter().map(|line| subset::EngineLine {
+            id: line.id.clone(),
+            facts: self.facts(line),
+        });
         let known: Vec<subset::EngineLine> = known.collect();
         let changes = self.catalog.apply(&known, whole);
         for change in changes.iter().filter(|change| change.after.is_none()) {
@@ -97,13 +100,23 @@
         let mut named = Vec::with_capacity(lines.len());
         for line in &lines {
             if let Some(engine) = self.catalog.key(&line.id) {
-                self.details.insert(engine, Details { address: line.address, came_up: line.came_up });
+                self.details.insert(
+                    engine,
+                    Details {
+                        address: line.address,
+                        came_up: line.came_up,
+                    },
+                );
                 named.push(engine);
             }
         }
         self.subset.changed(now, &self.catalog, &changes);
         let mut selected = self.poll(now);
-        selected.extend(named.into_iter().filter_map(|engine| self.reported_anew(engine)));
+        selected.extend(
+            named
+                .into_iter()
+                .filter_map(|engine| self.reported_anew(engine)),
+        );
         selected
     }
 
@@ -114,8 +127,16 @@
             Condition::Draining => subset::Condition::Draining,
             Condition::Gone => subset::Condition::Gone,
         };
-        let cores = cores.filter(|cores| cores.is_finite() && *cores > 0.0).unwrap_or(UNKNOWN_CORES);
-        EngineFacts { zone: line.zone, kind: line.kind as u32, cell: line.cell, cores, condition }
+        let cores = cores
+            .filter(|cores| cores.is_finite() && *cores > 0.0)
+            .unwrap_or(UNKNOWN_CORES);
+        EngineFacts {
+            zone: line.zone,
+            kind: line.kind as u32,
+            cell: line.cell,
+            cores,
+            condition,
+        }
     }
 
     /// A member of which the list tells what the choice does not depend on.
@@ -126,7 +147,10 @@
 
     /// A member as the list has it now, where that is news.
     fn select(&mut self, engine: EngineKey, holders: f64) -> Option<Selected> {
-        let selected = Selected { line: self.line(engine)?, holders };
+        let selected = Selected {
+            line: self.line(engine)?,
+            holders,
+        };
         let before = self.members.insert(engine, selected.clone());
         (before.as_ref() != Some(&selected)).then_some(selected)
     }
@@ -140,9 +164,19 @@
             subset::Condition::Draining => Condition::Draining,
             subset::Condition::Gone => Condition::Gone,
         };
-        let EngineFacts { zone, kind, cell, .. } = facts;
+        let EngineFacts {
+            zone, kind, cell, ..
+        } = facts;
         let kind = kind as usize;
-        Some(EngineLine { id: id.into(), address, zone, kind, cell, came_up, condition })
+        Some(EngineLine {
+            id: id.into(),
+            address,
+            zone,
+            kind,
+            cell,
+            came_up,
+            condition,
+        })
     }
 
     /// What is due by now: members that join, change or leave. One that leaves is told gone.
@@ -175,7 +209,12 @@
     pub(super) fn next_candidate(&mut self, now: f64) -> Option<Candidate> {
         while let Some(engine) = self.candidates.pop_front() {
             match self.details.get(&engine) {
-                Some(details) => return Some(Candidate { engine, address: details.address }),
+                Some(details) => {
+                    return Some(Candidate {
+                        engine,
+                        address: details.address,
+                    })
+                }
                 None => self.warmed(now, engine, false),
             }
         }
@@ -216,7 +255,13 @@
 }
 
 fn gone(selected: Selected) -> Selected {
-    Selected { line: EngineLine { condition: Condition::Gone, ..selected.line }, ..selected }
+    Selected {
+        line: EngineLine {
+            condition: Condition::Gone,
+            ..selected.line
+        },
+        ..selected
+    }
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -23,7 +23,15 @@
 fn line(number: u8, condition: Condition, started: u8) -> EngineLine {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100 + u16::from(number)));
     let (zone, came_up) = (u32::from(number % 3), Some(f64::from(started)));
-    EngineLine { id: format!("e{number}"), address, zone, kind: 0, cell: 0, came_up, condition }
+    EngineLine {
+        id: format!("e{number}"),
+        address,
+        zone,
+        kind: 0,
+        cell: 0,
+        came_up,
+        condition,
+    }
 }
 
 /// What the module was told last of each engine.
@@ -32,11 +40,14 @@
 
 impl Module {
     fn told(&mut self, selected: Vec<Selected>) {
-        self.0.extend(selected.into_iter().map(|s| (s.line.id.clone(), s.line)));
+        self.0
+            .extend(selected.into_iter().map(|s| (s.line.id.clone(), s.line)));
     }
 
     fn ready(&self) -> impl Iterator<Item = &EngineLine> {
-        self.0.values().filter(|line| line.condition == Condition::Ready)
+        self.0
+            .values()
+            .filter(|line| line.condition == Condition::Ready)
     }
 }
 
@@ -85,30 +96,61 @@
     let lines = (0..4).map(|n| line(n, Condition::Ready, 1)).collect();
     assert_eq!(selection.apply(0.0, lines, true).len(), 4);
     let told = selection.apply(1.0, vec![line(2, Condition::Draining, 1)], false);
-    assert_eq!(told.iter().map(|s| &s.line).collect::<Vec<_>>(), [&line(2, Condition::Gone, 1)]);
-    assert_eq!(selection.apply(2.0, vec![line(2, Condition::Gone, 1)], false), []);
+    assert_eq!(
+        told.iter().map(|s| &s.line).collect::<Vec<_>>(),
+        [&line(2, Condition::Gone, 1)]
+    );
+    assert_eq!(
+        selection.apply(2.0, vec![line(2, Condition::Gone, 1)], false),
+        []
+    );
 }
 
 /// What the choice does not depend on reaches the module for members.
 #[test]
 fn a_member_that_moved_or_started_anew_is_told_again() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
-    assert_eq!(selection.apply(0.0, vec![line(1, Condition::Ready, 1)], true).len(), 1);
-    assert_eq!(selection.apply(1.0, vec![line(1, Condition::Ready, 1)], true), [], "nothing is new");
+    assert_eq!(
+        selection
+            .apply(0.0, vec![line(1, Condition::Ready, 1)], true)
+            .len(),
+        1
+    );
+    assert_eq!(
+        selection.apply(1.0, vec![line(1, Condition::Ready, 1)], true),
+        [],
+        "nothing is new"
+    );
     let told = selection.apply(2.0, vec![line(1, Condition::Ready, 2)], true);
-    assert_eq!(told.iter().map(|s| &s.line).collect::<Vec<_>>(), [&line(1, Condition::Ready, 2)]);
+    assert_eq!(
+        told.iter().map(|s| &s.line).collect::<Vec<_>>(),
+        [&line(1, Condition::Ready, 2)]
+    );
 }
 
 /// With too few gateways for so small a subset the size is a floor, and the status says so.
 #[test]
 fn a_size_under_the_floor_is_raised_and_said() {
-    let of = |gateways| SubsetSettings { gateways, ..settings(8) };
-    for (gateways, size, reason) in [(500.0, 8, SizeReason::Told), (60.0, 12, SizeReason::MinHolders)] {
+    let of = |gateways| SubsetSettings {
+        gateways,
+        ..settings(8)
+    };
+    for (gateways, size, reason) in [
+        (500.0, 8, SizeReason::Told),
+        (60.0, 12, SizeReason::MinHolders),
+    ] {
         let mut selection = Selection::new("g0", of(gateways), Vec::new()).unwrap();
-        selection.apply(0.0, (0..ENGINES).map(|n| line(n, Condition::Ready, 1)).collect(), true);
+        selection.apply(
+            0.0,
+            (0..ENGINES).map(|n| line(n, Condition::Ready, 1)).collect(),
+            true,
+        );
         let status = selection.status();
         assert_eq!((status.known, status.members), (usize::from(ENGINES), size));
-        assert_eq!((status.size, status.reason, status.widened_by), (size, reason, 0));
+        assert_eq!(
+            (status.size, status.reason, status.widened_by),
+            (size, reason, 0)
+        );
     }
 }
 
@@ -117,7 +159,11 @@
 fn failing_attempts_widen_the_subset_by_engines_that_were_reached() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     let mut module = Module::default();
-    module.told(selection.apply(0.0, (0..ENGINES).map(|n| line(n, Condition::Ready, 1)).collect(), true));
+    module.told(selection.apply(
+        0.0,
+        (0..ENGINES).map(|n| line(n, Condition::Ready, 1)).collect(),
+        true,
+    ));
     let failing = module.ready().next().unwrap().id.clone();
     for n in 0..50 {
         selection.attempted(1.0 + f64::from(n) * 0.01, &failing, true);
@@ -133,6 +179,10 @@
     }
     module.told(selection.poll(now));
     let status = selection.status();
-    assert_eq!((status.members, status.widened_by, status.failing), (9, 1, 1), "by {now}");
+    assert_eq!(
+        (status.members, status.widened_by, status.failing),
+        (9, 1, 1),
+        "by {now}"
+    );
     assert_eq!(module.ready().count(), 9);
 }
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -36,7 +36,11 @@
 impl EventSequence {
     /// The events after one that was applied already.
     pub(super) fn new(last: u64, names: NameIndex) -> Self {
-        EventSequence { last, names, malformed: None }
+        EventSequence {
+            last,
+            names,
+            malformed: None,
+        }
     }
 
     /// The number of the event that was taken in last.
@@ -52,10 +56,14 @@
     pub(super) fn take(&mut self, sent: &Sent) -> Result<Taken, SequenceError> {
         let expected = self.last.saturating_add(1);
         let event = event_of_text(&sent.data, &self.names);
-        let number = event.as_ref().map_or(sent.number.unwrap_or(expected), |event| event.number);
+        let number = event
+            .as_ref()
+            .map_or(sent.number.unwrap_or(expected), |event| event.number);
         match event {
             _ if number < expected => Ok(Taken::Known),
-            Ok(event) if number > expected && !event.whole => Err(SequenceError::Gap { number, expected }),
+            Ok(event) if number > expected && !event.whole => {
+                Err(SequenceError::Gap { number, expected })
+            }
             Ok(event) => {
                 self.last = number;
                 Ok(Taken::Due(event))
--- a/crates/gateway/src/discovery/sequence/tests.rs
+++ b/crates/gateway/src/discovery/sequence/tests.rs
@@ -7,11 +7,17 @@
 
 fn event(number: u64, whole: bool) -> Sent {
     let data = format!(r#"{{"seq":{number},"fleet":{{"version":1,"full":{whole},"servers":[]}}}}"#);
-    Sent { number: Some(number), data: data.into_bytes() }
+    Sent {
+        number: Some(number),
+        data: data.into_bytes(),
+    }
 }
 
 fn malformed(number: u64) -> Sent {
-    Sent { number: Some(number), data: b"{\"se".to_vec() }
+    Sent {
+        number: Some(number),
+        data: b"{\"se".to_vec(),
+    }
 }
 
 fn is_due(taken: Result<Taken, SequenceError>) -> bool {
@@ -34,7 +40,13 @@
 #[test]
 fn a_gap_is_refused_but_for_a_whole_list() {
     let mut sequence = sequence(4);
-    assert_eq!(sequence.take(&event(7, false)), Err(SequenceError::Gap { number: 7, expected: 5 }));
+    assert_eq!(
+        sequence.take(&event(7, false)),
+        Err(SequenceError::Gap {
+            number: 7,
+            expected: 5
+        })
+    );
     assert_eq!(sequence.last(), 4);
     assert!(is_due(sequence.take(&event(7, true))));
     assert_eq!(sequence.last(), 7);
@@ -43,7 +55,10 @@
 #[test]
 fn a_malformed_event_is_passed_over_the_second_time() {
     let mut sequence = sequence(4);
-    assert!(matches!(sequence.take(&malformed(5)), Err(SequenceError::Malformed { number: 5, .. })));
+    assert!(matches!(
+        sequence.take(&malformed(5)),
+        Err(SequenceError::Malformed { number: 5, .. })
+    ));
     assert_eq!(sequence.take(&malformed(5)), Ok(Taken::PassedOver));
     assert!(is_due(sequence.take(&event(6, false))));
 }
@@ -52,7 +67,10 @@
 fn a_malformed_event_with_too_high_a_number_is_never_passed_over() {
     let mut sequence = sequence(4);
     for _ in 0..3 {
-        assert!(matches!(sequence.take(&malformed(9)), Err(SequenceError::Malformed { number: 9, .. })));
+        assert!(matches!(
+            sequence.take(&malformed(9)),
+            Err(SequenceError::Malformed { number: 9, .. })
+        ));
     }
     assert!(is_due(sequence.take(&event(5, false))));
 }
--- a/crates/gateway/src/discovery/start_times.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -14,7 +14,10 @@
 
 impl StartTimes {
     pub fn new() -> StartTimes {
-        StartTimes { least_lag: f64::INFINITY, heard: 0.0 }
+        StartTimes {
+            least_lag: f64::INFINITY,
+            heard: 0.0,
+        }
     }
 
     /// Starts, in Unix seconds as told, that are heard of at `now`, in seconds of this process's clock.
--- a/crates/gateway/src/discovery/stream.rs
+++ b/crates/gateway/src/discovery/stream.rs
@@ -33,7 +33,12 @@
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Sent>, EventTooLong> {
         self.rest.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = self.rest.iter().skip(self.searched).position(|b| *b == b'\n') {
+        while let Some(end) = self
+            .rest
+            .iter()
+            .skip(self.searched)
+            .position(|b| *b == b'\n')
+        {
             let line: Vec<u8> = self.rest.drain(..=self.searched + end).collect();
             self.searched = 0;
             self.lines += 1;
@@ -61,7 +66,9 @@
             Some(value.strip_prefix(b" ").unwrap_or(value))
         };
         if let Some(number) = value(b"id") {
-            self.event.number = std::str::from_utf8(number).ok().and_then(|text| text.parse().ok());
+            self.event.number = std::str::from_utf8(number)
+                .ok()
+                .and_then(|text| text.parse().ok());
         } else if let Some(data) = value(b"data") {
             if !self.event.data.is_empty() {
                 self.event.data.push(b'\n');
--- a/crates/gateway/src/discovery/stream/tests.rs
+++ b/crates/gateway/src/discovery/stream/tests.rs
@@ -2,12 +2,26 @@
 
 #[test]
 fn events_come_whole_however_their_bytes_are_cut() {
-    let text = ": hello\r\n\nid: 4\ndata: {\"a\":\ndata:1}\n\n:\n\ndata: x\r\n\r\ndata: unfinished\n";
+    let text =
+        ": hello\r\n\nid: 4\ndata: {\"a\":\ndata:1}\n\n:\n\ndata: x\r\n\r\ndata: unfinished\n";
     for size in 1..text.len() {
         let mut stream = Stream::default();
-        let fed = text.as_bytes().chunks(size).flat_map(|part| stream.feed(part).unwrap());
-        let first = Sent { number: Some(4), data: b"{\"a\":\n1}".to_vec() };
-        let second = Sent { number: None, data: b"x".to_vec() };
-        assert_eq!(fed.collect::<Vec<_>>(), [first, second], "in parts of {size}");
+        let fed = text
+            .as_bytes()
+            .chunks(size)
+            .flat_map(|part| stream.feed(part).unwrap());
+        let first = Sent {
+            number: Some(4),
+            data: b"{\"a\":\n1}".to_vec(),
+        };
+        let second = Sent {
+            number: None,
+            data: b"x".to_vec(),
+        };
+        assert_eq!(
+            fed.collect::<Vec<_>>(),
+            [first, second],
+            "in parts of {size}"
+        );
     }
 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -73,7 +73,12 @@
 
 impl Connection {
     fn open(id: ConnectionId, log: SocketAddr, last: u64) -> Self {
-        Connection { id, stream: Stream::default(), up: false, next: Box::pin(open(log, last)) }
+        Connection {
+            id,
+            stream: Stream::default(),
+            up: false,
+            next: Box::pin(open(log, last)),
+        }
     }
 }
 
@@ -113,7 +118,14 @@
         apply: Box<dyn FnMut(Event) + Send>,
     ) -> Self {
         let sequence = EventSequence::new(last, names);
-        Watch { log, sequence, apply, connections: Vec::new(), lost: false, began: Instant::now() }
+        Watch {
+            log,
+            sequence,
+            apply,
+            connections: Vec::new(),
+            lost: false,
+            began: Instant::now(),
+        }
     }
 
     /// Reads the log for as long as the gateway runs. Faults that follow one another with no connection between are logged once.
@@ -149,7 +161,11 @@
                 Action::Open(id) => {
                     let (open, last) = (self.connections.len(), self.sequence.last());
                     if open > 0 {
-                        tracing::info!(open, last, "change log slow: another connection is opened beside");
+                        tracing::info!(
+                            open,
+                            last,
+                            "change log slow: another connection is opened beside"
+                        );
                     }
                     self.connections.push(Connection::open(id, log, last));
                 }
@@ -206,7 +222,15 @@
         let lines = stream.lines;
         let events = stream.feed(bytes)?;
         let lines = stream.lines - lines;
-        set.received(*id, now, Received { bytes: bytes.len(), lines, unfinished: stream.is_unfinished() });
+        set.received(
+            *id,
+            now,
+            Received {
+                bytes: bytes.len(),
+                lines,
+                unfinished: stream.is_unfinished(),
+            },
+        );
         for event in events {
             match self.sequence.take(&event)? {
                 Taken::Known => continue,
