--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -68,7 +68,12 @@
         list: Arc<EngineList>,
     ) -> Self {
         let dial = span(network.dial);
-        let bounds = Bounds { news: NEWS, notes: notes_every > 0.0, unasked: UNASKED, pause: LONGER };
+        let bounds = Bounds {
+            news: NEWS,
+            notes: notes_every > 0.0,
+            unasked: UNASKED,
+            pause: LONGER,
+        };
         Engines {
             budget: budget.engines.clone(),
             dial,
@@ -120,11 +125,21 @@
         // What holds the connection up so far lies here, not with the engine.
         let held_here = AtomicBool::new(true);
         let dialled = timeout(self.dial, async {
-            let permit = self.budget.clone().acquire_owned().await.map_err(io::Error::other)?;
-            let line = Line::new(Socket::connect(address, &held_here).await?, Some(permit)).gated(gate);
+            let permit = self
+                .budget
+                .clone()
+                .acquire_owned()
+                .await
+                .map_err(io::Error::other)?;
+            let line =
+                Line::new(Socket::connect(address, &held_here).await?, Some(permit)).gated(gate);
             let abandoned = line.abandoned();
             let mut builder = http1::Builder::new();
-            let up = builder.max_buf_size(LONGEST_HEAD).handshake(line).await.map_err(io::Error::other)?;
+            let up = builder
+                .max_buf_size(LONGEST_HEAD)
+                .handshake(line)
+                .await
+                .map_err(io::Error::other)?;
             Ok::<_, io::Error>((up, abandoned))
         });
         match dialled.await {
@@ -159,17 +174,28 @@
     ) -> Ended {
         // The protocol names no end of what notes keep running, and an engine was seen to pass the patience it was told. A
         // cut that outlasts every limit is not covered.
-        let kept = if call.in_order { self.longest } else { Duration::ZERO };
+        let kept = if call.in_order {
+            self.longest
+        } else {
+            Duration::ZERO
+        };
         let id = self.ledger().open(self.now(), kept);
         let (wish, attended, list) = (wishes.clone(), start.attended.clone(), self.list.clone());
         let ends = start.until.min(start.comes_by);
-        let wanted = move || *wish.borrow() == Wish::Answer && attended.is() && Instant::now() < ends;
+        let wanted =
+            move || *wish.borrow() == Wish::Answer && attended.is() && Instant::now() < ends;
         // Its first byte counts as sending it: what has begun to leave may go on while its engine drains.
         let gate = Gate::new(move || list.takes(target), wanted);
         let comes_by = Some(start.comes_by).filter(|by| *by < start.until);
         let gate = Some(Arc::new(gate));
         let until = start.until;
-        let mut way = Way { dispatch: Some(id), gate, comes_by, until, ..self.way(target) };
+        let mut way = Way {
+            dispatch: Some(id),
+            gate,
+            comes_by,
+            until,
+            ..self.way(target)
+        };
         let over = way.live(call, start, wishes, tidings).await;
         self.ledger().close(id);
         over
@@ -188,7 +214,10 @@
 
     /// Brings up a connection to an engine that the module does not know yet, with a probe where engines may be probed.
     pub async fn warm(&self, address: SocketAddr, may_probe: bool) -> Warmed {
-        let target = Target { engine: NOT_LISTED, address };
+        let target = Target {
+            engine: NOT_LISTED,
+            address,
+        };
         let (end, report) = match may_probe {
             true => self.probe_at(target).await,
             false => match self.connect(address, None).await {
@@ -209,7 +238,11 @@
 
     async fn probe_at(&self, target: Target) -> (End, Option<Report>) {
         let stats = request(Method::GET, target.address, "/stats");
-        match self.way(target).call(stats, None, self.dial + self.dial, false).await {
+        match self
+            .way(target)
+            .call(stats, None, self.dial + self.dial, false)
+            .await
+        {
             Ok(reply) if reply.status == StatusCode::OK => (End::Returned, reply.report()),
             Ok(reply) => (End::Errored, reply.report()),
             Err(Fault::Refused | Fault::Unconnected) => (End::Unconnected, None),
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/call.rs
@@ -59,7 +59,13 @@
 
 impl Ended {
     pub fn of(end: End) -> Self {
-        Ended { end, pages: Vec::new(), work: None, memory: None, report: None }
+        Ended {
+            end,
+            pages: Vec::new(),
+            work: None,
+            memory: None,
+            report: None,
+        }
     }
 }
 
--- a/crates/gateway/src/engines/outgoing.rs
+++ b/crates/gateway/src/engines/outgoing.rs
@@ -47,8 +47,11 @@
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let frame = ready!(Pin::new(&mut self.carried).poll_frame(cx));
-        let bytes =
-            frame.as_ref().and_then(|f| f.as_ref().ok()).and_then(Frame::data_ref).map_or(0, Bytes::len);
+        let bytes = frame
+            .as_ref()
+            .and_then(|f| f.as_ref().ok())
+            .and_then(Frame::data_ref)
+            .map_or(0, Bytes::len);
         self.left = self.left.map(|left| left.saturating_sub(bytes as u64));
         if frame.is_none() || self.left == Some(0) || self.carried.is_end_stream() {
             self.read_out();
@@ -71,7 +74,11 @@
 }
 
 pub(super) fn request(method: Method, address: SocketAddr, path: &str) -> Request<Outgoing> {
-    let nothing = Outgoing { carried: Either::Left(Full::default()), left: None, gate: None };
+    let nothing = Outgoing {
+        carried: Either::Left(Full::default()),
+        left: None,
+        gate: None,
+    };
     let mut request = Request::new(nothing);
     *request.method_mut() = method;
     *request.uri_mut() = path.parse().unwrap_or_default();
--- a/crates/gateway/src/engines/reply.rs
+++ b/crates/gateway/src/engines/reply.rs
@@ -53,14 +53,22 @@
 
 impl Reply {
     pub(super) fn number(&self, field: &str) -> Option<f64> {
-        let value = self.head.get(field)?.to_str().ok()?.trim().parse::<f64>().ok()?;
+        let value = self
+            .head
+            .get(field)?
+            .to_str()
+            .ok()?
+            .trim()
+            .parse::<f64>()
+            .ok()?;
         Some(value).filter(|v| v.is_finite() && *v >= 0.0)
     }
 
     pub(super) fn report(&self) -> Option<Report> {
         let text = self.head.get(REPORT)?.to_str().ok()?;
         let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
-        let values = pairs.filter_map(|(name, value)| Some((name.trim(), value.trim().parse().ok()?)));
+        let values =
+            pairs.filter_map(|(name, value)| Some((name.trim(), value.trim().parse().ok()?)));
         garnetwall_settings::report(values)
     }
 }
@@ -77,8 +85,9 @@
 /// The table of outcomes: what each answer proves. What is out of the protocol proves nothing.
 pub(super) fn news(reply: &Reply) -> News {
     let never_ran = reply.head.get(NEVER_RAN).is_some_and(|v| v == "1");
-    let pages =
-        reply.number(ALL_PAGES).filter(|n| n.fract() == 0.0 && (0.0..=rows::PAGES as f64).contains(n));
+    let pages = reply
+        .number(ALL_PAGES)
+        .filter(|n| n.fract() == 0.0 && (0.0..=rows::PAGES as f64).contains(n));
     match (reply.status, never_ran, pages) {
         (StatusCode::OK, _, Some(pages)) if rows::whole(&reply.body) => News::Good(pages as usize),
         (StatusCode::ACCEPTED, _, _) => News::NotYet(note(reply)),
@@ -101,16 +110,25 @@
     }
 }
 
-pub(super) async fn exchange(sender: &mut Sender, request: Request<Outgoing>) -> Result<Reply, Fault> {
+pub(super) async fn exchange(
+    sender: &mut Sender,
+    request: Request<Outgoing>,
+) -> Result<Reply, Fault> {
     sender.ready().await.map_err(|e| fault(&e))?;
     let answer = sender.send_request(request).await.map_err(|e| fault(&e))?;
     let (head, body) = answer.into_parts();
-    let body =
-        Limited::new(body, rows::PAGE).collect().await.map_err(|e| match e.is::<LengthLimitError>() {
+    let body = Limited::new(body, rows::PAGE)
+        .collect()
+        .await
+        .map_err(|e| match e.is::<LengthLimitError>() {
             true => Fault::Garbled,
             false => Fault::Broken,
         })?;
-    Ok(Reply { status: head.status, head: head.headers, body: body.to_bytes() })
+    Ok(Reply {
+        status: head.status,
+        head: head.headers,
+        body: body.to_bytes(),
+    })
 }
 
 /// What an error proves. hyper calls a request cancelled only before any of it was written.
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -10,7 +10,15 @@
 
 fn line(id: &str, condition: Condition) -> EngineLine {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    EngineLine { id: id.into(), address, zone: 0, kind: 0, cell: 0, came_up: None, condition }
+    EngineLine {
+        id: id.into(),
+        address,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        came_up: None,
+        condition,
+    }
 }
 
 /// One engine that listens and never answers, and what reaches it.
@@ -25,36 +33,73 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let budget = Budget::of(64, 64);
         let list = Arc::new(EngineList::new(known_for(5.0), Clock::start(), None));
-        let engines = Engines::new(Network { dial: 2.0, idle: 15.0 }, 0.0, &budget, 5.0, list);
-        let silent = Silent { listener, engines, budget };
+        let engines = Engines::new(
+            Network {
+                dial: 2.0,
+                idle: 15.0,
+            },
+            0.0,
+            &budget,
+            5.0,
+            list,
+        );
+        let silent = Silent {
+            listener,
+            engines,
+            budget,
+        };
         silent.lists(Condition::Ready);
         silent
     }
 
     fn lists(&self, condition: Condition) {
         let address = self.listener.local_addr().unwrap();
-        let lines = vec![EngineLine { address, ..line("a", condition) }];
-        self.engines.list.apply(Event { number: 1, whole: true, lines });
+        let lines = vec![EngineLine {
+            address,
+            ..line("a", condition)
+        }];
+        self.engines.list.apply(Event {
+            number: 1,
+            whole: true,
+            lines,
+        });
     }
 
     /// Holds all connections that there may be to engines.
     async fn hold_all(&self) -> tokio::sync::OwnedSemaphorePermit {
         let all = self.budget.engines.available_permits() as u32;
-        self.budget.engines.clone().acquire_many_owned(all).await.unwrap()
+        self.budget
+            .engines
+            .clone()
+            .acquire_many_owned(all)
+            .await
+            .unwrap()
     }
 
     async fn dispatch(&self, start: Start, wishes: watch::Receiver<Wish>) -> Ended {
-        let tidings = Tidings { doubt: watch::channel(None).0, note: watch::channel(None).0 };
+        let tidings = Tidings {
+            doubt: watch::channel(None).0,
+            note: watch::channel(None).0,
+        };
         let value = HeaderValue::from_static;
         let statement = Statement::Whole(Bytes::from_static(b"SELECT 1"));
-        let call = Call { id: value("a1"), group: value("report"), mark: None, in_order: false, statement };
+        let call = Call {
+            id: value("a1"),
+            group: value("report"),
+            mark: None,
+            in_order: false,
+            statement,
+        };
         let target = self.engines.target(0).unwrap();
-        self.engines.dispatch(target, &call, start, wishes, tidings).await
+        self.engines
+            .dispatch(target, &call, start, wishes, tidings)
+            .await
     }
 
     /// What a connection brings, if one comes up.
     async fn came(&self) -> usize {
-        let Ok(Ok((mut stream, _))) = timeout(Duration::from_millis(100), self.listener.accept()).await
+        let Ok(Ok((mut stream, _))) =
+            timeout(Duration::from_millis(100), self.listener.accept()).await
         else {
             return 0;
         };
@@ -66,7 +111,12 @@
 
 fn start() -> Start {
     let until = Instant::now() + Duration::from_secs(3);
-    Start { further: true, until, comes_by: until, attended: Attended::default() }
+    Start {
+        further: true,
+        until,
+        comes_by: until,
+        attended: Attended::default(),
+    }
 }
 
 /// A further dispatch waits for one of the few connections; the one that it gets comes after its batch's answer.
@@ -110,7 +160,10 @@
     let taken = silent.hold_all().await;
     let (_wish, wishes) = watch::channel(Wish::Answer);
     let began = Instant::now();
-    let start = Start { comes_by: began + Duration::from_millis(60), ..start() };
+    let start = Start {
+        comes_by: began + Duration::from_millis(60),
+        ..start()
+    };
     let frees = async {
         sleep(Duration::from_millis(150)).await;
         drop(taken);
--- a/crates/gateway/src/engines/way.rs
+++ b/crates/gateway/src/engines/way.rs
@@ -67,10 +67,14 @@
         mut wishes: watch::Receiver<Wish>,
         tidings: Tidings,
     ) -> Ended {
-        let told = self.poll_until_end(call, start, &mut wishes, &tidings).await;
+        let told = self
+            .poll_until_end(call, start, &mut wishes, &tidings)
+            .await;
         let end = match told {
             PollOutcome::Succeeded(..) if *wishes.borrow() == Wish::Over => End::Withdrawn,
-            PollOutcome::Succeeded(first, pages) => return self.fetch_pages(call, first, pages).await,
+            PollOutcome::Succeeded(first, pages) => {
+                return self.fetch_pages(call, first, pages).await
+            }
             PollOutcome::Over(ended) => return ended,
             PollOutcome::Unknown => {
                 tidings.doubt.send_replace(Some(End::Broken));
@@ -104,7 +108,8 @@
 
     /// Whether it is not proved that the dispatch does not run any more.
     fn may_run(&self) -> bool {
-        self.dispatch.is_some_and(|id| self.engines.ledger().may_run_until(id).is_some())
+        self.dispatch
+            .is_some_and(|id| self.engines.ledger().may_run_until(id).is_some())
     }
 
     fn polling(&self) -> Asking {
--- a/crates/gateway/src/engines/way/cancel.rs
+++ b/crates/gateway/src/engines/way/cancel.rs
@@ -13,7 +13,9 @@
     /// Has the engine give the dispatch up, on the connection that it was asked on as long as that is of use;
     /// until it is proved that it does not run any more.
     pub(super) async fn cancel(&mut self, call: &Call) -> ledger::Proof {
-        let Some(id) = self.dispatch else { return ledger::Proof::NeverCame };
+        let Some(id) = self.dispatch else {
+            return ledger::Proof::NeverCame;
+        };
         let engine = self.target.engine;
         loop {
             let next = self.engines.ledger().next(self.engines.now(), id);
@@ -24,7 +26,11 @@
                 }
                 Next::Wait(span) => sleep(span).await,
                 Next::FindOut => {
-                    if self.look_up(call).await.is_err_and(|fault| fault != Fault::Refused) {
+                    if self
+                        .look_up(call)
+                        .await
+                        .is_err_and(|fault| fault != Fault::Refused)
+                    {
                         self.tell(Fact::Missed);
                     }
                 }
@@ -44,7 +50,12 @@
                             self.tell(Fact::Missed);
                         }
                         Err(fault) => {
-                            tracing::debug!(engine, id = path(call, None), ?fault, "not given up yet");
+                            tracing::debug!(
+                                engine,
+                                id = path(call, None),
+                                ?fault,
+                                "not given up yet"
+                            );
                             if fault != Fault::Refused {
                                 self.tell(Fact::Missed);
                             }
@@ -57,7 +68,9 @@
 
     /// Asks who listens there now whether it has the dispatch.
     async fn look_up(&mut self, call: &Call) -> Result<(), Fault> {
-        let reply = self.call(self.poll_request(call, 0), None, self.poll_timeout(), true).await?;
+        let reply = self
+            .call(self.poll_request(call, 0), None, self.poll_timeout(), true)
+            .await?;
         match news(&reply) {
             News::NotYet(_) => self.tell(Fact::Runs(self.connection)),
             News::Good(_) => self.tell(Fact::Ended),
--- a/crates/gateway/src/engines/way/pages.rs
+++ b/crates/gateway/src/engines/way/pages.rs
@@ -11,7 +11,10 @@
     /// The pages after the first, so that a lost one is still an outcome.
     pub(super) async fn fetch_pages(&mut self, call: &Call, first: Reply, pages: usize) -> Ended {
         let mut ended = Ended {
-            work: first.number(WORK).map(|ms| ms / 1000.0).filter(|v| *v > 0.0),
+            work: first
+                .number(WORK)
+                .map(|ms| ms / 1000.0)
+                .filter(|v| *v > 0.0),
             memory: first.number(MEMORY).filter(|v| *v > 0.0),
             report: first.report(),
             ..Ended::of(End::Returned)
@@ -22,12 +25,26 @@
             let mut told = Ok(());
             loop {
                 if !self.wait_for_next_poll(&mut asking, told).await {
-                    return Ended { end: End::Broken, ..ended };
+                    return Ended {
+                        end: End::Broken,
+                        ..ended
+                    };
                 }
-                told = match self.call(self.poll_request(call, page), None, self.poll_timeout(), true).await {
+                told = match self
+                    .call(
+                        self.poll_request(call, page),
+                        None,
+                        self.poll_timeout(),
+                        true,
+                    )
+                    .await
+                {
                     Ok(r) if r.status == StatusCode::INTERNAL_SERVER_ERROR => {
                         tracing::debug!(engine = self.target.engine, page, "page lost");
-                        return Ended { end: End::Errored, ..ended };
+                        return Ended {
+                            end: End::Errored,
+                            ..ended
+                        };
                     }
                     Ok(r) if r.number(THIS_PAGE) == Some(page as f64) && rows::whole(&r.body) => {
                         ended.pages.push(r.body);
--- a/crates/gateway/src/engines/way/patience.rs
+++ b/crates/gateway/src/engines/way/patience.rs
@@ -26,7 +26,12 @@
 
 impl AnswerPatience {
     pub(in crate::engines) fn new(dial: Duration, now: Instant) -> Self {
-        AnswerPatience { dial, missed: 0, slowest: Duration::ZERO, heard: now }
+        AnswerPatience {
+            dial,
+            missed: 0,
+            slowest: Duration::ZERO,
+            heard: now,
+        }
     }
 
     /// A call was answered after this time.
--- a/crates/gateway/src/engines/way/patience/tests.rs
+++ b/crates/gateway/src/engines/way/patience/tests.rs
@@ -15,7 +15,10 @@
         let within = patience.timeout(now);
         if takes <= within {
             patience.answered(now + takes, takes);
-            assert!(patience.timeout(now + takes) >= takes, "the next is waited for at once");
+            assert!(
+                patience.timeout(now + takes) >= takes,
+                "the next is waited for at once"
+            );
             return Some(now + takes - began);
         }
         now += within;
@@ -26,7 +29,13 @@
 
 #[test]
 fn an_engine_that_is_always_late_is_heard_on_a_later_call() {
-    for (takes, after) in [(100, 100), (300, 300), (600, 900), (800, 1850), (1200, 2250)] {
+    for (takes, after) in [
+        (100, 100),
+        (300, 300),
+        (600, 900),
+        (800, 1850),
+        (1200, 2250),
+    ] {
         assert_eq!(heard_after(DIAL, ms(takes)), Some(ms(after)), "{takes} ms");
     }
     assert_eq!(heard_after(DIAL, ms(1300)), None);
@@ -64,7 +73,10 @@
 fn what_is_looked_up_after_that_is_waited_for_as_a_second_call_is() {
     let mut patience = AnswerPatience::new(DIAL, Instant::now());
     patience.missed();
-    assert_eq!(patience.timeout(patience.heard + NEWS + UNASKED), NEWS + DIAL * 2);
+    assert_eq!(
+        patience.timeout(patience.heard + NEWS + UNASKED),
+        NEWS + DIAL * 2
+    );
 }
 
 #[test]
--- a/crates/gateway/src/engines/way/polling.rs
+++ b/crates/gateway/src/engines/way/polling.rs
@@ -49,16 +49,26 @@
                 self.tell(Fact::NeverCame);
                 return PollOutcome::Over(Ended::of(End::Errored));
             }
-            if first && answer.is_err() && self.gate.as_ref().is_some_and(|gate| gate.is_stopped()) {
+            if first && answer.is_err() && self.gate.as_ref().is_some_and(|gate| gate.is_stopped())
+            {
                 // It was stopped at its last bytes, before who wished so was heard.
                 self.tell(Fact::NeverCame);
-                let elsewhere = *wishes.borrow() == Wish::Back || !self.engines.list().takes(self.target);
-                return PollOutcome::Over(Ended::of(if elsewhere { End::Unconnected } else { End::Moot }));
+                let elsewhere =
+                    *wishes.borrow() == Wish::Back || !self.engines.list().takes(self.target);
+                return PollOutcome::Over(Ended::of(if elsewhere {
+                    End::Unconnected
+                } else {
+                    End::Moot
+                }));
             }
             if first && answer.is_err() && !self.may_have_come {
                 self.tell(Fact::NeverCame);
                 let local = matches!(answer, Err(Fault::Local));
-                return PollOutcome::Over(Ended::of(if local { End::NotSent } else { End::Unconnected }));
+                return PollOutcome::Over(Ended::of(if local {
+                    End::NotSent
+                } else {
+                    End::Unconnected
+                }));
             }
             let told = match answer {
                 Ok(reply) => match news(&reply) {
@@ -67,13 +77,20 @@
                         return PollOutcome::Succeeded(reply, pages);
                     }
                     News::Over(end) => {
-                        self.tell(if first { Fact::Ended } else { Fact::Failed(self.connection) });
+                        self.tell(if first {
+                            Fact::Ended
+                        } else {
+                            Fact::Failed(self.connection)
+                        });
                         let end = match ledger::weigh(first, end == End::Errored, !self.may_run()) {
                             ledger::Verdict::AsTold => end,
                             ledger::Verdict::CutShort => End::Broken,
                             ledger::Verdict::InDoubt => return PollOutcome::Unknown,
                         };
-                        return PollOutcome::Over(Ended { report: reply.report(), ..Ended::of(end) });
+                        return PollOutcome::Over(Ended {
+                            report: reply.report(),
+                            ..Ended::of(end)
+                        });
                     }
                     News::NotYet(note) => {
                         self.tell(Fact::Runs(self.connection));
@@ -152,7 +169,11 @@
     }
 
     /// After what came of the last call, waits until asking may go on; whether it may.
-    pub(super) async fn wait_for_next_poll(&mut self, asking: &mut Asking, told: Result<(), Fault>) -> bool {
+    pub(super) async fn wait_for_next_poll(
+        &mut self,
+        asking: &mut Asking,
+        told: Result<(), Fault>,
+    ) -> bool {
         let now = self.engines.now();
         let step = match told {
             Ok(()) => asking.heard(now),
--- a/crates/gateway/src/engines/way/start.rs
+++ b/crates/gateway/src/engines/way/start.rs
@@ -30,18 +30,31 @@
         let feed = match &call.statement {
             Statement::Whole(bytes) => {
                 let left = Some(bytes.len() as u64);
-                *request.body_mut() =
-                    Outgoing { carried: Either::Left(Full::new(bytes.clone())), left, gate };
+                *request.body_mut() = Outgoing {
+                    carried: Either::Left(Full::new(bytes.clone())),
+                    left,
+                    gate,
+                };
                 None
             }
             Statement::Streamed(body) => {
                 let reader = body.reader(further).ok()?;
                 let (out, stream) = Channel::new(1);
-                *request.body_mut() = Outgoing { carried: Either::Right(stream), left: body.length(), gate };
+                *request.body_mut() = Outgoing {
+                    carried: Either::Right(stream),
+                    left: body.length(),
+                    gate,
+                };
                 if let Some(length) = body.length() {
-                    request.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(length));
+                    request
+                        .headers_mut()
+                        .insert(CONTENT_LENGTH, HeaderValue::from(length));
                 }
-                Some(OutgoingBody { reader, length: body.length(), out })
+                Some(OutgoingBody {
+                    reader,
+                    length: body.length(),
+                    out,
+                })
             }
         };
         let head = request.headers_mut();
@@ -57,7 +70,9 @@
     pub(super) fn stamp_deadline(&self, request: &mut Request<Outgoing>) {
         let left = self.until.saturating_duration_since(Instant::now());
         let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
-        request.headers_mut().insert(DEADLINE, HeaderValue::from(left));
+        request
+            .headers_mut()
+            .insert(DEADLINE, HeaderValue::from(left));
     }
 
     /// The last byte of a call that keeps its dispatch running is on its way.
@@ -67,7 +82,11 @@
     }
 
     pub(super) async fn send_body(&mut self, feed: OutgoingBody) -> Result<(), ReadFault> {
-        let OutgoingBody { mut reader, length, mut out } = feed;
+        let OutgoingBody {
+            mut reader,
+            length,
+            mut out,
+        } = feed;
         loop {
             match reader.next().await {
                 Ok(Some(bytes)) => {
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -52,11 +52,15 @@
                 let peer = Peer::new(stream);
                 peer.has_unread();
                 let client = Client(client.ip().to_canonical());
-                let mut serving = Box::pin(serve(peer, client, router.clone(), guest, shut.clone()));
+                let mut serving =
+                    Box::pin(serve(peer, client, router.clone(), guest, shut.clone()));
                 // Batches of a key count in the order in which they came, also those that came while this process had
                 // no processor time: what a new connection has brought is taken before what came after it on an older
                 // one, whose task stands behind this one. A task of its own would stand behind that.
-                if poll_fn(|cx| Poll::Ready(serving.as_mut().poll(cx))).await.is_pending() {
+                if poll_fn(|cx| Poll::Ready(serving.as_mut().poll(cx)))
+                    .await
+                    .is_pending()
+                {
                     tokio::spawn(serving);
                 }
             }
--- a/crates/gateway/src/front/answers.rs
+++ b/crates/gateway/src/front/answers.rs
@@ -14,13 +14,18 @@
 
 pub(super) fn not_kept(refused: Refused) -> Response {
     match refused {
-        Refused::TooLarge { most } => {
-            error_response(StatusCode::PAYLOAD_TOO_LARGE, &format!("a body has {most} bytes at most"))
-        }
-        Refused::UnknownLength => {
-            error_response(StatusCode::LENGTH_REQUIRED, "a statement comes with its Content-Length")
-        }
-        Refused::NoRoom => rejected(&json!({"error": "Busy", "reason": "no room for the body"}), None),
+        Refused::TooLarge { most } => error_response(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            &format!("a body has {most} bytes at most"),
+        ),
+        Refused::UnknownLength => error_response(
+            StatusCode::LENGTH_REQUIRED,
+            "a statement comes with its Content-Length",
+        ),
+        Refused::NoRoom => rejected(
+            &json!({"error": "Busy", "reason": "no room for the body"}),
+            None,
+        ),
     }
 }
 
@@ -43,7 +48,9 @@
     let json = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
     let mut response = (StatusCode::SERVICE_UNAVAILABLE, [json], body.to_string()).into_response();
     if let Some(seconds) = come_back {
-        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from((seconds * 1000.0) as u64));
+        response
+            .headers_mut()
+            .insert(RETRY_AFTER, HeaderValue::from((seconds * 1000.0) as u64));
     }
     response
 }
@@ -67,7 +74,9 @@
 
 /// The last answer on its connection: what may follow is not read as a call.
 pub(super) fn closing(mut answer: Response) -> Response {
-    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    answer
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
 
--- a/crates/gateway/src/front/connection.rs
+++ b/crates/gateway/src/front/connection.rs
@@ -70,8 +70,15 @@
             })
         });
         let mut builder = http1::Builder::new();
-        builder.timer(TokioTimer::new()).max_buf_size(LONGEST_HEAD).keep_alive(!closing);
-        builder.header_read_timeout(if closing { FIRST_REQUEST_TIMEOUT } else { IDLE_TIMEOUT });
+        builder
+            .timer(TokioTimer::new())
+            .max_buf_size(LONGEST_HEAD)
+            .keep_alive(!closing);
+        builder.header_read_timeout(if closing {
+            FIRST_REQUEST_TIMEOUT
+        } else {
+            IDLE_TIMEOUT
+        });
         let mut connection = builder.serve_connection(peer.stream(), service);
         let close = serve_requests(&mut connection, &peer, &guest, client, &mut shut).await;
         if close == Close::Gone {
--- a/crates/gateway/src/front/intake.rs
+++ b/crates/gateway/src/front/intake.rs
@@ -28,14 +28,23 @@
 ) -> Result<(Arrival, Call), String> {
     let names = &decoded.names;
     let unknown = || format!("unknown service group '{group}'");
-    let index = names.groups.iter().position(|g| g == group).ok_or_else(unknown)?;
+    let index = names
+        .groups
+        .iter()
+        .position(|g| g == group)
+        .ok_or_else(unknown)?;
     let id = field(head, QUERY_ID)?;
     let job = hex(QUERY_ID, id)?;
     let most = decoded.settings.groups[index].limit * 1000.0;
-    let allowed = field(head, DEADLINE)?.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
+    let allowed = field(head, DEADLINE)?
+        .to_str()
+        .ok()
+        .and_then(|text| text.trim().parse::<f64>().ok());
     let allowed = allowed.ok_or_else(|| format!("{DEADLINE}: no number"))?;
     if !(allowed > 0.0 && allowed <= most) {
-        return Err(format!("{DEADLINE}: more than 0 and {most} at most expected"));
+        return Err(format!(
+            "{DEADLINE}: more than 0 and {most} at most expected"
+        ));
     }
     if statement.is_empty() {
         return Err("no statement".into());
@@ -43,7 +52,11 @@
     let tenant = match head.contains_key(TENANT) || !names.tenants.is_empty() {
         true => {
             let name = field(head, TENANT)?.to_str().unwrap_or_default();
-            names.tenants.iter().position(|t| t == name).ok_or_else(|| format!("{TENANT}: unknown"))?
+            names
+                .tenants
+                .iter()
+                .position(|t| t == name)
+                .ok_or_else(|| format!("{TENANT}: unknown"))?
         }
         false => 0,
     };
@@ -55,13 +68,37 @@
     let data_set = statement::data_set(&statement).unwrap_or(0);
     let group_name = HeaderValue::from_str(group).map_err(|_| unknown())?;
     let bytes = statement.len() as u64;
-    let mark = head.contains_key(IDEMPOTENCY_KEY).then(|| field(head, IDEMPOTENCY_KEY)).transpose()?.cloned();
+    let mark = head
+        .contains_key(IDEMPOTENCY_KEY)
+        .then(|| field(head, IDEMPOTENCY_KEY))
+        .transpose()?
+        .cloned();
     let cost = estimate(head, COST)?.map(|ms| ms / 1000.0);
     let memory = estimate(head, MEMORY)?;
     let in_order = key.is_some() && decoded.settings.groups[index].in_order;
     let statement = Statement::Whole(statement);
-    let call = Call { id: id.clone(), group: group_name, mark, in_order, statement };
-    Ok((Arrival { job, group: index, tenant, key, limit, cost, memory, data_set, client, bytes }, call))
+    let call = Call {
+        id: id.clone(),
+        group: group_name,
+        mark,
+        in_order,
+        statement,
+    };
+    Ok((
+        Arrival {
+            job,
+            group: index,
+            tenant,
+            key,
+            limit,
+            cost,
+            memory,
+            data_set,
+            client,
+            bytes,
+        },
+        call,
+    ))
 }
 
 /// An estimate that may come with a batch; 0 says nothing.
@@ -69,9 +106,15 @@
     if !head.contains_key(name) {
         return Ok(None);
     }
-    let told = field(head, name)?.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
+    let told = field(head, name)?
+        .to_str()
+        .ok()
+        .and_then(|text| text.trim().parse::<f64>().ok());
     let told = told.filter(|v| v.is_finite() && *v >= 0.0);
-    Ok(Some(told.ok_or_else(|| format!("{name}: a number of 0 or more expected"))?).filter(|v| *v > 0.0))
+    Ok(
+        Some(told.ok_or_else(|| format!("{name}: a number of 0 or more expected"))?)
+            .filter(|v| *v > 0.0),
+    )
 }
 
 /// The one value of a field.
--- a/crates/gateway/src/front/streaming.rs
+++ b/crates/gateway/src/front/streaming.rs
@@ -56,9 +56,14 @@
                 }
             }
             Ok(Ok(None)) => break,
-            Ok(Err(())) => return closing(error_response(StatusCode::BAD_REQUEST, "statement cut off")),
+            Ok(Err(())) => {
+                return closing(error_response(StatusCode::BAD_REQUEST, "statement cut off"))
+            }
             Err(_) => {
-                return closing(error_response(StatusCode::REQUEST_TIMEOUT, "statement came too slowly"))
+                return closing(error_response(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "statement came too slowly",
+                ))
             }
         }
     }
@@ -71,7 +76,10 @@
     call.statement = Statement::Streamed(kept.clone());
     let job = arrival.job;
     let Ok(memory) = front.statements.clone().try_acquire_many_owned(0) else {
-        return closing(error_response(StatusCode::INSUFFICIENT_STORAGE, "too many statements in hand"));
+        return closing(error_response(
+            StatusCode::INSUFFICIENT_STORAGE,
+            "too many statements in hand",
+        ));
     };
     let waiter = match take(front, arrival, call, came, memory, peer) {
         Ok(waiter) => waiter,
@@ -106,7 +114,9 @@
 /// Takes in the rest of a body. It ends at the latest with its batch, which its limit bounds.
 async fn receive_rest(body: &mut Body, kept: &Kept) -> Result<(), &'static str> {
     while let Some(bytes) = next_chunk(body).await.map_err(|()| "statement cut off")? {
-        kept.push(bytes).await.map_err(|_| "the body can't be kept, or is longer than it may be")?;
+        kept.push(bytes)
+            .await
+            .map_err(|_| "the body can't be kept, or is longer than it may be")?;
     }
     kept.finish().await;
     Ok(())
--- a/crates/gateway/src/front/submit.rs
+++ b/crates/gateway/src/front/submit.rs
@@ -31,7 +31,11 @@
     body: Body,
 ) -> Response {
     let length = body.size_hint().exact();
-    if let Some(store) = front.store.clone().filter(|_| length.is_none_or(|n| n > LONGEST_STATEMENT)) {
+    if let Some(store) = front
+        .store
+        .clone()
+        .filter(|_| length.is_none_or(|n| n > LONGEST_STATEMENT))
+    {
         return submit_streamed(&front, &store, &group, &head, client, &peer, body).await;
     }
     if head.contains_key(TRANSFER_ENCODING) {
@@ -43,16 +47,36 @@
     }
     let length = length.unwrap_or(u64::MAX);
     if length > LONGEST_STATEMENT {
-        return closing(error_response(StatusCode::PAYLOAD_TOO_LARGE, "statement too long"));
+        return closing(error_response(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "statement too long",
+        ));
     }
-    let Ok(memory) = front.statements.clone().try_acquire_many_owned(length as u32) else {
+    let Ok(memory) = front
+        .statements
+        .clone()
+        .try_acquire_many_owned(length as u32)
+    else {
         // Not pushed back: the id may be that of a batch in hand.
-        return closing(error_response(StatusCode::INSUFFICIENT_STORAGE, "too many statements in hand"));
+        return closing(error_response(
+            StatusCode::INSUFFICIENT_STORAGE,
+            "too many statements in hand",
+        ));
     };
-    let body = match timeout(FIRST_REQUEST_TIMEOUT, to_bytes(body, LONGEST_STATEMENT as usize)).await {
+    let body = match timeout(
+        FIRST_REQUEST_TIMEOUT,
+        to_bytes(body, LONGEST_STATEMENT as usize),
+    )
+    .await
+    {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => return closing(error_response(StatusCode::BAD_REQUEST, "statement cut off")),
-        Err(_) => return closing(error_response(StatusCode::REQUEST_TIMEOUT, "statement came too slowly")),
+        Err(_) => {
+            return closing(error_response(
+                StatusCode::REQUEST_TIMEOUT,
+                "statement came too slowly",
+            ))
+        }
     };
     let came = front.desk.came(peer.read_at());
     let (arrival, call) = match arrival(&front.decoded, &group, &head, client, body) {
@@ -80,24 +104,54 @@
     if peer.has_left() {
         // Its call stood behind another one, or waited for its slot: nothing is owed, and nothing is sent for it.
         tracing::debug!(job = arrival.job, "its client has left");
-        return Err(closing(error_response(StatusCode::BAD_REQUEST, "the client has left")).into());
+        return Err(closing(error_response(
+            StatusCode::BAD_REQUEST,
+            "the client has left",
+        ))
+        .into());
     }
     arrival.limit += front.sent(arrival.key, came);
     let call = Arc::new(call);
     Ok(match front.desk.take(arrival, call.clone()) {
-        Taken::New { id, orders, waiter, once_only, attended } => {
-            let (desk, engines, keeper) = (front.desk.clone(), front.engines.clone(), front.keeper.clone());
-            let life = Life { desk, engines, id, call, orders, keeper, once_only, attended, _memory: memory };
+        Taken::New {
+            id,
+            orders,
+            waiter,
+            once_only,
+            attended,
+        } => {
+            let (desk, engines, keeper) = (
+                front.desk.clone(),
+                front.engines.clone(),
+                front.keeper.clone(),
+            );
+            let life = Life {
+                desk,
+                engines,
+                id,
+                call,
+                orders,
+                keeper,
+                once_only,
+                attended,
+                _memory: memory,
+            };
             tokio::spawn(life.live());
             waiter
         }
         Taken::Joined(waiter) => waiter,
         Taken::Other => {
-            return Err(error_response(StatusCode::CONFLICT, "this id is that of another batch").into())
+            return Err(
+                error_response(StatusCode::CONFLICT, "this id is that of another batch").into(),
+            )
         }
         Taken::Answered(answer) => return Err(response_of(answer).into()),
-        Taken::Over => return Err(error_response(StatusCode::CONFLICT, "this id has had its answer").into()),
-        Taken::MayHaveRun => return Err(error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed").into()),
+        Taken::Over => {
+            return Err(error_response(StatusCode::CONFLICT, "this id has had its answer").into())
+        }
+        Taken::MayHaveRun => {
+            return Err(error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed").into())
+        }
         Taken::Turned(turned) => return Err(turned_away(front, turned).into()),
     })
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -75,24 +75,47 @@
         let budget = Budget::of(config.sockets, config.memory_mb);
         let settings = &config.decoded.settings;
         let longest = settings.groups.iter().map(|g| g.limit).fold(0.0, f64::max);
-        let room = Some(settings.room.unwrap_or(f64::INFINITY).min(budget.room as f64));
+        let room = Some(
+            settings
+                .room
+                .unwrap_or(f64::INFINITY)
+                .min(budget.room as f64),
+        );
         let plan = config.plan.clone();
         let groups = match &plan {
             Some(plan) => planning::narrowed(&settings.groups, &config.decoded.names.groups, plan),
             None => settings.groups.clone(),
         };
         if let Some(plan) = &plan {
-            tracing::info!(routes = plan.routes.len(), limits = plan.limits.len(), "plan in force");
+            tracing::info!(
+                routes = plan.routes.len(),
+                limits = plan.limits.len(),
+                "plan in force"
+            );
         }
         let planner = plan.map(|plan| Planner::new(&config.decoded, plan, budget.room as f64));
-        let settings = Settings { room, groups: groups.clone(), ..settings.clone() };
+        let settings = Settings {
+            room,
+            groups: groups.clone(),
+            ..settings.clone()
+        };
         let control = Control::new(settings, config.seed, clock.now());
         let (desk, probes) = Desk::new(control, planner, clock, longest, budget.kept_answers);
         desk.grouped(&groups);
         let notes_every = config.decoded.settings.notes_every;
         let selection = selection(&config, &groups);
-        let list = Arc::new(EngineList::new(engines::known_for(longest), clock, selection));
-        let engines = Engines::new(config.decoded.network, notes_every, &budget, longest, list.clone());
+        let list = Arc::new(EngineList::new(
+            engines::known_for(longest),
+            clock,
+            selection,
+        ));
+        let engines = Engines::new(
+            config.decoded.network,
+            notes_every,
+            &budget,
+            longest,
+            list.clone(),
+        );
         Gateway {
             phase: watch::Sender::new(Phase::Starting),
             budget,
@@ -131,7 +154,11 @@
             }
             opened = self.open() => opened?,
         };
-        let Opened { keeper, store, listener } = opened;
+        let Opened {
+            keeper,
+            store,
+            listener,
+        } = opened;
         self.start(reloads);
         let front = Front {
             desk: self.desk.clone(),
@@ -160,7 +187,8 @@
         self.enter(Phase::Draining);
         let told = Instant::now();
         let kill = GOES_ON + span(self.longest.min(LONGEST_STAY));
-        self.desk.ends(self.desk.clock().at(told + (kill - ANSWERS_DUE)));
+        self.desk
+            .ends(self.desk.clock().at(told + (kill - ANSWERS_DUE)));
         // It ends with the time alone: accepting does not.
         let goes_on = GOES_ON.min(kill - CONNECTIONS_CLOSED);
         let _ = timeout_at((told + goes_on).into(), &mut accepting).await;
@@ -191,25 +219,46 @@
         let keeper = Arc::new(self.keeper()?);
         let store = retry("store of bodies", || self.store()).await?;
         let listener = retry("listener", || bind(self.config.listen)).await?;
-        Ok(Opened { keeper, store, listener })
+        Ok(Opened {
+            keeper,
+            store,
+            listener,
+        })
     }
 
     /// The journal that the plan names, with what an earlier process may have left running.
     fn keeper(&self) -> io::Result<Keeper> {
-        let Some(journal) = self.config.plan.as_ref().and_then(|plan| plan.journal.as_ref()) else {
+        let Some(journal) = self
+            .config
+            .plan
+            .as_ref()
+            .and_then(|plan| plan.journal.as_ref())
+        else {
             return Ok(Keeper::default());
         };
         self.desk.awaits_recovery();
         let (desk, unasked) = (self.desk.clone(), self.engines.unasked());
         let recovered = move |open: Vec<_>| desk.recovered(&open, unasked);
-        Keeper::open(&journal.directory, &self.config.name, self.desk.clock(), self.longest, recovered)
+        Keeper::open(
+            &journal.directory,
+            &self.config.name,
+            self.desk.clock(),
+            self.longest,
+            recovered,
+        )
     }
 
     /// The store of bodies that the plan asks for.
     fn store(&self) -> io::Result<Option<Arc<Store>>> {
-        let bodies = self.config.plan.as_ref().and_then(|plan| plan.bodies.as_ref());
+        let bodies = self
+            .config
+            .plan
+            .as_ref()
+            .and_then(|plan| plan.bodies.as_ref());
         let names = &self.config.decoded.names.groups;
-        bodies.map(|bodies| keeping::store(bodies, names, &self.config.name)).transpose()
+        bodies
+            .map(|bodies| keeping::store(bodies, names, &self.config.name))
+            .transpose()
     }
 
     /// Healthy from the first list of engines on; batches are taken before that, too.
@@ -224,7 +273,9 @@
         let desk = self.desk.clone();
         let deliver = move |updates: &[EngineUpdate], whole| desk.listed(updates, whole);
         let discovery = Arc::new(Discovery::new(self.list.clone(), Box::new(deliver)));
-        std::mem::take(&mut self.config.known).into_iter().for_each(|event| discovery.apply(event));
+        std::mem::take(&mut self.config.known)
+            .into_iter()
+            .for_each(|event| discovery.apply(event));
         let log = watch::Sender::new(self.config.changelog);
         let dial = span(self.config.decoded.network.dial);
         let names = NameIndex::new(&self.config.decoded.names);
@@ -237,7 +288,12 @@
         tokio::spawn(async move { desk.keep_time().await });
         if self.config.subset.is_some() {
             let may_probe = self.config.decoded.settings.may_probe;
-            tokio::spawn(keep_subset(discovery, self.engines.clone(), self.desk.clone(), may_probe));
+            tokio::spawn(keep_subset(
+                discovery,
+                self.engines.clone(),
+                self.desk.clone(),
+                may_probe,
+            ));
         }
         if let Some(wanted) = self.probes.take() {
             tokio::spawn(probe(wanted, self.engines.clone(), self.desk.clone()));
@@ -261,12 +317,21 @@
 }
 
 /// Keeps the subset for as long as the gateway runs.
-async fn keep_subset(discovery: Arc<Discovery>, engines: Arc<Engines>, desk: Arc<Desk>, may_probe: bool) {
+async fn keep_subset(
+    discovery: Arc<Discovery>,
+    engines: Arc<Engines>,
+    desk: Arc<Desk>,
+    may_probe: bool,
+) {
     let warm = |address| {
         let engines = engines.clone();
         async move { engines.warm(address, may_probe).await }
     };
-    discovery.keep_subset(warm, |engine, warmed| desk.probed(engine, warmed.end, warmed.report)).await;
+    discovery
+        .keep_subset(warm, |engine, warmed| {
+            desk.probed(engine, warmed.end, warmed.report)
+        })
+        .await;
 }
 
 /// Takes configurations read again for as long as the gateway runs: the change log's address and the plan take effect.
@@ -286,7 +351,10 @@
             let routes = plan.routes.len();
             match desk.replan(plan.clone(), &groups) {
                 true => tracing::info!(routes, limits = plan.limits.len(), "plan taken up"),
-                false => tracing::warn!(key = "plan", "changed, but takes effect at the next start only"),
+                false => tracing::warn!(
+                    key = "plan",
+                    "changed, but takes effect at the next start only"
+                ),
             }
         }
         tracing::info!(changelog = %config.changelog, "configuration reloaded");
@@ -312,7 +380,11 @@
 }
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     // A gateway killed outright starts again under its address at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
--- a/crates/gateway/src/guests.rs
+++ b/crates/gateway/src/guests.rs
@@ -53,7 +53,12 @@
 impl Guests {
     pub fn new(seats: Arc<Semaphore>) -> Arc<Guests> {
         let (open, count) = (Mutex::default(), watch::Sender::new(0));
-        Arc::new(Guests { seats, open, count, may_leave: Notify::new() })
+        Arc::new(Guests {
+            seats,
+            open,
+            count,
+            may_leave: Notify::new(),
+        })
     }
 
     fn open(&self) -> MutexGuard<'_, HashMap<u64, Entry>> {
@@ -76,20 +81,34 @@
             }
         };
         let leave = Arc::new(Notify::new());
-        let entry =
-            Entry { doing: Doing::New, since: Instant::now(), leave: leave.clone(), told_to_leave: None };
+        let entry = Entry {
+            doing: Doing::New,
+            since: Instant::now(),
+            leave: leave.clone(),
+            told_to_leave: None,
+        };
         self.open().insert(number, entry);
         self.count.send_modify(|n| *n += 1);
-        Guest { guests: self.clone(), number, leave, _seat: seat }
+        Guest {
+            guests: self.clone(),
+            number,
+            leave,
+            _seat: seat,
+        }
     }
 
     /// Sends away the one that can best be spared, unless one is on its way out.
     fn make_room(&self) {
         let mut open = self.open();
-        if open.values().any(|e| e.told_to_leave.is_some_and(|at| at.elapsed() < ON_ITS_WAY)) {
+        if open
+            .values()
+            .any(|e| e.told_to_leave.is_some_and(|at| at.elapsed() < ON_ITS_WAY))
+        {
             return;
         }
-        let spare = open.values_mut().filter(|e| e.doing() < Doing::New && e.told_to_leave.is_none());
+        let spare = open
+            .values_mut()
+            .filter(|e| e.doing() < Doing::New && e.told_to_leave.is_none());
         if let Some(entry) = spare.min_by_key(|e| (e.doing(), e.since)) {
             entry.told_to_leave = Some(Instant::now());
             entry.leave.notify_one();
@@ -145,12 +164,18 @@
 
     /// Whether a call of it is open.
     pub fn is_asking(&self) -> bool {
-        self.guests.open().get(&self.number).is_some_and(|e| e.doing == Doing::Asking)
+        self.guests
+            .open()
+            .get(&self.number)
+            .is_some_and(|e| e.doing == Doing::Asking)
     }
 
     /// Whether it has brought no call since it came.
     pub fn said_nothing(&self) -> bool {
-        self.guests.open().get(&self.number).is_some_and(|e| e.doing == Doing::New)
+        self.guests
+            .open()
+            .get(&self.number)
+            .is_some_and(|e| e.doing == Doing::New)
     }
 }
 
--- a/crates/gateway/src/inbound.rs
+++ b/crates/gateway/src/inbound.rs
@@ -90,7 +90,14 @@
 
     /// Until the client has closed its side, while `waits` tells that it is waited for.
     pub async fn left(&self, waits: impl Fn() -> bool) {
-        poll_fn(|cx| if waits() { self.held().poll_left(cx) } else { Poll::Pending }).await
+        poll_fn(|cx| {
+            if waits() {
+                self.held().poll_left(cx)
+            } else {
+                Poll::Pending
+            }
+        })
+        .await
     }
 
     /// Gives back what was read but not parsed.
@@ -178,7 +185,11 @@
 }
 
 impl Read for Inbound {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, mut buf: ReadBufCursor) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        mut buf: ReadBufCursor,
+    ) -> Poll<io::Result<()>> {
         let mut held = self.0.held();
         if !held.ahead.is_empty() {
             let now = held.ahead.len().min(buf.remaining());
--- a/crates/gateway/src/keeping.rs
+++ b/crates/gateway/src/keeping.rs
@@ -35,7 +35,10 @@
     /// The same with its end on the clock of this run of the machine.
     fn on_run_clock(&self, sent: Sent) -> Sent {
         let left = sent.until.saturating_sub(millis(self.clock.now()));
-        Sent { until: self.run.millis() + left, ..sent }
+        Sent {
+            until: self.run.millis() + left,
+            ..sent
+        }
     }
 }
 
@@ -59,32 +62,60 @@
         let run = RunClock::start();
         let told = move |mut open: Vec<(Sent, bool)>| {
             let (here, there) = (millis(clock.now()), run.millis());
-            open.iter_mut().for_each(|(sent, _)| sent.until = here + sent.until.saturating_sub(there));
+            open.iter_mut()
+                .for_each(|(sent, _)| sent.until = here + sent.until.saturating_sub(there));
             let may_run = open.iter().filter(|(_, over)| !over).count();
-            tracing::info!(path = shown, known = open.len(), may_run, "journal of once-only batches opened");
+            tracing::info!(
+                path = shown,
+                known = open.len(),
+                may_run,
+                "journal of once-only batches opened"
+            );
             recovered(open);
         };
-        let this = Run { id: run.run, span: millis(longest) + CLEAR.as_millis() as u64 };
-        let (journal, begun) =
-            Journal::start(FileLog::new(&path), this, move || run.millis(), Box::new(told));
+        let this = Run {
+            id: run.run,
+            span: millis(longest) + CLEAR.as_millis() as u64,
+        };
+        let (journal, begun) = Journal::start(
+            FileLog::new(&path),
+            this,
+            move || run.millis(),
+            Box::new(told),
+        );
         match begun {
             Err(fault) if may_pass(&fault) => {
                 tracing::error!(path = %path.display(), %fault, "journal can't be written for now: no once-only batch is sent");
             }
-            begun => begun.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", path.display())))?,
+            begun => {
+                begun.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", path.display())))?
+            }
         }
-        Ok(Keeper { journal: Some(Kept { journal, clock, run }) })
+        Ok(Keeper {
+            journal: Some(Kept {
+                journal,
+                clock,
+                run,
+            }),
+        })
     }
 
     /// Writes down that a once-only batch is about to be sent; whether it may be. It takes as long as the disk does: whoever asks
     /// bounds that by what the batch has left.
     pub async fn promise(&self, sent: Sent) -> bool {
-        let Some(kept) = &self.journal else { return true };
+        let Some(kept) = &self.journal else {
+            return true;
+        };
         let (done, written) = oneshot::channel();
         // Whoever no longer waits did not send it.
-        kept.journal.sent(kept.on_run_clock(sent), Box::new(move |result| drop(done.send(result))));
+        kept.journal.sent(
+            kept.on_run_clock(sent),
+            Box::new(move |result| drop(done.send(result))),
+        );
         let began = Instant::now();
-        let end = written.await.unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")));
+        let end = written
+            .await
+            .unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")));
         if began.elapsed() > SLOW_PROMISE {
             tracing::warn!(took = ?began.elapsed(), "journal is slow: once-only batches wait for it");
         }
@@ -112,7 +143,10 @@
 /// With the path in the text.
 pub fn store(bodies: &Bodies, groups: &[String], gateway: &str) -> io::Result<Arc<Store>> {
     let spool = match &bodies.directory {
-        Some(directory) => Some(Spool::new(Disk::open(Path::new(directory), gateway)?, bodies.files)),
+        Some(directory) => Some(Spool::new(
+            Disk::open(Path::new(directory), gateway)?,
+            bodies.files,
+        )),
         None => None,
     };
     let limits = Limits {
@@ -122,7 +156,10 @@
         batch: bodies.batch,
         share: bodies.share,
         unknown_length: bodies.unknown_length,
-        must_keep: groups.iter().map(|group| bodies.must_keep.contains(group)).collect(),
+        must_keep: groups
+            .iter()
+            .map(|group| bodies.must_keep.contains(group))
+            .collect(),
     };
     Ok(Store::new(limits, Policy::Largest, spool))
 }
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -35,9 +35,18 @@
         let mut dispatch = 0;
         while let Some(order) = self.orders.recv().await {
             match order {
-                Order::Go { engine, until, comes_by } => {
+                Order::Go {
+                    engine,
+                    until,
+                    comes_by,
+                } => {
                     let attended = self.attended.clone();
-                    let start = Start { further: dispatch > 0, until, comes_by, attended };
+                    let start = Start {
+                        further: dispatch > 0,
+                        until,
+                        comes_by,
+                        attended,
+                    };
                     let over = self.dispatch(engine, dispatch, start).await;
                     dispatch += 1;
                     if over {
@@ -62,7 +71,11 @@
 
     /// One dispatch until its outcome; whether the batch is over then.
     async fn dispatch(&mut self, engine: EngineId, dispatch: u32, start: Start) -> bool {
-        let out = Out { engine, dispatch, sent: Instant::now() };
+        let out = Out {
+            engine,
+            dispatch,
+            sent: Instant::now(),
+        };
         let Some(target) = self.engines.target(engine) else {
             return self.after(out, Ended::of(End::Unconnected), false);
         };
@@ -85,8 +98,15 @@
                     return Ended::of(end);
                 }
             }
-            tracing::debug!(batch = id, engine = out.engine, dispatch = out.dispatch, "dispatch");
-            engines.dispatch(target, &call, start, wishes, tidings).await
+            tracing::debug!(
+                batch = id,
+                engine = out.engine,
+                dispatch = out.dispatch,
+                "dispatch"
+            );
+            engines
+                .dispatch(target, &call, start, wishes, tidings)
+                .await
         };
         let too_late = async {
             tokio::select! {
@@ -155,7 +175,10 @@
         if matches!(&self.call.statement, Statement::Streamed(body) if !body.can_be_read()) {
             self.desk.not_kept(self.id);
         }
-        let Next::Over(answer) = self.desk.in_doubt(self.id, out.outcome(&Ended::of(end), false)) else {
+        let Next::Over(answer) = self
+            .desk
+            .in_doubt(self.id, out.outcome(&Ended::of(end), false))
+        else {
             return false;
         };
         self.desk.answer(self.id, answer.into());
@@ -167,11 +190,16 @@
         let body = (ended.end == End::Returned).then(|| rows::answer(&ended.pages));
         if let Some(Err(what)) = &body {
             tracing::warn!(engine = out.engine, what, "result out of the protocol");
-            ended = Ended { report: ended.report, ..Ended::of(End::Errored) };
+            ended = Ended {
+                report: ended.report,
+                ..Ended::of(End::Errored)
+            };
         }
         self.engines.attempted(out.engine, ended.end);
         let outcome = out.outcome(&ended, answered);
-        let Out { engine, dispatch, .. } = out;
+        let Out {
+            engine, dispatch, ..
+        } = out;
         tracing::debug!(batch = self.id, engine, dispatch, end = ?ended.end, latency = outcome.latency, "outcome");
         if matches!(&self.call.statement, Statement::Streamed(body) if !body.can_be_read()) {
             self.desk.not_kept(self.id);
@@ -187,7 +215,10 @@
 }
 
 /// Waits for the promise that a dispatch may be sent, or how it ends without: the disk may take longer than anyone waits.
-async fn promised(promise: impl Future<Output = bool>, mut wishes: watch::Receiver<Wish>) -> Result<(), End> {
+async fn promised(
+    promise: impl Future<Output = bool>,
+    mut wishes: watch::Receiver<Wish>,
+) -> Result<(), End> {
     tokio::select! {
         biased;
         // It fails only with who wished gone, who waits for this.
--- a/crates/gateway/src/life/tests.rs
+++ b/crates/gateway/src/life/tests.rs
@@ -3,15 +3,30 @@
 /// A disk that takes longer than the batch has: nothing is sent after the answer, and the wait ends with it.
 #[tokio::test]
 async fn a_promise_that_comes_after_the_answer_sends_nothing() {
-    let over = [(Wish::Over, End::Moot), (Wish::Begun, End::Moot), (Wish::Back, End::Unconnected)];
+    let over = [
+        (Wish::Over, End::Moot),
+        (Wish::Begun, End::Moot),
+        (Wish::Back, End::Unconnected),
+    ];
     for (last, end) in over {
         let (wish, wishes) = watch::channel(Wish::Answer);
         let waiting = promised(std::future::pending(), wishes.clone());
         wish.send_replace(last);
         assert_eq!(waiting.await, Err(end));
-        assert_eq!(promised(std::future::ready(true), wishes).await, Err(end), "both at once");
+        assert_eq!(
+            promised(std::future::ready(true), wishes).await,
+            Err(end),
+            "both at once"
+        );
     }
     let (_wish, wishes) = watch::channel(Wish::Answer);
-    assert_eq!(promised(std::future::ready(true), wishes.clone()).await, Ok(()));
-    assert_eq!(promised(std::future::ready(false), wishes).await, Err(End::Moot), "no engine is at fault");
+    assert_eq!(
+        promised(std::future::ready(true), wishes.clone()).await,
+        Ok(())
+    );
+    assert_eq!(
+        promised(std::future::ready(false), wishes).await,
+        Err(End::Moot),
+        "no engine is at fault"
+    );
 }
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -44,19 +44,30 @@
     ///
     /// Where the system has no descriptor left for it.
     pub fn start() -> io::Result<Log> {
-        let filter = EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
+        let filter =
+            EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
         let counts = Counts::default();
         let lost = Arc::new(OnceLock::new());
         // A descriptor of its own: the lock of the standard library's would be held for as long as the reader has stopped.
         let stderr = File::from(io::stderr().as_fd().try_clone_to_owned()?);
-        let output = Output { stderr, written: counts.written.clone(), lost: lost.clone(), told: 0 };
-        let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUED_LINES);
+        let output = Output {
+            stderr,
+            written: counts.written.clone(),
+            lost: lost.clone(),
+            told: 0,
+        };
+        let builder = NonBlockingBuilder::default()
+            .lossy(true)
+            .buffered_lines_limit(QUEUED_LINES);
         let (queue, worker) = builder.thread_name("log").finish(output);
         let counter = queue.error_counter();
         // It is set here only.
         let _ = lost.set(counter.clone());
         let queued = counts.queued.clone();
-        let writer = move || Counted { queue: queue.clone(), queued: queued.clone() };
+        let writer = move || Counted {
+            queue: queue.clone(),
+            queued: queued.clone(),
+        };
         tracing_subscriber::fmt()
             .with_env_filter(filter)
             .with_writer(writer)
@@ -65,7 +76,11 @@
             .init();
         // The usual hook writes to standard error itself, and would wait there.
         std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panic")));
-        Ok(Log { counts, lost: counter, _worker: std::mem::ManuallyDrop::new(worker) })
+        Ok(Log {
+            counts,
+            lost: counter,
+            _worker: std::mem::ManuallyDrop::new(worker),
+        })
     }
 
     /// Waits until all lines are written, a bounded time only.
@@ -117,7 +132,9 @@
                 Ok(0) => return,
                 Ok(n) => rest = &rest[n..],
                 Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => thread::sleep(WRITE_RETRY_PAUSE),
+                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {
+                    thread::sleep(WRITE_RETRY_PAUSE)
+                }
                 Err(_) => return,
             }
         }
--- a/crates/gateway/src/machine_run.rs
+++ b/crates/gateway/src/machine_run.rs
@@ -19,8 +19,15 @@
 
 impl RunClock {
     pub fn start() -> RunClock {
-        let run = if boot_millis().is_some() { identity().unwrap_or(0) } else { 0 };
-        RunClock { run, began: Instant::now() }
+        let run = if boot_millis().is_some() {
+            identity().unwrap_or(0)
+        } else {
+            0
+        };
+        RunClock {
+            run,
+            began: Instant::now(),
+        }
     }
 
     /// Milliseconds since the machine was started; since this process was, where that is not told.
@@ -38,6 +45,10 @@
 
 fn identity() -> Option<u64> {
     let text = std::fs::read_to_string(IDENTITY).ok()?;
-    let digits: String = text.chars().filter(char::is_ascii_hexdigit).take(DIGITS).collect();
+    let digits: String = text
+        .chars()
+        .filter(char::is_ascii_hexdigit)
+        .take(DIGITS)
+        .collect();
     u64::from_str_radix(&digits, 16).ok()
 }
--- a/crates/gateway/src/plan_cli.rs
+++ b/crates/gateway/src/plan_cli.rs
@@ -56,8 +56,10 @@
 
 /// Runs the command that the arguments name.
 pub fn run(mut arguments: Arguments) -> ExitCode {
-    let ended = arguments.subcommand().map_err(|e| Stop::Usage(e.to_string())).and_then(|name| {
-        match name.as_deref() {
+    let ended = arguments
+        .subcommand()
+        .map_err(|e| Stop::Usage(e.to_string()))
+        .and_then(|name| match name.as_deref() {
             Some("check") => check(arguments),
             Some("fmt") => fmt(arguments),
             Some("diff") => compare(arguments),
@@ -65,8 +67,7 @@
             Some("show") => show(arguments),
             Some(other) => Err(Stop::Usage(format!("unknown command 'plan {other}'"))),
             None => Err(Stop::Usage("a command on plans expected".into())),
-        }
-    });
+        });
     match ended {
         Ok(said) => {
             print!("{said}");
@@ -107,7 +108,9 @@
 }
 
 fn settings(arguments: &mut Arguments) -> Result<Option<Settings>, Stop> {
-    let Some(file) = option(arguments, "--settings")? else { return Ok(None) };
+    let Some(file) = option(arguments, "--settings")? else {
+        return Ok(None);
+    };
     let decoded = config::settings(&file).map_err(|e| Stop::Fault(format!("garnetwall: {e}\n")))?;
     Ok(Some(planning::settings(&decoded)))
 }
@@ -166,7 +169,10 @@
     let changes = diff::diff(&read(&old, None)?.plan, &read(&new, None)?.plan);
     let said = match json {
         true => serde_json::to_string_pretty(&changes).unwrap_or_default() + "\n",
-        false => changes.iter().map(|c| format!("{}: {}\n", c.of, c.text)).collect(),
+        false => changes
+            .iter()
+            .map(|c| format!("{}: {}\n", c.of, c.text))
+            .collect(),
     };
     match changes.is_empty() {
         true => Ok(if json { said } else { String::new() }),
@@ -179,25 +185,41 @@
 
 fn tell(mut arguments: Arguments) -> Result<String, Stop> {
     let settings = settings(&mut arguments)?;
-    let group = option(&mut arguments, "--group")?.ok_or_else(|| Stop::Usage("--group expected".into()))?;
+    let group =
+        option(&mut arguments, "--group")?.ok_or_else(|| Stop::Usage("--group expected".into()))?;
     let tenant = option(&mut arguments, "--tenant")?.unwrap_or_default();
     let client = option(&mut arguments, "--client")?.unwrap_or_else(|| "::".into());
-    let client =
-        client.parse::<IpAddr>().map_err(|_| Stop::Usage(format!("--client {client}: no address")))?;
+    let client = client
+        .parse::<IpAddr>()
+        .map_err(|_| Stop::Usage(format!("--client {client}: no address")))?;
     let key = option(&mut arguments, "--key")?.is_some();
     let data_set = option(&mut arguments, "--data-set")?.unwrap_or_else(|| "0".into());
-    let data_set = data_set.parse().map_err(|_| Stop::Usage(format!("--data-set {data_set}: no number")))?;
+    let data_set = data_set
+        .parse()
+        .map_err(|_| Stop::Usage(format!("--data-set {data_set}: no number")))?;
     let minute = match option(&mut arguments, "--at")? {
         Some(at) => minute(&at).ok_or_else(|| Stop::Usage(format!("--at {at}: HH:MM expected")))?,
         None => {
-            let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let now = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
             (now.as_secs() / 60 % 1440) as u32
         }
     };
     let file = file(&mut arguments, "the file of a plan")?;
     nothing_left(arguments)?;
     let compiled = read(&file, settings.as_ref())?;
-    Ok(explain::explain(&compiled, &Facts { group: &group, tenant: &tenant, client, key, data_set, minute }))
+    Ok(explain::explain(
+        &compiled,
+        &Facts {
+            group: &group,
+            tenant: &tenant,
+            client,
+            key,
+            data_set,
+            minute,
+        },
+    ))
 }
 
 fn minute(text: &str) -> Option<u32> {
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -14,15 +14,19 @@
 /// What the platform's settings say that a plan must fit.
 pub fn settings(decoded: &Decoded) -> Settings {
     let names = &decoded.names;
-    let groups = names.groups.iter().zip(&decoded.settings.groups).map(|(name, group)| SettingsGroup {
-        name: name.clone(),
-        goal: crate::clock::span(group.goal),
-        limit: crate::clock::span(group.limit),
-        in_order: group.in_order,
-        effect: effect(group),
-        kinds: group.kinds.as_ref().map(|list| named(list, &names.kinds)),
-        zones: group.zones.as_ref().map(|list| named(list, &names.zones)),
-    });
+    let groups = names
+        .groups
+        .iter()
+        .zip(&decoded.settings.groups)
+        .map(|(name, group)| SettingsGroup {
+            name: name.clone(),
+            goal: crate::clock::span(group.goal),
+            limit: crate::clock::span(group.limit),
+            in_order: group.in_order,
+            effect: effect(group),
+            kinds: group.kinds.as_ref().map(|list| named(list, &names.kinds)),
+            zones: group.zones.as_ref().map(|list| named(list, &names.zones)),
+        });
     Settings {
         groups: groups.collect(),
         tenants: names.tenants.clone(),
@@ -32,7 +36,10 @@
 }
 
 fn named(list: &[u32], names: &[String]) -> Vec<String> {
-    list.iter().filter_map(|n| names.get(*n as usize)).cloned().collect()
+    list.iter()
+        .filter_map(|n| names.get(*n as usize))
+        .cloned()
+        .collect()
 }
 
 fn effect(group: &ServiceGroup) -> model::Effect {
@@ -46,7 +53,10 @@
                 Scope::Zone => model::Scope::Zone,
                 Scope::Cell => model::Scope::Cell,
             };
-            model::Effect::Referenced { scope, window: crate::clock::span(window) }
+            model::Effect::Referenced {
+                scope,
+                window: crate::clock::span(window),
+            }
         }
     }
 }
@@ -56,7 +66,9 @@
     use garnetwall::api::Effect;
     let one = |(group, name): (&ServiceGroup, &String)| {
         let mut group = group.clone();
-        let Some(rules) = plan.group(name) else { return group };
+        let Some(rules) = plan.group(name) else {
+            return group;
+        };
         if let Some(goal) = rules.goal {
             (group.goal, group.goal_stretch) = (goal.as_secs_f64(), 0.0);
         }
@@ -76,7 +88,10 @@
                     model::Scope::Zone => Scope::Zone,
                     model::Scope::Cell => Scope::Cell,
                 };
-                Effect::Referenced { scope, window: window.as_secs_f64() }
+                Effect::Referenced {
+                    scope,
+                    window: window.as_secs_f64(),
+                }
             }
         };
         group
@@ -109,7 +124,10 @@
 #[derive(Debug, PartialEq)]
 pub enum Turned {
     /// Pushed back, with the reason and a time to come back.
-    Away { reason: String, come_back: Option<Duration> },
+    Away {
+        reason: String,
+        come_back: Option<Duration>,
+    },
     /// Its statement is over what its group may have, in bytes.
     TooLong { most: u64 },
 }
@@ -130,7 +148,10 @@
 impl Planner {
     /// The planner of a gateway that can hold so many batches.
     pub fn new(decoded: &Decoded, plan: Arc<Plan>, room: f64) -> Self {
-        let names = Names { groups: decoded.names.groups.clone(), tenants: decoded.names.tenants.clone() };
+        let names = Names {
+            groups: decoded.names.groups.clone(),
+            tenants: decoded.names.tenants.clone(),
+        };
         let routing = Routing::new(plan, names.clone());
         let mut planner = Planner {
             names,
@@ -150,7 +171,13 @@
         let engines = Engines::new(&routing);
         let first_lane = self.next_lane;
         self.next_lane = first_lane.wrapping_add(routing.lanes().len() as u32);
-        self.versions.push((Arc::new(Version { routing, first_lane }), engines));
+        self.versions.push((
+            Arc::new(Version {
+                routing,
+                first_lane,
+            }),
+            engines,
+        ));
     }
 
     /// Takes up another plan; what the module is to know of lanes.
@@ -177,7 +204,8 @@
         }
         for line in lines {
             let engine = line.listed.engine;
-            self.listed.resize_with(self.listed.len().max(engine + 1), || None);
+            self.listed
+                .resize_with(self.listed.len().max(engine + 1), || None);
             let here = line.listed.condition != Condition::Gone;
             self.listed[engine] = here.then(|| line.clone());
             self.place(engine);
@@ -190,14 +218,20 @@
     fn place(&mut self, engine: usize) {
         let line = self.listed.get(engine).and_then(Option::as_ref);
         let name = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_default();
-        let words =
-            line.map(|l| (name(&self.zones, l.listed.zone as usize), name(&self.kinds, l.listed.kind)));
-        let facts = line.zip(words.as_ref()).map(|(line, (zone, kind))| EngineFacts {
-            id: &line.id,
-            zone,
-            kind,
-            address: line.address.ip(),
+        let words = line.map(|l| {
+            (
+                name(&self.zones, l.listed.zone as usize),
+                name(&self.kinds, l.listed.kind),
+            )
         });
+        let facts = line
+            .zip(words.as_ref())
+            .map(|(line, (zone, kind))| EngineFacts {
+                id: &line.id,
+                zone,
+                kind,
+                address: line.address.ip(),
+            });
         for (version, engines) in &mut self.versions {
             engines.listed(&version.routing, engine, facts.as_ref());
         }
@@ -226,7 +260,10 @@
             let closed = (0..routing.lanes().len()).filter(|n| !routing.lanes()[*n].is_open());
             let told = closed.map(|n| {
                 let tiers = engines.tiers(routing, n);
-                let sets = tiers.iter().map(|tier| EngineSet(tier.words().to_vec())).collect();
+                let sets = tiers
+                    .iter()
+                    .map(|tier| EngineSet(tier.words().to_vec()))
+                    .collect();
                 (version.first_lane.wrapping_add(n as u32), Some(sets))
             });
             told.collect::<Vec<_>>()
@@ -236,22 +273,38 @@
 
     /// Lets a batch in, or says why not. `now` is in Unix seconds.
     pub fn admit(&mut self, now: f64, batch: &Batch) -> Result<Passage, Turned> {
-        let (version, _) = self.versions.last().expect("one is in force from the start on");
+        let (version, _) = self
+            .versions
+            .last()
+            .expect("one is in force from the start on");
         let routing = &version.routing;
         match routing.decide(batch) {
             Verdict::Refused { route } => {
-                let reason = routing.plan().routes[route].refuse.clone().unwrap_or_default();
-                Err(Turned::Away { reason, come_back: None })
+                let reason = routing.plan().routes[route]
+                    .refuse
+                    .clone()
+                    .unwrap_or_default();
+                Err(Turned::Away {
+                    reason,
+                    come_back: None,
+                })
             }
             Verdict::TooLong { most } => Err(Turned::TooLong { most }),
             Verdict::Goes { group, lane, .. } => {
-                let ticket = self.limits.take(routing, time(now), batch).map_err(|over| {
-                    let Over { limit, which, come_back } = over;
-                    Turned::Away {
-                        reason: format!("over the limit {limit} ({which:?})"),
-                        come_back: Some(come_back),
-                    }
-                })?;
+                let ticket = self
+                    .limits
+                    .take(routing, time(now), batch)
+                    .map_err(|over| {
+                        let Over {
+                            limit,
+                            which,
+                            come_back,
+                        } = over;
+                        Turned::Away {
+                            reason: format!("over the limit {limit} ({which:?})"),
+                            come_back: Some(come_back),
+                        }
+                    })?;
                 let open = routing.lanes()[lane].is_open();
                 let limit = |group: usize| routing.rules(group).and_then(|rules| rules.limit);
                 Ok(Passage {
--- a/crates/gateway/src/pulse.rs
+++ b/crates/gateway/src/pulse.rs
@@ -16,7 +16,10 @@
 
 impl Pulse {
     pub fn new(now: f64) -> Pulse {
-        Pulse { last: now, gap: None }
+        Pulse {
+            last: now,
+            gap: None,
+        }
     }
 
     /// It runs now.
--- a/crates/gateway/src/reconnect.rs
+++ b/crates/gateway/src/reconnect.rs
@@ -15,7 +15,10 @@
 impl Reconnect {
     /// `seed` sets a gateway apart from the others of its fleet.
     pub fn new(pause: Duration, seed: u64) -> Self {
-        Reconnect { pause: pause.min(LONGEST_PAUSE), state: seed }
+        Reconnect {
+            pause: pause.min(LONGEST_PAUSE),
+            state: seed,
+        }
     }
 
     /// How long to wait with the next connection where the last was begun so long ago: from begin to begin a whole pause, and
--- a/crates/gateway/src/rows.rs
+++ b/crates/gateway/src/rows.rs
@@ -48,7 +48,9 @@
         }
         true
     };
-    page.iter().all(&mut row) && page.last().is_none_or(|b| *b == b'\n') && std::str::from_utf8(page).is_ok()
+    page.iter().all(&mut row)
+        && page.last().is_none_or(|b| *b == b'\n')
+        && std::str::from_utf8(page).is_ok()
 }
 
 fn write_row(out: &mut Vec<u8>, row: &str) -> Result<(), String> {
--- a/crates/gateway/src/rows/tests.rs
+++ b/crates/gateway/src/rows/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
 
 fn rows(pages: &[&str]) -> Result<Vec<Vec<String>>, String> {
-    let pages: Vec<Bytes> = pages.iter().map(|p| Bytes::copy_from_slice(p.as_bytes())).collect();
+    let pages: Vec<Bytes> = pages
+        .iter()
+        .map(|p| Bytes::copy_from_slice(p.as_bytes()))
+        .collect();
     let json: serde_json::Value = serde_json::from_slice(&answer(&pages)?).expect("JSON");
     Ok(serde_json::from_value(json["data"].clone()).expect("rows of texts"))
 }
@@ -21,7 +24,10 @@
 #[test]
 fn what_is_no_whole_row_is_an_error_never_a_row() {
     for page in ["a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "\n"] {
-        assert!(rows(&[page]).is_err() && !whole(page.as_bytes()), "{page:?}");
+        assert!(
+            rows(&[page]).is_err() && !whole(page.as_bytes()),
+            "{page:?}"
+        );
     }
     assert!(answer(&[Bytes::from_static(&[0xff, b'\t', b'\t', b'\n'])]).is_err());
     assert!(answer(&[Bytes::from(vec![b'a'; RESULT + 1])]).is_err());
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -55,7 +55,10 @@
     pub fn heed(self) -> Heard {
         let (stop, stopped) = watch::channel(false);
         let hangup = Arc::new(Notify::new());
-        let heard = Heard { stop: stopped, hangup: hangup.clone() };
+        let heard = Heard {
+            stop: stopped,
+            hangup: hangup.clone(),
+        };
         tokio::spawn(async move {
             let wake = self.wake.and_then(|pipe| UnixStream::from_std(pipe).ok());
             loop {
@@ -87,7 +90,9 @@
 
 /// Until a handler has written, and reads that away.
 async fn woken(pipe: Option<&UnixStream>) {
-    let Some(pipe) = pipe else { return std::future::pending().await };
+    let Some(pipe) = pipe else {
+        return std::future::pending().await;
+    };
     let mut bytes = [0; 64];
     if pipe.readable().await.is_ok() {
         // What is not read wakes again at once.
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -116,7 +116,11 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let read = ready!(self.poll_read_bytes(cx, buf.initialize_unfilled()))?;
         buf.advance(read);
         Poll::Ready(Ok(()))
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -41,13 +41,20 @@
 
 impl Stalled {
     /// The end of a write as it is, or that of one that has waited too long.
-    pub fn bounded(&mut self, cx: &mut Context, end: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    pub fn bounded(
+        &mut self,
+        cx: &mut Context,
+        end: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
         if end.is_ready() {
             self.0 = None;
             return end;
         }
         let stalled = self.0.get_or_insert_with(|| Box::pin(sleep(STALLED)));
-        stalled.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        stalled
+            .as_mut()
+            .poll(cx)
+            .map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
@@ -128,11 +135,18 @@
         wanted: impl Fn() -> bool + Send + Sync + 'static,
     ) -> Self {
         let (may_begin, wanted) = (Box::new(may_begin), Box::new(wanted));
-        Gate { may_begin, wanted, at: AtomicU8::new(NOT_BEGUN), begun: AtomicBool::new(false) }
+        Gate {
+            may_begin,
+            wanted,
+            at: AtomicU8::new(NOT_BEGUN),
+            begun: AtomicBool::new(false),
+        }
     }
 
     fn moves(&self, from: u8, to: u8) -> bool {
-        self.at.compare_exchange(from, to, Ordering::Relaxed, Ordering::Relaxed).is_ok()
+        self.at
+            .compare_exchange(from, to, Ordering::Relaxed, Ordering::Relaxed)
+            .is_ok()
     }
 
     /// The start is handed over to be written, from now on.
@@ -239,13 +253,21 @@
 }
 
 impl Read for Line {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: ReadBufCursor) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: ReadBufCursor,
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut self.io).poll_read(cx, buf)
     }
 }
 
 impl Write for Line {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.lets_out()?;
         let end = Pin::new(&mut self.io).poll_write(cx, buf);
         self.stalled.bounded(cx, end)
--- a/crates/gateway/src/spacing.rs
+++ b/crates/gateway/src/spacing.rs
@@ -40,7 +40,14 @@
 
 impl Line {
     fn new(came: f64, since: f64) -> Self {
-        Line { last: came, since, full: came, distances: 0, place: came, stranger: false }
+        Line {
+            last: came,
+            since,
+            full: came,
+            distances: 0,
+            place: came,
+            stranger: false,
+        }
     }
 
     fn is_full(&self) -> bool {
@@ -50,13 +57,29 @@
     /// The line once another batch of its key has come. Places that were never seen make long gaps, which only a line that
     /// is known to be full may have.
     fn with(self, came: f64, oldest: f64) -> Self {
-        let since = if came - self.last < CLOSE { self.since } else { came };
+        let since = if came - self.last < CLOSE {
+            self.since
+        } else {
+            came
+        };
         let gap = came - self.place;
         let near = gap < if self.is_full() { oldest } else { CLOSE };
         if near && is_distance(gap) {
-            Line { last: came, since, distances: self.distances + 1, place: came, stranger: false, ..self }
+            Line {
+                last: came,
+                since,
+                distances: self.distances + 1,
+                place: came,
+                stranger: false,
+                ..self
+            }
         } else if near && self.is_full() && !self.stranger {
-            Line { last: came, since, stranger: true, ..self }
+            Line {
+                last: came,
+                since,
+                stranger: true,
+                ..self
+            }
         } else {
             Line::new(came, since)
         }
@@ -77,22 +100,40 @@
 
 impl Spacing {
     pub fn new(room: usize, waits: f64, longest: f64) -> Self {
-        Spacing { keys: HashMap::new(), room, waits, oldest: 2.0 * longest }
+        Spacing {
+            keys: HashMap::new(),
+            room,
+            waits,
+            oldest: 2.0 * longest,
+        }
     }
 
     /// The earliest time that a batch can have been sent at, by when it came, whether others of its key came
     /// just before, and how many batches hold a connection: where all do, it may have waited for one.
     pub fn sent(&mut self, key: Option<u64>, came: f64, in_hand: usize) -> f64 {
-        let waited = if in_hand + NEARLY < self.room { WAITED } else { WAITED.max(self.waits) };
+        let waited = if in_hand + NEARLY < self.room {
+            WAITED
+        } else {
+            WAITED.max(self.waits)
+        };
         let Some(key) = key else { return came - waited };
         if self.keys.len() > MANY {
-            self.keys.retain(|_, line| came - line.last < if line.is_full() { self.oldest } else { CLOSE });
+            self.keys.retain(|_, line| {
+                came - line.last < if line.is_full() { self.oldest } else { CLOSE }
+            });
         }
         let before = self.keys.get(&key);
-        let line = before.map_or_else(|| Line::new(came, came), |line| line.with(came, self.oldest));
+        let line = before.map_or_else(
+            || Line::new(came, came),
+            |line| line.with(came, self.oldest),
+        );
         self.keys.insert(key, line);
         let close = (came - line.since + APART).min(LONGEST_LINE);
-        let full = if line.is_full() && !line.stranger { came - line.full } else { 0.0 };
+        let full = if line.is_full() && !line.stranger {
+            came - line.full
+        } else {
+            0.0
+        };
         came - waited.max(close).max(full)
     }
 }
--- a/crates/gateway/src/statement.rs
+++ b/crates/gateway/src/statement.rs
@@ -5,8 +5,9 @@
 const STAGING: &str = "staging";
 
 /// Words after which a table is named.
-const BEFORE_TABLE: [&str; 9] =
-    ["from", "join", "into", "update", "table", "using", "only", "copy", "truncate"];
+const BEFORE_TABLE: [&str; 9] = [
+    "from", "join", "into", "update", "table", "using", "only", "copy", "truncate",
+];
 /// Words that end the list of tables after `FROM`.
 const AFTER_TABLES: [&str; 14] = [
     "where",
@@ -53,7 +54,9 @@
     let mut open = vec![(true, false, false)];
     let mut before = "";
     for (i, token) in tokens.iter().enumerate() {
-        let Some((clauses, due, list)) = open.last_mut() else { break };
+        let Some((clauses, due, list)) = open.last_mut() else {
+            break;
+        };
         match token {
             Token::Mark('(') => {
                 let next = match tokens.get(i + 1) {
@@ -104,7 +107,10 @@
         return None;
     }
     let (_, digits) = schema.rsplit_once('_')?;
-    digits.parse().ok().filter(|_| digits.bytes().all(|b| b.is_ascii_digit()))
+    digits
+        .parse()
+        .ok()
+        .filter(|_| digits.bytes().all(|b| b.is_ascii_digit()))
 }
 
 fn tokens(text: &str) -> Vec<Token> {
@@ -162,7 +168,11 @@
         }
         let later = rest.trim_start();
         match later.strip_prefix('.') {
-            Some(later) if later.trim_start().starts_with(|c| c == '"' || c == '`' || starts_name(c)) => {
+            Some(later)
+                if later
+                    .trim_start()
+                    .starts_with(|c| c == '"' || c == '`' || starts_name(c)) =>
+            {
                 rest = later.trim_start();
             }
             _ => return (parts, rest),
@@ -203,10 +213,16 @@
 
 /// What follows a dollar-quoted text, or the dollar alone.
 fn after_dollars(text: &str) -> &str {
-    let tag = text[1..].find(|c| !in_name(c) || c == '$').map(|at| &text[..at + 1]);
-    let tag = tag.filter(|tag| text[tag.len()..].starts_with('$')).map(|tag| &text[..tag.len() + 1]);
+    let tag = text[1..]
+        .find(|c| !in_name(c) || c == '$')
+        .map(|at| &text[..at + 1]);
+    let tag = tag
+        .filter(|tag| text[tag.len()..].starts_with('$'))
+        .map(|tag| &text[..tag.len() + 1]);
     match tag {
-        Some(tag) => text[tag.len()..].split_once(tag).map_or("", |(_, later)| later),
+        Some(tag) => text[tag.len()..]
+            .split_once(tag)
+            .map_or("", |(_, later)| later),
         None => &text[1..],
     }
 }
--- a/crates/gateway/src/statement/tests.rs
+++ b/crates/gateway/src/statement/tests.rs
@@ -3,19 +3,46 @@
 #[test]
 fn the_number_of_the_schema_read_or_written_counts() {
     let cases: [(&str, Option<u32>); 16] = [
-        ("SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day", Some(17)),
-        ("insert into load_5.target select * from staging.rows", Some(5)),
+        (
+            "SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day",
+            Some(17),
+        ),
+        (
+            "insert into load_5.target select * from staging.rows",
+            Some(5),
+        ),
         ("UPDATE a_b_12.t SET x = 1", Some(12)),
         ("DELETE FROM s_7 . t", Some(7)),
         ("SELECT 'from x_1.t' FROM \"s_2\".\"t\"", Some(2)),
-        ("SELECT 'it''s from x_1.t' -- from x_3.t\n FROM s_4.t", Some(4)),
-        ("/* from x_1.t /* nested */ from x_2.t */ SELECT 1 FROM s_9.t", Some(9)),
+        (
+            "SELECT 'it''s from x_1.t' -- from x_3.t\n FROM s_4.t",
+            Some(4),
+        ),
+        (
+            "/* from x_1.t /* nested */ from x_2.t */ SELECT 1 FROM s_9.t",
+            Some(9),
+        ),
         ("SELECT t_8.a, \"x_3.y\" FROM s_6.orders t_8", Some(6)),
-        ("SELECT trim(both ' ' FROM t_8.a) FROM s_6.orders t_8", Some(6)),
-        ("SELECT 1 FROM staging.raw r_2 JOIN s_3.t ON r_2.id = t.id", Some(3)),
-        ("SELECT 1 FROM plain, s_11.t WHERE a_4.b IS DISTINCT FROM c_5.d", Some(11)),
-        ("SELECT 1 FROM (SELECT x_1.y FROM s_13.t x_1) AS q_2", Some(13)),
-        ("SELECT $$ from x_1.t $$, $q$ from x_2.t $q$ FROM s_10.t", Some(10)),
+        (
+            "SELECT trim(both ' ' FROM t_8.a) FROM s_6.orders t_8",
+            Some(6),
+        ),
+        (
+            "SELECT 1 FROM staging.raw r_2 JOIN s_3.t ON r_2.id = t.id",
+            Some(3),
+        ),
+        (
+            "SELECT 1 FROM plain, s_11.t WHERE a_4.b IS DISTINCT FROM c_5.d",
+            Some(11),
+        ),
+        (
+            "SELECT 1 FROM (SELECT x_1.y FROM s_13.t x_1) AS q_2",
+            Some(13),
+        ),
+        (
+            "SELECT $$ from x_1.t $$, $q$ from x_2.t $q$ FROM s_10.t",
+            Some(10),
+        ),
         ("SELECT 1.5e3 FROM orders", None),
         ("SELECT 1 FROM staging.t_5", None),
         ("'unended from s_1.t", None),
@@ -27,9 +54,18 @@
 
 #[test]
 fn no_bytes_are_a_fault() {
-    for bytes in
-        [&b"\xff\xfe from s_3.t"[..], b"$", b"\"", b"`a", b"/*", b"--", b"a.", b"$a$", b"((()))))", b""]
-    {
+    for bytes in [
+        &b"\xff\xfe from s_3.t"[..],
+        b"$",
+        b"\"",
+        b"`a",
+        b"/*",
+        b"--",
+        b"a.",
+        b"$a$",
+        b"((()))))",
+        b"",
+    ] {
         data_set(bytes);
     }
 }
--- a/crates/gateway/src/system_fault.rs
+++ b/crates/gateway/src/system_fault.rs
@@ -29,7 +29,13 @@
     is_local(fault)
         || matches!(
             code(fault),
-            Some(Errno::EADDRINUSE | Errno::ECONNABORTED | Errno::EIO | Errno::ENOSPC | Errno::EDQUOT)
+            Some(
+                Errno::EADDRINUSE
+                    | Errno::ECONNABORTED
+                    | Errno::EIO
+                    | Errno::ENOSPC
+                    | Errno::EDQUOT
+            )
         )
 }
 
@@ -39,11 +45,17 @@
 }
 
 fn is_short_of_resources(code: Errno) -> bool {
-    matches!(code, Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM)
+    matches!(
+        code,
+        Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM
+    )
 }
 
 fn is_cut_off(code: Errno) -> bool {
-    matches!(code, Errno::EADDRNOTAVAIL | Errno::ENETDOWN | Errno::ENETUNREACH)
+    matches!(
+        code,
+        Errno::EADDRNOTAVAIL | Errno::ENETDOWN | Errno::ENETUNREACH
+    )
 }
 
 /// Tries something until it succeeds, fails for good, or has failed for [`START_TIMEOUT`].
--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -20,7 +20,10 @@
 /// The helper's addresses come again after 254 numbers, and these tests use more: each has a port of its own.
 fn own_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(10_000);
-    SocketAddr::new(free_address().ip(), NEXT_PORT.fetch_add(1, Ordering::Relaxed))
+    SocketAddr::new(
+        free_address().ip(),
+        NEXT_PORT.fetch_add(1, Ordering::Relaxed),
+    )
 }
 
 /// A valid configuration that names every key that is read.
@@ -41,7 +44,10 @@
     referenced["aim-stretch"] = json!(2.0);
     referenced["zones-only"] = json!(["east"]);
     referenced["allowed-on"] = json!([0]);
-    c["settings"]["categories"].as_array_mut().unwrap().push(referenced);
+    c["settings"]["categories"]
+        .as_array_mut()
+        .unwrap()
+        .push(referenced);
     let domain = &mut c["settings"]["domain"];
     domain["kind-memory-mb"] = json!([32768.0]);
     domain["largest-share"] = json!(0.4);
@@ -58,7 +64,11 @@
 /// Puts a value at a path, also where there is no key yet.
 fn put(config: &mut Value, path: &str, value: Value) {
     let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
-    let parent = if parent.is_empty() { config } else { config.pointer_mut(&pointer(parent)).unwrap() };
+    let parent = if parent.is_empty() {
+        config
+    } else {
+        config.pointer_mut(&pointer(parent)).unwrap()
+    };
     match parent {
         Value::Array(items) => items[key.parse::<usize>().unwrap()] = value,
         object => object[key] = value,
@@ -67,20 +77,35 @@
 
 fn remove(config: &mut Value, path: &str) {
     let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
-    let parent = if parent.is_empty() { config } else { config.pointer_mut(&pointer(parent)).unwrap() };
+    let parent = if parent.is_empty() {
+        config
+    } else {
+        config.pointer_mut(&pointer(parent)).unwrap()
+    };
     parent.as_object_mut().unwrap().remove(key).unwrap();
 }
 
 /// The paths of all values under one, its own first.
 fn paths(value: &Value, at: &str, into: &mut Vec<String>) {
-    let under = |key: &str| if at.is_empty() { key.to_string() } else { format!("{at}.{key}") };
+    let under = |key: &str| {
+        if at.is_empty() {
+            key.to_string()
+        } else {
+            format!("{at}.{key}")
+        }
+    };
     if !at.is_empty() {
         into.push(at.into());
     }
     match value {
-        Value::Object(keys) => keys.iter().for_each(|(key, value)| paths(value, &under(key), into)),
+        Value::Object(keys) => keys
+            .iter()
+            .for_each(|(key, value)| paths(value, &under(key), into)),
         Value::Array(items) => {
-            items.iter().enumerate().for_each(|(i, value)| paths(value, &under(&i.to_string()), into));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, value)| paths(value, &under(&i.to_string()), into));
         }
         _ => {}
     }
@@ -111,7 +136,10 @@
     let said = std::fs::read_to_string(said).unwrap();
     assert_eq!(status.signal(), None, "{what}: {said}");
     assert!(!said.contains("panicked"), "{what}: {said}");
-    assert!(matches!(status.code(), Some(0 | 1)), "{what}: {status}: {said}");
+    assert!(
+        matches!(status.code(), Some(0 | 1)),
+        "{what}: {status}: {said}"
+    );
     (status.success(), said)
 }
 
@@ -130,7 +158,9 @@
     assert_eq!(lines.len(), 1, "{what}: {said}");
     let rest = lines[0].strip_prefix(&format!("garnetwall: configuration {place}: "));
     let rest = rest.unwrap_or_else(|| panic!("{what}: names another place than {place}: {said}"));
-    let (told, remedy) = rest.rsplit_once("; ").unwrap_or_else(|| panic!("{what}: no remedy: {said}"));
+    let (told, remedy) = rest
+        .rsplit_once("; ")
+        .unwrap_or_else(|| panic!("{what}: no remedy: {said}"));
     assert!(told.contains(cause), "{what}: not '{cause}': {said}");
     assert!(remedy.len() > 3, "{what}: {said}");
 }
@@ -147,7 +177,11 @@
         let file = file(config);
         let said = file.with_extension("said");
         let child = serve_from(&file, File::create(&said).unwrap().into());
-        Started { child, said, address: config["listen"].as_str().unwrap().parse().unwrap() }
+        Started {
+            child,
+            said,
+            address: config["listen"].as_str().unwrap().parse().unwrap(),
+        }
     }
 
     /// Until it answers on its health as expected.
@@ -157,13 +191,18 @@
             if let Some(ended) = self.child.try_wait().unwrap() {
                 panic!("{what}: {ended}: {}", self.said());
             }
-            let answer = TcpStream::connect(self.address).ok().and_then(|s| call(s, "GET /healthz", "", ""));
+            let answer = TcpStream::connect(self.address)
+                .ok()
+                .and_then(|s| call(s, "GET /healthz", "", ""));
             if answer.is_some_and(|m| m.first.starts_with(&format!("HTTP/1.1 {status} "))) {
                 return;
             }
             sleep(Duration::from_millis(5));
         }
-        panic!("{what}: never answered {status} on its health: {}", self.said());
+        panic!(
+            "{what}: never answered {status} on its health: {}",
+            self.said()
+        );
     }
 
     /// Sends a batch; the status of its answer, which comes in time.
@@ -172,7 +211,11 @@
         stream.set_read_timeout(Some(LONGEST)).unwrap();
         let answer = call(stream, "POST /v1/report", fields, "SELECT 1");
         let answer = answer.unwrap_or_else(|| panic!("{what}: no answer: {}", self.said()));
-        assert!(self.child.try_wait().unwrap().is_none(), "{what}: {}", self.said());
+        assert!(
+            self.child.try_wait().unwrap().is_none(),
+            "{what}: {}",
+            self.said()
+        );
         Answer::of(answer).status
     }
 
@@ -183,7 +226,11 @@
     /// Stops it as the platform does; it ends well and has not panicked anywhere.
     fn stop(mut self, what: &str) {
         let kill = format!("kill -TERM {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .unwrap()
+            .success());
         let status = ended(&mut self.child, what);
         assert!(status.success(), "{what}: {status}: {}", self.said());
         assert!(!self.said().contains("panicked"), "{what}: {}", self.said());
@@ -204,7 +251,10 @@
 
 impl World {
     fn new() -> World {
-        World { engine: Engine::start(), log: ChangeLog::start() }
+        World {
+            engine: Engine::start(),
+            log: ChangeLog::start(),
+        }
     }
 
     fn config(&self) -> Value {
@@ -245,40 +295,104 @@
         ("settings", json!(null), "an object expected, not null"),
         ("settings", json!([]), "an object expected, not []"),
         ("settings.categories", json!([]), "empty"),
-        ("settings.categories", json!({}), "a list of objects expected"),
-        ("settings.categories", json!("report"), "a list of objects expected"),
+        (
+            "settings.categories",
+            json!({}),
+            "a list of objects expected",
+        ),
+        (
+            "settings.categories",
+            json!("report"),
+            "a list of objects expected",
+        ),
         ("settings.categories.0", json!(3), "an object expected"),
-        ("settings.categories.0.semantics", json!("odd"), "'odd' is unknown"),
+        (
+            "settings.categories.0.semantics",
+            json!("odd"),
+            "'odd' is unknown",
+        ),
         ("settings.categories.0.semantics", json!(null), "missing"),
         ("settings.categories.0.name", json!(null), "missing"),
-        ("settings.categories.1.name", json!("report"), "'report' is there twice"),
+        (
+            "settings.categories.1.name",
+            json!("report"),
+            "'report' is there twice",
+        ),
         ("settings.categories.0.give-up", json!(0), "not more than 0"),
         ("settings.categories.0.give-up", json!(-1), "less than 0"),
-        ("settings.categories.0.give-up", json!("NaN"), "a number expected, not \"NaN\""),
+        (
+            "settings.categories.0.give-up",
+            json!("NaN"),
+            "a number expected, not \"NaN\"",
+        ),
         ("settings.categories.0.give-up", json!(null), "missing"),
-        ("settings.categories.0.give-up", json!(day + 1.0), "more than 86400000"),
+        (
+            "settings.categories.0.give-up",
+            json!(day + 1.0),
+            "more than 86400000",
+        ),
         ("settings.categories.0.goal-time", json!(-1), "less than 0"),
         ("settings.categories.0.worth", json!(-1), "less than 0"),
-        ("settings.categories.0.late-share", json!(-0.1), "less than 0"),
-        ("settings.categories.2.zones-only", json!([7]), "'7' is unknown"),
-        ("settings.categories.2.zones-only", json!(["mars"]), "'mars' is unknown"),
-        ("settings.categories.2.allowed-on", json!([1]), "'1' is unknown"),
-        ("settings.categories.2.allowed-on", json!([{}]), "a name or an index expected"),
+        (
+            "settings.categories.0.late-share",
+            json!(-0.1),
+            "less than 0",
+        ),
+        (
+            "settings.categories.2.zones-only",
+            json!([7]),
+            "'7' is unknown",
+        ),
+        (
+            "settings.categories.2.zones-only",
+            json!(["mars"]),
+            "'mars' is unknown",
+        ),
+        (
+            "settings.categories.2.allowed-on",
+            json!([1]),
+            "'1' is unknown",
+        ),
+        (
+            "settings.categories.2.allowed-on",
+            json!([{}]),
+            "a name or an index expected",
+        ),
         ("settings.tenants", json!({}), "a list of objects expected"),
         ("settings.tenants", json!(["acme"]), "an object expected"),
         ("settings.tenants.0.portion", json!(-0.7), "less than 0"),
         ("settings.tenants.0.quota-per-s", json!(-1), "less than 0"),
         ("settings.tenants.0.name", json!(null), "missing"),
-        ("settings.tenants.1.name", json!("acme"), "'acme' is there twice"),
+        (
+            "settings.tenants.1.name",
+            json!("acme"),
+            "'acme' is there twice",
+        ),
         ("settings.allowed", json!("all"), "an object expected"),
         ("settings.allowed.dial-timeout", json!(0), "not more than 0"),
         ("settings.allowed.max-attempts", json!(0), "less than 1"),
         ("settings.allowed.open-cap", json!(0), "less than 1"),
-        ("settings.allowed.cancelling", json!("perhaps"), "true or false expected"),
-        ("settings.domain.parallelism", json!([-1, 1, 1]), "less than 0"),
-        ("settings.domain.kind-cores", json!(["many"]), "a number expected"),
+        (
+            "settings.allowed.cancelling",
+            json!("perhaps"),
+            "true or false expected",
+        ),
+        (
+            "settings.domain.parallelism",
+            json!([-1, 1, 1]),
+            "less than 0",
+        ),
+        (
+            "settings.domain.kind-cores",
+            json!(["many"]),
+            "a number expected",
+        ),
         ("settings.rules.fall", json!(-1), "less than 0"),
-        ("settings.rules.extra-window", json!("long"), "a number expected"),
+        (
+            "settings.rules.extra-window",
+            json!("long"),
+            "a number expected",
+        ),
         ("settings.kinds", json!([null]), "a text expected, not null"),
         ("limits", json!([]), "an object expected"),
         ("limits.sockets", json!(0), "not from 64"),
@@ -297,12 +411,24 @@
         ("known", json!("all"), "an object expected"),
         ("known.seq", json!(-1), "the number of a change expected"),
         ("known.results", json!({}), "a list expected"),
-        ("known.results.0.seq", json!(9), "goes back or past known.seq"),
-        ("known.results.0.fleet.servers", json!({}), "a list expected"),
+        (
+            "known.results.0.seq",
+            json!(9),
+            "goes back or past known.seq",
+        ),
+        (
+            "known.results.0.fleet.servers",
+            json!({}),
+            "a list expected",
+        ),
         (&at("zone"), json!("mars"), "'mars' is not in the settings"),
         (&at("kind"), json!("huge"), "'huge' is not in the settings"),
         (&at("state"), json!("ASLEEP"), "'ASLEEP' is unknown"),
-        (&at("addr"), json!("nowhere"), "an address with its port expected"),
+        (
+            &at("addr"),
+            json!("nowhere"),
+            "an address with its port expected",
+        ),
         (&at("cell"), json!(-1), "a number expected"),
         (&at("started_ms"), json!(1e308), "a number expected"),
     ];
@@ -324,8 +450,18 @@
 #[test]
 fn a_subset_that_can_not_be_kept_is_refused() {
     let world = World::new();
-    assert_refused(&world.with("subset", json!([])), "subset", "an object expected", "subset=[]");
-    assert_refused(&world.with("subset", json!({})), "subset.size", "missing", "subset={}");
+    assert_refused(
+        &world.with("subset", json!([])),
+        "subset",
+        "an object expected",
+        "subset=[]",
+    );
+    assert_refused(
+        &world.with("subset", json!({})),
+        "subset.size",
+        "missing",
+        "subset={}",
+    );
     for (key, value, cause) in [
         ("size", json!(0), "0 is not from 1"),
         ("size", json!(-1), "-1 is not from 1"),
@@ -333,7 +469,11 @@
         ("size", json!(u64::MAX), "is not from 1"),
         ("size", json!("all"), "a number expected, not \"all\""),
         ("class_floor", json!(-1), "-1 is not from 0"),
-        ("class_floor", json!(81), "81 engines of each class are more than the subset.size of 80"),
+        (
+            "class_floor",
+            json!(81),
+            "81 engines of each class are more than the subset.size of 80",
+        ),
         ("class_floor", json!([]), "a number expected, not []"),
         ("reserve", json!(1e308), "is not from 0"),
         ("reserve", json!("some"), "a number expected"),
@@ -350,14 +490,27 @@
         let mut subset = json!({"size": 80});
         subset[key] = value.clone();
         let place = format!("subset.{key}");
-        assert_refused(&world.with("subset", subset), &place, cause, &format!("{place}={value}"));
+        assert_refused(
+            &world.with("subset", subset),
+            &place,
+            cause,
+            &format!("{place}={value}"),
+        );
     }
 }
 
 #[test]
 fn missing_keys_are_refused() {
     let world = World::new();
-    for key in ["name", "listen", "seed", "changelog", "settings", "known.seq", "known.results"] {
+    for key in [
+        "name",
+        "listen",
+        "seed",
+        "changelog",
+        "settings",
+        "known.seq",
+        "known.results",
+    ] {
         let mut config = world.config();
         remove(&mut config, key);
         assert_refused(&config, key, "missing", key);
@@ -371,7 +524,10 @@
 fn numbers_of_the_known_changes_go_up() {
     let world = World::new();
     let events = |numbers: &[u64]| {
-        numbers.iter().map(|n| change(*n, *n == numbers[0], &[world.line("s-1")])).collect::<Vec<_>>()
+        numbers
+            .iter()
+            .map(|n| change(*n, *n == numbers[0], &[world.line("s-1")]))
+            .collect::<Vec<_>>()
     };
     for (numbers, last, fault) in [
         (&[3, 2][..], 3, Some("known.results.1.seq")),
@@ -394,28 +550,55 @@
     let files: &[(&str, &[u8], &str)] = &[
         ("empty", b"", "not JSON"),
         ("cut off", b"{\"name\": \"n0\", ", "not JSON"),
-        ("not a number", b"{\"settings\": {\"categories\": [{\"give-up\": NaN}]}}", "not JSON"),
-        ("past all numbers", b"{\"settings\": {\"balancers\": 1e999}}", "not JSON"),
+        (
+            "not a number",
+            b"{\"settings\": {\"categories\": [{\"give-up\": NaN}]}}",
+            "not JSON",
+        ),
+        (
+            "past all numbers",
+            b"{\"settings\": {\"balancers\": 1e999}}",
+            "not JSON",
+        ),
         ("no UTF-8", b"{\"name\": \"\xff\xfe\"}", "not JSON"),
         ("deep", deep.as_bytes(), "not JSON"),
-        ("a list", b"[]", "configuration file: an object expected, not []"),
-        ("null", b"null", "configuration file: an object expected, not null"),
+        (
+            "a list",
+            b"[]",
+            "configuration file: an object expected, not []",
+        ),
+        (
+            "null",
+            b"null",
+            "configuration file: an object expected, not null",
+        ),
     ];
     for (what, bytes, cause) in files {
         let path = file(&json!({}));
         std::fs::write(&path, bytes).unwrap();
         for command in ["check-config", "serve"] {
             let (good, said) = run(command, &path, what);
-            assert!(!good && said.contains(cause) && said.contains("; "), "{what}: {said}");
+            assert!(
+                !good && said.contains(cause) && said.contains("; "),
+                "{what}: {said}"
+            );
             let place = cause.starts_with("configuration") || said.contains(path.to_str().unwrap());
             assert!(place, "{what}: {said}");
         }
     }
-    for path in [std::env::temp_dir(), file(&json!({})).with_extension("gone")] {
-        let child = program(&["check-config", "--config", path.to_str().unwrap()]).output().unwrap();
+    for path in [
+        std::env::temp_dir(),
+        file(&json!({})).with_extension("gone"),
+    ] {
+        let child = program(&["check-config", "--config", path.to_str().unwrap()])
+            .output()
+            .unwrap();
         let said = String::from_utf8(child.stderr).unwrap();
         assert_eq!(child.status.code(), Some(1), "{said}");
-        assert!(said.contains(path.to_str().unwrap()) && said.contains("; name a file"), "{said}");
+        assert!(
+            said.contains(path.to_str().unwrap()) && said.contains("; name a file"),
+            "{said}"
+        );
     }
 }
 
@@ -423,10 +606,15 @@
 fn what_is_odd_but_clear_is_served() {
     let world = World::new();
     let many = |n: usize| {
-        let address = |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, (i % 250) as u8 + 1], 4100));
-        (0..n).map(|i| line(&format!("s-{i}"), address(i), "SERVING")).collect::<Vec<_>>()
+        let address =
+            |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, (i % 250) as u8 + 1], 4100));
+        (0..n)
+            .map(|i| line(&format!("s-{i}"), address(i), "SERVING"))
+            .collect::<Vec<_>>()
     };
-    let peers: Vec<String> = (0..1024).map(|i| format!("10.3.{}.{}:7946", i / 250, i % 250 + 1)).collect();
+    let peers: Vec<String> = (0..1024)
+        .map(|i| format!("10.3.{}.{}:7946", i / 250, i % 250 + 1))
+        .collect();
     let cold = json!({"id": "s-1", "addr": world.engine.address.to_string(), "state": "SERVING"});
     // Whether a batch comes back with its rows; where not, it has another answer.
     let served: &[(&str, Value, bool)] = &[
@@ -491,7 +679,8 @@
     std::thread::scope(|scope| {
         for part in served.chunks(served.len().div_ceil(4)) {
             scope.spawn(|| {
-                part.iter().for_each(|(what, config, returned)| assert_served(what, config, *returned))
+                part.iter()
+                    .for_each(|(what, config, returned)| assert_served(what, config, *returned))
             });
         }
     });
@@ -504,11 +693,17 @@
     let mut gateway = Started::by(&config);
     gateway.healthy(200, what);
     // Its client waits for all the time that its group allows.
-    let allowed = config["settings"]["categories"][0]["give-up"].as_f64().unwrap();
+    let allowed = config["settings"]["categories"][0]["give-up"]
+        .as_f64()
+        .unwrap();
     let team = config["settings"]["tenants"][0].is_object();
     let mut batch = || {
         let fields = fields(&new_id(), allowed as u32);
-        let fields = if team { fields } else { fields.replace("X-Team: acme\r\n", "") };
+        let fields = if team {
+            fields
+        } else {
+            fields.replace("X-Team: acme\r\n", "")
+        };
         gateway.batch(&fields, what)
     };
     let begun = Instant::now();
@@ -517,7 +712,11 @@
     while returned && status == 503 && begun.elapsed() < LONGEST {
         status = batch();
     }
-    let good = if returned { status == 200 } else { status == 503 || status == 500 };
+    let good = if returned {
+        status == 200
+    } else {
+        status == 503 || status == 500
+    };
     assert!(good, "{what}: {status}: {}", gateway.said());
     gateway.stop(what);
 }
@@ -526,7 +725,11 @@
 #[test]
 fn without_a_list_of_engines_it_waits_for_one() {
     let world = World::new();
-    for known in [json!(null), json!({"seq": 0, "results": []}), json!({"seq": 1, "results": [{"seq": 1}]})] {
+    for known in [
+        json!(null),
+        json!({"seq": 0, "results": []}),
+        json!({"seq": 1, "results": [{"seq": 1}]}),
+    ] {
         let what = format!("known {known}");
         let mut config = world.with("known", known);
         config["listen"] = json!(own_address().to_string());
@@ -546,7 +749,14 @@
     let mut all = Vec::new();
     paths(&base, "", &mut all);
     assert!(all.len() > 100, "{}", all.len());
-    let wrong = [json!(null), json!("odd"), json!(-1), json!(1e308), json!([]), json!({})];
+    let wrong = [
+        json!(null),
+        json!("odd"),
+        json!(-1),
+        json!(1e308),
+        json!([]),
+        json!({}),
+    ];
     let (mut refused, mut served) = (0, 0);
     for path in &all {
         for value in &wrong {
@@ -561,19 +771,31 @@
                 let (place, rest) = rest.split_once(": ").unwrap();
                 let root = place.split('.').next().unwrap();
                 assert!(base.get(root).is_some(), "{what}: no such place: {said}");
-                assert!(rest.contains("; ") && said.lines().count() == 1, "{what}: {said}");
+                assert!(
+                    rest.contains("; ") && said.lines().count() == 1,
+                    "{what}: {said}"
+                );
                 continue;
             }
             served += 1;
             assert!(said.is_empty(), "{what}: {said}");
             config["listen"] = json!(own_address().to_string());
             let mut gateway = Started::by(&config);
-            let starting = config["known"]["results"].as_array().is_none_or(Vec::is_empty);
+            let starting = config["known"]["results"]
+                .as_array()
+                .is_none_or(Vec::is_empty);
             gateway.healthy(if starting { 503 } else { 200 }, &what);
             gateway.batch(&fields(&new_id(), 200), &what);
-            assert!(!gateway.said().contains("panicked"), "{what}: {}", gateway.said());
+            assert!(
+                !gateway.said().contains("panicked"),
+                "{what}: {}",
+                gateway.said()
+            );
         }
     }
     println!("{refused} refused, {served} served");
-    assert!(refused > 200 && served > 50, "{refused} refused, {served} served");
+    assert!(
+        refused > 200 && served > 50,
+        "{refused} refused, {served} served"
+    );
 }
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -36,8 +36,11 @@
 impl Sink {
     fn start() -> Sink {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let sink =
-            Sink { address: listener.local_addr().unwrap(), came: Arc::default(), over: Arc::default() };
+        let sink = Sink {
+            address: listener.local_addr().unwrap(),
+            came: Arc::default(),
+            over: Arc::default(),
+        };
         let shared = sink.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -54,7 +57,9 @@
             let (first, fields) = head(&mut reader)?;
             let answer = match first.starts_with("POST") {
                 true => self.post(&mut reader, &stream, &fields)?,
-                false if first.contains("/stats") => http("200 OK", "X-Stats: queue:0;util:0.1\r\n", ""),
+                false if first.contains("/stats") => {
+                    http("200 OK", "X-Stats: queue:0;util:0.1\r\n", "")
+                }
                 false if first.starts_with("DELETE") => http("204 No Content", "", ""),
                 false => http("500 Oops", "", ""),
             };
@@ -70,13 +75,19 @@
         fields: &HashMap<String, String>,
     ) -> Option<String> {
         let id = fields["x-trace"].clone();
-        let told = fields.get("content-length").and_then(|n| n.parse::<usize>().ok());
+        let told = fields
+            .get("content-length")
+            .and_then(|n| n.parse::<usize>().ok());
         let again = self.over.lock().unwrap().insert(id, true).is_some();
         let mut sum = crc32fast::Hasher::new();
         let (mut bytes, mut how) = (0, String::new());
         let n = {
             let mut came = self.came.lock().unwrap();
-            came.push(Came { bytes: 0, sum: 0, whole: false });
+            came.push(Came {
+                bytes: 0,
+                sum: 0,
+                whole: false,
+            });
             came.len() - 1
         };
         let whole = read_body(reader, told, |part| {
@@ -89,7 +100,11 @@
             let early = how.contains("/* early */") && !again;
             !breaks && !early
         });
-        self.came.lock().unwrap()[n] = Came { bytes, sum: sum.finalize(), whole };
+        self.came.lock().unwrap()[n] = Came {
+            bytes,
+            sum: sum.finalize(),
+            whole,
+        };
         let asks = |word: &str| how.contains(&format!("/* {word} */"));
         if !whole && asks("early") {
             return Some(http("503 Full", "X-Declined: 1\r\n", ""));
@@ -113,7 +128,11 @@
 fn head(reader: &mut impl BufRead) -> Option<(String, HashMap<String, String>)> {
     let mut line = || {
         let mut line = String::new();
-        reader.read_line(&mut line).ok().filter(|n| *n > 0).map(|_| line.trim_end().to_string())
+        reader
+            .read_line(&mut line)
+            .ok()
+            .filter(|n| *n > 0)
+            .map(|_| line.trim_end().to_string())
     };
     let first = line()?;
     let mut fields = HashMap::new();
@@ -124,10 +143,16 @@
 }
 
 /// Reads a body of a told length, or in chunks, until it ends or `part` wants no more; whether it came whole.
-fn read_body(reader: &mut impl BufRead, told: Option<usize>, mut part: impl FnMut(&[u8]) -> bool) -> bool {
+fn read_body(
+    reader: &mut impl BufRead,
+    told: Option<usize>,
+    mut part: impl FnMut(&[u8]) -> bool,
+) -> bool {
     let mut some = |reader: &mut dyn BufRead, mut left: usize| {
         while left > 0 {
-            let Ok(bytes) = reader.fill_buf() else { return false };
+            let Ok(bytes) = reader.fill_buf() else {
+                return false;
+            };
             let n = bytes.len().min(left);
             if n == 0 || !part(&bytes[..n]) {
                 return false;
@@ -145,7 +170,9 @@
         if reader.read_line(&mut line).is_err() {
             return false;
         }
-        let Ok(length) = usize::from_str_radix(line.trim(), 16) else { return false };
+        let Ok(length) = usize::from_str_radix(line.trim(), 16) else {
+            return false;
+        };
         if !some(reader, length) || reader.read_line(&mut String::new()).is_err() {
             return false;
         }
@@ -191,7 +218,8 @@
         let at = sink.address;
         let service = Service::by(
             |config| {
-                config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at.to_string());
+                config["known"]["results"][0]["fleet"]["servers"][0]["addr"] =
+                    json!(at.to_string());
                 config["limits"]["memory_mb"] = json!(64);
                 for n in 0..2 {
                     config["settings"]["categories"][n]["give-up"] = json!(60_000.0);
@@ -203,7 +231,10 @@
                 let run = format!("{before} exec {gateway} serve --plan {}", plan.display());
                 let mut command = Command::new("sh");
                 command.args(["-c", &run]).env("PROXY_CONFIG", file(config));
-                command.stderr(std::fs::File::create(&log).unwrap()).spawn().unwrap()
+                command
+                    .stderr(std::fs::File::create(&log).unwrap())
+                    .spawn()
+                    .unwrap()
             },
         );
         Storing { service, sink, log }
@@ -212,20 +243,30 @@
     fn sends(&self, group: &str, body: &[u8]) -> Answer {
         let stream = self.service.open();
         let fields = fields(&new_id(), 60_000);
-        let head =
-            format!("POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
+            body.len()
+        );
         let mut out = stream.try_clone().unwrap();
         // An answer may come before all is sent; then nobody reads on.
-        let sent = out.write_all(head.as_bytes()).and_then(|()| out.write_all(body));
+        let sent = out
+            .write_all(head.as_bytes())
+            .and_then(|()| out.write_all(body));
         let answer = read_message(&mut BufReader::new(stream));
         Answer::of(answer.unwrap_or_else(|| panic!("an answer; sent: {sent:?}")))
     }
 
     /// The most memory that the gateway has had, in MiB.
     fn peak(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.service.child.id())).unwrap();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.service.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
-        line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() / KIB
+        line.split_whitespace()
+            .nth(1)
+            .unwrap()
+            .parse::<usize>()
+            .unwrap()
+            / KIB
     }
 }
 
@@ -241,8 +282,16 @@
             let body = body(how, size);
             let answer = s.sends("report", &body);
             assert!(answer.returned(), "{size} {how}: {answer:?}");
-            let wanted = Came { bytes: size, sum: sum(&body), whole: true };
-            assert_eq!(s.sink.came()[before..], [wanted.clone(), wanted], "{size} {how}");
+            let wanted = Came {
+                bytes: size,
+                sum: sum(&body),
+                whole: true,
+            };
+            assert_eq!(
+                s.sink.came()[before..],
+                [wanted.clone(), wanted],
+                "{size} {how}"
+            );
         }
     }
     let peak = s.peak();
@@ -250,10 +299,15 @@
     println!("{peak} MiB at the most");
     s.service.signal("TERM");
     until("the counts", || {
-        std::fs::read_to_string(&s.log).unwrap().contains("place=File bodies=4 further=4 missed=0")
+        std::fs::read_to_string(&s.log)
+            .unwrap()
+            .contains("place=File bodies=4 further=4 missed=0")
     });
     let log = std::fs::read_to_string(&s.log).unwrap();
-    assert!(log.contains("group=\"report\" place=Memory bodies=4 further=4 missed=0"), "{log}");
+    assert!(
+        log.contains("group=\"report\" place=Memory bodies=4 further=4 missed=0"),
+        "{log}"
+    );
 }
 
 /// The connection breaks in the middle of the body: nothing ran. What is kept goes again; a once-only body was let go
@@ -266,7 +320,14 @@
     assert!(answer.returned(), "{answer:?}");
     let came = s.sink.came();
     assert!(!came[0].whole && came[0].bytes >= 50 * MIB, "{came:?}");
-    assert_eq!(came[1], Came { bytes: 100 * MIB, sum: sum(&long), whole: true });
+    assert_eq!(
+        came[1],
+        Came {
+            bytes: 100 * MIB,
+            sum: sum(&long),
+            whole: true
+        }
+    );
     let answer = s.sends("load", &long);
     assert_eq!(
         (answer.status, s.sink.came().len()),
@@ -274,7 +335,11 @@
         "it never ran, and is not there any more: {answer:?}"
     );
     let answer = s.sends("load", &body("fails", MIB));
-    assert_eq!((answer.status, s.sink.came().len()), (500, 4), "it may have run");
+    assert_eq!(
+        (answer.status, s.sink.came().len()),
+        (500, 4),
+        "it may have run"
+    );
     assert!(s.sends("load", &body("works", MIB)).returned());
 }
 
@@ -286,7 +351,10 @@
     let answer = s.sends("report", &long);
     assert!(answer.returned(), "{answer:?}");
     let came = s.sink.came();
-    assert_eq!((came.len(), came[0].whole, came[1].sum), (2, false, sum(&long)));
+    assert_eq!(
+        (came.len(), came[0].whole, came[1].sum),
+        (2, false, sum(&long))
+    );
 }
 
 /// Without files, and too long for memory: it passes through once.
@@ -295,9 +363,20 @@
     let s = Storing::start("  memory 1MiB\n  batch-memory 512KiB\n  batch 100MiB", "");
     let long = body("works", 50 * MIB);
     assert!(s.sends("report", &long).returned());
-    assert_eq!(s.sink.came(), [Came { bytes: 50 * MIB, sum: sum(&long), whole: true }]);
+    assert_eq!(
+        s.sink.came(),
+        [Came {
+            bytes: 50 * MIB,
+            sum: sum(&long),
+            whole: true
+        }]
+    );
     let answer = s.sends("report", &body("declines", 5 * MIB));
-    assert_eq!((answer.status, s.sink.came().len()), (503, 2), "pushed back, as nothing ran: {answer:?}");
+    assert_eq!(
+        (answer.status, s.sink.came().len()),
+        (503, 2),
+        "pushed back, as nothing ran: {answer:?}"
+    );
     assert_eq!(s.sends("report", &body("works", 101 * MIB)).status, 413);
     assert!(s.peak() < 40, "{} MiB", s.peak());
     let kept = s.sends("report", &body("declines", 400 * KIB));
@@ -311,10 +390,20 @@
     let long = body("works", 40 * MIB);
     let answer = s.sends("report", &long);
     assert!(answer.returned(), "{answer:?}");
-    assert_eq!(s.sink.came(), [Came { bytes: 40 * MIB, sum: sum(&long), whole: true }]);
+    assert_eq!(
+        s.sink.came(),
+        [Came {
+            bytes: 40 * MIB,
+            sum: sum(&long),
+            whole: true
+        }]
+    );
     let answer = s.sends("report", &body("declines", 40 * MIB));
     assert_eq!((answer.status, s.sink.came().len()), (503, 2), "{answer:?}");
-    assert!(s.sends("report", &body("declines", 3 * MIB)).returned(), "what fits is kept");
+    assert!(
+        s.sends("report", &body("declines", 3 * MIB)).returned(),
+        "what fits is kept"
+    );
 }
 
 #[test]
@@ -324,8 +413,10 @@
         let before = s.sink.came().len();
         let stream = s.service.open();
         let fields = fields(&new_id(), 60_000);
-        let head =
-            format!("POST /v1/load HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n", 2 * size);
+        let head = format!(
+            "POST /v1/load HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
+            2 * size
+        );
         (&stream).write_all(head.as_bytes()).unwrap();
         (&stream).write_all(&body("works", size)).unwrap();
         until("the start", || s.sink.came().len() > before);
@@ -333,9 +424,16 @@
         let mut rest = Vec::new();
         let _ = (&stream).read_to_end(&mut rest);
         sleep(Duration::from_millis(100));
-        assert!(s.sink.came()[before..].iter().all(|c| !c.whole), "{:?}", s.sink.came());
+        assert!(
+            s.sink.came()[before..].iter().all(|c| !c.whole),
+            "{:?}",
+            s.sink.came()
+        );
     }
-    assert!(s.sends("load", &body("works", MIB)).returned(), "the next is not troubled");
+    assert!(
+        s.sends("load", &body("works", MIB)).returned(),
+        "the next is not troubled"
+    );
 }
 
 /// A client that is gone in the middle of its body: the engine's connection is broken off at once, not at the limit.
@@ -344,7 +442,10 @@
     let s = Storing::start(FILES, "");
     let stream = s.service.open();
     let fields = fields(&new_id(), 60_000);
-    let head = format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n", 9 * MIB);
+    let head = format!(
+        "POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
+        9 * MIB
+    );
     (&stream).write_all(head.as_bytes()).unwrap();
     (&stream).write_all(&body("works", 3 * MIB)).unwrap();
     until("the start", || s.sink.came().len() == 1);
@@ -382,7 +483,11 @@
             let answer = answer.unwrap_or_else(|| panic!("an answer: {sent:?}"));
             match allowed {
                 true => {
-                    let wanted = Came { bytes: body.len(), sum: sum(&body), whole: true };
+                    let wanted = Came {
+                        bytes: body.len(),
+                        sum: sum(&body),
+                        whole: true,
+                    };
                     assert!(answer.returned(), "{size}: {answer:?}");
                     assert_eq!(to.sink.came()[before..], [wanted.clone(), wanted]);
                 }
@@ -399,12 +504,17 @@
         "  memory 8MiB\n  batch-memory 512KiB\n  files 24MiB\n  directory \"FOLDER\"\n  batch 2MiB\n  must-keep report",
         "",
     );
-    let count = |wanted: u16, answers: &[u16]| answers.iter().filter(|status| **status == wanted).count();
+    let count =
+        |wanted: u16, answers: &[u16]| answers.iter().filter(|status| **status == wanted).count();
     let mut answers = Vec::new();
     for round in 0..10usize {
         let statuses: Vec<u16> = std::thread::scope(|scope| {
             let send = |n: usize| {
-                let group = if n.is_multiple_of(2) { "report" } else { "load" };
+                let group = if n.is_multiple_of(2) {
+                    "report"
+                } else {
+                    "load"
+                };
                 let size = 300 * KIB + (n * 7919 + round * 104_729) % (900 * KIB);
                 s.sends(group, &body("works", size)).status
             };
@@ -416,7 +526,10 @@
     let (returned, pushed_back) = (count(200, &answers), count(503, &answers));
     assert_eq!(returned + pushed_back, answers.len(), "{answers:?}");
     let whole = s.sink.came().iter().filter(|c| c.whole).count();
-    assert!(returned > 100 && whole == returned, "{returned} returned, {whole} came whole");
+    assert!(
+        returned > 100 && whole == returned,
+        "{returned} returned, {whole} came whole"
+    );
     assert!(s.peak() < 64, "{} MiB", s.peak());
     println!(
         "of {} bodies {returned} returned, {pushed_back} pushed back, {} MiB at most",
--- a/crates/gateway/tests/closing.rs
+++ b/crates/gateway/tests/closing.rs
@@ -17,14 +17,18 @@
 }
 
 fn answered(stream: &TcpStream) -> Option<Answer> {
-    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     read_message(&mut BufReader::new(stream)).map(Answer::of)
 }
 
 /// A connection that is kept after one answer.
 fn kept(service: &Service) -> TcpStream {
     let stream = service.open();
-    (&stream).write_all(text(&new_id(), "SELECT 1").as_bytes()).unwrap();
+    (&stream)
+        .write_all(text(&new_id(), "SELECT 1").as_bytes())
+        .unwrap();
     assert!(answered(&stream).expect("an answer").returned());
     stream
 }
@@ -38,12 +42,16 @@
 #[test]
 fn connections_that_wait_for_a_seat_when_accepting_ends_are_answered() {
     let service = Service::with(|config| config["limits"]["sockets"] = json!(64));
-    let calls: Vec<String> = (0..26).map(|_| text(&new_id(), "SELECT 1 FROM sales_1.orders")).collect();
+    let calls: Vec<String> = (0..26)
+        .map(|_| text(&new_id(), "SELECT 1 FROM sales_1.orders"))
+        .collect();
     let coming: Vec<TcpStream> = calls
         .iter()
         .map(|call| {
             let stream = service.open();
-            (&stream).write_all(&call.as_bytes()[..call.len() - 5]).unwrap();
+            (&stream)
+                .write_all(&call.as_bytes()[..call.len() - 5])
+                .unwrap();
             stream
         })
         .collect();
@@ -54,16 +62,23 @@
     let waiting: Vec<TcpStream> = (0..4)
         .map(|_| {
             let stream = service.open();
-            (&stream).write_all(text(&new_id(), "SELECT 2").as_bytes()).unwrap();
+            (&stream)
+                .write_all(text(&new_id(), "SELECT 2").as_bytes())
+                .unwrap();
             stream
         })
         .collect();
     at(term + ms(1000));
     for (mut stream, call) in coming.iter().zip(&calls) {
-        stream.write_all(&call.as_bytes()[call.len() - 5..]).unwrap();
+        stream
+            .write_all(&call.as_bytes()[call.len() - 5..])
+            .unwrap();
     }
     for (n, stream) in coming.iter().chain(&waiting).enumerate() {
-        assert!(answered(stream).is_some(), "call {n} was reset or closed with no answer");
+        assert!(
+            answered(stream).is_some(),
+            "call {n} was reset or closed with no answer"
+        );
     }
 }
 
@@ -82,12 +97,17 @@
         }
         for stream in &kept {
             let mut stream = stream;
-            stream.write_all(text(&new_id(), "SELECT 2").as_bytes()).unwrap();
+            stream
+                .write_all(text(&new_id(), "SELECT 2").as_bytes())
+                .unwrap();
         }
         at(term + ms(900));
         service.signal("CONT");
         for (n, stream) in kept.iter().enumerate() {
-            assert!(answered(stream).is_some_and(|a| a.returned()), "call {n} was not answered");
+            assert!(
+                answered(stream).is_some_and(|a| a.returned()),
+                "call {n} was not answered"
+            );
         }
         assert!(service.child.wait().unwrap().success());
         true
@@ -118,12 +138,18 @@
     let mut stream = kept(&service);
     service.signal("TERM");
     let mut nothing = [0; 1];
-    stream.set_read_timeout(Some(Duration::from_secs(3))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(3)))
+        .unwrap();
     assert_eq!(stream.read(&mut nothing).expect("an orderly end"), 0);
     let id = new_id();
     let _ = stream.write_all(text(&id, "SELECT 2").as_bytes());
     sleep(ms(300));
-    assert_eq!(service.engine.calls("POST"), 1, "only the first was sent on");
+    assert_eq!(
+        service.engine.calls("POST"),
+        1,
+        "only the first was sent on"
+    );
 }
 
 /// All seats are held by idle connections. On the one that has been idle longest a call has come, unread yet, when a new
@@ -134,13 +160,23 @@
     let idle: Vec<TcpStream> = (0..26).map(|_| kept(&service)).collect();
     service.stops();
     let mut oldest = &idle[0];
-    oldest.write_all(text(&new_id(), "SELECT 2").as_bytes()).unwrap();
+    oldest
+        .write_all(text(&new_id(), "SELECT 2").as_bytes())
+        .unwrap();
     let new = service.open();
-    (&new).write_all(text(&new_id(), "SELECT 3").as_bytes()).unwrap();
+    (&new)
+        .write_all(text(&new_id(), "SELECT 3").as_bytes())
+        .unwrap();
     sleep(ms(150));
     service.signal("CONT");
-    assert!(answered(oldest).is_some_and(|a| a.returned()), "its call was lost");
-    assert!(answered(&new).is_some_and(|a| a.returned()), "the new one is served");
+    assert!(
+        answered(oldest).is_some_and(|a| a.returned()),
+        "its call was lost"
+    );
+    assert!(
+        answered(&new).is_some_and(|a| a.returned()),
+        "the new one is served"
+    );
 }
 
 /// Half of a call has come on the connection that is to give way.
@@ -154,10 +190,18 @@
     oldest.write_all(first.as_bytes()).unwrap();
     sleep(ms(50));
     let new = service.open();
-    (&new).write_all(text(&new_id(), "SELECT 3").as_bytes()).unwrap();
-    assert!(answered(&new).is_some_and(|a| a.returned()), "the new one is served");
+    (&new)
+        .write_all(text(&new_id(), "SELECT 3").as_bytes())
+        .unwrap();
+    assert!(
+        answered(&new).is_some_and(|a| a.returned()),
+        "the new one is served"
+    );
     oldest.write_all(rest.as_bytes()).unwrap();
-    assert!(answered(oldest).is_some_and(|a| a.returned()), "its call was lost");
+    assert!(
+        answered(oldest).is_some_and(|a| a.returned()),
+        "its call was lost"
+    );
 }
 
 /// A client sends much more after a call that ends its connection: it can read its answer all the same.
@@ -166,7 +210,8 @@
     let service = Service::start();
     for _ in 0..5 {
         let stream = service.open();
-        let mut flood = b"POST /v1/report HTTP/1.1\r\nHost: g\r\nContent-Length: 999999999\r\n\r\n".to_vec();
+        let mut flood =
+            b"POST /v1/report HTTP/1.1\r\nHost: g\r\nContent-Length: 999999999\r\n\r\n".to_vec();
         flood.resize(2 << 20, b'x');
         let writer = stream.try_clone().unwrap();
         let writing = std::thread::spawn(move || {
@@ -188,10 +233,16 @@
     for _ in 0..5 {
         service.signal("HUP");
     }
-    (&stream).write_all(text(&new_id(), "SELECT 2").as_bytes()).unwrap();
+    (&stream)
+        .write_all(text(&new_id(), "SELECT 2").as_bytes())
+        .unwrap();
     assert!(answered(&stream).expect("an answer").returned());
     assert!(service.child.wait().unwrap().success());
-    assert!(term.elapsed() < ms(3700), "ended after {:?}", term.elapsed());
+    assert!(
+        term.elapsed() < ms(3700),
+        "ended after {:?}",
+        term.elapsed()
+    );
 }
 
 /// The earliest kill comes soon after SIGTERM where deadlines are short; clients go on using their connections until then.
@@ -204,8 +255,9 @@
             }
         });
         let address = service.address;
-        let clients: Vec<_> =
-            (0..8).map(|_| std::thread::spawn(move || asks_until_closed(address, deadline))).collect();
+        let clients: Vec<_> = (0..8)
+            .map(|_| std::thread::spawn(move || asks_until_closed(address, deadline)))
+            .collect();
         sleep(ms(100));
         service.signal("TERM");
         let term = Instant::now();
@@ -225,17 +277,23 @@
 /// Asks on one connection until that ends; a query may only go unanswered where it crossed the end.
 fn asks_until_closed(address: std::net::SocketAddr, deadline: u32) -> usize {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     for asked in 0.. {
         let (fields, sent) = (fields(&new_id(), deadline), Instant::now());
-        let call =
-            format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 8\r\n\r\nSELECT 1");
+        let call = format!(
+            "POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 8\r\n\r\nSELECT 1"
+        );
         if (&stream).write_all(call.as_bytes()).is_err() {
             return asked;
         }
         if read_message(&mut reader).is_none() {
-            assert!(sent.elapsed() < ms(50), "a query was read and its connection closed");
+            assert!(
+                sent.elapsed() < ms(50),
+                "a query was read and its connection closed"
+            );
             return asked;
         }
         sleep(ms(7));
@@ -252,5 +310,9 @@
     (&stream).write_all(&call.as_bytes()[..40]).unwrap();
     let began = Instant::now();
     let answer = answered(&stream).expect("an answer");
-    assert!(answer.status == 408 && began.elapsed() < ms(3000), "{answer:?} after {:?}", began.elapsed());
+    assert!(
+        answer.status == 408 && began.elapsed() < ms(3000),
+        "{answer:?} after {:?}",
+        began.elapsed()
+    );
 }
--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -20,20 +20,35 @@
     fn begin() -> Starting {
         let pipe = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("pipe-{}", new_id()));
         let _ = std::fs::remove_file(&pipe);
-        assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
+        assert!(Command::new("mkfifo")
+            .arg(&pipe)
+            .status()
+            .unwrap()
+            .success());
         let mut command = program(&["serve"]);
-        let child = command.env("PROXY_CONFIG", &pipe).stderr(Stdio::null()).spawn().unwrap();
+        let child = command
+            .env("PROXY_CONFIG", &pipe)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
         Starting { child, pipe }
     }
 
     /// Waits until it has opened the pipe, where it then waits.
     fn opened(&self) -> std::fs::File {
-        std::fs::OpenOptions::new().write(true).open(&self.pipe).unwrap()
+        std::fs::OpenOptions::new()
+            .write(true)
+            .open(&self.pipe)
+            .unwrap()
     }
 
     fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
@@ -61,15 +76,24 @@
     drop(pipe);
     // It serves, whatever its files wait for.
     let address: std::net::SocketAddr = told["listen"].as_str().unwrap().parse().unwrap();
-    until("it listens", || std::net::TcpStream::connect(address).is_ok());
+    until("it listens", || {
+        std::net::TcpStream::connect(address).is_ok()
+    });
     // It reads its configuration again: there the change log is at another place.
     let mut again = starting.opened();
     told["changelog"] = moved.address.to_string().into();
     again.write_all(told.to_string().as_bytes()).unwrap();
     drop(again);
-    until("it follows the other log", || !moved.readers.lock().unwrap().is_empty());
+    until("it follows the other log", || {
+        !moved.readers.lock().unwrap().is_empty()
+    });
     let stream = std::net::TcpStream::connect(address).unwrap();
-    let answer = call(stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1");
+    let answer = call(
+        stream,
+        "POST /v1/report",
+        &fields(&new_id(), 3000),
+        "SELECT 1",
+    );
     assert!(Answer::of(answer.expect("an answer")).returned());
 }
 
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -50,7 +50,10 @@
 fn page(number: usize) -> String {
     let row = format!("p{number}\t\"\\\u{1}é漢\u{7f}\t\n");
     let mut text = row.repeat(PAGE / row.len() - 1);
-    text += &format!("p{number}\t\t{}\n", "x".repeat(PAGE - text.len() - format!("p{number}\t\t\n").len()));
+    text += &format!(
+        "p{number}\t\t{}\n",
+        "x".repeat(PAGE - text.len() - format!("p{number}\t\t\n").len())
+    );
     assert_eq!(text.len(), PAGE);
     text
 }
@@ -63,7 +66,11 @@
             Some(path) => path.split([' ', '/']).nth(1).unwrap().parse().unwrap(),
         };
         match number {
-            0 => http("200 OK", &format!("Result-Pages: {}\r\n", RESULT / PAGE), &page(0)),
+            0 => http(
+                "200 OK",
+                &format!("Result-Pages: {}\r\n", RESULT / PAGE),
+                &page(0),
+            ),
             n => http("200 OK", &format!("Result-Page: {n}\r\n"), &page(n)),
         }
     })
@@ -77,10 +84,19 @@
     let rows = answer.json["data"].as_array().unwrap();
     let expected: String = (0..RESULT / PAGE).map(page).collect();
     let columns = |row: &Value| -> String {
-        let texts: Vec<&str> = row.as_array().unwrap().iter().map(|c| c.as_str().unwrap()).collect();
+        let texts: Vec<&str> = row
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|c| c.as_str().unwrap())
+            .collect();
         texts.join("\t") + "\n"
     };
-    assert!(rows.iter().map(columns).collect::<String>() == expected, "{} rows", rows.len());
+    assert!(
+        rows.iter().map(columns).collect::<String>() == expected,
+        "{} rows",
+        rows.len()
+    );
 }
 
 /// An answer that the gateway has begun and can't finish shows that it is not whole.
@@ -88,8 +104,15 @@
 fn an_answer_that_a_kill_cuts_short_shows_it() {
     let mut s = before(engine_of_large_results(), |_| {});
     let stream = s.open();
-    socket2::SockRef::from(&stream).set_recv_buffer_size(2048).unwrap();
-    send(&stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1");
+    socket2::SockRef::from(&stream)
+        .set_recv_buffer_size(2048)
+        .unwrap();
+    send(
+        &stream,
+        "POST /v1/report",
+        &fields(&new_id(), 3000),
+        "SELECT 1",
+    );
     assert!(stream.peek(&mut [0; 1]).unwrap() > 0);
     s.child.kill().unwrap();
     s.child.wait().unwrap();
@@ -97,9 +120,11 @@
     let _ = (&stream).read_to_end(&mut all);
     let text = String::from_utf8_lossy(&all);
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
-    let told = head
-        .lines()
-        .find_map(|l| l.to_ascii_lowercase().strip_prefix("content-length: ").map(str::to_string));
+    let told = head.lines().find_map(|l| {
+        l.to_ascii_lowercase()
+            .strip_prefix("content-length: ")
+            .map(str::to_string)
+    });
     let told: usize = told.expect("its length is told").parse().unwrap();
     let whole = body.len() == told && serde_json::from_str::<Value>(body).is_ok();
     assert!(whole || body.len() < told, "{} of {told} bytes", body.len());
@@ -109,7 +134,12 @@
 fn a_length_told_in_two_ways_is_never_passed_on() {
     let s = Service::start();
     let hidden = "POST /v1/report HTTP/1.1\r\nHost: g\r\n\r\n";
-    let lengths = ["Content-Length: 8", "content-length: 8", "CONTENT-LENGTH:8", "Content-Length: 8, 8"];
+    let lengths = [
+        "Content-Length: 8",
+        "content-length: 8",
+        "CONTENT-LENGTH:8",
+        "Content-Length: 8, 8",
+    ];
     let codings = [
         "Transfer-Encoding: chunked",
         "transfer-encoding: CHUNKED",
@@ -128,8 +158,9 @@
             ] {
                 let stream = s.open();
                 let head = fields(&new_id(), 3000);
-                let text =
-                    format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{head}{told}\r\n\r\n0\r\n\r\n{hidden}");
+                let text = format!(
+                    "POST /v1/report HTTP/1.1\r\nHost: g\r\n{head}{told}\r\n\r\n0\r\n\r\n{hidden}"
+                );
                 (&stream).write_all(text.as_bytes()).unwrap();
                 let answer = read_message(&mut BufReader::new(&stream));
                 let refused = answer.is_none_or(|answer| answer.first.starts_with("HTTP/1.1 4"));
@@ -148,7 +179,12 @@
         let s = before(engine.address, |_| {});
         let id = new_id();
         let stream = s.open();
-        send(&stream, "POST /v1/report", &fields(&id, 3000), "SELECT 1 /* runs 60000 */");
+        send(
+            &stream,
+            "POST /v1/report",
+            &fields(&id, 3000),
+            "SELECT 1 /* runs 60000 */",
+        );
         until("the start", || engine.dispatches().len() == 1);
         let cancel = s.open();
         let left = Instant::now();
@@ -161,9 +197,17 @@
         }
         read_message(&mut BufReader::new(cancel)).expect("an answer to the cancel");
         until("given up", || engine.dispatches()[0].over.is_some());
-        assert!(left.elapsed() < ms(1000), "given up after {:?}", left.elapsed());
+        assert!(
+            left.elapsed() < ms(1000),
+            "given up after {:?}",
+            left.elapsed()
+        );
         sleep(ms(300));
-        assert_eq!((engine.dispatches().len(), engine.state().deletes), (1, 1), "one attempt, given up once");
+        assert_eq!(
+            (engine.dispatches().len(), engine.state().deletes),
+            (1, 1),
+            "one attempt, given up once"
+        );
     }
 }
 
@@ -180,8 +224,14 @@
         answer.come_back
     };
     assert_eq!(wait(json!({"retry-after": false})), None);
-    assert_eq!(wait(json!({"retry-after": true, "max-retry-after": 0.0})), Some(0));
-    assert_eq!(wait(json!({"retry-after": true, "max-retry-after": 1.0})), Some(1));
+    assert_eq!(
+        wait(json!({"retry-after": true, "max-retry-after": 0.0})),
+        Some(0)
+    );
+    assert_eq!(
+        wait(json!({"retry-after": true, "max-retry-after": 1.0})),
+        Some(1)
+    );
     let most = wait(json!({"retry-after": true, "max-retry-after": 1000.0})).expect("a wait");
     assert!(most > 0 && most <= 1000, "{most}");
 }
@@ -211,7 +261,11 @@
     s.signal("CONT");
     assert!(Answer::of(read_message(&mut BufReader::new(first)).unwrap()).returned());
     sleep(ms(400));
-    assert_eq!(engine.dispatches().len(), 1, "begun for clients that had left");
+    assert_eq!(
+        engine.dispatches().len(),
+        1,
+        "begun for clients that had left"
+    );
 }
 
 /// The deadline that is passed on with a retry is what is left then.
@@ -236,12 +290,17 @@
     });
     let s = before(engine, |_| {});
     let began = Instant::now();
-    assert!(s.batch_of(&new_id(), "report", ALLOWED as u32, "SELECT 1").returned());
+    assert!(s
+        .batch_of(&new_id(), "report", ALLOWED as u32, "SELECT 1")
+        .returned());
     let told = told.lock().unwrap();
     assert_eq!(told.len(), 2);
     for (at, deadline) in told.iter() {
         let left = ALLOWED.saturating_sub((*at - began).as_millis() as u64);
-        assert!(*deadline <= left + SLACK, "{deadline} ms told with {left} left");
+        assert!(
+            *deadline <= left + SLACK,
+            "{deadline} ms told with {left} left"
+        );
     }
     assert!(told[1].1 + 200 <= told[0].1, "{told:?}");
 }
@@ -251,27 +310,38 @@
 fn a_list_of_3200_engines_beside_900_gateways_is_served() {
     const ENGINES: usize = 3200;
     let engine = Engine::start();
-    let lines: Vec<Value> =
-        (0..ENGINES).map(|n| line(&format!("s-{n:08x}"), engine.address, "SERVING")).collect();
+    let lines: Vec<Value> = (0..ENGINES)
+        .map(|n| line(&format!("s-{n:08x}"), engine.address, "SERVING"))
+        .collect();
     let s = Service::with(|config| {
         config["known"] = json!({"seq": 0, "results": [change(0, true, &lines)]});
         config["settings"]["balancers"] = json!(900);
-        config["peers"] =
-            json!((0..900).map(|n| format!("10.3.{}.{}:7946", n / 250, n % 250)).collect::<Vec<_>>());
+        config["peers"] = json!((0..900)
+            .map(|n| format!("10.3.{}.{}:7946", n / 250, n % 250))
+            .collect::<Vec<_>>());
     });
     for _ in 0..20 {
         assert!(s.batch("report", "SELECT 1").returned());
     }
-    let drained: Vec<Value> =
-        (0..ENGINES).map(|n| line(&format!("s-{n:08x}"), engine.address, "DRAINING")).collect();
+    let drained: Vec<Value> = (0..ENGINES)
+        .map(|n| line(&format!("s-{n:08x}"), engine.address, "DRAINING"))
+        .collect();
     for number in 1..10 {
         let state = if number % 2 == 1 { &drained } else { &lines };
         s.log.tell(change(number, false, state));
     }
-    until("all drain", || s.batch_of(&new_id(), "report", 300, "SELECT 1").status == 503);
+    until("all drain", || {
+        s.batch_of(&new_id(), "report", 300, "SELECT 1").status == 503
+    });
     let before = engine.calls("POST");
     assert_eq!(s.batch_of(&new_id(), "report", 300, "SELECT 1").status, 503);
-    assert_eq!(engine.calls("POST"), before, "nothing to engines that drain");
+    assert_eq!(
+        engine.calls("POST"),
+        before,
+        "nothing to engines that drain"
+    );
     s.log.tell(change(10, false, &lines));
-    until("all serve again", || s.batch("report", "SELECT 1").returned());
+    until("all serve again", || {
+        s.batch("report", "SELECT 1").returned()
+    });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -14,9 +14,11 @@
 
 /// A whole list of many engines, all draining but the last.
 fn many(number: u64, first: &str, last: SocketAddr) -> Value {
-    let address = |n: usize| SocketAddr::from(([127, 200, (n / 250) as u8, (n % 250) as u8 + 1], 4100));
-    let mut lines: Vec<Value> =
-        (1..MANY).map(|n| line(&format!("s-{first}{n:07x}"), address(n), "DRAINING")).collect();
+    let address =
+        |n: usize| SocketAddr::from(([127, 200, (n / 250) as u8, (n % 250) as u8 + 1], 4100));
+    let mut lines: Vec<Value> = (1..MANY)
+        .map(|n| line(&format!("s-{first}{n:07x}"), address(n), "DRAINING"))
+        .collect();
     lines.push(line(&format!("s-{first}last"), last, "SERVING"));
     change(number, true, &lines)
 }
@@ -24,15 +26,20 @@
 /// Kilobytes of memory that a process has in use.
 fn resident(process: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("its memory");
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmRSS:"))
+        .expect("its memory");
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
 #[test]
 fn lists_of_1024_gateways_and_1024_engines_pass_through_configuration_and_change_log() {
     let s = Service::with(|config| {
-        let engine =
-            config["known"]["results"][0]["fleet"]["servers"][0]["addr"].as_str().unwrap().to_string();
+        let engine = config["known"]["results"][0]["fleet"]["servers"][0]["addr"]
+            .as_str()
+            .unwrap()
+            .to_string();
         config["known"]["results"][0] = many(0, "a", engine.parse().unwrap());
         let peer = |n: usize| json!(format!("127.201.{}.{}:7946", n / 250, n % 250 + 1));
         config["peers"] = (0..MANY).map(peer).collect();
@@ -40,7 +47,10 @@
         // The least memory and few descriptors: what a list needs is within the limits told.
         config["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
     });
-    assert!(s.batch("report", "SELECT 1").returned(), "the last engine of the configuration's list");
+    assert!(
+        s.batch("report", "SELECT 1").returned(),
+        "the last engine of the configuration's list"
+    );
     let other = Engine::start();
     s.log.tell(many(1, "b", other.address));
     until("the last engine of the log's list", || {
@@ -49,8 +59,11 @@
     // Whole lists under new names, one after another: an index is kept for a while, and no cap is met.
     for number in 2..6 {
         let newest = Engine::start();
-        s.log.tell(many(number, &format!("{number}c"), newest.address));
-        until("the newest list", || s.batch("report", "SELECT 3").returned() && newest.calls("POST") > 0);
+        s.log
+            .tell(many(number, &format!("{number}c"), newest.address));
+        until("the newest list", || {
+            s.batch("report", "SELECT 3").returned() && newest.calls("POST") > 0
+        });
     }
     let used = resident(s.child.id());
     assert!(used < 32 << 10, "{used} kB");
@@ -63,7 +76,9 @@
 }
 
 fn returned(stream: TcpStream) -> bool {
-    read_message(&mut BufReader::new(stream)).map(Answer::of).is_some_and(|a| a.returned())
+    read_message(&mut BufReader::new(stream))
+        .map(Answer::of)
+        .is_some_and(|a| a.returned())
 }
 
 /// Two batches of a key wait for a gateway that gets no processor time: the first on a new connection, the second, the
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -24,13 +24,20 @@
 }
 
 fn descriptors(service: &Service) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", service.child.id())).unwrap().count()
+    std::fs::read_dir(format!("/proc/{}/fd", service.child.id()))
+        .unwrap()
+        .count()
 }
 
 fn resident_mb(service: &Service) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", service.child.id())).unwrap();
     let peak = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
-    peak.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() / 1024
+    peak.split_whitespace()
+        .nth(1)
+        .unwrap()
+        .parse::<usize>()
+        .unwrap()
+        / 1024
 }
 
 fn is_inside_its_limits(service: &Service) {
@@ -63,7 +70,10 @@
         })
         .collect();
     for _ in 0..20 {
-        assert!(service.batch("report", "SELECT 2").returned(), "others are served meanwhile");
+        assert!(
+            service.batch("report", "SELECT 2").returned(),
+            "others are served meanwhile"
+        );
         is_inside_its_limits(&service);
         sleep(ms(30));
     }
@@ -71,7 +81,11 @@
     sleep(ms(300));
     let before = engine.dispatches().len();
     sleep(ms(500));
-    assert_eq!(engine.dispatches().len(), before, "nothing is sent on for those that have gone");
+    assert_eq!(
+        engine.dispatches().len(),
+        before,
+        "nothing is sent on for those that have gone"
+    );
     is_inside_its_limits(&service);
 }
 
@@ -81,11 +95,16 @@
     let engine = Process::start();
     let service = service(engine.address, |_| {});
     let fields = fields(&new_id(), 2000);
-    let body = format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 5000\r\n\r\n");
+    let body =
+        format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 5000\r\n\r\n");
     let slow: Vec<_> = (0..60)
         .map(|n| {
             let (mut stream, begun, head) = (service.open(), Instant::now(), n % 2 == 0);
-            let first = if head { "POST /v1/report HTTP/1.1\r\nX-Slow: " } else { &body };
+            let first = if head {
+                "POST /v1/report HTTP/1.1\r\nX-Slow: "
+            } else {
+                &body
+            };
             stream.write_all(first.as_bytes()).unwrap();
             spawn(move || {
                 stream.set_read_timeout(Some(ms(50))).unwrap();
@@ -105,12 +124,18 @@
         })
         .collect();
     for _ in 0..5 {
-        assert!(service.batch("report", "SELECT 2").returned(), "others are served meanwhile");
+        assert!(
+            service.batch("report", "SELECT 2").returned(),
+            "others are served meanwhile"
+        );
         is_inside_its_limits(&service);
     }
     let spans: Vec<_> = slow.into_iter().map(|s| s.join().unwrap()).collect();
     let longest = *spans.iter().max().unwrap();
-    assert!(longest < ms(4000), "one was let be for {longest:?}, of {spans:?}");
+    assert!(
+        longest < ms(4000),
+        "one was let be for {longest:?}, of {spans:?}"
+    );
 }
 
 /// An answer whose bytes go on coming and never end: the batch has its answer in its time, and nobody else gets what comes.
@@ -129,7 +154,8 @@
                     }
                     let endless = String::from_utf8_lossy(&call.body).contains("endless");
                     if !endless && call.first.starts_with("POST") {
-                        let _ = (&stream).write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes());
+                        let _ = (&stream)
+                            .write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes());
                         continue;
                     }
                     let head = "HTTP/1.1 200 OK\r\nResult-Pages: 1\r\nContent-Length: 5900\r\n\r\n";
@@ -145,7 +171,11 @@
     let service = service(address, |_| {});
     let begun = Instant::now();
     let answer = service.batch_of(&new_id(), "report", 1200, "SELECT 1 /* endless */");
-    assert!(!answer.returned() && begun.elapsed() < ms(1300), "{answer:?} after {:?}", begun.elapsed());
+    assert!(
+        !answer.returned() && begun.elapsed() < ms(1300),
+        "{answer:?} after {:?}",
+        begun.elapsed()
+    );
     for _ in 0..5 {
         let answer = service.batch("report", "SELECT 2");
         assert_eq!(answer.json["data"], json!(ROWS_AS_JSON));
@@ -157,15 +187,22 @@
 fn sigterm_under_long_deadlines_answers_all_before_the_kill_may_come() {
     let engine = Process::start();
     let mut service = service(engine.address, |config| {
-        config["settings"]["categories"] =
-            json!([group("report", "retryable", 20_000.0), group("load", "fragile", 20_000.0)]);
+        config["settings"]["categories"] = json!([
+            group("report", "retryable", 20_000.0),
+            group("load", "fragile", 20_000.0)
+        ]);
     });
     let calls: Vec<TcpStream> = ["report", "load"]
         .iter()
         .map(|group| {
             let stream = service.open();
             let statement = "SELECT 1 /* runs 16000 */";
-            send(&stream, &format!("POST /v1/{group}"), &fields(&new_id(), 18_000), statement);
+            send(
+                &stream,
+                &format!("POST /v1/{group}"),
+                &fields(&new_id(), 18_000),
+                statement,
+            );
             stream
         })
         .collect();
@@ -176,7 +213,15 @@
         let answer = read_message(&mut BufReader::new(stream)).expect("an answer");
         assert!(!Answer::of(answer).returned());
     }
-    assert!(term.elapsed() < ms(3700), "answered after {:?}", term.elapsed());
+    assert!(
+        term.elapsed() < ms(3700),
+        "answered after {:?}",
+        term.elapsed()
+    );
     assert!(service.child.wait().unwrap().success());
-    assert!(term.elapsed() < ms(3900), "ended after {:?}", term.elapsed());
+    assert!(
+        term.elapsed() < ms(3900),
+        "ended after {:?}",
+        term.elapsed()
+    );
 }
--- a/crates/gateway/tests/full_start.rs
+++ b/crates/gateway/tests/full_start.rs
@@ -18,8 +18,9 @@
     let address = log.local_addr().unwrap();
     drop(log);
     let engine = Engine::start();
-    let lines: Vec<Value> =
-        (0..ENGINES).map(|n| line(&format!("s-{n:08x}"), engine.address, "SERVING")).collect();
+    let lines: Vec<Value> = (0..ENGINES)
+        .map(|n| line(&format!("s-{n:08x}"), engine.address, "SERVING"))
+        .collect();
     let mut s = Service::with(|config| {
         config["changelog"] = json!(address.to_string());
         // So that the clients hold no more than their third.
@@ -33,7 +34,12 @@
     until("the port", || TcpStream::connect(s.address).is_ok());
     let batch = |_| {
         let stream = s.open();
-        send(&stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1");
+        send(
+            &stream,
+            "POST /v1/report",
+            &fields(&new_id(), 3000),
+            "SELECT 1",
+        );
         stream
     };
     let batches: Vec<TcpStream> = (0..CLIENTS).map(batch).collect();
@@ -44,6 +50,9 @@
     let answers: Vec<Answer> = batches.into_iter().map(answer).collect();
     let took = began.elapsed();
     let returned = answers.iter().filter(|a| a.returned()).count();
-    assert!(answers.iter().all(|a| a.returned() || a.status == 503), "{answers:?}");
+    assert!(
+        answers.iter().all(|a| a.returned() || a.status == 503),
+        "{answers:?}"
+    );
     assert!(returned > CLIENTS / 2, "{returned} returned after {took:?}");
 }
--- a/crates/gateway/tests/helper/faults.rs
+++ b/crates/gateway/tests/helper/faults.rs
@@ -14,11 +14,19 @@
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/faults/interpose.c");
-        let built =
-            Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("interpose-{}.so", std::process::id()));
+        let built = Path::new(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("interpose-{}.so", std::process::id()));
         let mut compiler = Command::new("cc");
-        compiler.args(["-O1", "-shared", "-fPIC", "-o"]).arg(&built).arg(&source).arg("-ldl");
-        assert!(compiler.status().expect("a C compiler").success(), "{} does not compile", source.display());
+        compiler
+            .args(["-O1", "-shared", "-fPIC", "-o"])
+            .arg(&built)
+            .arg(&source)
+            .arg("-ldl");
+        assert!(
+            compiler.status().expect("a C compiler").success(),
+            "{} does not compile",
+            source.display()
+        );
         built
     })
 }
@@ -50,7 +58,9 @@
 
     /// Has a process started by this command meet them.
     pub fn strike(&self, command: &mut Command) {
-        command.env("LD_PRELOAD", library()).env("GATEWAY_FAULTS", &self.0);
+        command
+            .env("LD_PRELOAD", library())
+            .env("GATEWAY_FAULTS", &self.0);
     }
 
     /// Switches a fault on, with its figures.
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -31,19 +31,32 @@
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
-        reader.read_line(&mut line).ok().filter(|n| *n > 0).map(|_| line.trim_end().to_string())
+        reader
+            .read_line(&mut line)
+            .ok()
+            .filter(|n| *n > 0)
+            .map(|_| line.trim_end().to_string())
     };
     let first = line()?;
     let mut fields = HashMap::new();
     loop {
         let text = line()?;
-        let Some((name, value)) = text.split_once(':') else { break };
+        let Some((name, value)) = text.split_once(':') else {
+            break;
+        };
         fields.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
-    let length = fields.get("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
+    let length = fields
+        .get("content-length")
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(Message { first, fields, body })
+    Some(Message {
+        first,
+        fields,
+        body,
+    })
 }
 
 /// A statement, when it was started, and how many times.
@@ -62,7 +75,11 @@
     pub fn start() -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let engine = Engine { address, calls: Arc::default(), started: Arc::default() };
+        let engine = Engine {
+            address,
+            calls: Arc::default(),
+            started: Arc::default(),
+        };
         let shared = engine.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -79,7 +96,10 @@
             let mut words = call.first.split(' ');
             let (method, path) = (words.next().unwrap(), words.next().unwrap().to_string());
             let body = String::from_utf8_lossy(&call.body).into_owned();
-            self.calls.lock().unwrap().push(format!("{method} {path} {body}").trim_end().into());
+            self.calls
+                .lock()
+                .unwrap()
+                .push(format!("{method} {path} {body}").trim_end().into());
             let id = match method {
                 "POST" => call.fields["x-trace"].clone(),
                 _ => path.split('/').nth(2).unwrap_or_default().to_string(),
@@ -92,15 +112,22 @@
             let known = started.get(&id).cloned();
             drop(started);
             let statement = known.as_ref().map(|k| k.0.clone()).unwrap_or_default();
-            let first = method == "POST" || !path.ends_with("/0") && self.calls(&format!("GET {path}")) == 1;
+            let first = method == "POST"
+                || !path.ends_with("/0") && self.calls(&format!("GET {path}")) == 1;
             if method == "DELETE"
                 && statement.contains("loses delete")
                 && self.calls(&format!("DELETE {path}")) == 1
             {
                 return;
             }
-            let Some(answer) = answer(method, &path, known) else { return };
-            let answer = if first { spoilt(&statement, answer) } else { answer };
+            let Some(answer) = answer(method, &path, known) else {
+                return;
+            };
+            let answer = if first {
+                spoilt(&statement, answer)
+            } else {
+                answer
+            };
             if (&stream).write_all(answer.as_bytes()).is_err() {
                 return;
             }
@@ -108,17 +135,27 @@
     }
 
     pub fn calls(&self, start: &str) -> usize {
-        self.calls.lock().unwrap().iter().filter(|call| call.starts_with(start)).count()
+        self.calls
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|call| call.starts_with(start))
+            .count()
     }
 }
 
 pub fn http(status: &str, fields: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// How an answer comes out of a network that spoils it, as the statement's comment asks.
 pub fn spoilt(statement: &str, answer: String) -> String {
-    let spoil = statement.split_once("/* spoilt ").and_then(|(_, rest)| rest.split_once(" */"));
+    let spoil = statement
+        .split_once("/* spoilt ")
+        .and_then(|(_, rest)| rest.split_once(" */"));
     match spoil.map(|(how, _)| how) {
         Some("noise") => "\u{1}\u{2} no head at all\r\n\r\n".into(),
         Some("endless head") => format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(1 << 20)),
@@ -128,7 +165,10 @@
         }
         Some("rows") => answer.replace('\t', "#"),
         Some("1xx ahead") => format!("HTTP/1.1 103 Early Hints\r\n\r\n{answer}"),
-        Some("surplus") => format!("{answer}{}", http("200 OK", "Result-Pages: 1\r\n", "of\tanother\t\n")),
+        Some("surplus") => format!(
+            "{answer}{}",
+            http("200 OK", "Result-Pages: 1\r\n", "of\tanother\t\n")
+        ),
         _ => answer,
     }
 }
@@ -143,10 +183,18 @@
     };
     let asks = |word: &str| statement.contains(&format!("/* {word} */"));
     if method == "DELETE" {
-        sleep(Duration::from_secs(if asks("keeps delete") { 5 } else { 0 }));
+        sleep(Duration::from_secs(if asks("keeps delete") {
+            5
+        } else {
+            0
+        }));
         return Some(http("204 No Content", "", ""));
     }
-    let page = path.rsplit('/').next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(0);
+    let page = path
+        .rsplit('/')
+        .next()
+        .and_then(|n| n.parse::<usize>().ok())
+        .unwrap_or(0);
     if method == "POST" && asks("full once") && times == 1 {
         return Some(http("503 Full", "X-Declined: 1\r\n", ""));
     }
@@ -167,7 +215,10 @@
         return None;
     }
     let slow = asks("slow") && since.elapsed() < Duration::from_millis(900);
-    if asks("keeps delete") || slow || asks("very slow") && since.elapsed() < Duration::from_millis(2300) {
+    if asks("keeps delete")
+        || slow
+        || asks("very slow") && since.elapsed() < Duration::from_millis(2300)
+    {
         sleep(Duration::from_millis(250));
         return Some(http("202 Not yet", "", ""));
     }
@@ -175,11 +226,21 @@
     Some(match page {
         _ if asks("empty") => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), ""),
         _ if asks("no count") => http("200 OK", end, ROWS),
-        _ if asks("huge") => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), &"x\ty\tz\n".repeat(2000)),
-        0 if asks("pages") || asks("lost page") => http("200 OK", &format!("Result-Pages: 3\r\n{end}"), ROWS),
+        _ if asks("huge") => http(
+            "200 OK",
+            &format!("Result-Pages: 1\r\n{end}"),
+            &"x\ty\tz\n".repeat(2000),
+        ),
+        0 if asks("pages") || asks("lost page") => {
+            http("200 OK", &format!("Result-Pages: 3\r\n{end}"), ROWS)
+        }
         0 => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), ROWS),
         2 if asks("lost page") => http("500 Oops", "", ""),
-        n => http("200 OK", &format!("Result-Page: {n}\r\n"), &format!("p{n}\t\t\n")),
+        n => http(
+            "200 OK",
+            &format!("Result-Page: {n}\r\n"),
+            &format!("p{n}\t\t\n"),
+        ),
     })
 }
 
@@ -219,7 +280,10 @@
         let call = read_message(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
         let mut told: usize = call.fields["last-event-id"].parse().unwrap();
         self.readers.lock().unwrap().push(told);
-        self.streams.lock().unwrap().push(stream.try_clone().unwrap());
+        self.streams
+            .lock()
+            .unwrap()
+            .push(stream.try_clone().unwrap());
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
         let mut out = head.to_string();
         while (&stream).write_all(out.as_bytes()).is_ok() {
@@ -274,7 +338,13 @@
 /// An address of its own for each test and run, outside the ports that the machine hands out.
 pub fn free_address() -> SocketAddr {
     let (run, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-    let parts = [127, 64 + run % 128, run / 128 % 256, number as u32 % 254 + 1].map(|part| part as u8);
+    let parts = [
+        127,
+        64 + run % 128,
+        run / 128 % 256,
+        number as u32 % 254 + 1,
+    ]
+    .map(|part| part as u8);
     // One test program may take many numbers: the next round of them has another port.
     SocketAddr::from((parts, 4100 + (number / 254 % 1000) as u16))
 }
@@ -318,7 +388,11 @@
 }
 
 pub fn serve_from(file: &std::path::Path, log: Stdio) -> Child {
-    program(&["serve"]).env("PROXY_CONFIG", file).stderr(log).spawn().unwrap()
+    program(&["serve"])
+        .env("PROXY_CONFIG", file)
+        .stderr(log)
+        .spawn()
+        .unwrap()
 }
 
 impl Service {
@@ -336,15 +410,22 @@
         change(&mut config);
         let address = config["listen"].as_str().unwrap().parse().unwrap();
         let child = serve(&config);
-        let service = Service { engine, log, config, address, child };
+        let service = Service {
+            engine,
+            log,
+            config,
+            address,
+            child,
+        };
         service.healthy();
         service
     }
 
     pub fn healthy(&self) {
         for _ in 0..500 {
-            if let Some(answer) =
-                TcpStream::connect(self.address).ok().and_then(|s| call(s, "GET /healthz", "", ""))
+            if let Some(answer) = TcpStream::connect(self.address)
+                .ok()
+                .and_then(|s| call(s, "GET /healthz", "", ""))
             {
                 if answer.first == "HTTP/1.1 200 OK" {
                     return;
@@ -366,13 +447,22 @@
     }
 
     pub fn batch_of(&self, id: &str, group: &str, allowed: u32, statement: &str) -> Answer {
-        let answer = call(self.open(), &format!("POST /v1/{group}"), &fields(id, allowed), statement);
+        let answer = call(
+            self.open(),
+            &format!("POST /v1/{group}"),
+            &fields(id, allowed),
+            statement,
+        );
         Answer::of(answer.expect("an answer"))
     }
 
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
@@ -381,7 +471,9 @@
     pub fn stops(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ")));
+        until("it stands still", || {
+            std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T "))
+        });
     }
 }
 
@@ -403,7 +495,11 @@
     pub fn of(m: Message) -> Answer {
         let status = m.first.split(' ').nth(1).unwrap().parse().unwrap();
         let json = serde_json::from_slice(&m.body).unwrap_or(Value::Null);
-        Answer { status, json, come_back: m.fields.get("x-wait-ms").map(|v| v.parse().unwrap()) }
+        Answer {
+            status,
+            json,
+            come_back: m.fields.get("x-wait-ms").map(|v| v.parse().unwrap()),
+        }
     }
 
     pub fn returned(&self) -> bool {
@@ -412,7 +508,10 @@
 }
 
 pub fn new_id() -> String {
-    format!("{:016x}", 0x9b1f_0000_0000_0000_u64 + NEXT.fetch_add(1, Ordering::Relaxed))
+    format!(
+        "{:016x}",
+        0x9b1f_0000_0000_0000_u64 + NEXT.fetch_add(1, Ordering::Relaxed)
+    )
 }
 
 pub fn fields(id: &str, allowed: u32) -> String {
--- a/crates/gateway/tests/helper/process.rs
+++ b/crates/gateway/tests/helper/process.rs
@@ -36,7 +36,10 @@
         // A note that it tells keeps it running.
         let unasked = (!self.asking && !self.asks("notes")).then_some(self.asked + UNASKED);
         let ends = [Some(self.came + self.runs), self.over, unasked];
-        ends.into_iter().flatten().min().filter(|at| *at <= Instant::now())
+        ends.into_iter()
+            .flatten()
+            .min()
+            .filter(|at| *at <= Instant::now())
     }
 
     pub fn asks(&self, word: &str) -> bool {
@@ -70,7 +73,10 @@
         let listener = (0..100)
             .find_map(|_| TcpListener::bind(address).map_err(|_| sleep(ms(10))).ok())
             .expect("the address is free");
-        let process = Process { address: listener.local_addr().unwrap(), state: Arc::default() };
+        let process = Process {
+            address: listener.local_addr().unwrap(),
+            state: Arc::default(),
+        };
         let shared = process.clone();
         listener.set_nonblocking(true).unwrap();
         spawn(move || {
@@ -96,7 +102,9 @@
     /// No new connection comes up; what is open goes on.
     pub fn refuses(&self) {
         self.state().refuses = true;
-        until("nobody listens", || TcpStream::connect(self.address).is_err());
+        until("nobody listens", || {
+            TcpStream::connect(self.address).is_err()
+        });
     }
 
     /// The process ends, and all that it runs.
@@ -104,13 +112,22 @@
         self.refuses();
         let mut state = self.state();
         let now = Instant::now();
-        state.dispatches.iter_mut().for_each(|d| d.over = Some(d.end().unwrap_or(now)));
-        state.connections.drain(..).for_each(|c| drop(c.shutdown(Shutdown::Both)));
+        state
+            .dispatches
+            .iter_mut()
+            .for_each(|d| d.over = Some(d.end().unwrap_or(now)));
+        state
+            .connections
+            .drain(..)
+            .for_each(|c| drop(c.shutdown(Shutdown::Both)));
     }
 
     /// The network breaks every connection that is open; the process runs on.
     pub fn loses_connections(&self) {
-        self.state().connections.drain(..).for_each(|c| drop(c.shutdown(Shutdown::Both)));
+        self.state()
+            .connections
+            .drain(..)
+            .for_each(|c| drop(c.shutdown(Shutdown::Both)));
     }
 
     pub fn serve(&self, stream: TcpStream) {
@@ -119,7 +136,8 @@
             let mut words = call.first.split(' ');
             let (method, path) = (words.next().unwrap(), words.next().unwrap().to_string());
             if path == "/stats" {
-                let _ = (&stream).write_all(http("200 OK", "X-Stats: queue:0;util:0.1\r\n", "").as_bytes());
+                let _ = (&stream)
+                    .write_all(http("200 OK", "X-Stats: queue:0;util:0.1\r\n", "").as_bytes());
                 continue;
             }
             let id = match method {
@@ -147,11 +165,22 @@
     }
 
     pub fn begin(&self, id: &str, statement: &str, mark: Option<String>) {
-        let runs = statement.split_once("/* runs ").and_then(|(_, rest)| rest.split(' ').next());
+        let runs = statement
+            .split_once("/* runs ")
+            .and_then(|(_, rest)| rest.split(' ').next());
         let runs = ms(runs.and_then(|n| n.parse().ok()).unwrap_or(0));
         let now = Instant::now();
         let (id, statement) = (id.to_string(), statement.to_string());
-        let new = Dispatch { id, statement, mark, came: now, runs, asked: now, asking: false, over: None };
+        let new = Dispatch {
+            id,
+            statement,
+            mark,
+            came: now,
+            runs,
+            asked: now,
+            asking: false,
+            over: None,
+        };
         self.state().dispatches.push(new);
     }
 
--- a/crates/gateway/tests/helper/scripted_log.rs
+++ b/crates/gateway/tests/helper/scripted_log.rs
@@ -44,7 +44,9 @@
     /// Connections that their reader has open now, whatever the script does meanwhile.
     pub fn open(&self) -> usize {
         let is_open = |stream: &Weak<TcpStream>| {
-            let Some(stream) = stream.upgrade() else { return false };
+            let Some(stream) = stream.upgrade() else {
+                return false;
+            };
             let mut byte = [std::mem::MaybeUninit::uninit(); 1];
             match SockRef::from(&*stream).recv_with_flags(&mut byte, MSG_PEEK | MSG_DONTWAIT) {
                 Ok(read) => read > 0,
@@ -110,7 +112,9 @@
 
     /// Resets the connection once the script ends.
     pub fn resets(&self) {
-        SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&*self.stream)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
 }
 
@@ -124,7 +128,10 @@
     /// Plays each connection by the script, on a thread of its own.
     pub fn start(script: impl Fn(&Connection) + Send + Sync + 'static) -> ScriptedLog {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let log = ScriptedLog { address: listener.local_addr().unwrap(), seen: Arc::default() };
+        let log = ScriptedLog {
+            address: listener.local_addr().unwrap(),
+            seen: Arc::default(),
+        };
         let (seen, script) = (log.seen.clone(), Arc::new(script));
         spawn(move || {
             for stream in listener.incoming().flatten() {
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -23,14 +23,23 @@
 impl Crowded {
     fn start() -> Crowded {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(0).unwrap();
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().unwrap();
         let connect = |_| TcpStream::connect_timeout(&address, ms(100)).ok();
         let crowd = (0..8).map_while(connect).collect();
-        assert!(TcpStream::connect_timeout(&address, ms(100)).is_err(), "the queue is full");
-        Crowded { listener, address, crowd }
+        assert!(
+            TcpStream::connect_timeout(&address, ms(100)).is_err(),
+            "the queue is full"
+        );
+        Crowded {
+            listener,
+            address,
+            crowd,
+        }
     }
 
     /// Makes room in the queue, and reads what comes on each connection for a while.
@@ -45,7 +54,10 @@
                 Err(_) => sleep(ms(2)),
             }
         }
-        reading.into_iter().flat_map(|r| r.join().unwrap()).collect()
+        reading
+            .into_iter()
+            .flat_map(|r| r.join().unwrap())
+            .collect()
     }
 }
 
@@ -69,8 +81,11 @@
 
 fn service(engines: &[SocketAddr], change_more: impl Fn(&mut Value)) -> Service {
     Service::with(|config| {
-        let lines: Vec<Value> =
-            engines.iter().enumerate().map(|(n, at)| line(&format!("s-{n}"), *at, "SERVING")).collect();
+        let lines: Vec<Value> = engines
+            .iter()
+            .enumerate()
+            .map(|(n, at)| line(&format!("s-{n}"), *at, "SERVING"))
+            .collect();
         config["known"]["results"] = json!([change(0, true, &lines)]);
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
         config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -93,21 +108,36 @@
     let began = Instant::now();
     let answer = service.batch_of(&new_id(), "report", 930, "SELECT 1");
     let took = began.elapsed();
-    assert!(!answer.returned() && took > ms(800) && took < ms(980), "{answer:?} after {took:?}");
-    assert!(!started(&reading.join().unwrap()), "sent on after its answer");
+    assert!(
+        !answer.returned() && took > ms(800) && took < ms(980),
+        "{answer:?} after {took:?}"
+    );
+    assert!(
+        !started(&reading.join().unwrap()),
+        "sent on after its answer"
+    );
 }
 
 /// The same for a client that leaves while the connection comes up, where nothing can be cancelled.
 #[test]
 fn a_connection_that_comes_up_after_the_client_has_gone_carries_no_start() {
     let crowded = Crowded::start();
-    let service =
-        service(&[crowded.address], |config| config["settings"]["allowed"]["cancelling"] = json!(false));
+    let service = service(&[crowded.address], |config| {
+        config["settings"]["allowed"]["cancelling"] = json!(false)
+    });
     let stream = service.open();
-    send(&stream, "POST /v1/load", &fields(&new_id(), 3000), "INSERT 1");
+    send(
+        &stream,
+        "POST /v1/load",
+        &fields(&new_id(), 3000),
+        "INSERT 1",
+    );
     sleep(ms(300));
     drop(stream);
-    assert!(!started(&crowded.makes_room()), "sent on after its client had gone");
+    assert!(
+        !started(&crowded.makes_room()),
+        "sent on after its client had gone"
+    );
 }
 
 /// The engine's machine takes a part of a long start in, and the rest only after the answer.
@@ -115,7 +145,8 @@
 fn the_rest_of_a_long_start_does_not_come_after_the_answer() {
     let slow = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     slow.set_recv_buffer_size(2048).unwrap();
-    slow.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    slow.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     slow.listen(16).unwrap();
     let slow: TcpListener = slow.into();
     let service = service(&[slow.local_addr().unwrap()], |_| {});
@@ -123,7 +154,9 @@
     let quick = spawn(move || {
         let stream = accepted(&slow);
         read_message(&mut std::io::BufReader::new(stream.try_clone().unwrap())).expect("a start");
-        (&stream).write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes()).unwrap();
+        (&stream)
+            .write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes())
+            .unwrap();
         slow
     });
     assert!(service.batch("report", "SELECT 1").returned());
@@ -133,7 +166,11 @@
     assert!(!answer.returned());
     let stream = accepted(&slow);
     let came = read_for(stream, ms(600));
-    assert!(came.len() < statement.len(), "it came whole after its answer, {} bytes", came.len());
+    assert!(
+        came.len() < statement.len(),
+        "it came whole after its answer, {} bytes",
+        came.len()
+    );
 }
 
 /// A body that goes on as it comes: its client sends the rest just after its time.
@@ -142,7 +179,11 @@
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = engine.local_addr().unwrap();
     let plan = file(&json!({})).with_extension("plan");
-    std::fs::write(&plan, "bodies store {\n  memory 8MiB\n  batch-memory 2MiB\n  batch 4MiB\n}\n").unwrap();
+    std::fs::write(
+        &plan,
+        "bodies store {\n  memory 8MiB\n  batch-memory 2MiB\n  batch 4MiB\n}\n",
+    )
+    .unwrap();
     let service = Service::by(
         |config| {
             config["known"]["results"] = json!([change(0, true, &[line("s-0", at, "SERVING")])]);
@@ -150,7 +191,10 @@
         },
         |config| {
             let plan = plan.to_str().unwrap();
-            program(&["serve", "--plan", plan]).env("PROXY_CONFIG", file(config)).spawn().unwrap()
+            program(&["serve", "--plan", plan])
+                .env("PROXY_CONFIG", file(config))
+                .spawn()
+                .unwrap()
         },
     );
     let body = vec![b'x'; 400_000];
@@ -161,7 +205,10 @@
         body.len()
     );
     let (first, rest) = body.split_at(350_000);
-    stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(first)).unwrap();
+    stream
+        .write_all(head.as_bytes())
+        .and_then(|()| stream.write_all(first))
+        .unwrap();
     let arrived = accepted(&engine);
     let reading = spawn(move || read_for(arrived, ms(1500)));
     sleep(ms(830));
@@ -169,13 +216,20 @@
     let _ = stream.write_all(rest);
     let came = reading.join().unwrap();
     assert!(started(&came), "it was begun");
-    assert!(came.len() < body.len(), "it came whole after its answer, {} bytes", came.len());
+    assert!(
+        came.len() < body.len(),
+        "it came whole after its answer, {} bytes",
+        came.len()
+    );
 }
 
 /// The deadline that an engine was told, in milliseconds.
 fn told_deadline(came: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(came).to_ascii_lowercase();
-    let told = text.lines().find_map(|line| line.strip_prefix("x-patience:")).expect("a deadline");
+    let told = text
+        .lines()
+        .find_map(|line| line.strip_prefix("x-patience:"))
+        .expect("a deadline");
     told.trim().parse().unwrap()
 }
 
@@ -206,11 +260,19 @@
         let stream = service.open();
         service.healthy();
         service.stops();
-        send(&stream, "POST /v1/report", &fields(&new_id(), 2000), "SELECT 1");
+        send(
+            &stream,
+            "POST /v1/report",
+            &fields(&new_id(), 2000),
+            "SELECT 1",
+        );
         sleep(ms(waited));
         service.signal("CONT");
         let told = told_deadline(&read_for(accepted(&listener), ms(300)));
-        assert!(told <= 2000 - waited + SLACK, "told {told} ms after {waited}");
+        assert!(
+            told <= 2000 - waited + SLACK,
+            "told {told} ms after {waited}"
+        );
     }
 }
 
@@ -222,7 +284,11 @@
     for group in ["report", "load"] {
         let began = Instant::now();
         let answer = service.batch_of(&new_id(), group, 1, "SELECT 1");
-        assert!(!answer.returned() && began.elapsed() < ms(200), "{answer:?} after {:?}", began.elapsed());
+        assert!(
+            !answer.returned() && began.elapsed() < ms(200),
+            "{answer:?} after {:?}",
+            began.elapsed()
+        );
     }
     listener.set_nonblocking(true).unwrap();
     if let Ok((stream, _)) = listener.accept() {
