--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -14,7 +14,8 @@
 
 fn service(engine: &Process, change_more: impl Fn(&mut Value)) -> Service {
     Service::with(|config| {
-        config["known"]["results"] = json!([change(0, true, &[line("s-0", engine.address, "SERVING")])]);
+        config["known"]["results"] =
+            json!([change(0, true, &[line("s-0", engine.address, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
     })
@@ -29,7 +30,9 @@
 
 fn keyed(service: &Service, id: &str, statement: &str) -> TcpStream {
     let mut stream = service.open();
-    stream.write_all(text(id, "load", "X-Item: 7f3a9c21e0b4d655\r\n", statement).as_bytes()).unwrap();
+    stream
+        .write_all(text(id, "load", "X-Item: 7f3a9c21e0b4d655\r\n", statement).as_bytes())
+        .unwrap();
     stream
 }
 
@@ -40,7 +43,11 @@
 /// A dispatch comes to a good end now.
 fn ends(engine: &Process, id: &str) {
     let mut state = engine.state();
-    state.dispatches.iter_mut().filter(|d| d.id == id).for_each(|d| d.runs = ms(0));
+    state
+        .dispatches
+        .iter_mut()
+        .filter(|d| d.id == id)
+        .for_each(|d| d.runs = ms(0));
 }
 
 /// Two calls on one connection, the second behind more or less of what is read ahead, then the client leaves in one of the
@@ -51,15 +58,28 @@
     let (first, second) = (new_id(), new_id());
     let mut stream = service.open();
     let calls = text(&first, "report", "", "SELECT 1 /* runs 700 */")
-        + &text(&second, "report", "", &format!("SELECT 2 /* {} */", "x".repeat(filling)));
+        + &text(
+            &second,
+            "report",
+            "",
+            &format!("SELECT 2 /* {} */", "x".repeat(filling)),
+        );
     stream.write_all(calls.as_bytes()).unwrap();
     until("the first is out", || of(&engine, &first).is_some());
     leave(stream);
-    until("the first is given up", || of(&engine, &first).unwrap().over.is_some());
+    until("the first is given up", || {
+        of(&engine, &first).unwrap().over.is_some()
+    });
     let out = of(&engine, &first).unwrap();
-    assert!(out.over.unwrap() < out.came + ms(500), "given up only once it had ended");
+    assert!(
+        out.over.unwrap() < out.came + ms(500),
+        "given up only once it had ended"
+    );
     sleep(ms(600));
-    assert!(of(&engine, &second).is_none(), "sent on for a client that had left");
+    assert!(
+        of(&engine, &second).is_none(),
+        "sent on for a client that had left"
+    );
 }
 
 #[test]
@@ -71,7 +91,9 @@
 #[test]
 fn a_reset_behind_a_second_call_counts_as_leaving() {
     leaves_behind(10, |stream| {
-        socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+        socket2::SockRef::from(&stream)
+            .set_linger(Some(std::time::Duration::ZERO))
+            .unwrap();
     });
 }
 
@@ -97,7 +119,9 @@
 #[test]
 fn a_key_s_turn_that_comes_just_after_the_client_left_sends_nothing() {
     let engine = Process::start();
-    let service = service(&engine, |config| config["settings"]["rules"]["order-pause"] = json!(0.0));
+    let service = service(&engine, |config| {
+        config["settings"]["rules"]["order-pause"] = json!(0.0)
+    });
     let (first, second, third) = (new_id(), new_id(), new_id());
     let _first = keyed(&service, &first, "INSERT 1 /* runs 2500 */");
     until("the first is out", || of(&engine, &first).is_some());
@@ -108,14 +132,19 @@
     sleep(ms(10));
     ends(&engine, &first);
     until("the third is out", || of(&engine, &third).is_some());
-    assert!(of(&engine, &second).is_none(), "sent on for a client that had left");
+    assert!(
+        of(&engine, &second).is_none(),
+        "sent on for a client that had left"
+    );
 }
 
 /// A client whose connection was lost, and which comes again at once, is served: its batch is held, not over.
 #[test]
 fn a_client_that_comes_again_at_once_is_served() {
     let engine = Process::start();
-    let service = service(&engine, |config| config["settings"]["rules"]["order-pause"] = json!(0.0));
+    let service = service(&engine, |config| {
+        config["settings"]["rules"]["order-pause"] = json!(0.0)
+    });
     let (first, second) = (new_id(), new_id());
     let _first = keyed(&service, &first, "INSERT 1 /* runs 300 */");
     until("the first is out", || of(&engine, &first).is_some());
@@ -123,7 +152,14 @@
     let again = keyed(&service, &second, "INSERT 2");
     let answer = read_message(&mut std::io::BufReader::new(again)).expect("an answer");
     assert!(Answer::of(answer).returned());
-    assert_eq!(engine.dispatches().iter().filter(|d| d.id == second).count(), 1);
+    assert_eq!(
+        engine
+            .dispatches()
+            .iter()
+            .filter(|d| d.id == second)
+            .count(),
+        1
+    );
 }
 
 /// A call and its client's close that both came while the gateway had no processor time.
@@ -136,8 +172,14 @@
     let ids: Vec<String> = (0..20).map(|_| new_id()).collect();
     for (n, id) in ids.iter().enumerate() {
         // On new connections, and one on a connection that is known already.
-        let mut stream = if n == 0 { kept.try_clone().unwrap() } else { service.open() };
-        stream.write_all(text(id, "report", "", "SELECT 1").as_bytes()).unwrap();
+        let mut stream = if n == 0 {
+            kept.try_clone().unwrap()
+        } else {
+            service.open()
+        };
+        stream
+            .write_all(text(id, "report", "", "SELECT 1").as_bytes())
+            .unwrap();
         stream.shutdown(Shutdown::Both).unwrap();
     }
     drop(kept);
@@ -153,7 +195,9 @@
 #[test]
 fn a_turn_and_a_close_that_come_together_send_nothing() {
     let engine = Process::start();
-    let service = service(&engine, |config| config["settings"]["rules"]["order-pause"] = json!(0.0));
+    let service = service(&engine, |config| {
+        config["settings"]["rules"]["order-pause"] = json!(0.0)
+    });
     for _ in 0..5 {
         let (first, second) = (new_id(), new_id());
         let first_call = keyed(&service, &first, "INSERT 1 /* runs 2500 */");
@@ -165,9 +209,14 @@
         ends(&engine, &first);
         sleep(ms(100));
         service.signal("CONT");
-        assert!(Answer::of(read_message(&mut std::io::BufReader::new(first_call)).unwrap()).returned());
+        assert!(
+            Answer::of(read_message(&mut std::io::BufReader::new(first_call)).unwrap()).returned()
+        );
         sleep(ms(200));
-        assert!(of(&engine, &second).is_none(), "sent on for a client that had left");
+        assert!(
+            of(&engine, &second).is_none(),
+            "sent on for a client that had left"
+        );
     }
 }
 
@@ -180,13 +229,27 @@
         config["settings"]["rules"]["order-pause"] = json!(0.0);
     });
     let ids: Vec<String> = (0..250).map(|_| new_id()).collect();
-    let calls: Vec<TcpStream> = ids.iter().map(|id| keyed(&service, id, "INSERT 1 /* runs 20 */")).collect();
+    let calls: Vec<TcpStream> = ids
+        .iter()
+        .map(|id| keyed(&service, id, "INSERT 1 /* runs 20 */"))
+        .collect();
     until("some have had their turn", || engine.dispatches().len() > 3);
     let left = Instant::now();
     drop(calls);
     sleep(ms(800));
-    let late: Vec<_> =
-        engine.dispatches().iter().map(|d| d.came).filter(|came| *came > left + ms(100)).collect();
-    assert!(late.is_empty(), "{} begun later than 0.1 s after", late.len());
-    assert!(service.batch("report", "SELECT 1").returned(), "others are served");
+    let late: Vec<_> = engine
+        .dispatches()
+        .iter()
+        .map(|d| d.came)
+        .filter(|came| *came > left + ms(100))
+        .collect();
+    assert!(
+        late.is_empty(),
+        "{} begun later than 0.1 s after",
+        late.len()
+    );
+    assert!(
+        service.batch("report", "SELECT 1").returned(),
+        "others are served"
+    );
 }
--- a/crates/gateway/tests/log.rs
+++ b/crates/gateway/tests/log.rs
@@ -13,8 +13,14 @@
 /// A gateway that logs every outcome into a pipe.
 fn logging(config: &serde_json::Value) -> Child {
     let mut command = program(&["serve"]);
-    command.env("PROXY_CONFIG", file(config)).env("GARNETWALL_LOG", "debug");
-    command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap()
+    command
+        .env("PROXY_CONFIG", file(config))
+        .env("GARNETWALL_LOG", "debug");
+    command
+        .stderr(Stdio::piped())
+        .stdout(Stdio::null())
+        .spawn()
+        .unwrap()
 }
 
 /// All queries are answered, and SIGTERM ends it with 0 in its time.
@@ -22,8 +28,15 @@
     for n in 0..QUERIES {
         let began = Instant::now();
         let stream = service.open();
-        stream.set_read_timeout(Some(Duration::from_secs(3))).unwrap();
-        let answer = call(stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(3)))
+            .unwrap();
+        let answer = call(
+            stream,
+            "POST /v1/report",
+            &fields(&new_id(), 3000),
+            "SELECT 1",
+        );
         assert!(
             answer.map(Answer::of).is_some_and(|a| a.returned()),
             "query {n} after {:?}",
@@ -36,7 +49,10 @@
         std::thread::sleep(ms(20));
         service.child.try_wait().unwrap()
     });
-    let status = ended.take_while(|_| told.elapsed() < Duration::from_secs(5)).flatten().next();
+    let status = ended
+        .take_while(|_| told.elapsed() < Duration::from_secs(5))
+        .flatten()
+        .next();
     assert_eq!(status.expect("it ends").code(), Some(0));
 }
 
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -13,7 +13,9 @@
 fn serve_with(faults: &Faults) -> impl Fn(&Value) -> Child + '_ {
     move |config| {
         let mut command = program(&["serve"]);
-        command.env("PROXY_CONFIG", file(config)).stderr(Stdio::null());
+        command
+            .env("PROXY_CONFIG", file(config))
+            .stderr(Stdio::null());
         faults.strike(&mut command);
         command.spawn().unwrap()
     }
@@ -28,9 +30,18 @@
             kept = service.open();
         }
         kept.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
-        let statement = if n % 4 == 3 { long.as_str() } else { "SELECT 1" };
+        let statement = if n % 4 == 3 {
+            long.as_str()
+        } else {
+            "SELECT 1"
+        };
         let began = Instant::now();
-        let answer = call(kept.try_clone().unwrap(), "POST /v1/report", &fields(&new_id(), 3000), statement);
+        let answer = call(
+            kept.try_clone().unwrap(),
+            "POST /v1/report",
+            &fields(&new_id(), 3000),
+            statement,
+        );
         let answer = answer.map(Answer::of);
         assert!(
             answer.as_ref().is_some_and(Answer::returned),
@@ -87,17 +98,31 @@
 #[test]
 fn accepts_that_fail_hold_nobody_up() {
     let faults = Faults::none();
-    let service = Service::by(|config| config["limits"]["sockets"] = json!(1024), serve_with(&faults));
+    let service = Service::by(
+        |config| config["limits"]["sockets"] = json!(1024),
+        serve_with(&faults),
+    );
     faults.on("accept", "2");
     let began = Instant::now();
     let open: Vec<_> = (0..200).map(|_| service.open()).collect();
     for stream in &open {
-        send(stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1");
+        send(
+            stream,
+            "POST /v1/report",
+            &fields(&new_id(), 3000),
+            "SELECT 1",
+        );
     }
     for stream in open {
-        stream.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(4)))
+            .unwrap();
         let answer = read_message(&mut std::io::BufReader::new(stream)).map(Answer::of);
-        assert!(answer.is_some_and(|a| a.returned()), "after {:?}", began.elapsed());
+        assert!(
+            answer.is_some_and(|a| a.returned()),
+            "after {:?}",
+            began.elapsed()
+        );
     }
     assert!(began.elapsed() < ms(1000), "{:?}", began.elapsed());
 }
@@ -119,7 +144,11 @@
         faults.off("connect");
         let back = Instant::now();
         all_are_answered(&service, 1);
-        assert!(back.elapsed() < ms(300), "{code}: used again only after {:?}", back.elapsed());
+        assert!(
+            back.elapsed() < ms(300),
+            "{code}: used again only after {:?}",
+            back.elapsed()
+        );
     }
 }
 
@@ -129,7 +158,8 @@
     for code in [110, 113] {
         let (engine, faults) = (Process::start(), Faults::none());
         let told = |config: &mut Value| {
-            config["known"]["results"] = json!([change(0, true, &[line("s-0", engine.address, "SERVING")])]);
+            config["known"]["results"] =
+                json!([change(0, true, &[line("s-0", engine.address, "SERVING")])]);
         };
         let service = Service::by(told, serve_with(&faults));
         faults.on("broken", &format!("12 {code}"));
@@ -137,7 +167,12 @@
             let id = new_id();
             let call_of = format!("INSERT {id} /* runs 5 */");
             // Its own connection may break as well.
-            let _ = call(service.open(), "POST /v1/load", &fields(&id, 1000), &call_of);
+            let _ = call(
+                service.open(),
+                "POST /v1/load",
+                &fields(&id, 1000),
+                &call_of,
+            );
         }
         let dispatches = engine.dispatches();
         let mut ids: Vec<_> = dispatches.iter().map(|d| &d.id).collect();
@@ -172,7 +207,14 @@
         let client = std::thread::spawn(move || {
             while let Ok(stream) = std::net::TcpStream::connect(address) {
                 let slow = "SELECT 1 /* keeps delete */";
-                if call(stream, "POST /v1/report", &fields(&new_id(), DEADLINE as u32), slow).is_none() {
+                if call(
+                    stream,
+                    "POST /v1/report",
+                    &fields(&new_id(), DEADLINE as u32),
+                    slow,
+                )
+                .is_none()
+                {
                     return;
                 }
             }
@@ -183,6 +225,9 @@
         assert!(service.child.wait().unwrap().success());
         let took = told.elapsed();
         client.join().unwrap();
-        assert!(took < ms(700 + DEADLINE), "ended {took:?} after SIGTERM: a kill may have come before");
+        assert!(
+            took < ms(700 + DEADLINE),
+            "ended {took:?} after SIGTERM: a kill may have come before"
+        );
     }
 }
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -52,12 +52,19 @@
             config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at.to_string());
             change(&mut config["settings"]);
         });
-        Play { service, first, second }
+        Play {
+            service,
+            first,
+            second,
+        }
     }
 
     /// The first engine drains; the second is there for what comes.
     fn hands_over(&self) {
-        let lines = [self.line("DRAINING"), line("s-2", self.second.address, "SERVING")];
+        let lines = [
+            self.line("DRAINING"),
+            line("s-2", self.second.address, "SERVING"),
+        ];
         self.service.log.tell(change(1, false, &lines));
     }
 
@@ -66,7 +73,11 @@
     }
 
     /// Sends a keyed, once-only batch; its answer comes through the handle.
-    fn load(&self, allowed: u32, statement: &str) -> (TcpStream, std::thread::JoinHandle<Answered>) {
+    fn load(
+        &self,
+        allowed: u32,
+        statement: &str,
+    ) -> (TcpStream, std::thread::JoinHandle<Answered>) {
         let stream = self.service.open();
         let fields = format!("{}{KEY}", fields(&new_id(), allowed));
         let began = Instant::now();
@@ -74,7 +85,10 @@
         let reading = stream.try_clone().unwrap();
         let answer = spawn(move || {
             let message = read_message(&mut BufReader::new(reading));
-            Answered { after: began.elapsed(), answer: message.map(Answer::of) }
+            Answered {
+                after: began.elapsed(),
+                answer: message.map(Answer::of),
+            }
         });
         (stream, answer)
     }
@@ -91,8 +105,14 @@
         sleep(ms(20));
         let mut all = all();
         all.sort_by_key(|d| d.came);
-        let end = all[0].end().unwrap_or_else(|| panic!("both out at once: {all:#?}"));
-        assert!(end <= all[1].came, "overlap of {:?}: {all:#?}", end - all[1].came);
+        let end = all[0]
+            .end()
+            .unwrap_or_else(|| panic!("both out at once: {all:#?}"));
+        assert!(
+            end <= all[1].came,
+            "overlap of {:?}: {all:#?}",
+            end - all[1].came
+        );
         all[1].came - end
     }
 }
@@ -127,7 +147,11 @@
     p.first.refuses();
     p.hands_over();
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
-    assert_eq!(answered_in(900, first).status, 500, "given up, so answered at once");
+    assert_eq!(
+        answered_in(900, first).status,
+        500,
+        "given up, so answered at once"
+    );
     let held = p.order_is_kept();
     assert!(held < NEWS + REST + SLACK, "held {held:?} past the end");
     assert!(answered_in(7050, second).returned());
@@ -142,7 +166,11 @@
     p.first.refuses();
     let other = Process::at(p.first.address);
     let lines = [p.line("DELETED"), line("s-2", p.second.address, "SERVING")];
-    p.service.log.tell(change(1, false, &[&lines[..], &[line("s-3", other.address, "DRAINING")]].concat()));
+    p.service.log.tell(change(
+        1,
+        false,
+        &[&lines[..], &[line("s-3", other.address, "DRAINING")]].concat(),
+    ));
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(answered_in(900, first).status, 500);
     p.order_is_kept();
@@ -172,14 +200,20 @@
         let p = Play::start();
         let id = new_id();
         let stream = p.service.open();
-        send(&stream, "POST /v1/load", &format!("{}{KEY}", fields(&id, 600)), "INSERT 1 /* runs 6000 */");
+        send(
+            &stream,
+            "POST /v1/load",
+            &format!("{}{KEY}", fields(&id, 600)),
+            "INSERT 1 /* runs 6000 */",
+        );
         let sent = Instant::now();
         p.until_sent();
         let (_b, second) = p.load(3000, "INSERT 2 /* runs 10 */");
         // The gateway takes a keyed batch to have been sent up to 0.25 s earlier than it came.
         sleep((ms(350 - early)).saturating_sub(sent.elapsed()));
         let withdrawn = call(p.service.open(), "DELETE /v1/load", &fields(&id, 600), "").unwrap();
-        assert!(["HTTP/1.1 204 No Content", "HTTP/1.1 404 Not Found"].contains(&withdrawn.first.as_str()));
+        assert!(["HTTP/1.1 204 No Content", "HTTP/1.1 404 Not Found"]
+            .contains(&withdrawn.first.as_str()));
         assert!(p.order_is_kept() < REST + SLACK, "{early}");
         assert_eq!(p.first.state().deletes, 1, "one give-up");
         assert!(answered_in(3050, second).returned());
@@ -208,12 +242,20 @@
     let p = Play::long();
     let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */");
     p.until_sent();
-    p.service.log.tell(change(1, false, &[line("s-2", p.second.address, "SERVING")]));
+    p.service.log.tell(change(
+        1,
+        false,
+        &[line("s-2", p.second.address, "SERVING")],
+    ));
     sleep(NEWS + ms(50));
     p.first.refuses();
     p.first.loses_connections();
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
-    assert_eq!(answered_in(900, first).status, 500, "the answer waits for no proof");
+    assert_eq!(
+        answered_in(900, first).status,
+        500,
+        "the answer waits for no proof"
+    );
     assert!(p.order_is_kept() < NEWS + REST + SLACK);
     answered_in(7050, second);
 }
@@ -258,7 +300,9 @@
 fn a_start_that_was_given_up_does_not_come_whole_later() {
     let cut_off = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     cut_off.set_recv_buffer_size(2048).unwrap();
-    cut_off.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    cut_off
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     cut_off.listen(16).unwrap();
     let cut_off: TcpListener = cut_off.into();
     let at = cut_off.local_addr().unwrap().to_string();
@@ -275,7 +319,11 @@
         stream.set_read_timeout(Some(ms(500))).unwrap();
         let mut came = Vec::new();
         let _ = stream.read_to_end(&mut came);
-        assert!(came.len() < statement.len(), "a start came whole after {} bytes", came.len());
+        assert!(
+            came.len() < statement.len(),
+            "a start came whole after {} bytes",
+            came.len()
+        );
     }
 }
 
@@ -319,7 +367,10 @@
     let (_second, two) = play.load(6000, "INSERT 2");
     assert!(two.join().unwrap().answer.is_some_and(|a| a.returned()));
     let end = play.first.dispatches()[0].end().expect("it has ended");
-    assert!(play.second.dispatches()[0].came >= end + REST, "sent beside a dispatch that ran");
+    assert!(
+        play.second.dispatches()[0].came >= end + REST,
+        "sent beside a dispatch that ran"
+    );
     assert!(one.join().unwrap().answer.is_some_and(|a| !a.returned()));
 }
 
@@ -328,7 +379,10 @@
 fn a_dispatch_that_tells_notes_is_not_taken_back_as_lost() {
     let play = with_notes();
     let statement = "SELECT 1 /* notes */ /* runs 3200 */";
-    assert!(play.service.batch_of(&new_id(), "report", 6000, statement).returned());
+    assert!(play
+        .service
+        .batch_of(&new_id(), "report", 6000, statement)
+        .returned());
     assert_eq!(play.first.dispatches().len(), 1);
     assert_eq!(play.first.state().deletes, 0, "taken back");
 }
@@ -342,12 +396,24 @@
         settings["categories"][1]["dedup-window"] = json!(6000.0);
     });
     let say = |more: &str| {
-        let fields = format!("{}{KEY}X-Unique: 00ab12ffee34cd56\r\n{more}", fields(&new_id(), 2900));
-        call(play.service.open(), "POST /v1/load", &fields, "INSERT 1").map(Answer::of).unwrap()
+        let fields = format!(
+            "{}{KEY}X-Unique: 00ab12ffee34cd56\r\n{more}",
+            fields(&new_id(), 2900)
+        );
+        call(play.service.open(), "POST /v1/load", &fields, "INSERT 1")
+            .map(Answer::of)
+            .unwrap()
     };
     assert!(say("X-Size-Ms: 120\r\nX-Memory: 64\r\n").returned());
-    assert_eq!(play.first.dispatches()[0].mark.as_deref(), Some("00ab12ffee34cd56"));
-    for wrong in ["X-Size-Ms: -1\r\n", "X-Memory: much\r\n", "X-Unique: twice\r\n"] {
+    assert_eq!(
+        play.first.dispatches()[0].mark.as_deref(),
+        Some("00ab12ffee34cd56")
+    );
+    for wrong in [
+        "X-Size-Ms: -1\r\n",
+        "X-Memory: much\r\n",
+        "X-Unique: twice\r\n",
+    ] {
         assert!(!say(wrong).returned(), "{wrong}");
     }
     assert_eq!(play.first.dispatches().len(), 1, "nothing of those went on");
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -14,8 +14,11 @@
 
 /// A file of its own for each test.
 fn written(name: &str, text: &str) -> PathBuf {
-    let path =
-        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{}-{name}", std::process::id(), new_id()));
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
+        "{}-{}-{name}",
+        std::process::id(),
+        new_id()
+    ));
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -34,16 +37,25 @@
         let at = second.address;
         let service = Service::by(
             |config| {
-                let servers = config["known"]["results"][0]["fleet"]["servers"].as_array_mut().unwrap();
+                let servers = config["known"]["results"][0]["fleet"]["servers"]
+                    .as_array_mut()
+                    .unwrap();
                 servers.push(line("s-2", at, "SERVING"));
             },
             |config| {
                 let mut command = program(&["serve", "--plan", plan.to_str().unwrap()]);
-                command.env("PROXY_CONFIG", file(config)).stderr(std::fs::File::create(&log).unwrap());
+                command
+                    .env("PROXY_CONFIG", file(config))
+                    .stderr(std::fs::File::create(&log).unwrap());
                 command.spawn().unwrap()
             },
         );
-        Planned { service, second, plan, log }
+        Planned {
+            service,
+            second,
+            plan,
+            log,
+        }
     }
 
     fn reload(&self, text: &str) {
@@ -52,7 +64,9 @@
     }
 
     fn until_logged(&self, words: &str) -> String {
-        until(words, || std::fs::read_to_string(&self.log).unwrap().contains(words));
+        until(words, || {
+            std::fs::read_to_string(&self.log).unwrap().contains(words)
+        });
         std::fs::read_to_string(&self.log).unwrap()
     }
 
@@ -105,30 +119,62 @@
     for n in 0..10 {
         assert!(s.batch("report", &format!("SELECT {n}")).returned());
     }
-    assert_eq!(p.starts(), (0, 10), "reports are bound to the second engine");
+    assert_eq!(
+        p.starts(),
+        (0, 10),
+        "reports are bound to the second engine"
+    );
     for n in 0..5 {
         assert!(s.batch("load", &format!("INSERT {n}")).returned());
     }
     assert_eq!(p.starts(), (5, 10), "loads prefer the first");
-    s.log.tell(change(1, false, &[line("s-1", s.engine.address, "DRAINING")]));
-    until("the drain", || s.batch("load", "INSERT").returned() && p.starts().1 > 10);
+    s.log.tell(change(
+        1,
+        false,
+        &[line("s-1", s.engine.address, "DRAINING")],
+    ));
+    until("the drain", || {
+        s.batch("load", "INSERT").returned() && p.starts().1 > 10
+    });
     let before = p.starts().0;
     assert!(s.batch("load", "INSERT").returned());
-    assert_eq!(p.starts().0, before, "the second preference, as the first has none left");
-    s.log.tell(change(2, false, &[line("s-2", p.second.address, "DELETED")]));
-    s.log.tell(change(3, false, &[line("s-3", s.engine.address, "SERVING")]));
+    assert_eq!(
+        p.starts().0,
+        before,
+        "the second preference, as the first has none left"
+    );
+    s.log.tell(change(
+        2,
+        false,
+        &[line("s-2", p.second.address, "DELETED")],
+    ));
+    s.log.tell(change(
+        3,
+        false,
+        &[line("s-3", s.engine.address, "SERVING")],
+    ));
     sleep(Duration::from_millis(200));
     let answer = s.batch_of(&new_id(), "report", 400, "SELECT 1");
-    assert_eq!(answer.status, 503, "bound to what has gone, it leaves for no other: {answer:?}");
+    assert_eq!(
+        answer.status, 503,
+        "bound to what has gone, it leaves for no other: {answer:?}"
+    );
     assert_eq!(p.starts().0, before);
 
     let key = format!("{}X-Item: 7f3a9c21e0b4d655\r\n", fields(&new_id(), 3000));
     let closed = Answer::of(call(s.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
     assert_eq!(closed.status, 503);
-    assert_eq!(closed.json, json!({"error": "Busy", "reason": "loads with a key are closed"}));
+    assert_eq!(
+        closed.json,
+        json!({"error": "Busy", "reason": "loads with a key are closed"})
+    );
 
     let plan = p.plan.to_str().unwrap();
-    let explain = |more: &[&str]| said(&run(&[&["plan", "explain", plan, "--at", "12:00"], more].concat()));
+    let explain = |more: &[&str]| {
+        said(&run(
+            &[&["plan", "explain", plan, "--at", "12:00"], more].concat()
+        ))
+    };
     let report = explain(&["--group", "report"]);
     assert!(
         report.contains("route `reports`")
@@ -136,9 +182,16 @@
             && report.contains("pools two")
     );
     let load = explain(&["--group", "load"]);
-    assert!(load.contains("1. pool `one`") && load.contains("2. pool `two`"), "{load}");
-    assert!(load.contains("passed over: route `night-watch`") && load.contains("by its `key`"), "{load}");
-    assert!(explain(&["--group", "load", "--key", "1"]).contains("pushed back: loads with a key are closed"));
+    assert!(
+        load.contains("1. pool `one`") && load.contains("2. pool `two`"),
+        "{load}"
+    );
+    assert!(
+        load.contains("passed over: route `night-watch`") && load.contains("by its `key`"),
+        "{load}"
+    );
+    assert!(explain(&["--group", "load", "--key", "1"])
+        .contains("pushed back: loads with a key are closed"));
 }
 
 #[test]
@@ -154,18 +207,38 @@
     }
     let began = Instant::now();
     let third = s.batch("report", "SELECT 1");
-    assert!(began.elapsed() < Duration::from_millis(200), "at once: {:?}", began.elapsed());
-    assert_eq!((third.status, &third.json["reason"]), (503, &json!("over the limit each (Rate)")));
+    assert!(
+        began.elapsed() < Duration::from_millis(200),
+        "at once: {:?}",
+        began.elapsed()
+    );
+    assert_eq!(
+        (third.status, &third.json["reason"]),
+        (503, &json!("over the limit each (Rate)"))
+    );
     let wait = third.come_back.expect("a time to come back");
     assert!((10..=250).contains(&wait), "{wait}");
     sleep(Duration::from_millis(wait + 5));
-    assert!(s.batch("report", "SELECT 1").returned(), "then there is room");
+    assert!(
+        s.batch("report", "SELECT 1").returned(),
+        "then there is room"
+    );
 
     let (slow, id) = (s.open(), new_id());
-    send(&slow, "POST /v1/load", &fields(&id, 3000), "INSERT /* slow */");
-    until("the start", || p.starts() != (3, 0) && p.starts().0 + p.starts().1 == 4);
+    send(
+        &slow,
+        "POST /v1/load",
+        &fields(&id, 3000),
+        "INSERT /* slow */",
+    );
+    until("the start", || {
+        p.starts() != (3, 0) && p.starts().0 + p.starts().1 == 4
+    });
     let second = s.batch("load", "INSERT");
-    assert_eq!((second.status, &second.json["reason"]), (503, &json!("over the limit loads (InHand)")));
+    assert_eq!(
+        (second.status, &second.json["reason"]),
+        (503, &json!("over the limit loads (InHand)"))
+    );
     // The same batch again is not another one.
     let again = s.batch_of(&id, "load", 3000, "INSERT /* slow */");
     assert!(again.returned(), "{again:?}");
@@ -180,7 +253,11 @@
     let began = Instant::now();
     let answer = p.service.batch("report", "SELECT 1 /* very slow */");
     assert_eq!(answer.status, 503);
-    assert!(began.elapsed() < Duration::from_millis(600), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -199,15 +276,27 @@
         });
         // A batch that is in hand while the plan changes keeps the one that it came under.
         let (slow, reader) = (s.open(), s.open());
-        send(&slow, "POST /v1/load", &fields(&new_id(), 3000), "INSERT /* slow */");
+        send(
+            &slow,
+            "POST /v1/load",
+            &fields(&new_id(), 3000),
+            "INSERT /* slow */",
+        );
         until("the start", || p.starts().0 == 1);
         p.reload(&ROUTES.replace("  to two\n", "  to two, one\n"));
         let log = p.until_logged("the old one stays");
-        assert!(log.contains("the route `reports` may send `report` to `one`, out of `two`"), "{log}");
+        assert!(
+            log.contains("the route `reports` may send `report` to `one`, out of `two`"),
+            "{log}"
+        );
         assert!(log.contains("a.plan:21:3"), "{log}");
         sleep(Duration::from_millis(100));
         assert_eq!(p.starts().0, 1, "reports stay with the second");
-        p.reload(&ROUTES.replace("pools two", "pools one").replace("to two", "to one"));
+        p.reload(
+            &ROUTES
+                .replace("pools two", "pools one")
+                .replace("to two", "to one"),
+        );
         p.until_logged("plan taken up");
         until("reports at the first", || p.starts().0 > 3);
         let before = p.starts().1;
@@ -226,11 +315,16 @@
     let (engine, log) = (Engine::start(), ChangeLog::start());
     let plan = written("b.plan", "pool one {\n  id s-1\n  knid std\n}\n");
     let config = file(&config(engine.address, log.address));
-    let output =
-        program(&["serve", "--plan", plan.to_str().unwrap()]).env("PROXY_CONFIG", config).output().unwrap();
+    let output = program(&["serve", "--plan", plan.to_str().unwrap()])
+        .env("PROXY_CONFIG", config)
+        .output()
+        .unwrap();
     assert_eq!(output.status.code(), Some(1));
     let said = said(&output);
-    assert!(said.contains("a pool has no entry `knid`") && said.contains("did you mean `kind`?"), "{said}");
+    assert!(
+        said.contains("a pool has no entry `knid`") && said.contains("did you mean `kind`?"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -239,7 +333,10 @@
     let (good, same) = (written("good.plan", good), written("same.plan", same));
     let careless = written("careless.plan", "pool   a   {\nall\n}");
     let faulty = written("faulty.plan", "pool a {\n  al\n}\n");
-    let other = written("other.plan", "pool a {\n  all\n}\nlimit b {\n  in-hand 3\n}\n");
+    let other = written(
+        "other.plan",
+        "pool a {\n  all\n}\nlimit b {\n  in-hand 3\n}\n",
+    );
     let word = |path: &PathBuf| path.to_str().unwrap().to_string();
     let code = |arguments: &[&str]| run(arguments).status.code().unwrap();
     assert_eq!(code(&["plan", "check", &word(&good)]), 0);
@@ -251,19 +348,36 @@
     let changed = run(&["plan", "diff", &word(&good), &word(&other), "--json"]);
     assert_eq!(changed.status.code(), Some(1));
     let json: Value = serde_json::from_slice(&changed.stdout).unwrap();
-    assert_eq!(json, json!([{"of": "limit", "text": "`b` is new: in-hand 3"}]));
+    assert_eq!(
+        json,
+        json!([{"of": "limit", "text": "`b` is new: in-hand 3"}])
+    );
     assert_eq!(code(&["plan", "fmt", "--check", &word(&careless)]), 1);
     assert_eq!(code(&["plan", "fmt", &word(&careless)]), 0);
     assert_eq!(code(&["plan", "fmt", "--check", &word(&careless)]), 0);
-    assert_eq!(std::fs::read_to_string(&careless).unwrap(), "pool a {\n  all\n}\n");
+    assert_eq!(
+        std::fs::read_to_string(&careless).unwrap(),
+        "pool a {\n  all\n}\n"
+    );
     let unread = written("unread.plan", "pool a {\n  all\n");
-    assert_eq!(code(&["plan", "fmt", &word(&unread)]), 1, "what can't be read is not touched");
-    assert_eq!(std::fs::read_to_string(&unread).unwrap(), "pool a {\n  all\n");
+    assert_eq!(
+        code(&["plan", "fmt", &word(&unread)]),
+        1,
+        "what can't be read is not touched"
+    );
+    assert_eq!(
+        std::fs::read_to_string(&unread).unwrap(),
+        "pool a {\n  all\n"
+    );
     let show = run(&["plan", "show", &word(&good)]);
     let json: Value = serde_json::from_slice(&show.stdout).unwrap();
     assert_eq!(json["pools"][0]["name"], json!("a"));
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.plan");
     let checked = run(&["plan", "check", &word(&example)]);
     assert_eq!(checked.status.code(), Some(0), "{}", said(&checked));
-    assert_eq!(code(&["plan", "fmt", "--check", &word(&example)]), 0, "the example is in its one form");
+    assert_eq!(
+        code(&["plan", "fmt", "--check", &word(&example)]),
+        0,
+        "the example is in its one form"
+    );
 }
--- a/crates/gateway/tests/reconnect.rs
+++ b/crates/gateway/tests/reconnect.rs
@@ -11,7 +11,10 @@
     for lasted in [0, 1, 100, 249].map(Duration::from_millis) {
         for _ in 0..1000 {
             let apart = lasted + reconnect.wait(lasted);
-            assert!(apart >= PAUSE && apart < PAUSE * 2, "{apart:?} after {lasted:?}");
+            assert!(
+                apart >= PAUSE && apart < PAUSE * 2,
+                "{apart:?} after {lasted:?}"
+            );
         }
     }
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -45,13 +45,24 @@
         let plan = folder.join("a.plan");
         std::fs::write(
             &plan,
-            format!("journal once-only {{\n  directory {:?}\n}}\n", folder.to_str().unwrap()),
+            format!(
+                "journal once-only {{\n  directory {:?}\n}}\n",
+                folder.to_str().unwrap()
+            ),
         )
         .unwrap();
         let config = file(&told);
         let address = told["listen"].as_str().unwrap().parse().unwrap();
         let child = Lasting::serve(&config, &plan, &faults);
-        let lasting = Lasting { engine, _log: log, config, plan, address, faults, child };
+        let lasting = Lasting {
+            engine,
+            _log: log,
+            config,
+            plan,
+            address,
+            faults,
+            child,
+        };
         lasting.healthy();
         lasting
     }
@@ -59,12 +70,22 @@
     fn serve(config: &Path, plan: &Path, faults: &Faults) -> Child {
         let mut command = program(&["serve", "--plan", plan.to_str().unwrap()]);
         faults.strike(&mut command);
-        command.env("PROXY_CONFIG", config).stderr(Stdio::null()).spawn().unwrap()
+        command
+            .env("PROXY_CONFIG", config)
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap()
     }
 
     fn healthy(&self) {
-        let asked = || TcpStream::connect(self.address).ok().and_then(|s| call(s, "GET /healthz", "", ""));
-        until("health", || asked().is_some_and(|answer| answer.first == "HTTP/1.1 200 OK"));
+        let asked = || {
+            TcpStream::connect(self.address)
+                .ok()
+                .and_then(|s| call(s, "GET /healthz", "", ""))
+        };
+        until("health", || {
+            asked().is_some_and(|answer| answer.first == "HTTP/1.1 200 OK")
+        });
     }
 
     fn restarted(&mut self) {
@@ -76,7 +97,12 @@
 
     fn sends(&self, id: &str, statement: &str) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        send(&stream, "POST /v1/load", &format!("{}{KEY}", fields(id, 7000)), statement);
+        send(
+            &stream,
+            "POST /v1/load",
+            &format!("{}{KEY}", fields(id, 7000)),
+            statement,
+        );
         stream
     }
 }
@@ -95,17 +121,29 @@
     let _lost = g.sends(&first, "INSERT 1 /* runs 60000 */");
     until("the start", || g.engine.dispatches().len() == 1);
     g.restarted();
-    let again = Answer::of(read_message(&mut std::io::BufReader::new(g.sends(&first, "INSERT 1"))).unwrap());
-    assert_eq!((again.status, &again.json), (500, &json!({"error": "Failed"})), "it may have run");
-    let next = Answer::of(read_message(&mut std::io::BufReader::new(g.sends(&second, "INSERT 2"))).unwrap());
+    let again = Answer::of(
+        read_message(&mut std::io::BufReader::new(g.sends(&first, "INSERT 1"))).unwrap(),
+    );
+    assert_eq!(
+        (again.status, &again.json),
+        (500, &json!({"error": "Failed"})),
+        "it may have run"
+    );
+    let next = Answer::of(
+        read_message(&mut std::io::BufReader::new(g.sends(&second, "INSERT 2"))).unwrap(),
+    );
     assert!(next.returned(), "{next:?}");
     let all = g.engine.dispatches();
     assert_eq!(all.len(), 2, "one dispatch each: {all:#?}");
-    assert!(all[0].end().unwrap() <= all[1].came, "the key rested for what still ran");
+    assert!(
+        all[0].end().unwrap() <= all[1].came,
+        "the key rested for what still ran"
+    );
     // What had its answer is not held against anybody.
     g.restarted();
-    let third =
-        Answer::of(read_message(&mut std::io::BufReader::new(g.sends(&new_id(), "INSERT 3"))).unwrap());
+    let third = Answer::of(
+        read_message(&mut std::io::BufReader::new(g.sends(&new_id(), "INSERT 3"))).unwrap(),
+    );
     assert!(third.returned());
 }
 
@@ -119,7 +157,9 @@
 /// The same while the wall clock steps forward and back by seconds and by an hour between two processes.
 #[test]
 fn killed_in_a_loop_while_the_wall_clock_steps_none_runs_twice() {
-    killed_in_a_loop(|faults, round| faults.on("realtime", ["3600", "-3600", "7", "-7"][round as usize % 4]));
+    killed_in_a_loop(|faults, round| {
+        faults.on("realtime", ["3600", "-3600", "7", "-7"][round as usize % 4])
+    });
 }
 
 /// Kills by hand may be more: `GATEWAY_TEST_KILLS`.
@@ -137,7 +177,12 @@
             .iter()
             .map(|id| {
                 let stream = TcpStream::connect(g.address).unwrap();
-                send(&stream, "POST /v1/load", &fields(id, 7000), &format!("INSERT {id} /* runs 3 */"));
+                send(
+                    &stream,
+                    "POST /v1/load",
+                    &fields(id, 7000),
+                    &format!("INSERT {id} /* runs 3 */"),
+                );
                 stream
             })
             .collect();
@@ -148,19 +193,29 @@
         drop(streams);
         for id in &batch {
             let stream = TcpStream::connect(g.address).unwrap();
-            let answer =
-                call(stream, "POST /v1/load", &fields(id, 7000), &format!("INSERT {id} /* runs 3 */"));
+            let answer = call(
+                stream,
+                "POST /v1/load",
+                &fields(id, 7000),
+                &format!("INSERT {id} /* runs 3 */"),
+            );
             let answer = Answer::of(answer.expect("an answer"));
             assert!([200, 500, 503].contains(&answer.status), "{answer:?}");
         }
         ids.extend(batch);
     }
     let mut runs: HashMap<String, usize> = HashMap::new();
-    g.engine.dispatches().iter().for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
+    g.engine
+        .dispatches()
+        .iter()
+        .for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
     let twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
     let known = |id: &str| g.engine.dispatches().iter().any(|d| d.id == id);
     assert!(twice.is_empty(), "run twice: {twice:?}");
-    assert!(ids.iter().filter(|id| known(id)).count() > 20, "most came to the engine");
+    assert!(
+        ids.iter().filter(|id| known(id)).count() > 20,
+        "most came to the engine"
+    );
 }
 
 /// For so long the disk fails; by hand it may be longer: `GATEWAY_TEST_DISK_MS`.
@@ -177,18 +232,40 @@
     &["disk-sync"],
     &["disk-write", "disk-open"],
     &["disk-sync", "disk-rename"],
-    &["disk-write", "disk-sync", "disk-open", "disk-rename", "disk-truncate"],
+    &[
+        "disk-write",
+        "disk-sync",
+        "disk-open",
+        "disk-rename",
+        "disk-truncate",
+    ],
 ];
 
 fn load(g: &Lasting) -> Answer {
     let stream = TcpStream::connect(g.address).unwrap();
     let id = new_id();
-    Answer::of(call(stream, "POST /v1/load", &fields(&id, 3000), &format!("INSERT {id}")).expect("an answer"))
+    Answer::of(
+        call(
+            stream,
+            "POST /v1/load",
+            &fields(&id, 3000),
+            &format!("INSERT {id}"),
+        )
+        .expect("an answer"),
+    )
 }
 
 fn report(g: &Lasting) -> Answer {
     let stream = TcpStream::connect(g.address).unwrap();
-    Answer::of(call(stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1").expect("an answer"))
+    Answer::of(
+        call(
+            stream,
+            "POST /v1/report",
+            &fields(&new_id(), 3000),
+            "SELECT 1",
+        )
+        .expect("an answer"),
+    )
 }
 
 /// While the disk fails: what needs no journal is served, what needs one is turned away at once. Then all is served again.
@@ -211,7 +288,10 @@
         sleep(ms(20));
     }
     let mut runs: HashMap<String, usize> = HashMap::new();
-    g.engine.dispatches().iter().for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
+    g.engine
+        .dispatches()
+        .iter()
+        .for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
     assert!(runs.values().all(|n| *n == 1), "{calls:?}: run twice");
 }
 
@@ -221,7 +301,9 @@
         let g = Lasting::start();
         assert!(load(&g).returned());
         let code = if n % 2 == 0 { ENOSPC } else { EIO };
-        calls.iter().for_each(|call| g.faults.on(call, &format!("1 {code}")));
+        calls
+            .iter()
+            .for_each(|call| g.faults.on(call, &format!("1 {code}")));
         fails_for_a_while(&g, calls);
     }
 }
@@ -238,7 +320,10 @@
     for _ in 0..3 {
         let began = Instant::now();
         assert!(load(&g).returned(), "after {:?}", began.elapsed());
-        assert!(began.elapsed() >= ms(800), "nothing leaves before its record is on the disk");
+        assert!(
+            began.elapsed() >= ms(800),
+            "nothing leaves before its record is on the disk"
+        );
     }
 }
 
@@ -249,22 +334,39 @@
     let first = new_id();
     let _lost = g.sends(&first, "INSERT 1 /* runs 60000 */");
     until("the start", || g.engine.dispatches().len() == 1);
-    let calls = ["disk-write", "disk-sync", "disk-open", "disk-rename", "disk-truncate"];
-    calls.iter().for_each(|call| g.faults.on(call, &format!("1 {EIO}")));
+    let calls = [
+        "disk-write",
+        "disk-sync",
+        "disk-open",
+        "disk-rename",
+        "disk-truncate",
+    ];
+    calls
+        .iter()
+        .for_each(|call| g.faults.on(call, &format!("1 {EIO}")));
     g.restarted();
-    let again = Answer::of(read_message(&mut std::io::BufReader::new(g.sends(&first, "INSERT 1"))).unwrap());
-    assert_eq!((again.status, &again.json), (500, &json!({"error": "Failed"})), "it may have run");
+    let again = Answer::of(
+        read_message(&mut std::io::BufReader::new(g.sends(&first, "INSERT 1"))).unwrap(),
+    );
+    assert_eq!(
+        (again.status, &again.json),
+        (500, &json!({"error": "Failed"})),
+        "it may have run"
+    );
     fails_for_a_while(&g, &calls);
 }
 
 #[test]
 fn a_journal_that_cant_be_opened_is_told_with_its_place() {
     let (engine, log) = (Engine::start(), ChangeLog::start());
-    let plan = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("no-journal-{}.plan", std::process::id()));
+    let plan = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("no-journal-{}.plan", std::process::id()));
     std::fs::write(&plan, "journal j {\n  directory \"/no/such/folder\"\n}\n").unwrap();
     let config: PathBuf = file(&config(engine.address, log.address));
-    let out =
-        program(&["serve", "--plan", plan.to_str().unwrap()]).env("PROXY_CONFIG", config).output().unwrap();
+    let out = program(&["serve", "--plan", plan.to_str().unwrap()])
+        .env("PROXY_CONFIG", config)
+        .output()
+        .unwrap();
     assert_eq!(out.status.code(), Some(1));
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(said.contains("/no/such/folder/n0.once-only"), "{said}");
--- a/crates/gateway/tests/repeated_calls.rs
+++ b/crates/gateway/tests/repeated_calls.rs
@@ -20,14 +20,23 @@
 /// Makes a call, and loses its connection when the answer has come and before it is read.
 fn lose_answer(s: &Service, id: &str, group: &str, statement: &str) {
     let stream = s.open();
-    send(&stream, &format!("POST /v1/{group}"), &fields(id, 3000), statement);
-    stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    send(
+        &stream,
+        &format!("POST /v1/{group}"),
+        &fields(id, 3000),
+        statement,
+    );
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     assert!(stream.peek(&mut [0]).unwrap() > 0, "the answer has come");
     reset(stream);
 }
 
 fn reset(stream: TcpStream) {
-    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 #[test]
@@ -53,8 +62,15 @@
     lose_answer(&s, &id, "load", "INSERT /* error */");
     std::thread::sleep(ms(100));
     let answer = s.batch_of(&id, "load", 3000, "INSERT /* error */");
-    assert_eq!((answer.status, &answer.json["error"]), (500, &serde_json::json!("Failed")));
-    assert_eq!(s.engine.calls("POST") - before, 1, "it may have run, and runs no second time");
+    assert_eq!(
+        (answer.status, &answer.json["error"]),
+        (500, &serde_json::json!("Failed"))
+    );
+    assert_eq!(
+        s.engine.calls("POST") - before,
+        1,
+        "it may have run, and runs no second time"
+    );
 }
 
 #[test]
--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -30,13 +30,21 @@
 /// A list that names this engine and so many others that nothing listens at, which drain.
 fn list(engine: &Engine, others: usize) -> Value {
     let mut servers = vec![line("s-1", engine.address, "SERVING")];
-    let address = |n: usize| format!("10.{}.{}.9:4100", n / 256, n % 256).parse().unwrap();
+    let address = |n: usize| {
+        format!("10.{}.{}.9:4100", n / 256, n % 256)
+            .parse()
+            .unwrap()
+    };
     servers.extend((0..others).map(|n| line(&format!("s-00c4{n:04x}"), address(n), "DRAINING")));
     change(1, true, &servers)
 }
 
 /// A gateway that knows no list, with the log played so; how long after its first connection the list is in force.
-fn heard_after(name: &str, others: usize, script: impl Fn(&Connection, &str) + Send + Sync + 'static) {
+fn heard_after(
+    name: &str,
+    others: usize,
+    script: impl Fn(&Connection, &str) + Send + Sync + 'static,
+) {
     let engine = Engine::start();
     let told = event_text(&list(&engine, others));
     let log = ScriptedLog::start(move |connection| script(connection, &told));
@@ -44,16 +52,28 @@
     config["known"]["results"] = json!([]);
     let address = config["listen"].as_str().unwrap().parse().unwrap();
     let child = serve(&config);
-    let service = Service { engine, log: ChangeLog::start(), config, address, child };
+    let service = Service {
+        engine,
+        log: ChangeLog::start(),
+        config,
+        address,
+        child,
+    };
     let healthy = || {
-        let asked = TcpStream::connect(service.address).ok().and_then(|s| call(s, "GET /healthz", "", ""));
+        let asked = TcpStream::connect(service.address)
+            .ok()
+            .and_then(|s| call(s, "GET /healthz", "", ""));
         asked.is_some_and(|answer| answer.first == "HTTP/1.1 200 OK")
     };
     let (started, mut most_open) = (Instant::now(), 0);
     while !healthy() {
         most_open = most_open.max(log.seen.open());
         let waited = log.seen.first().unwrap_or(started).elapsed();
-        assert!(waited < TOLD, "{name}: not heard, {} connections", log.seen.connections());
+        assert!(
+            waited < TOLD,
+            "{name}: not heard, {} connections",
+            log.seen.connections()
+        );
         sleep(ms(10));
     }
     let after = log.seen.first().expect("a connection").elapsed();
@@ -74,49 +94,65 @@
 #[test]
 fn a_first_line_that_comes_late_on_each_connection_is_heard() {
     side_by_side([2400, 2700, 4000, 5500, 6000, 6500], |late| {
-        heard_after(&format!("first line after {late} ms"), 0, move |connection, told| {
-            connection.write(HEAD);
-            sleep(ms(late));
-            connection.write(told);
-            connection.lives_on();
-        });
+        heard_after(
+            &format!("first line after {late} ms"),
+            0,
+            move |connection, told| {
+                connection.write(HEAD);
+                sleep(ms(late));
+                connection.write(told);
+                connection.lives_on();
+            },
+        );
     });
 }
 
 #[test]
 fn an_answer_that_comes_late_on_each_connection_is_heard() {
     side_by_side([2700, 4000, 6500], |late| {
-        heard_after(&format!("answer after {late} ms"), 0, move |connection, told| {
-            sleep(ms(late));
-            connection.write(HEAD);
-            connection.write(told);
-            connection.lives_on();
-        });
+        heard_after(
+            &format!("answer after {late} ms"),
+            0,
+            move |connection, told| {
+                sleep(ms(late));
+                connection.write(HEAD);
+                connection.write(told);
+                connection.lives_on();
+            },
+        );
     });
 }
 
 #[test]
 fn a_late_first_connection_is_heard_though_all_later_ones_are_reset() {
     side_by_side([3500, 5500], |late| {
-        heard_after(&format!("first after {late} ms, others reset"), 0, move |connection, told| {
-            if connection.number > 0 {
-                return connection.resets();
-            }
-            sleep(ms(late));
-            connection.write(HEAD);
-            connection.write(told);
-            connection.lives_on();
-        });
+        heard_after(
+            &format!("first after {late} ms, others reset"),
+            0,
+            move |connection, told| {
+                if connection.number > 0 {
+                    return connection.resets();
+                }
+                sleep(ms(late));
+                connection.write(HEAD);
+                connection.write(told);
+                connection.lives_on();
+            },
+        );
     });
 }
 
 #[test]
 fn a_list_that_comes_in_pieces_is_heard() {
     side_by_side([200, 400, 500, 550], |apart| {
-        heard_after(&format!("twelve pieces {apart} ms apart"), 0, move |connection, told| {
-            connection.write_in_pieces(&format!("{HEAD}{told}"), 12, ms(apart));
-            connection.lives_on();
-        });
+        heard_after(
+            &format!("twelve pieces {apart} ms apart"),
+            0,
+            move |connection, told| {
+                connection.write_in_pieces(&format!("{HEAD}{told}"), 12, ms(apart));
+                connection.lives_on();
+            },
+        );
     });
 }
 
@@ -124,25 +160,33 @@
 fn a_long_list_over_a_slow_link_is_heard() {
     const ENGINES: usize = 3200;
     side_by_side([400_000, 120_000, 80_000], |rate| {
-        heard_after(&format!("{ENGINES} engines at {rate} bytes/s"), ENGINES, move |connection, told| {
-            connection.write(HEAD);
-            connection.write_at_rate(told, rate);
-            connection.lives_on();
-        });
+        heard_after(
+            &format!("{ENGINES} engines at {rate} bytes/s"),
+            ENGINES,
+            move |connection, told| {
+                connection.write(HEAD);
+                connection.write_at_rate(told, rate);
+                connection.lives_on();
+            },
+        );
     });
 }
 
 #[test]
 fn behind_three_silent_connections_in_a_row_a_list_is_heard() {
     side_by_side([1, 2, 3], |silent| {
-        heard_after(&format!("{silent} silent, then a good one"), 0, move |connection, told| {
-            if connection.number < silent {
-                return connection.falls_silent();
-            }
-            connection.write(HEAD);
-            connection.write(told);
-            connection.lives_on();
-        });
+        heard_after(
+            &format!("{silent} silent, then a good one"),
+            0,
+            move |connection, told| {
+                if connection.number < silent {
+                    return connection.falls_silent();
+                }
+                connection.write(HEAD);
+                connection.write(told);
+                connection.lives_on();
+            },
+        );
     });
 }
 
@@ -150,13 +194,17 @@
 #[test]
 fn a_list_that_comes_long_after_the_first_comment_is_heard() {
     side_by_side([3000, 5000], |late| {
-        heard_after(&format!("a comment at once, the list after {late} ms"), 0, move |connection, told| {
-            connection.write(HEAD);
-            connection.write(COMMENT);
-            sleep(ms(late));
-            connection.write(told);
-            connection.lives_on();
-        });
+        heard_after(
+            &format!("a comment at once, the list after {late} ms"),
+            0,
+            move |connection, told| {
+                connection.write(HEAD);
+                connection.write(COMMENT);
+                sleep(ms(late));
+                connection.write(told);
+                connection.lives_on();
+            },
+        );
     });
 }
 
@@ -191,7 +239,12 @@
 /// answered so late.
 fn sends_nothing_to_a_drained_engine(late: Duration) {
     let (drained, other) = (Engine::start(), Engine::start());
-    let lines = |state: &str| [line("s-0", drained.address, state), line("s-1", other.address, "SERVING")];
+    let lines = |state: &str| {
+        [
+            line("s-0", drained.address, state),
+            line("s-1", other.address, "SERVING"),
+        ]
+    };
     let first = event_text(&change(1, true, &lines("SERVING")));
     let drain = event_text(&change(2, false, &lines("DRAINING")[..1]));
     let told: Arc<OnceLock<Instant>> = Arc::default();
@@ -236,10 +289,15 @@
         sleep(ms(10));
     }
     let after = drained.calls("POST") - before;
-    assert_eq!(after, 0, "attempts at the draining engine later than 7.05 s after it was told");
+    assert_eq!(
+        after, 0,
+        "attempts at the draining engine later than 7.05 s after it was told"
+    );
 }
 
 #[test]
 fn nothing_is_sent_to_a_drained_engine_under_a_log_that_answers_late() {
-    side_by_side([500, 3000, 4000], |late| sends_nothing_to_a_drained_engine(ms(late)));
+    side_by_side([500, 3000, 4000], |late| {
+        sends_nothing_to_a_drained_engine(ms(late))
+    });
 }
--- a/crates/gateway/tests/slow_engines.rs
+++ b/crates/gateway/tests/slow_engines.rs
@@ -38,7 +38,10 @@
             break;
         }
     }
-    let _ = (from.shutdown(std::net::Shutdown::Both), to.shutdown(std::net::Shutdown::Both));
+    let _ = (
+        from.shutdown(std::net::Shutdown::Both),
+        to.shutdown(std::net::Shutdown::Both),
+    );
 }
 
 /// One query of three pages through such a link, and how long it took.
@@ -62,7 +65,10 @@
             scope.spawn(move || {
                 let (answer, took, attempts) = play(delay);
                 println!("{delay} ms late: {answer:?} after {took:?}, {attempts} attempts");
-                assert!(answer.returned(), "{delay} ms late: {answer:?} after {took:?}");
+                assert!(
+                    answer.returned(),
+                    "{delay} ms late: {answer:?} after {took:?}"
+                );
                 assert_eq!(attempts, 1, "{delay} ms late: none is begun anew");
             });
         }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -46,16 +46,27 @@
 }
 
 /// Asks on open connections until the gateway takes none; how many queries were answered, and what broke a rule.
-fn asks(address: SocketAddr, deadline: u64, mut random: Random, broken: &Mutex<Vec<String>>) -> usize {
+fn asks(
+    address: SocketAddr,
+    deadline: u64,
+    mut random: Random,
+    broken: &Mutex<Vec<String>>,
+) -> usize {
     let mut answered = 0;
     while let Ok(stream) = TcpStream::connect(address) {
-        stream.set_read_timeout(Some(ms(deadline) + LATEST * 3)).unwrap();
+        stream
+            .set_read_timeout(Some(ms(deadline) + LATEST * 3))
+            .unwrap();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         loop {
             let id = new_id();
             let group = random.one_of(&["report", "report", "load"]);
             let runs = random.one_of(&[0, 0, 5, deadline / 2, deadline * 2]);
-            let word = if group == "load" { NON_IDEMPOTENT } else { "SELECT" };
+            let word = if group == "load" {
+                NON_IDEMPOTENT
+            } else {
+                "SELECT"
+            };
             let statement = format!("{word} {id} /* runs {runs} */");
             let (fields, length) = (fields(&id, deadline as u32), statement.len());
             let call = format!(
@@ -67,14 +78,21 @@
             }
             let answer = read_message(&mut reader);
             let took = sent.elapsed();
-            let closes =
-                answer.as_ref().is_none_or(|a| a.fields.get("connection").is_some_and(|c| c == "close"));
+            let closes = answer
+                .as_ref()
+                .is_none_or(|a| a.fields.get("connection").is_some_and(|c| c == "close"));
             answered += usize::from(answer.is_some());
             if answer.is_none() && took > CROSSING {
-                broken.lock().unwrap().push(format!("{id}: no answer after {took:?}"));
+                broken
+                    .lock()
+                    .unwrap()
+                    .push(format!("{id}: no answer after {took:?}"));
             }
             if took > ms(deadline) + LATEST {
-                broken.lock().unwrap().push(format!("{id}: answered after {took:?}"));
+                broken
+                    .lock()
+                    .unwrap()
+                    .push(format!("{id}: answered after {took:?}"));
             }
             if closes {
                 break;
@@ -90,7 +108,10 @@
 fn signal(child: &Child, name: &str) {
     let kill = format!("kill -{name} {}", child.id());
     // It may have ended by now.
-    let _ = Command::new("sh").args(["-c", &kill]).stderr(Stdio::null()).status();
+    let _ = Command::new("sh")
+        .args(["-c", &kill])
+        .stderr(Stdio::null())
+        .status();
 }
 
 fn play(seed: u64) {
@@ -110,10 +131,16 @@
     let address: SocketAddr = told["listen"].as_str().unwrap().parse().unwrap();
     let mut command = program(&["serve"]);
     faults.strike(&mut command);
-    let mut child = command.env("PROXY_CONFIG", file(&told)).stderr(Stdio::null()).spawn().unwrap();
+    let mut child = command
+        .env("PROXY_CONFIG", file(&told))
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
     until("it listens", || TcpStream::connect(address).is_ok());
     let crowd: Vec<TcpStream> = match random.below(3) {
-        0 => (0..CROWD).filter_map(|_| TcpStream::connect(address).ok()).collect(),
+        0 => (0..CROWD)
+            .filter_map(|_| TcpStream::connect(address).ok())
+            .collect(),
         _ => Vec::new(),
     };
     let broken: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -140,15 +167,23 @@
     let ended = term.elapsed();
     let _ = child.kill();
     let _ = child.wait();
-    let answered: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let answered: usize = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
     drop(crowd);
     let mut runs: HashMap<String, usize> = HashMap::new();
     let dispatches = engine.dispatches();
-    let once = dispatches.iter().filter(|d| d.statement.starts_with(NON_IDEMPOTENT));
+    let once = dispatches
+        .iter()
+        .filter(|d| d.statement.starts_with(NON_IDEMPOTENT));
     once.for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
     let twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
     let broken = broken.lock().unwrap();
-    assert!(broken.is_empty(), "seed {seed}, deadline {deadline}: {broken:?}");
+    assert!(
+        broken.is_empty(),
+        "seed {seed}, deadline {deadline}: {broken:?}"
+    );
     assert!(twice.is_empty(), "seed {seed}: run twice: {twice:?}");
     // The clients of some seeds draw long queries alone: 119 has 19 in all. Then each of them has to have had its attempt.
     let attempts = dispatches.len();
@@ -175,10 +210,14 @@
         .map(|_| {
             let next = next.clone();
             spawn(move || loop {
-                let Some(seed) = next.lock().unwrap().next() else { return };
+                let Some(seed) = next.lock().unwrap().next() else {
+                    return;
+                };
                 play(seed);
             })
         })
         .collect();
-    players.into_iter().for_each(|player| player.join().unwrap());
+    players
+        .into_iter()
+        .for_each(|player| player.join().unwrap());
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -20,14 +20,29 @@
     let mut rows: Vec<Value> = ROWS_AS_JSON.iter().map(|row| json!(row)).collect();
     rows.extend([json!(["p1", "", ""]), json!(["p2", "", ""])]);
     assert_eq!((answer.status, &answer.json), (200, &json!({"data": rows})));
-    assert!(s.engine.calls.lock().unwrap().contains(&format!("POST /c {statement}")));
-    assert_eq!(s.batch("report", "SELECT 1 /* empty */").json, json!({"data": []}));
+    assert!(s
+        .engine
+        .calls
+        .lock()
+        .unwrap()
+        .contains(&format!("POST /c {statement}")));
+    assert_eq!(
+        s.batch("report", "SELECT 1 /* empty */").json,
+        json!({"data": []})
+    );
     // Many calls on one connection.
     let stream = s.open();
     for _ in 0..5 {
-        let answer =
-            call(stream.try_clone().unwrap(), "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1");
-        assert_eq!(Answer::of(answer.unwrap()).json, json!({"data": ROWS_AS_JSON}));
+        let answer = call(
+            stream.try_clone().unwrap(),
+            "POST /v1/report",
+            &fields(&new_id(), 3000),
+            "SELECT 1",
+        );
+        assert_eq!(
+            Answer::of(answer.unwrap()).json,
+            json!({"data": ROWS_AS_JSON})
+        );
     }
 }
 
@@ -39,7 +54,11 @@
         ("POST /v1/other", good.clone(), 400),
         ("POST /v2/report", good.clone(), 404),
         ("PUT /v1/report", good.clone(), 405),
-        ("POST /v1/report", good.replace("X-Team: acme", "X-Team: nobody"), 400),
+        (
+            "POST /v1/report",
+            good.replace("X-Team: acme", "X-Team: nobody"),
+            400,
+        ),
         ("POST /v1/report", good.replace("X-Team: acme\r\n", ""), 400),
         ("POST /v1/report", format!("{good}{good}"), 400),
         ("POST /v1/report", fields("123", 3000), 400),
@@ -48,16 +67,31 @@
         ("POST /v1/report", good.replace("3000", "soon"), 400),
         ("POST /v1/report", good.replace("3000", "NaN"), 400),
         ("POST /v1/report", good.replace("3000", "3001"), 400),
-        ("POST /v1/report", format!("{good}Transfer-Encoding: chunked\r\n"), 411),
-        ("POST /v1/report", format!("Transfer-Encoding: chunked\r\n{good}"), 411),
+        (
+            "POST /v1/report",
+            format!("{good}Transfer-Encoding: chunked\r\n"),
+            411,
+        ),
+        (
+            "POST /v1/report",
+            format!("Transfer-Encoding: chunked\r\n{good}"),
+            411,
+        ),
         ("POST /v1/report", format!("{good}X-Item: none\r\n"), 400),
         ("DELETE /v1/report", good.clone(), 404),
-        ("POST /v1/report", format!("{good}X-Long: {}\r\n", "x".repeat(40_000)), 431),
+        (
+            "POST /v1/report",
+            format!("{good}X-Long: {}\r\n", "x".repeat(40_000)),
+            431,
+        ),
     ];
     for (start, fields, status) in cases {
         let answer = Answer::of(call(s.open(), start, &fields, "SELECT 1").expect(start));
         assert_eq!(answer.status, status, "{start} {fields:.200}");
-        assert!(status == 431 || answer.json["error"].is_string(), "{start} {fields:.200}");
+        assert!(
+            status == 431 || answer.json["error"].is_string(),
+            "{start} {fields:.200}"
+        );
     }
     assert_eq!(s.batch("report", "").status, 400);
     // Read by one that is still sending, too.
@@ -81,8 +115,15 @@
         );
     }
     let twice = s.batch("report", "SELECT 1 /* error */");
-    assert_eq!((twice.status, &twice.json, twice.come_back), (503, &json!({"error": "Busy"}), Some(600)));
-    assert_eq!(s.engine.calls("POST /c SELECT 1 /* error */"), 2, "two dispatches are allowed");
+    assert_eq!(
+        (twice.status, &twice.json, twice.come_back),
+        (503, &json!({"error": "Busy"}), Some(600))
+    );
+    assert_eq!(
+        s.engine.calls("POST /c SELECT 1 /* error */"),
+        2,
+        "two dispatches are allowed"
+    );
 }
 
 #[test]
@@ -99,14 +140,32 @@
     let rows = |kind: &str| {
         let pages = [json!(["p1", "", ""]), json!(["p2", "", ""])];
         let first = ROWS_AS_JSON.iter().map(|row| json!(row));
-        let rows: Vec<Value> = first.chain(pages.into_iter().filter(|_| kind == "pages")).collect();
+        let rows: Vec<Value> = first
+            .chain(pages.into_iter().filter(|_| kind == "pages"))
+            .collect();
         json!({ "data": rows })
     };
-    for spoil in ["noise", "endless head", "length", "gigabytes", "rows", "1xx ahead", "surplus"] {
+    for spoil in [
+        "noise",
+        "endless head",
+        "length",
+        "gigabytes",
+        "rows",
+        "1xx ahead",
+        "surplus",
+    ] {
         for kind in ["pages", "one"] {
             let answer = s.batch("load", &format!("INSERT /* {kind} */ /* spoilt {spoil} */"));
-            assert_eq!((answer.status, answer.json), (200, rows(kind)), "{spoil}, {kind}");
-            assert_eq!(s.batch("report", "SELECT 1").json, rows("one"), "after {spoil}");
+            assert_eq!(
+                (answer.status, answer.json),
+                (200, rows(kind)),
+                "{spoil}, {kind}"
+            );
+            assert_eq!(
+                s.batch("report", "SELECT 1").json,
+                rows("one"),
+                "after {spoil}"
+            );
         }
     }
     assert_eq!(s.engine.calls("POST"), 28, "no batch was sent twice");
@@ -118,7 +177,11 @@
     let s = Service::start();
     let began = Instant::now();
     assert!(s.batch("load", "INSERT /* late */").returned());
-    assert!(began.elapsed() < Duration::from_millis(700), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(700),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!(s.engine.calls("POST"), 1);
 }
 
@@ -126,10 +189,24 @@
 #[test]
 fn a_dispatch_whose_end_is_not_known_is_given_up_before_it_counts_as_over() {
     let s = Service::start();
-    assert_eq!(s.batch("load", "INSERT /* reset */ /* forgets */").status, 500);
-    until("the DELETE", || (s.engine.calls("POST"), s.engine.calls("DELETE")) == (1, 1));
-    assert_eq!(s.batch("load", "INSERT /* reset */ /* forgets */ /* loses delete */").status, 500);
-    until("the DELETE asked again", || (s.engine.calls("POST"), s.engine.calls("DELETE")) == (2, 3));
+    assert_eq!(
+        s.batch("load", "INSERT /* reset */ /* forgets */").status,
+        500
+    );
+    until("the DELETE", || {
+        (s.engine.calls("POST"), s.engine.calls("DELETE")) == (1, 1)
+    });
+    assert_eq!(
+        s.batch(
+            "load",
+            "INSERT /* reset */ /* forgets */ /* loses delete */"
+        )
+        .status,
+        500
+    );
+    until("the DELETE asked again", || {
+        (s.engine.calls("POST"), s.engine.calls("DELETE")) == (2, 3)
+    });
 }
 
 #[test]
@@ -139,7 +216,10 @@
         c["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(dead);
     });
     let answer = s.batch_of(&new_id(), "load", 3000, "INSERT 1");
-    assert_eq!((answer.status, &answer.json["error"]), (503, &json!("Busy")));
+    assert_eq!(
+        (answer.status, &answer.json["error"]),
+        (503, &json!("Busy"))
+    );
 }
 
 #[test]
@@ -148,8 +228,14 @@
     let (id, began) = (new_id(), Instant::now());
     let answer = s.batch_of(&id, "load", 1000, "INSERT /* silent */");
     assert_eq!(answer.status, 500);
-    assert!(began.elapsed() < Duration::from_millis(1050), "{:?}", began.elapsed());
-    until("the DELETE", || s.engine.calls(&format!("DELETE /c/{id}")) == 1);
+    assert!(
+        began.elapsed() < Duration::from_millis(1050),
+        "{:?}",
+        began.elapsed()
+    );
+    until("the DELETE", || {
+        s.engine.calls(&format!("DELETE /c/{id}")) == 1
+    });
 }
 
 /// Found by reading: a dispatch taken back shortly before the limit was waited for past it.
@@ -157,16 +243,27 @@
 fn a_dispatch_taken_back_late_does_not_hold_up_the_answer() {
     let s = Service::start();
     let (stream, began) = (s.open(), Instant::now());
-    send(&stream, "POST /v1/report", &fields(&new_id(), 1000), "SELECT 1 /* keeps delete */");
+    send(
+        &stream,
+        "POST /v1/report",
+        &fields(&new_id(), 1000),
+        "SELECT 1 /* keeps delete */",
+    );
     sleep(Duration::from_millis(800));
     // An engine told to have started after the dispatch has lost it: the module takes it back.
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+    let unix = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap();
     let mut restarted = line("s-1", s.engine.address, "SERVING");
     restarted["started_ms"] = json!(unix.as_millis() as u64);
     s.log.tell(change(1, false, &[restarted]));
     let answer = Answer::of(read_message(&mut BufReader::new(stream)).unwrap());
     assert_eq!(answer.status, 503);
-    assert!(began.elapsed() < Duration::from_millis(1050), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(1050),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -175,8 +272,15 @@
     for how in ["closes", "deletes"] {
         let id = new_id();
         let stream = s.open();
-        send(&stream, "POST /v1/report", &fields(&id, 3000), "SELECT 1 /* slow */");
-        until("the start", || s.engine.started.lock().unwrap().contains_key(&id));
+        send(
+            &stream,
+            "POST /v1/report",
+            &fields(&id, 3000),
+            "SELECT 1 /* slow */",
+        );
+        until("the start", || {
+            s.engine.started.lock().unwrap().contains_key(&id)
+        });
         if how == "deletes" {
             let answer = call(s.open(), "DELETE /v1/report", &fields(&id, 3000), "").unwrap();
             assert_eq!(answer.first, "HTTP/1.1 204 No Content");
@@ -192,24 +296,39 @@
     let id = new_id();
     let both = [(); 2].map(|()| {
         let stream = s.open();
-        send(&stream, "POST /v1/load", &fields(&id, 3000), "INSERT /* slow */");
+        send(
+            &stream,
+            "POST /v1/load",
+            &fields(&id, 3000),
+            "INSERT /* slow */",
+        );
         stream
     });
     for stream in both {
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).returned());
     }
     // Made again it gets the same answer, and no second attempt is made; with another statement it gets neither.
-    assert!(s.batch_of(&id, "load", 3000, "INSERT /* slow */").returned());
+    assert!(s
+        .batch_of(&id, "load", 3000, "INSERT /* slow */")
+        .returned());
     assert_eq!(s.batch_of(&id, "load", 3000, "INSERT").status, 409);
     assert_eq!(s.engine.calls("POST"), 1);
     // A client whose connection is lost has 50 ms to come again; a slow machine may take longer, so some tries.
     let joined = (0..10).any(|_| {
         let id = new_id();
         let lost = s.open();
-        send(&lost, "POST /v1/report", &fields(&id, 3000), "SELECT 1 /* slow */");
-        until("the start", || s.engine.started.lock().unwrap().contains_key(&id));
+        send(
+            &lost,
+            "POST /v1/report",
+            &fields(&id, 3000),
+            "SELECT 1 /* slow */",
+        );
+        until("the start", || {
+            s.engine.started.lock().unwrap().contains_key(&id)
+        });
         drop(lost);
-        s.batch_of(&id, "report", 3000, "SELECT 1 /* slow */").returned()
+        s.batch_of(&id, "report", 3000, "SELECT 1 /* slow */")
+            .returned()
     });
     assert!(joined);
 }
@@ -219,10 +338,18 @@
 fn an_id_in_hand_with_anything_else_is_refused_and_does_not_touch_the_batch() {
     let s = Service::start();
     let (id, stream) = (new_id(), s.open());
-    send(&stream, "POST /v1/report", &fields(&id, 3000), "SELECT 1 /* slow */");
+    send(
+        &stream,
+        "POST /v1/report",
+        &fields(&id, 3000),
+        "SELECT 1 /* slow */",
+    );
     until("the start", || s.engine.calls("POST") == 1);
     assert_eq!(s.batch_of(&id, "report", 3000, "SELECT 2").status, 409);
-    assert_eq!(s.batch_of(&id, "load", 3000, "SELECT 1 /* slow */").status, 409);
+    assert_eq!(
+        s.batch_of(&id, "load", 3000, "SELECT 1 /* slow */").status,
+        409
+    );
     assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).returned());
     assert_eq!(s.engine.calls("POST"), 1);
 }
@@ -235,30 +362,59 @@
     let kept: Vec<TcpStream> = (0..120)
         .map(|_| {
             let stream = s.open();
-            let answer =
-                call(stream.try_clone().unwrap(), "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1");
+            let answer = call(
+                stream.try_clone().unwrap(),
+                "POST /v1/report",
+                &fields(&new_id(), 3000),
+                "SELECT 1",
+            );
             assert!(Answer::of(answer.unwrap()).returned());
             stream
         })
         .collect();
     let silent: Vec<TcpStream> = (0..300).map(|_| s.open()).collect();
     let half = s.open();
-    (&half).write_all(b"POST /v1/report HTTP/1.1\r\nHost: o").unwrap();
+    (&half)
+        .write_all(b"POST /v1/report HTTP/1.1\r\nHost: o")
+        .unwrap();
     let body = s.open();
-    (&body).write_all(b"POST /v1/report HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\nSEL").unwrap();
+    (&body)
+        .write_all(b"POST /v1/report HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\nSEL")
+        .unwrap();
     let began = Instant::now();
     assert!(s.batch("report", "SELECT 1").returned());
-    assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(1500),
+        "{:?}",
+        began.elapsed()
+    );
     let asking = s.open();
-    send(&asking, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1 /* very slow */");
+    send(
+        &asking,
+        "POST /v1/report",
+        &fields(&new_id(), 3000),
+        "SELECT 1 /* very slow */",
+    );
     for mut stream in silent.into_iter().chain([half, body]) {
-        stream.set_read_timeout(Some(Duration::from_secs(3))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(3)))
+            .unwrap();
         let end = std::io::copy(&mut stream, &mut std::io::sink());
-        assert!(!end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock), "left open");
+        assert!(
+            !end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock),
+            "left open"
+        );
     }
-    assert!(began.elapsed() < Duration::from_millis(3500), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(3500),
+        "{:?}",
+        began.elapsed()
+    );
     drop(kept);
-    assert!(Answer::of(read_message(&mut BufReader::new(asking)).expect("an answer")).returned(), "it asked");
+    assert!(
+        Answer::of(read_message(&mut BufReader::new(asking)).expect("an answer")).returned(),
+        "it asked"
+    );
 }
 
 #[test]
@@ -268,7 +424,12 @@
         .map(|n| {
             let stream = s.open();
             let fields = format!("{}X-Item: 7f3a9c21e0b4d655\r\n", fields(&new_id(), 2900));
-            send(&stream, "POST /v1/load", &fields, &format!("INSERT {n} /* {} */", ["slow", "x"][n.min(1)]));
+            send(
+                &stream,
+                "POST /v1/load",
+                &fields,
+                &format!("INSERT {n} /* {} */", ["slow", "x"][n.min(1)]),
+            );
             sleep(Duration::from_millis(60));
             stream
         })
@@ -286,27 +447,51 @@
 fn the_change_log_is_followed_over_faults_and_lost_connections() {
     let s = Service::start();
     let other = Engine::start();
-    s.log.tell(json!({"seq": 1, "fleet": {"full": false, "servers": [{"id": "s-2", "state": "ODD"}]}}));
+    s.log.tell(
+        json!({"seq": 1, "fleet": {"full": false, "servers": [{"id": "s-2", "state": "ODD"}]}}),
+    );
     s.log.tell(change(
         2,
         false,
-        &[line("s-1", s.engine.address, "DRAINING"), line("s-2", other.address, "SERVING")],
+        &[
+            line("s-1", s.engine.address, "DRAINING"),
+            line("s-2", other.address, "SERVING"),
+        ],
     ));
     // The malformed event is asked for again once, then passed over.
-    until("the second connection", || s.log.readers.lock().unwrap().starts_with(&[0, 0]));
-    until("the new engine", || s.batch("report", "SELECT 1").returned() && other.calls("POST") > 0);
+    until("the second connection", || {
+        s.log.readers.lock().unwrap().starts_with(&[0, 0])
+    });
+    until("the new engine", || {
+        s.batch("report", "SELECT 1").returned() && other.calls("POST") > 0
+    });
     let before = s.engine.calls("POST");
     assert!(s.batch("report", "SELECT 1").returned());
-    assert_eq!(s.engine.calls("POST"), before, "nothing new to an engine that drains");
+    assert_eq!(
+        s.engine.calls("POST"),
+        before,
+        "nothing new to an engine that drains"
+    );
     s.log.hang_up();
-    until("the third connection", || s.log.readers.lock().unwrap().last() == Some(&2));
-    s.log.tell(change(3, true, &[line("s-3", s.engine.address, "SERVING")]));
-    until("the whole list", || s.batch("report", "SELECT 1").returned() && s.engine.calls("POST") > before);
+    until("the third connection", || {
+        s.log.readers.lock().unwrap().last() == Some(&2)
+    });
+    s.log
+        .tell(change(3, true, &[line("s-3", s.engine.address, "SERVING")]));
+    until("the whole list", || {
+        s.batch("report", "SELECT 1").returned() && s.engine.calls("POST") > before
+    });
     let left = other.calls("POST");
     assert!(s.batch("report", "SELECT 1").returned());
-    assert_eq!(other.calls("POST"), left, "what a whole list does not name is gone");
+    assert_eq!(
+        other.calls("POST"),
+        left,
+        "what a whole list does not name is gone"
+    );
     s.log.mute.store(true, Ordering::Relaxed);
-    until("a fresh connection in place of a silent one", || s.log.readers.lock().unwrap().last() == Some(&3));
+    until("a fresh connection in place of a silent one", || {
+        s.log.readers.lock().unwrap().last() == Some(&3)
+    });
 }
 
 #[test]
@@ -315,11 +500,18 @@
     let mut config = config(engine.address, log.address);
     config["known"] = json!({"seq": 0, "results": []});
     let address = config["listen"].as_str().unwrap().parse().unwrap();
-    let s = Service { child: serve(&config), engine, log, config, address };
+    let s = Service {
+        child: serve(&config),
+        engine,
+        log,
+        config,
+        address,
+    };
     until("the port", || TcpStream::connect(address).is_ok());
     let health = || call(s.open(), "GET /healthz", "", "").unwrap().first;
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
-    s.log.tell(change(1, true, &[line("s-1", s.engine.address, "SERVING")]));
+    s.log
+        .tell(change(1, true, &[line("s-1", s.engine.address, "SERVING")]));
     s.healthy();
     assert!(s.batch("report", "SELECT 1").returned());
 }
@@ -328,12 +520,20 @@
 fn sigterm_takes_on_what_still_comes_answers_all_and_exits() {
     let mut s = Service::start();
     let slow = s.open();
-    send(&slow, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1 /* slow */");
+    send(
+        &slow,
+        "POST /v1/report",
+        &fields(&new_id(), 3000),
+        "SELECT 1 /* slow */",
+    );
     until("the start", || s.engine.calls("POST") == 1);
     let began = Instant::now();
     s.signal("TERM");
     sleep(Duration::from_millis(300));
-    assert!(s.batch("report", "SELECT 1").returned(), "connections still come");
+    assert!(
+        s.batch("report", "SELECT 1").returned(),
+        "connections still come"
+    );
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).returned());
     assert!(s.child.wait().unwrap().success());
     assert!(began.elapsed() < Duration::from_millis(3700));
@@ -344,13 +544,25 @@
 fn sigterm_leaves_no_batch_unanswered_when_the_kill_may_come() {
     let mut s = Service::with(|c| c["settings"]["categories"][1]["give-up"] = json!(20_000.0));
     let silent = s.open();
-    send(&silent, "POST /v1/load", &fields(&new_id(), 20_000), "INSERT /* silent */");
+    send(
+        &silent,
+        "POST /v1/load",
+        &fields(&new_id(), 20_000),
+        "INSERT /* silent */",
+    );
     until("the start", || s.engine.calls("POST") == 1);
     let began = Instant::now();
     s.signal("TERM");
-    assert_eq!(Answer::of(read_message(&mut BufReader::new(silent)).unwrap()).status, 500);
+    assert_eq!(
+        Answer::of(read_message(&mut BufReader::new(silent)).unwrap()).status,
+        500
+    );
     assert!(s.child.wait().unwrap().success());
-    assert!(began.elapsed() < Duration::from_millis(3700), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(3700),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// Days of new configurations crashed the gateway: SIGHUP was not handled.
@@ -365,28 +577,55 @@
         },
     );
     s.log.tell(change(1, false, &[]));
-    until("the first log", || s.log.readers.lock().unwrap().as_slice() == [0]);
+    until("the first log", || {
+        s.log.readers.lock().unwrap().as_slice() == [0]
+    });
     let slow = s.open();
-    send(&slow, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1 /* slow */");
+    send(
+        &slow,
+        "POST /v1/report",
+        &fields(&new_id(), 3000),
+        "SELECT 1 /* slow */",
+    );
     std::fs::write(&path, "{").unwrap();
     s.signal("HUP");
     sleep(Duration::from_millis(100));
     let (other, new) = (Engine::start(), ChangeLog::start());
-    s.log.events.lock().unwrap().iter().for_each(|e| new.events.lock().unwrap().push(e.clone()));
+    s.log
+        .events
+        .lock()
+        .unwrap()
+        .iter()
+        .for_each(|e| new.events.lock().unwrap().push(e.clone()));
     new.tell(change(2, true, &[line("s-2", other.address, "SERVING")]));
     s.config["changelog"] = json!(new.address.to_string());
     s.config["limits"]["sockets"] = json!(512);
     std::fs::write(&path, s.config.to_string()).unwrap();
     s.signal("HUP");
-    until("the new log from the last number", || new.readers.lock().unwrap().as_slice() == [1]);
-    s.log.tell(change(2, true, &[line("s-3", free_address(), "SERVING")]));
-    until("the new engine", || s.batch("report", "SELECT 1").returned() && other.calls("POST") > 0);
-    assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).returned(), "no batch notices");
+    until("the new log from the last number", || {
+        new.readers.lock().unwrap().as_slice() == [1]
+    });
+    s.log
+        .tell(change(2, true, &[line("s-3", free_address(), "SERVING")]));
+    until("the new engine", || {
+        s.batch("report", "SELECT 1").returned() && other.calls("POST") > 0
+    });
+    assert!(
+        Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).returned(),
+        "no batch notices"
+    );
     s.signal("TERM");
     s.signal("HUP");
-    assert!(s.child.wait().unwrap().success(), "nor does SIGHUP end one that drains");
+    assert!(
+        s.child.wait().unwrap().success(),
+        "nor does SIGHUP end one that drains"
+    );
     let said = std::io::read_to_string(s.child.stderr.take().unwrap()).unwrap();
-    for line in ["configuration not reloaded", "key=\"limits\"", "configuration reloaded"] {
+    for line in [
+        "configuration not reloaded",
+        "key=\"limits\"",
+        "configuration reloaded",
+    ] {
         assert!(said.contains(line), "{line}: {said}");
     }
 }
@@ -395,7 +634,12 @@
 fn killed_outright_it_starts_again_under_its_address() {
     let mut s = Service::start();
     let open = s.open();
-    send(&open, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1 /* slow */");
+    send(
+        &open,
+        "POST /v1/report",
+        &fields(&new_id(), 3000),
+        "SELECT 1 /* slow */",
+    );
     until("the start", || s.engine.calls("POST") == 1);
     s.signal("KILL");
     s.child.wait().unwrap();
@@ -407,16 +651,27 @@
 #[test]
 fn short_of_descriptors_every_batch_still_has_its_answer() {
     let limited = |config: &Value| {
-        let start = format!("ulimit -n 64; exec {} serve", env!("CARGO_BIN_EXE_garnetwall"));
+        let start = format!(
+            "ulimit -n 64; exec {} serve",
+            env!("CARGO_BIN_EXE_garnetwall")
+        );
         let mut command = Command::new("sh");
-        command.args(["-c", &start]).env("PROXY_CONFIG", file(config)).env_remove("PROXY_LISTEN");
+        command
+            .args(["-c", &start])
+            .env("PROXY_CONFIG", file(config))
+            .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
     let s = Service::by(|c| c["limits"]["sockets"] = json!(64), limited);
     let streams: Vec<TcpStream> = (0..60)
         .map(|_| {
             let stream = s.open();
-            send(&stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1 /* slow */");
+            send(
+                &stream,
+                "POST /v1/report",
+                &fields(&new_id(), 3000),
+                "SELECT 1 /* slow */",
+            );
             stream
         })
         .collect();
@@ -445,10 +700,18 @@
         ("/changelog", json!(null), "changelog"),
         ("/limits/sockets", json!(3), "limits.sockets"),
         ("/limits/memory_mb", json!("much"), "limits.memory_mb"),
-        ("/known/results/0/fleet/servers/0/state", json!("ODD"), "known.results.0"),
+        (
+            "/known/results/0/fleet/servers/0/state",
+            json!("ODD"),
+            "known.results.0",
+        ),
         ("/settings", json!([]), "settings"),
         ("/settings/categories", json!([]), "settings.categories"),
-        ("/settings/categories/0/give-up", json!("soon"), "categories.0.give-up"),
+        (
+            "/settings/categories/0/give-up",
+            json!("soon"),
+            "categories.0.give-up",
+        ),
         ("/name", json!(7), "name"),
     ];
     for (key, value, named) in faults {
@@ -457,12 +720,19 @@
         for command in ["check-config", "serve"] {
             let output = run(&[command], Some(&file(&config)));
             let said = String::from_utf8_lossy(&output.stderr).into_owned();
-            assert!(!output.status.success() && said.contains(named), "{command} {key}: {said}");
+            assert!(
+                !output.status.success() && said.contains(named),
+                "{command} {key}: {said}"
+            );
             assert_eq!(said.lines().count(), 1, "{said}");
         }
     }
     assert!(!run(&["serve"], None).status.success());
-    assert!(run(&["check-config"], Some(&file(&config(address, address)))).status.success());
+    assert!(
+        run(&["check-config"], Some(&file(&config(address, address))))
+            .status
+            .success()
+    );
     assert!(String::from_utf8_lossy(&run(&["version"], None).stdout).starts_with("garnetwall "));
     assert!(!run(&["dance"], None).status.success());
 }
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -51,8 +51,11 @@
 impl World {
     fn start() -> World {
         let engines: Vec<Process> = (0..ENGINES).map(|_| Process::start()).collect();
-        let lines: Vec<Value> =
-            engines.iter().enumerate().map(|(n, e)| line_of(&format!("s-{n}"), n, e, "SERVING")).collect();
+        let lines: Vec<Value> = engines
+            .iter()
+            .enumerate()
+            .map(|(n, e)| line_of(&format!("s-{n}"), n, e, "SERVING"))
+            .collect();
         let said = Mutex::new(PathBuf::new());
         let service = Service::by(
             |config| {
@@ -75,7 +78,12 @@
             },
         );
         let said = said.into_inner().unwrap();
-        World { engines, service, said, number: AtomicU64::new(0) }
+        World {
+            engines,
+            service,
+            said,
+            number: AtomicU64::new(0),
+        }
     }
 
     fn said(&self) -> String {
@@ -90,7 +98,9 @@
     fn tell(&self, whole: bool, lines: &[Value]) {
         let number = self.number.fetch_add(1, Ordering::Relaxed) + 1;
         self.service.log.tell(change(number, whole, lines));
-        until("the change is applied", || self.said().contains(&format!("change={number} ")));
+        until("the change is applied", || {
+            self.said().contains(&format!("change={number} "))
+        });
     }
 
     /// Runs batches beside one another, so many that every member has some; how many came back with their rows.
@@ -100,7 +110,9 @@
             for n in 0..4 * SIZE {
                 let returned = &returned;
                 scope.spawn(move || {
-                    let answer = self.service.batch("report", &format!("SELECT {n} /* runs 250 */"));
+                    let answer = self
+                        .service
+                        .batch("report", &format!("SELECT {n} /* runs 250 */"));
                     returned.fetch_add(u64::from(answer.returned()), Ordering::Relaxed);
                 });
             }
@@ -110,7 +122,12 @@
 
     /// Engines that something was started on since then.
     fn used(&self, since: Instant) -> BTreeSet<usize> {
-        let used = |n: &usize| self.engines[*n].dispatches().iter().any(|d| d.came >= since);
+        let used = |n: &usize| {
+            self.engines[*n]
+                .dispatches()
+                .iter()
+                .any(|d| d.came >= since)
+        };
         (0..self.engines.len()).filter(used).collect()
     }
 
@@ -126,13 +143,21 @@
             if used.len() >= SIZE {
                 return used;
             }
-            assert!(begun.elapsed() < ms(8000), "only {used:?} are used: {}", self.said());
+            assert!(
+                begun.elapsed() < ms(8000),
+                "only {used:?} are used: {}",
+                self.said()
+            );
         }
     }
 
     /// All that was started with a text, as it came.
     fn started(&self, text: &str) -> Vec<Dispatch> {
-        let of = |e: &Process| e.dispatches().into_iter().filter(|d| d.statement.contains(text));
+        let of = |e: &Process| {
+            e.dispatches()
+                .into_iter()
+                .filter(|d| d.statement.contains(text))
+        };
         let mut started: Vec<Dispatch> = self.engines.iter().flat_map(of).collect();
         started.sort_by_key(|d| d.came);
         started
@@ -142,7 +167,12 @@
 /// A batch on its way, whose answer is read later.
 fn sent(world: &World, group: &str, more: &str, statement: &str) -> TcpStream {
     let stream = world.service.open();
-    send(&stream, &format!("POST /v1/{group}"), &format!("{}{more}", fields(&new_id(), 3000)), statement);
+    send(
+        &stream,
+        &format!("POST /v1/{group}"),
+        &format!("{}{more}", fields(&new_id(), 3000)),
+        statement,
+    );
     stream
 }
 
@@ -158,7 +188,11 @@
     assert_eq!(world.members(), first, "it stays while nothing changes");
     assert_eq!(world.used(Instant::now() - ms(60_000)), first);
     // Nothing of the others is even probed.
-    let probed = world.engines.iter().enumerate().filter(|(_, e)| !e.state().connections.is_empty());
+    let probed = world
+        .engines
+        .iter()
+        .enumerate()
+        .filter(|(_, e)| !e.state().connections.is_empty());
     let probed: BTreeSet<usize> = probed.map(|(n, _)| n).collect();
     assert!(probed.len() <= SIZE + RESERVE, "{probed:?}");
 }
@@ -168,14 +202,33 @@
     let world = World::start();
     let members = world.members();
     let streams: Vec<TcpStream> = (0..SIZE)
-        .map(|n| sent(&world, "report", "", &format!("SELECT {n} /* runs 900 */ /* out */")))
+        .map(|n| {
+            sent(
+                &world,
+                "report",
+                "",
+                &format!("SELECT {n} /* runs 900 */ /* out */"),
+            )
+        })
         .collect();
     until("they are out", || world.started("/* out */").len() == SIZE);
     let drained: BTreeSet<usize> = members.iter().copied().take(3).collect();
-    let out =
-        |d: &Dispatch| drained.iter().any(|n| world.engines[*n].dispatches().iter().any(|o| o.id == d.id));
-    assert!(world.started("/* out */").iter().any(out), "something runs on one that drains");
-    world.tell(false, &drained.iter().map(|n| world.line(*n, "DRAINING")).collect::<Vec<_>>());
+    let out = |d: &Dispatch| {
+        drained
+            .iter()
+            .any(|n| world.engines[*n].dispatches().iter().any(|o| o.id == d.id))
+    };
+    assert!(
+        world.started("/* out */").iter().any(out),
+        "something runs on one that drains"
+    );
+    world.tell(
+        false,
+        &drained
+            .iter()
+            .map(|n| world.line(*n, "DRAINING"))
+            .collect::<Vec<_>>(),
+    );
     let told = Instant::now();
     let after = world.members();
     assert!(after.is_disjoint(&drained), "{after:?} after {drained:?}");
@@ -186,9 +239,19 @@
     for d in world.started("/* out */") {
         assert_eq!(d.over, None, "nothing was given up: {d:?}");
     }
-    assert_eq!(world.started("/* out */").len(), SIZE, "nothing was started twice");
+    assert_eq!(
+        world.started("/* out */").len(),
+        SIZE,
+        "nothing was started twice"
+    );
     // One that takes work again may come back, and the gateway works on.
-    world.tell(false, &drained.iter().map(|n| world.line(*n, "SERVING")).collect::<Vec<_>>());
+    world.tell(
+        false,
+        &drained
+            .iter()
+            .map(|n| world.line(*n, "SERVING"))
+            .collect::<Vec<_>>(),
+    );
     assert!(world.members().len() >= SIZE);
 }
 
@@ -214,7 +277,10 @@
     loop {
         let since = Instant::now();
         assert_eq!(world.work(), 4 * SIZE);
-        let new = newcomers.iter().filter(|e| e.dispatches().iter().any(|d| d.came >= since)).count();
+        let new = newcomers
+            .iter()
+            .filter(|e| e.dispatches().iter().any(|d| d.came >= since))
+            .count();
         if world.used(since).len() + new >= SIZE {
             break;
         }
@@ -238,7 +304,10 @@
         let since = Instant::now();
         world.work();
         let used = world.used(since);
-        assert!(used.is_disjoint(&dead) && used.len() <= SIZE + RESERVE, "{used:?}");
+        assert!(
+            used.is_disjoint(&dead) && used.len() <= SIZE + RESERVE,
+            "{used:?}"
+        );
         if used.len() >= SIZE {
             break;
         }
@@ -255,7 +324,13 @@
     for n in &lost {
         world.engines[*n].dies();
     }
-    world.tell(false, &lost.iter().map(|n| world.line(*n, "DELETED")).collect::<Vec<_>>());
+    world.tell(
+        false,
+        &lost
+            .iter()
+            .map(|n| world.line(*n, "DELETED"))
+            .collect::<Vec<_>>(),
+    );
     let told = Instant::now();
     // What is there serves all at once.
     assert_eq!(world.work(), 4 * SIZE);
@@ -270,14 +345,27 @@
     world.members();
     let all: Vec<usize> = (0..ENGINES).collect();
     let (half, other) = all.split_at(ENGINES / 2);
-    let lines = |of: &[usize]| of.iter().map(|n| world.line(*n, "SERVING")).collect::<Vec<_>>();
-    for (part, whole) in [(half, true), (half, true), (other, true), (&all[..], true), (&all[..], false)] {
+    let lines = |of: &[usize]| {
+        of.iter()
+            .map(|n| world.line(*n, "SERVING"))
+            .collect::<Vec<_>>()
+    };
+    for (part, whole) in [
+        (half, true),
+        (half, true),
+        (other, true),
+        (&all[..], true),
+        (&all[..], false),
+    ] {
         world.tell(whole, &lines(part));
         let told = Instant::now();
         assert_eq!(world.work(), 4 * SIZE);
         let used = world.used(told);
         assert!(used.len() >= FLOOR, "{used:?}");
-        assert!(!whole || used.iter().all(|n| part.contains(n)), "{used:?} of {part:?}");
+        assert!(
+            !whole || used.iter().all(|n| part.contains(n)),
+            "{used:?} of {part:?}"
+        );
     }
     // A list that has no engine, and one that has fewer than the subset.
     world.tell(true, &[]);
@@ -302,29 +390,51 @@
     for n in 0..BATCHES {
         for key in 0..KEYS {
             let item = format!("X-Item: 7f3a9c21e0b4d{key:03x}\r\n");
-            streams.push(sent(&world, "load", &item, &format!("INSERT key-{key} {n} /* runs 40 */")));
+            streams.push(sent(
+                &world,
+                "load",
+                &item,
+                &format!("INSERT key-{key} {n} /* runs 40 */"),
+            ));
         }
         // Taken in this order.
         sleep(ms(60));
         let at = |n: usize| n * 7 % ENGINES;
-        let changed =
-            [(at(n), "DRAINING"), (at(n + 1), "DELETED"), (at(n.wrapping_sub(1) % ENGINES), "SERVING")];
+        let changed = [
+            (at(n), "DRAINING"),
+            (at(n + 1), "DELETED"),
+            (at(n.wrapping_sub(1) % ENGINES), "SERVING"),
+        ];
         world.tell(false, &changed.map(|(n, state)| world.line(n, state)));
         if n == BATCHES / 2 {
             world.service.signal("HUP");
         }
     }
-    let returned = streams.into_iter().map(answer).filter(Answer::returned).count();
+    let returned = streams
+        .into_iter()
+        .map(answer)
+        .filter(Answer::returned)
+        .count();
     for key in 0..KEYS {
         let started = world.started(&format!("INSERT key-{key} "));
-        let numbers: Vec<&str> = started.iter().map(|d| d.statement.split(' ').nth(2).unwrap()).collect();
-        assert!(numbers.is_sorted() && !numbers.is_empty(), "key {key}: {numbers:?}");
+        let numbers: Vec<&str> = started
+            .iter()
+            .map(|d| d.statement.split(' ').nth(2).unwrap())
+            .collect();
+        assert!(
+            numbers.is_sorted() && !numbers.is_empty(),
+            "key {key}: {numbers:?}"
+        );
         for pair in started.windows(2) {
             let end = pair[0].end().expect("it is over");
             assert!(end <= pair[1].came, "key {key}: {pair:?}");
         }
         let ids: BTreeSet<&String> = started.iter().map(|d| &d.id).collect();
-        assert_eq!(ids.len(), started.len(), "key {key}: none that is once-only is started twice");
+        assert_eq!(
+            ids.len(),
+            started.len(),
+            "key {key}: none that is once-only is started twice"
+        );
     }
     assert!(returned >= KEYS * BATCHES / 2, "{returned} returned");
 }
@@ -336,19 +446,38 @@
         config["subset"] = json!({"size": SIZE});
         config["settings"]["kinds"] = json!(["std", "large"]);
     });
-    let (config, plan) = (file(&service.config), file(&json!({})).with_extension("plan"));
+    let (config, plan) = (
+        file(&service.config),
+        file(&json!({})).with_extension("plan"),
+    );
     let check = |text: &str| {
         std::fs::write(&plan, text).unwrap();
-        let arguments =
-            ["check-config", "--config", config.to_str().unwrap(), "--plan", plan.to_str().unwrap()];
+        let arguments = [
+            "check-config",
+            "--config",
+            config.to_str().unwrap(),
+            "--plan",
+            plan.to_str().unwrap(),
+        ];
         let ended = program(&arguments).output().unwrap();
-        (ended.status.success(), String::from_utf8(ended.stderr).unwrap())
+        (
+            ended.status.success(),
+            String::from_utf8(ended.stderr).unwrap(),
+        )
     };
     let near = "pool near {\n  zone east\n  kind std\n}\n\nroute all {\n  to near\n}\n";
     assert_eq!(check(near), (true, String::new()));
-    for pool in ["pool few {\n  id s-1*\n}\n", "pool few {\n  zone east\n  except near\n}\n"] {
-        let (good, said) = check(&format!("{pool}\nroute more {{\n  group load\n  to few\n}}\n\n{near}"));
-        assert!(!good && said.contains(": pool few: ") && said.contains("; name zones and kinds"), "{said}");
+    for pool in [
+        "pool few {\n  id s-1*\n}\n",
+        "pool few {\n  zone east\n  except near\n}\n",
+    ] {
+        let (good, said) = check(&format!(
+            "{pool}\nroute more {{\n  group load\n  to few\n}}\n\n{near}"
+        ));
+        assert!(
+            !good && said.contains(": pool few: ") && said.contains("; name zones and kinds"),
+            "{said}"
+        );
     }
 }
 
@@ -361,16 +490,27 @@
     config["subset"]["size"] = json!(2 * SIZE);
     std::fs::write(&file, config.to_string()).unwrap();
     world.service.signal("HUP");
-    until("it is read again", || world.said().contains("configuration reloaded"));
-    assert!(world.said().contains("takes effect at the next start only key=\"subset\""), "{}", world.said());
+    until("it is read again", || {
+        world.said().contains("configuration reloaded")
+    });
+    assert!(
+        world
+            .said()
+            .contains("takes effect at the next start only key=\"subset\""),
+        "{}",
+        world.said()
+    );
     assert_eq!(world.members(), members);
     config["subset"]["size"] = json!(0);
     std::fs::write(&file, config.to_string()).unwrap();
     world.service.signal("HUP");
-    until("it is refused", || world.said().contains("configuration not reloaded"));
+    until("it is refused", || {
+        world.said().contains("configuration not reloaded")
+    });
     assert!(world.said().contains("subset.size: 0 "), "{}", world.said());
-    let out: Vec<TcpStream> =
-        (0..SIZE).map(|n| sent(&world, "report", "", &format!("SELECT {n} /* runs 600 */"))).collect();
+    let out: Vec<TcpStream> = (0..SIZE)
+        .map(|n| sent(&world, "report", "", &format!("SELECT {n} /* runs 600 */")))
+        .collect();
     sleep(ms(100));
     world.service.signal("TERM");
     for stream in out {
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -38,7 +38,10 @@
     fn at(address: SocketAddr) -> Log {
         let listener = TcpListener::bind(address).unwrap();
         listener.set_nonblocking(true).unwrap();
-        Log { address: listener.local_addr().unwrap(), listener }
+        Log {
+            address: listener.local_addr().unwrap(),
+            listener,
+        }
     }
 
     /// The next connection within a time, with its call read and nothing answered.
@@ -80,11 +83,17 @@
         stream.set_nodelay(true).unwrap();
         let call = read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("a call");
         assert_eq!(call.first, "GET /changes HTTP/1.1");
-        Watch { stream, last: call.fields["last-event-id"].parse().unwrap(), came }
+        Watch {
+            stream,
+            last: call.fields["last-event-id"].parse().unwrap(),
+            came,
+        }
     }
 
     fn says(&self, text: &str) {
-        (&self.stream).write_all(text.as_bytes()).expect("the connection is open");
+        (&self.stream)
+            .write_all(text.as_bytes())
+            .expect("the connection is open");
     }
 
     fn tells(&self, event: &Value) {
@@ -97,13 +106,19 @@
         match (&self.stream).read(&mut [0; 64]) {
             Ok(0) => true,
             Ok(n) => panic!("{n} bytes came"),
-            Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
+            Err(e) => !matches!(
+                e.kind(),
+                std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+            ),
         }
     }
 
     /// Comments come on it until what is given is dropped.
     fn lives(&self) -> Lives {
-        let (stream, on) = (self.stream.try_clone().unwrap(), Arc::new(AtomicBool::new(true)));
+        let (stream, on) = (
+            self.stream.try_clone().unwrap(),
+            Arc::new(AtomicBool::new(true)),
+        );
         let lives = Lives(on.clone());
         spawn(move || {
             while on.load(Ordering::Relaxed) && (&stream).write_all(COMMENT.as_bytes()).is_ok() {
@@ -132,7 +147,11 @@
 
 /// A list that names this engine alone.
 fn only(number: u64, engine: &Engine) -> Value {
-    change(number, true, &[line(&format!("s-{number}x"), engine.address, "SERVING")])
+    change(
+        number,
+        true,
+        &[line(&format!("s-{number}x"), engine.address, "SERVING")],
+    )
 }
 
 /// The next batch comes to this engine and to no other.
@@ -153,7 +172,9 @@
     const SOCKETS: usize = 64;
     let (log, hanging, other) = (Log::start(), Engine::start(), Engine::start());
     let lines = |state: &str| -> Vec<Value> {
-        (0..40).map(|n| line(&format!("s-{n}"), hanging.address, state)).collect()
+        (0..40)
+            .map(|n| line(&format!("s-{n}"), hanging.address, state))
+            .collect()
     };
     let s = watched(log.address, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
@@ -166,14 +187,23 @@
     let began = Instant::now();
     let batch = |_| {
         let stream = s.open();
-        send(&stream, "POST /v1/report", &fields(&new_id(), 3000), "SELECT 1 /* keeps delete */");
+        send(
+            &stream,
+            "POST /v1/report",
+            &fields(&new_id(), 3000),
+            "SELECT 1 /* keeps delete */",
+        );
         stream
     };
     let batches: Vec<TcpStream> = (0..SOCKETS / 3).map(batch).collect();
-    until("all descriptors of engines are taken", || hanging.calls("POST") >= all);
+    until("all descriptors of engines are taken", || {
+        hanging.calls("POST") >= all
+    });
     assert!(began.elapsed() < ms(1500), "the batches are in hand still");
     let log = Log::at(address);
-    let watch = log.next(PAUSES + SLACK).expect("the watch beside engines that hold their whole budget");
+    let watch = log
+        .next(PAUSES + SLACK)
+        .expect("the watch beside engines that hold their whole budget");
     watch.says(HEAD);
     let mut told = lines("DRAINING");
     told.push(line("s-other", other.address, "SERVING"));
@@ -184,7 +214,11 @@
     }
     let before = hanging.calls("POST");
     is_followed(&s, &other);
-    assert_eq!(hanging.calls("POST"), before, "nothing new to engines that drain");
+    assert_eq!(
+        hanging.calls("POST"),
+        before,
+        "nothing new to engines that drain"
+    );
 }
 
 /// Event A: the log is down, and idle clients take all that clients may have. Event B: it comes back.
@@ -195,9 +229,15 @@
     let (address, other) = (log.address, Engine::start());
     drop(log);
     let limited = |config: &Value| {
-        let start = format!("ulimit -n {SOCKETS}; exec {} serve", env!("CARGO_BIN_EXE_garnetwall"));
+        let start = format!(
+            "ulimit -n {SOCKETS}; exec {} serve",
+            env!("CARGO_BIN_EXE_garnetwall")
+        );
         let mut command = std::process::Command::new("sh");
-        command.args(["-c", &start]).env("PROXY_CONFIG", file(config)).env_remove("PROXY_LISTEN");
+        command
+            .args(["-c", &start])
+            .env("PROXY_CONFIG", file(config))
+            .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
     let s = Service::by(
@@ -220,13 +260,18 @@
     };
     let idle: Vec<TcpStream> = (0..SOCKETS * 2).map(idle).collect();
     for _ in 0..5 {
-        assert!(s.batch("report", "SELECT 1").returned(), "new clients are served without the log");
+        assert!(
+            s.batch("report", "SELECT 1").returned(),
+            "new clients are served without the log"
+        );
     }
     // Long before the idle would be closed for being that.
     let served = began.elapsed();
     assert!(served < ms(1900), "served after {served:?}");
     let log = Log::at(address);
-    let watch = log.next(PAUSES + SLACK).expect("the watch beside idle clients");
+    let watch = log
+        .next(PAUSES + SLACK)
+        .expect("the watch beside idle clients");
     watch.says(HEAD);
     watch.tells(&only(1, &other));
     let _lives = watch.lives();
@@ -249,9 +294,14 @@
             sleep(ms(500));
         }
     });
-    let second = log.next(SILENT + PAUSES + SLACK).expect("a connection in place of one that trickles");
+    let second = log
+        .next(SILENT + PAUSES + SLACK)
+        .expect("a connection in place of one that trickles");
     let after = second.came - trickles;
-    assert!(after > ms(2000), "after {after:?}: one comment that is late is no silence");
+    assert!(
+        after > ms(2000),
+        "after {after:?}: one comment that is late is no silence"
+    );
     on.store(false, Ordering::Relaxed);
     second.says(HEAD);
     second.tells(&only(1, &other));
@@ -266,7 +316,9 @@
     let first = log.next(LONG).expect("a connection");
     sleep(ms(2000));
     first.says(HEAD);
-    let second = log.next(SILENT + PAUSES + SLACK - ms(2000)).expect("a connection in place of a silent one");
+    let second = log
+        .next(SILENT + PAUSES + SLACK - ms(2000))
+        .expect("a connection in place of a silent one");
     assert_eq!(second.last, 0, "from the last number applied");
     second.says(HEAD);
     second.tells(&only(1, &other));
@@ -293,8 +345,14 @@
     let _lives = watch.lives();
     is_followed(&s, &other);
     let took = began.elapsed();
-    assert!(took < ms(2000), "written after {written:?}, applied after {took:?}");
-    assert!(log.next(Duration::ZERO).is_none(), "over the first connection");
+    assert!(
+        took < ms(2000),
+        "written after {written:?}, applied after {took:?}"
+    );
+    assert!(
+        log.next(Duration::ZERO).is_none(),
+        "over the first connection"
+    );
 }
 
 /// The list is told right after the last line of the first connection, the second falls silent as well, as late as it can:
@@ -302,7 +360,9 @@
 #[test]
 fn over_two_silent_connections_in_a_row_a_list_is_applied_inside_its_seven_seconds() {
     let (log, other) = (Log::start(), Engine::start());
-    let s = watched(log.address, |config| config["settings"]["allowed"]["dial-timeout"] = json!(1500.0));
+    let s = watched(log.address, |config| {
+        config["settings"]["allowed"]["dial-timeout"] = json!(1500.0)
+    });
     let first = log.opens();
     sleep(ms(300));
     first.says(COMMENT);
@@ -336,7 +396,10 @@
     third.tells(&only(1, &other));
     let _lives = third.lives();
     assert!(first.is_closed(SLACK), "what is not needed is closed");
-    assert!(second.is_closed(SLACK), "what is not needed is closed, though nothing comes on it any more");
+    assert!(
+        second.is_closed(SLACK),
+        "what is not needed is closed, though nothing comes on it any more"
+    );
     is_followed(&s, &other);
     let took = began.elapsed();
     assert!(took < ms(7000), "applied {took:?} after the start");
@@ -353,9 +416,18 @@
     let _lives = second.lives();
     // It was begun a little before it was seen here.
     let has = ms(7000) - SLACK;
-    assert!(!silent.is_closed(has.saturating_sub(silent.came.elapsed())), "it has its time");
-    assert!(silent.is_closed((has + SLACK * 2).saturating_sub(silent.came.elapsed())), "and no more");
-    assert!(!second.is_closed(ms(100)) && log.next(ms(100)).is_none(), "the one that lives stays");
+    assert!(
+        !silent.is_closed(has.saturating_sub(silent.came.elapsed())),
+        "it has its time"
+    );
+    assert!(
+        silent.is_closed((has + SLACK * 2).saturating_sub(silent.came.elapsed())),
+        "and no more"
+    );
+    assert!(
+        !second.is_closed(ms(100)) && log.next(ms(100)).is_none(),
+        "the one that lives stays"
+    );
 }
 
 #[test]
@@ -370,14 +442,22 @@
         drop(watch);
         came += 1;
     }
-    assert!((5..=12).contains(&came), "{came} connections in 3 s at a pause of 250 ms");
+    assert!(
+        (5..=12).contains(&came),
+        "{came} connections in 3 s at a pause of 250 ms"
+    );
 }
 
 /// Who reads the gateway's log sees each time that it is lost, also where the stream was ended in good order before.
 #[test]
 fn a_log_that_ends_its_stream_and_is_gone_then_is_warned_of_again() {
     let path = file(&Value::Null).with_extension("log");
-    let said = || std::fs::read_to_string(&path).unwrap().matches("change log lost").count();
+    let said = || {
+        std::fs::read_to_string(&path)
+            .unwrap()
+            .matches("change log lost")
+            .count()
+    };
     let log = Log::start();
     let address = log.address;
     drop(log);
@@ -424,7 +504,9 @@
     fn reads(&self, text: &str) {
         // Never half a file: the gateway may be reading the one before.
         let new: &Path = &self.path.with_extension("new");
-        std::fs::write(new, text).and_then(|()| std::fs::rename(new, &self.path)).unwrap();
+        std::fs::write(new, text)
+            .and_then(|()| std::fs::rename(new, &self.path))
+            .unwrap();
         self.s.signal("HUP");
     }
 
@@ -517,11 +599,18 @@
     assert!(watch.is_closed(SLACK), "the first place is left");
     // It may have been connected to between the two, and is left.
     if let Some(left) = between.next(Duration::ZERO) {
-        let _ = (&left.stream).write_all(format!("{HEAD}id: 3\ndata: {}\n\n", only(3, &stale)).as_bytes());
+        let _ = (&left.stream)
+            .write_all(format!("{HEAD}id: 3\ndata: {}\n\n", only(3, &stale)).as_bytes());
     }
     r.reads("{");
-    assert!((0..5).all(|_| goes_to(&r.s, &other)), "a faulty file changes nothing");
-    assert!(new.next(ms(100)).is_none() && !newest.is_closed(ms(100)), "nor does it cost a connection");
+    assert!(
+        (0..5).all(|_| goes_to(&r.s, &other)),
+        "a faulty file changes nothing"
+    );
+    assert!(
+        new.next(ms(100)).is_none() && !newest.is_closed(ms(100)),
+        "nor does it cost a connection"
+    );
     assert_eq!(stale.calls("POST"), 0);
 }
 
@@ -568,7 +657,11 @@
     for _ in 0..10 {
         assert!(goes_to(&s, &newer), "the newest list stays");
     }
-    assert_eq!(older.calls("POST"), before, "nothing to an engine that the newest list does not name");
+    assert_eq!(
+        older.calls("POST"),
+        before,
+        "nothing to an engine that the newest list does not name"
+    );
     watch.tells(&only(3, &older));
     is_followed(&s, &older);
 }
@@ -598,7 +691,13 @@
     let mut config = config(engine.address, log.address);
     config["known"] = json!({"seq": 0, "results": []});
     let address = config["listen"].as_str().unwrap().parse().unwrap();
-    let s = Service { child: serve(&config), engine, log: unused, config, address };
+    let s = Service {
+        child: serve(&config),
+        engine,
+        log: unused,
+        config,
+        address,
+    };
     let watch = log.opens();
     let _lives = watch.lives();
     watch.tells(&json!({"seq": 1}));
@@ -646,11 +745,16 @@
         });
     });
     let healthy = || {
-        let asked = TcpStream::connect(service.address).ok().and_then(|s| call(s, "GET /healthz", "", ""));
+        let asked = TcpStream::connect(service.address)
+            .ok()
+            .and_then(|s| call(s, "GET /healthz", "", ""));
         asked.is_some_and(|answer| answer.first == "HTTP/1.1 200 OK")
     };
     while !healthy() {
-        assert!(began.elapsed() < ms(7000), "the log at {address} is never heard");
+        assert!(
+            began.elapsed() < ms(7000),
+            "the log at {address} is never heard"
+        );
         sleep(ms(20));
     }
 }
--- a/crates/gateway/tests/world.rs
+++ b/crates/gateway/tests/world.rs
@@ -45,7 +45,12 @@
         (Slip::StartsLate, Rule::Answer),
     ];
     for (slip, rule) in slips {
-        let found = (0..300).find(|seed| World::new(*seed, slip).play().iter().any(|(r, _)| *r == rule));
+        let found = (0..300).find(|seed| {
+            World::new(*seed, slip)
+                .play()
+                .iter()
+                .any(|(r, _)| *r == rule)
+        });
         assert!(found.is_some(), "{slip:?} breaks {rule:?} nowhere");
     }
 }
--- a/crates/gateway/tests/world/day.rs
+++ b/crates/gateway/tests/world/day.rs
@@ -14,11 +14,29 @@
     fn take(&mut self, place: usize, group: usize, key: Option<u64>, came: u64) {
         let id = self.queries.len() as BatchId;
         let limit = came + if self.rng.one_in(6) { 900 } else { 5000 };
-        let held = Query { group, key, place, limit, left: false, answered: None, dispatches: Vec::new() };
+        let held = Query {
+            group,
+            key,
+            place,
+            limit,
+            left: false,
+            answered: None,
+            dispatches: Vec::new(),
+        };
         self.queries.push(held);
         let left = limit.saturating_sub(self.now) as f64 / 1000.0;
         let data_set = id % 3;
-        let b = Batch { id, group, tenant: 0, key, left, cost: None, memory: None, data_set, lane: None };
+        let b = Batch {
+            id,
+            group,
+            tenant: 0,
+            key,
+            left,
+            cost: None,
+            memory: None,
+            data_set,
+            lane: None,
+        };
         self.control.take(seconds(self.now), b);
     }
 
@@ -43,7 +61,9 @@
             if !self.is_starved() {
                 for engine in 0..self.processes.len() {
                     let before = self.line(engine, told).map(|l| l.condition);
-                    let line = self.line(engine, self.now).filter(|l| before != Some(l.condition));
+                    let line = self
+                        .line(engine, self.now)
+                        .filter(|l| before != Some(l.condition));
                     self.control.listed(line.as_slice(), false);
                 }
                 told = self.now;
@@ -63,7 +83,11 @@
             }
             self.now += STEP;
         }
-        let open = self.queries.iter().filter(|b| b.answered.is_none() && !b.left).count();
+        let open = self
+            .queries
+            .iter()
+            .filter(|b| b.answered.is_none() && !b.left)
+            .count();
         if open > 0 {
             self.breaks(Rule::Answer, format!("{open} batches have no answer"));
         }
--- a/crates/gateway/tests/world/engines.rs
+++ b/crates/gateway/tests/world/engines.rs
@@ -60,8 +60,9 @@
             }
         }
         // What a cut, a reset or a dead process leaves of connections.
-        let broken: Vec<usize> =
-            (0..self.attempts.len()).filter(|n| self.loses(&self.attempts[*n])).collect();
+        let broken: Vec<usize> = (0..self.attempts.len())
+            .filter(|n| self.loses(&self.attempts[*n]))
+            .collect();
         for n in broken {
             let held = self.attempts[n].batch;
             let o = &mut self.attempts[n];
@@ -76,18 +77,26 @@
     fn loses(&self, o: &Attempt) -> bool {
         o.up.is_some_and(|p| {
             let p = &self.processes[p];
-            self.now >= p.dies || self.slots[p.slot].resets.contains(&self.now) && !self.is_cut(p.slot)
+            self.now >= p.dies
+                || self.slots[p.slot].resets.contains(&self.now) && !self.is_cut(p.slot)
         })
     }
 
     /// A call has come whole to the process at the end of the connection.
     pub(super) fn arrives(&mut self, n: usize, call: Call) {
-        let (now, Some(process)) = (self.now, self.attempts[n].up) else { return };
+        let (now, Some(process)) = (self.now, self.attempts[n].up) else {
+            return;
+        };
         let batch = self.attempts[n].batch;
         match call {
             Call::Start if self.rng.one_in(15) => {}
             Call::Start => {
-                let ends = now + if self.rng.one_in(4) { 6000 } else { self.rng.between(20, 900) };
+                let ends = now
+                    + if self.rng.one_in(4) {
+                        6000
+                    } else {
+                        self.rng.between(20, 900)
+                    };
                 self.judge_start(batch, process);
                 let ran = Execution {
                     batch,
@@ -103,7 +112,8 @@
                 self.executions.push(ran);
             }
             Call::News | Call::GiveUp => {
-                let mine = |r: &&mut Execution| r.batch == batch && r.process == process && r.to.is_none();
+                let mine =
+                    |r: &&mut Execution| r.batch == batch && r.process == process && r.to.is_none();
                 if let Some(r) = self.executions.iter_mut().find(mine) {
                     match call {
                         Call::GiveUp => r.to = Some(now),
@@ -123,7 +133,12 @@
         let mine = |r: &&Execution| r.batch == batch && r.process == process;
         let sent = self.attempts[n].sent;
         let spoilt = self.rng.one_in(40);
-        let reply = match self.executions.iter().rfind(mine).filter(|r| r.from >= sent) {
+        let reply = match self
+            .executions
+            .iter()
+            .rfind(mine)
+            .filter(|r| r.from >= sent)
+        {
             _ if call == Call::GiveUp => Reply::GivenUp,
             None if call == Call::Start => Reply::Full,
             None => Reply::Unknown,
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -10,16 +10,29 @@
     pub(super) fn drive(&mut self, n: usize) {
         if self.now >= self.attempts[n].time_out && !self.attempts[n].late {
             (self.attempts[n].late, self.attempts[n].unwanted) = (true, true);
-            let unsent = matches!(self.attempts[n].doing, Doing::Connects { then: Call::Start, .. });
+            let unsent = matches!(
+                self.attempts[n].doing,
+                Doing::Connects {
+                    then: Call::Start,
+                    ..
+                }
+            );
             if !unsent || self.slip == Slip::StartsLate {
                 self.in_doubt(n, End::TimedOut);
             }
         }
         match self.attempts[n].doing {
             Doing::Connects { since, then } => self.connect(n, since, then),
-            Doing::Calls { since, call, reached } => self.await_reply(n, since, call, reached),
+            Doing::Calls {
+                since,
+                call,
+                reached,
+            } => self.await_reply(n, since, call, reached),
             Doing::Pauses { until } if self.now >= until => {
-                self.attempts[n].doing = Doing::Connects { since: self.now, then: Call::News };
+                self.attempts[n].doing = Doing::Connects {
+                    since: self.now,
+                    then: Call::News,
+                };
             }
             Doing::Pauses { .. } => {}
             Doing::GivesUp => {
@@ -34,10 +47,16 @@
                     _ if trusted => self.over(n, End::Broken),
                     Then::Wait(_) => {}
                     Then::FindOut => {
-                        self.attempts[n].doing = Doing::Connects { since: self.now, then: Call::News };
+                        self.attempts[n].doing = Doing::Connects {
+                            since: self.now,
+                            then: Call::News,
+                        };
                     }
                     Then::GiveUp(_) => {
-                        self.attempts[n].doing = Doing::Connects { since: self.now, then: Call::GiveUp };
+                        self.attempts[n].doing = Doing::Connects {
+                            since: self.now,
+                            then: Call::GiveUp,
+                        };
                     }
                 }
             }
@@ -47,7 +66,14 @@
     fn connect(&mut self, n: usize, since: u64, then: Call) {
         if then == Call::Start && self.attempts[n].unwanted && self.slip != Slip::StartsLate {
             self.tell(n, Fact::NeverCame);
-            return self.over(n, if self.attempts[n].late { End::Moot } else { End::Unconnected });
+            return self.over(
+                n,
+                if self.attempts[n].late {
+                    End::Moot
+                } else {
+                    End::Unconnected
+                },
+            );
         }
         let slot = self.processes[self.attempts[n].engine].slot;
         if self.attempts[n].up.is_none() {
@@ -64,7 +90,11 @@
                 return;
             };
             // Some connections come up late, and the batch may have its answer meanwhile.
-            let late = if self.rng.one_in(5) { self.rng.between(STEP, CONNECT_TIMEOUT) } else { 0 };
+            let late = if self.rng.one_in(5) {
+                self.rng.between(STEP, CONNECT_TIMEOUT)
+            } else {
+                0
+            };
             if self.now < *self.attempts[n].comes_up.get_or_insert(self.now + late) {
                 return;
             }
@@ -81,7 +111,11 @@
         if lost && !self.is_cut(slot) {
             self.attempts[n].up = None;
         }
-        self.attempts[n].doing = Doing::Calls { since: self.now, call: then, reached: !lost };
+        self.attempts[n].doing = Doing::Calls {
+            since: self.now,
+            call: then,
+            reached: !lost,
+        };
         if !lost {
             self.arrives(n, then);
         }
@@ -92,7 +126,11 @@
             self.tell(n, Fact::Reset(self.attempts[n].connection));
             return self.lost(n, call, Lost::OnItsWay);
         }
-        let reply = if reached { self.reply(n, since, call) } else { None };
+        let reply = if reached {
+            self.reply(n, since, call)
+        } else {
+            None
+        };
         let Some(reply) = reply else {
             if self.now > since + POLL_HOLD + SLACK {
                 self.drops(n);
@@ -113,7 +151,14 @@
                     return self.attempts[n].doing = Doing::GivesUp;
                 }
                 let unwanted = self.attempts[n].unwanted && self.attempts[n].late;
-                self.over(n, if unwanted { End::Withdrawn } else { End::Returned });
+                self.over(
+                    n,
+                    if unwanted {
+                        End::Withdrawn
+                    } else {
+                        End::Returned
+                    },
+                );
             }
             Reply::Full => {
                 self.tell(n, Fact::Ended);
@@ -125,7 +170,8 @@
                     return self.attempts[n].doing = Doing::GivesUp;
                 }
                 let id = self.attempts[n].id;
-                let over = self.ledger.may_run_until(id).is_none() || self.slip == Slip::TrustsAddresses;
+                let over =
+                    self.ledger.may_run_until(id).is_none() || self.slip == Slip::TrustsAddresses;
                 match weigh(call == Call::Start, true, over) {
                     Verdict::AsTold => self.over(n, End::Errored),
                     Verdict::CutShort => self.over(n, End::Broken),
@@ -142,7 +188,12 @@
                 match self.attempts[n].unwanted {
                     _ if self.attempts[n].end.is_some() => self.attempts[n].doing = Doing::GivesUp,
                     true => self.give_up(n, End::Withdrawn),
-                    false => self.attempts[n].doing = Doing::Connects { since: self.now, then: Call::News },
+                    false => {
+                        self.attempts[n].doing = Doing::Connects {
+                            since: self.now,
+                            then: Call::News,
+                        }
+                    }
                 }
             }
         }
@@ -152,7 +203,10 @@
     fn drops(&mut self, n: usize) {
         self.tell(n, Fact::Useless(self.attempts[n].connection));
         let (batch, up) = (self.attempts[n].batch, self.attempts[n].up.take());
-        let held = self.executions.iter_mut().filter(|r| r.batch == batch && Some(r.process) == up);
+        let held = self
+            .executions
+            .iter_mut()
+            .filter(|r| r.batch == batch && Some(r.process) == up);
         held.for_each(|r| r.held = None);
     }
 
--- a/crates/gateway/tests/world/figures.rs
+++ b/crates/gateway/tests/world/figures.rs
@@ -31,8 +31,16 @@
 pub(super) const NON_IDEMPOTENT: usize = 1;
 /// How long engines know an idempotency key, in seconds.
 pub(super) const IDEMPOTENCY_WINDOW: f64 = 1.5;
-pub(super) const SLOW_START: ColdRule =
-    ColdRule { starts_at: 0.4, warm_after: 6.0, multiple: 3.0, window: 2.0 };
+pub(super) const SLOW_START: ColdRule = ColdRule {
+    starts_at: 0.4,
+    warm_after: 6.0,
+    multiple: 3.0,
+    window: 2.0,
+};
 /// Of an engine.
 pub(super) const CORES: f64 = 2.0;
-pub(super) const RETRY_BUDGET: FurtherBudget = FurtherBudget { floor: 2.0, per_batch: 0.2, window: 3.0 };
+pub(super) const RETRY_BUDGET: FurtherBudget = FurtherBudget {
+    floor: 2.0,
+    per_batch: 0.2,
+    window: 3.0,
+};
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -15,9 +15,18 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Doing {
-    Connects { since: u64, then: Call },
-    Calls { since: u64, call: Call, reached: bool },
-    Pauses { until: u64 },
+    Connects {
+        since: u64,
+        then: Call,
+    },
+    Calls {
+        since: u64,
+        call: Call,
+        reached: bool,
+    },
+    Pauses {
+        until: u64,
+    },
     GivesUp,
 }
 
@@ -80,14 +89,20 @@
                 Wait::For(_) => return,
                 Wait::Subscribe | Wait::Probe(_) => {}
                 Wait::Cancel(id, n) => {
-                    if let Some(o) = self.attempts.iter_mut().find(|o| o.batch == id && o.number == n) {
+                    if let Some(o) = self
+                        .attempts
+                        .iter_mut()
+                        .find(|o| o.batch == id && o.number == n)
+                    {
                         o.unwanted = true;
                     }
                 }
                 Wait::Ask(id) => match self.control.place(seconds(self.now), id) {
                     Place::NotYet => {}
                     Place::Over(answer) => self.answer(id, answer),
-                    Place::To { engine, time_out, .. } => self.send(id, engine, time_out),
+                    Place::To {
+                        engine, time_out, ..
+                    } => self.send(id, engine, time_out),
                 },
             }
         }
@@ -112,10 +127,17 @@
             return;
         }
         // A gateway that gets no time can't answer; it does so at once when it does.
-        let woke = if (starved.0..=starved.1 + STEP).contains(&h.limit) { starved.1 + STEP } else { 0 };
+        let woke = if (starved.0..=starved.1 + STEP).contains(&h.limit) {
+            starved.1 + STEP
+        } else {
+            0
+        };
         if now > h.limit.max(woke) + SLACK {
             let limit = h.limit;
-            self.breaks(Rule::Answer, format!("batch {id} answered after its limit {limit}"));
+            self.breaks(
+                Rule::Answer,
+                format!("batch {id} answered after its limit {limit}"),
+            );
         }
         let ran = self.executions.iter().any(|r| r.batch == id);
         if pushed_back && ran && self.queries[id as usize].group != 0 {
@@ -133,11 +155,21 @@
             batch: id,
             engine,
             number,
-            id: self.ledger.open(Duration::from_millis(now), Duration::from_millis(LONGEST_DEADLINE)),
+            id: self.ledger.open(
+                Duration::from_millis(now),
+                Duration::from_millis(LONGEST_DEADLINE),
+            ),
             sent: now,
             time_out: now + (time_out * 1000.0) as u64,
-            doing: Doing::Connects { since: now, then: Call::Start },
-            asking: Asking::new(Duration::from_millis(now), BOUNDS, Duration::from_millis(CONNECT_TIMEOUT)),
+            doing: Doing::Connects {
+                since: now,
+                then: Call::Start,
+            },
+            asking: Asking::new(
+                Duration::from_millis(now),
+                BOUNDS,
+                Duration::from_millis(CONNECT_TIMEOUT),
+            ),
             up: None,
             connection: 0,
             refused: false,
@@ -156,10 +188,19 @@
 
     fn outcome(&self, n: usize, end: End) -> Outcome {
         let o = &self.attempts[n];
-        let closed = self.queries[o.batch as usize].answered.is_some() || self.queries[o.batch as usize].left;
+        let closed = self.queries[o.batch as usize].answered.is_some()
+            || self.queries[o.batch as usize].left;
         let latency = (self.now - o.sent) as f64 / 1000.0;
         let work = (end == End::Returned).then_some(latency);
-        Outcome { engine: o.engine, dispatch: o.number, end, latency, closed, work, memory: None }
+        Outcome {
+            engine: o.engine,
+            dispatch: o.number,
+            end,
+            latency,
+            closed,
+            work,
+            memory: None,
+        }
     }
 
     pub(super) fn in_doubt(&mut self, n: usize, end: End) {
@@ -171,7 +212,11 @@
 
     /// The dispatch is over as far as the gateway can know.
     pub(super) fn over(&mut self, n: usize, end: End) {
-        let end = if self.attempts[n].late && end != End::Moot { End::TimedOut } else { end };
+        let end = if self.attempts[n].late && end != End::Moot {
+            End::TimedOut
+        } else {
+            end
+        };
         let (id, outcome) = (self.attempts[n].batch, self.outcome(n, end));
         let closed = outcome.closed;
         let next = self.control.after(seconds(self.now), id, outcome);
--- a/crates/gateway/tests/world/judge.rs
+++ b/crates/gateway/tests/world/judge.rs
@@ -1,7 +1,9 @@
 //! The rules, judged by what really ran where.
 
 use super::engines::Execution;
-use super::figures::{CORES, IDEMPOTENCY_WINDOW, KEY_REST, NON_IDEMPOTENT, RETRY_BUDGET, SLACK, SLOW_START};
+use super::figures::{
+    CORES, IDEMPOTENCY_WINDOW, KEY_REST, NON_IDEMPOTENT, RETRY_BUDGET, SLACK, SLOW_START,
+};
 use super::World;
 use garnetwall::api::{BatchId, EngineId};
 
@@ -19,7 +21,8 @@
 
 impl World {
     pub(super) fn breaks(&mut self, rule: Rule, what: String) {
-        self.broken.push((rule, format!("at {} ms: {what}", self.now)));
+        self.broken
+            .push((rule, format!("at {} ms: {what}", self.now)));
     }
 
     /// As the gateway decides to send.
@@ -30,10 +33,16 @@
             self.breaks(Rule::Answer, format!("batch {id} is sent after its end"));
         }
         if now >= p.told + 2000 || now >= p.told_gone + 2000 {
-            self.breaks(Rule::Drain, format!("batch {id} goes to engine {engine}, told draining"));
+            self.breaks(
+                Rule::Drain,
+                format!("batch {id} goes to engine {engine}, told draining"),
+            );
         }
         if group == 0 && self.zone(engine) != 0 {
-            self.breaks(Rule::Placement, format!("batch {id} goes to zone {}", self.zone(engine)));
+            self.breaks(
+                Rule::Placement,
+                format!("batch {id} goes to zone {}", self.zone(engine)),
+            );
         }
         if !first {
             self.retries.push(now);
@@ -51,9 +60,13 @@
             let sent = self.queries.iter().flat_map(|b| &b.dispatches);
             let sent = sent.filter(|(at, e)| *at >= since && *e == engine).count() as f64 + 1.0;
             let able = SLOW_START.starts_at
-                + (1.0 - SLOW_START.starts_at) * (now.saturating_sub(p.up)) as f64 / (warm - p.up) as f64;
+                + (1.0 - SLOW_START.starts_at) * (now.saturating_sub(p.up)) as f64
+                    / (warm - p.up) as f64;
             if sent * 0.5 > SLOW_START.multiple * able * CORES * SLOW_START.window {
-                self.breaks(Rule::Cold, format!("{sent} batches in a window to engine {engine}"));
+                self.breaks(
+                    Rule::Cold,
+                    format!("{sent} batches in a window to engine {engine}"),
+                );
             }
         }
     }
@@ -63,7 +76,10 @@
         let h = &self.queries[id as usize];
         let ended = h.answered.map(|(at, _)| at).filter(|at| *at < self.now);
         if let Some(at) = ended {
-            self.breaks(Rule::Answer, format!("batch {id} was sent on after its answer at {at} ms"));
+            self.breaks(
+                Rule::Answer,
+                format!("batch {id} was sent on after its answer at {at} ms"),
+            );
         }
         let h = &self.queries[id as usize];
         let (group, key, place) = (h.group, h.key, h.place);
@@ -79,23 +95,34 @@
             }
         };
         if runs || again {
-            self.breaks(Rule::Effect, format!("batch {id} runs again; the one before runs still: {runs}"));
+            self.breaks(
+                Rule::Effect,
+                format!("batch {id} runs again; the one before runs still: {runs}"),
+            );
         }
         if group == 0 || key.is_none() {
             return;
         }
-        let earlier = self.queries.iter().enumerate().filter(|(_, b)| b.key == key && b.place < place);
+        let earlier = self
+            .queries
+            .iter()
+            .enumerate()
+            .filter(|(_, b)| b.key == key && b.place < place);
         let mut what = None;
         for (other, b) in earlier {
             if b.answered.is_none() && !b.left {
-                what = Some(format!("batch {id} passes batch {other}, which is not over"));
+                what = Some(format!(
+                    "batch {id} passes batch {other}, which is not over"
+                ));
             }
             for r in self.executions.iter().filter(|r| r.batch as usize == other) {
                 let cancelled = !r.good;
                 match r.to {
                     None => what = Some(format!("batch {id} runs beside batch {other} of its key")),
                     Some(to) if cancelled && self.now + SLACK < to + KEY_REST => {
-                        what = Some(format!("batch {id} starts before its key has rested from {other}"));
+                        what = Some(format!(
+                            "batch {id} starts before its key has rested from {other}"
+                        ));
                     }
                     Some(_) => {}
                 }
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -22,26 +22,60 @@
             let next = drains + rng.between(20, 4000);
             let far = 10 * DAY;
             let lasts = slot == 0 || rng.one_in(3);
-            let (drains, dies, told) = if lasts { (far, far, far) } else { (drains, dies, told) };
+            let (drains, dies, told) = if lasts {
+                (far, far, far)
+            } else {
+                (drains, dies, told)
+            };
             let told_gone = dies.max(told) + rng.draw(2000);
-            processes.push(Process { slot, up: 0, drains, dies, told_up: 0, told, told_gone });
+            processes.push(Process {
+                slot,
+                up: 0,
+                drains,
+                dies,
+                told_up: 0,
+                told,
+                told_gone,
+            });
             if !lasts {
                 // It takes the address, perhaps while the old one runs on.
                 let told_up = next + rng.draw(1000);
-                let heir =
-                    Process { slot, up: next, drains: far, dies: far, told_up, told: far, told_gone: far };
+                let heir = Process {
+                    slot,
+                    up: next,
+                    drains: far,
+                    dies: far,
+                    told_up,
+                    told: far,
+                    told_gone: far,
+                };
                 processes.push(heir);
             }
         }
         let slots = (0..ENGINES).map(|_| {
             let from = rng.between(500, DAY);
-            let cut = if rng.one_in(3) { (from, from + rng.between(500, 6000)) } else { (0, 0) };
-            Slot { cut, resets: (0..rng.draw(5)).map(|_| rng.between(300, DAY) / STEP * STEP).collect() }
+            let cut = if rng.one_in(3) {
+                (from, from + rng.between(500, 6000))
+            } else {
+                (0, 0)
+            };
+            Slot {
+                cut,
+                resets: (0..rng.draw(5))
+                    .map(|_| rng.between(300, DAY) / STEP * STEP)
+                    .collect(),
+            }
         });
         let slots = slots.collect();
-        let referenced = Effect::Referenced { scope: Scope::Zone, window: IDEMPOTENCY_WINDOW };
-        let mut groups =
-            vec![group(Effect::Repeatable, false), group(Effect::OnceOnly, true), group(referenced, true)];
+        let referenced = Effect::Referenced {
+            scope: Scope::Zone,
+            window: IDEMPOTENCY_WINDOW,
+        };
+        let mut groups = vec![
+            group(Effect::Repeatable, false),
+            group(Effect::OnceOnly, true),
+            group(referenced, true),
+        ];
         groups[0].zones = (slip != Slip::OverlooksZones).then(|| vec![0]);
         let settings = Settings {
             groups,
@@ -52,15 +86,26 @@
             names_return: true,
             longest_return: 1.0,
             max_dispatches: 4,
-            key_rest: if slip == Slip::RestsNoKeys { 0.0 } else { KEY_REST as f64 / 1000.0 },
+            key_rest: if slip == Slip::RestsNoKeys {
+                0.0
+            } else {
+                KEY_REST as f64 / 1000.0
+            },
             further: (slip != Slip::OverlooksBudget).then_some(RETRY_BUDGET),
             cold: (slip != Slip::OverlooksColdness).then_some(SLOW_START),
             ..Settings::default()
         };
         let starved = rng.between(1000, DAY);
-        let starved = if rng.one_in(2) { (starved, starved + rng.between(100, 2500)) } else { (0, 0) };
+        let starved = if rng.one_in(2) {
+            (starved, starved + rng.between(100, 2500))
+        } else {
+            (0, 0)
+        };
         let notes = (seed >> 8) % 4 == 1;
-        let bounds = Bounds { notes: notes && slip != Slip::OverlooksNotes, ..BOUNDS };
+        let bounds = Bounds {
+            notes: notes && slip != Slip::OverlooksNotes,
+            ..BOUNDS
+        };
         let mut world = World {
             slip,
             notes,
@@ -77,7 +122,9 @@
             broken: Vec::new(),
             rng,
         };
-        let lines: Vec<Listed> = (0..world.processes.len()).filter_map(|e| world.line(e, 0)).collect();
+        let lines: Vec<Listed> = (0..world.processes.len())
+            .filter_map(|e| world.line(e, 0))
+            .collect();
         world.control.listed(&lines, true);
         world
     }
--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -11,7 +11,10 @@
 fn main() {
     println!("waiting at once   commits/s   latency us: median   99%");
     for at_once in [1, 4, 16, 64, 256] {
-        let path = std::env::temp_dir().join(format!("garnetwall-journal-{}-{at_once}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "garnetwall-journal-{}-{at_once}",
+            std::process::id()
+        ));
         let run = Run { id: 1, span: 1000 };
         let (journal, begun) = Journal::start(FileLog::new(&path), run, || 0, Box::new(drop));
         begun.unwrap_or_else(|e| panic!("{e}"));
@@ -23,7 +26,14 @@
                 assert!(written.is_ok());
                 let _ = done.send(sent_at.elapsed());
             };
-            journal.sent(Sent { id, key: Some(id % 7), until: u64::MAX }, Box::new(told));
+            journal.sent(
+                Sent {
+                    id,
+                    key: Some(id % 7),
+                    until: u64::MAX,
+                },
+                Box::new(told),
+            );
         };
         (0..at_once).for_each(send);
         let mut latencies = Vec::new();
--- a/crates/ledger/src/asking.rs
+++ b/crates/ledger/src/asking.rs
@@ -60,7 +60,12 @@
 impl Asking {
     /// `pause` is waited for before the second try in a row that follows a loss.
     pub fn new(now: Duration, bounds: Bounds, pause: Duration) -> Self {
-        Asking { bounds, pause, heard: now, again: false }
+        Asking {
+            bounds,
+            pause,
+            heard: now,
+            again: false,
+        }
     }
 
     /// A sound answer that is no end.
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -79,9 +79,16 @@
         }
         let key = (bytes[2] == 1).then(|| number(16));
         match bytes[1] {
-            SENT => Some(Record::Sent(Sent { id: number(8), key, until: number(24) })),
+            SENT => Some(Record::Sent(Sent {
+                id: number(8),
+                key,
+                until: number(24),
+            })),
             OVER => Some(Record::Over { id: number(8) }),
-            RUN => Some(Record::Run(Run { id: number(8), span: number(24) })),
+            RUN => Some(Record::Run(Run {
+                id: number(8),
+                span: number(24),
+            })),
             _ => None,
         }
     }
@@ -152,7 +159,9 @@
             }
             Record::Run(run) => {
                 if self.run.is_some_and(|old| old.id != run.id) {
-                    self.known.values_mut().for_each(|(s, _)| s.until = NOT_COMPARABLE);
+                    self.known
+                        .values_mut()
+                        .for_each(|(s, _)| s.until = NOT_COMPARABLE);
                 }
                 self.run = Some(*run);
             }
@@ -174,7 +183,12 @@
 
     /// Batches that were sent and whose end is not past, each with whether it is proved over.
     pub fn known(&self, now: u64) -> Vec<(Sent, bool)> {
-        let mut known: Vec<_> = self.known.values().filter(|(s, _)| s.until > now).copied().collect();
+        let mut known: Vec<_> = self
+            .known
+            .values()
+            .filter(|(s, _)| s.until > now)
+            .copied()
+            .collect();
         known.sort_unstable_by_key(|(s, _)| s.id);
         known
     }
@@ -197,7 +211,12 @@
             let ended = over.then_some(Record::Over { id: s.id });
             std::iter::once(Record::Sent(s)).chain(ended)
         });
-        let records: Vec<Record> = self.run.map(Record::Run).into_iter().chain(records).collect();
+        let records: Vec<Record> = self
+            .run
+            .map(Record::Run)
+            .into_iter()
+            .chain(records)
+            .collect();
         (self.records, self.look_at) = (records.len(), 2 * records.len());
         records.iter().flat_map(Record::bytes).collect()
     }
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -39,11 +39,17 @@
 impl FileLog {
     /// A journal at a path, where there may be one already.
     pub fn new(path: &Path) -> FileLog {
-        FileLog { path: path.to_path_buf(), file: None }
+        FileLog {
+            path: path.to_path_buf(),
+            file: None,
+        }
     }
 
     fn folder(&self) -> &Path {
-        self.path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."))
+        self.path
+            .parent()
+            .filter(|p| !p.as_os_str().is_empty())
+            .unwrap_or(Path::new("."))
     }
 }
 
@@ -62,11 +68,17 @@
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.file.as_mut().ok_or(io::ErrorKind::NotConnected)?.write_all(bytes)
+        self.file
+            .as_mut()
+            .ok_or(io::ErrorKind::NotConnected)?
+            .write_all(bytes)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.file.as_ref().ok_or(io::ErrorKind::NotConnected)?.sync_data()
+        self.file
+            .as_ref()
+            .ok_or(io::ErrorKind::NotConnected)?
+            .sync_data()
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -77,7 +89,10 @@
             Err(fault) if fault.kind() != io::ErrorKind::NotFound => return Err(fault),
             _ => {}
         }
-        let mut file = OpenOptions::new().write(true).create_new(true).open(&beside)?;
+        let mut file = OpenOptions::new()
+            .write(true)
+            .create_new(true)
+            .open(&beside)?;
         file.write_all(bytes)?;
         file.sync_data()?;
         std::fs::rename(&beside, &self.path)?;
@@ -126,12 +141,21 @@
         let begun = writer.restore();
         let (orders, taken) = channel();
         let thread = std::thread::spawn(move || writer.write_all(&taken));
-        (Journal { orders, thread: Some(thread) }, begun)
+        (
+            Journal {
+                orders,
+                thread: Some(thread),
+            },
+            begun,
+        )
     }
 
     /// A once-only batch is about to go out: it may once `done` is told so.
     pub fn sent(&self, sent: Sent, done: Done) {
-        if let Err(e) = self.orders.send(Order::Write(Record::Sent(sent), Some(done))) {
+        if let Err(e) = self
+            .orders
+            .send(Order::Write(Record::Sent(sent), Some(done)))
+        {
             if let Order::Write(_, Some(done)) = e.0 {
                 done(Err(io::Error::other("the journal has stopped")));
             }
@@ -193,11 +217,16 @@
     /// Writes an order and those that wait behind it; whether it is to stop.
     fn write_group(&mut self, first: Order, orders: &Receiver<Order>) -> bool {
         let (mut waiting, mut bytes, mut stops) = (Vec::new(), Vec::new(), false);
-        for order in std::iter::once(first).chain(std::iter::from_fn(|| orders.try_recv().ok())).take(MOST) {
+        for order in std::iter::once(first)
+            .chain(std::iter::from_fn(|| orders.try_recv().ok()))
+            .take(MOST)
+        {
             match order {
                 // What is not promised is not sent, and need not be known.
                 Order::Write(Record::Sent(_), Some(done)) if !self.is_sound => {
-                    done(Err(io::Error::other("an earlier write of the journal failed")));
+                    done(Err(io::Error::other(
+                        "an earlier write of the journal failed",
+                    )));
                 }
                 Order::Write(record, done) => {
                     bytes.extend_from_slice(&record.bytes());
@@ -216,12 +245,20 @@
     fn append(&mut self, bytes: &[u8], waiting: Vec<Done>, stops: bool) {
         // What nobody waits for goes to the disk with the next that somebody does.
         let syncs = !waiting.is_empty() || stops;
-        let written = self.log.append(bytes).and_then(|()| if syncs { self.log.sync() } else { Ok(()) });
+        let written = self
+            .log
+            .append(bytes)
+            .and_then(|()| if syncs { self.log.sync() } else { Ok(()) });
         if written.is_err() {
             (self.is_sound, self.tried) = (false, Instant::now());
         }
         for done in waiting {
-            done(written.as_ref().copied().map_err(|e| io::Error::new(e.kind(), e.to_string())));
+            done(
+                written
+                    .as_ref()
+                    .copied()
+                    .map_err(|e| io::Error::new(e.kind(), e.to_string())),
+            );
         }
         let now = (self.now)();
         if self.is_sound && self.book.is_stale(now) {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -125,7 +125,11 @@
 
 impl Ledger {
     pub fn new(bounds: Bounds) -> Self {
-        Ledger { bounds, next: 0, open: HashMap::new() }
+        Ledger {
+            bounds,
+            next: 0,
+            open: HashMap::new(),
+        }
     }
 
     /// A dispatch that is about to be sent. Where notes keep it running it counts as running for `kept` after it was last asked
@@ -136,7 +140,11 @@
         let entry = Entry {
             asked: false,
             unheard_from: now,
-            runs_on: self.bounds.unasked.max(if self.bounds.notes { kept } else { Duration::ZERO }),
+            runs_on: self.bounds.unasked.max(if self.bounds.notes {
+                kept
+            } else {
+                Duration::ZERO
+            }),
             finds_out: if self.bounds.notes { FIND_OUT } else { 0 },
             finding: false,
             known: None,
@@ -150,11 +158,14 @@
 
     /// Takes in a fact. Nothing undoes a proof.
     pub fn tell(&mut self, now: Duration, id: DispatchId, fact: Fact) {
-        let Some(entry) = self.open.get_mut(&id).filter(|e| e.over.is_none()) else { return };
+        let Some(entry) = self.open.get_mut(&id).filter(|e| e.over.is_none()) else {
+            return;
+        };
         match fact {
             Fact::Asked => {
                 entry.finds_out -= u32::from(std::mem::take(&mut entry.finding));
-                (entry.asked, entry.unheard_from) = (true, entry.unheard_from.max(now + self.bounds.news));
+                (entry.asked, entry.unheard_from) =
+                    (true, entry.unheard_from.max(now + self.bounds.news));
             }
             Fact::Runs(on) => {
                 entry.unheard_from = entry.unheard_from.max(now);
@@ -175,9 +186,16 @@
     /// What can be done about a dispatch that nobody waits for any more. One that the ledger does not have is over.
     pub fn next(&mut self, now: Duration, id: DispatchId) -> Next {
         let Some(until) = self.may_run_until(id) else {
-            return Next::Over(self.open.get(&id).and_then(|e| e.over).unwrap_or(Proof::Ended));
+            return Next::Over(
+                self.open
+                    .get(&id)
+                    .and_then(|e| e.over)
+                    .unwrap_or(Proof::Ended),
+            );
+        };
+        let Some(entry) = self.open.get_mut(&id) else {
+            return Next::Over(Proof::Ended);
         };
-        let Some(entry) = self.open.get_mut(&id) else { return Next::Over(Proof::Ended) };
         let proof = match (entry.asked, now >= until) {
             (false, _) => Some(Proof::NeverCame),
             (true, true) => Some(Proof::Unasked),
@@ -187,7 +205,9 @@
             entry.over = Some(proof);
             return Next::Over(proof);
         }
-        let missed = entry.missed.map(|at| (at + self.bounds.pause).saturating_sub(now));
+        let missed = entry
+            .missed
+            .map(|at| (at + self.bounds.pause).saturating_sub(now));
         match (entry.known, entry.spent, missed.filter(|d| !d.is_zero())) {
             (None, true, _) => Next::Wait(until - now),
             (_, _, Some(rests)) => Next::Wait(rests.min(until - now)),
--- a/crates/ledger/src/tests.rs
+++ b/crates/ledger/src/tests.rs
@@ -9,7 +9,12 @@
     Duration::from_millis(n)
 }
 
-const BOUNDS: Bounds = Bounds { news: ms(250), notes: false, unasked: ms(2000), pause: ms(50) };
+const BOUNDS: Bounds = Bounds {
+    news: ms(250),
+    notes: false,
+    unasked: ms(2000),
+    pause: ms(50),
+};
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -57,20 +62,34 @@
 impl History {
     /// The connection known to reach the process, after all that was told; none by what was told last of it.
     fn known(&self) -> Option<Connection> {
-        let shown = self.facts.iter().rposition(|(_, f)| matches!(f, Fact::Runs(_)))?;
-        let Fact::Runs(on) = self.facts[shown].1 else { return None };
+        let shown = self
+            .facts
+            .iter()
+            .rposition(|(_, f)| matches!(f, Fact::Runs(_)))?;
+        let Fact::Runs(on) = self.facts[shown].1 else {
+            return None;
+        };
         let gone = |(_, f): &(Duration, Fact)| [Fact::Reset(on), Fact::Useless(on)].contains(f);
         (!self.facts[shown..].iter().any(gone)).then_some(on)
     }
 
     /// Whether a call would only reach who may be another, since the dispatch showed itself last.
     fn spent(&self) -> bool {
-        let shown = self.facts.iter().rposition(|(_, f)| matches!(f, Fact::Runs(_))).unwrap_or(0);
-        self.facts[shown..].iter().any(|(_, f)| matches!(f, Fact::Refused | Fact::GivenUp(_)))
+        let shown = self
+            .facts
+            .iter()
+            .rposition(|(_, f)| matches!(f, Fact::Runs(_)))
+            .unwrap_or(0);
+        self.facts[shown..]
+            .iter()
+            .any(|(_, f)| matches!(f, Fact::Refused | Fact::GivenUp(_)))
     }
 
     fn first(&self, wanted: impl Fn(&Fact) -> bool) -> Option<Duration> {
-        self.facts.iter().find(|(_, f)| wanted(f)).map(|(at, _)| *at)
+        self.facts
+            .iter()
+            .find(|(_, f)| wanted(f))
+            .map(|(at, _)| *at)
     }
 
     fn until(&self) -> Duration {
@@ -117,7 +136,12 @@
         if let Some(proof) = h.over {
             return Next::Over(proof);
         }
-        let missed = h.facts.iter().rev().find(|(_, f)| *f == Fact::Missed).map(|(at, _)| *at);
+        let missed = h
+            .facts
+            .iter()
+            .rev()
+            .find(|(_, f)| *f == Fact::Missed)
+            .map(|(at, _)| *at);
         let rests = missed.map_or(Duration::ZERO, |at| (at + BOUNDS.pause).saturating_sub(now));
         match h.known().is_none() && h.spent() {
             true => Next::Wait(until - now),
@@ -197,7 +221,15 @@
     )
         .prop_map(|(drains, dies, replaced, resets, runs, waits, lost)| {
             let dies = dies.max(drains);
-            World { drains, dies, replaced: replaced.max(drains), resets, runs, waits, lost }
+            World {
+                drains,
+                dies,
+                replaced: replaced.max(drains),
+                resets,
+                runs,
+                waits,
+                lost,
+            }
         })
 }
 
@@ -243,7 +275,8 @@
             if d.over_at.is_none() && (t >= w.runs[n] || dead || unasked) {
                 d.over_at = Some(t);
             }
-            let broken = (t == w.resets[n] / 10 * 10) || (dead && d.up.is_some_and(|(_, first)| first));
+            let broken =
+                (t == w.resets[n] / 10 * 10) || (dead && d.up.is_some_and(|(_, first)| first));
             if let Some((on, _)) = d.up.filter(|_| broken) {
                 ledger.tell(now, d.id, Fact::Reset(on));
                 d.up = None;
@@ -336,12 +369,20 @@
         l.tell(ms(250), id, Fact::Runs(0));
         l.tell(ms(250), id, Fact::Asked);
     }
-    assert_eq!(l.next(ms(400), a), Next::GiveUp(ms(2100)), "on the connection that is up");
+    assert_eq!(
+        l.next(ms(400), a),
+        Next::GiveUp(ms(2100)),
+        "on the connection that is up"
+    );
     l.tell(ms(410), a, Fact::GivenUp(0));
     assert_eq!(l.next(ms(410), a), Next::Over(Proof::GivenUp));
     l.tell(ms(420), b, Fact::Reset(0));
     l.tell(ms(421), b, Fact::Refused);
-    assert_eq!(l.next(ms(430), b), Next::Wait(ms(2070)), "a reset and a refused connection are no end");
+    assert_eq!(
+        l.next(ms(430), b),
+        Next::Wait(ms(2070)),
+        "a reset and a refused connection are no end"
+    );
     assert_eq!(l.next(ms(2500), b), Next::Over(Proof::Unasked));
     l.close(a);
     l.close(b);
@@ -357,9 +398,17 @@
         l.tell(ms(100), id, Fact::Useless(0));
     }
     l.tell(ms(200), a, Fact::Failed(1));
-    assert_eq!(l.next(ms(200), a), Next::GiveUp(ms(2050)), "it may still come there, and be given up");
+    assert_eq!(
+        l.next(ms(200), a),
+        Next::GiveUp(ms(2050)),
+        "it may still come there, and be given up"
+    );
     l.tell(ms(210), a, Fact::GivenUp(1));
-    assert_eq!(l.next(ms(210), a), Next::Wait(ms(2040)), "asked once, not each 50 ms");
+    assert_eq!(
+        l.next(ms(210), a),
+        Next::Wait(ms(2040)),
+        "asked once, not each 50 ms"
+    );
     l.tell(ms(200), b, Fact::Runs(1));
     l.tell(ms(210), b, Fact::Failed(1));
     assert_eq!(l.next(ms(210), b), Next::Over(Proof::Ended));
@@ -368,24 +417,39 @@
 /// Seen on pomurje-estimates, split+mass: engines that tell notes run on what nobody asks for.
 #[test]
 fn notes_keep_a_dispatch_running_for_as_long_as_told() {
-    let mut l = Ledger::new(Bounds { notes: true, ..BOUNDS });
+    let mut l = Ledger::new(Bounds {
+        notes: true,
+        ..BOUNDS
+    });
     let id = l.open(ms(0), ms(4000));
     l.tell(ms(100), id, Fact::Asked);
     l.tell(ms(350), id, Fact::Runs(1));
     l.tell(ms(350), id, Fact::Asked);
     l.tell(ms(400), id, Fact::Reset(1));
     for at in [2700, 2800] {
-        assert_eq!(l.next(ms(at), id), Next::FindOut, "unasked for over 2 s, and running");
+        assert_eq!(
+            l.next(ms(at), id),
+            Next::FindOut,
+            "unasked for over 2 s, and running"
+        );
     }
     l.tell(ms(2900), id, Fact::Asked);
     l.tell(ms(2950), id, Fact::Failed(2));
-    assert_eq!(l.next(ms(2950), id), Next::FindOut, "another process says nothing of it");
+    assert_eq!(
+        l.next(ms(2950), id),
+        Next::FindOut,
+        "another process says nothing of it"
+    );
     l.tell(ms(3000), id, Fact::Asked);
     l.tell(ms(3050), id, Fact::Runs(3));
     assert_eq!(l.next(ms(3050), id), Next::GiveUp(ms(4200)), "shown again");
     l.tell(ms(3060), id, Fact::Reset(3));
     assert_eq!(l.next(ms(3060), id), Next::FindOut);
     l.tell(ms(3100), id, Fact::Asked);
-    assert_eq!(l.next(ms(3150), id), Next::GiveUp(ms(4200)), "asked often enough");
+    assert_eq!(
+        l.next(ms(3150), id),
+        Next::GiveUp(ms(4200)),
+        "asked often enough"
+    );
     assert_eq!(l.next(ms(7350), id), Next::Over(Proof::Unasked));
 }
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -14,7 +14,11 @@
 use std::time::Duration;
 
 fn sent(id: u64) -> Sent {
-    Sent { id, key: (!id.is_multiple_of(3)).then_some(id % 5), until: 1000 + id }
+    Sent {
+        id,
+        key: (!id.is_multiple_of(3)).then_some(id % 5),
+        until: 1000 + id,
+    }
 }
 
 fn record() -> impl Strategy<Value = Record> {
@@ -29,7 +33,8 @@
 fn plain(records: &[Record], now: u64) -> Vec<(Sent, bool)> {
     let mut known = Vec::new();
     for id in 0..20 {
-        let of = |r: &&Record| matches!(r, Record::Sent(s) if s.id == id) || **r == Record::Over { id };
+        let of =
+            |r: &&Record| matches!(r, Record::Sent(s) if s.id == id) || **r == Record::Over { id };
         let all: Vec<&Record> = records.iter().filter(of).collect();
         let sent = all.iter().filter_map(|r| match r {
             Record::Sent(s) => Some(*s),
@@ -38,7 +43,10 @@
         let sent: Vec<Sent> = sent.collect();
         if let Some(first) = sent.first() {
             let until = sent.iter().map(|s| s.until).max().unwrap_or_default();
-            known.push((Sent { until, ..*first }, all.last() == Some(&&Record::Over { id })));
+            known.push((
+                Sent { until, ..*first },
+                all.last() == Some(&&Record::Over { id }),
+            ));
         }
     }
     known.retain(|(s, _)| s.until > now);
@@ -117,7 +125,11 @@
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let written = self.step();
-        let half = if written.is_ok() { bytes.len() } else { bytes.len() / 2 };
+        let half = if written.is_ok() {
+            bytes.len()
+        } else {
+            bytes.len() / 2
+        };
         self.bytes.lock().unwrap().extend_from_slice(&bytes[..half]);
         written
     }
@@ -144,8 +156,9 @@
 #[test]
 fn after_a_failed_step_nothing_is_promised_until_a_whole_copy_stands() {
     let cases = (1..=12).flat_map(|first| [1, 3].map(|count| (first, count)));
-    let threads: Vec<_> =
-        cases.map(|(first, count)| std::thread::spawn(move || fails_at(first, count))).collect();
+    let threads: Vec<_> = cases
+        .map(|(first, count)| std::thread::spawn(move || fails_at(first, count)))
+        .collect();
     threads.into_iter().for_each(|case| case.join().unwrap());
 }
 
@@ -153,7 +166,11 @@
     let log = Failing::default();
     *log.steps.lock().unwrap() = (0, first, count);
     let (journal, begun) = Journal::start(log.clone(), RUN, || 0, unheard());
-    assert_eq!(begun.is_ok(), first > 2, "reading and the first copy are steps 1 and 2");
+    assert_eq!(
+        begun.is_ok(),
+        first > 2,
+        "reading and the first copy are steps 1 and 2"
+    );
     let mut promised = Vec::new();
     let began = std::time::Instant::now();
     let mut refused = 0;
@@ -164,13 +181,19 @@
         }
         let open = Book::read(&log.bytes.lock().unwrap()).0.known(0);
         for id in &promised {
-            assert!(open.contains(&(sent(*id), false)), "{first}, {count}: {id} was promised");
+            assert!(
+                open.contains(&(sent(*id), false)),
+                "{first}, {count}: {id} was promised"
+            );
         }
         let passed = log.steps.lock().unwrap().0 >= first + count;
         if passed && promised.last() == Some(&id) && promised.len() > 6 {
             break;
         }
-        assert!(began.elapsed() < Duration::from_secs(2), "{first}, {count}: nothing is promised again");
+        assert!(
+            began.elapsed() < Duration::from_secs(2),
+            "{first}, {count}: nothing is promised again"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(refused > 0, "{first}, {count}: nothing failed");
@@ -182,7 +205,10 @@
 fn an_end_counts_only_in_the_run_that_it_was_written_in() {
     let mut book = Book::default();
     book.go_on(RUN, 1_000_000);
-    book.add(&Record::Sent(Sent { until: 1_004_000, ..sent(1) }));
+    book.add(&Record::Sent(Sent {
+        until: 1_004_000,
+        ..sent(1)
+    }));
     let file = book.copy(1_000_000);
     let left = |run: Run, now: u64| {
         let mut book = Book::read(&file).0;
@@ -195,7 +221,12 @@
     assert_eq!(left(Run { id: 8, ..RUN }, 9_000_000), Some(5000));
     assert_eq!(left(Run { id: 0, span: 9000 }, 1_003_000), Some(9000));
     // Written before runs were told: an end in Unix milliseconds.
-    let old: Vec<u8> = Record::Sent(Sent { until: 1_700_000_000_000, ..sent(2) }).bytes().to_vec();
+    let old: Vec<u8> = Record::Sent(Sent {
+        until: 1_700_000_000_000,
+        ..sent(2)
+    })
+    .bytes()
+    .to_vec();
     let mut book = Book::read(&old).0;
     book.go_on(RUN, 500);
     assert_eq!(book.known(500)[0].0.until, 5500);
@@ -220,7 +251,9 @@
     drop(journal);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
     assert!(length < 12_000 * RECORD, "{length}");
-    let known = Book::read(&std::fs::read(&path).unwrap()).0.known(1_000_000);
+    let known = Book::read(&std::fs::read(&path).unwrap())
+        .0
+        .known(1_000_000);
     assert!(known.iter().all(|(_, over)| *over));
     let known: Vec<u64> = known.iter().map(|(s, _)| s.id).collect();
     assert_eq!(known, (19_990..20_000).collect::<Vec<_>>());
@@ -256,7 +289,11 @@
     let mut from = 0;
     for round in 0..30u64 {
         let mut child = Command::new(std::env::current_exe().unwrap())
-            .args(["--exact", "killed_in_a_loop_nothing_that_was_promised_is_lost", "--nocapture"])
+            .args([
+                "--exact",
+                "killed_in_a_loop_nothing_that_was_promised_is_lost",
+                "--nocapture",
+            ])
             .env(PATH, format!("{}={from}", path.display()))
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
@@ -265,26 +302,41 @@
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         // Not before it writes; then somewhere in the middle.
         let is_word = |line: &String| line.contains("sent ") || line.contains("over ");
-        let first = lines.by_ref().map(|l| l.unwrap()).find(is_word).expect("it writes");
+        let first = lines
+            .by_ref()
+            .map(|l| l.unwrap())
+            .find(is_word)
+            .expect("it writes");
         std::thread::sleep(Duration::from_micros(200 + round * 731 % 5000));
         child.kill().unwrap();
         child.wait().unwrap();
         // The last line may be torn, too: it counts only with its end.
         for line in std::iter::once(first).chain(lines.map_while(Result::ok)) {
             let words = line.split_once("sent ").map(|(_, id)| ("sent", id));
-            let Some((word, id)) = words.or(line.split_once("over ").map(|(_, id)| ("over", id))) else {
+            let Some((word, id)) = words.or(line.split_once("over ").map(|(_, id)| ("over", id)))
+            else {
                 continue;
             };
             let Ok(id) = id.parse::<u64>() else { continue };
             said.insert(id, word);
         }
-        let open: Vec<u64> =
-            Book::read(&std::fs::read(&path).unwrap()).0.known(0).iter().map(|(s, _)| s.id).collect();
+        let open: Vec<u64> = Book::read(&std::fs::read(&path).unwrap())
+            .0
+            .known(0)
+            .iter()
+            .map(|(s, _)| s.id)
+            .collect();
         for (id, word) in said.iter().filter(|(_, word)| **word == "sent") {
-            assert!(open.contains(id), "round {round}: {id} was {word} and is lost");
+            assert!(
+                open.contains(id),
+                "round {round}: {id} was {word} and is lost"
+            );
         }
         let most = said.keys().max().copied().unwrap_or(0);
-        assert!(open.iter().all(|id| *id <= most + 1), "round {round}: never written");
+        assert!(
+            open.iter().all(|id| *id <= most + 1),
+            "round {round}: never written"
+        );
         from = most + 2;
     }
     assert!(said.len() > 60, "{} ids in all", said.len());
--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -53,7 +53,11 @@
             if cut.0 > begins {
                 out.push((begins, cut.0 - 1));
             }
-            at = cut.1.checked_add(1).filter(|next| *next <= to).map(|next| next.max(begins));
+            at = cut
+                .1
+                .checked_add(1)
+                .filter(|next| *next <= to)
+                .map(|next| next.max(begins));
         }
         if let Some(begins) = at.filter(|at| *at <= to) {
             out.push((begins, to));
@@ -99,7 +103,8 @@
         while let Some(&(at, _, _)) = rest.first() {
             let same = rest.iter().take_while(|cut| cut.0 == at).count();
             let (here, later) = rest.split_at(same);
-            here.iter().for_each(|(_, set, begins)| now.set(*set, *begins));
+            here.iter()
+                .for_each(|(_, set, begins)| now.set(*set, *begins));
             // A set that ends and begins at once goes on: what begins sorts behind what ends.
             class = classes.class_of(&mut known, &now);
             classes.begins(at, class);
@@ -125,9 +130,15 @@
 
     /// IPv4, which most clients have, gets a list of its own with short numbers.
     fn part_v4(&mut self) {
-        let (first, last) = (number(IpAddr::from([0, 0, 0, 0])), number(IpAddr::from([255, 255, 255, 255])));
+        let (first, last) = (
+            number(IpAddr::from([0, 0, 0, 0])),
+            number(IpAddr::from([255, 255, 255, 255])),
+        );
         let begin = self.v6.partition_point(|at| *at <= first) - 1;
-        let spans = self.v6[begin..].iter().zip(&self.v6_class[begin..]).take_while(|(at, _)| **at <= last);
+        let spans = self.v6[begin..]
+            .iter()
+            .zip(&self.v6_class[begin..])
+            .take_while(|(at, _)| **at <= last);
         for (at, class) in spans {
             self.v4.push(at.saturating_sub(first) as u32);
             self.v4_class.push(*class);
--- a/crates/plan/src/address/tests.rs
+++ b/crates/plan/src/address/tests.rs
@@ -4,13 +4,22 @@
 
 fn net() -> impl Strategy<Value = IpNet> {
     // Few bits, so that networks meet, nest and touch.
-    let v4 = (0u8..4, 0u8..=255, 0u8..=32)
-        .prop_map(|(a, b, len)| IpNet::new(IpAddr::from([10, a, 0, b]), len).expect("a prefix").trunc());
+    let v4 = (0u8..4, 0u8..=255, 0u8..=32).prop_map(|(a, b, len)| {
+        IpNet::new(IpAddr::from([10, a, 0, b]), len)
+            .expect("a prefix")
+            .trunc()
+    });
     let v6 = (0u16..4, 0u16..4, 0u8..=128).prop_map(|(a, b, len)| {
-        IpNet::new(IpAddr::from([0x2001, 0xdb8, a, 0, 0, 0, 0, b]), len).expect("a prefix").trunc()
+        IpNet::new(IpAddr::from([0x2001, 0xdb8, a, 0, 0, 0, 0, b]), len)
+            .expect("a prefix")
+            .trunc()
     });
-    let ends =
-        prop_oneof![Just("0.0.0.0/0"), Just("::/0"), Just("255.255.255.255/32"), Just("::ffff:0:0/96")];
+    let ends = prop_oneof![
+        Just("0.0.0.0/0"),
+        Just("::/0"),
+        Just("255.255.255.255/32"),
+        Just("::ffff:0:0/96")
+    ];
     prop_oneof![4 => v4, 4 => v6, 1 => ends.prop_map(|n| n.parse().expect("a network"))]
 }
 
@@ -24,7 +33,9 @@
 }
 
 fn holds(nets: &[IpNet], address: IpAddr) -> bool {
-    nets.iter().map(span).any(|(from, to)| (from..=to).contains(&number(address)))
+    nets.iter()
+        .map(span)
+        .any(|(from, to)| (from..=to).contains(&number(address)))
 }
 
 proptest! {
--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -23,10 +23,21 @@
 
 /// Builds a plan of checked blocks. Where there are faults the plan is not to be used.
 pub fn build(blocks: &[Checked], settings: Option<&Settings>, faults: &mut Vec<Fault>) -> Plan {
-    let places =
-        |kind: &str| of(blocks, kind).into_iter().enumerate().map(|(n, b)| (b.name.as_str(), n)).collect();
+    let places = |kind: &str| {
+        of(blocks, kind)
+            .into_iter()
+            .enumerate()
+            .map(|(n, b)| (b.name.as_str(), n))
+            .collect()
+    };
     let places = HashMap::from([("pool", places("pool")), ("addresses", places("addresses"))]);
-    let mut builder = Builder { blocks, places, settings, faults, plan: Plan::default() };
+    let mut builder = Builder {
+        blocks,
+        places,
+        settings,
+        faults,
+        plan: Plan::default(),
+    };
     builder.outer_names();
     builder.addresses();
     builder.pools();
@@ -39,7 +50,12 @@
     let resolved = builder.faults.is_empty();
     let plan = builder.plan;
     if resolved {
-        ConsistencyCheck { plan: &plan, settings, faults }.run();
+        ConsistencyCheck {
+            plan: &plan,
+            settings,
+            faults,
+        }
+        .run();
     }
     plan
 }
@@ -67,7 +83,8 @@
     /// A block that says too little, unless a faulty line may be the one that is missing.
     fn says_too_little(&mut self, block: &Checked, fault: Fault) {
         let inside = |f: &Fault| {
-            f.span.file == block.whole.file && (block.whole.start..block.whole.end).contains(&f.span.start)
+            f.span.file == block.whole.file
+                && (block.whole.start..block.whole.end).contains(&f.span.start)
         };
         if !self.faults.iter().any(inside) {
             self.faults.push(fault);
--- a/crates/plan/src/build/bodies.rs
+++ b/crates/plan/src/build/bodies.rs
@@ -16,25 +16,37 @@
         let all = of(self.blocks, kind);
         let (first, rest) = all.split_first()?;
         for other in rest {
-            let fault = Fault::new(other.span.clone(), format!("a plan has one block `{kind}` at most"));
-            self.faults.push(fault.other(first.span.clone(), "the first"));
+            let fault = Fault::new(
+                other.span.clone(),
+                format!("a plan has one block `{kind}` at most"),
+            );
+            self.faults
+                .push(fault.other(first.span.clone(), "the first"));
         }
         Some(first)
     }
 
     pub(super) fn bodies(&mut self) {
-        let Some(block) = self.single("bodies") else { return };
+        let Some(block) = self.single("bodies") else {
+            return;
+        };
         let size = |entry: &str| number(block.one(entry));
         let memory = size("memory").unwrap_or(USUAL_MEMORY);
         let batch_memory = size("batch-memory").unwrap_or(memory / 8.0);
         let files = size("files").unwrap_or(0.0);
         let directory = named(block.values("directory")).into_iter().next();
         let mut wrong = |entry: &str, text: &str| {
-            let span = block.get(entry).map_or(&block.span, |given| &given.span).clone();
+            let span = block
+                .get(entry)
+                .map_or(&block.span, |given| &given.span)
+                .clone();
             self.faults.push(Fault::new(span, text));
         };
         if batch_memory > memory {
-            wrong("batch-memory", "one body may have more memory than all together");
+            wrong(
+                "batch-memory",
+                "one body may have more memory than all together",
+            );
         }
         match (&directory, files > 0.0) {
             (None, true) => wrong("files", "files need a `directory`"),
@@ -54,7 +66,9 @@
     }
 
     pub(super) fn journal(&mut self) {
-        let Some(block) = self.single("journal") else { return };
+        let Some(block) = self.single("journal") else {
+            return;
+        };
         match named(block.values("directory")).into_iter().next() {
             Some(directory) => self.plan.journal = Some(Journal { directory }),
             None => {
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -32,7 +32,9 @@
     }
 
     fn pools(&mut self) {
-        let Some(cells) = Cells::of(&[self.plan], self.known()) else { return };
+        let Some(cells) = Cells::of(&[self.plan], self.known()) else {
+            return;
+        };
         for (pool, held) in self.plan.pools.iter().zip(cells.held(self.plan, 0)) {
             if held.is_clear() {
                 let text = format!("no engine can be in the pool `{}`", pool.name);
@@ -52,7 +54,8 @@
             let limit = group.limit.or(told.map(|t| t.limit));
             if let (Some(goal), Some(limit)) = (group.goal, limit) {
                 if goal > limit {
-                    let text = format!("the goal of `{}` is longer than its time limit", group.name);
+                    let text =
+                        format!("the goal of `{}` is longer than its time limit", group.name);
                     self.faults.push(Fault::new(group.span.clone(), text));
                 }
             }
@@ -70,7 +73,10 @@
             if group.in_order == Some(false) && told.in_order {
                 wider("order");
             }
-            if group.effect.is_some_and(|effect| !effect.narrows(&told.effect)) {
+            if group
+                .effect
+                .is_some_and(|effect| !effect.narrows(&told.effect))
+            {
                 wider("effect");
             }
         }
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -11,12 +11,20 @@
         for (n, limit) in limits.iter().enumerate() {
             for other in &limits[..n] {
                 let same = limit.per == other.per && scope_of(limit) == scope_of(other);
-                let figures = |l: &Limit| [l.in_hand.is_some(), l.rate.is_some(), l.bytes.is_some()];
-                let both = figures(limit).iter().zip(figures(other)).any(|(a, b)| *a && b);
+                let figures =
+                    |l: &Limit| [l.in_hand.is_some(), l.rate.is_some(), l.bytes.is_some()];
+                let both = figures(limit)
+                    .iter()
+                    .zip(figures(other))
+                    .any(|(a, b)| *a && b);
                 if same && both {
-                    let text = format!("the limits `{}` and `{}` limit the same", other.name, limit.name);
+                    let text = format!(
+                        "the limits `{}` and `{}` limit the same",
+                        other.name, limit.name
+                    );
                     let fault = Fault::new(limit.span.clone(), text);
-                    self.faults.push(fault.other(other.span.clone(), "the other one"));
+                    self.faults
+                        .push(fault.other(other.span.clone(), "the other one"));
                 }
                 let (wide, narrow) = (other, limit);
                 self.never_binds(wide, narrow);
@@ -25,8 +33,9 @@
         }
         for tenant in &self.plan.tenants {
             let covers = |l: &&Limit| {
-                let whole =
-                    l.per.iter().all(|p| *p == Per::Tenant) && l.groups.is_empty() && l.clients.is_empty();
+                let whole = l.per.iter().all(|p| *p == Per::Tenant)
+                    && l.groups.is_empty()
+                    && l.clients.is_empty();
                 whole && (l.tenants.is_empty() || l.tenants == [tenant.name.clone()])
             };
             for limit in limits.iter().filter(covers) {
@@ -37,7 +46,8 @@
                             tenant.name, limit.name
                         );
                         self.faults.push(
-                            Fault::new(tenant.span.clone(), text).other(limit.span.clone(), "this one"),
+                            Fault::new(tenant.span.clone(), text)
+                                .other(limit.span.clone(), "this one"),
                         );
                     }
                 }
@@ -51,8 +61,9 @@
             wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|n| wide.contains(n)))
         };
         let clients = wide.clients.is_empty() || wide.clients == narrow.clients;
-        let inside =
-            within(&narrow.groups, &wide.groups) && within(&narrow.tenants, &wide.tenants) && clients;
+        let inside = within(&narrow.groups, &wide.groups)
+            && within(&narrow.tenants, &wide.tenants)
+            && clients;
         if let (true, true, Some(less), Some(more)) =
             (inside, wide.per.is_empty(), wide.in_hand, narrow.in_hand)
         {
@@ -61,7 +72,9 @@
                     "the limit `{}` of {more} in hand can never bind: `{}` holds all of them to {less}",
                     narrow.name, wide.name
                 );
-                self.faults.push(Fault::new(narrow.span.clone(), text).other(wide.span.clone(), "this one"));
+                self.faults.push(
+                    Fault::new(narrow.span.clone(), text).other(wide.span.clone(), "this one"),
+                );
             }
         }
     }
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -14,10 +14,14 @@
         let cells = Cells::of(&[self.plan], self.known());
         let held = cells.as_ref().map(|cells| cells.held(self.plan, 0));
         for (n, route) in self.plan.routes.iter().enumerate() {
-            let Some(to_span) = &route.to_span else { continue };
+            let Some(to_span) = &route.to_span else {
+                continue;
+            };
             let reaches = |group: &str| {
                 let class = classes.group(group);
-                reach[n].as_ref().is_none_or(|pieces| pieces.iter().any(|p| p[0].contains(class)))
+                reach[n]
+                    .as_ref()
+                    .is_none_or(|pieces| pieces.iter().any(|p| p[0].contains(class)))
             };
             for group in self.plan.groups.iter().filter(|g| !g.pools.is_empty()) {
                 let treated = route.as_ref_is(&group.name);
@@ -28,7 +32,10 @@
                     let inside = match &held {
                         Some(held) => {
                             let mut rest = held[*to].clone();
-                            group.pools.iter().for_each(|p| rest.difference_with(&held[*p]));
+                            group
+                                .pools
+                                .iter()
+                                .for_each(|p| rest.difference_with(&held[*p]));
                             rest.is_clear()
                         }
                         None => group.pools.contains(to),
@@ -43,7 +50,11 @@
     }
 
     fn leaves(&mut self, route: &Route, to_span: &Span, group: &Group, to: usize) {
-        let bound: Vec<&str> = group.pools.iter().map(|p| self.plan.pools[*p].name.as_str()).collect();
+        let bound: Vec<&str> = group
+            .pools
+            .iter()
+            .map(|p| self.plan.pools[*p].name.as_str())
+            .collect();
         let to = &self.plan.pools[to].name;
         let text = format!(
             "the route `{}` may send `{}` to `{to}`, out of `{}`",
@@ -54,8 +65,10 @@
         let fault = Fault::new(to_span.clone(), text).label("this leaves the binding");
         let binding = group.pools_span.clone().unwrap_or(group.span.clone());
         let fault = fault.other(binding, format!("`{}` is bound here", group.name));
-        self.faults
-            .push(fault.help(format!("take `{}` with an earlier route, or leave `{to}` out", group.name)));
+        self.faults.push(fault.help(format!(
+            "take `{}` with an earlier route, or leave `{to}` out",
+            group.name
+        )));
     }
 
     /// The same for kinds and zones that the settings bind a group to.
@@ -67,13 +80,19 @@
         cells: Option<&Cells>,
         held: Option<&[FixedBitSet]>,
     ) {
-        let (Some(settings), Some(cells), Some(held)) = (self.settings, cells, held) else { return };
-        let bound = settings.groups.iter().filter(|g| g.kinds.is_some() || g.zones.is_some());
+        let (Some(settings), Some(cells), Some(held)) = (self.settings, cells, held) else {
+            return;
+        };
+        let bound = settings
+            .groups
+            .iter()
+            .filter(|g| g.kinds.is_some() || g.zones.is_some());
         for group in bound.filter(|g| reaches(&g.name) || route.as_ref_is(&g.name)) {
             let allowed = |cell: usize| {
                 let (zone, kind) = cells.place(cell);
                 let among = |list: &Option<Vec<String>>, name: Option<&str>| {
-                    list.as_ref().is_none_or(|l| name.is_some_and(|n| l.iter().any(|m| m == n)))
+                    list.as_ref()
+                        .is_none_or(|l| name.is_some_and(|n| l.iter().any(|m| m == n)))
                 };
                 among(&group.zones, zone) && among(&group.kinds, kind)
             };
@@ -90,8 +109,10 @@
                         route.name, group.name
                     );
                     let list = |l: &Option<Vec<String>>| l.as_ref().map(|l| l.join(", "));
-                    let only =
-                        [list(&group.kinds), list(&group.zones)].into_iter().flatten().collect::<Vec<_>>();
+                    let only = [list(&group.kinds), list(&group.zones)]
+                        .into_iter()
+                        .flatten()
+                        .collect::<Vec<_>>();
                     let fault = Fault::new(to_span.clone(), text).label("this leaves the binding");
                     let fault = fault.help(format!(
                         "the settings bind `{}` to {}; take it with an earlier route",
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -7,11 +7,17 @@
 
 impl ConsistencyCheck<'_> {
     pub(super) fn routes(&mut self) {
-        let groups: Vec<String> =
-            self.settings.map_or(Vec::new(), |s| s.groups.iter().map(|g| g.name.clone()).collect());
+        let groups: Vec<String> = self.settings.map_or(Vec::new(), |s| {
+            s.groups.iter().map(|g| g.name.clone()).collect()
+        });
         let tenants = self.settings.map_or(&[][..], |s| &s.tenants);
         let classes = Classes::of(&[self.plan], &groups, tenants);
-        let regions: Vec<Region> = self.plan.routes.iter().map(|r| classes.region(r, 0)).collect();
+        let regions: Vec<Region> = self
+            .plan
+            .routes
+            .iter()
+            .map(|r| classes.region(r, 0))
+            .collect();
         let whole = region::whole(&classes);
         let reach = region::reach(&regions, &whole);
         self.unreached(&regions, &reach);
@@ -25,14 +31,16 @@
             if reach[n].as_ref().is_none_or(|pieces| !pieces.is_empty()) {
                 continue;
             }
-            let alone =
-                regions[..n].iter().position(|earlier| region::difference(&regions[n], earlier).is_empty());
+            let alone = regions[..n]
+                .iter()
+                .position(|earlier| region::difference(&regions[n], earlier).is_empty());
             let text = format!("the route `{}` can never match", route.name);
             let fault = Fault::new(route.span.clone(), text);
             self.faults.push(match alone {
-                Some(earlier) => {
-                    fault.other(self.plan.routes[earlier].span.clone(), "this one takes all that it asks for")
-                }
+                Some(earlier) => fault.other(
+                    self.plan.routes[earlier].span.clone(),
+                    "this one takes all that it asks for",
+                ),
                 None => fault.label("earlier routes together take all that it asks for"),
             });
         }
@@ -40,17 +48,26 @@
 
     /// What is treated as another group keeps the rules of its own.
     fn treated_as(&mut self) {
-        let Some(settings) = self.settings else { return };
+        let Some(settings) = self.settings else {
+            return;
+        };
         for route in &self.plan.routes {
-            let (Some(other), Some(span)) = (&route.as_group, &route.as_span) else { continue };
-            let Some(to) = settings.group(other) else { continue };
-            let takes = |g: &&SettingsGroup| route.groups.is_empty() || route.groups.contains(&g.name);
+            let (Some(other), Some(span)) = (&route.as_group, &route.as_span) else {
+                continue;
+            };
+            let Some(to) = settings.group(other) else {
+                continue;
+            };
+            let takes =
+                |g: &&SettingsGroup| route.groups.is_empty() || route.groups.contains(&g.name);
             for from in settings.groups.iter().filter(takes) {
-                let within = |narrow: &Option<Vec<String>>, wide: &Option<Vec<String>>| match (narrow, wide) {
-                    (_, None) => true,
-                    (None, Some(_)) => false,
-                    (Some(narrow), Some(wide)) => narrow.iter().all(|n| wide.contains(n)),
-                };
+                let within =
+                    |narrow: &Option<Vec<String>>, wide: &Option<Vec<String>>| match (narrow, wide)
+                    {
+                        (_, None) => true,
+                        (None, Some(_)) => false,
+                        (Some(narrow), Some(wide)) => narrow.iter().all(|n| wide.contains(n)),
+                    };
                 let what = if !to.effect.narrows(&from.effect) {
                     "run again where they may not"
                 } else if from.in_order && !to.in_order {
@@ -60,8 +77,10 @@
                 } else {
                     continue;
                 };
-                let text =
-                    format!("batches of `{}` can't be treated as `{other}`: they would {what}", from.name);
+                let text = format!(
+                    "batches of `{}` can't be treated as `{other}`: they would {what}",
+                    from.name
+                );
                 self.faults.push(Fault::new(span.clone(), text));
             }
         }
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -32,5 +32,8 @@
 pub(super) fn bucket(given: Option<&Given>) -> Option<Bucket> {
     let values = &given?.values;
     let rate = number(values.first())?;
-    Some(Bucket { rate, burst: number(values.get(1)).unwrap_or(rate.max(1.0)) })
+    Some(Bucket {
+        rate,
+        burst: number(values.get(1)).unwrap_or(rate.max(1.0)),
+    })
 }
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -9,10 +9,18 @@
     pub(super) fn limits(&mut self) {
         for block in self.of("limit") {
             let clients = self.refs("addresses", block.get("client"));
-            if !["in-hand", "rate", "bytes"].iter().any(|e| block.get(e).is_some()) {
-                let fault =
-                    Fault::new(block.span.clone(), format!("the limit `{}` limits nothing", block.name));
-                self.says_too_little(block, fault.help("say how much: `in-hand`, `rate` or `bytes`"));
+            if !["in-hand", "rate", "bytes"]
+                .iter()
+                .any(|e| block.get(e).is_some())
+            {
+                let fault = Fault::new(
+                    block.span.clone(),
+                    format!("the limit `{}` limits nothing", block.name),
+                );
+                self.says_too_little(
+                    block,
+                    fault.help("say how much: `in-hand`, `rate` or `bytes`"),
+                );
             }
             let mut per: Vec<Per> = named(block.values("per"))
                 .iter()
