--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -11,7 +11,10 @@
 impl Builder<'_> {
     pub(super) fn addresses(&mut self) {
         let blocks = self.of("addresses");
-        let of: Vec<Vec<usize>> = blocks.iter().map(|b| self.refs("addresses", b.get("of"))).collect();
+        let of: Vec<Vec<usize>> = blocks
+            .iter()
+            .map(|b| self.refs("addresses", b.get("of")))
+            .collect();
         let order = self.ordered("addresses", &of);
         let flat = |values: &[Spanned]| -> Spans {
             let nets = values.iter().filter_map(|s| match &s.value {
@@ -29,8 +32,10 @@
         for (block, spans) in blocks.into_iter().zip(all) {
             let given = block.get("net").is_some() || block.get("of").is_some();
             if !given {
-                let fault =
-                    Fault::new(block.span.clone(), format!("the address set `{}` says nothing", block.name));
+                let fault = Fault::new(
+                    block.span.clone(),
+                    format!("the address set `{}` says nothing", block.name),
+                );
                 self.says_too_little(block, fault.help("net 10.1.0.0/16"));
             } else if spans.is_empty() && !block.values("net").is_empty() {
                 let text = format!("the address set `{}` holds no address", block.name);
@@ -57,14 +62,19 @@
                 union,
                 except,
             };
-            let selects =
-                ["all", "zone", "kind", "id", "address", "union"].iter().any(|e| block.get(e).is_some());
+            let selects = ["all", "zone", "kind", "id", "address", "union"]
+                .iter()
+                .any(|e| block.get(e).is_some());
             if !selects {
-                let fault =
-                    Fault::new(block.span.clone(), format!("the pool `{}` holds no engine", block.name));
+                let fault = Fault::new(
+                    block.span.clone(),
+                    format!("the pool `{}` holds no engine", block.name),
+                );
                 self.says_too_little(
                     block,
-                    fault.help("say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`"),
+                    fault.help(
+                        "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`",
+                    ),
                 );
             }
             self.plan.pools.push(pool);
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -13,10 +13,14 @@
             let clients = self.refs("addresses", block.get("client"));
             let to = self.refs("pool", block.get("to"));
             let word = |entry: &str| named(block.values(entry)).into_iter().next();
-            let says = ["to", "as", "refuse"].iter().any(|e| block.get(e).is_some());
+            let says = ["to", "as", "refuse"]
+                .iter()
+                .any(|e| block.get(e).is_some());
             if !says {
-                let fault =
-                    Fault::new(block.span.clone(), format!("the route `{}` says nothing", block.name));
+                let fault = Fault::new(
+                    block.span.clone(),
+                    format!("the route `{}` says nothing", block.name),
+                );
                 self.says_too_little(
                     block,
                     fault.help("say what becomes of its batches: `to`, `as` or `refuse`"),
@@ -25,7 +29,8 @@
             if let Some(refuse) = block.get("refuse") {
                 if let Some(other) = block.get("to").or(block.get("as")) {
                     let fault = Fault::new(refuse.span.clone(), "what is refused goes nowhere");
-                    self.faults.push(fault.other(other.span.clone(), "and this says where it goes"));
+                    self.faults
+                        .push(fault.other(other.span.clone(), "and this says where it goes"));
                 }
             }
             let spans = |entry: &str| {
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -34,7 +34,11 @@
     pub fn of(plans: &[&Plan], known: Known) -> Option<Self> {
         let pools = || plans.iter().flat_map(|p| &p.pools);
         let names = |said: Vec<&String>, known: Option<&[String]>| -> Vec<Option<String>> {
-            let mut all: Vec<String> = said.into_iter().chain(known.unwrap_or_default()).cloned().collect();
+            let mut all: Vec<String> = said
+                .into_iter()
+                .chain(known.unwrap_or_default())
+                .cloned()
+                .collect();
             all.sort_unstable();
             all.dedup();
             let other = known.is_none().then_some(None);
@@ -49,22 +53,36 @@
         let used = |plan: &&Plan| -> Vec<_> {
             let used = |n: usize| plan.pools.iter().any(|p| p.addresses.contains(&n));
             let sets = plan.addresses.iter().enumerate();
-            sets.map(|(n, a)| if used(n) { a.spans.clone() } else { Vec::new() }).collect()
+            sets.map(|(n, a)| if used(n) { a.spans.clone() } else { Vec::new() })
+                .collect()
         };
         let addresses = AddressClasses::new(&plans.iter().flat_map(used).collect::<Vec<_>>());
-        let cells = Cells { zones, kinds, patterns, ways, addresses };
+        let cells = Cells {
+            zones,
+            kinds,
+            patterns,
+            ways,
+            addresses,
+        };
         (cells.count() <= MOST_CELLS).then_some(cells)
     }
 
     pub fn count(&self) -> usize {
         let zones_and_kinds = self.zones.len().saturating_mul(self.kinds.len());
-        zones_and_kinds.saturating_mul(self.ways.len()).saturating_mul(self.addresses.count())
+        zones_and_kinds
+            .saturating_mul(self.ways.len())
+            .saturating_mul(self.addresses.count())
     }
 
     fn parts(&self, cell: usize) -> (usize, usize, usize, usize) {
         let (rest, address) = (cell / self.addresses.count(), cell % self.addresses.count());
         let (rest, way) = (rest / self.ways.len(), rest % self.ways.len());
-        (rest / self.kinds.len(), rest % self.kinds.len(), way, address)
+        (
+            rest / self.kinds.len(),
+            rest % self.kinds.len(),
+            way,
+            address,
+        )
     }
 
     /// Zone and kind of a cell; none for those that no plan names.
@@ -114,8 +132,9 @@
         let mut longer = Vec::new();
         for way in &ways {
             let earlier = || (0..n).map(|m| (way.contains(m), patterns[m].as_str()));
-            let can = !earlier()
-                .any(|(fits, other)| (fits && apart(pattern, other)) || (!fits && within(pattern, other)));
+            let can = !earlier().any(|(fits, other)| {
+                (fits && apart(pattern, other)) || (!fits && within(pattern, other))
+            });
             let need = earlier().any(|(fits, other)| fits && within(other, pattern));
             if !need {
                 longer.push(way.clone());
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -57,11 +57,18 @@
 pub fn check(items: &[Item], faults: &mut Vec<Fault>) -> Vec<Checked> {
     let mut constants = Constants::default();
     for item in items {
-        if let Item::Constant { name, parts, span, .. } = item {
+        if let Item::Constant {
+            name, parts, span, ..
+        } = item
+        {
             constants.add(name, parts, span, faults);
         }
     }
-    let mut checker = Checker { constants, faults, seen: HashMap::new() };
+    let mut checker = Checker {
+        constants,
+        faults,
+        seen: HashMap::new(),
+    };
     let blocks = items.iter().filter_map(|item| match item {
         Item::Block(block) => checker.block(block),
         _ => None,
@@ -92,23 +99,31 @@
             return;
         }
         let [part] = parts else {
-            let fault = Fault::new(span.clone(), "a constant is one value, or a list with commas");
+            let fault = Fault::new(
+                span.clone(),
+                "a constant is one value, or a list with commas",
+            );
             faults.push(fault.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
             return;
         };
         if let Some((_, first)) = self.known.get(&name.text) {
-            let fault =
-                Fault::new(name.span.clone(), format!("the constant `{}` is there already", name.text));
+            let fault = Fault::new(
+                name.span.clone(),
+                format!("the constant `{}` is there already", name.text),
+            );
             faults.push(fault.other(first.clone(), "first here"));
             return;
         }
-        self.known.insert(name.text.clone(), (part.clone(), name.span.clone()));
+        self.known
+            .insert(name.text.clone(), (part.clone(), name.span.clone()));
     }
 
     /// Puts constants into a list of words.
     fn put(&self, part: &[Word], faults: &mut Vec<Fault>) -> Option<Vec<Put>> {
         let mut out = Vec::new();
-        part.iter().all(|word| self.word(word, word, None, 0, &mut out, faults)).then_some(out)
+        part.iter()
+            .all(|word| self.word(word, word, None, 0, &mut out, faults))
+            .then_some(out)
     }
 
     /// Puts in one word that stands at `at` in the plan; whether nothing was wrong.
@@ -122,23 +137,36 @@
         faults: &mut Vec<Fault>,
     ) -> bool {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.quoted) else {
-            out.push(Put { word: Word { span: at.span.clone(), ..word.clone() }, defined: defined.cloned() });
+            out.push(Put {
+                word: Word {
+                    span: at.span.clone(),
+                    ..word.clone()
+                },
+                defined: defined.cloned(),
+            });
             return true;
         };
         let Some((part, first)) = self.known.get(name) else {
-            let fault = Fault::new(at.span.clone(), format!("there is no constant `{}`", shown(name)));
+            let fault = Fault::new(
+                at.span.clone(),
+                format!("there is no constant `{}`", shown(name)),
+            );
             faults.push(fault.near(name, self.known.keys().map(String::as_str)));
             return false;
         };
         if depth >= DEEPEST || out.len() > MOST_VALUES {
             let why = match depth >= DEEPEST {
-                true => format!("the constant `{}` needs itself, or {DEEPEST} others", shown(name)),
+                true => format!(
+                    "the constant `{}` needs itself, or {DEEPEST} others",
+                    shown(name)
+                ),
                 false => format!("with constants put in, this has more than {MOST_VALUES} values"),
             };
             faults.push(Fault::new(at.span.clone(), why).other(first.clone(), "the constant"));
             return false;
         }
-        part.iter().all(|inner| self.word(inner, at, Some(&inner.span), depth + 1, out, faults))
+        part.iter()
+            .all(|inner| self.word(inner, at, Some(&inner.span), depth + 1, out, faults))
     }
 }
 
@@ -151,26 +179,39 @@
 impl Checker<'_> {
     fn block(&mut self, block: &Block) -> Option<Checked> {
         let Some(kind) = schema::block(&block.kind.text) else {
-            let text = format!("there is no block of the kind `{}`", shown(&block.kind.text));
+            let text = format!(
+                "there is no block of the kind `{}`",
+                shown(&block.kind.text)
+            );
             let names = schema::BLOCKS.iter().map(|b| b.name);
-            self.faults.push(Fault::new(block.kind.span.clone(), text).near(&block.kind.text, names));
+            self.faults
+                .push(Fault::new(block.kind.span.clone(), text).near(&block.kind.text, names));
             return None;
         };
         let Some(name) = &block.name else {
-            let fault = Fault::new(block.kind.span.clone(), format!("this {} has no name", kind.name));
-            self.faults.push(fault.help(format!("{} some-name {{", kind.name)));
+            let fault = Fault::new(
+                block.kind.span.clone(),
+                format!("this {} has no name", kind.name),
+            );
+            self.faults
+                .push(fault.help(format!("{} some-name {{", kind.name)));
             return None;
         };
         if let Err(wrong) = quantity::read(Kind::Name, &name.text, name.quoted) {
-            self.faults.push(Fault { help: wrong.help, ..Fault::new(name.span.clone(), wrong.text) });
+            self.faults.push(Fault {
+                help: wrong.help,
+                ..Fault::new(name.span.clone(), wrong.text)
+            });
             return None;
         }
         if let Some(first) = self.seen.get(&(kind.name, name.text.clone())) {
             let text = format!("the {} `{}` is there already", kind.name, name.text);
-            self.faults.push(Fault::new(name.span.clone(), text).other(first.clone(), "first here"));
+            self.faults
+                .push(Fault::new(name.span.clone(), text).other(first.clone(), "first here"));
             return None;
         }
-        self.seen.insert((kind.name, name.text.clone()), name.span.clone());
+        self.seen
+            .insert((kind.name, name.text.clone()), name.span.clone());
         let mut checked = Checked {
             kind,
             name: name.text.clone(),
@@ -188,20 +229,32 @@
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.quoted) else {
             let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
             let names = block.kind.entries.iter().map(|e| e.name);
-            self.faults.push(Fault::new(name.span.clone(), text).near(&name.text, names));
+            self.faults
+                .push(Fault::new(name.span.clone(), text).near(&name.text, names));
             return;
         };
         let Some(values) = self.values(kind, name, parts) else {
             // A broken list is a list all the same: what else says that it is missing would mislead.
-            let broken = Given { span: span.clone(), values: Vec::new() };
+            let broken = Given {
+                span: span.clone(),
+                values: Vec::new(),
+            };
             block.entries.entry(kind.name).or_insert(broken);
             return;
         };
-        let is_list =
-            matches!(kind.shape, Shape::List(_) | Shape::Refs(_) | Shape::Outer(_) | Shape::Words(_));
+        let is_list = matches!(
+            kind.shape,
+            Shape::List(_) | Shape::Refs(_) | Shape::Outer(_) | Shape::Words(_)
+        );
         match block.entries.get_mut(kind.name) {
             None => {
-                block.entries.insert(kind.name, Given { span: span.clone(), values });
+                block.entries.insert(
+                    kind.name,
+                    Given {
+                        span: span.clone(),
+                        values,
+                    },
+                );
             }
             Some(first) if is_list => first.values.extend(values),
             Some(first) => {
@@ -209,7 +262,8 @@
                     span.clone(),
                     format!("`{}` stands twice in this {}", kind.name, block.kind.name),
                 );
-                self.faults.push(fault.other(first.span.clone(), "first here"));
+                self.faults
+                    .push(fault.other(first.span.clone(), "first here"));
             }
         }
     }
@@ -235,7 +289,10 @@
             }
             Shape::Words(words) => {
                 let list = self.list(kind, name, &put)?;
-                let read: Vec<_> = list.iter().map(|put| self.choice(kind, words, put)).collect();
+                let read: Vec<_> = list
+                    .iter()
+                    .map(|put| self.choice(kind, words, put))
+                    .collect();
                 read.into_iter().collect()
             }
             Shape::List(k) => self.read_all(k, kind, name, &put),
@@ -245,7 +302,13 @@
         }
     }
 
-    fn read_all(&mut self, k: Kind, kind: &EntryKind, name: &Word, put: &[Vec<Put>]) -> Option<Vec<Spanned>> {
+    fn read_all(
+        &mut self,
+        k: Kind,
+        kind: &EntryKind,
+        name: &Word,
+        put: &[Vec<Put>],
+    ) -> Option<Vec<Spanned>> {
         let list = self.list(kind, name, put)?;
         // Each is read, so that one run tells all that is wrong.
         let read: Vec<_> = list.iter().map(|put| self.read(k, put)).collect();
@@ -254,9 +317,15 @@
 
     fn read(&mut self, kind: Kind, put: &Put) -> Option<Spanned> {
         match quantity::read(kind, &put.word.text, put.word.quoted) {
-            Ok(value) => Some(Spanned { value, span: put.word.span.clone() }),
+            Ok(value) => Some(Spanned {
+                value,
+                span: put.word.span.clone(),
+            }),
             Err(wrong) => {
-                let fault = Fault { help: wrong.help, ..Fault::new(put.word.span.clone(), wrong.text) };
+                let fault = Fault {
+                    help: wrong.help,
+                    ..Fault::new(put.word.span.clone(), wrong.text)
+                };
                 self.fault_in(put, fault);
                 None
             }
@@ -272,10 +341,14 @@
     }
 
     fn choice(&mut self, kind: &EntryKind, words: &[&'static str], put: &Put) -> Option<Spanned> {
-        match words.iter().find(|w| **w == put.word.text && !put.word.quoted) {
-            Some(word) => {
-                Some(Spanned { value: Value::Name((*word).to_string()), span: put.word.span.clone() })
-            }
+        match words
+            .iter()
+            .find(|w| **w == put.word.text && !put.word.quoted)
+        {
+            Some(word) => Some(Spanned {
+                value: Value::Name((*word).to_string()),
+                span: put.word.span.clone(),
+            }),
             None => {
                 let text = format!(
                     "`{}` is none of {} for `{}`",
@@ -283,8 +356,8 @@
                     words.join(", "),
                     kind.name
                 );
-                let fault =
-                    Fault::new(put.word.span.clone(), text).near(&put.word.text, words.iter().copied());
+                let fault = Fault::new(put.word.span.clone(), text)
+                    .near(&put.word.text, words.iter().copied());
                 self.fault_in(put, fault);
                 None
             }
@@ -293,13 +366,20 @@
 
     fn missing(&mut self, kind: &EntryKind, name: &Word) {
         let fault = Fault::new(name.span.clone(), format!("`{}` says nothing", kind.name));
-        self.faults.push(fault.help(format!("{} {}", kind.name, kind.example)));
+        self.faults
+            .push(fault.help(format!("{} {}", kind.name, kind.example)));
     }
 
     fn nothing_more(&mut self, kind: &EntryKind, more: &[Vec<Put>]) -> bool {
-        let Some(put) = more.iter().flatten().next() else { return true };
+        let Some(put) = more.iter().flatten().next() else {
+            return true;
+        };
         let text = match kind.example {
-            "" => format!("`{}` stands alone; `{}` is too much", kind.name, shown(&put.word.text)),
+            "" => format!(
+                "`{}` stands alone; `{}` is too much",
+                kind.name,
+                shown(&put.word.text)
+            ),
             example => {
                 format!(
                     "`{}` is too much; `{}` is as in `{} {example}`",
@@ -320,7 +400,11 @@
             return None;
         };
         if let Some(more) = all.next() {
-            let text = format!("`{}` has one value; `{}` is too much", kind.name, shown(&more.word.text));
+            let text = format!(
+                "`{}` has one value; `{}` is too much",
+                kind.name,
+                shown(&more.word.text)
+            );
             self.faults.push(Fault::new(more.word.span.clone(), text));
             return None;
         }
@@ -365,9 +449,12 @@
                 Some(vec![r?, b?])
             }
             _ => {
-                let text = format!("`{}` is a rate, and perhaps `burst` with an amount", kind.name);
-                let fault =
-                    Fault::new(name.span.clone(), text).help(format!("{} {}", kind.name, kind.example));
+                let text = format!(
+                    "`{}` is a rate, and perhaps `burst` with an amount",
+                    kind.name
+                );
+                let fault = Fault::new(name.span.clone(), text)
+                    .help(format!("{} {}", kind.name, kind.example));
                 self.faults.push(fault);
                 None
             }
@@ -396,7 +483,10 @@
                 None
             }
             (word, [more, ..]) => {
-                let text = format!("`{}` is too much; `{word}` stands alone", shown(&more.word.text));
+                let text = format!(
+                    "`{}` is too much; `{word}` stands alone",
+                    shown(&more.word.text)
+                );
                 self.faults.push(Fault::new(more.word.span.clone(), text));
                 None
             }
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -61,9 +61,14 @@
     }
 
     fn tiers(&self, side: &Side, route: Option<&Route>, groups: &[&str]) -> Tiers {
-        let Some(held) = &side.held else { return Vec::new() };
+        let Some(held) = &side.held else {
+            return Vec::new();
+        };
         let mut bound = self.all.clone();
-        let rules = groups.iter().filter_map(|g| side.plan.group(g)).filter(|g| !g.pools.is_empty());
+        let rules = groups
+            .iter()
+            .filter_map(|g| side.plan.group(g))
+            .filter(|g| !g.pools.is_empty());
         for group in rules {
             let mut pools = FixedBitSet::with_capacity(bound.len());
             group.pools.iter().for_each(|p| pools.union_with(&held[*p]));
@@ -71,7 +76,11 @@
         }
         let to = route.map_or(&[][..], |r| &r.to);
         let tiers = to.iter().map(|p| held[*p].clone());
-        let mut tiers: Tiers = if to.is_empty() { vec![self.all.clone()] } else { tiers.collect() };
+        let mut tiers: Tiers = if to.is_empty() {
+            vec![self.all.clone()]
+        } else {
+            tiers.collect()
+        };
         let mut earlier = FixedBitSet::with_capacity(self.all.len());
         for tier in &mut tiers {
             tier.intersect_with(&bound);
@@ -101,30 +110,50 @@
     let cells = Cells::of(&[old, new], Known::default());
     let side = |plan, first_set| {
         let plan: &Plan = plan;
-        let regions: Vec<Region> = plan.routes.iter().map(|r| classes.region(r, first_set)).collect();
+        let regions: Vec<Region> = plan
+            .routes
+            .iter()
+            .map(|r| classes.region(r, first_set))
+            .collect();
         let reach = region::reach(&regions, &region::whole(&classes));
-        Side { plan, held: cells.as_ref().map(|cells| cells.held(plan, first_set)), reach }
+        Side {
+            plan,
+            held: cells.as_ref().map(|cells| cells.held(plan, first_set)),
+            reach,
+        }
     };
     let sides = [side(old, 0), side(new, old.addresses.len())];
-    let [Some(was), Some(is)] = sides
-        .each_ref()
-        .map(|side| side.reach.iter().map(Option::as_ref).collect::<Option<Vec<&Vec<Region>>>>())
-    else {
+    let [Some(was), Some(is)] = sides.each_ref().map(|side| {
+        side.reach
+            .iter()
+            .map(Option::as_ref)
+            .collect::<Option<Vec<&Vec<Region>>>>()
+    }) else {
         let same = format!("{:?}", old.routes) == format!("{:?}", new.routes);
         if !same {
-            let text = "the routes of the two are too many and too entangled to be compared".to_string();
-            changes.push(Change { of: "routing", text });
+            let text =
+                "the routes of the two are too many and too entangled to be compared".to_string();
+            changes.push(Change {
+                of: "routing",
+                text,
+            });
         }
         return;
     };
     let all = cells.as_ref().map(Cells::all).unwrap_or_default();
-    let mut compare = Compare { classes: &classes, all, known: BTreeMap::new() };
+    let mut compare = Compare {
+        classes: &classes,
+        all,
+        known: BTreeMap::new(),
+    };
     let names = group_names(old, new);
     let mut found: BTreeMap<(usize, usize, Decision, Decision), Vec<Region>> = BTreeMap::new();
     for (m, before) in was.iter().enumerate() {
         for (n, after) in is.iter().enumerate() {
-            let meet: Vec<Region> =
-                before.iter().flat_map(|a| after.iter().filter_map(|b| region::intersection(a, b))).collect();
+            let meet: Vec<Region> = before
+                .iter()
+                .flat_map(|a| after.iter().filter_map(|b| region::intersection(a, b)))
+                .collect();
             for piece in meet {
                 for class in piece[0].ones() {
                     let name = names.iter().find(|name| classes.group(name) == class);
@@ -143,22 +172,43 @@
     }
     placement(&mut compare, &sides, &names, cells.as_ref(), changes);
     let mut set_names: Vec<String> = Vec::new();
-    set_names.extend(old.addresses.iter().chain(&new.addresses).map(|a| a.name.clone()));
+    set_names.extend(
+        old.addresses
+            .iter()
+            .chain(&new.addresses)
+            .map(|a| a.name.clone()),
+    );
     for ((m, n, a, b), regions) in found {
         let first = compare.classes.in_words(&regions[0], &set_names);
-        let more =
-            if regions.len() > 1 { format!(" (and {} more)", regions.len() - 1) } else { String::new() };
+        let more = if regions.len() > 1 {
+            format!(" (and {} more)", regions.len() - 1)
+        } else {
+            String::new()
+        };
         let was = in_words(old, old.routes.get(m), &a);
         let is = in_words(new, new.routes.get(n), &b);
-        let is = if was == is { format!("{is}, with other engines") } else { is };
-        changes.push(Change { of: "routing", text: format!("{first}{more}: {was} -> {is}") });
+        let is = if was == is {
+            format!("{is}, with other engines")
+        } else {
+            is
+        };
+        changes.push(Change {
+            of: "routing",
+            text: format!("{first}{more}: {was} -> {is}"),
+        });
     }
 }
 
 fn group_names(old: &Plan, new: &Plan) -> BTreeSet<String> {
     let of = |plan: &Plan| {
-        let routes = plan.routes.iter().flat_map(|r| r.groups.iter().chain(&r.as_group)).cloned();
-        routes.chain(plan.groups.iter().map(|g| g.name.clone())).collect::<BTreeSet<_>>()
+        let routes = plan
+            .routes
+            .iter()
+            .flat_map(|r| r.groups.iter().chain(&r.as_group))
+            .cloned();
+        routes
+            .chain(plan.groups.iter().map(|g| g.name.clone()))
+            .collect::<BTreeSet<_>>()
     };
     of(old).union(&of(new)).cloned().collect()
 }
@@ -169,8 +219,11 @@
         Decision::Goes(group, _) => {
             let to = route.map_or(&[][..], |r| &r.to);
             let pools: Vec<&str> = to.iter().map(|p| plan.pools[*p].name.as_str()).collect();
-            let to =
-                if pools.is_empty() { "any engine".to_string() } else { format!("to {}", pools.join(", ")) };
+            let to = if pools.is_empty() {
+                "any engine".to_string()
+            } else {
+                format!("to {}", pools.join(", "))
+            };
             match route.and_then(|r| r.as_group.as_ref()) {
                 Some(_) => format!("as {group} {to}"),
                 None => to,
@@ -194,14 +247,21 @@
             let mut may = FixedBitSet::with_capacity(cells.count());
             for (n, pieces) in side.reach.iter().enumerate() {
                 let route = side.plan.routes.get(n);
-                let takes = pieces.as_ref().is_some_and(|p| p.iter().any(|piece| piece[0].contains(class)));
+                let takes = pieces
+                    .as_ref()
+                    .is_some_and(|p| p.iter().any(|piece| piece[0].contains(class)));
                 let refused = route.is_some_and(|r| r.refuse.is_some());
                 if takes && !refused {
                     let treated = route.and_then(|r| r.as_group.as_deref()).unwrap_or(group);
-                    compare.tiers(side, route, &[group, treated]).iter().for_each(|t| may.union_with(t));
+                    compare
+                        .tiers(side, route, &[group, treated])
+                        .iter()
+                        .for_each(|t| may.union_with(t));
                 }
             }
-            may.ones().map(|cell| cells.place(cell)).collect::<BTreeSet<_>>()
+            may.ones()
+                .map(|cell| cells.place(cell))
+                .collect::<BTreeSet<_>>()
         };
         let (was, is) = (places(&sides[0]), places(&sides[1]));
         let text = |(zone, kind): &(Option<&str>, Option<&str>), how: &str| {
@@ -209,30 +269,60 @@
             let zone = zone.map_or("other zones".to_string(), str::to_string);
             format!("`{group}` {how} use {kind} in {zone}")
         };
-        changes
-            .extend(was.difference(&is).map(|p| Change { of: "placement", text: text(p, "may no longer") }));
-        changes.extend(is.difference(&was).map(|p| Change { of: "placement", text: text(p, "may now") }));
+        changes.extend(was.difference(&is).map(|p| Change {
+            of: "placement",
+            text: text(p, "may no longer"),
+        }));
+        changes.extend(is.difference(&was).map(|p| Change {
+            of: "placement",
+            text: text(p, "may now"),
+        }));
     }
 }
 
 /// Adds a change where a figure differs.
-fn figure(changes: &mut Vec<Change>, of: &'static str, what: &str, was: Option<String>, is: Option<String>) {
+fn figure(
+    changes: &mut Vec<Change>,
+    of: &'static str,
+    what: &str,
+    was: Option<String>,
+    is: Option<String>,
+) {
     if was != is {
         let word = |v: Option<String>| v.unwrap_or_else(|| "none".to_string());
-        changes.push(Change { of, text: format!("{what}: {} -> {}", word(was), word(is)) });
+        changes.push(Change {
+            of,
+            text: format!("{what}: {} -> {}", word(was), word(is)),
+        });
     }
 }
 
 fn groups(old: &Plan, new: &Plan, changes: &mut Vec<Change>) {
-    let names: BTreeSet<&String> = old.groups.iter().chain(&new.groups).map(|g| &g.name).collect();
+    let names: BTreeSet<&String> = old
+        .groups
+        .iter()
+        .chain(&new.groups)
+        .map(|g| &g.name)
+        .collect();
     for name in names {
         let (was, is) = (old.group(name), new.group(name));
         let mut tell = |what: &str, of: &dyn Fn(&crate::model::Group) -> Option<String>| {
-            figure(changes, "group", &format!("{what} of `{name}`"), was.and_then(of), is.and_then(of));
+            figure(
+                changes,
+                "group",
+                &format!("{what} of `{name}`"),
+                was.and_then(of),
+                is.and_then(of),
+            );
         };
         tell("goal", &|g| g.goal.map(|t| format!("{}s", t.as_secs_f64())));
-        tell("limit", &|g| g.limit.map(|t| format!("{}s", t.as_secs_f64())));
-        tell("order", &|g| g.in_order.map(|o| if o { "key" } else { "none" }.to_string()));
+        tell("limit", &|g| {
+            g.limit.map(|t| format!("{}s", t.as_secs_f64()))
+        });
+        tell("order", &|g| {
+            g.in_order
+                .map(|o| if o { "key" } else { "none" }.to_string())
+        });
         tell("effect", &|g| g.effect.as_ref().map(effect_in_words));
         tell("further", &|g| g.further.map(|f| format!("{}%", f * 100.0)));
         tell("statement", &|g| g.statement.map(|n| format!("{n}B")));
@@ -240,11 +330,22 @@
 }
 
 fn tenants(old: &Plan, new: &Plan, changes: &mut Vec<Change>) {
-    let names: BTreeSet<&String> = old.tenants.iter().chain(&new.tenants).map(|t| &t.name).collect();
+    let names: BTreeSet<&String> = old
+        .tenants
+        .iter()
+        .chain(&new.tenants)
+        .map(|t| &t.name)
+        .collect();
     for name in names {
         let (was, is) = (old.tenant(name), new.tenant(name));
         let mut tell = |what: &str, of: &dyn Fn(&crate::model::Tenant) -> Option<String>| {
-            figure(changes, "tenant", &format!("{what} of `{name}`"), was.and_then(of), is.and_then(of));
+            figure(
+                changes,
+                "tenant",
+                &format!("{what} of `{name}`"),
+                was.and_then(of),
+                is.and_then(of),
+            );
         };
         let bucket = |b: Option<Bucket>| b.as_ref().map(bucket_in_words);
         tell("share", &|t| t.share.map(|s| format!("{}%", s * 100.0)));
@@ -255,8 +356,9 @@
 }
 
 fn stores(old: &Plan, new: &Plan, changes: &mut Vec<Change>) {
-    let mut tell =
-        |what: &str, of: &dyn Fn(&Plan) -> Option<String>| figure(changes, "store", what, of(old), of(new));
+    let mut tell = |what: &str, of: &dyn Fn(&Plan) -> Option<String>| {
+        figure(changes, "store", what, of(old), of(new))
+    };
     type Entry = (&'static str, fn(&crate::model::Bodies) -> String);
     let entries: [Entry; 8] = [
         ("memory", |b| format!("{}B", b.memory)),
@@ -267,30 +369,58 @@
         ("share", |b| format!("{}%", b.share * 100.0)),
         ("unknown-length", |b| b.unknown_length.to_string()),
         ("must-keep", |b| {
-            b.must_keep.iter().cloned().collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(", ")
+            b.must_keep
+                .iter()
+                .cloned()
+                .collect::<BTreeSet<_>>()
+                .into_iter()
+                .collect::<Vec<_>>()
+                .join(", ")
         }),
     ];
     for (name, of) in entries {
-        tell(&format!("{name} of bodies"), &|plan| plan.bodies.as_ref().map(of));
+        tell(&format!("{name} of bodies"), &|plan| {
+            plan.bodies.as_ref().map(of)
+        });
     }
-    tell("directory of the journal", &|plan| plan.journal.as_ref().map(|j| j.directory.clone()));
+    tell("directory of the journal", &|plan| {
+        plan.journal.as_ref().map(|j| j.directory.clone())
+    });
 }
 
 /// What a limit counts, without names that are the plan's own.
 fn scope(plan: &Plan, limit: &Limit) -> String {
-    let sorted =
-        |list: &[String]| list.iter().collect::<BTreeSet<_>>().into_iter().cloned().collect::<Vec<_>>();
-    let spans = limit.clients.iter().flat_map(|c| plan.addresses[*c].spans.clone()).collect();
+    let sorted = |list: &[String]| {
+        list.iter()
+            .collect::<BTreeSet<_>>()
+            .into_iter()
+            .cloned()
+            .collect::<Vec<_>>()
+    };
+    let spans = limit
+        .clients
+        .iter()
+        .flat_map(|c| plan.addresses[*c].spans.clone())
+        .collect();
     let spans = crate::address::union(spans);
-    format!("{:?} {:?} {:?} {spans:?}", limit.per, sorted(&limit.groups), sorted(&limit.tenants))
+    format!(
+        "{:?} {:?} {:?} {spans:?}",
+        limit.per,
+        sorted(&limit.groups),
+        sorted(&limit.tenants)
+    )
 }
 
 fn limits(old: &Plan, new: &Plan, changes: &mut Vec<Change>) {
-    let key = |plan: &Plan, limit: &Limit| format!("{} {}", scope(plan, limit), limit_in_words(limit));
+    let key =
+        |plan: &Plan, limit: &Limit| format!("{} {}", scope(plan, limit), limit_in_words(limit));
     let alike: BTreeSet<String> = old.limits.iter().map(|l| key(old, l)).collect();
     let news: BTreeSet<String> = new.limits.iter().map(|l| key(new, l)).collect();
     let left = |plan: &'_ Plan, other: &BTreeSet<String>| -> BTreeMap<String, Limit> {
-        let left = plan.limits.iter().filter(|l| !other.contains(&key(plan, l)));
+        let left = plan
+            .limits
+            .iter()
+            .filter(|l| !other.contains(&key(plan, l)));
         left.map(|l| (l.name.clone(), l.clone())).collect()
     };
     let (was, is) = (left(old, &news), left(new, &alike));
@@ -302,7 +432,9 @@
             (Some(a), Some(b)) if scope(old, a) != scope(new, b) => {
                 format!("`{name}` counts other batches now")
             }
-            (Some(a), Some(b)) => format!("`{name}`: {} -> {}", limit_in_words(a), limit_in_words(b)),
+            (Some(a), Some(b)) => {
+                format!("`{name}`: {} -> {}", limit_in_words(a), limit_in_words(b))
+            }
             (None, None) => continue,
         };
         changes.push(Change { of: "limit", text });
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -18,25 +18,40 @@
 
 fn write_all(out: &mut String, compiled: &Compiled, facts: &Facts) -> std::fmt::Result {
     let (plan, at) = (&compiled.plan, |span: &Span| compiled.files.at(span));
-    let key = if facts.key { "with a key" } else { "without a key" };
+    let key = if facts.key {
+        "with a key"
+    } else {
+        "without a key"
+    };
     let clock = format!("{:02}:{:02}", facts.minute / 60, facts.minute % 60);
     writeln!(
         out,
         "a batch of `{}` for `{}` from {}, {key}, on data set {}, at {clock} UTC",
         facts.group, facts.tenant, facts.client, facts.data_set
     )?;
-    let taken = plan.routes.iter().position(|r| r.unmet(facts, &plan.addresses).is_none());
+    let taken = plan
+        .routes
+        .iter()
+        .position(|r| r.unmet(facts, &plan.addresses).is_none());
     let passed = &plan.routes[..taken.unwrap_or(plan.routes.len())];
     for route in passed.iter().take(MOST_PASSED) {
         let why = route.unmet(facts, &plan.addresses).unwrap_or_default();
-        writeln!(out, "  passed over: route `{}` ({}), by its `{why}`", route.name, at(&route.span))?;
+        writeln!(
+            out,
+            "  passed over: route `{}` ({}), by its `{why}`",
+            route.name,
+            at(&route.span)
+        )?;
     }
     if passed.len() > MOST_PASSED {
         writeln!(out, "  and {} more", passed.len() - MOST_PASSED)?;
     }
     let mut groups = vec![facts.group];
     match taken.map(|n| &plan.routes[n]) {
-        None => writeln!(out, "no route takes it: every engine is open to it that its group's rules leave")?,
+        None => writeln!(
+            out,
+            "no route takes it: every engine is open to it that its group's rules leave"
+        )?,
         Some(route) => {
             writeln!(out, "route `{}` ({}) takes it", route.name, at(&route.span))?;
             if let Some(reason) = &route.refuse {
@@ -60,19 +75,43 @@
         }
     }
     for group in groups.into_iter().filter_map(|g| plan.group(g)) {
-        writeln!(out, "group `{}` ({}): {}", group.name, at(&group.span), group_in_words(plan, group))?;
+        writeln!(
+            out,
+            "group `{}` ({}): {}",
+            group.name,
+            at(&group.span),
+            group_in_words(plan, group)
+        )?;
     }
     if let Some(tenant) = plan.tenant(facts.tenant) {
         let parts = [
             tenant.share.map(|s| format!("share {}%", s * 100.0)),
             tenant.in_hand.map(|n| format!("in-hand {n}")),
             tenant.rate.map(|b| format!("rate {}", bucket_in_words(&b))),
-            tenant.bytes.map(|b| format!("bytes {}", bucket_in_words(&b))),
+            tenant
+                .bytes
+                .map(|b| format!("bytes {}", bucket_in_words(&b))),
         ];
-        writeln!(out, "tenant `{}` ({}): {}", tenant.name, at(&tenant.span), joined(parts))?;
+        writeln!(
+            out,
+            "tenant `{}` ({}): {}",
+            tenant.name,
+            at(&tenant.span),
+            joined(parts)
+        )?;
     }
-    for limit in plan.limits.iter().filter(|l| l.counts(facts, &plan.addresses)) {
-        writeln!(out, "limit `{}` ({}): {}", limit.name, at(&limit.span), limit_in_words(limit))?;
+    for limit in plan
+        .limits
+        .iter()
+        .filter(|l| l.counts(facts, &plan.addresses))
+    {
+        writeln!(
+            out,
+            "limit `{}` ({}): {}",
+            limit.name,
+            at(&limit.span),
+            limit_in_words(limit)
+        )?;
     }
     Ok(())
 }
@@ -94,7 +133,11 @@
 }
 
 pub(crate) fn pool_in_words(plan: &Plan, pool: &Pool) -> String {
-    let sets: Vec<String> = pool.addresses.iter().map(|a| plan.addresses[*a].name.clone()).collect();
+    let sets: Vec<String> = pool
+        .addresses
+        .iter()
+        .map(|a| plan.addresses[*a].name.clone())
+        .collect();
     joined([
         pool.all.then(|| "all".to_string()),
         list("zone", &pool.zones),
@@ -126,8 +169,12 @@
         group.goal.map(|t| format!("goal {}s", t.as_secs_f64())),
         group.limit.map(|t| format!("limit {}s", t.as_secs_f64())),
         list("pools", &pools(plan, &group.pools)),
-        group.in_order.map(|o| format!("order {}", if o { "key" } else { "none" })),
-        group.effect.map(|e| format!("effect {}", effect_in_words(&e))),
+        group
+            .in_order
+            .map(|o| format!("order {}", if o { "key" } else { "none" })),
+        group
+            .effect
+            .map(|e| format!("effect {}", effect_in_words(&e))),
         group.further.map(|f| format!("further {}%", f * 100.0)),
         group.statement.map(|n| format!("statement {n}B")),
     ])
@@ -146,7 +193,9 @@
     joined([
         limit.in_hand.map(|n| format!("in-hand {n}")),
         limit.rate.map(|b| format!("rate {}", bucket_in_words(&b))),
-        limit.bytes.map(|b| format!("bytes {}", bucket_in_words(&b))),
+        limit
+            .bytes
+            .map(|b| format!("bytes {}", bucket_in_words(&b))),
         list("for each", &per.collect::<Vec<_>>()),
     ])
 }
--- a/crates/plan/src/fault.rs
+++ b/crates/plan/src/fault.rs
@@ -26,7 +26,13 @@
 
 impl Fault {
     pub fn new(span: Span, text: impl Into<String>) -> Self {
-        Fault { span, text: text.into(), label: None, others: Vec::new(), help: None }
+        Fault {
+            span,
+            text: text.into(),
+            label: None,
+            others: Vec::new(),
+            help: None,
+        }
     }
 
     /// What stands beside the marked place.
@@ -57,10 +63,17 @@
 /// The name nearest to a word, if it is near enough for a slip of the pen.
 pub fn nearest<'a>(word: &str, names: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let short: String = word.chars().take(LONGEST_WORD).collect();
-    let near = |name: &&str| strsim::damerau_levenshtein(&short, name) <= 1 + name.chars().count() / 4;
+    let near =
+        |name: &&str| strsim::damerau_levenshtein(&short, name) <= 1 + name.chars().count() / 4;
     let names = names.into_iter().filter(near);
     // Of two that are as near the longer: letters are left out more often than put in.
-    names.min_by_key(|name| (strsim::damerau_levenshtein(&short, name), std::cmp::Reverse(name.len()), *name))
+    names.min_by_key(|name| {
+        (
+            strsim::damerau_levenshtein(&short, name),
+            std::cmp::Reverse(name.len()),
+            *name,
+        )
+    })
 }
 
 /// A word as messages show it, cut where it is very long.
@@ -94,16 +107,30 @@
     let notes = notes(files, fault);
     let places = || std::iter::once(&fault.span).chain(fault.others.iter().map(|(span, _)| span));
     let long = |span: &Span| {
-        let Some(file) = files.get(span.file) else { return true };
+        let Some(file) = files.get(span.file) else {
+            return true;
+        };
         let (first, last) = (file.place(span.start).0, file.place(span.end).0);
-        let unfit =
-            |line: &str| line.len() > LONGEST_LINE || line.contains(|c: char| c.is_control() && c != '\t');
+        let unfit = |line: &str| {
+            line.len() > LONGEST_LINE || line.contains(|c: char| c.is_control() && c != '\t')
+        };
         last - first > 3 || (first..=last).any(|line| unfit(file.line(line)))
     };
-    let mut labels = vec![label(Label::primary, &fault.span, fault.label.as_deref().unwrap_or_default())];
-    labels.extend(fault.others.iter().map(|(span, text)| label(Label::secondary, span, text)));
-    let diagnostic =
-        Diagnostic::error().with_message(&fault.text).with_labels(labels).with_notes(notes.clone());
+    let mut labels = vec![label(
+        Label::primary,
+        &fault.span,
+        fault.label.as_deref().unwrap_or_default(),
+    )];
+    labels.extend(
+        fault
+            .others
+            .iter()
+            .map(|(span, text)| label(Label::secondary, span, text)),
+    );
+    let diagnostic = Diagnostic::error()
+        .with_message(&fault.text)
+        .with_labels(labels)
+        .with_notes(notes.clone());
     let config = term::Config::default();
     let mut out = String::new();
     let shown = !places().any(long);
@@ -113,18 +140,27 @@
     }
 }
 
-fn label(kind: fn(usize, std::ops::Range<usize>) -> Label<usize>, span: &Span, text: &str) -> Label<usize> {
+fn label(
+    kind: fn(usize, std::ops::Range<usize>) -> Label<usize>,
+    span: &Span,
+    text: &str,
+) -> Label<usize> {
     kind(span.file.0, span.range()).with_message(text)
 }
 
 /// Without the lines, which are too long to be shown or would disturb a terminal.
 fn plain(files: &Files, fault: &Fault, notes: &[String]) -> String {
     let mut out = format!("error: {}\n", fault.text);
-    let others = fault.others.iter().map(|(span, text)| (span, text.as_str()));
+    let others = fault
+        .others
+        .iter()
+        .map(|(span, text)| (span, text.as_str()));
     for (span, text) in
         std::iter::once((&fault.span, fault.label.as_deref().unwrap_or_default())).chain(others)
     {
-        let Some(file) = files.get(span.file) else { continue };
+        let Some(file) = files.get(span.file) else {
+            continue;
+        };
         let (line, column) = file.place(span.start);
         let _ = writeln!(out, "  --> {}:{line}:{column} {text}", file.name);
     }
@@ -137,8 +173,14 @@
 
 /// The suggestion, and the chain of includes where the place is in an included file.
 fn notes(files: &Files, fault: &Fault) -> Vec<String> {
-    let mut notes: Vec<String> = fault.help.iter().map(|help| format!("help: {help}")).collect();
-    let mut at = files.get(fault.span.file).and_then(|f| f.included_at.as_ref());
+    let mut notes: Vec<String> = fault
+        .help
+        .iter()
+        .map(|help| format!("help: {help}"))
+        .collect();
+    let mut at = files
+        .get(fault.span.file)
+        .and_then(|f| f.included_at.as_ref());
     let mut chain = Vec::new();
     while let Some(span) = at {
         chain.push(files.at(span));
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -23,8 +23,15 @@
         match item {
             Item::Blank(None) => out.empty(),
             Item::Blank(Some(comment)) => out.line(0, comment, &None),
-            Item::Include { path, comment, .. } => out.line(0, &format!("include {}", word(path)), comment),
-            Item::Constant { name, parts, comment, .. } => {
+            Item::Include { path, comment, .. } => {
+                out.line(0, &format!("include {}", word(path)), comment)
+            }
+            Item::Constant {
+                name,
+                parts,
+                comment,
+                ..
+            } => {
                 out.wrapped(0, &format!("let {} =", name.text), parts, comment);
             }
             Item::Block(block) => out.block(block),
@@ -65,15 +72,24 @@
 
     fn block(&mut self, block: &Block) {
         // An empty line before a block, save for a comment right above it.
-        let follows_comment = self.text.lines().next_back().is_some_and(|line| line.starts_with('#'));
+        let follows_comment = self
+            .text
+            .lines()
+            .next_back()
+            .is_some_and(|line| line.starts_with('#'));
         self.gap |= !self.text.is_empty() && !follows_comment;
-        let name = block.name.as_ref().map_or(String::new(), |name| format!("{} ", word(name)));
+        let name = block
+            .name
+            .as_ref()
+            .map_or(String::new(), |name| format!("{} ", word(name)));
         self.line(0, &format!("{} {name}{{", block.kind.text), &block.comment);
         for line in &block.lines {
             match line {
                 Line::Blank(None) => self.empty(),
                 Line::Blank(Some(comment)) => self.line(2, comment, &None),
-                Line::Entry(entry) => self.wrapped(2, &word(&entry.name), &entry.parts, &entry.comment),
+                Line::Entry(entry) => {
+                    self.wrapped(2, &word(&entry.name), &entry.parts, &entry.comment)
+                }
             }
         }
         self.gap = false;
@@ -109,7 +125,10 @@
 
 fn word(word: &Word) -> String {
     match word.quoted {
-        true => format!("\"{}\"", word.text.replace('\\', "\\\\").replace('"', "\\\"")),
+        true => format!(
+            "\"{}\"",
+            word.text.replace('\\', "\\\\").replace('"', "\\\"")
+        ),
         false => word.text.clone(),
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -52,7 +52,11 @@
 ///
 /// All faults that one reading finds; names are looked into only where every line could be read, and what the plan
 /// would do only where every name is known.
-pub fn compile(loader: &dyn Loader, main: &str, settings: Option<&Settings>) -> Result<Compiled, Faulty> {
+pub fn compile(
+    loader: &dyn Loader,
+    main: &str,
+    settings: Option<&Settings>,
+) -> Result<Compiled, Faulty> {
     let (files, items, mut faults) = source::read(loader, main);
     let blocks = check::check(&items, &mut faults);
     let plan = build::build(&blocks, settings, &mut faults);
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -64,15 +64,22 @@
 fn spans<S: serde::Serializer>(spans: &Spans, s: S) -> Result<S::Ok, S::Error> {
     let ip = |n: u128| {
         let v6 = std::net::Ipv6Addr::from(n);
-        v6.to_ipv4_mapped().map_or_else(|| v6.to_string(), |v4| v4.to_string())
+        v6.to_ipv4_mapped()
+            .map_or_else(|| v6.to_string(), |v4| v4.to_string())
     };
-    s.collect_seq(spans.iter().map(|(from, to)| format!("{}..{}", ip(*from), ip(*to))))
+    s.collect_seq(
+        spans
+            .iter()
+            .map(|(from, to)| format!("{}..{}", ip(*from), ip(*to))),
+    )
 }
 
 impl AddressSet {
     pub fn holds(&self, address: IpAddr) -> bool {
         let n = number(address);
-        self.spans.iter().any(|(from, to)| (*from..=*to).contains(&n))
+        self.spans
+            .iter()
+            .any(|(from, to)| (*from..=*to).contains(&n))
     }
 }
 
@@ -94,7 +101,9 @@
 impl Pool {
     /// Whether it says of itself which engines it has, beside other pools.
     pub fn selects(&self) -> bool {
-        let lists = [&self.zones, &self.kinds, &self.ids].iter().any(|list| !list.is_empty());
+        let lists = [&self.zones, &self.kinds, &self.ids]
+            .iter()
+            .any(|list| !list.is_empty());
         self.all || lists || !self.addresses.is_empty()
     }
 
@@ -106,8 +115,9 @@
         id: impl Fn(&str) -> bool,
         address: impl Fn(usize) -> bool,
     ) -> bool {
-        let any =
-            |list: &[String], fits: &dyn Fn(&str) -> bool| list.is_empty() || list.iter().any(|v| fits(v));
+        let any = |list: &[String], fits: &dyn Fn(&str) -> bool| {
+            list.is_empty() || list.iter().any(|v| fits(v))
+        };
         self.selects()
             && any(&self.zones, &zone)
             && any(&self.kinds, &kind)
@@ -120,7 +130,9 @@
 pub fn fits_pattern(pattern: &str, text: &str) -> bool {
     let mut parts = pattern.split('*');
     let first = parts.next().unwrap_or_default();
-    let Some(mut rest) = text.strip_prefix(first) else { return false };
+    let Some(mut rest) = text.strip_prefix(first) else {
+        return false;
+    };
     let mut parts = parts.peekable();
     if parts.peek().is_none() {
         return rest.is_empty();
@@ -129,7 +141,9 @@
         if parts.peek().is_none() {
             return rest.ends_with(part);
         }
-        let Some(at) = rest.find(part) else { return false };
+        let Some(at) = rest.find(part) else {
+            return false;
+        };
         rest = &rest[at + part.len()..];
     }
     true
@@ -163,7 +177,13 @@
         match (self, other) {
             (Effect::OnceOnly, _) | (_, Effect::Repeatable) => true,
             (Effect::Repeatable, _) | (_, Effect::OnceOnly) => false,
-            (Effect::Referenced { scope, window }, Effect::Referenced { scope: wider, window: longer }) => {
+            (
+                Effect::Referenced { scope, window },
+                Effect::Referenced {
+                    scope: wider,
+                    window: longer,
+                },
+            ) => {
                 let place = |s: &Scope| match s {
                     Scope::Everywhere => 0,
                     Scope::Zone => 1,
@@ -346,7 +366,11 @@
                 |zone| zone == engine.zone,
                 |kind| kind == engine.kind,
                 |id| fits_pattern(id, engine.id),
-                |set| self.addresses.get(set).is_some_and(|s| s.holds(engine.address)),
+                |set| {
+                    self.addresses
+                        .get(set)
+                        .is_some_and(|s| s.holds(engine.address))
+                },
             )
         })
     }
@@ -364,7 +388,9 @@
 
     /// The route that takes a batch: the first that does.
     pub fn route_of(&self, facts: &Facts) -> Option<&Route> {
-        self.routes.iter().find(|r| r.unmet(facts, &self.addresses).is_none())
+        self.routes
+            .iter()
+            .find(|r| r.unmet(facts, &self.addresses).is_none())
     }
 
     pub fn group(&self, name: &str) -> Option<&Group> {
@@ -377,7 +403,10 @@
 
     /// Whether the rules of a batch's group, and of the one that it is treated as, let it run on an engine.
     pub fn bound_to(&self, groups: &[&str], holds: &[bool]) -> bool {
-        let rules = groups.iter().filter_map(|g| self.group(g)).filter(|g| !g.pools.is_empty());
+        let rules = groups
+            .iter()
+            .filter_map(|g| self.group(g))
+            .filter(|g| !g.pools.is_empty());
         rules.into_iter().all(|g| g.pools.iter().any(|p| holds[*p]))
     }
 
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -107,7 +107,10 @@
 
 impl Wrong {
     fn new(text: impl Into<String>) -> Self {
-        Wrong { text: text.into(), help: None }
+        Wrong {
+            text: text.into(),
+            help: None,
+        }
     }
 
     fn help(mut self, help: impl Into<String>) -> Self {
@@ -116,9 +119,20 @@
     }
 }
 
-const TIMES: [(&str, f64); 6] =
-    [("us", 1e-6), ("ms", 1e-3), ("s", 1.0), ("min", 60.0), ("h", 3600.0), ("d", 86_400.0)];
-const SIZES: [(&str, f64); 4] = [("B", 1.0), ("KiB", 1024.0), ("MiB", 1_048_576.0), ("GiB", 1_073_741_824.0)];
+const TIMES: [(&str, f64); 6] = [
+    ("us", 1e-6),
+    ("ms", 1e-3),
+    ("s", 1.0),
+    ("min", 60.0),
+    ("h", 3600.0),
+    ("d", 86_400.0),
+];
+const SIZES: [(&str, f64); 4] = [
+    ("B", 1.0),
+    ("KiB", 1024.0),
+    ("MiB", 1_048_576.0),
+    ("GiB", 1_073_741_824.0),
+];
 /// How units are often written elsewhere, and what they are here.
 const ELSEWHERE: [(&str, &str); 17] = [
     ("sec", "s"),
@@ -146,8 +160,16 @@
 /// Reads a word as a value of a kind.
 pub fn read(kind: Kind, word: &str, quoted: bool) -> Result<Value, Wrong> {
     if quoted != (kind == Kind::Text) {
-        let how = if quoted { "is in quotes" } else { "is not in quotes" };
-        return Err(Wrong::new(format!("`{}` {how}; here {} is wanted", shown(word), kind.wanted())));
+        let how = if quoted {
+            "is in quotes"
+        } else {
+            "is not in quotes"
+        };
+        return Err(Wrong::new(format!(
+            "`{}` {how}; here {} is wanted",
+            shown(word),
+            kind.wanted()
+        )));
     }
     match kind {
         Kind::Text => Ok(Value::Text(word.to_string())),
@@ -162,7 +184,9 @@
 /// Whether a word can be a name: a letter or digit first, then also `-`, `_` and `.`.
 pub fn is_name(word: &str) -> bool {
     let inner = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    word.len() <= 64 && word.starts_with(|c: char| c.is_ascii_alphanumeric()) && word.chars().all(inner)
+    word.len() <= 64
+        && word.starts_with(|c: char| c.is_ascii_alphanumeric())
+        && word.chars().all(inner)
 }
 
 fn name(kind: Kind, word: &str) -> Result<Value, Wrong> {
@@ -186,28 +210,52 @@
 
 /// The kinds that are a number with a unit, and the count, which has none.
 fn number_with_unit(kind: Kind, word: &str) -> Result<Value, Wrong> {
-    let digits = word.find(|c: char| !(c.is_ascii_digit() || c == '.')).unwrap_or(word.len());
+    let digits = word
+        .find(|c: char| !(c.is_ascii_digit() || c == '.'))
+        .unwrap_or(word.len());
     let (number, unit) = word.split_at(digits);
     let Some(number) = number.parse::<f64>().ok().filter(|n| n.is_finite()) else {
-        return Err(Wrong::new(format!("`{}` is no number; here {} is wanted", shown(word), kind.wanted())));
+        return Err(Wrong::new(format!(
+            "`{}` is no number; here {} is wanted",
+            shown(word),
+            kind.wanted()
+        )));
     };
     let got = kind_of(unit);
     match got {
         None => {
             let units = units(kind);
-            let elsewhere = ELSEWHERE.iter().find(|(other, here)| *other == unit && units.contains(here));
-            let near =
-                elsewhere.map(|(_, here)| *here).or(crate::fault::nearest(unit, units.iter().copied()));
+            let elsewhere = ELSEWHERE
+                .iter()
+                .find(|(other, here)| *other == unit && units.contains(here));
+            let near = elsewhere
+                .map(|(_, here)| *here)
+                .or(crate::fault::nearest(unit, units.iter().copied()));
             let near = near.map(|u| format!("{number}{u}"));
-            let wrong = Wrong::new(format!("`{}` is no unit; here {} is wanted", shown(unit), kind.wanted()));
-            return Err(near.map_or(wrong.clone(), |near| wrong.help(format!("did you mean `{near}`?"))));
+            let wrong = Wrong::new(format!(
+                "`{}` is no unit; here {} is wanted",
+                shown(unit),
+                kind.wanted()
+            ));
+            return Err(near.map_or(wrong.clone(), |near| {
+                wrong.help(format!("did you mean `{near}`?"))
+            }));
         }
         Some(Kind::Count) if kind != Kind::Count => {
-            let text = format!("`{}` has no unit; here {} is wanted", shown(word), kind.wanted());
+            let text = format!(
+                "`{}` has no unit; here {} is wanted",
+                shown(word),
+                kind.wanted()
+            );
             return Err(Wrong::new(text));
         }
         Some(got) if got != kind => {
-            let text = format!("`{}` is {}; here {} is wanted", shown(word), got.is(), kind.wanted());
+            let text = format!(
+                "`{}` is {}; here {} is wanted",
+                shown(word),
+                got.is(),
+                kind.wanted()
+            );
             return Err(Wrong::new(text));
         }
         Some(_) => {}
@@ -222,7 +270,9 @@
         Kind::Time if n > LONGEST => wrong("is longer than a week"),
         Kind::Time if n <= 0.0 => wrong("is no time; it must be above 0"),
         // Whole microseconds, so that 1s and 1000ms are one.
-        Kind::Time => Ok(Value::Time(Duration::from_micros((n * 1e6).round().max(1.0) as u64))),
+        Kind::Time => Ok(Value::Time(Duration::from_micros(
+            (n * 1e6).round().max(1.0) as u64,
+        ))),
         Kind::Share if n > 1.0 => wrong("is more than all; a share is 100% at most"),
         Kind::Share => Ok(Value::Share(n)),
         _ if n <= 0.0 => wrong("is nothing; it must be above 0"),
@@ -263,7 +313,12 @@
 
 /// What a known unit is in base units: seconds, bytes, each second, 1.
 fn factor(unit: &str) -> f64 {
-    let of = |table: &[(&str, f64)], u: &str| table.iter().find(|(name, _)| *name == u).map_or(1.0, |f| f.1);
+    let of = |table: &[(&str, f64)], u: &str| {
+        table
+            .iter()
+            .find(|(name, _)| *name == u)
+            .map_or(1.0, |f| f.1)
+    };
     match unit.split_once('/') {
         Some((size, per)) => of(&SIZES, size) / of(&TIMES, per),
         None if unit == "%" => 0.01,
@@ -275,17 +330,21 @@
     let minute = |text: &str| {
         let (hour, minute) = text.split_once(':')?;
         let two = |t: &str| {
-            (t.len() == 2 && t.bytes().all(|b| b.is_ascii_digit())).then(|| t.parse::<u32>().ok())?
+            (t.len() == 2 && t.bytes().all(|b| b.is_ascii_digit()))
+                .then(|| t.parse::<u32>().ok())?
         };
         let (hour, minute) = (two(hour)?, two(minute)?);
         (minute < 60 && hour * 60 + minute <= DAY).then_some(hour * 60 + minute)
     };
-    let ends = word.split_once("..").map(|(from, until)| (minute(from), minute(until)));
+    let ends = word
+        .split_once("..")
+        .map(|(from, until)| (minute(from), minute(until)));
     match ends {
-        Some((Some(from), Some(until))) if from % DAY == until % DAY => {
-            Err(Wrong::new(format!("`{}` is no time at all, or a whole day", shown(word)))
-                .help("leave the entry out for the whole day"))
-        }
+        Some((Some(from), Some(until))) if from % DAY == until % DAY => Err(Wrong::new(format!(
+            "`{}` is no time at all, or a whole day",
+            shown(word)
+        ))
+        .help("leave the entry out for the whole day")),
         Some((Some(from), Some(until))) => Ok(Value::Clock(from % DAY, until)),
         _ => Err(Wrong::new(format!(
             "`{}` is no span of hours; here {} is wanted",
@@ -296,19 +355,26 @@
 }
 
 fn network(word: &str) -> Result<Value, Wrong> {
-    let wrong =
-        || Wrong::new(format!("`{}` is no network; here {} is wanted", shown(word), Kind::Network.wanted()));
+    let wrong = || {
+        Wrong::new(format!(
+            "`{}` is no network; here {} is wanted",
+            shown(word),
+            Kind::Network.wanted()
+        ))
+    };
     if let Ok(address) = word.parse::<IpAddr>() {
         return Ok(Value::Network(IpNet::from(address)));
     }
     let net: IpNet = word.parse().map_err(|_| wrong())?;
     match net.trunc() == net {
         true => Ok(Value::Network(net)),
-        false => Err(Wrong::new(format!("`{}` has bits set behind its prefix", shown(word))).help(format!(
-            "did you mean `{}`, or the one address `{}`?",
-            net.trunc(),
-            net.addr()
-        ))),
+        false => Err(
+            Wrong::new(format!("`{}` has bits set behind its prefix", shown(word))).help(format!(
+                "did you mean `{}`, or the one address `{}`?",
+                net.trunc(),
+                net.addr()
+            )),
+        ),
     }
 }
 
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -39,7 +39,10 @@
     }
 
     fn name(&self, class: usize) -> Option<&str> {
-        self.0.iter().find(|(_, at)| **at == class).map(|(name, _)| name.as_str())
+        self.0
+            .iter()
+            .find(|(_, at)| **at == class)
+            .map(|(name, _)| name.as_str())
     }
 }
 
@@ -62,13 +65,24 @@
         let limits = || plans.iter().flat_map(|p| &p.limits);
         let named = plans.iter().flat_map(|p| p.groups.iter().map(|g| &g.name));
         let group_names = routes().flat_map(|r| r.groups.iter().chain(&r.as_group));
-        let group_names = group_names.chain(limits().flat_map(|l| &l.groups)).chain(named).chain(groups);
-        let tenant_names = routes().flat_map(|r| &r.tenants).chain(limits().flat_map(|l| &l.tenants));
+        let group_names = group_names
+            .chain(limits().flat_map(|l| &l.groups))
+            .chain(named)
+            .chain(groups);
+        let tenant_names = routes()
+            .flat_map(|r| &r.tenants)
+            .chain(limits().flat_map(|l| &l.tenants));
         let tenant_blocks = plans.iter().flat_map(|p| p.tenants.iter().map(|t| &t.name));
-        let spans: Vec<_> = plans.iter().flat_map(|p| p.addresses.iter().map(|a| a.spans.clone())).collect();
-        let numbers =
-            routes().flat_map(|r| &r.data_sets).flat_map(|(from, to)| [Some(*from), to.checked_add(1)]);
-        let minutes = routes().flat_map(|r| &r.hours).flat_map(|(from, until)| [*from, *until]);
+        let spans: Vec<_> = plans
+            .iter()
+            .flat_map(|p| p.addresses.iter().map(|a| a.spans.clone()))
+            .collect();
+        let numbers = routes()
+            .flat_map(|r| &r.data_sets)
+            .flat_map(|(from, to)| [Some(*from), to.checked_add(1)]);
+        let minutes = routes()
+            .flat_map(|r| &r.hours)
+            .flat_map(|(from, until)| [*from, *until]);
         let cuts = |all: Vec<u32>| {
             let mut cuts = all;
             cuts.push(0);
@@ -152,7 +166,10 @@
         if !route.clients.is_empty() {
             let held = |class: &usize| {
                 let members = self.clients.members(*class);
-                route.clients.iter().any(|set| members.contains(first_set + set))
+                route
+                    .clients
+                    .iter()
+                    .any(|set| members.contains(first_set + set))
             };
             region[2] = named(2, &mut (0..counts[2]).filter(held));
         }
@@ -162,7 +179,10 @@
         if !route.data_sets.is_empty() {
             let held = |class: &usize| {
                 let at = self.data_sets[*class];
-                route.data_sets.iter().any(|(from, to)| (*from..=*to).contains(&at))
+                route
+                    .data_sets
+                    .iter()
+                    .any(|(from, to)| (*from..=*to).contains(&at))
             };
             region[4] = named(4, &mut (0..counts[4]).filter(held));
         }
@@ -180,25 +200,43 @@
         let mut words = Vec::new();
         for (d, names, what) in [(0, &self.groups, "group"), (1, &self.tenants, "tenant")] {
             if partial(d) {
-                let all: Vec<_> =
-                    region[d].ones().map(|class| names.name(class).unwrap_or("others")).collect();
+                let all: Vec<_> = region[d]
+                    .ones()
+                    .map(|class| names.name(class).unwrap_or("others"))
+                    .collect();
                 words.push(format!("{what} {}", list(&all)));
             }
         }
         if partial(2) {
             let mut sets: Vec<String> = Vec::new();
             for class in region[2].ones() {
-                let held: Vec<_> =
-                    self.clients.members(class).ones().filter_map(|n| set_names.get(n)).collect();
-                let name = held.first().map_or_else(|| "elsewhere".to_string(), |name| (*name).clone());
+                let held: Vec<_> = self
+                    .clients
+                    .members(class)
+                    .ones()
+                    .filter_map(|n| set_names.get(n))
+                    .collect();
+                let name = held
+                    .first()
+                    .map_or_else(|| "elsewhere".to_string(), |name| (*name).clone());
                 if !sets.contains(&name) {
                     sets.push(name);
                 }
             }
-            words.push(format!("client {}", list(&sets.iter().map(String::as_str).collect::<Vec<_>>())));
+            words.push(format!(
+                "client {}",
+                list(&sets.iter().map(String::as_str).collect::<Vec<_>>())
+            ));
         }
         if partial(3) {
-            words.push(if region[3].contains(1) { "with a key" } else { "without a key" }.to_string());
+            words.push(
+                if region[3].contains(1) {
+                    "with a key"
+                } else {
+                    "without a key"
+                }
+                .to_string(),
+            );
         }
         if partial(4) {
             let end = |class: usize| self.data_sets.get(class + 1).map(|next| next - 1);
@@ -209,15 +247,26 @@
                     (from, None) => format!("{from} and above"),
                 })
                 .collect();
-            words.push(format!("data-set {}", list(&all.iter().map(String::as_str).collect::<Vec<_>>())));
+            words.push(format!(
+                "data-set {}",
+                list(&all.iter().map(String::as_str).collect::<Vec<_>>())
+            ));
         }
         if partial(5) {
             let clock = |m: u32| format!("{:02}:{:02}", m / 60, m % 60);
-            let end = |class: usize| self.hours.get(class + 1).copied().unwrap_or(crate::quantity::DAY);
+            let end = |class: usize| {
+                self.hours
+                    .get(class + 1)
+                    .copied()
+                    .unwrap_or(crate::quantity::DAY)
+            };
             let all: Vec<String> = runs(&region[5])
                 .map(|(a, b)| format!("{}..{}", clock(self.hours[a]), clock(end(b))))
                 .collect();
-            words.push(format!("hours {}", list(&all.iter().map(String::as_str).collect::<Vec<_>>())));
+            words.push(format!(
+                "hours {}",
+                list(&all.iter().map(String::as_str).collect::<Vec<_>>())
+            ));
         }
         match words.is_empty() {
             true => "every batch".to_string(),
@@ -236,7 +285,15 @@
 /// Runs of neighbouring classes: first and last of each.
 fn runs(bits: &FixedBitSet) -> impl Iterator<Item = (usize, usize)> + '_ {
     let first = bits.ones().filter(|n| *n == 0 || !bits.contains(n - 1));
-    first.map(|n| (n, (n..bits.len()).take_while(|m| bits.contains(*m)).last().unwrap_or(n)))
+    first.map(|n| {
+        (
+            n,
+            (n..bits.len())
+                .take_while(|m| bits.contains(*m))
+                .last()
+                .unwrap_or(n),
+        )
+    })
 }
 
 /// What both take; none where that is nothing.
@@ -280,13 +337,21 @@
                 break;
             }
             if (0..DIMENSIONS).all(|d| !region[d].is_disjoint(&other[d])) {
-                pieces = pieces.iter().flat_map(|piece| difference(piece, other)).collect();
+                pieces = pieces
+                    .iter()
+                    .flat_map(|piece| difference(piece, other))
+                    .collect();
             }
         }
         (pieces.len() <= MOST_PIECES).then_some(pieces)
     };
-    let routes = regions.iter().enumerate().map(|(n, region)| left(region, &regions[..n]));
-    routes.chain(std::iter::once(left(whole, regions))).collect()
+    let routes = regions
+        .iter()
+        .enumerate()
+        .map(|(n, region)| left(region, &regions[..n]));
+    routes
+        .chain(std::iter::once(left(whole, regions)))
+        .collect()
 }
 
 /// Every batch.
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -75,8 +75,18 @@
     }
 }
 
-const fn entry(name: &'static str, shape: Shape, example: &'static str, about: &'static str) -> EntryKind {
-    EntryKind { name, shape, about, example }
+const fn entry(
+    name: &'static str,
+    shape: Shape,
+    example: &'static str,
+    about: &'static str,
+) -> EntryKind {
+    EntryKind {
+        name,
+        shape,
+        about,
+        example,
+    }
 }
 
 /// Words of `per`.
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -51,7 +51,10 @@
 
 impl Loader for InMemory {
     fn load(&self, name: &str) -> Result<Vec<u8>, String> {
-        self.0.get(name).cloned().ok_or_else(|| "there is no such file".to_string())
+        self.0
+            .get(name)
+            .cloned()
+            .ok_or_else(|| "there is no such file".to_string())
     }
 
     fn resolve(&self, from: &str, included: &str) -> String {
@@ -66,7 +69,10 @@
     }
     let root = if from.starts_with('/') { "/" } else { "" };
     let folder = from.rsplit_once('/').map_or("", |(folder, _)| folder);
-    let mut parts: Vec<&str> = folder.split('/').filter(|p| !p.is_empty() && *p != ".").collect();
+    let mut parts: Vec<&str> = folder
+        .split('/')
+        .filter(|p| !p.is_empty() && *p != ".")
+        .collect();
     for part in included.split('/').filter(|p| !p.is_empty() && *p != ".") {
         match (part, parts.last()) {
             ("..", Some(last)) if *last != ".." => drop(parts.pop()),
@@ -89,9 +95,18 @@
 
 impl File {
     fn new(name: String, text: String, included_at: Option<Span>) -> Self {
-        let starts = text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(at, _)| at + 1);
+        let starts = text
+            .bytes()
+            .enumerate()
+            .filter(|(_, b)| *b == b'\n')
+            .map(|(at, _)| at + 1);
         let lines = std::iter::once(0).chain(starts).collect();
-        File { name, text, included_at, lines }
+        File {
+            name,
+            text,
+            included_at,
+            lines,
+        }
     }
 
     /// Line and column of a byte, both from 1; columns count characters.
@@ -104,9 +119,16 @@
 
     /// A line without its end, by its number from 1.
     pub fn line(&self, number: usize) -> &str {
-        let start = self.lines.get(number - 1).copied().unwrap_or(self.text.len());
+        let start = self
+            .lines
+            .get(number - 1)
+            .copied()
+            .unwrap_or(self.text.len());
         let end = self.lines.get(number).copied().unwrap_or(self.text.len());
-        self.text.get(start..end).unwrap_or_default().trim_end_matches(['\n', '\r'])
+        self.text
+            .get(start..end)
+            .unwrap_or_default()
+            .trim_end_matches(['\n', '\r'])
     }
 }
 
@@ -125,12 +147,16 @@
 
     /// The text of a span.
     pub fn text(&self, span: &Span) -> &str {
-        self.get(span.file).and_then(|f| f.text.get(span.range())).unwrap_or_default()
+        self.get(span.file)
+            .and_then(|f| f.text.get(span.range()))
+            .unwrap_or_default()
     }
 
     /// `file:line` of a span's start.
     pub fn at(&self, span: &Span) -> String {
-        let Some(file) = self.get(span.file) else { return String::new() };
+        let Some(file) = self.get(span.file) else {
+            return String::new();
+        };
         format!("{}:{}", file.name, file.place(span.start).0)
     }
 }
@@ -138,7 +164,12 @@
 /// Reads a plan with all that it includes. Items come in the order of reading, an included file's in place of its
 /// include. A file that is included again, by whatever way, is read once.
 pub fn read(loader: &dyn Loader, main: &str) -> (Files, Vec<Item>, Vec<Fault>) {
-    let mut reader = Reader { loader, files: Files::default(), items: Vec::new(), faults: Vec::new() };
+    let mut reader = Reader {
+        loader,
+        files: Files::default(),
+        items: Vec::new(),
+        faults: Vec::new(),
+    };
     reader.file(main, None, &mut Vec::new());
     (reader.files, reader.items, reader.faults)
 }
@@ -158,7 +189,8 @@
             Ok(bytes) => String::from_utf8(bytes),
             Err(why) => {
                 let span = self.place_of(id, name, &included_at);
-                self.faults.push(Fault::new(span, format!("`{name}` can't be read: {why}")));
+                self.faults
+                    .push(Fault::new(span, format!("`{name}` can't be read: {why}")));
                 return;
             }
         };
@@ -166,13 +198,24 @@
             Ok(text) => (text, None),
             Err(e) => {
                 let at = e.utf8_error().valid_up_to();
-                (String::from_utf8_lossy(&e.into_bytes()).into_owned(), Some(at))
+                (
+                    String::from_utf8_lossy(&e.into_bytes()).into_owned(),
+                    Some(at),
+                )
             }
         };
-        self.files.0.push(File::new(name.to_string(), text, included_at));
+        self.files
+            .0
+            .push(File::new(name.to_string(), text, included_at));
         if let Some(at) = broken {
-            let span = Span { file: id, start: at, end: at + '\u{fffd}'.len_utf8() };
-            self.faults.push(Fault::new(span, "this is not UTF-8").label("the first byte that is no text"));
+            let span = Span {
+                file: id,
+                start: at,
+                end: at + '\u{fffd}'.len_utf8(),
+            };
+            self.faults.push(
+                Fault::new(span, "this is not UTF-8").label("the first byte that is no text"),
+            );
             return;
         }
         let Tree { items, faults } = syntax::parse(&self.files.0[id.0].text, id);
@@ -193,7 +236,8 @@
             let mut way: Vec<&str> = open[at..].iter().map(String::as_str).collect();
             way.push(&name);
             let text = format!("`{name}` includes itself: {}", way.join(" -> "));
-            self.faults.push(Fault::new(span, text).label("here the loop closes"));
+            self.faults
+                .push(Fault::new(span, text).label("here the loop closes"));
         } else if self.files.0.iter().any(|f| f.name == name) {
             // Read already, by another way: its blocks stand once.
         } else if open.len() >= DEEPEST {
@@ -210,8 +254,14 @@
     /// Where a file that can't be read is told: at its include, or at the start of an empty file of its name.
     fn place_of(&mut self, id: FileId, name: &str, included_at: &Option<Span>) -> Span {
         included_at.clone().unwrap_or_else(|| {
-            self.files.0.push(File::new(name.to_string(), String::new(), None));
-            Span { file: id, start: 0, end: 0 }
+            self.files
+                .0
+                .push(File::new(name.to_string(), String::new(), None));
+            Span {
+                file: id,
+                start: 0,
+                end: 0,
+            }
         })
     }
 }
@@ -219,6 +269,9 @@
 fn checked_size(bytes: Vec<u8>) -> Result<Vec<u8>, String> {
     match bytes.len() <= LARGEST_FILE {
         true => Ok(bytes),
-        false => Err(format!("it has {} bytes, a file of a plan {LARGEST_FILE} at most", bytes.len())),
+        false => Err(format!(
+            "it has {} bytes, a file of a plan {LARGEST_FILE} at most",
+            bytes.len()
+        )),
     }
 }
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -64,8 +64,17 @@
 #[derive(Clone, Debug)]
 pub enum Item {
     Blank(Option<String>),
-    Include { path: Word, span: Span, comment: Option<String> },
-    Constant { name: Word, parts: Vec<Part>, span: Span, comment: Option<String> },
+    Include {
+        path: Word,
+        span: Span,
+        comment: Option<String>,
+    },
+    Constant {
+        name: Word,
+        parts: Vec<Part>,
+        span: Span,
+        comment: Option<String>,
+    },
     Block(Block),
 }
 
@@ -78,7 +87,10 @@
 
 /// Reads a text; every line that fits nothing is a fault, and the rest is read on.
 pub fn parse(text: &str, file: FileId) -> Tree {
-    let mut reader = Reader { file, tree: Tree::default() };
+    let mut reader = Reader {
+        file,
+        tree: Tree::default(),
+    };
     match Grammar::parse(Rule::file, text) {
         Ok(pairs) => {
             for pair in pairs.flat_map(Pair::into_inner) {
@@ -87,8 +99,15 @@
         }
         // The grammar takes any text; were it not so, this is better than silence.
         Err(e) => {
-            let span = Span { file, start: 0, end: 0 };
-            reader.tree.faults.push(Fault::new(span, format!("can't be read: {}", e.variant.message())));
+            let span = Span {
+                file,
+                start: 0,
+                end: 0,
+            };
+            reader.tree.faults.push(Fault::new(
+                span,
+                format!("can't be read: {}", e.variant.message()),
+            ));
         }
     }
     reader.tree
@@ -110,13 +129,22 @@
             Rule::include => {
                 let (mut words, _, comment) = self.pieces(pair);
                 if let Some(path) = words.pop() {
-                    self.tree.items.push(Item::Include { path, span, comment });
+                    self.tree.items.push(Item::Include {
+                        path,
+                        span,
+                        comment,
+                    });
                 }
             }
             Rule::constant => {
                 let (mut words, parts, comment) = self.pieces(pair);
                 if let Some(name) = words.pop() {
-                    self.tree.items.push(Item::Constant { name, parts, span, comment });
+                    self.tree.items.push(Item::Constant {
+                        name,
+                        parts,
+                        span,
+                        comment,
+                    });
                 }
             }
             Rule::block => self.block(pair),
@@ -150,7 +178,12 @@
                 Rule::entry => {
                     let (mut words, parts, comment) = self.pieces(part);
                     if let Some(name) = words.pop() {
-                        lines.push(Line::Entry(Entry { name, parts, span, comment }));
+                        lines.push(Line::Entry(Entry {
+                            name,
+                            parts,
+                            span,
+                            comment,
+                        }));
                     }
                 }
                 Rule::blank => {
@@ -158,26 +191,41 @@
                     lines.push(Line::Blank(comment.map(text_of)));
                 }
                 Rule::fault => {
-                    let inside =
-                        head.as_ref().and_then(|(words, _, _)| words.first()).map(|w| w.text.clone());
+                    let inside = head
+                        .as_ref()
+                        .and_then(|(words, _, _)| words.first())
+                        .map(|w| w.text.clone());
                     self.fault(span, part.as_str(), inside);
                 }
                 Rule::close => {
                     closed = true;
-                    close_comment = part.into_inner().find(|p| p.as_rule() == Rule::comment).map(text_of);
+                    close_comment = part
+                        .into_inner()
+                        .find(|p| p.as_rule() == Rule::comment)
+                        .map(text_of);
                 }
                 _ => {}
             }
         }
-        let Some((words, comment, span)) = head else { return };
+        let Some((words, comment, span)) = head else {
+            return;
+        };
         let mut words = words.into_iter();
         let Some(kind) = words.next() else { return };
         if !closed {
-            let fault =
-                Fault::new(span.clone(), "this block is not closed").help("add a line with `}` at its end");
+            let fault = Fault::new(span.clone(), "this block is not closed")
+                .help("add a line with `}` at its end");
             self.tree.faults.push(fault);
         }
-        let block = Block { kind, name: words.next(), lines, span, whole, comment, close_comment };
+        let block = Block {
+            kind,
+            name: words.next(),
+            lines,
+            span,
+            whole,
+            comment,
+            close_comment,
+        };
         self.tree.items.push(Item::Block(block));
     }
 
@@ -189,8 +237,9 @@
                 Rule::word | Rule::string => words.push(self.word(piece)),
                 Rule::part => {
                     // Comments within a list move to its end, as its lines are joined.
-                    let (inner, comments): (Vec<_>, Vec<_>) =
-                        piece.into_inner().partition(|p| p.as_rule() != Rule::comment);
+                    let (inner, comments): (Vec<_>, Vec<_>) = piece
+                        .into_inner()
+                        .partition(|p| p.as_rule() != Rule::comment);
                     parts.push(inner.into_iter().map(|p| self.word(p)).collect());
                     for c in comments {
                         join(&mut comment, text_of(c));
@@ -217,9 +266,17 @@
                         text.push(c);
                     }
                 }
-                Word { text, quoted: true, span }
+                Word {
+                    text,
+                    quoted: true,
+                    span,
+                }
             }
-            _ => Word { text: raw.to_string(), quoted: false, span },
+            _ => Word {
+                text: raw.to_string(),
+                quoted: false,
+                span,
+            },
         }
     }
 
@@ -230,11 +287,20 @@
         let text = match pair.as_rule() {
             Rule::head | Rule::entry | Rule::include | Rule::constant | Rule::fault => {
                 let code = text.find('#').filter(|_| pair.as_rule() != Rule::fault);
-                text.get(..code.filter(|at| !text[..*at].contains('"')).unwrap_or(text.len())).unwrap_or(text)
+                text.get(
+                    ..code
+                        .filter(|at| !text[..*at].contains('"'))
+                        .unwrap_or(text.len()),
+                )
+                .unwrap_or(text)
             }
             _ => text,
         };
-        Span { file: self.file, start: s.start(), end: s.start() + text.trim_end().len() }
+        Span {
+            file: self.file,
+            start: s.start(),
+            end: s.start() + text.trim_end().len(),
+        }
     }
 
     /// Says what is wrong with a line that fits nothing.
@@ -245,15 +311,26 @@
             end: (span.start + offset + len).min(span.end.max(span.start + offset)),
             ..span.clone()
         };
-        let control = text.char_indices().find(|(_, c)| c.is_control() && !matches!(c, '\n' | '\r' | '\t'));
+        let control = text
+            .char_indices()
+            .find(|(_, c)| c.is_control() && !matches!(c, '\n' | '\r' | '\t'));
         let fault = if let Some((offset, c)) = control {
-            let text = format!("a control character (U+{:04X}) can't stand in a plan", u32::from(c));
+            let text = format!(
+                "a control character (U+{:04X}) can't stand in a plan",
+                u32::from(c)
+            );
             Fault::new(at(offset, c.len_utf8()), text)
         } else if let Some(offset) = open_quote(text) {
-            Fault::new(at(offset, text.trim_end().len() - offset), "this string is not closed")
-                .help("a string ends with `\"` on its own line; within it write `\\\"` and `\\\\`")
+            Fault::new(
+                at(offset, text.trim_end().len() - offset),
+                "this string is not closed",
+            )
+            .help("a string ends with `\"` on its own line; within it write `\\\"` and `\\\\`")
         } else if let Some(offset) = bad_escape(text) {
-            Fault::new(at(offset, 2), "in a string `\\` stands before `\"` or another `\\` only")
+            Fault::new(
+                at(offset, 2),
+                "in a string `\\` stands before `\"` or another `\\` only",
+            )
         } else if line.starts_with('}') && line.len() == 1 {
             Fault::new(span, "this `}` closes no block")
         } else if line.starts_with('}') {
@@ -274,7 +351,8 @@
             Fault::new(span, "`=` stands in constants only")
                 .help("an entry is its name and its values: `limit 20s`")
         } else if inside.is_some() {
-            Fault::new(span, "this is no entry").help("an entry is its name and its values: `limit 20s`")
+            Fault::new(span, "this is no entry")
+                .help("an entry is its name and its values: `limit 20s`")
         } else {
             Fault::new(span, "this stands in no block").help(
                 "a plan has includes, constants and blocks: `include \"...\"`, `let a = ...`, `pool big {`",
--- a/crates/plan/tests/broken.rs
+++ b/crates/plan/tests/broken.rs
@@ -36,7 +36,10 @@
         kinds: kinds.map(|kind| vec![kind.to_string()]),
         zones: None,
     };
-    let referenced = Effect::Referenced { scope: Scope::Zone, window: Duration::from_secs(30) };
+    let referenced = Effect::Referenced {
+        scope: Scope::Zone,
+        window: Duration::from_secs(30),
+    };
     Settings {
         groups: vec![
             group("lookup", Effect::Repeatable, false, None),
@@ -65,7 +68,11 @@
     let mut wrong = Vec::new();
     let mut seen = BTreeSet::new();
     for path in plans {
-        let name = path.file_name().and_then(|n| n.to_str()).expect("a name").to_string();
+        let name = path
+            .file_name()
+            .and_then(|n| n.to_str())
+            .expect("a name")
+            .to_string();
         let settings = name.starts_with("settings").then(settings);
         let said = match compile(&Folder(folder.clone()), &name, settings.as_ref()) {
             Ok(_) => "no fault\n".to_string(),
@@ -76,7 +83,9 @@
             std::fs::write(&expected, &said).expect("the message is written");
         }
         seen.insert(said.lines().next().unwrap_or_default().to_string());
-        if said.starts_with("no fault") || std::fs::read_to_string(&expected).ok().as_deref() != Some(&said) {
+        if said.starts_with("no fault")
+            || std::fs::read_to_string(&expected).ok().as_deref() != Some(&said)
+        {
             wrong.push(format!("{name}:\n{said}"));
         }
     }
@@ -91,11 +100,16 @@
     let text = std::fs::read_to_string(&page).expect("the page of the language");
     let begin = "<!-- blocks: made from the table; a test compares -->\n";
     let (before, rest) = text.split_once(begin).expect("where the table begins");
-    let (table, after) = rest.split_once("<!-- end of blocks -->").expect("where it ends");
+    let (table, after) = rest
+        .split_once("<!-- end of blocks -->")
+        .expect("where it ends");
     let made = garnetwall_plan::schema::as_markdown();
     if std::env::var_os("BLESS").is_some() {
-        std::fs::write(&page, format!("{before}{begin}{made}<!-- end of blocks -->{after}"))
-            .expect("written");
+        std::fs::write(
+            &page,
+            format!("{before}{begin}{made}<!-- end of blocks -->{after}"),
+        )
+        .expect("written");
     } else {
         assert_eq!(table, made);
     }
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -14,15 +14,28 @@
 pub const TENANTS: [&str; 3] = ["acme", "bravo", "mura"];
 pub const ZONES: [&str; 3] = ["maribor", "tezno", "ptuj"];
 pub const KINDS: [&str; 3] = ["engine-8", "engine-16", "engine-32"];
-const NETS: [&str; 6] =
-    ["10.0.0.0/8", "10.1.0.0/16", "10.1.2.0/24", "2001:db8::/32", "2001:db8:1::/48", "192.0.2.7"];
+const NETS: [&str; 6] = [
+    "10.0.0.0/8",
+    "10.1.0.0/16",
+    "10.1.2.0/24",
+    "2001:db8::/32",
+    "2001:db8:1::/48",
+    "192.0.2.7",
+];
 const PATTERNS: [&str; 3] = ["e-0*", "e-1*", "*-a"];
 const NUMBERS: [&str; 4] = ["5", "10..20", "15..30", "0..4"];
 const HOURS: [&str; 3] = ["06:00..20:00", "22:00..04:00", "12:00..13:00"];
 
 /// Clients, data sets and minutes of which one at least is in every class that the words above can make.
-pub const CLIENTS: [&str; 7] =
-    ["10.9.0.1", "10.1.9.1", "10.1.2.3", "2001:db8:2::1", "2001:db8:1::1", "192.0.2.7", "198.51.100.1"];
+pub const CLIENTS: [&str; 7] = [
+    "10.9.0.1",
+    "10.1.9.1",
+    "10.1.2.3",
+    "2001:db8:2::1",
+    "2001:db8:1::1",
+    "192.0.2.7",
+    "198.51.100.1",
+];
 pub const DATA_SETS: [u32; 8] = [0, 5, 7, 10, 15, 21, 30, 31];
 pub const MINUTES: [u32; 7] = [0, 240, 360, 720, 780, 1200, 1320];
 const IDS: [&str; 6] = ["e-0-a", "e-0-b", "e-1-a", "e-1-b", "q-a", "q-b"];
@@ -32,8 +45,12 @@
 }
 
 /// An entry that is there half the time.
-fn maybe(name: &'static str, values: impl Strategy<Value = String>) -> impl Strategy<Value = String> {
-    proptest::option::of(values).prop_map(move |v| v.map_or(String::new(), |v| format!("  {name} {v}\n")))
+fn maybe(
+    name: &'static str,
+    values: impl Strategy<Value = String>,
+) -> impl Strategy<Value = String> {
+    proptest::option::of(values)
+        .prop_map(move |v| v.map_or(String::new(), |v| format!("  {name} {v}\n")))
 }
 
 fn block(
@@ -41,7 +58,8 @@
     name: impl Strategy<Value = String>,
     entries: impl Strategy<Value = Vec<String>>,
 ) -> impl Strategy<Value = String> {
-    (name, entries).prop_map(move |(name, entries)| format!("{kind} {name} {{\n{}}}\n", entries.concat()))
+    (name, entries)
+        .prop_map(move |(name, entries)| format!("{kind} {name} {{\n{}}}\n", entries.concat()))
 }
 
 fn numbered(letter: &'static str, most: usize) -> impl Strategy<Value = String> {
@@ -51,7 +69,10 @@
 fn refs(letter: &'static str, most: usize) -> impl Strategy<Value = String> {
     vec(0..most, 1..3).prop_map(move |mut list| {
         list.dedup();
-        list.iter().map(|n| format!("{letter}{n}")).collect::<Vec<_>>().join(", ")
+        list.iter()
+            .map(|n| format!("{letter}{n}"))
+            .collect::<Vec<_>>()
+            .join(", ")
     })
 }
 
@@ -62,7 +83,11 @@
 fn addresses(name: String) -> impl Strategy<Value = String> {
     // Sets refer to those of lower numbers, so that there are no loops.
     let below = name[1..].parse::<usize>().unwrap_or(0);
-    let of = if below == 0 { Just(String::new()).boxed() } else { maybe("of", refs("a", below)).boxed() };
+    let of = if below == 0 {
+        Just(String::new()).boxed()
+    } else {
+        maybe("of", refs("a", below)).boxed()
+    };
     let entries = (some(&NETS, 3), of, maybe("except", some(&NETS, 2)))
         .prop_map(|(net, of, except)| vec![format!("  net {net}\n"), of, except]);
     block("addresses", Just(name), entries)
@@ -70,8 +95,13 @@
 
 fn pool(name: String) -> impl Strategy<Value = String> {
     let below = name[1..].parse::<usize>().unwrap_or(0);
-    let of =
-        |entry| if below == 0 { Just(String::new()).boxed() } else { maybe(entry, refs("p", below)).boxed() };
+    let of = |entry| {
+        if below == 0 {
+            Just(String::new()).boxed()
+        } else {
+            maybe(entry, refs("p", below)).boxed()
+        }
+    };
     let entries = (
         maybe("zone", some(&ZONES, 2)),
         maybe("kind", some(&KINDS, 2)),
@@ -88,7 +118,10 @@
     block(
         "group",
         select(&GROUPS[..]).prop_map(str::to_string),
-        (maybe("pools", refs("p", 5)), maybe("limit", (1u32..9).prop_map(|n| format!("{n}s"))))
+        (
+            maybe("pools", refs("p", 5)),
+            maybe("limit", (1u32..9).prop_map(|n| format!("{n}s"))),
+        )
             .prop_map(|(pools, limit)| vec![pools, limit, "  further 10%\n".to_string()]),
     )
 }
@@ -107,7 +140,10 @@
             maybe("group", some(&GROUPS, 3)),
             maybe("tenant", some(&TENANTS, 2)),
             maybe("client", refs("a", 4)),
-            maybe("key", select(&["given", "none"][..]).prop_map(str::to_string)),
+            maybe(
+                "key",
+                select(&["given", "none"][..]).prop_map(str::to_string),
+            ),
             maybe("data-set", some(&NUMBERS, 2)),
             maybe("hours", some(&HOURS, 2)),
             goes,
@@ -121,7 +157,10 @@
     let tenant = block(
         "tenant",
         select(&TENANTS[..]).prop_map(str::to_string),
-        (maybe("in-hand", (1u32..20).prop_map(|n| n.to_string())), maybe("rate", bucket()))
+        (
+            maybe("in-hand", (1u32..20).prop_map(|n| n.to_string())),
+            maybe("rate", bucket()),
+        )
             .prop_map(|(in_hand, rate)| vec![in_hand, rate]),
     );
     let limit = block(
@@ -149,7 +188,8 @@
 
 /// Blocks that together are a good plan: each that would make it faulty is left out.
 pub fn settle(blocks: &[String]) -> Vec<String> {
-    let good = |blocks: &[String]| compile(&InMemory::one(blocks.concat()), "main.plan", None).is_ok();
+    let good =
+        |blocks: &[String]| compile(&InMemory::one(blocks.concat()), "main.plan", None).is_ok();
     let mut kept: Vec<String> = Vec::new();
     // What refers to a block that comes later is tried again.
     for _ in 0..2 {
@@ -168,15 +208,24 @@
 }
 
 pub fn plan_of(blocks: &[String]) -> Compiled {
-    compile(&InMemory::one(blocks.concat()), "main.plan", None).unwrap_or_else(|faulty| panic!("{faulty}"))
+    compile(&InMemory::one(blocks.concat()), "main.plan", None)
+        .unwrap_or_else(|faulty| panic!("{faulty}"))
 }
 
 /// Blocks of a good plan: all sets and pools first, then what is made of them.
 pub fn blocks() -> impl Strategy<Value = Vec<String>> {
     let sets: Vec<_> = (0..4).map(|n| addresses(format!("a{n}"))).collect();
     let pools: Vec<_> = (0..5).map(|n| pool(format!("p{n}"))).collect();
-    (sets, pools, vec(group(), 0..2), vec(route(), 1..10), vec(any_block(), 0..4))
-        .prop_map(|(sets, pools, groups, routes, more)| settle(&[sets, pools, groups, routes, more].concat()))
+    (
+        sets,
+        pools,
+        vec(group(), 0..2),
+        vec(route(), 1..10),
+        vec(any_block(), 0..4),
+    )
+        .prop_map(|(sets, pools, groups, routes, more)| {
+            settle(&[sets, pools, groups, routes, more].concat())
+        })
 }
 
 /// A batch of every class that the small world has.
@@ -189,7 +238,14 @@
                     for data_set in DATA_SETS {
                         for minute in MINUTES {
                             let client: IpAddr = client.parse().expect("an address");
-                            all.push(Facts { group, tenant, client, key, data_set, minute });
+                            all.push(Facts {
+                                group,
+                                tenant,
+                                client,
+                                key,
+                                data_set,
+                                minute,
+                            });
                         }
                     }
                 }
@@ -206,7 +262,12 @@
         for kind in KINDS.into_iter().chain(["other"]) {
             for id in IDS {
                 for address in CLIENTS {
-                    all.push(EngineFacts { id, zone, kind, address: address.parse().expect("an address") });
+                    all.push(EngineFacts {
+                        id,
+                        zone,
+                        kind,
+                        address: address.parse().expect("an address"),
+                    });
                 }
             }
         }
@@ -236,9 +297,13 @@
         let mut tiers = Vec::new();
         for n in 0..to.len().max(1) {
             let open = |e: &usize| {
-                to.get(n).is_none_or(|pool| held[*e][*pool]) && plan.bound_to(&[group, treated], &held[*e])
+                to.get(n).is_none_or(|pool| held[*e][*pool])
+                    && plan.bound_to(&[group, treated], &held[*e])
             };
-            let tier: Vec<usize> = (0..engines.len()).filter(|e| !seen[*e]).filter(open).collect();
+            let tier: Vec<usize> = (0..engines.len())
+                .filter(|e| !seen[*e])
+                .filter(open)
+                .collect();
             tier.iter().for_each(|e| seen[*e] = true);
             if !tier.is_empty() {
                 tiers.push(tier);
@@ -247,5 +312,7 @@
         Does::Sends(treated.to_string(), tiers)
     };
     let routes = plan.routes.iter().map(Some).chain([None]);
-    routes.map(|r| all_groups.iter().map(|g| one(r, g)).collect()).collect()
+    routes
+        .map(|r| all_groups.iter().map(|g| one(r, g)).collect())
+        .collect()
 }
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -16,10 +16,22 @@
 fn route_alike(a: &Plan, b: &Plan) -> bool {
     let engines = engines();
     let (does_a, does_b) = (does(a, &engines), does(b, &engines));
-    let group = |name: &str| GROUPS.iter().position(|g| *g == name).unwrap_or(GROUPS.len());
+    let group = |name: &str| {
+        GROUPS
+            .iter()
+            .position(|g| *g == name)
+            .unwrap_or(GROUPS.len())
+    };
     batches().iter().all(|facts| {
-        let at = |plan: &Plan| plan.routes.iter().position(|r| r.unmet(facts, &plan.addresses).is_none());
-        let (m, n) = (at(a).unwrap_or(a.routes.len()), at(b).unwrap_or(b.routes.len()));
+        let at = |plan: &Plan| {
+            plan.routes
+                .iter()
+                .position(|r| r.unmet(facts, &plan.addresses).is_none())
+        };
+        let (m, n) = (
+            at(a).unwrap_or(a.routes.len()),
+            at(b).unwrap_or(b.routes.len()),
+        );
         does_a[m][group(facts.group)] == does_b[n][group(facts.group)]
     })
 }
@@ -123,22 +135,37 @@
 /// What stands where matters only for routes: blocks moved, constants renamed and units changed are no change.
 #[test]
 fn what_is_written_otherwise_is_no_change() {
-    let old = "let far = 1s\npool a {\n zone maribor\n}\ngroup lookup {\n limit $far\n pools a\n}\n\
+    let old =
+        "let far = 1s\npool a {\n zone maribor\n}\ngroup lookup {\n limit $far\n pools a\n}\n\
         route x {\n group lookup\n to a\n}\nlimit l {\n rate 60/min\n}\n";
     let new =
         "# moved\nlimit l {\n rate 1/s burst 1\n}\nroute y {\n group lookup\n to big\n}\nlet near = 1000ms\n\
         group lookup {\n pools big\n limit $near\n}\npool big {\n zone maribor\n}\n";
-    let plan =
-        |text: &str| compile(&InMemory::one(text), "main.plan", None).unwrap_or_else(|f| panic!("{f}")).plan;
+    let plan = |text: &str| {
+        compile(&InMemory::one(text), "main.plan", None)
+            .unwrap_or_else(|f| panic!("{f}"))
+            .plan
+    };
     assert_eq!(diff(&plan(old), &plan(new)), vec![]);
-    let texts =
-        |a: &str, b: &str| -> Vec<String> { diff(&plan(a), &plan(b)).into_iter().map(|c| c.text).collect() };
-    assert_eq!(texts(old, &old.replace("far = 1s", "far = 1.5s")), ["limit of `lookup`: 1s -> 1.5s"]);
+    let texts = |a: &str, b: &str| -> Vec<String> {
+        diff(&plan(a), &plan(b))
+            .into_iter()
+            .map(|c| c.text)
+            .collect()
+    };
+    assert_eq!(
+        texts(old, &old.replace("far = 1s", "far = 1.5s")),
+        ["limit of `lookup`: 1s -> 1.5s"]
+    );
     assert_eq!(
-        texts("tenant acme {\n in-hand 300\n}\n", "tenant acme {\n in-hand 200\n}\n"),
+        texts(
+            "tenant acme {\n in-hand 300\n}\n",
+            "tenant acme {\n in-hand 200\n}\n"
+        ),
         ["in-hand limit of `acme`: 300 -> 200"]
     );
-    let reports = "pool a {\n kind engine-8\n zone tezno\n}\npool b {\n kind engine-16\n zone tezno\n}\n\
+    let reports =
+        "pool a {\n kind engine-8\n zone tezno\n}\npool b {\n kind engine-16\n zone tezno\n}\n\
         route r {\n group trend-report\n to a, b\n}\n";
     let part = reports.replace("kind engine-16\n", "kind engine-8\n id e-0*\n");
     assert_eq!(
@@ -148,7 +175,10 @@
     );
     assert_eq!(
         texts(reports, &reports.replace("to a, b", "to a")),
-        ["`trend-report` may no longer use engine-16 in tezno", "group trend-report: to a, b -> to a"]
+        [
+            "`trend-report` may no longer use engine-16 in tezno",
+            "group trend-report: to a, b -> to a"
+        ]
     );
 }
 
@@ -163,22 +193,46 @@
     assert!(told(deep.into_bytes()).contains("this block is not closed"));
     assert!(told("{".repeat(10_000).into_bytes()).contains("a block begins with its kind"));
     let long = told(format!("pool {} {{\n all\n}}\n", "x".repeat(1 << 20)).into_bytes());
-    assert!(long.contains("is no name") && long.len() < 1000, "{} bytes", long.len());
-    let lines: String = (0..25_000).map(|n| format!("pool p{n} {{\n  zone z{}\n}}\n\n", n % 7)).collect();
+    assert!(
+        long.contains("is no name") && long.len() < 1000,
+        "{} bytes",
+        long.len()
+    );
+    let lines: String = (0..25_000)
+        .map(|n| format!("pool p{n} {{\n  zone z{}\n}}\n\n", n % 7))
+        .collect();
     assert_eq!(lines.lines().count(), 100_000);
     assert_eq!(told(lines.into_bytes()), "");
-    let bombs: String = (0..60).map(|n| format!("let c{} = $c{n}, $c{n}\n", n + 1)).collect();
-    assert!(told(format!("let c0 = 1\n{bombs}route r {{\n data-set $c60\n refuse \"x\"\n}}\n").into_bytes())
-        .contains("the constant"));
+    let bombs: String = (0..60)
+        .map(|n| format!("let c{} = $c{n}, $c{n}\n", n + 1))
+        .collect();
+    assert!(told(
+        format!("let c0 = 1\n{bombs}route r {{\n data-set $c60\n refuse \"x\"\n}}\n").into_bytes()
+    )
+    .contains("the constant"));
     assert!(told(vec![b'a'; 17 << 20]).contains("16777216 at most"));
-    let includes: String = (0..300).map(|n| format!("include \"{n}.plan\"\n")).collect();
+    let includes: String = (0..300)
+        .map(|n| format!("include \"{n}.plan\"\n"))
+        .collect();
     let mut files = InMemory::one(includes);
-    files.0.extend((0..300).map(|n| (format!("{n}.plan"), Vec::new())));
-    let said = compile(&files, "main.plan", None).expect_err("too many files").to_string();
-    assert!(said.contains("a plan has 256 files at most; `255.plan` is one more"), "{said}");
+    files
+        .0
+        .extend((0..300).map(|n| (format!("{n}.plan"), Vec::new())));
+    let said = compile(&files, "main.plan", None)
+        .expect_err("too many files")
+        .to_string();
+    assert!(
+        said.contains("a plan has 256 files at most; `255.plan` is one more"),
+        "{said}"
+    );
     let many: String = (0..5000).map(|n| format!("nonsense {n}\n")).collect();
     assert!(told(many.into_bytes()).contains("and 4900 more"));
     // A chain of pools as long as the file.
-    let chain: String = (0..10_000).map(|n| format!("pool p{n} {{\n  union p{}\n}}\n", n + 1)).collect();
-    assert_eq!(told(format!("{chain}pool p10000 {{\n  all\n}}\n").into_bytes()), "");
+    let chain: String = (0..10_000)
+        .map(|n| format!("pool p{n} {{\n  union p{}\n}}\n", n + 1))
+        .collect();
+    assert_eq!(
+        told(format!("{chain}pool p10000 {{\n  all\n}}\n").into_bytes()),
+        ""
+    );
 }
--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -43,11 +43,19 @@
         out.push_str("}\n");
     }
     for pool in 0..50 {
-        let _ = writeln!(out, "pool pool-{pool} {{\n  zone zone-{}\n  kind kind-{}\n}}", pool % 5, pool / 5);
+        let _ = writeln!(
+            out,
+            "pool pool-{pool} {{\n  zone zone-{}\n  kind kind-{}\n}}",
+            pool % 5,
+            pool / 5
+        );
     }
     for route in 0..1000 {
         // Each asks for a tenant and a set of its own, so that none shadows another.
-        let (tenant, set) = (route % TENANTS, route / TENANTS * 20 + rng.random_range(0..20));
+        let (tenant, set) = (
+            route % TENANTS,
+            route / TENANTS * 20 + rng.random_range(0..20),
+        );
         let group = rng.random_range(0..GROUPS);
         let _ = writeln!(
             out,
@@ -83,7 +91,9 @@
 }
 
 fn routing(text: &str) -> Routing {
-    let plan = compile(&InMemory::one(text), "main.plan", None).unwrap_or_else(|f| panic!("{f}")).plan;
+    let plan = compile(&InMemory::one(text), "main.plan", None)
+        .unwrap_or_else(|f| panic!("{f}"))
+        .plan;
     Routing::new(Arc::new(plan), names())
 }
 
@@ -92,7 +102,16 @@
     let one = |rng: &mut StdRng| {
         let set: u8 = rng.random_range(0..SETS as u8);
         let client = match rng.random_range(0..4) {
-            0 => IpAddr::from([0x2001, 0xdb8, u16::from(set), rng.random_range(0..100), 0, 0, 0, 1]),
+            0 => IpAddr::from([
+                0x2001,
+                0xdb8,
+                u16::from(set),
+                rng.random_range(0..100),
+                0,
+                0,
+                0,
+                1,
+            ]),
             _ => IpAddr::from([10, set, rng.random(), rng.random()]),
         };
         Batch {
@@ -112,7 +131,9 @@
 fn check_10_000_lines(bencher: Bencher) {
     let loader = InMemory::one(lines());
     bencher.bench(|| {
-        compile(&loader, "main.plan", None).map(|c| c.plan.routes.len()).map_err(|f| f.to_string())
+        compile(&loader, "main.plan", None)
+            .map(|c| c.plan.routes.len())
+            .map_err(|f| f.to_string())
     });
 }
 
@@ -120,7 +141,9 @@
 fn check_1_000_routes_10_000_networks(bencher: Bencher) {
     let loader = InMemory::one(large());
     bencher.bench(|| {
-        compile(&loader, "main.plan", None).map(|c| c.plan.routes.len()).map_err(|f| f.to_string())
+        compile(&loader, "main.plan", None)
+            .map(|c| c.plan.routes.len())
+            .map_err(|f| f.to_string())
     });
 }
 
@@ -140,16 +163,34 @@
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % batches.len();
-        black_box(routing.plan().route_of(&routing.facts(&batches[at])).map(|r| r.to.len()))
+        black_box(
+            routing
+                .plan()
+                .route_of(&routing.facts(&batches[at]))
+                .map(|r| r.to.len()),
+        )
     });
 }
 
 fn engines() -> Vec<(String, String, String)> {
-    (0..500).map(|n| (format!("s-{n:03}"), format!("zone-{}", n % 5), format!("kind-{}", n % 10))).collect()
+    (0..500)
+        .map(|n| {
+            (
+                format!("s-{n:03}"),
+                format!("zone-{}", n % 5),
+                format!("kind-{}", n % 10),
+            )
+        })
+        .collect()
 }
 
 fn facts((id, zone, kind): &(String, String, String)) -> EngineFacts<'_> {
-    EngineFacts { id, zone, kind, address: IpAddr::from([10, 0, 0, 1]) }
+    EngineFacts {
+        id,
+        zone,
+        kind,
+        address: IpAddr::from([10, 0, 0, 1]),
+    }
 }
 
 /// Route and engines of a batch, as at each dispatch: the lane's sets are at hand.
@@ -157,15 +198,20 @@
 fn place_compiled_500_engines(bencher: Bencher) {
     let (routing, batches, all) = (routing(&large()), batches(), engines());
     let mut engines = Engines::new(&routing);
-    all.iter().enumerate().for_each(|(n, e)| engines.listed(&routing, n, Some(&facts(e))));
-    let tiers: Vec<_> = (0..routing.lanes().len()).map(|lane| engines.tiers(&routing, lane)).collect();
+    all.iter()
+        .enumerate()
+        .for_each(|(n, e)| engines.listed(&routing, n, Some(&facts(e))));
+    let tiers: Vec<_> = (0..routing.lanes().len())
+        .map(|lane| engines.tiers(&routing, lane))
+        .collect();
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % batches.len();
         match routing.decide(&batches[at]) {
-            garnetwall_routing::Verdict::Goes { lane, .. } => {
-                tiers[lane].iter().map(|tier| tier.words().iter().map(|w| w.count_ones()).sum::<u32>()).sum()
-            }
+            garnetwall_routing::Verdict::Goes { lane, .. } => tiers[lane]
+                .iter()
+                .map(|tier| tier.words().iter().map(|w| w.count_ones()).sum::<u32>())
+                .sum(),
             _ => 0,
         }
     });
@@ -178,7 +224,9 @@
     bencher.bench_local(|| {
         at = (at + 1) % batches.len();
         let batch = routing.facts(&batches[at]);
-        all.iter().filter(|e| routing.plan().tiers(&batch, &facts(e)).contains(&true)).count()
+        all.iter()
+            .filter(|e| routing.plan().tiers(&batch, &facts(e)).contains(&true))
+            .count()
     });
 }
 
@@ -203,7 +251,15 @@
         at += 1;
         let now = Duration::from_micros(at * 10);
         let client = IpAddr::from((0x0a00_0000 + rng.random_range(0..clients)).to_be_bytes());
-        let b = Batch { group: 0, tenant: 0, client, key: false, data_set: 0, minute: 0, bytes: 200 };
+        let b = Batch {
+            group: 0,
+            tenant: 0,
+            client,
+            key: false,
+            data_set: 0,
+            minute: 0,
+            bytes: 200,
+        };
         if let Ok(ticket) = limits.take(&routing, now, &b) {
             limits.release(now, ticket);
         }
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -9,7 +9,9 @@
 
 impl EngineSet {
     pub fn holds(&self, engine: usize) -> bool {
-        self.0.get(engine / 64).is_some_and(|word| word >> (engine % 64) & 1 == 1)
+        self.0
+            .get(engine / 64)
+            .is_some_and(|word| word >> (engine % 64) & 1 == 1)
     }
 
     pub fn set(&mut self, engine: usize, held: bool) {
@@ -32,7 +34,9 @@
     pub fn engines(&self) -> impl Iterator<Item = usize> + '_ {
         let bits = |(n, word): (usize, &u64)| {
             let word = *word;
-            (0..64).filter(move |bit| word >> bit & 1 == 1).map(move |bit| n * 64 + bit)
+            (0..64)
+                .filter(move |bit| word >> bit & 1 == 1)
+                .map(move |bit| n * 64 + bit)
         };
         self.0.iter().enumerate().flat_map(bits)
     }
@@ -44,12 +48,18 @@
 
     fn with(&mut self, other: &EngineSet) {
         self.0.resize(self.0.len().max(other.0.len()), 0);
-        self.0.iter_mut().zip(&other.0).for_each(|(word, more)| *word |= more);
+        self.0
+            .iter_mut()
+            .zip(&other.0)
+            .for_each(|(word, more)| *word |= more);
     }
 
     fn only(&mut self, other: &EngineSet) {
         self.0.truncate(other.0.len());
-        self.0.iter_mut().zip(&other.0).for_each(|(word, kept)| *word &= kept);
+        self.0
+            .iter_mut()
+            .zip(&other.0)
+            .for_each(|(word, kept)| *word &= kept);
     }
 }
 
@@ -62,7 +72,10 @@
 
 impl Engines {
     pub fn new(routing: &Routing) -> Self {
-        Engines { all: EngineSet::default(), pools: vec![EngineSet::default(); routing.plan().pools.len()] }
+        Engines {
+            all: EngineSet::default(),
+            pools: vec![EngineSet::default(); routing.plan().pools.len()],
+        }
     }
 
     /// An engine that came or changed, or, where nothing is told of it, has gone.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -132,17 +132,26 @@
         for route in plan.routes.iter().map(Some).chain([None]) {
             for own in 0..self.names.groups.len() {
                 let treated = route.and_then(|r| r.as_group.as_ref());
-                let group =
-                    treated.and_then(|name| self.names.groups.iter().position(|g| g == name)).unwrap_or(own);
+                let group = treated
+                    .and_then(|name| self.names.groups.iter().position(|g| g == name))
+                    .unwrap_or(own);
                 let bound = |g: usize| plan.group(&self.names.groups[g]).map(|g| g.pools.clone());
-                let mut bounds: Vec<Vec<usize>> = [bound(own), bound(group)].into_iter().flatten().collect();
+                let mut bounds: Vec<Vec<usize>> =
+                    [bound(own), bound(group)].into_iter().flatten().collect();
                 bounds.retain(|pools| !pools.is_empty());
                 bounds.dedup();
-                let lane = Lane { to: route.map_or(Vec::new(), |r| r.to.clone()), bound: bounds };
-                let at = self.lanes.iter().position(|l| *l == lane).unwrap_or_else(|| {
-                    self.lanes.push(lane);
-                    self.lanes.len() - 1
-                });
+                let lane = Lane {
+                    to: route.map_or(Vec::new(), |r| r.to.clone()),
+                    bound: bounds,
+                };
+                let at = self
+                    .lanes
+                    .iter()
+                    .position(|l| *l == lane)
+                    .unwrap_or_else(|| {
+                        self.lanes.push(lane);
+                        self.lanes.len() - 1
+                    });
                 self.goals.push(Goal { group, lane: at });
             }
         }
@@ -193,12 +202,21 @@
         if let Some(route) = route.filter(|r| self.plan.routes[*r].refuse.is_some()) {
             return Verdict::Refused { route };
         }
-        if let Some(most) = self.rules(b.group).and_then(|g| g.statement).filter(|most| b.bytes > *most) {
+        if let Some(most) = self
+            .rules(b.group)
+            .and_then(|g| g.statement)
+            .filter(|most| b.bytes > *most)
+        {
             return Verdict::TooLong { most };
         }
         let row = route.unwrap_or(self.plan.routes.len());
-        let goal = self.goals[row * self.names.groups.len() + b.group.min(self.names.groups.len() - 1)];
-        Verdict::Goes { route, group: goal.group, lane: goal.lane }
+        let goal =
+            self.goals[row * self.names.groups.len() + b.group.min(self.names.groups.len() - 1)];
+        Verdict::Goes {
+            route,
+            group: goal.group,
+            lane: goal.lane,
+        }
     }
 
     /// A batch in the words of the plan, for the slow way and for logs.
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -105,7 +105,11 @@
 
     /// With another number of keys that are kept one by one.
     pub fn with_keys(routing: &Routing, room: f64, most_keys: usize) -> Self {
-        let mut limits = Limits { rules: Vec::new(), next: 0, most_keys };
+        let mut limits = Limits {
+            rules: Vec::new(),
+            next: 0,
+            most_keys,
+        };
         limits.rules = rules(routing, room);
         for rule in &mut limits.rules {
             rule.kept.number = limits.next;
@@ -120,7 +124,9 @@
         let mut old = std::mem::take(&mut self.rules);
         self.rules = rules(routing, room);
         for rule in &mut self.rules {
-            let same = old.iter().position(|o| o.name == rule.name && o.scope == rule.scope);
+            let same = old
+                .iter()
+                .position(|o| o.name == rule.name && o.scope == rule.scope);
             match same.map(|at| old.swap_remove(at)) {
                 Some(old) => rule.kept = old.kept,
                 None => {
@@ -143,19 +149,28 @@
             let among = |list: &[usize], n: usize| list.is_empty() || list.contains(&n);
             among(&rule.groups, b.group)
                 && among(&rule.tenants, b.tenant)
-                && (rule.clients.is_empty() || rule.clients.iter().any(|set| members.contains(*set)))
+                && (rule.clients.is_empty()
+                    || rule.clients.iter().any(|set| members.contains(*set)))
         };
-        let counting: Vec<usize> = (0..self.rules.len()).filter(|n| counting(&self.rules[*n])).collect();
+        let counting: Vec<usize> = (0..self.rules.len())
+            .filter(|n| counting(&self.rules[*n]))
+            .collect();
         let over = counting.iter().filter_map(|n| self.rules[*n].over(now, b));
         if let Some(over) = over.max_by_key(|over| over.come_back) {
-            return Err(Over { come_back: over.come_back.max(SOONEST), ..over });
+            return Err(Over {
+                come_back: over.come_back.max(SOONEST),
+                ..over
+            });
         }
         let most = self.most_keys;
         let held = counting.into_iter().map(|n| {
             let rule = &mut self.rules[n];
             (rule.kept.number, rule.take(now, b, most))
         });
-        Ok(Ticket { at: now, held: held.collect() })
+        Ok(Ticket {
+            at: now,
+            held: held.collect(),
+        })
     }
 
     /// A batch that was taken is over.
@@ -179,10 +194,15 @@
 fn rules(routing: &Routing, room: f64) -> Vec<Rule> {
     let (plan, names) = (routing.plan(), routing.names());
     let index = |names: &[String], list: &[String]| -> Vec<usize> {
-        list.iter().filter_map(|name| names.iter().position(|n| n == name)).collect()
+        list.iter()
+            .filter_map(|name| names.iter().position(|n| n == name))
+            .collect()
     };
     let spans = |limit: &Limit| {
-        let sets = limit.clients.iter().flat_map(|c| plan.addresses[*c].spans.clone());
+        let sets = limit
+            .clients
+            .iter()
+            .flat_map(|c| plan.addresses[*c].spans.clone());
         garnetwall_plan::address::union(sets.collect())
     };
     let sorted = |list: &[String]| {
@@ -210,7 +230,12 @@
     });
     let tenants = plan.tenants.iter().map(|tenant| {
         let share = tenant.share.map(|share| (share * room).max(1.0));
-        let in_hand = tenant.in_hand.map(|n| n as f64).into_iter().chain(share).min_by(f64::total_cmp);
+        let in_hand = tenant
+            .in_hand
+            .map(|n| n as f64)
+            .into_iter()
+            .chain(share)
+            .min_by(f64::total_cmp);
         Rule {
             name: tenant.name.clone(),
             scope: "tenant".to_string(),
@@ -218,7 +243,9 @@
             groups: Vec::new(),
             tenants: index(&names.tenants, std::slice::from_ref(&tenant.name)),
             clients: Vec::new(),
-            in_hand: in_hand.filter(|n| n.is_finite()).map(|n| n.min(f64::from(u32::MAX)) as u32),
+            in_hand: in_hand
+                .filter(|n| n.is_finite())
+                .map(|n| n.min(f64::from(u32::MAX)) as u32),
             rate: tenant.rate,
             bytes: tenant.bytes,
             kept: Kept::default(),
@@ -243,7 +270,11 @@
     /// Whether one more batch is over, and when it would no longer be.
     fn over(&self, now: Duration, b: &Batch) -> Option<Over> {
         let load = self.kept.load(&self.key(b));
-        let over = |which, come_back| Over { limit: self.name.clone(), which, come_back };
+        let over = |which, come_back| Over {
+            limit: self.name.clone(),
+            which,
+            come_back,
+        };
         let too_soon = |bucket: Option<Bucket>, due: Duration, cost: f64| {
             let bucket = bucket?;
             let after = charged(&bucket, due, now, cost).saturating_sub(now);
@@ -264,12 +295,20 @@
         let key = self.key(b);
         let place = self.kept.place(now, key, most_keys);
         let load = self.kept.at(&place);
-        let batches = self.rate.map_or(load.batches, |rate| charged(&rate, load.batches, now, 1.0));
-        let bytes = self.bytes.map_or(load.bytes, |rate| charged(&rate, load.bytes, now, b.bytes as f64));
+        let batches = self
+            .rate
+            .map_or(load.batches, |rate| charged(&rate, load.batches, now, 1.0));
+        let bytes = self.bytes.map_or(load.bytes, |rate| {
+            charged(&rate, load.bytes, now, b.bytes as f64)
+        });
         match (&place, &mut self.kept.shared) {
             (Place::Kept(at), _) => {
                 let load = &mut self.kept.loads[*at as usize].1;
-                *load = Load { in_hand: load.in_hand + 1, batches, bytes };
+                *load = Load {
+                    in_hand: load.in_hand + 1,
+                    batches,
+                    bytes,
+                };
             }
             (Place::Shared(cells), Some(sketch)) => sketch.take(cells, batches, bytes),
             (Place::Shared(_), None) => {}
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -9,17 +9,29 @@
 use std::sync::Arc;
 
 fn routing(text: &str) -> Routing {
-    let compiled = compile(&InMemory::one(text), "main.plan", None).unwrap_or_else(|f| panic!("{f}"));
+    let compiled =
+        compile(&InMemory::one(text), "main.plan", None).unwrap_or_else(|f| panic!("{f}"));
     let names = |list: [&str; 2]| list.map(String::from).to_vec();
     Routing::new(
         Arc::new(compiled.plan),
-        Names { groups: names(["lookup", "load"]), tenants: names(["acme", "mura"]) },
+        Names {
+            groups: names(["lookup", "load"]),
+            tenants: names(["acme", "mura"]),
+        },
     )
 }
 
 fn batch(group: usize, tenant: usize, client: u32, bytes: u64) -> Batch {
     let client = IpAddr::from((0x0a00_0000 + client).to_be_bytes());
-    Batch { group, tenant, client, key: false, data_set: 0, minute: 0, bytes }
+    Batch {
+        group,
+        tenant,
+        client,
+        key: false,
+        data_set: 0,
+        minute: 0,
+        bytes,
+    }
 }
 
 const PLAN: &str = "addresses houses {\n net 10.0.0.0/30\n}\n\
@@ -51,7 +63,10 @@
     }
 
     fn in_hand(&self, counts: impl Fn(&Batch) -> bool) -> usize {
-        self.0.iter().filter(|(_, b, held)| *held && counts(b)).count()
+        self.0
+            .iter()
+            .filter(|(_, b, held)| *held && counts(b))
+            .count()
     }
 
     fn fits(&self, now: Duration, b: &Batch) -> Option<bool> {
@@ -63,11 +78,19 @@
         let same = |o: &Batch| o.client == b.client;
         rate(self.fill(now, (10.0, 2.0), same, one), 1.0, 2.0);
         if b.tenant == 1 {
-            rate(self.fill(now, (20.0, 3.0), |o| o.tenant == 1, one), 1.0, 3.0);
+            rate(
+                self.fill(now, (20.0, 3.0), |o| o.tenant == 1, one),
+                1.0,
+                3.0,
+            );
         }
         if house(b) {
             let counts = |o: &Batch| house(o) && (o.tenant, o.group) == (b.tenant, b.group);
-            rate(self.fill(now, (1024.0, 2048.0), counts, |b| b.bytes as f64), b.bytes as f64, 2048.0);
+            rate(
+                self.fill(now, (1024.0, 2048.0), counts, |b| b.bytes as f64),
+                b.bytes as f64,
+                2048.0,
+            );
         }
         let counted = self.in_hand(same) < 2
             && (b.tenant != 1 || self.in_hand(|o| o.tenant == 1) < 3)
@@ -175,14 +198,30 @@
     let mut limits = Limits::new(&first, 10.0);
     let load = |client| batch(1, 0, client, 1);
     let held: Vec<Ticket> = (0..3)
-        .map(|n| limits.take(&first, Duration::ZERO, &load(100 + n)).expect("room for three"))
+        .map(|n| {
+            limits
+                .take(&first, Duration::ZERO, &load(100 + n))
+                .expect("room for three")
+        })
         .collect();
     assert!(limits.take(&first, Duration::ZERO, &load(200)).is_err());
     // A new figure, moved behind another block: still the same limit.
-    let second = routing(&PLAN.replace("in-hand 3", "in-hand 4").replace("limit each", "limit every"));
+    let second = routing(
+        &PLAN
+            .replace("in-hand 3", "in-hand 4")
+            .replace("limit each", "limit every"),
+    );
     limits.replan(&second, 10.0);
-    let fourth = limits.take(&second, Duration::ZERO, &load(200)).expect("a fourth");
-    assert_eq!(limits.take(&second, Duration::ZERO, &load(201)).expect_err("no fifth").limit, "loads");
+    let fourth = limits
+        .take(&second, Duration::ZERO, &load(200))
+        .expect("a fourth");
+    assert_eq!(
+        limits
+            .take(&second, Duration::ZERO, &load(201))
+            .expect_err("no fifth")
+            .limit,
+        "loads"
+    );
     let third = routing(&PLAN.replace("limit loads", "limit heavy"));
     limits.replan(&third, 10.0);
     assert!(
--- a/crates/routing/src/zones.rs
+++ b/crates/routing/src/zones.rs
@@ -142,7 +142,10 @@
             lost_at: f64::NEG_INFINITY,
         };
         let count = tiers.iter().max().map_or(0, |most| most + 1);
-        Zones { zones: tiers.iter().map(zone).collect(), tiers: count }
+        Zones {
+            zones: tiers.iter().map(zone).collect(),
+            tiers: count,
+        }
     }
 
     pub fn health(&self, zone: usize) -> Health {
@@ -223,12 +226,20 @@
                 (self.allowed(n) - z.others).max(0.0)
             }
         };
-        let mut shares = Shares { zones: vec![0.0; self.zones.len()], tiers: vec![0.0; self.tiers], panic };
+        let mut shares = Shares {
+            zones: vec![0.0; self.zones.len()],
+            tiers: vec![0.0; self.tiers],
+            panic,
+        };
         if load <= LEAST {
             // Nothing is offered yet: the first batch goes to the nearest tier that has any.
-            let nearest = all().filter(|n| room(*n) > 0.0).map(|n| self.zones[n].tier).min();
-            let of: Vec<usize> =
-                all().filter(|n| Some(self.zones[*n].tier) == nearest && room(*n) > 0.0).collect();
+            let nearest = all()
+                .filter(|n| room(*n) > 0.0)
+                .map(|n| self.zones[n].tier)
+                .min();
+            let of: Vec<usize> = all()
+                .filter(|n| Some(self.zones[*n].tier) == nearest && room(*n) > 0.0)
+                .collect();
             let whole: f64 = of.iter().map(|n| room(*n)).sum();
             for n in of {
                 shares.give(n, self.zones[n].tier, room(n) / whole);
@@ -239,7 +250,11 @@
             // By capacity over all that is told ready: nobody gets more than the healthy few would have.
             let held = load.min(told);
             for n in all() {
-                shares.give(n, self.zones[n].tier, held / load * self.zones[n].capacity / told.max(LEAST));
+                shares.give(
+                    n,
+                    self.zones[n].tier,
+                    held / load * self.zones[n].capacity / told.max(LEAST),
+                );
             }
             return shares;
         }
@@ -249,7 +264,11 @@
             let whole: f64 = of.iter().map(|n| room(*n)).sum();
             // The last tier holds what it can: there is nowhere to spill to.
             let later = all().any(|n| self.zones[n].tier > tier && room(n) > 0.0);
-            let kept = if later { kept(left, whole) } else { left.min(whole) };
+            let kept = if later {
+                kept(left, whole)
+            } else {
+                left.min(whole)
+            };
             for n in of.into_iter().filter(|_| whole > LEAST) {
                 shares.give(n, tier, kept / load * room(n) / whole);
             }
@@ -257,7 +276,9 @@
         }
         // What spilled softly and found no room further on goes back to where there is some.
         for n in all().collect::<Vec<_>>() {
-            let free = (room(n) - shares.zones[n] * load).max(0.0).min(left.max(0.0));
+            let free = (room(n) - shares.zones[n] * load)
+                .max(0.0)
+                .min(left.max(0.0));
             shares.give(n, self.zones[n].tier, free / load);
             left -= free;
         }
@@ -294,7 +315,11 @@
     let (mut left, mut parts) = (room.max(0.0), vec![0.0; groups.len()]);
     for n in order {
         let load = groups[n].1;
-        parts[n] = if load <= LEAST { 1.0 } else { (left / load).clamp(0.0, 1.0) };
+        parts[n] = if load <= LEAST {
+            1.0
+        } else {
+            (left / load).clamp(0.0, 1.0)
+        };
         left = (left - load).max(0.0);
     }
     parts
@@ -322,7 +347,11 @@
         }
         self.losses *= (-(now - self.lost_at).max(0.0) / FORGIVEN * std::f64::consts::LN_2).exp();
         // The first loss in a long time costs no wait: it is tried as soon as it is told back.
-        let held = if self.losses < 0.5 { 0.0 } else { (HELD * 2f64.powf(self.losses - 1.0)).min(HELD_MOST) };
+        let held = if self.losses < 0.5 {
+            0.0
+        } else {
+            (HELD * 2f64.powf(self.losses - 1.0)).min(HELD_MOST)
+        };
         (self.losses, self.lost_at) = (self.losses + 1.0, now);
         (self.health, self.trials, self.carried) = (Health::Lost { until: now + held }, 0, 0.0);
     }
@@ -342,12 +371,14 @@
                 if self.carried < CARRIED * part * self.capacity || self.failing() > BACK_UNTIL {
                     return;
                 }
-                let asked =
-                    self.carried / (now - self.round_at).max(LEAST) >= ASKED_FOR * part * self.capacity;
+                let asked = self.carried / (now - self.round_at).max(LEAST)
+                    >= ASKED_FOR * part * self.capacity;
                 (self.carried, self.round_at) = (0.0, now);
                 self.health = match asked {
                     true if part >= 1.0 => Health::Healthy,
-                    true => Health::Returning { part: (part * GROWS).min(1.0) },
+                    true => Health::Returning {
+                        part: (part * GROWS).min(1.0),
+                    },
                     false => self.health,
                 };
             }
@@ -357,7 +388,9 @@
     fn falls(&mut self, now: f64, part: f64) {
         // Once for each round of work, not for each batch of it.
         if self.carried > 0.0 {
-            self.health = Health::Returning { part: (part * FALLS).max(FIRST_PART) };
+            self.health = Health::Returning {
+                part: (part * FALLS).max(FIRST_PART),
+            };
         }
         (self.carried, self.round_at) = (0.0, now);
     }
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -175,7 +175,8 @@
     for tick in 0..20_000 {
         let now = f64::from(tick) * step;
         let down = (20.0..40.0).contains(&now) || (flaps && (45.0..50.0).contains(&now));
-        let was_down = (20.0..40.0 + step).contains(&now) || (flaps && (45.0..50.0 + step).contains(&now));
+        let was_down =
+            (20.0..40.0 + step).contains(&now) || (flaps && (45.0..50.0 + step).contains(&now));
         if down {
             if queue[0] > 0.0 {
                 zones.ended(now, 0, queue[0], Ended::Badly);
@@ -212,7 +213,11 @@
                 _ => None,
             };
             let trial = ramp == Ramp::Evidence && !down && zones.tries(now, 0);
-            let zone = if trial { Some(0) } else { by_clock.unwrap_or_else(|| shares.pick(draw)) };
+            let zone = if trial {
+                Some(0)
+            } else {
+                by_clock.unwrap_or_else(|| shares.pick(draw))
+            };
             if down || (up_at > 0.0 && now < 41.0) {
                 outage += 1.0;
                 spilled += f64::from(u8::from(zone.is_some_and(|z| z > 0)));
@@ -238,7 +243,11 @@
                 if can > 0.0 {
                     worst = worst.max(queue[0] / (can * 0.25));
                 }
-                pressed = if can > 0.0 && slowdown > 3.0 { pressed + step } else { 0.0 };
+                pressed = if can > 0.0 && slowdown > 3.0 {
+                    pressed + step
+                } else {
+                    0.0
+                };
                 if pressed > 0.5 {
                     overruns += 1;
                     (fallen, pressed) = (now + 2.0, 0.0);
@@ -253,11 +262,25 @@
             while done[n] >= unit {
                 done[n] -= unit;
                 queue[n] = (queue[n] - unit).max(0.0);
-                zones.ended(now, n, unit, Ended::Well { work: unit, slowdown });
+                zones.ended(
+                    now,
+                    n,
+                    unit,
+                    Ended::Well {
+                        work: unit,
+                        slowdown,
+                    },
+                );
             }
         }
     }
-    Outcome { overruns, worst, back_after, spilled: spilled / outage, turned_away: turned / outage }
+    Outcome {
+        overruns,
+        worst,
+        back_after,
+        spilled: spilled / outage,
+        turned_away: turned / outage,
+    }
 }
 
 /// By evidence a returning zone is never pushed over, however long it takes to warm up, and one that is quick is back
@@ -273,14 +296,20 @@
                 println!("    clock of {over} s: {:.2?}", by(Ramp::Clock(over)));
             }
             assert_eq!(evidence.overruns, 0, "{evidence:?}");
-            assert!(evidence.worst < 3.0 && evidence.back_after < 60.0, "{evidence:?}");
+            assert!(
+                evidence.worst < 3.0 && evidence.back_after < 60.0,
+                "{evidence:?}"
+            );
             assert!(
                 evidence.spilled > 0.99 && evidence.turned_away < 0.01,
                 "all that fits goes on: {evidence:?}"
             );
         }
     }
-    assert!(played(Ramp::Clock(2.0), 60.0, false).overruns > 0, "the clock that is right for a quick one");
+    assert!(
+        played(Ramp::Clock(2.0), 60.0, false).overruns > 0,
+        "the clock that is right for a quick one"
+    );
 }
 
 #[test]
@@ -290,14 +319,27 @@
     let (mut now, mut waits) = (0.0, Vec::new());
     for _ in 0..5 {
         (0..30).for_each(|_| zones.ended(now, 0, 0.0, Ended::Badly));
-        let Health::Lost { until } = zones.health(0) else { panic!("lost") };
+        let Health::Lost { until } = zones.health(0) else {
+            panic!("lost")
+        };
         waits.push(until - now);
         // It does well as soon as it may be tried.
         now = until;
-        assert!(zones.tries(now, 0) && !zones.tries(now, 0), "one trial at a time");
+        assert!(
+            zones.tries(now, 0) && !zones.tries(now, 0),
+            "one trial at a time"
+        );
         now += 6.0 * HEARD_LIFE;
         for _ in 0..TRIALS {
-            zones.ended(now, 0, 0.0, Ended::Well { work: 0.2, slowdown: 1.0 });
+            zones.ended(
+                now,
+                0,
+                0.0,
+                Ended::Well {
+                    work: 0.2,
+                    slowdown: 1.0,
+                },
+            );
         }
         assert!(matches!(zones.health(0), Health::Returning { .. }));
     }
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -11,8 +11,17 @@
 use std::sync::Arc;
 
 fn names() -> Names {
-    let list = |names: &[&str]| names.iter().map(|n| n.to_string()).chain(["other".to_string()]).collect();
-    Names { groups: list(&GROUPS), tenants: list(&TENANTS) }
+    let list = |names: &[&str]| {
+        names
+            .iter()
+            .map(|n| n.to_string())
+            .chain(["other".to_string()])
+            .collect()
+    };
+    Names {
+        groups: list(&GROUPS),
+        tenants: list(&TENANTS),
+    }
 }
 
 proptest! {
--- a/crates/scale/src/beside/change_log.rs
+++ b/crates/scale/src/beside/change_log.rs
@@ -49,7 +49,9 @@
 }
 
 fn gateway_of(local: SocketAddr, gateways: usize) -> Option<usize> {
-    let IpAddr::V4(address) = local.ip().to_canonical() else { return None };
+    let IpAddr::V4(address) = local.ip().to_canonical() else {
+        return None;
+    };
     let gateway = u32::from(address).checked_sub(FIRST_GATEWAY)? as usize;
     (gateway < gateways).then_some(gateway)
 }
@@ -133,7 +135,12 @@
         listener.set_nonblocking(true)?;
         let port = listener.local_addr()?.port();
         let data = event(1, true, &roster.lines());
-        let history = History { roster, last: 1, events: VecDeque::new(), whole: Some((1, data)) };
+        let history = History {
+            roster,
+            last: 1,
+            events: VecDeque::new(),
+            whole: Some((1, data)),
+        };
         let shared = Arc::new(Shared {
             history: Mutex::new(history),
             last: watch::Sender::new(1),
@@ -148,7 +155,9 @@
         let (tell_thread, thread) = std::sync::mpsc::channel();
         let serving = shared.clone();
         let run = move || -> std::io::Result<()> {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
             let _ = tell_thread.send(std::fs::read_link("/proc/thread-self")?);
             runtime.block_on(async {
                 let listener = TcpListener::from_std(listener)?;
@@ -159,16 +168,26 @@
                 Ok(())
             })
         };
-        std::thread::Builder::new().name("change-log".into()).spawn(run)?;
+        std::thread::Builder::new()
+            .name("change-log".into())
+            .spawn(run)?;
         let thread = thread.recv().map_err(std::io::Error::other)?;
         let thread_statistics = PathBuf::from("/proc").join(thread).join("schedstat");
-        Ok(ChangeLog { shared, port, thread_statistics, _stop: stop })
+        Ok(ChangeLog {
+            shared,
+            port,
+            thread_statistics,
+            _stop: stop,
+        })
     }
 
     /// Processor time of the log's thread, in seconds.
     pub fn processor_seconds(&self) -> f64 {
         let text = std::fs::read_to_string(&self.thread_statistics).unwrap_or_default();
-        let nanoseconds = text.split(' ').next().and_then(|word| word.parse::<f64>().ok());
+        let nanoseconds = text
+            .split(' ')
+            .next()
+            .and_then(|word| word.parse::<f64>().ok());
         nanoseconds.map_or(f64::NAN, |nanoseconds| nanoseconds / 1e9)
     }
 
@@ -219,15 +238,30 @@
         let drains = lines.iter().any(|line| line["state"] == "DRAINING");
         let withheld_from = self.shared.slips.withhold_drains_from.filter(|_| drains);
         let rendered = frame(number, &rendered_data(&data, 0));
-        self.shared.event_bytes.fetch_add(rendered.len() as u64, Ordering::Relaxed);
-        history.events.push_back(Told { number, data, rendered, withheld_from });
+        self.shared
+            .event_bytes
+            .fetch_add(rendered.len() as u64, Ordering::Relaxed);
+        history.events.push_back(Told {
+            number,
+            data,
+            rendered,
+            withheld_from,
+        });
         if history.events.len() > HISTORY {
             history.events.pop_front();
         }
         history.last = number;
         let mut facts = self.shared.recorder.facts();
-        facts.notices.extend(lines.iter().filter_map(|line| notice(line, number, appended)));
-        let change = super::facts::ChangeSeen { number, appended, seconds: Vec::new() };
+        facts.notices.extend(
+            lines
+                .iter()
+                .filter_map(|line| notice(line, number, appended)),
+        );
+        let change = super::facts::ChangeSeen {
+            number,
+            appended,
+            seconds: Vec::new(),
+        };
         facts.changes.push(change);
         drop(facts);
         self.shared.last.send_replace(number);
@@ -244,8 +278,15 @@
         return None;
     }
     let (slot, generation) = line["id"].as_str()?.strip_prefix('e')?.split_once('-')?;
-    let engine = EngineId { slot: slot.parse().ok()?, generation: generation.parse().ok()? };
-    Some(Notice { engine, number, appended })
+    let engine = EngineId {
+        slot: slot.parse().ok()?,
+        generation: generation.parse().ok()?,
+    };
+    Some(Notice {
+        engine,
+        number,
+        appended,
+    })
 }
 
 fn rendered_data(data: &str, port: u16) -> String {
@@ -279,18 +320,32 @@
 
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
     let _ = stream.set_nodelay(true);
-    let Ok(local) = stream.local_addr() else { return };
+    let Ok(local) = stream.local_addr() else {
+        return;
+    };
     let gateway = gateway_of(local, shared.engine_ports.len());
     let service = service_fn(move |request: Request<Incoming>| {
         let shared = shared.clone();
         async move {
-            let last = request.headers().get(LAST_EVENT).and_then(|value| value.to_str().ok()?.parse().ok());
+            let last = request
+                .headers()
+                .get(LAST_EVENT)
+                .and_then(|value| value.to_str().ok()?.parse().ok());
             let (sender, body) = Channel::<Bytes, Infallible>::new(1);
-            tokio::spawn(Watch { shared, gateway, sent: last.unwrap_or(0) }.feed(sender));
+            tokio::spawn(
+                Watch {
+                    shared,
+                    gateway,
+                    sent: last.unwrap_or(0),
+                }
+                .feed(sender),
+            );
             Ok::<_, Infallible>(Response::new(body))
         }
     });
-    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+    let _ = http1::Builder::new()
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
 }
 
 /// One reader's stream.
@@ -311,7 +366,10 @@
             }
             let due = joined(self.due());
             self.count(due.len() as u64);
-            if !matches!(timeout(SLOW_READER, sender.send_data(due)).await, Ok(Ok(()))) {
+            if !matches!(
+                timeout(SLOW_READER, sender.send_data(due)).await,
+                Ok(Ok(()))
+            ) {
                 return;
             }
             // It fails only with the log, whose end ends this task too.
@@ -334,34 +392,53 @@
         if self.sent >= history.last {
             return Vec::new();
         }
-        let first = history.events.front().map_or(history.last + 1, |told| told.number);
+        let first = history
+            .events
+            .front()
+            .map_or(history.last + 1, |told| told.number);
         let from = std::mem::replace(&mut self.sent, history.last);
         if from + 1 < first {
             return self.whole(&mut history);
         }
         let skip = (from + 1 - first) as usize;
-        history.events.iter().skip(skip).map(|told| self.render(told)).collect()
+        history
+            .events
+            .iter()
+            .skip(skip)
+            .map(|told| self.render(told))
+            .collect()
     }
 
     fn whole(&self, history: &mut History) -> Vec<Bytes> {
-        let port = self.gateway.map_or(0, |gateway| self.shared.engine_ports[gateway]);
+        let port = self
+            .gateway
+            .map_or(0, |gateway| self.shared.engine_ports[gateway]);
         self.delivered(history.last);
         vec![frame(history.last, &rendered_data(&history.whole(), port))]
     }
 
     fn render(&self, told: &Told) -> Bytes {
-        let Some(gateway) = self.gateway else { return told.rendered.clone() };
+        let Some(gateway) = self.gateway else {
+            return told.rendered.clone();
+        };
         if told.withheld_from == Some(gateway) {
             // The number goes on, so that only the change is missing.
             return frame(told.number, &json!({"seq": told.number}).to_string());
         }
         self.delivered(told.number);
-        frame(told.number, &rendered_data(&told.data, self.shared.engine_ports[gateway]))
+        frame(
+            told.number,
+            &rendered_data(&told.data, self.shared.engine_ports[gateway]),
+        )
     }
 
     fn delivered(&self, number: u64) {
         let Some(gateway) = self.gateway else { return };
         let at = self.shared.recorder.now();
-        self.shared.recorder.facts().deliveries.push(Delivery { number, gateway, at });
+        self.shared.recorder.facts().deliveries.push(Delivery {
+            number,
+            gateway,
+            at,
+        });
     }
 }
--- a/crates/scale/src/beside/clients.rs
+++ b/crates/scale/src/beside/clients.rs
@@ -79,8 +79,8 @@
     /// Sends queries for the experiment's time, and waits for their answers.
     pub async fn run(self: Arc<Self>) {
         let until = Instant::now() + Duration::from_secs_f64(self.experiment.seconds);
-        let keys =
-            (0..self.experiment.keys as u64).map(|key| tokio::spawn(self.clone().send_key(key, until)));
+        let keys = (0..self.experiment.keys as u64)
+            .map(|key| tokio::spawn(self.clone().send_key(key, until)));
         let keys: Vec<_> = keys.collect();
         self.clone().send_unkeyed(until).await;
         for key in keys {
@@ -102,7 +102,9 @@
 
     async fn send_unkeyed(self: Arc<Self>, until: Instant) {
         let mut random = SmallRng::seed_from_u64(self.experiment.seed);
-        let Ok(gaps) = Exp::new(self.experiment.queries_per_second) else { return sleep_until(until).await };
+        let Ok(gaps) = Exp::new(self.experiment.queries_per_second) else {
+            return sleep_until(until).await;
+        };
         let mut next = Instant::now();
         loop {
             // A rate of 0 has endless gaps.
@@ -118,7 +120,12 @@
             let in_service = |n: &usize| self.gateways.in_service(*n);
             let all = (0..self.gateways.count()).map(|n| (first + n) % self.gateways.count());
             if let Some(gateway) = all.into_iter().find(in_service) {
-                let planned = Planned { gateway, group: Group::Report, key: None, work };
+                let planned = Planned {
+                    gateway,
+                    group: Group::Report,
+                    key: None,
+                    work,
+                };
                 self.clone().spawn(planned);
             }
         }
@@ -132,7 +139,12 @@
             let pace = random.random_range(KEY_PACE_MS[0]..=KEY_PACE_MS[1]);
             let work = random.random_range(KEYED_WORK_MS[0]..=KEYED_WORK_MS[1]);
             if self.gateways.in_service(gateway) {
-                let planned = Planned { gateway, group: Group::Load, key: Some(key), work };
+                let planned = Planned {
+                    gateway,
+                    group: Group::Load,
+                    key: Some(key),
+                    work,
+                };
                 self.clone().spawn(planned);
             }
             sleep(Duration::from_millis(pace)).await;
@@ -152,7 +164,11 @@
         let slips_now = id.is_multiple_of(SLIP_EVERY);
         let late = slips_now && self.slips(Slip::LateAnswer);
         let work = if late { LATE_WORK_MS } else { planned.work };
-        let limit_ms = if late { LIMIT_MS - LATE_BY_MS } else { LIMIT_MS };
+        let limit_ms = if late {
+            LIMIT_MS - LATE_BY_MS
+        } else {
+            LIMIT_MS
+        };
         let key = planned.key.filter(|_| !self.slips(Slip::KeyWithheld));
         let request = request(id, planned.group, key, work);
         if self.slips(Slip::EffectTwice) && planned.group == Group::Load {
@@ -165,7 +181,16 @@
         }
         let limit = limit_ms as f64 / 1000.0;
         let (gateway, group, key) = (planned.gateway, planned.group, planned.key);
-        let query = Query { id, gateway, group, key, sent, limit, answered, outcome };
+        let query = Query {
+            id,
+            gateway,
+            group,
+            key,
+            sent,
+            limit,
+            answered,
+            outcome,
+        };
         self.recorder.facts().queries.push(query);
         if slips_now && self.slips(Slip::AttemptAfterAnswer) {
             sleep(SLIP_DELAY).await;
@@ -174,9 +199,18 @@
     }
 
     /// When the query was sent, and how it ended. One that crosses the close of an idle connection is sent again, once.
-    async fn send(&self, id: u64, planned: &Planned, request: Request<Full<Bytes>>) -> (f64, Outcome) {
+    async fn send(
+        &self,
+        id: u64,
+        planned: &Planned,
+        request: Request<Full<Bytes>>,
+    ) -> (f64, Outcome) {
         let within = Duration::from_millis(LIMIT_MS) + STILL_WAITS;
-        let idle = planned.key.is_none().then(|| self.take_idle(planned.gateway)).flatten();
+        let idle = planned
+            .key
+            .is_none()
+            .then(|| self.take_idle(planned.gateway))
+            .flatten();
         if let Some(mut connection) = idle {
             let sent = self.recorder.now();
             let answer = http_client::call(&mut connection, request.clone(), within).await;
@@ -188,7 +222,9 @@
         }
         let connection = http_client::connect(self.gateways.address(planned.gateway)).await;
         let sent = self.recorder.now();
-        let Ok(mut connection) = connection else { return (sent, Outcome::NotTaken) };
+        let Ok(mut connection) = connection else {
+            return (sent, Outcome::NotTaken);
+        };
         let answer = http_client::call(&mut connection, request, within).await;
         (sent, self.ended(id, planned, connection, answer))
     }
@@ -209,9 +245,13 @@
 
     fn slip_outcome(&self, outcome: Outcome) -> Outcome {
         match outcome {
-            Outcome::Succeeded { .. } if self.slips(Slip::LostAnswer) => Outcome::Lost("a slip".into()),
+            Outcome::Succeeded { .. } if self.slips(Slip::LostAnswer) => {
+                Outcome::Lost("a slip".into())
+            }
             Outcome::Succeeded { engine } if self.slips(Slip::AlteredAnswer) => {
-                Outcome::Succeeded { engine: format!("{engine}0") }
+                Outcome::Succeeded {
+                    engine: format!("{engine}0"),
+                }
             }
             outcome => outcome,
         }
@@ -219,8 +259,11 @@
 
     /// A slip: an attempt that no gateway sent.
     async fn attempt_from_nowhere(&self, id: u64, gateway: usize) {
-        let address = SocketAddr::from((IpAddr::from(roster::address(0)), self.engine_ports[gateway]));
-        let Ok(mut connection) = http_client::connect(address).await else { return };
+        let address =
+            SocketAddr::from((IpAddr::from(roster::address(0)), self.engine_ports[gateway]));
+        let Ok(mut connection) = http_client::connect(address).await else {
+            return;
+        };
         let mut request = request(id, Group::Report, None, 0);
         *request.uri_mut() = http::Uri::from_static("/c");
         if let Ok(trace) = format!("{id:016x}").parse() {
@@ -232,7 +275,9 @@
     fn take_idle(&self, gateway: usize) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = idle.get_mut(&gateway)?;
-        idle.retain(|(connection, since)| since.elapsed() < IDLE_AT_MOST && !connection.is_closed());
+        idle.retain(|(connection, since)| {
+            since.elapsed() < IDLE_AT_MOST && !connection.is_closed()
+        });
         idle.pop().map(|(connection, _)| connection)
     }
 
@@ -278,7 +323,11 @@
     let Ok(json) = serde_json::from_slice::<Value>(answer.body()) else {
         return Outcome::Garbled(String::from_utf8_lossy(answer.body()).into_owned());
     };
-    let busy = [StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE].contains(&answer.status());
+    let busy = [
+        StatusCode::TOO_MANY_REQUESTS,
+        StatusCode::SERVICE_UNAVAILABLE,
+    ]
+    .contains(&answer.status());
     if busy || json["error"] == "Busy" {
         return Outcome::Rejected;
     }
@@ -286,9 +335,9 @@
         return Outcome::Failed;
     }
     match (json["data"][0][0].as_str(), json["data"][0][1].as_str()) {
-        (Some(engine), Some(query)) if query == format!("{id:016x}") => {
-            Outcome::Succeeded { engine: engine.into() }
-        }
+        (Some(engine), Some(query)) if query == format!("{id:016x}") => Outcome::Succeeded {
+            engine: engine.into(),
+        },
         _ => Outcome::Garbled(json.to_string()),
     }
 }
--- a/crates/scale/src/beside/engines.rs
+++ b/crates/scale/src/beside/engines.rs
@@ -90,12 +90,17 @@
         recorder: Recorder,
         uneven: bool,
     ) -> std::io::Result<Arc<Engines>> {
-        let engine = || Engine { health: watch::Sender::new(Health::Up), state: Mutex::default() };
+        let engine = || Engine {
+            health: watch::Sender::new(Health::Up),
+            state: Mutex::default(),
+        };
         let mut listeners = Vec::with_capacity(gateways);
         for _ in 0..gateways {
             listeners.push(TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).await?);
         }
-        let ports = listeners.iter().map(|listener| Ok(listener.local_addr()?.port()));
+        let ports = listeners
+            .iter()
+            .map(|listener| Ok(listener.local_addr()?.port()));
         let engines = Arc::new(Engines {
             engines: std::iter::repeat_with(engine).take(engines).collect(),
             recorder,
@@ -127,7 +132,12 @@
         let now = self.recorder.now();
         let mut state = engine.state();
         state.generation += 1;
-        for running in state.queries.drain().map(|(_, running)| running).filter(|running| !running.over) {
+        for running in state
+            .queries
+            .drain()
+            .map(|(_, running)| running)
+            .filter(|running| !running.over)
+        {
             self.recorder.facts().attempts[running.fact].end(now);
         }
     }
@@ -155,8 +165,13 @@
     /// One connection, for as long as its engine lives.
     async fn serve(self: Arc<Self>, stream: TcpStream, gateway: usize) {
         let _ = stream.set_nodelay(true);
-        let slot = stream.local_addr().ok().and_then(|local| roster::slot(local.ip()));
-        let Some(slot) = slot.filter(|slot| *slot < self.engines.len()) else { return };
+        let slot = stream
+            .local_addr()
+            .ok()
+            .and_then(|local| roster::slot(local.ip()));
+        let Some(slot) = slot.filter(|slot| *slot < self.engines.len()) else {
+            return;
+        };
         let mut health = self.engines[slot].health.subscribe();
         if *health.borrow_and_update() == Health::Down {
             let _ = stream.set_zero_linger();
@@ -164,13 +179,19 @@
         }
         self.connections[gateway].fetch_add(1, Ordering::Relaxed);
         self.connections_made[gateway].fetch_add(1, Ordering::Relaxed);
-        self.recorder.facts().met.entry(gateway).or_default().insert(slot);
+        self.recorder
+            .facts()
+            .met
+            .entry(gateway)
+            .or_default()
+            .insert(slot);
         let engines = self.clone();
         let service = service_fn(move |request| {
             let engines = engines.clone();
             async move { Ok::<_, Infallible>(engines.call(slot, gateway, request).await) }
         });
-        let mut connection = Box::pin(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
+        let mut connection =
+            Box::pin(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
         loop {
             let now = *health.borrow_and_update();
             let ended = match now {
@@ -188,7 +209,12 @@
         self.connections[gateway].fetch_sub(1, Ordering::Relaxed);
     }
 
-    async fn call(&self, slot: usize, gateway: usize, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn call(
+        &self,
+        slot: usize,
+        gateway: usize,
+        request: Request<Incoming>,
+    ) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         let path = head.uri.path().to_string();
         let parts: Vec<&str> = path.split('/').skip(1).collect();
@@ -196,7 +222,10 @@
             (&Method::GET, ["ping"]) => answer(StatusCode::OK),
             (&Method::GET, ["stats"]) => self.report(slot),
             (&Method::POST, ["c"]) => match Limited::new(body, LONGEST_STATEMENT).collect().await {
-                Ok(statement) => self.begin(slot, gateway, &head.headers, &statement.to_bytes()).await,
+                Ok(statement) => {
+                    self.begin(slot, gateway, &head.headers, &statement.to_bytes())
+                        .await
+                }
                 Err(_) => answer(StatusCode::BAD_REQUEST),
             },
             (&Method::GET, ["c", id, "0"]) => self.news(slot, id).await,
@@ -208,7 +237,11 @@
     fn report(&self, slot: usize) -> Response<Full<Bytes>> {
         let now = Instant::now();
         let state = self.engines[slot].state();
-        let running = state.queries.values().filter(|running| !running.over && running.ends > now).count();
+        let running = state
+            .queries
+            .values()
+            .filter(|running| !running.over && running.ends > now)
+            .count();
         let share = (running as f64 / CORES).min(1.0);
         let mut response = answer(StatusCode::OK);
         if let Ok(report) = format!("depth:0;load_share:{share:.2}").parse() {
@@ -224,7 +257,10 @@
         head: &HeaderMap,
         statement: &[u8],
     ) -> Response<Full<Bytes>> {
-        let id = head.get("x-trace").and_then(|id| id.to_str().ok()).unwrap_or_default();
+        let id = head
+            .get("x-trace")
+            .and_then(|id| id.to_str().ok())
+            .unwrap_or_default();
         let (Ok(query), Some(work)) = (u64::from_str_radix(id, 16), work_of(statement)) else {
             return answer(StatusCode::BAD_REQUEST);
         };
@@ -232,18 +268,40 @@
         self.record(slot, gateway, query, id, work, declined);
         if declined {
             let mut response = answer(StatusCode::SERVICE_UNAVAILABLE);
-            response.headers_mut().insert("x-declined", http::HeaderValue::from_static("1"));
+            response
+                .headers_mut()
+                .insert("x-declined", http::HeaderValue::from_static("1"));
             return response;
         }
         self.news(slot, id).await
     }
 
-    fn record(&self, slot: usize, gateway: usize, query: u64, id: &str, work: Duration, declined: bool) {
+    fn record(
+        &self,
+        slot: usize,
+        gateway: usize,
+        query: u64,
+        id: &str,
+        work: Duration,
+        declined: bool,
+    ) {
         let came = self.recorder.now();
         let mut state = self.engines[slot].state();
-        let engine = EngineId { slot, generation: state.generation };
+        let engine = EngineId {
+            slot,
+            generation: state.generation,
+        };
         let over = declined.then_some(came);
-        let attempt = Attempt { query, gateway, engine, came, over, succeeded: false, declined, asked: came };
+        let attempt = Attempt {
+            query,
+            gateway,
+            engine,
+            came,
+            over,
+            succeeded: false,
+            declined,
+            asked: came,
+        };
         let mut facts = self.recorder.facts();
         let fact = facts.attempts.len();
         facts.attempts.push(attempt);
@@ -253,14 +311,22 @@
         }
         let rows = Bytes::from(format!("{engine}\t{id}\tend\n"));
         let now = Instant::now();
-        let running = Running { fact, ends: now + work, asked: now, rows, over: false };
+        let running = Running {
+            fact,
+            ends: now + work,
+            asked: now,
+            rows,
+            over: false,
+        };
         state.queries.insert(id.to_string(), running);
     }
 
     /// The end of a query, or that there is none yet.
     async fn news(&self, slot: usize, id: &str) -> Response<Full<Bytes>> {
         let until = Instant::now() + NEWS;
-        let Some(ends) = self.ask(slot, id) else { return answer(StatusCode::INTERNAL_SERVER_ERROR) };
+        let Some(ends) = self.ask(slot, id) else {
+            return answer(StatusCode::INTERNAL_SERVER_ERROR);
+        };
         tokio::time::sleep_until(ends.min(until)).await;
         self.told(slot, id)
     }
@@ -270,7 +336,8 @@
         let mut state = self.engines[slot].state();
         let running = state.queries.get_mut(id)?;
         let now = Instant::now();
-        if !running.over && now > running.asked + UNASKED && running.ends > running.asked + UNASKED {
+        if !running.over && now > running.asked + UNASKED && running.ends > running.asked + UNASKED
+        {
             return None;
         }
         running.asked = now;
@@ -295,7 +362,9 @@
         attempt.end(self.recorder.now());
         drop(facts);
         let mut response = Response::new(Full::new(running.rows.clone()));
-        response.headers_mut().insert("result-pages", http::HeaderValue::from_static("1"));
+        response
+            .headers_mut()
+            .insert("result-pages", http::HeaderValue::from_static("1"));
         response
     }
 
@@ -317,5 +386,9 @@
 fn work_of(statement: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(statement).ok()?;
     let (_, rest) = text.split_once(WORK_MARK)?;
-    rest.split(' ').next()?.parse().ok().map(Duration::from_millis)
+    rest.split(' ')
+        .next()?
+        .parse()
+        .ok()
+        .map(Duration::from_millis)
 }
--- a/crates/scale/src/beside/experiment.rs
+++ b/crates/scale/src/beside/experiment.rs
@@ -164,19 +164,37 @@
 #[derive(Debug, Error)]
 pub enum ExperimentError {
     #[error("{}: {cause}; name a file that can be read", file.display())]
-    Unreadable { file: PathBuf, cause: std::io::Error },
+    Unreadable {
+        file: PathBuf,
+        cause: std::io::Error,
+    },
     #[error("{}: {cause}", file.display())]
-    NotToml { file: PathBuf, cause: Box<toml::de::Error> },
+    NotToml {
+        file: PathBuf,
+        cause: Box<toml::de::Error>,
+    },
     #[error("{}: {place}: {found} is not {expected}; {remedy}", file.display())]
-    OutOfRange { file: PathBuf, place: String, found: f64, expected: String, remedy: &'static str },
+    OutOfRange {
+        file: PathBuf,
+        place: String,
+        found: f64,
+        expected: String,
+        remedy: &'static str,
+    },
 }
 
 impl Experiment {
     /// Reads and checks a file.
     pub fn read(file: &Path) -> Result<Experiment, ExperimentError> {
-        let unreadable = |cause| ExperimentError::Unreadable { file: file.into(), cause };
+        let unreadable = |cause| ExperimentError::Unreadable {
+            file: file.into(),
+            cause,
+        };
         let text = std::fs::read_to_string(file).map_err(unreadable)?;
-        let not_toml = |cause| ExperimentError::NotToml { file: file.into(), cause: Box::new(cause) };
+        let not_toml = |cause| ExperimentError::NotToml {
+            file: file.into(),
+            cause: Box::new(cause),
+        };
         let experiment: Experiment = toml::from_str(&text).map_err(not_toml)?;
         experiment.check(file)?;
         Ok(experiment)
@@ -201,11 +219,25 @@
         for (i, event) in self.events.iter().enumerate() {
             within(file, &format!("events.{i}.at"), event.at, 0.0, self.seconds)?;
             let (name, found, most) = event.what.reach(self);
-            within(file, &format!("events.{i}.{name}"), found as f64, 0.0, most as f64)?;
+            within(
+                file,
+                &format!("events.{i}.{name}"),
+                found as f64,
+                0.0,
+                most as f64,
+            )?;
         }
         for (place, steps, most) in [
-            ("sweeps.client_connections", &self.sweeps.client_connections, MOST_CLIENT_CONNECTIONS),
-            ("sweeps.log_watchers", &self.sweeps.log_watchers, MOST_WATCHERS),
+            (
+                "sweeps.client_connections",
+                &self.sweeps.client_connections,
+                MOST_CLIENT_CONNECTIONS,
+            ),
+            (
+                "sweeps.log_watchers",
+                &self.sweeps.log_watchers,
+                MOST_WATCHERS,
+            ),
         ] {
             for step in steps {
                 within(file, place, *step as f64, 0.0, most as f64)?;
@@ -234,7 +266,13 @@
     }
 }
 
-fn within(file: &Path, place: &str, found: f64, least: f64, most: f64) -> Result<(), ExperimentError> {
+fn within(
+    file: &Path,
+    place: &str,
+    found: f64,
+    least: f64,
+    most: f64,
+) -> Result<(), ExperimentError> {
     if found >= least && found <= most {
         return Ok(());
     }
--- a/crates/scale/src/beside/facts.rs
+++ b/crates/scale/src/beside/facts.rs
@@ -136,7 +136,10 @@
 
 impl Recorder {
     pub fn new(facts: Facts) -> Recorder {
-        Recorder { start: Instant::now(), facts: Arc::new(Mutex::new(facts)) }
+        Recorder {
+            start: Instant::now(),
+            facts: Arc::new(Mutex::new(facts)),
+        }
     }
 
     pub fn now(&self) -> f64 {
--- a/crates/scale/src/beside/fit.rs
+++ b/crates/scale/src/beside/fit.rs
@@ -18,14 +18,28 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
+        let spread = points
+            .iter()
+            .map(|(x, _)| (x - mean_x).powi(2))
+            .sum::<f64>();
         if points.len() < 2 || spread <= 0.0 {
             return None;
         }
-        let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / spread;
+        let slope = points
+            .iter()
+            .map(|(x, y)| (x - mean_x) * (y - mean_y))
+            .sum::<f64>()
+            / spread;
         let intercept = mean_y - slope * mean_x;
-        let line = Line { slope, intercept, worst: 0.0 };
-        let worst = points.iter().map(|(x, y)| (y - line.at(*x)).abs()).fold(0.0, f64::max);
+        let line = Line {
+            slope,
+            intercept,
+            worst: 0.0,
+        };
+        let worst = points
+            .iter()
+            .map(|(x, y)| (y - line.at(*x)).abs())
+            .fold(0.0, f64::max);
         Some(Line { worst, ..line })
     }
 
@@ -38,16 +52,27 @@
 pub fn slopes(swept: &[Figure]) -> Vec<Figure> {
     let mut series: BTreeMap<(&str, &str), Vec<(f64, f64)>> = BTreeMap::new();
     for figure in swept {
-        series.entry((&figure.of, &figure.name)).or_default().push((figure.at, figure.value));
+        series
+            .entry((&figure.of, &figure.name))
+            .or_default()
+            .push((figure.at, figure.value));
     }
-    series.into_iter().flat_map(|((of, name), points)| slope(of, name, points)).collect()
+    series
+        .into_iter()
+        .flat_map(|((of, name), points)| slope(of, name, points))
+        .collect()
 }
 
 fn slope(of: &str, name: &str, mut points: Vec<(f64, f64)>) -> Vec<Figure> {
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let Some((largest, measured)) = points.pop() else { return Vec::new() };
-    let Some(line) = Line::through(&points) else { return Vec::new() };
-    let figure = |what: &str, value: f64| Figure::new(of, largest, &format!("{name} {what}"), value);
+    let Some((largest, measured)) = points.pop() else {
+        return Vec::new();
+    };
+    let Some(line) = Line::through(&points) else {
+        return Vec::new();
+    };
+    let figure =
+        |what: &str, value: f64| Figure::new(of, largest, &format!("{name} {what}"), value);
     vec![
         figure("slope", line.slope),
         figure("intercept", line.intercept),
--- a/crates/scale/src/beside/gateways.rs
+++ b/crates/scale/src/beside/gateways.rs
@@ -35,23 +35,42 @@
 #[derive(Debug, Error)]
 pub enum GatewayError {
     #[error("{}: {cause}; build it with `cargo build --release -p garnetwall-gateway`, or name it with --gateway-binary", binary.display())]
-    NoBinary { binary: PathBuf, cause: std::io::Error },
+    NoBinary {
+        binary: PathBuf,
+        cause: std::io::Error,
+    },
     #[error("{}: {cause}; make room there", file.display())]
-    Unwritable { file: PathBuf, cause: std::io::Error },
+    Unwritable {
+        file: PathBuf,
+        cause: std::io::Error,
+    },
     #[error("gateway {gateway} did not serve within {} s; its log is {}", READY_WITHIN.as_secs(), log.display())]
     NeverReady { gateway: usize, log: PathBuf },
     #[error("gateway {gateway} ended before it served ({status}); its log is {}", log.display())]
-    Ended { gateway: usize, status: ExitStatus, log: PathBuf },
+    Ended {
+        gateway: usize,
+        status: ExitStatus,
+        log: PathBuf,
+    },
     #[error("gateway {gateway}: not started, as the run ends")]
     Stopping { gateway: usize },
     #[error("gateway {gateway}: {cause}; see its log {}", log.display())]
-    Process { gateway: usize, cause: std::io::Error, log: PathBuf },
+    Process {
+        gateway: usize,
+        cause: std::io::Error,
+        log: PathBuf,
+    },
 }
 
 /// Where a gateway of this run listens.
 fn listen_address(gateway: usize) -> SocketAddr {
     let run = std::process::id();
-    let parts = [127, (64 + run % 128) as u8, (run / 128 % 256) as u8, (gateway % 250 + 1) as u8];
+    let parts = [
+        127,
+        (64 + run % 128) as u8,
+        (run / 128 % 256) as u8,
+        (gateway % 250 + 1) as u8,
+    ];
     SocketAddr::from((Ipv4Addr::from(parts), PORT + (gateway / 250) as u16))
 }
 
@@ -144,9 +163,13 @@
     pub async fn start(&self, gateway: usize, log: &ChangeLog) -> Result<(), GatewayError> {
         let file = self.config_file(gateway);
         let unwritable = |file: PathBuf| move |cause| GatewayError::Unwritable { file, cause };
-        std::fs::write(&file, self.config(gateway, log).to_string()).map_err(unwritable(file.clone()))?;
+        std::fs::write(&file, self.config(gateway, log).to_string())
+            .map_err(unwritable(file.clone()))?;
         let log_file = self.log_file(gateway);
-        let output = std::fs::OpenOptions::new().create(true).append(true).open(&log_file);
+        let output = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&log_file);
         let output = output.map_err(unwritable(log_file.clone()))?;
         let began = self.recorder.now();
         let mut place = self.gateways[gateway].child.lock().await;
@@ -164,15 +187,23 @@
             .stderr(output)
             .kill_on_drop(true)
             .spawn();
-        let no_binary = |cause| GatewayError::NoBinary { binary: self.binary.clone(), cause };
+        let no_binary = |cause| GatewayError::NoBinary {
+            binary: self.binary.clone(),
+            cause,
+        };
         *place = Some(child.map_err(no_binary)?);
         drop(place);
         let ready = timeout(READY_WITHIN, self.healthy(gateway)).await;
-        ready.map_err(|_| GatewayError::NeverReady { gateway, log: log_file })??;
+        ready.map_err(|_| GatewayError::NeverReady {
+            gateway,
+            log: log_file,
+        })??;
         let took = self.recorder.now() - began;
         self.recorder.facts().ready.push(took);
         self.mark_usage(gateway).await;
-        self.gateways[gateway].in_service.store(true, Ordering::Relaxed);
+        self.gateways[gateway]
+            .in_service
+            .store(true, Ordering::Relaxed);
         Ok(())
     }
 
@@ -180,7 +211,11 @@
         while !http_client::is_healthy(self.address(gateway)).await {
             let mut child = self.gateways[gateway].child.lock().await;
             if let Some(Ok(Some(status))) = child.as_mut().map(Child::try_wait) {
-                return Err(GatewayError::Ended { gateway, status, log: self.log_file(gateway) });
+                return Err(GatewayError::Ended {
+                    gateway,
+                    status,
+                    log: self.log_file(gateway),
+                });
             }
             drop(child);
             sleep(ASK_HEALTH_EVERY).await;
@@ -189,7 +224,12 @@
     }
 
     async fn process(&self, gateway: usize) -> Option<u32> {
-        self.gateways[gateway].child.lock().await.as_ref().and_then(Child::id)
+        self.gateways[gateway]
+            .child
+            .lock()
+            .await
+            .as_ref()
+            .and_then(Child::id)
     }
 
     /// What a gateway's process uses now.
@@ -200,20 +240,32 @@
     /// Processor time counts from now on.
     pub async fn mark_usage(&self, gateway: usize) {
         let usage = self.usage(gateway).await.unwrap_or_default();
-        *self.gateways[gateway].first.lock().unwrap_or_else(|e| e.into_inner()) = usage;
+        *self.gateways[gateway]
+            .first
+            .lock()
+            .unwrap_or_else(|e| e.into_inner()) = usage;
     }
 
     /// Processor time of the gateway's process since it was last marked.
     pub async fn processor_seconds(&self, gateway: usize) -> Option<f64> {
         let now = self.usage(gateway).await?;
-        let first = *self.gateways[gateway].first.lock().unwrap_or_else(|e| e.into_inner());
+        let first = *self.gateways[gateway]
+            .first
+            .lock()
+            .unwrap_or_else(|e| e.into_inner());
         Some(now.processor_seconds - first.processor_seconds)
     }
 
     async fn signal(&self, gateway: usize, kind: Signal) -> Result<(), GatewayError> {
-        let Some(process) = self.process(gateway).await else { return Ok(()) };
+        let Some(process) = self.process(gateway).await else {
+            return Ok(());
+        };
         let log = self.log_file(gateway);
-        signal(process, kind).map_err(|cause| GatewayError::Process { gateway, cause, log })
+        signal(process, kind).map_err(|cause| GatewayError::Process {
+            gateway,
+            cause,
+            log,
+        })
     }
 
     /// SIGHUP.
@@ -224,22 +276,40 @@
     /// SIGTERM; whether it ended by itself with exit code 0 is kept as a fact.
     pub async fn terminate(&self, gateway: usize) -> Result<(), GatewayError> {
         let from = self.recorder.now();
-        let kind = if self.kills_for_term { Signal::KILL } else { Signal::TERM };
+        let kind = if self.kills_for_term {
+            Signal::KILL
+        } else {
+            Signal::TERM
+        };
         self.signal(gateway, kind).await?;
         if !self.kills_for_term {
             sleep(COMING_AFTER_TERM).await;
         }
-        self.gateways[gateway].in_service.store(false, Ordering::Relaxed);
+        self.gateways[gateway]
+            .in_service
+            .store(false, Ordering::Relaxed);
         let clean = self.ended(gateway, ENDS_WITHIN).await;
-        self.recorder.facts().outages.push(Outage { gateway, from, killed: false, clean });
+        self.recorder.facts().outages.push(Outage {
+            gateway,
+            from,
+            killed: false,
+            clean,
+        });
         Ok(())
     }
 
     /// SIGKILL.
     pub async fn kill(&self, gateway: usize) -> Result<(), GatewayError> {
-        let outage = Outage { gateway, from: self.recorder.now(), killed: true, clean: false };
+        let outage = Outage {
+            gateway,
+            from: self.recorder.now(),
+            killed: true,
+            clean: false,
+        };
         self.recorder.facts().outages.push(outage);
-        self.gateways[gateway].in_service.store(false, Ordering::Relaxed);
+        self.gateways[gateway]
+            .in_service
+            .store(false, Ordering::Relaxed);
         self.signal(gateway, Signal::KILL).await?;
         self.ended(gateway, KILLED_WITHIN).await;
         Ok(())
@@ -248,7 +318,9 @@
     /// Waits for the process to end; whether it did so in time and with exit code 0. One that does not is killed.
     async fn ended(&self, gateway: usize, within: Duration) -> bool {
         let mut child = self.gateways[gateway].child.lock().await;
-        let Some(mut child) = child.take() else { return false };
+        let Some(mut child) = child.take() else {
+            return false;
+        };
         match timeout(within, child.wait()).await {
             Ok(Ok(status)) => status.success(),
             _ => {
@@ -277,7 +349,9 @@
         json!({"name": name, "semantics": semantics, "give-up": LIMIT_MS, "goal-time": LIMIT_MS / 2,
             "worth": 1.0, "late-share": 0.5, "one-at-a-time": name == "load"})
     };
-    let zones: Vec<String> = (0..experiment.zones).map(|zone| format!("z{zone}")).collect();
+    let zones: Vec<String> = (0..experiment.zones)
+        .map(|zone| format!("z{zone}"))
+        .collect();
     json!({
         "allowed": {"dial-timeout": 250.0, "idle-close": 30_000.0, "cancelling": true, "max-attempts": 2,
             "retry-after": true, "max-retry-after": 1_000.0, "may-probe": true, "open-cap": 20_000},
--- a/crates/scale/src/beside/hollow.rs
+++ b/crates/scale/src/beside/hollow.rs
@@ -1,6 +1,8 @@
 //! One hollow gateway without neighbours: the decision module alone, at the rate and with the list of a real one.
 
-use garnetwall::api::{Batch, Condition, End, Listed, Next, Outcome, Place, Report, Settings, Wait};
+use garnetwall::api::{
+    Batch, Condition, End, Listed, Next, Outcome, Place, Report, Settings, Wait,
+};
 use garnetwall::control::Control;
 use garnetwall_subset::{Catalog, EngineLine};
 use rand::rngs::SmallRng;
@@ -52,18 +54,36 @@
     load: Load,
 ) -> std::io::Result<Cost> {
     let before = resident_bytes()?;
-    let held: Vec<Held> = (0..COPIES).map(|copy| hold(settings, lines, whole_list, copy as u64)).collect();
+    let held: Vec<Held> = (0..COPIES)
+        .map(|copy| hold(settings, lines, whole_list, copy as u64))
+        .collect();
     let resident_bytes = (resident_bytes()? - before) / COPIES as f64;
     let Some(Held { module, .. }) = held.into_iter().next() else {
-        return Ok(Cost { processor_share: 0.0, resident_bytes });
+        return Ok(Cost {
+            processor_share: 0.0,
+            resident_bytes,
+        });
+    };
+    let mut hollow = Hollow {
+        module,
+        load,
+        now: 0.0,
+        ends: BinaryHeap::new(),
     };
-    let mut hollow = Hollow { module, load, now: 0.0, ends: BinaryHeap::new() };
     let before = thread_seconds()?;
     hollow.play();
-    Ok(Cost { processor_share: (thread_seconds()? - before) / PLAYED, resident_bytes })
+    Ok(Cost {
+        processor_share: (thread_seconds()? - before) / PLAYED,
+        resident_bytes,
+    })
 }
 
-fn hold(settings: &Settings, lines: &[Listed], whole_list: Option<&[EngineLine]>, seed: u64) -> Held {
+fn hold(
+    settings: &Settings,
+    lines: &[Listed],
+    whole_list: Option<&[EngineLine]>,
+    seed: u64,
+) -> Held {
     let mut module = Control::new(settings.clone(), seed, 0.0);
     module.listed(lines, true);
     let _catalog = whole_list.map(|whole_list| {
@@ -105,7 +125,8 @@
             if next_query <= self.now {
                 self.take(id);
                 id += 1;
-                let gap = -(1.0 - random.random::<f64>()).ln() / self.load.queries_per_second.max(1e-3);
+                let gap =
+                    -(1.0 - random.random::<f64>()).ln() / self.load.queries_per_second.max(1e-3);
                 next_query = self.now + gap;
             }
             while let Some(Reverse((at, query, engine))) = self.ends.peek().copied() {
@@ -116,9 +137,13 @@
                 self.end(query, engine);
             }
             let wait = self.decide();
-            let next_end =
-                self.ends.peek().map_or(f64::INFINITY, |Reverse((at, ..))| *at as f64 / MICROSECONDS);
-            self.now = (self.now + wait).min(next_query).min(next_end.max(self.now));
+            let next_end = self
+                .ends
+                .peek()
+                .map_or(f64::INFINITY, |Reverse((at, ..))| *at as f64 / MICROSECONDS);
+            self.now = (self.now + wait)
+                .min(next_query)
+                .min(next_end.max(self.now));
         }
     }
 
@@ -144,7 +169,11 @@
                 Wait::For(seconds) => return seconds,
                 Wait::Ask(id) => self.place(id),
                 Wait::Probe(engine) => {
-                    let report = Report { utilisation: Some(0.1), waiting: Some(0.0), ..Report::default() };
+                    let report = Report {
+                        utilisation: Some(0.1),
+                        waiting: Some(0.0),
+                        ..Report::default()
+                    };
                     self.module.report(self.now, engine, report);
                     self.module.probed(self.now, engine, End::Returned);
                 }
@@ -179,12 +208,19 @@
 
 fn resident_bytes() -> std::io::Result<f64> {
     let usage = super::process::Usage::of(std::process::id());
-    usage.map(|usage| usage.resident_bytes as f64).ok_or_else(|| std::io::Error::other("/proc can't be read"))
+    usage
+        .map(|usage| usage.resident_bytes as f64)
+        .ok_or_else(|| std::io::Error::other("/proc can't be read"))
 }
 
 /// Processor time of this thread.
 fn thread_seconds() -> std::io::Result<f64> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat")?;
-    let nanoseconds = text.split(' ').next().and_then(|word| word.parse::<f64>().ok());
-    nanoseconds.map(|n| n / 1e9).ok_or_else(|| std::io::Error::other("schedstat can't be read"))
+    let nanoseconds = text
+        .split(' ')
+        .next()
+        .and_then(|word| word.parse::<f64>().ok());
+    nanoseconds
+        .map(|n| n / 1e9)
+        .ok_or_else(|| std::io::Error::other("schedstat can't be read"))
 }
--- a/crates/scale/src/beside/http_client.rs
+++ b/crates/scale/src/beside/http_client.rs
@@ -53,27 +53,36 @@
     within: Duration,
 ) -> Result<Response<Bytes>, CallError> {
     let exchange = async {
-        let response =
-            connection.send_request(request).await.map_err(|e| CallError::CutShort(e.to_string()))?;
+        let response = connection
+            .send_request(request)
+            .await
+            .map_err(|e| CallError::CutShort(e.to_string()))?;
         let (head, body) = response.into_parts();
         let body = Limited::new(body, LONGEST_ANSWER).collect().await;
         let body = body.map_err(|cause| CallError::CutShort(cause.to_string()))?;
         Ok(Response::from_parts(head, body.to_bytes()))
     };
-    timeout(within, exchange).await.unwrap_or(Err(CallError::Silent))
+    timeout(within, exchange)
+        .await
+        .unwrap_or(Err(CallError::Silent))
 }
 
 /// A call without a body; its fields never fail to build.
 pub fn get(path: &'static str) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.uri_mut() = http::Uri::from_static(path);
-    request.headers_mut().insert(http::header::HOST, http::HeaderValue::from_static("gateway"));
+    request.headers_mut().insert(
+        http::header::HOST,
+        http::HeaderValue::from_static("gateway"),
+    );
     request
 }
 
 /// Whether a gateway says that it serves.
 pub async fn is_healthy(address: SocketAddr) -> bool {
-    let Ok(mut connection) = connect(address).await else { return false };
+    let Ok(mut connection) = connect(address).await else {
+        return false;
+    };
     let answer = call(&mut connection, get("/healthz"), HEALTH_WITHIN).await;
     answer.is_ok_and(|answer| answer.status() == StatusCode::OK)
 }
--- a/crates/scale/src/beside/judge.rs
+++ b/crates/scale/src/beside/judge.rs
@@ -32,7 +32,10 @@
         rule("one whole answer within its limit", index.answers()),
         rule("rows as an engine made them", index.rows()),
         rule("no effect twice", index.effects()),
-        rule("nothing new to an engine told draining or gone", index.drains()),
+        rule(
+            "nothing new to an engine told draining or gone",
+            index.drains(),
+        ),
         rule("one at a time for each key", index.order()),
         rule("nothing sent after the answer", index.after_answer()),
         rule("terminated gateways end cleanly", index.ends()),
@@ -42,12 +45,21 @@
 }
 
 fn rule(what: &'static str, violations: Vec<String>) -> Judgement {
-    let told = violations.iter().take(MOST_TOLD).cloned().collect::<Vec<_>>().join("; ");
+    let told = violations
+        .iter()
+        .take(MOST_TOLD)
+        .cloned()
+        .collect::<Vec<_>>()
+        .join("; ");
     let detail = match violations.len() {
         0 => "none broke it".to_string(),
         count => format!("{count} broke it: {told}"),
     };
-    Judgement { what, passed: violations.is_empty(), detail }
+    Judgement {
+        what,
+        passed: violations.is_empty(),
+        detail,
+    }
 }
 
 struct Index<'a> {
@@ -62,8 +74,16 @@
         for attempt in &facts.attempts {
             attempts.entry(attempt.query).or_default().push(attempt);
         }
-        let queries = facts.queries.iter().map(|query| (query.id, query)).collect();
-        Index { facts, attempts, queries }
+        let queries = facts
+            .queries
+            .iter()
+            .map(|query| (query.id, query))
+            .collect();
+        Index {
+            facts,
+            attempts,
+            queries,
+        }
     }
 
     fn attempts(&self, query: u64) -> &[&'a Attempt] {
@@ -73,7 +93,10 @@
     /// Whether the query's gateway was killed while the query was open.
     fn was_killed(&self, query: &Query) -> bool {
         let cut = |from: f64| query.sent <= from && from <= query.answered + SOCKET_ALLOWANCE;
-        self.facts.outages.iter().any(|o| o.killed && o.gateway == query.gateway && cut(o.from))
+        self.facts
+            .outages
+            .iter()
+            .any(|o| o.killed && o.gateway == query.gateway && cut(o.from))
     }
 
     /// A run in which nothing succeeded shows nothing.
@@ -81,7 +104,10 @@
         let succeeded = |query: &&Query| matches!(query.outcome, Outcome::Succeeded { .. });
         match self.facts.queries.iter().find(succeeded) {
             Some(_) => Vec::new(),
-            None => vec![format!("of {} queries none succeeded", self.facts.queries.len())],
+            None => vec![format!(
+                "of {} queries none succeeded",
+                self.facts.queries.len()
+            )],
         }
     }
 
@@ -96,12 +122,19 @@
                 Outcome::Succeeded { .. } | Outcome::Rejected | Outcome::Failed
                     if took > query.limit + SOCKET_ALLOWANCE =>
                 {
-                    Some(format!("{:016x} took {took:.3} s of {:.3} s", query.id, query.limit))
+                    Some(format!(
+                        "{:016x} took {took:.3} s of {:.3} s",
+                        query.id, query.limit
+                    ))
                 }
                 _ => None,
             }
         };
-        self.facts.queries.iter().filter_map(|query| fault(&query)).collect()
+        self.facts
+            .queries
+            .iter()
+            .filter_map(|query| fault(&query))
+            .collect()
     }
 
     fn rows(&self) -> Vec<String> {
@@ -113,12 +146,20 @@
             }
             _ => None,
         };
-        self.facts.queries.iter().filter_map(|query| fault(&query)).collect()
+        self.facts
+            .queries
+            .iter()
+            .filter_map(|query| fault(&query))
+            .collect()
     }
 
     fn effects(&self) -> Vec<String> {
         let fault = |query: &&Query| {
-            let ran = self.attempts(query.id).iter().filter(|attempt| !attempt.declined).count();
+            let ran = self
+                .attempts(query.id)
+                .iter()
+                .filter(|attempt| !attempt.declined)
+                .count();
             match (query.group, &query.outcome) {
                 (Group::Report, _) => None,
                 (Group::Load, Outcome::Rejected) if ran > 0 => {
@@ -128,14 +169,20 @@
                 (Group::Load, _) => None,
             }
         };
-        self.facts.queries.iter().filter_map(|query| fault(&query)).collect()
+        self.facts
+            .queries
+            .iter()
+            .filter_map(|query| fault(&query))
+            .collect()
     }
 
     /// When each gateway counts as told that an engine takes nothing new, the earliest notice of it.
     fn told(&self) -> HashMap<(EngineId, usize), f64> {
         let mut delivered: HashMap<(u64, usize), f64> = HashMap::new();
         for delivery in &self.facts.deliveries {
-            delivered.entry((delivery.number, delivery.gateway)).or_insert(delivery.at);
+            delivered
+                .entry((delivery.number, delivery.gateway))
+                .or_insert(delivery.at);
         }
         let mut told = HashMap::new();
         for notice in &self.facts.notices {
@@ -154,9 +201,15 @@
             let told = *told.get(&(attempt.engine, attempt.gateway))?;
             let late = attempt.came - told;
             let (gateway, engine) = (attempt.gateway, attempt.engine);
-            (late > 0.0).then(|| format!("gateway {gateway} sent to {engine} {late:.3} s after it was told"))
+            (late > 0.0).then(|| {
+                format!("gateway {gateway} sent to {engine} {late:.3} s after it was told")
+            })
         };
-        self.facts.attempts.iter().filter_map(|attempt| fault(&attempt)).collect()
+        self.facts
+            .attempts
+            .iter()
+            .filter_map(|attempt| fault(&attempt))
+            .collect()
     }
 
     fn order(&self) -> Vec<String> {
@@ -166,11 +219,16 @@
                 by_key.entry(key).or_default().push(query);
             }
         }
-        by_key.values().flat_map(|queries| self.order_of_key(queries)).collect()
+        by_key
+            .values()
+            .flat_map(|queries| self.order_of_key(queries))
+            .collect()
     }
 
     fn order_of_key(&self, queries: &[&Query]) -> Vec<String> {
-        let attempts = queries.iter().flat_map(|query| self.attempts(query.id).iter().map(|a| (*query, *a)));
+        let attempts = queries
+            .iter()
+            .flat_map(|query| self.attempts(query.id).iter().map(|a| (*query, *a)));
         let mut attempts: Vec<(&Query, &Attempt)> = attempts.filter(|(_, a)| !a.declined).collect();
         attempts.sort_by(|a, b| a.1.came.total_cmp(&b.1.came));
         let fault = |pair: &[(&Query, &Attempt)]| {
@@ -178,7 +236,10 @@
             let over = before.over.unwrap_or_else(|| before.unasked());
             let ids = format!("{:016x} and {:016x}", earlier.id, later.id);
             if after.came < over {
-                return Some(format!("{ids} of one key ran {:.3} s together", over - after.came));
+                return Some(format!(
+                    "{ids} of one key ran {:.3} s together",
+                    over - after.came
+                ));
             }
             (later.sent < earlier.sent).then(|| format!("{ids} of one key ran in the wrong order"))
         };
@@ -193,12 +254,22 @@
             (answered && late > ON_ITS_WAY)
                 .then(|| format!("{:016x} sent {late:.3} s after its answer", query.id))
         };
-        self.facts.attempts.iter().filter_map(|attempt| fault(&attempt)).collect()
+        self.facts
+            .attempts
+            .iter()
+            .filter_map(|attempt| fault(&attempt))
+            .collect()
     }
 
     fn ends(&self) -> Vec<String> {
-        let unclean = self.facts.outages.iter().filter(|outage| !outage.killed && !outage.clean);
-        unclean.map(|outage| format!("gateway {} did not end with 0", outage.gateway)).collect()
+        let unclean = self
+            .facts
+            .outages
+            .iter()
+            .filter(|outage| !outage.killed && !outage.clean);
+        unclean
+            .map(|outage| format!("gateway {} did not end with 0", outage.gateway))
+            .collect()
     }
 }
 
@@ -212,15 +283,39 @@
     let measured = Measured::new(facts);
     let whole = |bound: Option<usize>| bound.map(|n| n as f64);
     let bounds = [
-        ("attempts at the busiest engine over the mean", measured.max_over_mean, expect.spread_max_over_mean),
-        ("engines a gateway meets", measured.engines_a_gateway, whole(expect.engines_a_gateway)),
-        ("gateways an engine meets", measured.gateways_an_engine, whole(expect.gateways_an_engine)),
-        ("ms until 99 in 100 watchers see a change", measured.change_seen_ms, expect.change_seen_ms),
-        ("ms until a gateway is ready", measured.ready_ms, expect.ready_ms),
+        (
+            "attempts at the busiest engine over the mean",
+            measured.max_over_mean,
+            expect.spread_max_over_mean,
+        ),
+        (
+            "engines a gateway meets",
+            measured.engines_a_gateway,
+            whole(expect.engines_a_gateway),
+        ),
+        (
+            "gateways an engine meets",
+            measured.gateways_an_engine,
+            whole(expect.gateways_an_engine),
+        ),
+        (
+            "ms until 99 in 100 watchers see a change",
+            measured.change_seen_ms,
+            expect.change_seen_ms,
+        ),
+        (
+            "ms until a gateway is ready",
+            measured.ready_ms,
+            expect.ready_ms,
+        ),
     ];
     let at_most = bounds.into_iter().filter_map(|(what, found, most)| {
         let most = most?;
-        Some(Judgement { what, passed: found <= most, detail: format!("{found:.2}, at most {most}") })
+        Some(Judgement {
+            what,
+            passed: found <= most,
+            detail: format!("{found:.2}, at most {most}"),
+        })
     });
     let share = expect.succeeded_share.map(|least| Judgement {
         what: "share of queries that succeed",
@@ -260,14 +355,20 @@
             holders[*slot] += 1;
         }
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
-        let busiest = (0..loads.len()).max_by(|a, b| loads[*a].total_cmp(&loads[*b])).unwrap_or(0);
+        let busiest = (0..loads.len())
+            .max_by(|a, b| loads[*a].total_cmp(&loads[*b]))
+            .unwrap_or(0);
         let engines_used = loads.iter().filter(|load| **load > 0.0).count();
         loads.sort_by(f64::total_cmp);
-        let over_mean =
-            |part: f64| quantile(&loads, part).map_or(0.0, |load| load / mean.max(f64::MIN_POSITIVE));
+        let over_mean = |part: f64| {
+            quantile(&loads, part).map_or(0.0, |load| load / mean.max(f64::MIN_POSITIVE))
+        };
         let succeeded = |query: &&Query| matches!(query.outcome, Outcome::Succeeded { .. });
         let succeeded = facts.queries.iter().filter(succeeded).count() as f64;
-        let seen = facts.changes.iter().map(|change| 1000.0 * seen_by_99_in_100(change, facts.watchers));
+        let seen = facts
+            .changes
+            .iter()
+            .map(|change| 1000.0 * seen_by_99_in_100(change, facts.watchers));
         Measured {
             max_over_mean: over_mean(1.0),
             p99_over_mean: over_mean(0.99),
