--- a/crates/scale/src/beside/mod.rs
+++ b/crates/scale/src/beside/mod.rs
@@ -83,15 +83,24 @@
 pub fn run(arguments: &BesideRun) -> Verdict {
     let mut experiment = Experiment::read(&arguments.run.experiment)?;
     experiment.seed = arguments.run.seed.unwrap_or(experiment.seed);
-    let binary = match arguments.gateway_binary.clone().or_else(|| experiment.gateway_binary.clone()) {
+    let binary = match arguments
+        .gateway_binary
+        .clone()
+        .or_else(|| experiment.gateway_binary.clone())
+    {
         Some(binary) => binary,
         None => std::env::current_exe()?.with_file_name("garnetwall"),
     };
     let mut folder = Scratch::new()?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(WORKERS)
+        .enable_all()
+        .build()?;
     let findings = runtime.block_on(bounded(experiment, binary, folder.path.clone()));
     // Its message names a log in there.
-    folder.keep = findings.as_ref().is_err_and(|error| error.is::<GatewayError>());
+    folder.keep = findings
+        .as_ref()
+        .is_err_and(|error| error.is::<GatewayError>());
     let findings = findings?;
     report::print_figures(&findings.figures);
     if let Some(file) = &arguments.run.results {
@@ -159,10 +168,18 @@
     judgements.extend(sweeps::judge(&swept));
     figures.extend(fit::slopes(&swept));
     figures.extend(swept);
-    Ok(Findings { figures, judgements })
+    Ok(Findings {
+        figures,
+        judgements,
+    })
 }
 
-async fn play_run(experiment: &Experiment, binary: &Path, folder: &Path, started: &Started) -> Found {
+async fn play_run(
+    experiment: &Experiment,
+    binary: &Path,
+    folder: &Path,
+    started: &Started,
+) -> Found {
     let recorder = Recorder::new(Facts {
         gateways: experiment.gateways,
         watchers: experiment.watchers,
@@ -171,7 +188,13 @@
     });
     let slips = |slip| experiment.slip == Some(slip);
     let (count, gateways) = (experiment.engines, experiment.gateways);
-    let engines = Engines::start(count, gateways, recorder.clone(), slips(Slip::UnevenEngines)).await?;
+    let engines = Engines::start(
+        count,
+        gateways,
+        recorder.clone(),
+        slips(Slip::UnevenEngines),
+    )
+    .await?;
     let log_slips = LogSlips {
         withhold_drains_from: slips(Slip::DrainWithheld).then_some(0),
         slow: slips(Slip::SlowLog),
@@ -179,17 +202,34 @@
     let roster = Roster::new(count, experiment.zones);
     let log = ChangeLog::start(roster, engines.ports.clone(), recorder.clone(), log_slips)?;
     let kills = slips(Slip::KilledDrain);
-    let gateways = Arc::new(Gateways::new(experiment, binary.into(), folder, recorder.clone(), kills));
-    started.lock().unwrap_or_else(PoisonError::into_inner).push(gateways.clone());
-    let watchers =
-        Watchers::start(experiment.watchers, address_for_watchers(log.port), log.last(), &recorder).await;
+    let gateways = Arc::new(Gateways::new(
+        experiment,
+        binary.into(),
+        folder,
+        recorder.clone(),
+        kills,
+    ));
+    started
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .push(gateways.clone());
+    let watchers = Watchers::start(
+        experiment.watchers,
+        address_for_watchers(log.port),
+        log.last(),
+        &recorder,
+    )
+    .await;
     let stage = Arc::new(Stage::new(log, engines, gateways.clone(), experiment.seed));
     let played = play_stage(experiment, &stage, &watchers, &recorder).await;
     gateways.stop().await;
     let mut figures = played?;
     let facts = recorder.facts();
     figures.extend(figures_of(&facts));
-    Ok(Findings { figures, judgements: judge::judge(&facts, &experiment.expect) })
+    Ok(Findings {
+        figures,
+        judgements: judge::judge(&facts, &experiment.expect),
+    })
 }
 
 /// Starts the gateways, plays clients and events, and measures the gateways before they end.
@@ -212,8 +252,10 @@
     let ports = stage.engines.ports.clone();
     let clients = Clients::new(experiment, stage.gateways.clone(), ports, recorder.clone());
     let playing = async {
-        let (played, ()) =
-            tokio::join!(script::play(stage.clone(), experiment.events.clone()), clients.run());
+        let (played, ()) = tokio::join!(
+            script::play(stage.clone(), experiment.events.clone()),
+            clients.run()
+        );
         played
     };
     let mut peaks = vec![Peak::default(); experiment.gateways];
@@ -224,8 +266,18 @@
     sleep(LAST_LOOK).await;
     let mut figures = gateway_figures(stage, &peaks, recorder.now() - measured_from).await;
     let log_seconds = stage.log.processor_seconds();
-    figures.push(Figure::new("run", 0.0, "log_processor_seconds", log_seconds));
-    figures.push(Figure::new("run", 0.0, "watchers_connected", watchers.connected() as f64));
+    figures.push(Figure::new(
+        "run",
+        0.0,
+        "log_processor_seconds",
+        log_seconds,
+    ));
+    figures.push(Figure::new(
+        "run",
+        0.0,
+        "watchers_connected",
+        watchers.connected() as f64,
+    ));
     figures.extend(prediction::figures(experiment, &figures, recorder)?);
     Ok(figures)
 }
--- a/crates/scale/src/beside/prediction.rs
+++ b/crates/scale/src/beside/prediction.rs
@@ -9,8 +9,8 @@
 use super::roster::Roster;
 use garnetwall_settings::{decode, Flat};
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, Subset, SubsetError,
-    SubsetSettings,
+    Action, Catalog, Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, Subset,
+    SubsetError, SubsetSettings,
 };
 
 /// The defaults of the gateways' `subset` block.
@@ -55,21 +55,42 @@
             _ => continue,
         };
         let name = format!("{}_over_hollow", figure.name);
-        figures.push(Figure::new("gateway", figure.at, &name, figure.value / predicted));
+        figures.push(Figure::new(
+            "gateway",
+            figure.at,
+            &name,
+            figure.value / predicted,
+        ));
     }
     Ok(figures)
 }
 
 /// Engines that hollow gateways of the same names hold, and the real ones' engines over that.
 fn members_met(experiment: &Experiment, recorder: &Recorder) -> Result<Vec<Figure>, SubsetError> {
-    let Some(size) = experiment.subset_size else { return Ok(Vec::new()) };
+    let Some(size) = experiment.subset_size else {
+        return Ok(Vec::new());
+    };
     let mut figures = Vec::new();
     for gateway in 0..experiment.gateways {
         let members = members(experiment, gateway, size)? as f64;
-        let met = recorder.facts().met.get(&gateway).map_or(0, |engines| engines.len()) as f64;
-        figures.push(Figure::new("gateway", gateway as f64, "predicted_members", members));
+        let met = recorder
+            .facts()
+            .met
+            .get(&gateway)
+            .map_or(0, |engines| engines.len()) as f64;
+        figures.push(Figure::new(
+            "gateway",
+            gateway as f64,
+            "predicted_members",
+            members,
+        ));
         figures.push(Figure::new("gateway", gateway as f64, "engines_met", met));
-        figures.push(Figure::new("gateway", gateway as f64, "met_over_predicted", met / members));
+        figures.push(Figure::new(
+            "gateway",
+            gateway as f64,
+            "met_over_predicted",
+            met / members,
+        ));
     }
     Ok(figures)
 }
@@ -112,6 +133,9 @@
         cores: CORES,
         condition: Condition::Ready,
     };
-    let line = |slot| EngineLine { id: roster.engine(slot).to_string(), facts: facts(slot) };
+    let line = |slot| EngineLine {
+        id: roster.engine(slot).to_string(),
+        facts: facts(slot),
+    };
     (0..experiment.engines).map(line).collect()
 }
--- a/crates/scale/src/beside/process.rs
+++ b/crates/scale/src/beside/process.rs
@@ -26,7 +26,11 @@
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
         let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count();
         let processor_seconds = processor_seconds(&stat)?;
-        Some(Usage { resident_bytes: resident_bytes(&status)?, processor_seconds, descriptors })
+        Some(Usage {
+            resident_bytes: resident_bytes(&status)?,
+            processor_seconds,
+            descriptors,
+        })
     }
 }
 
@@ -38,7 +42,9 @@
 }
 
 fn resident_bytes(status: &str) -> Option<u64> {
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kilobytes: u64 = line.split_whitespace().next()?.parse().ok()?;
     Some(kilobytes << 10)
 }
--- a/crates/scale/src/beside/report.rs
+++ b/crates/scale/src/beside/report.rs
@@ -18,7 +18,12 @@
 
 impl Figure {
     pub fn new(of: &str, at: f64, name: &str, value: f64) -> Figure {
-        Figure { of: of.into(), at, name: name.into(), value }
+        Figure {
+            of: of.into(),
+            at,
+            name: name.into(),
+            value,
+        }
     }
 }
 
@@ -33,17 +38,31 @@
 
 /// Prints figures, one a line.
 pub fn print_figures(figures: &[Figure]) {
-    for Figure { of, at, name, value } in figures {
+    for Figure {
+        of,
+        at,
+        name,
+        value,
+    } in figures
+    {
         println!("{of:<20} {at:>8} {name:<62} {value:>18.7}");
     }
 }
 
 /// Prints what was judged, with the count alone on the last line; whether all passed.
 pub fn print_judgements(judgements: &[Judgement]) -> bool {
-    for Judgement { what, passed, detail } in judgements {
+    for Judgement {
+        what,
+        passed,
+        detail,
+    } in judgements
+    {
         println!("{} {what}: {detail}", if *passed { "pass" } else { "FAIL" });
     }
-    let passed = judgements.iter().filter(|judgement| judgement.passed).count();
+    let passed = judgements
+        .iter()
+        .filter(|judgement| judgement.passed)
+        .count();
     println!("{passed} passed, {} failed", judgements.len() - passed);
     passed == judgements.len()
 }
--- a/crates/scale/src/beside/roster.rs
+++ b/crates/scale/src/beside/roster.rs
@@ -32,7 +32,9 @@
 /// The slot of an address.
 pub fn slot(address: IpAddr) -> Option<usize> {
     match address.to_canonical() {
-        IpAddr::V4(address) => u32::from(address).checked_sub(FIRST_ADDRESS).map(|n| n as usize),
+        IpAddr::V4(address) => u32::from(address)
+            .checked_sub(FIRST_ADDRESS)
+            .map(|n| n as usize),
         IpAddr::V6(_) => None,
     }
 }
@@ -72,8 +74,16 @@
 
 impl Roster {
     pub fn new(engines: usize, zones: usize) -> Roster {
-        let slot = Slot { generation: 0, state: State::Serving, weight: 1, started_ms: 0 };
-        Roster { slots: vec![slot; engines], zones }
+        let slot = Slot {
+            generation: 0,
+            state: State::Serving,
+            weight: 1,
+            started_ms: 0,
+        };
+        Roster {
+            slots: vec![slot; engines],
+            zones,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -89,7 +99,10 @@
     }
 
     pub fn engine(&self, slot: usize) -> EngineId {
-        EngineId { slot, generation: self.slots[slot].generation }
+        EngineId {
+            slot,
+            generation: self.slots[slot].generation,
+        }
     }
 
     pub fn state(&self, slot: usize) -> State {
@@ -98,11 +111,15 @@
 
     /// Slots whose engine serves.
     pub fn serving(&self) -> Vec<usize> {
-        (0..self.slots.len()).filter(|slot| self.slots[*slot].state == State::Serving).collect()
+        (0..self.slots.len())
+            .filter(|slot| self.slots[*slot].state == State::Serving)
+            .collect()
     }
 
     pub fn in_zone(&self, zone: usize) -> Vec<usize> {
-        (0..self.slots.len()).filter(|slot| self.zone(*slot) == zone).collect()
+        (0..self.slots.len())
+            .filter(|slot| self.zone(*slot) == zone)
+            .collect()
     }
 
     pub fn set_state(&mut self, slot: usize, state: State) {
@@ -112,7 +129,8 @@
     /// Another engine at the same address.
     pub fn replace(&mut self, slot: usize, started_ms: u64) {
         let slot = &mut self.slots[slot];
-        (slot.generation, slot.state, slot.started_ms) = (slot.generation + 1, State::Serving, started_ms);
+        (slot.generation, slot.state, slot.started_ms) =
+            (slot.generation + 1, State::Serving, started_ms);
     }
 
     /// A change that matters to nobody.
--- a/crates/scale/src/beside/script.rs
+++ b/crates/scale/src/beside/script.rs
@@ -44,7 +44,12 @@
 
 impl Stage {
     pub fn new(log: ChangeLog, engines: Arc<Engines>, gateways: Arc<Gateways>, seed: u64) -> Stage {
-        Stage { log, engines, gateways, random: Mutex::new(SmallRng::seed_from_u64(seed)) }
+        Stage {
+            log,
+            engines,
+            gateways,
+            random: Mutex::new(SmallRng::seed_from_u64(seed)),
+        }
     }
 
     async fn play(&self, what: Happening) -> Result<(), GatewayError> {
@@ -52,7 +57,9 @@
             Happening::EnginesKilled { count, told_after } => {
                 let slots = self.kill(count);
                 pause(told_after).await;
-                self.tell(&slots, |roster, slot| roster.set_state(slot, State::Deleted));
+                self.tell(&slots, |roster, slot| {
+                    roster.set_state(slot, State::Deleted)
+                });
             }
             Happening::EnginesDrained { count, gone_after } => self.drain(count, gone_after).await,
             Happening::EnginesReplaced { count } => {
@@ -66,9 +73,13 @@
             }
             Happening::ZoneLost { zone, told_after } => {
                 let slots = self.log.roster().in_zone(zone);
-                slots.iter().for_each(|slot| self.engines.set_health(*slot, Health::Silent));
+                slots
+                    .iter()
+                    .for_each(|slot| self.engines.set_health(*slot, Health::Silent));
                 pause(told_after).await;
-                self.tell(&slots, |roster, slot| roster.set_state(slot, State::Deleted));
+                self.tell(&slots, |roster, slot| {
+                    roster.set_state(slot, State::Deleted)
+                });
             }
             Happening::ZoneBack { zone } => {
                 let slots = self.log.roster().in_zone(zone);
@@ -106,16 +117,25 @@
 
     async fn drain(&self, count: usize, gone_after: f64) {
         let slots = self.draw(count);
-        self.tell(&slots, |roster, slot| roster.set_state(slot, State::Draining));
+        self.tell(&slots, |roster, slot| {
+            roster.set_state(slot, State::Draining)
+        });
         pause(gone_after).await;
         slots.iter().for_each(|slot| self.engines.kill(*slot));
-        self.tell(&slots, |roster, slot| roster.set_state(slot, State::Deleted));
+        self.tell(&slots, |roster, slot| {
+            roster.set_state(slot, State::Deleted)
+        });
     }
 
     /// Others come up at these addresses; the old ones are told gone in the same event.
     fn come_back(&self, slots: &[usize]) {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        slots.iter().for_each(|slot| self.engines.set_health(*slot, Health::Up));
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
+        slots
+            .iter()
+            .for_each(|slot| self.engines.set_health(*slot, Health::Up));
         self.log.change(|roster| {
             let come_back = |slot: &usize| replacement(roster, *slot, now);
             slots.iter().flat_map(come_back).collect()
--- a/crates/scale/src/beside/watchers.rs
+++ b/crates/scale/src/beside/watchers.rs
@@ -33,7 +33,13 @@
         for number in 0..count {
             let random = SmallRng::seed_from_u64(number as u64);
             let (recorder, connected) = (recorder.clone(), connected.clone());
-            let watcher = Watcher { log, last, recorder, connected, random };
+            let watcher = Watcher {
+                log,
+                last,
+                recorder,
+                connected,
+                random,
+            };
             tokio::spawn(watcher.follow());
             if number % AT_A_TIME == AT_A_TIME - 1 {
                 sleep(NEXT_LOT).await;
@@ -69,11 +75,17 @@
     }
 
     async fn one_connection(&mut self) -> Result<(), String> {
-        let mut connection = super::http_client::connect(self.log).await.map_err(|e| e.to_string())?;
+        let mut connection = super::http_client::connect(self.log)
+            .await
+            .map_err(|e| e.to_string())?;
         let mut request = super::http_client::get("/changes");
-        request.headers_mut().insert("last-event-id", http::HeaderValue::from(self.last));
+        request
+            .headers_mut()
+            .insert("last-event-id", http::HeaderValue::from(self.last));
         let answer = timeout(SILENT, connection.send_request(request)).await;
-        let response = answer.map_err(|_| "no answer")?.map_err(|e| e.to_string())?;
+        let response = answer
+            .map_err(|_| "no answer")?
+            .map_err(|e| e.to_string())?;
         self.connected.fetch_add(1, Ordering::Relaxed);
         let end = self.read(response.into_body()).await;
         self.connected.fetch_sub(1, Ordering::Relaxed);
@@ -85,7 +97,9 @@
         loop {
             let frame = timeout(SILENT, body.frame()).await.map_err(|_| "silent")?;
             let Some(frame) = frame else { return Ok(()) };
-            let Ok(bytes) = frame.map_err(|e| e.to_string())?.into_data() else { continue };
+            let Ok(bytes) = frame.map_err(|e| e.to_string())?.into_data() else {
+                continue;
+            };
             for number in lines.feed(&bytes) {
                 self.saw(number);
             }
@@ -96,7 +110,12 @@
         let now = self.recorder.now();
         let mut facts = self.recorder.facts();
         // One event of the whole list brings all changes up to its number.
-        for change in facts.changes.iter_mut().rev().take_while(|change| change.number > self.last) {
+        for change in facts
+            .changes
+            .iter_mut()
+            .rev()
+            .take_while(|change| change.number > self.last)
+        {
             if change.number <= number {
                 change.seconds.push(now - change.appended);
             }
@@ -132,7 +151,9 @@
         if line.is_empty() {
             return self.number.take();
         }
-        let number = line.strip_prefix(b"id: ").and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
+        let number = line
+            .strip_prefix(b"id: ")
+            .and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
         self.number = number.or(self.number);
         None
     }
--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -48,7 +48,10 @@
             }
             self.started[line.engine] = line.started;
         }
-        let catalog_line = |line: &ToldLine| EngineLine { id: engine_id(line.engine), facts: line.facts };
+        let catalog_line = |line: &ToldLine| EngineLine {
+            id: engine_id(line.engine),
+            facts: line.facts,
+        };
         let catalog_lines: Vec<EngineLine> = lines.iter().map(catalog_line).collect();
         let changes = self.catalog.apply(&catalog_lines, false);
         for line in lines {
@@ -86,9 +89,16 @@
     pub fn new(lines: &[ToldLine]) -> ChangeLog {
         let mut list = ListState::default();
         list.apply(lines);
-        let first =
-            Entry { changes: Vec::new(), restarted: Vec::new(), list: Rc::new(list), configuration: 0 };
-        ChangeLog { entries: vec![first], pending: BTreeMap::new() }
+        let first = Entry {
+            changes: Vec::new(),
+            restarted: Vec::new(),
+            list: Rc::new(list),
+            configuration: 0,
+        };
+        ChangeLog {
+            entries: vec![first],
+            pending: BTreeMap::new(),
+        }
     }
 
     pub fn latest(&self) -> usize {
@@ -112,7 +122,12 @@
         let before = &self.entries[self.latest()];
         let (mut list, configuration) = (ListState::clone(&before.list), before.configuration);
         let (changes, restarted) = list.apply(&lines);
-        self.entries.push(Entry { changes, restarted, list: Rc::new(list), configuration });
+        self.entries.push(Entry {
+            changes,
+            restarted,
+            list: Rc::new(list),
+            configuration,
+        });
         lines
     }
 
--- a/crates/scale/src/fleet/clients.rs
+++ b/crates/scale/src/fleet/clients.rs
@@ -49,8 +49,17 @@
             Some(*sum)
         };
         Demand {
-            shares: experiment.classes.iter().map(|class| class.share).scan(0.0, cumulative).collect(),
-            work: experiment.classes.iter().map(|class| class.work / unscaled * mean_work).collect(),
+            shares: experiment
+                .classes
+                .iter()
+                .map(|class| class.share)
+                .scan(0.0, cumulative)
+                .collect(),
+            work: experiment
+                .classes
+                .iter()
+                .map(|class| class.work / unscaled * mean_work)
+                .collect(),
             keys: experiment.classes.iter().map(|class| class.keys).collect(),
             mean_work,
         }
@@ -59,7 +68,11 @@
 
 impl Clients {
     pub fn new(seed: u64, gateway: usize, rate: f64) -> Clients {
-        Clients { random: SmallRng::seed_from_u64(seed), gateway: gateway as u64, rate }
+        Clients {
+            random: SmallRng::seed_from_u64(seed),
+            gateway: gateway as u64,
+            rate,
+        }
     }
 
     /// When the next query comes.
@@ -70,11 +83,16 @@
 
     pub fn query(&mut self, demand: &Demand) -> Query {
         let drawn: f64 = self.random.random();
-        let class = demand.shares.iter().position(|share| drawn < *share).unwrap_or(demand.shares.len() - 1);
+        let class = demand
+            .shares
+            .iter()
+            .position(|share| drawn < *share)
+            .unwrap_or(demand.shares.len() - 1);
         let spread: f64 = Exp1.sample(&mut self.random);
         let work = demand.work[class] * (WORK_FIXED + (1.0 - WORK_FIXED) * spread);
         let keys = demand.keys[class];
-        let key = (keys > 0).then(|| self.gateway * KEYS_PER_GATEWAY + self.random.random_range(0..keys));
+        let key =
+            (keys > 0).then(|| self.gateway * KEYS_PER_GATEWAY + self.random.random_range(0..keys));
         Query { class, work, key }
     }
 }
@@ -82,8 +100,17 @@
 /// Rates of all gateways: a share of them gets several times what the others get.
 pub fn rates(experiment: &Experiment, random: &mut SmallRng) -> Vec<f64> {
     let gateways = &experiment.gateways;
-    let weight = |_| if random.random::<f64>() < gateways.busy_share { gateways.busy_times } else { 1.0 };
+    let weight = |_| {
+        if random.random::<f64>() < gateways.busy_share {
+            gateways.busy_times
+        } else {
+            1.0
+        }
+    };
     let weights: Vec<f64> = (0..gateways.count).map(weight).collect();
     let mean = weights.iter().sum::<f64>() / gateways.count as f64;
-    weights.into_iter().map(|weight| gateways.rate * weight / mean).collect()
+    weights
+        .into_iter()
+        .map(|weight| gateways.rate * weight / mean)
+        .collect()
 }
--- a/crates/scale/src/fleet/cold.rs
+++ b/crates/scale/src/fleet/cold.rs
@@ -37,15 +37,25 @@
 
     /// Takes in one attempt, and sums the window that ends with it.
     pub fn add(&mut self, cold: &Cold, mean_work: f64, attempt: ColdWork) -> WindowSum {
-        while self.attempts.front().is_some_and(|first| attempt.at.since(first.at) >= cold.window) {
+        while self
+            .attempts
+            .front()
+            .is_some_and(|first| attempt.at.since(first.at) >= cold.window)
+        {
             self.attempts.pop_front();
         }
         self.attempts.push_back(attempt);
         let sum = |told_only: bool| {
-            let counted = self.attempts.iter().filter(|attempt| attempt.told || !told_only);
+            let counted = self
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.told || !told_only);
             counted.map(|attempt| attempt.work).sum::<f64>() / mean_work
         };
-        WindowSum { all: sum(false), told: sum(true) }
+        WindowSum {
+            all: sum(false),
+            told: sum(true),
+        }
     }
 }
 
--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -82,7 +82,9 @@
     }
 
     fn cold_age(&self, cold: &Cold, now: SimTime) -> Option<f64> {
-        self.started.map(|started| now.since(started)).filter(|age| *age < cold.warm_after)
+        self.started
+            .map(|started| now.since(started))
+            .filter(|age| *age < cold.warm_after)
     }
 
     pub fn able_cores(&self, cold: &Cold, now: SimTime) -> f64 {
@@ -124,9 +126,21 @@
         if self.cold_age(cold, now).is_none() {
             return (done_at, Received::Runs);
         }
-        let sum = self.window.add(cold, mean_work, ColdWork { at: now, work, told: true });
+        let sum = self.window.add(
+            cold,
+            mean_work,
+            ColdWork {
+                at: now,
+                work,
+                told: true,
+            },
+        );
         let most = cold::most(cold::budget(cold, self.site.cores, mean_work));
-        let received = if sum.all > most { Received::Fell } else { Received::Runs };
+        let received = if sum.all > most {
+            Received::Fell
+        } else {
+            Received::Runs
+        };
         (done_at, received)
     }
 
@@ -141,7 +155,11 @@
         self.advance(cold, now);
         let done = (self.progress * PROGRESS_UNITS) as u64 + DONE_WITHIN;
         let mut finished = Vec::new();
-        while self.running.first().is_some_and(|(done_at, _)| *done_at <= done) {
+        while self
+            .running
+            .first()
+            .is_some_and(|(done_at, _)| *done_at <= done)
+        {
             finished.extend(self.running.pop_first().map(|(_, key)| key));
         }
         finished
@@ -152,7 +170,11 @@
         let speed = self.speed(cold, now);
         let (done_at, _) = self.running.first().filter(|_| speed > 0.0)?;
         let left = (*done_at as f64 / PROGRESS_UNITS - self.progress).max(0.0) / speed;
-        let most = if self.cold_age(cold, now).is_some() { WARMING_STEP } else { f64::INFINITY };
+        let most = if self.cold_age(cold, now).is_some() {
+            WARMING_STEP
+        } else {
+            f64::INFINITY
+        };
         Some(now.after(left.min(most)))
     }
 
@@ -160,7 +182,10 @@
     pub fn stop(&mut self, cold: &Cold, now: SimTime, state: EngineState) -> Vec<AttemptKey> {
         self.advance(cold, now);
         self.state = state;
-        std::mem::take(&mut self.running).into_iter().map(|(_, key)| key).collect()
+        std::mem::take(&mut self.running)
+            .into_iter()
+            .map(|(_, key)| key)
+            .collect()
     }
 
     /// Starts a process anew, cold.
--- a/crates/scale/src/fleet/engine/tests.rs
+++ b/crates/scale/src/fleet/engine/tests.rs
@@ -2,12 +2,27 @@
 use crate::fleet::experiment::Cold;
 use crate::fleet::time::SimTime;
 
-const COLD: Cold = Cold { starts_at: 0.5, warm_after: 10.0, multiple: 3.0, window: 2.0 };
-const SITE: Site = Site { zone: 0, rack: 0, kind: 0, cores: 2.0 };
+const COLD: Cold = Cold {
+    starts_at: 0.5,
+    warm_after: 10.0,
+    multiple: 3.0,
+    window: 2.0,
+};
+const SITE: Site = Site {
+    zone: 0,
+    rack: 0,
+    kind: 0,
+    cores: 2.0,
+};
 const MEAN_WORK: f64 = 1.0;
 
 fn key(query: u32) -> AttemptKey {
-    AttemptKey { gateway: 0, life: 1, query, attempt: 0 }
+    AttemptKey {
+        gateway: 0,
+        life: 1,
+        query,
+        attempt: 0,
+    }
 }
 
 fn at(seconds: f64) -> SimTime {
@@ -72,5 +87,11 @@
     assert_eq!(engine.stop(&COLD, at(1.0), EngineState::Down), vec![key(0)]);
     assert!(!engine.reachable());
     engine.start(at(4.0));
-    assert_eq!((engine.able_cores(&COLD, at(4.0)), engine.able_cores(&COLD, at(14.0))), (1.0, 2.0));
+    assert_eq!(
+        (
+            engine.able_cores(&COLD, at(4.0)),
+            engine.able_cores(&COLD, at(14.0))
+        ),
+        (1.0, 2.0)
+    );
 }
--- a/crates/scale/src/fleet/event_queue.rs
+++ b/crates/scale/src/fleet/event_queue.rs
@@ -17,17 +17,26 @@
 
 impl<E> EventQueue<E> {
     pub fn new() -> Self {
-        EventQueue { heap: BinaryHeap::new(), next_sequence: 0 }
+        EventQueue {
+            heap: BinaryHeap::new(),
+            next_sequence: 0,
+        }
     }
 
     pub fn push(&mut self, at: SimTime, event: E) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.heap.push(Reverse(Scheduled { at, sequence, event }));
+        self.heap.push(Reverse(Scheduled {
+            at,
+            sequence,
+            event,
+        }));
     }
 
     pub fn pop(&mut self) -> Option<(SimTime, E)> {
-        self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
+        self.heap
+            .pop()
+            .map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 
     /// Events pushed so far.
--- a/crates/scale/src/fleet/event_queue/tests.rs
+++ b/crates/scale/src/fleet/event_queue/tests.rs
@@ -7,6 +7,8 @@
     for (seconds, name) in [(2.0, 'c'), (1.0, 'a'), (2.0, 'd'), (1.0, 'b')] {
         queue.push(SimTime::from_seconds(seconds), name);
     }
-    let popped: String = std::iter::from_fn(|| queue.pop()).map(|(_, name)| name).collect();
+    let popped: String = std::iter::from_fn(|| queue.pop())
+        .map(|(_, name)| name)
+        .collect();
     assert_eq!((popped.as_str(), queue.pushed()), ("abcd", 4));
 }
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -186,18 +186,34 @@
 #[derive(Debug, Error)]
 pub enum ExperimentError {
     #[error("{path}: {cause}; name a readable TOML file")]
-    Unreadable { path: PathBuf, cause: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        cause: std::io::Error,
+    },
     #[error("{path}: {cause}")]
-    Malformed { path: PathBuf, cause: Box<toml::de::Error> },
+    Malformed {
+        path: PathBuf,
+        cause: Box<toml::de::Error>,
+    },
     #[error("{place}: {found} is out of range; {remedy}")]
-    OutOfRange { place: String, found: String, remedy: &'static str },
+    OutOfRange {
+        place: String,
+        found: String,
+        remedy: &'static str,
+    },
 }
 
 impl Experiment {
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
-        let unreadable = |cause| ExperimentError::Unreadable { path: path.into(), cause };
+        let unreadable = |cause| ExperimentError::Unreadable {
+            path: path.into(),
+            cause,
+        };
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
-        let malformed = |cause| ExperimentError::Malformed { path: path.into(), cause: Box::new(cause) };
+        let malformed = |cause| ExperimentError::Malformed {
+            path: path.into(),
+            cause: Box::new(cause),
+        };
         let experiment: Experiment = toml::from_str(&text).map_err(malformed)?;
         experiment.check()?;
         Ok(experiment)
@@ -207,14 +223,29 @@
         let (gateways, engines) = (&self.gateways, &self.engines);
         within("seconds", self.seconds, 0.1, MOST_SECONDS)?;
         within("settle", self.settle, 0.0, self.seconds)?;
-        within("gateways.count", gateways.count as f64, 1.0, MOST_GATEWAYS as f64)?;
+        within(
+            "gateways.count",
+            gateways.count as f64,
+            1.0,
+            MOST_GATEWAYS as f64,
+        )?;
         within("gateways.rate", gateways.rate, 0.01, 1e5)?;
         within("gateways.real_rate", gateways.real_rate, gateways.rate, 1e6)?;
         within("gateways.busy_share", gateways.busy_share, 0.0, 1.0)?;
         within("gateways.busy_times", gateways.busy_times, 1.0, 1e3)?;
-        within("engines.count", engines.count as f64, 1.0, MOST_ENGINES as f64)?;
+        within(
+            "engines.count",
+            engines.count as f64,
+            1.0,
+            MOST_ENGINES as f64,
+        )?;
         within("engines.utilisation", engines.utilisation, 0.001, 10.0)?;
-        within("engines.kind_cores, entries", engines.kind_cores.len() as f64, 1.0, 64.0)?;
+        within(
+            "engines.kind_cores, entries",
+            engines.kind_cores.len() as f64,
+            1.0,
+            64.0,
+        )?;
         for cores in &engines.kind_cores {
             within("engines.kind_cores", *cores, 0.5, 1e4)?;
         }
@@ -234,16 +265,48 @@
         within("cold.multiple", self.cold.multiple, 0.1, 100.0)?;
         within("cold.window", self.cold.window, 0.1, MOST_SECONDS)?;
         within("retries.window", self.retries.window, 0.1, MOST_SECONDS)?;
-        within("topology.zones", self.topology.zones as f64, 1.0, engines.count as f64)?;
-        within("topology.regions", self.topology.regions as f64, 1.0, self.topology.zones as f64)?;
-        within("topology.racks_per_zone", self.topology.racks_per_zone as f64, 1.0, 1e4)?;
+        within(
+            "topology.zones",
+            self.topology.zones as f64,
+            1.0,
+            engines.count as f64,
+        )?;
+        within(
+            "topology.regions",
+            self.topology.regions as f64,
+            1.0,
+            self.topology.zones as f64,
+        )?;
+        within(
+            "topology.racks_per_zone",
+            self.topology.racks_per_zone as f64,
+            1.0,
+            1e4,
+        )?;
         within("classes, entries", self.classes.len() as f64, 1.0, 64.0)?;
         for class in &self.classes {
-            within(&format!("classes, {}: share", class.name), class.share, 1e-6, 1e6)?;
-            within(&format!("classes, {}: work", class.name), class.work, 1e-6, 1e6)?;
-            within(&format!("classes, {}: deadline", class.name), class.deadline, 0.1, MOST_SECONDS)?;
+            within(
+                &format!("classes, {}: share", class.name),
+                class.share,
+                1e-6,
+                1e6,
+            )?;
+            within(
+                &format!("classes, {}: work", class.name),
+                class.work,
+                1e-6,
+                1e6,
+            )?;
+            within(
+                &format!("classes, {}: deadline", class.name),
+                class.deadline,
+                0.1,
+                MOST_SECONDS,
+            )?;
         }
-        self.script.iter().try_for_each(|line| self.check_line(line))
+        self.script
+            .iter()
+            .try_for_each(|line| self.check_line(line))
     }
 
     fn check_line(&self, line: &ScriptLine) -> Result<(), ExperimentError> {
@@ -256,13 +319,21 @@
             Action::RegionCut => topology.regions,
             _ => usize::MAX,
         };
-        within("script.which", line.which as f64, 0.0, numbered as f64 - 1.0)?;
+        within(
+            "script.which",
+            line.which as f64,
+            0.0,
+            numbered as f64 - 1.0,
+        )?;
         match line.what {
             Action::RollingRestart => within("script.share", line.share, 0.001, 1.0),
             Action::ConfigurationBurst => within("script.count", line.count as f64, 1.0, 1e5),
-            Action::EnginesReplaced | Action::EnginesRestarted | Action::EnginesSilent => {
-                within("script.count", line.count as f64, 1.0, self.engines.count as f64)
-            }
+            Action::EnginesReplaced | Action::EnginesRestarted | Action::EnginesSilent => within(
+                "script.count",
+                line.count as f64,
+                1.0,
+                self.engines.count as f64,
+            ),
             _ => Ok(()),
         }
     }
@@ -270,7 +341,11 @@
     /// Mean of the classes' work by share, before scaling.
     pub fn unscaled_mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
-        self.classes.iter().map(|class| class.share * class.work).sum::<f64>() / shares
+        self.classes
+            .iter()
+            .map(|class| class.share * class.work)
+            .sum::<f64>()
+            / shares
     }
 }
 
--- a/crates/scale/src/fleet/gateway.rs
+++ b/crates/scale/src/fleet/gateway.rs
@@ -11,7 +11,9 @@
 use super::slots::Slots;
 use super::surroundings::Surroundings;
 use super::time::SimTime;
-use garnetwall::api::{Answer, Batch, BatchId, Condition, End, Listed, Next, Outcome, Place, Report, Wait};
+use garnetwall::api::{
+    Answer, Batch, BatchId, Condition, End, Listed, Next, Outcome, Place, Report, Wait,
+};
 use garnetwall::control::Control;
 use garnetwall_subset::{Action, Change, EngineKey, SubsetError};
 use std::collections::{BTreeMap, BTreeSet};
@@ -87,7 +89,12 @@
 
     // ---- its process ----
 
-    pub fn start(&mut self, now: SimTime, seed: u64, around: &mut Surroundings) -> Result<(), SubsetError> {
+    pub fn start(
+        &mut self,
+        now: SimTime,
+        seed: u64,
+        around: &mut Surroundings,
+    ) -> Result<(), SubsetError> {
         let experiment = Rc::clone(&around.experiment);
         let read = around.log.latest();
         let list = Rc::clone(&around.log.entry(read).list);
@@ -107,20 +114,31 @@
         around.judge.gateway_started(now, self.number, read);
         self.change_members(now, &list.as_changes(), around);
         if around.slips(Slip::AllConnected) {
-            (0..around.engines.len()).for_each(|engine| around.judge.connected(now, self.number, engine));
+            (0..around.engines.len())
+                .for_each(|engine| around.judge.connected(now, self.number, engine));
         }
-        let arrival = Event::Arrival { gateway: self.number, life: self.life };
+        let arrival = Event::Arrival {
+            gateway: self.number,
+            life: self.life,
+        };
         around.queue.push(self.clients.next_arrival(now), arrival);
         self.pump(now, around);
         Ok(())
     }
 
     pub fn end(&mut self, now: SimTime, around: &mut Surroundings) {
-        let Some(process) = self.process.take() else { return };
+        let Some(process) = self.process.take() else {
+            return;
+        };
         self.up = false;
         for (id, query) in &process.queries {
             let Some(open) = query.open else { continue };
-            let key = AttemptKey { gateway: self.number, life: self.life, query: *id, attempt: open.number };
+            let key = AttemptKey {
+                gateway: self.number,
+                life: self.life,
+                query: *id,
+                attempt: open.number,
+            };
             if let Some(done_at) = open.done_at {
                 around.withdraw(now, key, open.engine, done_at);
             }
@@ -133,19 +151,28 @@
     /// Reads the log up to an entry.
     pub fn deliver(&mut self, now: SimTime, sequence: usize, around: &mut Surroundings) {
         let deaf = around.slips(Slip::Deaf) && self.number.is_multiple_of(SLIP_GATEWAYS);
-        let Some(process) = self.process.as_mut().filter(|process| process.read < sequence && !deaf) else {
+        let Some(process) = self
+            .process
+            .as_mut()
+            .filter(|process| process.read < sequence && !deaf)
+        else {
             return;
         };
         let entries = process.read + 1..=sequence;
         process.read = sequence;
         let configuration_before = around.log.entry(entries.start() - 1).configuration;
-        let changes: Vec<Change> =
-            entries.clone().flat_map(|entry| around.log.entry(entry).changes.clone()).collect();
-        let restarted: Vec<EngineKey> =
-            entries.flat_map(|entry| around.log.entry(entry).restarted.clone()).collect();
+        let changes: Vec<Change> = entries
+            .clone()
+            .flat_map(|entry| around.log.entry(entry).changes.clone())
+            .collect();
+        let restarted: Vec<EngineKey> = entries
+            .flat_map(|entry| around.log.entry(entry).restarted.clone())
+            .collect();
         process.list = Rc::clone(&around.log.entry(sequence).list);
         if around.log.entry(sequence).configuration != configuration_before {
-            process.control.regroup(&module_settings(&around.experiment).groups);
+            process
+                .control
+                .regroup(&module_settings(&around.experiment).groups);
         }
         around.judge.delivered(now, self.number, sequence);
         self.change_members(now, &changes, around);
@@ -158,15 +185,21 @@
     }
 
     fn change_members(&mut self, now: SimTime, changes: &[Change], around: &mut Surroundings) {
-        let Some(process) = &mut self.process else { return };
+        let Some(process) = &mut self.process else {
+            return;
+        };
         let list = Rc::clone(&process.list);
-        process.membership.changed(now.seconds(), &list.catalog, changes);
+        process
+            .membership
+            .changed(now.seconds(), &list.catalog, changes);
         self.follow_membership(now, around);
     }
 
     /// Does what the subset asks for.
     fn follow_membership(&mut self, now: SimTime, around: &mut Surroundings) {
-        let Some(process) = &mut self.process else { return };
+        let Some(process) = &mut self.process else {
+            return;
+        };
         let list = Rc::clone(&process.list);
         for _ in 0..MOST_ROUNDS {
             let actions = process.membership.poll(now.seconds(), &list.catalog);
@@ -183,24 +216,42 @@
 
     /// Tells the module again of members whose process started anew.
     fn list_again(&mut self, restarted: &[EngineKey]) {
-        let Some(process) = &mut self.process else { return };
-        let lines: Vec<Listed> = restarted.iter().filter_map(|key| process.member_line(*key)).collect();
+        let Some(process) = &mut self.process else {
+            return;
+        };
+        let lines: Vec<Listed> = restarted
+            .iter()
+            .filter_map(|key| process.member_line(*key))
+            .collect();
         process.list(&lines);
     }
 
     // ---- queries ----
 
     pub fn arrival(&mut self, now: SimTime, around: &mut Surroundings) {
-        let event = Event::Arrival { gateway: self.number, life: self.life };
+        let event = Event::Arrival {
+            gateway: self.number,
+            life: self.life,
+        };
         around.queue.push(self.clients.next_arrival(now), event);
         let query = self.clients.query(&around.demand);
-        let Some(process) = &mut self.process else { return };
+        let Some(process) = &mut self.process else {
+            return;
+        };
         let id = self.next_query;
         self.next_query += 1;
         let left = around.experiment.classes[query.class].deadline;
-        let name = QueryName { gateway: self.number, query: id };
+        let name = QueryName {
+            gateway: self.number,
+            query: id,
+        };
         around.judge.query_came(now, name, query.class, query.key);
-        let open = OpenQuery { query, deadline: now.after(left), attempts: 0, open: None };
+        let open = OpenQuery {
+            query,
+            deadline: now.after(left),
+            attempts: 0,
+            open: None,
+        };
         process.queries.insert(id, open);
         let batch = Batch {
             id,
@@ -219,7 +270,11 @@
 
     /// Whether the wake-up at this time is still wanted.
     pub fn wakes(&mut self, now: SimTime) -> bool {
-        let Some(process) = self.process.as_mut().filter(|process| process.wake_at == Some(now)) else {
+        let Some(process) = self
+            .process
+            .as_mut()
+            .filter(|process| process.wake_at == Some(now))
+        else {
             return false;
         };
         process.wake_at = None;
@@ -227,11 +282,18 @@
     }
 
     /// An engine or the network ended an attempt.
-    pub fn attempt_ended(&mut self, now: SimTime, key: AttemptKey, end: End, around: &mut Surroundings) {
+    pub fn attempt_ended(
+        &mut self,
+        now: SimTime,
+        key: AttemptKey,
+        end: End,
+        around: &mut Surroundings,
+    ) {
         if self.life != key.life {
             return;
         }
-        let lost = around.slips(Slip::AnswersLost) && key.query.is_multiple_of(2) && end == End::Returned;
+        let lost =
+            around.slips(Slip::AnswersLost) && key.query.is_multiple_of(2) && end == End::Returned;
         let end = if lost { End::Errored } else { end };
         self.attempt_over(now, key.query, key.attempt, end, around);
         self.pump(now, around);
@@ -244,7 +306,9 @@
             self.follow_membership(now, around);
         }
         for _ in 0..MOST_DECISIONS {
-            let Some(process) = &mut self.process else { return };
+            let Some(process) = &mut self.process else {
+                return;
+            };
             match process.control.wait(now.seconds()) {
                 Wait::For(seconds) => {
                     self.schedule_wake(now, seconds, around);
@@ -252,35 +316,54 @@
                 }
                 Wait::Subscribe => {}
                 Wait::Probe(slot) => process.probe(now, slot, around),
-                Wait::Cancel(id, attempt) => self.attempt_over(now, id, attempt, End::Withdrawn, around),
+                Wait::Cancel(id, attempt) => {
+                    self.attempt_over(now, id, attempt, End::Withdrawn, around)
+                }
                 Wait::Ask(id) => self.place(now, id, around),
             }
         }
-        tracing::error!(gateway = self.number, "the module asked for {MOST_DECISIONS} decisions at once");
+        tracing::error!(
+            gateway = self.number,
+            "the module asked for {MOST_DECISIONS} decisions at once"
+        );
     }
 
     fn membership_due(&self, now: SimTime) -> bool {
-        let wake = self.process.as_ref().and_then(|process| process.membership.wake());
+        let wake = self
+            .process
+            .as_ref()
+            .and_then(|process| process.membership.wake());
         wake.is_some_and(|at| SimTime::from_seconds(at) <= now)
     }
 
     fn time_out(&mut self, now: SimTime, around: &mut Surroundings) {
-        while let Some((at, id)) =
-            self.process.as_ref().and_then(|process| process.deadlines.first().copied())
+        while let Some((at, id)) = self
+            .process
+            .as_ref()
+            .and_then(|process| process.deadlines.first().copied())
         {
             if at > now {
                 return;
             }
-            let number = self.process.as_ref().and_then(|process| process.open_attempt(id));
+            let number = self
+                .process
+                .as_ref()
+                .and_then(|process| process.open_attempt(id));
             match number {
                 Some(number) => self.attempt_over(now, id, number, End::TimedOut, around),
-                None => drop(self.process.as_mut().map(|process| process.deadlines.remove(&(at, id)))),
+                None => drop(
+                    self.process
+                        .as_mut()
+                        .map(|process| process.deadlines.remove(&(at, id))),
+                ),
             }
         }
     }
 
     fn schedule_wake(&mut self, now: SimTime, seconds: f64, around: &mut Surroundings) {
-        let Some(process) = &mut self.process else { return };
+        let Some(process) = &mut self.process else {
+            return;
+        };
         let mut next = now.after(seconds);
         if let Some((deadline, _)) = process.deadlines.first() {
             next = next.min(*deadline);
@@ -291,28 +374,62 @@
         let next = next.max(now.after(0.0));
         if process.wake_at.is_none_or(|at| next < at) {
             process.wake_at = Some(next);
-            around.queue.push(next, Event::Wake { gateway: self.number, life: self.life });
+            around.queue.push(
+                next,
+                Event::Wake {
+                    gateway: self.number,
+                    life: self.life,
+                },
+            );
         }
     }
 
     fn place(&mut self, now: SimTime, id: BatchId, around: &mut Surroundings) {
-        let Some(process) = &mut self.process else { return };
+        let Some(process) = &mut self.process else {
+            return;
+        };
         match process.control.place(now.seconds(), id) {
             Place::NotYet => {}
             Place::Over(answer) => self.answer(now, id, answer, around),
-            Place::To { engine, time_out, .. } => self.send(now, id, engine, time_out, around),
+            Place::To {
+                engine, time_out, ..
+            } => self.send(now, id, engine, time_out, around),
         }
     }
 
-    fn send(&mut self, now: SimTime, id: BatchId, slot: usize, time_out: f64, around: &mut Surroundings) {
-        let Some(process) = &mut self.process else { return };
-        let (Some(member), Some(query)) = (process.slots.get_mut(slot), process.queries.get_mut(&id)) else {
-            tracing::error!(gateway = self.number, query = id, slot, "no such member or query");
+    fn send(
+        &mut self,
+        now: SimTime,
+        id: BatchId,
+        slot: usize,
+        time_out: f64,
+        around: &mut Surroundings,
+    ) {
+        let Some(process) = &mut self.process else {
             return;
         };
-        let key = AttemptKey { gateway: self.number, life: self.life, query: id, attempt: query.attempts };
+        let (Some(member), Some(query)) =
+            (process.slots.get_mut(slot), process.queries.get_mut(&id))
+        else {
+            tracing::error!(
+                gateway = self.number,
+                query = id,
+                slot,
+                "no such member or query"
+            );
+            return;
+        };
+        let key = AttemptKey {
+            gateway: self.number,
+            life: self.life,
+            query: id,
+            attempt: query.attempts,
+        };
         let attempt = SeenAttempt {
-            name: QueryName { gateway: self.number, query: id },
+            name: QueryName {
+                gateway: self.number,
+                query: id,
+            },
             class: query.query.class,
             key: query.query.key,
             engine: member.engine,
@@ -337,14 +454,35 @@
     }
 
     /// Takes in the end of an attempt, whoever ended it.
-    fn attempt_over(&mut self, now: SimTime, id: BatchId, attempt: u32, end: End, around: &mut Surroundings) {
-        let Some(process) = &mut self.process else { return };
-        let Some(query) = process.queries.get_mut(&id) else { return };
-        let Some(open) = query.open.take_if(|open| open.number == attempt) else { return };
+    fn attempt_over(
+        &mut self,
+        now: SimTime,
+        id: BatchId,
+        attempt: u32,
+        end: End,
+        around: &mut Surroundings,
+    ) {
+        let Some(process) = &mut self.process else {
+            return;
+        };
+        let Some(query) = process.queries.get_mut(&id) else {
+            return;
+        };
+        let Some(open) = query.open.take_if(|open| open.number == attempt) else {
+            return;
+        };
         let (key, work) = (query.query.key, query.query.work);
         process.deadlines.remove(&(open.deadline, id));
-        let name = QueryName { gateway: self.number, query: id };
-        let attempt_key = AttemptKey { gateway: self.number, life: self.life, query: id, attempt };
+        let name = QueryName {
+            gateway: self.number,
+            query: id,
+        };
+        let attempt_key = AttemptKey {
+            gateway: self.number,
+            life: self.life,
+            query: id,
+            attempt,
+        };
         if let Some(done_at) = open.done_at {
             around.withdraw(now, attempt_key, open.engine, done_at);
             around.judge.attempt_ended(name, key);
@@ -365,7 +503,9 @@
         process.let_go(now, &open, end, self.number, around);
         match next {
             Next::Over(answer) => self.answer(now, id, answer, around),
-            Next::Nothing if end == End::Returned => self.finish(now, id, FinalAnswer::Succeeded, around),
+            Next::Nothing if end == End::Returned => {
+                self.finish(now, id, FinalAnswer::Succeeded, around)
+            }
             Next::Nothing => {}
         }
     }
@@ -378,13 +518,30 @@
         self.finish(now, id, answer, around);
     }
 
-    fn finish(&mut self, now: SimTime, id: BatchId, answer: FinalAnswer, around: &mut Surroundings) {
-        let Some(process) = &mut self.process else { return };
-        let Some(query) = process.queries.remove(&id) else { return };
-        let name = QueryName { gateway: self.number, query: id };
+    fn finish(
+        &mut self,
+        now: SimTime,
+        id: BatchId,
+        answer: FinalAnswer,
+        around: &mut Surroundings,
+    ) {
+        let Some(process) = &mut self.process else {
+            return;
+        };
+        let Some(query) = process.queries.remove(&id) else {
+            return;
+        };
+        let name = QueryName {
+            gateway: self.number,
+            query: id,
+        };
         let struck = id.is_multiple_of(SLIP_QUERIES);
         let late = struck && around.slips(Slip::AnswerLate);
-        let at = if late { query.deadline.after(SLIP_LATENESS) } else { now };
+        let at = if late {
+            query.deadline.after(SLIP_LATENESS)
+        } else {
+            now
+        };
         around.judge.answered(at, name, query.query.key, answer);
         if struck && around.slips(Slip::AnswerTwice) {
             around.judge.answered(now, name, query.query.key, answer);
@@ -402,13 +559,31 @@
         query: &OpenQuery,
         around: &mut Surroundings,
     ) {
-        let Some(engine) = self.process.as_ref().and_then(|process| process.slots.first_engine()) else {
+        let Some(engine) = self
+            .process
+            .as_ref()
+            .and_then(|process| process.slots.first_engine())
+        else {
             return;
         };
-        let key =
-            AttemptKey { gateway: self.number, life: self.life, query: name.query, attempt: query.attempts };
+        let key = AttemptKey {
+            gateway: self.number,
+            life: self.life,
+            query: name.query,
+            attempt: query.attempts,
+        };
         let Query { class, work, .. } = query.query;
-        around.send(now, key, SeenAttempt { name, class, key: None, engine, work });
+        around.send(
+            now,
+            key,
+            SeenAttempt {
+                name,
+                class,
+                key: None,
+                engine,
+                work,
+            },
+        );
     }
 }
 
@@ -458,7 +633,10 @@
                 self.membership.warmed(now.seconds(), key, reached);
                 None
             }
-            Action::Join { engine: key, holders } => {
+            Action::Join {
+                engine: key,
+                holders,
+            } => {
                 let engine = self.list.engine(key)?;
                 if join_skipped(now, engine, around) {
                     return None;
@@ -469,7 +647,10 @@
                 self.slots.join(key, engine, holders);
                 self.member_line(key)
             }
-            Action::Update { engine: key, holders } => {
+            Action::Update {
+                engine: key,
+                holders,
+            } => {
                 self.slots.update(key, holders);
                 self.member_line(key)
             }
@@ -485,20 +666,33 @@
                 if left.freed {
                     return Some(gone_line(left.slot));
                 }
-                left.line.map(|line| Listed { condition: Condition::Draining, ..line })
+                left.line.map(|line| Listed {
+                    condition: Condition::Draining,
+                    ..line
+                })
             }
         }
     }
 
     fn report(&mut self, now: SimTime, open: &OpenAttempt, around: &Surroundings) {
         let utilisation = around.engines[open.engine].utilisation(&around.experiment.cold, now);
-        let report = Report { utilisation: Some(utilisation), ..Report::default() };
+        let report = Report {
+            utilisation: Some(utilisation),
+            ..Report::default()
+        };
         self.control.report(now.seconds(), open.slot, report);
     }
 
     fn probe(&mut self, now: SimTime, slot: usize, around: &Surroundings) {
-        let reached = self.slots.get(slot).is_none_or(|member| around.engines[member.engine].reachable());
-        let end = if reached { End::Returned } else { End::Unconnected };
+        let reached = self
+            .slots
+            .get(slot)
+            .is_none_or(|member| around.engines[member.engine].reachable());
+        let end = if reached {
+            End::Returned
+        } else {
+            End::Unconnected
+        };
         self.control.probed(now.seconds(), slot, end);
     }
 
@@ -511,7 +705,9 @@
         gateway: u32,
         around: &mut Surroundings,
     ) {
-        let Some(let_go) = self.slots.attempt_over(open.slot) else { return };
+        let Some(let_go) = self.slots.attempt_over(open.slot) else {
+            return;
+        };
         let failed = matches!(end, End::Unconnected | End::Broken | End::TimedOut);
         if failed || end == End::Returned {
             self.membership.attempted(now.seconds(), let_go.key, failed);
@@ -527,7 +723,15 @@
 /// again.
 fn gone_line(slot: usize) -> Listed {
     let condition = Condition::Gone;
-    Listed { engine: slot, zone: 0, kind: 0, cell: 0, came_up: None, condition, holders: None }
+    Listed {
+        engine: slot,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        came_up: None,
+        condition,
+        holders: None,
+    }
 }
 
 fn join_skipped(now: SimTime, engine: usize, around: &Surroundings) -> bool {
--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -44,7 +44,15 @@
         let readers = vec![Reader::default(); experiment.gateways.count];
         let (known, in_force, after_heal) = (histogram(), histogram(), histogram());
         let missing = Missing::default();
-        Changes { experiment, published: Vec::new(), readers, known, in_force, after_heal, missing }
+        Changes {
+            experiment,
+            published: Vec::new(),
+            readers,
+            known,
+            in_force,
+            after_heal,
+            missing,
+        }
     }
 
     pub fn published(&mut self, now: SimTime, sequence: usize) {
@@ -55,8 +63,13 @@
     pub fn gateway_started(&mut self, now: SimTime, gateway: u32, sequence: usize) {
         let reader = &mut self.readers[gateway as usize];
         let cut = reader.cut;
-        *reader =
-            Reader { up_since: Some(now), known: sequence, in_force: sequence, cut, healed: reader.healed };
+        *reader = Reader {
+            up_since: Some(now),
+            known: sequence,
+            in_force: sequence,
+            cut,
+            healed: reader.healed,
+        };
     }
 
     pub fn gateway_ended(&mut self, now: SimTime, gateway: u32) {
@@ -101,7 +114,9 @@
             return;
         }
         let waited = |published: &SimTime| {
-            let reachable = reader.healed.map_or(*published, |healed| healed.max(*published));
+            let reachable = reader
+                .healed
+                .map_or(*published, |healed| healed.max(*published));
             now.since(reachable)
         };
         let limits = &self.experiment.limits;
@@ -121,11 +136,24 @@
 
     pub fn findings(&mut self, now: SimTime) -> Vec<Finding> {
         (0..self.readers.len()).for_each(|gateway| self.count_missing(now, gateway));
-        let Missing { unknown, not_in_force } = self.missing;
+        let Missing {
+            unknown,
+            not_in_force,
+        } = self.missing;
         let limits = &self.experiment.limits;
         let known = time_finding("time until known", &self.known, unknown, limits.known_p99);
-        let in_force = time_finding("time until in force", &self.in_force, not_in_force, limits.in_force_p99);
-        let heal = time_finding("time until known after a heal", &self.after_heal, 0, limits.known_p99);
+        let in_force = time_finding(
+            "time until in force",
+            &self.in_force,
+            not_in_force,
+            limits.in_force_p99,
+        );
+        let heal = time_finding(
+            "time until known after a heal",
+            &self.after_heal,
+            0,
+            limits.known_p99,
+        );
         let mut findings = vec![known, in_force];
         findings.extend((!self.after_heal.is_empty()).then_some(heal));
         findings
--- a/crates/scale/src/fleet/judge/cold.rs
+++ b/crates/scale/src/fleet/judge/cold.rs
@@ -76,7 +76,12 @@
 
     pub fn started(&mut self, now: SimTime, engine: usize) {
         self.stopped(engine);
-        let start = Start { at: now, window: ColdWindow::default(), told_work: 0.0, all_work: 0.0 };
+        let start = Start {
+            at: now,
+            window: ColdWindow::default(),
+            told_work: 0.0,
+            all_work: 0.0,
+        };
         self.cold.insert(engine, start);
         self.untold_starts.insert(engine, now);
         self.starts += 1;
@@ -94,7 +99,9 @@
 
     pub fn published(&mut self, now: SimTime, lines: &[ToldLine]) {
         for line in lines {
-            let Some(started) = line.started else { continue };
+            let Some(started) = line.started else {
+                continue;
+            };
             self.told_cold.insert((started, line.engine));
             if self.untold_starts.get(&line.engine) == Some(&started) {
                 self.untold_starts.remove(&line.engine);
@@ -102,7 +109,11 @@
             }
         }
         let warm_after = self.experiment.cold.warm_after;
-        while self.told_cold.first().is_some_and(|(started, _)| now.since(*started) >= warm_after) {
+        while self
+            .told_cold
+            .first()
+            .is_some_and(|(started, _)| now.since(*started) >= warm_after)
+        {
             self.told_cold.pop_first();
         }
         self.most_told_cold = self.most_told_cold.max(self.told_cold.len());
@@ -110,7 +121,9 @@
 
     pub fn attempt_began(&mut self, now: SimTime, attempt: SeenAttempt, told: Option<KnownLine>) {
         let cold = &self.experiment.cold;
-        let Some(start) = self.cold.get_mut(&attempt.engine) else { return };
+        let Some(start) = self.cold.get_mut(&attempt.engine) else {
+            return;
+        };
         if now.since(start.at) >= cold.warm_after {
             self.warm_up(attempt.engine);
             return;
@@ -118,8 +131,20 @@
         let told = told.is_some_and(|line| line.started == Some(start.at));
         start.all_work += attempt.work;
         start.told_work += if told { attempt.work } else { 0.0 };
-        let sum = start.window.add(cold, self.mean_work, ColdWork { at: now, work: attempt.work, told });
-        let most = most(budget(cold, self.sites[attempt.engine].cores, self.mean_work));
+        let sum = start.window.add(
+            cold,
+            self.mean_work,
+            ColdWork {
+                at: now,
+                work: attempt.work,
+                told,
+            },
+        );
+        let most = most(budget(
+            cold,
+            self.sites[attempt.engine].cores,
+            self.mean_work,
+        ));
         if sum.all > most {
             self.over += 1;
             self.over_by_told += u64::from(sum.told > sum.all * TOLD_SHARE);
@@ -129,19 +154,30 @@
     }
 
     fn warm_up(&mut self, engine: usize) {
-        let Some(start) = self.cold.remove(&engine) else { return };
+        let Some(start) = self.cold.remove(&engine) else {
+            return;
+        };
         let cold = &self.experiment.cold;
         let budget = cold.multiple * cold.starts_at * self.sites[engine].cores * cold.warm_after;
         let (told_share, all_share) = (start.told_work / budget, start.all_work / budget);
-        self.warmed.push(Warmed { told_share, all_share });
+        self.warmed.push(Warmed {
+            told_share,
+            all_share,
+        });
     }
 
     pub fn findings(&mut self, now: SimTime) -> Vec<Finding> {
         let warm_after = self.experiment.cold.warm_after;
-        let warm = |(engine, start): (&usize, &Start)| (now.since(start.at) >= warm_after).then_some(*engine);
+        let warm = |(engine, start): (&usize, &Start)| {
+            (now.since(start.at) >= warm_after).then_some(*engine)
+        };
         let warm: Vec<usize> = self.cold.iter().filter_map(warm).collect();
         warm.into_iter().for_each(|engine| self.warm_up(engine));
-        vec![self.sum_finding(), self.share_finding(), self.told_finding(now)]
+        vec![
+            self.sum_finding(),
+            self.share_finding(),
+            self.told_finding(now),
+        ]
     }
 
     fn sum_finding(&self) -> Finding {
@@ -170,12 +206,16 @@
             shares.sort_by(f64::total_cmp);
             shares
         };
-        let (told, all) = (sorted(|warmed| warmed.told_share), sorted(|warmed| warmed.all_share));
+        let (told, all) = (
+            sorted(|warmed| warmed.told_share),
+            sorted(|warmed| warmed.all_share),
+        );
         let (least, median) = (quantile(&told, 0.0), quantile(&told, 0.5));
         let (tenth, most) = (quantile(&told, 0.1), quantile(&told, 1.0));
         let needed = self.experiment.limits.cold_share_p50;
-        let held_against =
-            needed.map_or("not judged".into(), |least| format!("at least {least:.2} in the median"));
+        let held_against = needed.map_or("not judged".into(), |least| {
+            format!("at least {least:.2} in the median")
+        });
         let figure = format!(
             "{} cold times whole: got {median:.2} of the budget from gateways told (least {least:.2}, \
                  p10 {tenth:.2}, most {most:.2}), {:.2} from all; {held_against}",
@@ -192,7 +232,12 @@
         ];
         let name = "cold budget used";
         match needed {
-            Some(needed) => Finding::new(name, !self.warmed.is_empty() && median >= needed, figure, &values),
+            Some(needed) => Finding::new(
+                name,
+                !self.warmed.is_empty() && median >= needed,
+                figure,
+                &values,
+            ),
             None => Finding::told(name, figure, &values),
         }
     }
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -51,13 +51,21 @@
 
     /// Engines in a full subset.
     fn full(&self) -> usize {
-        let size = self.experiment.subset.as_ref().map_or(usize::MAX, |subset| subset.size);
+        let size = self
+            .experiment
+            .subset
+            .as_ref()
+            .map_or(usize::MAX, |subset| subset.size);
         size.min(self.alive_engines)
     }
 
     pub fn engine_added(&mut self) {
         let words = self.gateways.len().div_ceil(WORD);
-        self.engines.push(EngineSide { alive: true, gateways: vec![0; words], ..EngineSide::default() });
+        self.engines.push(EngineSide {
+            alive: true,
+            gateways: vec![0; words],
+            ..EngineSide::default()
+        });
         self.alive_engines += 1;
     }
 
@@ -67,12 +75,17 @@
 
     /// A gateway that ends while it waits counts as never full again, unless it still had time.
     pub fn gateway_ended(&mut self, now: SimTime, gateway: u32) {
-        let waited = self.gateways[gateway as usize].waits_since.map(|since| now.since(since));
+        let waited = self.gateways[gateway as usize]
+            .waits_since
+            .map(|since| now.since(since));
         let overdue = waited.is_some_and(|seconds| seconds > self.experiment.limits.refill_p99);
         self.refills.extend(overdue.then_some(f64::INFINITY));
-        let connected: Vec<usize> =
-            (0..self.engines.len()).filter(|engine| self.is_connected(gateway, *engine)).collect();
-        connected.into_iter().for_each(|engine| self.disconnected(gateway, engine));
+        let connected: Vec<usize> = (0..self.engines.len())
+            .filter(|engine| self.is_connected(gateway, *engine))
+            .collect();
+        connected
+            .into_iter()
+            .for_each(|engine| self.disconnected(gateway, engine));
         self.gateways[gateway as usize] = GatewaySide::default();
     }
 
@@ -98,7 +111,9 @@
     }
 
     fn connected_gateways(&self, engine: usize) -> Vec<usize> {
-        (0..self.gateways.len()).filter(|gateway| self.is_connected(*gateway as u32, engine)).collect()
+        (0..self.gateways.len())
+            .filter(|gateway| self.is_connected(*gateway as u32, engine))
+            .collect()
     }
 
     fn is_connected(&self, gateway: u32, engine: usize) -> bool {
@@ -135,7 +150,11 @@
     pub fn zone_lost(&mut self, now: SimTime) {
         self.lost_zones += 1;
         let full = self.full();
-        for side in self.gateways.iter_mut().filter(|side| side.up && side.waits_since.is_none()) {
+        for side in self
+            .gateways
+            .iter_mut()
+            .filter(|side| side.up && side.waits_since.is_none())
+        {
             if side.alive < full {
                 side.waits_since = Some(now);
             } else {
@@ -160,11 +179,20 @@
     }
 
     fn meets_finding(&self) -> Finding {
-        let mut peaks: Vec<f64> = self.engines.iter().map(|engine| f64::from(engine.peak)).collect();
+        let mut peaks: Vec<f64> = self
+            .engines
+            .iter()
+            .map(|engine| f64::from(engine.peak))
+            .collect();
         peaks.sort_by(f64::total_cmp);
-        let even = self.gateways.len() as f64 * self.full() as f64 / self.alive_engines.max(1) as f64;
+        let even =
+            self.gateways.len() as f64 * self.full() as f64 / self.alive_engines.max(1) as f64;
         let max = quantile(&peaks, 1.0);
-        let unmet = self.engines.iter().filter(|engine| engine.alive && engine.connected == 0).count();
+        let unmet = self
+            .engines
+            .iter()
+            .filter(|engine| engine.alive && engine.connected == 0)
+            .count();
         let most = self.experiment.limits.meets_max;
         Finding::new(
             "gateways an engine meets",
@@ -190,10 +218,19 @@
         let unfilled = waiting.map(|_| f64::INFINITY);
         let mut refills: Vec<f64> = self.refills.iter().copied().chain(unfilled).collect();
         refills.sort_by(f64::total_cmp);
-        let unfilled = refills.iter().filter(|seconds| seconds.is_infinite()).count();
+        let unfilled = refills
+            .iter()
+            .filter(|seconds| seconds.is_infinite())
+            .count();
         let (median, p99) = (quantile(&refills, 0.5), quantile(&refills, 0.99));
         let most = self.experiment.limits.refill_p99;
-        let shown = |seconds: f64| if seconds.is_finite() { seconds } else { now.seconds() };
+        let shown = |seconds: f64| {
+            if seconds.is_finite() {
+                seconds
+            } else {
+                now.seconds()
+            }
+        };
         Finding::new(
             "full subsets after a zone's loss",
             p99 <= most,
--- a/crates/scale/src/fleet/judge/finding.rs
+++ b/crates/scale/src/fleet/judge/finding.rs
@@ -13,13 +13,28 @@
 }
 
 impl Finding {
-    pub fn new(name: &'static str, passed: bool, figure: String, values: &[(&'static str, f64)]) -> Finding {
-        Finding { name, passed: Some(passed), figure, values: values.iter().copied().collect() }
+    pub fn new(
+        name: &'static str,
+        passed: bool,
+        figure: String,
+        values: &[(&'static str, f64)],
+    ) -> Finding {
+        Finding {
+            name,
+            passed: Some(passed),
+            figure,
+            values: values.iter().copied().collect(),
+        }
     }
 
     /// A figure that is not judged.
     pub fn told(name: &'static str, figure: String, values: &[(&'static str, f64)]) -> Finding {
-        Finding { name, passed: None, figure, values: values.iter().copied().collect() }
+        Finding {
+            name,
+            passed: None,
+            figure,
+            values: values.iter().copied().collect(),
+        }
     }
 }
 
@@ -27,5 +42,8 @@
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let place = (share * sorted.len() as f64).ceil() as usize;
-    sorted.get(place.saturating_sub(1).min(last)).copied().unwrap_or(0.0)
+    sorted
+        .get(place.saturating_sub(1).min(last))
+        .copied()
+        .unwrap_or(0.0)
 }
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -76,7 +76,13 @@
         }
     }
 
-    pub fn answered(&mut self, now: SimTime, name: QueryName, key: Option<u64>, answer: FinalAnswer) {
+    pub fn answered(
+        &mut self,
+        now: SimTime,
+        name: QueryName,
+        key: Option<u64>,
+        answer: FinalAnswer,
+    ) {
         self.queries.answered(now, name, answer);
         if let Some(key) = key {
             self.order.answered(key, name);
--- a/crates/scale/src/fleet/judge/order.rs
+++ b/crates/scale/src/fleet/judge/order.rs
@@ -28,13 +28,20 @@
     }
 
     pub fn answered(&mut self, key: u64, name: QueryName) {
-        self.update(key, |record| record.unanswered.retain(|other| *other != name));
+        self.update(key, |record| {
+            record.unanswered.retain(|other| *other != name)
+        });
     }
 
     pub fn attempt_began(&mut self, key: u64, name: QueryName) {
         let record = self.keys.entry(key).or_default();
         self.attempts += 1;
-        self.overtaken += u64::from(record.unanswered.front().is_some_and(|first| *first != name));
+        self.overtaken += u64::from(
+            record
+                .unanswered
+                .front()
+                .is_some_and(|first| *first != name),
+        );
         self.overlapping += u64::from(record.running.iter().any(|other| *other != name));
         record.running.push(name);
     }
@@ -56,7 +63,9 @@
     }
 
     fn update(&mut self, key: u64, change: impl FnOnce(&mut KeyRecord)) {
-        let Some(record) = self.keys.get_mut(&key) else { return };
+        let Some(record) = self.keys.get_mut(&key) else {
+            return;
+        };
         change(record);
         if record.unanswered.is_empty() && record.running.is_empty() {
             self.keys.remove(&key);
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -41,12 +41,18 @@
             Condition::Draining => self.to_draining += 1,
             Condition::Gone => self.to_gone += 1,
         }
-        let (site, class) = (self.sites[attempt.engine], &self.experiment.classes[attempt.class]);
+        let (site, class) = (
+            self.sites[attempt.engine],
+            &self.experiment.classes[attempt.class],
+        );
         let open = |allowed: &Option<Vec<u32>>, found: usize| {
-            allowed.as_ref().is_none_or(|list| list.contains(&(found as u32)))
+            allowed
+                .as_ref()
+                .is_none_or(|list| list.contains(&(found as u32)))
         };
         self.bound += u64::from(class.zones.is_some() || class.kinds.is_some());
-        self.misplaced += u64::from(!open(&class.zones, site.zone) || !open(&class.kinds, site.kind));
+        self.misplaced +=
+            u64::from(!open(&class.zones, site.zone) || !open(&class.kinds, site.kind));
     }
 
     pub fn told_finding(&self) -> Finding {
@@ -69,8 +75,14 @@
         Finding::new(
             "rule 6, placement",
             self.misplaced == 0,
-            format!("{} attempts of bound classes: {} misplaced", self.bound, self.misplaced),
-            &[("bound", self.bound as f64), ("misplaced", self.misplaced as f64)],
+            format!(
+                "{} attempts of bound classes: {} misplaced",
+                self.bound, self.misplaced
+            ),
+            &[
+                ("bound", self.bound as f64),
+                ("misplaced", self.misplaced as f64),
+            ],
         )
     }
 }
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -54,7 +54,14 @@
 
     pub fn came(&mut self, now: SimTime, name: QueryName, class: usize) {
         self.came += 1;
-        self.open.insert(name, OpenQuery { came: now, class, attempts: 0 });
+        self.open.insert(
+            name,
+            OpenQuery {
+                came: now,
+                class,
+                attempts: 0,
+            },
+        );
     }
 
     pub fn answered(&mut self, now: SimTime, name: QueryName, answer: FinalAnswer) {
@@ -81,7 +88,10 @@
     }
 
     pub fn gateway_ended(&mut self, gateway: u32) {
-        let all = QueryName { gateway, query: 0 }..=QueryName { gateway, query: u32::MAX };
+        let all = QueryName { gateway, query: 0 }..=QueryName {
+            gateway,
+            query: u32::MAX,
+        };
         let broken: Vec<QueryName> = self.open.range(all).map(|(name, _)| *name).collect();
         self.broken += broken.len() as u64;
         for name in broken {
@@ -94,7 +104,11 @@
     }
 
     pub fn findings(&self, now: SimTime) -> Vec<Finding> {
-        let unanswered = self.open.values().filter(|query| self.past_deadline(query, now)).count() as u64;
+        let unanswered = self
+            .open
+            .values()
+            .filter(|query| self.past_deadline(query, now))
+            .count() as u64;
         let answered = self.succeeded + self.rejected + self.failed;
         let faults = self.late + self.repeated + self.sent_after + unanswered;
         let rule = Finding::new(
--- a/crates/scale/src/fleet/judge/retries.rs
+++ b/crates/scale/src/fleet/judge/retries.rs
@@ -23,8 +23,16 @@
 
 impl Retries {
     pub fn new(experiment: Rc<Experiment>) -> Retries {
-        let windows = (0..experiment.gateways.count).map(|_| Window::default()).collect();
-        Retries { experiment, windows, retries: 0, over: 0, fullest: 0.0 }
+        let windows = (0..experiment.gateways.count)
+            .map(|_| Window::default())
+            .collect();
+        Retries {
+            experiment,
+            windows,
+            retries: 0,
+            over: 0,
+            fullest: 0.0,
+        }
     }
 
     pub fn query_came(&mut self, now: SimTime, gateway: u32) {
@@ -60,7 +68,11 @@
                 "{} retries, {} over the budget; at most {:.2} of a budget used",
                 self.retries, self.over, self.fullest
             ),
-            &[("retries", self.retries as f64), ("over", self.over as f64), ("fullest", self.fullest)],
+            &[
+                ("retries", self.retries as f64),
+                ("over", self.over as f64),
+                ("fullest", self.fullest),
+            ],
         )
     }
 }
--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -22,11 +22,19 @@
 impl Spread {
     pub fn new(experiment: Rc<Experiment>) -> Spread {
         let settled = SimTime::from_seconds(experiment.settle);
-        Spread { experiment, settled, engines: Vec::new() }
+        Spread {
+            experiment,
+            settled,
+            engines: Vec::new(),
+        }
     }
 
     pub fn engine_added(&mut self, site: Site) {
-        self.engines.push(Share { cores: site.cores, work: 0.0, undisturbed: true });
+        self.engines.push(Share {
+            cores: site.cores,
+            work: 0.0,
+            undisturbed: true,
+        });
     }
 
     pub fn disturbed(&mut self, engine: usize) {
@@ -40,13 +48,24 @@
     }
 
     pub fn findings(&self) -> Vec<Finding> {
-        let undisturbed: Vec<&Share> = self.engines.iter().filter(|share| share.undisturbed).collect();
+        let undisturbed: Vec<&Share> = self
+            .engines
+            .iter()
+            .filter(|share| share.undisturbed)
+            .collect();
         let cores: f64 = undisturbed.iter().map(|share| share.cores).sum();
         let work: f64 = undisturbed.iter().map(|share| share.work).sum();
         let mean = (work / cores.max(f64::MIN_POSITIVE)).max(f64::MIN_POSITIVE);
-        let mut ratios: Vec<f64> = undisturbed.iter().map(|share| share.work / share.cores / mean).collect();
+        let mut ratios: Vec<f64> = undisturbed
+            .iter()
+            .map(|share| share.work / share.cores / mean)
+            .collect();
         ratios.sort_by(f64::total_cmp);
-        let (median, p99, max) = (quantile(&ratios, 0.5), quantile(&ratios, 0.99), quantile(&ratios, 1.0));
+        let (median, p99, max) = (
+            quantile(&ratios, 0.5),
+            quantile(&ratios, 0.99),
+            quantile(&ratios, 1.0),
+        );
         let limits = &self.experiment.limits;
         let finding = Finding::new(
             "spread of work",
--- a/crates/scale/src/fleet/judge/told.rs
+++ b/crates/scale/src/fleet/judge/told.rs
@@ -19,14 +19,20 @@
 
 impl Told {
     pub fn new(gateways: usize) -> Told {
-        Told { history: Vec::new(), read: vec![0; gateways] }
+        Told {
+            history: Vec::new(),
+            read: vec![0; gateways],
+        }
     }
 
     pub fn published(&mut self, sequence: usize, lines: &[ToldLine]) {
         for line in lines {
             let engines = self.history.len().max(line.engine + 1);
             self.history.resize(engines, Vec::new());
-            let known = KnownLine { condition: line.facts.condition, started: line.started };
+            let known = KnownLine {
+                condition: line.facts.condition,
+                started: line.started,
+            };
             self.history[line.engine].push((sequence, known));
         }
     }
@@ -38,6 +44,10 @@
     pub fn line(&self, gateway: u32, engine: usize) -> Option<KnownLine> {
         let read = self.read[gateway as usize];
         let lines = self.history.get(engine)?;
-        lines.iter().rev().find(|(sequence, _)| *sequence <= read).map(|(_, known)| *known)
+        lines
+            .iter()
+            .rev()
+            .find(|(sequence, _)| *sequence <= read)
+            .map(|(_, known)| *known)
     }
 }
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -13,10 +13,17 @@
 }
 
 impl Membership {
-    pub fn new(experiment: &Experiment, gateway: usize, zone: usize) -> Result<Membership, SubsetError> {
+    pub fn new(
+        experiment: &Experiment,
+        gateway: usize,
+        zone: usize,
+    ) -> Result<Membership, SubsetError> {
         let gateways = experiment.gateways.count as f64;
         let Some(table) = &experiment.subset else {
-            return Ok(Membership::Whole(WholeList { gateways, ..WholeList::default() }));
+            return Ok(Membership::Whole(WholeList {
+                gateways,
+                ..WholeList::default()
+            }));
         };
         let settings = SubsetSettings {
             size: table.size,
@@ -87,12 +94,17 @@
 impl WholeList {
     fn changed(&mut self, changes: &[Change]) {
         for change in changes {
-            let ready = change.after.is_some_and(|facts| facts.condition == Condition::Ready);
+            let ready = change
+                .after
+                .is_some_and(|facts| facts.condition == Condition::Ready);
             let (engine, holders) = (change.engine, self.gateways);
             if ready {
                 let new = self.members.insert(engine);
-                let action =
-                    if new { Action::Join { engine, holders } } else { Action::Update { engine, holders } };
+                let action = if new {
+                    Action::Join { engine, holders }
+                } else {
+                    Action::Update { engine, holders }
+                };
                 self.due.push(action);
             } else if self.members.remove(&engine) {
                 self.due.push(Action::Leave(engine));
--- a/crates/scale/src/fleet/module_settings.rs
+++ b/crates/scale/src/fleet/module_settings.rs
@@ -16,9 +16,17 @@
 pub fn module_settings(experiment: &Experiment) -> Settings {
     let slip = experiment.slip;
     let retries = &experiment.retries;
-    let budget = FurtherBudget { floor: retries.floor, per_batch: retries.per_query, window: retries.window };
+    let budget = FurtherBudget {
+        floor: retries.floor,
+        per_batch: retries.per_query,
+        window: retries.window,
+    };
     let cold = &experiment.cold;
-    let cold_part = if slip == Some(Slip::ColdShunned) { SLIP_COLD_PART } else { 1.0 };
+    let cold_part = if slip == Some(Slip::ColdShunned) {
+        SLIP_COLD_PART
+    } else {
+        1.0
+    };
     let cold_rule = ColdRule {
         starts_at: cold.starts_at,
         warm_after: cold.warm_after,
@@ -27,10 +35,24 @@
     };
     let holders_known = slip != Some(Slip::HoldersForgotten);
     Settings {
-        groups: experiment.classes.iter().map(|class| service_group(class, slip)).collect(),
+        groups: experiment
+            .classes
+            .iter()
+            .map(|class| service_group(class, slip))
+            .collect(),
         tenants: 1,
-        gateways: if holders_known { experiment.gateways.count as f64 } else { 1.0 },
-        kind_cores: experiment.engines.kind_cores.iter().copied().map(Some).collect(),
+        gateways: if holders_known {
+            experiment.gateways.count as f64
+        } else {
+            1.0
+        },
+        kind_cores: experiment
+            .engines
+            .kind_cores
+            .iter()
+            .copied()
+            .map(Some)
+            .collect(),
         reports: Reports::WithAnswers,
         may_probe: true,
         may_cancel: true,
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -46,7 +46,13 @@
         };
         println!("{word} {}: {}", finding.name, finding.figure);
     }
-    let count = |verdict| played.findings.iter().filter(|finding| finding.passed == Some(verdict)).count();
+    let count = |verdict| {
+        played
+            .findings
+            .iter()
+            .filter(|finding| finding.passed == Some(verdict))
+            .count()
+    };
     let (passed, failed) = (count(true), count(false));
     println!("{passed} passed, {failed} failed");
     failed == 0
@@ -75,7 +81,10 @@
         peak_memory_kb: peak_memory_kb(),
     };
     write_line(&mut file, &header)?;
-    played.findings.iter().try_for_each(|finding: &Finding| write_line(&mut file, finding))?;
+    played
+        .findings
+        .iter()
+        .try_for_each(|finding: &Finding| write_line(&mut file, finding))?;
     file.flush()
 }
 
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -53,7 +53,8 @@
         for engine in engines {
             self.around.stop_engine(now, *engine, detection);
             self.around.plan(told, *engine, EngineStep::TellGone);
-            self.around.plan(now.after(lasts).max(told), *engine, EngineStep::Start);
+            self.around
+                .plan(now.after(lasts).max(told), *engine, EngineStep::Start);
         }
     }
 
@@ -62,7 +63,9 @@
             self.gateways[number].cut = true;
             self.around.judge.cut(number as u32);
         }
-        let heals = Event::RegionHeals { region: line.which as u32 };
+        let heals = Event::RegionHeals {
+            region: line.which as u32,
+        };
         self.around.queue.push(now.after(line.lasts), heals);
     }
 
@@ -73,7 +76,9 @@
         let groups = order.len().div_ceil(at_a_time);
         for (group, gateways) in order.chunks(at_a_time).enumerate() {
             let at = now.after(line.lasts * group as f64 / groups as f64);
-            gateways.iter().for_each(|gateway| self.plan_restart(at, *gateway));
+            gateways
+                .iter()
+                .for_each(|gateway| self.plan_restart(at, *gateway));
         }
     }
 
@@ -86,7 +91,9 @@
 
     fn plan_restart(&mut self, at: SimTime, gateway: u32) {
         let down_for = GATEWAY_RESTART as f32;
-        self.around.queue.push(at, Event::GatewayEnds { gateway, down_for });
+        self.around
+            .queue
+            .push(at, Event::GatewayEnds { gateway, down_for });
     }
 
     fn configuration_burst(&mut self, now: SimTime, line: &ScriptLine) {
@@ -106,7 +113,8 @@
     fn engines_silent(&mut self, now: SimTime, line: &ScriptLine) {
         for engine in self.draw_engines(line.count) {
             self.around.silence_engine(now, engine, true);
-            self.around.plan(now.after(line.lasts), engine, EngineStep::Speak);
+            self.around
+                .plan(now.after(line.lasts), engine, EngineStep::Speak);
         }
     }
 
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -51,16 +51,28 @@
     /// A member that takes new attempts, with its index.
     pub fn joined(&mut self, key: EngineKey) -> Option<(EngineId, &mut Member)> {
         let slot = *self.by_key.get(&key)?;
-        let member = self.members.get_mut(slot)?.as_mut().filter(|member| member.joined)?;
+        let member = self
+            .members
+            .get_mut(slot)?
+            .as_mut()
+            .filter(|member| member.joined)?;
         Some((slot, member))
     }
 
     pub fn first_engine(&self) -> Option<usize> {
-        self.members.iter().flatten().next().map(|member| member.engine)
+        self.members
+            .iter()
+            .flatten()
+            .next()
+            .map(|member| member.engine)
     }
 
     pub fn join(&mut self, key: EngineKey, engine: usize, holders: f64) {
-        if let Some(member) = self.by_key.get(&key).and_then(|slot| self.members[*slot].as_mut()) {
+        if let Some(member) = self
+            .by_key
+            .get(&key)
+            .and_then(|slot| self.members[*slot].as_mut())
+        {
             (member.joined, member.holders) = (true, holders);
             return;
         }
@@ -68,7 +80,14 @@
             self.members.push(None);
             self.members.len() - 1
         });
-        self.members[slot] = Some(Member { key, engine, holders, open: 0, joined: true, line: None });
+        self.members[slot] = Some(Member {
+            key,
+            engine,
+            holders,
+            open: 0,
+            joined: true,
+            line: None,
+        });
         self.by_key.insert(key, slot);
     }
 
@@ -85,7 +104,12 @@
         if freed {
             self.free_slot(slot);
         }
-        Some(Left { slot, engine, freed, line })
+        Some(Left {
+            slot,
+            engine,
+            freed,
+            line,
+        })
     }
 
     /// One attempt of this index is over.
--- a/crates/scale/src/fleet/slots/tests.rs
+++ b/crates/scale/src/fleet/slots/tests.rs
@@ -23,5 +23,10 @@
     slots.leave(EngineKey(1));
     slots.join(EngineKey(1), 1, 3.0);
     assert!(!slots.attempt_over(0).expect("a member").freed);
-    assert_eq!(slots.joined(EngineKey(1)).map(|(slot, member)| (slot, member.holders)), Some((0, 3.0)));
+    assert_eq!(
+        slots
+            .joined(EngineKey(1))
+            .map(|(slot, member)| (slot, member.holders)),
+        Some((0, 3.0))
+    );
 }
--- a/crates/scale/src/fleet/surroundings.rs
+++ b/crates/scale/src/fleet/surroundings.rs
@@ -36,12 +36,22 @@
         let cores: f64 = engines.iter().map(|engine| engine.site.cores).sum();
         let demand = Demand::new(&experiment, cores);
         let mut judge = Judge::new(&experiment, demand.mean_work);
-        engines.iter().for_each(|engine| judge.engine_added(engine.site));
+        engines
+            .iter()
+            .for_each(|engine| judge.engine_added(engine.site));
         let line = |(number, engine): (usize, &Engine)| told_line(number, engine, Condition::Ready);
         let lines: Vec<ToldLine> = engines.iter().enumerate().map(line).collect();
         let log = ChangeLog::new(&lines);
         judge.published(SimTime::START, log.latest(), &lines);
-        Surroundings { experiment, engines, queue: EventQueue::new(), log, judge, demand, random }
+        Surroundings {
+            experiment,
+            engines,
+            queue: EventQueue::new(),
+            log,
+            judge,
+            demand,
+            random,
+        }
     }
 
     pub fn slips(&self, slip: Slip) -> bool {
@@ -55,12 +65,19 @@
         let engine = &mut self.engines[attempt.engine];
         if !engine.reachable() {
             let at = now.after(self.experiment.engines.connect_timeout);
-            self.queue.push(at, Event::AttemptFails { key, end: End::Unconnected });
+            self.queue.push(
+                at,
+                Event::AttemptFails {
+                    key,
+                    end: End::Unconnected,
+                },
+            );
             return None;
         }
         let (cold, mean_work) = (&self.experiment.cold, self.demand.mean_work);
         let (done_at, received) = engine.receive(cold, mean_work, now, key, attempt.work);
-        self.judge.connected(now, attempt.name.gateway, attempt.engine);
+        self.judge
+            .connected(now, attempt.name.gateway, attempt.engine);
         self.judge.attempt_began(now, attempt);
         match received {
             Received::Runs => self.schedule_engine(now, attempt.engine),
@@ -79,10 +96,17 @@
     /// Sees to it that the engine is looked at when its next attempt is done.
     pub fn schedule_engine(&mut self, now: SimTime, engine: usize) {
         let hollow = &mut self.engines[engine];
-        let Some(next) = hollow.next_due(&self.experiment.cold, now) else { return };
+        let Some(next) = hollow.next_due(&self.experiment.cold, now) else {
+            return;
+        };
         if hollow.due.is_none_or(|due| next < due) {
             hollow.due = Some(next);
-            self.queue.push(next, Event::EngineDue { engine: engine as u32 });
+            self.queue.push(
+                next,
+                Event::EngineDue {
+                    engine: engine as u32,
+                },
+            );
         }
     }
 
@@ -109,7 +133,13 @@
         self.judge.engine_stopped(engine);
         let at = now.after(detection);
         for key in broken {
-            self.queue.push(at, Event::AttemptFails { key, end: End::Broken });
+            self.queue.push(
+                at,
+                Event::AttemptFails {
+                    key,
+                    end: End::Broken,
+                },
+            );
         }
     }
 
@@ -142,7 +172,13 @@
     }
 
     pub fn plan(&mut self, at: SimTime, engine: usize, step: EngineStep) {
-        self.queue.push(at, Event::EngineStep { engine: engine as u32, step });
+        self.queue.push(
+            at,
+            Event::EngineStep {
+                engine: engine as u32,
+                step,
+            },
+        );
     }
 
     // ---- the change log ----
@@ -154,7 +190,8 @@
             line.started = None;
         }
         if self.log.stage(line) {
-            self.queue.push(now.after(PUBLISH_PACE), Event::PublishLines);
+            self.queue
+                .push(now.after(PUBLISH_PACE), Event::PublishLines);
         }
     }
 
@@ -172,11 +209,31 @@
     let rack_in_zone = engine / topology.zones % topology.racks_per_zone;
     let kind = random.random_range(0..experiment.engines.kind_cores.len());
     let rack = zone * topology.racks_per_zone + rack_in_zone;
-    Site { zone, rack, kind, cores: experiment.engines.kind_cores[kind] }
+    Site {
+        zone,
+        rack,
+        kind,
+        cores: experiment.engines.kind_cores[kind],
+    }
 }
 
 fn told_line(number: usize, engine: &Engine, condition: Condition) -> ToldLine {
-    let Site { zone, rack, kind, cores } = engine.site;
-    let facts = EngineFacts { zone: zone as u32, kind: kind as u32, cell: rack as u32, cores, condition };
-    ToldLine { engine: number, facts, started: engine.started }
+    let Site {
+        zone,
+        rack,
+        kind,
+        cores,
+    } = engine.site;
+    let facts = EngineFacts {
+        zone: zone as u32,
+        kind: kind as u32,
+        cell: rack as u32,
+        cores,
+        condition,
+    };
+    ToldLine {
+        engine: number,
+        facts,
+        started: engine.started,
+    }
 }
--- a/crates/scale/src/fleet/world.rs
+++ b/crates/scale/src/fleet/world.rs
@@ -38,11 +38,19 @@
         let rates = clients::rates(&experiment, &mut random);
         let zones = experiment.topology.zones;
         let gateway = |(number, rate): (usize, f64)| {
-            Gateway::new(number, number % zones, Clients::new(random.random(), number, rate))
+            Gateway::new(
+                number,
+                number % zones,
+                Clients::new(random.random(), number, rate),
+            )
         };
         let gateways: Vec<Gateway> = rates.into_iter().enumerate().map(gateway).collect();
         let around = Surroundings::new(Rc::clone(&experiment), random);
-        World { experiment, gateways, around }
+        World {
+            experiment,
+            gateways,
+            around,
+        }
     }
 
     /// Plays the experiment to its end.
@@ -69,7 +77,9 @@
         }
         for (line, script) in self.experiment.script.iter().enumerate() {
             let at = SimTime::from_seconds(script.at);
-            self.around.queue.push(at, Event::Script { line: line as u32 });
+            self.around
+                .queue
+                .push(at, Event::Script { line: line as u32 });
         }
     }
 
@@ -82,11 +92,17 @@
             }
             Event::Wake { gateway, life } => {
                 let gateway = alive(&mut self.gateways, gateway, life);
-                if let Some(gateway) = gateway.and_then(|gateway| gateway.wakes(now).then_some(gateway)) {
+                if let Some(gateway) =
+                    gateway.and_then(|gateway| gateway.wakes(now).then_some(gateway))
+                {
                     gateway.pump(now, &mut self.around);
                 }
             }
-            Event::Deliver { gateway, life, sequence } => {
+            Event::Deliver {
+                gateway,
+                life,
+                sequence,
+            } => {
                 let gateway = alive(&mut self.gateways, gateway, life);
                 if let Some(gateway) = gateway.filter(|gateway| !gateway.cut) {
                     gateway.deliver(now, sequence as usize, &mut self.around);
@@ -99,7 +115,9 @@
             }
             Event::EngineDue { engine } => self.engine_due(now, engine as usize),
             Event::EngineStep { engine, step } => self.engine_step(now, engine as usize, step),
-            Event::GatewayEnds { gateway, down_for } => self.gateway_ends(now, gateway, f64::from(down_for)),
+            Event::GatewayEnds { gateway, down_for } => {
+                self.gateway_ends(now, gateway, f64::from(down_for))
+            }
             Event::GatewayStarts { gateway } => self.gateway_starts(now, gateway)?,
             Event::PublishLines => {
                 let lines = self.around.log.publish_lines();
@@ -156,7 +174,9 @@
             return;
         }
         ended.end(now, &mut self.around);
-        self.around.queue.push(now.after(down_for), Event::GatewayStarts { gateway });
+        self.around
+            .queue
+            .push(now.after(down_for), Event::GatewayStarts { gateway });
     }
 
     fn gateway_starts(&mut self, now: SimTime, gateway: u32) -> Result<(), SubsetError> {
@@ -170,10 +190,21 @@
     fn announce(&mut self, now: SimTime, lines: &[super::change_log::ToldLine]) {
         let sequence = self.around.log.latest();
         self.around.judge.published(now, sequence, lines);
-        for gateway in self.gateways.iter().filter(|gateway| gateway.up && !gateway.cut) {
+        for gateway in self
+            .gateways
+            .iter()
+            .filter(|gateway| gateway.up && !gateway.cut)
+        {
             let at = now.after(self.around.delivery_delay());
             let (gateway, life) = (gateway.number, gateway.life);
-            self.around.queue.push(at, Event::Deliver { gateway, life, sequence: sequence as u32 });
+            self.around.queue.push(
+                at,
+                Event::Deliver {
+                    gateway,
+                    life,
+                    sequence: sequence as u32,
+                },
+            );
         }
     }
 
@@ -187,7 +218,14 @@
             self.around.judge.healed(now, gateway.number);
             let wait = self.around.random.random::<f64>() * resume + self.around.delivery_delay();
             let (gateway, life) = (gateway.number, gateway.life);
-            self.around.queue.push(now.after(wait), Event::Deliver { gateway, life, sequence });
+            self.around.queue.push(
+                now.after(wait),
+                Event::Deliver {
+                    gateway,
+                    life,
+                    sequence,
+                },
+            );
         }
     }
 
@@ -200,5 +238,7 @@
 
 /// The gateway, if this process of it still runs.
 fn alive(gateways: &mut [Gateway], gateway: u32, life: u32) -> Option<&mut Gateway> {
-    gateways.get_mut(gateway as usize).filter(|gateway| gateway.up && gateway.life == life)
+    gateways
+        .get_mut(gateway as usize)
+        .filter(|gateway| gateway.up && gateway.life == life)
 }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -53,8 +53,12 @@
 pub type Verdict = Result<bool, Box<dyn std::error::Error>>;
 
 fn main() -> ExitCode {
-    let filter = EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("warn"));
-    tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
+    let filter =
+        EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("warn"));
+    tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
     let verdict = match Arguments::parse().command {
         Command::Slopes(run) => slopes::run(&run),
         Command::SlopePoint => slopes::measure_point(),
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -22,7 +22,11 @@
 /// Where the system does not tell.
 pub fn resident_bytes() -> io::Result<u64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
-    let pages = text.split_whitespace().nth(RESIDENT_FIELD).and_then(|word| word.parse::<u64>().ok());
-    let pages = pages.ok_or_else(|| io::Error::other("/proc/self/statm: a number of pages expected"))?;
+    let pages = text
+        .split_whitespace()
+        .nth(RESIDENT_FIELD)
+        .and_then(|word| word.parse::<u64>().ok());
+    let pages =
+        pages.ok_or_else(|| io::Error::other("/proc/self/statm: a number of pages expected"))?;
     Ok(pages * rustix::param::page_size() as u64)
 }
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -32,11 +32,19 @@
     ///
     /// Where one of them can't be written.
     pub fn create(path: Option<&Path>) -> Result<Self, ResultsError> {
-        let Some(path) = path else { return Ok(Results { files: None }) };
+        let Some(path) = path else {
+            return Ok(Results { files: None });
+        };
         let table_path = path.with_extension("csv");
         let lines = BufWriter::new(create(path)?);
         let table = csv::Writer::from_writer(create(&table_path)?);
-        Ok(Results { files: Some(Files { path: path.into(), lines, table }) })
+        Ok(Results {
+            files: Some(Files {
+                path: path.into(),
+                lines,
+                table,
+            }),
+        })
     }
 
     /// Adds a row, whose fields are plain values.
@@ -45,8 +53,13 @@
     ///
     /// Where it can't be written.
     pub fn add(&mut self, row: &impl Serialize) -> Result<(), ResultsError> {
-        let Some(files) = self.files.as_mut() else { return Ok(()) };
-        files.write(row).map_err(|cause| ResultsError { file: files.path.clone(), cause })
+        let Some(files) = self.files.as_mut() else {
+            return Ok(());
+        };
+        files.write(row).map_err(|cause| ResultsError {
+            file: files.path.clone(),
+            cause,
+        })
     }
 }
 
@@ -61,5 +74,8 @@
 }
 
 fn create(path: &Path) -> Result<File, ResultsError> {
-    File::create(path).map_err(|cause| ResultsError { file: path.into(), cause })
+    File::create(path).map_err(|cause| ResultsError {
+        file: path.into(),
+        cause,
+    })
 }
--- a/crates/scale/src/slopes/chart.rs
+++ b/crates/scale/src/slopes/chart.rs
@@ -21,10 +21,23 @@
 ///
 /// Where the file can't be written.
 pub fn draw(path: &Path, series: &Series, quantity: Quantity) -> Result<(), Box<dyn Error>> {
-    let medians: Vec<(f64, f64)> = series.samples.iter().map(|s| (s.size, s.median())).collect();
-    let outside: Vec<(f64, f64)> =
-        series.predicted.iter().map(|p| (p.measured.size, p.measured.median())).collect();
-    let all = || medians.iter().chain(&outside).copied().filter(|(_, value)| *value > 0.0);
+    let medians: Vec<(f64, f64)> = series
+        .samples
+        .iter()
+        .map(|s| (s.size, s.median()))
+        .collect();
+    let outside: Vec<(f64, f64)> = series
+        .predicted
+        .iter()
+        .map(|p| (p.measured.size, p.measured.median()))
+        .collect();
+    let all = || {
+        medians
+            .iter()
+            .chain(&outside)
+            .copied()
+            .filter(|(_, value)| *value > 0.0)
+    };
     let range = |of: fn((f64, f64)) -> f64| {
         let least = all().map(of).fold(f64::INFINITY, f64::min) / AROUND;
         least..all().map(of).fold(0.0, f64::max) * AROUND
@@ -40,14 +53,27 @@
         .x_label_area_size(LABEL_AREA)
         .y_label_area_size(LABEL_AREA)
         .build_cartesian_2d(sizes.clone().log_scale(), values.clone().log_scale())?;
-    chart.configure_mesh().x_desc(quantity.label()).y_desc(series.metric.label()).draw()?;
+    chart
+        .configure_mesh()
+        .x_desc(quantity.label())
+        .y_desc(series.metric.label())
+        .draw()?;
     let step = (sizes.end / sizes.start).powf(1.0 / f64::from(CURVE_POINTS));
     let curve = (0..=CURVE_POINTS).map(|n| sizes.start * step.powi(n as i32));
-    let curve =
-        curve.map(|size| (size, series.fit.predict(size))).filter(|(_, value)| values.contains(value));
+    let curve = curve
+        .map(|size| (size, series.fit.predict(size)))
+        .filter(|(_, value)| values.contains(value));
     chart.draw_series(LineSeries::new(curve, &BLUE))?;
-    chart.draw_series(medians.iter().map(|point| Circle::new(*point, POINT, BLUE.filled())))?;
-    chart.draw_series(outside.iter().map(|point| Circle::new(*point, POINT, RED.filled())))?;
+    chart.draw_series(
+        medians
+            .iter()
+            .map(|point| Circle::new(*point, POINT, BLUE.filled())),
+    )?;
+    chart.draw_series(
+        outside
+            .iter()
+            .map(|point| Circle::new(*point, POINT, RED.filled())),
+    )?;
     area.present()?;
     Ok(())
 }
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/configuration.rs
@@ -15,13 +15,25 @@
         let bytes = text.len() as f64;
         let file = TemporaryFile::write(&text)?;
         drop(text);
-        let files = || Files { config: Some(file.path.display().to_string()), plan: None };
+        let files = || Files {
+            config: Some(file.path.display().to_string()),
+            plan: None,
+        };
         let (resident, (read, config)) = growth(|| timed(|| config::read(files(), |_| None)))?;
         config.map_err(|error| RoleError::Data(error.to_string()))?;
         Ok(vec![
-            Measured { metric: Metric::Read, value: read },
-            Measured { metric: Metric::Resident, value: resident },
-            Measured { metric: Metric::ListBytes, value: bytes },
+            Measured {
+                metric: Metric::Read,
+                value: read,
+            },
+            Measured {
+                metric: Metric::Resident,
+                value: resident,
+            },
+            Measured {
+                metric: Metric::ListBytes,
+                value: bytes,
+            },
         ])
     }
 }
@@ -29,7 +41,10 @@
 /// A gateway's configuration with so many engines under `known`, as text.
 fn configuration(engines: u64) -> String {
     let nothing = log_event(2, false, std::iter::empty());
-    let known = format!("{{\"seq\":2,\"results\":[{},{nothing}]}}", whole_list(engines));
+    let known = format!(
+        "{{\"seq\":2,\"results\":[{},{nothing}]}}",
+        whole_list(engines)
+    );
     let zones: Vec<String> = (0..ZONES).map(zone_name).collect();
     let kinds: Vec<String> = (0..KIND_CORES.len()).map(kind_name).collect();
     let settings = json!({
@@ -55,7 +70,9 @@
 impl TemporaryFile {
     fn write(text: &str) -> std::io::Result<Self> {
         let name = format!("garnetwall-scale-{}.json", std::process::id());
-        let file = TemporaryFile { path: std::env::temp_dir().join(name) };
+        let file = TemporaryFile {
+            path: std::env::temp_dir().join(name),
+        };
         std::fs::write(&file.path, text)?;
         Ok(file)
     }
--- a/crates/scale/src/slopes/fit.rs
+++ b/crates/scale/src/slopes/fit.rs
@@ -62,7 +62,10 @@
     pub fn new(samples: &[Sample]) -> Self {
         let medians: Vec<(f64, f64)> = samples.iter().map(|s| (s.size, s.median())).collect();
         let line = Line::new(&medians);
-        let largest = medians.iter().map(|(_, value)| value.abs()).fold(LEAST, f64::max);
+        let largest = medians
+            .iter()
+            .map(|(_, value)| value.abs())
+            .fold(LEAST, f64::max);
         let distance = |(size, value): &(f64, f64)| (value - line.at(*size)).abs();
         let logarithms: Vec<(f64, f64)> = samples.iter().flat_map(logarithms).collect();
         let power = Line::new(&logarithms);
@@ -88,7 +91,10 @@
     pub fn predict(&self, size: f64) -> f64 {
         let (last_size, last_median) = self.last;
         let from_last = |exponent: f64| last_median * (size / last_size).powf(exponent);
-        match (self.superlinear, self.exponent + BEYOND_SPREAD * self.exponent_error < 0.0) {
+        match (
+            self.superlinear,
+            self.exponent + BEYOND_SPREAD * self.exponent_error < 0.0,
+        ) {
             (true, _) => from_last(self.exponent.max(self.last_exponent)),
             (false, true) => from_last(self.exponent),
             (false, false) => self.intercept + self.slope * size,
@@ -97,7 +103,10 @@
 }
 
 fn logarithms(sample: &Sample) -> impl Iterator<Item = (f64, f64)> + '_ {
-    sample.values.iter().map(|value| (sample.size.ln(), logarithm(*value)))
+    sample
+        .values
+        .iter()
+        .map(|value| (sample.size.ln(), logarithm(*value)))
 }
 
 /// Of 0 and less there is none.
@@ -111,13 +120,18 @@
 
 /// The exponent between the two largest sizes by the medians, and the least that the spread allows.
 fn last_exponents(samples: &[Sample]) -> (f64, f64) {
-    let [.., before, last] = samples else { return (f64::NAN, f64::NAN) };
+    let [.., before, last] = samples else {
+        return (f64::NAN, f64::NAN);
+    };
     if samples.iter().any(|sample| sample.least() <= 0.0) {
         return (f64::NAN, f64::NAN);
     }
     let steps = (last.size / before.size).ln();
     let exponent = |above: f64, below: f64| (logarithm(above) - logarithm(below)) / steps;
-    (exponent(last.median(), before.median()), exponent(last.least(), before.most()))
+    (
+        exponent(last.median(), before.median()),
+        exponent(last.least(), before.most()),
+    )
 }
 
 /// A line by least squares.
@@ -132,9 +146,15 @@
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let covariance: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let covariance: f64 = points
+            .iter()
+            .map(|(x, y)| (x - mean_x) * (y - mean_y))
+            .sum();
         let slope = covariance / squares(points).max(LEAST);
-        Line { slope, intercept: mean_y - slope * mean_x }
+        Line {
+            slope,
+            intercept: mean_y - slope * mean_x,
+        }
     }
 
     fn at(&self, x: f64) -> f64 {
--- a/crates/scale/src/slopes/fit/tests.rs
+++ b/crates/scale/src/slopes/fit/tests.rs
@@ -4,13 +4,19 @@
 
 fn samples(value: impl Fn(f64) -> f64) -> Vec<Sample> {
     let around = |value: f64| vec![value * 1.01, value, value * 0.99];
-    SIZES.iter().map(|size| Sample::new(*size, around(value(*size)))).collect()
+    SIZES
+        .iter()
+        .map(|size| Sample::new(*size, around(value(*size))))
+        .collect()
 }
 
 #[test]
 fn a_line_is_found_again_and_predicts_outside_its_range() {
     let fit = Fit::new(&samples(|size| 6.0 + 0.15 * size));
-    assert!((fit.slope - 0.15).abs() < 1e-9 && (fit.intercept - 6.0).abs() < 1e-6, "{fit:?}");
+    assert!(
+        (fit.slope - 0.15).abs() < 1e-9 && (fit.intercept - 6.0).abs() < 1e-6,
+        "{fit:?}"
+    );
     assert!(fit.residual < 1e-9 && !fit.superlinear, "{fit:?}");
     assert!((fit.predict(6500.0) - 981.0).abs() < 1e-6);
 }
@@ -18,7 +24,10 @@
 #[test]
 fn growth_by_a_power_is_flagged_and_predicted_by_it() {
     let fit = Fit::new(&samples(|size| 2e-4 * size.powf(1.7)));
-    assert!(fit.superlinear && (fit.exponent - 1.7).abs() < 1e-6, "{fit:?}");
+    assert!(
+        fit.superlinear && (fit.exponent - 1.7).abs() < 1e-6,
+        "{fit:?}"
+    );
     let true_value = 2e-4 * 6500f64.powf(1.7);
     assert!((fit.predict(6500.0) / true_value - 1.0).abs() < 0.01);
 }
@@ -41,7 +50,10 @@
 #[test]
 fn what_falls_is_predicted_by_its_power() {
     let fit = Fit::new(&samples(|size| 350_000.0 / size));
-    assert!(!fit.superlinear && (fit.exponent + 1.0).abs() < 1e-6, "{fit:?}");
+    assert!(
+        !fit.superlinear && (fit.exponent + 1.0).abs() < 1e-6,
+        "{fit:?}"
+    );
     assert!((fit.predict(6500.0) / (350_000.0 / 6500.0) - 1.0).abs() < 0.01);
 }
 
@@ -49,7 +61,10 @@
 #[test]
 fn the_last_step_of_single_runs_flags_nothing() {
     let value = |size: f64| if size == 1024.0 { size * 1.1 } else { size };
-    let single: Vec<Sample> = SIZES.iter().map(|size| Sample::new(*size, vec![value(*size)])).collect();
+    let single: Vec<Sample> = SIZES
+        .iter()
+        .map(|size| Sample::new(*size, vec![value(*size)]))
+        .collect();
     let fit = Fit::new(&single);
     assert!(fit.last_exponent > LINEAR && !fit.superlinear, "{fit:?}");
 }
--- a/crates/scale/src/slopes/gateway_list.rs
+++ b/crates/scale/src/slopes/gateway_list.rs
@@ -31,11 +31,21 @@
         };
         let select = |size| {
             let settings = subset_settings(size, quantities.gateways);
-            Selection::new("gateway-0", settings, KIND_CORES.iter().copied().map(Some).collect())
+            Selection::new(
+                "gateway-0",
+                settings,
+                KIND_CORES.iter().copied().map(Some).collect(),
+            )
         };
-        let selection = Some(quantities.subset_size).filter(|size| *size > 0).map(select).transpose()?;
+        let selection = Some(quantities.subset_size)
+            .filter(|size| *size > 0)
+            .map(select)
+            .transpose()?;
         let list = EngineList::new(KEPT, Clock::start(), selection);
-        Ok(GatewayList { names: NameIndex::new(&names), list })
+        Ok(GatewayList {
+            names: NameIndex::new(&names),
+            list,
+        })
     }
 
     /// Decodes an event of the change log.
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -19,24 +19,36 @@
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let members = point.quantities.members;
         let terms = Terms::unchecked(LEASE, TERM, GRANTORS);
-        let mut grantor = Grantor::start(Duration::ZERO, 0, 1, &terms, members as usize, MOST_THINGS);
+        let mut grantor =
+            Grantor::start(Duration::ZERO, 0, 1, &terms, members as usize, MOST_THINGS);
         let begin = LEASE * 2;
         let (resident, refused) = growth(|| {
             let first = |member: u64| grantor.asked(begin, &ask(member, 1, true)).is_err();
             (0..members).map(first).filter(|refused| *refused).count()
         })?;
         if refused > 0 {
-            return Err(RoleError::Data(format!("{refused} of {members} members were refused a lease")));
+            return Err(RoleError::Data(format!(
+                "{refused} of {members} members were refused a lease"
+            )));
         }
         // Renewals of all members in turn, evenly over a quarter of the term.
         let step = TERM.as_nanos() as u64 / ASKS_A_TERM / members;
         let renewal = repeated(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
-            grantor.asked(now, &ask(repeat % members, 2 + (repeat / members) as u32, false))
+            grantor.asked(
+                now,
+                &ask(repeat % members, 2 + (repeat / members) as u32, false),
+            )
         });
         Ok(vec![
-            Measured { metric: Metric::Renewal, value: renewal },
-            Measured { metric: Metric::Resident, value: resident },
+            Measured {
+                metric: Metric::Renewal,
+                value: renewal,
+            },
+            Measured {
+                metric: Metric::Resident,
+                value: resident,
+            },
         ])
     }
 }
@@ -45,7 +57,18 @@
 fn ask(member: u64, number: u32, claims: bool) -> Ask {
     /// After any that the grantor's start rules out.
     const FIRST_EPOCH: Epoch = Epoch(1 << 40);
-    let claim = Claim { thing: Thing(member), epoch: FIRST_EPOCH };
-    let from = Member { gateway: member, life: 1 };
-    Ask { from, number, claims: if claims { vec![claim] } else { Vec::new() }, returns: Vec::new() }
+    let claim = Claim {
+        thing: Thing(member),
+        epoch: FIRST_EPOCH,
+    };
+    let from = Member {
+        gateway: member,
+        life: 1,
+    };
+    Ask {
+        from,
+        number,
+        claims: if claims { vec![claim] } else { Vec::new() },
+        returns: Vec::new(),
+    }
 }
--- a/crates/scale/src/slopes/ledger.rs
+++ b/crates/scale/src/slopes/ledger.rs
@@ -34,8 +34,14 @@
             *slot = begin(&mut ledger, now);
         });
         Ok(vec![
-            Measured { metric: Metric::Attempt, value: attempt },
-            Measured { metric: Metric::Resident, value: resident },
+            Measured {
+                metric: Metric::Attempt,
+                value: attempt,
+            },
+            Measured {
+                metric: Metric::Resident,
+                value: resident,
+            },
         ])
     }
 }
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -24,18 +24,45 @@
         let whole_list = each(vec![whole; WHOLE_LISTS], |event| list.apply(event));
         let line = |repeat: u64| &changed[repeat as usize % changed.len()];
         let decode_line = repeated(|repeat| list.decode(line(repeat)));
-        let events = changed.iter().map(|text| list.decode(text)).collect::<Result<Vec<_>, _>>()?;
+        let events = changed
+            .iter()
+            .map(|text| list.decode(text))
+            .collect::<Result<Vec<_>, _>>()?;
         let events = events.iter().cycle().take(CHANGED_LINES).cloned().collect();
         let changed_line = each(events, |event| list.apply(event));
         Ok(vec![
-            Measured { metric: Metric::ListBytes, value: text.len() as f64 },
-            Measured { metric: Metric::LineBytes, value: changed[0].len() as f64 },
-            Measured { metric: Metric::DecodeList, value: decode_list },
-            Measured { metric: Metric::DecodeLine, value: decode_line },
-            Measured { metric: Metric::FirstList, value: first_list },
-            Measured { metric: Metric::WholeList, value: whole_list },
-            Measured { metric: Metric::ChangedLine, value: changed_line },
-            Measured { metric: Metric::Resident, value: resident },
+            Measured {
+                metric: Metric::ListBytes,
+                value: text.len() as f64,
+            },
+            Measured {
+                metric: Metric::LineBytes,
+                value: changed[0].len() as f64,
+            },
+            Measured {
+                metric: Metric::DecodeList,
+                value: decode_list,
+            },
+            Measured {
+                metric: Metric::DecodeLine,
+                value: decode_line,
+            },
+            Measured {
+                metric: Metric::FirstList,
+                value: first_list,
+            },
+            Measured {
+                metric: Metric::WholeList,
+                value: whole_list,
+            },
+            Measured {
+                metric: Metric::ChangedLine,
+                value: changed_line,
+            },
+            Measured {
+                metric: Metric::Resident,
+                value: resident,
+            },
         ])
     }
 }
@@ -52,7 +79,11 @@
 fn engine_changes(engines: u64) -> Vec<String> {
     const CHANGES: u64 = 64;
     let change = |number: u64| {
-        let state = if number.is_multiple_of(2) { "DRAINING" } else { "SERVING" };
+        let state = if number.is_multiple_of(2) {
+            "DRAINING"
+        } else {
+            "SERVING"
+        };
         let engine = pool::engine(number / 2 * engines / CHANGES * 2 % engines);
         pool::log_event(number + 2, false, std::iter::once(engine.log_line(state)))
     };
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -39,9 +39,18 @@
         let member_seconds = members as f64 * span as f64 / 1000.0;
         let sent = (network.bytes_sent - sent_before) as f64;
         Ok(vec![
-            Measured { metric: Metric::MemberBytes, value: sent / member_seconds },
-            Measured { metric: Metric::MemberTime, value: taken / member_seconds },
-            Measured { metric: Metric::MemberResident, value: resident / members as f64 },
+            Measured {
+                metric: Metric::MemberBytes,
+                value: sent / member_seconds,
+            },
+            Measured {
+                metric: Metric::MemberTime,
+                value: taken / member_seconds,
+            },
+            Measured {
+                metric: Metric::MemberResident,
+                value: resident / members as f64,
+            },
         ])
     }
 }
@@ -79,10 +88,18 @@
         let addresses: Vec<SocketAddrV4> = (0..size).map(address).collect();
         let start = |member: usize| {
             let peer = Peer::new(addresses[member], 1);
-            let mut started =
-                Members::new(Duration::ZERO, peer, &addresses, seed + member as u64, wire.clone());
+            let mut started = Members::new(
+                Duration::ZERO,
+                peer,
+                &addresses,
+                seed + member as u64,
+                wire.clone(),
+            );
             let contact = |contact: usize| addresses[(member + 1 + contact * 7) % size];
-            started.joins(Duration::ZERO, &(0..CONTACTS).map(contact).collect::<Vec<_>>());
+            started.joins(
+                Duration::ZERO,
+                &(0..CONTACTS).map(contact).collect::<Vec<_>>(),
+            );
             started
         };
         Network {
@@ -110,8 +127,14 @@
 
     fn deliver(&mut self) {
         let now = Duration::from_millis(self.now);
-        while self.on_the_way.peek().is_some_and(|Reverse(datagram)| datagram.due <= self.now) {
-            let Some(Reverse(datagram)) = self.on_the_way.pop() else { return };
+        while self
+            .on_the_way
+            .peek()
+            .is_some_and(|Reverse(datagram)| datagram.due <= self.now)
+        {
+            let Some(Reverse(datagram)) = self.on_the_way.pop() else {
+                return;
+            };
             if let Ok(Message::Swim(bytes)) = self.wire.read(&datagram.bytes) {
                 // A datagram that can't be used is dropped, as on a socket.
                 let _ = self.members[datagram.to].came(now, &bytes);
@@ -133,7 +156,12 @@
             if let Some(to) = self.by_address.get(&to).copied().filter(|_| !lost) {
                 self.sequence += 1;
                 let (due, sequence) = (self.now + trip, self.sequence);
-                self.on_the_way.push(Reverse(Datagram { due, sequence, to, bytes }));
+                self.on_the_way.push(Reverse(Datagram {
+                    due,
+                    sequence,
+                    to,
+                    bytes,
+                }));
             }
         }
     }
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -73,8 +73,10 @@
     experiment.seed = run.seed.unwrap_or(experiment.seed);
     let mut results = Results::create(run.results.as_deref())?;
     let values = measure_all(&experiment, &mut results)?;
-    let all_series: Vec<Series> =
-        values.into_iter().map(|(metric, sizes)| series(&experiment, metric, sizes)).collect();
+    let all_series: Vec<Series> = values
+        .into_iter()
+        .map(|(metric, sizes)| series(&experiment, metric, sizes))
+        .collect();
     print(&experiment, &all_series);
     if let Some(path) = &run.results {
         for one in &all_series {
@@ -85,9 +87,17 @@
 }
 
 /// Measures all points. The sizes come in turn in each run, so that a change of the machine's load meets all of them.
-fn measure_all(experiment: &Experiment, results: &mut Results) -> Result<Values, Box<dyn std::error::Error>> {
+fn measure_all(
+    experiment: &Experiment,
+    results: &mut Results,
+) -> Result<Values, Box<dyn std::error::Error>> {
     let runner = Runner::new(Duration::from_secs_f64(experiment.point_limit))?;
-    let sizes: Vec<u64> = experiment.sizes.iter().copied().chain(experiment.predict).collect();
+    let sizes: Vec<u64> = experiment
+        .sizes
+        .iter()
+        .copied()
+        .chain(experiment.predict)
+        .collect();
     let progress = progress(sizes.len() as u64 * u64::from(experiment.runs));
     let mut values = Values::new();
     for run in 0..experiment.runs {
@@ -95,9 +105,18 @@
             progress.set_message(format!("{} {}", size, experiment.sweep.label()));
             let seed = experiment.seed + u64::from(run);
             let quantities = experiment.fixed.with(experiment.sweep, *size);
-            let measured = runner.measure(&Point { role: experiment.role, seed, quantities })?;
+            let measured = runner.measure(&Point {
+                role: experiment.role,
+                seed,
+                quantities,
+            })?;
             for Measured { metric, value } in measured {
-                values.entry(metric).or_default().entry(*size).or_default().push(value);
+                values
+                    .entry(metric)
+                    .or_default()
+                    .entry(*size)
+                    .or_default()
+                    .push(value);
                 results.add(&ValueRow {
                     role: experiment.role.label(),
                     metric: metric.label(),
@@ -123,7 +142,9 @@
 }
 
 fn series(experiment: &Experiment, metric: Metric, mut sizes: BTreeMap<u64, Vec<f64>>) -> Series {
-    let outside = experiment.predict.and_then(|size| Some((size, sizes.remove(&size)?)));
+    let outside = experiment
+        .predict
+        .and_then(|size| Some((size, sizes.remove(&size)?)));
     let sample = |(size, values): (u64, Vec<f64>)| Sample::new(size as f64, values);
     let samples: Vec<Sample> = sizes.into_iter().map(sample).collect();
     let fit = Fit::new(&samples);
@@ -131,12 +152,20 @@
         value: fit.predict(size as f64),
         measured: sample((size, values)),
     });
-    Series { metric, samples, fit, predicted }
+    Series {
+        metric,
+        samples,
+        fit,
+        predicted,
+    }
 }
 
 fn print(experiment: &Experiment, all_series: &[Series]) {
     let (role, quantity) = (experiment.role.label(), experiment.sweep.label());
-    println!("{role} by {quantity}, {} runs, seed {}, processor time\n", experiment.runs, experiment.seed);
+    println!(
+        "{role} by {quantity}, {} runs, seed {}, processor time\n",
+        experiment.runs, experiment.seed
+    );
     for series in all_series {
         println!("{}", series.table(experiment.sweep));
     }
@@ -146,8 +175,11 @@
 
 /// Whether all limits are kept. Each is printed with its figure.
 fn judge(experiment: &Experiment, all_series: &[Series]) -> bool {
-    let verdicts: Vec<bool> =
-        experiment.limits.iter().flat_map(|limit| judge_limit(limit, all_series)).collect();
+    let verdicts: Vec<bool> = experiment
+        .limits
+        .iter()
+        .flat_map(|limit| judge_limit(limit, all_series))
+        .collect();
     let passed = verdicts.iter().filter(|verdict| **verdict).count();
     println!("{passed} passed, {} failed", verdicts.len() - passed);
     passed == verdicts.len()
@@ -155,19 +187,36 @@
 
 fn judge_limit(limit: &Limit, all_series: &[Series]) -> Vec<bool> {
     let label = limit.metric.label();
-    let Some(series) = all_series.iter().find(|series| series.metric == limit.metric) else {
+    let Some(series) = all_series
+        .iter()
+        .find(|series| series.metric == limit.metric)
+    else {
         println!("FAILED {label}: not measured by this role");
         return vec![false];
     };
-    let measured = series.predicted.iter().map(|prediction| prediction.measured.median());
-    let worst = series.samples.iter().map(Sample::median).chain(measured).fold(0.0, f64::max);
+    let measured = series
+        .predicted
+        .iter()
+        .map(|prediction| prediction.measured.median());
+    let worst = series
+        .samples
+        .iter()
+        .map(Sample::median)
+        .chain(measured)
+        .fold(0.0, f64::max);
     let smallest = series.samples.first().map_or(0.0, Sample::median);
     let most = limit.most.map(|most| ("", worst, most));
-    let ratio = limit.most_over_smallest.map(|most| (" over the smallest", worst / smallest, most));
+    let ratio = limit
+        .most_over_smallest
+        .map(|most| (" over the smallest", worst / smallest, most));
     let verdict = |(what, found, most): (&str, f64, f64)| {
         let passed = found <= most;
         let word = if passed { "passed" } else { "FAILED" };
-        println!("{word} {label}{what}: {} at worst, {} at most", number(found), number(most));
+        println!(
+            "{word} {label}{what}: {} at worst, {} at most",
+            number(found),
+            number(most)
+        );
         passed
     };
     most.into_iter().chain(ratio).map(verdict).collect()
@@ -176,7 +225,10 @@
 /// Beside the results, by the metric's name.
 fn chart_path(results: &Path, metric: Metric) -> PathBuf {
     let stem = results.file_stem().unwrap_or_default().to_string_lossy();
-    let words: Vec<&str> =
-        metric.label().split(|c: char| !c.is_alphanumeric()).filter(|w| !w.is_empty()).collect();
+    let words: Vec<&str> = metric
+        .label()
+        .split(|c: char| !c.is_alphanumeric())
+        .filter(|w| !w.is_empty())
+        .collect();
     results.with_file_name(format!("{stem}-{}.svg", words.join("-")))
 }
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/module/engines.rs
@@ -27,7 +27,12 @@
     ///
     /// Where the settings of the subset can't be used.
     pub fn new(quantities: &Fixed) -> Result<Self, RoleError> {
-        let Fixed { engines, gateways, subset_size, .. } = *quantities;
+        let Fixed {
+            engines,
+            gateways,
+            subset_size,
+            ..
+        } = *quantities;
         let subset = match subset_size {
             0 => None,
             size => Some(Members::new(Chosen::new(engines, gateways, size)?)),
@@ -38,7 +43,9 @@
     /// All lines that the module is told.
     pub fn whole(&mut self) -> Vec<Listed> {
         match self.subset.as_mut() {
-            None => (0..self.engines).map(|number| line(pool::engine(number), Condition::Ready)).collect(),
+            None => (0..self.engines)
+                .map(|number| line(pool::engine(number), Condition::Ready))
+                .collect(),
             Some(members) => members.lines(),
         }
     }
@@ -48,7 +55,9 @@
         match self.subset.as_mut() {
             None => (self.whole(), true),
             Some(members) => {
-                let actions = members.chosen.apply(&super::super::subset::catalog_lines(self.engines), true);
+                let actions = members
+                    .chosen
+                    .apply(&super::super::subset::catalog_lines(self.engines), true);
                 (members.carry_out(&actions), false)
             }
         }
@@ -69,7 +78,11 @@
 
 /// The module's line of a line of the catalog, where engines are indexed as they are numbered.
 fn whole_list_line(changed: &garnetwall_subset::EngineLine) -> Listed {
-    let number = changed.id.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(0);
+    let number = changed
+        .id
+        .trim_start_matches(|c: char| !c.is_ascii_digit())
+        .parse()
+        .unwrap_or(0);
     let condition = match changed.facts.condition {
         garnetwall_subset::Condition::Ready => Condition::Ready,
         garnetwall_subset::Condition::Draining => Condition::Draining,
@@ -79,14 +92,31 @@
 }
 
 fn line(engine: PoolEngine, condition: Condition) -> Listed {
-    let PoolEngine { number, zone, kind, cell } = engine;
-    Listed { engine: number as EngineId, zone, kind, cell, came_up: None, condition, holders: None }
+    let PoolEngine {
+        number,
+        zone,
+        kind,
+        cell,
+    } = engine;
+    Listed {
+        engine: number as EngineId,
+        zone,
+        kind,
+        cell,
+        came_up: None,
+        condition,
+        holders: None,
+    }
 }
 
 impl Members {
     fn new(chosen: Chosen) -> Self {
         let members: Vec<EngineKey> = chosen.subset.members().map(|(engine, _)| engine).collect();
-        Members { chosen, indices: members.into_iter().zip(0..).collect(), free: Vec::new() }
+        Members {
+            chosen,
+            indices: members.into_iter().zip(0..).collect(),
+            free: Vec::new(),
+        }
     }
 
     fn lines(&self) -> Vec<Listed> {
@@ -99,7 +129,10 @@
 
     /// What the module is told of actions.
     fn carry_out(&mut self, actions: &[Action]) -> Vec<Listed> {
-        actions.iter().filter_map(|action| self.carry_out_one(action)).collect()
+        actions
+            .iter()
+            .filter_map(|action| self.carry_out_one(action))
+            .collect()
     }
 
     fn carry_out_one(&mut self, action: &Action) -> Option<Listed> {
@@ -113,7 +146,10 @@
                 let index = self.indices.remove(&engine)?;
                 self.free.push(index);
                 let gone = self.line(engine, index, Condition::Gone, None);
-                gone.or(Some(Listed { condition: Condition::Gone, ..line_of_unknown(index) }))
+                gone.or(Some(Listed {
+                    condition: Condition::Gone,
+                    ..line_of_unknown(index)
+                }))
             }
         }
     }
@@ -136,11 +172,27 @@
     ) -> Option<Listed> {
         let facts = self.chosen.catalog.facts(engine)?;
         let (zone, kind, cell) = (facts.zone, facts.kind as usize, facts.cell);
-        Some(Listed { engine: index, zone, kind, cell, came_up: None, condition, holders })
+        Some(Listed {
+            engine: index,
+            zone,
+            kind,
+            cell,
+            came_up: None,
+            condition,
+            holders,
+        })
     }
 }
 
 /// A line of an engine that is in the catalog no more.
 fn line_of_unknown(index: EngineId) -> Listed {
-    line(PoolEngine { number: index as u64, zone: 0, kind: 0, cell: 0 }, Condition::Gone)
+    line(
+        PoolEngine {
+            number: index as u64,
+            zone: 0,
+            kind: 0,
+            cell: 0,
+        },
+        Condition::Gone,
+    )
 }
--- a/crates/scale/src/slopes/module/mod.rs
+++ b/crates/scale/src/slopes/module/mod.rs
@@ -16,7 +16,8 @@
         let quantities = &point.quantities;
         let engines = ListedEngines::new(quantities)?;
         let settings = workload::settings(quantities);
-        let (resident, (first_list, mut world)) = growth(|| timed(|| World::new(point, settings, engines)))?;
+        let (resident, (first_list, mut world)) =
+            growth(|| timed(|| World::new(point, settings, engines)))?;
         // The module hears of its engines first.
         world.play(quantities.settling);
         let (taken_before, draws_before) = (world.queries_taken, world.draws);
@@ -27,14 +28,38 @@
         let whole_list = repeated(|_| world.list_again());
         let changed_line = repeated(|repeat| world.change_line(repeat));
         Ok(vec![
-            Measured { metric: Metric::Query, value: spent / queries },
-            Measured { metric: Metric::CoreShare, value: spent / quantities.seconds / 1e6 * 100.0 },
-            Measured { metric: Metric::Draws, value: draws / queries },
-            Measured { metric: Metric::FirstList, value: first_list },
-            Measured { metric: Metric::WholeList, value: whole_list },
-            Measured { metric: Metric::ChangedLine, value: changed_line },
-            Measured { metric: Metric::SubsetEngines, value: world.engines_listed() as f64 },
-            Measured { metric: Metric::Resident, value: resident },
+            Measured {
+                metric: Metric::Query,
+                value: spent / queries,
+            },
+            Measured {
+                metric: Metric::CoreShare,
+                value: spent / quantities.seconds / 1e6 * 100.0,
+            },
+            Measured {
+                metric: Metric::Draws,
+                value: draws / queries,
+            },
+            Measured {
+                metric: Metric::FirstList,
+                value: first_list,
+            },
+            Measured {
+                metric: Metric::WholeList,
+                value: whole_list,
+            },
+            Measured {
+                metric: Metric::ChangedLine,
+                value: changed_line,
+            },
+            Measured {
+                metric: Metric::SubsetEngines,
+                value: world.engines_listed() as f64,
+            },
+            Measured {
+                metric: Metric::Resident,
+                value: resident,
+            },
         ])
     }
 }
--- a/crates/scale/src/slopes/module/workload.rs
+++ b/crates/scale/src/slopes/module/workload.rs
@@ -19,7 +19,10 @@
 /// Two groups, reports with answers, engines that start cold.
 pub fn settings(quantities: &Fixed) -> Settings {
     let keyed = |index: usize| index == KEYED_GROUP && quantities.keys > 0;
-    let groups = THREADS.iter().enumerate().map(|(index, threads)| group(*threads, keyed(index)));
+    let groups = THREADS
+        .iter()
+        .enumerate()
+        .map(|(index, threads)| group(*threads, keyed(index)));
     Settings {
         groups: groups.collect(),
         tenants: TENANTS,
@@ -32,7 +35,12 @@
         names_return: true,
         longest_return: 1.0,
         max_dispatches: 3,
-        cold: Some(ColdRule { starts_at: 0.35, warm_after: 10.0, multiple: 3.0, window: 2.0 }),
+        cold: Some(ColdRule {
+            starts_at: 0.35,
+            warm_after: 10.0,
+            multiple: 3.0,
+            window: 2.0,
+        }),
         key_rest: 0.5,
         ..Settings::default()
     }
--- a/crates/scale/src/slopes/module/world.rs
+++ b/crates/scale/src/slopes/module/world.rs
@@ -34,7 +34,12 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Arrival,
-    Answer { query: BatchId, engine: EngineId, sent: u64, work_nanoseconds: u64 },
+    Answer {
+        query: BatchId,
+        engine: EngineId,
+        sent: u64,
+        work_nanoseconds: u64,
+    },
     Change,
 }
 
@@ -102,7 +107,10 @@
     pub fn play(&mut self, seconds: f64) {
         let end = self.now + micros(seconds);
         loop {
-            let due = self.events.peek().map_or(u64::MAX, |Reverse(event)| event.due);
+            let due = self
+                .events
+                .peek()
+                .map_or(u64::MAX, |Reverse(event)| event.due);
             self.now = self.now.max(due.min(self.wake)).min(end);
             if due.min(self.wake) > end {
                 return;
@@ -150,7 +158,11 @@
 
     fn schedule(&mut self, due: u64, what: What) {
         self.sequence += 1;
-        self.events.push(Reverse(Event { due, sequence: self.sequence, what }));
+        self.events.push(Reverse(Event {
+            due,
+            sequence: self.sequence,
+            what,
+        }));
     }
 
     /// The next of events that come by chance at a rate.
@@ -163,7 +175,12 @@
     fn happen(&mut self, what: What) {
         match what {
             What::Arrival => self.arrive(),
-            What::Answer { query, engine, sent, work_nanoseconds } => {
+            What::Answer {
+                query,
+                engine,
+                sent,
+                work_nanoseconds,
+            } => {
                 self.answer(query, engine, sent, work_nanoseconds as f64 / 1e9);
             }
             What::Change => {
@@ -186,11 +203,25 @@
     fn answer(&mut self, query: BatchId, engine: EngineId, sent: u64, work: f64) {
         let now = self.seconds();
         let utilisation = Some(self.rng.random_range(UTILISATION));
-        self.control.report(now, engine, Report { utilisation, ..Report::default() });
+        self.control.report(
+            now,
+            engine,
+            Report {
+                utilisation,
+                ..Report::default()
+            },
+        );
         let latency = (self.now - sent) as f64 * MICROSECOND;
         let end = End::Returned;
-        let outcome =
-            Outcome { engine, dispatch: 0, end, latency, closed: true, work: Some(work), memory: None };
+        let outcome = Outcome {
+            engine,
+            dispatch: 0,
+            end,
+            latency,
+            closed: true,
+            work: Some(work),
+            memory: None,
+        };
         self.control.after(now, query, outcome);
     }
 
@@ -220,7 +251,12 @@
                 let (sent, work_nanoseconds) = (self.now, (work * 1e9) as u64);
                 self.schedule(
                     self.now + micros(latency),
-                    What::Answer { query, engine, sent, work_nanoseconds },
+                    What::Answer {
+                        query,
+                        engine,
+                        sent,
+                        work_nanoseconds,
+                    },
                 );
             }
             Place::NotYet => {}
--- a/crates/scale/src/slopes/pool.rs
+++ b/crates/scale/src/slopes/pool.rs
@@ -1,6 +1,8 @@
 //! The pool of engines that all roles measure: zones, kinds and cells as at the size told.
 
-use garnetwall_subset::{Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings};
+use garnetwall_subset::{
+    Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings,
+};
 use serde_json::{json, Value};
 
 /// At the size told.
@@ -22,7 +24,12 @@
 /// The engine of this number.
 pub fn engine(number: u64) -> PoolEngine {
     let kind = (number / ZONES) as usize % KIND_CORES.len();
-    PoolEngine { number, zone: (number % ZONES) as u32, kind, cell: (number / CELL_ENGINES) as u32 }
+    PoolEngine {
+        number,
+        zone: (number % ZONES) as u32,
+        kind,
+        cell: (number / CELL_ENGINES) as u32,
+    }
 }
 
 impl PoolEngine {
@@ -34,8 +41,17 @@
     pub fn catalog_line(&self, condition: Condition) -> EngineLine {
         let cores = KIND_CORES[self.kind];
         let kind = self.kind as u32;
-        let facts = EngineFacts { zone: self.zone, kind, cell: self.cell, cores, condition };
-        EngineLine { id: self.id(), facts }
+        let facts = EngineFacts {
+            zone: self.zone,
+            kind,
+            cell: self.cell,
+            cores,
+            condition,
+        };
+        EngineLine {
+            id: self.id(),
+            facts,
+        }
     }
 
     /// The line of the change log.
@@ -64,8 +80,9 @@
 
 /// An event of the change log, as text. Written line by line: it leaves no memory behind that a measurement could use.
 pub fn log_event(number: u64, whole: bool, servers: impl Iterator<Item = Value>) -> String {
-    let mut text =
-        format!("{{\"seq\":{number},\"fleet\":{{\"version\":{number},\"full\":{whole},\"servers\":[");
+    let mut text = format!(
+        "{{\"seq\":{number},\"fleet\":{{\"version\":{number},\"full\":{whole},\"servers\":["
+    );
     for (index, server) in servers.enumerate() {
         let separator = if index == 0 { "" } else { "," };
         text += &format!("{separator}{server}");
@@ -75,7 +92,11 @@
 
 /// The whole list as an event of the change log, as text.
 pub fn whole_list(engines: u64) -> String {
-    log_event(1, true, (0..engines).map(|number| engine(number).log_line("SERVING")))
+    log_event(
+        1,
+        true,
+        (0..engines).map(|number| engine(number).log_line("SERVING")),
+    )
 }
 
 /// Settings of a subset for the service groups of the module's role.
--- a/crates/scale/src/slopes/report.rs
+++ b/crates/scale/src/slopes/report.rs
@@ -34,27 +34,54 @@
 impl Series {
     /// The medians at all sizes, each with the spread.
     pub fn table(&self, quantity: Quantity) -> String {
-        let mut table =
-            format!("| {} | {} | min | max |\n|---|---|---|---|\n", quantity.label(), self.metric.label());
+        let mut table = format!(
+            "| {} | {} | min | max |\n|---|---|---|---|\n",
+            quantity.label(),
+            self.metric.label()
+        );
         let measured = self.predicted.iter().map(|prediction| &prediction.measured);
         for sample in self.samples.iter().chain(measured) {
             let (median, least, most) = (sample.median(), sample.least(), sample.most());
-            table +=
-                &format!("| {} | {} | {} | {} |\n", sample.size, number(median), number(least), number(most));
+            table += &format!(
+                "| {} | {} | {} | {} |\n",
+                sample.size,
+                number(median),
+                number(least),
+                number(most)
+            );
         }
         table
     }
 
     /// One row: slope, intercept, exponents, what is left over, and prediction beside measured.
     pub fn fit_row(&self) -> String {
-        let Fit { slope, intercept, residual, exponent, exponent_error, last_exponent, superlinear, .. } =
-            self.fit;
-        let growth = if superlinear { "**faster than linear**" } else { "" };
-        let predicted = self.predicted.as_ref().map_or_else(String::new, |prediction| {
-            let measured = prediction.measured.median();
-            let ratio = measured / prediction.value;
-            format!("{} / {} = {ratio:.2}", number(measured), number(prediction.value))
-        });
+        let Fit {
+            slope,
+            intercept,
+            residual,
+            exponent,
+            exponent_error,
+            last_exponent,
+            superlinear,
+            ..
+        } = self.fit;
+        let growth = if superlinear {
+            "**faster than linear**"
+        } else {
+            ""
+        };
+        let predicted = self
+            .predicted
+            .as_ref()
+            .map_or_else(String::new, |prediction| {
+                let measured = prediction.measured.median();
+                let ratio = measured / prediction.value;
+                format!(
+                    "{} / {} = {ratio:.2}",
+                    number(measured),
+                    number(prediction.value)
+                )
+            });
         format!(
             "| {} | {} | {} | {exponent:.2} +- {exponent_error:.2} | {last_exponent:.2} | {:.0}% | {growth} | {predicted} |\n",
             self.metric.label(),
@@ -67,7 +94,9 @@
 
 /// The head of the table of fits.
 pub fn fit_head(predict: Option<u64>) -> String {
-    let outside = predict.map_or_else(String::new, |size| format!("measured / predicted at {size}"));
+    let outside = predict.map_or_else(String::new, |size| {
+        format!("measured / predicted at {size}")
+    });
     format!(
         "| metric | slope | intercept | exponent | at the last two | residual | growth | {outside} |\n\
          |---|---|---|---|---|---|---|---|\n"
--- a/crates/scale/src/slopes/runner.rs
+++ b/crates/scale/src/slopes/runner.rs
@@ -17,7 +17,9 @@
 pub enum RunnerError {
     #[error("the measuring process: {0}; check that this program may start itself")]
     Process(#[from] io::Error),
-    #[error("the measuring process wrote what is no measurement: {0}; this is a fault of the tool")]
+    #[error(
+        "the measuring process wrote what is no measurement: {0}; this is a fault of the tool"
+    )]
     Answer(#[from] serde_json::Error),
     #[error("the measuring process failed: {0}")]
     Failed(String),
@@ -38,7 +40,9 @@
     ///
     /// Where no runtime can be had.
     pub fn new(limit: Duration) -> Result<Self, RunnerError> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         Ok(Runner { runtime, limit })
     }
 
@@ -69,7 +73,9 @@
     }
     let output = child.wait_with_output().await?;
     if !output.status.success() {
-        return Err(RunnerError::Failed(String::from_utf8_lossy(&output.stderr).trim().to_string()));
+        return Err(RunnerError::Failed(
+            String::from_utf8_lossy(&output.stderr).trim().to_string(),
+        ));
     }
     Ok(serde_json::from_slice(&output.stdout)?)
 }
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -173,7 +173,9 @@
 
     fn check(&self, file: &Path) -> Result<(), ExperimentError> {
         let wrong = |key: &str, found: String, expected: &str, remedy: &str| {
-            Err(ExperimentError::unusable(file, key, found, expected, remedy))
+            Err(ExperimentError::unusable(
+                file, key, found, expected, remedy,
+            ))
         };
         let sizes = format!("{:?}", self.sizes);
         if self.sizes.len() < FEWEST_SIZES {
@@ -194,40 +196,74 @@
         }
         let largest = self.sizes[self.sizes.len() - 1];
         if largest > LARGEST {
-            return wrong("sizes", sizes, "a list of sizes up to 10,000,000", "leave the larger out");
+            return wrong(
+                "sizes",
+                sizes,
+                "a list of sizes up to 10,000,000",
+                "leave the larger out",
+            );
         }
         let inside = self.sizes[0]..=largest;
         match self.predict {
             Some(size) if inside.contains(&size) || size == 0 || size > LARGEST => {
                 let remedy = "name a size under the smallest or over the largest, up to 10,000,000";
-                return wrong("predict", size.to_string(), "a size outside of the sizes", remedy);
+                return wrong(
+                    "predict",
+                    size.to_string(),
+                    "a size outside of the sizes",
+                    remedy,
+                );
             }
             _ => {}
         }
         if self.runs == 0 || self.runs > MOST_RUNS {
-            return wrong("runs", self.runs.to_string(), "a number from 1 to 100", "3 to 9 are usual");
+            return wrong(
+                "runs",
+                self.runs.to_string(),
+                "a number from 1 to 100",
+                "3 to 9 are usual",
+            );
         }
         if !(self.point_limit.is_finite() && self.point_limit > 0.0) {
             let remedy = "write the seconds that the slowest point may take";
-            return wrong("point-limit", self.point_limit.to_string(), "a time over 0", remedy);
+            return wrong(
+                "point-limit",
+                self.point_limit.to_string(),
+                "a time over 0",
+                remedy,
+            );
         }
         self.check_fixed(file)
     }
 
     fn check_fixed(&self, file: &Path) -> Result<(), ExperimentError> {
         let wrong = |key: &str, found: String, expected: &str, remedy: &str| {
-            Err(ExperimentError::unusable(file, key, found, expected, remedy))
+            Err(ExperimentError::unusable(
+                file, key, found, expected, remedy,
+            ))
         };
         let fixed = &self.fixed;
-        for (key, seconds) in
-            [("fixed.seconds", fixed.seconds), ("fixed.settling", fixed.settling), ("fixed.work", fixed.work)]
-        {
+        for (key, seconds) in [
+            ("fixed.seconds", fixed.seconds),
+            ("fixed.settling", fixed.settling),
+            ("fixed.work", fixed.work),
+        ] {
             if !(seconds.is_finite() && seconds > 0.0) {
-                return wrong(key, seconds.to_string(), "a time over 0", "write it in seconds");
+                return wrong(
+                    key,
+                    seconds.to_string(),
+                    "a time over 0",
+                    "write it in seconds",
+                );
             }
         }
         if fixed.loss > 90 {
-            return wrong("fixed.loss", fixed.loss.to_string(), "0 to 90 of 100", "no message comes at 100");
+            return wrong(
+                "fixed.loss",
+                fixed.loss.to_string(),
+                "0 to 90 of 100",
+                "no message comes at 100",
+            );
         }
         for (key, count) in [
             ("fixed.engines", fixed.engines),
@@ -238,7 +274,12 @@
         ] {
             if count == 0 || count > LARGEST {
                 let remedy = "leave the key out for the usual number";
-                return wrong(key, count.to_string(), "a number from 1 to 10,000,000", remedy);
+                return wrong(
+                    key,
+                    count.to_string(),
+                    "a number from 1 to 10,000,000",
+                    remedy,
+                );
             }
         }
         Ok(())
--- a/crates/scale/src/slopes/stopwatch.rs
+++ b/crates/scale/src/slopes/stopwatch.rs
@@ -34,7 +34,11 @@
 /// The mean processor time of a piece of work on each of some items, in microseconds; they are made before.
 pub fn each<I, T>(items: Vec<I>, mut work: impl FnMut(I) -> T) -> f64 {
     let count = items.len().max(1) as f64;
-    let (taken, ()) = timed(|| items.into_iter().for_each(|item| drop(black_box(work(item)))));
+    let (taken, ()) = timed(|| {
+        items
+            .into_iter()
+            .for_each(|item| drop(black_box(work(item))))
+    });
     taken / count
 }
 
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/subset.rs
@@ -30,7 +30,11 @@
         let changes = catalog.apply(&lines, true);
         let mut subset = Subset::new("gateway-0", pool::subset_settings(size, gateways))?;
         subset.changed(0.0, &catalog, &changes);
-        let mut chosen = Chosen { catalog, subset, now: 0.0 };
+        let mut chosen = Chosen {
+            catalog,
+            subset,
+            now: 0.0,
+        };
         chosen.settle();
         Ok(chosen)
     }
@@ -64,7 +68,9 @@
 
 /// All engines of a pool, ready.
 pub fn catalog_lines(engines: u64) -> Vec<EngineLine> {
-    (0..engines).map(|number| pool::engine(number).catalog_line(Condition::Ready)).collect()
+    (0..engines)
+        .map(|number| pool::engine(number).catalog_line(Condition::Ready))
+        .collect()
 }
 
 pub struct SubsetChoice;
@@ -73,21 +79,48 @@
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let quantities = &point.quantities;
         let (engines, gateways) = (quantities.engines, quantities.gateways);
-        let size = if quantities.subset_size == 0 { engines } else { quantities.subset_size };
+        let size = if quantities.subset_size == 0 {
+            engines
+        } else {
+            quantities.subset_size
+        };
         let lines = catalog_lines(engines);
-        let (resident, (first_list, chosen)) = growth(|| timed(|| Chosen::new(engines, gateways, size)))?;
+        let (resident, (first_list, chosen)) =
+            growth(|| timed(|| Chosen::new(engines, gateways, size)))?;
         let mut chosen = chosen?;
-        let members: Vec<f64> = chosen.subset.members().map(|(_, holders)| holders).collect();
+        let members: Vec<f64> = chosen
+            .subset
+            .members()
+            .map(|(_, holders)| holders)
+            .collect();
         let whole_list = repeated(|_| chosen.apply(&lines, true));
         let changed_line = repeated(|repeat| chosen.apply(&[changed(engines, repeat)], false));
         let (further, _kept) = growth(|| further_subsets(&chosen.catalog, gateways, size))?;
         Ok(vec![
-            Measured { metric: Metric::FirstList, value: first_list },
-            Measured { metric: Metric::WholeList, value: whole_list },
-            Measured { metric: Metric::ChangedLine, value: changed_line },
-            Measured { metric: Metric::Resident, value: resident },
-            Measured { metric: Metric::SubsetBytes, value: further / FURTHER_SUBSETS as f64 },
-            Measured { metric: Metric::SubsetEngines, value: members.len() as f64 },
+            Measured {
+                metric: Metric::FirstList,
+                value: first_list,
+            },
+            Measured {
+                metric: Metric::WholeList,
+                value: whole_list,
+            },
+            Measured {
+                metric: Metric::ChangedLine,
+                value: changed_line,
+            },
+            Measured {
+                metric: Metric::Resident,
+                value: resident,
+            },
+            Measured {
+                metric: Metric::SubsetBytes,
+                value: further / FURTHER_SUBSETS as f64,
+            },
+            Measured {
+                metric: Metric::SubsetEngines,
+                value: members.len() as f64,
+            },
             Measured {
                 metric: Metric::Holders,
                 value: members.iter().sum::<f64>() / members.len().max(1) as f64,
@@ -100,12 +133,20 @@
 pub fn changed(engines: u64, repeat: u64) -> EngineLine {
     /// A prime, so that all engines come up in turn.
     const STRIDE: u64 = 7919;
-    let condition = if repeat.is_multiple_of(2) { Condition::Draining } else { Condition::Ready };
+    let condition = if repeat.is_multiple_of(2) {
+        Condition::Draining
+    } else {
+        Condition::Ready
+    };
     pool::engine(repeat / 2 * STRIDE % engines).catalog_line(condition)
 }
 
 fn further_subsets(catalog: &Catalog, gateways: u64, size: u64) -> Vec<Subset> {
-    let all = |(engine, _, facts)| garnetwall_subset::Change { engine, before: None, after: Some(facts) };
+    let all = |(engine, _, facts)| garnetwall_subset::Change {
+        engine,
+        before: None,
+        after: Some(facts),
+    };
     let changes: Vec<_> = catalog.engines().map(all).collect();
     let choose = |number: usize| {
         let settings = pool::subset_settings(size, gateways);
--- a/crates/scale/src/spread/compare.rs
+++ b/crates/scale/src/spread/compare.rs
@@ -40,11 +40,19 @@
         }
     }
     progress.finish_and_clear();
-    gathered.into_iter().flat_map(|(case, seeds)| rows(case, &seeds)).collect()
+    gathered
+        .into_iter()
+        .flat_map(|(case, seeds)| rows(case, &seeds))
+        .collect()
 }
 
 fn rows(case: Case, seeds: &[Figures]) -> Vec<Row> {
-    let Case { gateways, engines, size, way } = case;
+    let Case {
+        gateways,
+        engines,
+        size,
+        way,
+    } = case;
     let figures = seeds[0].keys();
     let row = |figure: &Figure| {
         let values = seeds.iter().map(|seed| seed[figure]).collect();
@@ -59,7 +67,9 @@
     let mut played = Vec::new();
     for (index, &size) in sizes.iter().enumerate() {
         // The whole list has one size only.
-        let plays = |way: &WayName| experiment.ways.contains(way) && (index == 0 || !way.holds_whole_list());
+        let plays = |way: &WayName| {
+            experiment.ways.contains(way) && (index == 0 || !way.holds_whole_list())
+        };
         let mut plain_form: Option<Choices> = None;
         for way in WayName::all().into_iter().filter(plays) {
             let choices = world.choose(way, size);
@@ -72,8 +82,20 @@
                 }
                 _ => {}
             }
-            let size = if way.holds_whole_list() { fleet.engines } else { size };
-            played.push((Case { gateways: fleet.gateways, engines: fleet.engines, size, way }, figures));
+            let size = if way.holds_whole_list() {
+                fleet.engines
+            } else {
+                size
+            };
+            played.push((
+                Case {
+                    gateways: fleet.gateways,
+                    engines: fleet.engines,
+                    size,
+                    way,
+                },
+                figures,
+            ));
         }
     }
     played
@@ -106,7 +128,13 @@
         let changed = Change::ALL.iter().map(after).collect();
         let even = even_traffic(fleet.gateways);
         let uneven = uneven_traffic(experiment, fleet.gateways, seed);
-        World { experiment, population, changed, even, uneven }
+        World {
+            experiment,
+            population,
+            changed,
+            even,
+            uneven,
+        }
     }
 
     fn choose(&self, name: WayName, size: usize) -> Choices {
@@ -120,10 +148,19 @@
         let way = name.build(self.experiment);
         let mut figures = Figures::new();
         let choosing = choices.choosing.as_secs_f64() * MICROSECONDS;
-        figures.insert(Figure::ChooseMicroseconds, choosing / self.population.gateways.len() as f64);
-        figures.insert(Figure::StateBytes, way.state_bytes(&self.population, size) as f64);
+        figures.insert(
+            Figure::ChooseMicroseconds,
+            choosing / self.population.gateways.len() as f64,
+        );
+        figures.insert(
+            Figure::StateBytes,
+            way.state_bytes(&self.population, size) as f64,
+        );
         self.measure_spread(&*way, &choices.before, &mut figures);
-        let required = Required { size, classes: way.classes() };
+        let required = Required {
+            size,
+            classes: way.classes(),
+        };
         for (index, after) in choices.after.iter().enumerate() {
             self.measure_moves(&choices.before, index, after, &required, &mut figures);
         }
@@ -136,16 +173,31 @@
 
     fn measure_spread(&self, way: &dyn Way, assignment: &Assignment, figures: &mut Figures) {
         let even = measure::work_over_mean(&self.population, assignment, &self.even);
-        insert(figures, even, [Figure::EvenP50, Figure::EvenP99, Figure::EvenMax]);
+        insert(
+            figures,
+            even,
+            [Figure::EvenP50, Figure::EvenP99, Figure::EvenMax],
+        );
         let uneven = measure::work_over_mean(&self.population, assignment, &self.uneven);
-        insert(figures, uneven, [Figure::UnevenP50, Figure::UnevenP99, Figure::UnevenMax]);
+        insert(
+            figures,
+            uneven,
+            [Figure::UnevenP50, Figure::UnevenP99, Figure::UnevenMax],
+        );
         let connections = Distribution::of(way.connections(&self.population, assignment));
-        let names = [Figure::ConnectionsP50, Figure::ConnectionsP99, Figure::ConnectionsMax];
+        let names = [
+            Figure::ConnectionsP50,
+            Figure::ConnectionsP99,
+            Figure::ConnectionsMax,
+        ];
         insert(figures, connections, names);
         let unheld = measure::unheld(&self.population, assignment);
         figures.insert(Figure::Unheld, unheld as f64);
         let members: usize = assignment.held.iter().map(|held| held.len()).sum();
-        figures.insert(Figure::Members, members as f64 / assignment.held.len() as f64);
+        figures.insert(
+            Figure::Members,
+            members as f64 / assignment.held.len() as f64,
+        );
         if !assignment.told_holders.is_empty() {
             let sum = measure::largest_sum_of_parts(&self.population, assignment);
             figures.insert(Figure::SumOfParts, sum);
@@ -170,12 +222,17 @@
     }
 
     fn slip(&self, way: WayName, choices: &mut Choices) {
-        let Some(slip) = self.experiment.slip.filter(|_| way == WayName::Subset) else { return };
+        let Some(slip) = self.experiment.slip.filter(|_| way == WayName::Subset) else {
+            return;
+        };
         slip.apply(Moment::First, &mut choices.before);
         for (change, assignment) in Change::ALL.into_iter().zip(&mut choices.after) {
             slip.apply(Moment::After(change), assignment);
         }
-        choices.returned.iter_mut().for_each(|returned| slip.apply(Moment::Returned, returned));
+        choices
+            .returned
+            .iter_mut()
+            .for_each(|returned| slip.apply(Moment::Returned, returned));
     }
 }
 
@@ -183,7 +240,10 @@
 fn disagreeing(plain: &Choices, choices: &Choices) -> usize {
     let before = measure::disagreeing(&plain.before, &choices.before);
     let after = plain.after.iter().zip(&choices.after);
-    before + after.map(|(plain, after)| measure::disagreeing(plain, after)).sum::<usize>()
+    before
+        + after
+            .map(|(plain, after)| measure::disagreeing(plain, after))
+            .sum::<usize>()
 }
 
 fn insert(figures: &mut Figures, distribution: Distribution, names: [Figure; 3]) {
--- a/crates/scale/src/spread/experiment.rs
+++ b/crates/scale/src/spread/experiment.rs
@@ -106,15 +106,24 @@
         let experiment: Experiment = crate::experiment::read(path)?;
         match experiment.fault() {
             None => Ok(experiment),
-            Some(Fault { key, found, expected, remedy }) => {
-                Err(ExperimentError::unusable(path, key, found, expected, remedy))
-            }
+            Some(Fault {
+                key,
+                found,
+                expected,
+                remedy,
+            }) => Err(ExperimentError::unusable(
+                path, key, found, expected, remedy,
+            )),
         }
     }
 
     /// The kinds that service groups name.
     pub fn named_kinds(&self) -> Vec<u32> {
-        (0..).zip(&self.kinds).filter(|(_, kind)| kind.named).map(|(index, _)| index).collect()
+        (0..)
+            .zip(&self.kinds)
+            .filter(|(_, kind)| kind.named)
+            .map(|(index, _)| index)
+            .collect()
     }
 
     fn fault(&self) -> Option<Fault> {
@@ -130,40 +139,75 @@
 
     fn fault_in_repeats(&self) -> Option<Fault> {
         if !(1..=MOST_SEEDS).contains(&self.seeds) {
-            return Some(Fault::new("seeds", self.seeds, "1 to 1,024", "name how often each is played"));
+            return Some(Fault::new(
+                "seeds",
+                self.seeds,
+                "1 to 1,024",
+                "name how often each is played",
+            ));
         }
         if !(1..=MOST_THREADS).contains(&self.threads) {
-            return Some(Fault::new("threads", self.threads, "1 to 64", "name the cores it may use"));
+            return Some(Fault::new(
+                "threads",
+                self.threads,
+                "1 to 64",
+                "name the cores it may use",
+            ));
         }
         None
     }
 
     fn fault_in_engines(&self) -> Option<Fault> {
         if self.zones == 0 {
-            return Some(Fault::new("zones", self.zones, "1 or more", "name the number of zones"));
+            return Some(Fault::new(
+                "zones",
+                self.zones,
+                "1 or more",
+                "name the number of zones",
+            ));
         }
         if self.rack_engines == 0 {
             let remedy = "name the engines that share a rack";
-            return Some(Fault::new("rack_engines", self.rack_engines, "1 or more", remedy));
+            return Some(Fault::new(
+                "rack_engines",
+                self.rack_engines,
+                "1 or more",
+                remedy,
+            ));
         }
         let usable = |kind: &Kind| positive(kind.cores) && positive(kind.share);
         if self.kinds.is_empty() || !self.kinds.iter().all(usable) {
             let remedy = "name cores and share of each kind";
-            return Some(Fault::new("kinds", format!("{:?}", self.kinds), "a list with both over 0", remedy));
+            return Some(Fault::new(
+                "kinds",
+                format!("{:?}", self.kinds),
+                "a list with both over 0",
+                remedy,
+            ));
         }
         None
     }
 
     fn fault_in_fleets(&self) -> Option<Fault> {
         if self.fleets.is_empty() {
-            return Some(Fault::new("fleets", "an empty list", "a list of fleets", "add a [[fleets]] table"));
+            return Some(Fault::new(
+                "fleets",
+                "an empty list",
+                "a list of fleets",
+                "add a [[fleets]] table",
+            ));
         }
         for fleet in &self.fleets {
-            let counts =
-                (2..=MOST_GATEWAYS).contains(&fleet.gateways) && (2..=MOST_ENGINES).contains(&fleet.engines);
+            let counts = (2..=MOST_GATEWAYS).contains(&fleet.gateways)
+                && (2..=MOST_ENGINES).contains(&fleet.engines);
             if !counts {
                 let remedy = "name gateways and engines in this range";
-                return Some(Fault::new("fleets", format!("{fleet:?}"), "2 to 100,000 of each", remedy));
+                return Some(Fault::new(
+                    "fleets",
+                    format!("{fleet:?}"),
+                    "2 to 100,000 of each",
+                    remedy,
+                ));
             }
             if fleet.subset_sizes.is_empty() || fleet.subset_sizes.contains(&0) {
                 let remedy = "name the sizes to compare";
@@ -177,7 +221,12 @@
         }
         if !(0.0..1.0).contains(&self.gateways_lost) {
             let remedy = "name the part of the gateways that goes";
-            return Some(Fault::new("gateways_lost", self.gateways_lost, "0 or more and under 1", remedy));
+            return Some(Fault::new(
+                "gateways_lost",
+                self.gateways_lost,
+                "0 or more and under 1",
+                remedy,
+            ));
         }
         None
     }
@@ -187,15 +236,30 @@
         if !judged.iter().all(|way| self.ways.contains(way)) {
             let remedy = "name both as well: one is judged by the other";
             let expected = "a list with subset and rendezvous-floors";
-            return Some(Fault::new("ways", format!("{:?}", self.ways), expected, remedy));
+            return Some(Fault::new(
+                "ways",
+                format!("{:?}", self.ways),
+                expected,
+                remedy,
+            ));
         }
         if !(1..=MOST_POINTS_PER_CORE).contains(&self.ring.points_per_core) {
             let remedy = "name the points of an engine on the ring for each core";
-            return Some(Fault::new("ring.points_per_core", self.ring.points_per_core, "1 to 256", remedy));
+            return Some(Fault::new(
+                "ring.points_per_core",
+                self.ring.points_per_core,
+                "1 to 256",
+                remedy,
+            ));
         }
         if self.sampling.draws == 0 || !positive(self.sampling.connection_idle_s) {
             let remedy = "name draws of 1 or more and a time over 0";
-            return Some(Fault::new("sampling", format!("{:?}", self.sampling), "usable", remedy));
+            return Some(Fault::new(
+                "sampling",
+                format!("{:?}", self.sampling),
+                "usable",
+                remedy,
+            ));
         }
         None
     }
@@ -204,7 +268,12 @@
         let traffic = &self.traffic;
         if !positive(traffic.heavy_factor) || !positive(traffic.queries_per_second) {
             let remedy = "name a factor and a rate over 0";
-            return Some(Fault::new("traffic", format!("{traffic:?}"), "usable", remedy));
+            return Some(Fault::new(
+                "traffic",
+                format!("{traffic:?}"),
+                "usable",
+                remedy,
+            ));
         }
         let heavy = traffic.heavy_share * traffic.heavy_factor;
         if !(0.0..1.0).contains(&traffic.heavy_share) || heavy >= 1.0 {
@@ -230,8 +299,18 @@
 }
 
 impl Fault {
-    fn new(key: &'static str, found: impl ToString, expected: &'static str, remedy: &'static str) -> Self {
-        Fault { key, found: found.to_string(), expected, remedy }
+    fn new(
+        key: &'static str,
+        found: impl ToString,
+        expected: &'static str,
+        remedy: &'static str,
+    ) -> Self {
+        Fault {
+            key,
+            found: found.to_string(),
+            expected,
+            remedy,
+        }
     }
 }
 
--- a/crates/scale/src/spread/judge.rs
+++ b/crates/scale/src/spread/judge.rs
@@ -18,26 +18,45 @@
 
 /// Judges `garnetwall-subset` in every fleet and with every size.
 pub fn judge(rows: &[Row]) -> Vec<Check> {
-    rows.iter().filter(|row| row.way == WayName::Subset).filter_map(judge_row).collect()
+    rows.iter()
+        .filter(|row| row.way == WayName::Subset)
+        .filter_map(judge_row)
+        .collect()
 }
 
 fn judge_row(row: &Row) -> Option<Check> {
     let (what, allowed) = match row.figure {
         Figure::Unheld => ("engines held by nobody", 0.0),
-        Figure::MovedOverLeast(Change::OneEngine) => ("moves over the least, one engine lost", MOVES_ALLOWED),
-        Figure::MovedOverLeast(Change::Rack) => ("moves over the least, a rack lost", MOVES_ALLOWED),
-        Figure::MovedOverLeast(Change::Zone) => ("moves over the least, a zone lost", MOVES_ALLOWED),
+        Figure::MovedOverLeast(Change::OneEngine) => {
+            ("moves over the least, one engine lost", MOVES_ALLOWED)
+        }
+        Figure::MovedOverLeast(Change::Rack) => {
+            ("moves over the least, a rack lost", MOVES_ALLOWED)
+        }
+        Figure::MovedOverLeast(Change::Zone) => {
+            ("moves over the least, a zone lost", MOVES_ALLOWED)
+        }
         Figure::Moved(Change::Gateways) => ("moves of those that stay, gateways lost", 0.0),
         Figure::Disagreeing => ("gateways that differ from the plain form", 0.0),
         Figure::NotBack => ("gateways not back at their subset when all is back", 0.0),
-        Figure::SumOfParts => ("sum of what the holders of an engine take", SUM_OF_PARTS_ALLOWED),
+        Figure::SumOfParts => (
+            "sum of what the holders of an engine take",
+            SUM_OF_PARTS_ALLOWED,
+        ),
         _ => return None,
     };
     let passed = row.max <= allowed;
     let verdict = if passed { "passed" } else { "FAILED" };
-    let Row { gateways, engines, size, max, .. } = row;
-    let text =
-        format!("{verdict}: {gateways} x {engines}, size {size}: {what}: {max:.3}, at most {allowed:.3}");
+    let Row {
+        gateways,
+        engines,
+        size,
+        max,
+        ..
+    } = row;
+    let text = format!(
+        "{verdict}: {gateways} x {engines}, size {size}: {what}: {max:.3}, at most {allowed:.3}"
+    );
     Some(Check { passed, text })
 }
 
--- a/crates/scale/src/spread/measure.rs
+++ b/crates/scale/src/spread/measure.rs
@@ -19,22 +19,36 @@
     /// Of one value or more; the p99 is the value that 99 in 100 do not exceed.
     pub fn of(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
-        let rank = |share: f64| ((values.len() as f64 * share).ceil() as usize).clamp(1, values.len()) - 1;
-        Distribution { p50: values[rank(0.5)], p99: values[rank(0.99)], max: values[rank(1.0)] }
+        let rank =
+            |share: f64| ((values.len() as f64 * share).ceil() as usize).clamp(1, values.len()) - 1;
+        Distribution {
+            p50: values[rank(0.5)],
+            p99: values[rank(0.99)],
+            max: values[rank(1.0)],
+        }
     }
 }
 
 /// Work of each engine per core over the mean, when each gateway splits its traffic over its subset by cores.
 /// `traffic` is by gateway number.
-pub fn work_over_mean(population: &Population, assignment: &Assignment, traffic: &[f64]) -> Distribution {
+pub fn work_over_mean(
+    population: &Population,
+    assignment: &Assignment,
+    traffic: &[f64],
+) -> Distribution {
     let cores = population.cores();
     let mut work_per_core = vec![0.0; cores.len()];
     for (gateway, held) in population.gateways.iter().zip(&assignment.held) {
         let held_cores: f64 = held.iter().map(|engine| cores[*engine as usize]).sum();
         let per_core = traffic[gateway.number as usize] / held_cores;
-        held.iter().for_each(|engine| work_per_core[*engine as usize] += per_core);
+        held.iter()
+            .for_each(|engine| work_per_core[*engine as usize] += per_core);
     }
-    let all_traffic: f64 = population.gateways.iter().map(|gateway| traffic[gateway.number as usize]).sum();
+    let all_traffic: f64 = population
+        .gateways
+        .iter()
+        .map(|gateway| traffic[gateway.number as usize])
+        .sum();
     let mean = all_traffic / cores.iter().sum::<f64>();
     let of_engine = |engine: u32| work_per_core[engine as usize] / mean;
     Distribution::of(population.numbers().into_iter().map(of_engine).collect())
@@ -45,7 +59,11 @@
     let mut is_held = vec![false; population.engine_numbers()];
     let held = assignment.held.iter().flat_map(|held| held.iter());
     held.for_each(|engine| is_held[*engine as usize] = true);
-    population.engines.iter().filter(|engine| !is_held[engine.number as usize]).count()
+    population
+        .engines
+        .iter()
+        .filter(|engine| !is_held[engine.number as usize])
+        .count()
 }
 
 /// Gateways whose subsets differ, or that one of both lacks.
@@ -59,7 +77,9 @@
 pub fn largest_sum_of_parts(population: &Population, assignment: &Assignment) -> f64 {
     let mut sums = vec![0.0; population.engine_numbers()];
     for (held, told) in assignment.held.iter().zip(&assignment.told_holders) {
-        held.iter().zip(told).for_each(|(engine, holders)| sums[*engine as usize] += 1.0 / holders);
+        held.iter()
+            .zip(told)
+            .for_each(|(engine, holders)| sums[*engine as usize] += 1.0 / holders);
     }
     sums.into_iter().fold(0.0, f64::max)
 }
@@ -114,12 +134,20 @@
     required: &Required,
 ) -> Moves {
     let numbers = after.0.gateways.iter().map(|gateway| gateway.number);
-    let after_by_number: HashMap<u32, &[u32]> =
-        numbers.zip(after.1.held.iter().map(|held| &**held)).collect();
+    let after_by_number: HashMap<u32, &[u32]> = numbers
+        .zip(after.1.held.iter().map(|held| &**held))
+        .collect();
     let remaining = Remaining::new(before.0, after.0);
-    let mut moves = Moves { moved: 0, least: 0, floor: 0, held: 0 };
+    let mut moves = Moves {
+        moved: 0,
+        least: 0,
+        floor: 0,
+        held: 0,
+    };
     for (gateway, held) in before.0.gateways.iter().zip(&before.1.held) {
-        let Some(held_after) = after_by_number.get(&gateway.number) else { continue };
+        let Some(held_after) = after_by_number.get(&gateway.number) else {
+            continue;
+        };
         moves.held += held.len();
         moves.moved += differing(held, held_after);
         let staying = remaining.staying(held);
@@ -157,13 +185,23 @@
         let kinds = before.kinds();
         let numbers = after.numbers();
         let mut is_there = vec![false; before.engine_numbers()];
-        numbers.iter().for_each(|engine| is_there[*engine as usize] = true);
-        Remaining { count: numbers.len(), count_by_kind: count_by_kind(&numbers, &kinds), is_there, kinds }
+        numbers
+            .iter()
+            .for_each(|engine| is_there[*engine as usize] = true);
+        Remaining {
+            count: numbers.len(),
+            count_by_kind: count_by_kind(&numbers, &kinds),
+            is_there,
+            kinds,
+        }
     }
 
     /// The members that are still there.
     fn staying(&self, held: &[u32]) -> Vec<u32> {
-        held.iter().copied().filter(|engine| self.is_there[*engine as usize]).collect()
+        held.iter()
+            .copied()
+            .filter(|engine| self.is_there[*engine as usize])
+            .collect()
     }
 
     /// Engines that have to join to bring back the size and each class's floor, as far as engines are there.
@@ -184,6 +222,8 @@
 fn count_by_kind(engines: &[u32], kinds: &[u32]) -> Vec<usize> {
     let kind_count = kinds.iter().max().map_or(0, |kind| *kind as usize + 1);
     let mut counts = vec![0; kind_count];
-    engines.iter().for_each(|engine| counts[kinds[*engine as usize] as usize] += 1);
+    engines
+        .iter()
+        .for_each(|engine| counts[kinds[*engine as usize] as usize] += 1);
     counts
 }
--- a/crates/scale/src/spread/measure/tests.rs
+++ b/crates/scale/src/spread/measure/tests.rs
@@ -9,9 +9,19 @@
     let engine = |&number: &u32| {
         let kind = number / 2;
         let cores = 8.0 * f64::from(kind + 1);
-        Engine { number, id: format!("e{number}"), cores, kind, zone: 0, rack: 0 }
+        Engine {
+            number,
+            id: format!("e{number}"),
+            cores,
+            kind,
+            zone: 0,
+            rack: 0,
+        }
+    };
+    let gateway = |number| Gateway {
+        number,
+        name: format!("g{number}"),
     };
-    let gateway = |number| Gateway { number, name: format!("g{number}") };
     Population {
         engines: engines.iter().map(engine).collect(),
         gateways: (0..gateways).map(gateway).collect(),
@@ -19,27 +29,61 @@
 }
 
 fn assignment(held: &[&[u32]]) -> Assignment {
-    Assignment { held: held.iter().map(|held| Arc::from(*held)).collect(), told_holders: Vec::new() }
+    Assignment {
+        held: held.iter().map(|held| Arc::from(*held)).collect(),
+        told_holders: Vec::new(),
+    }
 }
 
 /// A size, and a floor for both kinds.
 fn required(size: usize, floor: usize) -> Required {
-    Required { size, classes: Classes { floor, kinds: vec![0, 1] } }
+    Required {
+        size,
+        classes: Classes {
+            floor,
+            kinds: vec![0, 1],
+        },
+    }
 }
 
 #[test]
 fn a_distribution_ranks_its_values() {
     let distribution = Distribution::of((1..=200).rev().map(f64::from).collect());
-    assert_eq!(distribution, Distribution { p50: 100.0, p99: 198.0, max: 200.0 });
-    assert_eq!(Distribution::of(vec![3.0]), Distribution { p50: 3.0, p99: 3.0, max: 3.0 });
+    assert_eq!(
+        distribution,
+        Distribution {
+            p50: 100.0,
+            p99: 198.0,
+            max: 200.0
+        }
+    );
+    assert_eq!(
+        Distribution::of(vec![3.0]),
+        Distribution {
+            p50: 3.0,
+            p99: 3.0,
+            max: 3.0
+        }
+    );
 }
 
 #[test]
 fn work_is_split_by_cores_and_counted_per_core() {
     let fleet = population(&[0, 1, 2, 3], 2);
     // All hold all: even.
-    let even = work_over_mean(&fleet, &assignment(&[&[0, 1, 2, 3], &[0, 1, 2, 3]]), &[1.0, 3.0]);
-    assert_eq!(even, Distribution { p50: 1.0, p99: 1.0, max: 1.0 });
+    let even = work_over_mean(
+        &fleet,
+        &assignment(&[&[0, 1, 2, 3], &[0, 1, 2, 3]]),
+        &[1.0, 3.0],
+    );
+    assert_eq!(
+        even,
+        Distribution {
+            p50: 1.0,
+            p99: 1.0,
+            max: 1.0
+        }
+    );
     // The first gateway's 1 on 8 cores, the second's 3 on 32; the mean is 4 on 48, and engine 1 has none.
     let uneven = work_over_mean(&fleet, &assignment(&[&[0], &[2, 3]]), &[1.0, 3.0]);
     assert_eq!(uneven.max, 1.0 / 8.0 / (4.0 / 48.0));
@@ -52,14 +96,50 @@
     let (before, after) = (population(&[0, 1, 2, 3], 2), population(&[1, 2, 3], 2));
     let held = assignment(&[&[0, 2], &[2, 3]]);
     let no_floor = required(2, 0);
-    let best = moves((&before, &held), (&after, &assignment(&[&[2, 3], &[2, 3]])), &no_floor);
-    assert_eq!(best, Moves { moved: 2, least: 2, floor: 2, held: 4 });
-    let needless = moves((&before, &held), (&after, &assignment(&[&[1, 3], &[1, 2]])), &no_floor);
-    assert_eq!(needless, Moves { moved: 6, least: 2, floor: 2, held: 4 });
+    let best = moves(
+        (&before, &held),
+        (&after, &assignment(&[&[2, 3], &[2, 3]])),
+        &no_floor,
+    );
+    assert_eq!(
+        best,
+        Moves {
+            moved: 2,
+            least: 2,
+            floor: 2,
+            held: 4
+        }
+    );
+    let needless = moves(
+        (&before, &held),
+        (&after, &assignment(&[&[1, 3], &[1, 2]])),
+        &no_floor,
+    );
+    assert_eq!(
+        needless,
+        Moves {
+            moved: 6,
+            least: 2,
+            floor: 2,
+            held: 4
+        }
+    );
     // The second gateway lacks one of kind 0, whatever its size.
     let with_floor = required(2, 1);
-    let moves = moves((&before, &held), (&after, &assignment(&[&[1, 2], &[1, 2, 3]])), &with_floor);
-    assert_eq!(moves, Moves { moved: 3, least: 3, floor: 3, held: 4 });
+    let moves = moves(
+        (&before, &held),
+        (&after, &assignment(&[&[1, 2], &[1, 2, 3]])),
+        &with_floor,
+    );
+    assert_eq!(
+        moves,
+        Moves {
+            moved: 3,
+            least: 3,
+            floor: 3,
+            held: 4
+        }
+    );
 }
 
 #[test]
@@ -68,7 +148,15 @@
     let required = required(1, 0);
     let (held, held_after) = (assignment(&[&[0, 2]]), assignment(&[&[2, 3]]));
     let moves = moves((&before, &held), (&after, &held_after), &required);
-    assert_eq!(moves, Moves { moved: 2, least: 2, floor: 1, held: 2 });
+    assert_eq!(
+        moves,
+        Moves {
+            moved: 2,
+            least: 2,
+            floor: 1,
+            held: 2
+        }
+    );
     assert_eq!((moves.over_least(), moves.over_floor()), (1.0, 2.0));
 }
 
@@ -76,8 +164,20 @@
 fn gateways_that_went_are_no_moves() {
     let (before, after) = (population(&[0, 1], 2), population(&[0, 1], 1));
     let required = required(1, 0);
-    let moves = moves((&before, &assignment(&[&[0], &[1]])), (&after, &assignment(&[&[0]])), &required);
-    assert_eq!(moves, Moves { moved: 0, least: 0, floor: 0, held: 1 });
+    let moves = moves(
+        (&before, &assignment(&[&[0], &[1]])),
+        (&after, &assignment(&[&[0]])),
+        &required,
+    );
+    assert_eq!(
+        moves,
+        Moves {
+            moved: 0,
+            least: 0,
+            floor: 0,
+            held: 1
+        }
+    );
     assert_eq!((moves.over_least(), moves.share()), (1.0, 0.0));
 }
 
--- a/crates/scale/src/spread/population.rs
+++ b/crates/scale/src/spread/population.rs
@@ -45,17 +45,29 @@
 }
 
 impl Change {
-    pub const ALL: [Change; 4] = [Change::OneEngine, Change::Rack, Change::Zone, Change::Gateways];
+    pub const ALL: [Change; 4] = [
+        Change::OneEngine,
+        Change::Rack,
+        Change::Zone,
+        Change::Gateways,
+    ];
 }
 
 impl Population {
     /// The fleet of one seed. Names hold the seed, so that each seed hashes anew.
     pub fn draw(experiment: &Experiment, fleet: &Fleet, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let engines =
-            (0..fleet.engines).map(|place| draw_engine(experiment, place, seed, &mut rng)).collect();
-        let gateway = |number| Gateway { number: number as u32, name: format!("gateway-{seed}-{number:05}") };
-        Population { engines, gateways: (0..fleet.gateways).map(gateway).collect() }
+        let engines = (0..fleet.engines)
+            .map(|place| draw_engine(experiment, place, seed, &mut rng))
+            .collect();
+        let gateway = |number| Gateway {
+            number: number as u32,
+            name: format!("gateway-{seed}-{number:05}"),
+        };
+        Population {
+            engines,
+            gateways: (0..fleet.gateways).map(gateway).collect(),
+        }
     }
 
     /// The fleet after a change. What goes away is drawn by the seed.
@@ -71,8 +83,16 @@
     }
 
     fn without_engines(&self, lost: impl Fn(&Engine) -> bool) -> Self {
-        let engines = self.engines.iter().filter(|engine| !lost(engine)).cloned().collect();
-        Population { engines, gateways: self.gateways.clone() }
+        let engines = self
+            .engines
+            .iter()
+            .filter(|engine| !lost(engine))
+            .cloned()
+            .collect();
+        Population {
+            engines,
+            gateways: self.gateways.clone(),
+        }
     }
 
     fn without_gateways(&self, share: f64, rng: &mut SmallRng) -> Self {
@@ -80,27 +100,42 @@
         let mut numbers: Vec<u32> = self.gateways.iter().map(|gateway| gateway.number).collect();
         numbers.shuffle(rng);
         let lost: HashSet<u32> = numbers.into_iter().take(lost_count).collect();
-        let gateways =
-            self.gateways.iter().filter(|gateway| !lost.contains(&gateway.number)).cloned().collect();
-        Population { engines: self.engines.clone(), gateways }
+        let gateways = self
+            .gateways
+            .iter()
+            .filter(|gateway| !lost.contains(&gateway.number))
+            .cloned()
+            .collect();
+        Population {
+            engines: self.engines.clone(),
+            gateways,
+        }
     }
 
     /// One over the largest number of an engine, also of one that has gone.
     pub fn engine_numbers(&self) -> usize {
-        self.engines.iter().map(|engine| engine.number as usize + 1).max().unwrap_or(0)
+        self.engines
+            .iter()
+            .map(|engine| engine.number as usize + 1)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Cores by engine number; 0 for engines that have gone.
     pub fn cores(&self) -> Vec<f64> {
         let mut cores = vec![0.0; self.engine_numbers()];
-        self.engines.iter().for_each(|engine| cores[engine.number as usize] = engine.cores);
+        self.engines
+            .iter()
+            .for_each(|engine| cores[engine.number as usize] = engine.cores);
         cores
     }
 
     /// Kinds by engine number.
     pub fn kinds(&self) -> Vec<u32> {
         let mut kinds = vec![0; self.engine_numbers()];
-        self.engines.iter().for_each(|engine| kinds[engine.number as usize] = engine.kind);
+        self.engines
+            .iter()
+            .for_each(|engine| kinds[engine.number as usize] = engine.kind);
         kinds
     }
 
@@ -146,8 +181,9 @@
     let heavy = experiment.traffic.heavy_factor;
     let heavy_sum = heavy * heavy_count as f64;
     let light = ((gateways as f64 - heavy_sum) / (gateways - heavy_count).max(1) as f64).max(0.0);
-    let mut traffic: Vec<f64> =
-        (0..gateways).map(|place| if place < heavy_count { heavy } else { light }).collect();
+    let mut traffic: Vec<f64> = (0..gateways)
+        .map(|place| if place < heavy_count { heavy } else { light })
+        .collect();
     traffic.shuffle(&mut SmallRng::seed_from_u64(seed));
     traffic
 }
--- a/crates/scale/src/spread/report.rs
+++ b/crates/scale/src/spread/report.rs
@@ -115,7 +115,17 @@
     ) -> Self {
         values.sort_by(f64::total_cmp);
         let (min, max) = (values[0], values[values.len() - 1]);
-        Row { gateways, engines, size, way, figure, min, median: median(&values), max, seeds: values.len() }
+        Row {
+            gateways,
+            engines,
+            size,
+            way,
+            figure,
+            min,
+            median: median(&values),
+            max,
+            seeds: values.len(),
+        }
     }
 
     /// The row as plain values.
@@ -157,10 +167,18 @@
     ("p99", Figure::ConnectionsP99, 0),
     ("max", Figure::ConnectionsMax, 0),
     ("unheld", Figure::Unheld, 0),
-    ("x least: engine", Figure::MovedOverLeast(Change::OneEngine), 2),
+    (
+        "x least: engine",
+        Figure::MovedOverLeast(Change::OneEngine),
+        2,
+    ),
     ("rack", Figure::MovedOverLeast(Change::Rack), 2),
     ("zone", Figure::MovedOverLeast(Change::Zone), 2),
-    ("x floor: engine", Figure::MovedOverFloor(Change::OneEngine), 2),
+    (
+        "x floor: engine",
+        Figure::MovedOverFloor(Change::OneEngine),
+        2,
+    ),
     ("gateways: share", Figure::MovedShare(Change::Gateways), 3),
     ("bytes", Figure::StateBytes, 0),
     ("us", Figure::ChooseMicroseconds, 0),
@@ -174,11 +192,20 @@
     let mut table = vec![titles()];
     table.extend(cases.into_iter().map(|case| cells(rows, case)));
     let columns = table[0].len();
-    let width = |column: usize| table.iter().map(|line| line[column].len()).max().unwrap_or(0);
+    let width = |column: usize| {
+        table
+            .iter()
+            .map(|line| line[column].len())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..columns).map(width).collect();
     for line in &table {
-        let padded: Vec<String> =
-            line.iter().zip(&widths).map(|(cell, width)| format!("{cell:>width$}", width = *width)).collect();
+        let padded: Vec<String> = line
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:>width$}", width = *width))
+            .collect();
         println!("{}", padded.join("  "));
     }
 }
@@ -189,21 +216,31 @@
 
 fn titles() -> Vec<String> {
     let first = ["gateways x engines", "size", "way"].map(String::from);
-    first.into_iter().chain(COLUMNS.iter().map(|(title, _, _)| title.to_string())).collect()
+    first
+        .into_iter()
+        .chain(COLUMNS.iter().map(|(title, _, _)| title.to_string()))
+        .collect()
 }
 
 fn cells(rows: &[Row], wanted: (usize, usize, usize, WayName)) -> Vec<String> {
     let (gateways, engines, size, way) = wanted;
-    let mut line = vec![format!("{gateways} x {engines}"), size.to_string(), way.label().to_string()];
+    let mut line = vec![
+        format!("{gateways} x {engines}"),
+        size.to_string(),
+        way.label().to_string(),
+    ];
     for (_, figure, digits) in COLUMNS {
-        let row = rows.iter().find(|row| case(row) == wanted && row.figure == figure);
+        let row = rows
+            .iter()
+            .find(|row| case(row) == wanted && row.figure == figure);
         line.push(row.map_or_else(|| "-".to_string(), |row| cell(row, digits)));
     }
     line
 }
 
 fn cell(row: &Row, digits: usize) -> String {
-    let [min, median, max] = [row.min, row.median, row.max].map(|value| format!("{value:.digits$}"));
+    let [min, median, max] =
+        [row.min, row.median, row.max].map(|value| format!("{value:.digits$}"));
     if min == max {
         median
     } else {
