--- a/crates/scale/src/spread/slip.rs
+++ b/crates/scale/src/spread/slip.rs
@@ -36,18 +36,28 @@
     /// Puts the fault into a choice.
     pub fn apply(self, moment: Moment, assignment: &mut Assignment) {
         match (self, moment) {
-            (Slip::UnheldEngine, Moment::First) => assignment.held.iter_mut().for_each(drop_first_engine),
-            (Slip::NeedlessMoves, Moment::After(Change::OneEngine | Change::Rack | Change::Zone)) => {
+            (Slip::UnheldEngine, Moment::First) => {
+                assignment.held.iter_mut().for_each(drop_first_engine)
+            }
+            (
+                Slip::NeedlessMoves,
+                Moment::After(Change::OneEngine | Change::Rack | Change::Zone),
+            ) => {
                 assignment.held.rotate_left(1);
             }
-            (Slip::MovesWithGateways, Moment::After(Change::Gateways)) => assignment.held.rotate_left(1),
+            (Slip::MovesWithGateways, Moment::After(Change::Gateways)) => {
+                assignment.held.rotate_left(1)
+            }
             (Slip::NoReturn, Moment::Returned) => assignment.held.rotate_left(1),
             (Slip::OneMemberLacks, Moment::First) => {
                 let held = &mut assignment.held[0];
                 *held = held[..held.len() - 1].into();
             }
             (Slip::HoldersUntold, Moment::First) => {
-                assignment.told_holders.iter_mut().for_each(|told| told.fill(1.0));
+                assignment
+                    .told_holders
+                    .iter_mut()
+                    .for_each(|told| told.fill(1.0));
             }
             _ => {}
         }
--- a/crates/scale/src/spread/ways/index_rounds.rs
+++ b/crates/scale/src/spread/ways/index_rounds.rs
@@ -24,19 +24,28 @@
     fn choose(&self, population: &Population, size: usize) -> Assignment {
         let subsets_in_round = (population.engines.len() / size).max(1);
         let mut rounds: HashMap<usize, Vec<u32>> = HashMap::new();
-        let held = population.gateways.iter().enumerate().map(|(rank, gateway)| {
-            let number = match self.numbering {
-                Numbering::Compact => rank,
-                Numbering::Kept => gateway.number as usize,
-            };
-            let round = number / subsets_in_round;
-            let order = rounds.entry(round).or_insert_with(|| shuffled(population, round));
-            let start = number % subsets_in_round * size;
-            let mut held: Vec<u32> = order[start..(start + size).min(order.len())].to_vec();
-            held.sort_unstable();
-            Arc::from(held)
-        });
-        Assignment { held: held.collect(), told_holders: Vec::new() }
+        let held = population
+            .gateways
+            .iter()
+            .enumerate()
+            .map(|(rank, gateway)| {
+                let number = match self.numbering {
+                    Numbering::Compact => rank,
+                    Numbering::Kept => gateway.number as usize,
+                };
+                let round = number / subsets_in_round;
+                let order = rounds
+                    .entry(round)
+                    .or_insert_with(|| shuffled(population, round));
+                let start = number % subsets_in_round * size;
+                let mut held: Vec<u32> = order[start..(start + size).min(order.len())].to_vec();
+                held.sort_unstable();
+                Arc::from(held)
+            });
+        Assignment {
+            held: held.collect(),
+            told_holders: Vec::new(),
+        }
     }
 
     fn state_bytes(&self, population: &Population, _size: usize) -> usize {
@@ -46,7 +55,10 @@
 
 fn shuffled(population: &Population, round: usize) -> Vec<u32> {
     let place = |engine: &crate::spread::population::Engine| {
-        (xxh3_64_with_seed(engine.id.as_bytes(), round as u64), engine.number)
+        (
+            xxh3_64_with_seed(engine.id.as_bytes(), round as u64),
+            engine.number,
+        )
     };
     let mut order: Vec<(u64, u32)> = population.engines.iter().map(place).collect();
     order.sort_unstable();
--- a/crates/scale/src/spread/ways/mod.rs
+++ b/crates/scale/src/spread/ways/mod.rs
@@ -56,8 +56,16 @@
         let started = processor_time();
         let first = self.choose(before, size);
         let choosing = processor_time().saturating_sub(started);
-        let after = changed.iter().map(|population| self.choose(population, size)).collect();
-        Choices { before: first, choosing, after, returned: None }
+        let after = changed
+            .iter()
+            .map(|population| self.choose(population, size))
+            .collect();
+        Choices {
+            before: first,
+            choosing,
+            after,
+            returned: None,
+        }
     }
 
     /// Connections that each engine holds, by its number.
@@ -151,22 +159,38 @@
     pub fn build(self, experiment: &Experiment) -> Box<dyn Way> {
         let rendezvous = |weights, classes| {
             let threads = experiment.threads;
-            Box::new(Rendezvous { weights, classes, threads })
+            Box::new(Rendezvous {
+                weights,
+                classes,
+                threads,
+            })
+        };
+        let classes = Classes {
+            floor: experiment.class_floor,
+            kinds: experiment.named_kinds(),
         };
-        let classes = Classes { floor: experiment.class_floor, kinds: experiment.named_kinds() };
         match self {
             WayName::WholeList => Box::new(WholeList),
             WayName::Sampling => Box::new(Sampling {
                 settings: experiment.sampling,
                 queries_per_second: experiment.traffic.queries_per_second,
             }),
-            WayName::IndexCompact => Box::new(IndexRounds { numbering: Numbering::Compact }),
-            WayName::IndexKept => Box::new(IndexRounds { numbering: Numbering::Kept }),
-            WayName::Ring => Box::new(VirtualNodeRing { points_per_core: experiment.ring.points_per_core }),
+            WayName::IndexCompact => Box::new(IndexRounds {
+                numbering: Numbering::Compact,
+            }),
+            WayName::IndexKept => Box::new(IndexRounds {
+                numbering: Numbering::Kept,
+            }),
+            WayName::Ring => Box::new(VirtualNodeRing {
+                points_per_core: experiment.ring.points_per_core,
+            }),
             WayName::RendezvousEqual => rendezvous(Weights::Equal, Classes::default()),
             WayName::RendezvousCores => rendezvous(Weights::Cores, Classes::default()),
             WayName::RendezvousFloors => rendezvous(Weights::Equal, classes),
-            WayName::Subset => Box::new(SubsetCrate { classes, threads: experiment.threads }),
+            WayName::Subset => Box::new(SubsetCrate {
+                classes,
+                threads: experiment.threads,
+            }),
         }
     }
 }
--- a/crates/scale/src/spread/ways/rendezvous.rs
+++ b/crates/scale/src/spread/ways/rendezvous.rs
@@ -39,9 +39,16 @@
         let name_hash = xxh3_64(gateway.as_bytes());
         let score = |engine: &Engine| (self.score(name_hash, engine), engine.number, engine.kind);
         let mut scores: Vec<(f64, u32, u32)> = engines.iter().map(score).collect();
-        let mut held: Vec<u32> = smallest(&mut scores, size).iter().map(|(_, number, _)| *number).collect();
+        let mut held: Vec<u32> = smallest(&mut scores, size)
+            .iter()
+            .map(|(_, number, _)| *number)
+            .collect();
         for kind in &self.classes.kinds {
-            let mut of_kind: Vec<_> = scores.iter().filter(|score| score.2 == *kind).copied().collect();
+            let mut of_kind: Vec<_> = scores
+                .iter()
+                .filter(|score| score.2 == *kind)
+                .copied()
+                .collect();
             let floor = smallest(&mut of_kind, self.classes.floor);
             held.extend(floor.iter().map(|(_, number, _)| *number));
         }
@@ -64,14 +71,24 @@
         let part = population.gateways.len().div_ceil(self.threads).max(1);
         let held = std::thread::scope(|scope| {
             let choose_part = |gateways: &'_ [Gateway]| -> Vec<Arc<[u32]>> {
-                let choose = |gateway: &Gateway| self.choose_one(&population.engines, &gateway.name, size);
+                let choose =
+                    |gateway: &Gateway| self.choose_one(&population.engines, &gateway.name, size);
                 gateways.iter().map(choose).collect()
             };
-            let parts: Vec<_> =
-                population.gateways.chunks(part).map(|part| scope.spawn(move || choose_part(part))).collect();
-            parts.into_iter().flat_map(|part| part.join().expect("choosing does not panic")).collect()
+            let parts: Vec<_> = population
+                .gateways
+                .chunks(part)
+                .map(|part| scope.spawn(move || choose_part(part)))
+                .collect();
+            parts
+                .into_iter()
+                .flat_map(|part| part.join().expect("choosing does not panic"))
+                .collect()
         });
-        Assignment { held, told_holders: Vec::new() }
+        Assignment {
+            held,
+            told_holders: Vec::new(),
+        }
     }
 
     fn state_bytes(&self, _population: &Population, size: usize) -> usize {
--- a/crates/scale/src/spread/ways/ring.rs
+++ b/crates/scale/src/spread/ways/ring.rs
@@ -19,19 +19,31 @@
     fn choose(&self, population: &Population, size: usize) -> Assignment {
         let ring = self.points(population);
         let size = size.min(population.engines.len());
-        let held = population.gateways.iter().map(|gateway| next_distinct(&ring, &gateway.name, size));
-        Assignment { held: held.collect(), told_holders: Vec::new() }
+        let held = population
+            .gateways
+            .iter()
+            .map(|gateway| next_distinct(&ring, &gateway.name, size));
+        Assignment {
+            held: held.collect(),
+            told_holders: Vec::new(),
+        }
     }
 
     fn state_bytes(&self, population: &Population, _size: usize) -> usize {
-        let points: usize = population.engines.iter().map(|engine| self.point_count(engine)).sum();
+        let points: usize = population
+            .engines
+            .iter()
+            .map(|engine| self.point_count(engine))
+            .sum();
         points * std::mem::size_of::<Point>()
     }
 }
 
 impl VirtualNodeRing {
     fn point_count(&self, engine: &Engine) -> usize {
-        (engine.cores * self.points_per_core as f64).round().max(1.0) as usize
+        (engine.cores * self.points_per_core as f64)
+            .round()
+            .max(1.0) as usize
     }
 
     fn points(&self, population: &Population) -> Vec<Point> {
--- a/crates/scale/src/spread/ways/sampling.rs
+++ b/crates/scale/src/spread/ways/sampling.rs
@@ -18,7 +18,10 @@
     /// Over time each gateway meets each engine, by its cores.
     fn choose(&self, population: &Population, _size: usize) -> Assignment {
         let all: Arc<[u32]> = population.numbers().into();
-        Assignment { held: vec![all; population.gateways.len()], told_holders: Vec::new() }
+        Assignment {
+            held: vec![all; population.gateways.len()],
+            told_holders: Vec::new(),
+        }
     }
 
     /// A connection lasts while the engine is drawn again before the connection was idle for too long. Worked out,
--- a/crates/scale/src/spread/ways/subset_crate.rs
+++ b/crates/scale/src/spread/ways/subset_crate.rs
@@ -4,8 +4,8 @@
 use crate::process::processor_time;
 use crate::spread::population::{Engine, Gateway, Population};
 use garnetwall_subset::{
-    Action, Catalog, Change, Condition, EngineFacts, EngineKey, EngineLine, PlacementClass, RetryScope,
-    Subset, SubsetSettings,
+    Action, Catalog, Change, Condition, EngineFacts, EngineKey, EngineLine, PlacementClass,
+    RetryScope, Subset, SubsetSettings,
 };
 use std::collections::{HashMap, HashSet};
 
@@ -26,7 +26,10 @@
 
 impl SubsetCrate {
     fn settings(&self, gateways: usize, size: usize) -> SubsetSettings {
-        let class = |kind: &u32| PlacementClass { zones: None, kinds: Some(vec![*kind]) };
+        let class = |kind: &u32| PlacementClass {
+            zones: None,
+            kinds: Some(vec![*kind]),
+        };
         SubsetSettings {
             size,
             class_floor: self.classes.floor.min(size),
@@ -44,11 +47,21 @@
     fn start(&self, population: &Population, size: usize) -> Play {
         let settings = self.settings(population.gateways.len(), size);
         let start = |gateway: &Gateway| {
-            let subset = Subset::new(&gateway.name, settings.clone()).expect("the settings are in range");
-            PlayedGateway { number: gateway.number, subset, now: 0.0 }
+            let subset =
+                Subset::new(&gateway.name, settings.clone()).expect("the settings are in range");
+            PlayedGateway {
+                number: gateway.number,
+                subset,
+                now: 0.0,
+            }
         };
         let gateways = population.gateways.iter().map(start).collect();
-        Play { catalog: Catalog::default(), numbers: HashMap::new(), gateways, threads: self.threads }
+        Play {
+            catalog: Catalog::default(),
+            numbers: HashMap::new(),
+            gateways,
+            threads: self.threads,
+        }
     }
 }
 
@@ -73,28 +86,48 @@
     fn tell(&mut self, population: &Population) -> Assignment {
         let changes = self.catalog.apply(&lines(population), true);
         for engine in &population.engines {
-            self.numbers.extend(self.catalog.key(&engine.id).map(|key| (key, engine.number)));
+            self.numbers
+                .extend(self.catalog.key(&engine.id).map(|key| (key, engine.number)));
         }
         let part = self.gateways.len().div_ceil(self.threads).max(1);
         let catalog = &self.catalog;
         std::thread::scope(|scope| {
             for gateways in self.gateways.chunks_mut(part) {
                 let changes = &changes;
-                scope.spawn(move || gateways.iter_mut().for_each(|gateway| gateway.tell(catalog, changes)));
+                scope.spawn(move || {
+                    gateways
+                        .iter_mut()
+                        .for_each(|gateway| gateway.tell(catalog, changes))
+                });
             }
         });
         self.assignment(population)
     }
 
     fn assignment(&self, population: &Population) -> Assignment {
-        let there: HashSet<u32> = population.gateways.iter().map(|gateway| gateway.number).collect();
-        let mut assignment = Assignment { held: Vec::new(), told_holders: Vec::new() };
-        for gateway in self.gateways.iter().filter(|gateway| there.contains(&gateway.number)) {
+        let there: HashSet<u32> = population
+            .gateways
+            .iter()
+            .map(|gateway| gateway.number)
+            .collect();
+        let mut assignment = Assignment {
+            held: Vec::new(),
+            told_holders: Vec::new(),
+        };
+        for gateway in self
+            .gateways
+            .iter()
+            .filter(|gateway| there.contains(&gateway.number))
+        {
             let number = |(key, holders)| (self.numbers[&key], holders);
             let mut members: Vec<(u32, f64)> = gateway.subset.members().map(number).collect();
             members.sort_unstable_by_key(|member| member.0);
-            assignment.held.push(members.iter().map(|member| member.0).collect());
-            assignment.told_holders.push(members.iter().map(|member| member.1).collect());
+            assignment
+                .held
+                .push(members.iter().map(|member| member.0).collect());
+            assignment
+                .told_holders
+                .push(members.iter().map(|member| member.1).collect());
         }
         assignment
     }
@@ -142,7 +175,12 @@
             after.push(play.tell(population));
             returned = Some(play.tell(before));
         }
-        Choices { before: first, choosing, after, returned }
+        Choices {
+            before: first,
+            choosing,
+            after,
+            returned,
+        }
     }
 
     fn state_bytes(&self, _population: &Population, size: usize) -> usize {
@@ -166,5 +204,8 @@
         cores: engine.cores,
         condition: Condition::Ready,
     };
-    EngineLine { id: engine.id.clone(), facts }
+    EngineLine {
+        id: engine.id.clone(),
+        facts,
+    }
 }
--- a/crates/scale/src/spread/ways/whole_list.rs
+++ b/crates/scale/src/spread/ways/whole_list.rs
@@ -10,7 +10,10 @@
 impl Way for WholeList {
     fn choose(&self, population: &Population, _size: usize) -> Assignment {
         let all: Arc<[u32]> = population.numbers().into();
-        Assignment { held: vec![all; population.gateways.len()], told_holders: Vec::new() }
+        Assignment {
+            held: vec![all; population.gateways.len()],
+            told_holders: Vec::new(),
+        }
     }
 
     fn state_bytes(&self, _population: &Population, _size: usize) -> usize {
--- a/crates/scale/tests/beside.rs
+++ b/crates/scale/tests/beside.rs
@@ -28,8 +28,18 @@
 
 fn build_gateway(profile: &Path) {
     let mut build = Command::new(env!("CARGO"));
-    build.args(["build", "--locked", "-p", "garnetwall-gateway", "--bin", "garnetwall", "--target-dir"]);
-    build.arg(profile.parent().unwrap()).current_dir(env!("CARGO_MANIFEST_DIR"));
+    build.args([
+        "build",
+        "--locked",
+        "-p",
+        "garnetwall-gateway",
+        "--bin",
+        "garnetwall",
+        "--target-dir",
+    ]);
+    build
+        .arg(profile.parent().unwrap())
+        .current_dir(env!("CARGO_MANIFEST_DIR"));
     if profile.ends_with("release") {
         build.arg("--release");
     }
@@ -41,16 +51,24 @@
 }
 
 fn experiment(name: &str, text: &str) -> PathBuf {
-    let file =
-        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("beside-{name}-{}.toml", std::process::id()));
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("beside-{name}-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     file
 }
 
 fn start(experiment: &Path, binary: &Path) -> Child {
     let mut command = Command::new(PROGRAM);
-    command.arg("beside").arg(experiment).arg("--gateway-binary").arg(binary);
-    command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap()
+    command
+        .arg("beside")
+        .arg(experiment)
+        .arg("--gateway-binary")
+        .arg(binary);
+    command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap()
 }
 
 fn run(experiment: &Path, binary: &Path) -> Output {
@@ -59,7 +77,10 @@
     while child.try_wait().unwrap().is_none() {
         if began.elapsed() > OVER_WITHIN {
             child.kill().unwrap();
-            panic!("{} is not over within {OVER_WITHIN:?}", experiment.display());
+            panic!(
+                "{} is not over within {OVER_WITHIN:?}",
+                experiment.display()
+            );
         }
         sleep(Duration::from_millis(50));
     }
@@ -101,7 +122,12 @@
 fn without_a_fault_the_same_passes() {
     let output = run(&experiment("faultless", FAULTLESS), gateway_binary());
     let shown = String::from_utf8_lossy(&output.stdout);
-    assert_eq!(output.status.code(), Some(0), "{shown}{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{shown}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert_eq!(shown.lines().last(), Some("14 passed, 0 failed"), "{shown}");
 }
 
@@ -116,38 +142,70 @@
 fn finds_in(name: &str, text: &str, binary: &Path, broken: &str) {
     let output = run(&experiment(name, text), binary);
     let shown = String::from_utf8_lossy(&output.stdout);
-    assert_eq!(output.status.code(), Some(1), "{shown}{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(1),
+        "{shown}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let verdict = format!("FAIL {broken}");
-    assert!(shown.lines().any(|line| line.starts_with(&verdict)), "{shown}");
-    assert!(shown.lines().last().unwrap().ends_with(" failed"), "{shown}");
+    assert!(
+        shown.lines().any(|line| line.starts_with(&verdict)),
+        "{shown}"
+    );
+    assert!(
+        shown.lines().last().unwrap().ends_with(" failed"),
+        "{shown}"
+    );
 }
 
 #[test]
 fn the_small_form_passes() {
     let output = run(&small_form(), gateway_binary());
     let shown = String::from_utf8_lossy(&output.stdout);
-    assert_eq!(output.status.code(), Some(0), "{shown}{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{shown}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert_eq!(shown.lines().last(), Some("11 passed, 0 failed"), "{shown}");
 }
 
 #[test]
 fn a_late_answer_is_found() {
-    finds("late-answer", "seconds = 3.0", "one whole answer within its limit");
+    finds(
+        "late-answer",
+        "seconds = 3.0",
+        "one whole answer within its limit",
+    );
 }
 
 #[test]
 fn a_lost_answer_is_found() {
-    finds("lost-answer", "seconds = 3.0", "one whole answer within its limit");
+    finds(
+        "lost-answer",
+        "seconds = 3.0",
+        "one whole answer within its limit",
+    );
 }
 
 #[test]
 fn an_altered_answer_is_found() {
-    finds("altered-answer", "seconds = 3.0", "rows as an engine made them");
+    finds(
+        "altered-answer",
+        "seconds = 3.0",
+        "rows as an engine made them",
+    );
 }
 
 #[test]
 fn an_attempt_after_the_answer_is_found() {
-    finds("attempt-after-answer", "seconds = 3.0", "nothing sent after the answer");
+    finds(
+        "attempt-after-answer",
+        "seconds = 3.0",
+        "nothing sent after the answer",
+    );
 }
 
 #[test]
@@ -159,18 +217,30 @@
 fn a_drain_that_a_gateway_does_not_hear_of_is_found() {
     let drain =
         "seconds = 10.0\n[[events]]\nat = 0.2\nwhat = 'engines-drained'\ncount = 12\ngone_after = 10.0";
-    finds("drain-withheld", drain, "nothing new to an engine told draining or gone");
+    finds(
+        "drain-withheld",
+        drain,
+        "nothing new to an engine told draining or gone",
+    );
 }
 
 #[test]
 fn queries_of_a_key_that_run_together_are_found() {
-    finds("key-withheld", "seconds = 6.0", "one at a time for each key");
+    finds(
+        "key-withheld",
+        "seconds = 6.0",
+        "one at a time for each key",
+    );
 }
 
 #[test]
 fn uneven_work_is_found() {
     let bound = "seconds = 5.0\n[expect]\nspread_max_over_mean = 5.0\nsucceeded_share = 0.9";
-    finds("uneven-engines", bound, "attempts at the busiest engine over the mean");
+    finds(
+        "uneven-engines",
+        bound,
+        "attempts at the busiest engine over the mean",
+    );
 }
 
 #[test]
@@ -181,9 +251,14 @@
 
 #[test]
 fn a_change_told_late_is_found() {
-    let burst = "seconds = 4.0\n[[events]]\nat = 0.5\nwhat = 'changes-burst'\ncount = 5\nover = 2.0\n";
+    let burst =
+        "seconds = 4.0\n[[events]]\nat = 0.5\nwhat = 'changes-burst'\ncount = 5\nover = 2.0\n";
     let text = format!("{burst}[expect]\nchange_seen_ms = 1000");
-    finds("slow-log", &text, "ms until 99 in 100 watchers see a change");
+    finds(
+        "slow-log",
+        &text,
+        "ms until 99 in 100 watchers see a change",
+    );
 }
 
 #[test]
@@ -198,16 +273,30 @@
 #[test]
 fn a_gateway_that_meets_too_many_engines_and_an_engine_that_meets_too_many_gateways_are_found() {
     let text = format!("{WITHOUT_SLIP}[expect]\nengines_a_gateway = 6");
-    finds_in("many-engines", &text, gateway_binary(), "engines a gateway meets");
+    finds_in(
+        "many-engines",
+        &text,
+        gateway_binary(),
+        "engines a gateway meets",
+    );
     let text = format!("{WITHOUT_SLIP}[expect]\ngateways_an_engine = 1");
-    finds_in("many-gateways", &text, gateway_binary(), "gateways an engine meets");
+    finds_in(
+        "many-gateways",
+        &text,
+        gateway_binary(),
+        "gateways an engine meets",
+    );
 }
 
 #[test]
 fn a_slow_start_is_found() {
     use std::os::unix::fs::PermissionsExt;
-    let script = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("slow-gateway-{}", std::process::id()));
-    let lines = format!("#!/bin/sh\nsleep 1.5\nexec '{}' \"$@\"\n", gateway_binary().display());
+    let script =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("slow-gateway-{}", std::process::id()));
+    let lines = format!(
+        "#!/bin/sh\nsleep 1.5\nexec '{}' \"$@\"\n",
+        gateway_binary().display()
+    );
     std::fs::write(&script, lines).unwrap();
     std::fs::set_permissions(&script, std::fs::Permissions::from_mode(0o755)).unwrap();
     let text = format!("{WITHOUT_SLIP}[expect]\nready_ms = 1000");
@@ -229,11 +318,19 @@
         assert!(began.elapsed() < OVER_WITHIN, "the gateways never started");
         sleep(Duration::from_millis(20));
     }
-    let stopped = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
+    let stopped = Command::new("kill")
+        .args(["-TERM", &child.id().to_string()])
+        .status()
+        .unwrap();
     assert!(stopped.success());
     assert_eq!(child.wait().unwrap().code(), Some(2));
     let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    child
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut said)
+        .unwrap();
     assert!(said.contains("stopped by a signal"), "{said}");
     assert_eq!(gateways_of(&folder), Vec::<u32>::new());
     assert!(!folder.exists());
@@ -247,7 +344,10 @@
     let output = child.wait_with_output().unwrap();
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("ended before it served (exit status: 1)"), "{said}");
+    assert!(
+        said.contains("ended before it served (exit status: 1)"),
+        "{said}"
+    );
     assert!(folder.join("gateway-0.log").exists());
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -274,7 +374,10 @@
     for (number, (line, told)) in cases.into_iter().enumerate() {
         let text =
             format!("{line}\nseed = 1\nengines = 5\nwatchers = 0\nseconds = 1.0\nqueries_per_second = 1.0\n");
-        let output = run(&experiment(&format!("faulty-{number}"), &text), gateway_binary());
+        let output = run(
+            &experiment(&format!("faulty-{number}"), &text),
+            gateway_binary(),
+        );
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{said}");
         assert!(said.contains(told), "{said}");
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -7,12 +7,19 @@
 const COLD: &str = "fleet-cold-small.toml";
 
 fn experiment(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("experiments")
+        .join(name)
 }
 
 fn play(experiment: &Path, more: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_garnetwall-scale"));
-    command.arg("fleet").arg(experiment).args(more).output().expect("the program starts")
+    command
+        .arg("fleet")
+        .arg(experiment)
+        .args(more)
+        .output()
+        .expect("the program starts")
 }
 
 fn text(output: &Output) -> String {
@@ -32,7 +39,10 @@
     let output = play(&path, &[]);
     let shown = text(&output);
     assert_eq!(output.status.code(), Some(1), "{slip}: {shown}");
-    assert!(shown.contains(&format!("FAIL {finding}:")), "{slip} is not found:\n{shown}");
+    assert!(
+        shown.contains(&format!("FAIL {finding}:")),
+        "{slip} is not found:\n{shown}"
+    );
 }
 
 fn passes(name: &str) {
@@ -64,15 +74,23 @@
 #[test]
 fn results_are_json_lines_with_every_finding() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("fleet-results.jsonl");
-    let output = play(&experiment(SMALL), &["--results", path.to_str().expect("a path of text")]);
+    let output = play(
+        &experiment(SMALL),
+        &["--results", path.to_str().expect("a path of text")],
+    );
     let lines = std::fs::read_to_string(&path).expect("results");
     let parse = |line| serde_json::from_str::<serde_json::Value>(line).expect("a JSON line");
     let values: Vec<serde_json::Value> = lines.lines().map(parse).collect();
     let shown = text(&output);
-    let judged = shown.lines().filter(|line| line.starts_with("ok ") || line.starts_with("FAIL ")).count();
+    let judged = shown
+        .lines()
+        .filter(|line| line.starts_with("ok ") || line.starts_with("FAIL "))
+        .count();
     assert_eq!(values.len(), judged + 1, "{lines}");
     assert_eq!(values[0]["gateways"], 90);
-    assert!(values[1..].iter().all(|value| value["passed"].is_boolean() && value["values"].is_object()));
+    assert!(values[1..]
+        .iter()
+        .all(|value| value["passed"].is_boolean() && value["values"].is_object()));
 }
 
 #[test]
@@ -93,7 +111,11 @@
 fn slips_against_one_answer_in_time_are_found() {
     is_found(SMALL, "answer-twice", "rule 1, one final answer in time");
     is_found(SMALL, "answer-late", "rule 1, one final answer in time");
-    is_found(SMALL, "send-after-answer", "rule 1, one final answer in time");
+    is_found(
+        SMALL,
+        "send-after-answer",
+        "rule 1, one final answer in time",
+    );
 }
 
 #[test]
@@ -103,12 +125,20 @@
 
 #[test]
 fn a_slip_that_sends_to_draining_engines_is_found() {
-    is_found(SMALL, "send-to-draining", "rule 3, engines told draining or gone");
+    is_found(
+        SMALL,
+        "send-to-draining",
+        "rule 3, engines told draining or gone",
+    );
 }
 
 #[test]
 fn slips_against_cold_engines_are_found() {
-    is_found(COLD, "holders-forgotten", "rule 4, cold engines under the sum");
+    is_found(
+        COLD,
+        "holders-forgotten",
+        "rule 4, cold engines under the sum",
+    );
     is_found(COLD, "cold-shunned", "cold budget used");
     is_found(SMALL, "starts-untold", "engines told cold");
 }
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -8,7 +8,8 @@
 
 impl Scratch {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("garnetwall-slopes-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("garnetwall-slopes-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Scratch(path)
     }
@@ -54,7 +55,11 @@
     let results = scratch.0.join("ledger.jsonl");
     let output = slopes(&scratch.experiment(LEDGER), Some(&results));
     let text = printed(&output);
-    assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{text}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert!(text.contains("measured / predicted at 1600"), "{text}");
     assert!(text.ends_with("0 passed, 0 failed\n"), "{text}");
     let lines = std::fs::read_to_string(&results).unwrap();
@@ -62,24 +67,42 @@
     assert_eq!(lines.lines().count(), 20, "{lines}");
     for line in lines.lines() {
         let row: serde_json::Value = serde_json::from_str(line).unwrap();
-        assert!(row["value"].as_f64().is_some_and(|value| value >= 0.0), "{line}");
+        assert!(
+            row["value"].as_f64().is_some_and(|value| value >= 0.0),
+            "{line}"
+        );
     }
     let table = std::fs::read_to_string(results.with_extension("csv")).unwrap();
-    assert!(table.starts_with("role,metric,quantity,size,run,seed,value\n"), "{table}");
+    assert!(
+        table.starts_with("role,metric,quantity,size,run,seed,value\n"),
+        "{table}"
+    );
     assert_eq!(table.lines().count(), 21, "{table}");
     let chart = std::fs::read_to_string(scratch.0.join("ledger-an-attempt-us.svg")).unwrap();
-    assert!(chart.contains("<svg") && chart.contains("<circle"), "{chart}");
+    assert!(
+        chart.contains("<svg") && chart.contains("<circle"),
+        "{chart}"
+    );
 }
 
 #[test]
 fn a_limit_that_is_passed_fails_the_run_and_one_that_is_kept_does_not() {
     let scratch = Scratch::new("limits");
-    let limited = |most: f64| format!("{LEDGER}\n[[limits]]\nmetric = \"attempt\"\nmost = {most}\n");
+    let limited =
+        |most: f64| format!("{LEDGER}\n[[limits]]\nmetric = \"attempt\"\nmost = {most}\n");
     let kept = slopes(&scratch.experiment(&limited(1e6)), None);
-    assert!(kept.status.success() && printed(&kept).ends_with("1 passed, 0 failed\n"), "{}", printed(&kept));
+    assert!(
+        kept.status.success() && printed(&kept).ends_with("1 passed, 0 failed\n"),
+        "{}",
+        printed(&kept)
+    );
     let passed = slopes(&scratch.experiment(&limited(1e-6)), None);
     assert_eq!(passed.status.code(), Some(1));
-    assert!(printed(&passed).ends_with("0 passed, 1 failed\n"), "{}", printed(&passed));
+    assert!(
+        printed(&passed).ends_with("0 passed, 1 failed\n"),
+        "{}",
+        printed(&passed)
+    );
 }
 
 #[test]
@@ -88,7 +111,11 @@
     let text = format!("{LEDGER}\n[[limits]]\nmetric = \"query\"\nmost = 1.0\n");
     let output = slopes(&scratch.experiment(&text), None);
     assert_eq!(output.status.code(), Some(1));
-    assert!(printed(&output).contains("not measured by this role"), "{}", printed(&output));
+    assert!(
+        printed(&output).contains("not measured by this role"),
+        "{}",
+        printed(&output)
+    );
 }
 
 /// Each role at sizes that take a second in a debug build.
@@ -110,7 +137,11 @@
         );
         let output = slopes(&scratch.experiment(&text), None);
         let text = printed(&output);
-        assert!(output.status.success(), "{role}: {text}{}", String::from_utf8_lossy(&output.stderr));
+        assert!(
+            output.status.success(),
+            "{role}: {text}{}",
+            String::from_utf8_lossy(&output.stderr)
+        );
         assert!(text.contains(metric), "{role}: {text}");
     }
 }
@@ -125,7 +156,11 @@
         let results = scratch.0.join(name);
         assert!(slopes(&experiment, Some(&results)).status.success());
         let lines = std::fs::read_to_string(&results).unwrap();
-        lines.lines().filter(|line| line.contains("bytes/s")).map(String::from).collect()
+        lines
+            .lines()
+            .filter(|line| line.contains("bytes/s"))
+            .map(String::from)
+            .collect()
     };
     let first = bytes("first.jsonl");
     assert_eq!(first.len(), 4);
@@ -137,23 +172,56 @@
     let scratch = Scratch::new("faults");
     let changed = |from: &str, to: &str| LEDGER.replace(from, to);
     let cases = [
-        (changed("runs = 2", "runs = 0"), "runs: 0 is not a number from 1 to 100"),
+        (
+            changed("runs = 2", "runs = 0"),
+            "runs: 0 is not a number from 1 to 100",
+        ),
         (changed("runs = 2", "rums = 2"), "unknown field `rums`"),
-        (changed("\"ledger\"", "\"leger\""), "unknown variant `leger`"),
-        (changed("[100, 200, 400, 800]", "[100, 200, 400]"), "sizes: [100, 200, 400] is not a list of four"),
-        (changed("[100, 200, 400, 800]", "[100, 400, 200, 800]"), "a list that grows"),
-        (changed("[100, 200, 400, 800]", "[0, 100, 200, 400]"), "a list that grows from over 0"),
-        (changed("predict = 1600", "predict = 300"), "predict: 300 is not a size outside"),
-        (format!("{LEDGER}point-limit = 0.0\n"), "point-limit: 0 is not a time over 0"),
-        (format!("{LEDGER}[fixed]\nseconds = 0.0\n"), "fixed.seconds: 0 is not a time over 0"),
-        (format!("{LEDGER}[fixed]\nloss = 95\n"), "fixed.loss: 95 is not 0 to 90"),
-        (format!("{LEDGER}[fixed]\ngateways = 0\n"), "fixed.gateways: 0 is not a number from 1"),
+        (
+            changed("\"ledger\"", "\"leger\""),
+            "unknown variant `leger`",
+        ),
+        (
+            changed("[100, 200, 400, 800]", "[100, 200, 400]"),
+            "sizes: [100, 200, 400] is not a list of four",
+        ),
+        (
+            changed("[100, 200, 400, 800]", "[100, 400, 200, 800]"),
+            "a list that grows",
+        ),
+        (
+            changed("[100, 200, 400, 800]", "[0, 100, 200, 400]"),
+            "a list that grows from over 0",
+        ),
+        (
+            changed("predict = 1600", "predict = 300"),
+            "predict: 300 is not a size outside",
+        ),
+        (
+            format!("{LEDGER}point-limit = 0.0\n"),
+            "point-limit: 0 is not a time over 0",
+        ),
+        (
+            format!("{LEDGER}[fixed]\nseconds = 0.0\n"),
+            "fixed.seconds: 0 is not a time over 0",
+        ),
+        (
+            format!("{LEDGER}[fixed]\nloss = 95\n"),
+            "fixed.loss: 95 is not 0 to 90",
+        ),
+        (
+            format!("{LEDGER}[fixed]\ngateways = 0\n"),
+            "fixed.gateways: 0 is not a number from 1",
+        ),
     ];
     for (text, expected) in cases {
         let output = slopes(&scratch.experiment(&text), None);
         let told = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{text}: {told}");
-        assert!(told.contains(expected) && told.contains("experiment.toml"), "{expected}: {told}");
+        assert!(
+            told.contains(expected) && told.contains("experiment.toml"),
+            "{expected}: {told}"
+        );
     }
     let missing = slopes(&scratch.0.join("none.toml"), None);
     assert_eq!(missing.status.code(), Some(2));
@@ -175,16 +243,28 @@
 fn all_experiments_on_slopes_are_sound() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     let is_ours = |name: &str| name.starts_with("slopes-") || name.starts_with("module-");
-    let files: Vec<PathBuf> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
-    let ours = files.iter().filter(|path| is_ours(&path.file_name().unwrap().to_string_lossy()));
+    let files: Vec<PathBuf> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
+    let ours = files
+        .iter()
+        .filter(|path| is_ours(&path.file_name().unwrap().to_string_lossy()));
     let mut count = 0;
     for path in ours {
         // Given up at once: what is wrong with the file would be told before.
         let text = std::fs::read_to_string(path).unwrap();
         let scratch = Scratch::new(&format!("sound-{count}"));
-        let output = slopes(&scratch.experiment(&format!("point-limit = 0.001\n{text}")), None);
+        let output = slopes(
+            &scratch.experiment(&format!("point-limit = 0.001\n{text}")),
+            None,
+        );
         let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(told.contains("the point took over 1ms"), "{}: {told}", path.display());
+        assert!(
+            told.contains("the point took over 1ms"),
+            "{}: {told}",
+            path.display()
+        );
         count += 1;
     }
     assert!(count >= 10, "{count}");
--- a/crates/scale/tests/spread.rs
+++ b/crates/scale/tests/spread.rs
@@ -7,7 +7,9 @@
 
 /// The small form with one seed and one size.
 fn shorter() -> String {
-    SMALL.replace("seeds = 2", "seeds = 1").replace("[24, 48]", "[24]")
+    SMALL
+        .replace("seeds = 2", "seeds = 1")
+        .replace("[24, 48]", "[24]")
 }
 
 /// Writes an experiment of its own for a test.
@@ -19,7 +21,11 @@
 
 fn spread(experiment: &Path, more: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_garnetwall-scale"));
-    command.arg("spread").arg(experiment).args(more).env_remove("GARNETWALL_LOG");
+    command
+        .arg("spread")
+        .arg(experiment)
+        .args(more)
+        .env_remove("GARNETWALL_LOG");
     command.output().expect("the program starts")
 }
 
@@ -30,8 +36,15 @@
 /// The checks that failed, and the last line.
 fn verdict(output: &Output) -> (Vec<String>, String) {
     let stdout = text(&output.stdout);
-    let failed = stdout.lines().filter(|line| line.starts_with("FAILED")).map(String::from).collect();
-    (failed, stdout.lines().last().unwrap_or_default().to_string())
+    let failed = stdout
+        .lines()
+        .filter(|line| line.starts_with("FAILED"))
+        .map(String::from)
+        .collect();
+    (
+        failed,
+        stdout.lines().last().unwrap_or_default().to_string(),
+    )
 }
 
 #[test]
@@ -53,7 +66,11 @@
         spread(&path, &["--results", results_text, "--seed", seed]);
         let lines = std::fs::read_to_string(&results).expect("results are written");
         // Processor time is measured anew.
-        lines.lines().filter(|line| !line.contains("choose-us")).map(String::from).collect::<Vec<_>>()
+        lines
+            .lines()
+            .filter(|line| !line.contains("choose-us"))
+            .map(String::from)
+            .collect::<Vec<_>>()
     };
     let first = figures("spread-first.jsonl", "7");
     assert!(first.len() > 100, "{} rows", first.len());
@@ -63,16 +80,37 @@
     assert!(std::fs::read_to_string(directory.join("spread-first.csv"))
         .expect("a table")
         .contains("work-even-max"));
-    let chart = std::fs::read_to_string(directory.join("spread-first-120x100.svg")).expect("a chart");
-    assert!(chart.contains("rendezvous-equal"), "the chart names its lines");
+    let chart =
+        std::fs::read_to_string(directory.join("spread-first-120x100.svg")).expect("a chart");
+    assert!(
+        chart.contains("rendezvous-equal"),
+        "the chart names its lines"
+    );
 }
 
 /// Each slip, and what the judge says of it.
 const SLIPS: [(&str, &[&str]); 6] = [
-    ("unheld-engine", &["engines held by nobody", "gateways that differ from the plain form"]),
-    ("needless-moves", &["one engine lost", "a rack lost", "a zone lost", "gateways that differ"]),
+    (
+        "unheld-engine",
+        &[
+            "engines held by nobody",
+            "gateways that differ from the plain form",
+        ],
+    ),
+    (
+        "needless-moves",
+        &[
+            "one engine lost",
+            "a rack lost",
+            "a zone lost",
+            "gateways that differ",
+        ],
+    ),
     ("moves-with-gateways", &["moves of those that stay"]),
-    ("one-member-lacks", &["gateways that differ from the plain form"]),
+    (
+        "one-member-lacks",
+        &["gateways that differ from the plain form"],
+    ),
     ("holders-untold", &["sum of what the holders"]),
     ("no-return", &["not back at their subset"]),
 ];
@@ -83,10 +121,16 @@
     let unslipped = verdict(&spread(&experiment("unslipped", &shorter), &[]));
     assert!(unslipped.0.is_empty(), "{unslipped:#?}");
     for (slip, found) in SLIPS {
-        let output = spread(&experiment(slip, &format!("slip = \"{slip}\"\n{shorter}")), &[]);
+        let output = spread(
+            &experiment(slip, &format!("slip = \"{slip}\"\n{shorter}")),
+            &[],
+        );
         let (failed, last) = verdict(&output);
         for wanted in found {
-            assert!(failed.iter().any(|line| line.contains(wanted)), "{slip}: {wanted}: {failed:#?}");
+            assert!(
+                failed.iter().any(|line| line.contains(wanted)),
+                "{slip}: {wanted}: {failed:#?}"
+            );
         }
         assert!(!last.ends_with(" 0 failed"), "{slip}: {last}");
         assert_eq!(output.status.code(), Some(1), "{slip}");
@@ -98,13 +142,37 @@
     ("seeds = 2", "seeds = 0", &["seeds: 0", "1 to 1,024"]),
     ("seeds = 2", "sedes = 2", &["sedes", "seeds"]),
     ("zones = 5", "zones = 0", &["zones: 0"]),
-    ("rack_engines = 10", "rack_engines = 0", &["rack_engines: 0"]),
+    (
+        "rack_engines = 10",
+        "rack_engines = 0",
+        &["rack_engines: 0"],
+    ),
     ("engines = 100", "engines = 1", &["fleets", "2 to 100,000"]),
-    ("subset_sizes = [24, 48]", "subset_sizes = []", &["fleets.subset_sizes"]),
-    ("gateways_lost = 0.1", "gateways_lost = 1.0", &["gateways_lost: 1"]),
-    ("gateways_lost = 0.1", "gateways_lost = 0.1\nways = [\"ring\"]", &["ways", "rendezvous-floors"]),
-    ("points_per_core = 1", "points_per_core = 0", &["ring.points_per_core: 0"]),
-    ("heavy_share = 0.1", "heavy_share = 0.2", &["traffic.heavy_share: 0.2"]),
+    (
+        "subset_sizes = [24, 48]",
+        "subset_sizes = []",
+        &["fleets.subset_sizes"],
+    ),
+    (
+        "gateways_lost = 0.1",
+        "gateways_lost = 1.0",
+        &["gateways_lost: 1"],
+    ),
+    (
+        "gateways_lost = 0.1",
+        "gateways_lost = 0.1\nways = [\"ring\"]",
+        &["ways", "rendezvous-floors"],
+    ),
+    (
+        "points_per_core = 1",
+        "points_per_core = 0",
+        &["ring.points_per_core: 0"],
+    ),
+    (
+        "heavy_share = 0.1",
+        "heavy_share = 0.2",
+        &["traffic.heavy_share: 0.2"],
+    ),
 ];
 
 #[test]
@@ -130,7 +198,10 @@
 
 #[test]
 fn results_that_cannot_be_written_are_told_before_the_run() {
-    let output = spread(&experiment("unwritable", SMALL), &["--results", "/proc/no/such/file.jsonl"]);
+    let output = spread(
+        &experiment("unwritable", SMALL),
+        &["--results", "/proc/no/such/file.jsonl"],
+    );
     assert_eq!(output.status.code(), Some(2));
     assert!(output.stdout.is_empty(), "nothing was played");
 }
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -24,7 +24,10 @@
     #[error("empty")]
     Empty,
     #[error("{expected} expected, not {found}")]
-    WrongType { expected: &'static str, found: String },
+    WrongType {
+        expected: &'static str,
+        found: String,
+    },
     #[error("{found} is {off}")]
     OutOfRange { found: String, off: String },
     #[error("'{0}' is unknown")]
@@ -38,11 +41,22 @@
 
 impl Fault {
     pub fn new(place: impl Into<String>, cause: Cause, remedy: impl Into<String>) -> Self {
-        Fault { place: place.into(), cause, remedy: remedy.into() }
+        Fault {
+            place: place.into(),
+            cause,
+            remedy: remedy.into(),
+        }
     }
 
     pub fn wrong_type(place: &str, expected: &'static str, found: &Value, remedy: &str) -> Self {
-        Fault::new(place, Cause::WrongType { expected, found: shown(found) }, remedy)
+        Fault::new(
+            place,
+            Cause::WrongType {
+                expected,
+                found: shown(found),
+            },
+            remedy,
+        )
     }
 }
 
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -13,8 +13,18 @@
     /// From `path=value` lines.
     pub fn from_text(text: &str) -> Result<Self, Fault> {
         let mut map = BTreeMap::new();
-        for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
-            let none = || unusable(&format!("settings line {}", n + 1), "no '='".into(), "write path=value");
+        for (n, line) in text
+            .lines()
+            .enumerate()
+            .filter(|(_, l)| !l.trim().is_empty())
+        {
+            let none = || {
+                unusable(
+                    &format!("settings line {}", n + 1),
+                    "no '='".into(),
+                    "write path=value",
+                )
+            };
             let (path, value) = line.split_once('=').ok_or_else(none)?;
             map.insert(path.trim().to_string(), value.trim().to_string());
         }
@@ -31,18 +41,31 @@
 
     /// What has no text form is under a key that nobody reads, and is passed over.
     fn put(&mut self, path: &str, value: &Value) {
-        let under = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+        let under = |key: &str| {
+            if path.is_empty() {
+                key.to_string()
+            } else {
+                format!("{path}.{key}")
+            }
+        };
         match value {
-            Value::Object(fields) => fields.iter().for_each(|(key, field)| self.put(&under(key), field)),
+            Value::Object(fields) => fields
+                .iter()
+                .for_each(|(key, field)| self.put(&under(key), field)),
             Value::Array(items) if items.iter().any(Value::is_object) => {
                 self.0.insert(under("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(i, item)| self.put(&under(&i.to_string()), item));
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(i, item)| self.put(&under(&i.to_string()), item));
             }
             Value::Array(items) => {
                 let words: Vec<_> = items.iter().filter_map(word).collect();
                 self.0.insert(path.to_string(), words.join(","));
             }
-            plain => self.0.extend(word(plain).map(|word| (path.to_string(), word))),
+            plain => self
+                .0
+                .extend(word(plain).map(|word| (path.to_string(), word))),
         }
     }
 
@@ -55,7 +78,10 @@
     }
 
     pub(crate) fn word(&self, path: &str) -> Option<&str> {
-        self.0.get(path).map(String::as_str).filter(|v| !v.is_empty())
+        self.0
+            .get(path)
+            .map(String::as_str)
+            .filter(|v| !v.is_empty())
     }
 
     pub(crate) fn number(&self, path: &str) -> Result<Option<f64>, Fault> {
@@ -64,7 +90,11 @@
         };
         match word.parse::<f64>() {
             Ok(v) if v.is_finite() => Ok(Some(v)),
-            _ => Err(unusable(&at(path), format!("'{word}' is not a number"), "write a number")),
+            _ => Err(unusable(
+                &at(path),
+                format!("'{word}' is not a number"),
+                "write a number",
+            )),
         }
     }
 
@@ -92,7 +122,9 @@
     }
 
     pub(crate) fn list(&self, path: &str) -> Vec<&str> {
-        self.word(path).map(|v| v.split(',').collect()).unwrap_or_default()
+        self.word(path)
+            .map(|v| v.split(',').collect())
+            .unwrap_or_default()
     }
 
     /// Positive numbers of a list; anything else in it stands as unknown.
@@ -107,8 +139,17 @@
             return Ok(None);
         }
         let named = |v: &str| names.iter().position(|n| n == v).map(|i| i as u32);
-        let one = |v: &str| v.parse().ok().or_else(|| named(v)).ok_or_else(|| wrong_index(path, v));
-        self.list(path).into_iter().map(one).collect::<Result<_, _>>().map(Some)
+        let one = |v: &str| {
+            v.parse()
+                .ok()
+                .or_else(|| named(v))
+                .ok_or_else(|| wrong_index(path, v))
+        };
+        self.list(path)
+            .into_iter()
+            .map(one)
+            .collect::<Result<_, _>>()
+            .map(Some)
     }
 
     /// How many items a list of objects says it has; more than it can hold in this text is malformed.
@@ -116,14 +157,22 @@
         let said = self.number_or(&format!("{path}.count"), 0.0)?;
         if said < 0.0 || said.fract() != 0.0 || said > self.len() as f64 {
             let what = format!("{said} is not a possible count");
-            return Err(unusable(&at(&format!("{path}.count")), what, "write how many items follow"));
+            return Err(unusable(
+                &at(&format!("{path}.count")),
+                what,
+                "write how many items follow",
+            ));
         }
         Ok(said as usize)
     }
 
     /// The names of a list of objects.
     pub(crate) fn names(&self, path: &str) -> Result<Vec<String>, Fault> {
-        let name = |i| self.word(&format!("{path}.{i}.name")).unwrap_or_default().to_string();
+        let name = |i| {
+            self.word(&format!("{path}.{i}.name"))
+                .unwrap_or_default()
+                .to_string()
+        };
         Ok((0..self.count(path)?).map(name).collect())
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,7 +9,9 @@
 pub use fault::{shown, Cause, Fault};
 use flat::at as place;
 pub use flat::Flat;
-use garnetwall::api::{ColdRule, Effect, FurtherBudget, Report, Reports, Scope, ServiceGroup, Settings};
+use garnetwall::api::{
+    ColdRule, Effect, FurtherBudget, Report, Reports, Scope, ServiceGroup, Settings,
+};
 
 /// What one set of settings says.
 #[derive(Clone, Debug)]
@@ -62,7 +64,12 @@
 }
 
 pub fn decode(t: &Flat) -> Result<Decoded, Fault> {
-    let words = |path: &str| t.list(path).into_iter().map(String::from).collect::<Vec<_>>();
+    let words = |path: &str| {
+        t.list(path)
+            .into_iter()
+            .map(String::from)
+            .collect::<Vec<_>>()
+    };
     let names = Names {
         groups: t.names("categories")?,
         tenants: t.names("tenants")?,
@@ -70,7 +77,9 @@
         kinds: words("kinds"),
     };
     let groups = 0..t.count("categories")?;
-    let groups = groups.map(|i| group(t, i, &names)).collect::<Result<Vec<_>, _>>()?;
+    let groups = groups
+        .map(|i| group(t, i, &names))
+        .collect::<Result<Vec<_>, _>>()?;
     let tenants = t.count("tenants")?;
     let further = match t.seconds("rules.extra-window")? {
         None => None,
@@ -119,7 +128,12 @@
         dial: t.seconds_or("allowed.dial-timeout", USUAL_DIAL)?,
         idle: t.seconds_or("allowed.idle-close", USUAL_IDLE)?,
     };
-    Ok(Decoded { settings, names, network, fields: words("telemetry.fields") })
+    Ok(Decoded {
+        settings,
+        names,
+        network,
+        fields: words("telemetry.fields"),
+    })
 }
 
 fn group(t: &Flat, i: usize, names: &Names) -> Result<ServiceGroup, Fault> {
@@ -131,11 +145,18 @@
     };
     let effect = match t.word(&at("semantics")) {
         Some("retryable") => Effect::Repeatable,
-        Some("dedup") => Effect::Referenced { scope, window: t.seconds_or(&at("dedup-window"), 0.0)? },
+        Some("dedup") => Effect::Referenced {
+            scope,
+            window: t.seconds_or(&at("dedup-window"), 0.0)?,
+        },
         Some("fragile") => Effect::OnceOnly,
         other => {
             let cause = other.map_or(Cause::Missing, |word| Cause::Unknown(word.into()));
-            return Err(Fault::new(place(&at("semantics")), cause, "write retryable, dedup or fragile"));
+            return Err(Fault::new(
+                place(&at("semantics")),
+                cause,
+                "write retryable, dedup or fragile",
+            ));
         }
     };
     let nth = |path: &str| t.list(path).get(i).copied();
@@ -170,7 +191,11 @@
     pub fn check(&self) -> Result<(), Fault> {
         let (groups, names) = (&self.settings.groups, &self.names);
         if groups.is_empty() {
-            return Err(Fault::new("settings.categories", Cause::Empty, "name at least one service group"));
+            return Err(Fault::new(
+                "settings.categories",
+                Cause::Empty,
+                "name at least one service group",
+            ));
         }
         unlike("settings.categories", &names.groups)?;
         unlike("settings.tenants", &names.tenants)?;
@@ -180,8 +205,18 @@
                 let remedy = "write how long its clients wait, in milliseconds";
                 return Err(Fault::new(at("give-up"), Cause::Missing, remedy));
             }
-            listed(&at("zones-only"), &group.zones, "settings.zones", &names.zones)?;
-            listed(&at("allowed-on"), &group.kinds, "settings.kinds", &names.kinds)?;
+            listed(
+                &at("zones-only"),
+                &group.zones,
+                "settings.zones",
+                &names.zones,
+            )?;
+            listed(
+                &at("allowed-on"),
+                &group.kinds,
+                "settings.kinds",
+                &names.kinds,
+            )?;
         }
         Ok(())
     }
@@ -202,7 +237,12 @@
 }
 
 /// Whether every index is that of a name. Where nothing is named all is the first.
-fn listed(place: &str, indices: &Option<Vec<u32>>, list: &str, names: &[String]) -> Result<(), Fault> {
+fn listed(
+    place: &str,
+    indices: &Option<Vec<u32>>,
+    list: &str,
+    names: &[String],
+) -> Result<(), Fault> {
     let beyond = |n: &&u32| **n as usize >= names.len().max(1);
     match indices.iter().flatten().find(beyond) {
         None => Ok(()),
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -29,10 +29,30 @@
 const MOST: f64 = 1e12;
 /// No client waits for longer than a day, and no timer is set further.
 const DAY: f64 = 86_400_000.0;
-const TIME: Shape = Shape::Number(Range { least: 0.0, above: false, most: MOST, unit: " milliseconds" });
-const LIMIT: Shape = Shape::Number(Range { least: 0.0, above: true, most: DAY, unit: " milliseconds" });
-const AMOUNT: Shape = Shape::Number(Range { least: 0.0, above: false, most: MOST, unit: "" });
-const COUNT: Shape = Shape::Number(Range { least: 1.0, above: false, most: MOST, unit: "" });
+const TIME: Shape = Shape::Number(Range {
+    least: 0.0,
+    above: false,
+    most: MOST,
+    unit: " milliseconds",
+});
+const LIMIT: Shape = Shape::Number(Range {
+    least: 0.0,
+    above: true,
+    most: DAY,
+    unit: " milliseconds",
+});
+const AMOUNT: Shape = Shape::Number(Range {
+    least: 0.0,
+    above: false,
+    most: MOST,
+    unit: "",
+});
+const COUNT: Shape = Shape::Number(Range {
+    least: 1.0,
+    above: false,
+    most: MOST,
+    unit: "",
+});
 
 pub(crate) const SETTINGS: Shape = Shape::Object(&[
     (
@@ -94,8 +114,18 @@
             ("warm-after", TIME),
         ]),
     ),
-    ("telemetry", Shape::Object(&[("fields", Shape::List(&Shape::Text)), ("how", Shape::Text)])),
-    ("tenants", Shape::Objects(&[("name", Shape::Text), ("portion", AMOUNT), ("quota-per-s", AMOUNT)])),
+    (
+        "telemetry",
+        Shape::Object(&[("fields", Shape::List(&Shape::Text)), ("how", Shape::Text)]),
+    ),
+    (
+        "tenants",
+        Shape::Objects(&[
+            ("name", Shape::Text),
+            ("portion", AMOUNT),
+            ("quota-per-s", AMOUNT),
+        ]),
+    ),
     ("zones", Shape::List(&Shape::Text)),
 ]);
 
@@ -107,11 +137,14 @@
             (Shape::Object(keys), Value::Object(_)) => object(keys, place, value),
             (Shape::Object(_), _) => wrong("an object", "write {...} with its keys"),
             (Shape::Objects(keys), Value::Array(items)) => {
-                let item =
-                    |(i, item): (usize, &Value)| Shape::Object(keys).check(&format!("{place}.{i}"), item);
+                let item = |(i, item): (usize, &Value)| {
+                    Shape::Object(keys).check(&format!("{place}.{i}"), item)
+                };
                 items.iter().enumerate().try_for_each(item)
             }
-            (Shape::Objects(_), _) => wrong("a list of objects", "write [{...}] with one object an item"),
+            (Shape::Objects(_), _) => {
+                wrong("a list of objects", "write [{...}] with one object an item")
+            }
             (Shape::List(shape), Value::Array(items)) => {
                 let item = |(i, item): (usize, &Value)| shape.check(&format!("{place}.{i}"), item);
                 items.iter().enumerate().try_for_each(item)
@@ -120,14 +153,21 @@
             (Shape::Text, Value::String(_)) => Ok(()),
             (Shape::Text, _) => wrong("a text", "write it in quotes"),
             (Shape::Flag, Value::Bool(_)) => Ok(()),
-            (Shape::Flag, Value::Number(n)) if [Some(0.0), Some(1.0)].contains(&n.as_f64()) => Ok(()),
-            (Shape::Flag, Value::String(s)) if ["true", "false", "0", "1", ""].contains(&s.as_str()) => {
+            (Shape::Flag, Value::Number(n)) if [Some(0.0), Some(1.0)].contains(&n.as_f64()) => {
+                Ok(())
+            }
+            (Shape::Flag, Value::String(s))
+                if ["true", "false", "0", "1", ""].contains(&s.as_str()) =>
+            {
                 Ok(())
             }
             (Shape::Flag, _) => wrong("true or false", "write one of them"),
             (Shape::Index, Value::String(_)) => Ok(()),
             (Shape::Index, Value::Number(n)) if n.as_u64().is_some() => Ok(()),
-            (Shape::Index, _) => wrong("a name or an index", "write a name of the list, or its place from 0"),
+            (Shape::Index, _) => wrong(
+                "a name or an index",
+                "write a name of the list, or its place from 0",
+            ),
             (Shape::Number(range), value) => range.check(place, value),
         }
     }
@@ -150,7 +190,12 @@
             Value::String(s) => s.parse().ok(),
             _ => None,
         };
-        let Range { least, above, most, unit } = *self;
+        let Range {
+            least,
+            above,
+            most,
+            unit,
+        } = *self;
         let from = if above { "more than" } else { "at least" };
         let remedy = format!("give a number of {from} {least} and at most {most}{unit}");
         let Some(number) = number.filter(|n| n.is_finite()) else {
@@ -162,6 +207,13 @@
             n if above && n <= least => format!("not more than {least}"),
             _ => return Ok(()),
         };
-        Err(Fault::new(place, Cause::OutOfRange { found: shown(value), off }, remedy))
+        Err(Fault::new(
+            place,
+            Cause::OutOfRange {
+                found: shown(value),
+                off,
+            },
+            remedy,
+        ))
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -34,11 +34,23 @@
 #[test]
 fn errors_name_the_key() {
     let wrong = [
-        (json!({"categories": [{"semantics": "odd"}]}), "categories.0.semantics"),
-        (json!({"categories": [{"semantics": "fragile", "give-up": "soon"}]}), "categories.0.give-up"),
-        (json!({"categories": [{"semantics": "fragile", "allowed-on": ["no"]}]}), "categories.0.allowed-on"),
+        (
+            json!({"categories": [{"semantics": "odd"}]}),
+            "categories.0.semantics",
+        ),
+        (
+            json!({"categories": [{"semantics": "fragile", "give-up": "soon"}]}),
+            "categories.0.give-up",
+        ),
+        (
+            json!({"categories": [{"semantics": "fragile", "allowed-on": ["no"]}]}),
+            "categories.0.allowed-on",
+        ),
         (json!({"categories": [{}, 3]}), "categories.1"),
-        (json!({"allowed": {"cancelling": "perhaps"}}), "allowed.cancelling"),
+        (
+            json!({"allowed": {"cancelling": "perhaps"}}),
+            "allowed.cancelling",
+        ),
         (json!({"kinds": [["x"]]}), "kinds"),
         (json!([]), "settings: an object"),
     ];
@@ -52,6 +64,9 @@
 #[test]
 fn a_report_takes_the_named_values_and_passes_over_absurd_ones() {
     let told = report([("queue", 3.0), ("util", f64::NAN), ("other", 1.0)]).unwrap();
-    assert_eq!((told.waiting, told.utilisation, told.held), (Some(3.0), None, None));
+    assert_eq!(
+        (told.waiting, told.utilisation, told.held),
+        (Some(3.0), None, None)
+    );
     assert!(report([]).is_none());
 }
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -3,7 +3,8 @@
 //! `cargo run --release -p garnetwall-subset --example cost`
 
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineLine, RetryScope, Subset, SubsetError, SubsetSettings,
+    Action, Catalog, Condition, EngineFacts, EngineLine, RetryScope, Subset, SubsetError,
+    SubsetSettings,
 };
 use std::time::Instant;
 
@@ -29,9 +30,17 @@
 
 fn line(number: u32, condition: Condition) -> EngineLine {
     let cores = [8.0, 16.0, 32.0][(number / ZONES % 3) as usize];
-    let facts =
-        EngineFacts { zone: number % ZONES, kind: number % 3, cell: number / ZONES % 15, cores, condition };
-    EngineLine { id: format!("engine-{number}"), facts }
+    let facts = EngineFacts {
+        zone: number % ZONES,
+        kind: number % 3,
+        cell: number / ZONES % 15,
+        cores,
+        condition,
+    };
+    EngineLine {
+        id: format!("engine-{number}"),
+        facts,
+    }
 }
 
 /// Time on a processor since the process began, which other processes' load does not lengthen; the wall's where the
@@ -52,12 +61,22 @@
 /// Resident memory in KiB, where the system tells it.
 fn resident_kib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?.split_whitespace().next()?.parse().ok()
+    status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?
+        .split_whitespace()
+        .next()?
+        .parse()
+        .ok()
 }
 
 fn main() -> Result<(), SubsetError> {
-    let lines: Vec<EngineLine> = (0..ENGINES).map(|number| line(number, Condition::Ready)).collect();
-    let first = nanoseconds(WHOLE_LISTS, |_| drop(Catalog::default().apply(&lines, true)));
+    let lines: Vec<EngineLine> = (0..ENGINES)
+        .map(|number| line(number, Condition::Ready))
+        .collect();
+    let first = nanoseconds(WHOLE_LISTS, |_| {
+        drop(Catalog::default().apply(&lines, true))
+    });
     println!("catalog: a first list of {ENGINES}: {:.0} us", first / 1e3);
     let mut catalog = Catalog::default();
     catalog.apply(&lines, true);
@@ -92,7 +111,11 @@
     let mut now = 0.0;
     let mut actions = 0;
     let changed = nanoseconds(CHANGED_LINES, |number| {
-        let condition = if number % 2 == 0 { Condition::Draining } else { Condition::Ready };
+        let condition = if number % 2 == 0 {
+            Condition::Draining
+        } else {
+            Condition::Ready
+        };
         let changes = catalog.apply(&[line(number / 2 * 7 % ENGINES, condition)], false);
         now += 0.1;
         subset.changed(now, catalog, &changes);
@@ -103,7 +126,9 @@
             }
         }
     });
-    println!("{what}: a changed line, catalog and poll included: {changed:.0} ns, {actions} actions");
+    println!(
+        "{what}: a changed line, catalog and poll included: {changed:.0} ns, {actions} actions"
+    );
     Ok(())
 }
 
@@ -111,11 +136,16 @@
     let before = resident_kib();
     let mut subsets = Vec::with_capacity(GATEWAYS);
     for gateway in 0..GATEWAYS {
-        let mut subset = Subset::new(&format!("gateway-{gateway}"), settings(RetryScope::Everywhere, 1.0))?;
+        let mut subset = Subset::new(
+            &format!("gateway-{gateway}"),
+            settings(RetryScope::Everywhere, 1.0),
+        )?;
         subset.poll(0.0, catalog);
         subsets.push(subset);
     }
-    let grown = resident_kib().zip(before).map(|(after, before)| after.saturating_sub(before));
+    let grown = resident_kib()
+        .zip(before)
+        .map(|(after, before)| after.saturating_sub(before));
     match grown {
         Some(grown) => println!(
             "{} subsets of one catalog: {:.1} KiB each",
--- a/crates/subset/src/candidates.rs
+++ b/crates/subset/src/candidates.rs
@@ -33,8 +33,15 @@
             }
         }
         let by_score: BTreeSet<(Score, EngineKey)> = lowest.into_iter().collect();
-        let scores = by_score.iter().map(|(score, engine)| (*engine, *score)).collect();
-        Candidates { by_score, scores, limit }
+        let scores = by_score
+            .iter()
+            .map(|(score, engine)| (*engine, *score))
+            .collect();
+        Candidates {
+            by_score,
+            scores,
+            limit,
+        }
     }
 
     /// Takes in an engine that may be chosen; whether it is a candidate.
@@ -62,7 +69,9 @@
 
     /// Takes out an engine; whether it was a candidate.
     pub fn withdraw(&mut self, engine: EngineKey) -> bool {
-        let Some(score) = self.scores.remove(&engine) else { return false };
+        let Some(score) = self.scores.remove(&engine) else {
+            return false;
+        };
         self.by_score.remove(&(score, engine))
     }
 
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -71,7 +71,8 @@
         let mut changes = Vec::new();
         if whole {
             let named: HashSet<&str> = lines.iter().map(|line| line.id.as_str()).collect();
-            let unnamed = |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
+            let unnamed =
+                |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
             let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
             changes.extend(unnamed.into_iter().filter_map(|key| self.remove(key)));
         }
@@ -85,10 +86,19 @@
             return known.and_then(|key| self.remove(key));
         }
         let engine = known.unwrap_or_else(|| self.assign_key(&line.id));
-        let entry = Entry { id: line.id.as_str().into(), facts: line.facts };
+        let entry = Entry {
+            id: line.id.as_str().into(),
+            facts: line.facts,
+        };
         let before = self.entries.insert(engine, entry).map(|entry| entry.facts);
         let after = Some(line.facts);
-        (before != after).then(|| self.note(Change { engine, before, after }))
+        (before != after).then(|| {
+            self.note(Change {
+                engine,
+                before,
+                after,
+            })
+        })
     }
 
     /// Brings the counts up to date with a change.
@@ -113,7 +123,11 @@
     fn remove(&mut self, engine: EngineKey) -> Option<Change> {
         let entry = self.entries.remove(&engine)?;
         self.by_id.remove(&entry.id);
-        Some(self.note(Change { engine, before: Some(entry.facts), after: None }))
+        Some(self.note(Change {
+            engine,
+            before: Some(entry.facts),
+            after: None,
+        }))
     }
 
     /// The engines in it, those that drain included.
@@ -139,7 +153,9 @@
 
     /// All engines, by key.
     pub fn engines(&self) -> impl Iterator<Item = (EngineKey, &str, EngineFacts)> {
-        self.entries.iter().map(|(key, entry)| (*key, &*entry.id, entry.facts))
+        self.entries
+            .iter()
+            .map(|(key, entry)| (*key, &*entry.id, entry.facts))
     }
 
     /// Engines that take new work.
--- a/crates/subset/src/class_shortage.rs
+++ b/crates/subset/src/class_shortage.rs
@@ -16,18 +16,25 @@
         needed: impl Fn(&PlacementClass) -> usize,
     ) -> Self {
         let count = |class: &PlacementClass, engines: &[EngineFacts]| {
-            engines.iter().filter(|facts| class.admits_engine(facts)).count()
+            engines
+                .iter()
+                .filter(|facts| class.admits_engine(facts))
+                .count()
         };
         let lacking = |class: &'a PlacementClass| {
             let needed = needed(class).min(count(class, target));
             (class, needed as i64 - count(class, members) as i64)
         };
-        ClassShortage { lacking: classes.iter().map(lacking).collect() }
+        ClassShortage {
+            lacking: classes.iter().map(lacking).collect(),
+        }
     }
 
     /// Whether a class that this engine may serve lacks members.
     pub fn concerns(&self, facts: &EngineFacts) -> bool {
-        self.lacking.iter().any(|(class, lacking)| *lacking > 0 && class.admits_engine(facts))
+        self.lacking
+            .iter()
+            .any(|(class, lacking)| *lacking > 0 && class.admits_engine(facts))
     }
 
     pub fn add(&mut self, facts: &EngineFacts) {
@@ -39,7 +46,10 @@
     }
 
     fn shift(&mut self, facts: &EngineFacts, by: i64) {
-        let concerned = self.lacking.iter_mut().filter(|(class, _)| class.admits_engine(facts));
+        let concerned = self
+            .lacking
+            .iter_mut()
+            .filter(|(class, _)| class.admits_engine(facts));
         concerned.for_each(|(_, lacking)| *lacking += by);
     }
 }
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -55,7 +55,11 @@
         let history = self.histories.entry(member).or_default();
         history.record(now, failed);
         let fails = failed && (history.fails() || self.failing.contains_key(&member));
-        fails && self.failing.insert(member, now + HOLD_DOWN_SECONDS).is_none()
+        fails
+            && self
+                .failing
+                .insert(member, now + HOLD_DOWN_SECONDS)
+                .is_none()
     }
 
     /// Forgets an engine that is no member any more. If it failed, the subset begins to narrow.
@@ -98,6 +102,9 @@
     /// When [`Health::advance`] may change something next.
     pub fn wake(&self) -> Option<f64> {
         let held_until = self.failing.values().copied().reduce(f64::min);
-        held_until.into_iter().chain(self.narrow_at).reduce(f64::min)
+        held_until
+            .into_iter()
+            .chain(self.narrow_at)
+            .reduce(f64::min)
     }
 }
--- a/crates/subset/src/holders.rs
+++ b/crates/subset/src/holders.rs
@@ -42,15 +42,29 @@
             class_floor: settings.class_floor,
             classes: settings.classes.as_slice().into(),
             retry_scope: settings.retry_scope,
-            near_weight: if settings.zone.is_some() { settings.near_weight } else { 1.0 },
+            near_weight: if settings.zone.is_some() {
+                settings.near_weight
+            } else {
+                1.0
+            },
             gateways: settings.gateways,
         }
     }
 
     /// The group of engines with the same number of holders that an engine belongs to.
     fn group(&self, facts: &EngineFacts) -> Group {
-        let cell = if self.retry_scope == RetryScope::Cell { Some(facts.cell) } else { None };
-        Group { domain: RetryDomain { zone: facts.zone, cell }, shape: EngineShape::of(facts) }
+        let cell = if self.retry_scope == RetryScope::Cell {
+            Some(facts.cell)
+        } else {
+            None
+        };
+        Group {
+            domain: RetryDomain {
+                zone: facts.zone,
+                cell,
+            },
+            shape: EngineShape::of(facts),
+        }
     }
 }
 
@@ -73,7 +87,10 @@
 impl HoldersTable {
     /// The number of holders of an engine. One that is unlike all that are listed counts as held by all.
     pub fn holders(&self, facts: &EngineFacts) -> f64 {
-        self.holders.get(&self.terms.group(facts)).copied().unwrap_or(self.terms.gateways)
+        self.holders
+            .get(&self.terms.group(facts))
+            .copied()
+            .unwrap_or(self.terms.gateways)
     }
 }
 
@@ -91,10 +108,16 @@
 }
 
 impl HoldersCache {
-    pub fn table(&self, terms: &HoldersTerms, ready: &ReadyEngines, changed_lines: u64) -> Arc<HoldersTable> {
+    pub fn table(
+        &self,
+        terms: &HoldersTerms,
+        ready: &ReadyEngines,
+        changed_lines: u64,
+    ) -> Arc<HoldersTable> {
         let bearable = (ready.count() as f64 * STALE_PART) as u64;
         let fresh = |table: &Arc<HoldersTable>| {
-            let knows_all_shapes = table.added_shapes == ready.added_shapes(table.terms.retry_scope);
+            let knows_all_shapes =
+                table.added_shapes == ready.added_shapes(table.terms.retry_scope);
             knows_all_shapes && changed_lines - table.changed_lines <= bearable
         };
         let mut tables = self.tables.lock().unwrap_or_else(PoisonError::into_inner);
@@ -104,7 +127,12 @@
         }
         let holders = Estimate::new(terms, ready).holders();
         let added_shapes = ready.added_shapes(terms.retry_scope);
-        let table = Arc::new(HoldersTable { terms: terms.clone(), changed_lines, added_shapes, holders });
+        let table = Arc::new(HoldersTable {
+            terms: terms.clone(),
+            changed_lines,
+            added_shapes,
+            holders,
+        });
         if tables.len() >= CACHED_TABLES {
             tables.remove(0);
         }
@@ -147,30 +175,58 @@
 impl<'a> Estimate<'a> {
     fn new(terms: &'a HoldersTerms, ready: &'a ReadyEngines) -> Self {
         let domains: Vec<(RetryDomain, &ShapeCounts)> = match terms.retry_scope {
-            RetryScope::Cell => ready.cells().map(|(cell, shapes)| (cell.into(), shapes)).collect(),
-            _ => ready.zones().map(|(zone, shapes)| (RetryDomain { zone, cell: None }, shapes)).collect(),
+            RetryScope::Cell => ready
+                .cells()
+                .map(|(cell, shapes)| (cell.into(), shapes))
+                .collect(),
+            _ => ready
+                .zones()
+                .map(|(zone, shapes)| (RetryDomain { zone, cell: None }, shapes))
+                .collect(),
         };
         let whole = Choice::new(None, terms.size, &domains, terms.retry_scope);
-        let of_class = |class| Choice::new(Some(class), terms.class_floor, &domains, terms.retry_scope);
-        let choices = std::iter::once(whole).chain(terms.classes.iter().map(of_class)).collect();
-        let gateway_zones = if terms.near_weight > 1.0 { zone_parts(ready) } else { vec![(None, 1.0)] };
-        Estimate { terms, domains, choices, gateway_zones }
+        let of_class =
+            |class| Choice::new(Some(class), terms.class_floor, &domains, terms.retry_scope);
+        let choices = std::iter::once(whole)
+            .chain(terms.classes.iter().map(of_class))
+            .collect();
+        let gateway_zones = if terms.near_weight > 1.0 {
+            zone_parts(ready)
+        } else {
+            vec![(None, 1.0)]
+        };
+        Estimate {
+            terms,
+            domains,
+            choices,
+            gateway_zones,
+        }
     }
 
     fn holders(&self) -> BTreeMap<Group, f64> {
         let mut parts: BTreeMap<Group, f64> = BTreeMap::new();
         for (zone, part_of_gateways) in &self.gateway_zones {
-            let thresholds: Vec<Threshold> =
-                self.choices.iter().map(|choice| self.threshold(choice, *zone)).collect();
+            let thresholds: Vec<Threshold> = self
+                .choices
+                .iter()
+                .map(|choice| self.threshold(choice, *zone))
+                .collect();
             for (domain, shapes) in &self.domains {
                 for shape in shapes.keys() {
                     let held = self.probability(*zone, &thresholds, *domain, shapes, *shape);
-                    *parts.entry(Group { domain: *domain, shape: *shape }).or_default() +=
-                        part_of_gateways * held;
+                    *parts
+                        .entry(Group {
+                            domain: *domain,
+                            shape: *shape,
+                        })
+                        .or_default() += part_of_gateways * held;
                 }
             }
         }
-        parts.into_iter().map(|(group, part)| (group, self.with_margin(part))).collect()
+        parts
+            .into_iter()
+            .map(|(group, part)| (group, self.with_margin(part)))
+            .collect()
     }
 
     fn with_margin(&self, part: f64) -> f64 {
@@ -193,10 +249,18 @@
     /// The threshold at which a gateway of this zone expects as many members as the choice asks for.
     fn threshold(&self, choice: &Choice, gateway_zone: Option<u32>) -> Threshold {
         if choice.quota >= choice.engines {
-            return Threshold { mean: f64::INFINITY, deviation: 0.0 };
+            return Threshold {
+                mean: f64::INFINITY,
+                deviation: 0.0,
+            };
         }
         let expected = |threshold: f64| {
-            choice.expected(threshold, gateway_zone, self.terms.near_weight, self.companions())
+            choice.expected(
+                threshold,
+                gateway_zone,
+                self.terms.near_weight,
+                self.companions(),
+            )
         };
         let quota = choice.quota as f64;
         let mut high = 1.0;
@@ -212,7 +276,10 @@
                 high = middle;
             }
         }
-        Threshold { mean: high, deviation: high / quota.max(1.0).sqrt() }
+        Threshold {
+            mean: high,
+            deviation: high / quota.max(1.0).sqrt(),
+        }
     }
 
     /// The chance that a gateway of this zone holds an engine, rather too high than too low.
@@ -227,7 +294,12 @@
         let near = self.near(gateway_zone, domain.zone);
         let admitting = |choice: &&(&Choice, &Threshold)| choice.0.admits(domain.zone, shape);
         let choices: Vec<(&Choice, &Threshold)> = self.choices.iter().zip(thresholds).collect();
-        let threshold = highest(choices.iter().filter(admitting).map(|(_, threshold)| **threshold));
+        let threshold = highest(
+            choices
+                .iter()
+                .filter(admitting)
+                .map(|(_, threshold)| **threshold),
+        );
         let chosen = 1.0 - (-near * base_weight(shape.cores()) * threshold).exp();
         if !self.companions() {
             return chosen;
@@ -242,17 +314,28 @@
 /// The part of all cores that each zone has.
 fn zone_parts(ready: &ReadyEngines) -> Vec<(Option<u32>, f64)> {
     let cores = |shapes: &ShapeCounts| -> f64 {
-        shapes.iter().map(|(shape, count)| usable_cores(shape.cores()) * *count as f64).sum()
+        shapes
+            .iter()
+            .map(|(shape, count)| usable_cores(shape.cores()) * *count as f64)
+            .sum()
     };
-    let zones: Vec<(u32, f64)> = ready.zones().map(|(zone, shapes)| (zone, cores(shapes))).collect();
+    let zones: Vec<(u32, f64)> = ready
+        .zones()
+        .map(|(zone, shapes)| (zone, cores(shapes)))
+        .collect();
     let all: f64 = zones.iter().map(|(_, cores)| cores).sum();
-    zones.into_iter().map(|(zone, cores)| (Some(zone), cores / all)).collect()
+    zones
+        .into_iter()
+        .map(|(zone, cores)| (Some(zone), cores / all))
+        .collect()
 }
 
 /// No less than the mean of the highest of several thresholds, each of which chance moves, whatever its distribution:
 /// the mean of what one exceeds another by is at most half of the difference and its root mean square together.
 fn highest(mut thresholds: impl Iterator<Item = Threshold>) -> f64 {
-    let Some(first) = thresholds.next() else { return 0.0 };
+    let Some(first) = thresholds.next() else {
+        return 0.0;
+    };
     if first.mean.is_infinite() {
         return first.mean;
     }
@@ -271,8 +354,13 @@
         domains: &[(RetryDomain, &ShapeCounts)],
         retry_scope: RetryScope,
     ) -> Self {
-        let mut choice =
-            Choice { class, quota, engines: 0, everywhere: BTreeMap::new(), by_zone: BTreeMap::new() };
+        let mut choice = Choice {
+            class,
+            quota,
+            engines: 0,
+            everywhere: BTreeMap::new(),
+            by_zone: BTreeMap::new(),
+        };
         let mut merged: BTreeMap<u32, WeightCounts> = BTreeMap::new();
         for (domain, shapes) in domains {
             let weights = choice.weights(domain.zone, shapes);
@@ -281,7 +369,12 @@
                 merged.insert(domain.zone, weights);
             } else if !weights.is_empty() {
                 *choice.everywhere.entry(weights.clone()).or_default() += 1;
-                *choice.by_zone.entry(domain.zone).or_default().entry(weights).or_default() += 1;
+                *choice
+                    .by_zone
+                    .entry(domain.zone)
+                    .or_default()
+                    .entry(weights)
+                    .or_default() += 1;
             }
         }
         if retry_scope == RetryScope::Everywhere {
@@ -294,27 +387,41 @@
     fn merge(&mut self, zones: BTreeMap<u32, WeightCounts>) {
         let mut all = WeightCounts::new();
         for (zone, weights) in zones {
-            weights.iter().for_each(|(weight, count)| *all.entry(*weight).or_default() += count);
+            weights
+                .iter()
+                .for_each(|(weight, count)| *all.entry(*weight).or_default() += count);
             self.by_zone.insert(zone, BTreeMap::from([(weights, 1)]));
         }
         self.everywhere.insert(all, 1);
     }
 
     fn admits(&self, zone: u32, shape: EngineShape) -> bool {
-        self.class.is_none_or(|class| class.admits(zone, shape.kind))
+        self.class
+            .is_none_or(|class| class.admits(zone, shape.kind))
     }
 
     /// The weights of the engines of a domain that the choice is among.
     fn weights(&self, zone: u32, shapes: &ShapeCounts) -> WeightCounts {
         let mut weights = WeightCounts::new();
-        for (shape, count) in shapes.iter().filter(|(shape, _)| self.admits(zone, **shape)) {
-            *weights.entry(base_weight(shape.cores()).to_bits()).or_default() += count;
+        for (shape, count) in shapes
+            .iter()
+            .filter(|(shape, _)| self.admits(zone, **shape))
+        {
+            *weights
+                .entry(base_weight(shape.cores()).to_bits())
+                .or_default() += count;
         }
         weights
     }
 
     /// The number of members that a gateway of this zone expects under a threshold.
-    fn expected(&self, threshold: f64, gateway_zone: Option<u32>, near_weight: f64, companions: bool) -> f64 {
+    fn expected(
+        &self,
+        threshold: f64,
+        gateway_zone: Option<u32>,
+        near_weight: f64,
+        companions: bool,
+    ) -> f64 {
         let in_domains = |domains: &DomainCounts, threshold: f64| -> f64 {
             let domain = |(weights, domains): (&WeightCounts, &usize)| {
                 *domains as f64 * expected_in_domain(weights, threshold, companions)
@@ -324,7 +431,9 @@
         let all = in_domains(&self.everywhere, threshold);
         match gateway_zone.and_then(|zone| self.by_zone.get(&zone)) {
             None => all,
-            Some(own) => all - in_domains(own, threshold) + in_domains(own, threshold * near_weight),
+            Some(own) => {
+                all - in_domains(own, threshold) + in_domains(own, threshold * near_weight)
+            }
         }
     }
 
@@ -343,11 +452,20 @@
         let of_lead = |(bits, count): (&u64, &usize)| {
             let lead = f64::from_bits(*bits);
             let alone = alone_probability(lead, total(&among), threshold);
-            let leads = (*count as f64 - f64::from(self.admits(zone, engine) && lead == weight)).max(0.0);
+            let leads =
+                (*count as f64 - f64::from(self.admits(zone, engine) && lead == weight)).max(0.0);
             let in_choice = others(&among, lead) > lead * f64::EPSILON;
-            let rest = if in_choice { others(&among, lead) } else { others(&all, lead) };
+            let rest = if in_choice {
+                others(&among, lead)
+            } else {
+                others(&all, lead)
+            };
             let eligible = !in_choice || self.admits(zone, engine);
-            let chosen_of_rest = if eligible { (weight / rest.max(weight)).min(1.0) } else { 0.0 };
+            let chosen_of_rest = if eligible {
+                (weight / rest.max(weight)).min(1.0)
+            } else {
+                0.0
+            };
             leads * alone * chosen_of_rest
         };
         among.iter().map(of_lead).sum()
@@ -357,13 +475,18 @@
 fn weight_counts(shapes: &ShapeCounts) -> WeightCounts {
     let mut weights = WeightCounts::new();
     for (shape, count) in shapes {
-        *weights.entry(base_weight(shape.cores()).to_bits()).or_default() += count;
+        *weights
+            .entry(base_weight(shape.cores()).to_bits())
+            .or_default() += count;
     }
     weights
 }
 
 fn total(weights: &WeightCounts) -> f64 {
-    weights.iter().map(|(bits, count)| f64::from_bits(*bits) * *count as f64).sum()
+    weights
+        .iter()
+        .map(|(bits, count)| f64::from_bits(*bits) * *count as f64)
+        .sum()
 }
 
 /// The chance that an engine is the only one of its domain under a threshold.
@@ -377,8 +500,9 @@
 
 /// The members that are expected in a domain: those under the threshold, and a companion for one that is alone.
 fn expected_in_domain(weights: &WeightCounts, threshold: f64, companions: bool) -> f64 {
-    let under =
-        |(bits, count): (&u64, &usize)| *count as f64 * (1.0 - (-f64::from_bits(*bits) * threshold).exp());
+    let under = |(bits, count): (&u64, &usize)| {
+        *count as f64 * (1.0 - (-f64::from_bits(*bits) * threshold).exp())
+    };
     let chosen: f64 = weights.iter().map(under).sum();
     if !companions || weights.values().sum::<usize>() < 2 {
         return chosen;
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -34,6 +34,8 @@
 
 pub use catalog::{Catalog, Change, Condition, EngineFacts, EngineKey, EngineLine};
 pub use score::{GatewayHash, Score};
-pub use settings::{PlacementClass, RetryScope, SubsetError, SubsetSettings, MAX_CLASSES, MAX_NEAR_WEIGHT};
+pub use settings::{
+    PlacementClass, RetryScope, SubsetError, SubsetSettings, MAX_CLASSES, MAX_NEAR_WEIGHT,
+};
 pub use size::{EffectiveSize, SizeReason, MIN_HOLDERS};
 pub use subset::{Action, Subset};
--- a/crates/subset/src/newcomers.rs
+++ b/crates/subset/src/newcomers.rs
@@ -97,7 +97,9 @@
 
     /// Takes in whether a connection came up; whether that was awaited.
     pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) -> bool {
-        let Some(warming) = self.warming.remove(&engine) else { return false };
+        let Some(warming) = self.warming.remove(&engine) else {
+            return false;
+        };
         if reached {
             self.unreached.remove(&engine);
             self.reached.insert(engine);
@@ -109,23 +111,33 @@
     }
 
     fn note_unreached(&mut self, now: f64, engine: EngineKey) {
-        let failures = self.unreached.get(&engine).map_or(0, |unreached| unreached.failures);
+        let failures = self
+            .unreached
+            .get(&engine)
+            .map_or(0, |unreached| unreached.failures);
         let delay = (RETRY_SECONDS * 2.0_f64.powi(failures)).min(MAX_RETRY_SECONDS);
         let retry_at = now + delay * (0.5 + self.jitter());
         let failures = failures.saturating_add(1);
-        self.unreached.insert(engine, Unreached { retry_at, failures });
+        self.unreached
+            .insert(engine, Unreached { retry_at, failures });
         if self.unreached.len() > MAX_UNREACHED {
             let by_time = |(_, a): &(&EngineKey, &Unreached), (_, b): &(&EngineKey, &Unreached)| {
                 a.retry_at.total_cmp(&b.retry_at)
             };
-            let first = self.unreached.iter().min_by(by_time).map(|(engine, _)| *engine);
+            let first = self
+                .unreached
+                .iter()
+                .min_by(by_time)
+                .map(|(engine, _)| *engine);
             first.map(|engine| self.unreached.remove(&engine));
         }
     }
 
     /// Gives up connections that have not come up in time; whether there were any.
     pub fn expire(&mut self, now: f64) -> bool {
-        let late = |(engine, warming): (&EngineKey, &Warming)| (warming.deadline <= now).then_some(*engine);
+        let late = |(engine, warming): (&EngineKey, &Warming)| {
+            (warming.deadline <= now).then_some(*engine)
+        };
         let late: Vec<EngineKey> = self.warming.iter().filter_map(late).collect();
         for engine in &late {
             self.warmed(now, *engine, false);
@@ -145,7 +157,13 @@
     }
 
     fn warm(&mut self, now: f64, engine: EngineKey, refill: bool) {
-        self.warming.insert(engine, Warming { deadline: now + WARM_SECONDS, refill });
+        self.warming.insert(
+            engine,
+            Warming {
+                deadline: now + WARM_SECONDS,
+                refill,
+            },
+        );
     }
 
     /// Whether a connection to this missing engine may be brought up now; it is noted as being so if it may.
@@ -167,7 +185,9 @@
 
     fn admit_at_pace(&mut self, now: f64, engine: EngineKey) -> bool {
         if self.next_at.is_none() {
-            let earliest = self.last_at.map_or(now, |last| (last + self.interval).max(now));
+            let earliest = self
+                .last_at
+                .map_or(now, |last| (last + self.interval).max(now));
             self.next_at = Some(earliest + SPREAD_SECONDS * self.jitter());
         }
         if self.next_at.is_some_and(|next| now < next) {
@@ -211,8 +231,14 @@
     pub fn wake(&self) -> Option<f64> {
         let deadlines = self.warming.values().map(|warming| warming.deadline);
         let idle = |(engine, _): &(&EngineKey, &Unreached)| !self.warming.contains_key(engine);
-        let retries = self.unreached.iter().filter(idle).map(|(_, unreached)| unreached.retry_at);
+        let retries = self
+            .unreached
+            .iter()
+            .filter(idle)
+            .map(|(_, unreached)| unreached.retry_at);
         let room = self.warming.len() < MAX_WARMING;
-        deadlines.chain(retries.chain(self.next_at).filter(|_| room)).reduce(f64::min)
+        deadlines
+            .chain(retries.chain(self.next_at).filter(|_| room))
+            .reduce(f64::min)
     }
 }
--- a/crates/subset/src/ready.rs
+++ b/crates/subset/src/ready.rs
@@ -19,7 +19,10 @@
 
 impl From<Cell> for RetryDomain {
     fn from(cell: Cell) -> Self {
-        RetryDomain { zone: cell.zone, cell: Some(cell.cell) }
+        RetryDomain {
+            zone: cell.zone,
+            cell: Some(cell.cell),
+        }
     }
 }
 
@@ -28,8 +31,14 @@
     pub fn of(facts: &EngineFacts, scope: RetryScope) -> Option<Self> {
         match scope {
             RetryScope::Everywhere => None,
-            RetryScope::Zone => Some(RetryDomain { zone: facts.zone, cell: None }),
-            RetryScope::Cell => Some(RetryDomain { zone: facts.zone, cell: Some(facts.cell) }),
+            RetryScope::Zone => Some(RetryDomain {
+                zone: facts.zone,
+                cell: None,
+            }),
+            RetryScope::Cell => Some(RetryDomain {
+                zone: facts.zone,
+                cell: Some(facts.cell),
+            }),
         }
     }
 }
@@ -44,7 +53,10 @@
 
 impl EngineShape {
     pub fn of(facts: &EngineFacts) -> Self {
-        EngineShape { kind: facts.kind, cores: facts.cores.to_bits() }
+        EngineShape {
+            kind: facts.kind,
+            cores: facts.cores.to_bits(),
+        }
     }
 
     pub fn cores(self) -> f64 {
@@ -74,7 +86,13 @@
 
 impl ReadyEngines {
     pub fn insert(&mut self, engine: EngineKey, facts: &EngineFacts) {
-        let cell = self.cells.entry(Cell { zone: facts.zone, cell: facts.cell }).or_default();
+        let cell = self
+            .cells
+            .entry(Cell {
+                zone: facts.zone,
+                cell: facts.cell,
+            })
+            .or_default();
         if cell.engines.insert(engine) {
             let shape = EngineShape::of(facts);
             let zone = self.zones.entry(facts.zone).or_default();
@@ -85,8 +103,13 @@
     }
 
     pub fn remove(&mut self, engine: EngineKey, facts: &EngineFacts) {
-        let key = Cell { zone: facts.zone, cell: facts.cell };
-        let Some(cell) = self.cells.get_mut(&key) else { return };
+        let key = Cell {
+            zone: facts.zone,
+            cell: facts.cell,
+        };
+        let Some(cell) = self.cells.get_mut(&key) else {
+            return;
+        };
         if !cell.engines.remove(&engine) {
             return;
         }
@@ -123,23 +146,37 @@
 
     /// The shapes of each cell.
     pub fn cells(&self) -> impl Iterator<Item = (Cell, &ShapeCounts)> {
-        self.cells.iter().map(|(cell, contents)| (*cell, &contents.shapes))
+        self.cells
+            .iter()
+            .map(|(cell, contents)| (*cell, &contents.shapes))
     }
 
     /// Engines that may serve a class.
     pub fn count_in_class(&self, class: &PlacementClass) -> usize {
         let admitted = |zone: u32| {
-            move |(shape, count): (&EngineShape, &usize)| class.admits(zone, shape.kind) as usize * *count
+            move |(shape, count): (&EngineShape, &usize)| {
+                class.admits(zone, shape.kind) as usize * *count
+            }
         };
-        self.zones().map(|(zone, shapes)| shapes.iter().map(admitted(zone)).sum::<usize>()).sum()
+        self.zones()
+            .map(|(zone, shapes)| shapes.iter().map(admitted(zone)).sum::<usize>())
+            .sum()
     }
 
     /// The engines of a retry domain.
     pub fn in_domain(&self, domain: RetryDomain) -> impl Iterator<Item = EngineKey> + '_ {
         let first = domain.cell.unwrap_or(u32::MIN);
         let last = domain.cell.unwrap_or(u32::MAX);
-        let cells = Cell { zone: domain.zone, cell: first }..=Cell { zone: domain.zone, cell: last };
-        self.cells.range(cells).flat_map(|(_, cell)| cell.engines.iter().copied())
+        let cells = Cell {
+            zone: domain.zone,
+            cell: first,
+        }..=Cell {
+            zone: domain.zone,
+            cell: last,
+        };
+        self.cells
+            .range(cells)
+            .flat_map(|(_, cell)| cell.engines.iter().copied())
     }
 }
 
--- a/crates/subset/src/score.rs
+++ b/crates/subset/src/score.rs
@@ -86,7 +86,11 @@
 impl SubsetSettings {
     /// The weight of an engine for a gateway with these settings.
     pub fn weight(&self, facts: &EngineFacts) -> f64 {
-        let near = if self.zone == Some(facts.zone) { self.near_weight } else { 1.0 };
+        let near = if self.zone == Some(facts.zone) {
+            self.near_weight
+        } else {
+            1.0
+        };
         base_weight(facts.cores) * near
     }
 }
--- a/crates/subset/src/selection.rs
+++ b/crates/subset/src/selection.rs
@@ -23,7 +23,9 @@
     }
 
     pub fn ready_facts(&self, engine: EngineKey) -> Option<EngineFacts> {
-        self.catalog.facts(engine).filter(|facts| facts.condition == Condition::Ready)
+        self.catalog
+            .facts(engine)
+            .filter(|facts| facts.condition == Condition::Ready)
     }
 
     pub fn domain(&self, engine: EngineKey) -> Option<RetryDomain> {
@@ -32,8 +34,17 @@
 
     /// The scores of all engines that take new work.
     fn scores(&self) -> impl Iterator<Item = (Score, EngineKey, EngineFacts)> + '_ {
-        let ready = self.catalog.engines().filter(|(_, _, facts)| facts.condition == Condition::Ready);
-        ready.map(|(engine, id, facts)| (self.gateway.score(id, self.settings.weight(&facts)), engine, facts))
+        let ready = self
+            .catalog
+            .engines()
+            .filter(|(_, _, facts)| facts.condition == Condition::Ready);
+        ready.map(|(engine, id, facts)| {
+            (
+                self.gateway.score(id, self.settings.weight(&facts)),
+                engine,
+                facts,
+            )
+        })
     }
 }
 
@@ -55,21 +66,33 @@
 impl Selection {
     /// A selection that has read no list yet.
     pub fn new(class: Option<PlacementClass>) -> Self {
-        Selection { class, candidates: Candidates::collect(std::iter::empty(), 0) }
+        Selection {
+            class,
+            candidates: Candidates::collect(std::iter::empty(), 0),
+        }
     }
 
     fn admits(&self, facts: &EngineFacts) -> bool {
-        self.class.as_ref().is_none_or(|class| class.admits_engine(facts))
+        self.class
+            .as_ref()
+            .is_none_or(|class| class.admits_engine(facts))
     }
 
     /// Reads the whole list.
     pub fn rescan(&mut self, chooser: &Chooser, wanted: usize) {
         let admitted = chooser.scores().filter(|(_, _, facts)| self.admits(facts));
-        self.candidates = Candidates::collect(admitted.map(|(score, engine, _)| (score, engine)), wanted);
+        self.candidates =
+            Candidates::collect(admitted.map(|(score, engine, _)| (score, engine)), wanted);
     }
 
     /// Takes in an engine that takes new work; whether that may alter what is selected.
-    pub fn offer(&mut self, engine: EngineKey, facts: &EngineFacts, score: Score, wanted: usize) -> bool {
+    pub fn offer(
+        &mut self,
+        engine: EngineKey,
+        facts: &EngineFacts,
+        score: Score,
+        wanted: usize,
+    ) -> bool {
         let known = self.candidates.withdraw(engine);
         let candidate = self.admits(facts) && self.candidates.offer(engine, score, wanted);
         known || candidate
@@ -111,7 +134,9 @@
             selected.insert(*engine);
             let Some(domain) = domain else { continue };
             // The first of its domain brings its companion.
-            let Some(companion) = companions.remove(domain) else { continue };
+            let Some(companion) = companions.remove(domain) else {
+                continue;
+            };
             let companion = companion.or_else(|| {
                 target.searched.insert(*domain);
                 self.companion(chooser, *engine, *domain, passed_over)
@@ -132,7 +157,9 @@
         let others = chooser.catalog.ready().in_domain(domain);
         let eligible = others.filter(|other| *other != engine && !passed_over.contains(other));
         let rank = |other: EngineKey| {
-            let outside = !chooser.ready_facts(other).is_some_and(|facts| self.admits(&facts));
+            let outside = !chooser
+                .ready_facts(other)
+                .is_some_and(|facts| self.admits(&facts));
             chooser.score(other).map(|score| (outside, score, other))
         };
         eligible.filter_map(rank).min().map(|(_, _, other)| other)
@@ -140,7 +167,9 @@
 }
 
 /// For each domain the second of its engines in order of score, or none if it has just one.
-fn runners_up(first: &[(EngineKey, Option<RetryDomain>)]) -> BTreeMap<RetryDomain, Option<EngineKey>> {
+fn runners_up(
+    first: &[(EngineKey, Option<RetryDomain>)],
+) -> BTreeMap<RetryDomain, Option<EngineKey>> {
     let mut seen: BTreeMap<RetryDomain, Option<EngineKey>> = BTreeMap::new();
     for (engine, domain) in first {
         let Some(domain) = domain else { continue };
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -31,8 +31,9 @@
 impl PlacementClass {
     /// Whether an engine of this zone and kind may serve it.
     pub fn admits(&self, zone: u32, kind: u32) -> bool {
-        let open =
-            |named: &Option<Vec<u32>>, value| named.as_ref().is_none_or(|named| named.contains(&value));
+        let open = |named: &Option<Vec<u32>>, value| {
+            named.as_ref().is_none_or(|named| named.contains(&value))
+        };
         open(&self.zones, zone) && open(&self.kinds, kind)
     }
 
@@ -98,28 +99,55 @@
             return Err(SubsetError::EmptySize);
         }
         if self.class_floor > self.size {
-            return Err(SubsetError::ClassFloorOverSize { class_floor: self.class_floor, size: self.size });
+            return Err(SubsetError::ClassFloorOverSize {
+                class_floor: self.class_floor,
+                size: self.size,
+            });
         }
         if self.classes.len() > MAX_CLASSES {
-            return Err(SubsetError::TooManyClasses { found: self.classes.len() });
+            return Err(SubsetError::TooManyClasses {
+                found: self.classes.len(),
+            });
         }
         self.validate_numbers()
     }
 
     fn validate_numbers(&self) -> Result<(), SubsetError> {
-        let faulty =
-            |place, found, expected, remedy| Err(SubsetError::OutOfRange { place, found, expected, remedy });
+        let faulty = |place, found, expected, remedy| {
+            Err(SubsetError::OutOfRange {
+                place,
+                found,
+                expected,
+                remedy,
+            })
+        };
         if !(self.joins_per_second.is_finite() && self.joins_per_second > 0.0) {
             let remedy = "name how many engines may be added a second, such as 2";
-            return faulty("subset.joins_per_second", self.joins_per_second, "a number over 0", remedy);
+            return faulty(
+                "subset.joins_per_second",
+                self.joins_per_second,
+                "a number over 0",
+                remedy,
+            );
         }
         if !(1.0..=MAX_NEAR_WEIGHT).contains(&self.near_weight) {
-            let remedy = "name 1 for no preference, or how many times more often a near engine is chosen";
-            return faulty("subset.near_weight", self.near_weight, "a number from 1 to 1000000", remedy);
+            let remedy =
+                "name 1 for no preference, or how many times more often a near engine is chosen";
+            return faulty(
+                "subset.near_weight",
+                self.near_weight,
+                "a number from 1 to 1000000",
+                remedy,
+            );
         }
         if !(self.gateways.is_finite() && self.gateways >= 1.0) {
             let remedy = "tell the number of gateways before these engines, this one included";
-            return faulty("subset.gateways", self.gateways, "a number of 1 or more", remedy);
+            return faulty(
+                "subset.gateways",
+                self.gateways,
+                "a number of 1 or more",
+                remedy,
+            );
         }
         Ok(())
     }
@@ -140,5 +168,10 @@
     #[error("gateway name: empty, so that all such gateways would choose the same engines; give each its own name")]
     UnnamedGateway,
     #[error("{place}: {found} is not {expected}; {remedy}")]
-    OutOfRange { place: &'static str, found: f64, expected: &'static str, remedy: &'static str },
+    OutOfRange {
+        place: &'static str,
+        found: f64,
+        expected: &'static str,
+        remedy: &'static str,
+    },
 }
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -33,11 +33,20 @@
         let least = (MIN_HOLDERS * engines as f64 / settings.gateways).ceil() as usize;
         let size = settings.size.max(least);
         if size >= engines {
-            EffectiveSize { size: engines, reason: SizeReason::WholeList }
+            EffectiveSize {
+                size: engines,
+                reason: SizeReason::WholeList,
+            }
         } else if least > settings.size {
-            EffectiveSize { size, reason: SizeReason::MinHolders }
+            EffectiveSize {
+                size,
+                reason: SizeReason::MinHolders,
+            }
         } else {
-            EffectiveSize { size, reason: SizeReason::Told }
+            EffectiveSize {
+                size,
+                reason: SizeReason::Told,
+            }
         }
     }
 
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -88,7 +88,10 @@
         let of_classes = settings.classes.iter().cloned().map(Some);
         Ok(Subset {
             gateway,
-            selections: std::iter::once(None).chain(of_classes).map(Selection::new).collect(),
+            selections: std::iter::once(None)
+                .chain(of_classes)
+                .map(Selection::new)
+                .collect(),
             target: Target::default(),
             outdated: Outdated::Candidates,
             settled: false,
@@ -111,11 +114,15 @@
         if changes.len() > self.wanted(catalog) {
             self.mark(Outdated::Candidates);
         }
-        changes.iter().for_each(|change| self.take_change(catalog, change));
+        changes
+            .iter()
+            .for_each(|change| self.take_change(catalog, change));
     }
 
     fn take_change(&mut self, catalog: &Catalog, change: &Change) {
-        let ready = change.after.filter(|facts| facts.condition == Condition::Ready);
+        let ready = change
+            .after
+            .filter(|facts| facts.condition == Condition::Ready);
         if ready.is_none() {
             self.leave_list(change.engine);
         } else if let Some(member) = self.members.get_mut(&change.engine) {
@@ -126,8 +133,11 @@
             return;
         }
         let searched = [change.before, change.after].into_iter().flatten();
-        let searched = searched.filter_map(|facts| RetryDomain::of(&facts, self.settings.retry_scope));
-        let mut alters = searched.into_iter().any(|domain| self.target.searched.contains(&domain));
+        let searched =
+            searched.filter_map(|facts| RetryDomain::of(&facts, self.settings.retry_scope));
+        let mut alters = searched
+            .into_iter()
+            .any(|domain| self.target.searched.contains(&domain));
         alters |= self.update_candidates(catalog, change);
         alters |= self.effective_size(catalog).size + self.health.widened_by() != self.terms.size;
         if alters {
@@ -137,9 +147,15 @@
 
     /// Whether the change is among the candidates.
     fn update_candidates(&mut self, catalog: &Catalog, change: &Change) -> bool {
-        let chooser = Chooser { gateway: self.gateway, settings: &self.settings, catalog };
+        let chooser = Chooser {
+            gateway: self.gateway,
+            settings: &self.settings,
+            catalog,
+        };
         // The catalog may have a later state than this change tells.
-        let known = chooser.ready_facts(change.engine).zip(chooser.score(change.engine));
+        let known = chooser
+            .ready_facts(change.engine)
+            .zip(chooser.score(change.engine));
         let wanted = wanted(&self.settings, &self.newcomers, catalog);
         let mut alters = false;
         for (selection, wanted) in self.selections.iter_mut().zip(wanted) {
@@ -214,14 +230,21 @@
         if self.outdated != Outdated::Nothing || !self.due.is_empty() {
             return Some(self.last_call);
         }
-        let wake = self.newcomers.wake().into_iter().chain(self.health.wake()).reduce(f64::min);
+        let wake = self
+            .newcomers
+            .wake()
+            .into_iter()
+            .chain(self.health.wake())
+            .reduce(f64::min);
         // A pace near 0 puts the next newcomer off for ever.
         wake.filter(|at| at.is_finite())
     }
 
     /// The members, and about how many gateways hold each.
     pub fn members(&self) -> impl Iterator<Item = (EngineKey, f64)> + '_ {
-        self.members.iter().map(|(engine, member)| (*engine, member.holders))
+        self.members
+            .iter()
+            .map(|(engine, member)| (*engine, member.holders))
     }
 
     /// How many engines the subset holds while none fails, and why.
@@ -234,7 +257,10 @@
         &'a self,
         catalog: &'a Catalog,
     ) -> impl Iterator<Item = &'a PlacementClass> + 'a {
-        self.settings.classes.iter().filter(|class| catalog.ready().count_in_class(class) == 0)
+        self.settings
+            .classes
+            .iter()
+            .filter(|class| catalog.ready().count_in_class(class) == 0)
     }
 
     /// Engines that the subset holds beyond its size, as members fail.
@@ -253,12 +279,18 @@
     }
 
     fn chooser<'a>(&'a self, catalog: &'a Catalog) -> Chooser<'a> {
-        Chooser { gateway: self.gateway, settings: &self.settings, catalog }
+        Chooser {
+            gateway: self.gateway,
+            settings: &self.settings,
+            catalog,
+        }
     }
 
     /// The candidates that the whole list should have.
     fn wanted(&self, catalog: &Catalog) -> usize {
-        wanted(&self.settings, &self.newcomers, catalog).next().unwrap_or(self.settings.size)
+        wanted(&self.settings, &self.newcomers, catalog)
+            .next()
+            .unwrap_or(self.settings.size)
     }
 
     /// Works out which engines to hold.
@@ -279,16 +311,26 @@
         let chooser = self.chooser(catalog);
         let unready = |engine: &EngineKey| chooser.ready_facts(*engine).is_none();
         let unready: Vec<EngineKey> = self.members.keys().copied().filter(unready).collect();
-        unready.into_iter().for_each(|engine| self.leave_list(engine));
+        unready
+            .into_iter()
+            .for_each(|engine| self.leave_list(engine));
     }
 
     /// Whether the engines that can be reached are too few for the subset or for a class.
     fn target_under_floor(&self, catalog: &Catalog) -> bool {
-        let facts: Vec<EngineFacts> =
-            self.target.engines.iter().filter_map(|engine| catalog.facts(*engine)).collect();
+        let facts: Vec<EngineFacts> = self
+            .target
+            .engines
+            .iter()
+            .filter_map(|engine| catalog.facts(*engine))
+            .collect();
         let class_under_floor = |class: &PlacementClass| {
             let floor = self.floor_of_class(catalog, class);
-            facts.iter().filter(|facts| class.admits_engine(facts)).count() < floor
+            facts
+                .iter()
+                .filter(|facts| class.admits_engine(facts))
+                .count()
+                < floor
         };
         facts.len() < self.effective_size(catalog).floor()
             || self.settings.classes.iter().any(class_under_floor)
@@ -296,11 +338,19 @@
 
     /// So many members of a class the subset has at least.
     fn floor_of_class(&self, catalog: &Catalog, class: &PlacementClass) -> usize {
-        floor_of(self.settings.class_floor.min(catalog.ready().count_in_class(class)))
+        floor_of(
+            self.settings
+                .class_floor
+                .min(catalog.ready().count_in_class(class)),
+        )
     }
 
     fn refill_candidates(&mut self, catalog: &Catalog) {
-        let chooser = Chooser { gateway: self.gateway, settings: &self.settings, catalog };
+        let chooser = Chooser {
+            gateway: self.gateway,
+            settings: &self.settings,
+            catalog,
+        };
         let wanted = wanted(&self.settings, &self.newcomers, catalog);
         for (selection, wanted) in self.selections.iter_mut().zip(wanted) {
             if self.outdated == Outdated::Candidates || selection.falls_short(wanted) {
@@ -311,7 +361,8 @@
 
     fn selected(&self, catalog: &Catalog, passed_over: &BTreeSet<EngineKey>) -> Target {
         let chooser = self.chooser(catalog);
-        let quotas = std::iter::once(self.terms.size).chain(std::iter::repeat(self.settings.class_floor));
+        let quotas =
+            std::iter::once(self.terms.size).chain(std::iter::repeat(self.settings.class_floor));
         let mut target = Target::default();
         for (selection, quota) in self.selections.iter().zip(quotas) {
             selection.select(&chooser, quota, passed_over, &mut target);
@@ -335,9 +386,14 @@
     /// The engines of the target that are no members yet, lowest score first.
     fn missing(&self, catalog: &Catalog) -> Vec<EngineKey> {
         let chooser = self.chooser(catalog);
-        let missing = self.target.engines.iter().filter(|engine| !self.members.contains_key(engine));
-        let mut missing: Vec<(Score, EngineKey)> =
-            missing.filter_map(|engine| chooser.score(*engine).map(|score| (score, *engine))).collect();
+        let missing = self
+            .target
+            .engines
+            .iter()
+            .filter(|engine| !self.members.contains_key(engine));
+        let mut missing: Vec<(Score, EngineKey)> = missing
+            .filter_map(|engine| chooser.score(*engine).map(|score| (score, *engine)))
+            .collect();
         missing.sort_unstable();
         missing.into_iter().map(|(_, engine)| engine).collect()
     }
@@ -347,13 +403,19 @@
     fn join(&mut self, catalog: &Catalog, missing: Vec<EngineKey>) -> Vec<EngineKey> {
         // A subset without members serves nobody, so its first members join untried.
         let fill = self.members.is_empty();
-        let floor = self.effective_size(catalog).floor().min(self.target.engines.len());
+        let floor = self
+            .effective_size(catalog)
+            .floor()
+            .min(self.target.engines.len());
         let classes = self.settings.classes.clone();
-        let mut shortage =
-            self.class_shortage(catalog, &classes, |class| self.floor_of_class(catalog, class));
+        let mut shortage = self.class_shortage(catalog, &classes, |class| {
+            self.floor_of_class(catalog, class)
+        });
         let (mut of_no_class, mut waiting) = (Vec::new(), Vec::new());
         for engine in missing {
-            let Some(facts) = catalog.facts(engine) else { continue };
+            let Some(facts) = catalog.facts(engine) else {
+                continue;
+            };
             if fill || self.newcomers.is_reached(engine) || shortage.concerns(&facts) {
                 shortage.add(&facts);
                 self.add_member(engine, &facts);
@@ -372,9 +434,18 @@
     }
 
     fn add_member(&mut self, engine: EngineKey, facts: &EngineFacts) {
-        let holders = self.table.as_ref().map_or(self.settings.gateways, |table| table.holders(facts));
+        let holders = self
+            .table
+            .as_ref()
+            .map_or(self.settings.gateways, |table| table.holders(facts));
         self.newcomers.forget(engine);
-        self.members.insert(engine, Member { holders, changed: false });
+        self.members.insert(
+            engine,
+            Member {
+                holders,
+                changed: false,
+            },
+        );
         self.due.push(Action::Join { engine, holders });
     }
 
@@ -396,7 +467,9 @@
         let mut shortage = self.class_shortage(catalog, &classes, |_| self.settings.class_floor);
         let mut waits_for_pace = false;
         for engine in waiting {
-            let Some(facts) = catalog.facts(*engine) else { continue };
+            let Some(facts) = catalog.facts(*engine) else {
+                continue;
+            };
             let urgent = shortage.concerns(&facts);
             shortage.add(&facts);
             if self.newcomers.is_warming(*engine) {
@@ -416,7 +489,11 @@
     /// Lets members go that are not in the target.
     fn release(&mut self, catalog: &Catalog, complete: bool) {
         let surplus = self.surplus(catalog);
-        let leaving = if complete { surplus } else { self.dispensable(catalog, &surplus) };
+        let leaving = if complete {
+            surplus
+        } else {
+            self.dispensable(catalog, &surplus)
+        };
         for engine in leaving {
             self.leave(engine);
         }
@@ -425,9 +502,13 @@
     /// The members that are not in the target, highest score first.
     fn surplus(&self, catalog: &Catalog) -> Vec<EngineKey> {
         let chooser = self.chooser(catalog);
-        let surplus = self.members.keys().filter(|engine| !self.target.engines.contains(engine));
-        let mut surplus: Vec<(Option<Score>, EngineKey)> =
-            surplus.map(|engine| (chooser.score(*engine), *engine)).collect();
+        let surplus = self
+            .members
+            .keys()
+            .filter(|engine| !self.target.engines.contains(engine));
+        let mut surplus: Vec<(Option<Score>, EngineKey)> = surplus
+            .map(|engine| (chooser.score(*engine), *engine))
+            .collect();
         surplus.sort_unstable_by(|a, b| b.cmp(a));
         surplus.into_iter().map(|(_, engine)| engine).collect()
     }
@@ -436,12 +517,15 @@
     /// joined in their stead, unless a class would fall under its floor or a member lose its only companion.
     fn dispensable(&self, catalog: &Catalog, surplus: &[EngineKey]) -> Vec<EngineKey> {
         let mut excess = self.members.len().saturating_sub(self.target.engines.len());
-        let mut shortage =
-            self.class_shortage(catalog, &self.settings.classes, |_| self.settings.class_floor);
+        let mut shortage = self.class_shortage(catalog, &self.settings.classes, |_| {
+            self.settings.class_floor
+        });
         let mut in_domain = self.members_by_domain(catalog);
         let mut leaving = Vec::new();
         for engine in surplus {
-            let Some(facts) = catalog.facts(*engine).filter(|_| excess > 0) else { break };
+            let Some(facts) = catalog.facts(*engine).filter(|_| excess > 0) else {
+                break;
+            };
             let domain = RetryDomain::of(&facts, self.settings.retry_scope);
             let count = domain.and_then(|domain| in_domain.get_mut(&domain));
             shortage.remove(&facts);
@@ -458,7 +542,10 @@
 
     fn members_by_domain(&self, catalog: &Catalog) -> BTreeMap<RetryDomain, usize> {
         let mut count: BTreeMap<RetryDomain, usize> = BTreeMap::new();
-        let facts = self.members.keys().filter_map(|engine| catalog.facts(*engine));
+        let facts = self
+            .members
+            .keys()
+            .filter_map(|engine| catalog.facts(*engine));
         for domain in facts.filter_map(|facts| RetryDomain::of(&facts, self.settings.retry_scope)) {
             *count.entry(domain).or_default() += 1;
         }
@@ -477,17 +564,28 @@
     /// Tells members whose number of holders or facts have changed.
     fn refresh_holders(&mut self, catalog: &Catalog) {
         let table = catalog.holders(&self.terms);
-        let same = self.table.as_ref().is_some_and(|known| Arc::ptr_eq(known, &table));
+        let same = self
+            .table
+            .as_ref()
+            .is_some_and(|known| Arc::ptr_eq(known, &table));
         let facts_changed = std::mem::take(&mut self.facts_changed);
         if same && !facts_changed {
             return;
         }
         for (engine, member) in &mut self.members {
-            let Some(facts) = catalog.facts(*engine) else { continue };
+            let Some(facts) = catalog.facts(*engine) else {
+                continue;
+            };
             let holders = table.holders(&facts);
             if member.changed || (holders - member.holders).abs() > member.holders * UPDATE_PART {
-                *member = Member { holders, changed: false };
-                self.due.push(Action::Update { engine: *engine, holders });
+                *member = Member {
+                    holders,
+                    changed: false,
+                };
+                self.due.push(Action::Update {
+                    engine: *engine,
+                    holders,
+                });
             }
         }
         self.table = Some(table);
@@ -502,7 +600,9 @@
 ) -> impl Iterator<Item = usize> + 'a {
     let passed_over = newcomers.unreached_count();
     let size = EffectiveSize::new(settings, catalog.ready_count()).size;
-    let whole = size.saturating_add(settings.reserve).saturating_add(passed_over);
+    let whole = size
+        .saturating_add(settings.reserve)
+        .saturating_add(passed_over);
     let class = settings.class_floor.saturating_add(passed_over);
     std::iter::once(whole).chain(std::iter::repeat(class))
 }
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -2,7 +2,9 @@
 
 mod world;
 
-use garnetwall_subset::{Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings};
+use garnetwall_subset::{
+    Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings,
+};
 use std::collections::BTreeSet;
 use world::{line, lines, plain_target, settings, Slip, World, GATEWAY, SETTLING_SECONDS};
 
@@ -10,7 +12,10 @@
 fn within_pace(times: &[f64], joins_per_second: f64) -> bool {
     let interval_respected = |(index, start): (usize, &f64)| {
         let allowed = |end: &f64| 1.0 + joins_per_second * (end - start) + 1e-6;
-        times[index..].iter().enumerate().all(|(count, end)| (count + 1) as f64 <= allowed(end))
+        times[index..]
+            .iter()
+            .enumerate()
+            .all(|(count, end)| (count + 1) as f64 <= allowed(end))
     };
     times.iter().enumerate().all(interval_respected)
 }
@@ -47,7 +52,11 @@
         world.tell(&[line(30, 5)], false);
         world.advance(10.0);
         let at = world.warmed_at.first().copied();
-        let at = if slip == Slip::InStep { at.and(Some(listed)) } else { at };
+        let at = if slip == Slip::InStep {
+            at.and(Some(listed))
+        } else {
+            at
+        };
         tenths.extend(at.map(|at| ((at - listed) * 10.0) as i64));
     }
     tenths
@@ -65,17 +74,33 @@
 
 #[test]
 fn a_lost_zone_is_refilled_at_once_up_to_the_reserve_and_then_at_the_pace() {
-    let mut world = World::new(SubsetSettings { reserve: 4, ..settings(40) }, Slip::None);
+    let mut world = World::new(
+        SubsetSettings {
+            reserve: 4,
+            ..settings(40)
+        },
+        Slip::None,
+    );
     world.tell(&lines(200, 5), true);
     world.advance(10.0);
-    let left: Vec<EngineLine> = lines(200, 5).into_iter().filter(|line| line.facts.zone != 0).collect();
+    let left: Vec<EngineLine> = lines(200, 5)
+        .into_iter()
+        .filter(|line| line.facts.zone != 0)
+        .collect();
     world.tell(&left, true);
     let remaining = world.members.len();
     assert!((20..35).contains(&remaining), "{remaining} members remain");
     world.advance(0.1);
-    assert!((remaining + 4..=remaining + 5).contains(&world.members.len()), "{}", world.members.len());
+    assert!(
+        (remaining + 4..=remaining + 5).contains(&world.members.len()),
+        "{}",
+        world.members.len()
+    );
     world.advance(40.0);
-    assert_eq!(world.member_ids(), plain_target(GATEWAY, &world.settings, &world.list));
+    assert_eq!(
+        world.member_ids(),
+        plain_target(GATEWAY, &world.settings, &world.list)
+    );
     assert_eq!(world.faults, BTreeSet::new());
 }
 
@@ -84,12 +109,17 @@
     let mut world = World::new(settings(40), Slip::None);
     world.tell(&lines(200, 5), true);
     let members = world.member_ids();
-    let left: Vec<EngineLine> =
-        lines(200, 5).into_iter().filter(|line| !members.contains(&line.id)).collect();
+    let left: Vec<EngineLine> = lines(200, 5)
+        .into_iter()
+        .filter(|line| !members.contains(&line.id))
+        .collect();
     world.tell(&left, true);
     assert_eq!(world.members.len(), 40, "all members gone: a first fill");
     let few: BTreeSet<String> = world.member_ids().into_iter().take(35).collect();
-    let left: Vec<EngineLine> = left.into_iter().filter(|line| !few.contains(&line.id)).collect();
+    let left: Vec<EngineLine> = left
+        .into_iter()
+        .filter(|line| !few.contains(&line.id))
+        .collect();
     world.tell(&left, true);
     assert_eq!(world.members.len(), 20, "the floor");
     assert_eq!(world.faults, BTreeSet::new());
@@ -120,15 +150,27 @@
 
 #[test]
 fn failing_members_widen_the_subset_and_narrowing_is_slow() {
-    let mut world = World::new(SubsetSettings { reserve: 3, ..settings(20) }, Slip::None);
+    let mut world = World::new(
+        SubsetSettings {
+            reserve: 3,
+            ..settings(20)
+        },
+        Slip::None,
+    );
     world.tell(&lines(200, 5), true);
     let failing: Vec<_> = world.members.keys().copied().take(5).collect();
     world.attempts(failing[0], true, 3);
-    assert_eq!(world.subset.widened_by(), 0, "three attempts are no evidence");
+    assert_eq!(
+        world.subset.widened_by(),
+        0,
+        "three attempts are no evidence"
+    );
     world.attempts(failing[1], false, 100);
     world.attempts(failing[1], true, 50);
     assert_eq!(world.subset.widened_by(), 0, "less than half failed");
-    failing.iter().for_each(|engine| world.attempts(*engine, true, 150));
+    failing
+        .iter()
+        .for_each(|engine| world.attempts(*engine, true, 150));
     assert_eq!((world.subset.failing(), world.subset.widened_by()), (5, 3));
     world.advance(5.0);
     assert_eq!(world.members.len(), 23);
@@ -140,8 +182,14 @@
         sizes.push(world.members.len());
     }
     assert_eq!(sizes.last(), Some(&20));
-    assert!(sizes.windows(2).all(|pair| pair[0] - pair[1] <= 1), "{sizes:?}");
-    assert!(sizes.iter().filter(|size| **size == 22).count() >= 4, "{sizes:?}");
+    assert!(
+        sizes.windows(2).all(|pair| pair[0] - pair[1] <= 1),
+        "{sizes:?}"
+    );
+    assert!(
+        sizes.iter().filter(|size| **size == 22).count() >= 4,
+        "{sizes:?}"
+    );
     world.settle();
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -155,13 +203,21 @@
     let gone = members.first().expect("members").clone();
     world.tell_condition(&gone, Condition::Gone);
     let expected = plain_target(GATEWAY, &world.settings, &world.list);
-    let next = expected.difference(&members).next().expect("a successor").clone();
+    let next = expected
+        .difference(&members)
+        .next()
+        .expect("a successor")
+        .clone();
     world.unreachable.insert(next.clone());
     world.advance(1.0);
     assert!(!world.member_ids().contains(&next) && world.members.len() == 20);
     assert_eq!(world.subset.unreached(), 1);
     world.advance(300.0);
-    assert!((4..=16).contains(&world.warmed_at.len()), "{} tries, ever more seldom", world.warmed_at.len());
+    assert!(
+        (4..=16).contains(&world.warmed_at.len()),
+        "{} tries, ever more seldom",
+        world.warmed_at.len()
+    );
     world.settle();
     assert_eq!(world.member_ids(), expected, "reached in the end");
     assert_eq!(world.faults, BTreeSet::new());
@@ -169,7 +225,13 @@
 
 #[test]
 fn the_subset_narrows_also_when_a_failing_member_was_displaced() {
-    let mut world = World::new(SubsetSettings { reserve: 3, ..settings(20) }, Slip::None);
+    let mut world = World::new(
+        SubsetSettings {
+            reserve: 3,
+            ..settings(20)
+        },
+        Slip::None,
+    );
     world.tell(&lines(200, 5), true);
     // With one engine of these the member with the highest score is displaced; while it fails there is room for one.
     let displaces = |world: &World, newcomer: &EngineLine| {
@@ -197,16 +259,35 @@
 /// Found by the model: the floor of a class is a part of what is listed of it, not of what was reached.
 #[test]
 fn the_floor_of_a_class_counts_engines_that_could_not_be_reached() {
-    let by_zone = PlacementClass { zones: Some(vec![0, 3]), kinds: None };
-    let by_kind = PlacementClass { zones: Some(vec![2]), kinds: Some(vec![1]) };
+    let by_zone = PlacementClass {
+        zones: Some(vec![0, 3]),
+        kinds: None,
+    };
+    let by_kind = PlacementClass {
+        zones: Some(vec![2]),
+        kinds: Some(vec![1]),
+    };
     let classes = vec![by_zone, by_kind];
     let reserve = 0;
-    let slow = SubsetSettings { class_floor: 3, reserve, joins_per_second: 0.2, classes, ..settings(3) };
+    let slow = SubsetSettings {
+        class_floor: 3,
+        reserve,
+        joins_per_second: 0.2,
+        classes,
+        ..settings(3)
+    };
     let mut world = World::new(slow, Slip::None);
     let tell = |world: &mut World, first: u32| {
-        world.tell(&(first..first + 8).map(|number| line(number, 5)).collect::<Vec<_>>(), false);
+        world.tell(
+            &(first..first + 8)
+                .map(|number| line(number, 5))
+                .collect::<Vec<_>>(),
+            false,
+        );
     };
-    world.unreachable.extend((23..38).map(|number| line(number, 5).id));
+    world
+        .unreachable
+        .extend((23..38).map(|number| line(number, 5).id));
     tell(&mut world, 70);
     tell(&mut world, 21);
     world.advance(29.0);
@@ -217,7 +298,13 @@
 
 #[test]
 fn newcomers_that_come_one_by_one_keep_the_pace() {
-    let mut world = World::new(SubsetSettings { joins_per_second: 0.2, ..settings(40) }, Slip::None);
+    let mut world = World::new(
+        SubsetSettings {
+            joins_per_second: 0.2,
+            ..settings(40)
+        },
+        Slip::None,
+    );
     world.tell(&lines(200, 5), true);
     for number in 200..500 {
         world.tell(&[line(number, 5)], false);
@@ -230,34 +317,62 @@
 #[test]
 fn a_list_that_grows_and_shrinks_line_by_line() {
     for retry_scope in [RetryScope::Everywhere, RetryScope::Cell] {
-        let mut world = World::new(SubsetSettings { retry_scope, ..settings(8) }, Slip::None);
+        let mut world = World::new(
+            SubsetSettings {
+                retry_scope,
+                ..settings(8)
+            },
+            Slip::None,
+        );
         for number in 0..300 {
             world.tell(&[line(number, 40)], false);
             if number % 10 == 9 {
                 world.settle();
-                assert_eq!(world.faults, BTreeSet::new(), "{retry_scope:?} with {number}");
+                assert_eq!(
+                    world.faults,
+                    BTreeSet::new(),
+                    "{retry_scope:?} with {number}"
+                );
             }
         }
         for round in 0..60 {
             let id = world.member_ids().first().cloned().expect("members");
             world.tell_condition(&id, Condition::Gone);
             world.settle();
-            assert_eq!(world.faults, BTreeSet::new(), "{retry_scope:?} in round {round}");
+            assert_eq!(
+                world.faults,
+                BTreeSet::new(),
+                "{retry_scope:?} in round {round}"
+            );
         }
     }
 }
 
 #[test]
 fn engines_that_were_not_reached_serve_when_no_others_are_left() {
-    let mut world = World::new(SubsetSettings { reserve: 10, ..settings(20) }, Slip::None);
+    let mut world = World::new(
+        SubsetSettings {
+            reserve: 10,
+            ..settings(20)
+        },
+        Slip::None,
+    );
     world.tell(&lines(30, 5), true);
     let members: Vec<String> = world.member_ids().into_iter().collect();
-    let others = world.list.keys().filter(|id| !members.contains(id)).cloned();
+    let others = world
+        .list
+        .keys()
+        .filter(|id| !members.contains(id))
+        .cloned();
     world.unreachable = others.collect();
-    members[..6].iter().for_each(|id| world.tell_condition(id, Condition::Gone));
+    members[..6]
+        .iter()
+        .for_each(|id| world.tell_condition(id, Condition::Gone));
     world.advance(20.0);
     assert_eq!((world.subset.unreached(), world.members.len()), (10, 14));
-    members[6..13].iter().for_each(|id| world.tell_condition(id, Condition::Gone));
+    members[6..13]
+        .iter()
+        .for_each(|id| world.tell_condition(id, Condition::Gone));
     assert_eq!(world.members.len(), 9, "the floor of 17");
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -277,15 +392,31 @@
 
 #[test]
 fn a_class_under_its_quota_is_refilled_without_waiting_for_the_pace() {
-    let class = PlacementClass { zones: Some(vec![1]), kinds: None };
+    let class = PlacementClass {
+        zones: Some(vec![1]),
+        kinds: None,
+    };
     let classes = vec![class];
-    let slow = SubsetSettings { class_floor: 6, reserve: 0, joins_per_second: 0.01, classes, ..settings(20) };
+    let slow = SubsetSettings {
+        class_floor: 6,
+        reserve: 0,
+        joins_per_second: 0.01,
+        classes,
+        ..settings(20)
+    };
     let mut world = World::new(slow, Slip::None);
     world.tell(&lines(200, 5), true);
     let in_class = |world: &World| -> Vec<String> {
-        world.member_ids().into_iter().filter(|id| world.list[id].zone == 1).collect()
+        world
+            .member_ids()
+            .into_iter()
+            .filter(|id| world.list[id].zone == 1)
+            .collect()
     };
-    in_class(&world).iter().take(3).for_each(|id| world.tell_condition(id, Condition::Draining));
+    in_class(&world)
+        .iter()
+        .take(3)
+        .for_each(|id| world.tell_condition(id, Condition::Draining));
     world.advance(0.5);
     assert!(in_class(&world).len() >= 6, "{:?}", in_class(&world));
 }
@@ -294,13 +425,30 @@
 fn a_member_whose_facts_changed_is_told_again_and_a_new_kind_is_reckoned_with() {
     let mut world = World::new(settings(20), Slip::None);
     world.tell(&lines(400, 5), true);
-    let (engine, holders) =
-        world.members.first_key_value().map(|(engine, holders)| (*engine, *holders)).expect("members");
+    let (engine, holders) = world
+        .members
+        .first_key_value()
+        .map(|(engine, holders)| (*engine, *holders))
+        .expect("members");
     let id = world.catalog.id(engine).expect("listed").to_string();
-    for facts in [EngineFacts { cell: 77, ..world.list[&id] }, EngineFacts { cores: 12.0, ..world.list[&id] }]
-    {
+    for facts in [
+        EngineFacts {
+            cell: 77,
+            ..world.list[&id]
+        },
+        EngineFacts {
+            cores: 12.0,
+            ..world.list[&id]
+        },
+    ] {
         world.updated.clear();
-        world.tell(&[EngineLine { id: id.clone(), facts }], false);
+        world.tell(
+            &[EngineLine {
+                id: id.clone(),
+                facts,
+            }],
+            false,
+        );
         assert_eq!(world.updated, BTreeSet::from([engine]));
         assert!(
             (world.members[&engine] / holders - 1.0).abs() < 0.05,
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineKey, EngineLine, GatewayHash, PlacementClass, RetryScope,
-    Subset, SubsetSettings,
+    Action, Catalog, Condition, EngineFacts, EngineKey, EngineLine, GatewayHash, PlacementClass,
+    RetryScope, Subset, SubsetSettings,
 };
 use std::collections::BTreeMap;
 use world::{lines, settings, Slip};
@@ -20,21 +20,38 @@
 }
 
 fn fleet(settings: &SubsetSettings, zones: u32, slip: Slip) -> Fleet {
-    fleet_of(settings, zones, slip, |gateway| format!("gateway-{gateway}"))
+    fleet_of(settings, zones, slip, |gateway| {
+        format!("gateway-{gateway}")
+    })
 }
 
-fn fleet_of(settings: &SubsetSettings, zones: u32, slip: Slip, name: impl Fn(usize) -> String) -> Fleet {
+fn fleet_of(
+    settings: &SubsetSettings,
+    zones: u32,
+    slip: Slip,
+    name: impl Fn(usize) -> String,
+) -> Fleet {
     let mut catalog = Catalog::default();
     let changes = catalog.apply(&lines(ENGINES, zones), true);
     let (mut counted, mut told) = (BTreeMap::new(), BTreeMap::new());
     for gateway in 0..GATEWAYS {
         let zone = settings.zone.map(|_| gateway as u32 % zones);
-        let settings = SubsetSettings { zone, gateways: GATEWAYS as f64, ..settings.clone() };
+        let settings = SubsetSettings {
+            zone,
+            gateways: GATEWAYS as f64,
+            ..settings.clone()
+        };
         let mut subset = Subset::new(&name(gateway), settings).expect("good settings");
         subset.changed(1.0, &catalog, &changes);
         for action in subset.poll(1.0, &catalog) {
-            let Action::Join { engine, holders } = action else { panic!("{action:?} in a first fill") };
-            let holders = if slip == Slip::HoldersHalved { holders / 2.0 } else { holders };
+            let Action::Join { engine, holders } = action else {
+                panic!("{action:?} in a first fill")
+            };
+            let holders = if slip == Slip::HoldersHalved {
+                holders / 2.0
+            } else {
+                holders
+            };
             *counted.entry(engine).or_insert(0.0) += 1.0;
             told.insert(engine, holders);
         }
@@ -44,21 +61,52 @@
 
 /// The part of the engines held by more gateways than these are told, and what is told over what is counted.
 fn compare(fleet: &Fleet) -> (f64, f64) {
-    let understated = fleet.counted.iter().filter(|(engine, counted)| fleet.told[engine] < **counted);
-    let ratio: f64 = fleet.counted.iter().map(|(engine, counted)| fleet.told[engine] / counted).sum();
-    (understated.count() as f64 / fleet.counted.len() as f64, ratio / fleet.counted.len() as f64)
+    let understated = fleet
+        .counted
+        .iter()
+        .filter(|(engine, counted)| fleet.told[engine] < **counted);
+    let ratio: f64 = fleet
+        .counted
+        .iter()
+        .map(|(engine, counted)| fleet.told[engine] / counted)
+        .sum();
+    (
+        understated.count() as f64 / fleet.counted.len() as f64,
+        ratio / fleet.counted.len() as f64,
+    )
 }
 
 /// Settings, and the zones of the list; 4 cells each.
 fn cases() -> Vec<(&'static str, SubsetSettings, u32)> {
     let plain = settings(25);
-    let zone = PlacementClass { zones: Some(vec![1]), kinds: None };
-    let kind = PlacementClass { zones: Some(vec![2, 3]), kinds: Some(vec![1]) };
-    let classes = SubsetSettings { class_floor: 8, classes: vec![zone, kind], ..plain.clone() };
-    let near = SubsetSettings { zone: Some(0), near_weight: 4.0, ..plain.clone() };
-    let cells = SubsetSettings { retry_scope: RetryScope::Cell, ..plain.clone() };
-    let all =
-        SubsetSettings { retry_scope: RetryScope::Cell, zone: Some(0), near_weight: 4.0, ..classes.clone() };
+    let zone = PlacementClass {
+        zones: Some(vec![1]),
+        kinds: None,
+    };
+    let kind = PlacementClass {
+        zones: Some(vec![2, 3]),
+        kinds: Some(vec![1]),
+    };
+    let classes = SubsetSettings {
+        class_floor: 8,
+        classes: vec![zone, kind],
+        ..plain.clone()
+    };
+    let near = SubsetSettings {
+        zone: Some(0),
+        near_weight: 4.0,
+        ..plain.clone()
+    };
+    let cells = SubsetSettings {
+        retry_scope: RetryScope::Cell,
+        ..plain.clone()
+    };
+    let all = SubsetSettings {
+        retry_scope: RetryScope::Cell,
+        zone: Some(0),
+        near_weight: 4.0,
+        ..classes.clone()
+    };
     vec![
         ("plain", plain, ZONES),
         ("classes", classes, ZONES),
@@ -80,7 +128,10 @@
         assert!(understated <= 0.05, "{name}: {understated}");
         assert!((1.0..1.8).contains(&ratio), "{name}: {ratio}");
         let (understated, _) = compare(&fleet(&settings, zones, Slip::HoldersHalved));
-        assert!(understated > 0.5, "{name}: halved holders must be found, {understated}");
+        assert!(
+            understated > 0.5,
+            "{name}: halved holders must be found, {understated}"
+        );
     }
 }
 
@@ -89,8 +140,13 @@
     // 12 engines each, and so 24 gateways an engine, by the floor.
     let fleet = fleet(&settings(1), ZONES, Slip::None);
     assert_eq!(fleet.counted.len(), ENGINES as usize);
-    let alike = fleet_of(&settings(1), ZONES, Slip::None, |gateway| format!("gateway-{}", gateway % 20));
-    assert!(alike.counted.len() < ENGINES as usize, "gateways of few names leave engines unheld");
+    let alike = fleet_of(&settings(1), ZONES, Slip::None, |gateway| {
+        format!("gateway-{}", gateway % 20)
+    });
+    assert!(
+        alike.counted.len() < ENGINES as usize,
+        "gateways of few names leave engines unheld"
+    );
     let least = fleet.counted.values().copied().fold(f64::MAX, f64::min);
     println!("least gateways that hold an engine: {least}");
     assert!(least >= 1.0);
@@ -111,15 +167,23 @@
     let mut work: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
     for gateway in 0..GATEWAYS {
         let hash = GatewayHash::new(&format!("gateway-{gateway}"));
-        let mut scored: Vec<_> =
-            lines.iter().map(|line| (hash.score(&line.id, weight(&line.facts)), line.facts.cores)).collect();
+        let mut scored: Vec<_> = lines
+            .iter()
+            .map(|line| (hash.score(&line.id, weight(&line.facts)), line.facts.cores))
+            .collect();
         scored.sort_by_key(|(score, _)| *score);
         let cores: f64 = scored[..25].iter().map(|(_, cores)| cores).sum();
-        scored[..25].iter().for_each(|(_, own)| work.entry(*own as u64).or_default().0 += own / cores);
+        scored[..25]
+            .iter()
+            .for_each(|(_, own)| work.entry(*own as u64).or_default().0 += own / cores);
     }
-    lines.iter().for_each(|line| work.entry(line.facts.cores as u64).or_default().1 += line.facts.cores);
+    lines
+        .iter()
+        .for_each(|line| work.entry(line.facts.cores as u64).or_default().1 += line.facts.cores);
     let all: f64 = lines.iter().map(|line| line.facts.cores).sum();
-    work.into_iter().map(|(kind, (work, cores))| (kind, work / cores / (GATEWAYS as f64 / all))).collect()
+    work.into_iter()
+        .map(|(kind, (work, cores))| (kind, work / cores / (GATEWAYS as f64 / all)))
+        .collect()
 }
 
 fn is_even(work: &BTreeMap<u64, f64>) -> bool {
@@ -143,11 +207,16 @@
     let told = world.members.clone();
     // More than a table bears, and less than is worth an update.
     world.tell(&lines(ENGINES + 8, ZONES), false);
-    assert!(told.iter().all(|(engine, holders)| world.members.get(engine).is_none_or(|now| now == holders)));
+    assert!(told
+        .iter()
+        .all(|(engine, holders)| world.members.get(engine).is_none_or(|now| now == holders)));
     world.tell(&lines(ENGINES * 2, ZONES), false);
     world.settle();
     let halved = |engine: &EngineKey| world.members[engine] < told[engine] * 0.7;
-    assert!(told.keys().filter(|engine| world.members.contains_key(engine)).all(halved));
+    assert!(told
+        .keys()
+        .filter(|engine| world.members.contains_key(engine))
+        .all(halved));
     assert_eq!(world.faults, Default::default());
 }
 
@@ -156,39 +225,95 @@
     let mut subset = Subset::new("g", settings.clone()).expect("good settings");
     subset.poll(1.0, catalog);
     let name = |engine| catalog.id(engine).expect("members are listed").to_string();
-    subset.members().map(|(engine, holders)| (name(engine), holders)).collect()
+    subset
+        .members()
+        .map(|(engine, holders)| (name(engine), holders))
+        .collect()
 }
 
 #[test]
 fn a_list_told_line_by_line_is_the_same_list() {
     let mut by_lines = Catalog::default();
     for line in lines(ENGINES, ZONES).into_iter().rev() {
-        let elsewhere = EngineFacts { zone: 77, cell: 3, cores: 1.0, ..line.facts };
-        by_lines.apply(&[EngineLine { facts: elsewhere, ..line.clone() }, line], false);
+        let elsewhere = EngineFacts {
+            zone: 77,
+            cell: 3,
+            cores: 1.0,
+            ..line.facts
+        };
+        by_lines.apply(
+            &[
+                EngineLine {
+                    facts: elsewhere,
+                    ..line.clone()
+                },
+                line,
+            ],
+            false,
+        );
     }
-    let gone = EngineFacts { condition: Condition::Gone, ..lines(1, ZONES)[0].facts };
-    let drains = EngineFacts { condition: Condition::Draining, ..gone };
-    by_lines.apply(&[EngineLine { id: "engine-9999".into(), facts: drains }], false);
-    by_lines.apply(&[EngineLine { id: "engine-3".into(), facts: gone }], false);
+    let gone = EngineFacts {
+        condition: Condition::Gone,
+        ..lines(1, ZONES)[0].facts
+    };
+    let drains = EngineFacts {
+        condition: Condition::Draining,
+        ..gone
+    };
+    by_lines.apply(
+        &[EngineLine {
+            id: "engine-9999".into(),
+            facts: drains,
+        }],
+        false,
+    );
+    by_lines.apply(
+        &[EngineLine {
+            id: "engine-3".into(),
+            facts: gone,
+        }],
+        false,
+    );
     let mut whole = Catalog::default();
     whole.apply(
-        &lines(ENGINES, ZONES).into_iter().filter(|line| line.id != "engine-3").collect::<Vec<_>>(),
+        &lines(ENGINES, ZONES)
+            .into_iter()
+            .filter(|line| line.id != "engine-3")
+            .collect::<Vec<_>>(),
         true,
     );
     for (name, settings, _) in cases() {
         let at_once = members_of_a_new_subset(&whole, &settings);
-        assert_eq!(members_of_a_new_subset(&by_lines, &settings), at_once, "{name}");
+        assert_eq!(
+            members_of_a_new_subset(&by_lines, &settings),
+            at_once,
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn odd_cores_and_repeated_lines_are_borne() {
     let mut odd = lines(60, ZONES);
-    let cores = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 0.0, -4.0, f64::MAX, f64::MIN_POSITIVE];
-    odd.iter_mut().zip(cores.iter().cycle()).for_each(|(line, cores)| line.facts.cores = *cores);
+    let cores = [
+        f64::NAN,
+        f64::INFINITY,
+        f64::NEG_INFINITY,
+        0.0,
+        -4.0,
+        f64::MAX,
+        f64::MIN_POSITIVE,
+    ];
+    odd.iter_mut()
+        .zip(cores.iter().cycle())
+        .for_each(|(line, cores)| line.facts.cores = *cores);
     odd.extend(odd.clone());
-    let near =
-        SubsetSettings { zone: Some(1), near_weight: 1e6, retry_scope: RetryScope::Cell, ..settings(10) };
+    let near = SubsetSettings {
+        zone: Some(1),
+        near_weight: 1e6,
+        retry_scope: RetryScope::Cell,
+        ..settings(10)
+    };
     let mut world = world::World::new(near, Slip::None);
     for _ in 0..3 {
         world.tell(&odd, true);
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -2,7 +2,9 @@
 
 mod world;
 
-use garnetwall_subset::{Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings};
+use garnetwall_subset::{
+    Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings,
+};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use world::{line, lines, plain_target, settings, Slip, World, GATEWAY};
@@ -12,19 +14,33 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Tell { first: u32, count: u32, condition: Condition },
-    Rezone { engine: u32, zone: u32 },
-    WholeList { part: u32 },
+    Tell {
+        first: u32,
+        count: u32,
+        condition: Condition,
+    },
+    Rezone {
+        engine: u32,
+        zone: u32,
+    },
+    WholeList {
+        part: u32,
+    },
     LoseZone(u32),
-    Unreachable { first: u32, count: u32 },
+    Unreachable {
+        first: u32,
+        count: u32,
+    },
     Reachable,
-    MemberFails { member: usize, attempts: usize },
+    MemberFails {
+        member: usize,
+        attempts: usize,
+    },
     Wait(f64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let condition =
-        prop_oneof![4 => Just(Condition::Ready), 1 => Just(Condition::Draining), 1 => Just(Condition::Gone)];
+    let condition = prop_oneof![4 => Just(Condition::Ready), 1 => Just(Condition::Draining), 1 => Just(Condition::Gone)];
     prop_oneof![
         6 => (0..ENGINES, 1..12_u32, condition).prop_map(|(first, count, condition)| Step::Tell { first, count, condition }),
         1 => (0..ENGINES, 0..ZONES).prop_map(|(engine, zone)| Step::Rezone { engine, zone }),
@@ -38,56 +54,122 @@
 }
 
 fn any_settings() -> impl Strategy<Value = SubsetSettings> {
-    let scope = prop_oneof![Just(RetryScope::Everywhere), Just(RetryScope::Zone), Just(RetryScope::Cell)];
-    let numbers = (1..30_usize, 0..6_usize, 0..8_usize, prop_oneof![Just(200.0), Just(1_000.0), Just(20.0)]);
-    (numbers, scope, proptest::option::of(0..ZONES), 0.2..5.0, proptest::bool::ANY).prop_map(
-        |((size, class_floor, reserve, gateways), retry_scope, zone, joins_per_second, classes)| {
-            let by_zone = PlacementClass { zones: Some(vec![0, 3]), kinds: None };
-            let by_kind = PlacementClass { zones: Some(vec![2]), kinds: Some(vec![1]) };
-            let nowhere = PlacementClass { zones: None, kinds: Some(vec![9]) };
-            SubsetSettings {
-                class_floor: class_floor.min(size),
-                reserve,
-                joins_per_second,
-                zone,
-                near_weight: 4.0,
-                gateways,
-                classes: if classes { vec![by_zone, by_kind, nowhere] } else { Vec::new() },
-                retry_scope,
-                ..settings(size)
-            }
-        },
+    let scope = prop_oneof![
+        Just(RetryScope::Everywhere),
+        Just(RetryScope::Zone),
+        Just(RetryScope::Cell)
+    ];
+    let numbers = (
+        1..30_usize,
+        0..6_usize,
+        0..8_usize,
+        prop_oneof![Just(200.0), Just(1_000.0), Just(20.0)],
+    );
+    (
+        numbers,
+        scope,
+        proptest::option::of(0..ZONES),
+        0.2..5.0,
+        proptest::bool::ANY,
     )
+        .prop_map(
+            |(
+                (size, class_floor, reserve, gateways),
+                retry_scope,
+                zone,
+                joins_per_second,
+                classes,
+            )| {
+                let by_zone = PlacementClass {
+                    zones: Some(vec![0, 3]),
+                    kinds: None,
+                };
+                let by_kind = PlacementClass {
+                    zones: Some(vec![2]),
+                    kinds: Some(vec![1]),
+                };
+                let nowhere = PlacementClass {
+                    zones: None,
+                    kinds: Some(vec![9]),
+                };
+                SubsetSettings {
+                    class_floor: class_floor.min(size),
+                    reserve,
+                    joins_per_second,
+                    zone,
+                    near_weight: 4.0,
+                    gateways,
+                    classes: if classes {
+                        vec![by_zone, by_kind, nowhere]
+                    } else {
+                        Vec::new()
+                    },
+                    retry_scope,
+                    ..settings(size)
+                }
+            },
+        )
 }
 
 fn play(world: &mut World, step: &Step) {
     match *step {
-        Step::Tell { first, count, condition } => {
+        Step::Tell {
+            first,
+            count,
+            condition,
+        } => {
             let told = |number| {
                 let line = line(number, ZONES);
-                EngineLine { facts: EngineFacts { condition, ..line.facts }, ..line }
+                EngineLine {
+                    facts: EngineFacts {
+                        condition,
+                        ..line.facts
+                    },
+                    ..line
+                }
             };
             world.tell(&(first..first + count).map(told).collect::<Vec<_>>(), false);
         }
         Step::Rezone { engine, zone } => {
             let line = line(engine, ZONES);
-            world.tell(&[EngineLine { facts: EngineFacts { zone, ..line.facts }, ..line }], false);
+            world.tell(
+                &[EngineLine {
+                    facts: EngineFacts { zone, ..line.facts },
+                    ..line
+                }],
+                false,
+            );
         }
         Step::WholeList { part } => world.tell(&lines(ENGINES / part, ZONES), true),
         Step::LoseZone(zone) => {
             let lost = world.list.iter().filter(|(_, facts)| facts.zone == zone);
-            let gone = |facts: &EngineFacts| EngineFacts { condition: Condition::Gone, ..*facts };
-            let lost: Vec<EngineLine> =
-                lost.map(|(id, facts)| EngineLine { id: id.clone(), facts: gone(facts) }).collect();
+            let gone = |facts: &EngineFacts| EngineFacts {
+                condition: Condition::Gone,
+                ..*facts
+            };
+            let lost: Vec<EngineLine> = lost
+                .map(|(id, facts)| EngineLine {
+                    id: id.clone(),
+                    facts: gone(facts),
+                })
+                .collect();
             world.tell(&lost, false);
         }
         Step::Unreachable { first, count } => {
-            world.unreachable.extend((first..first + count).map(|number| line(number, ZONES).id));
+            world
+                .unreachable
+                .extend((first..first + count).map(|number| line(number, ZONES).id));
         }
         Step::Reachable => world.unreachable.clear(),
         Step::MemberFails { member, attempts } => {
-            let engine = world.members.keys().nth(member % world.members.len().max(1)).copied();
-            engine.into_iter().for_each(|engine| world.attempts(engine, true, attempts));
+            let engine = world
+                .members
+                .keys()
+                .nth(member % world.members.len().max(1))
+                .copied();
+            engine
+                .into_iter()
+                .for_each(|engine| world.attempts(engine, true, attempts));
         }
         Step::Wait(seconds) => world.advance(seconds),
     }
@@ -124,11 +206,19 @@
 }
 
 /// Whether an engine less moved at most the members for which it leaves room, with their company.
-fn moves_the_least(settings: &SubsetSettings, before: &BTreeSet<String>, after: &BTreeSet<String>) -> bool {
+fn moves_the_least(
+    settings: &SubsetSettings,
+    before: &BTreeSet<String>,
+    after: &BTreeSet<String>,
+) -> bool {
     let choices = 1 + settings.classes.len();
     // With company asked for, its companion may leave with it, and the last of two that fill their places may bring
     // company of its own.
-    let (leaving, joining) = if settings.retry_scope == RetryScope::Everywhere { (1, 1) } else { (2, 3) };
+    let (leaving, joining) = if settings.retry_scope == RetryScope::Everywhere {
+        (1, 1)
+    } else {
+        (2, 3)
+    };
     // A size that follows the list may shrink by one.
     before.difference(after).count() <= 1 + choices * leaving
         && after.difference(before).count() <= choices * joining
@@ -137,20 +227,37 @@
 #[test]
 fn a_choice_that_is_drawn_anew_moves_too_much() {
     let settings = settings(20);
-    let list = lines(ENGINES, ZONES).into_iter().map(|line| (line.id, line.facts)).collect();
+    let list = lines(ENGINES, ZONES)
+        .into_iter()
+        .map(|line| (line.id, line.facts))
+        .collect();
     let before = plain_target(GATEWAY, &settings, &list);
-    assert!(!moves_the_least(&settings, &before, &plain_target("drawn anew", &settings, &list)));
+    assert!(!moves_the_least(
+        &settings,
+        &before,
+        &plain_target("drawn anew", &settings, &list)
+    ));
 }
 
 /// Steps in which every judged thing happens, for worlds with a slip.
 fn faults_with(slip: Slip) -> BTreeSet<String> {
-    let by_zone = PlacementClass { zones: Some(vec![1]), kinds: None };
-    let settings = SubsetSettings { class_floor: 4, classes: vec![by_zone], ..settings(12) };
+    let by_zone = PlacementClass {
+        zones: Some(vec![1]),
+        kinds: None,
+    };
+    let settings = SubsetSettings {
+        class_floor: 4,
+        classes: vec![by_zone],
+        ..settings(12)
+    };
     let mut world = World::new(settings, slip);
     world.tell(&lines(ENGINES, ZONES), true);
     world.advance(10.0);
     let members = world.member_ids();
-    members.iter().take(2).for_each(|id| world.tell_condition(id, Condition::Draining));
+    members
+        .iter()
+        .take(2)
+        .for_each(|id| world.tell_condition(id, Condition::Draining));
     world.advance(10.0);
     world.settle();
     world.faults
@@ -163,10 +270,17 @@
         (Slip::JoinsUntried, "joins untried over the floor"),
         (Slip::UnderFloor, "under the floor"),
         (Slip::UnderClassFloor, "a class under its floor"),
-        (Slip::WrongEngine, "settled members are not those of the plain model"),
+        (
+            Slip::WrongEngine,
+            "settled members are not those of the plain model",
+        ),
     ];
     assert_eq!(faults_with(Slip::None), BTreeSet::new());
     for (slip, fault) in slips {
-        assert!(faults_with(slip).contains(fault), "{slip:?}: {:?}", faults_with(slip));
+        assert!(
+            faults_with(slip).contains(fault),
+            "{slip:?}: {:?}",
+            faults_with(slip)
+        );
     }
 }
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -3,7 +3,8 @@
 mod world;
 
 use garnetwall_subset::{
-    Catalog, PlacementClass, SizeReason, Subset, SubsetError, SubsetSettings, MAX_CLASSES, MAX_NEAR_WEIGHT,
+    Catalog, PlacementClass, SizeReason, Subset, SubsetError, SubsetSettings, MAX_CLASSES,
+    MAX_NEAR_WEIGHT,
 };
 use world::{lines, settings};
 
@@ -23,28 +24,57 @@
 fn each_fault_has_place_cause_and_remedy() {
     let good = settings(8);
     assert_eq!(fault(good.clone()), None);
-    assert_eq!(place(SubsetSettings { size: 0, ..good.clone() }).as_deref(), Some("subset.size"));
     assert_eq!(
-        place(SubsetSettings { class_floor: 9, ..good.clone() }).as_deref(),
+        place(SubsetSettings {
+            size: 0,
+            ..good.clone()
+        })
+        .as_deref(),
+        Some("subset.size")
+    );
+    assert_eq!(
+        place(SubsetSettings {
+            class_floor: 9,
+            ..good.clone()
+        })
+        .as_deref(),
         Some("subset.class_floor")
     );
     let classes = vec![PlacementClass::default(); MAX_CLASSES + 1];
-    assert_eq!(place(SubsetSettings { classes, ..good.clone() }).as_deref(), Some("subset.classes"));
+    assert_eq!(
+        place(SubsetSettings {
+            classes,
+            ..good.clone()
+        })
+        .as_deref(),
+        Some("subset.classes")
+    );
     for joins_per_second in [0.0, -1.0, f64::NAN, f64::INFINITY] {
-        let faulty = SubsetSettings { joins_per_second, ..good.clone() };
+        let faulty = SubsetSettings {
+            joins_per_second,
+            ..good.clone()
+        };
         assert_eq!(place(faulty).as_deref(), Some("subset.joins_per_second"));
     }
     for near_weight in [0.0, 0.99, MAX_NEAR_WEIGHT * 2.0, f64::NAN, f64::INFINITY] {
-        let faulty = SubsetSettings { near_weight, ..good.clone() };
+        let faulty = SubsetSettings {
+            near_weight,
+            ..good.clone()
+        };
         assert_eq!(place(faulty).as_deref(), Some("subset.near_weight"));
     }
     for gateways in [0.0, 0.5, -3.0, f64::NAN, f64::INFINITY] {
-        let faulty = SubsetSettings { gateways, ..good.clone() };
+        let faulty = SubsetSettings {
+            gateways,
+            ..good.clone()
+        };
         assert_eq!(place(faulty).as_deref(), Some("subset.gateways"));
     }
     let unnamed = Subset::new("", good).err().expect("a gateway needs a name");
     assert_eq!(unnamed, SubsetError::UnnamedGateway);
-    assert!(unnamed.to_string().starts_with("gateway name: ") && unnamed.to_string().contains("; "));
+    assert!(
+        unnamed.to_string().starts_with("gateway name: ") && unnamed.to_string().contains("; ")
+    );
 }
 
 #[test]
@@ -71,7 +101,14 @@
     let size = |size: usize, gateways: f64, engines: u32| {
         let mut catalog = Catalog::default();
         catalog.apply(&lines(engines, 5), true);
-        let subset = Subset::new("g", SubsetSettings { gateways, ..settings(size) }).expect("good settings");
+        let subset = Subset::new(
+            "g",
+            SubsetSettings {
+                gateways,
+                ..settings(size)
+            },
+        )
+        .expect("good settings");
         let effective = subset.effective_size(&catalog);
         (effective.size, effective.reason)
     };
@@ -83,12 +120,28 @@
 
 #[test]
 fn a_class_that_no_engine_can_serve_is_visible() {
-    let nowhere = PlacementClass { zones: Some(vec![7]), kinds: None };
-    let somewhere = PlacementClass { zones: Some(vec![1]), kinds: None };
+    let nowhere = PlacementClass {
+        zones: Some(vec![7]),
+        kinds: None,
+    };
+    let somewhere = PlacementClass {
+        zones: Some(vec![1]),
+        kinds: None,
+    };
     let classes = vec![somewhere, nowhere.clone()];
-    let subset =
-        Subset::new("g", SubsetSettings { class_floor: 2, classes, ..settings(8) }).expect("good settings");
+    let subset = Subset::new(
+        "g",
+        SubsetSettings {
+            class_floor: 2,
+            classes,
+            ..settings(8)
+        },
+    )
+    .expect("good settings");
     let mut catalog = Catalog::default();
     catalog.apply(&lines(40, 5), true);
-    assert_eq!(subset.unserved_classes(&catalog).collect::<Vec<_>>(), [&nowhere]);
+    assert_eq!(
+        subset.unserved_classes(&catalog).collect::<Vec<_>>(),
+        [&nowhere]
+    );
 }
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -43,7 +43,10 @@
         cores,
         condition: Condition::Ready,
     };
-    EngineLine { id: format!("engine-{number}"), facts }
+    EngineLine {
+        id: format!("engine-{number}"),
+        facts,
+    }
 }
 
 pub fn lines(count: u32, zones: u32) -> Vec<EngineLine> {
@@ -127,7 +130,13 @@
 
     pub fn tell_condition(&mut self, id: &str, condition: Condition) {
         if let Some(facts) = self.list.get(id).copied() {
-            self.tell(&[EngineLine { id: id.into(), facts: EngineFacts { condition, ..facts } }], false);
+            self.tell(
+                &[EngineLine {
+                    id: id.into(),
+                    facts: EngineFacts { condition, ..facts },
+                }],
+                false,
+            );
         }
     }
 
@@ -157,7 +166,10 @@
         let (due, later): (Vec<_>, Vec<_>) = self.pending.iter().copied().partition(due);
         self.pending = later;
         for (_, engine) in due.into_iter().filter(|_| !self.silent) {
-            let reached = self.catalog.id(engine).is_some_and(|id| !self.unreachable.contains(id));
+            let reached = self
+                .catalog
+                .id(engine)
+                .is_some_and(|id| !self.unreachable.contains(id));
             if reached {
                 self.reached.insert(engine);
             }
@@ -177,12 +189,21 @@
     fn slip_in(&mut self, action: Action) {
         match (self.slip, action) {
             (Slip::KeepsUnready, Action::Leave(_)) => {}
-            (Slip::JoinsUntried, Action::Warm(engine)) => self.take(Action::Join { engine, holders: 1.0 }),
-            (Slip::UnderFloor, Action::Join { .. }) if self.members.len() >= self.floor().max(1) - 1 => {}
+            (Slip::JoinsUntried, Action::Warm(engine)) => self.take(Action::Join {
+                engine,
+                holders: 1.0,
+            }),
+            (Slip::UnderFloor, Action::Join { .. })
+                if self.members.len() >= self.floor().max(1) - 1 => {}
             (Slip::UnderClassFloor, Action::Join { engine, .. }) if self.of_a_class(engine) => {}
             (Slip::WrongEngine, Action::Join { holders, .. }) => {
-                let other = self.catalog.engines().find(|(engine, ..)| !self.members.contains_key(engine));
-                let engine = other.map(|(engine, ..)| engine).expect("the list is longer than the subset");
+                let other = self
+                    .catalog
+                    .engines()
+                    .find(|(engine, ..)| !self.members.contains_key(engine));
+                let engine = other
+                    .map(|(engine, ..)| engine)
+                    .expect("the list is longer than the subset");
                 self.members.insert(engine, holders);
             }
             (Slip::TooFast, Action::Warm(_)) => {
@@ -190,7 +211,10 @@
                 self.take(action);
             }
             (Slip::HoldersHalved, Action::Join { engine, holders }) => {
-                self.take(Action::Join { engine, holders: holders / 2.0 });
+                self.take(Action::Join {
+                    engine,
+                    holders: holders / 2.0,
+                });
             }
             _ => self.take(action),
         }
@@ -209,7 +233,8 @@
             Action::Join { engine, holders } => {
                 self.filling |= self.members.is_empty();
                 let untried = !self.reached.remove(&engine);
-                let needed = self.filling || self.members.len() < self.floor() || self.class_needs(engine);
+                let needed =
+                    self.filling || self.members.len() < self.floor() || self.class_needs(engine);
                 if untried && !needed {
                     self.faults.insert("joins untried over the floor".into());
                 }
@@ -217,32 +242,53 @@
             }
             Action::Update { engine, holders } => match self.members.get_mut(&engine) {
                 Some(known) => *known = holders,
-                None => drop(self.faults.insert("updates an engine that is no member".into())),
+                None => drop(
+                    self.faults
+                        .insert("updates an engine that is no member".into()),
+                ),
             },
             Action::Leave(engine) => {
                 if self.members.remove(&engine).is_none() {
-                    self.faults.insert("an engine leaves that is no member".into());
+                    self.faults
+                        .insert("an engine leaves that is no member".into());
                 }
             }
         }
     }
 
     fn ready(&self) -> BTreeMap<&str, EngineFacts> {
-        let ready = self.list.iter().filter(|(_, facts)| facts.condition == Condition::Ready);
+        let ready = self
+            .list
+            .iter()
+            .filter(|(_, facts)| facts.condition == Condition::Ready);
         ready.map(|(id, facts)| (id.as_str(), *facts)).collect()
     }
 
     pub fn floor(&self) -> usize {
-        EffectiveSize::new(&self.settings, self.ready().len()).size.div_ceil(2)
+        EffectiveSize::new(&self.settings, self.ready().len())
+            .size
+            .div_ceil(2)
     }
 
     fn in_class(&self, class: &PlacementClass) -> (usize, usize) {
         let admits = |facts: &EngineFacts| {
-            class.zones.as_ref().is_none_or(|zones| zones.contains(&facts.zone))
-                && class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&facts.kind))
+            class
+                .zones
+                .as_ref()
+                .is_none_or(|zones| zones.contains(&facts.zone))
+                && class
+                    .kinds
+                    .as_ref()
+                    .is_none_or(|kinds| kinds.contains(&facts.kind))
         };
-        let members = self.members.keys().filter_map(|engine| self.catalog.facts(*engine));
-        (self.ready().values().filter(|facts| admits(facts)).count(), members.filter(admits).count())
+        let members = self
+            .members
+            .keys()
+            .filter_map(|engine| self.catalog.facts(*engine));
+        (
+            self.ready().values().filter(|facts| admits(facts)).count(),
+            members.filter(admits).count(),
+        )
     }
 
     fn class_under_floor(&self, class: &PlacementClass) -> bool {
@@ -252,39 +298,64 @@
 
     fn of_a_class(&self, engine: EngineKey) -> bool {
         let facts = self.catalog.facts(engine).expect("joins are in the list");
-        self.settings.classes.iter().any(|class| class.admits_engine(&facts))
+        self.settings
+            .classes
+            .iter()
+            .any(|class| class.admits_engine(&facts))
     }
 
     fn class_needs(&self, engine: EngineKey) -> bool {
         let facts = self.catalog.facts(engine).expect("joins are in the list");
-        let needs = |class: &&PlacementClass| class.admits_engine(&facts) && self.class_under_floor(class);
+        let needs =
+            |class: &&PlacementClass| class.admits_engine(&facts) && self.class_under_floor(class);
         self.settings.classes.iter().any(|class| needs(&class))
     }
 
     fn judge(&mut self) {
         let mut faults = Vec::new();
         let ready: BTreeSet<&str> = self.ready().into_keys().collect();
-        let unready = |engine: &EngineKey| self.catalog.id(*engine).is_none_or(|id| !ready.contains(id));
+        let unready = |engine: &EngineKey| {
+            self.catalog
+                .id(*engine)
+                .is_none_or(|id| !ready.contains(id))
+        };
         if self.members.keys().any(unready) {
             faults.push("a member takes no new work");
         }
         if self.members.len() < self.floor().min(ready.len()) {
             faults.push("under the floor");
         }
-        if self.settings.classes.iter().any(|class| self.class_under_floor(class)) {
+        if self
+            .settings
+            .classes
+            .iter()
+            .any(|class| self.class_under_floor(class))
+        {
             faults.push("a class under its floor");
         }
-        if !self.members.values().all(|holders| (1.0..=self.settings.gateways).contains(holders)) {
+        if !self
+            .members
+            .values()
+            .all(|holders| (1.0..=self.settings.gateways).contains(holders))
+        {
             faults.push("holders out of range");
         }
-        if !self.subset.members().eq(self.members.iter().map(|(engine, holders)| (*engine, *holders))) {
+        if !self.subset.members().eq(self
+            .members
+            .iter()
+            .map(|(engine, holders)| (*engine, *holders)))
+        {
             faults.push("the actions are not the members");
         }
         self.faults.extend(faults.into_iter().map(String::from));
     }
 
     pub fn member_ids(&self) -> BTreeSet<String> {
-        self.members.keys().filter_map(|engine| self.catalog.id(*engine)).map(String::from).collect()
+        self.members
+            .keys()
+            .filter_map(|engine| self.catalog.id(*engine))
+            .map(String::from)
+            .collect()
     }
 
     /// Lets all that was put off be done, and compares with the plain model.
@@ -292,7 +363,8 @@
         self.unreachable.clear();
         self.advance(SETTLING_SECONDS);
         if self.member_ids() != plain_target(GATEWAY, &self.settings, &self.list) {
-            self.faults.insert("settled members are not those of the plain model".into());
+            self.faults
+                .insert("settled members are not those of the plain model".into());
         }
     }
 }
@@ -305,15 +377,27 @@
 ) -> BTreeSet<String> {
     let hash = GatewayHash::new(gateway);
     let mut ready: Vec<(f64, &str, EngineFacts)> = Vec::new();
-    for (id, facts) in list.iter().filter(|(_, facts)| facts.condition == Condition::Ready) {
-        ready.push((hash.score(id, settings.weight(facts)).0, id.as_str(), *facts));
+    for (id, facts) in list
+        .iter()
+        .filter(|(_, facts)| facts.condition == Condition::Ready)
+    {
+        ready.push((
+            hash.score(id, settings.weight(facts)).0,
+            id.as_str(),
+            *facts,
+        ));
     }
     ready.sort_by(|a, b| a.0.total_cmp(&b.0));
     let size = EffectiveSize::new(settings, ready.len()).size;
     let everything = PlacementClass::default();
     let mut target = plain_choice(&ready, &everything, size, settings.retry_scope);
     for class in &settings.classes {
-        target.extend(plain_choice(&ready, class, settings.class_floor, settings.retry_scope));
+        target.extend(plain_choice(
+            &ready,
+            class,
+            settings.class_floor,
+            settings.retry_scope,
+        ));
     }
     target
 }
@@ -325,7 +409,10 @@
     quota: usize,
     scope: RetryScope,
 ) -> BTreeSet<String> {
-    let of_class: Vec<_> = ready.iter().filter(|(_, _, facts)| class.admits_engine(facts)).collect();
+    let of_class: Vec<_> = ready
+        .iter()
+        .filter(|(_, _, facts)| class.admits_engine(facts))
+        .collect();
     let mut chosen = BTreeSet::new();
     for (_, id, facts) in &of_class {
         if chosen.len() >= quota {
@@ -337,10 +424,17 @@
                 && other.zone == facts.zone
                 && (scope == RetryScope::Zone || other.cell == facts.cell)
         };
-        if of_class.iter().any(|(_, other, at)| other != id && near(at) && chosen.contains(*other)) {
+        if of_class
+            .iter()
+            .any(|(_, other, at)| other != id && near(at) && chosen.contains(*other))
+        {
             continue;
         }
-        let company = of_class.iter().copied().chain(ready).find(|(_, other, at)| other != id && near(at));
+        let company = of_class
+            .iter()
+            .copied()
+            .chain(ready)
+            .find(|(_, other, at)| other != id && near(at));
         chosen.extend(company.map(|(_, other, _)| other.to_string()));
     }
     chosen
--- a/src/api.rs
+++ b/src/api.rs
@@ -109,7 +109,9 @@
 
 impl EngineSet {
     pub fn holds(&self, engine: EngineId) -> bool {
-        self.0.get(engine / 64).is_some_and(|word| word >> (engine % 64) & 1 == 1)
+        self.0
+            .get(engine / 64)
+            .is_some_and(|word| word >> (engine % 64) & 1 == 1)
     }
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -57,16 +57,29 @@
 
 impl Control {
     pub fn new(s: Settings, seed: u64, now: f64) -> Self {
-        let work = |c: &ServiceGroup| Guess { usual: c.limit * FIRST_GUESS, ..Guess::default() };
-        let learned = |c| Learned { work: work(c), grant: GRANT_FIRST, slowdown: 1.0, ..Learned::default() };
+        let work = |c: &ServiceGroup| Guess {
+            usual: c.limit * FIRST_GUESS,
+            ..Guess::default()
+        };
+        let learned = |c| Learned {
+            work: work(c),
+            grant: GRANT_FIRST,
+            slowdown: 1.0,
+            ..Learned::default()
+        };
         Control {
             chance: Chance::new(seed),
             g: s.groups.iter().map(|c| c.limit).fold(0.0, f64::max),
             clock_at: now,
-            queues: (0..s.tenants.max(1)).map(|_| Queue::new(s.groups.len())).collect(),
+            queues: (0..s.tenants.max(1))
+                .map(|_| Queue::new(s.groups.len()))
+                .collect(),
             learned: s.groups.iter().map(learned).collect(),
             due: BTreeSet::from([(micros(now), Due::Tick)]),
-            ran: (s.groups.iter().map(|c| c.threads).sum(), s.groups.len() as f64),
+            ran: (
+                s.groups.iter().map(|c| c.threads).sum(),
+                s.groups.len() as f64,
+            ),
             subscribe: s.list_on_request,
             s,
             ..Control::default()
@@ -75,7 +88,10 @@
 
     pub fn take(&mut self, now: f64, b: Batch) {
         self.advance(now);
-        let b = Batch { tenant: b.tenant.min(self.queues.len() - 1), ..b };
+        let b = Batch {
+            tenant: b.tenant.min(self.queues.len() - 1),
+            ..b
+        };
         let limit = now + b.left.max(0.0);
         self.taken_at.add(now);
         if self.s.groups[b.group].further.is_some() {
@@ -86,12 +102,19 @@
         self.latest = Some(b);
         // Bound batches count for their kind when they come: it must not look free because they are shed.
         for k in self.s.groups[b.group].kinds.iter().flatten() {
-            self.kinds.entry(*k as usize).or_default().sent.add(now, KIND_LIFE, work);
+            self.kinds
+                .entry(*k as usize)
+                .or_default()
+                .sent
+                .add(now, KIND_LIFE, work);
         }
         self.may_ask = (self.may_ask + PROBES).min(self.engines.len() as f64);
         self.look |= self.spare_room() < 0.0;
-        let stage =
-            if self.s.groups[b.group].in_order && b.key.is_some() { Stage::Held } else { Stage::Queued };
+        let stage = if self.s.groups[b.group].in_order && b.key.is_some() {
+            Stage::Held
+        } else {
+            Stage::Queued
+        };
         self.batches.insert(b.id, InHand::new(b, now, limit, stage));
         self.due.insert((micros(limit - MARGIN), Due::Limit(b.id)));
         if stage == Stage::Queued {
@@ -105,7 +128,10 @@
     /// New goals, effects and budgets of the groups; whether they keep order stays as it was.
     pub fn regroup(&mut self, groups: &[ServiceGroup]) {
         for (old, new) in self.s.groups.iter_mut().zip(groups) {
-            *old = ServiceGroup { in_order: old.in_order, ..new.clone() };
+            *old = ServiceGroup {
+                in_order: old.in_order,
+                ..new.clone()
+            };
         }
     }
 
@@ -115,11 +141,19 @@
         }
         for l in lines {
             let known = |sizes: &[Option<f64>]| sizes.get(l.kind).copied().flatten();
-            let (cores, memory) = (known(&self.s.kind_cores).unwrap_or(1.0), known(&self.s.kind_memory));
-            self.engines.resize_with(self.engines.len().max(l.engine + 1), || Engine::new(cores, memory));
+            let (cores, memory) = (
+                known(&self.s.kind_cores).unwrap_or(1.0),
+                known(&self.s.kind_memory),
+            );
+            self.engines
+                .resize_with(self.engines.len().max(l.engine + 1), || {
+                    Engine::new(cores, memory)
+                });
             let e = &mut self.engines[l.engine];
             let another = |old: Listed| old.condition == Condition::Gone && l.came_up.is_none();
-            if e.line.is_none_or(|old| old.came_up != l.came_up || another(old)) {
+            if e.line
+                .is_none_or(|old| old.came_up != l.came_up || another(old))
+            {
                 e.forget(Engine::new(cores, memory));
                 (e.known_at, e.sample, e.lot) = (self.clock_at, self.latest, self.chance.draw());
             }
@@ -135,7 +169,9 @@
     }
 
     pub fn probed(&mut self, now: f64, engine: EngineId, end: End) {
-        let Some(e) = self.engines.get_mut(engine) else { return };
+        let Some(e) = self.engines.get_mut(engine) else {
+            return;
+        };
         e.heard = true;
         if end == End::Unconnected {
             self.failed(now, engine);
@@ -143,7 +179,13 @@
     }
 
     pub fn noted(&mut self, now: f64, id: BatchId, dispatch: u32, note: Note) {
-        let Some(h) = self.batches.get_mut(&id).filter(|h| h.dispatches == dispatch + 1) else { return };
+        let Some(h) = self
+            .batches
+            .get_mut(&id)
+            .filter(|h| h.dispatches == dispatch + 1)
+        else {
+            return;
+        };
         let Some(sent) = h.out.as_mut() else { return };
         sent.heard = now;
         if note == Note::WaitsForLoad {
@@ -153,7 +195,11 @@
 
     pub fn client_gone(&mut self, now: f64, id: BatchId) {
         self.advance(now);
-        if let Some(h) = self.batches.get(&id).filter(|h| h.out.is_some() && self.s.may_cancel) {
+        if let Some(h) = self
+            .batches
+            .get(&id)
+            .filter(|h| h.out.is_some() && self.s.may_cancel)
+        {
             self.cancels.push_back((id, h.dispatches - 1));
         }
         self.end(now, id);
@@ -163,7 +209,13 @@
     /// connection broke may come again at once, so until then its batch stays in hand but is not sent.
     pub fn attended(&mut self, now: f64, id: BatchId, attended: bool) {
         self.advance(now);
-        let Some(h) = self.batches.get_mut(&id).filter(|h| h.unattended == attended) else { return };
+        let Some(h) = self
+            .batches
+            .get_mut(&id)
+            .filter(|h| h.unattended == attended)
+        else {
+            return;
+        };
         h.unattended = !attended;
         match (h.stage, attended) {
             (Stage::Queued, true) => self.enqueue(id),
@@ -174,8 +226,14 @@
 
     /// This gateway ends then: no batch in hand has longer.
     pub fn ends(&mut self, at: f64) {
-        self.batches.values_mut().for_each(|h| h.limit = h.limit.min(at));
-        self.due.extend(self.batches.keys().map(|id| (micros(at - MARGIN), Due::Limit(*id))));
+        self.batches
+            .values_mut()
+            .for_each(|h| h.limit = h.limit.min(at));
+        self.due.extend(
+            self.batches
+                .keys()
+                .map(|id| (micros(at - MARGIN), Due::Limit(*id))),
+        );
     }
 
     /// How long to wait, or what is due now.
@@ -199,7 +257,10 @@
         if let Some(engine) = self.probes.pop_front() {
             return Wait::Probe(engine);
         }
-        let next = self.due.first().map_or(TICK, |(at, _)| *at as f64 / 1e6 - now);
+        let next = self
+            .due
+            .first()
+            .map_or(TICK, |(at, _)| *at as f64 / 1e6 - now);
         let mut asked = self.give_ups.pop_front().or_else(|| self.head(now));
         if asked.is_none() && std::mem::take(&mut self.look) {
             self.shed(now);
@@ -211,7 +272,9 @@
     /// Where to send this batch, or not yet, or never.
     pub fn place(&mut self, now: f64, id: BatchId) -> Place {
         self.advance(now);
-        let Some(h) = self.batches.get(&id) else { return Place::NotYet };
+        let Some(h) = self.batches.get(&id) else {
+            return Place::NotYet;
+        };
         match h.stage {
             Stage::Queued if !self.hopeless(now, h) => match self.choose(now, id) {
                 Some(engine) => self.send(now, id, engine),
@@ -231,10 +294,18 @@
     /// batch in hand and its key held, until `after` tells that it does not run any more.
     pub fn in_doubt(&mut self, now: f64, id: BatchId, o: Outcome) -> Next {
         self.advance(now);
-        let Some(h) = self.batches.get_mut(&id) else { return Next::Nothing };
-        let (b, stage, Some(sent)) = (h.b, h.stage, h.out) else { return Next::Nothing };
+        let Some(h) = self.batches.get_mut(&id) else {
+            return Next::Nothing;
+        };
+        let (b, stage, Some(sent)) = (h.b, h.stage, h.out) else {
+            return Next::Nothing;
+        };
         let doubted = sent.doubted || h.may_have_run.is_none();
-        h.out = Some(Sent { judged: true, doubted, ..sent });
+        h.out = Some(Sent {
+            judged: true,
+            doubted,
+            ..sent
+        });
         h.may_have_run.get_or_insert(sent);
         if !sent.judged {
             self.judge(now, &b, sent, &o);
@@ -248,7 +319,9 @@
     /// What to do after this outcome.
     pub fn after(&mut self, now: f64, id: BatchId, o: Outcome) -> Next {
         self.advance(now);
-        let Some(sent) = self.batches.get_mut(&id).and_then(|h| h.out.take()) else { return Next::Nothing };
+        let Some(sent) = self.batches.get_mut(&id).and_then(|h| h.out.take()) else {
+            return Next::Nothing;
+        };
         let (b, stage) = (self.batches[&id].b, self.batches[&id].stage);
         let threads = self.s.groups[b.group].threads;
         self.running -= threads;
@@ -269,7 +342,9 @@
         }
         let h = self.batches.get_mut(&id).expect("checked above");
         match o.end {
-            End::Full | End::Unconnected | End::Moot | End::NotSent if sent.doubted => h.may_have_run = None,
+            End::Full | End::Unconnected | End::Moot | End::NotSent if sent.doubted => {
+                h.may_have_run = None
+            }
             End::Full | End::Unconnected | End::Moot | End::NotSent => {}
             _ => drop(h.may_have_run.get_or_insert(sent)),
         }
@@ -286,7 +361,11 @@
 
     /// The virtual clock runs at our running threads over the busy queues.
     fn advance(&mut self, now: f64) {
-        self.woke = if now - self.clock_at > STOOD { now } else { self.woke };
+        self.woke = if now - self.clock_at > STOOD {
+            now
+        } else {
+            self.woke
+        };
         let busy = self.queues.iter().filter(|q| q.busy()).count().max(1);
         self.clock += (now - self.clock_at).max(0.0) * self.running / busy as f64;
         self.clock_at = self.clock_at.max(now);
@@ -294,7 +373,9 @@
 
     /// Queues a batch, in the order taken; a queue found idle starts at the clock.
     fn enqueue(&mut self, id: BatchId) {
-        let Some(h) = self.batches.get_mut(&id) else { return };
+        let Some(h) = self.batches.get_mut(&id) else {
+            return;
+        };
         h.stage = Stage::Queued;
         if h.unattended {
             return;
@@ -310,11 +391,22 @@
     /// The head with the smallest virtual finish, of queues whose head does not wait to redraw.
     fn head(&self, now: f64) -> Option<BatchId> {
         let head = |q: &Queue| {
-            let ready = q.lines.iter().zip(&q.stalled).filter(|(_, until)| micros(**until) <= micros(now));
+            let ready = q
+                .lines
+                .iter()
+                .zip(&q.stalled)
+                .filter(|(_, until)| micros(**until) <= micros(now));
             let id = ready.filter_map(|(line, _)| line.front().copied()).min()?;
-            Some((q.start + self.g * self.s.groups[self.batches[&id].b.group].threads, id))
+            Some((
+                q.start + self.g * self.s.groups[self.batches[&id].b.group].threads,
+                id,
+            ))
         };
-        self.queues.iter().filter_map(head).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
+        self.queues
+            .iter()
+            .filter_map(head)
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .map(|(_, id)| id)
     }
 
     fn redraw(&mut self, now: f64, id: BatchId) -> Place {
@@ -342,7 +434,12 @@
             let full = locked.contains(&c.engine) || marks >= 1.0;
             let load = c.load.unwrap_or(average);
             let drawn = level + TIE * self.chance.draw();
-            let rank = [f64::from(u8::from(full)), load + failing(e, now), kind.sent, drawn];
+            let rank = [
+                f64::from(u8::from(full)),
+                load + failing(e, now),
+                kind.sent,
+                drawn,
+            ];
             if best.is_none_or(|(least, ..)| rank < least) {
                 best = Some((rank, marks, c.engine));
             }
@@ -389,7 +486,12 @@
             return found;
         };
         for tier in self.tiers(lane) {
-            found.extend(engines.iter().filter(|engine| tier.holds(**engine)).filter_map(open));
+            found.extend(
+                engines
+                    .iter()
+                    .filter(|engine| tier.holds(**engine))
+                    .filter_map(open),
+            );
             if !found.is_empty() {
                 break;
             }
@@ -400,9 +502,14 @@
     /// What counts alike for all candidates of a kind; they are those in this share of the list.
     fn kinds_of(&self, now: f64, candidates: &[Candidate], share: f64) -> KindViews {
         let mut views = KindViews::default();
-        candidates.iter().for_each(|c| views.of(c.kind).able_cores += c.able_cores / share);
+        candidates
+            .iter()
+            .for_each(|c| views.of(c.kind).able_cores += c.able_cores / share);
         for view in views.iter_mut() {
-            let sent = self.kinds.get(&view.kind).map_or(0.0, |k| k.sent.sum(now, KIND_LIFE));
+            let sent = self
+                .kinds
+                .get(&view.kind)
+                .map_or(0.0, |k| k.sent.sum(now, KIND_LIFE));
             (view.pool, view.sent) = (self.pool(now, view.kind), sent / view.able_cores);
         }
         views
@@ -441,7 +548,8 @@
         let (work, (due, gone)) = (self.work(&b), self.cold_part(now, &self.engines[engine]));
         let e = &mut self.engines[engine];
         let k = self.kinds.entry(e.kind()).or_default();
-        k.sent.add(now, KIND_LIFE, if c.kinds.is_none() { work } else { 0.0 });
+        k.sent
+            .add(now, KIND_LIFE, if c.kinds.is_none() { work } else { 0.0 });
         (k.threads, k.memory_used) = (k.threads + c.threads, k.memory_used + need);
         e.holds(c.threads, need);
         e.work_sent = gone + work;
@@ -452,24 +560,44 @@
         let memory = self.grant(&b, engine);
         // What the window does not hold any more on its arrival is not sent: its connection may come up late.
         let within = self.window_left(now, &self.batches[&id]).min(time_out);
-        Place::To { engine, time_out, within, memory }
+        Place::To {
+            engine,
+            time_out,
+            within,
+            memory,
+        }
     }
 
     /// The final answer the rules allow: pushed back where trying again is harmless, else errored.
     fn answer(&mut self, now: f64, id: BatchId) -> Answer {
         let h = &self.batches[&id];
         let ServiceGroup { effect, goal, .. } = self.s.groups[h.b.group];
-        let everywhere = matches!(effect, Effect::Referenced { scope: Scope::Everywhere, .. });
+        let everywhere = matches!(
+            effect,
+            Effect::Referenced {
+                scope: Scope::Everywhere,
+                ..
+            }
+        );
         let harmless = h.may_have_run.is_none() || effect == Effect::Repeatable || everywhere;
-        let come_back = self.s.names_return.then_some(self.s.longest_return.min(goal * COME_BACK));
-        let answer = if harmless { Answer::PushBack { come_back } } else { Answer::Error };
+        let come_back = self
+            .s
+            .names_return
+            .then_some(self.s.longest_return.min(goal * COME_BACK));
+        let answer = if harmless {
+            Answer::PushBack { come_back }
+        } else {
+            Answer::Error
+        };
         self.end(now, id);
         answer
     }
 
     /// A batch is over for its client; it stays in hand while a dispatch is out.
     fn end(&mut self, now: f64, id: BatchId) {
-        let Some(h) = self.batches.get(&id) else { return };
+        let Some(h) = self.batches.get(&id) else {
+            return;
+        };
         let (b, out, limit) = (h.b, h.out.is_some(), h.limit);
         self.unqueue(id);
         self.due.remove(&(micros(limit - MARGIN), Due::Limit(id)));
@@ -498,10 +626,14 @@
     fn tick(&mut self, now: f64) {
         self.due.insert((micros(now + TICK), Due::Tick));
         let window = self.s.further.map_or(0.0, |f| f.window) + 1.0;
-        [&mut self.taken_at, &mut self.further_at].into_iter().for_each(|w| w.forget(now - window));
+        [&mut self.taken_at, &mut self.further_at]
+            .into_iter()
+            .for_each(|w| w.forget(now - window));
         for (group, l) in self.s.groups.iter().zip(&mut self.learned) {
             let window = group.further.map_or(0.0, |f| f.window) + 1.0;
-            [&mut l.taken_at, &mut l.further_at].into_iter().for_each(|w| w.forget(now - window));
+            [&mut l.taken_at, &mut l.further_at]
+                .into_iter()
+                .for_each(|w| w.forget(now - window));
         }
         self.probe(now);
         self.watch(now);
--- a/src/control/eligibility.rs
+++ b/src/control/eligibility.rs
@@ -23,7 +23,9 @@
         line.condition == Condition::Ready
             && named(&group.zones, line.zone)
             && named(&group.kinds, line.kind as u32)
-            && h.b.lane.is_none_or(|lane| self.tiers(lane).iter().any(|tier| tier.holds(c.engine)))
+            && h.b
+                .lane
+                .is_none_or(|lane| self.tiers(lane).iter().any(|tier| tier.holds(c.engine)))
             && self.in_scope(h, c.engine)
             && self.cold_room(now, c, work)
     }
@@ -47,9 +49,12 @@
     }
 
     pub(super) fn in_scope(&self, h: &InHand, engine: EngineId) -> bool {
-        let Effect::Referenced { scope, .. } = self.s.groups[h.b.group].effect else { return true };
+        let Effect::Referenced { scope, .. } = self.s.groups[h.b.group].effect else {
+            return true;
+        };
         let cell = u32::from(scope == Scope::Cell);
         let place = |e: EngineId| self.engines[e].line.map(|l| (l.zone, l.cell * cell));
-        h.may_have_run.is_none_or(|first| scope == Scope::Everywhere || place(first.engine) == place(engine))
+        h.may_have_run
+            .is_none_or(|first| scope == Scope::Everywhere || place(first.engine) == place(engine))
     }
 }
--- a/src/control/learning.rs
+++ b/src/control/learning.rs
@@ -14,7 +14,10 @@
         let l = &mut self.learned[b.group];
         l.answers += 1;
         let weight = LEARN.max(1.0 / f64::from(l.answers));
-        let work = o.work.unwrap_or(o.latency * self.s.groups[b.group].threads).max(LEAST);
+        let work = o
+            .work
+            .unwrap_or(o.latency * self.s.groups[b.group].threads)
+            .max(LEAST);
         l.work.learn(weight, work, b.cost);
         if let Some(told) = o.memory {
             l.memory.learn(weight, told, b.memory);
@@ -36,7 +39,9 @@
 
     pub(super) fn grant(&self, b: &Batch, engine: EngineId) -> Option<f64> {
         let estimate = b.memory.filter(|_| self.s.grants)?;
-        let most = self.engines[engine].memory.map_or(f64::INFINITY, |m| m * self.s.largest_grant);
+        let most = self.engines[engine]
+            .memory
+            .map_or(f64::INFINITY, |m| m * self.s.largest_grant);
         Some((estimate * self.learned[b.group].grant).min(most))
     }
 }
