--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -3,9 +3,10 @@
 use crate::frame::{Address, Read, Reader, Reply};
 use crate::link::Entry;
 use garnetwall::api::{
-    Answer, Batch, Condition, End, Listed, Next, Note, Outcome, Place, Report, Wait,
+    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FinalAnswer, FollowUp, LoadReport,
+    NextAction, Placement, Progress, Query,
 };
-use garnetwall::control::Control;
+use garnetwall::controller::AdmissionController;
 use garnetwall_settings::{decode, Decoded, Flat};
 use std::collections::BTreeMap;
 
@@ -24,7 +25,7 @@
 }
 
 pub struct Instance {
-    control: Control,
+    control: AdmissionController,
     fields: Vec<String>,
     groups: usize,
     engines: BTreeMap<Address, usize>,
@@ -34,7 +35,7 @@
     next_id: u32,
     wake: Option<f64>,
     /// Answers owed on outcomes of this round, in their order.
-    owed: Vec<(u32, Answer)>,
+    owed: Vec<(u32, FinalAnswer)>,
 }
 
 fn positive(v: f64) -> Option<f64> {
@@ -52,8 +53,8 @@
             settings, fields, ..
         } = decoded.map_err(|fault| fault.to_string())?;
         Ok(Instance {
-            groups: settings.groups.len(),
-            control: Control::new(settings, seed, clock),
+            groups: settings.classes.len(),
+            control: AdmissionController::new(settings, seed, clock),
             fields,
             engines: BTreeMap::new(),
             addresses: Vec::new(),
@@ -76,27 +77,27 @@
 
     pub fn listed(&mut self, kind: u8, list: &[Entry]) {
         if kind == 3 {
-            return self.control.list_failed();
+            return self.control.endpoint_list_failed();
         }
         let mut lines = Vec::with_capacity(list.len());
         for e in list {
             let condition = match e.condition {
-                1 => Condition::Ready,
-                2 => Condition::Draining,
-                _ => Condition::Gone,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
+                _ => EndpointState::Removed,
             };
             let engine = self.engine(e.address);
-            lines.push(Listed {
+            lines.push(Endpoint {
                 engine,
                 zone: e.zone,
                 kind: e.kind,
                 cell: e.cell,
-                came_up: e.came_up,
-                condition,
-                holders: None,
+                started_at: e.came_up,
+                state: condition,
+                gateways: None,
             });
         }
-        self.control.listed(&lines, kind != 0);
+        self.control.update_endpoints(&lines, kind != 0);
     }
 
     /// Decodes one event; one for an instance that is not up is read and passed over.
@@ -133,7 +134,7 @@
 
     fn client_gone(&mut self, req: u32, clock: f64) {
         if let Some(&id) = self.ids.get(&req) {
-            self.control.client_gone(clock, id);
+            self.control.client_left(clock, id);
             self.close(id);
         }
     }
@@ -181,18 +182,18 @@
                 closed: false,
             },
         );
-        i.control.take(
+        i.control.admit(
             clock,
-            Batch {
+            Query {
                 id,
-                group,
+                class: group,
                 tenant,
-                key,
-                left,
-                cost,
-                memory,
+                ordering_key: key,
+                remaining_time: left,
+                estimated_work: cost,
+                estimated_memory: memory,
                 data_set,
-                lane: None,
+                endpoint_subset: None,
             },
         );
         Ok(())
@@ -212,28 +213,28 @@
         let memory = positive(f64::from(told % 4096) * 4.0);
         let engine = i.engine(address);
         if let Some(report) = i.report(&values) {
-            i.control.report(clock, engine, report);
+            i.control.load_reported(clock, engine, report);
         }
         let Some(&id) = i.ids.get(&wire) else {
             return Ok(());
         };
-        let outcome = Outcome {
+        let outcome = AttemptOutcome {
             engine,
-            dispatch,
+            attempt: dispatch,
             end,
             latency,
-            closed,
+            query_finished: closed,
             work,
             memory,
         };
-        let next = i.control.after(clock, id, outcome);
+        let next = i.control.attempt_ended(clock, id, outcome);
         if let Some(b) = i.in_hand.get_mut(&id) {
             b.out = b.out.saturating_sub(1);
             b.closed |= closed;
         }
         match next {
-            Next::Nothing => i.let_go(id),
-            Next::Over(answer) => i.owed.push((id, answer)),
+            FollowUp::Nothing => i.let_go(id),
+            FollowUp::Answer(answer) => i.owed.push((id, answer)),
         }
         Ok(())
     }
@@ -245,9 +246,9 @@
         let values = report_values(r)?;
         let Some(i) = known else { return Ok(()) };
         let engine = i.engine(address);
-        i.control.probed(clock, engine, end);
+        i.control.health_check_ended(clock, engine, end);
         if let Some(report) = i.report(&values) {
-            i.control.report(clock, engine, report);
+            i.control.load_reported(clock, engine, report);
         }
         Ok(())
     }
@@ -259,21 +260,21 @@
         r.address()?;
         let sort = r.u8("sort of note")?;
         let note = match sort {
-            1 => share(amount).map(Note::Done),
-            2 => share(amount).map(Note::Spills),
-            3 if amount == 2.0 => Some(Note::WaitsForLoad),
-            3 => Some(Note::WaitsForMemory),
+            1 => share(amount).map(Progress::Completed),
+            2 => share(amount).map(Progress::Spilling),
+            3 if amount == 2.0 => Some(Progress::WaitingForLoad),
+            3 => Some(Progress::WaitingForMemory),
             other => return r.fault(format!("unknown sort of note {other}")),
         };
         if let Some((i, note)) = known.zip(note) {
             if let Some(&id) = i.ids.get(&wire) {
-                i.control.noted(clock, id, dispatch, note);
+                i.control.attempt_progressed(clock, id, dispatch, note);
             }
         }
         Ok(())
     }
 
-    fn report(&self, values: &[f64]) -> Option<Report> {
+    fn report(&self, values: &[f64]) -> Option<LoadReport> {
         garnetwall_settings::report(
             self.fields
                 .iter()
@@ -288,20 +289,20 @@
             self.answer(who, id, answer, reply);
         }
         for _ in 0..CALLS {
-            match self.control.wait(clock) {
-                Wait::Ask(id) => self.ask(who, id, clock, reply),
-                Wait::Probe(engine) => {
+            match self.control.next_action(clock) {
+                NextAction::Place(id) => self.ask(who, id, clock, reply),
+                NextAction::HealthCheck(engine) => {
                     reply.record(who, 6).extend(self.addresses[engine]);
                 }
-                Wait::Subscribe => reply.record(who, 11).push(1),
-                Wait::Cancel(id, dispatch) => {
+                NextAction::Subscribe => reply.record(who, 11).push(1),
+                NextAction::Cancel(id, dispatch) => {
                     if let Some(b) = self.in_hand.get(&id) {
                         let body = reply.record(who, 4);
                         body.extend(b.wire.to_be_bytes());
                         body.extend((dispatch as u16).to_be_bytes());
                     }
                 }
-                Wait::For(span) => return self.arm(who, clock, span, reply),
+                NextAction::Wait(span) => return self.arm(who, clock, span, reply),
             }
         }
     }
@@ -319,12 +320,12 @@
 
     fn ask(&mut self, who: u16, id: u32, clock: f64, reply: &mut Reply) {
         match self.control.place(clock, id) {
-            Place::NotYet => {}
-            Place::Over(answer) => self.answer(who, id, answer, reply),
-            Place::To {
+            Placement::Wait => {}
+            Placement::Answer(answer) => self.answer(who, id, answer, reply),
+            Placement::Attempt {
                 engine,
-                time_out,
-                memory,
+                response_timeout: time_out,
+                memory_grant: memory,
                 ..
             } => {
                 let Some(b) = self.in_hand.get_mut(&id) else {
@@ -345,31 +346,33 @@
         }
     }
 
-    fn answer(&mut self, who: u16, id: u32, answer: Answer, reply: &mut Reply) {
+    fn answer(&mut self, who: u16, id: u32, answer: FinalAnswer, reply: &mut Reply) {
         if let Some(b) = self.in_hand.get(&id) {
             match answer {
-                Answer::PushBack { come_back } => {
+                FinalAnswer::Rejected {
+                    retry_after: come_back,
+                } => {
                     let body = reply.record(who, 2);
                     body.extend(b.wire.to_be_bytes());
                     body.extend((come_back.unwrap_or(0.0) * 1000.0).to_be_bytes());
                 }
-                Answer::Error => reply.record(who, 3).extend(b.wire.to_be_bytes()),
+                FinalAnswer::Failed => reply.record(who, 3).extend(b.wire.to_be_bytes()),
             }
         }
         self.close(id);
     }
 }
 
-fn end(r: &mut Reader) -> Read<End> {
+fn end(r: &mut Reader) -> Read<AttemptEnd> {
     Ok(match r.u8("outcome")? {
-        0 => End::Returned,
-        13 => End::Errored,
-        8 => End::Full,
-        4 => End::TimedOut,
-        14 => End::Unconnected,
-        10 => End::Broken,
-        1 => End::Withdrawn,
-        9 => End::Moot,
+        0 => AttemptEnd::Succeeded,
+        13 => AttemptEnd::Failed,
+        8 => AttemptEnd::Rejected,
+        4 => AttemptEnd::TimedOut,
+        14 => AttemptEnd::ConnectFailed,
+        10 => AttemptEnd::ConnectionLost,
+        1 => AttemptEnd::Cancelled,
+        9 => AttemptEnd::NotNeeded,
         other => return r.fault(format!("unknown outcome {other}")),
     })
 }
--- a/crates/gateway/src/config/subset.rs
+++ b/crates/gateway/src/config/subset.rs
@@ -1,7 +1,7 @@
 //! The block `subset`: how large a part of the engines a gateway works with.
 
 use super::{wrong_type, Checked};
-use garnetwall::api::{Effect, Scope, ServiceGroup};
+use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass};
 use garnetwall_plan::model::Pool;
 use garnetwall_plan::Plan;
 use garnetwall_settings::{shown, Cause, Decoded, Fault, Names};
@@ -53,8 +53,8 @@
         zone: zone(block, &decoded.names)?,
         near_weight: number(block, "near_weight", 1.0, MAX_NEAR_WEIGHT)?
             .unwrap_or(usual.near_weight),
-        classes: classes(&decoded.settings.groups),
-        retry_scope: retry_scope(&decoded.settings.groups),
+        classes: classes(&decoded.settings.classes),
+        retry_scope: retry_scope(&decoded.settings.classes),
         ..usual
     };
     // What the settings must be to one another is the subset's to say.
@@ -153,8 +153,8 @@
 }
 
 /// The placement classes of the service groups that may not go everywhere.
-fn classes(groups: &[ServiceGroup]) -> Vec<PlacementClass> {
-    let class = |group: &ServiceGroup| PlacementClass {
+fn classes(groups: &[QueryClass]) -> Vec<PlacementClass> {
+    let class = |group: &QueryClass| PlacementClass {
         zones: group.zones.clone(),
         kinds: group.kinds.clone(),
     };
@@ -169,13 +169,15 @@
 }
 
 /// The narrowest scope in which a group's queries may be tried again.
-pub fn retry_scope(groups: &[ServiceGroup]) -> RetryScope {
-    let scope = |group: &ServiceGroup| match group.effect {
-        Effect::Referenced {
-            scope: Scope::Zone, ..
+pub fn retry_scope(groups: &[QueryClass]) -> RetryScope {
+    let scope = |group: &QueryClass| match group.idempotency {
+        Idempotency::IdempotentByKey {
+            scope: DeduplicationScope::Zone,
+            ..
         } => RetryScope::Zone,
-        Effect::Referenced {
-            scope: Scope::Cell, ..
+        Idempotency::IdempotentByKey {
+            scope: DeduplicationScope::Cell,
+            ..
         } => RetryScope::Cell,
         _ => RetryScope::Everywhere,
     };
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -16,9 +16,10 @@
 use crate::planning::Planner;
 use crate::pulse::Pulse;
 use garnetwall::api::{
-    BatchId, Effect, End, EngineId, Next, Note, Outcome, Report, ServiceGroup, Wait,
+    AttemptEnd, AttemptOutcome, EngineId, FollowUp, Idempotency, LoadReport, NextAction, Progress,
+    QueryClass, QueryId,
 };
-use garnetwall::control::Control;
+use garnetwall::controller::AdmissionController;
 use garnetwall_ledger::book::Sent;
 use garnetwall_plan::Plan;
 use in_hand::{InHand, Seats};
@@ -51,7 +52,7 @@
     /// A desk, and the engines that the module wants to have probed. Ids that are over are remembered for so many seconds, and their
     /// answers kept for the same call in so many bytes.
     pub fn new(
-        control: Control,
+        control: AdmissionController,
         planner: Option<Planner>,
         clock: Clock,
         remembered: f64,
@@ -106,13 +107,13 @@
         let told = tell(&mut seats, now);
         let armed = seats.wake;
         loop {
-            match seats.control.wait(now) {
-                Wait::Ask(id) => seats.ask(&self.clock, now, id),
-                Wait::Probe(engine) => drop(self.probes.send(engine)),
+            match seats.control.next_action(now) {
+                NextAction::Place(id) => seats.ask(&self.clock, now, id),
+                NextAction::HealthCheck(engine) => drop(self.probes.send(engine)),
                 // The change log is followed at all times.
-                Wait::Subscribe => {}
-                Wait::Cancel(id, dispatch) => seats.order(id, Order::TakeBack { dispatch }),
-                Wait::For(span) => {
+                NextAction::Subscribe => {}
+                NextAction::Cancel(id, dispatch) => seats.order(id, Order::TakeBack { dispatch }),
+                NextAction::Wait(span) => {
                     seats.wake = now + span;
                     break;
                 }
@@ -138,7 +139,7 @@
     pub fn listed(&self, lines: &[EngineUpdate], whole: bool) {
         let told: Vec<_> = lines.iter().map(|line| line.listed).collect();
         self.fact(|seats, _| {
-            seats.control.listed(&told, whole);
+            seats.control.update_endpoints(&told, whole);
             let lanes = seats
                 .planner
                 .as_mut()
@@ -148,10 +149,10 @@
     }
 
     /// The groups as they are now: which are once-only.
-    pub fn grouped(&self, groups: &[ServiceGroup]) {
+    pub fn grouped(&self, groups: &[QueryClass]) {
         let once_only = groups
             .iter()
-            .map(|g| g.effect == Effect::OnceOnly)
+            .map(|g| g.idempotency == Idempotency::NonIdempotent)
             .collect();
         self.fact(|seats, _| seats.once_only = once_only);
     }
@@ -169,7 +170,7 @@
             for (sent, over) in known {
                 seats.recovered.insert(sent.id, sent.until as f64 / 1000.0);
                 if let Some(key) = sent.key.filter(|_| !over) {
-                    seats.control.rest(key, now + unasked.as_secs_f64());
+                    seats.control.pause_key(key, now + unasked.as_secs_f64());
                 }
             }
         });
@@ -185,60 +186,73 @@
     }
 
     /// Takes up another plan, with the groups as it has them; whether there is one to take the place of.
-    pub fn replan(&self, plan: Arc<Plan>, groups: &[ServiceGroup]) -> bool {
+    pub fn replan(&self, plan: Arc<Plan>, groups: &[QueryClass]) -> bool {
         self.fact(|seats, _| {
             let Some(planner) = seats.planner.as_mut() else {
                 return false;
             };
             let lanes = planner.replan(plan);
             seats.tell(lanes);
-            seats.control.regroup(groups);
+            seats.control.update_classes(groups);
             seats.once_only = groups
                 .iter()
-                .map(|g| g.effect == Effect::OnceOnly)
+                .map(|g| g.idempotency == Idempotency::NonIdempotent)
                 .collect();
             true
         })
     }
 
-    pub fn probed(&self, engine: EngineId, end: End, report: Option<Report>) {
+    pub fn probed(&self, engine: EngineId, end: AttemptEnd, report: Option<LoadReport>) {
         self.fact(|seats, now| {
-            seats.control.probed(now, engine, end);
+            seats.control.health_check_ended(now, engine, end);
             if let Some(report) = report {
-                seats.control.report(now, engine, report);
+                seats.control.load_reported(now, engine, report);
             }
         });
     }
 
     /// What follows an outcome.
-    pub fn after(&self, id: BatchId, outcome: Outcome, report: Option<Report>) -> Next {
+    pub fn after(
+        &self,
+        id: QueryId,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
+    ) -> FollowUp {
         self.fact(|seats, now| {
             if let Some(report) = report {
-                seats.control.report(now, outcome.engine, report);
+                seats.control.load_reported(now, outcome.engine, report);
             }
-            let closed = outcome.closed || seats.in_hand.get(&id).is_none_or(InHand::is_over);
-            seats.control.after(now, id, Outcome { closed, ..outcome })
+            let closed =
+                outcome.query_finished || seats.in_hand.get(&id).is_none_or(InHand::is_over);
+            seats.control.attempt_ended(
+                now,
+                id,
+                AttemptOutcome {
+                    query_finished: closed,
+                    ..outcome
+                },
+            )
         })
     }
 
     /// A note of its engine on a dispatch that is out.
-    pub fn noted(&self, id: BatchId, dispatch: u32, note: Note) {
-        self.fact(|seats, now| seats.control.noted(now, id, dispatch, note));
+    pub fn noted(&self, id: QueryId, dispatch: u32, note: Progress) {
+        self.fact(|seats, now| seats.control.attempt_progressed(now, id, dispatch, note));
     }
 
     /// A batch's body is not there any more for a further dispatch.
-    pub fn not_kept(&self, id: BatchId) {
-        self.fact(|seats, _| seats.control.not_kept(id));
+    pub fn not_kept(&self, id: QueryId) {
+        self.fact(|seats, _| seats.control.body_discarded(id));
     }
 
     /// What is answered for a dispatch whose end is not known; it stays out until `after`.
-    pub fn in_doubt(&self, id: BatchId, outcome: Outcome) -> Next {
-        self.fact(|seats, now| seats.control.in_doubt(now, id, outcome))
+    pub fn in_doubt(&self, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
+        self.fact(|seats, now| seats.control.outcome_unknown(now, id, outcome))
     }
 
     /// The gateway ends then: everything in hand, and what still comes, is to be answered before.
     pub fn ends(&self, at: f64) {
-        self.fact(|seats, _| seats.control.ends(at));
+        self.fact(|seats, _| seats.control.shut_down_at(at));
         self.ends.send_replace(Some(at));
     }
 
--- a/crates/gateway/src/desk/ending.rs
+++ b/crates/gateway/src/desk/ending.rs
@@ -2,11 +2,11 @@
 
 use super::in_hand::Job;
 use super::{Desk, Final};
-use garnetwall::api::BatchId;
+use garnetwall::api::QueryId;
 
 impl Desk {
     /// Gives a batch its final answer; only the first counts.
-    pub fn answer(&self, id: BatchId, last: Final) {
+    pub fn answer(&self, id: QueryId, last: Final) {
         if let Some(b) = self.seats().in_hand.get(&id).filter(|b| !b.is_over()) {
             tracing::debug!(
                 batch = id,
@@ -19,7 +19,7 @@
     }
 
     /// Lets a batch go: it is over and every dispatch has its outcome.
-    pub fn let_go(&self, id: BatchId) {
+    pub fn let_go(&self, id: QueryId) {
         let mut seats = self.seats();
         if let Some(b) = seats.in_hand.remove(&id) {
             seats.jobs.insert(b.job, Job::Over);
--- a/crates/gateway/src/desk/in_hand.rs
+++ b/crates/gateway/src/desk/in_hand.rs
@@ -7,19 +7,19 @@
 use crate::engines::Call;
 use crate::planning::{LaneTold, Passage, Planner};
 use crate::pulse::Pulse;
-use garnetwall::api::{BatchId, Place};
-use garnetwall::control::Control;
+use garnetwall::api::{Placement, QueryId};
+use garnetwall::controller::AdmissionController;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
 pub(super) struct Seats {
-    pub(super) control: Control,
+    pub(super) control: AdmissionController,
     pub(super) planner: Option<Planner>,
-    pub(super) next: BatchId,
+    pub(super) next: QueryId,
     pub(super) jobs: HashMap<u64, Job>,
-    pub(super) in_hand: HashMap<BatchId, InHand>,
+    pub(super) in_hand: HashMap<QueryId, InHand>,
     pub(super) over: VecDeque<(f64, u64)>,
     pub(super) kept_answers: KeptAnswers,
     /// Once-only batches that an earlier process sent, and until when their ids count.
@@ -33,7 +33,7 @@
 }
 
 pub(super) enum Job {
-    InHand(BatchId),
+    InHand(QueryId),
     Over,
 }
 
@@ -71,7 +71,7 @@
     /// Tells the module of ways that batches may go.
     pub(super) fn tell(&mut self, lanes: Vec<LaneTold>) {
         for (lane, tiers) in lanes {
-            self.control.lane(lane, tiers);
+            self.control.update_endpoint_subset(lane, tiers);
         }
     }
 
@@ -82,20 +82,20 @@
         }
     }
 
-    pub(super) fn order(&self, id: BatchId, order: Order) {
+    pub(super) fn order(&self, id: QueryId, order: Order) {
         if let Some(b) = self.in_hand.get(&id) {
             b.order(order);
         }
     }
 
-    pub(super) fn ask(&mut self, clock: &Clock, now: f64, id: BatchId) {
+    pub(super) fn ask(&mut self, clock: &Clock, now: f64, id: QueryId) {
         match self.control.place(now, id) {
-            Place::NotYet => {}
-            Place::Over(answer) => self.order(id, Order::Over(answer)),
-            Place::To {
+            Placement::Wait => {}
+            Placement::Answer(answer) => self.order(id, Order::Over(answer)),
+            Placement::Attempt {
                 engine,
-                time_out,
-                within,
+                response_timeout: time_out,
+                send_timeout: within,
                 ..
             } => {
                 let (until, comes_by) =
@@ -113,14 +113,14 @@
     }
 
     /// Nobody waits for this batch any more; whoever still asks for it finds it errored.
-    pub(super) fn gone(&mut self, now: f64, id: BatchId) {
+    pub(super) fn gone(&mut self, now: f64, id: QueryId) {
         let Some(b) = self.in_hand.get(&id).filter(|b| !b.is_over()) else {
             return;
         };
         tracing::debug!(batch = id, left = b.limit - now, "client gone");
         b.answer.send_replace(Some(Final::Errored));
         b.order(Order::Gone);
-        self.control.client_gone(now, id);
+        self.control.client_left(now, id);
     }
 
     pub(super) fn forget_over(&mut self, now: f64) {
--- a/crates/gateway/src/desk/intake.rs
+++ b/crates/gateway/src/desk/intake.rs
@@ -7,7 +7,7 @@
 use crate::clock::minute_of_day;
 use crate::engines::{Call, Statement};
 use crate::keeping::millis;
-use garnetwall::api::{Batch, BatchId};
+use garnetwall::api::{Query, QueryId};
 use garnetwall_ledger::book::{Sent, CLEAR};
 use std::hash::BuildHasher;
 use std::sync::Arc;
@@ -90,20 +90,20 @@
             seats.in_hand.insert(id, new);
             self.in_hand.send_replace(seats.in_hand.len());
             let left = self.ends.borrow().map_or(limit, |at| limit.min(at)) - now;
-            let b = Batch {
+            let b = Query {
                 id,
-                group,
+                class: group,
                 tenant,
-                key,
-                left,
-                cost,
-                memory,
+                ordering_key: key,
+                remaining_time: left,
+                estimated_work: cost,
+                estimated_memory: memory,
                 data_set,
-                lane,
+                endpoint_subset: lane,
             };
             let (job, line) = (Hex(a.job), key.map(Hex));
             tracing::debug!(batch = id, ?job, group, key = ?line, left, "taken");
-            seats.control.take(now, b);
+            seats.control.admit(now, b);
             let until = millis(limit + CLEAR.as_secs_f64());
             let once_only = is_once_only.then_some(Sent {
                 id: a.job,
@@ -143,7 +143,7 @@
         self: &Arc<Self>,
         seats: &mut Seats,
         now: f64,
-        id: BatchId,
+        id: QueryId,
         a: &Arrival,
         call: &Call,
     ) -> Taken {
@@ -160,7 +160,7 @@
             id,
             answer: b.answer.subscribe(),
         };
-        seats.control.attended(now, id, true);
+        seats.control.set_client_waiting(now, id, true);
         Taken::Joined(waiter)
     }
 }
--- a/crates/gateway/src/desk/order.rs
+++ b/crates/gateway/src/desk/order.rs
@@ -4,7 +4,7 @@
 use crate::attended::Attended;
 use crate::planning::Turned;
 use bytes::Bytes;
-use garnetwall::api::{Answer, BatchId, EngineId};
+use garnetwall::api::{EngineId, FinalAnswer, QueryId};
 use garnetwall_ledger::book::Sent;
 use std::net::IpAddr;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -22,7 +22,7 @@
     TakeBack {
         dispatch: u32,
     },
-    Over(Answer),
+    Over(FinalAnswer),
     /// The client has gone: no answer is owed.
     Gone,
 }
@@ -55,11 +55,13 @@
     }
 }
 
-impl From<Answer> for Final {
-    fn from(answer: Answer) -> Self {
+impl From<FinalAnswer> for Final {
+    fn from(answer: FinalAnswer) -> Self {
         match answer {
-            Answer::PushBack { come_back } => Final::PushedBack { come_back },
-            Answer::Error => Final::Errored,
+            FinalAnswer::Rejected {
+                retry_after: come_back,
+            } => Final::PushedBack { come_back },
+            FinalAnswer::Failed => Final::Errored,
         }
     }
 }
@@ -86,7 +88,7 @@
 /// What became of a call that brought a batch.
 pub enum Taken {
     New {
-        id: BatchId,
+        id: QueryId,
         orders: UnboundedReceiver<Order>,
         waiter: Waiter,
         /// What is written down before it is sent, where it is once-only.
--- a/crates/gateway/src/desk/waiter.rs
+++ b/crates/gateway/src/desk/waiter.rs
@@ -1,7 +1,7 @@
 //! Who waits for a query's answer, and what follows when nobody does any more.
 
 use super::{Desk, Final};
-use garnetwall::api::BatchId;
+use garnetwall::api::QueryId;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::runtime::Handle;
@@ -14,7 +14,7 @@
 /// A client that waits for a batch; dropped before the answer, it has gone unless it comes again at once.
 pub struct Waiter {
     pub(super) desk: Arc<Desk>,
-    pub(super) id: BatchId,
+    pub(super) id: QueryId,
     pub(super) answer: watch::Receiver<Option<Final>>,
 }
 
@@ -45,7 +45,7 @@
 
 impl Desk {
     /// One who waited has left. Nothing is sent for a batch that nobody waits for; how many had waited for it by then.
-    fn waiter_left(&self, id: BatchId) -> Option<u64> {
+    fn waiter_left(&self, id: QueryId) -> Option<u64> {
         self.fact(|seats, now| {
             let b = seats.in_hand.get_mut(&id)?;
             b.waiters -= 1;
@@ -54,13 +54,13 @@
             }
             b.attended.set(false);
             let waited = b.waited;
-            seats.control.attended(now, id, false);
+            seats.control.set_client_waiting(now, id, false);
             Some(waited)
         })
     }
 
     /// Nobody has come again for a batch since so many had waited for it: its clients have gone.
-    fn not_back(&self, id: BatchId, waited: u64) {
+    fn not_back(&self, id: QueryId, waited: u64) {
         self.fact(|seats, now| {
             if seats
                 .in_hand
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -3,7 +3,7 @@
 use super::event::Event;
 use super::list::{EngineList, EngineUpdate};
 use super::selection::Candidate;
-use garnetwall::api::{End, EngineId, Report};
+use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,8 +21,8 @@
 
 /// How a connection to a candidate came up, and what the engine said of itself with it.
 pub struct Warmed {
-    pub end: End,
-    pub report: Option<Report>,
+    pub end: AttemptEnd,
+    pub report: Option<LoadReport>,
 }
 
 /// Drives the list of engines.
@@ -101,7 +101,10 @@
         warmed: &impl Fn(EngineId, Warmed),
     ) {
         // An engine that answers at all was reached.
-        let reached = matches!(outcome.end, End::Returned | End::Errored | End::Full);
+        let reached = matches!(
+            outcome.end,
+            AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected
+        );
         let id = self.list.candidate_warmed(candidate, reached);
         let updates = self.poll();
         let joined = updates
--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -1,7 +1,7 @@
 //! Events of the change log, decoded.
 
 use super::lenient::{Field, Parts, ReadInto};
-use garnetwall::api::Condition;
+use garnetwall::api::EndpointState;
 use garnetwall_settings::Names;
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, SeqAccess};
 use serde_json::Value;
@@ -26,7 +26,7 @@
     pub kind: usize,
     pub cell: u32,
     pub came_up: Option<f64>,
-    pub condition: Condition,
+    pub condition: EndpointState,
 }
 
 /// The zones and kinds of the settings, by their names.
@@ -212,9 +212,9 @@
 impl RawLine<'_> {
     fn check(&self, names: &NameIndex) -> Result<EngineLine, String> {
         let condition = match text("state", &self.state)? {
-            "SERVING" => Condition::Ready,
-            "DRAINING" => Condition::Draining,
-            "DELETED" => Condition::Gone,
+            "SERVING" => EndpointState::Ready,
+            "DRAINING" => EndpointState::Draining,
+            "DELETED" => EndpointState::Removed,
             other => return Err(format!("state: '{other}' is unknown")),
         };
         let id = text("id", &self.id)?.to_string();
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -39,7 +39,7 @@
         kind: 1,
         cell: 7,
         came_up,
-        condition: Condition::Ready,
+        condition: EndpointState::Ready,
     };
     assert_eq!(
         event,
@@ -140,6 +140,6 @@
     let line = &event.lines[0];
     assert_eq!(
         (&*line.id, line.zone, line.condition),
-        ("b", 0, Condition::Draining)
+        ("b", 0, EndpointState::Draining)
     );
 }
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -4,7 +4,7 @@
 use super::selection::{Candidate, Selected, Selection, Status};
 use super::start_times::StartTimes;
 use crate::clock::{span, Clock};
-use garnetwall::api::{Condition, EngineId, Listed};
+use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use garnetwall_subset::SizeReason;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 /// A line of the list under the module's index, with what only a plan asks for.
 #[derive(Clone, Debug)]
 pub struct EngineUpdate {
-    pub listed: Listed,
+    pub listed: Endpoint,
     pub id: String,
     pub address: SocketAddr,
 }
@@ -278,19 +278,19 @@
 }
 
 impl Counts {
-    fn add(&mut self, condition: Condition) {
+    fn add(&mut self, condition: EndpointState) {
         match condition {
-            Condition::Ready => self.ready += 1,
-            Condition::Draining => self.draining += 1,
-            Condition::Gone => {}
+            EndpointState::Ready => self.ready += 1,
+            EndpointState::Draining => self.draining += 1,
+            EndpointState::Removed => {}
         }
     }
 
-    fn remove(&mut self, condition: Condition) {
+    fn remove(&mut self, condition: EndpointState) {
         match condition {
-            Condition::Ready => self.ready -= 1,
-            Condition::Draining => self.draining -= 1,
-            Condition::Gone => {}
+            EndpointState::Ready => self.ready -= 1,
+            EndpointState::Draining => self.draining -= 1,
+            EndpointState::Removed => {}
         }
     }
 }
@@ -312,7 +312,7 @@
     /// Whether its engine is listed as one that takes new attempts, at this address.
     fn takes(&self, target: Target) -> bool {
         let line = self.known.get(target.engine).map(|known| &known.line);
-        line.is_some_and(|l| l.condition == Condition::Ready && l.address == target.address)
+        line.is_some_and(|l| l.condition == EndpointState::Ready && l.address == target.address)
     }
 
     /// Takes in lines of the subset.
@@ -336,7 +336,7 @@
                 .collect();
             unnamed
                 .into_iter()
-                .for_each(|engine| self.turn(engine, Condition::Gone, now));
+                .for_each(|engine| self.turn(engine, EndpointState::Removed, now));
         }
         updates
     }
@@ -350,18 +350,18 @@
     ) -> Option<EngineUpdate> {
         let engine = match self.ids.get(&line.id) {
             Some(engine) => *engine,
-            None if line.condition == Condition::Gone => return None,
+            None if line.condition == EndpointState::Removed => return None,
             None => self.index(&line, now),
         };
         let started = self.started(engine, &line);
-        let listed = Listed {
+        let listed = Endpoint {
             engine,
             zone: line.zone,
             kind: line.kind,
             cell: line.cell,
-            came_up: started,
-            condition: line.condition,
-            holders,
+            started_at: started,
+            state: line.condition,
+            gateways: holders,
         };
         self.turn(engine, line.condition, now);
         let update = EngineUpdate {
@@ -398,7 +398,7 @@
         }
         let engine = self.free.pop_first().unwrap_or(self.known.len());
         let line = EngineLine {
-            condition: Condition::Gone,
+            condition: EndpointState::Removed,
             ..line.clone()
         };
         self.ids.insert(line.id.clone(), engine);
@@ -417,7 +417,7 @@
     }
 
     /// Gives an engine another condition; one that has gone before went then.
-    fn turn(&mut self, engine: EngineId, condition: Condition, now: Instant) {
+    fn turn(&mut self, engine: EngineId, condition: EndpointState, now: Instant) {
         let Some(known) = self.known.get_mut(engine) else {
             return;
         };
@@ -425,7 +425,7 @@
         self.counts.add(condition);
         known.line.condition = condition;
         let went = known.gone;
-        known.gone = (condition == Condition::Gone).then(|| went.unwrap_or(now));
+        known.gone = (condition == EndpointState::Removed).then(|| went.unwrap_or(now));
         if went == known.gone {
             return;
         }
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn line(id: &str, condition: Condition) -> EngineLine {
+fn line(id: &str, condition: EndpointState) -> EngineLine {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineLine {
         id: id.into(),
@@ -27,19 +27,23 @@
             .map(|l| l.listed.engine);
         (engine, list.known.len(), list.ids.len())
     };
-    assert_eq!(take("a", Condition::Ready, 0), (Some(0), 1, 1));
-    assert_eq!(take("a", Condition::Gone, 1), (Some(0), 1, 1));
-    assert_eq!(take("never known", Condition::Gone, 1), (None, 1, 1));
+    assert_eq!(take("a", EndpointState::Ready, 0), (Some(0), 1, 1));
+    assert_eq!(take("a", EndpointState::Removed, 1), (Some(0), 1, 1));
+    assert_eq!(take("never known", EndpointState::Removed, 1), (None, 1, 1));
     assert_eq!(
-        take("b", Condition::Ready, 10),
+        take("b", EndpointState::Ready, 10),
         (Some(1), 2, 2),
         "batches may still know a"
     );
-    assert_eq!(take("a", Condition::Gone, 5), (Some(0), 2, 2), "told twice");
-    assert_eq!(take("c", Condition::Ready, 10), (Some(0), 2, 2));
+    assert_eq!(
+        take("a", EndpointState::Removed, 5),
+        (Some(0), 2, 2),
+        "told twice"
+    );
+    assert_eq!(take("c", EndpointState::Ready, 10), (Some(0), 2, 2));
     for n in 0..100 {
-        take(&format!("d{n}"), Condition::Ready, 1);
-        assert!(take(&format!("d{n}"), Condition::Gone, 30).1 <= 4);
+        take(&format!("d{n}"), EndpointState::Ready, 1);
+        assert!(take(&format!("d{n}"), EndpointState::Removed, 30).1 <= 4);
     }
 }
 
@@ -56,10 +60,10 @@
         lines: &[EngineLine],
         whole: bool,
         now: Instant,
-    ) -> Vec<(EngineId, Condition)> {
+    ) -> Vec<(EngineId, EndpointState)> {
         if whole {
             for (line, gone) in &mut self.known {
-                line.condition = Condition::Gone;
+                line.condition = EndpointState::Removed;
                 gone.get_or_insert(now);
             }
         }
@@ -69,10 +73,10 @@
             .collect()
     }
 
-    fn take(&mut self, line: &EngineLine, now: Instant) -> Option<(EngineId, Condition)> {
+    fn take(&mut self, line: &EngineLine, now: Instant) -> Option<(EngineId, EndpointState)> {
         let engine = match self.known.iter().position(|(known, _)| known.id == line.id) {
             Some(engine) => engine,
-            None if line.condition == Condition::Gone => return None,
+            None if line.condition == EndpointState::Removed => return None,
             None => {
                 let long_gone =
                     |gone: &Option<Instant>| gone.is_some_and(|at| now - at > self.kept);
@@ -86,7 +90,7 @@
             }
         };
         let (known, gone) = &mut self.known[engine];
-        *gone = (line.condition == Condition::Gone).then(|| gone.unwrap_or(now));
+        *gone = (line.condition == EndpointState::Removed).then(|| gone.unwrap_or(now));
         *known = line.clone();
         Some((engine, line.condition))
     }
@@ -114,12 +118,12 @@
         let mut now = Instant::now();
         for (whole, lines, wait) in events {
             now += Duration::from_secs(wait);
-            let conditions = [Condition::Ready, Condition::Draining, Condition::Gone];
+            let conditions = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
             let lines: Vec<EngineLine> =
                 lines.iter().map(|(id, c)| line(&id.to_string(), conditions[*c as usize])).collect();
             let told = plain.apply(&lines, whole, now);
             let updates = list.apply(lines, whole, now);
-            let updates: Vec<_> = updates.iter().map(|u| (u.listed.engine, u.listed.condition)).collect();
+            let updates: Vec<_> = updates.iter().map(|u| (u.listed.engine, u.listed.state)).collect();
             prop_assert_eq!(updates, told);
             prop_assert_eq!(list.counts, plain.counts());
             prop_assert_eq!(list.known.len(), plain.known.len());
@@ -135,8 +139,8 @@
 #[test]
 fn without_a_subset_the_module_is_told_what_the_log_told() {
     let list = EngineList::new(Duration::from_secs(20), Clock::start(), None);
-    let ready = |id: &str| line(id, Condition::Ready);
-    let gone = |id: &str| line(id, Condition::Gone);
+    let ready = |id: &str| line(id, EndpointState::Ready);
+    let gone = |id: &str| line(id, EndpointState::Removed);
     for (whole, lines, engines) in [
         (
             true,
@@ -151,7 +155,7 @@
         (false, vec![], vec![]),
         (
             true,
-            vec![ready("d"), line("b", Condition::Draining)],
+            vec![ready("d"), line("b", EndpointState::Draining)],
             vec![3, 0],
         ),
         (true, vec![], vec![]),
@@ -172,13 +176,13 @@
         );
         let told = lines.iter().filter(|line| line.id != "x");
         for (update, line) in change.updates.iter().zip(told) {
-            let Listed {
+            let Endpoint {
                 zone,
                 kind,
                 cell,
-                came_up,
-                condition,
-                holders,
+                started_at: came_up,
+                state: condition,
+                gateways: holders,
                 ..
             } = update.listed;
             assert_eq!((&update.id, update.address), (&line.id, line.address));
@@ -201,19 +205,19 @@
         let now = clock.now();
         let started = |id: &str, ago: f64| EngineLine {
             came_up: Some(now + off - ago),
-            ..line(id, Condition::Ready)
+            ..line(id, EndpointState::Ready)
         };
         let lines = vec![
             started("new", 0.0),
             started("old", 600.0),
-            line("long ago", Condition::Ready),
+            line("long ago", EndpointState::Ready),
         ];
         let first = list.apply(Event {
             number: 1,
             whole: true,
             lines: lines.clone(),
         });
-        let age = |update: &EngineUpdate| update.listed.came_up.map(|at| now - at);
+        let age = |update: &EngineUpdate| update.listed.started_at.map(|at| now - at);
         let told: Vec<_> = first.updates.iter().map(age).collect();
         assert!(
             told[0].is_some_and(|age| (-0.5..0.5).contains(&age)),
@@ -231,8 +235,8 @@
             lines: vec![started("newer", -30.0), lines[0].clone()],
         });
         assert_eq!(
-            later.updates[1].listed.came_up,
-            first.updates[0].listed.came_up
+            later.updates[1].listed.started_at,
+            first.updates[0].listed.started_at
         );
     }
 }
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -2,7 +2,7 @@
 //! catalog is kept.
 
 use super::event::EngineLine;
-use garnetwall::api::Condition;
+use garnetwall::api::EndpointState;
 use garnetwall_subset as subset;
 use garnetwall_subset::{
     Action, Catalog, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset, SubsetError,
@@ -123,9 +123,9 @@
     fn facts(&self, line: &EngineLine) -> EngineFacts {
         let cores = self.kind_cores.get(line.kind).copied().flatten();
         let condition = match line.condition {
-            Condition::Ready => subset::Condition::Ready,
-            Condition::Draining => subset::Condition::Draining,
-            Condition::Gone => subset::Condition::Gone,
+            EndpointState::Ready => subset::Condition::Ready,
+            EndpointState::Draining => subset::Condition::Draining,
+            EndpointState::Removed => subset::Condition::Gone,
         };
         let cores = cores
             .filter(|cores| cores.is_finite() && *cores > 0.0)
@@ -160,9 +160,9 @@
         let (id, facts) = (self.catalog.id(engine)?, self.catalog.facts(engine)?);
         let Details { address, came_up } = *self.details.get(&engine)?;
         let condition = match facts.condition {
-            subset::Condition::Ready => Condition::Ready,
-            subset::Condition::Draining => Condition::Draining,
-            subset::Condition::Gone => Condition::Gone,
+            subset::Condition::Ready => EndpointState::Ready,
+            subset::Condition::Draining => EndpointState::Draining,
+            subset::Condition::Gone => EndpointState::Removed,
         };
         let EngineFacts {
             zone, kind, cell, ..
@@ -257,7 +257,7 @@
 fn gone(selected: Selected) -> Selected {
     Selected {
         line: EngineLine {
-            condition: Condition::Gone,
+            condition: EndpointState::Removed,
             ..selected.line
         },
         ..selected
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn line(number: u8, condition: Condition, started: u8) -> EngineLine {
+fn line(number: u8, condition: EndpointState, started: u8) -> EngineLine {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100 + u16::from(number)));
     let (zone, came_up) = (u32::from(number % 3), Some(f64::from(started)));
     EngineLine {
@@ -47,7 +47,7 @@
     fn ready(&self) -> impl Iterator<Item = &EngineLine> {
         self.0
             .values()
-            .filter(|line| line.condition == Condition::Ready)
+            .filter(|line| line.condition == EndpointState::Ready)
     }
 }
 
@@ -64,8 +64,8 @@
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
         for (whole, lines, reached) in events {
-            let condition = |c| [Condition::Draining, Condition::Gone].get(usize::from(c)).copied();
-            let of = |(n, c, started): &(u8, u8, u8)| line(*n, condition(*c).unwrap_or(Condition::Ready), *started);
+            let condition = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
+            let of = |(n, c, started): &(u8, u8, u8)| line(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
             let lines: Vec<EngineLine> = lines.iter().map(of).collect();
             if whole {
                 list.clear();
@@ -76,7 +76,7 @@
                 for line in module.ready() {
                     prop_assert_eq!(Some(line), list.get(&line.id), "at {} of {}", step, now);
                 }
-                let ready = list.values().filter(|line| line.condition == Condition::Ready).count();
+                let ready = list.values().filter(|line| line.condition == EndpointState::Ready).count();
                 prop_assert!(module.ready().count() >= ready.min(1), "at {} of {}", step, now);
                 prop_assert_eq!(module.ready().count(), selection.status().members);
                 while let Some(candidate) = selection.next_candidate(now) {
@@ -93,15 +93,15 @@
 #[test]
 fn a_member_that_leaves_is_told_gone_as_it_was_listed() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
-    let lines = (0..4).map(|n| line(n, Condition::Ready, 1)).collect();
+    let lines = (0..4).map(|n| line(n, EndpointState::Ready, 1)).collect();
     assert_eq!(selection.apply(0.0, lines, true).len(), 4);
-    let told = selection.apply(1.0, vec![line(2, Condition::Draining, 1)], false);
+    let told = selection.apply(1.0, vec![line(2, EndpointState::Draining, 1)], false);
     assert_eq!(
         told.iter().map(|s| &s.line).collect::<Vec<_>>(),
-        [&line(2, Condition::Gone, 1)]
+        [&line(2, EndpointState::Removed, 1)]
     );
     assert_eq!(
-        selection.apply(2.0, vec![line(2, Condition::Gone, 1)], false),
+        selection.apply(2.0, vec![line(2, EndpointState::Removed, 1)], false),
         []
     );
 }
@@ -112,19 +112,19 @@
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     assert_eq!(
         selection
-            .apply(0.0, vec![line(1, Condition::Ready, 1)], true)
+            .apply(0.0, vec![line(1, EndpointState::Ready, 1)], true)
             .len(),
         1
     );
     assert_eq!(
-        selection.apply(1.0, vec![line(1, Condition::Ready, 1)], true),
+        selection.apply(1.0, vec![line(1, EndpointState::Ready, 1)], true),
         [],
         "nothing is new"
     );
-    let told = selection.apply(2.0, vec![line(1, Condition::Ready, 2)], true);
+    let told = selection.apply(2.0, vec![line(1, EndpointState::Ready, 2)], true);
     assert_eq!(
         told.iter().map(|s| &s.line).collect::<Vec<_>>(),
-        [&line(1, Condition::Ready, 2)]
+        [&line(1, EndpointState::Ready, 2)]
     );
 }
 
@@ -142,7 +142,9 @@
         let mut selection = Selection::new("g0", of(gateways), Vec::new()).unwrap();
         selection.apply(
             0.0,
-            (0..ENGINES).map(|n| line(n, Condition::Ready, 1)).collect(),
+            (0..ENGINES)
+                .map(|n| line(n, EndpointState::Ready, 1))
+                .collect(),
             true,
         );
         let status = selection.status();
@@ -159,11 +161,15 @@
 fn failing_attempts_widen_the_subset_by_engines_that_were_reached() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     let mut module = Module::default();
-    module.told(selection.apply(
-        0.0,
-        (0..ENGINES).map(|n| line(n, Condition::Ready, 1)).collect(),
-        true,
-    ));
+    module.told(
+        selection.apply(
+            0.0,
+            (0..ENGINES)
+                .map(|n| line(n, EndpointState::Ready, 1))
+                .collect(),
+            true,
+        ),
+    );
     let failing = module.ready().next().unwrap().id.clone();
     for n in 0..50 {
         selection.attempted(1.0 + f64::from(n) * 0.01, &failing, true);
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -14,7 +14,7 @@
 use crate::discovery::{EngineList, Warmed};
 use crate::socket::Socket;
 use crate::sockets::{Abandoned, Budget, Gate, Line, LONGEST_HEAD};
-use garnetwall::api::{End, EngineId, Report};
+use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
 use garnetwall_ledger::{Bounds, Ledger};
 use garnetwall_settings::Network;
 use http::{Method, StatusCode};
@@ -202,13 +202,14 @@
     }
 
     /// Tells the list's subset how an attempt ended, where that says something of the engine.
-    pub fn attempted(&self, engine: EngineId, end: End) {
+    pub fn attempted(&self, engine: EngineId, end: AttemptEnd) {
         match end {
-            End::Returned | End::Full => self.list.attempted(engine, false),
-            End::Errored | End::TimedOut | End::Unconnected | End::Broken => {
-                self.list.attempted(engine, true)
-            }
-            End::Withdrawn | End::Moot | End::NotSent => {}
+            AttemptEnd::Succeeded | AttemptEnd::Rejected => self.list.attempted(engine, false),
+            AttemptEnd::Failed
+            | AttemptEnd::TimedOut
+            | AttemptEnd::ConnectFailed
+            | AttemptEnd::ConnectionLost => self.list.attempted(engine, true),
+            AttemptEnd::Cancelled | AttemptEnd::NotNeeded | AttemptEnd::NotSent => {}
         }
     }
 
@@ -221,34 +222,34 @@
         let (end, report) = match may_probe {
             true => self.probe_at(target).await,
             false => match self.connect(address, None).await {
-                Ok(_) => (End::Returned, None),
-                Err(Fault::Local) => (End::NotSent, None),
-                Err(_) => (End::Unconnected, None),
+                Ok(_) => (AttemptEnd::Succeeded, None),
+                Err(Fault::Local) => (AttemptEnd::NotSent, None),
+                Err(_) => (AttemptEnd::ConnectFailed, None),
             },
         };
         Warmed { end, report }
     }
 
-    pub async fn probe(&self, engine: EngineId) -> (End, Option<Report>) {
+    pub async fn probe(&self, engine: EngineId) -> (AttemptEnd, Option<LoadReport>) {
         match self.target(engine) {
             Some(target) => self.probe_at(target).await,
-            None => (End::Unconnected, None),
+            None => (AttemptEnd::ConnectFailed, None),
         }
     }
 
-    async fn probe_at(&self, target: Target) -> (End, Option<Report>) {
+    async fn probe_at(&self, target: Target) -> (AttemptEnd, Option<LoadReport>) {
         let stats = request(Method::GET, target.address, "/stats");
         match self
             .way(target)
             .call(stats, None, self.dial + self.dial, false)
             .await
         {
-            Ok(reply) if reply.status == StatusCode::OK => (End::Returned, reply.report()),
-            Ok(reply) => (End::Errored, reply.report()),
-            Err(Fault::Refused | Fault::Unconnected) => (End::Unconnected, None),
-            Err(Fault::Local) => (End::NotSent, None),
-            Err(Fault::Silent) => (End::TimedOut, None),
-            Err(Fault::Broken | Fault::Garbled) => (End::Broken, None),
+            Ok(reply) if reply.status == StatusCode::OK => (AttemptEnd::Succeeded, reply.report()),
+            Ok(reply) => (AttemptEnd::Failed, reply.report()),
+            Err(Fault::Refused | Fault::Unconnected) => (AttemptEnd::ConnectFailed, None),
+            Err(Fault::Local) => (AttemptEnd::NotSent, None),
+            Err(Fault::Silent) => (AttemptEnd::TimedOut, None),
+            Err(Fault::Broken | Fault::Garbled) => (AttemptEnd::ConnectionLost, None),
         }
     }
 
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/call.rs
@@ -2,7 +2,7 @@
 
 use crate::attended::Attended;
 use bytes::Bytes;
-use garnetwall::api::{End, Note, Report};
+use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_bodies::Body;
 use http::HeaderValue;
 use std::sync::Arc;
@@ -50,15 +50,15 @@
 /// How a dispatch ended, and what was told with it.
 #[derive(Debug)]
 pub struct Ended {
-    pub end: End,
+    pub end: AttemptEnd,
     pub pages: Vec<Bytes>,
     pub work: Option<f64>,
     pub memory: Option<f64>,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl Ended {
-    pub fn of(end: End) -> Self {
+    pub fn of(end: AttemptEnd) -> Self {
         Ended {
             end,
             pages: Vec::new(),
@@ -92,9 +92,9 @@
 /// What is told of a dispatch that is out, to who waits for its end.
 pub struct Tidings {
     /// How it looks where its end is not known.
-    pub doubt: watch::Sender<Option<End>>,
+    pub doubt: watch::Sender<Option<AttemptEnd>>,
     /// The last note of it.
-    pub note: watch::Sender<Option<Note>>,
+    pub note: watch::Sender<Option<Progress>>,
 }
 
 /// How a dispatch is started.
--- a/crates/gateway/src/engines/reply.rs
+++ b/crates/gateway/src/engines/reply.rs
@@ -3,7 +3,7 @@
 use super::outgoing::{Outgoing, Sender};
 use crate::rows;
 use bytes::Bytes;
-use garnetwall::api::{End, Note, Report};
+use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_ledger::Lost;
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -64,7 +64,7 @@
         Some(value).filter(|v| v.is_finite() && *v >= 0.0)
     }
 
-    pub(super) fn report(&self) -> Option<Report> {
+    pub(super) fn report(&self) -> Option<LoadReport> {
         let text = self.head.get(REPORT)?.to_str().ok()?;
         let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
         let values =
@@ -75,8 +75,8 @@
 
 /// What an answer about a dispatch says.
 pub(super) enum News {
-    NotYet(Option<Note>),
-    Over(End),
+    NotYet(Option<Progress>),
+    Over(AttemptEnd),
     /// A good end with so many pages.
     Good(usize),
     Garbled,
@@ -91,21 +91,21 @@
     match (reply.status, never_ran, pages) {
         (StatusCode::OK, _, Some(pages)) if rows::whole(&reply.body) => News::Good(pages as usize),
         (StatusCode::ACCEPTED, _, _) => News::NotYet(note(reply)),
-        (StatusCode::SERVICE_UNAVAILABLE, true, _) => News::Over(End::Full),
-        (StatusCode::GATEWAY_TIMEOUT, true, _) => News::Over(End::Moot),
-        (StatusCode::INTERNAL_SERVER_ERROR, _, _) => News::Over(End::Errored),
+        (StatusCode::SERVICE_UNAVAILABLE, true, _) => News::Over(AttemptEnd::Rejected),
+        (StatusCode::GATEWAY_TIMEOUT, true, _) => News::Over(AttemptEnd::NotNeeded),
+        (StatusCode::INTERNAL_SERVER_ERROR, _, _) => News::Over(AttemptEnd::Failed),
         _ => News::Garbled,
     }
 }
 
 /// A note on a dispatch that is out, where one came. One that can't be read says nothing.
-fn note(reply: &Reply) -> Option<Note> {
+fn note(reply: &Reply) -> Option<Progress> {
     let amount = reply.number(NOTED)?;
     match reply.head.get(NOTE)?.to_str().ok()?.trim() {
-        "frac" => Some(Note::Done(amount)),
-        "missing" => Some(Note::Spills(amount)),
-        "parked" if amount == 2.0 => Some(Note::WaitsForLoad),
-        "parked" => Some(Note::WaitsForMemory),
+        "frac" => Some(Progress::Completed(amount)),
+        "missing" => Some(Progress::Spilling(amount)),
+        "parked" if amount == 2.0 => Some(Progress::WaitingForLoad),
+        "parked" => Some(Progress::WaitingForMemory),
         _ => None,
     }
 }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -3,12 +3,12 @@
 use crate::clock::Clock;
 use crate::discovery::{EngineLine, Event};
 use bytes::Bytes;
-use garnetwall::api::Condition;
+use garnetwall::api::EndpointState;
 use http::HeaderValue;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-fn line(id: &str, condition: Condition) -> EngineLine {
+fn line(id: &str, condition: EndpointState) -> EngineLine {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineLine {
         id: id.into(),
@@ -48,11 +48,11 @@
             engines,
             budget,
         };
-        silent.lists(Condition::Ready);
+        silent.lists(EndpointState::Ready);
         silent
     }
 
-    fn lists(&self, condition: Condition) {
+    fn lists(&self, condition: EndpointState) {
         let address = self.listener.local_addr().unwrap();
         let lines = vec![EngineLine {
             address,
@@ -131,7 +131,7 @@
         drop(taken);
     };
     let (ended, ()) = tokio::join!(silent.dispatch(start(), wishes), answered);
-    assert_eq!(ended.end, End::Moot);
+    assert_eq!(ended.end, AttemptEnd::NotNeeded);
     assert_eq!(silent.came().await, 0);
 }
 
@@ -149,7 +149,11 @@
         drop(taken);
     };
     let (ended, ()) = tokio::join!(silent.dispatch(start, wishes), leaves);
-    assert_eq!(ended.end, End::Moot, "which says nothing of the engine");
+    assert_eq!(
+        ended.end,
+        AttemptEnd::NotNeeded,
+        "which says nothing of the engine"
+    );
     assert_eq!(silent.came().await, 0);
 }
 
@@ -169,14 +173,14 @@
         drop(taken);
     };
     let (ended, ()) = tokio::join!(silent.dispatch(start, wishes), frees);
-    assert_eq!(ended.end, End::Unconnected);
+    assert_eq!(ended.end, AttemptEnd::ConnectFailed);
     assert_eq!(silent.came().await, 0);
 }
 
 /// Its engine is told draining while its connection is still to come up.
 #[tokio::test]
 async fn a_start_whose_engine_drains_before_its_first_byte_is_not_sent() {
-    for told in [Condition::Draining, Condition::Gone] {
+    for told in [EndpointState::Draining, EndpointState::Removed] {
         let silent = Silent::start().await;
         let taken = silent.hold_all().await;
         let (_wish, wishes) = watch::channel(Wish::Answer);
@@ -186,7 +190,7 @@
             drop(taken);
         };
         let (ended, ()) = tokio::join!(silent.dispatch(start(), wishes), drains);
-        assert_eq!(ended.end, End::Unconnected, "it goes elsewhere");
+        assert_eq!(ended.end, AttemptEnd::ConnectFailed, "it goes elsewhere");
         assert_eq!(silent.came().await, 0);
     }
 }
--- a/crates/gateway/src/engines/way.rs
+++ b/crates/gateway/src/engines/way.rs
@@ -13,7 +13,7 @@
 use super::{Engines, Target};
 use crate::sockets::{Abandoned, Gate};
 use bytes::Bytes;
-use garnetwall::api::End;
+use garnetwall::api::AttemptEnd;
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_bodies::Reader;
 use garnetwall_ledger as ledger;
@@ -71,21 +71,21 @@
             .poll_until_end(call, start, &mut wishes, &tidings)
             .await;
         let end = match told {
-            PollOutcome::Succeeded(..) if *wishes.borrow() == Wish::Over => End::Withdrawn,
+            PollOutcome::Succeeded(..) if *wishes.borrow() == Wish::Over => AttemptEnd::Cancelled,
             PollOutcome::Succeeded(first, pages) => {
                 return self.fetch_pages(call, first, pages).await
             }
             PollOutcome::Over(ended) => return ended,
             PollOutcome::Unknown => {
-                tidings.doubt.send_replace(Some(End::Broken));
+                tidings.doubt.send_replace(Some(AttemptEnd::ConnectionLost));
                 self.cancel(call).await;
-                End::Broken
+                AttemptEnd::ConnectionLost
             }
             PollOutcome::Unwanted => match (self.cancel(call).await, *wishes.borrow()) {
                 // Its batch was over before it could be started: that says nothing of the engine.
-                (ledger::Proof::NeverCame, Wish::Over | Wish::Begun) => End::Moot,
-                (ledger::Proof::NeverCame, _) => End::Unconnected,
-                _ => End::Withdrawn,
+                (ledger::Proof::NeverCame, Wish::Over | Wish::Begun) => AttemptEnd::NotNeeded,
+                (ledger::Proof::NeverCame, _) => AttemptEnd::ConnectFailed,
+                _ => AttemptEnd::Cancelled,
             },
         };
         Ended::of(end)
--- a/crates/gateway/src/engines/way/pages.rs
+++ b/crates/gateway/src/engines/way/pages.rs
@@ -4,7 +4,7 @@
 use crate::engines::call::{Call, Ended};
 use crate::engines::reply::{Fault, Reply, MEMORY, THIS_PAGE, WORK};
 use crate::rows;
-use garnetwall::api::End;
+use garnetwall::api::AttemptEnd;
 use http::StatusCode;
 
 impl Way<'_> {
@@ -17,7 +17,7 @@
                 .filter(|v| *v > 0.0),
             memory: first.number(MEMORY).filter(|v| *v > 0.0),
             report: first.report(),
-            ..Ended::of(End::Returned)
+            ..Ended::of(AttemptEnd::Succeeded)
         };
         ended.pages.push(first.body);
         let mut asking = self.polling();
@@ -26,7 +26,7 @@
             loop {
                 if !self.wait_for_next_poll(&mut asking, told).await {
                     return Ended {
-                        end: End::Broken,
+                        end: AttemptEnd::ConnectionLost,
                         ..ended
                     };
                 }
@@ -42,7 +42,7 @@
                     Ok(r) if r.status == StatusCode::INTERNAL_SERVER_ERROR => {
                         tracing::debug!(engine = self.target.engine, page, "page lost");
                         return Ended {
-                            end: End::Errored,
+                            end: AttemptEnd::Failed,
                             ..ended
                         };
                     }
--- a/crates/gateway/src/engines/way/polling.rs
+++ b/crates/gateway/src/engines/way/polling.rs
@@ -5,7 +5,7 @@
 use crate::engines::outgoing::Outgoing;
 use crate::engines::reply::{news, Fault, News, Reply};
 use crate::engines::NEWS;
-use garnetwall::api::End;
+use garnetwall::api::AttemptEnd;
 use garnetwall_ledger as ledger;
 use garnetwall_ledger::{Asking, Fact, Step};
 use http::{Method, Request};
@@ -36,7 +36,7 @@
         let mut asking = self.polling();
         let Some((mut next, mut feed)) = self.start_request(call, &start) else {
             self.tell(Fact::NeverCame);
-            return PollOutcome::Over(Ended::of(End::Unconnected));
+            return PollOutcome::Over(Ended::of(AttemptEnd::ConnectFailed));
         };
         let mut started = false;
         loop {
@@ -47,7 +47,7 @@
             if std::mem::take(&mut self.unreadable) {
                 // What went on is not whole, so that nothing ran; the batch has no body any more.
                 self.tell(Fact::NeverCame);
-                return PollOutcome::Over(Ended::of(End::Errored));
+                return PollOutcome::Over(Ended::of(AttemptEnd::Failed));
             }
             if first && answer.is_err() && self.gate.as_ref().is_some_and(|gate| gate.is_stopped())
             {
@@ -56,18 +56,18 @@
                 let elsewhere =
                     *wishes.borrow() == Wish::Back || !self.engines.list().takes(self.target);
                 return PollOutcome::Over(Ended::of(if elsewhere {
-                    End::Unconnected
+                    AttemptEnd::ConnectFailed
                 } else {
-                    End::Moot
+                    AttemptEnd::NotNeeded
                 }));
             }
             if first && answer.is_err() && !self.may_have_come {
                 self.tell(Fact::NeverCame);
                 let local = matches!(answer, Err(Fault::Local));
                 return PollOutcome::Over(Ended::of(if local {
-                    End::NotSent
+                    AttemptEnd::NotSent
                 } else {
-                    End::Unconnected
+                    AttemptEnd::ConnectFailed
                 }));
             }
             let told = match answer {
@@ -82,9 +82,13 @@
                         } else {
                             Fact::Failed(self.connection)
                         });
-                        let end = match ledger::weigh(first, end == End::Errored, !self.may_run()) {
+                        let end = match ledger::weigh(
+                            first,
+                            end == AttemptEnd::Failed,
+                            !self.may_run(),
+                        ) {
                             ledger::Verdict::AsTold => end,
-                            ledger::Verdict::CutShort => End::Broken,
+                            ledger::Verdict::CutShort => AttemptEnd::ConnectionLost,
                             ledger::Verdict::InDoubt => return PollOutcome::Unknown,
                         };
                         return PollOutcome::Over(Ended {
--- a/crates/gateway/src/front/answers.rs
+++ b/crates/gateway/src/front/answers.rs
@@ -66,8 +66,8 @@
             tracing::debug!(reason, ?come_back, "turned away");
             let settings = &front.decoded.settings;
             let body = json!({"error": "Busy", "reason": reason});
-            let seconds = come_back.map(|span| span.as_secs_f64().min(settings.longest_return));
-            rejected(&body, seconds.filter(|_| settings.names_return))
+            let seconds = come_back.map(|span| span.as_secs_f64().min(settings.max_retry_after));
+            rejected(&body, seconds.filter(|_| settings.retry_after_allowed))
         }
     }
 }
--- a/crates/gateway/src/front/intake.rs
+++ b/crates/gateway/src/front/intake.rs
@@ -35,7 +35,7 @@
         .ok_or_else(unknown)?;
     let id = field(head, QUERY_ID)?;
     let job = hex(QUERY_ID, id)?;
-    let most = decoded.settings.groups[index].limit * 1000.0;
+    let most = decoded.settings.classes[index].deadline * 1000.0;
     let allowed = field(head, DEADLINE)?
         .to_str()
         .ok()
@@ -75,7 +75,7 @@
         .cloned();
     let cost = estimate(head, COST)?.map(|ms| ms / 1000.0);
     let memory = estimate(head, MEMORY)?;
-    let in_order = key.is_some() && decoded.settings.groups[index].in_order;
+    let in_order = key.is_some() && decoded.settings.classes[index].in_order;
     let statement = Statement::Whole(statement);
     let call = Call {
         id: id.clone(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,8 +13,8 @@
 use crate::sockets::Budget;
 use crate::spacing::Spacing;
 use crate::system_fault::retry;
-use garnetwall::api::{End, EngineId, ServiceGroup, Settings};
-use garnetwall::control::Control;
+use garnetwall::api::{AttemptEnd, EngineId, QueryClass, Settings};
+use garnetwall::controller::AdmissionController;
 use garnetwall_bodies::Store;
 use std::future::Future;
 use std::io;
@@ -74,17 +74,21 @@
         let clock = Clock::start();
         let budget = Budget::of(config.sockets, config.memory_mb);
         let settings = &config.decoded.settings;
-        let longest = settings.groups.iter().map(|g| g.limit).fold(0.0, f64::max);
+        let longest = settings
+            .classes
+            .iter()
+            .map(|g| g.deadline)
+            .fold(0.0, f64::max);
         let room = Some(
             settings
-                .room
+                .capacity
                 .unwrap_or(f64::INFINITY)
                 .min(budget.room as f64),
         );
         let plan = config.plan.clone();
         let groups = match &plan {
-            Some(plan) => planning::narrowed(&settings.groups, &config.decoded.names.groups, plan),
-            None => settings.groups.clone(),
+            Some(plan) => planning::narrowed(&settings.classes, &config.decoded.names.groups, plan),
+            None => settings.classes.clone(),
         };
         if let Some(plan) = &plan {
             tracing::info!(
@@ -95,14 +99,14 @@
         }
         let planner = plan.map(|plan| Planner::new(&config.decoded, plan, budget.room as f64));
         let settings = Settings {
-            room,
-            groups: groups.clone(),
+            capacity: room,
+            classes: groups.clone(),
             ..settings.clone()
         };
-        let control = Control::new(settings, config.seed, clock.now());
+        let control = AdmissionController::new(settings, config.seed, clock.now());
         let (desk, probes) = Desk::new(control, planner, clock, longest, budget.kept_answers);
         desk.grouped(&groups);
-        let notes_every = config.decoded.settings.notes_every;
+        let notes_every = config.decoded.settings.progress_interval;
         let selection = selection(&config, &groups);
         let list = Arc::new(EngineList::new(
             engines::known_for(longest),
@@ -287,7 +291,7 @@
         let desk = self.desk.clone();
         tokio::spawn(async move { desk.keep_time().await });
         if self.config.subset.is_some() {
-            let may_probe = self.config.decoded.settings.may_probe;
+            let may_probe = self.config.decoded.settings.health_checks_allowed;
             tokio::spawn(keep_subset(
                 discovery,
                 self.engines.clone(),
@@ -302,7 +306,7 @@
 }
 
 /// The subset that the configuration asks for; without one the gateway works with the whole list.
-fn selection(config: &Config, groups: &[ServiceGroup]) -> Option<Selection> {
+fn selection(config: &Config, groups: &[QueryClass]) -> Option<Selection> {
     let mut settings = config.subset.clone()?;
     // A plan may narrow where a query is tried again.
     settings.retry_scope = settings.retry_scope.max(subset::retry_scope(groups));
@@ -347,7 +351,7 @@
         }
         if let Some(plan) = &config.plan {
             let names = &started.decoded.names.groups;
-            let groups = planning::narrowed(&started.decoded.settings.groups, names, plan);
+            let groups = planning::narrowed(&started.decoded.settings.classes, names, plan);
             let routes = plan.routes.len();
             match desk.replan(plan.clone(), &groups) {
                 true => tracing::info!(routes, limits = plan.limits.len(), "plan taken up"),
@@ -369,10 +373,10 @@
         tokio::spawn(async move {
             let (end, report) = engines.probe(engine).await;
             // Reaching it is no proof that queries end well there, so only a failure counts.
-            if end != End::Returned {
+            if end != AttemptEnd::Succeeded {
                 engines.attempted(engine, end);
             }
-            if end != End::NotSent {
+            if end != AttemptEnd::NotSent {
                 desk.probed(engine, end, report);
             }
         });
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -5,7 +5,7 @@
 use crate::engines::{Call, Ended, Engines, Start, Statement, Target, Tidings, Wish};
 use crate::keeping::Keeper;
 use crate::rows;
-use garnetwall::api::{BatchId, End, EngineId, Next, Outcome};
+use garnetwall::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, QueryId};
 use garnetwall_ledger::book::Sent;
 use std::future::Future;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 pub struct Life {
     pub desk: Arc<Desk>,
     pub engines: Arc<Engines>,
-    pub id: BatchId,
+    pub id: QueryId,
     pub call: Arc<Call>,
     pub orders: UnboundedReceiver<Order>,
     pub keeper: Arc<Keeper>,
@@ -77,7 +77,7 @@
             sent: Instant::now(),
         };
         let Some(target) = self.engines.target(engine) else {
-            return self.after(out, Ended::of(End::Unconnected), false);
+            return self.after(out, Ended::of(AttemptEnd::ConnectFailed), false);
         };
         let (ended, answered) = self.run(target, out, start).await;
         self.after(out, ended, answered)
@@ -122,19 +122,19 @@
             tokio::select! {
                 biased;
                 ended = &mut running => {
-                    let end = late.filter(|_| ended.end != End::Moot).unwrap_or(ended.end);
+                    let end = late.filter(|_| ended.end != AttemptEnd::NotNeeded).unwrap_or(ended.end);
                     return (Ended { end, ..ended }, answered);
                 }
                 () = &mut too_late, if late.is_none() => {
                     // The answer is due now; what may still run there is given up beside it.
-                    late = Some(End::TimedOut);
+                    late = Some(AttemptEnd::TimedOut);
                     wish.send_replace(Wish::Over);
                     doubted = false;
                 }
                 // What was not started yet is over by now, and in no doubt.
                 () = std::future::ready(()), if !doubted => {
                     doubted = true;
-                    answered |= self.in_doubt(out, End::TimedOut);
+                    answered |= self.in_doubt(out, AttemptEnd::TimedOut);
                 }
                 Ok(()) = doubts.changed() => {
                     if let Some(end) = *doubts.borrow_and_update() {
@@ -171,11 +171,11 @@
     }
 
     /// Tells the module of a dispatch whose end is not known, and answers if it wants so; whether it did.
-    fn in_doubt(&self, out: Out, end: End) -> bool {
+    fn in_doubt(&self, out: Out, end: AttemptEnd) -> bool {
         if matches!(&self.call.statement, Statement::Streamed(body) if !body.can_be_read()) {
             self.desk.not_kept(self.id);
         }
-        let Next::Over(answer) = self
+        let FollowUp::Answer(answer) = self
             .desk
             .in_doubt(self.id, out.outcome(&Ended::of(end), false))
         else {
@@ -187,12 +187,12 @@
 
     /// Tells the module the outcome and does what follows; whether the batch is over.
     fn after(&self, out: Out, mut ended: Ended, answered: bool) -> bool {
-        let body = (ended.end == End::Returned).then(|| rows::answer(&ended.pages));
+        let body = (ended.end == AttemptEnd::Succeeded).then(|| rows::answer(&ended.pages));
         if let Some(Err(what)) = &body {
             tracing::warn!(engine = out.engine, what, "result out of the protocol");
             ended = Ended {
                 report: ended.report,
-                ..Ended::of(End::Errored)
+                ..Ended::of(AttemptEnd::Failed)
             };
         }
         self.engines.attempted(out.engine, ended.end);
@@ -207,8 +207,8 @@
         let next = self.desk.after(self.id, outcome, ended.report);
         match (body, next) {
             (Some(Ok(body)), _) => self.desk.answer(self.id, Final::Returned(body)),
-            (_, Next::Over(answer)) => self.desk.answer(self.id, answer.into()),
-            (_, Next::Nothing) => return answered,
+            (_, FollowUp::Answer(answer)) => self.desk.answer(self.id, answer.into()),
+            (_, FollowUp::Nothing) => return answered,
         }
         true
     }
@@ -218,16 +218,16 @@
 async fn promised(
     promise: impl Future<Output = bool>,
     mut wishes: watch::Receiver<Wish>,
-) -> Result<(), End> {
+) -> Result<(), AttemptEnd> {
     tokio::select! {
         biased;
         // It fails only with who wished gone, who waits for this.
         wish = wishes.wait_for(|wish| *wish != Wish::Answer) => match wish.map(|wish| *wish) {
-            Ok(Wish::Back) => Err(End::Unconnected),
-            _ => Err(End::Moot),
+            Ok(Wish::Back) => Err(AttemptEnd::ConnectFailed),
+            _ => Err(AttemptEnd::NotNeeded),
         },
         // Nothing was sent, and the engine is not at fault: the query is answered now.
-        kept = promise => if kept { Ok(()) } else { Err(End::Moot) },
+        kept = promise => if kept { Ok(()) } else { Err(AttemptEnd::NotNeeded) },
     }
 }
 
@@ -240,13 +240,13 @@
 }
 
 impl Out {
-    fn outcome(&self, ended: &Ended, answered: bool) -> Outcome {
-        Outcome {
+    fn outcome(&self, ended: &Ended, answered: bool) -> AttemptOutcome {
+        AttemptOutcome {
             engine: self.engine,
-            dispatch: self.dispatch,
+            attempt: self.dispatch,
             end: ended.end,
             latency: self.sent.elapsed().as_secs_f64(),
-            closed: answered || ended.end == End::Returned,
+            query_finished: answered || ended.end == AttemptEnd::Succeeded,
             work: ended.work,
             memory: ended.memory,
         }
--- a/crates/gateway/src/life/tests.rs
+++ b/crates/gateway/src/life/tests.rs
@@ -4,9 +4,9 @@
 #[tokio::test]
 async fn a_promise_that_comes_after_the_answer_sends_nothing() {
     let over = [
-        (Wish::Over, End::Moot),
-        (Wish::Begun, End::Moot),
-        (Wish::Back, End::Unconnected),
+        (Wish::Over, AttemptEnd::NotNeeded),
+        (Wish::Begun, AttemptEnd::NotNeeded),
+        (Wish::Back, AttemptEnd::ConnectFailed),
     ];
     for (last, end) in over {
         let (wish, wishes) = watch::channel(Wish::Answer);
@@ -26,7 +26,7 @@
     );
     assert_eq!(
         promised(std::future::ready(false), wishes).await,
-        Err(End::Moot),
+        Err(AttemptEnd::NotNeeded),
         "no engine is at fault"
     );
 }
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -2,7 +2,7 @@
 //! knows its ways by. It hands facts over and decides nothing; `garnetwall_routing` does.
 
 use crate::discovery::EngineUpdate;
-use garnetwall::api::{Condition, EngineSet, FurtherBudget, Scope, ServiceGroup};
+use garnetwall::api::{DeduplicationScope, EndpointState, EngineSet, QueryClass, RetryBudget};
 use garnetwall_plan::model::{self, EngineFacts, Plan, FURTHER_FLOOR, FURTHER_WINDOW};
 use garnetwall_plan::{Settings, SettingsGroup};
 use garnetwall_routing::{Batch, Engines, Limits, Names, Over, Routing, Ticket, Verdict};
@@ -17,11 +17,11 @@
     let groups = names
         .groups
         .iter()
-        .zip(&decoded.settings.groups)
+        .zip(&decoded.settings.classes)
         .map(|(name, group)| SettingsGroup {
             name: name.clone(),
-            goal: crate::clock::span(group.goal),
-            limit: crate::clock::span(group.limit),
+            goal: crate::clock::span(group.latency_objective),
+            limit: crate::clock::span(group.deadline),
             in_order: group.in_order,
             effect: effect(group),
             kinds: group.kinds.as_ref().map(|list| named(list, &names.kinds)),
@@ -42,16 +42,16 @@
         .collect()
 }
 
-fn effect(group: &ServiceGroup) -> model::Effect {
-    use garnetwall::api::Effect;
-    match group.effect {
-        Effect::Repeatable => model::Effect::Repeatable,
-        Effect::OnceOnly => model::Effect::OnceOnly,
-        Effect::Referenced { scope, window } => {
+fn effect(group: &QueryClass) -> model::Effect {
+    use garnetwall::api::Idempotency;
+    match group.idempotency {
+        Idempotency::Idempotent => model::Effect::Repeatable,
+        Idempotency::NonIdempotent => model::Effect::OnceOnly,
+        Idempotency::IdempotentByKey { scope, window } => {
             let scope = match scope {
-                Scope::Everywhere => model::Scope::Everywhere,
-                Scope::Zone => model::Scope::Zone,
-                Scope::Cell => model::Scope::Cell,
+                DeduplicationScope::Everywhere => model::Scope::Everywhere,
+                DeduplicationScope::Zone => model::Scope::Zone,
+                DeduplicationScope::Cell => model::Scope::Cell,
             };
             model::Effect::Referenced {
                 scope,
@@ -62,33 +62,33 @@
 }
 
 /// The service groups with a plan's rules put in. The time limit stays: the plan's is a batch's own.
-pub fn narrowed(groups: &[ServiceGroup], names: &[String], plan: &Plan) -> Vec<ServiceGroup> {
-    use garnetwall::api::Effect;
-    let one = |(group, name): (&ServiceGroup, &String)| {
+pub fn narrowed(groups: &[QueryClass], names: &[String], plan: &Plan) -> Vec<QueryClass> {
+    use garnetwall::api::Idempotency;
+    let one = |(group, name): (&QueryClass, &String)| {
         let mut group = group.clone();
         let Some(rules) = plan.group(name) else {
             return group;
         };
         if let Some(goal) = rules.goal {
-            (group.goal, group.goal_stretch) = (goal.as_secs_f64(), 0.0);
+            (group.latency_objective, group.latency_objective_stretch) = (goal.as_secs_f64(), 0.0);
         }
         group.in_order |= rules.in_order == Some(true);
-        group.further = rules.further.map(|per_batch| FurtherBudget {
+        group.retry_budget = rules.further.map(|per_batch| RetryBudget {
             floor: FURTHER_FLOOR,
-            per_batch,
+            per_query: per_batch,
             window: FURTHER_WINDOW,
         });
-        group.effect = match rules.effect {
-            None => group.effect,
-            Some(model::Effect::Repeatable) => Effect::Repeatable,
-            Some(model::Effect::OnceOnly) => Effect::OnceOnly,
+        group.idempotency = match rules.effect {
+            None => group.idempotency,
+            Some(model::Effect::Repeatable) => Idempotency::Idempotent,
+            Some(model::Effect::OnceOnly) => Idempotency::NonIdempotent,
             Some(model::Effect::Referenced { scope, window }) => {
                 let scope = match scope {
-                    model::Scope::Everywhere => Scope::Everywhere,
-                    model::Scope::Zone => Scope::Zone,
-                    model::Scope::Cell => Scope::Cell,
+                    model::Scope::Everywhere => DeduplicationScope::Everywhere,
+                    model::Scope::Zone => DeduplicationScope::Zone,
+                    model::Scope::Cell => DeduplicationScope::Cell,
                 };
-                Effect::Referenced {
+                Idempotency::IdempotentByKey {
                     scope,
                     window: window.as_secs_f64(),
                 }
@@ -206,7 +206,7 @@
             let engine = line.listed.engine;
             self.listed
                 .resize_with(self.listed.len().max(engine + 1), || None);
-            let here = line.listed.condition != Condition::Gone;
+            let here = line.listed.state != EndpointState::Removed;
             self.listed[engine] = here.then(|| line.clone());
             self.place(engine);
         }
--- a/crates/gateway/tests/world/day.rs
+++ b/crates/gateway/tests/world/day.rs
@@ -1,9 +1,9 @@
 //! The day that is played: batches come, clients leave, lists are told, until all is over.
 
 use super::figures::{DAY, STEP};
-use super::gateway::Query;
+use super::gateway::QueryRecord;
 use super::{seconds, Rule, Slip, World};
-use garnetwall::api::{Batch, BatchId};
+use garnetwall::api::{Query, QueryId};
 
 impl World {
     fn comes(&mut self, waiting: &mut Vec<(usize, Option<u64>, u64)>) {
@@ -12,9 +12,9 @@
     }
 
     fn take(&mut self, place: usize, group: usize, key: Option<u64>, came: u64) {
-        let id = self.queries.len() as BatchId;
+        let id = self.queries.len() as QueryId;
         let limit = came + if self.rng.one_in(6) { 900 } else { 5000 };
-        let held = Query {
+        let held = QueryRecord {
             group,
             key,
             place,
@@ -26,18 +26,18 @@
         self.queries.push(held);
         let left = limit.saturating_sub(self.now) as f64 / 1000.0;
         let data_set = id % 3;
-        let b = Batch {
+        let b = Query {
             id,
-            group,
+            class: group,
             tenant: 0,
-            key,
-            left,
-            cost: None,
-            memory: None,
+            ordering_key: key,
+            remaining_time: left,
+            estimated_work: None,
+            estimated_memory: None,
             data_set,
-            lane: None,
+            endpoint_subset: None,
         };
-        self.control.take(seconds(self.now), b);
+        self.control.admit(seconds(self.now), b);
     }
 
     fn leaves(&mut self) {
@@ -45,7 +45,7 @@
         let h = &mut self.queries[n];
         if h.answered.is_none() && !h.left {
             h.left = true;
-            self.control.client_gone(seconds(self.now), n as BatchId);
+            self.control.client_left(seconds(self.now), n as QueryId);
         }
     }
 
@@ -60,11 +60,11 @@
             }
             if !self.is_starved() {
                 for engine in 0..self.processes.len() {
-                    let before = self.line(engine, told).map(|l| l.condition);
+                    let before = self.line(engine, told).map(|l| l.state);
                     let line = self
                         .line(engine, self.now)
-                        .filter(|l| before != Some(l.condition));
-                    self.control.listed(line.as_slice(), false);
+                        .filter(|l| before != Some(l.state));
+                    self.control.update_endpoints(line.as_slice(), false);
                 }
                 told = self.now;
                 let mut came: Vec<_> = waiting.drain(..).enumerate().collect();
--- a/crates/gateway/tests/world/engines.rs
+++ b/crates/gateway/tests/world/engines.rs
@@ -3,7 +3,7 @@
 use super::figures::{LONGEST_DEADLINE, POLL_HOLD, UNASKED_RUN};
 use super::gateway::{Attempt, Call, Reply};
 use super::World;
-use garnetwall::api::BatchId;
+use garnetwall::api::QueryId;
 
 /// A process of an engine as it really is. Its address is that of the slot; who listens there is found by time.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +28,7 @@
 
 /// What an engine made of an attempt.
 pub(super) struct Execution {
-    pub(super) batch: BatchId,
+    pub(super) batch: QueryId,
     pub(super) process: usize,
     pub(super) from: u64,
     pub(super) ends: u64,
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -3,7 +3,7 @@
 use super::figures::{CONNECT_TIMEOUT, POLL_HOLD, SLACK, STEP};
 use super::gateway::{Call, Doing, Reply};
 use super::{Slip, World};
-use garnetwall::api::End;
+use garnetwall::api::AttemptEnd;
 use garnetwall_ledger::{weigh, Fact, Lost, Next as Then, Step, Verdict};
 
 impl World {
@@ -18,7 +18,7 @@
                 }
             );
             if !unsent || self.slip == Slip::StartsLate {
-                self.in_doubt(n, End::TimedOut);
+                self.in_doubt(n, AttemptEnd::TimedOut);
             }
         }
         match self.attempts[n].doing {
@@ -41,10 +41,17 @@
                 match self.ledger.next(now, id) {
                     Then::Over(proof) => {
                         let never = proof == garnetwall_ledger::Proof::NeverCame;
-                        let end = self.attempts[n].end.unwrap_or(End::Withdrawn);
-                        self.over(n, if never { End::Unconnected } else { end });
+                        let end = self.attempts[n].end.unwrap_or(AttemptEnd::Cancelled);
+                        self.over(
+                            n,
+                            if never {
+                                AttemptEnd::ConnectFailed
+                            } else {
+                                end
+                            },
+                        );
                     }
-                    _ if trusted => self.over(n, End::Broken),
+                    _ if trusted => self.over(n, AttemptEnd::ConnectionLost),
                     Then::Wait(_) => {}
                     Then::FindOut => {
                         self.attempts[n].doing = Doing::Connects {
@@ -69,9 +76,9 @@
             return self.over(
                 n,
                 if self.attempts[n].late {
-                    End::Moot
+                    AttemptEnd::NotNeeded
                 } else {
-                    End::Unconnected
+                    AttemptEnd::ConnectFailed
                 },
             );
         }
@@ -154,15 +161,15 @@
                 self.over(
                     n,
                     if unwanted {
-                        End::Withdrawn
+                        AttemptEnd::Cancelled
                     } else {
-                        End::Returned
+                        AttemptEnd::Succeeded
                     },
                 );
             }
             Reply::Full => {
                 self.tell(n, Fact::Ended);
-                self.over(n, End::Full);
+                self.over(n, AttemptEnd::Rejected);
             }
             Reply::Unknown => {
                 self.tell(n, Fact::Failed(on));
@@ -173,8 +180,8 @@
                 let over =
                     self.ledger.may_run_until(id).is_none() || self.slip == Slip::TrustsAddresses;
                 match weigh(call == Call::Start, true, over) {
-                    Verdict::AsTold => self.over(n, End::Errored),
-                    Verdict::CutShort => self.over(n, End::Broken),
+                    Verdict::AsTold => self.over(n, AttemptEnd::Failed),
+                    Verdict::CutShort => self.over(n, AttemptEnd::ConnectionLost),
                     Verdict::InDoubt => self.doubts(n),
                 }
             }
@@ -187,7 +194,7 @@
                 self.attempts[n].asking.heard(now);
                 match self.attempts[n].unwanted {
                     _ if self.attempts[n].end.is_some() => self.attempts[n].doing = Doing::GivesUp,
-                    true => self.give_up(n, End::Withdrawn),
+                    true => self.give_up(n, AttemptEnd::Cancelled),
                     false => {
                         self.attempts[n].doing = Doing::Connects {
                             since: self.now,
@@ -220,10 +227,10 @@
         }
         if call == Call::Start && !self.attempts[n].may_have_come {
             self.tell(n, Fact::NeverCame);
-            return self.over(n, End::Unconnected);
+            return self.over(n, AttemptEnd::ConnectFailed);
         }
         if self.attempts[n].unwanted {
-            return self.give_up(n, End::Withdrawn);
+            return self.give_up(n, AttemptEnd::Cancelled);
         }
         let now = self.ledger_now();
         match self.attempts[n].asking.lost(now, how) {
--- a/crates/gateway/tests/world/figures.rs
+++ b/crates/gateway/tests/world/figures.rs
@@ -1,6 +1,6 @@
 //! The figures of the world: times in milliseconds of the day that is played, and the rules in force.
 
-use garnetwall::api::{ColdRule, FurtherBudget};
+use garnetwall::api::{RetryBudget, SlowStart};
 use garnetwall_ledger::Bounds;
 use std::time::Duration;
 
@@ -31,16 +31,16 @@
 pub(super) const NON_IDEMPOTENT: usize = 1;
 /// How long engines know an idempotency key, in seconds.
 pub(super) const IDEMPOTENCY_WINDOW: f64 = 1.5;
-pub(super) const SLOW_START: ColdRule = ColdRule {
-    starts_at: 0.4,
-    warm_after: 6.0,
-    multiple: 3.0,
+pub(super) const SLOW_START: SlowStart = SlowStart {
+    initial_fraction: 0.4,
+    duration: 6.0,
+    overload_multiple: 3.0,
     window: 2.0,
 };
 /// Of an engine.
 pub(super) const CORES: f64 = 2.0;
-pub(super) const RETRY_BUDGET: FurtherBudget = FurtherBudget {
+pub(super) const RETRY_BUDGET: RetryBudget = RetryBudget {
     floor: 2.0,
-    per_batch: 0.2,
+    per_query: 0.2,
     window: 3.0,
 };
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -42,7 +42,7 @@
 
 /// An attempt as the gateway sees it.
 pub(super) struct Attempt {
-    pub(super) batch: BatchId,
+    pub(super) batch: QueryId,
     pub(super) engine: EngineId,
     pub(super) number: u32,
     pub(super) id: DispatchId,
@@ -60,11 +60,11 @@
     pub(super) unwanted: bool,
     pub(super) late: bool,
     /// What the module is told once it is proved over.
-    pub(super) end: Option<End>,
+    pub(super) end: Option<AttemptEnd>,
 }
 
 /// A query in hand, or one that is over.
-pub(super) struct Query {
+pub(super) struct QueryRecord {
     pub(super) group: usize,
     pub(super) key: Option<u64>,
     /// Where it stands among all that came.
@@ -85,10 +85,10 @@
 
     fn pump(&mut self) {
         loop {
-            match self.control.wait(seconds(self.now)) {
-                Wait::For(_) => return,
-                Wait::Subscribe | Wait::Probe(_) => {}
-                Wait::Cancel(id, n) => {
+            match self.control.next_action(seconds(self.now)) {
+                NextAction::Wait(_) => return,
+                NextAction::Subscribe | NextAction::HealthCheck(_) => {}
+                NextAction::Cancel(id, n) => {
                     if let Some(o) = self
                         .attempts
                         .iter_mut()
@@ -97,26 +97,28 @@
                         o.unwanted = true;
                     }
                 }
-                Wait::Ask(id) => match self.control.place(seconds(self.now), id) {
-                    Place::NotYet => {}
-                    Place::Over(answer) => self.answer(id, answer),
-                    Place::To {
-                        engine, time_out, ..
+                NextAction::Place(id) => match self.control.place(seconds(self.now), id) {
+                    Placement::Wait => {}
+                    Placement::Answer(answer) => self.answer(id, answer),
+                    Placement::Attempt {
+                        engine,
+                        response_timeout: time_out,
+                        ..
                     } => self.send(id, engine, time_out),
                 },
             }
         }
     }
 
-    pub(super) fn answer(&mut self, id: BatchId, answer: Answer) {
-        let pushed_back = matches!(answer, Answer::PushBack { .. });
+    pub(super) fn answer(&mut self, id: QueryId, answer: FinalAnswer) {
+        let pushed_back = matches!(answer, FinalAnswer::Rejected { .. });
         if self.slip == Slip::LosesAnswers && self.rng.one_in(20) {
             return;
         }
         self.answered(id, pushed_back);
     }
 
-    pub(super) fn answered(&mut self, id: BatchId, pushed_back: bool) {
+    pub(super) fn answered(&mut self, id: QueryId, pushed_back: bool) {
         let (now, starved) = (self.now, self.starved);
         let h = &mut self.queries[id as usize];
         if h.left {
@@ -145,7 +147,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, id: BatchId, engine: EngineId, time_out: f64) {
+    pub(super) fn send(&mut self, id: QueryId, engine: EngineId, time_out: f64) {
         self.judge_send(id, engine);
         let now = self.now;
         let h = &mut self.queries[id as usize];
@@ -186,58 +188,60 @@
         self.ledger.tell(now, self.attempts[n].id, fact);
     }
 
-    fn outcome(&self, n: usize, end: End) -> Outcome {
+    fn outcome(&self, n: usize, end: AttemptEnd) -> AttemptOutcome {
         let o = &self.attempts[n];
         let closed = self.queries[o.batch as usize].answered.is_some()
             || self.queries[o.batch as usize].left;
         let latency = (self.now - o.sent) as f64 / 1000.0;
-        let work = (end == End::Returned).then_some(latency);
-        Outcome {
+        let work = (end == AttemptEnd::Succeeded).then_some(latency);
+        AttemptOutcome {
             engine: o.engine,
-            dispatch: o.number,
+            attempt: o.number,
             end,
             latency,
-            closed,
+            query_finished: closed,
             work,
             memory: None,
         }
     }
 
-    pub(super) fn in_doubt(&mut self, n: usize, end: End) {
+    pub(super) fn in_doubt(&mut self, n: usize, end: AttemptEnd) {
         let (id, outcome) = (self.attempts[n].batch, self.outcome(n, end));
-        if let Next::Over(answer) = self.control.in_doubt(seconds(self.now), id, outcome) {
+        if let FollowUp::Answer(answer) =
+            self.control.outcome_unknown(seconds(self.now), id, outcome)
+        {
             self.answer(id, answer);
         }
     }
 
     /// The dispatch is over as far as the gateway can know.
-    pub(super) fn over(&mut self, n: usize, end: End) {
-        let end = if self.attempts[n].late && end != End::Moot {
-            End::TimedOut
+    pub(super) fn over(&mut self, n: usize, end: AttemptEnd) {
+        let end = if self.attempts[n].late && end != AttemptEnd::NotNeeded {
+            AttemptEnd::TimedOut
         } else {
             end
         };
         let (id, outcome) = (self.attempts[n].batch, self.outcome(n, end));
-        let closed = outcome.closed;
-        let next = self.control.after(seconds(self.now), id, outcome);
+        let closed = outcome.query_finished;
+        let next = self.control.attempt_ended(seconds(self.now), id, outcome);
         self.ledger.close(self.attempts[n].id);
         self.attempts.remove(n);
         match next {
-            _ if end == End::Returned && !closed => self.answered(id, false),
-            Next::Over(answer) => self.answer(id, answer),
-            Next::Nothing => {}
+            _ if end == AttemptEnd::Succeeded && !closed => self.answered(id, false),
+            FollowUp::Answer(answer) => self.answer(id, answer),
+            FollowUp::Nothing => {}
         }
     }
 
-    pub(super) fn give_up(&mut self, n: usize, end: End) {
+    pub(super) fn give_up(&mut self, n: usize, end: AttemptEnd) {
         self.attempts[n].end = Some(end);
         self.attempts[n].doing = Doing::GivesUp;
     }
 
     pub(super) fn doubts(&mut self, n: usize) {
         if !self.attempts[n].unwanted {
-            self.in_doubt(n, End::Broken);
+            self.in_doubt(n, AttemptEnd::ConnectionLost);
         }
-        self.give_up(n, End::Broken);
+        self.give_up(n, AttemptEnd::ConnectionLost);
     }
 }
--- a/crates/gateway/tests/world/judge.rs
+++ b/crates/gateway/tests/world/judge.rs
@@ -5,7 +5,7 @@
     CORES, IDEMPOTENCY_WINDOW, KEY_REST, NON_IDEMPOTENT, RETRY_BUDGET, SLACK, SLOW_START,
 };
 use super::World;
-use garnetwall::api::{BatchId, EngineId};
+use garnetwall::api::{EngineId, QueryId};
 
 /// A rule broken in the world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     }
 
     /// As the gateway decides to send.
-    pub(super) fn judge_send(&mut self, id: BatchId, engine: EngineId) {
+    pub(super) fn judge_send(&mut self, id: QueryId, engine: EngineId) {
         let (now, h, p) = (self.now, &self.queries[id as usize], self.processes[engine]);
         let (group, first) = (h.group, h.dispatches.is_empty());
         if h.answered.is_some() || h.left {
@@ -49,20 +49,20 @@
             let since = now.saturating_sub((RETRY_BUDGET.window * 1000.0) as u64);
             let made = self.retries.iter().filter(|t| **t >= since).count() as f64;
             let taken = self.queries.len() as f64;
-            if made > RETRY_BUDGET.floor + RETRY_BUDGET.per_batch * taken {
+            if made > RETRY_BUDGET.floor + RETRY_BUDGET.per_query * taken {
                 self.breaks(Rule::Budget, format!("{made} further dispatches"));
             }
         }
         // Work of the first guess a batch; half as much again for chance.
-        let warm = p.up + (SLOW_START.warm_after * 1000.0) as u64;
+        let warm = p.up + (SLOW_START.duration * 1000.0) as u64;
         if p.up > 0 && now < warm {
             let since = now.saturating_sub((SLOW_START.window * 1000.0) as u64);
             let sent = self.queries.iter().flat_map(|b| &b.dispatches);
             let sent = sent.filter(|(at, e)| *at >= since && *e == engine).count() as f64 + 1.0;
-            let able = SLOW_START.starts_at
-                + (1.0 - SLOW_START.starts_at) * (now.saturating_sub(p.up)) as f64
+            let able = SLOW_START.initial_fraction
+                + (1.0 - SLOW_START.initial_fraction) * (now.saturating_sub(p.up)) as f64
                     / (warm - p.up) as f64;
-            if sent * 0.5 > SLOW_START.multiple * able * CORES * SLOW_START.window {
+            if sent * 0.5 > SLOW_START.overload_multiple * able * CORES * SLOW_START.window {
                 self.breaks(
                     Rule::Cold,
                     format!("{sent} batches in a window to engine {engine}"),
@@ -72,7 +72,7 @@
     }
 
     /// As a start comes whole to a process, which runs it from now on.
-    pub(super) fn judge_start(&mut self, id: BatchId, process: usize) {
+    pub(super) fn judge_start(&mut self, id: QueryId, process: usize) {
         let h = &self.queries[id as usize];
         let ended = h.answered.map(|(at, _)| at).filter(|at| *at < self.now);
         if let Some(at) = ended {
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -10,10 +10,10 @@
 mod start;
 
 use engines::{Execution, Process, Slot};
-use garnetwall::api::{Condition, EngineId, Listed};
-use garnetwall::control::Control;
+use garnetwall::api::{Endpoint, EndpointState, EngineId};
+use garnetwall::controller::AdmissionController;
 use garnetwall_ledger::Ledger;
-use gateway::{Attempt, Query};
+use gateway::{Attempt, QueryRecord};
 use random::Rng;
 use std::time::Duration;
 
@@ -43,13 +43,13 @@
     rng: Rng,
     now: u64,
     starved: (u64, u64),
-    control: Control,
+    control: AdmissionController,
     ledger: Ledger,
     processes: Vec<Process>,
     slots: Vec<Slot>,
     executions: Vec<Execution>,
     attempts: Vec<Attempt>,
-    queries: Vec<Query>,
+    queries: Vec<QueryRecord>,
     retries: Vec<u64>,
     broken: Vec<(Rule, String)>,
 }
@@ -64,23 +64,23 @@
     }
 
     /// What the list says of a process at a time.
-    pub(super) fn line(&self, engine: EngineId, at: u64) -> Option<Listed> {
+    pub(super) fn line(&self, engine: EngineId, at: u64) -> Option<Endpoint> {
         let p = &self.processes[engine];
         let condition = match at {
             _ if at < p.told_up => return None,
-            _ if at >= p.told_gone => Condition::Gone,
-            _ if at >= p.told && self.slip != Slip::OverlooksDrains => Condition::Draining,
-            _ => Condition::Ready,
+            _ if at >= p.told_gone => EndpointState::Removed,
+            _ if at >= p.told && self.slip != Slip::OverlooksDrains => EndpointState::Draining,
+            _ => EndpointState::Ready,
         };
         let came_up = (p.up > 0).then(|| seconds(p.up));
-        Some(Listed {
+        Some(Endpoint {
             engine,
             zone: self.zone(engine),
             kind: 0,
             cell: p.slot as u32,
-            came_up,
-            condition,
-            holders: None,
+            started_at: came_up,
+            state: condition,
+            gateways: None,
         })
     }
 
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -7,7 +7,7 @@
 use super::random::Rng;
 use super::{seconds, Slip, World};
 use garnetwall::api::*;
-use garnetwall::control::Control;
+use garnetwall::controller::AdmissionController;
 use garnetwall_ledger::{Bounds, Ledger};
 
 impl World {
@@ -67,32 +67,32 @@
             }
         });
         let slots = slots.collect();
-        let referenced = Effect::Referenced {
-            scope: Scope::Zone,
+        let referenced = Idempotency::IdempotentByKey {
+            scope: DeduplicationScope::Zone,
             window: IDEMPOTENCY_WINDOW,
         };
         let mut groups = vec![
-            group(Effect::Repeatable, false),
-            group(Effect::OnceOnly, true),
+            group(Idempotency::Idempotent, false),
+            group(Idempotency::NonIdempotent, true),
             group(referenced, true),
         ];
         groups[0].zones = (slip != Slip::OverlooksZones).then(|| vec![0]);
         let settings = Settings {
-            groups,
+            classes: groups,
             tenants: 1,
             gateways: 1.0,
             kind_cores: vec![Some(CORES)],
-            may_cancel: true,
-            names_return: true,
-            longest_return: 1.0,
-            max_dispatches: 4,
-            key_rest: if slip == Slip::RestsNoKeys {
+            cancellation_allowed: true,
+            retry_after_allowed: true,
+            max_retry_after: 1.0,
+            max_attempts: 4,
+            key_pause: if slip == Slip::RestsNoKeys {
                 0.0
             } else {
                 KEY_REST as f64 / 1000.0
             },
-            further: (slip != Slip::OverlooksBudget).then_some(RETRY_BUDGET),
-            cold: (slip != Slip::OverlooksColdness).then_some(SLOW_START),
+            retry_budget: (slip != Slip::OverlooksBudget).then_some(RETRY_BUDGET),
+            slow_start: (slip != Slip::OverlooksColdness).then_some(SLOW_START),
             ..Settings::default()
         };
         let starved = rng.between(1000, DAY);
@@ -111,7 +111,7 @@
             notes,
             now: 0,
             starved,
-            control: Control::new(settings, seed | 1, seconds(0)),
+            control: AdmissionController::new(settings, seed | 1, seconds(0)),
             ledger: Ledger::new(bounds),
             processes,
             slots,
@@ -122,28 +122,28 @@
             broken: Vec::new(),
             rng,
         };
-        let lines: Vec<Listed> = (0..world.processes.len())
+        let lines: Vec<Endpoint> = (0..world.processes.len())
             .filter_map(|e| world.line(e, 0))
             .collect();
-        world.control.listed(&lines, true);
+        world.control.update_endpoints(&lines, true);
         world
     }
 }
 
-fn group(effect: Effect, in_order: bool) -> ServiceGroup {
-    ServiceGroup {
-        goal: 2.0,
-        goal_stretch: 2.0,
-        limit: 5.0,
-        utility: 1.0,
-        late_share: 0.5,
-        effect,
+fn group(effect: Idempotency, in_order: bool) -> QueryClass {
+    QueryClass {
+        latency_objective: 2.0,
+        latency_objective_stretch: 2.0,
+        deadline: 5.0,
+        priority_weight: 1.0,
+        late_value_share: 0.5,
+        idempotency: effect,
         in_order,
         zones: None,
         kinds: None,
         threads: 1.0,
         is_load: false,
         waits_for_loads: false,
-        further: None,
+        retry_budget: None,
     }
 }
--- a/crates/scale/src/beside/hollow.rs
+++ b/crates/scale/src/beside/hollow.rs
@@ -1,9 +1,10 @@
 //! One hollow gateway without neighbours: the decision module alone, at the rate and with the list of a real one.
 
 use garnetwall::api::{
-    Batch, Condition, End, Listed, Next, Outcome, Place, Report, Settings, Wait,
+    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, LoadReport, NextAction,
+    Placement, Query, Settings,
 };
-use garnetwall::control::Control;
+use garnetwall::controller::AdmissionController;
 use garnetwall_subset::{Catalog, EngineLine};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -40,7 +41,7 @@
 
 /// What a hollow gateway holds.
 struct Held {
-    module: Control,
+    module: AdmissionController,
     /// The whole list, beside a subset of it.
     _catalog: Option<Catalog>,
 }
@@ -49,7 +50,7 @@
 /// list as well.
 pub fn cost(
     settings: &Settings,
-    lines: &[Listed],
+    lines: &[Endpoint],
     whole_list: Option<&[EngineLine]>,
     load: Load,
 ) -> std::io::Result<Cost> {
@@ -80,12 +81,12 @@
 
 fn hold(
     settings: &Settings,
-    lines: &[Listed],
+    lines: &[Endpoint],
     whole_list: Option<&[EngineLine]>,
     seed: u64,
 ) -> Held {
-    let mut module = Control::new(settings.clone(), seed, 0.0);
-    module.listed(lines, true);
+    let mut module = AdmissionController::new(settings.clone(), seed, 0.0);
+    module.update_endpoints(lines, true);
     let _catalog = whole_list.map(|whole_list| {
         let mut catalog = Catalog::default();
         catalog.apply(whole_list, true);
@@ -95,21 +96,21 @@
 }
 
 /// Lines of so many engines that serve.
-pub fn lines(engines: usize, zones: usize, holders: Option<f64>) -> Vec<Listed> {
-    let line = |engine: usize| Listed {
+pub fn lines(engines: usize, zones: usize, holders: Option<f64>) -> Vec<Endpoint> {
+    let line = |engine: usize| Endpoint {
         engine,
         zone: (engine % zones) as u32,
         kind: 0,
         cell: 0,
-        came_up: None,
-        condition: Condition::Ready,
-        holders,
+        started_at: None,
+        state: EndpointState::Ready,
+        gateways: holders,
     };
     (0..engines).map(line).collect()
 }
 
 struct Hollow {
-    module: Control,
+    module: AdmissionController,
     load: Load,
     now: f64,
     /// When attempts end, in microseconds, with their query and engine.
@@ -148,43 +149,44 @@
     }
 
     fn take(&mut self, id: u32) {
-        let batch = Batch {
+        let batch = Query {
             id,
-            group: GROUP,
+            class: GROUP,
             tenant: 0,
-            key: None,
-            left: LIMIT,
-            cost: None,
-            memory: None,
+            ordering_key: None,
+            remaining_time: LIMIT,
+            estimated_work: None,
+            estimated_memory: None,
             data_set: id % 50,
-            lane: None,
+            endpoint_subset: None,
         };
-        self.module.take(self.now, batch);
+        self.module.admit(self.now, batch);
     }
 
     /// Does what is due, and tells how long nothing is.
     fn decide(&mut self) -> f64 {
         for _ in 0..MOST_DECISIONS {
-            match self.module.wait(self.now) {
-                Wait::For(seconds) => return seconds,
-                Wait::Ask(id) => self.place(id),
-                Wait::Probe(engine) => {
-                    let report = Report {
-                        utilisation: Some(0.1),
-                        waiting: Some(0.0),
-                        ..Report::default()
+            match self.module.next_action(self.now) {
+                NextAction::Wait(seconds) => return seconds,
+                NextAction::Place(id) => self.place(id),
+                NextAction::HealthCheck(engine) => {
+                    let report = LoadReport {
+                        cpu_utilisation: Some(0.1),
+                        waiting_for_memory: Some(0.0),
+                        ..LoadReport::default()
                     };
-                    self.module.report(self.now, engine, report);
-                    self.module.probed(self.now, engine, End::Returned);
+                    self.module.load_reported(self.now, engine, report);
+                    self.module
+                        .health_check_ended(self.now, engine, AttemptEnd::Succeeded);
                 }
-                Wait::Cancel(..) | Wait::Subscribe => {}
+                NextAction::Cancel(..) | NextAction::Subscribe => {}
             }
         }
         1.0 / MICROSECONDS
     }
 
     fn place(&mut self, id: u32) {
-        if let Place::To { engine, .. } = self.module.place(self.now, id) {
+        if let Placement::Attempt { engine, .. } = self.module.place(self.now, id) {
             let at = ((self.now + self.load.work_seconds) * MICROSECONDS) as u64;
             self.ends.push(Reverse((at, id, engine)));
         }
@@ -192,17 +194,18 @@
 
     fn end(&mut self, id: u32, engine: usize) {
         let work = Some(self.load.work_seconds);
-        let outcome = Outcome {
+        let outcome = AttemptOutcome {
             engine,
-            dispatch: 1,
-            end: End::Returned,
+            attempt: 1,
+            end: AttemptEnd::Succeeded,
             latency: self.load.work_seconds,
-            closed: false,
+            query_finished: false,
             work,
             memory: None,
         };
         // Whoever succeeds is over.
-        let (Next::Nothing | Next::Over(_)) = self.module.after(self.now, id, outcome);
+        let (FollowUp::Nothing | FollowUp::Answer(_)) =
+            self.module.attempt_ended(self.now, id, outcome);
     }
 }
 
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -1,7 +1,7 @@
 //! What can happen in the simulation.
 
 use super::engine::AttemptKey;
-use garnetwall::api::End;
+use garnetwall::api::AttemptEnd;
 
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
@@ -39,7 +39,7 @@
     /// A gateway learns that an attempt has failed.
     AttemptFails {
         key: AttemptKey,
-        end: End,
+        end: AttemptEnd,
     },
     /// What is staged goes out as one entry of the change log.
     PublishLines,
--- a/crates/scale/src/fleet/gateway.rs
+++ b/crates/scale/src/fleet/gateway.rs
@@ -12,9 +12,10 @@
 use super::surroundings::Surroundings;
 use super::time::SimTime;
 use garnetwall::api::{
-    Answer, Batch, BatchId, Condition, End, Listed, Next, Outcome, Place, Report, Wait,
+    self, AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, LoadReport, NextAction,
+    Placement, QueryId,
 };
-use garnetwall::control::Control;
+use garnetwall::controller::AdmissionController;
 use garnetwall_subset::{Action, Change, EngineKey, SubsetError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -56,20 +57,20 @@
     pub up: bool,
     pub cut: bool,
     pub clients: Clients,
-    next_query: BatchId,
+    next_query: QueryId,
     process: Option<Process>,
 }
 
 /// What a gateway's process holds, and loses when it ends.
 struct Process {
-    control: Control,
+    control: AdmissionController,
     membership: Membership,
     /// The list as last read, and the entry of the log up to which it was read.
     list: Rc<ListState>,
     read: usize,
     slots: Slots,
-    queries: BTreeMap<BatchId, OpenQuery>,
-    deadlines: BTreeSet<(SimTime, BatchId)>,
+    queries: BTreeMap<QueryId, OpenQuery>,
+    deadlines: BTreeSet<(SimTime, QueryId)>,
     wake_at: Option<SimTime>,
 }
 
@@ -99,7 +100,7 @@
         let read = around.log.latest();
         let list = Rc::clone(&around.log.entry(read).list);
         let process = Process {
-            control: Control::new(module_settings(&experiment), seed, now.seconds()),
+            control: AdmissionController::new(module_settings(&experiment), seed, now.seconds()),
             membership: Membership::new(&experiment, self.number as usize, self.zone)?,
             list: Rc::clone(&list),
             read,
@@ -172,7 +173,7 @@
         if around.log.entry(sequence).configuration != configuration_before {
             process
                 .control
-                .regroup(&module_settings(&around.experiment).groups);
+                .update_classes(&module_settings(&around.experiment).classes);
         }
         around.judge.delivered(now, self.number, sequence);
         self.change_members(now, &changes, around);
@@ -219,7 +220,7 @@
         let Some(process) = &mut self.process else {
             return;
         };
-        let lines: Vec<Listed> = restarted
+        let lines: Vec<Endpoint> = restarted
             .iter()
             .filter_map(|key| process.member_line(*key))
             .collect();
@@ -253,18 +254,18 @@
             open: None,
         };
         process.queries.insert(id, open);
-        let batch = Batch {
+        let batch = api::Query {
             id,
-            group: query.class,
+            class: query.class,
             tenant: 0,
-            key: query.key,
-            left,
-            cost: None,
-            memory: None,
+            ordering_key: query.key,
+            remaining_time: left,
+            estimated_work: None,
+            estimated_memory: None,
             data_set: 0,
-            lane: None,
+            endpoint_subset: None,
         };
-        process.control.take(now.seconds(), batch);
+        process.control.admit(now.seconds(), batch);
         self.pump(now, around);
     }
 
@@ -286,15 +287,16 @@
         &mut self,
         now: SimTime,
         key: AttemptKey,
-        end: End,
+        end: AttemptEnd,
         around: &mut Surroundings,
     ) {
         if self.life != key.life {
             return;
         }
-        let lost =
-            around.slips(Slip::AnswersLost) && key.query.is_multiple_of(2) && end == End::Returned;
-        let end = if lost { End::Errored } else { end };
+        let lost = around.slips(Slip::AnswersLost)
+            && key.query.is_multiple_of(2)
+            && end == AttemptEnd::Succeeded;
+        let end = if lost { AttemptEnd::Failed } else { end };
         self.attempt_over(now, key.query, key.attempt, end, around);
         self.pump(now, around);
     }
@@ -309,17 +311,17 @@
             let Some(process) = &mut self.process else {
                 return;
             };
-            match process.control.wait(now.seconds()) {
-                Wait::For(seconds) => {
+            match process.control.next_action(now.seconds()) {
+                NextAction::Wait(seconds) => {
                     self.schedule_wake(now, seconds, around);
                     return;
                 }
-                Wait::Subscribe => {}
-                Wait::Probe(slot) => process.probe(now, slot, around),
-                Wait::Cancel(id, attempt) => {
-                    self.attempt_over(now, id, attempt, End::Withdrawn, around)
+                NextAction::Subscribe => {}
+                NextAction::HealthCheck(slot) => process.probe(now, slot, around),
+                NextAction::Cancel(id, attempt) => {
+                    self.attempt_over(now, id, attempt, AttemptEnd::Cancelled, around)
                 }
-                Wait::Ask(id) => self.place(now, id, around),
+                NextAction::Place(id) => self.place(now, id, around),
             }
         }
         tracing::error!(
@@ -350,7 +352,7 @@
                 .as_ref()
                 .and_then(|process| process.open_attempt(id));
             match number {
-                Some(number) => self.attempt_over(now, id, number, End::TimedOut, around),
+                Some(number) => self.attempt_over(now, id, number, AttemptEnd::TimedOut, around),
                 None => drop(
                     self.process
                         .as_mut()
@@ -384,15 +386,17 @@
         }
     }
 
-    fn place(&mut self, now: SimTime, id: BatchId, around: &mut Surroundings) {
+    fn place(&mut self, now: SimTime, id: QueryId, around: &mut Surroundings) {
         let Some(process) = &mut self.process else {
             return;
         };
         match process.control.place(now.seconds(), id) {
-            Place::NotYet => {}
-            Place::Over(answer) => self.answer(now, id, answer, around),
-            Place::To {
-                engine, time_out, ..
+            Placement::Wait => {}
+            Placement::Answer(answer) => self.answer(now, id, answer, around),
+            Placement::Attempt {
+                engine,
+                response_timeout: time_out,
+                ..
             } => self.send(now, id, engine, time_out, around),
         }
     }
@@ -400,7 +404,7 @@
     fn send(
         &mut self,
         now: SimTime,
-        id: BatchId,
+        id: QueryId,
         slot: usize,
         time_out: f64,
         around: &mut Surroundings,
@@ -457,9 +461,9 @@
     fn attempt_over(
         &mut self,
         now: SimTime,
-        id: BatchId,
+        id: QueryId,
         attempt: u32,
-        end: End,
+        end: AttemptEnd,
         around: &mut Surroundings,
     ) {
         let Some(process) = &mut self.process else {
@@ -487,33 +491,39 @@
             around.withdraw(now, attempt_key, open.engine, done_at);
             around.judge.attempt_ended(name, key);
         }
-        if end == End::Returned {
+        if end == AttemptEnd::Succeeded {
             process.report(now, &open, around);
         }
-        let outcome = Outcome {
+        let outcome = AttemptOutcome {
             engine: open.slot,
-            dispatch: attempt,
+            attempt,
             end,
             latency: now.since(open.at),
-            closed: end == End::Returned,
-            work: (end == End::Returned).then_some(work),
+            query_finished: end == AttemptEnd::Succeeded,
+            work: (end == AttemptEnd::Succeeded).then_some(work),
             memory: None,
         };
-        let next = process.control.after(now.seconds(), id, outcome);
+        let next = process.control.attempt_ended(now.seconds(), id, outcome);
         process.let_go(now, &open, end, self.number, around);
         match next {
-            Next::Over(answer) => self.answer(now, id, answer, around),
-            Next::Nothing if end == End::Returned => {
+            FollowUp::Answer(answer) => self.answer(now, id, answer, around),
+            FollowUp::Nothing if end == AttemptEnd::Succeeded => {
                 self.finish(now, id, FinalAnswer::Succeeded, around)
             }
-            Next::Nothing => {}
+            FollowUp::Nothing => {}
         }
     }
 
-    fn answer(&mut self, now: SimTime, id: BatchId, answer: Answer, around: &mut Surroundings) {
+    fn answer(
+        &mut self,
+        now: SimTime,
+        id: QueryId,
+        answer: api::FinalAnswer,
+        around: &mut Surroundings,
+    ) {
         let answer = match answer {
-            Answer::PushBack { .. } => FinalAnswer::Rejected,
-            Answer::Error => FinalAnswer::Failed,
+            api::FinalAnswer::Rejected { .. } => FinalAnswer::Rejected,
+            api::FinalAnswer::Failed => FinalAnswer::Failed,
         };
         self.finish(now, id, answer, around);
     }
@@ -521,7 +531,7 @@
     fn finish(
         &mut self,
         now: SimTime,
-        id: BatchId,
+        id: QueryId,
         answer: FinalAnswer,
         around: &mut Surroundings,
     ) {
@@ -588,28 +598,28 @@
 }
 
 impl Process {
-    fn open_attempt(&self, id: BatchId) -> Option<u32> {
+    fn open_attempt(&self, id: QueryId) -> Option<u32> {
         self.queries.get(&id)?.open.map(|open| open.number)
     }
 
-    fn list(&mut self, lines: &[Listed]) {
+    fn list(&mut self, lines: &[Endpoint]) {
         if !lines.is_empty() {
-            self.control.listed(lines, false);
+            self.control.update_endpoints(lines, false);
         }
     }
 
     /// The line by which the module knows a member.
-    fn member_line(&mut self, key: EngineKey) -> Option<Listed> {
+    fn member_line(&mut self, key: EngineKey) -> Option<Endpoint> {
         let facts = self.list.catalog.facts(key)?;
         let (slot, member) = self.slots.joined(key)?;
-        let line = Listed {
+        let line = Endpoint {
             engine: slot,
             zone: facts.zone,
             kind: facts.kind as usize,
             cell: facts.cell,
-            came_up: self.list.started[member.engine].map(SimTime::seconds),
-            condition: Condition::Ready,
-            holders: Some(member.holders),
+            started_at: self.list.started[member.engine].map(SimTime::seconds),
+            state: EndpointState::Ready,
+            gateways: Some(member.holders),
         };
         member.line = Some(line);
         Some(line)
@@ -622,7 +632,7 @@
         action: Action,
         gateway: u32,
         around: &mut Surroundings,
-    ) -> Option<Listed> {
+    ) -> Option<Endpoint> {
         match action {
             Action::Warm(key) => {
                 let engine = self.list.engine(key)?;
@@ -666,8 +676,8 @@
                 if left.freed {
                     return Some(gone_line(left.slot));
                 }
-                left.line.map(|line| Listed {
-                    condition: Condition::Draining,
+                left.line.map(|line| Endpoint {
+                    state: EndpointState::Draining,
                     ..line
                 })
             }
@@ -676,11 +686,11 @@
 
     fn report(&mut self, now: SimTime, open: &OpenAttempt, around: &Surroundings) {
         let utilisation = around.engines[open.engine].utilisation(&around.experiment.cold, now);
-        let report = Report {
-            utilisation: Some(utilisation),
-            ..Report::default()
+        let report = LoadReport {
+            cpu_utilisation: Some(utilisation),
+            ..LoadReport::default()
         };
-        self.control.report(now.seconds(), open.slot, report);
+        self.control.load_reported(now.seconds(), open.slot, report);
     }
 
     fn probe(&mut self, now: SimTime, slot: usize, around: &Surroundings) {
@@ -689,11 +699,11 @@
             .get(slot)
             .is_none_or(|member| around.engines[member.engine].reachable());
         let end = if reached {
-            End::Returned
+            AttemptEnd::Succeeded
         } else {
-            End::Unconnected
+            AttemptEnd::ConnectFailed
         };
-        self.control.probed(now.seconds(), slot, end);
+        self.control.health_check_ended(now.seconds(), slot, end);
     }
 
     /// An attempt is over: the subset hears how it went, and a member that left may be forgotten.
@@ -701,19 +711,23 @@
         &mut self,
         now: SimTime,
         open: &OpenAttempt,
-        end: End,
+        end: AttemptEnd,
         gateway: u32,
         around: &mut Surroundings,
     ) {
         let Some(let_go) = self.slots.attempt_over(open.slot) else {
             return;
         };
-        let failed = matches!(end, End::Unconnected | End::Broken | End::TimedOut);
-        if failed || end == End::Returned {
+        let failed = matches!(
+            end,
+            AttemptEnd::ConnectFailed | AttemptEnd::ConnectionLost | AttemptEnd::TimedOut
+        );
+        if failed || end == AttemptEnd::Succeeded {
             self.membership.attempted(now.seconds(), let_go.key, failed);
         }
         if let_go.freed {
-            self.control.listed(&[gone_line(open.slot)], false);
+            self.control
+                .update_endpoints(&[gone_line(open.slot)], false);
             around.judge.disconnected(gateway, open.engine);
         }
     }
@@ -721,16 +735,16 @@
 
 /// Nothing is known at this index. It tells of no start, so that the module forgets what it knew when the index is used
 /// again.
-fn gone_line(slot: usize) -> Listed {
-    let condition = Condition::Gone;
-    Listed {
+fn gone_line(slot: usize) -> Endpoint {
+    let condition = EndpointState::Removed;
+    Endpoint {
         engine: slot,
         zone: 0,
         kind: 0,
         cell: 0,
-        came_up: None,
-        condition,
-        holders: None,
+        started_at: None,
+        state: condition,
+        gateways: None,
     }
 }
 
--- a/crates/scale/src/fleet/module_settings.rs
+++ b/crates/scale/src/fleet/module_settings.rs
@@ -2,7 +2,7 @@
 
 use super::experiment::{Experiment, QueryClass};
 use super::slip::Slip;
-use garnetwall::api::{ColdRule, Effect, FurtherBudget, Reports, ServiceGroup, Settings};
+use garnetwall::api::{self, Idempotency, LoadReporting, RetryBudget, Settings, SlowStart};
 
 /// Goals stand at this share of the deadline; the mean of our deployments.
 const GOAL_SHARE: f64 = 1.0 / 3.0;
@@ -16,9 +16,9 @@
 pub fn module_settings(experiment: &Experiment) -> Settings {
     let slip = experiment.slip;
     let retries = &experiment.retries;
-    let budget = FurtherBudget {
+    let budget = RetryBudget {
         floor: retries.floor,
-        per_batch: retries.per_query,
+        per_query: retries.per_query,
         window: retries.window,
     };
     let cold = &experiment.cold;
@@ -27,18 +27,18 @@
     } else {
         1.0
     };
-    let cold_rule = ColdRule {
-        starts_at: cold.starts_at,
-        warm_after: cold.warm_after,
-        multiple: cold.multiple * cold_part,
+    let cold_rule = SlowStart {
+        initial_fraction: cold.starts_at,
+        duration: cold.warm_after,
+        overload_multiple: cold.multiple * cold_part,
         window: cold.window,
     };
     let holders_known = slip != Some(Slip::HoldersForgotten);
     Settings {
-        groups: experiment
+        classes: experiment
             .classes
             .iter()
-            .map(|class| service_group(class, slip))
+            .map(|class| query_class(class, slip))
             .collect(),
         tenants: 1,
         gateways: if holders_known {
@@ -53,33 +53,33 @@
             .copied()
             .map(Some)
             .collect(),
-        reports: Reports::WithAnswers,
-        may_probe: true,
-        may_cancel: true,
-        names_return: true,
-        longest_return: LONGEST_RETRY_AFTER,
-        max_dispatches: MOST_ATTEMPTS,
-        further: (slip != Some(Slip::BudgetForgotten)).then_some(budget),
-        cold: Some(cold_rule),
+        load_reporting: LoadReporting::WithAnswers,
+        health_checks_allowed: true,
+        cancellation_allowed: true,
+        retry_after_allowed: true,
+        max_retry_after: LONGEST_RETRY_AFTER,
+        max_attempts: MOST_ATTEMPTS,
+        retry_budget: (slip != Some(Slip::BudgetForgotten)).then_some(budget),
+        slow_start: Some(cold_rule),
         ..Settings::default()
     }
 }
 
-fn service_group(class: &QueryClass, slip: Option<Slip>) -> ServiceGroup {
+fn query_class(class: &QueryClass, slip: Option<Slip>) -> api::QueryClass {
     let placed = slip != Some(Slip::PlacementForgotten);
-    ServiceGroup {
-        goal: class.deadline * GOAL_SHARE,
-        goal_stretch: GOAL_STRETCH,
-        limit: class.deadline,
-        utility: 1.0,
-        late_share: LATE_SHARE,
-        effect: Effect::Repeatable,
+    api::QueryClass {
+        latency_objective: class.deadline * GOAL_SHARE,
+        latency_objective_stretch: GOAL_STRETCH,
+        deadline: class.deadline,
+        priority_weight: 1.0,
+        late_value_share: LATE_SHARE,
+        idempotency: Idempotency::Idempotent,
         in_order: class.keys > 0 && slip != Some(Slip::OrderForgotten),
         zones: class.zones.clone().filter(|_| placed),
         kinds: class.kinds.clone().filter(|_| placed),
         threads: 1.0,
         is_load: false,
         waits_for_loads: false,
-        further: None,
+        retry_budget: None,
     }
 }
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -1,7 +1,7 @@
 //! The dense indices under which a decision module knows the members of its subset. An index is used again only
 //! when nothing of its last engine is open.
 
-use garnetwall::api::{EngineId, Listed};
+use garnetwall::api::{Endpoint, EngineId};
 use garnetwall_subset::EngineKey;
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
     /// Whether it takes new ones.
     pub joined: bool,
     /// The line by which the module knows it.
-    pub line: Option<Listed>,
+    pub line: Option<Endpoint>,
 }
 
 #[derive(Default)]
@@ -30,7 +30,7 @@
     pub engine: usize,
     /// Nothing of it is open: its index may be used again.
     pub freed: bool,
-    pub line: Option<Listed>,
+    pub line: Option<Endpoint>,
 }
 
 /// A member of which an attempt is over.
--- a/crates/scale/src/fleet/surroundings.rs
+++ b/crates/scale/src/fleet/surroundings.rs
@@ -9,7 +9,7 @@
 use super::judge::{Judge, SeenAttempt};
 use super::slip::Slip;
 use super::time::SimTime;
-use garnetwall::api::End;
+use garnetwall::api::AttemptEnd;
 use garnetwall_subset::{Condition, EngineFacts};
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -69,7 +69,7 @@
                 at,
                 Event::AttemptFails {
                     key,
-                    end: End::Unconnected,
+                    end: AttemptEnd::ConnectFailed,
                 },
             );
             return None;
@@ -137,7 +137,7 @@
                 at,
                 Event::AttemptFails {
                     key,
-                    end: End::Broken,
+                    end: AttemptEnd::ConnectionLost,
                 },
             );
         }
--- a/crates/scale/src/fleet/world.rs
+++ b/crates/scale/src/fleet/world.rs
@@ -7,7 +7,7 @@
 use super::judge::Finding;
 use super::surroundings::Surroundings;
 use super::time::SimTime;
-use garnetwall::api::End;
+use garnetwall::api::AttemptEnd;
 use garnetwall_subset::{Condition, SubsetError};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -144,7 +144,7 @@
         let finished = hollow.finished(&self.experiment.cold, now);
         for key in finished {
             if let Some(gateway) = alive(&mut self.gateways, key.gateway, key.life) {
-                gateway.attempt_ended(now, key, End::Returned, &mut self.around);
+                gateway.attempt_ended(now, key, AttemptEnd::Succeeded, &mut self.around);
             }
         }
         self.around.schedule_engine(now, engine);
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/module/engines.rs
@@ -4,7 +4,7 @@
 use crate::slopes::pool::{self, PoolEngine};
 use crate::slopes::settings::Fixed;
 use crate::slopes::subset::{changed, Chosen};
-use garnetwall::api::{Condition, EngineId, Listed};
+use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use garnetwall_subset::{Action, EngineKey};
 use std::collections::HashMap;
 
@@ -41,17 +41,17 @@
     }
 
     /// All lines that the module is told.
-    pub fn whole(&mut self) -> Vec<Listed> {
+    pub fn whole(&mut self) -> Vec<Endpoint> {
         match self.subset.as_mut() {
             None => (0..self.engines)
-                .map(|number| line(pool::engine(number), Condition::Ready))
+                .map(|number| line(pool::engine(number), EndpointState::Ready))
                 .collect(),
             Some(members) => members.lines(),
         }
     }
 
     /// Takes the whole list in again; the lines that the module is told, and whether these are all.
-    pub fn again(&mut self) -> (Vec<Listed>, bool) {
+    pub fn again(&mut self) -> (Vec<Endpoint>, bool) {
         match self.subset.as_mut() {
             None => (self.whole(), true),
             Some(members) => {
@@ -64,7 +64,7 @@
     }
 
     /// Takes one changed line in; the lines that the module is told.
-    pub fn change(&mut self, repeat: u64) -> Vec<Listed> {
+    pub fn change(&mut self, repeat: u64) -> Vec<Endpoint> {
         let line_changed = changed(self.engines, repeat);
         match self.subset.as_mut() {
             None => vec![whole_list_line(&line_changed)],
@@ -77,35 +77,35 @@
 }
 
 /// The module's line of a line of the catalog, where engines are indexed as they are numbered.
-fn whole_list_line(changed: &garnetwall_subset::EngineLine) -> Listed {
+fn whole_list_line(changed: &garnetwall_subset::EngineLine) -> Endpoint {
     let number = changed
         .id
         .trim_start_matches(|c: char| !c.is_ascii_digit())
         .parse()
         .unwrap_or(0);
     let condition = match changed.facts.condition {
-        garnetwall_subset::Condition::Ready => Condition::Ready,
-        garnetwall_subset::Condition::Draining => Condition::Draining,
-        garnetwall_subset::Condition::Gone => Condition::Gone,
+        garnetwall_subset::Condition::Ready => EndpointState::Ready,
+        garnetwall_subset::Condition::Draining => EndpointState::Draining,
+        garnetwall_subset::Condition::Gone => EndpointState::Removed,
     };
     line(pool::engine(number), condition)
 }
 
-fn line(engine: PoolEngine, condition: Condition) -> Listed {
+fn line(engine: PoolEngine, condition: EndpointState) -> Endpoint {
     let PoolEngine {
         number,
         zone,
         kind,
         cell,
     } = engine;
-    Listed {
+    Endpoint {
         engine: number as EngineId,
         zone,
         kind,
         cell,
-        came_up: None,
-        condition,
-        holders: None,
+        started_at: None,
+        state: condition,
+        gateways: None,
     }
 }
 
@@ -119,35 +119,35 @@
         }
     }
 
-    fn lines(&self) -> Vec<Listed> {
+    fn lines(&self) -> Vec<Endpoint> {
         let line = |(engine, holders)| {
             let index = self.indices.get(&engine).copied()?;
-            self.line(engine, index, Condition::Ready, Some(holders))
+            self.line(engine, index, EndpointState::Ready, Some(holders))
         };
         self.chosen.subset.members().filter_map(line).collect()
     }
 
     /// What the module is told of actions.
-    fn carry_out(&mut self, actions: &[Action]) -> Vec<Listed> {
+    fn carry_out(&mut self, actions: &[Action]) -> Vec<Endpoint> {
         actions
             .iter()
             .filter_map(|action| self.carry_out_one(action))
             .collect()
     }
 
-    fn carry_out_one(&mut self, action: &Action) -> Option<Listed> {
+    fn carry_out_one(&mut self, action: &Action) -> Option<Endpoint> {
         match *action {
             Action::Warm(_) => None,
             Action::Join { engine, holders } | Action::Update { engine, holders } => {
                 let index = self.index(engine);
-                self.line(engine, index, Condition::Ready, Some(holders))
+                self.line(engine, index, EndpointState::Ready, Some(holders))
             }
             Action::Leave(engine) => {
                 let index = self.indices.remove(&engine)?;
                 self.free.push(index);
-                let gone = self.line(engine, index, Condition::Gone, None);
-                gone.or(Some(Listed {
-                    condition: Condition::Gone,
+                let gone = self.line(engine, index, EndpointState::Removed, None);
+                gone.or(Some(Endpoint {
+                    state: EndpointState::Removed,
                     ..line_of_unknown(index)
                 }))
             }
@@ -167,25 +167,25 @@
         &self,
         engine: EngineKey,
         index: EngineId,
-        condition: Condition,
+        condition: EndpointState,
         holders: Option<f64>,
-    ) -> Option<Listed> {
+    ) -> Option<Endpoint> {
         let facts = self.chosen.catalog.facts(engine)?;
         let (zone, kind, cell) = (facts.zone, facts.kind as usize, facts.cell);
-        Some(Listed {
+        Some(Endpoint {
             engine: index,
             zone,
             kind,
             cell,
-            came_up: None,
-            condition,
-            holders,
+            started_at: None,
+            state: condition,
+            gateways: holders,
         })
     }
 }
 
 /// A line of an engine that is in the catalog no more.
-fn line_of_unknown(index: EngineId) -> Listed {
+fn line_of_unknown(index: EngineId) -> Endpoint {
     line(
         PoolEngine {
             number: index as u64,
@@ -193,6 +193,6 @@
             kind: 0,
             cell: 0,
         },
-        Condition::Gone,
+        EndpointState::Removed,
     )
 }
--- a/crates/scale/src/slopes/module/workload.rs
+++ b/crates/scale/src/slopes/module/workload.rs
@@ -2,7 +2,9 @@
 
 use crate::slopes::pool::KIND_CORES;
 use crate::slopes::settings::Fixed;
-use garnetwall::api::{Batch, BatchId, ColdRule, Effect, Reports, ServiceGroup, Settings};
+use garnetwall::api::{
+    Idempotency, LoadReporting, Query, QueryClass, QueryId, Settings, SlowStart,
+};
 use rand::rngs::SmallRng;
 use rand::Rng;
 
@@ -24,60 +26,60 @@
         .enumerate()
         .map(|(index, threads)| group(*threads, keyed(index)));
     Settings {
-        groups: groups.collect(),
+        classes: groups.collect(),
         tenants: TENANTS,
         gateways: quantities.gateways as f64,
         kind_cores: KIND_CORES.iter().copied().map(Some).collect(),
         kind_memory: vec![None; KIND_CORES.len()],
-        largest_grant: 1.0,
-        reports: Reports::WithAnswers,
-        may_cancel: true,
-        names_return: true,
-        longest_return: 1.0,
-        max_dispatches: 3,
-        cold: Some(ColdRule {
-            starts_at: 0.35,
-            warm_after: 10.0,
-            multiple: 3.0,
+        max_grant_fraction: 1.0,
+        load_reporting: LoadReporting::WithAnswers,
+        cancellation_allowed: true,
+        retry_after_allowed: true,
+        max_retry_after: 1.0,
+        max_attempts: 3,
+        slow_start: Some(SlowStart {
+            initial_fraction: 0.35,
+            duration: 10.0,
+            overload_multiple: 3.0,
             window: 2.0,
         }),
-        key_rest: 0.5,
+        key_pause: 0.5,
         ..Settings::default()
     }
 }
 
-fn group(threads: f64, in_order: bool) -> ServiceGroup {
-    ServiceGroup {
-        goal: GOAL,
-        goal_stretch: 2.0,
-        limit: LIMIT,
-        utility: 1.0,
-        late_share: 0.3,
-        effect: Effect::Repeatable,
+fn group(threads: f64, in_order: bool) -> QueryClass {
+    QueryClass {
+        latency_objective: GOAL,
+        latency_objective_stretch: 2.0,
+        deadline: LIMIT,
+        priority_weight: 1.0,
+        late_value_share: 0.3,
+        idempotency: Idempotency::Idempotent,
         in_order,
         zones: None,
         kinds: None,
         threads,
         is_load: false,
         waits_for_loads: false,
-        further: None,
+        retry_budget: None,
     }
 }
 
 /// A query by chance.
-pub fn query(id: BatchId, quantities: &Fixed, rng: &mut SmallRng) -> Batch {
+pub fn query(id: QueryId, quantities: &Fixed, rng: &mut SmallRng) -> Query {
     let group = rng.random_range(0..THREADS.len());
     let keyed = group == KEYED_GROUP && quantities.keys > 0;
     let error = rng.random_range(-ESTIMATE_ERROR..ESTIMATE_ERROR);
-    Batch {
+    Query {
         id,
-        group,
+        class: group,
         tenant: rng.random_range(0..TENANTS),
-        key: keyed.then(|| rng.random_range(0..quantities.keys)),
-        left: LIMIT,
-        cost: Some(quantities.work * (1.0 + error)),
-        memory: None,
+        ordering_key: keyed.then(|| rng.random_range(0..quantities.keys)),
+        remaining_time: LIMIT,
+        estimated_work: Some(quantities.work * (1.0 + error)),
+        estimated_memory: None,
         data_set: 0,
-        lane: None,
+        endpoint_subset: None,
     }
 }
--- a/crates/scale/src/slopes/module/world.rs
+++ b/crates/scale/src/slopes/module/world.rs
@@ -5,8 +5,10 @@
 use super::workload::{query, THREADS};
 use crate::slopes::measurement::{Point, RoleError};
 use crate::slopes::settings::Fixed;
-use garnetwall::api::{BatchId, End, EngineId, Outcome, Place, Report, Settings, Wait};
-use garnetwall::control::Control;
+use garnetwall::api::{
+    AttemptEnd, AttemptOutcome, EngineId, LoadReport, NextAction, Placement, QueryId, Settings,
+};
+use garnetwall::controller::AdmissionController;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -35,7 +37,7 @@
 enum What {
     Arrival,
     Answer {
-        query: BatchId,
+        query: QueryId,
         engine: EngineId,
         sent: u64,
         work_nanoseconds: u64,
@@ -44,7 +46,7 @@
 }
 
 pub struct World {
-    control: Control,
+    control: AdmissionController,
     engines: ListedEngines,
     engines_listed: usize,
     quantities: Fixed,
@@ -73,9 +75,9 @@
 
 impl World {
     pub fn new(point: &Point, settings: Settings, mut engines: ListedEngines) -> Self {
-        let mut control = Control::new(settings, point.seed, START);
+        let mut control = AdmissionController::new(settings, point.seed, START);
         let lines = engines.whole();
-        control.listed(&lines, true);
+        control.update_endpoints(&lines, true);
         let mut world = World {
             control,
             engines,
@@ -141,14 +143,14 @@
     /// The whole list comes again as it was.
     pub fn list_again(&mut self) {
         let (lines, whole) = self.engines.again();
-        self.control.listed(&lines, whole);
+        self.control.update_endpoints(&lines, whole);
     }
 
     /// One line of the list changes.
     pub fn change_line(&mut self, repeat: u64) {
         let lines = self.engines.change(repeat);
         if !lines.is_empty() {
-            self.control.listed(&lines, false);
+            self.control.update_endpoints(&lines, false);
         }
     }
 
@@ -192,59 +194,62 @@
     }
 
     fn arrive(&mut self) {
-        let id = (self.queries_taken % RING as u64) as BatchId;
+        let id = (self.queries_taken % RING as u64) as QueryId;
         self.queries_taken += 1;
         let query = query(id, &self.quantities, &mut self.rng);
-        self.groups[id as usize] = query.group;
-        self.control.take(self.seconds(), query);
+        self.groups[id as usize] = query.class;
+        self.control.admit(self.seconds(), query);
         self.schedule_next(What::Arrival, self.quantities.queries_per_second);
     }
 
-    fn answer(&mut self, query: BatchId, engine: EngineId, sent: u64, work: f64) {
+    fn answer(&mut self, query: QueryId, engine: EngineId, sent: u64, work: f64) {
         let now = self.seconds();
         let utilisation = Some(self.rng.random_range(UTILISATION));
-        self.control.report(
+        self.control.load_reported(
             now,
             engine,
-            Report {
-                utilisation,
-                ..Report::default()
+            LoadReport {
+                cpu_utilisation: utilisation,
+                ..LoadReport::default()
             },
         );
         let latency = (self.now - sent) as f64 * MICROSECOND;
-        let end = End::Returned;
-        let outcome = Outcome {
+        let end = AttemptEnd::Succeeded;
+        let outcome = AttemptOutcome {
             engine,
-            dispatch: 0,
+            attempt: 0,
             end,
             latency,
-            closed: true,
+            query_finished: true,
             work: Some(work),
             memory: None,
         };
-        self.control.after(now, query, outcome);
+        self.control.attempt_ended(now, query, outcome);
     }
 
     /// Asks the module until it names a time.
     fn decide(&mut self) {
         let now = self.seconds();
         loop {
-            match self.control.wait(now) {
-                Wait::For(time) => {
+            match self.control.next_action(now) {
+                NextAction::Wait(time) => {
                     self.wake = self.now + micros(time).max(1);
                     return;
                 }
-                Wait::Ask(query) => self.place(now, query),
-                Wait::Probe(engine) => self.control.probed(now, engine, End::Returned),
-                Wait::Subscribe | Wait::Cancel(..) => {}
+                NextAction::Place(query) => self.place(now, query),
+                NextAction::HealthCheck(engine) => {
+                    self.control
+                        .health_check_ended(now, engine, AttemptEnd::Succeeded)
+                }
+                NextAction::Subscribe | NextAction::Cancel(..) => {}
             }
         }
     }
 
-    fn place(&mut self, now: f64, query: BatchId) {
+    fn place(&mut self, now: f64, query: QueryId) {
         self.draws += 1;
         match self.control.place(now, query) {
-            Place::To { engine, .. } => {
+            Placement::Attempt { engine, .. } => {
                 let threads = THREADS[self.groups[query as usize]];
                 let work = self.quantities.work;
                 let latency = work / threads * self.rng.random_range(SLOWDOWN);
@@ -259,8 +264,8 @@
                     },
                 );
             }
-            Place::NotYet => {}
-            Place::Over(_) => self.queries_rejected += 1,
+            Placement::Wait => {}
+            Placement::Answer(_) => self.queries_rejected += 1,
         }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,7 +10,8 @@
 use flat::at as place;
 pub use flat::Flat;
 use garnetwall::api::{
-    ColdRule, Effect, FurtherBudget, Report, Reports, Scope, ServiceGroup, Settings,
+    DeduplicationScope, Idempotency, LoadReport, LoadReporting, QueryClass, RetryBudget, Settings,
+    SlowStart,
 };
 
 /// What one set of settings says.
@@ -46,17 +47,17 @@
 const USUAL_IDLE: f64 = 15.0;
 
 /// What an engine said of itself, by the names of its report; `None` where it named nothing.
-pub fn report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Option<Report> {
+pub fn report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Option<LoadReport> {
     let mut report = None;
     for (name, value) in values {
-        let report = report.get_or_insert_with(Report::default);
+        let report = report.get_or_insert_with(LoadReport::default);
         let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
         match name {
-            "load_share" | "util" => report.utilisation = value,
-            "depth" | "queue" => report.waiting = value,
-            "concurrent" | "inflight" => report.held = value,
-            "x0" => report.memory = value,
-            "x1" => report.disks = value,
+            "load_share" | "util" => report.cpu_utilisation = value,
+            "depth" | "queue" => report.waiting_for_memory = value,
+            "concurrent" | "inflight" => report.in_flight = value,
+            "x0" => report.memory_utilisation = value,
+            "x1" => report.disk_utilisation = value,
             _ => {}
         }
     }
@@ -83,46 +84,46 @@
     let tenants = t.count("tenants")?;
     let further = match t.seconds("rules.extra-window")? {
         None => None,
-        Some(window) => Some(FurtherBudget {
+        Some(window) => Some(RetryBudget {
             floor: t.number_or("rules.extra-floor", 0.0)?,
-            per_batch: t.number_or("rules.extra-per-request", 0.0)?,
+            per_query: t.number_or("rules.extra-per-request", 0.0)?,
             window,
         }),
     };
     let cold = match (t.number("rules.fall-multiple")?, t.seconds("rules.fall")?) {
-        (Some(multiple), Some(window)) => Some(ColdRule {
-            starts_at: t.number_or("rules.cold-from", 0.0)?,
-            warm_after: t.seconds_or("rules.warm-after", 0.0)?,
-            multiple,
+        (Some(multiple), Some(window)) => Some(SlowStart {
+            initial_fraction: t.number_or("rules.cold-from", 0.0)?,
+            duration: t.seconds_or("rules.warm-after", 0.0)?,
+            overload_multiple: multiple,
             window,
         }),
         _ => None,
     };
     let reports = match t.word("telemetry.how") {
-        Some("inline") => Reports::WithAnswers,
-        Some("on_probe") => Reports::WithProbes,
-        _ => Reports::Never,
+        Some("inline") => LoadReporting::WithAnswers,
+        Some("on_probe") => LoadReporting::WithHealthChecks,
+        _ => LoadReporting::Never,
     };
     let settings = Settings {
-        groups,
+        classes: groups,
         tenants,
         gateways: t.number_or("balancers", 1.0)?.max(1.0),
         kind_cores: t.sizes("domain.kind-cores"),
         kind_memory: t.sizes("domain.kind-memory-mb"),
-        largest_grant: t.number_or("domain.largest-share", 1.0)?,
-        grants: t.flag("domain.grants-count")?,
-        reports,
-        room: t.number("allowed.open-cap")?,
-        may_probe: t.flag("allowed.may-probe")?,
-        may_cancel: t.flag("allowed.cancelling")?,
-        names_return: t.flag("allowed.retry-after")?,
-        longest_return: t.seconds_or("allowed.max-retry-after", 0.0)?,
-        max_dispatches: t.number_or("allowed.max-attempts", 1.0)?.max(1.0) as u32,
-        list_on_request: t.word("registry-mode") == Some("on_request"),
-        further,
-        cold,
-        notes_every: t.seconds_or("domain.progress", 0.0)?,
-        key_rest: t.seconds_or("rules.order-pause", 0.0)?,
+        max_grant_fraction: t.number_or("domain.largest-share", 1.0)?,
+        memory_grants: t.flag("domain.grants-count")?,
+        load_reporting: reports,
+        capacity: t.number("allowed.open-cap")?,
+        health_checks_allowed: t.flag("allowed.may-probe")?,
+        cancellation_allowed: t.flag("allowed.cancelling")?,
+        retry_after_allowed: t.flag("allowed.retry-after")?,
+        max_retry_after: t.seconds_or("allowed.max-retry-after", 0.0)?,
+        max_attempts: t.number_or("allowed.max-attempts", 1.0)?.max(1.0) as u32,
+        subscription_required: t.word("registry-mode") == Some("on_request"),
+        retry_budget: further,
+        slow_start: cold,
+        progress_interval: t.seconds_or("domain.progress", 0.0)?,
+        key_pause: t.seconds_or("rules.order-pause", 0.0)?,
     };
     let network = Network {
         dial: t.seconds_or("allowed.dial-timeout", USUAL_DIAL)?,
@@ -136,20 +137,20 @@
     })
 }
 
-fn group(t: &Flat, i: usize, names: &Names) -> Result<ServiceGroup, Fault> {
+fn group(t: &Flat, i: usize, names: &Names) -> Result<QueryClass, Fault> {
     let at = |key: &str| format!("categories.{i}.{key}");
     let scope = match t.word(&at("key-scope")) {
-        Some("all") => Scope::Everywhere,
-        Some("zone") => Scope::Zone,
-        _ => Scope::Cell,
+        Some("all") => DeduplicationScope::Everywhere,
+        Some("zone") => DeduplicationScope::Zone,
+        _ => DeduplicationScope::Cell,
     };
     let effect = match t.word(&at("semantics")) {
-        Some("retryable") => Effect::Repeatable,
-        Some("dedup") => Effect::Referenced {
+        Some("retryable") => Idempotency::Idempotent,
+        Some("dedup") => Idempotency::IdempotentByKey {
             scope,
             window: t.seconds_or(&at("dedup-window"), 0.0)?,
         },
-        Some("fragile") => Effect::OnceOnly,
+        Some("fragile") => Idempotency::NonIdempotent,
         other => {
             let cause = other.map_or(Cause::Missing, |word| Cause::Unknown(word.into()));
             return Err(Fault::new(
@@ -161,13 +162,13 @@
     };
     let nth = |path: &str| t.list(path).get(i).copied();
     let limit = t.seconds_or(&at("give-up"), 0.0)?;
-    Ok(ServiceGroup {
-        goal: t.seconds_or(&at("goal-time"), limit)?,
-        goal_stretch: t.number_or(&at("aim-stretch"), 0.0)?,
-        limit,
-        utility: t.number_or(&at("worth"), 1.0)?,
-        late_share: t.number_or(&at("late-share"), 0.0)?,
-        effect,
+    Ok(QueryClass {
+        latency_objective: t.seconds_or(&at("goal-time"), limit)?,
+        latency_objective_stretch: t.number_or(&at("aim-stretch"), 0.0)?,
+        deadline: limit,
+        priority_weight: t.number_or(&at("worth"), 1.0)?,
+        late_value_share: t.number_or(&at("late-share"), 0.0)?,
+        idempotency: effect,
         in_order: t.flag(&at("one-at-a-time"))?,
         zones: t.indices(&at("zones-only"), &names.zones)?,
         kinds: t.indices(&at("allowed-on"), &names.kinds)?,
@@ -177,7 +178,7 @@
             .unwrap_or(1.0),
         is_load: nth("domain.loads") == Some("true"),
         waits_for_loads: nth("domain.waits-for-loads") == Some("true"),
-        further: None,
+        retry_budget: None,
     })
 }
 
@@ -189,7 +190,7 @@
     /// Whether a gateway can serve under these settings: it has named groups with a time limit, no name stands for two
     /// things, and the zones and kinds that a group may go to are there.
     pub fn check(&self) -> Result<(), Fault> {
-        let (groups, names) = (&self.settings.groups, &self.names);
+        let (groups, names) = (&self.settings.classes, &self.names);
         if groups.is_empty() {
             return Err(Fault::new(
                 "settings.categories",
@@ -201,7 +202,7 @@
         unlike("settings.tenants", &names.tenants)?;
         for (i, group) in groups.iter().enumerate() {
             let at = |key: &str| format!("settings.categories.{i}.{key}");
-            if group.limit <= 0.0 {
+            if group.deadline <= 0.0 {
                 let remedy = "write how long its clients wait, in milliseconds";
                 return Err(Fault::new(at("give-up"), Cause::Missing, remedy));
             }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -27,7 +27,7 @@
     let text = decode(&Flat::from_text(TEXT).unwrap()).unwrap();
     let json = decode(&Flat::from_json(&json).unwrap()).unwrap();
     assert_eq!(format!("{text:?}"), format!("{json:?}"));
-    assert_eq!(text.settings.groups[1].kinds, Some(vec![1]));
+    assert_eq!(text.settings.classes[1].kinds, Some(vec![1]));
     assert_eq!(text.names.groups, ["lookup", "sale_load"]);
 }
 
@@ -65,7 +65,11 @@
 fn a_report_takes_the_named_values_and_passes_over_absurd_ones() {
     let told = report([("queue", 3.0), ("util", f64::NAN), ("other", 1.0)]).unwrap();
     assert_eq!(
-        (told.waiting, told.utilisation, told.held),
+        (
+            told.waiting_for_memory,
+            told.cpu_utilisation,
+            told.in_flight
+        ),
         (Some(3.0), None, None)
     );
     assert!(report([]).is_none());
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,106 +1,163 @@
 //! The interface of the decision module: plain values in, plain values out, no behaviour.
 //!
-//! Times are seconds with fractions on the caller's clock. Batches, engines, groups, tenants, zones and kinds
-//! are small indices that the caller hands out. What is unknown is `None`.
+//! Times and spans are seconds with fractions on the caller's monotonic clock; work is seconds on one thread;
+//! memory is in megabytes; fractions are from 0 to 1. Queries, engines, classes, tenants, zones and kinds are
+//! small indices that the caller hands out. What is unknown is `None`.
 
-pub type BatchId = u32;
+/// A query's number. Numbers rise with admission: the lower of two was admitted first.
+pub type QueryId = u32;
+
+/// An engine's index, the same for as long as the process runs.
 pub type EngineId = usize;
 
-/// Who drops repeats of a referenced batch.
+/// Which engines recognise a repeated idempotency key, counted from the engine of the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
+    /// All engines.
     Everywhere,
+    /// The engines of the same zone.
     Zone,
+    /// The engines of the same cell.
     Cell,
 }
 
+/// Whether a query that may have run may be attempted again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Repeatable,
-    Referenced { scope: Scope, window: f64 },
-    OnceOnly,
+pub enum Idempotency {
+    /// Running it twice has the effect of running it once.
+    Idempotent,
+    /// Engines drop a repeat that reaches them in `scope` within `window` seconds of the first attempt.
+    IdempotentByKey {
+        scope: DeduplicationScope,
+        window: f64,
+    },
+    /// A second run would have a second effect.
+    NonIdempotent,
 }
 
+/// What the settings say of one class of queries.
 #[derive(Clone, Debug)]
-pub struct ServiceGroup {
-    /// Response goal: fixed part, and the further part as a multiple of work over threads.
-    pub goal: f64,
-    pub goal_stretch: f64,
-    pub limit: f64,
-    pub utility: f64,
-    pub late_share: f64,
-    pub effect: Effect,
+pub struct QueryClass {
+    /// Fixed part of the latency objective, in seconds.
+    pub latency_objective: f64,
+    /// Further part of the latency objective, as a multiple of a query's work over its threads.
+    pub latency_objective_stretch: f64,
+    /// Longest time that a client of this class waits, in seconds from its call.
+    pub deadline: f64,
+    /// Value of an answer within the objective.
+    pub priority_weight: f64,
+    /// Share of the priority weight that an answer after the objective is still worth.
+    pub late_value_share: f64,
+    /// Whether a query that may have run may be attempted again.
+    pub idempotency: Idempotency,
+    /// Queries of one ordering key run one at a time, in the order admitted.
     pub in_order: bool,
+    /// Zones whose engines may run it; all where it is `None`.
     pub zones: Option<Vec<u32>>,
+    /// Kinds of engine that may run it; all where it is `None`.
     pub kinds: Option<Vec<u32>>,
+    /// Threads that one query uses on its engine.
     pub threads: f64,
+    /// Its queries load a data set, which is locked meanwhile.
     pub is_load: bool,
+    /// Its queries stand still on an engine that loads their data set.
     pub waits_for_loads: bool,
-    /// Its own budget for further dispatches, beside the whole one.
-    pub further: Option<FurtherBudget>,
+    /// A retry budget of the class, beside the gateway's.
+    pub retry_budget: Option<RetryBudget>,
 }
 
+/// How many attempts beyond a query's first may begin within a sliding window.
 #[derive(Clone, Copy, Debug)]
-pub struct FurtherBudget {
+pub struct RetryBudget {
+    /// Retries that are always allowed.
     pub floor: f64,
-    pub per_batch: f64,
+    /// Retries for each query admitted in the window.
+    pub per_query: f64,
+    /// Length of the window, in seconds.
     pub window: f64,
 }
 
+/// How an engine that has just started warms up, and what overloads it meanwhile.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
-    pub starts_at: f64,
-    pub warm_after: f64,
-    pub multiple: f64,
+pub struct SlowStart {
+    /// Fraction of its cores that it can use at its start; the fraction rises evenly to 1.
+    pub initial_fraction: f64,
+    /// Seconds from its start until it can use all its cores.
+    pub duration: f64,
+    /// It is overloaded by more than this multiple of the work that its effective cores do in the window.
+    pub overload_multiple: f64,
+    /// The span over which its work is counted, in seconds.
     pub window: f64,
 }
 
+/// When engines report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
+    /// With each answer to a query.
     WithAnswers,
-    WithProbes,
+    /// With each answer to a health check.
+    WithHealthChecks,
     #[default]
     Never,
 }
 
+/// The settings of a deployment, as far as decisions need them.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    pub groups: Vec<ServiceGroup>,
+    pub classes: Vec<QueryClass>,
+    /// Number of tenants, each with a queue of its own.
     pub tenants: usize,
+    /// Number of gateways before the same engines, this one included.
     pub gateways: f64,
+    /// Cores of an engine, by its kind.
     pub kind_cores: Vec<Option<f64>>,
+    /// Memory of an engine in megabytes, by its kind.
     pub kind_memory: Vec<Option<f64>>,
-    pub largest_grant: f64,
-    pub grants: bool,
-    pub reports: Reports,
-    /// Batches that the gateway can hold at once.
-    pub room: Option<f64>,
-    pub may_probe: bool,
-    pub may_cancel: bool,
-    pub names_return: bool,
-    pub longest_return: f64,
-    pub max_dispatches: u32,
-    pub list_on_request: bool,
-    pub further: Option<FurtherBudget>,
-    pub cold: Option<ColdRule>,
-    pub key_rest: f64,
-    /// Time between notes on a dispatch that is out; 0 where there are none.
-    pub notes_every: f64,
+    /// Largest memory grant of one query, as a fraction of its engine's memory.
+    pub max_grant_fraction: f64,
+    /// Attempts carry a memory grant.
+    pub memory_grants: bool,
+    pub load_reporting: LoadReporting,
+    /// Queries that the gateway can hold at once; unbounded where it is `None`.
+    pub capacity: Option<f64>,
+    pub health_checks_allowed: bool,
+    pub cancellation_allowed: bool,
+    /// A rejection may carry a Retry-After.
+    pub retry_after_allowed: bool,
+    /// Longest Retry-After, in seconds.
+    pub max_retry_after: f64,
+    /// Attempts of one query at most, the first included.
+    pub max_attempts: u32,
+    /// The endpoint list comes only to subscribers.
+    pub subscription_required: bool,
+    /// The retry budget of the gateway.
+    pub retry_budget: Option<RetryBudget>,
+    pub slow_start: Option<SlowStart>,
+    /// Seconds that an ordering key pauses after an attempt that timed out, was cut off or was cancelled.
+    pub key_pause: f64,
+    /// Seconds between an engine's progress events for an attempt; 0 where it sends none.
+    pub progress_interval: f64,
 }
 
+/// A query as it is admitted.
 #[derive(Clone, Copy, Debug)]
-pub struct Batch {
-    pub id: BatchId,
-    pub group: usize,
+pub struct Query {
+    pub id: QueryId,
+    /// Its class, as an index into [`Settings::classes`].
+    pub class: usize,
     pub tenant: usize,
-    pub key: Option<u64>,
-    /// Time until the client gives up.
-    pub left: f64,
-    pub cost: Option<f64>,
-    pub memory: Option<f64>,
+    /// The key within which queries of an ordered class run one at a time.
+    pub ordering_key: Option<u64>,
+    /// Seconds until its client gives up.
+    pub remaining_time: f64,
+    /// Estimated work, in seconds on one thread.
+    pub estimated_work: Option<f64>,
+    /// Estimated memory, in megabytes.
+    pub estimated_memory: Option<f64>,
+    /// The data set that it reads or loads.
     pub data_set: u32,
-    /// The way it may go; every engine where it is none.
-    pub lane: Option<u32>,
+    /// The endpoint subset that it is confined to; every engine where it is `None`.
+    pub endpoint_subset: Option<u32>,
 }
 
 /// A set of engines by their index, in words of 64, lowest first.
@@ -108,112 +165,150 @@
 pub struct EngineSet(pub Vec<u64>);
 
 impl EngineSet {
-    pub fn holds(&self, engine: EngineId) -> bool {
+    /// Whether the engine is in the set.
+    pub fn contains(&self, engine: EngineId) -> bool {
         self.0
             .get(engine / 64)
             .is_some_and(|word| word >> (engine % 64) & 1 == 1)
     }
 }
 
+/// What the endpoint list says of an engine's availability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum EndpointState {
     Ready,
+    /// It finishes what it runs and takes nothing new.
     Draining,
-    Gone,
+    /// It is not in the list any more.
+    Removed,
 }
 
+/// An engine as the endpoint list describes it.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct Endpoint {
     pub engine: EngineId,
     pub zone: u32,
     pub kind: usize,
     pub cell: u32,
-    pub came_up: Option<f64>,
-    pub condition: Condition,
-    /// Gateways that work with this engine, this one included; all that the settings tell of where it is none.
-    pub holders: Option<f64>,
+    /// When its process started, on the caller's clock; `None` for one that is not in slow start.
+    pub started_at: Option<f64>,
+    pub state: EndpointState,
+    /// Gateways that work with this engine, this one included; [`Settings::gateways`] where it is `None`.
+    pub gateways: Option<f64>,
 }
 
-/// What an engine said of itself; shares are 0 to 1.
+/// What an engine reports of its own load.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
-    pub utilisation: Option<f64>,
-    pub waiting: Option<f64>,
-    pub held: Option<f64>,
-    pub memory: Option<f64>,
-    pub disks: Option<f64>,
+pub struct LoadReport {
+    /// Fraction of its cores that are busy.
+    pub cpu_utilisation: Option<f64>,
+    /// Queries that wait for memory.
+    pub waiting_for_memory: Option<f64>,
+    /// Queries that it has in flight, from all gateways.
+    pub in_flight: Option<f64>,
+    /// Fraction of its memory in use.
+    pub memory_utilisation: Option<f64>,
+    /// Fraction of its disks' time in use.
+    pub disk_utilisation: Option<f64>,
 }
 
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    Returned,
-    Errored,
-    Full,
+pub enum AttemptEnd {
+    Succeeded,
+    /// The engine answered with an error.
+    Failed,
+    /// The engine had no capacity and did not run it.
+    Rejected,
     TimedOut,
-    Unconnected,
-    Broken,
-    Withdrawn,
-    Moot,
+    /// No connection came up, so it never ran.
+    ConnectFailed,
+    /// The connection was lost under it.
+    ConnectionLost,
+    /// It was cancelled at the engine.
+    Cancelled,
+    /// It was dropped before it reached the engine, so it never ran.
+    NotNeeded,
     /// This gateway's own machine could not send it: it never ran, and says nothing of its engine.
     NotSent,
 }
 
+/// The end of an attempt with what is known of it.
 #[derive(Clone, Copy, Debug)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     pub engine: EngineId,
-    pub dispatch: u32,
-    pub end: End,
+    /// The attempt's number within its query, from 0.
+    pub attempt: u32,
+    pub end: AttemptEnd,
+    /// Seconds from the attempt's beginning to its end.
     pub latency: f64,
-    /// The batch is over for its client, by this outcome or earlier.
-    pub closed: bool,
+    /// The query is over for its client, by this outcome or earlier.
+    pub query_finished: bool,
+    /// Work that the engine measured, in seconds on one thread.
     pub work: Option<f64>,
+    /// Memory that the engine measured, in megabytes.
     pub memory: Option<f64>,
 }
 
-/// Word on a dispatch that is out.
+/// A progress event of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    Done(f64),
-    Spills(f64),
-    WaitsForMemory,
-    WaitsForLoad,
+pub enum Progress {
+    /// Fraction of the work that is done.
+    Completed(f64),
+    /// It spills to disk, so many megabytes.
+    Spilling(f64),
+    WaitingForMemory,
+    WaitingForLoad,
 }
 
-/// Where to send a batch, or not yet, or never.
+/// What happens to a query now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
-    /// Nobody waits for the dispatch after `time_out`; it has come whole to its engine `within` a time, or never does.
-    To {
+pub enum Placement {
+    /// Begin an attempt.
+    Attempt {
         engine: EngineId,
-        time_out: f64,
-        within: f64,
-        memory: Option<f64>,
+        /// Seconds after which nobody waits for the attempt.
+        response_timeout: f64,
+        /// Seconds within which the whole request has to have reached the engine; later it must not be sent.
+        send_timeout: f64,
+        /// Memory granted to it, in megabytes.
+        memory_grant: Option<f64>,
     },
-    NotYet,
-    Over(Answer),
+    /// Nothing now; the module asks for its placement again.
+    Wait,
+    /// Answer its client.
+    Answer(FinalAnswer),
 }
 
-/// What to do after an outcome.
+/// What follows the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
-    /// Nothing is owed, or the batch waits for another dispatch.
+pub enum FollowUp {
+    /// Nothing is owed, or the query waits for another attempt.
     Nothing,
-    Over(Answer),
+    /// Answer its client.
+    Answer(FinalAnswer),
 }
 
-/// A final answer; a client that is pushed back may be told when to come back.
+/// A final answer other than a success.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
-    PushBack { come_back: Option<f64> },
-    Error,
+pub enum FinalAnswer {
+    /// It did not run, or may safely be sent again, after `retry_after` seconds where that is told.
+    Rejected { retry_after: Option<f64> },
+    /// It may have run and must not be sent again.
+    Failed,
 }
 
-/// How long to wait, or what is due now.
+/// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wait {
-    Ask(BatchId),
-    Probe(EngineId),
+pub enum NextAction {
+    /// Ask for this query's placement.
+    Place(QueryId),
+    /// Send this engine a health check.
+    HealthCheck(EngineId),
+    /// Subscribe to the endpoint list.
     Subscribe,
-    Cancel(BatchId, u32),
-    For(f64),
+    /// Cancel this attempt of a query, by its number from 0.
+    Cancel(QueryId, u32),
+    /// Nothing for so many seconds, unless an event comes first.
+    Wait(f64),
 }
--- a/src/control.rs
+++ b/src/controller.rs
@@ -1,4 +1,4 @@
-//! The decision module: one `Control` a gateway. A protocol's adapter calls it (today crates/benchlink, later
+//! The decision module: one `AdmissionController` a gateway. A protocol's adapter calls it (today crates/benchlink, later
 //! the gateway's own); src/api.rs defines the values that go in and out. The adapter feeds facts (`take`,
 //! `listed`, `report`, `probed`, `noted`, `client_gone`), then asks `wait` until it names a time: `wait` says
 //! what is due, `place` where a batch goes, `after` what follows an outcome.
@@ -26,7 +26,7 @@
 mod slow_start;
 
 use crate::api::*;
-pub use crate::state::Control;
+pub use crate::state::AdmissionController;
 use crate::state::{
     micros, Candidate, Chance, Due, Engine, Guess, InHand, KindViews, Learned, Queue, Sent, Stage,
 };
@@ -55,10 +55,10 @@
 const GRANT_FIRST: f64 = 2.0; // grant over the estimate until answers tell; estimates may lie low
 const LEAST: f64 = 1e-3; // seconds, cores or work ever divided by or waited for; against odd settings
 
-impl Control {
+impl AdmissionController {
     pub fn new(s: Settings, seed: u64, now: f64) -> Self {
-        let work = |c: &ServiceGroup| Guess {
-            usual: c.limit * FIRST_GUESS,
+        let work = |c: &QueryClass| Guess {
+            usual: c.deadline * FIRST_GUESS,
             ..Guess::default()
         };
         let learned = |c| Learned {
@@ -67,41 +67,41 @@
             slowdown: 1.0,
             ..Learned::default()
         };
-        Control {
+        AdmissionController {
             chance: Chance::new(seed),
-            g: s.groups.iter().map(|c| c.limit).fold(0.0, f64::max),
+            g: s.classes.iter().map(|c| c.deadline).fold(0.0, f64::max),
             clock_at: now,
             queues: (0..s.tenants.max(1))
-                .map(|_| Queue::new(s.groups.len()))
+                .map(|_| Queue::new(s.classes.len()))
                 .collect(),
-            learned: s.groups.iter().map(learned).collect(),
+            learned: s.classes.iter().map(learned).collect(),
             due: BTreeSet::from([(micros(now), Due::Tick)]),
             ran: (
-                s.groups.iter().map(|c| c.threads).sum(),
-                s.groups.len() as f64,
+                s.classes.iter().map(|c| c.threads).sum(),
+                s.classes.len() as f64,
             ),
-            subscribe: s.list_on_request,
+            subscribe: s.subscription_required,
             s,
-            ..Control::default()
+            ..AdmissionController::default()
         }
     }
 
-    pub fn take(&mut self, now: f64, b: Batch) {
+    pub fn admit(&mut self, now: f64, b: Query) {
         self.advance(now);
-        let b = Batch {
+        let b = Query {
             tenant: b.tenant.min(self.queues.len() - 1),
             ..b
         };
-        let limit = now + b.left.max(0.0);
+        let limit = now + b.remaining_time.max(0.0);
         self.taken_at.add(now);
-        if self.s.groups[b.group].further.is_some() {
-            self.learned[b.group].taken_at.add(now);
+        if self.s.classes[b.class].retry_budget.is_some() {
+            self.learned[b.class].taken_at.add(now);
         }
         let work = self.work(&b);
         self.usual.add(now, KIND_LIFE, work);
         self.latest = Some(b);
         // Bound batches count for their kind when they come: it must not look free because they are shed.
-        for k in self.s.groups[b.group].kinds.iter().flatten() {
+        for k in self.s.classes[b.class].kinds.iter().flatten() {
             self.kinds
                 .entry(*k as usize)
                 .or_default()
@@ -110,7 +110,7 @@
         }
         self.may_ask = (self.may_ask + PROBES).min(self.engines.len() as f64);
         self.look |= self.spare_room() < 0.0;
-        let stage = if self.s.groups[b.group].in_order && b.key.is_some() {
+        let stage = if self.s.classes[b.class].in_order && b.ordering_key.is_some() {
             Stage::Held
         } else {
             Stage::Queued
@@ -119,23 +119,23 @@
         self.due.insert((micros(limit - MARGIN), Due::Limit(b.id)));
         if stage == Stage::Queued {
             self.enqueue(b.id);
-        } else if let Some(key) = b.key {
+        } else if let Some(key) = b.ordering_key {
             self.keys.entry(key).or_default().line.push_back(b.id);
             self.release(now, key);
         }
     }
 
     /// New goals, effects and budgets of the groups; whether they keep order stays as it was.
-    pub fn regroup(&mut self, groups: &[ServiceGroup]) {
-        for (old, new) in self.s.groups.iter_mut().zip(groups) {
-            *old = ServiceGroup {
+    pub fn update_classes(&mut self, groups: &[QueryClass]) {
+        for (old, new) in self.s.classes.iter_mut().zip(groups) {
+            *old = QueryClass {
                 in_order: old.in_order,
                 ..new.clone()
             };
         }
     }
 
-    pub fn listed(&mut self, lines: &[Listed], whole: bool) {
+    pub fn update_endpoints(&mut self, lines: &[Endpoint], whole: bool) {
         if whole {
             self.drop_unlisted(lines);
         }
@@ -150,9 +150,10 @@
                     Engine::new(cores, memory)
                 });
             let e = &mut self.engines[l.engine];
-            let another = |old: Listed| old.condition == Condition::Gone && l.came_up.is_none();
+            let another =
+                |old: Endpoint| old.state == EndpointState::Removed && l.started_at.is_none();
             if e.line
-                .is_none_or(|old| old.came_up != l.came_up || another(old))
+                .is_none_or(|old| old.started_at != l.started_at || another(old))
             {
                 e.forget(Engine::new(cores, memory));
                 (e.known_at, e.sample, e.lot) = (self.clock_at, self.latest, self.chance.draw());
@@ -164,21 +165,21 @@
         self.count_capacity();
     }
 
-    pub fn list_failed(&mut self) {
-        self.subscribe = self.s.list_on_request;
+    pub fn endpoint_list_failed(&mut self) {
+        self.subscribe = self.s.subscription_required;
     }
 
-    pub fn probed(&mut self, now: f64, engine: EngineId, end: End) {
+    pub fn health_check_ended(&mut self, now: f64, engine: EngineId, end: AttemptEnd) {
         let Some(e) = self.engines.get_mut(engine) else {
             return;
         };
         e.heard = true;
-        if end == End::Unconnected {
+        if end == AttemptEnd::ConnectFailed {
             self.failed(now, engine);
         }
     }
 
-    pub fn noted(&mut self, now: f64, id: BatchId, dispatch: u32, note: Note) {
+    pub fn attempt_progressed(&mut self, now: f64, id: QueryId, dispatch: u32, note: Progress) {
         let Some(h) = self
             .batches
             .get_mut(&id)
@@ -188,17 +189,17 @@
         };
         let Some(sent) = h.out.as_mut() else { return };
         sent.heard = now;
-        if note == Note::WaitsForLoad {
+        if note == Progress::WaitingForLoad {
             self.recall(now, id);
         }
     }
 
-    pub fn client_gone(&mut self, now: f64, id: BatchId) {
+    pub fn client_left(&mut self, now: f64, id: QueryId) {
         self.advance(now);
         if let Some(h) = self
             .batches
             .get(&id)
-            .filter(|h| h.out.is_some() && self.s.may_cancel)
+            .filter(|h| h.out.is_some() && self.s.cancellation_allowed)
         {
             self.cancels.push_back((id, h.dispatches - 1));
         }
@@ -207,7 +208,7 @@
 
     /// Whether anybody waits for this batch. Guards against a dispatch for a client that has gone: one whose
     /// connection broke may come again at once, so until then its batch stays in hand but is not sent.
-    pub fn attended(&mut self, now: f64, id: BatchId, attended: bool) {
+    pub fn set_client_waiting(&mut self, now: f64, id: QueryId, attended: bool) {
         self.advance(now);
         let Some(h) = self
             .batches
@@ -225,7 +226,7 @@
     }
 
     /// This gateway ends then: no batch in hand has longer.
-    pub fn ends(&mut self, at: f64) {
+    pub fn shut_down_at(&mut self, at: f64) {
         self.batches
             .values_mut()
             .for_each(|h| h.limit = h.limit.min(at));
@@ -237,7 +238,7 @@
     }
 
     /// How long to wait, or what is due now.
-    pub fn wait(&mut self, now: f64) -> Wait {
+    pub fn next_action(&mut self, now: f64) -> NextAction {
         self.advance(now);
         while let Some(&(at, due)) = self.due.first().filter(|(at, _)| *at <= micros(now)) {
             self.due.remove(&(at, due));
@@ -249,13 +250,13 @@
             }
         }
         if std::mem::take(&mut self.subscribe) {
-            return Wait::Subscribe;
+            return NextAction::Subscribe;
         }
         if let Some((id, dispatch)) = self.cancels.pop_front() {
-            return Wait::Cancel(id, dispatch);
+            return NextAction::Cancel(id, dispatch);
         }
         if let Some(engine) = self.probes.pop_front() {
-            return Wait::Probe(engine);
+            return NextAction::HealthCheck(engine);
         }
         let next = self
             .due
@@ -266,39 +267,39 @@
             self.shed(now);
             asked = self.give_ups.pop_front();
         }
-        asked.map_or(Wait::For(next.max(LEAST)), Wait::Ask)
+        asked.map_or(NextAction::Wait(next.max(LEAST)), NextAction::Place)
     }
 
     /// Where to send this batch, or not yet, or never.
-    pub fn place(&mut self, now: f64, id: BatchId) -> Place {
+    pub fn place(&mut self, now: f64, id: QueryId) -> Placement {
         self.advance(now);
         let Some(h) = self.batches.get(&id) else {
-            return Place::NotYet;
+            return Placement::Wait;
         };
         match h.stage {
             Stage::Queued if !self.hopeless(now, h) => match self.choose(now, id) {
                 Some(engine) => self.send(now, id, engine),
                 None => self.redraw(now, id),
             },
-            Stage::Queued | Stage::GivenUp => Place::Over(self.answer(now, id)),
-            _ => Place::NotYet,
+            Stage::Queued | Stage::GivenUp => Placement::Answer(self.answer(now, id)),
+            _ => Placement::Wait,
         }
     }
 
     /// A batch's body was not kept: there is no further dispatch of it.
-    pub fn not_kept(&mut self, id: BatchId) {
+    pub fn body_discarded(&mut self, id: QueryId) {
         self.batches.entry(id).and_modify(|h| h.unkept = true);
     }
 
     /// What is answered now for a dispatch whose end is not known and may not be in time. It stays out, its
     /// batch in hand and its key held, until `after` tells that it does not run any more.
-    pub fn in_doubt(&mut self, now: f64, id: BatchId, o: Outcome) -> Next {
+    pub fn outcome_unknown(&mut self, now: f64, id: QueryId, o: AttemptOutcome) -> FollowUp {
         self.advance(now);
         let Some(h) = self.batches.get_mut(&id) else {
-            return Next::Nothing;
+            return FollowUp::Nothing;
         };
         let (b, stage, Some(sent)) = (h.b, h.stage, h.out) else {
-            return Next::Nothing;
+            return FollowUp::Nothing;
         };
         let doubted = sent.doubted || h.may_have_run.is_none();
         h.out = Some(Sent {
@@ -311,19 +312,19 @@
             self.judge(now, &b, sent, &o);
         }
         if stage == Stage::Ended || self.may_go_again(now, &self.batches[&id]) {
-            return Next::Nothing;
+            return FollowUp::Nothing;
         }
-        Next::Over(self.answer(now, id))
+        FollowUp::Answer(self.answer(now, id))
     }
 
     /// What to do after this outcome.
-    pub fn after(&mut self, now: f64, id: BatchId, o: Outcome) -> Next {
+    pub fn attempt_ended(&mut self, now: f64, id: QueryId, o: AttemptOutcome) -> FollowUp {
         self.advance(now);
         let Some(sent) = self.batches.get_mut(&id).and_then(|h| h.out.take()) else {
-            return Next::Nothing;
+            return FollowUp::Nothing;
         };
         let (b, stage) = (self.batches[&id].b, self.batches[&id].stage);
-        let threads = self.s.groups[b.group].threads;
+        let threads = self.s.classes[b.class].threads;
         self.running -= threads;
         let q = &mut self.queues[b.tenant];
         q.running -= 1;
@@ -335,28 +336,39 @@
         if !sent.judged {
             self.judge(now, &b, sent, &o);
         }
-        if matches!(o.end, End::TimedOut | End::Broken | End::Withdrawn) {
-            if let Some(key) = b.key.filter(|_| self.s.groups[b.group].in_order) {
-                self.keys.entry(key).or_default().rests_until = now + self.s.key_rest + MARGIN;
+        if matches!(
+            o.end,
+            AttemptEnd::TimedOut | AttemptEnd::ConnectionLost | AttemptEnd::Cancelled
+        ) {
+            if let Some(key) = b.ordering_key.filter(|_| self.s.classes[b.class].in_order) {
+                self.keys.entry(key).or_default().rests_until = now + self.s.key_pause + MARGIN;
             }
         }
         let h = self.batches.get_mut(&id).expect("checked above");
         match o.end {
-            End::Full | End::Unconnected | End::Moot | End::NotSent if sent.doubted => {
+            AttemptEnd::Rejected
+            | AttemptEnd::ConnectFailed
+            | AttemptEnd::NotNeeded
+            | AttemptEnd::NotSent
+                if sent.doubted =>
+            {
                 h.may_have_run = None
             }
-            End::Full | End::Unconnected | End::Moot | End::NotSent => {}
+            AttemptEnd::Rejected
+            | AttemptEnd::ConnectFailed
+            | AttemptEnd::NotNeeded
+            | AttemptEnd::NotSent => {}
             _ => drop(h.may_have_run.get_or_insert(sent)),
         }
-        if o.closed || o.end == End::Returned || stage == Stage::Ended {
+        if o.query_finished || o.end == AttemptEnd::Succeeded || stage == Stage::Ended {
             self.end(now, id);
-            return Next::Nothing;
+            return FollowUp::Nothing;
         }
-        if o.end == End::Moot || !self.may_go_again(now, &self.batches[&id]) {
-            return Next::Over(self.answer(now, id));
+        if o.end == AttemptEnd::NotNeeded || !self.may_go_again(now, &self.batches[&id]) {
+            return FollowUp::Answer(self.answer(now, id));
         }
         self.enqueue(id);
-        Next::Nothing
+        FollowUp::Nothing
     }
 
     /// The virtual clock runs at our running threads over the busy queues.
@@ -372,7 +384,7 @@
     }
 
     /// Queues a batch, in the order taken; a queue found idle starts at the clock.
-    fn enqueue(&mut self, id: BatchId) {
+    fn enqueue(&mut self, id: QueryId) {
         let Some(h) = self.batches.get_mut(&id) else {
             return;
         };
@@ -385,11 +397,11 @@
         if !q.busy() {
             q.start = self.clock;
         }
-        q.put(b.group, id);
+        q.put(b.class, id);
     }
 
     /// The head with the smallest virtual finish, of queues whose head does not wait to redraw.
-    fn head(&self, now: f64) -> Option<BatchId> {
+    fn head(&self, now: f64) -> Option<QueryId> {
         let head = |q: &Queue| {
             let ready = q
                 .lines
@@ -398,7 +410,7 @@
                 .filter(|(_, until)| micros(**until) <= micros(now));
             let id = ready.filter_map(|(line, _)| line.front().copied()).min()?;
             Some((
-                q.start + self.g * self.s.groups[self.batches[&id].b.group].threads,
+                q.start + self.g * self.s.classes[self.batches[&id].b.class].threads,
                 id,
             ))
         };
@@ -409,17 +421,17 @@
             .map(|(_, id)| id)
     }
 
-    fn redraw(&mut self, now: f64, id: BatchId) -> Place {
+    fn redraw(&mut self, now: f64, id: QueryId) -> Placement {
         let at = now + REDRAW.0 + self.chance.draw() * (REDRAW.1 - REDRAW.0);
         let b = &self.batches[&id].b;
-        self.queues[b.tenant].stalled[b.group] = at;
+        self.queues[b.tenant].stalled[b.class] = at;
         self.due.insert((micros(at), Due::Redraw));
-        Place::NotYet
+        Placement::Wait
     }
 
     /// The engine with fewest of our threads a core, of those that would start the batch at once; where there
     /// is none, the least of all, by chance.
-    fn choose(&mut self, now: f64, id: BatchId) -> Option<EngineId> {
+    fn choose(&mut self, now: f64, id: QueryId) -> Option<EngineId> {
         let (candidates, share) = self.candidates(now, id);
         let b = self.batches[&id].b;
         let (need, average) = (self.need(&b), average_load(&candidates));
@@ -456,12 +468,12 @@
 
     /// The engines that a batch may go to now, by index; of a lane, its first preference that has any. Of a long list a random
     /// sample, with the share of the list that was looked at.
-    fn candidates(&mut self, now: f64, id: BatchId) -> (Vec<Candidate>, f64) {
+    fn candidates(&mut self, now: f64, id: QueryId) -> (Vec<Candidate>, f64) {
         let h = &self.batches[&id];
         if !self.may_leave(now, h) {
             return (Vec::new(), 1.0);
         }
-        if self.ready.len() > 2 * SAMPLED && h.b.lane.is_none() {
+        if self.ready.len() > 2 * SAMPLED && h.b.endpoint_subset.is_none() {
             let sample = sample(&mut self.chance, &self.ready, SAMPLED);
             let found = self.open_to(now, id, &sample);
             if found.len() >= FEWEST {
@@ -472,7 +484,7 @@
     }
 
     /// Of some engines those that a batch which may leave may go to now.
-    fn open_to(&self, now: f64, id: BatchId, engines: &[EngineId]) -> Vec<Candidate> {
+    fn open_to(&self, now: f64, id: QueryId, engines: &[EngineId]) -> Vec<Candidate> {
         let h = &self.batches[&id];
         let work = self.work(&h.b);
         let open = |engine: &EngineId| {
@@ -481,7 +493,7 @@
             (fit(e, now) && self.allowed(now, h, work, &candidate)).then_some(candidate)
         };
         let mut found = Vec::with_capacity(engines.len());
-        let Some(lane) = h.b.lane else {
+        let Some(lane) = h.b.endpoint_subset else {
             found.extend(engines.iter().filter_map(open));
             return found;
         };
@@ -489,7 +501,7 @@
             found.extend(
                 engines
                     .iter()
-                    .filter(|engine| tier.holds(**engine))
+                    .filter(|engine| tier.contains(**engine))
                     .filter_map(open),
             );
             if !found.is_empty() {
@@ -516,31 +528,31 @@
     }
 
     /// Engines where a load of ours holds the data set: the batch would stand still there.
-    fn locked(&self, b: &Batch) -> Vec<EngineId> {
-        let group = &self.s.groups[b.group];
+    fn locked(&self, b: &Query) -> Vec<EngineId> {
+        let group = &self.s.classes[b.class];
         if !group.is_load && !group.waits_for_loads {
             return Vec::new();
         }
-        let holds = |h: &&InHand| h.b.data_set == b.data_set && self.s.groups[h.b.group].is_load;
+        let holds = |h: &&InHand| h.b.data_set == b.data_set && self.s.classes[h.b.class].is_load;
         let loads = self.batches.values().filter(holds);
         loads.filter_map(|h| h.out.map(|s| s.engine)).collect()
     }
 
-    fn send(&mut self, now: f64, id: BatchId, engine: EngineId) -> Place {
+    fn send(&mut self, now: f64, id: QueryId, engine: EngineId) -> Placement {
         self.unqueue(id);
         let need = self.need(&self.batches[&id].b);
         let h = self.batches.get_mut(&id).expect("checked by the caller");
         if h.dispatches > 0 {
             self.further_at.add(now);
-            if self.s.groups[h.b.group].further.is_some() {
-                self.learned[h.b.group].further_at.add(now);
+            if self.s.classes[h.b.class].retry_budget.is_some() {
+                self.learned[h.b.class].further_at.add(now);
             }
         }
         h.stage = Stage::Out;
         h.dispatches += 1;
         h.out = Some(Sent::new(engine, now, need));
         let (b, time_out) = (h.b, h.limit - now);
-        let c = &self.s.groups[b.group];
+        let c = &self.s.classes[b.class];
         self.running += c.threads;
         let q = &mut self.queues[b.tenant];
         q.running += 1;
@@ -560,41 +572,47 @@
         let memory = self.grant(&b, engine);
         // What the window does not hold any more on its arrival is not sent: its connection may come up late.
         let within = self.window_left(now, &self.batches[&id]).min(time_out);
-        Place::To {
+        Placement::Attempt {
             engine,
-            time_out,
-            within,
-            memory,
+            response_timeout: time_out,
+            send_timeout: within,
+            memory_grant: memory,
         }
     }
 
     /// The final answer the rules allow: pushed back where trying again is harmless, else errored.
-    fn answer(&mut self, now: f64, id: BatchId) -> Answer {
+    fn answer(&mut self, now: f64, id: QueryId) -> FinalAnswer {
         let h = &self.batches[&id];
-        let ServiceGroup { effect, goal, .. } = self.s.groups[h.b.group];
+        let QueryClass {
+            idempotency: effect,
+            latency_objective: goal,
+            ..
+        } = self.s.classes[h.b.class];
         let everywhere = matches!(
             effect,
-            Effect::Referenced {
-                scope: Scope::Everywhere,
+            Idempotency::IdempotentByKey {
+                scope: DeduplicationScope::Everywhere,
                 ..
             }
         );
-        let harmless = h.may_have_run.is_none() || effect == Effect::Repeatable || everywhere;
+        let harmless = h.may_have_run.is_none() || effect == Idempotency::Idempotent || everywhere;
         let come_back = self
             .s
-            .names_return
-            .then_some(self.s.longest_return.min(goal * COME_BACK));
+            .retry_after_allowed
+            .then_some(self.s.max_retry_after.min(goal * COME_BACK));
         let answer = if harmless {
-            Answer::PushBack { come_back }
+            FinalAnswer::Rejected {
+                retry_after: come_back,
+            }
         } else {
-            Answer::Error
+            FinalAnswer::Failed
         };
         self.end(now, id);
         answer
     }
 
     /// A batch is over for its client; it stays in hand while a dispatch is out.
-    fn end(&mut self, now: f64, id: BatchId) {
+    fn end(&mut self, now: f64, id: QueryId) {
         let Some(h) = self.batches.get(&id) else {
             return;
         };
@@ -606,7 +624,7 @@
             return;
         }
         self.batches.remove(&id);
-        if let Some(key) = b.key.filter(|_| self.s.groups[b.group].in_order) {
+        if let Some(key) = b.ordering_key.filter(|_| self.s.classes[b.class].in_order) {
             if let Some(k) = self.keys.get_mut(&key) {
                 k.line.retain(|other| *other != id);
             }
@@ -614,7 +632,7 @@
         }
     }
 
-    fn give_up(&mut self, id: BatchId) {
+    fn give_up(&mut self, id: QueryId) {
         let waits = |h: &&mut InHand| matches!(h.stage, Stage::Held | Stage::Queued);
         if let Some(h) = self.batches.get_mut(&id).filter(waits) {
             h.stage = Stage::GivenUp;
@@ -625,12 +643,12 @@
 
     fn tick(&mut self, now: f64) {
         self.due.insert((micros(now + TICK), Due::Tick));
-        let window = self.s.further.map_or(0.0, |f| f.window) + 1.0;
+        let window = self.s.retry_budget.map_or(0.0, |f| f.window) + 1.0;
         [&mut self.taken_at, &mut self.further_at]
             .into_iter()
             .for_each(|w| w.forget(now - window));
-        for (group, l) in self.s.groups.iter().zip(&mut self.learned) {
-            let window = group.further.map_or(0.0, |f| f.window) + 1.0;
+        for (group, l) in self.s.classes.iter().zip(&mut self.learned) {
+            let window = group.retry_budget.map_or(0.0, |f| f.window) + 1.0;
             [&mut l.taken_at, &mut l.further_at]
                 .into_iter()
                 .for_each(|w| w.forget(now - window));
