--- a/src/control/eligibility.rs
+++ b/src/controller/eligibility.rs
@@ -1,10 +1,10 @@
 //! Whether the rules let a batch leave now, and to which engines: placement, drains, effects, windows.
 
 use super::MARGIN;
-use crate::api::{Condition, Effect, EngineId, Scope};
-use crate::state::{Candidate, Control, InHand, Stage};
+use crate::api::{DeduplicationScope, EndpointState, EngineId, Idempotency};
+use crate::state::{AdmissionController, Candidate, InHand, Stage};
 
-impl Control {
+impl AdmissionController {
     /// Whether the rules let this batch leave now, wherever it goes.
     pub(super) fn may_leave(&self, now: f64, h: &InHand) -> bool {
         h.stage == Stage::Queued
@@ -16,16 +16,16 @@
 
     /// Whether the rules let a batch that may leave go to this engine now.
     pub(super) fn allowed(&self, now: f64, h: &InHand, work: f64, c: &Candidate) -> bool {
-        let (Some(line), group) = (self.engines[c.engine].line, &self.s.groups[h.b.group]) else {
+        let (Some(line), group) = (self.engines[c.engine].line, &self.s.classes[h.b.class]) else {
             return false;
         };
         let named = |list: &Option<Vec<u32>>, v: u32| list.as_ref().is_none_or(|l| l.contains(&v));
-        line.condition == Condition::Ready
+        line.state == EndpointState::Ready
             && named(&group.zones, line.zone)
             && named(&group.kinds, line.kind as u32)
             && h.b
-                .lane
-                .is_none_or(|lane| self.tiers(lane).iter().any(|tier| tier.holds(c.engine)))
+                .endpoint_subset
+                .is_none_or(|lane| self.tiers(lane).iter().any(|tier| tier.contains(c.engine)))
             && self.in_scope(h, c.engine)
             && self.cold_room(now, c, work)
     }
@@ -35,26 +35,30 @@
         self.window_left(now, h) > 0.0
             && !h.unkept
             && now < h.limit - MARGIN
-            && h.dispatches < self.s.max_dispatches
-            && self.further_left(now, h.b.group)
+            && h.dispatches < self.s.max_attempts
+            && self.further_left(now, h.b.class)
     }
 
     /// How long a dispatch of this batch can still come to an engine without a second effect.
     pub(super) fn window_left(&self, now: f64, h: &InHand) -> f64 {
-        match (h.may_have_run, self.s.groups[h.b.group].effect) {
-            (None, _) | (_, Effect::Repeatable) => f64::INFINITY,
-            (Some(_), Effect::OnceOnly) => 0.0,
-            (Some(first), Effect::Referenced { window, .. }) => first.at + window - MARGIN - now,
+        match (h.may_have_run, self.s.classes[h.b.class].idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => f64::INFINITY,
+            (Some(_), Idempotency::NonIdempotent) => 0.0,
+            (Some(first), Idempotency::IdempotentByKey { window, .. }) => {
+                first.at + window - MARGIN - now
+            }
         }
     }
 
     pub(super) fn in_scope(&self, h: &InHand, engine: EngineId) -> bool {
-        let Effect::Referenced { scope, .. } = self.s.groups[h.b.group].effect else {
+        let Idempotency::IdempotentByKey { scope, .. } = self.s.classes[h.b.class].idempotency
+        else {
             return true;
         };
-        let cell = u32::from(scope == Scope::Cell);
+        let cell = u32::from(scope == DeduplicationScope::Cell);
         let place = |e: EngineId| self.engines[e].line.map(|l| (l.zone, l.cell * cell));
-        h.may_have_run
-            .is_none_or(|first| scope == Scope::Everywhere || place(first.engine) == place(engine))
+        h.may_have_run.is_none_or(|first| {
+            scope == DeduplicationScope::Everywhere || place(first.engine) == place(engine)
+        })
     }
 }
--- a/src/control/key_order.rs
+++ b/src/controller/key_order.rs
@@ -1,10 +1,10 @@
 //! The order of a key: one batch at a time, in the order taken, and the rest after an outcome that tells little.
 
-use crate::state::{micros, Control, Due, Stage};
+use crate::state::{micros, AdmissionController, Due, Stage};
 
-impl Control {
+impl AdmissionController {
     /// A dispatch of this key that an earlier process sent may still run: the key rests until then.
-    pub fn rest(&mut self, key: u64, until: f64) {
+    pub fn pause_key(&mut self, key: u64, until: f64) {
         let k = self.keys.entry(key).or_default();
         k.rests_until = k.rests_until.max(until);
         self.due.insert((micros(k.rests_until), Due::Rested(key)));
--- a/src/control/load.rs
+++ b/src/controller/load.rs
@@ -1,8 +1,8 @@
 //! What reports and answers tell of the load of engines and of whole kinds, and our slice of a kind.
 
 use super::{FAIL_LIFE, LEAST, OVERDUE};
-use crate::api::{Batch, EngineId, Report};
-use crate::state::{Candidate, Control, Engine, Level};
+use crate::api::{EngineId, LoadReport, Query};
+use crate::state::{AdmissionController, Candidate, Engine, Level};
 
 const MARK: f64 = 1.5; // threads a core that an engine is filled to; the design's figure
 const MEMORY_MARK: f64 = 0.7; // share of memory that stands for the mark; gateways are uneven, needs guesses
@@ -14,20 +14,22 @@
 const USED_UP: f64 = 0.95; // share of disks busy at the mark; reports are noisy
 const WAITING_BUSY: f64 = 0.1; // batches a core waiting for memory at the mark; any line is a bad sign
 
-impl Control {
-    pub fn report(&mut self, now: f64, engine: EngineId, report: Report) {
+impl AdmissionController {
+    pub fn load_reported(&mut self, now: f64, engine: EngineId, report: LoadReport) {
         let Some(e) = self.engines.get_mut(engine) else {
             return;
         };
         (e.heard, e.threads_then) = (true, e.threads);
-        let waiting = report.waiting.map_or(0.0, |w| w / (WAITING_BUSY * e.cores));
-        let disks = report.disks.map_or(0.0, |share| share / USED_UP);
+        let waiting = report
+            .waiting_for_memory
+            .map_or(0.0, |w| w / (WAITING_BUSY * e.cores));
+        let disks = report.disk_utilisation.map_or(0.0, |share| share / USED_UP);
         let (thread_seconds, seconds) = self.ran;
         let threads = report
-            .held
+            .in_flight
             .map_or(0.0, |n| n * thread_seconds / seconds.max(LEAST));
-        self.tells_cores = report.utilisation.is_some();
-        let cores = report.utilisation.map_or(0.0, |u| u / BUSY_AT_MARK);
+        self.tells_cores = report.cpu_utilisation.is_some();
+        let cores = report.cpu_utilisation.map_or(0.0, |u| u / BUSY_AT_MARK);
         let marks = cores
             .max(disks)
             .max(waiting.min(2.0))
@@ -84,11 +86,11 @@
 
     /// Our threads, under pressure, and memory in marks of our slice of a whole kind. Guards against many
     /// gateways that each start little, together too much: a slice of one engine is less than a batch.
-    pub(super) fn shared(&self, now: f64, kind: usize, cores: f64, b: &Batch) -> f64 {
+    pub(super) fn shared(&self, now: f64, kind: usize, cores: f64, b: &Query) -> f64 {
         let (pool, need, threads) = (
             self.pool(now, kind),
             self.need(b),
-            self.s.groups[b.group].threads,
+            self.s.classes[b.class].threads,
         );
         let Some(k) = self.kinds.get(&kind) else {
             return 0.0;
@@ -111,8 +113,8 @@
 
     /// How full an engine is with this batch, in marks: by its reported utilisation or our threads against
     /// our slice, and by the memory of ours, which guards against spilling and paging.
-    pub(super) fn marks(&self, b: &Batch, need: f64, c: &Candidate, level: f64, pool: f64) -> f64 {
-        let (e, threads) = (&self.engines[c.engine], self.s.groups[b.group].threads);
+    pub(super) fn marks(&self, b: &Query, need: f64, c: &Candidate, level: f64, pool: f64) -> f64 {
+        let (e, threads) = (&self.engines[c.engine], self.s.classes[b.class].threads);
         let ours = (e.threads + threads) / (c.able_cores * MARK / e.holders).max(threads);
         let told = if !self.tells_cores && pool < 1.0 {
             0.0
--- a/src/control/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -2,8 +2,8 @@
 
 use super::outlier_ejection::fit;
 use super::{LEAST, YIELD};
-use crate::api::{Batch, BatchId};
-use crate::state::{Control, InHand, KeyLine, Stage};
+use crate::api::{Query, QueryId};
+use crate::state::{AdmissionController, InHand, KeyLine, Stage};
 
 const SLACK_USE: f64 = 0.4; // part of the time to a goal that work ahead may take; both are guesses
 const MOST: f64 = 0.9; // part of goal and limit a service needs at most; no group may shut itself out
@@ -11,30 +11,36 @@
 const ROOMY: f64 = 0.5; // part of our room from which waiting is a price; the rest is for bursts
 const LATE_SLACK: f64 = 0.2; // seconds left to a batch past its goal; better work goes first
 
-impl Control {
+impl AdmissionController {
     /// Utility for the work, and how long the batch can still wait for it.
     pub(super) fn prospect(&self, now: f64, h: &InHand) -> (f64, f64) {
-        let c = &self.s.groups[h.b.group];
+        let c = &self.s.classes[h.b.class];
         let (alone, service) = (self.work(&h.b) / c.threads, self.service(&h.b));
-        let (goal, unsure) = (c.goal + c.goal_stretch * alone, unsure(&h.b));
+        let (goal, unsure) = (
+            c.latency_objective + c.latency_objective_stretch * alone,
+            unsure(&h.b),
+        );
         let in_goal = h.taken + goal - (unsure * service).min(goal * MOST) - now;
         let (earns, slack) = if in_goal >= 0.0 {
             (1.0, in_goal)
         } else {
-            (c.late_share, LATE_SLACK)
+            (c.late_value_share, LATE_SLACK)
         };
         let wait = slack.min(h.limit - service / unsure - now) * SLACK_USE;
-        (c.utility * earns / (alone * c.threads).max(LEAST), wait)
+        (
+            c.priority_weight * earns / (alone * c.threads).max(LEAST),
+            wait,
+        )
     }
 
     /// How long a batch is likely to be out.
-    pub(super) fn service(&self, b: &Batch) -> f64 {
-        let (c, l) = (&self.s.groups[b.group], &self.learned[b.group]);
+    pub(super) fn service(&self, b: &Query) -> f64 {
+        let (c, l) = (&self.s.classes[b.class], &self.learned[b.class]);
         // A first guess, from a limit that may be hours, shuts out no batch: only answers make a better one.
         let most = if l.answers == 0 {
-            c.limit.min(b.left)
+            c.deadline.min(b.remaining_time)
         } else {
-            c.limit
+            c.deadline
         };
         (self.work(b) / c.threads * l.slowdown).min(most * MOST)
     }
@@ -46,7 +52,7 @@
     }
 
     /// Batches of a key for which those ahead leave no time. Guards against a hot key, which no engine helps.
-    pub(super) fn behind(&self, now: f64, line: &KeyLine, late: &mut Vec<BatchId>) {
+    pub(super) fn behind(&self, now: f64, line: &KeyLine, late: &mut Vec<QueryId>) {
         let mut ends = now;
         for id in &line.line {
             let h = &self.batches[id];
@@ -86,19 +92,19 @@
                 self.give_up(b.id);
             } else {
                 ahead += work;
-                tight = tight.min(self.s.groups[b.group].goal * SLACK_USE);
+                tight = tight.min(self.s.classes[b.class].latency_objective * SLACK_USE);
             }
         }
     }
 
     /// Batches that may still come before waiting is a price; room is what the gateway's connections allow.
     pub(super) fn spare_room(&self) -> f64 {
-        self.s.room.map_or(f64::INFINITY, |room| {
+        self.s.capacity.map_or(f64::INFINITY, |room| {
             room * ROOMY - self.batches.len() as f64
         })
     }
 }
 
-pub(super) fn unsure(b: &Batch) -> f64 {
-    b.cost.map_or(UNSURE, |_| 1.0)
+pub(super) fn unsure(b: &Query) -> f64 {
+    b.estimated_work.map_or(UNSURE, |_| 1.0)
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,11 +1,11 @@
 //! What the decision module remembers: plain records and their bookkeeping. Nothing here decides.
 
-use crate::api::{Batch, BatchId, Condition, EngineId, EngineSet, Listed, Settings};
+use crate::api::{Endpoint, EndpointState, EngineId, EngineSet, Query, QueryId, Settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One gateway's whole memory.
 #[derive(Default)]
-pub struct Control {
+pub struct AdmissionController {
     pub(crate) s: Settings,
     pub(crate) chance: Chance,
     pub(crate) g: f64,
@@ -17,19 +17,19 @@
     pub(crate) queues: Vec<Queue>,
     pub(crate) learned: Vec<Learned>,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) batches: BTreeMap<BatchId, InHand>,
+    pub(crate) batches: BTreeMap<QueryId, InHand>,
     pub(crate) keys: BTreeMap<u64, KeyLine>,
     pub(crate) due: BTreeSet<(u64, Due)>,
     pub(crate) probes: VecDeque<EngineId>,
-    pub(crate) cancels: VecDeque<(BatchId, u32)>,
-    pub(crate) give_ups: VecDeque<BatchId>,
+    pub(crate) cancels: VecDeque<(QueryId, u32)>,
+    pub(crate) give_ups: VecDeque<QueryId>,
     pub(crate) subscribe: bool,
     /// What waits is to be looked over once nothing more can leave.
     pub(crate) look: bool,
     /// Work of the batches taken lately.
     pub(crate) usual: Level,
     /// The batch taken last.
-    pub(crate) latest: Option<Batch>,
+    pub(crate) latest: Option<Query>,
     /// Probes paid for by batches taken.
     pub(crate) may_ask: f64,
     pub(crate) tells_cores: bool,
@@ -45,9 +45,9 @@
     pub(crate) further_at: Window,
 }
 
-impl Control {
+impl AdmissionController {
     /// A whole list does not name these any more.
-    pub(crate) fn drop_unlisted(&mut self, lines: &[Listed]) {
+    pub(crate) fn drop_unlisted(&mut self, lines: &[Endpoint]) {
         let named: BTreeSet<EngineId> = lines.iter().map(|l| l.engine).collect();
         let unnamed = self
             .engines
@@ -56,7 +56,7 @@
             .filter(|(engine, _)| !named.contains(engine));
         unnamed
             .filter_map(|(_, e)| e.line.as_mut())
-            .for_each(|line| line.condition = Condition::Gone);
+            .for_each(|line| line.state = EndpointState::Removed);
         self.ready.retain(|engine| named.contains(engine));
     }
 
@@ -85,14 +85,14 @@
         }
     }
 
-    pub(crate) fn unqueue(&mut self, id: BatchId) {
+    pub(crate) fn unqueue(&mut self, id: QueryId) {
         let b = &self.batches[&id].b;
-        self.queues[b.tenant].remove(b.group, id);
+        self.queues[b.tenant].remove(b.class, id);
     }
 
     /// The engines that a lane leaves open, by preference; none for a lane that is gone. It narrows what the rules
     /// allow: an engine of a later preference is taken only where no earlier one has any that may be.
-    pub fn lane(&mut self, lane: u32, tiers: Option<Vec<EngineSet>>) {
+    pub fn update_endpoint_subset(&mut self, lane: u32, tiers: Option<Vec<EngineSet>>) {
         match tiers {
             Some(tiers) => drop(self.lanes.insert(lane, tiers)),
             None => drop(self.lanes.remove(&lane)),
@@ -212,7 +212,7 @@
 pub enum Due {
     Tick,
     Redraw,
-    Limit(BatchId),
+    Limit(QueryId),
     Rested(u64),
 }
 
@@ -229,7 +229,7 @@
 
 /// A batch in hand, until it is over and no dispatch of it is out.
 pub struct InHand {
-    pub b: Batch,
+    pub b: Query,
     pub taken: f64,
     pub limit: f64,
     pub stage: Stage,
@@ -244,7 +244,7 @@
 }
 
 impl InHand {
-    pub fn new(b: Batch, taken: f64, limit: f64, stage: Stage) -> Self {
+    pub fn new(b: Query, taken: f64, limit: f64, stage: Stage) -> Self {
         let (out, may_have_run) = (None, None);
         InHand {
             b,
@@ -294,7 +294,7 @@
 /// A tenant's queue on the virtual clock, with a line a service group.
 pub struct Queue {
     pub start: f64,
-    pub lines: Vec<VecDeque<BatchId>>,
+    pub lines: Vec<VecDeque<QueryId>>,
     /// Until when a line waits to redraw.
     pub stalled: Vec<f64>,
     pub running: u32,
@@ -309,12 +309,12 @@
         }
     }
 
-    pub fn put(&mut self, group: usize, id: BatchId) {
+    pub fn put(&mut self, group: usize, id: QueryId) {
         let at = self.lines[group].partition_point(|other| *other < id);
         self.lines[group].insert(at, id);
     }
 
-    pub fn remove(&mut self, group: usize, id: BatchId) {
+    pub fn remove(&mut self, group: usize, id: QueryId) {
         if let Ok(at) = self.lines[group].binary_search(&id) {
             self.lines[group].remove(at);
         }
@@ -409,7 +409,7 @@
 /// What is known of an engine, and what of ours it holds.
 #[derive(Default)]
 pub struct Engine {
-    pub line: Option<Listed>,
+    pub line: Option<Endpoint>,
     pub cores: f64,
     pub memory: Option<f64>,
     /// Gateways that work with it.
@@ -430,7 +430,7 @@
     /// For the cold budget: when we knew of its start, a batch taken before, a lot drawn then; the work sent
     /// or lapsed since, and where the next quantum begins.
     pub known_at: f64,
-    pub sample: Option<Batch>,
+    pub sample: Option<Query>,
     pub work_sent: f64,
     pub quanta_from: f64,
     pub lot: f64,
@@ -456,7 +456,7 @@
     }
 
     pub fn ready(&self) -> bool {
-        self.line.is_some_and(|l| l.condition == Condition::Ready)
+        self.line.is_some_and(|l| l.state == EndpointState::Ready)
     }
 
     /// All but its line, what it holds of ours and the work it was sent.
@@ -481,7 +481,7 @@
 
 #[derive(Default)]
 pub struct KeyLine {
-    pub line: VecDeque<BatchId>,
+    pub line: VecDeque<QueryId>,
     pub rests_until: f64,
 }
 
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -2,15 +2,15 @@
 //! instances of the module and judges the sum by the rule on cold engines.
 
 use garnetwall::api::*;
-use garnetwall::control::Control;
+use garnetwall::controller::AdmissionController;
 use std::collections::BTreeSet;
 
 /// Seconds between two moments of the world: all that falls into one is done in step.
 const STEP: f64 = 0.05;
-const COLD: ColdRule = ColdRule {
-    starts_at: 0.35,
-    warm_after: 10.0,
-    multiple: 3.0,
+const COLD: SlowStart = SlowStart {
+    initial_fraction: 0.35,
+    duration: 10.0,
+    overload_multiple: 3.0,
     window: 2.0,
 };
 const CORES: [f64; 2] = [8.0, 16.0];
@@ -128,37 +128,37 @@
     }
 
     fn settings(&self) -> Settings {
-        let group = |c: &Class| ServiceGroup {
-            goal: c.limit / 3.0,
-            goal_stretch: 2.0,
-            limit: c.limit,
-            utility: c.work,
-            late_share: 0.3,
-            effect: Effect::Repeatable,
+        let group = |c: &Class| QueryClass {
+            latency_objective: c.limit / 3.0,
+            latency_objective_stretch: 2.0,
+            deadline: c.limit,
+            priority_weight: c.work,
+            late_value_share: 0.3,
+            idempotency: Idempotency::Idempotent,
             in_order: false,
             zones: None,
             kinds: None,
             threads: 1.0,
             is_load: false,
             waits_for_loads: false,
-            further: None,
+            retry_budget: None,
         };
         Settings {
-            groups: self.classes.iter().map(group).collect(),
+            classes: self.classes.iter().map(group).collect(),
             tenants: 1,
             gateways: self.told,
             kind_cores: CORES.iter().copied().map(Some).collect(),
-            reports: Reports::WithAnswers,
-            may_cancel: true,
-            names_return: true,
-            longest_return: 1.0,
-            max_dispatches: 4,
-            cold: Some(COLD),
+            load_reporting: LoadReporting::WithAnswers,
+            cancellation_allowed: true,
+            retry_after_allowed: true,
+            max_retry_after: 1.0,
+            max_attempts: 4,
+            slow_start: Some(COLD),
             ..Settings::default()
         }
     }
 
-    fn line(&self, engine: EngineId, started: bool) -> Listed {
+    fn line(&self, engine: EngineId, started: bool) -> Endpoint {
         let kind = self.kind(engine);
         let came_up = self
             .starts
@@ -169,14 +169,14 @@
             self.holders
                 .unwrap_or_else(|| self.told_holders(size, kind))
         });
-        Listed {
+        Endpoint {
             engine,
             zone: 0,
             kind,
             cell: 0,
-            came_up,
-            condition: Condition::Ready,
-            holders,
+            started_at: came_up,
+            state: EndpointState::Ready,
+            gateways: holders,
         }
     }
 
@@ -231,8 +231,8 @@
             .starts
             .get(engine)
             .map_or(f64::NEG_INFINITY, |(up, _)| *up);
-        let warmed = ((now - up) / COLD.warm_after).clamp(0.0, 1.0);
-        CORES[self.kind(engine)] * (COLD.starts_at + (1.0 - COLD.starts_at) * warmed)
+        let warmed = ((now - up) / COLD.duration).clamp(0.0, 1.0);
+        CORES[self.kind(engine)] * (COLD.initial_fraction + (1.0 - COLD.initial_fraction) * warmed)
     }
 
     fn play(&self) -> Vec<Vec<Sent>> {
@@ -267,7 +267,7 @@
         let end = self
             .starts
             .iter()
-            .map(|(up, _)| up + COLD.warm_after)
+            .map(|(up, _)| up + COLD.duration)
             .fold(0.0, f64::max);
         let mut restarts = self.restarts.clone();
         for now in (0..)
@@ -323,13 +323,13 @@
 struct Out {
     ends: f64,
     latency: f64,
-    id: BatchId,
+    id: QueryId,
     engine: EngineId,
     dispatch: u32,
 }
 
 struct Gateway {
-    c: Control,
+    c: AdmissionController,
     rate: f64,
     next: f64,
     wake: f64,
@@ -350,17 +350,17 @@
         told: Vec<f64>,
         members: BTreeSet<EngineId>,
     ) -> Gateway {
-        let mut c = Control::new(day.settings(), seed, now);
+        let mut c = AdmissionController::new(day.settings(), seed, now);
         let listed: Vec<bool> = told.iter().map(|t| *t <= now).collect();
         let there = |e: &EngineId| listed.get(*e).is_none_or(|l| *l || day.known);
         let started = |e: EngineId| listed.get(e).copied().unwrap_or_default();
-        let lines: Vec<Listed> = members
+        let lines: Vec<Endpoint> = members
             .iter()
             .copied()
             .filter(there)
             .map(|e| day.line(e, started(e)))
             .collect();
-        c.listed(&lines, true);
+        c.update_endpoints(&lines, true);
         Gateway {
             c,
             rate,
@@ -380,7 +380,7 @@
             if !self.listed[e] && self.told[e] <= now {
                 self.listed[e] = true;
                 if self.members.contains(&e) {
-                    self.c.listed(&[day.line(e, true)], false);
+                    self.c.update_endpoints(&[day.line(e, true)], false);
                     due = true;
                 }
             }
@@ -389,7 +389,7 @@
             let o = self.out.remove(n);
             world.held[o.engine] -= 1.0;
             let work = Some(self.batches[o.id as usize].1);
-            self.over(now, o, End::Returned, work);
+            self.over(now, o, AttemptEnd::Succeeded, work);
             due = true;
         }
         while self.next <= now {
@@ -400,22 +400,22 @@
             if now < day.quiet {
                 continue;
             }
-            let id = self.batches.len() as BatchId;
+            let id = self.batches.len() as QueryId;
             let cost = day.estimates.then(|| work * (0.6 + 0.8 * dice.even()));
             self.batches.push((group, work, 0));
             let left = class.limit;
-            let b = Batch {
+            let b = Query {
                 id,
-                group,
+                class: group,
                 tenant: 0,
-                key: None,
-                left,
-                cost,
-                memory: None,
+                ordering_key: None,
+                remaining_time: left,
+                estimated_work: cost,
+                estimated_memory: None,
                 data_set: 0,
-                lane: None,
+                endpoint_subset: None,
             };
-            self.c.take(now, b);
+            self.c.admit(now, b);
             due = true;
         }
         if due {
@@ -423,7 +423,7 @@
         }
     }
 
-    fn over(&mut self, now: f64, o: Out, end: End, work: Option<f64>) {
+    fn over(&mut self, now: f64, o: Out, end: AttemptEnd, work: Option<f64>) {
         let Out {
             latency,
             id,
@@ -431,16 +431,16 @@
             dispatch,
             ..
         } = o;
-        let closed = end == End::Returned;
-        self.c.after(
+        let closed = end == AttemptEnd::Succeeded;
+        self.c.attempt_ended(
             now,
             id,
-            Outcome {
+            AttemptOutcome {
                 engine,
-                dispatch,
+                attempt: dispatch,
                 end,
                 latency,
-                closed,
+                query_finished: closed,
                 work,
                 memory: None,
             },
@@ -449,14 +449,17 @@
 
     fn pump(&mut self, day: &Day, now: f64, dice: &mut Dice, world: &mut World) {
         loop {
-            match self.c.wait(now) {
-                Wait::For(span) => {
+            match self.c.next_action(now) {
+                NextAction::Wait(span) => {
                     self.wake = now + span;
                     return;
                 }
-                Wait::Subscribe => {}
-                Wait::Probe(engine) => self.c.probed(now, engine, End::Returned),
-                Wait::Cancel(id, dispatch) => {
+                NextAction::Subscribe => {}
+                NextAction::HealthCheck(engine) => {
+                    self.c
+                        .health_check_ended(now, engine, AttemptEnd::Succeeded)
+                }
+                NextAction::Cancel(id, dispatch) => {
                     if let Some(n) = self
                         .out
                         .iter()
@@ -464,12 +467,14 @@
                     {
                         let o = self.out.remove(n);
                         world.held[o.engine] -= 1.0;
-                        self.over(now, o, End::Withdrawn, None);
+                        self.over(now, o, AttemptEnd::Cancelled, None);
                     }
                 }
-                Wait::Ask(id) => {
-                    let Place::To {
-                        engine, time_out, ..
+                NextAction::Place(id) => {
+                    let Placement::Attempt {
+                        engine,
+                        response_timeout: time_out,
+                        ..
                     } = self.c.place(now, id)
                     else {
                         continue;
@@ -543,7 +548,7 @@
     };
     let (mut first, mut all, mut told) = (0, 0.0, 0.0);
     for s in sent.iter().filter(|s| s.told) {
-        v.got += s.work / (COLD.multiple * COLD.starts_at * cores * COLD.warm_after);
+        v.got += s.work / (COLD.overload_multiple * COLD.initial_fraction * cores * COLD.duration);
     }
     for (n, s) in sent.iter().enumerate() {
         let part = |s: &Sent| {
@@ -561,10 +566,11 @@
                 break;
             }
         }
-        if s.at < up || s.at >= up + COLD.warm_after {
+        if s.at < up || s.at >= up + COLD.duration {
             continue;
         }
-        let budget = COLD.multiple * COLD.window * COLD.starts_at * cores / mean_work;
+        let budget =
+            COLD.overload_multiple * COLD.window * COLD.initial_fraction * cores / mean_work;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
         v.broken += usize::from(all > most && told > all * 2.0 / 3.0);
         v.filled = v.filled.max(told / budget);
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)]
 mod helper;
 
-use garnetwall::api::{Effect, EngineId, Settings};
+use garnetwall::api::{EngineId, Idempotency, Settings};
 use helper::{group, settings, World};
 
 const GATEWAYS: u64 = 60;
@@ -14,8 +14,8 @@
 /// The engines that a gateway probes first.
 fn probed_first(seed: u64) -> Vec<EngineId> {
     let told = Settings {
-        may_probe: true,
-        ..settings(vec![group(Effect::Repeatable)])
+        health_checks_allowed: true,
+        ..settings(vec![group(Idempotency::Idempotent)])
     };
     let mut world = World::seeded(told, ENGINES, seed);
     for _ in 0..QUERIES {
