--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -2,8 +2,8 @@
 //! subset.
 
 use divan::{black_box, Bencher};
-use garnetwall_gateway::clock::Clock;
 use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
+use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
 use garnetwall_subset::{RetryScope, SubsetSettings};
 use std::fmt::Write;
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line.
 
-use crate::config::{self, Config, Files};
+use crate::configuration::plan_commands;
+use crate::configuration::{self, Config, Files};
 use crate::gateway::Gateway;
-use crate::log::{print_error, Log};
-use crate::plan_cli;
-use crate::signals::{Heard, Signals};
-use crate::system_fault::retry_blocking;
+use crate::system::log::{print_error, Log};
+use crate::system::os_error::retry_blocking;
+use crate::system::signals::{Heard, Signals};
 use pico_args::Arguments;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -37,8 +37,8 @@
 /// Runs the command that the arguments name.
 pub fn main() -> ExitCode {
     let mut arguments = Arguments::from_env();
-    if plan_cli::is_meant(&mut arguments) {
-        return plan_cli::run(arguments);
+    if plan_commands::is_meant(&mut arguments) {
+        return plan_commands::run(arguments);
     }
     match command(arguments) {
         Ok(()) => ExitCode::SUCCESS,
@@ -91,11 +91,11 @@
 }
 
 fn help() -> String {
-    HELP.replace("{PLAN}", plan_cli::HELP)
+    HELP.replace("{PLAN}", plan_commands::HELP)
 }
 
-fn read(files: Files) -> Result<config::Config, String> {
-    config::read(files, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
+fn read(files: Files) -> Result<Config, String> {
+    configuration::read(files, |name| std::env::var(name).ok()).map_err(|e| e.to_string())
 }
 
 fn serve(files: Files) -> Result<(), String> {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/configuration.rs
@@ -1,9 +1,10 @@
 //! The one place where configuration is read, checked and given defaults. Every fault names its key.
 
+pub mod plan_commands;
 pub mod subset;
 
 use crate::discovery::{self, Event, NameIndex};
-use crate::{plan_cli, planning};
+use crate::scheduling::plan_routing;
 use garnetwall_plan::{Faulty, Plan};
 use garnetwall_settings::{decode, shown, Cause, Decoded, Fault, Flat};
 use garnetwall_subset::{SubsetError, SubsetSettings};
@@ -136,8 +137,8 @@
     let plan = files.plan.or_else(|| variable(PLAN_VARIABLE));
     let mut config = read_config(files.config, variable)?;
     if let Some(file) = plan {
-        let settings = planning::settings(&config.decoded);
-        let compiled = garnetwall_plan::compile(&plan_cli::Disk, &file, Some(&settings));
+        let settings = plan_routing::settings(&config.decoded);
+        let compiled = garnetwall_plan::compile(&plan_commands::Disk, &file, Some(&settings));
         let faulty = |faulty: Faulty| ConfigError::Plan {
             file: file.clone(),
             what: faulty.to_string(),
--- a/crates/gateway/src/plan_cli.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -1,8 +1,8 @@
 //! The commands on plans: check, fmt, diff, explain, show. They end with 0, with 1 for a fault or a difference, and with
 //! 2 where the call itself is wrong.
 
-use crate::config;
-use crate::planning;
+use crate::configuration;
+use crate::scheduling::plan_routing;
 use garnetwall_plan::model::Facts;
 use garnetwall_plan::source::{beside, Loader};
 use garnetwall_plan::{compile, diff, explain, fault, format, Compiled, Settings};
@@ -111,8 +111,9 @@
     let Some(file) = option(arguments, "--settings")? else {
         return Ok(None);
     };
-    let decoded = config::settings(&file).map_err(|e| Stop::Fault(format!("garnetwall: {e}\n")))?;
-    Ok(Some(planning::settings(&decoded)))
+    let decoded =
+        configuration::settings(&file).map_err(|e| Stop::Fault(format!("garnetwall: {e}\n")))?;
+    Ok(Some(plan_routing::settings(&decoded)))
 }
 
 fn read(file: &str, settings: Option<&Settings>) -> Result<Compiled, Stop> {
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -7,6 +7,7 @@
 mod event;
 mod lenient;
 mod list;
+pub mod reconnect;
 mod selection;
 mod sequence;
 mod start_times;
--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -5,7 +5,7 @@
 //! each time than any fixed patience. So a further connection is opened beside it, and all stay until one of them brings the next
 //! event, falls silent for [`TOLD`], or trickles for [`LONGEST_LINE`]. Times are since any moment that stays the same.
 
-use crate::reconnect::Reconnect;
+use crate::discovery::reconnect::Reconnect;
 use std::time::Duration;
 
 /// Most connections to one log at once.
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -3,7 +3,7 @@
 use super::event::{EngineLine, Event};
 use super::selection::{Candidate, Selected, Selection, Status};
 use super::start_times::StartTimes;
-use crate::clock::{span, Clock};
+use crate::system::clock::{span, Clock};
 use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use garnetwall_subset::SizeReason;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -6,7 +6,7 @@
 use super::event::{Event, NameIndex};
 use super::sequence::{EventSequence, SequenceError, Taken};
 use super::stream::{EventTooLong, Stream};
-use crate::reconnect::Reconnect;
+use crate::discovery::reconnect::Reconnect;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,26 +1,28 @@
 //! Engines over HTTP: the connections to them and the budget of those, dispatches, probes.
 
+mod attempt;
 mod call;
-mod outgoing;
-mod reply;
+mod request;
+mod response;
+pub mod result_rows;
 #[cfg(test)]
 mod tests;
-mod way;
 
 pub use crate::discovery::Target;
 pub use call::{Call, Ended, Start, Statement, Tidings, Wish};
 
-use crate::clock::span;
 use crate::discovery::{EngineList, Warmed};
-use crate::socket::Socket;
-use crate::sockets::{Abandoned, Budget, Gate, Line, LONGEST_HEAD};
+use crate::system::clock::span;
+use crate::system::socket::Socket;
+use crate::system::stream_budget::{Abandoned, Budget, Gate, Line, LONGEST_HEAD};
+use attempt::{AnswerPatience, Way};
 use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
 use garnetwall_ledger::{Bounds, Ledger};
 use garnetwall_settings::Network;
 use http::{Method, StatusCode};
 use hyper::client::conn::http1;
-use outgoing::{request, Sender};
-use reply::Fault;
+use request::{request, Sender};
+use response::Fault;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,7 +30,6 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{watch, Semaphore};
 use tokio::time::timeout;
-use way::{AnswerPatience, Way};
 
 /// Protocol: news is held back this long at most.
 const NEWS: Duration = Duration::from_millis(250);
--- a/crates/gateway/src/engines/way/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -2,8 +2,8 @@
 
 use super::Way;
 use crate::engines::call::Call;
-use crate::engines::outgoing::{path, request};
-use crate::engines::reply::{news, Fault, News};
+use crate::engines::request::{path, request};
+use crate::engines::response::{news, Fault, News};
 use garnetwall_ledger as ledger;
 use garnetwall_ledger::{Fact, Next};
 use http::{Method, StatusCode};
--- a/crates/gateway/src/engines/way/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -1,8 +1,8 @@
 //! One call and its answer, on a connection that is up or comes up.
 
 use super::{OutgoingBody, Way};
-use crate::engines::outgoing::{Outgoing, Sender};
-use crate::engines::reply::{exchange, Fault, Reply};
+use crate::engines::request::{Outgoing, Sender};
+use crate::engines::response::{exchange, Fault, Reply};
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_ledger::Fact;
 use http::{Method, Request};
--- a/crates/gateway/src/engines/way/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -2,8 +2,8 @@
 
 use super::Way;
 use crate::engines::call::{Call, Ended};
-use crate::engines::reply::{Fault, Reply, MEMORY, THIS_PAGE, WORK};
-use crate::rows;
+use crate::engines::response::{Fault, Reply, MEMORY, THIS_PAGE, WORK};
+use crate::engines::result_rows;
 use garnetwall::api::AttemptEnd;
 use http::StatusCode;
 
@@ -46,7 +46,10 @@
                             ..ended
                         };
                     }
-                    Ok(r) if r.number(THIS_PAGE) == Some(page as f64) && rows::whole(&r.body) => {
+                    Ok(r)
+                        if r.number(THIS_PAGE) == Some(page as f64)
+                            && result_rows::whole(&r.body) =>
+                    {
                         ended.pages.push(r.body);
                         break;
                     }
--- a/crates/gateway/src/engines/way/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -2,8 +2,8 @@
 
 use super::{OutgoingBody, Way};
 use crate::engines::call::{Call, Ended, Start, Tidings, Wish};
-use crate::engines::outgoing::Outgoing;
-use crate::engines::reply::{news, Fault, News, Reply};
+use crate::engines::request::Outgoing;
+use crate::engines::response::{news, Fault, News, Reply};
 use crate::engines::NEWS;
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger as ledger;
--- a/crates/gateway/src/engines/way/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -2,7 +2,7 @@
 
 use super::{OutgoingBody, Way};
 use crate::engines::call::{Call, Start, Statement};
-use crate::engines::outgoing::{request, Outgoing};
+use crate::engines::request::{request, Outgoing};
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_ledger::Fact;
 use http::header::CONTENT_LENGTH;
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/call.rs
@@ -1,6 +1,6 @@
 //! What goes to an engine and what comes of it, as plain values.
 
-use crate::attended::Attended;
+use crate::scheduling::client_presence::Attended;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_bodies::Body;
--- a/crates/gateway/src/engines/outgoing.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -1,7 +1,7 @@
 //! Requests to engines: a start goes out through its gate.
 
 use super::call::Call;
-use crate::sockets::Gate;
+use crate::system::stream_budget::Gate;
 use bytes::Bytes;
 use garnetwall_bodies::body::ReadFault;
 use http::header::HOST;
--- a/crates/gateway/src/engines/reply.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -1,7 +1,7 @@
 //! What an engine's answer says, and how a call came to nothing.
 
-use super::outgoing::{Outgoing, Sender};
-use crate::rows;
+use super::request::{Outgoing, Sender};
+use crate::engines::result_rows;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_ledger::Lost;
@@ -87,9 +87,11 @@
     let never_ran = reply.head.get(NEVER_RAN).is_some_and(|v| v == "1");
     let pages = reply
         .number(ALL_PAGES)
-        .filter(|n| n.fract() == 0.0 && (0.0..=rows::PAGES as f64).contains(n));
+        .filter(|n| n.fract() == 0.0 && (0.0..=result_rows::PAGES as f64).contains(n));
     match (reply.status, never_ran, pages) {
-        (StatusCode::OK, _, Some(pages)) if rows::whole(&reply.body) => News::Good(pages as usize),
+        (StatusCode::OK, _, Some(pages)) if result_rows::whole(&reply.body) => {
+            News::Good(pages as usize)
+        }
         (StatusCode::ACCEPTED, _, _) => News::NotYet(note(reply)),
         (StatusCode::SERVICE_UNAVAILABLE, true, _) => News::Over(AttemptEnd::Rejected),
         (StatusCode::GATEWAY_TIMEOUT, true, _) => News::Over(AttemptEnd::NotNeeded),
@@ -117,7 +119,7 @@
     sender.ready().await.map_err(|e| fault(&e))?;
     let answer = sender.send_request(request).await.map_err(|e| fault(&e))?;
     let (head, body) = answer.into_parts();
-    let body = Limited::new(body, rows::PAGE)
+    let body = Limited::new(body, result_rows::PAGE)
         .collect()
         .await
         .map_err(|e| match e.is::<LengthLimitError>() {
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::attended::Attended;
-use crate::clock::Clock;
 use crate::discovery::{EngineLine, Event};
+use crate::scheduling::client_presence::Attended;
+use crate::system::clock::Clock;
 use bytes::Bytes;
 use garnetwall::api::EndpointState;
 use http::HeaderValue;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,18 +1,18 @@
 //! The gateway as one object: its phases from start to exit, and what runs in each.
 
-use crate::clock::{span, Clock};
-use crate::config::{subset, Config};
-use crate::desk::Desk;
+use crate::configuration::{subset, Config};
+use crate::discovery::reconnect::Reconnect;
 use crate::discovery::{Discovery, EngineList, EngineUpdate, NameIndex, Selection, Watch};
 use crate::engines::{self, Engines};
-use crate::front::{self, Front};
-use crate::guests::Guests;
-use crate::keeping::{self, Keeper};
-use crate::planning::{self, Planner};
-use crate::reconnect::Reconnect;
-use crate::sockets::Budget;
-use crate::spacing::Spacing;
-use crate::system_fault::retry;
+use crate::http::client_connections::Guests;
+use crate::http::send_time::Spacing;
+use crate::http::{self, Front};
+use crate::scheduling::plan_routing::{self, Planner};
+use crate::scheduling::scheduler::Desk;
+use crate::storage::query_journal::{self, Keeper};
+use crate::system::clock::{span, Clock};
+use crate::system::os_error::retry;
+use crate::system::stream_budget::Budget;
 use garnetwall::api::{AttemptEnd, EngineId, QueryClass, Settings};
 use garnetwall::controller::AdmissionController;
 use garnetwall_bodies::Store;
@@ -87,7 +87,9 @@
         );
         let plan = config.plan.clone();
         let groups = match &plan {
-            Some(plan) => planning::narrowed(&settings.classes, &config.decoded.names.groups, plan),
+            Some(plan) => {
+                plan_routing::narrowed(&settings.classes, &config.decoded.names.groups, plan)
+            }
             None => settings.classes.clone(),
         };
         if let Some(plan) = &plan {
@@ -141,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// What it needs at the start can't be had, or not for [`START_TIMEOUT`](crate::system_fault::START_TIMEOUT).
+    /// What it needs at the start can't be had, or not for [`START_TIMEOUT`](crate::system::os_error::START_TIMEOUT).
     pub async fn run(
         mut self,
         stop: impl Future<Output = ()>,
@@ -178,11 +180,11 @@
                 self.longest,
             )),
         };
-        let router = front::router(Arc::new(front));
+        let router = http::router(Arc::new(front));
         let guests = Guests::new(self.budget.clients.clone());
         let ((shut, open), (close, closing)) = (watch::channel(false), watch::channel(false));
         // One for all phases: a connection that waits for its seat is in its hands.
-        let mut accepting = Box::pin(front::accept(&listener, &router, &guests, &open, closing));
+        let mut accepting = Box::pin(http::accept(&listener, &router, &guests, &open, closing));
         tokio::select! {
             () = &mut accepting => {}
             () = self.serving() => {}
@@ -212,7 +214,7 @@
             tracing::warn!("stopped with calls still open");
         }
         if let Some(store) = store {
-            keeping::tell(&store, &self.config.decoded.names.groups);
+            query_journal::tell(&store, &self.config.decoded.names.groups);
         }
         self.enter(Phase::Stopped);
         Ok(())
@@ -261,7 +263,7 @@
             .and_then(|plan| plan.bodies.as_ref());
         let names = &self.config.decoded.names.groups;
         bodies
-            .map(|bodies| keeping::store(bodies, names, &self.config.name))
+            .map(|bodies| query_journal::store(bodies, names, &self.config.name))
             .transpose()
     }
 
@@ -351,7 +353,7 @@
         }
         if let Some(plan) = &config.plan {
             let names = &started.decoded.names.groups;
-            let groups = planning::narrowed(&started.decoded.settings.classes, names, plan);
+            let groups = plan_routing::narrowed(&started.decoded.settings.classes, names, plan);
             let routes = plan.routes.len();
             match desk.replan(plan.clone(), &groups) {
                 true => tracing::info!(routes, limits = plan.limits.len(), "plan taken up"),
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/http.rs
@@ -4,18 +4,21 @@
 //! where its body is long, `streaming`; `intake` takes out of its head what decisions need, and `answers` has the responses.
 
 mod accept;
-mod answers;
+pub mod client_connections;
+pub mod client_stream;
 mod connection;
-mod intake;
-mod streaming;
-mod submit;
+mod request_head;
+mod responses;
+pub mod send_time;
+pub mod statement;
+mod streamed_body;
+mod submission;
 
-use crate::desk::Desk;
 use crate::engines::Engines;
 use crate::gateway::Phase;
-use crate::keeping::Keeper;
-use crate::spacing::Spacing;
-use answers::error_response;
+use crate::http::send_time::Spacing;
+use crate::scheduling::scheduler::Desk;
+use crate::storage::query_journal::Keeper;
 use axum::extract::State;
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
@@ -23,10 +26,11 @@
 use axum::Router;
 use garnetwall_bodies::Store;
 use garnetwall_settings::Decoded;
+use responses::error_response;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use submit::{submit, withdraw};
+use submission::{submit, withdraw};
 use tokio::sync::{watch, Semaphore};
 
 pub use accept::accept;
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -2,9 +2,9 @@
 
 use super::connection::serve;
 use super::Client;
-use crate::guests::Guests;
-use crate::inbound::Peer;
-use crate::system_fault;
+use crate::http::client_connections::Guests;
+use crate::http::client_stream::Peer;
+use crate::system::os_error;
 use axum::Router;
 use std::future::{poll_fn, Future};
 use std::sync::Arc;
@@ -67,7 +67,7 @@
             Err(fault) => {
                 if !std::mem::replace(&mut failing, true) {
                     tracing::warn!(%fault, "a connection could not be accepted");
-                } else if system_fault::needs_pause(&fault) {
+                } else if os_error::needs_pause(&fault) {
                     // Twice in a row.
                     sleep(ACCEPT_RETRY_PAUSE).await;
                 }
--- a/crates/gateway/src/inbound.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -1,8 +1,8 @@
 //! A client's connection. It can be read ahead of who parses it: so a client that has left is noticed also behind bytes
 //! that nobody has asked for yet, and what has come already is known before the connection is closed.
 
-use crate::socket::Socket;
-use crate::sockets::Stalled;
+use crate::system::socket::Socket;
+use crate::system::stream_budget::Stalled;
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
--- a/crates/gateway/src/front/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -1,8 +1,8 @@
 //! One client's connection: its calls one after another, and how it is closed.
 
 use super::{Client, FIRST_REQUEST_TIMEOUT};
-use crate::guests::Guest;
-use crate::inbound::{Inbound, Peer};
+use crate::http::client_connections::Guest;
+use crate::http::client_stream::{Inbound, Peer};
 use axum::body::Body;
 use axum::Router;
 use hyper::body::Incoming;
--- a/crates/gateway/src/front/intake.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -1,8 +1,8 @@
 //! The head of a call: what decisions need is taken out of it and checked.
 
-use crate::desk::Arrival;
 use crate::engines::{Call, Statement};
-use crate::statement;
+use crate::http::statement;
+use crate::scheduling::scheduler::Arrival;
 use axum::http::header::{HeaderMap, HeaderValue};
 use garnetwall_settings::Decoded;
 use std::net::IpAddr;
--- a/crates/gateway/src/front/answers.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -1,8 +1,8 @@
 //! Responses: final answers, and what is said of a call that brings no batch.
 
 use super::Front;
-use crate::desk::{Final, Waiter};
-use crate::planning::Turned;
+use crate::scheduling::plan_routing::Turned;
+use crate::scheduling::scheduler::{Final, Waiter};
 use axum::http::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE};
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
--- a/crates/gateway/src/front/streaming.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -1,12 +1,12 @@
 //! A body too long to be read whole before its batch is taken.
 
-use super::answers::{closing, error_response, final_response, not_kept};
-use super::intake::arrival;
-use super::submit::take;
+use super::request_head::arrival;
+use super::responses::{closing, error_response, final_response, not_kept};
+use super::submission::take;
 use super::{Front, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
-use crate::inbound::Peer;
-use crate::statement;
+use crate::http::client_stream::Peer;
+use crate::http::statement;
 use axum::body::Body;
 use axum::http::header::HeaderMap;
 use axum::http::StatusCode;
--- a/crates/gateway/src/front/submit.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -1,13 +1,13 @@
 //! A batch comes in, or is withdrawn.
 
-use super::answers::{closing, error_response, final_response, response_of, turned_away};
-use super::intake::{arrival, field, hex, QUERY_ID};
-use super::streaming::submit_streamed;
+use super::request_head::{arrival, field, hex, QUERY_ID};
+use super::responses::{closing, error_response, final_response, response_of, turned_away};
+use super::streamed_body::submit_streamed;
 use super::{Client, Front, FIRST_REQUEST_TIMEOUT};
-use crate::desk::{Arrival, Taken, Waiter};
 use crate::engines::Call;
-use crate::inbound::Peer;
-use crate::life::Life;
+use crate::http::client_stream::Peer;
+use crate::scheduling::query_task::Life;
+use crate::scheduling::scheduler::{Arrival, Taken, Waiter};
 use axum::body::{to_bytes, Body};
 use axum::extract::{Path, State};
 use axum::http::header::{HeaderMap, TRANSFER_ENCODING};
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -20,8 +20,8 @@
         .zip(&decoded.settings.classes)
         .map(|(name, group)| SettingsGroup {
             name: name.clone(),
-            goal: crate::clock::span(group.latency_objective),
-            limit: crate::clock::span(group.deadline),
+            goal: crate::system::clock::span(group.latency_objective),
+            limit: crate::system::clock::span(group.deadline),
             in_order: group.in_order,
             effect: effect(group),
             kinds: group.kinds.as_ref().map(|list| named(list, &names.kinds)),
@@ -55,7 +55,7 @@
             };
             model::Effect::Referenced {
                 scope,
-                window: crate::clock::span(window),
+                window: crate::system::clock::span(window),
             }
         }
     }
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -1,10 +1,10 @@
 //! The life of one batch, top to bottom in one task.
 
-use crate::attended::Attended;
-use crate::desk::{Desk, Final, Order};
+use crate::engines::result_rows;
 use crate::engines::{Call, Ended, Engines, Start, Statement, Target, Tidings, Wish};
-use crate::keeping::Keeper;
-use crate::rows;
+use crate::scheduling::client_presence::Attended;
+use crate::scheduling::scheduler::{Desk, Final, Order};
+use crate::storage::query_journal::Keeper;
 use garnetwall::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, QueryId};
 use garnetwall_ledger::book::Sent;
 use std::future::Future;
@@ -187,7 +187,7 @@
 
     /// Tells the module the outcome and does what follows; whether the batch is over.
     fn after(&self, out: Out, mut ended: Ended, answered: bool) -> bool {
-        let body = (ended.end == AttemptEnd::Succeeded).then(|| rows::answer(&ended.pages));
+        let body = (ended.end == AttemptEnd::Succeeded).then(|| result_rows::answer(&ended.pages));
         if let Some(Err(what)) = &body {
             tracing::warn!(engine = out.engine, what, "result out of the protocol");
             ended = Ended {
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -4,17 +4,18 @@
 //! This file has the lock, the timer and the facts that come in; `intake` takes queries, `ending` answers them and lets them
 //! go, `waiter` is who waits for one, `in_hand` what is kept of each, `kept_answers` the answers of those that are over, `order` the plain values that go in and out.
 
-mod ending;
-mod in_hand;
-mod intake;
-mod kept_answers;
-mod order;
+mod admission;
+mod answer_cache;
+mod messages;
+mod query_end;
+mod state;
 mod waiter;
 
-use crate::clock::Clock;
 use crate::discovery::EngineUpdate;
-use crate::planning::Planner;
-use crate::pulse::Pulse;
+use crate::scheduling::plan_routing::Planner;
+use crate::system::clock::Clock;
+use crate::system::stall_detector::Pulse;
+use answer_cache::KeptAnswers;
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, EngineId, FollowUp, Idempotency, LoadReport, NextAction, Progress,
     QueryClass, QueryId,
@@ -22,8 +23,7 @@
 use garnetwall::controller::AdmissionController;
 use garnetwall_ledger::book::Sent;
 use garnetwall_plan::Plan;
-use in_hand::{InHand, Seats};
-use kept_answers::KeptAnswers;
+use state::{InHand, Seats};
 use std::collections::{HashMap, VecDeque};
 use std::hash::RandomState;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -32,7 +32,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep_until, Instant};
 
-pub use order::{Arrival, Final, Order, Taken};
+pub use messages::{Arrival, Final, Order, Taken};
 pub use waiter::Waiter;
 
 pub struct Desk {
--- a/crates/gateway/src/desk/intake.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,12 +1,12 @@
 //! A query comes in: it is new, joins the one of its id that is in hand, or is refused.
 
-use super::in_hand::{InHand, Job, Seats};
-use super::kept_answers::{Fingerprint, Kept};
+use super::answer_cache::{Fingerprint, Kept};
+use super::state::{InHand, Job, Seats};
 use super::{Arrival, Desk, Taken, Waiter};
-use crate::attended::Attended;
-use crate::clock::minute_of_day;
 use crate::engines::{Call, Statement};
-use crate::keeping::millis;
+use crate::scheduling::client_presence::Attended;
+use crate::storage::query_journal::millis;
+use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
 use garnetwall_ledger::book::{Sent, CLEAR};
 use std::hash::BuildHasher;
--- a/crates/gateway/src/desk/order.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -1,8 +1,8 @@
 //! The plain values that go into the desk and come out of it.
 
 use super::Waiter;
-use crate::attended::Attended;
-use crate::planning::Turned;
+use crate::scheduling::client_presence::Attended;
+use crate::scheduling::plan_routing::Turned;
 use bytes::Bytes;
 use garnetwall::api::{EngineId, FinalAnswer, QueryId};
 use garnetwall_ledger::book::Sent;
--- a/crates/gateway/src/desk/ending.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -1,6 +1,6 @@
 //! A query ends: it is answered, let go, or withdrawn.
 
-use super::in_hand::Job;
+use super::state::Job;
 use super::{Desk, Final};
 use garnetwall::api::QueryId;
 
--- a/crates/gateway/src/desk/in_hand.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -1,12 +1,12 @@
 //! What the desk's lock guards: the module, and the queries in hand.
 
-use super::kept_answers::{Fingerprint, KeptAnswers};
+use super::answer_cache::{Fingerprint, KeptAnswers};
 use super::{Final, Order};
-use crate::attended::Attended;
-use crate::clock::Clock;
 use crate::engines::Call;
-use crate::planning::{LaneTold, Passage, Planner};
-use crate::pulse::Pulse;
+use crate::scheduling::client_presence::Attended;
+use crate::scheduling::plan_routing::{LaneTold, Passage, Planner};
+use crate::system::clock::Clock;
+use crate::system::stall_detector::Pulse;
 use garnetwall::api::{Placement, QueryId};
 use garnetwall::controller::AdmissionController;
 use std::collections::{HashMap, VecDeque};
--- /dev/null
+++ b/crates/gateway/src/storage.rs
@@ -0,0 +1,3 @@
+//! What outlives a query's answer: the journal of non-idempotent queries and the store of request bodies.
+
+pub mod query_journal;
--- a/crates/gateway/src/keeping.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -1,9 +1,9 @@
 //! What a gateway keeps beyond a batch's answer: the journal of once-only batches on a disk that lasts, and the store of
 //! bodies. It hands records over and waits for them; `garnetwall_ledger` and `garnetwall_bodies` decide what they mean.
 
-use crate::clock::Clock;
-use crate::machine_run::RunClock;
-use crate::system_fault::may_pass;
+use crate::system::boot_clock::RunClock;
+use crate::system::clock::Clock;
+use crate::system::os_error::may_pass;
 use garnetwall_bodies::room::Policy;
 use garnetwall_bodies::{Disk, Limits, Spool, Store};
 use garnetwall_ledger::book::{Run, Sent, CLEAR};
--- /dev/null
+++ b/crates/gateway/src/system.rs
@@ -0,0 +1,10 @@
+//! What the gateway takes from its machine: clocks, signals, sockets, the log, and the faults of system calls.
+
+pub mod boot_clock;
+pub mod clock;
+pub mod log;
+pub mod os_error;
+pub mod signals;
+pub mod socket;
+pub mod stall_detector;
+pub mod stream_budget;
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/system/log.rs
@@ -145,7 +145,7 @@
         let lost = self.lost.get().map_or(0, ErrorCounter::dropped_lines);
         if lost > self.told {
             let line = format!(
-                "WARN garnetwall_gateway::log: lines of the log were lost lost={}\n",
+                "WARN garnetwall_gateway::system::log: lines of the log were lost lost={}\n",
                 lost - self.told
             );
             self.told = lost;
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/system/signals.rs
@@ -4,7 +4,7 @@
 //! A handler sets a flag, which can't fail, and writes to a pipe that wakes the gateway. The flags are looked at now and then
 //! as well, so that a wake that got lost delays a signal and no more.
 
-use crate::socket::uninterrupted;
+use crate::system::socket::uninterrupted;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
 use std::io;
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/system/socket.rs
@@ -2,7 +2,7 @@
 //! may be cut short or interrupted at any time. (The runtime's own reads and writes take a short one as the sign that the
 //! socket is drained or full, and wait for news that then may never come.)
 
-use crate::system_fault;
+use crate::system::os_error;
 use socket2::SockRef;
 use std::future::Future;
 use std::io::{self, IoSlice, Read as _};
@@ -50,7 +50,7 @@
         loop {
             held_here.store(false, Ordering::Relaxed);
             match TcpStream::connect(address).await {
-                Err(fault) if system_fault::is_local(&fault) => {
+                Err(fault) if os_error::is_local(&fault) => {
                     held_here.store(true, Ordering::Relaxed);
                     tracing::debug!(%fault, %address, "no connection could be begun here");
                     sleep(LOCAL_RETRY_PAUSE).await;
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/system/stream_budget.rs
@@ -1,7 +1,7 @@
 //! The budget of descriptors and memory, and the stream that holds a part of it for as long as it is open.
 
-use crate::rows;
-use crate::socket::Socket;
+use crate::engines::result_rows;
+use crate::system::socket::Socket;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
 use std::future::Future;
@@ -29,7 +29,7 @@
 /// One in so many bytes of the told memory is for answers that clients may ask for again.
 const KEPT_ANSWERS: usize = 64;
 /// A result in hand: its pages, and the answer made of them.
-const RESULT: usize = 2 * rows::RESULT;
+const RESULT: usize = 2 * result_rows::RESULT;
 
 /// A write that nothing is read of for this long ends the connection: far above any client's patience with
 /// its own network.
--- a/crates/gateway/tests/reconnect.rs
+++ b/crates/gateway/tests/reconnect.rs
@@ -1,6 +1,6 @@
 //! The pace of connections to the change log, without any clock or socket.
 
-use garnetwall_gateway::reconnect::{Reconnect, LONGEST_PAUSE};
+use garnetwall_gateway::discovery::reconnect::{Reconnect, LONGEST_PAUSE};
 use std::time::Duration;
 
 const PAUSE: Duration = Duration::from_millis(250);
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use garnetwall_gateway::sockets::Budget;
+use garnetwall_gateway::system::stream_budget::Budget;
 use helper::process::ms;
 use helper::*;
 use serde_json::{json, Value};
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/configuration.rs
@@ -3,7 +3,7 @@
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::pool::{kind_name, log_event, whole_list, zone_name, KIND_CORES, ZONES};
 use super::stopwatch::{growth, timed};
-use garnetwall_gateway::config::{self, Files};
+use garnetwall_gateway::configuration::{self, Files};
 use serde_json::json;
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
             config: Some(file.path.display().to_string()),
             plan: None,
         };
-        let (resident, (read, config)) = growth(|| timed(|| config::read(files(), |_| None)))?;
+        let (resident, (read, config)) = growth(|| timed(|| configuration::read(files(), |_| None)))?;
         config.map_err(|error| RoleError::Data(error.to_string()))?;
         Ok(vec![
             Measured {
