--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! The connection to the change log.
 
 use crate::system::socket::Socket;
-use crate::system::stream_budget::{Line, LONGEST_HEAD};
+use crate::system::stream_budget::{BudgetedStream, LONGEST_HEAD};
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderName, HeaderValue, Method, Request, StatusCode};
@@ -32,7 +32,7 @@
 /// back for it: engines that hold all of that must not keep out the news of them.
 pub(super) async fn open(log: SocketAddr, last: u64) -> Result<Incoming, OpenError> {
     let socket = Socket::connect(log, &AtomicBool::default()).await?;
-    let line = Line::new(socket, None);
+    let line = BudgetedStream::new(socket, None);
     let mut builder = http1::Builder::new();
     let (mut sender, connection) = builder.max_buf_size(LONGEST_HEAD).handshake(line).await?;
     tokio::spawn(async move { drop(connection.await) });
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -15,7 +15,7 @@
 
 /// What became of an event.
 #[derive(Debug, PartialEq)]
-pub(super) enum Taken {
+pub(super) enum Admission {
     /// It was due, and is to be applied.
     Due(Event),
     /// It was due and malformed twice in a row, and is left out.
@@ -53,26 +53,26 @@
     /// # Errors
     ///
     /// It is malformed for the first time, or others are due before it.
-    pub(super) fn take(&mut self, sent: &Sent) -> Result<Taken, SequenceError> {
+    pub(super) fn take(&mut self, sent: &Sent) -> Result<Admission, SequenceError> {
         let expected = self.last.saturating_add(1);
         let event = event_of_text(&sent.data, &self.names);
         let number = event
             .as_ref()
             .map_or(sent.number.unwrap_or(expected), |event| event.number);
         match event {
-            _ if number < expected => Ok(Taken::Known),
+            _ if number < expected => Ok(Admission::Known),
             Ok(event) if number > expected && !event.whole => {
                 Err(SequenceError::Gap { number, expected })
             }
             Ok(event) => {
                 self.last = number;
-                Ok(Taken::Due(event))
+                Ok(Admission::Due(event))
             }
             // One that can't be read does not speak for those that were due before it.
             Err(what) if self.malformed == Some(number) && number == expected => {
                 tracing::warn!(event = number, what, "event passed over");
                 self.last = number;
-                Ok(Taken::PassedOver)
+                Ok(Admission::PassedOver)
             }
             Err(what) => {
                 self.malformed = Some(number);
--- a/crates/gateway/src/discovery/sequence/tests.rs
+++ b/crates/gateway/src/discovery/sequence/tests.rs
@@ -20,8 +20,8 @@
     }
 }
 
-fn is_due(taken: Result<Taken, SequenceError>) -> bool {
-    matches!(taken, Ok(Taken::Due(_)))
+fn is_due(taken: Result<Admission, SequenceError>) -> bool {
+    matches!(taken, Ok(Admission::Due(_)))
 }
 
 /// Two connections bring the same events, in any order and with another text the second time: each is taken in once.
@@ -29,11 +29,11 @@
 fn an_event_that_comes_on_two_connections_is_taken_in_once() {
     let mut sequence = sequence(4);
     assert!(is_due(sequence.take(&event(5, false))));
-    assert_eq!(sequence.take(&event(5, false)), Ok(Taken::Known));
-    assert_eq!(sequence.take(&event(5, true)), Ok(Taken::Known));
-    assert_eq!(sequence.take(&malformed(5)), Ok(Taken::Known));
+    assert_eq!(sequence.take(&event(5, false)), Ok(Admission::Known));
+    assert_eq!(sequence.take(&event(5, true)), Ok(Admission::Known));
+    assert_eq!(sequence.take(&malformed(5)), Ok(Admission::Known));
     assert!(is_due(sequence.take(&event(6, false))));
-    assert_eq!(sequence.take(&event(4, true)), Ok(Taken::Known));
+    assert_eq!(sequence.take(&event(4, true)), Ok(Admission::Known));
     assert_eq!(sequence.last(), 6);
 }
 
@@ -59,7 +59,7 @@
         sequence.take(&malformed(5)),
         Err(SequenceError::Malformed { number: 5, .. })
     ));
-    assert_eq!(sequence.take(&malformed(5)), Ok(Taken::PassedOver));
+    assert_eq!(sequence.take(&malformed(5)), Ok(Admission::PassedOver));
     assert!(is_due(sequence.take(&event(6, false))));
 }
 
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 use super::connection::{self, OpenError};
 use super::connection_set::{Action, CloseReason, ConnectionId, ConnectionSet, Received};
 use super::event::{Event, NameIndex};
-use super::sequence::{EventSequence, SequenceError, Taken};
+use super::sequence::{Admission, EventSequence, SequenceError};
 use super::stream::{EventTooLong, Stream};
 use crate::discovery::reconnect::Reconnect;
 use bytes::Bytes;
@@ -44,20 +44,20 @@
     /// It was answered.
     Up(Incoming),
     Bytes(Incoming, Bytes),
-    Ended(Result<(), WatchError>),
+    AttemptResult(Result<(), WatchError>),
 }
 
 async fn open(log: SocketAddr, last: u64) -> Step {
     match connection::open(log, last).await {
         Ok(body) => Step::Up(body),
-        Err(fault) => Step::Ended(Err(fault.into())),
+        Err(fault) => Step::AttemptResult(Err(fault.into())),
     }
 }
 
 async fn read(mut body: Incoming) -> Step {
     match body.frame().await {
-        None => Step::Ended(Ok(())),
-        Some(Err(fault)) => Step::Ended(Err(fault.into())),
+        None => Step::AttemptResult(Ok(())),
+        Some(Err(fault)) => Step::AttemptResult(Err(fault.into())),
         Some(Ok(frame)) => Step::Bytes(body, frame.into_data().unwrap_or_default()),
     }
 }
@@ -200,7 +200,7 @@
                     Err(fault) => Err(fault),
                 }
             }
-            Step::Ended(end) => end,
+            Step::AttemptResult(end) => end,
         };
         set.ended(id, now);
         self.connections.remove(place);
@@ -233,9 +233,9 @@
         );
         for event in events {
             match self.sequence.take(&event)? {
-                Taken::Known => continue,
-                Taken::PassedOver => {}
-                Taken::Due(event) => (self.apply)(event),
+                Admission::Known => continue,
+                Admission::PassedOver => {}
+                Admission::Due(event) => (self.apply)(event),
             }
             set.advanced(*id);
         }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -9,13 +9,15 @@
 mod tests;
 
 pub use crate::discovery::Target;
-pub use call::{Call, Ended, Start, Statement, Tidings, Wish};
+pub use call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState, Statement};
 
 use crate::discovery::{EngineList, Warmed};
 use crate::system::clock::span;
 use crate::system::socket::Socket;
-use crate::system::stream_budget::{Abandoned, Budget, Gate, Line, LONGEST_HEAD};
-use attempt::{AnswerPatience, Way};
+use crate::system::stream_budget::{
+    Abandoned, BudgetedStream, ResourceBudget, SendGate, LONGEST_HEAD,
+};
+use attempt::{EngineAttempt, ResponseTimeout};
 use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
 use garnetwall_ledger::{Bounds, Ledger};
 use garnetwall_settings::Network;
@@ -44,7 +46,7 @@
 const NOT_LISTED: EngineId = EngineId::MAX;
 
 /// How long batches may know of an engine after it has gone, where the longest time limit is this one in seconds.
-pub fn known_for(longest: f64) -> Duration {
+pub fn endpoint_retention(longest: f64) -> Duration {
     span(longest) + UNASKED
 }
 
@@ -64,7 +66,7 @@
     pub fn new(
         network: Network,
         notes_every: f64,
-        budget: &Budget,
+        budget: &ResourceBudget,
         longest: f64,
         list: Arc<EngineList>,
     ) -> Self {
@@ -86,8 +88,8 @@
         }
     }
 
-    fn way(&self, target: Target) -> Way<'_> {
-        Way {
+    fn way(&self, target: Target) -> EngineAttempt<'_> {
+        EngineAttempt {
             engines: self,
             target,
             dispatch: None,
@@ -99,12 +101,12 @@
             may_have_come: false,
             unreadable: false,
             connection: 0,
-            patience: AnswerPatience::new(self.dial, Instant::now()),
+            patience: ResponseTimeout::new(self.dial, Instant::now()),
         }
     }
 
     /// How long a dispatch can run that nobody asks for, from when an earlier process may last have asked.
-    pub fn unasked(&self) -> Duration {
+    pub fn longest_unpolled_run(&self) -> Duration {
         NEWS + UNASKED
     }
 
@@ -121,7 +123,7 @@
     async fn connect(
         &self,
         address: SocketAddr,
-        gate: Option<Arc<Gate>>,
+        gate: Option<Arc<SendGate>>,
     ) -> Result<(Sender, Abandoned), Fault> {
         // What holds the connection up so far lies here, not with the engine.
         let held_here = AtomicBool::new(true);
@@ -133,7 +135,8 @@
                 .await
                 .map_err(io::Error::other)?;
             let line =
-                Line::new(Socket::connect(address, &held_here).await?, Some(permit)).gated(gate);
+                BudgetedStream::new(Socket::connect(address, &held_here).await?, Some(permit))
+                    .gated(gate);
             let abandoned = line.abandoned();
             let mut builder = http1::Builder::new();
             let up = builder
@@ -165,14 +168,14 @@
     /// Starts a dispatch and asks for it without gap until it is over: it has ended, or can't be running any more.
     /// Where asking can't tell any more, or nobody wants to know, it is given up, which may take until the
     /// ledger's bound; what is known until then goes to `tidings`.
-    pub async fn dispatch(
+    pub async fn run_attempt(
         &self,
         target: Target,
         call: &Call,
-        start: Start,
-        wishes: watch::Receiver<Wish>,
-        tidings: Tidings,
-    ) -> Ended {
+        start: AttemptStart,
+        wishes: watch::Receiver<CancellationState>,
+        tidings: AttemptEvents,
+    ) -> AttemptResult {
         // The protocol names no end of what notes keep running, and an engine was seen to pass the patience it was told. A
         // cut that outlasts every limit is not covered.
         let kept = if call.in_order {
@@ -181,16 +184,23 @@
             Duration::ZERO
         };
         let id = self.ledger().open(self.now(), kept);
-        let (wish, attended, list) = (wishes.clone(), start.attended.clone(), self.list.clone());
-        let ends = start.until.min(start.comes_by);
-        let wanted =
-            move || *wish.borrow() == Wish::Answer && attended.is() && Instant::now() < ends;
+        let (wish, attended, list) = (
+            wishes.clone(),
+            start.client_presence.clone(),
+            self.list.clone(),
+        );
+        let ends = start.response_deadline.min(start.send_deadline);
+        let wanted = move || {
+            *wish.borrow() == CancellationState::NotRequested
+                && attended.is_waiting()
+                && Instant::now() < ends
+        };
         // Its first byte counts as sending it: what has begun to leave may go on while its engine drains.
-        let gate = Gate::new(move || list.takes(target), wanted);
-        let comes_by = Some(start.comes_by).filter(|by| *by < start.until);
+        let gate = SendGate::new(move || list.takes(target), wanted);
+        let comes_by = Some(start.send_deadline).filter(|by| *by < start.response_deadline);
         let gate = Some(Arc::new(gate));
-        let until = start.until;
-        let mut way = Way {
+        let until = start.response_deadline;
+        let mut way = EngineAttempt {
             dispatch: Some(id),
             gate,
             comes_by,
@@ -203,7 +213,7 @@
     }
 
     /// Tells the list's subset how an attempt ended, where that says something of the engine.
-    pub fn attempted(&self, engine: EngineId, end: AttemptEnd) {
+    pub fn record_attempt_end(&self, engine: EngineId, end: AttemptEnd) {
         match end {
             AttemptEnd::Succeeded | AttemptEnd::Rejected => self.list.attempted(engine, false),
             AttemptEnd::Failed
@@ -231,7 +241,7 @@
         Warmed { end, report }
     }
 
-    pub async fn probe(&self, engine: EngineId) -> (AttemptEnd, Option<LoadReport>) {
+    pub async fn health_check(&self, engine: EngineId) -> (AttemptEnd, Option<LoadReport>) {
         match self.target(engine) {
             Some(target) => self.probe_at(target).await,
             None => (AttemptEnd::ConnectFailed, None),
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -7,11 +7,11 @@
 mod response_timeout;
 mod start;
 
-use super::call::{Call, Ended, Start, Tidings, Wish};
+use super::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
 use super::request::{path, request, Outgoing, Sender};
 use super::response::Fault;
 use super::{Engines, Target};
-use crate::system::stream_budget::{Abandoned, Gate};
+use crate::system::stream_budget::{Abandoned, SendGate};
 use bytes::Bytes;
 use garnetwall::api::AttemptEnd;
 use garnetwall_bodies::body::ReadFault;
@@ -21,14 +21,14 @@
 use http::{Method, Request};
 use http_body_util::channel::Sender as BodySender;
 use polling::PollOutcome;
-pub(super) use response_timeout::AnswerPatience;
+pub(super) use response_timeout::ResponseTimeout;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
 /// The way of one dispatch to its engine: a connection at a time, used by no other batch and given up with
 /// whatever was spoilt on it.
-pub(super) struct Way<'a> {
+pub(super) struct EngineAttempt<'a> {
     pub(super) engines: &'a Engines,
     pub(super) target: Target,
     /// None for a probe.
@@ -37,7 +37,7 @@
     /// Of the connection that is up, or was last.
     pub(super) abandoned: Abandoned,
     /// What its start goes out through; none for a probe.
-    pub(super) gate: Option<Arc<Gate>>,
+    pub(super) gate: Option<Arc<SendGate>>,
     /// Its start has come whole by then or is not sent, where that is before its batch's end.
     pub(super) comes_by: Option<Instant>,
     /// Nobody waits for its answer from then on.
@@ -49,7 +49,7 @@
     /// The number of the connection that is up, or was last.
     pub(super) connection: Connection,
     /// How long answers are waited for.
-    pub(super) patience: AnswerPatience,
+    pub(super) patience: ResponseTimeout,
 }
 
 /// A body on its way to an engine.
@@ -59,36 +59,43 @@
     out: BodySender<Bytes, ReadFault>,
 }
 
-impl Way<'_> {
+impl EngineAttempt<'_> {
     pub(super) async fn live(
         &mut self,
         call: &Call,
-        start: Start,
-        mut wishes: watch::Receiver<Wish>,
-        tidings: Tidings,
-    ) -> Ended {
+        start: AttemptStart,
+        mut wishes: watch::Receiver<CancellationState>,
+        tidings: AttemptEvents,
+    ) -> AttemptResult {
         let told = self
             .poll_until_end(call, start, &mut wishes, &tidings)
             .await;
         let end = match told {
-            PollOutcome::Succeeded(..) if *wishes.borrow() == Wish::Over => AttemptEnd::Cancelled,
+            PollOutcome::Succeeded(..) if *wishes.borrow() == CancellationState::QueryFinished => {
+                AttemptEnd::Cancelled
+            }
             PollOutcome::Succeeded(first, pages) => {
                 return self.fetch_pages(call, first, pages).await
             }
             PollOutcome::Over(ended) => return ended,
             PollOutcome::Unknown => {
-                tidings.doubt.send_replace(Some(AttemptEnd::ConnectionLost));
+                tidings
+                    .unknown_outcome
+                    .send_replace(Some(AttemptEnd::ConnectionLost));
                 self.cancel(call).await;
                 AttemptEnd::ConnectionLost
             }
             PollOutcome::Unwanted => match (self.cancel(call).await, *wishes.borrow()) {
                 // Its batch was over before it could be started: that says nothing of the engine.
-                (ledger::Proof::NeverCame, Wish::Over | Wish::Begun) => AttemptEnd::NotNeeded,
+                (
+                    ledger::Proof::NeverCame,
+                    CancellationState::QueryFinished | CancellationState::IfNotStarted,
+                ) => AttemptEnd::NotNeeded,
                 (ledger::Proof::NeverCame, _) => AttemptEnd::ConnectFailed,
                 _ => AttemptEnd::Cancelled,
             },
         };
-        Ended::of(end)
+        AttemptResult::of(end)
     }
 
     fn poll_request(&self, call: &Call, page: usize) -> Request<Outgoing> {
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -1,6 +1,6 @@
 //! Has an engine give a dispatch up, until it is proved that it does not run any more.
 
-use super::Way;
+use super::EngineAttempt;
 use crate::engines::call::Call;
 use crate::engines::request::{path, request};
 use crate::engines::response::{news, Fault, News};
@@ -9,7 +9,7 @@
 use http::{Method, StatusCode};
 use tokio::time::sleep;
 
-impl Way<'_> {
+impl EngineAttempt<'_> {
     /// Has the engine give the dispatch up, on the connection that it was asked on as long as that is of use;
     /// until it is proved that it does not run any more.
     pub(super) async fn cancel(&mut self, call: &Call) -> ledger::Proof {
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -1,6 +1,6 @@
 //! One call and its answer, on a connection that is up or comes up.
 
-use super::{OutgoingBody, Way};
+use super::{EngineAttempt, OutgoingBody};
 use crate::engines::request::{Outgoing, Sender};
 use crate::engines::response::{exchange, Fault, Reply};
 use garnetwall_bodies::body::ReadFault;
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-impl Way<'_> {
+impl EngineAttempt<'_> {
     /// One call, on a connection that is up or comes up within its own bound. `asks` for one that keeps its dispatch
     /// running.
     pub(in crate::engines) async fn call(
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -1,23 +1,28 @@
 //! The pages of an answer after the first.
 
-use super::Way;
-use crate::engines::call::{Call, Ended};
+use super::EngineAttempt;
+use crate::engines::call::{AttemptResult, Call};
 use crate::engines::response::{Fault, Reply, MEMORY, THIS_PAGE, WORK};
 use crate::engines::result_rows;
 use garnetwall::api::AttemptEnd;
 use http::StatusCode;
 
-impl Way<'_> {
+impl EngineAttempt<'_> {
     /// The pages after the first, so that a lost one is still an outcome.
-    pub(super) async fn fetch_pages(&mut self, call: &Call, first: Reply, pages: usize) -> Ended {
-        let mut ended = Ended {
+    pub(super) async fn fetch_pages(
+        &mut self,
+        call: &Call,
+        first: Reply,
+        pages: usize,
+    ) -> AttemptResult {
+        let mut ended = AttemptResult {
             work: first
                 .number(WORK)
                 .map(|ms| ms / 1000.0)
                 .filter(|v| *v > 0.0),
             memory: first.number(MEMORY).filter(|v| *v > 0.0),
             report: first.report(),
-            ..Ended::of(AttemptEnd::Succeeded)
+            ..AttemptResult::of(AttemptEnd::Succeeded)
         };
         ended.pages.push(first.body);
         let mut asking = self.polling();
@@ -25,7 +30,7 @@
             let mut told = Ok(());
             loop {
                 if !self.wait_for_next_poll(&mut asking, told).await {
-                    return Ended {
+                    return AttemptResult {
                         end: AttemptEnd::ConnectionLost,
                         ..ended
                     };
@@ -41,7 +46,7 @@
                 {
                     Ok(r) if r.status == StatusCode::INTERNAL_SERVER_ERROR => {
                         tracing::debug!(engine = self.target.engine, page, "page lost");
-                        return Ended {
+                        return AttemptResult {
                             end: AttemptEnd::Failed,
                             ..ended
                         };
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,7 +1,7 @@
 //! Asks for a dispatch until its end is known, or asking can't tell any more.
 
-use super::{OutgoingBody, Way};
-use crate::engines::call::{Call, Ended, Start, Tidings, Wish};
+use super::{EngineAttempt, OutgoingBody};
+use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
 use crate::engines::request::Outgoing;
 use crate::engines::response::{news, Fault, News, Reply};
 use crate::engines::NEWS;
@@ -16,27 +16,27 @@
 pub(super) enum PollOutcome {
     /// A good end: the answer that tells so, and its number of pages.
     Succeeded(Reply, usize),
-    Over(Ended),
+    Over(AttemptResult),
     /// Asking can't tell any more.
     Unknown,
     /// Nobody waits for the answer any more.
     Unwanted,
 }
 
-impl Way<'_> {
+impl EngineAttempt<'_> {
     /// The answer that tells of a good end, and its number of pages; or how it ended otherwise. A start that was
     /// not answered may have come whole all the same, and a good end is given again: asking tells.
     pub(super) async fn poll_until_end(
         &mut self,
         call: &Call,
-        start: Start,
-        wishes: &mut watch::Receiver<Wish>,
-        tidings: &Tidings,
+        start: AttemptStart,
+        wishes: &mut watch::Receiver<CancellationState>,
+        tidings: &AttemptEvents,
     ) -> PollOutcome {
         let mut asking = self.polling();
         let Some((mut next, mut feed)) = self.start_request(call, &start) else {
             self.tell(Fact::NeverCame);
-            return PollOutcome::Over(Ended::of(AttemptEnd::ConnectFailed));
+            return PollOutcome::Over(AttemptResult::of(AttemptEnd::ConnectFailed));
         };
         let mut started = false;
         loop {
@@ -47,15 +47,15 @@
             if std::mem::take(&mut self.unreadable) {
                 // What went on is not whole, so that nothing ran; the batch has no body any more.
                 self.tell(Fact::NeverCame);
-                return PollOutcome::Over(Ended::of(AttemptEnd::Failed));
+                return PollOutcome::Over(AttemptResult::of(AttemptEnd::Failed));
             }
             if first && answer.is_err() && self.gate.as_ref().is_some_and(|gate| gate.is_stopped())
             {
                 // It was stopped at its last bytes, before who wished so was heard.
                 self.tell(Fact::NeverCame);
-                let elsewhere =
-                    *wishes.borrow() == Wish::Back || !self.engines.list().takes(self.target);
-                return PollOutcome::Over(Ended::of(if elsewhere {
+                let elsewhere = *wishes.borrow() == CancellationState::Requested
+                    || !self.engines.list().takes(self.target);
+                return PollOutcome::Over(AttemptResult::of(if elsewhere {
                     AttemptEnd::ConnectFailed
                 } else {
                     AttemptEnd::NotNeeded
@@ -64,7 +64,7 @@
             if first && answer.is_err() && !self.may_have_come {
                 self.tell(Fact::NeverCame);
                 let local = matches!(answer, Err(Fault::Local));
-                return PollOutcome::Over(Ended::of(if local {
+                return PollOutcome::Over(AttemptResult::of(if local {
                     AttemptEnd::NotSent
                 } else {
                     AttemptEnd::ConnectFailed
@@ -91,15 +91,15 @@
                             ledger::Verdict::CutShort => AttemptEnd::ConnectionLost,
                             ledger::Verdict::InDoubt => return PollOutcome::Unknown,
                         };
-                        return PollOutcome::Over(Ended {
+                        return PollOutcome::Over(AttemptResult {
                             report: reply.report(),
-                            ..Ended::of(end)
+                            ..AttemptResult::of(end)
                         });
                     }
                     News::NotYet(note) => {
                         self.tell(Fact::Runs(self.connection));
                         if note.is_some() {
-                            tidings.note.send_replace(note);
+                            tidings.progress.send_replace(note);
                         }
                         Ok(())
                     }
@@ -125,7 +125,7 @@
         &mut self,
         request: Request<Outgoing>,
         feed: Option<OutgoingBody>,
-        wishes: &mut watch::Receiver<Wish>,
+        wishes: &mut watch::Receiver<CancellationState>,
     ) -> Option<Result<Reply, Fault>> {
         let within = self.poll_timeout();
         let is_start = request.method() == Method::POST;
@@ -141,7 +141,7 @@
         // It fails only with who wished gone, who waits for this.
         let unwanted = async {
             tokio::select! {
-                _ = wishes.wait_for(|wish| *wish != Wish::Answer) => {}
+                _ = wishes.wait_for(|wish| *wish != CancellationState::NotRequested) => {}
                 () = too_late => {}
             }
             if !stops() {
@@ -154,7 +154,7 @@
             tokio::select! {
                 biased;
                 answer = &mut calling => Some(answer),
-                () = unwanted => match stops() || is_start && *wishes.borrow() == Wish::Over {
+                () = unwanted => match stops() || is_start && *wishes.borrow() == CancellationState::QueryFinished {
                     true => None,
                     false => timeout(NEWS, calling).await.ok(),
                 },
--- a/crates/gateway/src/engines/attempt/response_timeout.rs
+++ b/crates/gateway/src/engines/attempt/response_timeout.rs
@@ -13,7 +13,7 @@
 
 /// The patience of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::engines) struct AnswerPatience {
+pub(in crate::engines) struct ResponseTimeout {
     /// The platform's time for a connection to come up.
     dial: Duration,
     /// Calls in a row that were not answered in time.
@@ -24,9 +24,9 @@
     heard: Instant,
 }
 
-impl AnswerPatience {
+impl ResponseTimeout {
     pub(in crate::engines) fn new(dial: Duration, now: Instant) -> Self {
-        AnswerPatience {
+        ResponseTimeout {
             dial,
             missed: 0,
             slowest: Duration::ZERO,
--- a/crates/gateway/src/engines/attempt/response_timeout/tests.rs
+++ b/crates/gateway/src/engines/attempt/response_timeout/tests.rs
@@ -9,7 +9,7 @@
 /// How long it takes until an answer that always takes so long is heard; none where it is not.
 fn heard_after(dial: Duration, takes: Duration) -> Option<Duration> {
     let began = Instant::now();
-    let mut patience = AnswerPatience::new(dial, began);
+    let mut patience = ResponseTimeout::new(dial, began);
     let mut now = began;
     while now - began <= NEWS + UNASKED {
         let within = patience.timeout(now);
@@ -46,7 +46,7 @@
 fn patience_ends_with_what_is_known() {
     for dial in [ms(50), DIAL, ms(1500)] {
         let began = Instant::now();
-        let mut patience = AnswerPatience::new(dial, began);
+        let mut patience = ResponseTimeout::new(dial, began);
         let (mut now, mut calls) = (began, 0);
         while now - began < NEWS + UNASKED {
             now += patience.timeout(now);
@@ -63,7 +63,7 @@
 /// An answer that is held back for as long as the protocol allows is not a slow one.
 #[test]
 fn what_is_usual_makes_nobody_patient() {
-    let mut patience = AnswerPatience::new(DIAL, Instant::now());
+    let mut patience = ResponseTimeout::new(DIAL, Instant::now());
     patience.answered(patience.heard, NEWS + ms(20));
     assert_eq!(patience.timeout(patience.heard), USUAL);
 }
@@ -71,7 +71,7 @@
 /// An engine that is only slow can still be asked whether it has the attempt that is given up.
 #[test]
 fn what_is_looked_up_after_that_is_waited_for_as_a_second_call_is() {
-    let mut patience = AnswerPatience::new(DIAL, Instant::now());
+    let mut patience = ResponseTimeout::new(DIAL, Instant::now());
     patience.missed();
     assert_eq!(
         patience.timeout(patience.heard + NEWS + UNASKED),
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_broken_connection_makes_nobody_patient() {
-    let mut patience = AnswerPatience::new(DIAL, Instant::now());
+    let mut patience = ResponseTimeout::new(DIAL, Instant::now());
     patience.missed();
     patience.failed();
     assert_eq!(patience.timeout(patience.heard), NEWS + LONGER);
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -1,7 +1,7 @@
 //! The call that starts a dispatch, and its body on the way to the engine.
 
-use super::{OutgoingBody, Way};
-use crate::engines::call::{Call, Start, Statement};
+use super::{EngineAttempt, OutgoingBody};
+use crate::engines::call::{AttemptStart, Call, Statement};
 use crate::engines::request::{request, Outgoing};
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_ledger::Fact;
@@ -17,14 +17,14 @@
 const DEADLINE: HeaderName = HeaderName::from_static("x-patience");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("x-op-key");
 
-impl Way<'_> {
+impl EngineAttempt<'_> {
     /// The call that starts a dispatch, and the body that goes with it; none where that is not there any more.
     pub(super) fn start_request(
         &self,
         call: &Call,
-        start: &Start,
+        start: &AttemptStart,
     ) -> Option<(Request<Outgoing>, Option<OutgoingBody>)> {
-        let further = start.further;
+        let further = start.is_retry;
         let mut request = request(Method::POST, self.target.address, "/c");
         let gate = self.gate.clone();
         let feed = match &call.statement {
@@ -59,8 +59,8 @@
         };
         let head = request.headers_mut();
         head.insert(ID, call.id.clone());
-        head.insert(GROUP, call.group.clone());
-        if let Some(mark) = &call.mark {
+        head.insert(GROUP, call.class.clone());
+        if let Some(mark) = &call.idempotency_key {
             head.insert(IDEMPOTENCY_KEY, mark.clone());
         }
         Some((request, feed))
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/call.rs
@@ -1,6 +1,6 @@
 //! What goes to an engine and what comes of it, as plain values.
 
-use crate::scheduling::client_presence::Attended;
+use crate::scheduling::client_presence::ClientPresence;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_bodies::Body;
@@ -13,9 +13,9 @@
 #[derive(Debug, PartialEq)]
 pub struct Call {
     pub id: HeaderValue,
-    pub group: HeaderValue,
+    pub class: HeaderValue,
     /// What a referenced batch carries against repeats.
-    pub mark: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     /// Others must not run beside it: it has a key, in a group that keeps order.
     pub in_order: bool,
     pub statement: Statement,
@@ -49,7 +49,7 @@
 
 /// How a dispatch ended, and what was told with it.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub end: AttemptEnd,
     pub pages: Vec<Bytes>,
     pub work: Option<f64>,
@@ -57,9 +57,9 @@
     pub report: Option<LoadReport>,
 }
 
-impl Ended {
+impl AttemptResult {
     pub fn of(end: AttemptEnd) -> Self {
-        Ended {
+        AttemptResult {
             end,
             pages: Vec::new(),
             work: None,
@@ -71,41 +71,44 @@
 
 /// What is still wanted of a dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum CancellationState {
     /// Its answer.
-    Answer,
+    NotRequested,
     /// Its answer, if it has been started: the client has gone, and nothing is sent for a batch after its end.
-    Begun,
+    IfNotStarted,
     /// That it is given up, or else its answer if that comes first.
-    Back,
+    Requested,
     /// That it is given up: its batch has its answer.
-    Over,
+    QueryFinished,
 }
 
-impl Wish {
+impl CancellationState {
     /// Whether it is still asked for.
     pub(super) fn asks(self) -> bool {
-        matches!(self, Wish::Answer | Wish::Begun)
+        matches!(
+            self,
+            CancellationState::NotRequested | CancellationState::IfNotStarted
+        )
     }
 }
 
 /// What is told of a dispatch that is out, to who waits for its end.
-pub struct Tidings {
+pub struct AttemptEvents {
     /// How it looks where its end is not known.
-    pub doubt: watch::Sender<Option<AttemptEnd>>,
+    pub unknown_outcome: watch::Sender<Option<AttemptEnd>>,
     /// The last note of it.
-    pub note: watch::Sender<Option<Progress>>,
+    pub progress: watch::Sender<Option<Progress>>,
 }
 
 /// How a dispatch is started.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct AttemptStart {
     /// It is not the first of its batch.
-    pub further: bool,
+    pub is_retry: bool,
     /// Nobody waits for it from then on.
-    pub until: Instant,
+    pub response_deadline: Instant,
     /// It has come whole by then, or is not sent.
-    pub comes_by: Instant,
+    pub send_deadline: Instant,
     /// Whether a client waits for its batch.
-    pub attended: Attended,
+    pub client_presence: ClientPresence,
 }
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -1,7 +1,7 @@
 //! Requests to engines: a start goes out through its gate.
 
 use super::call::Call;
-use crate::system::stream_budget::Gate;
+use crate::system::stream_budget::SendGate;
 use bytes::Bytes;
 use garnetwall_bodies::body::ReadFault;
 use http::header::HOST;
@@ -26,7 +26,7 @@
     pub(super) carried: Carried,
     /// Bytes of it still to come, where that is known.
     pub(super) left: Option<u64>,
-    pub(super) gate: Option<Arc<Gate>>,
+    pub(super) gate: Option<Arc<SendGate>>,
 }
 
 impl Outgoing {
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::discovery::{EngineLine, Event};
-use crate::scheduling::client_presence::Attended;
+use crate::scheduling::client_presence::ClientPresence;
 use crate::system::clock::Clock;
 use bytes::Bytes;
 use garnetwall::api::EndpointState;
@@ -25,14 +25,18 @@
 struct Silent {
     listener: tokio::net::TcpListener,
     engines: Engines,
-    budget: Budget,
+    budget: ResourceBudget,
 }
 
 impl Silent {
     async fn start() -> Silent {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let budget = Budget::of(64, 64);
-        let list = Arc::new(EngineList::new(known_for(5.0), Clock::start(), None));
+        let budget = ResourceBudget::of(64, 64);
+        let list = Arc::new(EngineList::new(
+            endpoint_retention(5.0),
+            Clock::start(),
+            None,
+        ));
         let engines = Engines::new(
             Network {
                 dial: 2.0,
@@ -76,23 +80,27 @@
             .unwrap()
     }
 
-    async fn dispatch(&self, start: Start, wishes: watch::Receiver<Wish>) -> Ended {
-        let tidings = Tidings {
-            doubt: watch::channel(None).0,
-            note: watch::channel(None).0,
+    async fn dispatch(
+        &self,
+        start: AttemptStart,
+        wishes: watch::Receiver<CancellationState>,
+    ) -> AttemptResult {
+        let tidings = AttemptEvents {
+            unknown_outcome: watch::channel(None).0,
+            progress: watch::channel(None).0,
         };
         let value = HeaderValue::from_static;
         let statement = Statement::Whole(Bytes::from_static(b"SELECT 1"));
         let call = Call {
             id: value("a1"),
-            group: value("report"),
-            mark: None,
+            class: value("report"),
+            idempotency_key: None,
             in_order: false,
             statement,
         };
         let target = self.engines.target(0).unwrap();
         self.engines
-            .dispatch(target, &call, start, wishes, tidings)
+            .run_attempt(target, &call, start, wishes, tidings)
             .await
     }
 
@@ -109,13 +117,13 @@
     }
 }
 
-fn start() -> Start {
+fn start() -> AttemptStart {
     let until = Instant::now() + Duration::from_secs(3);
-    Start {
-        further: true,
-        until,
-        comes_by: until,
-        attended: Attended::default(),
+    AttemptStart {
+        is_retry: true,
+        response_deadline: until,
+        send_deadline: until,
+        client_presence: ClientPresence::default(),
     }
 }
 
@@ -124,10 +132,10 @@
 async fn a_start_that_waited_for_its_connection_until_after_the_answer_is_not_sent() {
     let silent = Silent::start().await;
     let taken = silent.hold_all().await;
-    let (wish, wishes) = watch::channel(Wish::Answer);
+    let (wish, wishes) = watch::channel(CancellationState::NotRequested);
     let answered = async {
         sleep(Duration::from_millis(30)).await;
-        wish.send_replace(Wish::Over);
+        wish.send_replace(CancellationState::QueryFinished);
         drop(taken);
     };
     let (ended, ()) = tokio::join!(silent.dispatch(start(), wishes), answered);
@@ -140,12 +148,12 @@
 async fn a_start_that_waited_for_its_connection_until_its_client_left_is_not_sent() {
     let silent = Silent::start().await;
     let taken = silent.hold_all().await;
-    let (_wish, wishes) = watch::channel(Wish::Answer);
+    let (_wish, wishes) = watch::channel(CancellationState::NotRequested);
     let start = start();
-    let attended = start.attended.clone();
+    let attended = start.client_presence.clone();
     let leaves = async {
         sleep(Duration::from_millis(30)).await;
-        attended.set(false);
+        attended.set_waiting(false);
         drop(taken);
     };
     let (ended, ()) = tokio::join!(silent.dispatch(start, wishes), leaves);
@@ -162,10 +170,10 @@
 async fn a_start_that_can_t_come_within_its_window_is_not_sent() {
     let silent = Silent::start().await;
     let taken = silent.hold_all().await;
-    let (_wish, wishes) = watch::channel(Wish::Answer);
+    let (_wish, wishes) = watch::channel(CancellationState::NotRequested);
     let began = Instant::now();
-    let start = Start {
-        comes_by: began + Duration::from_millis(60),
+    let start = AttemptStart {
+        send_deadline: began + Duration::from_millis(60),
         ..start()
     };
     let frees = async {
@@ -183,7 +191,7 @@
     for told in [EndpointState::Draining, EndpointState::Removed] {
         let silent = Silent::start().await;
         let taken = silent.hold_all().await;
-        let (_wish, wishes) = watch::channel(Wish::Answer);
+        let (_wish, wishes) = watch::channel(CancellationState::NotRequested);
         let drains = async {
             sleep(Duration::from_millis(30)).await;
             silent.lists(told);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -4,15 +4,15 @@
 use crate::discovery::reconnect::Reconnect;
 use crate::discovery::{Discovery, EngineList, EngineUpdate, NameIndex, Selection, Watch};
 use crate::engines::{self, Engines};
-use crate::http::client_connections::Guests;
-use crate::http::send_time::Spacing;
-use crate::http::{self, Front};
-use crate::scheduling::plan_routing::{self, Planner};
-use crate::scheduling::scheduler::Desk;
-use crate::storage::query_journal::{self, Keeper};
+use crate::http::client_connections::ClientConnections;
+use crate::http::send_time::SendTimeEstimator;
+use crate::http::{self, HttpFront};
+use crate::scheduling::plan_routing::{self, PlanRouter};
+use crate::scheduling::scheduler::Scheduler;
+use crate::storage::query_journal::{self, QueryJournal};
 use crate::system::clock::{span, Clock};
 use crate::system::os_error::retry;
-use crate::system::stream_budget::Budget;
+use crate::system::stream_budget::ResourceBudget;
 use garnetwall::api::{AttemptEnd, EngineId, QueryClass, Settings};
 use garnetwall::controller::AdmissionController;
 use garnetwall_bodies::Store;
@@ -50,7 +50,7 @@
 
 /// What a gateway holds from its start on.
 struct Opened {
-    keeper: Arc<Keeper>,
+    keeper: Arc<QueryJournal>,
     store: Option<Arc<Store>>,
     listener: TcpListener,
 }
@@ -59,10 +59,10 @@
 pub struct Gateway {
     config: Config,
     phase: watch::Sender<Phase>,
-    budget: Budget,
+    budget: ResourceBudget,
     list: Arc<EngineList>,
     engines: Arc<Engines>,
-    desk: Arc<Desk>,
+    desk: Arc<Scheduler>,
     /// Engines to probe, until the task that probes them has them.
     probes: Option<UnboundedReceiver<EngineId>>,
     /// The longest time limit of any service group, in seconds.
@@ -72,7 +72,7 @@
 impl Gateway {
     pub fn new(config: Config) -> Self {
         let clock = Clock::start();
-        let budget = Budget::of(config.sockets, config.memory_mb);
+        let budget = ResourceBudget::of(config.sockets, config.memory_mb);
         let settings = &config.decoded.settings;
         let longest = settings
             .classes
@@ -87,9 +87,11 @@
         );
         let plan = config.plan.clone();
         let groups = match &plan {
-            Some(plan) => {
-                plan_routing::narrowed(&settings.classes, &config.decoded.names.groups, plan)
-            }
+            Some(plan) => plan_routing::narrowed_classes(
+                &settings.classes,
+                &config.decoded.names.groups,
+                plan,
+            ),
             None => settings.classes.clone(),
         };
         if let Some(plan) = &plan {
@@ -99,19 +101,19 @@
                 "plan in force"
             );
         }
-        let planner = plan.map(|plan| Planner::new(&config.decoded, plan, budget.room as f64));
+        let planner = plan.map(|plan| PlanRouter::new(&config.decoded, plan, budget.room as f64));
         let settings = Settings {
             capacity: room,
             classes: groups.clone(),
             ..settings.clone()
         };
         let control = AdmissionController::new(settings, config.seed, clock.now());
-        let (desk, probes) = Desk::new(control, planner, clock, longest, budget.kept_answers);
-        desk.grouped(&groups);
+        let (desk, probes) = Scheduler::new(control, planner, clock, longest, budget.kept_answers);
+        desk.set_classes(&groups);
         let notes_every = config.decoded.settings.progress_interval;
         let selection = selection(&config, &groups);
         let list = Arc::new(EngineList::new(
-            engines::known_for(longest),
+            engines::endpoint_retention(longest),
             clock,
             selection,
         ));
@@ -166,22 +168,22 @@
             listener,
         } = opened;
         self.start(reloads);
-        let front = Front {
-            desk: self.desk.clone(),
+        let front = HttpFront {
+            scheduler: self.desk.clone(),
             engines: self.engines.clone(),
-            keeper,
+            journal: keeper,
             store: store.clone(),
             decoded: self.config.decoded.clone(),
             phase: self.phase.subscribe(),
             statements: self.budget.statements.clone(),
-            spacing: Mutex::new(Spacing::new(
+            send_times: Mutex::new(SendTimeEstimator::new(
                 self.budget.room,
                 self.config.decoded.network.dial,
                 self.longest,
             )),
         };
         let router = http::router(Arc::new(front));
-        let guests = Guests::new(self.budget.clients.clone());
+        let guests = ClientConnections::new(self.budget.clients.clone());
         let ((shut, open), (close, closing)) = (watch::channel(false), watch::channel(false));
         // One for all phases: a connection that waits for its seat is in its hands.
         let mut accepting = Box::pin(http::accept(&listener, &router, &guests, &open, closing));
@@ -194,7 +196,7 @@
         let told = Instant::now();
         let kill = GOES_ON + span(self.longest.min(LONGEST_STAY));
         self.desk
-            .ends(self.desk.clock().at(told + (kill - ANSWERS_DUE)));
+            .shut_down_at(self.desk.clock().at(told + (kill - ANSWERS_DUE)));
         // It ends with the time alone: accepting does not.
         let goes_on = GOES_ON.min(kill - CONNECTIONS_CLOSED);
         let _ = timeout_at((told + goes_on).into(), &mut accepting).await;
@@ -207,14 +209,14 @@
         drop(listener);
         // A client that does not read its answer keeps nothing up, and no engine that does not answer DELETE.
         let last = async {
-            guests.gone().await;
-            self.desk.emptied().await;
+            guests.all_closed().await;
+            self.desk.until_idle().await;
         };
         if timeout_at(last_answer.into(), last).await.is_err() {
             tracing::warn!("stopped with calls still open");
         }
         if let Some(store) = store {
-            query_journal::tell(&store, &self.config.decoded.names.groups);
+            query_journal::log_body_store(&store, &self.config.decoded.names.groups);
         }
         self.enter(Phase::Stopped);
         Ok(())
@@ -233,19 +235,19 @@
     }
 
     /// The journal that the plan names, with what an earlier process may have left running.
-    fn keeper(&self) -> io::Result<Keeper> {
+    fn keeper(&self) -> io::Result<QueryJournal> {
         let Some(journal) = self
             .config
             .plan
             .as_ref()
             .and_then(|plan| plan.journal.as_ref())
         else {
-            return Ok(Keeper::default());
+            return Ok(QueryJournal::default());
         };
-        self.desk.awaits_recovery();
-        let (desk, unasked) = (self.desk.clone(), self.engines.unasked());
+        self.desk.await_recovery();
+        let (desk, unasked) = (self.desk.clone(), self.engines.longest_unpolled_run());
         let recovered = move |open: Vec<_>| desk.recovered(&open, unasked);
-        Keeper::open(
+        QueryJournal::open(
             &journal.directory,
             &self.config.name,
             self.desk.clock(),
@@ -263,7 +265,7 @@
             .and_then(|plan| plan.bodies.as_ref());
         let names = &self.config.decoded.names.groups;
         bodies
-            .map(|bodies| query_journal::store(bodies, names, &self.config.name))
+            .map(|bodies| query_journal::body_store(bodies, names, &self.config.name))
             .transpose()
     }
 
@@ -277,7 +279,7 @@
     /// The list known at the start, and the tasks that run beside the front.
     fn start(&mut self, reloads: UnboundedReceiver<Config>) {
         let desk = self.desk.clone();
-        let deliver = move |updates: &[EngineUpdate], whole| desk.listed(updates, whole);
+        let deliver = move |updates: &[EngineUpdate], whole| desk.update_endpoints(updates, whole);
         let discovery = Arc::new(Discovery::new(self.list.clone(), Box::new(deliver)));
         std::mem::take(&mut self.config.known)
             .into_iter()
@@ -291,7 +293,7 @@
         tokio::spawn(watch.follow(Reconnect::new(dial, self.config.seed)));
         tokio::spawn(reload(self.config.clone(), self.desk.clone(), reloads, log));
         let desk = self.desk.clone();
-        tokio::spawn(async move { desk.keep_time().await });
+        tokio::spawn(async move { desk.run_timer().await });
         if self.config.subset.is_some() {
             let may_probe = self.config.decoded.settings.health_checks_allowed;
             tokio::spawn(keep_subset(
@@ -326,7 +328,7 @@
 async fn keep_subset(
     discovery: Arc<Discovery>,
     engines: Arc<Engines>,
-    desk: Arc<Desk>,
+    desk: Arc<Scheduler>,
     may_probe: bool,
 ) {
     let warm = |address| {
@@ -335,7 +337,7 @@
     };
     discovery
         .keep_subset(warm, |engine, warmed| {
-            desk.probed(engine, warmed.end, warmed.report)
+            desk.health_check_ended(engine, warmed.end, warmed.report)
         })
         .await;
 }
@@ -343,7 +345,7 @@
 /// Takes configurations read again for as long as the gateway runs: the change log's address and the plan take effect.
 async fn reload(
     started: Config,
-    desk: Arc<Desk>,
+    desk: Arc<Scheduler>,
     mut reloads: UnboundedReceiver<Config>,
     log: watch::Sender<SocketAddr>,
 ) {
@@ -353,9 +355,10 @@
         }
         if let Some(plan) = &config.plan {
             let names = &started.decoded.names.groups;
-            let groups = plan_routing::narrowed(&started.decoded.settings.classes, names, plan);
+            let groups =
+                plan_routing::narrowed_classes(&started.decoded.settings.classes, names, plan);
             let routes = plan.routes.len();
-            match desk.replan(plan.clone(), &groups) {
+            match desk.update_plan(plan.clone(), &groups) {
                 true => tracing::info!(routes, limits = plan.limits.len(), "plan taken up"),
                 false => tracing::warn!(
                     key = "plan",
@@ -369,17 +372,21 @@
 }
 
 /// Probes the engines that the module wants to have probed, each in a task of its own.
-async fn probe(mut wanted: UnboundedReceiver<EngineId>, engines: Arc<Engines>, desk: Arc<Desk>) {
+async fn probe(
+    mut wanted: UnboundedReceiver<EngineId>,
+    engines: Arc<Engines>,
+    desk: Arc<Scheduler>,
+) {
     while let Some(engine) = wanted.recv().await {
         let (engines, desk) = (engines.clone(), desk.clone());
         tokio::spawn(async move {
-            let (end, report) = engines.probe(engine).await;
+            let (end, report) = engines.health_check(engine).await;
             // Reaching it is no proof that queries end well there, so only a failure counts.
             if end != AttemptEnd::Succeeded {
-                engines.attempted(engine, end);
+                engines.record_attempt_end(engine, end);
             }
             if end != AttemptEnd::NotSent {
-                desk.probed(engine, end, report);
+                desk.health_check_ended(engine, end, report);
             }
         });
     }
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -16,9 +16,9 @@
 
 use crate::engines::Engines;
 use crate::gateway::Phase;
-use crate::http::send_time::Spacing;
-use crate::scheduling::scheduler::Desk;
-use crate::storage::query_journal::Keeper;
+use crate::http::send_time::SendTimeEstimator;
+use crate::scheduling::scheduler::Scheduler;
+use crate::storage::query_journal::QueryJournal;
 use axum::extract::State;
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
@@ -40,15 +40,15 @@
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What every call needs.
-pub struct Front {
-    pub desk: Arc<Desk>,
+pub struct HttpFront {
+    pub scheduler: Arc<Scheduler>,
     pub engines: Arc<Engines>,
     pub decoded: Decoded,
     pub phase: watch::Receiver<Phase>,
-    pub keeper: Arc<Keeper>,
+    pub journal: Arc<QueryJournal>,
     /// Where bodies over the longest statement are kept; without it they are refused.
     pub store: Option<Arc<Store>>,
-    pub spacing: Mutex<Spacing>,
+    pub send_times: Mutex<SendTimeEstimator>,
     /// Bytes of statements that may be in hand at once.
     pub statements: Arc<Semaphore>,
 }
@@ -57,15 +57,18 @@
 #[derive(Clone, Copy, Debug)]
 struct Client(IpAddr);
 
-impl Front {
+impl HttpFront {
     fn sent(&self, key: Option<u64>, came: f64) -> f64 {
-        let in_hand = self.desk.in_hand();
-        let mut spacing = self.spacing.lock().unwrap_or_else(PoisonError::into_inner);
-        spacing.sent(key, came, in_hand)
+        let in_hand = self.scheduler.open_queries();
+        let mut spacing = self
+            .send_times
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        spacing.estimate(key, came, in_hand)
     }
 }
 
-pub fn router(front: Arc<Front>) -> Router {
+pub fn router(front: Arc<HttpFront>) -> Router {
     Router::new()
         .route("/healthz", get(health))
         .route("/v1/{group}", post(submit).delete(withdraw))
@@ -76,7 +79,7 @@
         .with_state(front)
 }
 
-async fn health(State(front): State<Arc<Front>>) -> Response {
+async fn health(State(front): State<Arc<HttpFront>>) -> Response {
     let phase = *front.phase.borrow();
     match phase {
         Phase::Serving => (StatusCode::OK, "serving\n").into_response(),
--- a/crates/gateway/src/http/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -2,7 +2,7 @@
 
 use super::connection::serve;
 use super::Client;
-use crate::http::client_connections::Guests;
+use crate::http::client_connections::ClientConnections;
 use crate::http::client_stream::Peer;
 use crate::system::os_error;
 use axum::Router;
@@ -24,7 +24,7 @@
 pub async fn accept(
     listener: &TcpListener,
     router: &Router,
-    guests: &Arc<Guests>,
+    guests: &Arc<ClientConnections>,
     shut: &watch::Receiver<bool>,
     mut closing: watch::Receiver<bool>,
 ) {
@@ -48,7 +48,7 @@
         match accepted {
             Ok((stream, client)) => {
                 failing = false;
-                let guest = guests.seat(number).await;
+                let guest = guests.acquire(number).await;
                 let peer = Peer::new(stream);
                 peer.has_unread();
                 let client = Client(client.ip().to_canonical());
--- a/crates/gateway/src/http/client_connections.rs
+++ b/crates/gateway/src/http/client_connections.rs
@@ -42,7 +42,7 @@
 }
 
 /// All connections of clients, as many as the budget has seats.
-pub struct Guests {
+pub struct ClientConnections {
     seats: Arc<Semaphore>,
     open: Mutex<HashMap<u64, Entry>>,
     count: watch::Sender<usize>,
@@ -50,10 +50,10 @@
     may_leave: Notify,
 }
 
-impl Guests {
-    pub fn new(seats: Arc<Semaphore>) -> Arc<Guests> {
+impl ClientConnections {
+    pub fn new(seats: Arc<Semaphore>) -> Arc<ClientConnections> {
         let (open, count) = (Mutex::default(), watch::Sender::new(0));
-        Arc::new(Guests {
+        Arc::new(ClientConnections {
             seats,
             open,
             count,
@@ -66,7 +66,7 @@
     }
 
     /// A seat for one that has come, when need be that of one that asks for nothing.
-    pub async fn seat(self: &Arc<Self>, number: u64) -> Guest {
+    pub async fn acquire(self: &Arc<Self>, number: u64) -> ClientConnection {
         let seat = loop {
             if let Ok(seat) = self.seats.clone().try_acquire_owned() {
                 break Some(seat);
@@ -89,7 +89,7 @@
         };
         self.open().insert(number, entry);
         self.count.send_modify(|n| *n += 1);
-        Guest {
+        ClientConnection {
             guests: self.clone(),
             number,
             leave,
@@ -116,22 +116,22 @@
     }
 
     /// Until the last has gone.
-    pub async fn gone(&self) {
+    pub async fn all_closed(&self) {
         // It fails only with the sender gone, which these guests hold.
         let _ = self.count.subscribe().wait_for(|n| *n == 0).await;
     }
 }
 
 /// One connection's seat, free again when this is dropped.
-pub struct Guest {
-    guests: Arc<Guests>,
+pub struct ClientConnection {
+    guests: Arc<ClientConnections>,
     number: u64,
     /// Told when the connection is to give way.
     pub leave: Arc<Notify>,
     _seat: Option<OwnedSemaphorePermit>,
 }
 
-impl Guest {
+impl ClientConnection {
     fn now(&self, doing: Doing) {
         if let Some(entry) = self.guests.open().get_mut(&self.number) {
             (entry.doing, entry.since) = (doing, Instant::now());
@@ -141,29 +141,29 @@
         }
     }
 
-    pub fn asks(&self) {
+    pub fn request_started(&self) {
         self.now(Doing::Asking);
-        self.stays();
+        self.keep_open();
     }
 
     /// It does not give way now, though it was told to; another does.
-    pub fn stays(&self) {
+    pub fn keep_open(&self) {
         if let Some(entry) = self.guests.open().get_mut(&self.number) {
             entry.told_to_leave = None;
         }
         self.guests.may_leave.notify_one();
     }
 
-    pub fn idles(&self) {
+    pub fn became_idle(&self) {
         self.now(Doing::Idle);
     }
 
-    pub fn leaves(&self) {
+    pub fn client_closed(&self) {
         self.now(Doing::Leaving);
     }
 
     /// Whether a call of it is open.
-    pub fn is_asking(&self) -> bool {
+    pub fn has_request(&self) -> bool {
         self.guests
             .open()
             .get(&self.number)
@@ -171,7 +171,7 @@
     }
 
     /// Whether it has brought no call since it came.
-    pub fn said_nothing(&self) -> bool {
+    pub fn sent_nothing(&self) -> bool {
         self.guests
             .open()
             .get(&self.number)
@@ -179,7 +179,7 @@
     }
 }
 
-impl Drop for Guest {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.guests.open().remove(&self.number);
         self.guests.count.send_modify(|n| *n -= 1);
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -43,7 +43,7 @@
 pub struct Peer(Arc<Mutex<Held>>);
 
 /// The same connection, as a stream of bytes to parse.
-pub struct Inbound(Peer);
+pub struct ClientStream(Peer);
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
@@ -59,8 +59,8 @@
         Peer(Arc::new(Mutex::new(held)))
     }
 
-    pub fn stream(&self) -> Inbound {
-        Inbound(self.clone())
+    pub fn stream(&self) -> ClientStream {
+        ClientStream(self.clone())
     }
 
     fn held(&self) -> MutexGuard<'_, Held> {
@@ -184,7 +184,7 @@
     }
 }
 
-impl Read for Inbound {
+impl Read for ClientStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context,
@@ -206,7 +206,7 @@
     }
 }
 
-impl Write for Inbound {
+impl Write for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let mut held = self.0.held();
         let end = Pin::new(&mut held.io).poll_write(cx, buf);
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -1,8 +1,8 @@
 //! One client's connection: its calls one after another, and how it is closed.
 
 use super::{Client, FIRST_REQUEST_TIMEOUT};
-use crate::http::client_connections::Guest;
-use crate::http::client_stream::{Inbound, Peer};
+use crate::http::client_connections::ClientConnection;
+use crate::http::client_stream::{ClientStream, Peer};
 use axum::body::Body;
 use axum::Router;
 use hyper::body::Incoming;
@@ -51,7 +51,7 @@
     peer: Peer,
     client: Client,
     router: Router,
-    guest: Guest,
+    guest: ClientConnection,
     mut shut: watch::Receiver<bool>,
 ) {
     let guest = Arc::new(guest);
@@ -62,10 +62,10 @@
             request.extensions_mut().insert(of.clone());
             request.extensions_mut().insert(client);
             let (asks, answer) = (asks.clone(), router.clone().call(request));
-            asks.asks();
+            asks.request_started();
             Box::pin(async move {
                 let answer = answer.await;
-                asks.idles();
+                asks.became_idle();
                 answer
             })
         });
@@ -101,7 +101,7 @@
     };
     peer.shut();
     if !evicted {
-        guest.leaves();
+        guest.client_closed();
         tokio::select! {
             () = linger(&peer) => {}
             () = guest.leave.notified() => {}
@@ -112,9 +112,9 @@
 
 /// Answers a connection's calls, one after another.
 async fn serve_requests<S>(
-    connection: &mut http1::Connection<Inbound, S>,
+    connection: &mut http1::Connection<ClientStream, S>,
     peer: &Peer,
-    guest: &Guest,
+    guest: &ClientConnection,
     client: Client,
     shut: &mut watch::Receiver<bool>,
 ) -> Close
@@ -137,25 +137,25 @@
                 }
                 return close;
             }
-            () = peer.left(|| guest.is_asking()) => {
+            () = peer.left(|| guest.has_request()) => {
                 tracing::debug!(client = ?client.0, "a client has left");
                 return Close::Gone;
             }
             () = guest.leave.notified() => {
                 // What has come by now is answered first, and another gives way.
-                if guest.is_asking() || peer.has_unread() {
-                    guest.stays();
+                if guest.has_request() || peer.has_unread() {
+                    guest.keep_open();
                     continue;
                 }
                 tracing::debug!(client = ?client.0, "a connection gives way");
-                if guest.said_nothing() {
+                if guest.sent_nothing() {
                     return Close::NoHead { evicted: true };
                 }
                 close = Close::Evicted;
                 Pin::new(&mut *connection).graceful_shutdown();
             }
-            () = &mut first_call, if guest.said_nothing() && !first_call.is_elapsed() => {
-                if guest.said_nothing() && (granted || !peer.has_unread()) {
+            () = &mut first_call, if guest.sent_nothing() && !first_call.is_elapsed() => {
+                if guest.sent_nothing() && (granted || !peer.has_unread()) {
                     tracing::debug!(client = ?client.0, "a silent connection is closed");
                     return Close::NoHead { evicted: false };
                 }
@@ -165,12 +165,12 @@
             }
             Ok(_) = shut.wait_for(|shut| *shut), if !told => {
                 // A call that came before is read before the connection is told to end.
-                if !looked && !guest.is_asking() && peer.has_unread() {
+                if !looked && !guest.has_request() && peer.has_unread() {
                     looked = true;
                     continue;
                 }
                 told = true;
-                close = if guest.is_asking() { Close::Last } else { Close::Idle };
+                close = if guest.has_request() { Close::Last } else { Close::Idle };
                 Pin::new(&mut *connection).graceful_shutdown();
             }
         }
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -2,7 +2,7 @@
 
 use crate::engines::{Call, Statement};
 use crate::http::statement;
-use crate::scheduling::scheduler::Arrival;
+use crate::scheduling::scheduler::ArrivingQuery;
 use axum::http::header::{HeaderMap, HeaderValue};
 use garnetwall_settings::Decoded;
 use std::net::IpAddr;
@@ -25,7 +25,7 @@
     head: &HeaderMap,
     client: IpAddr,
     statement: bytes::Bytes,
-) -> Result<(Arrival, Call), String> {
+) -> Result<(ArrivingQuery, Call), String> {
     let names = &decoded.names;
     let unknown = || format!("unknown service group '{group}'");
     let index = names
@@ -79,20 +79,20 @@
     let statement = Statement::Whole(statement);
     let call = Call {
         id: id.clone(),
-        group: group_name,
-        mark,
+        class: group_name,
+        idempotency_key: mark,
         in_order,
         statement,
     };
     Ok((
-        Arrival {
-            job,
-            group: index,
+        ArrivingQuery {
+            query_key: job,
+            class: index,
             tenant,
-            key,
-            limit,
-            cost,
-            memory,
+            ordering_key: key,
+            deadline: limit,
+            estimated_work: cost,
+            estimated_memory: memory,
             data_set,
             client,
             bytes,
--- a/crates/gateway/src/http/responses.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -1,8 +1,8 @@
 //! Responses: final answers, and what is said of a call that brings no batch.
 
-use super::Front;
-use crate::scheduling::plan_routing::Turned;
-use crate::scheduling::scheduler::{Final, Waiter};
+use super::HttpFront;
+use crate::scheduling::plan_routing::PlanRejection;
+use crate::scheduling::scheduler::{QueryAnswer, Waiter};
 use axum::http::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE};
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
@@ -34,12 +34,14 @@
 }
 
 /// A final answer as a response.
-pub(super) fn response_of(answer: Final) -> Response {
+pub(super) fn response_of(answer: QueryAnswer) -> Response {
     let json = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
     match answer {
-        Final::Returned(body) => (StatusCode::OK, [json], body).into_response(),
-        Final::PushedBack { come_back } => rejected(&json!({"error": "Busy"}), come_back),
-        Final::Errored => error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed"),
+        QueryAnswer::Succeeded(body) => (StatusCode::OK, [json], body).into_response(),
+        QueryAnswer::Rejected {
+            retry_after: come_back,
+        } => rejected(&json!({"error": "Busy"}), come_back),
+        QueryAnswer::Failed => error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed"),
     }
 }
 
@@ -56,13 +58,13 @@
 }
 
 /// What the plan does not let in is answered at once.
-pub(super) fn turned_away(front: &Front, turned: Turned) -> Response {
+pub(super) fn turned_away(front: &HttpFront, turned: PlanRejection) -> Response {
     match turned {
-        Turned::TooLong { most } => closing(error_response(
+        PlanRejection::TooLong { most } => closing(error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             &format!("the plan allows statements of {most} bytes"),
         )),
-        Turned::Away { reason, come_back } => {
+        PlanRejection::LimitReached { reason, come_back } => {
             tracing::debug!(reason, ?come_back, "turned away");
             let settings = &front.decoded.settings;
             let body = json!({"error": "Busy", "reason": reason});
--- a/crates/gateway/src/http/send_time.rs
+++ b/crates/gateway/src/http/send_time.rs
@@ -88,7 +88,7 @@
 
 /// The line of each key, and how long a client waits for a connection.
 #[derive(Debug)]
-pub struct Spacing {
+pub struct SendTimeEstimator {
     keys: HashMap<u64, Line>,
     /// Batches that clients' connections can hold, and seconds that a client waits for one.
     room: usize,
@@ -98,9 +98,9 @@
     oldest: f64,
 }
 
-impl Spacing {
+impl SendTimeEstimator {
     pub fn new(room: usize, waits: f64, longest: f64) -> Self {
-        Spacing {
+        SendTimeEstimator {
             keys: HashMap::new(),
             room,
             waits,
@@ -110,7 +110,7 @@
 
     /// The earliest time that a batch can have been sent at, by when it came, whether others of its key came
     /// just before, and how many batches hold a connection: where all do, it may have waited for one.
-    pub fn sent(&mut self, key: Option<u64>, came: f64, in_hand: usize) -> f64 {
+    pub fn estimate(&mut self, key: Option<u64>, came: f64, in_hand: usize) -> f64 {
         let waited = if in_hand + NEARLY < self.room {
             WAITED
         } else {
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -3,7 +3,7 @@
 use super::request_head::arrival;
 use super::responses::{closing, error_response, final_response, not_kept};
 use super::submission::take;
-use super::{Front, FIRST_REQUEST_TIMEOUT};
+use super::{HttpFront, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::client_stream::Peer;
 use crate::http::statement;
@@ -26,7 +26,7 @@
 
 /// A body too long to be read whole first: it goes on while it comes in, and is kept as it passes.
 pub(super) async fn submit_streamed(
-    front: &Front,
+    front: &HttpFront,
     store: &Arc<Store>,
     group: &str,
     head: &HeaderMap,
@@ -35,13 +35,13 @@
     mut body: Body,
 ) -> Response {
     let length = body.size_hint().exact();
-    let came = front.desk.came(peer.read_at());
+    let came = front.scheduler.arrival_time(peer.read_at());
     let (mut arrival, mut call) = match arrival(&front.decoded, group, head, client, PLACEHOLDER) {
         Ok(taken) => taken,
         Err(what) => return closing(error_response(StatusCode::BAD_REQUEST, &what)),
     };
-    let once_only = front.desk.is_once_only(arrival.group);
-    let kept = match store.admit_as(arrival.tenant, arrival.group, length, once_only) {
+    let once_only = front.scheduler.is_non_idempotent(arrival.class);
+    let kept = match store.admit_as(arrival.tenant, arrival.class, length, once_only) {
         Ok(kept) => kept,
         Err(refused) => return closing(not_kept(refused)),
     };
@@ -74,7 +74,7 @@
     arrival.bytes = length.unwrap_or(first.len() as u64);
     drop(first);
     call.statement = Statement::Streamed(kept.clone());
-    let job = arrival.job;
+    let job = arrival.query_key;
     let Ok(memory) = front.statements.clone().try_acquire_many_owned(0) else {
         return closing(error_response(
             StatusCode::INSUFFICIENT_STORAGE,
@@ -96,7 +96,7 @@
     match pumped {
         Ok(()) => answering.await,
         Err(what) => {
-            front.desk.withdraw(job);
+            front.scheduler.cancel(job);
             closing(error_response(StatusCode::BAD_REQUEST, what))
         }
     }
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -3,11 +3,11 @@
 use super::request_head::{arrival, field, hex, QUERY_ID};
 use super::responses::{closing, error_response, final_response, response_of, turned_away};
 use super::streamed_body::submit_streamed;
-use super::{Client, Front, FIRST_REQUEST_TIMEOUT};
+use super::{Client, HttpFront, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Call;
 use crate::http::client_stream::Peer;
-use crate::scheduling::query_task::Life;
-use crate::scheduling::scheduler::{Arrival, Taken, Waiter};
+use crate::scheduling::query_task::QueryTask;
+use crate::scheduling::scheduler::{Admission, ArrivingQuery, Waiter};
 use axum::body::{to_bytes, Body};
 use axum::extract::{Path, State};
 use axum::http::header::{HeaderMap, TRANSFER_ENCODING};
@@ -23,7 +23,7 @@
 const LONGEST_STATEMENT: u64 = 1 << 18;
 
 pub(super) async fn submit(
-    State(front): State<Arc<Front>>,
+    State(front): State<Arc<HttpFront>>,
     Path(group): Path<String>,
     Extension(peer): Extension<Peer>,
     Extension(Client(client)): Extension<Client>,
@@ -78,7 +78,7 @@
             ))
         }
     };
-    let came = front.desk.came(peer.read_at());
+    let came = front.scheduler.arrival_time(peer.read_at());
     let (arrival, call) = match arrival(&front.decoded, &group, &head, client, body) {
         Ok(taken) => taken,
         Err(what) => {
@@ -94,8 +94,8 @@
 
 /// Takes a batch, or joins the one in hand: who waits for it, or what is answered at once.
 pub(super) fn take(
-    front: &Front,
-    mut arrival: Arrival,
+    front: &HttpFront,
+    mut arrival: ArrivingQuery,
     call: Call,
     came: f64,
     memory: OwnedSemaphorePermit,
@@ -103,62 +103,62 @@
 ) -> Result<Waiter, Box<Response>> {
     if peer.has_left() {
         // Its call stood behind another one, or waited for its slot: nothing is owed, and nothing is sent for it.
-        tracing::debug!(job = arrival.job, "its client has left");
+        tracing::debug!(job = arrival.query_key, "its client has left");
         return Err(closing(error_response(
             StatusCode::BAD_REQUEST,
             "the client has left",
         ))
         .into());
     }
-    arrival.limit += front.sent(arrival.key, came);
+    arrival.deadline += front.sent(arrival.ordering_key, came);
     let call = Arc::new(call);
-    Ok(match front.desk.take(arrival, call.clone()) {
-        Taken::New {
+    Ok(match front.scheduler.admit(arrival, call.clone()) {
+        Admission::New {
             id,
-            orders,
+            commands: orders,
             waiter,
-            once_only,
-            attended,
+            journal_entry: once_only,
+            client_presence: attended,
         } => {
             let (desk, engines, keeper) = (
-                front.desk.clone(),
+                front.scheduler.clone(),
                 front.engines.clone(),
-                front.keeper.clone(),
+                front.journal.clone(),
             );
-            let life = Life {
-                desk,
+            let life = QueryTask {
+                scheduler: desk,
                 engines,
                 id,
                 call,
-                orders,
-                keeper,
-                once_only,
-                attended,
+                commands: orders,
+                journal: keeper,
+                journal_entry: once_only,
+                client_presence: attended,
                 _memory: memory,
             };
-            tokio::spawn(life.live());
+            tokio::spawn(life.run());
             waiter
         }
-        Taken::Joined(waiter) => waiter,
-        Taken::Other => {
+        Admission::Joined(waiter) => waiter,
+        Admission::Conflict => {
             return Err(
                 error_response(StatusCode::CONFLICT, "this id is that of another batch").into(),
             )
         }
-        Taken::Answered(answer) => return Err(response_of(answer).into()),
-        Taken::Over => {
+        Admission::Answered(answer) => return Err(response_of(answer).into()),
+        Admission::AnswerNotCached => {
             return Err(error_response(StatusCode::CONFLICT, "this id has had its answer").into())
         }
-        Taken::MayHaveRun => {
+        Admission::MayHaveRun => {
             return Err(error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed").into())
         }
-        Taken::Turned(turned) => return Err(turned_away(front, turned).into()),
+        Admission::RejectedByPlan(turned) => return Err(turned_away(front, turned).into()),
     })
 }
 
-pub(super) async fn withdraw(State(front): State<Arc<Front>>, head: HeaderMap) -> Response {
+pub(super) async fn withdraw(State(front): State<Arc<HttpFront>>, head: HeaderMap) -> Response {
     match field(&head, QUERY_ID).and_then(|id| hex(QUERY_ID, id)) {
-        Ok(job) if front.desk.withdraw(job) => StatusCode::NO_CONTENT.into_response(),
+        Ok(job) if front.scheduler.cancel(job) => StatusCode::NO_CONTENT.into_response(),
         Ok(_) => error_response(StatusCode::NOT_FOUND, "no batch of this id is in hand"),
         Err(what) => error_response(StatusCode::BAD_REQUEST, &what),
     }
--- a/crates/gateway/src/scheduling/client_presence.rs
+++ b/crates/gateway/src/scheduling/client_presence.rs
@@ -4,20 +4,20 @@
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
-pub struct Attended(Arc<AtomicBool>);
+pub struct ClientPresence(Arc<AtomicBool>);
 
-impl Default for Attended {
+impl Default for ClientPresence {
     fn default() -> Self {
-        Attended(Arc::new(AtomicBool::new(true)))
+        ClientPresence(Arc::new(AtomicBool::new(true)))
     }
 }
 
-impl Attended {
-    pub fn set(&self, attended: bool) {
+impl ClientPresence {
+    pub fn set_waiting(&self, attended: bool) {
         self.0.store(attended, Ordering::Relaxed);
     }
 
-    pub fn is(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -62,7 +62,7 @@
 }
 
 /// The service groups with a plan's rules put in. The time limit stays: the plan's is a batch's own.
-pub fn narrowed(groups: &[QueryClass], names: &[String], plan: &Plan) -> Vec<QueryClass> {
+pub fn narrowed_classes(groups: &[QueryClass], names: &[String], plan: &Plan) -> Vec<QueryClass> {
     use garnetwall::api::Idempotency;
     let one = |(group, name): (&QueryClass, &String)| {
         let mut group = group.clone();
@@ -107,24 +107,24 @@
 }
 
 /// A way for the module: a lane's number, and the engines it leaves open by preference; none for one that is gone.
-pub type LaneTold = (u32, Option<Vec<EngineSet>>);
+pub type SubsetUpdate = (u32, Option<Vec<EngineSet>>);
 
 /// What a batch that may come in carries along.
-pub struct Passage {
+pub struct PlanAdmission {
     ticket: Ticket,
     /// Keeps its plan.
     _version: Arc<Version>,
-    pub lane: Option<u32>,
-    pub group: usize,
+    pub endpoint_subset: Option<u32>,
+    pub class: usize,
     /// The plan's time limit for its group.
-    pub limit: Option<Duration>,
+    pub deadline: Option<Duration>,
 }
 
 /// A batch that may not come in.
 #[derive(Debug, PartialEq)]
-pub enum Turned {
+pub enum PlanRejection {
     /// Pushed back, with the reason and a time to come back.
-    Away {
+    LimitReached {
         reason: String,
         come_back: Option<Duration>,
     },
@@ -133,7 +133,7 @@
 }
 
 /// The plan in force, the ones that batches in hand still keep, and the limits.
-pub struct Planner {
+pub struct PlanRouter {
     names: Names,
     zones: Vec<String>,
     kinds: Vec<String>,
@@ -145,7 +145,7 @@
     listed: Vec<Option<EngineUpdate>>,
 }
 
-impl Planner {
+impl PlanRouter {
     /// The planner of a gateway that can hold so many batches.
     pub fn new(decoded: &Decoded, plan: Arc<Plan>, room: f64) -> Self {
         let names = Names {
@@ -153,7 +153,7 @@
             tenants: decoded.names.tenants.clone(),
         };
         let routing = Routing::new(plan, names.clone());
-        let mut planner = Planner {
+        let mut planner = PlanRouter {
             names,
             zones: decoded.names.zones.clone(),
             kinds: decoded.names.kinds.clone(),
@@ -181,7 +181,7 @@
     }
 
     /// Takes up another plan; what the module is to know of lanes.
-    pub fn replan(&mut self, plan: Arc<Plan>) -> Vec<LaneTold> {
+    pub fn update_plan(&mut self, plan: Arc<Plan>) -> Vec<SubsetUpdate> {
         let routing = Routing::new(plan, self.names.clone());
         self.limits.replan(&routing, self.room);
         self.add(routing);
@@ -194,7 +194,7 @@
     }
 
     /// Takes in a change of the list of engines; what the module is to know of lanes.
-    pub fn listed(&mut self, lines: &[EngineUpdate], whole: bool) -> Vec<LaneTold> {
+    pub fn update_endpoints(&mut self, lines: &[EngineUpdate], whole: bool) -> Vec<SubsetUpdate> {
         if whole {
             let named: HashSet<usize> = lines.iter().map(|l| l.listed.engine).collect();
             for engine in (0..self.listed.len()).filter(|n| !named.contains(n)) {
@@ -238,7 +238,7 @@
     }
 
     /// Lets plans go that no batch keeps any more.
-    fn gone(&mut self) -> Vec<LaneTold> {
+    fn gone(&mut self) -> Vec<SubsetUpdate> {
         let last = self.versions.len() - 1;
         let mut told = Vec::new();
         let mut at = 0;
@@ -254,7 +254,7 @@
         told
     }
 
-    fn lanes(&self) -> Vec<LaneTold> {
+    fn lanes(&self) -> Vec<SubsetUpdate> {
         let of = |(version, engines): &(Arc<Version>, Engines)| {
             let routing = &version.routing;
             let closed = (0..routing.lanes().len()).filter(|n| !routing.lanes()[*n].is_open());
@@ -272,7 +272,7 @@
     }
 
     /// Lets a batch in, or says why not. `now` is in Unix seconds.
-    pub fn admit(&mut self, now: f64, batch: &Batch) -> Result<Passage, Turned> {
+    pub fn admit(&mut self, now: f64, batch: &Batch) -> Result<PlanAdmission, PlanRejection> {
         let (version, _) = self
             .versions
             .last()
@@ -284,12 +284,12 @@
                     .refuse
                     .clone()
                     .unwrap_or_default();
-                Err(Turned::Away {
+                Err(PlanRejection::LimitReached {
                     reason,
                     come_back: None,
                 })
             }
-            Verdict::TooLong { most } => Err(Turned::TooLong { most }),
+            Verdict::TooLong { most } => Err(PlanRejection::TooLong { most }),
             Verdict::Goes { group, lane, .. } => {
                 let ticket = self
                     .limits
@@ -300,26 +300,26 @@
                             which,
                             come_back,
                         } = over;
-                        Turned::Away {
+                        PlanRejection::LimitReached {
                             reason: format!("over the limit {limit} ({which:?})"),
                             come_back: Some(come_back),
                         }
                     })?;
                 let open = routing.lanes()[lane].is_open();
                 let limit = |group: usize| routing.rules(group).and_then(|rules| rules.limit);
-                Ok(Passage {
+                Ok(PlanAdmission {
                     ticket,
                     _version: version.clone(),
-                    lane: (!open).then(|| version.first_lane.wrapping_add(lane as u32)),
-                    group,
-                    limit: limit(batch.group).into_iter().chain(limit(group)).min(),
+                    endpoint_subset: (!open).then(|| version.first_lane.wrapping_add(lane as u32)),
+                    class: group,
+                    deadline: limit(batch.group).into_iter().chain(limit(group)).min(),
                 })
             }
         }
     }
 
     /// A batch that was let in is over.
-    pub fn over(&mut self, now: f64, passage: Passage) {
+    pub fn release(&mut self, now: f64, passage: PlanAdmission) {
         self.limits.release(time(now), passage.ticket);
     }
 }
--- a/crates/gateway/src/scheduling/query_task/tests.rs
+++ b/crates/gateway/src/scheduling/query_task/tests.rs
@@ -4,12 +4,12 @@
 #[tokio::test]
 async fn a_promise_that_comes_after_the_answer_sends_nothing() {
     let over = [
-        (Wish::Over, AttemptEnd::NotNeeded),
-        (Wish::Begun, AttemptEnd::NotNeeded),
-        (Wish::Back, AttemptEnd::ConnectFailed),
+        (CancellationState::QueryFinished, AttemptEnd::NotNeeded),
+        (CancellationState::IfNotStarted, AttemptEnd::NotNeeded),
+        (CancellationState::Requested, AttemptEnd::ConnectFailed),
     ];
     for (last, end) in over {
-        let (wish, wishes) = watch::channel(Wish::Answer);
+        let (wish, wishes) = watch::channel(CancellationState::NotRequested);
         let waiting = promised(std::future::pending(), wishes.clone());
         wish.send_replace(last);
         assert_eq!(waiting.await, Err(end));
@@ -19,7 +19,7 @@
             "both at once"
         );
     }
-    let (_wish, wishes) = watch::channel(Wish::Answer);
+    let (_wish, wishes) = watch::channel(CancellationState::NotRequested);
     assert_eq!(
         promised(std::future::ready(true), wishes.clone()).await,
         Ok(())
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -12,10 +12,10 @@
 mod waiter;
 
 use crate::discovery::EngineUpdate;
-use crate::scheduling::plan_routing::Planner;
+use crate::scheduling::plan_routing::PlanRouter;
 use crate::system::clock::Clock;
-use crate::system::stall_detector::Pulse;
-use answer_cache::KeptAnswers;
+use crate::system::stall_detector::StallDetector;
+use answer_cache::AnswerCache;
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, EngineId, FollowUp, Idempotency, LoadReport, NextAction, Progress,
     QueryClass, QueryId,
@@ -23,7 +23,7 @@
 use garnetwall::controller::AdmissionController;
 use garnetwall_ledger::book::Sent;
 use garnetwall_plan::Plan;
-use state::{InHand, Seats};
+use state::{OpenQuery, SchedulerState};
 use std::collections::{HashMap, VecDeque};
 use std::hash::RandomState;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -32,12 +32,12 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep_until, Instant};
 
-pub use messages::{Arrival, Final, Order, Taken};
+pub use messages::{Admission, ArrivingQuery, Command, QueryAnswer};
 pub use waiter::Waiter;
 
-pub struct Desk {
+pub struct Scheduler {
     clock: Clock,
-    seats: Mutex<Seats>,
+    state: Mutex<SchedulerState>,
     earlier: Notify,
     probes: UnboundedSender<EngineId>,
     in_hand: watch::Sender<usize>,
@@ -48,38 +48,38 @@
     hashing: RandomState,
 }
 
-impl Desk {
+impl Scheduler {
     /// A desk, and the engines that the module wants to have probed. Ids that are over are remembered for so many seconds, and their
     /// answers kept for the same call in so many bytes.
     pub fn new(
         control: AdmissionController,
-        planner: Option<Planner>,
+        planner: Option<PlanRouter>,
         clock: Clock,
         remembered: f64,
         answer_bytes: usize,
     ) -> (Self, UnboundedReceiver<EngineId>) {
         let (probes, wanted) = unbounded_channel();
-        let seats = Seats {
+        let seats = SchedulerState {
             control,
             planner,
             next: 0,
             jobs: HashMap::new(),
             in_hand: HashMap::new(),
             over: VecDeque::new(),
-            kept_answers: KeptAnswers::new(answer_bytes),
+            kept_answers: AnswerCache::new(answer_bytes),
             recovered: HashMap::new(),
             awaits_recovery: false,
             once_only: Vec::new(),
             wake: clock.now(),
-            pulse: Pulse::new(clock.now()),
+            pulse: StallDetector::new(clock.now()),
         };
         let (in_hand, ends) = (watch::Sender::new(0), watch::Sender::new(None));
         let seats = Mutex::new(seats);
         let hashing = RandomState::new();
         (
-            Desk {
+            Scheduler {
                 clock,
-                seats,
+                state: seats,
                 earlier: Notify::new(),
                 probes,
                 in_hand,
@@ -95,15 +95,15 @@
         self.clock
     }
 
-    fn seats(&self) -> MutexGuard<'_, Seats> {
-        self.seats.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, SchedulerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Hands a fact to the module, then asks it what is due until it wants to wait.
-    fn fact<T>(&self, tell: impl FnOnce(&mut Seats, f64) -> T) -> T {
+    fn handle_event<T>(&self, tell: impl FnOnce(&mut SchedulerState, f64) -> T) -> T {
         let now = self.clock.now();
-        let mut seats = self.seats();
-        seats.pulse.beat(now);
+        let mut seats = self.state();
+        seats.pulse.running(now);
         let told = tell(&mut seats, now);
         let armed = seats.wake;
         loop {
@@ -112,7 +112,9 @@
                 NextAction::HealthCheck(engine) => drop(self.probes.send(engine)),
                 // The change log is followed at all times.
                 NextAction::Subscribe => {}
-                NextAction::Cancel(id, dispatch) => seats.order(id, Order::TakeBack { dispatch }),
+                NextAction::Cancel(id, dispatch) => {
+                    seats.order(id, Command::CancelAttempt { dispatch })
+                }
                 NextAction::Wait(span) => {
                     seats.wake = now + span;
                     break;
@@ -126,46 +128,46 @@
     }
 
     /// Wakes the module when it wants to be woken, for as long as the gateway runs.
-    pub async fn keep_time(&self) {
+    pub async fn run_timer(&self) {
         loop {
-            let wake = Instant::from_std(self.clock.instant(self.seats().wake));
+            let wake = Instant::from_std(self.clock.instant(self.state().wake));
             tokio::select! {
-                () = sleep_until(wake) => self.fact(|_, _| ()),
+                () = sleep_until(wake) => self.handle_event(|_, _| ()),
                 () = self.earlier.notified() => {}
             }
         }
     }
 
-    pub fn listed(&self, lines: &[EngineUpdate], whole: bool) {
+    pub fn update_endpoints(&self, lines: &[EngineUpdate], whole: bool) {
         let told: Vec<_> = lines.iter().map(|line| line.listed).collect();
-        self.fact(|seats, _| {
+        self.handle_event(|seats, _| {
             seats.control.update_endpoints(&told, whole);
             let lanes = seats
                 .planner
                 .as_mut()
-                .map(|planner| planner.listed(lines, whole));
+                .map(|planner| planner.update_endpoints(lines, whole));
             seats.tell(lanes.unwrap_or_default());
         });
     }
 
     /// The groups as they are now: which are once-only.
-    pub fn grouped(&self, groups: &[QueryClass]) {
+    pub fn set_classes(&self, groups: &[QueryClass]) {
         let once_only = groups
             .iter()
             .map(|g| g.idempotency == Idempotency::NonIdempotent)
             .collect();
-        self.fact(|seats, _| seats.once_only = once_only);
+        self.handle_event(|seats, _| seats.once_only = once_only);
     }
 
     /// What an earlier process sent is not known yet: a once-only batch that comes may have run.
-    pub fn awaits_recovery(&self) {
-        self.seats().awaits_recovery = true;
+    pub fn await_recovery(&self) {
+        self.state().awaits_recovery = true;
     }
 
     /// Once-only batches that an earlier process sent, and whether each is proved over: none is sent again, and the keys
     /// of those that are not rest for as long as a dispatch can run that nobody asks for.
     pub fn recovered(&self, known: &[(Sent, bool)], unasked: Duration) {
-        self.fact(|seats, now| {
+        self.handle_event(|seats, now| {
             seats.awaits_recovery = false;
             for (sent, over) in known {
                 seats.recovered.insert(sent.id, sent.until as f64 / 1000.0);
@@ -177,8 +179,8 @@
     }
 
     /// Whether batches of a group are once-only now.
-    pub fn is_once_only(&self, group: usize) -> bool {
-        self.seats()
+    pub fn is_non_idempotent(&self, group: usize) -> bool {
+        self.state()
             .once_only
             .get(group)
             .copied()
@@ -186,12 +188,12 @@
     }
 
     /// Takes up another plan, with the groups as it has them; whether there is one to take the place of.
-    pub fn replan(&self, plan: Arc<Plan>, groups: &[QueryClass]) -> bool {
-        self.fact(|seats, _| {
+    pub fn update_plan(&self, plan: Arc<Plan>, groups: &[QueryClass]) -> bool {
+        self.handle_event(|seats, _| {
             let Some(planner) = seats.planner.as_mut() else {
                 return false;
             };
-            let lanes = planner.replan(plan);
+            let lanes = planner.update_plan(plan);
             seats.tell(lanes);
             seats.control.update_classes(groups);
             seats.once_only = groups
@@ -202,8 +204,13 @@
         })
     }
 
-    pub fn probed(&self, engine: EngineId, end: AttemptEnd, report: Option<LoadReport>) {
-        self.fact(|seats, now| {
+    pub fn health_check_ended(
+        &self,
+        engine: EngineId,
+        end: AttemptEnd,
+        report: Option<LoadReport>,
+    ) {
+        self.handle_event(|seats, now| {
             seats.control.health_check_ended(now, engine, end);
             if let Some(report) = report {
                 seats.control.load_reported(now, engine, report);
@@ -212,18 +219,18 @@
     }
 
     /// What follows an outcome.
-    pub fn after(
+    pub fn attempt_ended(
         &self,
         id: QueryId,
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) -> FollowUp {
-        self.fact(|seats, now| {
+        self.handle_event(|seats, now| {
             if let Some(report) = report {
                 seats.control.load_reported(now, outcome.engine, report);
             }
             let closed =
-                outcome.query_finished || seats.in_hand.get(&id).is_none_or(InHand::is_over);
+                outcome.query_finished || seats.in_hand.get(&id).is_none_or(OpenQuery::is_over);
             seats.control.attempt_ended(
                 now,
                 id,
@@ -236,28 +243,28 @@
     }
 
     /// A note of its engine on a dispatch that is out.
-    pub fn noted(&self, id: QueryId, dispatch: u32, note: Progress) {
-        self.fact(|seats, now| seats.control.attempt_progressed(now, id, dispatch, note));
+    pub fn attempt_progressed(&self, id: QueryId, dispatch: u32, note: Progress) {
+        self.handle_event(|seats, now| seats.control.attempt_progressed(now, id, dispatch, note));
     }
 
     /// A batch's body is not there any more for a further dispatch.
-    pub fn not_kept(&self, id: QueryId) {
-        self.fact(|seats, _| seats.control.body_discarded(id));
+    pub fn body_discarded(&self, id: QueryId) {
+        self.handle_event(|seats, _| seats.control.body_discarded(id));
     }
 
     /// What is answered for a dispatch whose end is not known; it stays out until `after`.
-    pub fn in_doubt(&self, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
-        self.fact(|seats, now| seats.control.outcome_unknown(now, id, outcome))
+    pub fn outcome_unknown(&self, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
+        self.handle_event(|seats, now| seats.control.outcome_unknown(now, id, outcome))
     }
 
     /// The gateway ends then: everything in hand, and what still comes, is to be answered before.
-    pub fn ends(&self, at: f64) {
-        self.fact(|seats, _| seats.control.shut_down_at(at));
+    pub fn shut_down_at(&self, at: f64) {
+        self.handle_event(|seats, _| seats.control.shut_down_at(at));
         self.ends.send_replace(Some(at));
     }
 
     /// Until the gateway ends.
-    pub async fn ended(&self) {
+    pub async fn until_shutdown(&self) {
         // It fails only with the sender gone, which this desk holds.
         let at = self
             .ends
@@ -273,17 +280,17 @@
     }
 
     /// The earliest time at which what was read at this instant can have come.
-    pub fn came(&self, read: std::time::Instant) -> f64 {
+    pub fn arrival_time(&self, read: std::time::Instant) -> f64 {
         let (now, read) = (self.clock.now(), self.clock.at(read));
-        self.seats().pulse.came(now, read)
+        self.state().pulse.arrival_time(now, read)
     }
 
-    pub fn in_hand(&self) -> usize {
+    pub fn open_queries(&self) -> usize {
         *self.in_hand.borrow()
     }
 
     /// Until nothing is in hand.
-    pub async fn emptied(&self) {
+    pub async fn until_idle(&self) {
         // It fails only with the sender gone, which this desk holds.
         let _ = self.in_hand.subscribe().wait_for(|n| *n == 0).await;
     }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,10 +1,10 @@
 //! A query comes in: it is new, joins the one of its id that is in hand, or is refused.
 
 use super::answer_cache::{Fingerprint, Kept};
-use super::state::{InHand, Job, Seats};
-use super::{Arrival, Desk, Taken, Waiter};
+use super::state::{Job, OpenQuery, SchedulerState};
+use super::{Admission, ArrivingQuery, Scheduler, Waiter};
 use crate::engines::{Call, Statement};
-use crate::scheduling::client_presence::Attended;
+use crate::scheduling::client_presence::ClientPresence;
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
@@ -23,58 +23,58 @@
     }
 }
 
-impl Desk {
+impl Scheduler {
     /// Takes a batch, or finds the one that has its id.
-    pub fn take(self: &Arc<Self>, a: Arrival, call: Arc<Call>) -> Taken {
+    pub fn admit(self: &Arc<Self>, a: ArrivingQuery, call: Arc<Call>) -> Admission {
         let fingerprint = self.fingerprint(&a, &call);
-        self.fact(|seats, now| {
+        self.handle_event(|seats, now| {
             seats.forget_over(now);
-            match seats.jobs.get(&a.job) {
-                Some(Job::Over) => return seats.over(now, a.job, fingerprint),
-                Some(&Job::InHand(id)) => return self.join(seats, now, id, &a, &call),
+            match seats.jobs.get(&a.query_key) {
+                Some(Job::Over) => return seats.over(now, a.query_key, fingerprint),
+                Some(&Job::OpenQuery(id)) => return self.join(seats, now, id, &a, &call),
                 None => {}
             }
-            if seats.recovered.contains_key(&a.job) {
-                return Taken::MayHaveRun;
+            if seats.recovered.contains_key(&a.query_key) {
+                return Admission::MayHaveRun;
             }
             let passage = match seats
                 .planner
                 .as_mut()
                 .map(|planner| planner.admit(now, &routed(now, &a)))
             {
-                Some(Err(turned)) => return Taken::Turned(turned),
+                Some(Err(turned)) => return Admission::RejectedByPlan(turned),
                 Some(Ok(passage)) => Some(passage),
                 None => None,
             };
-            let Arrival {
-                group,
+            let ArrivingQuery {
+                class: group,
                 tenant,
-                key,
-                cost,
-                memory,
+                ordering_key: key,
+                estimated_work: cost,
+                estimated_memory: memory,
                 data_set,
                 ..
             } = a;
-            let group = passage.as_ref().map_or(group, |p| p.group);
+            let group = passage.as_ref().map_or(group, |p| p.class);
             let is_once_only = seats.once_only.get(group).copied().unwrap_or_default();
             if is_once_only && seats.awaits_recovery {
                 seats.leaves(now, passage);
-                return Taken::MayHaveRun;
+                return Admission::MayHaveRun;
             }
-            let lane = passage.as_ref().and_then(|p| p.lane);
+            let lane = passage.as_ref().and_then(|p| p.endpoint_subset);
             let shorter = passage
                 .as_ref()
-                .and_then(|p| p.limit)
+                .and_then(|p| p.deadline)
                 .map(|limit| now + limit.as_secs_f64());
-            let limit = shorter.map_or(a.limit, |at| a.limit.min(at));
+            let limit = shorter.map_or(a.deadline, |at| a.deadline.min(at));
             let id = seats.next;
             seats.next = id.wrapping_add(1);
             let (sender, orders) = unbounded_channel();
             let (answer, receiver) = watch::channel(None);
-            seats.jobs.insert(a.job, Job::InHand(id));
-            let attended = Attended::default();
-            let new = InHand {
-                job: a.job,
+            seats.jobs.insert(a.query_key, Job::OpenQuery(id));
+            let attended = ClientPresence::default();
+            let new = OpenQuery {
+                job: a.query_key,
                 tenant,
                 key,
                 call,
@@ -101,12 +101,12 @@
                 data_set,
                 endpoint_subset: lane,
             };
-            let (job, line) = (Hex(a.job), key.map(Hex));
+            let (job, line) = (Hex(a.query_key), key.map(Hex));
             tracing::debug!(batch = id, ?job, group, key = ?line, left, "taken");
             seats.control.admit(now, b);
             let until = millis(limit + CLEAR.as_secs_f64());
             let once_only = is_once_only.then_some(Sent {
-                id: a.job,
+                id: a.query_key,
                 key,
                 until,
             });
@@ -115,75 +115,82 @@
                 id,
                 answer: receiver,
             };
-            Taken::New {
+            Admission::New {
                 id,
-                orders,
+                commands: orders,
                 waiter,
-                once_only,
-                attended,
+                journal_entry: once_only,
+                client_presence: attended,
             }
         })
     }
 
     /// What makes this call the same as another; none where its statement is not kept.
-    fn fingerprint(&self, a: &Arrival, call: &Call) -> Option<Fingerprint> {
+    fn fingerprint(&self, a: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
         let Statement::Whole(statement) = &call.statement else {
             return None;
         };
         let Call {
-            id, group, mark, ..
+            id,
+            class: group,
+            idempotency_key: mark,
+            ..
         } = call;
-        Some(Fingerprint(
-            self.hashing
-                .hash_one((a.tenant, a.key, id, group, mark, statement)),
-        ))
+        Some(Fingerprint(self.hashing.hash_one((
+            a.tenant,
+            a.ordering_key,
+            id,
+            group,
+            mark,
+            statement,
+        ))))
     }
 
     fn join(
         self: &Arc<Self>,
-        seats: &mut Seats,
+        seats: &mut SchedulerState,
         now: f64,
         id: QueryId,
-        a: &Arrival,
+        a: &ArrivingQuery,
         call: &Call,
-    ) -> Taken {
+    ) -> Admission {
         let Some(b) = seats.in_hand.get_mut(&id) else {
-            return Taken::Over;
+            return Admission::AnswerNotCached;
         };
-        if (b.tenant, b.key) != (a.tenant, a.key) || *b.call != *call {
-            return Taken::Other;
+        if (b.tenant, b.key) != (a.tenant, a.ordering_key) || *b.call != *call {
+            return Admission::Conflict;
         }
         (b.waiters, b.waited) = (b.waiters + 1, b.waited + 1);
-        b.attended.set(true);
+        b.attended.set_waiting(true);
         let waiter = Waiter {
             desk: self.clone(),
             id,
             answer: b.answer.subscribe(),
         };
         seats.control.set_client_waiting(now, id, true);
-        Taken::Joined(waiter)
+        Admission::Joined(waiter)
     }
 }
 
-impl Seats {
+impl SchedulerState {
     /// What becomes of a call whose query is over: it runs no second time.
-    fn over(&self, now: f64, job: u64, fingerprint: Option<Fingerprint>) -> Taken {
+    fn over(&self, now: f64, job: u64, fingerprint: Option<Fingerprint>) -> Admission {
         let kept = fingerprint.map_or(Kept::Nothing, |of| self.kept_answers.get(now, job, of));
         match kept {
-            Kept::Answer(last) => Taken::Answered(last),
-            Kept::Other => Taken::Other,
-            Kept::Nothing => Taken::Over,
+            Kept::Answer(last) => Admission::Answered(last),
+            Kept::Other => Admission::Conflict,
+            Kept::Nothing => Admission::AnswerNotCached,
         }
     }
 }
 
 /// A batch as routing sees it.
-fn routed(now: f64, a: &Arrival) -> garnetwall_routing::Batch {
+fn routed(now: f64, a: &ArrivingQuery) -> garnetwall_routing::Batch {
     garnetwall_routing::Batch {
-        group: a.group,
+        group: a.class,
         tenant: a.tenant,
         client: a.client,
-        key: a.key.is_some(),
+        key: a.ordering_key.is_some(),
         data_set: a.data_set,
         minute: minute_of_day(now),
         bytes: a.bytes,
--- a/crates/gateway/src/scheduling/scheduler/answer_cache.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache.rs
@@ -1,7 +1,7 @@
 //! Final answers of queries that are over, kept for clients whose connection ended before they had theirs: the same call made again
 //! gets the same answer, and nothing runs again. Bounded in bytes and by each query's deadline.
 
-use super::Final;
+use super::QueryAnswer;
 use std::collections::{BTreeMap, HashMap};
 
 /// What an answer takes beside its rows, in bytes.
@@ -14,7 +14,7 @@
 /// What is known of the answer to a call that was made before.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Kept {
-    Answer(Final),
+    Answer(QueryAnswer),
     /// Another call has this id.
     Other,
     /// It was not kept, or no longer.
@@ -23,7 +23,7 @@
 
 struct Entry {
     fingerprint: Fingerprint,
-    answer: Final,
+    answer: QueryAnswer,
     /// The query's deadline, in seconds on the gateway's clock.
     until: f64,
     /// Its place in the order in which answers were kept.
@@ -37,7 +37,7 @@
 }
 
 /// The answers that are kept, by the queries' ids.
-pub(super) struct KeptAnswers {
+pub(super) struct AnswerCache {
     entries: HashMap<u64, Entry>,
     /// Ids by the number of their entry, the oldest first.
     order: BTreeMap<u64, u64>,
@@ -47,10 +47,10 @@
     most_bytes: usize,
 }
 
-impl KeptAnswers {
+impl AnswerCache {
     /// Keeps so many bytes at most.
     pub(super) fn new(most_bytes: usize) -> Self {
-        KeptAnswers {
+        AnswerCache {
             entries: HashMap::new(),
             order: BTreeMap::new(),
             next: 0,
@@ -65,7 +65,7 @@
         now: f64,
         id: u64,
         fingerprint: Fingerprint,
-        answer: Final,
+        answer: QueryAnswer,
         until: f64,
     ) {
         let number = self.next;
--- a/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
@@ -4,13 +4,13 @@
 
 const CALL: Fingerprint = Fingerprint(7);
 
-fn answer(bytes: usize) -> Final {
-    Final::Returned(Bytes::from(vec![b'x'; bytes]))
+fn answer(bytes: usize) -> QueryAnswer {
+    QueryAnswer::Succeeded(Bytes::from(vec![b'x'; bytes]))
 }
 
 #[test]
 fn the_same_call_gets_its_answer_until_the_deadline() {
-    let mut kept = KeptAnswers::new(10_000);
+    let mut kept = AnswerCache::new(10_000);
     kept.keep(1.0, 1, CALL, answer(10), 2.0);
     assert_eq!(kept.get(1.9, 1, CALL), Kept::Answer(answer(10)));
     assert_eq!(kept.get(1.9, 1, Fingerprint(8)), Kept::Other);
@@ -20,7 +20,7 @@
 
 #[test]
 fn an_answer_that_is_too_large_drives_no_others_out() {
-    let mut kept = KeptAnswers::new(1000);
+    let mut kept = AnswerCache::new(1000);
     kept.keep(1.0, 1, CALL, answer(10), 9.0);
     kept.keep(1.0, 2, CALL, answer(1000), 9.0);
     assert_eq!(kept.get(1.0, 1, CALL), Kept::Answer(answer(10)));
@@ -33,7 +33,7 @@
     fn the_newest_are_kept_inside_the_bound(
         came in prop::collection::vec((0..20u64, 0..3000usize, 0..50u32), 1..60),
     ) {
-        let mut kept = KeptAnswers::new(10_000);
+        let mut kept = AnswerCache::new(10_000);
         let mut now = 0.0;
         for (id, bytes, lasts) in came {
             now += 1.0;
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -1,8 +1,8 @@
 //! The plain values that go into the desk and come out of it.
 
 use super::Waiter;
-use crate::scheduling::client_presence::Attended;
-use crate::scheduling::plan_routing::Turned;
+use crate::scheduling::client_presence::ClientPresence;
+use crate::scheduling::plan_routing::PlanRejection;
 use bytes::Bytes;
 use garnetwall::api::{EngineId, FinalAnswer, QueryId};
 use garnetwall_ledger::book::Sent;
@@ -11,73 +11,75 @@
 
 /// What a batch's task is to do next.
 #[derive(Debug)]
-pub enum Order {
-    Go {
+pub enum Command {
+    BeginAttempt {
         engine: EngineId,
         /// Nobody waits for the dispatch from then on.
-        until: std::time::Instant,
+        response_deadline: std::time::Instant,
         /// Its start has come whole by then, or is not sent.
-        comes_by: std::time::Instant,
+        send_deadline: std::time::Instant,
     },
-    TakeBack {
+    CancelAttempt {
         dispatch: u32,
     },
-    Over(FinalAnswer),
+    Answer(FinalAnswer),
     /// The client has gone: no answer is owed.
-    Gone,
+    ClientLeft,
 }
 
 /// The one final answer of a batch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
-    Returned(Bytes),
-    PushedBack { come_back: Option<f64> },
-    Errored,
+pub enum QueryAnswer {
+    Succeeded(Bytes),
+    Rejected { retry_after: Option<f64> },
+    Failed,
 }
 
-impl Final {
+impl QueryAnswer {
     pub(super) fn name(&self) -> &'static str {
         match self {
-            Final::Returned(_) => "returned",
-            Final::PushedBack { .. } => "pushed back",
-            Final::Errored => "errored",
+            QueryAnswer::Succeeded(_) => "returned",
+            QueryAnswer::Rejected { .. } => "pushed back",
+            QueryAnswer::Failed => "errored",
         }
     }
 }
 
-impl Final {
+impl QueryAnswer {
     /// Bytes of the rows that it holds.
     pub(super) fn bytes(&self) -> usize {
         match self {
-            Final::Returned(rows) => rows.len(),
-            Final::PushedBack { .. } | Final::Errored => 0,
+            QueryAnswer::Succeeded(rows) => rows.len(),
+            QueryAnswer::Rejected { .. } | QueryAnswer::Failed => 0,
         }
     }
 }
 
-impl From<FinalAnswer> for Final {
+impl From<FinalAnswer> for QueryAnswer {
     fn from(answer: FinalAnswer) -> Self {
         match answer {
             FinalAnswer::Rejected {
                 retry_after: come_back,
-            } => Final::PushedBack { come_back },
-            FinalAnswer::Failed => Final::Errored,
+            } => QueryAnswer::Rejected {
+                retry_after: come_back,
+            },
+            FinalAnswer::Failed => QueryAnswer::Failed,
         }
     }
 }
 
 /// A batch as it comes, before it has its number.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival {
-    pub job: u64,
-    pub group: usize,
+pub struct ArrivingQuery {
+    pub query_key: u64,
+    pub class: usize,
     pub tenant: usize,
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// When the client gives up.
-    pub limit: f64,
+    pub deadline: f64,
     /// What the client takes it to need: seconds of work, MB of memory.
-    pub cost: Option<f64>,
-    pub memory: Option<f64>,
+    pub estimated_work: Option<f64>,
+    pub estimated_memory: Option<f64>,
     pub data_set: u32,
     /// Where its client is.
     pub client: IpAddr,
@@ -86,26 +88,26 @@
 }
 
 /// What became of a call that brought a batch.
-pub enum Taken {
+pub enum Admission {
     New {
         id: QueryId,
-        orders: UnboundedReceiver<Order>,
+        commands: UnboundedReceiver<Command>,
         waiter: Waiter,
         /// What is written down before it is sent, where it is once-only.
-        once_only: Option<Sent>,
+        journal_entry: Option<Sent>,
         /// Whether a client waits for it.
-        attended: Attended,
+        client_presence: ClientPresence,
     },
     /// The batch of this id is in hand already.
     Joined(Waiter),
     /// A batch that is not this one has this id.
-    Other,
+    Conflict,
     /// The batch of this id is over already, with this answer.
-    Answered(Final),
+    Answered(QueryAnswer),
     /// The batch of this id is over already, and its answer was not kept.
-    Over,
+    AnswerNotCached,
     /// An earlier process sent it, and it may have run.
     MayHaveRun,
     /// The plan does not let it in.
-    Turned(Turned),
+    RejectedByPlan(PlanRejection),
 }
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -1,13 +1,13 @@
 //! A query ends: it is answered, let go, or withdrawn.
 
 use super::state::Job;
-use super::{Desk, Final};
+use super::{QueryAnswer, Scheduler};
 use garnetwall::api::QueryId;
 
-impl Desk {
+impl Scheduler {
     /// Gives a batch its final answer; only the first counts.
-    pub fn answer(&self, id: QueryId, last: Final) {
-        if let Some(b) = self.seats().in_hand.get(&id).filter(|b| !b.is_over()) {
+    pub fn answer(&self, id: QueryId, last: QueryAnswer) {
+        if let Some(b) = self.state().in_hand.get(&id).filter(|b| !b.is_over()) {
             tracing::debug!(
                 batch = id,
                 left = b.limit - self.clock.now(),
@@ -19,8 +19,8 @@
     }
 
     /// Lets a batch go: it is over and every dispatch has its outcome.
-    pub fn let_go(&self, id: QueryId) {
-        let mut seats = self.seats();
+    pub fn release(&self, id: QueryId) {
+        let mut seats = self.state();
         if let Some(b) = seats.in_hand.remove(&id) {
             seats.jobs.insert(b.job, Job::Over);
             let now = self.clock.now();
@@ -37,9 +37,9 @@
     }
 
     /// The client of this id withdraws it; whether it was in hand.
-    pub fn withdraw(&self, job: u64) -> bool {
-        self.fact(|seats, now| match seats.jobs.get(&job) {
-            Some(&Job::InHand(id)) => {
+    pub fn cancel(&self, job: u64) -> bool {
+        self.handle_event(|seats, now| match seats.jobs.get(&job) {
+            Some(&Job::OpenQuery(id)) => {
                 seats.gone(now, id);
                 true
             }
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -1,12 +1,12 @@
 //! What the desk's lock guards: the module, and the queries in hand.
 
-use super::answer_cache::{Fingerprint, KeptAnswers};
-use super::{Final, Order};
+use super::answer_cache::{AnswerCache, Fingerprint};
+use super::{Command, QueryAnswer};
 use crate::engines::Call;
-use crate::scheduling::client_presence::Attended;
-use crate::scheduling::plan_routing::{LaneTold, Passage, Planner};
+use crate::scheduling::client_presence::ClientPresence;
+use crate::scheduling::plan_routing::{PlanAdmission, PlanRouter, SubsetUpdate};
 use crate::system::clock::Clock;
-use crate::system::stall_detector::Pulse;
+use crate::system::stall_detector::StallDetector;
 use garnetwall::api::{Placement, QueryId};
 use garnetwall::controller::AdmissionController;
 use std::collections::{HashMap, VecDeque};
@@ -14,14 +14,14 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-pub(super) struct Seats {
+pub(super) struct SchedulerState {
     pub(super) control: AdmissionController,
-    pub(super) planner: Option<Planner>,
+    pub(super) planner: Option<PlanRouter>,
     pub(super) next: QueryId,
     pub(super) jobs: HashMap<u64, Job>,
-    pub(super) in_hand: HashMap<QueryId, InHand>,
+    pub(super) in_hand: HashMap<QueryId, OpenQuery>,
     pub(super) over: VecDeque<(f64, u64)>,
-    pub(super) kept_answers: KeptAnswers,
+    pub(super) kept_answers: AnswerCache,
     /// Once-only batches that an earlier process sent, and until when their ids count.
     pub(super) recovered: HashMap<u64, f64>,
     /// They are not known yet.
@@ -29,35 +29,35 @@
     /// By service group.
     pub(super) once_only: Vec<bool>,
     pub(super) wake: f64,
-    pub(super) pulse: Pulse,
+    pub(super) pulse: StallDetector,
 }
 
 pub(super) enum Job {
-    InHand(QueryId),
+    OpenQuery(QueryId),
     Over,
 }
 
 /// A batch in hand, until it is over and every dispatch has its outcome.
-pub(super) struct InHand {
+pub(super) struct OpenQuery {
     pub(super) job: u64,
     pub(super) tenant: usize,
     pub(super) key: Option<u64>,
     pub(super) call: Arc<Call>,
     /// None where the call can't be compared with another.
     pub(super) fingerprint: Option<Fingerprint>,
-    pub(super) orders: UnboundedSender<Order>,
-    pub(super) answer: watch::Sender<Option<Final>>,
+    pub(super) orders: UnboundedSender<Command>,
+    pub(super) answer: watch::Sender<Option<QueryAnswer>>,
     pub(super) waiters: usize,
     /// How many waiters it has had, so that one who has left is told from one who came after.
     pub(super) waited: u64,
-    pub(super) attended: Attended,
+    pub(super) attended: ClientPresence,
     pub(super) limit: f64,
     /// What the plan let it in with.
-    pub(super) passage: Option<Passage>,
+    pub(super) passage: Option<PlanAdmission>,
 }
 
-impl InHand {
-    pub(super) fn order(&self, order: Order) {
+impl OpenQuery {
+    pub(super) fn order(&self, order: Command) {
         // A task that no longer listens has nothing out and owes nothing.
         let _ = self.orders.send(order);
     }
@@ -67,22 +67,22 @@
     }
 }
 
-impl Seats {
+impl SchedulerState {
     /// Tells the module of ways that batches may go.
-    pub(super) fn tell(&mut self, lanes: Vec<LaneTold>) {
+    pub(super) fn tell(&mut self, lanes: Vec<SubsetUpdate>) {
         for (lane, tiers) in lanes {
             self.control.update_endpoint_subset(lane, tiers);
         }
     }
 
     /// The plan's limits are free again of one that it let in.
-    pub(super) fn leaves(&mut self, now: f64, passage: Option<Passage>) {
+    pub(super) fn leaves(&mut self, now: f64, passage: Option<PlanAdmission>) {
         if let Some((planner, passage)) = self.planner.as_mut().zip(passage) {
-            planner.over(now, passage);
+            planner.release(now, passage);
         }
     }
 
-    pub(super) fn order(&self, id: QueryId, order: Order) {
+    pub(super) fn order(&self, id: QueryId, order: Command) {
         if let Some(b) = self.in_hand.get(&id) {
             b.order(order);
         }
@@ -91,7 +91,7 @@
     pub(super) fn ask(&mut self, clock: &Clock, now: f64, id: QueryId) {
         match self.control.place(now, id) {
             Placement::Wait => {}
-            Placement::Answer(answer) => self.order(id, Order::Over(answer)),
+            Placement::Answer(answer) => self.order(id, Command::Answer(answer)),
             Placement::Attempt {
                 engine,
                 response_timeout: time_out,
@@ -102,10 +102,10 @@
                     (clock.instant(now + time_out), clock.instant(now + within));
                 self.order(
                     id,
-                    Order::Go {
+                    Command::BeginAttempt {
                         engine,
-                        until,
-                        comes_by,
+                        response_deadline: until,
+                        send_deadline: comes_by,
                     },
                 );
             }
@@ -118,8 +118,8 @@
             return;
         };
         tracing::debug!(batch = id, left = b.limit - now, "client gone");
-        b.answer.send_replace(Some(Final::Errored));
-        b.order(Order::Gone);
+        b.answer.send_replace(Some(QueryAnswer::Failed));
+        b.order(Command::ClientLeft);
         self.control.client_left(now, id);
     }
 
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -1,6 +1,6 @@
 //! Who waits for a query's answer, and what follows when nobody does any more.
 
-use super::{Desk, Final};
+use super::{QueryAnswer, Scheduler};
 use garnetwall::api::QueryId;
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 
 /// A client that waits for a batch; dropped before the answer, it has gone unless it comes again at once.
 pub struct Waiter {
-    pub(super) desk: Arc<Desk>,
+    pub(super) desk: Arc<Scheduler>,
     pub(super) id: QueryId,
-    pub(super) answer: watch::Receiver<Option<Final>>,
+    pub(super) answer: watch::Receiver<Option<QueryAnswer>>,
 }
 
 impl Waiter {
-    pub async fn answer(mut self) -> Final {
+    pub async fn answer(mut self) -> QueryAnswer {
         let last = self.answer.wait_for(Option::is_some).await;
         last.ok()
             .and_then(|last| last.clone())
-            .unwrap_or(Final::Errored)
+            .unwrap_or(QueryAnswer::Failed)
     }
 }
 
@@ -43,16 +43,16 @@
     }
 }
 
-impl Desk {
+impl Scheduler {
     /// One who waited has left. Nothing is sent for a batch that nobody waits for; how many had waited for it by then.
     fn waiter_left(&self, id: QueryId) -> Option<u64> {
-        self.fact(|seats, now| {
+        self.handle_event(|seats, now| {
             let b = seats.in_hand.get_mut(&id)?;
             b.waiters -= 1;
             if b.waiters > 0 || b.is_over() {
                 return None;
             }
-            b.attended.set(false);
+            b.attended.set_waiting(false);
             let waited = b.waited;
             seats.control.set_client_waiting(now, id, false);
             Some(waited)
@@ -61,7 +61,7 @@
 
     /// Nobody has come again for a batch since so many had waited for it: its clients have gone.
     fn not_back(&self, id: QueryId, waited: u64) {
-        self.fact(|seats, now| {
+        self.handle_event(|seats, now| {
             if seats
                 .in_hand
                 .get(&id)
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -1,7 +1,7 @@
 //! What a gateway keeps beyond a batch's answer: the journal of once-only batches on a disk that lasts, and the store of
 //! bodies. It hands records over and waits for them; `garnetwall_ledger` and `garnetwall_bodies` decide what they mean.
 
-use crate::system::boot_clock::RunClock;
+use crate::system::boot_clock::BootClock;
 use crate::system::clock::Clock;
 use crate::system::os_error::may_pass;
 use garnetwall_bodies::room::Policy;
@@ -20,7 +20,7 @@
 
 /// The journal, where there is one.
 #[derive(Default)]
-pub struct Keeper {
+pub struct QueryJournal {
     journal: Option<Kept>,
 }
 
@@ -28,7 +28,7 @@
 struct Kept {
     journal: Journal,
     clock: Clock,
-    run: RunClock,
+    run: BootClock,
 }
 
 impl Kept {
@@ -42,7 +42,7 @@
     }
 }
 
-impl Keeper {
+impl QueryJournal {
     /// Opens the journal of a gateway in a directory; `recovered` is told what may have run before, with ends on the gateway's
     /// clock, once that could be read. A disk that fails for now is tried again, and until it works nothing is promised.
     /// `longest` is the longest limit of a batch in seconds.
@@ -56,10 +56,10 @@
         clock: Clock,
         longest: f64,
         recovered: impl FnOnce(Vec<(Sent, bool)>) + Send + 'static,
-    ) -> io::Result<Keeper> {
+    ) -> io::Result<QueryJournal> {
         let path = Path::new(directory).join(format!("{gateway}.once-only"));
         let shown = path.display().to_string();
-        let run = RunClock::start();
+        let run = BootClock::start();
         let told = move |mut open: Vec<(Sent, bool)>| {
             let (here, there) = (millis(clock.now()), run.millis());
             open.iter_mut()
@@ -91,7 +91,7 @@
                 begun.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", path.display())))?
             }
         }
-        Ok(Keeper {
+        Ok(QueryJournal {
             journal: Some(Kept {
                 journal,
                 clock,
@@ -102,7 +102,7 @@
 
     /// Writes down that a once-only batch is about to be sent; whether it may be. It takes as long as the disk does: whoever asks
     /// bounds that by what the batch has left.
-    pub async fn promise(&self, sent: Sent) -> bool {
+    pub async fn record_before_send(&self, sent: Sent) -> bool {
         let Some(kept) = &self.journal else {
             return true;
         };
@@ -129,7 +129,7 @@
     }
 
     /// It is proved over.
-    pub fn over(&self, id: u64) {
+    pub fn record_end(&self, id: u64) {
         if let Some(kept) = &self.journal {
             kept.journal.over(id);
         }
@@ -141,7 +141,7 @@
 /// # Errors
 ///
 /// With the path in the text.
-pub fn store(bodies: &Bodies, groups: &[String], gateway: &str) -> io::Result<Arc<Store>> {
+pub fn body_store(bodies: &Bodies, groups: &[String], gateway: &str) -> io::Result<Arc<Store>> {
     let spool = match &bodies.directory {
         Some(directory) => Some(Spool::new(
             Disk::open(Path::new(directory), gateway)?,
@@ -165,7 +165,7 @@
 }
 
 /// Says what became of bodies, by group and place.
-pub fn tell(store: &Store, groups: &[String]) {
+pub fn log_body_store(store: &Store, groups: &[String]) {
     for ((group, place), counts) in store.counts() {
         let group = groups.get(group).map_or("", String::as_str);
         let (bodies, further, missed) = (counts.bodies, counts.further, counts.missed);
--- a/crates/gateway/src/system/boot_clock.rs
+++ b/crates/gateway/src/system/boot_clock.rs
@@ -11,20 +11,20 @@
 
 /// The clock of a run of the machine.
 #[derive(Clone, Copy, Debug)]
-pub struct RunClock {
+pub struct BootClock {
     /// 0 where the run is not known: nothing can be compared then.
     pub run: u64,
     began: Instant,
 }
 
-impl RunClock {
-    pub fn start() -> RunClock {
+impl BootClock {
+    pub fn start() -> BootClock {
         let run = if boot_millis().is_some() {
             identity().unwrap_or(0)
         } else {
             0
         };
-        RunClock {
+        BootClock {
             run,
             began: Instant::now(),
         }
--- a/crates/gateway/src/system/stall_detector.rs
+++ b/crates/gateway/src/system/stall_detector.rs
@@ -8,22 +8,22 @@
 
 /// When the process ran last, in seconds of the gateway's clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Pulse {
+pub struct StallDetector {
     last: f64,
     /// The last gap: when the process ran before it, and when it ran again.
     gap: Option<(f64, f64)>,
 }
 
-impl Pulse {
-    pub fn new(now: f64) -> Pulse {
-        Pulse {
+impl StallDetector {
+    pub fn new(now: f64) -> StallDetector {
+        StallDetector {
             last: now,
             gap: None,
         }
     }
 
     /// It runs now.
-    pub fn beat(&mut self, now: f64) {
+    pub fn running(&mut self, now: f64) {
         if now - self.last > LONGEST_BEAT {
             self.gap = Some((self.last, now));
         }
@@ -31,8 +31,8 @@
     }
 
     /// The earliest time at which what was read at `read` can have come; less than [`LONGEST_BEAT`] may be missing.
-    pub fn came(&mut self, now: f64, read: f64) -> f64 {
-        self.beat(now);
+    pub fn arrival_time(&mut self, now: f64, read: f64) -> f64 {
+        self.running(now);
         match self.gap {
             Some((from, until)) if read >= from && read < until + CATCHING_UP => from.min(read),
             _ => read,
--- a/crates/gateway/src/system/stream_budget.rs
+++ b/crates/gateway/src/system/stream_budget.rs
@@ -60,7 +60,7 @@
 
 /// Parts of the told limit that may be open at once.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct ResourceBudget {
     pub clients: Arc<Semaphore>,
     pub engines: Arc<Semaphore>,
     /// Batches that clients' connections and the memory can hold at once.
@@ -71,7 +71,7 @@
     pub kept_answers: usize,
 }
 
-impl Budget {
+impl ResourceBudget {
     /// A third for clients, as the protocol has it, and some for those that close as others come: the machine
     /// accepts a connection whether or not we do, and what comes on it is owed an answer. The rest, less our
     /// own, for engines.
@@ -79,7 +79,7 @@
         let memory = memory_mb << 20;
         let clients = limit / 3 + limit / SPARE + 1;
         let engines = limit.saturating_sub(clients + OWN).max(1);
-        Budget {
+        ResourceBudget {
             clients: Arc::new(Semaphore::new(clients)),
             engines: Arc::new(Semaphore::new(engines)),
             room: (limit / 3).min(memory / RESULTS / RESULT).max(1),
@@ -103,7 +103,7 @@
 /// Looked at right before each byte of a start leaves: nothing of it does once nobody waits for it any more. A batch may have
 /// its answer while the connection for its dispatch is still coming up, or while the machine takes a long start in by parts;
 /// an engine that got the rest would run what is over.
-pub struct Gate {
+pub struct SendGate {
     may_begin: Box<dyn Fn() -> bool + Send + Sync>,
     wanted: Box<dyn Fn() -> bool + Send + Sync>,
     at: AtomicU8,
@@ -122,20 +122,20 @@
 /// It was stopped before that, for good.
 const STOPPED: u8 = 4;
 
-impl std::fmt::Debug for Gate {
+impl std::fmt::Debug for SendGate {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "a gate at {}", self.at.load(Ordering::Relaxed))
     }
 }
 
-impl Gate {
+impl SendGate {
     /// `may_begin` tells whether its engine takes new dispatches; `wanted` whether somebody still waits for what is started.
     pub fn new(
         may_begin: impl Fn() -> bool + Send + Sync + 'static,
         wanted: impl Fn() -> bool + Send + Sync + 'static,
     ) -> Self {
         let (may_begin, wanted) = (Box::new(may_begin), Box::new(wanted));
-        Gate {
+        SendGate {
             may_begin,
             wanted,
             at: AtomicU8::new(NOT_BEGUN),
@@ -203,19 +203,19 @@
 
 /// A TCP stream to an engine or the change log, with its part of the budget.
 #[derive(Debug)]
-pub struct Line {
+pub struct BudgetedStream {
     io: TokioIo<Socket>,
     abandoned: Abandoned,
     /// Of the start that goes out on it.
-    gate: Option<Arc<Gate>>,
+    gate: Option<Arc<SendGate>>,
     stalled: Stalled,
     /// Its part of the budget, where no one else holds that.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
-impl Line {
+impl BudgetedStream {
     pub fn new(socket: Socket, permit: Option<OwnedSemaphorePermit>) -> Self {
-        Line {
+        BudgetedStream {
             io: TokioIo::new(socket),
             abandoned: Abandoned::default(),
             gate: None,
@@ -230,7 +230,7 @@
     }
 
     /// Lets a start out only through this gate.
-    pub fn gated(mut self, gate: Option<Arc<Gate>>) -> Self {
+    pub fn gated(mut self, gate: Option<Arc<SendGate>>) -> Self {
         self.gate = gate;
         self
     }
@@ -244,7 +244,7 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for BudgetedStream {
     fn drop(&mut self) {
         if self.abandoned.0.load(Ordering::Relaxed) {
             self.io.inner().discard_on_close();
@@ -252,7 +252,7 @@
     }
 }
 
-impl Read for Line {
+impl Read for BudgetedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -262,7 +262,7 @@
     }
 }
 
-impl Write for Line {
+impl Write for BudgetedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use garnetwall_gateway::system::stream_budget::Budget;
+use garnetwall_gateway::system::stream_budget::ResourceBudget;
 use helper::process::ms;
 use helper::*;
 use serde_json::{json, Value};
@@ -183,7 +183,7 @@
     let first = log.opens();
     let address = log.address;
     drop((log, first));
-    let all = Budget::of(SOCKETS, 192).engines.available_permits();
+    let all = ResourceBudget::of(SOCKETS, 192).engines.available_permits();
     let began = Instant::now();
     let batch = |_| {
         let stream = s.open();
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/configuration.rs
@@ -19,7 +19,8 @@
             config: Some(file.path.display().to_string()),
             plan: None,
         };
-        let (resident, (read, config)) = growth(|| timed(|| configuration::read(files(), |_| None)))?;
+        let (resident, (read, config)) =
+            growth(|| timed(|| configuration::read(files(), |_| None)))?;
         config.map_err(|error| RoleError::Data(error.to_string()))?;
         Ok(vec![
             Measured {
--- a/crates/scale/src/slopes/gateway_list.rs
+++ b/crates/scale/src/slopes/gateway_list.rs
@@ -3,8 +3,8 @@
 use super::measurement::RoleError;
 use super::pool::{kind_name, subset_settings, zone_name, KIND_CORES, ZONES};
 use super::settings::Fixed;
-use garnetwall_gateway::system::clock::Clock;
 use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
+use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
 use std::time::Duration;
 
