--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -72,10 +72,10 @@
     ) -> Self {
         let dial = span(network.dial);
         let bounds = Bounds {
-            news: NEWS,
-            notes: notes_every > 0.0,
-            unasked: UNASKED,
-            pause: LONGER,
+            long_poll: NEWS,
+            progress_events: notes_every > 0.0,
+            poll_expiry: UNASKED,
+            cancel_pause: LONGER,
         };
         Engines {
             budget: budget.engines.clone(),
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -17,7 +17,7 @@
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_bodies::Reader;
 use garnetwall_ledger as ledger;
-use garnetwall_ledger::{Asking, Connection, DispatchId, Fact};
+use garnetwall_ledger::{AttemptId, Connection, Evidence, PollSchedule};
 use http::{Method, Request};
 use http_body_util::channel::Sender as BodySender;
 use polling::PollOutcome;
@@ -32,7 +32,7 @@
     pub(super) engines: &'a Engines,
     pub(super) target: Target,
     /// None for a probe.
-    pub(super) dispatch: Option<DispatchId>,
+    pub(super) dispatch: Option<AttemptId>,
     pub(super) sender: Option<Sender>,
     /// Of the connection that is up, or was last.
     pub(super) abandoned: Abandoned,
@@ -88,10 +88,10 @@
             PollOutcome::Unwanted => match (self.cancel(call).await, *wishes.borrow()) {
                 // Its batch was over before it could be started: that says nothing of the engine.
                 (
-                    ledger::Proof::NeverCame,
+                    ledger::Proof::NeverReached,
                     CancellationState::QueryFinished | CancellationState::IfNotStarted,
                 ) => AttemptEnd::NotNeeded,
-                (ledger::Proof::NeverCame, _) => AttemptEnd::ConnectFailed,
+                (ledger::Proof::NeverReached, _) => AttemptEnd::ConnectFailed,
                 _ => AttemptEnd::Cancelled,
             },
         };
@@ -107,9 +107,9 @@
         self.patience.timeout(Instant::now())
     }
 
-    fn tell(&self, fact: Fact) {
+    fn tell(&self, fact: Evidence) {
         if let Some(id) = self.dispatch {
-            self.engines.ledger().tell(self.engines.now(), id, fact);
+            self.engines.ledger().record(self.engines.now(), id, fact);
         }
     }
 
@@ -119,15 +119,15 @@
             .is_some_and(|id| self.engines.ledger().may_run_until(id).is_some())
     }
 
-    fn polling(&self) -> Asking {
-        Asking::new(self.engines.now(), self.engines.bounds, self.engines.dial)
+    fn polling(&self) -> PollSchedule {
+        PollSchedule::new(self.engines.now(), self.engines.bounds, self.engines.dial)
     }
 
     /// A connection that something spoilt came over is of no further use.
     fn drop_if_garbled(&mut self, told: Result<(), Fault>) {
         if told == Err(Fault::Garbled) {
             self.sender = None;
-            self.tell(Fact::Useless(self.connection));
+            self.tell(Evidence::ConnectionUnusable(self.connection));
         }
     }
 }
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -5,7 +5,7 @@
 use crate::engines::request::{path, request};
 use crate::engines::response::{news, Fault, News};
 use garnetwall_ledger as ledger;
-use garnetwall_ledger::{Fact, Next};
+use garnetwall_ledger::{CancelStep, Evidence};
 use http::{Method, StatusCode};
 use tokio::time::sleep;
 
@@ -14,27 +14,30 @@
     /// until it is proved that it does not run any more.
     pub(super) async fn cancel(&mut self, call: &Call) -> ledger::Proof {
         let Some(id) = self.dispatch else {
-            return ledger::Proof::NeverCame;
+            return ledger::Proof::NeverReached;
         };
         let engine = self.target.engine;
         loop {
-            let next = self.engines.ledger().next(self.engines.now(), id);
+            let next = self
+                .engines
+                .ledger()
+                .next_cancel_step(self.engines.now(), id);
             match next {
-                Next::Over(proof) => {
+                CancelStep::Finished(proof) => {
                     tracing::debug!(engine, id = path(call, None), ?proof, "given up");
                     return proof;
                 }
-                Next::Wait(span) => sleep(span).await,
-                Next::FindOut => {
+                CancelStep::Wait(span) => sleep(span).await,
+                CancelStep::IdentifyProcess => {
                     if self
                         .look_up(call)
                         .await
                         .is_err_and(|fault| fault != Fault::Refused)
                     {
-                        self.tell(Fact::Missed);
+                        self.tell(Evidence::CancelFailed);
                     }
                 }
-                Next::GiveUp(left) => {
+                CancelStep::Cancel(left) => {
                     let delete = request(Method::DELETE, self.target.address, &path(call, None));
                     let within = left.min(self.engines.dial * 2);
                     match self.call(delete, None, within, false).await {
@@ -43,11 +46,11 @@
                             if [StatusCode::NO_CONTENT, StatusCode::INTERNAL_SERVER_ERROR]
                                 .contains(&r.status) =>
                         {
-                            self.tell(Fact::GivenUp(self.connection));
+                            self.tell(Evidence::Cancelled(self.connection));
                         }
                         Ok(_) => {
                             self.drop_if_garbled(Err(Fault::Garbled));
-                            self.tell(Fact::Missed);
+                            self.tell(Evidence::CancelFailed);
                         }
                         Err(fault) => {
                             tracing::debug!(
@@ -57,7 +60,7 @@
                                 "not given up yet"
                             );
                             if fault != Fault::Refused {
-                                self.tell(Fact::Missed);
+                                self.tell(Evidence::CancelFailed);
                             }
                         }
                     }
@@ -72,9 +75,9 @@
             .call(self.poll_request(call, 0), None, self.poll_timeout(), true)
             .await?;
         match news(&reply) {
-            News::NotYet(_) => self.tell(Fact::Runs(self.connection)),
-            News::Good(_) => self.tell(Fact::Ended),
-            News::Over(_) => self.tell(Fact::Failed(self.connection)),
+            News::NotYet(_) => self.tell(Evidence::Running(self.connection)),
+            News::Good(_) => self.tell(Evidence::Ended),
+            News::Over(_) => self.tell(Evidence::ReportedFailed(self.connection)),
             News::Garbled => {
                 self.drop_if_garbled(Err(Fault::Garbled));
                 return Err(Fault::Garbled);
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -4,7 +4,7 @@
 use crate::engines::request::{Outgoing, Sender};
 use crate::engines::response::{exchange, Fault, Reply};
 use garnetwall_bodies::body::ReadFault;
-use garnetwall_ledger::Fact;
+use garnetwall_ledger::Evidence;
 use http::{Method, Request};
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -28,11 +28,11 @@
         }
         self.engines.heard(self.target, answer.as_ref().err());
         match answer {
-            Err(Fault::Refused) => self.tell(Fact::Refused),
-            Err(Fault::Broken) => self.tell(Fact::Reset(self.connection)),
+            Err(Fault::Refused) => self.tell(Evidence::ConnectionRefused),
+            Err(Fault::Broken) => self.tell(Evidence::ConnectionLost(self.connection)),
             Err(Fault::Silent | Fault::Garbled) => {
                 self.abandoned.set();
-                self.tell(Fact::Useless(self.connection));
+                self.tell(Evidence::ConnectionUnusable(self.connection));
             }
             Err(Fault::Unconnected | Fault::Local) | Ok(_) => {}
         }
@@ -49,7 +49,7 @@
         let is_start = request.method() == Method::POST;
         let up = self.sender.take();
         if up.as_ref().is_some_and(|sender| sender.is_closed()) {
-            self.tell(Fact::Reset(self.connection));
+            self.tell(Evidence::ConnectionLost(self.connection));
         }
         let mut sender = match up.filter(|s| !s.is_closed()) {
             Some(sender) => sender,
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -7,7 +7,7 @@
 use crate::engines::NEWS;
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger as ledger;
-use garnetwall_ledger::{Asking, Fact, Step};
+use garnetwall_ledger::{Evidence, PollSchedule, PollStep};
 use http::{Method, Request};
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout};
@@ -35,7 +35,7 @@
     ) -> PollOutcome {
         let mut asking = self.polling();
         let Some((mut next, mut feed)) = self.start_request(call, &start) else {
-            self.tell(Fact::NeverCame);
+            self.tell(Evidence::NeverReached);
             return PollOutcome::Over(AttemptResult::of(AttemptEnd::ConnectFailed));
         };
         let mut started = false;
@@ -46,13 +46,13 @@
             let first = !std::mem::replace(&mut started, true);
             if std::mem::take(&mut self.unreadable) {
                 // What went on is not whole, so that nothing ran; the batch has no body any more.
-                self.tell(Fact::NeverCame);
+                self.tell(Evidence::NeverReached);
                 return PollOutcome::Over(AttemptResult::of(AttemptEnd::Failed));
             }
             if first && answer.is_err() && self.gate.as_ref().is_some_and(|gate| gate.is_stopped())
             {
                 // It was stopped at its last bytes, before who wished so was heard.
-                self.tell(Fact::NeverCame);
+                self.tell(Evidence::NeverReached);
                 let elsewhere = *wishes.borrow() == CancellationState::Requested
                     || !self.engines.list().takes(self.target);
                 return PollOutcome::Over(AttemptResult::of(if elsewhere {
@@ -62,7 +62,7 @@
                 }));
             }
             if first && answer.is_err() && !self.may_have_come {
-                self.tell(Fact::NeverCame);
+                self.tell(Evidence::NeverReached);
                 let local = matches!(answer, Err(Fault::Local));
                 return PollOutcome::Over(AttemptResult::of(if local {
                     AttemptEnd::NotSent
@@ -73,23 +73,23 @@
             let told = match answer {
                 Ok(reply) => match news(&reply) {
                     News::Good(pages) => {
-                        self.tell(Fact::Ended);
+                        self.tell(Evidence::Ended);
                         return PollOutcome::Succeeded(reply, pages);
                     }
                     News::Over(end) => {
                         self.tell(if first {
-                            Fact::Ended
+                            Evidence::Ended
                         } else {
-                            Fact::Failed(self.connection)
+                            Evidence::ReportedFailed(self.connection)
                         });
-                        let end = match ledger::weigh(
+                        let end = match ledger::weigh_reported_end(
                             first,
                             end == AttemptEnd::Failed,
                             !self.may_run(),
                         ) {
-                            ledger::Verdict::AsTold => end,
-                            ledger::Verdict::CutShort => AttemptEnd::ConnectionLost,
-                            ledger::Verdict::InDoubt => return PollOutcome::Unknown,
+                            ledger::ReportVerdict::Accepted => end,
+                            ledger::ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
+                            ledger::ReportVerdict::Inconclusive => return PollOutcome::Unknown,
                         };
                         return PollOutcome::Over(AttemptResult {
                             report: reply.report(),
@@ -97,7 +97,7 @@
                         });
                     }
                     News::NotYet(note) => {
-                        self.tell(Fact::Runs(self.connection));
+                        self.tell(Evidence::Running(self.connection));
                         if note.is_some() {
                             tidings.progress.send_replace(note);
                         }
@@ -164,9 +164,9 @@
             // Whatever comes there yet would be taken for the next call's answer.
             self.abandoned.set();
             self.sender = None;
-            self.tell(Fact::Useless(self.connection));
+            self.tell(Evidence::ConnectionUnusable(self.connection));
             if stops() {
-                self.tell(Fact::NeverCame);
+                self.tell(Evidence::NeverReached);
             }
         }
         answer
@@ -175,24 +175,24 @@
     /// After what came of the last call, waits until asking may go on; whether it may.
     pub(super) async fn wait_for_next_poll(
         &mut self,
-        asking: &mut Asking,
+        asking: &mut PollSchedule,
         told: Result<(), Fault>,
     ) -> bool {
         let now = self.engines.now();
         let step = match told {
-            Ok(()) => asking.heard(now),
-            Err(fault) => asking.lost(now, fault.lost()),
+            Ok(()) => asking.answered(now),
+            Err(fault) => asking.failed(now, fault.lost()),
         };
         self.drop_if_garbled(told);
         match step {
-            Step::Ask(after) => {
+            PollStep::PollAgain(after) => {
                 // One that was waited for in vain has taken its time already.
                 if !after.is_zero() && told != Err(Fault::Silent) {
                     sleep(after).await;
                 }
                 true
             }
-            Step::Stop => false,
+            PollStep::Stop => false,
         }
     }
 }
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -4,7 +4,7 @@
 use crate::engines::call::{AttemptStart, Call, Statement};
 use crate::engines::request::{request, Outgoing};
 use garnetwall_bodies::body::ReadFault;
-use garnetwall_ledger::Fact;
+use garnetwall_ledger::Evidence;
 use http::header::CONTENT_LENGTH;
 use http::{HeaderName, HeaderValue, Method, Request};
 use http_body_util::channel::Channel;
@@ -78,7 +78,7 @@
     /// The last byte of a call that keeps its dispatch running is on its way.
     pub(super) fn sent_whole(&mut self) {
         self.may_have_come = true;
-        self.tell(Fact::Asked);
+        self.tell(Evidence::RequestSent);
     }
 
     pub(super) async fn send_body(&mut self, feed: OutgoingBody) -> Result<(), ReadFault> {
--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -4,7 +4,7 @@
 use crate::engines::result_rows;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
-use garnetwall_ledger::Lost;
+use garnetwall_ledger::CallFailure;
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 
@@ -36,11 +36,13 @@
 }
 
 impl Fault {
-    pub(super) fn lost(self) -> Lost {
+    pub(super) fn lost(self) -> CallFailure {
         match self {
-            Fault::Refused => Lost::Refused,
-            Fault::Unconnected | Fault::Local | Fault::Broken | Fault::Silent => Lost::OnItsWay,
-            Fault::Garbled => Lost::Spoilt,
+            Fault::Refused => CallFailure::Refused,
+            Fault::Unconnected | Fault::Local | Fault::Broken | Fault::Silent => {
+                CallFailure::Unanswered
+            }
+            Fault::Garbled => CallFailure::Garbled,
         }
     }
 }
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -8,7 +8,7 @@
 use crate::scheduling::scheduler::{Command, QueryAnswer, Scheduler};
 use crate::storage::query_journal::QueryJournal;
 use garnetwall::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, QueryId};
-use garnetwall_ledger::book::Sent;
+use garnetwall_ledger::records::SentQuery;
 use std::future::Future;
 use std::sync::Arc;
 use std::time::Instant;
@@ -24,7 +24,7 @@
     pub commands: UnboundedReceiver<Command>,
     pub journal: Arc<QueryJournal>,
     /// What is written down before it is sent.
-    pub journal_entry: Option<Sent>,
+    pub journal_entry: Option<SentQuery>,
     /// Whether a client waits for it.
     pub client_presence: ClientPresence,
     /// The statement's part of the budget.
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -21,7 +21,7 @@
     QueryClass, QueryId,
 };
 use garnetwall::controller::AdmissionController;
-use garnetwall_ledger::book::Sent;
+use garnetwall_ledger::records::SentQuery;
 use garnetwall_plan::Plan;
 use state::{OpenQuery, SchedulerState};
 use std::collections::{HashMap, VecDeque};
@@ -166,7 +166,7 @@
 
     /// Once-only batches that an earlier process sent, and whether each is proved over: none is sent again, and the keys
     /// of those that are not rest for as long as a dispatch can run that nobody asks for.
-    pub fn recovered(&self, known: &[(Sent, bool)], unasked: Duration) {
+    pub fn recovered(&self, known: &[(SentQuery, bool)], unasked: Duration) {
         self.handle_event(|seats, now| {
             seats.awaits_recovery = false;
             for (sent, over) in known {
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -8,7 +8,7 @@
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
-use garnetwall_ledger::book::{Sent, CLEAR};
+use garnetwall_ledger::records::{SentQuery, RUN_MARGIN};
 use std::hash::BuildHasher;
 use std::sync::Arc;
 use tokio::sync::mpsc::unbounded_channel;
@@ -104,8 +104,8 @@
             let (job, line) = (Hex(a.query_key), key.map(Hex));
             tracing::debug!(batch = id, ?job, group, key = ?line, left, "taken");
             seats.control.admit(now, b);
-            let until = millis(limit + CLEAR.as_secs_f64());
-            let once_only = is_once_only.then_some(Sent {
+            let until = millis(limit + RUN_MARGIN.as_secs_f64());
+            let once_only = is_once_only.then_some(SentQuery {
                 id: a.query_key,
                 key,
                 until,
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -6,8 +6,8 @@
 use crate::system::os_error::may_pass;
 use garnetwall_bodies::room::Policy;
 use garnetwall_bodies::{Disk, Limits, Spool, Store};
-use garnetwall_ledger::book::{Run, Sent, CLEAR};
-use garnetwall_ledger::journal::{FileLog, Journal};
+use garnetwall_ledger::journal::{FileStorage, Journal};
+use garnetwall_ledger::records::{BootRun, SentQuery, RUN_MARGIN};
 use garnetwall_plan::model::Bodies;
 use std::io;
 use std::path::Path;
@@ -33,9 +33,9 @@
 
 impl Kept {
     /// The same with its end on the clock of this run of the machine.
-    fn on_run_clock(&self, sent: Sent) -> Sent {
+    fn on_run_clock(&self, sent: SentQuery) -> SentQuery {
         let left = sent.until.saturating_sub(millis(self.clock.now()));
-        Sent {
+        SentQuery {
             until: self.run.millis() + left,
             ..sent
         }
@@ -55,12 +55,12 @@
         gateway: &str,
         clock: Clock,
         longest: f64,
-        recovered: impl FnOnce(Vec<(Sent, bool)>) + Send + 'static,
+        recovered: impl FnOnce(Vec<(SentQuery, bool)>) + Send + 'static,
     ) -> io::Result<QueryJournal> {
         let path = Path::new(directory).join(format!("{gateway}.once-only"));
         let shown = path.display().to_string();
         let run = BootClock::start();
-        let told = move |mut open: Vec<(Sent, bool)>| {
+        let told = move |mut open: Vec<(SentQuery, bool)>| {
             let (here, there) = (millis(clock.now()), run.millis());
             open.iter_mut()
                 .for_each(|(sent, _)| sent.until = here + sent.until.saturating_sub(there));
@@ -73,12 +73,12 @@
             );
             recovered(open);
         };
-        let this = Run {
+        let this = BootRun {
             id: run.run,
-            span: millis(longest) + CLEAR.as_millis() as u64,
+            span: millis(longest) + RUN_MARGIN.as_millis() as u64,
         };
         let (journal, begun) = Journal::start(
-            FileLog::new(&path),
+            FileStorage::new(&path),
             this,
             move || run.millis(),
             Box::new(told),
@@ -102,13 +102,13 @@
 
     /// Writes down that a once-only batch is about to be sent; whether it may be. It takes as long as the disk does: whoever asks
     /// bounds that by what the batch has left.
-    pub async fn record_before_send(&self, sent: Sent) -> bool {
+    pub async fn record_before_send(&self, sent: SentQuery) -> bool {
         let Some(kept) = &self.journal else {
             return true;
         };
         let (done, written) = oneshot::channel();
         // Whoever no longer waits did not send it.
-        kept.journal.sent(
+        kept.journal.record_sent(
             kept.on_run_clock(sent),
             Box::new(move |result| drop(done.send(result))),
         );
@@ -131,7 +131,7 @@
     /// It is proved over.
     pub fn record_end(&self, id: u64) {
         if let Some(kept) = &self.journal {
-            kept.journal.over(id);
+            kept.journal.record_finished(id);
         }
     }
 }
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -4,7 +4,9 @@
 use super::gateway::{Call, Doing, Reply};
 use super::{Slip, World};
 use garnetwall::api::AttemptEnd;
-use garnetwall_ledger::{weigh, Fact, Lost, Next as Then, Step, Verdict};
+use garnetwall_ledger::{
+    weigh_reported_end, CallFailure, CancelStep, Evidence, PollStep, ReportVerdict,
+};
 
 impl World {
     pub(super) fn drive(&mut self, n: usize) {
@@ -38,9 +40,9 @@
             Doing::GivesUp => {
                 let (now, id) = (self.ledger_now(), self.attempts[n].id);
                 let trusted = self.slip == Slip::TrustsRefusals && self.attempts[n].refused;
-                match self.ledger.next(now, id) {
-                    Then::Over(proof) => {
-                        let never = proof == garnetwall_ledger::Proof::NeverCame;
+                match self.ledger.next_cancel_step(now, id) {
+                    CancelStep::Finished(proof) => {
+                        let never = proof == garnetwall_ledger::Proof::NeverReached;
                         let end = self.attempts[n].end.unwrap_or(AttemptEnd::Cancelled);
                         self.over(
                             n,
@@ -52,14 +54,14 @@
                         );
                     }
                     _ if trusted => self.over(n, AttemptEnd::ConnectionLost),
-                    Then::Wait(_) => {}
-                    Then::FindOut => {
+                    CancelStep::Wait(_) => {}
+                    CancelStep::IdentifyProcess => {
                         self.attempts[n].doing = Doing::Connects {
                             since: self.now,
                             then: Call::News,
                         };
                     }
-                    Then::GiveUp(_) => {
+                    CancelStep::Cancel(_) => {
                         self.attempts[n].doing = Doing::Connects {
                             since: self.now,
                             then: Call::GiveUp,
@@ -72,7 +74,7 @@
 
     fn connect(&mut self, n: usize, since: u64, then: Call) {
         if then == Call::Start && self.attempts[n].unwanted && self.slip != Slip::StartsLate {
-            self.tell(n, Fact::NeverCame);
+            self.tell(n, Evidence::NeverReached);
             return self.over(
                 n,
                 if self.attempts[n].late {
@@ -86,14 +88,14 @@
         if self.attempts[n].up.is_none() {
             if self.is_cut(slot) {
                 if self.now >= since + CONNECT_TIMEOUT {
-                    self.lost(n, then, Lost::OnItsWay);
+                    self.lost(n, then, CallFailure::Unanswered);
                 }
                 return;
             }
             let Some(process) = self.listens(slot) else {
-                self.tell(n, Fact::Refused);
+                self.tell(n, Evidence::ConnectionRefused);
                 self.attempts[n].refused = true;
-                self.lost(n, then, Lost::Refused);
+                self.lost(n, then, CallFailure::Refused);
                 return;
             };
             // Some connections come up late, and the batch may have its answer meanwhile.
@@ -111,7 +113,7 @@
         }
         if then != Call::GiveUp {
             self.attempts[n].may_have_come = true;
-            self.tell(n, Fact::Asked);
+            self.tell(n, Evidence::RequestSent);
         }
         // A cut takes what is written into it; a reset may come under it.
         let lost = self.is_cut(slot) || self.rng.one_in(12);
@@ -130,8 +132,8 @@
 
     fn await_reply(&mut self, n: usize, since: u64, call: Call, reached: bool) {
         if self.attempts[n].up.is_none() {
-            self.tell(n, Fact::Reset(self.attempts[n].connection));
-            return self.lost(n, call, Lost::OnItsWay);
+            self.tell(n, Evidence::ConnectionLost(self.attempts[n].connection));
+            return self.lost(n, call, CallFailure::Unanswered);
         }
         let reply = if reached {
             self.reply(n, since, call)
@@ -141,7 +143,7 @@
         let Some(reply) = reply else {
             if self.now > since + POLL_HOLD + SLACK {
                 self.drops(n);
-                self.lost(n, call, Lost::OnItsWay);
+                self.lost(n, call, CallFailure::Unanswered);
             }
             return;
         };
@@ -150,10 +152,10 @@
         match reply {
             Reply::Spoilt => {
                 self.drops(n);
-                self.lost(n, call, Lost::Spoilt);
+                self.lost(n, call, CallFailure::Garbled);
             }
             Reply::Good => {
-                self.tell(n, Fact::Ended);
+                self.tell(n, Evidence::Ended);
                 if self.attempts[n].end.is_some() {
                     return self.attempts[n].doing = Doing::GivesUp;
                 }
@@ -168,30 +170,30 @@
                 );
             }
             Reply::Full => {
-                self.tell(n, Fact::Ended);
+                self.tell(n, Evidence::Ended);
                 self.over(n, AttemptEnd::Rejected);
             }
             Reply::Unknown => {
-                self.tell(n, Fact::Failed(on));
+                self.tell(n, Evidence::ReportedFailed(on));
                 if self.attempts[n].end.is_some() {
                     return self.attempts[n].doing = Doing::GivesUp;
                 }
                 let id = self.attempts[n].id;
                 let over =
                     self.ledger.may_run_until(id).is_none() || self.slip == Slip::TrustsAddresses;
-                match weigh(call == Call::Start, true, over) {
-                    Verdict::AsTold => self.over(n, AttemptEnd::Failed),
-                    Verdict::CutShort => self.over(n, AttemptEnd::ConnectionLost),
-                    Verdict::InDoubt => self.doubts(n),
+                match weigh_reported_end(call == Call::Start, true, over) {
+                    ReportVerdict::Accepted => self.over(n, AttemptEnd::Failed),
+                    ReportVerdict::Interrupted => self.over(n, AttemptEnd::ConnectionLost),
+                    ReportVerdict::Inconclusive => self.doubts(n),
                 }
             }
             Reply::GivenUp => {
-                self.tell(n, Fact::GivenUp(on));
+                self.tell(n, Evidence::Cancelled(on));
                 self.attempts[n].doing = Doing::GivesUp;
             }
             Reply::NotYet => {
-                self.tell(n, Fact::Runs(on));
-                self.attempts[n].asking.heard(now);
+                self.tell(n, Evidence::Running(on));
+                self.attempts[n].asking.answered(now);
                 match self.attempts[n].unwanted {
                     _ if self.attempts[n].end.is_some() => self.attempts[n].doing = Doing::GivesUp,
                     true => self.give_up(n, AttemptEnd::Cancelled),
@@ -208,7 +210,7 @@
 
     /// A connection of no further use; the process's machine hears of it, but for one that is cut off.
     fn drops(&mut self, n: usize) {
-        self.tell(n, Fact::Useless(self.attempts[n].connection));
+        self.tell(n, Evidence::ConnectionUnusable(self.attempts[n].connection));
         let (batch, up) = (self.attempts[n].batch, self.attempts[n].up.take());
         let held = self
             .executions
@@ -217,28 +219,28 @@
         held.for_each(|r| r.held = None);
     }
 
-    fn lost(&mut self, n: usize, call: Call, how: Lost) {
+    fn lost(&mut self, n: usize, call: Call, how: CallFailure) {
         if call == Call::GiveUp || self.attempts[n].end.is_some() {
-            if how != Lost::Refused {
-                self.tell(n, Fact::Missed);
+            if how != CallFailure::Refused {
+                self.tell(n, Evidence::CancelFailed);
             }
             self.attempts[n].doing = Doing::GivesUp;
             return;
         }
         if call == Call::Start && !self.attempts[n].may_have_come {
-            self.tell(n, Fact::NeverCame);
+            self.tell(n, Evidence::NeverReached);
             return self.over(n, AttemptEnd::ConnectFailed);
         }
         if self.attempts[n].unwanted {
             return self.give_up(n, AttemptEnd::Cancelled);
         }
         let now = self.ledger_now();
-        match self.attempts[n].asking.lost(now, how) {
-            Step::Ask(after) => {
+        match self.attempts[n].asking.failed(now, how) {
+            PollStep::PollAgain(after) => {
                 let until = self.now + after.as_millis() as u64;
                 self.attempts[n].doing = Doing::Pauses { until };
             }
-            Step::Stop => self.doubts(n),
+            PollStep::Stop => self.doubts(n),
         }
     }
 }
--- a/crates/gateway/tests/world/figures.rs
+++ b/crates/gateway/tests/world/figures.rs
@@ -21,10 +21,10 @@
 /// How long a key rests after an attempt that did not end well.
 pub(super) const KEY_REST: u64 = 500;
 pub(super) const BOUNDS: Bounds = Bounds {
-    news: Duration::from_millis(POLL_HOLD),
-    notes: false,
-    unasked: Duration::from_millis(UNASKED_RUN),
-    pause: Duration::from_millis(50),
+    long_poll: Duration::from_millis(POLL_HOLD),
+    progress_events: false,
+    poll_expiry: Duration::from_millis(UNASKED_RUN),
+    cancel_pause: Duration::from_millis(50),
 };
 pub(super) const ENGINES: usize = 4;
 /// The service group whose queries are not idempotent.
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -3,7 +3,7 @@
 use super::figures::{BOUNDS, CONNECT_TIMEOUT, LONGEST_DEADLINE, SLACK, STEP};
 use super::{seconds, Rule, Slip, World};
 use garnetwall::api::*;
-use garnetwall_ledger::{Asking, DispatchId, Fact};
+use garnetwall_ledger::{AttemptId, Evidence, PollSchedule};
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,11 +45,11 @@
     pub(super) batch: QueryId,
     pub(super) engine: EngineId,
     pub(super) number: u32,
-    pub(super) id: DispatchId,
+    pub(super) id: AttemptId,
     pub(super) sent: u64,
     pub(super) time_out: u64,
     pub(super) doing: Doing,
-    pub(super) asking: Asking,
+    pub(super) asking: PollSchedule,
     /// The connection that is up, to which process.
     pub(super) up: Option<usize>,
     pub(super) connection: u32,
@@ -167,7 +167,7 @@
                 since: now,
                 then: Call::Start,
             },
-            asking: Asking::new(
+            asking: PollSchedule::new(
                 Duration::from_millis(now),
                 BOUNDS,
                 Duration::from_millis(CONNECT_TIMEOUT),
@@ -183,9 +183,9 @@
         });
     }
 
-    pub(super) fn tell(&mut self, n: usize, fact: Fact) {
+    pub(super) fn tell(&mut self, n: usize, fact: Evidence) {
         let now = self.ledger_now();
-        self.ledger.tell(now, self.attempts[n].id, fact);
+        self.ledger.record(now, self.attempts[n].id, fact);
     }
 
     fn outcome(&self, n: usize, end: AttemptEnd) -> AttemptOutcome {
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -103,7 +103,7 @@
         };
         let notes = (seed >> 8) % 4 == 1;
         let bounds = Bounds {
-            notes: notes && slip != Slip::OverlooksNotes,
+            progress_events: notes && slip != Slip::OverlooksNotes,
             ..BOUNDS
         };
         let mut world = World {
--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -1,8 +1,8 @@
 //! Commits a second of the journal of once-only batches, and their latency, with one that waits at a time and with many
 //! (group commit), on the disk of the temporary directory.
 
-use garnetwall_ledger::book::{Run, Sent};
-use garnetwall_ledger::journal::{FileLog, Journal};
+use garnetwall_ledger::journal::{FileStorage, Journal};
+use garnetwall_ledger::records::{BootRun, SentQuery};
 use std::sync::mpsc::channel;
 use std::time::Instant;
 
@@ -15,8 +15,8 @@
             "garnetwall-journal-{}-{at_once}",
             std::process::id()
         ));
-        let run = Run { id: 1, span: 1000 };
-        let (journal, begun) = Journal::start(FileLog::new(&path), run, || 0, Box::new(drop));
+        let run = BootRun { id: 1, span: 1000 };
+        let (journal, begun) = Journal::start(FileStorage::new(&path), run, || 0, Box::new(drop));
         begun.unwrap_or_else(|e| panic!("{e}"));
         let (done, ended) = channel();
         let began = Instant::now();
@@ -26,8 +26,8 @@
                 assert!(written.is_ok());
                 let _ = done.send(sent_at.elapsed());
             };
-            journal.sent(
-                Sent {
+            journal.record_sent(
+                SentQuery {
                     id,
                     key: Some(id % 7),
                     until: u64::MAX,
@@ -39,7 +39,7 @@
         let mut latencies = Vec::new();
         for id in at_once..COMMITS + at_once {
             latencies.extend(ended.recv());
-            journal.over(id - at_once);
+            journal.record_finished(id - at_once);
             if id < COMMITS {
                 send(id);
             }
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -5,7 +5,7 @@
 //! under the journal's name: written beside it, synced, renamed, and its folder synced. That is tried again at a pace for as
 //! long as it fails. Until the journal could be read for the first time what earlier processes sent is not known either.
 
-use crate::book::{Book, Record, Run, Sent};
+use crate::records::{BootRun, JournalState, Record, SentQuery};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 const RESTORE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Where the journal is kept.
-pub trait Log: Send {
+pub trait JournalStorage: Send {
     /// All that is there.
     fn read(&mut self) -> io::Result<Vec<u8>>;
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
@@ -30,16 +30,16 @@
 
 /// A file; a copy is written beside it and takes its place by its name.
 #[derive(Debug)]
-pub struct FileLog {
+pub struct FileStorage {
     path: PathBuf,
     /// The copy that this process has put there.
     file: Option<File>,
 }
 
-impl FileLog {
+impl FileStorage {
     /// A journal at a path, where there may be one already.
-    pub fn new(path: &Path) -> FileLog {
-        FileLog {
+    pub fn new(path: &Path) -> FileStorage {
+        FileStorage {
             path: path.to_path_buf(),
             file: None,
         }
@@ -53,7 +53,7 @@
     }
 }
 
-impl Log for FileLog {
+impl JournalStorage for FileStorage {
     fn read(&mut self) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         match File::open(&self.path) {
@@ -104,15 +104,15 @@
 }
 
 /// Told once a record is on the disk, or can't be.
-pub type Done = Box<dyn FnOnce(io::Result<()>) + Send>;
+pub type WriteCallback = Box<dyn FnOnce(io::Result<()>) + Send>;
 
 enum Order {
-    Write(Record, Option<Done>),
+    Write(Record, Option<WriteCallback>),
     Stop,
 }
 
 /// Told what earlier processes sent, each with whether it is proved over, once the journal could be read.
-pub type Recovered = Box<dyn FnOnce(Vec<(Sent, bool)>) + Send>;
+pub type RecoveryCallback = Box<dyn FnOnce(Vec<(SentQuery, bool)>) + Send>;
 
 /// The journal of a running gateway.
 pub struct Journal {
@@ -124,17 +124,17 @@
     /// Goes on with a log in a run of the machine, whose clock `now` gives in milliseconds. Whether it could be read and a whole
     /// new copy be put there at once; if not, that is tried again, and until it succeeds nothing is promised.
     pub fn start(
-        log: impl Log + 'static,
-        run: Run,
+        log: impl JournalStorage + 'static,
+        run: BootRun,
         now: impl Fn() -> u64 + Send + 'static,
-        recovered: Recovered,
+        recovered: RecoveryCallback,
     ) -> (Journal, io::Result<()>) {
         let mut writer = Writer {
             log,
             run,
             now,
             recovered: Some(recovered),
-            book: Book::default(),
+            book: JournalState::default(),
             is_sound: false,
             tried: Instant::now(),
         };
@@ -151,7 +151,7 @@
     }
 
     /// A once-only batch is about to go out: it may once `done` is told so.
-    pub fn sent(&self, sent: Sent, done: Done) {
+    pub fn record_sent(&self, sent: SentQuery, done: WriteCallback) {
         if let Err(e) = self
             .orders
             .send(Order::Write(Record::Sent(sent), Some(done)))
@@ -163,9 +163,11 @@
     }
 
     /// It is proved over. Nobody waits for that: were it lost, its key would rest and its id be refused, no more.
-    pub fn over(&self, id: u64) {
+    pub fn record_finished(&self, id: u64) {
         // A journal that has stopped holds it as open, which is the safe side.
-        let _ = self.orders.send(Order::Write(Record::Over { id }, None));
+        let _ = self
+            .orders
+            .send(Order::Write(Record::Finished { id }, None));
     }
 }
 
@@ -181,18 +183,18 @@
 /// The thread that writes.
 struct Writer<L, N> {
     log: L,
-    run: Run,
+    run: BootRun,
     now: N,
     /// Until the log has been read.
-    recovered: Option<Recovered>,
-    book: Book,
+    recovered: Option<RecoveryCallback>,
+    book: JournalState,
     /// The log holds all that was promised, and can be added to.
     is_sound: bool,
     /// When it was last tried to make it so.
     tried: Instant,
 }
 
-impl<L: Log, N: Fn() -> u64> Writer<L, N> {
+impl<L: JournalStorage, N: Fn() -> u64> Writer<L, N> {
     fn write_all(mut self, orders: &Receiver<Order>) {
         loop {
             let first = match self.is_sound {
@@ -242,7 +244,7 @@
         stops
     }
 
-    fn append(&mut self, bytes: &[u8], waiting: Vec<Done>, stops: bool) {
+    fn append(&mut self, bytes: &[u8], waiting: Vec<WriteCallback>, stops: bool) {
         // What nobody waits for goes to the disk with the next that somebody does.
         let syncs = !waiting.is_empty() || stops;
         let written = self
@@ -272,14 +274,14 @@
         (self.is_sound, self.tried) = (false, Instant::now());
         let now = (self.now)();
         if self.recovered.is_some() {
-            let mut book = Book::read(&self.log.read()?).0;
-            book.go_on(self.run, now);
+            let mut book = JournalState::read(&self.log.read()?).0;
+            book.resume(self.run, now);
             self.book = book;
             if let Some(recovered) = self.recovered.take() {
-                recovered(self.book.known(now));
+                recovered(self.book.unexpired(now));
             }
         }
-        let copy = self.book.copy(now);
+        let copy = self.book.compacted(now);
         self.log.replace(&copy)?;
         self.is_sound = true;
         Ok(())
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -8,11 +8,11 @@
 //!
 //! Times are spans since any fixed point, the same for all calls, and never run backwards.
 
-mod asking;
-pub mod book;
 pub mod journal;
+mod polling;
+pub mod records;
 
-pub use asking::{weigh, Asking, Lost, Step, Verdict};
+pub use polling::{weigh_reported_end, CallFailure, PollSchedule, PollStep, ReportVerdict};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -25,45 +25,45 @@
 
 /// A dispatch in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct DispatchId(u64);
+pub struct AttemptId(u64);
 
 /// The protocol's figures, and the pause between two tries.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// An engine holds a call for news back for this long at most.
-    pub news: Duration,
+    pub long_poll: Duration,
     /// Engines tell notes of a dispatch, and each keeps it running as asking does, heard or not: that nobody asks is no end
     /// of it then.
-    pub notes: bool,
+    pub progress_events: bool,
     /// An engine drops a dispatch that nobody has asked for in this time.
-    pub unasked: Duration,
+    pub poll_expiry: Duration,
     /// Between two tries to give a dispatch up that came to nothing.
-    pub pause: Duration,
+    pub cancel_pause: Duration,
 }
 
 /// Something seen of a dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fact {
+pub enum Evidence {
     /// The start, or a call for its news, is being written: from now on it may have come.
-    Asked,
+    RequestSent,
     /// The process at the end of this connection has shown that it has the dispatch, which still runs.
-    Runs(Connection),
+    Running(Connection),
     /// The engine has told its end, or that it never ran.
     Ended,
     /// Asked for news on this connection, who listens there said that it failed, or that it does not know it.
-    Failed(Connection),
+    ReportedFailed(Connection),
     /// No connection came up for the start: nothing can have come.
-    NeverCame,
+    NeverReached,
     /// A call to give it up was answered on this connection.
-    GivenUp(Connection),
+    Cancelled(Connection),
     /// This connection was reset or closed.
-    Reset(Connection),
+    ConnectionLost(Connection),
     /// This connection carried what can't be read, or nothing by the bound: it is of no further use.
-    Useless(Connection),
+    ConnectionUnusable(Connection),
     /// A new connection was refused.
-    Refused,
+    ConnectionRefused,
     /// A try to give it up came to nothing.
-    Missed,
+    CancelFailed,
 }
 
 /// How it is known that a dispatch does not run any more.
@@ -72,23 +72,23 @@
     /// The engine told its end, or that it never ran.
     Ended,
     /// It can't have come.
-    NeverCame,
+    NeverReached,
     /// The process that ran it has answered that it is given up.
-    GivenUp,
+    Cancelled,
     /// Nobody has asked for it for so long that the engine has dropped it, or, where notes keep it running, that
     /// the time for which it counts as running is over.
-    Unasked,
+    Expired,
 }
 
 /// What can be done about a dispatch that nobody waits for any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum CancelStep {
     /// It does not run any more.
-    Over(Proof),
+    Finished(Proof),
     /// Ask who listens there whether it has the dispatch, now, and look again: only who shows it gives it up for certain.
-    FindOut,
+    IdentifyProcess,
     /// Ask the engine to give it up, now; after this span it does not run any more.
-    GiveUp(Duration),
+    Cancel(Duration),
     /// Look again after this span; nothing can be done before.
     Wait(Duration),
 }
@@ -120,7 +120,7 @@
 pub struct Ledger {
     bounds: Bounds,
     next: u64,
-    open: HashMap<DispatchId, Entry>,
+    open: HashMap<AttemptId, Entry>,
 }
 
 impl Ledger {
@@ -134,18 +134,22 @@
 
     /// A dispatch that is about to be sent. Where notes keep it running it counts as running for `kept` after it was last asked
     /// for, unless its end is proved. It is in the ledger until it is closed.
-    pub fn open(&mut self, now: Duration, kept: Duration) -> DispatchId {
-        let id = DispatchId(self.next);
+    pub fn open(&mut self, now: Duration, kept: Duration) -> AttemptId {
+        let id = AttemptId(self.next);
         self.next += 1;
         let entry = Entry {
             asked: false,
             unheard_from: now,
-            runs_on: self.bounds.unasked.max(if self.bounds.notes {
+            runs_on: self.bounds.poll_expiry.max(if self.bounds.progress_events {
                 kept
             } else {
                 Duration::ZERO
             }),
-            finds_out: if self.bounds.notes { FIND_OUT } else { 0 },
+            finds_out: if self.bounds.progress_events {
+                FIND_OUT
+            } else {
+                0
+            },
             finding: false,
             known: None,
             spent: false,
@@ -157,36 +161,46 @@
     }
 
     /// Takes in a fact. Nothing undoes a proof.
-    pub fn tell(&mut self, now: Duration, id: DispatchId, fact: Fact) {
+    pub fn record(&mut self, now: Duration, id: AttemptId, fact: Evidence) {
         let Some(entry) = self.open.get_mut(&id).filter(|e| e.over.is_none()) else {
             return;
         };
         match fact {
-            Fact::Asked => {
+            Evidence::RequestSent => {
                 entry.finds_out -= u32::from(std::mem::take(&mut entry.finding));
                 (entry.asked, entry.unheard_from) =
-                    (true, entry.unheard_from.max(now + self.bounds.news));
+                    (true, entry.unheard_from.max(now + self.bounds.long_poll));
             }
-            Fact::Runs(on) => {
+            Evidence::Running(on) => {
                 entry.unheard_from = entry.unheard_from.max(now);
                 (entry.known, entry.spent) = (Some(on), false);
             }
-            Fact::Ended => entry.over = Some(Proof::Ended),
-            Fact::NeverCame => entry.over = Some(Proof::NeverCame),
-            Fact::Failed(on) if entry.known == Some(on) => entry.over = Some(Proof::Ended),
-            Fact::GivenUp(on) if entry.known == Some(on) => entry.over = Some(Proof::GivenUp),
-            Fact::Reset(on) | Fact::Useless(on) if entry.known == Some(on) => entry.known = None,
-            Fact::Failed(_) | Fact::Reset(_) | Fact::Useless(_) => {}
+            Evidence::Ended => entry.over = Some(Proof::Ended),
+            Evidence::NeverReached => entry.over = Some(Proof::NeverReached),
+            Evidence::ReportedFailed(on) if entry.known == Some(on) => {
+                entry.over = Some(Proof::Ended)
+            }
+            Evidence::Cancelled(on) if entry.known == Some(on) => {
+                entry.over = Some(Proof::Cancelled)
+            }
+            Evidence::ConnectionLost(on) | Evidence::ConnectionUnusable(on)
+                if entry.known == Some(on) =>
+            {
+                entry.known = None
+            }
+            Evidence::ReportedFailed(_)
+            | Evidence::ConnectionLost(_)
+            | Evidence::ConnectionUnusable(_) => {}
             // If the process that has it was asked it is over, but another may listen there by now.
-            Fact::GivenUp(_) | Fact::Refused => entry.spent = true,
-            Fact::Missed => entry.missed = Some(now),
+            Evidence::Cancelled(_) | Evidence::ConnectionRefused => entry.spent = true,
+            Evidence::CancelFailed => entry.missed = Some(now),
         }
     }
 
     /// What can be done about a dispatch that nobody waits for any more. One that the ledger does not have is over.
-    pub fn next(&mut self, now: Duration, id: DispatchId) -> Next {
+    pub fn next_cancel_step(&mut self, now: Duration, id: AttemptId) -> CancelStep {
         let Some(until) = self.may_run_until(id) else {
-            return Next::Over(
+            return CancelStep::Finished(
                 self.open
                     .get(&id)
                     .and_then(|e| e.over)
@@ -194,39 +208,39 @@
             );
         };
         let Some(entry) = self.open.get_mut(&id) else {
-            return Next::Over(Proof::Ended);
+            return CancelStep::Finished(Proof::Ended);
         };
         let proof = match (entry.asked, now >= until) {
-            (false, _) => Some(Proof::NeverCame),
-            (true, true) => Some(Proof::Unasked),
+            (false, _) => Some(Proof::NeverReached),
+            (true, true) => Some(Proof::Expired),
             (true, false) => None,
         };
         if let Some(proof) = proof {
             entry.over = Some(proof);
-            return Next::Over(proof);
+            return CancelStep::Finished(proof);
         }
         let missed = entry
             .missed
-            .map(|at| (at + self.bounds.pause).saturating_sub(now));
+            .map(|at| (at + self.bounds.cancel_pause).saturating_sub(now));
         match (entry.known, entry.spent, missed.filter(|d| !d.is_zero())) {
-            (None, true, _) => Next::Wait(until - now),
-            (_, _, Some(rests)) => Next::Wait(rests.min(until - now)),
+            (None, true, _) => CancelStep::Wait(until - now),
+            (_, _, Some(rests)) => CancelStep::Wait(rests.min(until - now)),
             (None, _, None) if entry.finds_out > 0 => {
                 entry.finding = true;
-                Next::FindOut
+                CancelStep::IdentifyProcess
             }
-            (_, _, None) => Next::GiveUp(until - now),
+            (_, _, None) => CancelStep::Cancel(until - now),
         }
     }
 
     /// The latest moment at which a dispatch may still run; none once that it does not is proved.
-    pub fn may_run_until(&self, id: DispatchId) -> Option<Duration> {
+    pub fn may_run_until(&self, id: AttemptId) -> Option<Duration> {
         let entry = self.open.get(&id).filter(|e| e.over.is_none())?;
         Some(entry.unheard_from + entry.runs_on)
     }
 
     /// Takes a dispatch out of the ledger: its outcome has been told.
-    pub fn close(&mut self, id: DispatchId) {
+    pub fn close(&mut self, id: AttemptId) {
         self.open.remove(&id);
     }
 
--- a/crates/ledger/src/asking.rs
+++ b/crates/ledger/src/polling.rs
@@ -5,49 +5,49 @@
 
 /// How a call came to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum CallFailure {
     /// Nobody listens there: asking can't tell any more.
     Refused,
     /// Broken off, not answered in time, or no connection came up: it may not have come.
-    OnItsWay,
+    Unanswered,
     /// Answered by what can't be read: it came, and its answer was spoilt on its way.
-    Spoilt,
+    Garbled,
 }
 
 /// What follows a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum PollStep {
     /// Ask again after this span; after a call that was lost, on a fresh connection.
-    Ask(Duration),
+    PollAgain(Duration),
     /// Asking can't tell any more.
     Stop,
 }
 
 /// What an engine's word that a dispatch is over counts for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReportVerdict {
     /// What it says.
-    AsTold,
+    Accepted,
     /// It is over, and may have been cut short: its key rests.
-    CutShort,
+    Interrupted,
     /// Nothing: who says so may be another process, or have the start still on its way.
-    InDoubt,
+    Inconclusive,
 }
 
 /// Weighs such a word: whether it answers the start itself, whether it says that the dispatch failed or is not known
 /// (rather than that it never ran), and whether the ledger holds the dispatch to be over now.
-pub fn weigh(answers_start: bool, failed: bool, over: bool) -> Verdict {
+pub fn weigh_reported_end(answers_start: bool, failed: bool, over: bool) -> ReportVerdict {
     match (answers_start, over, failed) {
-        (true, _, _) | (false, true, false) => Verdict::AsTold,
+        (true, _, _) | (false, true, false) => ReportVerdict::Accepted,
         // It failed, or was dropped while this gateway had no time to ask.
-        (false, true, true) => Verdict::CutShort,
-        (false, false, _) => Verdict::InDoubt,
+        (false, true, true) => ReportVerdict::Interrupted,
+        (false, false, _) => ReportVerdict::Inconclusive,
     }
 }
 
 /// What asking has come to so far.
 #[derive(Debug)]
-pub struct Asking {
+pub struct PollSchedule {
     bounds: Bounds,
     /// Before the second try in a row, and each further one.
     pause: Duration,
@@ -57,10 +57,10 @@
     again: bool,
 }
 
-impl Asking {
+impl PollSchedule {
     /// `pause` is waited for before the second try in a row that follows a loss.
     pub fn new(now: Duration, bounds: Bounds, pause: Duration) -> Self {
-        Asking {
+        PollSchedule {
             bounds,
             pause,
             heard: now,
@@ -69,20 +69,21 @@
     }
 
     /// A sound answer that is no end.
-    pub fn heard(&mut self, now: Duration) -> Step {
+    pub fn answered(&mut self, now: Duration) -> PollStep {
         (self.heard, self.again) = (now, false);
-        Step::Ask(Duration::ZERO)
+        PollStep::PollAgain(Duration::ZERO)
     }
 
     /// A call that came to nothing.
-    pub fn lost(&mut self, now: Duration, how: Lost) -> Step {
-        let too_long = now.saturating_sub(self.heard) > self.bounds.news + self.bounds.unasked;
-        if how == Lost::Refused || too_long {
-            return Step::Stop;
+    pub fn failed(&mut self, now: Duration, how: CallFailure) -> PollStep {
+        let too_long =
+            now.saturating_sub(self.heard) > self.bounds.long_poll + self.bounds.poll_expiry;
+        if how == CallFailure::Refused || too_long {
+            return PollStep::Stop;
         }
         match std::mem::replace(&mut self.again, true) {
-            true => Step::Ask(self.pause),
-            false => Step::Ask(Duration::ZERO),
+            true => PollStep::PollAgain(self.pause),
+            false => PollStep::PollAgain(Duration::ZERO),
         }
     }
 }
--- a/crates/ledger/src/tests.rs
+++ b/crates/ledger/src/tests.rs
@@ -10,33 +10,33 @@
 }
 
 const BOUNDS: Bounds = Bounds {
-    news: ms(250),
-    notes: false,
-    unasked: ms(2000),
-    pause: ms(50),
+    long_poll: ms(250),
+    progress_events: false,
+    poll_expiry: ms(2000),
+    cancel_pause: ms(50),
 };
 
 #[derive(Clone, Debug)]
 enum Event {
     Open,
-    Tell(usize, Fact),
+    Tell(usize, Evidence),
     Close(usize),
     Next(usize),
 }
 
-fn fact() -> impl Strategy<Value = Fact> {
+fn fact() -> impl Strategy<Value = Evidence> {
     let on = 0u32..3;
     prop_oneof![
-        3 => Just(Fact::Asked),
-        4 => on.clone().prop_map(Fact::Runs),
-        1 => Just(Fact::Ended),
-        1 => Just(Fact::NeverCame),
-        2 => on.clone().prop_map(Fact::GivenUp),
-        1 => on.clone().prop_map(Fact::Failed),
-        3 => on.clone().prop_map(Fact::Reset),
-        2 => on.prop_map(Fact::Useless),
-        2 => Just(Fact::Refused),
-        1 => Just(Fact::Missed),
+        3 => Just(Evidence::RequestSent),
+        4 => on.clone().prop_map(Evidence::Running),
+        1 => Just(Evidence::Ended),
+        1 => Just(Evidence::NeverReached),
+        2 => on.clone().prop_map(Evidence::Cancelled),
+        1 => on.clone().prop_map(Evidence::ReportedFailed),
+        3 => on.clone().prop_map(Evidence::ConnectionLost),
+        2 => on.prop_map(Evidence::ConnectionUnusable),
+        2 => Just(Evidence::ConnectionRefused),
+        1 => Just(Evidence::CancelFailed),
     ]
 }
 
@@ -54,7 +54,7 @@
 #[derive(Clone)]
 struct History {
     opened: Duration,
-    facts: Vec<(Duration, Fact)>,
+    facts: Vec<(Duration, Evidence)>,
     over: Option<Proof>,
     closed: bool,
 }
@@ -65,11 +65,17 @@
         let shown = self
             .facts
             .iter()
-            .rposition(|(_, f)| matches!(f, Fact::Runs(_)))?;
-        let Fact::Runs(on) = self.facts[shown].1 else {
+            .rposition(|(_, f)| matches!(f, Evidence::Running(_)))?;
+        let Evidence::Running(on) = self.facts[shown].1 else {
             return None;
         };
-        let gone = |(_, f): &(Duration, Fact)| [Fact::Reset(on), Fact::Useless(on)].contains(f);
+        let gone = |(_, f): &(Duration, Evidence)| {
+            [
+                Evidence::ConnectionLost(on),
+                Evidence::ConnectionUnusable(on),
+            ]
+            .contains(f)
+        };
         (!self.facts[shown..].iter().any(gone)).then_some(on)
     }
 
@@ -78,14 +84,14 @@
         let shown = self
             .facts
             .iter()
-            .rposition(|(_, f)| matches!(f, Fact::Runs(_)))
+            .rposition(|(_, f)| matches!(f, Evidence::Running(_)))
             .unwrap_or(0);
         self.facts[shown..]
             .iter()
-            .any(|(_, f)| matches!(f, Fact::Refused | Fact::GivenUp(_)))
+            .any(|(_, f)| matches!(f, Evidence::ConnectionRefused | Evidence::Cancelled(_)))
     }
 
-    fn first(&self, wanted: impl Fn(&Fact) -> bool) -> Option<Duration> {
+    fn first(&self, wanted: impl Fn(&Evidence) -> bool) -> Option<Duration> {
         self.facts
             .iter()
             .find(|(_, f)| wanted(f))
@@ -94,11 +100,11 @@
 
     fn until(&self) -> Duration {
         let heard = self.facts.iter().map(|(at, fact)| match fact {
-            Fact::Asked => *at + BOUNDS.news,
-            Fact::Runs(_) => *at,
+            Evidence::RequestSent => *at + BOUNDS.long_poll,
+            Evidence::Running(_) => *at,
             _ => Duration::ZERO,
         });
-        heard.max().unwrap_or_default().max(self.opened) + BOUNDS.unasked
+        heard.max().unwrap_or_default().max(self.opened) + BOUNDS.poll_expiry
     }
 }
 
@@ -107,46 +113,48 @@
 struct Plain(Vec<History>);
 
 impl Plain {
-    fn tell(&mut self, now: Duration, n: usize, fact: Fact) {
+    fn tell(&mut self, now: Duration, n: usize, fact: Evidence) {
         let h = &mut self.0[n];
         if h.over.is_some() || h.closed {
             return;
         }
         h.over = match fact {
-            Fact::Ended => Some(Proof::Ended),
-            Fact::NeverCame => Some(Proof::NeverCame),
-            Fact::Failed(on) if h.known() == Some(on) => Some(Proof::Ended),
-            Fact::GivenUp(on) if h.known() == Some(on) => Some(Proof::GivenUp),
+            Evidence::Ended => Some(Proof::Ended),
+            Evidence::NeverReached => Some(Proof::NeverReached),
+            Evidence::ReportedFailed(on) if h.known() == Some(on) => Some(Proof::Ended),
+            Evidence::Cancelled(on) if h.known() == Some(on) => Some(Proof::Cancelled),
             _ => None,
         };
         h.facts.push((now, fact));
     }
 
-    fn next(&mut self, now: Duration, n: usize) -> Next {
+    fn next(&mut self, now: Duration, n: usize) -> CancelStep {
         let h = &mut self.0[n];
         if let Some(proof) = h.over {
-            return Next::Over(proof);
+            return CancelStep::Finished(proof);
         }
         let until = h.until();
-        h.over = match (h.first(|f| *f == Fact::Asked), now >= until) {
-            (None, _) => Some(Proof::NeverCame),
-            (Some(_), true) => Some(Proof::Unasked),
+        h.over = match (h.first(|f| *f == Evidence::RequestSent), now >= until) {
+            (None, _) => Some(Proof::NeverReached),
+            (Some(_), true) => Some(Proof::Expired),
             (Some(_), false) => None,
         };
         if let Some(proof) = h.over {
-            return Next::Over(proof);
+            return CancelStep::Finished(proof);
         }
         let missed = h
             .facts
             .iter()
             .rev()
-            .find(|(_, f)| *f == Fact::Missed)
+            .find(|(_, f)| *f == Evidence::CancelFailed)
             .map(|(at, _)| *at);
-        let rests = missed.map_or(Duration::ZERO, |at| (at + BOUNDS.pause).saturating_sub(now));
+        let rests = missed.map_or(Duration::ZERO, |at| {
+            (at + BOUNDS.cancel_pause).saturating_sub(now)
+        });
         match h.known().is_none() && h.spent() {
-            true => Next::Wait(until - now),
-            false if rests.is_zero() => Next::GiveUp(until - now),
-            false => Next::Wait(rests.min(until - now)),
+            true => CancelStep::Wait(until - now),
+            false if rests.is_zero() => CancelStep::Cancel(until - now),
+            false => CancelStep::Wait(rests.min(until - now)),
         }
     }
 }
@@ -167,7 +175,7 @@
                     plain.0.push(History { opened: now, facts: vec![], over: None, closed: false });
                 }
                 Event::Tell(n, fact) if n < ids.len() => {
-                    ledger.tell(now, ids[n], fact);
+                    ledger.record(now, ids[n], fact);
                     plain.tell(now, n, fact);
                 }
                 Event::Close(n) if n < ids.len() => {
@@ -176,10 +184,10 @@
                 }
                 Event::Next(n) if n < ids.len() && !plain.0[n].closed => {
                     let before = plain.0[n].over;
-                    let said = ledger.next(now, ids[n]);
+                    let said = ledger.next_cancel_step(now, ids[n]);
                     prop_assert_eq!(said, plain.next(now, n), "dispatch {} at {:?}", n, now);
                     if let Some(proof) = before {
-                        prop_assert_eq!(said, Next::Over(proof));
+                        prop_assert_eq!(said, CancelStep::Finished(proof));
                     }
                 }
                 _ => {}
@@ -235,7 +243,7 @@
 
 /// One dispatch of a played world: the gateway's side and the truth.
 struct Played {
-    id: DispatchId,
+    id: AttemptId,
     /// The connection that is up, and whether it reaches the first process.
     up: Option<(Connection, bool)>,
     connections: Connection,
@@ -252,7 +260,7 @@
     let mut all: Vec<Played> = (0..3)
         .map(|_| {
             let id = ledger.open(ms(0), ms(900));
-            ledger.tell(ms(0), id, Fact::Asked);
+            ledger.record(ms(0), id, Evidence::RequestSent);
             Played {
                 id,
                 up: Some((0, true)),
@@ -278,7 +286,7 @@
             let broken =
                 (t == w.resets[n] / 10 * 10) || (dead && d.up.is_some_and(|(_, first)| first));
             if let Some((on, _)) = d.up.filter(|_| broken) {
-                ledger.tell(now, d.id, Fact::Reset(on));
+                ledger.record(now, d.id, Evidence::ConnectionLost(on));
                 d.up = None;
             }
             if d.over {
@@ -289,12 +297,12 @@
                 // News every 250 ms on a connection that reaches the process.
                 match d.up {
                     Some((on, true)) if t % 250 == 0 && d.over_at.is_none() => {
-                        ledger.tell(now, d.id, Fact::Runs(on));
-                        ledger.tell(now, d.id, Fact::Asked);
+                        ledger.record(now, d.id, Evidence::Running(on));
+                        ledger.record(now, d.id, Evidence::RequestSent);
                         d.asked_at = t;
                     }
                     Some((_, true)) if t % 250 == 0 => {
-                        ledger.tell(now, d.id, Fact::Ended);
+                        ledger.record(now, d.id, Evidence::Ended);
                         d.stopped = true;
                     }
                     Some(_) => {}
@@ -302,9 +310,9 @@
                 }
                 continue;
             }
-            match ledger.next(now, d.id) {
-                Next::FindOut => unreachable!("no notes here"),
-                Next::Over(proof) => {
+            match ledger.next_cancel_step(now, d.id) {
+                CancelStep::IdentifyProcess => unreachable!("no notes here"),
+                CancelStep::Finished(proof) => {
                     prop_assert!(
                         d.over_at.is_some_and(|at| at <= t),
                         "dispatch {n} runs at {t}, but {proof:?}: {w:?}"
@@ -312,15 +320,15 @@
                     d.over = true;
                     proofs += 1;
                 }
-                Next::Wait(span) => prop_assert!(!span.is_zero()),
-                Next::GiveUp(left) => {
+                CancelStep::Wait(span) => prop_assert!(!span.is_zero()),
+                CancelStep::Cancel(left) => {
                     prop_assert!(!left.is_zero());
                     d.calls += 1;
                     let lost = w.lost[d.calls % w.lost.len()];
                     if d.up.is_none() {
                         let listens = (!drains && !dead) || taken_over;
                         if !listens {
-                            ledger.tell(now, d.id, Fact::Refused);
+                            ledger.record(now, d.id, Evidence::ConnectionRefused);
                             continue;
                         }
                         d.up = Some((d.connections, !taken_over));
@@ -328,15 +336,15 @@
                     }
                     match d.up {
                         Some((on, _)) if lost => {
-                            ledger.tell(now, d.id, Fact::Useless(on));
-                            ledger.tell(now, d.id, Fact::Missed);
+                            ledger.record(now, d.id, Evidence::ConnectionUnusable(on));
+                            ledger.record(now, d.id, Evidence::CancelFailed);
                             d.up = None;
                         }
                         Some((on, first)) => {
                             if first && d.over_at.is_none() {
                                 d.over_at = Some(t);
                             }
-                            ledger.tell(now, d.id, Fact::GivenUp(on));
+                            ledger.record(now, d.id, Evidence::Cancelled(on));
                         }
                         None => {}
                     }
@@ -365,25 +373,31 @@
     let mut l = Ledger::new(BOUNDS);
     let (a, b) = (l.open(ms(0), ms(900)), l.open(ms(0), ms(900)));
     for id in [a, b] {
-        l.tell(ms(0), id, Fact::Asked);
-        l.tell(ms(250), id, Fact::Runs(0));
-        l.tell(ms(250), id, Fact::Asked);
+        l.record(ms(0), id, Evidence::RequestSent);
+        l.record(ms(250), id, Evidence::Running(0));
+        l.record(ms(250), id, Evidence::RequestSent);
     }
     assert_eq!(
-        l.next(ms(400), a),
-        Next::GiveUp(ms(2100)),
+        l.next_cancel_step(ms(400), a),
+        CancelStep::Cancel(ms(2100)),
         "on the connection that is up"
     );
-    l.tell(ms(410), a, Fact::GivenUp(0));
-    assert_eq!(l.next(ms(410), a), Next::Over(Proof::GivenUp));
-    l.tell(ms(420), b, Fact::Reset(0));
-    l.tell(ms(421), b, Fact::Refused);
+    l.record(ms(410), a, Evidence::Cancelled(0));
+    assert_eq!(
+        l.next_cancel_step(ms(410), a),
+        CancelStep::Finished(Proof::Cancelled)
+    );
+    l.record(ms(420), b, Evidence::ConnectionLost(0));
+    l.record(ms(421), b, Evidence::ConnectionRefused);
     assert_eq!(
-        l.next(ms(430), b),
-        Next::Wait(ms(2070)),
+        l.next_cancel_step(ms(430), b),
+        CancelStep::Wait(ms(2070)),
         "a reset and a refused connection are no end"
     );
-    assert_eq!(l.next(ms(2500), b), Next::Over(Proof::Unasked));
+    assert_eq!(
+        l.next_cancel_step(ms(2500), b),
+        CancelStep::Finished(Proof::Expired)
+    );
     l.close(a);
     l.close(b);
     assert!(l.is_empty());
@@ -394,62 +408,75 @@
     let mut l = Ledger::new(BOUNDS);
     let (a, b) = (l.open(ms(0), ms(900)), l.open(ms(0), ms(900)));
     for id in [a, b] {
-        l.tell(ms(0), id, Fact::Asked);
-        l.tell(ms(100), id, Fact::Useless(0));
+        l.record(ms(0), id, Evidence::RequestSent);
+        l.record(ms(100), id, Evidence::ConnectionUnusable(0));
     }
-    l.tell(ms(200), a, Fact::Failed(1));
+    l.record(ms(200), a, Evidence::ReportedFailed(1));
     assert_eq!(
-        l.next(ms(200), a),
-        Next::GiveUp(ms(2050)),
+        l.next_cancel_step(ms(200), a),
+        CancelStep::Cancel(ms(2050)),
         "it may still come there, and be given up"
     );
-    l.tell(ms(210), a, Fact::GivenUp(1));
+    l.record(ms(210), a, Evidence::Cancelled(1));
     assert_eq!(
-        l.next(ms(210), a),
-        Next::Wait(ms(2040)),
+        l.next_cancel_step(ms(210), a),
+        CancelStep::Wait(ms(2040)),
         "asked once, not each 50 ms"
     );
-    l.tell(ms(200), b, Fact::Runs(1));
-    l.tell(ms(210), b, Fact::Failed(1));
-    assert_eq!(l.next(ms(210), b), Next::Over(Proof::Ended));
+    l.record(ms(200), b, Evidence::Running(1));
+    l.record(ms(210), b, Evidence::ReportedFailed(1));
+    assert_eq!(
+        l.next_cancel_step(ms(210), b),
+        CancelStep::Finished(Proof::Ended)
+    );
 }
 
 /// Seen on pomurje-estimates, split+mass: engines that tell notes run on what nobody asks for.
 #[test]
 fn notes_keep_a_dispatch_running_for_as_long_as_told() {
     let mut l = Ledger::new(Bounds {
-        notes: true,
+        progress_events: true,
         ..BOUNDS
     });
     let id = l.open(ms(0), ms(4000));
-    l.tell(ms(100), id, Fact::Asked);
-    l.tell(ms(350), id, Fact::Runs(1));
-    l.tell(ms(350), id, Fact::Asked);
-    l.tell(ms(400), id, Fact::Reset(1));
+    l.record(ms(100), id, Evidence::RequestSent);
+    l.record(ms(350), id, Evidence::Running(1));
+    l.record(ms(350), id, Evidence::RequestSent);
+    l.record(ms(400), id, Evidence::ConnectionLost(1));
     for at in [2700, 2800] {
         assert_eq!(
-            l.next(ms(at), id),
-            Next::FindOut,
+            l.next_cancel_step(ms(at), id),
+            CancelStep::IdentifyProcess,
             "unasked for over 2 s, and running"
         );
     }
-    l.tell(ms(2900), id, Fact::Asked);
-    l.tell(ms(2950), id, Fact::Failed(2));
+    l.record(ms(2900), id, Evidence::RequestSent);
+    l.record(ms(2950), id, Evidence::ReportedFailed(2));
     assert_eq!(
-        l.next(ms(2950), id),
-        Next::FindOut,
+        l.next_cancel_step(ms(2950), id),
+        CancelStep::IdentifyProcess,
         "another process says nothing of it"
     );
-    l.tell(ms(3000), id, Fact::Asked);
-    l.tell(ms(3050), id, Fact::Runs(3));
-    assert_eq!(l.next(ms(3050), id), Next::GiveUp(ms(4200)), "shown again");
-    l.tell(ms(3060), id, Fact::Reset(3));
-    assert_eq!(l.next(ms(3060), id), Next::FindOut);
-    l.tell(ms(3100), id, Fact::Asked);
+    l.record(ms(3000), id, Evidence::RequestSent);
+    l.record(ms(3050), id, Evidence::Running(3));
+    assert_eq!(
+        l.next_cancel_step(ms(3050), id),
+        CancelStep::Cancel(ms(4200)),
+        "shown again"
+    );
+    l.record(ms(3060), id, Evidence::ConnectionLost(3));
     assert_eq!(
-        l.next(ms(3150), id),
-        Next::GiveUp(ms(4200)),
+        l.next_cancel_step(ms(3060), id),
+        CancelStep::IdentifyProcess
+    );
+    l.record(ms(3100), id, Evidence::RequestSent);
+    assert_eq!(
+        l.next_cancel_step(ms(3150), id),
+        CancelStep::Cancel(ms(4200)),
         "asked often enough"
     );
-    assert_eq!(l.next(ms(7350), id), Next::Over(Proof::Unasked));
+    assert_eq!(
+        l.next_cancel_step(ms(7350), id),
+        CancelStep::Finished(Proof::Expired)
+    );
 }
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -1,8 +1,8 @@
 //! The journal beside a plain model, torn at every byte, failing in the middle, and killed in truth: a process that is
 //! ended at random while it writes, over and over.
 
-use garnetwall_ledger::book::{Book, Record, Run, Sent, RECORD};
-use garnetwall_ledger::journal::{FileLog, Journal, Log, Recovered};
+use garnetwall_ledger::journal::{FileStorage, Journal, JournalStorage, RecoveryCallback};
+use garnetwall_ledger::records::{BootRun, JournalState, Record, SentQuery, RECORD_BYTES};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -13,8 +13,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-fn sent(id: u64) -> Sent {
-    Sent {
+fn sent(id: u64) -> SentQuery {
+    SentQuery {
         id,
         key: (!id.is_multiple_of(3)).then_some(id % 5),
         until: 1000 + id,
@@ -24,28 +24,29 @@
 fn record() -> impl Strategy<Value = Record> {
     let id = 0u64..20;
     prop_oneof![
-        2 => (id.clone(), 0u64..3000).prop_map(|(id, until)| Record::Sent(Sent { until, ..sent(id) })),
-        1 => id.prop_map(|id| Record::Over { id }),
+        2 => (id.clone(), 0u64..3000).prop_map(|(id, until)| Record::Sent(SentQuery { until, ..sent(id) })),
+        1 => id.prop_map(|id| Record::Finished { id }),
     ]
 }
 
 /// What is open after these records, worked out by looking back for each id.
-fn plain(records: &[Record], now: u64) -> Vec<(Sent, bool)> {
+fn plain(records: &[Record], now: u64) -> Vec<(SentQuery, bool)> {
     let mut known = Vec::new();
     for id in 0..20 {
-        let of =
-            |r: &&Record| matches!(r, Record::Sent(s) if s.id == id) || **r == Record::Over { id };
+        let of = |r: &&Record| {
+            matches!(r, Record::Sent(s) if s.id == id) || **r == Record::Finished { id }
+        };
         let all: Vec<&Record> = records.iter().filter(of).collect();
         let sent = all.iter().filter_map(|r| match r {
             Record::Sent(s) => Some(*s),
-            Record::Over { .. } | Record::Run(_) => None,
+            Record::Finished { .. } | Record::Boot(_) => None,
         });
-        let sent: Vec<Sent> = sent.collect();
+        let sent: Vec<SentQuery> = sent.collect();
         if let Some(first) = sent.first() {
             let until = sent.iter().map(|s| s.until).max().unwrap_or_default();
             known.push((
-                Sent { until, ..*first },
-                all.last() == Some(&&Record::Over { id }),
+                SentQuery { until, ..*first },
+                all.last() == Some(&&Record::Finished { id }),
             ));
         }
     }
@@ -57,11 +58,11 @@
     #[test]
     fn a_book_tells_what_the_plain_model_tells(records in vec(record(), 0..200), now in 0u64..3000) {
         let bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
-        let (mut book, reading) = Book::read(&bytes);
+        let (mut book, reading) = JournalState::read(&bytes);
         prop_assert_eq!((reading.good, reading.damaged), (bytes.len(), 0));
-        prop_assert_eq!(book.known(now), plain(&records, now));
-        let copy = book.copy(now);
-        prop_assert_eq!(Book::read(&copy).0.known(now), plain(&records, now), "a copy says the same");
+        prop_assert_eq!(book.unexpired(now), plain(&records, now));
+        let copy = book.compacted(now);
+        prop_assert_eq!(JournalState::read(&copy).0.unexpired(now), plain(&records, now), "a copy says the same");
     }
 
     /// Cut at every byte of its tail: all whole records before it count, nothing else.
@@ -69,10 +70,10 @@
     fn a_torn_tail_is_cut(records in vec(record(), 1..8)) {
         let bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
         for cut in 0..=bytes.len() {
-            let (book, reading) = Book::read(&bytes[..cut]);
-            let whole = cut / RECORD;
-            prop_assert_eq!(reading.good, whole * RECORD);
-            prop_assert_eq!(book.known(0), plain(&records[..whole], 0));
+            let (book, reading) = JournalState::read(&bytes[..cut]);
+            let whole = cut / RECORD_BYTES;
+            prop_assert_eq!(reading.good, whole * RECORD_BYTES);
+            prop_assert_eq!(book.unexpired(0), plain(&records[..whole], 0));
         }
     }
 
@@ -81,20 +82,20 @@
         let mut bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
-        let bad = at / RECORD;
+        let bad = at / RECORD_BYTES;
         let left: Vec<Record> = records.iter().enumerate().filter(|(n, _)| *n != bad).map(|(_, r)| *r).collect();
-        let (book, reading) = Book::read(&bytes);
+        let (book, reading) = JournalState::read(&bytes);
         // A damaged key flag or byte is caught by the checksum, wherever it is.
-        prop_assert_eq!(book.known(0), plain(&left, 0));
+        prop_assert_eq!(book.unexpired(0), plain(&left, 0));
         let last = bad == records.len() - 1;
         prop_assert_eq!(reading.damaged, usize::from(!last));
     }
 }
 
-const RUN: Run = Run { id: 7, span: 5000 };
+const RUN: BootRun = BootRun { id: 7, span: 5000 };
 
 /// Nobody needs to hear what an earlier process sent.
-fn unheard() -> Recovered {
+fn unheard() -> RecoveryCallback {
     Box::new(drop)
 }
 
@@ -117,7 +118,7 @@
     }
 }
 
-impl Log for Failing {
+impl JournalStorage for Failing {
     fn read(&mut self) -> io::Result<Vec<u8>> {
         self.step()?;
         Ok(self.bytes.lock().unwrap().clone())
@@ -147,7 +148,7 @@
 
 fn commit(journal: &Journal, id: u64) -> io::Result<()> {
     let (done, ended) = channel();
-    journal.sent(sent(id), Box::new(move |written| drop(done.send(written))));
+    journal.record_sent(sent(id), Box::new(move |written| drop(done.send(written))));
     ended.recv().unwrap()
 }
 
@@ -179,7 +180,9 @@
             Ok(()) => promised.push(id),
             Err(_) => refused += 1,
         }
-        let open = Book::read(&log.bytes.lock().unwrap()).0.known(0);
+        let open = JournalState::read(&log.bytes.lock().unwrap())
+            .0
+            .unexpired(0);
         for id in &promised {
             assert!(
                 open.contains(&(sent(*id), false)),
@@ -203,40 +206,42 @@
 /// for what is left of it.
 #[test]
 fn an_end_counts_only_in_the_run_that_it_was_written_in() {
-    let mut book = Book::default();
-    book.go_on(RUN, 1_000_000);
-    book.add(&Record::Sent(Sent {
+    let mut book = JournalState::default();
+    book.resume(RUN, 1_000_000);
+    book.add(&Record::Sent(SentQuery {
         until: 1_004_000,
         ..sent(1)
     }));
-    let file = book.copy(1_000_000);
-    let left = |run: Run, now: u64| {
-        let mut book = Book::read(&file).0;
-        book.go_on(run, now);
-        book.known(now).first().map(|(sent, _)| sent.until - now)
+    let file = book.compacted(1_000_000);
+    let left = |run: BootRun, now: u64| {
+        let mut book = JournalState::read(&file).0;
+        book.resume(run, now);
+        book.unexpired(now)
+            .first()
+            .map(|(sent, _)| sent.until - now)
     };
     assert_eq!(left(RUN, 1_003_000), Some(1000));
     assert_eq!(left(RUN, 1_005_000), None);
-    assert_eq!(left(Run { id: 8, ..RUN }, 40), Some(5000));
-    assert_eq!(left(Run { id: 8, ..RUN }, 9_000_000), Some(5000));
-    assert_eq!(left(Run { id: 0, span: 9000 }, 1_003_000), Some(9000));
+    assert_eq!(left(BootRun { id: 8, ..RUN }, 40), Some(5000));
+    assert_eq!(left(BootRun { id: 8, ..RUN }, 9_000_000), Some(5000));
+    assert_eq!(left(BootRun { id: 0, span: 9000 }, 1_003_000), Some(9000));
     // Written before runs were told: an end in Unix milliseconds.
-    let old: Vec<u8> = Record::Sent(Sent {
+    let old: Vec<u8> = Record::Sent(SentQuery {
         until: 1_700_000_000_000,
         ..sent(2)
     })
     .bytes()
     .to_vec();
-    let mut book = Book::read(&old).0;
-    book.go_on(RUN, 500);
-    assert_eq!(book.known(500)[0].0.until, 5500);
+    let mut book = JournalState::read(&old).0;
+    book.resume(RUN, 500);
+    assert_eq!(book.unexpired(500)[0].0.until, 5500);
 }
 
 #[test]
 fn what_is_over_is_forgotten_and_the_file_stays_small() {
     let path = std::env::temp_dir().join(format!("garnetwall-compact-{}", std::process::id()));
     // All but the last are past their end.
-    let (journal, begun) = Journal::start(FileLog::new(&path), RUN, || 1_000_000, unheard());
+    let (journal, begun) = Journal::start(FileStorage::new(&path), RUN, || 1_000_000, unheard());
     begun.unwrap();
     for id in 0..20_000u64 {
         let until = if id < 19_990 { 1 } else { u64::MAX };
@@ -244,16 +249,16 @@
         if waits {
             commit(&journal, id).unwrap();
         } else {
-            journal.sent(Sent { until, ..sent(id) }, Box::new(|_| ()));
+            journal.record_sent(SentQuery { until, ..sent(id) }, Box::new(|_| ()));
         }
-        journal.over(id);
+        journal.record_finished(id);
     }
     drop(journal);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
-    assert!(length < 12_000 * RECORD, "{length}");
-    let known = Book::read(&std::fs::read(&path).unwrap())
+    assert!(length < 12_000 * RECORD_BYTES, "{length}");
+    let known = JournalState::read(&std::fs::read(&path).unwrap())
         .0
-        .known(1_000_000);
+        .unexpired(1_000_000);
     assert!(known.iter().all(|(_, over)| *over));
     let known: Vec<u64> = known.iter().map(|(s, _)| s.id).collect();
     assert_eq!(known, (19_990..20_000).collect::<Vec<_>>());
@@ -262,13 +267,13 @@
 
 /// The process that is killed: it commits ids without end and says each one that is promised.
 fn writes_until_killed(path: &Path, from: u64) {
-    let (journal, begun) = Journal::start(FileLog::new(path), RUN, || 0, unheard());
+    let (journal, begun) = Journal::start(FileStorage::new(path), RUN, || 0, unheard());
     begun.unwrap();
     for id in from.. {
         commit(&journal, id).unwrap();
         println!("sent {id}");
         if id.is_multiple_of(3) {
-            journal.over(id);
+            journal.record_finished(id);
             println!("over {id}");
         }
         io::stdout().flush().unwrap();
@@ -320,9 +325,9 @@
             let Ok(id) = id.parse::<u64>() else { continue };
             said.insert(id, word);
         }
-        let open: Vec<u64> = Book::read(&std::fs::read(&path).unwrap())
+        let open: Vec<u64> = JournalState::read(&std::fs::read(&path).unwrap())
             .0
-            .known(0)
+            .unexpired(0)
             .iter()
             .map(|(s, _)| s.id)
             .collect();
--- a/crates/scale/src/slopes/ledger.rs
+++ b/crates/scale/src/slopes/ledger.rs
@@ -2,16 +2,16 @@
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated};
-use garnetwall_ledger::{Bounds, DispatchId, Fact, Ledger};
+use garnetwall_ledger::{AttemptId, Bounds, Evidence, Ledger};
 use std::hint::black_box;
 use std::time::Duration;
 
 /// As in the gateway.
 const BOUNDS: Bounds = Bounds {
-    news: Duration::from_millis(250),
-    notes: false,
-    unasked: Duration::from_secs(2),
-    pause: Duration::from_millis(50),
+    long_poll: Duration::from_millis(250),
+    progress_events: false,
+    poll_expiry: Duration::from_secs(2),
+    cancel_pause: Duration::from_millis(50),
 };
 
 pub struct OpenAttempts;
@@ -22,14 +22,14 @@
         let now = Duration::from_secs(1);
         let (resident, (mut ledger, mut attempts)) = growth(|| {
             let mut ledger = Ledger::new(BOUNDS);
-            let attempts: Vec<DispatchId> = (0..open).map(|_| begin(&mut ledger, now)).collect();
+            let attempts: Vec<AttemptId> = (0..open).map(|_| begin(&mut ledger, now)).collect();
             (ledger, attempts)
         })?;
         // One ends and another begins, so that as many stay open.
         let attempt = repeated(|repeat| {
             let slot = &mut attempts[(repeat % open) as usize];
-            ledger.tell(now, *slot, Fact::Ended);
-            black_box(ledger.next(now, *slot));
+            ledger.record(now, *slot, Evidence::Ended);
+            black_box(ledger.next_cancel_step(now, *slot));
             ledger.close(*slot);
             *slot = begin(&mut ledger, now);
         });
@@ -46,9 +46,9 @@
     }
 }
 
-fn begin(ledger: &mut Ledger, now: Duration) -> DispatchId {
+fn begin(ledger: &mut Ledger, now: Duration) -> AttemptId {
     let attempt = ledger.open(now, Duration::ZERO);
-    ledger.tell(now, attempt, Fact::Asked);
-    ledger.tell(now, attempt, Fact::Runs(1));
+    ledger.record(now, attempt, Evidence::RequestSent);
+    ledger.record(now, attempt, Evidence::Running(1));
     attempt
 }
