--- /dev/null
+++ b/src/controller/admission.rs
@@ -0,0 +1,113 @@
+//! Queries come in, and their clients leave.
+
+use super::query_state::{QueryPhase, QueryState};
+use super::timers::Timer;
+use super::{AdmissionController, AttemptId, DEADLINE_MARGIN_SECONDS, WORK_DECAY_SECONDS};
+use crate::api::{Query, QueryClass, QueryId};
+
+impl AdmissionController {
+    /// Admits a query that has been read. Its answer follows by [`Self::place`], [`Self::outcome_unknown`] or
+    /// [`Self::attempt_ended`], unless its client leaves. A tenant that the settings do not have counts as the last one.
+    pub fn admit(&mut self, now: f64, query: Query) {
+        self.observe_time(now);
+        let query = Query {
+            tenant: query.tenant.min(self.tenant_queues.len() - 1),
+            ..query
+        };
+        self.count_admission(now, query.class);
+        self.count_expected_work(now, &query);
+        self.earn_health_check();
+        self.shedding_due |= self.spare_capacity() < 0.0;
+        let key = self.ordering_key(&query);
+        let phase = match key {
+            Some(_) => QueryPhase::WaitingForKey,
+            None => QueryPhase::Queued,
+        };
+        let state = QueryState::new(query, now, phase);
+        let deadline_timer_at = state.deadline - DEADLINE_MARGIN_SECONDS;
+        self.queries.insert(query.id, state);
+        self.timers
+            .schedule(deadline_timer_at, Timer::Deadline(query.id));
+        match key {
+            Some(key) => self.append_to_key(now, key, query.id),
+            None => self.enqueue(query.id),
+        }
+    }
+
+    fn count_expected_work(&mut self, now: f64, query: &Query) {
+        let work = self.expected_work(query);
+        self.usual_work.add(now, WORK_DECAY_SECONDS, work);
+        self.last_admitted = Some(*query);
+        // Queries bound to kinds count for these at once: a kind must not look idle because its queries are shed.
+        let kinds = &self.settings.classes[query.class].kinds;
+        for kind in kinds.iter().flatten() {
+            let kind = self.kinds.entry(*kind as usize).or_default();
+            kind.work_sent.add(now, WORK_DECAY_SECONDS, work);
+        }
+    }
+
+    /// Takes over changed objectives, idempotency and budgets of the classes, in the order of the settings. Whether
+    /// they keep order stays as it was.
+    pub fn update_classes(&mut self, classes: &[QueryClass]) {
+        for (old, new) in self.settings.classes.iter_mut().zip(classes) {
+            *old = QueryClass {
+                in_order: old.in_order,
+                ..new.clone()
+            };
+        }
+    }
+
+    /// A query's client has left: no answer is owed, and an attempt in flight is cancelled where the settings allow it.
+    pub fn client_left(&mut self, now: f64, id: QueryId) {
+        self.observe_time(now);
+        if let Some(state) = self.queries.get(&id) {
+            if state.in_flight.is_some() && self.settings.cancellation_allowed {
+                let attempt = AttemptId {
+                    query: id,
+                    attempt: state.last_attempt(),
+                };
+                self.pending_cancellations.push_back(attempt);
+            }
+        }
+        self.finish(now, id);
+    }
+
+    /// Whether a client waits for the query now. One whose connection is lost may come back at once; until then its
+    /// query is not sent.
+    pub fn set_client_waiting(&mut self, now: f64, id: QueryId, is_waiting: bool) {
+        self.observe_time(now);
+        let Some(state) = self.queries.get_mut(&id) else {
+            return;
+        };
+        if state.client_absent != is_waiting {
+            return;
+        }
+        state.client_absent = !is_waiting;
+        if state.phase != QueryPhase::Queued {
+            return;
+        }
+        if is_waiting {
+            self.enqueue(id);
+        } else {
+            self.dequeue(id);
+        }
+    }
+
+    /// The body of a query is not stored any more: no further attempt of it begins.
+    pub fn body_discarded(&mut self, id: QueryId) {
+        if let Some(state) = self.queries.get_mut(&id) {
+            state.body_discarded = true;
+        }
+    }
+
+    /// This gateway ends at a time in seconds: no query that is open now has a later deadline.
+    pub fn shut_down_at(&mut self, at: f64) {
+        for state in self.queries.values_mut() {
+            state.deadline = state.deadline.min(at);
+        }
+        for id in self.queries.keys() {
+            self.timers
+                .schedule(at - DEADLINE_MARGIN_SECONDS, Timer::Deadline(*id));
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/attempt.rs
@@ -0,0 +1,181 @@
+//! The life of an attempt: its beginning, an unknown outcome, and its end.
+//!
+//! | state | how it is left |
+//! |---|---|
+//! | in flight | by [`AdmissionController::attempt_ended`], always and once |
+//! | in flight, outcome unknown | the same; until then the query's client may already have its answer, and the key stays held |
+//!
+//! Rule: a query whose attempt may have run counts as such until every one of its attempts is proved not to have run.
+
+use super::query_state::{QueryPhase, QueryState};
+use super::{AdmissionController, WORK_DECAY_SECONDS};
+use crate::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, Placement, Query, QueryId};
+
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    pub(crate) engine: EngineId,
+    /// When it began, in seconds.
+    pub(crate) begun_at: f64,
+    /// When it began, or its last progress event came.
+    pub(crate) last_progress_at: f64,
+    /// Expected memory in megabytes.
+    memory: f64,
+    /// It has counted as load for taking too long.
+    pub(crate) counted_overdue: bool,
+    /// Its outcome was recorded while its end was unknown.
+    outcome_recorded: bool,
+    /// Its query counts as one that may have run only because this attempt's end was unknown.
+    doubt_is_its_own: bool,
+}
+
+impl Attempt {
+    fn new(engine: EngineId, begun_at: f64, memory: f64) -> Self {
+        Attempt {
+            engine,
+            begun_at,
+            last_progress_at: begun_at,
+            memory,
+            counted_overdue: false,
+            outcome_recorded: false,
+            doubt_is_its_own: false,
+        }
+    }
+}
+
+impl AdmissionController {
+    /// Begins an attempt of a queued query at an engine that was chosen for it.
+    pub(super) fn begin_attempt(&mut self, now: f64, id: QueryId, engine: EngineId) -> Placement {
+        self.dequeue(id);
+        let query = self.queries[&id].query;
+        let memory = self.expected_memory(&query);
+        if self.queries[&id].attempts > 0 {
+            self.count_retry(now, query.class);
+        }
+        let state = self.queries.get_mut(&id).expect("it was queued");
+        state.phase = QueryPhase::InFlight;
+        state.attempts += 1;
+        state.in_flight = Some(Attempt::new(engine, now, memory));
+        let response_timeout = state.deadline - now;
+        let threads = self.settings.classes[query.class].threads;
+        let work = self.expected_work(&query);
+        self.charge_attempt(query.tenant, threads);
+        self.spend_slow_start_budget(now, engine, work);
+        self.add_in_flight(now, engine, &query, memory);
+        // What the deduplication window does not cover on its arrival must not be sent: its connection may be slow.
+        let deduplication_time_left = self.deduplication_time_left(now, &self.queries[&id]);
+        Placement::Attempt {
+            engine,
+            response_timeout,
+            send_timeout: deduplication_time_left.min(response_timeout),
+            memory_grant: self.memory_grant(&query, engine),
+        }
+    }
+
+    fn add_in_flight(&mut self, now: f64, engine: EngineId, query: &Query, memory: f64) {
+        let class = &self.settings.classes[query.class];
+        let threads = class.threads;
+        // Queries that are bound to kinds have counted at their admission.
+        let newly_counted_work = match class.kinds {
+            None => self.expected_work(query),
+            Some(_) => 0.0,
+        };
+        let engine = &mut self.engines[engine];
+        engine.in_flight.add(threads, memory);
+        let kind = self.kinds.entry(engine.kind()).or_default();
+        kind.work_sent
+            .add(now, WORK_DECAY_SECONDS, newly_counted_work);
+        kind.threads_in_flight += threads;
+        kind.memory_in_flight += memory;
+    }
+
+    fn remove_in_flight(&mut self, attempt: &Attempt, threads: f64) {
+        let engine = &mut self.engines[attempt.engine];
+        engine.in_flight.remove(threads, attempt.memory);
+        let kind = self.kinds.entry(engine.kind()).or_default();
+        kind.threads_in_flight -= threads;
+        kind.memory_in_flight -= attempt.memory;
+    }
+
+    /// The end of an attempt is not known and may not be in time. Returns what is answered now. The attempt stays in
+    /// flight and its query's ordering key held until [`Self::attempt_ended`].
+    pub fn outcome_unknown(&mut self, now: f64, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
+        self.observe_time(now);
+        let Some(state) = self.queries.get_mut(&id) else {
+            return FollowUp::Nothing;
+        };
+        let Some(attempt) = state.in_flight else {
+            return FollowUp::Nothing;
+        };
+        let phase = state.phase;
+        let query = state.query;
+        state.in_flight = Some(Attempt {
+            outcome_recorded: true,
+            doubt_is_its_own: attempt.doubt_is_its_own || state.may_have_run.is_none(),
+            ..attempt
+        });
+        state.may_have_run.get_or_insert(attempt);
+        if !attempt.outcome_recorded {
+            self.record_outcome(now, &query, &attempt, &outcome);
+        }
+        if phase == QueryPhase::Finished || self.may_retry(now, &self.queries[&id]) {
+            return FollowUp::Nothing;
+        }
+        FollowUp::Answer(self.final_answer(now, id))
+    }
+
+    /// An attempt has ended: it is not in flight any more, and either has run or never will. To be called once for each
+    /// attempt. Returns what follows for its query.
+    pub fn attempt_ended(&mut self, now: f64, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
+        self.observe_time(now);
+        let Some(state) = self.queries.get_mut(&id) else {
+            return FollowUp::Nothing;
+        };
+        let Some(attempt) = state.in_flight.take() else {
+            return FollowUp::Nothing;
+        };
+        update_may_have_run(state, attempt, outcome.end);
+        let phase = state.phase;
+        let query = state.query;
+        let threads = self.settings.classes[query.class].threads;
+        self.settle_attempt(query.tenant, threads, now - attempt.begun_at);
+        self.remove_in_flight(&attempt, threads);
+        if !attempt.outcome_recorded {
+            self.record_outcome(now, &query, &attempt, &outcome);
+        }
+        self.pause_after(now, &query, outcome.end);
+        let succeeded = outcome.end == AttemptEnd::Succeeded;
+        if outcome.query_finished || succeeded || phase == QueryPhase::Finished {
+            self.finish(now, id);
+            return FollowUp::Nothing;
+        }
+        if outcome.end == AttemptEnd::NotNeeded || !self.may_retry(now, &self.queries[&id]) {
+            return FollowUp::Answer(self.final_answer(now, id));
+        }
+        self.enqueue(id);
+        FollowUp::Nothing
+    }
+}
+
+/// Whether an attempt that ended so provably never ran.
+fn never_ran(end: AttemptEnd) -> bool {
+    match end {
+        AttemptEnd::Rejected
+        | AttemptEnd::ConnectFailed
+        | AttemptEnd::NotNeeded
+        | AttemptEnd::NotSent => true,
+        AttemptEnd::Succeeded
+        | AttemptEnd::Failed
+        | AttemptEnd::TimedOut
+        | AttemptEnd::ConnectionLost
+        | AttemptEnd::Cancelled => false,
+    }
+}
+
+fn update_may_have_run(state: &mut QueryState, attempt: Attempt, end: AttemptEnd) {
+    if !never_ran(end) {
+        state.may_have_run.get_or_insert(attempt);
+    } else if attempt.doubt_is_its_own {
+        state.may_have_run = None;
+    }
+}
--- a/src/controller/eligibility.rs
+++ b/src/controller/eligibility.rs
@@ -1,64 +1,100 @@
-//! Whether the rules let a batch leave now, and to which engines: placement, drains, effects, windows.
+//! Whether the rules let an attempt of a query begin now, and at which engines.
+//!
+//! Rules: at most one attempt of a query in flight; no attempt after the deadline or without a client; no second
+//! effect (idempotency, its window and scope); no attempt at a draining or removed engine; placement by zone, kind and
+//! endpoint subset; the retry budget; the work budget of an engine in slow start. Every attempt passes
+//! [`AdmissionController::may_begin_attempt`] and [`AdmissionController::engine_eligible`].
 
-use super::MARGIN;
+use super::engine_choice::Candidate;
+use super::query_state::{QueryPhase, QueryState};
+use super::{AdmissionController, DEADLINE_MARGIN_SECONDS};
 use crate::api::{DeduplicationScope, EndpointState, EngineId, Idempotency};
-use crate::state::{AdmissionController, Candidate, InHand, Stage};
 
 impl AdmissionController {
-    /// Whether the rules let this batch leave now, wherever it goes.
-    pub(super) fn may_leave(&self, now: f64, h: &InHand) -> bool {
-        h.stage == Stage::Queued
-            && !h.unattended
-            && h.out.is_none()
-            && now < h.limit - MARGIN
-            && (h.dispatches == 0 || self.may_go_again(now, h))
+    /// Whether the rules let an attempt of this query begin now, whichever the engine.
+    pub(super) fn may_begin_attempt(&self, now: f64, state: &QueryState) -> bool {
+        state.phase == QueryPhase::Queued
+            && !state.client_absent
+            && state.in_flight.is_none()
+            && has_time_left(now, state)
+            && (state.attempts == 0 || self.may_retry(now, state))
     }
 
-    /// Whether the rules let a batch that may leave go to this engine now.
-    pub(super) fn allowed(&self, now: f64, h: &InHand, work: f64, c: &Candidate) -> bool {
-        let (Some(line), group) = (self.engines[c.engine].line, &self.s.classes[h.b.class]) else {
-            return false;
-        };
-        let named = |list: &Option<Vec<u32>>, v: u32| list.as_ref().is_none_or(|l| l.contains(&v));
-        line.state == EndpointState::Ready
-            && named(&group.zones, line.zone)
-            && named(&group.kinds, line.kind as u32)
-            && h.b
-                .endpoint_subset
-                .is_none_or(|lane| self.tiers(lane).iter().any(|tier| tier.contains(c.engine)))
-            && self.in_scope(h, c.engine)
-            && self.cold_room(now, c, work)
+    /// Whether the rules let a query have another attempt at any engine.
+    pub(super) fn may_retry(&self, now: f64, state: &QueryState) -> bool {
+        self.deduplication_time_left(now, state) > 0.0
+            && !state.body_discarded
+            && has_time_left(now, state)
+            && state.attempts < self.settings.max_attempts
+            && self.retry_budget_left(now, state.query.class)
     }
 
-    /// Whether the rules let a batch have another dispatch anywhere.
-    pub(super) fn may_go_again(&self, now: f64, h: &InHand) -> bool {
-        self.window_left(now, h) > 0.0
-            && !h.unkept
-            && now < h.limit - MARGIN
-            && h.dispatches < self.s.max_attempts
-            && self.further_left(now, h.b.class)
+    /// Whether the rules let an attempt of a query that may begin one go to this engine. `work` is the query's
+    /// expected work in seconds on one thread.
+    pub(super) fn engine_eligible(
+        &self,
+        now: f64,
+        state: &QueryState,
+        work: f64,
+        candidate: &Candidate,
+    ) -> bool {
+        let Some(endpoint) = self.engines[candidate.engine].endpoint else {
+            return false;
+        };
+        let class = &self.settings.classes[state.query.class];
+        let listed = |list: &Option<Vec<u32>>, value: u32| {
+            list.as_ref().is_none_or(|list| list.contains(&value))
+        };
+        endpoint.state == EndpointState::Ready
+            && listed(&class.zones, endpoint.zone)
+            && listed(&class.kinds, endpoint.kind as u32)
+            && self.in_endpoint_subset(state.query.endpoint_subset, candidate.engine)
+            && self.in_deduplication_scope(state, candidate.engine)
+            && self.within_slow_start_budget(now, candidate, work)
     }
 
-    /// How long a dispatch of this batch can still come to an engine without a second effect.
-    pub(super) fn window_left(&self, now: f64, h: &InHand) -> f64 {
-        match (h.may_have_run, self.s.classes[h.b.class].idempotency) {
-            (None, _) | (_, Idempotency::Idempotent) => f64::INFINITY,
-            (Some(_), Idempotency::NonIdempotent) => 0.0,
-            (Some(first), Idempotency::IdempotentByKey { window, .. }) => {
-                first.at + window - MARGIN - now
+    /// Seconds for which another attempt can still reach an engine without a second effect.
+    pub(super) fn deduplication_time_left(&self, now: f64, state: &QueryState) -> f64 {
+        let Some(first) = state.may_have_run else {
+            return f64::INFINITY;
+        };
+        match self.settings.classes[state.query.class].idempotency {
+            Idempotency::Idempotent => f64::INFINITY,
+            Idempotency::NonIdempotent => 0.0,
+            Idempotency::IdempotentByKey { window, .. } => {
+                first.begun_at + window - DEADLINE_MARGIN_SECONDS - now
             }
         }
     }
 
-    pub(super) fn in_scope(&self, h: &InHand, engine: EngineId) -> bool {
-        let Idempotency::IdempotentByKey { scope, .. } = self.s.classes[h.b.class].idempotency
+    fn in_endpoint_subset(&self, subset: Option<u32>, engine: EngineId) -> bool {
+        let Some(subset) = subset else {
+            return true;
+        };
+        self.priority_levels(subset)
+            .iter()
+            .any(|level| level.contains(engine))
+    }
+
+    /// Whether the engine would recognise a repeat of the first attempt that may have run.
+    fn in_deduplication_scope(&self, state: &QueryState, engine: EngineId) -> bool {
+        let class = &self.settings.classes[state.query.class];
+        let (Idempotency::IdempotentByKey { scope, .. }, Some(first)) =
+            (class.idempotency, state.may_have_run)
         else {
             return true;
         };
-        let cell = u32::from(scope == DeduplicationScope::Cell);
-        let place = |e: EngineId| self.engines[e].line.map(|l| (l.zone, l.cell * cell));
-        h.may_have_run.is_none_or(|first| {
-            scope == DeduplicationScope::Everywhere || place(first.engine) == place(engine)
-        })
+        let location = |engine: EngineId| self.engines[engine].endpoint.map(|e| (e.zone, e.cell));
+        let zone = |engine: EngineId| location(engine).map(|(zone, _)| zone);
+        match scope {
+            DeduplicationScope::Everywhere => true,
+            DeduplicationScope::Zone => zone(first.engine) == zone(engine),
+            DeduplicationScope::Cell => location(first.engine) == location(engine),
+        }
     }
 }
+
+/// Whether the deadline is far enough off for an attempt to begin.
+fn has_time_left(now: f64, state: &QueryState) -> bool {
+    now < state.deadline - DEADLINE_MARGIN_SECONDS
+}
--- /dev/null
+++ b/src/controller/endpoint_list.rs
@@ -0,0 +1,141 @@
+//! The endpoint list as the module knows it: which engines are ready, their capacity, and the endpoint subsets that
+//! queries may be confined to.
+
+use super::slow_start::{gateways_of, WorkBudget};
+use super::{AdmissionController, EngineState};
+use crate::api::{Endpoint, EndpointState, EngineId, EngineSet};
+use std::collections::BTreeSet;
+
+/// Cores of an engine whose kind the settings do not know.
+const CORES_OF_UNKNOWN_KIND: f64 = 1.0;
+
+/// Sums over engines that are ready.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct PoolCapacity {
+    pub(crate) cores: f64,
+    /// Megabytes, of the engines whose memory is known.
+    pub(crate) memory: f64,
+    /// Gateways that do not work with an engine, times its cores.
+    absent_gateway_cores: f64,
+}
+
+impl PoolCapacity {
+    fn add(&mut self, engine: &EngineState, all_gateways: f64) {
+        self.cores += engine.cores;
+        self.memory += engine.memory.unwrap_or(0.0);
+        self.absent_gateway_cores += (all_gateways - engine.gateways) * engine.cores;
+    }
+
+    /// Gateways that work with one of the engines, in the mean over cores.
+    pub(crate) fn gateways(&self, all_gateways: f64) -> f64 {
+        if self.absent_gateway_cores > 0.0 {
+            all_gateways - self.absent_gateway_cores / self.cores
+        } else {
+            all_gateways
+        }
+    }
+}
+
+impl AdmissionController {
+    /// Takes in endpoints that are new or have changed. With `is_complete` the list names all there are, and engines
+    /// that it does not name are removed.
+    pub fn update_endpoints(&mut self, endpoints: &[Endpoint], is_complete: bool) {
+        if is_complete {
+            self.remove_unlisted(endpoints);
+        }
+        for endpoint in endpoints {
+            self.update_endpoint(endpoint);
+        }
+        self.recount_capacity();
+    }
+
+    /// The endpoint list could not be had: it is subscribed to again where it comes to subscribers only.
+    pub fn endpoint_list_failed(&mut self) {
+        self.subscription_due = self.settings.subscription_required;
+    }
+
+    /// Sets the engines of an endpoint subset by priority level, or removes the subset. It narrows what the rules allow:
+    /// an engine of a later level is used only where no earlier one has any that may be.
+    pub fn update_endpoint_subset(&mut self, subset: u32, levels: Option<Vec<EngineSet>>) {
+        match levels {
+            Some(levels) => {
+                self.endpoint_subsets.insert(subset, levels);
+            }
+            None => {
+                self.endpoint_subsets.remove(&subset);
+            }
+        }
+    }
+
+    /// The engines of an endpoint subset by priority level; none of one that is not known.
+    pub(super) fn priority_levels(&self, subset: u32) -> &[EngineSet] {
+        self.endpoint_subsets
+            .get(&subset)
+            .map_or(&[], Vec::as_slice)
+    }
+
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<EngineId> = endpoints.iter().map(|endpoint| endpoint.engine).collect();
+        for (id, engine) in self.engines.iter_mut().enumerate() {
+            if let Some(endpoint) = engine.endpoint.as_mut().filter(|_| !listed.contains(&id)) {
+                endpoint.state = EndpointState::Removed;
+            }
+        }
+        self.ready.retain(|id| listed.contains(id));
+    }
+
+    fn update_endpoint(&mut self, endpoint: &Endpoint) {
+        let size = |sizes: &[Option<f64>]| sizes.get(endpoint.kind).copied().flatten();
+        let cores = size(&self.settings.kind_cores).unwrap_or(CORES_OF_UNKNOWN_KIND);
+        let memory = size(&self.settings.kind_memory);
+        let known_engines = self.engines.len().max(endpoint.engine + 1);
+        self.engines
+            .resize_with(known_engines, || EngineState::new(cores, memory));
+        let engine = &mut self.engines[endpoint.engine];
+        if is_new_process(engine.endpoint.as_ref(), endpoint) {
+            engine.reset_for_new_process();
+            engine.work_budget = WorkBudget::starting_at(self.last_event_at, self.last_admitted);
+            engine.jitter = self.rng.uniform();
+        }
+        engine.cores = cores;
+        engine.memory = memory;
+        engine.endpoint = Some(*endpoint);
+        engine.gateways = gateways_of(endpoint, self.settings.gateways);
+        self.update_ready(endpoint.engine);
+    }
+
+    /// Keeps the list of ready engines, which is ordered by index.
+    fn update_ready(&mut self, id: EngineId) {
+        match (self.engines[id].is_ready(), self.ready.binary_search(&id)) {
+            (true, Err(position)) => self.ready.insert(position, id),
+            (false, Ok(position)) => {
+                self.ready.remove(position);
+            }
+            (true, Ok(_)) | (false, Err(_)) => {}
+        }
+    }
+
+    /// Sums up the ready engines, always by index, so that the sums depend on the list alone and not on its history.
+    fn recount_capacity(&mut self) {
+        let all_gateways = self.settings.gateways;
+        self.pool_capacity = PoolCapacity::default();
+        for kind in self.kinds.values_mut() {
+            kind.ready = PoolCapacity::default();
+        }
+        for engine in self.ready.iter().map(|id| &self.engines[*id]) {
+            self.pool_capacity.add(engine, all_gateways);
+            let kind = self.kinds.entry(engine.kind()).or_default();
+            kind.ready.add(engine, all_gateways);
+        }
+    }
+}
+
+/// Whether an endpoint is another process than the one known there: it started at another time, or, where no start is
+/// known, has come back after it was removed.
+fn is_new_process(known: Option<&Endpoint>, endpoint: &Endpoint) -> bool {
+    let Some(known) = known else {
+        return true;
+    };
+    let came_back = known.state == EndpointState::Removed && endpoint.started_at.is_none();
+    known.started_at != endpoint.started_at || came_back
+}
--- /dev/null
+++ b/src/controller/engine_choice.rs
@@ -0,0 +1,277 @@
+//! Which engine a query's attempt goes to: the one with the fewest of our threads a core, of those that would begin it
+//! at once; where there is none, the least loaded of all, by chance.
+
+use super::engine_state::EngineState;
+use super::load::engine_load;
+use super::outlier_ejection::is_available;
+use super::query_state::{QueryPhase, QueryState};
+use super::sampling::sample;
+use super::start_probability::start_probability;
+use super::{AdmissionController, WORK_DECAY_SECONDS};
+use crate::api::{EngineId, Placement, Query, QueryId};
+
+/// Engines that a choice looks at in a list of over twice as many.
+const SAMPLE_SIZE: usize = 256;
+/// Candidates of a sample below which the whole list is looked through.
+const MIN_SAMPLED_CANDIDATES: usize = 32;
+/// Seconds until a query that did not begin draws again, drawn evenly between these.
+const MIN_REDRAW_DELAY_SECONDS: f64 = 0.02;
+pub(super) const MAX_REDRAW_DELAY_SECONDS: f64 = 0.06;
+/// Random part of an engine's load in a choice, in units of the load limit: gateways that know the same must not all
+/// choose the same.
+const LOAD_JITTER: f64 = 0.3;
+
+/// An engine that a query may go to.
+pub(crate) struct Candidate {
+    pub(crate) engine: EngineId,
+    kind: usize,
+    /// Cores that it can use now.
+    pub(crate) effective_cores: f64,
+    /// Our threads for each of these; `None` of an engine that was not contacted yet.
+    threads_per_core: Option<f64>,
+}
+
+impl Candidate {
+    fn new(id: EngineId, engine: &EngineState, effective_cores: f64) -> Self {
+        let threads_per_core = engine.in_flight.threads / effective_cores;
+        Candidate {
+            engine: id,
+            kind: engine.kind(),
+            effective_cores,
+            threads_per_core: engine.contacted.then_some(threads_per_core),
+        }
+    }
+}
+
+/// The engines that a query may go to now.
+struct Candidates {
+    engines: Vec<Candidate>,
+    /// The share of the ready engines that was looked at.
+    sampled_share: f64,
+}
+
+/// What is alike for all candidates of a kind.
+struct KindSummary {
+    kind: usize,
+    /// Sum over the engines of the kind that are open to the query.
+    effective_cores: f64,
+    /// Load at which engines of the kind run, in units of the load limit.
+    load: f64,
+    /// Our recent work for each of these cores.
+    work_per_core: f64,
+}
+
+/// What candidates are compared by, the most important first; the lowest is chosen.
+#[derive(PartialEq, PartialOrd)]
+struct Rank {
+    /// It would not begin the query at once.
+    is_full: bool,
+    /// Our threads a core, with the engine's failure rate on top.
+    threads_per_core: f64,
+    kind_work_per_core: f64,
+    load_with_jitter: f64,
+}
+
+/// The best candidate.
+struct Choice {
+    rank: Rank,
+    engine: EngineId,
+    kind: usize,
+    /// Its load with the query, in units of the load limit.
+    load: f64,
+}
+
+impl AdmissionController {
+    /// What happens to a query now. To be called for each [`crate::api::NextAction::Place`].
+    pub fn place(&mut self, now: f64, id: QueryId) -> Placement {
+        self.observe_time(now);
+        let Some(state) = self.queries.get(&id) else {
+            return Placement::Wait;
+        };
+        match state.phase {
+            QueryPhase::Queued if !self.is_hopeless(now, state) => match self.choose(now, id) {
+                Some(engine) => self.begin_attempt(now, id, engine),
+                None => self.redraw_later(now, id),
+            },
+            QueryPhase::Queued | QueryPhase::Abandoned => {
+                Placement::Answer(self.final_answer(now, id))
+            }
+            QueryPhase::WaitingForKey | QueryPhase::InFlight | QueryPhase::Finished => {
+                Placement::Wait
+            }
+        }
+    }
+
+    fn redraw_later(&mut self, now: f64, id: QueryId) -> Placement {
+        let spread = MAX_REDRAW_DELAY_SECONDS - MIN_REDRAW_DELAY_SECONDS;
+        let at = now + MIN_REDRAW_DELAY_SECONDS + self.rng.uniform() * spread;
+        self.hold_head(id, at);
+        Placement::Wait
+    }
+
+    /// The engine at which an attempt of the query begins now, if any.
+    fn choose(&mut self, now: f64, id: QueryId) -> Option<EngineId> {
+        let candidates = self.candidates(now, id);
+        let query = self.queries[&id].query;
+        let kinds = self.summarize_kinds(now, &candidates);
+        let locked = self.engines_with_locked_data(&query);
+        let choice = self.best_candidate(now, &query, &candidates, &kinds, &locked)?;
+        // Where data is locked the query would stand still, which costs capacity.
+        if locked.contains(&choice.engine) && self.spare_capacity() < 0.0 {
+            return None;
+        }
+        let kind_cores = kind_of(&kinds, choice.kind).effective_cores;
+        let kind_share_load = self.kind_share_load(now, choice.kind, kind_cores, &query);
+        let load = choice.load.max(kind_share_load);
+        let begins = load < 1.0 || self.rng.uniform() < self.start_chance(now, &query, load);
+        begins.then_some(choice.engine)
+    }
+
+    fn start_chance(&self, now: f64, query: &Query, load: f64) -> f64 {
+        let usual_work = self.usual_work.mean(now, WORK_DECAY_SECONDS, 0.0);
+        start_probability(load, self.expected_work(query), usual_work)
+    }
+
+    fn best_candidate(
+        &mut self,
+        now: f64,
+        query: &Query,
+        candidates: &Candidates,
+        kinds: &[KindSummary],
+        locked: &[EngineId],
+    ) -> Option<Choice> {
+        let needed_memory = self.expected_memory(query);
+        let mean_threads_per_core = mean_threads_per_core(&candidates.engines);
+        let mut best: Option<Choice> = None;
+        for candidate in &candidates.engines {
+            let engine = &self.engines[candidate.engine];
+            let kind = kind_of(kinds, candidate.kind);
+            let engine_load = engine_load(now, kind.load, engine);
+            let load =
+                self.load_with_query(query, needed_memory, candidate, engine_load, kind.load);
+            let threads_per_core = candidate.threads_per_core.unwrap_or(mean_threads_per_core);
+            let rank = Rank {
+                is_full: locked.contains(&candidate.engine) || load >= 1.0,
+                threads_per_core: threads_per_core + engine.health.failure_rate(now),
+                kind_work_per_core: kind.work_per_core,
+                load_with_jitter: engine_load + LOAD_JITTER * self.rng.uniform(),
+            };
+            if best.as_ref().is_none_or(|best| rank < best.rank) {
+                best = Some(Choice {
+                    rank,
+                    engine: candidate.engine,
+                    kind: candidate.kind,
+                    load,
+                });
+            }
+        }
+        best
+    }
+
+    /// The engines that a query may go to now, by index; of a long list those of a random sample.
+    fn candidates(&mut self, now: f64, id: QueryId) -> Candidates {
+        let state = &self.queries[&id];
+        if !self.may_begin_attempt(now, state) {
+            return Candidates {
+                engines: Vec::new(),
+                sampled_share: 1.0,
+            };
+        }
+        let is_long_list = self.ready.len() > 2 * SAMPLE_SIZE;
+        if is_long_list && state.query.endpoint_subset.is_none() {
+            let sample = sample(&mut self.rng, &self.ready, SAMPLE_SIZE);
+            let engines = self.eligible_of(now, id, &sample);
+            if engines.len() >= MIN_SAMPLED_CANDIDATES {
+                return Candidates {
+                    engines,
+                    sampled_share: SAMPLE_SIZE as f64 / self.ready.len() as f64,
+                };
+            }
+        }
+        Candidates {
+            engines: self.eligible_of(now, id, &self.ready),
+            sampled_share: 1.0,
+        }
+    }
+
+    /// Of some engines those that a query may go to now; in an endpoint subset those of the first priority level that
+    /// has any.
+    fn eligible_of(&self, now: f64, id: QueryId, engines: &[EngineId]) -> Vec<Candidate> {
+        let state = &self.queries[&id];
+        let work = self.expected_work(&state.query);
+        let eligible = |id: &EngineId| self.eligible_candidate(now, state, work, *id);
+        let mut found = Vec::with_capacity(engines.len());
+        let Some(subset) = state.query.endpoint_subset else {
+            found.extend(engines.iter().filter_map(eligible));
+            return found;
+        };
+        for level in self.priority_levels(subset) {
+            let in_level = engines.iter().filter(|id| level.contains(**id));
+            found.extend(in_level.filter_map(eligible));
+            if !found.is_empty() {
+                break;
+            }
+        }
+        found
+    }
+
+    fn eligible_candidate(
+        &self,
+        now: f64,
+        state: &QueryState,
+        work: f64,
+        id: EngineId,
+    ) -> Option<Candidate> {
+        let engine = &self.engines[id];
+        if !is_available(engine, now) {
+            return None;
+        }
+        let candidate = Candidate::new(id, engine, self.effective_cores(now, engine));
+        self.engine_eligible(now, state, work, &candidate)
+            .then_some(candidate)
+    }
+
+    /// What is alike for the candidates of each kind, by kind.
+    fn summarize_kinds(&self, now: f64, candidates: &Candidates) -> Vec<KindSummary> {
+        let mut kinds: Vec<KindSummary> = Vec::new();
+        for candidate in &candidates.engines {
+            let cores = candidate.effective_cores / candidates.sampled_share;
+            match kinds.binary_search_by_key(&candidate.kind, |summary| summary.kind) {
+                Ok(position) => kinds[position].effective_cores += cores,
+                Err(position) => kinds.insert(
+                    position,
+                    KindSummary {
+                        kind: candidate.kind,
+                        effective_cores: cores,
+                        load: 0.0,
+                        work_per_core: 0.0,
+                    },
+                ),
+            }
+        }
+        for summary in &mut kinds {
+            let state = self.kinds.get(&summary.kind);
+            let work = state.map_or(0.0, |kind| kind.work_sent.sum(now, WORK_DECAY_SECONDS));
+            summary.load = self.kind_load(now, summary.kind);
+            summary.work_per_core = work / summary.effective_cores;
+        }
+        kinds
+    }
+}
+
+/// The summary of a candidate's kind, which is there for each.
+fn kind_of(kinds: &[KindSummary], kind: usize) -> &KindSummary {
+    let position = kinds.partition_point(|summary| summary.kind < kind);
+    &kinds[position]
+}
+
+/// Our threads a core in the mean over the engines that were contacted.
+fn mean_threads_per_core(candidates: &[Candidate]) -> f64 {
+    let mut count = 0;
+    let mut sum = 0.0;
+    for threads_per_core in candidates.iter().filter_map(|c| c.threads_per_core) {
+        count += 1;
+        sum += threads_per_core;
+    }
+    sum / f64::from(count.max(1))
+}
--- a/src/controller/load.rs
+++ b/src/controller/load.rs
@@ -1,146 +1,238 @@
-//! What reports and answers tell of the load of engines and of whole kinds, and our slice of a kind.
+//! The load of engines and of whole kinds, as load reports and answers show it, and this gateway's share of a kind.
+//!
+//! Loads are in units of the load limit: at 1 an engine runs [`LOAD_LIMIT_THREADS_PER_CORE`] threads a core.
 
-use super::{FAIL_LIFE, LEAST, OVERDUE};
-use crate::api::{EngineId, LoadReport, Query};
-use crate::state::{AdmissionController, Candidate, Engine, Level};
+use super::engine_choice::Candidate;
+use super::engine_state::EngineState;
+use super::{AdmissionController, MIN_DIVISOR};
+use crate::api::{AttemptOutcome, EngineId, LoadReport, Query};
 
-const MARK: f64 = 1.5; // threads a core that an engine is filled to; the design's figure
-const MEMORY_MARK: f64 = 0.7; // share of memory that stands for the mark; gateways are uneven, needs guesses
-const UNEVEN: f64 = 1.2; // slices of memory a gateway may fill while nothing is pressed; gateways are uneven
-const BUSY_AT_MARK: f64 = 0.9; // share of cores busy that stands for the mark; threads also read and write
-const HEARD_LIFE: f64 = 2.0; // seconds in which what was heard of a kind fades; a jam comes that fast
-const IDLE_GUESS: f64 = 0.5; // weight of the guess that a kind is idle; half a thing heard just now
-const FLOODED: f64 = 2.0; // marks of our own threads that are pressure alone; cores idle while disks are full
-const USED_UP: f64 = 0.95; // share of disks busy at the mark; reports are noisy
-const WAITING_BUSY: f64 = 0.1; // batches a core waiting for memory at the mark; any line is a bad sign
+/// Threads a core that an engine is filled to.
+const LOAD_LIMIT_THREADS_PER_CORE: f64 = 1.5;
+/// Fraction of memory in use that stands for the load limit.
+const MEMORY_FRACTION_AT_LOAD_LIMIT: f64 = 0.7;
+/// Fraction of busy cores that stands for the load limit; threads also read and write.
+const CPU_FRACTION_AT_LOAD_LIMIT: f64 = 0.9;
+/// Fraction of busy disks that stands for the load limit.
+const DISK_FRACTION_AT_LOAD_LIMIT: f64 = 0.95;
+/// Queries a core waiting for memory that stand for the load limit.
+const MEMORY_WAITERS_PER_CORE_AT_LOAD_LIMIT: f64 = 0.1;
+/// Load that queries waiting for memory count as at most.
+const MAX_LOAD_BY_MEMORY_WAITERS: f64 = 2.0;
+/// Latency over bare work that stands for the load limit; threads share cores and wait for disks.
+pub(super) const SLOWDOWN_AT_LOAD_LIMIT: f64 = 2.0;
+/// Load that one answer, rejection or overdue attempt counts as at most.
+pub(super) const MAX_OBSERVED_LOAD: f64 = 2.0;
+/// Times the gateway's share of a kind's memory that it may fill while the kind is not under pressure.
+const MEMORY_SHARE_TOLERANCE: f64 = 1.2;
+/// Load by our own threads that counts whatever is reported: cores are idle while all wait for disks.
+const OWN_THREADS_PRESSURE: f64 = 2.0;
+/// Seconds in which the observed load of a kind decays.
+const KIND_LOAD_DECAY_SECONDS: f64 = 2.0;
+/// Seconds in which the observed load and the failure rate of an engine decay; answers from one engine are rare.
+pub(super) const HEALTH_DECAY_SECONDS: f64 = 8.0;
+/// Weight of the assumption that a kind is idle, in observations just made.
+const IDLE_WEIGHT: f64 = 0.5;
+
+/// The load of an engine as observed last.
+#[derive(Default)]
+pub(crate) struct ObservedLoad {
+    /// In units of the load limit.
+    load: f64,
+    observed_at: f64,
+    reported_at: f64,
+    /// This gateway's threads in flight at the last report; those begun since are added to the load.
+    threads_at_report: f64,
+}
+
+/// Thread-seconds and seconds that this gateway's attempts were in flight, for their mean number of threads.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct InFlightTime {
+    pub(crate) thread_seconds: f64,
+    pub(crate) seconds: f64,
+}
 
 impl AdmissionController {
+    /// Takes in an engine's load report. To be called for each report, before the outcome that came with it.
     pub fn load_reported(&mut self, now: f64, engine: EngineId, report: LoadReport) {
-        let Some(e) = self.engines.get_mut(engine) else {
+        let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
-        (e.heard, e.threads_then) = (true, e.threads);
-        let waiting = report
-            .waiting_for_memory
-            .map_or(0.0, |w| w / (WAITING_BUSY * e.cores));
-        let disks = report.disk_utilisation.map_or(0.0, |share| share / USED_UP);
-        let (thread_seconds, seconds) = self.ran;
-        let threads = report
-            .in_flight
-            .map_or(0.0, |n| n * thread_seconds / seconds.max(LEAST));
-        self.tells_cores = report.cpu_utilisation.is_some();
-        let cores = report.cpu_utilisation.map_or(0.0, |u| u / BUSY_AT_MARK);
-        let marks = cores
-            .max(disks)
-            .max(waiting.min(2.0))
-            .max(threads / (e.cores * MARK));
-        self.kinds
-            .entry(e.kind())
-            .or_default()
-            .told
-            .add(now, HEARD_LIFE, marks);
-        let pool = self.pool(now, self.engines[engine].kind());
-        let e = &mut self.engines[engine];
-        let level = level(now, pool, e);
-        (e.level, e.level_at, e.told_at) = (marks.max((marks + level) / 2.0), now, now);
+        state.contacted = true;
+        state.load.threads_at_report = state.in_flight.threads;
+        self.cpu_reported = report.cpu_utilisation.is_some();
+        let reported_load = self.reported_load(engine, &report);
+        let kind = self.engines[engine].kind();
+        self.kinds.entry(kind).or_default().reported_load.add(
+            now,
+            KIND_LOAD_DECAY_SECONDS,
+            reported_load,
+        );
+        let kind_load = self.kind_load(now, kind);
+        let engine_load = engine_load(now, kind_load, &self.engines[engine]);
+        let observed = &mut self.engines[engine].load;
+        // A report of less load counts half: an engine whose queries stand still looks idle.
+        observed.load = reported_load.max((reported_load + engine_load) / 2.0);
+        observed.observed_at = now;
+        observed.reported_at = now;
+    }
+
+    /// The highest of the loads that a report shows: cores, disks, queries waiting for memory, queries in flight.
+    fn reported_load(&self, engine: EngineId, report: &LoadReport) -> f64 {
+        let cores = self.engines[engine].cores;
+        let by_memory_waiters = report.waiting_for_memory.map_or(0.0, |waiting| {
+            waiting / (MEMORY_WAITERS_PER_CORE_AT_LOAD_LIMIT * cores)
+        });
+        let by_disks = report
+            .disk_utilisation
+            .map_or(0.0, |fraction| fraction / DISK_FRACTION_AT_LOAD_LIMIT);
+        let by_cores = report
+            .cpu_utilisation
+            .map_or(0.0, |fraction| fraction / CPU_FRACTION_AT_LOAD_LIMIT);
+        let InFlightTime {
+            thread_seconds,
+            seconds,
+        } = self.in_flight_time;
+        let threads = report.in_flight.map_or(0.0, |queries| {
+            queries * thread_seconds / seconds.max(MIN_DIVISOR)
+        });
+        by_cores
+            .max(by_disks)
+            .max(by_memory_waiters.min(MAX_LOAD_BY_MEMORY_WAITERS))
+            .max(threads / (cores * LOAD_LIMIT_THREADS_PER_CORE))
+    }
+
+    /// Counts how long an attempt was in flight.
+    pub(super) fn count_in_flight_time(&mut self, query: &Query, outcome: &AttemptOutcome) {
+        let threads = self.settings.classes[query.class].threads;
+        self.in_flight_time.thread_seconds += outcome.latency * threads;
+        self.in_flight_time.seconds += outcome.latency;
     }
 
-    /// Takes an answer's word on load; while a report is fresh it ranks the engine but does not close it.
-    /// Guards against engines that look idle because all that they hold stands still.
-    pub(super) fn feel(&mut self, now: f64, engine: EngineId, marks: f64) {
+    /// Takes in a load that the way an attempt ended, or does not end, shows. While a report is recent it can raise
+    /// the engine's load only to just under the limit: it ranks the engine and does not close it.
+    pub(super) fn infer_load(&mut self, now: f64, engine: EngineId, load: f64) {
         let kind = self.engines[engine].kind();
-        self.kinds
-            .entry(kind)
-            .or_default()
-            .felt
-            .add(now, HEARD_LIFE, marks);
-        let pool = self.pool(now, kind);
-        let e = &mut self.engines[engine];
-        let level = level(now, pool, e);
-        if marks > level {
-            let since = (e.threads - e.threads_then) / (e.cores * MARK);
-            let most = if now - e.told_at < HEARD_LIFE {
-                level.max(1.0 - LEAST)
-            } else {
-                OVERDUE
-            };
-            (e.level, e.level_at) = (((level + marks) / 2.0).min(most) - since, now);
+        let kind_state = self.kinds.entry(kind).or_default();
+        kind_state
+            .inferred_load
+            .add(now, KIND_LOAD_DECAY_SECONDS, load);
+        let kind_load = self.kind_load(now, kind);
+        let engine_load = engine_load(now, kind_load, &self.engines[engine]);
+        let raises_load = load > engine_load;
+        if !raises_load {
+            return;
         }
+        let state = &mut self.engines[engine];
+        let since_report = load_since_report(state);
+        let report_is_recent = now - state.load.reported_at < KIND_LOAD_DECAY_SECONDS;
+        let max_load = if report_is_recent {
+            engine_load.max(1.0 - MIN_DIVISOR)
+        } else {
+            MAX_OBSERVED_LOAD
+        };
+        state.load.load = ((engine_load + load) / 2.0).min(max_load) - since_report;
+        state.load.observed_at = now;
     }
 
-    /// Marks at which engines of a kind are held to run, by reports or by how slow answers are. Where no
-    /// utilisation is told, what reports tell counts under pressure only.
-    pub(super) fn pool(&self, now: f64, kind: usize) -> f64 {
-        let Some(k) = self.kinds.get(&kind) else {
+    /// The load at which engines of a kind run, by reports or by how slow answers are. Where no utilisation of
+    /// cores is reported, reports count under pressure only.
+    pub(super) fn kind_load(&self, now: f64, kind: usize) -> f64 {
+        let Some(kind_state) = self.kinds.get(&kind) else {
             return 0.0;
         };
-        let mean = |l: &Level| l.mean(now, HEARD_LIFE, IDLE_GUESS);
-        let (told, felt) = (mean(&k.told), mean(&k.felt));
-        let told = if felt >= 1.0 || self.tells_cores {
-            told
+        let inferred = kind_state
+            .inferred_load
+            .mean(now, KIND_LOAD_DECAY_SECONDS, IDLE_WEIGHT);
+        let reports_count = inferred >= 1.0 || self.cpu_reported;
+        let reported = if reports_count {
+            kind_state
+                .reported_load
+                .mean(now, KIND_LOAD_DECAY_SECONDS, IDLE_WEIGHT)
         } else {
             0.0
         };
-        told.max(felt)
+        reported.max(inferred)
     }
 
-    /// Our threads, under pressure, and memory in marks of our slice of a whole kind. Guards against many
-    /// gateways that each start little, together too much: a slice of one engine is less than a batch.
-    pub(super) fn shared(&self, now: f64, kind: usize, cores: f64, b: &Query) -> f64 {
-        let (pool, need, threads) = (
-            self.pool(now, kind),
-            self.need(b),
-            self.s.classes[b.class].threads,
-        );
-        let Some(k) = self.kinds.get(&kind) else {
+    /// How full this gateway's share of a whole kind is with the query: by memory, and under pressure by threads. Keeps
+    /// many gateways that each begin little from beginning too much together: a share of one engine is less than a
+    /// query. `effective_cores` is the sum over the engines of the kind that are open to the query.
+    pub(super) fn kind_share_load(
+        &self,
+        now: f64,
+        kind: usize,
+        effective_cores: f64,
+        query: &Query,
+    ) -> f64 {
+        let Some(kind_state) = self.kinds.get(&kind) else {
             return 0.0;
         };
-        let holders = k.ready.holders(self.s.gateways);
-        let by_threads = (k.threads + threads) / (cores * MARK / holders).max(threads);
-        let memory = k.ready.memory * cores / k.ready.cores.max(LEAST);
-        let slice = (memory * MEMORY_MARK / holders).max(need).max(LEAST);
-        let by_memory = if k.ready.memory > 0.0 {
-            (k.memory_used + need) / slice
+        let kind_load = self.kind_load(now, kind);
+        let needed_memory = self.expected_memory(query);
+        let threads = self.settings.classes[query.class].threads;
+        let gateways = kind_state.ready.gateways(self.settings.gateways);
+        let thread_share = effective_cores * LOAD_LIMIT_THREADS_PER_CORE / gateways;
+        let by_threads = (kind_state.threads_in_flight + threads) / thread_share.max(threads);
+        let memory =
+            kind_state.ready.memory * effective_cores / kind_state.ready.cores.max(MIN_DIVISOR);
+        let memory_share = (memory * MEMORY_FRACTION_AT_LOAD_LIMIT / gateways)
+            .max(needed_memory)
+            .max(MIN_DIVISOR);
+        let by_memory = if kind_state.ready.memory > 0.0 {
+            (kind_state.memory_in_flight + needed_memory) / memory_share
         } else {
             0.0
         };
-        if pool < 1.0 {
-            by_memory / UNEVEN
+        if kind_load < 1.0 {
+            by_memory / MEMORY_SHARE_TOLERANCE
         } else {
-            (pool + by_threads.max(by_memory)) / 2.0
+            (kind_load + by_threads.max(by_memory)) / 2.0
         }
     }
 
-    /// How full an engine is with this batch, in marks: by its reported utilisation or our threads against
-    /// our slice, and by the memory of ours, which guards against spilling and paging.
-    pub(super) fn marks(&self, b: &Query, need: f64, c: &Candidate, level: f64, pool: f64) -> f64 {
-        let (e, threads) = (&self.engines[c.engine], self.s.classes[b.class].threads);
-        let ours = (e.threads + threads) / (c.able_cores * MARK / e.holders).max(threads);
-        let told = if !self.tells_cores && pool < 1.0 {
+    /// How full an engine is with the query: by its observed load or our threads against our share, and by our memory
+    /// there, which keeps it from spilling and paging.
+    pub(super) fn load_with_query(
+        &self,
+        query: &Query,
+        needed_memory: f64,
+        candidate: &Candidate,
+        engine_load: f64,
+        kind_load: f64,
+    ) -> f64 {
+        let engine = &self.engines[candidate.engine];
+        let threads = self.settings.classes[query.class].threads;
+        let thread_share =
+            candidate.effective_cores * LOAD_LIMIT_THREADS_PER_CORE / engine.gateways;
+        let by_own_threads = (engine.in_flight.threads + threads) / thread_share.max(threads);
+        let observed = if !self.cpu_reported && kind_load < 1.0 {
             0.0
         } else {
-            level
+            engine_load
         };
-        let by_threads = if told < 1.0 && ours <= FLOODED {
-            told
+        let by_threads = if observed < 1.0 && by_own_threads <= OWN_THREADS_PRESSURE {
+            observed
         } else {
-            told.max(ours)
+            observed.max(by_own_threads)
         };
-        let room = |m: f64| (m * MEMORY_MARK / e.holders).max(need);
-        let by_memory = e.memory.map_or(0.0, |m| (e.memory_used + need) / room(m));
+        let by_memory = engine.memory.map_or(0.0, |memory| {
+            let share = memory * MEMORY_FRACTION_AT_LOAD_LIMIT / engine.gateways;
+            (engine.in_flight.memory + needed_memory) / share.max(needed_memory)
+        });
         by_threads.max(by_memory)
     }
 }
 
-/// Marks at which an engine is held to run: as heard, fading to the mean of its kind.
-pub(super) fn level(now: f64, pool: f64, e: &Engine) -> f64 {
-    let since = (e.threads - e.threads_then) / (e.cores * MARK);
-    pool + (e.level + since - pool) * (-(now - e.level_at).max(0.0) / FAIL_LIFE).exp()
+/// The load at which an engine is assumed to run: as observed last, decaying to the load of its kind.
+pub(super) fn engine_load(now: f64, kind_load: f64, engine: &EngineState) -> f64 {
+    let elapsed = (now - engine.load.observed_at).max(0.0);
+    let above_kind = engine.load.load + load_since_report(engine) - kind_load;
+    kind_load + above_kind * (-elapsed / HEALTH_DECAY_SECONDS).exp()
 }
 
-/// Our threads a core in the mean over the engines that have told something.
-pub(super) fn average_load(candidates: &[Candidate]) -> f64 {
-    let loads = candidates.iter().filter_map(|c| c.load);
-    let (count, sum) = loads.fold((0, 0.0), |(count, sum), load| (count + 1, sum + load));
-    sum / f64::from(count.max(1))
+/// Load of the threads that this gateway has begun there since the last report, less those that ended.
+fn load_since_report(engine: &EngineState) -> f64 {
+    let threads = engine.in_flight.threads - engine.load.threads_at_report;
+    threads / (engine.cores * LOAD_LIMIT_THREADS_PER_CORE)
 }
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -1,110 +1,184 @@
-//! Waiting batches for which there is no time or no room are given up, least utility for the work first.
+//! Load shedding: of the queries that wait, those are given up for which there is no time or no capacity, the least
+//! valuable for their work first. Their clients are answered at once.
 
-use super::outlier_ejection::fit;
-use super::{LEAST, YIELD};
+use super::key_order::KeyQueue;
+use super::outlier_ejection::is_available;
+use super::query_state::{QueryPhase, QueryState};
+use super::{AdmissionController, MIN_DIVISOR, SUSTAINABLE_UTILISATION};
 use crate::api::{Query, QueryId};
-use crate::state::{AdmissionController, InHand, KeyLine, Stage};
 
-const SLACK_USE: f64 = 0.4; // part of the time to a goal that work ahead may take; both are guesses
-const MOST: f64 = 0.9; // part of goal and limit a service needs at most; no group may shut itself out
-const UNSURE: f64 = 1.5; // times the usual service, for goals; divided by it, for limits; most are short
-const ROOMY: f64 = 0.5; // part of our room from which waiting is a price; the rest is for bursts
-const LATE_SLACK: f64 = 0.2; // seconds left to a batch past its goal; better work goes first
+/// Part of the time until it has to begin that the work ahead of a query may take; both are estimates.
+const MAX_WAIT_FRACTION: f64 = 0.4;
+/// Part of its objective and deadline that a query is assumed to need at most; no class may shut itself out.
+const MAX_SERVICE_FRACTION: f64 = 0.9;
+/// Factor by which the usual work of a class may miss a query's own: the mean lies above most queries.
+const UNCERTAINTY_WITHOUT_ESTIMATE: f64 = 1.5;
+/// Part of the gateway's capacity that waiting queries may fill; the rest is for bursts.
+const WAITING_CAPACITY_FRACTION: f64 = 0.5;
+/// Seconds that a query past its objective may wait for more valuable ones.
+const LATE_QUERY_SLACK_SECONDS: f64 = 0.2;
+
+/// What can still be expected of a query that waits.
+struct Prospect {
+    /// Value of its answer for each second of work.
+    value_density: f64,
+    /// Seconds that work ahead of it may take; below 0 it is too late for it.
+    max_wait: f64,
+}
+
+/// A query that waits, with what shedding compares.
+struct WaitingQuery {
+    id: QueryId,
+    prospect: Prospect,
+    /// Expected work in seconds on one thread.
+    work: f64,
+    latency_objective: f64,
+}
 
 impl AdmissionController {
-    /// Utility for the work, and how long the batch can still wait for it.
-    pub(super) fn prospect(&self, now: f64, h: &InHand) -> (f64, f64) {
-        let c = &self.s.classes[h.b.class];
-        let (alone, service) = (self.work(&h.b) / c.threads, self.service(&h.b));
-        let (goal, unsure) = (
-            c.latency_objective + c.latency_objective_stretch * alone,
-            unsure(&h.b),
-        );
-        let in_goal = h.taken + goal - (unsure * service).min(goal * MOST) - now;
-        let (earns, slack) = if in_goal >= 0.0 {
-            (1.0, in_goal)
+    fn prospect(&self, now: f64, state: &QueryState) -> Prospect {
+        let class = &self.settings.classes[state.query.class];
+        let bare_service = self.expected_work(&state.query) / class.threads;
+        let service = self.expected_service(&state.query);
+        let uncertainty = estimate_uncertainty(&state.query);
+        let objective = class.latency_objective + class.latency_objective_stretch * bare_service;
+        let service_in_objective = (uncertainty * service).min(objective * MAX_SERVICE_FRACTION);
+        let until_objective = state.admitted_at + objective - service_in_objective - now;
+        let until_deadline = state.deadline - service / uncertainty - now;
+        let is_late = until_objective < 0.0;
+        let value_share = if is_late { class.late_value_share } else { 1.0 };
+        let slack = if is_late {
+            LATE_QUERY_SLACK_SECONDS
         } else {
-            (c.late_value_share, LATE_SLACK)
+            until_objective
         };
-        let wait = slack.min(h.limit - service / unsure - now) * SLACK_USE;
-        (
-            c.priority_weight * earns / (alone * c.threads).max(LEAST),
-            wait,
-        )
+        Prospect {
+            value_density: class.priority_weight * value_share
+                / (bare_service * class.threads).max(MIN_DIVISOR),
+            max_wait: slack.min(until_deadline) * MAX_WAIT_FRACTION,
+        }
     }
 
-    /// How long a batch is likely to be out.
-    pub(super) fn service(&self, b: &Query) -> f64 {
-        let (c, l) = (&self.s.classes[b.class], &self.learned[b.class]);
-        // A first guess, from a limit that may be hours, shuts out no batch: only answers make a better one.
-        let most = if l.answers == 0 {
-            c.deadline.min(b.remaining_time)
+    /// Seconds that an attempt of the query is likely to be in flight.
+    fn expected_service(&self, query: &Query) -> f64 {
+        let class = &self.settings.classes[query.class];
+        let statistics = &self.class_statistics[query.class];
+        // The first guess comes from a deadline that may be hours: it must shut out no query.
+        let longest = if statistics.answers == 0 {
+            class.deadline.min(query.remaining_time)
         } else {
-            c.deadline
+            class.deadline
         };
-        (self.work(b) / c.threads * l.slowdown).min(most * MOST)
+        let service = self.expected_work(query) / class.threads * statistics.slowdown;
+        service.min(longest * MAX_SERVICE_FRACTION)
     }
 
-    /// No answer that earns anything can come in time, or the rules now forbid the dispatch it waits for.
-    pub(super) fn hopeless(&self, now: f64, h: &InHand) -> bool {
-        let (density, wait) = self.prospect(now, h);
-        density <= 0.0 || wait < 0.0 || (h.dispatches > 0 && !self.may_go_again(now, h))
+    /// Whether no answer of any value can come in time, or the rules now forbid the retry that the query waits for.
+    pub(super) fn is_hopeless(&self, now: f64, state: &QueryState) -> bool {
+        let prospect = self.prospect(now, state);
+        prospect.value_density <= 0.0
+            || prospect.max_wait < 0.0
+            || (state.attempts > 0 && !self.may_retry(now, state))
     }
 
-    /// Batches of a key for which those ahead leave no time. Guards against a hot key, which no engine helps.
-    pub(super) fn behind(&self, now: f64, line: &KeyLine, late: &mut Vec<QueryId>) {
-        let mut ends = now;
-        for id in &line.line {
-            let h = &self.batches[id];
-            let end = ends + self.service(&h.b) / unsure(&h.b);
-            match h.stage {
-                Stage::Held if end > h.limit => late.push(*id),
-                Stage::Held | Stage::Queued => ends = end,
-                _ => {}
+    /// Gives up the queries that cannot be answered in time behind the more valuable ones that wait too.
+    pub(super) fn shed_load(&mut self, now: f64) {
+        self.shed_behind_keys(now);
+        let mut waiting = self.waiting_queries(now);
+        waiting.sort_by(|a, b| {
+            let density_of = |waiting: &WaitingQuery| waiting.prospect.value_density;
+            density_of(b).total_cmp(&density_of(a))
+        });
+        let work_rate = self.sustainable_work_rate(now);
+        let mut capacity = self.spare_capacity() + waiting.len() as f64;
+        let mut work_ahead = 0.0;
+        let mut shortest_wait = f64::INFINITY;
+        for WaitingQuery {
+            id,
+            prospect,
+            work,
+            latency_objective,
+        } in waiting
+        {
+            capacity -= 1.0;
+            let max_wait = prospect.max_wait.min(shortest_wait);
+            if prospect.value_density <= 0.0
+                || prospect.max_wait < 0.0
+                || capacity < 0.0
+                || work_ahead / work_rate > max_wait
+            {
+                self.give_up(id);
+                continue;
             }
+            work_ahead += work;
+            // Queues run by age, so a less valuable query that is kept may hold up this one.
+            shortest_wait = shortest_wait.min(latency_objective * MAX_WAIT_FRACTION);
         }
     }
 
-    /// Gives up what cannot be answered in time behind the better work that waits too. Guards against any
-    /// lack of capacity: jumps, floods, lost engines. Harm: estimates far too high shed what would fit.
-    pub(super) fn shed(&mut self, now: f64) {
-        let mut late = Vec::new();
-        self.keys
+    fn waiting_queries(&self, now: f64) -> Vec<WaitingQuery> {
+        let queued = self
+            .queries
             .values()
-            .for_each(|line| self.behind(now, line, &mut late));
-        late.into_iter().for_each(|id| self.give_up(id));
-        let ready = self.ready.iter().map(|e| &self.engines[*e]);
-        let cores: f64 = ready
-            .filter(|e| fit(e, now))
-            .map(|e| self.able_cores(now, e))
+            .filter(|state| state.phase == QueryPhase::Queued);
+        queued
+            .map(|state| WaitingQuery {
+                id: state.id(),
+                prospect: self.prospect(now, state),
+                work: self.expected_work(&state.query),
+                latency_objective: self.settings.classes[state.query.class].latency_objective,
+            })
+            .collect()
+    }
+
+    /// Work that the available engines do a second for this gateway.
+    fn sustainable_work_rate(&self, now: f64) -> f64 {
+        let ready = self.ready.iter().map(|id| &self.engines[*id]);
+        let available = ready.filter(|engine| is_available(engine, now));
+        let cores: f64 = available
+            .map(|engine| self.effective_cores(now, engine))
             .sum();
-        let rate = (cores * YIELD / self.capacity.holders(self.s.gateways)).max(LEAST);
-        let queued = self.batches.values().filter(|h| h.stage == Stage::Queued);
-        let mut waiting: Vec<_> = queued
-            .map(|h| (self.prospect(now, h), self.work(&h.b), h.b))
-            .collect();
-        waiting.sort_by(|a, b| b.0 .0.total_cmp(&a.0 .0));
-        let (mut ahead, mut tight, mut room) =
-            (0.0, f64::INFINITY, self.spare_room() + waiting.len() as f64);
-        for ((density, wait), work, b) in waiting {
-            room -= 1.0;
-            if density <= 0.0 || wait < 0.0 || room < 0.0 || ahead / rate > wait.min(tight) {
-                self.give_up(b.id);
-            } else {
-                ahead += work;
-                tight = tight.min(self.s.classes[b.class].latency_objective * SLACK_USE);
+        let gateways = self.pool_capacity.gateways(self.settings.gateways);
+        (cores * SUSTAINABLE_UTILISATION / gateways).max(MIN_DIVISOR)
+    }
+
+    /// Gives up the queries of each ordering key for which those ahead leave no time: no engine helps a hot key.
+    fn shed_behind_keys(&mut self, now: f64) {
+        let mut too_late = Vec::new();
+        for key_queue in self.key_queues.values() {
+            self.collect_too_late(now, key_queue, &mut too_late);
+        }
+        for id in too_late {
+            self.give_up(id);
+        }
+    }
+
+    fn collect_too_late(&self, now: f64, key_queue: &KeyQueue, too_late: &mut Vec<QueryId>) {
+        let mut expected_end = now;
+        for id in &key_queue.queries {
+            let state = &self.queries[id];
+            let query = &state.query;
+            let end = expected_end + self.expected_service(query) / estimate_uncertainty(query);
+            match state.phase {
+                QueryPhase::WaitingForKey if end > state.deadline => too_late.push(*id),
+                QueryPhase::WaitingForKey | QueryPhase::Queued => expected_end = end,
+                QueryPhase::Abandoned | QueryPhase::InFlight | QueryPhase::Finished => {}
             }
         }
     }
 
-    /// Batches that may still come before waiting is a price; room is what the gateway's connections allow.
-    pub(super) fn spare_room(&self) -> f64 {
-        self.s.capacity.map_or(f64::INFINITY, |room| {
-            room * ROOMY - self.batches.len() as f64
+    /// Queries that may still be admitted before waiting costs capacity; below 0 there are too many.
+    pub(super) fn spare_capacity(&self) -> f64 {
+        self.settings.capacity.map_or(f64::INFINITY, |capacity| {
+            capacity * WAITING_CAPACITY_FRACTION - self.queries.len() as f64
         })
     }
 }
 
-pub(super) fn unsure(b: &Query) -> f64 {
-    b.estimated_work.map_or(UNSURE, |_| 1.0)
+/// Factor by which a query's work may miss what is expected.
+pub(super) fn estimate_uncertainty(query: &Query) -> f64 {
+    match query.estimated_work {
+        Some(_) => 1.0,
+        None => UNCERTAINTY_WITHOUT_ESTIMATE,
+    }
 }
--- a/src/controller/retry_budget.rs
+++ b/src/controller/retry_budget.rs
@@ -1,21 +1,85 @@
-//! The budget of further dispatches, of all and of a service group.
+//! The budget of attempts beyond a query's first, of the gateway and of a query class.
+//!
+//! Rule: in any window of [`RetryBudget::window`] seconds the retries stay within `floor` + `per_query` for each query
+//! admitted in it.
 
-use super::MARGIN;
+use super::averages::SlidingWindow;
+use super::{AdmissionController, DEADLINE_MARGIN_SECONDS};
 use crate::api::RetryBudget;
-use crate::state::{AdmissionController, Window};
+
+/// Seconds beyond a budget's window for which its events are stored.
+const WINDOW_RETENTION_SECONDS: f64 = 1.0;
+
+/// Admissions and retries, of the gateway or of a class.
+#[derive(Default)]
+pub(crate) struct RetryWindow {
+    admissions: SlidingWindow,
+    retries: SlidingWindow,
+}
+
+impl RetryWindow {
+    pub(crate) fn record_admission(&mut self, now: f64) {
+        self.admissions.add(now);
+    }
+
+    pub(crate) fn record_retry(&mut self, now: f64) {
+        self.retries.add(now);
+    }
+
+    /// Whether one more retry is within the budget. The margin is on the side of fewer retries.
+    fn allows_retry(&self, now: f64, budget: RetryBudget) -> bool {
+        let window_start = now - budget.window;
+        let admitted = self
+            .admissions
+            .count_since(window_start + DEADLINE_MARGIN_SECONDS);
+        let retries = self
+            .retries
+            .count_since(window_start - DEADLINE_MARGIN_SECONDS);
+        retries + 1.0 <= budget.floor + budget.per_query * admitted
+    }
+
+    /// Drops what no budget of this window looks at any more.
+    fn expire(&mut self, now: f64, budget: Option<RetryBudget>) {
+        let window = budget.map_or(0.0, |budget| budget.window) + WINDOW_RETENTION_SECONDS;
+        self.admissions.expire_before(now - window);
+        self.retries.expire_before(now - window);
+    }
+}
 
 impl AdmissionController {
-    pub(super) fn further_left(&self, now: f64, group: usize) -> bool {
-        let fits = |f: RetryBudget, taken: &Window, further: &Window| {
-            let taken = taken.since(now - f.window + MARGIN);
-            further.since(now - f.window - MARGIN) + 1.0 <= f.floor + f.per_query * taken
+    /// Whether the budgets of the gateway and of the class leave room for one more retry.
+    pub(super) fn retry_budget_left(&self, now: f64, class: usize) -> bool {
+        let class_window = &self.class_statistics[class].retry_window;
+        let within = |budget: Option<RetryBudget>, window: &RetryWindow| {
+            budget.is_none_or(|budget| window.allows_retry(now, budget))
         };
-        let own = &self.learned[group];
-        self.s
-            .retry_budget
-            .is_none_or(|f| fits(f, &self.taken_at, &self.further_at))
-            && self.s.classes[group]
-                .retry_budget
-                .is_none_or(|f| fits(f, &own.taken_at, &own.further_at))
+        within(self.settings.retry_budget, &self.retry_window)
+            && within(self.settings.classes[class].retry_budget, class_window)
+    }
+
+    /// Counts a query that was admitted.
+    pub(super) fn count_admission(&mut self, now: f64, class: usize) {
+        self.retry_window.record_admission(now);
+        if self.settings.classes[class].retry_budget.is_some() {
+            let window = &mut self.class_statistics[class].retry_window;
+            window.record_admission(now);
+        }
+    }
+
+    /// Counts an attempt that is not its query's first.
+    pub(super) fn count_retry(&mut self, now: f64, class: usize) {
+        self.retry_window.record_retry(now);
+        if self.settings.classes[class].retry_budget.is_some() {
+            let window = &mut self.class_statistics[class].retry_window;
+            window.record_retry(now);
+        }
+    }
+
+    /// Forgets admissions and retries that have left their windows.
+    pub(super) fn expire_retry_windows(&mut self, now: f64) {
+        self.retry_window.expire(now, self.settings.retry_budget);
+        for (class, statistics) in self.settings.classes.iter().zip(&mut self.class_statistics) {
+            statistics.retry_window.expire(now, class.retry_budget);
+        }
     }
 }
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -1,63 +1,149 @@
-//! A started engine counts with the part of its cores that it can use, and has a work budget, of which each gateway keeps its part.
+//! Slow start: an engine that has just started counts with the part of its cores that it can use, and has a work
+//! budget that all gateways share.
+//!
+//! Rule: the sum of what all gateways send an engine in slow start stays under
+//! [`SlowStart::overload_multiple`](crate::api::SlowStart::overload_multiple) x window x effective cores. No gateway
+//! knows what others send, so each keeps to its share.
 
-use super::{KIND_LIFE, LEAST, YIELD};
-use crate::api::Endpoint;
-use crate::state::{AdmissionController, Candidate, Engine};
+use super::engine_choice::Candidate;
+use super::engine_state::EngineState;
+use super::{AdmissionController, MIN_DIVISOR, SUSTAINABLE_UTILISATION, WORK_DECAY_SECONDS};
+use crate::api::{Endpoint, EngineId, Query, SlowStart};
 
-const COLD_PART: f64 = 0.6; // part of a cold budget that we use; the rest is for chance, uneven gateways
-const COLD_LUMP: f64 = 0.1; // part of a cold budget one batch may be; few large ones add up by chance
-const COLD_SAVED: f64 = 0.6; // windows of our part that may be sent late; more adds up when all send in step
+/// Share of an engine's budget that gateways use together; the rest is for chance and uneven traffic.
+const BUDGET_SHARE: f64 = 0.6;
+/// Share of an engine's budget in one window that one query may take.
+const MAX_QUERY_SHARE: f64 = 0.1;
+/// Windows for which unused budget stays available. More would add up where all gateways send in step.
+const MAX_SAVED_WINDOWS: f64 = 0.6;
+
+/// The part of an engine's slow-start budget that this gateway has used.
+#[derive(Default)]
+pub(crate) struct WorkBudget {
+    /// When this gateway was notified of the start, in seconds.
+    known_since: f64,
+    /// A query admitted before: the budget becomes due in quanta of its work.
+    sample_query: Option<Query>,
+    /// Work sent or lapsed since, in seconds on one thread.
+    spent: f64,
+    /// The work at which the present quantum begins.
+    quantum_from: f64,
+}
+
+impl WorkBudget {
+    pub(crate) fn starting_at(now: f64, sample_query: Option<Query>) -> Self {
+        WorkBudget {
+            known_since: now,
+            sample_query,
+            ..WorkBudget::default()
+        }
+    }
+}
+
+/// A gateway's share of a budget at one moment, in seconds of work on one thread.
+struct BudgetBalance {
+    /// What has become due since the start.
+    due: f64,
+    /// What of it was sent or has lapsed.
+    spent: f64,
+}
 
 impl AdmissionController {
-    /// Cores that an engine can use: from the told start share, evenly up until told warm.
-    pub(super) fn able_cores(&self, now: f64, e: &Engine) -> f64 {
-        let (Some(at), Some(c)) = (e.line.and_then(|l| l.started_at), self.s.slow_start) else {
-            return e.cores;
+    /// Cores that an engine can use: from the initial fraction at its start, evenly up to all of them.
+    pub(super) fn effective_cores(&self, now: f64, engine: &EngineState) -> f64 {
+        let started_at = engine.endpoint.and_then(|endpoint| endpoint.started_at);
+        let (Some(started_at), Some(slow_start)) = (started_at, self.settings.slow_start) else {
+            return engine.cores;
         };
-        let warmed = ((now - at) / c.duration.max(LEAST)).clamp(0.0, 1.0);
-        (e.cores * (c.initial_fraction + (1.0 - c.initial_fraction) * warmed)).max(LEAST)
+        let warmed = ((now - started_at) / slow_start.duration.max(MIN_DIVISOR)).clamp(0.0, 1.0);
+        let initial = slow_start.initial_fraction;
+        (engine.cores * (initial + (1.0 - initial) * warmed)).max(MIN_DIVISOR)
     }
 
-    /// Keeps our part of a cold engine's work budget.
-    pub(super) fn cold_room(&self, now: f64, c: &Candidate, work: f64) -> bool {
-        let (e, able) = (&self.engines[c.engine], c.able_cores);
-        let (Some(rule), true) = (self.s.slow_start, able < e.cores - LEAST) else {
+    /// Whether work for an engine is within this gateway's share of its slow-start budget.
+    pub(super) fn within_slow_start_budget(
+        &self,
+        now: f64,
+        candidate: &Candidate,
+        work: f64,
+    ) -> bool {
+        let engine = &self.engines[candidate.engine];
+        let Some(slow_start) = self.settings.slow_start else {
             return true;
         };
-        let (due, gone) = self.cold_part(now, e);
-        work <= COLD_LUMP * rule.overload_multiple * rule.window * able
-            && gone + work <= due + LEAST
+        if candidate.effective_cores >= engine.cores - MIN_DIVISOR {
+            return true;
+        }
+        let balance = self.budget_balance(now, engine, &slow_start);
+        work <= max_query_work(&slow_start, candidate.effective_cores)
+            && balance.spent + work <= balance.due + MIN_DIVISOR
+    }
+
+    /// Takes the work of an attempt that begins out of the engine's budget.
+    pub(super) fn spend_slow_start_budget(&mut self, now: f64, engine: EngineId, work: f64) {
+        let balance = match self.settings.slow_start {
+            Some(slow_start) => self.budget_balance(now, &self.engines[engine], &slow_start),
+            None => BudgetBalance {
+                due: 0.0,
+                spent: 0.0,
+            },
+        };
+        let budget = &mut self.engines[engine].work_budget;
+        budget.spent = balance.spent + work;
+        // What is left holds no such query: the next quantum comes sooner for it.
+        if balance.due - budget.spent < work {
+            budget.quantum_from = budget.spent;
+        }
     }
 
-    /// Work due to a started engine from us since we knew of it, and how much of that was sent or lapsed. It
-    /// comes due in quanta of a batch, as the part of many gateways is less, by a lot drawn for each start:
-    /// the sum over gateways stays the same, and chance adds little. What all of them save and send in step
-    /// would push it over, so what is not sent in time lapses.
-    pub(super) fn cold_part(&self, now: f64, e: &Engine) -> (f64, f64) {
-        let Some(c) = self.s.slow_start else {
-            return (0.0, 0.0);
+    /// This gateway's share of the budget since it was notified of the start.
+    ///
+    /// One gateway's share in a window can be less than one query, so it becomes due in quanta of a query, with a
+    /// random offset for each start: the sum over gateways stays the same, and chance adds little. What is not sent in
+    /// time lapses, since the savings of all gateways sent in step would overload the engine.
+    fn budget_balance(
+        &self,
+        now: f64,
+        engine: &EngineState,
+        slow_start: &SlowStart,
+    ) -> BudgetBalance {
+        let budget = &engine.work_budget;
+        let rate = slow_start.overload_multiple
+            * slow_start.initial_fraction
+            * engine.cores
+            * SUSTAINABLE_UTILISATION
+            * BUDGET_SHARE
+            / engine.gateways;
+        let usual_work = self.usual_work.mean(now, WORK_DECAY_SECONDS, 0.0);
+        let sample_work = budget.sample_query.as_ref();
+        let quantum = sample_work
+            .map_or(usual_work, |query| self.expected_work(query))
+            .min(max_query_work(
+                slow_start,
+                self.effective_cores(now, engine),
+            ))
+            .max(MIN_DIVISOR);
+        let quanta_at = |at: f64| {
+            let earned = rate * (at - budget.known_since).max(0.0) - budget.quantum_from;
+            earned / quantum + 1.0 - engine.jitter
         };
-        let rate =
-            c.overload_multiple * c.initial_fraction * e.cores * YIELD * COLD_PART / e.holders;
-        let lump = COLD_LUMP * c.overload_multiple * c.window * self.able_cores(now, e);
-        let usual = self.usual.mean(now, KIND_LIFE, 0.0);
-        let quantum = e
-            .sample
-            .map_or(usual, |b| self.work(&b))
-            .min(lump)
-            .max(LEAST);
-        let quanta =
-            |at: f64| (rate * (at - e.known_at).max(0.0) - e.quanta_from) / quantum + 1.0 - e.lot;
-        let until = |at: f64| e.quanta_from + quantum * quanta(at).floor().max(0.0);
-        (
-            until(now),
-            until(now - COLD_SAVED * c.window).max(e.work_sent),
-        )
+        let due_at = |at: f64| budget.quantum_from + quantum * quanta_at(at).floor().max(0.0);
+        let lapsed = due_at(now - MAX_SAVED_WINDOWS * slow_start.window);
+        BudgetBalance {
+            due: due_at(now),
+            spent: lapsed.max(budget.spent),
+        }
     }
 }
 
+/// Work that one query may bring to an engine in slow start.
+fn max_query_work(slow_start: &SlowStart, effective_cores: f64) -> f64 {
+    MAX_QUERY_SHARE * slow_start.overload_multiple * slow_start.window * effective_cores
+}
+
 /// Gateways that work with an engine: this one at least and all at most; what is no number counts as all.
-pub(super) fn holders(line: &Endpoint, all: f64) -> f64 {
-    line.gateways
-        .map_or(all, |told| told.min(all).max(all.min(1.0)))
+pub(super) fn gateways_of(endpoint: &Endpoint, all: f64) -> f64 {
+    endpoint
+        .gateways
+        .map_or(all, |gateways| gateways.min(all).max(all.min(1.0)))
 }
