--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -42,7 +42,7 @@
         let kinds = &self.settings.classes[query.class].kinds;
         for kind in kinds.iter().flatten() {
             let kind = self.kinds.entry(*kind as usize).or_default();
-            kind.work_sent.add(now, WORK_DECAY_SECONDS, work);
+            kind.recent_work.add(now, WORK_DECAY_SECONDS, work);
         }
     }
 
--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -25,8 +25,8 @@
     pub(crate) counted_overdue: bool,
     /// Its outcome was recorded while its end was unknown.
     outcome_recorded: bool,
-    /// Its query counts as one that may have run only because this attempt's end was unknown.
-    doubt_is_its_own: bool,
+    /// It is the only attempt of its query that may have run, and counts so because its end was unknown.
+    only_possible_run: bool,
 }
 
 impl Attempt {
@@ -38,7 +38,7 @@
             memory,
             counted_overdue: false,
             outcome_recorded: false,
-            doubt_is_its_own: false,
+            only_possible_run: false,
         }
     }
 }
@@ -83,7 +83,7 @@
         let engine = &mut self.engines[engine];
         engine.in_flight.add(threads, memory);
         let kind = self.kinds.entry(engine.kind()).or_default();
-        kind.work_sent
+        kind.recent_work
             .add(now, WORK_DECAY_SECONDS, newly_counted_work);
         kind.threads_in_flight += threads;
         kind.memory_in_flight += memory;
@@ -111,7 +111,7 @@
         let query = state.query;
         state.in_flight = Some(Attempt {
             outcome_recorded: true,
-            doubt_is_its_own: attempt.doubt_is_its_own || state.may_have_run.is_none(),
+            only_possible_run: attempt.only_possible_run || state.may_have_run.is_none(),
             ..attempt
         });
         state.may_have_run.get_or_insert(attempt);
@@ -175,7 +175,7 @@
 fn update_may_have_run(state: &mut QueryState, attempt: Attempt, end: AttemptEnd) {
     if !never_ran(end) {
         state.may_have_run.get_or_insert(attempt);
-    } else if attempt.doubt_is_its_own {
+    } else if attempt.only_possible_run {
         state.may_have_run = None;
     }
 }
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -123,11 +123,12 @@
         let kind_cores = kind_of(&kinds, choice.kind).effective_cores;
         let kind_share_load = self.kind_share_load(now, choice.kind, kind_cores, &query);
         let load = choice.load.max(kind_share_load);
-        let begins = load < 1.0 || self.rng.uniform() < self.start_chance(now, &query, load);
+        let begins =
+            load < 1.0 || self.rng.uniform() < self.probability_to_begin(now, &query, load);
         begins.then_some(choice.engine)
     }
 
-    fn start_chance(&self, now: f64, query: &Query, load: f64) -> f64 {
+    fn probability_to_begin(&self, now: f64, query: &Query, load: f64) -> f64 {
         let usual_work = self.usual_work.mean(now, WORK_DECAY_SECONDS, 0.0);
         start_probability(load, self.expected_work(query), usual_work)
     }
@@ -251,7 +252,7 @@
         }
         for summary in &mut kinds {
             let state = self.kinds.get(&summary.kind);
-            let work = state.map_or(0.0, |kind| kind.work_sent.sum(now, WORK_DECAY_SECONDS));
+            let work = state.map_or(0.0, |kind| kind.recent_work.sum(now, WORK_DECAY_SECONDS));
             summary.load = self.kind_load(now, summary.kind);
             summary.work_per_core = work / summary.effective_cores;
         }
--- a/src/controller/final_answer.rs
+++ b/src/controller/final_answer.rs
@@ -71,7 +71,7 @@
     }
 
     /// Gives up a query that waits: it is placed once more, and answered then.
-    pub(super) fn give_up(&mut self, id: QueryId) {
+    pub(super) fn abandon(&mut self, id: QueryId) {
         let Some(state) = self.queries.get_mut(&id) else {
             return;
         };
--- a/src/controller/kind_state.rs
+++ b/src/controller/kind_state.rs
@@ -11,7 +11,7 @@
     /// Load inferred from how answers came, in units of the load limit.
     pub(crate) inferred_load: DecayingAverage,
     /// Work sent by this gateway.
-    pub(crate) work_sent: DecayingAverage,
+    pub(crate) recent_work: DecayingAverage,
     /// The engines that are ready.
     pub(crate) ready: PoolCapacity,
     /// Threads of this gateway's attempts in flight.
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -107,7 +107,7 @@
                 || capacity < 0.0
                 || work_ahead / work_rate > max_wait
             {
-                self.give_up(id);
+                self.abandon(id);
                 continue;
             }
             work_ahead += work;
@@ -149,7 +149,7 @@
             self.collect_too_late(now, key_queue, &mut too_late);
         }
         for id in too_late {
-            self.give_up(id);
+            self.abandon(id);
         }
     }
 
--- a/src/controller/next_action.rs
+++ b/src/controller/next_action.rs
@@ -45,7 +45,7 @@
                 // The held queue counts again by its own time.
                 Timer::Redraw => {}
                 Timer::KeyPauseEnd(key) => self.release_key(now, key),
-                Timer::Deadline(id) => self.give_up(id),
+                Timer::Deadline(id) => self.abandon(id),
             }
         }
     }
--- a/tests/probes.rs
+++ b/tests/health_checks.rs
@@ -1,10 +1,10 @@
-//! Gateways that decide alone and are told the same list must not all come to know the same engines first: all would favour them.
+//! Gateways that decide alone and receive the same list must not all come to know the same engines first: all would favour them.
 
 #[allow(dead_code)]
 mod helper;
 
 use garnetwall::api::{EngineId, Idempotency, Settings};
-use helper::{group, settings, World};
+use helper::{query_class, settings, World};
 
 const GATEWAYS: u64 = 60;
 const ENGINES: usize = 60;
@@ -13,22 +13,22 @@
 
 /// The engines that a gateway probes first.
 fn probed_first(seed: u64) -> Vec<EngineId> {
-    let told = Settings {
+    let notified = Settings {
         health_checks_allowed: true,
-        ..settings(vec![group(Idempotency::Idempotent)])
+        ..settings(vec![query_class(Idempotency::Idempotent)])
     };
-    let mut world = World::seeded(told, ENGINES, seed);
+    let mut world = World::seeded(notified, ENGINES, seed);
     for _ in 0..QUERIES {
-        world.take(0, 0, None, 4.0);
+        world.admit(0, 0, None, 4.0);
         world.pass(0.01);
     }
     world.pass(0.2);
-    world.probes.truncate(2);
-    world.probes
+    world.health_checks.truncate(2);
+    world.health_checks
 }
 
 #[test]
-fn gateways_probe_engines_in_different_orders() {
+fn gateways_check_engines_in_different_orders() {
     let mut gateways_of = [0; ENGINES];
     for seed in 0..GATEWAYS {
         let probed = probed_first(seed * 7919 + 11);
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -3,28 +3,28 @@
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
 
-/// Seconds of true work of every batch; below the module's first guess, so that its cold budget is the safe
+/// Seconds of true work of every query; below the module's first guess, so that its slow-start budget is the safe
 /// side.
 pub const WORK: f64 = 0.2;
 
-pub struct Dispatch {
+pub struct AttemptRecord {
     pub engine: EngineId,
     pub at: f64,
     pub outcome: Option<(AttemptEnd, f64)>,
 }
 
-pub struct Record {
-    pub b: Query,
-    pub taken: f64,
-    pub limit: f64,
-    pub over: bool,
-    pub pushed_back: bool,
-    pub dispatches: Vec<Dispatch>,
+pub struct QueryRecord {
+    pub query: Query,
+    pub admitted_at: f64,
+    pub deadline: f64,
+    pub finished: bool,
+    pub rejected: bool,
+    pub attempts: Vec<AttemptRecord>,
 }
 
-impl Record {
-    fn may_have_run(&self) -> Option<&Dispatch> {
-        let ran = |d: &&Dispatch| {
+impl QueryRecord {
+    fn may_have_run(&self) -> Option<&AttemptRecord> {
+        let ran = |d: &&AttemptRecord| {
             !matches!(
                 d.outcome,
                 Some((
@@ -33,35 +33,35 @@
                 ))
             )
         };
-        self.dispatches.iter().find(ran)
+        self.attempts.iter().find(ran)
     }
 
-    pub fn out(&self) -> Option<usize> {
-        self.dispatches.iter().position(|d| d.outcome.is_none())
+    pub fn in_flight(&self) -> Option<usize> {
+        self.attempts.iter().position(|d| d.outcome.is_none())
     }
 }
 
 pub struct World {
-    pub c: AdmissionController,
-    pub s: Settings,
+    pub controller: AdmissionController,
+    pub settings: Settings,
     pub now: f64,
-    pub records: Vec<Record>,
-    pub lines: Vec<Endpoint>,
-    pub asked: Vec<QueryId>,
-    pub probes: Vec<EngineId>,
-    /// Ways that batches may go, by number.
-    pub lanes: Vec<Vec<EngineSet>>,
-    /// How long each dispatch had to come to its engine.
-    pub within: Vec<f64>,
+    pub records: Vec<QueryRecord>,
+    pub endpoints: Vec<Endpoint>,
+    pub placed: Vec<QueryId>,
+    pub health_checks: Vec<EngineId>,
+    /// By number, each as priority levels.
+    pub endpoint_subsets: Vec<Vec<EngineSet>>,
+    /// How long each attempt had to come to its engine.
+    pub send_timeouts: Vec<f64>,
     /// How long the module waited, each time that it did.
-    pub spans: Vec<f64>,
-    /// When an engine's present start was told.
-    told: Vec<f64>,
-    further: Vec<f64>,
-    taken: Vec<f64>,
+    pub waits: Vec<f64>,
+    /// When an engine's present start was notified.
+    notified_at: Vec<f64>,
+    retries: Vec<f64>,
+    admissions: Vec<f64>,
 }
 
-pub fn group(effect: Idempotency) -> QueryClass {
+pub fn query_class(effect: Idempotency) -> QueryClass {
     QueryClass {
         latency_objective: 1.0,
         latency_objective_stretch: 2.0,
@@ -95,7 +95,7 @@
     }
 }
 
-pub fn line(engine: EngineId) -> Endpoint {
+pub fn endpoint(engine: EngineId) -> Endpoint {
     let odd = (engine % 2) as u32;
     Endpoint {
         engine,
@@ -114,17 +114,17 @@
     }
 
     pub fn seeded(s: Settings, engines: usize, seed: u64) -> World {
-        World::of(s, (0..engines).map(line).collect(), seed)
+        World::of(s, (0..engines).map(endpoint).collect(), seed)
     }
 
-    /// A world of engines that are told to be held by so many gateways.
-    pub fn held_by(holders: Option<f64>, s: Settings, engines: usize) -> World {
+    /// A world of engines that are notified to be held by so many gateways.
+    pub fn with_gateways(holders: Option<f64>, s: Settings, engines: usize) -> World {
         World::of(
             s,
             (0..engines)
                 .map(|engine| Endpoint {
                     gateways: holders,
-                    ..line(engine)
+                    ..endpoint(engine)
                 })
                 .collect(),
             7,
@@ -132,44 +132,44 @@
     }
 
     fn of(s: Settings, lines: Vec<Endpoint>, seed: u64) -> World {
-        let told = vec![1000.0; lines.len()];
-        let mut w = World {
-            c: AdmissionController::new(s.clone(), seed, 1000.0),
-            s,
+        let notified = vec![1000.0; lines.len()];
+        let mut world = World {
+            controller: AdmissionController::new(s.clone(), seed, 1000.0),
+            settings: s,
             now: 1000.0,
             records: Vec::new(),
-            lines,
-            asked: Vec::new(),
-            probes: Vec::new(),
-            lanes: Vec::new(),
-            within: Vec::new(),
-            spans: Vec::new(),
-            told,
-            further: Vec::new(),
-            taken: Vec::new(),
+            endpoints: lines,
+            placed: Vec::new(),
+            health_checks: Vec::new(),
+            endpoint_subsets: Vec::new(),
+            send_timeouts: Vec::new(),
+            waits: Vec::new(),
+            notified_at: notified,
+            retries: Vec::new(),
+            admissions: Vec::new(),
         };
-        w.c.update_endpoints(&w.lines, true);
-        w
+        world.controller.update_endpoints(&world.endpoints, true);
+        world
     }
 
-    /// A lane of these engines, by preference.
-    pub fn lane(&mut self, tiers: &[&[EngineId]]) -> u32 {
-        let set = |tier: &&[EngineId]| EngineSet(vec![tier.iter().map(|e| 1 << e).sum()]);
-        self.lanes.push(tiers.iter().map(set).collect());
-        let number = self.lanes.len() as u32 - 1;
-        self.c
-            .update_endpoint_subset(number, self.lanes.last().cloned());
+    /// A subset of these engines, by preference.
+    pub fn add_subset(&mut self, levels: &[&[EngineId]]) -> u32 {
+        let set = |level: &&[EngineId]| EngineSet(vec![level.iter().map(|e| 1 << e).sum()]);
+        self.endpoint_subsets.push(levels.iter().map(set).collect());
+        let number = self.endpoint_subsets.len() as u32 - 1;
+        self.controller
+            .update_endpoint_subset(number, self.endpoint_subsets.last().cloned());
         number
     }
 
-    pub fn take(&mut self, group: usize, tenant: usize, key: Option<u64>, left: f64) -> QueryId {
-        self.take_on(None, group, tenant, key, left)
+    pub fn admit(&mut self, class: usize, tenant: usize, key: Option<u64>, left: f64) -> QueryId {
+        self.admit_in_subset(None, class, tenant, key, left)
     }
 
-    pub fn take_on(
+    pub fn admit_in_subset(
         &mut self,
-        lane: Option<u32>,
-        group: usize,
+        subset: Option<u32>,
+        class: usize,
         tenant: usize,
         key: Option<u64>,
         left: f64,
@@ -177,72 +177,78 @@
         let id = self.records.len() as QueryId;
         let b = Query {
             id,
-            class: group,
+            class,
             tenant,
             ordering_key: key,
             remaining_time: left,
             estimated_work: None,
             estimated_memory: None,
             data_set: id % 3,
-            endpoint_subset: lane,
+            endpoint_subset: subset,
         };
         let limit = self.now + left;
         let taken = self.now;
-        self.records.push(Record {
-            b,
-            taken,
-            limit,
-            over: false,
-            pushed_back: false,
-            dispatches: Vec::new(),
+        self.records.push(QueryRecord {
+            query: b,
+            admitted_at: taken,
+            deadline: limit,
+            finished: false,
+            rejected: false,
+            attempts: Vec::new(),
         });
-        self.taken.push(self.now);
-        self.c.admit(self.now, b);
+        self.admissions.push(self.now);
+        self.controller.admit(self.now, b);
         id
     }
 
-    pub fn relist(&mut self, engine: EngineId, condition: EndpointState, came_up: Option<f64>) {
-        if self.lines[engine].started_at != came_up {
-            self.told[engine] = self.now;
+    pub fn update_endpoint(
+        &mut self,
+        engine: EngineId,
+        condition: EndpointState,
+        started_at: Option<f64>,
+    ) {
+        if self.endpoints[engine].started_at != started_at {
+            self.notified_at[engine] = self.now;
         }
-        self.lines[engine].state = condition;
-        self.lines[engine].started_at = came_up;
-        self.c.update_endpoints(&[self.lines[engine]], false);
+        self.endpoints[engine].state = condition;
+        self.endpoints[engine].started_at = started_at;
+        self.controller
+            .update_endpoints(&[self.endpoints[engine]], false);
     }
 
-    /// Feeds the outcome of the dispatch that is out, and checks what the module makes of it.
-    pub fn outcome(&mut self, id: QueryId, end: AttemptEnd) {
+    /// Feeds the outcome of the attempt in flight, and checks what the module makes of it.
+    pub fn end_attempt(&mut self, id: QueryId, end: AttemptEnd) {
         let r = &mut self.records[id as usize];
-        let Some(n) = r.out() else { return };
-        let d = &mut r.dispatches[n];
+        let Some(n) = r.in_flight() else { return };
+        let d = &mut r.attempts[n];
         d.outcome = Some((end, self.now));
         let (engine, latency) = (d.engine, self.now - d.at);
-        r.over |= end == AttemptEnd::Succeeded;
+        r.finished |= end == AttemptEnd::Succeeded;
         let work = Some(WORK).filter(|_| end == AttemptEnd::Succeeded);
         let o = AttemptOutcome {
             engine,
             attempt: n as u32,
             end,
             latency,
-            query_finished: r.over,
+            query_finished: r.finished,
             work,
             memory: None,
         };
-        match self.c.attempt_ended(self.now, id, o) {
+        match self.controller.attempt_ended(self.now, id, o) {
             FollowUp::Nothing => {}
             FollowUp::Answer(FinalAnswer::Rejected { .. }) => self.answered(id, true),
             FollowUp::Answer(FinalAnswer::Failed) => self.answered(id, false),
         }
     }
 
-    /// The end of the dispatch that is out is not known: what the module has answered now.
-    pub fn in_doubt(&mut self, id: QueryId, end: AttemptEnd) {
+    /// The end of the attempt in flight is not known: what the module has answered now.
+    pub fn lose_track(&mut self, id: QueryId, end: AttemptEnd) {
         let r = &self.records[id as usize];
-        let Some(n) = r.out().filter(|_| self.now <= r.limit) else {
+        let Some(n) = r.in_flight().filter(|_| self.now <= r.deadline) else {
             return;
         };
-        let d = &r.dispatches[n];
-        let (engine, latency, was_over) = (d.engine, self.now - d.at, r.over);
+        let d = &r.attempts[n];
+        let (engine, latency, was_over) = (d.engine, self.now - d.at, r.finished);
         let o = AttemptOutcome {
             engine,
             attempt: n as u32,
@@ -252,27 +258,30 @@
             work: None,
             memory: None,
         };
-        match self.c.outcome_unknown(self.now, id, o) {
+        match self.controller.outcome_unknown(self.now, id, o) {
             FollowUp::Nothing => {}
-            FollowUp::Answer(_) if was_over => panic!("batch {id} answered twice"),
+            FollowUp::Answer(_) if was_over => panic!("query {id} answered twice"),
             FollowUp::Answer(FinalAnswer::Rejected { .. }) => self.answered(id, true),
             FollowUp::Answer(FinalAnswer::Failed) => self.answered(id, false),
         }
     }
 
-    pub fn client_gone(&mut self, id: QueryId) {
-        if !self.records[id as usize].over {
-            self.records[id as usize].over = true;
-            self.c.client_left(self.now, id);
+    pub fn client_left(&mut self, id: QueryId) {
+        if !self.records[id as usize].finished {
+            self.records[id as usize].finished = true;
+            self.controller.client_left(self.now, id);
         }
     }
 
-    fn answered(&mut self, id: QueryId, pushed_back: bool) {
+    fn answered(&mut self, id: QueryId, rejected: bool) {
         let r = &mut self.records[id as usize];
-        assert!(!r.over, "batch {id} answered twice");
-        assert!(self.now <= r.limit + 0.001, "batch {id} answered late");
-        (r.over, r.pushed_back) = (true, pushed_back);
-        let may = match (self.s.classes[r.b.class].idempotency, r.may_have_run()) {
+        assert!(!r.finished, "query {id} answered twice");
+        assert!(self.now <= r.deadline + 0.001, "query {id} answered late");
+        (r.finished, r.rejected) = (true, rejected);
+        let may = match (
+            self.settings.classes[r.query.class].idempotency,
+            r.may_have_run(),
+        ) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::IdempotentByKey { scope, .. }, _) => {
                 scope == DeduplicationScope::Everywhere
@@ -280,22 +289,32 @@
             (Idempotency::NonIdempotent, _) => false,
         };
         assert_eq!(
-            pushed_back, may,
-            "batch {id}: model and module differ on the pushback"
+            rejected, may,
+            "query {id}: model and module differ on the rejection"
         );
     }
 
-    /// Every rule on a dispatch, from the whole record.
-    fn check_dispatch(&self, id: QueryId, engine: EngineId) {
+    /// Every rule on a attempt, from the whole record.
+    fn check_attempt(&self, id: QueryId, engine: EngineId) {
         let r = &self.records[id as usize];
-        let (g, l, now) = (&self.s.classes[r.b.class], &self.lines[engine], self.now);
-        assert!(!r.over && now < r.limit, "batch {id} sent after its end");
-        assert!(r.out().is_none(), "batch {id} has two dispatches out");
-        assert!((r.dispatches.len() as u32) < self.s.max_attempts);
+        let (g, l, now) = (
+            &self.settings.classes[r.query.class],
+            &self.endpoints[engine],
+            self.now,
+        );
+        assert!(
+            !r.finished && now < r.deadline,
+            "query {id} sent after its end"
+        );
+        assert!(
+            r.in_flight().is_none(),
+            "query {id} has two attempts in flight"
+        );
+        assert!((r.attempts.len() as u32) < self.settings.max_attempts);
         assert_eq!(
             l.state,
             EndpointState::Ready,
-            "sent to an engine told draining or gone"
+            "sent to an engine notified as draining or removed"
         );
         assert!(
             g.zones.as_ref().is_none_or(|z| z.contains(&l.zone)),
@@ -307,90 +326,105 @@
                 .is_none_or(|k| k.contains(&(l.kind as u32))),
             "placement by kind"
         );
-        if let Some(lane) = r.b.endpoint_subset {
+        if let Some(subset) = r.query.endpoint_subset {
             assert!(
-                self.lanes[lane as usize]
+                self.endpoint_subsets[subset as usize]
                     .iter()
-                    .any(|tier| tier.contains(engine)),
-                "placement by lane"
+                    .any(|level| level.contains(engine)),
+                "placement by endpoint subset"
             );
         }
         match (g.idempotency, r.may_have_run()) {
             (Idempotency::Idempotent, _) | (_, None) => {}
-            (Idempotency::NonIdempotent, _) => panic!("once-only batch {id} sent again"),
+            (Idempotency::NonIdempotent, _) => panic!("non-idempotent query {id} sent again"),
             (Idempotency::IdempotentByKey { scope, window }, Some(d)) => {
-                let a = &self.lines[d.engine];
-                let comes_by = now + self.within.last().copied().unwrap_or_default();
+                let a = &self.endpoints[d.engine];
+                let comes_by = now + self.send_timeouts.last().copied().unwrap_or_default();
                 assert!(
                     comes_by <= d.at + window,
-                    "referenced batch {id} sent after its window"
+                    "idempotent-by-key query {id} sent after its window"
                 );
                 assert!(scope == DeduplicationScope::Everywhere || a.zone == l.zone);
                 assert!(scope != DeduplicationScope::Cell || a.cell == l.cell);
             }
         }
-        if g.in_order && r.b.ordering_key.is_some() {
+        if g.in_order && r.query.ordering_key.is_some() {
             for earlier in self
                 .records
                 .iter()
                 .take(id as usize)
-                .filter(|e| e.b.ordering_key == r.b.ordering_key)
+                .filter(|e| e.query.ordering_key == r.query.ordering_key)
             {
-                if self.s.classes[earlier.b.class].in_order {
+                if self.settings.classes[earlier.query.class].in_order {
                     self.check_order(earlier);
                 }
             }
         }
-        if let Some(f) = self.s.retry_budget.filter(|_| !r.dispatches.is_empty()) {
-            let made = self.further.iter().filter(|t| **t > now - f.window).count() + 1;
-            let taken = self.taken.iter().filter(|t| **t > now - f.window).count();
+        if let Some(f) = self
+            .settings
+            .retry_budget
+            .filter(|_| !r.attempts.is_empty())
+        {
+            let made = self.retries.iter().filter(|t| **t > now - f.window).count() + 1;
+            let taken = self
+                .admissions
+                .iter()
+                .filter(|t| **t > now - f.window)
+                .count();
             assert!(
                 made as f64 <= f.floor + f.per_query * taken as f64,
-                "further budget"
+                "retry budget"
             );
         }
-        if let Some(f) = g.retry_budget.filter(|_| !r.dispatches.is_empty()) {
-            let own = || self.records.iter().filter(|o| o.b.class == r.b.class);
+        if let Some(f) = g.retry_budget.filter(|_| !r.attempts.is_empty()) {
+            let own = || {
+                self.records
+                    .iter()
+                    .filter(|o| o.query.class == r.query.class)
+            };
             let late = |at: f64| at > now - f.window;
             let further = own()
-                .flat_map(|o| o.dispatches.iter().skip(1))
+                .flat_map(|o| o.attempts.iter().skip(1))
                 .filter(|d| late(d.at))
                 .count()
                 + 1;
-            let taken = own().filter(|o| late(o.taken)).count();
+            let taken = own().filter(|o| late(o.admitted_at)).count();
             assert!(
                 further as f64 <= f.floor + f.per_query * taken as f64,
-                "further budget of a group"
+                "retry budget of a class"
             );
         }
-        if let (Some(c), Some(up)) = (self.s.slow_start, l.started_at) {
+        if let (Some(c), Some(up)) = (self.settings.slow_start, l.started_at) {
             if now < up + c.duration {
-                let all = self.records.iter().flat_map(|r| &r.dispatches);
-                let from = self.told[engine].max(now - c.window);
+                let all = self.records.iter().flat_map(|r| &r.attempts);
+                let from = self.notified_at[engine].max(now - c.window);
                 let sent = all.filter(|d| d.engine == engine && d.at >= from).count() + 1;
                 let able =
                     c.initial_fraction + (1.0 - c.initial_fraction) * ((now - up) / c.duration);
                 let whole = c.overload_multiple * able * 8.0 * c.window;
                 // Its part or, by lot, a tenth of the whole; the sum over gateways has a test of its own.
-                let most = (whole / self.s.gateways).max(whole / 10.0);
-                assert!(sent as f64 * WORK <= most, "cold engine pushed over");
+                let most = (whole / self.settings.gateways).max(whole / 10.0);
+                assert!(
+                    sent as f64 * WORK <= most,
+                    "engine overloaded in slow start"
+                );
             }
         }
     }
 
-    fn check_order(&self, earlier: &Record) {
-        assert!(earlier.over, "an earlier batch of the key is not over");
-        for d in &earlier.dispatches {
+    fn check_order(&self, earlier: &QueryRecord) {
+        assert!(earlier.finished, "an earlier query of the key is not over");
+        for d in &earlier.attempts {
             let (end, at) = d
                 .outcome
-                .expect("an earlier dispatch of the key has no outcome");
+                .expect("an earlier attempt of the key has no outcome");
             let rests = matches!(
                 end,
                 AttemptEnd::TimedOut | AttemptEnd::ConnectionLost | AttemptEnd::Cancelled
             );
             assert!(
-                !rests || self.now >= at + self.s.key_pause,
-                "the key does not rest"
+                !rests || self.now >= at + self.settings.key_pause,
+                "the key does not pause"
             );
         }
     }
@@ -398,54 +432,57 @@
     /// Asks the module until it waits; cancels and probes are answered at once.
     pub fn pump(&mut self) -> f64 {
         for _ in 0..10_000 {
-            match self.c.next_action(self.now) {
+            match self.controller.next_action(self.now) {
                 NextAction::Wait(span) => {
-                    self.spans.push(span);
+                    self.waits.push(span);
                     return span;
                 }
-                NextAction::Subscribe => self.c.update_endpoints(&self.lines, true),
+                NextAction::Subscribe => self.controller.update_endpoints(&self.endpoints, true),
                 NextAction::HealthCheck(engine) => {
-                    self.probes.push(engine);
-                    self.c
+                    self.health_checks.push(engine);
+                    self.controller
                         .health_check_ended(self.now, engine, AttemptEnd::Succeeded);
                 }
                 NextAction::Cancel(id, n) => {
-                    if self.records[id as usize].out() == Some(n as usize) {
-                        self.outcome(id, AttemptEnd::Cancelled);
+                    if self.records[id as usize].in_flight() == Some(n as usize) {
+                        self.end_attempt(id, AttemptEnd::Cancelled);
                     }
                 }
                 NextAction::Place(id) => {
-                    self.asked.push(id);
-                    self.ask(id);
+                    self.placed.push(id);
+                    self.place(id);
                 }
             }
         }
         panic!("the module never waits");
     }
 
-    fn ask(&mut self, id: QueryId) {
-        match self.c.place(self.now, id) {
+    fn place(&mut self, id: QueryId) {
+        match self.controller.place(self.now, id) {
             Placement::Wait => {}
             Placement::Answer(FinalAnswer::Rejected { .. }) => self.answered(id, true),
             Placement::Answer(FinalAnswer::Failed) => self.answered(id, false),
             Placement::Attempt {
                 engine,
-                response_timeout: time_out,
-                send_timeout: within,
+                response_timeout,
+                send_timeout,
                 ..
             } => {
-                assert!(within <= time_out, "more than its time-out");
-                self.within.push(within);
-                self.check_dispatch(id, engine);
+                assert!(
+                    send_timeout <= response_timeout,
+                    "more than its response timeout"
+                );
+                self.send_timeouts.push(send_timeout);
+                self.check_attempt(id, engine);
                 let r = &mut self.records[id as usize];
                 assert!(
-                    self.now + time_out <= r.limit + 1e-6,
-                    "time-out past the limit"
+                    self.now + response_timeout <= r.deadline + 1e-6,
+                    "response timeout past the deadline"
                 );
-                if !r.dispatches.is_empty() {
-                    self.further.push(self.now);
+                if !r.attempts.is_empty() {
+                    self.retries.push(self.now);
                 }
-                r.dispatches.push(Dispatch {
+                r.attempts.push(AttemptRecord {
                     engine,
                     at: self.now,
                     outcome: None,
@@ -454,7 +491,7 @@
         }
     }
 
-    /// Lets time pass; dispatches still out at their batch's limit time out there.
+    /// Lets time pass; attempts still in flight at their deadline time out there.
     pub fn pass(&mut self, span: f64) {
         let until = self.now + span;
         loop {
@@ -462,14 +499,19 @@
             let limits = self
                 .records
                 .iter()
-                .filter(|r| r.out().is_some())
-                .map(|r| r.limit.max(self.now));
+                .filter(|r| r.in_flight().is_some())
+                .map(|r| r.deadline.max(self.now));
             let next = limits.fold(self.now + wait, f64::min).min(until);
             self.now = next;
-            let due = |r: &&Record| r.out().is_some() && r.limit <= next;
-            let late: Vec<QueryId> = self.records.iter().filter(due).map(|r| r.b.id).collect();
+            let due = |r: &&QueryRecord| r.in_flight().is_some() && r.deadline <= next;
+            let late: Vec<QueryId> = self
+                .records
+                .iter()
+                .filter(due)
+                .map(|r| r.query.id)
+                .collect();
             late.into_iter()
-                .for_each(|id| self.outcome(id, AttemptEnd::TimedOut));
+                .for_each(|id| self.end_attempt(id, AttemptEnd::TimedOut));
             if next >= until {
                 self.pump();
                 return;
@@ -477,9 +519,9 @@
         }
     }
 
-    pub fn sent_to(&self, id: QueryId) -> Vec<EngineId> {
+    pub fn engines_tried(&self, id: QueryId) -> Vec<EngineId> {
         self.records[id as usize]
-            .dispatches
+            .attempts
             .iter()
             .map(|d| d.engine)
             .collect()
--- a/tests/long_lists.rs
+++ b/tests/long_lists.rs
@@ -4,14 +4,14 @@
 mod helper;
 
 use garnetwall::api::{AttemptEnd, EndpointState, Idempotency};
-use helper::{group, settings, World};
+use helper::{query_class, settings, World};
 use std::collections::HashSet;
 
 const ENGINES: usize = 3200;
 
 #[test]
 fn a_rare_kind_is_found() {
-    let mut bound = group(Idempotency::Idempotent);
+    let mut bound = query_class(Idempotency::Idempotent);
     bound.kinds = Some(vec![1]);
     let mut world = World::new(settings(vec![bound]), ENGINES);
     world.pump();
@@ -20,40 +20,46 @@
         .step_by(2)
         .filter(|engine| !kept.contains(engine))
     {
-        world.relist(engine, EndpointState::Removed, None);
+        world.update_endpoint(engine, EndpointState::Removed, None);
     }
     for _ in 0..6 {
-        let id = world.take(0, 0, None, 4.0);
+        let id = world.admit(0, 0, None, 4.0);
         world.pass(0.3);
-        let sent = world.sent_to(id);
+        let sent = world.engines_tried(id);
         assert!(sent.len() == 1 && kept.contains(&sent[0]), "{sent:?}");
-        world.outcome(id, AttemptEnd::Succeeded);
+        world.end_attempt(id, AttemptEnd::Succeeded);
     }
 }
 
 #[test]
 fn the_last_engine_that_serves_is_found() {
-    let mut world = World::new(settings(vec![group(Idempotency::Idempotent)]), ENGINES);
+    let mut world = World::new(
+        settings(vec![query_class(Idempotency::Idempotent)]),
+        ENGINES,
+    );
     world.pump();
     for engine in (0..ENGINES).filter(|engine| *engine != 2718) {
-        world.relist(engine, EndpointState::Draining, None);
+        world.update_endpoint(engine, EndpointState::Draining, None);
     }
-    let id = world.take(0, 0, None, 4.0);
+    let id = world.admit(0, 0, None, 4.0);
     world.pass(0.1);
-    assert_eq!(world.sent_to(id), [2718]);
+    assert_eq!(world.engines_tried(id), [2718]);
 }
 
 /// Both zones and kinds, and no part of the list more than its share.
 #[test]
 fn all_parts_of_the_list_are_used_evenly() {
-    let mut world = World::new(settings(vec![group(Idempotency::Idempotent)]), ENGINES);
+    let mut world = World::new(
+        settings(vec![query_class(Idempotency::Idempotent)]),
+        ENGINES,
+    );
     world.pump();
     let mut used = Vec::new();
     for _ in 0..800 {
-        let id = world.take(0, 0, None, 4.0);
+        let id = world.admit(0, 0, None, 4.0);
         world.pass(0.01);
-        used.extend(world.sent_to(id));
-        world.outcome(id, AttemptEnd::Succeeded);
+        used.extend(world.engines_tried(id));
+        world.end_attempt(id, AttemptEnd::Succeeded);
     }
     assert_eq!(used.len(), 800);
     // Engines of the odd kind have one core, the others eight: a ninth of the queries is theirs.
--- a/tests/cold_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -1,5 +1,5 @@
-//! What all gateways together send a cold engine, each of them deciding alone: a plain world that plays many
-//! instances of the module and judges the sum by the rule on cold engines.
+//! What all gateways together send a engine in slow start, each of them deciding alone: a plain world that plays many
+//! instances of the module and judges the sum by the rule on engines in slow start.
 
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
@@ -16,9 +16,9 @@
 const CORES: [f64; 2] = [8.0, 16.0];
 
 /// SplitMix64.
-struct Dice(u64);
+struct TestRng(u64);
 
-impl Dice {
+impl TestRng {
     fn even(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ self.0 >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -32,7 +32,7 @@
     }
 }
 
-/// A service group's share of the batches, its mean work in seconds and the limit.
+/// A query class's share of the queries, its mean work in seconds and the limit.
 #[derive(Clone, Copy)]
 struct Class {
     share: f64,
@@ -69,32 +69,32 @@
 struct Day {
     gateways: usize,
     /// Gateways that the settings tell of.
-    told: f64,
+    known_gateways: f64,
     classes: [Class; 2],
     /// When engines start, and their kind; and how many warm ones of each kind there are.
     starts: Vec<(f64, usize)>,
     warm: usize,
-    /// Seconds until gateways are told of a start, and those within which they all are.
+    /// Seconds until gateways are notified of a start, and those within which they all are.
     blind: f64,
     late: f64,
-    /// The engines were there before they started, so that gateways not told still send to them.
+    /// The engines were there before they started, so that gateways not notified still send to them.
     known: bool,
-    /// No batch comes before.
+    /// No query comes before.
     quiet: f64,
     /// At these times these parts of the gateways end and start anew, under names of their own where `renamed`.
     restarts: Vec<(f64, f64)>,
     renamed: bool,
     /// Engines that each gateway works with; all where it is none.
     subset: Option<usize>,
-    /// Gateways that hold an engine, as a subset's gateways are told; worked out where it is none.
+    /// Gateways that hold an engine, as a subset's gateways are notified; worked out where it is none.
     holders: Option<f64>,
     /// Traffic of the busiest tenth of the gateways, over that of a usual one.
     busiest: f64,
     /// Work that comes, in what all engines could do once warm.
     demand: f64,
-    /// Engines answer as though each batch had them alone: only the budget holds gateways back.
+    /// Engines answer as though each query had them alone: only the budget holds gateways back.
     quick: bool,
-    /// Estimates come with the batches.
+    /// Estimates come with the queries.
     estimates: bool,
     seed: u64,
 }
@@ -103,7 +103,7 @@
     fn new(gateways: usize, seed: u64) -> Day {
         Day {
             gateways,
-            told: gateways as f64,
+            known_gateways: gateways as f64,
             classes: LIGHT,
             starts: vec![(1.0, 0)],
             warm: 0,
@@ -128,7 +128,7 @@
     }
 
     fn settings(&self) -> Settings {
-        let group = |c: &Class| QueryClass {
+        let class = |c: &Class| QueryClass {
             latency_objective: c.limit / 3.0,
             latency_objective_stretch: 2.0,
             deadline: c.limit,
@@ -144,9 +144,9 @@
             retry_budget: None,
         };
         Settings {
-            classes: self.classes.iter().map(group).collect(),
+            classes: self.classes.iter().map(class).collect(),
             tenants: 1,
-            gateways: self.told,
+            gateways: self.known_gateways,
             kind_cores: CORES.iter().copied().map(Some).collect(),
             load_reporting: LoadReporting::WithAnswers,
             cancellation_allowed: true,
@@ -160,21 +160,21 @@
 
     fn line(&self, engine: EngineId, started: bool) -> Endpoint {
         let kind = self.kind(engine);
-        let came_up = self
+        let started_at = self
             .starts
             .get(engine)
             .filter(|_| started)
             .map(|(up, _)| *up);
         let holders = self.subset.map(|size| {
             self.holders
-                .unwrap_or_else(|| self.told_holders(size, kind))
+                .unwrap_or_else(|| self.gateways_with(size, kind))
         });
         Endpoint {
             engine,
             zone: 0,
             kind,
             cell: 0,
-            started_at: came_up,
+            started_at,
             state: EndpointState::Ready,
             gateways: holders,
         }
@@ -192,9 +192,9 @@
 
     /// A gateway's engines, as rendezvous hashing weighted by cores draws them for its name.
     fn members(&self, name: u64) -> BTreeSet<EngineId> {
-        let mut dice = Dice(name);
+        let mut rng = TestRng(name);
         let mut scores: Vec<(f64, EngineId)> = (0..self.engines())
-            .map(|e| (dice.gap() / CORES[self.kind(e)], e))
+            .map(|e| (rng.gap() / CORES[self.kind(e)], e))
             .collect();
         scores.sort_by(|a, b| a.0.total_cmp(&b.0));
         scores
@@ -205,7 +205,7 @@
     }
 
     /// The gateways that hold an engine of a kind in the mean, and two roots more, as the rule of subsets has it.
-    fn told_holders(&self, size: usize, kind: usize) -> f64 {
+    fn gateways_with(&self, size: usize, kind: usize) -> f64 {
         let held = |t: f64, kind: usize| 1.0 - (-t * CORES[kind]).exp();
         let sum = |t: f64| {
             (0..self.engines())
@@ -236,29 +236,36 @@
     }
 
     fn play(&self) -> Vec<Vec<Sent>> {
-        let mut dice = Dice(self.seed);
+        let mut rng = TestRng(self.seed);
         let engines = self.engines();
         let work = self.demand * (0..engines).map(|e| CORES[self.kind(e)]).sum::<f64>();
         let weights: Vec<f64> = (0..self.gateways)
             .map(|_| {
-                if dice.even() < 0.1 {
+                if rng.even() < 0.1 {
                     self.busiest
                 } else {
-                    0.5 + dice.even()
+                    0.5 + rng.even()
                 }
             })
             .collect();
         let rate = work / self.mean_work() / weights.iter().sum::<f64>();
         let mut gateways: Vec<Gateway> = Vec::new();
         for weight in weights {
-            let seed = (dice.even() * 1e15) as u64;
-            let told = self
+            let seed = (rng.even() * 1e15) as u64;
+            let notified = self
                 .starts
                 .iter()
-                .map(|(up, _)| up + self.blind + self.late * dice.even())
+                .map(|(up, _)| up + self.blind + self.late * rng.even())
                 .collect();
             let members = self.members(seed);
-            gateways.push(Gateway::new(self, 0.0, seed, rate * weight, told, members));
+            gateways.push(Gateway::new(
+                self,
+                0.0,
+                seed,
+                rate * weight,
+                notified,
+                members,
+            ));
         }
         let mut world = World {
             sent: self.starts.iter().map(|_| Vec::new()).collect(),
@@ -277,41 +284,38 @@
             if let Some((_, part)) = restarts.first().copied().filter(|(at, _)| *at <= now) {
                 restarts.remove(0);
                 for g in &mut gateways {
-                    if dice.even() < part {
-                        let seed = (dice.even() * 1e15) as u64;
-                        let told =
-                            self.starts.iter().zip(&g.told).map(
-                                |((up, _), t)| {
-                                    if *up <= now {
-                                        now
-                                    } else {
-                                        *t
-                                    }
-                                },
-                            );
+                    if rng.even() < part {
+                        let seed = (rng.even() * 1e15) as u64;
+                        let notified = self.starts.iter().zip(&g.notified).map(|((up, _), t)| {
+                            if *up <= now {
+                                now
+                            } else {
+                                *t
+                            }
+                        });
                         g.out.iter().for_each(|o| world.held[o.engine] -= 1.0);
                         let members = if self.renamed {
                             self.members(seed)
                         } else {
                             g.members.clone()
                         };
-                        *g = Gateway::new(self, now, seed, g.rate, told.collect(), members);
+                        *g = Gateway::new(self, now, seed, g.rate, notified.collect(), members);
                     }
                 }
             }
             gateways
                 .iter_mut()
-                .for_each(|g| g.step(self, now, &mut dice, &mut world));
+                .for_each(|g| g.step(self, now, &mut rng, &mut world));
         }
         world.sent
     }
 }
 
-/// Work that a gateway sent to a cold engine, and whether it had been told of the start.
+/// Work that a gateway sent to a engine in slow start, and whether it had been notified of the start.
 struct Sent {
     at: f64,
     work: f64,
-    told: bool,
+    notified: bool,
 }
 
 struct World {
@@ -325,7 +329,7 @@
     latency: f64,
     id: QueryId,
     engine: EngineId,
-    dispatch: u32,
+    attempt: u32,
 }
 
 struct Gateway {
@@ -333,11 +337,11 @@
     rate: f64,
     next: f64,
     wake: f64,
-    told: Vec<f64>,
+    notified: Vec<f64>,
     listed: Vec<bool>,
     members: BTreeSet<EngineId>,
-    /// Group, true work and dispatches of each batch.
-    batches: Vec<(usize, f64, u32)>,
+    /// Group, true work and attempts of each query.
+    queries: Vec<(usize, f64, u32)>,
     out: Vec<Out>,
 }
 
@@ -347,11 +351,11 @@
         now: f64,
         seed: u64,
         rate: f64,
-        told: Vec<f64>,
+        notified: Vec<f64>,
         members: BTreeSet<EngineId>,
     ) -> Gateway {
         let mut c = AdmissionController::new(day.settings(), seed, now);
-        let listed: Vec<bool> = told.iter().map(|t| *t <= now).collect();
+        let listed: Vec<bool> = notified.iter().map(|t| *t <= now).collect();
         let there = |e: &EngineId| listed.get(*e).is_none_or(|l| *l || day.known);
         let started = |e: EngineId| listed.get(e).copied().unwrap_or_default();
         let lines: Vec<Endpoint> = members
@@ -366,18 +370,18 @@
             rate,
             next: now,
             wake: now,
-            told,
+            notified,
             listed,
             members,
-            batches: Vec::new(),
+            queries: Vec::new(),
             out: Vec::new(),
         }
     }
 
-    fn step(&mut self, day: &Day, now: f64, dice: &mut Dice, world: &mut World) {
+    fn step(&mut self, day: &Day, now: f64, rng: &mut TestRng, world: &mut World) {
         let mut due = self.wake <= now;
         for e in 0..self.listed.len() {
-            if !self.listed[e] && self.told[e] <= now {
+            if !self.listed[e] && self.notified[e] <= now {
                 self.listed[e] = true;
                 if self.members.contains(&e) {
                     self.c.update_endpoints(&[day.line(e, true)], false);
@@ -388,29 +392,29 @@
         while let Some(n) = self.out.iter().position(|o| o.ends <= now) {
             let o = self.out.remove(n);
             world.held[o.engine] -= 1.0;
-            let work = Some(self.batches[o.id as usize].1);
+            let work = Some(self.queries[o.id as usize].1);
             self.over(now, o, AttemptEnd::Succeeded, work);
             due = true;
         }
         while self.next <= now {
-            self.next += dice.gap() / self.rate;
-            let group = usize::from(dice.even() > day.classes[0].share);
-            let class = day.classes[group];
-            let work = class.work * (0.3 + 0.7 * dice.gap());
+            self.next += rng.gap() / self.rate;
+            let class_index = usize::from(rng.even() > day.classes[0].share);
+            let class = day.classes[class_index];
+            let work = class.work * (0.3 + 0.7 * rng.gap());
             if now < day.quiet {
                 continue;
             }
-            let id = self.batches.len() as QueryId;
-            let cost = day.estimates.then(|| work * (0.6 + 0.8 * dice.even()));
-            self.batches.push((group, work, 0));
-            let left = class.limit;
+            let id = self.queries.len() as QueryId;
+            let estimated_work = day.estimates.then(|| work * (0.6 + 0.8 * rng.even()));
+            self.queries.push((class_index, work, 0));
+            let remaining_time = class.limit;
             let b = Query {
                 id,
-                class: group,
+                class: class_index,
                 tenant: 0,
                 ordering_key: None,
-                remaining_time: left,
-                estimated_work: cost,
+                remaining_time,
+                estimated_work,
                 estimated_memory: None,
                 data_set: 0,
                 endpoint_subset: None,
@@ -419,7 +423,7 @@
             due = true;
         }
         if due {
-            self.pump(day, now, dice, world);
+            self.pump(day, now, rng, world);
         }
     }
 
@@ -428,7 +432,7 @@
             latency,
             id,
             engine,
-            dispatch,
+            attempt,
             ..
         } = o;
         let closed = end == AttemptEnd::Succeeded;
@@ -437,7 +441,7 @@
             id,
             AttemptOutcome {
                 engine,
-                attempt: dispatch,
+                attempt,
                 end,
                 latency,
                 query_finished: closed,
@@ -447,7 +451,7 @@
         );
     }
 
-    fn pump(&mut self, day: &Day, now: f64, dice: &mut Dice, world: &mut World) {
+    fn pump(&mut self, day: &Day, now: f64, rng: &mut TestRng, world: &mut World) {
         loop {
             match self.c.next_action(now) {
                 NextAction::Wait(span) => {
@@ -459,11 +463,11 @@
                     self.c
                         .health_check_ended(now, engine, AttemptEnd::Succeeded)
                 }
-                NextAction::Cancel(id, dispatch) => {
+                NextAction::Cancel(id, attempt) => {
                     if let Some(n) = self
                         .out
                         .iter()
-                        .position(|o| (o.id, o.dispatch) == (id, dispatch))
+                        .position(|o| (o.id, o.attempt) == (id, attempt))
                     {
                         let o = self.out.remove(n);
                         world.held[o.engine] -= 1.0;
@@ -473,29 +477,29 @@
                 NextAction::Place(id) => {
                     let Placement::Attempt {
                         engine,
-                        response_timeout: time_out,
+                        response_timeout,
                         ..
                     } = self.c.place(now, id)
                     else {
                         continue;
                     };
-                    let (_, work, dispatches) = &mut self.batches[id as usize];
+                    let (_, work, attempts) = &mut self.queries[id as usize];
                     world.held[engine] += 1.0;
                     let shared = world.held[engine] / day.able(now, engine);
                     let latency = (*work
                         * if day.quick {
                             0.2
                         } else {
-                            shared.max(1.0) * (1.0 + dice.even())
+                            shared.max(1.0) * (1.0 + rng.even())
                         })
-                    .min(time_out);
-                    let dispatch = *dispatches;
-                    *dispatches += 1;
+                    .min(response_timeout);
+                    let attempt = *attempts;
+                    *attempts += 1;
                     if let Some(sent) = world.sent.get_mut(engine) {
                         sent.push(Sent {
                             at: now,
                             work: *work,
-                            told: self.listed[engine],
+                            notified: self.listed[engine],
                         });
                     }
                     self.out.push(Out {
@@ -503,7 +507,7 @@
                         latency,
                         id,
                         engine,
-                        dispatch,
+                        attempt,
                     });
                 }
             }
@@ -514,14 +518,14 @@
 /// What the judge saw of one engine or, by `worst`, of many.
 #[derive(Clone, Copy, Debug, Default)]
 struct Verdict {
-    /// Windows in which it fell and over two thirds came from gateways told of the start.
+    /// Windows in which it fell and over two thirds came from gateways notified of the start.
     broken: usize,
-    /// At most in any window: what gateways told of the start sent over the budget, and its excess in roots.
+    /// At most in any window: what gateways notified of the start sent over the budget, and its excess in roots.
     filled: f64,
     excess: f64,
     /// At most in any window: the part of budget and chance that was filled.
     near: f64,
-    /// Work from gateways told of the start, in budgets over the cold time; and of how many engines.
+    /// Work from gateways notified of the start, in budgets over the slow start; and of how many engines.
     got: f64,
     engines: f64,
 }
@@ -539,28 +543,28 @@
     }
 }
 
-/// Judges every window that ends at a dispatch while the engine is cold. Its capacity counts as the told
-/// share until it is warm: that is all that is told, and how it rises to the whole is not.
+/// Judges every window that ends at an attempt while the engine is cold. Its capacity counts as the notified
+/// share until it is warm: that is all that is notified, and how it rises to the whole is not.
 fn judge(sent: &[Sent], up: f64, cores: f64, mean_work: f64) -> Verdict {
     let mut v = Verdict {
         engines: 1.0,
         ..Verdict::default()
     };
-    let (mut first, mut all, mut told) = (0, 0.0, 0.0);
-    for s in sent.iter().filter(|s| s.told) {
+    let (mut first, mut all, mut notified) = (0, 0.0, 0.0);
+    for s in sent.iter().filter(|s| s.notified) {
         v.got += s.work / (COLD.overload_multiple * COLD.initial_fraction * cores * COLD.duration);
     }
     for (n, s) in sent.iter().enumerate() {
         let part = |s: &Sent| {
             (
                 s.work / mean_work,
-                if s.told { s.work / mean_work } else { 0.0 },
+                if s.notified { s.work / mean_work } else { 0.0 },
             )
         };
-        (all, told) = (all + part(s).0, told + part(s).1);
+        (all, notified) = (all + part(s).0, notified + part(s).1);
         while sent[first].at <= s.at - COLD.window || sent[first].at < up {
             let gone = part(&sent[first]);
-            (all, told) = (all - gone.0, told - gone.1);
+            (all, notified) = (all - gone.0, notified - gone.1);
             first += 1;
             if first > n {
                 break;
@@ -572,10 +576,10 @@
         let budget =
             COLD.overload_multiple * COLD.window * COLD.initial_fraction * cores / mean_work;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
-        v.broken += usize::from(all > most && told > all * 2.0 / 3.0);
-        v.filled = v.filled.max(told / budget);
-        v.excess = v.excess.max((told - budget) / budget.sqrt());
-        v.near = v.near.max(told / most);
+        v.broken += usize::from(all > most && notified > all * 2.0 / 3.0);
+        v.filled = v.filled.max(notified / budget);
+        v.excess = v.excess.max((notified - budget) / budget.sqrt());
+        v.near = v.near.max(notified / most);
     }
     v
 }
@@ -589,7 +593,7 @@
         .zip(&day.starts)
         .map(one)
         .reduce(Verdict::worst)
-        .expect("a cold engine")
+        .expect("a engine in slow start")
 }
 
 fn over_seeds(seeds: u64, day: impl Fn(u64) -> Day) -> Verdict {
@@ -627,7 +631,7 @@
         known: true,
         ..d
     }),
-    ("told late", |d| Day {
+    ("notified late", |d| Day {
         warm: 1,
         blind: 3.0,
         ..d
@@ -770,9 +774,9 @@
     keeps_with_subsets(300, 0.3);
 }
 
-/// A subset's gateways that are told that they alone hold an engine: the judge finds them on each day.
+/// A subset's gateways that count as alone with an engine: the judge finds them on each day.
 #[test]
-fn gateways_told_that_they_alone_hold_an_engine_are_found() {
+fn gateways_that_wrongly_count_as_alone_are_found() {
     for (name, change) in [
         ("one alone", DAYS[0].1),
         ("many", DAYS[3].1),
@@ -795,7 +799,7 @@
         .filter(|(name, _)| ["one of five", "many", "quiet"].contains(name))
     {
         let v = over_seeds(1, |seed| Day {
-            told: 1.0,
+            known_gateways: 1.0,
             demand: 5.0,
             ..change(Day::new(20, seed))
         });
