--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -174,7 +174,7 @@
                             first
                         });
                     }
-                    Command::CancelAttempt { dispatch } if dispatch == out.dispatch => {
+                    Command::CancelAttempt { attempt } if attempt == out.dispatch => {
                         let wanted = if answered { CancellationState::QueryFinished } else { CancellationState::Requested };
                         wish.send_if_modified(|w| {
                             let first = matches!(w, CancellationState::NotRequested | CancellationState::IfNotStarted);
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -38,56 +38,57 @@
 pub struct Scheduler {
     clock: Clock,
     state: Mutex<SchedulerState>,
-    earlier: Notify,
-    probes: UnboundedSender<EngineId>,
-    in_hand: watch::Sender<usize>,
-    ends: watch::Sender<Option<f64>>,
+    earlier_wakeup: Notify,
+    health_checks: UnboundedSender<EngineId>,
+    open_count: watch::Sender<usize>,
+    shutdown_at: watch::Sender<Option<f64>>,
     /// How long an id that is over is remembered.
-    remembered: f64,
+    finished_retention: f64,
     /// For fingerprints of calls.
-    hashing: RandomState,
+    fingerprint_hasher: RandomState,
 }
 
 impl Scheduler {
     /// A desk, and the engines that the module wants to have probed. Ids that are over are remembered for so many seconds, and their
     /// answers kept for the same call in so many bytes.
     pub fn new(
-        control: AdmissionController,
-        planner: Option<PlanRouter>,
+        controller: AdmissionController,
+        plan_router: Option<PlanRouter>,
         clock: Clock,
-        remembered: f64,
+        finished_retention: f64,
         answer_bytes: usize,
     ) -> (Self, UnboundedReceiver<EngineId>) {
-        let (probes, wanted) = unbounded_channel();
-        let seats = SchedulerState {
-            control,
-            planner,
-            next: 0,
-            jobs: HashMap::new(),
-            in_hand: HashMap::new(),
-            over: VecDeque::new(),
-            kept_answers: AnswerCache::new(answer_bytes),
+        let (health_checks, health_check_requests) = unbounded_channel();
+        let state = SchedulerState {
+            controller,
+            plan_router,
+            next_query_id: 0,
+            states_by_key: HashMap::new(),
+            open_queries: HashMap::new(),
+            finished_queries: VecDeque::new(),
+            answer_cache: AnswerCache::new(answer_bytes),
             recovered: HashMap::new(),
-            awaits_recovery: false,
-            once_only: Vec::new(),
-            wake: clock.now(),
-            pulse: StallDetector::new(clock.now()),
+            recovery_pending: false,
+            non_idempotent_classes: Vec::new(),
+            wakes_at: clock.now(),
+            stall_detector: StallDetector::new(clock.now()),
         };
-        let (in_hand, ends) = (watch::Sender::new(0), watch::Sender::new(None));
-        let seats = Mutex::new(seats);
-        let hashing = RandomState::new();
+        let open_count = watch::Sender::new(0);
+        let shutdown_at = watch::Sender::new(None);
+        let state = Mutex::new(state);
+        let fingerprint_hasher = RandomState::new();
         (
             Scheduler {
                 clock,
-                state: seats,
-                earlier: Notify::new(),
-                probes,
-                in_hand,
-                ends,
-                remembered,
-                hashing,
+                state,
+                earlier_wakeup: Notify::new(),
+                health_checks,
+                open_count,
+                shutdown_at,
+                finished_retention,
+                fingerprint_hasher,
             },
-            wanted,
+            health_check_requests,
         )
     }
 
@@ -100,79 +101,81 @@
     }
 
     /// Hands a fact to the module, then asks it what is due until it wants to wait.
-    fn handle_event<T>(&self, tell: impl FnOnce(&mut SchedulerState, f64) -> T) -> T {
+    fn handle_event<T>(&self, event: impl FnOnce(&mut SchedulerState, f64) -> T) -> T {
         let now = self.clock.now();
-        let mut seats = self.state();
-        seats.pulse.running(now);
-        let told = tell(&mut seats, now);
-        let armed = seats.wake;
+        let mut state = self.state();
+        state.stall_detector.running(now);
+        let result = event(&mut state, now);
+        let armed_for = state.wakes_at;
         loop {
-            match seats.control.next_action(now) {
-                NextAction::Place(id) => seats.ask(&self.clock, now, id),
-                NextAction::HealthCheck(engine) => drop(self.probes.send(engine)),
+            match state.controller.next_action(now) {
+                NextAction::Place(id) => state.place(&self.clock, now, id),
+                NextAction::HealthCheck(engine) => drop(self.health_checks.send(engine)),
                 // The change log is followed at all times.
                 NextAction::Subscribe => {}
-                NextAction::Cancel(id, dispatch) => {
-                    seats.order(id, Command::CancelAttempt { dispatch })
+                NextAction::Cancel(id, attempt) => {
+                    state.send_command(id, Command::CancelAttempt { attempt })
                 }
                 NextAction::Wait(span) => {
-                    seats.wake = now + span;
+                    state.wakes_at = now + span;
                     break;
                 }
             }
         }
-        if seats.wake < armed {
-            self.earlier.notify_one();
+        if state.wakes_at < armed_for {
+            self.earlier_wakeup.notify_one();
         }
-        told
+        result
     }
 
     /// Wakes the module when it wants to be woken, for as long as the gateway runs.
     pub async fn run_timer(&self) {
         loop {
-            let wake = Instant::from_std(self.clock.instant(self.state().wake));
+            let wake = Instant::from_std(self.clock.instant(self.state().wakes_at));
             tokio::select! {
                 () = sleep_until(wake) => self.handle_event(|_, _| ()),
-                () = self.earlier.notified() => {}
+                () = self.earlier_wakeup.notified() => {}
             }
         }
     }
 
     pub fn update_endpoints(&self, lines: &[EngineUpdate], whole: bool) {
-        let told: Vec<_> = lines.iter().map(|line| line.listed).collect();
-        self.handle_event(|seats, _| {
-            seats.control.update_endpoints(&told, whole);
-            let lanes = seats
-                .planner
+        let endpoints: Vec<_> = lines.iter().map(|line| line.listed).collect();
+        self.handle_event(|state, _| {
+            state.controller.update_endpoints(&endpoints, whole);
+            let updates = state
+                .plan_router
                 .as_mut()
-                .map(|planner| planner.update_endpoints(lines, whole));
-            seats.tell(lanes.unwrap_or_default());
+                .map(|plan_router| plan_router.update_endpoints(lines, whole));
+            state.update_endpoint_subsets(updates.unwrap_or_default());
         });
     }
 
-    /// The groups as they are now: which are once-only.
-    pub fn set_classes(&self, groups: &[QueryClass]) {
-        let once_only = groups
+    /// The classes as they are now: which are once-only.
+    pub fn set_classes(&self, classes: &[QueryClass]) {
+        let once_only = classes
             .iter()
-            .map(|g| g.idempotency == Idempotency::NonIdempotent)
+            .map(|class| class.idempotency == Idempotency::NonIdempotent)
             .collect();
-        self.handle_event(|seats, _| seats.once_only = once_only);
+        self.handle_event(|state, _| state.non_idempotent_classes = once_only);
     }
 
     /// What an earlier process sent is not known yet: a once-only batch that comes may have run.
     pub fn await_recovery(&self) {
-        self.state().awaits_recovery = true;
+        self.state().recovery_pending = true;
     }
 
     /// Once-only batches that an earlier process sent, and whether each is proved over: none is sent again, and the keys
     /// of those that are not rest for as long as a dispatch can run that nobody asks for.
-    pub fn recovered(&self, known: &[(SentQuery, bool)], unasked: Duration) {
-        self.handle_event(|seats, now| {
-            seats.awaits_recovery = false;
+    pub fn recovered(&self, known: &[(SentQuery, bool)], longest_unpolled_run: Duration) {
+        self.handle_event(|state, now| {
+            state.recovery_pending = false;
             for (sent, over) in known {
-                seats.recovered.insert(sent.id, sent.until as f64 / 1000.0);
+                state.recovered.insert(sent.id, sent.until as f64 / 1000.0);
                 if let Some(key) = sent.key.filter(|_| !over) {
-                    seats.control.pause_key(key, now + unasked.as_secs_f64());
+                    state
+                        .controller
+                        .pause_key(key, now + longest_unpolled_run.as_secs_f64());
                 }
             }
         });
@@ -181,24 +184,24 @@
     /// Whether batches of a group are once-only now.
     pub fn is_non_idempotent(&self, group: usize) -> bool {
         self.state()
-            .once_only
+            .non_idempotent_classes
             .get(group)
             .copied()
             .unwrap_or_default()
     }
 
-    /// Takes up another plan, with the groups as it has them; whether there is one to take the place of.
-    pub fn update_plan(&self, plan: Arc<Plan>, groups: &[QueryClass]) -> bool {
-        self.handle_event(|seats, _| {
-            let Some(planner) = seats.planner.as_mut() else {
+    /// Takes up another plan, with the classes as it has them; whether there is one to take the place of.
+    pub fn update_plan(&self, plan: Arc<Plan>, classes: &[QueryClass]) -> bool {
+        self.handle_event(|state, _| {
+            let Some(plan_router) = state.plan_router.as_mut() else {
                 return false;
             };
-            let lanes = planner.update_plan(plan);
-            seats.tell(lanes);
-            seats.control.update_classes(groups);
-            seats.once_only = groups
+            let updates = plan_router.update_plan(plan);
+            state.update_endpoint_subsets(updates);
+            state.controller.update_classes(classes);
+            state.non_idempotent_classes = classes
                 .iter()
-                .map(|g| g.idempotency == Idempotency::NonIdempotent)
+                .map(|class| class.idempotency == Idempotency::NonIdempotent)
                 .collect();
             true
         })
@@ -210,10 +213,10 @@
         end: AttemptEnd,
         report: Option<LoadReport>,
     ) {
-        self.handle_event(|seats, now| {
-            seats.control.health_check_ended(now, engine, end);
+        self.handle_event(|state, now| {
+            state.controller.health_check_ended(now, engine, end);
             if let Some(report) = report {
-                seats.control.load_reported(now, engine, report);
+                state.controller.load_reported(now, engine, report);
             }
         });
     }
@@ -225,13 +228,13 @@
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) -> FollowUp {
-        self.handle_event(|seats, now| {
+        self.handle_event(|state, now| {
             if let Some(report) = report {
-                seats.control.load_reported(now, outcome.engine, report);
+                state.controller.load_reported(now, outcome.engine, report);
             }
-            let closed =
-                outcome.query_finished || seats.in_hand.get(&id).is_none_or(OpenQuery::is_over);
-            seats.control.attempt_ended(
+            let closed = outcome.query_finished
+                || state.open_queries.get(&id).is_none_or(OpenQuery::is_over);
+            state.controller.attempt_ended(
                 now,
                 id,
                 AttemptOutcome {
@@ -243,31 +246,35 @@
     }
 
     /// A note of its engine on a dispatch that is out.
-    pub fn attempt_progressed(&self, id: QueryId, dispatch: u32, note: Progress) {
-        self.handle_event(|seats, now| seats.control.attempt_progressed(now, id, dispatch, note));
+    pub fn attempt_progressed(&self, id: QueryId, attempt: u32, progress: Progress) {
+        self.handle_event(|state, now| {
+            state
+                .controller
+                .attempt_progressed(now, id, attempt, progress)
+        });
     }
 
     /// A batch's body is not there any more for a further dispatch.
     pub fn body_discarded(&self, id: QueryId) {
-        self.handle_event(|seats, _| seats.control.body_discarded(id));
+        self.handle_event(|state, _| state.controller.body_discarded(id));
     }
 
     /// What is answered for a dispatch whose end is not known; it stays out until `after`.
     pub fn outcome_unknown(&self, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
-        self.handle_event(|seats, now| seats.control.outcome_unknown(now, id, outcome))
+        self.handle_event(|state, now| state.controller.outcome_unknown(now, id, outcome))
     }
 
     /// The gateway ends then: everything in hand, and what still comes, is to be answered before.
     pub fn shut_down_at(&self, at: f64) {
-        self.handle_event(|seats, _| seats.control.shut_down_at(at));
-        self.ends.send_replace(Some(at));
+        self.handle_event(|state, _| state.controller.shut_down_at(at));
+        self.shutdown_at.send_replace(Some(at));
     }
 
     /// Until the gateway ends.
     pub async fn until_shutdown(&self) {
         // It fails only with the sender gone, which this desk holds.
         let at = self
-            .ends
+            .shutdown_at
             .subscribe()
             .wait_for(Option::is_some)
             .await
@@ -282,16 +289,16 @@
     /// The earliest time at which what was read at this instant can have come.
     pub fn arrival_time(&self, read: std::time::Instant) -> f64 {
         let (now, read) = (self.clock.now(), self.clock.at(read));
-        self.state().pulse.arrival_time(now, read)
+        self.state().stall_detector.arrival_time(now, read)
     }
 
     pub fn open_queries(&self) -> usize {
-        *self.in_hand.borrow()
+        *self.open_count.borrow()
     }
 
     /// Until nothing is in hand.
     pub async fn until_idle(&self) {
         // It fails only with the sender gone, which this desk holds.
-        let _ = self.in_hand.subscribe().wait_for(|n| *n == 0).await;
+        let _ = self.open_count.subscribe().wait_for(|n| *n == 0).await;
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,7 +1,7 @@
 //! A query comes in: it is new, joins the one of its id that is in hand, or is refused.
 
-use super::answer_cache::{Fingerprint, Kept};
-use super::state::{Job, OpenQuery, SchedulerState};
+use super::answer_cache::{CachedAnswer, Fingerprint};
+use super::state::{OpenQuery, QueryState, SchedulerState};
 use super::{Admission, ArrivingQuery, Scheduler, Waiter};
 use crate::engines::{Call, Statement};
 use crate::scheduling::client_presence::ClientPresence;
@@ -27,100 +27,112 @@
     /// Takes a batch, or finds the one that has its id.
     pub fn admit(self: &Arc<Self>, a: ArrivingQuery, call: Arc<Call>) -> Admission {
         let fingerprint = self.fingerprint(&a, &call);
-        self.handle_event(|seats, now| {
-            seats.forget_over(now);
-            match seats.jobs.get(&a.query_key) {
-                Some(Job::Over) => return seats.over(now, a.query_key, fingerprint),
-                Some(&Job::OpenQuery(id)) => return self.join(seats, now, id, &a, &call),
+        self.handle_event(|state, now| {
+            state.discard_expired(now);
+            match state.states_by_key.get(&a.query_key) {
+                Some(QueryState::Finished) => {
+                    return state.repeat_of_finished(now, a.query_key, fingerprint)
+                }
+                Some(&QueryState::Open(id)) => return self.join(state, now, id, &a, &call),
                 None => {}
             }
-            if seats.recovered.contains_key(&a.query_key) {
+            if state.recovered.contains_key(&a.query_key) {
                 return Admission::MayHaveRun;
             }
-            let passage = match seats
-                .planner
+            let plan_admission = match state
+                .plan_router
                 .as_mut()
-                .map(|planner| planner.admit(now, &routed(now, &a)))
+                .map(|plan_router| plan_router.admit(now, &routed(now, &a)))
             {
-                Some(Err(turned)) => return Admission::RejectedByPlan(turned),
-                Some(Ok(passage)) => Some(passage),
+                Some(Err(rejection)) => return Admission::RejectedByPlan(rejection),
+                Some(Ok(plan_admission)) => Some(plan_admission),
                 None => None,
             };
             let ArrivingQuery {
-                class: group,
+                class,
                 tenant,
                 ordering_key: key,
-                estimated_work: cost,
-                estimated_memory: memory,
+                estimated_work,
+                estimated_memory,
                 data_set,
                 ..
             } = a;
-            let group = passage.as_ref().map_or(group, |p| p.class);
-            let is_once_only = seats.once_only.get(group).copied().unwrap_or_default();
-            if is_once_only && seats.awaits_recovery {
-                seats.leaves(now, passage);
+            let class = plan_admission.as_ref().map_or(class, |p| p.class);
+            let is_non_idempotent = state
+                .non_idempotent_classes
+                .get(class)
+                .copied()
+                .unwrap_or_default();
+            if is_non_idempotent && state.recovery_pending {
+                state.release_plan_admission(now, plan_admission);
                 return Admission::MayHaveRun;
             }
-            let lane = passage.as_ref().and_then(|p| p.endpoint_subset);
-            let shorter = passage
+            let endpoint_subset = plan_admission.as_ref().and_then(|p| p.endpoint_subset);
+            let shorter = plan_admission
                 .as_ref()
                 .and_then(|p| p.deadline)
-                .map(|limit| now + limit.as_secs_f64());
-            let limit = shorter.map_or(a.deadline, |at| a.deadline.min(at));
-            let id = seats.next;
-            seats.next = id.wrapping_add(1);
-            let (sender, orders) = unbounded_channel();
+                .map(|deadline| now + deadline.as_secs_f64());
+            let deadline = shorter.map_or(a.deadline, |at| a.deadline.min(at));
+            let id = state.next_query_id;
+            state.next_query_id = id.wrapping_add(1);
+            let (sender, commands) = unbounded_channel();
             let (answer, receiver) = watch::channel(None);
-            seats.jobs.insert(a.query_key, Job::OpenQuery(id));
-            let attended = ClientPresence::default();
+            state
+                .states_by_key
+                .insert(a.query_key, QueryState::Open(id));
+            let client_presence = ClientPresence::default();
             let new = OpenQuery {
-                job: a.query_key,
+                query_key: a.query_key,
                 tenant,
                 key,
                 call,
                 fingerprint,
-                orders: sender,
+                commands: sender,
                 answer,
                 waiters: 1,
-                waited: 1,
-                attended: attended.clone(),
-                limit,
-                passage,
+                waiters_ever: 1,
+                client_presence: client_presence.clone(),
+                deadline,
+                plan_admission,
             };
-            seats.in_hand.insert(id, new);
-            self.in_hand.send_replace(seats.in_hand.len());
-            let left = self.ends.borrow().map_or(limit, |at| limit.min(at)) - now;
+            state.open_queries.insert(id, new);
+            self.open_count.send_replace(state.open_queries.len());
+            let left = self
+                .shutdown_at
+                .borrow()
+                .map_or(deadline, |at| deadline.min(at))
+                - now;
             let b = Query {
                 id,
-                class: group,
+                class,
                 tenant,
                 ordering_key: key,
                 remaining_time: left,
-                estimated_work: cost,
-                estimated_memory: memory,
+                estimated_work,
+                estimated_memory,
                 data_set,
-                endpoint_subset: lane,
+                endpoint_subset,
             };
-            let (job, line) = (Hex(a.query_key), key.map(Hex));
-            tracing::debug!(batch = id, ?job, group, key = ?line, left, "taken");
-            seats.control.admit(now, b);
-            let until = millis(limit + RUN_MARGIN.as_secs_f64());
-            let once_only = is_once_only.then_some(SentQuery {
+            let (query_key, line) = (Hex(a.query_key), key.map(Hex));
+            tracing::debug!(batch = id, ?query_key, class, key = ?line, left, "taken");
+            state.controller.admit(now, b);
+            let until = millis(deadline + RUN_MARGIN.as_secs_f64());
+            let once_only = is_non_idempotent.then_some(SentQuery {
                 id: a.query_key,
                 key,
                 until,
             });
             let waiter = Waiter {
-                desk: self.clone(),
+                scheduler: self.clone(),
                 id,
                 answer: receiver,
             };
             Admission::New {
                 id,
-                commands: orders,
+                commands,
                 waiter,
                 journal_entry: once_only,
-                client_presence: attended,
+                client_presence,
             }
         })
     }
@@ -132,54 +144,61 @@
         };
         let Call {
             id,
-            class: group,
-            idempotency_key: mark,
+            class,
+            idempotency_key,
             ..
         } = call;
-        Some(Fingerprint(self.hashing.hash_one((
+        Some(Fingerprint(self.fingerprint_hasher.hash_one((
             a.tenant,
             a.ordering_key,
             id,
-            group,
-            mark,
+            class,
+            idempotency_key,
             statement,
         ))))
     }
 
     fn join(
         self: &Arc<Self>,
-        seats: &mut SchedulerState,
+        state: &mut SchedulerState,
         now: f64,
         id: QueryId,
         a: &ArrivingQuery,
         call: &Call,
     ) -> Admission {
-        let Some(b) = seats.in_hand.get_mut(&id) else {
+        let Some(b) = state.open_queries.get_mut(&id) else {
             return Admission::AnswerNotCached;
         };
         if (b.tenant, b.key) != (a.tenant, a.ordering_key) || *b.call != *call {
             return Admission::Conflict;
         }
-        (b.waiters, b.waited) = (b.waiters + 1, b.waited + 1);
-        b.attended.set_waiting(true);
+        (b.waiters, b.waiters_ever) = (b.waiters + 1, b.waiters_ever + 1);
+        b.client_presence.set_waiting(true);
         let waiter = Waiter {
-            desk: self.clone(),
+            scheduler: self.clone(),
             id,
             answer: b.answer.subscribe(),
         };
-        seats.control.set_client_waiting(now, id, true);
+        state.controller.set_client_waiting(now, id, true);
         Admission::Joined(waiter)
     }
 }
 
 impl SchedulerState {
     /// What becomes of a call whose query is over: it runs no second time.
-    fn over(&self, now: f64, job: u64, fingerprint: Option<Fingerprint>) -> Admission {
-        let kept = fingerprint.map_or(Kept::Nothing, |of| self.kept_answers.get(now, job, of));
+    fn repeat_of_finished(
+        &self,
+        now: f64,
+        query_key: u64,
+        fingerprint: Option<Fingerprint>,
+    ) -> Admission {
+        let kept = fingerprint.map_or(CachedAnswer::Missing, |of| {
+            self.answer_cache.get(now, query_key, of)
+        });
         match kept {
-            Kept::Answer(last) => Admission::Answered(last),
-            Kept::Other => Admission::Conflict,
-            Kept::Nothing => Admission::AnswerNotCached,
+            CachedAnswer::Answer(last) => Admission::Answered(last),
+            CachedAnswer::OtherCall => Admission::Conflict,
+            CachedAnswer::Missing => Admission::AnswerNotCached,
         }
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/answer_cache.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache.rs
@@ -13,21 +13,21 @@
 
 /// What is known of the answer to a call that was made before.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Kept {
+pub(super) enum CachedAnswer {
     Answer(QueryAnswer),
     /// Another call has this id.
-    Other,
+    OtherCall,
     /// It was not kept, or no longer.
-    Nothing,
+    Missing,
 }
 
 struct Entry {
     fingerprint: Fingerprint,
     answer: QueryAnswer,
     /// The query's deadline, in seconds on the gateway's clock.
-    until: f64,
+    deadline: f64,
     /// Its place in the order in which answers were kept.
-    number: u64,
+    sequence: u64,
 }
 
 impl Entry {
@@ -40,80 +40,80 @@
 pub(super) struct AnswerCache {
     entries: HashMap<u64, Entry>,
     /// Ids by the number of their entry, the oldest first.
-    order: BTreeMap<u64, u64>,
+    ids_by_sequence: BTreeMap<u64, u64>,
     /// Of the next entry.
-    next: u64,
+    next_sequence: u64,
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl AnswerCache {
     /// Keeps so many bytes at most.
-    pub(super) fn new(most_bytes: usize) -> Self {
+    pub(super) fn new(max_bytes: usize) -> Self {
         AnswerCache {
             entries: HashMap::new(),
-            order: BTreeMap::new(),
-            next: 0,
+            ids_by_sequence: BTreeMap::new(),
+            next_sequence: 0,
             bytes: 0,
-            most_bytes,
+            max_bytes,
         }
     }
 
     /// Keeps the answer of a query until its deadline, or until newer ones need the room.
-    pub(super) fn keep(
+    pub(super) fn insert(
         &mut self,
         now: f64,
         id: u64,
         fingerprint: Fingerprint,
         answer: QueryAnswer,
-        until: f64,
+        deadline: f64,
     ) {
-        let number = self.next;
+        let sequence = self.next_sequence;
         let entry = Entry {
             fingerprint,
             answer,
-            until,
-            number,
+            deadline,
+            sequence,
         };
-        if until <= now || entry.bytes() > self.most_bytes {
+        if deadline <= now || entry.bytes() > self.max_bytes {
             return;
         }
         self.remove(id);
-        self.next += 1;
+        self.next_sequence += 1;
         self.bytes += entry.bytes();
         self.entries.insert(id, entry);
-        self.order.insert(number, id);
-        self.make_room(now);
+        self.ids_by_sequence.insert(sequence, id);
+        self.evict(now);
     }
 
     /// What is known of the answer to a call.
-    pub(super) fn get(&self, now: f64, id: u64, fingerprint: Fingerprint) -> Kept {
+    pub(super) fn get(&self, now: f64, id: u64, fingerprint: Fingerprint) -> CachedAnswer {
         match self.entries.get(&id) {
-            Some(entry) if entry.fingerprint != fingerprint => Kept::Other,
-            Some(entry) if entry.until > now => Kept::Answer(entry.answer.clone()),
-            _ => Kept::Nothing,
+            Some(entry) if entry.fingerprint != fingerprint => CachedAnswer::OtherCall,
+            Some(entry) if entry.deadline > now => CachedAnswer::Answer(entry.answer.clone()),
+            _ => CachedAnswer::Missing,
         }
     }
 
     /// Lets go of the oldest while they are past their deadlines or over the bound.
-    pub(super) fn make_room(&mut self, now: f64) {
-        while let Some((&number, &oldest)) = self.order.first_key_value() {
+    pub(super) fn evict(&mut self, now: f64) {
+        while let Some((&sequence, &oldest)) = self.ids_by_sequence.first_key_value() {
             let is_past = self
                 .entries
                 .get(&oldest)
-                .is_none_or(|entry| entry.until <= now);
-            if !is_past && self.bytes <= self.most_bytes {
+                .is_none_or(|entry| entry.deadline <= now);
+            if !is_past && self.bytes <= self.max_bytes {
                 return;
             }
             self.remove(oldest);
-            self.order.remove(&number);
+            self.ids_by_sequence.remove(&sequence);
         }
     }
 
     fn remove(&mut self, id: u64) {
         if let Some(entry) = self.entries.remove(&id) {
             self.bytes -= entry.bytes();
-            self.order.remove(&entry.number);
+            self.ids_by_sequence.remove(&entry.sequence);
         }
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -20,7 +20,7 @@
         send_deadline: std::time::Instant,
     },
     CancelAttempt {
-        dispatch: u32,
+        attempt: u32,
     },
     Answer(FinalAnswer),
     /// The client has gone: no answer is owed.
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -15,51 +15,51 @@
 use tokio::sync::watch;
 
 pub(super) struct SchedulerState {
-    pub(super) control: AdmissionController,
-    pub(super) planner: Option<PlanRouter>,
-    pub(super) next: QueryId,
-    pub(super) jobs: HashMap<u64, Job>,
-    pub(super) in_hand: HashMap<QueryId, OpenQuery>,
-    pub(super) over: VecDeque<(f64, u64)>,
-    pub(super) kept_answers: AnswerCache,
+    pub(super) controller: AdmissionController,
+    pub(super) plan_router: Option<PlanRouter>,
+    pub(super) next_query_id: QueryId,
+    pub(super) states_by_key: HashMap<u64, QueryState>,
+    pub(super) open_queries: HashMap<QueryId, OpenQuery>,
+    pub(super) finished_queries: VecDeque<(f64, u64)>,
+    pub(super) answer_cache: AnswerCache,
     /// Once-only batches that an earlier process sent, and until when their ids count.
     pub(super) recovered: HashMap<u64, f64>,
     /// They are not known yet.
-    pub(super) awaits_recovery: bool,
+    pub(super) recovery_pending: bool,
     /// By service group.
-    pub(super) once_only: Vec<bool>,
-    pub(super) wake: f64,
-    pub(super) pulse: StallDetector,
+    pub(super) non_idempotent_classes: Vec<bool>,
+    pub(super) wakes_at: f64,
+    pub(super) stall_detector: StallDetector,
 }
 
-pub(super) enum Job {
-    OpenQuery(QueryId),
-    Over,
+pub(super) enum QueryState {
+    Open(QueryId),
+    Finished,
 }
 
 /// A batch in hand, until it is over and every dispatch has its outcome.
 pub(super) struct OpenQuery {
-    pub(super) job: u64,
+    pub(super) query_key: u64,
     pub(super) tenant: usize,
     pub(super) key: Option<u64>,
     pub(super) call: Arc<Call>,
     /// None where the call can't be compared with another.
     pub(super) fingerprint: Option<Fingerprint>,
-    pub(super) orders: UnboundedSender<Command>,
+    pub(super) commands: UnboundedSender<Command>,
     pub(super) answer: watch::Sender<Option<QueryAnswer>>,
     pub(super) waiters: usize,
     /// How many waiters it has had, so that one who has left is told from one who came after.
-    pub(super) waited: u64,
-    pub(super) attended: ClientPresence,
-    pub(super) limit: f64,
+    pub(super) waiters_ever: u64,
+    pub(super) client_presence: ClientPresence,
+    pub(super) deadline: f64,
     /// What the plan let it in with.
-    pub(super) passage: Option<PlanAdmission>,
+    pub(super) plan_admission: Option<PlanAdmission>,
 }
 
 impl OpenQuery {
-    pub(super) fn order(&self, order: Command) {
+    pub(super) fn send_command(&self, command: Command) {
         // A task that no longer listens has nothing out and owes nothing.
-        let _ = self.orders.send(order);
+        let _ = self.commands.send(command);
     }
 
     pub(super) fn is_over(&self) -> bool {
@@ -69,43 +69,50 @@
 
 impl SchedulerState {
     /// Tells the module of ways that batches may go.
-    pub(super) fn tell(&mut self, lanes: Vec<SubsetUpdate>) {
-        for (lane, tiers) in lanes {
-            self.control.update_endpoint_subset(lane, tiers);
+    pub(super) fn update_endpoint_subsets(&mut self, updates: Vec<SubsetUpdate>) {
+        for (endpoint_subset, priority_levels) in updates {
+            self.controller
+                .update_endpoint_subset(endpoint_subset, priority_levels);
         }
     }
 
     /// The plan's limits are free again of one that it let in.
-    pub(super) fn leaves(&mut self, now: f64, passage: Option<PlanAdmission>) {
-        if let Some((planner, passage)) = self.planner.as_mut().zip(passage) {
-            planner.release(now, passage);
+    pub(super) fn release_plan_admission(
+        &mut self,
+        now: f64,
+        plan_admission: Option<PlanAdmission>,
+    ) {
+        if let Some((plan_router, plan_admission)) = self.plan_router.as_mut().zip(plan_admission) {
+            plan_router.release(now, plan_admission);
         }
     }
 
-    pub(super) fn order(&self, id: QueryId, order: Command) {
-        if let Some(b) = self.in_hand.get(&id) {
-            b.order(order);
+    pub(super) fn send_command(&self, id: QueryId, command: Command) {
+        if let Some(b) = self.open_queries.get(&id) {
+            b.send_command(command);
         }
     }
 
-    pub(super) fn ask(&mut self, clock: &Clock, now: f64, id: QueryId) {
-        match self.control.place(now, id) {
+    pub(super) fn place(&mut self, clock: &Clock, now: f64, id: QueryId) {
+        match self.controller.place(now, id) {
             Placement::Wait => {}
-            Placement::Answer(answer) => self.order(id, Command::Answer(answer)),
+            Placement::Answer(answer) => self.send_command(id, Command::Answer(answer)),
             Placement::Attempt {
                 engine,
-                response_timeout: time_out,
-                send_timeout: within,
+                response_timeout,
+                send_timeout,
                 ..
             } => {
-                let (until, comes_by) =
-                    (clock.instant(now + time_out), clock.instant(now + within));
-                self.order(
+                let (until, send_deadline) = (
+                    clock.instant(now + response_timeout),
+                    clock.instant(now + send_timeout),
+                );
+                self.send_command(
                     id,
                     Command::BeginAttempt {
                         engine,
                         response_deadline: until,
-                        send_deadline: comes_by,
+                        send_deadline,
                     },
                 );
             }
@@ -113,22 +120,27 @@
     }
 
     /// Nobody waits for this batch any more; whoever still asks for it finds it errored.
-    pub(super) fn gone(&mut self, now: f64, id: QueryId) {
-        let Some(b) = self.in_hand.get(&id).filter(|b| !b.is_over()) else {
+    pub(super) fn client_left(&mut self, now: f64, id: QueryId) {
+        let Some(b) = self.open_queries.get(&id).filter(|b| !b.is_over()) else {
             return;
         };
-        tracing::debug!(batch = id, left = b.limit - now, "client gone");
+        tracing::debug!(batch = id, left = b.deadline - now, "client gone");
         b.answer.send_replace(Some(QueryAnswer::Failed));
-        b.order(Command::ClientLeft);
-        self.control.client_left(now, id);
+        b.send_command(Command::ClientLeft);
+        self.controller.client_left(now, id);
     }
 
-    pub(super) fn forget_over(&mut self, now: f64) {
-        while let Some((_, job)) = self.over.front().copied().filter(|(until, _)| *until < now) {
-            self.over.pop_front();
-            self.jobs.remove(&job);
+    pub(super) fn discard_expired(&mut self, now: f64) {
+        while let Some((_, query_key)) = self
+            .finished_queries
+            .front()
+            .copied()
+            .filter(|(until, _)| *until < now)
+        {
+            self.finished_queries.pop_front();
+            self.states_by_key.remove(&query_key);
         }
-        self.kept_answers.make_room(now);
+        self.answer_cache.evict(now);
         if !self.recovered.is_empty() {
             self.recovered.retain(|_, until| *until > now);
         }
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -13,7 +13,7 @@
 
 /// A client that waits for a batch; dropped before the answer, it has gone unless it comes again at once.
 pub struct Waiter {
-    pub(super) desk: Arc<Scheduler>,
+    pub(super) scheduler: Arc<Scheduler>,
     pub(super) id: QueryId,
     pub(super) answer: watch::Receiver<Option<QueryAnswer>>,
 }
@@ -29,16 +29,16 @@
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        let Some(waited) = self.desk.waiter_left(self.id) else {
+        let Some(waiters_ever) = self.scheduler.waiter_left(self.id) else {
             return;
         };
-        let (desk, id) = (self.desk.clone(), self.id);
+        let (scheduler, id) = (self.scheduler.clone(), self.id);
         match Handle::try_current() {
             Ok(runtime) => drop(runtime.spawn(async move {
                 sleep(RECONNECT_WINDOW).await;
-                desk.not_back(id, waited);
+                scheduler.client_did_not_return(id, waiters_ever);
             })),
-            Err(_) => desk.not_back(id, waited),
+            Err(_) => scheduler.client_did_not_return(id, waiters_ever),
         }
     }
 }
@@ -46,28 +46,28 @@
 impl Scheduler {
     /// One who waited has left. Nothing is sent for a batch that nobody waits for; how many had waited for it by then.
     fn waiter_left(&self, id: QueryId) -> Option<u64> {
-        self.handle_event(|seats, now| {
-            let b = seats.in_hand.get_mut(&id)?;
+        self.handle_event(|state, now| {
+            let b = state.open_queries.get_mut(&id)?;
             b.waiters -= 1;
             if b.waiters > 0 || b.is_over() {
                 return None;
             }
-            b.attended.set_waiting(false);
-            let waited = b.waited;
-            seats.control.set_client_waiting(now, id, false);
-            Some(waited)
+            b.client_presence.set_waiting(false);
+            let waiters_ever = b.waiters_ever;
+            state.controller.set_client_waiting(now, id, false);
+            Some(waiters_ever)
         })
     }
 
     /// Nobody has come again for a batch since so many had waited for it: its clients have gone.
-    fn not_back(&self, id: QueryId, waited: u64) {
-        self.handle_event(|seats, now| {
-            if seats
-                .in_hand
+    fn client_did_not_return(&self, id: QueryId, waiters_ever: u64) {
+        self.handle_event(|state, now| {
+            if state
+                .open_queries
                 .get(&id)
-                .is_some_and(|b| b.waiters == 0 && b.waited == waited)
+                .is_some_and(|b| b.waiters == 0 && b.waiters_ever == waiters_ever)
             {
-                seats.gone(now, id);
+                state.client_left(now, id);
             }
         });
     }
