--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,7 +9,8 @@
 use crate::http::{self, HttpFront};
 use crate::scheduling::plan_routing::{self, PlanRouter};
 use crate::scheduling::scheduler::Scheduler;
-use crate::storage::query_journal::{self, QueryJournal};
+use crate::storage::body_store;
+use crate::storage::query_journal::QueryJournal;
 use crate::system::clock::{span, Clock};
 use crate::system::os_error::retry;
 use crate::system::stream_budget::ResourceBudget;
@@ -216,7 +217,7 @@
             tracing::warn!("stopped with calls still open");
         }
         if let Some(store) = store {
-            query_journal::log_body_store(&store, &self.config.decoded.names.groups);
+            body_store::log_body_store(&store, &self.config.decoded.names.groups);
         }
         self.enter(Phase::Stopped);
         Ok(())
@@ -265,7 +266,7 @@
             .and_then(|plan| plan.bodies.as_ref());
         let names = &self.config.decoded.names.groups;
         bodies
-            .map(|bodies| query_journal::body_store(bodies, names, &self.config.name))
+            .map(|bodies| body_store::body_store(bodies, names, &self.config.name))
             .transpose()
     }
 
--- /dev/null
+++ b/crates/gateway/src/storage/body_store.rs
@@ -0,0 +1,52 @@
+//! Builds the store of request bodies that a plan configures, and logs its counts.
+
+use garnetwall_bodies::room::Policy;
+use garnetwall_bodies::{Disk, Limits, Spool, Store};
+use garnetwall_plan::model::Bodies;
+use std::io;
+use std::path::Path;
+use std::sync::Arc;
+
+/// Builds the store of request bodies that a plan asks for, with a spool file where the plan names a directory.
+///
+/// `class_names` are the names of the query classes by their index.
+///
+/// # Errors
+///
+/// The spool file can't be created; the text names its path.
+pub fn body_store(
+    bodies: &Bodies,
+    class_names: &[String],
+    gateway: &str,
+) -> io::Result<Arc<Store>> {
+    let spool = match &bodies.directory {
+        Some(directory) => {
+            let disk = Disk::open(Path::new(directory), gateway)?;
+            Some(Spool::new(disk, bodies.files))
+        }
+        None => None,
+    };
+    let limits = Limits {
+        memory: bodies.memory,
+        files: bodies.files,
+        batch_memory: bodies.batch_memory,
+        batch: bodies.batch,
+        share: bodies.share,
+        unknown_length: bodies.unknown_length,
+        must_keep: class_names
+            .iter()
+            .map(|class| bodies.must_keep.contains(class))
+            .collect(),
+    };
+    Ok(Store::new(limits, Policy::Largest, spool))
+}
+
+/// Logs, for each query class and kind of storage, the bodies received and the retries that read one again or found it missing.
+pub fn log_body_store(store: &Store, class_names: &[String]) {
+    for ((class, storage), counts) in store.counts() {
+        let group = class_names.get(class).map_or("", String::as_str);
+        let place = storage;
+        let (bodies, further, missed) = (counts.bodies, counts.further, counts.missed);
+        tracing::info!(group, ?place, bodies, further, missed, "bodies");
+    }
+}
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -1,17 +1,13 @@
-//! What a gateway keeps beyond a batch's answer: the journal of once-only batches on a disk that lasts, and the store of
-//! bodies. It hands records over and waits for them; `garnetwall_ledger` and `garnetwall_bodies` decide what they mean.
+//! The journal of non-idempotent queries: each is recorded on disk before its first attempt is sent, so that a later process
+//! does not send it again. `garnetwall_ledger` decides what the records mean.
 
 use crate::system::boot_clock::BootClock;
 use crate::system::clock::Clock;
 use crate::system::os_error::may_pass;
-use garnetwall_bodies::room::Policy;
-use garnetwall_bodies::{Disk, Limits, Spool, Store};
 use garnetwall_ledger::journal::{FileStorage, Journal};
 use garnetwall_ledger::records::{BootRun, SentQuery, RUN_MARGIN};
-use garnetwall_plan::model::Bodies;
 use std::io;
 use std::path::Path;
-use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
@@ -136,43 +132,6 @@
     }
 }
 
-/// The store of bodies that a plan asks for, with a file in its directory where it names one.
-///
-/// # Errors
-///
-/// With the path in the text.
-pub fn body_store(bodies: &Bodies, groups: &[String], gateway: &str) -> io::Result<Arc<Store>> {
-    let spool = match &bodies.directory {
-        Some(directory) => Some(Spool::new(
-            Disk::open(Path::new(directory), gateway)?,
-            bodies.files,
-        )),
-        None => None,
-    };
-    let limits = Limits {
-        memory: bodies.memory,
-        files: bodies.files,
-        batch_memory: bodies.batch_memory,
-        batch: bodies.batch,
-        share: bodies.share,
-        unknown_length: bodies.unknown_length,
-        must_keep: groups
-            .iter()
-            .map(|group| bodies.must_keep.contains(group))
-            .collect(),
-    };
-    Ok(Store::new(limits, Policy::Largest, spool))
-}
-
-/// Says what became of bodies, by group and place.
-pub fn log_body_store(store: &Store, groups: &[String]) {
-    for ((group, place), counts) in store.counts() {
-        let group = groups.get(group).map_or("", String::as_str);
-        let (bodies, further, missed) = (counts.bodies, counts.further, counts.missed);
-        tracing::info!(group, ?place, bodies, further, missed, "bodies");
-    }
-}
-
 /// Milliseconds of a time, or of a span, in seconds.
 pub fn millis(now: f64) -> u64 {
     (now.max(0.0) * 1000.0) as u64
