--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -13,6 +13,7 @@
 
 use crate::discovery::EngineUpdate;
 use crate::scheduling::plan_routing::PlanRouter;
+use crate::storage::query_journal::RecoveredQuery;
 use crate::system::clock::Clock;
 use crate::system::stall_detector::StallDetector;
 use answer_cache::AnswerCache;
@@ -21,7 +22,6 @@
     QueryClass, QueryId,
 };
 use garnetwall::controller::AdmissionController;
-use garnetwall_ledger::records::SentQuery;
 use garnetwall_plan::Plan;
 use state::{OpenQuery, SchedulerState};
 use std::collections::{HashMap, VecDeque};
@@ -167,12 +167,12 @@
 
     /// Once-only batches that an earlier process sent, and whether each is proved over: none is sent again, and the keys
     /// of those that are not rest for as long as a dispatch can run that nobody asks for.
-    pub fn recovered(&self, known: &[(SentQuery, bool)], longest_unpolled_run: Duration) {
+    pub fn recovered(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
         self.handle_event(|state, now| {
             state.recovery_pending = false;
-            for (sent, over) in known {
+            for RecoveredQuery { sent, finished } in queries {
                 state.recovered.insert(sent.id, sent.until as f64 / 1000.0);
-                if let Some(key) = sent.key.filter(|_| !over) {
+                if let Some(key) = sent.key.filter(|_| !finished) {
                     state
                         .controller
                         .pause_key(key, now + longest_unpolled_run.as_secs_f64());
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -11,111 +11,125 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A promise that takes longer is told.
-const SLOW_PROMISE: Duration = Duration::from_millis(500);
+/// A write that takes longer is logged.
+const SLOW_WRITE: Duration = Duration::from_millis(500);
 
-/// The journal, where there is one.
+/// A non-idempotent query that an earlier process sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecoveredQuery {
+    /// Its record, with its end on this gateway's [`Clock`], in milliseconds.
+    pub sent: SentQuery,
+    /// Every attempt of it has provably ended.
+    pub finished: bool,
+}
+
+/// The journal of a gateway. The default one records nothing, for plans that name no journal.
 #[derive(Default)]
 pub struct QueryJournal {
-    journal: Option<Kept>,
+    open: Option<OpenJournal>,
 }
 
-/// A journal, and the clocks that its times are told on.
-struct Kept {
+/// A journal with the clocks that its times are converted between.
+struct OpenJournal {
     journal: Journal,
     clock: Clock,
-    run: BootClock,
+    boot_clock: BootClock,
 }
 
-impl Kept {
-    /// The same with its end on the clock of this run of the machine.
-    fn on_run_clock(&self, sent: SentQuery) -> SentQuery {
-        let left = sent.until.saturating_sub(millis(self.clock.now()));
+impl OpenJournal {
+    /// Converts the end of a record from the gateway's clock to the clock of this boot.
+    fn to_boot_clock(&self, sent: SentQuery) -> SentQuery {
+        let remaining_ms = sent.until.saturating_sub(millis(self.clock.now()));
         SentQuery {
-            until: self.run.millis() + left,
+            until: self.boot_clock.millis() + remaining_ms,
             ..sent
         }
     }
+
+    /// Waits until the record is on the disk.
+    async fn write_sent(&self, sent: SentQuery) -> io::Result<()> {
+        let (done, written) = oneshot::channel();
+        let on_written = move |result| {
+            // The receiver is gone where the caller stopped waiting, and then nothing is sent.
+            let _ = done.send(result);
+        };
+        self.journal
+            .record_sent(self.to_boot_clock(sent), Box::new(on_written));
+        written
+            .await
+            .unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")))
+    }
 }
 
 impl QueryJournal {
-    /// Opens the journal of a gateway in a directory; `recovered` is told what may have run before, with ends on the gateway's
-    /// clock, once that could be read. A disk that fails for now is tried again, and until it works nothing is promised.
-    /// `longest` is the longest limit of a batch in seconds.
+    /// Opens the journal of a gateway in a directory.
+    ///
+    /// `longest_deadline` is the longest deadline of any query class, in seconds. `recovered` is called once the journal has been
+    /// read. Where the disk fails for now, the journal goes on trying; until it succeeds, [`record_before_send`] allows nothing.
+    ///
+    /// [`record_before_send`]: QueryJournal::record_before_send
     ///
     /// # Errors
     ///
-    /// One that can't pass, with the path in the text.
+    /// The journal can't be written, and a later try would fail too; the text names its path.
     pub fn open(
         directory: &str,
         gateway: &str,
         clock: Clock,
-        longest: f64,
-        recovered: impl FnOnce(Vec<(SentQuery, bool)>) + Send + 'static,
+        longest_deadline: f64,
+        recovered: impl FnOnce(Vec<RecoveredQuery>) + Send + 'static,
     ) -> io::Result<QueryJournal> {
         let path = Path::new(directory).join(format!("{gateway}.once-only"));
-        let shown = path.display().to_string();
-        let run = BootClock::start();
-        let told = move |mut open: Vec<(SentQuery, bool)>| {
-            let (here, there) = (millis(clock.now()), run.millis());
-            open.iter_mut()
-                .for_each(|(sent, _)| sent.until = here + sent.until.saturating_sub(there));
-            let may_run = open.iter().filter(|(_, over)| !over).count();
-            tracing::info!(
-                path = shown,
-                known = open.len(),
-                may_run,
-                "journal of once-only batches opened"
-            );
-            recovered(open);
+        let shown_path = path.display().to_string();
+        let boot_clock = BootClock::start();
+        let on_recovery = move |found: Vec<(SentQuery, bool)>| {
+            let queries = recovered_queries(found, clock, boot_clock);
+            log_recovered(&shown_path, &queries);
+            recovered(queries);
         };
-        let this = BootRun {
-            id: run.run,
-            span: millis(longest) + RUN_MARGIN.as_millis() as u64,
+        let boot_run = BootRun {
+            id: boot_clock.run,
+            span: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
         };
-        let (journal, begun) = Journal::start(
+        let (journal, started) = Journal::start(
             FileStorage::new(&path),
-            this,
-            move || run.millis(),
-            Box::new(told),
+            boot_run,
+            move || boot_clock.millis(),
+            Box::new(on_recovery),
         );
-        match begun {
+        match started {
+            Ok(()) => {}
             Err(fault) if may_pass(&fault) => {
                 tracing::error!(path = %path.display(), %fault, "journal can't be written for now: no once-only batch is sent");
             }
-            begun => {
-                begun.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", path.display())))?
+            Err(fault) => {
+                let text = format!("{}: {fault}", path.display());
+                return Err(io::Error::new(fault.kind(), text));
             }
         }
         Ok(QueryJournal {
-            journal: Some(Kept {
+            open: Some(OpenJournal {
                 journal,
                 clock,
-                run,
+                boot_clock,
             }),
         })
     }
 
-    /// Writes down that a once-only batch is about to be sent; whether it may be. It takes as long as the disk does: whoever asks
-    /// bounds that by what the batch has left.
+    /// Records that a non-idempotent query is about to be sent. Returns whether it may be sent.
+    ///
+    /// It takes as long as the disk does: the caller bounds it by the query's deadline. A caller that stops waiting must not send.
     pub async fn record_before_send(&self, sent: SentQuery) -> bool {
-        let Some(kept) = &self.journal else {
+        let Some(open) = &self.open else {
             return true;
         };
-        let (done, written) = oneshot::channel();
-        // Whoever no longer waits did not send it.
-        kept.journal.record_sent(
-            kept.on_run_clock(sent),
-            Box::new(move |result| drop(done.send(result))),
-        );
-        let began = Instant::now();
-        let end = written
-            .await
-            .unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")));
-        if began.elapsed() > SLOW_PROMISE {
-            tracing::warn!(took = ?began.elapsed(), "journal is slow: once-only batches wait for it");
+        let started_at = Instant::now();
+        let result = open.write_sent(sent).await;
+        let elapsed = started_at.elapsed();
+        if elapsed > SLOW_WRITE {
+            tracing::warn!(took = ?elapsed, "journal is slow: once-only batches wait for it");
         }
-        match end {
+        match result {
             Ok(()) => true,
             Err(fault) => {
                 tracing::error!(%fault, "journal can't be written: no once-only batch is sent");
@@ -124,15 +138,41 @@
         }
     }
 
-    /// It is proved over.
-    pub fn record_end(&self, id: u64) {
-        if let Some(kept) = &self.journal {
-            kept.journal.record_finished(id);
+    /// Records that every attempt of a query has provably ended.
+    pub fn record_end(&self, query_key: u64) {
+        if let Some(open) = &self.open {
+            open.journal.record_finished(query_key);
         }
     }
 }
 
-/// Milliseconds of a time, or of a span, in seconds.
-pub fn millis(now: f64) -> u64 {
-    (now.max(0.0) * 1000.0) as u64
+/// Converts the records of an earlier process from the clock of this boot to the gateway's clock.
+fn recovered_queries(
+    found: Vec<(SentQuery, bool)>,
+    clock: Clock,
+    boot_clock: BootClock,
+) -> Vec<RecoveredQuery> {
+    let now_ms = millis(clock.now());
+    let boot_now_ms = boot_clock.millis();
+    let convert = |(sent, finished): (SentQuery, bool)| {
+        let until = now_ms + sent.until.saturating_sub(boot_now_ms);
+        let sent = SentQuery { until, ..sent };
+        RecoveredQuery { sent, finished }
+    };
+    found.into_iter().map(convert).collect()
+}
+
+fn log_recovered(path: &str, queries: &[RecoveredQuery]) {
+    let may_run = queries.iter().filter(|query| !query.finished).count();
+    tracing::info!(
+        path,
+        known = queries.len(),
+        may_run,
+        "journal of once-only batches opened"
+    );
+}
+
+/// Converts seconds to whole milliseconds; what is negative becomes 0.
+pub fn millis(seconds: f64) -> u64 {
+    (seconds.max(0.0) * 1000.0) as u64
 }
