--- a/crates/gateway/src/http/responses.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -60,11 +60,14 @@
 /// What the plan does not let in is answered at once.
 pub(super) fn turned_away(front: &HttpFront, turned: PlanRejection) -> Response {
     match turned {
-        PlanRejection::TooLong { most } => closing(error_response(
+        PlanRejection::StatementTooLong { max_bytes } => closing(error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
-            &format!("the plan allows statements of {most} bytes"),
+            &format!("the plan allows statements of {max_bytes} bytes"),
         )),
-        PlanRejection::LimitReached { reason, come_back } => {
+        PlanRejection::LimitReached {
+            reason,
+            retry_after: come_back,
+        } => {
             tracing::debug!(reason, ?come_back, "turned away");
             let settings = &front.decoded.settings;
             let body = json!({"error": "Busy", "reason": reason});
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -1,329 +1,308 @@
-//! The plan beside the module: a plan compiled with the engines of its pools, its limits, and the lanes that the module
-//! knows its ways by. It hands facts over and decides nothing; `garnetwall_routing` does.
+//! Routes queries by the plan: compiles it with the engines of its pools, applies its limits, and numbers the endpoint subsets
+//! that the admission controller knows. It decides nothing itself; `garnetwall_routing` does.
+
+mod class_settings;
 
 use crate::discovery::EngineUpdate;
-use garnetwall::api::{DeduplicationScope, EndpointState, EngineSet, QueryClass, RetryBudget};
-use garnetwall_plan::model::{self, EngineFacts, Plan, FURTHER_FLOOR, FURTHER_WINDOW};
-use garnetwall_plan::{Settings, SettingsGroup};
-use garnetwall_routing::{Batch, Engines, Limits, Names, Over, Routing, Ticket, Verdict};
+use garnetwall::api::{EndpointState, EngineSet};
+use garnetwall_plan::model::{EngineFacts, Plan};
+use garnetwall_routing::{Batch, Engines, Limits, Names, Over, Routing, Ticket, Verdict, Which};
 use garnetwall_settings::Decoded;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the platform's settings say that a plan must fit.
-pub fn settings(decoded: &Decoded) -> Settings {
-    let names = &decoded.names;
-    let groups = names
-        .groups
-        .iter()
-        .zip(&decoded.settings.classes)
-        .map(|(name, group)| SettingsGroup {
-            name: name.clone(),
-            goal: crate::system::clock::span(group.latency_objective),
-            limit: crate::system::clock::span(group.deadline),
-            in_order: group.in_order,
-            effect: effect(group),
-            kinds: group.kinds.as_ref().map(|list| named(list, &names.kinds)),
-            zones: group.zones.as_ref().map(|list| named(list, &names.zones)),
-        });
-    Settings {
-        groups: groups.collect(),
-        tenants: names.tenants.clone(),
-        kinds: names.kinds.clone(),
-        zones: names.zones.clone(),
-    }
+pub use class_settings::{narrowed_classes, settings};
+
+/// A change of an endpoint subset, for the admission controller.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SubsetUpdate {
+    /// The number of the subset.
+    pub endpoint_subset: u32,
+    /// Its engines by priority level, the preferred ones first; `None` for a subset that is removed.
+    pub priority_levels: Option<Vec<EngineSet>>,
 }
 
-fn named(list: &[u32], names: &[String]) -> Vec<String> {
-    list.iter()
-        .filter_map(|n| names.get(*n as usize))
-        .cloned()
-        .collect()
+/// What the plan sets for a query that it admits. It counts against the plan's limits until it is given to
+/// [`PlanRouter::release`].
+pub struct PlanAdmission {
+    ticket: Ticket,
+    /// Keeps the plan, and with it the query's endpoint subset, for as long as the query is open.
+    _plan: Arc<CompiledPlan>,
+    /// The endpoint subset that the query is confined to; every engine where it is `None`.
+    pub endpoint_subset: Option<u32>,
+    /// The class that the query is treated as.
+    pub class: usize,
+    /// The plan's own deadline, counted from the admission.
+    pub deadline: Option<Duration>,
 }
 
-fn effect(group: &QueryClass) -> model::Effect {
-    use garnetwall::api::Idempotency;
-    match group.idempotency {
-        Idempotency::Idempotent => model::Effect::Repeatable,
-        Idempotency::NonIdempotent => model::Effect::OnceOnly,
-        Idempotency::IdempotentByKey { scope, window } => {
-            let scope = match scope {
-                DeduplicationScope::Everywhere => model::Scope::Everywhere,
-                DeduplicationScope::Zone => model::Scope::Zone,
-                DeduplicationScope::Cell => model::Scope::Cell,
-            };
-            model::Effect::Referenced {
-                scope,
-                window: crate::system::clock::span(window),
-            }
-        }
-    }
+/// Why the plan rejects a query.
+#[derive(Debug, PartialEq)]
+pub enum PlanRejection {
+    /// A route refuses it, or it is over a limit.
+    LimitReached {
+        /// The reason, for the client.
+        reason: String,
+        /// When the limit is expected to admit the query; `None` where a route refuses it.
+        retry_after: Option<Duration>,
+    },
+    /// Its statement is longer than its class allows.
+    StatementTooLong {
+        /// The longest statement of its class, in bytes.
+        max_bytes: u64,
+    },
 }
 
-/// The service groups with a plan's rules put in. The time limit stays: the plan's is a batch's own.
-pub fn narrowed_classes(groups: &[QueryClass], names: &[String], plan: &Plan) -> Vec<QueryClass> {
-    use garnetwall::api::Idempotency;
-    let one = |(group, name): (&QueryClass, &String)| {
-        let mut group = group.clone();
-        let Some(rules) = plan.group(name) else {
-            return group;
+impl From<Over> for PlanRejection {
+    fn from(over: Over) -> Self {
+        // Wire: clients are sent these words.
+        let quantity = match over.which {
+            Which::InHand => "InHand",
+            Which::Rate => "Rate",
+            Which::Bytes => "Bytes",
         };
-        if let Some(goal) = rules.goal {
-            (group.latency_objective, group.latency_objective_stretch) = (goal.as_secs_f64(), 0.0);
+        PlanRejection::LimitReached {
+            reason: format!("over the limit {} ({quantity})", over.limit),
+            retry_after: Some(over.come_back),
         }
-        group.in_order |= rules.in_order == Some(true);
-        group.retry_budget = rules.further.map(|per_batch| RetryBudget {
-            floor: FURTHER_FLOOR,
-            per_query: per_batch,
-            window: FURTHER_WINDOW,
-        });
-        group.idempotency = match rules.effect {
-            None => group.idempotency,
-            Some(model::Effect::Repeatable) => Idempotency::Idempotent,
-            Some(model::Effect::OnceOnly) => Idempotency::NonIdempotent,
-            Some(model::Effect::Referenced { scope, window }) => {
-                let scope = match scope {
-                    model::Scope::Everywhere => DeduplicationScope::Everywhere,
-                    model::Scope::Zone => DeduplicationScope::Zone,
-                    model::Scope::Cell => DeduplicationScope::Cell,
-                };
-                Idempotency::IdempotentByKey {
-                    scope,
-                    window: window.as_secs_f64(),
-                }
-            }
-        };
-        group
-    };
-    groups.iter().zip(names).map(one).collect()
+    }
 }
 
-/// A plan with the engines of its pools. Batches in hand keep the one that they came under.
-pub struct Version {
+/// A plan compiled for routing.
+struct CompiledPlan {
     routing: Routing,
-    /// The number of its first lane.
-    first_lane: u32,
+    /// The number of the endpoint subset of its first lane; those of the others follow.
+    first_subset: u32,
 }
 
-/// A way for the module: a lane's number, and the engines it leaves open by preference; none for one that is gone.
-pub type SubsetUpdate = (u32, Option<Vec<EngineSet>>);
+impl CompiledPlan {
+    fn subset(&self, lane: usize) -> u32 {
+        self.first_subset.wrapping_add(lane as u32)
+    }
 
-/// What a batch that may come in carries along.
-pub struct PlanAdmission {
-    ticket: Ticket,
-    /// Keeps its plan.
-    _version: Arc<Version>,
-    pub endpoint_subset: Option<u32>,
-    pub class: usize,
-    /// The plan's time limit for its group.
-    pub deadline: Option<Duration>,
+    fn lane_count(&self) -> usize {
+        self.routing.lanes().len()
+    }
 }
 
-/// A batch that may not come in.
-#[derive(Debug, PartialEq)]
-pub enum PlanRejection {
-    /// Pushed back, with the reason and a time to come back.
-    LimitReached {
-        reason: String,
-        come_back: Option<Duration>,
-    },
-    /// Its statement is over what its group may have, in bytes.
-    TooLong { most: u64 },
+/// A plan with the engines of its pools.
+struct RoutedPlan {
+    plan: Arc<CompiledPlan>,
+    engines: Engines,
+}
+
+impl RoutedPlan {
+    fn new(routing: Routing, first_subset: u32) -> Self {
+        let engines = Engines::new(&routing);
+        let plan = Arc::new(CompiledPlan {
+            routing,
+            first_subset,
+        });
+        RoutedPlan { plan, engines }
+    }
+
+    /// Whether an open query was admitted under it.
+    fn is_in_use(&self) -> bool {
+        Arc::strong_count(&self.plan) > 1
+    }
+
+    /// The subsets of its lanes, except of those that leave every engine open.
+    fn subset_updates(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
+        let lanes = self.plan.routing.lanes().iter().enumerate();
+        lanes
+            .filter(|(_, lane)| !lane.is_open())
+            .map(|(index, _)| SubsetUpdate {
+                endpoint_subset: self.plan.subset(index),
+                priority_levels: Some(self.priority_levels(index)),
+            })
+    }
+
+    fn priority_levels(&self, lane: usize) -> Vec<EngineSet> {
+        let levels = self.engines.tiers(&self.plan.routing, lane);
+        levels
+            .iter()
+            .map(|engines| EngineSet(engines.words().to_vec()))
+            .collect()
+    }
+
+    fn subset_removals(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
+        (0..self.plan.lane_count()).map(|lane| SubsetUpdate {
+            endpoint_subset: self.plan.subset(lane),
+            priority_levels: None,
+        })
+    }
 }
 
-/// The plan in force, the ones that batches in hand still keep, and the limits.
+/// Routes queries by the plan in force and applies its limits. Open queries keep the plan that they were admitted under.
 pub struct PlanRouter {
     names: Names,
-    zones: Vec<String>,
-    kinds: Vec<String>,
-    room: f64,
+    zone_names: Vec<String>,
+    kind_names: Vec<String>,
+    /// Queries that this gateway can hold at once.
+    capacity: f64,
     limits: Limits,
-    /// The last is in force.
-    versions: Vec<(Arc<Version>, Engines)>,
-    next_lane: u32,
-    listed: Vec<Option<EngineUpdate>>,
+    in_force: RoutedPlan,
+    /// Earlier plans that open queries were admitted under, the oldest first.
+    superseded: Vec<RoutedPlan>,
+    /// The number of the next plan's first endpoint subset.
+    next_subset: u32,
+    /// The endpoint list, by engine.
+    endpoints: Vec<Option<EngineUpdate>>,
 }
 
 impl PlanRouter {
-    /// The planner of a gateway that can hold so many batches.
-    pub fn new(decoded: &Decoded, plan: Arc<Plan>, room: f64) -> Self {
+    /// A router for a gateway that can hold `capacity` queries at once.
+    pub fn new(decoded: &Decoded, plan: Arc<Plan>, capacity: f64) -> Self {
         let names = Names {
             groups: decoded.names.groups.clone(),
             tenants: decoded.names.tenants.clone(),
         };
         let routing = Routing::new(plan, names.clone());
-        let mut planner = PlanRouter {
+        let limits = Limits::new(&routing, capacity);
+        let in_force = RoutedPlan::new(routing, 0);
+        PlanRouter {
             names,
-            zones: decoded.names.zones.clone(),
-            kinds: decoded.names.kinds.clone(),
-            room,
-            limits: Limits::new(&routing, room),
-            versions: Vec::new(),
-            next_lane: 0,
-            listed: Vec::new(),
-        };
-        planner.add(routing);
-        planner
-    }
-
-    fn add(&mut self, routing: Routing) {
-        let engines = Engines::new(&routing);
-        let first_lane = self.next_lane;
-        self.next_lane = first_lane.wrapping_add(routing.lanes().len() as u32);
-        self.versions.push((
-            Arc::new(Version {
-                routing,
-                first_lane,
-            }),
-            engines,
-        ));
+            zone_names: decoded.names.zones.clone(),
+            kind_names: decoded.names.kinds.clone(),
+            capacity,
+            limits,
+            next_subset: in_force.plan.lane_count() as u32,
+            in_force,
+            superseded: Vec::new(),
+            endpoints: Vec::new(),
+        }
     }
 
-    /// Takes up another plan; what the module is to know of lanes.
+    /// Puts another plan in force. Returns the changes of endpoint subsets.
     pub fn update_plan(&mut self, plan: Arc<Plan>) -> Vec<SubsetUpdate> {
         let routing = Routing::new(plan, self.names.clone());
-        self.limits.replan(&routing, self.room);
-        self.add(routing);
-        let mut told = self.gone();
-        for engine in 0..self.listed.len() {
-            self.place(engine);
+        self.limits.replan(&routing, self.capacity);
+        let next = RoutedPlan::new(routing, self.next_subset);
+        self.next_subset = next.plan.subset(next.plan.lane_count());
+        let previous = std::mem::replace(&mut self.in_force, next);
+        self.superseded.push(previous);
+        let mut updates = self.remove_unused_plans();
+        for engine in 0..self.endpoints.len() {
+            self.update_pools(engine);
         }
-        told.extend(self.lanes());
-        told
+        updates.extend(self.subset_updates());
+        updates
     }
 
-    /// Takes in a change of the list of engines; what the module is to know of lanes.
-    pub fn update_endpoints(&mut self, lines: &[EngineUpdate], whole: bool) -> Vec<SubsetUpdate> {
-        if whole {
-            let named: HashSet<usize> = lines.iter().map(|l| l.listed.engine).collect();
-            for engine in (0..self.listed.len()).filter(|n| !named.contains(n)) {
-                self.listed[engine] = None;
-                self.place(engine);
+    /// Applies a change of the endpoint list; a complete one removes the engines that it does not name. Returns the changes of
+    /// endpoint subsets.
+    pub fn update_endpoints(
+        &mut self,
+        changes: &[EngineUpdate],
+        is_complete: bool,
+    ) -> Vec<SubsetUpdate> {
+        if is_complete {
+            self.remove_unnamed_endpoints(changes);
+        }
+        for change in changes {
+            let engine = change.listed.engine;
+            if engine >= self.endpoints.len() {
+                self.endpoints.resize_with(engine + 1, || None);
             }
+            let is_listed = change.listed.state != EndpointState::Removed;
+            self.endpoints[engine] = is_listed.then(|| change.clone());
+            self.update_pools(engine);
         }
-        for line in lines {
-            let engine = line.listed.engine;
-            self.listed
-                .resize_with(self.listed.len().max(engine + 1), || None);
-            let here = line.listed.state != EndpointState::Removed;
-            self.listed[engine] = here.then(|| line.clone());
-            self.place(engine);
+        let mut updates = self.remove_unused_plans();
+        updates.extend(self.subset_updates());
+        updates
+    }
+
+    fn remove_unnamed_endpoints(&mut self, changes: &[EngineUpdate]) {
+        let named: HashSet<usize> = changes.iter().map(|change| change.listed.engine).collect();
+        for engine in (0..self.endpoints.len()).filter(|engine| !named.contains(engine)) {
+            self.endpoints[engine] = None;
+            self.update_pools(engine);
         }
-        let mut told = self.gone();
-        told.extend(self.lanes());
-        told
     }
 
-    fn place(&mut self, engine: usize) {
-        let line = self.listed.get(engine).and_then(Option::as_ref);
-        let name = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_default();
-        let words = line.map(|l| {
-            (
-                name(&self.zones, l.listed.zone as usize),
-                name(&self.kinds, l.listed.kind),
-            )
+    /// Applies what the endpoint list says of an engine to the pools of every plan.
+    fn update_pools(&mut self, engine: usize) {
+        let endpoint = self.endpoints.get(engine).and_then(Option::as_ref);
+        let facts = endpoint.map(|endpoint| EngineFacts {
+            id: &endpoint.id,
+            zone: name_at(&self.zone_names, endpoint.listed.zone as usize),
+            kind: name_at(&self.kind_names, endpoint.listed.kind),
+            address: endpoint.address.ip(),
         });
-        let facts = line
-            .zip(words.as_ref())
-            .map(|(line, (zone, kind))| EngineFacts {
-                id: &line.id,
-                zone,
-                kind,
-                address: line.address.ip(),
-            });
-        for (version, engines) in &mut self.versions {
-            engines.listed(&version.routing, engine, facts.as_ref());
+        for routed in self.superseded.iter_mut().chain([&mut self.in_force]) {
+            routed
+                .engines
+                .listed(&routed.plan.routing, engine, facts.as_ref());
         }
     }
 
-    /// Lets plans go that no batch keeps any more.
-    fn gone(&mut self) -> Vec<SubsetUpdate> {
-        let last = self.versions.len() - 1;
-        let mut told = Vec::new();
-        let mut at = 0;
-        self.versions.retain(|(version, _)| {
-            let kept = at == last || Arc::strong_count(version) > 1;
-            at += 1;
-            if !kept {
-                let lanes = 0..version.routing.lanes().len() as u32;
-                told.extend(lanes.map(|n| (version.first_lane.wrapping_add(n), None)));
+    /// Removes the superseded plans that no open query was admitted under.
+    fn remove_unused_plans(&mut self) -> Vec<SubsetUpdate> {
+        let mut removals = Vec::new();
+        self.superseded.retain(|routed| {
+            let is_in_use = routed.is_in_use();
+            if !is_in_use {
+                removals.extend(routed.subset_removals());
             }
-            kept
+            is_in_use
         });
-        told
+        removals
     }
 
-    fn lanes(&self) -> Vec<SubsetUpdate> {
-        let of = |(version, engines): &(Arc<Version>, Engines)| {
-            let routing = &version.routing;
-            let closed = (0..routing.lanes().len()).filter(|n| !routing.lanes()[*n].is_open());
-            let told = closed.map(|n| {
-                let tiers = engines.tiers(routing, n);
-                let sets = tiers
-                    .iter()
-                    .map(|tier| EngineSet(tier.words().to_vec()))
-                    .collect();
-                (version.first_lane.wrapping_add(n as u32), Some(sets))
-            });
-            told.collect::<Vec<_>>()
-        };
-        self.versions.iter().flat_map(of).collect()
+    fn subset_updates(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
+        let plans = self.superseded.iter().chain([&self.in_force]);
+        plans.flat_map(RoutedPlan::subset_updates)
     }
 
-    /// Lets a batch in, or says why not. `now` is in Unix seconds.
-    pub fn admit(&mut self, now: f64, batch: &Batch) -> Result<PlanAdmission, PlanRejection> {
-        let (version, _) = self
-            .versions
-            .last()
-            .expect("one is in force from the start on");
-        let routing = &version.routing;
-        match routing.decide(batch) {
-            Verdict::Refused { route } => {
-                let reason = routing.plan().routes[route]
-                    .refuse
-                    .clone()
-                    .unwrap_or_default();
-                Err(PlanRejection::LimitReached {
-                    reason,
-                    come_back: None,
-                })
+    /// Admits a query under the plan in force; `now` is in seconds on the gateway's clock.
+    ///
+    /// # Errors
+    ///
+    /// A route refuses the query, its statement is too long, or it is over a limit.
+    pub fn admit(&mut self, now: f64, query: &Batch) -> Result<PlanAdmission, PlanRejection> {
+        let plan = &self.in_force.plan;
+        let routing = &plan.routing;
+        let (class, lane) = match routing.decide(query) {
+            Verdict::Goes { group, lane, .. } => (group, lane),
+            Verdict::Refused { route } => return Err(refused_by_route(routing, route)),
+            Verdict::TooLong { most } => {
+                return Err(PlanRejection::StatementTooLong { max_bytes: most })
             }
-            Verdict::TooLong { most } => Err(PlanRejection::TooLong { most }),
-            Verdict::Goes { group, lane, .. } => {
-                let ticket = self
-                    .limits
-                    .take(routing, time(now), batch)
-                    .map_err(|over| {
-                        let Over {
-                            limit,
-                            which,
-                            come_back,
-                        } = over;
-                        PlanRejection::LimitReached {
-                            reason: format!("over the limit {limit} ({which:?})"),
-                            come_back: Some(come_back),
-                        }
-                    })?;
-                let open = routing.lanes()[lane].is_open();
-                let limit = |group: usize| routing.rules(group).and_then(|rules| rules.limit);
-                Ok(PlanAdmission {
-                    ticket,
-                    _version: version.clone(),
-                    endpoint_subset: (!open).then(|| version.first_lane.wrapping_add(lane as u32)),
-                    class: group,
-                    deadline: limit(batch.group).into_iter().chain(limit(group)).min(),
-                })
-            }
-        }
+        };
+        let ticket = self.limits.take(routing, unix_time(now), query)?;
+        let deadline_of = |class: usize| routing.rules(class).and_then(|rules| rules.limit);
+        let deadlines = [deadline_of(query.group), deadline_of(class)];
+        let is_confined = !routing.lanes()[lane].is_open();
+        Ok(PlanAdmission {
+            ticket,
+            _plan: plan.clone(),
+            endpoint_subset: is_confined.then(|| plan.subset(lane)),
+            class,
+            deadline: deadlines.into_iter().flatten().min(),
+        })
+    }
+
+    /// Returns what an admitted query holds of the plan's limits, once the query has ended.
+    pub fn release(&mut self, now: f64, admission: PlanAdmission) {
+        self.limits.release(unix_time(now), admission.ticket);
     }
+}
 
-    /// A batch that was let in is over.
-    pub fn release(&mut self, now: f64, passage: PlanAdmission) {
-        self.limits.release(time(now), passage.ticket);
+fn refused_by_route(routing: &Routing, route: usize) -> PlanRejection {
+    let reason = routing.plan().routes[route].refuse.clone();
+    PlanRejection::LimitReached {
+        reason: reason.unwrap_or_default(),
+        retry_after: None,
     }
 }
 
-fn time(now: f64) -> Duration {
-    Duration::try_from_secs_f64(now).unwrap_or_default()
+/// The name at an index; empty where the settings have none.
+fn name_at(names: &[String], index: usize) -> &str {
+    names.get(index).map_or("", String::as_str)
+}
+
+fn unix_time(seconds: f64) -> Duration {
+    Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -70,9 +70,9 @@
 impl SchedulerState {
     /// Tells the module of ways that batches may go.
     pub(super) fn update_endpoint_subsets(&mut self, updates: Vec<SubsetUpdate>) {
-        for (endpoint_subset, priority_levels) in updates {
+        for update in updates {
             self.controller
-                .update_endpoint_subset(endpoint_subset, priority_levels);
+                .update_endpoint_subset(update.endpoint_subset, update.priority_levels);
         }
     }
 
