--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! The connection to the change log.
 
+use crate::system::budgeted_stream::{BudgetedStream, LONGEST_HEAD};
 use crate::system::socket::Socket;
-use crate::system::stream_budget::{BudgetedStream, LONGEST_HEAD};
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderName, HeaderValue, Method, Request, StatusCode};
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -12,11 +12,11 @@
 pub use call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState, Statement};
 
 use crate::discovery::{EngineList, Warmed};
+use crate::system::budgeted_stream::{Abandoned, BudgetedStream, LONGEST_HEAD};
 use crate::system::clock::span;
+use crate::system::resource_budget::ResourceBudget;
+use crate::system::send_gate::SendGate;
 use crate::system::socket::Socket;
-use crate::system::stream_budget::{
-    Abandoned, BudgetedStream, ResourceBudget, SendGate, LONGEST_HEAD,
-};
 use attempt::{EngineAttempt, ResponseTimeout};
 use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
 use garnetwall_ledger::{Bounds, Ledger};
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -11,7 +11,8 @@
 use super::request::{path, request, Outgoing, Sender};
 use super::response::Fault;
 use super::{Engines, Target};
-use crate::system::stream_budget::{Abandoned, SendGate};
+use crate::system::budgeted_stream::Abandoned;
+use crate::system::send_gate::SendGate;
 use bytes::Bytes;
 use garnetwall::api::AttemptEnd;
 use garnetwall_bodies::body::ReadFault;
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -1,7 +1,7 @@
 //! Requests to engines: a start goes out through its gate.
 
 use super::call::Call;
-use crate::system::stream_budget::SendGate;
+use crate::system::send_gate::SendGate;
 use bytes::Bytes;
 use garnetwall_bodies::body::ReadFault;
 use http::header::HOST;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use crate::storage::query_journal::{self, QueryJournal};
 use crate::system::clock::{span, Clock};
 use crate::system::os_error::retry;
-use crate::system::stream_budget::ResourceBudget;
+use crate::system::resource_budget::ResourceBudget;
 use garnetwall::api::{AttemptEnd, EngineId, QueryClass, Settings};
 use garnetwall::controller::AdmissionController;
 use garnetwall_bodies::Store;
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -2,7 +2,7 @@
 //! that nobody has asked for yet, and what has come already is known before the connection is closed.
 
 use crate::system::socket::Socket;
-use crate::system::stream_budget::Stalled;
+use crate::system::write_timeout::Stalled;
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
--- a/crates/gateway/src/system.rs
+++ b/crates/gateway/src/system.rs
@@ -1,10 +1,13 @@
 //! What the gateway takes from its machine: clocks, signals, sockets, the log, and the faults of system calls.
 
 pub mod boot_clock;
+pub mod budgeted_stream;
 pub mod clock;
 pub mod log;
 pub mod os_error;
+pub mod resource_budget;
+pub mod send_gate;
 pub mod signals;
 pub mod socket;
 pub mod stall_detector;
-pub mod stream_budget;
+pub mod write_timeout;
--- /dev/null
+++ b/crates/gateway/src/system/write_timeout.rs
@@ -0,0 +1,35 @@
+//! Ends a connection whose write has waited too long.
+
+use std::future::Future;
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::time::{sleep, Sleep};
+
+/// A write that nothing is read of for this long ends the connection: far above any client's patience with
+/// its own network.
+const STALLED: Duration = Duration::from_secs(10);
+
+/// How long a connection's write has waited; it lets none wait for ever.
+#[derive(Debug, Default)]
+pub struct Stalled(Option<Pin<Box<Sleep>>>);
+
+impl Stalled {
+    /// The end of a write as it is, or that of one that has waited too long.
+    pub fn bounded(
+        &mut self,
+        cx: &mut Context,
+        end: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
+        if end.is_ready() {
+            self.0 = None;
+            return end;
+        }
+        let stalled = self.0.get_or_insert_with(|| Box::pin(sleep(STALLED)));
+        stalled
+            .as_mut()
+            .poll(cx)
+            .map(|()| Err(io::ErrorKind::TimedOut.into()))
+    }
+}
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use garnetwall_gateway::system::stream_budget::ResourceBudget;
+use garnetwall_gateway::system::resource_budget::ResourceBudget;
 use helper::process::ms;
 use helper::*;
 use serde_json::{json, Value};
