--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,6 +1,6 @@
 //! The connection to the change log.
 
-use crate::system::budgeted_stream::{BudgetedStream, LONGEST_HEAD};
+use crate::system::budgeted_stream::{BudgetedStream, MAX_RESPONSE_HEAD_BYTES};
 use crate::system::socket::Socket;
 use bytes::Bytes;
 use http::header::HOST;
@@ -34,7 +34,10 @@
     let socket = Socket::connect(log, &AtomicBool::default()).await?;
     let line = BudgetedStream::new(socket, None);
     let mut builder = http1::Builder::new();
-    let (mut sender, connection) = builder.max_buf_size(LONGEST_HEAD).handshake(line).await?;
+    let (mut sender, connection) = builder
+        .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+        .handshake(line)
+        .await?;
     tokio::spawn(async move { drop(connection.await) });
     let answer = sender.send_request(request(log, last)).await?;
     match answer.status() {
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -12,7 +12,7 @@
 pub use call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState, Statement};
 
 use crate::discovery::{EngineList, Warmed};
-use crate::system::budgeted_stream::{Abandoned, BudgetedStream, LONGEST_HEAD};
+use crate::system::budgeted_stream::{AbortFlag, BudgetedStream, MAX_RESPONSE_HEAD_BYTES};
 use crate::system::clock::span;
 use crate::system::resource_budget::ResourceBudget;
 use crate::system::send_gate::SendGate;
@@ -24,7 +24,7 @@
 use http::{Method, StatusCode};
 use hyper::client::conn::http1;
 use request::{request, Sender};
-use response::Fault;
+use response::CallError;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -34,85 +34,85 @@
 use tokio::time::timeout;
 
 /// Protocol: news is held back this long at most.
-const NEWS: Duration = Duration::from_millis(250);
+const LONG_POLL_LIMIT: Duration = Duration::from_millis(250);
 
 /// Protocol: every time limit on sockets is this much longer.
-const LONGER: Duration = Duration::from_millis(50);
+const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
 
 /// Protocol: a dispatch that nobody asks for ends after this.
-const UNASKED: Duration = Duration::from_secs(2);
+const POLL_EXPIRY: Duration = Duration::from_secs(2);
 
 /// In place of the index of an engine that the module does not know.
-const NOT_LISTED: EngineId = EngineId::MAX;
+const UNLISTED_ENGINE: EngineId = EngineId::MAX;
 
 /// How long batches may know of an engine after it has gone, where the longest time limit is this one in seconds.
-pub fn endpoint_retention(longest: f64) -> Duration {
-    span(longest) + UNASKED
+pub fn endpoint_retention(longest_time_limit: f64) -> Duration {
+    span(longest_time_limit) + POLL_EXPIRY
 }
 
 pub struct Engines {
-    budget: Arc<Semaphore>,
-    dial: Duration,
+    connection_permits: Arc<Semaphore>,
+    connect_timeout: Duration,
     list: Arc<EngineList>,
     ledger: Mutex<Ledger>,
     bounds: Bounds,
     /// The longest time limit of any service group.
-    longest: Duration,
-    began: Instant,
+    longest_time_limit: Duration,
+    started_at: Instant,
 }
 
 impl Engines {
-    /// `notes_every` is the time between an engine's notes on a dispatch; 0 where there are none.
+    /// `progress_interval` is the time between an engine's notes on a dispatch; 0 where there are none.
     pub fn new(
         network: Network,
-        notes_every: f64,
+        progress_interval: f64,
         budget: &ResourceBudget,
-        longest: f64,
+        longest_time_limit: f64,
         list: Arc<EngineList>,
     ) -> Self {
-        let dial = span(network.dial);
+        let connect_timeout = span(network.dial);
         let bounds = Bounds {
-            long_poll: NEWS,
-            progress_events: notes_every > 0.0,
-            poll_expiry: UNASKED,
-            cancel_pause: LONGER,
+            long_poll: LONG_POLL_LIMIT,
+            progress_events: progress_interval > 0.0,
+            poll_expiry: POLL_EXPIRY,
+            cancel_pause: SOCKET_TIMEOUT_SLACK,
         };
         Engines {
-            budget: budget.engines.clone(),
-            dial,
+            connection_permits: budget.engines.clone(),
+            connect_timeout,
             list,
             ledger: Mutex::new(Ledger::new(bounds)),
             bounds,
-            longest: span(longest),
-            began: Instant::now(),
+            longest_time_limit: span(longest_time_limit),
+            started_at: Instant::now(),
         }
     }
 
-    fn way(&self, target: Target) -> EngineAttempt<'_> {
+    fn attempt(&self, target: Target) -> EngineAttempt<'_> {
         EngineAttempt {
             engines: self,
             target,
-            dispatch: None,
+            ledger_id: None,
             sender: None,
-            abandoned: Abandoned::default(),
-            gate: None,
-            comes_by: None,
-            until: Instant::now(),
-            may_have_come: false,
-            unreadable: false,
+            abort_flag: AbortFlag::default(),
+            send_gate: None,
+            send_deadline: None,
+            response_deadline: Instant::now(),
+            request_may_have_arrived: false,
+            body_unreadable: false,
             connection: 0,
-            patience: ResponseTimeout::new(self.dial, Instant::now()),
+            response_timeout: ResponseTimeout::new(self.connect_timeout, Instant::now()),
         }
     }
 
     /// How long a dispatch can run that nobody asks for, from when an earlier process may last have asked.
     pub fn longest_unpolled_run(&self) -> Duration {
-        NEWS + UNASKED
+        LONG_POLL_LIMIT + POLL_EXPIRY
     }
 
     /// The ledger's time.
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
     fn ledger(&self) -> MutexGuard<'_, Ledger> {
@@ -124,36 +124,42 @@
         &self,
         address: SocketAddr,
         gate: Option<Arc<SendGate>>,
-    ) -> Result<(Sender, Abandoned), Fault> {
+    ) -> Result<(Sender, AbortFlag), CallError> {
         // What holds the connection up so far lies here, not with the engine.
-        let held_here = AtomicBool::new(true);
-        let dialled = timeout(self.dial, async {
+        let waits_for_local_resource = AtomicBool::new(true);
+        let connecting = timeout(self.connect_timeout, async {
             let permit = self
-                .budget
+                .connection_permits
                 .clone()
                 .acquire_owned()
                 .await
                 .map_err(io::Error::other)?;
-            let line =
-                BudgetedStream::new(Socket::connect(address, &held_here).await?, Some(permit))
-                    .gated(gate);
-            let abandoned = line.abandoned();
+            let stream = BudgetedStream::new(
+                Socket::connect(address, &waits_for_local_resource).await?,
+                Some(permit),
+            )
+            .gated(gate);
+            let abort_flag = stream.abort_flag();
             let mut builder = http1::Builder::new();
-            let up = builder
-                .max_buf_size(LONGEST_HEAD)
-                .handshake(line)
+            let client = builder
+                .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+                .handshake(stream)
                 .await
                 .map_err(io::Error::other)?;
-            Ok::<_, io::Error>((up, abandoned))
+            Ok::<_, io::Error>((client, abort_flag))
         });
-        match dialled.await {
-            Ok(Ok(((sender, connection), abandoned))) => {
+        match connecting.await {
+            Ok(Ok(((sender, connection), abort_flag))) => {
                 tokio::spawn(async move { drop(connection.await) });
-                Ok((sender, abandoned))
+                Ok((sender, abort_flag))
             }
-            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Err(Fault::Refused),
-            Err(_) if held_here.load(Ordering::Relaxed) => Err(Fault::Local),
-            Ok(Err(_)) | Err(_) => Err(Fault::Unconnected),
+            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
+                Err(CallError::ConnectionRefused)
+            }
+            Err(_) if waits_for_local_resource.load(Ordering::Relaxed) => {
+                Err(CallError::LocalResources)
+            }
+            Ok(Err(_)) | Err(_) => Err(CallError::ConnectFailed),
         }
     }
 
@@ -167,49 +173,49 @@
 
     /// Starts a dispatch and asks for it without gap until it is over: it has ended, or can't be running any more.
     /// Where asking can't tell any more, or nobody wants to know, it is given up, which may take until the
-    /// ledger's bound; what is known until then goes to `tidings`.
+    /// ledger's bound; what is known until then goes to `events`.
     pub async fn run_attempt(
         &self,
         target: Target,
         call: &Call,
         start: AttemptStart,
-        wishes: watch::Receiver<CancellationState>,
-        tidings: AttemptEvents,
+        cancellation: watch::Receiver<CancellationState>,
+        events: AttemptEvents,
     ) -> AttemptResult {
         // The protocol names no end of what notes keep running, and an engine was seen to pass the patience it was told. A
         // cut that outlasts every limit is not covered.
-        let kept = if call.in_order {
-            self.longest
+        let run_time = if call.in_order {
+            self.longest_time_limit
         } else {
             Duration::ZERO
         };
-        let id = self.ledger().open(self.now(), kept);
-        let (wish, attended, list) = (
-            wishes.clone(),
+        let id = self.ledger().open(self.now(), run_time);
+        let (state, client_presence, list) = (
+            cancellation.clone(),
             start.client_presence.clone(),
             self.list.clone(),
         );
-        let ends = start.response_deadline.min(start.send_deadline);
+        let deadline = start.response_deadline.min(start.send_deadline);
         let wanted = move || {
-            *wish.borrow() == CancellationState::NotRequested
-                && attended.is_waiting()
-                && Instant::now() < ends
+            *state.borrow() == CancellationState::NotRequested
+                && client_presence.is_waiting()
+                && Instant::now() < deadline
         };
         // Its first byte counts as sending it: what has begun to leave may go on while its engine drains.
-        let gate = SendGate::new(move || list.takes(target), wanted);
-        let comes_by = Some(start.send_deadline).filter(|by| *by < start.response_deadline);
-        let gate = Some(Arc::new(gate));
-        let until = start.response_deadline;
-        let mut way = EngineAttempt {
-            dispatch: Some(id),
-            gate,
-            comes_by,
-            until,
-            ..self.way(target)
+        let send_gate = SendGate::new(move || list.takes(target), wanted);
+        let send_deadline = Some(start.send_deadline).filter(|by| *by < start.response_deadline);
+        let send_gate = Some(Arc::new(send_gate));
+        let response_deadline = start.response_deadline;
+        let mut attempt = EngineAttempt {
+            ledger_id: Some(id),
+            send_gate,
+            send_deadline,
+            response_deadline,
+            ..self.attempt(target)
         };
-        let over = way.live(call, start, wishes, tidings).await;
+        let result = attempt.run(call, start, cancellation, events).await;
         self.ledger().close(id);
-        over
+        result
     }
 
     /// Tells the list's subset how an attempt ended, where that says something of the engine.
@@ -225,16 +231,16 @@
     }
 
     /// Brings up a connection to an engine that the module does not know yet, with a probe where engines may be probed.
-    pub async fn warm(&self, address: SocketAddr, may_probe: bool) -> Warmed {
+    pub async fn warm(&self, address: SocketAddr, may_health_check: bool) -> Warmed {
         let target = Target {
-            engine: NOT_LISTED,
+            engine: UNLISTED_ENGINE,
             address,
         };
-        let (end, report) = match may_probe {
-            true => self.probe_at(target).await,
+        let (end, report) = match may_health_check {
+            true => self.check_target(target).await,
             false => match self.connect(address, None).await {
                 Ok(_) => (AttemptEnd::Succeeded, None),
-                Err(Fault::Local) => (AttemptEnd::NotSent, None),
+                Err(CallError::LocalResources) => (AttemptEnd::NotSent, None),
                 Err(_) => (AttemptEnd::ConnectFailed, None),
             },
         };
@@ -243,42 +249,56 @@
 
     pub async fn health_check(&self, engine: EngineId) -> (AttemptEnd, Option<LoadReport>) {
         match self.target(engine) {
-            Some(target) => self.probe_at(target).await,
+            Some(target) => self.check_target(target).await,
             None => (AttemptEnd::ConnectFailed, None),
         }
     }
 
-    async fn probe_at(&self, target: Target) -> (AttemptEnd, Option<LoadReport>) {
+    async fn check_target(&self, target: Target) -> (AttemptEnd, Option<LoadReport>) {
         let stats = request(Method::GET, target.address, "/stats");
         match self
-            .way(target)
-            .call(stats, None, self.dial + self.dial, false)
+            .attempt(target)
+            .call(
+                stats,
+                None,
+                self.connect_timeout + self.connect_timeout,
+                false,
+            )
             .await
         {
             Ok(reply) if reply.status == StatusCode::OK => (AttemptEnd::Succeeded, reply.report()),
             Ok(reply) => (AttemptEnd::Failed, reply.report()),
-            Err(Fault::Refused | Fault::Unconnected) => (AttemptEnd::ConnectFailed, None),
-            Err(Fault::Local) => (AttemptEnd::NotSent, None),
-            Err(Fault::Silent) => (AttemptEnd::TimedOut, None),
-            Err(Fault::Broken | Fault::Garbled) => (AttemptEnd::ConnectionLost, None),
+            Err(CallError::ConnectionRefused | CallError::ConnectFailed) => {
+                (AttemptEnd::ConnectFailed, None)
+            }
+            Err(CallError::LocalResources) => (AttemptEnd::NotSent, None),
+            Err(CallError::TimedOut) => (AttemptEnd::TimedOut, None),
+            Err(CallError::ConnectionLost | CallError::InvalidResponse) => {
+                (AttemptEnd::ConnectionLost, None)
+            }
         }
     }
 
     /// Logs an engine that goes out of reach or comes back, once each.
-    fn heard(&self, target: Target, fault: Option<&Fault>) {
+    fn log_reachability(&self, target: Target, error: Option<&CallError>) {
         let Target { engine, address } = target;
-        let out = match fault {
-            Some(Fault::Refused | Fault::Unconnected) => true,
+        let unreachable = match error {
+            Some(CallError::ConnectionRefused | CallError::ConnectFailed) => true,
             // It was there to connect to; one that is cut off shows by the next connection.
-            Some(Fault::Local | Fault::Silent | Fault::Broken | Fault::Garbled) => return,
+            Some(
+                CallError::LocalResources
+                | CallError::TimedOut
+                | CallError::ConnectionLost
+                | CallError::InvalidResponse,
+            ) => return,
             None => false,
         };
-        if !self.list.reached(target, !out) {
+        if !self.list.reached(target, !unreachable) {
             return;
         }
-        match out {
+        match unreachable {
             false => tracing::info!(engine, %address, "engine reached again"),
-            true => tracing::warn!(engine, %address, ?fault, "engine out of reach"),
+            true => tracing::warn!(engine, %address, ?error, "engine out of reach"),
         }
     }
 }
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -8,10 +8,10 @@
 mod start;
 
 use super::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
-use super::request::{path, request, Outgoing, Sender};
-use super::response::Fault;
+use super::request::{path, request, RequestBody, Sender};
+use super::response::CallError;
 use super::{Engines, Target};
-use crate::system::budgeted_stream::Abandoned;
+use crate::system::budgeted_stream::AbortFlag;
 use crate::system::send_gate::SendGate;
 use bytes::Bytes;
 use garnetwall::api::AttemptEnd;
@@ -33,60 +33,63 @@
     pub(super) engines: &'a Engines,
     pub(super) target: Target,
     /// None for a probe.
-    pub(super) dispatch: Option<AttemptId>,
+    pub(super) ledger_id: Option<AttemptId>,
     pub(super) sender: Option<Sender>,
     /// Of the connection that is up, or was last.
-    pub(super) abandoned: Abandoned,
+    pub(super) abort_flag: AbortFlag,
     /// What its start goes out through; none for a probe.
-    pub(super) gate: Option<Arc<SendGate>>,
+    pub(super) send_gate: Option<Arc<SendGate>>,
     /// Its start has come whole by then or is not sent, where that is before its batch's end.
-    pub(super) comes_by: Option<Instant>,
+    pub(super) send_deadline: Option<Instant>,
     /// Nobody waits for its answer from then on.
-    pub(super) until: Instant,
+    pub(super) response_deadline: Instant,
     /// Its start may have come whole.
-    pub(super) may_have_come: bool,
+    pub(super) request_may_have_arrived: bool,
     /// Its body could not be read to its end.
-    pub(super) unreadable: bool,
+    pub(super) body_unreadable: bool,
     /// The number of the connection that is up, or was last.
     pub(super) connection: Connection,
     /// How long answers are waited for.
-    pub(super) patience: ResponseTimeout,
+    pub(super) response_timeout: ResponseTimeout,
 }
 
 /// A body on its way to an engine.
-pub(super) struct OutgoingBody {
+pub(super) struct StreamedBody {
     reader: Reader,
     length: Option<u64>,
-    out: BodySender<Bytes, ReadFault>,
+    sender: BodySender<Bytes, ReadFault>,
 }
 
 impl EngineAttempt<'_> {
-    pub(super) async fn live(
+    pub(super) async fn run(
         &mut self,
         call: &Call,
         start: AttemptStart,
-        mut wishes: watch::Receiver<CancellationState>,
-        tidings: AttemptEvents,
+        mut cancellation: watch::Receiver<CancellationState>,
+        events: AttemptEvents,
     ) -> AttemptResult {
-        let told = self
-            .poll_until_end(call, start, &mut wishes, &tidings)
+        let outcome = self
+            .poll_until_end(call, start, &mut cancellation, &events)
             .await;
-        let end = match told {
-            PollOutcome::Succeeded(..) if *wishes.borrow() == CancellationState::QueryFinished => {
+        let end = match outcome {
+            PollOutcome::Succeeded(..)
+                if *cancellation.borrow() == CancellationState::QueryFinished =>
+            {
                 AttemptEnd::Cancelled
             }
-            PollOutcome::Succeeded(first, pages) => {
-                return self.fetch_pages(call, first, pages).await
+            PollOutcome::Succeeded(first_page, pages) => {
+                return self.fetch_pages(call, first_page, pages).await
             }
-            PollOutcome::Over(ended) => return ended,
+            PollOutcome::Ended(ended) => return ended,
             PollOutcome::Unknown => {
-                tidings
+                events
                     .unknown_outcome
                     .send_replace(Some(AttemptEnd::ConnectionLost));
                 self.cancel(call).await;
                 AttemptEnd::ConnectionLost
             }
-            PollOutcome::Unwanted => match (self.cancel(call).await, *wishes.borrow()) {
+            PollOutcome::CancelRequested => match (self.cancel(call).await, *cancellation.borrow())
+            {
                 // Its batch was over before it could be started: that says nothing of the engine.
                 (
                     ledger::Proof::NeverReached,
@@ -99,36 +102,42 @@
         AttemptResult::of(end)
     }
 
-    fn poll_request(&self, call: &Call, page: usize) -> Request<Outgoing> {
+    fn poll_request(&self, call: &Call, page: usize) -> Request<RequestBody> {
         request(Method::GET, self.target.address, &path(call, Some(page)))
     }
 
     /// How long news may take once a connection is up.
     fn poll_timeout(&self) -> Duration {
-        self.patience.timeout(Instant::now())
+        self.response_timeout.timeout(Instant::now())
     }
 
-    fn tell(&self, fact: Evidence) {
-        if let Some(id) = self.dispatch {
-            self.engines.ledger().record(self.engines.now(), id, fact);
+    fn record(&self, evidence: Evidence) {
+        if let Some(id) = self.ledger_id {
+            self.engines
+                .ledger()
+                .record(self.engines.now(), id, evidence);
         }
     }
 
     /// Whether it is not proved that the dispatch does not run any more.
     fn may_run(&self) -> bool {
-        self.dispatch
+        self.ledger_id
             .is_some_and(|id| self.engines.ledger().may_run_until(id).is_some())
     }
 
-    fn polling(&self) -> PollSchedule {
-        PollSchedule::new(self.engines.now(), self.engines.bounds, self.engines.dial)
+    fn poll_schedule(&self) -> PollSchedule {
+        PollSchedule::new(
+            self.engines.now(),
+            self.engines.bounds,
+            self.engines.connect_timeout,
+        )
     }
 
     /// A connection that something spoilt came over is of no further use.
-    fn drop_if_garbled(&mut self, told: Result<(), Fault>) {
-        if told == Err(Fault::Garbled) {
+    fn drop_if_invalid(&mut self, response: Result<(), CallError>) {
+        if response == Err(CallError::InvalidResponse) {
             self.sender = None;
-            self.tell(Evidence::ConnectionUnusable(self.connection));
+            self.record(Evidence::ConnectionUnusable(self.connection));
         }
     }
 }
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -3,7 +3,7 @@
 use super::EngineAttempt;
 use crate::engines::call::Call;
 use crate::engines::request::{path, request};
-use crate::engines::response::{news, Fault, News};
+use crate::engines::response::{attempt_status, AttemptStatus, CallError};
 use garnetwall_ledger as ledger;
 use garnetwall_ledger::{CancelStep, Evidence};
 use http::{Method, StatusCode};
@@ -13,16 +13,16 @@
     /// Has the engine give the dispatch up, on the connection that it was asked on as long as that is of use;
     /// until it is proved that it does not run any more.
     pub(super) async fn cancel(&mut self, call: &Call) -> ledger::Proof {
-        let Some(id) = self.dispatch else {
+        let Some(id) = self.ledger_id else {
             return ledger::Proof::NeverReached;
         };
         let engine = self.target.engine;
         loop {
-            let next = self
+            let step = self
                 .engines
                 .ledger()
                 .next_cancel_step(self.engines.now(), id);
-            match next {
+            match step {
                 CancelStep::Finished(proof) => {
                     tracing::debug!(engine, id = path(call, None), ?proof, "given up");
                     return proof;
@@ -30,27 +30,27 @@
                 CancelStep::Wait(span) => sleep(span).await,
                 CancelStep::IdentifyProcess => {
                     if self
-                        .look_up(call)
+                        .identify_process(call)
                         .await
-                        .is_err_and(|fault| fault != Fault::Refused)
+                        .is_err_and(|fault| fault != CallError::ConnectionRefused)
                     {
-                        self.tell(Evidence::CancelFailed);
+                        self.record(Evidence::CancelFailed);
                     }
                 }
-                CancelStep::Cancel(left) => {
+                CancelStep::Cancel(remaining) => {
                     let delete = request(Method::DELETE, self.target.address, &path(call, None));
-                    let within = left.min(self.engines.dial * 2);
-                    match self.call(delete, None, within, false).await {
+                    let time_limit = remaining.min(self.engines.connect_timeout * 2);
+                    match self.call(delete, None, time_limit, false).await {
                         // An engine that does not know it says so by the second.
                         Ok(r)
                             if [StatusCode::NO_CONTENT, StatusCode::INTERNAL_SERVER_ERROR]
                                 .contains(&r.status) =>
                         {
-                            self.tell(Evidence::Cancelled(self.connection));
+                            self.record(Evidence::Cancelled(self.connection));
                         }
                         Ok(_) => {
-                            self.drop_if_garbled(Err(Fault::Garbled));
-                            self.tell(Evidence::CancelFailed);
+                            self.drop_if_invalid(Err(CallError::InvalidResponse));
+                            self.record(Evidence::CancelFailed);
                         }
                         Err(fault) => {
                             tracing::debug!(
@@ -59,8 +59,8 @@
                                 ?fault,
                                 "not given up yet"
                             );
-                            if fault != Fault::Refused {
-                                self.tell(Evidence::CancelFailed);
+                            if fault != CallError::ConnectionRefused {
+                                self.record(Evidence::CancelFailed);
                             }
                         }
                     }
@@ -70,17 +70,17 @@
     }
 
     /// Asks who listens there now whether it has the dispatch.
-    async fn look_up(&mut self, call: &Call) -> Result<(), Fault> {
+    async fn identify_process(&mut self, call: &Call) -> Result<(), CallError> {
         let reply = self
             .call(self.poll_request(call, 0), None, self.poll_timeout(), true)
             .await?;
-        match news(&reply) {
-            News::NotYet(_) => self.tell(Evidence::Running(self.connection)),
-            News::Good(_) => self.tell(Evidence::Ended),
-            News::Over(_) => self.tell(Evidence::ReportedFailed(self.connection)),
-            News::Garbled => {
-                self.drop_if_garbled(Err(Fault::Garbled));
-                return Err(Fault::Garbled);
+        match attempt_status(&reply) {
+            AttemptStatus::Running(_) => self.record(Evidence::Running(self.connection)),
+            AttemptStatus::Succeeded(_) => self.record(Evidence::Ended),
+            AttemptStatus::Ended(_) => self.record(Evidence::ReportedFailed(self.connection)),
+            AttemptStatus::Invalid => {
+                self.drop_if_invalid(Err(CallError::InvalidResponse));
+                return Err(CallError::InvalidResponse);
             }
         }
         Ok(())
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -1,8 +1,8 @@
-//! One call and its answer, on a connection that is up or comes up.
+//! One call and its response, on a connection that is up or is opened for it.
 
-use super::{EngineAttempt, OutgoingBody};
-use crate::engines::request::{Outgoing, Sender};
-use crate::engines::response::{exchange, Fault, Reply};
+use super::{EngineAttempt, StreamedBody};
+use crate::engines::request::{RequestBody, Sender};
+use crate::engines::response::{exchange, CallError, Reply};
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_ledger::Evidence;
 use http::{Method, Request};
@@ -11,116 +11,128 @@
 use tokio::time::timeout;
 
 impl EngineAttempt<'_> {
-    /// One call, on a connection that is up or comes up within its own bound. `asks` for one that keeps its dispatch
+    /// One call, on a connection that is up or comes up within its own bound. `renews_expiry` for one that keeps its dispatch
     /// running.
     pub(in crate::engines) async fn call(
         &mut self,
-        request: Request<Outgoing>,
-        feed: Option<OutgoingBody>,
-        within: Duration,
-        asks: bool,
-    ) -> Result<Reply, Fault> {
-        let answer = self.call_on_connection(request, feed, within, asks).await;
-        match answer {
+        request: Request<RequestBody>,
+        body: Option<StreamedBody>,
+        time_limit: Duration,
+        renews_expiry: bool,
+    ) -> Result<Reply, CallError> {
+        let response = self
+            .call_on_connection(request, body, time_limit, renews_expiry)
+            .await;
+        match response {
             Ok(_) => {}
-            Err(Fault::Silent) => self.patience.missed(),
-            Err(_) => self.patience.failed(),
+            Err(CallError::TimedOut) => self.response_timeout.timed_out(),
+            Err(_) => self.response_timeout.failed(),
         }
-        self.engines.heard(self.target, answer.as_ref().err());
-        match answer {
-            Err(Fault::Refused) => self.tell(Evidence::ConnectionRefused),
-            Err(Fault::Broken) => self.tell(Evidence::ConnectionLost(self.connection)),
-            Err(Fault::Silent | Fault::Garbled) => {
-                self.abandoned.set();
-                self.tell(Evidence::ConnectionUnusable(self.connection));
+        self.engines
+            .log_reachability(self.target, response.as_ref().err());
+        match response {
+            Err(CallError::ConnectionRefused) => self.record(Evidence::ConnectionRefused),
+            Err(CallError::ConnectionLost) => {
+                self.record(Evidence::ConnectionLost(self.connection))
             }
-            Err(Fault::Unconnected | Fault::Local) | Ok(_) => {}
+            Err(CallError::TimedOut | CallError::InvalidResponse) => {
+                self.abort_flag.abort();
+                self.record(Evidence::ConnectionUnusable(self.connection));
+            }
+            Err(CallError::ConnectFailed | CallError::LocalResources) | Ok(_) => {}
         }
-        answer
+        response
     }
 
     async fn call_on_connection(
         &mut self,
-        mut request: Request<Outgoing>,
-        feed: Option<OutgoingBody>,
-        within: Duration,
-        asks: bool,
-    ) -> Result<Reply, Fault> {
+        mut request: Request<RequestBody>,
+        body: Option<StreamedBody>,
+        time_limit: Duration,
+        renews_expiry: bool,
+    ) -> Result<Reply, CallError> {
         let is_start = request.method() == Method::POST;
-        let up = self.sender.take();
-        if up.as_ref().is_some_and(|sender| sender.is_closed()) {
-            self.tell(Evidence::ConnectionLost(self.connection));
+        let connected = self.sender.take();
+        if connected.as_ref().is_some_and(|sender| sender.is_closed()) {
+            self.record(Evidence::ConnectionLost(self.connection));
         }
-        let mut sender = match up.filter(|s| !s.is_closed()) {
+        let mut sender = match connected.filter(|s| !s.is_closed()) {
             Some(sender) => sender,
             None => {
                 self.connection += 1;
-                let gate = self.gate.clone().filter(|_| is_start);
-                let (sender, abandoned) = self.engines.connect(self.target.address, gate).await?;
-                self.abandoned = abandoned;
+                let gate = self.send_gate.clone().filter(|_| is_start);
+                let (sender, abort_flag) = self.engines.connect(self.target.address, gate).await?;
+                self.abort_flag = abort_flag;
                 sender
             }
         };
         if is_start {
-            self.stamp_deadline(&mut request);
+            self.set_remaining_time(&mut request);
         }
-        if let Some(gate) = &self.gate {
+        if let Some(gate) = &self.send_gate {
             if is_start {
-                gate.begins();
+                gate.start_sending();
             } else {
-                gate.passed();
+                gate.release();
             }
         }
-        let Some(feed) = feed else {
-            if asks {
-                self.sent_whole();
+        let Some(body) = body else {
+            if renews_expiry {
+                self.request_sent();
             }
-            let answer = self.awaited(within, exchange(&mut sender, request)).await;
-            self.sender = answer.is_ok().then_some(sender);
-            return answer;
+            let response = self
+                .await_response(time_limit, exchange(&mut sender, request))
+                .await;
+            self.sender = response.is_ok().then_some(sender);
+            return response;
         };
-        let answer = self.streamed(&mut sender, request, feed, within).await;
+        let response = self
+            .send_streamed(&mut sender, request, body, time_limit)
+            .await;
         // What was not sent to its end leaves a connection of no use.
-        self.sender = (answer.is_ok() && self.may_have_come).then_some(sender);
-        answer
+        self.sender = (response.is_ok() && self.request_may_have_arrived).then_some(sender);
+        response
     }
 
-    /// An answer that is waited for so long, and how long it took for those after it.
-    async fn awaited(
+    /// A response that is waited for so long, and how long it took for those after it.
+    async fn await_response(
         &mut self,
-        within: Duration,
-        answer: impl Future<Output = Result<Reply, Fault>>,
-    ) -> Result<Reply, Fault> {
-        let began = Instant::now();
-        let answer = timeout(within, answer).await.unwrap_or(Err(Fault::Silent));
-        if answer.is_ok() {
-            self.patience.answered(Instant::now(), began.elapsed());
+        time_limit: Duration,
+        response: impl Future<Output = Result<Reply, CallError>>,
+    ) -> Result<Reply, CallError> {
+        let sent_at = Instant::now();
+        let response = timeout(time_limit, response)
+            .await
+            .unwrap_or(Err(CallError::TimedOut));
+        if response.is_ok() {
+            self.response_timeout
+                .answered(Instant::now(), sent_at.elapsed());
         }
-        answer
+        response
     }
 
-    /// A start whose body goes on as it comes. It takes as long as the body, which its batch's limit bounds; the answer
+    /// A start whose body goes on as it comes. It takes as long as the body, which its batch's limit bounds; the response
     /// may come before the body is sent.
-    async fn streamed(
+    async fn send_streamed(
         &mut self,
         sender: &mut Sender,
-        request: Request<Outgoing>,
-        feed: OutgoingBody,
-        within: Duration,
-    ) -> Result<Reply, Fault> {
+        request: Request<RequestBody>,
+        body: StreamedBody,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
         let exchanging = exchange(sender, request);
         tokio::pin!(exchanging);
-        let fed = tokio::select! {
+        let sent = tokio::select! {
             biased;
-            answer = &mut exchanging => return answer,
-            fed = self.send_body(feed) => fed,
+            response = &mut exchanging => return response,
+            sent = self.send_body(body) => sent,
         };
-        match fed {
-            Ok(()) => self.awaited(within, exchanging).await,
-            Err(fault) => {
-                tracing::debug!(%fault, "a body could not be sent to its end");
-                self.unreadable = !matches!(fault, ReadFault::CutOff);
-                Err(Fault::Broken)
+        match sent {
+            Ok(()) => self.await_response(time_limit, exchanging).await,
+            Err(error) => {
+                tracing::debug!(%error, "a body could not be sent to its end");
+                self.body_unreadable = !matches!(error, ReadFault::CutOff);
+                Err(CallError::ConnectionLost)
             }
         }
     }
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -2,7 +2,7 @@
 
 use super::EngineAttempt;
 use crate::engines::call::{AttemptResult, Call};
-use crate::engines::response::{Fault, Reply, MEMORY, THIS_PAGE, WORK};
+use crate::engines::response::{CallError, Reply, MEMORY, PAGE_NUMBER, WORK_MS};
 use crate::engines::result_rows;
 use garnetwall::api::AttemptEnd;
 use http::StatusCode;
@@ -15,27 +15,27 @@
         first: Reply,
         pages: usize,
     ) -> AttemptResult {
-        let mut ended = AttemptResult {
+        let mut result = AttemptResult {
             work: first
-                .number(WORK)
+                .number(WORK_MS)
                 .map(|ms| ms / 1000.0)
                 .filter(|v| *v > 0.0),
             memory: first.number(MEMORY).filter(|v| *v > 0.0),
             report: first.report(),
             ..AttemptResult::of(AttemptEnd::Succeeded)
         };
-        ended.pages.push(first.body);
-        let mut asking = self.polling();
+        result.pages.push(first.body);
+        let mut schedule = self.poll_schedule();
         for page in 1..pages {
-            let mut told = Ok(());
+            let mut response = Ok(());
             loop {
-                if !self.wait_for_next_poll(&mut asking, told).await {
+                if !self.wait_for_next_poll(&mut schedule, response).await {
                     return AttemptResult {
                         end: AttemptEnd::ConnectionLost,
-                        ..ended
+                        ..result
                     };
                 }
-                told = match self
+                response = match self
                     .call(
                         self.poll_request(call, page),
                         None,
@@ -48,21 +48,21 @@
                         tracing::debug!(engine = self.target.engine, page, "page lost");
                         return AttemptResult {
                             end: AttemptEnd::Failed,
-                            ..ended
+                            ..result
                         };
                     }
                     Ok(r)
-                        if r.number(THIS_PAGE) == Some(page as f64)
-                            && result_rows::whole(&r.body) =>
+                        if r.number(PAGE_NUMBER) == Some(page as f64)
+                            && result_rows::is_complete_page(&r.body) =>
                     {
-                        ended.pages.push(r.body);
+                        result.pages.push(r.body);
                         break;
                     }
-                    Ok(_) => Err(Fault::Garbled),
+                    Ok(_) => Err(CallError::InvalidResponse),
                     Err(fault) => Err(fault),
                 };
             }
         }
-        ended
+        result
     }
 }
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,10 +1,10 @@
 //! Asks for a dispatch until its end is known, or asking can't tell any more.
 
-use super::{EngineAttempt, OutgoingBody};
+use super::{EngineAttempt, StreamedBody};
 use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
-use crate::engines::request::Outgoing;
-use crate::engines::response::{news, Fault, News, Reply};
-use crate::engines::NEWS;
+use crate::engines::request::RequestBody;
+use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
+use crate::engines::LONG_POLL_LIMIT;
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger as ledger;
 use garnetwall_ledger::{Evidence, PollSchedule, PollStep};
@@ -16,11 +16,11 @@
 pub(super) enum PollOutcome {
     /// A good end: the answer that tells so, and its number of pages.
     Succeeded(Reply, usize),
-    Over(AttemptResult),
+    Ended(AttemptResult),
     /// Asking can't tell any more.
     Unknown,
     /// Nobody waits for the answer any more.
-    Unwanted,
+    CancelRequested,
 }
 
 impl EngineAttempt<'_> {
@@ -30,54 +30,62 @@
         &mut self,
         call: &Call,
         start: AttemptStart,
-        wishes: &mut watch::Receiver<CancellationState>,
-        tidings: &AttemptEvents,
+        cancellation: &mut watch::Receiver<CancellationState>,
+        events: &AttemptEvents,
     ) -> PollOutcome {
-        let mut asking = self.polling();
-        let Some((mut next, mut feed)) = self.start_request(call, &start) else {
-            self.tell(Evidence::NeverReached);
-            return PollOutcome::Over(AttemptResult::of(AttemptEnd::ConnectFailed));
+        let mut schedule = self.poll_schedule();
+        let Some((mut next, mut body)) = self.start_request(call, &start) else {
+            self.record(Evidence::NeverReached);
+            return PollOutcome::Ended(AttemptResult::of(AttemptEnd::ConnectFailed));
         };
         let mut started = false;
         loop {
-            let Some(answer) = self.call_while_wanted(next, feed.take(), wishes).await else {
-                return PollOutcome::Unwanted;
+            let Some(response) = self
+                .call_until_cancelled(next, body.take(), cancellation)
+                .await
+            else {
+                return PollOutcome::CancelRequested;
             };
             let first = !std::mem::replace(&mut started, true);
-            if std::mem::take(&mut self.unreadable) {
+            if std::mem::take(&mut self.body_unreadable) {
                 // What went on is not whole, so that nothing ran; the batch has no body any more.
-                self.tell(Evidence::NeverReached);
-                return PollOutcome::Over(AttemptResult::of(AttemptEnd::Failed));
+                self.record(Evidence::NeverReached);
+                return PollOutcome::Ended(AttemptResult::of(AttemptEnd::Failed));
             }
-            if first && answer.is_err() && self.gate.as_ref().is_some_and(|gate| gate.is_stopped())
+            if first
+                && response.is_err()
+                && self
+                    .send_gate
+                    .as_ref()
+                    .is_some_and(|gate| gate.is_stopped())
             {
                 // It was stopped at its last bytes, before who wished so was heard.
-                self.tell(Evidence::NeverReached);
-                let elsewhere = *wishes.borrow() == CancellationState::Requested
+                self.record(Evidence::NeverReached);
+                let elsewhere = *cancellation.borrow() == CancellationState::Requested
                     || !self.engines.list().takes(self.target);
-                return PollOutcome::Over(AttemptResult::of(if elsewhere {
+                return PollOutcome::Ended(AttemptResult::of(if elsewhere {
                     AttemptEnd::ConnectFailed
                 } else {
                     AttemptEnd::NotNeeded
                 }));
             }
-            if first && answer.is_err() && !self.may_have_come {
-                self.tell(Evidence::NeverReached);
-                let local = matches!(answer, Err(Fault::Local));
-                return PollOutcome::Over(AttemptResult::of(if local {
+            if first && response.is_err() && !self.request_may_have_arrived {
+                self.record(Evidence::NeverReached);
+                let local = matches!(response, Err(CallError::LocalResources));
+                return PollOutcome::Ended(AttemptResult::of(if local {
                     AttemptEnd::NotSent
                 } else {
                     AttemptEnd::ConnectFailed
                 }));
             }
-            let told = match answer {
-                Ok(reply) => match news(&reply) {
-                    News::Good(pages) => {
-                        self.tell(Evidence::Ended);
+            let checked = match response {
+                Ok(reply) => match attempt_status(&reply) {
+                    AttemptStatus::Succeeded(pages) => {
+                        self.record(Evidence::Ended);
                         return PollOutcome::Succeeded(reply, pages);
                     }
-                    News::Over(end) => {
-                        self.tell(if first {
+                    AttemptStatus::Ended(end) => {
+                        self.record(if first {
                             Evidence::Ended
                         } else {
                             Evidence::ReportedFailed(self.connection)
@@ -91,27 +99,27 @@
                             ledger::ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
                             ledger::ReportVerdict::Inconclusive => return PollOutcome::Unknown,
                         };
-                        return PollOutcome::Over(AttemptResult {
+                        return PollOutcome::Ended(AttemptResult {
                             report: reply.report(),
                             ..AttemptResult::of(end)
                         });
                     }
-                    News::NotYet(note) => {
-                        self.tell(Evidence::Running(self.connection));
-                        if note.is_some() {
-                            tidings.progress.send_replace(note);
+                    AttemptStatus::Running(progress) => {
+                        self.record(Evidence::Running(self.connection));
+                        if progress.is_some() {
+                            events.progress.send_replace(progress);
                         }
                         Ok(())
                     }
-                    News::Garbled => Err(Fault::Garbled),
+                    AttemptStatus::Invalid => Err(CallError::InvalidResponse),
                 },
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
-            if !wishes.borrow().asks() {
-                self.drop_if_garbled(told);
-                return PollOutcome::Unwanted;
+            if !cancellation.borrow().allows_polling() {
+                self.drop_if_invalid(checked);
+                return PollOutcome::CancelRequested;
             }
-            if !self.wait_for_next_poll(&mut asking, told).await {
+            if !self.wait_for_next_poll(&mut schedule, checked).await {
                 return PollOutcome::Unknown;
             }
             next = self.poll_request(call, 0);
@@ -121,73 +129,73 @@
     /// One call, which is let end for as long as news is held back where nobody waits for it any more; none where
     /// it has not ended then. A start is not: what the machine has not sent of it, or what has not come, would come after the
     /// batch's answer.
-    async fn call_while_wanted(
+    async fn call_until_cancelled(
         &mut self,
-        request: Request<Outgoing>,
-        feed: Option<OutgoingBody>,
-        wishes: &mut watch::Receiver<CancellationState>,
-    ) -> Option<Result<Reply, Fault>> {
-        let within = self.poll_timeout();
+        request: Request<RequestBody>,
+        body: Option<StreamedBody>,
+        cancellation: &mut watch::Receiver<CancellationState>,
+    ) -> Option<Result<Reply, CallError>> {
+        let time_limit = self.poll_timeout();
         let is_start = request.method() == Method::POST;
-        let gate = self.gate.clone();
-        let stops = || gate.as_ref().is_some_and(|gate| gate.stop());
-        let comes_by = self.comes_by;
-        let too_late = async {
-            match comes_by {
-                Some(by) => sleep_until(by.into()).await,
+        let gate = self.send_gate.clone();
+        let stop_sending = || gate.as_ref().is_some_and(|gate| gate.stop());
+        let send_deadline = self.send_deadline;
+        let send_deadline_passed = async {
+            match send_deadline {
+                Some(deadline) => sleep_until(deadline.into()).await,
                 None => std::future::pending().await,
             }
         };
         // It fails only with who wished gone, who waits for this.
-        let unwanted = async {
+        let no_longer_wanted = async {
             tokio::select! {
-                _ = wishes.wait_for(|wish| *wish != CancellationState::NotRequested) => {}
-                () = too_late => {}
+                _ = cancellation.wait_for(|state| *state != CancellationState::NotRequested) => {}
+                () = send_deadline_passed => {}
             }
-            if !stops() {
-                let _ = wishes.wait_for(|wish| !wish.asks()).await;
+            if !stop_sending() {
+                let _ = cancellation.wait_for(|state| !state.allows_polling()).await;
             }
         };
-        let answer = {
-            let calling = self.call(request, feed, within, true);
+        let response = {
+            let calling = self.call(request, body, time_limit, true);
             tokio::pin!(calling);
             tokio::select! {
                 biased;
-                answer = &mut calling => Some(answer),
-                () = unwanted => match stops() || is_start && *wishes.borrow() == CancellationState::QueryFinished {
+                response = &mut calling => Some(response),
+                () = no_longer_wanted => match stop_sending() || is_start && *cancellation.borrow() == CancellationState::QueryFinished {
                     true => None,
-                    false => timeout(NEWS, calling).await.ok(),
+                    false => timeout(LONG_POLL_LIMIT, calling).await.ok(),
                 },
             }
         };
-        if answer.is_none() {
+        if response.is_none() {
             // Whatever comes there yet would be taken for the next call's answer.
-            self.abandoned.set();
+            self.abort_flag.abort();
             self.sender = None;
-            self.tell(Evidence::ConnectionUnusable(self.connection));
-            if stops() {
-                self.tell(Evidence::NeverReached);
+            self.record(Evidence::ConnectionUnusable(self.connection));
+            if stop_sending() {
+                self.record(Evidence::NeverReached);
             }
         }
-        answer
+        response
     }
 
     /// After what came of the last call, waits until asking may go on; whether it may.
     pub(super) async fn wait_for_next_poll(
         &mut self,
-        asking: &mut PollSchedule,
-        told: Result<(), Fault>,
+        schedule: &mut PollSchedule,
+        response: Result<(), CallError>,
     ) -> bool {
         let now = self.engines.now();
-        let step = match told {
-            Ok(()) => asking.answered(now),
-            Err(fault) => asking.failed(now, fault.lost()),
+        let step = match response {
+            Ok(()) => schedule.answered(now),
+            Err(error) => schedule.failed(now, error.call_failure()),
         };
-        self.drop_if_garbled(told);
+        self.drop_if_invalid(response);
         match step {
             PollStep::PollAgain(after) => {
                 // One that was waited for in vain has taken its time already.
-                if !after.is_zero() && told != Err(Fault::Silent) {
+                if !after.is_zero() && response != Err(CallError::TimedOut) {
                     sleep(after).await;
                 }
                 true
--- a/crates/gateway/src/engines/attempt/response_timeout.rs
+++ b/crates/gateway/src/engines/attempt/response_timeout.rs
@@ -2,71 +2,74 @@
 //! fixed bound: so each call in a row that was not answered is followed by one that is waited for longer, and what an answer has
 //! taken once the next may take as well. All stays inside the time for which an attempt is known to run on unheard.
 
-use super::super::{LONGER, NEWS, UNASKED};
+use super::super::{LONG_POLL_LIMIT, POLL_EXPIRY, SOCKET_TIMEOUT_SLACK};
 use std::time::{Duration, Instant};
 
 /// An answer may take so many times as long as the slowest one before it on the same attempt.
-const SPREAD: f64 = 1.5;
+const SLOW_RESPONSE_FACTOR: f64 = 1.5;
 
 /// An answer takes no longer where nothing is slow.
-const USUAL: Duration = NEWS.saturating_add(LONGER);
+const USUAL_RESPONSE_TIMEOUT: Duration = LONG_POLL_LIMIT.saturating_add(SOCKET_TIMEOUT_SLACK);
 
 /// The patience of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::engines) struct ResponseTimeout {
     /// The platform's time for a connection to come up.
-    dial: Duration,
+    connect_timeout: Duration,
     /// Calls in a row that were not answered in time.
-    missed: u32,
+    consecutive_timeouts: u32,
     /// The longest that an answer took, of those that took longer than usual.
-    slowest: Duration,
+    slowest_response: Duration,
     /// When the last answer came, or the first call began.
-    heard: Instant,
+    last_response_at: Instant,
 }
 
 impl ResponseTimeout {
-    pub(in crate::engines) fn new(dial: Duration, now: Instant) -> Self {
+    pub(in crate::engines) fn new(connect_timeout: Duration, now: Instant) -> Self {
         ResponseTimeout {
-            dial,
-            missed: 0,
-            slowest: Duration::ZERO,
-            heard: now,
+            connect_timeout,
+            consecutive_timeouts: 0,
+            slowest_response: Duration::ZERO,
+            last_response_at: now,
         }
     }
 
     /// A call was answered after this time.
-    pub(in crate::engines) fn answered(&mut self, now: Instant, after: Duration) {
-        (self.missed, self.heard) = (0, now);
-        if after > USUAL {
-            self.slowest = self.slowest.max(after);
+    pub(in crate::engines) fn answered(&mut self, now: Instant, elapsed: Duration) {
+        (self.consecutive_timeouts, self.last_response_at) = (0, now);
+        if elapsed > USUAL_RESPONSE_TIMEOUT {
+            self.slowest_response = self.slowest_response.max(elapsed);
         }
     }
 
     /// A call was not answered in time.
-    pub(in crate::engines) fn missed(&mut self) {
-        self.missed += 1;
+    pub(in crate::engines) fn timed_out(&mut self) {
+        self.consecutive_timeouts += 1;
     }
 
     /// A call came to nothing otherwise: that says nothing of how long answers take.
     pub(in crate::engines) fn failed(&mut self) {
-        self.missed = 0;
+        self.consecutive_timeouts = 0;
     }
 
     /// How long the answer to the next call may take, once its connection is up.
     pub(in crate::engines) fn timeout(&self, now: Instant) -> Duration {
         // What is left of the time after which an attempt that was not heard of counts as unknown.
-        let left = (NEWS + UNASKED).saturating_sub(now.saturating_duration_since(self.heard));
-        if left.is_zero() && self.missed > 0 {
+        let remaining = (LONG_POLL_LIMIT + POLL_EXPIRY)
+            .saturating_sub(now.saturating_duration_since(self.last_response_at));
+        if remaining.is_zero() && self.consecutive_timeouts > 0 {
             // Asking has stopped by then; what is looked up to give the attempt up is waited for as a second call is.
-            return NEWS + self.dial * 2;
+            return LONG_POLL_LIMIT + self.connect_timeout * 2;
         }
-        let left = left.max(USUAL);
-        let longer = match self.missed {
-            0 => USUAL,
-            1 => NEWS + self.dial * 2,
-            _ => left,
+        let remaining = remaining.max(USUAL_RESPONSE_TIMEOUT);
+        let scheduled = match self.consecutive_timeouts {
+            0 => USUAL_RESPONSE_TIMEOUT,
+            1 => LONG_POLL_LIMIT + self.connect_timeout * 2,
+            _ => remaining,
         };
-        longer.max(self.slowest.mul_f64(SPREAD)).min(left)
+        scheduled
+            .max(self.slowest_response.mul_f64(SLOW_RESPONSE_FACTOR))
+            .min(remaining)
     }
 }
 
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/call.rs
@@ -84,7 +84,7 @@
 
 impl CancellationState {
     /// Whether it is still asked for.
-    pub(super) fn asks(self) -> bool {
+    pub(super) fn allows_polling(self) -> bool {
         matches!(
             self,
             CancellationState::NotRequested | CancellationState::IfNotStarted
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -8,7 +8,7 @@
 use http::{HeaderValue, Method, Request};
 use http_body_util::channel::Channel;
 use http_body_util::{Either, Full};
-use hyper::body::{Body as OutgoingBody, Frame, SizeHint};
+use hyper::body::{Body as HttpBody, Frame, SizeHint};
 use hyper::client::conn::http1;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -16,55 +16,57 @@
 use std::task::{ready, Context, Poll};
 
 /// Sends calls over one connection.
-pub(super) type Sender = http1::SendRequest<Outgoing>;
+pub(super) type Sender = http1::SendRequest<RequestBody>;
 
 /// What a call brings along: all at once, or as it comes.
-pub(super) type Carried = Either<Full<Bytes>, Channel<Bytes, ReadFault>>;
+pub(super) type BodySource = Either<Full<Bytes>, Channel<Bytes, ReadFault>>;
 
 /// It, and the gate that it goes out through where the call is a start.
-pub(super) struct Outgoing {
-    pub(super) carried: Carried,
+pub(super) struct RequestBody {
+    pub(super) source: BodySource,
     /// Bytes of it still to come, where that is known.
-    pub(super) left: Option<u64>,
+    pub(super) remaining_bytes: Option<u64>,
     pub(super) gate: Option<Arc<SendGate>>,
 }
 
-impl Outgoing {
+impl RequestBody {
     /// All of it has been handed over to be written.
-    pub(super) fn read_out(&self) {
+    pub(super) fn body_consumed(&self) {
         if let Some(gate) = &self.gate {
-            gate.read_out();
+            gate.body_consumed();
         }
     }
 }
 
-impl OutgoingBody for Outgoing {
+impl HttpBody for RequestBody {
     type Data = Bytes;
-    type Error = <Carried as OutgoingBody>::Error;
+    type Error = <BodySource as HttpBody>::Error;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        let frame = ready!(Pin::new(&mut self.carried).poll_frame(cx));
+        let frame = ready!(Pin::new(&mut self.source).poll_frame(cx));
         let bytes = frame
             .as_ref()
             .and_then(|f| f.as_ref().ok())
             .and_then(Frame::data_ref)
             .map_or(0, Bytes::len);
-        self.left = self.left.map(|left| left.saturating_sub(bytes as u64));
-        if frame.is_none() || self.left == Some(0) || self.carried.is_end_stream() {
-            self.read_out();
+        self.remaining_bytes = self
+            .remaining_bytes
+            .map(|remaining_bytes| remaining_bytes.saturating_sub(bytes as u64));
+        if frame.is_none() || self.remaining_bytes == Some(0) || self.source.is_end_stream() {
+            self.body_consumed();
         }
         Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.carried.is_end_stream()
+        self.source.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.carried.size_hint()
+        self.source.size_hint()
     }
 }
 
@@ -73,10 +75,10 @@
     page.map_or_else(|| format!("/c/{id}"), |page| format!("/c/{id}/{page}"))
 }
 
-pub(super) fn request(method: Method, address: SocketAddr, path: &str) -> Request<Outgoing> {
-    let nothing = Outgoing {
-        carried: Either::Left(Full::default()),
-        left: None,
+pub(super) fn request(method: Method, address: SocketAddr, path: &str) -> Request<RequestBody> {
+    let nothing = RequestBody {
+        source: Either::Left(Full::default()),
+        remaining_bytes: None,
         gate: None,
     };
     let mut request = Request::new(nothing);
--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -1,6 +1,6 @@
 //! What an engine's answer says, and how a call came to nothing.
 
-use super::request::{Outgoing, Sender};
+use super::request::{RequestBody, Sender};
 use crate::engines::result_rows;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
@@ -10,39 +10,40 @@
 
 /// Protocol: names of the fields.
 const NEVER_RAN: &str = "x-declined";
-const REPORT: &str = "x-stats";
-const NOTE: &str = "x-result";
-const NOTED: &str = "note-value";
-const ALL_PAGES: &str = "result-pages";
-pub(super) const THIS_PAGE: &str = "result-page";
-pub(super) const WORK: &str = "query-cost";
+const LOAD_REPORT: &str = "x-stats";
+const PROGRESS_KIND: &str = "x-result";
+const PROGRESS_VALUE: &str = "note-value";
+const PAGE_COUNT: &str = "result-pages";
+pub(super) const PAGE_NUMBER: &str = "result-page";
+pub(super) const WORK_MS: &str = "query-cost";
 pub(super) const MEMORY: &str = "query-need";
 
 /// How a call came to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fault {
+pub(super) enum CallError {
     /// The engine's machine refused the connection: no process is there.
-    Refused,
+    ConnectionRefused,
     /// No connection came up, or it closed before a byte was written.
-    Unconnected,
+    ConnectFailed,
     /// None could be begun here: this machine lacked a descriptor, a port or a route, or our own limit left none.
-    Local,
+    LocalResources,
     /// Broken after writing.
-    Broken,
+    ConnectionLost,
     /// No answer by the bound.
-    Silent,
+    TimedOut,
     /// An answer out of the protocol: spoilt on its way, for all that it tells.
-    Garbled,
+    InvalidResponse,
 }
 
-impl Fault {
-    pub(super) fn lost(self) -> CallFailure {
+impl CallError {
+    pub(super) fn call_failure(self) -> CallFailure {
         match self {
-            Fault::Refused => CallFailure::Refused,
-            Fault::Unconnected | Fault::Local | Fault::Broken | Fault::Silent => {
-                CallFailure::Unanswered
-            }
-            Fault::Garbled => CallFailure::Garbled,
+            CallError::ConnectionRefused => CallFailure::Refused,
+            CallError::ConnectFailed
+            | CallError::LocalResources
+            | CallError::ConnectionLost
+            | CallError::TimedOut => CallFailure::Unanswered,
+            CallError::InvalidResponse => CallFailure::Garbled,
         }
     }
 }
@@ -67,7 +68,7 @@
     }
 
     pub(super) fn report(&self) -> Option<LoadReport> {
-        let text = self.head.get(REPORT)?.to_str().ok()?;
+        let text = self.head.get(LOAD_REPORT)?.to_str().ok()?;
         let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
         let values =
             pairs.filter_map(|(name, value)| Some((name.trim(), value.trim().parse().ok()?)));
@@ -76,36 +77,36 @@
 }
 
 /// What an answer about a dispatch says.
-pub(super) enum News {
-    NotYet(Option<Progress>),
-    Over(AttemptEnd),
+pub(super) enum AttemptStatus {
+    Running(Option<Progress>),
+    Ended(AttemptEnd),
     /// A good end with so many pages.
-    Good(usize),
-    Garbled,
+    Succeeded(usize),
+    Invalid,
 }
 
 /// The table of outcomes: what each answer proves. What is out of the protocol proves nothing.
-pub(super) fn news(reply: &Reply) -> News {
+pub(super) fn attempt_status(reply: &Reply) -> AttemptStatus {
     let never_ran = reply.head.get(NEVER_RAN).is_some_and(|v| v == "1");
     let pages = reply
-        .number(ALL_PAGES)
-        .filter(|n| n.fract() == 0.0 && (0.0..=result_rows::PAGES as f64).contains(n));
+        .number(PAGE_COUNT)
+        .filter(|n| n.fract() == 0.0 && (0.0..=result_rows::MAX_PAGES as f64).contains(n));
     match (reply.status, never_ran, pages) {
-        (StatusCode::OK, _, Some(pages)) if result_rows::whole(&reply.body) => {
-            News::Good(pages as usize)
+        (StatusCode::OK, _, Some(pages)) if result_rows::is_complete_page(&reply.body) => {
+            AttemptStatus::Succeeded(pages as usize)
         }
-        (StatusCode::ACCEPTED, _, _) => News::NotYet(note(reply)),
-        (StatusCode::SERVICE_UNAVAILABLE, true, _) => News::Over(AttemptEnd::Rejected),
-        (StatusCode::GATEWAY_TIMEOUT, true, _) => News::Over(AttemptEnd::NotNeeded),
-        (StatusCode::INTERNAL_SERVER_ERROR, _, _) => News::Over(AttemptEnd::Failed),
-        _ => News::Garbled,
+        (StatusCode::ACCEPTED, _, _) => AttemptStatus::Running(progress(reply)),
+        (StatusCode::SERVICE_UNAVAILABLE, true, _) => AttemptStatus::Ended(AttemptEnd::Rejected),
+        (StatusCode::GATEWAY_TIMEOUT, true, _) => AttemptStatus::Ended(AttemptEnd::NotNeeded),
+        (StatusCode::INTERNAL_SERVER_ERROR, _, _) => AttemptStatus::Ended(AttemptEnd::Failed),
+        _ => AttemptStatus::Invalid,
     }
 }
 
 /// A note on a dispatch that is out, where one came. One that can't be read says nothing.
-fn note(reply: &Reply) -> Option<Progress> {
-    let amount = reply.number(NOTED)?;
-    match reply.head.get(NOTE)?.to_str().ok()?.trim() {
+fn progress(reply: &Reply) -> Option<Progress> {
+    let amount = reply.number(PROGRESS_VALUE)?;
+    match reply.head.get(PROGRESS_KIND)?.to_str().ok()?.trim() {
         "frac" => Some(Progress::Completed(amount)),
         "missing" => Some(Progress::Spilling(amount)),
         "parked" if amount == 2.0 => Some(Progress::WaitingForLoad),
@@ -116,17 +117,20 @@
 
 pub(super) async fn exchange(
     sender: &mut Sender,
-    request: Request<Outgoing>,
-) -> Result<Reply, Fault> {
-    sender.ready().await.map_err(|e| fault(&e))?;
-    let answer = sender.send_request(request).await.map_err(|e| fault(&e))?;
+    request: Request<RequestBody>,
+) -> Result<Reply, CallError> {
+    sender.ready().await.map_err(|e| call_error(&e))?;
+    let answer = sender
+        .send_request(request)
+        .await
+        .map_err(|e| call_error(&e))?;
     let (head, body) = answer.into_parts();
-    let body = Limited::new(body, result_rows::PAGE)
+    let body = Limited::new(body, result_rows::MAX_PAGE_BYTES)
         .collect()
         .await
         .map_err(|e| match e.is::<LengthLimitError>() {
-            true => Fault::Garbled,
-            false => Fault::Broken,
+            true => CallError::InvalidResponse,
+            false => CallError::ConnectionLost,
         })?;
     Ok(Reply {
         status: head.status,
@@ -136,12 +140,12 @@
 }
 
 /// What an error proves. hyper calls a request cancelled only before any of it was written.
-fn fault(error: &hyper::Error) -> Fault {
+fn call_error(error: &hyper::Error) -> CallError {
     if error.is_canceled() {
-        Fault::Unconnected
+        CallError::ConnectFailed
     } else if error.is_parse() {
-        Fault::Garbled
+        CallError::InvalidResponse
     } else {
-        Fault::Broken
+        CallError::ConnectionLost
     }
 }
--- a/crates/gateway/src/engines/result_rows/tests.rs
+++ b/crates/gateway/src/engines/result_rows/tests.rs
@@ -18,17 +18,21 @@
         rows(&[&page, "x\ty\tz\n"]).unwrap(),
         vec![vec!["a", "", ""], odd.to_vec(), vec!["x", "y", "z"]]
     );
-    assert!(whole(page.as_bytes()) && whole(b"") && !whole(b"\xff\t\t\n"));
+    assert!(
+        is_complete_page(page.as_bytes())
+            && is_complete_page(b"")
+            && !is_complete_page(b"\xff\t\t\n")
+    );
 }
 
 #[test]
 fn what_is_no_whole_row_is_an_error_never_a_row() {
     for page in ["a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "\n"] {
         assert!(
-            rows(&[page]).is_err() && !whole(page.as_bytes()),
+            rows(&[page]).is_err() && !is_complete_page(page.as_bytes()),
             "{page:?}"
         );
     }
     assert!(answer(&[Bytes::from_static(&[0xff, b'\t', b'\t', b'\n'])]).is_err());
-    assert!(answer(&[Bytes::from(vec![b'a'; RESULT + 1])]).is_err());
+    assert!(answer(&[Bytes::from(vec![b'a'; MAX_RESULT_BYTES + 1])]).is_err());
 }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -83,9 +83,9 @@
     async fn dispatch(
         &self,
         start: AttemptStart,
-        wishes: watch::Receiver<CancellationState>,
+        cancellation: watch::Receiver<CancellationState>,
     ) -> AttemptResult {
-        let tidings = AttemptEvents {
+        let events = AttemptEvents {
             unknown_outcome: watch::channel(None).0,
             progress: watch::channel(None).0,
         };
@@ -100,7 +100,7 @@
         };
         let target = self.engines.target(0).unwrap();
         self.engines
-            .run_attempt(target, &call, start, wishes, tidings)
+            .run_attempt(target, &call, start, cancellation, events)
             .await
     }
 
@@ -132,13 +132,13 @@
 async fn a_start_that_waited_for_its_connection_until_after_the_answer_is_not_sent() {
     let silent = Silent::start().await;
     let taken = silent.hold_all().await;
-    let (wish, wishes) = watch::channel(CancellationState::NotRequested);
+    let (wish, cancellation) = watch::channel(CancellationState::NotRequested);
     let answered = async {
         sleep(Duration::from_millis(30)).await;
         wish.send_replace(CancellationState::QueryFinished);
         drop(taken);
     };
-    let (ended, ()) = tokio::join!(silent.dispatch(start(), wishes), answered);
+    let (ended, ()) = tokio::join!(silent.dispatch(start(), cancellation), answered);
     assert_eq!(ended.end, AttemptEnd::NotNeeded);
     assert_eq!(silent.came().await, 0);
 }
@@ -148,7 +148,7 @@
 async fn a_start_that_waited_for_its_connection_until_its_client_left_is_not_sent() {
     let silent = Silent::start().await;
     let taken = silent.hold_all().await;
-    let (_wish, wishes) = watch::channel(CancellationState::NotRequested);
+    let (_wish, cancellation) = watch::channel(CancellationState::NotRequested);
     let start = start();
     let attended = start.client_presence.clone();
     let leaves = async {
@@ -156,7 +156,7 @@
         attended.set_waiting(false);
         drop(taken);
     };
-    let (ended, ()) = tokio::join!(silent.dispatch(start, wishes), leaves);
+    let (ended, ()) = tokio::join!(silent.dispatch(start, cancellation), leaves);
     assert_eq!(
         ended.end,
         AttemptEnd::NotNeeded,
@@ -170,7 +170,7 @@
 async fn a_start_that_can_t_come_within_its_window_is_not_sent() {
     let silent = Silent::start().await;
     let taken = silent.hold_all().await;
-    let (_wish, wishes) = watch::channel(CancellationState::NotRequested);
+    let (_wish, cancellation) = watch::channel(CancellationState::NotRequested);
     let began = Instant::now();
     let start = AttemptStart {
         send_deadline: began + Duration::from_millis(60),
@@ -180,7 +180,7 @@
         sleep(Duration::from_millis(150)).await;
         drop(taken);
     };
-    let (ended, ()) = tokio::join!(silent.dispatch(start, wishes), frees);
+    let (ended, ()) = tokio::join!(silent.dispatch(start, cancellation), frees);
     assert_eq!(ended.end, AttemptEnd::ConnectFailed);
     assert_eq!(silent.came().await, 0);
 }
@@ -191,13 +191,13 @@
     for told in [EndpointState::Draining, EndpointState::Removed] {
         let silent = Silent::start().await;
         let taken = silent.hold_all().await;
-        let (_wish, wishes) = watch::channel(CancellationState::NotRequested);
+        let (_wish, cancellation) = watch::channel(CancellationState::NotRequested);
         let drains = async {
             sleep(Duration::from_millis(30)).await;
             silent.lists(told);
             drop(taken);
         };
-        let (ended, ()) = tokio::join!(silent.dispatch(start(), wishes), drains);
+        let (ended, ()) = tokio::join!(silent.dispatch(start(), cancellation), drains);
         assert_eq!(ended.end, AttemptEnd::ConnectFailed, "it goes elsewhere");
         assert_eq!(silent.came().await, 0);
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -83,7 +83,7 @@
             settings
                 .capacity
                 .unwrap_or(f64::INFINITY)
-                .min(budget.room as f64),
+                .min(budget.query_capacity as f64),
         );
         let plan = config.plan.clone();
         let groups = match &plan {
@@ -101,14 +101,16 @@
                 "plan in force"
             );
         }
-        let planner = plan.map(|plan| PlanRouter::new(&config.decoded, plan, budget.room as f64));
+        let planner =
+            plan.map(|plan| PlanRouter::new(&config.decoded, plan, budget.query_capacity as f64));
         let settings = Settings {
             capacity: room,
             classes: groups.clone(),
             ..settings.clone()
         };
         let control = AdmissionController::new(settings, config.seed, clock.now());
-        let (desk, probes) = Scheduler::new(control, planner, clock, longest, budget.kept_answers);
+        let (desk, probes) =
+            Scheduler::new(control, planner, clock, longest, budget.answer_cache_bytes);
         desk.set_classes(&groups);
         let notes_every = config.decoded.settings.progress_interval;
         let selection = selection(&config, &groups);
@@ -175,9 +177,9 @@
             store: store.clone(),
             decoded: self.config.decoded.clone(),
             phase: self.phase.subscribe(),
-            statements: self.budget.statements.clone(),
+            statements: self.budget.statement_bytes.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
-                self.budget.room,
+                self.budget.query_capacity,
                 self.config.decoded.network.dial,
                 self.longest,
             )),
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -2,7 +2,7 @@
 //! that nobody has asked for yet, and what has come already is known before the connection is closed.
 
 use crate::system::socket::Socket;
-use crate::system::write_timeout::Stalled;
+use crate::system::write_timeout::WriteTimeout;
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -35,7 +35,7 @@
     read: Instant,
     /// Until the next look at a connection that can't be read further ahead.
     looks: Option<Pin<Box<Sleep>>>,
-    stalled: Stalled,
+    stalled: WriteTimeout,
 }
 
 /// One client's connection, to be looked at from beside who parses it.
@@ -54,7 +54,7 @@
             unheard: false,
             read: Instant::now(),
             looks: None,
-            stalled: Stalled::default(),
+            stalled: WriteTimeout::default(),
         };
         Peer(Arc::new(Mutex::new(held)))
     }
--- a/crates/gateway/src/system/budgeted_stream.rs
+++ b/crates/gateway/src/system/budgeted_stream.rs
@@ -2,7 +2,7 @@
 
 use crate::system::send_gate::SendGate;
 use crate::system::socket::Socket;
-use crate::system::write_timeout::Stalled;
+use crate::system::write_timeout::WriteTimeout;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
 use std::io;
@@ -13,15 +13,15 @@
 use tokio::sync::OwnedSemaphorePermit;
 
 /// More than any head of an answer; hyper asks for 8 KB at least.
-pub const LONGEST_HEAD: usize = 16 << 10;
+pub const MAX_RESPONSE_HEAD_BYTES: usize = 16 << 10;
 
 /// Whether what a connection has not sent yet is to be thrown away when it closes. The machine goes on sending for
 /// minutes otherwise: a start written while the engine was cut off would come, and run, long after it was given up.
 #[derive(Clone, Debug, Default)]
-pub struct Abandoned(Arc<AtomicBool>);
+pub struct AbortFlag(Arc<AtomicBool>);
 
-impl Abandoned {
-    pub fn set(&self) {
+impl AbortFlag {
+    pub fn abort(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
@@ -30,10 +30,10 @@
 #[derive(Debug)]
 pub struct BudgetedStream {
     io: TokioIo<Socket>,
-    abandoned: Abandoned,
+    abort_flag: AbortFlag,
     /// Of the start that goes out on it.
     gate: Option<Arc<SendGate>>,
-    stalled: Stalled,
+    write_timeout: WriteTimeout,
     /// Its part of the budget, where no one else holds that.
     _permit: Option<OwnedSemaphorePermit>,
 }
@@ -42,16 +42,16 @@
     pub fn new(socket: Socket, permit: Option<OwnedSemaphorePermit>) -> Self {
         BudgetedStream {
             io: TokioIo::new(socket),
-            abandoned: Abandoned::default(),
+            abort_flag: AbortFlag::default(),
             gate: None,
-            stalled: Stalled::default(),
+            write_timeout: WriteTimeout::default(),
             _permit: permit,
         }
     }
 
     /// For who gives the connection up while bytes may still be on their way.
-    pub fn abandoned(&self) -> Abandoned {
-        self.abandoned.clone()
+    pub fn abort_flag(&self) -> AbortFlag {
+        self.abort_flag.clone()
     }
 
     /// Lets a start out only through this gate.
@@ -60,9 +60,9 @@
         self
     }
 
-    fn lets_out(&self) -> io::Result<()> {
-        let given_up = self.abandoned.0.load(Ordering::Relaxed);
-        match given_up || self.gate.as_ref().is_some_and(|gate| !gate.lets_out()) {
+    fn check_write_allowed(&self) -> io::Result<()> {
+        let is_aborted = self.abort_flag.0.load(Ordering::Relaxed);
+        match is_aborted || self.gate.as_ref().is_some_and(|gate| !gate.allows_write()) {
             true => Err(io::ErrorKind::ConnectionAborted.into()),
             false => Ok(()),
         }
@@ -71,7 +71,7 @@
 
 impl Drop for BudgetedStream {
     fn drop(&mut self) {
-        if self.abandoned.0.load(Ordering::Relaxed) {
+        if self.abort_flag.0.load(Ordering::Relaxed) {
             self.io.inner().discard_on_close();
         }
     }
@@ -93,9 +93,9 @@
         cx: &mut Context,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.lets_out()?;
+        self.check_write_allowed()?;
         let end = Pin::new(&mut self.io).poll_write(cx, buf);
-        self.stalled.bounded(cx, end)
+        self.write_timeout.bounded(cx, end)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -119,8 +119,8 @@
         cx: &mut Context,
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        self.lets_out()?;
+        self.check_write_allowed()?;
         let end = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
-        self.stalled.bounded(cx, end)
+        self.write_timeout.bounded(cx, end)
     }
 }
--- a/crates/gateway/src/system/write_timeout.rs
+++ b/crates/gateway/src/system/write_timeout.rs
@@ -9,25 +9,25 @@
 
 /// A write that nothing is read of for this long ends the connection: far above any client's patience with
 /// its own network.
-const STALLED: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a connection's write has waited; it lets none wait for ever.
 #[derive(Debug, Default)]
-pub struct Stalled(Option<Pin<Box<Sleep>>>);
+pub struct WriteTimeout(Option<Pin<Box<Sleep>>>);
 
-impl Stalled {
+impl WriteTimeout {
     /// The end of a write as it is, or that of one that has waited too long.
     pub fn bounded(
         &mut self,
         cx: &mut Context,
-        end: Poll<io::Result<usize>>,
+        result: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        if end.is_ready() {
+        if result.is_ready() {
             self.0 = None;
-            return end;
+            return result;
         }
-        let stalled = self.0.get_or_insert_with(|| Box::pin(sleep(STALLED)));
-        stalled
+        let deadline = self.0.get_or_insert_with(|| Box::pin(sleep(WRITE_TIMEOUT)));
+        deadline
             .as_mut()
             .poll(cx)
             .map(|()| Err(io::ErrorKind::TimedOut.into()))
