--- /dev/null
+++ b/crates/settings/tests/keys.rs
@@ -0,0 +1,291 @@
+//! The names and forms of all settings, written out literally: a key that is renamed by accident fails here.
+//!
+//! Every key of `ALL` is shown to be read in both forms (another value gives another result), and to be refused by
+//! its whole path where its value has the wrong form. The keys of the gateway's own configuration file and of
+//! `subset` are pinned by crates/gateway/tests/bad_input.rs; what settings must be to one another by that and by
+//! src/tests.rs.
+
+use garnetwall_settings::{decode, report, Flat};
+use serde_json::{json, Value};
+
+/// Every key that is read, with a value other than that which holds where it is absent.
+const ALL: &str = r#"{
+    "allowed": {
+        "cancelling": true, "dial-timeout": 300, "idle-close": 9000, "max-attempts": 3,
+        "max-retry-after": 1500, "may-probe": true, "open-cap": 77, "retry-after": true
+    },
+    "balancers": 5,
+    "categories": [
+        {
+            "name": "lookup", "semantics": "dedup", "key-scope": "zone", "dedup-window": 6000, "give-up": 4000,
+            "goal-time": 800, "aim-stretch": 2.5, "worth": 3, "late-share": 0.4, "one-at-a-time": true,
+            "zones-only": ["west"], "allowed-on": ["large"]
+        },
+        {"name": "load", "semantics": "fragile", "give-up": 9000}
+    ],
+    "domain": {
+        "grants-count": true, "kind-cores": [8, 16], "kind-memory-mb": [1024, 2048], "largest-share": 0.3,
+        "loads": [false, true], "parallelism": [2, 4], "progress": 500, "waits-for-loads": [true, false]
+    },
+    "kinds": ["small", "large"],
+    "registry-mode": "on_request",
+    "rules": {
+        "cold-from": 0.25, "warm-after": 15000, "fall": 3000, "fall-multiple": 2.5,
+        "extra-floor": 4, "extra-per-request": 0.2, "extra-window": 10000, "order-pause": 200
+    },
+    "telemetry": {"fields": ["depth", "load_share"], "how": "inline"},
+    "tenants": [{"name": "acme", "portion": 0.5, "quota-per-s": 90}],
+    "zones": ["east", "west"]
+}"#;
+
+/// A key, another good value for it, a value of the wrong form, and what is said of that.
+const KEYS: &[(&str, &str, &str, &str)] = &[
+    ("allowed.cancelling", "false", "\"perhaps\"", FLAG),
+    ("allowed.dial-timeout", "301", "true", DAY),
+    ("allowed.idle-close", "9001", "true", TIME),
+    ("allowed.max-attempts", "4", "true", COUNT),
+    ("allowed.max-retry-after", "1501", "true", TIME),
+    ("allowed.may-probe", "false", "\"perhaps\"", FLAG),
+    ("allowed.open-cap", "78", "true", COUNT),
+    ("allowed.retry-after", "false", "\"perhaps\"", FLAG),
+    ("balancers", "6", "true", COUNT),
+    ("categories.0.name", "\"other\"", "7", TEXT),
+    ("categories.0.semantics", "\"retryable\"", "7", TEXT),
+    ("categories.0.key-scope", "\"all\"", "7", TEXT),
+    ("categories.0.dedup-window", "6001", "true", TIME),
+    ("categories.0.give-up", "4001", "true", DAY),
+    ("categories.0.goal-time", "801", "true", TIME),
+    ("categories.0.aim-stretch", "2.6", "true", AMOUNT),
+    ("categories.0.worth", "4", "true", AMOUNT),
+    ("categories.0.late-share", "0.5", "true", AMOUNT),
+    ("categories.0.one-at-a-time", "false", "\"perhaps\"", FLAG),
+    ("categories.0.zones-only", "[\"east\"]", "true", INDEX),
+    ("categories.0.allowed-on", "[\"small\"]", "true", INDEX),
+    ("domain.grants-count", "false", "\"perhaps\"", FLAG),
+    ("domain.kind-cores", "[8, 17]", "true", AMOUNT),
+    ("domain.kind-memory-mb", "[1024, 2049]", "true", AMOUNT),
+    ("domain.largest-share", "0.31", "true", AMOUNT),
+    ("domain.loads", "[true, true]", "\"perhaps\"", FLAG),
+    ("domain.parallelism", "[3, 4]", "true", AMOUNT),
+    ("domain.progress", "501", "true", TIME),
+    (
+        "domain.waits-for-loads",
+        "[true, true]",
+        "\"perhaps\"",
+        FLAG,
+    ),
+    ("kinds", "[\"tiny\", \"large\"]", "7", TEXT),
+    ("registry-mode", "\"pushed\"", "7", TEXT),
+    ("rules.cold-from", "0.26", "true", AMOUNT),
+    ("rules.warm-after", "15001", "true", TIME),
+    ("rules.fall", "3001", "true", TIME),
+    ("rules.fall-multiple", "2.6", "true", AMOUNT),
+    ("rules.extra-floor", "5", "true", AMOUNT),
+    ("rules.extra-per-request", "0.21", "true", AMOUNT),
+    ("rules.extra-window", "10001", "true", TIME),
+    ("rules.order-pause", "201", "true", TIME),
+    ("telemetry.fields", "[\"depth\"]", "7", TEXT),
+    ("telemetry.how", "\"on_probe\"", "7", TEXT),
+    ("tenants.0.name", "\"other\"", "7", TEXT),
+    ("zones", "[\"east\", \"west\", \"north\"]", "7", TEXT),
+];
+
+/// Keys whose form is checked and whose value is not used.
+const FORM_ONLY: &[(&str, &str, &str)] = &[
+    ("tenants.0.portion", "true", AMOUNT),
+    ("tenants.0.quota-per-s", "true", AMOUNT),
+];
+
+const FLAG: &str = "true or false expected, not \"perhaps\"; write one of them";
+const TEXT: &str = "a text expected, not 7; write it in quotes";
+const INDEX: &str =
+    "a name or an index expected, not true; write a name of the list, or its place from 0";
+const DAY: &str =
+    "a number expected, not true; give a number of more than 0 and at most 86400000 milliseconds";
+const TIME: &str =
+    "a number expected, not true; give a number of at least 0 and at most 1000000000000 milliseconds";
+const AMOUNT: &str =
+    "a number expected, not true; give a number of at least 0 and at most 1000000000000";
+const COUNT: &str =
+    "a number expected, not true; give a number of at least 1 and at most 1000000000000";
+
+fn parsed(json: &str) -> Value {
+    serde_json::from_str(json).unwrap()
+}
+
+/// All settings with another value at a path.
+fn with(path: &str, value: &str) -> Value {
+    let mut settings = parsed(ALL);
+    let place = settings
+        .pointer_mut(&format!("/{}", path.replace('.', "/")))
+        .unwrap_or_else(|| panic!("{path} is in ALL"));
+    *place = parsed(value);
+    settings
+}
+
+fn decoded(settings: &Value) -> String {
+    let flat = Flat::from_json(settings).unwrap_or_else(|fault| panic!("{fault}"));
+    format!(
+        "{:?}",
+        decode(&flat).unwrap_or_else(|fault| panic!("{fault}"))
+    )
+}
+
+/// The paths of all values that a key names: lists of plain values count as one.
+fn paths(value: &Value, at: &str, into: &mut Vec<String>) {
+    let under = |key: &str| match at {
+        "" => key.to_string(),
+        at => format!("{at}.{key}"),
+    };
+    match value {
+        Value::Object(keys) => keys.iter().for_each(|(key, v)| paths(v, &under(key), into)),
+        Value::Array(items) if items[0].is_object() => paths(&items[0], &under("0"), into),
+        _ => into.push(at.to_string()),
+    }
+}
+
+/// The flat form of the same settings.
+fn text(settings: &Value) -> String {
+    let mut lines = vec![
+        "categories.count=2".to_string(),
+        "tenants.count=1".to_string(),
+    ];
+    let mut all = Vec::new();
+    paths(settings, "", &mut all);
+    all.extend(["name", "semantics", "give-up"].map(|key| format!("categories.1.{key}")));
+    let word = |value: &Value| {
+        value
+            .as_str()
+            .map_or_else(|| value.to_string(), String::from)
+    };
+    for path in all {
+        let value = settings
+            .pointer(&format!("/{}", path.replace('.', "/")))
+            .unwrap();
+        let value = match value {
+            Value::Array(items) => items.iter().map(word).collect::<Vec<_>>().join(","),
+            one => word(one),
+        };
+        lines.push(format!("{path}={value}"));
+    }
+    lines.join("\n")
+}
+
+fn decoded_text(text: &str) -> String {
+    let flat = Flat::from_text(text).unwrap_or_else(|fault| panic!("{fault}"));
+    format!(
+        "{:?}",
+        decode(&flat).unwrap_or_else(|fault| panic!("{fault}"))
+    )
+}
+
+#[test]
+fn the_lists_name_every_key_of_the_document() {
+    let mut all = Vec::new();
+    paths(&parsed(ALL), "", &mut all);
+    let mut named: Vec<String> = KEYS.iter().map(|key| key.0.to_string()).collect();
+    named.extend(FORM_ONLY.iter().map(|key| key.0.to_string()));
+    all.sort();
+    named.sort();
+    assert_eq!(all, named);
+}
+
+#[test]
+fn every_key_has_an_effect_in_json_and_in_text() {
+    let base = decoded(&parsed(ALL));
+    assert_eq!(
+        decoded_text(&text(&parsed(ALL))),
+        base,
+        "both forms say the same"
+    );
+    for (path, other, ..) in KEYS {
+        let changed = with(path, other);
+        assert_ne!(decoded(&changed), base, "{path}={other}");
+        assert_ne!(
+            decoded_text(&text(&changed)),
+            base,
+            "{path}={other}, as text"
+        );
+    }
+}
+
+#[test]
+fn a_value_of_the_wrong_form_is_refused_by_its_key() {
+    let forms = KEYS
+        .iter()
+        .map(|(path, _, wrong, said)| (path, wrong, said));
+    let unused = FORM_ONLY
+        .iter()
+        .map(|(path, wrong, said)| (path, wrong, said));
+    for (path, wrong, said) in forms.chain(unused) {
+        let fault = Flat::from_json(&with(path, wrong)).expect_err(path);
+        assert_eq!(fault.to_string(), format!("settings.{path}: {said}"));
+    }
+    for block in ["allowed", "domain", "rules", "telemetry"] {
+        let fault = Flat::from_json(&with(block, "[]")).expect_err(block);
+        let said = "an object expected, not []; write {...} with its keys";
+        assert_eq!(fault.to_string(), format!("settings.{block}: {said}"));
+    }
+    for list in ["categories", "tenants"] {
+        let fault = Flat::from_json(&with(list, "{}")).expect_err(list);
+        let said = "a list of objects expected, not {}; write [{...}] with one object an item";
+        assert_eq!(fault.to_string(), format!("settings.{list}: {said}"));
+    }
+}
+
+/// Words that stand for a choice: each gives something of its own.
+#[test]
+fn every_word_of_a_choice_has_a_meaning_of_its_own() {
+    let choices: [(&str, &[&str]); 4] = [
+        (
+            "categories.0.semantics",
+            &["\"retryable\"", "\"dedup\"", "\"fragile\""],
+        ),
+        (
+            "categories.0.key-scope",
+            &["\"all\"", "\"zone\"", "\"cell\""],
+        ),
+        (
+            "telemetry.how",
+            &["\"inline\"", "\"on_probe\"", "\"never\""],
+        ),
+        ("registry-mode", &["\"on_request\"", "\"pushed\""]),
+    ];
+    for (path, words) in choices {
+        let mut all: Vec<String> = words
+            .iter()
+            .map(|word| decoded(&with(path, word)))
+            .collect();
+        all.sort();
+        all.dedup();
+        assert_eq!(all.len(), words.len(), "{path}");
+    }
+    let flat = Flat::from_json(&with("categories.0.semantics", "\"odd\"")).unwrap();
+    assert_eq!(
+        decode(&flat).unwrap_err().to_string(),
+        "settings.categories.0.semantics: 'odd' is unknown; write retryable, dedup or fragile"
+    );
+}
+
+/// Names in an engine's load report; two of them have two.
+#[test]
+fn every_name_of_a_load_report_is_read() {
+    let of = |name: &str| format!("{:?}", report([(name, 0.5)]).unwrap());
+    let unread = of("other");
+    let five = ["load_share", "depth", "concurrent", "x0", "x1"].map(of);
+    let mut all = five.to_vec();
+    all.push(unread);
+    all.sort();
+    all.dedup();
+    assert_eq!(all.len(), 6, "each is read into a place of its own");
+    assert_eq!(["util", "queue", "inflight"].map(of), five[..3]);
+}
+
+#[test]
+fn keys_that_are_not_read_are_passed_over() {
+    let base = decoded(&parsed(ALL));
+    let mut more = parsed(ALL);
+    more["prices"] = json!([null, {"a": 1}]);
+    more["allowed"]["give-up"] = json!({"b": [[]]});
+    assert_eq!(decoded(&more), base);
+}
