--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -295,7 +295,10 @@
                     reply.record(who, 6).extend(self.addresses[engine]);
                 }
                 NextAction::Subscribe => reply.record(who, 11).push(1),
-                NextAction::Cancel(id, dispatch) => {
+                NextAction::Cancel {
+                    query: id,
+                    attempt: dispatch,
+                } => {
                     if let Some(b) = self.in_hand.get(&id) {
                         let body = reply.record(who, 4);
                         body.extend(b.wire.to_be_bytes());
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -113,7 +113,7 @@
                 NextAction::HealthCheck(engine) => drop(self.health_checks.send(engine)),
                 // The change log is followed at all times.
                 NextAction::Subscribe => {}
-                NextAction::Cancel(id, attempt) => {
+                NextAction::Cancel { query: id, attempt } => {
                     state.send_command(id, Command::CancelAttempt { attempt })
                 }
                 NextAction::Wait(span) => {
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -88,7 +88,10 @@
             match self.control.next_action(seconds(self.now)) {
                 NextAction::Wait(_) => return,
                 NextAction::Subscribe | NextAction::HealthCheck(_) => {}
-                NextAction::Cancel(id, n) => {
+                NextAction::Cancel {
+                    query: id,
+                    attempt: n,
+                } => {
                     if let Some(o) = self
                         .attempts
                         .iter_mut()
--- a/crates/scale/src/beside/hollow.rs
+++ b/crates/scale/src/beside/hollow.rs
@@ -179,7 +179,7 @@
                     self.module
                         .health_check_ended(self.now, engine, AttemptEnd::Succeeded);
                 }
-                NextAction::Cancel(..) | NextAction::Subscribe => {}
+                NextAction::Cancel { .. } | NextAction::Subscribe => {}
             }
         }
         1.0 / MICROSECONDS
--- a/crates/scale/src/fleet/gateway.rs
+++ b/crates/scale/src/fleet/gateway.rs
@@ -318,7 +318,7 @@
                 }
                 NextAction::Subscribe => {}
                 NextAction::HealthCheck(slot) => process.probe(now, slot, around),
-                NextAction::Cancel(id, attempt) => {
+                NextAction::Cancel { query: id, attempt } => {
                     self.attempt_over(now, id, attempt, AttemptEnd::Cancelled, around)
                 }
                 NextAction::Place(id) => self.place(now, id, around),
--- a/crates/scale/src/slopes/module/world.rs
+++ b/crates/scale/src/slopes/module/world.rs
@@ -241,7 +241,7 @@
                     self.control
                         .health_check_ended(now, engine, AttemptEnd::Succeeded)
                 }
-                NextAction::Subscribe | NextAction::Cancel(..) => {}
+                NextAction::Subscribe | NextAction::Cancel { .. } => {}
             }
         }
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -307,8 +307,8 @@
     HealthCheck(EngineId),
     /// Subscribe to the endpoint list.
     Subscribe,
-    /// Cancel this attempt of a query, by its number from 0.
-    Cancel(QueryId, u32),
+    /// Cancel an attempt of a query, by its number from 0.
+    Cancel { query: QueryId, attempt: u32 },
     /// Nothing for so many seconds, unless an event comes first.
     Wait(f64),
 }
--- a/src/controller/next_action.rs
+++ b/src/controller/next_action.rs
@@ -17,7 +17,10 @@
             return NextAction::Subscribe;
         }
         if let Some(attempt) = self.pending_cancellations.pop_front() {
-            return NextAction::Cancel(attempt.query, attempt.attempt);
+            return NextAction::Cancel {
+                query: attempt.query,
+                attempt: attempt.attempt,
+            };
         }
         if let Some(engine) = self.pending_health_checks.pop_front() {
             return NextAction::HealthCheck(engine);
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -443,7 +443,10 @@
                     self.controller
                         .health_check_ended(self.now, engine, AttemptEnd::Succeeded);
                 }
-                NextAction::Cancel(id, n) => {
+                NextAction::Cancel {
+                    query: id,
+                    attempt: n,
+                } => {
                     if self.records[id as usize].in_flight() == Some(n as usize) {
                         self.end_attempt(id, AttemptEnd::Cancelled);
                     }
--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -463,7 +463,7 @@
                     self.c
                         .health_check_ended(now, engine, AttemptEnd::Succeeded)
                 }
-                NextAction::Cancel(id, attempt) => {
+                NextAction::Cancel { query: id, attempt } => {
                     if let Some(n) = self
                         .out
                         .iter()
