--- a/crates/benchlink/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -15,7 +15,7 @@
     match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("garnetwall-benchlink: {what}");
+            eprintln!("garnetwall-bench-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -5,7 +5,7 @@
 //! bad_input.rs); how plans are refused and what they refuse (plan.rs); exit codes of the commands on plans
 //! (plan.rs); statuses of a batch's failures and of bad calls (sockets.rs), of long bodies (bodies.rs) and of repeated
 //! calls (repeated_calls.rs); records of the journal and pieces of the spool (crates/ledger/tests/stored_records.rs,
-//! crates/bodies/tests/stored_spool.rs); frames of the bench (crates/benchlink).
+//! crates/bodies/tests/stored_spool.rs); frames of the bench (crates/bench-adapter).
 
 mod helper;
 
