--- /dev/null
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -0,0 +1,243 @@
+//! One attempt while it is in flight: its exchange with the engine beside its deadline, its events and the scheduler's commands.
+
+use super::{Attempt, EndedAttempt, QueryStatus, QueryTask};
+use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, Target};
+use crate::scheduling::scheduler::{Command, Scheduler};
+use garnetwall::api::{AttemptEnd, Progress};
+use std::future::{ready, Future};
+use std::sync::Arc;
+use std::time::Instant;
+use tokio::sync::watch;
+use tokio::time::sleep_until;
+
+/// How far the response deadline of an attempt has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ResponseDeadline {
+    /// It is still ahead.
+    Ahead,
+    /// It has passed and cancelled the exchange, which is polled once more before its outcome counts as unknown.
+    Passed,
+    /// It has passed, and the scheduler knows that the outcome is unknown.
+    Reported,
+}
+
+/// An attempt in flight, with what has been asked of it and what it has reported.
+pub(super) struct AttemptInFlight<'a> {
+    task: &'a mut QueryTask,
+    attempt: Attempt,
+    cancellation: watch::Sender<CancellationState>,
+    unknown_outcome: watch::Receiver<Option<AttemptEnd>>,
+    progress: watch::Receiver<Option<Progress>>,
+    deadline: ResponseDeadline,
+    query_status: QueryStatus,
+}
+
+impl<'a> AttemptInFlight<'a> {
+    /// Runs an attempt until it has ended.
+    pub(super) async fn run(
+        task: &'a mut QueryTask,
+        attempt: Attempt,
+        target: Target,
+        start: AttemptStart,
+    ) -> EndedAttempt {
+        let (cancellation, cancellation_requests) = watch::channel(CancellationState::NotRequested);
+        let (unknown_outcome_events, unknown_outcome) = watch::channel(None);
+        let (progress_events, progress) = watch::channel(None);
+        let events = AttemptEvents {
+            unknown_outcome: unknown_outcome_events,
+            progress: progress_events,
+        };
+        let deadline = response_deadline(task.scheduler.clone(), start.response_deadline);
+        let exchange = exchange(task, attempt, target, start, cancellation_requests, events);
+        let in_flight = AttemptInFlight {
+            task,
+            attempt,
+            cancellation,
+            unknown_outcome,
+            progress,
+            deadline: ResponseDeadline::Ahead,
+            query_status: QueryStatus::Open,
+        };
+        in_flight.until_ended(exchange, deadline).await
+    }
+
+    async fn until_ended(
+        mut self,
+        exchange: impl Future<Output = AttemptResult>,
+        deadline: impl Future<Output = ()>,
+    ) -> EndedAttempt {
+        tokio::pin!(exchange, deadline);
+        loop {
+            tokio::select! {
+                biased;
+                result = &mut exchange => return self.ended(result),
+                () = &mut deadline, if self.deadline == ResponseDeadline::Ahead => self.deadline_passed(),
+                // An attempt that had not started has ended by now, and its outcome is known.
+                () = ready(()), if self.deadline == ResponseDeadline::Passed => self.report_timeout(),
+                Ok(()) = self.unknown_outcome.changed() => self.outcome_unknown(),
+                Ok(()) = self.progress.changed() => self.progressed(),
+                Some(command) = self.task.commands.recv() => self.command_received(command),
+            }
+        }
+    }
+
+    fn ended(self, result: AttemptResult) -> EndedAttempt {
+        let has_timed_out =
+            self.deadline != ResponseDeadline::Ahead && result.end != AttemptEnd::NotNeeded;
+        let end = match has_timed_out {
+            true => AttemptEnd::TimedOut,
+            false => result.end,
+        };
+        EndedAttempt {
+            result: AttemptResult { end, ..result },
+            query_status: self.query_status,
+        }
+    }
+
+    /// The query's answer is due: cancels what may still run at the engine.
+    fn deadline_passed(&mut self) {
+        self.deadline = ResponseDeadline::Passed;
+        self.cancellation
+            .send_replace(CancellationState::QueryFinished);
+    }
+
+    fn report_timeout(&mut self) {
+        self.deadline = ResponseDeadline::Reported;
+        self.report_unknown_outcome(AttemptEnd::TimedOut);
+    }
+
+    fn outcome_unknown(&mut self) {
+        let end = *self.unknown_outcome.borrow_and_update();
+        if let Some(end) = end {
+            self.report_unknown_outcome(end);
+        }
+    }
+
+    fn report_unknown_outcome(&mut self, end: AttemptEnd) {
+        if self.task.outcome_unknown(self.attempt, end) == QueryStatus::Finished {
+            self.query_status = QueryStatus::Finished;
+        }
+    }
+
+    fn progressed(&mut self) {
+        let progress = *self.progress.borrow_and_update();
+        if let Some(progress) = progress {
+            let task = &self.task;
+            task.scheduler
+                .attempt_progressed(task.id, self.attempt.number, progress);
+        }
+    }
+
+    fn command_received(&mut self, command: Command) {
+        match command {
+            Command::ClientLeft => self.client_left(),
+            Command::CancelAttempt { attempt } if attempt == self.attempt.number => self.cancel(),
+            // A query has one attempt in flight at most, and the scheduler gives no answer beside it.
+            Command::CancelAttempt { .. } | Command::BeginAttempt { .. } | Command::Answer(_) => {}
+        }
+    }
+
+    fn client_left(&mut self) {
+        self.query_status = QueryStatus::Finished;
+        self.request_cancellation(CancellationState::IfNotStarted, |state| {
+            state == CancellationState::NotRequested
+        });
+    }
+
+    fn cancel(&mut self) {
+        let requested = match self.query_status {
+            QueryStatus::Open => CancellationState::Requested,
+            QueryStatus::Finished => CancellationState::QueryFinished,
+        };
+        self.request_cancellation(requested, |state| {
+            matches!(
+                state,
+                CancellationState::NotRequested | CancellationState::IfNotStarted
+            )
+        });
+    }
+
+    /// Requests a cancellation, unless the one requested before goes as far.
+    fn request_cancellation(
+        &self,
+        requested: CancellationState,
+        may_replace: impl Fn(CancellationState) -> bool,
+    ) {
+        self.cancellation.send_if_modified(|state| {
+            let is_replaced = may_replace(*state);
+            if is_replaced {
+                *state = requested;
+            }
+            is_replaced
+        });
+    }
+}
+
+/// Waits until the query's answer is due: its response deadline has passed, or the gateway shuts down.
+async fn response_deadline(scheduler: Arc<Scheduler>, deadline: Instant) {
+    tokio::select! {
+        () = sleep_until(deadline.into()) => {}
+        () = scheduler.until_shutdown() => {}
+    }
+}
+
+/// The exchange with the engine; a non-idempotent query is recorded in the journal first.
+fn exchange(
+    task: &QueryTask,
+    attempt: Attempt,
+    target: Target,
+    start: AttemptStart,
+    cancellation: watch::Receiver<CancellationState>,
+    events: AttemptEvents,
+) -> impl Future<Output = AttemptResult> {
+    let id = task.id;
+    let journal = task.journal.clone();
+    let journal_entry = task.journal_entry;
+    let engines = task.engines.clone();
+    let call = task.call.clone();
+    async move {
+        if let Some(entry) = journal_entry {
+            let record = journal.record_before_send(entry);
+            if let Err(end) = recorded_or_cancelled(record, cancellation.clone()).await {
+                return AttemptResult::of(end);
+            }
+        }
+        tracing::debug!(
+            batch = id,
+            engine = attempt.engine,
+            dispatch = attempt.number,
+            "dispatch"
+        );
+        engines
+            .run_attempt(target, &call, start, cancellation, events)
+            .await
+    }
+}
+
+/// Waits until the journal allows an attempt, for as long as the attempt is not cancelled: the disk may take longer than the query.
+///
+/// # Errors
+///
+/// How the attempt ends where it must not be sent.
+async fn recorded_or_cancelled(
+    record: impl Future<Output = bool>,
+    mut cancellation: watch::Receiver<CancellationState>,
+) -> Result<(), AttemptEnd> {
+    let cancelled = cancellation.wait_for(|state| *state != CancellationState::NotRequested);
+    tokio::select! {
+        biased;
+        // It fails only without a sender, and the sender's owner awaits this.
+        state = cancelled => match state.map(|state| *state) {
+            Ok(CancellationState::Requested) => Err(AttemptEnd::ConnectFailed),
+            _ => Err(AttemptEnd::NotNeeded),
+        },
+        // A failed write is not the engine's fault: nothing was sent.
+        is_recorded = record => match is_recorded {
+            true => Ok(()),
+            false => Err(AttemptEnd::NotNeeded),
+        },
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
@@ -0,0 +1,32 @@
+use super::*;
+
+/// The disk takes longer than the query: nothing is sent after the cancellation, which also ends the wait.
+#[tokio::test]
+async fn an_attempt_cancelled_before_its_journal_write_sends_nothing() {
+    let ends = [
+        (CancellationState::QueryFinished, AttemptEnd::NotNeeded),
+        (CancellationState::IfNotStarted, AttemptEnd::NotNeeded),
+        (CancellationState::Requested, AttemptEnd::ConnectFailed),
+    ];
+    for (last, end) in ends {
+        let (cancellation, requests) = watch::channel(CancellationState::NotRequested);
+        let waiting = recorded_or_cancelled(std::future::pending(), requests.clone());
+        cancellation.send_replace(last);
+        assert_eq!(waiting.await, Err(end));
+        assert_eq!(
+            recorded_or_cancelled(std::future::ready(true), requests).await,
+            Err(end),
+            "both at once"
+        );
+    }
+    let (_cancellation, requests) = watch::channel(CancellationState::NotRequested);
+    assert_eq!(
+        recorded_or_cancelled(std::future::ready(true), requests.clone()).await,
+        Ok(())
+    );
+    assert_eq!(
+        recorded_or_cancelled(std::future::ready(false), requests).await,
+        Err(AttemptEnd::NotNeeded),
+        "no engine is at fault"
+    );
+}
