--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,6 +1,6 @@
 //! The plan language: pools, routes, limits and rules of service groups, as operators write them.
 //!
-//! [`compile`] reads a plan with all that it includes and gives the [`Plan`] or every fault of it. [`format`] prints
+//! [`compile`] reads a plan with all that it includes and gives the [`Plan`] or every fault of it. [`mod@format`] prints
 //! a file in its one form, [`diff`] tells what two plans do otherwise. No module here does I/O; files come by a
 //! [`source::Loader`]. docs/plan-language.md has the grammar and the table of blocks.
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -28,7 +28,9 @@
     Idempotent,
     /// Engines drop a repeat that reaches them in `scope` within `window` seconds of the first attempt.
     IdempotentByKey {
+        /// Which engines drop a repeat.
         scope: DeduplicationScope,
+        /// Seconds from the beginning of the first attempt that may have run.
         window: f64,
     },
     /// A second run would have a second effect.
@@ -98,12 +100,14 @@
     /// With each answer to a health check.
     WithHealthChecks,
     #[default]
+    /// Engines tell nothing of their load.
     Never,
 }
 
 /// The settings of a deployment, as far as decisions need them.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
+    /// The query classes; a class's number is its place here.
     pub classes: Vec<QueryClass>,
     /// Number of tenants, each with a queue of its own.
     pub tenants: usize,
@@ -117,10 +121,13 @@
     pub max_grant_fraction: f64,
     /// Attempts carry a memory grant.
     pub memory_grants: bool,
+    /// When engines report their load.
     pub load_reporting: LoadReporting,
     /// Queries that the gateway can hold at once; unbounded where it is `None`.
     pub capacity: Option<f64>,
+    /// Engines may be sent health checks.
     pub health_checks_allowed: bool,
+    /// Attempts in flight may be cancelled at their engine.
     pub cancellation_allowed: bool,
     /// A rejection may carry a Retry-After.
     pub retry_after_allowed: bool,
@@ -132,6 +139,7 @@
     pub subscription_required: bool,
     /// The retry budget of the gateway.
     pub retry_budget: Option<RetryBudget>,
+    /// How started engines warm up; `None` where they are at full speed at once.
     pub slow_start: Option<SlowStart>,
     /// Seconds that an ordering key pauses after an attempt that timed out, was cut off or was cancelled.
     pub key_pause: f64,
@@ -142,9 +150,11 @@
 /// A query as it is admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct Query {
+    /// The query's number, higher than that of all admitted before.
     pub id: QueryId,
     /// Its class, as an index into [`Settings::classes`].
     pub class: usize,
+    /// The tenant in whose queue it waits, below [`Settings::tenants`].
     pub tenant: usize,
     /// The key within which queries of an ordered class run one at a time.
     pub ordering_key: Option<u64>,
@@ -176,6 +186,7 @@
 /// What the endpoint list says of an engine's availability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
+    /// It takes queries.
     Ready,
     /// It finishes what it runs and takes nothing new.
     Draining,
@@ -186,12 +197,17 @@
 /// An engine as the endpoint list describes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
+    /// The engine's index.
     pub engine: EngineId,
+    /// The zone that it stands in.
     pub zone: u32,
+    /// Its kind, as an index into [`Settings::kind_cores`].
     pub kind: usize,
+    /// The cell of its zone that it belongs to.
     pub cell: u32,
     /// When its process started, on the caller's clock; `None` for one that is not in slow start.
     pub started_at: Option<f64>,
+    /// Whether it takes queries.
     pub state: EndpointState,
     /// Gateways that work with this engine, this one included; [`Settings::gateways`] where it is `None`.
     pub gateways: Option<f64>,
@@ -215,11 +231,13 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
+    /// The engine has answered with the whole result.
     Succeeded,
     /// The engine answered with an error.
     Failed,
     /// The engine had no capacity and did not run it.
     Rejected,
+    /// No answer came within the response timeout.
     TimedOut,
     /// No connection came up, so it never ran.
     ConnectFailed,
@@ -236,9 +254,11 @@
 /// The end of an attempt with what is known of it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOutcome {
+    /// Where the attempt was.
     pub engine: EngineId,
     /// The attempt's number within its query, from 0.
     pub attempt: u32,
+    /// How it ended.
     pub end: AttemptEnd,
     /// Seconds from the attempt's beginning to its end.
     pub latency: f64,
@@ -257,7 +277,9 @@
     Completed(f64),
     /// It spills to disk, so many megabytes.
     Spilling(f64),
+    /// It stands still until its engine has memory for it.
     WaitingForMemory,
+    /// It stands still until its data set is loaded.
     WaitingForLoad,
 }
 
@@ -266,6 +288,7 @@
 pub enum Placement {
     /// Begin an attempt.
     Attempt {
+        /// Where it goes.
         engine: EngineId,
         /// Seconds after which nobody waits for the attempt.
         response_timeout: f64,
@@ -293,7 +316,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer {
     /// It did not run, or may safely be sent again, after `retry_after` seconds where that is told.
-    Rejected { retry_after: Option<f64> },
+    Rejected {
+        /// Seconds; `None` where the settings allow none.
+        retry_after: Option<f64>,
+    },
     /// It may have run and must not be sent again.
     Failed,
 }
@@ -308,7 +334,12 @@
     /// Subscribe to the endpoint list.
     Subscribe,
     /// Cancel an attempt of a query, by its number from 0.
-    Cancel { query: QueryId, attempt: u32 },
+    Cancel {
+        /// The query whose attempt it is.
+        query: QueryId,
+        /// The attempt's number within the query, from 0.
+        attempt: u32,
+    },
     /// Nothing for so many seconds, unless an event comes first.
     Wait(f64),
 }
