--- a/crates/gateway/src/engines/result_rows.rs
+++ b/crates/gateway/src/engines/result_rows.rs
@@ -1,73 +1,153 @@
-//! Pages of a result into the rows of one JSON answer, unchanged and in order.
+//! Converts the pages of a result into one JSON document, with rows unchanged and in order.
 
 use bytes::Bytes;
+use thiserror::Error;
 
 /// Protocol: columns of every row.
 const COLUMN_COUNT: usize = 3;
-/// Protocol: bytes of one page, and of a whole result.
+const COLUMN_SEPARATOR: char = '\t';
+const ROW_END: char = '\n';
+
+/// Protocol: the largest page, in bytes.
 pub const MAX_PAGE_BYTES: usize = 6_000;
+/// Protocol: the largest result, in bytes.
 pub const MAX_RESULT_BYTES: usize = 48_000;
+/// The most pages of a result. A page ends with a row, so that it may be shorter than the largest.
 pub const MAX_PAGES: usize = MAX_RESULT_BYTES / MAX_PAGE_BYTES * 2;
 
-/// The body of a whole answer; says what is wrong where a page holds no whole rows.
-pub fn answer(pages: &[Bytes]) -> Result<Bytes, String> {
+/// Why a result does not follow the protocol. Pages and rows count from 0.
+#[derive(Debug, Error)]
+pub enum ResultError {
+    /// The pages together are longer than [`MAX_RESULT_BYTES`].
+    #[error("{bytes} bytes of result")]
+    TooLong {
+        /// Length of all pages.
+        bytes: usize,
+    },
+    /// A page is not text.
+    #[error("a page is not UTF-8")]
+    NotUtf8 {
+        /// Index of the page.
+        page: usize,
+        /// Where in the page.
+        source: std::str::Utf8Error,
+    },
+    /// A page does not end with the end of a row.
+    #[error("a page ends within a row")]
+    IncompleteRow {
+        /// Index of the page.
+        page: usize,
+    },
+    /// A row has more or fewer columns than the protocol has.
+    #[error("a row of {columns} columns")]
+    ColumnCount {
+        /// Index of the page.
+        page: usize,
+        /// Index of the row in its page.
+        row: usize,
+        /// The row's columns.
+        columns: usize,
+    },
+    /// A column could not be written as JSON.
+    #[error("{source}")]
+    Json {
+        /// Index of the page.
+        page: usize,
+        /// What the writer says.
+        source: serde_json::Error,
+    },
+}
+
+/// The JSON document of a whole result: `{"data":[[...],...]}`.
+///
+/// # Errors
+///
+/// The page that does not hold complete rows, or that the result is too long.
+pub fn to_json(pages: &[Bytes]) -> Result<Bytes, ResultError> {
     let bytes: usize = pages.iter().map(Bytes::len).sum();
     if bytes > MAX_RESULT_BYTES {
-        return Err(format!("{bytes} bytes of result"));
+        return Err(ResultError::TooLong { bytes });
     }
-    let mut json = Vec::with_capacity(bytes + bytes / 4 + 64);
-    json.extend_from_slice(b"{\"data\":[");
-    let mut first = true;
-    for page in pages {
-        let text = std::str::from_utf8(page).map_err(|_| "a page is not UTF-8".to_string())?;
-        let mut remaining = text;
-        while let Some((row, after_row)) = remaining.split_once('\n') {
-            if !first {
-                json.push(b',');
-            }
-            first = false;
-            write_row(&mut json, row)?;
-            remaining = after_row;
-        }
-        if !remaining.is_empty() {
-            return Err("a page ends within a row".into());
-        }
+    let mut writer = RowWriter::with_capacity(json_capacity(bytes));
+    for (page, content) in pages.iter().enumerate() {
+        writer.write_page(page, content)?;
     }
-    json.extend_from_slice(b"]}");
-    Ok(json.into())
+    Ok(writer.finish())
 }
 
-/// Whether a page holds whole rows: one spoilt or cut on its way does not, but by chance.
+/// Whether a page holds complete rows. A page that was corrupted or cut off on its way rarely does.
 pub fn is_complete_page(page: &[u8]) -> bool {
-    let mut columns = 1;
-    let mut row = |byte: &u8| {
-        match byte {
-            b'\t' => columns += 1,
-            b'\n' => return std::mem::replace(&mut columns, 1) == COLUMN_COUNT,
-            _ => {}
-        }
-        true
+    let Ok(text) = std::str::from_utf8(page) else {
+        return false;
     };
-    page.iter().all(&mut row)
-        && page.last().is_none_or(|b| *b == b'\n')
-        && std::str::from_utf8(page).is_ok()
+    let is_complete = text.is_empty() || text.ends_with(ROW_END);
+    is_complete
+        && text
+            .split_terminator(ROW_END)
+            .all(|row| row.split(COLUMN_SEPARATOR).count() == COLUMN_COUNT)
+}
+
+/// An estimate of the document's length: a quarter more than the rows for quotes and brackets.
+fn json_capacity(bytes: usize) -> usize {
+    bytes + bytes / 4 + 64
 }
 
-fn write_row(json: &mut Vec<u8>, row: &str) -> Result<(), String> {
-    json.push(b'[');
-    let mut columns = 0;
-    for column in row.split('\t') {
-        if columns > 0 {
-            json.push(b',');
+struct RowWriter {
+    json: Vec<u8>,
+    is_empty: bool,
+}
+
+impl RowWriter {
+    fn with_capacity(bytes: usize) -> Self {
+        let mut json = Vec::with_capacity(bytes);
+        json.extend_from_slice(b"{\"data\":[");
+        RowWriter {
+            json,
+            is_empty: true,
         }
-        columns += 1;
-        serde_json::to_writer(&mut *json, column).map_err(|e| e.to_string())?;
     }
-    json.push(b']');
-    if columns == COLUMN_COUNT {
+
+    fn write_page(&mut self, page: usize, content: &[u8]) -> Result<(), ResultError> {
+        let text =
+            std::str::from_utf8(content).map_err(|source| ResultError::NotUtf8 { page, source })?;
+        let mut remaining = text;
+        let mut row = 0;
+        while let Some((content, after_row)) = remaining.split_once(ROW_END) {
+            self.write_row(page, row, content)?;
+            remaining = after_row;
+            row += 1;
+        }
+        if !remaining.is_empty() {
+            return Err(ResultError::IncompleteRow { page });
+        }
+        Ok(())
+    }
+
+    fn write_row(&mut self, page: usize, row: usize, content: &str) -> Result<(), ResultError> {
+        if !self.is_empty {
+            self.json.push(b',');
+        }
+        self.is_empty = false;
+        self.json.push(b'[');
+        let mut columns = 0;
+        for column in content.split(COLUMN_SEPARATOR) {
+            if columns > 0 {
+                self.json.push(b',');
+            }
+            columns += 1;
+            serde_json::to_writer(&mut self.json, column)
+                .map_err(|source| ResultError::Json { page, source })?;
+        }
+        self.json.push(b']');
+        if columns != COLUMN_COUNT {
+            return Err(ResultError::ColumnCount { page, row, columns });
+        }
         Ok(())
-    } else {
-        Err(format!("a row of {columns} columns"))
+    }
+
+    fn finish(mut self) -> Bytes {
+        self.json.extend_from_slice(b"]}");
+        self.json.into()
     }
 }
 
--- a/crates/gateway/src/engines/result_rows/tests.rs
+++ b/crates/gateway/src/engines/result_rows/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn rows(pages: &[&str]) -> Result<Vec<Vec<String>>, String> {
+fn rows(pages: &[&str]) -> Result<Vec<Vec<String>>, ResultError> {
     let pages: Vec<Bytes> = pages
         .iter()
         .map(|p| Bytes::copy_from_slice(p.as_bytes()))
         .collect();
-    let json: serde_json::Value = serde_json::from_slice(&answer(&pages)?).expect("JSON");
+    let json: serde_json::Value = serde_json::from_slice(&to_json(&pages)?).expect("JSON");
     Ok(serde_json::from_value(json["data"].clone()).expect("rows of texts"))
 }
 
@@ -33,6 +33,6 @@
             "{page:?}"
         );
     }
-    assert!(answer(&[Bytes::from_static(&[0xff, b'\t', b'\t', b'\n'])]).is_err());
-    assert!(answer(&[Bytes::from(vec![b'a'; MAX_RESULT_BYTES + 1])]).is_err());
+    assert!(to_json(&[Bytes::from_static(&[0xff, b'\t', b'\t', b'\n'])]).is_err());
+    assert!(to_json(&[Bytes::from(vec![b'a'; MAX_RESULT_BYTES + 1])]).is_err());
 }
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -206,9 +206,9 @@
 
     /// Tells the module the outcome and does what follows; whether the batch is over.
     fn attempt_ended(&self, out: Out, mut ended: AttemptResult, answered: bool) -> bool {
-        let body = (ended.end == AttemptEnd::Succeeded).then(|| result_rows::answer(&ended.pages));
+        let body = (ended.end == AttemptEnd::Succeeded).then(|| result_rows::to_json(&ended.pages));
         if let Some(Err(what)) = &body {
-            tracing::warn!(engine = out.engine, what, "result out of the protocol");
+            tracing::warn!(engine = out.engine, %what, "result out of the protocol");
             ended = AttemptResult {
                 report: ended.report,
                 ..AttemptResult::of(AttemptEnd::Failed)
