--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -1,6 +1,21 @@
-//! The way of one dispatch: its start, asking for it, its pages, giving it up.
+//! The lifecycle of one attempt at an engine: request, polls, pages of the result, cancellation.
+//!
+//! | state | where | next state |
+//! |---|---|---|
+//! | connecting | `exchange::ready_connection` | request being sent; ended `ConnectFailed` or `NotSent` where no connection comes up |
+//! | request being sent | `exchange::send_streamed`, `start`, the [`SendGate`] | running; ended `NotNeeded` or `ConnectFailed` where the gate stops it, `Failed` where its body can't be read |
+//! | running, polled | `polling::poll_until_end` | fetching pages; ended as the engine reports; cancelling where cancellation is requested or polls can't tell the outcome |
+//! | fetching pages | `pages::fetch_pages` | ended `Succeeded`, `Failed` where the engine has lost a page, `ConnectionLost` where polls can't tell |
+//! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: `Cancelled`, `NotNeeded`, `ConnectFailed`, or `ConnectionLost` after an unknown outcome |
+//! | ended | [`AttemptResult`] | |
+//!
+//! Two deadlines bound an attempt. From its *response deadline* on nobody waits for its response; the engine is told the
+//! time that remains until then. By its *send deadline* its request has been sent completely or is not sent: engines
+//! detect a repeated query only within a limited time. [`CancellationState`] says what is still wanted of it; all facts
+//! that say whether it may still run go to the ledger as [`Evidence`].
 
 mod cancel;
+mod cancellable_call;
 mod exchange;
 mod pages;
 mod polling;
@@ -8,63 +23,90 @@
 mod start;
 
 use super::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
-use super::request::{path, request, RequestBody, Sender};
+use super::request::{page_path, request, RequestBody, Sender};
 use super::response::CallError;
 use super::{Engines, Target};
 use crate::system::budgeted_stream::AbortFlag;
 use crate::system::send_gate::SendGate;
-use bytes::Bytes;
 use garnetwall::api::AttemptEnd;
-use garnetwall_bodies::body::ReadFault;
-use garnetwall_bodies::Reader;
-use garnetwall_ledger as ledger;
-use garnetwall_ledger::{AttemptId, Connection, Evidence, PollSchedule};
+use garnetwall_ledger::{AttemptId, Connection, Evidence, PollSchedule, Proof};
 use http::{Method, Request};
-use http_body_util::channel::Sender as BodySender;
 use polling::PollOutcome;
-pub(super) use response_timeout::ResponseTimeout;
+use response_timeout::ResponseTimeout;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// The way of one dispatch to its engine: a connection at a time, used by no other batch and given up with
-/// whatever was spoilt on it.
+/// One attempt, or one health check, at an engine. It has one connection at a time, which no other attempt uses and
+/// which is replaced once it is lost or has carried what can't be read.
 pub(super) struct EngineAttempt<'a> {
-    pub(super) engines: &'a Engines,
-    pub(super) target: Target,
-    /// None for a probe.
-    pub(super) ledger_id: Option<AttemptId>,
-    pub(super) sender: Option<Sender>,
-    /// Of the connection that is up, or was last.
-    pub(super) abort_flag: AbortFlag,
-    /// What its start goes out through; none for a probe.
-    pub(super) send_gate: Option<Arc<SendGate>>,
-    /// Its start has come whole by then or is not sent, where that is before its batch's end.
-    pub(super) send_deadline: Option<Instant>,
-    /// Nobody waits for its answer from then on.
-    pub(super) response_deadline: Instant,
-    /// Its start may have come whole.
-    pub(super) request_may_have_arrived: bool,
-    /// Its body could not be read to its end.
-    pub(super) body_unreadable: bool,
+    engines: &'a Engines,
+    target: Target,
+    /// None for a health check.
+    ledger_id: Option<AttemptId>,
+    /// The connection that is up and has no call in flight.
+    sender: Option<Sender>,
+    /// Aborts the connection that is up, or was last.
+    abort_flag: AbortFlag,
     /// The number of the connection that is up, or was last.
-    pub(super) connection: Connection,
-    /// How long answers are waited for.
-    pub(super) response_timeout: ResponseTimeout,
+    connection: Connection,
+    /// The gate of the request that starts the attempt; none for a health check.
+    send_gate: Option<Arc<SendGate>>,
+    /// By when the request has been sent completely or is not sent; none where that is the response deadline.
+    send_deadline: Option<Instant>,
+    /// From when on nobody waits for the response.
+    response_deadline: Instant,
+    /// The engine may have received the request completely.
+    request_may_have_arrived: bool,
+    /// The request's body could not be read to its end.
+    body_unreadable: bool,
+    response_timeout: ResponseTimeout,
 }
 
-/// A body on its way to an engine.
-pub(super) struct StreamedBody {
-    reader: Reader,
-    length: Option<u64>,
-    sender: BodySender<Bytes, ReadFault>,
-}
+impl<'a> EngineAttempt<'a> {
+    /// An attempt of a query.
+    pub(super) fn of_query(
+        engines: &'a Engines,
+        target: Target,
+        ledger_id: AttemptId,
+        send_gate: SendGate,
+        start: &AttemptStart,
+    ) -> Self {
+        let earlier_send_deadline =
+            Some(start.send_deadline).filter(|by| *by < start.response_deadline);
+        EngineAttempt {
+            ledger_id: Some(ledger_id),
+            send_gate: Some(Arc::new(send_gate)),
+            send_deadline: earlier_send_deadline,
+            response_deadline: start.response_deadline,
+            ..EngineAttempt::of_health_check(engines, target)
+        }
+    }
 
-impl EngineAttempt<'_> {
+    /// A health check, which is in no ledger and has no deadline of its own.
+    pub(super) fn of_health_check(engines: &'a Engines, target: Target) -> Self {
+        let now = Instant::now();
+        EngineAttempt {
+            engines,
+            target,
+            ledger_id: None,
+            sender: None,
+            abort_flag: AbortFlag::default(),
+            connection: 0,
+            send_gate: None,
+            send_deadline: None,
+            response_deadline: now,
+            request_may_have_arrived: false,
+            body_unreadable: false,
+            response_timeout: ResponseTimeout::new(engines.connect_timeout, now),
+        }
+    }
+
+    /// Runs the attempt until it has ended, or can't be running any more.
     pub(super) async fn run(
         &mut self,
         call: &Call,
-        start: AttemptStart,
+        start: &AttemptStart,
         mut cancellation: watch::Receiver<CancellationState>,
         events: AttemptEvents,
     ) -> AttemptResult {
@@ -72,72 +114,79 @@
             .poll_until_end(call, start, &mut cancellation, &events)
             .await;
         let end = match outcome {
-            PollOutcome::Succeeded(..)
+            PollOutcome::Ended(result) => return result,
+            PollOutcome::Succeeded { .. }
                 if *cancellation.borrow() == CancellationState::QueryFinished =>
             {
                 AttemptEnd::Cancelled
             }
-            PollOutcome::Succeeded(first_page, pages) => {
-                return self.fetch_pages(call, first_page, pages).await
-            }
-            PollOutcome::Ended(ended) => return ended,
+            PollOutcome::Succeeded {
+                first_page,
+                page_count,
+            } => return self.fetch_pages(call, first_page, page_count).await,
             PollOutcome::Unknown => {
-                events
-                    .unknown_outcome
-                    .send_replace(Some(AttemptEnd::ConnectionLost));
+                let apparent_end = Some(AttemptEnd::ConnectionLost);
+                events.unknown_outcome.send_replace(apparent_end);
                 self.cancel(call).await;
                 AttemptEnd::ConnectionLost
             }
-            PollOutcome::CancelRequested => match (self.cancel(call).await, *cancellation.borrow())
-            {
-                // Its batch was over before it could be started: that says nothing of the engine.
-                (
-                    ledger::Proof::NeverReached,
-                    CancellationState::QueryFinished | CancellationState::IfNotStarted,
-                ) => AttemptEnd::NotNeeded,
-                (ledger::Proof::NeverReached, _) => AttemptEnd::ConnectFailed,
-                _ => AttemptEnd::Cancelled,
-            },
+            PollOutcome::CancelRequested => {
+                let proof = self.cancel(call).await;
+                end_after_cancel(proof, *cancellation.borrow())
+            }
         };
         AttemptResult::of(end)
     }
 
     fn poll_request(&self, call: &Call, page: usize) -> Request<RequestBody> {
-        request(Method::GET, self.target.address, &path(call, Some(page)))
+        request(Method::GET, self.target.address, &page_path(call, page))
     }
 
-    /// How long news may take once a connection is up.
+    /// How long the response to a poll is waited for, once a connection is up.
     fn poll_timeout(&self) -> Duration {
         self.response_timeout.timeout(Instant::now())
     }
 
+    fn poll_schedule(&self) -> PollSchedule {
+        PollSchedule::new(
+            self.engines.now(),
+            self.engines.ledger_bounds,
+            self.engines.connect_timeout,
+        )
+    }
+
     fn record(&self, evidence: Evidence) {
-        if let Some(id) = self.ledger_id {
-            self.engines
-                .ledger()
-                .record(self.engines.now(), id, evidence);
-        }
+        let Some(id) = self.ledger_id else {
+            return;
+        };
+        let now = self.engines.now();
+        self.engines.ledger().record(now, id, evidence);
     }
 
-    /// Whether it is not proved that the dispatch does not run any more.
+    /// Whether the ledger lacks a proof that the attempt does not run any more.
     fn may_run(&self) -> bool {
         self.ledger_id
             .is_some_and(|id| self.engines.ledger().may_run_until(id).is_some())
     }
 
-    fn poll_schedule(&self) -> PollSchedule {
-        PollSchedule::new(
-            self.engines.now(),
-            self.engines.bounds,
-            self.engines.connect_timeout,
-        )
-    }
-
-    /// A connection that something spoilt came over is of no further use.
-    fn drop_if_invalid(&mut self, response: Result<(), CallError>) {
+    /// Gives up a connection that carried an invalid response.
+    fn drop_connection_if_invalid(&mut self, response: Result<(), CallError>) {
         if response == Err(CallError::InvalidResponse) {
             self.sender = None;
             self.record(Evidence::ConnectionUnusable(self.connection));
         }
     }
 }
+
+/// How a cancelled attempt ended, by the proof that it does not run.
+fn end_after_cancel(proof: Proof, cancellation: CancellationState) -> AttemptEnd {
+    match (proof, cancellation) {
+        // The query was over before the attempt could start: that says nothing of the engine.
+        (
+            Proof::NeverReached,
+            CancellationState::QueryFinished | CancellationState::IfNotStarted,
+        ) => AttemptEnd::NotNeeded,
+        (Proof::NeverReached, _) => AttemptEnd::ConnectFailed,
+        _ => AttemptEnd::Cancelled,
+    }
+}
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -1,88 +1,99 @@
-//! Has an engine give a dispatch up, until it is proved that it does not run any more.
+//! Cancels an attempt at its engine, until it is proved that it does not run any more.
 
+use super::exchange::CallKind;
 use super::EngineAttempt;
 use crate::engines::call::Call;
-use crate::engines::request::{path, request};
+use crate::engines::request::{attempt_path, request};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError};
-use garnetwall_ledger as ledger;
-use garnetwall_ledger::{CancelStep, Evidence};
+use garnetwall_ledger::{CancelStep, Evidence, Proof};
 use http::{Method, StatusCode};
+use std::time::Duration;
 use tokio::time::sleep;
 
 impl EngineAttempt<'_> {
-    /// Has the engine give the dispatch up, on the connection that it was asked on as long as that is of use;
-    /// until it is proved that it does not run any more.
-    pub(super) async fn cancel(&mut self, call: &Call) -> ledger::Proof {
+    /// Does what the ledger asks for, step by step, until it has a proof that the attempt does not run.
+    pub(super) async fn cancel(&mut self, call: &Call) -> Proof {
         let Some(id) = self.ledger_id else {
-            return ledger::Proof::NeverReached;
+            return Proof::NeverReached;
         };
-        let engine = self.target.engine;
         loop {
-            let step = self
-                .engines
-                .ledger()
-                .next_cancel_step(self.engines.now(), id);
+            let now = self.engines.now();
+            let step = self.engines.ledger().next_cancel_step(now, id);
             match step {
                 CancelStep::Finished(proof) => {
-                    tracing::debug!(engine, id = path(call, None), ?proof, "given up");
+                    let engine = self.target.engine;
+                    tracing::debug!(
+                        engine,
+                        path = attempt_path(call),
+                        ?proof,
+                        "attempt cancelled"
+                    );
                     return proof;
                 }
-                CancelStep::Wait(span) => sleep(span).await,
-                CancelStep::IdentifyProcess => {
-                    if self
-                        .identify_process(call)
-                        .await
-                        .is_err_and(|fault| fault != CallError::ConnectionRefused)
-                    {
-                        self.record(Evidence::CancelFailed);
-                    }
-                }
-                CancelStep::Cancel(remaining) => {
-                    let delete = request(Method::DELETE, self.target.address, &path(call, None));
-                    let time_limit = remaining.min(self.engines.connect_timeout * 2);
-                    match self.call(delete, None, time_limit, false).await {
-                        // An engine that does not know it says so by the second.
-                        Ok(r)
-                            if [StatusCode::NO_CONTENT, StatusCode::INTERNAL_SERVER_ERROR]
-                                .contains(&r.status) =>
-                        {
-                            self.record(Evidence::Cancelled(self.connection));
-                        }
-                        Ok(_) => {
-                            self.drop_if_invalid(Err(CallError::InvalidResponse));
-                            self.record(Evidence::CancelFailed);
-                        }
-                        Err(fault) => {
-                            tracing::debug!(
-                                engine,
-                                id = path(call, None),
-                                ?fault,
-                                "not given up yet"
-                            );
-                            if fault != CallError::ConnectionRefused {
-                                self.record(Evidence::CancelFailed);
-                            }
-                        }
-                    }
-                }
+                CancelStep::Wait(pause) => sleep(pause).await,
+                CancelStep::IdentifyProcess => self.identify_process(call).await,
+                CancelStep::Cancel(remaining) => self.send_cancel(call, remaining).await,
             }
         }
     }
 
-    /// Asks who listens there now whether it has the dispatch.
-    async fn identify_process(&mut self, call: &Call) -> Result<(), CallError> {
-        let reply = self
-            .call(self.poll_request(call, 0), None, self.poll_timeout(), true)
-            .await?;
-        match attempt_status(&reply) {
-            AttemptStatus::Running(_) => self.record(Evidence::Running(self.connection)),
-            AttemptStatus::Succeeded(_) => self.record(Evidence::Ended),
-            AttemptStatus::Ended(_) => self.record(Evidence::ReportedFailed(self.connection)),
+    /// Sends a cancellation, preferably on the connection that the attempt was polled on. The attempt expires by itself
+    /// after `remaining`.
+    async fn send_cancel(&mut self, call: &Call, remaining: Duration) {
+        let delete = request(Method::DELETE, self.target.address, &attempt_path(call));
+        let time_limit = remaining.min(self.engines.connect_timeout * 2);
+        match self.call(CallKind::Other, delete, None, time_limit).await {
+            Ok(reply) if confirms_cancel(reply.status) => {
+                self.record(Evidence::Cancelled(self.connection));
+            }
+            Ok(_) => {
+                self.drop_connection_if_invalid(Err(CallError::InvalidResponse));
+                self.record(Evidence::CancelFailed);
+            }
+            Err(error) => {
+                let engine = self.target.engine;
+                tracing::debug!(engine, path = attempt_path(call), ?error, "cancel failed");
+                self.record_cancel_failed(error);
+            }
+        }
+    }
+
+    /// Polls the attempt to learn whether the process that listens at the engine's address has it.
+    async fn identify_process(&mut self, call: &Call) {
+        if let Err(error) = self.poll_for_evidence(call).await {
+            self.record_cancel_failed(error);
+        }
+    }
+
+    async fn poll_for_evidence(&mut self, call: &Call) -> Result<(), CallError> {
+        let poll = self.poll_request(call, 0);
+        let time_limit = self.poll_timeout();
+        let reply = self.call(CallKind::Poll, poll, None, time_limit).await?;
+        let evidence = match attempt_status(&reply) {
+            AttemptStatus::Running(_) => Evidence::Running(self.connection),
+            AttemptStatus::Succeeded { .. } => Evidence::Ended,
+            AttemptStatus::Ended(_) => Evidence::ReportedFailed(self.connection),
             AttemptStatus::Invalid => {
-                self.drop_if_invalid(Err(CallError::InvalidResponse));
+                self.drop_connection_if_invalid(Err(CallError::InvalidResponse));
                 return Err(CallError::InvalidResponse);
             }
-        }
+        };
+        self.record(evidence);
         Ok(())
     }
+
+    /// A refused connection is evidence of its own, which `call` has recorded.
+    fn record_cancel_failed(&self, error: CallError) {
+        if error != CallError::ConnectionRefused {
+            self.record(Evidence::CancelFailed);
+        }
+    }
+}
+
+/// Whether the engine says that it has cancelled the attempt, or that it does not know it.
+fn confirms_cancel(status: StatusCode) -> bool {
+    matches!(
+        status,
+        StatusCode::NO_CONTENT | StatusCode::INTERNAL_SERVER_ERROR
+    )
 }
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -1,100 +1,130 @@
-//! One call and its response, on a connection that is up or is opened for it.
+//! One call to an engine: opens a connection where none is up, sends the request, waits for the response and records
+//! what the call proves.
 
-use super::{EngineAttempt, StreamedBody};
+use super::start::StreamedBody;
+use super::EngineAttempt;
+use crate::engines::connect::EngineConnection;
 use crate::engines::request::{RequestBody, Sender};
-use crate::engines::response::{exchange, CallError, Reply};
+use crate::engines::response::{receive_reply, CallError, Reply};
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_ledger::Evidence;
-use http::{Method, Request};
+use http::Request;
 use std::future::Future;
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
+/// What a call does to the attempt at its engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallKind {
+    /// Starts the attempt. Goes out through the send gate.
+    Start,
+    /// Polls the attempt or fetches a page, which also renews its poll expiry.
+    Poll,
+    /// Neither: cancels the attempt, or checks the engine's health.
+    Other,
+}
+
 impl EngineAttempt<'_> {
-    /// One call, on a connection that is up or comes up within its own bound. `renews_expiry` for one that keeps its dispatch
-    /// running.
-    pub(in crate::engines) async fn call(
+    /// Sends the request of a health check.
+    pub(in crate::engines) async fn check_health(
+        &mut self,
+        request: Request<RequestBody>,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
+        self.call(CallKind::Other, request, None, time_limit).await
+    }
+
+    /// One call, on the connection that is up or on a new one. `time_limit` bounds the wait for the response, once a
+    /// connection is up and the request has been sent.
+    pub(super) async fn call(
         &mut self,
+        kind: CallKind,
         request: Request<RequestBody>,
         body: Option<StreamedBody>,
         time_limit: Duration,
-        renews_expiry: bool,
     ) -> Result<Reply, CallError> {
         let response = self
-            .call_on_connection(request, body, time_limit, renews_expiry)
+            .call_on_connection(kind, request, body, time_limit)
             .await;
-        match response {
-            Ok(_) => {}
-            Err(CallError::TimedOut) => self.response_timeout.timed_out(),
-            Err(_) => self.response_timeout.failed(),
+        let error = response.as_ref().err();
+        self.engines.log_reachability(self.target, error);
+        if let Some(error) = error {
+            self.record_call_error(*error);
         }
-        self.engines
-            .log_reachability(self.target, response.as_ref().err());
-        match response {
-            Err(CallError::ConnectionRefused) => self.record(Evidence::ConnectionRefused),
-            Err(CallError::ConnectionLost) => {
-                self.record(Evidence::ConnectionLost(self.connection))
-            }
-            Err(CallError::TimedOut | CallError::InvalidResponse) => {
+        response
+    }
+
+    fn record_call_error(&mut self, error: CallError) {
+        match error {
+            CallError::TimedOut => self.response_timeout.timed_out(),
+            _ => self.response_timeout.failed(),
+        }
+        match error {
+            CallError::ConnectionRefused => self.record(Evidence::ConnectionRefused),
+            CallError::ConnectionLost => self.record(Evidence::ConnectionLost(self.connection)),
+            CallError::TimedOut | CallError::InvalidResponse => {
                 self.abort_flag.abort();
                 self.record(Evidence::ConnectionUnusable(self.connection));
             }
-            Err(CallError::ConnectFailed | CallError::LocalResources) | Ok(_) => {}
+            CallError::ConnectFailed | CallError::LocalResources => {}
         }
-        response
     }
 
     async fn call_on_connection(
         &mut self,
+        kind: CallKind,
         mut request: Request<RequestBody>,
         body: Option<StreamedBody>,
         time_limit: Duration,
-        renews_expiry: bool,
     ) -> Result<Reply, CallError> {
-        let is_start = request.method() == Method::POST;
-        let connected = self.sender.take();
-        if connected.as_ref().is_some_and(|sender| sender.is_closed()) {
-            self.record(Evidence::ConnectionLost(self.connection));
-        }
-        let mut sender = match connected.filter(|s| !s.is_closed()) {
-            Some(sender) => sender,
-            None => {
-                self.connection += 1;
-                let gate = self.send_gate.clone().filter(|_| is_start);
-                let (sender, abort_flag) = self.engines.connect(self.target.address, gate).await?;
-                self.abort_flag = abort_flag;
-                sender
-            }
-        };
-        if is_start {
+        let mut sender = self.ready_connection(kind).await?;
+        if kind == CallKind::Start {
             self.set_remaining_time(&mut request);
         }
-        if let Some(gate) = &self.send_gate {
-            if is_start {
-                gate.start_sending();
-            } else {
-                gate.release();
+        self.notify_send_gate(kind);
+        let is_streamed = body.is_some();
+        let response = match body {
+            Some(body) => {
+                self.send_streamed(&mut sender, request, body, time_limit)
+                    .await
             }
-        }
-        let Some(body) = body else {
-            if renews_expiry {
-                self.request_sent();
+            None => {
+                self.send_complete(kind, &mut sender, request, time_limit)
+                    .await
             }
-            let response = self
-                .await_response(time_limit, exchange(&mut sender, request))
-                .await;
-            self.sender = response.is_ok().then_some(sender);
-            return response;
         };
-        let response = self
-            .send_streamed(&mut sender, request, body, time_limit)
-            .await;
-        // What was not sent to its end leaves a connection of no use.
-        self.sender = (response.is_ok() && self.request_may_have_arrived).then_some(sender);
+        // A connection on which a request was not sent to its end can't carry another.
+        let is_request_sent = !is_streamed || self.request_may_have_arrived;
+        self.sender = (response.is_ok() && is_request_sent).then_some(sender);
         response
     }
 
-    /// A response that is waited for so long, and how long it took for those after it.
+    /// The connection that is up, or a new one.
+    async fn ready_connection(&mut self, kind: CallKind) -> Result<Sender, CallError> {
+        match self.sender.take() {
+            Some(sender) if !sender.is_closed() => return Ok(sender),
+            Some(_) => self.record(Evidence::ConnectionLost(self.connection)),
+            None => {}
+        }
+        self.connection += 1;
+        let gate = self.send_gate.clone().filter(|_| kind == CallKind::Start);
+        let EngineConnection { sender, abort_flag } =
+            self.engines.connect(self.target.address, gate).await?;
+        self.abort_flag = abort_flag;
+        Ok(sender)
+    }
+
+    fn notify_send_gate(&self, kind: CallKind) {
+        let Some(gate) = &self.send_gate else {
+            return;
+        };
+        match kind {
+            CallKind::Start => gate.start_sending(),
+            CallKind::Poll | CallKind::Other => gate.release(),
+        }
+    }
+
+    /// Waits for a response for at most `time_limit`, and adapts the timeout of the next calls to how long it took.
     async fn await_response(
         &mut self,
         time_limit: Duration,
@@ -111,8 +141,23 @@
         response
     }
 
-    /// A start whose body goes on as it comes. It takes as long as the body, which its batch's limit bounds; the response
-    /// may come before the body is sent.
+    /// Sends a request that has its whole body, or none.
+    async fn send_complete(
+        &mut self,
+        kind: CallKind,
+        sender: &mut Sender,
+        request: Request<RequestBody>,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
+        if kind != CallKind::Other {
+            self.request_sent();
+        }
+        let receiving = receive_reply(sender, request);
+        self.await_response(time_limit, receiving).await
+    }
+
+    /// Sends a request whose body is still being received from the client. That takes as long as the body, which the
+    /// query's deadline bounds; the response may come before the body has been sent.
     async fn send_streamed(
         &mut self,
         sender: &mut Sender,
@@ -120,20 +165,18 @@
         body: StreamedBody,
         time_limit: Duration,
     ) -> Result<Reply, CallError> {
-        let exchanging = exchange(sender, request);
-        tokio::pin!(exchanging);
+        let receiving = receive_reply(sender, request);
+        tokio::pin!(receiving);
         let sent = tokio::select! {
             biased;
-            response = &mut exchanging => return response,
+            response = &mut receiving => return response,
             sent = self.send_body(body) => sent,
         };
-        match sent {
-            Ok(()) => self.await_response(time_limit, exchanging).await,
-            Err(error) => {
-                tracing::debug!(%error, "a body could not be sent to its end");
-                self.body_unreadable = !matches!(error, ReadFault::CutOff);
-                Err(CallError::ConnectionLost)
-            }
+        if let Err(error) = sent {
+            tracing::debug!(%error, "request body could not be sent");
+            self.body_unreadable = !matches!(error, ReadFault::CutOff);
+            return Err(CallError::ConnectionLost);
         }
+        self.await_response(time_limit, receiving).await
     }
 }
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -1,68 +1,67 @@
-//! The pages of an answer after the first.
+//! Fetches the pages of a result after the first.
 
+use super::exchange::CallKind;
 use super::EngineAttempt;
 use crate::engines::call::{AttemptResult, Call};
-use crate::engines::response::{CallError, Reply, MEMORY, PAGE_NUMBER, WORK_MS};
+use crate::engines::protocol::response_header;
+use crate::engines::response::{CallError, Reply};
 use crate::engines::result_rows;
+use bytes::Bytes;
 use garnetwall::api::AttemptEnd;
+use garnetwall_ledger::PollSchedule;
 use http::StatusCode;
 
 impl EngineAttempt<'_> {
-    /// The pages after the first, so that a lost one is still an outcome.
+    /// Fetches all pages after the first. Where one can't be had, the result still tells how the attempt ended.
     pub(super) async fn fetch_pages(
         &mut self,
         call: &Call,
-        first: Reply,
-        pages: usize,
+        first_page: Reply,
+        page_count: usize,
     ) -> AttemptResult {
-        let mut result = AttemptResult {
-            work: first
-                .number(WORK_MS)
-                .map(|ms| ms / 1000.0)
-                .filter(|v| *v > 0.0),
-            memory: first.number(MEMORY).filter(|v| *v > 0.0),
-            report: first.report(),
-            ..AttemptResult::of(AttemptEnd::Succeeded)
-        };
-        result.pages.push(first.body);
+        let mut result = first_page.into_result();
         let mut schedule = self.poll_schedule();
-        for page in 1..pages {
-            let mut response = Ok(());
-            loop {
-                if !self.wait_for_next_poll(&mut schedule, response).await {
-                    return AttemptResult {
-                        end: AttemptEnd::ConnectionLost,
-                        ..result
-                    };
-                }
-                response = match self
-                    .call(
-                        self.poll_request(call, page),
-                        None,
-                        self.poll_timeout(),
-                        true,
-                    )
-                    .await
-                {
-                    Ok(r) if r.status == StatusCode::INTERNAL_SERVER_ERROR => {
-                        tracing::debug!(engine = self.target.engine, page, "page lost");
-                        return AttemptResult {
-                            end: AttemptEnd::Failed,
-                            ..result
-                        };
-                    }
-                    Ok(r)
-                        if r.number(PAGE_NUMBER) == Some(page as f64)
-                            && result_rows::is_complete_page(&r.body) =>
-                    {
-                        result.pages.push(r.body);
-                        break;
-                    }
-                    Ok(_) => Err(CallError::InvalidResponse),
-                    Err(fault) => Err(fault),
-                };
+        for page in 1..page_count {
+            match self.fetch_page(call, page, &mut schedule).await {
+                Ok(bytes) => result.pages.push(bytes),
+                Err(end) => return AttemptResult { end, ..result },
             }
         }
         result
     }
+
+    /// Fetches one page, as often as the schedule allows.
+    ///
+    /// # Errors
+    ///
+    /// How the attempt ends where the page can't be had: [`AttemptEnd::Failed`] where the engine has lost it, otherwise
+    /// [`AttemptEnd::ConnectionLost`].
+    async fn fetch_page(
+        &mut self,
+        call: &Call,
+        page: usize,
+        schedule: &mut PollSchedule,
+    ) -> Result<Bytes, AttemptEnd> {
+        let mut previous = Ok(());
+        while self.wait_for_next_poll(schedule, previous).await {
+            let request = self.poll_request(call, page);
+            let time_limit = self.poll_timeout();
+            previous = match self.call(CallKind::Poll, request, None, time_limit).await {
+                Ok(reply) if reply.status == StatusCode::INTERNAL_SERVER_ERROR => {
+                    let engine = self.target.engine;
+                    tracing::debug!(engine, page, "result page lost");
+                    return Err(AttemptEnd::Failed);
+                }
+                Ok(reply) if holds_page(&reply, page) => return Ok(reply.body),
+                Ok(_) => Err(CallError::InvalidResponse),
+                Err(error) => Err(error),
+            };
+        }
+        Err(AttemptEnd::ConnectionLost)
+    }
+}
+
+fn holds_page(reply: &Reply, page: usize) -> bool {
+    reply.number(response_header::PAGE_NUMBER) == Some(page as f64)
+        && result_rows::is_complete_page(&reply.body)
 }
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,186 +1,190 @@
-//! Asks for a dispatch until its end is known, or asking can't tell any more.
+//! Polls an attempt until its end is known, polls can't tell it any more, or its cancellation is requested.
 
-use super::{EngineAttempt, StreamedBody};
+use super::EngineAttempt;
 use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
-use crate::engines::request::RequestBody;
 use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
-use crate::engines::LONG_POLL_LIMIT;
 use garnetwall::api::AttemptEnd;
-use garnetwall_ledger as ledger;
-use garnetwall_ledger::{Evidence, PollSchedule, PollStep};
-use http::{Method, Request};
+use garnetwall_ledger::{weigh_reported_end, Evidence, PollSchedule, PollStep, ReportVerdict};
+use std::ops::ControlFlow;
 use tokio::sync::watch;
-use tokio::time::{sleep, sleep_until, timeout};
+use tokio::time::sleep;
 
-/// How asking for a dispatch ends.
+/// How polling an attempt ends.
 pub(super) enum PollOutcome {
-    /// A good end: the answer that tells so, and its number of pages.
-    Succeeded(Reply, usize),
+    /// The attempt has a result.
+    Succeeded {
+        /// The response that says so, with the first page.
+        first_page: Reply,
+        page_count: usize,
+    },
+    /// The attempt has ended without a result.
     Ended(AttemptResult),
-    /// Asking can't tell any more.
+    /// Further polls can't tell the outcome.
     Unknown,
-    /// Nobody waits for the answer any more.
+    /// Nobody waits for the response any more.
     CancelRequested,
 }
 
+impl PollOutcome {
+    fn ended(end: AttemptEnd) -> Self {
+        PollOutcome::Ended(AttemptResult::of(end))
+    }
+}
+
+/// Whether a response answers the request that starts the attempt, or a later poll.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ResponseTo {
+    Start,
+    Poll,
+}
+
 impl EngineAttempt<'_> {
-    /// The answer that tells of a good end, and its number of pages; or how it ended otherwise. A start that was
-    /// not answered may have come whole all the same, and a good end is given again: asking tells.
+    /// Sends the request and polls the attempt. A request that was not answered may have arrived all the same, so that the
+    /// outcome is polled for; an engine repeats the response of an attempt that succeeded.
     pub(super) async fn poll_until_end(
         &mut self,
         call: &Call,
-        start: AttemptStart,
+        start: &AttemptStart,
         cancellation: &mut watch::Receiver<CancellationState>,
         events: &AttemptEvents,
     ) -> PollOutcome {
         let mut schedule = self.poll_schedule();
-        let Some((mut next, mut body)) = self.start_request(call, &start) else {
-            self.record(Evidence::NeverReached);
-            return PollOutcome::Ended(AttemptResult::of(AttemptEnd::ConnectFailed));
+        let Some((request, body)) = self.start_request(call, start) else {
+            return self.never_reached(AttemptEnd::ConnectFailed);
         };
-        let mut started = false;
+        let Some(mut response) = self
+            .start_until_cancelled(request, body, cancellation)
+            .await
+        else {
+            return PollOutcome::CancelRequested;
+        };
+        if let Some(end) = self.end_before_arrival(&response, *cancellation.borrow()) {
+            return self.never_reached(end);
+        }
+        let mut response_to = ResponseTo::Start;
         loop {
-            let Some(response) = self
-                .call_until_cancelled(next, body.take(), cancellation)
-                .await
-            else {
-                return PollOutcome::CancelRequested;
-            };
-            let first = !std::mem::replace(&mut started, true);
-            if std::mem::take(&mut self.body_unreadable) {
-                // What went on is not whole, so that nothing ran; the batch has no body any more.
-                self.record(Evidence::NeverReached);
-                return PollOutcome::Ended(AttemptResult::of(AttemptEnd::Failed));
-            }
-            if first
-                && response.is_err()
-                && self
-                    .send_gate
-                    .as_ref()
-                    .is_some_and(|gate| gate.is_stopped())
-            {
-                // It was stopped at its last bytes, before who wished so was heard.
-                self.record(Evidence::NeverReached);
-                let elsewhere = *cancellation.borrow() == CancellationState::Requested
-                    || !self.engines.list().takes(self.target);
-                return PollOutcome::Ended(AttemptResult::of(if elsewhere {
-                    AttemptEnd::ConnectFailed
-                } else {
-                    AttemptEnd::NotNeeded
-                }));
-            }
-            if first && response.is_err() && !self.request_may_have_arrived {
-                self.record(Evidence::NeverReached);
-                let local = matches!(response, Err(CallError::LocalResources));
-                return PollOutcome::Ended(AttemptResult::of(if local {
-                    AttemptEnd::NotSent
-                } else {
-                    AttemptEnd::ConnectFailed
-                }));
-            }
-            let checked = match response {
-                Ok(reply) => match attempt_status(&reply) {
-                    AttemptStatus::Succeeded(pages) => {
-                        self.record(Evidence::Ended);
-                        return PollOutcome::Succeeded(reply, pages);
-                    }
-                    AttemptStatus::Ended(end) => {
-                        self.record(if first {
-                            Evidence::Ended
-                        } else {
-                            Evidence::ReportedFailed(self.connection)
-                        });
-                        let end = match ledger::weigh_reported_end(
-                            first,
-                            end == AttemptEnd::Failed,
-                            !self.may_run(),
-                        ) {
-                            ledger::ReportVerdict::Accepted => end,
-                            ledger::ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
-                            ledger::ReportVerdict::Inconclusive => return PollOutcome::Unknown,
-                        };
-                        return PollOutcome::Ended(AttemptResult {
-                            report: reply.report(),
-                            ..AttemptResult::of(end)
-                        });
-                    }
-                    AttemptStatus::Running(progress) => {
-                        self.record(Evidence::Running(self.connection));
-                        if progress.is_some() {
-                            events.progress.send_replace(progress);
-                        }
-                        Ok(())
-                    }
-                    AttemptStatus::Invalid => Err(CallError::InvalidResponse),
-                },
-                Err(error) => Err(error),
+            let checked = match self.process_response(response, response_to, events) {
+                ControlFlow::Break(outcome) => return outcome,
+                ControlFlow::Continue(checked) => checked,
             };
             if !cancellation.borrow().allows_polling() {
-                self.drop_if_invalid(checked);
+                self.drop_connection_if_invalid(checked);
                 return PollOutcome::CancelRequested;
             }
             if !self.wait_for_next_poll(&mut schedule, checked).await {
                 return PollOutcome::Unknown;
             }
-            next = self.poll_request(call, 0);
+            let poll = self.poll_request(call, 0);
+            response = match self.poll_until_cancelled(poll, cancellation).await {
+                Some(response) => response,
+                None => return PollOutcome::CancelRequested,
+            };
+            response_to = ResponseTo::Poll;
         }
     }
 
-    /// One call, which is let end for as long as news is held back where nobody waits for it any more; none where
-    /// it has not ended then. A start is not: what the machine has not sent of it, or what has not come, would come after the
-    /// batch's answer.
-    async fn call_until_cancelled(
+    /// Ends an attempt whose request has not arrived completely and can't arrive any more.
+    fn never_reached(&self, end: AttemptEnd) -> PollOutcome {
+        self.record(Evidence::NeverReached);
+        PollOutcome::ended(end)
+    }
+
+    /// How the attempt has ended where its request has not arrived completely; none where it may have.
+    fn end_before_arrival(
         &mut self,
-        request: Request<RequestBody>,
-        body: Option<StreamedBody>,
-        cancellation: &mut watch::Receiver<CancellationState>,
-    ) -> Option<Result<Reply, CallError>> {
-        let time_limit = self.poll_timeout();
-        let is_start = request.method() == Method::POST;
-        let gate = self.send_gate.clone();
-        let stop_sending = || gate.as_ref().is_some_and(|gate| gate.stop());
-        let send_deadline = self.send_deadline;
-        let send_deadline_passed = async {
-            match send_deadline {
-                Some(deadline) => sleep_until(deadline.into()).await,
-                None => std::future::pending().await,
-            }
+        response: &Result<Reply, CallError>,
+        cancellation: CancellationState,
+    ) -> Option<AttemptEnd> {
+        if self.body_unreadable {
+            // The body is lost for any further attempt too.
+            return Some(AttemptEnd::Failed);
+        }
+        let error = response.as_ref().err()?;
+        let gate = self.send_gate.as_ref();
+        if gate.is_some_and(|gate| gate.is_stopped()) {
+            return Some(self.end_after_stopped_request(cancellation));
+        }
+        if self.request_may_have_arrived {
+            return None;
+        }
+        match error {
+            CallError::LocalResources => Some(AttemptEnd::NotSent),
+            _ => Some(AttemptEnd::ConnectFailed),
+        }
+    }
+
+    /// The gate stopped the request before the task noticed why. The query is tried at another engine where it is still
+    /// wanted, that is where only this attempt was cancelled or the engine does not take new attempts.
+    fn end_after_stopped_request(&self, cancellation: CancellationState) -> AttemptEnd {
+        let is_query_wanted =
+            cancellation == CancellationState::Requested || !self.engines.list().takes(self.target);
+        if is_query_wanted {
+            AttemptEnd::ConnectFailed
+        } else {
+            AttemptEnd::NotNeeded
+        }
+    }
+
+    /// Records what a response proves: breaks with the outcome, or continues with whether the response was valid.
+    fn process_response(
+        &mut self,
+        response: Result<Reply, CallError>,
+        response_to: ResponseTo,
+        events: &AttemptEvents,
+    ) -> ControlFlow<PollOutcome, Result<(), CallError>> {
+        let reply = match response {
+            Ok(reply) => reply,
+            Err(error) => return ControlFlow::Continue(Err(error)),
         };
-        // It fails only with who wished gone, who waits for this.
-        let no_longer_wanted = async {
-            tokio::select! {
-                _ = cancellation.wait_for(|state| *state != CancellationState::NotRequested) => {}
-                () = send_deadline_passed => {}
+        match attempt_status(&reply) {
+            AttemptStatus::Succeeded { page_count } => {
+                self.record(Evidence::Ended);
+                ControlFlow::Break(PollOutcome::Succeeded {
+                    first_page: reply,
+                    page_count,
+                })
             }
-            if !stop_sending() {
-                let _ = cancellation.wait_for(|state| !state.allows_polling()).await;
-            }
-        };
-        let response = {
-            let calling = self.call(request, body, time_limit, true);
-            tokio::pin!(calling);
-            tokio::select! {
-                biased;
-                response = &mut calling => Some(response),
-                () = no_longer_wanted => match stop_sending() || is_start && *cancellation.borrow() == CancellationState::QueryFinished {
-                    true => None,
-                    false => timeout(LONG_POLL_LIMIT, calling).await.ok(),
-                },
+            AttemptStatus::Ended(end) => {
+                ControlFlow::Break(self.process_reported_end(&reply, end, response_to))
             }
-        };
-        if response.is_none() {
-            // Whatever comes there yet would be taken for the next call's answer.
-            self.abort_flag.abort();
-            self.sender = None;
-            self.record(Evidence::ConnectionUnusable(self.connection));
-            if stop_sending() {
-                self.record(Evidence::NeverReached);
+            AttemptStatus::Running(progress) => {
+                self.record(Evidence::Running(self.connection));
+                if progress.is_some() {
+                    events.progress.send_replace(progress);
+                }
+                ControlFlow::Continue(Ok(()))
             }
+            AttemptStatus::Invalid => ControlFlow::Continue(Err(CallError::InvalidResponse)),
         }
-        response
     }
 
-    /// After what came of the last call, waits until asking may go on; whether it may.
+    /// What follows where an engine reports that the attempt has ended without a result. Whoever answers a poll may be
+    /// another process than the one that runs the attempt.
+    fn process_reported_end(
+        &self,
+        reply: &Reply,
+        reported: AttemptEnd,
+        response_to: ResponseTo,
+    ) -> PollOutcome {
+        let answers_start = response_to == ResponseTo::Start;
+        self.record(if answers_start {
+            Evidence::Ended
+        } else {
+            Evidence::ReportedFailed(self.connection)
+        });
+        let failed = reported == AttemptEnd::Failed;
+        let end = match weigh_reported_end(answers_start, failed, !self.may_run()) {
+            ReportVerdict::Accepted => reported,
+            ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
+            ReportVerdict::Inconclusive => return PollOutcome::Unknown,
+        };
+        PollOutcome::Ended(AttemptResult {
+            report: reply.load_report(),
+            ..AttemptResult::of(end)
+        })
+    }
+
+    /// Waits after a call until the next poll is due; false where further polls can't tell the outcome.
     pub(super) async fn wait_for_next_poll(
         &mut self,
         schedule: &mut PollSchedule,
@@ -189,18 +193,17 @@
         let now = self.engines.now();
         let step = match response {
             Ok(()) => schedule.answered(now),
-            Err(error) => schedule.failed(now, error.call_failure()),
+            Err(error) => schedule.failed(now, error.into()),
         };
-        self.drop_if_invalid(response);
-        match step {
-            PollStep::PollAgain(after) => {
-                // One that was waited for in vain has taken its time already.
-                if !after.is_zero() && response != Err(CallError::TimedOut) {
-                    sleep(after).await;
-                }
-                true
-            }
-            PollStep::Stop => false,
+        self.drop_connection_if_invalid(response);
+        let PollStep::PollAgain(pause) = step else {
+            return false;
+        };
+        // A call that timed out has taken at least as long as the pause.
+        let has_waited = response == Err(CallError::TimedOut);
+        if !pause.is_zero() && !has_waited {
+            sleep(pause).await;
         }
+        true
     }
 }
--- a/crates/gateway/src/engines/attempt/response_timeout.rs
+++ b/crates/gateway/src/engines/attempt/response_timeout.rs
@@ -1,31 +1,33 @@
-//! How long the answer to a call on an attempt is waited for. An engine, or the link to it, may take longer each time than any
-//! fixed bound: so each call in a row that was not answered is followed by one that is waited for longer, and what an answer has
-//! taken once the next may take as well. All stays inside the time for which an attempt is known to run on unheard.
+//! How long the response to a call of an attempt is waited for.
+//!
+//! An engine, or the network to it, may always be slower than any fixed timeout. So the timeout grows with each call in a
+//! row that timed out, and a response that was slow lets the next ones take longer too. It never exceeds the time for
+//! which the attempt is known to run on without a poll.
 
-use super::super::{LONG_POLL_LIMIT, POLL_EXPIRY, SOCKET_TIMEOUT_SLACK};
+use crate::engines::protocol::{LONG_POLL_LIMIT, MAX_UNPOLLED_RUN, SOCKET_TIMEOUT_SLACK};
 use std::time::{Duration, Instant};
 
-/// An answer may take so many times as long as the slowest one before it on the same attempt.
+/// A response may take this many times as long as the slowest one before it.
 const SLOW_RESPONSE_FACTOR: f64 = 1.5;
 
-/// An answer takes no longer where nothing is slow.
+/// The timeout where no response was slow.
 const USUAL_RESPONSE_TIMEOUT: Duration = LONG_POLL_LIMIT.saturating_add(SOCKET_TIMEOUT_SLACK);
 
-/// The patience of one attempt.
+/// The response timeout of one attempt, adapted to the responses so far.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::engines) struct ResponseTimeout {
-    /// The platform's time for a connection to come up.
+pub(super) struct ResponseTimeout {
+    /// The platform's time limit for a connection to come up.
     connect_timeout: Duration,
-    /// Calls in a row that were not answered in time.
+    /// Calls in a row that timed out.
     consecutive_timeouts: u32,
-    /// The longest that an answer took, of those that took longer than usual.
+    /// The longest time that a response took, of those that took longer than usual.
     slowest_response: Duration,
-    /// When the last answer came, or the first call began.
+    /// When the last response came, or the first call began.
     last_response_at: Instant,
 }
 
 impl ResponseTimeout {
-    pub(in crate::engines) fn new(connect_timeout: Duration, now: Instant) -> Self {
+    pub(super) fn new(connect_timeout: Duration, now: Instant) -> Self {
         ResponseTimeout {
             connect_timeout,
             consecutive_timeouts: 0,
@@ -34,42 +36,47 @@
         }
     }
 
-    /// A call was answered after this time.
-    pub(in crate::engines) fn answered(&mut self, now: Instant, elapsed: Duration) {
-        (self.consecutive_timeouts, self.last_response_at) = (0, now);
+    /// A response came, `elapsed` after its request.
+    pub(super) fn answered(&mut self, now: Instant, elapsed: Duration) {
+        self.consecutive_timeouts = 0;
+        self.last_response_at = now;
         if elapsed > USUAL_RESPONSE_TIMEOUT {
             self.slowest_response = self.slowest_response.max(elapsed);
         }
     }
 
-    /// A call was not answered in time.
-    pub(in crate::engines) fn timed_out(&mut self) {
+    /// A call timed out.
+    pub(super) fn timed_out(&mut self) {
         self.consecutive_timeouts += 1;
     }
 
-    /// A call came to nothing otherwise: that says nothing of how long answers take.
-    pub(in crate::engines) fn failed(&mut self) {
+    /// A call failed otherwise, which says nothing of how long responses take.
+    pub(super) fn failed(&mut self) {
         self.consecutive_timeouts = 0;
     }
 
-    /// How long the answer to the next call may take, once its connection is up.
-    pub(in crate::engines) fn timeout(&self, now: Instant) -> Duration {
-        // What is left of the time after which an attempt that was not heard of counts as unknown.
-        let remaining = (LONG_POLL_LIMIT + POLL_EXPIRY)
-            .saturating_sub(now.saturating_duration_since(self.last_response_at));
-        if remaining.is_zero() && self.consecutive_timeouts > 0 {
-            // Asking has stopped by then; what is looked up to give the attempt up is waited for as a second call is.
-            return LONG_POLL_LIMIT + self.connect_timeout * 2;
+    /// How long the response to the next call may take, once its connection is up.
+    pub(super) fn timeout(&self, now: Instant) -> Duration {
+        let since_response = now.saturating_duration_since(self.last_response_at);
+        let known_to_run = MAX_UNPOLLED_RUN.saturating_sub(since_response);
+        if known_to_run.is_zero() && self.consecutive_timeouts > 0 {
+            // Polling has stopped by then; this bounds the calls that cancel the attempt.
+            return self.second_call_timeout();
         }
-        let remaining = remaining.max(USUAL_RESPONSE_TIMEOUT);
-        let scheduled = match self.consecutive_timeouts {
+        let longest = known_to_run.max(USUAL_RESPONSE_TIMEOUT);
+        let after_timeouts = match self.consecutive_timeouts {
             0 => USUAL_RESPONSE_TIMEOUT,
-            1 => LONG_POLL_LIMIT + self.connect_timeout * 2,
-            _ => remaining,
+            1 => self.second_call_timeout(),
+            _ => longest,
         };
-        scheduled
-            .max(self.slowest_response.mul_f64(SLOW_RESPONSE_FACTOR))
-            .min(remaining)
+        let after_slow_response = self.slowest_response.mul_f64(SLOW_RESPONSE_FACTOR);
+        after_timeouts.max(after_slow_response).min(longest)
+    }
+
+    /// The timeout of the first call after one that timed out: the network may be as slow as a connection may take to come
+    /// up, each way.
+    fn second_call_timeout(&self) -> Duration {
+        LONG_POLL_LIMIT + self.connect_timeout * 2
     }
 }
 
--- a/crates/gateway/src/engines/attempt/response_timeout/tests.rs
+++ b/crates/gateway/src/engines/attempt/response_timeout/tests.rs
@@ -1,15 +1,16 @@
 use super::*;
+use crate::engines::protocol::POLL_EXPIRY;
 
-const DIAL: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// How long it takes until an answer that always takes so long is heard; none where it is not.
-fn first_response_after(dial: Duration, takes: Duration) -> Option<Duration> {
+/// When the first response is received from an engine that always takes this long; none where none is.
+fn first_response_after(connect_timeout: Duration, takes: Duration) -> Option<Duration> {
     let began = Instant::now();
-    let mut response_timeout = ResponseTimeout::new(dial, began);
+    let mut response_timeout = ResponseTimeout::new(connect_timeout, began);
     let mut now = began;
     while now - began <= LONG_POLL_LIMIT + POLL_EXPIRY {
         let within = response_timeout.timeout(now);
@@ -17,7 +18,7 @@
             response_timeout.answered(now + takes, takes);
             assert!(
                 response_timeout.timeout(now + takes) >= takes,
-                "the next is waited for at once"
+                "the first call after it waits long enough"
             );
             return Some(now + takes - began);
         }
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn an_engine_that_is_always_late_is_heard_on_a_later_call() {
+fn an_engine_that_is_always_slow_is_received_by_a_later_call() {
     for (takes, after) in [
         (100, 100),
         (300, 300),
@@ -37,21 +38,22 @@
         (1200, 2250),
     ] {
         assert_eq!(
-            first_response_after(DIAL, ms(takes)),
+            first_response_after(CONNECT_TIMEOUT, ms(takes)),
             Some(ms(after)),
             "{takes} ms"
         );
     }
-    assert_eq!(first_response_after(DIAL, ms(1300)), None);
+    assert_eq!(first_response_after(CONNECT_TIMEOUT, ms(1300)), None);
 }
 
-/// Nobody is waited for beyond the time for which an attempt is known to run on unheard, however long a connection may take.
+/// Whatever the connect timeout, no call waits beyond the time for which an attempt runs on without a poll.
 #[test]
-fn patience_ends_with_what_is_known() {
-    for dial in [ms(50), DIAL, ms(1500)] {
+fn timeouts_end_with_the_unpolled_run() {
+    for connect_timeout in [ms(50), CONNECT_TIMEOUT, ms(1500)] {
         let began = Instant::now();
-        let mut response_timeout = ResponseTimeout::new(dial, began);
-        let (mut now, mut calls) = (began, 0);
+        let mut response_timeout = ResponseTimeout::new(connect_timeout, began);
+        let mut now = began;
+        let mut calls = 0;
         while now - began < LONG_POLL_LIMIT + POLL_EXPIRY {
             now += response_timeout.timeout(now);
             response_timeout.timed_out();
@@ -60,15 +62,15 @@
         assert!(
             now - began <= LONG_POLL_LIMIT + POLL_EXPIRY + LONG_POLL_LIMIT + SOCKET_TIMEOUT_SLACK
                 && (2..=4).contains(&calls),
-            "{dial:?}: {calls}"
+            "{connect_timeout:?}: {calls}"
         );
     }
 }
 
-/// An answer that is held back for as long as the protocol allows is not a slow one.
+/// A response that is held back for as long as the protocol allows is not slow.
 #[test]
-fn what_is_usual_makes_nobody_patient() {
-    let mut response_timeout = ResponseTimeout::new(DIAL, Instant::now());
+fn a_usual_response_does_not_lengthen_the_timeout() {
+    let mut response_timeout = ResponseTimeout::new(CONNECT_TIMEOUT, Instant::now());
     response_timeout.answered(response_timeout.last_response_at, LONG_POLL_LIMIT + ms(20));
     assert_eq!(
         response_timeout.timeout(response_timeout.last_response_at),
@@ -76,20 +78,20 @@
     );
 }
 
-/// An engine that is only slow can still be asked whether it has the attempt that is given up.
+/// A slow engine can still be asked whether it has the attempt that is being cancelled.
 #[test]
-fn what_is_looked_up_after_that_is_waited_for_as_a_second_call_is() {
-    let mut response_timeout = ResponseTimeout::new(DIAL, Instant::now());
+fn calls_after_the_unpolled_run_get_the_second_call_timeout() {
+    let mut response_timeout = ResponseTimeout::new(CONNECT_TIMEOUT, Instant::now());
     response_timeout.timed_out();
     assert_eq!(
         response_timeout.timeout(response_timeout.last_response_at + LONG_POLL_LIMIT + POLL_EXPIRY),
-        LONG_POLL_LIMIT + DIAL * 2
+        LONG_POLL_LIMIT + CONNECT_TIMEOUT * 2
     );
 }
 
 #[test]
-fn a_broken_connection_makes_nobody_patient() {
-    let mut response_timeout = ResponseTimeout::new(DIAL, Instant::now());
+fn a_lost_connection_does_not_lengthen_the_timeout() {
+    let mut response_timeout = ResponseTimeout::new(CONNECT_TIMEOUT, Instant::now());
     response_timeout.timed_out();
     response_timeout.failed();
     assert_eq!(
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -1,88 +1,91 @@
-//! The call that starts a dispatch, and its body on the way to the engine.
+//! The request that starts an attempt, and its body on the way to the engine.
 
-use super::{EngineAttempt, StreamedBody};
+use super::EngineAttempt;
 use crate::engines::call::{AttemptStart, Call, Statement};
-use crate::engines::request::{request, RequestBody};
+use crate::engines::protocol::request_header;
+use crate::engines::request::{request, RequestBody, START_PATH};
+use bytes::Bytes;
 use garnetwall_bodies::body::ReadFault;
+use garnetwall_bodies::Reader;
 use garnetwall_ledger::Evidence;
 use http::header::CONTENT_LENGTH;
-use http::{HeaderName, HeaderValue, Method, Request};
-use http_body_util::channel::Channel;
+use http::{HeaderMap, HeaderValue, Method, Request};
+use http_body_util::channel::{Channel, Sender as BodySender};
 use http_body_util::{Either, Full};
+use std::future::pending;
 use std::time::Instant;
 
-/// Protocol: names of the fields.
-const QUERY_ID: HeaderName = HeaderName::from_static("x-trace");
-const QUERY_CLASS: HeaderName = HeaderName::from_static("x-profile");
-const REMAINING_MS: HeaderName = HeaderName::from_static("x-patience");
-const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("x-op-key");
+/// Chunks of a streamed body that may wait for the connection.
+const BODY_CHANNEL_CAPACITY: usize = 1;
+
+/// A body that is sent while it is still being received from the client.
+pub(super) struct StreamedBody {
+    reader: Reader,
+    /// Its length in bytes, where the client declared it.
+    length: Option<u64>,
+    sender: BodySender<Bytes, ReadFault>,
+}
 
 impl EngineAttempt<'_> {
-    /// The call that starts a dispatch, and the body that goes with it; none where that is not there any more.
+    /// The request that starts the attempt, with its body where that is streamed; none where the body is not stored any
+    /// more.
     pub(super) fn start_request(
         &self,
         call: &Call,
         start: &AttemptStart,
     ) -> Option<(Request<RequestBody>, Option<StreamedBody>)> {
-        let is_retry = start.is_retry;
-        let mut request = request(Method::POST, self.target.address, "/c");
-        let gate = self.send_gate.clone();
-        let body = match &call.statement {
+        let mut request = request(Method::POST, self.target.address, START_PATH);
+        let (source, length, streamed) = match &call.statement {
             Statement::Whole(bytes) => {
-                let remaining_bytes = Some(bytes.len() as u64);
-                *request.body_mut() = RequestBody {
-                    source: Either::Left(Full::new(bytes.clone())),
-                    remaining_bytes,
-                    gate,
-                };
-                None
+                let source = Either::Left(Full::new(bytes.clone()));
+                (source, Some(bytes.len() as u64), None)
             }
-            Statement::Streamed(statement) => {
-                let reader = statement.reader(is_retry).ok()?;
-                let (sender, stream) = Channel::new(1);
-                *request.body_mut() = RequestBody {
-                    source: Either::Right(stream),
-                    remaining_bytes: statement.length(),
-                    gate,
-                };
-                if let Some(length) = statement.length() {
-                    request
-                        .headers_mut()
-                        .insert(CONTENT_LENGTH, HeaderValue::from(length));
-                }
-                Some(StreamedBody {
+            Statement::Streamed(body) => {
+                let reader = body.reader(start.is_retry).ok()?;
+                let length = body.length();
+                let (sender, receiver) = Channel::new(BODY_CHANNEL_CAPACITY);
+                insert_content_length(request.headers_mut(), length);
+                let streamed = StreamedBody {
                     reader,
-                    length: statement.length(),
+                    length,
                     sender,
-                })
+                };
+                (Either::Right(receiver), length, Some(streamed))
             }
         };
-        let head = request.headers_mut();
-        head.insert(QUERY_ID, call.id.clone());
-        head.insert(QUERY_CLASS, call.class.clone());
-        if let Some(key) = &call.idempotency_key {
-            head.insert(IDEMPOTENCY_KEY, key.clone());
-        }
-        Some((request, body))
+        insert_query_headers(request.headers_mut(), call);
+        *request.body_mut() = RequestBody {
+            source,
+            remaining_bytes: length,
+            gate: self.send_gate.clone(),
+        };
+        Some((request, streamed))
     }
 
-    /// Tells the engine how long its answer is waited for, as it is when the start leaves: its connection may have taken long.
+    /// Tells the engine the milliseconds until the response deadline. Set right before the request is sent, since
+    /// connecting takes time.
     pub(super) fn set_remaining_time(&self, request: &mut Request<RequestBody>) {
-        let left = self
+        let remaining = self
             .response_deadline
             .saturating_duration_since(Instant::now());
-        let left = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
+        let remaining_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
+        let value = HeaderValue::from(remaining_ms.max(1));
         request
             .headers_mut()
-            .insert(REMAINING_MS, HeaderValue::from(left));
+            .insert(request_header::REMAINING_MS, value);
     }
 
-    /// The last byte of a call that keeps its dispatch running is on its way.
+    /// Records that the last byte of a call which keeps the attempt running is being sent.
     pub(super) fn request_sent(&mut self) {
         self.request_may_have_arrived = true;
         self.record(Evidence::RequestSent);
     }
 
+    /// Sends a streamed body as it is received.
+    ///
+    /// # Errors
+    ///
+    /// Why the body can't be read to its end; the connection is aborted then.
     pub(super) async fn send_body(&mut self, body: StreamedBody) -> Result<(), ReadFault> {
         let StreamedBody {
             mut reader,
@@ -90,26 +93,40 @@
             mut sender,
         } = body;
         loop {
-            match reader.next().await {
-                Ok(Some(bytes)) => {
-                    // Only a call that has come whole is one that may run.
-                    if length == Some(reader.at()) {
-                        self.request_sent();
-                    }
-                    if sender.send_data(bytes).await.is_err() {
-                        // The engine hears no more of it: its answer, or the broken connection, tells why.
-                        std::future::pending::<()>().await;
-                    }
-                }
+            let chunk = match reader.next().await {
+                Ok(Some(chunk)) => chunk,
                 Ok(None) => {
                     self.request_sent();
                     return Ok(());
                 }
-                Err(fault) => {
+                Err(error) => {
                     sender.abort(ReadFault::CutOff);
-                    return Err(fault);
+                    return Err(error);
                 }
+            };
+            // An engine runs an attempt only once it has received the whole body.
+            let is_last = length == Some(reader.at());
+            if is_last {
+                self.request_sent();
+            }
+            if sender.send_data(chunk).await.is_err() {
+                // The connection is lost or the engine has responded: the caller, which waits for both, ends this.
+                pending::<()>().await;
             }
         }
     }
 }
+
+fn insert_query_headers(headers: &mut HeaderMap, call: &Call) {
+    headers.insert(request_header::QUERY_ID, call.id.clone());
+    headers.insert(request_header::QUERY_CLASS, call.class.clone());
+    if let Some(key) = &call.idempotency_key {
+        headers.insert(request_header::IDEMPOTENCY_KEY, key.clone());
+    }
+}
+
+fn insert_content_length(headers: &mut HeaderMap, length: Option<u64>) {
+    if let Some(length) = length {
+        headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
+    }
+}
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/call.rs
@@ -1,30 +1,36 @@
-//! What goes to an engine and what comes of it, as plain values.
+//! What is sent to an engine and what comes back, as plain values.
 
 use crate::scheduling::client_presence::ClientPresence;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_bodies::Body;
 use http::HeaderValue;
+use std::fmt;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::watch;
 
-/// What goes on to an engine unchanged.
+/// A query as it is forwarded to engines, unchanged.
 #[derive(Debug, PartialEq)]
 pub struct Call {
+    /// The client's id of the query.
     pub id: HeaderValue,
+    /// The name of the query's class.
     pub class: HeaderValue,
-    /// What a referenced batch carries against repeats.
+    /// The key by which engines detect a repeated query; set where the query is idempotent by key.
     pub idempotency_key: Option<HeaderValue>,
-    /// Others must not run beside it: it has a key, in a group that keeps order.
+    /// It must not overlap others: it has a key, in a class that keeps order.
     pub in_order: bool,
+    /// The query's text.
     pub statement: Statement,
 }
 
-/// A statement, or the body that it still comes in as.
+/// A statement that was received completely, or the body that it is still being received as.
 #[derive(Clone)]
 pub enum Statement {
+    /// Received completely.
     Whole(Bytes),
+    /// Still being received.
     Streamed(Arc<Body>),
 }
 
@@ -38,8 +44,8 @@
     }
 }
 
-impl std::fmt::Debug for Statement {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Debug for Statement {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Statement::Whole(bytes) => write!(f, "{} bytes", bytes.len()),
             Statement::Streamed(body) => write!(f, "a body of {:?} bytes", body.length()),
@@ -47,17 +53,23 @@
     }
 }
 
-/// How a dispatch ended, and what was told with it.
+/// How an attempt ended, and what its engine reported with it.
 #[derive(Debug)]
 pub struct AttemptResult {
+    /// How it ended.
     pub end: AttemptEnd,
+    /// The pages of the result that were fetched.
     pub pages: Vec<Bytes>,
+    /// Work done, in seconds.
     pub work: Option<f64>,
+    /// Memory used, in megabytes.
     pub memory: Option<f64>,
+    /// The engine's load report.
     pub report: Option<LoadReport>,
 }
 
 impl AttemptResult {
+    /// An end without a result or a report.
     pub fn of(end: AttemptEnd) -> Self {
         AttemptResult {
             end,
@@ -69,46 +81,47 @@
     }
 }
 
-/// What is still wanted of a dispatch.
+/// Whether an attempt is to be cancelled, and how far. Only ever moves on in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancellationState {
-    /// Its answer.
+    /// The response is wanted.
     NotRequested,
-    /// Its answer, if it has been started: the client has gone, and nothing is sent for a batch after its end.
+    /// The response is wanted if the request has been sent completely, otherwise nothing is sent any more: the client has
+    /// left.
     IfNotStarted,
-    /// That it is given up, or else its answer if that comes first.
+    /// The attempt is cancelled unless its response comes first.
     Requested,
-    /// That it is given up: its batch has its answer.
+    /// The attempt is cancelled: its query has been answered.
     QueryFinished,
 }
 
 impl CancellationState {
-    /// Whether it is still asked for.
+    /// Whether the attempt may still be polled for its response.
     pub(super) fn allows_polling(self) -> bool {
-        matches!(
-            self,
-            CancellationState::NotRequested | CancellationState::IfNotStarted
-        )
+        match self {
+            CancellationState::NotRequested | CancellationState::IfNotStarted => true,
+            CancellationState::Requested | CancellationState::QueryFinished => false,
+        }
     }
 }
 
-/// What is told of a dispatch that is out, to who waits for its end.
+/// Where an attempt in flight reports to the task that waits for its end.
 pub struct AttemptEvents {
-    /// How it looks where its end is not known.
+    /// How the attempt appears to have ended, once its outcome is unknown.
     pub unknown_outcome: watch::Sender<Option<AttemptEnd>>,
-    /// The last note of it.
+    /// The latest progress event.
     pub progress: watch::Sender<Option<Progress>>,
 }
 
-/// How a dispatch is started.
+/// How an attempt is started.
 #[derive(Clone, Debug)]
 pub struct AttemptStart {
-    /// It is not the first of its batch.
+    /// It is not the first attempt of its query.
     pub is_retry: bool,
-    /// Nobody waits for it from then on.
+    /// From when on nobody waits for the response. The engine is told the time that remains until then.
     pub response_deadline: Instant,
-    /// It has come whole by then, or is not sent.
+    /// By when the request has been sent completely; it is not sent otherwise.
     pub send_deadline: Instant,
-    /// Whether a client waits for its batch.
+    /// Whether a client waits for the query; nothing is sent while none does.
     pub client_presence: ClientPresence,
 }
--- /dev/null
+++ b/crates/gateway/src/engines/connect.rs
@@ -0,0 +1,74 @@
+//! Opens connections to engines, within the connection budget and the connect timeout.
+
+use super::request::Sender;
+use super::response::CallError;
+use super::Engines;
+use crate::system::budgeted_stream::{AbortFlag, BudgetedStream, MAX_RESPONSE_HEAD_BYTES};
+use crate::system::send_gate::SendGate;
+use crate::system::socket::Socket;
+use hyper::client::conn::http1;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use tokio::time::timeout;
+
+/// A connection that is up, and the flag that aborts it.
+pub(super) struct EngineConnection {
+    pub(super) sender: Sender,
+    pub(super) abort_flag: AbortFlag,
+}
+
+impl Engines {
+    /// Opens a connection within the budget and the connect timeout. The request that starts an attempt goes out through
+    /// `send_gate`.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::ConnectionRefused`], [`CallError::LocalResources`] where the time went by on this machine, otherwise
+    /// [`CallError::ConnectFailed`].
+    pub(super) async fn connect(
+        &self,
+        address: SocketAddr,
+        send_gate: Option<Arc<SendGate>>,
+    ) -> Result<EngineConnection, CallError> {
+        // Until the budget has a permit, the wait is not the engine's fault.
+        let waits_for_local_resource = AtomicBool::new(true);
+        let connecting = self.open_connection(address, send_gate, &waits_for_local_resource);
+        match timeout(self.connect_timeout, connecting).await {
+            Ok(Ok(connection)) => Ok(connection),
+            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                Err(CallError::ConnectionRefused)
+            }
+            Err(_) if waits_for_local_resource.load(Ordering::Relaxed) => {
+                Err(CallError::LocalResources)
+            }
+            Ok(Err(_)) | Err(_) => Err(CallError::ConnectFailed),
+        }
+    }
+
+    async fn open_connection(
+        &self,
+        address: SocketAddr,
+        send_gate: Option<Arc<SendGate>>,
+        waits_for_local_resource: &AtomicBool,
+    ) -> io::Result<EngineConnection> {
+        let permit = self
+            .connection_permits
+            .clone()
+            .acquire_owned()
+            .await
+            .map_err(io::Error::other)?;
+        let socket = Socket::connect(address, waits_for_local_resource).await?;
+        let stream = BudgetedStream::new(socket, Some(permit)).gated(send_gate);
+        let abort_flag = stream.abort_flag();
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+            .handshake(stream)
+            .await
+            .map_err(io::Error::other)?;
+        // Its error reaches the caller through the sender.
+        tokio::spawn(async move { drop(connection.await) });
+        Ok(EngineConnection { sender, abort_flag })
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/engines/protocol.rs
@@ -0,0 +1,53 @@
+//! Names on the wire and time limits of the engine protocol, mapped to the terms of the code.
+
+use std::time::Duration;
+
+/// An engine holds a poll back for at most this long before it answers.
+pub(super) const LONG_POLL_LIMIT: Duration = Duration::from_millis(250);
+
+/// An engine ends an attempt that has not been polled for this long.
+pub(super) const POLL_EXPIRY: Duration = Duration::from_secs(2);
+
+/// Added to each time limit of the protocol that is enforced on a socket.
+pub(super) const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
+
+/// Pause between two attempts to cancel at an engine.
+pub(super) const CANCEL_RETRY_PAUSE: Duration = SOCKET_TIMEOUT_SLACK;
+
+/// For how long an attempt may run on after its last poll was sent: the engine may have received
+/// that poll late by as much as it may hold one back.
+pub(super) const MAX_UNPOLLED_RUN: Duration = LONG_POLL_LIMIT.saturating_add(POLL_EXPIRY);
+
+/// Headers of a request that starts an attempt.
+pub(super) mod request_header {
+    use http::HeaderName;
+
+    /// The client's id of the query.
+    pub const QUERY_ID: HeaderName = HeaderName::from_static("x-trace");
+    /// The name of the query's class.
+    pub const QUERY_CLASS: HeaderName = HeaderName::from_static("x-profile");
+    /// Milliseconds that remain until the response deadline.
+    pub const REMAINING_MS: HeaderName = HeaderName::from_static("x-patience");
+    /// The key by which engines detect a repeated query.
+    pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("x-op-key");
+}
+
+/// Headers of an engine's response.
+pub(super) mod response_header {
+    /// `1` where the attempt never ran.
+    pub const NEVER_RAN: &str = "x-declined";
+    /// The engine's load report.
+    pub const LOAD_REPORT: &str = "x-stats";
+    /// What a progress event reports: `frac`, `missing` or `parked`.
+    pub const PROGRESS_KIND: &str = "x-result";
+    /// The amount that belongs to the progress kind.
+    pub const PROGRESS_VALUE: &str = "note-value";
+    /// Number of pages of the result.
+    pub const PAGE_COUNT: &str = "result-pages";
+    /// Index of the page in the response's body.
+    pub const PAGE_NUMBER: &str = "result-page";
+    /// Work done, in milliseconds.
+    pub const WORK_MS: &str = "query-cost";
+    /// Memory used, in megabytes.
+    pub const MEMORY_MB: &str = "query-need";
+}
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -1,4 +1,4 @@
-//! Requests to engines: a start goes out through its gate.
+//! Requests to engines. The body of a request that starts an attempt goes out through its send gate.
 
 use super::call::Call;
 use crate::system::send_gate::SendGate;
@@ -15,23 +15,41 @@
 use std::sync::Arc;
 use std::task::{ready, Context, Poll};
 
-/// Sends calls over one connection.
+/// The path that starts an attempt.
+pub(super) const START_PATH: &str = "/c";
+
+/// Sends requests over one connection.
 pub(super) type Sender = http1::SendRequest<RequestBody>;
 
-/// What a call brings along: all at once, or as it comes.
+/// A body that is complete, or that is still being received from the client.
 pub(super) type BodySource = Either<Full<Bytes>, Channel<Bytes, ReadFault>>;
 
-/// It, and the gate that it goes out through where the call is a start.
+/// The body of a request.
 pub(super) struct RequestBody {
     pub(super) source: BodySource,
-    /// Bytes of it still to come, where that is known.
+    /// Bytes that `source` has still to give; none where the length is not known.
     pub(super) remaining_bytes: Option<u64>,
+    /// Set where the request starts an attempt.
     pub(super) gate: Option<Arc<SendGate>>,
 }
 
 impl RequestBody {
-    /// All of it has been handed over to be written.
-    pub(super) fn body_consumed(&self) {
+    fn empty() -> Self {
+        RequestBody {
+            source: Either::Left(Full::default()),
+            remaining_bytes: None,
+            gate: None,
+        }
+    }
+
+    /// Notes that hyper has taken `byte_count` bytes, or the end of the body.
+    fn record_frame(&mut self, byte_count: usize, is_end: bool) {
+        self.remaining_bytes = self
+            .remaining_bytes
+            .map(|remaining| remaining.saturating_sub(byte_count as u64));
+        if !is_end && self.remaining_bytes != Some(0) && !self.source.is_end_stream() {
+            return;
+        }
         if let Some(gate) = &self.gate {
             gate.body_consumed();
         }
@@ -47,17 +65,12 @@
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let frame = ready!(Pin::new(&mut self.source).poll_frame(cx));
-        let bytes = frame
-            .as_ref()
-            .and_then(|f| f.as_ref().ok())
-            .and_then(Frame::data_ref)
-            .map_or(0, Bytes::len);
-        self.remaining_bytes = self
-            .remaining_bytes
-            .map(|remaining_bytes| remaining_bytes.saturating_sub(bytes as u64));
-        if frame.is_none() || self.remaining_bytes == Some(0) || self.source.is_end_stream() {
-            self.body_consumed();
-        }
+        let data = match &frame {
+            Some(Ok(frame)) => frame.data_ref(),
+            _ => None,
+        };
+        let byte_count = data.map_or(0, Bytes::len);
+        self.record_frame(byte_count, frame.is_none());
         Poll::Ready(frame)
     }
 
@@ -70,18 +83,20 @@
     }
 }
 
-pub(super) fn path(call: &Call, page: Option<usize>) -> String {
+/// The path of an attempt at its engine.
+pub(super) fn attempt_path(call: &Call) -> String {
     let id = call.id.to_str().unwrap_or_default();
-    page.map_or_else(|| format!("/c/{id}"), |page| format!("/c/{id}/{page}"))
+    format!("{START_PATH}/{id}")
+}
+
+/// The path of a page of an attempt's result; page 0 also polls the attempt.
+pub(super) fn page_path(call: &Call, page: usize) -> String {
+    format!("{}/{page}", attempt_path(call))
 }
 
+/// A request without a body.
 pub(super) fn request(method: Method, address: SocketAddr, path: &str) -> Request<RequestBody> {
-    let nothing = RequestBody {
-        source: Either::Left(Full::default()),
-        remaining_bytes: None,
-        gate: None,
-    };
-    let mut request = Request::new(nothing);
+    let mut request = Request::new(RequestBody::empty());
     *request.method_mut() = method;
     *request.uri_mut() = path.parse().unwrap_or_default();
     if let Ok(host) = HeaderValue::try_from(address.to_string()) {
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -5,10 +5,11 @@
 use bytes::Bytes;
 use garnetwall::api::EndpointState;
 use http::HeaderValue;
+use std::net::SocketAddr;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-fn line(id: &str, condition: EndpointState) -> EngineLine {
+fn engine_line(id: &str, state: EndpointState) -> EngineLine {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineLine {
         id: id.into(),
@@ -17,19 +18,19 @@
         kind: 0,
         cell: 0,
         came_up: None,
-        condition,
+        condition: state,
     }
 }
 
-/// One engine that listens and never answers, and what reaches it.
-struct Silent {
+/// An engine that accepts connections and never responds.
+struct SilentEngine {
     listener: tokio::net::TcpListener,
     engines: Engines,
     budget: ResourceBudget,
 }
 
-impl Silent {
-    async fn start() -> Silent {
+impl SilentEngine {
+    async fn start() -> SilentEngine {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let budget = ResourceBudget::of(64, 64);
         let list = Arc::new(EngineList::new(
@@ -47,20 +48,20 @@
             5.0,
             list,
         );
-        let silent = Silent {
+        let silent = SilentEngine {
             listener,
             engines,
             budget,
         };
-        silent.lists(EndpointState::Ready);
+        silent.set_state(EndpointState::Ready);
         silent
     }
 
-    fn lists(&self, condition: EndpointState) {
+    fn set_state(&self, state: EndpointState) {
         let address = self.listener.local_addr().unwrap();
         let lines = vec![EngineLine {
             address,
-            ..line("a", condition)
+            ..engine_line("a", state)
         }];
         self.engines.list.apply(Event {
             number: 1,
@@ -69,8 +70,8 @@
         });
     }
 
-    /// Holds all connections that there may be to engines.
-    async fn hold_all(&self) -> tokio::sync::OwnedSemaphorePermit {
+    /// Takes the whole budget of connections to engines.
+    async fn take_all_permits(&self) -> tokio::sync::OwnedSemaphorePermit {
         let all = self.budget.engines.available_permits() as u32;
         self.budget
             .engines
@@ -80,7 +81,7 @@
             .unwrap()
     }
 
-    async fn dispatch(
+    async fn run_attempt(
         &self,
         start: AttemptStart,
         cancellation: watch::Receiver<CancellationState>,
@@ -104,101 +105,105 @@
             .await
     }
 
-    /// What a connection brings, if one comes up.
-    async fn came(&self) -> usize {
+    /// Bytes that arrive on the first connection, if one comes up.
+    async fn received_bytes(&self) -> usize {
         let Ok(Ok((mut stream, _))) =
             timeout(Duration::from_millis(100), self.listener.accept()).await
         else {
             return 0;
         };
-        let mut came = Vec::new();
-        let _ = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut came).await;
-        came.len()
+        let mut received = Vec::new();
+        let _ = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut received).await;
+        received.len()
     }
 }
 
 fn start() -> AttemptStart {
-    let until = Instant::now() + Duration::from_secs(3);
+    let deadline = Instant::now() + Duration::from_secs(3);
     AttemptStart {
         is_retry: true,
-        response_deadline: until,
-        send_deadline: until,
+        response_deadline: deadline,
+        send_deadline: deadline,
         client_presence: ClientPresence::default(),
     }
 }
 
-/// A further dispatch waits for one of the few connections; the one that it gets comes after its batch's answer.
+/// A retry waits for a connection permit and gets it after its query was answered.
 #[tokio::test]
-async fn a_start_that_waited_for_its_connection_until_after_the_answer_is_not_sent() {
-    let silent = Silent::start().await;
-    let taken = silent.hold_all().await;
-    let (wish, cancellation) = watch::channel(CancellationState::NotRequested);
-    let answered = async {
+async fn a_request_that_waited_for_its_connection_until_after_the_answer_is_not_sent() {
+    let silent = SilentEngine::start().await;
+    let permits = silent.take_all_permits().await;
+    let (cancel, cancellation) = watch::channel(CancellationState::NotRequested);
+    let answer = async {
         sleep(Duration::from_millis(30)).await;
-        wish.send_replace(CancellationState::QueryFinished);
-        drop(taken);
+        cancel.send_replace(CancellationState::QueryFinished);
+        drop(permits);
     };
-    let (ended, ()) = tokio::join!(silent.dispatch(start(), cancellation), answered);
-    assert_eq!(ended.end, AttemptEnd::NotNeeded);
-    assert_eq!(silent.came().await, 0);
+    let (result, ()) = tokio::join!(silent.run_attempt(start(), cancellation), answer);
+    assert_eq!(result.end, AttemptEnd::NotNeeded);
+    assert_eq!(silent.received_bytes().await, 0);
 }
 
-/// Its client has left, and may come again at once, so that its batch is not over: nothing is sent meanwhile.
+/// The client has left and may reconnect, so that the query is not over: nothing is sent meanwhile.
 #[tokio::test]
-async fn a_start_that_waited_for_its_connection_until_its_client_left_is_not_sent() {
-    let silent = Silent::start().await;
-    let taken = silent.hold_all().await;
-    let (_wish, cancellation) = watch::channel(CancellationState::NotRequested);
+async fn a_request_that_waited_for_its_connection_until_its_client_left_is_not_sent() {
+    let silent = SilentEngine::start().await;
+    let permits = silent.take_all_permits().await;
+    let (_cancel, cancellation) = watch::channel(CancellationState::NotRequested);
     let start = start();
-    let attended = start.client_presence.clone();
-    let leaves = async {
+    let client_presence = start.client_presence.clone();
+    let leave = async {
         sleep(Duration::from_millis(30)).await;
-        attended.set_waiting(false);
-        drop(taken);
+        client_presence.set_waiting(false);
+        drop(permits);
     };
-    let (ended, ()) = tokio::join!(silent.dispatch(start, cancellation), leaves);
+    let (result, ()) = tokio::join!(silent.run_attempt(start, cancellation), leave);
     assert_eq!(
-        ended.end,
+        result.end,
         AttemptEnd::NotNeeded,
         "which says nothing of the engine"
     );
-    assert_eq!(silent.came().await, 0);
+    assert_eq!(silent.received_bytes().await, 0);
 }
 
-/// The window in which its engines drop repeats ends while its connection is still to come up.
+/// The send deadline passes while the connection is still to come up.
 #[tokio::test]
-async fn a_start_that_can_t_come_within_its_window_is_not_sent() {
-    let silent = Silent::start().await;
-    let taken = silent.hold_all().await;
-    let (_wish, cancellation) = watch::channel(CancellationState::NotRequested);
+async fn a_request_that_can_t_be_sent_by_its_send_deadline_is_not_sent() {
+    let silent = SilentEngine::start().await;
+    let permits = silent.take_all_permits().await;
+    let (_cancel, cancellation) = watch::channel(CancellationState::NotRequested);
     let began = Instant::now();
     let start = AttemptStart {
         send_deadline: began + Duration::from_millis(60),
         ..start()
     };
-    let frees = async {
+    let free_permits = async {
         sleep(Duration::from_millis(150)).await;
-        drop(taken);
+        drop(permits);
     };
-    let (ended, ()) = tokio::join!(silent.dispatch(start, cancellation), frees);
-    assert_eq!(ended.end, AttemptEnd::ConnectFailed);
-    assert_eq!(silent.came().await, 0);
+    let (result, ()) = tokio::join!(silent.run_attempt(start, cancellation), free_permits);
+    assert_eq!(result.end, AttemptEnd::ConnectFailed);
+    assert_eq!(silent.received_bytes().await, 0);
 }
 
-/// Its engine is told draining while its connection is still to come up.
+/// The engine starts to drain, or leaves the list, while the connection is still to come up.
 #[tokio::test]
-async fn a_start_whose_engine_drains_before_its_first_byte_is_not_sent() {
-    for told in [EndpointState::Draining, EndpointState::Removed] {
-        let silent = Silent::start().await;
-        let taken = silent.hold_all().await;
-        let (_wish, cancellation) = watch::channel(CancellationState::NotRequested);
-        let drains = async {
+async fn a_request_whose_engine_drains_before_its_first_byte_is_not_sent() {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
+        let silent = SilentEngine::start().await;
+        let permits = silent.take_all_permits().await;
+        let (_cancel, cancellation) = watch::channel(CancellationState::NotRequested);
+        let drain = async {
             sleep(Duration::from_millis(30)).await;
-            silent.lists(told);
-            drop(taken);
+            silent.set_state(state);
+            drop(permits);
         };
-        let (ended, ()) = tokio::join!(silent.dispatch(start(), cancellation), drains);
-        assert_eq!(ended.end, AttemptEnd::ConnectFailed, "it goes elsewhere");
-        assert_eq!(silent.came().await, 0);
+        let (result, ()) = tokio::join!(silent.run_attempt(start(), cancellation), drain);
+        assert_eq!(
+            result.end,
+            AttemptEnd::ConnectFailed,
+            "another engine is tried"
+        );
+        assert_eq!(silent.received_bytes().await, 0);
     }
 }
