--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -68,7 +68,7 @@
             cancel_pause: CANCEL_RETRY_PAUSE,
         };
         Engines {
-            connection_permits: budget.engines.clone(),
+            connection_permits: budget.engine_connections.clone(),
             connect_timeout: span(network.dial),
             list,
             ledger: Mutex::new(Ledger::new(ledger_bounds)),
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -72,9 +72,9 @@
 
     /// Takes the whole budget of connections to engines.
     async fn take_all_permits(&self) -> tokio::sync::OwnedSemaphorePermit {
-        let all = self.budget.engines.available_permits() as u32;
+        let all = self.budget.engine_connections.available_permits() as u32;
         self.budget
-            .engines
+            .engine_connections
             .clone()
             .acquire_many_owned(all)
             .await
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -185,7 +185,7 @@
             )),
         };
         let router = http::router(Arc::new(front));
-        let guests = ClientConnections::new(self.budget.clients.clone());
+        let guests = ClientConnections::new(self.budget.client_connections.clone());
         let ((shut, open), (close, closing)) = (watch::channel(false), watch::channel(false));
         // One for all phases: a connection that waits for its seat is in its hands.
         let mut accepting = Box::pin(http::accept(&listener, &router, &guests, &open, closing));
--- a/crates/gateway/src/system/resource_budget.rs
+++ b/crates/gateway/src/system/resource_budget.rs
@@ -21,8 +21,8 @@
 /// Parts of the told limit that may be open at once.
 #[derive(Clone, Debug)]
 pub struct ResourceBudget {
-    pub clients: Arc<Semaphore>,
-    pub engines: Arc<Semaphore>,
+    pub client_connections: Arc<Semaphore>,
+    pub engine_connections: Arc<Semaphore>,
     /// Batches that clients' connections and the memory can hold at once.
     pub query_capacity: usize,
     /// Bytes of statements that may be in hand at once.
@@ -42,8 +42,8 @@
             .saturating_sub(clients + RESERVED_DESCRIPTORS)
             .max(1);
         ResourceBudget {
-            clients: Arc::new(Semaphore::new(clients)),
-            engines: Arc::new(Semaphore::new(engines)),
+            client_connections: Arc::new(Semaphore::new(clients)),
+            engine_connections: Arc::new(Semaphore::new(engines)),
             query_capacity: (descriptor_limit / 3)
                 .min(memory_bytes / RESULT_MEMORY_DIVISOR / BYTES_PER_RESULT)
                 .max(1),
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -183,7 +183,9 @@
     let first = log.opens();
     let address = log.address;
     drop((log, first));
-    let all = ResourceBudget::of(SOCKETS, 192).engines.available_permits();
+    let all = ResourceBudget::of(SOCKETS, 192)
+        .engine_connections
+        .available_permits();
     let began = Instant::now();
     let batch = |_| {
         let stream = s.open();
