--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -180,13 +180,13 @@
         if result.end != AttemptEnd::Succeeded {
             return CheckedResult { result, rows: None };
         }
-        match result_rows::answer(&result.pages) {
+        match result_rows::to_json(&result.pages) {
             Ok(rows) => CheckedResult {
                 result,
                 rows: Some(rows),
             },
             Err(what) => {
-                tracing::warn!(engine = attempt.engine, what, "result out of the protocol");
+                tracing::warn!(engine = attempt.engine, %what, "result out of the protocol");
                 let failure = AttemptResult {
                     report: result.report,
                     ..AttemptResult::of(AttemptEnd::Failed)
