--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -425,6 +425,35 @@
     }
 }
 
+/// The load report of an engine, in its answers: one that says that it is full gets the smaller part.
+#[test]
+fn load_reports_of_engines() {
+    let with = |stats: &'static str| {
+        Recorder::start(move |call| match call.starts_with("DELETE") {
+            true => Some(http("204 No Content", "", "")),
+            false => {
+                let fields = format!("Result-Pages: 1\r\nX-Stats: {stats}\r\n");
+                Some(http("200 OK", &fields, "a\tb\tc\n"))
+            }
+        })
+    };
+    let (full, idle) = (with("queue:900;util:1.0"), with("queue:0;util:0.0"));
+    let lines = [
+        line("s-1", full.address, "SERVING"),
+        line("s-2", idle.address, "SERVING"),
+    ];
+    let s = Service::with(|config| {
+        config["known"]["results"] = json!([change(0, true, &lines)]);
+        config["settings"]["telemetry"]["how"] = json!("inline");
+    });
+    for _ in 0..40 {
+        let answer = answer_to(s.address, &post(&new_id(), "report", "", "SELECT 1"));
+        assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
+    }
+    let (at_full, at_idle) = (full.count("POST"), idle.count("POST"));
+    assert!(at_idle >= 3 * at_full, "{at_full} and {at_idle}");
+}
+
 #[test]
 fn the_call_to_the_change_log() {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
