--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -1,4 +1,4 @@
-//! From an admitted query to its answer: the decision module behind its lock, and one task for each query.
+//! From an admitted query to its answer: the scheduler around the admission controller, and one task for each query.
 
 pub mod client_presence;
 pub mod plan_routing;
--- a/crates/gateway/src/scheduling/client_presence.rs
+++ b/crates/gateway/src/scheduling/client_presence.rs
@@ -1,23 +1,30 @@
-//! Whether a client waits for a batch right now: told by who keeps its waiters, looked at before a byte is sent for it.
+//! Whether a client waits for a query right now: set by the scheduler, read before a byte of the query is sent to an engine.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
+/// A flag that the scheduler and the attempts of one query share. It starts with a client waiting.
 #[derive(Clone, Debug)]
-pub struct ClientPresence(Arc<AtomicBool>);
+pub struct ClientPresence {
+    is_waiting: Arc<AtomicBool>,
+}
 
 impl Default for ClientPresence {
     fn default() -> Self {
-        ClientPresence(Arc::new(AtomicBool::new(true)))
+        ClientPresence {
+            is_waiting: Arc::new(AtomicBool::new(true)),
+        }
     }
 }
 
 impl ClientPresence {
-    pub fn set_waiting(&self, attended: bool) {
-        self.0.store(attended, Ordering::Relaxed);
+    /// Sets whether a client waits.
+    pub fn set_waiting(&self, is_waiting: bool) {
+        self.is_waiting.store(is_waiting, Ordering::Relaxed);
     }
 
+    /// Whether a client waits.
     pub fn is_waiting(&self) -> bool {
-        self.0.load(Ordering::Relaxed)
+        self.is_waiting.load(Ordering::Relaxed)
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,217 +1,297 @@
-//! A query comes in: it is new, joins the one of its id that is in hand, or is refused.
+//! Admission: an arriving query is opened, joins the open query of its key, or is rejected.
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
-use super::state::{OpenQuery, QueryState, SchedulerState};
+use super::open_query::OpenQuery;
+use super::query_index::QueryState;
+use super::state::SchedulerState;
 use super::{Admission, ArrivingQuery, Scheduler, Waiter};
 use crate::engines::{Call, Statement};
 use crate::scheduling::client_presence::ClientPresence;
+use crate::scheduling::plan_routing::{PlanAdmission, PlanRejection};
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
 use garnetwall_ledger::records::{SentQuery, RUN_MARGIN};
+use std::fmt;
 use std::hash::BuildHasher;
 use std::sync::Arc;
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::watch;
 
-/// An id or a key as clients write it, for the log.
+/// A key as clients write it, for the log.
 struct Hex(u64);
 
-impl std::fmt::Debug for Hex {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Debug for Hex {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
+/// An arriving query whose key is not known.
+struct NewQuery {
+    arriving: ArrivingQuery,
+    call: Arc<Call>,
+    fingerprint: Option<Fingerprint>,
+}
+
+/// What the class and the plan settle for a new query.
+struct Terms {
+    /// The class that it is treated as.
+    class: usize,
+    is_non_idempotent: bool,
+    plan_admission: Option<PlanAdmission>,
+    /// When it has to be answered, in seconds on the gateway's clock.
+    deadline: f64,
+}
+
 impl Scheduler {
-    /// Takes a batch, or finds the one that has its id.
-    pub fn admit(self: &Arc<Self>, a: ArrivingQuery, call: Arc<Call>) -> Admission {
-        let fingerprint = self.fingerprint(&a, &call);
+    /// Opens an arriving query, or finds what is known of the query of its key.
+    pub fn admit(self: &Arc<Self>, arriving: ArrivingQuery, call: Arc<Call>) -> Admission {
+        let query_key = arriving.query_key;
+        let fingerprint = self.fingerprint(&arriving, &call);
         self.handle_event(|state, now| {
             state.discard_expired(now);
-            match state.states_by_key.get(&a.query_key) {
-                Some(QueryState::Finished) => {
-                    return state.repeat_of_finished(now, a.query_key, fingerprint)
+            match state.queries.state(query_key) {
+                Some(QueryState::Open(id)) => self.join(state, now, id, &arriving, &call),
+                Some(QueryState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
+                Some(QueryState::Recovered) => Admission::MayHaveRun,
+                None => {
+                    let new = NewQuery {
+                        arriving,
+                        call,
+                        fingerprint,
+                    };
+                    self.admit_new(state, now, new)
                 }
-                Some(&QueryState::Open(id)) => return self.join(state, now, id, &a, &call),
-                None => {}
-            }
-            if state.recovered.contains_key(&a.query_key) {
-                return Admission::MayHaveRun;
-            }
-            let plan_admission = match state
-                .plan_router
-                .as_mut()
-                .map(|plan_router| plan_router.admit(now, &routed(now, &a)))
-            {
-                Some(Err(rejection)) => return Admission::RejectedByPlan(rejection),
-                Some(Ok(plan_admission)) => Some(plan_admission),
-                None => None,
-            };
-            let ArrivingQuery {
-                class,
-                tenant,
-                ordering_key: key,
-                estimated_work,
-                estimated_memory,
-                data_set,
-                ..
-            } = a;
-            let class = plan_admission.as_ref().map_or(class, |p| p.class);
-            let is_non_idempotent = state
-                .non_idempotent_classes
-                .get(class)
-                .copied()
-                .unwrap_or_default();
-            if is_non_idempotent && state.recovery_pending {
-                state.release_plan_admission(now, plan_admission);
-                return Admission::MayHaveRun;
-            }
-            let endpoint_subset = plan_admission.as_ref().and_then(|p| p.endpoint_subset);
-            let shorter = plan_admission
-                .as_ref()
-                .and_then(|p| p.deadline)
-                .map(|deadline| now + deadline.as_secs_f64());
-            let deadline = shorter.map_or(a.deadline, |at| a.deadline.min(at));
-            let id = state.next_query_id;
-            state.next_query_id = id.wrapping_add(1);
-            let (sender, commands) = unbounded_channel();
-            let (answer, receiver) = watch::channel(None);
-            state
-                .states_by_key
-                .insert(a.query_key, QueryState::Open(id));
-            let client_presence = ClientPresence::default();
-            let new = OpenQuery {
-                query_key: a.query_key,
-                tenant,
-                key,
-                call,
-                fingerprint,
-                commands: sender,
-                answer,
-                waiters: 1,
-                waiters_ever: 1,
-                client_presence: client_presence.clone(),
-                deadline,
-                plan_admission,
-            };
-            state.open_queries.insert(id, new);
-            self.open_count.send_replace(state.open_queries.len());
-            let left = self
-                .shutdown_at
-                .borrow()
-                .map_or(deadline, |at| deadline.min(at))
-                - now;
-            let b = Query {
-                id,
-                class,
-                tenant,
-                ordering_key: key,
-                remaining_time: left,
-                estimated_work,
-                estimated_memory,
-                data_set,
-                endpoint_subset,
-            };
-            let (query_key, line) = (Hex(a.query_key), key.map(Hex));
-            tracing::debug!(batch = id, ?query_key, class, key = ?line, left, "taken");
-            state.controller.admit(now, b);
-            let until = millis(deadline + RUN_MARGIN.as_secs_f64());
-            let once_only = is_non_idempotent.then_some(SentQuery {
-                id: a.query_key,
-                key,
-                until,
-            });
-            let waiter = Waiter {
-                scheduler: self.clone(),
-                id,
-                answer: receiver,
-            };
-            Admission::New {
-                id,
-                commands,
-                waiter,
-                journal_entry: once_only,
-                client_presence,
             }
         })
     }
 
-    /// What makes this call the same as another; none where its statement is not kept.
-    fn fingerprint(&self, a: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
+    /// A hash of what makes two calls the same; `None` where the statement is not in memory.
+    fn fingerprint(&self, arriving: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
         let Statement::Whole(statement) = &call.statement else {
             return None;
         };
-        let Call {
-            id,
-            class,
-            idempotency_key,
-            ..
-        } = call;
         Some(Fingerprint(self.fingerprint_hasher.hash_one((
-            a.tenant,
-            a.ordering_key,
-            id,
-            class,
-            idempotency_key,
+            arriving.tenant,
+            arriving.ordering_key,
+            &call.id,
+            &call.class,
+            &call.idempotency_key,
             statement,
         ))))
     }
 
+    /// Adds a waiter to the open query of the same key, where the call is the same.
     fn join(
         self: &Arc<Self>,
         state: &mut SchedulerState,
         now: f64,
         id: QueryId,
-        a: &ArrivingQuery,
+        arriving: &ArrivingQuery,
         call: &Call,
     ) -> Admission {
-        let Some(b) = state.open_queries.get_mut(&id) else {
+        let Some(query) = state.open_queries.get_mut(&id) else {
             return Admission::AnswerNotCached;
         };
-        if (b.tenant, b.key) != (a.tenant, a.ordering_key) || *b.call != *call {
+        let is_same_call = query.tenant == arriving.tenant
+            && query.ordering_key == arriving.ordering_key
+            && *query.call == *call;
+        if !is_same_call {
             return Admission::Conflict;
         }
-        (b.waiters, b.waiters_ever) = (b.waiters + 1, b.waiters_ever + 1);
-        b.client_presence.set_waiting(true);
+        query.add_waiter();
         let waiter = Waiter {
             scheduler: self.clone(),
             id,
-            answer: b.answer.subscribe(),
+            answer: query.answer.subscribe(),
         };
         state.controller.set_client_waiting(now, id, true);
         Admission::Joined(waiter)
     }
+
+    /// Opens a query of an unknown key, where the plan admits it and an earlier process can't have sent it.
+    fn admit_new(
+        self: &Arc<Self>,
+        state: &mut SchedulerState,
+        now: f64,
+        new: NewQuery,
+    ) -> Admission {
+        let plan_admission = match state.admit_by_plan(now, &new.arriving) {
+            Ok(plan_admission) => plan_admission,
+            Err(rejection) => return Admission::RejectedByPlan(rejection),
+        };
+        let terms = state.terms(now, &new.arriving, plan_admission);
+        if terms.is_non_idempotent && state.queries.is_recovery_pending() {
+            state.release_plan_admission(now, terms.plan_admission);
+            return Admission::MayHaveRun;
+        }
+        self.open(state, now, new, terms)
+    }
+
+    fn open(
+        self: &Arc<Self>,
+        state: &mut SchedulerState,
+        now: f64,
+        new: NewQuery,
+        terms: Terms,
+    ) -> Admission {
+        let NewQuery {
+            arriving,
+            call,
+            fingerprint,
+        } = new;
+        let id = state.next_id();
+        let query = self.controller_query(now, id, &arriving, &terms);
+        let journal_entry = terms
+            .is_non_idempotent
+            .then(|| journal_entry(&arriving, terms.deadline));
+        let client_presence = ClientPresence::default();
+        let (command_sender, commands) = unbounded_channel();
+        let (answer_sender, answer) = watch::channel(None);
+        let open_query = OpenQuery {
+            query_key: arriving.query_key,
+            tenant: arriving.tenant,
+            ordering_key: arriving.ordering_key,
+            call,
+            fingerprint,
+            commands: command_sender,
+            answer: answer_sender,
+            waiters: 1,
+            waiters_ever: 1,
+            client_presence: client_presence.clone(),
+            deadline: terms.deadline,
+            plan_admission: terms.plan_admission,
+        };
+        state.queries.open(arriving.query_key, id);
+        state.open_queries.insert(id, open_query);
+        self.open_count.send_replace(state.open_queries.len());
+        log_admission(&query, arriving.query_key);
+        state.controller.admit(now, query);
+        let waiter = Waiter {
+            scheduler: self.clone(),
+            id,
+            answer,
+        };
+        Admission::New {
+            id,
+            commands,
+            waiter,
+            journal_entry,
+            client_presence,
+        }
+    }
+
+    /// A new query as the admission controller takes it. It has until its deadline, or until the gateway shuts down.
+    fn controller_query(
+        &self,
+        now: f64,
+        id: QueryId,
+        arriving: &ArrivingQuery,
+        terms: &Terms,
+    ) -> Query {
+        let answer_due = match *self.shutdown_at.borrow() {
+            Some(shutdown_at) => terms.deadline.min(shutdown_at),
+            None => terms.deadline,
+        };
+        let plan_admission = terms.plan_admission.as_ref();
+        Query {
+            id,
+            class: terms.class,
+            tenant: arriving.tenant,
+            ordering_key: arriving.ordering_key,
+            remaining_time: answer_due - now,
+            estimated_work: arriving.estimated_work,
+            estimated_memory: arriving.estimated_memory,
+            data_set: arriving.data_set,
+            endpoint_subset: plan_admission.and_then(|admission| admission.endpoint_subset),
+        }
+    }
 }
 
 impl SchedulerState {
-    /// What becomes of a call whose query is over: it runs no second time.
+    fn next_id(&mut self) -> QueryId {
+        let id = self.next_query_id;
+        self.next_query_id = id.wrapping_add(1);
+        id
+    }
+
+    /// What a call gets whose query has finished: it does not run again.
     fn repeat_of_finished(
         &self,
         now: f64,
         query_key: u64,
         fingerprint: Option<Fingerprint>,
     ) -> Admission {
-        let kept = fingerprint.map_or(CachedAnswer::Missing, |of| {
-            self.answer_cache.get(now, query_key, of)
-        });
-        match kept {
-            CachedAnswer::Answer(last) => Admission::Answered(last),
+        let Some(fingerprint) = fingerprint else {
+            return Admission::AnswerNotCached;
+        };
+        match self.answer_cache.get(now, query_key, fingerprint) {
+            CachedAnswer::Answer(answer) => Admission::Answered(answer),
             CachedAnswer::OtherCall => Admission::Conflict,
             CachedAnswer::Missing => Admission::AnswerNotCached,
         }
     }
+
+    /// Admits a query under the plan; `None` without a plan.
+    fn admit_by_plan(
+        &mut self,
+        now: f64,
+        arriving: &ArrivingQuery,
+    ) -> Result<Option<PlanAdmission>, PlanRejection> {
+        let Some(plan_router) = self.plan_router.as_mut() else {
+            return Ok(None);
+        };
+        let query = garnetwall_routing::Batch {
+            group: arriving.class,
+            tenant: arriving.tenant,
+            client: arriving.client,
+            key: arriving.ordering_key.is_some(),
+            data_set: arriving.data_set,
+            minute: minute_of_day(now),
+            bytes: arriving.bytes,
+        };
+        plan_router.admit(now, &query).map(Some)
+    }
+
+    fn terms(
+        &self,
+        now: f64,
+        arriving: &ArrivingQuery,
+        plan_admission: Option<PlanAdmission>,
+    ) -> Terms {
+        let admission = plan_admission.as_ref();
+        let class = admission.map_or(arriving.class, |admission| admission.class);
+        let plan_deadline = admission.and_then(|admission| admission.deadline);
+        let deadline = match plan_deadline {
+            Some(limit) => arriving.deadline.min(now + limit.as_secs_f64()),
+            None => arriving.deadline,
+        };
+        Terms {
+            class,
+            is_non_idempotent: self.is_non_idempotent(class),
+            plan_admission,
+            deadline,
+        }
+    }
 }
 
-/// A batch as routing sees it.
-fn routed(now: f64, a: &ArrivingQuery) -> garnetwall_routing::Batch {
-    garnetwall_routing::Batch {
-        group: a.class,
-        tenant: a.tenant,
-        client: a.client,
-        key: a.ordering_key.is_some(),
-        data_set: a.data_set,
-        minute: minute_of_day(now),
-        bytes: a.bytes,
+/// The journal's record of a query, which may run until a margin after its deadline.
+fn journal_entry(arriving: &ArrivingQuery, deadline: f64) -> SentQuery {
+    SentQuery {
+        id: arriving.query_key,
+        key: arriving.ordering_key,
+        until: millis(deadline + RUN_MARGIN.as_secs_f64()),
     }
 }
+
+fn log_admission(query: &Query, query_key: u64) {
+    tracing::debug!(
+        batch = query.id,
+        job = ?Hex(query_key),
+        group = query.class,
+        key = ?query.ordering_key.map(Hex),
+        left = query.remaining_time,
+        "taken"
+    );
+}
--- a/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
@@ -28,25 +28,25 @@
 }
 
 proptest! {
-    /// However many come: inside the bound, the newest are there, and the count of bytes is that of what is kept.
+    /// However many answers come: the bound holds, the newest are cached, and the count of bytes is that of the entries.
     #[test]
     fn the_newest_answers_stay_cached_within_the_bound(
         answers in prop::collection::vec((0..20u64, 0..3000usize, 0..50u32), 1..60),
     ) {
         let mut cache = AnswerCache::new(10_000);
         let mut now = 0.0;
-        for (id, bytes, lifetime) in answers {
+        for (query_key, bytes, lifetime) in answers {
             now += 1.0;
-            cache.insert(now, id, CALL, answer(bytes), now + f64::from(lifetime));
+            cache.insert(now, query_key, CALL, answer(bytes), now + f64::from(lifetime));
             let cached_bytes: usize = cache.entries.values().map(Entry::bytes).sum();
             prop_assert_eq!(cache.bytes, cached_bytes);
             prop_assert!(cache.bytes <= 10_000);
-            prop_assert_eq!(cache.ids_by_sequence.len(), cache.entries.len());
+            prop_assert_eq!(cache.keys_by_sequence.len(), cache.entries.len());
             if lifetime > 0 {
-                prop_assert_eq!(cache.get(now, id, CALL), CachedAnswer::Answer(answer(bytes)));
+                prop_assert_eq!(cache.get(now, query_key, CALL), CachedAnswer::Answer(answer(bytes)));
             }
         }
         cache.evict(now + 50.0);
-        prop_assert!(cache.entries.is_empty() && cache.ids_by_sequence.is_empty() && cache.bytes == 0);
+        prop_assert!(cache.entries.is_empty() && cache.keys_by_sequence.is_empty() && cache.bytes == 0);
     }
 }
--- /dev/null
+++ b/crates/gateway/src/scheduling/scheduler/configuration.rs
@@ -0,0 +1,46 @@
+//! Changes of the endpoint list, the query classes and the plan.
+
+use super::Scheduler;
+use crate::discovery::EngineUpdate;
+use garnetwall::api::QueryClass;
+use garnetwall_plan::Plan;
+use std::sync::Arc;
+
+impl Scheduler {
+    /// Applies a change of the endpoint list; a complete one removes the engines that it does not name.
+    pub fn update_endpoints(&self, changes: &[EngineUpdate], is_complete: bool) {
+        let endpoints: Vec<_> = changes.iter().map(|change| change.listed).collect();
+        self.handle_event(|state, _| {
+            state.controller.update_endpoints(&endpoints, is_complete);
+            if let Some(plan_router) = state.plan_router.as_mut() {
+                let updates = plan_router.update_endpoints(changes, is_complete);
+                state.update_endpoint_subsets(updates);
+            }
+        });
+    }
+
+    /// Records which of the classes that the controller started with are non-idempotent.
+    pub fn set_classes(&self, classes: &[QueryClass]) {
+        self.handle_event(|state, _| state.set_classes(classes));
+    }
+
+    /// Whether queries of a class are non-idempotent.
+    pub fn is_non_idempotent(&self, class: usize) -> bool {
+        self.state().is_non_idempotent(class)
+    }
+
+    /// Puts another plan in force, with the classes as it narrows them. Returns `false`, and changes nothing, where the gateway
+    /// started without a plan.
+    pub fn update_plan(&self, plan: Arc<Plan>, classes: &[QueryClass]) -> bool {
+        self.handle_event(|state, _| {
+            let Some(plan_router) = state.plan_router.as_mut() else {
+                return false;
+            };
+            let updates = plan_router.update_plan(plan);
+            state.update_endpoint_subsets(updates);
+            state.controller.update_classes(classes);
+            state.set_classes(classes);
+            true
+        })
+    }
+}
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! The plain values that go into the desk and come out of it.
+//! The values that go into the scheduler and come out of it.
 
 use super::Waiter;
 use crate::scheduling::client_presence::ClientPresence;
@@ -7,35 +7,48 @@
 use garnetwall::api::{EngineId, FinalAnswer, QueryId};
 use garnetwall_ledger::records::SentQuery;
 use std::net::IpAddr;
+use std::time::Instant;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// What a batch's task is to do next.
+/// What a query's task has to do next.
 #[derive(Debug)]
 pub enum Command {
+    /// Begin an attempt.
     BeginAttempt {
+        /// The engine to attempt it on.
         engine: EngineId,
-        /// Nobody waits for the dispatch from then on.
-        response_deadline: std::time::Instant,
-        /// Its start has come whole by then, or is not sent.
-        send_deadline: std::time::Instant,
+        /// Nobody waits for the response after that.
+        response_deadline: Instant,
+        /// The whole request has to have reached the engine by then; later it must not be sent.
+        send_deadline: Instant,
     },
+    /// Cancel an attempt in flight.
     CancelAttempt {
+        /// Its number within the query, from 0.
         attempt: u32,
     },
+    /// Give the client this answer.
     Answer(FinalAnswer),
-    /// The client has gone: no answer is owed.
+    /// The client has left: no answer is owed, and no further attempt begins.
     ClientLeft,
 }
 
-/// The one final answer of a batch.
+/// The one final answer of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryAnswer {
+    /// Its rows, as they are sent to the client.
     Succeeded(Bytes),
-    Rejected { retry_after: Option<f64> },
+    /// It did not run, or may safely be sent again.
+    Rejected {
+        /// After how many seconds the client may send it again.
+        retry_after: Option<f64>,
+    },
+    /// It may have run and must not be sent again.
     Failed,
 }
 
 impl QueryAnswer {
+    /// The kind of answer, for the log.
     pub(super) fn name(&self) -> &'static str {
         match self {
             QueryAnswer::Succeeded(_) => "returned",
@@ -43,11 +56,9 @@
             QueryAnswer::Failed => "errored",
         }
     }
-}
 
-impl QueryAnswer {
-    /// Bytes of the rows that it holds.
-    pub(super) fn bytes(&self) -> usize {
+    /// The length of its rows, in bytes.
+    pub(super) fn row_bytes(&self) -> usize {
         match self {
             QueryAnswer::Succeeded(rows) => rows.len(),
             QueryAnswer::Rejected { .. } | QueryAnswer::Failed => 0,
@@ -58,56 +69,62 @@
 impl From<FinalAnswer> for QueryAnswer {
     fn from(answer: FinalAnswer) -> Self {
         match answer {
-            FinalAnswer::Rejected {
-                retry_after: come_back,
-            } => QueryAnswer::Rejected {
-                retry_after: come_back,
-            },
+            FinalAnswer::Rejected { retry_after } => QueryAnswer::Rejected { retry_after },
             FinalAnswer::Failed => QueryAnswer::Failed,
         }
     }
 }
 
-/// A batch as it comes, before it has its number.
+/// A query as it arrives, before it has a number.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivingQuery {
+    /// The key that its client chose; a repeated call carries the same.
     pub query_key: u64,
+    /// Its class, as an index into the settings.
     pub class: usize,
+    /// Its tenant, as an index into the settings.
     pub tenant: usize,
+    /// Queries of one ordering key run in the order admitted, where their class demands it.
     pub ordering_key: Option<u64>,
-    /// When the client gives up.
+    /// When its client gives up, in seconds on the gateway's clock.
     pub deadline: f64,
-    /// What the client takes it to need: seconds of work, MB of memory.
+    /// The client's estimate of its work, in seconds on one thread.
     pub estimated_work: Option<f64>,
+    /// The client's estimate of its memory, in megabytes.
     pub estimated_memory: Option<f64>,
+    /// The data set that it reads or loads.
     pub data_set: u32,
-    /// Where its client is.
+    /// The address of its client.
     pub client: IpAddr,
-    /// Of its statement.
+    /// The length of its statement, in bytes.
     pub bytes: u64,
 }
 
-/// What became of a call that brought a batch.
+/// What became of an arriving query.
 pub enum Admission {
+    /// It is opened.
     New {
+        /// Its number.
         id: QueryId,
+        /// The commands that its task carries out.
         commands: UnboundedReceiver<Command>,
+        /// Its first waiter.
         waiter: Waiter,
-        /// What is written down before it is sent, where it is once-only.
+        /// The record to be written before it is sent, where it is non-idempotent.
         journal_entry: Option<SentQuery>,
         /// Whether a client waits for it.
         client_presence: ClientPresence,
     },
-    /// The batch of this id is in hand already.
+    /// The same call is open already, and has one more waiter.
     Joined(Waiter),
-    /// A batch that is not this one has this id.
+    /// Another call has this key.
     Conflict,
-    /// The batch of this id is over already, with this answer.
+    /// The same call has finished with this answer.
     Answered(QueryAnswer),
-    /// The batch of this id is over already, and its answer was not kept.
+    /// A call of this key has finished, and its answer is not cached.
     AnswerNotCached,
-    /// An earlier process sent it, and it may have run.
+    /// An earlier process may have sent it, and it may have run.
     MayHaveRun,
-    /// The plan does not let it in.
+    /// The plan rejects it.
     RejectedByPlan(PlanRejection),
 }
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -1,53 +1,50 @@
-//! A query ends: it is answered, let go, or withdrawn.
+//! The end of a query: it is answered, cancelled by its client, or released.
 
-use super::state::QueryState;
+use super::query_index::QueryState;
 use super::{QueryAnswer, Scheduler};
 use garnetwall::api::QueryId;
 
 impl Scheduler {
-    /// Gives a batch its final answer; only the first counts.
-    pub fn answer(&self, id: QueryId, last: QueryAnswer) {
-        if let Some(b) = self.state().open_queries.get(&id).filter(|b| !b.is_over()) {
+    /// Gives a query its final answer; only the first counts.
+    pub fn answer(&self, id: QueryId, answer: QueryAnswer) {
+        let state = self.state();
+        let query = state.open_queries.get(&id);
+        if let Some(query) = query.filter(|query| !query.is_finished()) {
             tracing::debug!(
                 batch = id,
-                left = b.deadline - self.clock.now(),
-                end = last.name(),
+                left = query.deadline - self.clock.now(),
+                end = answer.name(),
                 "answer"
             );
-            b.answer.send_replace(Some(last));
+            query.answer.send_replace(Some(answer));
         }
     }
 
-    /// Lets a batch go: it is over and every dispatch has its outcome.
+    /// Releases a query that is finished and whose attempts have all ended; its key and its answer are remembered.
     pub fn release(&self, id: QueryId) {
         let mut state = self.state();
-        if let Some(b) = state.open_queries.remove(&id) {
-            state
-                .states_by_key
-                .insert(b.query_key, QueryState::Finished);
+        if let Some(query) = state.open_queries.remove(&id) {
             let now = self.clock.now();
-            let last = b.answer.borrow().clone();
-            if let (Some(fingerprint), Some(last)) = (b.fingerprint, last) {
-                state
-                    .answer_cache
-                    .insert(now, b.query_key, fingerprint, last, b.deadline);
+            let answer = query.answer.borrow().clone();
+            if let (Some(fingerprint), Some(answer)) = (query.fingerprint, answer) {
+                let cache = &mut state.answer_cache;
+                cache.insert(now, query.query_key, fingerprint, answer, query.deadline);
             }
-            state
-                .finished_queries
-                .push_back((now + self.finished_retention, b.query_key));
-            state.release_plan_admission(now, b.plan_admission);
+            let expires_at = now + self.finished_retention;
+            state.queries.finish(query.query_key, expires_at);
+            state.release_plan_admission(now, query.plan_admission);
         }
         self.open_count.send_replace(state.open_queries.len());
     }
 
-    /// The client of this id withdraws it; whether it was in hand.
+    /// The client cancels the query of a key. Returns whether that is open.
     pub fn cancel(&self, query_key: u64) -> bool {
-        self.handle_event(|state, now| match state.states_by_key.get(&query_key) {
-            Some(&QueryState::Open(id)) => {
+        self.handle_event(|state, now| match state.queries.state(query_key) {
+            Some(QueryState::Open(id)) => {
                 state.client_left(now, id);
                 true
             }
-            _ => false,
+            Some(QueryState::Finished | QueryState::Recovered) | None => false,
         })
     }
 }
--- /dev/null
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -0,0 +1,33 @@
+//! Recovery of the non-idempotent queries that an earlier process sent.
+
+use super::Scheduler;
+use crate::storage::query_journal::RecoveredQuery;
+use std::time::Duration;
+
+/// Milliseconds of a second, as the journal counts times in milliseconds.
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+impl Scheduler {
+    /// A journal is being read: until [`recovered`](Scheduler::recovered), a non-idempotent query that arrives may have run.
+    pub fn await_recovery(&self) {
+        self.state().queries.await_recovery();
+    }
+
+    /// The journal has been read: none of these queries is sent again.
+    ///
+    /// The ordering keys of those that may still run pause for `longest_unpolled_run`, the longest that an attempt runs without
+    /// being polled.
+    pub fn recovered(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
+        self.handle_event(|state, now| {
+            let resumes_at = now + longest_unpolled_run.as_secs_f64();
+            for RecoveredQuery { sent, finished } in queries {
+                let expires_at = sent.until as f64 / MILLIS_PER_SECOND;
+                state.queries.recover(sent.id, expires_at);
+                if let Some(key) = sent.key.filter(|_| !finished) {
+                    state.controller.pause_key(key, resumes_at);
+                }
+            }
+            state.queries.recovery_complete();
+        });
+    }
+}
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -1,74 +1,64 @@
-//! What the desk's lock guards: the module, and the queries in hand.
+//! What the scheduler's lock guards: the admission controller, the plan router and the open queries.
 
-use super::answer_cache::{AnswerCache, Fingerprint};
+use super::answer_cache::AnswerCache;
+use super::open_query::OpenQuery;
+use super::query_index::QueryIndex;
 use super::{Command, QueryAnswer};
-use crate::engines::Call;
-use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::plan_routing::{PlanAdmission, PlanRouter, SubsetUpdate};
 use crate::system::clock::Clock;
 use crate::system::stall_detector::StallDetector;
-use garnetwall::api::{Placement, QueryId};
+use garnetwall::api::{Idempotency, Placement, QueryClass, QueryId};
 use garnetwall::controller::AdmissionController;
-use std::collections::{HashMap, VecDeque};
-use std::sync::Arc;
-use tokio::sync::mpsc::UnboundedSender;
-use tokio::sync::watch;
+use std::collections::HashMap;
 
+/// The state of the scheduler. Times are seconds on the gateway's clock.
 pub(super) struct SchedulerState {
     pub(super) controller: AdmissionController,
     pub(super) plan_router: Option<PlanRouter>,
     pub(super) next_query_id: QueryId,
-    pub(super) states_by_key: HashMap<u64, QueryState>,
+    /// What is known of each query key.
+    pub(super) queries: QueryIndex,
     pub(super) open_queries: HashMap<QueryId, OpenQuery>,
-    pub(super) finished_queries: VecDeque<(f64, u64)>,
     pub(super) answer_cache: AnswerCache,
-    /// Once-only batches that an earlier process sent, and until when their ids count.
-    pub(super) recovered: HashMap<u64, f64>,
-    /// They are not known yet.
-    pub(super) recovery_pending: bool,
-    /// By service group.
+    /// Whether queries of a class are non-idempotent, by class.
     pub(super) non_idempotent_classes: Vec<bool>,
+    /// When the controller is due next.
     pub(super) wakes_at: f64,
     pub(super) stall_detector: StallDetector,
 }
 
-pub(super) enum QueryState {
-    Open(QueryId),
-    Finished,
-}
-
-/// A batch in hand, until it is over and every dispatch has its outcome.
-pub(super) struct OpenQuery {
-    pub(super) query_key: u64,
-    pub(super) tenant: usize,
-    pub(super) key: Option<u64>,
-    pub(super) call: Arc<Call>,
-    /// None where the call can't be compared with another.
-    pub(super) fingerprint: Option<Fingerprint>,
-    pub(super) commands: UnboundedSender<Command>,
-    pub(super) answer: watch::Sender<Option<QueryAnswer>>,
-    pub(super) waiters: usize,
-    /// How many waiters it has had, so that one who has left is told from one who came after.
-    pub(super) waiters_ever: u64,
-    pub(super) client_presence: ClientPresence,
-    pub(super) deadline: f64,
-    /// What the plan let it in with.
-    pub(super) plan_admission: Option<PlanAdmission>,
-}
+impl SchedulerState {
+    pub(super) fn new(
+        controller: AdmissionController,
+        plan_router: Option<PlanRouter>,
+        now: f64,
+        answer_cache_bytes: usize,
+    ) -> Self {
+        SchedulerState {
+            controller,
+            plan_router,
+            next_query_id: 0,
+            queries: QueryIndex::default(),
+            open_queries: HashMap::new(),
+            answer_cache: AnswerCache::new(answer_cache_bytes),
+            non_idempotent_classes: Vec::new(),
+            wakes_at: now,
+            stall_detector: StallDetector::new(now),
+        }
+    }
 
-impl OpenQuery {
-    pub(super) fn send_command(&self, command: Command) {
-        // A task that no longer listens has nothing out and owes nothing.
-        let _ = self.commands.send(command);
+    pub(super) fn set_classes(&mut self, classes: &[QueryClass]) {
+        self.non_idempotent_classes = classes
+            .iter()
+            .map(|class| class.idempotency == Idempotency::NonIdempotent)
+            .collect();
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.answer.borrow().is_some()
+    pub(super) fn is_non_idempotent(&self, class: usize) -> bool {
+        let class = self.non_idempotent_classes.get(class);
+        class.copied().unwrap_or_default()
     }
-}
 
-impl SchedulerState {
-    /// Tells the module of ways that batches may go.
     pub(super) fn update_endpoint_subsets(&mut self, updates: Vec<SubsetUpdate>) {
         for update in updates {
             self.controller
@@ -76,23 +66,21 @@
         }
     }
 
-    /// The plan's limits are free again of one that it let in.
-    pub(super) fn release_plan_admission(
-        &mut self,
-        now: f64,
-        plan_admission: Option<PlanAdmission>,
-    ) {
-        if let Some((plan_router, plan_admission)) = self.plan_router.as_mut().zip(plan_admission) {
-            plan_router.release(now, plan_admission);
+    /// Returns what a query holds of the plan's limits.
+    pub(super) fn release_plan_admission(&mut self, now: f64, admission: Option<PlanAdmission>) {
+        if let Some((plan_router, admission)) = self.plan_router.as_mut().zip(admission) {
+            plan_router.release(now, admission);
         }
     }
 
+    /// Sends a command to the task of a query, where that is open.
     pub(super) fn send_command(&self, id: QueryId, command: Command) {
-        if let Some(b) = self.open_queries.get(&id) {
-            b.send_command(command);
+        if let Some(query) = self.open_queries.get(&id) {
+            query.send_command(command);
         }
     }
 
+    /// Carries out the controller's placement of a query.
     pub(super) fn place(&mut self, clock: &Clock, now: f64, id: QueryId) {
         match self.controller.place(now, id) {
             Placement::Wait => {}
@@ -103,46 +91,31 @@
                 send_timeout,
                 ..
             } => {
-                let (until, send_deadline) = (
-                    clock.instant(now + response_timeout),
-                    clock.instant(now + send_timeout),
-                );
-                self.send_command(
-                    id,
-                    Command::BeginAttempt {
-                        engine,
-                        response_deadline: until,
-                        send_deadline,
-                    },
-                );
+                let command = Command::BeginAttempt {
+                    engine,
+                    response_deadline: clock.instant(now + response_timeout),
+                    send_deadline: clock.instant(now + send_timeout),
+                };
+                self.send_command(id, command);
             }
         }
     }
 
-    /// Nobody waits for this batch any more; whoever still asks for it finds it errored.
+    /// The client of a query has left: no attempt begins any more, and whoever still waits for it is answered that it failed.
     pub(super) fn client_left(&mut self, now: f64, id: QueryId) {
-        let Some(b) = self.open_queries.get(&id).filter(|b| !b.is_over()) else {
+        let query = self.open_queries.get(&id);
+        let Some(query) = query.filter(|query| !query.is_finished()) else {
             return;
         };
-        tracing::debug!(batch = id, left = b.deadline - now, "client gone");
-        b.answer.send_replace(Some(QueryAnswer::Failed));
-        b.send_command(Command::ClientLeft);
+        tracing::debug!(batch = id, left = query.deadline - now, "client gone");
+        query.answer.send_replace(Some(QueryAnswer::Failed));
+        query.send_command(Command::ClientLeft);
         self.controller.client_left(now, id);
     }
 
+    /// Forgets query keys and cached answers that have expired.
     pub(super) fn discard_expired(&mut self, now: f64) {
-        while let Some((_, query_key)) = self
-            .finished_queries
-            .front()
-            .copied()
-            .filter(|(until, _)| *until < now)
-        {
-            self.finished_queries.pop_front();
-            self.states_by_key.remove(&query_key);
-        }
+        self.queries.discard_expired(now);
         self.answer_cache.evict(now);
-        if !self.recovered.is_empty() {
-            self.recovered.retain(|_, until| *until > now);
-        }
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -1,4 +1,4 @@
-//! Who waits for a query's answer, and what follows when nobody does any more.
+//! The clients that wait for a query's answer, and what follows once none does.
 
 use super::{QueryAnswer, Scheduler};
 use garnetwall::api::QueryId;
@@ -8,10 +8,11 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Protocol: a call that its connection lost comes again on a new one within this.
+/// Protocol: a client whose connection is lost repeats its call on a new one within this time.
 const RECONNECT_WINDOW: Duration = Duration::from_millis(50);
 
-/// A client that waits for a batch; dropped before the answer, it has gone unless it comes again at once.
+/// A client that waits for a query. Dropped before the answer, it counts as having left, unless another waiter joins the query
+/// within the reconnect window.
 pub struct Waiter {
     pub(super) scheduler: Arc<Scheduler>,
     pub(super) id: QueryId,
@@ -19,10 +20,12 @@
 }
 
 impl Waiter {
+    /// Waits for the query's final answer.
     pub async fn answer(mut self) -> QueryAnswer {
-        let last = self.answer.wait_for(Option::is_some).await;
-        last.ok()
-            .and_then(|last| last.clone())
+        let answer = self.answer.wait_for(Option::is_some).await;
+        answer
+            .ok()
+            .and_then(|answer| answer.clone())
             .unwrap_or(QueryAnswer::Failed)
     }
 }
@@ -32,41 +35,40 @@
         let Some(waiters_ever) = self.scheduler.waiter_left(self.id) else {
             return;
         };
-        let (scheduler, id) = (self.scheduler.clone(), self.id);
-        match Handle::try_current() {
-            Ok(runtime) => drop(runtime.spawn(async move {
-                sleep(RECONNECT_WINDOW).await;
-                scheduler.client_did_not_return(id, waiters_ever);
-            })),
-            Err(_) => scheduler.client_did_not_return(id, waiters_ever),
-        }
+        let id = self.id;
+        let scheduler = self.scheduler.clone();
+        let Ok(runtime) = Handle::try_current() else {
+            scheduler.client_did_not_return(id, waiters_ever);
+            return;
+        };
+        runtime.spawn(async move {
+            sleep(RECONNECT_WINDOW).await;
+            scheduler.client_did_not_return(id, waiters_ever);
+        });
     }
 }
 
 impl Scheduler {
-    /// One who waited has left. Nothing is sent for a batch that nobody waits for; how many had waited for it by then.
+    /// A waiter has left. Where nobody waits any more, no attempt begins; returns how many have waited for the query by then.
     fn waiter_left(&self, id: QueryId) -> Option<u64> {
         self.handle_event(|state, now| {
-            let b = state.open_queries.get_mut(&id)?;
-            b.waiters -= 1;
-            if b.waiters > 0 || b.is_over() {
+            let query = state.open_queries.get_mut(&id)?;
+            query.waiters -= 1;
+            if query.waiters > 0 || query.is_finished() {
                 return None;
             }
-            b.client_presence.set_waiting(false);
-            let waiters_ever = b.waiters_ever;
+            query.client_presence.set_waiting(false);
+            let waiters_ever = query.waiters_ever;
             state.controller.set_client_waiting(now, id, false);
             Some(waiters_ever)
         })
     }
 
-    /// Nobody has come again for a batch since so many had waited for it: its clients have gone.
+    /// The reconnect window is over: the client has left, unless somebody has joined the query since.
     fn client_did_not_return(&self, id: QueryId, waiters_ever: u64) {
         self.handle_event(|state, now| {
-            if state
-                .open_queries
-                .get(&id)
-                .is_some_and(|b| b.waiters == 0 && b.waiters_ever == waiters_ever)
-            {
+            let query = state.open_queries.get(&id);
+            if query.is_some_and(|query| query.waiters == 0 && query.waiters_ever == waiters_ever) {
                 state.client_left(now, id);
             }
         });
