--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -6,7 +6,10 @@
 use crate::discovery::EngineUpdate;
 use garnetwall::api::{EndpointState, EngineSet};
 use garnetwall_plan::model::{EngineFacts, Plan};
-use garnetwall_routing::{Batch, Engines, Limits, Names, Over, Routing, Ticket, Verdict, Which};
+use garnetwall_routing::{
+    LimitExceeded, LimitKind, LimitPermit, Limits, Names, PoolMembers, RouteDecision, RoutedQuery,
+    Routing,
+};
 use garnetwall_settings::Decoded;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -26,7 +29,7 @@
 /// What the plan sets for a query that it admits. It counts against the plan's limits until it is given to
 /// [`PlanRouter::release`].
 pub struct PlanAdmission {
-    ticket: Ticket,
+    ticket: LimitPermit,
     /// Keeps the plan, and with it the query's endpoint subset, for as long as the query is open.
     _plan: Arc<CompiledPlan>,
     /// The endpoint subset that the query is confined to; every engine where it is `None`.
@@ -54,17 +57,17 @@
     },
 }
 
-impl From<Over> for PlanRejection {
-    fn from(over: Over) -> Self {
+impl From<LimitExceeded> for PlanRejection {
+    fn from(over: LimitExceeded) -> Self {
         // Wire: clients are sent these words.
-        let quantity = match over.which {
-            Which::InHand => "InHand",
-            Which::Rate => "Rate",
-            Which::Bytes => "Bytes",
+        let quantity = match over.kind {
+            LimitKind::InFlight => "InHand",
+            LimitKind::Rate => "Rate",
+            LimitKind::Bytes => "Bytes",
         };
         PlanRejection::LimitReached {
             reason: format!("over the limit {} ({quantity})", over.limit),
-            retry_after: Some(over.come_back),
+            retry_after: Some(over.retry_after),
         }
     }
 }
@@ -82,19 +85,19 @@
     }
 
     fn lane_count(&self) -> usize {
-        self.routing.lanes().len()
+        self.routing.subsets().len()
     }
 }
 
 /// A plan with the engines of its pools.
 struct RoutedPlan {
     plan: Arc<CompiledPlan>,
-    engines: Engines,
+    engines: PoolMembers,
 }
 
 impl RoutedPlan {
     fn new(routing: Routing, first_subset: u32) -> Self {
-        let engines = Engines::new(&routing);
+        let engines = PoolMembers::new(&routing);
         let plan = Arc::new(CompiledPlan {
             routing,
             first_subset,
@@ -109,9 +112,9 @@
 
     /// The subsets of its lanes, except of those that leave every engine open.
     fn subset_updates(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
-        let lanes = self.plan.routing.lanes().iter().enumerate();
+        let lanes = self.plan.routing.subsets().iter().enumerate();
         lanes
-            .filter(|(_, lane)| !lane.is_open())
+            .filter(|(_, lane)| !lane.is_unrestricted())
             .map(|(index, _)| SubsetUpdate {
                 endpoint_subset: self.plan.subset(index),
                 priority_levels: Some(self.priority_levels(index)),
@@ -119,7 +122,7 @@
     }
 
     fn priority_levels(&self, lane: usize) -> Vec<EngineSet> {
-        let levels = self.engines.tiers(&self.plan.routing, lane);
+        let levels = self.engines.priority_levels(&self.plan.routing, lane);
         levels
             .iter()
             .map(|engines| EngineSet(engines.words().to_vec()))
@@ -155,7 +158,7 @@
     /// A router for a gateway that can hold `capacity` queries at once.
     pub fn new(decoded: &Decoded, plan: Arc<Plan>, capacity: f64) -> Self {
         let names = Names {
-            groups: decoded.names.groups.clone(),
+            classes: decoded.names.groups.clone(),
             tenants: decoded.names.tenants.clone(),
         };
         let routing = Routing::new(plan, names.clone());
@@ -177,7 +180,7 @@
     /// Puts another plan in force. Returns the changes of endpoint subsets.
     pub fn update_plan(&mut self, plan: Arc<Plan>) -> Vec<SubsetUpdate> {
         let routing = Routing::new(plan, self.names.clone());
-        self.limits.replan(&routing, self.capacity);
+        self.limits.update_plan(&routing, self.capacity);
         let next = RoutedPlan::new(routing, self.next_subset);
         self.next_subset = next.plan.subset(next.plan.lane_count());
         let previous = std::mem::replace(&mut self.in_force, next);
@@ -234,7 +237,7 @@
         for routed in self.superseded.iter_mut().chain([&mut self.in_force]) {
             routed
                 .engines
-                .listed(&routed.plan.routing, engine, facts.as_ref());
+                .update(&routed.plan.routing, engine, facts.as_ref());
         }
     }
 
@@ -261,20 +264,24 @@
     /// # Errors
     ///
     /// A route refuses the query, its statement is too long, or it is over a limit.
-    pub fn admit(&mut self, now: f64, query: &Batch) -> Result<PlanAdmission, PlanRejection> {
+    pub fn admit(&mut self, now: f64, query: &RoutedQuery) -> Result<PlanAdmission, PlanRejection> {
         let plan = &self.in_force.plan;
         let routing = &plan.routing;
         let (class, lane) = match routing.decide(query) {
-            Verdict::Goes { group, lane, .. } => (group, lane),
-            Verdict::Refused { route } => return Err(refused_by_route(routing, route)),
-            Verdict::TooLong { most } => {
+            RouteDecision::Admitted {
+                class: group,
+                subset: lane,
+                ..
+            } => (group, lane),
+            RouteDecision::Rejected { route } => return Err(refused_by_route(routing, route)),
+            RouteDecision::StatementTooLong { max_bytes: most } => {
                 return Err(PlanRejection::StatementTooLong { max_bytes: most })
             }
         };
-        let ticket = self.limits.take(routing, unix_time(now), query)?;
-        let deadline_of = |class: usize| routing.rules(class).and_then(|rules| rules.limit);
-        let deadlines = [deadline_of(query.group), deadline_of(class)];
-        let is_confined = !routing.lanes()[lane].is_open();
+        let ticket = self.limits.admit(routing, unix_time(now), query)?;
+        let deadline_of = |class: usize| routing.class_rules(class).and_then(|rules| rules.limit);
+        let deadlines = [deadline_of(query.class), deadline_of(class)];
+        let is_confined = !routing.subsets()[lane].is_unrestricted();
         Ok(PlanAdmission {
             ticket,
             _plan: plan.clone(),
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -242,14 +242,14 @@
         let Some(plan_router) = self.plan_router.as_mut() else {
             return Ok(None);
         };
-        let query = garnetwall_routing::Batch {
-            group: arriving.class,
+        let query = garnetwall_routing::RoutedQuery {
+            class: arriving.class,
             tenant: arriving.tenant,
             client: arriving.client,
-            key: arriving.ordering_key.is_some(),
+            has_key: arriving.ordering_key.is_some(),
             data_set: arriving.data_set,
             minute: minute_of_day(now),
-            bytes: arriving.bytes,
+            statement_bytes: arriving.bytes,
         };
         plan_router.admit(now, &query).map(Some)
     }
--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -5,7 +5,7 @@
 use garnetwall_plan::compile;
 use garnetwall_plan::model::EngineFacts;
 use garnetwall_plan::source::InMemory;
-use garnetwall_routing::{Batch, Engines, Limits, Names, Routing};
+use garnetwall_routing::{Limits, Names, PoolMembers, RoutedQuery, Routing};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::fmt::Write;
@@ -23,7 +23,7 @@
 
 fn names() -> Names {
     Names {
-        groups: (0..GROUPS).map(|n| format!("group-{n}")).collect(),
+        classes: (0..GROUPS).map(|n| format!("group-{n}")).collect(),
         tenants: (0..TENANTS).map(|n| format!("tenant-{n}")).collect(),
     }
 }
@@ -97,7 +97,7 @@
     Routing::new(Arc::new(plan), names())
 }
 
-fn batches() -> Vec<Batch> {
+fn batches() -> Vec<RoutedQuery> {
     let mut rng = StdRng::seed_from_u64(18);
     let one = |rng: &mut StdRng| {
         let set: u8 = rng.random_range(0..SETS as u8);
@@ -114,14 +114,14 @@
             ]),
             _ => IpAddr::from([10, set, rng.random(), rng.random()]),
         };
-        Batch {
-            group: rng.random_range(0..GROUPS),
+        RoutedQuery {
+            class: rng.random_range(0..GROUPS),
             tenant: rng.random_range(0..TENANTS),
             client,
-            key: rng.random(),
+            has_key: rng.random(),
             data_set: rng.random_range(0..200),
             minute: rng.random_range(0..1440),
-            bytes: 200,
+            statement_bytes: 200,
         }
     };
     (0..4096).map(|_| one(&mut rng)).collect()
@@ -197,18 +197,18 @@
 #[divan::bench]
 fn place_compiled_500_engines(bencher: Bencher) {
     let (routing, batches, all) = (routing(&large()), batches(), engines());
-    let mut engines = Engines::new(&routing);
+    let mut engines = PoolMembers::new(&routing);
     all.iter()
         .enumerate()
-        .for_each(|(n, e)| engines.listed(&routing, n, Some(&facts(e))));
-    let tiers: Vec<_> = (0..routing.lanes().len())
-        .map(|lane| engines.tiers(&routing, lane))
+        .for_each(|(n, e)| engines.update(&routing, n, Some(&facts(e))));
+    let tiers: Vec<_> = (0..routing.subsets().len())
+        .map(|lane| engines.priority_levels(&routing, lane))
         .collect();
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % batches.len();
         match routing.decide(&batches[at]) {
-            garnetwall_routing::Verdict::Goes { lane, .. } => tiers[lane]
+            garnetwall_routing::RouteDecision::Admitted { subset: lane, .. } => tiers[lane]
                 .iter()
                 .map(|tier| tier.words().iter().map(|w| w.count_ones()).sum::<u32>())
                 .sum(),
@@ -233,11 +233,11 @@
 #[divan::bench]
 fn one_engine_changes(bencher: Bencher) {
     let (routing, all) = (routing(&large()), engines());
-    let mut engines = Engines::new(&routing);
+    let mut engines = PoolMembers::new(&routing);
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % all.len();
-        engines.listed(&routing, at, Some(&facts(&all[at])));
+        engines.update(&routing, at, Some(&facts(&all[at])));
     });
 }
 
@@ -251,16 +251,16 @@
         at += 1;
         let now = Duration::from_micros(at * 10);
         let client = IpAddr::from((0x0a00_0000 + rng.random_range(0..clients)).to_be_bytes());
-        let b = Batch {
-            group: 0,
+        let b = RoutedQuery {
+            class: 0,
             tenant: 0,
             client,
-            key: false,
+            has_key: false,
             data_set: 0,
             minute: 0,
-            bytes: 200,
+            statement_bytes: 200,
         };
-        if let Ok(ticket) = limits.take(&routing, now, &b) {
+        if let Ok(ticket) = limits.admit(&routing, now, &b) {
             limits.release(now, ticket);
         }
     });
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -8,7 +8,7 @@
 pub struct EngineSet(Vec<u64>);
 
 impl EngineSet {
-    pub fn holds(&self, engine: usize) -> bool {
+    pub fn contains(&self, engine: usize) -> bool {
         self.0
             .get(engine / 64)
             .is_some_and(|word| word >> (engine % 64) & 1 == 1)
@@ -46,7 +46,7 @@
         &self.0
     }
 
-    fn with(&mut self, other: &EngineSet) {
+    fn union_with(&mut self, other: &EngineSet) {
         self.0.resize(self.0.len().max(other.0.len()), 0);
         self.0
             .iter_mut()
@@ -54,7 +54,7 @@
             .for_each(|(word, more)| *word |= more);
     }
 
-    fn only(&mut self, other: &EngineSet) {
+    fn intersect_with(&mut self, other: &EngineSet) {
         self.0.truncate(other.0.len());
         self.0
             .iter_mut()
@@ -65,21 +65,21 @@
 
 /// The engines that are listed, by the pools of one plan.
 #[derive(Clone, Debug, Default)]
-pub struct Engines {
+pub struct PoolMembers {
     all: EngineSet,
     pools: Vec<EngineSet>,
 }
 
-impl Engines {
+impl PoolMembers {
     pub fn new(routing: &Routing) -> Self {
-        Engines {
+        PoolMembers {
             all: EngineSet::default(),
             pools: vec![EngineSet::default(); routing.plan().pools.len()],
         }
     }
 
     /// An engine that came or changed, or, where nothing is told of it, has gone.
-    pub fn listed(&mut self, routing: &Routing, engine: usize, facts: Option<&EngineFacts>) {
+    pub fn update(&mut self, routing: &Routing, engine: usize, facts: Option<&EngineFacts>) {
         let holds = facts.map(|facts| routing.plan().pools_of(facts));
         self.all.set(engine, facts.is_some());
         for (n, pool) in self.pools.iter_mut().enumerate() {
@@ -93,22 +93,24 @@
     }
 
     /// For each preference of a lane the engines that it leaves open.
-    pub fn tiers(&self, routing: &Routing, lane: usize) -> Vec<EngineSet> {
-        let lane = &routing.lanes()[lane];
+    pub fn priority_levels(&self, routing: &Routing, lane: usize) -> Vec<EngineSet> {
+        let lane = &routing.subsets()[lane];
         let mut bound = self.all.clone();
-        for pools in &lane.bound {
+        for pools in &lane.required_pools {
             let mut within = EngineSet::default();
-            pools.iter().for_each(|p| within.with(&self.pools[*p]));
-            bound.only(&within);
+            pools
+                .iter()
+                .for_each(|p| within.union_with(&self.pools[*p]));
+            bound.intersect_with(&within);
         }
         let narrowed = |pool: &usize| {
             let mut set = self.pools[*pool].clone();
-            set.only(&bound);
+            set.intersect_with(&bound);
             set
         };
-        match lane.to.is_empty() {
+        match lane.pools.is_empty() {
             true => vec![bound],
-            false => lane.to.iter().map(narrowed).collect(),
+            false => lane.pools.iter().map(narrowed).collect(),
         }
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -9,73 +9,73 @@
 mod sketch;
 pub mod zones;
 
-pub use engines::{EngineSet, Engines};
+pub use engines::{EngineSet, PoolMembers};
 use garnetwall_plan::model::{Facts, Group, Plan};
 use garnetwall_plan::quantity::DAY;
 use garnetwall_plan::region::Classes;
-pub use limits::{Limits, Over, Ticket, Which};
+pub use limits::{LimitExceeded, LimitKind, LimitPermit, Limits};
 use std::net::IpAddr;
 use std::sync::Arc;
 
 /// A batch as routing sees it; groups and tenants are the settings' indices.
 #[derive(Clone, Copy, Debug)]
-pub struct Batch {
-    pub group: usize,
+pub struct RoutedQuery {
+    pub class: usize,
     pub tenant: usize,
     pub client: IpAddr,
-    /// Whether it has a key.
-    pub key: bool,
+    /// Whether it has an ordering key.
+    pub has_key: bool,
     pub data_set: u32,
     /// Minute of the day, UTC.
     pub minute: u32,
-    /// Of its statement.
-    pub bytes: u64,
+    /// Length of its statement in bytes.
+    pub statement_bytes: u64,
 }
 
 /// Names of the settings, by index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    pub groups: Vec<String>,
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
 }
 
 /// A way that batches may go: pools by preference, within the pools that their groups are bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lane {
+pub struct EndpointSubset {
     /// Pools by preference; every engine where it is empty.
-    pub to: Vec<usize>,
+    pub pools: Vec<usize>,
     /// For each group that binds, the pools that its batches never leave.
-    pub bound: Vec<Vec<usize>>,
+    pub required_pools: Vec<Vec<usize>>,
 }
 
-impl Lane {
+impl EndpointSubset {
     /// Whether it leaves every engine open.
-    pub fn is_open(&self) -> bool {
-        self.to.is_empty() && self.bound.is_empty()
+    pub fn is_unrestricted(&self) -> bool {
+        self.pools.is_empty() && self.required_pools.is_empty()
     }
 }
 
 /// What a plan says of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RouteDecision {
     /// Pushed back, by this route, whose `refuse` says why.
-    Refused { route: usize },
+    Rejected { route: usize },
     /// Its statement is over what its group may have, in bytes.
-    TooLong { most: u64 },
-    Goes {
+    StatementTooLong { max_bytes: u64 },
+    Admitted {
         route: Option<usize>,
         /// The service group that it is treated as.
-        group: usize,
-        /// Index into [`Routing::lanes`].
-        lane: usize,
+        class: usize,
+        /// Index into [`Routing::subsets`].
+        subset: usize,
     },
 }
 
 /// What stands for a route, or for none, and a group.
 #[derive(Clone, Copy, Debug)]
-struct Goal {
-    group: usize,
-    lane: usize,
+struct Target {
+    class: usize,
+    subset: usize,
 }
 
 /// A plan, compiled for the names of the settings.
@@ -83,24 +83,24 @@
 pub struct Routing {
     plan: Arc<Plan>,
     names: Names,
-    classes: Classes,
-    /// The classes of the settings' groups and tenants, of minutes.
-    groups: Vec<usize>,
-    tenants: Vec<usize>,
-    hours: Vec<u16>,
-    /// Words of a row: a bit for each route.
-    words: usize,
+    value_classes: Classes,
+    /// The value classes of the settings' query classes and tenants, and of the minutes of a day.
+    query_class_rows: Vec<usize>,
+    tenant_rows: Vec<usize>,
+    minute_rows: Vec<u16>,
+    /// Words of 64 bits in a row, a bit for each route.
+    words_per_row: usize,
     /// For each dimension a row for each class: the routes that let it through.
-    rows: [Vec<u64>; garnetwall_plan::region::DIMENSIONS],
-    lanes: Vec<Lane>,
+    matching_routes: [Vec<u64>; garnetwall_plan::region::DIMENSIONS],
+    subsets: Vec<EndpointSubset>,
     /// By route (the last is none) and group.
-    goals: Vec<Goal>,
+    targets: Vec<Target>,
 }
 
 impl Routing {
     /// Compiles a plan that was checked with the settings of these names.
     pub fn new(plan: Arc<Plan>, names: Names) -> Self {
-        let classes = Classes::of(&[&plan], &names.groups, &names.tenants);
+        let classes = Classes::of(&[&plan], &names.classes, &names.tenants);
         let counts = classes.counts();
         let words = plan.routes.len().div_ceil(64).max(1);
         let mut rows = std::array::from_fn(|d| vec![0; counts[d] * words]);
@@ -112,47 +112,50 @@
             }
         }
         let mut routing = Routing {
-            groups: names.groups.iter().map(|g| classes.group(g)).collect(),
-            tenants: names.tenants.iter().map(|t| classes.tenant(t)).collect(),
-            hours: (0..DAY).map(|minute| classes.hour(minute) as u16).collect(),
-            words,
-            rows,
-            lanes: Vec::new(),
-            goals: Vec::new(),
-            classes,
+            query_class_rows: names.classes.iter().map(|g| classes.group(g)).collect(),
+            tenant_rows: names.tenants.iter().map(|t| classes.tenant(t)).collect(),
+            minute_rows: (0..DAY).map(|minute| classes.hour(minute) as u16).collect(),
+            words_per_row: words,
+            matching_routes: rows,
+            subsets: Vec::new(),
+            targets: Vec::new(),
+            value_classes: classes,
             names,
             plan,
         };
-        routing.find_lanes();
+        routing.compile_targets();
         routing
     }
 
-    fn find_lanes(&mut self) {
+    fn compile_targets(&mut self) {
         let plan = self.plan.clone();
         for route in plan.routes.iter().map(Some).chain([None]) {
-            for own in 0..self.names.groups.len() {
+            for own in 0..self.names.classes.len() {
                 let treated = route.and_then(|r| r.as_group.as_ref());
                 let group = treated
-                    .and_then(|name| self.names.groups.iter().position(|g| g == name))
+                    .and_then(|name| self.names.classes.iter().position(|g| g == name))
                     .unwrap_or(own);
-                let bound = |g: usize| plan.group(&self.names.groups[g]).map(|g| g.pools.clone());
+                let bound = |g: usize| plan.group(&self.names.classes[g]).map(|g| g.pools.clone());
                 let mut bounds: Vec<Vec<usize>> =
                     [bound(own), bound(group)].into_iter().flatten().collect();
                 bounds.retain(|pools| !pools.is_empty());
                 bounds.dedup();
-                let lane = Lane {
-                    to: route.map_or(Vec::new(), |r| r.to.clone()),
-                    bound: bounds,
+                let lane = EndpointSubset {
+                    pools: route.map_or(Vec::new(), |r| r.to.clone()),
+                    required_pools: bounds,
                 };
                 let at = self
-                    .lanes
+                    .subsets
                     .iter()
                     .position(|l| *l == lane)
                     .unwrap_or_else(|| {
-                        self.lanes.push(lane);
-                        self.lanes.len() - 1
+                        self.subsets.push(lane);
+                        self.subsets.len() - 1
                     });
-                self.goals.push(Goal { group, lane: at });
+                self.targets.push(Target {
+                    class: group,
+                    subset: at,
+                });
             }
         }
     }
@@ -166,28 +169,30 @@
     }
 
     /// The plan's rules of a group of the settings.
-    pub fn rules(&self, group: usize) -> Option<&Group> {
-        self.plan.group(self.names.groups.get(group)?)
+    pub fn class_rules(&self, group: usize) -> Option<&Group> {
+        self.plan.group(self.names.classes.get(group)?)
     }
 
-    pub fn lanes(&self) -> &[Lane] {
-        &self.lanes
+    pub fn subsets(&self) -> &[EndpointSubset] {
+        &self.subsets
     }
 
     /// The first route that takes a batch.
-    pub fn route(&self, b: &Batch) -> Option<usize> {
+    pub fn route(&self, b: &RoutedQuery) -> Option<usize> {
         let other = |known: &[usize], n: usize| known.get(n).copied().unwrap_or_default();
         let point = [
-            other(&self.groups, b.group),
-            other(&self.tenants, b.tenant),
-            self.classes.clients().class(b.client),
-            usize::from(b.key),
-            self.classes.data_set(b.data_set),
-            usize::from(self.hours[(b.minute % DAY) as usize]),
+            other(&self.query_class_rows, b.class),
+            other(&self.tenant_rows, b.tenant),
+            self.value_classes.clients().class(b.client),
+            usize::from(b.has_key),
+            self.value_classes.data_set(b.data_set),
+            usize::from(self.minute_rows[(b.minute % DAY) as usize]),
         ];
-        let row = |d: usize| &self.rows[d][point[d] * self.words..][..self.words];
+        let row = |d: usize| {
+            &self.matching_routes[d][point[d] * self.words_per_row..][..self.words_per_row]
+        };
         let rows: [&[u64]; garnetwall_plan::region::DIMENSIONS] = std::array::from_fn(row);
-        for word in 0..self.words {
+        for word in 0..self.words_per_row {
             let all = rows.iter().fold(u64::MAX, |all, row| all & row[word]);
             if all != 0 {
                 return Some(word * 64 + all.trailing_zeros() as usize);
@@ -197,35 +202,35 @@
     }
 
     /// What the plan says of a batch, limits apart.
-    pub fn decide(&self, b: &Batch) -> Verdict {
+    pub fn decide(&self, b: &RoutedQuery) -> RouteDecision {
         let route = self.route(b);
         if let Some(route) = route.filter(|r| self.plan.routes[*r].refuse.is_some()) {
-            return Verdict::Refused { route };
+            return RouteDecision::Rejected { route };
         }
         if let Some(most) = self
-            .rules(b.group)
+            .class_rules(b.class)
             .and_then(|g| g.statement)
-            .filter(|most| b.bytes > *most)
+            .filter(|most| b.statement_bytes > *most)
         {
-            return Verdict::TooLong { most };
+            return RouteDecision::StatementTooLong { max_bytes: most };
         }
         let row = route.unwrap_or(self.plan.routes.len());
-        let goal =
-            self.goals[row * self.names.groups.len() + b.group.min(self.names.groups.len() - 1)];
-        Verdict::Goes {
+        let goal = self.targets
+            [row * self.names.classes.len() + b.class.min(self.names.classes.len() - 1)];
+        RouteDecision::Admitted {
             route,
-            group: goal.group,
-            lane: goal.lane,
+            class: goal.class,
+            subset: goal.subset,
         }
     }
 
     /// A batch in the words of the plan, for the slow way and for logs.
-    pub fn facts(&self, b: &Batch) -> Facts<'_> {
+    pub fn facts(&self, b: &RoutedQuery) -> Facts<'_> {
         Facts {
-            group: self.names.groups.get(b.group).map_or("", String::as_str),
+            group: self.names.classes.get(b.class).map_or("", String::as_str),
             tenant: self.names.tenants.get(b.tenant).map_or("", String::as_str),
             client: b.client,
-            key: b.key,
+            key: b.has_key,
             data_set: b.data_set,
             minute: b.minute,
         }
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -15,22 +15,22 @@
     Routing::new(
         Arc::new(compiled.plan),
         Names {
-            groups: names(["lookup", "load"]),
+            classes: names(["lookup", "load"]),
             tenants: names(["acme", "mura"]),
         },
     )
 }
 
-fn batch(group: usize, tenant: usize, client: u32, bytes: u64) -> Batch {
+fn batch(group: usize, tenant: usize, client: u32, bytes: u64) -> RoutedQuery {
     let client = IpAddr::from((0x0a00_0000 + client).to_be_bytes());
-    Batch {
-        group,
+    RoutedQuery {
+        class: group,
         tenant,
         client,
-        key: false,
+        has_key: false,
         data_set: 0,
         minute: 0,
-        bytes,
+        statement_bytes: bytes,
     }
 }
 
@@ -42,7 +42,7 @@
 
 /// Every batch taken so far with the time, and whether it is still in hand: limits by their definition.
 #[derive(Default)]
-struct Plain(Vec<(Duration, Batch, bool)>);
+struct Plain(Vec<(Duration, RoutedQuery, bool)>);
 
 impl Plain {
     /// The fill of a leaky bucket after all that came, by running through it.
@@ -50,8 +50,8 @@
         &self,
         now: Duration,
         bucket: (f64, f64),
-        counts: impl Fn(&Batch) -> bool,
-        cost: impl Fn(&Batch) -> f64,
+        counts: impl Fn(&RoutedQuery) -> bool,
+        cost: impl Fn(&RoutedQuery) -> f64,
     ) -> f64 {
         let (rate, burst) = bucket;
         let (mut fill, mut at) = (0.0f64, Duration::ZERO);
@@ -62,20 +62,21 @@
         (fill - (now - at).as_secs_f64() * rate).max(0.0)
     }
 
-    fn in_hand(&self, counts: impl Fn(&Batch) -> bool) -> usize {
+    fn in_hand(&self, counts: impl Fn(&RoutedQuery) -> bool) -> usize {
         self.0
             .iter()
             .filter(|(_, b, held)| *held && counts(b))
             .count()
     }
 
-    fn fits(&self, now: Duration, b: &Batch) -> Option<bool> {
-        let house = |b: &Batch| matches!(b.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
-        let one = |_: &Batch| 1.0;
+    fn fits(&self, now: Duration, b: &RoutedQuery) -> Option<bool> {
+        let house =
+            |b: &RoutedQuery| matches!(b.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
+        let one = |_: &RoutedQuery| 1.0;
         let mut fits = Vec::new();
         // How far from the edge a rate is; at the edge the two may round otherwise.
         let mut rate = |fill: f64, cost: f64, burst: f64| fits.push(burst - fill - cost.min(burst));
-        let same = |o: &Batch| o.client == b.client;
+        let same = |o: &RoutedQuery| o.client == b.client;
         rate(self.fill(now, (10.0, 2.0), same, one), 1.0, 2.0);
         if b.tenant == 1 {
             rate(
@@ -85,16 +86,16 @@
             );
         }
         if house(b) {
-            let counts = |o: &Batch| house(o) && (o.tenant, o.group) == (b.tenant, b.group);
+            let counts = |o: &RoutedQuery| house(o) && (o.tenant, o.class) == (b.tenant, b.class);
             rate(
-                self.fill(now, (1024.0, 2048.0), counts, |b| b.bytes as f64),
-                b.bytes as f64,
+                self.fill(now, (1024.0, 2048.0), counts, |b| b.statement_bytes as f64),
+                b.statement_bytes as f64,
                 2048.0,
             );
         }
         let counted = self.in_hand(same) < 2
             && (b.tenant != 1 || self.in_hand(|o| o.tenant == 1) < 3)
-            && (b.group != 1 || self.in_hand(|o| o.group == 1) < 3);
+            && (b.class != 1 || self.in_hand(|o| o.class == 1) < 3);
         let edge = fits.iter().any(|left| left.abs() < 1e-3);
         (!edge).then(|| counted && fits.iter().all(|left| *left >= 0.0))
     }
@@ -111,13 +112,13 @@
         for (later, group, tenant, client, bytes, ends) in events {
             now += Duration::from_millis(later);
             if ends && !tickets.is_empty() {
-                let (n, ticket): (usize, Ticket) = tickets.remove(0);
+                let (n, ticket): (usize, LimitPermit) = tickets.remove(0);
                 limits.release(now, ticket);
                 plain.0[n].2 = false;
             }
             let b = batch(group, tenant, client, bytes);
             let fits = plain.fits(now, &b);
-            let taken = limits.take(&routing, now, &b);
+            let taken = limits.admit(&routing, now, &b);
             if let Some(fits) = fits {
                 prop_assert_eq!(taken.is_ok(), fits, "{:?} at {:?}: {:?}", b, now, taken);
             }
@@ -141,15 +142,15 @@
             now += Duration::from_millis(later);
             let b = batch(0, 0, client, 1);
             let fill = plain.fill(now, (10.0, 2.0), |o| o.client == b.client, |_| 1.0);
-            match limits.take(&routing, now, &b) {
+            match limits.admit(&routing, now, &b) {
                 Ok(ticket) => {
                     prop_assert!(fill + 1.0 <= 2.0 + 1e-6, "fill {fill}");
                     plain.0.push((now, b, true));
                     limits.release(now, ticket);
                 }
-                Err(over) => prop_assert!(over.come_back <= Duration::from_millis(100 + 1), "{over:?}"),
+                Err(over) => prop_assert!(over.retry_after <= Duration::from_millis(100 + 1), "{over:?}"),
             }
-            prop_assert!(limits.keys() <= 16);
+            prop_assert!(limits.exact_keys() <= 16);
         }
     }
 }
@@ -162,16 +163,16 @@
     for n in 0..1_000_000u32 {
         // Ten million clients a second: none is idle when the next comes.
         let now = Duration::from_nanos(u64::from(n) * 100);
-        match limits.take(&routing, now, &batch(0, 0, n, 1)) {
+        match limits.admit(&routing, now, &batch(0, 0, n, 1)) {
             Ok(ticket) => limits.release(now, ticket),
             Err(_) => refused += 1,
         }
     }
-    assert_eq!(limits.keys(), MOST_KEYS);
+    assert_eq!(limits.exact_keys(), MAX_EXACT_KEYS);
     assert!(refused > 0, "a flood that fills every cell is held back");
     // A second later all is idle again: places and cells are free for anyone.
     let now = Duration::from_secs(2);
-    assert!(limits.take(&routing, now, &batch(0, 0, 77, 1)).is_ok());
+    assert!(limits.admit(&routing, now, &batch(0, 0, 77, 1)).is_ok());
 }
 
 #[test]
@@ -181,15 +182,17 @@
     let b = batch(0, 0, 9, 1);
     let mut now = Duration::from_secs(5);
     for _ in 0..2 {
-        let ticket = limits.take(&routing, now, &b).expect("a burst of two");
+        let ticket = limits.admit(&routing, now, &b).expect("a burst of two");
         limits.release(now, ticket);
     }
-    let over = limits.take(&routing, now, &b).expect_err("a third at once");
-    assert_eq!((over.limit.as_str(), over.which), ("each", Which::Rate));
-    now += over.come_back - Duration::from_millis(1);
-    assert!(limits.take(&routing, now, &b).is_err(), "not before");
+    let over = limits
+        .admit(&routing, now, &b)
+        .expect_err("a third at once");
+    assert_eq!((over.limit.as_str(), over.kind), ("each", LimitKind::Rate));
+    now += over.retry_after - Duration::from_millis(1);
+    assert!(limits.admit(&routing, now, &b).is_err(), "not before");
     now += Duration::from_millis(1);
-    assert!(limits.take(&routing, now, &b).is_ok());
+    assert!(limits.admit(&routing, now, &b).is_ok());
 }
 
 #[test]
@@ -197,35 +200,35 @@
     let first = routing(PLAN);
     let mut limits = Limits::new(&first, 10.0);
     let load = |client| batch(1, 0, client, 1);
-    let held: Vec<Ticket> = (0..3)
+    let held: Vec<LimitPermit> = (0..3)
         .map(|n| {
             limits
-                .take(&first, Duration::ZERO, &load(100 + n))
+                .admit(&first, Duration::ZERO, &load(100 + n))
                 .expect("room for three")
         })
         .collect();
-    assert!(limits.take(&first, Duration::ZERO, &load(200)).is_err());
+    assert!(limits.admit(&first, Duration::ZERO, &load(200)).is_err());
     // A new figure, moved behind another block: still the same limit.
     let second = routing(
         &PLAN
             .replace("in-hand 3", "in-hand 4")
             .replace("limit each", "limit every"),
     );
-    limits.replan(&second, 10.0);
+    limits.update_plan(&second, 10.0);
     let fourth = limits
-        .take(&second, Duration::ZERO, &load(200))
+        .admit(&second, Duration::ZERO, &load(200))
         .expect("a fourth");
     assert_eq!(
         limits
-            .take(&second, Duration::ZERO, &load(201))
+            .admit(&second, Duration::ZERO, &load(201))
             .expect_err("no fifth")
             .limit,
         "loads"
     );
     let third = routing(&PLAN.replace("limit loads", "limit heavy"));
-    limits.replan(&third, 10.0);
+    limits.update_plan(&third, 10.0);
     assert!(
-        limits.take(&third, Duration::ZERO, &load(202)).is_ok(),
+        limits.admit(&third, Duration::ZERO, &load(202)).is_ok(),
         "another limit, which holds nothing yet"
     );
     for ticket in held.into_iter().chain([fourth]) {
--- a/crates/routing/src/sketch.rs
+++ b/crates/routing/src/sketch.rs
@@ -11,34 +11,34 @@
 
 /// What is kept for a key or a cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
-    pub in_hand: u32,
+pub struct Usage {
+    pub in_flight: u32,
     /// When what came would have come at the rate, evenly (the theoretical arrival time of the cell rate algorithm).
-    pub batches: Duration,
-    pub bytes: Duration,
+    pub queries_due: Duration,
+    pub bytes_due: Duration,
 }
 
-impl Load {
+impl Usage {
     /// Nothing is left of what came.
     pub fn is_idle(&self, now: Duration) -> bool {
-        self.in_hand == 0 && self.batches <= now && self.bytes <= now
+        self.in_flight == 0 && self.queries_due <= now && self.bytes_due <= now
     }
 }
 
 /// The sketch; made when the first key finds no place.
 #[derive(Debug)]
-pub struct Sketch {
-    cells: Vec<Load>,
+pub struct CountMinSketch {
+    cells: Vec<Usage>,
     hashes: [RandomState; ROWS],
 }
 
 /// Where a key's cells are.
 pub type Cells = [u32; ROWS];
 
-impl Sketch {
+impl CountMinSketch {
     pub fn new() -> Self {
-        Sketch {
-            cells: vec![Load::default(); ROWS * CELLS],
+        CountMinSketch {
+            cells: vec![Usage::default(); ROWS * CELLS],
             hashes: std::array::from_fn(|_| RandomState::new()),
         }
     }
@@ -51,28 +51,29 @@
     }
 
     /// What a key is held to: the least of its cells, which is at least its own.
-    pub fn load(&self, cells: &Cells) -> Load {
+    pub fn usage(&self, cells: &Cells) -> Usage {
         let all = || cells.iter().map(|c| &self.cells[*c as usize]);
-        Load {
-            in_hand: all().map(|l| l.in_hand).min().unwrap_or_default(),
-            batches: all().map(|l| l.batches).min().unwrap_or_default(),
-            bytes: all().map(|l| l.bytes).min().unwrap_or_default(),
+        Usage {
+            in_flight: all().map(|l| l.in_flight).min().unwrap_or_default(),
+            queries_due: all().map(|l| l.queries_due).min().unwrap_or_default(),
+            bytes_due: all().map(|l| l.bytes_due).min().unwrap_or_default(),
         }
     }
 
     /// A batch was taken: one more in hand, and the times moved on to these.
-    pub fn take(&mut self, cells: &Cells, batches: Duration, bytes: Duration) {
+    pub fn add(&mut self, cells: &Cells, batches: Duration, bytes: Duration) {
         for cell in cells {
             let load = &mut self.cells[*cell as usize];
-            load.in_hand += 1;
-            (load.batches, load.bytes) = (load.batches.max(batches), load.bytes.max(bytes));
+            load.in_flight += 1;
+            (load.queries_due, load.bytes_due) =
+                (load.queries_due.max(batches), load.bytes_due.max(bytes));
         }
     }
 
     pub fn release(&mut self, cells: &Cells) {
         for cell in cells {
             let load = &mut self.cells[*cell as usize];
-            load.in_hand = load.in_hand.saturating_sub(1);
+            load.in_flight = load.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -4,7 +4,7 @@
 mod generate;
 
 use garnetwall_plan::model::EngineFacts;
-use garnetwall_routing::{Batch, Engines, Names, Routing, Verdict};
+use garnetwall_routing::{Names, PoolMembers, RouteDecision, RoutedQuery, Routing};
 use generate::*;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
             .collect()
     };
     Names {
-        groups: list(&GROUPS),
+        classes: list(&GROUPS),
         tenants: list(&TENANTS),
     }
 }
@@ -38,42 +38,42 @@
         // Engines come under indices in any order; some go.
         let all = engines();
         let mut here: Vec<Option<EngineFacts>> = Vec::new();
-        let mut kept = Engines::new(&routing);
+        let mut kept = PoolMembers::new(&routing);
         for pick in listed {
             let facts = all[pick.index(all.len())];
-            kept.listed(&routing, here.len(), Some(&facts));
+            kept.update(&routing, here.len(), Some(&facts));
             here.push(Some(facts));
         }
         for pick in gone {
             let engine = pick.index(here.len());
-            kept.listed(&routing, engine, None);
+            kept.update(&routing, engine, None);
             here[engine] = None;
         }
         let at = |names: &[String], name: &str| names.iter().position(|n| n == name).expect("a name");
         for facts in batches().iter().step_by(7) {
-            let b = Batch {
-                group: at(&routing.names().groups, facts.group),
+            let b = RoutedQuery {
+                class: at(&routing.names().classes, facts.group),
                 tenant: at(&routing.names().tenants, facts.tenant),
                 client: facts.client,
-                key: facts.key,
+                has_key: facts.key,
                 data_set: facts.data_set,
                 minute: facts.minute,
-                bytes: 1,
+                statement_bytes: 1,
             };
             let plain = plan.routes.iter().position(|r| r.unmet(facts, &plan.addresses).is_none());
             prop_assert_eq!(routing.route(&b), plain, "{:?}", facts);
             match routing.decide(&b) {
-                Verdict::Refused { route } => prop_assert!(plan.routes[route].refuse.is_some()),
-                Verdict::TooLong { .. } => prop_assert!(false, "no plan limits statements here"),
-                Verdict::Goes { route, group, lane } => {
+                RouteDecision::Rejected { route } => prop_assert!(plan.routes[route].refuse.is_some()),
+                RouteDecision::StatementTooLong { .. } => prop_assert!(false, "no plan limits statements here"),
+                RouteDecision::Admitted { route, class: group, subset: lane } => {
                     prop_assert_eq!(route, plain);
                     let treated = plain.and_then(|r| plan.routes[r].as_group.clone());
-                    prop_assert_eq!(&routing.names().groups[group], &treated.unwrap_or(facts.group.to_string()));
-                    let tiers = kept.tiers(&routing, lane);
+                    prop_assert_eq!(&routing.names().classes[group], &treated.unwrap_or(facts.group.to_string()));
+                    let tiers = kept.priority_levels(&routing, lane);
                     for (n, engine) in here.iter().enumerate() {
                         let wanted = engine.as_ref().map(|e| plan.tiers(facts, e));
                         for (t, tier) in tiers.iter().enumerate() {
-                            prop_assert_eq!(tier.holds(n), wanted.as_ref().is_some_and(|w| w[t]));
+                            prop_assert_eq!(tier.contains(n), wanted.as_ref().is_some_and(|w| w[t]));
                         }
                     }
                 }
