--- a/crates/gateway/src/http/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -1,77 +1,98 @@
-//! Accepts clients' connections.
+//! Connection stage: accepts clients' connections, and starts a task that serves each.
 
-use super::connection::serve;
+use super::connection::ConnectionServer;
 use super::Client;
 use crate::http::client_connections::ClientConnections;
-use crate::http::client_stream::Peer;
+use crate::http::client_stream::StreamHandle;
 use crate::system::os_error;
 use axum::Router;
 use std::future::{poll_fn, Future};
+use std::io;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::task::Poll;
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::coop::unconstrained;
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// After a fault of accepting that the next would have as well: descriptors come back as clients leave.
+/// After repeated errors that the next accept would meet as well: descriptors come free as connections close.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Accepts connections for as long as it is polled, or, once it is `closing`, until none waits to be accepted; each is
-/// served in a task of its own.
+/// Accepts connections for as long as it is polled or, once `closing` is set, until none waits to be accepted. Each is served
+/// in a task of its own; `shutdown` asks those tasks to close their connections.
 pub async fn accept(
     listener: &TcpListener,
     router: &Router,
-    guests: &Arc<ClientConnections>,
-    shut: &watch::Receiver<bool>,
+    connections: &Arc<ClientConnections>,
+    shutdown: &watch::Receiver<bool>,
     mut closing: watch::Receiver<bool>,
 ) {
-    let mut failing = false;
+    let mut has_failed = false;
     for number in 0.. {
-        let accepted = if *closing.borrow_and_update() {
-            yield_now().await;
-            tokio::select! {
-                biased;
-                // Its share of a turn must not run out here: that would look as if nobody waited.
-                accepted = unconstrained(listener.accept()) => accepted,
-                () = std::future::ready(()) => return,
-            }
-        } else {
-            tokio::select! {
-                biased;
-                accepted = listener.accept() => accepted,
-                Ok(()) = closing.changed() => continue,
-            }
+        let Some(accepted) = next_connection(listener, &mut closing).await else {
+            return;
         };
         match accepted {
-            Ok((stream, client)) => {
-                failing = false;
-                let guest = guests.acquire(number).await;
-                let peer = Peer::new(stream);
-                peer.has_unread();
-                let client = Client(client.ip().to_canonical());
-                let mut serving =
-                    Box::pin(serve(peer, client, router.clone(), guest, shut.clone()));
-                // Batches of a key count in the order in which they came, also those that came while this process had
-                // no processor time: what a new connection has brought is taken before what came after it on an older
-                // one, whose task stands behind this one. A task of its own would stand behind that.
-                if poll_fn(|cx| Poll::Ready(serving.as_mut().poll(cx)))
-                    .await
-                    .is_pending()
-                {
-                    tokio::spawn(serving);
-                }
+            Ok((stream, address)) => {
+                has_failed = false;
+                let connection = connections.acquire(number).await;
+                let stream = StreamHandle::new(stream);
+                stream.read_available();
+                let client = Client(address.ip().to_canonical());
+                let server = ConnectionServer::new(
+                    stream,
+                    client,
+                    router.clone(),
+                    connection,
+                    shutdown.clone(),
+                );
+                spawn_polled(server.run()).await;
             }
-            Err(fault) => {
-                if !std::mem::replace(&mut failing, true) {
-                    tracing::warn!(%fault, "a connection could not be accepted");
-                } else if os_error::needs_pause(&fault) {
-                    // Twice in a row.
-                    sleep(ACCEPT_RETRY_PAUSE).await;
-                }
+            Err(error) if !has_failed => {
+                has_failed = true;
+                tracing::warn!(%error, "accept failed");
             }
+            Err(error) if os_error::needs_pause(&error) => sleep(ACCEPT_RETRY_PAUSE).await,
+            Err(_) => {}
+        }
+    }
+}
+
+/// The next connection, or the error of accepting it; none if `closing` is set and none waits.
+async fn next_connection(
+    listener: &TcpListener,
+    closing: &mut watch::Receiver<bool>,
+) -> Option<io::Result<(TcpStream, SocketAddr)>> {
+    loop {
+        if *closing.borrow_and_update() {
+            yield_now().await;
+            return tokio::select! {
+                biased;
+                // With its cooperative budget used up, the listener would look as if no connection waited.
+                accepted = unconstrained(listener.accept()) => Some(accepted),
+                () = std::future::ready(()) => None,
+            };
         }
+        tokio::select! {
+            biased;
+            accepted = listener.accept() => return Some(accepted),
+            Ok(()) = closing.changed() => {}
+        }
+    }
+}
+
+/// Polls a task once before it is spawned.
+///
+/// Queries of one ordering key count in the order in which they arrived, also those that arrived while this process had no
+/// processor time. So the request on a new connection is read before later ones on older connections, whose tasks are queued
+/// already; a spawned task would be queued behind them.
+async fn spawn_polled(task: impl Future<Output = ()> + Send + 'static) {
+    let mut task = Box::pin(task);
+    let first_poll = poll_fn(|cx| Poll::Ready(task.as_mut().poll(cx))).await;
+    if first_poll.is_pending() {
+        tokio::spawn(task);
     }
 }
--- a/crates/gateway/src/http/client_connections.rs
+++ b/crates/gateway/src/http/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: which ask, which are silent or idle, and who gives way when room is short.
+//! Connection stage: the open connections of clients, the state of each, and which one is evicted when all slots are taken.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,184 +6,224 @@
 use tokio::sync::{watch, Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
 
-/// Protocol: a call is on its way when its connection comes up; one this old that has said nothing is silent.
-const ON_ITS_WAY: Duration = Duration::from_millis(100);
+/// Protocol: a request follows its connection at once; a connection this old without one is silent. An evicted connection
+/// has as long to close before another is evicted.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
 
-/// What a connection is at, in the order in which connections give way.
+/// What a connection is doing, in the order of eviction: the first variant is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Doing {
-    /// Has had its last answer; what its client still sends is not read as a call.
-    Leaving,
-    /// Has not brought a whole head since it came.
+enum ConnectionState {
+    /// Has had its last response; what the client still sends is not parsed as a request.
+    Closing,
+    /// Older than [`NEW_CONNECTION_GRACE`] without a complete request head.
     Silent,
-    /// Has had answers and asks for nothing now.
+    /// Has had responses and has no request open.
     Idle,
-    /// Has just come; neither this nor the next gives way.
+    /// Just accepted, no complete request head yet; not evicted.
     New,
-    /// Brings a call, or waits for its answer.
-    Asking,
+    /// Has a request open, until its response is written; not evicted.
+    Active,
 }
 
-struct Entry {
-    doing: Doing,
-    since: Instant,
-    leave: Arc<Notify>,
-    told_to_leave: Option<Instant>,
+impl ConnectionState {
+    /// Whether a connection in this state may be closed in favour of a new one.
+    fn is_evictable(self) -> bool {
+        self < ConnectionState::New
+    }
+}
+
+/// What is remembered of one open connection.
+struct ConnectionEntry {
+    state: ConnectionState,
+    /// When `state` was entered.
+    state_since: Instant,
+    eviction: Arc<Notify>,
+    /// When the connection was asked to close for another.
+    eviction_requested_at: Option<Instant>,
 }
 
-impl Entry {
-    /// What it is at by now: a new one that goes on saying nothing is silent.
-    fn doing(&self) -> Doing {
-        match self.doing {
-            Doing::New if self.since.elapsed() > ON_ITS_WAY => Doing::Silent,
-            doing => doing,
+impl ConnectionEntry {
+    fn new(eviction: Arc<Notify>) -> Self {
+        ConnectionEntry {
+            state: ConnectionState::New,
+            state_since: Instant::now(),
+            eviction,
+            eviction_requested_at: None,
+        }
+    }
+
+    /// The state by now: a new connection turns silent with time.
+    fn current_state(&self) -> ConnectionState {
+        match self.state {
+            ConnectionState::New if self.state_since.elapsed() > NEW_CONNECTION_GRACE => {
+                ConnectionState::Silent
+            }
+            state => state,
         }
     }
+
+    /// Whether the connection was asked to close so recently that its slot may still come free.
+    fn is_being_evicted(&self) -> bool {
+        self.eviction_requested_at
+            .is_some_and(|at| at.elapsed() < NEW_CONNECTION_GRACE)
+    }
+
+    fn may_be_evicted(&self) -> bool {
+        self.current_state().is_evictable() && self.eviction_requested_at.is_none()
+    }
 }
 
-/// All connections of clients, as many as the budget has seats.
+/// All open connections of clients, at most one for each slot of the descriptor budget.
 pub struct ClientConnections {
-    seats: Arc<Semaphore>,
-    open: Mutex<HashMap<u64, Entry>>,
-    count: watch::Sender<usize>,
-    /// A connection has come to where it may give way.
-    may_leave: Notify,
+    slots: Arc<Semaphore>,
+    entries: Mutex<HashMap<u64, ConnectionEntry>>,
+    open_count: watch::Sender<usize>,
+    /// Notified when a connection closes or may have become evictable.
+    eviction_possible: Notify,
 }
 
 impl ClientConnections {
-    pub fn new(seats: Arc<Semaphore>) -> Arc<ClientConnections> {
-        let (open, count) = (Mutex::default(), watch::Sender::new(0));
+    /// No connections yet; `slots` has one permit for each that may be open.
+    pub fn new(slots: Arc<Semaphore>) -> Arc<ClientConnections> {
         Arc::new(ClientConnections {
-            seats,
-            open,
-            count,
-            may_leave: Notify::new(),
+            slots,
+            entries: Mutex::default(),
+            open_count: watch::Sender::new(0),
+            eviction_possible: Notify::new(),
         })
     }
 
-    fn open(&self) -> MutexGuard<'_, HashMap<u64, Entry>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn entries(&self) -> MutexGuard<'_, HashMap<u64, ConnectionEntry>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A seat for one that has come, when need be that of one that asks for nothing.
+    /// Registers an accepted connection under a number of its own. Waits for a slot, and evicts a connection without a
+    /// request where none is free.
     pub async fn acquire(self: &Arc<Self>, number: u64) -> ClientConnection {
-        let seat = loop {
-            if let Ok(seat) = self.seats.clone().try_acquire_owned() {
-                break Some(seat);
+        let slot = self.acquire_slot().await;
+        let eviction = Arc::new(Notify::new());
+        self.entries()
+            .insert(number, ConnectionEntry::new(eviction.clone()));
+        self.open_count.send_modify(|count| *count += 1);
+        ClientConnection {
+            connections: self.clone(),
+            number,
+            eviction,
+            _slot: slot,
+        }
+    }
+
+    /// A free slot; none only where the semaphore was closed.
+    async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
+        loop {
+            if let Ok(slot) = self.slots.clone().try_acquire_owned() {
+                return Some(slot);
             }
-            self.make_room();
+            self.evict_one();
             tokio::select! {
                 biased;
-                seat = self.seats.clone().acquire_owned() => break seat.ok(),
-                () = self.may_leave.notified() => {}
-                // By then one that has just come is silent, or asks.
-                () = sleep(ON_ITS_WAY) => {}
+                slot = self.slots.clone().acquire_owned() => return slot.ok(),
+                () = self.eviction_possible.notified() => {}
+                // By then a new connection is silent or active.
+                () = sleep(NEW_CONNECTION_GRACE) => {}
             }
-        };
-        let leave = Arc::new(Notify::new());
-        let entry = Entry {
-            doing: Doing::New,
-            since: Instant::now(),
-            leave: leave.clone(),
-            told_to_leave: None,
-        };
-        self.open().insert(number, entry);
-        self.count.send_modify(|n| *n += 1);
-        ClientConnection {
-            guests: self.clone(),
-            number,
-            leave,
-            _seat: seat,
         }
     }
 
-    /// Sends away the one that can best be spared, unless one is on its way out.
-    fn make_room(&self) {
-        let mut open = self.open();
-        if open
-            .values()
-            .any(|e| e.told_to_leave.is_some_and(|at| at.elapsed() < ON_ITS_WAY))
-        {
+    /// Asks the first connection in the order of eviction to close, unless one that was asked is still closing.
+    fn evict_one(&self) {
+        let mut entries = self.entries();
+        if entries.values().any(ConnectionEntry::is_being_evicted) {
             return;
         }
-        let spare = open
+        let evicted = entries
             .values_mut()
-            .filter(|e| e.doing() < Doing::New && e.told_to_leave.is_none());
-        if let Some(entry) = spare.min_by_key(|e| (e.doing(), e.since)) {
-            entry.told_to_leave = Some(Instant::now());
-            entry.leave.notify_one();
+            .filter(|entry| entry.may_be_evicted())
+            .min_by_key(|entry| (entry.current_state(), entry.state_since));
+        if let Some(entry) = evicted {
+            entry.eviction_requested_at = Some(Instant::now());
+            entry.eviction.notify_one();
         }
     }
 
-    /// Until the last has gone.
+    /// Completes when no connection is open.
     pub async fn all_closed(&self) {
-        // It fails only with the sender gone, which these guests hold.
-        let _ = self.count.subscribe().wait_for(|n| *n == 0).await;
+        // An error means that the sender was dropped, and `self` holds it.
+        let _ = self
+            .open_count
+            .subscribe()
+            .wait_for(|count| *count == 0)
+            .await;
     }
 }
 
-/// One connection's seat, free again when this is dropped.
+/// One open connection; its slot is free again when this is dropped.
 pub struct ClientConnection {
-    guests: Arc<ClientConnections>,
+    connections: Arc<ClientConnections>,
     number: u64,
-    /// Told when the connection is to give way.
-    pub leave: Arc<Notify>,
-    _seat: Option<OwnedSemaphorePermit>,
+    /// Notified when the connection is to close for another.
+    pub eviction: Arc<Notify>,
+    _slot: Option<OwnedSemaphorePermit>,
 }
 
 impl ClientConnection {
-    fn now(&self, doing: Doing) {
-        if let Some(entry) = self.guests.open().get_mut(&self.number) {
-            (entry.doing, entry.since) = (doing, Instant::now());
+    fn set_state(&self, state: ConnectionState) {
+        if let Some(entry) = self.connections.entries().get_mut(&self.number) {
+            entry.state = state;
+            entry.state_since = Instant::now();
         }
-        if doing != Doing::Asking {
-            self.guests.may_leave.notify_one();
+        if state != ConnectionState::Active {
+            self.connections.eviction_possible.notify_one();
         }
     }
 
+    fn is_in(&self, state: ConnectionState) -> bool {
+        self.connections
+            .entries()
+            .get(&self.number)
+            .is_some_and(|entry| entry.state == state)
+    }
+
+    /// A complete request head was read: the connection is not evicted until its response is written.
     pub fn request_started(&self) {
-        self.now(Doing::Asking);
+        self.set_state(ConnectionState::Active);
         self.keep_open();
     }
 
-    /// It does not give way now, though it was told to; another does.
+    /// Withdraws a request to close for another connection; another one is evicted instead.
     pub fn keep_open(&self) {
-        if let Some(entry) = self.guests.open().get_mut(&self.number) {
-            entry.told_to_leave = None;
+        if let Some(entry) = self.connections.entries().get_mut(&self.number) {
+            entry.eviction_requested_at = None;
         }
-        self.guests.may_leave.notify_one();
+        self.connections.eviction_possible.notify_one();
     }
 
+    /// The response to the open request is ready.
     pub fn became_idle(&self) {
-        self.now(Doing::Idle);
+        self.set_state(ConnectionState::Idle);
     }
 
-    pub fn client_closed(&self) {
-        self.now(Doing::Leaving);
+    /// No further request is read from the connection.
+    pub fn started_closing(&self) {
+        self.set_state(ConnectionState::Closing);
     }
 
-    /// Whether a call of it is open.
+    /// Whether a request is open.
     pub fn has_request(&self) -> bool {
-        self.guests
-            .open()
-            .get(&self.number)
-            .is_some_and(|e| e.doing == Doing::Asking)
+        self.is_in(ConnectionState::Active)
     }
 
-    /// Whether it has brought no call since it came.
-    pub fn sent_nothing(&self) -> bool {
-        self.guests
-            .open()
-            .get(&self.number)
-            .is_some_and(|e| e.doing == Doing::New)
+    /// Whether no complete request head has been read since the connection was accepted.
+    pub fn awaits_first_request(&self) -> bool {
+        self.is_in(ConnectionState::New)
     }
 }
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.guests.open().remove(&self.number);
-        self.guests.count.send_modify(|n| *n -= 1);
-        self.guests.may_leave.notify_one();
+        self.connections.entries().remove(&self.number);
+        self.connections.open_count.send_modify(|count| *count -= 1);
+        self.connections.eviction_possible.notify_one();
     }
 }
 
--- a/crates/gateway/src/http/client_connections/tests.rs
+++ b/crates/gateway/src/http/client_connections/tests.rs
@@ -1,39 +1,42 @@
 use super::*;
 
 #[tokio::test]
-async fn the_silent_and_the_idle_give_way_to_those_that_come_and_never_one_that_asks() {
-    let guests = ClientConnections::new(Arc::new(Semaphore::new(3)));
-    let (asking, idle, silent) = (
-        guests.acquire(1).await,
-        guests.acquire(2).await,
-        guests.acquire(3).await,
+async fn silent_then_idle_connections_are_evicted_and_active_ones_never() {
+    let connections = ClientConnections::new(Arc::new(Semaphore::new(3)));
+    let (active, idle, silent) = (
+        connections.acquire(1).await,
+        connections.acquire(2).await,
+        connections.acquire(3).await,
     );
-    asking.request_started();
+    active.request_started();
     idle.request_started();
     idle.became_idle();
-    guests.open().get_mut(&3).unwrap().since -= ON_ITS_WAY * 2;
-    let (also, room) = (
-        guests.clone(),
-        tokio::spawn({
-            let guests = guests.clone();
-            async move { (guests.acquire(4).await, guests.acquire(5).await) }
-        }),
-    );
-    silent.leave.notified().await;
+    connections.entries().get_mut(&3).unwrap().state_since -= NEW_CONNECTION_GRACE * 2;
+    let acquiring = tokio::spawn({
+        let connections = connections.clone();
+        async move { (connections.acquire(4).await, connections.acquire(5).await) }
+    });
+    silent.eviction.notified().await;
     drop(silent);
-    idle.leave.notified().await;
+    idle.eviction.notified().await;
     drop(idle);
-    let (four, five) = room.await.unwrap();
-    four.request_started();
-    five.request_started();
-    let last = tokio::spawn(async move { also.acquire(6).await });
+    let (fourth, fifth) = acquiring.await.unwrap();
+    fourth.request_started();
+    fifth.request_started();
+    let last = tokio::spawn({
+        let connections = connections.clone();
+        async move { connections.acquire(6).await }
+    });
     tokio::task::yield_now().await;
     assert!(
-        guests.open().values().all(|e| e.told_to_leave.is_none()),
-        "all ask"
+        connections
+            .entries()
+            .values()
+            .all(|entry| entry.eviction_requested_at.is_none()),
+        "all are active"
     );
-    four.became_idle();
-    four.leave.notified().await;
-    drop(four);
-    assert!(last.await.unwrap().sent_nothing());
+    fourth.became_idle();
+    fourth.eviction.notified().await;
+    drop(fourth);
+    assert!(last.await.unwrap().awaits_first_request());
 }
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -1,5 +1,5 @@
-//! A client's connection. It can be read ahead of who parses it: so a client that has left is noticed also behind bytes
-//! that nobody has asked for yet, and what has come already is known before the connection is closed.
+//! Connection stage: a client's byte stream, read ahead of the HTTP parser. So a closed connection is noticed behind bytes
+//! that nobody has parsed yet, and what has arrived is known before the connection is closed.
 
 use crate::system::socket::Socket;
 use crate::system::stream_budget::Stalled;
@@ -16,83 +16,88 @@
 use tokio::time::{sleep, Sleep};
 
 /// Read ahead at most: a head and a statement of the usual length.
-const AHEAD: usize = 8 << 10;
-/// Looked at this often while more than that stands before a client's close; the protocol's 0.1 s for a client that has left
-/// holds with it.
-const LOOKS: Duration = Duration::from_millis(25);
-/// Thrown away of what a client still sends, when its connection closes; more than any machine keeps unread for one.
-const DISCARDED: usize = 8 << 20;
-
-struct Held {
+const READ_AHEAD_BYTES: usize = 8 << 10;
+/// Between two checks for a close behind more bytes than are read ahead. Protocol: a closed connection is noticed within
+/// 100 ms.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// Discarded at most when a connection closes; more than a kernel buffers unread for one connection.
+const MAX_DISCARDED_BYTES: usize = 8 << 20;
+
+struct StreamState {
     io: TokioIo<Socket>,
-    /// Read, but not asked for yet.
-    ahead: BytesMut,
-    /// How the client ended its side.
+    /// Read, but not yet taken by the parser.
+    read_ahead: BytesMut,
+    /// How the client ended its side: in order, or with an error.
     end: Option<Result<(), io::ErrorKind>>,
-    /// Something was read ahead that who parses has not been woken for.
-    unheard: bool,
-    /// When something was last read.
-    read: Instant,
-    /// Until the next look at a connection that can't be read further ahead.
-    looks: Option<Pin<Box<Sleep>>>,
+    /// Bytes were read ahead since the connection's task was last woken to parse.
+    parser_needs_wake: bool,
+    last_read_at: Instant,
+    /// Until the next check of a connection that can't be read further ahead.
+    close_check: Option<Pin<Box<Sleep>>>,
     stalled: Stalled,
 }
 
-/// One client's connection, to be looked at from beside who parses it.
+/// A shared handle to a client's stream, to look at it from outside the HTTP parser.
 #[derive(Clone)]
-pub struct Peer(Arc<Mutex<Held>>);
+pub struct StreamHandle(Arc<Mutex<StreamState>>);
 
-/// The same connection, as a stream of bytes to parse.
-pub struct ClientStream(Peer);
+/// A client's stream as the HTTP parser reads and writes it.
+pub struct ClientStream(StreamHandle);
 
-impl Peer {
-    pub fn new(stream: TcpStream) -> Peer {
-        let held = Held {
+impl StreamHandle {
+    /// Takes over an accepted connection.
+    pub fn new(stream: TcpStream) -> StreamHandle {
+        StreamHandle(Arc::new(Mutex::new(StreamState {
             io: TokioIo::new(Socket::new(stream)),
-            ahead: BytesMut::new(),
+            read_ahead: BytesMut::new(),
             end: None,
-            unheard: false,
-            read: Instant::now(),
-            looks: None,
+            parser_needs_wake: false,
+            last_read_at: Instant::now(),
+            close_check: None,
             stalled: Stalled::default(),
-        };
-        Peer(Arc::new(Mutex::new(held)))
+        })))
     }
 
+    /// The stream for a parser; one parser at a time may use it.
     pub fn stream(&self) -> ClientStream {
         ClientStream(self.clone())
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
+    fn state(&self) -> MutexGuard<'_, StreamState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When something was last read of it.
-    pub fn read_at(&self) -> Instant {
-        self.held().read
+    /// When bytes were last read from the connection.
+    pub fn last_read_at(&self) -> Instant {
+        self.state().last_read_at
+    }
+
+    /// Reads what the kernel has, as far as the read-ahead buffer has space. It does not wait for the runtime to report
+    /// readiness: of a connection that was just accepted that comes one turn late, after later bytes on other connections
+    /// were read.
+    pub fn read_available(&self) {
+        self.state().read_available();
     }
 
-    /// Whether something has come that nobody has parsed. It reads what is there already, without a turn through the
-    /// runtime's poll: that knows of a connection that has just been accepted one turn later, when what came after it on
-    /// other connections has been read.
-    pub fn has_unread(&self) -> bool {
-        let mut held = self.held();
-        held.read_now();
-        !held.ahead.is_empty()
+    /// Whether bytes have arrived that nobody has parsed.
+    pub fn has_unparsed_bytes(&self) -> bool {
+        let mut state = self.state();
+        state.read_available();
+        !state.read_ahead.is_empty()
     }
 
     /// Whether the client has closed its side by now.
-    pub fn has_left(&self) -> bool {
-        let mut held = self.held();
-        held.read_now();
-        held.has_left()
+    pub fn is_closed_by_client(&self) -> bool {
+        let mut state = self.state();
+        state.read_available();
+        state.is_closed_by_client()
     }
 
-    /// Until the client has closed its side, while `waits` tells that it is waited for.
-    pub async fn left(&self, waits: impl Fn() -> bool) {
+    /// Completes when the client has closed its side; checked only while `is_watched` holds.
+    pub async fn closed_by_client(&self, is_watched: impl Fn() -> bool) {
         poll_fn(|cx| {
-            if waits() {
-                self.held().poll_left(cx)
+            if is_watched() {
+                self.state().poll_closed_by_client(cx)
             } else {
                 Poll::Pending
             }
@@ -100,138 +105,152 @@
         .await
     }
 
-    /// Gives back what was read but not parsed.
+    /// Puts bytes that the parser took but did not parse back before those read ahead.
     pub fn unread(&self, bytes: &Bytes) {
-        let mut held = self.held();
-        let after = std::mem::take(&mut held.ahead);
-        held.ahead.extend_from_slice(bytes);
-        held.ahead.extend_from_slice(&after);
-    }
-
-    /// Ends our side, after all that was written.
-    pub fn shut(&self) {
-        self.held().io.inner().shut();
-    }
-
-    /// Throws away what has come: closed over unread bytes, a connection is reset, which takes along what its client has not
-    /// read yet.
-    pub fn discard(&self) {
-        let mut held = self.held();
-        let mut left = DISCARDED;
-        while left > 0 && held.end.is_none() {
-            held.ahead.clear();
-            held.read_now();
-            if held.ahead.is_empty() {
+        let mut state = self.state();
+        let later = std::mem::take(&mut state.read_ahead);
+        state.read_ahead.extend_from_slice(bytes);
+        state.read_ahead.extend_from_slice(&later);
+    }
+
+    /// Closes our side, after all that was written.
+    pub fn shut_down_write(&self) {
+        self.state().io.inner().shut();
+    }
+
+    /// Discards what has arrived: the kernel resets a connection that is closed over unread bytes, and the client loses the
+    /// response that it has not read yet.
+    pub fn discard_received(&self) {
+        let mut state = self.state();
+        let mut remaining = MAX_DISCARDED_BYTES;
+        while remaining > 0 && state.end.is_none() {
+            state.read_ahead.clear();
+            state.read_available();
+            if state.read_ahead.is_empty() {
                 break;
             }
-            left = left.saturating_sub(held.ahead.len());
+            remaining = remaining.saturating_sub(state.read_ahead.len());
         }
-        held.ahead.clear();
+        state.read_ahead.clear();
     }
 }
 
-impl Held {
-    fn took(&mut self, read: io::Result<usize>, bytes: &[u8]) -> bool {
-        match read {
+impl StreamState {
+    /// Takes in the result of a read into `buffer`; whether it brought bytes.
+    fn record_read(&mut self, result: io::Result<usize>, buffer: &[u8]) -> bool {
+        match result {
             Ok(0) => self.end = Some(Ok(())),
-            Ok(n) => {
-                (self.read, self.unheard) = (Instant::now(), true);
-                self.ahead.extend_from_slice(&bytes[..n]);
+            Ok(count) => {
+                self.last_read_at = Instant::now();
+                self.parser_needs_wake = true;
+                self.read_ahead.extend_from_slice(&buffer[..count]);
                 return true;
             }
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-            Err(fault) => self.end = Some(Err(fault.kind())),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) => self.end = Some(Err(error.kind())),
         }
         false
     }
 
-    /// Reads ahead what the machine has, as far as there is room.
-    fn read_now(&mut self) {
-        let mut bytes = [0; AHEAD];
-        while self.end.is_none() && self.ahead.len() < AHEAD {
-            let room = AHEAD - self.ahead.len();
-            let read = self.io.inner().read_now(&mut bytes[..room]);
-            if !self.took(read, &bytes) {
+    fn is_read_ahead_full(&self) -> bool {
+        self.read_ahead.len() >= READ_AHEAD_BYTES
+    }
+
+    /// Reads what the kernel has, until it would block or the read-ahead buffer is full.
+    fn read_available(&mut self) {
+        let mut buffer = [0; READ_AHEAD_BYTES];
+        while self.end.is_none() && !self.is_read_ahead_full() {
+            let free = READ_AHEAD_BYTES - self.read_ahead.len();
+            let result = self.io.inner().read_now(&mut buffer[..free]);
+            if !self.record_read(result, &buffer) {
                 return;
             }
         }
     }
 
-    fn has_left(&self) -> bool {
-        // Behind more than is read ahead only the machine's own word tells.
-        self.end.is_some() || self.ahead.len() >= AHEAD && self.io.inner().is_read_closed()
+    fn is_closed_by_client(&self) -> bool {
+        // Behind more bytes than are read ahead only the kernel's readiness shows a close.
+        self.end.is_some() || self.is_read_ahead_full() && self.io.inner().is_read_closed()
     }
 
-    fn poll_left(&mut self, cx: &mut Context) -> Poll<()> {
+    fn poll_closed_by_client(&mut self, cx: &mut Context) -> Poll<()> {
         loop {
-            if self.has_left() {
+            if self.is_closed_by_client() {
                 return Poll::Ready(());
             }
-            if std::mem::take(&mut self.unheard) {
+            if std::mem::take(&mut self.parser_needs_wake) {
                 cx.waker().wake_by_ref();
             }
-            if self.ahead.len() >= AHEAD {
-                let looks = self.looks.get_or_insert_with(|| Box::pin(sleep(LOOKS)));
-                ready!(looks.as_mut().poll(cx));
-                self.looks = None;
+            if self.is_read_ahead_full() {
+                ready!(self.poll_close_check(cx));
                 continue;
             }
-            let mut bytes = [0; AHEAD];
-            let room = AHEAD - self.ahead.len();
-            let read = ready!(self.io.inner().poll_read_bytes(cx, &mut bytes[..room]));
-            self.took(read, &bytes);
+            let mut buffer = [0; READ_AHEAD_BYTES];
+            let free = READ_AHEAD_BYTES - self.read_ahead.len();
+            let result = ready!(self.io.inner().poll_read_bytes(cx, &mut buffer[..free]));
+            self.record_read(result, &buffer);
         }
     }
+
+    /// Ready when the next check for a close is due.
+    fn poll_close_check(&mut self, cx: &mut Context) -> Poll<()> {
+        let close_check = self
+            .close_check
+            .get_or_insert_with(|| Box::pin(sleep(CLOSE_CHECK_INTERVAL)));
+        ready!(close_check.as_mut().poll(cx));
+        self.close_check = None;
+        Poll::Ready(())
+    }
 }
 
 impl Read for ClientStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context,
-        mut buf: ReadBufCursor,
+        mut buffer: ReadBufCursor,
     ) -> Poll<io::Result<()>> {
-        let mut held = self.0.held();
-        if !held.ahead.is_empty() {
-            let now = held.ahead.len().min(buf.remaining());
-            buf.put_slice(&held.ahead[..now]);
-            held.ahead.advance(now);
+        let mut state = self.0.state();
+        if !state.read_ahead.is_empty() {
+            let count = state.read_ahead.len().min(buffer.remaining());
+            buffer.put_slice(&state.read_ahead[..count]);
+            state.read_ahead.advance(count);
             return Poll::Ready(Ok(()));
         }
-        if let Some(end) = held.end {
+        if let Some(end) = state.end {
             return Poll::Ready(end.map_err(io::Error::from));
         }
-        let end = ready!(Pin::new(&mut held.io).poll_read(cx, buf));
-        held.read = Instant::now();
-        Poll::Ready(end)
+        let result = ready!(Pin::new(&mut state.io).poll_read(cx, buffer));
+        state.last_read_at = Instant::now();
+        Poll::Ready(result)
     }
 }
 
 impl Write for ClientStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let mut held = self.0.held();
-        let end = Pin::new(&mut held.io).poll_write(cx, buf);
-        held.stalled.bounded(cx, end)
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        let mut state = self.0.state();
+        let result = Pin::new(&mut state.io).poll_write(cx, bytes);
+        state.stalled.bounded(cx, result)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0.held().io).poll_flush(cx)
+        Pin::new(&mut self.0.state().io).poll_flush(cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0.held().io).poll_shutdown(cx)
+        Pin::new(&mut self.0.state().io).poll_shutdown(cx)
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.0.held().io.is_write_vectored()
+        self.0.state().io.is_write_vectored()
     }
 
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context,
-        bufs: &[io::IoSlice],
+        buffers: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let mut held = self.0.held();
-        let end = Pin::new(&mut held.io).poll_write_vectored(cx, bufs);
-        held.stalled.bounded(cx, end)
+        let mut state = self.0.state();
+        let result = Pin::new(&mut state.io).poll_write_vectored(cx, buffers);
+        state.stalled.bounded(cx, result)
     }
 }
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -5,7 +5,7 @@
 use super::submission::take;
 use super::{HttpFront, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
-use crate::http::client_stream::Peer;
+use crate::http::client_stream::StreamHandle;
 use crate::http::statement;
 use axum::body::Body;
 use axum::http::header::HeaderMap;
@@ -31,11 +31,11 @@
     group: &str,
     head: &HeaderMap,
     client: IpAddr,
-    peer: &Peer,
+    peer: &StreamHandle,
     mut body: Body,
 ) -> Response {
     let length = body.size_hint().exact();
-    let came = front.scheduler.arrival_time(peer.read_at());
+    let came = front.scheduler.arrival_time(peer.last_read_at());
     let (mut arrival, mut call) = match arrival(&front.decoded, group, head, client, PLACEHOLDER) {
         Ok(taken) => taken,
         Err(what) => return closing(error_response(StatusCode::BAD_REQUEST, &what)),
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -5,7 +5,7 @@
 use super::streamed_body::submit_streamed;
 use super::{Client, HttpFront, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Call;
-use crate::http::client_stream::Peer;
+use crate::http::client_stream::StreamHandle;
 use crate::scheduling::query_task::QueryTask;
 use crate::scheduling::scheduler::{Admission, ArrivingQuery, Waiter};
 use axum::body::{to_bytes, Body};
@@ -25,7 +25,7 @@
 pub(super) async fn submit(
     State(front): State<Arc<HttpFront>>,
     Path(group): Path<String>,
-    Extension(peer): Extension<Peer>,
+    Extension(peer): Extension<StreamHandle>,
     Extension(Client(client)): Extension<Client>,
     head: HeaderMap,
     body: Body,
@@ -78,7 +78,7 @@
             ))
         }
     };
-    let came = front.scheduler.arrival_time(peer.read_at());
+    let came = front.scheduler.arrival_time(peer.last_read_at());
     let (arrival, call) = match arrival(&front.decoded, &group, &head, client, body) {
         Ok(taken) => taken,
         Err(what) => {
@@ -99,9 +99,9 @@
     call: Call,
     came: f64,
     memory: OwnedSemaphorePermit,
-    peer: &Peer,
+    peer: &StreamHandle,
 ) -> Result<Waiter, Box<Response>> {
-    if peer.has_left() {
+    if peer.is_closed_by_client() {
         // Its call stood behind another one, or waited for its slot: nothing is owed, and nothing is sent for it.
         tracing::debug!(job = arrival.query_key, "its client has left");
         return Err(closing(error_response(
