--- a/crates/gateway/src/http/send_time.rs
+++ b/crates/gateway/src/http/send_time.rs
@@ -1,151 +1,203 @@
-//! When a batch was sent, as far as that can be told: the time that a client allows counts from there, but the
-//! client may have held the batch back before it wrote it.
+//! Admission stage: estimates when a client sent a query, from where its deadline counts.
+//!
+//! The time that a client allows starts when it wants to send the query, but it may hold the query back before it writes it:
+//! while it waits for a free connection, or while an earlier query of the same ordering key is ahead. The gateway sees only
+//! when the request arrived. [`SendTimeEstimator::estimate`] gives the earliest time at which the client may have sent it.
+//!
+//! Inputs: the arrival time, the ordering key, the number of open queries (whether clients may lack connections), and earlier
+//! arrivals with the same key. All times and spans are in seconds, on the scheduler's clock.
+//!
+//! Bounds: the estimate lies before the arrival by the longest of these:
+//! - `MIN_HOLD_SECONDS`, always;
+//! - the connect timeout, where clients may lack connections;
+//! - the age of the burst, up to `MAX_BURST_HOLD_SECONDS`, for a key whose queries arrive close together;
+//! - the age of the client's queue, for a key whose gaps show that its queue is full.
 
 use std::collections::HashMap;
 
-/// Kept clear in any case: up to 54 ms were seen, of which the protocol's longer limits cover 50.
-const WAITED: f64 = 0.03;
-/// Connections that clients may still have free when one of theirs waits.
-const NEARLY: usize = 16;
-/// Protocol: batches of one key are written at least this far apart, after one on a new connection.
-const APART: f64 = 0.25;
-/// Batches of a key that come closer than this may stand in a line at their client, of which places that expire
-/// are never seen.
-const CLOSE: f64 = 0.5;
-/// As far as such a line is taken to reach back; 0.33 s were seen, and 0.5 s was too little once.
-const LONGEST_LINE: f64 = 2.0;
-/// Protocol: batches of one key are written at least this far apart. A place in a client's line whose batch has expired
-/// is never seen, and takes as long.
-const PLACE: f64 = 0.06;
-/// Gaps are the protocol's distances within this: a few round trips of clients.
-const EXACT: f64 = 0.004;
-/// So many such gaps in a row are no chance: one in five is, of gaps drawn evenly.
-const SURE: u32 = 5;
-/// Keys remembered before those that no longer matter are looked for.
-const MANY: usize = 1024;
-
-/// When a key came last, and since when it has come closely.
+/// Every query is taken to have been held back this long at least.
+const MIN_HOLD_SECONDS: f64 = 0.03;
+/// With this many connections free or fewer, a client may wait for one.
+const SPARE_CONNECTIONS: usize = 16;
+/// Protocol: least time between the first query of a key on a new connection and the next of that key.
+const NEW_CONNECTION_GAP_SECONDS: f64 = 0.25;
+/// Protocol: least time between other queries of a key. A queued query that expires at its client takes as long, and is never
+/// seen here.
+const QUEUE_GAP_SECONDS: f64 = 0.06;
+/// Queries of a key that arrive closer than this may have queued at their client.
+const BURST_GAP_SECONDS: f64 = 0.5;
+/// Longest time that a burst is taken to have held a query back.
+const MAX_BURST_HOLD_SECONDS: f64 = 2.0;
+/// A gap is one of the protocol's gaps within this: a few round trips to the client.
+const GAP_TOLERANCE_SECONDS: f64 = 0.004;
+/// Consecutive gaps of the protocol that show a full queue; a random gap is one with a probability of about 1/5.
+const FULL_QUEUE_GAPS: u32 = 5;
+/// Keys remembered before those that no longer matter are removed.
+const KEY_PRUNE_COUNT: usize = 1024;
+
+/// The arrivals of one ordering key, as far as they tell of the queue at its clients. Times in seconds.
 #[derive(Clone, Copy, Debug)]
-struct Line {
-    last: f64,
-    since: f64,
-    /// Since when its gaps have been the protocol's distances, and how many were: its clients stand in a full line.
-    full: f64,
-    distances: u32,
-    /// The last that came out of that line, and whether one has come since that did not: a stranger's call with the key,
-    /// as bad clients make, is no end of the line.
-    place: f64,
-    stranger: bool,
+struct KeyArrivals {
+    last_arrival: f64,
+    /// Since when each arrival has followed the one before within [`BURST_GAP_SECONDS`].
+    burst_start: f64,
+    /// Since when queued arrivals have had the protocol's gaps.
+    queue_start: f64,
+    /// Consecutive gaps of the protocol between queued arrivals.
+    queue_gaps: u32,
+    last_queued_arrival: f64,
+    /// An arrival out of step came since the last queued one. One alone does not end the queue: a faulty client may use the
+    /// key, too.
+    is_interrupted: bool,
 }
 
-impl Line {
-    fn new(came: f64, since: f64) -> Self {
-        Line {
-            last: came,
-            since,
-            full: came,
-            distances: 0,
-            place: came,
-            stranger: false,
+impl KeyArrivals {
+    fn new(arrival: f64, burst_start: f64) -> Self {
+        KeyArrivals {
+            last_arrival: arrival,
+            burst_start,
+            queue_start: arrival,
+            queue_gaps: 0,
+            last_queued_arrival: arrival,
+            is_interrupted: false,
         }
     }
 
-    fn is_full(&self) -> bool {
-        self.distances >= SURE
+    /// Whether the gaps show that the clients always have a query of this key to send.
+    fn is_queue_full(&self) -> bool {
+        self.queue_gaps >= FULL_QUEUE_GAPS
     }
 
-    /// The line once another batch of its key has come. Places that were never seen make long gaps, which only a line that
-    /// is known to be full may have.
-    fn with(self, came: f64, oldest: f64) -> Self {
-        let since = if came - self.last < CLOSE {
-            self.since
+    /// The arrivals with another one. Queued queries that expired unseen make long gaps; these count only in a queue that is
+    /// known to be full, up to `max_queue_age` seconds.
+    fn with_arrival(self, arrival: f64, max_queue_age: f64) -> Self {
+        let burst_start = if arrival - self.last_arrival < BURST_GAP_SECONDS {
+            self.burst_start
+        } else {
+            arrival
+        };
+        let gap = arrival - self.last_queued_arrival;
+        let max_gap = if self.is_queue_full() {
+            max_queue_age
         } else {
-            came
+            BURST_GAP_SECONDS
         };
-        let gap = came - self.place;
-        let near = gap < if self.is_full() { oldest } else { CLOSE };
-        if near && is_distance(gap) {
-            Line {
-                last: came,
-                since,
-                distances: self.distances + 1,
-                place: came,
-                stranger: false,
+        if gap < max_gap && is_protocol_gap(gap) {
+            return KeyArrivals {
+                last_arrival: arrival,
+                burst_start,
+                queue_gaps: self.queue_gaps + 1,
+                last_queued_arrival: arrival,
+                is_interrupted: false,
                 ..self
-            }
-        } else if near && self.is_full() && !self.stranger {
-            Line {
-                last: came,
-                since,
-                stranger: true,
+            };
+        }
+        if gap < max_gap && self.is_queue_full() && !self.is_interrupted {
+            return KeyArrivals {
+                last_arrival: arrival,
+                burst_start,
+                is_interrupted: true,
                 ..self
-            }
+            };
+        }
+        KeyArrivals::new(arrival, burst_start)
+    }
+
+    /// Longest time, in seconds, that a query which arrives now may have been held back behind others in a burst.
+    fn burst_hold(&self, now: f64) -> f64 {
+        (now - self.burst_start + NEW_CONNECTION_GAP_SECONDS).min(MAX_BURST_HOLD_SECONDS)
+    }
+
+    /// Longest time, in seconds, that a query which arrives now may have been in a full queue.
+    fn queue_hold(&self, now: f64) -> f64 {
+        if self.is_queue_full() && !self.is_interrupted {
+            now - self.queue_start
         } else {
-            Line::new(came, since)
+            0.0
         }
     }
+
+    /// Whether a query that arrives now may still have queued behind these arrivals.
+    fn is_relevant(&self, now: f64, max_queue_age: f64) -> bool {
+        let max_age = if self.is_queue_full() {
+            max_queue_age
+        } else {
+            BURST_GAP_SECONDS
+        };
+        now - self.last_arrival < max_age
+    }
 }
 
-/// The line of each key, and how long a client waits for a connection.
+/// Estimates when clients sent their queries; see the module's documentation.
 #[derive(Debug)]
 pub struct SendTimeEstimator {
-    keys: HashMap<u64, Line>,
-    /// Batches that clients' connections can hold, and seconds that a client waits for one.
-    room: usize,
-    waits: f64,
-    /// Twice the longest time limit: a line whose end was as old as that when it was last seen, and all of which then
-    /// expired, has had no place for a batch that can still come.
-    oldest: f64,
+    keys: HashMap<u64, KeyArrivals>,
+    /// Queries that clients' connections can carry at once.
+    connection_capacity: usize,
+    /// Time in seconds that a client waits for a connection.
+    connect_timeout: f64,
+    /// Twice the longest deadline, in seconds: a queue whose last query was that old when it was last seen, and all of which
+    /// then expired, has had no query that can still arrive.
+    max_queue_age: f64,
 }
 
 impl SendTimeEstimator {
-    pub fn new(room: usize, waits: f64, longest: f64) -> Self {
+    /// For clients whose connections can carry `connection_capacity` queries at once, who wait `connect_timeout` seconds for a
+    /// connection and allow `longest_deadline` seconds at most.
+    pub fn new(connection_capacity: usize, connect_timeout: f64, longest_deadline: f64) -> Self {
         SendTimeEstimator {
             keys: HashMap::new(),
-            room,
-            waits,
-            oldest: 2.0 * longest,
+            connection_capacity,
+            connect_timeout,
+            max_queue_age: 2.0 * longest_deadline,
         }
     }
 
-    /// The earliest time that a batch can have been sent at, by when it came, whether others of its key came
-    /// just before, and how many batches hold a connection: where all do, it may have waited for one.
-    pub fn estimate(&mut self, key: Option<u64>, came: f64, in_hand: usize) -> f64 {
-        let waited = if in_hand + NEARLY < self.room {
-            WAITED
-        } else {
-            WAITED.max(self.waits)
+    /// The earliest time, in seconds, at which the client may have sent a query that arrived at `arrival`, while
+    /// `open_queries` others held connections. Remembers the arrival for later queries of the key.
+    pub fn estimate(&mut self, key: Option<u64>, arrival: f64, open_queries: usize) -> f64 {
+        let connection_hold = self.connection_hold(open_queries);
+        let Some(key) = key else {
+            return arrival - connection_hold;
         };
-        let Some(key) = key else { return came - waited };
-        if self.keys.len() > MANY {
-            self.keys.retain(|_, line| {
-                came - line.last < if line.is_full() { self.oldest } else { CLOSE }
-            });
-        }
-        let before = self.keys.get(&key);
-        let line = before.map_or_else(
-            || Line::new(came, came),
-            |line| line.with(came, self.oldest),
-        );
-        self.keys.insert(key, line);
-        let close = (came - line.since + APART).min(LONGEST_LINE);
-        let full = if line.is_full() && !line.stranger {
-            came - line.full
+        let arrivals = self.record_arrival(key, arrival);
+        let hold = connection_hold
+            .max(arrivals.burst_hold(arrival))
+            .max(arrivals.queue_hold(arrival));
+        arrival - hold
+    }
+
+    /// Longest time, in seconds, that a client may have waited for a connection.
+    fn connection_hold(&self, open_queries: usize) -> f64 {
+        if open_queries + SPARE_CONNECTIONS < self.connection_capacity {
+            MIN_HOLD_SECONDS
         } else {
-            0.0
+            MIN_HOLD_SECONDS.max(self.connect_timeout)
+        }
+    }
+
+    fn record_arrival(&mut self, key: u64, arrival: f64) -> KeyArrivals {
+        if self.keys.len() > KEY_PRUNE_COUNT {
+            self.keys
+                .retain(|_, arrivals| arrivals.is_relevant(arrival, self.max_queue_age));
+        }
+        let arrivals = match self.keys.get(&key) {
+            Some(earlier) => earlier.with_arrival(arrival, self.max_queue_age),
+            None => KeyArrivals::new(arrival, arrival),
         };
-        came - waited.max(close).max(full)
+        self.keys.insert(key, arrivals);
+        arrivals
     }
 }
 
-/// Whether two batches of a key came as far apart as they do out of a full line: one of the protocol's two distances, and
-/// any places between that were never seen.
-fn is_distance(gap: f64) -> bool {
-    let off = |base: f64| {
-        let places = ((gap - base) / PLACE).round().max(0.0);
-        (gap - base - places * PLACE).abs()
+/// Whether two queries of a key arrived as far apart as they do out of a full queue: by one of the protocol's two gaps, and
+/// one more [`QUEUE_GAP_SECONDS`] for each query between them that expired unseen.
+fn is_protocol_gap(gap: f64) -> bool {
+    let deviation = |base: f64| {
+        let expired = ((gap - base) / QUEUE_GAP_SECONDS).round().max(0.0);
+        (gap - base - expired * QUEUE_GAP_SECONDS).abs()
     };
-    off(PLACE).min(off(APART)) < EXACT
+    deviation(QUEUE_GAP_SECONDS).min(deviation(NEW_CONNECTION_GAP_SECONDS)) < GAP_TOLERANCE_SECONDS
 }
 
 #[cfg(test)]
