--- a/crates/gateway/src/http/statement.rs
+++ b/crates/gateway/src/http/statement.rs
@@ -1,15 +1,19 @@
-//! The data set of a batch, taken out of its statement: the number behind the underscore in the name of the
-//! schema that it reads or writes. Strings, comments, quoted texts and `staging` do not count.
+//! Parse stage: finds the data set of a query in its SQL statement. It is the number after the last underscore in the name of
+//! the schema that the statement reads or writes. Strings, comments and the schema `staging` do not count.
 
-/// Schema that holds no data set.
-const STAGING: &str = "staging";
+mod tokens;
 
-/// Words after which a table is named.
-const BEFORE_TABLE: [&str; 9] = [
+use tokens::{tokenize, Token};
+
+/// The schema that holds no data set.
+const STAGING_SCHEMA: &str = "staging";
+
+/// Keywords after which a table is named.
+const TABLE_KEYWORDS: [&str; 9] = [
     "from", "join", "into", "update", "table", "using", "only", "copy", "truncate",
 ];
-/// Words that end the list of tables after `FROM`.
-const AFTER_TABLES: [&str; 14] = [
+/// Keywords that end the list of tables after `FROM`.
+const CLAUSE_KEYWORDS: [&str; 14] = [
     "where",
     "group",
     "order",
@@ -26,204 +30,153 @@
     "returning",
 ];
 
-#[derive(Debug, PartialEq)]
-enum Token {
-    /// A name with its parts, as in `sales_17.orders`; quoted parts keep their case.
-    Name(Vec<String>),
-    Mark(char),
-}
-
-/// The data set that a statement reads or writes: of the first table in the place of one, else of the first
-/// qualified name; `None` where no schema has a number.
+/// The data set that a statement reads or writes: that of the first table that is named as one and has a number, else of the
+/// first qualified name that has one. None where no schema has a number.
 pub fn data_set(statement: &[u8]) -> Option<u32> {
     let text = String::from_utf8_lossy(statement);
-    let tokens = tokens(&text);
-    tables(&tokens).into_iter().find_map(number).or_else(|| {
-        tokens.iter().find_map(|t| match t {
-            Token::Name(parts) => number(parts),
-            Token::Mark(_) => None,
+    let tokens = tokenize(&text);
+    let table_data_set = TableFinder::new(&tokens)
+        .tables()
+        .into_iter()
+        .find_map(schema_number);
+    table_data_set.or_else(|| {
+        tokens.iter().find_map(|token| match token {
+            Token::Name(parts) => schema_number(parts),
+            Token::Punctuation(_) => None,
         })
     })
 }
 
-/// Names that stand where a table is named. `FROM` inside a call, as in `trim(a FROM b)`, names none, and
-/// neither does `IS DISTINCT FROM`.
-fn tables(tokens: &[Token]) -> Vec<&[String]> {
-    let mut found = Vec::new();
-    // For each open bracket: whether clauses are read there, and whether a table is due or a list goes on.
-    let mut open = vec![(true, false, false)];
-    let mut before = "";
-    for (i, token) in tokens.iter().enumerate() {
-        let Some((clauses, due, list)) = open.last_mut() else {
-            break;
-        };
-        match token {
-            Token::Mark('(') => {
-                let next = match tokens.get(i + 1) {
-                    Some(Token::Name(parts)) => parts[0].to_ascii_lowercase(),
-                    Some(Token::Mark('(')) => "(".into(),
-                    _ => String::new(),
-                };
-                let inner = matches!(next.as_str(), "select" | "with" | "(") || *due;
-                let due = std::mem::take(due) && next != "select" && next != "with";
-                open.push((inner, due, due));
-                before = "";
-            }
-            Token::Mark(')') => {
-                if open.len() > 1 {
-                    open.pop();
-                }
-                before = "";
-            }
-            Token::Mark(',') => *due = *list,
-            Token::Mark(_) => *due = false,
-            Token::Name(parts) if parts.len() == 1 => {
-                let word = parts[0].to_ascii_lowercase();
-                if let Some(at) = BEFORE_TABLE.iter().position(|w| *w == word) {
-                    *due = *clauses && !(at == 0 && before == "distinct");
-                    *list = *due && word == "from";
-                } else if AFTER_TABLES.contains(&word.as_str()) {
-                    (*due, *list) = (false, false);
-                } else {
-                    *due = false;
-                }
-                before = if word == "distinct" { "distinct" } else { "" };
-            }
-            Token::Name(parts) => {
-                if std::mem::take(due) {
-                    found.push(parts.as_slice());
-                }
-                before = "";
-            }
-        }
-    }
-    found
-}
-
-/// The number in a qualified name's schema, the part before the last.
-fn number(parts: &[String]) -> Option<u32> {
-    let schema = parts.len().checked_sub(2).and_then(|at| parts.get(at))?;
-    if schema.eq_ignore_ascii_case(STAGING) {
+/// The number of a qualified name's schema, which is the part before the last.
+fn schema_number(name: &[String]) -> Option<u32> {
+    let [.., schema, _] = name else {
+        return None;
+    };
+    if schema.eq_ignore_ascii_case(STAGING_SCHEMA) {
         return None;
     }
     let (_, digits) = schema.rsplit_once('_')?;
-    digits
-        .parse()
-        .ok()
-        .filter(|_| digits.bytes().all(|b| b.is_ascii_digit()))
-}
-
-fn tokens(text: &str) -> Vec<Token> {
-    let mut out = Vec::new();
-    let mut rest = text;
-    while let Some(c) = rest.chars().next() {
-        rest = match c {
-            '\'' => after_quoted(rest, '\''),
-            '-' if rest.starts_with("--") => rest.find('\n').map_or("", |at| &rest[at..]),
-            '/' if rest.starts_with("/*") => after_comment(rest),
-            '$' => after_dollars(rest),
-            c if c == '"' || c == '`' || starts_name(c) => {
-                let (parts, later) = name(rest);
-                out.push(Token::Name(parts));
-                later
-            }
-            // Numbers are passed over whole: `1e5` holds no name.
-            c if c.is_ascii_digit() => rest.trim_start_matches(|c: char| in_name(c) || c == '.'),
-            c => {
-                if !c.is_whitespace() {
-                    out.push(Token::Mark(c));
-                }
-                &rest[c.len_utf8()..]
-            }
-        };
+    if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
     }
-    out
+    digits.parse().ok()
 }
 
-fn starts_name(c: char) -> bool {
-    c.is_alphabetic() || c == '_'
+/// The text between a pair of parentheses, or the statement itself.
+#[derive(Clone, Copy)]
+struct Scope {
+    /// Whether keywords of clauses count: `FROM` as in `trim(a FROM b)` names no table.
+    has_clauses: bool,
+    /// The next name is that of a table.
+    expects_table: bool,
+    /// A table follows the next comma.
+    in_table_list: bool,
 }
 
-fn in_name(c: char) -> bool {
-    c.is_alphanumeric() || c == '_' || c == '$'
+/// Finds the qualified names that stand where a table is named.
+struct TableFinder<'a> {
+    tokens: &'a [Token],
+    /// The open scopes, the innermost last; the statement itself is never closed.
+    scopes: Vec<Scope>,
+    /// The last name was `DISTINCT`: the `FROM` of `IS DISTINCT FROM` names no table.
+    after_distinct: bool,
+    found: Vec<&'a [String]>,
 }
 
-/// A name, with all parts that dots join.
-fn name(text: &str) -> (Vec<String>, &str) {
-    let (mut parts, mut rest) = (Vec::new(), text);
-    loop {
-        match rest.chars().next() {
-            Some(quote @ ('"' | '`')) => {
-                let later = after_quoted(rest, quote);
-                let inner = &rest[1..rest.len() - later.len()];
-                parts.push(inner.strip_suffix(quote).unwrap_or(inner).to_string());
-                rest = later;
-            }
-            Some(c) if starts_name(c) => {
-                let end = rest.find(|c| !in_name(c)).unwrap_or(rest.len());
-                parts.push(rest[..end].to_string());
-                rest = &rest[end..];
-            }
-            _ => return (parts, rest),
+impl<'a> TableFinder<'a> {
+    fn new(tokens: &'a [Token]) -> Self {
+        let statement_scope = Scope {
+            has_clauses: true,
+            expects_table: false,
+            in_table_list: false,
+        };
+        TableFinder {
+            tokens,
+            scopes: vec![statement_scope],
+            after_distinct: false,
+            found: Vec::new(),
         }
-        let later = rest.trim_start();
-        match later.strip_prefix('.') {
-            Some(later)
-                if later
-                    .trim_start()
-                    .starts_with(|c| c == '"' || c == '`' || starts_name(c)) =>
-            {
-                rest = later.trim_start();
+    }
+
+    /// The names of tables, in the order of the statement.
+    fn tables(mut self) -> Vec<&'a [String]> {
+        let tokens = self.tokens;
+        for (index, token) in tokens.iter().enumerate() {
+            match token {
+                Token::Punctuation('(') => self.open_scope(tokens.get(index + 1)),
+                Token::Punctuation(')') => self.close_scope(),
+                Token::Punctuation(',') => {
+                    let scope = self.scope();
+                    scope.expects_table = scope.in_table_list;
+                }
+                Token::Punctuation(_) => self.scope().expects_table = false,
+                Token::Name(parts) => match parts.as_slice() {
+                    [word] => self.word(&word.to_ascii_lowercase()),
+                    parts => self.qualified_name(parts),
+                },
             }
-            _ => return (parts, rest),
         }
+        self.found
+    }
+
+    fn scope(&mut self) -> &mut Scope {
+        self.scopes
+            .last_mut()
+            .expect("the scope of the statement is never closed")
+    }
+
+    fn open_scope(&mut self, next: Option<&Token>) {
+        let is_query = next.is_some_and(|token| starts_with_keyword(token, &["select", "with"]));
+        let is_nested = next == Some(&Token::Punctuation('('));
+        let scope = self.scope();
+        let expects_table = std::mem::take(&mut scope.expects_table);
+        let is_table_list = expects_table && !is_query;
+        self.scopes.push(Scope {
+            has_clauses: is_query || is_nested || expects_table,
+            expects_table: is_table_list,
+            in_table_list: is_table_list,
+        });
+        self.after_distinct = false;
     }
-}
 
-/// What follows a quoted text; a doubled quote stays inside.
-fn after_quoted(text: &str, quote: char) -> &str {
-    let mut rest = &text[1..];
-    while let Some(at) = rest.find(quote) {
-        rest = &rest[at + 1..];
-        match rest.strip_prefix(quote) {
-            Some(later) => rest = later,
-            None => return rest,
+    fn close_scope(&mut self) {
+        if self.scopes.len() > 1 {
+            self.scopes.pop();
         }
+        self.after_distinct = false;
     }
-    ""
-}
 
-/// What follows a comment; comments nest.
-fn after_comment(text: &str) -> &str {
-    let (mut depth, mut rest) = (0, text);
-    while !rest.is_empty() {
-        if let Some(later) = rest.strip_prefix("/*") {
-            (depth, rest) = (depth + 1, later);
-        } else if let Some(later) = rest.strip_prefix("*/") {
-            (depth, rest) = (depth - 1, later);
-            if depth == 0 {
-                return rest;
-            }
+    /// A keyword, or a name without a schema.
+    fn word(&mut self, word: &str) {
+        let follows_distinct = std::mem::replace(&mut self.after_distinct, word == "distinct");
+        let scope = self.scope();
+        if TABLE_KEYWORDS.contains(&word) {
+            let is_distinct_from = word == "from" && follows_distinct;
+            scope.expects_table = scope.has_clauses && !is_distinct_from;
+            scope.in_table_list = scope.expects_table && word == "from";
+        } else if CLAUSE_KEYWORDS.contains(&word) {
+            scope.expects_table = false;
+            scope.in_table_list = false;
         } else {
-            rest = rest.char_indices().nth(1).map_or("", |(at, _)| &rest[at..]);
+            scope.expects_table = false;
+        }
+    }
+
+    fn qualified_name(&mut self, parts: &'a [String]) {
+        if std::mem::take(&mut self.scope().expects_table) {
+            self.found.push(parts);
         }
+        self.after_distinct = false;
     }
-    ""
 }
 
-/// What follows a dollar-quoted text, or the dollar alone.
-fn after_dollars(text: &str) -> &str {
-    let tag = text[1..]
-        .find(|c| !in_name(c) || c == '$')
-        .map(|at| &text[..at + 1]);
-    let tag = tag
-        .filter(|tag| text[tag.len()..].starts_with('$'))
-        .map(|tag| &text[..tag.len() + 1]);
-    match tag {
-        Some(tag) => text[tag.len()..]
-            .split_once(tag)
-            .map_or("", |(_, later)| later),
-        None => &text[1..],
+/// Whether the first part of a name is one of these keywords.
+fn starts_with_keyword(token: &Token, keywords: &[&str]) -> bool {
+    match token {
+        Token::Name(parts) => parts
+            .first()
+            .is_some_and(|part| keywords.iter().any(|word| part.eq_ignore_ascii_case(word))),
+        Token::Punctuation(_) => false,
     }
 }
 
