--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -94,8 +94,8 @@
             }
         };
         // A connection on which a request was not sent to its end can't carry another.
-        let is_request_sent = !is_streamed || self.request_may_have_arrived;
-        self.sender = (response.is_ok() && is_request_sent).then_some(sender);
+        let is_request_complete = !is_streamed || self.request_may_have_arrived;
+        self.sender = (response.is_ok() && is_request_complete).then_some(sender);
         response
     }
 
@@ -130,13 +130,13 @@
         time_limit: Duration,
         response: impl Future<Output = Result<Reply, CallError>>,
     ) -> Result<Reply, CallError> {
-        let sent_at = Instant::now();
+        let started_at = Instant::now();
         let response = timeout(time_limit, response)
             .await
             .unwrap_or(Err(CallError::TimedOut));
         if response.is_ok() {
             self.response_timeout
-                .answered(Instant::now(), sent_at.elapsed());
+                .answered(Instant::now(), started_at.elapsed());
         }
         response
     }
@@ -150,7 +150,7 @@
         time_limit: Duration,
     ) -> Result<Reply, CallError> {
         if kind != CallKind::Other {
-            self.request_sent();
+            self.record_request_written();
         }
         let receiving = receive_reply(sender, request);
         self.await_response(time_limit, receiving).await
@@ -167,12 +167,12 @@
     ) -> Result<Reply, CallError> {
         let receiving = receive_reply(sender, request);
         tokio::pin!(receiving);
-        let sent = tokio::select! {
+        let body_result = tokio::select! {
             biased;
             response = &mut receiving => return response,
-            sent = self.send_body(body) => sent,
+            result = self.send_body(body) => result,
         };
-        if let Err(error) = sent {
+        if let Err(error) = body_result {
             tracing::debug!(%error, "request body could not be sent");
             self.body_unreadable = !matches!(error, ReadFault::CutOff);
             return Err(CallError::ConnectionLost);
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -76,7 +76,7 @@
     }
 
     /// Records that the last byte of a call which keeps the attempt running is being sent.
-    pub(super) fn request_sent(&mut self) {
+    pub(super) fn record_request_written(&mut self) {
         self.request_may_have_arrived = true;
         self.record(Evidence::RequestSent);
     }
@@ -96,7 +96,7 @@
             let chunk = match reader.next().await {
                 Ok(Some(chunk)) => chunk,
                 Ok(None) => {
-                    self.request_sent();
+                    self.record_request_written();
                     return Ok(());
                 }
                 Err(error) => {
@@ -107,7 +107,7 @@
             // An engine runs an attempt only once it has received the whole body.
             let is_last = length == Some(reader.at());
             if is_last {
-                self.request_sent();
+                self.record_request_written();
             }
             if sender.send_data(chunk).await.is_err() {
                 // The connection is lost or the engine has responded: the caller, which waits for both, ends this.
--- a/crates/gateway/src/system/budgeted_stream.rs
+++ b/crates/gateway/src/system/budgeted_stream.rs
@@ -12,66 +12,79 @@
 use std::task::{Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// More than any head of an answer; hyper asks for 8 KB at least.
+/// The longest head of a response that is read, in bytes; hyper requires 8 KiB at least.
 pub const MAX_RESPONSE_HEAD_BYTES: usize = 16 << 10;
 
-/// Whether what a connection has not sent yet is to be thrown away when it closes. The machine goes on sending for
-/// minutes otherwise: a start written while the engine was cut off would come, and run, long after it was given up.
+/// Aborts a connection: nothing more is written, and what the system has not sent yet is discarded when the connection
+/// closes. Otherwise the system goes on to send for minutes, and a request that was written while the engine was cut off
+/// would arrive, and run, long after its attempt was cancelled.
 #[derive(Clone, Debug, Default)]
 pub struct AbortFlag(Arc<AtomicBool>);
 
 impl AbortFlag {
+    /// Aborts the connection, if it is still open.
     pub fn abort(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
+
+    fn is_aborted(&self) -> bool {
+        self.0.load(Ordering::Relaxed)
+    }
 }
 
-/// A TCP stream to an engine or the change log, with its part of the budget.
+/// A TCP stream to an engine or the change log, with its part of the connection budget.
 #[derive(Debug)]
 pub struct BudgetedStream {
     io: TokioIo<Socket>,
     abort_flag: AbortFlag,
-    /// Of the start that goes out on it.
-    gate: Option<Arc<SendGate>>,
+    /// The gate of the request that starts an attempt on this connection.
+    send_gate: Option<Arc<SendGate>>,
     write_timeout: WriteTimeout,
-    /// Its part of the budget, where no one else holds that.
+    /// Returned to the budget when the stream is dropped.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
 impl BudgetedStream {
+    /// A stream over a connected socket; `permit` is none where the connection is in no budget.
     pub fn new(socket: Socket, permit: Option<OwnedSemaphorePermit>) -> Self {
         BudgetedStream {
             io: TokioIo::new(socket),
             abort_flag: AbortFlag::default(),
-            gate: None,
+            send_gate: None,
             write_timeout: WriteTimeout::default(),
             _permit: permit,
         }
     }
 
-    /// For who gives the connection up while bytes may still be on their way.
+    /// The flag that aborts this connection.
     pub fn abort_flag(&self) -> AbortFlag {
         self.abort_flag.clone()
     }
 
-    /// Lets a start out only through this gate.
-    pub fn gated(mut self, gate: Option<Arc<SendGate>>) -> Self {
-        self.gate = gate;
+    /// Writes only what the gate allows, from now on.
+    pub fn gated(mut self, send_gate: Option<Arc<SendGate>>) -> Self {
+        self.send_gate = send_gate;
         self
     }
 
     fn check_write_allowed(&self) -> io::Result<()> {
-        let is_aborted = self.abort_flag.0.load(Ordering::Relaxed);
-        match is_aborted || self.gate.as_ref().is_some_and(|gate| !gate.allows_write()) {
-            true => Err(io::ErrorKind::ConnectionAborted.into()),
-            false => Ok(()),
+        let is_aborted = self.abort_flag.is_aborted();
+        if is_aborted || !self.send_gate_allows_write() {
+            return Err(io::ErrorKind::ConnectionAborted.into());
         }
+        Ok(())
+    }
+
+    fn send_gate_allows_write(&self) -> bool {
+        self.send_gate
+            .as_ref()
+            .is_none_or(|gate| gate.allows_write())
     }
 }
 
 impl Drop for BudgetedStream {
     fn drop(&mut self) {
-        if self.abort_flag.0.load(Ordering::Relaxed) {
+        if self.abort_flag.is_aborted() {
             self.io.inner().discard_on_close();
         }
     }
@@ -94,16 +107,16 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         self.check_write_allowed()?;
-        let end = Pin::new(&mut self.io).poll_write(cx, buf);
-        self.write_timeout.bounded(cx, end)
+        let result = Pin::new(&mut self.io).poll_write(cx, buf);
+        self.write_timeout.bounded(cx, result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        let end = Pin::new(&mut self.io).poll_flush(cx);
-        if let (Poll::Ready(Ok(())), Some(gate)) = (&end, &self.gate) {
+        let result = Pin::new(&mut self.io).poll_flush(cx);
+        if let (Poll::Ready(Ok(())), Some(gate)) = (&result, &self.send_gate) {
             gate.flushed();
         }
-        end
+        result
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -120,7 +133,7 @@
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         self.check_write_allowed()?;
-        let end = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
-        self.write_timeout.bounded(cx, end)
+        let result = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
+        self.write_timeout.bounded(cx, result)
     }
 }
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -1,106 +1,146 @@
-//! Stops a request that is being sent once it must not reach its engine any more.
+//! Stops the request that starts an attempt, up to its last byte, once nobody waits for the attempt any more.
+//!
+//! A query may be answered while the connection of an attempt is still coming up, or while a long request is being
+//! written. An engine that received the rest would run a query that is over.
 
+use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 
-/// Looked at right before each byte of a start leaves: nothing of it does once nobody waits for it any more. A batch may have
-/// its answer while the connection for its dispatch is still coming up, or while the machine takes a long start in by parts;
-/// an engine that got the rest would run what is over.
+/// How far the request behind a gate has been sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u8)]
+enum SendState {
+    /// Not handed to the connection yet.
+    NotStarted,
+    /// Being written to the connection.
+    Sending,
+    /// Handed to the connection up to its last byte, which may still be in its buffer.
+    Buffered,
+    /// Written to the socket completely. Final.
+    Sent,
+    /// Stopped before it was written completely. Final.
+    Stopped,
+}
+
+/// A [`SendState`] that the tasks of the attempt and of its connection share.
+struct SharedState(AtomicU8);
+
+impl SharedState {
+    fn new(state: SendState) -> Self {
+        SharedState(AtomicU8::new(state as u8))
+    }
+
+    fn get(&self) -> SendState {
+        const ALL: [SendState; 5] = [
+            SendState::NotStarted,
+            SendState::Sending,
+            SendState::Buffered,
+            SendState::Sent,
+            SendState::Stopped,
+        ];
+        ALL[usize::from(self.0.load(Ordering::Relaxed))]
+    }
+
+    fn set(&self, state: SendState) {
+        self.0.store(state as u8, Ordering::Relaxed);
+    }
+
+    /// Moves on to `to`; nothing happens where the state is not `from`.
+    fn advance(&self, from: SendState, to: SendState) {
+        // Any other state is further on already, or final.
+        let _ = self
+            .0
+            .compare_exchange(from as u8, to as u8, Ordering::Relaxed, Ordering::Relaxed);
+    }
+}
+
+/// Decides right before each write whether the request that starts an attempt may still be sent.
 pub struct SendGate {
     may_start: Box<dyn Fn() -> bool + Send + Sync>,
-    wanted: Box<dyn Fn() -> bool + Send + Sync>,
-    state: AtomicU8,
-    /// Its first byte was let out.
-    started: AtomicBool,
+    is_wanted: Box<dyn Fn() -> bool + Send + Sync>,
+    state: SharedState,
+    /// The first write was allowed.
+    has_started: AtomicBool,
 }
 
-/// Where a gate's start stands.
-const NOT_STARTED: u8 = 0;
-/// It is being handed to the machine.
-const SENDING: u8 = 1;
-/// Its last byte has been handed over to be written.
-const BODY_CONSUMED: u8 = 2;
-/// The machine has all of it.
-const FLUSHED: u8 = 3;
-/// It was stopped before that, for good.
-const STOPPED: u8 = 4;
-
-impl std::fmt::Debug for SendGate {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "a gate at {}", self.state.load(Ordering::Relaxed))
+impl fmt::Debug for SendGate {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.debug_struct("SendGate")
+            .field("state", &self.state.get())
+            .finish_non_exhaustive()
     }
 }
 
 impl SendGate {
-    /// `may_start` tells whether its engine takes new dispatches; `wanted` whether somebody still waits for what is started.
+    /// A gate for one request. `may_start` says whether the engine takes new attempts and counts for the first write only;
+    /// `is_wanted` says whether somebody waits for the attempt and counts for each write.
     pub fn new(
         may_start: impl Fn() -> bool + Send + Sync + 'static,
-        wanted: impl Fn() -> bool + Send + Sync + 'static,
+        is_wanted: impl Fn() -> bool + Send + Sync + 'static,
     ) -> Self {
-        let (may_start, wanted) = (Box::new(may_start), Box::new(wanted));
         SendGate {
-            may_start,
-            wanted,
-            state: AtomicU8::new(NOT_STARTED),
-            started: AtomicBool::new(false),
+            may_start: Box::new(may_start),
+            is_wanted: Box::new(is_wanted),
+            state: SharedState::new(SendState::NotStarted),
+            has_started: AtomicBool::new(false),
         }
     }
 
-    fn transition(&self, from: u8, to: u8) -> bool {
+    /// The request is handed to the connection from now on.
+    pub fn start_sending(&self) {
         self.state
-            .compare_exchange(from, to, Ordering::Relaxed, Ordering::Relaxed)
-            .is_ok()
+            .advance(SendState::NotStarted, SendState::Sending);
     }
 
-    /// The start is handed over to be written, from now on.
-    pub fn start_sending(&self) {
-        self.transition(NOT_STARTED, SENDING);
+    /// The last byte of the request was handed to the connection.
+    pub fn body_consumed(&self) {
+        self.state.advance(SendState::Sending, SendState::Buffered);
     }
 
-    /// The last byte of the start has been handed over to be written.
-    pub fn body_consumed(&self) {
-        self.transition(SENDING, BODY_CONSUMED);
+    /// All that was handed to the connection was written to the socket.
+    pub(super) fn flushed(&self) {
+        self.state.advance(SendState::Buffered, SendState::Sent);
     }
 
-    /// Other calls follow the start, answered or lost: none of them is held back for it.
+    /// Lets later calls on the same connection through, whatever became of the request; a stopped gate stays stopped.
     pub fn release(&self) {
         if !self.is_stopped() {
-            self.state.store(FLUSHED, Ordering::Relaxed);
+            self.state.set(SendState::Sent);
         }
     }
 
-    /// All that was handed over has been written.
-    pub(super) fn flushed(&self) {
-        self.transition(BODY_CONSUMED, FLUSHED);
-    }
-
-    /// Whether a byte may leave. Once one may not, none of the start does any more.
+    /// Whether bytes may be written. Once they may not, the request is stopped.
     pub(super) fn allows_write(&self) -> bool {
-        match self.state.load(Ordering::Relaxed) {
-            FLUSHED => true,
-            STOPPED => false,
-            _ if (self.wanted)()
-                && (self.started.load(Ordering::Relaxed) || (self.may_start)()) =>
-            {
-                self.started.store(true, Ordering::Relaxed);
-                true
-            }
-            _ => {
-                self.state.store(STOPPED, Ordering::Relaxed);
-                false
+        match self.state.get() {
+            SendState::Sent => true,
+            SendState::Stopped => false,
+            SendState::NotStarted | SendState::Sending | SendState::Buffered => {
+                self.check_still_wanted()
             }
         }
     }
 
-    /// Stops the start unless the machine has all of it; whether it can't have come whole, now or ever.
+    fn check_still_wanted(&self) -> bool {
+        let has_started = self.has_started.load(Ordering::Relaxed);
+        let is_allowed = (self.is_wanted)() && (has_started || (self.may_start)());
+        if is_allowed {
+            self.has_started.store(true, Ordering::Relaxed);
+        } else {
+            self.state.set(SendState::Stopped);
+        }
+        is_allowed
+    }
+
+    /// Stops the request unless it was written to the socket completely; whether it is stopped.
     pub fn stop(&self) -> bool {
-        if self.state.load(Ordering::Relaxed) != FLUSHED {
-            self.state.store(STOPPED, Ordering::Relaxed);
+        if self.state.get() != SendState::Sent {
+            self.state.set(SendState::Stopped);
         }
         self.is_stopped()
     }
 
-    /// Whether it was stopped, so that it can't have come whole.
+    /// Whether the request was stopped, so that its engine never receives it completely.
     pub fn is_stopped(&self) -> bool {
-        self.state.load(Ordering::Relaxed) == STOPPED
+        self.state.get() == SendState::Stopped
     }
 }
--- a/crates/gateway/src/system/write_timeout.rs
+++ b/crates/gateway/src/system/write_timeout.rs
@@ -1,4 +1,4 @@
-//! Ends a connection whose write has waited too long.
+//! Ends a connection whose peer has stopped reading.
 
 use std::future::Future;
 use std::io;
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use tokio::time::{sleep, Sleep};
 
-/// A write that nothing is read of for this long ends the connection: far above any client's patience with
-/// its own network.
+/// How long a write may wait for its peer to read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a connection's write has waited; it lets none wait for ever.
+/// The timeout of a connection's write; it runs while a write is pending.
 #[derive(Debug, Default)]
 pub struct WriteTimeout(Option<Pin<Box<Sleep>>>);
 
 impl WriteTimeout {
-    /// The end of a write as it is, or that of one that has waited too long.
+    /// Passes on the result of polling a write; a write that stays pending too long fails with
+    /// [`io::ErrorKind::TimedOut`].
     pub fn bounded(
         &mut self,
         cx: &mut Context,
@@ -26,8 +26,8 @@
             self.0 = None;
             return result;
         }
-        let deadline = self.0.get_or_insert_with(|| Box::pin(sleep(WRITE_TIMEOUT)));
-        deadline
+        let timeout = self.0.get_or_insert_with(|| Box::pin(sleep(WRITE_TIMEOUT)));
+        timeout
             .as_mut()
             .poll(cx)
             .map(|()| Err(io::ErrorKind::TimedOut.into()))
