--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -49,18 +49,10 @@
         events: &AttemptEvents,
     ) -> PollOutcome {
         let mut schedule = self.poll_schedule();
-        let Some((request, body)) = self.start_request(call, start) else {
-            return self.never_reached(AttemptEnd::ConnectFailed);
-        };
-        let Some(mut response) = self
-            .start_until_cancelled(request, body, cancellation)
-            .await
-        else {
-            return PollOutcome::CancelRequested;
+        let mut response = match self.send_start(call, start, cancellation).await {
+            ControlFlow::Break(outcome) => return outcome,
+            ControlFlow::Continue(response) => response,
         };
-        if let Some(end) = self.end_before_arrival(&response, *cancellation.borrow()) {
-            return self.never_reached(end);
-        }
         let mut response_to = ResponseTo::Start;
         loop {
             let checked = match self.process_response(response, response_to, events) {
@@ -83,6 +75,30 @@
         }
     }
 
+    /// Sends the request that starts the attempt: breaks with the outcome where it has not arrived, otherwise continues with
+    /// the response.
+    async fn send_start(
+        &mut self,
+        call: &Call,
+        start: &AttemptStart,
+        cancellation: &mut watch::Receiver<CancellationState>,
+    ) -> ControlFlow<PollOutcome, Result<Reply, CallError>> {
+        let Some((request, body)) = self.start_request(call, start) else {
+            return ControlFlow::Break(self.never_reached(AttemptEnd::ConnectFailed));
+        };
+        let Some(response) = self
+            .start_until_cancelled(request, body, cancellation)
+            .await
+        else {
+            return ControlFlow::Break(PollOutcome::CancelRequested);
+        };
+        let cancellation = *cancellation.borrow();
+        match self.end_before_arrival(&response, cancellation) {
+            Some(end) => ControlFlow::Break(self.never_reached(end)),
+            None => ControlFlow::Continue(response),
+        }
+    }
+
     /// Ends an attempt whose request has not arrived completely and can't arrive any more.
     fn never_reached(&self, end: AttemptEnd) -> PollOutcome {
         self.record(Evidence::NeverReached);
@@ -91,7 +107,7 @@
 
     /// How the attempt has ended where its request has not arrived completely; none where it may have.
     fn end_before_arrival(
-        &mut self,
+        &self,
         response: &Result<Reply, CallError>,
         cancellation: CancellationState,
     ) -> Option<AttemptEnd> {
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -144,3 +144,6 @@
         self.state.get() == SendState::Stopped
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/system/send_gate/tests.rs
@@ -0,0 +1,78 @@
+use super::*;
+use std::sync::Arc;
+
+/// A gate whose two conditions the test sets.
+struct TestGate {
+    gate: SendGate,
+    may_start: Arc<AtomicBool>,
+    is_wanted: Arc<AtomicBool>,
+}
+
+impl TestGate {
+    fn new() -> Self {
+        let may_start = Arc::new(AtomicBool::new(true));
+        let is_wanted = Arc::new(AtomicBool::new(true));
+        let gate = SendGate::new(read(&may_start), read(&is_wanted));
+        TestGate {
+            gate,
+            may_start,
+            is_wanted,
+        }
+    }
+}
+
+fn read(flag: &Arc<AtomicBool>) -> impl Fn() -> bool + Send + Sync + 'static {
+    let flag = flag.clone();
+    move || flag.load(Ordering::Relaxed)
+}
+
+#[test]
+fn a_request_whose_engine_takes_no_new_attempts_does_not_start() {
+    let test = TestGate::new();
+    test.may_start.store(false, Ordering::Relaxed);
+    test.gate.start_sending();
+    assert!(!test.gate.allows_write());
+    assert!(test.gate.is_stopped());
+}
+
+#[test]
+fn a_request_that_has_started_may_end_while_its_engine_drains() {
+    let test = TestGate::new();
+    test.gate.start_sending();
+    assert!(test.gate.allows_write());
+    test.may_start.store(false, Ordering::Relaxed);
+    assert!(test.gate.allows_write());
+}
+
+#[test]
+fn a_request_that_nobody_waits_for_is_stopped_for_good() {
+    let test = TestGate::new();
+    test.gate.start_sending();
+    assert!(test.gate.allows_write());
+    test.is_wanted.store(false, Ordering::Relaxed);
+    assert!(!test.gate.allows_write());
+    test.is_wanted.store(true, Ordering::Relaxed);
+    test.gate.body_consumed();
+    test.gate.flushed();
+    test.gate.release();
+    assert!(!test.gate.allows_write());
+}
+
+#[test]
+fn a_flush_before_the_last_byte_does_not_count_as_sent() {
+    let test = TestGate::new();
+    test.gate.start_sending();
+    test.gate.flushed();
+    assert!(test.gate.stop());
+}
+
+#[test]
+fn a_request_that_was_sent_completely_can_t_be_stopped() {
+    let test = TestGate::new();
+    test.gate.start_sending();
+    test.gate.body_consumed();
+    test.gate.flushed();
+    test.is_wanted.store(false, Ordering::Relaxed);
+    assert!(!test.gate.stop());
+    assert!(test.gate.allows_write());
+}
