--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -36,7 +36,7 @@
     ) -> Option<(Request<RequestBody>, Option<StreamedBody>)> {
         let mut request = request(Method::POST, self.target.address, START_PATH);
         let (source, length, streamed) = match &call.statement {
-            Statement::Whole(bytes) => {
+            Statement::Complete(bytes) => {
                 let source = Either::Left(Full::new(bytes.clone()));
                 (source, Some(bytes.len() as u64), None)
             }
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/call.rs
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub enum Statement {
     /// Received completely.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Still being received.
     Streamed(Arc<Body>),
 }
@@ -37,7 +37,7 @@
 impl PartialEq for Statement {
     fn eq(&self, other: &Self) -> bool {
         match (self, other) {
-            (Statement::Whole(a), Statement::Whole(b)) => a == b,
+            (Statement::Complete(a), Statement::Complete(b)) => a == b,
             (Statement::Streamed(a), Statement::Streamed(b)) => Arc::ptr_eq(a, b),
             _ => false,
         }
@@ -47,7 +47,7 @@
 impl fmt::Debug for Statement {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Statement::Whole(bytes) => write!(f, "{} bytes", bytes.len()),
+            Statement::Complete(bytes) => write!(f, "{} bytes", bytes.len()),
             Statement::Streamed(body) => write!(f, "a body of {:?} bytes", body.length()),
         }
     }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -91,7 +91,7 @@
             progress: watch::channel(None).0,
         };
         let value = HeaderValue::from_static;
-        let statement = Statement::Whole(Bytes::from_static(b"SELECT 1"));
+        let statement = Statement::Complete(Bytes::from_static(b"SELECT 1"));
         let call = Call {
             id: value("a1"),
             class: value("report"),
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -76,7 +76,7 @@
     let cost = estimate(head, COST)?.map(|ms| ms / 1000.0);
     let memory = estimate(head, MEMORY)?;
     let in_order = key.is_some() && decoded.settings.classes[index].in_order;
-    let statement = Statement::Whole(statement);
+    let statement = Statement::Complete(statement);
     let call = Call {
         id: id.clone(),
         class: group_name,
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -69,7 +69,7 @@
 
     /// A hash of what makes two calls the same; `None` where the statement is not in memory.
     fn fingerprint(&self, arriving: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
-        let Statement::Whole(statement) = &call.statement else {
+        let Statement::Complete(statement) = &call.statement else {
             return None;
         };
         Some(Fingerprint(self.fingerprint_hasher.hash_one((
