--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::gateway::Gateway;
 use crate::system::log::{print_error, Log};
 use crate::system::os_error::retry_blocking;
-use crate::system::signals::{Heard, Signals};
+use crate::system::signals::{SignalEvents, Signals};
 use pico_args::Arguments;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -111,7 +111,7 @@
 }
 
 async fn serve_until_stopped(files: Files, signals: Signals) -> Result<(), String> {
-    let Heard { mut stop, hangup } = signals.heed();
+    let SignalEvents { mut stop, hangup } = signals.listen();
     let mut stopped = Box::pin(async move {
         // It fails only with the task gone that hears signals, which goes with the runtime.
         let _ = stop.wait_for(|stop| *stop).await;
--- a/crates/gateway/src/system.rs
+++ b/crates/gateway/src/system.rs
@@ -1,4 +1,4 @@
-//! What the gateway takes from its machine: clocks, signals, sockets, the log, and the faults of system calls.
+//! What the gateway takes from its machine: clocks, signals, sockets, the log and error codes of the system.
 
 pub mod boot_clock;
 pub mod clock;
--- a/crates/gateway/src/system/clock.rs
+++ b/crates/gateway/src/system/clock.rs
@@ -1,45 +1,53 @@
-//! The one clock: monotonic, anchored once to Unix time, in seconds.
+//! The gateway's one clock: monotonic, in seconds, anchored to Unix time when it is started.
+//!
+//! The wall clock is read once, at the start. A later step of it changes nothing, and no decision compares this clock with
+//! that of another machine.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// A monotonic clock whose times are seconds since the Unix epoch, as the wall clock had it at the start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     anchor: Instant,
-    unix: f64,
+    anchor_unix_seconds: f64,
 }
 
 impl Clock {
+    /// A clock that is anchored to the wall clock now.
     pub fn start() -> Self {
-        let unix = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
             anchor: Instant::now(),
-            unix: unix.as_secs_f64(),
+            anchor_unix_seconds: since_epoch.as_secs_f64(),
         }
     }
 
+    /// The time now, in seconds.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
 
+    /// The time of an instant, in seconds; one before the start counts as the start.
     pub fn at(&self, instant: Instant) -> f64 {
-        self.unix + instant.saturating_duration_since(self.anchor).as_secs_f64()
+        let since_start = instant.saturating_duration_since(self.anchor);
+        self.anchor_unix_seconds + since_start.as_secs_f64()
     }
 
-    /// The instant of a time on this clock, for timers.
-    pub fn instant(&self, at: f64) -> Instant {
-        self.anchor + span(at - self.unix)
+    /// The instant of a time in seconds, for timers; at most a day after the start.
+    pub fn instant(&self, time: f64) -> Instant {
+        self.anchor + span(time - self.anchor_unix_seconds)
     }
 }
 
-/// A span from seconds; none that is negative, no number, or longer than a day.
+/// A duration from seconds, clamped to the range from zero to a day; zero for NaN.
 pub fn span(seconds: f64) -> Duration {
-    const DAY: f64 = 86_400.0;
-    Duration::try_from_secs_f64(seconds.clamp(0.0, DAY)).unwrap_or_default()
+    const DAY_SECONDS: f64 = 86_400.0;
+    Duration::try_from_secs_f64(seconds.clamp(0.0, DAY_SECONDS)).unwrap_or_default()
 }
 
-/// Minute of the day, UTC, of a time on the clock.
+/// The minute of the day, in UTC, of a time in Unix seconds.
 pub fn minute_of_day(now: f64) -> u32 {
     ((now / 60.0).max(0.0) as u64 % (24 * 60)) as u32
 }
--- a/crates/gateway/src/system/log.rs
+++ b/crates/gateway/src/system/log.rs
@@ -1,7 +1,10 @@
-//! The log on standard error. Lines go through a bounded queue to a thread that writes them, so that nothing that serves waits
-//! for who reads them: lines that find the queue full are lost, and their number is logged once lines flow again. A reader that
-//! has gone is no fault of the gateway: what can't be written is dropped.
+//! The log on standard error.
+//!
+//! Entries go through a bounded queue to a thread that writes them, so that nothing that serves waits for the log's reader.
+//! Entries that find the queue full are dropped, and their number is logged once entries flow again. An entry that cannot
+//! be written, for example because the reader has exited, is dropped as well.
 
+use std::fmt::Display;
 use std::fs::File;
 use std::io::{self, Write};
 use std::os::fd::AsFd;
@@ -12,17 +15,17 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that wait to be written; some minutes of the usual level, a megabyte at most.
-const QUEUED_LINES: usize = 4096;
-/// At the end the lines that still wait have this long: a kill may follow the last answer closely.
+/// Entries that wait to be written: some minutes of the usual level, a megabyte at most.
+const QUEUE_CAPACITY: usize = 4096;
+/// How long the exit waits for queued entries: SIGKILL may follow the last answer closely.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
-const FLUSH_POLL: Duration = Duration::from_millis(2);
-/// A reader that takes nothing now is tried again after this by the thread that writes.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Pause of the writing thread while the reader accepts nothing.
 const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// For a last word on a start that failed.
-const ERROR_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long the exit waits for the reason of a failure to be written.
+const PRINT_ERROR_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Lines handed over and lines written, to know when all are out.
+/// Counts of entries, to know when all are written.
 #[derive(Clone, Default)]
 struct Counts {
     queued: Arc<AtomicUsize>,
@@ -32,8 +35,8 @@
 /// The running log.
 pub struct Log {
     counts: Counts,
-    lost: ErrorCounter,
-    /// Never dropped: its drop prints to standard output where the reader has stopped, and would wait for that.
+    dropped: ErrorCounter,
+    /// Never dropped: its drop may print to standard output, and would wait for the reader of that.
     _worker: std::mem::ManuallyDrop<WorkerGuard>,
 }
 
@@ -42,29 +45,29 @@
     ///
     /// # Errors
     ///
-    /// Where the system has no descriptor left for it.
+    /// The system has no descriptor left for it.
     pub fn start() -> io::Result<Log> {
         let filter =
             EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
         let counts = Counts::default();
-        let lost = Arc::new(OnceLock::new());
-        // A descriptor of its own: the lock of the standard library's would be held for as long as the reader has stopped.
+        let dropped = Arc::new(OnceLock::new());
+        // A descriptor of its own: the standard library's lock would be held for as long as the reader stalls.
         let stderr = File::from(io::stderr().as_fd().try_clone_to_owned()?);
         let output = Output {
             stderr,
             written: counts.written.clone(),
-            lost: lost.clone(),
-            told: 0,
+            dropped: dropped.clone(),
+            dropped_reported: 0,
         };
         let builder = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(QUEUED_LINES);
+            .buffered_lines_limit(QUEUE_CAPACITY);
         let (queue, worker) = builder.thread_name("log").finish(output);
         let counter = queue.error_counter();
         // It is set here only.
-        let _ = lost.set(counter.clone());
+        let _ = dropped.set(counter.clone());
         let queued = counts.queued.clone();
-        let writer = move || Counted {
+        let writer = move || CountingQueue {
             queue: queue.clone(),
             queued: queued.clone(),
         };
@@ -74,39 +77,39 @@
             .with_ansi(false)
             .log_internal_errors(false)
             .init();
-        // The usual hook writes to standard error itself, and would wait there.
+        // The default hook writes to standard error itself, and would wait for its reader.
         std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panic")));
         Ok(Log {
             counts,
-            lost: counter,
+            dropped: counter,
             _worker: std::mem::ManuallyDrop::new(worker),
         })
     }
 
-    /// Waits until all lines are written, a bounded time only.
+    /// Waits until all entries are written, for 50 ms at most.
     pub fn flush(&self) {
-        let began = Instant::now();
-        while !self.is_flushed() && began.elapsed() < FLUSH_TIMEOUT {
-            thread::sleep(FLUSH_POLL);
+        let started = Instant::now();
+        while !self.is_flushed() && started.elapsed() < FLUSH_TIMEOUT {
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 
     fn is_flushed(&self) -> bool {
-        let out = self.counts.written.load(Ordering::Acquire) + self.lost.dropped_lines();
-        out >= self.counts.queued.load(Ordering::Acquire)
+        let written = self.counts.written.load(Ordering::Acquire);
+        written + self.dropped.dropped_lines() >= self.counts.queued.load(Ordering::Acquire)
     }
 }
 
-/// Hands lines over, and counts them.
-struct Counted {
+/// Puts entries into the queue, and counts them.
+struct CountingQueue {
     queue: NonBlocking,
     queued: Arc<AtomicUsize>,
 }
 
-impl Write for Counted {
-    fn write(&mut self, line: &[u8]) -> io::Result<usize> {
+impl Write for CountingQueue {
+    fn write(&mut self, entry: &[u8]) -> io::Result<usize> {
         self.queued.fetch_add(1, Ordering::AcqRel);
-        self.queue.write(line)
+        self.queue.write(entry)
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -114,25 +117,25 @@
     }
 }
 
-/// Writes lines, in the thread that may wait for their reader.
+/// Writes entries to standard error, in the thread that may wait for the reader.
 struct Output {
     stderr: File,
     written: Arc<AtomicUsize>,
-    lost: Arc<OnceLock<ErrorCounter>>,
-    /// Lost lines that were told.
-    told: usize,
+    dropped: Arc<OnceLock<ErrorCounter>>,
+    /// Dropped entries that were reported in the log.
+    dropped_reported: usize,
 }
 
 impl Output {
-    /// Writes a line; one that can't be written is dropped.
-    fn write_line(&mut self, line: &[u8]) {
-        let mut rest = line;
-        while !rest.is_empty() {
-            match self.stderr.write(rest) {
+    /// Writes an entry; one that cannot be written is dropped.
+    fn write_entry(&mut self, entry: &[u8]) {
+        let mut unwritten = entry;
+        while !unwritten.is_empty() {
+            match self.stderr.write(unwritten) {
                 Ok(0) => return,
-                Ok(n) => rest = &rest[n..],
-                Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {
+                Ok(written) => unwritten = &unwritten[written..],
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     thread::sleep(WRITE_RETRY_PAUSE)
                 }
                 Err(_) => return,
@@ -140,26 +143,27 @@
         }
     }
 
-    /// Says how many lines were lost since that was last said.
-    fn tell_lost(&mut self) {
-        let lost = self.lost.get().map_or(0, ErrorCounter::dropped_lines);
-        if lost > self.told {
-            let line = format!(
-                "WARN garnetwall_gateway::system::log: lines of the log were lost lost={}\n",
-                lost - self.told
-            );
-            self.told = lost;
-            self.write_line(line.as_bytes());
+    /// Writes how many entries were dropped since the last such report, if any were.
+    fn report_dropped(&mut self) {
+        let dropped = self.dropped.get().map_or(0, ErrorCounter::dropped_lines);
+        if dropped <= self.dropped_reported {
+            return;
         }
+        let newly_dropped = dropped - self.dropped_reported;
+        self.dropped_reported = dropped;
+        let entry = format!(
+            "WARN garnetwall_gateway::system::log: log entries dropped dropped={newly_dropped}\n"
+        );
+        self.write_entry(entry.as_bytes());
     }
 }
 
 impl Write for Output {
-    fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.write_line(line);
-        self.tell_lost();
+    fn write(&mut self, entry: &[u8]) -> io::Result<usize> {
+        self.write_entry(entry);
+        self.report_dropped();
         self.written.fetch_add(1, Ordering::AcqRel);
-        Ok(line.len())
+        Ok(entry.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -167,14 +171,14 @@
     }
 }
 
-/// Writes the reason why the program ends to standard error. It waits for the reader a bounded time only.
-pub fn print_error(what: &str) {
-    let text = format!("garnetwall: {what}\n");
+/// Writes the reason why the program ends to standard error; waits for 500 ms at most.
+pub fn print_error(error: &impl Display) {
+    let text = format!("garnetwall: {error}\n");
     let (done, written) = mpsc::channel();
     thread::spawn(move || {
-        // Nobody may read it any more.
+        // The reader may have exited.
         let _ = io::stderr().write_all(text.as_bytes());
         let _ = done.send(());
     });
-    let _ = written.recv_timeout(ERROR_TIMEOUT);
+    let _ = written.recv_timeout(PRINT_ERROR_TIMEOUT);
 }
--- a/crates/gateway/src/system/os_error.rs
+++ b/crates/gateway/src/system/os_error.rs
@@ -1,34 +1,38 @@
-//! What an error code of the operating system says: whether the fault lies with this machine, whatever the other end does, and
-//! whether it may pass by itself. From Linux's manual pages of accept(2), bind(2), connect(2), socket(2).
+//! Classifies error codes of the operating system: whether the cause is local to this machine, and whether it is transient.
+//!
+//! After Linux's manual pages of accept(2), bind(2), connect(2) and socket(2).
 
 use nix::errno::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Between two tries at what failed for a moment.
+/// Pause between attempts at a call that failed with a transient error.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// A start is tried for this long at most: a gateway that is not ready in 30 s has failed, and the rest of the start needs time.
+/// How long a step of the start is retried: a gateway that is not ready within 30 s has failed, and the rest of the start
+/// needs time as well.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn code(fault: &io::Error) -> Option<Errno> {
-    fault.raw_os_error().map(Errno::from_raw)
+fn code(error: &io::Error) -> Option<Errno> {
+    error.raw_os_error().map(Errno::from_raw)
 }
 
-/// Whether this machine, not the one at the other end, is at fault: it says nothing of the other.
-pub fn is_local(fault: &io::Error) -> bool {
-    match code(fault) {
-        // The table of ports or routes is full for now.
+/// Whether the cause is on this machine; such an error says nothing of the other end.
+pub fn is_local(error: &io::Error) -> bool {
+    match code(error) {
+        // The table of ports or routes is full.
         Some(Errno::EAGAIN) => true,
-        Some(code) => is_short_of_resources(code) || is_cut_off(code) || code == Errno::EINTR,
+        Some(code) => {
+            is_short_of_resources(code) || is_network_unreachable(code) || code == Errno::EINTR
+        }
         None => false,
     }
 }
 
-/// Whether the same call may succeed soon with nothing done about it.
-pub fn may_pass(fault: &io::Error) -> bool {
-    is_local(fault)
+/// Whether the error is transient: the same call may succeed soon.
+pub fn may_pass(error: &io::Error) -> bool {
+    is_local(error)
         || matches!(
-            code(fault),
+            code(error),
             Some(
                 Errno::EADDRINUSE
                     | Errno::ECONNABORTED
@@ -39,9 +43,9 @@
         )
 }
 
-/// Whether a failed accept leaves no room to accept: at once the next would fail as well.
-pub fn needs_pause(fault: &io::Error) -> bool {
-    code(fault).is_none_or(is_short_of_resources)
+/// Whether an accept failed for lack of resources, so that the next one would fail at once as well.
+pub fn needs_pause(error: &io::Error) -> bool {
+    code(error).is_none_or(is_short_of_resources)
 }
 
 fn is_short_of_resources(code: Errno) -> bool {
@@ -51,47 +55,48 @@
     )
 }
 
-fn is_cut_off(code: Errno) -> bool {
+fn is_network_unreachable(code: Errno) -> bool {
     matches!(
         code,
         Errno::EADDRNOTAVAIL | Errno::ENETDOWN | Errno::ENETUNREACH
     )
 }
 
-/// Tries something until it succeeds, fails for good, or has failed for [`START_TIMEOUT`].
+/// Retries a call until it succeeds, fails with a lasting error, or has failed for [`START_TIMEOUT`]. Blocks the thread.
 ///
 /// # Errors
 ///
-/// The last one.
+/// The error of the last attempt.
 pub fn retry_blocking<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         match attempt() {
-            Err(fault) if may_pass(&fault) && began.elapsed() < START_TIMEOUT => {
+            Err(error) if may_pass(&error) && started.elapsed() < START_TIMEOUT => {
                 std::thread::sleep(RETRY_PAUSE)
             }
-            end => return end,
+            result => return result,
         }
     }
 }
 
-/// The same for as long as the caller waits for it, without holding a thread up.
+/// The same as [`retry_blocking`] without blocking the thread; `step` names in the log what is retried.
 ///
 /// # Errors
 ///
-/// The last one.
-pub async fn retry<T>(what: &str, mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let began = Instant::now();
-    let mut told = false;
+/// The error of the last attempt.
+pub async fn retry<T>(step: &str, mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let started = Instant::now();
+    let mut is_logged = false;
     loop {
         match attempt() {
-            Err(fault) if may_pass(&fault) && began.elapsed() < START_TIMEOUT => {
-                if !std::mem::replace(&mut told, true) {
-                    tracing::warn!(%fault, what, "failed for now, and is tried again");
+            Err(error) if may_pass(&error) && started.elapsed() < START_TIMEOUT => {
+                if !is_logged {
+                    tracing::warn!(%error, step, "start step failed, retrying");
+                    is_logged = true;
                 }
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
-            end => return end,
+            result => return result,
         }
     }
 }
--- a/crates/gateway/src/system/signals.rs
+++ b/crates/gateway/src/system/signals.rs
@@ -1,8 +1,8 @@
-//! The signals that a gateway heeds, from the first moment on: one that comes during the start is not lost, and ends no process
-//! that is still starting.
+//! The signals that a gateway handles: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration.
 //!
-//! A handler sets a flag, which can't fail, and writes to a pipe that wakes the gateway. The flags are looked at now and then
-//! as well, so that a wake that got lost delays a signal and no more.
+//! Handlers are installed first of all, so that a signal during the start is neither lost nor ends the process. A handler
+//! sets a flag, which cannot fail, and writes to a pipe that wakes the gateway. The flags are polled as well, so that a lost
+//! wake-up only delays a signal.
 
 use crate::system::socket::uninterrupted;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -17,22 +17,22 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::sleep;
 
-/// The flags are looked at this often where nothing wakes the gateway: inside what the end keeps clear of the earliest kill.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// How often the flags are polled. Less than the time that a stop keeps clear of the earliest SIGKILL.
+const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// SIGTERM, SIGINT and SIGHUP, heeded.
+/// The installed handlers of SIGTERM, SIGINT and SIGHUP.
 pub struct Signals {
     stop: Arc<AtomicBool>,
     hangup: Arc<AtomicBool>,
-    /// What the handlers write to; none where the system had no descriptors for it.
-    wake: Option<Pipe>,
+    /// The end of the pipe that handlers write to; none where the system had no descriptors for it.
+    wake_pipe: Option<Pipe>,
 }
 
-/// Signals as they are heard.
-pub struct Heard {
-    /// Whether the gateway was asked to end.
+/// Signals as they arrive.
+pub struct SignalEvents {
+    /// Becomes true with the first SIGTERM or SIGINT.
     pub stop: watch::Receiver<bool>,
-    /// Told of SIGHUP; several before one is heard count as one.
+    /// Notified of SIGHUP; several before one is handled count as one.
     pub hangup: Arc<Notify>,
 }
 
@@ -41,26 +41,32 @@
     ///
     /// # Errors
     ///
-    /// Where the system refuses a handler, which it does for no signal of these.
+    /// The system refuses a handler, which it does for none of these signals.
     pub fn install() -> io::Result<Signals> {
-        let (stop, hangup) = <(Arc<AtomicBool>, Arc<AtomicBool>)>::default();
+        let stop = Arc::new(AtomicBool::new(false));
+        let hangup = Arc::new(AtomicBool::new(false));
         flag::register(SIGHUP, hangup.clone())?;
         flag::register(SIGTERM, stop.clone())?;
         flag::register(SIGINT, stop.clone())?;
-        let wake = wake_pipe().ok();
-        Ok(Signals { stop, hangup, wake })
+        Ok(Signals {
+            stop,
+            hangup,
+            wake_pipe: open_wake_pipe().ok(),
+        })
     }
 
-    /// Hears signals in a task of its own, for as long as the runtime runs that this is called in.
-    pub fn heed(self) -> Heard {
+    /// Listens for signals in a task of the current runtime, for as long as that runs.
+    pub fn listen(self) -> SignalEvents {
         let (stop, stopped) = watch::channel(false);
         let hangup = Arc::new(Notify::new());
-        let heard = Heard {
+        let events = SignalEvents {
             stop: stopped,
             hangup: hangup.clone(),
         };
         tokio::spawn(async move {
-            let wake = self.wake.and_then(|pipe| UnixStream::from_std(pipe).ok());
+            let wake_pipe = self
+                .wake_pipe
+                .and_then(|pipe| UnixStream::from_std(pipe).ok());
             loop {
                 if self.stop.swap(false, Ordering::AcqRel) {
                     stop.send_replace(true);
@@ -69,17 +75,17 @@
                     hangup.notify_one();
                 }
                 tokio::select! {
-                    () = woken(wake.as_ref()) => {}
-                    () = sleep(LOOK_EVERY) => {}
+                    () = wait_for_wake(wake_pipe.as_ref()) => {}
+                    () = sleep(FLAG_POLL_INTERVAL) => {}
                 }
             }
         });
-        heard
+        events
     }
 }
 
-/// A pipe to which each handler writes.
-fn wake_pipe() -> io::Result<Pipe> {
+/// Opens a pipe that each handler writes to; the end that is read.
+fn open_wake_pipe() -> io::Result<Pipe> {
     let (read, write) = Pipe::pair()?;
     read.set_nonblocking(true)?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
@@ -88,14 +94,14 @@
     Ok(read)
 }
 
-/// Until a handler has written, and reads that away.
-async fn woken(pipe: Option<&UnixStream>) {
+/// Waits until a handler has written, and empties the pipe.
+async fn wait_for_wake(pipe: Option<&UnixStream>) {
     let Some(pipe) = pipe else {
         return std::future::pending().await;
     };
     let mut bytes = [0; 64];
     if pipe.readable().await.is_ok() {
-        // What is not read wakes again at once.
+        // Bytes that stay in the pipe wake again at once.
         let _ = uninterrupted(|| pipe.try_read(&mut bytes));
     }
 }
--- a/crates/gateway/src/system/socket.rs
+++ b/crates/gateway/src/system/socket.rs
@@ -1,6 +1,7 @@
-//! A TCP connection that is read and written until the system says that it would block, whatever a single call gives: a call
-//! may be cut short or interrupted at any time. (The runtime's own reads and writes take a short one as the sign that the
-//! socket is drained or full, and wait for news that then may never come.)
+//! A TCP connection that is read and written until the system says that the call would block.
+//!
+//! A call may be cut short or interrupted at any time. The runtime's own reads and writes take a short one as the sign that
+//! the socket is drained or full, and then wait for a readiness event that may never arrive.
 
 use crate::system::os_error;
 use socket2::SockRef;
@@ -15,102 +16,111 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Between two tries at a connection that this machine itself could not begin.
+/// Pause between attempts at a connection that this machine could not begin.
 const LOCAL_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Calls again for as long as the system interrupts the call.
+/// Repeats a call for as long as the system interrupts it.
+///
+/// # Errors
+///
+/// Any error of the call but `Interrupted`.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
-            Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
-            end => return end,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            result => return result,
         }
     }
 }
 
-/// A connection, with small writes sent at once.
+/// A TCP connection with Nagle's algorithm off.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
 impl Socket {
+    /// Wraps a stream, and switches Nagle's algorithm off.
     pub fn new(stream: TcpStream) -> Socket {
-        if let Err(fault) = stream.set_nodelay(true) {
-            tracing::debug!(%fault, "no-delay not set");
+        if let Err(error) = stream.set_nodelay(true) {
+            tracing::debug!(%error, "TCP_NODELAY not set");
         }
         Socket(stream)
     }
 
-    /// Connects. What this machine lacks for a moment (a descriptor, a port, a route) is waited for: the caller bounds how long,
-    /// and `held_here` tells it whether that is what is waited for.
+    /// Connects. Where this machine lacks something for the moment (a descriptor, a port, a route), it retries: the caller
+    /// bounds how long, and `blocked_locally` says whether this is the reason for the wait.
     ///
     /// # Errors
     ///
-    /// What the other end, or the network on the way to it, answers.
-    pub async fn connect(address: SocketAddr, held_here: &AtomicBool) -> io::Result<Socket> {
+    /// The error of the other end, or of the network on the way to it.
+    pub async fn connect(address: SocketAddr, blocked_locally: &AtomicBool) -> io::Result<Socket> {
         loop {
-            held_here.store(false, Ordering::Relaxed);
+            blocked_locally.store(false, Ordering::Relaxed);
             match TcpStream::connect(address).await {
-                Err(fault) if os_error::is_local(&fault) => {
-                    held_here.store(true, Ordering::Relaxed);
-                    tracing::debug!(%fault, %address, "no connection could be begun here");
+                Err(error) if os_error::is_local(&error) => {
+                    blocked_locally.store(true, Ordering::Relaxed);
+                    tracing::debug!(%error, %address, "local failure to connect, retrying");
                     sleep(LOCAL_RETRY_PAUSE).await;
                 }
-                end => return end.map(Socket::new),
+                result => return result.map(Socket::new),
             }
         }
     }
 
-    /// Reads what is there by now, without a turn through the runtime's poll; it knows of what came a moment ago one turn later.
+    /// Reads what has arrived by now. It asks the system, since the runtime learns of new bytes only when it polls next.
     ///
     /// # Errors
     ///
-    /// `WouldBlock` where nothing is there.
+    /// `WouldBlock` where nothing has arrived, or the error of the connection.
     pub fn read_now(&self, bytes: &mut [u8]) -> io::Result<usize> {
         uninterrupted(|| (&*SockRef::from(&self.0)).read(bytes))
     }
 
-    /// Reads once there is something, as the runtime tells it.
-    pub fn poll_read_bytes(&self, cx: &mut Context, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
+    /// Reads what has arrived, or registers the task to be woken once something does.
+    pub fn poll_read_bytes(
+        &self,
+        context: &mut Context,
+        bytes: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.0.poll_read_ready(cx))?;
-            // It forgets that there is something only when the system says that there is not.
+            ready!(self.0.poll_read_ready(context))?;
+            // Only `WouldBlock` clears the readiness that the runtime keeps.
             match uninterrupted(|| self.0.try_read(bytes)) {
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-                end => return Poll::Ready(end),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                result => return Poll::Ready(result),
             }
         }
     }
 
-    fn poll_written(
+    fn poll_write_with(
         &self,
-        cx: &mut Context,
+        context: &mut Context,
         mut write: impl FnMut(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.0.poll_write_ready(cx))?;
+            ready!(self.0.poll_write_ready(context))?;
             match uninterrupted(|| write(&self.0)) {
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => {}
-                end => return Poll::Ready(end),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                result => return Poll::Ready(result),
             }
         }
     }
 
-    /// Whether the other end has closed its side, also behind bytes that were not read.
+    /// Whether the other end has closed its side, even if bytes before that are still unread.
     pub fn is_read_closed(&self) -> bool {
-        let mut cx = Context::from_waker(std::task::Waker::noop());
-        let ready = std::pin::pin!(self.0.ready(Interest::READABLE)).poll(&mut cx);
+        let mut context = Context::from_waker(std::task::Waker::noop());
+        let ready = std::pin::pin!(self.0.ready(Interest::READABLE)).poll(&mut context);
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Ends our side, after all that was written.
+    /// Shuts down the write side, after everything that was written.
     pub fn shut(&self) {
-        // A connection that is gone already is shut.
+        // It fails only where the connection has ended already.
         let _ = SockRef::from(&self.0).shutdown(Shutdown::Write);
     }
 
-    /// Has what is not sent yet thrown away when the connection closes.
+    /// Makes the close discard what is not sent yet, and reset the connection.
     pub fn discard_on_close(&self) {
-        // Where it can't be set the connection closes as others do.
+        // Where the option cannot be set, the connection closes in the usual way.
         let _ = SockRef::from(&self.0).set_linger(Some(Duration::ZERO));
     }
 }
@@ -118,26 +128,30 @@
 impl AsyncRead for Socket {
     fn poll_read(
         self: Pin<&mut Self>,
-        cx: &mut Context,
-        buf: &mut ReadBuf,
+        context: &mut Context,
+        buffer: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        let read = ready!(self.poll_read_bytes(cx, buf.initialize_unfilled()))?;
-        buf.advance(read);
+        let read = ready!(self.poll_read_bytes(context, buffer.initialize_unfilled()))?;
+        buffer.advance(read);
         Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_written(cx, |stream| stream.try_write(bytes))
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.poll_write_with(context, |stream| stream.try_write(bytes))
     }
 
     fn poll_write_vectored(
         self: Pin<&mut Self>,
-        cx: &mut Context,
+        context: &mut Context,
         parts: &[IoSlice],
     ) -> Poll<io::Result<usize>> {
-        self.poll_written(cx, |stream| stream.try_write_vectored(parts))
+        self.poll_write_with(context, |stream| stream.try_write_vectored(parts))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/gateway/src/system/stall_detector.rs
+++ b/crates/gateway/src/system/stall_detector.rs
@@ -1,40 +1,62 @@
-//! Whether this process has had processor time. What is read right after it had none may have come at any time since it last
-//! ran, and its client has waited since then.
+//! Detects when this process had no processor time.
+//!
+//! What is read right after such a stall may have arrived at any time since the process last ran, and its client has
+//! waited since then.
 
-/// The scheduler hears of something, or of its timer, this often at least, in seconds; with what a timer may be late.
-const LONGEST_BEAT: f64 = 0.12;
-/// For so long after a gap what had come meanwhile is still being read.
-const CATCHING_UP: f64 = 0.05;
+/// The scheduler runs at least this often, for an event or its timer, however late that is.
+const MAX_RUN_INTERVAL_SECONDS: f64 = 0.12;
+/// After a stall, what arrived during it is read within this time.
+const CATCH_UP_SECONDS: f64 = 0.05;
 
-/// When the process ran last, in seconds of the gateway's clock.
+/// Detects stalls from the times at which the process runs; all times are seconds of the gateway's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
-    last: f64,
-    /// The last gap: when the process ran before it, and when it ran again.
-    gap: Option<(f64, f64)>,
+    last_run: f64,
+    last_stall: Option<Stall>,
+}
+
+/// A time in which the process did not run.
+#[derive(Clone, Copy, Debug)]
+struct Stall {
+    /// When the process ran before it.
+    began: f64,
+    /// When the process ran again.
+    ended: f64,
+}
+
+impl Stall {
+    /// Whether what was read at this time may have arrived during the stall.
+    fn covers(&self, read: f64) -> bool {
+        read >= self.began && read < self.ended + CATCH_UP_SECONDS
+    }
 }
 
 impl StallDetector {
+    /// A detector for a process that runs now.
     pub fn new(now: f64) -> StallDetector {
         StallDetector {
-            last: now,
-            gap: None,
+            last_run: now,
+            last_stall: None,
         }
     }
 
-    /// It runs now.
+    /// Records that the process runs now.
     pub fn running(&mut self, now: f64) {
-        if now - self.last > LONGEST_BEAT {
-            self.gap = Some((self.last, now));
+        if now - self.last_run > MAX_RUN_INTERVAL_SECONDS {
+            self.last_stall = Some(Stall {
+                began: self.last_run,
+                ended: now,
+            });
         }
-        self.last = self.last.max(now);
+        self.last_run = self.last_run.max(now);
     }
 
-    /// The earliest time at which what was read at `read` can have come; less than [`LONGEST_BEAT`] may be missing.
+    /// The earliest time at which what was read at `read` can have arrived. A stall of less than
+    /// [`MAX_RUN_INTERVAL_SECONDS`] is not seen.
     pub fn arrival_time(&mut self, now: f64, read: f64) -> f64 {
         self.running(now);
-        match self.gap {
-            Some((from, until)) if read >= from && read < until + CATCHING_UP => from.min(read),
+        match self.last_stall {
+            Some(stall) if stall.covers(read) => stall.began,
             _ => read,
         }
     }
