--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -81,7 +81,7 @@
         self.first_subset.wrapping_add(lane as u32)
     }
 
-    fn lane_count(&self) -> usize {
+    fn subset_count(&self) -> usize {
         self.routing.lanes().len()
     }
 }
@@ -109,12 +109,13 @@
 
     /// The subsets of its lanes, except of those that leave every engine open.
     fn subset_updates(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
-        let lanes = self.plan.routing.lanes().iter().enumerate();
-        lanes
-            .filter(|(_, lane)| !lane.is_open())
-            .map(|(index, _)| SubsetUpdate {
-                endpoint_subset: self.plan.subset(index),
-                priority_levels: Some(self.priority_levels(index)),
+        let routing = &self.plan.routing;
+        let is_confined = |lane: &usize| !routing.lanes()[*lane].is_open();
+        (0..self.plan.subset_count())
+            .filter(is_confined)
+            .map(|lane| SubsetUpdate {
+                endpoint_subset: self.plan.subset(lane),
+                priority_levels: Some(self.priority_levels(lane)),
             })
     }
 
@@ -127,7 +128,7 @@
     }
 
     fn subset_removals(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
-        (0..self.plan.lane_count()).map(|lane| SubsetUpdate {
+        (0..self.plan.subset_count()).map(|lane| SubsetUpdate {
             endpoint_subset: self.plan.subset(lane),
             priority_levels: None,
         })
@@ -167,7 +168,7 @@
             kind_names: decoded.names.kinds.clone(),
             capacity,
             limits,
-            next_subset: in_force.plan.lane_count() as u32,
+            next_subset: in_force.plan.subset_count() as u32,
             in_force,
             superseded: Vec::new(),
             endpoints: Vec::new(),
@@ -179,7 +180,7 @@
         let routing = Routing::new(plan, self.names.clone());
         self.limits.replan(&routing, self.capacity);
         let next = RoutedPlan::new(routing, self.next_subset);
-        self.next_subset = next.plan.subset(next.plan.lane_count());
+        self.next_subset = next.plan.subset(next.plan.subset_count());
         let previous = std::mem::replace(&mut self.in_force, next);
         self.superseded.push(previous);
         let mut updates = self.remove_unused_plans();
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -4,7 +4,7 @@
 use super::open_query::OpenQuery;
 use super::query_index::QueryState;
 use super::state::SchedulerState;
-use super::{Admission, ArrivingQuery, Scheduler, Waiter};
+use super::{Admission, ArrivingQuery, Command, Scheduler, Waiter};
 use crate::engines::{Call, Statement};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::plan_routing::{PlanAdmission, PlanRejection};
@@ -15,7 +15,7 @@
 use std::fmt;
 use std::hash::BuildHasher;
 use std::sync::Arc;
-use tokio::sync::mpsc::unbounded_channel;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::watch;
 
 /// A key as clients write it, for the log.
@@ -136,43 +136,25 @@
         new: NewQuery,
         terms: Terms,
     ) -> Admission {
-        let NewQuery {
-            arriving,
-            call,
-            fingerprint,
-        } = new;
+        let query_key = new.arriving.query_key;
         let id = state.next_id();
-        let query = self.controller_query(now, id, &arriving, &terms);
+        let query = self.controller_query(now, id, &new.arriving, &terms);
         let journal_entry = terms
             .is_non_idempotent
-            .then(|| journal_entry(&arriving, terms.deadline));
-        let client_presence = ClientPresence::default();
+            .then(|| journal_entry(&new.arriving, terms.deadline));
         let (command_sender, commands) = unbounded_channel();
-        let (answer_sender, answer) = watch::channel(None);
-        let open_query = OpenQuery {
-            query_key: arriving.query_key,
-            tenant: arriving.tenant,
-            ordering_key: arriving.ordering_key,
-            call,
-            fingerprint,
-            commands: command_sender,
-            answer: answer_sender,
-            waiters: 1,
-            waiters_ever: 1,
-            client_presence: client_presence.clone(),
-            deadline: terms.deadline,
-            plan_admission: terms.plan_admission,
-        };
-        state.queries.open(arriving.query_key, id);
-        state.open_queries.insert(id, open_query);
-        self.open_count.send_replace(state.open_queries.len());
-        log_admission(&query, arriving.query_key);
-        state.controller.admit(now, query);
+        let open_query = new.into_open_query(terms, command_sender);
+        let client_presence = open_query.client_presence.clone();
         let waiter = Waiter {
             scheduler: self.clone(),
             id,
-            answer,
+            answer: open_query.answer.subscribe(),
         };
+        state.queries.open(query_key, id);
+        state.open_queries.insert(id, open_query);
+        self.open_count.send_replace(state.open_queries.len());
+        log_admission(&query, query_key);
+        state.controller.admit(now, query);
         Admission::New {
             id,
             commands,
@@ -209,6 +191,26 @@
     }
 }
 
+impl NewQuery {
+    /// The query as the scheduler keeps it, with one client that waits.
+    fn into_open_query(self, terms: Terms, commands: UnboundedSender<Command>) -> OpenQuery {
+        OpenQuery {
+            query_key: self.arriving.query_key,
+            tenant: self.arriving.tenant,
+            ordering_key: self.arriving.ordering_key,
+            call: self.call,
+            fingerprint: self.fingerprint,
+            commands,
+            answer: watch::Sender::new(None),
+            waiters: 1,
+            waiters_ever: 1,
+            client_presence: ClientPresence::default(),
+            deadline: terms.deadline,
+            plan_admission: terms.plan_admission,
+        }
+    }
+}
+
 impl SchedulerState {
     fn next_id(&mut self) -> QueryId {
         let id = self.next_query_id;
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -20,10 +20,10 @@
     pub fn recovered(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
         self.handle_event(|state, now| {
             let resumes_at = now + longest_unpolled_run.as_secs_f64();
-            for RecoveredQuery { sent, finished } in queries {
-                let expires_at = sent.until as f64 / MILLIS_PER_SECOND;
-                state.queries.recover(sent.id, expires_at);
-                if let Some(key) = sent.key.filter(|_| !finished) {
+            for RecoveredQuery { record, finished } in queries {
+                let expires_at = record.until as f64 / MILLIS_PER_SECOND;
+                state.queries.recover(record.id, expires_at);
+                if let Some(key) = record.key.filter(|_| !finished) {
                     state.controller.pause_key(key, resumes_at);
                 }
             }
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveredQuery {
     /// Its record, with its end on this gateway's [`Clock`], in milliseconds.
-    pub sent: SentQuery,
+    pub record: SentQuery,
     /// Every attempt of it has provably ended.
     pub finished: bool,
 }
@@ -38,23 +38,23 @@
 
 impl OpenJournal {
     /// Converts the end of a record from the gateway's clock to the clock of this boot.
-    fn to_boot_clock(&self, sent: SentQuery) -> SentQuery {
-        let remaining_ms = sent.until.saturating_sub(millis(self.clock.now()));
+    fn to_boot_clock(&self, record: SentQuery) -> SentQuery {
+        let remaining_ms = record.until.saturating_sub(millis(self.clock.now()));
         SentQuery {
             until: self.boot_clock.millis() + remaining_ms,
-            ..sent
+            ..record
         }
     }
 
     /// Waits until the record is on the disk.
-    async fn write_sent(&self, sent: SentQuery) -> io::Result<()> {
+    async fn write_record(&self, record: SentQuery) -> io::Result<()> {
         let (done, written) = oneshot::channel();
         let on_written = move |result| {
             // The receiver is gone where the caller stopped waiting, and then nothing is sent.
             let _ = done.send(result);
         };
         self.journal
-            .record_sent(self.to_boot_clock(sent), Box::new(on_written));
+            .record_sent(self.to_boot_clock(record), Box::new(on_written));
         written
             .await
             .unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")))
@@ -97,16 +97,7 @@
             move || boot_clock.millis(),
             Box::new(on_recovery),
         );
-        match started {
-            Ok(()) => {}
-            Err(fault) if may_pass(&fault) => {
-                tracing::error!(path = %path.display(), %fault, "journal can't be written for now: no once-only batch is sent");
-            }
-            Err(fault) => {
-                let text = format!("{}: {fault}", path.display());
-                return Err(io::Error::new(fault.kind(), text));
-            }
-        }
+        check_start(&path, started)?;
         Ok(QueryJournal {
             open: Some(OpenJournal {
                 journal,
@@ -119,12 +110,12 @@
     /// Records that a non-idempotent query is about to be sent. Returns whether it may be sent.
     ///
     /// It takes as long as the disk does: the caller bounds it by the query's deadline. A caller that stops waiting must not send.
-    pub async fn record_before_send(&self, sent: SentQuery) -> bool {
+    pub async fn record_before_send(&self, record: SentQuery) -> bool {
         let Some(open) = &self.open else {
             return true;
         };
         let started_at = Instant::now();
-        let result = open.write_sent(sent).await;
+        let result = open.write_record(record).await;
         let elapsed = started_at.elapsed();
         if elapsed > SLOW_WRITE {
             tracing::warn!(took = ?elapsed, "journal is slow: once-only batches wait for it");
@@ -146,6 +137,19 @@
     }
 }
 
+/// Passes on the failure of a start, unless a later try may succeed.
+fn check_start(path: &Path, started: io::Result<()>) -> io::Result<()> {
+    let path = path.display();
+    match started {
+        Ok(()) => Ok(()),
+        Err(fault) if may_pass(&fault) => {
+            tracing::error!(%path, %fault, "journal can't be written for now: no once-only batch is sent");
+            Ok(())
+        }
+        Err(fault) => Err(io::Error::new(fault.kind(), format!("{path}: {fault}"))),
+    }
+}
+
 /// Converts the records of an earlier process from the clock of this boot to the gateway's clock.
 fn recovered_queries(
     found: Vec<(SentQuery, bool)>,
@@ -154,10 +158,10 @@
 ) -> Vec<RecoveredQuery> {
     let now_ms = millis(clock.now());
     let boot_now_ms = boot_clock.millis();
-    let convert = |(sent, finished): (SentQuery, bool)| {
-        let until = now_ms + sent.until.saturating_sub(boot_now_ms);
-        let sent = SentQuery { until, ..sent };
-        RecoveredQuery { sent, finished }
+    let convert = |(record, finished): (SentQuery, bool)| {
+        let until = now_ms + record.until.saturating_sub(boot_now_ms);
+        let record = SentQuery { until, ..record };
+        RecoveredQuery { record, finished }
     };
     found.into_iter().map(convert).collect()
 }
