--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -5,6 +5,7 @@
 use crate::engines::result_rows;
 use crate::engines::{AttemptResult, AttemptStart, Call, Engines, Statement};
 use crate::scheduling::client_presence::ClientPresence;
+use crate::scheduling::log_millis;
 use crate::scheduling::scheduler::{Command, QueryAnswer, Scheduler};
 use crate::storage::query_journal::QueryJournal;
 use attempt_in_flight::AttemptInFlight;
@@ -160,8 +161,14 @@
         let CheckedResult { result, rows } = self.check_rows(attempt, ended.result);
         self.engines.record_attempt_end(attempt.engine, result.end);
         let outcome = attempt.outcome(&result, ended.query_status);
-        let (engine, dispatch) = (attempt.engine, attempt.number);
-        tracing::debug!(batch = self.id, engine, dispatch, end = ?result.end, latency = outcome.latency, "outcome");
+        tracing::debug!(
+            query_id = self.id,
+            attempt = attempt.number,
+            engine = attempt.engine,
+            end = ?result.end,
+            latency_ms = log_millis(outcome.latency),
+            "attempt ended"
+        );
         self.report_discarded_body();
         let follow_up = self
             .scheduler
@@ -185,8 +192,8 @@
                 result,
                 rows: Some(rows),
             },
-            Err(what) => {
-                tracing::warn!(engine = attempt.engine, what, "result out of the protocol");
+            Err(error) => {
+                tracing::warn!(engine = attempt.engine, %error, "engine sent a malformed result");
                 let failure = AttemptResult {
                     report: result.report,
                     ..AttemptResult::of(AttemptEnd::Failed)
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -203,10 +203,10 @@
             }
         }
         tracing::debug!(
-            batch = id,
+            query_id = id,
+            attempt = attempt.number,
             engine = attempt.engine,
-            dispatch = attempt.number,
-            "dispatch"
+            "attempt started"
         );
         engines
             .run_attempt(target, &call, start, cancellation, events)
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -7,6 +7,7 @@
 use super::{Admission, ArrivingQuery, Command, Scheduler, Waiter};
 use crate::engines::{Call, Statement};
 use crate::scheduling::client_presence::ClientPresence;
+use crate::scheduling::log_millis;
 use crate::scheduling::plan_routing::{PlanAdmission, PlanRejection};
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
@@ -289,11 +290,11 @@
 
 fn log_admission(query: &Query, query_key: u64) {
     tracing::debug!(
-        batch = query.id,
-        job = ?Hex(query_key),
-        group = query.class,
-        key = ?query.ordering_key.map(Hex),
-        left = query.remaining_time,
-        "taken"
+        query_id = query.id,
+        query_key = ?Hex(query_key),
+        class = query.class,
+        ordering_key = ?query.ordering_key.map(Hex),
+        remaining_ms = log_millis(query.remaining_time),
+        "query admitted"
     );
 }
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -51,9 +51,9 @@
     /// The kind of answer, for the log.
     pub(super) fn name(&self) -> &'static str {
         match self {
-            QueryAnswer::Succeeded(_) => "returned",
-            QueryAnswer::Rejected { .. } => "pushed back",
-            QueryAnswer::Failed => "errored",
+            QueryAnswer::Succeeded(_) => "succeeded",
+            QueryAnswer::Rejected { .. } => "rejected",
+            QueryAnswer::Failed => "failed",
         }
     }
 
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -2,6 +2,7 @@
 
 use super::query_index::QueryState;
 use super::{QueryAnswer, Scheduler};
+use crate::scheduling::log_millis;
 use garnetwall::api::QueryId;
 
 impl Scheduler {
@@ -11,10 +12,10 @@
         let query = state.open_queries.get(&id);
         if let Some(query) = query.filter(|query| !query.is_finished()) {
             tracing::debug!(
-                batch = id,
-                left = query.deadline - self.clock.now(),
-                end = answer.name(),
-                "answer"
+                query_id = id,
+                answer = answer.name(),
+                remaining_ms = log_millis(query.deadline - self.clock.now()),
+                "query answered"
             );
             query.answer.send_replace(Some(answer));
         }
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -4,6 +4,7 @@
 use super::open_query::OpenQuery;
 use super::query_index::QueryIndex;
 use super::{Command, QueryAnswer};
+use crate::scheduling::log_millis;
 use crate::scheduling::plan_routing::{PlanAdmission, PlanRouter, SubsetUpdate};
 use crate::system::clock::Clock;
 use crate::system::stall_detector::StallDetector;
@@ -107,7 +108,8 @@
         let Some(query) = query.filter(|query| !query.is_finished()) else {
             return;
         };
-        tracing::debug!(batch = id, left = query.deadline - now, "client gone");
+        let remaining_ms = log_millis(query.deadline - now);
+        tracing::debug!(query_id = id, remaining_ms, "client left");
         query.answer.send_replace(Some(QueryAnswer::Failed));
         query.send_command(Command::ClientLeft);
         self.controller.client_left(now, id);
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -44,9 +44,13 @@
 /// Logs, for each query class and kind of storage, the bodies received and the retries that read one again or found it missing.
 pub fn log_body_store(store: &Store, class_names: &[String]) {
     for ((class, storage), counts) in store.counts() {
-        let group = class_names.get(class).map_or("", String::as_str);
-        let place = storage;
-        let (bodies, further, missed) = (counts.bodies, counts.further, counts.missed);
-        tracing::info!(group, ?place, bodies, further, missed, "bodies");
+        tracing::info!(
+            class = class_names.get(class).map_or("", String::as_str),
+            ?storage,
+            bodies = counts.bodies,
+            retry_reads = counts.further,
+            missing = counts.missed,
+            "request bodies"
+        );
     }
 }
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -118,12 +118,16 @@
         let result = open.write_record(record).await;
         let elapsed = started_at.elapsed();
         if elapsed > SLOW_WRITE {
-            tracing::warn!(took = ?elapsed, "journal is slow: once-only batches wait for it");
+            let elapsed_ms = elapsed.as_millis() as u64;
+            tracing::warn!(
+                elapsed_ms,
+                "query journal is slow: non-idempotent queries wait for it"
+            );
         }
         match result {
             Ok(()) => true,
-            Err(fault) => {
-                tracing::error!(%fault, "journal can't be written: no once-only batch is sent");
+            Err(error) => {
+                tracing::error!(%error, "query journal not written: non-idempotent query not sent");
                 false
             }
         }
@@ -142,11 +146,11 @@
     let path = path.display();
     match started {
         Ok(()) => Ok(()),
-        Err(fault) if may_pass(&fault) => {
-            tracing::error!(%path, %fault, "journal can't be written for now: no once-only batch is sent");
+        Err(error) if may_pass(&error) => {
+            tracing::error!(%path, %error, "query journal not writable yet: no non-idempotent query is sent");
             Ok(())
         }
-        Err(fault) => Err(io::Error::new(fault.kind(), format!("{path}: {fault}"))),
+        Err(error) => Err(io::Error::new(error.kind(), format!("{path}: {error}"))),
     }
 }
 
@@ -167,12 +171,12 @@
 }
 
 fn log_recovered(path: &str, queries: &[RecoveredQuery]) {
-    let may_run = queries.iter().filter(|query| !query.finished).count();
+    let unfinished = queries.iter().filter(|query| !query.finished).count();
     tracing::info!(
         path,
-        known = queries.len(),
-        may_run,
-        "journal of once-only batches opened"
+        recovered = queries.len(),
+        unfinished,
+        "query journal read"
     );
 }
 
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -301,11 +301,11 @@
     until("the counts", || {
         std::fs::read_to_string(&s.log)
             .unwrap()
-            .contains("place=File bodies=4 further=4 missed=0")
+            .contains("storage=File bodies=4 retry_reads=4 missing=0")
     });
     let log = std::fs::read_to_string(&s.log).unwrap();
     assert!(
-        log.contains("group=\"report\" place=Memory bodies=4 further=4 missed=0"),
+        log.contains("class=\"report\" storage=Memory bodies=4 retry_reads=4 missing=0"),
         "{log}"
     );
 }
