--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -187,7 +187,7 @@
         if result.end != AttemptEnd::Succeeded {
             return CheckedResult { result, rows: None };
         }
-        match result_rows::answer(&result.pages) {
+        match result_rows::to_json(&result.pages) {
             Ok(rows) => CheckedResult {
                 result,
                 rows: Some(rows),
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -107,7 +107,7 @@
                 }
                 // The gateway follows the endpoint list at all times.
                 NextAction::Subscribe => {}
-                NextAction::Cancel(id, attempt) => {
+                NextAction::Cancel { query: id, attempt } => {
                     state.send_command(id, Command::CancelAttempt { attempt });
                 }
                 NextAction::Wait(seconds) => {
