--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One gateway on the wire: its indices, its batches in hand, and the module that decides for it.
+//! One gateway on the wire: its indices, its queries in flight, and the module that decides for it.
 
 use crate::frame::{Address, Read, Reader, Reply};
 use crate::link::Entry;
@@ -17,7 +17,7 @@
 /// Calls answered in one round before the rest waits for the next; the module never comes near it.
 const CALLS: usize = 1_000_000;
 
-/// A batch in hand, until it is closed and every dispatch has its outcome.
+/// A query in flight, until it is closed and every attempt has its outcome.
 struct InHand {
     wire: u32,
     out: u32,
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! The bench's adapter: decodes frames into calls on the decision module and encodes what it returns.
-//! It keeps the framing, the timers and the batches in hand, and decides nothing.
+//! It keeps the framing, the timers and the queries in flight, and decides nothing.
 
 mod frame;
 mod instance;
--- a/crates/bodies/benches/bodies.rs
+++ b/crates/bodies/benches/bodies.rs
@@ -146,7 +146,7 @@
         .collect()
 }
 
-/// In, whole, and read twice, as by a dispatch and a further one.
+/// In, whole, and read twice, as by an attempt and a further one.
 async fn through(store: &Arc<Store>, chunks: &[Bytes], size: u64) -> usize {
     let Ok(body) = store.admit(0, 0, Some(size)) else {
         return 0;
--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -12,18 +12,18 @@
 /// Smaller chunks are put together, so that a client that sends byte by byte costs no more than its bytes.
 const CHUNK: usize = 16 << 10;
 
-/// What became of bodies of one service group at one place.
+/// What became of bodies of one query class at one place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Bodies that had come whole and were there then.
     pub bodies: u64,
     /// Dispatches after the first that read one again.
     pub further: u64,
-    /// A further dispatch was wanted, and the body was not there any more.
+    /// A retry was wanted, and the body was not there any more.
     pub missed: u64,
 }
 
-/// All bodies in hand, within one budget.
+/// All bodies in flight, within one budget.
 pub struct Store {
     room: Mutex<Room>,
     spool: Option<Arc<Spool>>,
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// The batch is not to be taken.
+    /// The query is not to be taken.
     pub fn admit(
         self: &Arc<Self>,
         tenant: usize,
@@ -76,11 +76,11 @@
         self.admit_as(tenant, group, length, false)
     }
 
-    /// The same; a once-only body is let go as it is sent.
+    /// The same; a non-idempotent body is let go as it is sent.
     ///
     /// # Errors
     ///
-    /// The batch is not to be taken.
+    /// The query is not to be taken.
     pub fn admit_as(
         self: &Arc<Self>,
         tenant: usize,
@@ -173,7 +173,7 @@
     pending: BytesMut,
 }
 
-/// One body in hand.
+/// One body in flight.
 pub struct Body {
     store: Arc<Store>,
     id: BodyId,
@@ -228,7 +228,7 @@
         self.length
     }
 
-    /// The service group that it counts for.
+    /// The query class that it counts for.
     pub fn group(&self) -> usize {
         self.group
     }
--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -1,7 +1,7 @@
-//! Keeps bodies of batches for further dispatches: in memory up to a size, then in a spool file up to a budget, then not
+//! Keeps bodies of queries for retries: in memory up to a size, then in a spool file up to a budget, then not
 //! at all. A body passes through while it comes in and is kept as it passes, never twice.
 //!
-//! [`room`] decides where a body goes, what moves and what is turned away; it does no I/O. [`spool`] has the blocks of
+//! [`room`] decides where a body goes, what moves and what is rejected; it does no I/O. [`spool`] has the blocks of
 //! the file behind a trait, each with its checksum. [`body`] is what passes through: one writer, one reader at a time.
 //! docs/bodies.md weighs it all.
 
--- a/crates/bodies/src/room.rs
+++ b/crates/bodies/src/room.rs
@@ -26,7 +26,7 @@
     pub share: f64,
     /// Whether a body may come whose length is not told.
     pub unknown_length: bool,
-    /// By service group: whether a batch is turned away whose body can't be kept.
+    /// By query class: whether a query is rejected whose body can't be kept.
     pub must_keep: Vec<bool>,
 }
 
@@ -83,7 +83,7 @@
     file: u64,
 }
 
-/// Bodies in hand and what is reserved for them.
+/// Bodies in flight and what is reserved for them.
 #[derive(Debug)]
 pub struct Room {
     limits: Limits,
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     ///
-    /// The batch is not to be taken.
+    /// The query is not to be taken.
     pub fn admit(
         &mut self,
         tenant: usize,
@@ -373,7 +373,7 @@
         self.release(id, Sum { memory, file });
     }
 
-    /// A body's batch is over.
+    /// A body's query is over.
     pub fn over(&mut self, id: BodyId) {
         if let Some(held) = self.held.get(&id) {
             let all = Sum {
--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -193,7 +193,7 @@
     }
 }
 
-/// Route and engines of a batch, as at each dispatch: the lane's sets are at hand.
+/// Route and engines of a query, as at each attempt: the endpoint subset's sets are at hand.
 #[divan::bench]
 fn place_compiled_500_engines(bencher: Bencher) {
     let (routing, batches, all) = (routing(&large()), batches(), engines());
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -92,7 +92,7 @@
         &self.pools[pool]
     }
 
-    /// For each preference of a lane the engines that it leaves open.
+    /// For each preference of a endpoint subset the engines that it leaves open.
     pub fn priority_levels(&self, routing: &Routing, lane: usize) -> Vec<EngineSet> {
         let lane = &routing.subsets()[lane];
         let mut bound = self.all.clone();
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a plan says of a batch, compiled: the route that takes it, the engines that are left to it by preference,
+//! What a plan says of a query, compiled: the route that takes it, the engines that are left to it by preference,
 //! and the limits that count it. No I/O; callers tell facts and times. It narrows what the decision module may choose.
 //!
-//! [`Routing`] decides on routes, [`Engines`] keeps the engines of every pool, [`Limits`] keeps what is in hand and
+//! [`Routing`] decides on routes, [`Engines`] keeps the engines of every pool, [`Limits`] keeps what is in flight and
 //! what came over time. docs/routing.md weighs the structures and has their figures.
 
 mod engines;
@@ -10,14 +10,14 @@
 pub mod zones;
 
 pub use engines::{EngineSet, PoolMembers};
-use garnetwall_plan::model::{Facts, Group, Plan};
+use garnetwall_plan::model::{Facts, Group, Plan, Route};
 use garnetwall_plan::quantity::DAY;
 use garnetwall_plan::region::Classes;
 pub use limits::{LimitExceeded, LimitKind, LimitPermit, Limits};
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A batch as routing sees it; groups and tenants are the settings' indices.
+/// A query as routing sees it; groups and tenants are the settings' indices.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutedQuery {
     pub class: usize,
@@ -39,12 +39,12 @@
     pub tenants: Vec<String>,
 }
 
-/// A way that batches may go: pools by preference, within the pools that their groups are bound to.
+/// A way that queries may go: pools by preference, within the pools that their groups are bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSubset {
     /// Pools by preference; every engine where it is empty.
     pub pools: Vec<usize>,
-    /// For each group that binds, the pools that its batches never leave.
+    /// For each group that binds, the pools that its queries never leave.
     pub required_pools: Vec<Vec<usize>>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a plan says of a batch.
+/// What a plan says of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
     /// Pushed back, by this route, whose `refuse` says why.
@@ -64,7 +64,7 @@
     StatementTooLong { max_bytes: u64 },
     Admitted {
         route: Option<usize>,
-        /// The service group that it is treated as.
+        /// The query class that it is treated as.
         class: usize,
         /// Index into [`Routing::subsets`].
         subset: usize,
@@ -127,39 +127,50 @@
         routing
     }
 
+    /// Works out a target for each route, and for none, with each query class.
     fn compile_targets(&mut self) {
         let plan = self.plan.clone();
         for route in plan.routes.iter().map(Some).chain([None]) {
-            for own in 0..self.names.classes.len() {
-                let treated = route.and_then(|r| r.as_group.as_ref());
-                let group = treated
-                    .and_then(|name| self.names.classes.iter().position(|g| g == name))
-                    .unwrap_or(own);
-                let bound = |g: usize| plan.group(&self.names.classes[g]).map(|g| g.pools.clone());
-                let mut bounds: Vec<Vec<usize>> =
-                    [bound(own), bound(group)].into_iter().flatten().collect();
-                bounds.retain(|pools| !pools.is_empty());
-                bounds.dedup();
-                let lane = EndpointSubset {
-                    pools: route.map_or(Vec::new(), |r| r.to.clone()),
-                    required_pools: bounds,
-                };
-                let at = self
-                    .subsets
-                    .iter()
-                    .position(|l| *l == lane)
-                    .unwrap_or_else(|| {
-                        self.subsets.push(lane);
-                        self.subsets.len() - 1
-                    });
-                self.targets.push(Target {
-                    class: group,
-                    subset: at,
-                });
+            for own_class in 0..self.names.classes.len() {
+                let target = self.target(&plan, route, own_class);
+                self.targets.push(target);
             }
         }
     }
 
+    fn target(&mut self, plan: &Plan, route: Option<&Route>, own_class: usize) -> Target {
+        let treated_as = route.and_then(|route| route.as_group.as_ref());
+        let class = treated_as
+            .and_then(|name| self.names.classes.iter().position(|class| class == name))
+            .unwrap_or(own_class);
+        let pools_of = |class: usize| {
+            let rules = plan.group(&self.names.classes[class])?;
+            Some(rules.pools.clone()).filter(|pools| !pools.is_empty())
+        };
+        let mut required_pools: Vec<Vec<usize>> = [own_class, class]
+            .into_iter()
+            .filter_map(pools_of)
+            .collect();
+        required_pools.dedup();
+        let subset = EndpointSubset {
+            pools: route.map_or(Vec::new(), |route| route.to.clone()),
+            required_pools,
+        };
+        Target {
+            class,
+            subset: self.subset_index(subset),
+        }
+    }
+
+    /// The index of an equal subset, or of this one, which is added.
+    fn subset_index(&mut self, subset: EndpointSubset) -> usize {
+        let known = self.subsets.iter().position(|other| *other == subset);
+        known.unwrap_or_else(|| {
+            self.subsets.push(subset);
+            self.subsets.len() - 1
+        })
+    }
+
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
     }
@@ -177,16 +188,16 @@
         &self.subsets
     }
 
-    /// The first route that takes a batch.
-    pub fn route(&self, b: &RoutedQuery) -> Option<usize> {
+    /// The first route that takes a query.
+    pub fn route(&self, query: &RoutedQuery) -> Option<usize> {
         let other = |known: &[usize], n: usize| known.get(n).copied().unwrap_or_default();
         let point = [
-            other(&self.query_class_rows, b.class),
-            other(&self.tenant_rows, b.tenant),
-            self.value_classes.clients().class(b.client),
-            usize::from(b.has_key),
-            self.value_classes.data_set(b.data_set),
-            usize::from(self.minute_rows[(b.minute % DAY) as usize]),
+            other(&self.query_class_rows, query.class),
+            other(&self.tenant_rows, query.tenant),
+            self.value_classes.clients().class(query.client),
+            usize::from(query.has_key),
+            self.value_classes.data_set(query.data_set),
+            usize::from(self.minute_rows[(query.minute % DAY) as usize]),
         ];
         let row = |d: usize| {
             &self.matching_routes[d][point[d] * self.words_per_row..][..self.words_per_row]
@@ -201,22 +212,22 @@
         None
     }
 
-    /// What the plan says of a batch, limits apart.
-    pub fn decide(&self, b: &RoutedQuery) -> RouteDecision {
-        let route = self.route(b);
+    /// What the plan says of a query, limits apart.
+    pub fn decide(&self, query: &RoutedQuery) -> RouteDecision {
+        let route = self.route(query);
         if let Some(route) = route.filter(|r| self.plan.routes[*r].refuse.is_some()) {
             return RouteDecision::Rejected { route };
         }
         if let Some(most) = self
-            .class_rules(b.class)
+            .class_rules(query.class)
             .and_then(|g| g.statement)
-            .filter(|most| b.statement_bytes > *most)
+            .filter(|most| query.statement_bytes > *most)
         {
             return RouteDecision::StatementTooLong { max_bytes: most };
         }
         let row = route.unwrap_or(self.plan.routes.len());
         let goal = self.targets
-            [row * self.names.classes.len() + b.class.min(self.names.classes.len() - 1)];
+            [row * self.names.classes.len() + query.class.min(self.names.classes.len() - 1)];
         RouteDecision::Admitted {
             route,
             class: goal.class,
@@ -224,15 +235,23 @@
         }
     }
 
-    /// A batch in the words of the plan, for the slow way and for logs.
-    pub fn facts(&self, b: &RoutedQuery) -> Facts<'_> {
+    /// A query in the words of the plan, for the slow way and for logs.
+    pub fn facts(&self, query: &RoutedQuery) -> Facts<'_> {
         Facts {
-            group: self.names.classes.get(b.class).map_or("", String::as_str),
-            tenant: self.names.tenants.get(b.tenant).map_or("", String::as_str),
-            client: b.client,
-            key: b.has_key,
-            data_set: b.data_set,
-            minute: b.minute,
+            group: self
+                .names
+                .classes
+                .get(query.class)
+                .map_or("", String::as_str),
+            tenant: self
+                .names
+                .tenants
+                .get(query.tenant)
+                .map_or("", String::as_str),
+            client: query.client,
+            key: query.has_key,
+            data_set: query.data_set,
+            minute: query.minute,
         }
     }
 }
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,25 +1,25 @@
-//! Limits on what is taken: batches in hand, batches and bytes over time, for each tenant, group, client or any
-//! combination. Rates are kept by the generic cell rate algorithm (ITU-T I.371), one time a key. What is kept is
-//! bounded however many clients are seen: keys in use stand in a table, idle ones give way, and where all are in use
-//! further ones share a sketch, which may hold a key to less than it could have, and never lets it have more.
+//! Limits on admission: queries in flight, queries and bytes over time, for each tenant, query class, client or any
+//! combination. Rates follow the generic cell rate algorithm (ITU-T I.371), with one arrival time for each key. Memory is
+//! bounded however many clients there are: keys in use stand in a table, idle ones are evicted, and where all are in use
+//! further ones share a sketch, which may limit a key to less than its own, and never allows it more.
 
 use crate::sketch::{Cells, CountMinSketch, Usage};
 use crate::{RoutedQuery, Routing};
-use garnetwall_plan::model::{Bucket, Limit, Per};
+use garnetwall_plan::model::{Bucket, Limit, Per, Plan, Tenant};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Keys of one limit that are kept one by one.
+/// Keys of one limit that are counted exactly.
 pub const MAX_EXACT_KEYS: usize = 16_384;
-/// Places looked at for an idle key that gives way.
+/// Entries looked at for an idle key to evict.
 const EVICTION_PROBES: usize = 8;
-/// Weight of one batch in the usual time in hand.
+/// Weight of one query in the mean time in flight.
 const HOLD_TIME_WEIGHT: f64 = 0.05;
-/// A time to come back is no shorter.
+/// Least Retry-After of a rejection.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// Which limit a batch is over.
+/// Which quantity of a limit is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
     InFlight,
@@ -27,17 +27,17 @@
     Bytes,
 }
 
-/// A batch is over a limit.
+/// A query is over a limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
     /// The limit's name.
     pub limit: String,
     pub kind: LimitKind,
-    /// When it may come back: a rate has room for it then; of what is in hand one is usually over.
+    /// When it may come back: a rate has capacity for it then; of what is in flight one is usually over.
     pub retry_after: Duration,
 }
 
-/// What a limit is kept for.
+/// What a limit counts separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 struct LimitKey {
     class: Option<u32>,
@@ -51,7 +51,7 @@
     Shared(Cells),
 }
 
-/// A batch that was taken, until it is over.
+/// The right of an admitted query to count in its limits, until it is released.
 #[derive(Debug)]
 pub struct LimitPermit {
     admitted_at: Duration,
@@ -85,7 +85,7 @@
     usage: Vec<(LimitKey, Usage)>,
     eviction_hand: usize,
     sketch: Option<CountMinSketch>,
-    /// Usual seconds in hand.
+    /// Usual seconds in flight.
     mean_hold_seconds: f64,
 }
 
@@ -98,19 +98,19 @@
 }
 
 impl Limits {
-    /// The limits of a plan; `room` is the batches that this gateway can hold, which tenants' shares are of.
-    pub fn new(routing: &Routing, room: f64) -> Self {
-        Limits::with_keys(routing, room, MAX_EXACT_KEYS)
+    /// The limits of a plan; `capacity` is the number of queries that this gateway can hold, of which tenants have shares.
+    pub fn new(routing: &Routing, capacity: f64) -> Self {
+        Limits::with_keys(routing, capacity, MAX_EXACT_KEYS)
     }
 
-    /// With another number of keys that are kept one by one.
-    pub fn with_keys(routing: &Routing, room: f64, most_keys: usize) -> Self {
+    /// With another number of keys that are counted exactly.
+    pub fn with_keys(routing: &Routing, capacity: f64, max_exact_keys: usize) -> Self {
         let mut limits = Limits {
             rules: Vec::new(),
             next_number: 0,
-            max_exact_keys: most_keys,
+            max_exact_keys,
         };
-        limits.rules = limit_rules(routing, room);
+        limits.rules = limit_rules(routing, capacity);
         for rule in &mut limits.rules {
             rule.state.number = limits.next_number;
             limits.next_number += 1;
@@ -118,11 +118,11 @@
         limits
     }
 
-    /// Takes up another plan. A limit whose name and scope stay goes on with what it holds; batches in hand under a
-    /// limit that is gone count nowhere.
-    pub fn update_plan(&mut self, routing: &Routing, room: f64) {
+    /// Takes over another plan. A limit whose name and scope stay keeps its counts; queries in flight under a
+    /// removed limit count nowhere.
+    pub fn update_plan(&mut self, routing: &Routing, capacity: f64) {
         let mut old = std::mem::take(&mut self.rules);
-        self.rules = limit_rules(routing, room);
+        self.rules = limit_rules(routing, capacity);
         for rule in &mut self.rules {
             let same = old
                 .iter()
@@ -137,23 +137,23 @@
         }
     }
 
-    /// Takes a batch within all limits that count it, or says which it is over; then it counts in none.
+    /// Admits a query within all limits that count it, or says which it exceeds; then it counts in none.
     ///
     /// # Errors
     ///
-    /// Of the limits that it is over, the one with the latest time to come back.
+    /// Of the limits that it exceeds, the one with the longest Retry-After.
     pub fn admit(
         &mut self,
         routing: &Routing,
         now: Duration,
-        b: &RoutedQuery,
+        query: &RoutedQuery,
     ) -> Result<LimitPermit, LimitExceeded> {
         let sets = routing.value_classes.clients();
-        let members = sets.members(sets.class(b.client));
+        let members = sets.members(sets.class(query.client));
         let counting = |rule: &LimitRule| {
             let among = |list: &[usize], n: usize| list.is_empty() || list.contains(&n);
-            among(&rule.classes, b.class)
-                && among(&rule.tenants, b.tenant)
+            among(&rule.classes, query.class)
+                && among(&rule.tenants, query.tenant)
                 && (rule.clients.is_empty()
                     || rule.clients.iter().any(|set| members.contains(*set)))
         };
@@ -162,122 +162,134 @@
             .collect();
         let over = counting
             .iter()
-            .filter_map(|n| self.rules[*n].exceeded(now, b));
+            .filter_map(|n| self.rules[*n].exceeded(now, query));
         if let Some(over) = over.max_by_key(|over| over.retry_after) {
             return Err(LimitExceeded {
                 retry_after: over.retry_after.max(MIN_RETRY_AFTER),
                 ..over
             });
         }
-        let most = self.max_exact_keys;
-        let held = counting.into_iter().map(|n| {
+        let max_exact_keys = self.max_exact_keys;
+        let slots = counting.into_iter().map(|n| {
             let rule = &mut self.rules[n];
-            (rule.state.number, rule.count(now, b, most))
+            (rule.state.number, rule.count(now, query, max_exact_keys))
         });
         Ok(LimitPermit {
             admitted_at: now,
-            slots: held.collect(),
+            slots: slots.collect(),
         })
     }
 
-    /// A batch that was taken is over.
-    pub fn release(&mut self, now: Duration, ticket: LimitPermit) {
-        for (number, place) in ticket.slots {
-            // A limit that is gone holds nothing.
+    /// An admitted query is over.
+    pub fn release(&mut self, now: Duration, permit: LimitPermit) {
+        for (number, slot) in permit.slots {
+            // A removed limit counts nothing.
             if let Some(rule) = self.rules.iter_mut().find(|r| r.state.number == number) {
-                rule.state.release(place);
-                let took = now.saturating_sub(ticket.admitted_at).as_secs_f64();
+                rule.state.release(slot);
+                let took = now.saturating_sub(permit.admitted_at).as_secs_f64();
                 rule.state.mean_hold_seconds +=
                     HOLD_TIME_WEIGHT * (took - rule.state.mean_hold_seconds);
             }
         }
     }
 
-    /// Keys that are kept one by one, over all limits.
+    /// Keys that are counted exactly, over all limits.
     pub fn exact_keys(&self) -> usize {
         self.rules.iter().map(|r| r.state.usage.len()).sum()
     }
 }
 
-fn limit_rules(routing: &Routing, room: f64) -> Vec<LimitRule> {
-    let (plan, names) = (routing.plan(), routing.names());
-    let index = |names: &[String], list: &[String]| -> Vec<usize> {
-        list.iter()
-            .filter_map(|name| names.iter().position(|n| n == name))
-            .collect()
-    };
-    let spans = |limit: &Limit| {
-        let sets = limit
-            .clients
-            .iter()
-            .flat_map(|c| plan.addresses[*c].spans.clone());
-        garnetwall_plan::address::union(sets.collect())
-    };
-    let sorted = |list: &[String]| {
-        let mut list = list.to_vec();
-        list.sort_unstable();
-        list
-    };
-    let limits = plan.limits.iter().map(|limit| LimitRule {
+/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the queries that this gateway can hold.
+fn limit_rules(routing: &Routing, capacity: f64) -> Vec<LimitRule> {
+    let plan = routing.plan();
+    let limits = plan
+        .limits
+        .iter()
+        .map(|limit| rule_of_limit(routing, limit));
+    let tenants = plan
+        .tenants
+        .iter()
+        .map(|tenant| rule_of_tenant(routing, tenant, capacity));
+    limits.chain(tenants).collect()
+}
+
+fn rule_of_limit(routing: &Routing, limit: &Limit) -> LimitRule {
+    let names = routing.names();
+    LimitRule {
         name: limit.name.clone(),
-        scope: format!(
-            "{:?} {:?} {:?} {:?}",
-            limit.per,
-            sorted(&limit.groups),
-            sorted(&limit.tenants),
-            spans(limit)
-        ),
+        scope: scope_of(routing.plan(), limit),
         per: limit.per.clone(),
-        classes: index(&names.classes, &limit.groups),
-        tenants: index(&names.tenants, &limit.tenants),
+        classes: indices(&names.classes, &limit.groups),
+        tenants: indices(&names.tenants, &limit.tenants),
         clients: limit.clients.clone(),
         in_flight: limit.in_hand.map(|n| n.min(u64::from(u32::MAX)) as u32),
         rate: limit.rate,
         bytes: limit.bytes,
         state: LimitState::default(),
-    });
-    let tenants = plan.tenants.iter().map(|tenant| {
-        let share = tenant.share.map(|share| (share * room).max(1.0));
-        let in_hand = tenant
-            .in_hand
-            .map(|n| n as f64)
-            .into_iter()
-            .chain(share)
-            .min_by(f64::total_cmp);
-        LimitRule {
-            name: tenant.name.clone(),
-            scope: "tenant".to_string(),
-            per: Vec::new(),
-            classes: Vec::new(),
-            tenants: index(&names.tenants, std::slice::from_ref(&tenant.name)),
-            clients: Vec::new(),
-            in_flight: in_hand
-                .filter(|n| n.is_finite())
-                .map(|n| n.min(f64::from(u32::MAX)) as u32),
-            rate: tenant.rate,
-            bytes: tenant.bytes,
-            state: LimitState::default(),
-        }
-    });
-    limits.chain(tenants).collect()
+    }
+}
+
+fn rule_of_tenant(routing: &Routing, tenant: &Tenant, capacity: f64) -> LimitRule {
+    let by_share = tenant.share.map(|share| (share * capacity).max(1.0));
+    let by_count = tenant.in_hand.map(|n| n as f64);
+    let in_flight = by_count
+        .into_iter()
+        .chain(by_share)
+        .min_by(f64::total_cmp)
+        .filter(|n| n.is_finite());
+    LimitRule {
+        name: tenant.name.clone(),
+        scope: "tenant".to_string(),
+        per: Vec::new(),
+        classes: Vec::new(),
+        tenants: indices(&routing.names().tenants, std::slice::from_ref(&tenant.name)),
+        clients: Vec::new(),
+        in_flight: in_flight.map(|n| n.min(f64::from(u32::MAX)) as u32),
+        rate: tenant.rate,
+        bytes: tenant.bytes,
+        state: LimitState::default(),
+    }
+}
+
+/// What a limit counts, in words that do not depend on the order in which the plan lists it.
+fn scope_of(plan: &Plan, limit: &Limit) -> String {
+    let sorted = |list: &[String]| {
+        let mut list = list.to_vec();
+        list.sort_unstable();
+        list
+    };
+    let spans = limit
+        .clients
+        .iter()
+        .flat_map(|set| plan.addresses[*set].spans.clone());
+    let spans = garnetwall_plan::address::union(spans.collect());
+    let (classes, tenants) = (sorted(&limit.groups), sorted(&limit.tenants));
+    format!("{:?} {classes:?} {tenants:?} {spans:?}", limit.per)
+}
+
+/// The places of some names in a list; unknown names are left out.
+fn indices(names: &[String], list: &[String]) -> Vec<usize> {
+    list.iter()
+        .filter_map(|name| names.iter().position(|other| other == name))
+        .collect()
 }
 
 impl LimitRule {
-    fn key(&self, b: &RoutedQuery) -> LimitKey {
+    fn key(&self, query: &RoutedQuery) -> LimitKey {
         let mut key = LimitKey::default();
         for per in &self.per {
             match per {
-                Per::Group => key.class = Some(b.class as u32),
-                Per::Tenant => key.tenant = Some(b.tenant as u32),
-                Per::Client => key.client = Some(b.client),
+                Per::Group => key.class = Some(query.class as u32),
+                Per::Tenant => key.tenant = Some(query.tenant as u32),
+                Per::Client => key.client = Some(query.client),
             }
         }
         key
     }
 
-    /// Whether one more batch is over, and when it would no longer be.
-    fn exceeded(&self, now: Duration, b: &RoutedQuery) -> Option<LimitExceeded> {
-        let load = self.state.usage_of_key(&self.key(b));
+    /// Whether one more query is over, and when it would no longer be.
+    fn exceeded(&self, now: Duration, query: &RoutedQuery) -> Option<LimitExceeded> {
+        let load = self.state.usage_of_key(&self.key(query));
         let over = |which, come_back| LimitExceeded {
             limit: self.name.clone(),
             kind: which,
@@ -298,21 +310,21 @@
         if let Some(wait) = too_soon(self.rate, load.queries_due, 1.0) {
             return Some(over(LimitKind::Rate, wait));
         }
-        too_soon(self.bytes, load.bytes_due, b.statement_bytes as f64)
+        too_soon(self.bytes, load.bytes_due, query.statement_bytes as f64)
             .map(|wait| over(LimitKind::Bytes, wait))
     }
 
-    fn count(&mut self, now: Duration, b: &RoutedQuery, most_keys: usize) -> Slot {
-        let key = self.key(b);
-        let place = self.state.slot_for(now, key, most_keys);
-        let load = self.state.usage_of_slot(&place);
+    fn count(&mut self, now: Duration, query: &RoutedQuery, max_exact_keys: usize) -> Slot {
+        let key = self.key(query);
+        let slot = self.state.slot_for(now, key, max_exact_keys);
+        let load = self.state.usage_of_slot(&slot);
         let batches = self.rate.map_or(load.queries_due, |rate| {
             arrival_time_after(&rate, load.queries_due, now, 1.0)
         });
         let bytes = self.bytes.map_or(load.bytes_due, |rate| {
-            arrival_time_after(&rate, load.bytes_due, now, b.statement_bytes as f64)
+            arrival_time_after(&rate, load.bytes_due, now, query.statement_bytes as f64)
         });
-        match (&place, &mut self.state.sketch) {
+        match (&slot, &mut self.state.sketch) {
             (Slot::Exact(at), _) => {
                 let load = &mut self.state.usage[*at as usize].1;
                 *load = Usage {
@@ -324,11 +336,11 @@
             (Slot::Shared(cells), Some(sketch)) => sketch.add(cells, batches, bytes),
             (Slot::Shared(_), None) => {}
         }
-        place
+        slot
     }
 }
 
-/// The time to which one more batch of this cost moves a key's. What is larger than a whole burst counts as one.
+/// The time to which one more query of this cost moves a key's. What is larger than a whole burst counts as one.
 fn arrival_time_after(bucket: &Bucket, due: Duration, now: Duration, cost: f64) -> Duration {
     due.max(now) + Duration::from_secs_f64(cost.min(bucket.burst) / bucket.rate)
 }
@@ -342,8 +354,8 @@
         }
     }
 
-    fn usage_of_slot(&self, place: &Slot) -> Usage {
-        match (place, &self.sketch) {
+    fn usage_of_slot(&self, slot: &Slot) -> Usage {
+        match (slot, &self.sketch) {
             (Slot::Exact(at), _) => self.usage[*at as usize].1,
             (Slot::Shared(cells), Some(sketch)) => sketch.usage(cells),
             (Slot::Shared(_), None) => Usage::default(),
@@ -351,7 +363,7 @@
     }
 
     /// A place for a key: its own, a new one, that of an idle key, or cells that it shares.
-    fn slot_for(&mut self, now: Duration, key: LimitKey, most_keys: usize) -> Slot {
+    fn slot_for(&mut self, now: Duration, key: LimitKey, max_exact_keys: usize) -> Slot {
         if let Some(at) = self.slots.get(&key) {
             return Slot::Exact(*at);
         }
@@ -362,7 +374,7 @@
                 return Slot::Shared(cells);
             }
         }
-        if self.usage.len() < most_keys {
+        if self.usage.len() < max_exact_keys {
             self.usage.push((key, Usage::default()));
             self.slots.insert(key, self.usage.len() as u32 - 1);
             return Slot::Exact(self.usage.len() as u32 - 1);
@@ -384,8 +396,8 @@
         )
     }
 
-    fn release(&mut self, place: Slot) {
-        match (place, &mut self.sketch) {
+    fn release(&mut self, slot: Slot) {
+        match (slot, &mut self.sketch) {
             (Slot::Exact(at), _) => {
                 let load = &mut self.usage[at as usize].1;
                 load.in_flight = load.in_flight.saturating_sub(1);
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -40,7 +40,7 @@
     limit houses {\n client houses\n per tenant, group\n bytes 1KiB/s burst 2KiB\n}\n\
     limit loads {\n group load\n in-hand 3\n}\n";
 
-/// Every batch taken so far with the time, and whether it is still in hand: limits by their definition.
+/// Every query taken so far with the time, and whether it is still in flight: limits by their definition.
 #[derive(Default)]
 struct Plain(Vec<(Duration, RoutedQuery, bool)>);
 
--- a/crates/routing/src/sketch.rs
+++ b/crates/routing/src/sketch.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A batch was taken: one more in hand, and the times moved on to these.
+    /// A query was taken: one more in flight, and the times moved on to these.
     pub fn add(&mut self, cells: &Cells, batches: Duration, bytes: Duration) {
         for cell in cells {
             let load = &mut self.cells[*cell as usize];
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Debug)]
 struct Drawn {
-    tiers: Vec<usize>,
+    priority_levels: Vec<usize>,
     capacity: Vec<f64>,
     others: Vec<f64>,
     may: Vec<bool>,
@@ -25,23 +25,25 @@
             vec(prop_oneof![3 => Just(false), 1 => Just(true)], n),
             0.0..600.0f64,
         )
-            .prop_map(|(tiers, capacity, others, may, lost, load)| Drawn {
-                tiers,
-                capacity,
-                others,
-                may,
-                lost,
-                load,
-            })
+            .prop_map(
+                |(priority_levels, capacity, others, may, lost, load)| Drawn {
+                    priority_levels,
+                    capacity,
+                    others,
+                    may,
+                    lost,
+                    load,
+                },
+            )
     })
 }
 
 fn made(d: &Drawn) -> Zones {
-    let mut zones = Zones::new(&d.tiers);
-    for n in 0..d.tiers.len() {
-        zones.listed(0.0, n, d.capacity[n], d.others[n]);
+    let mut zones = Zones::new(&d.priority_levels);
+    for n in 0..d.priority_levels.len() {
+        zones.update_capacity(0.0, n, d.capacity[n], d.others[n]);
         for _ in 0..if d.lost[n] { 20 } else { 0 } {
-            zones.ended(0.0, n, 0.0, Ended::Badly);
+            zones.attempt_ended(0.0, n, 0.0, ZoneOutcome::Failed);
         }
     }
     zones
@@ -56,31 +58,31 @@
         let shares = zones.shares(d.load, &d.may);
         let all: f64 = shares.zones.iter().sum();
         prop_assert!(all <= 1.0 + 1e-9 && shares.zones.iter().all(|s| *s >= 0.0));
-        let by_tier: f64 = shares.tiers.iter().sum();
+        let by_tier: f64 = shares.priority_levels.iter().sum();
         prop_assert!((by_tier - all).abs() < 1e-9);
         let open = |n: &usize| d.may[*n];
-        let n = || (0..d.tiers.len()).filter(open);
+        let n = || (0..d.priority_levels.len()).filter(open);
         let told: f64 = n().map(|n| d.capacity[n]).sum();
-        let room = |n: usize| (zones.allowed(n) - d.others[n]).max(0.0);
+        let room = |n: usize| (zones.allowed_cores(n) - d.others[n]).max(0.0);
         for (n, share) in shares.zones.iter().enumerate() {
             prop_assert!(d.may[n] || *share == 0.0, "placement");
             if shares.panic {
                 prop_assert!(share * d.load <= d.capacity[n] + 1e-6);
-            } else if d.load > LEAST {
+            } else if d.load > MIN_DIVISOR {
                 prop_assert!(share * d.load <= room(n) + 1e-6, "a neighbour is not overrun");
-                prop_assert!(zones.allowed(n) > 0.0 || *share == 0.0);
+                prop_assert!(zones.allowed_cores(n) > 0.0 || *share == 0.0);
             }
         }
         let held = d.load * all;
         let holds: f64 = if shares.panic { told } else { n().map(room).sum() };
-        if d.load > LEAST {
+        if d.load > MIN_DIVISOR {
             prop_assert!((held - d.load.min(holds)).abs() < 1e-6, "{held} held of {}, room for {holds}", d.load);
         }
-        // The nearest tier has it all while that is well within its room.
-        let first = n().filter(|n| room(*n) > 0.0).map(|n| d.tiers[n]).min();
-        let near: f64 = n().filter(|n| Some(d.tiers[*n]) == first).map(room).sum();
-        if let Some(first) = first.filter(|_| !shares.panic && d.load > LEAST && d.load <= SOFT * near) {
-            prop_assert!((shares.tiers[first] - 1.0).abs() < 1e-9, "{shares:?}");
+        // The nearest priority_level has it all while that is well within its room.
+        let first = n().filter(|n| room(*n) > 0.0).map(|n| d.priority_levels[n]).min();
+        let near: f64 = n().filter(|n| Some(d.priority_levels[*n]) == first).map(room).sum();
+        if let Some(first) = first.filter(|_| !shares.panic && d.load > MIN_DIVISOR && d.load <= SPILL_FROM_FRACTION * near) {
+            prop_assert!((shares.priority_levels[first] - 1.0).abs() < 1e-9, "{shares:?}");
         }
     }
 
@@ -90,10 +92,10 @@
     fn doubting_health_never_gives_the_healthy_few_more(d in drawn()) {
         let zones = made(&d);
         let shares = zones.shares(d.load, &d.may);
-        let open = || (0..d.tiers.len()).filter(|n| d.may[*n]);
+        let open = || (0..d.priority_levels.len()).filter(|n| d.may[*n]);
         let told: f64 = open().map(|n| d.capacity[n]).sum();
-        let healthy: f64 = open().map(|n| zones.allowed(n)).sum();
-        prop_assert_eq!(shares.panic, healthy < PANIC * told && healthy < d.load);
+        let healthy: f64 = open().map(|n| zones.allowed_cores(n)).sum();
+        prop_assert_eq!(shares.panic, healthy < PANIC_FRACTION * told && healthy < d.load);
         if shares.panic && healthy > 0.0 {
             for n in open().filter(|n| d.capacity[*n] > 0.0) {
                 let density = shares.zones[n] * d.load / d.capacity[n];
@@ -102,11 +104,11 @@
         }
     }
 
-    /// By degrees: a little more load moves little, and a tier never keeps less of more.
+    /// By degrees: a little more load moves little, and a priority_level never keeps less of more.
     #[test]
     fn a_tier_spills_without_an_edge(capacity in 1.0..500.0f64, load in 0.0..2000.0f64) {
         let step = capacity / 100.0;
-        let (a, b) = (kept(load, capacity), kept(load + step, capacity));
+        let (a, b) = (kept_before_spilling(load, capacity), kept_before_spilling(load + step, capacity));
         prop_assert!(a <= load.min(capacity) && b >= a - 1e-9 && b - a <= step + 1e-9);
     }
 
@@ -116,20 +118,20 @@
         for draw in draws {
             match shares.pick(draw) {
                 Some(zone) => prop_assert!(shares.zones[zone] > 0.0),
-                None => prop_assert!(draw >= 1.0 - shares.turned_away() - 1e-9),
+                None => prop_assert!(draw >= 1.0 - shares.rejected_share() - 1e-9),
             }
         }
     }
 
     #[test]
     fn the_dense_groups_are_held_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), room in 0.0..120.0f64) {
-        let parts = held_first(&groups, room);
+        let parts = admit_by_value(&groups, room);
         let held: f64 = groups.iter().zip(&parts).map(|(g, p)| g.1 * p).sum();
         let all: f64 = groups.iter().map(|g| g.1).sum();
         prop_assert!((held - all.min(room)).abs() < 1e-6);
         for (a, pa) in groups.iter().zip(&parts) {
             for (b, pb) in groups.iter().zip(&parts) {
-                prop_assert!(a.0 <= b.0 || b.1 <= LEAST || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "less dense before denser");
+                prop_assert!(a.0 <= b.0 || b.1 <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "less dense before denser");
             }
         }
     }
@@ -152,17 +154,17 @@
     worst: f64,
     /// Seconds from being told back until it has nine tenths of its share.
     back_after: f64,
-    /// Parts of all work by tier while it was lost, and turned away.
+    /// Parts of all work by priority_level while it was lost, and rejected.
     spilled: f64,
-    turned_away: f64,
+    rejected_share: f64,
 }
 
 /// Three zones of 100 cores, the nearest with 65 cores of load, lost at 20 s, back cold at 40 s; it warms up in `warm`
 /// seconds of running, from 0.3 of its cores. `told` is what the settings say it takes. Work is in units of 0.2 core
-/// seconds; a zone whose work in hand is three times what it can do for half a second falls over for 2 s.
+/// seconds; a zone whose work in flight is three times what it can do for half a second falls over for 2 s.
 fn played(ramp: Ramp, warm: f64, flaps: bool) -> Outcome {
     let mut zones = Zones::new(&[0, 1, 2]);
-    (0..3).for_each(|n| zones.listed(0.0, n, 100.0, if n == 0 { 0.0 } else { 40.0 }));
+    (0..3).for_each(|n| zones.update_capacity(0.0, n, 100.0, if n == 0 { 0.0 } else { 40.0 }));
     let (load, unit, step) = (65.0, 0.2, 0.01);
     let mut queue = [0.0f64; 3];
     let mut done = [0.0f64; 3];
@@ -179,13 +181,13 @@
             (20.0..40.0 + step).contains(&now) || (flaps && (45.0..50.0 + step).contains(&now));
         if down {
             if queue[0] > 0.0 {
-                zones.ended(now, 0, queue[0], Ended::Badly);
+                zones.attempt_ended(now, 0, queue[0], ZoneOutcome::Failed);
             }
             queue[0] = 0.0;
-            zones.listed(now, 0, 0.0, 0.0);
+            zones.update_capacity(now, 0, 0.0, 0.0);
         } else if was_down {
             (up_at, fallen) = (now, -1.0);
-            zones.listed(now, 0, 100.0, 0.0);
+            zones.update_capacity(now, 0, 100.0, 0.0);
         }
         let able = |n: usize, fallen: f64| match n {
             0 if down || now < fallen => 0.0,
@@ -201,9 +203,9 @@
             let shares = zones.shares(load, &[true; 3]);
             let by_clock = match ramp {
                 Ramp::Clock(over) if up_at > 0.0 && !down => {
-                    // By the clock: the first tier has its part, the rest goes on.
-                    let part = ((now - up_at) / over).clamp(0.05, 1.0);
-                    let first = (part * 100.0 / load).min(1.0);
+                    // By the clock: the first priority_level has its part, the rest goes on.
+                    let fraction = ((now - up_at) / over).clamp(0.05, 1.0);
+                    let first = (fraction * 100.0 / load).min(1.0);
                     Some(if draw < first {
                         Some(0)
                     } else {
@@ -212,7 +214,7 @@
                 }
                 _ => None,
             };
-            let trial = ramp == Ramp::Evidence && !down && zones.tries(now, 0);
+            let trial = ramp == Ramp::Evidence && !down && zones.should_try(now, 0);
             let zone = if trial {
                 Some(0)
             } else {
@@ -225,7 +227,7 @@
             }
             if let Some(zone) = zone {
                 queue[zone] += unit;
-                zones.sent(zone, unit);
+                zones.attempt_begun(zone, unit);
             }
             if up_at > 0.0
                 && back_after.is_nan()
@@ -237,8 +239,8 @@
         }
         for n in 0..3 {
             let can = able(n, fallen);
-            // Work in hand for a second of what it can do is its usual; beyond that all get slower.
-            let slowdown = (queue[n] / (can * 0.25).max(LEAST)).max(1.0);
+            // Work in flight for a second of what it can do is its usual; beyond that all get slower.
+            let slowdown = (queue[n] / (can * 0.25).max(MIN_DIVISOR)).max(1.0);
             if n == 0 && up_at > 0.0 && !down {
                 if can > 0.0 {
                     worst = worst.max(queue[0] / (can * 0.25));
@@ -253,7 +255,7 @@
                     (fallen, pressed) = (now + 2.0, 0.0);
                     while queue[0] > 0.0 {
                         queue[0] -= unit;
-                        zones.ended(now, 0, unit, Ended::Badly);
+                        zones.attempt_ended(now, 0, unit, ZoneOutcome::Failed);
                     }
                     queue[0] = 0.0;
                 }
@@ -262,11 +264,11 @@
             while done[n] >= unit {
                 done[n] -= unit;
                 queue[n] = (queue[n] - unit).max(0.0);
-                zones.ended(
+                zones.attempt_ended(
                     now,
                     n,
                     unit,
-                    Ended::Well {
+                    ZoneOutcome::Succeeded {
                         work: unit,
                         slowdown,
                     },
@@ -279,7 +281,7 @@
         worst,
         back_after,
         spilled: spilled / outage,
-        turned_away: turned / outage,
+        rejected_share: turned / outage,
     }
 }
 
@@ -301,7 +303,7 @@
                 "{evidence:?}"
             );
             assert!(
-                evidence.spilled > 0.99 && evidence.turned_away < 0.01,
+                evidence.spilled > 0.99 && evidence.rejected_share < 0.01,
                 "all that fits goes on: {evidence:?}"
             );
         }
@@ -315,10 +317,10 @@
 #[test]
 fn a_zone_that_flutters_is_held_back_longer_each_time() {
     let mut zones = Zones::new(&[0, 1]);
-    (0..2).for_each(|n| zones.listed(0.0, n, 100.0, 0.0));
+    (0..2).for_each(|n| zones.update_capacity(0.0, n, 100.0, 0.0));
     let (mut now, mut waits) = (0.0, Vec::new());
     for _ in 0..5 {
-        (0..30).for_each(|_| zones.ended(now, 0, 0.0, Ended::Badly));
+        (0..30).for_each(|_| zones.attempt_ended(now, 0, 0.0, ZoneOutcome::Failed));
         let Health::Lost { until } = zones.health(0) else {
             panic!("lost")
         };
@@ -326,26 +328,27 @@
         // It does well as soon as it may be tried.
         now = until;
         assert!(
-            zones.tries(now, 0) && !zones.tries(now, 0),
+            zones.should_try(now, 0) && !zones.should_try(now, 0),
             "one trial at a time"
         );
-        now += 6.0 * HEARD_LIFE;
-        for _ in 0..TRIALS {
-            zones.ended(
+        now += 6.0 * OUTCOME_DECAY_SECONDS;
+        for _ in 0..TRIALS_TO_RECOVER {
+            zones.attempt_ended(
                 now,
                 0,
                 0.0,
-                Ended::Well {
+                ZoneOutcome::Succeeded {
                     work: 0.2,
                     slowdown: 1.0,
                 },
             );
         }
-        assert!(matches!(zones.health(0), Health::Returning { .. }));
+        assert!(matches!(zones.health(0), Health::Recovering { .. }));
     }
     assert_eq!(waits[0], 0.0, "the first costs nothing");
     assert!(
-        waits.windows(2).skip(1).all(|w| w[1] > w[0]) && waits.iter().all(|w| *w <= HELD_MOST),
+        waits.windows(2).skip(1).all(|w| w[1] > w[0])
+            && waits.iter().all(|w| *w <= MAX_HOLD_SECONDS),
         "{waits:?}"
     );
 }
