--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::engines::{self, Engines};
 use crate::http::client_connections::ClientConnections;
 use crate::http::send_time::SendTimeEstimator;
-use crate::http::{self, HttpFront};
+use crate::http::{self, ServerState};
 use crate::scheduling::plan_routing::{self, PlanRouter};
 use crate::scheduling::scheduler::Scheduler;
 use crate::storage::query_journal::{self, QueryJournal};
@@ -168,21 +168,21 @@
             listener,
         } = opened;
         self.start(reloads);
-        let front = HttpFront {
+        let state = ServerState {
             scheduler: self.desk.clone(),
             engines: self.engines.clone(),
             journal: keeper,
-            store: store.clone(),
+            body_store: store.clone(),
             decoded: self.config.decoded.clone(),
             phase: self.phase.subscribe(),
-            statements: self.budget.statements.clone(),
+            statement_memory: self.budget.statements.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
                 self.budget.room,
                 self.config.decoded.network.dial,
                 self.longest,
             )),
         };
-        let router = http::router(Arc::new(front));
+        let router = http::router(Arc::new(state));
         let guests = ClientConnections::new(self.budget.clients.clone());
         let ((shut, open), (close, closing)) = (watch::channel(false), watch::channel(false));
         // One for all phases: a connection that waits for its seat is in its hands.
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -40,24 +40,24 @@
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What every call needs.
-pub struct HttpFront {
+pub struct ServerState {
     pub scheduler: Arc<Scheduler>,
     pub engines: Arc<Engines>,
     pub decoded: Decoded,
     pub phase: watch::Receiver<Phase>,
     pub journal: Arc<QueryJournal>,
     /// Where bodies over the longest statement are kept; without it they are refused.
-    pub store: Option<Arc<Store>>,
+    pub body_store: Option<Arc<Store>>,
     pub send_times: Mutex<SendTimeEstimator>,
     /// Bytes of statements that may be in hand at once.
-    pub statements: Arc<Semaphore>,
+    pub statement_memory: Arc<Semaphore>,
 }
 
 /// Where a call came from.
 #[derive(Clone, Copy, Debug)]
 struct Client(IpAddr);
 
-impl HttpFront {
+impl ServerState {
     fn sent(&self, key: Option<u64>, came: f64) -> f64 {
         let in_hand = self.scheduler.open_queries();
         let mut spacing = self
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn router(front: Arc<HttpFront>) -> Router {
+pub fn router(front: Arc<ServerState>) -> Router {
     Router::new()
         .route("/healthz", get(health))
         .route("/v1/{group}", post(submit).delete(withdraw))
@@ -79,7 +79,7 @@
         .with_state(front)
 }
 
-async fn health(State(front): State<Arc<HttpFront>>) -> Response {
+async fn health(State(front): State<Arc<ServerState>>) -> Response {
     let phase = *front.phase.borrow();
     match phase {
         Phase::Serving => (StatusCode::OK, "serving\n").into_response(),
--- a/crates/gateway/src/http/responses.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -1,6 +1,6 @@
 //! Responses: final answers, and what is said of a call that brings no batch.
 
-use super::HttpFront;
+use super::ServerState;
 use crate::scheduling::plan_routing::PlanRejection;
 use crate::scheduling::scheduler::{QueryAnswer, Waiter};
 use axum::http::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE};
@@ -58,7 +58,7 @@
 }
 
 /// What the plan does not let in is answered at once.
-pub(super) fn turned_away(front: &HttpFront, turned: PlanRejection) -> Response {
+pub(super) fn turned_away(front: &ServerState, turned: PlanRejection) -> Response {
     match turned {
         PlanRejection::TooLong { most } => closing(error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -3,7 +3,7 @@
 use super::request_head::arrival;
 use super::responses::{closing, error_response, final_response, not_kept};
 use super::submission::take;
-use super::{HttpFront, FIRST_REQUEST_TIMEOUT};
+use super::{ServerState, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::client_stream::StreamHandle;
 use crate::http::statement;
@@ -26,7 +26,7 @@
 
 /// A body too long to be read whole first: it goes on while it comes in, and is kept as it passes.
 pub(super) async fn submit_streamed(
-    front: &HttpFront,
+    front: &ServerState,
     store: &Arc<Store>,
     group: &str,
     head: &HeaderMap,
@@ -75,7 +75,7 @@
     drop(first);
     call.statement = Statement::Streamed(kept.clone());
     let job = arrival.query_key;
-    let Ok(memory) = front.statements.clone().try_acquire_many_owned(0) else {
+    let Ok(memory) = front.statement_memory.clone().try_acquire_many_owned(0) else {
         return closing(error_response(
             StatusCode::INSUFFICIENT_STORAGE,
             "too many statements in hand",
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -3,7 +3,7 @@
 use super::request_head::{arrival, field, hex, QUERY_ID};
 use super::responses::{closing, error_response, final_response, response_of, turned_away};
 use super::streamed_body::submit_streamed;
-use super::{Client, HttpFront, FIRST_REQUEST_TIMEOUT};
+use super::{Client, ServerState, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Call;
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::query_task::QueryTask;
@@ -23,7 +23,7 @@
 const LONGEST_STATEMENT: u64 = 1 << 18;
 
 pub(super) async fn submit(
-    State(front): State<Arc<HttpFront>>,
+    State(front): State<Arc<ServerState>>,
     Path(group): Path<String>,
     Extension(peer): Extension<StreamHandle>,
     Extension(Client(client)): Extension<Client>,
@@ -32,7 +32,7 @@
 ) -> Response {
     let length = body.size_hint().exact();
     if let Some(store) = front
-        .store
+        .body_store
         .clone()
         .filter(|_| length.is_none_or(|n| n > LONGEST_STATEMENT))
     {
@@ -53,7 +53,7 @@
         ));
     }
     let Ok(memory) = front
-        .statements
+        .statement_memory
         .clone()
         .try_acquire_many_owned(length as u32)
     else {
@@ -94,7 +94,7 @@
 
 /// Takes a batch, or joins the one in hand: who waits for it, or what is answered at once.
 pub(super) fn take(
-    front: &HttpFront,
+    front: &ServerState,
     mut arrival: ArrivingQuery,
     call: Call,
     came: f64,
@@ -156,7 +156,7 @@
     })
 }
 
-pub(super) async fn withdraw(State(front): State<Arc<HttpFront>>, head: HeaderMap) -> Response {
+pub(super) async fn withdraw(State(front): State<Arc<ServerState>>, head: HeaderMap) -> Response {
     match field(&head, QUERY_ID).and_then(|id| hex(QUERY_ID, id)) {
         Ok(job) if front.scheduler.cancel(job) => StatusCode::NO_CONTENT.into_response(),
         Ok(_) => error_response(StatusCode::NOT_FOUND, "no batch of this id is in hand"),
