--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -1,12 +1,21 @@
-//! The HTTP front: clients' calls into arrivals, and final answers into responses.
+//! The HTTP server for clients: requests become queries, final answers become responses.
 //!
-//! [`accept`] takes connections, each of which `connection` serves for as long as it lasts. A call is `submit`ted whole or,
-//! where its body is long, `streaming`; `intake` takes out of its head what decisions need, and `answers` has the responses.
+//! The stages of a request, each in a module:
+//! 1. Connection: [`accept`](accept()) accepts it, [`client_connections`] has a slot for it, `connection` serves it and
+//!    [`client_stream`] is its byte stream.
+//! 2. Handler: `submission` takes a request that submits or cancels a query, `streamed_body` one with a long body.
+//! 3. Parse: `request_head` checks the head, [`statement`] finds the data set.
+//! 4. Admission: [`send_time`] estimates when the client sent the query, `admission` hands it to the scheduler.
+//! 5. Response: `responses` has final answers, `rejection` says why a query is not admitted.
+//!
+//! The protocol's names of headers and paths stand in `request_head`, `responses` and [`router`] only.
 
 mod accept;
+mod admission;
 pub mod client_connections;
 pub mod client_stream;
 mod connection;
+mod rejection;
 mod request_head;
 mod responses;
 pub mod send_time;
@@ -26,61 +35,79 @@
 use axum::Router;
 use garnetwall_bodies::Store;
 use garnetwall_settings::Decoded;
+use rejection::Rejection;
 use responses::error_response;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use submission::{submit, withdraw};
-use tokio::sync::{watch, Semaphore};
+use submission::{cancel, submit};
+use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 
 pub use accept::accept;
 
-/// Protocol: a client that can't be served is owed a close within 3 s of connecting. The first call has this long
+/// Protocol: a client that can't be served is owed a close within 3 s of connecting. The first request has this long
 /// to bring its head, and a statement as long as that.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What every call needs.
+/// What all request handlers share.
 pub struct ServerState {
+    /// Admits and cancels queries.
     pub scheduler: Arc<Scheduler>,
+    /// Runs the attempts of queries.
     pub engines: Arc<Engines>,
+    /// The settings of query classes, and the names of classes and tenants.
     pub decoded: Decoded,
+    /// Whether the gateway is serving, for the health check.
     pub phase: watch::Receiver<Phase>,
+    /// Records non-idempotent queries before they are sent.
     pub journal: Arc<QueryJournal>,
-    /// Where bodies over the longest statement are kept; without it they are refused.
+    /// Stores bodies longer than the longest statement that is read whole; without it they are rejected.
     pub body_store: Option<Arc<Store>>,
+    /// Estimates when clients sent their queries.
     pub send_times: Mutex<SendTimeEstimator>,
-    /// Bytes of statements that may be in hand at once.
+    /// One permit for each byte of the statements that may be in memory at once.
     pub statement_memory: Arc<Semaphore>,
 }
 
-/// Where a call came from.
+/// The address that a request came from.
 #[derive(Clone, Copy, Debug)]
 struct Client(IpAddr);
 
 impl ServerState {
-    fn sent(&self, key: Option<u64>, came: f64) -> f64 {
-        let in_hand = self.scheduler.open_queries();
-        let mut spacing = self
+    /// The earliest time, in seconds of the scheduler's clock, at which a query that arrived at `arrived_at` may have been
+    /// sent.
+    fn earliest_send_time(&self, ordering_key: Option<u64>, arrived_at: f64) -> f64 {
+        let open_queries = self.scheduler.open_queries();
+        let mut send_times = self
             .send_times
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        spacing.estimate(key, came, in_hand)
+        send_times.estimate(ordering_key, arrived_at, open_queries)
+    }
+
+    /// Reserves memory for a statement of so many bytes.
+    fn reserve_statement_memory(&self, bytes: u32) -> Result<OwnedSemaphorePermit, Rejection> {
+        self.statement_memory
+            .clone()
+            .try_acquire_many_owned(bytes)
+            .map_err(|_| Rejection::StatementMemoryFull)
     }
 }
 
-pub fn router(front: Arc<ServerState>) -> Router {
+/// Routes requests to their handlers.
+pub fn router(state: Arc<ServerState>) -> Router {
     Router::new()
         .route("/healthz", get(health))
-        .route("/v1/{group}", post(submit).delete(withdraw))
+        .route("/v1/{class}", post(submit).delete(cancel))
         .fallback(|| async { error_response(StatusCode::NOT_FOUND, "no such path") })
         .method_not_allowed_fallback(|| async {
             error_response(StatusCode::METHOD_NOT_ALLOWED, "method not served")
         })
-        .with_state(front)
+        .with_state(state)
 }
 
-async fn health(State(front): State<Arc<ServerState>>) -> Response {
-    let phase = *front.phase.borrow();
+async fn health(State(state): State<Arc<ServerState>>) -> Response {
+    let phase = *state.phase.borrow();
     match phase {
         Phase::Serving => (StatusCode::OK, "serving\n").into_response(),
         Phase::Starting | Phase::Draining | Phase::Stopped => {
--- /dev/null
+++ b/crates/gateway/src/http/rejection.rs
@@ -0,0 +1,157 @@
+//! Response stage: why a request is answered without its query being admitted, and what the client is answered.
+
+use super::request_head::RequestError;
+use super::responses::{busy_response, close_after, error_response};
+use crate::scheduling::plan_routing::PlanRejection;
+use axum::http::StatusCode;
+use axum::response::{IntoResponse, Response};
+use garnetwall_bodies::room::Refused;
+use garnetwall_settings::Decoded;
+use thiserror::Error;
+
+/// Why a query is not admitted; the text is what the client is answered.
+#[derive(Debug, Error, PartialEq)]
+pub(super) enum Rejection {
+    /// The head of the request is wrong.
+    #[error(transparent)]
+    InvalidHead(#[from] RequestError),
+    /// The length of the statement is not given by `Content-Length`.
+    #[error("a statement comes with its Content-Length")]
+    LengthRequired,
+    /// The statement is longer than any that is read whole.
+    #[error("statement too long")]
+    StatementTooLong,
+    /// The statement is longer than the plan allows for its class, in bytes.
+    #[error("the plan allows statements of {max_bytes} bytes")]
+    StatementOverPlan { max_bytes: u64 },
+    /// The body is longer than any that is stored, in bytes.
+    #[error("a body has {max_bytes} bytes at most")]
+    BodyTooLong { max_bytes: u64 },
+    /// The memory for statements is in use. Not a busy answer: the id may be that of an open query.
+    #[error("too many statements in hand")]
+    StatementMemoryFull,
+    /// The class requires its bodies to be stored, and there is no space.
+    #[error("no room for the body")]
+    BodyStoreFull,
+    /// The connection ended within the body.
+    #[error("statement cut off")]
+    BodyCutOff,
+    /// The statement did not arrive in time.
+    #[error("statement came too slowly")]
+    BodyTooSlow,
+    /// The body store refused a part of a body whose query was admitted.
+    #[error("the body can't be kept, or is longer than it may be")]
+    BodyNotStored,
+    /// The client closed its connection before its query was admitted: nobody reads the answer.
+    #[error("the client has left")]
+    ClientClosed,
+    /// A different query has the same id.
+    #[error("this id is that of another batch")]
+    QueryKeyConflict,
+    /// The query ended before, and its answer is not cached.
+    #[error("this id has had its answer")]
+    AnswerNotCached,
+    /// An earlier process sent the query to an engine, which may have run it.
+    #[error("Failed")]
+    MayHaveRun,
+    /// A rule or a limit of the plan rejects the query; it may be sent again after `retry_after_seconds`.
+    #[error("{reason}")]
+    RejectedByPlan {
+        reason: String,
+        retry_after_seconds: Option<f64>,
+    },
+}
+
+impl Rejection {
+    /// What the client is told of a rejection by the plan: the settings say whether it is told when to retry, and the most.
+    pub fn by_plan(rejection: PlanRejection, decoded: &Decoded) -> Self {
+        match rejection {
+            PlanRejection::TooLong { most } => Rejection::StatementOverPlan { max_bytes: most },
+            PlanRejection::LimitReached { reason, come_back } => {
+                let retry_after_ms = come_back.map(|span| span.as_millis());
+                tracing::debug!(reason, retry_after_ms, "query rejected by plan");
+                let settings = &decoded.settings;
+                let retry_after_seconds = come_back
+                    .filter(|_| settings.retry_after_allowed)
+                    .map(|span| span.as_secs_f64().min(settings.max_retry_after));
+                Rejection::RejectedByPlan {
+                    reason,
+                    retry_after_seconds,
+                }
+            }
+        }
+    }
+
+    fn status(&self) -> StatusCode {
+        match self {
+            Rejection::InvalidHead(_)
+            | Rejection::BodyCutOff
+            | Rejection::BodyNotStored
+            | Rejection::ClientClosed => StatusCode::BAD_REQUEST,
+            Rejection::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
+            Rejection::QueryKeyConflict | Rejection::AnswerNotCached => StatusCode::CONFLICT,
+            Rejection::LengthRequired => StatusCode::LENGTH_REQUIRED,
+            Rejection::StatementTooLong
+            | Rejection::StatementOverPlan { .. }
+            | Rejection::BodyTooLong { .. } => StatusCode::PAYLOAD_TOO_LARGE,
+            Rejection::MayHaveRun => StatusCode::INTERNAL_SERVER_ERROR,
+            Rejection::BodyStoreFull | Rejection::RejectedByPlan { .. } => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
+            Rejection::StatementMemoryFull => StatusCode::INSUFFICIENT_STORAGE,
+        }
+    }
+
+    /// Whether a part of the request may be unread, so that what follows can't be parsed as a request.
+    fn closes_connection(&self) -> bool {
+        match self {
+            Rejection::InvalidHead(_)
+            | Rejection::QueryKeyConflict
+            | Rejection::AnswerNotCached
+            | Rejection::MayHaveRun
+            | Rejection::RejectedByPlan { .. } => false,
+            Rejection::LengthRequired
+            | Rejection::StatementTooLong
+            | Rejection::StatementOverPlan { .. }
+            | Rejection::BodyTooLong { .. }
+            | Rejection::StatementMemoryFull
+            | Rejection::BodyStoreFull
+            | Rejection::BodyCutOff
+            | Rejection::BodyTooSlow
+            | Rejection::BodyNotStored
+            | Rejection::ClientClosed => true,
+        }
+    }
+}
+
+impl From<Refused> for Rejection {
+    fn from(refused: Refused) -> Self {
+        match refused {
+            Refused::TooLarge { most } => Rejection::BodyTooLong { max_bytes: most },
+            Refused::UnknownLength => Rejection::LengthRequired,
+            Refused::NoRoom => Rejection::BodyStoreFull,
+        }
+    }
+}
+
+impl IntoResponse for Rejection {
+    fn into_response(self) -> Response {
+        let text = self.to_string();
+        let response = match &self {
+            Rejection::BodyStoreFull => busy_response(Some(&text), None),
+            Rejection::RejectedByPlan {
+                retry_after_seconds,
+                ..
+            } => busy_response(Some(&text), *retry_after_seconds),
+            _ => error_response(self.status(), &text),
+        };
+        if self.closes_connection() {
+            close_after(response)
+        } else {
+            response
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/http/rejection/tests.rs
@@ -0,0 +1,117 @@
+use super::*;
+use axum::body::to_bytes;
+use axum::http::header::{HeaderMap, CONNECTION};
+
+/// The status, headers and body of the response to a rejection.
+async fn response_parts(rejection: Rejection) -> (u16, HeaderMap, String) {
+    let (head, body) = rejection.into_response().into_parts();
+    let body = to_bytes(body, 1 << 10).await.unwrap();
+    let text = String::from_utf8(body.to_vec()).unwrap();
+    (head.status.as_u16(), head.headers, text)
+}
+
+#[tokio::test]
+async fn a_rejection_has_its_status_and_text_and_closes_where_the_body_may_be_unread() {
+    let cases = [
+        (
+            RequestError::NoStatement.into(),
+            400,
+            r#"{"error":"no statement"}"#,
+            false,
+        ),
+        (
+            Rejection::LengthRequired,
+            411,
+            r#"{"error":"a statement comes with its Content-Length"}"#,
+            true,
+        ),
+        (
+            Rejection::StatementTooLong,
+            413,
+            r#"{"error":"statement too long"}"#,
+            true,
+        ),
+        (
+            Rejection::StatementOverPlan { max_bytes: 7 },
+            413,
+            r#"{"error":"the plan allows statements of 7 bytes"}"#,
+            true,
+        ),
+        (
+            Refused::TooLarge { most: 7 }.into(),
+            413,
+            r#"{"error":"a body has 7 bytes at most"}"#,
+            true,
+        ),
+        (
+            Rejection::StatementMemoryFull,
+            507,
+            r#"{"error":"too many statements in hand"}"#,
+            true,
+        ),
+        (
+            Refused::NoRoom.into(),
+            503,
+            r#"{"error":"Busy","reason":"no room for the body"}"#,
+            true,
+        ),
+        (
+            Rejection::BodyCutOff,
+            400,
+            r#"{"error":"statement cut off"}"#,
+            true,
+        ),
+        (
+            Rejection::BodyTooSlow,
+            408,
+            r#"{"error":"statement came too slowly"}"#,
+            true,
+        ),
+        (
+            Rejection::BodyNotStored,
+            400,
+            r#"{"error":"the body can't be kept, or is longer than it may be"}"#,
+            true,
+        ),
+        (
+            Rejection::ClientClosed,
+            400,
+            r#"{"error":"the client has left"}"#,
+            true,
+        ),
+        (
+            Rejection::QueryKeyConflict,
+            409,
+            r#"{"error":"this id is that of another batch"}"#,
+            false,
+        ),
+        (
+            Rejection::AnswerNotCached,
+            409,
+            r#"{"error":"this id has had its answer"}"#,
+            false,
+        ),
+        (Rejection::MayHaveRun, 500, r#"{"error":"Failed"}"#, false),
+    ];
+    for (rejection, status, text, closes) in cases {
+        let (got_status, headers, got_text) = response_parts(rejection).await;
+        assert_eq!((got_status, got_text.as_str()), (status, text));
+        assert_eq!(headers["content-type"], "application/json");
+        assert_eq!(headers.contains_key(CONNECTION), closes, "{text}");
+    }
+}
+
+#[tokio::test]
+async fn a_rejection_by_the_plan_gives_its_reason_and_when_to_retry() {
+    let rejection = |retry_after_seconds| Rejection::RejectedByPlan {
+        reason: "over the limit".into(),
+        retry_after_seconds,
+    };
+    let text = r#"{"error":"Busy","reason":"over the limit"}"#;
+    let (status, headers, got_text) = response_parts(rejection(Some(0.25))).await;
+    assert_eq!((status, got_text.as_str()), (503, text));
+    assert_eq!(headers["x-wait-ms"], "250");
+    assert!(!headers.contains_key(CONNECTION));
+    let (_, headers, _) = response_parts(rejection(None)).await;
+    assert!(!headers.contains_key("x-wait-ms"));
+}
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -1,135 +1,250 @@
-//! The head of a call: what decisions need is taken out of it and checked.
+//! Parse stage: checks the head of a request that submits a query, and takes out of it what decisions need.
 
 use crate::engines::{Call, Statement};
-use crate::http::statement;
+use crate::http::client_stream::StreamHandle;
 use crate::scheduling::scheduler::ArrivingQuery;
 use axum::http::header::{HeaderMap, HeaderValue};
 use garnetwall_settings::Decoded;
 use std::net::IpAddr;
+use std::sync::Arc;
+use thiserror::Error;
 
-/// Protocol: names of the fields.
-pub(super) const QUERY_ID: &str = "x-job-id";
-const DEADLINE: &str = "x-allow-ms";
-const TENANT: &str = "x-team";
-const KEY: &str = "x-item";
-const IDEMPOTENCY_KEY: &str = "x-unique";
-const COST: &str = "x-size-ms";
-const MEMORY: &str = "x-memory";
-/// Protocol: digits of an id and of a key.
-const DIGITS: usize = 16;
-
-/// Takes out of a call what decisions need, and checks it; its limit counts from when it was sent.
-pub(super) fn arrival(
-    decoded: &Decoded,
-    group: &str,
-    head: &HeaderMap,
-    client: IpAddr,
-    statement: bytes::Bytes,
-) -> Result<(ArrivingQuery, Call), String> {
-    let names = &decoded.names;
-    let unknown = || format!("unknown service group '{group}'");
-    let index = names
-        .groups
-        .iter()
-        .position(|g| g == group)
-        .ok_or_else(unknown)?;
-    let id = field(head, QUERY_ID)?;
-    let job = hex(QUERY_ID, id)?;
-    let most = decoded.settings.classes[index].deadline * 1000.0;
-    let allowed = field(head, DEADLINE)?
-        .to_str()
-        .ok()
-        .and_then(|text| text.trim().parse::<f64>().ok());
-    let allowed = allowed.ok_or_else(|| format!("{DEADLINE}: no number"))?;
-    if !(allowed > 0.0 && allowed <= most) {
-        return Err(format!(
-            "{DEADLINE}: more than 0 and {most} at most expected"
-        ));
-    }
-    if statement.is_empty() {
-        return Err("no statement".into());
-    }
-    let tenant = match head.contains_key(TENANT) || !names.tenants.is_empty() {
-        true => {
-            let name = field(head, TENANT)?.to_str().unwrap_or_default();
-            names
-                .tenants
-                .iter()
-                .position(|t| t == name)
-                .ok_or_else(|| format!("{TENANT}: unknown"))?
+/// Protocol: names of the headers.
+const QUERY_ID_HEADER: &str = "x-job-id";
+const DEADLINE_HEADER: &str = "x-allow-ms";
+const TENANT_HEADER: &str = "x-team";
+const ORDERING_KEY_HEADER: &str = "x-item";
+const IDEMPOTENCY_KEY_HEADER: &str = "x-unique";
+const ESTIMATED_WORK_HEADER: &str = "x-size-ms";
+const ESTIMATED_MEMORY_HEADER: &str = "x-memory";
+/// Protocol: hex digits of a query id and of an ordering key.
+const KEY_DIGITS: usize = 16;
+/// Milliseconds in a second; the protocol gives times in milliseconds, decisions take seconds.
+const MS_PER_SECOND: f64 = 1000.0;
+
+/// What is wrong with the head of a request; the text is what the client is answered.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub(super) enum RequestError {
+    /// The path names no query class.
+    #[error("unknown service group '{0}'")]
+    UnknownClass(String),
+    /// A header that must be there is not.
+    #[error("{0}: missing")]
+    MissingHeader(&'static str),
+    /// A header has several values.
+    #[error("{0}: repeated")]
+    RepeatedHeader(&'static str),
+    /// A query id or an ordering key is not written as such.
+    #[error("{0}: {KEY_DIGITS} hex digits expected")]
+    InvalidKey(&'static str),
+    /// The deadline is not a number.
+    #[error("{DEADLINE_HEADER}: no number")]
+    InvalidDeadline,
+    /// The deadline is not within what the query class allows, in milliseconds.
+    #[error("{DEADLINE_HEADER}: more than 0 and {max_ms} at most expected")]
+    DeadlineOutOfRange { max_ms: f64 },
+    /// The statement is empty.
+    #[error("no statement")]
+    NoStatement,
+    /// The tenant is not a configured one.
+    #[error("{TENANT_HEADER}: unknown")]
+    UnknownTenant,
+    /// An estimate is not a number, or is negative.
+    #[error("{0}: a number of 0 or more expected")]
+    InvalidEstimate(&'static str),
+}
+
+/// A request that submits a query, without its body.
+pub(super) struct Submission {
+    /// The query class that the path names.
+    pub class_name: String,
+    pub headers: HeaderMap,
+    pub client: IpAddr,
+    /// The connection that the request arrived on.
+    pub stream: StreamHandle,
+}
+
+/// A query to be admitted: what decisions need, and what goes on to the engine unchanged.
+#[derive(Debug)]
+pub(super) struct SubmittedQuery {
+    pub arrival: ArrivingQuery,
+    pub call: Arc<Call>,
+}
+
+/// The checked head of a request that submits a query.
+#[derive(Debug)]
+pub(super) struct RequestHead {
+    /// Index of the query class.
+    pub class: usize,
+    /// Index of the tenant; 0 where none are configured.
+    pub tenant: usize,
+    id: HeaderValue,
+    query_key: u64,
+    class_name: HeaderValue,
+    ordering_key: Option<u64>,
+    idempotency_key: Option<HeaderValue>,
+    in_order: bool,
+    /// Time that the client allows, from when it sent the query.
+    allowed_seconds: f64,
+    /// Seconds of work.
+    estimated_work: Option<f64>,
+    /// MB of memory.
+    estimated_memory: Option<f64>,
+}
+
+impl RequestHead {
+    /// Checks the head of a request. `statement` is its statement, or none where that is still to arrive.
+    ///
+    /// # Errors
+    ///
+    /// The first part of the request that is wrong.
+    pub fn parse(
+        decoded: &Decoded,
+        submission: &Submission,
+        statement: Option<&[u8]>,
+    ) -> Result<Self, RequestError> {
+        let Submission {
+            class_name,
+            headers,
+            ..
+        } = submission;
+        let unknown_class = || RequestError::UnknownClass(class_name.clone());
+        let class = position(&decoded.names.groups, class_name).ok_or_else(unknown_class)?;
+        let class_settings = &decoded.settings.classes[class];
+        let id = header(headers, QUERY_ID_HEADER)?;
+        let query_key = parse_key(QUERY_ID_HEADER, id)?;
+        let allowed_seconds = parse_allowed_seconds(headers, class_settings.deadline)?;
+        if statement.is_some_and(<[u8]>::is_empty) {
+            return Err(RequestError::NoStatement);
         }
-        false => 0,
-    };
-    let key = match head.contains_key(KEY) {
-        true => Some(hex(KEY, field(head, KEY)?)?),
-        false => None,
-    };
-    let limit = allowed / 1000.0;
-    let data_set = statement::data_set(&statement).unwrap_or(0);
-    let group_name = HeaderValue::from_str(group).map_err(|_| unknown())?;
-    let bytes = statement.len() as u64;
-    let mark = head
-        .contains_key(IDEMPOTENCY_KEY)
-        .then(|| field(head, IDEMPOTENCY_KEY))
-        .transpose()?
-        .cloned();
-    let cost = estimate(head, COST)?.map(|ms| ms / 1000.0);
-    let memory = estimate(head, MEMORY)?;
-    let in_order = key.is_some() && decoded.settings.classes[index].in_order;
-    let statement = Statement::Whole(statement);
-    let call = Call {
-        id: id.clone(),
-        class: group_name,
-        idempotency_key: mark,
-        in_order,
-        statement,
-    };
-    Ok((
-        ArrivingQuery {
-            query_key: job,
-            class: index,
+        let tenant = parse_tenant(headers, &decoded.names.tenants)?;
+        let ordering_key = optional_header(headers, ORDERING_KEY_HEADER)?
+            .map(|key| parse_key(ORDERING_KEY_HEADER, key))
+            .transpose()?;
+        let class_name = HeaderValue::from_str(class_name).map_err(|_| unknown_class())?;
+        let idempotency_key = optional_header(headers, IDEMPOTENCY_KEY_HEADER)?.cloned();
+        let estimated_work_ms = parse_estimate(headers, ESTIMATED_WORK_HEADER)?;
+        Ok(RequestHead {
+            class,
             tenant,
-            ordering_key: key,
-            deadline: limit,
-            estimated_work: cost,
-            estimated_memory: memory,
+            id: id.clone(),
+            query_key,
+            class_name,
+            ordering_key,
+            idempotency_key,
+            in_order: ordering_key.is_some() && class_settings.in_order,
+            allowed_seconds,
+            estimated_work: estimated_work_ms.map(|ms| ms / MS_PER_SECOND),
+            estimated_memory: parse_estimate(headers, ESTIMATED_MEMORY_HEADER)?,
+        })
+    }
+
+    /// The query that a head and a statement make. The deadline still counts from when the client sent the query.
+    pub fn into_query(
+        self,
+        client: IpAddr,
+        statement: Statement,
+        statement_bytes: u64,
+        data_set: u32,
+    ) -> SubmittedQuery {
+        let arrival = ArrivingQuery {
+            query_key: self.query_key,
+            class: self.class,
+            tenant: self.tenant,
+            ordering_key: self.ordering_key,
+            deadline: self.allowed_seconds,
+            estimated_work: self.estimated_work,
+            estimated_memory: self.estimated_memory,
             data_set,
             client,
-            bytes,
-        },
-        call,
-    ))
+            bytes: statement_bytes,
+        };
+        let call = Arc::new(Call {
+            id: self.id,
+            class: self.class_name,
+            idempotency_key: self.idempotency_key,
+            in_order: self.in_order,
+            statement,
+        });
+        SubmittedQuery { arrival, call }
+    }
 }
 
-/// An estimate that may come with a batch; 0 says nothing.
-fn estimate(head: &HeaderMap, name: &str) -> Result<Option<f64>, String> {
-    if !head.contains_key(name) {
-        return Ok(None);
+/// The key of the query that a request names in its head.
+///
+/// # Errors
+///
+/// The header is missing or repeated, or its value is not a query id.
+pub(super) fn query_key(headers: &HeaderMap) -> Result<u64, RequestError> {
+    parse_key(QUERY_ID_HEADER, header(headers, QUERY_ID_HEADER)?)
+}
+
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
+
+/// The time that the client allows, in seconds; the class allows `max_seconds`.
+fn parse_allowed_seconds(headers: &HeaderMap, max_seconds: f64) -> Result<f64, RequestError> {
+    let value = header(headers, DEADLINE_HEADER)?;
+    let allowed_ms = parse_number(value).ok_or(RequestError::InvalidDeadline)?;
+    let max_ms = max_seconds * MS_PER_SECOND;
+    if allowed_ms > 0.0 && allowed_ms <= max_ms {
+        Ok(allowed_ms / MS_PER_SECOND)
+    } else {
+        Err(RequestError::DeadlineOutOfRange { max_ms })
     }
-    let told = field(head, name)?
-        .to_str()
-        .ok()
-        .and_then(|text| text.trim().parse::<f64>().ok());
-    let told = told.filter(|v| v.is_finite() && *v >= 0.0);
-    Ok(
-        Some(told.ok_or_else(|| format!("{name}: a number of 0 or more expected"))?)
-            .filter(|v| *v > 0.0),
-    )
 }
 
-/// The one value of a field.
-pub(super) fn field<'a>(head: &'a HeaderMap, name: &str) -> Result<&'a HeaderValue, String> {
-    let mut values = head.get_all(name).iter();
-    match (values.next(), values.next()) {
-        (Some(value), None) => Ok(value),
-        (None, _) => Err(format!("{name}: missing")),
-        (Some(_), Some(_)) => Err(format!("{name}: repeated")),
+/// The tenant's index. A request must name a tenant where any are configured, and none where none are.
+fn parse_tenant(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
+    if tenants.is_empty() && !headers.contains_key(TENANT_HEADER) {
+        return Ok(0);
     }
+    let name = header(headers, TENANT_HEADER)?;
+    let name = name.to_str().unwrap_or_default();
+    position(tenants, name).ok_or(RequestError::UnknownTenant)
+}
+
+/// An estimate that a client may give; 0 is none.
+fn parse_estimate(headers: &HeaderMap, name: &'static str) -> Result<Option<f64>, RequestError> {
+    let Some(value) = optional_header(headers, name)? else {
+        return Ok(None);
+    };
+    let estimate = parse_number(value)
+        .filter(|estimate| estimate.is_finite() && *estimate >= 0.0)
+        .ok_or(RequestError::InvalidEstimate(name))?;
+    Ok((estimate > 0.0).then_some(estimate))
+}
+
+fn parse_number(value: &HeaderValue) -> Option<f64> {
+    value.to_str().ok()?.trim().parse().ok()
 }
 
-pub(super) fn hex(name: &str, value: &HeaderValue) -> Result<u64, String> {
+/// A query id or an ordering key.
+fn parse_key(name: &'static str, value: &HeaderValue) -> Result<u64, RequestError> {
     let text = value.to_str().unwrap_or_default();
-    let digits = text.len() == DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
-    let parsed = u64::from_str_radix(text, 16).ok().filter(|_| digits);
-    parsed.ok_or_else(|| format!("{name}: {DIGITS} hex digits expected"))
+    if text.len() != KEY_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return Err(RequestError::InvalidKey(name));
+    }
+    u64::from_str_radix(text, 16).map_err(|_| RequestError::InvalidKey(name))
 }
+
+/// The one value of a header.
+fn header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a HeaderValue, RequestError> {
+    optional_header(headers, name)?.ok_or(RequestError::MissingHeader(name))
+}
+
+/// The one value of a header that may be missing.
+fn optional_header<'a>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+) -> Result<Option<&'a HeaderValue>, RequestError> {
+    let mut values = headers.get_all(name).iter();
+    match (values.next(), values.next()) {
+        (value, None) => Ok(value),
+        (_, Some(_)) => Err(RequestError::RepeatedHeader(name)),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/http/responses.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -1,89 +1,56 @@
-//! Responses: final answers, and what is said of a call that brings no batch.
+//! Response stage: the forms that all responses to queries have.
 
-use super::ServerState;
-use crate::scheduling::plan_routing::PlanRejection;
-use crate::scheduling::scheduler::{QueryAnswer, Waiter};
+use crate::scheduling::scheduler::QueryAnswer;
+use axum::body::Body;
 use axum::http::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE};
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
-use garnetwall_bodies::room::Refused;
 use serde_json::json;
 
-/// Protocol: the name of the field.
-const RETRY_AFTER: HeaderName = HeaderName::from_static("x-wait-ms");
+/// Protocol: the header with the milliseconds after which a rejected query may be sent again.
+const RETRY_AFTER_HEADER: HeaderName = HeaderName::from_static("x-wait-ms");
+/// Milliseconds in a second.
+const MS_PER_SECOND: f64 = 1000.0;
 
-pub(super) fn not_kept(refused: Refused) -> Response {
-    match refused {
-        Refused::TooLarge { most } => error_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            &format!("a body has {most} bytes at most"),
-        ),
-        Refused::UnknownLength => error_response(
-            StatusCode::LENGTH_REQUIRED,
-            "a statement comes with its Content-Length",
-        ),
-        Refused::NoRoom => rejected(
-            &json!({"error": "Busy", "reason": "no room for the body"}),
-            None,
-        ),
-    }
-}
-
-pub(super) async fn final_response(waiter: Waiter) -> Response {
-    response_of(waiter.answer().await)
-}
-
-/// A final answer as a response.
-pub(super) fn response_of(answer: QueryAnswer) -> Response {
-    let json = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
+/// The response that carries a query's final answer.
+pub(super) fn answer_response(answer: QueryAnswer) -> Response {
     match answer {
-        QueryAnswer::Succeeded(body) => (StatusCode::OK, [json], body).into_response(),
-        QueryAnswer::Rejected {
-            retry_after: come_back,
-        } => rejected(&json!({"error": "Busy"}), come_back),
+        QueryAnswer::Succeeded(body) => json_response(StatusCode::OK, body),
+        QueryAnswer::Rejected { retry_after } => busy_response(None, retry_after),
         QueryAnswer::Failed => error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed"),
     }
 }
 
-/// Trying again is harmless, after so many seconds.
-fn rejected(body: &serde_json::Value, come_back: Option<f64>) -> Response {
-    let json = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    let mut response = (StatusCode::SERVICE_UNAVAILABLE, [json], body.to_string()).into_response();
-    if let Some(seconds) = come_back {
+/// The query has not run and may be sent again, after so many seconds where these are given.
+pub(super) fn busy_response(reason: Option<&str>, retry_after_seconds: Option<f64>) -> Response {
+    let body = match reason {
+        Some(reason) => json!({"error": "Busy", "reason": reason}),
+        None => json!({"error": "Busy"}),
+    };
+    let mut response = json_response(StatusCode::SERVICE_UNAVAILABLE, body.to_string());
+    if let Some(seconds) = retry_after_seconds {
+        let milliseconds = (seconds * MS_PER_SECOND) as u64;
         response
             .headers_mut()
-            .insert(RETRY_AFTER, HeaderValue::from((seconds * 1000.0) as u64));
+            .insert(RETRY_AFTER_HEADER, HeaderValue::from(milliseconds));
     }
     response
 }
 
-/// What the plan does not let in is answered at once.
-pub(super) fn turned_away(front: &ServerState, turned: PlanRejection) -> Response {
-    match turned {
-        PlanRejection::TooLong { most } => closing(error_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            &format!("the plan allows statements of {most} bytes"),
-        )),
-        PlanRejection::LimitReached { reason, come_back } => {
-            tracing::debug!(reason, ?come_back, "turned away");
-            let settings = &front.decoded.settings;
-            let body = json!({"error": "Busy", "reason": reason});
-            let seconds = come_back.map(|span| span.as_secs_f64().min(settings.max_retry_after));
-            rejected(&body, seconds.filter(|_| settings.retry_after_allowed))
-        }
-    }
+/// A short response that says what is wrong.
+pub(super) fn error_response(status: StatusCode, text: &str) -> Response {
+    json_response(status, json!({"error": text}).to_string())
 }
 
-/// The last answer on its connection: what may follow is not read as a call.
-pub(super) fn closing(mut answer: Response) -> Response {
-    answer
-        .headers_mut()
-        .insert(CONNECTION, HeaderValue::from_static("close"));
-    answer
+fn json_response(status: StatusCode, body: impl Into<Body>) -> Response {
+    let content_type = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    (status, [content_type], body.into()).into_response()
 }
 
-/// A short answer that says what is wrong.
-pub(super) fn error_response(status: StatusCode, what: &str) -> Response {
-    let json = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    (status, [json], json!({"error": what}).to_string()).into_response()
+/// Makes a response the last on its connection: what may follow is not parsed as a request.
+pub(super) fn close_after(mut response: Response) -> Response {
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
+    response
 }
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -1,138 +1,141 @@
-//! A body too long to be read whole before its batch is taken.
+//! Handler stage: a body too long to be read whole before its query is admitted. The query runs while its body arrives, and
+//! the body store keeps what passes, for retries.
 
-use super::request_head::arrival;
-use super::responses::{closing, error_response, final_response, not_kept};
-use super::submission::take;
+use super::admission::{admit, AdmittedQuery};
+use super::rejection::Rejection;
+use super::request_head::{RequestError, RequestHead, Submission};
+use super::responses::{answer_response, close_after};
 use super::{ServerState, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
-use crate::http::client_stream::StreamHandle;
-use crate::http::statement;
+use crate::http::statement::data_set;
+use crate::scheduling::scheduler::Waiter;
 use axum::body::Body;
-use axum::http::header::HeaderMap;
-use axum::http::StatusCode;
-use axum::response::Response;
+use axum::response::{IntoResponse, Response};
+use bytes::Bytes;
 use garnetwall_bodies::room::Refused;
-use garnetwall_bodies::{Body as Kept, Store};
+use garnetwall_bodies::{Body as StoredBody, Store};
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
-use std::net::IpAddr;
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// Bytes of a long body in which its data set is looked for before it is taken.
+/// Bytes of a body that are read before its query is admitted, to find its data set.
 const PREFIX_BYTES: usize = 64 << 10;
-/// Until a long body has its own.
-const PLACEHOLDER: bytes::Bytes = bytes::Bytes::from_static(b"-");
 
-/// A body too long to be read whole first: it goes on while it comes in, and is kept as it passes.
+/// Admits a query while its body arrives, and waits for its answer. Every rejection closes the connection, since the rest of
+/// the body may follow.
 pub(super) async fn submit_streamed(
-    front: &ServerState,
+    state: &ServerState,
     store: &Arc<Store>,
-    group: &str,
-    head: &HeaderMap,
-    client: IpAddr,
-    peer: &StreamHandle,
-    mut body: Body,
+    submission: Submission,
+    body: Body,
 ) -> Response {
+    stream_body(state, store, submission, body)
+        .await
+        .unwrap_or_else(|rejection| close_after(rejection.into_response()))
+}
+
+async fn stream_body(
+    state: &ServerState,
+    store: &Arc<Store>,
+    submission: Submission,
+    mut body: Body,
+) -> Result<Response, Rejection> {
     let length = body.size_hint().exact();
-    let came = front.scheduler.arrival_time(peer.last_read_at());
-    let (mut arrival, mut call) = match arrival(&front.decoded, group, head, client, PLACEHOLDER) {
-        Ok(taken) => taken,
-        Err(what) => return closing(error_response(StatusCode::BAD_REQUEST, &what)),
-    };
-    let once_only = front.scheduler.is_non_idempotent(arrival.class);
-    let kept = match store.admit_as(arrival.tenant, arrival.class, length, once_only) {
-        Ok(kept) => kept,
-        Err(refused) => return closing(not_kept(refused)),
-    };
-    let _writing = Writing(kept.clone());
-    let mut first = Vec::new();
-    while first.len() < PREFIX_BYTES {
-        match timeout(FIRST_REQUEST_TIMEOUT, next_chunk(&mut body)).await {
-            Ok(Ok(Some(bytes))) => {
-                first.extend_from_slice(&bytes);
-                if kept.push(bytes).await.is_err() {
-                    return closing(not_kept(Refused::NoRoom));
-                }
-            }
-            Ok(Ok(None)) => break,
-            Ok(Err(())) => {
-                return closing(error_response(StatusCode::BAD_REQUEST, "statement cut off"))
-            }
-            Err(_) => {
-                return closing(error_response(
-                    StatusCode::REQUEST_TIMEOUT,
-                    "statement came too slowly",
-                ))
-            }
-        }
+    let arrived_at = state
+        .scheduler
+        .arrival_time(submission.stream.last_read_at());
+    let head = RequestHead::parse(&state.decoded, &submission, None)?;
+    let non_idempotent = state.scheduler.is_non_idempotent(head.class);
+    let stored = store.admit_as(head.tenant, head.class, length, non_idempotent)?;
+    let _cut_off = CutOffOnDrop(stored.clone());
+    let prefix = receive_prefix(&mut body, &stored).await?;
+    if prefix.is_empty() {
+        return Err(RequestError::NoStatement.into());
     }
-    if first.is_empty() {
-        return closing(error_response(StatusCode::BAD_REQUEST, "no statement"));
+    let statement_bytes = length.unwrap_or(prefix.len() as u64);
+    let data_set = data_set(&prefix).unwrap_or(0);
+    drop(prefix);
+    let statement = Statement::Streamed(stored.clone());
+    let query = head.into_query(submission.client, statement, statement_bytes, data_set);
+    // The store has a budget of its own.
+    let memory = state.reserve_statement_memory(0)?;
+    let query_key = query.arrival.query_key;
+    match admit(state, query, arrived_at, memory, &submission.stream)? {
+        AdmittedQuery::Answered(answer) => Ok(close_after(answer_response(answer))),
+        AdmittedQuery::Open(waiter) => {
+            answer_while_receiving(state, waiter, query_key, &mut body, &stored).await
+        }
     }
-    arrival.data_set = statement::data_set(&first).unwrap_or(0);
-    arrival.bytes = length.unwrap_or(first.len() as u64);
-    drop(first);
-    call.statement = Statement::Streamed(kept.clone());
-    let job = arrival.query_key;
-    let Ok(memory) = front.statement_memory.clone().try_acquire_many_owned(0) else {
-        return closing(error_response(
-            StatusCode::INSUFFICIENT_STORAGE,
-            "too many statements in hand",
-        ));
-    };
-    let waiter = match take(front, arrival, call, came, memory, peer) {
-        Ok(waiter) => waiter,
-        Err(refused) => return closing(*refused),
-    };
-    let answering = final_response(waiter);
-    tokio::pin!(answering);
-    let pumped = tokio::select! {
+}
+
+/// Waits for the answer while the rest of the body arrives. With the answer, what is still to arrive is not wanted; without
+/// the rest of the body, the query is cancelled.
+async fn answer_while_receiving(
+    state: &ServerState,
+    waiter: Waiter,
+    query_key: u64,
+    body: &mut Body,
+    stored: &StoredBody,
+) -> Result<Response, Rejection> {
+    let answer = waiter.answer();
+    tokio::pin!(answer);
+    let received = tokio::select! {
         biased;
-        // Whatever still comes is not wanted any more.
-        answer = &mut answering => return closing(answer),
-        pumped = receive_rest(&mut body, &kept) => pumped,
+        answer = &mut answer => return Ok(close_after(answer_response(answer))),
+        received = receive_remaining(body, stored) => received,
     };
-    match pumped {
-        Ok(()) => answering.await,
-        Err(what) => {
-            front.scheduler.cancel(job);
-            closing(error_response(StatusCode::BAD_REQUEST, what))
-        }
+    if let Err(rejection) = received {
+        state.scheduler.cancel(query_key);
+        return Err(rejection);
     }
+    Ok(answer_response(answer.await))
 }
 
-/// Whoever stops to take a body in, for whatever reason, tells who reads it; where it is whole that changes nothing.
-struct Writing(Arc<Kept>);
+/// Marks a stored body as cut off when its request handler ends, for whatever reason; a complete body stays complete.
+struct CutOffOnDrop(Arc<StoredBody>);
 
-impl Drop for Writing {
+impl Drop for CutOffOnDrop {
     fn drop(&mut self) {
         self.0.cut_off();
     }
 }
 
-/// Takes in the rest of a body. It ends at the latest with its batch, which its limit bounds.
-async fn receive_rest(body: &mut Body, kept: &Kept) -> Result<(), &'static str> {
-    while let Some(bytes) = next_chunk(body).await.map_err(|()| "statement cut off")? {
-        kept.push(bytes)
+/// Receives the first [`PREFIX_BYTES`] of a body, or all of a shorter one.
+async fn receive_prefix(body: &mut Body, stored: &StoredBody) -> Result<Vec<u8>, Rejection> {
+    let mut prefix = Vec::new();
+    while prefix.len() < PREFIX_BYTES {
+        let chunk = timeout(FIRST_REQUEST_TIMEOUT, next_chunk(body))
+            .await
+            .map_err(|_| Rejection::BodyTooSlow)??;
+        let Some(bytes) = chunk else {
+            break;
+        };
+        prefix.extend_from_slice(&bytes);
+        stored.push(bytes).await.map_err(|_| Refused::NoRoom)?;
+    }
+    Ok(prefix)
+}
+
+/// Receives what is left of a body. It ends at the latest with its query, whose deadline bounds it.
+async fn receive_remaining(body: &mut Body, stored: &StoredBody) -> Result<(), Rejection> {
+    while let Some(bytes) = next_chunk(body).await? {
+        stored
+            .push(bytes)
             .await
-            .map_err(|_| "the body can't be kept, or is longer than it may be")?;
+            .map_err(|_| Rejection::BodyNotStored)?;
     }
-    kept.finish().await;
+    stored.finish().await;
     Ok(())
 }
 
-async fn next_chunk(body: &mut Body) -> Result<Option<bytes::Bytes>, ()> {
-    loop {
-        match body.frame().await {
-            None => return Ok(None),
-            Some(Err(_)) => return Err(()),
-            // Trailers say nothing here.
-            Some(Ok(frame)) => {
-                if let Ok(bytes) = frame.into_data() {
-                    return Ok(Some(bytes));
-                }
-            }
+/// The next bytes of a body; none at its end. Trailers carry nothing here.
+async fn next_chunk(body: &mut Body) -> Result<Option<Bytes>, Rejection> {
+    while let Some(frame) = body.frame().await {
+        let frame = frame.map_err(|_| Rejection::BodyCutOff)?;
+        if let Ok(bytes) = frame.into_data() {
+            return Ok(Some(bytes));
         }
     }
+    Ok(None)
 }
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -1,165 +1,102 @@
-//! A batch comes in, or is withdrawn.
+//! Handler stage: a request that submits a query, or cancels one.
 
-use super::request_head::{arrival, field, hex, QUERY_ID};
-use super::responses::{closing, error_response, final_response, response_of, turned_away};
+use super::admission::admit;
+use super::rejection::Rejection;
+use super::request_head::{query_key, RequestHead, Submission};
+use super::responses::error_response;
 use super::streamed_body::submit_streamed;
 use super::{Client, ServerState, FIRST_REQUEST_TIMEOUT};
-use crate::engines::Call;
+use crate::engines::Statement;
 use crate::http::client_stream::StreamHandle;
-use crate::scheduling::query_task::QueryTask;
-use crate::scheduling::scheduler::{Admission, ArrivingQuery, Waiter};
+use crate::http::statement::data_set;
 use axum::body::{to_bytes, Body};
 use axum::extract::{Path, State};
 use axum::http::header::{HeaderMap, TRANSFER_ENCODING};
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use axum::Extension;
+use bytes::Bytes;
 use hyper::body::Body as _;
 use std::sync::Arc;
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::timeout;
 
-/// More than any statement; a longer one is not read to its end.
-const LONGEST_STATEMENT: u64 = 1 << 18;
+/// A longer statement is streamed through the body store, or rejected where there is none.
+const MAX_STATEMENT_BYTES: u64 = 1 << 18;
 
+/// Handles a request that submits a query: its response is the query's final answer, or says why it is not admitted.
 pub(super) async fn submit(
-    State(front): State<Arc<ServerState>>,
-    Path(group): Path<String>,
-    Extension(peer): Extension<StreamHandle>,
+    State(state): State<Arc<ServerState>>,
+    Path(class_name): Path<String>,
+    Extension(stream): Extension<StreamHandle>,
     Extension(Client(client)): Extension<Client>,
-    head: HeaderMap,
+    headers: HeaderMap,
     body: Body,
 ) -> Response {
     let length = body.size_hint().exact();
-    if let Some(store) = front
-        .body_store
-        .clone()
-        .filter(|_| length.is_none_or(|n| n > LONGEST_STATEMENT))
-    {
-        return submit_streamed(&front, &store, &group, &head, client, &peer, body).await;
-    }
-    if head.contains_key(TRANSFER_ENCODING) {
-        // Told in two ways, a length may hide another call in the body: only Content-Length counts.
-        return closing(error_response(
-            StatusCode::LENGTH_REQUIRED,
-            "a statement comes with its Content-Length",
-        ));
-    }
-    let length = length.unwrap_or(u64::MAX);
-    if length > LONGEST_STATEMENT {
-        return closing(error_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            "statement too long",
-        ));
-    }
-    let Ok(memory) = front
-        .statement_memory
-        .clone()
-        .try_acquire_many_owned(length as u32)
-    else {
-        // Not pushed back: the id may be that of a batch in hand.
-        return closing(error_response(
-            StatusCode::INSUFFICIENT_STORAGE,
-            "too many statements in hand",
-        ));
-    };
-    let body = match timeout(
-        FIRST_REQUEST_TIMEOUT,
-        to_bytes(body, LONGEST_STATEMENT as usize),
-    )
-    .await
-    {
-        Ok(Ok(body)) => body,
-        Ok(Err(_)) => return closing(error_response(StatusCode::BAD_REQUEST, "statement cut off")),
-        Err(_) => {
-            return closing(error_response(
-                StatusCode::REQUEST_TIMEOUT,
-                "statement came too slowly",
-            ))
-        }
+    let submission = Submission {
+        class_name,
+        headers,
+        client,
+        stream,
     };
-    let came = front.scheduler.arrival_time(peer.last_read_at());
-    let (arrival, call) = match arrival(&front.decoded, &group, &head, client, body) {
-        Ok(taken) => taken,
-        Err(what) => {
-            tracing::debug!(what, "no batch");
-            return error_response(StatusCode::BAD_REQUEST, &what);
+    match &state.body_store {
+        Some(store) if length.is_none_or(|bytes| bytes > MAX_STATEMENT_BYTES) => {
+            submit_streamed(&state, store, submission, body).await
         }
-    };
-    match take(&front, arrival, call, came, memory, &peer) {
-        Ok(waiter) => final_response(waiter).await,
-        Err(refused) => *refused,
+        _ => submit_whole(&state, submission, body)
+            .await
+            .unwrap_or_else(Rejection::into_response),
     }
 }
 
-/// Takes a batch, or joins the one in hand: who waits for it, or what is answered at once.
-pub(super) fn take(
-    front: &ServerState,
-    mut arrival: ArrivingQuery,
-    call: Call,
-    came: f64,
-    memory: OwnedSemaphorePermit,
-    peer: &StreamHandle,
-) -> Result<Waiter, Box<Response>> {
-    if peer.is_closed_by_client() {
-        // Its call stood behind another one, or waited for its slot: nothing is owed, and nothing is sent for it.
-        tracing::debug!(job = arrival.query_key, "its client has left");
-        return Err(closing(error_response(
-            StatusCode::BAD_REQUEST,
-            "the client has left",
-        ))
-        .into());
+/// Reads the whole statement, then admits the query and waits for its answer.
+async fn submit_whole(
+    state: &ServerState,
+    submission: Submission,
+    body: Body,
+) -> Result<Response, Rejection> {
+    let length = statement_length(&submission.headers, &body)?;
+    let memory = state.reserve_statement_memory(length)?;
+    let statement = read_statement(body).await?;
+    let arrived_at = state
+        .scheduler
+        .arrival_time(submission.stream.last_read_at());
+    let head = RequestHead::parse(&state.decoded, &submission, Some(&statement))
+        .inspect_err(|error| tracing::debug!(%error, "request rejected"))?;
+    let statement_bytes = statement.len() as u64;
+    let data_set = data_set(&statement).unwrap_or(0);
+    let statement = Statement::Whole(statement);
+    let query = head.into_query(submission.client, statement, statement_bytes, data_set);
+    let admitted = admit(state, query, arrived_at, memory, &submission.stream)?;
+    Ok(admitted.response().await)
+}
+
+/// The length of a statement in bytes. Only `Content-Length` counts: with a length given in two ways, the body may hide
+/// another request.
+fn statement_length(headers: &HeaderMap, body: &Body) -> Result<u32, Rejection> {
+    if headers.contains_key(TRANSFER_ENCODING) {
+        return Err(Rejection::LengthRequired);
     }
-    arrival.deadline += front.sent(arrival.ordering_key, came);
-    let call = Arc::new(call);
-    Ok(match front.scheduler.admit(arrival, call.clone()) {
-        Admission::New {
-            id,
-            commands: orders,
-            waiter,
-            journal_entry: once_only,
-            client_presence: attended,
-        } => {
-            let (desk, engines, keeper) = (
-                front.scheduler.clone(),
-                front.engines.clone(),
-                front.journal.clone(),
-            );
-            let life = QueryTask {
-                scheduler: desk,
-                engines,
-                id,
-                call,
-                commands: orders,
-                journal: keeper,
-                journal_entry: once_only,
-                client_presence: attended,
-                _memory: memory,
-            };
-            tokio::spawn(life.run());
-            waiter
-        }
-        Admission::Joined(waiter) => waiter,
-        Admission::Conflict => {
-            return Err(
-                error_response(StatusCode::CONFLICT, "this id is that of another batch").into(),
-            )
-        }
-        Admission::Answered(answer) => return Err(response_of(answer).into()),
-        Admission::AnswerNotCached => {
-            return Err(error_response(StatusCode::CONFLICT, "this id has had its answer").into())
-        }
-        Admission::MayHaveRun => {
-            return Err(error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed").into())
-        }
-        Admission::RejectedByPlan(turned) => return Err(turned_away(front, turned).into()),
-    })
+    body.size_hint()
+        .exact()
+        .filter(|bytes| *bytes <= MAX_STATEMENT_BYTES)
+        .and_then(|bytes| u32::try_from(bytes).ok())
+        .ok_or(Rejection::StatementTooLong)
+}
+
+async fn read_statement(body: Body) -> Result<Bytes, Rejection> {
+    let read = to_bytes(body, MAX_STATEMENT_BYTES as usize);
+    timeout(FIRST_REQUEST_TIMEOUT, read)
+        .await
+        .map_err(|_| Rejection::BodyTooSlow)?
+        .map_err(|_| Rejection::BodyCutOff)
 }
 
-pub(super) async fn withdraw(State(front): State<Arc<ServerState>>, head: HeaderMap) -> Response {
-    match field(&head, QUERY_ID).and_then(|id| hex(QUERY_ID, id)) {
-        Ok(job) if front.scheduler.cancel(job) => StatusCode::NO_CONTENT.into_response(),
+/// Handles a request that cancels a query.
+pub(super) async fn cancel(State(state): State<Arc<ServerState>>, headers: HeaderMap) -> Response {
+    match query_key(&headers) {
+        Ok(key) if state.scheduler.cancel(key) => StatusCode::NO_CONTENT.into_response(),
         Ok(_) => error_response(StatusCode::NOT_FOUND, "no batch of this id is in hand"),
-        Err(what) => error_response(StatusCode::BAD_REQUEST, &what),
+        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
