--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -3,13 +3,12 @@
 //!
 //! This file holds the lock, the timer and the way of every event. `admission` opens queries, `query_end` answers and releases
 //! them, `waiter` tracks the clients that wait; `query_index` knows which query keys were seen, `answer_cache` keeps the
-//! answers of finished queries, `open_query` and `state` are what the lock guards. `attempts`, `configuration`,
-//! `recovery` and `shutdown` take the other events. `messages` has the values that go in and out.
+//! answers of finished queries; `open_query` and `state` are what the lock guards. `attempts`, `updates`, `recovery` and
+//! `shutdown` take the other events; `messages` has the values that go in and out.
 
 mod admission;
 mod answer_cache;
 mod attempts;
-mod configuration;
 mod messages;
 mod open_query;
 mod query_end;
@@ -17,6 +16,7 @@
 mod recovery;
 mod shutdown;
 mod state;
+mod updates;
 mod waiter;
 
 use crate::scheduling::plan_routing::PlanRouter;
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -36,7 +36,7 @@
 }
 
 /// What the class and the plan settle for a new query.
-struct Terms {
+struct AdmissionTerms {
     /// The class that it is treated as.
     class: usize,
     is_non_idempotent: bool,
@@ -135,7 +135,7 @@
         state: &mut SchedulerState,
         now: f64,
         new: NewQuery,
-        terms: Terms,
+        terms: AdmissionTerms,
     ) -> Admission {
         let query_key = new.arriving.query_key;
         let id = state.next_id();
@@ -146,16 +146,17 @@
         let (command_sender, commands) = unbounded_channel();
         let open_query = new.into_open_query(terms, command_sender);
         let client_presence = open_query.client_presence.clone();
-        let waiter = Waiter {
-            scheduler: self.clone(),
-            id,
-            answer: open_query.answer.subscribe(),
-        };
+        let answer = open_query.answer.subscribe();
         state.queries.open(query_key, id);
         state.open_queries.insert(id, open_query);
         self.open_count.send_replace(state.open_queries.len());
         log_admission(&query, query_key);
         state.controller.admit(now, query);
+        let waiter = Waiter {
+            scheduler: self.clone(),
+            id,
+            answer,
+        };
         Admission::New {
             id,
             commands,
@@ -171,7 +172,7 @@
         now: f64,
         id: QueryId,
         arriving: &ArrivingQuery,
-        terms: &Terms,
+        terms: &AdmissionTerms,
     ) -> Query {
         let answer_due = match *self.shutdown_at.borrow() {
             Some(shutdown_at) => terms.deadline.min(shutdown_at),
@@ -194,7 +195,11 @@
 
 impl NewQuery {
     /// The query as the scheduler keeps it, with one client that waits.
-    fn into_open_query(self, terms: Terms, commands: UnboundedSender<Command>) -> OpenQuery {
+    fn into_open_query(
+        self,
+        terms: AdmissionTerms,
+        commands: UnboundedSender<Command>,
+    ) -> OpenQuery {
         OpenQuery {
             query_key: self.arriving.query_key,
             tenant: self.arriving.tenant,
@@ -262,7 +267,7 @@
         now: f64,
         arriving: &ArrivingQuery,
         plan_admission: Option<PlanAdmission>,
-    ) -> Terms {
+    ) -> AdmissionTerms {
         let admission = plan_admission.as_ref();
         let class = admission.map_or(arriving.class, |admission| admission.class);
         let plan_deadline = admission.and_then(|admission| admission.deadline);
@@ -270,7 +275,7 @@
             Some(limit) => arriving.deadline.min(now + limit.as_secs_f64()),
             None => arriving.deadline,
         };
-        Terms {
+        AdmissionTerms {
             class,
             is_non_idempotent: self.is_non_idempotent(class),
             plan_admission,
--- a/crates/gateway/src/scheduling/scheduler/configuration.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, the query classes and the plan.
+//! Updates of the endpoint list, the query classes and the plan.
 
 use super::Scheduler;
 use crate::discovery::EngineUpdate;
