--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -4,7 +4,7 @@
 //! |---|---|---|
 //! | connecting | `exchange::ready_connection` | request being sent; ended `ConnectFailed` or `NotSent` where no connection comes up |
 //! | request being sent | `exchange::send_streamed`, `start`, the [`SendGate`] | running; ended `NotNeeded` or `ConnectFailed` where the gate stops it, `Failed` where its body can't be read |
-//! | running, polled | `polling::poll_until_end` | fetching pages; ended as the engine reports; cancelling where cancellation is requested or polls can't tell the outcome |
+//! | running, polled | `polling::poll_until_end` | fetching pages; ended as the engine reports, or `Cancelled` where its query was answered before its result came; cancelling where cancellation is requested or polls can't tell the outcome |
 //! | fetching pages | `pages::fetch_pages` | ended `Succeeded`, `Failed` where the engine has lost a page, `ConnectionLost` where polls can't tell |
 //! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: `Cancelled`, `NotNeeded`, `ConnectFailed`, or `ConnectionLost` after an unknown outcome |
 //! | ended | [`AttemptResult`] | |
--- a/crates/gateway/src/engines/attempt/response_timeout.rs
+++ b/crates/gateway/src/engines/attempt/response_timeout.rs
@@ -73,8 +73,7 @@
         after_timeouts.max(after_slow_response).min(longest)
     }
 
-    /// The timeout of the first call after one that timed out: the network may be as slow as a connection may take to come
-    /// up, each way.
+    /// The timeout of the first call after one that timed out.
     fn second_call_timeout(&self) -> Duration {
         LONG_POLL_LIMIT + self.connect_timeout * 2
     }
--- a/crates/gateway/src/engines/protocol.rs
+++ b/crates/gateway/src/engines/protocol.rs
@@ -14,8 +14,8 @@
 /// Pause between two attempts to cancel at an engine.
 pub(super) const CANCEL_RETRY_PAUSE: Duration = SOCKET_TIMEOUT_SLACK;
 
-/// For how long an attempt may run on after its last poll was sent: the engine may have received
-/// that poll late by as much as it may hold one back.
+/// For how long an attempt may run on after its last poll: the engine may hold that poll back first, and the expiry counts
+/// from its response.
 pub(super) const MAX_UNPOLLED_RUN: Duration = LONG_POLL_LIMIT.saturating_add(POLL_EXPIRY);
 
 /// Headers of a request that starts an attempt.
