--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -341,7 +341,8 @@
     let mut events: Vec<Event> = Vec::with_capacity(results.len());
     for (i, one) in results.iter().enumerate() {
         let place = format!("known.results.{i}");
-        let event = discovery::event(one, &names).map_err(|what| in_event(&place, &what))?;
+        let event =
+            discovery::event(one, &names).map_err(|what| in_event(&place, &what.to_string()))?;
         let before = events.last().map(|event| event.number);
         if before.is_some_and(|before| event.number <= before) || event.number > last {
             let after =
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,5 +1,8 @@
-//! The list of engines: events of the change log, decoded, applied once and in order, under the decision module's
-//! indices; where a subset is configured, only its members. It knows neither the scheduler nor the engines' connections: it hands out plain values.
+//! Service discovery: the list of engines, from the events of the change log.
+//!
+//! Events are decoded and applied once and in order, under the decision module's indices; where an engine subset is
+//! configured, only its members are. This module knows neither the scheduler nor the connections to engines: it delivers
+//! plain values.
 
 mod connection;
 mod connection_set;
@@ -15,7 +18,7 @@
 mod watch;
 
 pub use driver::{Deliver, Discovery, Warmed};
-pub use event::{event, event_of_text, EngineLine, Event, NameIndex};
+pub use event::{event, event_of_text, EngineEntry, Event, EventError, EventErrorCause, NameIndex};
 pub use list::{EngineList, EngineUpdate, ListChange, Target};
 pub use selection::Selection;
 pub use watch::Watch;
--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the change log.
+//! Opens a connection to the change log.
 
 use crate::system::socket::Socket;
 use crate::system::stream_budget::{BudgetedStream, LONGEST_HEAD};
@@ -13,37 +13,50 @@
 use std::sync::atomic::AtomicBool;
 use thiserror::Error;
 
-/// Protocol: the path of the log and the field that names the last event had.
+/// Protocol: the path of the log.
 const PATH: &str = "/changes";
-const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+/// Protocol: the header that names the last event that was received.
+const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
 /// Why the change log could not be opened.
 #[derive(Debug, Error)]
 pub(super) enum OpenError {
+    /// No connection.
     #[error("not connected: {0}")]
     Connect(#[from] io::Error),
+    /// No HTTP response.
     #[error("not answered: {0}")]
     Http(#[from] hyper::Error),
+    /// A response that does not open the stream.
     #[error("answered with status {0}")]
     Status(StatusCode),
 }
 
-/// Opens the change log after an event, for its stream; it waits for as long as it is polled. It takes nothing of the engines' budget, which keeps a descriptor
-/// back for it: engines that hold all of that must not keep out the news of them.
-pub(super) async fn open(log: SocketAddr, last: u64) -> Result<Incoming, OpenError> {
+/// Opens the stream of events after `last_event`; the caller bounds how long that may take.
+///
+/// The connection does not count against the engines' budget, which reserves a descriptor for it: engines that use up
+/// their budget must not keep changes of the engine list out.
+///
+/// # Errors
+///
+/// The log cannot be reached, or does not answer with a stream.
+pub(super) async fn open(log: SocketAddr, last_event: u64) -> Result<Incoming, OpenError> {
     let socket = Socket::connect(log, &AtomicBool::default()).await?;
-    let line = BudgetedStream::new(socket, None);
+    let stream = BudgetedStream::new(socket, None);
     let mut builder = http1::Builder::new();
-    let (mut sender, connection) = builder.max_buf_size(LONGEST_HEAD).handshake(line).await?;
-    tokio::spawn(async move { drop(connection.await) });
-    let answer = sender.send_request(request(log, last)).await?;
-    match answer.status() {
-        StatusCode::OK => Ok(answer.into_body()),
+    let (mut sender, connection) = builder.max_buf_size(LONGEST_HEAD).handshake(stream).await?;
+    tokio::spawn(async move {
+        // An error of the connection is reported where its body is read.
+        let _ = connection.await;
+    });
+    let response = sender.send_request(request(log, last_event)).await?;
+    match response.status() {
+        StatusCode::OK => Ok(response.into_body()),
         status => Err(OpenError::Status(status)),
     }
 }
 
-fn request(log: SocketAddr, last: u64) -> Request<Full<Bytes>> {
+fn request(log: SocketAddr, last_event: u64) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.method_mut() = Method::GET;
     *request.uri_mut() = PATH.parse().unwrap_or_default();
@@ -52,6 +65,6 @@
     }
     request
         .headers_mut()
-        .insert(LAST_EVENT, HeaderValue::from(last));
+        .insert(LAST_EVENT_ID, HeaderValue::from(last_event));
     request
 }
--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -1,41 +1,45 @@
-//! Which connections to the change log are open: when a further one is opened beside those that are slow or silent, and which
-//! are closed. Decisions without I/O or a clock: it is handed times and what came, and hands back what to do.
+//! Decides which connections to the change log are open: when another is opened beside slow or silent ones, and which are
+//! closed.
 //!
-//! A connection is never closed only because it is slow: a log may bring its first line, or the end of a long event, a little later
-//! each time than any fixed patience. So a further connection is opened beside it, and all stay until one of them brings the next
-//! event, falls silent for [`TOLD`], or trickles for [`LONGEST_LINE`]. Times are since any moment that stays the same.
+//! Decisions without I/O or a clock: the driver passes in times and what was received, and gets back actions.
+//!
+//! A connection is never closed only because it is slow: a log may deliver its first bytes, or the end of a long event, a
+//! little after any fixed timeout, each time. So another connection is opened beside it, and all stay until one of them
+//! delivers the next event, is silent for [`NOTIFICATION_DEADLINE`], or trickles for [`MAX_FIELD_DURATION`]. Times are
+//! durations since a fixed moment.
 
 use crate::discovery::reconnect::Reconnect;
 use std::time::Duration;
 
-/// Most connections to one log at once.
-pub(super) const MOST_OPEN: usize = 3;
-/// Protocol: what the log tells counts as told this much later. A connection has at least as long to bring a byte.
-pub(super) const TOLD: Duration = Duration::from_secs(7);
-/// Without a whole line for this long a connection is silent: two of the comments that the protocol sends each second are missed.
-pub(super) const SILENT: Duration = Duration::from_millis(2200);
-/// The same for one that was opened beside a silent one, until it has shown that it lives: one comment is missed.
-pub(super) const SILENT_BESIDE: Duration = Duration::from_millis(1400);
-/// So many bytes of an unfinished line count as life for a time, as a whole line does.
-pub(super) const PROGRESS: usize = 16 << 10;
-/// But for no longer than this where no other connection is open: another may still tell in time.
-pub(super) const LONG_LINE: Duration = Duration::from_millis(6000);
-/// A connection that brings bytes, but neither a whole line nor `PROGRESS` of one, is closed after this; behind two that bring much of
-/// one, a third is opened after this.
-pub(super) const LONGEST_LINE: Duration = Duration::from_secs(20);
-
-/// One connection, never used for another.
+/// Connections to one log at once, at most.
+pub(super) const MAX_OPEN: usize = 3;
+/// Protocol: a change counts as notified this long after the log has it. A connection has at least as long for its next byte.
+pub(super) const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(7);
+/// A connection is silent after this long without a complete field: two of the comments that the protocol sends each second
+/// are missing.
+pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// The same for a backup connection that is not proven yet: one comment is missing.
+pub(super) const BACKUP_SILENCE_TIMEOUT: Duration = Duration::from_millis(1400);
+/// This much of an unfinished field counts as progress, as a complete one does.
+pub(super) const PROGRESS_BYTES: usize = 16 << 10;
+/// A field may be unfinished for this long on the only connection: a backup may still deliver the event in time.
+pub(super) const LONE_FIELD_TIMEOUT: Duration = Duration::from_millis(6000);
+/// A connection that delivers bytes, but neither a complete field nor [`PROGRESS_BYTES`] of one, is closed after this. Beside two
+/// connections with unfinished fields, a third is opened after this.
+pub(super) const MAX_FIELD_DURATION: Duration = Duration::from_secs(20);
+
+/// Identifies a connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionId(u64);
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Nothing has come on it for [`TOLD`], or no whole line for [`LONGEST_LINE`].
+    /// It delivered nothing for [`NOTIFICATION_DEADLINE`], or no complete field for [`MAX_FIELD_DURATION`].
     Silent,
-    /// Another one has brought the next event, or lives where this one is not needed.
+    /// Another one has delivered the next event, or is alive and newer.
     Redundant,
-    /// All that may be open are silent, and a fresh one takes its place.
+    /// All connections are silent and no more may be open: a fresh one takes its place.
     Replaced,
 }
 
@@ -46,86 +50,112 @@
     Close(ConnectionId, CloseReason),
 }
 
-/// What has come on a connection: its answer's head counts as nothing of both.
+/// What a connection has delivered; all zero for the head of its response.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Received {
     pub(super) bytes: usize,
-    /// Lines that are now whole.
-    pub(super) lines: u64,
-    /// An event or a line has begun and is not over.
+    /// Fields that are now complete.
+    pub(super) completed_fields: u64,
+    /// An event or a field has begun and is not complete.
     pub(super) unfinished: bool,
 }
 
+/// How far a connection is trusted to deliver the next event.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    /// It is the one that is followed: it was opened while no other was, or has delivered the next event.
+    Primary,
+    /// It was opened beside slow or silent ones, and has delivered no event yet.
+    Backup,
+}
+
+/// How far the log has got on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadState {
+    /// All that was received is complete.
+    BetweenEvents,
+    /// An event or a field has begun.
+    WithinEvent,
+}
+
 #[derive(Clone, Debug)]
 struct Connection {
     id: ConnectionId,
-    opened: Duration,
-    /// Opened while others were silent, and no event was brought by it yet.
-    beside: bool,
-    last_byte: Duration,
-    last_line: Duration,
-    /// The last whole line, or the last time that `PROGRESS` bytes of one had come.
-    last_progress: Duration,
-    /// Bytes since then.
-    bytes: usize,
-    unfinished: bool,
+    state: ConnectionState,
+    read_state: ReadState,
+    opened_at: Duration,
+    last_byte_at: Duration,
+    /// The last complete field.
+    last_field_at: Duration,
+    /// The last complete field, or the last time that `PROGRESS_BYTES` of one had arrived.
+    last_progress_at: Duration,
+    bytes_since_progress: usize,
 }
 
 impl Connection {
-    fn new(id: ConnectionId, now: Duration, beside: bool) -> Self {
+    fn new(id: ConnectionId, now: Duration, state: ConnectionState) -> Self {
         Connection {
             id,
-            opened: now,
-            beside,
-            last_byte: now,
-            last_line: now,
-            last_progress: now,
-            bytes: 0,
-            unfinished: false,
+            state,
+            read_state: ReadState::BetweenEvents,
+            opened_at: now,
+            last_byte_at: now,
+            last_field_at: now,
+            last_progress_at: now,
+            bytes_since_progress: 0,
         }
     }
 
     fn received(&mut self, now: Duration, received: Received) {
-        self.last_byte = now;
-        self.bytes += received.bytes;
-        self.unfinished = received.unfinished;
-        if received.lines > 0 {
-            self.last_line = now;
+        self.last_byte_at = now;
+        self.bytes_since_progress += received.bytes;
+        self.read_state = match received.unfinished {
+            true => ReadState::WithinEvent,
+            false => ReadState::BetweenEvents,
+        };
+        let has_completed_field = received.completed_fields > 0;
+        if has_completed_field {
+            self.last_field_at = now;
         }
-        if received.lines > 0 || self.bytes >= PROGRESS {
-            self.last_progress = now;
-            self.bytes = 0;
+        if has_completed_field || self.bytes_since_progress >= PROGRESS_BYTES {
+            self.last_progress_at = now;
+            self.bytes_since_progress = 0;
         }
     }
 
-    /// Whether it has brought whole lines for as long as a connection is given.
+    /// Whether it has delivered complete fields for as long as any connection is given.
     fn is_proven(&self) -> bool {
-        self.last_line >= self.opened + TOLD
+        self.last_field_at >= self.opened_at + NOTIFICATION_DEADLINE
     }
 
     /// How long it may make no progress.
-    fn patience(&self) -> Duration {
-        match self.beside && !self.is_proven() {
-            true => SILENT_BESIDE,
-            false => SILENT,
+    fn silence_timeout(&self) -> Duration {
+        match self.state {
+            ConnectionState::Backup if !self.is_proven() => BACKUP_SILENCE_TIMEOUT,
+            ConnectionState::Backup | ConnectionState::Primary => SILENCE_TIMEOUT,
         }
     }
 
-    /// When another is to be opened beside it, if nothing comes until then.
-    fn overdue_at(&self, alone: bool) -> Duration {
-        let long_line = if alone { LONG_LINE } else { LONGEST_LINE };
-        (self.last_progress + self.patience()).min(self.last_line + long_line)
+    /// When another is to be opened beside it, unless it delivers something first.
+    fn overdue_at(&self, is_only_one: bool) -> Duration {
+        let field_timeout = match is_only_one {
+            true => LONE_FIELD_TIMEOUT,
+            false => MAX_FIELD_DURATION,
+        };
+        let silent_at = self.last_progress_at + self.silence_timeout();
+        silent_at.min(self.last_field_at + field_timeout)
     }
 
-    /// When it is closed, if nothing comes until then.
-    fn silent_at(&self) -> Duration {
-        let trickles = (self.last_line + LONGEST_LINE).max(self.last_progress + TOLD);
-        trickles.min(self.last_byte + TOLD)
+    /// When it is closed, unless it delivers something first.
+    fn closed_at(&self) -> Duration {
+        let trickles_at = (self.last_field_at + MAX_FIELD_DURATION)
+            .max(self.last_progress_at + NOTIFICATION_DEADLINE);
+        trickles_at.min(self.last_byte_at + NOTIFICATION_DEADLINE)
     }
 
-    /// When a fresh one may take its place, if nothing comes until then: once it has had its time.
+    /// When a fresh one may take its place, unless it delivers something first.
     fn replaceable_at(&self) -> Duration {
-        (self.opened + TOLD).max(self.last_byte + SILENT)
+        (self.opened_at + NOTIFICATION_DEADLINE).max(self.last_byte_at + SILENCE_TIMEOUT)
     }
 }
 
@@ -135,13 +165,13 @@
     reconnect: Reconnect,
     /// In the order in which they were opened.
     open: Vec<Connection>,
-    opened: u64,
-    last_opened: Duration,
-    /// No connection is opened earlier: the pace after one that ended.
+    opened_count: u64,
+    last_opened_at: Duration,
+    /// No connection is opened earlier: the backoff after one that ended.
     not_before: Duration,
-    /// The next one beside others is opened so much later than it could be, so that a fleet is not in step.
+    /// How much later than it could be the next backup is opened, so that a fleet is not in step.
     jitter: Duration,
-    /// Closed by what came on another.
+    /// Connections to close because of what another one delivered.
     redundant: Vec<ConnectionId>,
 }
 
@@ -150,143 +180,150 @@
     pub(super) fn new(reconnect: Reconnect) -> Self {
         ConnectionSet {
             reconnect,
-            open: Vec::with_capacity(MOST_OPEN),
-            opened: 0,
-            last_opened: Duration::ZERO,
+            open: Vec::with_capacity(MAX_OPEN),
+            opened_count: 0,
+            last_opened_at: Duration::ZERO,
             not_before: Duration::ZERO,
             jitter: Duration::ZERO,
-            redundant: Vec::with_capacity(MOST_OPEN),
+            redundant: Vec::with_capacity(MAX_OPEN),
         }
     }
 
-    /// The log has moved: the driver has closed all connections, and the next is opened at once.
-    pub(super) fn moved(&mut self, now: Duration) {
+    /// The log has another address: the driver has closed all connections, and the next is opened at once.
+    pub(super) fn address_changed(&mut self, now: Duration) {
         self.open.clear();
         self.redundant.clear();
         self.not_before = now;
     }
 
-    /// Something has come on a connection.
+    /// A connection has delivered something.
     pub(super) fn received(&mut self, id: ConnectionId, now: Duration, received: Received) {
-        let Some(place) = self.place(id) else { return };
-        self.open[place].received(now, received);
-        // Two that live are one too many once the newer has had its time; what is half told on the older is heard out.
-        if self.open[place].is_proven() {
-            let older = self
-                .open
-                .iter()
-                .take(place)
-                .filter(|connection| !connection.unfinished);
-            let older: Vec<ConnectionId> = older.map(|connection| connection.id).collect();
-            self.remove_redundant(|id| older.contains(&id));
+        let Some(index) = self.index(id) else { return };
+        self.open[index].received(now, received);
+        if !self.open[index].is_proven() {
+            return;
         }
+        // An older one is not needed beside it, unless an event has begun on that.
+        let older: Vec<ConnectionId> = self.open[..index]
+            .iter()
+            .filter(|connection| connection.read_state == ReadState::BetweenEvents)
+            .map(|connection| connection.id)
+            .collect();
+        self.remove_redundant(|id| older.contains(&id));
     }
 
-    /// The next event has come on a connection: that one is followed.
-    pub(super) fn advanced(&mut self, id: ConnectionId) {
-        let Some(place) = self.place(id) else { return };
-        self.open[place].beside = false;
+    /// A connection has delivered the next event: it is followed, and the others are closed.
+    pub(super) fn event_received(&mut self, id: ConnectionId) {
+        let Some(index) = self.index(id) else { return };
+        self.open[index].state = ConnectionState::Primary;
         self.remove_redundant(|other| other != id);
     }
 
     /// A connection has ended.
     pub(super) fn ended(&mut self, id: ConnectionId, now: Duration) {
-        let Some(place) = self.place(id) else { return };
-        self.open.remove(place);
-        self.not_before = now + self.reconnect.wait(now.saturating_sub(self.last_opened));
+        let Some(index) = self.index(id) else { return };
+        self.open.remove(index);
+        let since_last_opened = now.saturating_sub(self.last_opened_at);
+        self.not_before = now + self.reconnect.wait(since_last_opened);
     }
 
-    /// What is to be done by now; asked again until there is nothing.
+    /// The next action that is due; to be polled until there is none.
     pub(super) fn poll(&mut self, now: Duration) -> Option<Action> {
         if let Some(id) = self.redundant.pop() {
             return Some(Action::Close(id, CloseReason::Redundant));
         }
-        if let Some(place) = self
-            .open
-            .iter()
-            .position(|connection| connection.silent_at() <= now)
-        {
-            return Some(Action::Close(
-                self.open.remove(place).id,
-                CloseReason::Silent,
-            ));
+        let mut open = self.open.iter();
+        if let Some(index) = open.position(|connection| connection.closed_at() <= now) {
+            return Some(self.close(index, CloseReason::Silent));
         }
         if self.open_at() > now {
             return None;
         }
-        if self.open.len() < MOST_OPEN {
+        if self.open.len() < MAX_OPEN {
             return Some(Action::Open(self.open(now)));
         }
-        let place = self.replaceable(now)?;
-        Some(Action::Close(
-            self.open.remove(place).id,
-            CloseReason::Replaced,
-        ))
+        let index = self.replaceable(now)?;
+        Some(self.close(index, CloseReason::Replaced))
     }
 
-    /// When to poll next, if nothing comes until then.
-    pub(super) fn wake(&self) -> Duration {
-        let silent = self.open.iter().map(Connection::silent_at);
-        silent.fold(self.open_at(), Duration::min)
+    /// When to poll next, unless something is received first.
+    pub(super) fn next_poll_at(&self) -> Duration {
+        let closes = self.open.iter().map(Connection::closed_at);
+        closes.fold(self.open_at(), Duration::min)
     }
 
-    fn place(&self, id: ConnectionId) -> Option<usize> {
+    fn index(&self, id: ConnectionId) -> Option<usize> {
         self.open.iter().position(|connection| connection.id == id)
     }
 
-    fn remove_redundant(&mut self, redundant: impl Fn(ConnectionId) -> bool) {
-        let gone = self
+    fn close(&mut self, index: usize, reason: CloseReason) -> Action {
+        Action::Close(self.open.remove(index).id, reason)
+    }
+
+    fn remove_redundant(&mut self, is_redundant: impl Fn(ConnectionId) -> bool) {
+        let redundant = self
             .open
             .iter()
             .map(|connection| connection.id)
-            .filter(|id| redundant(*id));
-        self.redundant.extend(gone);
-        self.open.retain(|connection| !redundant(connection.id));
+            .filter(|id| is_redundant(*id));
+        self.redundant.extend(redundant);
+        self.open.retain(|connection| !is_redundant(connection.id));
     }
 
     fn open(&mut self, now: Duration) -> ConnectionId {
-        let id = ConnectionId(self.opened);
-        self.opened += 1;
-        self.open
-            .push(Connection::new(id, now, !self.open.is_empty()));
-        (self.last_opened, self.not_before) = (now, now);
-        self.jitter = self.reconnect.jitter_beside();
+        let id = ConnectionId(self.opened_count);
+        let state = match self.open.is_empty() {
+            true => ConnectionState::Primary,
+            false => ConnectionState::Backup,
+        };
+        self.open.push(Connection::new(id, now, state));
+        self.opened_count += 1;
+        self.last_opened_at = now;
+        self.not_before = now;
+        self.jitter = self.reconnect.backup_jitter();
         id
     }
 
-    /// When the next connection is due: at its pace, and not while one that is open makes progress.
+    /// When the next connection is due: after the backoff, and not while an open one makes progress.
     fn open_at(&self) -> Duration {
-        let alone = self.open.len() == 1;
+        let is_only_one = self.open.len() == 1;
         let overdue = self
             .open
             .iter()
-            .map(|connection| connection.overdue_at(alone))
+            .map(|connection| connection.overdue_at(is_only_one))
             .max();
-        let Some(overdue) = overdue else {
+        let Some(all_overdue_at) = overdue else {
             return self.not_before;
         };
-        let due = self.not_before.max(overdue + self.jitter);
-        match self.open.len() < MOST_OPEN {
-            true => due,
-            false => due.max(self.replacement_at()),
+        let due_at = self.not_before.max(all_overdue_at + self.jitter);
+        match self.open.len() < MAX_OPEN {
+            true => due_at,
+            false => due_at.max(self.replacement_at()),
         }
     }
 
-    /// When one that is open may be replaced: any that has had its time, else the newest once it is silent. The others are kept
-    /// until they have had theirs, so that a log that is slow each time is heard out.
+    /// When an open one may be replaced: any that has had its time, or else the newest once it is silent. The older ones stay until
+    /// they have had their time, so that a log that is slow on each connection is still read.
     fn replacement_at(&self) -> Duration {
-        let had_time = self.open.iter().map(Connection::replaceable_at).min();
-        let newest = self.open.last().map(|newest| newest.last_progress + SILENT);
-        had_time.into_iter().chain(newest).min().unwrap_or_default()
+        let replaceable = self.open.iter().map(Connection::replaceable_at).min();
+        let newest_silent = self
+            .open
+            .last()
+            .map(|newest| newest.last_progress_at + SILENCE_TIMEOUT);
+        replaceable
+            .into_iter()
+            .chain(newest_silent)
+            .min()
+            .unwrap_or_default()
     }
 
-    /// The one that is replaced.
+    /// The index of the one that is replaced.
     fn replaceable(&self, now: Duration) -> Option<usize> {
-        let had_time = self
+        let had_its_time = self
             .open
             .iter()
             .position(|connection| connection.replaceable_at() <= now);
-        had_time.or(self.open.len().checked_sub(1))
+        had_its_time.or(self.open.len().checked_sub(1))
     }
 }
 
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -1,16 +1,16 @@
-//! The connection set beside played logs: every connection behaves as drawn, time goes on in steps, and each step is judged.
+//! The connection set with simulated logs: each connection behaves as drawn, time advances in steps, and each step is checked.
 
 use super::*;
 use proptest::prelude::*;
 
-/// Milliseconds between two looks of the played world.
+/// Milliseconds of one simulated step.
 const STEP: u64 = 10;
-/// A list of 3,200 engines, in bytes.
+/// Bytes of a list of 3,200 engines.
 const LONG_LIST: usize = 440_000;
 /// Pauses of the reconnect that settings may ask for, in milliseconds; longer ones are cut to 500.
 const PAUSES: [u64; 3] = [50, 250, 3000];
 
-/// Open at once to one log, by docs/CAPACITY.md.
+/// Connections to one log at once, by docs/CAPACITY.md.
 const BOUND: usize = 3;
 
 fn ms(n: u64) -> Duration {
@@ -24,7 +24,7 @@
         after: u64,
     },
     Silent,
-    /// Its first line, which ends the event that is due, comes so late; then it lives.
+    /// Its first line, which ends the event that is due, comes so late; then comments.
     Late {
         event: u64,
     },
@@ -41,8 +41,8 @@
 }
 
 impl Served {
-    /// When its event has come whole, if it does.
-    fn told_after(self) -> Option<u64> {
+    /// When its event is complete, if it ever is.
+    fn event_after(self) -> Option<u64> {
         match self {
             Served::Ends { .. } | Served::Silent | Served::Trickles => None,
             Served::Late { event } | Served::Comments { event } => Some(event),
@@ -50,32 +50,32 @@
         }
     }
 
-    /// What comes in the step that ends at this age.
-    fn comes(self, age: u64) -> Option<Received> {
-        let lives = |from: u64| age >= from && (age - from) % 1000 < STEP;
-        let whole = Received {
+    /// What is received in the step that ends at this age.
+    fn received(self, age: u64) -> Option<Received> {
+        let comments = |from: u64| age >= from && (age - from) % 1000 < STEP;
+        let complete = Received {
             bytes: 3,
-            lines: 2,
+            completed_fields: 2,
             unfinished: false,
         };
         let part = |bytes| Received {
             bytes,
-            lines: 0,
+            completed_fields: 0,
             unfinished: true,
         };
-        let told = self
-            .told_after()
-            .is_some_and(|told| (told..told + STEP).contains(&age));
+        let event_due = self
+            .event_after()
+            .is_some_and(|event_due| (event_due..event_due + STEP).contains(&age));
         match self {
-            _ if told => Some(whole),
+            _ if event_due => Some(complete),
             Served::Ends { .. } | Served::Silent => None,
-            Served::Late { event } => lives(event).then_some(whole),
-            Served::Comments { .. } => lives(0).then_some(whole),
+            Served::Late { event } => comments(event).then_some(complete),
+            Served::Comments { .. } => comments(0).then_some(complete),
             Served::Trickles => (age % 200 < STEP).then_some(part(1)),
             Served::LongList { rate } if age < LONG_LIST as u64 * 1000 / rate as u64 => {
                 Some(part(rate * STEP as usize / 1000))
             }
-            Served::LongList { .. } => lives(0).then_some(whole),
+            Served::LongList { .. } => comments(0).then_some(complete),
         }
     }
 }
@@ -87,10 +87,10 @@
     last_byte: u64,
 }
 
-/// What a played log has seen.
+/// What a simulated log has seen.
 #[derive(Debug, Default)]
 struct Played {
-    heard: Option<u64>,
+    delivered_at: Option<u64>,
     /// When each connection was opened, in milliseconds.
     opened: Vec<u64>,
     bytes: usize,
@@ -107,7 +107,7 @@
 }
 
 impl<F: Fn(usize) -> Served> World<'_, F> {
-    /// What comes on a connection in the step that ends now; whether anything did.
+    /// Delivers what a connection receives in the step that ends now; whether that is anything.
     fn step(&mut self, id: ConnectionId, now: u64) -> bool {
         let Some(place) = self.open.iter().position(|open| open.id == id) else {
             return false;
@@ -119,28 +119,28 @@
             self.open.remove(place);
             return true;
         }
-        let Some(received) = served.comes(age) else {
+        let Some(received) = served.received(age) else {
             return false;
         };
         self.set.received(id, ms(now), received);
         self.played.bytes += received.bytes;
         self.open[place].last_byte = now;
-        let told = served
-            .told_after()
-            .is_some_and(|told| (told..told + STEP).contains(&age));
-        if told && self.played.heard.is_none() {
-            self.set.advanced(id);
-            self.played.heard = Some(now);
+        let event_due = served
+            .event_after()
+            .is_some_and(|event_due| (event_due..event_due + STEP).contains(&age));
+        if event_due && self.played.delivered_at.is_none() {
+            self.set.event_received(id);
+            self.played.delivered_at = Some(now);
         }
         true
     }
 
-    /// Does what the set wants done, as the driver does after each step.
+    /// Does the actions that are due, as the driver does after each step.
     fn act(&mut self, now: u64) -> usize {
         let mut actions = 0;
         while let Some(action) = self.set.poll(ms(now)) {
             actions += 1;
-            assert!(actions <= 2 * MOST_OPEN, "no end of actions at {now} ms");
+            assert!(actions <= 2 * MAX_OPEN, "no end of actions at {now} ms");
             match action {
                 Action::Open(id) => {
                     let served = (self.served)(self.played.opened.len());
@@ -158,12 +158,12 @@
                         .iter()
                         .position(|open| open.id == id)
                         .expect("it is open");
-                    judge_close(
+                    check_close(
                         &self.open[place],
                         place,
                         now,
                         reason,
-                        self.played.heard.is_some(),
+                        self.played.delivered_at.is_some(),
                     );
                     self.open.remove(place);
                 }
@@ -178,7 +178,7 @@
     }
 }
 
-/// Plays a log for so long, and judges each step.
+/// Simulates a log for so many milliseconds, and checks each step.
 fn play(set: &mut ConnectionSet, served: impl Fn(usize) -> Served, long: u64) -> Played {
     let mut world = World {
         set,
@@ -186,23 +186,23 @@
         open: Vec::new(),
         played: Played::default(),
     };
-    let mut wake = Duration::ZERO;
+    let mut next_poll = Duration::ZERO;
     for now in (0..long).step_by(STEP as usize) {
         let ids: Vec<ConnectionId> = world.open.iter().map(|open| open.id).collect();
-        let mut came = false;
+        let mut has_received = false;
         for id in ids {
             if world.step(id, now) {
-                came = true;
+                has_received = true;
                 world.act(now);
             }
         }
         let actions = world.act(now);
         assert!(
-            came || actions == 0 || wake <= ms(now),
-            "acts at {now} ms, woken for {wake:?}"
+            has_received || actions == 0 || next_poll <= ms(now),
+            "acts at {now} ms, next poll was due at {next_poll:?}"
         );
-        wake = world.set.wake();
-        assert!(wake > ms(now), "awake again at once at {now} ms");
+        next_poll = world.set.next_poll_at();
+        assert!(next_poll > ms(now), "due again at once at {now} ms");
     }
     Played {
         open: world.open.len(),
@@ -211,18 +211,21 @@
 }
 
 /// A connection is closed only where it may be.
-fn judge_close(open: &Open, place: usize, now: u64, reason: CloseReason, heard: bool) {
+fn check_close(open: &Open, place: usize, now: u64, reason: CloseReason, delivered: bool) {
     let (age, quiet) = (ms(now - open.opened), ms(now - open.last_byte));
     match reason {
         CloseReason::Silent => assert!(
-            quiet >= TOLD || age >= LONGEST_LINE,
+            quiet >= NOTIFICATION_DEADLINE || age >= MAX_FIELD_DURATION,
             "{age:?} old, {quiet:?} quiet"
         ),
-        CloseReason::Redundant => assert!(heard || age >= TOLD, "{age:?} old and nothing heard"),
+        CloseReason::Redundant => assert!(
+            delivered || age >= NOTIFICATION_DEADLINE,
+            "{age:?} old and nothing delivered"
+        ),
         CloseReason::Replaced => {
-            let newest = place == MOST_OPEN - 1 && age >= SILENT;
+            let newest = place == MAX_OPEN - 1 && age >= SILENCE_TIMEOUT;
             assert!(
-                age >= TOLD && quiet >= SILENT || newest,
+                age >= NOTIFICATION_DEADLINE && quiet >= SILENCE_TIMEOUT || newest,
                 "{age:?} old, {quiet:?} quiet, place {place}"
             );
         }
@@ -246,7 +249,7 @@
 
 proptest! {
     /// Whatever the connections do: few are open, none is closed before its time, nothing spins, and what one of the first two
-    /// connections brings in its time is heard.
+    /// connections delivers in its time arrives.
     #[test]
     fn any_log_is_followed_within_bounds(
         seed: u64,
@@ -254,18 +257,18 @@
         served in prop::collection::vec(any_served(), 1..12),
     ) {
         let played = play(&mut set(seed, pause), |n| served[n % served.len()], 30_000);
-        for (number, opened) in played.opened.iter().take(MOST_OPEN - 1).enumerate() {
-            let told = served[number % served.len()].told_after().map(|told| opened + told);
-            if let Some(told) = told.filter(|told| *told < opened + 7000) {
-                let heard = played.heard.expect("heard");
-                prop_assert!(heard <= told + STEP, "connection {number} told at {told} ms, heard at {heard} ms");
+        for (number, opened) in played.opened.iter().take(MAX_OPEN - 1).enumerate() {
+            let event_due = served[number % served.len()].event_after().map(|event_due| opened + event_due);
+            if let Some(event_due) = event_due.filter(|event_due| *event_due < opened + 7000) {
+                let delivered_at = played.delivered_at.expect("delivered");
+                prop_assert!(delivered_at <= event_due + STEP, "connection {number} due at {event_due} ms, delivered at {delivered_at} ms");
             }
         }
     }
 
-    /// A log that is late on each connection alike is heard on the first.
+    /// A log that is late on each connection alike delivers on the first.
     #[test]
-    fn a_log_that_is_always_late_is_heard_inside_its_time(
+    fn a_log_that_is_always_late_delivers_in_time(
         seed: u64,
         pause in prop::sample::select(PAUSES.to_vec()),
         late in STEP..6900,
@@ -276,13 +279,13 @@
             false => Served::Late { event: late },
         };
         let played = play(&mut set(seed, pause), |_| served, 10_000);
-        prop_assert!(played.heard.is_some_and(|heard| heard < 7000), "{played:?}");
+        prop_assert!(played.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{played:?}");
         prop_assert_eq!(played.open, 1, "the others are closed");
     }
 
-    /// Three connections that are silent, trickle or end come to nothing; the fourth is opened in time.
+    /// Behind three connections that are silent, trickle or end, the fourth is opened in time.
     #[test]
-    fn behind_three_that_come_to_nothing_a_list_is_heard(
+    fn a_list_behind_three_failing_connections_is_delivered(
         seed: u64,
         pause in prop::sample::select(PAUSES.to_vec()),
         bad in prop::collection::vec(
@@ -292,38 +295,38 @@
     ) {
         let served = |n: usize| bad.get(n).copied().unwrap_or(Served::Late { event: 200 });
         let played = play(&mut set(seed, pause), served, 10_000);
-        prop_assert!(played.heard.is_some_and(|heard| heard < 7000), "{played:?}");
+        prop_assert!(played.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{played:?}");
     }
 
-    /// Nor does a log that is late hide behind two connections that come to nothing.
+    /// Nor is a late log missed behind two silent connections.
     #[test]
-    fn behind_two_that_come_to_nothing_a_late_list_is_heard(
+    fn a_late_list_behind_two_silent_connections_is_delivered(
         seed: u64,
         pause in prop::sample::select(PAUSES.to_vec()),
         late in STEP..2200,
     ) {
         let served = |n: usize| if n < 2 { Served::Silent } else { Served::Late { event: late } };
         let played = play(&mut set(seed, pause), served, 10_000);
-        prop_assert!(played.heard.is_some_and(|heard| heard < 7000), "{played:?}");
+        prop_assert!(played.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{played:?}");
     }
 
-    /// A long list over a slow link is heard on the first connection, and no more than twice its bytes are asked for.
+    /// A long list over a slow link is delivered on the first connection, and at most twice its bytes are requested.
     #[test]
-    fn a_long_list_is_asked_for_twice_at_most(
+    fn a_long_list_is_requested_twice_at_most(
         seed: u64,
         pause in prop::sample::select(PAUSES.to_vec()),
         rate in 25_000..2_000_000usize,
     ) {
         let served = Served::LongList { rate };
         let played = play(&mut set(seed, pause), |_| served, 30_000);
-        prop_assert_eq!(played.heard.map(|heard| heard / STEP), served.told_after().map(|told| told.div_ceil(STEP)));
+        prop_assert_eq!(played.delivered_at.map(|delivered_at| delivered_at / STEP), served.event_after().map(|event_due| event_due.div_ceil(STEP)));
         let comments = 30 * 3;
         prop_assert!(played.bytes <= 2 * LONG_LIST + comments, "{} bytes, {:?}", played.bytes, played.opened);
     }
 
-    /// What ends at once is opened again at its pace.
+    /// A connection that ends at once is opened again after the backoff.
     #[test]
-    fn connections_that_end_keep_the_pace(seed: u64, pause in prop::sample::select(PAUSES.to_vec()), after in 0..200u64) {
+    fn connections_that_end_keep_the_backoff(seed: u64, pause in prop::sample::select(PAUSES.to_vec()), after in 0..200u64) {
         let played = play(&mut set(seed, pause), |_| Served::Ends { after }, 10_000);
         for pair in played.opened.windows(2) {
             prop_assert!(pair[1] - pair[0] + STEP >= pause.min(500), "{:?}", played.opened);
@@ -342,40 +345,40 @@
 }
 
 #[test]
-fn a_comment_that_is_late_by_a_second_costs_no_connection() {
+fn a_comment_late_by_a_second_opens_no_connection() {
     let mut set = set(1, 250);
     let Some(Action::Open(id)) = set.poll(Duration::ZERO) else {
         panic!("the first is opened at once")
     };
-    let whole = Received {
+    let complete = Received {
         bytes: 3,
-        lines: 2,
+        completed_fields: 2,
         unfinished: false,
     };
     for second in [1000, 2000, 4000, 5000, 7000, 9000] {
         assert_eq!(set.poll(ms(second)), None, "at {second} ms");
-        set.received(id, ms(second), whole);
+        set.received(id, ms(second), complete);
     }
 }
 
 #[test]
-fn a_log_that_moved_is_connected_to_at_once() {
+fn a_log_at_a_new_address_is_connected_to_at_once() {
     let mut set = set(1, 500);
     while set.poll(ms(0)).is_some() {}
     while set.poll(ms(2600)).is_some() {}
-    set.moved(ms(2700));
+    set.address_changed(ms(2700));
     assert!(matches!(set.poll(ms(2700)), Some(Action::Open(_))));
     assert_eq!(set.poll(ms(2700)), None, "and no other beside it");
 }
 
-/// Of two that live, the one that was silent before is closed once the newer has had its time.
+/// Of two live connections, the one that was silent before is closed once the newer is proven.
 #[test]
-fn two_that_live_are_one_again_after_a_while() {
+fn of_two_live_connections_the_older_is_closed() {
     let mut set = set(1, 250);
     let mut open = Vec::new();
-    let whole = Received {
+    let complete = Received {
         bytes: 3,
-        lines: 2,
+        completed_fields: 2,
         unfinished: false,
     };
     for now in (0..15_000).step_by(100) {
@@ -392,16 +395,16 @@
         // The first says nothing in its first three seconds.
         for (number, id) in open.iter().enumerate() {
             if now % 1000 == 0 && (number > 0 || now >= 3000) {
-                set.received(*id, ms(now), whole);
+                set.received(*id, ms(now), complete);
             }
         }
     }
     assert_eq!(open.len(), 1);
 }
 
-/// Beside one that lives, one that only trickles is heard out for a time, and no longer.
+/// Beside a live connection, one that only trickles stays open for a time, and no longer.
 #[test]
-fn a_trickle_is_closed_in_the_end() {
+fn a_trickling_connection_is_closed() {
     let served = |n: usize| {
         if n == 0 {
             Served::Trickles
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -1,4 +1,4 @@
-//! Applies what the change log tells and what the subset wants, and hands the changes of the list on in order.
+//! Applies events of the change log and changes of the subset, and delivers the updates of the engine list in order.
 
 use super::event::Event;
 use super::list::{EngineList, EngineUpdate};
@@ -11,28 +11,31 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Connections that are brought up to candidates at once: few beside those that queries need.
-const WARM_AT_ONCE: usize = 8;
-/// The subset is asked for what is due no more often than this by its own timer.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(10);
+/// Connections that are warmed up at once: few beside those that queries need.
+const MAX_CONCURRENT_WARM_UPS: usize = 8;
+/// The subset's own timer polls it no more often than this.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Takes updates of the list, and whether they are the whole list.
+/// Receives updates of the list, and whether they are the full list.
 pub type Deliver = Box<dyn FnMut(&[EngineUpdate], bool) + Send>;
 
-/// How a connection to a candidate came up, and what the engine said of itself with it.
+/// How the warm-up of a connection to a candidate ended.
 pub struct Warmed {
+    /// The end of the attempt.
     pub end: AttemptEnd,
+    /// The engine's load report, where it sent one.
     pub report: Option<LoadReport>,
 }
 
-/// Drives the list of engines.
+/// Drives the engine list.
 pub struct Discovery {
     list: Arc<EngineList>,
-    /// Held while a change is applied and handed on, so that changes are handed on in order.
+    /// Locked while a change is applied and delivered, so that changes are delivered in order.
     deliver: Mutex<Deliver>,
 }
 
 impl Discovery {
+    /// Discovery that passes the updates of `list` to `deliver`.
     pub fn new(list: Arc<EngineList>, deliver: Deliver) -> Self {
         Discovery {
             list,
@@ -40,15 +43,15 @@
         }
     }
 
-    /// Applies a change of the list.
+    /// Applies an event of the change log.
     pub fn apply(&self, event: Event) {
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
         let change = self.list.apply(event);
-        deliver(&change.updates, change.whole);
+        deliver(&change.updates, change.is_full_list);
     }
 
-    /// Applies what the subset wants by now; the engines that this changes.
-    fn poll(&self) -> Vec<EngineUpdate> {
+    /// Applies the changes of the subset that are due, and returns the engines that they concern.
+    fn poll_subset(&self) -> Vec<EngineUpdate> {
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
         let updates = self.list.poll_subset();
         if !updates.is_empty() {
@@ -57,39 +60,39 @@
         updates
     }
 
-    /// Keeps the subset for as long as the gateway runs: `warm` brings up a connection, `warmed` learns how that ended for
-    /// an engine that is a member with it.
-    pub async fn keep_subset<W, F>(&self, warm: W, warmed: impl Fn(EngineId, Warmed))
+    /// Maintains the subset for as long as the future is polled. `warm_up` opens a connection to a candidate; `joined` is
+    /// called with the outcome for each engine that becomes a member by it.
+    pub async fn maintain_subset<W, F>(&self, warm_up: W, joined: impl Fn(EngineId, Warmed))
     where
         W: Fn(SocketAddr) -> F,
         F: Future<Output = Warmed> + Send + 'static,
     {
         let mut warming = JoinSet::new();
         loop {
-            self.poll();
-            while warming.len() < WARM_AT_ONCE {
+            self.poll_subset();
+            while warming.len() < MAX_CONCURRENT_WARM_UPS {
                 let Some(candidate) = self.list.next_candidate() else {
                     break;
                 };
-                let outcome = warm(candidate.address);
+                let outcome = warm_up(candidate.address);
                 warming.spawn(async move { (candidate, outcome.await) });
             }
             tokio::select! {
                 () = self.list.subset_changed() => {}
-                () = self.due() => {}
+                () = self.subset_poll_due() => {}
                 Some(ended) = warming.join_next() => {
                     if let Ok((candidate, outcome)) = ended {
-                        self.candidate_warmed(candidate, outcome, &warmed);
+                        self.candidate_warmed(candidate, outcome, &joined);
                     }
                 }
             }
         }
     }
 
-    /// Until the subset wants to be polled.
-    async fn due(&self) {
-        match self.list.subset_due() {
-            Some(pause) => sleep(pause.max(SHORTEST_PAUSE)).await,
+    /// Waits until the subset is to be polled.
+    async fn subset_poll_due(&self) {
+        match self.list.time_to_subset_poll() {
+            Some(pause) => sleep(pause.max(MIN_POLL_INTERVAL)).await,
             None => std::future::pending().await,
         }
     }
@@ -98,7 +101,7 @@
         &self,
         candidate: Candidate,
         outcome: Warmed,
-        warmed: &impl Fn(EngineId, Warmed),
+        joined: &impl Fn(EngineId, Warmed),
     ) {
         // An engine that answers at all was reached.
         let reached = matches!(
@@ -106,12 +109,15 @@
             AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected
         );
         let id = self.list.candidate_warmed(candidate, reached);
-        let updates = self.poll();
-        let joined = updates
+        let updates = self.poll_subset();
+        if !reached {
+            return;
+        }
+        let member = updates
             .iter()
             .find(|update| Some(&update.id) == id.as_ref());
-        if let Some(update) = joined.filter(|_| reached) {
-            warmed(update.listed.engine, outcome);
+        if let Some(update) = member {
+            joined(update.listed.engine, outcome);
         }
     }
 }
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use serde_json::json;
+use serde_json::{json, Value};
 
 fn names() -> NameIndex {
     let words = |words: &[&str]| words.iter().map(|w| w.to_string()).collect();
@@ -11,57 +11,62 @@
     })
 }
 
-fn line() -> Value {
+fn entry() -> Value {
     json!({"id": "e\u{e9}\"1", "addr": "127.0.0.1:4100", "zone": "far west", "kind": "large", "cell": 7,
         "state": "SERVING", "weight": 1, "started_ms": 1500, "more": {"x": [1, null]}})
 }
 
-fn event_with(line: Value) -> Value {
-    json!({"seq": 4, "more": [], "fleet": {"version": 1, "full": true, "servers": [self::line(), line]}})
+fn event_with(entry: Value) -> Value {
+    json!({"seq": 4, "more": [], "fleet": {"version": 1, "full": true, "servers": [self::entry(), entry]}})
+}
+
+/// The same result with the error's text.
+fn error_text(decoded: Result<Event, EventError>) -> Result<Event, String> {
+    decoded.map_err(|error| error.to_string())
 }
 
 /// Decodes both ways, which have the same end.
-fn decoded(json: &Value) -> Result<Event, String> {
+fn decoded(json: &Value) -> Result<Event, EventError> {
     let of_text = event_of_text(json.to_string().as_bytes(), &names());
     assert_eq!(of_text, event(json, &names()), "{json}");
     of_text
 }
 
 #[test]
-fn a_whole_line_is_decoded() {
-    let event = decoded(&event_with(line())).unwrap();
+fn a_full_list_is_decoded() {
+    let event = decoded(&event_with(entry())).unwrap();
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    let (id, came_up) = ("e\u{e9}\"1".to_string(), Some(1.5));
-    let line = EngineLine {
+    let (id, started_at_unix) = ("e\u{e9}\"1".to_string(), Some(1.5));
+    let entry = EngineEntry {
         id,
         address,
         zone: 1,
         kind: 1,
         cell: 7,
-        came_up,
-        condition: EndpointState::Ready,
+        started_at_unix,
+        state: EndpointState::Ready,
     };
     assert_eq!(
         event,
         Event {
             number: 4,
-            whole: true,
-            lines: vec![line.clone(), line]
+            is_full_list: true,
+            entries: vec![entry.clone(), entry]
         }
     );
     assert_eq!(
         decoded(&json!({"seq": 3})),
         Ok(Event {
             number: 3,
-            whole: false,
-            lines: vec![]
+            is_full_list: false,
+            entries: vec![]
         })
     );
 }
 
 #[test]
-fn what_is_wrong_with_a_line_is_told_with_its_place() {
-    for (key, value, what) in [
+fn an_error_of_an_entry_names_its_place() {
+    for (key, value, error) in [
         ("state", json!("ODD"), "state: 'ODD' is unknown"),
         ("state", json!(null), "state: a text expected"),
         ("id", json!(3), "id: a text expected"),
@@ -88,22 +93,22 @@
         ("cell", json!(1_u64 << 32), "cell: too large"),
         ("started_ms", json!(1e308), "started_ms: a number expected"),
     ] {
-        let mut line = line();
-        line[key] = value;
+        let mut entry = entry();
+        entry[key] = value;
         assert_eq!(
-            decoded(&event_with(line)),
-            Err(format!("fleet.servers.1.{what}"))
+            error_text(decoded(&event_with(entry))),
+            Err(format!("fleet.servers.1.{error}"))
         );
     }
     assert_eq!(
-        decoded(&event_with(json!(3))),
+        error_text(decoded(&event_with(json!(3)))),
         Err("fleet.servers.1.state: a text expected".into())
     );
 }
 
 #[test]
-fn the_first_fault_of_an_event_is_told() {
-    for (event, what) in [
+fn the_first_error_of_an_event_is_reported() {
+    for (event, error) in [
         (json!([1]), "seq: a number expected"),
         (json!(null), "seq: a number expected"),
         (json!({"seq": -1, "fleet": 3}), "seq: a number expected"),
@@ -120,26 +125,27 @@
             "fleet.servers: a list expected",
         ),
     ] {
-        assert_eq!(decoded(&event), Err(what.into()), "{event}");
+        assert_eq!(error_text(decoded(&event)), Err(error.into()), "{event}");
     }
     for text in ["", "{\"seq\": 1", "{\"seq\": 1} more", "\u{0}"] {
-        let fault = Err("seq: a number expected".into());
-        assert_eq!(event_of_text(text.as_bytes(), &names()), fault, "{text}");
+        let error = Err("seq: a number expected".into());
+        let decoded = event_of_text(text.as_bytes(), &names());
+        assert_eq!(error_text(decoded), error, "{text}");
     }
 }
 
 #[test]
-fn of_keys_and_names_that_are_there_twice_the_last_key_and_the_first_name_count() {
+fn of_repeated_keys_the_last_and_of_repeated_names_the_first_counts() {
     let text = br#"{"seq": 1, "fleet": 3, "seq": 2, "fleet": {"full": null, "full": false, "servers": 3,
         "servers": [{"id": "a", "id": "b", "addr": "127.0.0.1:1", "zone": "east", "state": "DRAINING"}]}}"#;
     let event = event_of_text(text, &names()).unwrap();
     assert_eq!(
-        (event.number, event.whole, event.lines.len()),
+        (event.number, event.is_full_list, event.entries.len()),
         (2, false, 1)
     );
-    let line = &event.lines[0];
+    let entry = &event.entries[0];
     assert_eq!(
-        (&*line.id, line.zone, line.condition),
+        (&*entry.id, entry.zone, entry.state),
         ("b", 0, EndpointState::Draining)
     );
 }
--- a/crates/gateway/src/discovery/lenient.rs
+++ b/crates/gateway/src/discovery/lenient.rs
@@ -1,5 +1,6 @@
-//! JSON read without a detour over a tree, where what has the wrong type is kept until the place is asked for. Of a key
-//! that is there twice the last counts.
+//! Reads JSON without building a tree, and without failing on values of the wrong type.
+//!
+//! Such a value is stored as it is, and reported by whoever needs the key. Of a repeated key the last counts.
 
 use serde::de::value::{MapAccessDeserializer, SeqAccessDeserializer};
 use serde::de::{
@@ -9,7 +10,7 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// What stands at a key.
+/// The value of a key.
 #[derive(Debug, Default)]
 pub(super) enum Field<'a> {
     #[default]
@@ -48,15 +49,15 @@
     }
 }
 
-/// As JSON.
+/// Writes the value as JSON.
 impl fmt::Display for Field<'_> {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Field::Absent | Field::Null => f.write_str("null"),
-            Field::Flag(flag) => flag.fmt(f),
-            Field::Number(number) => number.fmt(f),
-            Field::Text(text) => Value::from(text.as_ref()).fmt(f),
-            Field::Other(value) => value.fmt(f),
+            Field::Absent | Field::Null => formatter.write_str("null"),
+            Field::Flag(flag) => flag.fmt(formatter),
+            Field::Number(number) => number.fmt(formatter),
+            Field::Text(text) => Value::from(text.as_ref()).fmt(formatter),
+            Field::Other(value) => value.fmt(formatter),
         }
     }
 }
@@ -72,8 +73,8 @@
 impl<'de> Visitor<'de> for FieldVisitor {
     type Value = Field<'de>;
 
-    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("any JSON")
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("any JSON")
     }
 
     fn visit_unit<E>(self) -> Result<Field<'de>, E> {
@@ -113,11 +114,12 @@
     }
 }
 
-/// What is read key by key, or item by item.
+/// A value that is read key by key, or item by item.
 pub(super) trait Parts<'de>: Sized {
-    /// Reads what stands at a key.
+    /// Reads the value of a key.
     fn key<A: MapAccess<'de>>(&mut self, _key: &str, map: &mut A) -> Result<(), A::Error> {
-        map.next_value::<IgnoredAny>().map(drop)
+        map.next_value::<IgnoredAny>()?;
+        Ok(())
     }
 
     /// Reads the items of a list.
@@ -127,7 +129,7 @@
     }
 }
 
-/// Reads into something; it stays as it was where it is given what it has no parts for.
+/// Reads a value into `T`, which stays unchanged where the value is neither an object nor a list.
 pub(super) struct ReadInto<T>(pub(super) T);
 
 impl<'de, T: Parts<'de>> DeserializeSeed<'de> for ReadInto<T> {
@@ -141,8 +143,8 @@
 impl<'de, T: Parts<'de>> Visitor<'de> for ReadInto<T> {
     type Value = T;
 
-    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("any JSON")
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("any JSON")
     }
 
     fn visit_unit<E>(self) -> Result<T, E> {
--- /dev/null
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -0,0 +1,144 @@
+use super::*;
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+
+fn entry(id: &str, state: EndpointState) -> EngineEntry {
+    let address = SocketAddr::from(([127, 0, 0, 1], 4100));
+    EngineEntry {
+        id: id.into(),
+        address,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        started_at_unix: None,
+        state,
+    }
+}
+
+/// Engines under ever new ids do not let the table grow without end.
+#[test]
+fn an_index_is_reused_only_after_the_retention_time() {
+    let mut table = EngineTable::new(Duration::from_secs(20));
+    let mut now = Instant::now();
+    let mut take = |id: &str, condition, wait: u64| {
+        now += Duration::from_secs(wait);
+        let engine = table
+            .update(entry(id, condition), None, now)
+            .map(|update| update.listed.engine);
+        (engine, table.engines.len(), table.indices.len())
+    };
+    assert_eq!(take("a", EndpointState::Ready, 0), (Some(0), 1, 1));
+    assert_eq!(take("a", EndpointState::Removed, 1), (Some(0), 1, 1));
+    assert_eq!(take("never known", EndpointState::Removed, 1), (None, 1, 1));
+    assert_eq!(
+        take("b", EndpointState::Ready, 10),
+        (Some(1), 2, 2),
+        "queries may still know a"
+    );
+    assert_eq!(
+        take("a", EndpointState::Removed, 5),
+        (Some(0), 2, 2),
+        "removed twice"
+    );
+    assert_eq!(take("c", EndpointState::Ready, 10), (Some(0), 2, 2));
+    for n in 0..100 {
+        take(&format!("d{n}"), EndpointState::Ready, 1);
+        assert!(take(&format!("d{n}"), EndpointState::Removed, 30).1 <= 4);
+    }
+}
+
+/// A plain model of the table, without counts and free indices: it searches all engines.
+#[derive(Default)]
+struct PlainTable {
+    known: Vec<(EngineEntry, Option<Instant>)>,
+    retention: Duration,
+}
+
+impl PlainTable {
+    fn apply(
+        &mut self,
+        entries: &[EngineEntry],
+        is_full_list: bool,
+        now: Instant,
+    ) -> Vec<(EngineId, EndpointState)> {
+        if is_full_list {
+            for (entry, removed_at) in &mut self.known {
+                entry.state = EndpointState::Removed;
+                removed_at.get_or_insert(now);
+            }
+        }
+        entries
+            .iter()
+            .filter_map(|entry| self.take(entry, now))
+            .collect()
+    }
+
+    fn take(&mut self, entry: &EngineEntry, now: Instant) -> Option<(EngineId, EndpointState)> {
+        let engine = match self
+            .known
+            .iter()
+            .position(|(known, _)| known.id == entry.id)
+        {
+            Some(engine) => engine,
+            None if entry.state == EndpointState::Removed => return None,
+            None => {
+                let expired = |removed_at: &Option<Instant>| {
+                    removed_at.is_some_and(|at| now - at > self.retention)
+                };
+                let engine = self
+                    .known
+                    .iter()
+                    .position(|(_, removed_at)| expired(removed_at));
+                let engine = engine.unwrap_or(self.known.len());
+                match self.known.get_mut(engine) {
+                    Some(known) => *known = (entry.clone(), None),
+                    None => self.known.push((entry.clone(), None)),
+                }
+                engine
+            }
+        };
+        let (known, removed_at) = &mut self.known[engine];
+        *removed_at = (entry.state == EndpointState::Removed).then(|| removed_at.unwrap_or(now));
+        *known = entry.clone();
+        Some((engine, entry.state))
+    }
+
+    fn counts(&self) -> StateCounts {
+        let mut counts = StateCounts::default();
+        self.known
+            .iter()
+            .for_each(|(entry, _)| counts.add(entry.state));
+        counts
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(37), ..ProptestConfig::default() })]
+
+    /// Whatever the log reports, indices, their order and the counts are those of the plain table.
+    #[test]
+    fn the_table_equals_the_plain_one(
+        events in proptest::collection::vec(
+            (any::<bool>(), proptest::collection::vec((0_u8..12, 0_u8..3), 0..8), 0_u64..9), 1..40)
+    ) {
+        let retention = Duration::from_secs(10);
+        let (mut table, mut plain) = (EngineTable::new(retention), PlainTable { retention, ..PlainTable::default() });
+        let mut now = Instant::now();
+        for (is_full_list, entries, wait) in events {
+            now += Duration::from_secs(wait);
+            let conditions = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+            let entries: Vec<EngineEntry> =
+                entries.iter().map(|(id, c)| entry(&id.to_string(), conditions[*c as usize])).collect();
+            let expected = plain.apply(&entries, is_full_list, now);
+            let updates = table.apply(entries, is_full_list, now);
+            let updates: Vec<_> = updates.iter().map(|update| (update.listed.engine, update.listed.state)).collect();
+            prop_assert_eq!(updates, expected);
+            prop_assert_eq!(table.counts, plain.counts());
+            prop_assert_eq!(table.engines.len(), plain.known.len());
+            for (known, (entry, removed_at)) in table.engines.iter().zip(&plain.known) {
+                prop_assert_eq!((&known.entry, &known.removed_at), (entry, removed_at));
+            }
+            prop_assert!(table.removed.len() + table.free_indices.len() <= table.engines.len());
+        }
+    }
+}
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -1,7 +1,8 @@
-//! The engines that this gateway works with, chosen from the whole list by `garnetwall_subset`. Of the rest only the
-//! catalog is kept.
+//! The engine subset: the engines that this gateway works with, chosen from the full list by `garnetwall_subset`.
+//!
+//! Of all other engines only the catalog's facts and a few details are stored.
 
-use super::event::EngineLine;
+use super::event::EngineEntry;
 use garnetwall::api::EndpointState;
 use garnetwall_subset as subset;
 use garnetwall_subset::{
@@ -11,65 +12,78 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Cores of a kind whose cores the settings do not tell.
-const UNKNOWN_CORES: f64 = 1.0;
+/// Cores of a kind for which the settings have no number of cores.
+const DEFAULT_CORES: f64 = 1.0;
 
-/// A line of a member, or of an engine that was one.
+/// The entry of a member, or of an engine that was one.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Selected {
-    pub(super) line: EngineLine,
+    pub(super) entry: EngineEntry,
     /// About how many gateways work with it.
     pub(super) holders: f64,
 }
 
-/// An engine that a connection is to be brought up to before it may become a member.
+impl Selected {
+    fn into_removed(mut self) -> Self {
+        self.entry.state = EndpointState::Removed;
+        self
+    }
+}
+
+/// An engine that a connection is to be warmed up to before it may become a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Candidate {
     pub(super) engine: EngineKey,
     pub(super) address: SocketAddr,
 }
 
-/// What the choice does not depend on.
+/// What the choice of members does not depend on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Details {
     address: SocketAddr,
-    came_up: Option<f64>,
+    /// In seconds of the change log's clock.
+    started_at_unix: Option<f64>,
 }
 
 /// How large the subset is, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Status {
-    /// Engines in the whole list.
-    pub(super) known: usize,
+pub(super) struct SubsetStatus {
+    /// Engines in the full list.
+    pub(super) listed: usize,
     pub(super) members: usize,
-    /// The members that it is to have while none fails.
+    /// The members that it is to have while none has failed.
     pub(super) size: usize,
     pub(super) reason: SizeReason,
-    /// Members of the reserve, in place of those that fail.
+    /// Members that were added in place of failed ones.
     pub(super) widened_by: usize,
-    pub(super) failing: usize,
-    /// Engines that could not be reached and are tried again.
+    /// Members whose attempts fail.
+    pub(super) failed: usize,
+    /// Engines that could not be reached, and to which connecting is retried.
     pub(super) unreached: usize,
     /// Placement classes that no engine of the list serves.
     pub(super) unserved_classes: usize,
 }
 
-/// The whole list and the subset of this gateway.
+/// The full list and the subset of this gateway.
 pub struct Selection {
     catalog: Catalog,
     details: HashMap<EngineKey, Details>,
     subset: Subset,
     /// Members as they were selected last.
     members: HashMap<EngineKey, Selected>,
-    /// Engines that wait for their connection to be begun, each once.
+    /// Engines that wait for a connection to be started, each once.
     candidates: VecDeque<EngineKey>,
-    /// These, and those whose connection was begun.
+    /// The candidates, and the engines to which a connection was started.
     warming: HashSet<EngineKey>,
     kind_cores: Vec<Option<f64>>,
 }
 
 impl Selection {
-    /// An empty selection of the gateway of this name. `kind_cores` has the cores of each kind where they are known.
+    /// An empty selection for the gateway of this name. `kind_cores` has the cores of each kind where they are known.
+    ///
+    /// # Errors
+    ///
+    /// The settings do not fit one another, or the gateway has no name.
     pub fn new(
         gateway: &str,
         settings: SubsetSettings,
@@ -86,100 +100,109 @@
         })
     }
 
-    /// Takes in lines, the whole list or only what has changed, and tells what that changes for the members.
-    pub(super) fn apply(&mut self, now: f64, lines: Vec<EngineLine>, whole: bool) -> Vec<Selected> {
-        let known = lines.iter().map(|line| subset::EngineLine {
-            id: line.id.clone(),
-            facts: self.facts(line),
-        });
-        let known: Vec<subset::EngineLine> = known.collect();
-        let changes = self.catalog.apply(&known, whole);
+    /// Applies entries, the full list or only what changed, and returns what that changes for the members.
+    pub(super) fn apply(
+        &mut self,
+        now: f64,
+        entries: Vec<EngineEntry>,
+        is_full_list: bool,
+    ) -> Vec<Selected> {
+        let catalog_entries: Vec<subset::EngineLine> = entries
+            .iter()
+            .map(|entry| subset::EngineLine {
+                id: entry.id.clone(),
+                facts: self.facts(entry),
+            })
+            .collect();
+        let changes = self.catalog.apply(&catalog_entries, is_full_list);
         for change in changes.iter().filter(|change| change.after.is_none()) {
             self.details.remove(&change.engine);
         }
-        let mut named = Vec::with_capacity(lines.len());
-        for line in &lines {
-            if let Some(engine) = self.catalog.key(&line.id) {
-                self.details.insert(
-                    engine,
-                    Details {
-                        address: line.address,
-                        came_up: line.came_up,
-                    },
-                );
-                named.push(engine);
-            }
-        }
+        let named = self.record_details(&entries);
         self.subset.changed(now, &self.catalog, &changes);
         let mut selected = self.poll(now);
         selected.extend(
             named
                 .into_iter()
-                .filter_map(|engine| self.reported_anew(engine)),
+                .filter_map(|engine| self.select_again(engine)),
         );
         selected
     }
 
-    fn facts(&self, line: &EngineLine) -> EngineFacts {
-        let cores = self.kind_cores.get(line.kind).copied().flatten();
-        let condition = match line.condition {
+    /// Records the details of engines that the catalog has, and returns these.
+    fn record_details(&mut self, entries: &[EngineEntry]) -> Vec<EngineKey> {
+        let mut engines = Vec::with_capacity(entries.len());
+        for entry in entries {
+            let Some(engine) = self.catalog.key(&entry.id) else {
+                continue;
+            };
+            let details = Details {
+                address: entry.address,
+                started_at_unix: entry.started_at_unix,
+            };
+            self.details.insert(engine, details);
+            engines.push(engine);
+        }
+        engines
+    }
+
+    fn facts(&self, entry: &EngineEntry) -> EngineFacts {
+        let cores = self.kind_cores.get(entry.kind).copied().flatten();
+        let condition = match entry.state {
             EndpointState::Ready => subset::Condition::Ready,
             EndpointState::Draining => subset::Condition::Draining,
             EndpointState::Removed => subset::Condition::Gone,
         };
         let cores = cores
             .filter(|cores| cores.is_finite() && *cores > 0.0)
-            .unwrap_or(UNKNOWN_CORES);
+            .unwrap_or(DEFAULT_CORES);
         EngineFacts {
-            zone: line.zone,
-            kind: line.kind as u32,
-            cell: line.cell,
+            zone: entry.zone,
+            kind: entry.kind as u32,
+            cell: entry.cell,
             cores,
             condition,
         }
     }
 
-    /// A member of which the list tells what the choice does not depend on.
-    fn reported_anew(&mut self, engine: EngineKey) -> Option<Selected> {
+    /// A member of which the list reports a detail that the choice does not depend on.
+    fn select_again(&mut self, engine: EngineKey) -> Option<Selected> {
         let holders = self.members.get(&engine)?.holders;
         self.select(engine, holders)
     }
 
-    /// A member as the list has it now, where that is news.
+    /// A member as the list has it now, unless it was selected so before.
     fn select(&mut self, engine: EngineKey, holders: f64) -> Option<Selected> {
         let selected = Selected {
-            line: self.line(engine)?,
+            entry: self.entry(engine)?,
             holders,
         };
         let before = self.members.insert(engine, selected.clone());
         (before.as_ref() != Some(&selected)).then_some(selected)
     }
 
-    /// An engine's line, put together again.
-    fn line(&self, engine: EngineKey) -> Option<EngineLine> {
-        let (id, facts) = (self.catalog.id(engine)?, self.catalog.facts(engine)?);
-        let Details { address, came_up } = *self.details.get(&engine)?;
-        let condition = match facts.condition {
+    /// An engine's entry, put together from the catalog and the details.
+    fn entry(&self, engine: EngineKey) -> Option<EngineEntry> {
+        let id = self.catalog.id(engine)?;
+        let facts = self.catalog.facts(engine)?;
+        let details = self.details.get(&engine)?;
+        let state = match facts.condition {
             subset::Condition::Ready => EndpointState::Ready,
             subset::Condition::Draining => EndpointState::Draining,
             subset::Condition::Gone => EndpointState::Removed,
         };
-        let EngineFacts {
-            zone, kind, cell, ..
-        } = facts;
-        let kind = kind as usize;
-        Some(EngineLine {
+        Some(EngineEntry {
             id: id.into(),
-            address,
-            zone,
-            kind,
-            cell,
-            came_up,
-            condition,
+            address: details.address,
+            zone: facts.zone,
+            kind: facts.kind as usize,
+            cell: facts.cell,
+            started_at_unix: details.started_at_unix,
+            state,
         })
     }
 
-    /// What is due by now: members that join, change or leave. One that leaves is told gone.
+    /// What is due: members that join, change or leave. One that leaves is selected as removed.
     pub(super) fn poll(&mut self, now: f64) -> Vec<Selected> {
         let mut selected = Vec::new();
         for action in self.subset.poll(now, &self.catalog) {
@@ -194,18 +217,20 @@
                     selected.extend(self.select(engine, holders));
                 }
                 Action::Update { .. } => {}
-                Action::Leave(engine) => selected.extend(self.members.remove(&engine).map(gone)),
+                Action::Leave(engine) => {
+                    selected.extend(self.members.remove(&engine).map(Selected::into_removed));
+                }
             }
         }
         selected
     }
 
-    /// When to poll next, if nothing changes until then.
+    /// When to poll next, in seconds of the gateway's clock, unless something changes first.
     pub(super) fn wake(&self) -> Option<f64> {
         self.subset.wake()
     }
 
-    /// The next engine to bring a connection up to. One that the list does not have any more can't be reached.
+    /// The next engine to warm up a connection to. One that is not in the list any more counts as not reached.
     pub(super) fn next_candidate(&mut self, now: f64) -> Option<Candidate> {
         while let Some(engine) = self.candidates.pop_front() {
             match self.details.get(&engine) {
@@ -221,13 +246,13 @@
         None
     }
 
-    /// Whether the connection to a candidate came up.
+    /// Records whether a candidate could be reached.
     pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
         self.warming.remove(&engine);
         self.subset.warmed(now, engine, reached);
     }
 
-    /// How an attempt at the engine of this id ended.
+    /// Records how an attempt at the engine of this id ended.
     pub(super) fn attempted(&mut self, now: f64, id: &str, failed: bool) {
         if let Some(engine) = self.catalog.key(id) {
             self.subset.attempted(now, engine, failed);
@@ -239,30 +264,20 @@
     }
 
     /// How large the subset is, and why.
-    pub(super) fn status(&self) -> Status {
+    pub(super) fn status(&self) -> SubsetStatus {
         let EffectiveSize { size, reason } = self.subset.effective_size(&self.catalog);
-        Status {
-            known: self.catalog.len(),
+        SubsetStatus {
+            listed: self.catalog.len(),
             members: self.members.len(),
             size,
             reason,
             widened_by: self.subset.widened_by(),
-            failing: self.subset.failing(),
+            failed: self.subset.failing(),
             unreached: self.subset.unreached(),
             unserved_classes: self.subset.unserved_classes(&self.catalog).count(),
         }
     }
 }
 
-fn gone(selected: Selected) -> Selected {
-    Selected {
-        line: EngineLine {
-            condition: EndpointState::Removed,
-            ..selected.line
-        },
-        ..selected
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -20,34 +20,34 @@
     }
 }
 
-fn line(number: u8, condition: EndpointState, started: u8) -> EngineLine {
+fn entry(number: u8, state: EndpointState, started: u8) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100 + u16::from(number)));
-    let (zone, came_up) = (u32::from(number % 3), Some(f64::from(started)));
-    EngineLine {
+    let (zone, started_at_unix) = (u32::from(number % 3), Some(f64::from(started)));
+    EngineEntry {
         id: format!("e{number}"),
         address,
         zone,
         kind: 0,
         cell: 0,
-        came_up,
-        condition,
+        started_at_unix,
+        state,
     }
 }
 
-/// What the module was told last of each engine.
+/// The last update of each engine that the decision module received.
 #[derive(Default)]
-struct Module(BTreeMap<String, EngineLine>);
+struct Module(BTreeMap<String, EngineEntry>);
 
 impl Module {
-    fn told(&mut self, selected: Vec<Selected>) {
+    fn update(&mut self, selected: Vec<Selected>) {
         self.0
-            .extend(selected.into_iter().map(|s| (s.line.id.clone(), s.line)));
+            .extend(selected.into_iter().map(|s| (s.entry.id.clone(), s.entry)));
     }
 
-    fn ready(&self) -> impl Iterator<Item = &EngineLine> {
+    fn ready(&self) -> impl Iterator<Item = &EngineEntry> {
         self.0
             .values()
-            .filter(|line| line.condition == EndpointState::Ready)
+            .filter(|entry| entry.state == EndpointState::Ready)
     }
 }
 
@@ -55,7 +55,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(37), ..ProptestConfig::default() })]
 
     /// What the module may choose from are engines that the list has as ready, as the list has them; at once after a change
-    /// nothing is left that drains or has gone; and there is something while the list has something.
+    /// nothing is left that drains or was removed; and there is something while the list has something.
     #[test]
     fn members_are_ready_and_as_listed(
         events in proptest::collection::vec(
@@ -63,74 +63,80 @@
     ) {
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
-        for (whole, lines, reached) in events {
+        for (is_full_list, entries, reached) in events {
             let condition = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
-            let of = |(n, c, started): &(u8, u8, u8)| line(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
-            let lines: Vec<EngineLine> = lines.iter().map(of).collect();
-            if whole {
+            let of = |(n, c, started): &(u8, u8, u8)| entry(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
+            let entries: Vec<EngineEntry> = entries.iter().map(of).collect();
+            if is_full_list {
                 list.clear();
             }
-            list.extend(lines.iter().map(|line| (line.id.clone(), line.clone())));
-            module.told(selection.apply(now, lines, whole));
+            list.extend(entries.iter().map(|entry| (entry.id.clone(), entry.clone())));
+            module.update(selection.apply(now, entries, is_full_list));
             for step in 0..5 {
-                for line in module.ready() {
-                    prop_assert_eq!(Some(line), list.get(&line.id), "at {} of {}", step, now);
+                for entry in module.ready() {
+                    prop_assert_eq!(Some(entry), list.get(&entry.id), "at {} of {}", step, now);
                 }
-                let ready = list.values().filter(|line| line.condition == EndpointState::Ready).count();
+                let ready = list.values().filter(|entry| entry.state == EndpointState::Ready).count();
                 prop_assert!(module.ready().count() >= ready.min(1), "at {} of {}", step, now);
                 prop_assert_eq!(module.ready().count(), selection.status().members);
                 while let Some(candidate) = selection.next_candidate(now) {
                     selection.warmed(now, candidate.engine, reached);
                 }
                 now += 0.5;
-                module.told(selection.poll(now));
+                module.update(selection.poll(now));
             }
         }
     }
 }
 
-/// A member that leaves is told gone once, with its zone and cell, which say where its queries may be tried again.
+/// A member that leaves is selected as removed once, with its zone and cell, which say where its queries may be retried.
 #[test]
-fn a_member_that_leaves_is_told_gone_as_it_was_listed() {
+fn a_member_that_leaves_is_removed_as_it_was_listed() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
-    let lines = (0..4).map(|n| line(n, EndpointState::Ready, 1)).collect();
-    assert_eq!(selection.apply(0.0, lines, true).len(), 4);
-    let told = selection.apply(1.0, vec![line(2, EndpointState::Draining, 1)], false);
+    let entries = (0..4).map(|n| entry(n, EndpointState::Ready, 1)).collect();
+    assert_eq!(selection.apply(0.0, entries, true).len(), 4);
+    let selected = selection.apply(1.0, vec![entry(2, EndpointState::Draining, 1)], false);
     assert_eq!(
-        told.iter().map(|s| &s.line).collect::<Vec<_>>(),
-        [&line(2, EndpointState::Removed, 1)]
+        selected
+            .iter()
+            .map(|selected| &selected.entry)
+            .collect::<Vec<_>>(),
+        [&entry(2, EndpointState::Removed, 1)]
     );
     assert_eq!(
-        selection.apply(2.0, vec![line(2, EndpointState::Removed, 1)], false),
+        selection.apply(2.0, vec![entry(2, EndpointState::Removed, 1)], false),
         []
     );
 }
 
 /// What the choice does not depend on reaches the module for members.
 #[test]
-fn a_member_that_moved_or_started_anew_is_told_again() {
+fn a_member_that_moved_or_restarted_is_selected_again() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     assert_eq!(
         selection
-            .apply(0.0, vec![line(1, EndpointState::Ready, 1)], true)
+            .apply(0.0, vec![entry(1, EndpointState::Ready, 1)], true)
             .len(),
         1
     );
     assert_eq!(
-        selection.apply(1.0, vec![line(1, EndpointState::Ready, 1)], true),
+        selection.apply(1.0, vec![entry(1, EndpointState::Ready, 1)], true),
         [],
         "nothing is new"
     );
-    let told = selection.apply(2.0, vec![line(1, EndpointState::Ready, 2)], true);
+    let selected = selection.apply(2.0, vec![entry(1, EndpointState::Ready, 2)], true);
     assert_eq!(
-        told.iter().map(|s| &s.line).collect::<Vec<_>>(),
-        [&line(1, EndpointState::Ready, 2)]
+        selected
+            .iter()
+            .map(|selected| &selected.entry)
+            .collect::<Vec<_>>(),
+        [&entry(1, EndpointState::Ready, 2)]
     );
 }
 
 /// With too few gateways for so small a subset the size is a floor, and the status says so.
 #[test]
-fn a_size_under_the_floor_is_raised_and_said() {
+fn a_size_under_the_floor_is_raised_and_reported() {
     let of = |gateways| SubsetSettings {
         gateways,
         ..settings(8)
@@ -143,12 +149,15 @@
         selection.apply(
             0.0,
             (0..ENGINES)
-                .map(|n| line(n, EndpointState::Ready, 1))
+                .map(|n| entry(n, EndpointState::Ready, 1))
                 .collect(),
             true,
         );
         let status = selection.status();
-        assert_eq!((status.known, status.members), (usize::from(ENGINES), size));
+        assert_eq!(
+            (status.listed, status.members),
+            (usize::from(ENGINES), size)
+        );
         assert_eq!(
             (status.size, status.reason, status.widened_by),
             (size, reason, 0)
@@ -156,16 +165,16 @@
     }
 }
 
-/// A member whose attempts fail widens the subset; the newcomer is told once its connection has come up.
+/// A member whose attempts fail widens the subset; the newcomer is selected once it was reached.
 #[test]
 fn failing_attempts_widen_the_subset_by_engines_that_were_reached() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     let mut module = Module::default();
-    module.told(
+    module.update(
         selection.apply(
             0.0,
             (0..ENGINES)
-                .map(|n| line(n, EndpointState::Ready, 1))
+                .map(|n| entry(n, EndpointState::Ready, 1))
                 .collect(),
             true,
         ),
@@ -177,16 +186,16 @@
     let mut now = 2.0;
     while selection.status().members == 8 && now < 20.0 {
         assert!(module.ready().count() == 8, "not before it was reached");
-        module.told(selection.poll(now));
+        module.update(selection.poll(now));
         while let Some(candidate) = selection.next_candidate(now) {
             selection.warmed(now, candidate.engine, true);
         }
         now += 0.25;
     }
-    module.told(selection.poll(now));
+    module.update(selection.poll(now));
     let status = selection.status();
     assert_eq!(
-        (status.members, status.widened_by, status.failing),
+        (status.members, status.widened_by, status.failed),
         (9, 1, 1),
         "by {now}"
     );
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -1,82 +1,87 @@
-//! The events of the change log in order: each is taken in once, whichever connection brings it.
+//! Orders the events of the change log: each is accepted once, whichever connection delivers it.
 
-use super::event::{event_of_text, Event, NameIndex};
-use super::stream::Sent;
+use super::event::{event_of_text, Event, EventError, NameIndex};
+use super::stream::SseEvent;
 use thiserror::Error;
 
-/// An event that ends the connection that brought it.
+/// Why an event ends the connection that delivered it.
 #[derive(Debug, Error, PartialEq)]
 pub(super) enum SequenceError {
+    /// Events are missing before it.
     #[error("event {number} came where {expected} was due: those between would be lost")]
     Gap { number: u64, expected: u64 },
-    #[error("event {number} is malformed: {what}")]
-    Malformed { number: u64, what: String },
+    /// It cannot be decoded.
+    #[error("event {number} is malformed: {error}")]
+    Malformed { number: u64, error: EventError },
 }
 
-/// What became of an event.
+/// What follows from an event that does not end its connection.
 #[derive(Debug, PartialEq)]
-pub(super) enum Admission {
-    /// It was due, and is to be applied.
+pub(super) enum EventOutcome {
+    /// It is the next one, and is to be applied.
     Due(Event),
-    /// It was due and malformed twice in a row, and is left out.
-    PassedOver,
-    /// It came before.
-    Known,
+    /// It is the next one, but malformed for the second time in a row, and is left out.
+    Skipped,
+    /// It was accepted before.
+    Duplicate,
 }
 
-/// How far the events have been taken in.
+/// How far the events have been accepted.
 #[derive(Debug)]
 pub(super) struct EventSequence {
     last: u64,
     names: NameIndex,
-    /// The number of the event that was malformed last: it is passed over when it comes again.
-    malformed: Option<u64>,
+    /// The number of the last malformed event: it is skipped when it is delivered again.
+    last_malformed: Option<u64>,
 }
 
 impl EventSequence {
-    /// The events after one that was applied already.
+    /// The sequence after an event that was applied already.
     pub(super) fn new(last: u64, names: NameIndex) -> Self {
         EventSequence {
             last,
             names,
-            malformed: None,
+            last_malformed: None,
         }
     }
 
-    /// The number of the event that was taken in last.
+    /// The number of the last event that was accepted or skipped.
     pub(super) fn last(&self) -> u64 {
         self.last
     }
 
-    /// Takes in an event as it was sent.
+    /// Decodes an event and accepts it if it is due. A full list may follow a gap.
     ///
     /// # Errors
     ///
-    /// It is malformed for the first time, or others are due before it.
-    pub(super) fn take(&mut self, sent: &Sent) -> Result<Admission, SequenceError> {
+    /// It is malformed for the first time, or others are missing before it.
+    pub(super) fn accept(&mut self, sent: &SseEvent) -> Result<EventOutcome, SequenceError> {
         let expected = self.last.saturating_add(1);
         let event = event_of_text(&sent.data, &self.names);
-        let number = event
-            .as_ref()
-            .map_or(sent.number.unwrap_or(expected), |event| event.number);
+        let number = match &event {
+            Ok(event) => event.number,
+            Err(_) => sent.number.unwrap_or(expected),
+        };
+        if number < expected {
+            return Ok(EventOutcome::Duplicate);
+        }
         match event {
-            _ if number < expected => Ok(Admission::Known),
-            Ok(event) if number > expected && !event.whole => {
+            Ok(event) if number > expected && !event.is_full_list => {
                 Err(SequenceError::Gap { number, expected })
             }
             Ok(event) => {
                 self.last = number;
-                Ok(Admission::Due(event))
+                Ok(EventOutcome::Due(event))
             }
-            // One that can't be read does not speak for those that were due before it.
-            Err(what) if self.malformed == Some(number) && number == expected => {
-                tracing::warn!(event = number, what, "event passed over");
+            // A malformed event with a higher number must not skip those that are due before it.
+            Err(error) if self.last_malformed == Some(number) && number == expected => {
+                tracing::warn!(event = number, %error, "malformed event skipped");
                 self.last = number;
-                Ok(Admission::PassedOver)
+                Ok(EventOutcome::Skipped)
             }
-            Err(what) => {
-                self.malformed = Some(number);
-                Err(SequenceError::Malformed { number, what })
+            Err(error) => {
+                self.last_malformed = Some(number);
+                Err(SequenceError::Malformed { number, error })
             }
         }
     }
--- a/crates/gateway/src/discovery/start_times.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -1,33 +1,44 @@
-//! When engines started, on this process's own clock. The change log tells starts in Unix time, and no two machines' wall clocks
-//! need agree: either may be off by seconds or by an hour. What is certain is that a start lies before the moment at which it
-//! is heard of, and how far two starts that the log tells lie apart. So the newest start heard of so far counts as just now, and
-//! the others as long before it as told: the latest that they can be, by which a cold engine is never held for a warm one. Where
-//! our own clock makes a start later than that, that counts: so a log that is wrong about one start ages no other.
+//! Start times of engines on this process's own clock.
+//!
+//! The change log reports starts in Unix seconds of another machine's wall clock, which may differ from ours by seconds or
+//! by an hour. Two readings of the log's clock are compared with each other, to learn how far apart two starts lie. A
+//! reading of the log's clock is never taken as a time of ours, and no decision follows from the difference of the clocks
+//! alone. What is certain is that a start lies before the moment at which it is reported.
+//!
+//! So the newest start reported so far counts as just now, and the others as long before it as the log has them. This is
+//! the latest that they can be, so that a cold engine never counts as warm. Where our own clock puts a start later than
+//! that, the later time counts: a log that is wrong about one start then ages no other.
 
-/// What starts heard of so far tell.
+/// Converts start times of the change log's clock to this process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StartTimes {
-    /// The least time, in seconds, between a start as told and when it was heard of.
-    least_lag: f64,
-    heard: f64,
+    /// The least time between a start and the report of it, in seconds; the start by the log's clock, the report by ours.
+    min_lag_seconds: f64,
+    /// When starts were last reported, in seconds of our clock.
+    last_report: f64,
 }
 
 impl StartTimes {
+    /// A converter that knows no start yet.
     pub fn new() -> StartTimes {
         StartTimes {
-            least_lag: f64::INFINITY,
-            heard: 0.0,
+            min_lag_seconds: f64::INFINITY,
+            last_report: 0.0,
         }
     }
 
-    /// Starts, in Unix seconds as told, that are heard of at `now`, in seconds of this process's clock.
-    pub fn hear(&mut self, now: f64, told: impl Iterator<Item = f64>) {
-        self.heard = now;
-        self.least_lag = told.fold(self.least_lag, |least, start| least.min(now - start));
+    /// Records starts, in Unix seconds of the log's clock, that are reported at `now`, in seconds of our clock.
+    pub fn record(&mut self, now: f64, starts: impl Iterator<Item = f64>) {
+        self.last_report = now;
+        let lags = starts.map(|start| now - start);
+        self.min_lag_seconds = lags.fold(self.min_lag_seconds, f64::min);
     }
 
-    /// The latest that a start can be which was heard of by now, in seconds of this process's clock.
-    pub fn latest(&self, told: f64) -> f64 {
-        (told + self.least_lag).max(told).min(self.heard)
+    /// The latest time, in seconds of our clock, that a start can have had which was recorded before; `start` is in Unix
+    /// seconds of the log's clock.
+    pub fn latest(&self, start: f64) -> f64 {
+        (start + self.min_lag_seconds)
+            .max(start)
+            .min(self.last_report)
     }
 }
--- a/crates/gateway/src/discovery/stream/tests.rs
+++ b/crates/gateway/src/discovery/stream/tests.rs
@@ -1,20 +1,20 @@
-use super::{Sent, Stream};
+use super::{EventStream, SseEvent};
 
 #[test]
-fn events_come_whole_however_their_bytes_are_cut() {
+fn events_are_complete_wherever_their_bytes_are_cut() {
     let text =
         ": hello\r\n\nid: 4\ndata: {\"a\":\ndata:1}\n\n:\n\ndata: x\r\n\r\ndata: unfinished\n";
     for size in 1..text.len() {
-        let mut stream = Stream::default();
+        let mut stream = EventStream::default();
         let fed = text
             .as_bytes()
             .chunks(size)
             .flat_map(|part| stream.feed(part).unwrap());
-        let first = Sent {
+        let first = SseEvent {
             number: Some(4),
             data: b"{\"a\":\n1}".to_vec(),
         };
-        let second = Sent {
+        let second = SseEvent {
             number: None,
             data: b"x".to_vec(),
         };
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,11 +1,12 @@
-//! The watch on the change log: numbered events about the list of engines, applied once and in order. Which connections are open
-//! is decided by [`ConnectionSet`], what becomes of an event by [`EventSequence`]; this drives both.
+//! Watches the change log: follows its numbered events, and applies each to the engine list once and in order.
+//!
+//! [`ConnectionSet`] decides which connections are open, [`EventSequence`] what follows from an event; this drives both.
 
 use super::connection::{self, OpenError};
 use super::connection_set::{Action, CloseReason, ConnectionId, ConnectionSet, Received};
 use super::event::{Event, NameIndex};
-use super::sequence::{Admission, EventSequence, SequenceError};
-use super::stream::{EventTooLong, Stream};
+use super::sequence::{EventOutcome, EventSequence, SequenceError};
+use super::stream::{EventStream, EventTooLong};
 use crate::discovery::reconnect::Reconnect;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -19,12 +20,7 @@
 use tokio::sync::watch::{self, error::RecvError};
 use tokio::time::{sleep_until, Instant};
 
-/// Until the log is at another address than this.
-async fn moved(log: &mut watch::Receiver<SocketAddr>, from: SocketAddr) -> Result<(), RecvError> {
-    log.wait_for(|to| *to != from).await.map(drop)
-}
-
-/// What ended a connection, other than its log in good order.
+/// Why a connection ended, unless the log closed it in good order.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error(transparent)]
@@ -39,55 +35,65 @@
     Silent,
 }
 
-/// What comes next on a connection.
+/// What happens next on a connection.
 enum Step {
-    /// It was answered.
-    Up(Incoming),
-    Bytes(Incoming, Bytes),
-    AttemptResult(Result<(), WatchError>),
+    /// The log answered, with this body.
+    Opened(Incoming),
+    /// Bytes of the body arrived.
+    Received(Incoming, Bytes),
+    /// The connection ended, in good order or by an error.
+    Ended(Result<(), WatchError>),
 }
 
-async fn open(log: SocketAddr, last: u64) -> Step {
-    match connection::open(log, last).await {
-        Ok(body) => Step::Up(body),
-        Err(fault) => Step::AttemptResult(Err(fault.into())),
+async fn open(log: SocketAddr, last_event: u64) -> Step {
+    match connection::open(log, last_event).await {
+        Ok(body) => Step::Opened(body),
+        Err(error) => Step::Ended(Err(error.into())),
     }
 }
 
 async fn read(mut body: Incoming) -> Step {
     match body.frame().await {
-        None => Step::AttemptResult(Ok(())),
-        Some(Err(fault)) => Step::AttemptResult(Err(fault.into())),
-        Some(Ok(frame)) => Step::Bytes(body, frame.into_data().unwrap_or_default()),
+        None => Step::Ended(Ok(())),
+        Some(Err(error)) => Step::Ended(Err(error.into())),
+        Some(Ok(frame)) => Step::Received(body, frame.into_data().unwrap_or_default()),
     }
 }
 
+/// How far a connection has got.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    /// The log has not answered yet.
+    Connecting,
+    /// The log has answered; its events are read.
+    Streaming,
+}
+
 /// An open connection; it closes when it is dropped.
 struct Connection {
     id: ConnectionId,
-    stream: Stream,
-    /// It was answered.
-    up: bool,
-    next: Pin<Box<dyn Future<Output = Step> + Send>>,
+    state: ConnectionState,
+    stream: EventStream,
+    next_step: Pin<Box<dyn Future<Output = Step> + Send>>,
 }
 
 impl Connection {
-    fn open(id: ConnectionId, log: SocketAddr, last: u64) -> Self {
+    fn open(id: ConnectionId, log: SocketAddr, last_event: u64) -> Self {
         Connection {
             id,
-            stream: Stream::default(),
-            up: false,
-            next: Box::pin(open(log, last)),
+            state: ConnectionState::Connecting,
+            stream: EventStream::default(),
+            next_step: Box::pin(open(log, last_event)),
         }
     }
 }
 
-/// The next step of any of the connections; never, where there is none.
+/// Waits for the next step of any of the connections; forever where there is none. Returns its index and the step.
 async fn next_step(connections: &mut [Connection]) -> (usize, Step) {
-    poll_fn(|cx| {
-        for (place, connection) in connections.iter_mut().enumerate() {
-            if let Poll::Ready(step) = connection.next.as_mut().poll(cx) {
-                return Poll::Ready((place, step));
+    poll_fn(|context| {
+        for (index, connection) in connections.iter_mut().enumerate() {
+            if let Poll::Ready(step) = connection.next_step.as_mut().poll(context) {
+                return Poll::Ready((index, step));
             }
         }
         Poll::Pending
@@ -95,161 +101,182 @@
     .await
 }
 
-/// Follows the log: where it is and how far it has been applied.
+/// Waits until the log is at another address than this.
+async fn address_change(
+    log: &mut watch::Receiver<SocketAddr>,
+    current: SocketAddr,
+) -> Result<(), RecvError> {
+    log.wait_for(|address| *address != current).await?;
+    Ok(())
+}
+
+/// A watch on the change log.
 pub struct Watch {
-    /// Where the log is; a reload may name another address.
+    /// The log's address; a reload may change it.
     log: watch::Receiver<SocketAddr>,
     sequence: EventSequence,
-    /// Takes each event that is due.
+    /// Applies each event that is due.
     apply: Box<dyn FnMut(Event) + Send>,
     connections: Vec<Connection>,
-    /// The log is lost, and that was logged.
-    lost: bool,
-    /// What the times of the connection set count from.
-    began: Instant,
+    /// Whether the log is lost, and that was logged.
+    is_lost: bool,
+    /// The moment that the connection set's times count from.
+    started: Instant,
 }
 
 impl Watch {
-    /// A watch on the log after an event that was applied already.
+    /// A watch on the log at the address that `log` holds. The events up to `last_event` were applied already; each later
+    /// one is passed to `apply`.
     pub fn new(
         log: watch::Receiver<SocketAddr>,
-        last: u64,
+        last_event: u64,
         names: NameIndex,
         apply: Box<dyn FnMut(Event) + Send>,
     ) -> Self {
-        let sequence = EventSequence::new(last, names);
         Watch {
             log,
-            sequence,
+            sequence: EventSequence::new(last_event, names),
             apply,
             connections: Vec::new(),
-            lost: false,
-            began: Instant::now(),
+            is_lost: false,
+            started: Instant::now(),
         }
     }
 
-    /// Reads the log for as long as the gateway runs. Faults that follow one another with no connection between are logged once.
+    /// Follows the log for as long as the future is polled. Successive errors without a connection between them are logged
+    /// once.
     pub async fn follow(mut self, reconnect: Reconnect) {
-        let mut moves = self.log.clone();
+        let mut addresses = self.log.clone();
         let mut set = ConnectionSet::new(reconnect);
-        let mut log = *moves.borrow_and_update();
+        let mut address = *addresses.borrow_and_update();
         loop {
-            self.act(&mut set, log);
-            let wake = self.began + set.wake();
+            self.run_actions(&mut set, address);
+            let next_poll = self.started + set.next_poll_at();
             tokio::select! {
                 biased;
-                // Nothing of an old place is listened to any more; the numbers go on.
-                Ok(()) = moved(&mut moves, log) => {
-                    log = *moves.borrow_and_update();
+                // The log at a new address continues the numbers of the old one, which is not read any more.
+                Ok(()) = address_change(&mut addresses, address) => {
+                    address = *addresses.borrow_and_update();
                     self.connections.clear();
-                    set.moved(self.now());
+                    set.address_changed(self.now());
+                }
+                (index, step) = next_step(&mut self.connections) => {
+                    self.handle_step(&mut set, index, step);
                 }
-                (place, step) = next_step(&mut self.connections) => self.took(&mut set, place, step),
-                () = sleep_until(wake) => {}
+                () = sleep_until(next_poll) => {}
             }
         }
     }
 
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
-    /// Opens and closes what is due.
-    fn act(&mut self, set: &mut ConnectionSet, log: SocketAddr) {
+    /// Opens and closes the connections that are due.
+    fn run_actions(&mut self, set: &mut ConnectionSet, log: SocketAddr) {
         while let Some(action) = set.poll(self.now()) {
             match action {
-                Action::Open(id) => {
-                    let (open, last) = (self.connections.len(), self.sequence.last());
-                    if open > 0 {
-                        tracing::info!(
-                            open,
-                            last,
-                            "change log slow: another connection is opened beside"
-                        );
-                    }
-                    self.connections.push(Connection::open(id, log, last));
-                }
-                Action::Close(id, reason) => {
-                    tracing::debug!(?reason, "change log: connection closed");
-                    self.connections.retain(|connection| connection.id != id);
-                    if reason == CloseReason::Silent {
-                        self.tell_lost(&WatchError::Silent);
-                    }
-                }
+                Action::Open(id) => self.open(id, log),
+                Action::Close(id, reason) => self.close(id, reason),
             }
         }
     }
 
-    /// Takes in the next step of a connection.
-    fn took(&mut self, set: &mut ConnectionSet, place: usize, step: Step) {
+    fn open(&mut self, id: ConnectionId, log: SocketAddr) {
+        let last_event = self.sequence.last();
+        let open_connections = self.connections.len();
+        if open_connections > 0 {
+            tracing::info!(
+                open_connections,
+                last_event,
+                "change log slow, opening another connection"
+            );
+        }
+        self.connections.push(Connection::open(id, log, last_event));
+    }
+
+    fn close(&mut self, id: ConnectionId, reason: CloseReason) {
+        tracing::debug!(?reason, "change log connection closed");
+        self.connections.retain(|connection| connection.id != id);
+        if reason == CloseReason::Silent {
+            self.log_lost(&WatchError::Silent);
+        }
+    }
+
+    /// Handles the next step of the connection at this index.
+    fn handle_step(&mut self, set: &mut ConnectionSet, index: usize, step: Step) {
         let now = self.now();
-        let connection = &mut self.connections[place];
-        let id = connection.id;
-        let end = match step {
-            Step::Up(body) => {
-                tracing::info!(last = self.sequence.last(), "change log connected");
-                (connection.up, self.lost) = (true, false);
-                connection.next = Box::pin(read(body));
-                set.received(id, now, Received::default());
+        let result = match step {
+            Step::Opened(body) => {
+                self.opened(set, index, now, body);
                 return;
             }
-            Step::Bytes(body, bytes) => {
-                connection.next = Box::pin(read(body));
-                match self.take(set, place, now, &bytes) {
+            Step::Received(body, bytes) => {
+                self.connections[index].next_step = Box::pin(read(body));
+                match self.received(set, index, now, &bytes) {
                     Ok(()) => return,
-                    Err(fault) => Err(fault),
+                    Err(error) => Err(error),
                 }
             }
-            Step::AttemptResult(end) => end,
+            Step::Ended(result) => result,
         };
-        set.ended(id, now);
-        self.connections.remove(place);
-        match end {
-            Ok(()) => tracing::info!(last = self.sequence.last(), "change log ended its stream"),
-            Err(fault) => self.tell_lost(&fault),
+        set.ended(self.connections[index].id, now);
+        self.connections.remove(index);
+        match result {
+            Ok(()) => {
+                let last_event = self.sequence.last();
+                tracing::info!(last_event, "change log stream ended");
+            }
+            Err(error) => self.log_lost(&error),
         }
     }
 
-    /// Takes in bytes of a connection, and applies the events that are now whole.
-    fn take(
+    fn opened(&mut self, set: &mut ConnectionSet, index: usize, now: Duration, body: Incoming) {
+        tracing::info!(last_event = self.sequence.last(), "change log connected");
+        self.is_lost = false;
+        let connection = &mut self.connections[index];
+        connection.state = ConnectionState::Streaming;
+        connection.next_step = Box::pin(read(body));
+        set.received(connection.id, now, Received::default());
+    }
+
+    /// Parses bytes of a connection, and applies the events that they complete.
+    fn received(
         &mut self,
         set: &mut ConnectionSet,
-        place: usize,
+        index: usize,
         now: Duration,
         bytes: &[u8],
     ) -> Result<(), WatchError> {
-        let Connection { id, stream, .. } = &mut self.connections[place];
-        let lines = stream.lines;
+        let Connection { id, stream, .. } = &mut self.connections[index];
+        let fields_before = stream.completed_fields;
         let events = stream.feed(bytes)?;
-        let lines = stream.lines - lines;
-        set.received(
-            *id,
-            now,
-            Received {
-                bytes: bytes.len(),
-                lines,
-                unfinished: stream.is_unfinished(),
-            },
-        );
+        let received = Received {
+            bytes: bytes.len(),
+            completed_fields: stream.completed_fields - fields_before,
+            unfinished: stream.is_unfinished(),
+        };
+        set.received(*id, now, received);
         for event in events {
-            match self.sequence.take(&event)? {
-                Admission::Known => continue,
-                Admission::PassedOver => {}
-                Admission::Due(event) => (self.apply)(event),
+            match self.sequence.accept(&event)? {
+                EventOutcome::Duplicate => continue,
+                EventOutcome::Skipped => {}
+                EventOutcome::Due(event) => (self.apply)(event),
             }
-            set.advanced(*id);
+            set.event_received(*id);
         }
         Ok(())
     }
 
-    /// Logs that the log can't be read, unless another connection is up.
-    fn tell_lost(&mut self, fault: &WatchError) {
-        let last = self.sequence.last();
-        if self.lost || self.connections.iter().any(|connection| connection.up) {
-            tracing::debug!(%fault, last, "change log still lost");
+    /// Logs that the log is lost, once, unless another connection is up.
+    fn log_lost(&mut self, error: &WatchError) {
+        let last_event = self.sequence.last();
+        let is_streaming = |connection: &Connection| connection.state == ConnectionState::Streaming;
+        if self.is_lost || self.connections.iter().any(is_streaming) {
+            tracing::debug!(%error, last_event, "change log still lost");
             return;
         }
-        tracing::warn!(%fault, last, "change log lost");
-        self.lost = true;
+        tracing::warn!(%error, last_event, "change log lost");
+        self.is_lost = true;
     }
 }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -196,7 +196,7 @@
                 && Instant::now() < ends
         };
         // Its first byte counts as sending it: what has begun to leave may go on while its engine drains.
-        let gate = SendGate::new(move || list.takes(target), wanted);
+        let gate = SendGate::new(move || list.accepts_attempts(target), wanted);
         let comes_by = Some(start.send_deadline).filter(|by| *by < start.response_deadline);
         let gate = Some(Arc::new(gate));
         let until = start.response_deadline;
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -54,7 +54,7 @@
                 // It was stopped at its last bytes, before who wished so was heard.
                 self.tell(Evidence::NeverReached);
                 let elsewhere = *wishes.borrow() == CancellationState::Requested
-                    || !self.engines.list().takes(self.target);
+                    || !self.engines.list().accepts_attempts(self.target);
                 return PollOutcome::Over(AttemptResult::of(if elsewhere {
                     AttemptEnd::ConnectFailed
                 } else {
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::discovery::{EngineLine, Event};
+use crate::discovery::{EngineEntry, Event};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::system::clock::Clock;
 use bytes::Bytes;
@@ -8,16 +8,16 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-fn line(id: &str, condition: EndpointState) -> EngineLine {
+fn line(id: &str, condition: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    EngineLine {
+    EngineEntry {
         id: id.into(),
         address,
         zone: 0,
         kind: 0,
         cell: 0,
-        came_up: None,
-        condition,
+        started_at_unix: None,
+        state: condition,
     }
 }
 
@@ -58,14 +58,14 @@
 
     fn lists(&self, condition: EndpointState) {
         let address = self.listener.local_addr().unwrap();
-        let lines = vec![EngineLine {
+        let lines = vec![EngineEntry {
             address,
             ..line("a", condition)
         }];
         self.engines.list.apply(Event {
             number: 1,
-            whole: true,
-            lines,
+            is_full_list: true,
+            entries: lines,
         });
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -336,7 +336,7 @@
         async move { engines.warm(address, may_probe).await }
     };
     discovery
-        .keep_subset(warm, |engine, warmed| {
+        .maintain_subset(warm, |engine, warmed| {
             desk.health_check_ended(engine, warmed.end, warmed.report)
         })
         .await;
--- a/crates/gateway/tests/reconnect.rs
+++ b/crates/gateway/tests/reconnect.rs
@@ -1,6 +1,6 @@
 //! The pace of connections to the change log, without any clock or socket.
 
-use garnetwall_gateway::discovery::reconnect::{Reconnect, LONGEST_PAUSE};
+use garnetwall_gateway::discovery::reconnect::{Reconnect, MAX_PAUSE};
 use std::time::Duration;
 
 const PAUSE: Duration = Duration::from_millis(250);
@@ -38,5 +38,5 @@
 #[test]
 fn two_silent_connections_and_their_pauses_leave_time_however_long_a_connection_may_take() {
     let mut reconnect = Reconnect::new(Duration::from_secs(3), 7);
-    assert!((0..1000).all(|_| reconnect.wait(Duration::from_millis(2500)) < LONGEST_PAUSE));
+    assert!((0..1000).all(|_| reconnect.wait(Duration::from_millis(2500)) < MAX_PAUSE));
 }
--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -6,7 +6,7 @@
 //! after the drain was told, the last 19.3 s after, in a play of 25 s against a log that answered each connection 3.0 s late.
 //!
 //! The cause was `Watch::one_connection`: one connection at a time, with whole lines as the only life. The evidence: the played log saw
-//! three connections in 7 s, each closed by the gateway 2.5 s after it was begun, with nothing read; and `change log lost fault=silent`
+//! three connections in 7 s, each closed by the gateway 2.5 s after it was begun, with nothing read; and `change log lost error=silent`
 //! once, then `still lost` for each. Since then a further connection is opened beside a slow one (`discovery::connection_set`).
 
 mod helper;
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -99,7 +99,8 @@
         let number = self.number.fetch_add(1, Ordering::Relaxed) + 1;
         self.service.log.tell(change(number, whole, lines));
         until("the change is applied", || {
-            self.said().contains(&format!("change={number} "))
+            self.said()
+                .contains(&format!("engine list updated event={number} "))
         });
     }
 
--- a/crates/scale/src/slopes/gateway_list.rs
+++ b/crates/scale/src/slopes/gateway_list.rs
@@ -54,7 +54,8 @@
     ///
     /// Where it is no event.
     pub fn decode(&self, text: &str) -> Result<Event, RoleError> {
-        event_of_text(text.as_bytes(), &self.names).map_err(RoleError::Data)
+        event_of_text(text.as_bytes(), &self.names)
+            .map_err(|error| RoleError::Data(error.to_string()))
     }
 
     /// Takes an event in; how many lines the module would be told.
