--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -59,7 +59,7 @@
 
 impl Config {
     /// Keys that another file changes but that take effect at a start only.
-    pub fn start_only(&self, other: &Config) -> Vec<String> {
+    pub fn keys_needing_restart(&self, other: &Config) -> Vec<String> {
         let (Some(old), Some(new)) = (self.told.as_object(), other.told.as_object()) else {
             return Vec::new();
         };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,59 +1,39 @@
-//! The gateway as one object: its phases from start to exit, and what runs in each.
+//! One gateway: its phases from start to exit, and what runs in each.
 
-use crate::configuration::{subset, Config};
-use crate::discovery::reconnect::Reconnect;
-use crate::discovery::{Discovery, EngineList, EngineUpdate, NameIndex, Selection, Watch};
+mod background;
+mod reload;
+mod shutdown;
+
+use crate::configuration::Config;
+use crate::discovery::EngineList;
 use crate::engines::{self, Engines};
 use crate::http::client_connections::ClientConnections;
 use crate::http::send_time::SendTimeEstimator;
 use crate::http::{self, HttpFront};
+use crate::phase::Phase;
 use crate::scheduling::plan_routing::{self, PlanRouter};
 use crate::scheduling::scheduler::Scheduler;
 use crate::storage::query_journal::{self, QueryJournal};
-use crate::system::clock::{span, Clock};
+use crate::system::clock::Clock;
 use crate::system::os_error::retry;
 use crate::system::stream_budget::ResourceBudget;
-use garnetwall::api::{AttemptEnd, EngineId, QueryClass, Settings};
+use garnetwall::api::{EngineId, QueryClass, Settings};
 use garnetwall::controller::AdmissionController;
 use garnetwall_bodies::Store;
+use shutdown::ShutdownSchedule;
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Instant;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 use tokio::time::timeout_at;
 
-/// Protocol: after SIGTERM clients go on coming for this long.
-const GOES_ON: Duration = Duration::from_millis(700);
-/// Protocol: SIGKILL comes no sooner than the longest limit, 3 s at most, and 0.7 s after SIGTERM.
-const LONGEST_STAY: f64 = 3.0;
-/// Before the earliest kill: all answers are due, idle connections of clients are closed, and the process has ended. What crosses a
-/// close is sent again elsewhere.
-const ANSWERS_DUE: Duration = Duration::from_millis(200);
-const CONNECTIONS_CLOSED: Duration = Duration::from_millis(150);
-const PROCESS_ENDED: Duration = Duration::from_millis(100);
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// Not bound yet, or no engine list yet.
-    Starting,
-    Serving,
-    /// Asked to stop: takes on what still comes, then answers all in hand.
-    Draining,
-    Stopped,
-}
-
-/// What a gateway holds from its start on.
-struct Opened {
-    keeper: Arc<QueryJournal>,
-    store: Option<Arc<Store>>,
-    listener: TcpListener,
-}
+/// Connections that wait to be accepted, at most.
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// One gateway.
 pub struct Gateway {
@@ -62,66 +42,46 @@
     budget: ResourceBudget,
     list: Arc<EngineList>,
     engines: Arc<Engines>,
-    desk: Arc<Scheduler>,
-    /// Engines to probe, until the task that probes them has them.
-    probes: Option<UnboundedReceiver<EngineId>>,
-    /// The longest time limit of any service group, in seconds.
-    longest: f64,
+    scheduler: Arc<Scheduler>,
+    /// Engines whose health is to be checked; taken by the task that does so.
+    health_check_requests: Option<UnboundedReceiver<EngineId>>,
+    /// The longest deadline of any query class.
+    longest_deadline_seconds: f64,
+}
+
+/// What a gateway acquires from the system when it starts.
+struct StartResources {
+    journal: Arc<QueryJournal>,
+    store: Option<Arc<Store>>,
+    listener: TcpListener,
 }
 
 impl Gateway {
+    /// A gateway that has not been started.
     pub fn new(config: Config) -> Self {
         let clock = Clock::start();
         let budget = ResourceBudget::of(config.sockets, config.memory_mb);
-        let settings = &config.decoded.settings;
-        let longest = settings
-            .classes
-            .iter()
-            .map(|g| g.deadline)
-            .fold(0.0, f64::max);
-        let room = Some(
-            settings
-                .capacity
-                .unwrap_or(f64::INFINITY)
-                .min(budget.room as f64),
+        let classes = query_classes(&config);
+        let longest_deadline_seconds = longest_deadline_seconds(&config);
+        let settings = admission_settings(&config, &classes, &budget);
+        let (scheduler, health_check_requests) = Scheduler::new(
+            AdmissionController::new(settings, config.seed, clock.now()),
+            plan_router(&config, &budget),
+            clock,
+            longest_deadline_seconds,
+            budget.kept_answers,
         );
-        let plan = config.plan.clone();
-        let groups = match &plan {
-            Some(plan) => plan_routing::narrowed_classes(
-                &settings.classes,
-                &config.decoded.names.groups,
-                plan,
-            ),
-            None => settings.classes.clone(),
-        };
-        if let Some(plan) = &plan {
-            tracing::info!(
-                routes = plan.routes.len(),
-                limits = plan.limits.len(),
-                "plan in force"
-            );
-        }
-        let planner = plan.map(|plan| PlanRouter::new(&config.decoded, plan, budget.room as f64));
-        let settings = Settings {
-            capacity: room,
-            classes: groups.clone(),
-            ..settings.clone()
-        };
-        let control = AdmissionController::new(settings, config.seed, clock.now());
-        let (desk, probes) = Scheduler::new(control, planner, clock, longest, budget.kept_answers);
-        desk.set_classes(&groups);
-        let notes_every = config.decoded.settings.progress_interval;
-        let selection = selection(&config, &groups);
+        scheduler.set_classes(&classes);
         let list = Arc::new(EngineList::new(
-            engines::endpoint_retention(longest),
+            engines::endpoint_retention(longest_deadline_seconds),
             clock,
-            selection,
+            background::engine_selection(&config, &classes),
         ));
         let engines = Engines::new(
             config.decoded.network,
-            notes_every,
+            config.decoded.settings.progress_interval,
             &budget,
-            longest,
+            longest_deadline_seconds,
             list.clone(),
         );
         Gateway {
@@ -129,277 +89,246 @@
             budget,
             list,
             engines: Arc::new(engines),
-            desk: Arc::new(desk),
-            probes: Some(probes),
+            scheduler: Arc::new(scheduler),
+            health_check_requests: Some(health_check_requests),
             config,
-            longest,
+            longest_deadline_seconds,
         }
     }
 
-    fn enter(&self, phase: Phase) {
-        tracing::info!(gateway = self.config.name, ?phase, "phase");
-        self.phase.send_replace(phase);
-    }
-
-    /// Runs from start to exit; `stop` asks it to drain, `reloads` brings configurations read again.
+    /// Runs from start to exit: starts, serves until `stop` completes, drains, and stops. `reloads` delivers the
+    /// configurations that were read again meanwhile.
     ///
     /// # Errors
     ///
-    /// What it needs at the start can't be had, or not for [`START_TIMEOUT`](crate::system::os_error::START_TIMEOUT).
+    /// The journal, the body store or the listening socket cannot be had, or not within
+    /// [`START_TIMEOUT`](crate::system::os_error::START_TIMEOUT).
     pub async fn run(
         mut self,
         stop: impl Future<Output = ()>,
         reloads: UnboundedReceiver<Config>,
     ) -> io::Result<()> {
         tokio::pin!(stop);
-        self.enter(Phase::Starting);
-        let opened = tokio::select! {
-            biased;
-            () = &mut stop => {
-                // Nothing was taken yet.
-                self.enter(Phase::Stopped);
-                return Ok(());
-            }
-            opened = self.open() => opened?,
+        let Some(resources) = self.start(stop.as_mut()).await? else {
+            // Nothing was admitted yet.
+            self.enter(Phase::Stopped);
+            return Ok(());
         };
-        let Opened {
-            keeper,
+        let StartResources {
+            journal,
             store,
             listener,
-        } = opened;
-        self.start(reloads);
-        let front = HttpFront {
-            scheduler: self.desk.clone(),
-            engines: self.engines.clone(),
-            journal: keeper,
-            store: store.clone(),
-            decoded: self.config.decoded.clone(),
-            phase: self.phase.subscribe(),
-            statements: self.budget.statements.clone(),
-            send_times: Mutex::new(SendTimeEstimator::new(
-                self.budget.room,
-                self.config.decoded.network.dial,
-                self.longest,
-            )),
-        };
-        let router = http::router(Arc::new(front));
-        let guests = ClientConnections::new(self.budget.clients.clone());
-        let ((shut, open), (close, closing)) = (watch::channel(false), watch::channel(false));
-        // One for all phases: a connection that waits for its seat is in its hands.
-        let mut accepting = Box::pin(http::accept(&listener, &router, &guests, &open, closing));
-        tokio::select! {
-            () = &mut accepting => {}
-            () = self.serving() => {}
-            () = &mut stop => {}
-        }
-        self.enter(Phase::Draining);
-        let told = Instant::now();
-        let kill = GOES_ON + span(self.longest.min(LONGEST_STAY));
-        self.desk
-            .shut_down_at(self.desk.clock().at(told + (kill - ANSWERS_DUE)));
-        // It ends with the time alone: accepting does not.
-        let goes_on = GOES_ON.min(kill - CONNECTIONS_CLOSED);
-        let _ = timeout_at((told + goes_on).into(), &mut accepting).await;
-        // What the machine has accepted by now is served, too; those that ask for nothing make room.
-        close.send_replace(true);
-        shut.send_replace(true);
-        let last_answer = told + (kill - PROCESS_ENDED);
-        let _ = timeout_at(last_answer.into(), &mut accepting).await;
+        } = resources;
+        self.start_background_tasks(reloads);
+        let router = http::router(Arc::new(self.http_front(journal, store.clone())));
+        let clients = ClientConnections::new(self.budget.clients.clone());
+        let (shut_idle, idle_shut) = watch::channel(false);
+        let (stop_accepting, accepting_stops) = watch::channel(false);
+        // One future for all phases: it holds a connection that waits for its slot.
+        let mut accepting = Box::pin(http::accept(
+            &listener,
+            &router,
+            &clients,
+            &idle_shut,
+            accepting_stops,
+        ));
+
+        self.serve(accepting.as_mut(), stop).await;
+        let schedule = self
+            .drain(accepting.as_mut(), &stop_accepting, &shut_idle)
+            .await;
         drop(accepting);
         drop(listener);
-        // A client that does not read its answer keeps nothing up, and no engine that does not answer DELETE.
-        let last = async {
-            guests.all_closed().await;
-            self.desk.until_idle().await;
-        };
-        if timeout_at(last_answer.into(), last).await.is_err() {
-            tracing::warn!("stopped with calls still open");
-        }
-        if let Some(store) = store {
-            query_journal::log_body_store(&store, &self.config.decoded.names.groups);
-        }
-        self.enter(Phase::Stopped);
+        self.finish_requests(&clients, &schedule).await;
+        self.stopped(store.as_deref());
         Ok(())
     }
 
-    /// What a start needs of the system, tried again where that fails for a moment.
-    async fn open(&self) -> io::Result<Opened> {
-        let keeper = Arc::new(self.keeper()?);
-        let store = retry("store of bodies", || self.store()).await?;
-        let listener = retry("listener", || bind(self.config.listen)).await?;
-        Ok(Opened {
-            keeper,
+    fn enter(&self, phase: Phase) {
+        tracing::info!(gateway = self.config.name, ?phase, "phase");
+        self.phase.send_replace(phase);
+    }
+
+    /// Acquires what the start needs; `None` where the gateway is asked to stop before it has that.
+    async fn start(
+        &self,
+        stop: Pin<&mut impl Future<Output = ()>>,
+    ) -> io::Result<Option<StartResources>> {
+        self.enter(Phase::Starting);
+        tokio::select! {
+            biased;
+            () = stop => Ok(None),
+            resources = self.acquire_resources() => resources.map(Some),
+        }
+    }
+
+    /// Acquires what the start needs of the system, with retries where that fails for the moment.
+    async fn acquire_resources(&self) -> io::Result<StartResources> {
+        let journal = Arc::new(self.open_journal()?);
+        let store = retry("store of bodies", || self.open_body_store()).await?;
+        let listener = retry("listener", || listen(self.config.listen)).await?;
+        Ok(StartResources {
+            journal,
             store,
             listener,
         })
     }
 
-    /// The journal that the plan names, with what an earlier process may have left running.
-    fn keeper(&self) -> io::Result<QueryJournal> {
-        let Some(journal) = self
-            .config
-            .plan
-            .as_ref()
-            .and_then(|plan| plan.journal.as_ref())
-        else {
+    /// Opens the journal that the plan names, with the attempts that an earlier process may have left running.
+    fn open_journal(&self) -> io::Result<QueryJournal> {
+        let plan = self.config.plan.as_ref();
+        let Some(journal) = plan.and_then(|plan| plan.journal.as_ref()) else {
             return Ok(QueryJournal::default());
         };
-        self.desk.await_recovery();
-        let (desk, unasked) = (self.desk.clone(), self.engines.longest_unpolled_run());
-        let recovered = move |open: Vec<_>| desk.recovered(&open, unasked);
+        self.scheduler.await_recovery();
+        let scheduler = self.scheduler.clone();
+        let longest_unpolled_run = self.engines.longest_unpolled_run();
+        let recovered = move |open: Vec<_>| scheduler.recovered(&open, longest_unpolled_run);
         QueryJournal::open(
             &journal.directory,
             &self.config.name,
-            self.desk.clock(),
-            self.longest,
+            self.scheduler.clock(),
+            self.longest_deadline_seconds,
             recovered,
         )
     }
 
-    /// The store of bodies that the plan asks for.
-    fn store(&self) -> io::Result<Option<Arc<Store>>> {
-        let bodies = self
-            .config
-            .plan
-            .as_ref()
-            .and_then(|plan| plan.bodies.as_ref());
+    /// Opens the store for bodies that the plan asks for.
+    fn open_body_store(&self) -> io::Result<Option<Arc<Store>>> {
+        let plan = self.config.plan.as_ref();
+        let Some(bodies) = plan.and_then(|plan| plan.bodies.as_ref()) else {
+            return Ok(None);
+        };
         let names = &self.config.decoded.names.groups;
-        bodies
-            .map(|bodies| query_journal::body_store(bodies, names, &self.config.name))
-            .transpose()
+        query_journal::body_store(bodies, names, &self.config.name).map(Some)
     }
 
-    /// Healthy from the first list of engines on; batches are taken before that, too.
-    async fn serving(&self) {
-        self.list.known().await;
-        self.enter(Phase::Serving);
-        std::future::pending().await
+    fn http_front(&self, journal: Arc<QueryJournal>, store: Option<Arc<Store>>) -> HttpFront {
+        HttpFront {
+            scheduler: self.scheduler.clone(),
+            engines: self.engines.clone(),
+            journal,
+            store,
+            decoded: self.config.decoded.clone(),
+            phase: self.phase.subscribe(),
+            statements: self.budget.statements.clone(),
+            send_times: Mutex::new(SendTimeEstimator::new(
+                self.budget.room,
+                self.config.decoded.network.dial,
+                self.longest_deadline_seconds,
+            )),
+        }
     }
 
-    /// The list known at the start, and the tasks that run beside the front.
-    fn start(&mut self, reloads: UnboundedReceiver<Config>) {
-        let desk = self.desk.clone();
-        let deliver = move |updates: &[EngineUpdate], whole| desk.update_endpoints(updates, whole);
-        let discovery = Arc::new(Discovery::new(self.list.clone(), Box::new(deliver)));
-        std::mem::take(&mut self.config.known)
-            .into_iter()
-            .for_each(|event| discovery.apply(event));
-        let log = watch::Sender::new(self.config.changelog);
-        let dial = span(self.config.decoded.network.dial);
-        let names = NameIndex::new(&self.config.decoded.names);
-        let applying = discovery.clone();
-        let apply = Box::new(move |event| applying.apply(event));
-        let watch = Watch::new(log.subscribe(), self.config.last_known, names, apply);
-        tokio::spawn(watch.follow(Reconnect::new(dial, self.config.seed)));
-        tokio::spawn(reload(self.config.clone(), self.desk.clone(), reloads, log));
-        let desk = self.desk.clone();
-        tokio::spawn(async move { desk.run_timer().await });
-        if self.config.subset.is_some() {
-            let may_probe = self.config.decoded.settings.health_checks_allowed;
-            tokio::spawn(keep_subset(
-                discovery,
-                self.engines.clone(),
-                self.desk.clone(),
-                may_probe,
-            ));
+    /// Accepts connections until the gateway is asked to stop. It is healthy once it knows an engine list; queries are
+    /// admitted before that, too.
+    async fn serve(
+        &self,
+        accepting: Pin<&mut impl Future<Output = ()>>,
+        stop: Pin<&mut impl Future<Output = ()>>,
+    ) {
+        let become_healthy = async {
+            self.list.known().await;
+            self.enter(Phase::Serving);
+            std::future::pending::<()>().await;
+        };
+        tokio::select! {
+            () = accepting => {}
+            () = become_healthy => {}
+            () = stop => {}
         }
-        if let Some(wanted) = self.probes.take() {
-            tokio::spawn(probe(wanted, self.engines.clone(), self.desk.clone()));
+    }
+
+    /// Caps all deadlines, accepts connections for as long as clients may go on connecting, then shuts idle ones.
+    async fn drain(
+        &self,
+        mut accepting: Pin<&mut impl Future<Output = ()>>,
+        stop_accepting: &watch::Sender<bool>,
+        shut_idle: &watch::Sender<bool>,
+    ) -> ShutdownSchedule {
+        self.enter(Phase::Draining);
+        let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
+        let answers_due = self.scheduler.clock().at(schedule.answers_due);
+        self.scheduler.shut_down_at(answers_due);
+        // It ends by the timeout alone: accepting has no end before it is stopped.
+        let _ = timeout_at(schedule.accept_until.into(), accepting.as_mut()).await;
+        // Connections that the system has accepted by now are served, too.
+        stop_accepting.send_replace(true);
+        shut_idle.send_replace(true);
+        let _ = timeout_at(schedule.exit_at.into(), accepting).await;
+        schedule
+    }
+
+    /// Waits for all answers, until the exit is due: neither a client that does not read its answer nor an engine that
+    /// does not answer DELETE delays it.
+    async fn finish_requests(&self, clients: &Arc<ClientConnections>, schedule: &ShutdownSchedule) {
+        let finished = async {
+            clients.all_closed().await;
+            self.scheduler.until_idle().await;
+        };
+        if timeout_at(schedule.exit_at.into(), finished).await.is_err() {
+            tracing::warn!("stopped with requests still open");
         }
     }
-}
 
-/// The subset that the configuration asks for; without one the gateway works with the whole list.
-fn selection(config: &Config, groups: &[QueryClass]) -> Option<Selection> {
-    let mut settings = config.subset.clone()?;
-    // A plan may narrow where a query is tried again.
-    settings.retry_scope = settings.retry_scope.max(subset::retry_scope(groups));
-    let kind_cores = config.decoded.settings.kind_cores.clone();
-    match Selection::new(&config.name, settings, kind_cores) {
-        Ok(selection) => Some(selection),
-        Err(fault) => {
-            tracing::error!(%fault, "no subset: the gateway works with the whole list");
-            None
+    fn stopped(&self, store: Option<&Store>) {
+        if let Some(store) = store {
+            query_journal::log_body_store(store, &self.config.decoded.names.groups);
         }
+        self.enter(Phase::Stopped);
     }
 }
 
-/// Keeps the subset for as long as the gateway runs.
-async fn keep_subset(
-    discovery: Arc<Discovery>,
-    engines: Arc<Engines>,
-    desk: Arc<Scheduler>,
-    may_probe: bool,
-) {
-    let warm = |address| {
-        let engines = engines.clone();
-        async move { engines.warm(address, may_probe).await }
-    };
-    discovery
-        .maintain_subset(warm, |engine, warmed| {
-            desk.health_check_ended(engine, warmed.end, warmed.report)
-        })
-        .await;
+/// The longest deadline that the settings give to any query class.
+fn longest_deadline_seconds(config: &Config) -> f64 {
+    let classes = &config.decoded.settings.classes;
+    classes
+        .iter()
+        .map(|class| class.deadline)
+        .fold(0.0, f64::max)
 }
 
-/// Takes configurations read again for as long as the gateway runs: the change log's address and the plan take effect.
-async fn reload(
-    started: Config,
-    desk: Arc<Scheduler>,
-    mut reloads: UnboundedReceiver<Config>,
-    log: watch::Sender<SocketAddr>,
-) {
-    while let Some(config) = reloads.recv().await {
-        for key in started.start_only(&config) {
-            tracing::warn!(key, "changed, but takes effect at the next start only");
-        }
-        if let Some(plan) = &config.plan {
-            let names = &started.decoded.names.groups;
-            let groups =
-                plan_routing::narrowed_classes(&started.decoded.settings.classes, names, plan);
-            let routes = plan.routes.len();
-            match desk.update_plan(plan.clone(), &groups) {
-                true => tracing::info!(routes, limits = plan.limits.len(), "plan taken up"),
-                false => tracing::warn!(
-                    key = "plan",
-                    "changed, but takes effect at the next start only"
-                ),
-            }
-        }
-        tracing::info!(changelog = %config.changelog, "configuration reloaded");
-        log.send_replace(config.changelog);
+/// The query classes of the settings, as far as the plan narrows them.
+fn query_classes(config: &Config) -> Vec<QueryClass> {
+    let classes = &config.decoded.settings.classes;
+    match &config.plan {
+        Some(plan) => plan_routing::narrowed_classes(classes, &config.decoded.names.groups, plan),
+        None => classes.clone(),
     }
 }
 
-/// Probes the engines that the module wants to have probed, each in a task of its own.
-async fn probe(
-    mut wanted: UnboundedReceiver<EngineId>,
-    engines: Arc<Engines>,
-    desk: Arc<Scheduler>,
-) {
-    while let Some(engine) = wanted.recv().await {
-        let (engines, desk) = (engines.clone(), desk.clone());
-        tokio::spawn(async move {
-            let (end, report) = engines.health_check(engine).await;
-            // Reaching it is no proof that queries end well there, so only a failure counts.
-            if end != AttemptEnd::Succeeded {
-                engines.record_attempt_end(engine, end);
-            }
-            if end != AttemptEnd::NotSent {
-                desk.health_check_ended(engine, end, report);
-            }
-        });
+/// The settings of the decision module: the capacity is at most what the gateway's own resources allow.
+fn admission_settings(
+    config: &Config,
+    classes: &[QueryClass],
+    budget: &ResourceBudget,
+) -> Settings {
+    let settings = &config.decoded.settings;
+    let capacity = settings.capacity.unwrap_or(f64::INFINITY);
+    Settings {
+        capacity: Some(capacity.min(budget.room as f64)),
+        classes: classes.to_vec(),
+        ..settings.clone()
     }
 }
 
-fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() {
-        TcpSocket::new_v4()
-    } else {
-        TcpSocket::new_v6()
+fn plan_router(config: &Config, budget: &ResourceBudget) -> Option<PlanRouter> {
+    let plan = config.plan.clone()?;
+    tracing::info!(
+        routes = plan.routes.len(),
+        limits = plan.limits.len(),
+        "plan in force"
+    );
+    Some(PlanRouter::new(&config.decoded, plan, budget.room as f64))
+}
+
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = match address {
+        SocketAddr::V4(_) => TcpSocket::new_v4(),
+        SocketAddr::V6(_) => TcpSocket::new_v6(),
     }?;
-    // A gateway killed outright starts again under its address at once.
+    // A gateway that was killed can start again under its address at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
--- /dev/null
+++ b/crates/gateway/src/gateway/reload.rs
@@ -0,0 +1,48 @@
+//! Reloads the configuration of a running gateway: the change log's address and the plan take effect.
+
+use crate::configuration::Config;
+use crate::scheduling::plan_routing;
+use crate::scheduling::scheduler::Scheduler;
+use garnetwall_plan::Plan;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::sync::watch;
+
+/// Applies configurations that are read again, for as long as the gateway runs. `started` is the one that it was started
+/// with: what needs a restart is compared with that.
+pub(super) async fn apply_reloads(
+    started: Config,
+    scheduler: Arc<Scheduler>,
+    mut reloads: UnboundedReceiver<Config>,
+    change_log: watch::Sender<SocketAddr>,
+) {
+    while let Some(config) = reloads.recv().await {
+        for key in started.keys_needing_restart(&config) {
+            log_restart_needed(&key);
+        }
+        if let Some(plan) = &config.plan {
+            update_plan(&started, &scheduler, plan);
+        }
+        tracing::info!(changelog = %config.changelog, "configuration reloaded");
+        change_log.send_replace(config.changelog);
+    }
+}
+
+fn update_plan(started: &Config, scheduler: &Scheduler, plan: &Arc<Plan>) {
+    let names = &started.decoded.names.groups;
+    let classes = plan_routing::narrowed_classes(&started.decoded.settings.classes, names, plan);
+    if !scheduler.update_plan(plan.clone(), &classes) {
+        log_restart_needed("plan");
+        return;
+    }
+    tracing::info!(
+        routes = plan.routes.len(),
+        limits = plan.limits.len(),
+        "plan updated"
+    );
+}
+
+fn log_restart_needed(key: &str) {
+    tracing::warn!(key, "configuration change needs a restart");
+}
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -15,8 +15,8 @@
 mod submission;
 
 use crate::engines::Engines;
-use crate::gateway::Phase;
 use crate::http::send_time::SendTimeEstimator;
+use crate::phase::Phase;
 use crate::scheduling::scheduler::Scheduler;
 use crate::storage::query_journal::QueryJournal;
 use axum::extract::State;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod engines;
 pub mod gateway;
 pub mod http;
+pub mod phase;
 pub mod scheduling;
 pub mod storage;
 pub mod system;
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -297,7 +297,7 @@
                 .replace("pools two", "pools one")
                 .replace("to two", "to one"),
         );
-        p.until_logged("plan taken up");
+        p.until_logged("plan updated");
         until("reports at the first", || p.starts().0 > 3);
         let before = p.starts().1;
         assert!(s.batch("report", "SELECT 1").returned());
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -497,7 +497,7 @@
     assert!(
         world
             .said()
-            .contains("takes effect at the next start only key=\"subset\""),
+            .contains("configuration change needs a restart key=\"subset\""),
         "{}",
         world.said()
     );
