--- /dev/null
+++ b/crates/gateway/src/configuration/initial_list.rs
@@ -0,0 +1,91 @@
+//! The block `known`: the change log's events that are in force at the start.
+
+use super::error::{unusable, wrong_type, Checked, ConfigError};
+use crate::discovery::{self, Event, EventError, NameIndex};
+use garnetwall_settings::Names;
+use serde_json::Value;
+
+/// What a gateway knows of the change log before it connects to it.
+#[derive(Debug, Default)]
+pub(super) struct InitialList {
+    /// The number of the last event that is known.
+    pub(super) last_event: u64,
+    /// The events up to it, in ascending order.
+    pub(super) events: Vec<Event>,
+}
+
+impl InitialList {
+    /// Reads and checks the block.
+    pub(super) fn read(json: &Value, names: &Names) -> Checked<InitialList> {
+        if !json.is_object() {
+            return Err(wrong_type(
+                "known",
+                "an object",
+                Some(json),
+                "write {...} with seq and results, or leave it out",
+            ));
+        }
+        let last_event = last_event(json)?;
+        let results = results(json)?;
+        let names = NameIndex::new(names);
+        let mut events: Vec<Event> = Vec::with_capacity(results.len());
+        for (index, result) in results.iter().enumerate() {
+            let place = format!("known.results.{index}");
+            let event = discovery::event(result, &names)
+                .map_err(|error| malformed_event(&place, &error))?;
+            let previous = events.last().map(|event| event.number);
+            check_order(&place, event.number, previous, last_event)?;
+            events.push(event);
+        }
+        Ok(InitialList { last_event, events })
+    }
+}
+
+fn last_event(json: &Value) -> Checked<u64> {
+    let number = json.get("seq").and_then(Value::as_u64);
+    number.ok_or_else(|| {
+        wrong_type(
+            "known.seq",
+            "the number of a change",
+            json.get("seq"),
+            "write that of the last of the results",
+        )
+    })
+}
+
+fn results(json: &Value) -> Checked<&Vec<Value>> {
+    let results = json.get("results").and_then(Value::as_array);
+    results.ok_or_else(|| {
+        wrong_type(
+            "known.results",
+            "a list",
+            json.get("results"),
+            "write the change log's events up to known.seq",
+        )
+    })
+}
+
+/// Checks that event numbers ascend and do not pass the last one.
+fn check_order(place: &str, number: u64, previous: Option<u64>, last_event: u64) -> Checked<()> {
+    let ascends = previous.is_none_or(|previous| number > previous);
+    if ascends && number <= last_event {
+        return Ok(());
+    }
+    let after = match previous {
+        Some(previous) => format!("after {previous}, up"),
+        None => "up".to_string(),
+    };
+    Err(unusable(
+        &format!("{place}.seq"),
+        format!("{number} goes back or past known.seq, which is {last_event}"),
+        format!("number the events {after} to known.seq"),
+    ))
+}
+
+fn malformed_event(event: &str, error: &EventError) -> ConfigError {
+    unusable(
+        &format!("{event}.{}", error.place),
+        error.cause.to_string(),
+        "write the event as the change log tells it, with the names of the settings",
+    )
+}
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -1,16 +1,19 @@
-//! The commands on plans: check, fmt, diff, explain, show. They end with 0, with 1 for a fault or a difference, and with
-//! 2 where the call itself is wrong.
+//! The commands on plans: check, fmt, diff, explain, show.
+//!
+//! They end with exit code 0, with 1 for a fault or a difference, and with 2 where the call itself is wrong.
 
-use crate::configuration;
+use super::files::{read_settings, Disk};
+use super::ConfigError;
 use crate::scheduling::plan_routing;
 use garnetwall_plan::model::Facts;
-use garnetwall_plan::source::{beside, Loader};
-use garnetwall_plan::{compile, diff, explain, fault, format, Compiled, Settings};
+use garnetwall_plan::source::Loader;
+use garnetwall_plan::{compile, diff, explain, fault, format, Compiled, Faulty, Settings};
 use pico_args::Arguments;
+use std::fmt::Display;
 use std::net::IpAddr;
-use std::path::Path;
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 
 /// What the `plan` commands take, for the help text.
 pub const HELP: &str = "\
@@ -22,108 +25,140 @@
   plan show FILE [--settings JSON]    a plan as it was understood, as JSON
 ";
 
-/// Reads files from the disk.
-pub struct Disk;
+/// Why a command on plans did not succeed.
+#[derive(Debug, Error)]
+enum PlanCommandError {
+    /// The command line is wrong.
+    #[error(transparent)]
+    Usage(#[from] UsageError),
+    /// The plan is faulty; the text shows each fault with its place.
+    #[error("{0}")]
+    FaultyPlan(String),
+    /// A file of settings cannot be used.
+    #[error("garnetwall: {0}\n")]
+    Settings(#[from] ConfigError),
+    /// A plan file cannot be read or written.
+    #[error("garnetwall: {file}: {cause}\n")]
+    File { file: String, cause: String },
+    /// `fmt --check` found a file in another form.
+    #[error("{file} is not in its one form; `garnetwall plan fmt {file}` writes it so\n")]
+    NotFormatted { file: String },
+    /// `diff` found changes, which it has printed.
+    #[error("")]
+    Different,
+}
 
-impl Loader for Disk {
-    fn load(&self, name: &str) -> Result<Vec<u8>, String> {
-        if Path::new(name).is_dir() {
-            return Err("it is a directory".into());
-        }
-        std::fs::read(name).map_err(|e| match e.kind() {
-            std::io::ErrorKind::NotFound => "there is no such file".into(),
-            _ => e.to_string(),
-        })
-    }
+/// What is wrong with the command line.
+#[derive(Debug, Error)]
+enum UsageError {
+    #[error("{0}")]
+    Arguments(#[from] pico_args::Error),
+    #[error("unknown command 'plan {0}'")]
+    UnknownCommand(String),
+    #[error("{0} expected")]
+    Missing(&'static str),
+    #[error("unknown argument {0:?}")]
+    UnknownArgument(std::ffi::OsString),
+    #[error("--client {0}: no address")]
+    Client(String),
+    #[error("--data-set {0}: no number")]
+    DataSet(String),
+    #[error("--at {0}: HH:MM expected")]
+    Time(String),
+}
 
-    fn resolve(&self, from: &str, included: &str) -> String {
-        beside(from, included)
+impl From<pico_args::Error> for PlanCommandError {
+    fn from(error: pico_args::Error) -> Self {
+        UsageError::from(error).into()
     }
 }
 
-/// How a command ended other than well.
-enum Stop {
-    /// A fault or a difference, with what is to be said of it.
-    Fault(String),
-    Usage(String),
+impl From<Faulty> for PlanCommandError {
+    fn from(faulty: Faulty) -> Self {
+        PlanCommandError::FaultyPlan(faulty.to_string())
+    }
 }
 
-/// Whether the first word is `plan`; then it is taken out.
-pub fn is_meant(arguments: &mut Arguments) -> bool {
+/// What a command prints when it succeeds.
+type Printed = Result<String, PlanCommandError>;
+
+/// Whether the first argument is `plan`; then it is removed.
+pub fn is_plan_command(arguments: &mut Arguments) -> bool {
     let first = std::env::args().nth(1);
     first.as_deref() == Some("plan") && arguments.subcommand().is_ok()
 }
 
-/// Runs the command that the arguments name.
-pub fn run(mut arguments: Arguments) -> ExitCode {
-    let ended = arguments
-        .subcommand()
-        .map_err(|e| Stop::Usage(e.to_string()))
-        .and_then(|name| match name.as_deref() {
-            Some("check") => check(arguments),
-            Some("fmt") => fmt(arguments),
-            Some("diff") => compare(arguments),
-            Some("explain") => tell(arguments),
-            Some("show") => show(arguments),
-            Some(other) => Err(Stop::Usage(format!("unknown command 'plan {other}'"))),
-            None => Err(Stop::Usage("a command on plans expected".into())),
-        });
-    match ended {
-        Ok(said) => {
-            print!("{said}");
+/// Runs the command that the arguments name, and prints its result.
+pub fn run(arguments: Arguments) -> ExitCode {
+    match run_command(arguments) {
+        Ok(text) => {
+            print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(Stop::Fault(said)) => {
-            eprint!("{said}");
-            ExitCode::from(1)
-        }
-        Err(Stop::Usage(what)) => {
-            eprintln!("garnetwall: {what}\n\n{HELP}");
+        Err(PlanCommandError::Usage(error)) => {
+            eprintln!("garnetwall: {error}\n\n{HELP}");
             ExitCode::from(2)
         }
+        Err(error) => {
+            eprint!("{error}");
+            ExitCode::from(1)
+        }
     }
 }
 
-fn usage(e: pico_args::Error) -> Stop {
-    Stop::Usage(e.to_string())
+fn run_command(mut arguments: Arguments) -> Printed {
+    let name = arguments.subcommand()?;
+    match name.as_deref() {
+        Some("check") => check(arguments),
+        Some("fmt") => fmt(arguments),
+        Some("diff") => print_diff(arguments),
+        Some("explain") => explain_route(arguments),
+        Some("show") => show(arguments),
+        Some(other) => Err(UsageError::UnknownCommand(other.into()).into()),
+        None => Err(UsageError::Missing("a command on plans").into()),
+    }
 }
 
-fn option(arguments: &mut Arguments, name: &'static str) -> Result<Option<String>, Stop> {
-    arguments.opt_value_from_str(name).map_err(usage)
+fn option(
+    arguments: &mut Arguments,
+    name: &'static str,
+) -> Result<Option<String>, PlanCommandError> {
+    Ok(arguments.opt_value_from_str(name)?)
 }
 
-fn file(arguments: &mut Arguments, what: &str) -> Result<String, Stop> {
-    let file: Option<String> = arguments.opt_free_from_str().map_err(usage)?;
-    match file.filter(|f| !f.starts_with('-')) {
+/// The next argument that is no option; `expected` describes it.
+fn file(arguments: &mut Arguments, expected: &'static str) -> Result<String, PlanCommandError> {
+    let file: Option<String> = arguments.opt_free_from_str()?;
+    match file.filter(|file| !file.starts_with('-')) {
         Some(file) => Ok(file),
-        None => Err(Stop::Usage(format!("{what} expected"))),
+        None => Err(UsageError::Missing(expected).into()),
     }
 }
 
-fn nothing_left(arguments: Arguments) -> Result<(), Stop> {
-    match arguments.finish().first() {
-        Some(left) => Err(Stop::Usage(format!("unknown argument {left:?}"))),
+fn expect_no_more(arguments: Arguments) -> Result<(), PlanCommandError> {
+    match arguments.finish().into_iter().next() {
+        Some(argument) => Err(UsageError::UnknownArgument(argument).into()),
         None => Ok(()),
     }
 }
 
-fn settings(arguments: &mut Arguments) -> Result<Option<Settings>, Stop> {
+/// The settings that `--settings` names, as a plan is checked against them.
+fn settings(arguments: &mut Arguments) -> Result<Option<Settings>, PlanCommandError> {
     let Some(file) = option(arguments, "--settings")? else {
         return Ok(None);
     };
-    let decoded =
-        configuration::settings(&file).map_err(|e| Stop::Fault(format!("garnetwall: {e}\n")))?;
+    let decoded = read_settings(&file)?;
     Ok(Some(plan_routing::settings(&decoded)))
 }
 
-fn read(file: &str, settings: Option<&Settings>) -> Result<Compiled, Stop> {
-    compile(&Disk, file, settings).map_err(|faulty| Stop::Fault(faulty.to_string()))
+fn read(file: &str, settings: Option<&Settings>) -> Result<Compiled, PlanCommandError> {
+    Ok(compile(&Disk, file, settings)?)
 }
 
-fn check(mut arguments: Arguments) -> Result<String, Stop> {
+fn check(mut arguments: Arguments) -> Printed {
     let settings = settings(&mut arguments)?;
     let file = file(&mut arguments, "the file of a plan")?;
-    nothing_left(arguments)?;
+    expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
     Ok(format!(
         "{file} is good: {} routes, {} pools, {} limits, rules of {} groups and {} tenants\n",
@@ -135,104 +170,143 @@
     ))
 }
 
-fn fmt(mut arguments: Arguments) -> Result<String, Stop> {
+fn fmt(mut arguments: Arguments) -> Printed {
     let only_check = arguments.contains("--check");
     let file = file(&mut arguments, "the file of a plan")?;
-    nothing_left(arguments)?;
-    let cant = |e: &dyn std::fmt::Display| Stop::Fault(format!("garnetwall: {file}: {e}\n"));
-    let bytes = Disk.load(&file).map_err(|e| cant(&e))?;
-    let text = String::from_utf8(bytes).map_err(|e| cant(&e))?;
-    let Ok(printed) = format::format(&text) else {
-        // The whole reading tells the faults with their places.
+    expect_no_more(arguments)?;
+    let text = read_text(&file)?;
+    let Ok(formatted) = format::format(&text) else {
+        // Reading the plan as a whole finds the faults with their places.
         let (files, _, faults) = garnetwall_plan::source::read(&Disk, &file);
-        return Err(Stop::Fault(fault::render(&files, &faults)));
+        return Err(PlanCommandError::FaultyPlan(fault::render(&files, &faults)));
     };
-    if printed == text {
+    if formatted == text {
         return Ok(String::new());
     }
     if only_check {
-        return Err(Stop::Fault(format!(
-            "{file} is not in its one form; `garnetwall plan fmt {file}` writes it so\n"
-        )));
+        return Err(PlanCommandError::NotFormatted { file });
     }
-    // Beside the file and then in its place, so that a full disk costs nothing.
-    let beside = format!("{file}.new");
-    let written = std::fs::write(&beside, &printed).and_then(|()| std::fs::rename(&beside, &file));
-    written.map_err(|e| cant(&e))?;
+    replace(&file, &formatted)?;
     Ok(String::new())
 }
 
-fn compare(mut arguments: Arguments) -> Result<String, Stop> {
+fn file_error(file: &str, cause: impl Display) -> PlanCommandError {
+    PlanCommandError::File {
+        file: file.into(),
+        cause: cause.to_string(),
+    }
+}
+
+fn read_text(file: &str) -> Result<String, PlanCommandError> {
+    let bytes = Disk.load(file).map_err(|error| file_error(file, error))?;
+    String::from_utf8(bytes).map_err(|error| file_error(file, error))
+}
+
+/// Replaces a file at once, so that a full disk does not cost what it holds.
+fn replace(file: &str, text: &str) -> Result<(), PlanCommandError> {
+    let new_file = format!("{file}.new");
+    std::fs::write(&new_file, text)
+        .and_then(|()| std::fs::rename(&new_file, file))
+        .map_err(|error| file_error(file, error))
+}
+
+fn print_diff(mut arguments: Arguments) -> Printed {
     let json = arguments.contains("--json");
     let old = file(&mut arguments, "the old plan and the new one")?;
     let new = file(&mut arguments, "the new plan")?;
-    nothing_left(arguments)?;
+    expect_no_more(arguments)?;
     let changes = diff::diff(&read(&old, None)?.plan, &read(&new, None)?.plan);
-    let said = match json {
+    if changes.is_empty() && !json {
+        return Ok(String::new());
+    }
+    let text: String = match json {
         true => serde_json::to_string_pretty(&changes).unwrap_or_default() + "\n",
         false => changes
             .iter()
-            .map(|c| format!("{}: {}\n", c.of, c.text))
+            .map(|change| format!("{}: {}\n", change.of, change.text))
             .collect(),
     };
-    match changes.is_empty() {
-        true => Ok(if json { said } else { String::new() }),
-        false => {
-            print!("{said}");
-            Err(Stop::Fault(String::new()))
-        }
+    if changes.is_empty() {
+        return Ok(text);
     }
+    print!("{text}");
+    Err(PlanCommandError::Different)
 }
 
-fn tell(mut arguments: Arguments) -> Result<String, Stop> {
-    let settings = settings(&mut arguments)?;
-    let group =
-        option(&mut arguments, "--group")?.ok_or_else(|| Stop::Usage("--group expected".into()))?;
-    let tenant = option(&mut arguments, "--tenant")?.unwrap_or_default();
-    let client = option(&mut arguments, "--client")?.unwrap_or_else(|| "::".into());
-    let client = client
-        .parse::<IpAddr>()
-        .map_err(|_| Stop::Usage(format!("--client {client}: no address")))?;
-    let key = option(&mut arguments, "--key")?.is_some();
-    let data_set = option(&mut arguments, "--data-set")?.unwrap_or_else(|| "0".into());
-    let data_set = data_set
-        .parse()
-        .map_err(|_| Stop::Usage(format!("--data-set {data_set}: no number")))?;
-    let minute = match option(&mut arguments, "--at")? {
-        Some(at) => minute(&at).ok_or_else(|| Stop::Usage(format!("--at {at}: HH:MM expected")))?,
-        None => {
-            let now = SystemTime::now()
-                .duration_since(UNIX_EPOCH)
-                .unwrap_or_default();
-            (now.as_secs() / 60 % 1440) as u32
-        }
-    };
-    let file = file(&mut arguments, "the file of a plan")?;
-    nothing_left(arguments)?;
-    let compiled = read(&file, settings.as_ref())?;
-    Ok(explain::explain(
-        &compiled,
-        &Facts {
-            group: &group,
-            tenant: &tenant,
+/// The options of `plan explain`.
+struct ExplainOptions {
+    settings: Option<Settings>,
+    group: String,
+    tenant: String,
+    client: IpAddr,
+    has_key: bool,
+    data_set: u32,
+    minute_of_day: u32,
+}
+
+impl ExplainOptions {
+    fn read(arguments: &mut Arguments) -> Result<ExplainOptions, PlanCommandError> {
+        let settings = settings(arguments)?;
+        let group = option(arguments, "--group")?.ok_or(UsageError::Missing("--group"))?;
+        let tenant = option(arguments, "--tenant")?.unwrap_or_default();
+        let client = option(arguments, "--client")?.unwrap_or_else(|| "::".into());
+        let client = client.parse().map_err(|_| UsageError::Client(client))?;
+        let has_key = option(arguments, "--key")?.is_some();
+        let data_set = option(arguments, "--data-set")?.unwrap_or_else(|| "0".into());
+        let data_set = data_set
+            .parse()
+            .map_err(|_| UsageError::DataSet(data_set))?;
+        let minute_of_day = match option(arguments, "--at")? {
+            Some(time) => parse_minute_of_day(&time).ok_or(UsageError::Time(time))?,
+            None => current_minute_of_day(),
+        };
+        Ok(ExplainOptions {
+            settings,
+            group,
+            tenant,
             client,
-            key,
+            has_key,
             data_set,
-            minute,
-        },
-    ))
+            minute_of_day,
+        })
+    }
+}
+
+fn explain_route(mut arguments: Arguments) -> Printed {
+    let options = ExplainOptions::read(&mut arguments)?;
+    let file = file(&mut arguments, "the file of a plan")?;
+    expect_no_more(arguments)?;
+    let compiled = read(&file, options.settings.as_ref())?;
+    let facts = Facts {
+        group: &options.group,
+        tenant: &options.tenant,
+        client: options.client,
+        key: options.has_key,
+        data_set: options.data_set,
+        minute: options.minute_of_day,
+    };
+    Ok(explain::explain(&compiled, &facts))
+}
+
+/// The minute of the day by the wall clock, in UTC.
+fn current_minute_of_day() -> u32 {
+    let since_epoch = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    (since_epoch.as_secs() / 60 % 1440) as u32
 }
 
-fn minute(text: &str) -> Option<u32> {
+/// Parses HH:MM.
+fn parse_minute_of_day(text: &str) -> Option<u32> {
     let (hour, minute) = text.split_once(':')?;
     let (hour, minute): (u32, u32) = (hour.parse().ok()?, minute.parse().ok()?);
     (hour < 24 && minute < 60).then_some(hour * 60 + minute)
 }
 
-fn show(mut arguments: Arguments) -> Result<String, Stop> {
+fn show(mut arguments: Arguments) -> Printed {
     let settings = settings(&mut arguments)?;
     let file = file(&mut arguments, "the file of a plan")?;
-    nothing_left(arguments)?;
+    expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
     Ok(serde_json::to_string_pretty(&plan).unwrap_or_default() + "\n")
 }
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -1,17 +1,23 @@
 //! The block `subset`: how large a part of the engines a gateway works with.
 
-use super::{wrong_type, Checked};
+use super::error::{wrong_type, Checked};
+use super::fields;
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass};
 use garnetwall_plan::model::Pool;
 use garnetwall_plan::Plan;
-use garnetwall_settings::{shown, Cause, Decoded, Fault, Names};
+use garnetwall_settings::{Cause, Decoded, Fault, Names};
 use garnetwall_subset::{PlacementClass, RetryScope, Subset, SubsetSettings, MAX_NEAR_WEIGHT};
 use serde_json::Value;
 
+const BLOCK: &str = "subset";
 /// More engines than any list has.
-const MOST_ENGINES: u64 = 1 << 20;
+const MAX_ENGINES: u64 = 1 << 20;
 /// More than can be of use.
-const MOST_JOINS_PER_SECOND: f64 = 1e6;
+const MAX_JOINS_PER_SECOND: f64 = 1e6;
+
+/// A pool that an engine subset cannot serve: it selects engines by id, address or exception. Holds its name.
+#[derive(Debug)]
+pub(super) struct UnsupportedPool(pub(super) String);
 
 /// Reads the block; without one there is no subset.
 pub(super) fn read(
@@ -21,156 +27,126 @@
 ) -> Checked<Option<SubsetSettings>> {
     let block = match json {
         None | Some(Value::Null) => return Ok(None),
-        Some(block) if block.is_object() => block,
-        other => {
-            return Err(wrong_type(
-                "subset",
-                "an object",
-                other,
-                "write {\"size\": ...}, or leave it out",
-            ));
-        }
+        Some(block) => block,
     };
-    let size = count(block, "size", 1)?.ok_or_else(|| {
-        wrong_type(
-            "subset.size",
-            "a number",
-            None,
-            "write how many engines the gateway is to work with",
-        )
-    })?;
-    let usual = SubsetSettings::with_size(size, decoded.settings.gateways);
+    if !block.is_object() {
+        let remedy = "write {\"size\": ...}, or leave it out";
+        return Err(wrong_type(BLOCK, "an object", json, remedy));
+    }
+    let size = size(block)?;
+    let defaults = SubsetSettings::with_size(size, decoded.settings.gateways);
+    let class_floor = engines(block, "class_floor", 0)?;
+    let reserve = engines(block, "reserve", 0)?;
+    let joins_per_second = joins_per_second(block)?;
+    let zone = zone(block, &decoded.names)?;
+    let near_weight = near_weight(block)?;
     let settings = SubsetSettings {
-        class_floor: count(block, "class_floor", 0)?.unwrap_or(usual.class_floor),
-        reserve: count(block, "reserve", 0)?.unwrap_or(usual.reserve),
-        joins_per_second: number(
-            block,
-            "joins_per_second",
-            f64::MIN_POSITIVE,
-            MOST_JOINS_PER_SECOND,
-        )?
-        .unwrap_or(usual.joins_per_second),
-        zone: zone(block, &decoded.names)?,
-        near_weight: number(block, "near_weight", 1.0, MAX_NEAR_WEIGHT)?
-            .unwrap_or(usual.near_weight),
-        classes: classes(&decoded.settings.classes),
+        class_floor: class_floor.unwrap_or(defaults.class_floor),
+        reserve: reserve.unwrap_or(defaults.reserve),
+        joins_per_second: joins_per_second.unwrap_or(defaults.joins_per_second),
+        zone,
+        near_weight: near_weight.unwrap_or(defaults.near_weight),
+        classes: placement_classes(&decoded.settings.classes),
         retry_scope: retry_scope(&decoded.settings.classes),
-        ..usual
+        ..defaults
     };
-    // What the settings must be to one another is the subset's to say.
+    // It checks how the settings fit one another.
     Subset::new(gateway, settings.clone())?;
     Ok(Some(settings))
 }
 
-/// A whole number from `least` on, if one is told.
-fn count(block: &Value, key: &str, least: u64) -> Checked<Option<usize>> {
-    let told = match block.get(key) {
-        None | Some(Value::Null) => return Ok(None),
-        Some(told) => told,
-    };
-    let remedy = format!("give a whole number from {least} to {MOST_ENGINES}");
-    if !told.is_number() {
-        return Err(wrong_type(&place(key), "a number", Some(told), &remedy));
-    }
-    let whole = told.as_u64().filter(|n| (least..=MOST_ENGINES).contains(n));
-    let whole =
-        whole.ok_or_else(|| out_of_range(key, told, least as f64, MOST_ENGINES as f64, remedy))?;
-    Ok(Some(whole as usize))
+fn size(block: &Value) -> Checked<usize> {
+    let remedy = "write how many engines the gateway is to work with";
+    let size = engines(block, "size", 1)?;
+    size.ok_or_else(|| wrong_type("subset.size", "a number", None, remedy))
 }
 
-/// A number, if one is told.
-fn number(block: &Value, key: &str, least: f64, most: f64) -> Checked<Option<f64>> {
-    let told = match block.get(key) {
-        None | Some(Value::Null) => return Ok(None),
-        Some(told) => told,
-    };
-    let bounds = if least < 1.0 {
-        "more than 0".to_string()
-    } else {
-        format!("from {least}")
-    };
-    let remedy = format!("give a number {bounds}, {most} at most");
-    let Some(number) = told.as_f64() else {
-        return Err(wrong_type(&place(key), "a number", Some(told), &remedy));
-    };
-    if !(least..=most).contains(&number) {
-        return Err(out_of_range(key, told, least, most, remedy));
-    }
-    Ok(Some(number))
+/// An optional number of engines, `min` at least.
+fn engines(block: &Value, key: &str, min: u64) -> Checked<Option<usize>> {
+    fields::whole_number(block, BLOCK, key, min..=MAX_ENGINES)
+}
+
+fn joins_per_second(block: &Value) -> Checked<Option<f64>> {
+    number(
+        block,
+        "joins_per_second",
+        |number| (f64::MIN_POSITIVE..=MAX_JOINS_PER_SECOND).contains(&number),
+        &format!("give a number more than 0, {MAX_JOINS_PER_SECOND} at most"),
+        &format!("not more than 0, or more than {MAX_JOINS_PER_SECOND}"),
+    )
 }
 
-fn out_of_range(
+fn near_weight(block: &Value) -> Checked<Option<f64>> {
+    number(
+        block,
+        "near_weight",
+        |number| (1.0..=MAX_NEAR_WEIGHT).contains(&number),
+        &format!("give a number from 1, {MAX_NEAR_WEIGHT} at most"),
+        &format!("not from 1 to {MAX_NEAR_WEIGHT}"),
+    )
+}
+
+/// An optional number; `expected` says what is wrong with one that is not allowed.
+fn number(
+    block: &Value,
     key: &str,
-    told: &Value,
-    least: f64,
-    most: f64,
-    remedy: String,
-) -> super::ConfigError {
-    let off = if least < 1.0 && least > 0.0 {
-        format!("not more than 0, or more than {most}")
-    } else {
-        format!("not from {least} to {most}")
+    is_allowed: impl Fn(f64) -> bool,
+    remedy: &str,
+    expected: &str,
+) -> Checked<Option<f64>> {
+    let Some(value) = fields::optional(block, key) else {
+        return Ok(None);
     };
-    Fault::new(
-        place(key),
-        Cause::OutOfRange {
-            found: shown(told),
-            off,
-        },
-        remedy,
-    )
-    .into()
+    let place = format!("{BLOCK}.{key}");
+    let Some(number) = value.as_f64() else {
+        return Err(wrong_type(&place, "a number", Some(value), remedy));
+    };
+    if !is_allowed(number) {
+        return Err(fields::out_of_range(
+            place,
+            value,
+            expected.into(),
+            remedy.into(),
+        ));
+    }
+    Ok(Some(number))
 }
 
 /// The gateway's own zone, by its name in the settings.
 fn zone(block: &Value, names: &Names) -> Checked<Option<u32>> {
-    let name = match block.get("zone") {
-        None | Some(Value::Null) => return Ok(None),
+    const REMEDY: &str = "write a name of settings.zones";
+    let name = match fields::optional(block, "zone") {
+        None => return Ok(None),
         Some(Value::String(name)) => name,
-        other => {
-            return Err(wrong_type(
-                "subset.zone",
-                "a text",
-                other,
-                "write a name of settings.zones",
-            ))
-        }
+        other => return Err(wrong_type("subset.zone", "a text", other, REMEDY)),
     };
+    // The settings write spaces and commas as `_`.
     let name = name.replace([' ', ','], "_");
     match names.zones.iter().position(|zone| *zone == name) {
         Some(zone) => Ok(Some(zone as u32)),
-        None => Err(Fault::new(
-            "subset.zone",
-            Cause::Unknown(name),
-            "write a name of settings.zones",
-        )
-        .into()),
+        None => Err(Fault::new("subset.zone", Cause::Unknown(name), REMEDY).into()),
     }
 }
 
-fn place(key: &str) -> String {
-    format!("subset.{key}")
-}
-
-/// The placement classes of the service groups that may not go everywhere.
-fn classes(groups: &[QueryClass]) -> Vec<PlacementClass> {
-    let class = |group: &QueryClass| PlacementClass {
-        zones: group.zones.clone(),
-        kinds: group.kinds.clone(),
+/// The placement classes of the query classes that may not go everywhere, sorted and without repeats.
+fn placement_classes(classes: &[QueryClass]) -> Vec<PlacementClass> {
+    let placement = |class: &QueryClass| PlacementClass {
+        zones: class.zones.clone(),
+        kinds: class.kinds.clone(),
     };
-    let mut classes: Vec<PlacementClass> = groups
+    let mut placements: Vec<PlacementClass> = classes
         .iter()
-        .map(class)
-        .filter(|class| *class != PlacementClass::default())
+        .map(placement)
+        .filter(|placement| *placement != PlacementClass::default())
         .collect();
-    classes.sort();
-    classes.dedup();
-    classes
+    placements.sort();
+    placements.dedup();
+    placements
 }
 
-/// The narrowest scope in which a group's queries may be tried again.
-pub fn retry_scope(groups: &[QueryClass]) -> RetryScope {
-    let scope = |group: &QueryClass| match group.idempotency {
+/// The narrowest scope in which queries of any of these classes may be retried.
+pub fn retry_scope(classes: &[QueryClass]) -> RetryScope {
+    let scope = |class: &QueryClass| match class.idempotency {
         Idempotency::IdempotentByKey {
             scope: DeduplicationScope::Zone,
             ..
@@ -181,27 +157,26 @@
         } => RetryScope::Cell,
         _ => RetryScope::Everywhere,
     };
-    groups
+    classes
         .iter()
         .map(scope)
         .max()
         .unwrap_or(RetryScope::Everywhere)
 }
 
-/// Adds the classes of a plan's pools; the name of a pool that is no such class.
+/// Adds the placement classes of a plan's pools.
 pub(super) fn add_pools(
     settings: &mut SubsetSettings,
     plan: &Plan,
     names: &Names,
-) -> Result<(), String> {
+) -> Result<(), UnsupportedPool> {
     for pool in &plan.pools {
-        if !is_class(pool) {
-            return Err(pool.name.clone());
+        if !selects_by_placement(pool) {
+            return Err(UnsupportedPool(pool.name.clone()));
         }
-        let zones = places(&pool.zones, &names.zones);
         let class = PlacementClass {
-            zones,
-            kinds: places(&pool.kinds, &names.kinds),
+            zones: indices(&pool.zones, &names.zones),
+            kinds: indices(&pool.kinds, &names.kinds),
         };
         // A pool that only unites others has engines where they have.
         if pool.selects() && class != PlacementClass::default() {
@@ -213,18 +188,14 @@
     Ok(())
 }
 
-/// Whether a pool has engines by zone and kind alone.
-fn is_class(pool: &Pool) -> bool {
+/// Whether a pool selects engines by zone and kind alone.
+fn selects_by_placement(pool: &Pool) -> bool {
     pool.ids.is_empty() && pool.addresses.is_empty() && pool.except.is_empty()
 }
 
-/// The places of names; none where nothing is named.
-fn places(words: &[String], names: &[String]) -> Option<Vec<u32>> {
-    let place = |word: &String| {
-        names
-            .iter()
-            .position(|name| name == word)
-            .map(|place| place as u32)
-    };
-    (!words.is_empty()).then(|| words.iter().filter_map(place).collect())
+/// The indices of the selected names; `None` where nothing is selected.
+fn indices(selected: &[String], names: &[String]) -> Option<Vec<u32>> {
+    let index = |selected: &String| names.iter().position(|name| name == selected);
+    let indices = selected.iter().filter_map(index).map(|index| index as u32);
+    (!selected.is_empty()).then(|| indices.collect())
 }
