--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -139,7 +139,7 @@
         cancellation: watch::Receiver<CancellationState>,
     ) -> SendGate {
         let list = self.list.clone();
-        let may_start = move || list.takes(target);
+        let may_start = move || list.accepts_attempts(target);
         let client_presence = start.client_presence.clone();
         let deadline = start.response_deadline.min(start.send_deadline);
         let is_wanted = move || {
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -99,7 +99,8 @@
         let number = self.number.fetch_add(1, Ordering::Relaxed) + 1;
         self.service.log.tell(change(number, whole, lines));
         until("the change is applied", || {
-            self.said().contains(&format!("change={number} "))
+            self.said()
+                .contains(&format!("engine list updated event={number} "))
         });
     }
 
@@ -496,7 +497,7 @@
     assert!(
         world
             .said()
-            .contains("takes effect at the next start only key=\"subset\""),
+            .contains("configuration change needs a restart key=\"subset\""),
         "{}",
         world.said()
     );
