--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -10,7 +10,7 @@
 use attempt_in_flight::AttemptInFlight;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, QueryId};
-use garnetwall_ledger::records::SentQuery;
+use garnetwall_ledger::records::StartedQuery;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -31,7 +31,7 @@
     /// Where a non-idempotent query is recorded.
     pub journal: Arc<QueryJournal>,
     /// The record to be written before an attempt is sent; `None` for a query that may be sent again.
-    pub journal_entry: Option<SentQuery>,
+    pub journal_entry: Option<StartedQuery>,
     /// Whether a client waits for the answer.
     pub client_presence: ClientPresence,
     /// The statement's part of the memory budget, held until the task ends.
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -170,9 +170,11 @@
     pub fn recovered(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
         self.handle_event(|state, now| {
             state.recovery_pending = false;
-            for RecoveredQuery { sent, finished } in queries {
-                state.recovered.insert(sent.id, sent.until as f64 / 1000.0);
-                if let Some(key) = sent.key.filter(|_| !finished) {
+            for RecoveredQuery { started, finished } in queries {
+                state
+                    .recovered
+                    .insert(started.id, started.may_run_until_ms as f64 / 1000.0);
+                if let Some(key) = started.ordering_key.filter(|_| !finished) {
                     state
                         .controller
                         .pause_key(key, now + longest_unpolled_run.as_secs_f64());
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -8,7 +8,7 @@
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
-use garnetwall_ledger::records::{SentQuery, RUN_MARGIN};
+use garnetwall_ledger::records::{StartedQuery, RUN_MARGIN};
 use std::hash::BuildHasher;
 use std::sync::Arc;
 use tokio::sync::mpsc::unbounded_channel;
@@ -116,11 +116,11 @@
             let (query_key, line) = (Hex(a.query_key), key.map(Hex));
             tracing::debug!(batch = id, ?query_key, class, key = ?line, left, "taken");
             state.controller.admit(now, b);
-            let until = millis(deadline + RUN_MARGIN.as_secs_f64());
-            let once_only = is_non_idempotent.then_some(SentQuery {
+            let may_run_until_ms = millis(deadline + RUN_MARGIN.as_secs_f64());
+            let once_only = is_non_idempotent.then_some(StartedQuery {
                 id: a.query_key,
-                key,
-                until,
+                ordering_key: key,
+                may_run_until_ms,
             });
             let waiter = Waiter {
                 scheduler: self.clone(),
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -5,7 +5,7 @@
 use crate::scheduling::plan_routing::PlanRejection;
 use bytes::Bytes;
 use garnetwall::api::{EngineId, FinalAnswer, QueryId};
-use garnetwall_ledger::records::SentQuery;
+use garnetwall_ledger::records::StartedQuery;
 use std::net::IpAddr;
 use tokio::sync::mpsc::UnboundedReceiver;
 
@@ -94,7 +94,7 @@
         commands: UnboundedReceiver<Command>,
         waiter: Waiter,
         /// What is written down before it is sent, where it is once-only.
-        journal_entry: Option<SentQuery>,
+        journal_entry: Option<StartedQuery>,
         /// Whether a client waits for it.
         client_presence: ClientPresence,
     },
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -4,8 +4,9 @@
 use crate::system::boot_clock::BootClock;
 use crate::system::clock::Clock;
 use crate::system::os_error::may_pass;
-use garnetwall_ledger::journal::{FileStorage, Journal};
-use garnetwall_ledger::records::{BootRun, SentQuery, RUN_MARGIN};
+pub use garnetwall_ledger::journal::RecoveredQuery;
+use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
+use garnetwall_ledger::records::{BootRun, StartedQuery, RUN_MARGIN};
 use std::io;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,15 +15,6 @@
 /// A write that takes longer is logged.
 const SLOW_WRITE: Duration = Duration::from_millis(500);
 
-/// A non-idempotent query that an earlier process sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RecoveredQuery {
-    /// Its record, with its end on this gateway's [`Clock`], in milliseconds.
-    pub sent: SentQuery,
-    /// Every attempt of it has provably ended.
-    pub finished: bool,
-}
-
 /// The journal of a gateway. The default one records nothing, for plans that name no journal.
 #[derive(Default)]
 pub struct QueryJournal {
@@ -38,26 +30,26 @@
 
 impl OpenJournal {
     /// Converts the end of a record from the gateway's clock to the clock of this boot.
-    fn to_boot_clock(&self, sent: SentQuery) -> SentQuery {
-        let remaining_ms = sent.until.saturating_sub(millis(self.clock.now()));
-        SentQuery {
-            until: self.boot_clock.millis() + remaining_ms,
+    fn to_boot_clock(&self, sent: StartedQuery) -> StartedQuery {
+        let remaining_ms = sent
+            .may_run_until_ms
+            .saturating_sub(millis(self.clock.now()));
+        StartedQuery {
+            may_run_until_ms: self.boot_clock.millis() + remaining_ms,
             ..sent
         }
     }
 
     /// Waits until the record is on the disk.
-    async fn write_sent(&self, sent: SentQuery) -> io::Result<()> {
+    async fn write_sent(&self, sent: StartedQuery) -> Result<(), JournalError> {
         let (done, written) = oneshot::channel();
         let on_written = move |result| {
             // The receiver is gone where the caller stopped waiting, and then nothing is sent.
             let _ = done.send(result);
         };
         self.journal
-            .record_sent(self.to_boot_clock(sent), Box::new(on_written));
-        written
-            .await
-            .unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")))
+            .record_started(self.to_boot_clock(sent), Box::new(on_written));
+        written.await.unwrap_or(Err(JournalError::Stopped))
     }
 }
 
@@ -82,14 +74,14 @@
         let path = Path::new(directory).join(format!("{gateway}.once-only"));
         let shown_path = path.display().to_string();
         let boot_clock = BootClock::start();
-        let on_recovery = move |found: Vec<(SentQuery, bool)>| {
+        let on_recovery = move |found: Vec<RecoveredQuery>| {
             let queries = recovered_queries(found, clock, boot_clock);
             log_recovered(&shown_path, &queries);
             recovered(queries);
         };
         let boot_run = BootRun {
             id: boot_clock.run,
-            span: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
+            longest_run_ms: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
         };
         let (journal, started) = Journal::start(
             FileStorage::new(&path),
@@ -119,7 +111,7 @@
     /// Records that a non-idempotent query is about to be sent. Returns whether it may be sent.
     ///
     /// It takes as long as the disk does: the caller bounds it by the query's deadline. A caller that stops waiting must not send.
-    pub async fn record_before_send(&self, sent: SentQuery) -> bool {
+    pub async fn record_before_send(&self, sent: StartedQuery) -> bool {
         let Some(open) = &self.open else {
             return true;
         };
@@ -148,16 +140,20 @@
 
 /// Converts the records of an earlier process from the clock of this boot to the gateway's clock.
 fn recovered_queries(
-    found: Vec<(SentQuery, bool)>,
+    found: Vec<RecoveredQuery>,
     clock: Clock,
     boot_clock: BootClock,
 ) -> Vec<RecoveredQuery> {
     let now_ms = millis(clock.now());
     let boot_now_ms = boot_clock.millis();
-    let convert = |(sent, finished): (SentQuery, bool)| {
-        let until = now_ms + sent.until.saturating_sub(boot_now_ms);
-        let sent = SentQuery { until, ..sent };
-        RecoveredQuery { sent, finished }
+    let convert = |RecoveredQuery { started, finished }| {
+        let remaining_ms = started.may_run_until_ms.saturating_sub(boot_now_ms);
+        let may_run_until_ms = now_ms + remaining_ms;
+        let started = StartedQuery {
+            may_run_until_ms,
+            ..started
+        };
+        RecoveredQuery { started, finished }
     };
     found.into_iter().map(convert).collect()
 }
--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -1,53 +1,58 @@
-//! Commits a second of the journal of once-only batches, and their latency, with one that waits at a time and with many
-//! (group commit), on the disk of the temporary directory.
+//! Commits per second of the journal, and their latency, with one writer waiting at a time and with many (group commit), on
+//! the disk of the temporary directory.
 
-use garnetwall_ledger::journal::{FileStorage, Journal};
-use garnetwall_ledger::records::{BootRun, SentQuery};
+use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
+use garnetwall_ledger::records::{BootRun, StartedQuery};
 use std::sync::mpsc::channel;
 use std::time::Instant;
 
 const COMMITS: u64 = 4000;
 
 fn main() {
-    println!("waiting at once   commits/s   latency us: median   99%");
-    for at_once in [1, 4, 16, 64, 256] {
+    println!("writers waiting   commits/s   latency us: median   99%");
+    for writers in [1, 4, 16, 64, 256] {
         let path = std::env::temp_dir().join(format!(
-            "garnetwall-journal-{}-{at_once}",
+            "garnetwall-journal-{}-{writers}",
             std::process::id()
         ));
-        let run = BootRun { id: 1, span: 1000 };
-        let (journal, begun) = Journal::start(FileStorage::new(&path), run, || 0, Box::new(drop));
-        begun.unwrap_or_else(|e| panic!("{e}"));
-        let (done, ended) = channel();
-        let began = Instant::now();
+        let boot = BootRun {
+            id: 1,
+            longest_run_ms: 1000,
+        };
+        let (journal, started) =
+            Journal::start(FileStorage::new(&path), boot, || 0, Box::new(drop));
+        started.unwrap_or_else(|e| panic!("{e}"));
+        let (on_written, written) = channel();
+        let started_at = Instant::now();
         let send = |id: u64| {
-            let (done, sent_at) = (done.clone(), Instant::now());
-            let told = move |written: std::io::Result<()>| {
-                assert!(written.is_ok());
-                let _ = done.send(sent_at.elapsed());
+            let on_written = on_written.clone();
+            let sent_at = Instant::now();
+            let callback = move |result: Result<(), JournalError>| {
+                assert!(result.is_ok());
+                let _ = on_written.send(sent_at.elapsed());
             };
-            journal.record_sent(
-                SentQuery {
+            journal.record_started(
+                StartedQuery {
                     id,
-                    key: Some(id % 7),
-                    until: u64::MAX,
+                    ordering_key: Some(id % 7),
+                    may_run_until_ms: u64::MAX,
                 },
-                Box::new(told),
+                Box::new(callback),
             );
         };
-        (0..at_once).for_each(send);
+        (0..writers).for_each(send);
         let mut latencies = Vec::new();
-        for id in at_once..COMMITS + at_once {
-            latencies.extend(ended.recv());
-            journal.record_finished(id - at_once);
+        for id in writers..COMMITS + writers {
+            latencies.extend(written.recv());
+            journal.record_finished(id - writers);
             if id < COMMITS {
                 send(id);
             }
         }
-        let rate = COMMITS as f64 / began.elapsed().as_secs_f64();
+        let rate = COMMITS as f64 / started_at.elapsed().as_secs_f64();
         latencies.sort_unstable();
         let at = |part: f64| latencies[(latencies.len() as f64 * part) as usize].as_micros();
-        println!("{at_once:>15} {rate:>11.0} {:>20} {:>5}", at(0.5), at(0.99));
+        println!("{writers:>15} {rate:>11.0} {:>20} {:>5}", at(0.5), at(0.99));
         drop(journal);
         let _ = std::fs::remove_file(&path);
     }
--- /dev/null
+++ b/crates/ledger/src/journal/writer.rs
@@ -0,0 +1,157 @@
+//! The thread that writes the journal.
+
+use super::state::JournalState;
+use super::storage::JournalStorage;
+use super::{JournalError, RecoveryCallback, WriteCallback};
+use crate::records::{BootRun, Record};
+use std::io;
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Records that are written with one sync at most.
+const MAX_RECORDS_PER_SYNC: usize = 4096;
+/// The time between two tries to replace a journal whose storage fails.
+const RESTORE_INTERVAL: Duration = Duration::from_millis(250);
+
+/// A message to the writer.
+pub(super) enum Command {
+    /// Write a record; whoever waits for it has a callback.
+    Write(Record, Option<WriteCallback>),
+    /// Write what came before, and stop.
+    Stop,
+}
+
+/// Commands that are carried out with one sync.
+#[derive(Default)]
+struct CommitGroup {
+    bytes: Vec<u8>,
+    callbacks: Vec<WriteCallback>,
+    stop: bool,
+}
+
+/// Writes the journal of one process. `C` is the clock of the boot, in milliseconds.
+pub(super) struct Writer<S, C> {
+    storage: S,
+    boot: BootRun,
+    clock_ms: C,
+    /// Until the journal of earlier processes has been read.
+    recovery: Option<RecoveryCallback>,
+    state: JournalState,
+    /// All that callbacks were promised is stored, and records can be appended.
+    is_complete: bool,
+    last_restore: Instant,
+}
+
+impl<S: JournalStorage, C: Fn() -> u64> Writer<S, C> {
+    pub(super) fn new(storage: S, boot: BootRun, clock_ms: C, recovery: RecoveryCallback) -> Self {
+        Writer {
+            storage,
+            boot,
+            clock_ms,
+            recovery: Some(recovery),
+            state: JournalState::default(),
+            is_complete: false,
+            last_restore: Instant::now(),
+        }
+    }
+
+    /// Carries out commands until it is told to stop, or nobody can send any more.
+    pub(super) fn run(mut self, commands: &Receiver<Command>) {
+        loop {
+            let received = match self.is_complete {
+                true => commands.recv().map_err(|_| RecvTimeoutError::Disconnected),
+                false => commands.recv_timeout(RESTORE_INTERVAL),
+            };
+            let stop = match received {
+                Ok(first) => self.commit(first, commands),
+                Err(RecvTimeoutError::Timeout) => false,
+                Err(RecvTimeoutError::Disconnected) => return,
+            };
+            if stop {
+                return;
+            }
+            if !self.is_complete && self.last_restore.elapsed() >= RESTORE_INTERVAL {
+                // After a failure it is tried again.
+                let _ = self.restore();
+            }
+        }
+    }
+
+    /// Carries out a command and those that wait behind it; returns whether to stop.
+    fn commit(&mut self, first: Command, commands: &Receiver<Command>) -> bool {
+        let waiting = std::iter::from_fn(|| commands.try_recv().ok());
+        let mut group = CommitGroup::default();
+        for command in std::iter::once(first)
+            .chain(waiting)
+            .take(MAX_RECORDS_PER_SYNC)
+        {
+            self.add_to_group(command, &mut group);
+        }
+        let stop = group.stop;
+        if self.is_complete {
+            self.append(group);
+            self.compact_if_stale();
+        }
+        stop
+    }
+
+    fn add_to_group(&mut self, command: Command, group: &mut CommitGroup) {
+        match command {
+            // Without the promise the query is not sent, and needs no record.
+            Command::Write(Record::Started(_), Some(callback)) if !self.is_complete => {
+                callback(Err(JournalError::EarlierWriteFailed));
+            }
+            Command::Write(record, callback) => {
+                group.bytes.extend_from_slice(&record.bytes());
+                self.state.add(&record);
+                group.callbacks.extend(callback);
+            }
+            Command::Stop => group.stop = true,
+        }
+    }
+
+    /// Appends a group, and syncs it unless nobody waits for it: then it lasts with the next that somebody waits for.
+    fn append(&mut self, group: CommitGroup) {
+        let must_sync = !group.callbacks.is_empty() || group.stop;
+        let mut written = self.storage.append(&group.bytes);
+        if must_sync {
+            written = written.and_then(|()| self.storage.sync());
+        }
+        if written.is_err() {
+            self.is_complete = false;
+            self.last_restore = Instant::now();
+        }
+        let result = written.map_err(|error| JournalError::Storage(Arc::new(error)));
+        for callback in group.callbacks {
+            callback(result.clone());
+        }
+    }
+
+    fn compact_if_stale(&mut self) {
+        let now_ms = (self.clock_ms)();
+        if self.is_complete && self.state.is_stale(now_ms) {
+            // After a failure it is tried again.
+            let _ = self.restore();
+        }
+    }
+
+    /// Reads the journal if that has not succeeded yet, and replaces it by a complete one.
+    pub(super) fn restore(&mut self) -> io::Result<()> {
+        self.is_complete = false;
+        self.last_restore = Instant::now();
+        let now_ms = (self.clock_ms)();
+        if self.recovery.is_some() {
+            let mut state = JournalState::read(&self.storage.read()?).state;
+            state.resume(self.boot, now_ms);
+            self.state = state;
+            if let Some(recovery) = self.recovery.take() {
+                recovery(self.state.unexpired(now_ms));
+            }
+        }
+        let complete = self.state.compacted(now_ms);
+        self.storage.replace(&complete)?;
+        self.is_complete = true;
+        Ok(())
+    }
+}
--- a/crates/ledger/src/polling.rs
+++ b/crates/ledger/src/polling.rs
@@ -1,88 +1,93 @@
-//! How an engine is asked on for the news of a dispatch, or a page of its result, after what came of a call.
+//! Decides when an attempt, or a page of its result, is polled again, and what an engine's report of an end is worth.
 
 use crate::Bounds;
 use std::time::Duration;
 
-/// How a call came to nothing.
+/// Why a call brought no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Nobody listens there: asking can't tell any more.
+    /// The connection was refused: no process listens there, and polling can't find out more.
     Refused,
-    /// Broken off, not answered in time, or no connection came up: it may not have come.
+    /// The connection broke, was not made, or brought no answer in time: the call may not have reached the engine.
     Unanswered,
-    /// Answered by what can't be read: it came, and its answer was spoilt on its way.
+    /// The answer can't be read: the call reached the engine, and its answer was damaged on the way.
     Garbled,
 }
 
 /// What follows a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollStep {
-    /// Ask again after this span; after a call that was lost, on a fresh connection.
+    /// Poll again after this time; after a failed call on a new connection.
     PollAgain(Duration),
-    /// Asking can't tell any more.
+    /// Polling can't find out more.
     Stop,
 }
 
-/// What an engine's word that a dispatch is over counts for.
+/// What an engine's report that an attempt has ended counts for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportVerdict {
-    /// What it says.
+    /// The attempt ended as reported.
     Accepted,
-    /// It is over, and may have been cut short: its key rests.
+    /// The attempt has ended and may have been interrupted: its ordering key pauses.
     Interrupted,
-    /// Nothing: who says so may be another process, or have the start still on its way.
+    /// Nothing: another process may have reported it, or the request may still be on its way.
     Inconclusive,
 }
 
-/// Weighs such a word: whether it answers the start itself, whether it says that the dispatch failed or is not known
-/// (rather than that it never ran), and whether the ledger holds the dispatch to be over now.
-pub fn weigh_reported_end(answers_start: bool, failed: bool, over: bool) -> ReportVerdict {
-    match (answers_start, over, failed) {
-        (true, _, _) | (false, true, false) => ReportVerdict::Accepted,
-        // It failed, or was dropped while this gateway had no time to ask.
-        (false, true, true) => ReportVerdict::Interrupted,
-        (false, false, _) => ReportVerdict::Inconclusive,
+/// Weighs an engine's report that an attempt has ended.
+///
+/// `answers_start`: it answers the request that started the attempt. `failed`: it says that the attempt failed or is
+/// unknown, not that it never ran. `finished`: the ledger has a proof that the attempt does not run any more.
+pub fn weigh_reported_end(answers_start: bool, failed: bool, finished: bool) -> ReportVerdict {
+    if answers_start {
+        return ReportVerdict::Accepted;
+    }
+    match (finished, failed) {
+        (true, false) => ReportVerdict::Accepted,
+        // It failed, or was dropped while this gateway had no time to poll.
+        (true, true) => ReportVerdict::Interrupted,
+        (false, _) => ReportVerdict::Inconclusive,
     }
 }
 
-/// What asking has come to so far.
+/// The polls of one attempt.
 #[derive(Debug)]
 pub struct PollSchedule {
     bounds: Bounds,
-    /// Before the second try in a row, and each further one.
-    pause: Duration,
-    /// When something sound came last.
-    heard: Duration,
-    /// The last call came to nothing.
-    again: bool,
+    /// The pause before a poll after two failed calls in a row, and after each further one.
+    retry_pause: Duration,
+    last_answer: Duration,
+    last_call_failed: bool,
 }
 
 impl PollSchedule {
-    /// `pause` is waited for before the second try in a row that follows a loss.
-    pub fn new(now: Duration, bounds: Bounds, pause: Duration) -> Self {
+    /// A schedule that waits `retry_pause` after each failed call but the first in a row.
+    pub fn new(now: Duration, bounds: Bounds, retry_pause: Duration) -> Self {
         PollSchedule {
             bounds,
-            pause,
-            heard: now,
-            again: false,
+            retry_pause,
+            last_answer: now,
+            last_call_failed: false,
         }
     }
 
-    /// A sound answer that is no end.
+    /// A call was answered, and the attempt has not ended.
     pub fn answered(&mut self, now: Duration) -> PollStep {
-        (self.heard, self.again) = (now, false);
+        self.last_answer = now;
+        self.last_call_failed = false;
         PollStep::PollAgain(Duration::ZERO)
     }
 
-    /// A call that came to nothing.
-    pub fn failed(&mut self, now: Duration, how: CallFailure) -> PollStep {
-        let too_long =
-            now.saturating_sub(self.heard) > self.bounds.long_poll + self.bounds.poll_expiry;
-        if how == CallFailure::Refused || too_long {
+    /// A call failed.
+    pub fn failed(&mut self, now: Duration, failure: CallFailure) -> PollStep {
+        let unanswered_time = now.saturating_sub(self.last_answer);
+        let expired = unanswered_time > self.bounds.long_poll + self.bounds.poll_expiry;
+        if failure == CallFailure::Refused || expired {
             return PollStep::Stop;
         }
-        match std::mem::replace(&mut self.again, true) {
-            true => PollStep::PollAgain(self.pause),
+        let failed_before = std::mem::replace(&mut self.last_call_failed, true);
+        match failed_before {
+            true => PollStep::PollAgain(self.retry_pause),
             false => PollStep::PollAgain(Duration::ZERO),
         }
     }
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -1,223 +1,135 @@
-//! What must outlive a process: once-only batches that were sent, and which of them are proved over. Records and what
-//! they add up to, without I/O; `journal` writes them.
+//! Encodes the records of the journal: which non-idempotent queries were started, and which of them have finished.
 //!
-//! Times are milliseconds of a clock that goes evenly while the machine runs and is never set (on Linux `CLOCK_BOOTTIME`).
-//! Those of two processes can be compared where both ran in one run of the machine. Where that is not known, each id counts
-//! for its whole span after the new start, whatever any wall clock says.
-
-use std::collections::HashMap;
+//! Times are milliseconds of a clock that runs evenly while the machine is up and is never set (on Linux `CLOCK_BOOTTIME`).
+//! Two processes can compare theirs where both ran in one boot of the machine.
+//!
+//! A record has [`RECORD_BYTES`] bytes, numbers with the lowest byte first:
+//!
+//! | bytes | content |
+//! |---|---|
+//! | 0 | `G` |
+//! | 1 | 1 for [`Record::Started`], 2 for [`Record::Finished`], 3 for [`Record::Boot`] |
+//! | 2 | 1 where there is an ordering key, else 0 |
+//! | 3 | 0 |
+//! | 4 to 7 | CRC-32 of all other bytes |
+//! | 8 to 15 | id of the query, or of the boot |
+//! | 16 to 23 | ordering key, or 0 |
+//! | 24 to 31 | [`StartedQuery::may_run_until_ms`], [`BootRun::longest_run_ms`], or 0 |
+
+use std::ops::Range;
 use std::time::Duration;
 
-/// For so long past its limit a once-only batch counts as one that may run: more than the bound of what nobody asks for.
+/// How long after its deadline a non-idempotent query may run: more than the time after which engines drop what nobody
+/// polls.
 pub const RUN_MARGIN: Duration = Duration::from_secs(5);
 
-/// Bytes of a record: a mark (1), its kind (1), whether it has a key (1), 0 (1), a checksum of the rest (4), id (8), key
-/// (8), until (8); numbers with the lowest byte first.
+/// The size of a record.
 pub const RECORD_BYTES: usize = 32;
-const MARK: u8 = b'G';
-const SENT: u8 = 1;
-const OVER: u8 = 2;
-const RUN: u8 = 3;
 
-/// In place of an end on a clock that can't be compared with that of the process that reads it.
-const NOT_COMPARABLE: u64 = u64::MAX;
+const MAGIC: u8 = b'G';
+const KIND_STARTED: u8 = 1;
+const KIND_FINISHED: u8 = 2;
+const KIND_BOOT: u8 = 3;
 
-/// A run of the machine, from its start to its end.
+const CHECKSUM: Range<usize> = 4..8;
+const ID: Range<usize> = 8..16;
+const ORDERING_KEY: Range<usize> = 16..24;
+const TIME_MS: Range<usize> = 24..32;
+
+/// The time from one start of the machine to its end, during which times can be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BootRun {
-    /// What tells it from other runs; 0 where that is not known.
+    /// Tells it from other boots; 0 where that is not known.
     pub id: u64,
-    /// Milliseconds that an id counts at most from when it is sent.
-    pub span: u64,
+    /// How long a query may run at most after it was sent, in milliseconds.
+    pub longest_run_ms: u64,
 }
 
-/// A once-only batch that may have run.
+/// A non-idempotent query that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SentQuery {
+pub struct StartedQuery {
+    /// The client's id of the query.
     pub id: u64,
-    pub key: Option<u64>,
-    /// Milliseconds of the clock: after that nobody asks for it, and nothing of it runs.
-    pub until: u64,
+    /// Queries of one key run one after the other.
+    pub ordering_key: Option<u64>,
+    /// The time after which nobody polls the query and nothing of it runs, in milliseconds.
+    pub may_run_until_ms: u64,
 }
 
-/// A line of the book.
+/// A record of the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// It is about to go out.
-    Sent(SentQuery),
-    /// No dispatch of it runs any more, and its client has its answer. Its id still counts until its end, as a client
-    /// may come with it again.
-    Finished { id: u64 },
-    /// Ends that follow are on the clock of this run of the machine.
+    /// The query is about to be sent.
+    Started(StartedQuery),
+    /// No attempt of the query runs any more, and its client has its answer. Its id counts until its time is over, as a
+    /// client may send it again.
+    Finished {
+        /// The client's id of the query.
+        id: u64,
+    },
+    /// The times of all records that follow are of this boot.
     Boot(BootRun),
 }
 
 impl Record {
+    /// The bytes of the record.
     pub fn bytes(&self) -> [u8; RECORD_BYTES] {
-        let (kind, id, key, until) = match self {
-            Record::Sent(s) => (SENT, s.id, s.key, s.until),
-            Record::Finished { id } => (OVER, *id, None, 0),
-            Record::Boot(run) => (RUN, run.id, None, run.span),
+        let (kind, id, ordering_key, time_ms) = match self {
+            Record::Started(query) => (
+                KIND_STARTED,
+                query.id,
+                query.ordering_key,
+                query.may_run_until_ms,
+            ),
+            Record::Finished { id } => (KIND_FINISHED, *id, None, 0),
+            Record::Boot(boot) => (KIND_BOOT, boot.id, None, boot.longest_run_ms),
         };
-        let mut out = [0; RECORD_BYTES];
-        (out[0], out[1], out[2]) = (MARK, kind, u8::from(key.is_some()));
-        out[8..16].copy_from_slice(&id.to_le_bytes());
-        out[16..24].copy_from_slice(&key.unwrap_or(0).to_le_bytes());
-        out[24..32].copy_from_slice(&until.to_le_bytes());
-        let sum = sum(&out);
-        out[4..8].copy_from_slice(&sum.to_le_bytes());
-        out
+        let mut bytes = [0; RECORD_BYTES];
+        bytes[0] = MAGIC;
+        bytes[1] = kind;
+        bytes[2] = u8::from(ordering_key.is_some());
+        bytes[ID].copy_from_slice(&id.to_le_bytes());
+        bytes[ORDERING_KEY].copy_from_slice(&ordering_key.unwrap_or(0).to_le_bytes());
+        bytes[TIME_MS].copy_from_slice(&time_ms.to_le_bytes());
+        let checksum = checksum(&bytes);
+        bytes[CHECKSUM].copy_from_slice(&checksum.to_le_bytes());
+        bytes
     }
 
-    /// A record from its bytes; none where they are not one.
+    /// Reads a record; `None` where the bytes are not one.
     pub fn read(bytes: &[u8]) -> Option<Record> {
         let bytes: [u8; RECORD_BYTES] = bytes.try_into().ok()?;
-        let number = |at: usize| u64::from_le_bytes(std::array::from_fn(|n| bytes[at + n]));
-        let told = u32::from_le_bytes(std::array::from_fn(|n| bytes[4 + n]));
-        if bytes[0] != MARK || told != sum(&bytes) {
+        let stored_checksum = u32::from_le_bytes(bytes[CHECKSUM].try_into().ok()?);
+        if bytes[0] != MAGIC || stored_checksum != checksum(&bytes) {
             return None;
         }
-        let key = (bytes[2] == 1).then(|| number(16));
+        let id = number(&bytes, ID);
+        let time_ms = number(&bytes, TIME_MS);
         match bytes[1] {
-            SENT => Some(Record::Sent(SentQuery {
-                id: number(8),
-                key,
-                until: number(24),
+            KIND_STARTED => Some(Record::Started(StartedQuery {
+                id,
+                ordering_key: (bytes[2] == 1).then(|| number(&bytes, ORDERING_KEY)),
+                may_run_until_ms: time_ms,
             })),
-            OVER => Some(Record::Finished { id: number(8) }),
-            RUN => Some(Record::Boot(BootRun {
-                id: number(8),
-                span: number(24),
+            KIND_FINISHED => Some(Record::Finished { id }),
+            KIND_BOOT => Some(Record::Boot(BootRun {
+                id,
+                longest_run_ms: time_ms,
             })),
             _ => None,
         }
     }
 }
 
-fn sum(bytes: &[u8; RECORD_BYTES]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&bytes[..4]);
-    sum.update(&bytes[8..]);
-    sum.finalize()
-}
-
-/// What was read of a journal.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
-    /// Bytes up to which it is good: what follows was cut off by a crash.
-    pub good: usize,
-    /// Records in between that are damaged.
-    pub damaged: usize,
+fn number(bytes: &[u8; RECORD_BYTES], place: Range<usize>) -> u64 {
+    let mut number = [0; 8];
+    number.copy_from_slice(&bytes[place]);
+    u64::from_le_bytes(number)
 }
 
-/// What the records add up to.
-#[derive(Clone, Debug, Default)]
-pub struct JournalState {
-    /// Each with whether it is over.
-    known: HashMap<u64, (SentQuery, bool)>,
-    /// The run of the machine on whose clock their ends are.
-    run: Option<BootRun>,
-    /// Records since the last copy.
-    records: usize,
-    /// How many there are when it is next looked whether they are of use.
-    look_at: usize,
-}
-
-/// Records beyond which a book that is mostly over is written anew.
-const COPY_FROM: usize = 1024;
-
-impl JournalState {
-    /// Reads a journal. Its tail is cut off after the last record that is whole, wherever a crash has torn it.
-    pub fn read(bytes: &[u8]) -> (JournalState, Reading) {
-        let (mut book, mut reading, mut bad) = (JournalState::default(), Reading::default(), 0);
-        for (n, chunk) in bytes.chunks(RECORD_BYTES).enumerate() {
-            match Record::read(chunk) {
-                Some(record) => {
-                    book.add(&record);
-                    reading.damaged += std::mem::take(&mut bad);
-                    reading.good = (n + 1) * RECORD_BYTES;
-                }
-                None => bad += 1,
-            }
-        }
-        (book, reading)
-    }
-
-    pub fn add(&mut self, record: &Record) {
-        self.records += 1;
-        match record {
-            // A further dispatch of a batch keeps the later end.
-            Record::Sent(s) => {
-                let (old, over) = self.known.entry(s.id).or_insert((*s, false));
-                old.until = old.until.max(s.until);
-                *over = false;
-            }
-            Record::Finished { id } => {
-                if let Some((_, over)) = self.known.get_mut(id) {
-                    *over = true;
-                }
-            }
-            Record::Boot(run) => {
-                if self.run.is_some_and(|old| old.id != run.id) {
-                    self.known
-                        .values_mut()
-                        .for_each(|(s, _)| s.until = NOT_COMPARABLE);
-                }
-                self.run = Some(*run);
-            }
-        }
-    }
-
-    /// Goes on in a run of the machine, whose clock says `now`: what was written in another one, or may have been, counts for
-    /// its whole span from now on.
-    pub fn resume(&mut self, run: BootRun, now: u64) {
-        let same = self.run.is_some_and(|old| old.id == run.id && run.id != 0);
-        let span = self.run.map_or(0, |old| old.span).max(run.span);
-        for (sent, _) in self.known.values_mut() {
-            if !same || sent.until == NOT_COMPARABLE {
-                sent.until = now.saturating_add(span);
-            }
-        }
-        self.run = Some(BootRun { span, ..run });
-    }
-
-    /// Batches that were sent and whose end is not past, each with whether it is proved over.
-    pub fn unexpired(&self, now: u64) -> Vec<(SentQuery, bool)> {
-        let mut known: Vec<_> = self
-            .known
-            .values()
-            .filter(|(s, _)| s.until > now)
-            .copied()
-            .collect();
-        known.sort_unstable_by_key(|(s, _)| s.id);
-        known
-    }
-
-    /// Whether most of its records are of no use any more. It looks the closer the more there are, so that looking
-    /// costs little for each record.
-    pub fn is_stale(&mut self, now: u64) -> bool {
-        if self.records < self.look_at.max(COPY_FROM) {
-            return false;
-        }
-        self.known.retain(|_, (s, _)| s.until > now);
-        self.look_at = 2 * self.records;
-        self.records > 4 * self.known.len()
-    }
-
-    /// The book with what is past its end forgotten.
-    pub fn compacted(&mut self, now: u64) -> Vec<u8> {
-        self.known.retain(|_, (s, _)| s.until > now);
-        let records = self.unexpired(now).into_iter().flat_map(|(s, over)| {
-            let ended = over.then_some(Record::Finished { id: s.id });
-            std::iter::once(Record::Sent(s)).chain(ended)
-        });
-        let records: Vec<Record> = self
-            .run
-            .map(Record::Boot)
-            .into_iter()
-            .chain(records)
-            .collect();
-        (self.records, self.look_at) = (records.len(), 2 * records.len());
-        records.iter().flat_map(Record::bytes).collect()
-    }
+fn checksum(bytes: &[u8; RECORD_BYTES]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&bytes[..CHECKSUM.start]);
+    hasher.update(&bytes[CHECKSUM.end..]);
+    hasher.finalize()
 }
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -1,8 +1,11 @@
-//! The journal beside a plain model, torn at every byte, failing in the middle, and killed in truth: a process that is
-//! ended at random while it writes, over and over.
+//! The journal: against a plain model, interrupted at every byte, on storage that fails, and in a process that is killed
+//! at random while it writes, over and over.
 
-use garnetwall_ledger::journal::{FileStorage, Journal, JournalStorage, RecoveryCallback};
-use garnetwall_ledger::records::{BootRun, JournalState, Record, SentQuery, RECORD_BYTES};
+use garnetwall_ledger::journal::{
+    FileStorage, Journal, JournalError, JournalState, JournalStorage, RecoveredQuery,
+    RecoveryCallback,
+};
+use garnetwall_ledger::records::{BootRun, Record, StartedQuery, RECORD_BYTES};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -13,119 +16,136 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-fn sent(id: u64) -> SentQuery {
-    SentQuery {
+fn query(id: u64) -> StartedQuery {
+    StartedQuery {
         id,
-        key: (!id.is_multiple_of(3)).then_some(id % 5),
-        until: 1000 + id,
+        ordering_key: (!id.is_multiple_of(3)).then_some(id % 5),
+        may_run_until_ms: 1000 + id,
     }
 }
 
 fn record() -> impl Strategy<Value = Record> {
     let id = 0u64..20;
     prop_oneof![
-        2 => (id.clone(), 0u64..3000).prop_map(|(id, until)| Record::Sent(SentQuery { until, ..sent(id) })),
+        2 => (id.clone(), 0u64..3000)
+            .prop_map(|(id, may_run_until_ms)| Record::Started(StartedQuery { may_run_until_ms, ..query(id) })),
         1 => id.prop_map(|id| Record::Finished { id }),
     ]
 }
 
-/// What is open after these records, worked out by looking back for each id.
-fn plain(records: &[Record], now: u64) -> Vec<(SentQuery, bool)> {
-    let mut known = Vec::new();
+/// The unexpired queries after these records, found by searching all of them for each id.
+fn plain_model(records: &[Record], now_ms: u64) -> Vec<RecoveredQuery> {
+    let mut queries = Vec::new();
     for id in 0..20 {
-        let of = |r: &&Record| {
-            matches!(r, Record::Sent(s) if s.id == id) || **r == Record::Finished { id }
+        let is_of_query = |record: &&Record| {
+            matches!(record, Record::Started(query) if query.id == id)
+                || **record == Record::Finished { id }
         };
-        let all: Vec<&Record> = records.iter().filter(of).collect();
-        let sent = all.iter().filter_map(|r| match r {
-            Record::Sent(s) => Some(*s),
+        let of_query: Vec<&Record> = records.iter().filter(is_of_query).collect();
+        let started = of_query.iter().filter_map(|record| match record {
+            Record::Started(query) => Some(*query),
             Record::Finished { .. } | Record::Boot(_) => None,
         });
-        let sent: Vec<SentQuery> = sent.collect();
-        if let Some(first) = sent.first() {
-            let until = sent.iter().map(|s| s.until).max().unwrap_or_default();
-            known.push((
-                SentQuery { until, ..*first },
-                all.last() == Some(&&Record::Finished { id }),
-            ));
+        let started: Vec<StartedQuery> = started.collect();
+        if let Some(first) = started.first() {
+            let times = started.iter().map(|query| query.may_run_until_ms);
+            let may_run_until_ms = times.max().unwrap_or_default();
+            queries.push(RecoveredQuery {
+                started: StartedQuery {
+                    may_run_until_ms,
+                    ..*first
+                },
+                finished: of_query.last() == Some(&&Record::Finished { id }),
+            });
         }
     }
-    known.retain(|(s, _)| s.until > now);
-    known
+    queries.retain(|query| query.started.may_run_until_ms > now_ms);
+    queries
 }
 
 proptest! {
     #[test]
-    fn a_book_tells_what_the_plain_model_tells(records in vec(record(), 0..200), now in 0u64..3000) {
+    fn state_agrees_with_the_plain_model(records in vec(record(), 0..200), now in 0u64..3000) {
         let bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
-        let (mut book, reading) = JournalState::read(&bytes);
-        prop_assert_eq!((reading.good, reading.damaged), (bytes.len(), 0));
-        prop_assert_eq!(book.unexpired(now), plain(&records, now));
-        let copy = book.compacted(now);
-        prop_assert_eq!(JournalState::read(&copy).0.unexpired(now), plain(&records, now), "a copy says the same");
+        let mut replay = JournalState::read(&bytes);
+        prop_assert_eq!((replay.valid_bytes, replay.damaged_records), (bytes.len(), 0));
+        prop_assert_eq!(replay.state.unexpired(now), plain_model(&records, now));
+        let compacted = JournalState::read(&replay.state.compacted(now));
+        prop_assert_eq!(compacted.state.unexpired(now), plain_model(&records, now), "after compaction");
     }
 
-    /// Cut at every byte of its tail: all whole records before it count, nothing else.
+    /// Interrupted at every byte: all complete records before it count, nothing else.
     #[test]
-    fn a_torn_tail_is_cut(records in vec(record(), 1..8)) {
+    fn an_interrupted_tail_is_ignored(records in vec(record(), 1..8)) {
         let bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
-        for cut in 0..=bytes.len() {
-            let (book, reading) = JournalState::read(&bytes[..cut]);
-            let whole = cut / RECORD_BYTES;
-            prop_assert_eq!(reading.good, whole * RECORD_BYTES);
-            prop_assert_eq!(book.unexpired(0), plain(&records[..whole], 0));
+        for end in 0..=bytes.len() {
+            let replay = JournalState::read(&bytes[..end]);
+            let complete = end / RECORD_BYTES;
+            prop_assert_eq!(replay.valid_bytes, complete * RECORD_BYTES);
+            prop_assert_eq!(replay.state.unexpired(0), plain_model(&records[..complete], 0));
         }
     }
 
     #[test]
-    fn a_damaged_record_is_told_and_the_others_count(records in vec(record(), 2..20), at in any::<prop::sample::Index>(), bit in 0u8..8) {
+    fn a_damaged_record_is_counted_and_the_others_are_read(records in vec(record(), 2..20), at in any::<prop::sample::Index>(), bit in 0u8..8) {
         let mut bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
-        let bad = at / RECORD_BYTES;
-        let left: Vec<Record> = records.iter().enumerate().filter(|(n, _)| *n != bad).map(|(_, r)| *r).collect();
-        let (book, reading) = JournalState::read(&bytes);
-        // A damaged key flag or byte is caught by the checksum, wherever it is.
-        prop_assert_eq!(book.unexpired(0), plain(&left, 0));
-        let last = bad == records.len() - 1;
-        prop_assert_eq!(reading.damaged, usize::from(!last));
+        let damaged = at / RECORD_BYTES;
+        let others: Vec<Record> =
+            records.iter().enumerate().filter(|(n, _)| *n != damaged).map(|(_, r)| *r).collect();
+        let replay = JournalState::read(&bytes);
+        // The checksum covers the flag of the key, too.
+        prop_assert_eq!(replay.state.unexpired(0), plain_model(&others, 0));
+        let is_last = damaged == records.len() - 1;
+        prop_assert_eq!(replay.damaged_records, usize::from(!is_last));
     }
 }
 
-const RUN: BootRun = BootRun { id: 7, span: 5000 };
+const BOOT: BootRun = BootRun {
+    id: 7,
+    longest_run_ms: 5000,
+};
 
-/// Nobody needs to hear what an earlier process sent.
-fn unheard() -> RecoveryCallback {
+/// For tests that need no recovered queries.
+fn ignore_recovery() -> RecoveryCallback {
     Box::new(drop)
 }
 
-/// A log that fails at a step, and for as many after it as are told.
+/// Storage some of whose operations fail.
 #[derive(Clone, Default)]
-struct Failing {
+struct FailingStorage {
     bytes: Arc<Mutex<Vec<u8>>>,
-    /// Steps taken, the first that fails, and how many do.
-    steps: Arc<Mutex<(usize, usize, usize)>>,
+    operations: Arc<Mutex<Operations>>,
 }
 
-impl Failing {
-    fn step(&self) -> io::Result<()> {
-        let mut steps = self.steps.lock().unwrap();
-        steps.0 += 1;
-        match (steps.1..steps.1 + steps.2).contains(&steps.0) {
+#[derive(Default)]
+struct Operations {
+    done: usize,
+    first_failure: usize,
+    failures: usize,
+}
+
+impl FailingStorage {
+    fn operate(&self) -> io::Result<()> {
+        let mut operations = self.operations.lock().unwrap();
+        operations.done += 1;
+        let failing = operations.first_failure..operations.first_failure + operations.failures;
+        match failing.contains(&operations.done) {
             true => Err(io::ErrorKind::StorageFull.into()),
             false => Ok(()),
         }
     }
 }
 
-impl JournalStorage for Failing {
+impl JournalStorage for FailingStorage {
     fn read(&mut self) -> io::Result<Vec<u8>> {
-        self.step()?;
+        self.operate()?;
         Ok(self.bytes.lock().unwrap().clone())
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let written = self.step();
+        let written = self.operate();
         let half = if written.is_ok() {
             bytes.len()
         } else {
@@ -136,26 +156,29 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.step()
+        self.operate()
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.step()?;
+        self.operate()?;
         *self.bytes.lock().unwrap() = bytes.to_vec();
         Ok(())
     }
 }
 
-fn commit(journal: &Journal, id: u64) -> io::Result<()> {
-    let (done, ended) = channel();
-    journal.record_sent(sent(id), Box::new(move |written| drop(done.send(written))));
-    ended.recv().unwrap()
+fn commit(journal: &Journal, id: u64) -> Result<(), JournalError> {
+    let (on_written, written) = channel();
+    journal.record_started(
+        query(id),
+        Box::new(move |result| drop(on_written.send(result))),
+    );
+    written.recv().unwrap()
 }
 
-/// A run of steps fails, whichever: what was promised is in the log at all times, nothing is promised while it fails, and all is
-/// again within two seconds of its return.
+/// Whichever operations fail: what was confirmed is stored at all times, nothing is confirmed while they fail, and all is
+/// confirmed again within two seconds of the last failure.
 #[test]
-fn after_a_failed_step_nothing_is_promised_until_a_whole_copy_stands() {
+fn after_a_failed_step_nothing_is_confirmed_until_a_complete_journal_is_stored() {
     let cases = (1..=12).flat_map(|first| [1, 3].map(|count| (first, count)));
     let threads: Vec<_> = cases
         .map(|(first, count)| std::thread::spawn(move || fails_at(first, count)))
@@ -163,187 +186,208 @@
     threads.into_iter().for_each(|case| case.join().unwrap());
 }
 
-fn fails_at(first: usize, count: usize) {
-    let log = Failing::default();
-    *log.steps.lock().unwrap() = (0, first, count);
-    let (journal, begun) = Journal::start(log.clone(), RUN, || 0, unheard());
+fn fails_at(first_failure: usize, failures: usize) {
+    let case = format!("{failures} from {first_failure}");
+    let storage = FailingStorage::default();
+    *storage.operations.lock().unwrap() = Operations {
+        done: 0,
+        first_failure,
+        failures,
+    };
+    let (journal, started) = Journal::start(storage.clone(), BOOT, || 0, ignore_recovery());
     assert_eq!(
-        begun.is_ok(),
-        first > 2,
-        "reading and the first copy are steps 1 and 2"
+        started.is_ok(),
+        first_failure > 2,
+        "reading and the first replacement are operations 1 and 2"
     );
-    let mut promised = Vec::new();
-    let began = std::time::Instant::now();
-    let mut refused = 0;
+    let mut confirmed = Vec::new();
+    let started_at = std::time::Instant::now();
+    let mut rejected = 0;
     for id in 0.. {
         match commit(&journal, id) {
-            Ok(()) => promised.push(id),
-            Err(_) => refused += 1,
+            Ok(()) => confirmed.push(id),
+            Err(_) => rejected += 1,
         }
-        let open = JournalState::read(&log.bytes.lock().unwrap())
-            .0
-            .unexpired(0);
-        for id in &promised {
-            assert!(
-                open.contains(&(sent(*id), false)),
-                "{first}, {count}: {id} was promised"
-            );
+        let stored = JournalState::read(&storage.bytes.lock().unwrap());
+        let stored = stored.state.unexpired(0);
+        for id in &confirmed {
+            let query = RecoveredQuery {
+                started: query(*id),
+                finished: false,
+            };
+            assert!(stored.contains(&query), "{case}: {id} was confirmed");
         }
-        let passed = log.steps.lock().unwrap().0 >= first + count;
-        if passed && promised.last() == Some(&id) && promised.len() > 6 {
+        let passed = storage.operations.lock().unwrap().done >= first_failure + failures;
+        if passed && confirmed.last() == Some(&id) && confirmed.len() > 6 {
             break;
         }
         assert!(
-            began.elapsed() < Duration::from_secs(2),
-            "{first}, {count}: nothing is promised again"
+            started_at.elapsed() < Duration::from_secs(2),
+            "{case}: nothing is confirmed again"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(refused > 0, "{first}, {count}: nothing failed");
+    assert!(rejected > 0, "{case}: nothing failed");
 }
 
-/// A process in another run of the machine, or in one that is not known, takes each id for its whole span; one in the same run
-/// for what is left of it.
+/// In another boot, or in one that is not known, each query may run for its longest time from then on; in the same boot for
+/// what is left of it.
 #[test]
-fn an_end_counts_only_in_the_run_that_it_was_written_in() {
-    let mut book = JournalState::default();
-    book.resume(RUN, 1_000_000);
-    book.add(&Record::Sent(SentQuery {
-        until: 1_004_000,
-        ..sent(1)
+fn times_count_only_in_the_boot_they_were_recorded_in() {
+    let mut state = JournalState::default();
+    state.resume(BOOT, 1_000_000);
+    state.add(&Record::Started(StartedQuery {
+        may_run_until_ms: 1_004_000,
+        ..query(1)
     }));
-    let file = book.compacted(1_000_000);
-    let left = |run: BootRun, now: u64| {
-        let mut book = JournalState::read(&file).0;
-        book.resume(run, now);
-        book.unexpired(now)
+    let file = state.compacted(1_000_000);
+    let remaining_ms = |boot: BootRun, now: u64| {
+        let mut state = JournalState::read(&file).state;
+        state.resume(boot, now);
+        state
+            .unexpired(now)
             .first()
-            .map(|(sent, _)| sent.until - now)
+            .map(|query| query.started.may_run_until_ms - now)
+    };
+    let unknown = BootRun {
+        id: 0,
+        longest_run_ms: 9000,
     };
-    assert_eq!(left(RUN, 1_003_000), Some(1000));
-    assert_eq!(left(RUN, 1_005_000), None);
-    assert_eq!(left(BootRun { id: 8, ..RUN }, 40), Some(5000));
-    assert_eq!(left(BootRun { id: 8, ..RUN }, 9_000_000), Some(5000));
-    assert_eq!(left(BootRun { id: 0, span: 9000 }, 1_003_000), Some(9000));
-    // Written before runs were told: an end in Unix milliseconds.
-    let old: Vec<u8> = Record::Sent(SentQuery {
-        until: 1_700_000_000_000,
-        ..sent(2)
+    assert_eq!(remaining_ms(BOOT, 1_003_000), Some(1000));
+    assert_eq!(remaining_ms(BOOT, 1_005_000), None);
+    assert_eq!(remaining_ms(BootRun { id: 8, ..BOOT }, 40), Some(5000));
+    assert_eq!(
+        remaining_ms(BootRun { id: 8, ..BOOT }, 9_000_000),
+        Some(5000)
+    );
+    assert_eq!(remaining_ms(unknown, 1_003_000), Some(9000));
+    // Before boots were recorded, times were Unix milliseconds.
+    let old: Vec<u8> = Record::Started(StartedQuery {
+        may_run_until_ms: 1_700_000_000_000,
+        ..query(2)
     })
     .bytes()
     .to_vec();
-    let mut book = JournalState::read(&old).0;
-    book.resume(RUN, 500);
-    assert_eq!(book.unexpired(500)[0].0.until, 5500);
+    let mut state = JournalState::read(&old).state;
+    state.resume(BOOT, 500);
+    assert_eq!(state.unexpired(500)[0].started.may_run_until_ms, 5500);
 }
 
 #[test]
-fn what_is_over_is_forgotten_and_the_file_stays_small() {
+fn expired_queries_are_removed_and_the_file_stays_small() {
     let path = std::env::temp_dir().join(format!("garnetwall-compact-{}", std::process::id()));
-    // All but the last are past their end.
-    let (journal, begun) = Journal::start(FileStorage::new(&path), RUN, || 1_000_000, unheard());
-    begun.unwrap();
+    // The time of all but the last is over.
+    let (journal, started) = Journal::start(
+        FileStorage::new(&path),
+        BOOT,
+        || 1_000_000,
+        ignore_recovery(),
+    );
+    started.unwrap();
     for id in 0..20_000u64 {
-        let until = if id < 19_990 { 1 } else { u64::MAX };
+        let may_run_until_ms = if id < 19_990 { 1 } else { u64::MAX };
         let waits = id.is_multiple_of(100);
         if waits {
             commit(&journal, id).unwrap();
         } else {
-            journal.record_sent(SentQuery { until, ..sent(id) }, Box::new(|_| ()));
+            let query = StartedQuery {
+                may_run_until_ms,
+                ..query(id)
+            };
+            journal.record_started(query, Box::new(|_| ()));
         }
         journal.record_finished(id);
     }
     drop(journal);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
     assert!(length < 12_000 * RECORD_BYTES, "{length}");
-    let known = JournalState::read(&std::fs::read(&path).unwrap())
-        .0
-        .unexpired(1_000_000);
-    assert!(known.iter().all(|(_, over)| *over));
-    let known: Vec<u64> = known.iter().map(|(s, _)| s.id).collect();
-    assert_eq!(known, (19_990..20_000).collect::<Vec<_>>());
+    let stored = JournalState::read(&std::fs::read(&path).unwrap());
+    let stored = stored.state.unexpired(1_000_000);
+    assert!(stored.iter().all(|query| query.finished));
+    let stored: Vec<u64> = stored.iter().map(|query| query.started.id).collect();
+    assert_eq!(stored, (19_990..20_000).collect::<Vec<_>>());
     std::fs::remove_file(path).unwrap();
 }
 
-/// The process that is killed: it commits ids without end and says each one that is promised.
-fn writes_until_killed(path: &Path, from: u64) {
-    let (journal, begun) = Journal::start(FileStorage::new(path), RUN, || 0, unheard());
-    begun.unwrap();
-    for id in from.. {
+/// The process that is killed: it records ids without end and prints each one that is confirmed or finished.
+fn write_until_killed(path: &Path, first_id: u64) {
+    let (journal, started) = Journal::start(FileStorage::new(path), BOOT, || 0, ignore_recovery());
+    started.unwrap();
+    for id in first_id.. {
         commit(&journal, id).unwrap();
-        println!("sent {id}");
+        println!("started {id}");
         if id.is_multiple_of(3) {
             journal.record_finished(id);
-            println!("over {id}");
+            println!("finished {id}");
         }
         io::stdout().flush().unwrap();
     }
 }
 
-/// Killed at random, 30 times over one file: every id that was promised and not said to be over is there, and an id that
-/// was never written is not.
+/// The word and the id of a line that the killed process printed; the test runner may have put something before it.
+fn printed(line: &str) -> Option<(&'static str, u64)> {
+    ["started", "finished"].into_iter().find_map(|word| {
+        let (_, id) = line.split_once(&format!("{word} "))?;
+        Some((word, id.parse().ok()?))
+    })
+}
+
+/// Killed at random, 30 times over one file: every id that was confirmed and not printed as finished is stored, and an id
+/// that was never written is not.
 #[test]
-fn killed_in_a_loop_nothing_that_was_promised_is_lost() {
+fn killed_in_a_loop_no_confirmed_record_is_lost() {
     const PATH: &str = "GARNETWALL_JOURNAL_TEST";
     if let Ok(path) = std::env::var(PATH) {
-        let (path, from) = path.rsplit_once('=').unwrap();
-        return writes_until_killed(Path::new(path), from.parse().unwrap());
+        let (path, first_id) = path.rsplit_once('=').unwrap();
+        return write_until_killed(Path::new(path), first_id.parse().unwrap());
     }
     let path = std::env::temp_dir().join(format!("garnetwall-killed-{}", std::process::id()));
-    let mut said: HashMap<u64, &str> = HashMap::new();
-    let mut from = 0;
+    let mut last_printed: HashMap<u64, &str> = HashMap::new();
+    let mut first_id = 0;
     for round in 0..30u64 {
         let mut child = Command::new(std::env::current_exe().unwrap())
             .args([
                 "--exact",
-                "killed_in_a_loop_nothing_that_was_promised_is_lost",
+                "killed_in_a_loop_no_confirmed_record_is_lost",
                 "--nocapture",
             ])
-            .env(PATH, format!("{}={from}", path.display()))
+            .env(PATH, format!("{}={first_id}", path.display()))
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         // Not before it writes; then somewhere in the middle.
-        let is_word = |line: &String| line.contains("sent ") || line.contains("over ");
         let first = lines
             .by_ref()
-            .map(|l| l.unwrap())
-            .find(is_word)
+            .map(|line| line.unwrap())
+            .find(|line| printed(line).is_some())
             .expect("it writes");
         std::thread::sleep(Duration::from_micros(200 + round * 731 % 5000));
         child.kill().unwrap();
         child.wait().unwrap();
-        // The last line may be torn, too: it counts only with its end.
+        // The last line may be interrupted, too: an id that is cut short can only be one that was printed before.
         for line in std::iter::once(first).chain(lines.map_while(Result::ok)) {
-            let words = line.split_once("sent ").map(|(_, id)| ("sent", id));
-            let Some((word, id)) = words.or(line.split_once("over ").map(|(_, id)| ("over", id)))
-            else {
-                continue;
-            };
-            let Ok(id) = id.parse::<u64>() else { continue };
-            said.insert(id, word);
+            if let Some((word, id)) = printed(&line) {
+                last_printed.insert(id, word);
+            }
         }
-        let open: Vec<u64> = JournalState::read(&std::fs::read(&path).unwrap())
-            .0
-            .unexpired(0)
-            .iter()
-            .map(|(s, _)| s.id)
-            .collect();
-        for (id, word) in said.iter().filter(|(_, word)| **word == "sent") {
+        let stored = JournalState::read(&std::fs::read(&path).unwrap());
+        let stored = stored.state.unexpired(0);
+        let stored: Vec<u64> = stored.iter().map(|query| query.started.id).collect();
+        for (id, word) in last_printed.iter().filter(|(_, word)| **word == "started") {
             assert!(
-                open.contains(id),
+                stored.contains(id),
                 "round {round}: {id} was {word} and is lost"
             );
         }
-        let most = said.keys().max().copied().unwrap_or(0);
+        let highest = last_printed.keys().max().copied().unwrap_or(0);
         assert!(
-            open.iter().all(|id| *id <= most + 1),
+            stored.iter().all(|id| *id <= highest + 1),
             "round {round}: never written"
         );
-        from = most + 2;
+        first_id = highest + 2;
     }
-    assert!(said.len() > 60, "{} ids in all", said.len());
+    assert!(last_printed.len() > 60, "{} ids in all", last_printed.len());
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -7,8 +7,8 @@
 //! How a journal is torn, damaged or fails in other places is tested in journal.rs; that a gateway refuses what its
 //! journal holds, in crates/gateway/tests/recovery.rs and wire.rs.
 
-use garnetwall_ledger::journal::{FileStorage, Journal};
-use garnetwall_ledger::records::{BootRun, JournalState, Record, SentQuery};
+use garnetwall_ledger::journal::{FileStorage, Journal, JournalState, RecoveredQuery};
+use garnetwall_ledger::records::{BootRun, Record, StartedQuery};
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
 
@@ -17,22 +17,22 @@
 /// The boot run in which it was written, and the time that its queries may run at most.
 const BOOT: BootRun = BootRun {
     id: 0x2b7e_1516_28ae_4d2a,
-    span: 65_000,
+    longest_run_ms: 65_000,
 };
-const FIRST: SentQuery = SentQuery {
+const FIRST: StartedQuery = StartedQuery {
     id: 0x9b1f_03aa_5c7e_2d01,
-    key: None,
-    until: 1_138_390,
+    ordering_key: None,
+    may_run_until_ms: 1_138_390,
 };
-const SECOND: SentQuery = SentQuery {
+const SECOND: StartedQuery = StartedQuery {
     id: 0x9b1f_03aa_5c7e_2d02,
-    key: Some(0x7f3a_9c21_e0b4_d655),
-    until: 1_138_171,
+    ordering_key: Some(0x7f3a_9c21_e0b4_d655),
+    may_run_until_ms: 1_138_171,
 };
-const THIRD: SentQuery = SentQuery {
+const THIRD: StartedQuery = StartedQuery {
     id: 0x9b1f_03aa_5c7e_2d03,
-    key: Some(0x7f3a_9c21_e0b4_d655),
-    until: 1_138_171,
+    ordering_key: Some(0x7f3a_9c21_e0b4_d655),
+    may_run_until_ms: 1_138_171,
 };
 
 /// Each record as it stands in the file.
@@ -43,7 +43,7 @@
     ),
     (
         "47010000 70d89109 012d7e5caa031f9b 0000000000000000 d65e110000000000",
-        Record::Sent(FIRST),
+        Record::Started(FIRST),
     ),
     (
         "47020000 fcc917c1 012d7e5caa031f9b 0000000000000000 0000000000000000",
@@ -51,7 +51,7 @@
     ),
     (
         "47010100 295e2f2a 022d7e5caa031f9b 55d6b4e0219c3a7f fb5d110000000000",
-        Record::Sent(SECOND),
+        Record::Started(SECOND),
     ),
     (
         "47020000 d4600999 022d7e5caa031f9b 0000000000000000 0000000000000000",
@@ -59,7 +59,7 @@
     ),
     (
         "47010100 0e3b0aab 032d7e5caa031f9b 55d6b4e0219c3a7f fb5d110000000000",
-        Record::Sent(THIRD),
+        Record::Started(THIRD),
     ),
 ];
 
@@ -79,23 +79,35 @@
     assert_eq!(Record::read(&STORED[192..]), None);
 }
 
+fn recovered(started: StartedQuery, finished: bool) -> RecoveredQuery {
+    RecoveredQuery { started, finished }
+}
+
+fn all_recovered() -> [RecoveredQuery; 3] {
+    [(FIRST, true), (SECOND, true), (THIRD, false)]
+        .map(|(started, finished)| recovered(started, finished))
+}
+
 #[test]
 fn an_interrupted_journal_says_what_was_sent_and_what_is_finished() {
-    let (state, reading) = JournalState::read(STORED);
-    assert_eq!((reading.good, reading.damaged), (192, 0));
-    let all = vec![(FIRST, true), (SECOND, true), (THIRD, false)];
-    assert_eq!(state.unexpired(0), all);
-    assert_eq!(state.unexpired(1_138_171), [(FIRST, true)]);
+    let replay = JournalState::read(STORED);
+    assert_eq!((replay.valid_bytes, replay.damaged_records), (192, 0));
+    assert_eq!(replay.state.unexpired(0), all_recovered());
+    assert_eq!(replay.state.unexpired(1_138_171), [recovered(FIRST, true)]);
 }
 
 #[test]
 fn in_another_boot_run_all_of_it_counts_for_its_whole_span() {
-    let (mut state, _) = JournalState::read(STORED);
-    let run = BootRun { id: 7, span: 1_000 };
+    let mut state = JournalState::read(STORED).state;
+    let run = BootRun {
+        id: 7,
+        longest_run_ms: 1_000,
+    };
     state.resume(run, 5_000);
-    let until = 5_000 + BOOT.span;
-    let all = [(FIRST, true), (SECOND, true), (THIRD, false)];
-    let all = all.map(|(sent, finished)| (SentQuery { until, ..sent }, finished));
+    let mut all = all_recovered();
+    for query in &mut all {
+        query.started.may_run_until_ms = 5_000 + BOOT.longest_run_ms;
+    }
     assert_eq!(state.unexpired(5_000), all);
 }
 
@@ -110,8 +122,7 @@
     let callback = Box::new(move |all| drop(recovered.send(all)));
     let (journal, started) = Journal::start(storage, BOOT, || 1_138_170, callback);
     started.unwrap();
-    let all = vec![(FIRST, true), (SECOND, true), (THIRD, false)];
-    assert_eq!(known.recv().unwrap(), all);
+    assert_eq!(known.recv().unwrap(), all_recovered());
     journal.record_finished(THIRD.id);
     drop(journal);
     let mut expected = STORED[..192].to_vec();
