--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery of the non-idempotent queries that an earlier process sent.
 
 use super::Scheduler;
-use crate::storage::query_journal::RecoveredQuery;
+use garnetwall_ledger::journal::RecoveredQuery;
 use std::time::Duration;
 
 /// Milliseconds of a second, as the journal counts times in milliseconds.
@@ -20,10 +20,10 @@
     pub fn recovered(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
         self.handle_event(|state, now| {
             let resumes_at = now + longest_unpolled_run.as_secs_f64();
-            for RecoveredQuery { record, finished } in queries {
-                let expires_at = record.until as f64 / MILLIS_PER_SECOND;
-                state.queries.recover(record.id, expires_at);
-                if let Some(key) = record.key.filter(|_| !finished) {
+            for RecoveredQuery { started, finished } in queries {
+                let expires_at = started.may_run_until_ms as f64 / MILLIS_PER_SECOND;
+                state.queries.recover(started.id, expires_at);
+                if let Some(key) = started.ordering_key.filter(|_| !finished) {
                     state.controller.pause_key(key, resumes_at);
                 }
             }
