--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -29,7 +29,7 @@
 /// What the plan sets for a query that it admits. It counts against the plan's limits until it is given to
 /// [`PlanRouter::release`].
 pub struct PlanAdmission {
-    ticket: LimitPermit,
+    permit: LimitPermit,
     /// Keeps the plan, and with it the query's endpoint subset, for as long as the query is open.
     _plan: Arc<CompiledPlan>,
     /// The endpoint subset that the query is confined to; every engine where it is `None`.
@@ -58,16 +58,16 @@
 }
 
 impl From<LimitExceeded> for PlanRejection {
-    fn from(over: LimitExceeded) -> Self {
+    fn from(exceeded: LimitExceeded) -> Self {
         // Wire: clients are sent these words.
-        let quantity = match over.kind {
+        let quantity = match exceeded.kind {
             LimitKind::InFlight => "InHand",
             LimitKind::Rate => "Rate",
             LimitKind::Bytes => "Bytes",
         };
         PlanRejection::LimitReached {
-            reason: format!("over the limit {} ({quantity})", over.limit),
-            retry_after: Some(over.retry_after),
+            reason: format!("over the limit {} ({quantity})", exceeded.limit),
+            retry_after: Some(exceeded.retry_after),
         }
     }
 }
@@ -75,13 +75,14 @@
 /// A plan compiled for routing.
 struct CompiledPlan {
     routing: Routing,
-    /// The number of the endpoint subset of its first lane; those of the others follow.
+    /// The number that the admission controller knows its first endpoint subset by; those of the others follow.
     first_subset: u32,
 }
 
 impl CompiledPlan {
-    fn subset(&self, lane: usize) -> u32 {
-        self.first_subset.wrapping_add(lane as u32)
+    /// The number of the endpoint subset at an index of [`Routing::subsets`].
+    fn subset_number(&self, index: usize) -> u32 {
+        self.first_subset.wrapping_add(index as u32)
     }
 
     fn subset_count(&self) -> usize {
@@ -92,17 +93,17 @@
 /// A plan with the engines of its pools.
 struct RoutedPlan {
     plan: Arc<CompiledPlan>,
-    engines: PoolMembers,
+    pool_members: PoolMembers,
 }
 
 impl RoutedPlan {
     fn new(routing: Routing, first_subset: u32) -> Self {
-        let engines = PoolMembers::new(&routing);
+        let pool_members = PoolMembers::new(&routing);
         let plan = Arc::new(CompiledPlan {
             routing,
             first_subset,
         });
-        RoutedPlan { plan, engines }
+        RoutedPlan { plan, pool_members }
     }
 
     /// Whether an open query was admitted under it.
@@ -110,20 +111,20 @@
         Arc::strong_count(&self.plan) > 1
     }
 
-    /// The subsets of its lanes, except of those that leave every engine open.
+    /// Its endpoint subsets, except those that leave every engine open.
     fn subset_updates(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
         let routing = &self.plan.routing;
-        let is_confined = |lane: &usize| !routing.subsets()[*lane].is_unrestricted();
+        let is_restricted = |index: &usize| !routing.subsets()[*index].is_unrestricted();
         (0..self.plan.subset_count())
-            .filter(is_confined)
-            .map(|lane| SubsetUpdate {
-                endpoint_subset: self.plan.subset(lane),
-                priority_levels: Some(self.priority_levels(lane)),
+            .filter(is_restricted)
+            .map(|index| SubsetUpdate {
+                endpoint_subset: self.plan.subset_number(index),
+                priority_levels: Some(self.priority_levels(index)),
             })
     }
 
-    fn priority_levels(&self, lane: usize) -> Vec<EngineSet> {
-        let levels = self.engines.priority_levels(&self.plan.routing, lane);
+    fn priority_levels(&self, index: usize) -> Vec<EngineSet> {
+        let levels = self.pool_members.priority_levels(&self.plan.routing, index);
         levels
             .iter()
             .map(|engines| EngineSet(engines.words().to_vec()))
@@ -131,8 +132,8 @@
     }
 
     fn subset_removals(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
-        (0..self.plan.subset_count()).map(|lane| SubsetUpdate {
-            endpoint_subset: self.plan.subset(lane),
+        (0..self.plan.subset_count()).map(|index| SubsetUpdate {
+            endpoint_subset: self.plan.subset_number(index),
             priority_levels: None,
         })
     }
@@ -183,7 +184,7 @@
         let routing = Routing::new(plan, self.names.clone());
         self.limits.update_plan(&routing, self.capacity);
         let next = RoutedPlan::new(routing, self.next_subset);
-        self.next_subset = next.plan.subset(next.plan.subset_count());
+        self.next_subset = next.plan.subset_number(next.plan.subset_count());
         let previous = std::mem::replace(&mut self.in_force, next);
         self.superseded.push(previous);
         let mut updates = self.remove_unused_plans();
@@ -237,7 +238,7 @@
         });
         for routed in self.superseded.iter_mut().chain([&mut self.in_force]) {
             routed
-                .engines
+                .pool_members
                 .update(&routed.plan.routing, engine, facts.as_ref());
         }
     }
@@ -268,25 +269,21 @@
     pub fn admit(&mut self, now: f64, query: &RoutedQuery) -> Result<PlanAdmission, PlanRejection> {
         let plan = &self.in_force.plan;
         let routing = &plan.routing;
-        let (class, lane) = match routing.decide(query) {
-            RouteDecision::Admitted {
-                class: group,
-                subset: lane,
-                ..
-            } => (group, lane),
+        let (class, index) = match routing.decide(query) {
+            RouteDecision::Admitted { class, subset, .. } => (class, subset),
             RouteDecision::Rejected { route } => return Err(refused_by_route(routing, route)),
-            RouteDecision::StatementTooLong { max_bytes: most } => {
-                return Err(PlanRejection::StatementTooLong { max_bytes: most })
+            RouteDecision::StatementTooLong { max_bytes } => {
+                return Err(PlanRejection::StatementTooLong { max_bytes })
             }
         };
-        let ticket = self.limits.admit(routing, unix_time(now), query)?;
+        let permit = self.limits.admit(routing, unix_time(now), query)?;
         let deadline_of = |class: usize| routing.class_rules(class).and_then(|rules| rules.limit);
         let deadlines = [deadline_of(query.class), deadline_of(class)];
-        let is_confined = !routing.subsets()[lane].is_unrestricted();
+        let is_restricted = !routing.subsets()[index].is_unrestricted();
         Ok(PlanAdmission {
-            ticket,
+            permit,
             _plan: plan.clone(),
-            endpoint_subset: is_confined.then(|| plan.subset(lane)),
+            endpoint_subset: is_restricted.then(|| plan.subset_number(index)),
             class,
             deadline: deadlines.into_iter().flatten().min(),
         })
@@ -294,7 +291,7 @@
 
     /// Returns what an admitted query holds of the plan's limits, once the query has ended.
     pub fn release(&mut self, now: f64, admission: PlanAdmission) {
-        self.limits.release(unix_time(now), admission.ticket);
+        self.limits.release(unix_time(now), admission.permit);
     }
 }
 
