--- a/crates/ledger/src/journal/state.rs
+++ b/crates/ledger/src/journal/state.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveredQuery {
     /// As it was recorded before it was sent.
-    pub started: StartedQuery,
+    pub record: StartedQuery,
     /// No attempt of it runs any more.
     pub finished: bool,
 }
@@ -81,18 +81,17 @@
     /// A further attempt of a query keeps the later time.
     fn add_started(&mut self, started: &StartedQuery) {
         let query = self.queries.entry(started.id).or_insert(RecoveredQuery {
-            started: *started,
+            record: *started,
             finished: false,
         });
-        query.started.may_run_until_ms =
-            query.started.may_run_until_ms.max(started.may_run_until_ms);
+        query.record.may_run_until_ms = query.record.may_run_until_ms.max(started.may_run_until_ms);
         query.finished = false;
     }
 
     fn add_boot(&mut self, boot: BootRun) {
         if self.boot.is_some_and(|before| before.id != boot.id) {
             for query in self.queries.values_mut() {
-                query.started.may_run_until_ms = NOT_COMPARABLE_MS;
+                query.record.may_run_until_ms = NOT_COMPARABLE_MS;
             }
         }
         self.boot = Some(boot);
@@ -105,8 +104,8 @@
         let longest_before_ms = self.boot.map_or(0, |before| before.longest_run_ms);
         let longest_run_ms = longest_before_ms.max(boot.longest_run_ms);
         for query in self.queries.values_mut() {
-            if !same_boot || query.started.may_run_until_ms == NOT_COMPARABLE_MS {
-                query.started.may_run_until_ms = now_ms.saturating_add(longest_run_ms);
+            if !same_boot || query.record.may_run_until_ms == NOT_COMPARABLE_MS {
+                query.record.may_run_until_ms = now_ms.saturating_add(longest_run_ms);
             }
         }
         self.boot = Some(BootRun {
@@ -120,9 +119,9 @@
         let unexpired = self
             .queries
             .values()
-            .filter(|query| query.started.may_run_until_ms > now_ms);
+            .filter(|query| query.record.may_run_until_ms > now_ms);
         let mut queries: Vec<_> = unexpired.copied().collect();
-        queries.sort_unstable_by_key(|query| query.started.id);
+        queries.sort_unstable_by_key(|query| query.record.id);
         queries
     }
 
@@ -142,10 +141,10 @@
         self.remove_expired(now_ms);
         let mut records: Vec<Record> = self.boot.map(Record::Boot).into_iter().collect();
         for query in self.unexpired(now_ms) {
-            records.push(Record::Started(query.started));
+            records.push(Record::Started(query.record));
             if query.finished {
                 records.push(Record::Finished {
-                    id: query.started.id,
+                    id: query.record.id,
                 });
             }
         }
@@ -156,6 +155,6 @@
 
     fn remove_expired(&mut self, now_ms: u64) {
         self.queries
-            .retain(|_, query| query.started.may_run_until_ms > now_ms);
+            .retain(|_, query| query.record.may_run_until_ms > now_ms);
     }
 }
