--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::discovery::{EngineLine, Event};
+use crate::discovery::{EngineEntry, Event};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::system::clock::Clock;
 use bytes::Bytes;
@@ -9,16 +9,16 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-fn engine_line(id: &str, state: EndpointState) -> EngineLine {
+fn engine_line(id: &str, state: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    EngineLine {
+    EngineEntry {
         id: id.into(),
         address,
         zone: 0,
         kind: 0,
         cell: 0,
-        came_up: None,
-        condition: state,
+        started_at_unix: None,
+        state,
     }
 }
 
@@ -59,14 +59,14 @@
 
     fn set_state(&self, state: EndpointState) {
         let address = self.listener.local_addr().unwrap();
-        let lines = vec![EngineLine {
+        let lines = vec![EngineEntry {
             address,
             ..engine_line("a", state)
         }];
         self.engines.list.apply(Event {
             number: 1,
-            whole: true,
-            lines,
+            is_full_list: true,
+            entries: lines,
         });
     }
 
