--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -4,7 +4,8 @@
 use crate::system::boot_clock::BootClock;
 use crate::system::clock::Clock;
 use crate::system::os_error::may_pass;
-use garnetwall_ledger::journal::{FileStorage, Journal, JournalError, RecoveredQuery};
+pub use garnetwall_ledger::journal::RecoveredQuery;
+use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
 use garnetwall_ledger::records::{BootRun, StartedQuery, RUN_MARGIN};
 use std::io;
 use std::path::Path;
@@ -145,7 +146,7 @@
     }
 }
 
-/// Converts the queries of an earlier process from the clock of this boot to the gateway's clock.
+/// Converts the records of an earlier process from the clock of this boot to the gateway's clock.
 fn recovered_queries(
     found: Vec<RecoveredQuery>,
     clock: Clock,
@@ -153,15 +154,13 @@
 ) -> Vec<RecoveredQuery> {
     let now_ms = millis(clock.now());
     let boot_now_ms = boot_clock.millis();
-    let convert = |query: RecoveredQuery| {
-        let remaining_ms = query.started.may_run_until_ms.saturating_sub(boot_now_ms);
-        RecoveredQuery {
-            started: StartedQuery {
-                may_run_until_ms: now_ms + remaining_ms,
-                ..query.started
-            },
-            ..query
-        }
+    let convert = |RecoveredQuery { record, finished }| {
+        let remaining_ms = record.may_run_until_ms.saturating_sub(boot_now_ms);
+        let record = StartedQuery {
+            may_run_until_ms: now_ms + remaining_ms,
+            ..record
+        };
+        RecoveredQuery { record, finished }
     };
     found.into_iter().map(convert).collect()
 }
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -51,7 +51,7 @@
             let times = started.iter().map(|query| query.may_run_until_ms);
             let may_run_until_ms = times.max().unwrap_or_default();
             queries.push(RecoveredQuery {
-                started: StartedQuery {
+                record: StartedQuery {
                     may_run_until_ms,
                     ..*first
                 },
@@ -59,7 +59,7 @@
             });
         }
     }
-    queries.retain(|query| query.started.may_run_until_ms > now_ms);
+    queries.retain(|query| query.record.may_run_until_ms > now_ms);
     queries
 }
 
@@ -212,7 +212,7 @@
         let stored = stored.state.unexpired(0);
         for id in &confirmed {
             let query = RecoveredQuery {
-                started: query(*id),
+                record: query(*id),
                 finished: false,
             };
             assert!(stored.contains(&query), "{case}: {id} was confirmed");
@@ -247,7 +247,7 @@
         state
             .unexpired(now)
             .first()
-            .map(|query| query.started.may_run_until_ms - now)
+            .map(|query| query.record.may_run_until_ms - now)
     };
     let unknown = BootRun {
         id: 0,
@@ -270,7 +270,7 @@
     .to_vec();
     let mut state = JournalState::read(&old).state;
     state.resume(BOOT, 500);
-    assert_eq!(state.unexpired(500)[0].started.may_run_until_ms, 5500);
+    assert_eq!(state.unexpired(500)[0].record.may_run_until_ms, 5500);
 }
 
 #[test]
@@ -304,7 +304,7 @@
     let stored = JournalState::read(&std::fs::read(&path).unwrap());
     let stored = stored.state.unexpired(1_000_000);
     assert!(stored.iter().all(|query| query.finished));
-    let stored: Vec<u64> = stored.iter().map(|query| query.started.id).collect();
+    let stored: Vec<u64> = stored.iter().map(|query| query.record.id).collect();
     assert_eq!(stored, (19_990..20_000).collect::<Vec<_>>());
     std::fs::remove_file(path).unwrap();
 }
@@ -374,7 +374,7 @@
         }
         let stored = JournalState::read(&std::fs::read(&path).unwrap());
         let stored = stored.state.unexpired(0);
-        let stored: Vec<u64> = stored.iter().map(|query| query.started.id).collect();
+        let stored: Vec<u64> = stored.iter().map(|query| query.record.id).collect();
         for (id, word) in last_printed.iter().filter(|(_, word)| **word == "started") {
             assert!(
                 stored.contains(id),
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -79,13 +79,13 @@
     assert_eq!(Record::read(&STORED[192..]), None);
 }
 
-fn recovered(started: StartedQuery, finished: bool) -> RecoveredQuery {
-    RecoveredQuery { started, finished }
+fn recovered(record: StartedQuery, finished: bool) -> RecoveredQuery {
+    RecoveredQuery { record, finished }
 }
 
 fn all_recovered() -> [RecoveredQuery; 3] {
     [(FIRST, true), (SECOND, true), (THIRD, false)]
-        .map(|(started, finished)| recovered(started, finished))
+        .map(|(record, finished)| recovered(record, finished))
 }
 
 #[test]
@@ -106,7 +106,7 @@
     state.resume(run, 5_000);
     let mut all = all_recovered();
     for query in &mut all {
-        query.started.may_run_until_ms = 5_000 + BOOT.longest_run_ms;
+        query.record.may_run_until_ms = 5_000 + BOOT.longest_run_ms;
     }
     assert_eq!(state.unexpired(5_000), all);
 }
