--- a/crates/gateway/src/http/rejection.rs
+++ b/crates/gateway/src/http/rejection.rs
@@ -66,12 +66,17 @@
     /// What the client is told of a rejection by the plan: the settings say whether it is told when to retry, and the most.
     pub fn by_plan(rejection: PlanRejection, decoded: &Decoded) -> Self {
         match rejection {
-            PlanRejection::TooLong { most } => Rejection::StatementOverPlan { max_bytes: most },
-            PlanRejection::LimitReached { reason, come_back } => {
-                let retry_after_ms = come_back.map(|span| span.as_millis());
+            PlanRejection::StatementTooLong { max_bytes } => {
+                Rejection::StatementOverPlan { max_bytes }
+            }
+            PlanRejection::LimitReached {
+                reason,
+                retry_after,
+            } => {
+                let retry_after_ms = retry_after.map(|span| span.as_millis());
                 tracing::debug!(reason, retry_after_ms, "query rejected by plan");
                 let settings = &decoded.settings;
-                let retry_after_seconds = come_back
+                let retry_after_seconds = retry_after
                     .filter(|_| settings.retry_after_allowed)
                     .map(|span| span.as_secs_f64().min(settings.max_retry_after));
                 Rejection::RejectedByPlan {
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -56,7 +56,7 @@
     body: Body,
 ) -> Result<Response, Rejection> {
     let length = statement_length(&submission.headers, &body)?;
-    let memory = state.reserve_statement_memory(length)?;
+    let memory = state.reserve_statement_bytes(length)?;
     let statement = read_statement(body).await?;
     let arrived_at = state
         .scheduler
@@ -65,7 +65,7 @@
         .inspect_err(|error| tracing::debug!(%error, "request rejected"))?;
     let statement_bytes = statement.len() as u64;
     let data_set = data_set(&statement).unwrap_or(0);
-    let statement = Statement::Whole(statement);
+    let statement = Statement::Complete(statement);
     let query = head.into_query(submission.client, statement, statement_bytes, data_set);
     let admitted = admit(state, query, arrived_at, memory, &submission.stream)?;
     Ok(admitted.response().await)
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,198 +1,300 @@
-//! A query comes in: it is new, joins the one of its id that is in hand, or is refused.
+//! Admission: an arriving query is opened, joins the open query of its key, or is rejected.
 
-use super::answer_cache::{Fingerprint, Kept};
-use super::state::{Job, OpenQuery, SchedulerState};
-use super::{Admission, ArrivingQuery, Scheduler, Waiter};
+use super::answer_cache::{CachedAnswer, Fingerprint};
+use super::open_query::OpenQuery;
+use super::query_index::QueryState;
+use super::state::SchedulerState;
+use super::{Admission, ArrivingQuery, Command, Scheduler, Waiter};
 use crate::engines::{Call, Statement};
 use crate::scheduling::client_presence::ClientPresence;
+use crate::scheduling::log_millis;
+use crate::scheduling::plan_routing::{PlanAdmission, PlanRejection};
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
 use garnetwall_ledger::records::{SentQuery, RUN_MARGIN};
+use std::fmt;
 use std::hash::BuildHasher;
 use std::sync::Arc;
-use tokio::sync::mpsc::unbounded_channel;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::watch;
 
-/// An id or a key as clients write it, for the log.
+/// A key as clients write it, for the log.
 struct Hex(u64);
 
-impl std::fmt::Debug for Hex {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Debug for Hex {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
+/// An arriving query whose key is not known.
+struct NewQuery {
+    arriving: ArrivingQuery,
+    call: Arc<Call>,
+    fingerprint: Option<Fingerprint>,
+}
+
+/// What the class and the plan settle for a new query.
+struct Terms {
+    /// The class that it is treated as.
+    class: usize,
+    is_non_idempotent: bool,
+    plan_admission: Option<PlanAdmission>,
+    /// When it has to be answered, in seconds on the gateway's clock.
+    deadline: f64,
+}
+
 impl Scheduler {
-    /// Takes a batch, or finds the one that has its id.
-    pub fn admit(self: &Arc<Self>, a: ArrivingQuery, call: Arc<Call>) -> Admission {
-        let fingerprint = self.fingerprint(&a, &call);
-        self.handle_event(|seats, now| {
-            seats.forget_over(now);
-            match seats.jobs.get(&a.query_key) {
-                Some(Job::Over) => return seats.over(now, a.query_key, fingerprint),
-                Some(&Job::OpenQuery(id)) => return self.join(seats, now, id, &a, &call),
-                None => {}
-            }
-            if seats.recovered.contains_key(&a.query_key) {
-                return Admission::MayHaveRun;
-            }
-            let passage = match seats
-                .planner
-                .as_mut()
-                .map(|planner| planner.admit(now, &routed(now, &a)))
-            {
-                Some(Err(turned)) => return Admission::RejectedByPlan(turned),
-                Some(Ok(passage)) => Some(passage),
-                None => None,
-            };
-            let ArrivingQuery {
-                class: group,
-                tenant,
-                ordering_key: key,
-                estimated_work: cost,
-                estimated_memory: memory,
-                data_set,
-                ..
-            } = a;
-            let group = passage.as_ref().map_or(group, |p| p.class);
-            let is_once_only = seats.once_only.get(group).copied().unwrap_or_default();
-            if is_once_only && seats.awaits_recovery {
-                seats.leaves(now, passage);
-                return Admission::MayHaveRun;
-            }
-            let lane = passage.as_ref().and_then(|p| p.endpoint_subset);
-            let shorter = passage
-                .as_ref()
-                .and_then(|p| p.deadline)
-                .map(|limit| now + limit.as_secs_f64());
-            let limit = shorter.map_or(a.deadline, |at| a.deadline.min(at));
-            let id = seats.next;
-            seats.next = id.wrapping_add(1);
-            let (sender, orders) = unbounded_channel();
-            let (answer, receiver) = watch::channel(None);
-            seats.jobs.insert(a.query_key, Job::OpenQuery(id));
-            let attended = ClientPresence::default();
-            let new = OpenQuery {
-                job: a.query_key,
-                tenant,
-                key,
-                call,
-                fingerprint,
-                orders: sender,
-                answer,
-                waiters: 1,
-                waited: 1,
-                attended: attended.clone(),
-                limit,
-                passage,
-            };
-            seats.in_hand.insert(id, new);
-            self.in_hand.send_replace(seats.in_hand.len());
-            let left = self.ends.borrow().map_or(limit, |at| limit.min(at)) - now;
-            let b = Query {
-                id,
-                class: group,
-                tenant,
-                ordering_key: key,
-                remaining_time: left,
-                estimated_work: cost,
-                estimated_memory: memory,
-                data_set,
-                endpoint_subset: lane,
-            };
-            let (job, line) = (Hex(a.query_key), key.map(Hex));
-            tracing::debug!(batch = id, ?job, group, key = ?line, left, "taken");
-            seats.control.admit(now, b);
-            let until = millis(limit + RUN_MARGIN.as_secs_f64());
-            let once_only = is_once_only.then_some(SentQuery {
-                id: a.query_key,
-                key,
-                until,
-            });
-            let waiter = Waiter {
-                desk: self.clone(),
-                id,
-                answer: receiver,
-            };
-            Admission::New {
-                id,
-                commands: orders,
-                waiter,
-                journal_entry: once_only,
-                client_presence: attended,
+    /// Opens an arriving query, or finds what is known of the query of its key.
+    pub fn admit(self: &Arc<Self>, arriving: ArrivingQuery, call: Arc<Call>) -> Admission {
+        let query_key = arriving.query_key;
+        let fingerprint = self.fingerprint(&arriving, &call);
+        self.handle_event(|state, now| {
+            state.discard_expired(now);
+            match state.queries.state(query_key) {
+                Some(QueryState::Open(id)) => self.join(state, now, id, &arriving, &call),
+                Some(QueryState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
+                Some(QueryState::Recovered) => Admission::MayHaveRun,
+                None => {
+                    let new = NewQuery {
+                        arriving,
+                        call,
+                        fingerprint,
+                    };
+                    self.admit_new(state, now, new)
+                }
             }
         })
     }
 
-    /// What makes this call the same as another; none where its statement is not kept.
-    fn fingerprint(&self, a: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
-        let Statement::Whole(statement) = &call.statement else {
+    /// A hash of what makes two calls the same; `None` where the statement is not in memory.
+    fn fingerprint(&self, arriving: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
+        let Statement::Complete(statement) = &call.statement else {
             return None;
         };
-        let Call {
-            id,
-            class: group,
-            idempotency_key: mark,
-            ..
-        } = call;
-        Some(Fingerprint(self.hashing.hash_one((
-            a.tenant,
-            a.ordering_key,
-            id,
-            group,
-            mark,
+        Some(Fingerprint(self.fingerprint_hasher.hash_one((
+            arriving.tenant,
+            arriving.ordering_key,
+            &call.id,
+            &call.class,
+            &call.idempotency_key,
             statement,
         ))))
     }
 
+    /// Adds a waiter to the open query of the same key, where the call is the same.
     fn join(
         self: &Arc<Self>,
-        seats: &mut SchedulerState,
+        state: &mut SchedulerState,
         now: f64,
         id: QueryId,
-        a: &ArrivingQuery,
+        arriving: &ArrivingQuery,
         call: &Call,
     ) -> Admission {
-        let Some(b) = seats.in_hand.get_mut(&id) else {
+        let Some(query) = state.open_queries.get_mut(&id) else {
             return Admission::AnswerNotCached;
         };
-        if (b.tenant, b.key) != (a.tenant, a.ordering_key) || *b.call != *call {
+        let is_same_call = query.tenant == arriving.tenant
+            && query.ordering_key == arriving.ordering_key
+            && *query.call == *call;
+        if !is_same_call {
             return Admission::Conflict;
         }
-        (b.waiters, b.waited) = (b.waiters + 1, b.waited + 1);
-        b.attended.set_waiting(true);
+        query.add_waiter();
         let waiter = Waiter {
-            desk: self.clone(),
+            scheduler: self.clone(),
             id,
-            answer: b.answer.subscribe(),
+            answer: query.answer.subscribe(),
         };
-        seats.control.set_client_waiting(now, id, true);
+        state.controller.set_client_waiting(now, id, true);
         Admission::Joined(waiter)
     }
+
+    /// Opens a query of an unknown key, where the plan admits it and an earlier process can't have sent it.
+    fn admit_new(
+        self: &Arc<Self>,
+        state: &mut SchedulerState,
+        now: f64,
+        new: NewQuery,
+    ) -> Admission {
+        let plan_admission = match state.admit_by_plan(now, &new.arriving) {
+            Ok(plan_admission) => plan_admission,
+            Err(rejection) => return Admission::RejectedByPlan(rejection),
+        };
+        let terms = state.terms(now, &new.arriving, plan_admission);
+        if terms.is_non_idempotent && state.queries.is_recovery_pending() {
+            state.release_plan_admission(now, terms.plan_admission);
+            return Admission::MayHaveRun;
+        }
+        self.open(state, now, new, terms)
+    }
+
+    fn open(
+        self: &Arc<Self>,
+        state: &mut SchedulerState,
+        now: f64,
+        new: NewQuery,
+        terms: Terms,
+    ) -> Admission {
+        let query_key = new.arriving.query_key;
+        let id = state.next_id();
+        let query = self.controller_query(now, id, &new.arriving, &terms);
+        let journal_entry = terms
+            .is_non_idempotent
+            .then(|| journal_entry(&new.arriving, terms.deadline));
+        let (command_sender, commands) = unbounded_channel();
+        let open_query = new.into_open_query(terms, command_sender);
+        let client_presence = open_query.client_presence.clone();
+        let waiter = Waiter {
+            scheduler: self.clone(),
+            id,
+            answer: open_query.answer.subscribe(),
+        };
+        state.queries.open(query_key, id);
+        state.open_queries.insert(id, open_query);
+        self.open_count.send_replace(state.open_queries.len());
+        log_admission(&query, query_key);
+        state.controller.admit(now, query);
+        Admission::New {
+            id,
+            commands,
+            waiter,
+            journal_entry,
+            client_presence,
+        }
+    }
+
+    /// A new query as the admission controller takes it. It has until its deadline, or until the gateway shuts down.
+    fn controller_query(
+        &self,
+        now: f64,
+        id: QueryId,
+        arriving: &ArrivingQuery,
+        terms: &Terms,
+    ) -> Query {
+        let answer_due = match *self.shutdown_at.borrow() {
+            Some(shutdown_at) => terms.deadline.min(shutdown_at),
+            None => terms.deadline,
+        };
+        let plan_admission = terms.plan_admission.as_ref();
+        Query {
+            id,
+            class: terms.class,
+            tenant: arriving.tenant,
+            ordering_key: arriving.ordering_key,
+            remaining_time: answer_due - now,
+            estimated_work: arriving.estimated_work,
+            estimated_memory: arriving.estimated_memory,
+            data_set: arriving.data_set,
+            endpoint_subset: plan_admission.and_then(|admission| admission.endpoint_subset),
+        }
+    }
+}
+
+impl NewQuery {
+    /// The query as the scheduler keeps it, with one client that waits.
+    fn into_open_query(self, terms: Terms, commands: UnboundedSender<Command>) -> OpenQuery {
+        OpenQuery {
+            query_key: self.arriving.query_key,
+            tenant: self.arriving.tenant,
+            ordering_key: self.arriving.ordering_key,
+            call: self.call,
+            fingerprint: self.fingerprint,
+            commands,
+            answer: watch::Sender::new(None),
+            waiters: 1,
+            waiters_ever: 1,
+            client_presence: ClientPresence::default(),
+            deadline: terms.deadline,
+            plan_admission: terms.plan_admission,
+        }
+    }
 }
 
 impl SchedulerState {
-    /// What becomes of a call whose query is over: it runs no second time.
-    fn over(&self, now: f64, job: u64, fingerprint: Option<Fingerprint>) -> Admission {
-        let kept = fingerprint.map_or(Kept::Nothing, |of| self.kept_answers.get(now, job, of));
-        match kept {
-            Kept::Answer(last) => Admission::Answered(last),
-            Kept::Other => Admission::Conflict,
-            Kept::Nothing => Admission::AnswerNotCached,
+    fn next_id(&mut self) -> QueryId {
+        let id = self.next_query_id;
+        self.next_query_id = id.wrapping_add(1);
+        id
+    }
+
+    /// What a call gets whose query has finished: it does not run again.
+    fn repeat_of_finished(
+        &self,
+        now: f64,
+        query_key: u64,
+        fingerprint: Option<Fingerprint>,
+    ) -> Admission {
+        let Some(fingerprint) = fingerprint else {
+            return Admission::AnswerNotCached;
+        };
+        match self.answer_cache.get(now, query_key, fingerprint) {
+            CachedAnswer::Answer(answer) => Admission::Answered(answer),
+            CachedAnswer::OtherCall => Admission::Conflict,
+            CachedAnswer::Missing => Admission::AnswerNotCached,
+        }
+    }
+
+    /// Admits a query under the plan; `None` without a plan.
+    fn admit_by_plan(
+        &mut self,
+        now: f64,
+        arriving: &ArrivingQuery,
+    ) -> Result<Option<PlanAdmission>, PlanRejection> {
+        let Some(plan_router) = self.plan_router.as_mut() else {
+            return Ok(None);
+        };
+        let query = garnetwall_routing::RoutedQuery {
+            class: arriving.class,
+            tenant: arriving.tenant,
+            client: arriving.client,
+            has_key: arriving.ordering_key.is_some(),
+            data_set: arriving.data_set,
+            minute: minute_of_day(now),
+            statement_bytes: arriving.bytes,
+        };
+        plan_router.admit(now, &query).map(Some)
+    }
+
+    fn terms(
+        &self,
+        now: f64,
+        arriving: &ArrivingQuery,
+        plan_admission: Option<PlanAdmission>,
+    ) -> Terms {
+        let admission = plan_admission.as_ref();
+        let class = admission.map_or(arriving.class, |admission| admission.class);
+        let plan_deadline = admission.and_then(|admission| admission.deadline);
+        let deadline = match plan_deadline {
+            Some(limit) => arriving.deadline.min(now + limit.as_secs_f64()),
+            None => arriving.deadline,
+        };
+        Terms {
+            class,
+            is_non_idempotent: self.is_non_idempotent(class),
+            plan_admission,
+            deadline,
         }
     }
 }
 
-/// A batch as routing sees it.
-fn routed(now: f64, a: &ArrivingQuery) -> garnetwall_routing::Batch {
-    garnetwall_routing::Batch {
-        group: a.class,
-        tenant: a.tenant,
-        client: a.client,
-        key: a.ordering_key.is_some(),
-        data_set: a.data_set,
-        minute: minute_of_day(now),
-        bytes: a.bytes,
+/// The journal's record of a query, which may run until a margin after its deadline.
+fn journal_entry(arriving: &ArrivingQuery, deadline: f64) -> SentQuery {
+    SentQuery {
+        id: arriving.query_key,
+        key: arriving.ordering_key,
+        until: millis(deadline + RUN_MARGIN.as_secs_f64()),
     }
 }
+
+fn log_admission(query: &Query, query_key: u64) {
+    tracing::debug!(
+        query_id = query.id,
+        query_key = ?Hex(query_key),
+        class = query.class,
+        ordering_key = ?query.ordering_key.map(Hex),
+        remaining_ms = log_millis(query.remaining_time),
+        "query admitted"
+    );
+}
--- a/crates/gateway/src/scheduling/scheduler/answer_cache.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache.rs
@@ -1,119 +1,117 @@
-//! Final answers of queries that are over, kept for clients whose connection ended before they had theirs: the same call made again
-//! gets the same answer, and nothing runs again. Bounded in bytes and by each query's deadline.
+//! Final answers of finished queries, for clients whose connection was lost before they had theirs: a repeat of the call gets the
+//! same answer, and nothing runs again. Bounded in bytes, and by each query's deadline.
 
 use super::QueryAnswer;
 use std::collections::{BTreeMap, HashMap};
 
-/// What an answer takes beside its rows, in bytes.
+/// What an entry takes beside its rows.
 const ENTRY_BYTES: usize = 256;
 
-/// A fingerprint of all that makes two calls the same, but for the time that they allow.
+/// A hash of all that makes two calls the same, except for the time that they allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fingerprint(pub(super) u64);
 
-/// What is known of the answer to a call that was made before.
+/// What is cached for a call.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Kept {
+pub(super) enum CachedAnswer {
+    /// Its answer.
     Answer(QueryAnswer),
-    /// Another call has this id.
-    Other,
-    /// It was not kept, or no longer.
-    Nothing,
+    /// Another call has its key.
+    OtherCall,
+    /// Nothing.
+    Missing,
 }
 
 struct Entry {
     fingerprint: Fingerprint,
     answer: QueryAnswer,
     /// The query's deadline, in seconds on the gateway's clock.
-    until: f64,
-    /// Its place in the order in which answers were kept.
-    number: u64,
+    deadline: f64,
+    /// Its place in the order of insertion.
+    sequence: u64,
 }
 
 impl Entry {
     fn bytes(&self) -> usize {
-        ENTRY_BYTES + self.answer.bytes()
+        ENTRY_BYTES + self.answer.row_bytes()
     }
 }
 
-/// The answers that are kept, by the queries' ids.
+/// Cached answers by query key. Times are seconds on the gateway's clock.
 pub(super) struct AnswerCache {
     entries: HashMap<u64, Entry>,
-    /// Ids by the number of their entry, the oldest first.
-    order: BTreeMap<u64, u64>,
-    /// Of the next entry.
-    next: u64,
+    /// Query keys in the order of insertion.
+    keys_by_sequence: BTreeMap<u64, u64>,
+    next_sequence: u64,
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl AnswerCache {
-    /// Keeps so many bytes at most.
-    pub(super) fn new(most_bytes: usize) -> Self {
+    /// Creates a cache of at most `max_bytes`.
+    pub(super) fn new(max_bytes: usize) -> Self {
         AnswerCache {
             entries: HashMap::new(),
-            order: BTreeMap::new(),
-            next: 0,
+            keys_by_sequence: BTreeMap::new(),
+            next_sequence: 0,
             bytes: 0,
-            most_bytes,
+            max_bytes,
         }
     }
 
-    /// Keeps the answer of a query until its deadline, or until newer ones need the room.
-    pub(super) fn keep(
+    /// Caches the answer of a query until its deadline, or until newer answers need the space.
+    pub(super) fn insert(
         &mut self,
         now: f64,
-        id: u64,
+        query_key: u64,
         fingerprint: Fingerprint,
         answer: QueryAnswer,
-        until: f64,
+        deadline: f64,
     ) {
-        let number = self.next;
+        let sequence = self.next_sequence;
         let entry = Entry {
             fingerprint,
             answer,
-            until,
-            number,
+            deadline,
+            sequence,
         };
-        if until <= now || entry.bytes() > self.most_bytes {
+        if deadline <= now || entry.bytes() > self.max_bytes {
             return;
         }
-        self.remove(id);
-        self.next += 1;
+        self.remove(query_key);
+        self.next_sequence += 1;
         self.bytes += entry.bytes();
-        self.entries.insert(id, entry);
-        self.order.insert(number, id);
-        self.make_room(now);
+        self.entries.insert(query_key, entry);
+        self.keys_by_sequence.insert(sequence, query_key);
+        self.evict(now);
     }
 
-    /// What is known of the answer to a call.
-    pub(super) fn get(&self, now: f64, id: u64, fingerprint: Fingerprint) -> Kept {
-        match self.entries.get(&id) {
-            Some(entry) if entry.fingerprint != fingerprint => Kept::Other,
-            Some(entry) if entry.until > now => Kept::Answer(entry.answer.clone()),
-            _ => Kept::Nothing,
+    /// What is cached for a call.
+    pub(super) fn get(&self, now: f64, query_key: u64, fingerprint: Fingerprint) -> CachedAnswer {
+        match self.entries.get(&query_key) {
+            Some(entry) if entry.fingerprint != fingerprint => CachedAnswer::OtherCall,
+            Some(entry) if entry.deadline > now => CachedAnswer::Answer(entry.answer.clone()),
+            _ => CachedAnswer::Missing,
         }
     }
 
-    /// Lets go of the oldest while they are past their deadlines or over the bound.
-    pub(super) fn make_room(&mut self, now: f64) {
-        while let Some((&number, &oldest)) = self.order.first_key_value() {
-            let is_past = self
-                .entries
-                .get(&oldest)
-                .is_none_or(|entry| entry.until <= now);
-            if !is_past && self.bytes <= self.most_bytes {
+    /// Evicts the oldest entries while they are past their deadlines, or the cache is over its bound.
+    pub(super) fn evict(&mut self, now: f64) {
+        while let Some((&sequence, &oldest)) = self.keys_by_sequence.first_key_value() {
+            let entry = self.entries.get(&oldest);
+            let is_expired = entry.is_none_or(|entry| entry.deadline <= now);
+            if !is_expired && self.bytes <= self.max_bytes {
                 return;
             }
             self.remove(oldest);
-            self.order.remove(&number);
+            self.keys_by_sequence.remove(&sequence);
         }
     }
 
-    fn remove(&mut self, id: u64) {
-        if let Some(entry) = self.entries.remove(&id) {
+    fn remove(&mut self, query_key: u64) {
+        if let Some(entry) = self.entries.remove(&query_key) {
             self.bytes -= entry.bytes();
-            self.order.remove(&entry.number);
+            self.keys_by_sequence.remove(&entry.sequence);
         }
     }
 }
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -1,179 +1,186 @@
-//! What a gateway keeps beyond a batch's answer: the journal of once-only batches on a disk that lasts, and the store of
-//! bodies. It hands records over and waits for them; `garnetwall_ledger` and `garnetwall_bodies` decide what they mean.
+//! The journal of non-idempotent queries: each is recorded on disk before its first attempt is sent, so that a later process
+//! does not send it again. `garnetwall_ledger` decides what the records mean.
 
 use crate::system::boot_clock::BootClock;
 use crate::system::clock::Clock;
 use crate::system::os_error::may_pass;
-use garnetwall_bodies::room::Policy;
-use garnetwall_bodies::{Disk, Limits, Spool, Store};
 use garnetwall_ledger::journal::{FileStorage, Journal};
 use garnetwall_ledger::records::{BootRun, SentQuery, RUN_MARGIN};
-use garnetwall_plan::model::Bodies;
 use std::io;
 use std::path::Path;
-use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A promise that takes longer is told.
-const SLOW_PROMISE: Duration = Duration::from_millis(500);
+/// A write that takes longer is logged.
+const SLOW_WRITE: Duration = Duration::from_millis(500);
 
-/// The journal, where there is one.
+/// A non-idempotent query that an earlier process sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecoveredQuery {
+    /// Its record, with its end on this gateway's [`Clock`], in milliseconds.
+    pub record: SentQuery,
+    /// Every attempt of it has provably ended.
+    pub finished: bool,
+}
+
+/// The journal of a gateway. The default one records nothing, for plans that name no journal.
 #[derive(Default)]
 pub struct QueryJournal {
-    journal: Option<Kept>,
+    open: Option<OpenJournal>,
 }
 
-/// A journal, and the clocks that its times are told on.
-struct Kept {
+/// A journal with the clocks that its times are converted between.
+struct OpenJournal {
     journal: Journal,
     clock: Clock,
-    run: BootClock,
+    boot_clock: BootClock,
 }
 
-impl Kept {
-    /// The same with its end on the clock of this run of the machine.
-    fn on_run_clock(&self, sent: SentQuery) -> SentQuery {
-        let left = sent.until.saturating_sub(millis(self.clock.now()));
+impl OpenJournal {
+    /// Converts the end of a record from the gateway's clock to the clock of this boot.
+    fn to_boot_clock(&self, record: SentQuery) -> SentQuery {
+        let remaining_ms = record.until.saturating_sub(millis(self.clock.now()));
         SentQuery {
-            until: self.run.millis() + left,
-            ..sent
+            until: self.boot_clock.millis() + remaining_ms,
+            ..record
         }
     }
+
+    /// Waits until the record is on the disk.
+    async fn write_record(&self, record: SentQuery) -> io::Result<()> {
+        let (done, written) = oneshot::channel();
+        let on_written = move |result| {
+            // The receiver is gone where the caller stopped waiting, and then nothing is sent.
+            let _ = done.send(result);
+        };
+        self.journal
+            .record_sent(self.to_boot_clock(record), Box::new(on_written));
+        written
+            .await
+            .unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")))
+    }
 }
 
 impl QueryJournal {
-    /// Opens the journal of a gateway in a directory; `recovered` is told what may have run before, with ends on the gateway's
-    /// clock, once that could be read. A disk that fails for now is tried again, and until it works nothing is promised.
-    /// `longest` is the longest limit of a batch in seconds.
+    /// Opens the journal of a gateway in a directory.
+    ///
+    /// `longest_deadline` is the longest deadline of any query class, in seconds. `recovered` is called once the journal has been
+    /// read. Where the disk fails for now, the journal goes on trying; until it succeeds, [`record_before_send`] allows nothing.
+    ///
+    /// [`record_before_send`]: QueryJournal::record_before_send
     ///
     /// # Errors
     ///
-    /// One that can't pass, with the path in the text.
+    /// The journal can't be written, and a later try would fail too; the text names its path.
     pub fn open(
         directory: &str,
         gateway: &str,
         clock: Clock,
-        longest: f64,
-        recovered: impl FnOnce(Vec<(SentQuery, bool)>) + Send + 'static,
+        longest_deadline: f64,
+        recovered: impl FnOnce(Vec<RecoveredQuery>) + Send + 'static,
     ) -> io::Result<QueryJournal> {
         let path = Path::new(directory).join(format!("{gateway}.once-only"));
-        let shown = path.display().to_string();
-        let run = BootClock::start();
-        let told = move |mut open: Vec<(SentQuery, bool)>| {
-            let (here, there) = (millis(clock.now()), run.millis());
-            open.iter_mut()
-                .for_each(|(sent, _)| sent.until = here + sent.until.saturating_sub(there));
-            let may_run = open.iter().filter(|(_, over)| !over).count();
-            tracing::info!(
-                path = shown,
-                known = open.len(),
-                may_run,
-                "journal of once-only batches opened"
-            );
-            recovered(open);
+        let shown_path = path.display().to_string();
+        let boot_clock = BootClock::start();
+        let on_recovery = move |found: Vec<(SentQuery, bool)>| {
+            let queries = recovered_queries(found, clock, boot_clock);
+            log_recovered(&shown_path, &queries);
+            recovered(queries);
         };
-        let this = BootRun {
-            id: run.run,
-            span: millis(longest) + RUN_MARGIN.as_millis() as u64,
+        let boot_run = BootRun {
+            id: boot_clock.run,
+            span: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
         };
-        let (journal, begun) = Journal::start(
+        let (journal, started) = Journal::start(
             FileStorage::new(&path),
-            this,
-            move || run.millis(),
-            Box::new(told),
+            boot_run,
+            move || boot_clock.millis(),
+            Box::new(on_recovery),
         );
-        match begun {
-            Err(fault) if may_pass(&fault) => {
-                tracing::error!(path = %path.display(), %fault, "journal can't be written for now: no once-only batch is sent");
-            }
-            begun => {
-                begun.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", path.display())))?
-            }
-        }
+        check_start(&path, started)?;
         Ok(QueryJournal {
-            journal: Some(Kept {
+            open: Some(OpenJournal {
                 journal,
                 clock,
-                run,
+                boot_clock,
             }),
         })
     }
 
-    /// Writes down that a once-only batch is about to be sent; whether it may be. It takes as long as the disk does: whoever asks
-    /// bounds that by what the batch has left.
-    pub async fn record_before_send(&self, sent: SentQuery) -> bool {
-        let Some(kept) = &self.journal else {
+    /// Records that a non-idempotent query is about to be sent. Returns whether it may be sent.
+    ///
+    /// It takes as long as the disk does: the caller bounds it by the query's deadline. A caller that stops waiting must not send.
+    pub async fn record_before_send(&self, record: SentQuery) -> bool {
+        let Some(open) = &self.open else {
             return true;
         };
-        let (done, written) = oneshot::channel();
-        // Whoever no longer waits did not send it.
-        kept.journal.record_sent(
-            kept.on_run_clock(sent),
-            Box::new(move |result| drop(done.send(result))),
-        );
-        let began = Instant::now();
-        let end = written
-            .await
-            .unwrap_or_else(|_| Err(io::Error::other("the journal has stopped")));
-        if began.elapsed() > SLOW_PROMISE {
-            tracing::warn!(took = ?began.elapsed(), "journal is slow: once-only batches wait for it");
+        let started_at = Instant::now();
+        let result = open.write_record(record).await;
+        let elapsed = started_at.elapsed();
+        if elapsed > SLOW_WRITE {
+            let elapsed_ms = elapsed.as_millis() as u64;
+            tracing::warn!(
+                elapsed_ms,
+                "query journal is slow: non-idempotent queries wait for it"
+            );
         }
-        match end {
+        match result {
             Ok(()) => true,
-            Err(fault) => {
-                tracing::error!(%fault, "journal can't be written: no once-only batch is sent");
+            Err(error) => {
+                tracing::error!(%error, "query journal not written: non-idempotent query not sent");
                 false
             }
         }
     }
 
-    /// It is proved over.
-    pub fn record_end(&self, id: u64) {
-        if let Some(kept) = &self.journal {
-            kept.journal.record_finished(id);
+    /// Records that every attempt of a query has provably ended.
+    pub fn record_end(&self, query_key: u64) {
+        if let Some(open) = &self.open {
+            open.journal.record_finished(query_key);
         }
     }
 }
 
-/// The store of bodies that a plan asks for, with a file in its directory where it names one.
-///
-/// # Errors
-///
-/// With the path in the text.
-pub fn body_store(bodies: &Bodies, groups: &[String], gateway: &str) -> io::Result<Arc<Store>> {
-    let spool = match &bodies.directory {
-        Some(directory) => Some(Spool::new(
-            Disk::open(Path::new(directory), gateway)?,
-            bodies.files,
-        )),
-        None => None,
-    };
-    let limits = Limits {
-        memory: bodies.memory,
-        files: bodies.files,
-        batch_memory: bodies.batch_memory,
-        batch: bodies.batch,
-        share: bodies.share,
-        unknown_length: bodies.unknown_length,
-        must_keep: groups
-            .iter()
-            .map(|group| bodies.must_keep.contains(group))
-            .collect(),
+/// Passes on the failure of a start, unless a later try may succeed.
+fn check_start(path: &Path, started: io::Result<()>) -> io::Result<()> {
+    let path = path.display();
+    match started {
+        Ok(()) => Ok(()),
+        Err(error) if may_pass(&error) => {
+            tracing::error!(%path, %error, "query journal not writable yet: no non-idempotent query is sent");
+            Ok(())
+        }
+        Err(error) => Err(io::Error::new(error.kind(), format!("{path}: {error}"))),
+    }
+}
+
+/// Converts the records of an earlier process from the clock of this boot to the gateway's clock.
+fn recovered_queries(
+    found: Vec<(SentQuery, bool)>,
+    clock: Clock,
+    boot_clock: BootClock,
+) -> Vec<RecoveredQuery> {
+    let now_ms = millis(clock.now());
+    let boot_now_ms = boot_clock.millis();
+    let convert = |(record, finished): (SentQuery, bool)| {
+        let until = now_ms + record.until.saturating_sub(boot_now_ms);
+        let record = SentQuery { until, ..record };
+        RecoveredQuery { record, finished }
     };
-    Ok(Store::new(limits, Policy::Largest, spool))
+    found.into_iter().map(convert).collect()
 }
 
-/// Says what became of bodies, by group and place.
-pub fn log_body_store(store: &Store, groups: &[String]) {
-    for ((group, place), counts) in store.counts() {
-        let group = groups.get(group).map_or("", String::as_str);
-        let (bodies, further, missed) = (counts.bodies, counts.further, counts.missed);
-        tracing::info!(group, ?place, bodies, further, missed, "bodies");
-    }
+fn log_recovered(path: &str, queries: &[RecoveredQuery]) {
+    let unfinished = queries.iter().filter(|query| !query.finished).count();
+    tracing::info!(
+        path,
+        recovered = queries.len(),
+        unfinished,
+        "query journal read"
+    );
 }
 
-/// Milliseconds of a time, or of a span, in seconds.
-pub fn millis(now: f64) -> u64 {
-    (now.max(0.0) * 1000.0) as u64
+/// Converts seconds to whole milliseconds; what is negative becomes 0.
+pub fn millis(seconds: f64) -> u64 {
+    (seconds.max(0.0) * 1000.0) as u64
 }
