--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -212,7 +212,7 @@
             body_store: store,
             decoded: self.config.decoded.clone(),
             phase: self.phase.subscribe(),
-            statement_memory: self.budget.statement_bytes.clone(),
+            statement_bytes: self.budget.statement_bytes.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
                 self.config.decoded.network.dial,
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -66,7 +66,7 @@
     /// Estimates when clients sent their queries.
     pub send_times: Mutex<SendTimeEstimator>,
     /// One permit for each byte of the statements that may be in memory at once.
-    pub statement_memory: Arc<Semaphore>,
+    pub statement_bytes: Arc<Semaphore>,
 }
 
 /// The address that a request came from.
@@ -86,8 +86,8 @@
     }
 
     /// Reserves memory for a statement of so many bytes.
-    fn reserve_statement_memory(&self, bytes: u32) -> Result<OwnedSemaphorePermit, Rejection> {
-        self.statement_memory
+    fn reserve_statement_bytes(&self, bytes: u32) -> Result<OwnedSemaphorePermit, Rejection> {
+        self.statement_bytes
             .clone()
             .try_acquire_many_owned(bytes)
             .map_err(|_| Rejection::StatementMemoryFull)
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -34,7 +34,7 @@
     last_read_at: Instant,
     /// Until the next check of a connection that can't be read further ahead.
     close_check: Option<Pin<Box<Sleep>>>,
-    stalled: WriteTimeout,
+    write_timeout: WriteTimeout,
 }
 
 /// A shared handle to a client's stream, to look at it from outside the HTTP parser.
@@ -54,7 +54,7 @@
             parser_needs_wake: false,
             last_read_at: Instant::now(),
             close_check: None,
-            stalled: WriteTimeout::default(),
+            write_timeout: WriteTimeout::default(),
         })))
     }
 
@@ -229,7 +229,7 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut state = self.0.state();
         let result = Pin::new(&mut state.io).poll_write(cx, bytes);
-        state.stalled.bounded(cx, result)
+        state.write_timeout.bounded(cx, result)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -251,6 +251,6 @@
     ) -> Poll<io::Result<usize>> {
         let mut state = self.0.state();
         let result = Pin::new(&mut state.io).poll_write_vectored(cx, buffers);
-        state.stalled.bounded(cx, result)
+        state.write_timeout.bounded(cx, result)
     }
 }
