--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! Opens a connection to the change log.
 
+use crate::system::budgeted_stream::{BudgetedStream, MAX_RESPONSE_HEAD_BYTES};
 use crate::system::socket::Socket;
-use crate::system::stream_budget::{BudgetedStream, LONGEST_HEAD};
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderName, HeaderValue, Method, Request, StatusCode};
@@ -44,7 +44,10 @@
     let socket = Socket::connect(log, &AtomicBool::default()).await?;
     let stream = BudgetedStream::new(socket, None);
     let mut builder = http1::Builder::new();
-    let (mut sender, connection) = builder.max_buf_size(LONGEST_HEAD).handshake(stream).await?;
+    let (mut sender, connection) = builder
+        .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+        .handshake(stream)
+        .await?;
     tokio::spawn(async move {
         // An error of the connection is reported where its body is read.
         let _ = connection.await;
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -1,127 +1,182 @@
-//! One call and its answer, on a connection that is up or comes up.
+//! One call to an engine: opens a connection where none is up, sends the request, waits for the response and records
+//! what the call proves.
 
-use super::{EngineAttempt, OutgoingBody};
-use crate::engines::request::{Outgoing, Sender};
-use crate::engines::response::{exchange, Fault, Reply};
+use super::start::StreamedBody;
+use super::EngineAttempt;
+use crate::engines::connect::EngineConnection;
+use crate::engines::request::{RequestBody, Sender};
+use crate::engines::response::{receive_reply, CallError, Reply};
 use garnetwall_bodies::body::ReadFault;
 use garnetwall_ledger::Evidence;
-use http::{Method, Request};
+use http::Request;
 use std::future::Future;
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
+/// What a call does to the attempt at its engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallKind {
+    /// Starts the attempt. Goes out through the send gate.
+    Start,
+    /// Polls the attempt or fetches a page, which also renews its poll expiry.
+    Poll,
+    /// Neither: cancels the attempt, or checks the engine's health.
+    Other,
+}
+
 impl EngineAttempt<'_> {
-    /// One call, on a connection that is up or comes up within its own bound. `asks` for one that keeps its dispatch
-    /// running.
-    pub(in crate::engines) async fn call(
+    /// Sends the request of a health check.
+    pub(in crate::engines) async fn check_health(
+        &mut self,
+        request: Request<RequestBody>,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
+        self.call(CallKind::Other, request, None, time_limit).await
+    }
+
+    /// One call, on the connection that is up or on a new one. `time_limit` bounds the wait for the response, once a
+    /// connection is up and the request has been sent.
+    pub(super) async fn call(
         &mut self,
-        request: Request<Outgoing>,
-        feed: Option<OutgoingBody>,
-        within: Duration,
-        asks: bool,
-    ) -> Result<Reply, Fault> {
-        let answer = self.call_on_connection(request, feed, within, asks).await;
-        match answer {
-            Ok(_) => {}
-            Err(Fault::Silent) => self.patience.missed(),
-            Err(_) => self.patience.failed(),
+        kind: CallKind,
+        request: Request<RequestBody>,
+        body: Option<StreamedBody>,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
+        let response = self
+            .call_on_connection(kind, request, body, time_limit)
+            .await;
+        let error = response.as_ref().err();
+        self.engines.log_reachability(self.target, error);
+        if let Some(error) = error {
+            self.record_call_error(*error);
+        }
+        response
+    }
+
+    fn record_call_error(&mut self, error: CallError) {
+        match error {
+            CallError::TimedOut => self.response_timeout.timed_out(),
+            _ => self.response_timeout.failed(),
         }
-        self.engines.heard(self.target, answer.as_ref().err());
-        match answer {
-            Err(Fault::Refused) => self.tell(Evidence::ConnectionRefused),
-            Err(Fault::Broken) => self.tell(Evidence::ConnectionLost(self.connection)),
-            Err(Fault::Silent | Fault::Garbled) => {
-                self.abandoned.set();
-                self.tell(Evidence::ConnectionUnusable(self.connection));
+        match error {
+            CallError::ConnectionRefused => self.record(Evidence::ConnectionRefused),
+            CallError::ConnectionLost => self.record(Evidence::ConnectionLost(self.connection)),
+            CallError::TimedOut | CallError::InvalidResponse => {
+                self.abort_flag.abort();
+                self.record(Evidence::ConnectionUnusable(self.connection));
             }
-            Err(Fault::Unconnected | Fault::Local) | Ok(_) => {}
+            CallError::ConnectFailed | CallError::LocalResources => {}
         }
-        answer
     }
 
     async fn call_on_connection(
         &mut self,
-        mut request: Request<Outgoing>,
-        feed: Option<OutgoingBody>,
-        within: Duration,
-        asks: bool,
-    ) -> Result<Reply, Fault> {
-        let is_start = request.method() == Method::POST;
-        let up = self.sender.take();
-        if up.as_ref().is_some_and(|sender| sender.is_closed()) {
-            self.tell(Evidence::ConnectionLost(self.connection));
+        kind: CallKind,
+        mut request: Request<RequestBody>,
+        body: Option<StreamedBody>,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
+        let mut sender = self.ready_connection(kind).await?;
+        if kind == CallKind::Start {
+            self.set_remaining_time(&mut request);
         }
-        let mut sender = match up.filter(|s| !s.is_closed()) {
-            Some(sender) => sender,
+        self.notify_send_gate(kind);
+        let is_streamed = body.is_some();
+        let response = match body {
+            Some(body) => {
+                self.send_streamed(&mut sender, request, body, time_limit)
+                    .await
+            }
             None => {
-                self.connection += 1;
-                let gate = self.gate.clone().filter(|_| is_start);
-                let (sender, abandoned) = self.engines.connect(self.target.address, gate).await?;
-                self.abandoned = abandoned;
-                sender
+                self.send_complete(kind, &mut sender, request, time_limit)
+                    .await
             }
         };
-        if is_start {
-            self.stamp_deadline(&mut request);
-        }
-        if let Some(gate) = &self.gate {
-            if is_start {
-                gate.begins();
-            } else {
-                gate.passed();
-            }
+        // A connection on which a request was not sent to its end can't carry another.
+        let is_request_complete = !is_streamed || self.request_may_have_arrived;
+        self.sender = (response.is_ok() && is_request_complete).then_some(sender);
+        response
+    }
+
+    /// The connection that is up, or a new one.
+    async fn ready_connection(&mut self, kind: CallKind) -> Result<Sender, CallError> {
+        match self.sender.take() {
+            Some(sender) if !sender.is_closed() => return Ok(sender),
+            Some(_) => self.record(Evidence::ConnectionLost(self.connection)),
+            None => {}
         }
-        let Some(feed) = feed else {
-            if asks {
-                self.sent_whole();
-            }
-            let answer = self.awaited(within, exchange(&mut sender, request)).await;
-            self.sender = answer.is_ok().then_some(sender);
-            return answer;
+        self.connection += 1;
+        let gate = self.send_gate.clone().filter(|_| kind == CallKind::Start);
+        let EngineConnection { sender, abort_flag } =
+            self.engines.connect(self.target.address, gate).await?;
+        self.abort_flag = abort_flag;
+        Ok(sender)
+    }
+
+    fn notify_send_gate(&self, kind: CallKind) {
+        let Some(gate) = &self.send_gate else {
+            return;
         };
-        let answer = self.streamed(&mut sender, request, feed, within).await;
-        // What was not sent to its end leaves a connection of no use.
-        self.sender = (answer.is_ok() && self.may_have_come).then_some(sender);
-        answer
+        match kind {
+            CallKind::Start => gate.start_sending(),
+            CallKind::Poll | CallKind::Other => gate.release(),
+        }
     }
 
-    /// An answer that is waited for so long, and how long it took for those after it.
-    async fn awaited(
+    /// Waits for a response for at most `time_limit`, and adapts the timeout of the next calls to how long it took.
+    async fn await_response(
         &mut self,
-        within: Duration,
-        answer: impl Future<Output = Result<Reply, Fault>>,
-    ) -> Result<Reply, Fault> {
-        let began = Instant::now();
-        let answer = timeout(within, answer).await.unwrap_or(Err(Fault::Silent));
-        if answer.is_ok() {
-            self.patience.answered(Instant::now(), began.elapsed());
+        time_limit: Duration,
+        response: impl Future<Output = Result<Reply, CallError>>,
+    ) -> Result<Reply, CallError> {
+        let started_at = Instant::now();
+        let response = timeout(time_limit, response)
+            .await
+            .unwrap_or(Err(CallError::TimedOut));
+        if response.is_ok() {
+            self.response_timeout
+                .answered(Instant::now(), started_at.elapsed());
         }
-        answer
+        response
     }
 
-    /// A start whose body goes on as it comes. It takes as long as the body, which its batch's limit bounds; the answer
-    /// may come before the body is sent.
-    async fn streamed(
+    /// Sends a request that has its whole body, or none.
+    async fn send_complete(
         &mut self,
+        kind: CallKind,
         sender: &mut Sender,
-        request: Request<Outgoing>,
-        feed: OutgoingBody,
-        within: Duration,
-    ) -> Result<Reply, Fault> {
-        let exchanging = exchange(sender, request);
-        tokio::pin!(exchanging);
-        let fed = tokio::select! {
+        request: Request<RequestBody>,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
+        if kind != CallKind::Other {
+            self.record_request_written();
+        }
+        let receiving = receive_reply(sender, request);
+        self.await_response(time_limit, receiving).await
+    }
+
+    /// Sends a request whose body is still being received from the client. That takes as long as the body, which the
+    /// query's deadline bounds; the response may come before the body has been sent.
+    async fn send_streamed(
+        &mut self,
+        sender: &mut Sender,
+        request: Request<RequestBody>,
+        body: StreamedBody,
+        time_limit: Duration,
+    ) -> Result<Reply, CallError> {
+        let receiving = receive_reply(sender, request);
+        tokio::pin!(receiving);
+        let body_result = tokio::select! {
             biased;
-            answer = &mut exchanging => return answer,
-            fed = self.send_body(feed) => fed,
+            response = &mut receiving => return response,
+            result = self.send_body(body) => result,
         };
-        match fed {
-            Ok(()) => self.awaited(within, exchanging).await,
-            Err(fault) => {
-                tracing::debug!(%fault, "a body could not be sent to its end");
-                self.unreadable = !matches!(fault, ReadFault::CutOff);
-                Err(Fault::Broken)
-            }
+        if let Err(error) = body_result {
+            tracing::debug!(%error, "request body could not be sent");
+            self.body_unreadable = !matches!(error, ReadFault::CutOff);
+            return Err(CallError::ConnectionLost);
         }
+        self.await_response(time_limit, receiving).await
     }
 }
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,198 +1,225 @@
-//! Asks for a dispatch until its end is known, or asking can't tell any more.
+//! Polls an attempt until its end is known, polls can't tell it any more, or its cancellation is requested.
 
-use super::{EngineAttempt, OutgoingBody};
+use super::EngineAttempt;
 use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
-use crate::engines::request::Outgoing;
-use crate::engines::response::{news, Fault, News, Reply};
-use crate::engines::NEWS;
+use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
 use garnetwall::api::AttemptEnd;
-use garnetwall_ledger as ledger;
-use garnetwall_ledger::{Evidence, PollSchedule, PollStep};
-use http::{Method, Request};
+use garnetwall_ledger::{weigh_reported_end, Evidence, PollSchedule, PollStep, ReportVerdict};
+use std::ops::ControlFlow;
 use tokio::sync::watch;
-use tokio::time::{sleep, sleep_until, timeout};
+use tokio::time::sleep;
 
-/// How asking for a dispatch ends.
+/// How polling an attempt ends.
 pub(super) enum PollOutcome {
-    /// A good end: the answer that tells so, and its number of pages.
-    Succeeded(Reply, usize),
-    Over(AttemptResult),
-    /// Asking can't tell any more.
+    /// The attempt has a result.
+    Succeeded {
+        /// The response that says so, with the first page.
+        first_page: Reply,
+        page_count: usize,
+    },
+    /// The attempt has ended without a result.
+    Ended(AttemptResult),
+    /// Further polls can't tell the outcome.
     Unknown,
-    /// Nobody waits for the answer any more.
-    Unwanted,
+    /// Nobody waits for the response any more.
+    CancelRequested,
+}
+
+impl PollOutcome {
+    fn ended(end: AttemptEnd) -> Self {
+        PollOutcome::Ended(AttemptResult::of(end))
+    }
+}
+
+/// Whether a response answers the request that starts the attempt, or a later poll.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ResponseTo {
+    Start,
+    Poll,
 }
 
 impl EngineAttempt<'_> {
-    /// The answer that tells of a good end, and its number of pages; or how it ended otherwise. A start that was
-    /// not answered may have come whole all the same, and a good end is given again: asking tells.
+    /// Sends the request and polls the attempt. A request that was not answered may have arrived all the same, so that the
+    /// outcome is polled for; an engine repeats the response of an attempt that succeeded.
     pub(super) async fn poll_until_end(
         &mut self,
         call: &Call,
-        start: AttemptStart,
-        wishes: &mut watch::Receiver<CancellationState>,
-        tidings: &AttemptEvents,
+        start: &AttemptStart,
+        cancellation: &mut watch::Receiver<CancellationState>,
+        events: &AttemptEvents,
     ) -> PollOutcome {
-        let mut asking = self.polling();
-        let Some((mut next, mut feed)) = self.start_request(call, &start) else {
-            self.tell(Evidence::NeverReached);
-            return PollOutcome::Over(AttemptResult::of(AttemptEnd::ConnectFailed));
+        let mut schedule = self.poll_schedule();
+        let mut response = match self.send_start(call, start, cancellation).await {
+            ControlFlow::Break(outcome) => return outcome,
+            ControlFlow::Continue(response) => response,
         };
-        let mut started = false;
+        let mut response_to = ResponseTo::Start;
         loop {
-            let Some(answer) = self.call_while_wanted(next, feed.take(), wishes).await else {
-                return PollOutcome::Unwanted;
+            let checked = match self.process_response(response, response_to, events) {
+                ControlFlow::Break(outcome) => return outcome,
+                ControlFlow::Continue(checked) => checked,
             };
-            let first = !std::mem::replace(&mut started, true);
-            if std::mem::take(&mut self.unreadable) {
-                // What went on is not whole, so that nothing ran; the batch has no body any more.
-                self.tell(Evidence::NeverReached);
-                return PollOutcome::Over(AttemptResult::of(AttemptEnd::Failed));
+            if !cancellation.borrow().allows_polling() {
+                self.drop_connection_if_invalid(checked);
+                return PollOutcome::CancelRequested;
             }
-            if first && answer.is_err() && self.gate.as_ref().is_some_and(|gate| gate.is_stopped())
-            {
-                // It was stopped at its last bytes, before who wished so was heard.
-                self.tell(Evidence::NeverReached);
-                let elsewhere = *wishes.borrow() == CancellationState::Requested
-                    || !self.engines.list().accepts_attempts(self.target);
-                return PollOutcome::Over(AttemptResult::of(if elsewhere {
-                    AttemptEnd::ConnectFailed
-                } else {
-                    AttemptEnd::NotNeeded
-                }));
-            }
-            if first && answer.is_err() && !self.may_have_come {
-                self.tell(Evidence::NeverReached);
-                let local = matches!(answer, Err(Fault::Local));
-                return PollOutcome::Over(AttemptResult::of(if local {
-                    AttemptEnd::NotSent
-                } else {
-                    AttemptEnd::ConnectFailed
-                }));
-            }
-            let told = match answer {
-                Ok(reply) => match news(&reply) {
-                    News::Good(pages) => {
-                        self.tell(Evidence::Ended);
-                        return PollOutcome::Succeeded(reply, pages);
-                    }
-                    News::Over(end) => {
-                        self.tell(if first {
-                            Evidence::Ended
-                        } else {
-                            Evidence::ReportedFailed(self.connection)
-                        });
-                        let end = match ledger::weigh_reported_end(
-                            first,
-                            end == AttemptEnd::Failed,
-                            !self.may_run(),
-                        ) {
-                            ledger::ReportVerdict::Accepted => end,
-                            ledger::ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
-                            ledger::ReportVerdict::Inconclusive => return PollOutcome::Unknown,
-                        };
-                        return PollOutcome::Over(AttemptResult {
-                            report: reply.report(),
-                            ..AttemptResult::of(end)
-                        });
-                    }
-                    News::NotYet(note) => {
-                        self.tell(Evidence::Running(self.connection));
-                        if note.is_some() {
-                            tidings.progress.send_replace(note);
-                        }
-                        Ok(())
-                    }
-                    News::Garbled => Err(Fault::Garbled),
-                },
-                Err(fault) => Err(fault),
-            };
-            if !wishes.borrow().asks() {
-                self.drop_if_garbled(told);
-                return PollOutcome::Unwanted;
-            }
-            if !self.wait_for_next_poll(&mut asking, told).await {
+            if !self.wait_for_next_poll(&mut schedule, checked).await {
                 return PollOutcome::Unknown;
             }
-            next = self.poll_request(call, 0);
+            let poll = self.poll_request(call, 0);
+            response = match self.poll_until_cancelled(poll, cancellation).await {
+                Some(response) => response,
+                None => return PollOutcome::CancelRequested,
+            };
+            response_to = ResponseTo::Poll;
         }
     }
 
-    /// One call, which is let end for as long as news is held back where nobody waits for it any more; none where
-    /// it has not ended then. A start is not: what the machine has not sent of it, or what has not come, would come after the
-    /// batch's answer.
-    async fn call_while_wanted(
+    /// Sends the request that starts the attempt: breaks with the outcome where it has not arrived, otherwise continues with
+    /// the response.
+    async fn send_start(
         &mut self,
-        request: Request<Outgoing>,
-        feed: Option<OutgoingBody>,
-        wishes: &mut watch::Receiver<CancellationState>,
-    ) -> Option<Result<Reply, Fault>> {
-        let within = self.poll_timeout();
-        let is_start = request.method() == Method::POST;
-        let gate = self.gate.clone();
-        let stops = || gate.as_ref().is_some_and(|gate| gate.stop());
-        let comes_by = self.comes_by;
-        let too_late = async {
-            match comes_by {
-                Some(by) => sleep_until(by.into()).await,
-                None => std::future::pending().await,
-            }
+        call: &Call,
+        start: &AttemptStart,
+        cancellation: &mut watch::Receiver<CancellationState>,
+    ) -> ControlFlow<PollOutcome, Result<Reply, CallError>> {
+        let Some((request, body)) = self.start_request(call, start) else {
+            return ControlFlow::Break(self.never_reached(AttemptEnd::ConnectFailed));
         };
-        // It fails only with who wished gone, who waits for this.
-        let unwanted = async {
-            tokio::select! {
-                _ = wishes.wait_for(|wish| *wish != CancellationState::NotRequested) => {}
-                () = too_late => {}
-            }
-            if !stops() {
-                let _ = wishes.wait_for(|wish| !wish.asks()).await;
-            }
+        let Some(response) = self
+            .start_until_cancelled(request, body, cancellation)
+            .await
+        else {
+            return ControlFlow::Break(PollOutcome::CancelRequested);
         };
-        let answer = {
-            let calling = self.call(request, feed, within, true);
-            tokio::pin!(calling);
-            tokio::select! {
-                biased;
-                answer = &mut calling => Some(answer),
-                () = unwanted => match stops() || is_start && *wishes.borrow() == CancellationState::QueryFinished {
-                    true => None,
-                    false => timeout(NEWS, calling).await.ok(),
-                },
-            }
+        let cancellation = *cancellation.borrow();
+        match self.end_before_arrival(&response, cancellation) {
+            Some(end) => ControlFlow::Break(self.never_reached(end)),
+            None => ControlFlow::Continue(response),
+        }
+    }
+
+    /// Ends an attempt whose request has not arrived completely and can't arrive any more.
+    fn never_reached(&self, end: AttemptEnd) -> PollOutcome {
+        self.record(Evidence::NeverReached);
+        PollOutcome::ended(end)
+    }
+
+    /// How the attempt has ended where its request has not arrived completely; none where it may have.
+    fn end_before_arrival(
+        &self,
+        response: &Result<Reply, CallError>,
+        cancellation: CancellationState,
+    ) -> Option<AttemptEnd> {
+        if self.body_unreadable {
+            // The body is lost for any further attempt too.
+            return Some(AttemptEnd::Failed);
+        }
+        let error = response.as_ref().err()?;
+        let gate = self.send_gate.as_ref();
+        if gate.is_some_and(|gate| gate.is_stopped()) {
+            return Some(self.end_after_stopped_request(cancellation));
+        }
+        if self.request_may_have_arrived {
+            return None;
+        }
+        match error {
+            CallError::LocalResources => Some(AttemptEnd::NotSent),
+            _ => Some(AttemptEnd::ConnectFailed),
+        }
+    }
+
+    /// The gate stopped the request before the task noticed why. The query is tried at another engine where it is still
+    /// wanted, that is where only this attempt was cancelled or the engine does not take new attempts.
+    fn end_after_stopped_request(&self, cancellation: CancellationState) -> AttemptEnd {
+        let is_query_wanted = cancellation == CancellationState::Requested
+            || !self.engines.list().accepts_attempts(self.target);
+        if is_query_wanted {
+            AttemptEnd::ConnectFailed
+        } else {
+            AttemptEnd::NotNeeded
+        }
+    }
+
+    /// Records what a response proves: breaks with the outcome, or continues with whether the response was valid.
+    fn process_response(
+        &mut self,
+        response: Result<Reply, CallError>,
+        response_to: ResponseTo,
+        events: &AttemptEvents,
+    ) -> ControlFlow<PollOutcome, Result<(), CallError>> {
+        let reply = match response {
+            Ok(reply) => reply,
+            Err(error) => return ControlFlow::Continue(Err(error)),
         };
-        if answer.is_none() {
-            // Whatever comes there yet would be taken for the next call's answer.
-            self.abandoned.set();
-            self.sender = None;
-            self.tell(Evidence::ConnectionUnusable(self.connection));
-            if stops() {
-                self.tell(Evidence::NeverReached);
+        match attempt_status(&reply) {
+            AttemptStatus::Succeeded { page_count } => {
+                self.record(Evidence::Ended);
+                ControlFlow::Break(PollOutcome::Succeeded {
+                    first_page: reply,
+                    page_count,
+                })
             }
+            AttemptStatus::Ended(end) => {
+                ControlFlow::Break(self.process_reported_end(&reply, end, response_to))
+            }
+            AttemptStatus::Running(progress) => {
+                self.record(Evidence::Running(self.connection));
+                if progress.is_some() {
+                    events.progress.send_replace(progress);
+                }
+                ControlFlow::Continue(Ok(()))
+            }
+            AttemptStatus::Invalid => ControlFlow::Continue(Err(CallError::InvalidResponse)),
         }
-        answer
     }
 
-    /// After what came of the last call, waits until asking may go on; whether it may.
+    /// What follows where an engine reports that the attempt has ended without a result. Whoever answers a poll may be
+    /// another process than the one that runs the attempt.
+    fn process_reported_end(
+        &self,
+        reply: &Reply,
+        reported: AttemptEnd,
+        response_to: ResponseTo,
+    ) -> PollOutcome {
+        let answers_start = response_to == ResponseTo::Start;
+        self.record(if answers_start {
+            Evidence::Ended
+        } else {
+            Evidence::ReportedFailed(self.connection)
+        });
+        let failed = reported == AttemptEnd::Failed;
+        let end = match weigh_reported_end(answers_start, failed, !self.may_run()) {
+            ReportVerdict::Accepted => reported,
+            ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
+            ReportVerdict::Inconclusive => return PollOutcome::Unknown,
+        };
+        PollOutcome::Ended(AttemptResult {
+            report: reply.load_report(),
+            ..AttemptResult::of(end)
+        })
+    }
+
+    /// Waits after a call until the next poll is due; false where further polls can't tell the outcome.
     pub(super) async fn wait_for_next_poll(
         &mut self,
-        asking: &mut PollSchedule,
-        told: Result<(), Fault>,
+        schedule: &mut PollSchedule,
+        response: Result<(), CallError>,
     ) -> bool {
         let now = self.engines.now();
-        let step = match told {
-            Ok(()) => asking.answered(now),
-            Err(fault) => asking.failed(now, fault.lost()),
+        let step = match response {
+            Ok(()) => schedule.answered(now),
+            Err(error) => schedule.failed(now, error.into()),
         };
-        self.drop_if_garbled(told);
-        match step {
-            PollStep::PollAgain(after) => {
-                // One that was waited for in vain has taken its time already.
-                if !after.is_zero() && told != Err(Fault::Silent) {
-                    sleep(after).await;
-                }
-                true
-            }
-            PollStep::Stop => false,
+        self.drop_connection_if_invalid(response);
+        let PollStep::PollAgain(pause) = step else {
+            return false;
+        };
+        // A call that timed out has taken at least as long as the pause.
+        let has_waited = response == Err(CallError::TimedOut);
+        if !pause.is_zero() && !has_waited {
+            sleep(pause).await;
         }
+        true
     }
 }
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -1,85 +1,102 @@
-//! Requests to engines: a start goes out through its gate.
+//! Requests to engines. The body of a request that starts an attempt goes out through its send gate.
 
 use super::call::Call;
-use crate::system::stream_budget::SendGate;
+use crate::system::send_gate::SendGate;
 use bytes::Bytes;
 use garnetwall_bodies::body::ReadFault;
 use http::header::HOST;
 use http::{HeaderValue, Method, Request};
 use http_body_util::channel::Channel;
 use http_body_util::{Either, Full};
-use hyper::body::{Body as OutgoingBody, Frame, SizeHint};
+use hyper::body::{Body as HttpBody, Frame, SizeHint};
 use hyper::client::conn::http1;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{ready, Context, Poll};
 
-/// Sends calls over one connection.
-pub(super) type Sender = http1::SendRequest<Outgoing>;
+/// The path that starts an attempt.
+pub(super) const START_PATH: &str = "/c";
 
-/// What a call brings along: all at once, or as it comes.
-pub(super) type Carried = Either<Full<Bytes>, Channel<Bytes, ReadFault>>;
+/// Sends requests over one connection.
+pub(super) type Sender = http1::SendRequest<RequestBody>;
 
-/// It, and the gate that it goes out through where the call is a start.
-pub(super) struct Outgoing {
-    pub(super) carried: Carried,
-    /// Bytes of it still to come, where that is known.
-    pub(super) left: Option<u64>,
+/// A body that is complete, or that is still being received from the client.
+pub(super) type BodySource = Either<Full<Bytes>, Channel<Bytes, ReadFault>>;
+
+/// The body of a request.
+pub(super) struct RequestBody {
+    pub(super) source: BodySource,
+    /// Bytes that `source` has still to give; none where the length is not known.
+    pub(super) remaining_bytes: Option<u64>,
+    /// Set where the request starts an attempt.
     pub(super) gate: Option<Arc<SendGate>>,
 }
 
-impl Outgoing {
-    /// All of it has been handed over to be written.
-    pub(super) fn read_out(&self) {
+impl RequestBody {
+    fn empty() -> Self {
+        RequestBody {
+            source: Either::Left(Full::default()),
+            remaining_bytes: None,
+            gate: None,
+        }
+    }
+
+    /// Notes that hyper has taken `byte_count` bytes, or the end of the body.
+    fn record_frame(&mut self, byte_count: usize, is_end: bool) {
+        self.remaining_bytes = self
+            .remaining_bytes
+            .map(|remaining| remaining.saturating_sub(byte_count as u64));
+        if !is_end && self.remaining_bytes != Some(0) && !self.source.is_end_stream() {
+            return;
+        }
         if let Some(gate) = &self.gate {
-            gate.read_out();
+            gate.body_consumed();
         }
     }
 }
 
-impl OutgoingBody for Outgoing {
+impl HttpBody for RequestBody {
     type Data = Bytes;
-    type Error = <Carried as OutgoingBody>::Error;
+    type Error = <BodySource as HttpBody>::Error;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        let frame = ready!(Pin::new(&mut self.carried).poll_frame(cx));
-        let bytes = frame
-            .as_ref()
-            .and_then(|f| f.as_ref().ok())
-            .and_then(Frame::data_ref)
-            .map_or(0, Bytes::len);
-        self.left = self.left.map(|left| left.saturating_sub(bytes as u64));
-        if frame.is_none() || self.left == Some(0) || self.carried.is_end_stream() {
-            self.read_out();
-        }
+        let frame = ready!(Pin::new(&mut self.source).poll_frame(cx));
+        let data = match &frame {
+            Some(Ok(frame)) => frame.data_ref(),
+            _ => None,
+        };
+        let byte_count = data.map_or(0, Bytes::len);
+        self.record_frame(byte_count, frame.is_none());
         Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.carried.is_end_stream()
+        self.source.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.carried.size_hint()
+        self.source.size_hint()
     }
 }
 
-pub(super) fn path(call: &Call, page: Option<usize>) -> String {
+/// The path of an attempt at its engine.
+pub(super) fn attempt_path(call: &Call) -> String {
     let id = call.id.to_str().unwrap_or_default();
-    page.map_or_else(|| format!("/c/{id}"), |page| format!("/c/{id}/{page}"))
+    format!("{START_PATH}/{id}")
+}
+
+/// The path of a page of an attempt's result; page 0 also polls the attempt.
+pub(super) fn page_path(call: &Call, page: usize) -> String {
+    format!("{}/{page}", attempt_path(call))
 }
 
-pub(super) fn request(method: Method, address: SocketAddr, path: &str) -> Request<Outgoing> {
-    let nothing = Outgoing {
-        carried: Either::Left(Full::default()),
-        left: None,
-        gate: None,
-    };
-    let mut request = Request::new(nothing);
+/// A request without a body.
+pub(super) fn request(method: Method, address: SocketAddr, path: &str) -> Request<RequestBody> {
+    let mut request = Request::new(RequestBody::empty());
     *request.method_mut() = method;
     *request.uri_mut() = path.parse().unwrap_or_default();
     if let Ok(host) = HeaderValue::try_from(address.to_string()) {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,10 +13,11 @@
 use crate::phase::Phase;
 use crate::scheduling::plan_routing::{self, PlanRouter};
 use crate::scheduling::scheduler::Scheduler;
-use crate::storage::query_journal::{self, QueryJournal};
+use crate::storage::body_store;
+use crate::storage::query_journal::QueryJournal;
 use crate::system::clock::Clock;
 use crate::system::os_error::retry;
-use crate::system::stream_budget::ResourceBudget;
+use crate::system::resource_budget::ResourceBudget;
 use garnetwall::api::{EngineId, QueryClass, Settings};
 use garnetwall::controller::AdmissionController;
 use garnetwall_bodies::Store;
@@ -69,7 +70,7 @@
             plan_router(&config, &budget),
             clock,
             longest_deadline_seconds,
-            budget.kept_answers,
+            budget.answer_cache_bytes,
         );
         scheduler.set_classes(&classes);
         let list = Arc::new(EngineList::new(
@@ -121,7 +122,7 @@
         } = resources;
         self.start_background_tasks(reloads);
         let router = http::router(Arc::new(self.http_front(journal, store.clone())));
-        let clients = ClientConnections::new(self.budget.clients.clone());
+        let clients = ClientConnections::new(self.budget.client_connections.clone());
         let (shut_idle, idle_shut) = watch::channel(false);
         let (stop_accepting, accepting_stops) = watch::channel(false);
         // One future for all phases: it holds a connection that waits for its slot.
@@ -200,7 +201,7 @@
             return Ok(None);
         };
         let names = &self.config.decoded.names.groups;
-        query_journal::body_store(bodies, names, &self.config.name).map(Some)
+        body_store::body_store(bodies, names, &self.config.name).map(Some)
     }
 
     fn http_front(&self, journal: Arc<QueryJournal>, store: Option<Arc<Store>>) -> HttpFront {
@@ -211,9 +212,9 @@
             store,
             decoded: self.config.decoded.clone(),
             phase: self.phase.subscribe(),
-            statements: self.budget.statements.clone(),
+            statements: self.budget.statement_bytes.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
-                self.budget.room,
+                self.budget.query_capacity,
                 self.config.decoded.network.dial,
                 self.longest_deadline_seconds,
             )),
@@ -273,7 +274,7 @@
 
     fn stopped(&self, store: Option<&Store>) {
         if let Some(store) = store {
-            query_journal::log_body_store(store, &self.config.decoded.names.groups);
+            body_store::log_body_store(store, &self.config.decoded.names.groups);
         }
         self.enter(Phase::Stopped);
     }
@@ -306,7 +307,7 @@
     let settings = &config.decoded.settings;
     let capacity = settings.capacity.unwrap_or(f64::INFINITY);
     Settings {
-        capacity: Some(capacity.min(budget.room as f64)),
+        capacity: Some(capacity.min(budget.query_capacity as f64)),
         classes: classes.to_vec(),
         ..settings.clone()
     }
@@ -319,7 +320,11 @@
         limits = plan.limits.len(),
         "plan in force"
     );
-    Some(PlanRouter::new(&config.decoded, plan, budget.room as f64))
+    Some(PlanRouter::new(
+        &config.decoded,
+        plan,
+        budget.query_capacity as f64,
+    ))
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -1,136 +1,121 @@
-//! What the desk's lock guards: the module, and the queries in hand.
+//! What the scheduler's lock guards: the admission controller, the plan router and the open queries.
 
-use super::answer_cache::{AnswerCache, Fingerprint};
+use super::answer_cache::AnswerCache;
+use super::open_query::OpenQuery;
+use super::query_index::QueryIndex;
 use super::{Command, QueryAnswer};
-use crate::engines::Call;
-use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::plan_routing::{PlanAdmission, PlanRouter, SubsetUpdate};
 use crate::system::clock::Clock;
 use crate::system::stall_detector::StallDetector;
-use garnetwall::api::{Placement, QueryId};
+use garnetwall::api::{Idempotency, Placement, QueryClass, QueryId};
 use garnetwall::controller::AdmissionController;
-use std::collections::{HashMap, VecDeque};
-use std::sync::Arc;
-use tokio::sync::mpsc::UnboundedSender;
-use tokio::sync::watch;
+use std::collections::HashMap;
 
+/// The state of the scheduler. Times are seconds on the gateway's clock.
 pub(super) struct SchedulerState {
-    pub(super) control: AdmissionController,
-    pub(super) planner: Option<PlanRouter>,
-    pub(super) next: QueryId,
-    pub(super) jobs: HashMap<u64, Job>,
-    pub(super) in_hand: HashMap<QueryId, OpenQuery>,
-    pub(super) over: VecDeque<(f64, u64)>,
-    pub(super) kept_answers: AnswerCache,
-    /// Once-only batches that an earlier process sent, and until when their ids count.
-    pub(super) recovered: HashMap<u64, f64>,
-    /// They are not known yet.
-    pub(super) awaits_recovery: bool,
-    /// By service group.
-    pub(super) once_only: Vec<bool>,
-    pub(super) wake: f64,
-    pub(super) pulse: StallDetector,
+    pub(super) controller: AdmissionController,
+    pub(super) plan_router: Option<PlanRouter>,
+    pub(super) next_query_id: QueryId,
+    /// What is known of each query key.
+    pub(super) queries: QueryIndex,
+    pub(super) open_queries: HashMap<QueryId, OpenQuery>,
+    pub(super) answer_cache: AnswerCache,
+    /// Whether queries of a class are non-idempotent, by class.
+    pub(super) non_idempotent_classes: Vec<bool>,
+    /// When the controller is due next.
+    pub(super) wakes_at: f64,
+    pub(super) stall_detector: StallDetector,
 }
 
-pub(super) enum Job {
-    OpenQuery(QueryId),
-    Over,
-}
-
-/// A batch in hand, until it is over and every dispatch has its outcome.
-pub(super) struct OpenQuery {
-    pub(super) job: u64,
-    pub(super) tenant: usize,
-    pub(super) key: Option<u64>,
-    pub(super) call: Arc<Call>,
-    /// None where the call can't be compared with another.
-    pub(super) fingerprint: Option<Fingerprint>,
-    pub(super) orders: UnboundedSender<Command>,
-    pub(super) answer: watch::Sender<Option<QueryAnswer>>,
-    pub(super) waiters: usize,
-    /// How many waiters it has had, so that one who has left is told from one who came after.
-    pub(super) waited: u64,
-    pub(super) attended: ClientPresence,
-    pub(super) limit: f64,
-    /// What the plan let it in with.
-    pub(super) passage: Option<PlanAdmission>,
-}
+impl SchedulerState {
+    pub(super) fn new(
+        controller: AdmissionController,
+        plan_router: Option<PlanRouter>,
+        now: f64,
+        answer_cache_bytes: usize,
+    ) -> Self {
+        SchedulerState {
+            controller,
+            plan_router,
+            next_query_id: 0,
+            queries: QueryIndex::default(),
+            open_queries: HashMap::new(),
+            answer_cache: AnswerCache::new(answer_cache_bytes),
+            non_idempotent_classes: Vec::new(),
+            wakes_at: now,
+            stall_detector: StallDetector::new(now),
+        }
+    }
 
-impl OpenQuery {
-    pub(super) fn order(&self, order: Command) {
-        // A task that no longer listens has nothing out and owes nothing.
-        let _ = self.orders.send(order);
+    pub(super) fn set_classes(&mut self, classes: &[QueryClass]) {
+        self.non_idempotent_classes = classes
+            .iter()
+            .map(|class| class.idempotency == Idempotency::NonIdempotent)
+            .collect();
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.answer.borrow().is_some()
+    pub(super) fn is_non_idempotent(&self, class: usize) -> bool {
+        let class = self.non_idempotent_classes.get(class);
+        class.copied().unwrap_or_default()
     }
-}
 
-impl SchedulerState {
-    /// Tells the module of ways that batches may go.
-    pub(super) fn tell(&mut self, lanes: Vec<SubsetUpdate>) {
-        for (lane, tiers) in lanes {
-            self.control.update_endpoint_subset(lane, tiers);
+    pub(super) fn update_endpoint_subsets(&mut self, updates: Vec<SubsetUpdate>) {
+        for update in updates {
+            self.controller
+                .update_endpoint_subset(update.endpoint_subset, update.priority_levels);
         }
     }
 
-    /// The plan's limits are free again of one that it let in.
-    pub(super) fn leaves(&mut self, now: f64, passage: Option<PlanAdmission>) {
-        if let Some((planner, passage)) = self.planner.as_mut().zip(passage) {
-            planner.release(now, passage);
+    /// Returns what a query holds of the plan's limits.
+    pub(super) fn release_plan_admission(&mut self, now: f64, admission: Option<PlanAdmission>) {
+        if let Some((plan_router, admission)) = self.plan_router.as_mut().zip(admission) {
+            plan_router.release(now, admission);
         }
     }
 
-    pub(super) fn order(&self, id: QueryId, order: Command) {
-        if let Some(b) = self.in_hand.get(&id) {
-            b.order(order);
+    /// Sends a command to the task of a query, where that is open.
+    pub(super) fn send_command(&self, id: QueryId, command: Command) {
+        if let Some(query) = self.open_queries.get(&id) {
+            query.send_command(command);
         }
     }
 
-    pub(super) fn ask(&mut self, clock: &Clock, now: f64, id: QueryId) {
-        match self.control.place(now, id) {
+    /// Carries out the controller's placement of a query.
+    pub(super) fn place(&mut self, clock: &Clock, now: f64, id: QueryId) {
+        match self.controller.place(now, id) {
             Placement::Wait => {}
-            Placement::Answer(answer) => self.order(id, Command::Answer(answer)),
+            Placement::Answer(answer) => self.send_command(id, Command::Answer(answer)),
             Placement::Attempt {
                 engine,
-                response_timeout: time_out,
-                send_timeout: within,
+                response_timeout,
+                send_timeout,
                 ..
             } => {
-                let (until, comes_by) =
-                    (clock.instant(now + time_out), clock.instant(now + within));
-                self.order(
-                    id,
-                    Command::BeginAttempt {
-                        engine,
-                        response_deadline: until,
-                        send_deadline: comes_by,
-                    },
-                );
+                let command = Command::BeginAttempt {
+                    engine,
+                    response_deadline: clock.instant(now + response_timeout),
+                    send_deadline: clock.instant(now + send_timeout),
+                };
+                self.send_command(id, command);
             }
         }
     }
 
-    /// Nobody waits for this batch any more; whoever still asks for it finds it errored.
-    pub(super) fn gone(&mut self, now: f64, id: QueryId) {
-        let Some(b) = self.in_hand.get(&id).filter(|b| !b.is_over()) else {
+    /// The client of a query has left: no attempt begins any more, and whoever still waits for it is answered that it failed.
+    pub(super) fn client_left(&mut self, now: f64, id: QueryId) {
+        let query = self.open_queries.get(&id);
+        let Some(query) = query.filter(|query| !query.is_finished()) else {
             return;
         };
-        tracing::debug!(batch = id, left = b.limit - now, "client gone");
-        b.answer.send_replace(Some(QueryAnswer::Failed));
-        b.order(Command::ClientLeft);
-        self.control.client_left(now, id);
+        tracing::debug!(batch = id, left = query.deadline - now, "client gone");
+        query.answer.send_replace(Some(QueryAnswer::Failed));
+        query.send_command(Command::ClientLeft);
+        self.controller.client_left(now, id);
     }
 
-    pub(super) fn forget_over(&mut self, now: f64) {
-        while let Some((_, job)) = self.over.front().copied().filter(|(until, _)| *until < now) {
-            self.over.pop_front();
-            self.jobs.remove(&job);
-        }
-        self.kept_answers.make_room(now);
-        if !self.recovered.is_empty() {
-            self.recovered.retain(|_, until| *until > now);
-        }
+    /// Forgets query keys and cached answers that have expired.
+    pub(super) fn discard_expired(&mut self, now: f64) {
+        self.queries.discard_expired(now);
+        self.answer_cache.evict(now);
     }
 }
