--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -47,7 +47,7 @@
     pub fn apply(&self, event: Event) {
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
         let change = self.list.apply(event);
-        deliver(&change.updates, change.is_full_list);
+        deliver(&change.updates, change.is_complete);
     }
 
     /// Applies the changes of the subset that are due, and returns the engines that they concern.
@@ -117,7 +117,7 @@
             .iter()
             .find(|update| Some(&update.id) == id.as_ref());
         if let Some(update) = member {
-            joined(update.listed.engine, outcome);
+            joined(update.endpoint.engine, outcome);
         }
     }
 }
--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -16,7 +16,7 @@
     /// Its number; those of successive events are successive.
     pub number: u64,
     /// Whether the entries are the full list, or only those that changed.
-    pub is_full_list: bool,
+    pub is_complete: bool,
     /// Engines in the order in which the log has them.
     pub entries: Vec<EngineEntry>,
 }
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -79,18 +79,18 @@
         let Some(fleet) = self.fleet else {
             return Ok(Event {
                 number,
-                is_full_list: false,
+                is_complete: false,
                 entries: Vec::new(),
             });
         };
-        let is_full_list = fleet.full.flag();
-        let is_full_list =
-            is_full_list.ok_or_else(|| EventError::expected("fleet.full", "true or false"))?;
+        let is_complete = fleet.full.flag();
+        let is_complete =
+            is_complete.ok_or_else(|| EventError::expected("fleet.full", "true or false"))?;
         let entries = fleet.servers.entries;
         let entries = entries.ok_or_else(|| EventError::expected("fleet.servers", "a list"))??;
         Ok(Event {
             number,
-            is_full_list,
+            is_complete,
             entries,
         })
     }
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -50,7 +50,7 @@
         event,
         Event {
             number: 4,
-            is_full_list: true,
+            is_complete: true,
             entries: vec![entry.clone(), entry]
         }
     );
@@ -58,7 +58,7 @@
         decoded(&json!({"seq": 3})),
         Ok(Event {
             number: 3,
-            is_full_list: false,
+            is_complete: false,
             entries: vec![]
         })
     );
@@ -140,7 +140,7 @@
         "servers": [{"id": "a", "id": "b", "addr": "127.0.0.1:1", "zone": "east", "state": "DRAINING"}]}}"#;
     let event = event_of_text(text, &names()).unwrap();
     assert_eq!(
-        (event.number, event.is_full_list, event.entries.len()),
+        (event.number, event.is_complete, event.entries.len()),
         (2, false, 1)
     );
     let entry = &event.entries[0];
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct EngineUpdate {
     /// The engine for the decision module.
-    pub listed: Endpoint,
+    pub endpoint: Endpoint,
     /// The engine's name in the change log.
     pub id: String,
     /// Where it listens.
@@ -40,7 +40,7 @@
     /// Engines that are new or changed.
     pub updates: Vec<EngineUpdate>,
     /// Whether the updates are the full list, so that all other engines are removed.
-    pub is_full_list: bool,
+    pub is_complete: bool,
 }
 
 /// The list of engines, shared by all that read it: the full list, or the gateway's subset of it.
@@ -83,7 +83,7 @@
     /// Applies an event, and returns what it changes for the decision module.
     pub fn apply(&self, event: Event) -> ListChange {
         let mut state = self.state();
-        let has_list = event.is_full_list || !event.entries.is_empty();
+        let has_list = event.is_complete || !event.entries.is_empty();
         let change = state.apply(event, self.clock.now());
         if has_list {
             self.is_known.send_replace(true);
@@ -176,20 +176,20 @@
     fn apply(&mut self, event: Event, now: f64) -> ListChange {
         let Event {
             number,
-            is_full_list,
+            is_complete,
             entries,
         } = event;
         self.table.record_starts(now, &entries);
         let Some(selection) = &mut self.selection else {
-            let updates = self.table.apply(entries, is_full_list, Instant::now());
+            let updates = self.table.apply(entries, is_complete, Instant::now());
             let StateCounts { ready, draining } = self.table.counts();
             tracing::info!(event = number, ready, draining, "engine list updated");
             return ListChange {
                 updates,
-                is_full_list,
+                is_complete,
             };
         };
-        let selected = selection.apply(now, entries, is_full_list);
+        let selected = selection.apply(now, entries, is_complete);
         let status = selection.status();
         let updates = self.table.apply_selected(selected);
         tracing::info!(
@@ -201,7 +201,7 @@
         self.subset_log.log(status);
         ListChange {
             updates,
-            is_full_list: false,
+            is_complete: false,
         }
     }
 
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -127,7 +127,7 @@
     pub(super) fn apply(
         &mut self,
         entries: Vec<EngineEntry>,
-        is_full_list: bool,
+        is_complete: bool,
         now: Instant,
     ) -> Vec<EngineUpdate> {
         self.change_count += 1;
@@ -135,7 +135,7 @@
             .into_iter()
             .filter_map(|entry| self.update(entry, None, now))
             .collect();
-        if is_full_list {
+        if is_complete {
             self.remove_unnamed(now);
         }
         updates
@@ -166,7 +166,7 @@
         let started_at = self.start_time(engine, &entry);
         self.set_state(engine, entry.state, now);
         let update = EngineUpdate {
-            listed: Endpoint {
+            endpoint: Endpoint {
                 engine,
                 zone: entry.zone,
                 kind: entry.kind,
--- a/crates/gateway/src/discovery/list/engine_table/tests.rs
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -24,7 +24,7 @@
         now += Duration::from_secs(wait);
         let engine = table
             .update(entry(id, condition), None, now)
-            .map(|update| update.listed.engine);
+            .map(|update| update.endpoint.engine);
         (engine, table.engines.len(), table.indices.len())
     };
     assert_eq!(take("a", EndpointState::Ready, 0), (Some(0), 1, 1));
@@ -58,10 +58,10 @@
     fn apply(
         &mut self,
         entries: &[EngineEntry],
-        is_full_list: bool,
+        is_complete: bool,
         now: Instant,
     ) -> Vec<(EngineId, EndpointState)> {
-        if is_full_list {
+        if is_complete {
             for (entry, removed_at) in &mut self.known {
                 entry.state = EndpointState::Removed;
                 removed_at.get_or_insert(now);
@@ -124,14 +124,14 @@
         let retention = Duration::from_secs(10);
         let (mut table, mut plain) = (EngineTable::new(retention), PlainTable { retention, ..PlainTable::default() });
         let mut now = Instant::now();
-        for (is_full_list, entries, wait) in events {
+        for (is_complete, entries, wait) in events {
             now += Duration::from_secs(wait);
             let conditions = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
             let entries: Vec<EngineEntry> =
                 entries.iter().map(|(id, c)| entry(&id.to_string(), conditions[*c as usize])).collect();
-            let expected = plain.apply(&entries, is_full_list, now);
-            let updates = table.apply(entries, is_full_list, now);
-            let updates: Vec<_> = updates.iter().map(|update| (update.listed.engine, update.listed.state)).collect();
+            let expected = plain.apply(&entries, is_complete, now);
+            let updates = table.apply(entries, is_complete, now);
+            let updates: Vec<_> = updates.iter().map(|update| (update.endpoint.engine, update.endpoint.state)).collect();
             prop_assert_eq!(updates, expected);
             prop_assert_eq!(table.counts, plain.counts());
             prop_assert_eq!(table.engines.len(), plain.known.len());
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -20,7 +20,7 @@
     let list = EngineList::new(Duration::from_secs(20), Clock::start(), None);
     let ready = |id: &str| entry(id, EndpointState::Ready);
     let removed = |id: &str| entry(id, EndpointState::Removed);
-    for (is_full_list, entries, engines) in [
+    for (is_complete, entries, engines) in [
         (
             true,
             vec![ready("b"), ready("a"), ready("c")],
@@ -41,15 +41,15 @@
     ] {
         let change = list.apply(Event {
             number: 1,
-            is_full_list,
+            is_complete,
             entries: entries.clone(),
         });
-        assert_eq!(change.is_full_list, is_full_list);
+        assert_eq!(change.is_complete, is_complete);
         assert_eq!(
             change
                 .updates
                 .iter()
-                .map(|update| update.listed.engine)
+                .map(|update| update.endpoint.engine)
                 .collect::<Vec<_>>(),
             engines
         );
@@ -63,7 +63,7 @@
                 state,
                 gateways: holders,
                 ..
-            } = update.listed;
+            } = update.endpoint;
             assert_eq!((&update.id, update.address), (&entry.id, entry.address));
             assert_eq!((zone, kind, cell), (entry.zone, entry.kind, entry.cell));
             assert_eq!(
@@ -93,10 +93,10 @@
         ];
         let first = list.apply(Event {
             number: 1,
-            is_full_list: true,
+            is_complete: true,
             entries: entries.clone(),
         });
-        let age = |update: &EngineUpdate| update.listed.started_at.map(|at| now - at);
+        let age = |update: &EngineUpdate| update.endpoint.started_at.map(|at| now - at);
         let ages: Vec<_> = first.updates.iter().map(age).collect();
         assert!(
             ages[0].is_some_and(|age| (-0.5..0.5).contains(&age)),
@@ -110,12 +110,12 @@
         // Reported again, also when more is known by then, it is the same start.
         let later = list.apply(Event {
             number: 2,
-            is_full_list: false,
+            is_complete: false,
             entries: vec![started("newer", -30.0), entries[0].clone()],
         });
         assert_eq!(
-            later.updates[1].listed.started_at,
-            first.updates[0].listed.started_at
+            later.updates[1].endpoint.started_at,
+            first.updates[0].endpoint.started_at
         );
     }
 }
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -105,7 +105,7 @@
         &mut self,
         now: f64,
         entries: Vec<EngineEntry>,
-        is_full_list: bool,
+        is_complete: bool,
     ) -> Vec<Selected> {
         let catalog_entries: Vec<subset::EngineLine> = entries
             .iter()
@@ -114,7 +114,7 @@
                 facts: self.facts(entry),
             })
             .collect();
-        let changes = self.catalog.apply(&catalog_entries, is_full_list);
+        let changes = self.catalog.apply(&catalog_entries, is_complete);
         for change in changes.iter().filter(|change| change.after.is_none()) {
             self.details.remove(&change.engine);
         }
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -63,15 +63,15 @@
     ) {
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
-        for (is_full_list, entries, reached) in events {
+        for (is_complete, entries, reached) in events {
             let condition = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
             let of = |(n, c, started): &(u8, u8, u8)| entry(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
             let entries: Vec<EngineEntry> = entries.iter().map(of).collect();
-            if is_full_list {
+            if is_complete {
                 list.clear();
             }
             list.extend(entries.iter().map(|entry| (entry.id.clone(), entry.clone())));
-            module.update(selection.apply(now, entries, is_full_list));
+            module.update(selection.apply(now, entries, is_complete));
             for step in 0..5 {
                 for entry in module.ready() {
                     prop_assert_eq!(Some(entry), list.get(&entry.id), "at {} of {}", step, now);
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -66,7 +66,7 @@
             return Ok(EventOutcome::Duplicate);
         }
         match event {
-            Ok(event) if number > expected && !event.is_full_list => {
+            Ok(event) if number > expected && !event.is_complete => {
                 Err(SequenceError::Gap { number, expected })
             }
             Ok(event) => {
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -65,7 +65,7 @@
         }];
         self.engines.list.apply(Event {
             number: 1,
-            is_full_list: true,
+            is_complete: true,
             entries: lines,
         });
     }
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -51,8 +51,8 @@
     /// Discovery that delivers changes of the engine list to the scheduler.
     fn discovery(&self) -> Discovery {
         let scheduler = self.scheduler.clone();
-        let deliver = move |updates: &[EngineUpdate], is_full_list| {
-            scheduler.update_endpoints(updates, is_full_list)
+        let deliver = move |updates: &[EngineUpdate], is_complete| {
+            scheduler.update_endpoints(updates, is_complete)
         };
         Discovery::new(self.list.clone(), Box::new(deliver))
     }
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -206,11 +206,11 @@
             self.remove_unnamed_endpoints(changes);
         }
         for change in changes {
-            let engine = change.listed.engine;
+            let engine = change.endpoint.engine;
             if engine >= self.endpoints.len() {
                 self.endpoints.resize_with(engine + 1, || None);
             }
-            let is_listed = change.listed.state != EndpointState::Removed;
+            let is_listed = change.endpoint.state != EndpointState::Removed;
             self.endpoints[engine] = is_listed.then(|| change.clone());
             self.update_pools(engine);
         }
@@ -220,7 +220,10 @@
     }
 
     fn remove_unnamed_endpoints(&mut self, changes: &[EngineUpdate]) {
-        let named: HashSet<usize> = changes.iter().map(|change| change.listed.engine).collect();
+        let named: HashSet<usize> = changes
+            .iter()
+            .map(|change| change.endpoint.engine)
+            .collect();
         for engine in (0..self.endpoints.len()).filter(|engine| !named.contains(engine)) {
             self.endpoints[engine] = None;
             self.update_pools(engine);
@@ -229,12 +232,12 @@
 
     /// Applies what the endpoint list says of an engine to the pools of every plan.
     fn update_pools(&mut self, engine: usize) {
-        let endpoint = self.endpoints.get(engine).and_then(Option::as_ref);
-        let facts = endpoint.map(|endpoint| EngineFacts {
-            id: &endpoint.id,
-            zone: name_at(&self.zone_names, endpoint.listed.zone as usize),
-            kind: name_at(&self.kind_names, endpoint.listed.kind),
-            address: endpoint.address.ip(),
+        let update = self.endpoints.get(engine).and_then(Option::as_ref);
+        let facts = update.map(|update| EngineFacts {
+            id: &update.id,
+            zone: name_at(&self.zone_names, update.endpoint.zone as usize),
+            kind: name_at(&self.kind_names, update.endpoint.kind),
+            address: update.address.ip(),
         });
         for routed in self.superseded.iter_mut().chain([&mut self.in_force]) {
             routed
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -9,7 +9,7 @@
 impl Scheduler {
     /// Applies a change of the endpoint list; a complete one removes the engines that it does not name.
     pub fn update_endpoints(&self, changes: &[EngineUpdate], is_complete: bool) {
-        let endpoints: Vec<_> = changes.iter().map(|change| change.listed).collect();
+        let endpoints: Vec<_> = changes.iter().map(|change| change.endpoint).collect();
         self.handle_event(|state, _| {
             state.controller.update_endpoints(&endpoints, is_complete);
             if let Some(plan_router) = state.plan_router.as_mut() {
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -3,7 +3,7 @@
 
 use crate::system::boot_clock::BootClock;
 use crate::system::clock::Clock;
-use crate::system::os_error::may_pass;
+use crate::system::os_error::is_transient;
 pub use garnetwall_ledger::journal::RecoveredQuery;
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
 use garnetwall_ledger::records::{BootRun, StartedQuery, RUN_MARGIN};
@@ -138,7 +138,7 @@
     let path = path.display();
     match started {
         Ok(()) => Ok(()),
-        Err(error) if may_pass(&error) => {
+        Err(error) if is_transient(&error) => {
             tracing::error!(%path, %error, "query journal not writable yet: no non-idempotent query is sent");
             Ok(())
         }
--- a/crates/gateway/src/system/os_error.rs
+++ b/crates/gateway/src/system/os_error.rs
@@ -29,7 +29,7 @@
 }
 
 /// Whether the error is transient: the same call may succeed soon.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     is_local(error)
         || matches!(
             code(error),
@@ -71,7 +71,7 @@
     let started = Instant::now();
     loop {
         match attempt() {
-            Err(error) if may_pass(&error) && started.elapsed() < START_TIMEOUT => {
+            Err(error) if is_transient(&error) && started.elapsed() < START_TIMEOUT => {
                 std::thread::sleep(RETRY_PAUSE)
             }
             result => return result,
@@ -89,7 +89,7 @@
     let mut is_logged = false;
     loop {
         match attempt() {
-            Err(error) if may_pass(&error) && started.elapsed() < START_TIMEOUT => {
+            Err(error) if is_transient(&error) && started.elapsed() < START_TIMEOUT => {
                 if !is_logged {
                     tracing::warn!(%error, step, "start step failed, retrying");
                     is_logged = true;
