--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -61,9 +61,9 @@
     /// Where the change log is.
     pub changelog: SocketAddr,
     /// The number of the last event known at the start.
-    pub last_known: u64,
+    pub last_initial_event: u64,
     /// The events known at the start, in ascending order.
-    pub known: Vec<Event>,
+    pub initial_events: Vec<Event>,
     /// The settings of the platform.
     pub decoded: Decoded,
     /// The engine subset that the gateway works with; the whole list where it is none.
@@ -160,8 +160,8 @@
         sockets: sockets.unwrap_or(DEFAULT_SOCKETS),
         memory_mb: memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
         changelog,
-        last_known: initial_list.last_event,
-        known: initial_list.events,
+        last_initial_event: initial_list.last_event,
+        initial_events: initial_list.events,
         decoded,
         subset,
         plan: None,
--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -7,6 +7,14 @@
 //! little after any fixed timeout, each time. So another connection is opened beside it, and all stay until one of them
 //! delivers the next event, is silent for [`NOTIFICATION_DEADLINE`], or trickles for [`MAX_FIELD_DURATION`]. Times are
 //! durations since a fixed moment.
+//!
+//! | a connection is | when | what follows |
+//! |---|---|---|
+//! | live | it makes progress: a complete field, or [`PROGRESS_BYTES`] of one | no other is opened |
+//! | overdue | it makes no progress for [`SILENCE_TIMEOUT`], an unproven backup for [`BACKUP_SILENCE_TIMEOUT`], or it is the only one and its field is unfinished for [`LONE_FIELD_TIMEOUT`] | once all are overdue, a backup is opened, up to [`MAX_OPEN`] |
+//! | proven | it has delivered complete fields for [`NOTIFICATION_DEADLINE`] | older ones between events are closed |
+//! | replaceable | it was open for [`NOTIFICATION_DEADLINE`] and delivered nothing for [`SILENCE_TIMEOUT`]; or it is the newest and makes no progress for that long | where all [`MAX_OPEN`] are overdue, it is closed for a fresh one |
+//! | silent | it delivered nothing for [`NOTIFICATION_DEADLINE`], or trickles for [`MAX_FIELD_DURATION`] | it is closed |
 
 use crate::discovery::reconnect::Reconnect;
 use std::time::Duration;
@@ -60,9 +68,9 @@
     pub(super) unfinished: bool,
 }
 
-/// How far a connection is trusted to deliver the next event.
+/// What a connection is to the set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ConnectionState {
+enum ConnectionRole {
     /// It is the one that is followed: it was opened while no other was, or has delivered the next event.
     Primary,
     /// It was opened beside slow or silent ones, and has delivered no event yet.
@@ -81,7 +89,7 @@
 #[derive(Clone, Debug)]
 struct Connection {
     id: ConnectionId,
-    state: ConnectionState,
+    role: ConnectionRole,
     read_state: ReadState,
     opened_at: Duration,
     last_byte_at: Duration,
@@ -93,10 +101,10 @@
 }
 
 impl Connection {
-    fn new(id: ConnectionId, now: Duration, state: ConnectionState) -> Self {
+    fn new(id: ConnectionId, now: Duration, role: ConnectionRole) -> Self {
         Connection {
             id,
-            state,
+            role,
             read_state: ReadState::BetweenEvents,
             opened_at: now,
             last_byte_at: now,
@@ -130,9 +138,9 @@
 
     /// How long it may make no progress.
     fn silence_timeout(&self) -> Duration {
-        match self.state {
-            ConnectionState::Backup if !self.is_proven() => BACKUP_SILENCE_TIMEOUT,
-            ConnectionState::Backup | ConnectionState::Primary => SILENCE_TIMEOUT,
+        match self.role {
+            ConnectionRole::Backup if !self.is_proven() => BACKUP_SILENCE_TIMEOUT,
+            ConnectionRole::Backup | ConnectionRole::Primary => SILENCE_TIMEOUT,
         }
     }
 
@@ -215,7 +223,7 @@
     /// A connection has delivered the next event: it is followed, and the others are closed.
     pub(super) fn event_received(&mut self, id: ConnectionId) {
         let Some(index) = self.index(id) else { return };
-        self.open[index].state = ConnectionState::Primary;
+        self.open[index].role = ConnectionRole::Primary;
         self.remove_redundant(|other| other != id);
     }
 
@@ -272,11 +280,11 @@
 
     fn open(&mut self, now: Duration) -> ConnectionId {
         let id = ConnectionId(self.opened_count);
-        let state = match self.open.is_empty() {
-            true => ConnectionState::Primary,
-            false => ConnectionState::Backup,
+        let role = match self.open.is_empty() {
+            true => ConnectionRole::Primary,
+            false => ConnectionRole::Backup,
         };
-        self.open.push(Connection::new(id, now, state));
+        self.open.push(Connection::new(id, now, role));
         self.opened_count += 1;
         self.last_opened_at = now;
         self.not_before = now;
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -145,7 +145,7 @@
     }
 
     /// Waits until a list of engines is known.
-    pub async fn known(&self) {
+    pub async fn wait_until_known(&self) {
         // It fails only without the sender, which this list owns.
         let _ = self.is_known.subscribe().wait_for(|known| *known).await;
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -229,7 +229,7 @@
         stop: Pin<&mut impl Future<Output = ()>>,
     ) {
         let become_healthy = async {
-            self.list.known().await;
+            self.list.wait_until_known().await;
             self.enter(Phase::Serving);
             std::future::pending::<()>().await;
         };
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -18,7 +18,7 @@
     /// Applies the engine list that is known at the start, and starts the tasks.
     pub(super) fn start_background_tasks(&mut self, reloads: UnboundedReceiver<Config>) {
         let discovery = Arc::new(self.discovery());
-        for event in std::mem::take(&mut self.config.known) {
+        for event in std::mem::take(&mut self.config.initial_events) {
             discovery.apply(event);
         }
         let change_log = watch::Sender::new(self.config.changelog);
@@ -60,7 +60,7 @@
     fn watch_change_log(&self, discovery: Arc<Discovery>, change_log: watch::Receiver<SocketAddr>) {
         let names = NameIndex::new(&self.config.decoded.names);
         let apply = Box::new(move |event| discovery.apply(event));
-        let watch = Watch::new(change_log, self.config.last_known, names, apply);
+        let watch = Watch::new(change_log, self.config.last_initial_event, names, apply);
         let connect_timeout = span(self.config.decoded.network.dial);
         tokio::spawn(watch.follow(Reconnect::new(connect_timeout, self.config.seed)));
     }
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -39,3 +39,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/system.rs
+++ b/crates/gateway/src/system.rs
@@ -1,4 +1,4 @@
-//! What the gateway takes from its machine: clocks, signals, sockets, the log and error codes of the system.
+//! What the gateway uses of its machine: clocks, signals, sockets and their budget, the log, and error codes of the system.
 
 pub mod boot_clock;
 pub mod budgeted_stream;
--- a/crates/gateway/src/system/stall_detector.rs
+++ b/crates/gateway/src/system/stall_detector.rs
@@ -52,7 +52,7 @@
     }
 
     /// The earliest time at which what was read at `read` can have arrived. A stall of less than
-    /// [`MAX_RUN_INTERVAL_SECONDS`] is not seen.
+    /// 0.12 s is not seen.
     pub fn arrival_time(&mut self, now: f64, read: f64) -> f64 {
         self.running(now);
         match self.last_stall {
