--- a/crates/bench-adapter/src/frame.rs
+++ b/crates/bench-adapter/src/frame.rs
@@ -1,125 +1,128 @@
-//! Reading and writing the wire's big-endian fields.
+//! Frames: a header of 16 bytes, then records.
 
+use crate::fields::{FieldReader, Malformed};
 use std::fmt;
-
-/// What was wrong with the input, and at which byte of its frame.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Malformed {
-    pub what: String,
-    pub at: usize,
+use std::io::{self, ErrorKind, Read};
+
+const HEADER_BYTES: usize = 16;
+/// Bytes read at a time, so that a length field alone never makes the adapter allocate.
+const CHUNK_BYTES: usize = 1 << 20;
+
+/// A frame as it was read.
+#[derive(Debug)]
+pub struct Frame {
+    /// Number of records that the header announces.
+    pub records: u32,
+    /// The bench's clock, in seconds.
+    pub clock: f64,
+    pub body: Vec<u8>,
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at byte {} of the frame", self.what, self.at)
-    }
+/// Why the adapter stops.
+#[derive(Debug)]
+pub enum AdapterError {
+    /// A field or record is not as the wire has it.
+    Malformed(Malformed),
+    /// The input ended within a header.
+    ShortHeader { read: usize },
+    /// The input ended within a body.
+    ShortBody { announced: usize, read: usize },
+    /// The input could not be read.
+    Input(io::Error),
+    /// The reply could not be written.
+    Reply(io::Error),
+    /// What was wrong with a frame, by its number from 0.
+    InFrame(u64, Box<AdapterError>),
 }
 
-pub type Read<T> = Result<T, Malformed>;
-
-pub struct Reader<'a> {
-    bytes: &'a [u8],
-    at: usize,
-}
-
-impl<'a> Reader<'a> {
-    pub fn new(bytes: &'a [u8]) -> Self {
-        Reader { bytes, at: 0 }
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.at == self.bytes.len()
-    }
-
-    pub fn fault<T>(&self, what: impl Into<String>) -> Read<T> {
-        Err(Malformed {
-            what: what.into(),
-            at: self.at,
-        })
-    }
-
-    pub fn take(&mut self, n: usize, what: &str) -> Read<&'a [u8]> {
-        let rest = &self.bytes[self.at..];
-        if rest.len() < n {
-            return self.fault(format!("{what}: {n} bytes expected, {} left", rest.len()));
-        }
-        self.at += n;
-        Ok(&rest[..n])
-    }
-
-    fn array<const N: usize>(&mut self, what: &str) -> Read<[u8; N]> {
-        let mut out = [0; N];
-        out.copy_from_slice(self.take(N, what)?);
-        Ok(out)
-    }
-
-    pub fn u8(&mut self, what: &str) -> Read<u8> {
-        Ok(self.array::<1>(what)?[0])
-    }
-
-    pub fn u16(&mut self, what: &str) -> Read<u16> {
-        Ok(u16::from_be_bytes(self.array(what)?))
-    }
-
-    pub fn u32(&mut self, what: &str) -> Read<u32> {
-        Ok(u32::from_be_bytes(self.array(what)?))
-    }
-
-    pub fn u64(&mut self, what: &str) -> Read<u64> {
-        Ok(u64::from_be_bytes(self.array(what)?))
-    }
-
-    pub fn f32(&mut self, what: &str) -> Read<f64> {
-        Ok(f64::from(f32::from_be_bytes(self.array(what)?)))
+impl AdapterError {
+    pub fn in_frame(self, number: u64) -> Self {
+        AdapterError::InFrame(number, Box::new(self))
     }
+}
 
-    pub fn f64(&mut self, what: &str) -> Read<f64> {
-        Ok(f64::from_be_bytes(self.array(what)?))
+impl From<Malformed> for AdapterError {
+    fn from(malformed: Malformed) -> Self {
+        AdapterError::Malformed(malformed)
     }
+}
 
-    /// Milliseconds on the wire, seconds here; a number that is none is malformed.
-    pub fn time(&mut self, what: &str) -> Read<f64> {
-        let ms = self.f64(what)?;
-        if !ms.is_finite() {
-            return self.fault(format!("{what}: not a finite time"));
+impl fmt::Display for AdapterError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            AdapterError::Malformed(malformed) => malformed.fmt(f),
+            AdapterError::ShortHeader { read } => {
+                write!(
+                    f,
+                    "header: {HEADER_BYTES} bytes expected, input ends after {read}"
+                )
+            }
+            AdapterError::ShortBody { announced, read } => {
+                write!(
+                    f,
+                    "body: {announced} bytes announced, input ends after {read}"
+                )
+            }
+            AdapterError::Input(error) => write!(f, "input: {error}"),
+            AdapterError::Reply(error) => write!(f, "reply: {error}"),
+            AdapterError::InFrame(number, error) => write!(f, "frame {number}: {error}"),
         }
-        Ok(ms / 1000.0)
-    }
-
-    pub fn address(&mut self) -> Read<Address> {
-        self.array("engine address")
     }
 }
 
-/// Four bytes of address and a port, given back as they came.
-pub type Address = [u8; 6];
-
-/// One reply: its records, and which instance they are for.
-#[derive(Default)]
-pub struct Reply {
-    records: u32,
-    body: Vec<u8>,
-    current: Option<u16>,
+impl std::error::Error for AdapterError {}
+
+/// One frame, or `None` where the input ends between two frames.
+///
+/// # Errors
+///
+/// The input cannot be read, ends within the frame, or its header is malformed.
+pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, AdapterError> {
+    let mut header = [0u8; HEADER_BYTES];
+    let read = fill(input, &mut header)?;
+    if read == 0 {
+        return Ok(None);
+    }
+    if read < HEADER_BYTES {
+        return Err(AdapterError::ShortHeader { read });
+    }
+    let mut fields = FieldReader::new(&header);
+    let length = fields.u32("length")? as usize;
+    let records = fields.u32("record count")?;
+    let clock = fields.time("clock")?;
+    Ok(Some(Frame {
+        records,
+        clock,
+        body: read_body(input, length)?,
+    }))
 }
 
-impl Reply {
-    pub fn record(&mut self, instance: u16, code: u8) -> &mut Vec<u8> {
-        if self.current != Some(instance) {
-            self.current = Some(instance);
-            self.records += 1;
-            self.body.push(14);
-            self.body.extend(instance.to_be_bytes());
+fn read_body(input: &mut impl Read, length: usize) -> Result<Vec<u8>, AdapterError> {
+    let mut body = Vec::new();
+    while body.len() < length {
+        let start = body.len();
+        body.resize(length.min(start + CHUNK_BYTES), 0);
+        let read = fill(input, &mut body[start..])?;
+        if start + read < body.len() {
+            return Err(AdapterError::ShortBody {
+                announced: length,
+                read: start + read,
+            });
         }
-        self.records += 1;
-        self.body.push(code);
-        &mut self.body
     }
+    Ok(body)
+}
 
-    pub fn frame(&self) -> Vec<u8> {
-        let mut out = Vec::with_capacity(8 + self.body.len());
-        out.extend(self.records.to_be_bytes());
-        out.extend((self.body.len() as u32).to_be_bytes());
-        out.extend(&self.body);
-        out
+/// Reads until the buffer is full or the input ends; returns how many bytes it read.
+fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, AdapterError> {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match input.read(&mut buffer[filled..]) {
+            Ok(0) => break,
+            Ok(read) => filled += read,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(AdapterError::Input(error)),
+        }
     }
+    Ok(filled)
 }
--- /dev/null
+++ b/crates/bench-adapter/src/protocol.rs
@@ -0,0 +1,63 @@
+//! Numbers of the wire: codes of records in both directions, and of outcomes.
+
+use garnetwall::api::AttemptEnd;
+
+/// Records that the bench sends.
+pub mod incoming {
+    pub const CLIENT_LEFT: u8 = 1;
+    pub const DETACH_INSTANCE: u8 = 2;
+    pub const PEER_MESSAGE: u8 = 3;
+    pub const STREAM_HEAD: u8 = 4;
+    pub const TIMER: u8 = 5;
+    pub const OUTCOME: u8 = 6;
+    pub const ENDPOINTS: u8 = 7;
+    pub const HEALTH_CHECK: u8 = 8;
+    pub const QUERY: u8 = 9;
+    pub const SELECT_INSTANCE: u8 = 10;
+    pub const ENDPOINT_LIST: u8 = 11;
+    pub const ATTACH_INSTANCE: u8 = 12;
+    pub const PROGRESS: u8 = 13;
+}
+
+/// Records that the adapter sends.
+pub mod outgoing {
+    pub const ATTEMPT: u8 = 1;
+    pub const REJECT: u8 = 2;
+    pub const FAIL: u8 = 3;
+    pub const CANCEL: u8 = 4;
+    pub const SET_TIMER: u8 = 5;
+    pub const HEALTH_CHECK: u8 = 6;
+    pub const SUBSCRIBE: u8 = 11;
+    pub const MEMORY_GRANT: u8 = 13;
+    pub const SELECT_INSTANCE: u8 = 14;
+}
+
+/// Kinds of a change of the endpoint list.
+pub mod list_kind {
+    pub const CHANGES: u8 = 0;
+    pub const FAILED: u8 = 3;
+}
+
+/// Sorts of a progress event.
+pub mod progress {
+    pub const COMPLETED: u8 = 1;
+    pub const SPILLING: u8 = 2;
+    pub const WAITING: u8 = 3;
+    /// The amount of a waiting event that waits for a load.
+    pub const AMOUNT_OF_LOAD: f64 = 2.0;
+}
+
+/// The end of an attempt by its code; `None` for one that the wire does not have.
+pub fn attempt_end(code: u8) -> Option<AttemptEnd> {
+    match code {
+        0 => Some(AttemptEnd::Succeeded),
+        1 => Some(AttemptEnd::Cancelled),
+        4 => Some(AttemptEnd::TimedOut),
+        8 => Some(AttemptEnd::Rejected),
+        9 => Some(AttemptEnd::NotNeeded),
+        10 => Some(AttemptEnd::ConnectionLost),
+        13 => Some(AttemptEnd::Failed),
+        14 => Some(AttemptEnd::ConnectFailed),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/bench-adapter/src/session.rs
@@ -0,0 +1,126 @@
+//! One process on the wire: the numbered endpoint lists, and the records of a frame handed to their instances.
+
+use crate::endpoints::{read_list, EndpointEntry};
+use crate::fields::{FieldReader, Read, ReplyWriter};
+use crate::frame::Frame;
+use crate::instance::Instance;
+use crate::protocol::{incoming, list_kind};
+use std::collections::BTreeMap;
+
+/// What is known from earlier frames.
+#[derive(Default)]
+pub struct Session {
+    instances: BTreeMap<u16, Instance>,
+    endpoint_lists: BTreeMap<u32, Vec<EndpointEntry>>,
+}
+
+impl Session {
+    /// Hands the records of a frame to their instances and lets these act. Returns the reply.
+    ///
+    /// # Errors
+    ///
+    /// A record is malformed, or there are fewer or more than announced.
+    pub fn process(&mut self, frame: &Frame) -> Read<Vec<u8>> {
+        let mut fields = FieldReader::new(&frame.body);
+        let mut touched: Vec<u16> = Vec::new();
+        let mut selected = None;
+        for number in 0..frame.records {
+            if fields.is_empty() {
+                let announced = frame.records;
+                return fields.malformed(format!("{announced} records announced, {number} found"));
+            }
+            match fields.u8("record code")? {
+                incoming::SELECT_INSTANCE => {
+                    let instance = fields.u16("instance")?;
+                    selected = Some(instance);
+                    if !touched.contains(&instance) {
+                        touched.push(instance);
+                    }
+                }
+                incoming::ENDPOINT_LIST => {
+                    let number = fields.u32("list number")?;
+                    let list = read_list(&mut fields)?;
+                    self.endpoint_lists.insert(number, list);
+                }
+                code => {
+                    let Some(instance) = selected else {
+                        return fields
+                            .malformed(format!("record {code} before any instance was named"));
+                    };
+                    self.process_record(instance, code, frame.clock, &mut fields)?;
+                }
+            }
+        }
+        if !fields.is_empty() {
+            return fields.malformed("bytes after the last record");
+        }
+        Ok(self.act(&touched, frame.clock))
+    }
+
+    fn act(&mut self, touched: &[u16], clock: f64) -> Vec<u8> {
+        let mut reply = ReplyWriter::default();
+        for number in touched {
+            if let Some(instance) = self.instances.get_mut(number) {
+                instance.act(*number, clock, &mut reply);
+            }
+        }
+        reply.to_frame()
+    }
+
+    fn process_record(
+        &mut self,
+        number: u16,
+        code: u8,
+        clock: f64,
+        fields: &mut FieldReader,
+    ) -> Read<()> {
+        match code {
+            incoming::ATTACH_INSTANCE => self.attach(number, clock, fields),
+            incoming::DETACH_INSTANCE => {
+                self.instances.remove(&number);
+                Ok(())
+            }
+            incoming::ENDPOINTS => self.update_endpoints(number, fields),
+            _ => Instance::process(self.instances.get_mut(&number), code, clock, fields),
+        }
+    }
+
+    fn attach(&mut self, number: u16, clock: f64, fields: &mut FieldReader) -> Read<()> {
+        let seed = fields.u64("seed")?;
+        let length = fields.u32("settings length")? as usize;
+        let bytes = fields.bytes(length, "settings")?;
+        let Ok(text) = std::str::from_utf8(bytes) else {
+            return fields.malformed("settings: not UTF-8");
+        };
+        match Instance::new(seed, text, clock) {
+            Ok(instance) => {
+                self.instances.insert(number, instance);
+                Ok(())
+            }
+            Err(error) => fields.malformed(error.to_string()),
+        }
+    }
+
+    fn update_endpoints(&mut self, number: u16, fields: &mut FieldReader) -> Read<()> {
+        let kind = fields.u8("list kind")?;
+        fields.u32("list version")?;
+        let list_number = fields.u32("list number")?;
+        if kind > list_kind::FAILED {
+            return fields.malformed(format!("unknown list kind {kind}"));
+        }
+        let instance = self.instances.get_mut(&number);
+        if kind == list_kind::FAILED {
+            if let Some(instance) = instance {
+                instance.endpoint_list_failed();
+            }
+            return Ok(());
+        }
+        let Some(list) = self.endpoint_lists.get(&list_number) else {
+            return fields.malformed(format!("list number {list_number} was never declared"));
+        };
+        if let Some(instance) = instance {
+            instance.update_endpoints(list, kind != list_kind::CHANGES);
+        }
+        Ok(())
+    }
+}
--- a/crates/bench-adapter/src/tests.rs
+++ b/crates/bench-adapter/src/tests.rs
@@ -1,6 +1,8 @@
 //! Golden frames from the wire page, and malformed ones.
 
-use crate::{link::Link, read_frame, serve};
+use crate::frame::{read_frame, Frame};
+use crate::serve;
+use crate::session::Session;
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u32> = hex.chars().filter_map(|c| c.to_digit(16)).collect();
@@ -31,7 +33,8 @@
 
 fn run(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
     let mut out = Vec::new();
-    (serve(&mut &input[..], &mut out), out)
+    let end = serve(&mut &input[..], &mut out).map_err(|error| error.to_string());
+    (end, out)
 }
 
 #[test]
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn the_pages_batch_is_dispatched_to_the_listed_engine() {
+fn the_pages_query_is_attempted_at_the_listed_engine() {
     let mut body = attach(SITE);
     body.extend(bytes(LIST));
     body.extend(bytes(
@@ -49,12 +52,12 @@
     ));
     let (end, out) = run(&frame(5, &body));
     assert_eq!(end, Ok(()));
-    let dispatch = bytes("0e 0003 01 5d3a91c4 0a124a07 138b 406e000000000000");
-    assert_eq!(out[8..8 + dispatch.len()], dispatch);
+    let attempt = bytes("0e 0003 01 5d3a91c4 0a124a07 138b 406e000000000000");
+    assert_eq!(out[8..8 + attempt.len()], attempt);
 }
 
 #[test]
-fn the_pages_outcome_of_an_unknown_batch_is_passed_over() {
+fn the_pages_outcome_of_an_unknown_query_is_passed_over() {
     let mut body = attach(SITE);
     body.extend(bytes(LIST));
     body.extend(bytes(
@@ -121,7 +124,7 @@
 
 #[test]
 fn lists_are_resolved_in_event_order() {
-    let mut link = Link::default();
+    let mut session = Session::default();
     let mut body = attach(SITE);
     body.extend(bytes(LIST));
     body.extend(bytes(
@@ -130,7 +133,12 @@
     body.extend(bytes(
         "09 00000001 00 00000000 0000000000000000 409f400000000000 0000000000000000 00000000 00000000 00",
     ));
-    let reply = link.round(6, 1.0, &body).expect("well formed");
+    let frame = Frame {
+        records: 6,
+        clock: 1.0,
+        body,
+    };
+    let reply = session.process(&frame).expect("well formed");
     assert!(reply.windows(6).any(|w| w == bytes("0a124a07138b")));
     assert!(!reply.windows(6).any(|w| w == bytes("0a124a08138b")));
 }
