--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -107,9 +107,9 @@
         entries: Vec<EngineEntry>,
         is_full_list: bool,
     ) -> Vec<Selected> {
-        let catalog_entries: Vec<subset::EngineLine> = entries
+        let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
-            .map(|entry| subset::EngineLine {
+            .map(|entry| subset::ListedEngine {
                 id: entry.id.clone(),
                 facts: self.facts(entry),
             })
@@ -149,9 +149,9 @@
     fn facts(&self, entry: &EngineEntry) -> EngineFacts {
         let cores = self.kind_cores.get(entry.kind).copied().flatten();
         let condition = match entry.state {
-            EndpointState::Ready => subset::Condition::Ready,
-            EndpointState::Draining => subset::Condition::Draining,
-            EndpointState::Removed => subset::Condition::Gone,
+            EndpointState::Ready => subset::ListedState::Ready,
+            EndpointState::Draining => subset::ListedState::Draining,
+            EndpointState::Removed => subset::ListedState::Removed,
         };
         let cores = cores
             .filter(|cores| cores.is_finite() && *cores > 0.0)
@@ -161,7 +161,7 @@
             kind: entry.kind as u32,
             cell: entry.cell,
             cores,
-            condition,
+            state: condition,
         }
     }
 
@@ -186,10 +186,10 @@
         let id = self.catalog.id(engine)?;
         let facts = self.catalog.facts(engine)?;
         let details = self.details.get(&engine)?;
-        let state = match facts.condition {
-            subset::Condition::Ready => EndpointState::Ready,
-            subset::Condition::Draining => EndpointState::Draining,
-            subset::Condition::Gone => EndpointState::Removed,
+        let state = match facts.state {
+            subset::ListedState::Ready => EndpointState::Ready,
+            subset::ListedState::Draining => EndpointState::Draining,
+            subset::ListedState::Removed => EndpointState::Removed,
         };
         Some(EngineEntry {
             id: id.into(),
@@ -272,7 +272,7 @@
             size,
             reason,
             widened_by: self.subset.widened_by(),
-            failed: self.subset.failing(),
+            failed: self.subset.unhealthy_members(),
             unreached: self.subset.unreached(),
             unserved_classes: self.subset.unserved_classes(&self.catalog).count(),
         }
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -142,7 +142,7 @@
         ..settings(8)
     };
     for (gateways, size, reason) in [
-        (500.0, 8, SizeReason::Told),
+        (500.0, 8, SizeReason::Configured),
         (60.0, 12, SizeReason::MinHolders),
     ] {
         let mut selection = Selection::new("g0", of(gateways), Vec::new()).unwrap();
--- a/crates/scale/src/beside/hollow.rs
+++ b/crates/scale/src/beside/hollow.rs
@@ -5,7 +5,7 @@
     Placement, Query, Settings,
 };
 use garnetwall::controller::AdmissionController;
-use garnetwall_subset::{Catalog, EngineLine};
+use garnetwall_subset::{Catalog, ListedEngine};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -51,7 +51,7 @@
 pub fn cost(
     settings: &Settings,
     lines: &[Endpoint],
-    whole_list: Option<&[EngineLine]>,
+    whole_list: Option<&[ListedEngine]>,
     load: Load,
 ) -> std::io::Result<Cost> {
     let before = resident_bytes()?;
@@ -82,7 +82,7 @@
 fn hold(
     settings: &Settings,
     lines: &[Endpoint],
-    whole_list: Option<&[EngineLine]>,
+    whole_list: Option<&[ListedEngine]>,
     seed: u64,
 ) -> Held {
     let mut module = AdmissionController::new(settings.clone(), seed, 0.0);
--- a/crates/scale/src/beside/prediction.rs
+++ b/crates/scale/src/beside/prediction.rs
@@ -9,7 +9,7 @@
 use super::roster::Roster;
 use garnetwall_settings::{decode, Flat};
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, Subset,
+    Action, Catalog, EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, Subset,
     SubsetError, SubsetSettings,
 };
 
@@ -124,16 +124,16 @@
     Ok(subset.members().count())
 }
 
-fn lines(experiment: &Experiment) -> Vec<EngineLine> {
+fn lines(experiment: &Experiment) -> Vec<ListedEngine> {
     let roster = Roster::new(experiment.engines, experiment.zones);
     let facts = |slot: usize| EngineFacts {
         zone: roster.zone(slot) as u32,
         kind: 0,
         cell: roster.cell(slot) as u32,
         cores: CORES,
-        condition: Condition::Ready,
+        state: ListedState::Ready,
     };
-    let line = |slot| EngineLine {
+    let line = |slot| ListedEngine {
         id: roster.engine(slot).to_string(),
         facts: facts(slot),
     };
--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -1,7 +1,7 @@
 //! The change log: numbered entries, and the list of engines as it stands after each.
 
 use super::time::SimTime;
-use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, EngineLine};
+use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, ListedEngine};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
@@ -48,11 +48,11 @@
             }
             self.started[line.engine] = line.started;
         }
-        let catalog_line = |line: &ToldLine| EngineLine {
+        let catalog_line = |line: &ToldLine| ListedEngine {
             id: engine_id(line.engine),
             facts: line.facts,
         };
-        let catalog_lines: Vec<EngineLine> = lines.iter().map(catalog_line).collect();
+        let catalog_lines: Vec<ListedEngine> = lines.iter().map(catalog_line).collect();
         let changes = self.catalog.apply(&catalog_lines, false);
         for line in lines {
             if let Some(key) = self.catalog.key(&engine_id(line.engine)) {
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -4,7 +4,7 @@
 use super::super::experiment::Experiment;
 use super::told::KnownLine;
 use super::{Finding, SeenAttempt};
-use garnetwall_subset::Condition;
+use garnetwall_subset::ListedState;
 use std::rc::Rc;
 
 pub struct Placement {
@@ -36,10 +36,10 @@
 
     pub fn attempt_began(&mut self, attempt: SeenAttempt, told: Option<KnownLine>) {
         self.attempts += 1;
-        match told.map_or(Condition::Gone, |line| line.condition) {
-            Condition::Ready => {}
-            Condition::Draining => self.to_draining += 1,
-            Condition::Gone => self.to_gone += 1,
+        match told.map_or(ListedState::Removed, |line| line.condition) {
+            ListedState::Ready => {}
+            ListedState::Draining => self.to_draining += 1,
+            ListedState::Removed => self.to_gone += 1,
         }
         let (site, class) = (
             self.sites[attempt.engine],
--- a/crates/scale/src/fleet/judge/told.rs
+++ b/crates/scale/src/fleet/judge/told.rs
@@ -2,12 +2,12 @@
 
 use super::super::change_log::ToldLine;
 use super::super::time::SimTime;
-use garnetwall_subset::Condition;
+use garnetwall_subset::ListedState;
 
 /// The last line on an engine that a gateway has read.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownLine {
-    pub condition: Condition,
+    pub condition: ListedState,
     pub started: Option<SimTime>,
 }
 
@@ -30,7 +30,7 @@
             let engines = self.history.len().max(line.engine + 1);
             self.history.resize(engines, Vec::new());
             let known = KnownLine {
-                condition: line.facts.condition,
+                condition: line.facts.state,
                 started: line.started,
             };
             self.history[line.engine].push((sequence, known));
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -2,8 +2,8 @@
 
 use super::experiment::Experiment;
 use garnetwall_subset::{
-    Action, Catalog, Change, Condition, EngineKey, PlacementClass, RetryScope, Subset, SubsetError,
-    SubsetSettings,
+    Action, Catalog, Change, EngineKey, ListedState, PlacementClass, RetryScope, Subset,
+    SubsetError, SubsetSettings,
 };
 use std::collections::BTreeSet;
 
@@ -96,7 +96,7 @@
         for change in changes {
             let ready = change
                 .after
-                .is_some_and(|facts| facts.condition == Condition::Ready);
+                .is_some_and(|facts| facts.state == ListedState::Ready);
             let (engine, holders) = (change.engine, self.gateways);
             if ready {
                 let new = self.members.insert(engine);
--- a/crates/scale/src/fleet/surroundings.rs
+++ b/crates/scale/src/fleet/surroundings.rs
@@ -10,7 +10,7 @@
 use super::slip::Slip;
 use super::time::SimTime;
 use garnetwall::api::AttemptEnd;
-use garnetwall_subset::{Condition, EngineFacts};
+use garnetwall_subset::{EngineFacts, ListedState};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::rc::Rc;
@@ -39,7 +39,8 @@
         engines
             .iter()
             .for_each(|engine| judge.engine_added(engine.site));
-        let line = |(number, engine): (usize, &Engine)| told_line(number, engine, Condition::Ready);
+        let line =
+            |(number, engine): (usize, &Engine)| told_line(number, engine, ListedState::Ready);
         let lines: Vec<ToldLine> = engines.iter().enumerate().map(line).collect();
         let log = ChangeLog::new(&lines);
         judge.published(SimTime::START, log.latest(), &lines);
@@ -149,20 +150,20 @@
         }
         self.engines[engine].start(now);
         self.judge.engine_started(now, engine);
-        self.tell(now, engine, Condition::Ready);
+        self.tell(now, engine, ListedState::Ready);
     }
 
     /// A new engine at the same place.
     pub fn replace_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         self.engines[engine].state = EngineState::Retired;
-        self.tell(now, engine, Condition::Gone);
+        self.tell(now, engine, ListedState::Removed);
         let site = self.engines[engine].site;
         let new = self.engines.len();
         self.engines.push(Engine::new(site, Some(now)));
         self.judge.engine_added(site);
         self.judge.engine_started(now, new);
-        self.tell(now, new, Condition::Ready);
+        self.tell(now, new, ListedState::Ready);
     }
 
     pub fn silence_engine(&mut self, now: SimTime, engine: usize, silent: bool) {
@@ -184,7 +185,7 @@
     // ---- the change log ----
 
     /// Stages a line on an engine as it is now.
-    pub fn tell(&mut self, now: SimTime, engine: usize, condition: Condition) {
+    pub fn tell(&mut self, now: SimTime, engine: usize, condition: ListedState) {
         let mut line = told_line(engine, &self.engines[engine], condition);
         if self.slips(Slip::StartsUntold) {
             line.started = None;
@@ -217,7 +218,7 @@
     }
 }
 
-fn told_line(number: usize, engine: &Engine, condition: Condition) -> ToldLine {
+fn told_line(number: usize, engine: &Engine, condition: ListedState) -> ToldLine {
     let Site {
         zone,
         rack,
@@ -229,7 +230,7 @@
         kind: kind as u32,
         cell: rack as u32,
         cores,
-        condition,
+        state: condition,
     };
     ToldLine {
         engine: number,
--- a/crates/scale/src/fleet/world.rs
+++ b/crates/scale/src/fleet/world.rs
@@ -8,7 +8,7 @@
 use super::surroundings::Surroundings;
 use super::time::SimTime;
 use garnetwall::api::AttemptEnd;
-use garnetwall_subset::{Condition, SubsetError};
+use garnetwall_subset::{ListedState, SubsetError};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::rc::Rc;
@@ -153,13 +153,13 @@
     fn engine_step(&mut self, now: SimTime, engine: usize, step: EngineStep) {
         let around = &mut self.around;
         match step {
-            EngineStep::TellGone => around.tell(now, engine, Condition::Gone),
+            EngineStep::TellGone => around.tell(now, engine, ListedState::Removed),
             EngineStep::Start => around.start_engine(now, engine),
             EngineStep::Restart => around.restart_engine(now, engine),
             EngineStep::Speak => around.silence_engine(now, engine, false),
             EngineStep::Drain => {
                 around.judge.engine_disturbed(engine);
-                around.tell(now, engine, Condition::Draining);
+                around.tell(now, engine, ListedState::Draining);
                 around.plan(now.after(DRAIN_DEADLINE), engine, EngineStep::Replace);
             }
             EngineStep::Replace => around.replace_engine(now, engine),
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/module/engines.rs
@@ -77,16 +77,16 @@
 }
 
 /// The module's line of a line of the catalog, where engines are indexed as they are numbered.
-fn whole_list_line(changed: &garnetwall_subset::EngineLine) -> Endpoint {
+fn whole_list_line(changed: &garnetwall_subset::ListedEngine) -> Endpoint {
     let number = changed
         .id
         .trim_start_matches(|c: char| !c.is_ascii_digit())
         .parse()
         .unwrap_or(0);
-    let condition = match changed.facts.condition {
-        garnetwall_subset::Condition::Ready => EndpointState::Ready,
-        garnetwall_subset::Condition::Draining => EndpointState::Draining,
-        garnetwall_subset::Condition::Gone => EndpointState::Removed,
+    let condition = match changed.facts.state {
+        garnetwall_subset::ListedState::Ready => EndpointState::Ready,
+        garnetwall_subset::ListedState::Draining => EndpointState::Draining,
+        garnetwall_subset::ListedState::Removed => EndpointState::Removed,
     };
     line(pool::engine(number), condition)
 }
--- a/crates/scale/src/slopes/pool.rs
+++ b/crates/scale/src/slopes/pool.rs
@@ -1,7 +1,7 @@
 //! The pool of engines that all roles measure: zones, kinds and cells as at the size told.
 
 use garnetwall_subset::{
-    Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings,
+    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
 };
 use serde_json::{json, Value};
 
@@ -38,7 +38,7 @@
     }
 
     /// The line of a catalog.
-    pub fn catalog_line(&self, condition: Condition) -> EngineLine {
+    pub fn catalog_line(&self, condition: ListedState) -> ListedEngine {
         let cores = KIND_CORES[self.kind];
         let kind = self.kind as u32;
         let facts = EngineFacts {
@@ -46,9 +46,9 @@
             kind,
             cell: self.cell,
             cores,
-            condition,
+            state: condition,
         };
-        EngineLine {
+        ListedEngine {
             id: self.id(),
             facts,
         }
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/subset.rs
@@ -3,7 +3,7 @@
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::pool;
 use super::stopwatch::{growth, repeated, timed};
-use garnetwall_subset::{Action, Catalog, Condition, EngineLine, Subset};
+use garnetwall_subset::{Action, Catalog, ListedEngine, ListedState, Subset};
 
 /// Further subsets of one catalog, whose memory is told apart from the catalog's by their number.
 const FURTHER_SUBSETS: usize = 200;
@@ -40,7 +40,7 @@
     }
 
     /// Takes in lines and settles; what is to be done about engines.
-    pub fn apply(&mut self, lines: &[EngineLine], whole: bool) -> Vec<Action> {
+    pub fn apply(&mut self, lines: &[ListedEngine], whole: bool) -> Vec<Action> {
         let changes = self.catalog.apply(lines, whole);
         self.subset.changed(self.now, &self.catalog, &changes);
         self.settle()
@@ -67,9 +67,9 @@
 }
 
 /// All engines of a pool, ready.
-pub fn catalog_lines(engines: u64) -> Vec<EngineLine> {
+pub fn catalog_lines(engines: u64) -> Vec<ListedEngine> {
     (0..engines)
-        .map(|number| pool::engine(number).catalog_line(Condition::Ready))
+        .map(|number| pool::engine(number).catalog_line(ListedState::Ready))
         .collect()
 }
 
@@ -130,13 +130,13 @@
 }
 
 /// A line that changes: each engine of some that are spread over the pool drains, and is ready again.
-pub fn changed(engines: u64, repeat: u64) -> EngineLine {
+pub fn changed(engines: u64, repeat: u64) -> ListedEngine {
     /// A prime, so that all engines come up in turn.
     const STRIDE: u64 = 7919;
     let condition = if repeat.is_multiple_of(2) {
-        Condition::Draining
+        ListedState::Draining
     } else {
-        Condition::Ready
+        ListedState::Ready
     };
     pool::engine(repeat / 2 * STRIDE % engines).catalog_line(condition)
 }
--- a/crates/scale/src/spread/ways/subset_crate.rs
+++ b/crates/scale/src/spread/ways/subset_crate.rs
@@ -4,7 +4,7 @@
 use crate::process::processor_time;
 use crate::spread::population::{Engine, Gateway, Population};
 use garnetwall_subset::{
-    Action, Catalog, Change, Condition, EngineFacts, EngineKey, EngineLine, PlacementClass,
+    Action, Catalog, Change, EngineFacts, EngineKey, ListedEngine, ListedState, PlacementClass,
     RetryScope, Subset, SubsetSettings,
 };
 use std::collections::{HashMap, HashSet};
@@ -192,19 +192,19 @@
     }
 }
 
-fn lines(population: &Population) -> Vec<EngineLine> {
+fn lines(population: &Population) -> Vec<ListedEngine> {
     population.engines.iter().map(line).collect()
 }
 
-fn line(engine: &Engine) -> EngineLine {
+fn line(engine: &Engine) -> ListedEngine {
     let facts = EngineFacts {
         zone: engine.zone,
         kind: engine.kind,
         cell: 0,
         cores: engine.cores,
-        condition: Condition::Ready,
+        state: ListedState::Ready,
     };
-    EngineLine {
+    ListedEngine {
         id: engine.id.clone(),
         facts,
     }
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p garnetwall-subset --example cost`
 
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineLine, RetryScope, Subset, SubsetError,
+    Action, Catalog, EngineFacts, ListedEngine, ListedState, RetryScope, Subset, SubsetError,
     SubsetSettings,
 };
 use std::time::Instant;
@@ -28,16 +28,16 @@
     }
 }
 
-fn line(number: u32, condition: Condition) -> EngineLine {
+fn line(number: u32, condition: ListedState) -> ListedEngine {
     let cores = [8.0, 16.0, 32.0][(number / ZONES % 3) as usize];
     let facts = EngineFacts {
         zone: number % ZONES,
         kind: number % 3,
         cell: number / ZONES % 15,
         cores,
-        condition,
+        state: condition,
     };
-    EngineLine {
+    ListedEngine {
         id: format!("engine-{number}"),
         facts,
     }
@@ -71,8 +71,8 @@
 }
 
 fn main() -> Result<(), SubsetError> {
-    let lines: Vec<EngineLine> = (0..ENGINES)
-        .map(|number| line(number, Condition::Ready))
+    let lines: Vec<ListedEngine> = (0..ENGINES)
+        .map(|number| line(number, ListedState::Ready))
         .collect();
     let first = nanoseconds(WHOLE_LISTS, |_| {
         drop(Catalog::default().apply(&lines, true))
@@ -112,9 +112,9 @@
     let mut actions = 0;
     let changed = nanoseconds(CHANGED_LINES, |number| {
         let condition = if number % 2 == 0 {
-            Condition::Draining
+            ListedState::Draining
         } else {
-            Condition::Ready
+            ListedState::Ready
         };
         let changes = catalog.apply(&[line(number / 2 * 7 % ENGINES, condition)], false);
         now += 0.1;
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -11,10 +11,10 @@
 
 /// Whether an engine takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum ListedState {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// What the list tells of an engine, as far as the choice of subsets depends on it.
@@ -25,12 +25,12 @@
     pub cell: u32,
     /// More than 0. They tell how gateways are spread over zones, and make engines alike or not.
     pub cores: f64,
-    pub condition: Condition,
+    pub state: ListedState,
 }
 
 /// One line of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineLine {
+pub struct ListedEngine {
     pub id: String,
     pub facts: EngineFacts,
 }
@@ -67,7 +67,7 @@
 impl Catalog {
     /// Takes in lines, the whole list or only what has changed, and tells what that changed. Engines that have gone,
     /// or that a whole list does not name, leave the catalog.
-    pub fn apply(&mut self, lines: &[EngineLine], whole: bool) -> Vec<Change> {
+    pub fn apply(&mut self, lines: &[ListedEngine], whole: bool) -> Vec<Change> {
         let mut changes = Vec::new();
         if whole {
             let named: HashSet<&str> = lines.iter().map(|line| line.id.as_str()).collect();
@@ -80,9 +80,9 @@
         changes
     }
 
-    fn apply_line(&mut self, line: &EngineLine) -> Option<Change> {
+    fn apply_line(&mut self, line: &ListedEngine) -> Option<Change> {
         let known = self.by_id.get(line.id.as_str()).copied();
-        if line.facts.condition == Condition::Gone {
+        if line.facts.state == ListedState::Removed {
             return known.and_then(|key| self.remove(key));
         }
         let engine = known.unwrap_or_else(|| self.assign_key(&line.id));
@@ -176,5 +176,5 @@
 
 /// The facts of an engine that takes new work.
 fn ready(facts: Option<EngineFacts>) -> Option<EngineFacts> {
-    facts.filter(|facts| facts.condition == Condition::Ready)
+    facts.filter(|facts| facts.state == ListedState::Ready)
 }
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -95,7 +95,7 @@
     }
 
     /// Members that fail.
-    pub fn failing(&self) -> usize {
+    pub fn unhealthy_members(&self) -> usize {
         self.failing.len()
     }
 
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -32,7 +32,7 @@
 mod size;
 mod subset;
 
-pub use catalog::{Catalog, Change, Condition, EngineFacts, EngineKey, EngineLine};
+pub use catalog::{Catalog, Change, EngineFacts, EngineKey, ListedEngine, ListedState};
 pub use score::{GatewayHash, Score};
 pub use settings::{
     PlacementClass, RetryScope, SubsetError, SubsetSettings, MAX_CLASSES, MAX_NEAR_WEIGHT,
--- a/crates/subset/src/selection.rs
+++ b/crates/subset/src/selection.rs
@@ -3,7 +3,7 @@
 use crate::candidates::Candidates;
 use crate::ready::RetryDomain;
 use crate::score::{GatewayHash, Score};
-use crate::{Catalog, Condition, EngineFacts, EngineKey, PlacementClass, SubsetSettings};
+use crate::{Catalog, EngineFacts, EngineKey, ListedState, PlacementClass, SubsetSettings};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Chooses by the settings of one gateway.
@@ -25,7 +25,7 @@
     pub fn ready_facts(&self, engine: EngineKey) -> Option<EngineFacts> {
         self.catalog
             .facts(engine)
-            .filter(|facts| facts.condition == Condition::Ready)
+            .filter(|facts| facts.state == ListedState::Ready)
     }
 
     pub fn domain(&self, engine: EngineKey) -> Option<RetryDomain> {
@@ -37,7 +37,7 @@
         let ready = self
             .catalog
             .engines()
-            .filter(|(_, _, facts)| facts.condition == Condition::Ready);
+            .filter(|(_, _, facts)| facts.state == ListedState::Ready);
         ready.map(|(engine, id, facts)| {
             (
                 self.gateway.score(id, self.settings.weight(&facts)),
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SizeReason {
     /// The settings name it.
-    Told,
+    Configured,
     /// Fewer would leave engines with less than [`MIN_HOLDERS`] gateways.
     MinHolders,
     /// The list has no more engines.
@@ -45,7 +45,7 @@
         } else {
             EffectiveSize {
                 size,
-                reason: SizeReason::Told,
+                reason: SizeReason::Configured,
             }
         }
     }
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -9,8 +9,8 @@
 use crate::selection::{Chooser, Selection, Target};
 use crate::size::floor_of;
 use crate::{
-    Catalog, Change, Condition, EffectiveSize, EngineFacts, EngineKey, PlacementClass, SubsetError,
-    SubsetSettings,
+    Catalog, Change, EffectiveSize, EngineFacts, EngineKey, ListedState, PlacementClass,
+    SubsetError, SubsetSettings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -122,7 +122,7 @@
     fn take_change(&mut self, catalog: &Catalog, change: &Change) {
         let ready = change
             .after
-            .filter(|facts| facts.condition == Condition::Ready);
+            .filter(|facts| facts.state == ListedState::Ready);
         if ready.is_none() {
             self.leave_list(change.engine);
         } else if let Some(member) = self.members.get_mut(&change.engine) {
@@ -269,8 +269,8 @@
     }
 
     /// Members that fail by the gateway's own evidence.
-    pub fn failing(&self) -> usize {
-        self.health.failing()
+    pub fn unhealthy_members(&self) -> usize {
+        self.health.unhealthy_members()
     }
 
     /// Engines of the subset that could not be reached and are tried again.
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use garnetwall_subset::{
-    Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings,
+    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
 };
 use std::collections::BTreeSet;
 use world::{line, lines, plain_target, settings, Slip, World, GATEWAY, SETTLING_SECONDS};
@@ -83,7 +83,7 @@
     );
     world.tell(&lines(200, 5), true);
     world.advance(10.0);
-    let left: Vec<EngineLine> = lines(200, 5)
+    let left: Vec<ListedEngine> = lines(200, 5)
         .into_iter()
         .filter(|line| line.facts.zone != 0)
         .collect();
@@ -109,14 +109,14 @@
     let mut world = World::new(settings(40), Slip::None);
     world.tell(&lines(200, 5), true);
     let members = world.member_ids();
-    let left: Vec<EngineLine> = lines(200, 5)
+    let left: Vec<ListedEngine> = lines(200, 5)
         .into_iter()
         .filter(|line| !members.contains(&line.id))
         .collect();
     world.tell(&left, true);
     assert_eq!(world.members.len(), 40, "all members gone: a first fill");
     let few: BTreeSet<String> = world.member_ids().into_iter().take(35).collect();
-    let left: Vec<EngineLine> = left
+    let left: Vec<ListedEngine> = left
         .into_iter()
         .filter(|line| !few.contains(&line.id))
         .collect();
@@ -171,7 +171,10 @@
     failing
         .iter()
         .for_each(|engine| world.attempts(*engine, true, 150));
-    assert_eq!((world.subset.failing(), world.subset.widened_by()), (5, 3));
+    assert_eq!(
+        (world.subset.unhealthy_members(), world.subset.widened_by()),
+        (5, 3)
+    );
     world.advance(5.0);
     assert_eq!(world.members.len(), 23);
     world.advance(24.0);
@@ -201,7 +204,7 @@
     world.advance(10.0);
     let members = world.member_ids();
     let gone = members.first().expect("members").clone();
-    world.tell_condition(&gone, Condition::Gone);
+    world.tell_condition(&gone, ListedState::Removed);
     let expected = plain_target(GATEWAY, &world.settings, &world.list);
     let next = expected
         .difference(&members)
@@ -234,13 +237,13 @@
     );
     world.tell(&lines(200, 5), true);
     // With one engine of these the member with the highest score is displaced; while it fails there is room for one.
-    let displaces = |world: &World, newcomer: &EngineLine| {
+    let displaces = |world: &World, newcomer: &ListedEngine| {
         let mut list = world.list.clone();
         list.insert(newcomer.id.clone(), newcomer.facts);
         let target = plain_target(GATEWAY, &world.settings, &list);
         world.member_ids().difference(&target).next().cloned()
     };
-    let newcomers: Vec<EngineLine> = (200..400)
+    let newcomers: Vec<ListedEngine> = (200..400)
         .map(|number| line(number, 5))
         .filter(|line| displaces(&world, line).is_some())
         .take(2)
@@ -337,7 +340,7 @@
         }
         for round in 0..60 {
             let id = world.member_ids().first().cloned().expect("members");
-            world.tell_condition(&id, Condition::Gone);
+            world.tell_condition(&id, ListedState::Removed);
             world.settle();
             assert_eq!(
                 world.faults,
@@ -367,12 +370,12 @@
     world.unreachable = others.collect();
     members[..6]
         .iter()
-        .for_each(|id| world.tell_condition(id, Condition::Gone));
+        .for_each(|id| world.tell_condition(id, ListedState::Removed));
     world.advance(20.0);
     assert_eq!((world.subset.unreached(), world.members.len()), (10, 14));
     members[6..13]
         .iter()
-        .for_each(|id| world.tell_condition(id, Condition::Gone));
+        .for_each(|id| world.tell_condition(id, ListedState::Removed));
     assert_eq!(world.members.len(), 9, "the floor of 17");
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -383,7 +386,7 @@
     world.tell(&lines(100, 5), true);
     world.silent = true;
     let gone = world.member_ids().first().cloned().expect("members");
-    world.tell_condition(&gone, Condition::Gone);
+    world.tell_condition(&gone, ListedState::Removed);
     world.advance(9.0);
     assert_eq!(world.subset.unreached(), 0);
     world.advance(2.0);
@@ -416,7 +419,7 @@
     in_class(&world)
         .iter()
         .take(3)
-        .for_each(|id| world.tell_condition(id, Condition::Draining));
+        .for_each(|id| world.tell_condition(id, ListedState::Draining));
     world.advance(0.5);
     assert!(in_class(&world).len() >= 6, "{:?}", in_class(&world));
 }
@@ -443,7 +446,7 @@
     ] {
         world.updated.clear();
         world.tell(
-            &[EngineLine {
+            &[ListedEngine {
                 id: id.clone(),
                 facts,
             }],
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineKey, EngineLine, GatewayHash, PlacementClass,
-    RetryScope, Subset, SubsetSettings,
+    Action, Catalog, EngineFacts, EngineKey, GatewayHash, ListedEngine, ListedState,
+    PlacementClass, RetryScope, Subset, SubsetSettings,
 };
 use std::collections::BTreeMap;
 use world::{lines, settings, Slip};
@@ -243,7 +243,7 @@
         };
         by_lines.apply(
             &[
-                EngineLine {
+                ListedEngine {
                     facts: elsewhere,
                     ..line.clone()
                 },
@@ -253,22 +253,22 @@
         );
     }
     let gone = EngineFacts {
-        condition: Condition::Gone,
+        state: ListedState::Removed,
         ..lines(1, ZONES)[0].facts
     };
     let drains = EngineFacts {
-        condition: Condition::Draining,
+        state: ListedState::Draining,
         ..gone
     };
     by_lines.apply(
-        &[EngineLine {
+        &[ListedEngine {
             id: "engine-9999".into(),
             facts: drains,
         }],
         false,
     );
     by_lines.apply(
-        &[EngineLine {
+        &[ListedEngine {
             id: "engine-3".into(),
             facts: gone,
         }],
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use garnetwall_subset::{
-    Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, SubsetSettings,
+    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
     Tell {
         first: u32,
         count: u32,
-        condition: Condition,
+        condition: ListedState,
     },
     Rezone {
         engine: u32,
@@ -40,7 +40,7 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let condition = prop_oneof![4 => Just(Condition::Ready), 1 => Just(Condition::Draining), 1 => Just(Condition::Gone)];
+    let condition = prop_oneof![4 => Just(ListedState::Ready), 1 => Just(ListedState::Draining), 1 => Just(ListedState::Removed)];
     prop_oneof![
         6 => (0..ENGINES, 1..12_u32, condition).prop_map(|(first, count, condition)| Step::Tell { first, count, condition }),
         1 => (0..ENGINES, 0..ZONES).prop_map(|(engine, zone)| Step::Rezone { engine, zone }),
@@ -120,9 +120,9 @@
         } => {
             let told = |number| {
                 let line = line(number, ZONES);
-                EngineLine {
+                ListedEngine {
                     facts: EngineFacts {
-                        condition,
+                        state: condition,
                         ..line.facts
                     },
                     ..line
@@ -133,7 +133,7 @@
         Step::Rezone { engine, zone } => {
             let line = line(engine, ZONES);
             world.tell(
-                &[EngineLine {
+                &[ListedEngine {
                     facts: EngineFacts { zone, ..line.facts },
                     ..line
                 }],
@@ -144,11 +144,11 @@
         Step::LoseZone(zone) => {
             let lost = world.list.iter().filter(|(_, facts)| facts.zone == zone);
             let gone = |facts: &EngineFacts| EngineFacts {
-                condition: Condition::Gone,
+                state: ListedState::Removed,
                 ..*facts
             };
-            let lost: Vec<EngineLine> = lost
-                .map(|(id, facts)| EngineLine {
+            let lost: Vec<ListedEngine> = lost
+                .map(|(id, facts)| ListedEngine {
                     id: id.clone(),
                     facts: gone(facts),
                 })
@@ -194,7 +194,7 @@
         let mut world = World::new(settings.clone(), Slip::None);
         world.tell(&lines(ENGINES, ZONES), true);
         let whole = world.member_ids();
-        world.tell_condition(&line(engine, ZONES).id, Condition::Gone);
+        world.tell_condition(&line(engine, ZONES).id, ListedState::Removed);
         world.settle();
         let without = world.member_ids();
         prop_assert!(moves_the_least(&settings, &whole, &without));
@@ -257,7 +257,7 @@
     members
         .iter()
         .take(2)
-        .for_each(|id| world.tell_condition(id, Condition::Draining));
+        .for_each(|id| world.tell_condition(id, ListedState::Draining));
     world.advance(10.0);
     world.settle();
     world.faults
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -112,7 +112,7 @@
         let effective = subset.effective_size(&catalog);
         (effective.size, effective.reason)
     };
-    assert_eq!(size(80, 4_400.0, 6_500), (80, SizeReason::Told));
+    assert_eq!(size(80, 4_400.0, 6_500), (80, SizeReason::Configured));
     assert_eq!(size(20, 4_400.0, 6_500), (36, SizeReason::MinHolders));
     assert_eq!(size(80, 4_400.0, 80), (80, SizeReason::WholeList));
     assert_eq!(size(8, 10.0, 40), (40, SizeReason::WholeList));
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use garnetwall_subset::{
-    Action, Catalog, Condition, EffectiveSize, EngineFacts, EngineKey, EngineLine, GatewayHash,
+    Action, Catalog, EffectiveSize, EngineFacts, EngineKey, GatewayHash, ListedEngine, ListedState,
     PlacementClass, RetryScope, Subset, SubsetSettings,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn line(number: u32, zones: u32) -> EngineLine {
+pub fn line(number: u32, zones: u32) -> ListedEngine {
     let cores = [4.0, 8.0, 16.0][(number / zones % 3) as usize];
     let cell = number / zones % 4;
     let facts = EngineFacts {
@@ -41,15 +41,15 @@
         kind: number / zones % 2,
         cell,
         cores,
-        condition: Condition::Ready,
+        state: ListedState::Ready,
     };
-    EngineLine {
+    ListedEngine {
         id: format!("engine-{number}"),
         facts,
     }
 }
 
-pub fn lines(count: u32, zones: u32) -> Vec<EngineLine> {
+pub fn lines(count: u32, zones: u32) -> Vec<ListedEngine> {
     (0..count).map(|number| line(number, zones)).collect()
 }
 
@@ -113,13 +113,13 @@
         }
     }
 
-    pub fn tell(&mut self, lines: &[EngineLine], whole: bool) {
+    pub fn tell(&mut self, lines: &[ListedEngine], whole: bool) {
         if whole {
             self.list.clear();
         }
         for line in lines {
-            match line.facts.condition {
-                Condition::Gone => drop(self.list.remove(&line.id)),
+            match line.facts.state {
+                ListedState::Removed => drop(self.list.remove(&line.id)),
                 _ => drop(self.list.insert(line.id.clone(), line.facts)),
             }
         }
@@ -128,12 +128,15 @@
         self.poll();
     }
 
-    pub fn tell_condition(&mut self, id: &str, condition: Condition) {
+    pub fn tell_condition(&mut self, id: &str, condition: ListedState) {
         if let Some(facts) = self.list.get(id).copied() {
             self.tell(
-                &[EngineLine {
+                &[ListedEngine {
                     id: id.into(),
-                    facts: EngineFacts { condition, ..facts },
+                    facts: EngineFacts {
+                        state: condition,
+                        ..facts
+                    },
                 }],
                 false,
             );
@@ -260,7 +263,7 @@
         let ready = self
             .list
             .iter()
-            .filter(|(_, facts)| facts.condition == Condition::Ready);
+            .filter(|(_, facts)| facts.state == ListedState::Ready);
         ready.map(|(id, facts)| (id.as_str(), *facts)).collect()
     }
 
@@ -379,7 +382,7 @@
     let mut ready: Vec<(f64, &str, EngineFacts)> = Vec::new();
     for (id, facts) in list
         .iter()
-        .filter(|(_, facts)| facts.condition == Condition::Ready)
+        .filter(|(_, facts)| facts.state == ListedState::Ready)
     {
         ready.push((
             hash.score(id, settings.weight(facts)).0,
