--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -8,12 +8,14 @@
 pub struct EngineSet(Vec<u64>);
 
 impl EngineSet {
+    /// Whether the engine is in the set.
     pub fn contains(&self, engine: usize) -> bool {
         self.0
             .get(engine / 64)
             .is_some_and(|word| word >> (engine % 64) & 1 == 1)
     }
 
+    /// Puts an engine into the set or takes it out.
     pub fn set(&mut self, engine: usize, held: bool) {
         let word = engine / 64;
         if self.0.len() <= word {
@@ -26,6 +28,7 @@
         }
     }
 
+    /// Whether no engine is in the set.
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|word| *word == 0)
     }
@@ -71,6 +74,7 @@
 }
 
 impl PoolMembers {
+    /// The pools of a plan, without engines yet.
     pub fn new(routing: &Routing) -> Self {
         PoolMembers {
             all: EngineSet::default(),
@@ -92,11 +96,11 @@
         &self.pools[pool]
     }
 
-    /// For each preference of a endpoint subset the engines that it leaves open.
-    pub fn priority_levels(&self, routing: &Routing, lane: usize) -> Vec<EngineSet> {
-        let lane = &routing.subsets()[lane];
+    /// For each priority level of a subset the engines that it leaves open.
+    pub fn priority_levels(&self, routing: &Routing, subset: usize) -> Vec<EngineSet> {
+        let subset = &routing.subsets()[subset];
         let mut bound = self.all.clone();
-        for pools in &lane.required_pools {
+        for pools in &subset.required_pools {
             let mut within = EngineSet::default();
             pools
                 .iter()
@@ -108,9 +112,9 @@
             set.intersect_with(&bound);
             set
         };
-        match lane.pools.is_empty() {
+        match subset.pools.is_empty() {
             true => vec![bound],
-            false => lane.pools.iter().map(narrowed).collect(),
+            false => subset.pools.iter().map(narrowed).collect(),
         }
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -20,11 +20,15 @@
 /// A query as routing sees it; groups and tenants are the settings' indices.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutedQuery {
+    /// Index of its query class.
     pub class: usize,
+    /// Index of its tenant.
     pub tenant: usize,
+    /// Address of its client.
     pub client: IpAddr,
     /// Whether it has an ordering key.
     pub has_key: bool,
+    /// The data set that its statement reads or loads; 0 for none.
     pub data_set: u32,
     /// Minute of the day, UTC.
     pub minute: u32,
@@ -35,7 +39,9 @@
 /// Names of the settings, by index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
+    /// Names of the query classes.
     pub classes: Vec<String>,
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
@@ -59,10 +65,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
     /// Pushed back, by this route, whose `refuse` says why.
-    Rejected { route: usize },
+    Rejected {
+        /// Index of the route.
+        route: usize,
+    },
     /// Its statement is over what its group may have, in bytes.
-    StatementTooLong { max_bytes: u64 },
+    StatementTooLong {
+        /// The longest statement of its class.
+        max_bytes: u64,
+    },
+    /// It may run, limits apart.
     Admitted {
+        /// Index of the route that took it, if any.
         route: Option<usize>,
         /// The query class that it is treated as.
         class: usize,
@@ -171,10 +185,12 @@
         })
     }
 
+    /// The plan that was compiled.
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
     }
 
+    /// The names of the settings that it was compiled for.
     pub fn names(&self) -> &Names {
         &self.names
     }
@@ -184,6 +200,7 @@
         self.plan.group(self.names.classes.get(group)?)
     }
 
+    /// All endpoint subsets that a query may be confined to.
     pub fn subsets(&self) -> &[EndpointSubset] {
         &self.subsets
     }
@@ -226,12 +243,12 @@
             return RouteDecision::StatementTooLong { max_bytes: most };
         }
         let row = route.unwrap_or(self.plan.routes.len());
-        let goal = self.targets
+        let target = self.targets
             [row * self.names.classes.len() + query.class.min(self.names.classes.len() - 1)];
         RouteDecision::Admitted {
             route,
-            class: goal.class,
-            subset: goal.subset,
+            class: target.class,
+            subset: target.subset,
         }
     }
 
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -22,8 +22,11 @@
 /// Which quantity of a limit is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
+    /// Queries in flight.
     InFlight,
+    /// Queries over time.
     Rate,
+    /// Bytes of statements over time.
     Bytes,
 }
 
@@ -32,6 +35,7 @@
 pub struct LimitExceeded {
     /// The limit's name.
     pub limit: String,
+    /// Which of its quantities is exceeded.
     pub kind: LimitKind,
     /// When it may come back: a rate has capacity for it then; of what is in flight one is usually over.
     pub retry_after: Duration,
@@ -318,10 +322,10 @@
         let key = self.key(query);
         let slot = self.state.slot_for(now, key, max_exact_keys);
         let load = self.state.usage_of_slot(&slot);
-        let batches = self.rate.map_or(load.queries_due, |rate| {
+        let queries_due = self.rate.map_or(load.queries_due, |rate| {
             arrival_time_after(&rate, load.queries_due, now, 1.0)
         });
-        let bytes = self.bytes.map_or(load.bytes_due, |rate| {
+        let bytes_due = self.bytes.map_or(load.bytes_due, |rate| {
             arrival_time_after(&rate, load.bytes_due, now, query.statement_bytes as f64)
         });
         match (&slot, &mut self.state.sketch) {
@@ -329,11 +333,11 @@
                 let load = &mut self.state.usage[*at as usize].1;
                 *load = Usage {
                     in_flight: load.in_flight + 1,
-                    queries_due: batches,
-                    bytes_due: bytes,
+                    queries_due,
+                    bytes_due,
                 };
             }
-            (Slot::Shared(cells), Some(sketch)) => sketch.add(cells, batches, bytes),
+            (Slot::Shared(cells), Some(sketch)) => sketch.add(cells, queries_due, bytes_due),
             (Slot::Shared(_), None) => {}
         }
         slot
--- a/crates/routing/src/zones.rs
+++ b/crates/routing/src/zones.rs
@@ -42,13 +42,16 @@
 /// How a zone looks from here.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
+    /// It gets its share of the load.
     Healthy,
     /// It gets trials only, from then on.
     Lost {
+        /// In seconds.
         until: f64,
     },
     /// It gets this part of its capacity.
     Recovering {
+        /// From above 0 to 1.
         fraction: f64,
     },
 }
@@ -58,9 +61,12 @@
 pub enum ZoneOutcome {
     /// Work in core seconds, and latency over the usual one of its like.
     Succeeded {
+        /// In core seconds.
         work: f64,
+        /// Latency over the usual one of its class.
         slowdown: f64,
     },
+    /// It failed, timed out or was lost.
     Failed,
 }
 
@@ -148,6 +154,7 @@
         }
     }
 
+    /// How a zone looks from here.
     pub fn health(&self, zone: usize) -> Health {
         self.zones[zone].health
     }
@@ -158,7 +165,7 @@
         let was = std::mem::replace(&mut zone_state.capacity, capacity.max(0.0));
         zone_state.others = others.max(0.0);
         if capacity <= 0.0 {
-            zone_state.mark_lost(now);
+            zone_state.record_loss(now);
         } else if was <= 0.0 && matches!(zone_state.health, Health::Lost { .. }) {
             // Listed again: it is tried at once, if it has not been lost too often.
             zone_state.trials = 0;
@@ -291,7 +298,7 @@
                 .iter()
                 .any(|zone| level_of(*zone) > level && free_cores(*zone) > 0.0);
             let carried = if can_spill {
-                kept_before_spilling(remaining, cores)
+                carried_before_spilling(remaining, cores)
             } else {
                 remaining.min(cores)
             };
@@ -320,7 +327,7 @@
 
 /// What a priority level keeps of a load: all of it up to the soft mark, then less and less of what is added, never more than it
 /// holds. Without an edge, so that a load that wavers does not jump between priority levels.
-pub fn kept_before_spilling(load: f64, capacity: f64) -> f64 {
+pub fn carried_before_spilling(load: f64, capacity: f64) -> f64 {
     if capacity <= MIN_DIVISOR {
         return 0.0;
     }
@@ -328,9 +335,11 @@
     if x <= SPILL_FROM_FRACTION {
         return load;
     }
-    let rest = 1.0 - SPILL_FROM_FRACTION;
-    (capacity * (SPILL_FROM_FRACTION + rest * (1.0 - (-(x - SPILL_FROM_FRACTION) / rest).exp())))
-        .min(load)
+    let soft_range = 1.0 - SPILL_FROM_FRACTION;
+    (capacity
+        * (SPILL_FROM_FRACTION
+            + soft_range * (1.0 - (-(x - SPILL_FROM_FRACTION) / soft_range).exp())))
+    .min(load)
 }
 
 /// Which parts of groups are held where not all can be: those with the most utility for their work first. Each group is
@@ -359,16 +368,16 @@
 
 impl Zone {
     fn decay(&mut self, now: f64) {
-        let kept = (-(now - self.decayed_at).max(0.0) / OUTCOME_DECAY_SECONDS).exp();
+        let decay = (-(now - self.decayed_at).max(0.0) / OUTCOME_DECAY_SECONDS).exp();
         (self.successes, self.failures, self.decayed_at) =
-            (self.successes * kept, self.failures * kept, now);
+            (self.successes * decay, self.failures * decay, now);
     }
 
     fn failure_rate(&self) -> f64 {
         self.failures / (self.successes + self.failures).max(MIN_DIVISOR)
     }
 
-    fn mark_lost(&mut self, now: f64) {
+    fn record_loss(&mut self, now: f64) {
         if matches!(self.health, Health::Lost { .. }) {
             return;
         }
@@ -406,10 +415,10 @@
                 {
                     return;
                 }
-                let asked = self.carried / (now - self.round_at).max(MIN_DIVISOR)
+                let demanded = self.carried / (now - self.round_at).max(MIN_DIVISOR)
                     >= MIN_DEMAND_FRACTION * fraction * self.capacity;
                 (self.carried, self.round_at) = (0.0, now);
-                self.health = match asked {
+                self.health = match demanded {
                     true if fraction >= 1.0 => Health::Healthy,
                     true => Health::Recovering {
                         fraction: (fraction * GROWTH_FACTOR).min(1.0),
@@ -434,7 +443,7 @@
         if self.successes + self.failures >= MIN_OUTCOMES
             && self.failure_rate() >= LOST_FAILURE_RATE
         {
-            return self.mark_lost(now);
+            return self.record_loss(now);
         }
         if let Health::Recovering { fraction } = self.health {
             self.back_off(now, fraction);
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -108,7 +108,7 @@
     #[test]
     fn a_tier_spills_without_an_edge(capacity in 1.0..500.0f64, load in 0.0..2000.0f64) {
         let step = capacity / 100.0;
-        let (a, b) = (kept_before_spilling(load, capacity), kept_before_spilling(load + step, capacity));
+        let (a, b) = (carried_before_spilling(load, capacity), carried_before_spilling(load + step, capacity));
         prop_assert!(a <= load.min(capacity) && b >= a - 1e-9 && b - a <= step + 1e-9);
     }
 
