--- /dev/null
+++ b/crates/subset/src/subset/transition.rs
@@ -0,0 +1,194 @@
+//! Moves the members towards the target: who joins, who is warmed first, who leaves.
+
+use super::{Action, Subset};
+use crate::class_shortage::ClassShortage;
+use crate::ready::RetryDomain;
+use crate::score::Score;
+use crate::{Catalog, EngineFacts, EngineKey, PlacementClass};
+use std::collections::BTreeMap;
+
+impl Subset {
+    /// Brings the members nearer to the target, as far as floor, reserve and pace allow.
+    pub(super) fn settle(&mut self, now: f64, catalog: &Catalog) {
+        let missing = self.missing(catalog);
+        let waiting = self.join(catalog, missing);
+        if waiting.is_empty() {
+            self.newcomers.end_refill();
+        }
+        self.warm(now, catalog, &waiting);
+        self.release(catalog, waiting.is_empty());
+        self.newcomers.drop_reached();
+        self.settled = waiting.is_empty();
+    }
+
+    /// The engines of the target that are no members yet, lowest score first.
+    fn missing(&self, catalog: &Catalog) -> Vec<EngineKey> {
+        let chooser = self.chooser(catalog);
+        let engines = self.target.engines.iter();
+        let mut missing: Vec<(Score, EngineKey)> = engines
+            .filter(|engine| !self.members.contains_key(engine))
+            .filter_map(|engine| chooser.score(*engine).map(|score| (score, *engine)))
+            .collect();
+        missing.sort_unstable();
+        missing.into_iter().map(|(_, engine)| engine).collect()
+    }
+
+    /// Joins the engines that have been reached, and those without which the subset or a class is under its floor.
+    /// Returns the others.
+    fn join(&mut self, catalog: &Catalog, missing: Vec<EngineKey>) -> Vec<EngineKey> {
+        let remaining = self.join_reached_and_urgent(catalog, missing);
+        let subset_floor = self.effective_size(catalog).floor();
+        let floor = subset_floor.min(self.target.engines.len());
+        let mut waiting = Vec::new();
+        for (engine, facts) in remaining {
+            if self.members.len() < floor {
+                self.add_member(engine, &facts);
+            } else {
+                waiting.push(engine);
+            }
+        }
+        waiting
+    }
+
+    /// Joins the engines that have been reached, and those that a class under its floor needs. Returns the others.
+    fn join_reached_and_urgent(
+        &mut self,
+        catalog: &Catalog,
+        missing: Vec<EngineKey>,
+    ) -> Vec<(EngineKey, EngineFacts)> {
+        // A subset without members serves nobody, so its first members join untried.
+        let is_first_fill = self.members.is_empty();
+        let classes = self.settings.classes.clone();
+        let mut shortage = self.class_shortage(catalog, &classes, |class| {
+            self.floor_of_class(catalog, class)
+        });
+        let mut remaining = Vec::new();
+        for engine in missing {
+            let Some(facts) = catalog.facts(engine) else {
+                continue;
+            };
+            let is_reached = self.newcomers.is_reached(engine);
+            if is_first_fill || is_reached || shortage.concerns(&facts) {
+                shortage.add(&facts);
+                self.add_member(engine, &facts);
+            } else {
+                remaining.push((engine, facts));
+            }
+        }
+        remaining
+    }
+
+    fn class_shortage<'a>(
+        &self,
+        catalog: &Catalog,
+        classes: &'a [PlacementClass],
+        needed: impl Fn(&PlacementClass) -> usize,
+    ) -> ClassShortage<'a> {
+        let facts = |engine: &EngineKey| catalog.facts(*engine);
+        let target: Vec<EngineFacts> = self.target.engines.iter().filter_map(facts).collect();
+        let members: Vec<EngineFacts> = self.members.keys().filter_map(facts).collect();
+        ClassShortage::new(classes, &target, &members, needed)
+    }
+
+    /// Has connections made to the engines that wait, as the pace allows.
+    fn warm(&mut self, now: f64, catalog: &Catalog, waiting: &[EngineKey]) {
+        let classes = self.settings.classes.clone();
+        let mut shortage = self.class_shortage(catalog, &classes, |_| self.settings.class_floor);
+        let mut waits_for_pace = false;
+        for engine in waiting {
+            let Some(facts) = catalog.facts(*engine) else {
+                continue;
+            };
+            let is_urgent = shortage.concerns(&facts);
+            shortage.add(&facts);
+            if self.newcomers.is_warming(*engine) {
+                continue;
+            }
+            if self.newcomers.admit(now, *engine, is_urgent) {
+                self.pending_actions.push(Action::Warm(*engine));
+            } else {
+                waits_for_pace = true;
+            }
+        }
+        if !waits_for_pace {
+            self.newcomers.end_wait();
+        }
+    }
+
+    /// Has connections made again to engines that were not reached.
+    pub(super) fn retry_unreached(&mut self, now: f64, catalog: &Catalog) {
+        for engine in self.newcomers.retries(now) {
+            match catalog.facts(engine) {
+                Some(_) => self.pending_actions.push(Action::Warm(engine)),
+                None => self.newcomers.forget(engine),
+            }
+        }
+    }
+
+    /// Removes members that are not in the target: all of them once the target is `complete`.
+    fn release(&mut self, catalog: &Catalog, complete: bool) {
+        let surplus = self.surplus(catalog);
+        let leaving = match complete {
+            true => surplus,
+            false => self.dispensable(catalog, &surplus),
+        };
+        for engine in leaving {
+            self.remove_member(engine);
+        }
+    }
+
+    /// The members that are not in the target, highest score first.
+    fn surplus(&self, catalog: &Catalog) -> Vec<EngineKey> {
+        let chooser = self.chooser(catalog);
+        let members = self.members.keys();
+        let mut surplus: Vec<(Option<Score>, EngineKey)> = members
+            .filter(|engine| !self.target.engines.contains(engine))
+            .map(|engine| (chooser.score(*engine), *engine))
+            .collect();
+        surplus.sort_unstable_by(|a, b| b.cmp(a));
+        surplus.into_iter().map(|(_, engine)| engine).collect()
+    }
+
+    /// The surplus members that the subset can do without while engines of its target are missing: as many as have joined in
+    /// their stead, unless a class would fall under its floor or a member lose its only companion.
+    fn dispensable(&self, catalog: &Catalog, surplus: &[EngineKey]) -> Vec<EngineKey> {
+        let mut excess = self.members.len().saturating_sub(self.target.engines.len());
+        let mut shortage = self.class_shortage(catalog, &self.settings.classes, |_| {
+            self.settings.class_floor
+        });
+        let mut members_by_domain = self.members_by_domain(catalog);
+        let mut dispensable = Vec::new();
+        for engine in surplus {
+            if excess == 0 {
+                break;
+            }
+            let Some(facts) = catalog.facts(*engine) else {
+                break;
+            };
+            let domain = RetryDomain::of(&facts, self.settings.retry_scope);
+            let in_domain = domain.and_then(|domain| members_by_domain.get_mut(&domain));
+            shortage.remove(&facts);
+            let leaves_one_alone = in_domain.as_deref() == Some(&2);
+            if shortage.concerns(&facts) || leaves_one_alone {
+                shortage.add(&facts);
+                continue;
+            }
+            if let Some(count) = in_domain {
+                *count -= 1;
+            }
+            excess -= 1;
+            dispensable.push(*engine);
+        }
+        dispensable
+    }
+
+    fn members_by_domain(&self, catalog: &Catalog) -> BTreeMap<RetryDomain, usize> {
+        let mut counts: BTreeMap<RetryDomain, usize> = BTreeMap::new();
+        let members = self.members.keys();
+        let facts = members.filter_map(|engine| catalog.facts(*engine));
+        for domain in facts.filter_map(|facts| RetryDomain::of(&facts, self.settings.retry_scope)) {
+            *counts.entry(domain).or_default() += 1;
+        }
+        counts
+    }
+}
