--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -1,10 +1,9 @@
 //! The files that a gateway is configured by, and how they are read from the disk.
 
 use super::error::{Checked, ConfigError};
-use garnetwall_plan::source::{beside, Loader};
+use garnetwall_plan::source::{beside, LoadError, Loader};
 use garnetwall_settings::{decode, Decoded, Flat};
 use serde_json::Value;
-use std::io;
 use std::path::Path;
 
 /// The environment variable that names the configuration file.
@@ -25,14 +24,11 @@
 pub struct Disk;
 
 impl Loader for Disk {
-    fn load(&self, name: &str) -> Result<Vec<u8>, String> {
+    fn load(&self, name: &str) -> Result<Vec<u8>, LoadError> {
         if Path::new(name).is_dir() {
-            return Err("it is a directory".into());
+            return Err(LoadError::IsDirectory);
         }
-        std::fs::read(name).map_err(|error| match error.kind() {
-            io::ErrorKind::NotFound => "there is no such file".into(),
-            _ => error.to_string(),
-        })
+        Ok(std::fs::read(name)?)
     }
 
     fn resolve(&self, from: &str, included: &str) -> String {
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -177,8 +177,11 @@
     let text = read_text(&file)?;
     let Ok(formatted) = format::format(&text) else {
         // Reading the plan as a whole finds the faults with their places.
-        let (files, _, faults) = garnetwall_plan::source::read(&Disk, &file);
-        return Err(PlanCommandError::FaultyPlan(fault::render(&files, &faults)));
+        let source = garnetwall_plan::source::read(&Disk, &file);
+        return Err(PlanCommandError::FaultyPlan(fault::render(
+            &source.files,
+            &source.faults,
+        )));
     };
     if formatted == text {
         return Ok(String::new());
--- a/crates/plan/src/build/bodies.rs
+++ b/crates/plan/src/build/bodies.rs
@@ -21,7 +21,7 @@
                 format!("a plan has one block `{kind}` at most"),
             );
             self.faults
-                .push(fault.other(first.span.clone(), "the first"));
+                .push(fault.related(first.span.clone(), "the first"));
         }
         Some(first)
     }
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -41,7 +41,7 @@
                 let by = pool.except.first().map(|e| &self.plan.pools[*e]);
                 let fault = Fault::new(pool.span.clone(), text);
                 self.faults.push(match by {
-                    Some(by) => fault.other(by.span.clone(), "what it has is excepted"),
+                    Some(by) => fault.related(by.span.clone(), "what it has is excepted"),
                     None => fault,
                 });
             }
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -24,7 +24,7 @@
                     );
                     let fault = Fault::new(limit.span.clone(), text);
                     self.faults
-                        .push(fault.other(other.span.clone(), "the other one"));
+                        .push(fault.related(other.span.clone(), "the other one"));
                 }
                 let (wide, narrow) = (other, limit);
                 self.never_binds(wide, narrow);
@@ -47,7 +47,7 @@
                         );
                         self.faults.push(
                             Fault::new(tenant.span.clone(), text)
-                                .other(limit.span.clone(), "this one"),
+                                .related(limit.span.clone(), "this one"),
                         );
                     }
                 }
@@ -73,7 +73,7 @@
                     narrow.name, wide.name
                 );
                 self.faults.push(
-                    Fault::new(narrow.span.clone(), text).other(wide.span.clone(), "this one"),
+                    Fault::new(narrow.span.clone(), text).related(wide.span.clone(), "this one"),
                 );
             }
         }
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -3,9 +3,9 @@
 use super::ConsistencyCheck;
 use crate::cells::Cells;
 use crate::fault::Fault;
+use crate::files::Span;
 use crate::model::{Group, Route};
 use crate::region::{Classes, Region};
-use crate::source::Span;
 use fixedbitset::FixedBitSet;
 
 impl ConsistencyCheck<'_> {
@@ -64,7 +64,7 @@
         );
         let fault = Fault::new(to_span.clone(), text).label("this leaves the binding");
         let binding = group.pools_span.clone().unwrap_or(group.span.clone());
-        let fault = fault.other(binding, format!("`{}` is bound here", group.name));
+        let fault = fault.related(binding, format!("`{}` is bound here", group.name));
         self.faults.push(fault.help(format!(
             "take `{}` with an earlier route, or leave `{to}` out",
             group.name
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -37,7 +37,7 @@
             let text = format!("the route `{}` can never match", route.name);
             let fault = Fault::new(route.span.clone(), text);
             self.faults.push(match alone {
-                Some(earlier) => fault.other(
+                Some(earlier) => fault.related(
                     self.plan.routes[earlier].span.clone(),
                     "this one takes all that it asks for",
                 ),
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -3,9 +3,9 @@
 use super::{Builder, Settings};
 use crate::check::Given;
 use crate::fault::Fault;
+use crate::files::Span;
 use crate::quantity::Value;
 use crate::schema::{Outer, Shape};
-use crate::source::Span;
 
 impl Builder<'_> {
     /// Names of groups, tenants, kinds and zones, where the settings are at hand.
@@ -35,7 +35,7 @@
         if !names.contains(&name) {
             let text = format!("the settings know no {} `{name}`", outer.is());
             self.faults
-                .push(Fault::new(span.clone(), text).near(name, names));
+                .push(Fault::new(span.clone(), text).suggest_nearest(name, names));
         }
     }
 
@@ -63,7 +63,8 @@
                     };
                     let fault =
                         Fault::new(value.span.clone(), format!("there is no {what} `{name}`"));
-                    self.faults.push(fault.near(name, known.keys().copied()));
+                    self.faults
+                        .push(fault.suggest_nearest(name, known.keys().copied()));
                 }
             }
         }
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -30,7 +30,7 @@
                 if let Some(other) = block.get("to").or(block.get("as")) {
                     let fault = Fault::new(refuse.span.clone(), "what is refused goes nowhere");
                     self.faults
-                        .push(fault.other(other.span.clone(), "and this says where it goes"));
+                        .push(fault.related(other.span.clone(), "and this says where it goes"));
                 }
             }
             let spans = |entry: &str| {
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -1,9 +1,9 @@
 //! From items to typed entries: constants are put in, names and shapes are checked by the table of block kinds.
 
 use crate::fault::{shown, Fault};
+use crate::files::Span;
 use crate::quantity::{self, Kind, Value};
 use crate::schema::{self, BlockKind, EntryKind, Shape};
-use crate::source::Span;
 use crate::syntax::{Block, Item, Part, Word};
 use std::collections::HashMap;
 
@@ -111,7 +111,7 @@
                 name.span.clone(),
                 format!("the constant `{}` is there already", name.text),
             );
-            faults.push(fault.other(first.clone(), "first here"));
+            faults.push(fault.related(first.clone(), "first here"));
             return;
         }
         self.known
@@ -151,7 +151,7 @@
                 at.span.clone(),
                 format!("there is no constant `{}`", shown(name)),
             );
-            faults.push(fault.near(name, self.known.keys().map(String::as_str)));
+            faults.push(fault.suggest_nearest(name, self.known.keys().map(String::as_str)));
             return false;
         };
         if depth >= DEEPEST || out.len() > MOST_VALUES {
@@ -162,7 +162,7 @@
                 ),
                 false => format!("with constants put in, this has more than {MOST_VALUES} values"),
             };
-            faults.push(Fault::new(at.span.clone(), why).other(first.clone(), "the constant"));
+            faults.push(Fault::new(at.span.clone(), why).related(first.clone(), "the constant"));
             return false;
         }
         part.iter()
@@ -184,8 +184,9 @@
                 shown(&block.kind.text)
             );
             let names = schema::BLOCKS.iter().map(|b| b.name);
-            self.faults
-                .push(Fault::new(block.kind.span.clone(), text).near(&block.kind.text, names));
+            self.faults.push(
+                Fault::new(block.kind.span.clone(), text).suggest_nearest(&block.kind.text, names),
+            );
             return None;
         };
         let Some(name) = &block.name else {
@@ -207,7 +208,7 @@
         if let Some(first) = self.seen.get(&(kind.name, name.text.clone())) {
             let text = format!("the {} `{}` is there already", kind.name, name.text);
             self.faults
-                .push(Fault::new(name.span.clone(), text).other(first.clone(), "first here"));
+                .push(Fault::new(name.span.clone(), text).related(first.clone(), "first here"));
             return None;
         }
         self.seen
@@ -230,7 +231,7 @@
             let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
             let names = block.kind.entries.iter().map(|e| e.name);
             self.faults
-                .push(Fault::new(name.span.clone(), text).near(&name.text, names));
+                .push(Fault::new(name.span.clone(), text).suggest_nearest(&name.text, names));
             return;
         };
         let Some(values) = self.values(kind, name, parts) else {
@@ -263,7 +264,7 @@
                     format!("`{}` stands twice in this {}", kind.name, block.kind.name),
                 );
                 self.faults
-                    .push(fault.other(first.span.clone(), "first here"));
+                    .push(fault.related(first.span.clone(), "first here"));
             }
         }
     }
@@ -335,7 +336,7 @@
     /// A fault in a word that a constant may have brought.
     fn fault_in(&mut self, put: &Put, fault: Fault) {
         self.faults.push(match &put.defined {
-            Some(defined) => fault.other(defined.clone(), "from this constant"),
+            Some(defined) => fault.related(defined.clone(), "from this constant"),
             None => fault,
         });
     }
@@ -357,7 +358,7 @@
                     kind.name
                 );
                 let fault = Fault::new(put.word.span.clone(), text)
-                    .near(&put.word.text, words.iter().copied());
+                    .suggest_nearest(&put.word.text, words.iter().copied());
                 self.fault_in(put, fault);
                 None
             }
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,7 +1,7 @@
 //! What becomes of one batch, and why, by line.
 
+use crate::files::Span;
 use crate::model::{Bucket, Effect, Facts, Limit, Per, Plan, Pool, Scope};
-use crate::source::Span;
 use crate::Compiled;
 use std::fmt::Write;
 
--- /dev/null
+++ b/crates/plan/src/fault/render.rs
@@ -0,0 +1,122 @@
+//! Prints faults with the lines of the plan that they are in.
+
+use super::Fault;
+use crate::files::{File, Files, Span};
+use codespan_reporting::diagnostic::{Diagnostic, Label};
+use codespan_reporting::files::SimpleFiles;
+use codespan_reporting::term;
+use std::fmt::Write;
+
+/// Faults that are printed in full; of further ones the number is printed.
+pub const MAX_RENDERED_FAULTS: usize = 100;
+/// A longer line is not printed.
+const MAX_LINE_BYTES: usize = 300;
+/// A span over more line breaks is not printed.
+const MAX_LINE_BREAKS: usize = 3;
+
+/// All faults as text, in the order of their places.
+pub fn render(files: &Files, faults: &[Fault]) -> String {
+    let mut sorted: Vec<&Fault> = faults.iter().collect();
+    sorted.sort_by(|a, b| (&a.span, &a.text).cmp(&(&b.span, &b.text)));
+    let mut source_texts = SimpleFiles::new();
+    for file in files.all() {
+        source_texts.add(&file.name, &file.text);
+    }
+    let mut out = String::new();
+    for fault in sorted.iter().take(MAX_RENDERED_FAULTS) {
+        out += &render_fault(files, &source_texts, fault);
+    }
+    if sorted.len() > MAX_RENDERED_FAULTS {
+        // Writing to a string does not fail.
+        let _ = writeln!(out, "and {} more", sorted.len() - MAX_RENDERED_FAULTS);
+    }
+    out
+}
+
+fn render_fault(
+    files: &Files,
+    source_texts: &SimpleFiles<&String, &String>,
+    fault: &Fault,
+) -> String {
+    let notes = notes(files, fault);
+    let printable = places(fault).all(|(span, _)| is_printable(files, span));
+    if !printable {
+        return without_source(files, fault, &notes);
+    }
+    let mut out = String::new();
+    let config = term::Config::default();
+    let diagnostic = diagnostic(fault, notes.clone());
+    match term::emit_to_string(&mut out, &config, source_texts, &diagnostic) {
+        Ok(()) => out,
+        Err(_) => without_source(files, fault, &notes),
+    }
+}
+
+fn diagnostic(fault: &Fault, notes: Vec<String>) -> Diagnostic<usize> {
+    let labels = places(fault).enumerate().map(|(index, (span, text))| {
+        let label = match index {
+            0 => Label::primary(span.file.0, span.range()),
+            _ => Label::secondary(span.file.0, span.range()),
+        };
+        label.with_message(text)
+    });
+    Diagnostic::error()
+        .with_message(&fault.text)
+        .with_labels(labels.collect())
+        .with_notes(notes)
+}
+
+/// The place of a fault, then the related ones, each with its text.
+fn places(fault: &Fault) -> impl Iterator<Item = (&Span, &str)> {
+    let label = fault.label.as_deref().unwrap_or_default();
+    let related = fault.related.iter();
+    std::iter::once((&fault.span, label)).chain(related.map(|(span, text)| (span, text.as_str())))
+}
+
+/// Whether the lines of a span are few and short, and would not disturb a terminal.
+fn is_printable(files: &Files, span: &Span) -> bool {
+    let Some(file) = files.get(span.file) else {
+        return false;
+    };
+    let (first, _) = file.place(span.start);
+    let (last, _) = file.place(span.end);
+    last - first <= MAX_LINE_BREAKS && (first..=last).all(|line| is_printable_line(file, line))
+}
+
+fn is_printable_line(file: &File, number: usize) -> bool {
+    let line = file.line(number);
+    let is_forbidden = |c: char| c.is_control() && c != '\t';
+    line.len() <= MAX_LINE_BYTES && !line.contains(is_forbidden)
+}
+
+fn without_source(files: &Files, fault: &Fault, notes: &[String]) -> String {
+    let mut out = format!("error: {}\n", fault.text);
+    for (span, text) in places(fault) {
+        let Some(file) = files.get(span.file) else {
+            continue;
+        };
+        let (line, column) = file.place(span.start);
+        let _ = writeln!(out, "  --> {}:{line}:{column} {text}", file.name);
+    }
+    for note in notes {
+        let _ = writeln!(out, "  = {note}");
+    }
+    out.push('\n');
+    out
+}
+
+/// The suggestion, and the chain of includes where the place is in an included file.
+fn notes(files: &Files, fault: &Fault) -> Vec<String> {
+    let help = fault.help.iter().map(|help| format!("help: {help}"));
+    let mut notes: Vec<String> = help.collect();
+    let included_at = |span: &Span| {
+        let file = files.get(span.file);
+        file.and_then(|file| file.included_at.as_ref())
+    };
+    let includes = std::iter::successors(included_at(&fault.span), |span| included_at(span));
+    let chain: Vec<String> = includes.map(|span| files.at(span)).collect();
+    if !chain.is_empty() {
+        notes.push(format!("included at {}", chain.join(", included at ")));
+    }
+    notes
+}
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -2,8 +2,8 @@
 //! behind commas. Words stay as they were written, and so do comments; only what is around them changes.
 
 use crate::fault::Fault;
-use crate::source::FileId;
-use crate::syntax::{self, Block, Item, Line, Part, Tree, Word};
+use crate::files::FileId;
+use crate::syntax::{self, Block, BlockItem, Item, Part, Tree, Word};
 
 /// Columns that a line has at most, where it can be broken.
 const WIDTH: usize = 100;
@@ -83,11 +83,11 @@
             .as_ref()
             .map_or(String::new(), |name| format!("{} ", word(name)));
         self.line(0, &format!("{} {name}{{", block.kind.text), &block.comment);
-        for line in &block.lines {
-            match line {
-                Line::Blank(None) => self.empty(),
-                Line::Blank(Some(comment)) => self.line(2, comment, &None),
-                Line::Entry(entry) => {
+        for item in &block.items {
+            match item {
+                BlockItem::Blank(None) => self.empty(),
+                BlockItem::Blank(Some(comment)) => self.line(2, comment, &None),
+                BlockItem::Entry(entry) => {
                     self.wrapped(2, &word(&entry.name), &entry.parts, &entry.comment)
                 }
             }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod diff;
 pub mod explain;
 pub mod fault;
+pub mod files;
 pub mod format;
 pub mod model;
 pub mod quantity;
@@ -21,8 +22,9 @@
 
 pub use build::{Settings, SettingsGroup};
 pub use fault::Fault;
+use files::Files;
 pub use model::Plan;
-use source::{Files, Loader};
+use source::{Loader, Source};
 
 /// A plan with the files it was read from.
 #[derive(Debug)]
@@ -57,7 +59,11 @@
     main: &str,
     settings: Option<&Settings>,
 ) -> Result<Compiled, Faulty> {
-    let (files, items, mut faults) = source::read(loader, main);
+    let Source {
+        files,
+        items,
+        mut faults,
+    } = source::read(loader, main);
     let blocks = check::check(&items, &mut faults);
     let plan = build::build(&blocks, settings, &mut faults);
     match faults.is_empty() {
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -2,8 +2,8 @@
 //! evaluation is plain and slow; `garnetwall-routing` compiles it.
 
 use crate::address::{number, Spans};
+use crate::files::Span;
 use crate::quantity::DAY;
-use crate::source::Span;
 use serde::Serialize;
 use std::net::IpAddr;
 use std::time::Duration;
--- /dev/null
+++ b/crates/plan/src/syntax/reader.rs
@@ -0,0 +1,239 @@
+//! Turns the parser's pairs into items with places and comments.
+
+use super::unreadable::{self, Context};
+use super::{Block, BlockItem, Entry, Item, Part, Rule, Tree, Word};
+use crate::fault::Fault;
+use crate::files::{FileId, Span};
+use pest::iterators::Pair;
+
+pub(super) struct Reader {
+    file: FileId,
+    tree: Tree,
+}
+
+/// The words, values and comments of one statement.
+#[derive(Default)]
+struct Statement {
+    /// Words and strings that stand outside of values.
+    words: Vec<Word>,
+    parts: Vec<Part>,
+    comment: Option<String>,
+}
+
+impl Statement {
+    /// Comments within a list move behind the statement, as its lines are joined.
+    fn add_comment(&mut self, more: String) {
+        self.comment = Some(match self.comment.take() {
+            Some(first) => format!("{first} {more}"),
+            None => more,
+        });
+    }
+}
+
+impl Reader {
+    pub(super) fn new(file: FileId) -> Self {
+        Reader {
+            file,
+            tree: Tree::default(),
+        }
+    }
+
+    pub(super) fn into_tree(self) -> Tree {
+        self.tree
+    }
+
+    pub(super) fn push_fault(&mut self, fault: Fault) {
+        self.tree.faults.push(fault);
+    }
+
+    pub(super) fn item(&mut self, pair: Pair<Rule>) {
+        match pair.as_rule() {
+            Rule::blank => self.tree.items.push(Item::Blank(comment_of(pair))),
+            Rule::include => self.include(pair),
+            Rule::constant => self.constant(pair),
+            Rule::block => self.block(pair),
+            Rule::lost => self.block_without_head(pair),
+            Rule::fault => self.unreadable(&pair, Context::File),
+            _ => {}
+        }
+    }
+
+    fn include(&mut self, pair: Pair<Rule>) {
+        let span = self.span(&pair);
+        let mut statement = self.statement(pair);
+        let Some(path) = statement.words.pop() else {
+            return;
+        };
+        self.tree.items.push(Item::Include {
+            path,
+            span,
+            comment: statement.comment,
+        });
+    }
+
+    fn constant(&mut self, pair: Pair<Rule>) {
+        let span = self.span(&pair);
+        let mut statement = self.statement(pair);
+        let Some(name) = statement.words.pop() else {
+            return;
+        };
+        self.tree.items.push(Item::Constant {
+            name,
+            parts: statement.parts,
+            span,
+            comment: statement.comment,
+        });
+    }
+
+    /// A block whose head fits nothing: the head and what is wrong inside are reported, not each entry.
+    fn block_without_head(&mut self, pair: Pair<Rule>) {
+        for part in pair.into_inner() {
+            match part.as_rule() {
+                Rule::bad_head => self.unreadable(&part, Context::File),
+                Rule::fault => self.unreadable(&part, Context::Block),
+                _ => {}
+            }
+        }
+    }
+
+    fn block(&mut self, pair: Pair<Rule>) {
+        let whole = self.span(&pair);
+        let mut head = None;
+        let mut items = Vec::new();
+        let mut is_closed = false;
+        let mut close_comment = None;
+        for part in pair.into_inner() {
+            match part.as_rule() {
+                Rule::head => head = Some((self.span(&part), self.statement(part))),
+                Rule::entry => items.extend(self.entry(part).map(BlockItem::Entry)),
+                Rule::blank => items.push(BlockItem::Blank(comment_of(part))),
+                Rule::fault => self.unreadable(&part, Context::Block),
+                Rule::close => {
+                    is_closed = true;
+                    close_comment = comment_of(part);
+                }
+                _ => {}
+            }
+        }
+        let Some((span, statement)) = head else {
+            return;
+        };
+        let mut words = statement.words.into_iter();
+        let Some(kind) = words.next() else { return };
+        if !is_closed {
+            let fault = Fault::new(span.clone(), "this block is not closed");
+            self.push_fault(fault.help("add a line with `}` at its end"));
+        }
+        self.tree.items.push(Item::Block(Block {
+            kind,
+            name: words.next(),
+            items,
+            span,
+            whole,
+            comment: statement.comment,
+            close_comment,
+        }));
+    }
+
+    fn entry(&self, pair: Pair<Rule>) -> Option<Entry> {
+        let span = self.span(&pair);
+        let mut statement = self.statement(pair);
+        Some(Entry {
+            name: statement.words.pop()?,
+            parts: statement.parts,
+            span,
+            comment: statement.comment,
+        })
+    }
+
+    fn statement(&self, pair: Pair<Rule>) -> Statement {
+        let mut statement = Statement::default();
+        for piece in pair.into_inner() {
+            match piece.as_rule() {
+                Rule::word | Rule::string => statement.words.push(self.word(&piece)),
+                Rule::part => self.part(piece, &mut statement),
+                Rule::comment => statement.add_comment(text_of(&piece)),
+                _ => {}
+            }
+        }
+        statement
+    }
+
+    fn part(&self, pair: Pair<Rule>, statement: &mut Statement) {
+        let mut part = Part::new();
+        for piece in pair.into_inner() {
+            match piece.as_rule() {
+                Rule::comment => statement.add_comment(text_of(&piece)),
+                _ => part.push(self.word(&piece)),
+            }
+        }
+        statement.parts.push(part);
+    }
+
+    fn word(&self, pair: &Pair<Rule>) -> Word {
+        let written = pair.as_str();
+        let quoted = pair.as_rule() == Rule::string;
+        Word {
+            text: match quoted {
+                true => unescaped(written),
+                false => written.to_string(),
+            },
+            quoted,
+            span: self.span(pair),
+        }
+    }
+
+    /// The place of a pair, without the white space and the comment at its end.
+    fn span(&self, pair: &Pair<Rule>) -> Span {
+        let text = pair.as_str();
+        let code = match pair.as_rule() {
+            Rule::head | Rule::entry | Rule::include | Rule::constant => without_comment(text),
+            _ => text,
+        };
+        let start = pair.as_span().start();
+        Span {
+            file: self.file,
+            start,
+            end: start + code.trim_end().len(),
+        }
+    }
+
+    fn unreadable(&mut self, pair: &Pair<Rule>, context: Context) {
+        let span = self.span(pair);
+        let fault = unreadable::fault(span, pair.as_str(), context);
+        self.push_fault(fault);
+    }
+}
+
+/// A statement up to its comment. Where a quote comes before the `#`, it may be part of a string and nothing is cut.
+fn without_comment(text: &str) -> &str {
+    match text.split_once('#') {
+        Some((code, _)) if !code.contains('"') => code,
+        _ => text,
+    }
+}
+
+fn comment_of(pair: Pair<Rule>) -> Option<String> {
+    let comment = pair
+        .into_inner()
+        .find(|inner| inner.as_rule() == Rule::comment)?;
+    Some(text_of(&comment))
+}
+
+fn text_of(pair: &Pair<Rule>) -> String {
+    pair.as_str().trim_end().to_string()
+}
+
+/// The text of a string without its quotes and escapes.
+fn unescaped(string: &str) -> String {
+    let inner = string.get(1..string.len() - 1).unwrap_or_default();
+    let mut text = String::with_capacity(inner.len());
+    let mut is_escape = false;
+    for c in inner.chars() {
+        is_escape = c == '\\' && !is_escape;
+        if !is_escape {
+            text.push(c);
+        }
+    }
+    text
+}
--- a/crates/plan/tests/broken.rs
+++ b/crates/plan/tests/broken.rs
@@ -3,7 +3,7 @@
 
 use garnetwall_plan::compile;
 use garnetwall_plan::model::{Effect, Scope};
-use garnetwall_plan::source::{beside, Loader};
+use garnetwall_plan::source::{beside, LoadError, Loader};
 use garnetwall_plan::{Settings, SettingsGroup};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -12,11 +12,11 @@
 struct Folder(PathBuf);
 
 impl Loader for Folder {
-    fn load(&self, name: &str) -> Result<Vec<u8>, String> {
+    fn load(&self, name: &str) -> Result<Vec<u8>, LoadError> {
         let path = self.0.join(name);
         match path.is_dir() {
-            true => Err("it is a directory".into()),
-            false => std::fs::read(path).map_err(|_| "there is no such file".into()),
+            true => Err(LoadError::IsDirectory),
+            false => std::fs::read(path).map_err(|_| LoadError::NotFound),
         }
     }
 
