--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a plan says of a query, compiled: the route that takes it, the engines that are left to it by preference,
-//! and the limits that count it. No I/O; callers tell facts and times. It narrows what the decision module may choose.
+//! Routes queries by a compiled plan: the route that takes a query, the engines that it may use by priority level, and
+//! the limits that count it. No I/O; callers hand in events and times. It narrows what the decision module may choose.
 //!
-//! [`Routing`] decides on routes, [`Engines`] keeps the engines of every pool, [`Limits`] keeps what is in flight and
-//! what came over time. docs/routing.md weighs the structures and has their figures.
+//! [`Routing`] decides on routes, [`PoolMembers`] knows the engines of every pool, [`Limits`] counts queries in flight
+//! and rates. docs/routing.md weighs the structures and has their figures.
 
 mod engines;
 mod limits;
