--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -124,7 +124,7 @@
     }
 
     /// Reports to the subset how an attempt ended: whether its engine failed.
-    pub fn attempted(&self, engine: EngineId, failed: bool) {
+    pub fn attempt_ended(&self, engine: EngineId, failed: bool) {
         let mut state = self.state();
         let ListState {
             table,
@@ -138,7 +138,7 @@
             return;
         };
         let next_poll = selection.wake();
-        selection.attempted(self.clock.now(), id, failed);
+        selection.attempt_ended(self.clock.now(), id, failed);
         if selection.wake() != next_poll {
             self.subset_changed.notify_one();
         }
@@ -164,10 +164,10 @@
     }
 
     /// Records whether an engine could be reached at this address; whether that differs from before.
-    pub fn reached(&self, target: Target, reached: bool) -> bool {
+    pub fn record_reachability(&self, target: Target, is_reachable: bool) -> bool {
         let table = &mut self.state().table;
         table.address(target.engine) == Some(target.address)
-            && table.record_reachability(target.engine, reached)
+            && table.record_reachability(target.engine, is_reachable)
     }
 }
 
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -253,7 +253,7 @@
     }
 
     /// Records how an attempt at the engine of this id ended.
-    pub(super) fn attempted(&mut self, now: f64, id: &str, failed: bool) {
+    pub(super) fn attempt_ended(&mut self, now: f64, id: &str, failed: bool) {
         if let Some(engine) = self.catalog.key(id) {
             self.subset.attempted(now, engine, failed);
         }
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -181,7 +181,7 @@
     );
     let failing = module.ready().next().unwrap().id.clone();
     for n in 0..50 {
-        selection.attempted(1.0 + f64::from(n) * 0.01, &failing, true);
+        selection.attempt_ended(1.0 + f64::from(n) * 0.01, &failing, true);
     }
     let mut now = 2.0;
     while selection.status().members == 8 && now < 20.0 {
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -153,11 +153,11 @@
     /// Reports to the endpoint list how an attempt ended, where that says something of the engine.
     pub fn record_attempt_end(&self, engine: EngineId, end: AttemptEnd) {
         match end {
-            AttemptEnd::Succeeded | AttemptEnd::Rejected => self.list.attempted(engine, false),
+            AttemptEnd::Succeeded | AttemptEnd::Rejected => self.list.attempt_ended(engine, false),
             AttemptEnd::Failed
             | AttemptEnd::TimedOut
             | AttemptEnd::ConnectFailed
-            | AttemptEnd::ConnectionLost => self.list.attempted(engine, true),
+            | AttemptEnd::ConnectionLost => self.list.attempt_ended(engine, true),
             AttemptEnd::Cancelled | AttemptEnd::NotNeeded | AttemptEnd::NotSent => {}
         }
     }
--- a/crates/gateway/src/engines/health_check.rs
+++ b/crates/gateway/src/engines/health_check.rs
@@ -65,7 +65,7 @@
                 | CallError::InvalidResponse,
             ) => return,
         };
-        if !self.list.reached(target, is_reachable) {
+        if !self.list.record_reachability(target, is_reachable) {
             return;
         }
         match error {
