--- a/crates/subset/src/candidates.rs
+++ b/crates/subset/src/candidates.rs
@@ -1,35 +1,35 @@
-//! The next engines in order of score: all that score below a limit, and none above it.
+//! Keeps the engines with the lowest scores: all below a limit, and none above it.
 
 use crate::score::Score;
 use crate::EngineKey;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Candidates kept beyond those that are wanted, as a part of these: so many may leave before the list is read again.
-const SPARE_PART: f64 = 0.5;
+/// Spare candidates as a fraction of those that are wanted: so many may leave before the list is read again.
+const SPARE_FRACTION: f64 = 0.5;
 
-/// Spare candidates, at least.
-const LEAST_SPARE: usize = 8;
+/// The least number of spare candidates.
+const MIN_SPARE: usize = 8;
 
 /// Engines of a list in order of score, as far as they may be wanted soon.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidates {
     by_score: BTreeSet<(Score, EngineKey)>,
     scores: BTreeMap<EngineKey, Score>,
-    /// All engines with a lower score are candidates; none is where the list is known whole.
+    /// All engines with a lower score are candidates; `None` where all engines are.
     limit: Option<Score>,
 }
 
 impl Candidates {
     /// The lowest scores of a list: those wanted and some spare ones.
     pub fn collect(engines: impl Iterator<Item = (Score, EngineKey)>, wanted: usize) -> Self {
-        let keep = with_spare(wanted);
+        let capacity = with_spare(wanted);
         let mut lowest: BinaryHeap<(Score, EngineKey)> = BinaryHeap::new();
         let mut limit: Option<Score> = None;
         for engine in engines {
             lowest.push(engine);
-            if lowest.len() > keep {
-                let left_out = lowest.pop().map(|(score, _)| score);
-                limit = limit.into_iter().chain(left_out).min();
+            if lowest.len() > capacity {
+                let dropped = lowest.pop().map(|(score, _)| score);
+                limit = limit.into_iter().chain(dropped).min();
             }
         }
         let by_score: BTreeSet<(Score, EngineKey)> = lowest.into_iter().collect();
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes in an engine that may be chosen; whether it is a candidate.
+    /// Adds an engine if its score is low enough; whether it is a candidate.
     pub fn offer(&mut self, engine: EngineKey, score: Score, wanted: usize) -> bool {
         if self.limit.is_some_and(|limit| score >= limit) {
             return false;
@@ -53,13 +53,13 @@
         self.by_score.insert((score, engine));
         self.scores.insert(engine, score);
         if self.by_score.len() > with_spare(with_spare(wanted)) {
-            self.shorten(with_spare(wanted));
+            self.truncate(with_spare(wanted));
         }
         self.scores.contains_key(&engine)
     }
 
-    fn shorten(&mut self, keep: usize) {
-        while self.by_score.len() > keep {
+    fn truncate(&mut self, length: usize) {
+        while self.by_score.len() > length {
             if let Some((score, engine)) = self.by_score.pop_last() {
                 self.scores.remove(&engine);
                 self.limit = Some(score);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes out an engine; whether it was a candidate.
+    /// Removes an engine; whether it was a candidate.
     pub fn withdraw(&mut self, engine: EngineKey) -> bool {
         let Some(score) = self.scores.remove(&engine) else {
             return false;
@@ -75,7 +75,7 @@
         self.by_score.remove(&(score, engine))
     }
 
-    /// Whether the list holds further engines while fewer than wanted are candidates.
+    /// Whether there are fewer candidates than wanted though the list has more engines.
     pub fn falls_short(&self, wanted: usize) -> bool {
         self.limit.is_some() && self.by_score.len() < wanted
     }
@@ -87,6 +87,6 @@
 }
 
 fn with_spare(wanted: usize) -> usize {
-    let spare = (wanted as f64 * SPARE_PART) as usize;
-    wanted.saturating_add(spare.max(LEAST_SPARE))
+    let spare = (wanted as f64 * SPARE_FRACTION) as usize;
+    wanted.saturating_add(spare.max(MIN_SPARE))
 }
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -1,43 +1,53 @@
-//! The whole list of engines, kept once and shared by all that choose from it.
+//! Holds the whole list of engines once, for all subsets that choose from it.
 
 use crate::holders::{HoldersCache, HoldersTable, HoldersTerms};
 use crate::ready::ReadyEngines;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// Names one engine of a catalog. Keys are never used again for another engine.
+/// An engine of a catalog. A key is never used again for another engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineKey(pub u64);
 
 /// Whether an engine takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
+    /// It takes new work.
     Ready,
+    /// It takes no new work, and finishes what it has.
     Draining,
+    /// It is not in the list any more.
     Removed,
 }
 
-/// What the list tells of an engine, as far as the choice of subsets depends on it.
+/// What the choice of subsets depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineFacts {
+    /// The number of its zone.
     pub zone: u32,
+    /// The number of its kind.
     pub kind: u32,
+    /// The number of its cell in its zone.
     pub cell: u32,
-    /// More than 0. They tell how gateways are spread over zones, and make engines alike or not.
+    /// Processor cores, more than 0. Gateways are taken to be spread over zones as cores are.
     pub cores: f64,
+    /// Whether it takes new work.
     pub state: ListedState,
 }
 
-/// One line of the list.
+/// An engine as the list has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
+    /// Its id in the list.
     pub id: String,
+    /// What the choice depends on.
     pub facts: EngineFacts,
 }
 
-/// What an application of lines changed.
+/// A change of the catalog.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
+    /// The engine that changed.
     pub engine: EngineKey,
     /// None for an engine that was not in the catalog.
     pub before: Option<EngineFacts>,
@@ -52,48 +62,52 @@
     facts: EngineFacts,
 }
 
-/// The whole list of engines by their ids. A line costs O(log n).
+/// The whole list of engines by their ids. To apply a change of one engine costs O(log n).
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     by_id: HashMap<Box<str>, EngineKey>,
     entries: BTreeMap<EngineKey, Entry>,
     next_key: u64,
     ready: ReadyEngines,
-    /// Lines that changed something, since the start.
-    changed_lines: u64,
+    /// Changes since the start.
+    change_count: u64,
     holders: HoldersCache,
 }
 
 impl Catalog {
-    /// Takes in lines, the whole list or only what has changed, and tells what that changed. Engines that have gone,
-    /// or that a whole list does not name, leave the catalog.
-    pub fn apply(&mut self, lines: &[ListedEngine], whole: bool) -> Vec<Change> {
+    /// Takes in the whole list, or only the engines that have changed, and returns what that changed. Removed engines, and
+    /// those that a whole list does not name, leave the catalog.
+    pub fn apply(&mut self, engines: &[ListedEngine], whole: bool) -> Vec<Change> {
         let mut changes = Vec::new();
         if whole {
-            let named: HashSet<&str> = lines.iter().map(|line| line.id.as_str()).collect();
+            let named: HashSet<&str> = engines.iter().map(|listed| listed.id.as_str()).collect();
             let unnamed =
                 |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
             let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
             changes.extend(unnamed.into_iter().filter_map(|key| self.remove(key)));
         }
-        changes.extend(lines.iter().filter_map(|line| self.apply_line(line)));
+        changes.extend(
+            engines
+                .iter()
+                .filter_map(|listed| self.apply_engine(listed)),
+        );
         changes
     }
 
-    fn apply_line(&mut self, line: &ListedEngine) -> Option<Change> {
-        let known = self.by_id.get(line.id.as_str()).copied();
-        if line.facts.state == ListedState::Removed {
+    fn apply_engine(&mut self, listed: &ListedEngine) -> Option<Change> {
+        let known = self.by_id.get(listed.id.as_str()).copied();
+        if listed.facts.state == ListedState::Removed {
             return known.and_then(|key| self.remove(key));
         }
-        let engine = known.unwrap_or_else(|| self.assign_key(&line.id));
+        let engine = known.unwrap_or_else(|| self.assign_key(&listed.id));
         let entry = Entry {
-            id: line.id.as_str().into(),
-            facts: line.facts,
+            id: listed.id.as_str().into(),
+            facts: listed.facts,
         };
         let before = self.entries.insert(engine, entry).map(|entry| entry.facts);
-        let after = Some(line.facts);
+        let after = Some(listed.facts);
         (before != after).then(|| {
-            self.note(Change {
+            self.record(Change {
                 engine,
                 before,
                 after,
@@ -102,14 +116,14 @@
     }
 
     /// Brings the counts up to date with a change.
-    fn note(&mut self, change: Change) -> Change {
+    fn record(&mut self, change: Change) -> Change {
         if let Some(before) = ready(change.before) {
             self.ready.remove(change.engine, &before);
         }
         if let Some(after) = ready(change.after) {
             self.ready.insert(change.engine, &after);
         }
-        self.changed_lines += 1;
+        self.change_count += 1;
         change
     }
 
@@ -123,30 +137,34 @@
     fn remove(&mut self, engine: EngineKey) -> Option<Change> {
         let entry = self.entries.remove(&engine)?;
         self.by_id.remove(&entry.id);
-        Some(self.note(Change {
+        Some(self.record(Change {
             engine,
             before: Some(entry.facts),
             after: None,
         }))
     }
 
-    /// The engines in it, those that drain included.
+    /// The number of engines, draining ones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether there are no engines.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// The key of the engine with this id.
     pub fn key(&self, id: &str) -> Option<EngineKey> {
         self.by_id.get(id).copied()
     }
 
+    /// The id of an engine.
     pub fn id(&self, engine: EngineKey) -> Option<&str> {
         self.entries.get(&engine).map(|entry| &*entry.id)
     }
 
+    /// What is known of an engine.
     pub fn facts(&self, engine: EngineKey) -> Option<EngineFacts> {
         self.entries.get(&engine).map(|entry| entry.facts)
     }
@@ -158,7 +176,7 @@
             .map(|(key, entry)| (*key, &*entry.id, entry.facts))
     }
 
-    /// Engines that take new work.
+    /// The number of engines that take new work.
     pub fn ready_count(&self) -> usize {
         self.ready.count()
     }
@@ -168,9 +186,9 @@
     }
 
     /// How many gateways hold each engine on these terms. Subsets on the same terms share one table, which is worked
-    /// out anew when the list has changed by more than a small part.
+    /// out again when a small fraction of the list has changed.
     pub(crate) fn holders(&self, terms: &HoldersTerms) -> Arc<HoldersTable> {
-        self.holders.table(terms, &self.ready, self.changed_lines)
+        self.holders.table(terms, &self.ready, self.change_count)
     }
 }
 
--- a/crates/subset/src/class_shortage.rs
+++ b/crates/subset/src/class_shortage.rs
@@ -1,14 +1,14 @@
-//! How many members each placement class lacks.
+//! Counts how many members each placement class lacks.
 
 use crate::{EngineFacts, PlacementClass};
 
-/// The members that each placement class lacks; fewer than none where it has more than it needs.
+/// The number of members that each placement class lacks; negative where it has more than it needs.
 pub(crate) struct ClassShortage<'a> {
     lacking: Vec<(&'a PlacementClass, i64)>,
 }
 
 impl<'a> ClassShortage<'a> {
-    /// `needed` tells how many members a class needs, if the target has as many of it.
+    /// `needed` returns how many members a class needs, if the target has as many of it.
     pub fn new(
         classes: &'a [PlacementClass],
         target: &[EngineFacts],
@@ -37,19 +37,21 @@
             .any(|(class, lacking)| *lacking > 0 && class.admits_engine(facts))
     }
 
+    /// An engine becomes a member.
     pub fn add(&mut self, facts: &EngineFacts) {
         self.shift(facts, -1);
     }
 
+    /// A member leaves.
     pub fn remove(&mut self, facts: &EngineFacts) {
         self.shift(facts, 1);
     }
 
     fn shift(&mut self, facts: &EngineFacts, by: i64) {
-        let concerned = self
-            .lacking
-            .iter_mut()
-            .filter(|(class, _)| class.admits_engine(facts));
-        concerned.for_each(|(_, lacking)| *lacking += by);
+        for (class, lacking) in &mut self.lacking {
+            if class.admits_engine(facts) {
+                *lacking += by;
+            }
+        }
     }
 }
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -1,41 +1,41 @@
-//! Which members fail by the gateway's own evidence, and by how much the subset widens for them.
+//! Judges which members fail by the outcomes of the gateway's own attempts, and widens the subset for them.
 
 use crate::EngineKey;
 use std::collections::BTreeMap;
 
-/// Attempts count half after this time.
-const HALF_LIFE_SECONDS: f64 = 10.0;
+/// The time after which an attempt counts half.
+const HALVING_SECONDS: f64 = 10.0;
 
-/// Attempts that are needed for a judgement.
+/// The least number of attempts for a judgement.
 const MIN_ATTEMPTS: f64 = 4.0;
 
-/// A member fails when this part of its attempts failed.
-const FAILING_PART: f64 = 0.5;
+/// A member is unhealthy when this fraction of its attempts failed.
+const UNHEALTHY_FAILURE_RATE: f64 = 0.5;
 
-/// A member is held for failing so long after its last failure, so that one that comes and goes moves nothing.
+/// How long a member counts as unhealthy after its last failure, so that one that recovers and fails again moves nothing.
 const HOLD_DOWN_SECONDS: f64 = 30.0;
 
-/// Time between two steps back to the size without failures.
+/// The time between two steps back to the size without failures.
 const NARROW_SECONDS: f64 = 5.0;
 
-/// How attempts at one member ended, older ones fading.
+/// The outcomes of attempts at one member; older ones count less.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptHistory {
     attempts: f64,
     failures: f64,
-    faded_at: f64,
+    decayed_at: f64,
 }
 
 impl AttemptHistory {
     fn record(&mut self, now: f64, failed: bool) {
-        let remaining = (-(now - self.faded_at).max(0.0) / HALF_LIFE_SECONDS).exp2();
+        let remaining = (-(now - self.decayed_at).max(0.0) / HALVING_SECONDS).exp2();
         self.attempts = self.attempts * remaining + 1.0;
         self.failures = self.failures * remaining + f64::from(u8::from(failed));
-        self.faded_at = now;
+        self.decayed_at = now;
     }
 
-    fn fails(&self) -> bool {
-        self.attempts >= MIN_ATTEMPTS && self.failures >= self.attempts * FAILING_PART
+    fn is_unhealthy(&self) -> bool {
+        self.attempts >= MIN_ATTEMPTS && self.failures >= self.attempts * UNHEALTHY_FAILURE_RATE
     }
 }
 
@@ -43,42 +43,43 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
     histories: BTreeMap<EngineKey, AttemptHistory>,
-    /// Failing members, and until when they are held for failing.
-    failing: BTreeMap<EngineKey, f64>,
+    /// Unhealthy members, and until when they count as such.
+    unhealthy: BTreeMap<EngineKey, f64>,
     widened_by: usize,
     narrow_at: Option<f64>,
 }
 
 impl Health {
-    /// Takes in how an attempt at a member ended; whether it fails since then.
+    /// Takes in how an attempt at a member ended; whether that made the member unhealthy.
     pub fn record(&mut self, now: f64, member: EngineKey, failed: bool) -> bool {
         let history = self.histories.entry(member).or_default();
         history.record(now, failed);
-        let fails = failed && (history.fails() || self.failing.contains_key(&member));
-        fails
-            && self
-                .failing
-                .insert(member, now + HOLD_DOWN_SECONDS)
-                .is_none()
+        let is_unhealthy = history.is_unhealthy() || self.unhealthy.contains_key(&member);
+        if !failed || !is_unhealthy {
+            return false;
+        }
+        let before = self.unhealthy.insert(member, now + HOLD_DOWN_SECONDS);
+        before.is_none()
     }
 
-    /// Forgets an engine that is no member any more. If it failed, the subset begins to narrow.
+    /// Forgets an engine that is no member any more. If it was unhealthy, the subset begins to narrow.
     pub fn forget(&mut self, now: f64, engine: EngineKey) {
         self.histories.remove(&engine);
-        if self.failing.remove(&engine).is_some() && self.failing.len() < self.widened_by {
+        if self.unhealthy.remove(&engine).is_some() && self.unhealthy.len() < self.widened_by {
             self.narrow_at.get_or_insert(now + NARROW_SECONDS);
         }
     }
 
-    /// Brings the widening up to date; whether it changed.
+    /// Widens or narrows the subset as far as is due; whether it changed.
     pub fn advance(&mut self, now: f64, reserve: usize) -> bool {
-        self.failing.retain(|_, held_until| *held_until > now);
-        let needed = self.failing.len().min(reserve);
+        self.unhealthy
+            .retain(|_, unhealthy_until| *unhealthy_until > now);
+        let needed = self.unhealthy.len().min(reserve);
         if needed >= self.widened_by {
-            let widens = needed > self.widened_by;
+            let widened = needed > self.widened_by;
             self.widened_by = needed;
             self.narrow_at = None;
-            return widens;
+            return widened;
         }
         let narrow_at = *self.narrow_at.get_or_insert(now + NARROW_SECONDS);
         if now < narrow_at {
@@ -89,20 +90,20 @@
         true
     }
 
-    /// Engines to hold beyond the size.
+    /// The number of engines to hold beyond the size.
     pub fn widened_by(&self) -> usize {
         self.widened_by
     }
 
-    /// Members that fail.
+    /// The number of unhealthy members.
     pub fn unhealthy_members(&self) -> usize {
-        self.failing.len()
+        self.unhealthy.len()
     }
 
     /// When [`Health::advance`] may change something next.
     pub fn wake(&self) -> Option<f64> {
-        let held_until = self.failing.values().copied().reduce(f64::min);
-        held_until
+        let recovers_at = self.unhealthy.values().copied().reduce(f64::min);
+        recovers_at
             .into_iter()
             .chain(self.narrow_at)
             .reduce(f64::min)
--- /dev/null
+++ b/crates/subset/src/holders/choice.rs
@@ -0,0 +1,189 @@
+//! What one threshold of scores chooses, counted by weight so that the list need not be walked for each threshold.
+
+use crate::ready::{EngineShape, RetryDomain, ShapeCounts};
+use crate::score::base_weight;
+use crate::{PlacementClass, RetryScope};
+use std::collections::BTreeMap;
+
+/// Engines of one weight in a retry domain: the weight's bits, and how many.
+type WeightCounts = BTreeMap<u64, usize>;
+
+/// Retry domains that are alike, and how many there are.
+type DomainCounts = BTreeMap<WeightCounts, usize>;
+
+/// The engines that one threshold chooses from: the whole list, or those of one placement class.
+pub(super) struct Choice<'a> {
+    class: Option<&'a PlacementClass>,
+    /// The members that are asked for.
+    pub(super) quota: usize,
+    /// The engines that can be chosen.
+    pub(super) engines: usize,
+    everywhere: DomainCounts,
+    by_zone: BTreeMap<u32, DomainCounts>,
+}
+
+impl<'a> Choice<'a> {
+    pub(super) fn new(
+        class: Option<&'a PlacementClass>,
+        quota: usize,
+        domains: &[(RetryDomain, &ShapeCounts)],
+        retry_scope: RetryScope,
+    ) -> Self {
+        let mut choice = Choice {
+            class,
+            quota,
+            engines: 0,
+            everywhere: BTreeMap::new(),
+            by_zone: BTreeMap::new(),
+        };
+        let mut merged: BTreeMap<u32, WeightCounts> = BTreeMap::new();
+        for (domain, shapes) in domains {
+            let weights = choice.weights(domain.zone, shapes);
+            choice.engines += weights.values().sum::<usize>();
+            if retry_scope == RetryScope::Everywhere {
+                merged.insert(domain.zone, weights);
+            } else if !weights.is_empty() {
+                *choice.everywhere.entry(weights.clone()).or_default() += 1;
+                *choice
+                    .by_zone
+                    .entry(domain.zone)
+                    .or_default()
+                    .entry(weights)
+                    .or_default() += 1;
+            }
+        }
+        if retry_scope == RetryScope::Everywhere {
+            choice.merge(merged);
+        }
+        choice
+    }
+
+    /// Without companions only the weights count, not what domain they are in.
+    fn merge(&mut self, zones: BTreeMap<u32, WeightCounts>) {
+        let mut all = WeightCounts::new();
+        for (zone, weights) in zones {
+            weights
+                .iter()
+                .for_each(|(weight, count)| *all.entry(*weight).or_default() += count);
+            self.by_zone.insert(zone, BTreeMap::from([(weights, 1)]));
+        }
+        self.everywhere.insert(all, 1);
+    }
+
+    /// Whether an engine of this zone and shape can be chosen.
+    pub(super) fn admits(&self, zone: u32, shape: EngineShape) -> bool {
+        self.class
+            .is_none_or(|class| class.admits(zone, shape.kind))
+    }
+
+    /// The weights of the engines of a domain that the choice is among.
+    fn weights(&self, zone: u32, shapes: &ShapeCounts) -> WeightCounts {
+        let mut weights = WeightCounts::new();
+        for (shape, count) in shapes
+            .iter()
+            .filter(|(shape, _)| self.admits(zone, **shape))
+        {
+            *weights
+                .entry(base_weight(shape.cores()).to_bits())
+                .or_default() += count;
+        }
+        weights
+    }
+
+    /// The number of members that a gateway of this zone expects under a threshold.
+    pub(super) fn expected(
+        &self,
+        threshold: f64,
+        gateway_zone: Option<u32>,
+        near_weight: f64,
+        companions: bool,
+    ) -> f64 {
+        let in_domains = |domains: &DomainCounts, threshold: f64| -> f64 {
+            let domain = |(weights, domains): (&WeightCounts, &usize)| {
+                *domains as f64 * expected_in_domain(weights, threshold, companions)
+            };
+            domains.iter().map(domain).sum()
+        };
+        let all = in_domains(&self.everywhere, threshold);
+        match gateway_zone.and_then(|zone| self.by_zone.get(&zone)) {
+            None => all,
+            Some(own) => {
+                all - in_domains(own, threshold) + in_domains(own, threshold * near_weight)
+            }
+        }
+    }
+
+    /// The probability that an engine is chosen only as the companion of the one engine of its domain under the threshold.
+    pub(super) fn companion_probability(
+        &self,
+        zone: u32,
+        shapes: &ShapeCounts,
+        engine: EngineShape,
+        threshold: f64,
+    ) -> f64 {
+        let among = self.weights(zone, shapes);
+        let total_of_others = |weights: &WeightCounts, lead: f64| total(weights) - lead;
+        let all = weight_counts(shapes);
+        let weight = base_weight(engine.cores());
+        let of_lead = |(bits, count): (&u64, &usize)| {
+            let lead = f64::from_bits(*bits);
+            let alone = alone_probability(lead, total(&among), threshold);
+            let leads =
+                (*count as f64 - f64::from(self.admits(zone, engine) && lead == weight)).max(0.0);
+            let in_choice = total_of_others(&among, lead) > lead * f64::EPSILON;
+            let others_weight = match in_choice {
+                true => total_of_others(&among, lead),
+                false => total_of_others(&all, lead),
+            };
+            let is_eligible = !in_choice || self.admits(zone, engine);
+            let chosen_of_others = match is_eligible {
+                true => (weight / others_weight.max(weight)).min(1.0),
+                false => 0.0,
+            };
+            leads * alone * chosen_of_others
+        };
+        among.iter().map(of_lead).sum()
+    }
+}
+
+fn weight_counts(shapes: &ShapeCounts) -> WeightCounts {
+    let mut weights = WeightCounts::new();
+    for (shape, count) in shapes {
+        *weights
+            .entry(base_weight(shape.cores()).to_bits())
+            .or_default() += count;
+    }
+    weights
+}
+
+fn total(weights: &WeightCounts) -> f64 {
+    weights
+        .iter()
+        .map(|(bits, count)| f64::from_bits(*bits) * *count as f64)
+        .sum()
+}
+
+/// The probability that an engine is the only one of its domain under a threshold.
+fn alone_probability(weight: f64, total: f64, threshold: f64) -> f64 {
+    if threshold.is_infinite() {
+        let has_others = total - weight > weight * f64::EPSILON;
+        return if has_others { 0.0 } else { 1.0 };
+    }
+    (1.0 - (-weight * threshold).exp()) * (-(total - weight).max(0.0) * threshold).exp()
+}
+
+/// The expected number of members of a domain: those under the threshold, and a companion for one that is alone.
+fn expected_in_domain(weights: &WeightCounts, threshold: f64, companions: bool) -> f64 {
+    let under = |(bits, count): (&u64, &usize)| {
+        *count as f64 * (1.0 - (-f64::from_bits(*bits) * threshold).exp())
+    };
+    let chosen: f64 = weights.iter().map(under).sum();
+    if !companions || weights.values().sum::<usize>() < 2 {
+        return chosen;
+    }
+    let total = total(weights);
+    let alone = |(bits, count): (&u64, &usize)| {
+        *count as f64 * alone_probability(f64::from_bits(*bits), total, threshold)
+    };
+    chosen + weights.iter().map(alone).sum::<f64>()
+}
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,23 +1,25 @@
-//! Engine subsets: which engines of the list a gateway works with.
+//! Chooses which engines of the list a gateway works with: its subset.
 //!
-//! Each gateway chooses its subset for itself, from what it is told: its name, the number of gateways, and the
-//! list of engines. The crate has no I/O and no clock: callers hand in times, in seconds on a clock of theirs.
+//! Each gateway chooses for itself, from its name, the number of gateways, and the list of engines; gateways do not talk to
+//! each other. The crate has no I/O and no clock: callers pass times, in seconds on a clock of theirs.
 //!
 //! An engine's score for a gateway is an exponential variate drawn from a hash of both names. A gateway holds the engines
-//! with the lowest scores: so many of the whole list, and so many of each placement class. What it does about them:
+//! with the lowest scores: so many of the whole list, and so many of each placement class. What follows an event:
 //!
 //! | event | what follows |
 //! |---|---|
 //! | the first list, or no member left | all engines to hold join at once |
-//! | a member drains or goes | it leaves at once; up to `reserve` vacated places are refilled at once, others at the pace |
-//! | under the floor (half of the size, or of a class's floor) | engines join at once, untried |
+//! | a member drains or leaves the list | it leaves at once; up to `reserve` vacated places are refilled at once, others at the pace |
+//! | under the floor (half of the size, or of a class's floor) | engines join at once, without a connection |
 //! | an engine with a lower score than a member | it is warmed at the pace and joins; then the member leaves |
-//! | an engine is not reached | the next candidate takes its place; it is tried again, ever more seldom |
-//! | a member fails by the gateway's own evidence | the subset widens by one, up to `reserve`, and narrows slowly |
+//! | an engine is not reached | the next candidate takes its place; it is retried with a backoff |
+//! | a member fails by the outcomes of the gateway's own attempts | the subset widens by one, up to `reserve`, and narrows slowly |
 //!
 //! A [`Catalog`] keeps the whole list once; many subsets may read one catalog. A [`Subset`] keeps only its members and
 //! a short reserve, and answers each change with [`Action`]s. A subset narrows what the decision module may choose
-//! from and never widens it.
+//! from and never widens it. docs/subsets.md weighs the options.
+
+#![warn(missing_docs)]
 
 mod candidates;
 mod catalog;
--- a/crates/subset/src/newcomers.rs
+++ b/crates/subset/src/newcomers.rs
@@ -1,33 +1,32 @@
-//! Engines on their way into the subset: connections that are being brought up, engines that could not be reached, and
-//! the pace at which newcomers are taken.
+//! Admits engines into the subset at a pace: connections that are being made, and engines that could not be reached.
 
 use crate::score::GatewayHash;
 use crate::EngineKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Connections brought up at the same time, at most.
+/// The most connections that are made at the same time.
 const MAX_WARMING: usize = 64;
 
-/// A connection that has not come up by then counts as not reached.
-const WARM_SECONDS: f64 = 10.0;
+/// An engine whose connection is not made within this time counts as not reached.
+const WARM_TIMEOUT_SECONDS: f64 = 10.0;
 
-/// The first newcomer at the pace waits up to so long, by the gateway's jitter, so that gateways don't act in step.
-const SPREAD_SECONDS: f64 = 2.0;
+/// The longest jitter before the first newcomer, so that gateways do not act in step.
+const MAX_JITTER_SECONDS: f64 = 2.0;
 
-/// An engine that was not reached is tried again after this time, doubled with each failure.
-const RETRY_SECONDS: f64 = 5.0;
+/// The first backoff of an engine that was not reached; it doubles with each failure.
+const BACKOFF_SECONDS: f64 = 5.0;
 
-/// The longest time between two tries.
-const MAX_RETRY_SECONDS: f64 = 60.0;
+/// The longest backoff.
+const MAX_BACKOFF_SECONDS: f64 = 60.0;
 
-/// Unreached engines that are remembered, at most; the one that would be tried next is forgotten first.
+/// The most unreached engines that are remembered; the one that would be retried next is forgotten first.
 const MAX_UNREACHED: usize = 1_024;
 
-/// A connection that is being brought up.
+/// A connection that is being made.
 #[derive(Clone, Copy, Debug)]
 struct Warming {
     deadline: f64,
-    /// Whether it fills a vacated place, which does not wait for the pace.
+    /// It fills a vacated place, which does not wait for the pace.
     refill: bool,
 }
 
@@ -42,15 +41,19 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Newcomers {
     gateway: GatewayHash,
+    /// Seconds between two newcomers at the pace.
     interval: f64,
     warming: BTreeMap<EngineKey, Warming>,
+    /// Engines whose connection was made, and which wait to join.
     reached: BTreeSet<EngineKey>,
     unreached: BTreeMap<EngineKey, Unreached>,
     /// Vacated places that may be filled without waiting for the pace.
     refills: usize,
+    /// When the next newcomer at the pace is admitted, while one waits.
     next_at: Option<f64>,
+    /// When the last one was.
     last_at: Option<f64>,
-    draws: u64,
+    jitter_draws: u64,
 }
 
 impl Newcomers {
@@ -64,13 +67,13 @@
             refills: 0,
             next_at: None,
             last_at: None,
-            draws: 0,
+            jitter_draws: 0,
         }
     }
 
     fn jitter(&mut self) -> f64 {
-        self.draws += 1;
-        self.gateway.jitter(self.draws)
+        self.jitter_draws += 1;
+        self.gateway.jitter(self.jitter_draws)
     }
 
     /// A member's place was vacated.
@@ -88,14 +91,14 @@
         self.next_at = None;
     }
 
-    /// Forgets an engine that has joined or is not in the list any more.
+    /// Forgets an engine that has joined or that has left the list.
     pub fn forget(&mut self, engine: EngineKey) {
         self.warming.remove(&engine);
         self.reached.remove(&engine);
         self.unreached.remove(&engine);
     }
 
-    /// Takes in whether a connection came up; whether that was awaited.
+    /// Takes in whether a connection was made; returns whether that was awaited.
     pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) -> bool {
         let Some(warming) = self.warming.remove(&engine) else {
             return false;
@@ -106,67 +109,66 @@
             return true;
         }
         self.refills += usize::from(warming.refill);
-        self.note_unreached(now, engine);
+        self.add_unreached(now, engine);
         true
     }
 
-    fn note_unreached(&mut self, now: f64, engine: EngineKey) {
+    /// An engine that was not reached is retried after a backoff with jitter.
+    fn add_unreached(&mut self, now: f64, engine: EngineKey) {
         let failures = self
             .unreached
             .get(&engine)
             .map_or(0, |unreached| unreached.failures);
-        let delay = (RETRY_SECONDS * 2.0_f64.powi(failures)).min(MAX_RETRY_SECONDS);
-        let retry_at = now + delay * (0.5 + self.jitter());
+        let backoff = (BACKOFF_SECONDS * 2.0_f64.powi(failures)).min(MAX_BACKOFF_SECONDS);
+        let retry_at = now + backoff * (0.5 + self.jitter());
         let failures = failures.saturating_add(1);
         self.unreached
             .insert(engine, Unreached { retry_at, failures });
         if self.unreached.len() > MAX_UNREACHED {
-            let by_time = |(_, a): &(&EngineKey, &Unreached), (_, b): &(&EngineKey, &Unreached)| {
-                a.retry_at.total_cmp(&b.retry_at)
-            };
-            let first = self
-                .unreached
-                .iter()
-                .min_by(by_time)
-                .map(|(engine, _)| *engine);
-            first.map(|engine| self.unreached.remove(&engine));
+            self.forget_next_retry();
         }
     }
 
-    /// Gives up connections that have not come up in time; whether there were any.
+    fn forget_next_retry(&mut self) {
+        let retries = self.unreached.iter();
+        let next = retries.min_by(|(_, a), (_, b)| a.retry_at.total_cmp(&b.retry_at));
+        if let Some(engine) = next.map(|(engine, _)| *engine) {
+            self.unreached.remove(&engine);
+        }
+    }
+
+    /// Counts connections that were not made in time as not reached; whether there were any.
     pub fn expire(&mut self, now: f64) -> bool {
-        let late = |(engine, warming): (&EngineKey, &Warming)| {
+        let is_expired = |(engine, warming): (&EngineKey, &Warming)| {
             (warming.deadline <= now).then_some(*engine)
         };
-        let late: Vec<EngineKey> = self.warming.iter().filter_map(late).collect();
-        for engine in &late {
+        let expired: Vec<EngineKey> = self.warming.iter().filter_map(is_expired).collect();
+        for engine in &expired {
             self.warmed(now, *engine, false);
         }
-        !late.is_empty()
+        !expired.is_empty()
     }
 
-    /// The unreached engines to be tried again now.
+    /// Starts the retries that are due; the engines that are to be connected to.
     pub fn retries(&mut self, now: f64) -> Vec<EngineKey> {
-        let room = MAX_WARMING.saturating_sub(self.warming.len());
-        let due = |(engine, unreached): (&EngineKey, &Unreached)| {
+        let free_slots = MAX_WARMING.saturating_sub(self.warming.len());
+        let is_due = |(engine, unreached): (&EngineKey, &Unreached)| {
             (unreached.retry_at <= now && !self.warming.contains_key(engine)).then_some(*engine)
         };
-        let due: Vec<EngineKey> = self.unreached.iter().filter_map(due).take(room).collect();
-        due.iter().for_each(|engine| self.warm(now, *engine, false));
+        let due = self.unreached.iter().filter_map(is_due);
+        let due: Vec<EngineKey> = due.take(free_slots).collect();
+        for engine in &due {
+            self.warm(now, *engine, false);
+        }
         due
     }
 
     fn warm(&mut self, now: f64, engine: EngineKey, refill: bool) {
-        self.warming.insert(
-            engine,
-            Warming {
-                deadline: now + WARM_SECONDS,
-                refill,
-            },
-        );
+        let deadline = now + WARM_TIMEOUT_SECONDS;
+        self.warming.insert(engine, Warming { deadline, refill });
     }
 
-    /// Whether a connection to this missing engine may be brought up now; it is noted as being so if it may.
+    /// Whether a connection to this missing engine may be made now; it counts as being made then.
     pub fn admit(&mut self, now: f64, engine: EngineKey, urgent: bool) -> bool {
         if self.warming.len() >= MAX_WARMING {
             return false;
@@ -188,7 +190,7 @@
             let earliest = self
                 .last_at
                 .map_or(now, |last| (last + self.interval).max(now));
-            self.next_at = Some(earliest + SPREAD_SECONDS * self.jitter());
+            self.next_at = Some(earliest + MAX_JITTER_SECONDS * self.jitter());
         }
         if self.next_at.is_some_and(|next| now < next) {
             return false;
@@ -199,11 +201,12 @@
         true
     }
 
+    /// Whether a connection to the engine is being made.
     pub fn is_warming(&self, engine: EngineKey) -> bool {
         self.warming.contains_key(&engine)
     }
 
-    /// Whether the connection has come up, and the engine waits to join.
+    /// Whether the connection was made, and the engine waits to join.
     pub fn is_reached(&self, engine: EngineKey) -> bool {
         self.reached.contains(&engine)
     }
@@ -218,27 +221,29 @@
         self.unreached.keys().copied().collect()
     }
 
+    /// How many engines were not reached.
     pub fn unreached_count(&self) -> usize {
         self.unreached.len()
     }
 
-    /// Tries the unreached engines like any other again.
+    /// Forgets that engines were not reached.
     pub fn forgive_unreached(&mut self) {
         self.unreached.clear();
     }
 
-    /// When something is due without any news.
+    /// When something is due, if nothing is reported until then.
     pub fn wake(&self) -> Option<f64> {
         let deadlines = self.warming.values().map(|warming| warming.deadline);
-        let idle = |(engine, _): &(&EngineKey, &Unreached)| !self.warming.contains_key(engine);
+        let not_warming =
+            |(engine, _): &(&EngineKey, &Unreached)| !self.warming.contains_key(engine);
         let retries = self
             .unreached
             .iter()
-            .filter(idle)
+            .filter(not_warming)
             .map(|(_, unreached)| unreached.retry_at);
-        let room = self.warming.len() < MAX_WARMING;
+        let has_free_slot = self.warming.len() < MAX_WARMING;
         deadlines
-            .chain(retries.chain(self.next_at).filter(|_| room))
+            .chain(retries.chain(self.next_at).filter(|_| has_free_slot))
             .reduce(f64::min)
     }
 }
--- a/crates/subset/src/ready.rs
+++ b/crates/subset/src/ready.rs
@@ -1,4 +1,4 @@
-//! Counts and an index of the engines that take new work, kept up to date line by line.
+//! Indexes and counts the engines that take new work, by zone, cell and shape.
 
 use crate::{EngineFacts, EngineKey, PlacementClass, RetryScope};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,11 +43,11 @@
     }
 }
 
-/// Engines that are alike for the choice.
+/// Engines of one shape are alike for the choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EngineShape {
     pub kind: u32,
-    /// The bits of the cores, so that shapes have an order.
+    /// The bits of the number of cores, so that shapes can be ordered.
     cores: u64,
 }
 
@@ -79,7 +79,7 @@
     count: usize,
     cells: BTreeMap<Cell, CellEngines>,
     zones: BTreeMap<u32, ShapeCounts>,
-    /// How often a shape has come into a zone, and into a cell, that had none of it.
+    /// How often a shape was added to a zone, and to a cell, that had none of it.
     added_to_zones: u64,
     added_to_cells: u64,
 }
@@ -131,7 +131,7 @@
         self.count
     }
 
-    /// Grows when a shape comes into a retry domain that had none of it.
+    /// Grows when a shape is added to a retry domain that had none of it.
     pub fn added_shapes(&self, scope: RetryScope) -> u64 {
         match scope {
             RetryScope::Cell => self.added_to_cells,
@@ -151,7 +151,7 @@
             .map(|(cell, contents)| (*cell, &contents.shapes))
     }
 
-    /// Engines that may serve a class.
+    /// The number of engines that may serve a class.
     pub fn count_in_class(&self, class: &PlacementClass) -> usize {
         let admitted = |zone: u32| {
             move |(shape, count): (&EngineShape, &usize)| {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Counts one more of a shape; whether it is the first.
+/// Counts one more engine of a shape; whether it is the first.
 fn add(shapes: &mut ShapeCounts, shape: EngineShape) -> bool {
     let count = shapes.entry(shape).or_default();
     *count += 1;
--- a/crates/subset/src/score.rs
+++ b/crates/subset/src/score.rs
@@ -1,25 +1,24 @@
-//! Scores by weighted rendezvous hashing.
+//! Scores engines by weighted rendezvous hashing.
 //!
 //! The score of an engine for a gateway is an exponential variate with the engine's weight as its rate, drawn from a
 //! hash of both names. The engines with the smallest scores are chosen, so an engine is chosen about in proportion to
 //! its weight, and an engine more or less moves no other engine's score. Engines of the gateway's own zone weigh more,
-//! where it is told; cores are left to the decision module.
+//! where that is configured; cores are left to the decision module.
 
 use crate::{EngineFacts, SubsetSettings};
 use std::cmp::Ordering;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Stands for cores that are told as 0, negative or not a number.
-const LEAST_CORES: f64 = 1e-3;
+/// In place of a number of cores that is 0, negative or not a number.
+const MIN_CORES: f64 = 1e-3;
 
-/// Stands for more cores than any engine has, so that sums over the list stay finite.
-const MOST_CORES: f64 = 1e6;
+/// More cores than any engine has, so that sums over the list stay finite.
+const MAX_CORES: f64 = 1e6;
 
 /// How the weight of an engine grows with its cores: 1 in proportion, 0 not at all.
 ///
 /// The decision module spreads a gateway's work over its members by their cores. If cores counted in the choice too, work
-/// per core would grow with them: with engines of 4, 8 and 16 cores it is 0.36, 0.70 and 1.32 of the mean at 1, and 1.03,
-/// 1.02 and 0.98 at 0 (tests/holders.rs). Engines with few cores would also be the first that no gateway holds.
+/// per core would grow with them (tests/holders.rs), and engines with few cores would be the first that no gateway holds.
 const CORES_EXPONENT: f64 = 0.0;
 
 /// Mantissa bits of a hash that become a fraction: half a step is added, and the sum must stay below 1.
@@ -48,6 +47,7 @@
 pub struct GatewayHash(u64);
 
 impl GatewayHash {
+    /// The hash of a gateway's name.
     pub fn new(gateway: &str) -> Self {
         GatewayHash(xxh3_64(gateway.as_bytes()))
     }
@@ -57,24 +57,24 @@
         Score(-fraction(xxh3_64_with_seed(engine.as_bytes(), self.0)).ln() / weight)
     }
 
-    /// The draw of this number: evenly spread over the gateways between 0 and 1, and the same at each call.
+    /// The draw of this number: uniform over the gateways between 0 and 1, and the same at each call.
     pub(crate) fn jitter(self, draw: u64) -> f64 {
         fraction(xxh3_64_with_seed(&draw.to_le_bytes(), self.0))
     }
 }
 
-/// Between 0 and 1, both left out.
+/// A fraction between 0 and 1, both excluded.
 fn fraction(hash: u64) -> f64 {
     let steps = (hash >> (u64::BITS - FRACTION_BITS)) as f64;
     (steps + 0.5) / (1_u64 << FRACTION_BITS) as f64
 }
 
-/// The cores of an engine, as far as they can be reckoned with.
+/// The cores of an engine within the bounds that can be calculated with.
 pub(crate) fn usable_cores(cores: f64) -> f64 {
     if cores.is_nan() {
-        LEAST_CORES
+        MIN_CORES
     } else {
-        cores.clamp(LEAST_CORES, MOST_CORES)
+        cores.clamp(MIN_CORES, MAX_CORES)
     }
 }
 
@@ -86,11 +86,11 @@
 impl SubsetSettings {
     /// The weight of an engine for a gateway with these settings.
     pub fn weight(&self, facts: &EngineFacts) -> f64 {
-        let near = if self.zone == Some(facts.zone) {
+        let zone_weight = if self.zone == Some(facts.zone) {
             self.near_weight
         } else {
             1.0
         };
-        base_weight(facts.cores) * near
+        base_weight(facts.cores) * zone_weight
     }
 }
--- a/crates/subset/src/selection.rs
+++ b/crates/subset/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which engines one gateway is to hold: the lowest scores of the list, and of each placement class.
+//! Selects the engines that one gateway is to hold: the lowest scores of the list, and of each placement class.
 
 use crate::candidates::Candidates;
 use crate::ready::RetryDomain;
@@ -6,7 +6,7 @@
 use crate::{Catalog, EngineFacts, EngineKey, ListedState, PlacementClass, SubsetSettings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Chooses by the settings of one gateway.
+/// Scores the engines of a catalog for one gateway.
 #[derive(Clone, Copy)]
 pub(crate) struct Chooser<'a> {
     pub gateway: GatewayHash,
@@ -22,12 +22,14 @@
         Some(self.gateway.score(id, self.settings.weight(&facts)))
     }
 
+    /// What is known of an engine that takes new work.
     pub fn ready_facts(&self, engine: EngineKey) -> Option<EngineFacts> {
         self.catalog
             .facts(engine)
             .filter(|facts| facts.state == ListedState::Ready)
     }
 
+    /// The retry domain of an engine that takes new work.
     pub fn domain(&self, engine: EngineKey) -> Option<RetryDomain> {
         RetryDomain::of(&self.ready_facts(engine)?, self.settings.retry_scope)
     }
@@ -52,7 +54,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Target {
     pub engines: BTreeSet<EngineKey>,
-    /// Domains in which a companion was looked for in the list.
+    /// Domains in which a companion was looked for among all engines of the list.
     pub searched: BTreeSet<RetryDomain>,
 }
 
@@ -64,7 +66,7 @@
 }
 
 impl Selection {
-    /// A selection that has read no list yet.
+    /// A selection without candidates, until it reads the list.
     pub fn new(class: Option<PlacementClass>) -> Self {
         Selection {
             class,
@@ -85,7 +87,7 @@
             Candidates::collect(admitted.map(|(score, engine, _)| (score, engine)), wanted);
     }
 
-    /// Takes in an engine that takes new work; whether that may alter what is selected.
+    /// Adds an engine that takes new work, or updates it; whether that may change what is selected.
     pub fn offer(
         &mut self,
         engine: EngineKey,
@@ -93,17 +95,17 @@
         score: Score,
         wanted: usize,
     ) -> bool {
-        let known = self.candidates.withdraw(engine);
-        let candidate = self.admits(facts) && self.candidates.offer(engine, score, wanted);
-        known || candidate
+        let was_candidate = self.candidates.withdraw(engine);
+        let is_candidate = self.admits(facts) && self.candidates.offer(engine, score, wanted);
+        was_candidate || is_candidate
     }
 
-    /// Takes out an engine; whether that may alter what is selected.
+    /// Removes an engine; whether that may change what is selected.
     pub fn withdraw(&mut self, engine: EngineKey) -> bool {
         self.candidates.withdraw(engine)
     }
 
-    /// Whether the list must be read again before so many can be selected.
+    /// Whether the list must be read again before this number can be selected.
     pub fn falls_short(&self, wanted: usize) -> bool {
         self.candidates.falls_short(wanted)
     }
@@ -166,7 +168,7 @@
     }
 }
 
-/// For each domain the second of its engines in order of score, or none if it has just one.
+/// The second engine of each domain in order of score, or none if it has just one.
 fn runners_up(
     first: &[(EngineKey, Option<RetryDomain>)],
 ) -> BTreeMap<RetryDomain, Option<EngineKey>> {
@@ -174,8 +176,12 @@
     for (engine, domain) in first {
         let Some(domain) = domain else { continue };
         match seen.get_mut(domain) {
-            None => drop(seen.insert(*domain, None)),
-            Some(second) => drop(second.get_or_insert(*engine)),
+            None => {
+                seen.insert(*domain, None);
+            }
+            Some(second) => {
+                second.get_or_insert(*engine);
+            }
         }
     }
     seen
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -1,40 +1,44 @@
-//! What an operator sets, and what is wrong with it.
+//! The settings of a subset, and their validation.
 
 use crate::EngineFacts;
 use thiserror::Error;
 
-/// Placement classes, at most; each costs a gateway memory and a comparison for each changed line.
+/// The most placement classes; each costs a gateway memory and a comparison for each changed engine.
 pub const MAX_CLASSES: usize = 1_024;
 
-/// Beyond it a gateway would work with its own zone alone, whatever the exact figure.
+/// The highest near weight: beyond it a gateway works with its own zone alone, whatever the exact number.
 pub const MAX_NEAR_WEIGHT: f64 = 1e6;
 
-/// Engines of each placement class where none is told: one may drain and one fail while two share the work.
-const USUAL_CLASS_FLOOR: usize = 4;
+/// The usual floor of each placement class: one engine may drain and one fail while two share the work.
+const DEFAULT_CLASS_FLOOR: usize = 4;
 
-/// One in so many of the size may be added while members fail, where no reserve is told: a zone of four that is lost.
-const USUAL_RESERVE_PART: usize = 4;
+/// The size over the usual reserve: a lost zone of four can be replaced.
+const DEFAULT_SIZE_PER_RESERVE: usize = 4;
 
-/// Newcomers a second where none is told: a subset of 80 is all new in 80 s, longer than an engine stays cold.
-const USUAL_JOINS_PER_SECOND: f64 = 1.0;
+/// The usual pace of newcomers: a subset of 80 is all new in 80 s, longer than the slow start of an engine.
+const DEFAULT_JOINS_PER_SECOND: f64 = 1.0;
 
-/// No engine is nearer than another where nothing is told.
-const USUAL_NEAR_WEIGHT: f64 = 1.0;
+/// The usual near weight: no engine is preferred.
+const DEFAULT_NEAR_WEIGHT: f64 = 1.0;
 
-/// Where attempts of one service group may go; `None` leaves all open.
+/// Where attempts of a query class may go; `None` allows all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacementClass {
+    /// The zones that are allowed.
     pub zones: Option<Vec<u32>>,
+    /// The kinds of engine that are allowed.
     pub kinds: Option<Vec<u32>>,
 }
 
 impl PlacementClass {
     /// Whether an engine of this zone and kind may serve it.
     pub fn admits(&self, zone: u32, kind: u32) -> bool {
-        let open = |named: &Option<Vec<u32>>, value| {
-            named.as_ref().is_none_or(|named| named.contains(&value))
+        let allows = |allowed: &Option<Vec<u32>>, value| {
+            allowed
+                .as_ref()
+                .is_none_or(|allowed| allowed.contains(&value))
         };
-        open(&self.zones, zone) && open(&self.kinds, kind)
+        allows(&self.zones, zone) && allows(&self.kinds, kind)
     }
 
     /// Whether this engine may serve it.
@@ -46,6 +50,7 @@
 /// Where a query that is idempotent by key may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryScope {
+    /// Any engine.
     Everywhere,
     /// The zone of the first attempt.
     Zone,
@@ -59,41 +64,45 @@
     /// Engines in the subset while none fails. A floor follows from the numbers of gateways and engines, so that
     /// no engine is left without gateways.
     pub size: usize,
-    /// So many engines of each placement class at least, or all of a class that has fewer.
+    /// The least number of engines of each placement class, or all of a class that has fewer.
     pub class_floor: usize,
-    /// Engines that may be added while members fail, at most.
+    /// The most engines that are added while members fail.
     pub reserve: usize,
-    /// Newcomers a second, while the subset is above its floor.
+    /// Newcomers per second, while the subset is above its floor.
     pub joins_per_second: f64,
-    /// The gateway's own zone, where it is told; its engines come first.
+    /// The gateway's own zone, if it is configured; its engines are preferred.
     pub zone: Option<u32>,
     /// How many times its weight an engine of the gateway's own zone counts; 1 or more.
     pub near_weight: f64,
     /// Gateways that serve the same engines, this one included.
     pub gateways: f64,
-    /// The placement classes of the service groups, without repeats.
+    /// The placement classes of the query classes, without repeats.
     pub classes: Vec<PlacementClass>,
-    /// The narrowest scope in which any service group may be retried.
+    /// The narrowest scope in which any query class may be retried.
     pub retry_scope: RetryScope,
 }
 
 impl SubsetSettings {
-    /// The usual settings of a subset of this size, for one of so many gateways, without placement classes.
+    /// The usual settings of a subset of this size, for one of this number of gateways, without placement classes.
     pub fn with_size(size: usize, gateways: f64) -> Self {
         SubsetSettings {
             size,
-            class_floor: USUAL_CLASS_FLOOR.min(size),
-            reserve: size.div_ceil(USUAL_RESERVE_PART),
-            joins_per_second: USUAL_JOINS_PER_SECOND,
+            class_floor: DEFAULT_CLASS_FLOOR.min(size),
+            reserve: size.div_ceil(DEFAULT_SIZE_PER_RESERVE),
+            joins_per_second: DEFAULT_JOINS_PER_SECOND,
             zone: None,
-            near_weight: USUAL_NEAR_WEIGHT,
+            near_weight: DEFAULT_NEAR_WEIGHT,
             gateways,
             classes: Vec::new(),
             retry_scope: RetryScope::Everywhere,
         }
     }
 
-    /// Whether a subset can be chosen by them.
+    /// Checks that a subset can be chosen by these settings.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that is out of range, with what to do.
     pub fn validate(&self) -> Result<(), SubsetError> {
         if self.size == 0 {
             return Err(SubsetError::EmptySize);
@@ -113,7 +122,7 @@
     }
 
     fn validate_numbers(&self) -> Result<(), SubsetError> {
-        let faulty = |place, found, expected, remedy| {
+        let out_of_range = |place, found, expected, remedy| {
             Err(SubsetError::OutOfRange {
                 place,
                 found,
@@ -123,7 +132,7 @@
         };
         if !(self.joins_per_second.is_finite() && self.joins_per_second > 0.0) {
             let remedy = "name how many engines may be added a second, such as 2";
-            return faulty(
+            return out_of_range(
                 "subset.joins_per_second",
                 self.joins_per_second,
                 "a number over 0",
@@ -133,7 +142,7 @@
         if !(1.0..=MAX_NEAR_WEIGHT).contains(&self.near_weight) {
             let remedy =
                 "name 1 for no preference, or how many times more often a near engine is chosen";
-            return faulty(
+            return out_of_range(
                 "subset.near_weight",
                 self.near_weight,
                 "a number from 1 to 1000000",
@@ -142,7 +151,7 @@
         }
         if !(self.gateways.is_finite() && self.gateways >= 1.0) {
             let remedy = "tell the number of gateways before these engines, this one included";
-            return faulty(
+            return out_of_range(
                 "subset.gateways",
                 self.gateways,
                 "a number of 1 or more",
@@ -153,25 +162,42 @@
     }
 }
 
-/// Settings that no subset can be chosen by: where, why, and what to do.
+/// Settings that no subset can be chosen by; the text says where, why, and what to do.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SubsetError {
+    /// The size is 0.
     #[error("subset.size: 0 engines; name at least 1, or leave the block out to work with the whole list")]
     EmptySize,
+    /// The floor of each class is larger than the subset.
     #[error(
         "subset.class_floor: {class_floor} engines of each class are more than the subset.size of {size}; \
          lower class_floor, or raise size"
     )]
-    ClassFloorOverSize { class_floor: usize, size: usize },
+    ClassFloorOverSize {
+        /// The configured floor.
+        class_floor: usize,
+        /// The configured size.
+        size: usize,
+    },
+    /// There are more placement classes than [`MAX_CLASSES`].
     #[error("subset.classes: {found} placement classes are more than {MAX_CLASSES}; let service groups share theirs")]
-    TooManyClasses { found: usize },
+    TooManyClasses {
+        /// The number of classes.
+        found: usize,
+    },
+    /// The gateway has no name.
     #[error("gateway name: empty, so that all such gateways would choose the same engines; give each its own name")]
     UnnamedGateway,
+    /// A number is out of range.
     #[error("{place}: {found} is not {expected}; {remedy}")]
     OutOfRange {
+        /// The path of the setting.
         place: &'static str,
+        /// The configured number.
         found: f64,
+        /// The numbers that are allowed.
         expected: &'static str,
+        /// What to do.
         remedy: &'static str,
     },
 }
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -1,18 +1,18 @@
-//! How many engines a gateway holds, and why.
+//! Decides how many engines a gateway holds.
 
 use crate::SubsetSettings;
 
-/// Gateways that hold an engine on average, at least. The chance that none holds it is then `exp(-24)`, and the engines
-/// of one gateway carry 24 times a gateway's mean traffic.
+/// The least number of gateways that hold an engine on average. The probability that none holds it is then `exp(-24)`, and
+/// the engines of one gateway carry 24 times a gateway's mean traffic.
 pub const MIN_HOLDERS: f64 = 24.0;
 
-/// The subset's floor, as a part of its size: below it newcomers join at once.
-const FLOOR_PART: f64 = 0.5;
+/// The subset's floor as a fraction of its size: below it newcomers join at once.
+const FLOOR_FRACTION: f64 = 0.5;
 
 /// Why a subset has its size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SizeReason {
-    /// The settings name it.
+    /// It is the configured one.
     Configured,
     /// Fewer would leave engines with less than [`MIN_HOLDERS`] gateways.
     MinHolders,
@@ -23,12 +23,14 @@
 /// How many engines a gateway holds while none fails, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectiveSize {
+    /// The number of engines.
     pub size: usize,
+    /// Why it is this number.
     pub reason: SizeReason,
 }
 
 impl EffectiveSize {
-    /// The size by the settings for a list with so many engines that take new work.
+    /// The size by the settings, for a list with this number of engines that take new work.
     pub fn new(settings: &SubsetSettings, engines: usize) -> Self {
         let least = (MIN_HOLDERS * engines as f64 / settings.gateways).ceil() as usize;
         let size = settings.size.max(least);
@@ -50,7 +52,7 @@
         }
     }
 
-    /// So many members a subset has at least while the list has them.
+    /// The number of members under which a subset does not fall while the list has them.
     pub fn floor(self) -> usize {
         floor_of(self.size)
     }
@@ -58,5 +60,5 @@
 
 /// The floor of a subset, or of a placement class, of this size.
 pub(crate) fn floor_of(size: usize) -> usize {
-    (size as f64 * FLOOR_PART).ceil() as usize
+    (size as f64 * FLOOR_FRACTION).ceil() as usize
 }
