--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -46,9 +46,9 @@
 /// Time on a processor since the process began, which other processes' load does not lengthen; the wall's where the
 /// system does not tell it.
 fn processor_nanoseconds(begun: Instant) -> f64 {
-    let told = std::fs::read_to_string("/proc/self/schedstat").ok();
-    let told = told.and_then(|line| line.split_whitespace().next()?.parse().ok());
-    told.unwrap_or(begun.elapsed().as_nanos() as f64)
+    let run_time = std::fs::read_to_string("/proc/self/schedstat").ok();
+    let run_time = run_time.and_then(|line| line.split_whitespace().next()?.parse().ok());
+    run_time.unwrap_or(begun.elapsed().as_nanos() as f64)
 }
 
 fn nanoseconds(times: u32, mut act: impl FnMut(u32)) -> f64 {
@@ -152,7 +152,7 @@
             subsets.len(),
             grown as f64 / GATEWAYS as f64
         ),
-        None => println!("resident memory is not told here"),
+        None => println!("resident memory is not known here"),
     }
     Ok(())
 }
--- a/crates/subset/src/subset/members.rs
+++ b/crates/subset/src/subset/members.rs
@@ -1,4 +1,4 @@
-//! The members of a subset, and what the caller is told of them.
+//! The members of a subset, and what is reported of them.
 
 use super::{Action, Outdated, Subset};
 use crate::{Catalog, EngineFacts, EngineKey};
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -6,7 +6,10 @@
     EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
 };
 use std::collections::BTreeSet;
-use world::{line, lines, plain_target, settings, Slip, World, GATEWAY, SETTLING_SECONDS};
+use world::{
+    listed_engine, listed_engines, plain_target, settings, InjectedFault, World, GATEWAY,
+    SETTLING_SECONDS,
+};
 
 /// Whether newcomers came no faster than the pace, one at once allowed.
 fn within_pace(times: &[f64], joins_per_second: f64) -> bool {
@@ -21,12 +24,12 @@
 }
 
 /// When newcomers were warmed as a list doubled.
-fn newcomer_times(slip: Slip) -> Vec<f64> {
-    let mut world = World::new(settings(40), slip);
-    world.tell(&lines(200, 5), true);
+fn newcomer_times(injected: InjectedFault) -> Vec<f64> {
+    let mut world = World::new(settings(40), injected);
+    world.apply(&listed_engines(200, 5), true);
     world.advance(SETTLING_SECONDS);
     assert_eq!(world.warmed_at, [0.0; 0]);
-    world.tell(&lines(400, 5), true);
+    world.apply(&listed_engines(400, 5), true);
     assert_eq!(world.members.len(), 40);
     world.settle();
     assert_eq!(world.faults, BTreeSet::new());
@@ -35,24 +38,24 @@
 
 #[test]
 fn newcomers_come_at_the_pace() {
-    let times = newcomer_times(Slip::None);
+    let times = newcomer_times(InjectedFault::None);
     assert!(times.len() > 10, "{} newcomers", times.len());
     assert!(within_pace(&times, 2.0));
-    assert!(!within_pace(&newcomer_times(Slip::TooFast), 2.0));
+    assert!(!within_pace(&newcomer_times(InjectedFault::TooFast), 2.0));
 }
 
 /// Gateways that warm one newcomer, by tenths of a second since it was listed.
-fn tenths(slip: Slip) -> BTreeSet<i64> {
+fn tenths(injected: InjectedFault) -> BTreeSet<i64> {
     let mut tenths = BTreeSet::new();
     for gateway in 0..300 {
-        let mut world = World::named(&format!("gateway-{gateway}"), settings(8), slip);
-        world.tell(&lines(30, 5), true);
+        let mut world = World::named(&format!("gateway-{gateway}"), settings(8), injected);
+        world.apply(&listed_engines(30, 5), true);
         world.advance(1.0);
         let listed = world.now;
-        world.tell(&[line(30, 5)], false);
+        world.apply(&[listed_engine(30, 5)], false);
         world.advance(10.0);
         let at = world.warmed_at.first().copied();
-        let at = if slip == Slip::InStep {
+        let at = if injected == InjectedFault::InStep {
             at.and(Some(listed))
         } else {
             at
@@ -67,9 +70,13 @@
 }
 
 #[test]
-fn gateways_do_not_take_a_newcomer_in_step() {
-    assert!(out_of_step(&tenths(Slip::None)), "{:?}", tenths(Slip::None));
-    assert!(!out_of_step(&tenths(Slip::InStep)));
+fn gateways_do_not_warm_a_newcomer_in_step() {
+    assert!(
+        out_of_step(&tenths(InjectedFault::None)),
+        "{:?}",
+        tenths(InjectedFault::None)
+    );
+    assert!(!out_of_step(&tenths(InjectedFault::InStep)));
 }
 
 #[test]
@@ -79,15 +86,15 @@
             reserve: 4,
             ..settings(40)
         },
-        Slip::None,
+        InjectedFault::None,
     );
-    world.tell(&lines(200, 5), true);
+    world.apply(&listed_engines(200, 5), true);
     world.advance(10.0);
-    let left: Vec<ListedEngine> = lines(200, 5)
+    let left: Vec<ListedEngine> = listed_engines(200, 5)
         .into_iter()
-        .filter(|line| line.facts.zone != 0)
+        .filter(|listed| listed.facts.zone != 0)
         .collect();
-    world.tell(&left, true);
+    world.apply(&left, true);
     let remaining = world.members.len();
     assert!((20..35).contains(&remaining), "{remaining} members remain");
     world.advance(0.1);
@@ -106,44 +113,44 @@
 
 #[test]
 fn under_the_floor_engines_join_at_once() {
-    let mut world = World::new(settings(40), Slip::None);
-    world.tell(&lines(200, 5), true);
+    let mut world = World::new(settings(40), InjectedFault::None);
+    world.apply(&listed_engines(200, 5), true);
     let members = world.member_ids();
-    let left: Vec<ListedEngine> = lines(200, 5)
+    let left: Vec<ListedEngine> = listed_engines(200, 5)
         .into_iter()
-        .filter(|line| !members.contains(&line.id))
+        .filter(|listed| !members.contains(&listed.id))
         .collect();
-    world.tell(&left, true);
+    world.apply(&left, true);
     assert_eq!(world.members.len(), 40, "all members gone: a first fill");
     let few: BTreeSet<String> = world.member_ids().into_iter().take(35).collect();
     let left: Vec<ListedEngine> = left
         .into_iter()
-        .filter(|line| !few.contains(&line.id))
+        .filter(|listed| !few.contains(&listed.id))
         .collect();
-    world.tell(&left, true);
+    world.apply(&left, true);
     assert_eq!(world.members.len(), 20, "the floor");
     assert_eq!(world.faults, BTreeSet::new());
 }
 
 #[test]
 fn late_empty_half_and_repeated_lists() {
-    let mut world = World::new(settings(40), Slip::None);
-    world.tell(&[], true);
+    let mut world = World::new(settings(40), InjectedFault::None);
+    world.apply(&[], true);
     assert_eq!(world.members.len(), 0);
-    world.tell(&lines(200, 5), true);
+    world.apply(&listed_engines(200, 5), true);
     let members = world.member_ids();
     let first = world.members.clone();
-    world.tell(&lines(200, 5), true);
-    world.tell(&lines(200, 5), false);
+    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), false);
     assert_eq!(world.members, first, "a repeated list changes nothing");
-    world.tell(&lines(100, 5), true);
+    world.apply(&listed_engines(100, 5), true);
     assert!(world.members.len() >= 20);
-    world.tell(&lines(200, 5), true);
+    world.apply(&listed_engines(200, 5), true);
     world.settle();
     assert_eq!(world.member_ids(), members, "half and whole again");
-    world.tell(&[], true);
+    world.apply(&[], true);
     assert_eq!(world.members.len(), 0);
-    world.tell(&lines(200, 5), true);
+    world.apply(&listed_engines(200, 5), true);
     assert_eq!(world.member_ids(), members);
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -155,9 +162,9 @@
             reserve: 3,
             ..settings(20)
         },
-        Slip::None,
+        InjectedFault::None,
     );
-    world.tell(&lines(200, 5), true);
+    world.apply(&listed_engines(200, 5), true);
     let failing: Vec<_> = world.members.keys().copied().take(5).collect();
     world.attempts(failing[0], true, 3);
     assert_eq!(
@@ -198,13 +205,13 @@
 }
 
 #[test]
-fn an_unreached_newcomer_is_replaced_and_tried_again() {
-    let mut world = World::new(settings(20), Slip::None);
-    world.tell(&lines(100, 5), true);
+fn an_unreached_newcomer_is_replaced_and_retried() {
+    let mut world = World::new(settings(20), InjectedFault::None);
+    world.apply(&listed_engines(100, 5), true);
     world.advance(10.0);
     let members = world.member_ids();
     let gone = members.first().expect("members").clone();
-    world.tell_condition(&gone, ListedState::Removed);
+    world.set_state(&gone, ListedState::Removed);
     let expected = plain_target(GATEWAY, &world.settings, &world.list);
     let next = expected
         .difference(&members)
@@ -233,9 +240,9 @@
             reserve: 3,
             ..settings(20)
         },
-        Slip::None,
+        InjectedFault::None,
     );
-    world.tell(&lines(200, 5), true);
+    world.apply(&listed_engines(200, 5), true);
     // With one engine of these the member with the highest score is displaced; while it fails there is room for one.
     let displaces = |world: &World, newcomer: &ListedEngine| {
         let mut list = world.list.clone();
@@ -244,8 +251,8 @@
         world.member_ids().difference(&target).next().cloned()
     };
     let newcomers: Vec<ListedEngine> = (200..400)
-        .map(|number| line(number, 5))
-        .filter(|line| displaces(&world, line).is_some())
+        .map(|number| listed_engine(number, 5))
+        .filter(|listed| displaces(&world, listed).is_some())
         .take(2)
         .collect();
     let last = displaces(&world, &newcomers[0]).expect("it displaces a member");
@@ -253,13 +260,13 @@
     world.attempts(failing, true, 4);
     world.advance(5.0);
     assert_eq!((world.subset.widened_by(), world.members.len()), (1, 21));
-    world.tell(&newcomers, false);
+    world.apply(&newcomers, false);
     world.settle();
     assert_eq!((world.subset.widened_by(), world.members.len()), (0, 20));
     assert_eq!(world.faults, BTreeSet::new());
 }
 
-/// Found by the model: the floor of a class is a part of what is listed of it, not of what was reached.
+/// The floor of a class is a fraction of what is listed of it, not of what was reached.
 #[test]
 fn the_floor_of_a_class_counts_engines_that_could_not_be_reached() {
     let by_zone = PlacementClass {
@@ -279,18 +286,18 @@
         classes,
         ..settings(3)
     };
-    let mut world = World::new(slow, Slip::None);
+    let mut world = World::new(slow, InjectedFault::None);
     let tell = |world: &mut World, first: u32| {
-        world.tell(
+        world.apply(
             &(first..first + 8)
-                .map(|number| line(number, 5))
+                .map(|number| listed_engine(number, 5))
                 .collect::<Vec<_>>(),
             false,
         );
     };
     world
         .unreachable
-        .extend((23..38).map(|number| line(number, 5).id));
+        .extend((23..38).map(|number| listed_engine(number, 5).id));
     tell(&mut world, 70);
     tell(&mut world, 21);
     world.advance(29.0);
@@ -300,35 +307,35 @@
 }
 
 #[test]
-fn newcomers_that_come_one_by_one_keep_the_pace() {
+fn newcomers_that_are_listed_one_by_one_keep_the_pace() {
     let mut world = World::new(
         SubsetSettings {
             joins_per_second: 0.2,
             ..settings(40)
         },
-        Slip::None,
+        InjectedFault::None,
     );
-    world.tell(&lines(200, 5), true);
+    world.apply(&listed_engines(200, 5), true);
     for number in 200..500 {
-        world.tell(&[line(number, 5)], false);
+        world.apply(&[listed_engine(number, 5)], false);
         world.advance(1.0);
     }
     assert!(world.warmed_at.len() > 10 && within_pace(&world.warmed_at, 0.2));
 }
 
-/// Candidates are kept, dropped and read anew while a list grows and shrinks by single lines.
+/// Candidates are kept, dropped and read anew while a list grows and shrinks by single engines.
 #[test]
-fn a_list_that_grows_and_shrinks_line_by_line() {
+fn a_list_that_grows_and_shrinks_engine_by_engine() {
     for retry_scope in [RetryScope::Everywhere, RetryScope::Cell] {
         let mut world = World::new(
             SubsetSettings {
                 retry_scope,
                 ..settings(8)
             },
-            Slip::None,
+            InjectedFault::None,
         );
         for number in 0..300 {
-            world.tell(&[line(number, 40)], false);
+            world.apply(&[listed_engine(number, 40)], false);
             if number % 10 == 9 {
                 world.settle();
                 assert_eq!(
@@ -340,7 +347,7 @@
         }
         for round in 0..60 {
             let id = world.member_ids().first().cloned().expect("members");
-            world.tell_condition(&id, ListedState::Removed);
+            world.set_state(&id, ListedState::Removed);
             world.settle();
             assert_eq!(
                 world.faults,
@@ -352,15 +359,15 @@
 }
 
 #[test]
-fn engines_that_were_not_reached_serve_when_no_others_are_left() {
+fn unreached_engines_serve_when_no_others_are_left() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 10,
             ..settings(20)
         },
-        Slip::None,
+        InjectedFault::None,
     );
-    world.tell(&lines(30, 5), true);
+    world.apply(&listed_engines(30, 5), true);
     let members: Vec<String> = world.member_ids().into_iter().collect();
     let others = world
         .list
@@ -370,23 +377,23 @@
     world.unreachable = others.collect();
     members[..6]
         .iter()
-        .for_each(|id| world.tell_condition(id, ListedState::Removed));
+        .for_each(|id| world.set_state(id, ListedState::Removed));
     world.advance(20.0);
     assert_eq!((world.subset.unreached(), world.members.len()), (10, 14));
     members[6..13]
         .iter()
-        .for_each(|id| world.tell_condition(id, ListedState::Removed));
+        .for_each(|id| world.set_state(id, ListedState::Removed));
     assert_eq!(world.members.len(), 9, "the floor of 17");
     assert_eq!(world.faults, BTreeSet::new());
 }
 
 #[test]
-fn a_connection_of_which_nothing_is_heard_counts_as_not_reached() {
-    let mut world = World::new(settings(20), Slip::None);
-    world.tell(&lines(100, 5), true);
+fn a_connection_without_a_result_counts_as_not_reached() {
+    let mut world = World::new(settings(20), InjectedFault::None);
+    world.apply(&listed_engines(100, 5), true);
     world.silent = true;
     let gone = world.member_ids().first().cloned().expect("members");
-    world.tell_condition(&gone, ListedState::Removed);
+    world.set_state(&gone, ListedState::Removed);
     world.advance(9.0);
     assert_eq!(world.subset.unreached(), 0);
     world.advance(2.0);
@@ -407,8 +414,8 @@
         classes,
         ..settings(20)
     };
-    let mut world = World::new(slow, Slip::None);
-    world.tell(&lines(200, 5), true);
+    let mut world = World::new(slow, InjectedFault::None);
+    world.apply(&listed_engines(200, 5), true);
     let in_class = |world: &World| -> Vec<String> {
         world
             .member_ids()
@@ -419,15 +426,15 @@
     in_class(&world)
         .iter()
         .take(3)
-        .for_each(|id| world.tell_condition(id, ListedState::Draining));
+        .for_each(|id| world.set_state(id, ListedState::Draining));
     world.advance(0.5);
     assert!(in_class(&world).len() >= 6, "{:?}", in_class(&world));
 }
 
 #[test]
-fn a_member_whose_facts_changed_is_told_again_and_a_new_kind_is_reckoned_with() {
-    let mut world = World::new(settings(20), Slip::None);
-    world.tell(&lines(400, 5), true);
+fn a_member_whose_facts_changed_is_updated_and_a_new_kind_is_counted() {
+    let mut world = World::new(settings(20), InjectedFault::None);
+    world.apply(&listed_engines(400, 5), true);
     let (engine, holders) = world
         .members
         .first_key_value()
@@ -445,7 +452,7 @@
         },
     ] {
         world.updated.clear();
-        world.tell(
+        world.apply(
             &[ListedEngine {
                 id: id.clone(),
                 facts,
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -1,4 +1,4 @@
-//! How many gateways hold an engine: what each is told beside a count over a fleet of names.
+//! How many gateways hold an engine: the estimate against a count over a fleet of names.
 
 mod world;
 
@@ -7,20 +7,20 @@
     PlacementClass, RetryScope, Subset, SubsetSettings,
 };
 use std::collections::BTreeMap;
-use world::{lines, settings, Slip};
+use world::{listed_engines, settings, InjectedFault};
 
 const GATEWAYS: usize = 800;
 const ENGINES: u32 = 400;
 const ZONES: u32 = 5;
 
-/// How many gateways hold each engine, and what they are told of it at most.
+/// How many gateways hold each engine, and the highest estimate among them.
 struct Fleet {
     counted: BTreeMap<EngineKey, f64>,
-    told: BTreeMap<EngineKey, f64>,
+    estimated: BTreeMap<EngineKey, f64>,
 }
 
-fn fleet(settings: &SubsetSettings, zones: u32, slip: Slip) -> Fleet {
-    fleet_of(settings, zones, slip, |gateway| {
+fn fleet(settings: &SubsetSettings, zones: u32, injected: InjectedFault) -> Fleet {
+    fleet_of(settings, zones, injected, |gateway| {
         format!("gateway-{gateway}")
     })
 }
@@ -28,12 +28,12 @@
 fn fleet_of(
     settings: &SubsetSettings,
     zones: u32,
-    slip: Slip,
+    injected: InjectedFault,
     name: impl Fn(usize) -> String,
 ) -> Fleet {
     let mut catalog = Catalog::default();
-    let changes = catalog.apply(&lines(ENGINES, zones), true);
-    let (mut counted, mut told) = (BTreeMap::new(), BTreeMap::new());
+    let changes = catalog.apply(&listed_engines(ENGINES, zones), true);
+    let (mut counted, mut estimated) = (BTreeMap::new(), BTreeMap::new());
     for gateway in 0..GATEWAYS {
         let zone = settings.zone.map(|_| gateway as u32 % zones);
         let settings = SubsetSettings {
@@ -47,28 +47,28 @@
             let Action::Join { engine, holders } = action else {
                 panic!("{action:?} in a first fill")
             };
-            let holders = if slip == Slip::HoldersHalved {
+            let holders = if injected == InjectedFault::HoldersHalved {
                 holders / 2.0
             } else {
                 holders
             };
             *counted.entry(engine).or_insert(0.0) += 1.0;
-            told.insert(engine, holders);
+            estimated.insert(engine, holders);
         }
     }
-    Fleet { counted, told }
+    Fleet { counted, estimated }
 }
 
-/// The part of the engines held by more gateways than these are told, and what is told over what is counted.
+/// The fraction of the engines held by more gateways than estimated, and the estimate over the count.
 fn compare(fleet: &Fleet) -> (f64, f64) {
     let understated = fleet
         .counted
         .iter()
-        .filter(|(engine, counted)| fleet.told[engine] < **counted);
+        .filter(|(engine, counted)| fleet.estimated[engine] < **counted);
     let ratio: f64 = fleet
         .counted
         .iter()
-        .map(|(engine, counted)| fleet.told[engine] / counted)
+        .map(|(engine, counted)| fleet.estimated[engine] / counted)
         .sum();
     (
         understated.count() as f64 / fleet.counted.len() as f64,
@@ -118,16 +118,16 @@
 }
 
 #[test]
-fn what_is_told_covers_the_count_and_wastes_little() {
+fn estimated_holders_cover_the_count_and_waste_little() {
     for (name, settings, zones) in cases() {
-        let (understated, ratio) = compare(&fleet(&settings, zones, Slip::None));
+        let (understated, ratio) = compare(&fleet(&settings, zones, InjectedFault::None));
         println!(
-            "{name}: understated for {:.1}% of the engines, told {ratio:.2} of the count",
+            "{name}: understated for {:.1}% of the engines, estimated {ratio:.2} of the count",
             understated * 100.0
         );
         assert!(understated <= 0.05, "{name}: {understated}");
         assert!((1.0..1.8).contains(&ratio), "{name}: {ratio}");
-        let (understated, _) = compare(&fleet(&settings, zones, Slip::HoldersHalved));
+        let (understated, _) = compare(&fleet(&settings, zones, InjectedFault::HoldersHalved));
         assert!(
             understated > 0.5,
             "{name}: halved holders must be found, {understated}"
@@ -138,9 +138,9 @@
 #[test]
 fn no_engine_is_unheld_and_a_short_list_is_held_by_all() {
     // 12 engines each, and so 24 gateways an engine, by the floor.
-    let fleet = fleet(&settings(1), ZONES, Slip::None);
+    let fleet = fleet(&settings(1), ZONES, InjectedFault::None);
     assert_eq!(fleet.counted.len(), ENGINES as usize);
-    let alike = fleet_of(&settings(1), ZONES, Slip::None, |gateway| {
+    let alike = fleet_of(&settings(1), ZONES, InjectedFault::None, |gateway| {
         format!("gateway-{}", gateway % 20)
     });
     assert!(
@@ -152,7 +152,7 @@
     assert!(least >= 1.0);
 
     let mut catalog = Catalog::default();
-    catalog.apply(&lines(20, ZONES), true);
+    catalog.apply(&listed_engines(20, ZONES), true);
     let mut subset = Subset::new("g", settings(20)).expect("good settings");
     let joined = subset.poll(1.0, &catalog);
     assert_eq!(joined.len(), 20);
@@ -161,15 +161,20 @@
         .all(|action| matches!(action, Action::Join { holders, .. } if *holders == 1_000.0)));
 }
 
-/// What each engine gets per core when every gateway spreads the same traffic over its subset by cores, by cores.
+/// Work per core of each engine, by its cores, when every gateway spreads the same traffic over its subset by cores.
 fn work_per_core_by_cores(weight: impl Fn(&EngineFacts) -> f64) -> BTreeMap<u64, f64> {
-    let lines = lines(ENGINES, ZONES);
+    let engines = listed_engines(ENGINES, ZONES);
     let mut work: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
     for gateway in 0..GATEWAYS {
         let hash = GatewayHash::new(&format!("gateway-{gateway}"));
-        let mut scored: Vec<_> = lines
+        let mut scored: Vec<_> = engines
             .iter()
-            .map(|line| (hash.score(&line.id, weight(&line.facts)), line.facts.cores))
+            .map(|listed| {
+                (
+                    hash.score(&listed.id, weight(&listed.facts)),
+                    listed.facts.cores,
+                )
+            })
             .collect();
         scored.sort_by_key(|(score, _)| *score);
         let cores: f64 = scored[..25].iter().map(|(_, cores)| cores).sum();
@@ -177,10 +182,10 @@
             .iter()
             .for_each(|(_, own)| work.entry(*own as u64).or_default().0 += own / cores);
     }
-    lines
-        .iter()
-        .for_each(|line| work.entry(line.facts.cores as u64).or_default().1 += line.facts.cores);
-    let all: f64 = lines.iter().map(|line| line.facts.cores).sum();
+    engines.iter().for_each(|listed| {
+        work.entry(listed.facts.cores as u64).or_default().1 += listed.facts.cores
+    });
+    let all: f64 = engines.iter().map(|listed| listed.facts.cores).sum();
     work.into_iter()
         .map(|(kind, (work, cores))| (kind, work / cores / (GATEWAYS as f64 / all)))
         .collect()
@@ -201,26 +206,26 @@
 }
 
 #[test]
-fn a_changed_line_does_not_update_all_members() {
-    let mut world = world::World::new(settings(40), Slip::None);
-    world.tell(&lines(ENGINES, ZONES), true);
-    let told = world.members.clone();
-    // More than a table bears, and less than is worth an update.
-    world.tell(&lines(ENGINES + 8, ZONES), false);
-    assert!(told
+fn a_changed_engine_does_not_update_all_members() {
+    let mut world = world::World::new(settings(40), InjectedFault::None);
+    world.apply(&listed_engines(ENGINES, ZONES), true);
+    let estimated = world.members.clone();
+    // More changes than a table stays fresh for, and fewer than are worth an update.
+    world.apply(&listed_engines(ENGINES + 8, ZONES), false);
+    assert!(estimated
         .iter()
         .all(|(engine, holders)| world.members.get(engine).is_none_or(|now| now == holders)));
-    world.tell(&lines(ENGINES * 2, ZONES), false);
+    world.apply(&listed_engines(ENGINES * 2, ZONES), false);
     world.settle();
-    let halved = |engine: &EngineKey| world.members[engine] < told[engine] * 0.7;
-    assert!(told
+    let halved = |engine: &EngineKey| world.members[engine] < estimated[engine] * 0.7;
+    assert!(estimated
         .keys()
         .filter(|engine| world.members.contains_key(engine))
         .all(halved));
     assert_eq!(world.faults, Default::default());
 }
 
-/// The members of a new subset, by name, and what it is told of them.
+/// The members of a new subset by id, with their estimated holders.
 fn members_of_a_new_subset(catalog: &Catalog, settings: &SubsetSettings) -> BTreeMap<String, f64> {
     let mut subset = Subset::new("g", settings.clone()).expect("good settings");
     subset.poll(1.0, catalog);
@@ -232,42 +237,42 @@
 }
 
 #[test]
-fn a_list_told_line_by_line_is_the_same_list() {
-    let mut by_lines = Catalog::default();
-    for line in lines(ENGINES, ZONES).into_iter().rev() {
+fn a_list_applied_engine_by_engine_is_the_same_list() {
+    let mut one_by_one = Catalog::default();
+    for listed in listed_engines(ENGINES, ZONES).into_iter().rev() {
         let elsewhere = EngineFacts {
             zone: 77,
             cell: 3,
             cores: 1.0,
-            ..line.facts
+            ..listed.facts
         };
-        by_lines.apply(
+        one_by_one.apply(
             &[
                 ListedEngine {
                     facts: elsewhere,
-                    ..line.clone()
+                    ..listed.clone()
                 },
-                line,
+                listed,
             ],
             false,
         );
     }
     let gone = EngineFacts {
         state: ListedState::Removed,
-        ..lines(1, ZONES)[0].facts
+        ..listed_engines(1, ZONES)[0].facts
     };
     let drains = EngineFacts {
         state: ListedState::Draining,
         ..gone
     };
-    by_lines.apply(
+    one_by_one.apply(
         &[ListedEngine {
             id: "engine-9999".into(),
             facts: drains,
         }],
         false,
     );
-    by_lines.apply(
+    one_by_one.apply(
         &[ListedEngine {
             id: "engine-3".into(),
             facts: gone,
@@ -276,16 +281,16 @@
     );
     let mut whole = Catalog::default();
     whole.apply(
-        &lines(ENGINES, ZONES)
+        &listed_engines(ENGINES, ZONES)
             .into_iter()
-            .filter(|line| line.id != "engine-3")
+            .filter(|listed| listed.id != "engine-3")
             .collect::<Vec<_>>(),
         true,
     );
     for (name, settings, _) in cases() {
         let at_once = members_of_a_new_subset(&whole, &settings);
         assert_eq!(
-            members_of_a_new_subset(&by_lines, &settings),
+            members_of_a_new_subset(&one_by_one, &settings),
             at_once,
             "{name}"
         );
@@ -293,8 +298,8 @@
 }
 
 #[test]
-fn odd_cores_and_repeated_lines_are_borne() {
-    let mut odd = lines(60, ZONES);
+fn odd_cores_and_repeated_engines_are_tolerated() {
+    let mut odd = listed_engines(60, ZONES);
     let cores = [
         f64::NAN,
         f64::INFINITY,
@@ -306,7 +311,7 @@
     ];
     odd.iter_mut()
         .zip(cores.iter().cycle())
-        .for_each(|(line, cores)| line.facts.cores = *cores);
+        .for_each(|(listed, cores)| listed.facts.cores = *cores);
     odd.extend(odd.clone());
     let near = SubsetSettings {
         zone: Some(1),
@@ -314,12 +319,12 @@
         retry_scope: RetryScope::Cell,
         ..settings(10)
     };
-    let mut world = world::World::new(near, Slip::None);
+    let mut world = world::World::new(near, InjectedFault::None);
     for _ in 0..3 {
-        world.tell(&odd, true);
+        world.apply(&odd, true);
         world.advance(30.0);
-        world.tell(&odd[..20], false);
-        world.tell(&odd[30..], true);
+        world.apply(&odd[..20], false);
+        world.apply(&odd[30..], true);
         world.advance(30.0);
     }
     assert!(world.members.len() >= 10);
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -1,4 +1,4 @@
-//! The subset beside a slow plain model, over lists that change at random.
+//! The subset against a slow plain model, over lists that change at random.
 
 mod world;
 
@@ -7,17 +7,17 @@
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
-use world::{line, lines, plain_target, settings, Slip, World, GATEWAY};
+use world::{listed_engine, listed_engines, plain_target, settings, InjectedFault, World, GATEWAY};
 
 const ZONES: u32 = 5;
 const ENGINES: u32 = 120;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Tell {
+    Apply {
         first: u32,
         count: u32,
-        condition: ListedState,
+        state: ListedState,
     },
     Rezone {
         engine: u32,
@@ -40,9 +40,9 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let condition = prop_oneof![4 => Just(ListedState::Ready), 1 => Just(ListedState::Draining), 1 => Just(ListedState::Removed)];
+    let state = prop_oneof![4 => Just(ListedState::Ready), 1 => Just(ListedState::Draining), 1 => Just(ListedState::Removed)];
     prop_oneof![
-        6 => (0..ENGINES, 1..12_u32, condition).prop_map(|(first, count, condition)| Step::Tell { first, count, condition }),
+        6 => (0..ENGINES, 1..12_u32, state).prop_map(|(first, count, state)| Step::Apply { first, count, state }),
         1 => (0..ENGINES, 0..ZONES).prop_map(|(engine, zone)| Step::Rezone { engine, zone }),
         1 => (1..4_u32).prop_map(|part| Step::WholeList { part }),
         1 => (0..ZONES).prop_map(Step::LoseZone),
@@ -113,34 +113,40 @@
 
 fn play(world: &mut World, step: &Step) {
     match *step {
-        Step::Tell {
+        Step::Apply {
             first,
             count,
-            condition,
+            state,
         } => {
-            let told = |number| {
-                let line = line(number, ZONES);
+            let with_state = |number| {
+                let listed = listed_engine(number, ZONES);
                 ListedEngine {
                     facts: EngineFacts {
-                        state: condition,
-                        ..line.facts
+                        state,
+                        ..listed.facts
                     },
-                    ..line
+                    ..listed
                 }
             };
-            world.tell(&(first..first + count).map(told).collect::<Vec<_>>(), false);
+            world.apply(
+                &(first..first + count).map(with_state).collect::<Vec<_>>(),
+                false,
+            );
         }
         Step::Rezone { engine, zone } => {
-            let line = line(engine, ZONES);
-            world.tell(
+            let listed = listed_engine(engine, ZONES);
+            world.apply(
                 &[ListedEngine {
-                    facts: EngineFacts { zone, ..line.facts },
-                    ..line
+                    facts: EngineFacts {
+                        zone,
+                        ..listed.facts
+                    },
+                    ..listed
                 }],
                 false,
             );
         }
-        Step::WholeList { part } => world.tell(&lines(ENGINES / part, ZONES), true),
+        Step::WholeList { part } => world.apply(&listed_engines(ENGINES / part, ZONES), true),
         Step::LoseZone(zone) => {
             let lost = world.list.iter().filter(|(_, facts)| facts.zone == zone);
             let gone = |facts: &EngineFacts| EngineFacts {
@@ -153,12 +159,12 @@
                     facts: gone(facts),
                 })
                 .collect();
-            world.tell(&lost, false);
+            world.apply(&lost, false);
         }
         Step::Unreachable { first, count } => {
             world
                 .unreachable
-                .extend((first..first + count).map(|number| line(number, ZONES).id));
+                .extend((first..first + count).map(|number| listed_engine(number, ZONES).id));
         }
         Step::Reachable => world.unreachable.clear(),
         Step::MemberFails { member, attempts } => {
@@ -180,7 +186,7 @@
 
     #[test]
     fn settles_as_the_plain_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
-        let mut world = World::new(settings, Slip::None);
+        let mut world = World::new(settings, InjectedFault::None);
         for step in &steps {
             play(&mut world, step);
             prop_assert_eq!(&world.faults, &BTreeSet::new(), "after {:?}", step);
@@ -191,29 +197,29 @@
 
     #[test]
     fn one_engine_moves_the_least(settings in any_settings(), engine in 0..ENGINES) {
-        let mut world = World::new(settings.clone(), Slip::None);
-        world.tell(&lines(ENGINES, ZONES), true);
+        let mut world = World::new(settings.clone(), InjectedFault::None);
+        world.apply(&listed_engines(ENGINES, ZONES), true);
         let whole = world.member_ids();
-        world.tell_condition(&line(engine, ZONES).id, ListedState::Removed);
+        world.set_state(&listed_engine(engine, ZONES).id, ListedState::Removed);
         world.settle();
         let without = world.member_ids();
         prop_assert!(moves_the_least(&settings, &whole, &without));
-        world.tell(&lines(ENGINES, ZONES), true);
+        world.apply(&listed_engines(ENGINES, ZONES), true);
         world.settle();
         prop_assert_eq!(&world.member_ids(), &whole);
         prop_assert_eq!(&world.faults, &BTreeSet::new());
     }
 }
 
-/// Whether an engine less moved at most the members for which it leaves room, with their company.
+/// Whether the loss of an engine moved at most the members that take its place, with their companions.
 fn moves_the_least(
     settings: &SubsetSettings,
     before: &BTreeSet<String>,
     after: &BTreeSet<String>,
 ) -> bool {
     let choices = 1 + settings.classes.len();
-    // With company asked for, its companion may leave with it, and the last of two that fill their places may bring
-    // company of its own.
+    // Where companions are needed, its companion may leave with it, and the last of two that take their places may bring a
+    // companion of its own.
     let (leaving, joining) = if settings.retry_scope == RetryScope::Everywhere {
         (1, 1)
     } else {
@@ -227,9 +233,9 @@
 #[test]
 fn a_choice_that_is_drawn_anew_moves_too_much() {
     let settings = settings(20);
-    let list = lines(ENGINES, ZONES)
+    let list = listed_engines(ENGINES, ZONES)
         .into_iter()
-        .map(|line| (line.id, line.facts))
+        .map(|listed| (listed.id, listed.facts))
         .collect();
     let before = plain_target(GATEWAY, &settings, &list);
     assert!(!moves_the_least(
@@ -239,8 +245,8 @@
     ));
 }
 
-/// Steps in which every judged thing happens, for worlds with a slip.
-fn faults_with(slip: Slip) -> BTreeSet<String> {
+/// The faults that the checker finds in a run in which everything that it checks happens.
+fn faults_found_with(injected: InjectedFault) -> BTreeSet<String> {
     let by_zone = PlacementClass {
         zones: Some(vec![1]),
         kinds: None,
@@ -250,37 +256,37 @@
         classes: vec![by_zone],
         ..settings(12)
     };
-    let mut world = World::new(settings, slip);
-    world.tell(&lines(ENGINES, ZONES), true);
+    let mut world = World::new(settings, injected);
+    world.apply(&listed_engines(ENGINES, ZONES), true);
     world.advance(10.0);
     let members = world.member_ids();
     members
         .iter()
         .take(2)
-        .for_each(|id| world.tell_condition(id, ListedState::Draining));
+        .for_each(|id| world.set_state(id, ListedState::Draining));
     world.advance(10.0);
     world.settle();
     world.faults
 }
 
 #[test]
-fn the_judge_finds_each_slip() {
-    let slips = [
-        (Slip::KeepsUnready, "a member takes no new work"),
-        (Slip::JoinsUntried, "joins untried over the floor"),
-        (Slip::UnderFloor, "under the floor"),
-        (Slip::UnderClassFloor, "a class under its floor"),
+fn the_checker_finds_each_injected_fault() {
+    let injected_faults = [
+        (InjectedFault::KeepsUnready, "a member takes no new work"),
+        (InjectedFault::JoinsUntried, "joins untried over the floor"),
+        (InjectedFault::UnderFloor, "under the floor"),
+        (InjectedFault::UnderClassFloor, "a class under its floor"),
         (
-            Slip::WrongEngine,
+            InjectedFault::WrongEngine,
             "settled members are not those of the plain model",
         ),
     ];
-    assert_eq!(faults_with(Slip::None), BTreeSet::new());
-    for (slip, fault) in slips {
+    assert_eq!(faults_found_with(InjectedFault::None), BTreeSet::new());
+    for (injected, fault) in injected_faults {
         assert!(
-            faults_with(slip).contains(fault),
-            "{slip:?}: {:?}",
-            faults_with(slip)
+            faults_found_with(injected).contains(fault),
+            "{injected:?}: {:?}",
+            faults_found_with(injected)
         );
     }
 }
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway's subset driven in played time, a slow plain model of what it should hold, and a judge of its actions.
+//! A gateway's subset in simulated time, a slow plain model of what it should hold, and a checker of its actions.
 
 #![allow(dead_code)]
 
@@ -10,13 +10,13 @@
 
 pub const GATEWAY: &str = "gateway-7";
 
-/// Time in which all that was put off is done: failures are held down, pauses between tries have passed.
+/// Time after which nothing is pending: members are healthy again, and backoffs have passed.
 pub const SETTLING_SECONDS: f64 = 600.0;
 
-/// A connection comes up, or is known not to, after this time.
+/// A connection is made, or has failed, after this time.
 const WARM_SECONDS: f64 = 0.01;
 
-/// Polls in one step of the played time; more mean that the subset asks to be polled for nothing.
+/// Polls in one step of the simulated time; more mean that the subset wants to be polled for nothing.
 const MAX_POLLS: usize = 20_000;
 
 pub fn settings(size: usize) -> SubsetSettings {
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn line(number: u32, zones: u32) -> ListedEngine {
+pub fn listed_engine(number: u32, zones: u32) -> ListedEngine {
     let cores = [4.0, 8.0, 16.0][(number / zones % 3) as usize];
     let cell = number / zones % 4;
     let facts = EngineFacts {
@@ -49,13 +49,15 @@
     }
 }
 
-pub fn lines(count: u32, zones: u32) -> Vec<ListedEngine> {
-    (0..count).map(|number| line(number, zones)).collect()
+pub fn listed_engines(count: u32, zones: u32) -> Vec<ListedEngine> {
+    (0..count)
+        .map(|number| listed_engine(number, zones))
+        .collect()
 }
 
-/// A deliberate fault between the subset and its judge.
+/// A deliberate fault between the subset and its checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Slip {
+pub enum InjectedFault {
     None,
     KeepsUnready,
     JoinsUntried,
@@ -74,26 +76,26 @@
     pub settings: SubsetSettings,
     pub list: BTreeMap<String, EngineFacts>,
     pub unreachable: BTreeSet<String>,
-    /// What the actions told so far amount to.
+    /// The members by the actions so far.
     pub members: BTreeMap<EngineKey, f64>,
     pub warmed_at: Vec<f64>,
     pub updated: BTreeSet<EngineKey>,
-    /// Whether nobody tells if connections came up.
+    /// The outcomes of connections are not reported.
     pub silent: bool,
     pub faults: BTreeSet<String>,
-    slip: Slip,
-    /// Whether the actions in hand found no member.
+    injected: InjectedFault,
+    /// There were no members before the actions at hand.
     filling: bool,
     pending: Vec<(f64, EngineKey)>,
     reached: BTreeSet<EngineKey>,
 }
 
 impl World {
-    pub fn new(settings: SubsetSettings, slip: Slip) -> Self {
-        World::named(GATEWAY, settings, slip)
+    pub fn new(settings: SubsetSettings, injected: InjectedFault) -> Self {
+        World::named(GATEWAY, settings, injected)
     }
 
-    pub fn named(gateway: &str, settings: SubsetSettings, slip: Slip) -> Self {
+    pub fn named(gateway: &str, settings: SubsetSettings, injected: InjectedFault) -> Self {
         World {
             now: 100.0,
             catalog: Catalog::default(),
@@ -106,37 +108,34 @@
             updated: BTreeSet::new(),
             silent: false,
             faults: BTreeSet::new(),
-            slip,
+            injected,
             filling: false,
             pending: Vec::new(),
             reached: BTreeSet::new(),
         }
     }
 
-    pub fn tell(&mut self, lines: &[ListedEngine], whole: bool) {
+    pub fn apply(&mut self, engines: &[ListedEngine], whole: bool) {
         if whole {
             self.list.clear();
         }
-        for line in lines {
-            match line.facts.state {
-                ListedState::Removed => drop(self.list.remove(&line.id)),
-                _ => drop(self.list.insert(line.id.clone(), line.facts)),
+        for listed in engines {
+            match listed.facts.state {
+                ListedState::Removed => drop(self.list.remove(&listed.id)),
+                _ => drop(self.list.insert(listed.id.clone(), listed.facts)),
             }
         }
-        let changes = self.catalog.apply(lines, whole);
+        let changes = self.catalog.apply(engines, whole);
         self.subset.changed(self.now, &self.catalog, &changes);
         self.poll();
     }
 
-    pub fn tell_condition(&mut self, id: &str, condition: ListedState) {
+    pub fn set_state(&mut self, id: &str, state: ListedState) {
         if let Some(facts) = self.list.get(id).copied() {
-            self.tell(
+            self.apply(
                 &[ListedEngine {
                     id: id.into(),
-                    facts: EngineFacts {
-                        state: condition,
-                        ..facts
-                    },
+                    facts: EngineFacts { state, ..facts },
                 }],
                 false,
             );
@@ -184,22 +183,23 @@
         let actions = self.subset.poll(self.now, &self.catalog);
         self.filling = false;
         for action in actions {
-            self.slip_in(action);
+            self.inject(action);
         }
-        self.judge();
+        self.check();
     }
 
-    fn slip_in(&mut self, action: Action) {
-        match (self.slip, action) {
-            (Slip::KeepsUnready, Action::Leave(_)) => {}
-            (Slip::JoinsUntried, Action::Warm(engine)) => self.take(Action::Join {
+    fn inject(&mut self, action: Action) {
+        match (self.injected, action) {
+            (InjectedFault::KeepsUnready, Action::Leave(_)) => {}
+            (InjectedFault::JoinsUntried, Action::Warm(engine)) => self.perform(Action::Join {
                 engine,
                 holders: 1.0,
             }),
-            (Slip::UnderFloor, Action::Join { .. })
+            (InjectedFault::UnderFloor, Action::Join { .. })
                 if self.members.len() >= self.floor().max(1) - 1 => {}
-            (Slip::UnderClassFloor, Action::Join { engine, .. }) if self.of_a_class(engine) => {}
-            (Slip::WrongEngine, Action::Join { holders, .. }) => {
+            (InjectedFault::UnderClassFloor, Action::Join { engine, .. })
+                if self.of_a_class(engine) => {}
+            (InjectedFault::WrongEngine, Action::Join { holders, .. }) => {
                 let other = self
                     .catalog
                     .engines()
@@ -209,21 +209,21 @@
                     .expect("the list is longer than the subset");
                 self.members.insert(engine, holders);
             }
-            (Slip::TooFast, Action::Warm(_)) => {
-                self.take(action);
-                self.take(action);
+            (InjectedFault::TooFast, Action::Warm(_)) => {
+                self.perform(action);
+                self.perform(action);
             }
-            (Slip::HoldersHalved, Action::Join { engine, holders }) => {
-                self.take(Action::Join {
+            (InjectedFault::HoldersHalved, Action::Join { engine, holders }) => {
+                self.perform(Action::Join {
                     engine,
                     holders: holders / 2.0,
                 });
             }
-            _ => self.take(action),
+            _ => self.perform(action),
         }
     }
 
-    fn take(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         if let Action::Update { engine, .. } = action {
             self.updated.insert(engine);
         }
@@ -314,7 +314,7 @@
         self.settings.classes.iter().any(|class| needs(&class))
     }
 
-    fn judge(&mut self) {
+    fn check(&mut self) {
         let mut faults = Vec::new();
         let ready: BTreeSet<&str> = self.ready().into_keys().collect();
         let unready = |engine: &EngineKey| {
@@ -361,7 +361,7 @@
             .collect()
     }
 
-    /// Lets all that was put off be done, and compares with the plain model.
+    /// Lets everything pending finish, and compares with the plain model.
     pub fn settle(&mut self) {
         self.unreachable.clear();
         self.advance(SETTLING_SECONDS);
@@ -405,7 +405,7 @@
     target
 }
 
-/// The first engines of a class, as many as make the quota when each has company in its retry domain.
+/// The first engines of a class, as many as make the quota when each has a companion in its retry domain.
 fn plain_choice(
     ready: &[(f64, &str, EngineFacts)],
     class: &PlacementClass,
@@ -433,12 +433,12 @@
         {
             continue;
         }
-        let company = of_class
+        let companion = of_class
             .iter()
             .copied()
             .chain(ready)
             .find(|(_, other, at)| other != id && near(at));
-        chosen.extend(company.map(|(_, other, _)| other.to_string()));
+        chosen.extend(companion.map(|(_, other, _)| other.to_string()));
     }
     chosen
 }
