--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -59,7 +59,7 @@
     let statement = Statement::Streamed(stored.clone());
     let query = head.into_query(submission.client, statement, statement_bytes, data_set);
     // The store has a budget of its own.
-    let memory = state.reserve_statement_memory(0)?;
+    let memory = state.reserve_statement_bytes(0)?;
     let query_key = query.arrival.query_key;
     match admit(state, query, arrived_at, memory, &submission.stream)? {
         AdmittedQuery::Answered(answer) => Ok(close_after(answer_response(answer))),
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -56,7 +56,7 @@
     body: Body,
 ) -> Result<Response, Rejection> {
     let length = statement_length(&submission.headers, &body)?;
-    let memory = state.reserve_statement_memory(length)?;
+    let memory = state.reserve_statement_bytes(length)?;
     let statement = read_statement(body).await?;
     let arrived_at = state
         .scheduler
