--- /dev/null
+++ b/crates/plan/src/check/blocks.rs
@@ -0,0 +1,125 @@
+//! Checks blocks: their kinds and names, and which entries they have.
+
+use super::constants::Constants;
+use super::values::ValueReader;
+use super::{Checked, Given, Spanned};
+use crate::fault::{shown, Fault};
+use crate::files::Span;
+use crate::quantity::{self, Kind};
+use crate::schema::{self, BlockKind, EntryKind};
+use crate::syntax::{Block, Entry, Word};
+use std::collections::HashMap;
+
+pub(super) struct BlockChecker<'a> {
+    constants: &'a Constants,
+    faults: &'a mut Vec<Fault>,
+    /// The places of the blocks so far, by kind and name.
+    defined: HashMap<(&'static str, String), Span>,
+}
+
+impl<'a> BlockChecker<'a> {
+    pub(super) fn new(constants: &'a Constants, faults: &'a mut Vec<Fault>) -> Self {
+        BlockChecker {
+            constants,
+            faults,
+            defined: HashMap::new(),
+        }
+    }
+
+    /// Checks a block; `None` where its kind or name is faulty. Of a block that is taken, faulty entries are left out.
+    pub(super) fn block(&mut self, block: &Block) -> Option<Checked> {
+        let head = block_kind(block).and_then(|kind| Ok((kind, block_name(kind, block)?)));
+        let (kind, name) = match head {
+            Ok(head) => head,
+            Err(fault) => {
+                self.faults.push(fault);
+                return None;
+            }
+        };
+        let key = (kind.name, name.text.clone());
+        if let Some(first) = self.defined.get(&key) {
+            let text = format!("the {} `{}` is there already", kind.name, name.text);
+            let fault = Fault::new(name.span.clone(), text);
+            self.faults.push(fault.related(first.clone(), "first here"));
+            return None;
+        }
+        self.defined.insert(key, name.span.clone());
+        let mut checked = Checked {
+            kind,
+            name: name.text.clone(),
+            span: name.span.clone(),
+            whole: block.whole.clone(),
+            entries: HashMap::new(),
+        };
+        for entry in block.entries() {
+            self.entry(&mut checked, entry);
+        }
+        Some(checked)
+    }
+
+    fn entry(&mut self, block: &mut Checked, entry: &Entry) {
+        let name = &entry.name;
+        let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.quoted) else {
+            let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
+            let names = block.kind.entries.iter().map(|e| e.name);
+            let fault = Fault::new(name.span.clone(), text);
+            self.faults.push(fault.suggest_nearest(&name.text, names));
+            return;
+        };
+        let mut reader = ValueReader::new(kind, name, self.constants, self.faults);
+        match reader.values(&entry.parts) {
+            Some(values) => self.add(block, kind, entry, values),
+            None => {
+                // A faulty entry counts as given, so that it is not reported as missing too.
+                block.entries.entry(kind.name).or_insert(Given {
+                    span: entry.span.clone(),
+                    values: Vec::new(),
+                });
+            }
+        }
+    }
+
+    /// Adds an entry to its block. A list may be given several times, everything else once.
+    fn add(
+        &mut self,
+        block: &mut Checked,
+        kind: &'static EntryKind,
+        entry: &Entry,
+        values: Vec<Spanned>,
+    ) {
+        let span = entry.span.clone();
+        match block.entries.get_mut(kind.name) {
+            None => {
+                block.entries.insert(kind.name, Given { span, values });
+            }
+            Some(first) if kind.shape.is_list() => first.values.extend(values),
+            Some(first) => {
+                let text = format!("`{}` stands twice in this {}", kind.name, block.kind.name);
+                let fault = Fault::new(span, text);
+                self.faults
+                    .push(fault.related(first.span.clone(), "first here"));
+            }
+        }
+    }
+}
+
+fn block_kind(block: &Block) -> Result<&'static BlockKind, Fault> {
+    let word = &block.kind;
+    schema::block(&word.text).ok_or_else(|| {
+        let text = format!("there is no block of the kind `{}`", shown(&word.text));
+        let names = schema::BLOCKS.iter().map(|kind| kind.name);
+        Fault::new(word.span.clone(), text).suggest_nearest(&word.text, names)
+    })
+}
+
+fn block_name<'a>(kind: &BlockKind, block: &'a Block) -> Result<&'a Word, Fault> {
+    let Some(name) = &block.name else {
+        let text = format!("this {} has no name", kind.name);
+        let fault = Fault::new(block.kind.span.clone(), text);
+        return Err(fault.help(format!("{} some-name {{", kind.name)));
+    };
+    match quantity::read(Kind::Name, &name.text, name.quoted) {
+        Ok(_) => Ok(name),
+        Err(error) => Err(error.at(name.span.clone())),
+    }
+}
--- /dev/null
+++ b/crates/plan/src/check/constants.rs
@@ -0,0 +1,125 @@
+//! Constants of a plan, and their replacement by values.
+
+use crate::fault::{shown, Fault};
+use crate::files::Span;
+use crate::quantity;
+use crate::syntax::{Part, Word};
+use std::collections::HashMap;
+
+/// Constants that may refer to one another in a chain.
+const MAX_DEPTH: usize = 32;
+/// Values that one entry may have once constants are replaced.
+const MAX_VALUES: usize = 100_000;
+
+/// The constants of a plan by name.
+#[derive(Default)]
+pub(super) struct Constants {
+    known: HashMap<String, Constant>,
+}
+
+struct Constant {
+    values: Part,
+    /// The place of the name.
+    span: Span,
+}
+
+/// A word after constants are replaced: its place is that of the entry's word.
+#[derive(Clone)]
+pub(super) struct Expanded {
+    pub(super) word: Word,
+    /// Where the word stands in the constant that it comes from.
+    pub(super) defined_at: Option<Span>,
+}
+
+impl Constants {
+    /// Adds a constant; one that is badly named, empty or defined before is a fault.
+    pub(super) fn define(
+        &mut self,
+        name: &Word,
+        parts: &[Part],
+        span: &Span,
+        faults: &mut Vec<Fault>,
+    ) {
+        if !quantity::is_name(&name.text) || name.quoted {
+            let text = format!("`{}` is no name for a constant", shown(&name.text));
+            faults.push(Fault::new(name.span.clone(), text));
+            return;
+        }
+        let [values] = parts else {
+            let text = "a constant is one value, or a list with commas";
+            let fault = Fault::new(span.clone(), text);
+            faults.push(fault.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
+            return;
+        };
+        if let Some(first) = self.known.get(&name.text) {
+            let text = format!("the constant `{}` is there already", name.text);
+            let fault = Fault::new(name.span.clone(), text);
+            faults.push(fault.related(first.span.clone(), "first here"));
+            return;
+        }
+        let constant = Constant {
+            values: values.clone(),
+            span: name.span.clone(),
+        };
+        self.known.insert(name.text.clone(), constant);
+    }
+
+    /// Replaces the constants in a list of words.
+    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<Expanded>, Fault> {
+        let mut expansion = Expansion {
+            constants: self,
+            words: Vec::new(),
+        };
+        for word in part {
+            expansion.add(word, word, 0)?;
+        }
+        Ok(expansion.words)
+    }
+}
+
+struct Expansion<'a> {
+    constants: &'a Constants,
+    words: Vec<Expanded>,
+}
+
+impl<'a> Expansion<'a> {
+    /// Adds a word, which `used` brings in over `depth` constants.
+    fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Fault> {
+        let Some(name) = word.text.strip_prefix('$').filter(|_| !word.quoted) else {
+            self.words.push(Expanded {
+                word: Word {
+                    span: used.span.clone(),
+                    ..word.clone()
+                },
+                defined_at: (depth > 0).then(|| word.span.clone()),
+            });
+            return Ok(());
+        };
+        let constant = self.constant(name, used, depth)?;
+        for inner in &constant.values {
+            self.add(inner, used, depth + 1)?;
+        }
+        Ok(())
+    }
+
+    fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Fault> {
+        let known = &self.constants.known;
+        let Some(constant) = known.get(name) else {
+            let text = format!("there is no constant `{}`", shown(name));
+            let fault = Fault::new(used.span.clone(), text);
+            return Err(fault.suggest_nearest(name, known.keys().map(String::as_str)));
+        };
+        let text = if depth >= MAX_DEPTH {
+            format!(
+                "the constant `{}` needs itself, or {MAX_DEPTH} others",
+                shown(name)
+            )
+        } else if self.words.len() > MAX_VALUES {
+            format!("with constants put in, this has more than {MAX_VALUES} values")
+        } else {
+            return Ok(constant);
+        };
+        let fault = Fault::new(used.span.clone(), text);
+        Err(fault.related(constant.span.clone(), "the constant"))
+    }
+}
--- /dev/null
+++ b/crates/plan/src/check/values.rs
@@ -0,0 +1,223 @@
+//! Reads the values of an entry in the shape that its kind requires.
+
+use super::constants::{Constants, Expanded};
+use super::Spanned;
+use crate::fault::{shown, Fault};
+use crate::quantity::{self, Kind, Value};
+use crate::schema::{self, EntryKind, Shape};
+use crate::syntax::{Part, Word};
+
+pub(super) struct ValueReader<'a> {
+    entry: &'a EntryKind,
+    /// The entry's name where it stands in the plan.
+    name: &'a Word,
+    constants: &'a Constants,
+    faults: &'a mut Vec<Fault>,
+}
+
+impl<'a> ValueReader<'a> {
+    pub(super) fn new(
+        entry: &'a EntryKind,
+        name: &'a Word,
+        constants: &'a Constants,
+        faults: &'a mut Vec<Fault>,
+    ) -> Self {
+        ValueReader {
+            entry,
+            name,
+            constants,
+            faults,
+        }
+    }
+
+    /// The values of the entry; `None` where a fault was found in them.
+    pub(super) fn values(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
+        let mut expanded = Vec::with_capacity(parts.len());
+        for part in parts {
+            match self.constants.expand(part) {
+                Ok(words) => expanded.push(words),
+                Err(fault) => return self.fail(fault),
+            }
+        }
+        match self.entry.shape {
+            Shape::Flag => self.nothing(&expanded),
+            Shape::One(kind) => self.one(&expanded, |reader, word| reader.read(kind, word)),
+            Shape::OneOuter(_) => self.one(&expanded, |reader, word| reader.read(Kind::Name, word)),
+            Shape::Choice(words) => self.one(&expanded, |reader, word| reader.choice(words, word)),
+            Shape::Words(words) => self.list(&expanded, |reader, word| reader.choice(words, word)),
+            Shape::List(kind) => self.list(&expanded, |reader, word| reader.read(kind, word)),
+            Shape::Refs(_) | Shape::Outer(_) => {
+                self.list(&expanded, |reader, word| reader.read(Kind::Name, word))
+            }
+            Shape::Bucket(rate, burst) => self.bucket(rate, burst, &expanded),
+            Shape::Effect => self.effect(&expanded),
+        }
+    }
+
+    fn fail<T>(&mut self, fault: Fault) -> Option<T> {
+        self.faults.push(fault);
+        None
+    }
+
+    /// Reports a fault in a word that may come from a constant.
+    fn fail_in<T>(&mut self, word: &Expanded, fault: Fault) -> Option<T> {
+        self.fail(match &word.defined_at {
+            Some(defined_at) => fault.related(defined_at.clone(), "from this constant"),
+            None => fault,
+        })
+    }
+
+    fn fail_missing<T>(&mut self) -> Option<T> {
+        let text = format!("`{}` says nothing", self.entry.name);
+        let fault = Fault::new(self.name.span.clone(), text);
+        self.fail(fault.help(self.example()))
+    }
+
+    fn fail_at<T>(&mut self, word: &Expanded, text: String) -> Option<T> {
+        self.fail(Fault::new(word.word.span.clone(), text))
+    }
+
+    /// The entry as it might be written.
+    fn example(&self) -> String {
+        format!("{} {}", self.entry.name, self.entry.example)
+    }
+
+    fn read(&mut self, kind: Kind, expanded: &Expanded) -> Option<Spanned> {
+        let word = &expanded.word;
+        match quantity::read(kind, &word.text, word.quoted) {
+            Ok(value) => Some(Spanned {
+                value,
+                span: word.span.clone(),
+            }),
+            Err(error) => self.fail_in(expanded, error.at(word.span.clone())),
+        }
+    }
+
+    fn choice(&mut self, choices: &[&'static str], expanded: &Expanded) -> Option<Spanned> {
+        let word = &expanded.word;
+        if !word.quoted && choices.contains(&word.text.as_str()) {
+            return Some(Spanned {
+                value: Value::Name(word.text.clone()),
+                span: word.span.clone(),
+            });
+        }
+        let text = format!(
+            "`{}` is none of {} for `{}`",
+            shown(&word.text),
+            choices.join(", "),
+            self.entry.name
+        );
+        let fault = Fault::new(word.span.clone(), text);
+        let fault = fault.suggest_nearest(&word.text, choices.iter().copied());
+        self.fail_in(expanded, fault)
+    }
+
+    fn nothing(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
+        let Some(first) = parts.iter().flatten().next() else {
+            return Some(Vec::new());
+        };
+        let name = self.entry.name;
+        let word = shown(&first.word.text);
+        let text = match self.entry.example {
+            "" => format!("`{name}` stands alone; `{word}` is too much"),
+            example => format!("`{word}` is too much; `{name}` is as in `{name} {example}`"),
+        };
+        self.fail_at(first, text)
+    }
+
+    /// Exactly one value.
+    fn one(
+        &mut self,
+        parts: &[Vec<Expanded>],
+        read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
+    ) -> Option<Vec<Spanned>> {
+        let words: Vec<&Expanded> = parts.iter().flatten().collect();
+        match words.as_slice() {
+            [] => self.fail_missing(),
+            [word] => Some(vec![read(self, word)?]),
+            [_, second, ..] => {
+                let text = format!(
+                    "`{}` has one value; `{}` is too much",
+                    self.entry.name,
+                    shown(&second.word.text)
+                );
+                self.fail_at(second, text)
+            }
+        }
+    }
+
+    /// One list of values; every value is read, so that all faults are reported at once.
+    fn list(
+        &mut self,
+        parts: &[Vec<Expanded>],
+        read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
+    ) -> Option<Vec<Spanned>> {
+        let Some((list, more)) = parts.split_first() else {
+            return self.fail_missing();
+        };
+        if let Some(next) = more.iter().flatten().next() {
+            let text = format!("a comma is missing before `{}`", shown(&next.word.text));
+            return self.fail_at(next, text);
+        }
+        let values: Vec<Option<Spanned>> = list.iter().map(|word| read(self, word)).collect();
+        values.into_iter().collect()
+    }
+
+    /// `RATE` or `RATE burst AMOUNT`.
+    fn bucket(
+        &mut self,
+        rate_kind: Kind,
+        burst_kind: Kind,
+        parts: &[Vec<Expanded>],
+    ) -> Option<Vec<Spanned>> {
+        let single = |part: &Vec<Expanded>| match part.as_slice() {
+            [word] => Some(word.clone()),
+            _ => None,
+        };
+        let words: Option<Vec<Expanded>> = parts.iter().map(single).collect();
+        match words.as_deref() {
+            Some([]) => self.fail_missing(),
+            Some([rate]) => Some(vec![self.read(rate_kind, rate)?]),
+            Some([rate, keyword, burst]) if keyword.word.is_keyword("burst") => {
+                let rate = self.read(rate_kind, rate);
+                let burst = self.read(burst_kind, burst);
+                Some(vec![rate?, burst?])
+            }
+            _ => {
+                let text = format!(
+                    "`{}` is a rate, and perhaps `burst` with an amount",
+                    self.entry.name
+                );
+                let fault = Fault::new(self.name.span.clone(), text);
+                self.fail(fault.help(self.example()))
+            }
+        }
+    }
+
+    /// A word of [`schema::EFFECTS`]; `referenced` with its scope and window.
+    fn effect(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
+        let words: Vec<&Expanded> = parts.iter().flatten().collect();
+        let Some((first, more)) = words.split_first() else {
+            return self.fail_missing();
+        };
+        let effect = self.choice(schema::EFFECTS, first)?;
+        match (first.word.text.as_str(), more) {
+            ("referenced", [scope, window]) => {
+                let scope = self.choice(schema::EFFECT_SCOPES, scope);
+                let window = self.read(Kind::Time, window);
+                Some(vec![effect, scope?, window?])
+            }
+            ("referenced", _) => {
+                let text = "`referenced` needs a scope and how long repeats are dropped";
+                let fault = Fault::new(self.name.span.clone(), text);
+                self.fail(fault.help("effect referenced zone 30s"))
+            }
+            (word, [next, ..]) => {
+                let next_word = shown(&next.word.text);
+                let text = format!("`{next_word}` is too much; `{word}` stands alone");
+                self.fail_at(next, text)
+            }
+            (_, []) => Some(vec![effect]),
+        }
+    }
+}
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -1,14 +1,24 @@
-//! Words as values: times, sizes, rates, shares, counts, times of day, networks, ranges of numbers. A number without
-//! a unit where one is needed is a fault, and so is a unit of another kind.
+//! Reads words as typed values: times, sizes, rates, shares, counts, times of day, networks, ranges of numbers, names.
+//!
+//! A number without a unit where one is needed is an error, and so is a unit of another kind.
 
-use crate::fault::shown;
+mod units;
+
+use crate::fault::{shown, Fault};
+use crate::files::Span;
 use ipnet::IpNet;
 use std::net::IpAddr;
 use std::time::Duration;
+use thiserror::Error;
 
-/// A day in minutes.
+/// Minutes of a day.
 pub const DAY: u32 = 24 * 60;
 
+/// Characters of a name or a pattern.
+const MAX_NAME_CHARS: usize = 64;
+/// `*` in a pattern.
+const MAX_WILDCARDS: usize = 4;
+
 /// What a value is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -18,13 +28,13 @@
     Size,
     /// `50/s`, `3000/min`.
     Rate,
-    /// Bytes a time: `10MiB/s`.
+    /// Bytes over time: `10MiB/s`.
     Flow,
     /// `30%`, 0 to 100.
     Share,
     /// A whole number from 1.
     Count,
-    /// A time of day and another: `06:00..20:00`; over midnight too.
+    /// A range of times of day: `06:00..20:00`; over midnight too.
     Clock,
     /// `10.1.0.0/16`, `2001:db8::/32`, or one address.
     Network,
@@ -39,7 +49,7 @@
 }
 
 impl Kind {
-    /// For messages: the kind with an example.
+    /// What a message asks for where a value of this kind belongs, with an example.
     pub fn wanted(self) -> &'static str {
         match self {
             Kind::Time => "a time such as 250ms, 1.5s or 2min",
@@ -57,8 +67,8 @@
         }
     }
 
-    /// For messages on a value of another kind.
-    fn is(self) -> &'static str {
+    /// What a message calls a value of this kind where another one is wanted.
+    fn described(self) -> &'static str {
         match self {
             Kind::Time => "a time",
             Kind::Size => "a size",
@@ -75,319 +85,177 @@
     }
 }
 
-/// A value with its unit taken in.
+/// A value in base units.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// A time, in whole microseconds.
     Time(Duration),
     /// Bytes.
     Size(u64),
-    /// Each second.
+    /// Events a second.
     Rate(f64),
-    /// Bytes each second.
+    /// Bytes a second.
     Flow(f64),
-    /// 0 to 1.
+    /// A fraction, 0 to 1.
     Share(f64),
+    /// A whole number.
     Count(u64),
     /// Minutes of the day: from, until (excluded).
     Clock(u32, u32),
+    /// A network.
     Network(IpNet),
     /// From, to (included).
     Numbers(u32, u32),
+    /// A name.
     Name(String),
+    /// A name with `*` for any characters.
     Pattern(String),
+    /// Any text.
     Text(String),
 }
 
-/// Why a word is no value of the wanted kind, and a suggestion.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+/// Why a word is no value of the wanted kind.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{text}")]
+pub struct ValueError {
+    /// What is wrong.
     pub text: String,
+    /// What to write instead.
     pub help: Option<String>,
 }
 
-impl Wrong {
+impl ValueError {
     fn new(text: impl Into<String>) -> Self {
-        Wrong {
+        ValueError {
             text: text.into(),
             help: None,
         }
     }
 
+    /// The word is something else than a value of a kind.
+    fn not(word: &str, description: &str, wanted: Kind) -> Self {
+        ValueError::new(format!(
+            "`{}` {description}; here {} is wanted",
+            shown(word),
+            wanted.wanted()
+        ))
+    }
+
     fn help(mut self, help: impl Into<String>) -> Self {
         self.help = Some(help.into());
         self
     }
-}
 
-const TIMES: [(&str, f64); 6] = [
-    ("us", 1e-6),
-    ("ms", 1e-3),
-    ("s", 1.0),
-    ("min", 60.0),
-    ("h", 3600.0),
-    ("d", 86_400.0),
-];
-const SIZES: [(&str, f64); 4] = [
-    ("B", 1.0),
-    ("KiB", 1024.0),
-    ("MiB", 1_048_576.0),
-    ("GiB", 1_073_741_824.0),
-];
-/// How units are often written elsewhere, and what they are here.
-const ELSEWHERE: [(&str, &str); 17] = [
-    ("sec", "s"),
-    ("secs", "s"),
-    ("second", "s"),
-    ("seconds", "s"),
-    ("msec", "ms"),
-    ("m", "min"),
-    ("mins", "min"),
-    ("minutes", "min"),
-    ("hr", "h"),
-    ("hours", "h"),
-    ("KB", "KiB"),
-    ("kB", "KiB"),
-    ("MB", "MiB"),
-    ("GB", "GiB"),
-    ("/sec", "/s"),
-    ("rps", "/s"),
-    ("percent", "%"),
-];
-/// Beyond a week nothing here makes sense, and sums stay far from overflow.
-const LONGEST: f64 = 7.0 * 86_400.0;
-const LARGEST: f64 = 1.0e15;
+    /// The fault of the word at a place.
+    pub fn at(self, span: Span) -> Fault {
+        Fault {
+            help: self.help,
+            ..Fault::new(span, self.text)
+        }
+    }
+}
 
 /// Reads a word as a value of a kind.
-pub fn read(kind: Kind, word: &str, quoted: bool) -> Result<Value, Wrong> {
-    if quoted != (kind == Kind::Text) {
-        let how = if quoted {
-            "is in quotes"
-        } else {
-            "is not in quotes"
-        };
-        return Err(Wrong::new(format!(
-            "`{}` {how}; here {} is wanted",
-            shown(word),
-            kind.wanted()
-        )));
+///
+/// # Errors
+///
+/// Where the word, or its being in quotes or not, does not fit the kind.
+pub fn read(kind: Kind, word: &str, quoted: bool) -> Result<Value, ValueError> {
+    match (quoted, kind == Kind::Text) {
+        (true, false) => return Err(ValueError::not(word, "is in quotes", kind)),
+        (false, true) => return Err(ValueError::not(word, "is not in quotes", kind)),
+        _ => {}
     }
     match kind {
         Kind::Text => Ok(Value::Text(word.to_string())),
-        Kind::Name | Kind::Pattern => name(kind, word),
+        Kind::Name => name(word),
+        Kind::Pattern => pattern(word),
         Kind::Clock => clock(word),
         Kind::Network => network(word),
         Kind::Numbers => numbers(word),
-        _ => number_with_unit(kind, word),
+        Kind::Time | Kind::Size | Kind::Rate | Kind::Flow | Kind::Share | Kind::Count => {
+            units::number_with_unit(kind, word)
+        }
     }
 }
 
 /// Whether a word can be a name: a letter or digit first, then also `-`, `_` and `.`.
 pub fn is_name(word: &str) -> bool {
-    let inner = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    word.len() <= 64
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    word.len() <= MAX_NAME_CHARS
         && word.starts_with(|c: char| c.is_ascii_alphanumeric())
-        && word.chars().all(inner)
+        && word.chars().all(is_allowed)
 }
 
-fn name(kind: Kind, word: &str) -> Result<Value, Wrong> {
-    let stars = word.matches('*').count();
-    if kind == Kind::Pattern && word.len() <= 64 && stars <= 4 {
-        let bare = word.replace('*', "0");
-        if is_name(&bare) {
-            return Ok(Value::Pattern(word.to_string()));
-        }
-    }
-    if kind == Kind::Name && is_name(word) {
+fn name(word: &str) -> Result<Value, ValueError> {
+    if is_name(word) {
         return Ok(Value::Name(word.to_string()));
     }
-    let text = format!("`{}` is no name", shown(word));
-    let help = match kind {
-        Kind::Pattern => "a pattern has letters, digits, `-`, `_`, `.` and four `*` at most, 64 in all",
-        _ => "a name has letters, digits, `-`, `_` and `.`, 64 at most, and begins with a letter or digit",
-    };
-    Err(Wrong::new(text).help(help))
-}
-
-/// The kinds that are a number with a unit, and the count, which has none.
-fn number_with_unit(kind: Kind, word: &str) -> Result<Value, Wrong> {
-    let digits = word
-        .find(|c: char| !(c.is_ascii_digit() || c == '.'))
-        .unwrap_or(word.len());
-    let (number, unit) = word.split_at(digits);
-    let Some(number) = number.parse::<f64>().ok().filter(|n| n.is_finite()) else {
-        return Err(Wrong::new(format!(
-            "`{}` is no number; here {} is wanted",
-            shown(word),
-            kind.wanted()
-        )));
-    };
-    let got = kind_of(unit);
-    match got {
-        None => {
-            let units = units(kind);
-            let elsewhere = ELSEWHERE
-                .iter()
-                .find(|(other, here)| *other == unit && units.contains(here));
-            let near = elsewhere
-                .map(|(_, here)| *here)
-                .or(crate::fault::nearest(unit, units.iter().copied()));
-            let near = near.map(|u| format!("{number}{u}"));
-            let wrong = Wrong::new(format!(
-                "`{}` is no unit; here {} is wanted",
-                shown(unit),
-                kind.wanted()
-            ));
-            return Err(near.map_or(wrong.clone(), |near| {
-                wrong.help(format!("did you mean `{near}`?"))
-            }));
-        }
-        Some(Kind::Count) if kind != Kind::Count => {
-            let text = format!(
-                "`{}` has no unit; here {} is wanted",
-                shown(word),
-                kind.wanted()
-            );
-            return Err(Wrong::new(text));
-        }
-        Some(got) if got != kind => {
-            let text = format!(
-                "`{}` is {}; here {} is wanted",
-                shown(word),
-                got.is(),
-                kind.wanted()
-            );
-            return Err(Wrong::new(text));
-        }
-        Some(_) => {}
-    }
-    value(kind, word, number * factor(unit))
+    let help = "a name has letters, digits, `-`, `_` and `.`, 64 at most, and begins with a letter or digit";
+    Err(ValueError::new(format!("`{}` is no name", shown(word))).help(help))
 }
 
-/// A number in base units as a value, checked against what its kind can be.
-fn value(kind: Kind, word: &str, n: f64) -> Result<Value, Wrong> {
-    let wrong = |what: &str| Err(Wrong::new(format!("`{}` {what}", shown(word))));
-    match kind {
-        Kind::Time if n > LONGEST => wrong("is longer than a week"),
-        Kind::Time if n <= 0.0 => wrong("is no time; it must be above 0"),
-        // Whole microseconds, so that 1s and 1000ms are one.
-        Kind::Time => Ok(Value::Time(Duration::from_micros(
-            (n * 1e6).round().max(1.0) as u64,
-        ))),
-        Kind::Share if n > 1.0 => wrong("is more than all; a share is 100% at most"),
-        Kind::Share => Ok(Value::Share(n)),
-        _ if n <= 0.0 => wrong("is nothing; it must be above 0"),
-        _ if n > LARGEST => wrong("is too large"),
-        Kind::Size | Kind::Count if n.fract() != 0.0 => wrong("is no whole number"),
-        Kind::Size => Ok(Value::Size(n as u64)),
-        Kind::Count => Ok(Value::Count(n as u64)),
-        Kind::Rate => Ok(Value::Rate(n)),
-        _ => Ok(Value::Flow(n)),
+fn pattern(word: &str) -> Result<Value, ValueError> {
+    let wildcards = word.matches('*').count();
+    if wildcards <= MAX_WILDCARDS && is_name(&word.replace('*', "0")) {
+        return Ok(Value::Pattern(word.to_string()));
     }
+    let help = "a pattern has letters, digits, `-`, `_`, `.` and four `*` at most, 64 in all";
+    Err(ValueError::new(format!("`{}` is no name", shown(word))).help(help))
 }
 
-fn units(kind: Kind) -> Vec<&'static str> {
-    match kind {
-        Kind::Time => TIMES.iter().map(|(unit, _)| *unit).collect(),
-        Kind::Size => SIZES.iter().map(|(unit, _)| *unit).collect(),
-        Kind::Rate => vec!["/s", "/min", "/h"],
-        Kind::Flow => vec!["B/s", "KiB/s", "MiB/s", "GiB/s"],
-        Kind::Share => vec!["%"],
-        _ => Vec::new(),
+fn clock(word: &str) -> Result<Value, ValueError> {
+    let no_range = || ValueError::not(word, "is no span of hours", Kind::Clock);
+    let (from, until) = word.split_once("..").ok_or_else(no_range)?;
+    let from = minute_of_day(from).ok_or_else(no_range)?;
+    let until = minute_of_day(until).ok_or_else(no_range)?;
+    if from % DAY == until % DAY {
+        let text = format!("`{}` is no time at all, or a whole day", shown(word));
+        return Err(ValueError::new(text).help("leave the entry out for the whole day"));
     }
+    Ok(Value::Clock(from % DAY, until))
 }
 
-/// The kind that a unit belongs to; none where it is no unit.
-fn kind_of(unit: &str) -> Option<Kind> {
-    let is_time = |u: &str| TIMES.iter().any(|(name, _)| *name == u);
-    let is_size = |u: &str| SIZES.iter().any(|(name, _)| *name == u);
-    match unit.split_once('/') {
-        None if unit.is_empty() => Some(Kind::Count),
-        None if unit == "%" => Some(Kind::Share),
-        None if is_time(unit) => Some(Kind::Time),
-        None if is_size(unit) => Some(Kind::Size),
-        Some(("", per)) if is_time(per) => Some(Kind::Rate),
-        Some((size, per)) if is_size(size) && is_time(per) => Some(Kind::Flow),
-        _ => None,
-    }
+/// The minute of the day of `HH:MM`, up to and with `24:00`.
+fn minute_of_day(text: &str) -> Option<u32> {
+    let (hour, minute) = text.split_once(':')?;
+    let hour = two_digits(hour)?;
+    let minute = two_digits(minute)?;
+    let minute_of_day = hour * 60 + minute;
+    (minute < 60 && minute_of_day <= DAY).then_some(minute_of_day)
 }
 
-/// What a known unit is in base units: seconds, bytes, each second, 1.
-fn factor(unit: &str) -> f64 {
-    let of = |table: &[(&str, f64)], u: &str| {
-        table
-            .iter()
-            .find(|(name, _)| *name == u)
-            .map_or(1.0, |f| f.1)
-    };
-    match unit.split_once('/') {
-        Some((size, per)) => of(&SIZES, size) / of(&TIMES, per),
-        None if unit == "%" => 0.01,
-        None => of(&TIMES, unit) * of(&SIZES, unit),
-    }
+fn two_digits(text: &str) -> Option<u32> {
+    let is_two_digits = text.len() == 2 && text.bytes().all(|byte| byte.is_ascii_digit());
+    text.parse().ok().filter(|_| is_two_digits)
 }
 
-fn clock(word: &str) -> Result<Value, Wrong> {
-    let minute = |text: &str| {
-        let (hour, minute) = text.split_once(':')?;
-        let two = |t: &str| {
-            (t.len() == 2 && t.bytes().all(|b| b.is_ascii_digit()))
-                .then(|| t.parse::<u32>().ok())?
-        };
-        let (hour, minute) = (two(hour)?, two(minute)?);
-        (minute < 60 && hour * 60 + minute <= DAY).then_some(hour * 60 + minute)
-    };
-    let ends = word
-        .split_once("..")
-        .map(|(from, until)| (minute(from), minute(until)));
-    match ends {
-        Some((Some(from), Some(until))) if from % DAY == until % DAY => Err(Wrong::new(format!(
-            "`{}` is no time at all, or a whole day",
-            shown(word)
-        ))
-        .help("leave the entry out for the whole day")),
-        Some((Some(from), Some(until))) => Ok(Value::Clock(from % DAY, until)),
-        _ => Err(Wrong::new(format!(
-            "`{}` is no span of hours; here {} is wanted",
-            shown(word),
-            Kind::Clock.wanted()
-        ))),
-    }
-}
-
-fn network(word: &str) -> Result<Value, Wrong> {
-    let wrong = || {
-        Wrong::new(format!(
-            "`{}` is no network; here {} is wanted",
-            shown(word),
-            Kind::Network.wanted()
-        ))
-    };
+fn network(word: &str) -> Result<Value, ValueError> {
     if let Ok(address) = word.parse::<IpAddr>() {
         return Ok(Value::Network(IpNet::from(address)));
     }
-    let net: IpNet = word.parse().map_err(|_| wrong())?;
-    match net.trunc() == net {
-        true => Ok(Value::Network(net)),
-        false => Err(
-            Wrong::new(format!("`{}` has bits set behind its prefix", shown(word))).help(format!(
-                "did you mean `{}`, or the one address `{}`?",
-                net.trunc(),
-                net.addr()
-            )),
-        ),
+    let network: IpNet = word
+        .parse()
+        .map_err(|_| ValueError::not(word, "is no network", Kind::Network))?;
+    if network.trunc() == network {
+        return Ok(Value::Network(network));
     }
+    let text = format!("`{}` has bits set behind its prefix", shown(word));
+    Err(ValueError::new(text).help(format!(
+        "did you mean `{}`, or the one address `{}`?",
+        network.trunc(),
+        network.addr()
+    )))
 }
 
-fn numbers(word: &str) -> Result<Value, Wrong> {
+fn numbers(word: &str) -> Result<Value, ValueError> {
     let (from, to) = word.split_once("..").unwrap_or((word, word));
-    match (from.parse::<u32>(), to.parse::<u32>()) {
-        (Ok(from), Ok(to)) if from <= to => Ok(Value::Numbers(from, to)),
-        (Ok(from), Ok(to)) => Err(Wrong::new(format!("`{}` runs backwards", shown(word)))
-            .help(format!("did you mean `{to}..{from}`?"))),
-        _ => Err(Wrong::new(format!(
-            "`{}` is no number; here {} is wanted",
-            shown(word),
-            Kind::Numbers.wanted()
-        ))),
+    let no_number = |_| ValueError::not(word, "is no number", Kind::Numbers);
+    let from: u32 = from.parse().map_err(no_number)?;
+    let to: u32 = to.parse().map_err(no_number)?;
+    if from <= to {
+        return Ok(Value::Numbers(from, to));
     }
+    let text = format!("`{}` runs backwards", shown(word));
+    Err(ValueError::new(text).help(format!("did you mean `{to}..{from}`?")))
 }
--- /dev/null
+++ b/crates/plan/src/quantity/units.rs
@@ -0,0 +1,143 @@
+//! Numbers with units, and counts, which have none.
+
+use super::{Kind, Value, ValueError};
+use crate::fault::{nearest, shown};
+use std::time::Duration;
+
+/// Units of time, in seconds.
+const TIME_UNITS: [(&str, f64); 6] = [
+    ("us", 1e-6),
+    ("ms", 1e-3),
+    ("s", 1.0),
+    ("min", 60.0),
+    ("h", 3600.0),
+    ("d", 86_400.0),
+];
+/// Units of size, in bytes.
+const SIZE_UNITS: [(&str, f64); 4] = [
+    ("B", 1.0),
+    ("KiB", 1024.0),
+    ("MiB", 1_048_576.0),
+    ("GiB", 1_073_741_824.0),
+];
+/// Units as they are often written elsewhere, and the unit of this language.
+const UNIT_ALIASES: [(&str, &str); 17] = [
+    ("sec", "s"),
+    ("secs", "s"),
+    ("second", "s"),
+    ("seconds", "s"),
+    ("msec", "ms"),
+    ("m", "min"),
+    ("mins", "min"),
+    ("minutes", "min"),
+    ("hr", "h"),
+    ("hours", "h"),
+    ("KB", "KiB"),
+    ("kB", "KiB"),
+    ("MB", "MiB"),
+    ("GB", "GiB"),
+    ("/sec", "/s"),
+    ("rps", "/s"),
+    ("percent", "%"),
+];
+const MAX_TIME_SECONDS: f64 = 7.0 * 86_400.0;
+/// Keeps sums of values far from overflow.
+const MAX_NUMBER: f64 = 1.0e15;
+
+/// Reads a number with the unit of a kind.
+pub(super) fn number_with_unit(kind: Kind, word: &str) -> Result<Value, ValueError> {
+    let is_numeric = |c: char| c.is_ascii_digit() || c == '.';
+    let digits = word.find(|c| !is_numeric(c)).unwrap_or(word.len());
+    let (digits, unit) = word.split_at(digits);
+    let number = digits.parse::<f64>().ok().filter(|n| n.is_finite());
+    let Some(number) = number else {
+        return Err(ValueError::not(word, "is no number", kind));
+    };
+    match kind_of_unit(unit) {
+        Some(found) if found == kind => value(kind, word, number * factor(unit)),
+        Some(Kind::Count) => Err(ValueError::not(word, "has no unit", kind)),
+        Some(found) => {
+            let description = format!("is {}", found.described());
+            Err(ValueError::not(word, &description, kind))
+        }
+        None => Err(unknown_unit(kind, digits, unit)),
+    }
+}
+
+fn unknown_unit(kind: Kind, digits: &str, unit: &str) -> ValueError {
+    let units = units(kind);
+    let alias = UNIT_ALIASES
+        .iter()
+        .find(|(alias, unit_here)| *alias == unit && units.contains(unit_here))
+        .map(|(_, unit_here)| *unit_here);
+    let error = ValueError::not(unit, "is no unit", kind);
+    match alias.or_else(|| nearest(unit, units.iter().copied())) {
+        Some(near) => error.help(format!("did you mean `{digits}{near}`?")),
+        None => error,
+    }
+}
+
+/// A number in base units as a value, within the bounds of its kind.
+fn value(kind: Kind, word: &str, number: f64) -> Result<Value, ValueError> {
+    let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", shown(word))));
+    match kind {
+        Kind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than a week"),
+        Kind::Time if number <= 0.0 => out_of_bounds("is no time; it must be above 0"),
+        // Rounded, so that 1s equals 1000ms.
+        Kind::Time => Ok(Value::Time(Duration::from_micros(
+            (number * 1e6).round().max(1.0) as u64,
+        ))),
+        Kind::Share if number > 1.0 => out_of_bounds("is more than all; a share is 100% at most"),
+        Kind::Share => Ok(Value::Share(number)),
+        _ if number <= 0.0 => out_of_bounds("is nothing; it must be above 0"),
+        _ if number > MAX_NUMBER => out_of_bounds("is too large"),
+        Kind::Size | Kind::Count if number.fract() != 0.0 => out_of_bounds("is no whole number"),
+        Kind::Size => Ok(Value::Size(number as u64)),
+        Kind::Count => Ok(Value::Count(number as u64)),
+        Kind::Rate => Ok(Value::Rate(number)),
+        _ => Ok(Value::Flow(number)),
+    }
+}
+
+/// The units that messages suggest for a kind.
+fn units(kind: Kind) -> Vec<&'static str> {
+    match kind {
+        Kind::Time => TIME_UNITS.iter().map(|(unit, _)| *unit).collect(),
+        Kind::Size => SIZE_UNITS.iter().map(|(unit, _)| *unit).collect(),
+        Kind::Rate => vec!["/s", "/min", "/h"],
+        Kind::Flow => vec!["B/s", "KiB/s", "MiB/s", "GiB/s"],
+        Kind::Share => vec!["%"],
+        _ => Vec::new(),
+    }
+}
+
+fn in_table(table: &[(&str, f64)], unit: &str) -> Option<f64> {
+    let found = table.iter().find(|(name, _)| *name == unit);
+    found.map(|(_, factor)| *factor)
+}
+
+/// The kind that a unit belongs to; `None` where it is no unit.
+fn kind_of_unit(unit: &str) -> Option<Kind> {
+    let is_time = |unit: &str| in_table(&TIME_UNITS, unit).is_some();
+    let is_size = |unit: &str| in_table(&SIZE_UNITS, unit).is_some();
+    match unit.split_once('/') {
+        None if unit.is_empty() => Some(Kind::Count),
+        None if unit == "%" => Some(Kind::Share),
+        None if is_time(unit) => Some(Kind::Time),
+        None if is_size(unit) => Some(Kind::Size),
+        Some(("", per)) if is_time(per) => Some(Kind::Rate),
+        Some((size, per)) if is_size(size) && is_time(per) => Some(Kind::Flow),
+        _ => None,
+    }
+}
+
+/// What a known unit is in base units: seconds, bytes, events or bytes a second, fractions.
+fn factor(unit: &str) -> f64 {
+    let size = |unit: &str| in_table(&SIZE_UNITS, unit).unwrap_or(1.0);
+    let time = |unit: &str| in_table(&TIME_UNITS, unit).unwrap_or(1.0);
+    match unit.split_once('/') {
+        Some((amount, per)) => size(amount) / time(per),
+        None if unit == "%" => 0.01,
+        None => time(unit) * size(unit),
+    }
+}
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -29,6 +29,16 @@
     Effect,
 }
 
+impl Shape {
+    /// Whether an entry of this shape may be given more than once, its values being joined.
+    pub fn is_list(self) -> bool {
+        matches!(
+            self,
+            Shape::List(_) | Shape::Refs(_) | Shape::Outer(_) | Shape::Words(_)
+        )
+    }
+}
+
 /// Names that are not the plan's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outer {
@@ -98,7 +108,7 @@
 /// Words of `effect`.
 pub const EFFECTS: &[&str] = &["repeatable", "referenced", "once-only"];
 /// Scopes of `effect referenced`.
-pub const REFERENCED: &[&str] = &["everywhere", "zone", "cell"];
+pub const EFFECT_SCOPES: &[&str] = &["everywhere", "zone", "cell"];
 
 /// Kinds of blocks of which a plan has one at most.
 pub const SINGLE: &[&str] = &["bodies", "journal"];
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -26,6 +26,13 @@
     pub span: Span,
 }
 
+impl Word {
+    /// Whether this is the given word, not in quotes.
+    pub fn is_keyword(&self, keyword: &str) -> bool {
+        !self.quoted && self.text == keyword
+    }
+}
+
 /// One value, or several with commas between.
 pub type Part = Vec<Word>;
 
