--- a/crates/bodies/benches/bodies.rs
+++ b/crates/bodies/benches/bodies.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use divan::counter::BytesCount;
 use divan::{black_box, Bencher};
-use garnetwall_bodies::room::{BodyId, Policy};
-use garnetwall_bodies::{Disk, Limits, Place, Room, Spool, Store};
+use garnetwall_bodies::{BodyId, EvictionPolicy};
+use garnetwall_bodies::{Capacity, Disk, Limits, Spool, Storage, Store};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -113,13 +113,13 @@
 
 fn limits(memory: u64) -> Limits {
     Limits {
-        memory: 2 * memory + MIB,
-        files: 512 * MIB,
-        batch_memory: memory,
-        batch: 256 * MIB,
-        share: 1.0,
-        unknown_length: true,
-        must_keep: Vec::new(),
+        memory_bytes: 2 * memory + MIB,
+        file_bytes: 512 * MIB,
+        max_body_memory_bytes: memory,
+        max_body_bytes: 256 * MIB,
+        tenant_share: 1.0,
+        unknown_length_allowed: true,
+        storage_required: Vec::new(),
     }
 }
 
@@ -127,7 +127,7 @@
     let disk = Disk::open(&std::env::temp_dir(), "bench").unwrap_or_else(|e| panic!("{e}"));
     Store::new(
         limits(memory),
-        Policy::Largest,
+        EvictionPolicy::Largest,
         Some(Spool::new(disk, 512 * MIB)),
     )
 }
@@ -146,7 +146,7 @@
         .collect()
 }
 
-/// In, whole, and read twice, as by an attempt and a further one.
+/// In, whole, and read twice, as by an attempt and a retry.
 async fn through(store: &Arc<Store>, chunks: &[Bytes], size: u64) -> usize {
     let Ok(body) = store.admit(0, 0, Some(size)) else {
         return 0;
@@ -158,8 +158,8 @@
     }
     body.finish().await;
     let mut read = 0;
-    for further in [false, true] {
-        let Ok(mut reader) = body.reader(further) else {
+    for is_retry in [false, true] {
+        let Ok(mut reader) = body.reader(is_retry) else {
             return 0;
         };
         while let Ok(Some(bytes)) = reader.next().await {
@@ -237,7 +237,11 @@
 /// the mean, in 64 MiB of memory. What each policy writes to files, and whose bodies are there when they are wanted again.
 fn played_day() {
     println!("policy    to files MiB   small bodies in files   not kept");
-    for policy in [Policy::Newest, Policy::Largest, Policy::Oldest] {
+    for policy in [
+        EvictionPolicy::Never,
+        EvictionPolicy::Largest,
+        EvictionPolicy::Oldest,
+    ] {
         let mut rng = StdRng::seed_from_u64(18);
         let (sizes, stays) = (
             LogNormal::new((20.0 * KIB as f64).ln(), 2.2),
@@ -247,12 +251,12 @@
             return;
         };
         let limits = Limits {
-            files: 4096 * MIB,
-            batch_memory: 8 * MIB,
-            memory: 64 * MIB,
+            file_bytes: 4096 * MIB,
+            max_body_memory_bytes: 8 * MIB,
+            memory_bytes: 64 * MIB,
             ..limits(0)
         };
-        let mut room = Room::new(limits, policy);
+        let mut room = Capacity::new(limits, policy);
         // Ends by time in microseconds.
         let mut ends: BTreeMap<(u64, u64), (BodyId, u64, bool)> = BTreeMap::new();
         let (mut bodies, mut small, mut small_in_files, mut not_kept, mut written) =
@@ -262,13 +266,12 @@
             while let Some((&at, &(id, _, _))) =
                 ends.first_key_value().filter(|((at, _), _)| *at <= now)
             {
-                if ends
-                    .remove(&at)
-                    .is_some_and(|(_, size, _)| size < 64 * KIB && room.place(id) == Place::File)
-                {
+                if ends.remove(&at).is_some_and(|(_, size, _)| {
+                    size < 64 * KIB && room.storage(id) == Storage::File
+                }) {
                     small_in_files += 1;
                 }
-                room.over(id);
+                room.remove(id);
             }
             let size = (sizes.sample(&mut rng) as u64).clamp(100, 200 * MIB);
             let tenant = rng.random_range(0..20);
@@ -278,22 +281,22 @@
             };
             bodies += 1;
             small += u64::from(size < 64 * KIB);
-            match room.place(id) {
-                Place::File => written += size,
-                Place::NotKept => not_kept += 1,
-                Place::Memory => {}
+            match room.storage(id) {
+                Storage::File => written += size,
+                Storage::NotStored => not_kept += 1,
+                Storage::Memory => {}
             }
             ends.insert(
                 (now + (stays.sample(&mut rng) * 1e6) as u64, n),
                 (id, size, false),
             );
             // Moving takes a while; here it is done at once.
-            while let Some(id) = room.move_out() {
+            while let Some(id) = room.start_eviction() {
                 written += ends
                     .values()
                     .find(|(i, _, _)| *i == id)
                     .map_or(0, |(_, size, _)| *size);
-                room.moved(id, true);
+                room.finish_eviction(id, true);
             }
         }
         let share = |part: u64, of: u64| 100.0 * part as f64 / of.max(1) as f64;
--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -1,8 +1,10 @@
 //! A body that passes through: bytes come in at one end, are kept as the room decides, and are read at the other while
 //! they still come. What is not kept passes through a window, so that a slow reader holds the writer back.
 
-use crate::room::{BodyId, Limits, Place, Policy, Refused, Room, PIECE, WINDOW};
-use crate::spool::{Fault, Slot, Spool};
+use crate::capacity::{
+    AdmissionError, BodyId, Capacity, EvictionPolicy, Limits, Storage, PIECE, WINDOW,
+};
+use crate::spool::{Slot, Spool, SpoolError};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -18,17 +20,17 @@
     /// Bodies that had come whole and were there then.
     pub bodies: u64,
     /// Dispatches after the first that read one again.
-    pub further: u64,
+    pub retry_reads: u64,
     /// A retry was wanted, and the body was not there any more.
-    pub missed: u64,
+    pub missing: u64,
 }
 
 /// All bodies in flight, within one budget.
 pub struct Store {
-    room: Mutex<Room>,
+    room: Mutex<Capacity>,
     spool: Option<Arc<Spool>>,
     bodies: Mutex<HashMap<BodyId, Weak<Body>>>,
-    counts: Mutex<BTreeMap<(usize, Place), Counts>>,
+    counts: Mutex<BTreeMap<(usize, Storage), Counts>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -37,9 +39,19 @@
 
 impl Store {
     /// A store with a spool for what goes to files; without one nothing does.
-    pub fn new(limits: Limits, policy: Policy, spool: Option<Spool>) -> Arc<Self> {
-        let files = if spool.is_some() { limits.files } else { 0 };
-        let room = Room::new(Limits { files, ..limits }, policy);
+    pub fn new(limits: Limits, policy: EvictionPolicy, spool: Option<Spool>) -> Arc<Self> {
+        let files = if spool.is_some() {
+            limits.file_bytes
+        } else {
+            0
+        };
+        let room = Capacity::new(
+            Limits {
+                file_bytes: files,
+                ..limits
+            },
+            policy,
+        );
         Arc::new(Store {
             room: Mutex::new(room),
             spool: spool.map(Arc::new),
@@ -48,12 +60,12 @@
         })
     }
 
-    fn count(&self, group: usize, place: Place, what: impl FnOnce(&mut Counts)) {
-        what(lock(&self.counts).entry((group, place)).or_default());
+    fn count(&self, class: usize, place: Storage, what: impl FnOnce(&mut Counts)) {
+        what(lock(&self.counts).entry((class, place)).or_default());
     }
 
-    /// What became of bodies so far, by group and place.
-    pub fn counts(&self) -> BTreeMap<(usize, Place), Counts> {
+    /// What became of bodies so far, by class and place.
+    pub fn counts(&self) -> BTreeMap<(usize, Storage), Counts> {
         lock(&self.counts).clone()
     }
 
@@ -70,10 +82,10 @@
     pub fn admit(
         self: &Arc<Self>,
         tenant: usize,
-        group: usize,
+        class: usize,
         length: Option<u64>,
-    ) -> Result<Arc<Body>, Refused> {
-        self.admit_as(tenant, group, length, false)
+    ) -> Result<Arc<Body>, AdmissionError> {
+        self.admit_as(tenant, class, length, false)
     }
 
     /// The same; a non-idempotent body is let go as it is sent.
@@ -84,17 +96,17 @@
     pub fn admit_as(
         self: &Arc<Self>,
         tenant: usize,
-        group: usize,
+        class: usize,
         length: Option<u64>,
         once_only: bool,
-    ) -> Result<Arc<Body>, Refused> {
-        let id = lock(&self.room).admit(tenant, group, length)?;
+    ) -> Result<Arc<Body>, AdmissionError> {
+        let id = lock(&self.room).admit(tenant, class, length)?;
         let inner = Inner {
             pieces: VecDeque::new(),
             came: 0,
             read: 0,
             number: 0,
-            state: State::Comes,
+            state: State::Receiving,
             whole_start: true,
             pending: BytesMut::new(),
         };
@@ -102,7 +114,7 @@
         let body = Arc::new(Body {
             store: self.clone(),
             id,
-            group,
+            class,
             length,
             once_only,
             inner,
@@ -113,10 +125,10 @@
     }
 
     /// Moves bodies from memory to files while memory is short.
-    async fn move_out(&self) {
+    async fn start_eviction(&self) {
         let Some(spool) = &self.spool else { return };
         loop {
-            let Some(id) = lock(&self.room).move_out() else {
+            let Some(id) = lock(&self.room).start_eviction() else {
                 return;
             };
             let body = lock(&self.bodies).get(&id).and_then(Weak::upgrade);
@@ -124,7 +136,7 @@
                 Some(body) => body.to_spool(spool).await,
                 None => false,
             };
-            lock(&self.room).moved(id, done);
+            lock(&self.room).finish_eviction(id, done);
             if !done {
                 return;
             }
@@ -152,9 +164,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Comes,
-    Whole,
-    CutOff,
+    Receiving,
+    Complete,
+    Truncated,
 }
 
 struct Inner {
@@ -177,7 +189,7 @@
 pub struct Body {
     store: Arc<Store>,
     id: BodyId,
-    group: usize,
+    class: usize,
     length: Option<u64>,
     once_only: bool,
     inner: Mutex<Inner>,
@@ -186,40 +198,40 @@
 
 /// Why a body can't be written on.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Stop {
-    Refused(Refused),
+pub enum PushError {
+    Rejected(AdmissionError),
     /// More bytes came than were told.
-    TooMany,
+    TooManyBytes,
 }
 
 /// Why a body can't be read on.
 #[derive(Debug)]
-pub enum ReadFault {
+pub enum ReadError {
     /// It was let go.
-    Gone,
+    Discarded,
     /// Its writer stopped before its end.
-    CutOff,
-    Spool(Fault),
+    Truncated,
+    Spool(SpoolError),
 }
 
-impl std::fmt::Display for ReadFault {
+impl std::fmt::Display for ReadError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            ReadFault::Gone => f.write_str("the body is not kept any more"),
-            ReadFault::CutOff => f.write_str("the body was cut off"),
-            ReadFault::Spool(fault) => write!(f, "{fault}"),
+            ReadError::Discarded => f.write_str("the body is not kept any more"),
+            ReadError::Truncated => f.write_str("the body was cut off"),
+            ReadError::Spool(fault) => write!(f, "{fault}"),
         }
     }
 }
 
-impl std::error::Error for ReadFault {}
+impl std::error::Error for ReadError {}
 
 impl Body {
     fn inner(&self) -> MutexGuard<'_, Inner> {
         lock(&self.inner)
     }
 
-    fn room(&self) -> MutexGuard<'_, Room> {
+    fn room(&self) -> MutexGuard<'_, Capacity> {
         lock(&self.store.room)
     }
 
@@ -229,27 +241,27 @@
     }
 
     /// The query class that it counts for.
-    pub fn group(&self) -> usize {
-        self.group
+    pub fn class(&self) -> usize {
+        self.class
     }
 
-    pub fn place(&self) -> Place {
-        self.room().place(self.id)
+    pub fn storage(&self) -> Storage {
+        self.room().storage(self.id)
     }
 
     /// Whether it can be read from its start, now and later.
-    pub fn is_kept(&self) -> bool {
-        self.inner().whole_start && self.place() != Place::NotKept
+    pub fn is_stored(&self) -> bool {
+        self.inner().whole_start && self.storage() != Storage::NotStored
     }
 
     /// Whether it can be read from its start, kept or not.
-    pub fn can_be_read(&self) -> bool {
+    pub fn is_readable_from_start(&self) -> bool {
         self.inner().whole_start
     }
 
     /// Whether all of it has come.
-    pub fn is_whole(&self) -> bool {
-        self.inner().state == State::Whole
+    pub fn is_complete(&self) -> bool {
+        self.inner().state == State::Complete
     }
 
     /// Takes in more bytes. It waits for the file, or, where the body is not kept, for the reader.
@@ -257,19 +269,19 @@
     /// # Errors
     ///
     /// The body is too long, or can't be kept though it must be.
-    pub async fn push(&self, bytes: Bytes) -> Result<(), Stop> {
+    pub async fn push(&self, bytes: Bytes) -> Result<(), PushError> {
         let now = {
             let inner = self.inner();
             inner.came + inner.pending.len() as u64 + bytes.len() as u64
         };
         if self.length.is_some_and(|told| now > told) {
-            return Err(Stop::TooMany);
+            return Err(PushError::TooManyBytes);
         }
         let place = self
             .room()
-            .came(self.id, bytes.len() as u64)
-            .map_err(Stop::Refused)?;
-        let least = if place == Place::File {
+            .receive(self.id, bytes.len() as u64)
+            .map_err(PushError::Rejected)?;
+        let least = if place == Storage::File {
             PIECE as usize
         } else {
             CHUNK
@@ -296,17 +308,17 @@
 
     /// Takes in a piece, wherever the body is kept now.
     async fn take_in(&self, piece: Bytes) {
-        match (self.place(), self.store.spool.clone()) {
-            (Place::Memory, _) => self.add(Kept::Memory(piece)),
-            (Place::File, Some(spool)) => match self.write(&spool, piece.clone()).await {
+        match (self.storage(), self.store.spool.clone()) {
+            (Storage::Memory, _) => self.add(Kept::Memory(piece)),
+            (Storage::File, Some(spool)) => match self.write(&spool, piece.clone()).await {
                 Some(kept) => self.add(kept),
                 // A full disk: what came goes on, and is not kept.
                 None => {
-                    self.room().not_kept(self.id);
+                    self.room().stop_storing(self.id);
                     self.through(piece).await;
                 }
             },
-            (Place::File | Place::NotKept, _) => self.through(piece).await,
+            (Storage::File | Storage::NotStored, _) => self.through(piece).await,
         }
     }
 
@@ -327,7 +339,7 @@
             waits.as_mut().enable();
             let room = {
                 let inner = self.inner();
-                inner.came - inner.read < WINDOW || inner.state == State::CutOff
+                inner.came - inner.read < WINDOW || inner.state == State::Truncated
             };
             if room {
                 break;
@@ -362,30 +374,34 @@
         let whole = {
             let mut inner = self.inner();
             let whole = self.length.is_none_or(|told| told == inner.came);
-            inner.state = if whole { State::Whole } else { State::CutOff };
+            inner.state = if whole {
+                State::Complete
+            } else {
+                State::Truncated
+            };
             whole
         };
         self.changed.notify_waiters();
         if whole {
             self.store
-                .count(self.group, self.place(), |c| c.bodies += 1);
-            self.store.move_out().await;
+                .count(self.class, self.storage(), |c| c.bodies += 1);
+            self.store.start_eviction().await;
         }
     }
 
     /// Its writer stopped before the end.
-    pub fn cut_off(&self) {
+    pub fn mark_truncated(&self) {
         let mut inner = self.inner();
-        if inner.state == State::Comes {
-            inner.state = State::CutOff;
+        if inner.state == State::Receiving {
+            inner.state = State::Truncated;
         }
         drop(inner);
         self.changed.notify_waiters();
     }
 
     /// Lets go of it: what was read is gone, and what is read will be.
-    pub fn let_go(&self) {
-        self.room().not_kept(self.id);
+    pub fn discard(&self) {
+        self.room().stop_storing(self.id);
         self.drop_read();
     }
 
@@ -410,7 +426,7 @@
         }
         drop(inner);
         if memory + file > 0 {
-            self.room().freed(self.id, memory, file);
+            self.room().release_read(self.id, memory, file);
         }
     }
 
@@ -448,19 +464,19 @@
     /// # Errors
     ///
     /// Its start was let go.
-    pub fn reader(self: &Arc<Self>, further: bool) -> Result<Reader, ReadFault> {
+    pub fn reader(self: &Arc<Self>, is_retry: bool) -> Result<Reader, ReadError> {
         let mut inner = self.inner();
         if !inner.whole_start {
             drop(inner);
             self.store
-                .count(self.group, Place::NotKept, |c| c.missed += 1);
-            return Err(ReadFault::Gone);
+                .count(self.class, Storage::NotStored, |c| c.missing += 1);
+            return Err(ReadError::Discarded);
         }
         inner.read = 0;
         drop(inner);
-        if further {
+        if is_retry {
             self.store
-                .count(self.group, self.place(), |c| c.further += 1);
+                .count(self.class, self.storage(), |c| c.retry_reads += 1);
         }
         Ok(Reader {
             body: self.clone(),
@@ -485,7 +501,7 @@
             .drain(..)
             .for_each(|(_, kept)| free(kept, &spool));
         lock(&self.store.bodies).remove(&self.id);
-        lock(&self.store.room).over(self.id);
+        lock(&self.store.room).remove(self.id);
     }
 }
 
@@ -507,7 +523,7 @@
     /// # Errors
     ///
     /// It can't be read on, and what was read is not whole.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, ReadFault> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         let (begins, kept) = loop {
             let waits = self.body.changed.notified();
             tokio::pin!(waits);
@@ -526,19 +542,19 @@
         let bytes = bytes.slice((self.at - begins) as usize..);
         self.at += bytes.len() as u64;
         self.body.inner().read = self.at;
-        if self.body.once_only && self.body.place() != Place::NotKept {
-            self.body.room().not_kept(self.body.id);
+        if self.body.once_only && self.body.storage() != Storage::NotStored {
+            self.body.room().stop_storing(self.body.id);
         }
-        if self.body.place() == Place::NotKept {
+        if self.body.storage() == Storage::NotStored {
             self.body.drop_read();
         }
         self.body.changed.notify_waiters();
         Ok(Some(bytes))
     }
 
-    async fn read(&self, kept: Arc<Kept>) -> Result<Bytes, ReadFault> {
+    async fn read(&self, kept: Arc<Kept>) -> Result<Bytes, ReadError> {
         let Some(spool) = self.body.store.spool.clone() else {
-            return Err(ReadFault::Gone);
+            return Err(ReadError::Discarded);
         };
         let id = self.body.id.0;
         let read = spawn_blocking(move || {
@@ -556,23 +572,23 @@
         });
         Ok(Bytes::from(
             read.await
-                .map_err(|_| ReadFault::Gone)?
-                .map_err(ReadFault::Spool)?,
+                .map_err(|_| ReadError::Discarded)?
+                .map_err(ReadError::Spool)?,
         ))
     }
 
     /// Bytes read so far.
-    pub fn at(&self) -> u64 {
+    pub fn position(&self) -> u64 {
         self.at
     }
 
     /// Whether all has been read.
     pub fn is_at_end(&self) -> bool {
         let inner = self.body.inner();
-        inner.state == State::Whole && self.at == inner.came
+        inner.state == State::Complete && self.at == inner.came
     }
 
-    fn look(&self) -> Result<Look, ReadFault> {
+    fn look(&self) -> Result<Look, ReadError> {
         let inner = self.body.inner();
         let after = inner
             .pieces
@@ -580,11 +596,11 @@
         let piece = after.checked_sub(1).and_then(|n| inner.pieces.get(n));
         match piece.filter(|(begins, kept)| self.at < begins + kept.len()) {
             Some((begins, kept)) => Ok(Look::Piece(*begins, kept.clone())),
-            None if self.at < inner.came => Err(ReadFault::Gone),
+            None if self.at < inner.came => Err(ReadError::Discarded),
             None => match inner.state {
-                State::Whole => Ok(Look::End),
-                State::CutOff => Err(ReadFault::CutOff),
-                State::Comes => Ok(Look::Wait),
+                State::Complete => Ok(Look::End),
+                State::Truncated => Err(ReadError::Truncated),
+                State::Receiving => Ok(Look::Wait),
             },
         }
     }
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -48,13 +48,13 @@
 
 fn limits() -> Limits {
     Limits {
-        memory: 4 * MIB,
-        files: 64 * MIB,
-        batch_memory: MIB,
-        batch: 32 * MIB,
-        share: 1.0,
-        unknown_length: true,
-        must_keep: Vec::new(),
+        memory_bytes: 4 * MIB,
+        file_bytes: 64 * MIB,
+        max_body_memory_bytes: MIB,
+        max_body_bytes: 32 * MIB,
+        tenant_share: 1.0,
+        unknown_length_allowed: true,
+        storage_required: Vec::new(),
     }
 }
 
@@ -62,7 +62,10 @@
     let fake = Fake::default();
     fake.left.store(left, Ordering::Relaxed);
     let spool = Spool::new(fake.clone(), 64 * MIB);
-    (Store::new(limits(), Policy::Largest, Some(spool)), fake)
+    (
+        Store::new(limits(), EvictionPolicy::Largest, Some(spool)),
+        fake,
+    )
 }
 
 fn bytes(length: u64) -> Bytes {
@@ -80,8 +83,8 @@
     body.finish().await;
 }
 
-async fn read(body: &Arc<Body>, further: bool) -> Result<Vec<u8>, ReadFault> {
-    let mut reader = body.reader(further)?;
+async fn read(body: &Arc<Body>, is_retry: bool) -> Result<Vec<u8>, ReadError> {
+    let mut reader = body.reader(is_retry)?;
     let mut out = Vec::new();
     while let Some(bytes) = reader.next().await? {
         out.extend_from_slice(&bytes);
@@ -110,24 +113,24 @@
                 let body = store.admit(0, 0, told).expect("room");
                 let all = bytes(length);
                 fill(&body, all.clone(), step).await;
-                for further in [false, true, true] {
+                for is_retry in [false, true, true] {
                     assert!(
-                        read(&body, further).await.expect("it is kept") == all,
+                        read(&body, is_retry).await.expect("it is kept") == all,
                         "{length} {told:?} {step}"
                     );
                 }
                 let place = if length <= MIB {
-                    Place::Memory
+                    Storage::Memory
                 } else {
-                    Place::File
+                    Storage::File
                 };
                 let counts = store.counts()[&(0, place)];
                 assert_eq!(
                     counts,
                     Counts {
                         bodies: 1,
-                        further: 2,
-                        missed: 0
+                        retry_reads: 2,
+                        missing: 0
                     },
                     "{length} {told:?}"
                 );
@@ -155,7 +158,7 @@
     };
     let mut reader = body.reader(false).expect("its start");
     let first = reader.next().await.expect("bytes").expect("not the end");
-    assert!(!first.is_empty() && !body.is_whole());
+    assert!(!first.is_empty() && !body.is_complete());
     let mut out = first.to_vec();
     while let Some(more) = reader.next().await.expect("bytes") {
         out.extend_from_slice(&more);
@@ -180,12 +183,12 @@
             "after {writes} writes"
         );
         writer.await.expect("written");
-        assert!(!body.is_kept());
+        assert!(!body.is_stored());
         assert!(
-            matches!(body.reader(true), Err(ReadFault::Gone)),
+            matches!(body.reader(true), Err(ReadError::Discarded)),
             "not again"
         );
-        assert_eq!(store.counts()[&(0, Place::NotKept)].missed, 1);
+        assert_eq!(store.counts()[&(0, Storage::NotStored)].missing, 1);
         fake.left.store(-1, Ordering::Relaxed);
         drop(body);
         assert_eq!(
@@ -203,7 +206,7 @@
     fake.damaged.store(1, Ordering::Relaxed);
     assert!(matches!(
         read(&body, false).await,
-        Err(ReadFault::Spool(Fault::Damaged))
+        Err(ReadError::Spool(SpoolError::Damaged))
     ));
 }
 
@@ -212,12 +215,12 @@
 async fn a_slow_reader_holds_the_writer_back() {
     let store = Store::new(
         Limits {
-            memory: MIB,
-            files: 0,
-            batch_memory: 0,
+            memory_bytes: MIB,
+            file_bytes: 0,
+            max_body_memory_bytes: 0,
             ..limits()
         },
-        Policy::Largest,
+        EvictionPolicy::Largest,
         None,
     );
     let body = store.admit(0, 0, Some(8 * MIB)).expect("it passes through");
@@ -247,17 +250,17 @@
         };
         sleep(Duration::from_millis(10)).await;
         match cut {
-            "stops" => body.cut_off(),
+            "stops" => body.mark_truncated(),
             _ => body.finish().await,
         }
         let told = timeout(Duration::from_secs(1), reading)
             .await
             .expect("it ends")
             .expect("no panic");
-        assert!(matches!(told, Err(ReadFault::CutOff)), "{cut}");
+        assert!(matches!(told, Err(ReadError::Truncated)), "{cut}");
     }
     let body = store.admit(0, 0, Some(10)).expect("room");
-    assert_eq!(body.push(bytes(11)).await, Err(Stop::TooMany));
+    assert_eq!(body.push(bytes(11)).await, Err(PushError::TooManyBytes));
 }
 
 /// Once-only bodies are let go as they are sent.
@@ -275,14 +278,14 @@
             .expect("bytes")
             .expect("not the end")
             .to_vec();
-        body.let_go();
-        assert!(!body.is_kept());
+        body.discard();
+        assert!(!body.is_stored());
         while let Some(more) = reader.next().await.expect("bytes") {
             out.extend_from_slice(&more);
         }
         assert!(out == all, "its one reader has all of it");
         drop(reader);
-        assert!(matches!(body.reader(true), Err(ReadFault::Gone)));
+        assert!(matches!(body.reader(true), Err(ReadError::Discarded)));
         assert!(
             store.used().0 <= WINDOW && store.used().1 == 0,
             "{:?}",
@@ -305,7 +308,7 @@
     }
     let moved: Vec<u64> = all
         .iter()
-        .filter(|(_, b)| b.place() == Place::File)
+        .filter(|(_, b)| b.storage() == Storage::File)
         .map(|(s, _)| *s >> 10)
         .collect();
     assert_eq!(
--- a/crates/bodies/src/room.rs
+++ b/crates/bodies/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Where bodies go. Room is reserved before bytes come; all that is kept stays within the budgets at every moment, and
+//! Where bodies go. Capacity is reserved before bytes come; all that is kept stays within the budgets at every moment, and
 //! no tenant has more than its share of either while another waits for some.
 
 use std::collections::BTreeMap;
@@ -15,26 +15,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Bytes in memory, in all.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Bytes in files, in all; 0 where there are none.
-    pub files: u64,
+    pub file_bytes: u64,
     /// Bytes of one body in memory; a longer one goes to files.
-    pub batch_memory: u64,
+    pub max_body_memory_bytes: u64,
     /// Bytes of one body; a longer one is refused.
-    pub batch: u64,
+    pub max_body_bytes: u64,
     /// Part of each budget that one tenant may have, 0 to 1.
-    pub share: f64,
+    pub tenant_share: f64,
     /// Whether a body may come whose length is not told.
-    pub unknown_length: bool,
+    pub unknown_length_allowed: bool,
     /// By query class: whether a query is rejected whose body can't be kept.
-    pub must_keep: Vec<bool>,
+    pub storage_required: Vec<bool>,
 }
 
 /// What moves to files when memory runs short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Policy {
+pub enum EvictionPolicy {
     /// Nothing: what comes when memory is full goes to files.
-    Newest,
+    Never,
     Largest,
     Oldest,
 }
@@ -44,35 +44,46 @@
 pub struct BodyId(pub u64);
 
 /// Where a body's next bytes go.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Place {
+#[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum Storage {
     Memory,
     File,
-    NotKept,
+    NotStored,
+}
+
+/// Logs name the kinds of storage by this text.
+impl std::fmt::Debug for Storage {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        f.write_str(match self {
+            Storage::Memory => "Memory",
+            Storage::File => "File",
+            Storage::NotStored => "NotKept",
+        })
+    }
 }
 
 /// Why a body is not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum AdmissionError {
     /// It is longer than any may be, in bytes.
-    TooLarge { most: u64 },
+    TooLarge { max_bytes: u64 },
     /// Its length is not told, and may not be unknown.
     UnknownLength,
-    /// It can't be kept now, and its group must be able to be dispatched again.
-    NoRoom,
+    /// It can't be kept now, and its class must be able to be dispatched again.
+    NoCapacity,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Held {
     tenant: usize,
-    group: usize,
+    class: usize,
     /// Reserved.
     memory: u64,
     file: u64,
     /// Bytes that came, where the length is not told.
     came: u64,
     told: bool,
-    place: Place,
+    place: Storage,
     /// Its memory is on its way to a file, for which room is reserved.
     moving: bool,
 }
@@ -85,9 +96,9 @@
 
 /// Bodies in flight and what is reserved for them.
 #[derive(Debug)]
-pub struct Room {
+pub struct Capacity {
     limits: Limits,
-    policy: Policy,
+    policy: EvictionPolicy,
     next: u64,
     /// Memory ran short, and bodies move out until it is well again.
     short: bool,
@@ -102,9 +113,9 @@
     bytes.div_ceil(PIECE) * PIECE
 }
 
-impl Room {
-    pub fn new(limits: Limits, policy: Policy) -> Self {
-        Room {
+impl Capacity {
+    pub fn new(limits: Limits, policy: EvictionPolicy) -> Self {
+        Capacity {
             limits,
             policy,
             next: 0,
@@ -121,12 +132,16 @@
 
     fn fits(&self, tenant: usize, more: Sum) -> bool {
         let own = self.tenants.get(&tenant).copied().unwrap_or_default();
-        let share = |budget: u64| (budget as f64 * self.limits.share) as u64;
+        let share = |budget: u64| (budget as f64 * self.limits.tenant_share) as u64;
         let within = |own: u64, all: u64, more: u64, budget: u64| {
             more == 0 || (all + more <= budget && own + more <= share(budget))
         };
-        within(own.memory, self.all.memory, more.memory, self.limits.memory)
-            && within(own.file, self.all.file, more.file, self.limits.files)
+        within(
+            own.memory,
+            self.all.memory,
+            more.memory,
+            self.limits.memory_bytes,
+        ) && within(own.file, self.all.file, more.file, self.limits.file_bytes)
     }
 
     fn reserve(&mut self, id: BodyId, more: Sum) {
@@ -155,7 +170,7 @@
         }
     }
 
-    /// Reserves room for a body before its bytes come. With no length told it grows by [`Room::came`].
+    /// Reserves room for a body before its bytes come. With no length told it grows by [`Capacity::receive`].
     ///
     /// # Errors
     ///
@@ -163,42 +178,49 @@
     pub fn admit(
         &mut self,
         tenant: usize,
-        group: usize,
+        class: usize,
         length: Option<u64>,
-    ) -> Result<BodyId, Refused> {
-        let most = self.limits.batch;
+    ) -> Result<BodyId, AdmissionError> {
+        let most = self.limits.max_body_bytes;
         match length {
-            Some(length) if length > most => return Err(Refused::TooLarge { most }),
-            None if !self.limits.unknown_length => return Err(Refused::UnknownLength),
+            Some(length) if length > most => {
+                return Err(AdmissionError::TooLarge { max_bytes: most })
+            }
+            None if !self.limits.unknown_length_allowed => {
+                return Err(AdmissionError::UnknownLength)
+            }
             _ => {}
         }
         let first = length.unwrap_or(PIECE.min(most));
         // What may come to a file or through a window has room for that from the start.
         let window = |place| Sum {
-            memory: if place == Place::Memory && length.is_some() {
+            memory: if place == Storage::Memory && length.is_some() {
                 0
             } else {
                 WINDOW
             },
             file: 0,
         };
-        let wanted = |place: Place| {
+        let wanted = |place: Storage| {
             let (kept, window) = (sum_at(place, first), window(place));
             Sum {
                 memory: kept.memory + window.memory,
                 file: kept.file,
             }
         };
-        let can = |place: &Place| match place {
-            Place::Memory => {
-                first <= self.limits.batch_memory && self.fits(tenant, wanted(Place::Memory))
+        let can = |place: &Storage| match place {
+            Storage::Memory => {
+                first <= self.limits.max_body_memory_bytes
+                    && self.fits(tenant, wanted(Storage::Memory))
+            }
+            Storage::File => self.limits.file_bytes > 0 && self.fits(tenant, wanted(Storage::File)),
+            Storage::NotStored => {
+                !self.must_keep(class) && self.fits(tenant, wanted(Storage::NotStored))
             }
-            Place::File => self.limits.files > 0 && self.fits(tenant, wanted(Place::File)),
-            Place::NotKept => !self.must_keep(group) && self.fits(tenant, wanted(Place::NotKept)),
         };
-        let places = [Place::Memory, Place::File, Place::NotKept];
+        let places = [Storage::Memory, Storage::File, Storage::NotStored];
         let Some(place) = places.into_iter().find(|place| can(place)) else {
-            return Err(Refused::NoRoom);
+            return Err(AdmissionError::NoCapacity);
         };
         let id = BodyId(self.next);
         self.next += 1;
@@ -207,7 +229,7 @@
             id,
             Held {
                 tenant,
-                group,
+                class,
                 memory: 0,
                 file: 0,
                 came: 0,
@@ -221,21 +243,21 @@
     }
 
     /// Where so many more bytes of a body would go that has so many in all then.
-    fn place_for(&self, tenant: usize, more: u64, in_all: u64) -> Place {
-        let memory = sum_at(Place::Memory, more);
-        if in_all <= self.limits.batch_memory && self.fits(tenant, memory) {
-            Place::Memory
-        } else if self.limits.files > 0 && self.fits(tenant, sum_at(Place::File, more)) {
-            Place::File
+    fn place_for(&self, tenant: usize, more: u64, in_all: u64) -> Storage {
+        let memory = sum_at(Storage::Memory, more);
+        if in_all <= self.limits.max_body_memory_bytes && self.fits(tenant, memory) {
+            Storage::Memory
+        } else if self.limits.file_bytes > 0 && self.fits(tenant, sum_at(Storage::File, more)) {
+            Storage::File
         } else {
-            Place::NotKept
+            Storage::NotStored
         }
     }
 
-    fn must_keep(&self, group: usize) -> bool {
+    fn must_keep(&self, class: usize) -> bool {
         self.limits
-            .must_keep
-            .get(group)
+            .storage_required
+            .get(class)
             .copied()
             .unwrap_or_default()
     }
@@ -245,41 +267,43 @@
     /// # Errors
     ///
     /// It is longer than any may be, or can't be kept any more though it must.
-    pub fn came(&mut self, id: BodyId, bytes: u64) -> Result<Place, Refused> {
+    pub fn receive(&mut self, id: BodyId, bytes: u64) -> Result<Storage, AdmissionError> {
         let Some(held) = self.held.get_mut(&id) else {
-            return Ok(Place::NotKept);
+            return Ok(Storage::NotStored);
         };
         held.came += bytes;
         let held = held.clone();
-        if held.came > self.limits.batch {
-            return Err(Refused::TooLarge {
-                most: self.limits.batch,
+        if held.came > self.limits.max_body_bytes {
+            return Err(AdmissionError::TooLarge {
+                max_bytes: self.limits.max_body_bytes,
             });
         }
-        if held.told || held.place == Place::NotKept {
+        if held.told || held.place == Storage::NotStored {
             return Ok(held.place);
         }
         // By pieces, so that room is not asked for with each few bytes.
         let reserved = held.memory - WINDOW + held.file;
-        let wanted = in_pieces(held.came).min(in_pieces(self.limits.batch));
+        let wanted = in_pieces(held.came).min(in_pieces(self.limits.max_body_bytes));
         if wanted <= reserved {
             return Ok(held.place);
         }
         let more = wanted - reserved;
         // What goes to a file goes on there.
         let place = match (held.place, self.place_for(held.tenant, more, wanted)) {
-            (Place::File, Place::Memory) if self.fits(held.tenant, sum_at(Place::File, more)) => {
-                Place::File
+            (Storage::File, Storage::Memory)
+                if self.fits(held.tenant, sum_at(Storage::File, more)) =>
+            {
+                Storage::File
             }
-            (Place::File, Place::Memory) => Place::NotKept,
+            (Storage::File, Storage::Memory) => Storage::NotStored,
             (_, place) => place,
         };
-        if place == Place::NotKept {
-            if self.must_keep(held.group) {
-                return Err(Refused::NoRoom);
+        if place == Storage::NotStored {
+            if self.must_keep(held.class) {
+                return Err(AdmissionError::NoCapacity);
             }
-            self.not_kept(id);
-            return Ok(Place::NotKept);
+            self.stop_storing(id);
+            return Ok(Storage::NotStored);
         }
         self.reserve(id, sum_at(place, more));
         self.held.entry(id).and_modify(|h| h.place = place);
@@ -288,8 +312,8 @@
 
     /// The next body that is to move from memory to a file, whose room there is reserved; none while memory is not
     /// short. Tenants with more than an even part of what is used pay first.
-    pub fn move_out(&mut self) -> Option<BodyId> {
-        if self.policy == Policy::Newest || self.limits.files == 0 {
+    pub fn start_eviction(&mut self) -> Option<BodyId> {
+        if self.policy == EvictionPolicy::Never || self.limits.file_bytes == 0 {
             return None;
         }
         let moving: u64 = self
@@ -300,7 +324,7 @@
             .sum();
         let left = (self.all.memory - moving) as f64;
         let from = if self.short { LOW } else { HIGH };
-        self.short = left > self.limits.memory as f64 * from;
+        self.short = left > self.limits.memory_bytes as f64 * from;
         if !self.short {
             return None;
         }
@@ -318,11 +342,11 @@
                     file: in_pieces(h.memory),
                 },
             );
-            h.place == Place::Memory && h.told && !h.moving && h.memory > 0 && room
+            h.place == Storage::Memory && h.told && !h.moving && h.memory > 0 && room
         };
         let candidates = self.held.iter().filter(can);
         let chosen = match self.policy {
-            Policy::Largest => {
+            EvictionPolicy::Largest => {
                 candidates.max_by_key(|(id, h)| (pays(h), h.memory, std::cmp::Reverse(**id)))
             }
             _ => candidates.max_by_key(|(id, h)| (pays(h), std::cmp::Reverse(**id))),
@@ -334,15 +358,15 @@
     }
 
     /// A body that was to move is in its file now; or it is not, and stays where it was.
-    pub fn moved(&mut self, id: BodyId, done: bool) {
+    pub fn finish_eviction(&mut self, id: BodyId, done: bool) {
         let Some(held) = self.held.get_mut(&id).filter(|h| h.moving) else {
             return;
         };
         held.moving = false;
         let (memory, file) = (held.memory, in_pieces(held.memory));
         if done {
-            if held.place == Place::Memory {
-                held.place = Place::File;
+            if held.place == Storage::Memory {
+                held.place = Storage::File;
             }
             self.release(id, Sum { memory, file: 0 });
         } else {
@@ -351,19 +375,19 @@
     }
 
     /// A body is not kept any more: it was let go, or its file failed. What is still to be read of it stays reserved
-    /// until [`Room::freed`] tells that it was.
-    pub fn not_kept(&mut self, id: BodyId) {
+    /// until [`Capacity::release_read`] tells that it was.
+    pub fn stop_storing(&mut self, id: BodyId) {
         if let Some(held) = self.held.get_mut(&id) {
-            held.place = Place::NotKept;
+            held.place = Storage::NotStored;
         }
     }
 
     /// So many bytes of a body that is not kept are gone.
-    pub fn freed(&mut self, id: BodyId, memory: u64, file: u64) {
+    pub fn release_read(&mut self, id: BodyId, memory: u64, file: u64) {
         let Some(held) = self
             .held
             .get(&id)
-            .filter(|h| h.place == Place::NotKept && !h.moving)
+            .filter(|h| h.place == Storage::NotStored && !h.moving)
         else {
             return;
         };
@@ -374,7 +398,7 @@
     }
 
     /// A body's query is over.
-    pub fn over(&mut self, id: BodyId) {
+    pub fn remove(&mut self, id: BodyId) {
         if let Some(held) = self.held.get(&id) {
             let all = Sum {
                 memory: held.memory,
@@ -385,8 +409,8 @@
         }
     }
 
-    pub fn place(&self, id: BodyId) -> Place {
-        self.held.get(&id).map_or(Place::NotKept, |h| h.place)
+    pub fn storage(&self, id: BodyId) -> Storage {
+        self.held.get(&id).map_or(Storage::NotStored, |h| h.place)
     }
 
     /// Bytes reserved in memory and in files.
@@ -403,17 +427,17 @@
     }
 }
 
-fn sum_at(place: Place, bytes: u64) -> Sum {
+fn sum_at(place: Storage, bytes: u64) -> Sum {
     match place {
-        Place::Memory => Sum {
+        Storage::Memory => Sum {
             memory: bytes,
             file: 0,
         },
-        Place::File => Sum {
+        Storage::File => Sum {
             memory: 0,
             file: in_pieces(bytes),
         },
-        Place::NotKept => Sum::default(),
+        Storage::NotStored => Sum::default(),
     }
 }
 
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -2,7 +2,7 @@
 //! leaves nothing that holds a place on the disk, and it costs one descriptor however many bodies it holds. Each slot
 //! says whose it is and has a checksum: a damaged or mistaken one is an error, never a wrong statement.
 
-use crate::room::PIECE;
+use crate::capacity::PIECE;
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -37,7 +37,7 @@
         let named = |path: &Path, e: io::Error| {
             io::Error::new(e.kind(), format!("{}: {e}", path.display()))
         };
-        left_overs(directory, gateway).map_err(|e| named(directory, e))?;
+        remove_leftover_files(directory, gateway).map_err(|e| named(directory, e))?;
         let nanos = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
@@ -55,7 +55,7 @@
 }
 
 /// Removes files that a killed gateway of this name has left between making and unlinking them; no others. How many.
-pub fn left_overs(directory: &Path, gateway: &str) -> io::Result<usize> {
+pub fn remove_leftover_files(directory: &Path, gateway: &str) -> io::Result<usize> {
     let mut removed = 0;
     for entry in std::fs::read_dir(directory)? {
         let path: PathBuf = entry?.path();
@@ -91,7 +91,7 @@
 
 /// Why a piece can't be had.
 #[derive(Debug)]
-pub enum Fault {
+pub enum SpoolError {
     /// All slots are taken.
     Full,
     /// The disk said so.
@@ -100,17 +100,17 @@
     Damaged,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for SpoolError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Fault::Full => f.write_str("the spool is full"),
-            Fault::Disk(e) => write!(f, "{e}"),
-            Fault::Damaged => f.write_str("a piece of the spool is damaged"),
+            SpoolError::Full => f.write_str("the spool is full"),
+            SpoolError::Disk(e) => write!(f, "{e}"),
+            SpoolError::Damaged => f.write_str("a piece of the spool is damaged"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SpoolError {}
 
 /// A slot that holds a piece.
 #[derive(Debug, PartialEq, Eq)]
@@ -152,9 +152,9 @@
     /// # Errors
     ///
     /// The slot is free again then.
-    pub fn write(&self, body: u64, number: u32, bytes: &[u8]) -> Result<Slot, Fault> {
+    pub fn write(&self, body: u64, number: u32, bytes: &[u8]) -> Result<Slot, SpoolError> {
         if bytes.len() as u64 > PIECE {
-            return Err(Fault::Full);
+            return Err(SpoolError::Full);
         }
         let slot = {
             let mut slots = self.slots();
@@ -164,7 +164,7 @@
                     slots.fresh += 1;
                     slots.fresh - 1
                 }
-                None => return Err(Fault::Full),
+                None => return Err(SpoolError::Full),
             }
         };
         let mut out = head(body, number, bytes).to_vec();
@@ -173,7 +173,7 @@
             Ok(()) => Ok(Slot(slot)),
             Err(e) => {
                 self.slots().free.push(slot);
-                Err(Fault::Disk(e))
+                Err(SpoolError::Disk(e))
             }
         }
     }
@@ -185,18 +185,18 @@
         body: u64,
         number: u32,
         length: usize,
-    ) -> Result<Vec<u8>, Fault> {
+    ) -> Result<Vec<u8>, SpoolError> {
         let mut out = vec![0; HEAD + length];
         self.media
             .read_at(&mut out, u64::from(slot.0) * SLOT)
             .map_err(|e| match e.kind() {
-                io::ErrorKind::UnexpectedEof => Fault::Damaged,
-                _ => Fault::Disk(e),
+                io::ErrorKind::UnexpectedEof => SpoolError::Damaged,
+                _ => SpoolError::Disk(e),
             })?;
         let bytes = out.split_off(HEAD);
         match out == head(body, number, &bytes) {
             true => Ok(bytes),
-            false => Err(Fault::Damaged),
+            false => Err(SpoolError::Damaged),
         }
     }
 
--- a/crates/bodies/src/spool/tests.rs
+++ b/crates/bodies/src/spool/tests.rs
@@ -17,7 +17,7 @@
     );
     let a = spool.write(1, 0, b"first").expect("room");
     let b = spool.write(1, 1, &vec![7; PIECE as usize]).expect("room");
-    assert!(matches!(spool.write(2, 0, b"x"), Err(Fault::Full)));
+    assert!(matches!(spool.write(2, 0, b"x"), Err(SpoolError::Full)));
     assert_eq!(spool.read(&a, 1, 0, 5).expect("kept"), b"first");
     assert_eq!(
         spool.read(&b, 1, 1, PIECE as usize).expect("kept"),
@@ -30,8 +30,8 @@
         (2, b"other".to_vec())
     );
     // A slot that is another's by now, or of another piece, proves itself.
-    assert!(matches!(spool.read(&c, 1, 0, 5), Err(Fault::Damaged)));
-    assert!(matches!(spool.read(&b, 1, 0, 5), Err(Fault::Damaged)));
+    assert!(matches!(spool.read(&c, 1, 0, 5), Err(SpoolError::Damaged)));
+    assert!(matches!(spool.read(&b, 1, 0, 5), Err(SpoolError::Damaged)));
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
@@ -50,14 +50,17 @@
         file.read_exact_at(&mut byte, at).expect("read");
         file.write_all_at(&[byte[0] ^ 0x10], at).expect("written");
         assert!(
-            matches!(spool.read(&slot, 5, 3, 27), Err(Fault::Damaged)),
+            matches!(spool.read(&slot, 5, 3, 27), Err(SpoolError::Damaged)),
             "byte {at}"
         );
         file.write_all_at(&byte, at).expect("written");
     }
     assert!(spool.read(&slot, 5, 3, 27).is_ok());
     file.set_len(10).expect("cut");
-    assert!(matches!(spool.read(&slot, 5, 3, 27), Err(Fault::Damaged)));
+    assert!(matches!(
+        spool.read(&slot, 5, 3, 27),
+        Err(SpoolError::Damaged)
+    ));
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
@@ -75,7 +78,7 @@
         "n0.garnetwall-spool",
     ];
     others.iter().for_each(|name| make(name));
-    assert_eq!(left_overs(&folder, "n0").expect("looked"), 2);
+    assert_eq!(remove_leftover_files(&folder, "n0").expect("looked"), 2);
     let mut left: Vec<_> = std::fs::read_dir(&folder)
         .expect("a folder")
         .map(|e| {
@@ -102,7 +105,7 @@
         .expect("/dev/full");
     let spool = Spool::new(Disk(file), 4 * PIECE);
     match spool.write(1, 0, b"x") {
-        Err(Fault::Disk(e)) => assert_eq!(e.kind(), io::ErrorKind::StorageFull),
+        Err(SpoolError::Disk(e)) => assert_eq!(e.kind(), io::ErrorKind::StorageFull),
         other => panic!("{other:?}"),
     }
     assert_eq!(spool.used(), 0);
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -6,7 +6,7 @@
 use crate::engines::connect::EngineConnection;
 use crate::engines::request::{RequestBody, Sender};
 use crate::engines::response::{receive_reply, CallError, Reply};
-use garnetwall_bodies::body::ReadFault;
+use garnetwall_bodies::ReadError;
 use garnetwall_ledger::Evidence;
 use http::Request;
 use std::future::Future;
@@ -174,7 +174,7 @@
         };
         if let Err(error) = body_result {
             tracing::debug!(%error, "request body could not be sent");
-            self.body_unreadable = !matches!(error, ReadFault::CutOff);
+            self.body_unreadable = !matches!(error, ReadError::Truncated);
             return Err(CallError::ConnectionLost);
         }
         self.await_response(time_limit, receiving).await
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -5,7 +5,7 @@
 use crate::engines::protocol::request_header;
 use crate::engines::request::{request, RequestBody, START_PATH};
 use bytes::Bytes;
-use garnetwall_bodies::body::ReadFault;
+use garnetwall_bodies::ReadError;
 use garnetwall_bodies::Reader;
 use garnetwall_ledger::Evidence;
 use http::header::CONTENT_LENGTH;
@@ -23,7 +23,7 @@
     reader: Reader,
     /// Its length in bytes, where the client declared it.
     length: Option<u64>,
-    sender: BodySender<Bytes, ReadFault>,
+    sender: BodySender<Bytes, ReadError>,
 }
 
 impl EngineAttempt<'_> {
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Why the body can't be read to its end; the connection is aborted then.
-    pub(super) async fn send_body(&mut self, body: StreamedBody) -> Result<(), ReadFault> {
+    pub(super) async fn send_body(&mut self, body: StreamedBody) -> Result<(), ReadError> {
         let StreamedBody {
             mut reader,
             length,
@@ -100,12 +100,12 @@
                     return Ok(());
                 }
                 Err(error) => {
-                    sender.abort(ReadFault::CutOff);
+                    sender.abort(ReadError::Truncated);
                     return Err(error);
                 }
             };
             // An engine runs an attempt only once it has received the whole body.
-            let is_last = length == Some(reader.at());
+            let is_last = length == Some(reader.position());
             if is_last {
                 self.record_request_written();
             }
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -3,7 +3,7 @@
 use super::call::Call;
 use crate::system::send_gate::SendGate;
 use bytes::Bytes;
-use garnetwall_bodies::body::ReadFault;
+use garnetwall_bodies::ReadError;
 use http::header::HOST;
 use http::{HeaderValue, Method, Request};
 use http_body_util::channel::Channel;
@@ -22,7 +22,7 @@
 pub(super) type Sender = http1::SendRequest<RequestBody>;
 
 /// A body that is complete, or that is still being received from the client.
-pub(super) type BodySource = Either<Full<Bytes>, Channel<Bytes, ReadFault>>;
+pub(super) type BodySource = Either<Full<Bytes>, Channel<Bytes, ReadError>>;
 
 /// The body of a request.
 pub(super) struct RequestBody {
--- a/crates/gateway/src/http/rejection.rs
+++ b/crates/gateway/src/http/rejection.rs
@@ -5,7 +5,7 @@
 use crate::scheduling::plan_routing::PlanRejection;
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
-use garnetwall_bodies::room::Refused;
+use garnetwall_bodies::AdmissionError;
 use garnetwall_settings::Decoded;
 use thiserror::Error;
 
@@ -129,12 +129,12 @@
     }
 }
 
-impl From<Refused> for Rejection {
-    fn from(refused: Refused) -> Self {
-        match refused {
-            Refused::TooLarge { most } => Rejection::BodyTooLong { max_bytes: most },
-            Refused::UnknownLength => Rejection::LengthRequired,
-            Refused::NoRoom => Rejection::BodyStoreFull,
+impl From<AdmissionError> for Rejection {
+    fn from(error: AdmissionError) -> Self {
+        match error {
+            AdmissionError::TooLarge { max_bytes } => Rejection::BodyTooLong { max_bytes },
+            AdmissionError::UnknownLength => Rejection::LengthRequired,
+            AdmissionError::NoCapacity => Rejection::BodyStoreFull,
         }
     }
 }
--- a/crates/gateway/src/http/rejection/tests.rs
+++ b/crates/gateway/src/http/rejection/tests.rs
@@ -38,7 +38,7 @@
             true,
         ),
         (
-            Refused::TooLarge { most: 7 }.into(),
+            AdmissionError::TooLarge { max_bytes: 7 }.into(),
             413,
             r#"{"error":"a body has 7 bytes at most"}"#,
             true,
@@ -50,7 +50,7 @@
             true,
         ),
         (
-            Refused::NoRoom.into(),
+            AdmissionError::NoCapacity.into(),
             503,
             r#"{"error":"Busy","reason":"no room for the body"}"#,
             true,
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -12,7 +12,7 @@
 use axum::body::Body;
 use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
-use garnetwall_bodies::room::Refused;
+use garnetwall_bodies::AdmissionError;
 use garnetwall_bodies::{Body as StoredBody, Store};
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
@@ -97,7 +97,7 @@
 
 impl Drop for CutOffOnDrop {
     fn drop(&mut self) {
-        self.0.cut_off();
+        self.0.mark_truncated();
     }
 }
 
@@ -112,7 +112,10 @@
             break;
         };
         prefix.extend_from_slice(&bytes);
-        stored.push(bytes).await.map_err(|_| Refused::NoRoom)?;
+        stored
+            .push(bytes)
+            .await
+            .map_err(|_| AdmissionError::NoCapacity)?;
     }
     Ok(prefix)
 }
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -208,7 +208,8 @@
 
     /// Reports that the statement can't be sent again, where its body has been discarded.
     fn report_discarded_body(&self) {
-        if matches!(&self.call.statement, Statement::Streamed(body) if !body.can_be_read()) {
+        if matches!(&self.call.statement, Statement::Streamed(body) if !body.is_readable_from_start())
+        {
             self.scheduler.body_discarded(self.id);
         }
     }
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -1,6 +1,6 @@
 //! Builds the store of request bodies that a plan configures, and logs its counts.
 
-use garnetwall_bodies::room::Policy;
+use garnetwall_bodies::EvictionPolicy;
 use garnetwall_bodies::{Disk, Limits, Spool, Store};
 use garnetwall_plan::model::Bodies;
 use std::io;
@@ -27,18 +27,18 @@
         None => None,
     };
     let limits = Limits {
-        memory: bodies.memory,
-        files: bodies.files,
-        batch_memory: bodies.batch_memory,
-        batch: bodies.batch,
-        share: bodies.share,
-        unknown_length: bodies.unknown_length,
-        must_keep: class_names
+        memory_bytes: bodies.memory,
+        file_bytes: bodies.files,
+        max_body_memory_bytes: bodies.batch_memory,
+        max_body_bytes: bodies.batch,
+        tenant_share: bodies.share,
+        unknown_length_allowed: bodies.unknown_length,
+        storage_required: class_names
             .iter()
             .map(|class| bodies.must_keep.contains(class))
             .collect(),
     };
-    Ok(Store::new(limits, Policy::Largest, spool))
+    Ok(Store::new(limits, EvictionPolicy::Largest, spool))
 }
 
 /// Logs, for each query class and kind of storage, the bodies received and the retries that read one again or found it missing.
@@ -48,8 +48,8 @@
             class = class_names.get(class).map_or("", String::as_str),
             ?storage,
             bodies = counts.bodies,
-            retry_reads = counts.further,
-            missing = counts.missed,
+            retry_reads = counts.retry_reads,
+            missing = counts.missing,
             "request bodies"
         );
     }
