--- /dev/null
+++ b/crates/bodies/src/body/eviction.rs
@@ -0,0 +1,51 @@
+//! Moves a body from memory to the spool file.
+
+use super::{Body, Piece, PieceData};
+use crate::spool::Spool;
+use std::sync::Arc;
+
+impl Body {
+    /// Writes all pieces in memory to the spool file. Where one can't be written all stay in memory, and the result is
+    /// false.
+    pub(crate) async fn write_to_spool(&self, spool: &Arc<Spool>) -> bool {
+        let pieces: Vec<Piece> = self.content().pieces.iter().cloned().collect();
+        let mut written = Vec::new();
+        for piece in pieces {
+            let PieceData::Memory(bytes) = &*piece.data else {
+                continue;
+            };
+            let Some(data) = self.write_piece(spool, bytes.clone()).await else {
+                free_all(written, spool);
+                return false;
+            };
+            written.push(Piece {
+                offset: piece.offset,
+                data: Arc::new(data),
+            });
+        }
+        self.replace_pieces(written, spool);
+        true
+    }
+
+    /// Puts the written pieces in the place of those in memory. One that was discarded in the meantime is freed.
+    fn replace_pieces(&self, written: Vec<Piece>, spool: &Spool) {
+        let mut content = self.content();
+        for replacement in written {
+            let offset = replacement.offset;
+            match content
+                .pieces
+                .iter_mut()
+                .find(|piece| piece.offset == offset)
+            {
+                Some(piece) => piece.data = replacement.data,
+                None => PieceData::free(replacement.data, Some(spool)),
+            }
+        }
+    }
+}
+
+fn free_all(pieces: Vec<Piece>, spool: &Spool) {
+    for piece in pieces {
+        PieceData::free(piece.data, Some(spool));
+    }
+}
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -1,13 +1,16 @@
-//! Bodies that pass through, with media that fail as told: what is read is what came, or an error, never half.
+//! Bodies on media that fail on request: what is read is what was written, or an error, never a part of it.
 
-use super::*;
-use crate::spool::Media;
+use crate::capacity::{EvictionPolicy, Limits, Storage, Usage, PIECE_BYTES, WINDOW_BYTES};
+use crate::spool::{Media, Spool, SpoolError};
+use crate::{lock, Body, Counts, PushError, ReadError, Store};
+use bytes::Bytes;
 use std::io;
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A disk in memory that fails after so many writes, or damages what it keeps.
+/// A disk in memory that fails after a number of writes, or damages what it stores.
 #[derive(Clone, Default)]
 struct Fake {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -19,7 +22,7 @@
 impl Media for Fake {
     fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
         if self.left.fetch_sub(1, Ordering::Relaxed) == 0 {
-            // Half of it came to the disk.
+            // Half of it reaches the disk.
             lock(&self.bytes).extend_from_slice(&bytes[..bytes.len() / 2]);
             self.left.store(0, Ordering::Relaxed);
             return Err(io::ErrorKind::StorageFull.into());
@@ -33,10 +36,10 @@
 
     fn read_at(&self, out: &mut [u8], at: u64) -> io::Result<()> {
         let (at, disk) = (at as usize, lock(&self.bytes));
-        let kept = disk
+        let stored = disk
             .get(at..at + out.len())
             .ok_or(io::ErrorKind::UnexpectedEof)?;
-        out.copy_from_slice(kept);
+        out.copy_from_slice(stored);
         if self.damaged.load(Ordering::Relaxed) > 0 {
             out[40] ^= 1;
         }
@@ -78,7 +81,7 @@
 async fn fill(body: &Body, mut all: Bytes, step: usize) {
     while !all.is_empty() {
         let next = all.split_to(step.min(all.len()));
-        body.push(next).await.expect("it is let in");
+        body.push(next).await.expect("it is admitted");
     }
     body.finish().await;
 }
@@ -94,29 +97,29 @@
 }
 
 #[tokio::test]
-async fn what_is_read_is_what_came_at_every_size_and_again() {
+async fn bodies_of_every_size_are_read_as_written_also_by_retries() {
     for length in [
         0,
         1,
         1000,
         16 << 10,
-        PIECE - 1,
-        PIECE,
-        PIECE + 1,
+        PIECE_BYTES - 1,
+        PIECE_BYTES,
+        PIECE_BYTES + 1,
         MIB,
         MIB + 1,
         10 * MIB + 7,
     ] {
-        for told in [Some(length), None] {
+        for announced in [Some(length), None] {
             for step in [700, 16 << 10, 1 << 20] {
                 let (store, _) = store(-1);
-                let body = store.admit(0, 0, told).expect("room");
+                let body = store.admit(0, 0, announced).expect("capacity");
                 let all = bytes(length);
                 fill(&body, all.clone(), step).await;
                 for is_retry in [false, true, true] {
                     assert!(
-                        read(&body, is_retry).await.expect("it is kept") == all,
-                        "{length} {told:?} {step}"
+                        read(&body, is_retry).await.expect("it is stored") == all,
+                        "{length} {announced:?} {step}"
                     );
                 }
                 let place = if length <= MIB {
@@ -132,10 +135,10 @@
                         retry_reads: 2,
                         missing: 0
                     },
-                    "{length} {told:?}"
+                    "{length} {announced:?}"
                 );
                 drop(body);
-                assert_eq!(store.used(), (0, 0));
+                assert_eq!(store.usage(), Usage::default());
                 assert_eq!(
                     store.spool.as_ref().map(|s| s.used()),
                     Some(0),
@@ -146,11 +149,11 @@
     }
 }
 
-/// It goes on while it still comes in: the reader has the first bytes before the last ones came.
+/// The reader has the first bytes before the last ones have arrived.
 #[tokio::test]
 async fn a_reader_follows_the_writer() {
     let (store, _) = store(-1);
-    let body = store.admit(0, 0, Some(8 * MIB)).expect("room");
+    let body = store.admit(0, 0, Some(8 * MIB)).expect("capacity");
     let all = bytes(8 * MIB);
     let writer = {
         let (body, all) = (body.clone(), all.clone());
@@ -167,12 +170,12 @@
     assert!(out == all);
 }
 
-/// The disk fills in the middle: the body goes on, whole, and is not kept from then on.
+/// The disk fills in the middle: the body passes through completely, and is not stored from then on.
 #[tokio::test]
-async fn a_disk_that_fills_mid_write_never_gives_half_a_body() {
+async fn a_disk_that_fills_never_yields_a_partial_body() {
     for writes in [0, 1, 5, 63] {
         let (store, fake) = store(writes);
-        let body = store.admit(0, 0, Some(4 * MIB)).expect("room");
+        let body = store.admit(0, 0, Some(4 * MIB)).expect("capacity");
         let all = bytes(4 * MIB);
         let writer = {
             let (body, all) = (body.clone(), all.clone());
@@ -192,8 +195,8 @@
         fake.left.store(-1, Ordering::Relaxed);
         drop(body);
         assert_eq!(
-            (store.used(), store.spool.as_ref().map(|s| s.used())),
-            ((0, 0), Some(0))
+            (store.usage(), store.spool.as_ref().map(|s| s.used())),
+            (Usage::default(), Some(0))
         );
     }
 }
@@ -201,7 +204,7 @@
 #[tokio::test]
 async fn a_damaged_piece_is_an_error_at_its_place() {
     let (store, fake) = store(-1);
-    let body = store.admit(0, 0, Some(2 * MIB)).expect("room");
+    let body = store.admit(0, 0, Some(2 * MIB)).expect("capacity");
     fill(&body, bytes(2 * MIB), 1 << 20).await;
     fake.damaged.store(1, Ordering::Relaxed);
     assert!(matches!(
@@ -210,7 +213,7 @@
     ));
 }
 
-/// What is not kept holds its writer back: no more than the window is in memory.
+/// What is not stored holds its writer back: no more than the window is in memory.
 #[tokio::test]
 async fn a_slow_reader_holds_the_writer_back() {
     let store = Store::new(
@@ -230,20 +233,23 @@
         tokio::spawn(async move { fill(&body, all, 16 << 10).await })
     };
     sleep(Duration::from_millis(50)).await;
-    let came = body.inner().came;
-    assert!(came <= WINDOW + PIECE, "{came} bytes are in memory");
+    let readable_bytes = body.content().readable_bytes;
+    assert!(
+        readable_bytes <= WINDOW_BYTES + PIECE_BYTES,
+        "{readable_bytes} bytes are in memory"
+    );
     assert!(!writer.is_finished());
     assert!(read(&body, false).await.expect("it passes through") == all);
     writer.await.expect("written");
-    assert!(!body.inner().whole_start && store.used().0 <= WINDOW);
+    assert!(!body.is_readable_from_start() && store.usage().memory_bytes <= WINDOW_BYTES);
 }
 
 #[tokio::test]
-async fn a_writer_that_stops_halfway_is_told_and_frees_who_waits() {
+async fn a_truncated_body_is_an_error_for_the_waiting_reader() {
     let (store, _) = store(-1);
     for cut in ["stops", "short"] {
-        let body = store.admit(0, 0, Some(MIB)).expect("room");
-        body.push(bytes(300_000)).await.expect("let in");
+        let body = store.admit(0, 0, Some(MIB)).expect("capacity");
+        body.push(bytes(300_000)).await.expect("admitted");
         let reading = {
             let body = body.clone();
             tokio::spawn(async move { read(&body, false).await })
@@ -253,22 +259,22 @@
             "stops" => body.mark_truncated(),
             _ => body.finish().await,
         }
-        let told = timeout(Duration::from_secs(1), reading)
+        let result = timeout(Duration::from_secs(1), reading)
             .await
             .expect("it ends")
             .expect("no panic");
-        assert!(matches!(told, Err(ReadError::Truncated)), "{cut}");
+        assert!(matches!(result, Err(ReadError::Truncated)), "{cut}");
     }
-    let body = store.admit(0, 0, Some(10)).expect("room");
+    let body = store.admit(0, 0, Some(10)).expect("capacity");
     assert_eq!(body.push(bytes(11)).await, Err(PushError::TooManyBytes));
 }
 
-/// Once-only bodies are let go as they are sent.
+/// Bodies of non-idempotent queries are discarded while they are sent.
 #[tokio::test]
-async fn a_body_that_is_let_go_frees_what_was_read() {
+async fn a_discarded_body_releases_what_was_read() {
     let (store, _) = store(-1);
     for length in [MIB, 4 * MIB] {
-        let body = store.admit(0, 0, Some(length)).expect("room");
+        let body = store.admit(0, 0, Some(length)).expect("capacity");
         let all = bytes(length);
         fill(&body, all.clone(), 1 << 20).await;
         let mut reader = body.reader(false).expect("its start");
@@ -287,22 +293,22 @@
         drop(reader);
         assert!(matches!(body.reader(true), Err(ReadError::Discarded)));
         assert!(
-            store.used().0 <= WINDOW && store.used().1 == 0,
+            store.usage().memory_bytes <= WINDOW_BYTES && store.usage().file_bytes == 0,
             "{:?}",
-            store.used()
+            store.usage()
         );
         drop(body);
     }
 }
 
-/// Memory runs short: the largest moves to the spool and is read from there.
+/// The largest bodies move to the spool file and are read from there.
 #[tokio::test]
-async fn the_largest_moves_out_when_memory_is_short() {
+async fn the_largest_bodies_are_evicted_when_memory_is_short() {
     let (store, _) = store(-1);
     let sizes = [900, 200, 800, 300, 700, 400];
     let mut all = Vec::new();
     for size in sizes {
-        let body = store.admit(0, 0, Some(size << 10)).expect("room");
+        let body = store.admit(0, 0, Some(size << 10)).expect("capacity");
         fill(&body, bytes(size << 10), 1 << 20).await;
         all.push((size << 10, body));
     }
@@ -317,11 +323,11 @@
         "from three quarters of the memory down to a half"
     );
     for (size, body) in &all {
-        assert!(read(body, false).await.expect("kept") == bytes(*size));
+        assert!(read(body, false).await.expect("stored") == bytes(*size));
     }
     drop(all);
     assert_eq!(
-        (store.used(), store.spool.as_ref().map(|s| s.used())),
-        ((0, 0), Some(0))
+        (store.usage(), store.spool.as_ref().map(|s| s.used())),
+        (Usage::default(), Some(0))
     );
 }
--- /dev/null
+++ b/crates/bodies/src/body/writer.rs
@@ -0,0 +1,189 @@
+//! The writer's side of a body: bytes are collected into pieces and stored.
+
+use super::{Body, Piece, PieceData, ReceiveState};
+use crate::capacity::{AdmissionError, Storage, PIECE_BYTES, WINDOW_BYTES};
+use crate::spool::Spool;
+use bytes::Bytes;
+use std::fmt;
+use std::sync::Arc;
+use tokio::task::spawn_blocking;
+
+/// Smaller chunks are joined, so that a client that sends byte by byte costs no more than its bytes.
+const MIN_CHUNK_BYTES: usize = 16 << 10;
+
+/// Why a body takes no more bytes.
+#[derive(Debug, PartialEq, Eq)]
+pub enum PushError {
+    /// The body is longer than the limit, or can no longer be stored though its query class requires it.
+    Rejected(AdmissionError),
+    /// More bytes arrived than its length announced.
+    TooManyBytes,
+}
+
+impl fmt::Display for PushError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            PushError::Rejected(error) => write!(f, "{error}"),
+            PushError::TooManyBytes => f.write_str("the body is longer than announced"),
+        }
+    }
+}
+
+impl std::error::Error for PushError {}
+
+impl Body {
+    /// Takes in more bytes. It waits for the spool file or, where the body is not stored, for the reader.
+    ///
+    /// # Errors
+    ///
+    /// The body is longer than announced or than the limit, or can no longer be stored though its query class
+    /// requires it.
+    pub async fn push(&self, bytes: Bytes) -> Result<(), PushError> {
+        if self.exceeds_length(bytes.len()) {
+            return Err(PushError::TooManyBytes);
+        }
+        let received = self.capacity().receive(self.id, bytes.len() as u64);
+        let storage = received.map_err(PushError::Rejected)?;
+        let min_bytes = match storage {
+            Storage::File => PIECE_BYTES as usize,
+            Storage::Memory | Storage::NotStored => MIN_CHUNK_BYTES,
+        };
+        let Some(mut remaining) = self.join_pending(bytes, min_bytes) else {
+            return Ok(());
+        };
+        while remaining.len() >= min_bytes {
+            let piece = remaining.split_to(remaining.len().min(PIECE_BYTES as usize));
+            self.store_piece(piece).await;
+        }
+        self.content().pending.extend_from_slice(&remaining);
+        Ok(())
+    }
+
+    /// Ends the body. The reader learns whether it is complete, or shorter than announced.
+    pub async fn finish(&self) {
+        let remaining = self.content().pending.split().freeze();
+        if !remaining.is_empty() {
+            self.store_piece(remaining).await;
+        }
+        let state = self.end();
+        self.changed.notify_waiters();
+        if state == ReceiveState::Complete {
+            self.store.count(self.class, self.storage(), |counts| {
+                counts.bodies += 1;
+            });
+            self.store.evict().await;
+        }
+    }
+
+    /// Marks a body that is still arriving as truncated: its writer stopped before its end.
+    pub fn mark_truncated(&self) {
+        let mut content = self.content();
+        if content.state == ReceiveState::Receiving {
+            content.state = ReceiveState::Truncated;
+        }
+        drop(content);
+        self.changed.notify_waiters();
+    }
+
+    fn exceeds_length(&self, more: usize) -> bool {
+        let content = self.content();
+        let received = content.readable_bytes + (content.pending.len() + more) as u64;
+        self.length.is_some_and(|length| received > length)
+    }
+
+    /// Puts `bytes` behind those that are pending, and takes all of them once there are `min_bytes`.
+    fn join_pending(&self, bytes: Bytes, min_bytes: usize) -> Option<Bytes> {
+        let mut content = self.content();
+        if content.pending.is_empty() && bytes.len() >= min_bytes {
+            return Some(bytes);
+        }
+        content.pending.extend_from_slice(&bytes);
+        if content.pending.len() < min_bytes {
+            return None;
+        }
+        Some(content.pending.split().freeze())
+    }
+
+    /// Sets the state of a body whose writer has ended.
+    fn end(&self) -> ReceiveState {
+        let mut content = self.content();
+        let is_complete = self
+            .length
+            .is_none_or(|length| length == content.readable_bytes);
+        content.state = if is_complete {
+            ReceiveState::Complete
+        } else {
+            ReceiveState::Truncated
+        };
+        content.state
+    }
+
+    /// Stores a piece wherever the body is stored now. Where the spool file can't be written, the piece passes
+    /// through, and the body is not stored any more.
+    async fn store_piece(&self, piece: Bytes) {
+        match (self.storage(), &self.store.spool) {
+            (Storage::Memory, _) => self.append(PieceData::Memory(piece)),
+            (Storage::File, Some(spool)) => match self.write_piece(spool, piece.clone()).await {
+                Some(data) => self.append(data),
+                None => {
+                    self.stop_storing();
+                    self.pass_through(piece).await;
+                }
+            },
+            (Storage::File | Storage::NotStored, _) => self.pass_through(piece).await,
+        }
+    }
+
+    fn append(&self, data: PieceData) {
+        let mut content = self.content();
+        let offset = content.readable_bytes;
+        content.readable_bytes += data.len();
+        content.pieces.push_back(Piece {
+            offset,
+            data: Arc::new(data),
+        });
+        drop(content);
+        self.changed.notify_waiters();
+    }
+
+    /// Waits until the reader is near enough, then passes bytes on to it.
+    async fn pass_through(&self, bytes: Bytes) {
+        loop {
+            let changed = self.changed.notified();
+            tokio::pin!(changed);
+            changed.as_mut().enable();
+            if self.is_window_open() {
+                break;
+            }
+            changed.await;
+        }
+        self.append(PieceData::Memory(bytes));
+    }
+
+    fn is_window_open(&self) -> bool {
+        let content = self.content();
+        let unread_bytes = content.readable_bytes - content.read_bytes;
+        unread_bytes < WINDOW_BYTES || content.state == ReceiveState::Truncated
+    }
+
+    /// Writes a piece to the spool file, on a thread for blocking work; none where that fails.
+    pub(super) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
+        let number = self.next_piece_number();
+        let length = piece.len();
+        let body = self.id.0;
+        let spool = spool.clone();
+        let written = spawn_blocking(move || spool.write(body, number, &piece)).await;
+        let slot = written.ok()?.ok()?;
+        Some(PieceData::File {
+            slot,
+            number,
+            length,
+        })
+    }
+
+    fn next_piece_number(&self) -> u32 {
+        let mut content = self.content();
+        content.last_piece_number += 1;
+        content.last_piece_number
+    }
+}
--- /dev/null
+++ b/crates/bodies/src/capacity/eviction.rs
@@ -0,0 +1,99 @@
+//! Chooses the bodies that are evicted from memory to the spool file.
+
+use super::reservation::Reservation;
+use super::{BodyId, Capacity, EvictionPolicy, Storage, Usage};
+use std::cmp::Reverse;
+
+/// The part of the memory budget at which eviction starts, and the part at which it stops.
+const EVICTION_START_FRACTION: f64 = 0.75;
+const EVICTION_STOP_FRACTION: f64 = 0.5;
+
+impl Capacity {
+    /// Chooses the next body to evict and reserves space for it in the spool file; none while memory is not short.
+    /// Tenants that use more than an even part of the used memory are evicted first.
+    pub fn start_eviction(&mut self) -> Option<BodyId> {
+        if self.policy == EvictionPolicy::Never || self.limits.file_bytes == 0 {
+            return None;
+        }
+        self.evicting = self.is_memory_short();
+        if !self.evicting {
+            return None;
+        }
+        let id = self.eviction_candidate()?;
+        let memory_bytes = self.reservations.get(&id)?.usage.memory_bytes;
+        self.reserve(id, Usage::stored(Storage::File, memory_bytes));
+        self.reservations
+            .entry(id)
+            .and_modify(|reservation| reservation.evicting = true);
+        Some(id)
+    }
+
+    /// Ends the eviction of a body. Where all of it was `written` to the spool file its memory is released, otherwise
+    /// its space in the file, and it stays in memory.
+    pub fn finish_eviction(&mut self, id: BodyId, written: bool) {
+        let Some(reservation) = self.reservations.get_mut(&id) else {
+            return;
+        };
+        if !reservation.evicting {
+            return;
+        }
+        reservation.evicting = false;
+        let memory_bytes = reservation.usage.memory_bytes;
+        if !written {
+            self.release(id, Usage::stored(Storage::File, memory_bytes));
+            return;
+        }
+        if reservation.storage == Storage::Memory {
+            reservation.storage = Storage::File;
+        }
+        self.release(id, Usage::stored(Storage::Memory, memory_bytes));
+    }
+
+    /// Whether memory that is not being evicted already passes the fraction that holds now.
+    fn is_memory_short(&self) -> bool {
+        let evicting_bytes: u64 = self
+            .reservations
+            .values()
+            .filter(|reservation| reservation.evicting)
+            .map(|reservation| reservation.usage.memory_bytes)
+            .sum();
+        let fraction = if self.evicting {
+            EVICTION_STOP_FRACTION
+        } else {
+            EVICTION_START_FRACTION
+        };
+        let remaining_bytes = (self.total.memory_bytes - evicting_bytes) as f64;
+        remaining_bytes > self.limits.memory_bytes as f64 * fraction
+    }
+
+    fn eviction_candidate(&self) -> Option<BodyId> {
+        let even_part = self.total.memory_bytes / self.by_tenant.len().max(1) as u64;
+        let candidates = self
+            .reservations
+            .iter()
+            .filter(|(_, reservation)| self.can_evict(reservation));
+        let priority = |(id, reservation): &(&BodyId, &Reservation)| {
+            let over_even_part = self
+                .by_tenant
+                .get(&reservation.tenant)
+                .is_some_and(|usage| usage.memory_bytes >= even_part);
+            let size = match self.policy {
+                EvictionPolicy::Largest => reservation.usage.memory_bytes,
+                EvictionPolicy::Oldest | EvictionPolicy::Never => 0,
+            };
+            (over_even_part, size, Reverse(**id))
+        };
+        candidates.max_by_key(priority).map(|(id, _)| *id)
+    }
+
+    /// Whether a body has a known length, is in memory, and fits into the spool file.
+    fn can_evict(&self, reservation: &Reservation) -> bool {
+        let memory_bytes = reservation.usage.memory_bytes;
+        let in_file = Usage::stored(Storage::File, memory_bytes);
+        reservation.storage == Storage::Memory
+            && reservation.length_known
+            && !reservation.evicting
+            && memory_bytes > 0
+            && self.fits(reservation.tenant, in_file)
+    }
+}
--- a/crates/bodies/src/capacity/tests.rs
+++ b/crates/bodies/src/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! The room beside a plain model that adds everything up anew, and what the policies cost on a played day.
+//! The capacity against a plain model that adds everything up anew, under random events.
 
 use super::*;
 use proptest::collection::vec;
@@ -50,110 +50,119 @@
     vec(event, 1..120)
 }
 
-/// What the whole list of bodies adds up to.
-fn sums(room: &Capacity, tenant: Option<usize>) -> (u64, u64) {
-    let of = room
-        .held
+/// The sum over the list of all reservations, or over those of one tenant.
+fn sums(capacity: &Capacity, tenant: Option<usize>) -> (u64, u64) {
+    let listed = capacity
+        .reservations
         .values()
-        .filter(|h| tenant.is_none_or(|t| h.tenant == t));
-    of.fold((0, 0), |(memory, file), h| {
-        (memory + h.memory, file + h.file)
+        .filter(|reservation| tenant.is_none_or(|tenant| reservation.tenant == tenant));
+    listed.fold((0, 0), |(memory, file), reservation| {
+        let usage = reservation.usage;
+        (memory + usage.memory_bytes, file + usage.file_bytes)
     })
 }
 
+fn usage(capacity: &Capacity) -> (u64, u64) {
+    let Usage {
+        memory_bytes,
+        file_bytes,
+    } = capacity.usage();
+    (memory_bytes, file_bytes)
+}
+
 proptest! {
     #[test]
-    fn budgets_hold_at_every_moment_and_sums_are_those_of_the_list(
+    fn budgets_hold_at_every_moment_and_totals_match_the_reservations(
         events in events(),
         policy in prop_oneof![Just(EvictionPolicy::Never), Just(EvictionPolicy::Largest), Just(EvictionPolicy::Oldest)],
     ) {
         let limits = Limits { storage_required: vec![false, true], ..LIMITS };
-        let mut room = Capacity::new(limits.clone(), policy);
+        let mut capacity = Capacity::new(limits.clone(), policy);
         let mut ids: Vec<BodyId> = Vec::new();
         let pick = |ids: &[BodyId], n: usize| ids.get(n % ids.len().max(1)).copied();
         for event in events {
             match event {
                 Event::Admit { tenant, class, length } => {
-                    let before = (sums(&room, None), sums(&room, Some(tenant)));
-                    match room.admit(tenant, class, length) {
+                    let before = (sums(&capacity, None), sums(&capacity, Some(tenant)));
+                    match capacity.admit(tenant, class, length) {
                         Ok(id) => {
                             ids.push(id);
-                            prop_assert!(class == 0 || room.storage(id) != Storage::NotStored, "it must be kept");
+                            prop_assert!(class == 0 || capacity.storage(id) != Storage::NotStored, "it must be stored");
                             prop_assert!(length.is_none_or(|l| l <= limits.max_body_bytes));
                         }
-                        Err(AdmissionError::TooLarge { max_bytes: most }) => prop_assert!(length.is_some_and(|l| l > most)),
+                        Err(AdmissionError::TooLarge { max_bytes }) => prop_assert!(length.is_some_and(|l| l > max_bytes)),
                         Err(AdmissionError::UnknownLength) => prop_assert!(false, "it may be unknown"),
-                        // By the list: not even what passes through has room, or it must be kept and fits nowhere.
+                        // By the list: there is not even capacity for a window, or it must be stored and fits nowhere.
                         Err(AdmissionError::NoCapacity) => {
                             let ((memory, file), (own, own_file)) = before;
                             let share = |budget: u64| (budget as f64 * limits.tenant_share) as u64;
-                            let window = memory + WINDOW > limits.memory_bytes || own + WINDOW > share(limits.memory_bytes);
-                            let first = length.unwrap_or(PIECE);
-                            let slots = first.div_ceil(PIECE) * PIECE;
+                            let window = memory + WINDOW_BYTES > limits.memory_bytes || own + WINDOW_BYTES > share(limits.memory_bytes);
+                            let first = length.unwrap_or(PIECE_BYTES);
+                            let slots = first.div_ceil(PIECE_BYTES) * PIECE_BYTES;
                             let files = file + slots > limits.file_bytes || own_file + slots > share(limits.file_bytes);
                             prop_assert!(window || (class == 1 && files), "{before:?} {length:?}");
                         }
                     }
                 }
                 Event::Receive(n, bytes) => if let Some(id) = pick(&ids, n) {
-                    let told = room.held.get(&id).is_some_and(|h| h.told);
-                    match room.receive(id, bytes) {
-                        Ok(place) => prop_assert_eq!(place, room.storage(id)),
-                        Err(refused) => {
-                            let too_large = matches!(refused, AdmissionError::TooLarge { .. });
-                            prop_assert!(!told || too_large);
-                            room.remove(id);
+                    let length_known = capacity.reservations.get(&id).is_some_and(|h| h.length_known);
+                    match capacity.receive(id, bytes) {
+                        Ok(storage) => prop_assert_eq!(storage, capacity.storage(id)),
+                        Err(error) => {
+                            let too_large = matches!(error, AdmissionError::TooLarge { .. });
+                            prop_assert!(!length_known || too_large);
+                            capacity.remove(id);
                             ids.retain(|i| *i != id);
                         }
                     }
-                    if let Some(h) = room.held.get(&id).filter(|h| !h.told && h.place != Storage::NotStored) {
-                        prop_assert!(h.memory - WINDOW + h.file >= h.came, "all that came has room");
+                    if let Some(h) = capacity.reservations.get(&id).filter(|h| !h.length_known && h.storage != Storage::NotStored) {
+                        prop_assert!(h.usage.memory_bytes - WINDOW_BYTES + h.usage.file_bytes >= h.received_bytes, "all that was received is reserved");
                     }
                 },
-                Event::StartEviction => if let Some(id) = room.start_eviction() {
-                    let h = &room.held[&id];
-                    prop_assert!(h.moving && h.place == Storage::Memory && h.file >= h.memory);
+                Event::StartEviction => if let Some(id) = capacity.start_eviction() {
+                    let h = &capacity.reservations[&id];
+                    prop_assert!(h.evicting && h.storage == Storage::Memory && h.usage.file_bytes >= h.usage.memory_bytes);
                 },
                 Event::FinishEviction(n, done) => if let Some(id) = pick(&ids, n) {
-                    let before = room.held.get(&id).cloned();
-                    room.finish_eviction(id, done);
-                    if let Some(h) = before.filter(|h| h.moving && done) {
-                        prop_assert_eq!(room.held[&id].memory, 0, "{:?}", h);
+                    let before = capacity.reservations.get(&id).cloned();
+                    capacity.finish_eviction(id, done);
+                    if let Some(h) = before.filter(|h| h.evicting && done) {
+                        prop_assert_eq!(capacity.reservations[&id].usage.memory_bytes, 0, "{:?}", h);
                     }
                 },
                 Event::StopStoring(n) => if let Some(id) = pick(&ids, n) {
-                    room.stop_storing(id);
-                    prop_assert_eq!(room.storage(id), Storage::NotStored);
+                    capacity.stop_storing(id);
+                    prop_assert_eq!(capacity.storage(id), Storage::NotStored);
                 },
                 Event::ReleaseRead(n, bytes) => if let Some(id) = pick(&ids, n) {
-                    room.release_read(id, bytes, bytes);
+                    capacity.release_read(id, Usage { memory_bytes: bytes, file_bytes: bytes });
                 },
                 Event::Remove(n) => if let Some(id) = pick(&ids, n) {
-                    room.remove(id);
+                    capacity.remove(id);
                     ids.retain(|i| *i != id);
                 },
             }
-            prop_assert_eq!(room.used(), sums(&room, None));
-            let (memory, file) = room.used();
+            prop_assert_eq!(usage(&capacity), sums(&capacity, None));
+            let (memory, file) = usage(&capacity);
             prop_assert!(memory <= limits.memory_bytes && file <= limits.file_bytes);
             for tenant in 0..3 {
-                let own = sums(&room, Some(tenant));
+                let own = sums(&capacity, Some(tenant));
                 prop_assert!(own.0 <= (limits.memory_bytes as f64 * limits.tenant_share) as u64);
-                let kept = room.tenants.get(&tenant).copied().unwrap_or_default();
-                prop_assert_eq!((kept.memory, kept.file), own);
+                let reserved = capacity.by_tenant.get(&tenant).copied().unwrap_or_default();
+                prop_assert_eq!((reserved.memory_bytes, reserved.file_bytes), own);
             }
-            prop_assert_eq!(room.len(), ids.len());
+            prop_assert_eq!(capacity.len(), ids.len());
         }
         for id in ids {
-            room.remove(id);
+            capacity.remove(id);
         }
-        prop_assert!(room.is_empty() && room.used() == (0, 0) && room.tenants.is_empty());
+        prop_assert!(capacity.is_empty() && usage(&capacity) == (0, 0) && capacity.by_tenant.is_empty());
     }
 }
 
 #[test]
-fn where_bodies_go_by_their_size() {
-    let mut room = Capacity::new(
+fn storage_is_chosen_by_body_size() {
+    let mut capacity = Capacity::new(
         Limits {
             storage_required: vec![false, true],
             tenant_share: 1.0,
@@ -161,52 +170,55 @@
         },
         EvictionPolicy::Largest,
     );
-    let small = room.admit(0, 0, Some(100 * KIB)).expect("room");
-    let large = room.admit(0, 0, Some(1024 * KIB)).expect("room");
+    let small = capacity.admit(0, 0, Some(100 * KIB)).expect("capacity");
+    let large = capacity.admit(0, 0, Some(1024 * KIB)).expect("capacity");
     assert_eq!(
-        (room.storage(small), room.storage(large)),
+        (capacity.storage(small), capacity.storage(large)),
         (Storage::Memory, Storage::File)
     );
     assert_eq!(
-        room.admit(0, 0, Some(2049 * KIB)),
+        capacity.admit(0, 0, Some(2049 * KIB)),
         Err(AdmissionError::TooLarge {
             max_bytes: 2048 * KIB
         })
     );
     let others: Vec<_> = (0..3)
-        .map(|_| room.admit(1, 0, Some(1024 * KIB)).expect("room"))
+        .map(|_| capacity.admit(1, 0, Some(1024 * KIB)).expect("capacity"))
         .collect();
-    let through = room
+    let through = capacity
         .admit(0, 0, Some(1024 * KIB))
         .expect("it passes through");
-    assert_eq!(room.storage(through), Storage::NotStored);
+    assert_eq!(capacity.storage(through), Storage::NotStored);
     assert_eq!(
-        room.admit(0, 1, Some(1024 * KIB)),
+        capacity.admit(0, 1, Some(1024 * KIB)),
         Err(AdmissionError::NoCapacity),
-        "its class must be kept"
+        "its class must be stored"
     );
-    room.remove(others[0]);
-    assert!(room.admit(0, 1, Some(1024 * KIB)).is_ok());
+    capacity.remove(others[0]);
+    assert!(capacity.admit(0, 1, Some(1024 * KIB)).is_ok());
 }
 
-/// One whose length is not told grows from memory to files, and from there to not kept.
+/// A body of unknown length grows from memory to the spool file, and is then not stored any more.
 #[test]
-fn an_unknown_length_grows_through_the_places() {
+fn a_body_of_unknown_length_grows_through_all_kinds_of_storage() {
     let limits = Limits {
         file_bytes: 512 * KIB,
         tenant_share: 1.0,
         ..LIMITS
     };
-    let mut room = Capacity::new(limits, EvictionPolicy::Largest);
-    let id = room.admit(0, 0, None).expect("room");
-    let mut places = Vec::new();
+    let mut capacity = Capacity::new(limits, EvictionPolicy::Largest);
+    let id = capacity.admit(0, 0, None).expect("capacity");
+    let mut storages = Vec::new();
     for _ in 0..20 {
-        let place = room.receive(id, 64 * KIB).expect("it may pass through");
-        if places.last() != Some(&place) {
-            places.push(place);
+        let storage = capacity.receive(id, 64 * KIB).expect("it may pass through");
+        if storages.last() != Some(&storage) {
+            storages.push(storage);
         }
     }
-    assert_eq!(places, [Storage::Memory, Storage::File, Storage::NotStored]);
+    assert_eq!(
+        storages,
+        [Storage::Memory, Storage::File, Storage::NotStored]
+    );
     assert_eq!(
         Capacity::new(
             Limits {
--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -1,14 +1,32 @@
-//! Keeps bodies of queries for retries: in memory up to a size, then in a spool file up to a budget, then not
-//! at all. A body passes through while it comes in and is kept as it passes, never twice.
+//! Stores request bodies for retries: in memory up to a size, then in a spool file up to a budget, then not at all.
 //!
-//! [`capacity`] decides where a body goes, what moves and what is rejected; it does no I/O. [`spool`] has the blocks of
-//! the file behind a trait, each with its checksum. [`body`] is what passes through: one writer, one reader at a time.
-//! docs/bodies.md weighs it all.
+//! A body is written by one writer while one reader at a time follows it; each byte is stored once.
+//!
+//! | module | its job |
+//! |---|---|
+//! | [`capacity`] | decides where a body is stored, what is evicted and what is rejected; no I/O |
+//! | [`spool`] | the slots of the spool file, each with a checksum; the file is behind a trait |
+//! | [`store`] | all bodies in flight, within one capacity |
+//! | [`body`] | one body: it receives bytes, stores them in pieces, and is evicted or discarded |
+//! | [`reader`] | reads a body from its start while it still arrives |
+//!
+//! docs/bodies.md explains the design.
 
 pub mod body;
 pub mod capacity;
+pub mod reader;
 pub mod spool;
+pub mod store;
 
-pub use body::{Body, PushError, ReadError, Reader, Store};
-pub use capacity::{AdmissionError, BodyId, Capacity, EvictionPolicy, Limits, Storage};
+pub use body::{Body, PushError};
+pub use capacity::{AdmissionError, BodyId, Capacity, EvictionPolicy, Limits, Storage, Usage};
+pub use reader::{ReadError, Reader};
 pub use spool::{Disk, Media, Spool, SpoolError};
+pub use store::{Counts, Store};
+
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// Locks a mutex; what a panicked thread left behind is still consistent.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- /dev/null
+++ b/crates/bodies/src/reader.rs
@@ -0,0 +1,154 @@
+//! Reads a body from its start to its end, while it still arrives.
+
+use crate::body::{Body, Piece, PieceData, ReceiveState};
+use crate::capacity::Storage;
+use crate::spool::SpoolError;
+use bytes::Bytes;
+use std::fmt;
+use std::sync::Arc;
+use tokio::task::spawn_blocking;
+
+/// Why a body can't be read to its end.
+#[derive(Debug)]
+pub enum ReadError {
+    /// What is to be read is not stored any more.
+    Discarded,
+    /// The writer stopped before the end of the body.
+    Truncated,
+    /// The spool file failed, or a piece in it is damaged.
+    Spool(SpoolError),
+}
+
+impl fmt::Display for ReadError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            ReadError::Discarded => f.write_str("the body is not kept any more"),
+            ReadError::Truncated => f.write_str("the body was cut off"),
+            ReadError::Spool(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+impl std::error::Error for ReadError {}
+
+/// The position of one attempt in the body that it sends.
+pub struct Reader {
+    body: Arc<Body>,
+    position: u64,
+}
+
+/// What a reader finds at its position.
+enum Lookup {
+    Found(Piece),
+    End,
+    NotYetReceived,
+}
+
+impl Reader {
+    pub(crate) fn new(body: Arc<Body>) -> Self {
+        Reader { body, position: 0 }
+    }
+
+    /// The next bytes, once they have arrived; none at the end of the body.
+    ///
+    /// # Errors
+    ///
+    /// The body is truncated, discarded or damaged: what was read is not all of it.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
+        let Some(Piece { offset, data }) = self.wait_for_piece().await? else {
+            return Ok(None);
+        };
+        let piece = match &*data {
+            PieceData::Memory(bytes) => bytes.clone(),
+            PieceData::File { .. } => self.read_from_spool(data.clone()).await?,
+        };
+        // Released before its piece may be discarded, which frees the slot only of a piece that nothing else uses.
+        drop(data);
+        let bytes = piece.slice((self.position - offset) as usize..);
+        self.advance(bytes.len() as u64);
+        Ok(Some(bytes))
+    }
+
+    /// Bytes read so far.
+    pub fn position(&self) -> u64 {
+        self.position
+    }
+
+    /// Whether the body is complete and all of it has been read.
+    pub fn is_at_end(&self) -> bool {
+        let content = self.body.content();
+        content.state == ReceiveState::Complete && self.position == content.readable_bytes
+    }
+
+    /// Waits until there is a piece at the position; none at the end of the body.
+    async fn wait_for_piece(&self) -> Result<Option<Piece>, ReadError> {
+        loop {
+            let changed = self.body.changed.notified();
+            tokio::pin!(changed);
+            changed.as_mut().enable();
+            match self.look_up()? {
+                Lookup::Found(piece) => return Ok(Some(piece)),
+                Lookup::End => return Ok(None),
+                Lookup::NotYetReceived => changed.await,
+            }
+        }
+    }
+
+    fn look_up(&self) -> Result<Lookup, ReadError> {
+        let content = self.body.content();
+        let following = content
+            .pieces
+            .partition_point(|piece| piece.offset <= self.position);
+        let piece = following
+            .checked_sub(1)
+            .and_then(|index| content.pieces.get(index))
+            .filter(|piece| self.position < piece.end());
+        if let Some(piece) = piece {
+            return Ok(Lookup::Found(piece.clone()));
+        }
+        if self.position < content.readable_bytes {
+            return Err(ReadError::Discarded);
+        }
+        match content.state {
+            ReceiveState::Complete => Ok(Lookup::End),
+            ReceiveState::Truncated => Err(ReadError::Truncated),
+            ReceiveState::Receiving => Ok(Lookup::NotYetReceived),
+        }
+    }
+
+    /// Reads a piece from the spool file, on a thread for blocking work.
+    async fn read_from_spool(&self, data: Arc<PieceData>) -> Result<Bytes, ReadError> {
+        let Some(spool) = self.body.store.spool.clone() else {
+            return Err(ReadError::Discarded);
+        };
+        let body = self.body.id.0;
+        let reading = spawn_blocking(move || {
+            let read = match &*data {
+                PieceData::File {
+                    slot,
+                    number,
+                    length,
+                } => spool.read(slot, body, *number, *length),
+                PieceData::Memory(bytes) => Ok(bytes.to_vec()),
+            };
+            // The body may have discarded the piece while it was read.
+            PieceData::free(data, Some(&spool));
+            read
+        });
+        let read = reading.await.map_err(|_| ReadError::Discarded)?;
+        read.map(Bytes::from).map_err(ReadError::Spool)
+    }
+
+    /// Moves the position on, and discards what was read of a body that is not stored.
+    fn advance(&mut self, bytes: u64) {
+        self.position += bytes;
+        self.body.content().read_bytes = self.position;
+        if self.body.non_idempotent && self.body.storage() != Storage::NotStored {
+            self.body.stop_storing();
+        }
+        if self.body.storage() == Storage::NotStored {
+            self.body.discard_read();
+        }
+        self.body.changed.notify_waiters();
+    }
+}
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -1,110 +1,67 @@
-//! One file for all bodies, in slots of one piece each. It is unlinked as soon as it is open, so that a killed process
-//! leaves nothing that holds a place on the disk, and it costs one descriptor however many bodies it holds. Each slot
-//! says whose it is and has a checksum: a damaged or mistaken one is an error, never a wrong statement.
-
-use crate::capacity::PIECE;
-use std::fs::{File, OpenOptions};
+//! The spool file: one file for all bodies, in slots of one piece each.
+//!
+//! The file is unlinked as soon as it is open, so that a killed process leaves nothing that takes space on the disk, and
+//! it costs one descriptor however many bodies it holds. Each slot names its body and piece and has a checksum: a damaged
+//! or mistaken one is an error, never a wrong statement.
+//!
+//! A slot begins with a header of 32 bytes; numbers are little-endian:
+//!
+//! | bytes | content |
+//! |---|---|
+//! | 0..8 | id of the body |
+//! | 8..12 | number of the piece in the body |
+//! | 12..16 | length of the piece in bytes |
+//! | 16..20 | CRC-32 of the 16 bytes before and of the piece |
+//! | 20..32 | zero |
+
+mod disk;
+
+pub use disk::{remove_leftover_files, Disk};
+
+use crate::capacity::PIECE_BYTES;
+use crate::lock;
+use std::fmt;
 use std::io;
-use std::os::unix::fs::FileExt;
-use std::path::{Path, PathBuf};
-use std::sync::{Mutex, MutexGuard, PoisonError};
-use std::time::{SystemTime, UNIX_EPOCH};
-
-/// Before a slot's bytes: body (8), number of the piece (4), length (4), checksum of both and the bytes (4), and 12 that
-/// are 0.
-const HEAD: usize = 32;
-const SLOT: u64 = HEAD as u64 + PIECE;
-/// How files are named between being made and unlinked.
-const SUFFIX: &str = ".garnetwall-spool";
-
-/// Where slots are kept.
-pub trait Media: Send + Sync {
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()>;
-    fn read_at(&self, bytes: &mut [u8], at: u64) -> io::Result<()>;
-}
+use std::sync::Mutex;
 
-/// A file on a disk, unlinked.
-#[derive(Debug)]
-pub struct Disk(File);
+const HEADER_BYTES: usize = 32;
+/// The part of the header that the checksum covers.
+const CHECKED_HEADER_BYTES: usize = 16;
+const SLOT_BYTES: u64 = HEADER_BYTES as u64 + PIECE_BYTES;
 
-impl Disk {
-    /// Makes a file in a directory, after removing what a killed gateway of this name has left there.
+/// Where the slots of a spool are stored.
+pub trait Media: Send + Sync {
+    /// Writes all of `bytes` at `offset`. It blocks.
     ///
     /// # Errors
     ///
-    /// With the path in the text.
-    pub fn open(directory: &Path, gateway: &str) -> io::Result<Disk> {
-        let named = |path: &Path, e: io::Error| {
-            io::Error::new(e.kind(), format!("{}: {e}", path.display()))
-        };
-        remove_leftover_files(directory, gateway).map_err(|e| named(directory, e))?;
-        let nanos = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_nanos();
-        let path = directory.join(format!("{gateway}-{}-{nanos}{SUFFIX}", std::process::id()));
-        let file = OpenOptions::new()
-            .read(true)
-            .write(true)
-            .create_new(true)
-            .open(&path);
-        let file = file.map_err(|e| named(&path, e))?;
-        std::fs::remove_file(&path).map_err(|e| named(&path, e))?;
-        Ok(Disk(file))
-    }
-}
+    /// Not all bytes could be written.
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
 
-/// Removes files that a killed gateway of this name has left between making and unlinking them; no others. How many.
-pub fn remove_leftover_files(directory: &Path, gateway: &str) -> io::Result<usize> {
-    let mut removed = 0;
-    for entry in std::fs::read_dir(directory)? {
-        let path: PathBuf = entry?.path();
-        let name = path
-            .file_name()
-            .and_then(|n| n.to_str())
-            .unwrap_or_default();
-        let middle = name
-            .strip_prefix(gateway)
-            .and_then(|n| n.strip_prefix('-'))
-            .and_then(|n| n.strip_suffix(SUFFIX));
-        let numbers = |text: &str| {
-            text.split('-')
-                .all(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()))
-        };
-        if middle.is_some_and(|m| m.split('-').count() == 2 && numbers(m)) {
-            std::fs::remove_file(&path)?;
-            removed += 1;
-        }
-    }
-    Ok(removed)
-}
-
-impl Media for Disk {
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        self.0.write_all_at(bytes, at)
-    }
-
-    fn read_at(&self, bytes: &mut [u8], at: u64) -> io::Result<()> {
-        self.0.read_exact_at(bytes, at)
-    }
+    /// Fills `buffer` from `offset` on. It blocks.
+    ///
+    /// # Errors
+    ///
+    /// Not all bytes could be read; [`io::ErrorKind::UnexpectedEof`] where they are beyond the end.
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()>;
 }
 
-/// Why a piece can't be had.
+/// Why a piece can't be written or read.
 #[derive(Debug)]
 pub enum SpoolError {
-    /// All slots are taken.
+    /// All slots are in use, or the piece is longer than a slot.
     Full,
-    /// The disk said so.
+    /// The disk reported an error.
     Disk(io::Error),
-    /// What is there is not what was written.
+    /// The slot does not hold what was written.
     Damaged,
 }
 
-impl std::fmt::Display for SpoolError {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for SpoolError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             SpoolError::Full => f.write_str("the spool is full"),
-            SpoolError::Disk(e) => write!(f, "{e}"),
+            SpoolError::Disk(error) => write!(f, "{error}"),
             SpoolError::Damaged => f.write_str("a piece of the spool is damaged"),
         }
     }
@@ -116,69 +73,80 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Slot(u32);
 
-struct Slots {
+impl Slot {
+    fn offset(&self) -> u64 {
+        u64::from(self.0) * SLOT_BYTES
+    }
+}
+
+/// Which slots are in use.
+struct SlotAllocator {
+    /// Slots that were used before and are free.
     free: Vec<u32>,
-    /// Slots from here on were never used.
-    fresh: u32,
-    most: u32,
+    /// The first slot that was never used.
+    next_unused: u32,
+    /// The number of slots.
+    capacity: u32,
 }
 
-/// The slots of a file.
+impl SlotAllocator {
+    fn allocate(&mut self) -> Option<Slot> {
+        if let Some(index) = self.free.pop() {
+            return Some(Slot(index));
+        }
+        if self.next_unused == self.capacity {
+            return None;
+        }
+        let index = self.next_unused;
+        self.next_unused += 1;
+        Some(Slot(index))
+    }
+}
+
+/// The slots of a spool file.
 pub struct Spool {
     media: Box<dyn Media>,
-    slots: Mutex<Slots>,
+    slots: Mutex<SlotAllocator>,
 }
 
 impl Spool {
-    /// A spool that keeps so many bytes of bodies.
+    /// A spool for `bytes` of bodies, in whole pieces.
     pub fn new(media: impl Media + 'static, bytes: u64) -> Self {
-        let most = u32::try_from(bytes / PIECE).unwrap_or(u32::MAX);
+        let capacity = u32::try_from(bytes / PIECE_BYTES).unwrap_or(u32::MAX);
         Spool {
             media: Box::new(media),
-            slots: Mutex::new(Slots {
+            slots: Mutex::new(SlotAllocator {
                 free: Vec::new(),
-                fresh: 0,
-                most,
+                next_unused: 0,
+                capacity,
             }),
         }
     }
 
-    fn slots(&self) -> MutexGuard<'_, Slots> {
-        self.slots.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Keeps a piece, of [`PIECE`] bytes at most. It blocks.
+    /// Writes a piece of at most [`PIECE_BYTES`] to a free slot. It blocks.
     ///
     /// # Errors
     ///
-    /// The slot is free again then.
+    /// There is no free slot, or the disk failed; the slot is free again then.
     pub fn write(&self, body: u64, number: u32, bytes: &[u8]) -> Result<Slot, SpoolError> {
-        if bytes.len() as u64 > PIECE {
+        if bytes.len() as u64 > PIECE_BYTES {
             return Err(SpoolError::Full);
         }
-        let slot = {
-            let mut slots = self.slots();
-            match slots.free.pop() {
-                Some(slot) => slot,
-                None if slots.fresh < slots.most => {
-                    slots.fresh += 1;
-                    slots.fresh - 1
-                }
-                None => return Err(SpoolError::Full),
-            }
-        };
-        let mut out = head(body, number, bytes).to_vec();
-        out.extend_from_slice(bytes);
-        match self.media.write_at(&out, u64::from(slot) * SLOT) {
-            Ok(()) => Ok(Slot(slot)),
-            Err(e) => {
-                self.slots().free.push(slot);
-                Err(SpoolError::Disk(e))
-            }
+        let slot = lock(&self.slots).allocate().ok_or(SpoolError::Full)?;
+        let mut record = header(body, number, bytes).to_vec();
+        record.extend_from_slice(bytes);
+        if let Err(error) = self.media.write_at(&record, slot.offset()) {
+            self.free(slot);
+            return Err(SpoolError::Disk(error));
         }
+        Ok(slot)
     }
 
-    /// The piece of a slot. It blocks.
+    /// Reads the piece of `length` bytes in a slot, and checks that it is piece `number` of `body`. It blocks.
+    ///
+    /// # Errors
+    ///
+    /// The disk failed, or the slot does not hold this piece.
     pub fn read(
         &self,
         slot: &Slot,
@@ -186,41 +154,42 @@
         number: u32,
         length: usize,
     ) -> Result<Vec<u8>, SpoolError> {
-        let mut out = vec![0; HEAD + length];
+        let mut record = vec![0; HEADER_BYTES + length];
         self.media
-            .read_at(&mut out, u64::from(slot.0) * SLOT)
-            .map_err(|e| match e.kind() {
+            .read_at(&mut record, slot.offset())
+            .map_err(|error| match error.kind() {
                 io::ErrorKind::UnexpectedEof => SpoolError::Damaged,
-                _ => SpoolError::Disk(e),
+                _ => SpoolError::Disk(error),
             })?;
-        let bytes = out.split_off(HEAD);
-        match out == head(body, number, &bytes) {
-            true => Ok(bytes),
-            false => Err(SpoolError::Damaged),
+        let bytes = record.split_off(HEADER_BYTES);
+        if record != header(body, number, &bytes) {
+            return Err(SpoolError::Damaged);
         }
+        Ok(bytes)
     }
 
+    /// Frees a slot for another piece.
     pub fn free(&self, slot: Slot) {
-        self.slots().free.push(slot.0);
+        lock(&self.slots).free.push(slot.0);
     }
 
-    /// Slots in use.
+    /// The number of slots in use.
     pub fn used(&self) -> usize {
-        let slots = self.slots();
-        slots.fresh as usize - slots.free.len()
+        let slots = lock(&self.slots);
+        slots.next_unused as usize - slots.free.len()
     }
 }
 
-fn head(body: u64, number: u32, bytes: &[u8]) -> [u8; HEAD] {
-    let mut head = [0; HEAD];
-    head[..8].copy_from_slice(&body.to_le_bytes());
-    head[8..12].copy_from_slice(&number.to_le_bytes());
-    head[12..16].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&head[..16]);
-    sum.update(bytes);
-    head[16..20].copy_from_slice(&sum.finalize().to_le_bytes());
-    head
+fn header(body: u64, number: u32, bytes: &[u8]) -> [u8; HEADER_BYTES] {
+    let mut header = [0; HEADER_BYTES];
+    header[..8].copy_from_slice(&body.to_le_bytes());
+    header[8..12].copy_from_slice(&number.to_le_bytes());
+    header[12..16].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(&header[..CHECKED_HEADER_BYTES]);
+    checksum.update(bytes);
+    header[16..20].copy_from_slice(&checksum.finalize().to_le_bytes());
+    header
 }
 
 #[cfg(test)]
--- a/crates/bodies/src/spool/tests.rs
+++ b/crates/bodies/src/spool/tests.rs
@@ -1,4 +1,9 @@
+//! The spool file: stored pieces are read as written, and damage is an error.
+
 use super::*;
+use std::fs::OpenOptions;
+use std::os::unix::fs::FileExt;
+use std::path::PathBuf;
 
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("garnetwall-spool-{name}-{}", std::process::id()));
@@ -7,45 +12,46 @@
 }
 
 #[test]
-fn pieces_come_back_and_slots_are_used_again() {
+fn pieces_are_read_as_written_and_slots_are_reused() {
     let folder = folder("again");
-    let spool = Spool::new(Disk::open(&folder, "n0").expect("a file"), 2 * PIECE);
+    let spool = Spool::new(Disk::open(&folder, "n0").expect("a file"), 2 * PIECE_BYTES);
     assert_eq!(
         std::fs::read_dir(&folder).expect("a folder").count(),
         0,
         "unlinked while it is open"
     );
-    let a = spool.write(1, 0, b"first").expect("room");
-    let b = spool.write(1, 1, &vec![7; PIECE as usize]).expect("room");
+    let a = spool.write(1, 0, b"first").expect("a free slot");
+    let b = spool
+        .write(1, 1, &vec![7; PIECE_BYTES as usize])
+        .expect("a free slot");
     assert!(matches!(spool.write(2, 0, b"x"), Err(SpoolError::Full)));
-    assert_eq!(spool.read(&a, 1, 0, 5).expect("kept"), b"first");
+    assert_eq!(spool.read(&a, 1, 0, 5).expect("stored"), b"first");
     assert_eq!(
-        spool.read(&b, 1, 1, PIECE as usize).expect("kept"),
-        vec![7; PIECE as usize]
+        spool.read(&b, 1, 1, PIECE_BYTES as usize).expect("stored"),
+        vec![7; PIECE_BYTES as usize]
     );
     spool.free(a);
-    let c = spool.write(2, 0, b"other").expect("room again");
+    let c = spool.write(2, 0, b"other").expect("a free slot again");
     assert_eq!(
-        (spool.used(), spool.read(&c, 2, 0, 5).expect("kept")),
+        (spool.used(), spool.read(&c, 2, 0, 5).expect("stored")),
         (2, b"other".to_vec())
     );
-    // A slot that is another's by now, or of another piece, proves itself.
+    // A slot that is of another body by now, or of another piece, is found by its header.
     assert!(matches!(spool.read(&c, 1, 0, 5), Err(SpoolError::Damaged)));
     assert!(matches!(spool.read(&b, 1, 0, 5), Err(SpoolError::Damaged)));
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
-/// Every byte of a slot, flipped: told as damaged.
 #[test]
-fn a_damaged_piece_is_told() {
+fn every_flipped_byte_of_a_slot_is_damage() {
     let folder = folder("damaged");
     let disk = Disk::open(&folder, "n0").expect("a file");
     let file = disk.0.try_clone().expect("a second handle");
-    let spool = Spool::new(disk, PIECE);
+    let spool = Spool::new(disk, PIECE_BYTES);
     let slot = spool
         .write(5, 3, b"INSERT INTO sales_17.orders")
-        .expect("room");
-    for at in 0..HEAD as u64 + 27 {
+        .expect("a free slot");
+    for at in 0..HEADER_BYTES as u64 + 27 {
         let mut byte = [0];
         file.read_exact_at(&mut byte, at).expect("read");
         file.write_all_at(&[byte[0] ^ 0x10], at).expect("written");
@@ -65,7 +71,7 @@
 }
 
 #[test]
-fn only_our_own_left_overs_are_removed() {
+fn only_leftover_files_of_the_same_gateway_are_removed() {
     let folder = folder("left");
     let make = |name: &str| std::fs::write(folder.join(name), b"x").expect("written");
     for name in ["n0-12-99.garnetwall-spool", "n0-7-1.garnetwall-spool"] {
@@ -95,7 +101,7 @@
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
-/// The disk is full in truth: every write to /dev/full fails with ENOSPC.
+/// Every write to /dev/full fails with ENOSPC.
 #[test]
 fn a_full_disk_is_an_error_and_the_slot_is_free_again() {
     let file = OpenOptions::new()
@@ -103,7 +109,7 @@
         .write(true)
         .open("/dev/full")
         .expect("/dev/full");
-    let spool = Spool::new(Disk(file), 4 * PIECE);
+    let spool = Spool::new(Disk(file), 4 * PIECE_BYTES);
     match spool.write(1, 0, b"x") {
         Err(SpoolError::Disk(e)) => assert_eq!(e.kind(), io::ErrorKind::StorageFull),
         other => panic!("{other:?}"),
