--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -256,7 +256,7 @@
         };
         sleep(Duration::from_millis(10)).await;
         match cut {
-            "stops" => body.mark_truncated(),
+            "stops" => body.abort(),
             _ => body.finish().await,
         }
         let result = timeout(Duration::from_secs(1), reading)
--- a/crates/bodies/src/body/writer.rs
+++ b/crates/bodies/src/body/writer.rs
@@ -76,7 +76,7 @@
     }
 
     /// Marks a body that is still arriving as truncated: its writer stopped before its end.
-    pub fn mark_truncated(&self) {
+    pub fn abort(&self) {
         let mut content = self.content();
         if content.state == ReceiveState::Receiving {
             content.state = ReceiveState::Truncated;
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -97,7 +97,7 @@
 
 impl Drop for CutOffOnDrop {
     fn drop(&mut self) {
-        self.0.mark_truncated();
+        self.0.abort();
     }
 }
 
