--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -1,8 +1,8 @@
 //! Events of the wire, decoded and handed to an instance's decision module. Those for an instance that is not attached
 //! are read and passed over.
 
-use crate::fields::{FieldReader, Read};
-use crate::instance::{Instance, OpenQuery, OwedAnswer};
+use crate::fields::{Address, FieldReader, Read};
+use crate::instance::{Instance, OwedAnswer};
 use crate::protocol::{attempt_end, incoming, progress};
 use garnetwall::api::{AttemptEnd, AttemptOutcome, FollowUp, LoadReport, Progress, Query};
 
@@ -77,6 +77,23 @@
     fields: &mut FieldReader,
 ) -> Read<()> {
     let wire_id = fields.u32("batch id")?;
+    let query = read_query(fields)?;
+    let Some(instance) = instance else {
+        return Ok(());
+    };
+    if query.class >= instance.class_count {
+        return fields.malformed(format!("unknown service group {}", query.class));
+    }
+    if instance.ids.contains_key(&wire_id) {
+        return fields.malformed(format!("batch id {wire_id} used again"));
+    }
+    let id = instance.open(wire_id);
+    instance.controller.admit(clock, Query { id, ..query });
+    Ok(())
+}
+
+/// A query's fields after its id; its number is not given yet.
+fn read_query(fields: &mut FieldReader) -> Read<Query> {
     let class = usize::from(fields.u8("service group")?);
     let tenant = fields.u32("tenant")? as usize;
     let ordering_key = Some(fields.u64("key")?).filter(|key| *key != 0);
@@ -87,26 +104,8 @@
     let flags = fields.u8("marks")?;
     let estimated_work =
         positive(work_milliseconds / 1000.0).filter(|_| flags & HAS_ESTIMATED_WORK != 0);
-    let Some(instance) = instance else {
-        return Ok(());
-    };
-    if class >= instance.class_count {
-        return fields.malformed(format!("unknown service group {class}"));
-    }
-    if instance.ids.contains_key(&wire_id) {
-        return fields.malformed(format!("batch id {wire_id} used again"));
-    }
-    let id = instance.next_id;
-    instance.next_id += 1;
-    instance.ids.insert(wire_id, id);
-    let open_query = OpenQuery {
-        wire_id,
-        attempts_in_flight: 0,
-        finished: false,
-    };
-    instance.open_queries.insert(id, open_query);
-    let query = Query {
-        id,
+    Ok(Query {
+        id: 0,
         class,
         tenant,
         ordering_key,
@@ -115,12 +114,23 @@
         estimated_memory,
         data_set,
         endpoint_subset: None,
-    };
-    instance.controller.admit(clock, query);
-    Ok(())
+    })
 }
 
-fn outcome(instance: Option<&mut Instance>, clock: f64, fields: &mut FieldReader) -> Read<()> {
+/// The end of an attempt as the wire has it.
+struct WireOutcome {
+    wire_id: u32,
+    attempt: u32,
+    address: Address,
+    end: AttemptEnd,
+    latency: f64,
+    query_finished: bool,
+    work: Option<f64>,
+    memory: Option<f64>,
+    report_values: Vec<f64>,
+}
+
+fn read_outcome(fields: &mut FieldReader) -> Read<WireOutcome> {
     let wire_id = fields.u32("batch id")?;
     let attempt = u32::from(fields.u16("dispatch")?);
     let address = fields.address()?;
@@ -128,34 +138,44 @@
     let latency = fields.time("latency")?.max(0.0);
     let query_finished = fields.u8("closed")? != 0;
     let measured = fields.u32("told work")?;
-    let report_values = read_report_values(fields)?;
-    let Some(instance) = instance else {
-        return Ok(());
-    };
     let work_milliseconds = f64::from(measured / MEASURED_MEMORY_RANGE);
     let memory_units = f64::from(measured % MEASURED_MEMORY_RANGE);
-    let outcome = AttemptOutcome {
-        engine: instance.engine(address),
+    Ok(WireOutcome {
+        wire_id,
         attempt,
+        address,
         end,
         latency,
         query_finished,
         work: positive(work_milliseconds / 1000.0),
         memory: positive(memory_units * MEASURED_MEMORY_UNIT_MB),
+        report_values: read_report_values(fields)?,
+    })
+}
+
+fn outcome(instance: Option<&mut Instance>, clock: f64, fields: &mut FieldReader) -> Read<()> {
+    let read = read_outcome(fields)?;
+    let Some(instance) = instance else {
+        return Ok(());
     };
-    if let Some(report) = instance.load_report(&report_values) {
-        instance
-            .controller
-            .load_reported(clock, outcome.engine, report);
+    let engine = instance.engine(read.address);
+    if let Some(report) = instance.load_report(&read.report_values) {
+        instance.controller.load_reported(clock, engine, report);
     }
-    let Some(&id) = instance.ids.get(&wire_id) else {
+    let Some(&id) = instance.ids.get(&read.wire_id) else {
         return Ok(());
     };
+    let outcome = AttemptOutcome {
+        engine,
+        attempt: read.attempt,
+        end: read.end,
+        latency: read.latency,
+        query_finished: read.query_finished,
+        work: read.work,
+        memory: read.memory,
+    };
     let follow_up = instance.controller.attempt_ended(clock, id, outcome);
-    if let Some(query) = instance.open_queries.get_mut(&id) {
-        query.attempts_in_flight = query.attempts_in_flight.saturating_sub(1);
-        query.finished |= query_finished;
-    }
+    instance.attempt_ended(id, read.query_finished);
     match follow_up {
         FollowUp::Nothing => instance.forget_if_over(id),
         FollowUp::Answer(answer) => instance.owed_answers.push(OwedAnswer { query: id, answer }),
--- a/crates/bench-adapter/src/fields.rs
+++ b/crates/bench-adapter/src/fields.rs
@@ -47,15 +47,15 @@
     }
 
     pub fn bytes(&mut self, count: usize, name: &str) -> Read<&'a [u8]> {
-        let rest = &self.bytes[self.offset..];
-        if rest.len() < count {
+        let remaining = &self.bytes[self.offset..];
+        if remaining.len() < count {
             return self.malformed(format!(
                 "{name}: {count} bytes expected, {} left",
-                rest.len()
+                remaining.len()
             ));
         }
         self.offset += count;
-        Ok(&rest[..count])
+        Ok(&remaining[..count])
     }
 
     fn array<const N: usize>(&mut self, name: &str) -> Read<[u8; N]> {
--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -30,7 +30,7 @@
     pub(crate) addresses: Vec<Address>,
     pub(crate) ids: BTreeMap<u32, QueryId>,
     pub(crate) open_queries: BTreeMap<QueryId, OpenQuery>,
-    pub(crate) next_id: QueryId,
+    next_id: QueryId,
     /// When the timer that is set goes off, in seconds.
     pub(crate) timer_at: Option<f64>,
     /// In the order of their outcomes.
@@ -94,6 +94,28 @@
         self.controller.endpoint_list_failed();
     }
 
+    /// A query has arrived: gives it its number.
+    pub(crate) fn open(&mut self, wire_id: u32) -> QueryId {
+        let id = self.next_id;
+        self.next_id += 1;
+        self.ids.insert(wire_id, id);
+        let query = OpenQuery {
+            wire_id,
+            attempts_in_flight: 0,
+            finished: false,
+        };
+        self.open_queries.insert(id, query);
+        id
+    }
+
+    /// An attempt of a query has its outcome.
+    pub(crate) fn attempt_ended(&mut self, id: QueryId, query_finished: bool) {
+        if let Some(query) = self.open_queries.get_mut(&id) {
+            query.attempts_in_flight = query.attempts_in_flight.saturating_sub(1);
+            query.finished |= query_finished;
+        }
+    }
+
     /// A query is over for its client.
     pub(crate) fn finish(&mut self, id: QueryId) {
         if let Some(query) = self.open_queries.get_mut(&id) {
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -3,17 +3,18 @@
 //! bounded however many clients there are: keys in use stand in a table, idle ones are evicted, and where all are in use
 //! further ones share a sketch, which may limit a key to less than its own, and never allows it more.
 
-use crate::sketch::{Cells, CountMinSketch, Usage};
+mod rules;
+mod state;
+
+use crate::sketch::Usage;
 use crate::{RoutedQuery, Routing};
-use garnetwall_plan::model::{Bucket, Limit, Per, Plan, Tenant};
-use std::collections::HashMap;
-use std::net::IpAddr;
+use garnetwall_plan::model::{Bucket, Per};
+use rules::limit_rules;
+use state::{LimitKey, LimitState, Slot};
 use std::time::Duration;
 
 /// Keys of one limit that are counted exactly.
 pub const MAX_EXACT_KEYS: usize = 16_384;
-/// Entries looked at for an idle key to evict.
-const EVICTION_PROBES: usize = 8;
 /// Weight of one query in the mean time in flight.
 const HOLD_TIME_WEIGHT: f64 = 0.05;
 /// Least Retry-After of a rejection.
@@ -41,20 +42,6 @@
     pub retry_after: Duration,
 }
 
-/// What a limit counts separately.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
-struct LimitKey {
-    class: Option<u32>,
-    tenant: Option<u32>,
-    client: Option<IpAddr>,
-}
-
-#[derive(Clone, Copy, Debug)]
-enum Slot {
-    Exact(u32),
-    Shared(Cells),
-}
-
 /// The right of an admitted query to count in its limits, until it is released.
 #[derive(Debug)]
 pub struct LimitPermit {
@@ -81,18 +68,6 @@
     state: LimitState,
 }
 
-/// The state of a limit.
-#[derive(Debug, Default)]
-struct LimitState {
-    number: u64,
-    slots: HashMap<LimitKey, u32>,
-    usage: Vec<(LimitKey, Usage)>,
-    eviction_hand: usize,
-    sketch: Option<CountMinSketch>,
-    /// Usual seconds in flight.
-    mean_hold_seconds: f64,
-}
-
 /// All limits of a plan with what they hold.
 #[derive(Debug)]
 pub struct Limits {
@@ -203,81 +178,6 @@
     }
 }
 
-/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the queries that this gateway can hold.
-fn limit_rules(routing: &Routing, capacity: f64) -> Vec<LimitRule> {
-    let plan = routing.plan();
-    let limits = plan
-        .limits
-        .iter()
-        .map(|limit| rule_of_limit(routing, limit));
-    let tenants = plan
-        .tenants
-        .iter()
-        .map(|tenant| rule_of_tenant(routing, tenant, capacity));
-    limits.chain(tenants).collect()
-}
-
-fn rule_of_limit(routing: &Routing, limit: &Limit) -> LimitRule {
-    let names = routing.names();
-    LimitRule {
-        name: limit.name.clone(),
-        scope: scope_of(routing.plan(), limit),
-        per: limit.per.clone(),
-        classes: indices(&names.classes, &limit.groups),
-        tenants: indices(&names.tenants, &limit.tenants),
-        clients: limit.clients.clone(),
-        in_flight: limit.in_hand.map(|n| n.min(u64::from(u32::MAX)) as u32),
-        rate: limit.rate,
-        bytes: limit.bytes,
-        state: LimitState::default(),
-    }
-}
-
-fn rule_of_tenant(routing: &Routing, tenant: &Tenant, capacity: f64) -> LimitRule {
-    let by_share = tenant.share.map(|share| (share * capacity).max(1.0));
-    let by_count = tenant.in_hand.map(|n| n as f64);
-    let in_flight = by_count
-        .into_iter()
-        .chain(by_share)
-        .min_by(f64::total_cmp)
-        .filter(|n| n.is_finite());
-    LimitRule {
-        name: tenant.name.clone(),
-        scope: "tenant".to_string(),
-        per: Vec::new(),
-        classes: Vec::new(),
-        tenants: indices(&routing.names().tenants, std::slice::from_ref(&tenant.name)),
-        clients: Vec::new(),
-        in_flight: in_flight.map(|n| n.min(f64::from(u32::MAX)) as u32),
-        rate: tenant.rate,
-        bytes: tenant.bytes,
-        state: LimitState::default(),
-    }
-}
-
-/// What a limit counts, in words that do not depend on the order in which the plan lists it.
-fn scope_of(plan: &Plan, limit: &Limit) -> String {
-    let sorted = |list: &[String]| {
-        let mut list = list.to_vec();
-        list.sort_unstable();
-        list
-    };
-    let spans = limit
-        .clients
-        .iter()
-        .flat_map(|set| plan.addresses[*set].spans.clone());
-    let spans = garnetwall_plan::address::union(spans.collect());
-    let (classes, tenants) = (sorted(&limit.groups), sorted(&limit.tenants));
-    format!("{:?} {classes:?} {tenants:?} {spans:?}", limit.per)
-}
-
-/// The places of some names in a list; unknown names are left out.
-fn indices(names: &[String], list: &[String]) -> Vec<usize> {
-    list.iter()
-        .filter_map(|name| names.iter().position(|other| other == name))
-        .collect()
-}
-
 impl LimitRule {
     fn key(&self, query: &RoutedQuery) -> LimitKey {
         let mut key = LimitKey::default();
@@ -349,68 +249,5 @@
     due.max(now) + Duration::from_secs_f64(cost.min(bucket.burst) / bucket.rate)
 }
 
-impl LimitState {
-    fn usage_of_key(&self, key: &LimitKey) -> Usage {
-        match (self.slots.get(key), &self.sketch) {
-            (Some(at), _) => self.usage[*at as usize].1,
-            (None, Some(sketch)) => sketch.usage(&sketch.cells(key)),
-            (None, None) => Usage::default(),
-        }
-    }
-
-    fn usage_of_slot(&self, slot: &Slot) -> Usage {
-        match (slot, &self.sketch) {
-            (Slot::Exact(at), _) => self.usage[*at as usize].1,
-            (Slot::Shared(cells), Some(sketch)) => sketch.usage(cells),
-            (Slot::Shared(_), None) => Usage::default(),
-        }
-    }
-
-    /// A place for a key: its own, a new one, that of an idle key, or cells that it shares.
-    fn slot_for(&mut self, now: Duration, key: LimitKey, max_exact_keys: usize) -> Slot {
-        if let Some(at) = self.slots.get(&key) {
-            return Slot::Exact(*at);
-        }
-        // What the sketch holds of it must not be forgotten.
-        if let Some(sketch) = &self.sketch {
-            let cells = sketch.cells(&key);
-            if !sketch.usage(&cells).is_idle(now) {
-                return Slot::Shared(cells);
-            }
-        }
-        if self.usage.len() < max_exact_keys {
-            self.usage.push((key, Usage::default()));
-            self.slots.insert(key, self.usage.len() as u32 - 1);
-            return Slot::Exact(self.usage.len() as u32 - 1);
-        }
-        for _ in 0..EVICTION_PROBES.min(self.usage.len()) {
-            self.eviction_hand = (self.eviction_hand + 1) % self.usage.len();
-            let (old, load) = self.usage[self.eviction_hand];
-            if load.is_idle(now) {
-                self.slots.remove(&old);
-                self.usage[self.eviction_hand] = (key, Usage::default());
-                self.slots.insert(key, self.eviction_hand as u32);
-                return Slot::Exact(self.eviction_hand as u32);
-            }
-        }
-        Slot::Shared(
-            self.sketch
-                .get_or_insert_with(CountMinSketch::new)
-                .cells(&key),
-        )
-    }
-
-    fn release(&mut self, slot: Slot) {
-        match (slot, &mut self.sketch) {
-            (Slot::Exact(at), _) => {
-                let load = &mut self.usage[at as usize].1;
-                load.in_flight = load.in_flight.saturating_sub(1);
-            }
-            (Slot::Shared(cells), Some(sketch)) => sketch.release(&cells),
-            (Slot::Shared(_), None) => {}
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/routing/src/limits/rules.rs
@@ -0,0 +1,81 @@
+//! The limits of a plan and the shares of its tenants, as rules that count.
+
+use super::state::LimitState;
+use super::LimitRule;
+use crate::Routing;
+use garnetwall_plan::model::{Limit, Plan, Tenant};
+
+/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the queries that this gateway can hold.
+pub(super) fn limit_rules(routing: &Routing, capacity: f64) -> Vec<LimitRule> {
+    let plan = routing.plan();
+    let limits = plan
+        .limits
+        .iter()
+        .map(|limit| rule_of_limit(routing, limit));
+    let tenants = plan
+        .tenants
+        .iter()
+        .map(|tenant| rule_of_tenant(routing, tenant, capacity));
+    limits.chain(tenants).collect()
+}
+
+fn rule_of_limit(routing: &Routing, limit: &Limit) -> LimitRule {
+    let names = routing.names();
+    LimitRule {
+        name: limit.name.clone(),
+        scope: scope_of(routing.plan(), limit),
+        per: limit.per.clone(),
+        classes: indices(&names.classes, &limit.groups),
+        tenants: indices(&names.tenants, &limit.tenants),
+        clients: limit.clients.clone(),
+        in_flight: limit.in_hand.map(|n| n.min(u64::from(u32::MAX)) as u32),
+        rate: limit.rate,
+        bytes: limit.bytes,
+        state: LimitState::default(),
+    }
+}
+
+fn rule_of_tenant(routing: &Routing, tenant: &Tenant, capacity: f64) -> LimitRule {
+    let by_share = tenant.share.map(|share| (share * capacity).max(1.0));
+    let by_count = tenant.in_hand.map(|n| n as f64);
+    let in_flight = by_count
+        .into_iter()
+        .chain(by_share)
+        .min_by(f64::total_cmp)
+        .filter(|n| n.is_finite());
+    LimitRule {
+        name: tenant.name.clone(),
+        scope: "tenant".to_string(),
+        per: Vec::new(),
+        classes: Vec::new(),
+        tenants: indices(&routing.names().tenants, std::slice::from_ref(&tenant.name)),
+        clients: Vec::new(),
+        in_flight: in_flight.map(|n| n.min(f64::from(u32::MAX)) as u32),
+        rate: tenant.rate,
+        bytes: tenant.bytes,
+        state: LimitState::default(),
+    }
+}
+
+/// What a limit counts, in words that do not depend on the order in which the plan lists it.
+fn scope_of(plan: &Plan, limit: &Limit) -> String {
+    let sorted = |list: &[String]| {
+        let mut list = list.to_vec();
+        list.sort_unstable();
+        list
+    };
+    let spans = limit
+        .clients
+        .iter()
+        .flat_map(|set| plan.addresses[*set].spans.clone());
+    let spans = garnetwall_plan::address::union(spans.collect());
+    let (classes, tenants) = (sorted(&limit.groups), sorted(&limit.tenants));
+    format!("{:?} {classes:?} {tenants:?} {spans:?}", limit.per)
+}
+
+/// The places of some names in a list; unknown names are left out.
+fn indices(names: &[String], list: &[String]) -> Vec<usize> {
+    list.iter()
+        .filter_map(|name| names.iter().position(|other| other == name))
+        .collect()
+}
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -6,6 +6,7 @@
 use garnetwall_plan::source::InMemory;
 use proptest::collection::vec;
 use proptest::prelude::*;
+use std::net::IpAddr;
 use std::sync::Arc;
 
 fn routing(text: &str) -> Routing {
