--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -45,8 +45,8 @@
 
 pub use accept::accept;
 
-/// Protocol: a client that can't be served is owed a close within 3 s of connecting. The first request has this long
-/// to bring its head, and a statement as long as that.
+/// Protocol: the connection of a client that can't be served closes within 3 s. The head of a first request must arrive within
+/// this time, and its statement within as long again.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What all request handlers share.
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -73,8 +73,8 @@
     }
 
     /// Reads what the kernel has, as far as the read-ahead buffer has space. It does not wait for the runtime to report
-    /// readiness: of a connection that was just accepted that comes one turn late, after later bytes on other connections
-    /// were read.
+    /// readiness: for a connection that was just accepted that report is one turn late, after later bytes on other
+    /// connections were read.
     pub fn read_available(&self) {
         self.state().read_available();
     }
--- a/crates/gateway/src/http/rejection.rs
+++ b/crates/gateway/src/http/rejection.rs
@@ -9,7 +9,7 @@
 use garnetwall_settings::Decoded;
 use thiserror::Error;
 
-/// Why a query is not admitted; the text is what the client is answered.
+/// Why a query is not admitted. The text is the client's response, so it keeps the words of the protocol.
 #[derive(Debug, Error, PartialEq)]
 pub(super) enum Rejection {
     /// The head of the request is wrong.
@@ -63,7 +63,7 @@
 }
 
 impl Rejection {
-    /// What the client is told of a rejection by the plan: the settings say whether it is told when to retry, and the most.
+    /// A rejection by the plan. The settings say whether its response gives a time to retry after, and the longest.
     pub fn by_plan(rejection: PlanRejection, decoded: &Decoded) -> Self {
         match rejection {
             PlanRejection::StatementTooLong { max_bytes } => {
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -22,7 +22,7 @@
 /// Milliseconds in a second; the protocol gives times in milliseconds, decisions take seconds.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// What is wrong with the head of a request; the text is what the client is answered.
+/// What is wrong with the head of a request. The text is the client's response, so it keeps the words of the protocol.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub(super) enum RequestError {
     /// The path names no query class.
@@ -64,7 +64,7 @@
     pub stream: StreamHandle,
 }
 
-/// A query to be admitted: what decisions need, and what goes on to the engine unchanged.
+/// A query to be admitted: what decisions need, and what is sent to the engine unchanged.
 #[derive(Debug)]
 pub(super) struct SubmittedQuery {
     pub arrival: ArrivingQuery,
--- a/crates/gateway/src/http/send_time.rs
+++ b/crates/gateway/src/http/send_time.rs
@@ -35,7 +35,7 @@
 /// Keys remembered before those that no longer matter are removed.
 const KEY_PRUNE_COUNT: usize = 1024;
 
-/// The arrivals of one ordering key, as far as they tell of the queue at its clients. Times in seconds.
+/// The arrivals of one ordering key, as far as they show the queue at its clients. Times in seconds.
 #[derive(Clone, Copy, Debug)]
 struct KeyArrivals {
     last_arrival: f64,
@@ -46,7 +46,7 @@
     /// Consecutive gaps of the protocol between queued arrivals.
     queue_gaps: u32,
     last_queued_arrival: f64,
-    /// An arrival out of step came since the last queued one. One alone does not end the queue: a faulty client may use the
+    /// An arrival at another gap followed the last queued one. One alone does not end the queue: a faulty client may use the
     /// key, too.
     is_interrupted: bool,
 }
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -1,5 +1,5 @@
 //! Handler stage: a body too long to be read whole before its query is admitted. The query runs while its body arrives, and
-//! the body store keeps what passes, for retries.
+//! the body store holds what has arrived, for retries.
 
 use super::admission::{admit, AdmittedQuery};
 use super::rejection::Rejection;
@@ -12,7 +12,6 @@
 use axum::body::Body;
 use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
-use garnetwall_bodies::room::Refused;
 use garnetwall_bodies::{Body as StoredBody, Store};
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
@@ -22,8 +21,8 @@
 /// Bytes of a body that are read before its query is admitted, to find its data set.
 const PREFIX_BYTES: usize = 64 << 10;
 
-/// Admits a query while its body arrives, and waits for its answer. Every rejection closes the connection, since the rest of
-/// the body may follow.
+/// Admits a query while its body arrives, and waits for its answer. Every rejection closes the connection, since unread
+/// parts of the body may follow.
 pub(super) async fn submit_streamed(
     state: &ServerState,
     store: &Arc<Store>,
@@ -112,7 +111,10 @@
             break;
         };
         prefix.extend_from_slice(&bytes);
-        stored.push(bytes).await.map_err(|_| Refused::NoRoom)?;
+        stored
+            .push(bytes)
+            .await
+            .map_err(|_| Rejection::BodyStoreFull)?;
     }
     Ok(prefix)
 }
