--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -132,8 +132,8 @@
     /// The gate stopped the request before the task noticed why. The query is tried at another engine where it is still
     /// wanted, that is where only this attempt was cancelled or the engine does not take new attempts.
     fn end_after_stopped_request(&self, cancellation: CancellationState) -> AttemptEnd {
-        let is_query_wanted =
-            cancellation == CancellationState::Requested || !self.engines.list().takes(self.target);
+        let is_query_wanted = cancellation == CancellationState::Requested
+            || !self.engines.list().accepts_attempts(self.target);
         if is_query_wanted {
             AttemptEnd::ConnectFailed
         } else {
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -96,7 +96,7 @@
 
 impl Drop for CutOffOnDrop {
     fn drop(&mut self) {
-        self.0.cut_off();
+        self.0.abort();
     }
 }
 
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -11,7 +11,7 @@
 use attempt_in_flight::AttemptInFlight;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, QueryId};
-use garnetwall_ledger::records::SentQuery;
+use garnetwall_ledger::records::StartedQuery;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -32,7 +32,7 @@
     /// Where a non-idempotent query is recorded.
     pub journal: Arc<QueryJournal>,
     /// The record to be written before an attempt is sent; `None` for a query that may be sent again.
-    pub journal_entry: Option<SentQuery>,
+    pub journal_entry: Option<StartedQuery>,
     /// Whether a client waits for the answer.
     pub client_presence: ClientPresence,
     /// The statement's part of the memory budget, held until the task ends.
@@ -208,7 +208,8 @@
 
     /// Reports that the statement can't be sent again, where its body has been discarded.
     fn report_discarded_body(&self) {
-        if matches!(&self.call.statement, Statement::Streamed(body) if !body.can_be_read()) {
+        if matches!(&self.call.statement, Statement::Streamed(body) if !body.is_readable_from_start())
+        {
             self.scheduler.body_discarded(self.id);
         }
     }
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -21,9 +21,9 @@
         self.handle_event(|state, now| {
             let resumes_at = now + longest_unpolled_run.as_secs_f64();
             for RecoveredQuery { record, finished } in queries {
-                let expires_at = record.until as f64 / MILLIS_PER_SECOND;
+                let expires_at = record.may_run_until_ms as f64 / MILLIS_PER_SECOND;
                 state.queries.recover(record.id, expires_at);
-                if let Some(key) = record.key.filter(|_| !finished) {
+                if let Some(key) = record.ordering_key.filter(|_| !finished) {
                     state.controller.pause_key(key, resumes_at);
                 }
             }
