--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -5,7 +5,7 @@
 use super::files::{read_settings, Disk};
 use super::ConfigError;
 use crate::scheduling::plan_routing;
-use garnetwall_plan::model::Facts;
+use garnetwall_plan::model::QueryFacts;
 use garnetwall_plan::source::Loader;
 use garnetwall_plan::{compile, diff, explain, fault, format, Compiled, Faulty, Settings};
 use pico_args::Arguments;
@@ -165,7 +165,7 @@
         plan.routes.len(),
         plan.pools.len(),
         plan.limits.len(),
-        plan.groups.len(),
+        plan.classes.len(),
         plan.tenants.len()
     ))
 }
@@ -226,7 +226,7 @@
         true => serde_json::to_string_pretty(&changes).unwrap_or_default() + "\n",
         false => changes
             .iter()
-            .map(|change| format!("{}: {}\n", change.of, change.text))
+            .map(|change| format!("{}: {}\n", change.subject, change.text))
             .collect(),
     };
     if changes.is_empty() {
@@ -280,13 +280,13 @@
     let file = file(&mut arguments, "the file of a plan")?;
     expect_no_more(arguments)?;
     let compiled = read(&file, options.settings.as_ref())?;
-    let facts = Facts {
-        group: &options.group,
+    let facts = QueryFacts {
+        class: &options.group,
         tenant: &options.tenant,
         client: options.client,
-        key: options.has_key,
+        has_key: options.has_key,
         data_set: options.data_set,
-        minute: options.minute_of_day,
+        minute_of_day: options.minute_of_day,
     };
     Ok(explain::explain(&compiled, &facts))
 }
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -280,7 +280,8 @@
             }
         };
         let ticket = self.limits.admit(routing, unix_time(now), query)?;
-        let deadline_of = |class: usize| routing.class_rules(class).and_then(|rules| rules.limit);
+        let deadline_of =
+            |class: usize| routing.class_rules(class).and_then(|rules| rules.deadline);
         let deadlines = [deadline_of(query.class), deadline_of(class)];
         let is_confined = !routing.subsets()[lane].is_unrestricted();
         Ok(PlanAdmission {
@@ -299,7 +300,7 @@
 }
 
 fn refused_by_route(routing: &Routing, route: usize) -> PlanRejection {
-    let reason = routing.plan().routes[route].refuse.clone();
+    let reason = routing.plan().routes[route].reject_reason.clone();
     PlanRejection::LimitReached {
         reason: reason.unwrap_or_default(),
         retry_after: None,
--- a/crates/gateway/src/scheduling/plan_routing/class_settings.rs
+++ b/crates/gateway/src/scheduling/plan_routing/class_settings.rs
@@ -2,8 +2,8 @@
 
 use crate::system::clock::span;
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass, RetryBudget};
-use garnetwall_plan::model::{self, Group, Plan, FURTHER_FLOOR, FURTHER_WINDOW};
-use garnetwall_plan::{Settings, SettingsGroup};
+use garnetwall_plan::model::{self, ClassRules, Plan, RETRY_FLOOR, RETRY_WINDOW_SECONDS};
+use garnetwall_plan::{Settings, SettingsClass};
 use garnetwall_settings::Decoded;
 
 /// The platform's settings in the form that a plan is checked against.
@@ -13,17 +13,17 @@
         .groups
         .iter()
         .zip(&decoded.settings.classes)
-        .map(|(name, class)| SettingsGroup {
+        .map(|(name, class)| SettingsClass {
             name: name.clone(),
-            goal: span(class.latency_objective),
-            limit: span(class.deadline),
+            latency_objective: span(class.latency_objective),
+            deadline: span(class.deadline),
             in_order: class.in_order,
-            effect: effect(class.idempotency),
+            idempotency: effect(class.idempotency),
             kinds: selected_names(class.kinds.as_deref(), &names.kinds),
             zones: selected_names(class.zones.as_deref(), &names.zones),
         });
     Settings {
-        groups: classes.collect(),
+        classes: classes.collect(),
         tenants: names.tenants.clone(),
         kinds: names.kinds.clone(),
         zones: names.zones.clone(),
@@ -40,56 +40,58 @@
 ///
 /// The deadline of a class stays as it is: [`PlanRouter::admit`](super::PlanRouter::admit) gives each query the plan's.
 pub fn narrowed_classes(classes: &[QueryClass], names: &[String], plan: &Plan) -> Vec<QueryClass> {
-    let narrowed = |(class, name): (&QueryClass, &String)| match plan.group(name) {
+    let narrowed = |(class, name): (&QueryClass, &String)| match plan.class(name) {
         Some(rules) => narrowed_class(class, rules),
         None => class.clone(),
     };
     classes.iter().zip(names).map(narrowed).collect()
 }
 
-fn narrowed_class(class: &QueryClass, rules: &Group) -> QueryClass {
+fn narrowed_class(class: &QueryClass, rules: &ClassRules) -> QueryClass {
     let mut class = class.clone();
-    if let Some(objective) = rules.goal {
+    if let Some(objective) = rules.latency_objective {
         class.latency_objective = objective.as_secs_f64();
         class.latency_objective_stretch = 0.0;
     }
     class.in_order |= rules.in_order == Some(true);
-    class.retry_budget = rules.further.map(|retries_per_query| RetryBudget {
-        floor: FURTHER_FLOOR,
-        per_query: retries_per_query,
-        window: FURTHER_WINDOW,
-    });
-    if let Some(effect) = rules.effect {
+    class.retry_budget = rules
+        .retries_per_query
+        .map(|retries_per_query| RetryBudget {
+            floor: RETRY_FLOOR,
+            per_query: retries_per_query,
+            window: RETRY_WINDOW_SECONDS,
+        });
+    if let Some(effect) = rules.idempotency {
         class.idempotency = idempotency(effect);
     }
     class
 }
 
-fn effect(idempotency: Idempotency) -> model::Effect {
+fn effect(idempotency: Idempotency) -> model::Idempotency {
     match idempotency {
-        Idempotency::Idempotent => model::Effect::Repeatable,
-        Idempotency::NonIdempotent => model::Effect::OnceOnly,
+        Idempotency::Idempotent => model::Idempotency::Idempotent,
+        Idempotency::NonIdempotent => model::Idempotency::NonIdempotent,
         Idempotency::IdempotentByKey { scope, window } => {
             let scope = match scope {
-                DeduplicationScope::Everywhere => model::Scope::Everywhere,
-                DeduplicationScope::Zone => model::Scope::Zone,
-                DeduplicationScope::Cell => model::Scope::Cell,
+                DeduplicationScope::Everywhere => model::DeduplicationScope::Everywhere,
+                DeduplicationScope::Zone => model::DeduplicationScope::Zone,
+                DeduplicationScope::Cell => model::DeduplicationScope::Cell,
             };
             let window = span(window);
-            model::Effect::Referenced { scope, window }
+            model::Idempotency::IdempotentByKey { scope, window }
         }
     }
 }
 
-fn idempotency(effect: model::Effect) -> Idempotency {
+fn idempotency(effect: model::Idempotency) -> Idempotency {
     match effect {
-        model::Effect::Repeatable => Idempotency::Idempotent,
-        model::Effect::OnceOnly => Idempotency::NonIdempotent,
-        model::Effect::Referenced { scope, window } => {
+        model::Idempotency::Idempotent => Idempotency::Idempotent,
+        model::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
+        model::Idempotency::IdempotentByKey { scope, window } => {
             let scope = match scope {
-                model::Scope::Everywhere => DeduplicationScope::Everywhere,
-                model::Scope::Zone => DeduplicationScope::Zone,
-                model::Scope::Cell => DeduplicationScope::Cell,
+                model::DeduplicationScope::Everywhere => DeduplicationScope::Everywhere,
+                model::DeduplicationScope::Zone => DeduplicationScope::Zone,
+                model::DeduplicationScope::Cell => DeduplicationScope::Cell,
             };
             let window = window.as_secs_f64();
             Idempotency::IdempotentByKey { scope, window }
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -29,8 +29,8 @@
     let limits = Limits {
         memory: bodies.memory,
         files: bodies.files,
-        batch_memory: bodies.batch_memory,
-        batch: bodies.batch,
+        batch_memory: bodies.query_memory,
+        batch: bodies.max_body,
         share: bodies.share,
         unknown_length: bodies.unknown_length,
         must_keep: class_names
--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -19,7 +19,7 @@
 use consistency::ConsistencyCheck;
 use std::collections::HashMap;
 
-pub use settings::{Settings, SettingsGroup};
+pub use settings::{Settings, SettingsClass};
 
 /// Builds a plan of checked blocks. Where there are faults the plan is not to be used.
 pub fn build(blocks: &[Checked], settings: Option<&Settings>, faults: &mut Vec<Fault>) -> Plan {
--- a/crates/plan/src/build/bodies.rs
+++ b/crates/plan/src/build/bodies.rs
@@ -55,10 +55,10 @@
         }
         self.plan.bodies = Some(Bodies {
             memory: memory as u64,
-            batch_memory: batch_memory as u64,
+            query_memory: batch_memory as u64,
             files: files as u64,
             directory,
-            batch: size("batch").unwrap_or(USUAL_BATCH) as u64,
+            max_body: size("batch").unwrap_or(USUAL_BATCH) as u64,
             share: size("share").unwrap_or(1.0),
             unknown_length: block.get("unknown-length").is_some(),
             must_keep: named(block.values("must-keep")),
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -49,10 +49,10 @@
     }
 
     fn groups(&mut self) {
-        for group in &self.plan.groups {
-            let told = self.settings.and_then(|s| s.group(&group.name));
-            let limit = group.limit.or(told.map(|t| t.limit));
-            if let (Some(goal), Some(limit)) = (group.goal, limit) {
+        for group in &self.plan.classes {
+            let told = self.settings.and_then(|s| s.class(&group.name));
+            let limit = group.deadline.or(told.map(|t| t.deadline));
+            if let (Some(goal), Some(limit)) = (group.latency_objective, limit) {
                 if goal > limit {
                     let text =
                         format!("the goal of `{}` is longer than its time limit", group.name);
@@ -67,15 +67,15 @@
                 );
                 self.faults.push(Fault::new(group.span.clone(), text));
             };
-            if group.limit.is_some_and(|limit| limit > told.limit) {
+            if group.deadline.is_some_and(|limit| limit > told.deadline) {
                 wider("time limit");
             }
             if group.in_order == Some(false) && told.in_order {
                 wider("order");
             }
             if group
-                .effect
-                .is_some_and(|effect| !effect.narrows(&told.effect))
+                .idempotency
+                .is_some_and(|effect| !effect.narrows(&told.idempotency))
             {
                 wider("effect");
             }
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -11,8 +11,13 @@
         for (n, limit) in limits.iter().enumerate() {
             for other in &limits[..n] {
                 let same = limit.per == other.per && scope_of(limit) == scope_of(other);
-                let figures =
-                    |l: &Limit| [l.in_hand.is_some(), l.rate.is_some(), l.bytes.is_some()];
+                let figures = |l: &Limit| {
+                    [
+                        l.max_in_flight.is_some(),
+                        l.rate.is_some(),
+                        l.bytes.is_some(),
+                    ]
+                };
                 let both = figures(limit)
                     .iter()
                     .zip(figures(other))
@@ -34,12 +39,12 @@
         for tenant in &self.plan.tenants {
             let covers = |l: &&Limit| {
                 let whole = l.per.iter().all(|p| *p == Per::Tenant)
-                    && l.groups.is_empty()
+                    && l.classes.is_empty()
                     && l.clients.is_empty();
                 whole && (l.tenants.is_empty() || l.tenants == [tenant.name.clone()])
             };
             for limit in limits.iter().filter(covers) {
-                if let (Some(most), Some(own)) = (limit.in_hand, tenant.in_hand) {
+                if let (Some(most), Some(own)) = (limit.max_in_flight, tenant.max_in_flight) {
                     if own > most {
                         let text = format!(
                             "`{}` may have {own} batches in hand, but the limit `{}` holds it to {most}",
@@ -61,12 +66,15 @@
             wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|n| wide.contains(n)))
         };
         let clients = wide.clients.is_empty() || wide.clients == narrow.clients;
-        let inside = within(&narrow.groups, &wide.groups)
+        let inside = within(&narrow.classes, &wide.classes)
             && within(&narrow.tenants, &wide.tenants)
             && clients;
-        if let (true, true, Some(less), Some(more)) =
-            (inside, wide.per.is_empty(), wide.in_hand, narrow.in_hand)
-        {
+        if let (true, true, Some(less), Some(more)) = (
+            inside,
+            wide.per.is_empty(),
+            wide.max_in_flight,
+            narrow.max_in_flight,
+        ) {
             if more > less && (scope_of(wide) != scope_of(narrow) || wide.per != narrow.per) {
                 let text = format!(
                     "the limit `{}` of {more} in hand can never bind: `{}` holds all of them to {less}",
@@ -81,7 +89,7 @@
 }
 
 fn scope_of(limit: &Limit) -> (Vec<&String>, Vec<&String>, Vec<usize>) {
-    let mut groups: Vec<&String> = limit.groups.iter().collect();
+    let mut groups: Vec<&String> = limit.classes.iter().collect();
     let mut tenants: Vec<&String> = limit.tenants.iter().collect();
     let mut clients = limit.clients.clone();
     groups.sort_unstable();
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -4,31 +4,31 @@
 use crate::cells::Cells;
 use crate::fault::Fault;
 use crate::files::Span;
-use crate::model::{Group, Route};
-use crate::region::{Classes, Region};
+use crate::model::{ClassRules, Route};
+use crate::region::{Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 
 impl ConsistencyCheck<'_> {
     /// No route sends a batch out of the pools that its group is bound to, and each leaves it some engine.
-    pub(super) fn placement(&mut self, classes: &Classes, reach: &[Option<Vec<Region>>]) {
+    pub(super) fn placement(&mut self, classes: &ValueClasses, reach: &[Option<Vec<Region>>]) {
         let cells = Cells::of(&[self.plan], self.known());
         let held = cells.as_ref().map(|cells| cells.held(self.plan, 0));
         for (n, route) in self.plan.routes.iter().enumerate() {
-            let Some(to_span) = &route.to_span else {
+            let Some(to_span) = &route.pools_span else {
                 continue;
             };
             let reaches = |group: &str| {
-                let class = classes.group(group);
+                let class = classes.query_class(group);
                 reach[n]
                     .as_ref()
                     .is_none_or(|pieces| pieces.iter().any(|p| p[0].contains(class)))
             };
-            for group in self.plan.groups.iter().filter(|g| !g.pools.is_empty()) {
+            for group in self.plan.classes.iter().filter(|g| !g.pools.is_empty()) {
                 let treated = route.as_ref_is(&group.name);
                 if !(reaches(&group.name) || treated) {
                     continue;
                 }
-                for to in &route.to {
+                for to in &route.pools {
                     let inside = match &held {
                         Some(held) => {
                             let mut rest = held[*to].clone();
@@ -49,7 +49,7 @@
         }
     }
 
-    fn leaves(&mut self, route: &Route, to_span: &Span, group: &Group, to: usize) {
+    fn leaves(&mut self, route: &Route, to_span: &Span, group: &ClassRules, to: usize) {
         let bound: Vec<&str> = group
             .pools
             .iter()
@@ -84,7 +84,7 @@
             return;
         };
         let bound = settings
-            .groups
+            .classes
             .iter()
             .filter(|g| g.kinds.is_some() || g.zones.is_some());
         for group in bound.filter(|g| reaches(&g.name) || route.as_ref_is(&g.name)) {
@@ -96,7 +96,7 @@
                 };
                 among(&group.zones, zone) && among(&group.kinds, kind)
             };
-            for to in &route.to {
+            for to in &route.pools {
                 if let Some(cell) = held[*to].ones().find(|cell| !allowed(*cell)) {
                     let (zone, kind) = cells.place(cell);
                     let place = match (zone, kind) {
@@ -128,6 +128,6 @@
 
 impl Route {
     fn as_ref_is(&self, group: &str) -> bool {
-        self.as_group.as_deref() == Some(group)
+        self.as_class.as_deref() == Some(group)
     }
 }
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -1,17 +1,17 @@
 //! Routes that never match, or that treat a group as one of weaker rules.
 
 use super::ConsistencyCheck;
-use crate::build::SettingsGroup;
+use crate::build::SettingsClass;
 use crate::fault::Fault;
-use crate::region::{self, Classes, Region};
+use crate::region::{self, Region, ValueClasses};
 
 impl ConsistencyCheck<'_> {
     pub(super) fn routes(&mut self) {
         let groups: Vec<String> = self.settings.map_or(Vec::new(), |s| {
-            s.groups.iter().map(|g| g.name.clone()).collect()
+            s.classes.iter().map(|g| g.name.clone()).collect()
         });
         let tenants = self.settings.map_or(&[][..], |s| &s.tenants);
-        let classes = Classes::of(&[self.plan], &groups, tenants);
+        let classes = ValueClasses::of(&[self.plan], &groups, tenants);
         let regions: Vec<Region> = self
             .plan
             .routes
@@ -52,15 +52,15 @@
             return;
         };
         for route in &self.plan.routes {
-            let (Some(other), Some(span)) = (&route.as_group, &route.as_span) else {
+            let (Some(other), Some(span)) = (&route.as_class, &route.as_span) else {
                 continue;
             };
-            let Some(to) = settings.group(other) else {
+            let Some(to) = settings.class(other) else {
                 continue;
             };
             let takes =
-                |g: &&SettingsGroup| route.groups.is_empty() || route.groups.contains(&g.name);
-            for from in settings.groups.iter().filter(takes) {
+                |g: &&SettingsClass| route.classes.is_empty() || route.classes.contains(&g.name);
+            for from in settings.classes.iter().filter(takes) {
                 let within =
                     |narrow: &Option<Vec<String>>, wide: &Option<Vec<String>>| match (narrow, wide)
                     {
@@ -68,7 +68,7 @@
                         (None, Some(_)) => false,
                         (Some(narrow), Some(wide)) => narrow.iter().all(|n| wide.contains(n)),
                     };
-                let what = if !to.effect.narrows(&from.effect) {
+                let what = if !to.idempotency.narrows(&from.idempotency) {
                     "run again where they may not"
                 } else if from.in_order && !to.in_order {
                     "lose their order"
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -25,7 +25,7 @@
             let mut per: Vec<Per> = named(block.values("per"))
                 .iter()
                 .map(|word| match word.as_str() {
-                    "group" => Per::Group,
+                    "group" => Per::Class,
                     "tenant" => Per::Tenant,
                     _ => Per::Client,
                 })
@@ -34,10 +34,10 @@
             per.dedup();
             self.plan.limits.push(Limit {
                 per,
-                groups: named(block.values("group")),
+                classes: named(block.values("group")),
                 tenants: named(block.values("tenant")),
                 clients,
-                in_hand: number(block.one("in-hand")).map(|n| n as u64),
+                max_in_flight: number(block.one("in-hand")).map(|n| n as u64),
                 rate: bucket(block.get("rate")),
                 bytes: bucket(block.get("bytes")),
                 name: block.name.clone(),
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -41,17 +41,17 @@
                 block.values(entry).iter().filter_map(pair).collect()
             };
             self.plan.routes.push(Route {
-                groups: named(block.values("group")),
+                classes: named(block.values("group")),
                 tenants: named(block.values("tenant")),
                 clients,
                 key: word("key").map(|w| w == "given"),
                 data_sets: spans("data-set"),
                 hours: spans("hours"),
-                to,
-                to_span: block.get("to").map(|g| g.span.clone()),
-                as_group: word("as"),
+                pools: to,
+                pools_span: block.get("to").map(|g| g.span.clone()),
+                as_class: word("as"),
                 as_span: block.get("as").map(|g| g.span.clone()),
-                refuse: word("refuse"),
+                reject_reason: word("refuse"),
                 name: block.name.clone(),
                 span: block.span.clone(),
             });
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -101,7 +101,7 @@
                 let at = self.patterns.binary_search_by(|p| p.as_str().cmp(id));
                 at.is_ok_and(|at| self.ways[way].contains(at))
             };
-            let holds = plan.pools_by(|pool| {
+            let holds = plan.pools_matching(|pool| {
                 pool.fits(
                     |name| self.zones[zone].as_deref() == Some(name),
                     |name| self.kinds[kind].as_deref() == Some(name),
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -5,7 +5,7 @@
 use crate::cells::{Cells, Known};
 use crate::explain::{bucket_in_words, effect_in_words, limit_in_words};
 use crate::model::{Bucket, Limit, Plan, Route};
-use crate::region::{self, Classes, Region};
+use crate::region::{self, Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
 pub struct Change {
     /// What has changed: `routing`, `placement`, `group`, `tenant` or `limit`.
-    pub of: &'static str,
+    #[serde(rename = "of")]
+    pub subject: &'static str,
     pub text: String,
 }
 
@@ -48,7 +49,7 @@
 }
 
 struct Compare<'a> {
-    classes: &'a Classes,
+    classes: &'a ValueClasses,
     all: FixedBitSet,
     /// Sets of cells by number, so that decisions are short.
     known: BTreeMap<Vec<usize>, usize>,
@@ -67,14 +68,14 @@
         let mut bound = self.all.clone();
         let rules = groups
             .iter()
-            .filter_map(|g| side.plan.group(g))
+            .filter_map(|g| side.plan.class(g))
             .filter(|g| !g.pools.is_empty());
         for group in rules {
             let mut pools = FixedBitSet::with_capacity(bound.len());
             group.pools.iter().for_each(|p| pools.union_with(&held[*p]));
             bound.intersect_with(&pools);
         }
-        let to = route.map_or(&[][..], |r| &r.to);
+        let to = route.map_or(&[][..], |r| &r.pools);
         let tiers = to.iter().map(|p| held[*p].clone());
         let mut tiers: Tiers = if to.is_empty() {
             vec![self.all.clone()]
@@ -92,21 +93,21 @@
     }
 
     fn decision(&mut self, side: &Side, route: Option<&Route>, group: &str) -> Decision {
-        if let Some(reason) = route.and_then(|r| r.refuse.clone()) {
+        if let Some(reason) = route.and_then(|r| r.reject_reason.clone()) {
             return Decision::Refused(reason);
         }
-        let treated = route.and_then(|r| r.as_group.as_deref()).unwrap_or(group);
+        let treated = route.and_then(|r| r.as_class.as_deref()).unwrap_or(group);
         let tiers = self.tiers(side, route, &[group, treated]);
         let tiers = match side.held {
             Some(_) => tiers.iter().map(|cells| self.number(cells)).collect(),
-            None => route.map_or(Vec::new(), |r| r.to.clone()),
+            None => route.map_or(Vec::new(), |r| r.pools.clone()),
         };
         Decision::Goes(treated.to_string(), tiers)
     }
 }
 
 fn routing(old: &Plan, new: &Plan, changes: &mut Vec<Change>) {
-    let classes = Classes::of(&[old, new], &[], &[]);
+    let classes = ValueClasses::of(&[old, new], &[], &[]);
     let cells = Cells::of(&[old, new], Known::default());
     let side = |plan, first_set| {
         let plan: &Plan = plan;
@@ -134,7 +135,7 @@
             let text =
                 "the routes of the two are too many and too entangled to be compared".to_string();
             changes.push(Change {
-                of: "routing",
+                subject: "routing",
                 text,
             });
         }
@@ -156,7 +157,7 @@
                 .collect();
             for piece in meet {
                 for class in piece[0].ones() {
-                    let name = names.iter().find(|name| classes.group(name) == class);
+                    let name = names.iter().find(|name| classes.query_class(name) == class);
                     let group = name.map_or("others", String::as_str);
                     let a = compare.decision(&sides[0], old.routes.get(m), group);
                     let b = compare.decision(&sides[1], new.routes.get(n), group);
@@ -193,7 +194,7 @@
             is
         };
         changes.push(Change {
-            of: "routing",
+            subject: "routing",
             text: format!("{first}{more}: {was} -> {is}"),
         });
     }
@@ -204,10 +205,10 @@
         let routes = plan
             .routes
             .iter()
-            .flat_map(|r| r.groups.iter().chain(&r.as_group))
+            .flat_map(|r| r.classes.iter().chain(&r.as_class))
             .cloned();
         routes
-            .chain(plan.groups.iter().map(|g| g.name.clone()))
+            .chain(plan.classes.iter().map(|g| g.name.clone()))
             .collect::<BTreeSet<_>>()
     };
     of(old).union(&of(new)).cloned().collect()
@@ -217,14 +218,14 @@
     match decision {
         Decision::Refused(reason) => format!("refused, \"{reason}\""),
         Decision::Goes(group, _) => {
-            let to = route.map_or(&[][..], |r| &r.to);
+            let to = route.map_or(&[][..], |r| &r.pools);
             let pools: Vec<&str> = to.iter().map(|p| plan.pools[*p].name.as_str()).collect();
             let to = if pools.is_empty() {
                 "any engine".to_string()
             } else {
                 format!("to {}", pools.join(", "))
             };
-            match route.and_then(|r| r.as_group.as_ref()) {
+            match route.and_then(|r| r.as_class.as_ref()) {
                 Some(_) => format!("as {group} {to}"),
                 None => to,
             }
@@ -242,7 +243,7 @@
 ) {
     let Some(cells) = cells else { return };
     for group in names {
-        let class = compare.classes.group(group);
+        let class = compare.classes.query_class(group);
         let places = |side: &Side| {
             let mut may = FixedBitSet::with_capacity(cells.count());
             for (n, pieces) in side.reach.iter().enumerate() {
@@ -250,9 +251,9 @@
                 let takes = pieces
                     .as_ref()
                     .is_some_and(|p| p.iter().any(|piece| piece[0].contains(class)));
-                let refused = route.is_some_and(|r| r.refuse.is_some());
+                let refused = route.is_some_and(|r| r.reject_reason.is_some());
                 if takes && !refused {
-                    let treated = route.and_then(|r| r.as_group.as_deref()).unwrap_or(group);
+                    let treated = route.and_then(|r| r.as_class.as_deref()).unwrap_or(group);
                     compare
                         .tiers(side, route, &[group, treated])
                         .iter()
@@ -270,11 +271,11 @@
             format!("`{group}` {how} use {kind} in {zone}")
         };
         changes.extend(was.difference(&is).map(|p| Change {
-            of: "placement",
+            subject: "placement",
             text: text(p, "may no longer"),
         }));
         changes.extend(is.difference(&was).map(|p| Change {
-            of: "placement",
+            subject: "placement",
             text: text(p, "may now"),
         }));
     }
@@ -291,7 +292,7 @@
     if was != is {
         let word = |v: Option<String>| v.unwrap_or_else(|| "none".to_string());
         changes.push(Change {
-            of,
+            subject: of,
             text: format!("{what}: {} -> {}", word(was), word(is)),
         });
     }
@@ -299,14 +300,14 @@
 
 fn groups(old: &Plan, new: &Plan, changes: &mut Vec<Change>) {
     let names: BTreeSet<&String> = old
-        .groups
+        .classes
         .iter()
-        .chain(&new.groups)
+        .chain(&new.classes)
         .map(|g| &g.name)
         .collect();
     for name in names {
-        let (was, is) = (old.group(name), new.group(name));
-        let mut tell = |what: &str, of: &dyn Fn(&crate::model::Group) -> Option<String>| {
+        let (was, is) = (old.class(name), new.class(name));
+        let mut tell = |what: &str, of: &dyn Fn(&crate::model::ClassRules) -> Option<String>| {
             figure(
                 changes,
                 "group",
@@ -315,17 +316,23 @@
                 is.and_then(of),
             );
         };
-        tell("goal", &|g| g.goal.map(|t| format!("{}s", t.as_secs_f64())));
+        tell("goal", &|g| {
+            g.latency_objective.map(|t| format!("{}s", t.as_secs_f64()))
+        });
         tell("limit", &|g| {
-            g.limit.map(|t| format!("{}s", t.as_secs_f64()))
+            g.deadline.map(|t| format!("{}s", t.as_secs_f64()))
         });
         tell("order", &|g| {
             g.in_order
                 .map(|o| if o { "key" } else { "none" }.to_string())
         });
-        tell("effect", &|g| g.effect.as_ref().map(effect_in_words));
-        tell("further", &|g| g.further.map(|f| format!("{}%", f * 100.0)));
-        tell("statement", &|g| g.statement.map(|n| format!("{n}B")));
+        tell("effect", &|g| g.idempotency.as_ref().map(effect_in_words));
+        tell("further", &|g| {
+            g.retries_per_query.map(|f| format!("{}%", f * 100.0))
+        });
+        tell("statement", &|g| {
+            g.max_statement_bytes.map(|n| format!("{n}B"))
+        });
     }
 }
 
@@ -349,7 +356,7 @@
         };
         let bucket = |b: Option<Bucket>| b.as_ref().map(bucket_in_words);
         tell("share", &|t| t.share.map(|s| format!("{}%", s * 100.0)));
-        tell("in-hand limit", &|t| t.in_hand.map(|n| n.to_string()));
+        tell("in-hand limit", &|t| t.max_in_flight.map(|n| n.to_string()));
         tell("rate", &|t| bucket(t.rate));
         tell("bytes", &|t| bucket(t.bytes));
     }
@@ -362,10 +369,10 @@
     type Entry = (&'static str, fn(&crate::model::Bodies) -> String);
     let entries: [Entry; 8] = [
         ("memory", |b| format!("{}B", b.memory)),
-        ("batch-memory", |b| format!("{}B", b.batch_memory)),
+        ("batch-memory", |b| format!("{}B", b.query_memory)),
         ("files", |b| format!("{}B", b.files)),
         ("directory", |b| b.directory.clone().unwrap_or_default()),
-        ("batch", |b| format!("{}B", b.batch)),
+        ("batch", |b| format!("{}B", b.max_body)),
         ("share", |b| format!("{}%", b.share * 100.0)),
         ("unknown-length", |b| b.unknown_length.to_string()),
         ("must-keep", |b| {
@@ -406,7 +413,7 @@
     format!(
         "{:?} {:?} {:?} {spans:?}",
         limit.per,
-        sorted(&limit.groups),
+        sorted(&limit.classes),
         sorted(&limit.tenants)
     )
 }
@@ -437,6 +444,9 @@
             }
             (None, None) => continue,
         };
-        changes.push(Change { of: "limit", text });
+        changes.push(Change {
+            subject: "limit",
+            text,
+        });
     }
 }
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,7 +1,7 @@
 //! What becomes of one batch, and why, by line.
 
 use crate::files::Span;
-use crate::model::{Bucket, Effect, Facts, Limit, Per, Plan, Pool, Scope};
+use crate::model::{Bucket, DeduplicationScope, Idempotency, Limit, Per, Plan, Pool, QueryFacts};
 use crate::Compiled;
 use std::fmt::Write;
 
@@ -9,25 +9,29 @@
 const MOST_PASSED: usize = 20;
 
 /// Tells the route that takes a batch, those passed over, the pools, the rules of its group and the limits.
-pub fn explain(compiled: &Compiled, facts: &Facts) -> String {
+pub fn explain(compiled: &Compiled, facts: &QueryFacts) -> String {
     let mut out = String::new();
     // Writing to a string does not fail.
     let _ = write_all(&mut out, compiled, facts);
     out
 }
 
-fn write_all(out: &mut String, compiled: &Compiled, facts: &Facts) -> std::fmt::Result {
+fn write_all(out: &mut String, compiled: &Compiled, facts: &QueryFacts) -> std::fmt::Result {
     let (plan, at) = (&compiled.plan, |span: &Span| compiled.files.at(span));
-    let key = if facts.key {
+    let key = if facts.has_key {
         "with a key"
     } else {
         "without a key"
     };
-    let clock = format!("{:02}:{:02}", facts.minute / 60, facts.minute % 60);
+    let clock = format!(
+        "{:02}:{:02}",
+        facts.minute_of_day / 60,
+        facts.minute_of_day % 60
+    );
     writeln!(
         out,
         "a batch of `{}` for `{}` from {}, {key}, on data set {}, at {clock} UTC",
-        facts.group, facts.tenant, facts.client, facts.data_set
+        facts.class, facts.tenant, facts.client, facts.data_set
     )?;
     let taken = plan
         .routes
@@ -46,7 +50,7 @@
     if passed.len() > MOST_PASSED {
         writeln!(out, "  and {} more", passed.len() - MOST_PASSED)?;
     }
-    let mut groups = vec![facts.group];
+    let mut groups = vec![facts.class];
     match taken.map(|n| &plan.routes[n]) {
         None => writeln!(
             out,
@@ -54,14 +58,14 @@
         )?,
         Some(route) => {
             writeln!(out, "route `{}` ({}) takes it", route.name, at(&route.span))?;
-            if let Some(reason) = &route.refuse {
+            if let Some(reason) = &route.reject_reason {
                 return writeln!(out, "it is pushed back: {reason}");
             }
-            if let Some(group) = &route.as_group {
+            if let Some(group) = &route.as_class {
                 writeln!(out, "it is treated as `{group}`")?;
                 groups.push(group);
             }
-            for (n, pool) in route.to.iter().enumerate() {
+            for (n, pool) in route.pools.iter().enumerate() {
                 let pool = &plan.pools[*pool];
                 writeln!(
                     out,
@@ -74,7 +78,7 @@
             }
         }
     }
-    for group in groups.into_iter().filter_map(|g| plan.group(g)) {
+    for group in groups.into_iter().filter_map(|g| plan.class(g)) {
         writeln!(
             out,
             "group `{}` ({}): {}",
@@ -86,7 +90,7 @@
     if let Some(tenant) = plan.tenant(facts.tenant) {
         let parts = [
             tenant.share.map(|s| format!("share {}%", s * 100.0)),
-            tenant.in_hand.map(|n| format!("in-hand {n}")),
+            tenant.max_in_flight.map(|n| format!("in-hand {n}")),
             tenant.rate.map(|b| format!("rate {}", bucket_in_words(&b))),
             tenant
                 .bytes
@@ -103,7 +107,7 @@
     for limit in plan
         .limits
         .iter()
-        .filter(|l| l.counts(facts, &plan.addresses))
+        .filter(|l| l.applies_to(facts, &plan.addresses))
     {
         writeln!(
             out,
@@ -149,34 +153,40 @@
     ])
 }
 
-pub(crate) fn effect_in_words(effect: &Effect) -> String {
+pub(crate) fn effect_in_words(effect: &Idempotency) -> String {
     match effect {
-        Effect::Repeatable => "repeatable".to_string(),
-        Effect::OnceOnly => "once-only".to_string(),
-        Effect::Referenced { scope, window } => {
+        Idempotency::Idempotent => "repeatable".to_string(),
+        Idempotency::NonIdempotent => "once-only".to_string(),
+        Idempotency::IdempotentByKey { scope, window } => {
             let scope = match scope {
-                Scope::Everywhere => "everywhere",
-                Scope::Zone => "zone",
-                Scope::Cell => "cell",
+                DeduplicationScope::Everywhere => "everywhere",
+                DeduplicationScope::Zone => "zone",
+                DeduplicationScope::Cell => "cell",
             };
             format!("referenced {scope} {}s", window.as_secs_f64())
         }
     }
 }
 
-fn group_in_words(plan: &Plan, group: &crate::model::Group) -> String {
+fn group_in_words(plan: &Plan, group: &crate::model::ClassRules) -> String {
     joined([
-        group.goal.map(|t| format!("goal {}s", t.as_secs_f64())),
-        group.limit.map(|t| format!("limit {}s", t.as_secs_f64())),
+        group
+            .latency_objective
+            .map(|t| format!("goal {}s", t.as_secs_f64())),
+        group
+            .deadline
+            .map(|t| format!("limit {}s", t.as_secs_f64())),
         list("pools", &pools(plan, &group.pools)),
         group
             .in_order
             .map(|o| format!("order {}", if o { "key" } else { "none" })),
         group
-            .effect
+            .idempotency
             .map(|e| format!("effect {}", effect_in_words(&e))),
-        group.further.map(|f| format!("further {}%", f * 100.0)),
-        group.statement.map(|n| format!("statement {n}B")),
+        group
+            .retries_per_query
+            .map(|f| format!("further {}%", f * 100.0)),
+        group.max_statement_bytes.map(|n| format!("statement {n}B")),
     ])
 }
 
@@ -186,12 +196,12 @@
 
 pub(crate) fn limit_in_words(limit: &Limit) -> String {
     let per = limit.per.iter().map(|per| match per {
-        Per::Group => "group".to_string(),
+        Per::Class => "group".to_string(),
         Per::Tenant => "tenant".to_string(),
         Per::Client => "client".to_string(),
     });
     joined([
-        limit.in_hand.map(|n| format!("in-hand {n}")),
+        limit.max_in_flight.map(|n| format!("in-hand {n}")),
         limit.rate.map(|b| format!("rate {}", bucket_in_words(&b))),
         limit
             .bytes
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod source;
 mod syntax;
 
-pub use build::{Settings, SettingsGroup};
+pub use build::{Settings, SettingsClass};
 pub use fault::Fault;
 use files::Files;
 pub use model::Plan;
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -3,26 +3,26 @@
 
 use crate::address::{number, Spans};
 use crate::files::Span;
-use crate::quantity::DAY;
+use crate::quantity::MINUTES_PER_DAY;
 use serde::Serialize;
 use std::net::IpAddr;
 use std::time::Duration;
 
 /// A share of further dispatches counts over so many seconds, and lets one be sent whatever came.
-pub const FURTHER_WINDOW: f64 = 60.0;
-pub const FURTHER_FLOOR: f64 = 1.0;
+pub const RETRY_WINDOW_SECONDS: f64 = 60.0;
+pub const RETRY_FLOOR: f64 = 1.0;
 
 /// What a route can ask of a batch.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts<'a> {
-    pub group: &'a str,
+pub struct QueryFacts<'a> {
+    pub class: &'a str,
     pub tenant: &'a str,
     pub client: IpAddr,
     /// Whether it has a key.
-    pub key: bool,
+    pub has_key: bool,
     pub data_set: u32,
     /// Minute of the day, UTC.
-    pub minute: u32,
+    pub minute_of_day: u32,
 }
 
 /// What a pool can ask of an engine.
@@ -39,7 +39,8 @@
 pub struct Plan {
     pub addresses: Vec<AddressSet>,
     pub pools: Vec<Pool>,
-    pub groups: Vec<Group>,
+    #[serde(rename = "groups")]
+    pub classes: Vec<ClassRules>,
     pub tenants: Vec<Tenant>,
     pub routes: Vec<Route>,
     pub limits: Vec<Limit>,
@@ -75,7 +76,7 @@
 }
 
 impl AddressSet {
-    pub fn holds(&self, address: IpAddr) -> bool {
+    pub fn contains(&self, address: IpAddr) -> bool {
         let n = number(address);
         self.spans
             .iter()
@@ -152,7 +153,7 @@
 /// Who drops repeats of a referenced batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Scope {
+pub enum DeduplicationScope {
     Everywhere,
     Zone,
     Cell,
@@ -161,33 +162,36 @@
 /// Whether a batch that may have run may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Effect {
-    Repeatable,
-    Referenced {
-        scope: Scope,
+pub enum Idempotency {
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    #[serde(rename = "referenced")]
+    IdempotentByKey {
+        scope: DeduplicationScope,
         #[serde(serialize_with = "seconds")]
         window: Duration,
     },
-    OnceOnly,
+    #[serde(rename = "once-only")]
+    NonIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Whether whatever this allows the other allows, too.
-    pub fn narrows(&self, other: &Effect) -> bool {
+    pub fn narrows(&self, other: &Idempotency) -> bool {
         match (self, other) {
-            (Effect::OnceOnly, _) | (_, Effect::Repeatable) => true,
-            (Effect::Repeatable, _) | (_, Effect::OnceOnly) => false,
+            (Idempotency::NonIdempotent, _) | (_, Idempotency::Idempotent) => true,
+            (Idempotency::Idempotent, _) | (_, Idempotency::NonIdempotent) => false,
             (
-                Effect::Referenced { scope, window },
-                Effect::Referenced {
+                Idempotency::IdempotentByKey { scope, window },
+                Idempotency::IdempotentByKey {
                     scope: wider,
                     window: longer,
                 },
             ) => {
-                let place = |s: &Scope| match s {
-                    Scope::Everywhere => 0,
-                    Scope::Zone => 1,
-                    Scope::Cell => 2,
+                let place = |s: &DeduplicationScope| match s {
+                    DeduplicationScope::Everywhere => 0,
+                    DeduplicationScope::Zone => 1,
+                    DeduplicationScope::Cell => 2,
                 };
                 place(scope) >= place(wider) && window <= longer
             }
@@ -208,24 +212,27 @@
 
 /// Rules of a service group; what is not given stays as the settings have it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Group {
+pub struct ClassRules {
     pub name: String,
     #[serde(skip)]
     pub span: Span,
-    #[serde(serialize_with = "maybe_seconds")]
-    pub goal: Option<Duration>,
-    #[serde(serialize_with = "maybe_seconds")]
-    pub limit: Option<Duration>,
+    #[serde(rename = "goal", serialize_with = "maybe_seconds")]
+    pub latency_objective: Option<Duration>,
+    #[serde(rename = "limit", serialize_with = "maybe_seconds")]
+    pub deadline: Option<Duration>,
     /// Pools that its batches never leave.
     pub pools: Vec<usize>,
     #[serde(skip)]
     pub pools_span: Option<Span>,
     pub in_order: Option<bool>,
-    pub effect: Option<Effect>,
+    #[serde(rename = "effect")]
+    pub idempotency: Option<Idempotency>,
     /// Further dispatches as a share of its batches.
-    pub further: Option<f64>,
+    #[serde(rename = "further")]
+    pub retries_per_query: Option<f64>,
     /// Bytes.
-    pub statement: Option<u64>,
+    #[serde(rename = "statement")]
+    pub max_statement_bytes: Option<u64>,
 }
 
 /// A rate each second, and how much of it may come at once.
@@ -243,7 +250,8 @@
     pub span: Span,
     /// Part of the gateway's room, 0 to 1.
     pub share: Option<f64>,
-    pub in_hand: Option<u64>,
+    #[serde(rename = "in_hand")]
+    pub max_in_flight: Option<u64>,
     pub rate: Option<Bucket>,
     pub bytes: Option<Bucket>,
 }
@@ -254,7 +262,8 @@
     pub name: String,
     #[serde(skip)]
     pub span: Span,
-    pub groups: Vec<String>,
+    #[serde(rename = "groups")]
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub clients: Vec<usize>,
     pub key: Option<bool>,
@@ -263,17 +272,20 @@
     /// Minutes of the day: from, until (excluded); over midnight where the second is not above the first.
     pub hours: Vec<(u32, u32)>,
     /// Pools in order of preference; all engines where it is empty.
-    pub to: Vec<usize>,
+    #[serde(rename = "to")]
+    pub pools: Vec<usize>,
     #[serde(skip)]
-    pub to_span: Option<Span>,
-    pub as_group: Option<String>,
+    pub pools_span: Option<Span>,
+    #[serde(rename = "as_group")]
+    pub as_class: Option<String>,
     #[serde(skip)]
     pub as_span: Option<Span>,
-    pub refuse: Option<String>,
+    #[serde(rename = "refuse")]
+    pub reject_reason: Option<String>,
 }
 
 impl Route {
-    pub fn open_at(&self, minute: u32) -> bool {
+    pub fn is_open_at(&self, minute: u32) -> bool {
         let within = |(from, until): &(u32, u32)| match from < until {
             true => (*from..*until).contains(&minute),
             false => minute >= *from || minute < *until,
@@ -282,21 +294,21 @@
     }
 
     /// The first thing that it asks for and a batch has not; none where it takes the batch.
-    pub fn unmet(&self, facts: &Facts, sets: &[AddressSet]) -> Option<&'static str> {
+    pub fn unmet(&self, facts: &QueryFacts, sets: &[AddressSet]) -> Option<&'static str> {
         let named = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
-        let held = |set: &usize| sets.get(*set).is_some_and(|s| s.holds(facts.client));
+        let held = |set: &usize| sets.get(*set).is_some_and(|s| s.contains(facts.client));
         let among = |(from, to): &(u32, u32)| (*from..=*to).contains(&facts.data_set);
-        if !named(&self.groups, facts.group) {
+        if !named(&self.classes, facts.class) {
             Some("group")
         } else if !named(&self.tenants, facts.tenant) {
             Some("tenant")
         } else if !self.clients.is_empty() && !self.clients.iter().any(held) {
             Some("client")
-        } else if self.key.is_some_and(|key| key != facts.key) {
+        } else if self.key.is_some_and(|key| key != facts.has_key) {
             Some("key")
         } else if !self.data_sets.is_empty() && !self.data_sets.iter().any(among) {
             Some("data-set")
-        } else if !self.open_at(facts.minute % DAY) {
+        } else if !self.is_open_at(facts.minute_of_day % MINUTES_PER_DAY) {
             Some("hours")
         } else {
             None
@@ -308,7 +320,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Per {
-    Group,
+    #[serde(rename = "group")]
+    Class,
     Tenant,
     Client,
 }
@@ -320,19 +333,21 @@
     #[serde(skip)]
     pub span: Span,
     pub per: Vec<Per>,
-    pub groups: Vec<String>,
+    #[serde(rename = "groups")]
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub clients: Vec<usize>,
-    pub in_hand: Option<u64>,
+    #[serde(rename = "in_hand")]
+    pub max_in_flight: Option<u64>,
     pub rate: Option<Bucket>,
     pub bytes: Option<Bucket>,
 }
 
 impl Limit {
-    pub fn counts(&self, facts: &Facts, sets: &[AddressSet]) -> bool {
+    pub fn applies_to(&self, facts: &QueryFacts, sets: &[AddressSet]) -> bool {
         let named = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
-        let held = |set: &usize| sets.get(*set).is_some_and(|s| s.holds(facts.client));
-        named(&self.groups, facts.group)
+        let held = |set: &usize| sets.get(*set).is_some_and(|s| s.contains(facts.client));
+        named(&self.classes, facts.class)
             && named(&self.tenants, facts.tenant)
             && (self.clients.is_empty() || self.clients.iter().any(held))
     }
@@ -342,10 +357,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Bodies {
     pub memory: u64,
-    pub batch_memory: u64,
+    #[serde(rename = "batch_memory")]
+    pub query_memory: u64,
     pub files: u64,
     pub directory: Option<String>,
-    pub batch: u64,
+    #[serde(rename = "batch")]
+    pub max_body: u64,
     /// 0 to 1.
     pub share: f64,
     pub unknown_length: bool,
@@ -361,7 +378,7 @@
 impl Plan {
     /// The pools that hold an engine, by their index.
     pub fn pools_of(&self, engine: &EngineFacts) -> Vec<bool> {
-        self.pools_by(|pool| {
+        self.pools_matching(|pool| {
             pool.fits(
                 |zone| zone == engine.zone,
                 |kind| kind == engine.kind,
@@ -369,14 +386,14 @@
                 |set| {
                     self.addresses
                         .get(set)
-                        .is_some_and(|s| s.holds(engine.address))
+                        .is_some_and(|s| s.contains(engine.address))
                 },
             )
         })
     }
 
     /// The pools that hold what fits the pools' own words as told.
-    pub fn pools_by(&self, fits: impl Fn(&Pool) -> bool) -> Vec<bool> {
+    pub fn pools_matching(&self, fits: impl Fn(&Pool) -> bool) -> Vec<bool> {
         let mut holds = vec![false; self.pools.len()];
         for n in &self.pool_order {
             let pool = &self.pools[*n];
@@ -387,14 +404,14 @@
     }
 
     /// The route that takes a batch: the first that does.
-    pub fn route_of(&self, facts: &Facts) -> Option<&Route> {
+    pub fn route_of(&self, facts: &QueryFacts) -> Option<&Route> {
         self.routes
             .iter()
             .find(|r| r.unmet(facts, &self.addresses).is_none())
     }
 
-    pub fn group(&self, name: &str) -> Option<&Group> {
-        self.groups.iter().find(|g| g.name == name)
+    pub fn class(&self, name: &str) -> Option<&ClassRules> {
+        self.classes.iter().find(|g| g.name == name)
     }
 
     pub fn tenant(&self, name: &str) -> Option<&Tenant> {
@@ -402,22 +419,22 @@
     }
 
     /// Whether the rules of a batch's group, and of the one that it is treated as, let it run on an engine.
-    pub fn bound_to(&self, groups: &[&str], holds: &[bool]) -> bool {
+    pub fn allows(&self, groups: &[&str], holds: &[bool]) -> bool {
         let rules = groups
             .iter()
-            .filter_map(|g| self.group(g))
+            .filter_map(|g| self.class(g))
             .filter(|g| !g.pools.is_empty());
         rules.into_iter().all(|g| g.pools.iter().any(|p| holds[*p]))
     }
 
     /// For each preference of a batch, in order, whether it holds an engine. Where no route tells, all engines are one.
-    pub fn tiers(&self, facts: &Facts, engine: &EngineFacts) -> Vec<bool> {
+    pub fn priority_levels(&self, facts: &QueryFacts, engine: &EngineFacts) -> Vec<bool> {
         let holds = self.pools_of(engine);
         let route = self.route_of(facts);
-        let mut groups = vec![facts.group];
-        groups.extend(route.and_then(|r| r.as_group.as_deref()));
-        let bound = self.bound_to(&groups, &holds);
-        match route.map(|r| r.to.as_slice()) {
+        let mut groups = vec![facts.class];
+        groups.extend(route.and_then(|r| r.as_class.as_deref()));
+        let bound = self.allows(&groups, &holds);
+        match route.map(|r| r.pools.as_slice()) {
             None | Some([]) => vec![bound],
             Some(to) => to.iter().map(|p| bound && holds[*p]).collect(),
         }
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 /// Minutes of a day.
-pub const DAY: u32 = 24 * 60;
+pub const MINUTES_PER_DAY: u32 = 24 * 60;
 
 /// Characters of a name or a pattern.
 const MAX_NAME_CHARS: usize = 64;
@@ -209,11 +209,11 @@
     let (from, until) = word.split_once("..").ok_or_else(no_range)?;
     let from = minute_of_day(from).ok_or_else(no_range)?;
     let until = minute_of_day(until).ok_or_else(no_range)?;
-    if from % DAY == until % DAY {
+    if from % MINUTES_PER_DAY == until % MINUTES_PER_DAY {
         let text = format!("`{}` is no time at all, or a whole day", shown(word));
         return Err(ValueError::new(text).help("leave the entry out for the whole day"));
     }
-    Ok(Value::Clock(from % DAY, until))
+    Ok(Value::Clock(from % MINUTES_PER_DAY, until))
 }
 
 /// The minute of the day of `HH:MM`, up to and with `24:00`.
@@ -222,7 +222,7 @@
     let hour = two_digits(hour)?;
     let minute = two_digits(minute)?;
     let minute_of_day = hour * 60 + minute;
-    (minute < 60 && minute_of_day <= DAY).then_some(minute_of_day)
+    (minute < 60 && minute_of_day <= MINUTES_PER_DAY).then_some(minute_of_day)
 }
 
 fn two_digits(text: &str) -> Option<u32> {
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -2,7 +2,7 @@
 //! lets through. What routes leave to one another is found by taking regions from regions.
 
 use crate::address::AddressClasses;
-use crate::model::{Facts, Plan, Route};
+use crate::model::{Plan, QueryFacts, Route};
 use fixedbitset::FixedBitSet;
 use std::collections::HashMap;
 
@@ -48,7 +48,7 @@
 
 /// The classes of values that some plans tell apart. Two batches of one class in every dimension fare alike.
 #[derive(Clone, Debug)]
-pub struct Classes {
+pub struct ValueClasses {
     groups: Names,
     tenants: Names,
     /// Over the address sets of all plans, one after the other.
@@ -58,15 +58,15 @@
     hours: Vec<u32>,
 }
 
-impl Classes {
+impl ValueClasses {
     /// The classes that these plans tell apart together; further names of groups and tenants get their own.
     pub fn of(plans: &[&Plan], groups: &[String], tenants: &[String]) -> Self {
         let routes = || plans.iter().flat_map(|p| &p.routes);
         let limits = || plans.iter().flat_map(|p| &p.limits);
-        let named = plans.iter().flat_map(|p| p.groups.iter().map(|g| &g.name));
-        let group_names = routes().flat_map(|r| r.groups.iter().chain(&r.as_group));
+        let named = plans.iter().flat_map(|p| p.classes.iter().map(|g| &g.name));
+        let group_names = routes().flat_map(|r| r.classes.iter().chain(&r.as_class));
         let group_names = group_names
-            .chain(limits().flat_map(|l| &l.groups))
+            .chain(limits().flat_map(|l| &l.classes))
             .chain(named)
             .chain(groups);
         let tenant_names = routes()
@@ -90,12 +90,16 @@
             cuts.dedup();
             cuts
         };
-        Classes {
+        ValueClasses {
             groups: Names::of(group_names),
             tenants: Names::of(tenant_names.chain(tenant_blocks).chain(tenants)),
             clients: AddressClasses::new(&spans),
             data_sets: cuts(numbers.flatten().collect()),
-            hours: cuts(minutes.filter(|m| *m < crate::quantity::DAY).collect()),
+            hours: cuts(
+                minutes
+                    .filter(|m| *m < crate::quantity::MINUTES_PER_DAY)
+                    .collect(),
+            ),
         }
     }
 
@@ -111,7 +115,7 @@
         ]
     }
 
-    pub fn group(&self, name: &str) -> usize {
+    pub fn query_class(&self, name: &str) -> usize {
         self.groups.class(name)
     }
 
@@ -132,14 +136,14 @@
     }
 
     /// The classes of a batch.
-    pub fn point(&self, facts: &Facts) -> Point {
+    pub fn point(&self, facts: &QueryFacts) -> Point {
         [
-            self.group(facts.group),
+            self.query_class(facts.class),
             self.tenant(facts.tenant),
             self.clients.class(facts.client),
-            usize::from(facts.key),
+            usize::from(facts.has_key),
             self.data_set(facts.data_set),
-            self.hour(facts.minute),
+            self.hour(facts.minute_of_day),
         ]
     }
 
@@ -157,8 +161,8 @@
             bits
         };
         let mut region: Region = std::array::from_fn(all);
-        if !route.groups.is_empty() {
-            region[0] = named(0, &mut route.groups.iter().map(|g| self.group(g)));
+        if !route.classes.is_empty() {
+            region[0] = named(0, &mut route.classes.iter().map(|g| self.query_class(g)));
         }
         if !route.tenants.is_empty() {
             region[1] = named(1, &mut route.tenants.iter().map(|t| self.tenant(t)));
@@ -187,7 +191,7 @@
             region[4] = named(4, &mut (0..counts[4]).filter(held));
         }
         if !route.hours.is_empty() {
-            let held = |class: &usize| route.open_at(self.hours[*class]);
+            let held = |class: &usize| route.is_open_at(self.hours[*class]);
             region[5] = named(5, &mut (0..counts[5]).filter(held));
         }
         region
@@ -258,7 +262,7 @@
                 self.hours
                     .get(class + 1)
                     .copied()
-                    .unwrap_or(crate::quantity::DAY)
+                    .unwrap_or(crate::quantity::MINUTES_PER_DAY)
             };
             let all: Vec<String> = runs(&region[5])
                 .map(|(a, b)| format!("{}..{}", clock(self.hours[a]), clock(end(b))))
@@ -355,7 +359,7 @@
 }
 
 /// Every batch.
-pub(crate) fn whole(classes: &Classes) -> Region {
+pub(crate) fn whole(classes: &ValueClasses) -> Region {
     let counts = classes.counts();
     std::array::from_fn(|d| {
         let mut bits = FixedBitSet::with_capacity(counts[d]);
--- a/crates/plan/tests/broken.rs
+++ b/crates/plan/tests/broken.rs
@@ -2,9 +2,9 @@
 //! garnetwall-plan --test broken` writes the messages anew; read them before they are committed.
 
 use garnetwall_plan::compile;
-use garnetwall_plan::model::{Effect, Scope};
+use garnetwall_plan::model::{DeduplicationScope, Idempotency};
 use garnetwall_plan::source::{beside, LoadError, Loader};
-use garnetwall_plan::{Settings, SettingsGroup};
+use garnetwall_plan::{Settings, SettingsClass};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -27,26 +27,31 @@
 
 /// The settings that plans of a name with `settings` are checked against.
 fn settings() -> Settings {
-    let group = |name: &str, effect, in_order, kinds: Option<&str>| SettingsGroup {
+    let group = |name: &str, effect, in_order, kinds: Option<&str>| SettingsClass {
         name: name.into(),
-        goal: Duration::from_secs(1),
-        limit: Duration::from_secs(5),
+        latency_objective: Duration::from_secs(1),
+        deadline: Duration::from_secs(5),
         in_order,
-        effect,
+        idempotency: effect,
         kinds: kinds.map(|kind| vec![kind.to_string()]),
         zones: None,
     };
-    let referenced = Effect::Referenced {
-        scope: Scope::Zone,
+    let referenced = Idempotency::IdempotentByKey {
+        scope: DeduplicationScope::Zone,
         window: Duration::from_secs(30),
     };
     Settings {
-        groups: vec![
-            group("lookup", Effect::Repeatable, false, None),
+        classes: vec![
+            group("lookup", Idempotency::Idempotent, false, None),
             group("catalogue", referenced, false, None),
-            group("sale-load", Effect::OnceOnly, true, None),
-            group("price-feed", Effect::Repeatable, true, None),
-            group("trend-report", Effect::Repeatable, false, Some("engine-8")),
+            group("sale-load", Idempotency::NonIdempotent, true, None),
+            group("price-feed", Idempotency::Idempotent, true, None),
+            group(
+                "trend-report",
+                Idempotency::Idempotent,
+                false,
+                Some("engine-8"),
+            ),
         ],
         tenants: vec!["acme".into(), "mura-drazbe".into()],
         kinds: vec!["engine-8".into(), "engine-16".into()],
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // Each test program uses a part.
 
-use garnetwall_plan::model::{EngineFacts, Facts, Plan};
+use garnetwall_plan::model::{EngineFacts, Plan, QueryFacts};
 use garnetwall_plan::source::InMemory;
 use garnetwall_plan::{compile, Compiled};
 use proptest::collection::vec;
@@ -229,7 +229,7 @@
 }
 
 /// A batch of every class that the small world has.
-pub fn batches() -> Vec<Facts<'static>> {
+pub fn batches() -> Vec<QueryFacts<'static>> {
     let mut all = Vec::new();
     for group in GROUPS.into_iter().chain(["other"]) {
         for tenant in TENANTS.into_iter().chain(["other"]) {
@@ -238,13 +238,13 @@
                     for data_set in DATA_SETS {
                         for minute in MINUTES {
                             let client: IpAddr = client.parse().expect("an address");
-                            all.push(Facts {
-                                group,
+                            all.push(QueryFacts {
+                                class: group,
                                 tenant,
                                 client,
-                                key,
+                                has_key: key,
                                 data_set,
-                                minute,
+                                minute_of_day: minute,
                             });
                         }
                     }
@@ -288,17 +288,17 @@
     let held: Vec<Vec<bool>> = engines.iter().map(|e| plan.pools_of(e)).collect();
     let all_groups: Vec<&str> = GROUPS.into_iter().chain(["other"]).collect();
     let one = |route: Option<&garnetwall_plan::model::Route>, group: &str| {
-        if let Some(reason) = route.and_then(|r| r.refuse.clone()) {
+        if let Some(reason) = route.and_then(|r| r.reject_reason.clone()) {
             return Does::Refuses(reason);
         }
-        let treated = route.and_then(|r| r.as_group.as_deref()).unwrap_or(group);
-        let to = route.map_or(&[][..], |r| &r.to);
+        let treated = route.and_then(|r| r.as_class.as_deref()).unwrap_or(group);
+        let to = route.map_or(&[][..], |r| &r.pools);
         let mut seen = vec![false; engines.len()];
         let mut tiers = Vec::new();
         for n in 0..to.len().max(1) {
             let open = |e: &usize| {
                 to.get(n).is_none_or(|pool| held[*e][*pool])
-                    && plan.bound_to(&[group, treated], &held[*e])
+                    && plan.allows(&[group, treated], &held[*e])
             };
             let tier: Vec<usize> = (0..engines.len())
                 .filter(|e| !seen[*e])
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -32,7 +32,7 @@
             at(a).unwrap_or(a.routes.len()),
             at(b).unwrap_or(b.routes.len()),
         );
-        does_a[m][group(facts.group)] == does_b[n][group(facts.group)]
+        does_a[m][group(facts.class)] == does_b[n][group(facts.class)]
     })
 }
 
@@ -93,7 +93,7 @@
         let (a, b) = (plan_of(&blocks).plan, plan_of(&other).plan);
         prop_assert_eq!(diff(&a, &a), vec![]);
         let changes = diff(&a, &b);
-        let routing = changes.iter().any(|c| c.of == "routing");
+        let routing = changes.iter().any(|c| c.subject == "routing");
         prop_assert_eq!(!routing, route_alike(&a, &b), "{:?}\n--- {}\n+++ {}", changes, blocks.concat(), other.concat());
     }
 }
--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -167,7 +167,7 @@
             routing
                 .plan()
                 .route_of(&routing.facts(&batches[at]))
-                .map(|r| r.to.len()),
+                .map(|r| r.pools.len()),
         )
     });
 }
@@ -225,7 +225,12 @@
         at = (at + 1) % batches.len();
         let batch = routing.facts(&batches[at]);
         all.iter()
-            .filter(|e| routing.plan().tiers(&batch, &facts(e)).contains(&true))
+            .filter(|e| {
+                routing
+                    .plan()
+                    .priority_levels(&batch, &facts(e))
+                    .contains(&true)
+            })
             .count()
     });
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod zones;
 
 pub use engines::{EngineSet, PoolMembers};
-use garnetwall_plan::model::{Facts, Group, Plan, Route};
-use garnetwall_plan::quantity::DAY;
-use garnetwall_plan::region::Classes;
+use garnetwall_plan::model::{ClassRules, Plan, QueryFacts, Route};
+use garnetwall_plan::quantity::MINUTES_PER_DAY;
+use garnetwall_plan::region::ValueClasses;
 pub use limits::{LimitExceeded, LimitKind, LimitPermit, Limits};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -83,7 +83,7 @@
 pub struct Routing {
     plan: Arc<Plan>,
     names: Names,
-    value_classes: Classes,
+    value_classes: ValueClasses,
     /// The value classes of the settings' query classes and tenants, and of the minutes of a day.
     query_class_rows: Vec<usize>,
     tenant_rows: Vec<usize>,
@@ -100,7 +100,7 @@
 impl Routing {
     /// Compiles a plan that was checked with the settings of these names.
     pub fn new(plan: Arc<Plan>, names: Names) -> Self {
-        let classes = Classes::of(&[&plan], &names.classes, &names.tenants);
+        let classes = ValueClasses::of(&[&plan], &names.classes, &names.tenants);
         let counts = classes.counts();
         let words = plan.routes.len().div_ceil(64).max(1);
         let mut rows = std::array::from_fn(|d| vec![0; counts[d] * words]);
@@ -112,9 +112,15 @@
             }
         }
         let mut routing = Routing {
-            query_class_rows: names.classes.iter().map(|g| classes.group(g)).collect(),
+            query_class_rows: names
+                .classes
+                .iter()
+                .map(|g| classes.query_class(g))
+                .collect(),
             tenant_rows: names.tenants.iter().map(|t| classes.tenant(t)).collect(),
-            minute_rows: (0..DAY).map(|minute| classes.hour(minute) as u16).collect(),
+            minute_rows: (0..MINUTES_PER_DAY)
+                .map(|minute| classes.hour(minute) as u16)
+                .collect(),
             words_per_row: words,
             matching_routes: rows,
             subsets: Vec::new(),
@@ -139,12 +145,12 @@
     }
 
     fn target(&mut self, plan: &Plan, route: Option<&Route>, own_class: usize) -> Target {
-        let treated_as = route.and_then(|route| route.as_group.as_ref());
+        let treated_as = route.and_then(|route| route.as_class.as_ref());
         let class = treated_as
             .and_then(|name| self.names.classes.iter().position(|class| class == name))
             .unwrap_or(own_class);
         let pools_of = |class: usize| {
-            let rules = plan.group(&self.names.classes[class])?;
+            let rules = plan.class(&self.names.classes[class])?;
             Some(rules.pools.clone()).filter(|pools| !pools.is_empty())
         };
         let mut required_pools: Vec<Vec<usize>> = [own_class, class]
@@ -153,7 +159,7 @@
             .collect();
         required_pools.dedup();
         let subset = EndpointSubset {
-            pools: route.map_or(Vec::new(), |route| route.to.clone()),
+            pools: route.map_or(Vec::new(), |route| route.pools.clone()),
             required_pools,
         };
         Target {
@@ -180,8 +186,8 @@
     }
 
     /// The plan's rules of a group of the settings.
-    pub fn class_rules(&self, group: usize) -> Option<&Group> {
-        self.plan.group(self.names.classes.get(group)?)
+    pub fn class_rules(&self, group: usize) -> Option<&ClassRules> {
+        self.plan.class(self.names.classes.get(group)?)
     }
 
     pub fn subsets(&self) -> &[EndpointSubset] {
@@ -197,7 +203,7 @@
             self.value_classes.clients().class(query.client),
             usize::from(query.has_key),
             self.value_classes.data_set(query.data_set),
-            usize::from(self.minute_rows[(query.minute % DAY) as usize]),
+            usize::from(self.minute_rows[(query.minute % MINUTES_PER_DAY) as usize]),
         ];
         let row = |d: usize| {
             &self.matching_routes[d][point[d] * self.words_per_row..][..self.words_per_row]
@@ -215,12 +221,12 @@
     /// What the plan says of a query, limits apart.
     pub fn decide(&self, query: &RoutedQuery) -> RouteDecision {
         let route = self.route(query);
-        if let Some(route) = route.filter(|r| self.plan.routes[*r].refuse.is_some()) {
+        if let Some(route) = route.filter(|r| self.plan.routes[*r].reject_reason.is_some()) {
             return RouteDecision::Rejected { route };
         }
         if let Some(most) = self
             .class_rules(query.class)
-            .and_then(|g| g.statement)
+            .and_then(|g| g.max_statement_bytes)
             .filter(|most| query.statement_bytes > *most)
         {
             return RouteDecision::StatementTooLong { max_bytes: most };
@@ -236,9 +242,9 @@
     }
 
     /// A query in the words of the plan, for the slow way and for logs.
-    pub fn facts(&self, query: &RoutedQuery) -> Facts<'_> {
-        Facts {
-            group: self
+    pub fn facts(&self, query: &RoutedQuery) -> QueryFacts<'_> {
+        QueryFacts {
+            class: self
                 .names
                 .classes
                 .get(query.class)
@@ -249,9 +255,9 @@
                 .get(query.tenant)
                 .map_or("", String::as_str),
             client: query.client,
-            key: query.has_key,
+            has_key: query.has_key,
             data_set: query.data_set,
-            minute: query.minute,
+            minute_of_day: query.minute,
         }
     }
 }
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -219,10 +219,12 @@
         name: limit.name.clone(),
         scope: scope_of(routing.plan(), limit),
         per: limit.per.clone(),
-        classes: indices(&names.classes, &limit.groups),
+        classes: indices(&names.classes, &limit.classes),
         tenants: indices(&names.tenants, &limit.tenants),
         clients: limit.clients.clone(),
-        in_flight: limit.in_hand.map(|n| n.min(u64::from(u32::MAX)) as u32),
+        in_flight: limit
+            .max_in_flight
+            .map(|n| n.min(u64::from(u32::MAX)) as u32),
         rate: limit.rate,
         bytes: limit.bytes,
         state: LimitState::default(),
@@ -231,7 +233,7 @@
 
 fn rule_of_tenant(routing: &Routing, tenant: &Tenant, capacity: f64) -> LimitRule {
     let by_share = tenant.share.map(|share| (share * capacity).max(1.0));
-    let by_count = tenant.in_hand.map(|n| n as f64);
+    let by_count = tenant.max_in_flight.map(|n| n as f64);
     let in_flight = by_count
         .into_iter()
         .chain(by_share)
@@ -263,7 +265,7 @@
         .iter()
         .flat_map(|set| plan.addresses[*set].spans.clone());
     let spans = garnetwall_plan::address::union(spans.collect());
-    let (classes, tenants) = (sorted(&limit.groups), sorted(&limit.tenants));
+    let (classes, tenants) = (sorted(&limit.classes), sorted(&limit.tenants));
     format!("{:?} {classes:?} {tenants:?} {spans:?}", limit.per)
 }
 
@@ -279,7 +281,7 @@
         let mut key = LimitKey::default();
         for per in &self.per {
             match per {
-                Per::Group => key.class = Some(query.class as u32),
+                Per::Class => key.class = Some(query.class as u32),
                 Per::Tenant => key.tenant = Some(query.tenant as u32),
                 Per::Client => key.client = Some(query.client),
             }
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -52,26 +52,26 @@
         let at = |names: &[String], name: &str| names.iter().position(|n| n == name).expect("a name");
         for facts in batches().iter().step_by(7) {
             let b = RoutedQuery {
-                class: at(&routing.names().classes, facts.group),
+                class: at(&routing.names().classes, facts.class),
                 tenant: at(&routing.names().tenants, facts.tenant),
                 client: facts.client,
-                has_key: facts.key,
+                has_key: facts.has_key,
                 data_set: facts.data_set,
-                minute: facts.minute,
+                minute: facts.minute_of_day,
                 statement_bytes: 1,
             };
             let plain = plan.routes.iter().position(|r| r.unmet(facts, &plan.addresses).is_none());
             prop_assert_eq!(routing.route(&b), plain, "{:?}", facts);
             match routing.decide(&b) {
-                RouteDecision::Rejected { route } => prop_assert!(plan.routes[route].refuse.is_some()),
+                RouteDecision::Rejected { route } => prop_assert!(plan.routes[route].reject_reason.is_some()),
                 RouteDecision::StatementTooLong { .. } => prop_assert!(false, "no plan limits statements here"),
                 RouteDecision::Admitted { route, class: group, subset: lane } => {
                     prop_assert_eq!(route, plain);
-                    let treated = plain.and_then(|r| plan.routes[r].as_group.clone());
-                    prop_assert_eq!(&routing.names().classes[group], &treated.unwrap_or(facts.group.to_string()));
+                    let treated = plain.and_then(|r| plan.routes[r].as_class.clone());
+                    prop_assert_eq!(&routing.names().classes[group], &treated.unwrap_or(facts.class.to_string()));
                     let tiers = kept.priority_levels(&routing, lane);
                     for (n, engine) in here.iter().enumerate() {
-                        let wanted = engine.as_ref().map(|e| plan.tiers(facts, e));
+                        let wanted = engine.as_ref().map(|e| plan.priority_levels(facts, e));
                         for (t, tier) in tiers.iter().enumerate() {
                             prop_assert_eq!(tier.contains(n), wanted.as_ref().is_some_and(|w| w[t]));
                         }
