--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -35,7 +35,7 @@
         let Some(cells) = Cells::of(&[self.plan], self.known()) else {
             return;
         };
-        for (pool, held) in self.plan.pools.iter().zip(cells.held(self.plan, 0)) {
+        for (pool, held) in self.plan.pools.iter().zip(cells.of_pools(self.plan, 0)) {
             if held.is_clear() {
                 let text = format!("no engine can be in the pool `{}`", pool.name);
                 let by = pool.except.first().map(|e| &self.plan.pools[*e]);
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -12,7 +12,7 @@
     /// No route sends a batch out of the pools that its group is bound to, and each leaves it some engine.
     pub(super) fn placement(&mut self, classes: &ValueClasses, reach: &[Option<Vec<Region>>]) {
         let cells = Cells::of(&[self.plan], self.known());
-        let held = cells.as_ref().map(|cells| cells.held(self.plan, 0));
+        let held = cells.as_ref().map(|cells| cells.of_pools(self.plan, 0));
         for (n, route) in self.plan.routes.iter().enumerate() {
             let Some(to_span) = &route.pools_span else {
                 continue;
@@ -24,7 +24,7 @@
                     .is_none_or(|pieces| pieces.iter().any(|p| p[0].contains(class)))
             };
             for group in self.plan.classes.iter().filter(|g| !g.pools.is_empty()) {
-                let treated = route.as_ref_is(&group.name);
+                let treated = route.treats_as(&group.name);
                 if !(reaches(&group.name) || treated) {
                     continue;
                 }
@@ -87,7 +87,7 @@
             .classes
             .iter()
             .filter(|g| g.kinds.is_some() || g.zones.is_some());
-        for group in bound.filter(|g| reaches(&g.name) || route.as_ref_is(&g.name)) {
+        for group in bound.filter(|g| reaches(&g.name) || route.treats_as(&g.name)) {
             let allowed = |cell: usize| {
                 let (zone, kind) = cells.place(cell);
                 let among = |list: &Option<Vec<String>>, name: Option<&str>| {
@@ -125,9 +125,3 @@
         }
     }
 }
-
-impl Route {
-    fn as_ref_is(&self, group: &str) -> bool {
-        self.as_class.as_deref() == Some(group)
-    }
-}
--- /dev/null
+++ b/crates/plan/src/diff/figures.rs
@@ -0,0 +1,157 @@
+//! Changes of single figures: rules of classes, limits of tenants, storage.
+
+use super::Change;
+use crate::explain::{bucket_in_words, idempotency_in_words};
+use crate::model::{Bodies, Bucket, ClassRules, Plan, Tenant};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// A figure by its name, with how it is printed; `None` where it is not given.
+type Figure<Block> = (&'static str, fn(&Block) -> Option<String>);
+
+const CLASS_FIGURES: [Figure<ClassRules>; 6] = [
+    ("goal", |class| class.latency_objective.map(seconds)),
+    ("limit", |class| class.deadline.map(seconds)),
+    ("order", |class| class.in_order.map(order)),
+    ("effect", |class| {
+        class.idempotency.as_ref().map(idempotency_in_words)
+    }),
+    ("further", |class| class.retries_per_query.map(percent)),
+    ("statement", |class| class.max_statement_bytes.map(bytes)),
+];
+
+const TENANT_FIGURES: [Figure<Tenant>; 4] = [
+    ("share", |tenant| tenant.share.map(percent)),
+    ("in-hand limit", |tenant| {
+        tenant.max_in_flight.map(|count| count.to_string())
+    }),
+    ("rate", |tenant| bucket(tenant.rate)),
+    ("bytes", |tenant| bucket(tenant.bytes)),
+];
+
+const BODIES_FIGURES: [Figure<Bodies>; 8] = [
+    ("memory", |bodies| Some(bytes(bodies.memory))),
+    ("batch-memory", |bodies| Some(bytes(bodies.query_memory))),
+    ("files", |bodies| Some(bytes(bodies.files))),
+    ("directory", |bodies| {
+        Some(bodies.directory.clone().unwrap_or_default())
+    }),
+    ("batch", |bodies| Some(bytes(bodies.max_body))),
+    ("share", |bodies| Some(percent(bodies.share))),
+    ("unknown-length", |bodies| {
+        Some(bodies.unknown_length.to_string())
+    }),
+    ("must-keep", |bodies| Some(sorted(&bodies.must_keep))),
+];
+
+fn seconds(time: Duration) -> String {
+    format!("{}s", time.as_secs_f64())
+}
+
+fn percent(fraction: f64) -> String {
+    format!("{}%", fraction * 100.0)
+}
+
+fn bytes(count: u64) -> String {
+    format!("{count}B")
+}
+
+fn order(in_order: bool) -> String {
+    match in_order {
+        true => "key".to_string(),
+        false => "none".to_string(),
+    }
+}
+
+fn bucket(bucket: Option<Bucket>) -> Option<String> {
+    bucket.as_ref().map(bucket_in_words)
+}
+
+/// The names in alphabetic order, each once.
+fn sorted(names: &[String]) -> String {
+    let names: BTreeSet<&str> = names.iter().map(String::as_str).collect();
+    let names: Vec<&str> = names.into_iter().collect();
+    names.join(", ")
+}
+
+/// A change where a figure is not the same.
+fn change(
+    subject: &'static str,
+    what: &str,
+    old: Option<String>,
+    new: Option<String>,
+) -> Option<Change> {
+    if old == new {
+        return None;
+    }
+    let printed = |figure: Option<String>| figure.unwrap_or_else(|| "none".to_string());
+    let text = format!("{what}: {} -> {}", printed(old), printed(new));
+    Some(Change { subject, text })
+}
+
+/// The changes in the figures of a block that may be missing in either plan.
+fn figures<Block>(
+    subject: &'static str,
+    name: &str,
+    figures: &[Figure<Block>],
+    old: Option<&Block>,
+    new: Option<&Block>,
+) -> Vec<Change> {
+    let changed = figures.iter().filter_map(|(figure, printed)| {
+        let what = format!("{figure} of {name}");
+        change(subject, &what, old.and_then(printed), new.and_then(printed))
+    });
+    changed.collect()
+}
+
+/// The changes in the rules of query classes.
+pub(super) fn of_classes(old: &Plan, new: &Plan) -> Vec<Change> {
+    let classes = old.classes.iter().chain(&new.classes);
+    let names: BTreeSet<&str> = classes.map(|class| class.name.as_str()).collect();
+    let changes = names.into_iter().flat_map(|name| {
+        let quoted = format!("`{name}`");
+        figures(
+            "group",
+            &quoted,
+            &CLASS_FIGURES,
+            old.class(name),
+            new.class(name),
+        )
+    });
+    changes.collect()
+}
+
+/// The changes in the limits of tenants.
+pub(super) fn of_tenants(old: &Plan, new: &Plan) -> Vec<Change> {
+    let tenants = old.tenants.iter().chain(&new.tenants);
+    let names: BTreeSet<&str> = tenants.map(|tenant| tenant.name.as_str()).collect();
+    let changes = names.into_iter().flat_map(|name| {
+        let quoted = format!("`{name}`");
+        figures(
+            "tenant",
+            &quoted,
+            &TENANT_FIGURES,
+            old.tenant(name),
+            new.tenant(name),
+        )
+    });
+    changes.collect()
+}
+
+/// The changes in the storage of bodies and of the journal.
+pub(super) fn of_storage(old: &Plan, new: &Plan) -> Vec<Change> {
+    let mut changes = figures(
+        "store",
+        "bodies",
+        &BODIES_FIGURES,
+        old.bodies.as_ref(),
+        new.bodies.as_ref(),
+    );
+    let directory = |plan: &Plan| {
+        let journal = plan.journal.as_ref();
+        journal.map(|journal| journal.directory.clone())
+    };
+    let what = "directory of the journal";
+    changes.extend(change("store", what, directory(old), directory(new)));
+    changes
+}
--- /dev/null
+++ b/crates/plan/src/diff/placement.rs
@@ -0,0 +1,62 @@
+//! Changes in the zones and kinds of engines that a class may use.
+
+use super::routing::{priority_levels, Comparison, Side};
+use super::Change;
+use crate::cells::Cells;
+use crate::region::QUERY_CLASS;
+use fixedbitset::FixedBitSet;
+use std::collections::BTreeSet;
+
+/// A zone and a kind; `None` for those that no plan names.
+type Place<'a> = (Option<&'a str>, Option<&'a str>);
+
+/// The places that a class may use in one of the plans only.
+pub(super) fn changes(comparison: &Comparison) -> Vec<Change> {
+    let Some(cells) = comparison.cells else {
+        return Vec::new();
+    };
+    let mut changes = Vec::new();
+    for class in &comparison.class_names {
+        let value_class = comparison.classes.query_class(class);
+        let old = places(&comparison.old, class, value_class, cells);
+        let new = places(&comparison.new, class, value_class, cells);
+        let left = old.difference(&new);
+        changes.extend(left.map(|place| change(class, "may no longer", place)));
+        let added = new.difference(&old);
+        changes.extend(added.map(|place| change(class, "may now", place)));
+    }
+    changes
+}
+
+fn change(class: &str, how: &str, (zone, kind): &Place) -> Change {
+    let kind = kind.unwrap_or("engines of other kinds");
+    let zone = zone.unwrap_or("other zones");
+    Change {
+        subject: "placement",
+        text: format!("`{class}` {how} use {kind} in {zone}"),
+    }
+}
+
+/// The places that a class may use in a plan, over all routes that its queries may match.
+fn places<'a>(
+    side: &Side,
+    class: &str,
+    value_class: usize,
+    cells: &'a Cells,
+) -> BTreeSet<Place<'a>> {
+    let mut usable = FixedBitSet::with_capacity(cells.count());
+    for (index, pieces) in side.reach.iter().enumerate() {
+        let route = side.plan.routes.get(index);
+        let is_rejected = route.is_some_and(|route| route.reject_reason.is_some());
+        let is_matched = pieces
+            .iter()
+            .any(|piece| piece[QUERY_CLASS].contains(value_class));
+        if is_rejected || !is_matched {
+            continue;
+        }
+        for level in priority_levels(side, route, class, cells) {
+            usable.union_with(&level);
+        }
+    }
+    usable.ones().map(|cell| cells.place(cell)).collect()
+}
--- /dev/null
+++ b/crates/plan/src/diff/routing.rs
@@ -0,0 +1,307 @@
+//! Changes in which engines queries may go to, and in which are rejected.
+
+use super::{placement, Change};
+use crate::cells::{Cells, Known};
+use crate::model::{Plan, Route};
+use crate::region::{self, Region, ValueClasses, QUERY_CLASS};
+use fixedbitset::FixedBitSet;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The changes in routing and placement.
+pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
+    let classes = ValueClasses::of(&[old, new], &[], &[]);
+    let cells = Cells::of(&[old, new], Known::default());
+    let old_side = Side::of(old, 0, &classes, cells.as_ref());
+    let new_side = Side::of(new, old.addresses.len(), &classes, cells.as_ref());
+    let (Some(old_side), Some(new_side)) = (old_side, new_side) else {
+        return not_comparable(old, new);
+    };
+    let mut comparison = Comparison {
+        class_names: class_names(old, new),
+        classes: &classes,
+        cells: cells.as_ref(),
+        old: old_side,
+        new: new_side,
+        cell_sets: CellSets::default(),
+    };
+    let differences = comparison.differences();
+    let mut changes = placement::changes(&comparison);
+    let set_names = set_names(old, new);
+    for (difference, regions) in differences {
+        changes.push(comparison.change(&difference, &regions, &set_names));
+    }
+    changes
+}
+
+/// What is reported where the routes of a plan fall into too many regions.
+fn not_comparable(old: &Plan, new: &Plan) -> Vec<Change> {
+    if format!("{:?}", old.routes) == format!("{:?}", new.routes) {
+        return Vec::new();
+    }
+    let text = "the routes of the two are too many and too entangled to be compared";
+    vec![Change {
+        subject: "routing",
+        text: text.to_string(),
+    }]
+}
+
+/// The classes that one of the plans names in its routes or rules.
+fn class_names(old: &Plan, new: &Plan) -> BTreeSet<String> {
+    let routes = old.routes.iter().chain(&new.routes);
+    let rules = old.classes.iter().chain(&new.classes);
+    routes
+        .flat_map(|route| route.classes.iter().chain(&route.as_class))
+        .chain(rules.map(|class| &class.name))
+        .cloned()
+        .collect()
+}
+
+fn set_names(old: &Plan, new: &Plan) -> Vec<String> {
+    let sets = old.addresses.iter().chain(&new.addresses);
+    sets.map(|set| set.name.clone()).collect()
+}
+
+/// One of the two plans with what its routes and pools have.
+pub(super) struct Side<'a> {
+    pub(super) plan: &'a Plan,
+    /// The cells of each pool; `None` where there are too many cells.
+    pools: Option<Vec<FixedBitSet>>,
+    /// The regions that each route decides on, and last those that no route matches.
+    pub(super) reach: Vec<Vec<Region>>,
+}
+
+impl<'a> Side<'a> {
+    /// `first_set` is the index of the plan's first address set among those of both plans. `None` where the routes
+    /// fall into too many regions.
+    fn of(
+        plan: &'a Plan,
+        first_set: usize,
+        classes: &ValueClasses,
+        cells: Option<&Cells>,
+    ) -> Option<Self> {
+        let regions = plan.routes.iter();
+        let regions: Vec<Region> = regions
+            .map(|route| classes.region(route, first_set))
+            .collect();
+        let reach = region::reach(&regions, &region::whole(classes));
+        Some(Side {
+            plan,
+            pools: cells.map(|cells| cells.of_pools(plan, first_set)),
+            reach: reach.into_iter().collect::<Option<_>>()?,
+        })
+    }
+}
+
+/// What a plan does with the queries of a region.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+enum Decision {
+    Rejected {
+        reason: String,
+    },
+    Routed {
+        /// The class that the query is treated as.
+        class: String,
+        /// For each level of preference the number of its set of cells; of its pool where cells are not computed.
+        levels: Vec<usize>,
+    },
+}
+
+/// Two decisions on the same queries that are not alike. Routes are given by index; past the last is no route.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Difference {
+    old_route: usize,
+    new_route: usize,
+    old: Decision,
+    new: Decision,
+}
+
+/// Sets of cells by number, in the order in which they were first seen.
+#[derive(Default)]
+struct CellSets(BTreeMap<Vec<usize>, usize>);
+
+impl CellSets {
+    fn number(&mut self, cells: &FixedBitSet) -> usize {
+        let next = self.0.len();
+        *self.0.entry(cells.ones().collect()).or_insert(next)
+    }
+}
+
+pub(super) struct Comparison<'a> {
+    pub(super) class_names: BTreeSet<String>,
+    pub(super) classes: &'a ValueClasses,
+    pub(super) cells: Option<&'a Cells>,
+    pub(super) old: Side<'a>,
+    pub(super) new: Side<'a>,
+    cell_sets: CellSets,
+}
+
+impl Comparison<'_> {
+    /// The regions on which the two plans decide differently, by what they decide.
+    fn differences(&mut self) -> BTreeMap<Difference, Vec<Region>> {
+        let mut differences: BTreeMap<Difference, Vec<Region>> = BTreeMap::new();
+        for old_route in 0..self.old.reach.len() {
+            for new_route in 0..self.new.reach.len() {
+                for piece in self.common_pieces(old_route, new_route) {
+                    for class in piece[QUERY_CLASS].ones() {
+                        let Some(difference) = self.difference(old_route, new_route, class) else {
+                            continue;
+                        };
+                        let regions = differences.entry(difference).or_default();
+                        regions.push(of_class(&piece, class));
+                    }
+                }
+            }
+        }
+        differences
+    }
+
+    /// The regions that the old plan decides by one route, and the new plan by another.
+    fn common_pieces(&self, old_route: usize, new_route: usize) -> Vec<Region> {
+        let old_pieces = self.old.reach[old_route].iter();
+        let new_pieces = &self.new.reach[new_route];
+        let common = old_pieces.flat_map(|old| {
+            let with_old = |new| region::intersection(old, new);
+            new_pieces.iter().filter_map(with_old)
+        });
+        common.collect()
+    }
+
+    fn difference(
+        &mut self,
+        old_route: usize,
+        new_route: usize,
+        class: usize,
+    ) -> Option<Difference> {
+        let has_class = |name: &&String| self.classes.query_class(name) == class;
+        let name = self.class_names.iter().find(has_class);
+        let name = name.map_or("others", String::as_str);
+        let old = decision(&self.old, old_route, name, self.cells, &mut self.cell_sets);
+        let new = decision(&self.new, new_route, name, self.cells, &mut self.cell_sets);
+        (old != new).then_some(Difference {
+            old_route,
+            new_route,
+            old,
+            new,
+        })
+    }
+
+    fn change(&self, difference: &Difference, regions: &[Region], set_names: &[String]) -> Change {
+        let first = self.classes.in_words(&regions[0], set_names);
+        let more = match regions.len() {
+            1 => String::new(),
+            count => format!(" (and {} more)", count - 1),
+        };
+        let old = in_words(self.old.plan, difference.old_route, &difference.old);
+        let mut new = in_words(self.new.plan, difference.new_route, &difference.new);
+        if old == new {
+            new += ", with other engines";
+        }
+        Change {
+            subject: "routing",
+            text: format!("{first}{more}: {old} -> {new}"),
+        }
+    }
+}
+
+/// The part of a region that holds one query class.
+fn of_class(region: &Region, class: usize) -> Region {
+    let mut part = region.clone();
+    part[QUERY_CLASS].clear();
+    part[QUERY_CLASS].insert(class);
+    part
+}
+
+fn decision(
+    side: &Side,
+    route: usize,
+    class: &str,
+    cells: Option<&Cells>,
+    cell_sets: &mut CellSets,
+) -> Decision {
+    let route = side.plan.routes.get(route);
+    if let Some(reason) = route.and_then(|route| route.reject_reason.clone()) {
+        return Decision::Rejected { reason };
+    }
+    let treated_as = route.and_then(|route| route.as_class.as_deref());
+    let levels = match cells {
+        Some(cells) => {
+            let levels = priority_levels(side, route, class, cells);
+            levels.iter().map(|level| cell_sets.number(level)).collect()
+        }
+        None => route.map_or(Vec::new(), |route| route.pools.clone()),
+    };
+    Decision::Routed {
+        class: treated_as.unwrap_or(class).to_string(),
+        levels,
+    }
+}
+
+/// For each level of preference of a class on a route, the cells that no earlier level has; empty ones are left out.
+pub(super) fn priority_levels(
+    side: &Side,
+    route: Option<&Route>,
+    class: &str,
+    cells: &Cells,
+) -> Vec<FixedBitSet> {
+    let Some(pools) = &side.pools else {
+        return Vec::new();
+    };
+    let treated_as = route.and_then(|route| route.as_class.as_deref());
+    let mut unused = allowed_cells(
+        side.plan,
+        pools,
+        cells,
+        &[class, treated_as.unwrap_or(class)],
+    );
+    let preferred: Vec<FixedBitSet> = match route.map(|route| route.pools.as_slice()) {
+        None | Some([]) => vec![cells.all()],
+        Some(to) => to.iter().map(|pool| pools[*pool].clone()).collect(),
+    };
+    let mut levels = Vec::new();
+    for mut level in preferred {
+        level.intersect_with(&unused);
+        unused.difference_with(&level);
+        if !level.is_clear() {
+            levels.push(level);
+        }
+    }
+    levels
+}
+
+/// The cells that the rules of some classes allow; `pools` has the cells of each pool.
+fn allowed_cells(
+    plan: &Plan,
+    pools: &[FixedBitSet],
+    cells: &Cells,
+    classes: &[&str],
+) -> FixedBitSet {
+    let mut allowed = cells.all();
+    let rules = classes.iter().filter_map(|class| plan.class(class));
+    for class in rules.filter(|class| !class.pools.is_empty()) {
+        let mut bound = FixedBitSet::with_capacity(cells.count());
+        for pool in &class.pools {
+            bound.union_with(&pools[*pool]);
+        }
+        allowed.intersect_with(&bound);
+    }
+    allowed
+}
+
+fn in_words(plan: &Plan, route: usize, decision: &Decision) -> String {
+    let class = match decision {
+        Decision::Rejected { reason } => return format!("refused, \"{reason}\""),
+        Decision::Routed { class, .. } => class,
+    };
+    let route = plan.routes.get(route);
+    let pools = route.map_or(&[][..], |route| &route.pools);
+    let name = |pool: &usize| plan.pools[*pool].name.as_str();
+    let names: Vec<&str> = pools.iter().map(name).collect();
+    let to = match names.is_empty() {
+        true => "any engine".to_string(),
+        false => format!("to {}", names.join(", ")),
+    };
+    match route.and_then(|route| route.as_class.as_ref()) {
+        Some(_) => format!("as {class} {to}"),
+        None => to,
+    }
+}
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,211 +1,151 @@
-//! What becomes of one batch, and why, by line.
+//! Explains what a plan does with one query, and by which blocks of which files.
+
+mod words;
 
 use crate::files::Span;
-use crate::model::{Bucket, DeduplicationScope, Idempotency, Limit, Per, Plan, Pool, QueryFacts};
+use crate::model::{QueryFacts, Route};
 use crate::Compiled;
-use std::fmt::Write;
+use std::fmt::{Result, Write};
+
+pub(crate) use words::{bucket_in_words, idempotency_in_words, limit_in_words};
+use words::{class_in_words, pool_in_words, tenant_in_words};
 
-/// Routes passed over that are told; of more the number.
-const MOST_PASSED: usize = 20;
+/// Routes that do not match the query and are printed; of further ones the number is printed.
+const MAX_PRINTED_MISMATCHES: usize = 20;
 
-/// Tells the route that takes a batch, those passed over, the pools, the rules of its group and the limits.
-pub fn explain(compiled: &Compiled, facts: &QueryFacts) -> String {
-    let mut out = String::new();
+/// Explains the route of a query, the routes before it that do not match, the pools, the rules and the limits.
+pub fn explain(compiled: &Compiled, query: &QueryFacts) -> String {
+    let mut explanation = Explanation {
+        compiled,
+        query,
+        out: String::new(),
+    };
     // Writing to a string does not fail.
-    let _ = write_all(&mut out, compiled, facts);
-    out
+    let _ = explanation.write();
+    explanation.out
 }
 
-fn write_all(out: &mut String, compiled: &Compiled, facts: &QueryFacts) -> std::fmt::Result {
-    let (plan, at) = (&compiled.plan, |span: &Span| compiled.files.at(span));
-    let key = if facts.has_key {
-        "with a key"
-    } else {
-        "without a key"
-    };
-    let clock = format!(
-        "{:02}:{:02}",
-        facts.minute_of_day / 60,
-        facts.minute_of_day % 60
-    );
-    writeln!(
-        out,
-        "a batch of `{}` for `{}` from {}, {key}, on data set {}, at {clock} UTC",
-        facts.class, facts.tenant, facts.client, facts.data_set
-    )?;
-    let taken = plan
-        .routes
-        .iter()
-        .position(|r| r.unmet(facts, &plan.addresses).is_none());
-    let passed = &plan.routes[..taken.unwrap_or(plan.routes.len())];
-    for route in passed.iter().take(MOST_PASSED) {
-        let why = route.unmet(facts, &plan.addresses).unwrap_or_default();
-        writeln!(
-            out,
-            "  passed over: route `{}` ({}), by its `{why}`",
-            route.name,
-            at(&route.span)
-        )?;
-    }
-    if passed.len() > MOST_PASSED {
-        writeln!(out, "  and {} more", passed.len() - MOST_PASSED)?;
-    }
-    let mut groups = vec![facts.class];
-    match taken.map(|n| &plan.routes[n]) {
-        None => writeln!(
-            out,
-            "no route takes it: every engine is open to it that its group's rules leave"
-        )?,
-        Some(route) => {
-            writeln!(out, "route `{}` ({}) takes it", route.name, at(&route.span))?;
-            if let Some(reason) = &route.reject_reason {
-                return writeln!(out, "it is pushed back: {reason}");
-            }
-            if let Some(group) = &route.as_class {
-                writeln!(out, "it is treated as `{group}`")?;
-                groups.push(group);
-            }
-            for (n, pool) in route.pools.iter().enumerate() {
-                let pool = &plan.pools[*pool];
-                writeln!(
-                    out,
-                    "  {}. pool `{}` ({}): {}",
-                    n + 1,
-                    pool.name,
-                    at(&pool.span),
-                    pool_in_words(plan, pool)
-                )?;
+struct Explanation<'a> {
+    compiled: &'a Compiled,
+    query: &'a QueryFacts<'a>,
+    out: String,
+}
+
+impl Explanation<'_> {
+    fn write(&mut self) -> Result {
+        let plan = &self.compiled.plan;
+        let route = plan.route_index_of(self.query);
+        self.query()?;
+        self.mismatches(&plan.routes[..route.unwrap_or(plan.routes.len())])?;
+        let mut classes = vec![self.query.class];
+        match route.map(|index| &plan.routes[index]) {
+            None => writeln!(
+                self.out,
+                "no route takes it: every engine is open to it that its group's rules leave"
+            )?,
+            Some(route) => {
+                self.route(route)?;
+                if route.reject_reason.is_some() {
+                    return Ok(());
+                }
+                classes.extend(route.as_class.as_deref());
             }
         }
+        self.classes(&classes)?;
+        self.tenant()?;
+        self.limits()
     }
-    for group in groups.into_iter().filter_map(|g| plan.class(g)) {
-        writeln!(
-            out,
-            "group `{}` ({}): {}",
-            group.name,
-            at(&group.span),
-            group_in_words(plan, group)
-        )?;
-    }
-    if let Some(tenant) = plan.tenant(facts.tenant) {
-        let parts = [
-            tenant.share.map(|s| format!("share {}%", s * 100.0)),
-            tenant.max_in_flight.map(|n| format!("in-hand {n}")),
-            tenant.rate.map(|b| format!("rate {}", bucket_in_words(&b))),
-            tenant
-                .bytes
-                .map(|b| format!("bytes {}", bucket_in_words(&b))),
-        ];
-        writeln!(
-            out,
-            "tenant `{}` ({}): {}",
-            tenant.name,
-            at(&tenant.span),
-            joined(parts)
-        )?;
+
+    fn at(&self, span: &Span) -> String {
+        self.compiled.files.at(span)
     }
-    for limit in plan
-        .limits
-        .iter()
-        .filter(|l| l.applies_to(facts, &plan.addresses))
-    {
+
+    fn query(&mut self) -> Result {
+        let query = self.query;
+        let key = match query.has_key {
+            true => "with a key",
+            false => "without a key",
+        };
+        let hour = query.minute_of_day / 60;
+        let minute = query.minute_of_day % 60;
         writeln!(
-            out,
-            "limit `{}` ({}): {}",
-            limit.name,
-            at(&limit.span),
-            limit_in_words(limit)
-        )?;
+            self.out,
+            "a batch of `{}` for `{}` from {}, {key}, on data set {}, at {hour:02}:{minute:02} UTC",
+            query.class, query.tenant, query.client, query.data_set
+        )
     }
-    Ok(())
-}
 
-fn joined<const N: usize>(parts: [Option<String>; N]) -> String {
-    let parts: Vec<String> = parts.into_iter().flatten().collect();
-    match parts.is_empty() {
-        true => "nothing".to_string(),
-        false => parts.join("; "),
+    /// The routes before the one that matches, each with the first entry that the query does not meet.
+    fn mismatches(&mut self, routes: &[Route]) -> Result {
+        let plan = &self.compiled.plan;
+        for route in routes.iter().take(MAX_PRINTED_MISMATCHES) {
+            let unmet = route.unmet(self.query, &plan.addresses).unwrap_or_default();
+            let place = self.at(&route.span);
+            let name = &route.name;
+            writeln!(
+                self.out,
+                "  passed over: route `{name}` ({place}), by its `{unmet}`"
+            )?;
+        }
+        match routes.len().saturating_sub(MAX_PRINTED_MISMATCHES) {
+            0 => Ok(()),
+            more => writeln!(self.out, "  and {more} more"),
+        }
     }
-}
-
-fn list(name: &str, values: &[String]) -> Option<String> {
-    (!values.is_empty()).then(|| format!("{name} {}", values.join(", ")))
-}
-
-fn pools(plan: &Plan, pools: &[usize]) -> Vec<String> {
-    pools.iter().map(|p| plan.pools[*p].name.clone()).collect()
-}
 
-pub(crate) fn pool_in_words(plan: &Plan, pool: &Pool) -> String {
-    let sets: Vec<String> = pool
-        .addresses
-        .iter()
-        .map(|a| plan.addresses[*a].name.clone())
-        .collect();
-    joined([
-        pool.all.then(|| "all".to_string()),
-        list("zone", &pool.zones),
-        list("kind", &pool.kinds),
-        list("id", &pool.ids),
-        list("address", &sets),
-        list("union", &pools(plan, &pool.union)),
-        list("except", &pools(plan, &pool.except)),
-    ])
-}
-
-pub(crate) fn effect_in_words(effect: &Idempotency) -> String {
-    match effect {
-        Idempotency::Idempotent => "repeatable".to_string(),
-        Idempotency::NonIdempotent => "once-only".to_string(),
-        Idempotency::IdempotentByKey { scope, window } => {
-            let scope = match scope {
-                DeduplicationScope::Everywhere => "everywhere",
-                DeduplicationScope::Zone => "zone",
-                DeduplicationScope::Cell => "cell",
-            };
-            format!("referenced {scope} {}s", window.as_secs_f64())
+    fn route(&mut self, route: &Route) -> Result {
+        let plan = &self.compiled.plan;
+        let place = self.at(&route.span);
+        writeln!(self.out, "route `{}` ({place}) takes it", route.name)?;
+        if let Some(reason) = &route.reject_reason {
+            return writeln!(self.out, "it is pushed back: {reason}");
+        }
+        if let Some(class) = &route.as_class {
+            writeln!(self.out, "it is treated as `{class}`")?;
+        }
+        for (index, pool) in route.pools.iter().enumerate() {
+            let pool = &plan.pools[*pool];
+            let place = self.at(&pool.span);
+            let words = pool_in_words(plan, pool);
+            let number = index + 1;
+            writeln!(
+                self.out,
+                "  {number}. pool `{}` ({place}): {words}",
+                pool.name
+            )?;
         }
+        Ok(())
     }
-}
 
-fn group_in_words(plan: &Plan, group: &crate::model::ClassRules) -> String {
-    joined([
-        group
-            .latency_objective
-            .map(|t| format!("goal {}s", t.as_secs_f64())),
-        group
-            .deadline
-            .map(|t| format!("limit {}s", t.as_secs_f64())),
-        list("pools", &pools(plan, &group.pools)),
-        group
-            .in_order
-            .map(|o| format!("order {}", if o { "key" } else { "none" })),
-        group
-            .idempotency
-            .map(|e| format!("effect {}", effect_in_words(&e))),
-        group
-            .retries_per_query
-            .map(|f| format!("further {}%", f * 100.0)),
-        group.max_statement_bytes.map(|n| format!("statement {n}B")),
-    ])
-}
+    fn classes(&mut self, names: &[&str]) -> Result {
+        let plan = &self.compiled.plan;
+        for class in names.iter().filter_map(|name| plan.class(name)) {
+            let place = self.at(&class.span);
+            let words = class_in_words(plan, class);
+            writeln!(self.out, "group `{}` ({place}): {words}", class.name)?;
+        }
+        Ok(())
+    }
 
-pub(crate) fn bucket_in_words(bucket: &Bucket) -> String {
-    format!("{}/s burst {}", bucket.rate, bucket.burst)
-}
+    fn tenant(&mut self) -> Result {
+        let Some(tenant) = self.compiled.plan.tenant(self.query.tenant) else {
+            return Ok(());
+        };
+        let place = self.at(&tenant.span);
+        let words = tenant_in_words(tenant);
+        writeln!(self.out, "tenant `{}` ({place}): {words}", tenant.name)
+    }
 
-pub(crate) fn limit_in_words(limit: &Limit) -> String {
-    let per = limit.per.iter().map(|per| match per {
-        Per::Class => "group".to_string(),
-        Per::Tenant => "tenant".to_string(),
-        Per::Client => "client".to_string(),
-    });
-    joined([
-        limit.max_in_flight.map(|n| format!("in-hand {n}")),
-        limit.rate.map(|b| format!("rate {}", bucket_in_words(&b))),
-        limit
-            .bytes
-            .map(|b| format!("bytes {}", bucket_in_words(&b))),
-        list("for each", &per.collect::<Vec<_>>()),
-    ])
+    fn limits(&mut self) -> Result {
+        let plan = &self.compiled.plan;
+        for limit in &plan.limits {
+            if !limit.applies_to(self.query, &plan.addresses) {
+                continue;
+            }
+            let place = self.at(&limit.span);
+            let words = limit_in_words(limit);
+            writeln!(self.out, "limit `{}` ({place}): {words}", limit.name)?;
+        }
+        Ok(())
+    }
 }
--- /dev/null
+++ b/crates/plan/src/explain/words.rs
@@ -0,0 +1,109 @@
+//! Prints blocks of a plan in the words of the plan language.
+
+use crate::model::{
+    Bucket, ClassRules, DeduplicationScope, Idempotency, Limit, Per, Plan, Pool, Tenant,
+};
+
+/// The entries that are given, or `nothing`.
+fn joined<const N: usize>(entries: [Option<String>; N]) -> String {
+    let given: Vec<String> = entries.into_iter().flatten().collect();
+    match given.is_empty() {
+        true => "nothing".to_string(),
+        false => given.join("; "),
+    }
+}
+
+fn list(entry: &str, values: &[String]) -> Option<String> {
+    (!values.is_empty()).then(|| format!("{entry} {}", values.join(", ")))
+}
+
+fn pool_names(plan: &Plan, pools: &[usize]) -> Vec<String> {
+    let name = |pool: &usize| plan.pools[*pool].name.clone();
+    pools.iter().map(name).collect()
+}
+
+pub(super) fn pool_in_words(plan: &Plan, pool: &Pool) -> String {
+    let set_name = |set: &usize| plan.addresses[*set].name.clone();
+    let sets: Vec<String> = pool.addresses.iter().map(set_name).collect();
+    joined([
+        pool.all.then(|| "all".to_string()),
+        list("zone", &pool.zones),
+        list("kind", &pool.kinds),
+        list("id", &pool.ids),
+        list("address", &sets),
+        list("union", &pool_names(plan, &pool.union)),
+        list("except", &pool_names(plan, &pool.except)),
+    ])
+}
+
+pub(super) fn class_in_words(plan: &Plan, class: &ClassRules) -> String {
+    let order = |in_order: bool| match in_order {
+        true => "order key".to_string(),
+        false => "order none".to_string(),
+    };
+    let effect = |idempotency| format!("effect {}", idempotency_in_words(&idempotency));
+    joined([
+        class
+            .latency_objective
+            .map(|time| format!("goal {}s", time.as_secs_f64())),
+        class
+            .deadline
+            .map(|time| format!("limit {}s", time.as_secs_f64())),
+        list("pools", &pool_names(plan, &class.pools)),
+        class.in_order.map(order),
+        class.idempotency.map(effect),
+        class
+            .retries_per_query
+            .map(|fraction| format!("further {}%", fraction * 100.0)),
+        class
+            .max_statement_bytes
+            .map(|bytes| format!("statement {bytes}B")),
+    ])
+}
+
+pub(crate) fn idempotency_in_words(idempotency: &Idempotency) -> String {
+    let (scope, window) = match idempotency {
+        Idempotency::Idempotent => return "repeatable".to_string(),
+        Idempotency::NonIdempotent => return "once-only".to_string(),
+        Idempotency::IdempotentByKey { scope, window } => (scope, window),
+    };
+    let scope = match scope {
+        DeduplicationScope::Everywhere => "everywhere",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::Cell => "cell",
+    };
+    format!("referenced {scope} {}s", window.as_secs_f64())
+}
+
+pub(super) fn tenant_in_words(tenant: &Tenant) -> String {
+    joined([
+        tenant
+            .share
+            .map(|fraction| format!("share {}%", fraction * 100.0)),
+        tenant.max_in_flight.map(|count| format!("in-hand {count}")),
+        bucket("rate", tenant.rate),
+        bucket("bytes", tenant.bytes),
+    ])
+}
+
+pub(crate) fn limit_in_words(limit: &Limit) -> String {
+    let per = limit.per.iter().map(|per| match per {
+        Per::Class => "group".to_string(),
+        Per::Tenant => "tenant".to_string(),
+        Per::Client => "client".to_string(),
+    });
+    joined([
+        limit.max_in_flight.map(|count| format!("in-hand {count}")),
+        bucket("rate", limit.rate),
+        bucket("bytes", limit.bytes),
+        list("for each", &per.collect::<Vec<_>>()),
+    ])
+}
+
+fn bucket(entry: &str, bucket: Option<Bucket>) -> Option<String> {
+    bucket.map(|bucket| format!("{entry} {}", bucket_in_words(&bucket)))
+}
+
+pub(crate) fn bucket_in_words(bucket: &Bucket) -> String {
+    format!("{}/s burst {}", bucket.rate, bucket.burst)
+}
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -1,442 +1,149 @@
-//! A plan as values: sets, pools, groups, tenants, routes and limits, with names resolved and places kept. Its own
-//! evaluation is plain and slow; `garnetwall-routing` compiles it.
+//! A plan as values, with names resolved and places kept.
+//!
+//! Its own evaluation is plain and slow; `garnetwall-routing` compiles a plan for the path of a query. A field is
+//! serialized under the word of the plan language, which the printed form of a plan shows.
+
+mod classes;
+mod limits;
+mod routes;
+mod sets;
+mod storage;
 
-use crate::address::{number, Spans};
-use crate::files::Span;
-use crate::quantity::MINUTES_PER_DAY;
 use serde::Serialize;
 use std::net::IpAddr;
-use std::time::Duration;
 
-/// A share of further dispatches counts over so many seconds, and lets one be sent whatever came.
-pub const RETRY_WINDOW_SECONDS: f64 = 60.0;
-pub const RETRY_FLOOR: f64 = 1.0;
+pub use classes::{ClassRules, DeduplicationScope, Idempotency, RETRY_FLOOR, RETRY_WINDOW_SECONDS};
+pub use limits::{Bucket, Limit, Per, Tenant};
+pub use routes::Route;
+pub use sets::{fits_pattern, AddressSet, Pool};
+pub use storage::{Bodies, Journal};
 
-/// What a route can ask of a batch.
+/// What a route can ask of a query.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryFacts<'a> {
+    /// The name of its class.
     pub class: &'a str,
+    /// The name of its tenant.
     pub tenant: &'a str,
+    /// The address of the client.
     pub client: IpAddr,
     /// Whether it has a key.
     pub has_key: bool,
+    /// The number of its data set.
     pub data_set: u32,
-    /// Minute of the day, UTC.
+    /// When it came, in minutes of the day, UTC.
     pub minute_of_day: u32,
 }
 
 /// What a pool can ask of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineFacts<'a> {
+    /// Its id.
     pub id: &'a str,
+    /// The name of its zone.
     pub zone: &'a str,
+    /// The name of its kind.
     pub kind: &'a str,
+    /// Its address.
     pub address: IpAddr,
 }
 
-/// A whole plan. Pools and sets are referred to by their index.
+/// A whole plan. Pools and address sets are referred to by their index.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Plan {
+    /// The sets of addresses.
     pub addresses: Vec<AddressSet>,
+    /// The sets of engines.
     pub pools: Vec<Pool>,
+    /// The rules of query classes.
     #[serde(rename = "groups")]
     pub classes: Vec<ClassRules>,
+    /// The limits of tenants.
     pub tenants: Vec<Tenant>,
+    /// The routes; the first that matches a query decides.
     pub routes: Vec<Route>,
+    /// The limits on admission.
     pub limits: Vec<Limit>,
+    /// Where bodies of queries are stored; `None` where the plan has no such block.
     pub bodies: Option<Bodies>,
+    /// Where the query journal is stored; `None` where the plan has no such block.
     pub journal: Option<Journal>,
     /// Pools in an order in which each comes after those that it refers to.
     #[serde(skip)]
     pub pool_order: Vec<usize>,
 }
 
-/// A set of addresses.
-#[derive(Clone, Debug, Serialize)]
-pub struct AddressSet {
-    pub name: String,
-    #[serde(skip)]
-    pub span: Span,
-    /// All that is in it, others included and exceptions taken out.
-    #[serde(serialize_with = "spans")]
-    pub spans: Spans,
-}
-
-fn spans<S: serde::Serializer>(spans: &Spans, s: S) -> Result<S::Ok, S::Error> {
-    let ip = |n: u128| {
-        let v6 = std::net::Ipv6Addr::from(n);
-        v6.to_ipv4_mapped()
-            .map_or_else(|| v6.to_string(), |v4| v4.to_string())
-    };
-    s.collect_seq(
-        spans
-            .iter()
-            .map(|(from, to)| format!("{}..{}", ip(*from), ip(*to))),
-    )
-}
-
-impl AddressSet {
-    pub fn contains(&self, address: IpAddr) -> bool {
-        let n = number(address);
-        self.spans
-            .iter()
-            .any(|(from, to)| (*from..=*to).contains(&n))
-    }
-}
-
-/// A set of engines: those that fit all of `zones` to `addresses` that are given, and those of `union`, less `except`.
-#[derive(Clone, Debug, Serialize)]
-pub struct Pool {
-    pub name: String,
-    #[serde(skip)]
-    pub span: Span,
-    pub all: bool,
-    pub zones: Vec<String>,
-    pub kinds: Vec<String>,
-    pub ids: Vec<String>,
-    pub addresses: Vec<usize>,
-    pub union: Vec<usize>,
-    pub except: Vec<usize>,
-}
-
-impl Pool {
-    /// Whether it says of itself which engines it has, beside other pools.
-    pub fn selects(&self) -> bool {
-        let lists = [&self.zones, &self.kinds, &self.ids]
-            .iter()
-            .any(|list| !list.is_empty());
-        self.all || lists || !self.addresses.is_empty()
-    }
-
-    /// Whether an engine fits what the pool says itself, told by how it fits each thing.
-    pub fn fits(
-        &self,
-        zone: impl Fn(&str) -> bool,
-        kind: impl Fn(&str) -> bool,
-        id: impl Fn(&str) -> bool,
-        address: impl Fn(usize) -> bool,
-    ) -> bool {
-        let any = |list: &[String], fits: &dyn Fn(&str) -> bool| {
-            list.is_empty() || list.iter().any(|v| fits(v))
-        };
-        self.selects()
-            && any(&self.zones, &zone)
-            && any(&self.kinds, &kind)
-            && any(&self.ids, &id)
-            && (self.addresses.is_empty() || self.addresses.iter().any(|set| address(*set)))
-    }
-}
-
-/// Whether a pattern, in which `*` stands for any characters, fits a text.
-pub fn fits_pattern(pattern: &str, text: &str) -> bool {
-    let mut parts = pattern.split('*');
-    let first = parts.next().unwrap_or_default();
-    let Some(mut rest) = text.strip_prefix(first) else {
-        return false;
-    };
-    let mut parts = parts.peekable();
-    if parts.peek().is_none() {
-        return rest.is_empty();
-    }
-    while let Some(part) = parts.next() {
-        if parts.peek().is_none() {
-            return rest.ends_with(part);
-        }
-        let Some(at) = rest.find(part) else {
-            return false;
-        };
-        rest = &rest[at + part.len()..];
-    }
-    true
-}
-
-/// Who drops repeats of a referenced batch.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum DeduplicationScope {
-    Everywhere,
-    Zone,
-    Cell,
-}
-
-/// Whether a batch that may have run may run again.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Idempotency {
-    #[serde(rename = "repeatable")]
-    Idempotent,
-    #[serde(rename = "referenced")]
-    IdempotentByKey {
-        scope: DeduplicationScope,
-        #[serde(serialize_with = "seconds")]
-        window: Duration,
-    },
-    #[serde(rename = "once-only")]
-    NonIdempotent,
-}
-
-impl Idempotency {
-    /// Whether whatever this allows the other allows, too.
-    pub fn narrows(&self, other: &Idempotency) -> bool {
-        match (self, other) {
-            (Idempotency::NonIdempotent, _) | (_, Idempotency::Idempotent) => true,
-            (Idempotency::Idempotent, _) | (_, Idempotency::NonIdempotent) => false,
-            (
-                Idempotency::IdempotentByKey { scope, window },
-                Idempotency::IdempotentByKey {
-                    scope: wider,
-                    window: longer,
-                },
-            ) => {
-                let place = |s: &DeduplicationScope| match s {
-                    DeduplicationScope::Everywhere => 0,
-                    DeduplicationScope::Zone => 1,
-                    DeduplicationScope::Cell => 2,
-                };
-                place(scope) >= place(wider) && window <= longer
-            }
-        }
-    }
-}
-
-fn seconds<S: serde::Serializer>(time: &Duration, s: S) -> Result<S::Ok, S::Error> {
-    s.serialize_f64(time.as_secs_f64())
-}
-
-fn maybe_seconds<S: serde::Serializer>(time: &Option<Duration>, s: S) -> Result<S::Ok, S::Error> {
-    match time {
-        Some(time) => seconds(time, s),
-        None => s.serialize_none(),
-    }
-}
-
-/// Rules of a service group; what is not given stays as the settings have it.
-#[derive(Clone, Debug, Serialize)]
-pub struct ClassRules {
-    pub name: String,
-    #[serde(skip)]
-    pub span: Span,
-    #[serde(rename = "goal", serialize_with = "maybe_seconds")]
-    pub latency_objective: Option<Duration>,
-    #[serde(rename = "limit", serialize_with = "maybe_seconds")]
-    pub deadline: Option<Duration>,
-    /// Pools that its batches never leave.
-    pub pools: Vec<usize>,
-    #[serde(skip)]
-    pub pools_span: Option<Span>,
-    pub in_order: Option<bool>,
-    #[serde(rename = "effect")]
-    pub idempotency: Option<Idempotency>,
-    /// Further dispatches as a share of its batches.
-    #[serde(rename = "further")]
-    pub retries_per_query: Option<f64>,
-    /// Bytes.
-    #[serde(rename = "statement")]
-    pub max_statement_bytes: Option<u64>,
-}
-
-/// A rate each second, and how much of it may come at once.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Bucket {
-    pub rate: f64,
-    pub burst: f64,
-}
-
-/// Limits of a tenant.
-#[derive(Clone, Debug, Serialize)]
-pub struct Tenant {
-    pub name: String,
-    #[serde(skip)]
-    pub span: Span,
-    /// Part of the gateway's room, 0 to 1.
-    pub share: Option<f64>,
-    #[serde(rename = "in_hand")]
-    pub max_in_flight: Option<u64>,
-    pub rate: Option<Bucket>,
-    pub bytes: Option<Bucket>,
-}
-
-/// Where batches go, and which.
-#[derive(Clone, Debug, Serialize)]
-pub struct Route {
-    pub name: String,
-    #[serde(skip)]
-    pub span: Span,
-    #[serde(rename = "groups")]
-    pub classes: Vec<String>,
-    pub tenants: Vec<String>,
-    pub clients: Vec<usize>,
-    pub key: Option<bool>,
-    /// From, to (included).
-    pub data_sets: Vec<(u32, u32)>,
-    /// Minutes of the day: from, until (excluded); over midnight where the second is not above the first.
-    pub hours: Vec<(u32, u32)>,
-    /// Pools in order of preference; all engines where it is empty.
-    #[serde(rename = "to")]
-    pub pools: Vec<usize>,
-    #[serde(skip)]
-    pub pools_span: Option<Span>,
-    #[serde(rename = "as_group")]
-    pub as_class: Option<String>,
-    #[serde(skip)]
-    pub as_span: Option<Span>,
-    #[serde(rename = "refuse")]
-    pub reject_reason: Option<String>,
-}
-
-impl Route {
-    pub fn is_open_at(&self, minute: u32) -> bool {
-        let within = |(from, until): &(u32, u32)| match from < until {
-            true => (*from..*until).contains(&minute),
-            false => minute >= *from || minute < *until,
-        };
-        self.hours.is_empty() || self.hours.iter().any(within)
-    }
-
-    /// The first thing that it asks for and a batch has not; none where it takes the batch.
-    pub fn unmet(&self, facts: &QueryFacts, sets: &[AddressSet]) -> Option<&'static str> {
-        let named = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
-        let held = |set: &usize| sets.get(*set).is_some_and(|s| s.contains(facts.client));
-        let among = |(from, to): &(u32, u32)| (*from..=*to).contains(&facts.data_set);
-        if !named(&self.classes, facts.class) {
-            Some("group")
-        } else if !named(&self.tenants, facts.tenant) {
-            Some("tenant")
-        } else if !self.clients.is_empty() && !self.clients.iter().any(held) {
-            Some("client")
-        } else if self.key.is_some_and(|key| key != facts.has_key) {
-            Some("key")
-        } else if !self.data_sets.is_empty() && !self.data_sets.iter().any(among) {
-            Some("data-set")
-        } else if !self.is_open_at(facts.minute_of_day % MINUTES_PER_DAY) {
-            Some("hours")
-        } else {
-            None
-        }
-    }
-}
-
-/// For what a limit is kept apart.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
-#[serde(rename_all = "kebab-case")]
-pub enum Per {
-    #[serde(rename = "group")]
-    Class,
-    Tenant,
-    Client,
-}
-
-/// A limit on what is taken.
-#[derive(Clone, Debug, Serialize)]
-pub struct Limit {
-    pub name: String,
-    #[serde(skip)]
-    pub span: Span,
-    pub per: Vec<Per>,
-    #[serde(rename = "groups")]
-    pub classes: Vec<String>,
-    pub tenants: Vec<String>,
-    pub clients: Vec<usize>,
-    #[serde(rename = "in_hand")]
-    pub max_in_flight: Option<u64>,
-    pub rate: Option<Bucket>,
-    pub bytes: Option<Bucket>,
-}
-
-impl Limit {
-    pub fn applies_to(&self, facts: &QueryFacts, sets: &[AddressSet]) -> bool {
-        let named = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
-        let held = |set: &usize| sets.get(*set).is_some_and(|s| s.contains(facts.client));
-        named(&self.classes, facts.class)
-            && named(&self.tenants, facts.tenant)
-            && (self.clients.is_empty() || self.clients.iter().any(held))
-    }
-}
-
-/// Where bodies are kept; sizes in bytes.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Bodies {
-    pub memory: u64,
-    #[serde(rename = "batch_memory")]
-    pub query_memory: u64,
-    pub files: u64,
-    pub directory: Option<String>,
-    #[serde(rename = "batch")]
-    pub max_body: u64,
-    /// 0 to 1.
-    pub share: f64,
-    pub unknown_length: bool,
-    pub must_keep: Vec<String>,
-}
-
-/// Where once-only batches are written down.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Journal {
-    pub directory: String,
-}
-
 impl Plan {
-    /// The pools that hold an engine, by their index.
+    /// For each pool, by index, whether it has an engine.
     pub fn pools_of(&self, engine: &EngineFacts) -> Vec<bool> {
+        let in_set = |set: usize| {
+            let set = self.addresses.get(set);
+            set.is_some_and(|set| set.contains(engine.address))
+        };
         self.pools_matching(|pool| {
             pool.fits(
                 |zone| zone == engine.zone,
                 |kind| kind == engine.kind,
-                |id| fits_pattern(id, engine.id),
-                |set| {
-                    self.addresses
-                        .get(set)
-                        .is_some_and(|s| s.contains(engine.address))
-                },
+                |pattern| fits_pattern(pattern, engine.id),
+                in_set,
             )
         })
     }
 
-    /// The pools that hold what fits the pools' own words as told.
+    /// For each pool, by index, whether it has what `fits` the selection of single pools.
     pub fn pools_matching(&self, fits: impl Fn(&Pool) -> bool) -> Vec<bool> {
-        let mut holds = vec![false; self.pools.len()];
-        for n in &self.pool_order {
-            let pool = &self.pools[*n];
-            let among = |list: &[usize]| list.iter().any(|other| holds[*other]);
-            holds[*n] = (fits(pool) || among(&pool.union)) && !among(&pool.except);
+        let mut matching = vec![false; self.pools.len()];
+        for index in &self.pool_order {
+            let pool = &self.pools[*index];
+            let in_any = |pools: &[usize]| pools.iter().any(|other| matching[*other]);
+            matching[*index] = (fits(pool) || in_any(&pool.union)) && !in_any(&pool.except);
         }
-        holds
+        matching
+    }
+
+    /// The first route that matches a query.
+    pub fn route_of(&self, query: &QueryFacts) -> Option<&Route> {
+        let index = self.route_index_of(query)?;
+        self.routes.get(index)
     }
 
-    /// The route that takes a batch: the first that does.
-    pub fn route_of(&self, facts: &QueryFacts) -> Option<&Route> {
+    /// The index of the first route that matches a query.
+    pub(crate) fn route_index_of(&self, query: &QueryFacts) -> Option<usize> {
         self.routes
             .iter()
-            .find(|r| r.unmet(facts, &self.addresses).is_none())
+            .position(|route| route.unmet(query, &self.addresses).is_none())
     }
 
+    /// The rules of a query class.
     pub fn class(&self, name: &str) -> Option<&ClassRules> {
-        self.classes.iter().find(|g| g.name == name)
+        self.classes.iter().find(|class| class.name == name)
     }
 
+    /// The limits of a tenant.
     pub fn tenant(&self, name: &str) -> Option<&Tenant> {
-        self.tenants.iter().find(|t| t.name == name)
-    }
-
-    /// Whether the rules of a batch's group, and of the one that it is treated as, let it run on an engine.
-    pub fn allows(&self, groups: &[&str], holds: &[bool]) -> bool {
-        let rules = groups
-            .iter()
-            .filter_map(|g| self.class(g))
-            .filter(|g| !g.pools.is_empty());
-        rules.into_iter().all(|g| g.pools.iter().any(|p| holds[*p]))
-    }
-
-    /// For each preference of a batch, in order, whether it holds an engine. Where no route tells, all engines are one.
-    pub fn priority_levels(&self, facts: &QueryFacts, engine: &EngineFacts) -> Vec<bool> {
-        let holds = self.pools_of(engine);
-        let route = self.route_of(facts);
-        let mut groups = vec![facts.class];
-        groups.extend(route.and_then(|r| r.as_class.as_deref()));
-        let bound = self.allows(&groups, &holds);
-        match route.map(|r| r.pools.as_slice()) {
-            None | Some([]) => vec![bound],
-            Some(to) => to.iter().map(|p| bound && holds[*p]).collect(),
+        self.tenants.iter().find(|tenant| tenant.name == name)
+    }
+
+    /// Whether the rules of some classes let a query run on an engine that is in the pools of `matching`, by index.
+    pub fn allows(&self, classes: &[&str], matching: &[bool]) -> bool {
+        let rules = classes.iter().filter_map(|class| self.class(class));
+        let mut bound = rules.filter(|class| !class.pools.is_empty());
+        bound.all(|class| class.pools.iter().any(|pool| matching[*pool]))
+    }
+
+    /// For each pool of a query's route, in order of preference, whether the query may run on an engine by way of it.
+    /// Where no pool is named, all engines are one level.
+    pub fn priority_levels(&self, query: &QueryFacts, engine: &EngineFacts) -> Vec<bool> {
+        let matching = self.pools_of(engine);
+        let route = self.route_of(query);
+        let mut classes = vec![query.class];
+        classes.extend(route.and_then(|route| route.as_class.as_deref()));
+        let allowed = self.allows(&classes, &matching);
+        let pools = route.map_or(&[][..], |route| &route.pools);
+        if pools.is_empty() {
+            return vec![allowed];
         }
+        let level = |pool: &usize| allowed && matching[*pool];
+        pools.iter().map(level).collect()
     }
 }
--- /dev/null
+++ b/crates/plan/src/model/limits.rs
@@ -0,0 +1,82 @@
+//! Limits on what is admitted, of tenants and in general.
+
+use super::routes::{is_client, is_named};
+use super::{AddressSet, QueryFacts};
+use crate::files::Span;
+use serde::Serialize;
+
+/// The parameters of a token bucket.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+pub struct Bucket {
+    /// Tokens that come in a second.
+    pub rate: f64,
+    /// Tokens that it holds at most.
+    pub burst: f64,
+}
+
+/// Limits of a tenant; `None` is no limit.
+#[derive(Clone, Debug, Serialize)]
+pub struct Tenant {
+    /// The name of the tenant.
+    pub name: String,
+    /// The place of the name.
+    #[serde(skip)]
+    pub span: Span,
+    /// The fraction of the gateway's capacity that it may use, 0 to 1.
+    pub share: Option<f64>,
+    /// Queries in flight.
+    #[serde(rename = "in_hand")]
+    pub max_in_flight: Option<u64>,
+    /// Queries over time.
+    pub rate: Option<Bucket>,
+    /// Bytes of statements over time.
+    pub bytes: Option<Bucket>,
+}
+
+/// What a limit is counted by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
+#[serde(rename_all = "kebab-case")]
+pub enum Per {
+    /// Each query class by itself.
+    #[serde(rename = "group")]
+    Class,
+    /// Each tenant by itself.
+    Tenant,
+    /// Each client address by itself.
+    Client,
+}
+
+/// A limit on the queries that fit its conditions; an empty list of conditions fits any query.
+#[derive(Clone, Debug, Serialize)]
+pub struct Limit {
+    /// Its name.
+    pub name: String,
+    /// The place of the name.
+    #[serde(skip)]
+    pub span: Span,
+    /// What it is counted by; one count for all where it is empty.
+    pub per: Vec<Per>,
+    /// Counts queries of these classes.
+    #[serde(rename = "groups")]
+    pub classes: Vec<String>,
+    /// Counts queries of these tenants.
+    pub tenants: Vec<String>,
+    /// Counts queries from an address of these sets, by index.
+    pub clients: Vec<usize>,
+    /// Queries in flight.
+    #[serde(rename = "in_hand")]
+    pub max_in_flight: Option<u64>,
+    /// Queries over time.
+    pub rate: Option<Bucket>,
+    /// Bytes of statements over time.
+    pub bytes: Option<Bucket>,
+}
+
+impl Limit {
+    /// Whether the limit counts a query. `sets` are the plan's address sets.
+    pub fn applies_to(&self, query: &QueryFacts, sets: &[AddressSet]) -> bool {
+        is_named(&self.classes, query.class)
+            && is_named(&self.tenants, query.tenant)
+            && is_client(&self.clients, query, sets)
+    }
+}
--- /dev/null
+++ b/crates/plan/src/region/describe.rs
@@ -0,0 +1,105 @@
+//! Prints regions in the words of the plan language.
+
+use super::value_classes::Names;
+use super::{Region, ValueClasses, CLIENT, DATA_SET, HOUR, KEY, QUERY_CLASS, TENANT};
+use crate::quantity::MINUTES_PER_DAY;
+use fixedbitset::FixedBitSet;
+
+/// A list of up to so many names is printed in full.
+const MAX_FULL_LIST: usize = 6;
+/// Names that are printed of a longer list.
+const NAMES_OF_LONG_LIST: usize = 5;
+
+impl ValueClasses {
+    /// A region in words, by the dimensions in which it does not hold everything. `set_names` are the names of the
+    /// address sets of all plans.
+    pub fn in_words(&self, region: &Region, set_names: &[String]) -> String {
+        let counts = self.counts();
+        let describe = |dimension: usize| match dimension {
+            QUERY_CLASS => names("group", &self.query_classes, &region[QUERY_CLASS]),
+            TENANT => names("tenant", &self.tenants, &region[TENANT]),
+            CLIENT => self.clients_in_words(&region[CLIENT], set_names),
+            KEY if region[KEY].contains(1) => "with a key".to_string(),
+            KEY => "without a key".to_string(),
+            DATA_SET => self.data_sets_in_words(&region[DATA_SET]),
+            _ => self.hours_in_words(&region[HOUR]),
+        };
+        let is_partial = |dimension: &usize| region[*dimension].count_ones(..) < counts[*dimension];
+        let partial = (0..region.len()).filter(is_partial);
+        let words: Vec<String> = partial.map(describe).collect();
+        match words.is_empty() {
+            true => "every batch".to_string(),
+            false => words.join(", "),
+        }
+    }
+
+    /// Each class of clients by the first set that it is in.
+    fn clients_in_words(&self, classes: &FixedBitSet, set_names: &[String]) -> String {
+        let mut sets: Vec<&str> = Vec::new();
+        for class in classes.ones() {
+            let members = self.clients.members(class);
+            let first = members.ones().find_map(|set| set_names.get(set));
+            let name = first.map_or("elsewhere", String::as_str);
+            if !sets.contains(&name) {
+                sets.push(name);
+            }
+        }
+        format!("client {}", list(&sets))
+    }
+
+    fn data_sets_in_words(&self, classes: &FixedBitSet) -> String {
+        let range = |(first, last): (usize, usize)| {
+            let from = self.data_sets[first];
+            match self.data_sets.get(last + 1).map(|next| next - 1) {
+                Some(to) if from == to => from.to_string(),
+                Some(to) => format!("{from}..{to}"),
+                None => format!("{from} and above"),
+            }
+        };
+        let ranges: Vec<String> = runs(classes).map(range).collect();
+        format!("data-set {}", list(&ranges))
+    }
+
+    fn hours_in_words(&self, classes: &FixedBitSet) -> String {
+        let clock = |minute: u32| format!("{:02}:{:02}", minute / 60, minute % 60);
+        let range = |(first, last): (usize, usize)| {
+            let end = self.hours.get(last + 1).copied();
+            let until = end.unwrap_or(MINUTES_PER_DAY);
+            format!("{}..{}", clock(self.hours[first]), clock(until))
+        };
+        let ranges: Vec<String> = runs(classes).map(range).collect();
+        format!("hours {}", list(&ranges))
+    }
+}
+
+fn names(what: &str, names: &Names, classes: &FixedBitSet) -> String {
+    let name = |class| names.name(class).unwrap_or("others");
+    let all: Vec<&str> = classes.ones().map(name).collect();
+    format!("{what} {}", list(&all))
+}
+
+fn list<Name: AsRef<str>>(names: &[Name]) -> String {
+    let joined = |names: &[Name]| {
+        let names: Vec<&str> = names.iter().map(AsRef::as_ref).collect();
+        names.join(" or ")
+    };
+    if names.len() <= MAX_FULL_LIST {
+        return joined(names);
+    }
+    let others = names.len() - NAMES_OF_LONG_LIST;
+    format!(
+        "{} or {others} others",
+        joined(&names[..NAMES_OF_LONG_LIST])
+    )
+}
+
+/// The first and the last of each run of neighbouring classes.
+fn runs(classes: &FixedBitSet) -> impl Iterator<Item = (usize, usize)> + '_ {
+    let is_first = |class: &usize| *class == 0 || !classes.contains(*class - 1);
+    let last_of = |first: usize| {
+        let run = (first..classes.len()).take_while(|class| classes.contains(*class));
+        run.last().unwrap_or(first)
+    };
+    let firsts = classes.ones().filter(is_first);
+    firsts.map(move |first| (first, last_of(first)))
+}
--- /dev/null
+++ b/crates/plan/src/region/value_classes.rs
@@ -0,0 +1,211 @@
+//! Value classes: the values that some plans do not tell apart.
+
+use super::{all_of, Point, Region, CLIENT, DATA_SET, HOUR, KEY, QUERY_CLASS, TENANT};
+use crate::address::AddressClasses;
+use crate::model::{Plan, QueryFacts, Route};
+use crate::quantity::MINUTES_PER_DAY;
+use fixedbitset::FixedBitSet;
+use std::collections::HashMap;
+
+/// Whether a query has a key is a dimension of two classes.
+const KEY_CLASSES: usize = 2;
+
+/// Names by value class; all names that no plan has share the last class.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Names(HashMap<String, usize>);
+
+impl Names {
+    fn of<'a>(names: impl Iterator<Item = &'a String>) -> Self {
+        let mut known = HashMap::new();
+        for name in names {
+            let next = known.len();
+            known.entry(name.clone()).or_insert(next);
+        }
+        Names(known)
+    }
+
+    fn class(&self, name: &str) -> usize {
+        self.0.get(name).copied().unwrap_or(self.0.len())
+    }
+
+    fn count(&self) -> usize {
+        self.0.len() + 1
+    }
+
+    pub(super) fn name(&self, class: usize) -> Option<&str> {
+        let found = self.0.iter().find(|(_, other)| **other == class);
+        found.map(|(name, _)| name.as_str())
+    }
+}
+
+/// The value classes that some plans tell apart. They treat two queries alike that agree in every dimension.
+#[derive(Clone, Debug)]
+pub struct ValueClasses {
+    pub(super) query_classes: Names,
+    pub(super) tenants: Names,
+    /// Over the address sets of all plans, one plan after the other.
+    pub(super) clients: AddressClasses,
+    /// The lowest number of each class of data sets, ascending from 0.
+    pub(super) data_sets: Vec<u32>,
+    /// The first minute of the day of each class of hours, ascending from 0.
+    pub(super) hours: Vec<u32>,
+}
+
+impl ValueClasses {
+    /// The classes that these plans tell apart together; further names of query classes and tenants get their own.
+    pub fn of(plans: &[&Plan], query_classes: &[String], tenants: &[String]) -> Self {
+        let sets = plans.iter().flat_map(|plan| &plan.addresses);
+        let spans: Vec<_> = sets.map(|set| set.spans.clone()).collect();
+        let routes = || plans.iter().flat_map(|plan| &plan.routes);
+        let data_set_bounds = routes()
+            .flat_map(|route| &route.data_sets)
+            .flat_map(|(from, to)| [Some(*from), to.checked_add(1)])
+            .flatten();
+        let hour_bounds = routes()
+            .flat_map(|route| &route.hours)
+            .flat_map(|(from, until)| [*from, *until])
+            .filter(|minute| *minute < MINUTES_PER_DAY);
+        ValueClasses {
+            query_classes: Names::of(class_names(plans).chain(query_classes)),
+            tenants: Names::of(tenant_names(plans).chain(tenants)),
+            clients: AddressClasses::new(&spans),
+            data_sets: sorted_from_0(data_set_bounds),
+            hours: sorted_from_0(hour_bounds),
+        }
+    }
+
+    /// How many classes each dimension has.
+    pub fn counts(&self) -> Point {
+        [
+            self.query_classes.count(),
+            self.tenants.count(),
+            self.clients.count(),
+            KEY_CLASSES,
+            self.data_sets.len(),
+            self.hours.len(),
+        ]
+    }
+
+    /// The value class of a query class.
+    pub fn query_class(&self, name: &str) -> usize {
+        self.query_classes.class(name)
+    }
+
+    /// The value class of a tenant.
+    pub fn tenant(&self, name: &str) -> usize {
+        self.tenants.class(name)
+    }
+
+    /// The value classes of client addresses.
+    pub fn clients(&self) -> &AddressClasses {
+        &self.clients
+    }
+
+    /// The value class of a data set.
+    pub fn data_set(&self, data_set: u32) -> usize {
+        self.data_sets.partition_point(|from| *from <= data_set) - 1
+    }
+
+    /// The value class of a minute of the day.
+    pub fn hour(&self, minute: u32) -> usize {
+        self.hours.partition_point(|from| *from <= minute) - 1
+    }
+
+    /// The value classes of a query.
+    pub fn point(&self, query: &QueryFacts) -> Point {
+        [
+            self.query_class(query.class),
+            self.tenant(query.tenant),
+            self.clients.class(query.client),
+            usize::from(query.has_key),
+            self.data_set(query.data_set),
+            self.hour(query.minute_of_day),
+        ]
+    }
+
+    /// The region of a route; `first_set` is the index of its plan's first address set among those of all plans.
+    pub fn region(&self, route: &Route, first_set: usize) -> Region {
+        let counts = self.counts();
+        let mut region: Region = counts.map(all_of);
+        let mut restrict = |dimension: usize, classes: &mut dyn Iterator<Item = usize>| {
+            let mut allowed = FixedBitSet::with_capacity(counts[dimension]);
+            allowed.extend(classes);
+            region[dimension] = allowed;
+        };
+        if !route.classes.is_empty() {
+            let classes = route.classes.iter();
+            restrict(QUERY_CLASS, &mut classes.map(|name| self.query_class(name)));
+        }
+        if !route.tenants.is_empty() {
+            let tenants = route.tenants.iter();
+            restrict(TENANT, &mut tenants.map(|name| self.tenant(name)));
+        }
+        if !route.clients.is_empty() {
+            let classes = 0..counts[CLIENT];
+            restrict(
+                CLIENT,
+                &mut classes.filter(|class| self.is_client(route, first_set, *class)),
+            );
+        }
+        if let Some(key) = route.key {
+            restrict(KEY, &mut std::iter::once(usize::from(key)));
+        }
+        if !route.data_sets.is_empty() {
+            let classes = 0..counts[DATA_SET];
+            restrict(
+                DATA_SET,
+                &mut classes.filter(|class| self.is_data_set(route, *class)),
+            );
+        }
+        if !route.hours.is_empty() {
+            let classes = 0..counts[HOUR];
+            restrict(
+                HOUR,
+                &mut classes.filter(|class| route.is_open_at(self.hours[*class])),
+            );
+        }
+        region
+    }
+
+    fn is_client(&self, route: &Route, first_set: usize, class: usize) -> bool {
+        let sets = self.clients.members(class);
+        let clients = &route.clients;
+        clients.iter().any(|set| sets.contains(first_set + set))
+    }
+
+    fn is_data_set(&self, route: &Route, class: usize) -> bool {
+        let data_set = self.data_sets[class];
+        let mut ranges = route.data_sets.iter();
+        ranges.any(|(from, to)| (*from..=*to).contains(&data_set))
+    }
+}
+
+/// The query classes that plans name, routes first.
+fn class_names<'a>(plans: &'a [&Plan]) -> impl Iterator<Item = &'a String> {
+    let routes = plans.iter().flat_map(|plan| &plan.routes);
+    let limits = plans.iter().flat_map(|plan| &plan.limits);
+    let rules = plans.iter().flat_map(|plan| &plan.classes);
+    routes
+        .flat_map(|route| route.classes.iter().chain(&route.as_class))
+        .chain(limits.flat_map(|limit| &limit.classes))
+        .chain(rules.map(|class| &class.name))
+}
+
+/// The tenants that plans name, routes first.
+fn tenant_names<'a>(plans: &'a [&Plan]) -> impl Iterator<Item = &'a String> {
+    let routes = plans.iter().flat_map(|plan| &plan.routes);
+    let limits = plans.iter().flat_map(|plan| &plan.limits);
+    let tenants = plans.iter().flat_map(|plan| &plan.tenants);
+    routes
+        .flat_map(|route| &route.tenants)
+        .chain(limits.flat_map(|limit| &limit.tenants))
+        .chain(tenants.map(|tenant| &tenant.name))
+}
+
+/// Bounds in order, each once, with 0 as the first.
+fn sorted_from_0(bounds: impl Iterator<Item = u32>) -> Vec<u32> {
+    let mut sorted: Vec<u32> = std::iter::once(0).chain(bounds).collect();
+    sorted.sort_unstable();
+    sorted.dedup();
+    sorted
+}
