--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -29,8 +29,8 @@
     let limits = Limits {
         memory_bytes: bodies.memory,
         file_bytes: bodies.files,
-        max_body_memory_bytes: bodies.batch_memory,
-        max_body_bytes: bodies.batch,
+        max_body_memory_bytes: bodies.query_memory,
+        max_body_bytes: bodies.max_body,
         tenant_share: bodies.share,
         unknown_length_allowed: bodies.unknown_length,
         storage_required: class_names
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -183,7 +183,7 @@
         let mut key = LimitKey::default();
         for per in &self.per {
             match per {
-                Per::Group => key.class = Some(query.class as u32),
+                Per::Class => key.class = Some(query.class as u32),
                 Per::Tenant => key.tenant = Some(query.tenant as u32),
                 Per::Client => key.client = Some(query.client),
             }
