--- /dev/null
+++ b/crates/bodies/benches/bodies/peak_memory.rs
@@ -0,0 +1,111 @@
+//! The peak memory of a process that takes one body through. Each measurement runs this program as a child process.
+
+use crate::{runtime, store, CHUNK_BYTES, MIB, SIZES};
+use bytes::Bytes;
+use divan::black_box;
+use std::io::Write;
+use std::path::Path;
+use std::process::Command;
+
+/// Tells a child process what to measure, as `KIND:BYTES`.
+const MEASUREMENT_VARIABLE: &str = "GARNETWALL_PEAK";
+const KINDS: [&str; 4] = ["memory", "spool", "plain_vec", "plain_file"];
+
+/// Prints a table of all kinds and sizes.
+pub fn print_all() {
+    println!(
+        "peak memory MiB  {:>10} {:>10} {:>10} {:>10}",
+        "1 KB", "100 KB", "10 MB", "200 MB"
+    );
+    let Ok(program) = std::env::current_exe() else {
+        return;
+    };
+    for kind in KINDS {
+        print!("{kind:<16}");
+        for size in SIZES {
+            print!(" {:>10}", measure_in_child(&program, kind, size));
+        }
+        println!();
+    }
+}
+
+fn measure_in_child(program: &Path, kind: &str, size: u64) -> String {
+    let output = Command::new(program)
+        .env(MEASUREMENT_VARIABLE, format!("{kind}:{size}"))
+        .output();
+    output
+        .map(|output| String::from_utf8_lossy(&output.stdout).trim().to_string())
+        .unwrap_or_default()
+}
+
+/// Takes the measurement that this process was started for; false where it is not such a child.
+pub fn run_child() -> bool {
+    let Ok(measurement) = std::env::var(MEASUREMENT_VARIABLE) else {
+        return false;
+    };
+    let Some((kind, size)) = measurement.split_once(':') else {
+        return true;
+    };
+    let Ok(size) = size.parse::<u64>() else {
+        return true;
+    };
+    match kind {
+        "plain_vec" => through_vec(size),
+        "plain_file" => through_file(size),
+        "memory" => runtime().block_on(through_store(256 * MIB, size)),
+        _ => runtime().block_on(through_store(0, size)),
+    }
+    println!("{:.1}", peak_mebibytes());
+    true
+}
+
+/// A body in chunks that share one allocation, so that only what stores it counts.
+fn chunks(size: u64) -> impl Iterator<Item = Bytes> {
+    let chunk = Bytes::from(vec![7u8; CHUNK_BYTES]);
+    (0..size)
+        .step_by(CHUNK_BYTES)
+        .map(move |offset| chunk.slice(..CHUNK_BYTES.min((size - offset) as usize)))
+}
+
+fn through_vec(size: u64) {
+    let mut all = Vec::new();
+    chunks(size).for_each(|chunk| all.extend_from_slice(&chunk));
+    black_box(all.len());
+}
+
+fn through_file(size: u64) {
+    let path = std::env::temp_dir().join(format!("garnetwall-peak-{}", std::process::id()));
+    if let Ok(mut file) = std::fs::File::create(&path) {
+        for chunk in chunks(size) {
+            let _ = file.write_all(&chunk);
+        }
+    }
+    let _ = std::fs::remove_file(path);
+}
+
+async fn through_store(memory: u64, size: u64) {
+    let Ok(body) = store(memory).admit(0, 0, Some(size)) else {
+        return;
+    };
+    for chunk in chunks(size) {
+        // Each has its own allocation, as chunks from a socket have.
+        let _ = body.push(Bytes::copy_from_slice(&chunk)).await;
+    }
+    body.finish().await;
+    let Ok(mut reader) = body.reader(false) else {
+        return;
+    };
+    while let Ok(Some(bytes)) = reader.next().await {
+        black_box(bytes.len());
+    }
+}
+
+fn peak_mebibytes() -> f64 {
+    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    let kibibytes = status
+        .lines()
+        .find(|line| line.starts_with("VmHWM:"))
+        .and_then(|line| line.split_whitespace().nth(1))
+        .and_then(|number| number.parse::<f64>().ok());
+    kibibytes.unwrap_or(0.0) / 1024.0
+}
