--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -63,15 +63,15 @@
     ) {
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
-        for (is_full_list, entries, reached) in events {
+        for (is_complete, entries, reached) in events {
             let condition = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
             let of = |(n, c, started): &(u8, u8, u8)| entry(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
             let entries: Vec<EngineEntry> = entries.iter().map(of).collect();
-            if is_full_list {
+            if is_complete {
                 list.clear();
             }
             list.extend(entries.iter().map(|entry| (entry.id.clone(), entry.clone())));
-            module.update(selection.apply(now, entries, is_full_list));
+            module.update(selection.apply(now, entries, is_complete));
             for step in 0..5 {
                 for entry in module.ready() {
                     prop_assert_eq!(Some(entry), list.get(&entry.id), "at {} of {}", step, now);
@@ -142,7 +142,7 @@
         ..settings(8)
     };
     for (gateways, size, reason) in [
-        (500.0, 8, SizeReason::Told),
+        (500.0, 8, SizeReason::Configured),
         (60.0, 12, SizeReason::MinHolders),
     ] {
         let mut selection = Selection::new("g0", of(gateways), Vec::new()).unwrap();
@@ -181,7 +181,7 @@
     );
     let failing = module.ready().next().unwrap().id.clone();
     for n in 0..50 {
-        selection.attempted(1.0 + f64::from(n) * 0.01, &failing, true);
+        selection.attempt_ended(1.0 + f64::from(n) * 0.01, &failing, true);
     }
     let mut now = 2.0;
     while selection.status().members == 8 && now < 20.0 {
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p garnetwall-subset --example cost`
 
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineLine, RetryScope, Subset, SubsetError,
+    Action, Catalog, EngineFacts, ListedEngine, ListedState, RetryScope, Subset, SubsetError,
     SubsetSettings,
 };
 use std::time::Instant;
@@ -28,16 +28,16 @@
     }
 }
 
-fn line(number: u32, condition: Condition) -> EngineLine {
+fn line(number: u32, condition: ListedState) -> ListedEngine {
     let cores = [8.0, 16.0, 32.0][(number / ZONES % 3) as usize];
     let facts = EngineFacts {
         zone: number % ZONES,
         kind: number % 3,
         cell: number / ZONES % 15,
         cores,
-        condition,
+        state: condition,
     };
-    EngineLine {
+    ListedEngine {
         id: format!("engine-{number}"),
         facts,
     }
@@ -46,9 +46,9 @@
 /// Time on a processor since the process began, which other processes' load does not lengthen; the wall's where the
 /// system does not tell it.
 fn processor_nanoseconds(begun: Instant) -> f64 {
-    let told = std::fs::read_to_string("/proc/self/schedstat").ok();
-    let told = told.and_then(|line| line.split_whitespace().next()?.parse().ok());
-    told.unwrap_or(begun.elapsed().as_nanos() as f64)
+    let run_time = std::fs::read_to_string("/proc/self/schedstat").ok();
+    let run_time = run_time.and_then(|line| line.split_whitespace().next()?.parse().ok());
+    run_time.unwrap_or(begun.elapsed().as_nanos() as f64)
 }
 
 fn nanoseconds(times: u32, mut act: impl FnMut(u32)) -> f64 {
@@ -71,8 +71,8 @@
 }
 
 fn main() -> Result<(), SubsetError> {
-    let lines: Vec<EngineLine> = (0..ENGINES)
-        .map(|number| line(number, Condition::Ready))
+    let lines: Vec<ListedEngine> = (0..ENGINES)
+        .map(|number| line(number, ListedState::Ready))
         .collect();
     let first = nanoseconds(WHOLE_LISTS, |_| {
         drop(Catalog::default().apply(&lines, true))
@@ -112,9 +112,9 @@
     let mut actions = 0;
     let changed = nanoseconds(CHANGED_LINES, |number| {
         let condition = if number % 2 == 0 {
-            Condition::Draining
+            ListedState::Draining
         } else {
-            Condition::Ready
+            ListedState::Ready
         };
         let changes = catalog.apply(&[line(number / 2 * 7 % ENGINES, condition)], false);
         now += 0.1;
@@ -152,7 +152,7 @@
             subsets.len(),
             grown as f64 / GATEWAYS as f64
         ),
-        None => println!("resident memory is not told here"),
+        None => println!("resident memory is not known here"),
     }
     Ok(())
 }
