--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -55,7 +55,7 @@
 
     fn load_report(&self, values: &[f64]) -> Option<LoadReport> {
         let names = self.report_fields.iter().map(String::as_str);
-        garnetwall_settings::report(names.zip(values.iter().copied()))
+        garnetwall_settings::decode_load_report(names.zip(values.iter().copied()))
     }
 }
 
--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use crate::fields::Address;
 use garnetwall::api::{Endpoint, EngineId, FinalAnswer, QueryId};
 use garnetwall::controller::AdmissionController;
-use garnetwall_settings::{decode, Decoded, Fault, Flat};
+use garnetwall_settings::{decode, DecodedSettings, FlatSettings, SettingsError};
 use std::collections::BTreeMap;
 
 /// A query until it is finished and every attempt has its outcome.
@@ -43,10 +43,12 @@
     /// # Errors
     ///
     /// The settings cannot be decoded.
-    pub fn new(seed: u64, settings: &str, clock: f64) -> Result<Self, Fault> {
-        let flat = Flat::from_text(settings)?;
-        let Decoded {
-            settings, fields, ..
+    pub fn new(seed: u64, settings: &str, clock: f64) -> Result<Self, SettingsError> {
+        let flat = FlatSettings::from_text(settings)?;
+        let DecodedSettings {
+            settings,
+            report_fields: fields,
+            ..
         } = decode(&flat)?;
         Ok(Instance {
             class_count: settings.classes.len(),
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -17,7 +17,7 @@
 use crate::scheduling::plan_routing;
 use error::{unusable, wrong_type, Checked};
 use garnetwall_plan::{Faulty, Plan};
-use garnetwall_settings::{decode, Decoded, Flat};
+use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
 use garnetwall_subset::SubsetSettings;
 use initial_list::InitialList;
 use serde_json::Value;
@@ -65,7 +65,7 @@
     /// The events known at the start, in ascending order.
     pub initial_events: Vec<Event>,
     /// The settings of the platform.
-    pub decoded: Decoded,
+    pub decoded: DecodedSettings,
     /// The engine subset that the gateway works with; the whole list where it is none.
     pub subset: Option<SubsetSettings>,
     /// The plan, checked against the settings.
@@ -199,7 +199,7 @@
     })
 }
 
-fn settings(source: &Value) -> Checked<Decoded> {
+fn settings(source: &Value) -> Checked<DecodedSettings> {
     let settings = source.get("settings").ok_or_else(|| {
         wrong_type(
             "settings",
@@ -208,8 +208,8 @@
             "write {...} with the settings of the platform",
         )
     })?;
-    let decoded = decode(&Flat::from_json(settings)?)?;
-    decoded.check()?;
+    let decoded = decode(&FlatSettings::from_json(settings)?)?;
+    decoded.validate()?;
     Ok(decoded)
 }
 
--- a/crates/gateway/src/configuration/error.rs
+++ b/crates/gateway/src/configuration/error.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a configuration: the place, the cause and the remedy.
 
 use super::files::FILE_VARIABLE;
-use garnetwall_settings::{Cause, Fault};
+use garnetwall_settings::{SettingsError, SettingsErrorCause};
 use garnetwall_subset::SubsetError;
 use serde_json::Value;
 use thiserror::Error;
@@ -32,7 +32,7 @@
     },
     /// A key of the configuration has an unusable value, or is missing.
     #[error("configuration {0}")]
-    Key(#[from] Fault),
+    Key(#[from] SettingsError),
     /// The keys of the subset do not fit one another.
     #[error("configuration {0}")]
     Subset(#[from] SubsetError),
@@ -42,7 +42,7 @@
         /// The file as it was named.
         file: String,
         /// What is wrong with the key.
-        fault: Fault,
+        fault: SettingsError,
     },
     /// The plan does not compile.
     #[error("plan {file} is faulty\n{what}")]
@@ -88,13 +88,13 @@
     remedy: &str,
 ) -> ConfigError {
     match found {
-        Some(found) => Fault::wrong_type(place, expected, found, remedy),
-        None => Fault::new(place, Cause::Missing, remedy),
+        Some(found) => SettingsError::wrong_type(place, expected, found, remedy),
+        None => SettingsError::new(place, SettingsErrorCause::Missing, remedy),
     }
     .into()
 }
 
 /// The error of a key whose value has the right type but cannot be used.
 pub(super) fn unusable(place: &str, cause: String, remedy: impl Into<String>) -> ConfigError {
-    Fault::new(place, Cause::Unusable(cause), remedy).into()
+    SettingsError::new(place, SettingsErrorCause::Unusable(cause), remedy).into()
 }
--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -1,7 +1,7 @@
 //! Keys of the configuration's JSON, read as texts, addresses and numbers.
 
 use super::error::{unusable, wrong_type, Checked, ConfigError};
-use garnetwall_settings::{shown, Cause, Fault};
+use garnetwall_settings::{abbreviate, SettingsError, SettingsErrorCause};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -15,7 +15,7 @@
 pub(super) fn text<'a>(json: &'a Value, key: &str) -> Checked<&'a str> {
     match json.get(key) {
         Some(Value::String(text)) if text.is_empty() => {
-            Err(Fault::new(key, Cause::Empty, "write a text there").into())
+            Err(SettingsError::new(key, SettingsErrorCause::Empty, "write a text there").into())
         }
         Some(Value::String(text)) => Ok(text),
         other => Err(wrong_type(key, "a text", other, "write it in quotes")),
@@ -69,9 +69,9 @@
     expected: String,
     remedy: String,
 ) -> ConfigError {
-    let cause = Cause::OutOfRange {
-        found: shown(found),
+    let cause = SettingsErrorCause::OutOfRange {
+        found: abbreviate(found),
         off: expected,
     };
-    Fault::new(place, cause, remedy).into()
+    SettingsError::new(place, cause, remedy).into()
 }
--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -2,7 +2,7 @@
 
 use super::error::{Checked, ConfigError};
 use garnetwall_plan::source::{beside, LoadError, Loader};
-use garnetwall_settings::{decode, Decoded, Flat};
+use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
 use serde_json::Value;
 use std::path::Path;
 
@@ -49,10 +49,10 @@
 }
 
 /// Reads the settings out of a gateway's configuration file, or out of a file that holds nothing else.
-pub(super) fn read_settings(file: &str) -> Checked<Decoded> {
+pub(super) fn read_settings(file: &str) -> Checked<DecodedSettings> {
     let json = read_json(file)?;
     let settings = json.get("settings").unwrap_or(&json);
-    let decoded = Flat::from_json(settings).and_then(|flat| decode(&flat));
+    let decoded = FlatSettings::from_json(settings).and_then(|flat| decode(&flat));
     decoded.map_err(|fault| ConfigError::Settings {
         file: file.into(),
         fault,
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -5,7 +5,7 @@
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass};
 use garnetwall_plan::model::Pool;
 use garnetwall_plan::Plan;
-use garnetwall_settings::{Cause, Decoded, Fault, Names};
+use garnetwall_settings::{DecodedSettings, Names, SettingsError, SettingsErrorCause};
 use garnetwall_subset::{PlacementClass, RetryScope, Subset, SubsetSettings, MAX_NEAR_WEIGHT};
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
 pub(super) fn read(
     json: Option<&Value>,
     gateway: &str,
-    decoded: &Decoded,
+    decoded: &DecodedSettings,
 ) -> Checked<Option<SubsetSettings>> {
     let block = match json {
         None | Some(Value::Null) => return Ok(None),
@@ -124,7 +124,9 @@
     let name = name.replace([' ', ','], "_");
     match names.zones.iter().position(|zone| *zone == name) {
         Some(zone) => Ok(Some(zone as u32)),
-        None => Err(Fault::new("subset.zone", Cause::Unknown(name), REMEDY).into()),
+        None => {
+            Err(SettingsError::new("subset.zone", SettingsErrorCause::Unknown(name), REMEDY).into())
+        }
     }
 }
 
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -24,7 +24,7 @@
 use attempt::EngineAttempt;
 use garnetwall::api::{AttemptEnd, EngineId};
 use garnetwall_ledger::{Bounds, Ledger};
-use garnetwall_settings::Network;
+use garnetwall_settings::NetworkTimeouts;
 use protocol::{CANCEL_RETRY_PAUSE, LONG_POLL_LIMIT, MAX_UNPOLLED_RUN, POLL_EXPIRY};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -55,7 +55,7 @@
     /// attempt (0 where engines send none), `longest_time_limit` the longest time limit of any query class; both in
     /// seconds.
     pub fn new(
-        network: Network,
+        network: NetworkTimeouts,
         progress_interval: f64,
         budget: &ResourceBudget,
         longest_time_limit: f64,
@@ -69,7 +69,7 @@
         };
         Engines {
             connection_permits: budget.engine_connections.clone(),
-            connect_timeout: span(network.dial),
+            connect_timeout: span(network.connect_timeout),
             list,
             ledger: Mutex::new(Ledger::new(ledger_bounds)),
             ledger_bounds,
--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -75,7 +75,7 @@
         let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
         let values =
             pairs.filter_map(|(name, value)| Some((name.trim(), value.trim().parse().ok()?)));
-        garnetwall_settings::report(values)
+        garnetwall_settings::decode_load_report(values)
     }
 
     /// The result of an attempt that succeeded, with its first page.
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -39,9 +39,9 @@
             None,
         ));
         let engines = Engines::new(
-            Network {
-                dial: 2.0,
-                idle: 15.0,
+            NetworkTimeouts {
+                connect_timeout: 2.0,
+                idle_timeout: 15.0,
             },
             0.0,
             &budget,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -200,7 +200,7 @@
         let Some(bodies) = plan.and_then(|plan| plan.bodies.as_ref()) else {
             return Ok(None);
         };
-        let names = &self.config.decoded.names.groups;
+        let names = &self.config.decoded.names.classes;
         body_store::body_store(bodies, names, &self.config.name).map(Some)
     }
 
@@ -215,7 +215,7 @@
             statement_bytes: self.budget.statement_bytes.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
-                self.config.decoded.network.dial,
+                self.config.decoded.network.connect_timeout,
                 self.longest_deadline_seconds,
             )),
         }
@@ -274,7 +274,7 @@
 
     fn stopped(&self, store: Option<&Store>) {
         if let Some(store) = store {
-            body_store::log_body_store(store, &self.config.decoded.names.groups);
+            body_store::log_body_store(store, &self.config.decoded.names.classes);
         }
         self.enter(Phase::Stopped);
     }
@@ -293,7 +293,7 @@
 fn query_classes(config: &Config) -> Vec<QueryClass> {
     let classes = &config.decoded.settings.classes;
     match &config.plan {
-        Some(plan) => plan_routing::narrowed_classes(classes, &config.decoded.names.groups, plan),
+        Some(plan) => plan_routing::narrowed_classes(classes, &config.decoded.names.classes, plan),
         None => classes.clone(),
     }
 }
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -61,7 +61,7 @@
         let names = NameIndex::new(&self.config.decoded.names);
         let apply = Box::new(move |event| discovery.apply(event));
         let watch = Watch::new(change_log, self.config.last_initial_event, names, apply);
-        let connect_timeout = span(self.config.decoded.network.dial);
+        let connect_timeout = span(self.config.decoded.network.connect_timeout);
         tokio::spawn(watch.follow(Reconnect::new(connect_timeout, self.config.seed)));
     }
 }
--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -30,7 +30,7 @@
 }
 
 fn update_plan(started: &Config, scheduler: &Scheduler, plan: &Arc<Plan>) {
-    let names = &started.decoded.names.groups;
+    let names = &started.decoded.names.classes;
     let classes = plan_routing::narrowed_classes(&started.decoded.settings.classes, names, plan);
     if !scheduler.update_plan(plan.clone(), &classes) {
         log_restart_needed("plan");
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -34,7 +34,7 @@
 use axum::routing::{get, post};
 use axum::Router;
 use garnetwall_bodies::Store;
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use rejection::Rejection;
 use responses::error_response;
 use std::net::IpAddr;
@@ -56,7 +56,7 @@
     /// Runs the attempts of queries.
     pub engines: Arc<Engines>,
     /// The settings of query classes, and the names of classes and tenants.
-    pub decoded: Decoded,
+    pub decoded: DecodedSettings,
     /// Whether the gateway is serving, for the health check.
     pub phase: watch::Receiver<Phase>,
     /// Records non-idempotent queries before they are sent.
--- a/crates/gateway/src/http/rejection.rs
+++ b/crates/gateway/src/http/rejection.rs
@@ -6,7 +6,7 @@
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use garnetwall_bodies::AdmissionError;
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use thiserror::Error;
 
 /// Why a query is not admitted; the text is what the client is answered.
@@ -64,7 +64,7 @@
 
 impl Rejection {
     /// What the client is told of a rejection by the plan: the settings say whether it is told when to retry, and the most.
-    pub fn by_plan(rejection: PlanRejection, decoded: &Decoded) -> Self {
+    pub fn by_plan(rejection: PlanRejection, decoded: &DecodedSettings) -> Self {
         match rejection {
             PlanRejection::StatementTooLong { max_bytes } => {
                 Rejection::StatementOverPlan { max_bytes }
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -4,7 +4,7 @@
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::scheduler::ArrivingQuery;
 use axum::http::header::{HeaderMap, HeaderValue};
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use std::net::IpAddr;
 use std::sync::Arc;
 use thiserror::Error;
@@ -99,7 +99,7 @@
     ///
     /// The first part of the request that is wrong.
     pub fn parse(
-        decoded: &Decoded,
+        decoded: &DecodedSettings,
         submission: &Submission,
         statement: Option<&[u8]>,
     ) -> Result<Self, RequestError> {
@@ -109,7 +109,7 @@
             ..
         } = submission;
         let unknown_class = || RequestError::UnknownClass(class_name.clone());
-        let class = position(&decoded.names.groups, class_name).ok_or_else(unknown_class)?;
+        let class = position(&decoded.names.classes, class_name).ok_or_else(unknown_class)?;
         let class_settings = &decoded.settings.classes[class];
         let id = header(headers, QUERY_ID_HEADER)?;
         let query_key = parse_key(QUERY_ID_HEADER, id)?;
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -10,7 +10,7 @@
     LimitExceeded, LimitKind, LimitPermit, Limits, Names, PoolMembers, RouteDecision, RoutedQuery,
     Routing,
 };
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -158,9 +158,9 @@
 
 impl PlanRouter {
     /// A router for a gateway that can hold `capacity` queries at once.
-    pub fn new(decoded: &Decoded, plan: Arc<Plan>, capacity: f64) -> Self {
+    pub fn new(decoded: &DecodedSettings, plan: Arc<Plan>, capacity: f64) -> Self {
         let names = Names {
-            classes: decoded.names.groups.clone(),
+            classes: decoded.names.classes.clone(),
             tenants: decoded.names.tenants.clone(),
         };
         let routing = Routing::new(plan, names.clone());
--- a/crates/gateway/src/scheduling/plan_routing/class_settings.rs
+++ b/crates/gateway/src/scheduling/plan_routing/class_settings.rs
@@ -4,13 +4,13 @@
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass, RetryBudget};
 use garnetwall_plan::model::{self, Group, Plan, FURTHER_FLOOR, FURTHER_WINDOW};
 use garnetwall_plan::{Settings, SettingsGroup};
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 
 /// The platform's settings in the form that a plan is checked against.
-pub fn settings(decoded: &Decoded) -> Settings {
+pub fn settings(decoded: &DecodedSettings) -> Settings {
     let names = &decoded.names;
     let classes = names
-        .groups
+        .classes
         .iter()
         .zip(&decoded.settings.classes)
         .map(|(name, class)| SettingsGroup {
--- a/crates/scale/src/beside/prediction.rs
+++ b/crates/scale/src/beside/prediction.rs
@@ -7,7 +7,7 @@
 use super::hollow::{self, Load};
 use super::report::Figure;
 use super::roster::Roster;
-use garnetwall_settings::{decode, Flat};
+use garnetwall_settings::{decode, FlatSettings};
 use garnetwall_subset::{
     Action, Catalog, EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, Subset,
     SubsetError, SubsetSettings,
@@ -34,7 +34,7 @@
         let gateways = experiment.gateways_told.unwrap_or(experiment.gateways) as f64;
         (gateways * members / experiment.engines as f64).max(1.0)
     });
-    let settings = decode(&Flat::from_json(&gateways::settings(experiment))?)?.settings;
+    let settings = decode(&FlatSettings::from_json(&gateways::settings(experiment))?)?.settings;
     let keyed = experiment.keys as f64 * super::clients::QUERIES_PER_SECOND_OF_A_KEY;
     let load = Load {
         queries_per_second: (experiment.queries_per_second + keyed) / experiment.gateways as f64,
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/error.rs
@@ -9,16 +9,16 @@
 /// A key that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{place}: {cause}; {remedy}")]
-pub struct Fault {
+pub struct SettingsError {
     /// The path of the key, as `settings.categories.0.give-up`.
     pub place: String,
-    pub cause: Cause,
+    pub cause: SettingsErrorCause,
     /// What to do.
     pub remedy: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Cause {
+pub enum SettingsErrorCause {
     #[error("missing")]
     Missing,
     #[error("empty")]
@@ -33,15 +33,19 @@
     #[error("'{0}' is unknown")]
     Unknown(String),
     #[error("'{0}' is there twice")]
-    Twice(String),
+    Duplicate(String),
     /// What the reader of the value says itself.
     #[error("{0}")]
     Unusable(String),
 }
 
-impl Fault {
-    pub fn new(place: impl Into<String>, cause: Cause, remedy: impl Into<String>) -> Self {
-        Fault {
+impl SettingsError {
+    pub fn new(
+        place: impl Into<String>,
+        cause: SettingsErrorCause,
+        remedy: impl Into<String>,
+    ) -> Self {
+        SettingsError {
             place: place.into(),
             cause,
             remedy: remedy.into(),
@@ -49,11 +53,11 @@
     }
 
     pub fn wrong_type(place: &str, expected: &'static str, found: &Value, remedy: &str) -> Self {
-        Fault::new(
+        SettingsError::new(
             place,
-            Cause::WrongType {
+            SettingsErrorCause::WrongType {
                 expected,
-                found: shown(found),
+                found: abbreviate(found),
             },
             remedy,
         )
@@ -61,7 +65,7 @@
 }
 
 /// A value as messages repeat it.
-pub fn shown(value: &Value) -> String {
+pub fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
     match text.char_indices().nth(SHOWN) {
         Some((end, _)) => format!("{}...", &text[..end]),
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -1,17 +1,17 @@
 //! Settings as a map from path to word, whichever form they came in.
 
-use crate::fault::{Cause, Fault};
+use crate::error::{SettingsError, SettingsErrorCause};
 use crate::shape::SETTINGS;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// Settings by their paths: `categories.0.name`, with the length of a list of objects under `.count`.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Flat(BTreeMap<String, String>);
+pub struct FlatSettings(BTreeMap<String, String>);
 
-impl Flat {
+impl FlatSettings {
     /// From `path=value` lines.
-    pub fn from_text(text: &str) -> Result<Self, Fault> {
+    pub fn from_text(text: &str) -> Result<Self, SettingsError> {
         let mut map = BTreeMap::new();
         for (n, line) in text
             .lines()
@@ -28,13 +28,13 @@
             let (path, value) = line.split_once('=').ok_or_else(none)?;
             map.insert(path.trim().to_string(), value.trim().to_string());
         }
-        Ok(Flat(map))
+        Ok(FlatSettings(map))
     }
 
     /// From nested JSON under the same names, where what is read is of the right type and in range.
-    pub fn from_json(settings: &Value) -> Result<Self, Fault> {
+    pub fn from_json(settings: &Value) -> Result<Self, SettingsError> {
         SETTINGS.check("settings", settings)?;
-        let mut flat = Flat::default();
+        let mut flat = FlatSettings::default();
         flat.put("", settings);
         Ok(flat)
     }
@@ -84,7 +84,7 @@
             .filter(|v| !v.is_empty())
     }
 
-    pub(crate) fn number(&self, path: &str) -> Result<Option<f64>, Fault> {
+    pub(crate) fn number(&self, path: &str) -> Result<Option<f64>, SettingsError> {
         let Some(word) = self.word(path) else {
             return Ok(None);
         };
@@ -98,19 +98,19 @@
         }
     }
 
-    pub(crate) fn number_or(&self, path: &str, absent: f64) -> Result<f64, Fault> {
+    pub(crate) fn number_or(&self, path: &str, absent: f64) -> Result<f64, SettingsError> {
         Ok(self.number(path)?.unwrap_or(absent))
     }
 
-    pub(crate) fn seconds(&self, path: &str) -> Result<Option<f64>, Fault> {
+    pub(crate) fn seconds(&self, path: &str) -> Result<Option<f64>, SettingsError> {
         Ok(self.number(path)?.map(|ms| ms / 1000.0))
     }
 
-    pub(crate) fn seconds_or(&self, path: &str, absent: f64) -> Result<f64, Fault> {
+    pub(crate) fn seconds_or(&self, path: &str, absent: f64) -> Result<f64, SettingsError> {
         Ok(self.seconds(path)?.unwrap_or(absent))
     }
 
-    pub(crate) fn flag(&self, path: &str) -> Result<bool, Fault> {
+    pub(crate) fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.word(path) {
             None | Some("false") | Some("0") => Ok(false),
             Some("true") | Some("1") => Ok(true),
@@ -134,7 +134,11 @@
     }
 
     /// Indices, or names of a list that they index.
-    pub(crate) fn indices(&self, path: &str, names: &[String]) -> Result<Option<Vec<u32>>, Fault> {
+    pub(crate) fn indices(
+        &self,
+        path: &str,
+        names: &[String],
+    ) -> Result<Option<Vec<u32>>, SettingsError> {
         if !self.has(path) {
             return Ok(None);
         }
@@ -153,7 +157,7 @@
     }
 
     /// How many items a list of objects says it has; more than it can hold in this text is malformed.
-    pub(crate) fn count(&self, path: &str) -> Result<usize, Fault> {
+    pub(crate) fn count(&self, path: &str) -> Result<usize, SettingsError> {
         let said = self.number_or(&format!("{path}.count"), 0.0)?;
         if said < 0.0 || said.fract() != 0.0 || said > self.len() as f64 {
             let what = format!("{said} is not a possible count");
@@ -167,7 +171,7 @@
     }
 
     /// The names of a list of objects.
-    pub(crate) fn names(&self, path: &str) -> Result<Vec<String>, Fault> {
+    pub(crate) fn names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
         let name = |i| {
             self.word(&format!("{path}.{i}.name"))
                 .unwrap_or_default()
@@ -182,14 +186,14 @@
     format!("settings.{path}")
 }
 
-fn unusable(place: &str, what: String, remedy: &str) -> Fault {
-    Fault::new(place, Cause::Unusable(what), remedy)
+fn unusable(place: &str, what: String, remedy: &str) -> SettingsError {
+    SettingsError::new(place, SettingsErrorCause::Unusable(what), remedy)
 }
 
-fn wrong_index(path: &str, word: &str) -> Fault {
-    Fault::new(
+fn wrong_index(path: &str, word: &str) -> SettingsError {
+    SettingsError::new(
         at(path),
-        Cause::Unknown(word.into()),
+        SettingsErrorCause::Unknown(word.into()),
         "write a name of the settings' list, or its place from 0",
     )
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,13 +2,13 @@
 //! decoded into the module's plain values; and the fields of an engine's report into a `Report`.
 //! Every error names the key that is at fault, the cause, and what to do.
 
-mod fault;
+mod error;
 mod flat;
 mod shape;
 
-pub use fault::{shown, Cause, Fault};
+pub use error::{abbreviate, SettingsError, SettingsErrorCause};
 use flat::at as place;
-pub use flat::Flat;
+pub use flat::FlatSettings;
 use garnetwall::api::{
     DeduplicationScope, Idempotency, LoadReport, LoadReporting, QueryClass, RetryBudget, Settings,
     SlowStart,
@@ -16,18 +16,18 @@
 
 /// What one set of settings says.
 #[derive(Clone, Debug)]
-pub struct Decoded {
+pub struct DecodedSettings {
     pub settings: Settings,
     pub names: Names,
-    pub network: Network,
+    pub network: NetworkTimeouts,
     /// Names of the report's values, in wire order.
-    pub fields: Vec<String>,
+    pub report_fields: Vec<String>,
 }
 
 /// Names that index the module's lists.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    pub groups: Vec<String>,
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -35,11 +35,11 @@
 
 /// What only the network code needs, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Network {
+pub struct NetworkTimeouts {
     /// A connection that is not up by then counts as never made.
-    pub dial: f64,
+    pub connect_timeout: f64,
     /// Engines close idle connections after this.
-    pub idle: f64,
+    pub idle_timeout: f64,
 }
 
 /// Where the settings name no such time.
@@ -47,7 +47,9 @@
 const USUAL_IDLE: f64 = 15.0;
 
 /// What an engine said of itself, by the names of its report; `None` where it named nothing.
-pub fn report<'a>(values: impl IntoIterator<Item = (&'a str, f64)>) -> Option<LoadReport> {
+pub fn decode_load_report<'a>(
+    values: impl IntoIterator<Item = (&'a str, f64)>,
+) -> Option<LoadReport> {
     let mut report = None;
     for (name, value) in values {
         let report = report.get_or_insert_with(LoadReport::default);
@@ -64,7 +66,7 @@
     report
 }
 
-pub fn decode(t: &Flat) -> Result<Decoded, Fault> {
+pub fn decode(t: &FlatSettings) -> Result<DecodedSettings, SettingsError> {
     let words = |path: &str| {
         t.list(path)
             .into_iter()
@@ -72,7 +74,7 @@
             .collect::<Vec<_>>()
     };
     let names = Names {
-        groups: t.names("categories")?,
+        classes: t.names("categories")?,
         tenants: t.names("tenants")?,
         zones: words("zones"),
         kinds: words("kinds"),
@@ -125,19 +127,19 @@
         progress_interval: t.seconds_or("domain.progress", 0.0)?,
         key_pause: t.seconds_or("rules.order-pause", 0.0)?,
     };
-    let network = Network {
-        dial: t.seconds_or("allowed.dial-timeout", USUAL_DIAL)?,
-        idle: t.seconds_or("allowed.idle-close", USUAL_IDLE)?,
+    let network = NetworkTimeouts {
+        connect_timeout: t.seconds_or("allowed.dial-timeout", USUAL_DIAL)?,
+        idle_timeout: t.seconds_or("allowed.idle-close", USUAL_IDLE)?,
     };
-    Ok(Decoded {
+    Ok(DecodedSettings {
         settings,
         names,
         network,
-        fields: words("telemetry.fields"),
+        report_fields: words("telemetry.fields"),
     })
 }
 
-fn group(t: &Flat, i: usize, names: &Names) -> Result<QueryClass, Fault> {
+fn group(t: &FlatSettings, i: usize, names: &Names) -> Result<QueryClass, SettingsError> {
     let at = |key: &str| format!("categories.{i}.{key}");
     let scope = match t.word(&at("key-scope")) {
         Some("all") => DeduplicationScope::Everywhere,
@@ -152,8 +154,10 @@
         },
         Some("fragile") => Idempotency::NonIdempotent,
         other => {
-            let cause = other.map_or(Cause::Missing, |word| Cause::Unknown(word.into()));
-            return Err(Fault::new(
+            let cause = other.map_or(SettingsErrorCause::Missing, |word| {
+                SettingsErrorCause::Unknown(word.into())
+            });
+            return Err(SettingsError::new(
                 place(&at("semantics")),
                 cause,
                 "write retryable, dedup or fragile",
@@ -186,25 +190,29 @@
     v.is_finite() && v >= 1.0
 }
 
-impl Decoded {
+impl DecodedSettings {
     /// Whether a gateway can serve under these settings: it has named groups with a time limit, no name stands for two
     /// things, and the zones and kinds that a group may go to are there.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let (groups, names) = (&self.settings.classes, &self.names);
         if groups.is_empty() {
-            return Err(Fault::new(
+            return Err(SettingsError::new(
                 "settings.categories",
-                Cause::Empty,
+                SettingsErrorCause::Empty,
                 "name at least one service group",
             ));
         }
-        unlike("settings.categories", &names.groups)?;
+        unlike("settings.categories", &names.classes)?;
         unlike("settings.tenants", &names.tenants)?;
         for (i, group) in groups.iter().enumerate() {
             let at = |key: &str| format!("settings.categories.{i}.{key}");
             if group.deadline <= 0.0 {
                 let remedy = "write how long its clients wait, in milliseconds";
-                return Err(Fault::new(at("give-up"), Cause::Missing, remedy));
+                return Err(SettingsError::new(
+                    at("give-up"),
+                    SettingsErrorCause::Missing,
+                    remedy,
+                ));
             }
             listed(
                 &at("zones-only"),
@@ -224,14 +232,23 @@
 }
 
 /// Whether every item of a list has a name of its own.
-fn unlike(list: &str, names: &[String]) -> Result<(), Fault> {
+fn unlike(list: &str, names: &[String]) -> Result<(), SettingsError> {
     for (i, name) in names.iter().enumerate() {
-        let fault = |cause, remedy| Err(Fault::new(format!("{list}.{i}.name"), cause, remedy));
+        let fault = |cause, remedy| {
+            Err(SettingsError::new(
+                format!("{list}.{i}.name"),
+                cause,
+                remedy,
+            ))
+        };
         if name.is_empty() {
-            return fault(Cause::Missing, "name it, as calls do");
+            return fault(SettingsErrorCause::Missing, "name it, as calls do");
         }
         if names[..i].contains(name) {
-            return fault(Cause::Twice(name.clone()), "give each a name of its own");
+            return fault(
+                SettingsErrorCause::Duplicate(name.clone()),
+                "give each a name of its own",
+            );
         }
     }
     Ok(())
@@ -243,13 +260,17 @@
     indices: &Option<Vec<u32>>,
     list: &str,
     names: &[String],
-) -> Result<(), Fault> {
+) -> Result<(), SettingsError> {
     let beyond = |n: &&u32| **n as usize >= names.len().max(1);
     match indices.iter().flatten().find(beyond) {
         None => Ok(()),
         Some(n) => {
             let remedy = format!("write a name of {list}, or its place there from 0");
-            Err(Fault::new(place, Cause::Unknown(n.to_string()), remedy))
+            Err(SettingsError::new(
+                place,
+                SettingsErrorCause::Unknown(n.to_string()),
+                remedy,
+            ))
         }
     }
 }
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,7 +1,7 @@
 //! What the keys that are read may hold, in JSON. Keys that are not named here are passed over, whatever they hold: sites bring
 //! new ones. An absent key and null are the same.
 
-use crate::fault::{shown, Cause, Fault};
+use crate::error::{abbreviate, SettingsError, SettingsErrorCause};
 use serde_json::Value;
 
 pub(crate) enum Shape {
@@ -131,8 +131,9 @@
 
 impl Shape {
     /// Whether a value can be what is read at this place.
-    pub(crate) fn check(&self, place: &str, value: &Value) -> Result<(), Fault> {
-        let wrong = |expected, remedy| Err(Fault::wrong_type(place, expected, value, remedy));
+    pub(crate) fn check(&self, place: &str, value: &Value) -> Result<(), SettingsError> {
+        let wrong =
+            |expected, remedy| Err(SettingsError::wrong_type(place, expected, value, remedy));
         match (self, value) {
             (Shape::Object(keys), Value::Object(_)) => object(keys, place, value),
             (Shape::Object(_), _) => wrong("an object", "write {...} with its keys"),
@@ -173,7 +174,7 @@
     }
 }
 
-fn object(keys: &[(&str, Shape)], place: &str, value: &Value) -> Result<(), Fault> {
+fn object(keys: &[(&str, Shape)], place: &str, value: &Value) -> Result<(), SettingsError> {
     let told = |(key, shape): &(&str, Shape)| match value.get(key) {
         None | Some(Value::Null) => Ok(()),
         Some(value) => shape.check(&format!("{place}.{key}"), value),
@@ -182,7 +183,7 @@
 }
 
 impl Range {
-    fn check(&self, place: &str, value: &Value) -> Result<(), Fault> {
+    fn check(&self, place: &str, value: &Value) -> Result<(), SettingsError> {
         let number = match value {
             Value::Number(n) => n.as_f64(),
             // The text form of the settings has no other numbers.
@@ -199,7 +200,7 @@
         let from = if above { "more than" } else { "at least" };
         let remedy = format!("give a number of {from} {least} and at most {most}{unit}");
         let Some(number) = number.filter(|n| n.is_finite()) else {
-            return Err(Fault::wrong_type(place, "a number", value, &remedy));
+            return Err(SettingsError::wrong_type(place, "a number", value, &remedy));
         };
         let off = match number {
             n if n < least => format!("less than {least}"),
@@ -207,10 +208,10 @@
             n if above && n <= least => format!("not more than {least}"),
             _ => return Ok(()),
         };
-        Err(Fault::new(
+        Err(SettingsError::new(
             place,
-            Cause::OutOfRange {
-                found: shown(value),
+            SettingsErrorCause::OutOfRange {
+                found: abbreviate(value),
                 off,
             },
             remedy,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,6 +1,6 @@
 //! Both forms of the same settings, and what is said of wrong ones.
 
-use crate::{decode, report, Flat};
+use crate::{decode, decode_load_report, FlatSettings};
 use serde_json::json;
 
 const TEXT: &str = "allowed.dial-timeout=250.0\nallowed.max-attempts=4\nallowed.cancelling=true\n\
@@ -24,11 +24,11 @@
         "telemetry": {"fields": ["depth", "load_share"], "how": "on_probe"},
         "tenants": [{"name": "acme"}],
     });
-    let text = decode(&Flat::from_text(TEXT).unwrap()).unwrap();
-    let json = decode(&Flat::from_json(&json).unwrap()).unwrap();
+    let text = decode(&FlatSettings::from_text(TEXT).unwrap()).unwrap();
+    let json = decode(&FlatSettings::from_json(&json).unwrap()).unwrap();
     assert_eq!(format!("{text:?}"), format!("{json:?}"));
     assert_eq!(text.settings.classes[1].kinds, Some(vec![1]));
-    assert_eq!(text.names.groups, ["lookup", "sale_load"]);
+    assert_eq!(text.names.classes, ["lookup", "sale_load"]);
 }
 
 #[test]
@@ -55,7 +55,7 @@
         (json!([]), "settings: an object"),
     ];
     for (settings, key) in wrong {
-        let end = Flat::from_json(&settings).and_then(|flat| decode(&flat).map(drop));
+        let end = FlatSettings::from_json(&settings).and_then(|flat| decode(&flat).map(drop));
         let what = end.expect_err(key).to_string();
         assert!(what.contains(key), "{key}: {what}");
     }
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_report_takes_the_named_values_and_passes_over_absurd_ones() {
-    let told = report([("queue", 3.0), ("util", f64::NAN), ("other", 1.0)]).unwrap();
+    let told = decode_load_report([("queue", 3.0), ("util", f64::NAN), ("other", 1.0)]).unwrap();
     assert_eq!(
         (
             told.waiting_for_memory,
@@ -72,5 +72,5 @@
         ),
         (Some(3.0), None, None)
     );
-    assert!(report([]).is_none());
+    assert!(decode_load_report([]).is_none());
 }
--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -1,11 +1,11 @@
 //! The names and forms of all settings, written out literally: a key that is renamed by accident fails here.
 //!
-//! Every key of `ALL` is shown to be read in both forms (another value gives another result), and to be refused by
+//! Every key of `ALL` is abbreviate to be read in both forms (another value gives another result), and to be refused by
 //! its whole path where its value has the wrong form. The keys of the gateway's own configuration file and of
 //! `subset` are pinned by crates/gateway/tests/bad_input.rs; what settings must be to one another by that and by
 //! src/tests.rs.
 
-use garnetwall_settings::{decode, report, Flat};
+use garnetwall_settings::{decode, decode_load_report, FlatSettings};
 use serde_json::{json, Value};
 
 /// Every key that is read, with a value other than that which holds where it is absent.
@@ -124,7 +124,7 @@
 }
 
 fn decoded(settings: &Value) -> String {
-    let flat = Flat::from_json(settings).unwrap_or_else(|fault| panic!("{fault}"));
+    let flat = FlatSettings::from_json(settings).unwrap_or_else(|fault| panic!("{fault}"));
     format!(
         "{:?}",
         decode(&flat).unwrap_or_else(|fault| panic!("{fault}"))
@@ -172,7 +172,7 @@
 }
 
 fn decoded_text(text: &str) -> String {
-    let flat = Flat::from_text(text).unwrap_or_else(|fault| panic!("{fault}"));
+    let flat = FlatSettings::from_text(text).unwrap_or_else(|fault| panic!("{fault}"));
     format!(
         "{:?}",
         decode(&flat).unwrap_or_else(|fault| panic!("{fault}"))
@@ -218,16 +218,16 @@
         .iter()
         .map(|(path, wrong, said)| (path, wrong, said));
     for (path, wrong, said) in forms.chain(unused) {
-        let fault = Flat::from_json(&with(path, wrong)).expect_err(path);
+        let fault = FlatSettings::from_json(&with(path, wrong)).expect_err(path);
         assert_eq!(fault.to_string(), format!("settings.{path}: {said}"));
     }
     for block in ["allowed", "domain", "rules", "telemetry"] {
-        let fault = Flat::from_json(&with(block, "[]")).expect_err(block);
+        let fault = FlatSettings::from_json(&with(block, "[]")).expect_err(block);
         let said = "an object expected, not []; write {...} with its keys";
         assert_eq!(fault.to_string(), format!("settings.{block}: {said}"));
     }
     for list in ["categories", "tenants"] {
-        let fault = Flat::from_json(&with(list, "{}")).expect_err(list);
+        let fault = FlatSettings::from_json(&with(list, "{}")).expect_err(list);
         let said = "a list of objects expected, not {}; write [{...}] with one object an item";
         assert_eq!(fault.to_string(), format!("settings.{list}: {said}"));
     }
@@ -260,7 +260,7 @@
         all.dedup();
         assert_eq!(all.len(), words.len(), "{path}");
     }
-    let flat = Flat::from_json(&with("categories.0.semantics", "\"odd\"")).unwrap();
+    let flat = FlatSettings::from_json(&with("categories.0.semantics", "\"odd\"")).unwrap();
     assert_eq!(
         decode(&flat).unwrap_err().to_string(),
         "settings.categories.0.semantics: 'odd' is unknown; write retryable, dedup or fragile"
@@ -270,7 +270,7 @@
 /// Names in an engine's load report; two of them have two.
 #[test]
 fn every_name_of_a_load_report_is_read() {
-    let of = |name: &str| format!("{:?}", report([(name, 0.5)]).unwrap());
+    let of = |name: &str| format!("{:?}", decode_load_report([(name, 0.5)]).unwrap());
     let unread = of("other");
     let five = ["load_share", "depth", "concurrent", "x0", "x1"].map(of);
     let mut all = five.to_vec();
