--- a/crates/gateway/src/http/rejection.rs
+++ b/crates/gateway/src/http/rejection.rs
@@ -6,7 +6,7 @@
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use garnetwall_bodies::AdmissionError;
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use thiserror::Error;
 
 /// Why a query is not admitted. The text is the client's response, so it keeps the words of the protocol.
@@ -64,7 +64,7 @@
 
 impl Rejection {
     /// A rejection by the plan. The settings say whether its response gives a time to retry after, and the longest.
-    pub fn by_plan(rejection: PlanRejection, decoded: &Decoded) -> Self {
+    pub fn by_plan(rejection: PlanRejection, decoded: &DecodedSettings) -> Self {
         match rejection {
             PlanRejection::StatementTooLong { max_bytes } => {
                 Rejection::StatementOverPlan { max_bytes }
