--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -289,3 +289,41 @@
     more["allowed"]["give-up"] = json!({"b": [[]]});
     assert_eq!(decoded(&more), base);
 }
+
+/// What settings must be to one another is refused by the path, too.
+#[test]
+fn settings_that_no_gateway_can_serve_are_refused_by_their_key() {
+    let cases = [
+        ("categories", "[]", "categories: empty; name at least one service group"),
+        (
+            "categories.0.name",
+            "\"load\"",
+            "categories.1.name: 'load' is there twice; give each a name of its own",
+        ),
+        (
+            "tenants.0.name",
+            "\"\"",
+            "tenants.0.name: missing; name it, as calls do",
+        ),
+        (
+            "categories.0.give-up",
+            "null",
+            "categories.0.give-up: missing; write how long its clients wait, in milliseconds",
+        ),
+        (
+            "categories.0.zones-only",
+            "[7]",
+            "categories.0.zones-only: '7' is unknown; write a name of settings.zones, or its place there from 0",
+        ),
+        (
+            "categories.0.allowed-on",
+            "[7]",
+            "categories.0.allowed-on: '7' is unknown; write a name of settings.kinds, or its place there from 0",
+        ),
+    ];
+    for (path, value, said) in cases {
+        let flat = Flat::from_json(&with(path, value)).unwrap();
+        let fault = decode(&flat).unwrap().check().expect_err(path);
+        assert_eq!(fault.to_string(), format!("settings.{said}"));
+    }
+}
