--- /dev/null
+++ b/crates/bodies/src/capacity.rs
@@ -0,0 +1,292 @@
+//! Decides where request bodies are stored, within budgets of memory and of the spool file. It does no I/O.
+//!
+//! Bytes are reserved before they arrive. The reservations of all bodies stay within both budgets at every moment,
+//! and those of one tenant within its share of each.
+
+mod error;
+mod eviction;
+mod limits;
+mod reservation;
+
+pub use error::AdmissionError;
+pub use limits::{EvictionPolicy, Limits, PIECE_BYTES, WINDOW_BYTES};
+pub use reservation::{BodyId, Storage, Usage};
+
+use reservation::{in_pieces, Reservation};
+use std::collections::BTreeMap;
+
+/// The budgets of memory and of the spool file, and the reservations of all bodies in flight.
+#[derive(Debug)]
+pub struct Capacity {
+    limits: Limits,
+    policy: EvictionPolicy,
+    next_id: u64,
+    /// Memory ran short, and bodies are evicted to the spool file until enough of it is free again.
+    evicting: bool,
+    reservations: BTreeMap<BodyId, Reservation>,
+    total: Usage,
+    /// The usage of each tenant that has any.
+    by_tenant: BTreeMap<usize, Usage>,
+}
+
+impl Capacity {
+    /// Budgets without any body.
+    pub fn new(limits: Limits, policy: EvictionPolicy) -> Self {
+        Capacity {
+            limits,
+            policy,
+            next_id: 0,
+            evicting: false,
+            reservations: BTreeMap::new(),
+            total: Usage::default(),
+            by_tenant: BTreeMap::new(),
+        }
+    }
+
+    /// The limits that hold.
+    pub fn limits(&self) -> &Limits {
+        &self.limits
+    }
+
+    /// Reserves capacity for a body of `length` bytes before they arrive. With an unknown length the reservation grows
+    /// by [`Capacity::receive`].
+    ///
+    /// # Errors
+    ///
+    /// The body is too large, its length must be known, or the budgets have no capacity for it.
+    pub fn admit(
+        &mut self,
+        tenant: usize,
+        class: usize,
+        length: Option<u64>,
+    ) -> Result<BodyId, AdmissionError> {
+        self.check_length(length)?;
+        let preferred = [Storage::Memory, Storage::File, Storage::NotStored];
+        let storage = preferred
+            .into_iter()
+            .find(|storage| self.can_admit(*storage, tenant, class, length))
+            .ok_or(AdmissionError::NoCapacity)?;
+        let id = BodyId(self.next_id);
+        self.next_id += 1;
+        let reservation = Reservation {
+            tenant,
+            class,
+            usage: Usage::default(),
+            received_bytes: 0,
+            length_known: length.is_some(),
+            storage,
+            evicting: false,
+        };
+        self.reservations.insert(id, reservation);
+        self.reserve(id, self.initial_usage(storage, length));
+        Ok(id)
+    }
+
+    /// Adds `bytes` that arrive to a body, and says where they go.
+    ///
+    /// # Errors
+    ///
+    /// The body is longer than the limit, or can no longer be stored though its query class requires it.
+    pub fn receive(&mut self, id: BodyId, bytes: u64) -> Result<Storage, AdmissionError> {
+        let max_bytes = self.limits.max_body_bytes;
+        let Some(reservation) = self.reservations.get_mut(&id) else {
+            return Ok(Storage::NotStored);
+        };
+        reservation.received_bytes += bytes;
+        if reservation.received_bytes > max_bytes {
+            return Err(AdmissionError::TooLarge { max_bytes });
+        }
+        if reservation.length_known || reservation.storage == Storage::NotStored {
+            return Ok(reservation.storage);
+        }
+        // Whole pieces are reserved, so that a few bytes rarely need a new reservation.
+        let needed = in_pieces(reservation.received_bytes).min(in_pieces(max_bytes));
+        if needed <= reservation.stored_bytes() {
+            return Ok(reservation.storage);
+        }
+        let reservation = reservation.clone();
+        self.grow(id, &reservation, needed)
+    }
+
+    /// Stops storing a body: it was discarded, or its spool file failed. What is still to be read stays reserved until
+    /// [`Capacity::release_read`].
+    pub fn stop_storing(&mut self, id: BodyId) {
+        if let Some(reservation) = self.reservations.get_mut(&id) {
+            reservation.storage = Storage::NotStored;
+        }
+    }
+
+    /// Releases what was read of a body that is not stored any more.
+    pub fn release_read(&mut self, id: BodyId, read: Usage) {
+        let Some(reservation) = self.reservations.get(&id) else {
+            return;
+        };
+        if reservation.storage != Storage::NotStored || reservation.evicting {
+            return;
+        }
+        let reserved = reservation.usage;
+        let window_bytes = reservation.window_bytes();
+        let releasable_memory = reserved.memory_bytes.saturating_sub(window_bytes);
+        let released = Usage {
+            memory_bytes: read.memory_bytes.min(releasable_memory),
+            file_bytes: read.file_bytes.min(reserved.file_bytes),
+        };
+        self.release(id, released);
+    }
+
+    /// Releases all of a body whose query has ended.
+    pub fn remove(&mut self, id: BodyId) {
+        let Some(reservation) = self.reservations.get(&id) else {
+            return;
+        };
+        self.release(id, reservation.usage);
+        self.reservations.remove(&id);
+    }
+
+    /// Where the next bytes of a body go.
+    pub fn storage(&self, id: BodyId) -> Storage {
+        self.reservations
+            .get(&id)
+            .map_or(Storage::NotStored, |reservation| reservation.storage)
+    }
+
+    /// What is reserved for all bodies.
+    pub fn usage(&self) -> Usage {
+        self.total
+    }
+
+    /// The number of bodies.
+    pub fn len(&self) -> usize {
+        self.reservations.len()
+    }
+
+    /// Whether there is no body.
+    pub fn is_empty(&self) -> bool {
+        self.reservations.is_empty()
+    }
+
+    fn check_length(&self, length: Option<u64>) -> Result<(), AdmissionError> {
+        let max_bytes = self.limits.max_body_bytes;
+        match length {
+            Some(length) if length > max_bytes => Err(AdmissionError::TooLarge { max_bytes }),
+            None if !self.limits.unknown_length_allowed => Err(AdmissionError::UnknownLength),
+            _ => Ok(()),
+        }
+    }
+
+    fn can_admit(
+        &self,
+        storage: Storage,
+        tenant: usize,
+        class: usize,
+        length: Option<u64>,
+    ) -> bool {
+        let allowed = match storage {
+            Storage::Memory => self.initial_bytes(length) <= self.limits.max_body_memory_bytes,
+            Storage::File => self.limits.file_bytes > 0,
+            Storage::NotStored => !self.must_store(class),
+        };
+        allowed && self.fits(tenant, self.initial_usage(storage, length))
+    }
+
+    /// The bytes of a body that are reserved when it is admitted.
+    fn initial_bytes(&self, length: Option<u64>) -> u64 {
+        length.unwrap_or(PIECE_BYTES.min(self.limits.max_body_bytes))
+    }
+
+    /// The first reservation of a body, with the window between writer and reader where the body may need one.
+    fn initial_usage(&self, storage: Storage, length: Option<u64>) -> Usage {
+        let mut usage = Usage::stored(storage, self.initial_bytes(length));
+        let stays_in_memory = storage == Storage::Memory && length.is_some();
+        if !stays_in_memory {
+            usage.memory_bytes += WINDOW_BYTES;
+        }
+        usage
+    }
+
+    fn must_store(&self, class: usize) -> bool {
+        self.limits
+            .storage_required
+            .get(class)
+            .copied()
+            .unwrap_or_default()
+    }
+
+    /// Extends the reservation of a body of unknown length to `needed` bytes.
+    fn grow(
+        &mut self,
+        id: BodyId,
+        reservation: &Reservation,
+        needed: u64,
+    ) -> Result<Storage, AdmissionError> {
+        let more = needed - reservation.stored_bytes();
+        let storage = self.storage_for(reservation, more, needed);
+        if storage != Storage::NotStored {
+            self.reserve(id, Usage::stored(storage, more));
+            self.reservations
+                .entry(id)
+                .and_modify(|reservation| reservation.storage = storage);
+            return Ok(storage);
+        }
+        if self.must_store(reservation.class) {
+            return Err(AdmissionError::NoCapacity);
+        }
+        self.stop_storing(id);
+        Ok(Storage::NotStored)
+    }
+
+    /// Where `more` bytes of a body go that has `needed` bytes with them. A body in the spool file stays there.
+    fn storage_for(&self, reservation: &Reservation, more: u64, needed: u64) -> Storage {
+        let fits = |storage| self.fits(reservation.tenant, Usage::stored(storage, more));
+        let may_be_in_memory =
+            reservation.storage == Storage::Memory && needed <= self.limits.max_body_memory_bytes;
+        if may_be_in_memory && fits(Storage::Memory) {
+            Storage::Memory
+        } else if self.limits.file_bytes > 0 && fits(Storage::File) {
+            Storage::File
+        } else {
+            Storage::NotStored
+        }
+    }
+
+    /// Whether both budgets, and the tenant's share of each, have capacity for `more`.
+    fn fits(&self, tenant: usize, more: Usage) -> bool {
+        let tenant_usage = self.by_tenant.get(&tenant).copied().unwrap_or_default();
+        let (total, limits) = (&self.total, &self.limits);
+        let memory_fits = more.memory_bytes == 0
+            || total.memory_bytes + more.memory_bytes <= limits.memory_bytes
+                && tenant_usage.memory_bytes + more.memory_bytes
+                    <= limits.tenant_budget(limits.memory_bytes);
+        let file_fits = more.file_bytes == 0
+            || total.file_bytes + more.file_bytes <= limits.file_bytes
+                && tenant_usage.file_bytes + more.file_bytes
+                    <= limits.tenant_budget(limits.file_bytes);
+        memory_fits && file_fits
+    }
+
+    fn reserve(&mut self, id: BodyId, more: Usage) {
+        let Some(reservation) = self.reservations.get_mut(&id) else {
+            return;
+        };
+        reservation.usage += more;
+        *self.by_tenant.entry(reservation.tenant).or_default() += more;
+        self.total += more;
+    }
+
+    fn release(&mut self, id: BodyId, less: Usage) {
+        let Some(reservation) = self.reservations.get_mut(&id) else {
+            return;
+        };
+        let tenant = reservation.tenant;
+        reservation.usage -= less;
+        self.total -= less;
+        let tenant_usage = self.by_tenant.entry(tenant).or_default();
+        *tenant_usage -= less;
+        if *tenant_usage == Usage::default() {
+            self.by_tenant.remove(&tenant);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
