--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -7,7 +7,7 @@
 
 /// What the log tells of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldLine {
+pub struct EndpointUpdate {
     pub engine: usize,
     pub facts: EngineFacts,
     pub started: Option<SimTime>,
@@ -38,25 +38,25 @@
         self.catalog.engines().map(change).collect()
     }
 
-    fn apply(&mut self, lines: &[ToldLine]) -> (Vec<Change>, Vec<EngineKey>) {
+    fn apply(&mut self, updates: &[EndpointUpdate]) -> (Vec<Change>, Vec<EngineKey>) {
         let mut restarted = Vec::new();
-        for line in lines {
-            let known = self.started.len().max(line.engine + 1);
+        for update in updates {
+            let known = self.started.len().max(update.engine + 1);
             self.started.resize(known, None);
-            if self.started[line.engine] != line.started {
-                restarted.extend(self.catalog.key(&engine_id(line.engine)));
+            if self.started[update.engine] != update.started {
+                restarted.extend(self.catalog.key(&engine_id(update.engine)));
             }
-            self.started[line.engine] = line.started;
+            self.started[update.engine] = update.started;
         }
-        let catalog_line = |line: &ToldLine| ListedEngine {
-            id: engine_id(line.engine),
-            facts: line.facts,
+        let listed_engine = |update: &EndpointUpdate| ListedEngine {
+            id: engine_id(update.engine),
+            facts: update.facts,
         };
-        let catalog_lines: Vec<ListedEngine> = lines.iter().map(catalog_line).collect();
-        let changes = self.catalog.apply(&catalog_lines, false);
-        for line in lines {
-            if let Some(key) = self.catalog.key(&engine_id(line.engine)) {
-                self.engine_of_key.insert(key, line.engine);
+        let listed_engines: Vec<ListedEngine> = updates.iter().map(listed_engine).collect();
+        let changes = self.catalog.apply(&listed_engines, false);
+        for update in updates {
+            if let Some(key) = self.catalog.key(&engine_id(update.engine)) {
+                self.engine_of_key.insert(key, update.engine);
             }
         }
         (changes, restarted)
@@ -82,13 +82,13 @@
 pub struct ChangeLog {
     entries: Vec<Entry>,
     /// Lines that go out with the next entry.
-    pending: BTreeMap<usize, ToldLine>,
+    pending: BTreeMap<usize, EndpointUpdate>,
 }
 
 impl ChangeLog {
-    pub fn new(lines: &[ToldLine]) -> ChangeLog {
+    pub fn new(updates: &[EndpointUpdate]) -> ChangeLog {
         let mut list = ListState::default();
-        list.apply(lines);
+        list.apply(updates);
         let first = Entry {
             changes: Vec::new(),
             restarted: Vec::new(),
@@ -110,25 +110,26 @@
     }
 
     /// Puts a line into the next entry; whether that is the first one.
-    pub fn stage(&mut self, line: ToldLine) -> bool {
+    pub fn stage(&mut self, update: EndpointUpdate) -> bool {
         let first = self.pending.is_empty();
-        self.pending.insert(line.engine, line);
+        self.pending.insert(update.engine, update);
         first
     }
 
     /// Writes what is staged; returns the lines of the new entry.
-    pub fn publish_lines(&mut self) -> Vec<ToldLine> {
-        let lines: Vec<ToldLine> = std::mem::take(&mut self.pending).into_values().collect();
+    pub fn publish_updates(&mut self) -> Vec<EndpointUpdate> {
+        let updates: Vec<EndpointUpdate> =
+            std::mem::take(&mut self.pending).into_values().collect();
         let before = &self.entries[self.latest()];
         let (mut list, configuration) = (ListState::clone(&before.list), before.configuration);
-        let (changes, restarted) = list.apply(&lines);
+        let (changes, restarted) = list.apply(&updates);
         self.entries.push(Entry {
             changes,
             restarted,
             list: Rc::new(list),
             configuration,
         });
-        lines
+        updates
     }
 
     /// Writes an entry with a new version of the configuration, and no lines.
--- a/crates/scale/src/fleet/clients.rs
+++ b/crates/scale/src/fleet/clients.rs
@@ -7,7 +7,7 @@
 use rand_distr::{Distribution, Exp1};
 
 /// The part of a query's work that is the same for all of its class; the rest is exponential.
-const WORK_FIXED: f64 = 0.3;
+const FIXED_WORK_SHARE: f64 = 0.3;
 const KEYS_PER_GATEWAY: u64 = 1 << 20;
 
 /// One query, as its client knows it.
@@ -89,7 +89,7 @@
             .position(|share| drawn < *share)
             .unwrap_or(demand.shares.len() - 1);
         let spread: f64 = Exp1.sample(&mut self.random);
-        let work = demand.work[class] * (WORK_FIXED + (1.0 - WORK_FIXED) * spread);
+        let work = demand.work[class] * (FIXED_WORK_SHARE + (1.0 - FIXED_WORK_SHARE) * spread);
         let keys = demand.keys[class];
         let key =
             (keys > 0).then(|| self.gateway * KEYS_PER_GATEWAY + self.random.random_range(0..keys));
--- a/crates/scale/src/fleet/cold.rs
+++ b/crates/scale/src/fleet/cold_engine.rs
@@ -5,8 +5,8 @@
 use std::collections::VecDeque;
 
 /// Roots of the budget, and queries, by which chance may pass it.
-const CHANCE_ROOTS: f64 = 2.0;
-const CHANCE_QUERIES: f64 = 2.0;
+const TOLERANCE_STANDARD_DEVIATIONS: f64 = 2.0;
+const TOLERANCE_QUERIES: f64 = 2.0;
 
 /// Work of one attempt at a cold engine.
 #[derive(Clone, Copy, Debug)]
@@ -14,7 +14,7 @@
     pub at: SimTime,
     pub work: f64,
     /// Whether the gateway had been told of the start.
-    pub told: bool,
+    pub notified: bool,
 }
 
 /// What came to a cold engine in the window that ends now.
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WindowSum {
     pub all: f64,
-    pub told: f64,
+    pub notified: f64,
 }
 
 impl ColdWindow {
@@ -45,16 +45,16 @@
             self.attempts.pop_front();
         }
         self.attempts.push_back(attempt);
-        let sum = |told_only: bool| {
+        let sum = |notified_only: bool| {
             let counted = self
                 .attempts
                 .iter()
-                .filter(|attempt| attempt.told || !told_only);
+                .filter(|attempt| attempt.notified || !notified_only);
             counted.map(|attempt| attempt.work).sum::<f64>() / mean_work
         };
         WindowSum {
             all: sum(false),
-            told: sum(true),
+            notified: sum(true),
         }
     }
 }
@@ -65,12 +65,12 @@
 }
 
 /// The most that a window may hold, chance included.
-pub fn most(budget: f64) -> f64 {
-    budget + CHANCE_ROOTS * budget.sqrt() + CHANCE_QUERIES
+pub fn limit_queries(budget: f64) -> f64 {
+    budget + TOLERANCE_STANDARD_DEVIATIONS * budget.sqrt() + TOLERANCE_QUERIES
 }
 
 /// Cores that an engine can use so long after its start.
-pub fn able_cores(cold: &Cold, cores: f64, age: f64) -> f64 {
+pub fn effective_cores(cold: &Cold, cores: f64, age: f64) -> f64 {
     let warmed = (age / cold.warm_after).clamp(0.0, 1.0);
     cores * (cold.starts_at + (1.0 - cold.starts_at) * warmed)
 }
--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -1,22 +1,22 @@
 //! A hollow engine: attempts share its cores; a cold one is slow, and falls when it is overrun.
 
-use super::cold::{self, ColdWindow, ColdWork};
+use super::cold_engine::{self, ColdWindow, ColdWork};
 use super::experiment::Cold;
 use super::time::SimTime;
 use std::collections::BTreeSet;
 
 /// Seconds after which a cold engine's speed is computed anew.
-const WARMING_STEP: f64 = 0.25;
+const WARMUP_STEP_SECONDS: f64 = 0.25;
 /// Progress is compared in units of a nanosecond on one core.
-const PROGRESS_UNITS: f64 = 1e9;
+const PROGRESS_UNITS_PER_CORE_SECOND: f64 = 1e9;
 /// Attempts that lack less than this many units are done; a tenth of a microsecond's rounding.
-const DONE_WITHIN: u64 = 2_000;
+const COMPLETION_TOLERANCE_UNITS: u64 = 2_000;
 
 /// Names an attempt. `life` tells a gateway's processes apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     pub gateway: u32,
-    pub life: u32,
+    pub incarnation: u32,
     pub query: u32,
     pub attempt: u32,
 }
@@ -87,14 +87,14 @@
             .filter(|age| *age < cold.warm_after)
     }
 
-    pub fn able_cores(&self, cold: &Cold, now: SimTime) -> f64 {
+    pub fn effective_cores(&self, cold: &Cold, now: SimTime) -> f64 {
         let age = self.cold_age(cold, now).unwrap_or(cold.warm_after);
-        cold::able_cores(cold, self.site.cores, age)
+        cold_engine::effective_cores(cold, self.site.cores, age)
     }
 
     /// Share of its usable cores that attempts keep busy.
     pub fn utilisation(&self, cold: &Cold, now: SimTime) -> f64 {
-        (self.running.len() as f64 / self.able_cores(cold, now)).min(1.0)
+        (self.running.len() as f64 / self.effective_cores(cold, now)).min(1.0)
     }
 
     /// Seconds on one core that each attempt gets in a second.
@@ -102,7 +102,7 @@
         if self.state != EngineState::Up || self.running.is_empty() {
             return 0.0;
         }
-        (self.able_cores(cold, now) / self.running.len() as f64).min(1.0)
+        (self.effective_cores(cold, now) / self.running.len() as f64).min(1.0)
     }
 
     /// Brings the progress up to now.
@@ -121,7 +121,7 @@
         work: f64,
     ) -> (u64, Received) {
         self.advance(cold, now);
-        let done_at = ((self.progress + work) * PROGRESS_UNITS) as u64;
+        let done_at = ((self.progress + work) * PROGRESS_UNITS_PER_CORE_SECOND) as u64;
         self.running.insert((done_at, key));
         if self.cold_age(cold, now).is_none() {
             return (done_at, Received::Runs);
@@ -132,11 +132,12 @@
             ColdWork {
                 at: now,
                 work,
-                told: true,
+                notified: true,
             },
         );
-        let most = cold::most(cold::budget(cold, self.site.cores, mean_work));
-        let received = if sum.all > most {
+        let limit =
+            cold_engine::limit_queries(cold_engine::budget(cold, self.site.cores, mean_work));
+        let received = if sum.all > limit {
             Received::Fell
         } else {
             Received::Runs
@@ -153,7 +154,8 @@
     /// The attempts that are done by now.
     pub fn finished(&mut self, cold: &Cold, now: SimTime) -> Vec<AttemptKey> {
         self.advance(cold, now);
-        let done = (self.progress * PROGRESS_UNITS) as u64 + DONE_WITHIN;
+        let done =
+            (self.progress * PROGRESS_UNITS_PER_CORE_SECOND) as u64 + COMPLETION_TOLERANCE_UNITS;
         let mut finished = Vec::new();
         while self
             .running
@@ -169,13 +171,14 @@
     pub fn next_due(&self, cold: &Cold, now: SimTime) -> Option<SimTime> {
         let speed = self.speed(cold, now);
         let (done_at, _) = self.running.first().filter(|_| speed > 0.0)?;
-        let left = (*done_at as f64 / PROGRESS_UNITS - self.progress).max(0.0) / speed;
-        let most = if self.cold_age(cold, now).is_some() {
-            WARMING_STEP
+        let left =
+            (*done_at as f64 / PROGRESS_UNITS_PER_CORE_SECOND - self.progress).max(0.0) / speed;
+        let limit = if self.cold_age(cold, now).is_some() {
+            WARMUP_STEP_SECONDS
         } else {
             f64::INFINITY
         };
-        Some(now.after(left.min(most)))
+        Some(now.after(left.min(limit)))
     }
 
     /// Ends the process, with all that ran on it.
--- a/crates/scale/src/fleet/engine/tests.rs
+++ b/crates/scale/src/fleet/engine/tests.rs
@@ -19,7 +19,7 @@
 fn key(query: u32) -> AttemptKey {
     AttemptKey {
         gateway: 0,
-        life: 1,
+        incarnation: 1,
         query,
         attempt: 0,
     }
@@ -89,8 +89,8 @@
     engine.start(at(4.0));
     assert_eq!(
         (
-            engine.able_cores(&COLD, at(4.0)),
-            engine.able_cores(&COLD, at(14.0))
+            engine.effective_cores(&COLD, at(4.0)),
+            engine.effective_cores(&COLD, at(14.0))
         ),
         (1.0, 2.0)
     );
--- a/crates/scale/src/fleet/surroundings.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -1,13 +1,13 @@
 //! What gateways meet: engines, the change log, clients, the queue of events, and the judge that watches.
 
-use super::change_log::{ChangeLog, ToldLine};
+use super::change_log::{ChangeLog, EndpointUpdate};
 use super::clients::Demand;
 use super::engine::{AttemptKey, Engine, EngineState, Received, Site};
 use super::event::{EngineStep, Event};
 use super::event_queue::EventQueue;
 use super::experiment::Experiment;
+use super::injected_fault::InjectedFault;
 use super::judge::{Judge, SeenAttempt};
-use super::slip::Slip;
 use super::time::SimTime;
 use garnetwall::api::AttemptEnd;
 use garnetwall_subset::{EngineFacts, ListedState};
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 
 /// Seconds in which lines are gathered into one entry of the log.
-const PUBLISH_PACE: f64 = 0.1;
+const PUBLISH_INTERVAL_SECONDS: f64 = 0.1;
 
-pub struct Surroundings {
+pub struct Environment {
     pub experiment: Rc<Experiment>,
     pub engines: Vec<Engine>,
     pub queue: EventQueue<Event>,
@@ -28,8 +28,8 @@
     pub random: SmallRng,
 }
 
-impl Surroundings {
-    pub fn new(experiment: Rc<Experiment>, mut random: SmallRng) -> Surroundings {
+impl Environment {
+    pub fn new(experiment: Rc<Experiment>, mut random: SmallRng) -> Environment {
         let engines: Vec<Engine> = (0..experiment.engines.count)
             .map(|n| Engine::new(site(&experiment, n, &mut random), None))
             .collect();
@@ -39,12 +39,13 @@
         engines
             .iter()
             .for_each(|engine| judge.engine_added(engine.site));
-        let line =
-            |(number, engine): (usize, &Engine)| told_line(number, engine, ListedState::Ready);
-        let lines: Vec<ToldLine> = engines.iter().enumerate().map(line).collect();
-        let log = ChangeLog::new(&lines);
-        judge.published(SimTime::START, log.latest(), &lines);
-        Surroundings {
+        let update = |(number, engine): (usize, &Engine)| {
+            endpoint_update(number, engine, ListedState::Ready)
+        };
+        let updates: Vec<EndpointUpdate> = engines.iter().enumerate().map(update).collect();
+        let log = ChangeLog::new(&updates);
+        judge.published(SimTime::START, log.latest(), &updates);
+        Environment {
             experiment,
             engines,
             queue: EventQueue::new(),
@@ -55,8 +56,8 @@
         }
     }
 
-    pub fn slips(&self, slip: Slip) -> bool {
-        self.experiment.slip == Some(slip)
+    pub fn injects(&self, injected_fault: InjectedFault) -> bool {
+        self.experiment.injected_fault == Some(injected_fault)
     }
 
     // ---- attempts ----
@@ -150,20 +151,20 @@
         }
         self.engines[engine].start(now);
         self.judge.engine_started(now, engine);
-        self.tell(now, engine, ListedState::Ready);
+        self.stage_update(now, engine, ListedState::Ready);
     }
 
     /// A new engine at the same place.
     pub fn replace_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         self.engines[engine].state = EngineState::Retired;
-        self.tell(now, engine, ListedState::Removed);
+        self.stage_update(now, engine, ListedState::Removed);
         let site = self.engines[engine].site;
         let new = self.engines.len();
         self.engines.push(Engine::new(site, Some(now)));
         self.judge.engine_added(site);
         self.judge.engine_started(now, new);
-        self.tell(now, new, ListedState::Ready);
+        self.stage_update(now, new, ListedState::Ready);
     }
 
     pub fn silence_engine(&mut self, now: SimTime, engine: usize, silent: bool) {
@@ -185,14 +186,14 @@
     // ---- the change log ----
 
     /// Stages a line on an engine as it is now.
-    pub fn tell(&mut self, now: SimTime, engine: usize, condition: ListedState) {
-        let mut line = told_line(engine, &self.engines[engine], condition);
-        if self.slips(Slip::StartsUntold) {
-            line.started = None;
+    pub fn stage_update(&mut self, now: SimTime, engine: usize, state: ListedState) {
+        let mut update = endpoint_update(engine, &self.engines[engine], state);
+        if self.injects(InjectedFault::StartsUntold) {
+            update.started = None;
         }
-        if self.log.stage(line) {
+        if self.log.stage(update) {
             self.queue
-                .push(now.after(PUBLISH_PACE), Event::PublishLines);
+                .push(now.after(PUBLISH_INTERVAL_SECONDS), Event::PublishUpdates);
         }
     }
 
@@ -218,7 +219,7 @@
     }
 }
 
-fn told_line(number: usize, engine: &Engine, condition: ListedState) -> ToldLine {
+fn endpoint_update(number: usize, engine: &Engine, state: ListedState) -> EndpointUpdate {
     let Site {
         zone,
         rack,
@@ -230,9 +231,9 @@
         kind: kind as u32,
         cell: rack as u32,
         cores,
-        state: condition,
+        state,
     };
-    ToldLine {
+    EndpointUpdate {
         engine: number,
         facts,
         started: engine.started,
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -8,17 +8,17 @@
     /// A client's query comes to a gateway's process.
     Arrival {
         gateway: u32,
-        life: u32,
+        incarnation: u32,
     },
     /// A gateway's process has something to look after.
     Wake {
         gateway: u32,
-        life: u32,
+        incarnation: u32,
     },
     /// An entry of the change log reaches a gateway's process.
     Deliver {
         gateway: u32,
-        life: u32,
+        incarnation: u32,
         sequence: u32,
     },
     GatewayEnds {
@@ -42,13 +42,13 @@
         end: AttemptEnd,
     },
     /// What is staged goes out as one entry of the change log.
-    PublishLines,
+    PublishUpdates,
     PublishConfiguration,
     RegionHeals {
         region: u32,
     },
     Script {
-        line: u32,
+        step: u32,
     },
 }
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineStep {
     /// The log tells that it is gone.
-    TellGone,
+    ReportRemoved,
     /// Its process starts anew, cold.
     Start,
     /// It is told to drain, and is replaced later.
@@ -65,5 +65,5 @@
     Replace,
     /// Its process ends, and starts anew after a while.
     Restart,
-    Speak,
+    Respond,
 }
--- a/crates/scale/src/fleet/event_queue.rs
+++ b/crates/scale/src/fleet/event_queue.rs
@@ -40,7 +40,7 @@
     }
 
     /// Events pushed so far.
-    pub fn pushed(&self) -> u64 {
+    pub fn scheduled_total(&self) -> u64 {
         self.next_sequence
     }
 }
--- a/crates/scale/src/fleet/event_queue/tests.rs
+++ b/crates/scale/src/fleet/event_queue/tests.rs
@@ -10,5 +10,5 @@
     let popped: String = std::iter::from_fn(|| queue.pop())
         .map(|(_, name)| name)
         .collect();
-    assert_eq!((popped.as_str(), queue.pushed()), ("abcd", 4));
+    assert_eq!((popped.as_str(), queue.scheduled_total()), ("abcd", 4));
 }
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -1,13 +1,13 @@
 //! What an experiment's file says, and what may be wrong with it.
 
-use super::slip::Slip;
+use super::injected_fault::InjectedFault;
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-const MOST_GATEWAYS: usize = 20_000;
-const MOST_ENGINES: usize = 50_000;
-const MOST_SECONDS: f64 = 3_600.0;
+const MAX_GATEWAYS: usize = 20_000;
+const MAX_ENGINES: usize = 50_000;
+const MAX_SECONDS: f64 = 3_600.0;
 
 /// One play of the fleet.
 #[derive(Clone, Debug, Deserialize)]
@@ -29,10 +29,11 @@
     pub log: Log,
     pub classes: Vec<QueryClass>,
     #[serde(default)]
-    pub script: Vec<ScriptLine>,
+    pub script: Vec<ScriptStep>,
     pub limits: Limits,
     /// A fault put between module and engines on purpose, which the judge has to find.
-    pub slip: Option<Slip>,
+    #[serde(rename = "slip")]
+    pub injected_fault: Option<InjectedFault>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -107,7 +108,8 @@
     pub least_delay: f64,
     pub mean_delay: f64,
     /// Seconds until the log tells that a rack or zone is lost.
-    pub loss_told: f64,
+    #[serde(rename = "loss_told")]
+    pub loss_report_delay: f64,
     /// A region that is connected again catches up spread over so many seconds.
     pub resume: f64,
 }
@@ -131,8 +133,9 @@
 /// What happens at a time. Which of the fields an action reads is told in docs/scale.md.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ScriptLine {
-    pub at: f64,
+pub struct ScriptStep {
+    #[serde(rename = "at")]
+    pub at_seconds: f64,
     pub what: Action,
     /// Number of the zone, rack or region.
     #[serde(default)]
@@ -221,13 +224,13 @@
 
     fn check(&self) -> Result<(), ExperimentError> {
         let (gateways, engines) = (&self.gateways, &self.engines);
-        within("seconds", self.seconds, 0.1, MOST_SECONDS)?;
+        within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         within("settle", self.settle, 0.0, self.seconds)?;
         within(
             "gateways.count",
             gateways.count as f64,
             1.0,
-            MOST_GATEWAYS as f64,
+            MAX_GATEWAYS as f64,
         )?;
         within("gateways.rate", gateways.rate, 0.01, 1e5)?;
         within("gateways.real_rate", gateways.real_rate, gateways.rate, 1e6)?;
@@ -237,7 +240,7 @@
             "engines.count",
             engines.count as f64,
             1.0,
-            MOST_ENGINES as f64,
+            MAX_ENGINES as f64,
         )?;
         within("engines.utilisation", engines.utilisation, 0.001, 10.0)?;
         within(
@@ -255,16 +258,16 @@
             ("engines.restart", engines.restart),
             ("log.least_delay", self.log.least_delay),
             ("log.mean_delay", self.log.mean_delay),
-            ("log.loss_told", self.log.loss_told),
+            ("log.loss_told", self.log.loss_report_delay),
             ("log.resume", self.log.resume),
         ] {
-            within(place, seconds, 0.0, MOST_SECONDS)?;
+            within(place, seconds, 0.0, MAX_SECONDS)?;
         }
         within("cold.starts_at", self.cold.starts_at, 0.01, 1.0)?;
-        within("cold.warm_after", self.cold.warm_after, 0.1, MOST_SECONDS)?;
+        within("cold.warm_after", self.cold.warm_after, 0.1, MAX_SECONDS)?;
         within("cold.multiple", self.cold.multiple, 0.1, 100.0)?;
-        within("cold.window", self.cold.window, 0.1, MOST_SECONDS)?;
-        within("retries.window", self.retries.window, 0.1, MOST_SECONDS)?;
+        within("cold.window", self.cold.window, 0.1, MAX_SECONDS)?;
+        within("retries.window", self.retries.window, 0.1, MAX_SECONDS)?;
         within(
             "topology.zones",
             self.topology.zones as f64,
@@ -301,19 +304,19 @@
                 &format!("classes, {}: deadline", class.name),
                 class.deadline,
                 0.1,
-                MOST_SECONDS,
+                MAX_SECONDS,
             )?;
         }
         self.script
             .iter()
-            .try_for_each(|line| self.check_line(line))
+            .try_for_each(|step| self.check_step(step))
     }
 
-    fn check_line(&self, line: &ScriptLine) -> Result<(), ExperimentError> {
-        within("script.at", line.at, 0.0, self.seconds)?;
-        within("script.lasts", line.lasts, 0.0, self.seconds)?;
+    fn check_step(&self, step: &ScriptStep) -> Result<(), ExperimentError> {
+        within("script.at", step.at_seconds, 0.0, self.seconds)?;
+        within("script.lasts", step.lasts, 0.0, self.seconds)?;
         let topology = &self.topology;
-        let numbered = match line.what {
+        let numbered = match step.what {
             Action::RackLost => topology.zones * topology.racks_per_zone,
             Action::ZoneLost => topology.zones,
             Action::RegionCut => topology.regions,
@@ -321,16 +324,16 @@
         };
         within(
             "script.which",
-            line.which as f64,
+            step.which as f64,
             0.0,
             numbered as f64 - 1.0,
         )?;
-        match line.what {
-            Action::RollingRestart => within("script.share", line.share, 0.001, 1.0),
-            Action::ConfigurationBurst => within("script.count", line.count as f64, 1.0, 1e5),
+        match step.what {
+            Action::RollingRestart => within("script.share", step.share, 0.001, 1.0),
+            Action::ConfigurationBurst => within("script.count", step.count as f64, 1.0, 1e5),
             Action::EnginesReplaced | Action::EnginesRestarted | Action::EnginesSilent => within(
                 "script.count",
-                line.count as f64,
+                step.count as f64,
                 1.0,
                 self.engines.count as f64,
             ),
--- /dev/null
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -0,0 +1,244 @@
+//! From the change log to the engines that the module may use: reads entries, and does what the subset asks for.
+
+use super::super::environment::Environment;
+use super::super::injected_fault::InjectedFault;
+use super::super::module_settings::module_settings;
+use super::super::time::SimTime;
+use super::fault_injection::join_skipped;
+use super::process::{OpenAttempt, Process};
+use super::Gateway;
+use garnetwall::api::{AttemptEnd, Endpoint, EndpointState};
+use garnetwall_subset::{Action, Change, EngineKey};
+use std::rc::Rc;
+
+/// Rounds of warming and joining at one moment.
+const MAX_MEMBERSHIP_ROUNDS: usize = 64;
+
+impl Gateway {
+    /// Reads the change log up to an entry.
+    pub fn deliver(&mut self, now: SimTime, sequence: usize, environment: &mut Environment) {
+        if self.has_fault(InjectedFault::Deaf, environment) {
+            return;
+        }
+        let Some(process) = &mut self.process else {
+            return;
+        };
+        if process.read >= sequence {
+            return;
+        }
+        let configuration_before = environment.log.entry(process.read).configuration;
+        let mut changes: Vec<Change> = Vec::new();
+        let mut restarted: Vec<EngineKey> = Vec::new();
+        for number in process.read + 1..=sequence {
+            let entry = environment.log.entry(number);
+            changes.extend(entry.changes.iter().cloned());
+            restarted.extend(entry.restarted.iter().copied());
+        }
+        let latest = environment.log.entry(sequence);
+        process.read = sequence;
+        process.list = Rc::clone(&latest.list);
+        if latest.configuration != configuration_before {
+            let settings = module_settings(&environment.experiment);
+            process.controller.update_classes(&settings.classes);
+        }
+        environment.judge.delivered(now, self.number, sequence);
+        self.change_members(now, &changes, environment);
+        self.update_restarted(&restarted);
+        if !self.has_fault(InjectedFault::NeverInForce, environment) {
+            environment.judge.in_force(now, self.number, sequence);
+        }
+        self.pump(now, environment);
+    }
+
+    pub(super) fn change_members(
+        &mut self,
+        now: SimTime,
+        changes: &[Change],
+        environment: &mut Environment,
+    ) {
+        let Some(process) = &mut self.process else {
+            return;
+        };
+        process
+            .membership
+            .changed(now.seconds(), &process.list.catalog, changes);
+        self.apply_membership(now, environment);
+    }
+
+    /// Does what the subset asks for, until it asks for nothing more.
+    pub(super) fn apply_membership(&mut self, now: SimTime, environment: &mut Environment) {
+        let Some(process) = &mut self.process else {
+            return;
+        };
+        for _ in 0..MAX_MEMBERSHIP_ROUNDS {
+            let actions = process
+                .membership
+                .poll(now.seconds(), &process.list.catalog);
+            if actions.is_empty() {
+                return;
+            }
+            let mut endpoints = Vec::new();
+            for action in actions {
+                endpoints.extend(process.apply(now, action, self.number, environment));
+            }
+            process.update_endpoints(&endpoints);
+        }
+    }
+
+    /// Updates the module on members whose process was started again.
+    fn update_restarted(&mut self, restarted: &[EngineKey]) {
+        let Some(process) = &mut self.process else {
+            return;
+        };
+        let endpoints: Vec<Endpoint> = restarted
+            .iter()
+            .filter_map(|key| process.endpoint_of(*key))
+            .collect();
+        process.update_endpoints(&endpoints);
+    }
+}
+
+impl Process {
+    fn update_endpoints(&mut self, endpoints: &[Endpoint]) {
+        if !endpoints.is_empty() {
+            self.controller.update_endpoints(endpoints, false);
+        }
+    }
+
+    /// The endpoint by which the module knows a member.
+    fn endpoint_of(&mut self, key: EngineKey) -> Option<Endpoint> {
+        let facts = self.list.catalog.facts(key)?;
+        let (slot, member) = self.slots.joined(key)?;
+        let endpoint = Endpoint {
+            engine: slot,
+            zone: facts.zone,
+            kind: facts.kind as usize,
+            cell: facts.cell,
+            started_at: self.list.started[member.engine].map(SimTime::seconds),
+            state: EndpointState::Ready,
+            gateways: Some(member.holders),
+        };
+        member.endpoint = Some(endpoint);
+        Some(endpoint)
+    }
+
+    /// Does one thing that the subset asks for; returns the endpoint to update the module with.
+    fn apply(
+        &mut self,
+        now: SimTime,
+        action: Action,
+        gateway: u32,
+        environment: &mut Environment,
+    ) -> Option<Endpoint> {
+        match action {
+            Action::Warm(key) => {
+                self.warm(now, key, gateway, environment);
+                None
+            }
+            Action::Join {
+                engine: key,
+                holders,
+            } => self.join(now, key, holders, gateway, environment),
+            Action::Update {
+                engine: key,
+                holders,
+            } => {
+                self.slots.update(key, holders);
+                self.endpoint_of(key)
+            }
+            Action::Leave(key) => self.leave(key, gateway, environment),
+        }
+    }
+
+    /// Connects to an engine before it is joined.
+    fn warm(&mut self, now: SimTime, key: EngineKey, gateway: u32, environment: &mut Environment) {
+        let Some(engine) = self.list.engine(key) else {
+            return;
+        };
+        let reached = environment.engines[engine].reachable();
+        if reached && !join_skipped(now, engine, environment) {
+            environment.judge.connected(now, gateway, engine);
+        }
+        self.membership.warmed(now.seconds(), key, reached);
+    }
+
+    fn join(
+        &mut self,
+        now: SimTime,
+        key: EngineKey,
+        holders: f64,
+        gateway: u32,
+        environment: &mut Environment,
+    ) -> Option<Endpoint> {
+        let engine = self.list.engine(key)?;
+        if join_skipped(now, engine, environment) {
+            return None;
+        }
+        if environment.engines[engine].reachable() {
+            environment.judge.connected(now, gateway, engine);
+        }
+        self.slots.join(key, engine, holders);
+        self.endpoint_of(key)
+    }
+
+    /// Removes a member, or drains it while attempts at it are in flight.
+    fn leave(
+        &mut self,
+        key: EngineKey,
+        gateway: u32,
+        environment: &mut Environment,
+    ) -> Option<Endpoint> {
+        if environment.injects(InjectedFault::SendToDraining) {
+            tracing::debug!(engine = key.0, "an injected fault keeps the engine");
+            return None;
+        }
+        let left = self.slots.leave(key)?;
+        if left.freed {
+            environment.judge.disconnected(gateway, left.engine);
+            return Some(removed_endpoint(left.slot));
+        }
+        left.endpoint.map(|endpoint| Endpoint {
+            state: EndpointState::Draining,
+            ..endpoint
+        })
+    }
+
+    /// Reports an attempt's end to the subset, and removes a member that left once nothing at it is in flight.
+    pub(super) fn release(
+        &mut self,
+        now: SimTime,
+        open: &OpenAttempt,
+        end: AttemptEnd,
+        gateway: u32,
+        environment: &mut Environment,
+    ) {
+        let Some(settled) = self.slots.attempt_ended(open.slot) else {
+            return;
+        };
+        let failed = matches!(
+            end,
+            AttemptEnd::ConnectFailed | AttemptEnd::ConnectionLost | AttemptEnd::TimedOut
+        );
+        if failed || end == AttemptEnd::Succeeded {
+            self.membership
+                .attempted(now.seconds(), settled.key, failed);
+        }
+        if settled.freed {
+            self.update_endpoints(&[removed_endpoint(open.slot)]);
+            environment.judge.disconnected(gateway, open.engine);
+        }
+    }
+}
+
+/// The endpoint of an unused slot. Without a start time the module forgets what it knew of the slot's last engine.
+fn removed_endpoint(slot: usize) -> Endpoint {
+    Endpoint {
+        engine: slot,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        started_at: None,
+        state: EndpointState::Removed,
+        gateways: None,
+    }
+}
--- /dev/null
+++ b/crates/scale/src/fleet/gateway/process.rs
@@ -0,0 +1,100 @@
+//! What a gateway's process holds in memory, and loses when it ends.
+
+use super::super::change_log::ListState;
+use super::super::clients::Query;
+use super::super::environment::Environment;
+use super::super::membership::Membership;
+use super::super::module_settings::module_settings;
+use super::super::slots::Slots;
+use super::super::time::SimTime;
+use garnetwall::api::{AttemptEnd, LoadReport, QueryId};
+use garnetwall::controller::AdmissionController;
+use garnetwall_subset::SubsetError;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// An attempt in flight.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct OpenAttempt {
+    pub number: u32,
+    pub slot: usize,
+    pub engine: usize,
+    pub started_at: SimTime,
+    pub deadline: SimTime,
+    /// The progress at which the engine finishes it; `None` if the engine was not reached.
+    pub done_at: Option<u64>,
+}
+
+/// A query without a final answer.
+pub(super) struct OpenQuery {
+    pub query: Query,
+    pub deadline: SimTime,
+    pub attempts: u32,
+    pub open: Option<OpenAttempt>,
+}
+
+/// One process of a gateway.
+pub(super) struct Process {
+    pub controller: AdmissionController,
+    pub membership: Membership,
+    /// The endpoint list after the last entry of the change log that was read.
+    pub list: Rc<ListState>,
+    /// The number of that entry.
+    pub read: usize,
+    pub slots: Slots,
+    pub queries: BTreeMap<QueryId, OpenQuery>,
+    pub deadlines: BTreeSet<(SimTime, QueryId)>,
+    pub wake_at: Option<SimTime>,
+}
+
+impl Process {
+    pub fn start(
+        now: SimTime,
+        gateway: u32,
+        zone: usize,
+        seed: u64,
+        environment: &Environment,
+    ) -> Result<Process, SubsetError> {
+        let experiment = &environment.experiment;
+        let read = environment.log.latest();
+        Ok(Process {
+            controller: AdmissionController::new(module_settings(experiment), seed, now.seconds()),
+            membership: Membership::new(experiment, gateway as usize, zone)?,
+            list: Rc::clone(&environment.log.entry(read).list),
+            read,
+            slots: Slots::default(),
+            queries: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
+            wake_at: None,
+        })
+    }
+
+    /// The number of the query's attempt in flight.
+    pub fn open_attempt(&self, id: QueryId) -> Option<u32> {
+        self.queries.get(&id)?.open.map(|open| open.number)
+    }
+
+    /// Passes on the load that the engine reports with its answer.
+    pub fn report_load(&mut self, now: SimTime, open: &OpenAttempt, environment: &Environment) {
+        let engine = &environment.engines[open.engine];
+        let report = LoadReport {
+            cpu_utilisation: Some(engine.utilisation(&environment.experiment.cold, now)),
+            ..LoadReport::default()
+        };
+        self.controller
+            .load_reported(now.seconds(), open.slot, report);
+    }
+
+    pub fn check_health(&mut self, now: SimTime, slot: usize, environment: &Environment) {
+        let reached = self
+            .slots
+            .get(slot)
+            .is_none_or(|member| environment.engines[member.engine].reachable());
+        let end = if reached {
+            AttemptEnd::Succeeded
+        } else {
+            AttemptEnd::ConnectFailed
+        };
+        self.controller.health_check_ended(now.seconds(), slot, end);
+    }
+}
--- a/crates/scale/src/fleet/slip.rs
+++ b/crates/scale/src/fleet/injected_fault.rs
@@ -4,7 +4,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Slip {
+pub enum InjectedFault {
     /// One answer in a hundred is given twice.
     AnswerTwice,
     /// One rejection or failure in ten comes a second after the deadline.
--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -6,9 +6,9 @@
 use hdrhistogram::Histogram;
 use std::rc::Rc;
 
-const MOST_MICROS: u64 = 3_600_000_000;
-const DIGITS: u8 = 3;
-const MICROS: f64 = 1e6;
+const MAX_RECORDED_MICROS: u64 = 3_600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(Clone, Default)]
 struct Reader {
@@ -165,15 +165,16 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MOST_MICROS, DIGITS).expect("constant bounds are valid")
+    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS)
+        .expect("constant bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, seconds: f64) {
-    histogram.saturating_record((seconds * MICROS) as u64);
+    histogram.saturating_record((seconds * MICROS_PER_SECOND) as u64);
 }
 
 fn time_finding(name: &'static str, times: &Histogram<u64>, missing: u64, most: f64) -> Finding {
-    let at = |share: f64| times.value_at_quantile(share) as f64 / MICROS;
+    let at = |share: f64| times.value_at_quantile(share) as f64 / MICROS_PER_SECOND;
     let (median, p99, max) = (at(0.5), at(0.99), at(1.0));
     Finding::new(
         name,
--- a/crates/scale/src/fleet/judge/cold.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -1,32 +1,32 @@
 //! Rule 4: what all gateways together send a cold engine keeps to its budget, and does not starve it.
 
-use super::super::change_log::ToldLine;
-use super::super::cold::{budget, most, ColdWindow, ColdWork};
+use super::super::change_log::EndpointUpdate;
+use super::super::cold_engine::{budget, limit_queries, ColdWindow, ColdWork};
 use super::super::engine::Site;
 use super::super::experiment::Experiment;
 use super::super::time::SimTime;
+use super::endpoint_history::KnownEndpoint;
 use super::finding::quantile;
-use super::told::KnownLine;
 use super::{Finding, SeenAttempt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// A window over the budget counts against the gateways if more than this share came from those that were told.
-const TOLD_SHARE: f64 = 2.0 / 3.0;
+const NOTIFIED_SHARE_LIMIT: f64 = 2.0 / 3.0;
 /// Seconds in which the log has to tell of a start.
-const START_TOLD_WITHIN: f64 = 2.0;
+const START_ANNOUNCEMENT_LIMIT_SECONDS: f64 = 2.0;
 
 struct Start {
     at: SimTime,
     window: ColdWindow,
     /// Work that came from gateways that were told, and from all, in seconds.
-    told_work: f64,
+    notified_work: f64,
     all_work: f64,
 }
 
 /// One engine's cold time that ran to its end.
 struct Warmed {
-    told_share: f64,
+    notified_share: f64,
     all_share: f64,
 }
 
@@ -34,19 +34,19 @@
     experiment: Rc<Experiment>,
     mean_work: f64,
     sites: Vec<Site>,
-    cold: BTreeMap<usize, Start>,
+    cold_since: BTreeMap<usize, Start>,
     warmed: Vec<Warmed>,
-    untold_starts: BTreeMap<usize, SimTime>,
+    unannounced_starts: BTreeMap<usize, SimTime>,
     starts: u64,
-    told_late: u64,
-    told_cold: BTreeSet<(SimTime, usize)>,
-    most_told_cold: usize,
+    announced_late: u64,
+    announced_cold: BTreeSet<(SimTime, usize)>,
+    max_announced_cold: usize,
     falls: u64,
     over: u64,
-    over_by_told: u64,
+    over_by_notified: u64,
     /// The largest part of budget and chance that gateways that were told filled in a window; and all gateways.
-    fullest_told: f64,
-    fullest_all: f64,
+    max_notified_fill: f64,
+    max_total_fill: f64,
 }
 
 impl ColdStarts {
@@ -55,18 +55,18 @@
             experiment,
             mean_work,
             sites: Vec::new(),
-            cold: BTreeMap::new(),
+            cold_since: BTreeMap::new(),
             warmed: Vec::new(),
-            untold_starts: BTreeMap::new(),
+            unannounced_starts: BTreeMap::new(),
             starts: 0,
-            told_late: 0,
-            told_cold: BTreeSet::new(),
-            most_told_cold: 0,
+            announced_late: 0,
+            announced_cold: BTreeSet::new(),
+            max_announced_cold: 0,
             falls: 0,
             over: 0,
-            over_by_told: 0,
-            fullest_told: 0.0,
-            fullest_all: 0.0,
+            over_by_notified: 0,
+            max_notified_fill: 0.0,
+            max_total_fill: 0.0,
         }
     }
 
@@ -79,89 +79,95 @@
         let start = Start {
             at: now,
             window: ColdWindow::default(),
-            told_work: 0.0,
+            notified_work: 0.0,
             all_work: 0.0,
         };
-        self.cold.insert(engine, start);
-        self.untold_starts.insert(engine, now);
+        self.cold_since.insert(engine, start);
+        self.unannounced_starts.insert(engine, now);
         self.starts += 1;
     }
 
     /// A cold time that does not run to its end tells nothing of its share.
     pub fn stopped(&mut self, engine: usize) {
-        self.cold.remove(&engine);
-        self.untold_starts.remove(&engine);
+        self.cold_since.remove(&engine);
+        self.unannounced_starts.remove(&engine);
     }
 
     pub fn fell(&mut self) {
         self.falls += 1;
     }
 
-    pub fn published(&mut self, now: SimTime, lines: &[ToldLine]) {
-        for line in lines {
-            let Some(started) = line.started else {
+    pub fn published(&mut self, now: SimTime, updates: &[EndpointUpdate]) {
+        for update in updates {
+            let Some(started) = update.started else {
                 continue;
             };
-            self.told_cold.insert((started, line.engine));
-            if self.untold_starts.get(&line.engine) == Some(&started) {
-                self.untold_starts.remove(&line.engine);
-                self.told_late += u64::from(now.since(started) > START_TOLD_WITHIN);
+            self.announced_cold.insert((started, update.engine));
+            if self.unannounced_starts.get(&update.engine) == Some(&started) {
+                self.unannounced_starts.remove(&update.engine);
+                self.announced_late +=
+                    u64::from(now.since(started) > START_ANNOUNCEMENT_LIMIT_SECONDS);
             }
         }
         let warm_after = self.experiment.cold.warm_after;
         while self
-            .told_cold
+            .announced_cold
             .first()
             .is_some_and(|(started, _)| now.since(*started) >= warm_after)
         {
-            self.told_cold.pop_first();
+            self.announced_cold.pop_first();
         }
-        self.most_told_cold = self.most_told_cold.max(self.told_cold.len());
+        self.max_announced_cold = self.max_announced_cold.max(self.announced_cold.len());
     }
 
-    pub fn attempt_began(&mut self, now: SimTime, attempt: SeenAttempt, told: Option<KnownLine>) {
+    pub fn attempt_began(
+        &mut self,
+        now: SimTime,
+        attempt: SeenAttempt,
+        known: Option<KnownEndpoint>,
+    ) {
         let cold = &self.experiment.cold;
-        let Some(start) = self.cold.get_mut(&attempt.engine) else {
+        let Some(start) = self.cold_since.get_mut(&attempt.engine) else {
             return;
         };
         if now.since(start.at) >= cold.warm_after {
             self.warm_up(attempt.engine);
             return;
         }
-        let told = told.is_some_and(|line| line.started == Some(start.at));
+        let notified = known.is_some_and(|endpoint| endpoint.started == Some(start.at));
         start.all_work += attempt.work;
-        start.told_work += if told { attempt.work } else { 0.0 };
+        start.notified_work += if notified { attempt.work } else { 0.0 };
         let sum = start.window.add(
             cold,
             self.mean_work,
             ColdWork {
                 at: now,
                 work: attempt.work,
-                told,
+                notified,
             },
         );
-        let most = most(budget(
+        let limit = limit_queries(budget(
             cold,
             self.sites[attempt.engine].cores,
             self.mean_work,
         ));
-        if sum.all > most {
+        if sum.all > limit {
             self.over += 1;
-            self.over_by_told += u64::from(sum.told > sum.all * TOLD_SHARE);
+            self.over_by_notified += u64::from(sum.notified > sum.all * NOTIFIED_SHARE_LIMIT);
         }
-        self.fullest_told = self.fullest_told.max(sum.told / most);
-        self.fullest_all = self.fullest_all.max(sum.all / most);
+        self.max_notified_fill = self.max_notified_fill.max(sum.notified / limit);
+        self.max_total_fill = self.max_total_fill.max(sum.all / limit);
     }
 
     fn warm_up(&mut self, engine: usize) {
-        let Some(start) = self.cold.remove(&engine) else {
+        let Some(start) = self.cold_since.remove(&engine) else {
             return;
         };
         let cold = &self.experiment.cold;
         let budget = cold.multiple * cold.starts_at * self.sites[engine].cores * cold.warm_after;
-        let (told_share, all_share) = (start.told_work / budget, start.all_work / budget);
+        let (notified_share, all_share) = (start.notified_work / budget, start.all_work / budget);
         self.warmed.push(Warmed {
-            told_share,
+            notified_share,
             all_share,
         });
     }
@@ -171,31 +177,31 @@
         let warm = |(engine, start): (&usize, &Start)| {
             (now.since(start.at) >= warm_after).then_some(*engine)
         };
-        let warm: Vec<usize> = self.cold.iter().filter_map(warm).collect();
+        let warm: Vec<usize> = self.cold_since.iter().filter_map(warm).collect();
         warm.into_iter().for_each(|engine| self.warm_up(engine));
         vec![
             self.sum_finding(),
             self.share_finding(),
-            self.told_finding(now),
+            self.announcement_finding(now),
         ]
     }
 
     fn sum_finding(&self) -> Finding {
         Finding::new(
             "rule 4, cold engines under the sum",
-            self.over_by_told == 0,
+            self.over_by_notified == 0,
             format!(
                 "{} starts, {} falls; windows over budget and chance: {}, {} of them by gateways that were told; \
                  fullest window {:.2} by those told, {:.2} by all",
-                self.starts, self.falls, self.over, self.over_by_told, self.fullest_told, self.fullest_all
+                self.starts, self.falls, self.over, self.over_by_notified, self.max_notified_fill, self.max_total_fill
             ),
             &[
                 ("starts", self.starts as f64),
                 ("falls", self.falls as f64),
                 ("over", self.over as f64),
-                ("over_by_told", self.over_by_told as f64),
-                ("fullest_told", self.fullest_told),
-                ("fullest_all", self.fullest_all),
+                ("over_by_told", self.over_by_notified as f64),
+                ("fullest_told", self.max_notified_fill),
+                ("fullest_all", self.max_total_fill),
             ],
         )
     }
@@ -207,7 +213,7 @@
             shares
         };
         let (told, all) = (
-            sorted(|warmed| warmed.told_share),
+            sorted(|warmed| warmed.notified_share),
             sorted(|warmed| warmed.all_share),
         );
         let (least, median) = (quantile(&told, 0.0), quantile(&told, 0.5));
@@ -238,25 +244,25 @@
                 figure,
                 &values,
             ),
-            None => Finding::told(name, figure, &values),
+            None => Finding::unjudged(name, figure, &values),
         }
     }
 
-    fn told_finding(&self, now: SimTime) -> Finding {
-        let overdue = |at: &&SimTime| now.since(**at) > START_TOLD_WITHIN;
-        let untold = self.untold_starts.values().filter(overdue).count() as u64;
+    fn announcement_finding(&self, now: SimTime) -> Finding {
+        let overdue = |at: &&SimTime| now.since(**at) > START_ANNOUNCEMENT_LIMIT_SECONDS;
+        let unannounced = self.unannounced_starts.values().filter(overdue).count() as u64;
         Finding::new(
             "engines told cold",
-            untold + self.told_late == 0,
+            unannounced + self.announced_late == 0,
             format!(
-                "{} starts: {untold} not told, {} told late; at most {} engines told cold at once",
-                self.starts, self.told_late, self.most_told_cold
+                "{} starts: {unannounced} not told, {} told late; at most {} engines told cold at once",
+                self.starts, self.announced_late, self.max_announced_cold
             ),
             &[
                 ("starts", self.starts as f64),
-                ("untold", untold as f64),
-                ("told_late", self.told_late as f64),
-                ("most_told_cold", self.most_told_cold as f64),
+                ("untold", unannounced as f64),
+                ("told_late", self.announced_late as f64),
+                ("most_told_cold", self.max_announced_cold as f64),
             ],
         )
     }
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -10,7 +10,7 @@
 
 #[derive(Default)]
 struct EngineSide {
-    alive: bool,
+    running_gateway: bool,
     /// Gateways connected now, one bit each.
     gateways: Vec<u64>,
     connected: u32,
@@ -21,9 +21,9 @@
 struct GatewaySide {
     up: bool,
     /// Connected engines that are alive.
-    alive: usize,
+    running_gateway: usize,
     /// When it lost engines of its subset with a zone, until it has as many again.
-    waits_since: Option<SimTime>,
+    refilling_since: Option<SimTime>,
 }
 
 pub struct Connections {
@@ -62,7 +62,7 @@
     pub fn engine_added(&mut self) {
         let words = self.gateways.len().div_ceil(WORD);
         self.engines.push(EngineSide {
-            alive: true,
+            running_gateway: true,
             gateways: vec![0; words],
             ..EngineSide::default()
         });
@@ -76,7 +76,7 @@
     /// A gateway that ends while it waits counts as never full again, unless it still had time.
     pub fn gateway_ended(&mut self, now: SimTime, gateway: u32) {
         let waited = self.gateways[gateway as usize]
-            .waits_since
+            .refilling_since
             .map(|since| now.since(since));
         let overdue = waited.is_some_and(|seconds| seconds > self.experiment.limits.refill_p99);
         self.refills.extend(overdue.then_some(f64::INFINITY));
@@ -90,23 +90,23 @@
     }
 
     pub fn engine_stopped(&mut self, engine: usize) {
-        if !std::mem::replace(&mut self.engines[engine].alive, false) {
+        if !std::mem::replace(&mut self.engines[engine].running_gateway, false) {
             return;
         }
         self.alive_engines -= 1;
         for gateway in self.connected_gateways(engine) {
-            self.gateways[gateway].alive -= 1;
+            self.gateways[gateway].running_gateway -= 1;
         }
     }
 
     pub fn engine_started(&mut self, now: SimTime, engine: usize) {
-        if std::mem::replace(&mut self.engines[engine].alive, true) {
+        if std::mem::replace(&mut self.engines[engine].running_gateway, true) {
             return;
         }
         self.alive_engines += 1;
         for gateway in self.connected_gateways(engine) {
-            self.gateways[gateway].alive += 1;
-            self.look_if_full(now, gateway);
+            self.gateways[gateway].running_gateway += 1;
+            self.check_if_full(now, gateway);
         }
     }
 
@@ -129,9 +129,9 @@
         side.gateways[gateway as usize / WORD] |= 1 << (gateway as usize % WORD);
         side.connected += 1;
         side.peak = side.peak.max(side.connected);
-        if side.alive {
-            self.gateways[gateway as usize].alive += 1;
-            self.look_if_full(now, gateway as usize);
+        if side.running_gateway {
+            self.gateways[gateway as usize].running_gateway += 1;
+            self.check_if_full(now, gateway as usize);
         }
     }
 
@@ -142,8 +142,8 @@
         let side = &mut self.engines[engine];
         side.gateways[gateway as usize / WORD] &= !(1 << (gateway as usize % WORD));
         side.connected -= 1;
-        if side.alive {
-            self.gateways[gateway as usize].alive -= 1;
+        if side.running_gateway {
+            self.gateways[gateway as usize].running_gateway -= 1;
         }
     }
 
@@ -153,23 +153,23 @@
         for side in self
             .gateways
             .iter_mut()
-            .filter(|side| side.up && side.waits_since.is_none())
+            .filter(|side| side.up && side.refilling_since.is_none())
         {
-            if side.alive < full {
-                side.waits_since = Some(now);
+            if side.running_gateway < full {
+                side.refilling_since = Some(now);
             } else {
                 self.refills.push(0.0);
             }
         }
     }
 
-    fn look_if_full(&mut self, now: SimTime, gateway: usize) {
+    fn check_if_full(&mut self, now: SimTime, gateway: usize) {
         let full = self.full();
         let side = &mut self.gateways[gateway];
-        if side.alive < full {
+        if side.running_gateway < full {
             return;
         }
-        if let Some(since) = side.waits_since.take() {
+        if let Some(since) = side.refilling_since.take() {
             self.refills.push(now.since(since));
         }
     }
@@ -191,7 +191,7 @@
         let unmet = self
             .engines
             .iter()
-            .filter(|engine| engine.alive && engine.connected == 0)
+            .filter(|engine| engine.running_gateway && engine.connected == 0)
             .count();
         let most = self.experiment.limits.meets_max;
         Finding::new(
@@ -214,7 +214,7 @@
     }
 
     fn refill_finding(&self, now: SimTime) -> Finding {
-        let waiting = self.gateways.iter().filter_map(|side| side.waits_since);
+        let waiting = self.gateways.iter().filter_map(|side| side.refilling_since);
         let unfilled = waiting.map(|_| f64::INFINITY);
         let mut refills: Vec<f64> = self.refills.iter().copied().chain(unfilled).collect();
         refills.sort_by(f64::total_cmp);
--- a/crates/scale/src/fleet/judge/finding.rs
+++ b/crates/scale/src/fleet/judge/finding.rs
@@ -28,7 +28,7 @@
     }
 
     /// A figure that is not judged.
-    pub fn told(name: &'static str, figure: String, values: &[(&'static str, f64)]) -> Finding {
+    pub fn unjudged(name: &'static str, figure: String, values: &[(&'static str, f64)]) -> Finding {
         Finding {
             name,
             passed: None,
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -2,20 +2,20 @@
 //! the one word of a gateway that it takes is which entry of the log it has put in force.
 
 mod changes;
-mod cold;
+mod cold_starts;
 mod connections;
+mod endpoint_history;
 mod finding;
 mod order;
 mod placement;
 mod queries;
 mod retries;
 mod spread;
-mod told;
 
 pub use finding::Finding;
 pub use queries::FinalAnswer;
 
-use super::change_log::ToldLine;
+use super::change_log::EndpointUpdate;
 use super::engine::Site;
 use super::experiment::Experiment;
 use super::time::SimTime;
@@ -39,12 +39,12 @@
 }
 
 pub struct Judge {
-    told: told::Told,
+    endpoint_history: endpoint_history::EndpointHistory,
     queries: queries::Queries,
     order: order::Order,
     retries: retries::Retries,
     placement: placement::Placement,
-    cold: cold::ColdStarts,
+    cold_starts: cold_starts::ColdStarts,
     spread: spread::Spread,
     connections: connections::Connections,
     changes: changes::Changes,
@@ -54,12 +54,12 @@
     pub fn new(experiment: &Rc<Experiment>, mean_work: f64) -> Judge {
         let gateways = experiment.gateways.count;
         Judge {
-            told: told::Told::new(gateways),
+            endpoint_history: endpoint_history::EndpointHistory::new(gateways),
             queries: queries::Queries::new(Rc::clone(experiment)),
             order: order::Order::default(),
             retries: retries::Retries::new(Rc::clone(experiment)),
             placement: placement::Placement::new(Rc::clone(experiment)),
-            cold: cold::ColdStarts::new(Rc::clone(experiment), mean_work),
+            cold_starts: cold_starts::ColdStarts::new(Rc::clone(experiment), mean_work),
             spread: spread::Spread::new(Rc::clone(experiment)),
             connections: connections::Connections::new(Rc::clone(experiment)),
             changes: changes::Changes::new(Rc::clone(experiment)),
@@ -100,7 +100,7 @@
 
     /// A gateway's process started, and read the log up to this entry.
     pub fn gateway_started(&mut self, now: SimTime, gateway: u32, sequence: usize) {
-        self.told.read_up_to(gateway, sequence);
+        self.endpoint_history.read_up_to(gateway, sequence);
         self.changes.gateway_started(now, gateway, sequence);
         self.connections.gateway_started(gateway);
     }
@@ -109,25 +109,25 @@
 
     pub fn engine_added(&mut self, site: Site) {
         self.spread.engine_added(site);
-        self.cold.engine_added(site);
+        self.cold_starts.engine_added(site);
         self.placement.engine_added(site);
         self.connections.engine_added();
     }
 
     pub fn engine_started(&mut self, now: SimTime, engine: usize) {
-        self.cold.started(now, engine);
+        self.cold_starts.started(now, engine);
         self.spread.disturbed(engine);
         self.connections.engine_started(now, engine);
     }
 
     pub fn engine_stopped(&mut self, engine: usize) {
-        self.cold.stopped(engine);
+        self.cold_starts.stopped(engine);
         self.spread.disturbed(engine);
         self.connections.engine_stopped(engine);
     }
 
     pub fn engine_fell(&mut self) {
-        self.cold.fell();
+        self.cold_starts.fell();
     }
 
     /// The engine drains or is silent by the script: its share of work says nothing.
@@ -136,7 +136,9 @@
     }
 
     pub fn attempt_began(&mut self, now: SimTime, attempt: SeenAttempt) {
-        let told = self.told.line(attempt.name.gateway, attempt.engine);
+        let known = self
+            .endpoint_history
+            .known(attempt.name.gateway, attempt.engine);
         let seen_before = self.queries.attempt_began(attempt.name);
         if seen_before > 0 {
             self.retries.retried(now, attempt.name.gateway);
@@ -144,8 +146,8 @@
         if let Some(key) = attempt.key {
             self.order.attempt_began(key, attempt.name);
         }
-        self.placement.attempt_began(attempt, told);
-        self.cold.attempt_began(now, attempt, told);
+        self.placement.attempt_began(attempt, known);
+        self.cold_starts.attempt_began(now, attempt, known);
         self.spread.attempt_began(now, attempt);
     }
 
@@ -170,14 +172,14 @@
 
     // ---- what the change log sees ----
 
-    pub fn published(&mut self, now: SimTime, sequence: usize, lines: &[ToldLine]) {
-        self.told.published(sequence, lines);
+    pub fn published(&mut self, now: SimTime, sequence: usize, updates: &[EndpointUpdate]) {
+        self.endpoint_history.published(sequence, updates);
         self.changes.published(now, sequence);
-        self.cold.published(now, lines);
+        self.cold_starts.published(now, updates);
     }
 
     pub fn delivered(&mut self, now: SimTime, gateway: u32, sequence: usize) {
-        self.told.read_up_to(gateway, sequence);
+        self.endpoint_history.read_up_to(gateway, sequence);
         self.changes.delivered(now, gateway, sequence);
     }
 
@@ -196,8 +198,8 @@
     /// What it all comes to.
     pub fn findings(&mut self, now: SimTime) -> Vec<Finding> {
         let mut findings = self.queries.findings(now);
-        findings.push(self.placement.told_finding());
-        findings.extend(self.cold.findings(now));
+        findings.push(self.placement.announcement_finding());
+        findings.extend(self.cold_starts.findings(now));
         findings.push(self.order.finding());
         findings.push(self.placement.class_finding());
         findings.push(self.retries.finding());
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -2,7 +2,7 @@
 
 use super::super::engine::Site;
 use super::super::experiment::Experiment;
-use super::told::KnownLine;
+use super::endpoint_history::KnownEndpoint;
 use super::{Finding, SeenAttempt};
 use garnetwall_subset::ListedState;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
     attempts: u64,
     bound: u64,
     to_draining: u64,
-    to_gone: u64,
+    to_removed: u64,
     misplaced: u64,
 }
 
@@ -25,7 +25,7 @@
             attempts: 0,
             bound: 0,
             to_draining: 0,
-            to_gone: 0,
+            to_removed: 0,
             misplaced: 0,
         }
     }
@@ -34,12 +34,12 @@
         self.sites.push(site);
     }
 
-    pub fn attempt_began(&mut self, attempt: SeenAttempt, told: Option<KnownLine>) {
+    pub fn attempt_began(&mut self, attempt: SeenAttempt, known: Option<KnownEndpoint>) {
         self.attempts += 1;
-        match told.map_or(ListedState::Removed, |line| line.condition) {
+        match known.map_or(ListedState::Removed, |endpoint| endpoint.state) {
             ListedState::Ready => {}
             ListedState::Draining => self.to_draining += 1,
-            ListedState::Removed => self.to_gone += 1,
+            ListedState::Removed => self.to_removed += 1,
         }
         let (site, class) = (
             self.sites[attempt.engine],
@@ -55,18 +55,18 @@
             u64::from(!open(&class.zones, site.zone) || !open(&class.kinds, site.kind));
     }
 
-    pub fn told_finding(&self) -> Finding {
+    pub fn announcement_finding(&self) -> Finding {
         Finding::new(
             "rule 3, engines told draining or gone",
-            self.to_draining + self.to_gone == 0,
+            self.to_draining + self.to_removed == 0,
             format!(
                 "{} attempts: {} to engines told draining, {} told gone",
-                self.attempts, self.to_draining, self.to_gone
+                self.attempts, self.to_draining, self.to_removed
             ),
             &[
                 ("attempts", self.attempts as f64),
                 ("to_draining", self.to_draining as f64),
-                ("to_gone", self.to_gone as f64),
+                ("to_gone", self.to_removed as f64),
             ],
         )
     }
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Seconds over the deadline that pass; clients measure to the millisecond.
-const DEADLINE_TOLERANCE: f64 = 0.001;
+const DEADLINE_TOLERANCE_SECONDS: f64 = 0.001;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
@@ -33,7 +33,7 @@
     broken: u64,
     late: u64,
     repeated: u64,
-    sent_after: u64,
+    attempts_after_answer: u64,
 }
 
 impl Queries {
@@ -48,7 +48,7 @@
             broken: 0,
             late: 0,
             repeated: 0,
-            sent_after: 0,
+            attempts_after_answer: 0,
         }
     }
 
@@ -80,7 +80,7 @@
     /// Takes in an attempt; returns how many engines had seen one of this query before.
     pub fn attempt_began(&mut self, name: QueryName) -> u32 {
         let Some(query) = self.open.get_mut(&name) else {
-            self.sent_after += 1;
+            self.attempts_after_answer += 1;
             return 0;
         };
         query.attempts += 1;
@@ -100,7 +100,8 @@
     }
 
     fn past_deadline(&self, query: &OpenQuery, now: SimTime) -> bool {
-        now.since(query.came) > self.experiment.classes[query.class].deadline + DEADLINE_TOLERANCE
+        now.since(query.came)
+            > self.experiment.classes[query.class].deadline + DEADLINE_TOLERANCE_SECONDS
     }
 
     pub fn findings(&self, now: SimTime) -> Vec<Finding> {
@@ -110,7 +111,7 @@
             .filter(|query| self.past_deadline(query, now))
             .count() as u64;
         let answered = self.succeeded + self.rejected + self.failed;
-        let faults = self.late + self.repeated + self.sent_after + unanswered;
+        let faults = self.late + self.repeated + self.attempts_after_answer + unanswered;
         let rule = Finding::new(
             "rule 1, one final answer in time",
             faults == 0 && answered > 0,
@@ -120,7 +121,7 @@
                 self.came,
                 self.late,
                 self.repeated,
-                self.sent_after,
+                self.attempts_after_answer,
                 self.broken,
                 self.open.len()
             ),
@@ -129,7 +130,7 @@
                 ("unanswered", unanswered as f64),
                 ("late", self.late as f64),
                 ("repeated", self.repeated as f64),
-                ("sent_after", self.sent_after as f64),
+                ("sent_after", self.attempts_after_answer as f64),
                 ("broken", self.broken as f64),
             ],
         );
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -5,20 +5,20 @@
 
 mod change_log;
 mod clients;
-mod cold;
+mod cold_engine;
 mod engine;
+mod environment;
 mod event;
 mod event_queue;
 mod experiment;
 mod gateway;
+mod injected_fault;
 mod judge;
 mod membership;
 mod module_settings;
 mod report;
 mod script;
-mod slip;
 mod slots;
-mod surroundings;
 mod time;
 mod world;
 
--- a/crates/scale/src/fleet/module_settings.rs
+++ b/crates/scale/src/fleet/module_settings.rs
@@ -1,20 +1,20 @@
 //! The settings that a gateway's decision module works by, from an experiment.
 
 use super::experiment::{Experiment, QueryClass};
-use super::slip::Slip;
+use super::injected_fault::InjectedFault;
 use garnetwall::api::{self, Idempotency, LoadReporting, RetryBudget, Settings, SlowStart};
 
 /// Goals stand at this share of the deadline; the mean of our deployments.
-const GOAL_SHARE: f64 = 1.0 / 3.0;
-const GOAL_STRETCH: f64 = 2.0;
-const LATE_SHARE: f64 = 0.3;
+const LATENCY_OBJECTIVE_SHARE: f64 = 1.0 / 3.0;
+const LATENCY_OBJECTIVE_STRETCH: f64 = 2.0;
+const LATE_VALUE_SHARE: f64 = 0.3;
 /// Part of the cold budget that a slip leaves.
-const SLIP_COLD_PART: f64 = 0.01;
-const MOST_ATTEMPTS: u32 = 4;
-const LONGEST_RETRY_AFTER: f64 = 1.0;
+const FAULTY_OVERLOAD_FRACTION: f64 = 0.01;
+const MAX_ATTEMPTS: u32 = 4;
+const MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
 
 pub fn module_settings(experiment: &Experiment) -> Settings {
-    let slip = experiment.slip;
+    let injected_fault = experiment.injected_fault;
     let retries = &experiment.retries;
     let budget = RetryBudget {
         floor: retries.floor,
@@ -22,23 +22,23 @@
         window: retries.window,
     };
     let cold = &experiment.cold;
-    let cold_part = if slip == Some(Slip::ColdShunned) {
-        SLIP_COLD_PART
+    let overload_fraction = if injected_fault == Some(InjectedFault::ColdShunned) {
+        FAULTY_OVERLOAD_FRACTION
     } else {
         1.0
     };
-    let cold_rule = SlowStart {
+    let slow_start = SlowStart {
         initial_fraction: cold.starts_at,
         duration: cold.warm_after,
-        overload_multiple: cold.multiple * cold_part,
+        overload_multiple: cold.multiple * overload_fraction,
         window: cold.window,
     };
-    let holders_known = slip != Some(Slip::HoldersForgotten);
+    let holders_known = injected_fault != Some(InjectedFault::HoldersForgotten);
     Settings {
         classes: experiment
             .classes
             .iter()
-            .map(|class| query_class(class, slip))
+            .map(|class| query_class(class, injected_fault))
             .collect(),
         tenants: 1,
         gateways: if holders_known {
@@ -57,24 +57,24 @@
         health_checks_allowed: true,
         cancellation_allowed: true,
         retry_after_allowed: true,
-        max_retry_after: LONGEST_RETRY_AFTER,
-        max_attempts: MOST_ATTEMPTS,
-        retry_budget: (slip != Some(Slip::BudgetForgotten)).then_some(budget),
-        slow_start: Some(cold_rule),
+        max_retry_after: MAX_RETRY_AFTER_SECONDS,
+        max_attempts: MAX_ATTEMPTS,
+        retry_budget: (injected_fault != Some(InjectedFault::BudgetForgotten)).then_some(budget),
+        slow_start: Some(slow_start),
         ..Settings::default()
     }
 }
 
-fn query_class(class: &QueryClass, slip: Option<Slip>) -> api::QueryClass {
-    let placed = slip != Some(Slip::PlacementForgotten);
+fn query_class(class: &QueryClass, injected_fault: Option<InjectedFault>) -> api::QueryClass {
+    let placed = injected_fault != Some(InjectedFault::PlacementForgotten);
     api::QueryClass {
-        latency_objective: class.deadline * GOAL_SHARE,
-        latency_objective_stretch: GOAL_STRETCH,
+        latency_objective: class.deadline * LATENCY_OBJECTIVE_SHARE,
+        latency_objective_stretch: LATENCY_OBJECTIVE_STRETCH,
         deadline: class.deadline,
         priority_weight: 1.0,
-        late_value_share: LATE_SHARE,
+        late_value_share: LATE_VALUE_SHARE,
         idempotency: Idempotency::Idempotent,
-        in_order: class.keys > 0 && slip != Some(Slip::OrderForgotten),
+        in_order: class.keys > 0 && injected_fault != Some(InjectedFault::OrderForgotten),
         zones: class.zones.clone().filter(|_| placed),
         kinds: class.kinds.clone().filter(|_| placed),
         threads: 1.0,
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -80,15 +80,15 @@
         wall_seconds: wall.as_secs_f64(),
         peak_memory_kb: peak_memory_kb(),
     };
-    write_line(&mut file, &header)?;
+    write_record(&mut file, &header)?;
     played
         .findings
         .iter()
-        .try_for_each(|finding: &Finding| write_line(&mut file, finding))?;
+        .try_for_each(|finding: &Finding| write_record(&mut file, finding))?;
     file.flush()
 }
 
-fn write_line(file: &mut impl Write, value: &impl Serialize) -> io::Result<()> {
+fn write_record(file: &mut impl Write, value: &impl Serialize) -> io::Result<()> {
     serde_json::to_writer(&mut *file, value)?;
     file.write_all(b"\n")
 }
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -14,7 +14,7 @@
     /// Whether it takes new ones.
     pub joined: bool,
     /// The line by which the module knows it.
-    pub line: Option<Endpoint>,
+    pub endpoint: Option<Endpoint>,
 }
 
 #[derive(Default)]
@@ -30,7 +30,7 @@
     pub engine: usize,
     /// Nothing of it is open: its index may be used again.
     pub freed: bool,
-    pub line: Option<Endpoint>,
+    pub endpoint: Option<Endpoint>,
 }
 
 /// A member of which an attempt is over.
@@ -86,7 +86,7 @@
             holders,
             open: 0,
             joined: true,
-            line: None,
+            endpoint: None,
         });
         self.by_key.insert(key, slot);
     }
@@ -100,7 +100,7 @@
     pub fn leave(&mut self, key: EngineKey) -> Option<Left> {
         let (slot, member) = self.joined(key)?;
         member.joined = false;
-        let (engine, freed, line) = (member.engine, member.open == 0, member.line);
+        let (engine, freed, endpoint) = (member.engine, member.open == 0, member.endpoint);
         if freed {
             self.free_slot(slot);
         }
@@ -108,12 +108,12 @@
             slot,
             engine,
             freed,
-            line,
+            endpoint,
         })
     }
 
     /// One attempt of this index is over.
-    pub fn attempt_over(&mut self, slot: EngineId) -> Option<Settled> {
+    pub fn attempt_ended(&mut self, slot: EngineId) -> Option<Settled> {
         let member = self.get_mut(slot)?;
         member.open -= 1;
         let (key, freed) = (member.key, member.open == 0 && !member.joined);
--- a/crates/scale/src/fleet/slots/tests.rs
+++ b/crates/scale/src/fleet/slots/tests.rs
@@ -10,7 +10,7 @@
     slots.join(EngineKey(2), 2, 2.0);
     assert_eq!(slots.joined(EngineKey(2)).map(|(slot, _)| slot), Some(1));
     assert!(slots.joined(EngineKey(1)).is_none());
-    assert!(slots.attempt_over(0).expect("a member").freed);
+    assert!(slots.attempt_ended(0).expect("a member").freed);
     slots.join(EngineKey(3), 3, 2.0);
     assert_eq!(slots.joined(EngineKey(3)).map(|(slot, _)| slot), Some(0));
 }
@@ -22,7 +22,7 @@
     slots.get_mut(0).expect("joined").open = 1;
     slots.leave(EngineKey(1));
     slots.join(EngineKey(1), 1, 3.0);
-    assert!(!slots.attempt_over(0).expect("a member").freed);
+    assert!(!slots.attempt_ended(0).expect("a member").freed);
     assert_eq!(
         slots
             .joined(EngineKey(1))
--- a/crates/scale/src/fleet/world.rs
+++ b/crates/scale/src/fleet/world.rs
@@ -1,11 +1,11 @@
 //! The fleet: gateways and what they meet, played event by event.
 
 use super::clients::{self, Clients};
+use super::environment::Environment;
 use super::event::{EngineStep, Event};
 use super::experiment::Experiment;
 use super::gateway::Gateway;
 use super::judge::Finding;
-use super::surroundings::Surroundings;
 use super::time::SimTime;
 use garnetwall::api::AttemptEnd;
 use garnetwall_subset::{ListedState, SubsetError};
@@ -14,14 +14,14 @@
 use std::rc::Rc;
 
 /// Seconds in which all gateways start at the beginning.
-const FIRST_START: f64 = 0.5;
+const INITIAL_START_SPREAD_SECONDS: f64 = 0.5;
 /// Seconds that an engine told to drain has until it is replaced.
-const DRAIN_DEADLINE: f64 = 3.0;
+const DRAIN_DEADLINE_SECONDS: f64 = 3.0;
 
 pub struct World {
     pub(super) experiment: Rc<Experiment>,
     pub(super) gateways: Vec<Gateway>,
-    pub(super) around: Surroundings,
+    pub(super) environment: Environment,
 }
 
 /// What a play came to.
@@ -45,11 +45,11 @@
             )
         };
         let gateways: Vec<Gateway> = rates.into_iter().enumerate().map(gateway).collect();
-        let around = Surroundings::new(Rc::clone(&experiment), random);
+        let environment = Environment::new(Rc::clone(&experiment), random);
         World {
             experiment,
             gateways,
-            around,
+            environment,
         }
     }
 
@@ -57,60 +57,74 @@
     pub fn play(mut self) -> Result<Played, SubsetError> {
         let end = SimTime::from_seconds(self.experiment.seconds);
         self.schedule_beginning();
-        while let Some((now, event)) = self.around.queue.pop() {
+        while let Some((now, event)) = self.environment.queue.pop() {
             if now > end {
                 break;
             }
             self.handle(now, event)?;
         }
         Ok(Played {
-            findings: self.around.judge.findings(end),
-            events: self.around.queue.pushed(),
-            mean_work: self.around.demand.mean_work,
+            findings: self.environment.judge.findings(end),
+            events: self.environment.queue.scheduled_total(),
+            mean_work: self.environment.demand.mean_work,
         })
     }
 
     fn schedule_beginning(&mut self) {
         for gateway in 0..self.gateways.len() as u32 {
-            let at = SimTime::START.after(self.around.random.random_range(0.0..FIRST_START));
-            self.around.queue.push(at, Event::GatewayStarts { gateway });
+            let at = SimTime::START.after(
+                self.environment
+                    .random
+                    .random_range(0.0..INITIAL_START_SPREAD_SECONDS),
+            );
+            self.environment
+                .queue
+                .push(at, Event::GatewayStarts { gateway });
         }
-        for (line, script) in self.experiment.script.iter().enumerate() {
-            let at = SimTime::from_seconds(script.at);
-            self.around
+        for (step, script) in self.experiment.script.iter().enumerate() {
+            let at = SimTime::from_seconds(script.at_seconds);
+            self.environment
                 .queue
-                .push(at, Event::Script { line: line as u32 });
+                .push(at, Event::Script { step: step as u32 });
         }
     }
 
     fn handle(&mut self, now: SimTime, event: Event) -> Result<(), SubsetError> {
         match event {
-            Event::Arrival { gateway, life } => {
-                if let Some(gateway) = alive(&mut self.gateways, gateway, life) {
-                    gateway.arrival(now, &mut self.around);
+            Event::Arrival {
+                gateway,
+                incarnation,
+            } => {
+                if let Some(gateway) = running_gateway(&mut self.gateways, gateway, incarnation) {
+                    gateway.arrival(now, &mut self.environment);
                 }
             }
-            Event::Wake { gateway, life } => {
-                let gateway = alive(&mut self.gateways, gateway, life);
+            Event::Wake {
+                gateway,
+                incarnation,
+            } => {
+                let gateway = running_gateway(&mut self.gateways, gateway, incarnation);
                 if let Some(gateway) =
                     gateway.and_then(|gateway| gateway.wakes(now).then_some(gateway))
                 {
-                    gateway.pump(now, &mut self.around);
+                    gateway.pump(now, &mut self.environment);
                 }
             }
             Event::Deliver {
                 gateway,
-                life,
+                incarnation,
                 sequence,
             } => {
-                let gateway = alive(&mut self.gateways, gateway, life);
+                let gateway = running_gateway(&mut self.gateways, gateway, incarnation);
                 if let Some(gateway) = gateway.filter(|gateway| !gateway.cut) {
-                    gateway.deliver(now, sequence as usize, &mut self.around);
+                    gateway.deliver(now, sequence as usize, &mut self.environment);
                 }
             }
             Event::AttemptFails { key, end } => {
-                if let Some(gateway) = alive(&mut self.gateways, key.gateway, key.life) {
-                    gateway.attempt_ended(now, key, end, &mut self.around);
+                if let Some(gateway) =
+                    running_gateway(&mut self.gateways, key.gateway, key.incarnation)
+                {
+                    gateway.attempt_ended(now, key, end, &mut self.environment);
                 }
             }
             Event::EngineDue { engine } => self.engine_due(now, engine as usize),
@@ -119,16 +133,16 @@
                 self.gateway_ends(now, gateway, f64::from(down_for))
             }
             Event::GatewayStarts { gateway } => self.gateway_starts(now, gateway)?,
-            Event::PublishLines => {
-                let lines = self.around.log.publish_lines();
-                self.announce(now, &lines);
+            Event::PublishUpdates => {
+                let updates = self.environment.log.publish_updates();
+                self.announce(now, &updates);
             }
             Event::PublishConfiguration => {
-                self.around.log.publish_configuration();
+                self.environment.log.publish_configuration();
                 self.announce(now, &[]);
             }
             Event::RegionHeals { region } => self.region_heals(now, region as usize),
-            Event::Script { line } => self.script_line(now, line as usize),
+            Event::Script { step } => self.play_script_step(now, step as usize),
         }
         Ok(())
     }
@@ -136,33 +150,40 @@
     // ---- engines ----
 
     fn engine_due(&mut self, now: SimTime, engine: usize) {
-        let hollow = &mut self.around.engines[engine];
+        let hollow = &mut self.environment.engines[engine];
         if hollow.due != Some(now) {
             return;
         }
         hollow.due = None;
         let finished = hollow.finished(&self.experiment.cold, now);
         for key in finished {
-            if let Some(gateway) = alive(&mut self.gateways, key.gateway, key.life) {
-                gateway.attempt_ended(now, key, AttemptEnd::Succeeded, &mut self.around);
+            if let Some(gateway) = running_gateway(&mut self.gateways, key.gateway, key.incarnation)
+            {
+                gateway.attempt_ended(now, key, AttemptEnd::Succeeded, &mut self.environment);
             }
         }
-        self.around.schedule_engine(now, engine);
+        self.environment.schedule_engine(now, engine);
     }
 
     fn engine_step(&mut self, now: SimTime, engine: usize, step: EngineStep) {
-        let around = &mut self.around;
+        let environment = &mut self.environment;
         match step {
-            EngineStep::TellGone => around.tell(now, engine, ListedState::Removed),
-            EngineStep::Start => around.start_engine(now, engine),
-            EngineStep::Restart => around.restart_engine(now, engine),
-            EngineStep::Speak => around.silence_engine(now, engine, false),
+            EngineStep::ReportRemoved => {
+                environment.stage_update(now, engine, ListedState::Removed)
+            }
+            EngineStep::Start => environment.start_engine(now, engine),
+            EngineStep::Restart => environment.restart_engine(now, engine),
+            EngineStep::Respond => environment.silence_engine(now, engine, false),
             EngineStep::Drain => {
-                around.judge.engine_disturbed(engine);
-                around.tell(now, engine, ListedState::Draining);
-                around.plan(now.after(DRAIN_DEADLINE), engine, EngineStep::Replace);
+                environment.judge.engine_disturbed(engine);
+                environment.stage_update(now, engine, ListedState::Draining);
+                environment.plan(
+                    now.after(DRAIN_DEADLINE_SECONDS),
+                    engine,
+                    EngineStep::Replace,
+                );
             }
-            EngineStep::Replace => around.replace_engine(now, engine),
+            EngineStep::Replace => environment.replace_engine(now, engine),
         }
     }
 
@@ -170,38 +191,38 @@
 
     pub(super) fn gateway_ends(&mut self, now: SimTime, gateway: u32, down_for: f64) {
         let ended = &mut self.gateways[gateway as usize];
-        if !ended.up {
+        if !ended.running {
             return;
         }
-        ended.end(now, &mut self.around);
-        self.around
+        ended.end(now, &mut self.environment);
+        self.environment
             .queue
             .push(now.after(down_for), Event::GatewayStarts { gateway });
     }
 
     fn gateway_starts(&mut self, now: SimTime, gateway: u32) -> Result<(), SubsetError> {
-        let seed = self.around.random.random();
-        self.gateways[gateway as usize].start(now, seed, &mut self.around)
+        let seed = self.environment.random.random();
+        self.gateways[gateway as usize].start(now, seed, &mut self.environment)
     }
 
     // ---- the change log ----
 
     /// Sends the latest entry to all gateways that the log reaches.
-    fn announce(&mut self, now: SimTime, lines: &[super::change_log::ToldLine]) {
-        let sequence = self.around.log.latest();
-        self.around.judge.published(now, sequence, lines);
+    fn announce(&mut self, now: SimTime, updates: &[super::change_log::EndpointUpdate]) {
+        let sequence = self.environment.log.latest();
+        self.environment.judge.published(now, sequence, updates);
         for gateway in self
             .gateways
             .iter()
-            .filter(|gateway| gateway.up && !gateway.cut)
+            .filter(|gateway| gateway.running && !gateway.cut)
         {
-            let at = now.after(self.around.delivery_delay());
-            let (gateway, life) = (gateway.number, gateway.life);
-            self.around.queue.push(
+            let at = now.after(self.environment.delivery_delay());
+            let (gateway, incarnation) = (gateway.number, gateway.incarnation);
+            self.environment.queue.push(
                 at,
                 Event::Deliver {
                     gateway,
-                    life,
+                    incarnation,
                     sequence: sequence as u32,
                 },
             );
@@ -211,18 +232,19 @@
     /// The gateways of a region catch up, spread over the time told.
     fn region_heals(&mut self, now: SimTime, region: usize) {
         let resume = self.experiment.log.resume;
-        let sequence = self.around.log.latest() as u32;
+        let sequence = self.environment.log.latest() as u32;
         for number in self.gateways_of_region(region) {
             let gateway = &mut self.gateways[number];
             gateway.cut = false;
-            self.around.judge.healed(now, gateway.number);
-            let wait = self.around.random.random::<f64>() * resume + self.around.delivery_delay();
-            let (gateway, life) = (gateway.number, gateway.life);
-            self.around.queue.push(
+            self.environment.judge.healed(now, gateway.number);
+            let wait = self.environment.random.random::<f64>() * resume
+                + self.environment.delivery_delay();
+            let (gateway, incarnation) = (gateway.number, gateway.incarnation);
+            self.environment.queue.push(
                 now.after(wait),
                 Event::Deliver {
                     gateway,
-                    life,
+                    incarnation,
                     sequence,
                 },
             );
@@ -237,8 +259,12 @@
 }
 
 /// The gateway, if this process of it still runs.
-fn alive(gateways: &mut [Gateway], gateway: u32, life: u32) -> Option<&mut Gateway> {
+fn running_gateway(
+    gateways: &mut [Gateway],
+    gateway: u32,
+    incarnation: u32,
+) -> Option<&mut Gateway> {
     gateways
         .get_mut(gateway as usize)
-        .filter(|gateway| gateway.up && gateway.life == life)
+        .filter(|gateway| gateway.running && gateway.incarnation == incarnation)
 }
