--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -1,11 +1,11 @@
-//! The change log: numbered entries, and the list of engines as it stands after each.
+//! The change log: numbered entries, and the endpoint list after each.
 
 use super::time::SimTime;
 use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, ListedEngine};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// What the log tells of one engine.
+/// One engine's entry in the endpoint list, as published.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdate {
     pub engine: usize,
@@ -17,7 +17,7 @@
 #[derive(Clone, Default)]
 pub struct ListState {
     pub catalog: Catalog,
-    /// Start of each engine's process as told, by the engine's number.
+    /// Published start of each engine's process, by the engine's number.
     pub started: Vec<Option<SimTime>>,
     engine_of_key: HashMap<EngineKey, usize>,
 }
@@ -71,7 +71,7 @@
 #[derive(Clone)]
 pub struct Entry {
     pub changes: Vec<Change>,
-    /// Engines that were in the list and whose process started anew.
+    /// Engines that were in the list and whose process was started again.
     pub restarted: Vec<EngineKey>,
     pub list: Rc<ListState>,
     /// The version of the configuration from here on.
@@ -81,7 +81,7 @@
 /// All entries so far; entry 0 is the list at the start.
 pub struct ChangeLog {
     entries: Vec<Entry>,
-    /// Lines that go out with the next entry.
+    /// Updates for the next entry, by engine.
     pending: BTreeMap<usize, EndpointUpdate>,
 }
 
@@ -109,14 +109,14 @@
         &self.entries[sequence]
     }
 
-    /// Puts a line into the next entry; whether that is the first one.
+    /// Adds an update to the next entry; returns whether it is the first one there.
     pub fn stage(&mut self, update: EndpointUpdate) -> bool {
         let first = self.pending.is_empty();
         self.pending.insert(update.engine, update);
         first
     }
 
-    /// Writes what is staged; returns the lines of the new entry.
+    /// Writes the staged updates as an entry, and returns them.
     pub fn publish_updates(&mut self) -> Vec<EndpointUpdate> {
         let updates: Vec<EndpointUpdate> =
             std::mem::take(&mut self.pending).into_values().collect();
@@ -132,7 +132,7 @@
         updates
     }
 
-    /// Writes an entry with a new version of the configuration, and no lines.
+    /// Writes an entry with a new version of the configuration, and no updates.
     pub fn publish_configuration(&mut self) {
         let before = &self.entries[self.latest()];
         let entry = Entry {
--- a/crates/scale/src/fleet/clients.rs
+++ b/crates/scale/src/fleet/clients.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// When the next query comes.
+    /// When the next query arrives.
     pub fn next_arrival(&mut self, now: SimTime) -> SimTime {
         let gap: f64 = Exp1.sample(&mut self.random);
         now.after(gap / self.rate)
--- a/crates/scale/src/fleet/cold_engine.rs
+++ b/crates/scale/src/fleet/cold_engine.rs
@@ -1,10 +1,10 @@
-//! The rule on cold engines: how much work they stand before they fall.
+//! How much work a cold engine can take before it crashes.
 
 use super::experiment::Cold;
 use super::time::SimTime;
 use std::collections::VecDeque;
 
-/// Roots of the budget, and queries, by which chance may pass it.
+/// Random arrivals may exceed the budget by so many standard deviations, and so many queries.
 const TOLERANCE_STANDARD_DEVIATIONS: f64 = 2.0;
 const TOLERANCE_QUERIES: f64 = 2.0;
 
@@ -13,11 +13,11 @@
 pub struct ColdWork {
     pub at: SimTime,
     pub work: f64,
-    /// Whether the gateway had been told of the start.
+    /// Whether the gateway had been notified of the start.
     pub notified: bool,
 }
 
-/// What came to a cold engine in the window that ends now.
+/// Attempts at a cold engine in the window that ends now.
 #[derive(Debug, Default)]
 pub struct ColdWindow {
     attempts: VecDeque<ColdWork>,
@@ -59,12 +59,12 @@
     }
 }
 
-/// The budget of a window in queries of mean work, by the capacity that is told of a cold engine.
+/// The budget of a window in queries of mean work, by the capacity of a cold engine.
 pub fn budget(cold: &Cold, cores: f64, mean_work: f64) -> f64 {
     cold.multiple * cold.window * cold.starts_at * cores / mean_work
 }
 
-/// The most that a window may hold, chance included.
+/// The limit of a window in queries of mean work, tolerance included.
 pub fn limit_queries(budget: f64) -> f64 {
     budget + TOLERANCE_STANDARD_DEVIATIONS * budget.sqrt() + TOLERANCE_QUERIES
 }
--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -1,18 +1,18 @@
-//! A hollow engine: attempts share its cores; a cold one is slow, and falls when it is overrun.
+//! A hollow engine: attempts share its cores; a cold one is slow, and crashes when it is overloaded.
 
 use super::cold_engine::{self, ColdWindow, ColdWork};
 use super::experiment::Cold;
 use super::time::SimTime;
 use std::collections::BTreeSet;
 
-/// Seconds after which a cold engine's speed is computed anew.
+/// While it warms up its speed is computed again at this interval.
 const WARMUP_STEP_SECONDS: f64 = 0.25;
 /// Progress is compared in units of a nanosecond on one core.
 const PROGRESS_UNITS_PER_CORE_SECOND: f64 = 1e9;
 /// Attempts that lack less than this many units are done; a tenth of a microsecond's rounding.
 const COMPLETION_TOLERANCE_UNITS: u64 = 2_000;
 
-/// Names an attempt. `life` tells a gateway's processes apart.
+/// Identifies an attempt across all gateways and their processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     pub gateway: u32,
@@ -27,11 +27,11 @@
     /// It takes attempts and answers none.
     Silent,
     Down,
-    /// It has been replaced, and never comes back.
+    /// It has been replaced and is not started again.
     Retired,
 }
 
-/// Where an engine stands, and what it is.
+/// An engine's place and hardware.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
     pub zone: usize,
@@ -40,18 +40,18 @@
     pub cores: f64,
 }
 
-/// Whether an engine that took an attempt still stands.
+/// Whether an engine that received an attempt still runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
     Runs,
-    /// The attempt was one too many: all that ran is broken.
+    /// The attempt overloaded it: its process ends, with all attempts.
     Fell,
 }
 
 pub struct Engine {
     pub site: Site,
     pub state: EngineState,
-    /// When its process started; `None` for one that was warm when the play began.
+    /// When its process started; `None` for one that was warm when the simulation began.
     pub started: Option<SimTime>,
     /// Attempts by the progress at which they are done.
     running: BTreeSet<(u64, AttemptKey)>,
@@ -167,7 +167,7 @@
         finished
     }
 
-    /// When to look again: at the next end of an attempt, or sooner while it warms up.
+    /// When its next event is due: the end of an attempt, or sooner while it warms up.
     pub fn next_due(&self, cold: &Cold, now: SimTime) -> Option<SimTime> {
         let speed = self.speed(cold, now);
         let (done_at, _) = self.running.first().filter(|_| speed > 0.0)?;
@@ -191,7 +191,7 @@
             .collect()
     }
 
-    /// Starts a process anew, cold.
+    /// Starts a new process, which is cold.
     pub fn start(&mut self, now: SimTime) {
         self.state = EngineState::Up;
         self.started = Some(now);
@@ -199,7 +199,7 @@
         self.window.clear();
     }
 
-    /// Falls silent, or speaks again; what ran stands still meanwhile.
+    /// Stops or resumes answering; attempts make no progress while it is silent.
     pub fn silence(&mut self, cold: &Cold, now: SimTime, silent: bool) {
         self.advance(cold, now);
         self.state = match (self.state, silent) {
--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -1,4 +1,4 @@
-//! What gateways meet: engines, the change log, clients, the queue of events, and the judge that watches.
+//! What surrounds the gateways: engines, the change log, clients, the event queue and the judge.
 
 use super::change_log::{ChangeLog, EndpointUpdate};
 use super::clients::Demand;
@@ -15,7 +15,7 @@
 use rand::Rng;
 use std::rc::Rc;
 
-/// Seconds in which lines are gathered into one entry of the log.
+/// Updates within this time are published as one entry of the log.
 const PUBLISH_INTERVAL_SECONDS: f64 = 0.1;
 
 pub struct Environment {
@@ -62,7 +62,7 @@
 
     // ---- attempts ----
 
-    /// An attempt goes to an engine. Returns the progress by which it can be withdrawn, if the engine was reached.
+    /// Sends an attempt to an engine. Returns the progress by which it can be withdrawn, if the engine was reached.
     pub fn send(&mut self, now: SimTime, key: AttemptKey, attempt: SeenAttempt) -> Option<u64> {
         let engine = &mut self.engines[attempt.engine];
         if !engine.reachable() {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Sees to it that the engine is looked at when its next attempt is done.
+    /// Schedules the engine's next event.
     pub fn schedule_engine(&mut self, now: SimTime, engine: usize) {
         let hollow = &mut self.engines[engine];
         let Some(next) = hollow.next_due(&self.experiment.cold, now) else {
@@ -119,7 +119,7 @@
         self.restart_engine(now, engine);
     }
 
-    /// A process ends and breaks its connections; it starts anew after a while.
+    /// Ends a process with its connections, and schedules the next start.
     pub fn restart_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         let up_at = now.after(self.experiment.engines.restart);
@@ -185,7 +185,7 @@
 
     // ---- the change log ----
 
-    /// Stages a line on an engine as it is now.
+    /// Stages an update on an engine as it is now.
     pub fn stage_update(&mut self, now: SimTime, engine: usize, state: ListedState) {
         let mut update = endpoint_update(engine, &self.engines[engine], state);
         if self.injects(InjectedFault::StartsUntold) {
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -5,12 +5,12 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A client's query comes to a gateway's process.
+    /// A client's query arrives at a gateway's process.
     Arrival {
         gateway: u32,
         incarnation: u32,
     },
-    /// A gateway's process has something to look after.
+    /// A timer of a gateway's process is due.
     Wake {
         gateway: u32,
         incarnation: u32,
@@ -41,7 +41,7 @@
         key: AttemptKey,
         end: AttemptEnd,
     },
-    /// What is staged goes out as one entry of the change log.
+    /// The staged updates are published as one entry of the change log.
     PublishUpdates,
     PublishConfiguration,
     RegionHeals {
@@ -52,18 +52,41 @@
     },
 }
 
+impl Event {
+    /// Number and incarnation of the gateway whose process the event is for; `None` for all other events.
+    pub fn process(&self) -> Option<(u32, u32)> {
+        match *self {
+            Event::Arrival {
+                gateway,
+                incarnation,
+            }
+            | Event::Wake {
+                gateway,
+                incarnation,
+            }
+            | Event::Deliver {
+                gateway,
+                incarnation,
+                ..
+            } => Some((gateway, incarnation)),
+            Event::AttemptFails { key, .. } => Some((key.gateway, key.incarnation)),
+            _ => None,
+        }
+    }
+}
+
 /// A planned change of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineStep {
-    /// The log tells that it is gone.
+    /// The log reports it as removed.
     ReportRemoved,
-    /// Its process starts anew, cold.
+    /// A new process starts, cold.
     Start,
-    /// It is told to drain, and is replaced later.
+    /// It drains, and is replaced later.
     Drain,
     /// It ends, and a new engine takes its place.
     Replace,
-    /// Its process ends, and starts anew after a while.
+    /// Its process ends; a new one starts later.
     Restart,
     Respond,
 }
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -8,14 +8,16 @@
 const MAX_GATEWAYS: usize = 20_000;
 const MAX_ENGINES: usize = 50_000;
 const MAX_SECONDS: f64 = 3_600.0;
+/// Of the lists of classes and kinds.
+const MAX_ENTRIES: f64 = 64.0;
 
-/// One play of the fleet.
+/// One run of the hollow fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub name: String,
     pub seed: u64,
-    /// Seconds played.
+    /// Simulated seconds.
     pub seconds: f64,
     /// Seconds at the start that do not count for the spread of work.
     pub settle: f64,
@@ -40,9 +42,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
     pub count: usize,
-    /// Queries a second that one gateway is played with, in the mean.
+    /// Queries a second that one gateway receives, in the mean.
     pub rate: f64,
-    /// Queries a second that it stands for.
+    /// Queries a second of the real gateway that it stands for.
     pub real_rate: f64,
     /// This share of the gateways gets `busy_times` what the others get.
     pub busy_share: f64,
@@ -104,10 +106,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
-    /// Seconds that each delivery takes at least, and the mean of what comes on top by an exponential draw.
+    /// Seconds that each delivery takes at least, and the mean of an exponentially distributed addition.
     pub least_delay: f64,
     pub mean_delay: f64,
-    /// Seconds until the log tells that a rack or zone is lost.
+    /// Seconds until the log reports the loss of a rack or zone.
     #[serde(rename = "loss_told")]
     pub loss_report_delay: f64,
     /// A region that is connected again catches up spread over so many seconds.
@@ -121,7 +123,7 @@
     pub share: f64,
     /// Mean work, in means of all queries before scaling.
     pub work: f64,
-    /// Seconds until the client gives up.
+    /// Seconds until the client cancels.
     pub deadline: f64,
     /// Keys a gateway; their queries run in order, one at a time. 0: no keys.
     #[serde(default)]
@@ -130,7 +132,7 @@
     pub kinds: Option<Vec<u32>>,
 }
 
-/// What happens at a time. Which of the fields an action reads is told in docs/scale.md.
+/// One action of the script; docs/scale.md lists the fields that each action reads.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScriptStep {
@@ -179,8 +181,8 @@
     pub in_force_p99: f64,
     /// Seconds after a zone's loss in which 99 in 100 gateways have full subsets again.
     pub refill_p99: f64,
-    /// Share of its cold budget that a started engine gets from gateways that were told, in the median. Left out where
-    /// so small a fraction of the queries is played that gateways have nothing to send it: then it is not judged.
+    /// Share of its cold budget that a started engine gets from notified gateways, in the median. Left out where
+    /// so small a fraction of the queries is simulated that gateways have nothing to send it: then it is not judged.
     pub cold_share_p50: Option<f64>,
     /// Share of the queries that succeed.
     pub succeeded: f64,
@@ -223,19 +225,34 @@
     }
 
     fn check(&self) -> Result<(), ExperimentError> {
-        let (gateways, engines) = (&self.gateways, &self.engines);
         within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         within("settle", self.settle, 0.0, self.seconds)?;
-        within(
-            "gateways.count",
-            gateways.count as f64,
-            1.0,
-            MAX_GATEWAYS as f64,
-        )?;
+        self.check_gateways()?;
+        self.check_engines()?;
+        self.check_durations()?;
+        self.check_rules()?;
+        self.check_topology()?;
+        let classes = self.classes.len() as f64;
+        within("classes, entries", classes, 1.0, MAX_ENTRIES)?;
+        self.classes.iter().try_for_each(QueryClass::check)?;
+        self.script
+            .iter()
+            .try_for_each(|step| self.check_step(step))
+    }
+
+    fn check_gateways(&self) -> Result<(), ExperimentError> {
+        let gateways = &self.gateways;
+        let count = gateways.count as f64;
+        within("gateways.count", count, 1.0, MAX_GATEWAYS as f64)?;
         within("gateways.rate", gateways.rate, 0.01, 1e5)?;
         within("gateways.real_rate", gateways.real_rate, gateways.rate, 1e6)?;
         within("gateways.busy_share", gateways.busy_share, 0.0, 1.0)?;
-        within("gateways.busy_times", gateways.busy_times, 1.0, 1e3)?;
+        within("gateways.busy_times", gateways.busy_times, 1.0, 1e3)
+    }
+
+    fn check_engines(&self) -> Result<(), ExperimentError> {
+        let engines = &self.engines;
+        let kinds = engines.kind_cores.len() as f64;
         within(
             "engines.count",
             engines.count as f64,
@@ -243,73 +260,44 @@
             MAX_ENGINES as f64,
         )?;
         within("engines.utilisation", engines.utilisation, 0.001, 10.0)?;
-        within(
-            "engines.kind_cores, entries",
-            engines.kind_cores.len() as f64,
-            1.0,
-            64.0,
-        )?;
-        for cores in &engines.kind_cores {
-            within("engines.kind_cores", *cores, 0.5, 1e4)?;
-        }
-        for (place, seconds) in [
-            ("engines.connect_timeout", engines.connect_timeout),
-            ("engines.loss_detection", engines.loss_detection),
-            ("engines.restart", engines.restart),
+        within("engines.kind_cores, entries", kinds, 1.0, MAX_ENTRIES)?;
+        engines
+            .kind_cores
+            .iter()
+            .try_for_each(|cores| within("engines.kind_cores", *cores, 0.5, 1e4))
+    }
+
+    fn check_durations(&self) -> Result<(), ExperimentError> {
+        let durations = [
+            ("engines.connect_timeout", self.engines.connect_timeout),
+            ("engines.loss_detection", self.engines.loss_detection),
+            ("engines.restart", self.engines.restart),
             ("log.least_delay", self.log.least_delay),
             ("log.mean_delay", self.log.mean_delay),
             ("log.loss_told", self.log.loss_report_delay),
             ("log.resume", self.log.resume),
-        ] {
-            within(place, seconds, 0.0, MAX_SECONDS)?;
-        }
+        ];
+        durations
+            .into_iter()
+            .try_for_each(|(place, seconds)| within(place, seconds, 0.0, MAX_SECONDS))
+    }
+
+    fn check_rules(&self) -> Result<(), ExperimentError> {
         within("cold.starts_at", self.cold.starts_at, 0.01, 1.0)?;
         within("cold.warm_after", self.cold.warm_after, 0.1, MAX_SECONDS)?;
         within("cold.multiple", self.cold.multiple, 0.1, 100.0)?;
         within("cold.window", self.cold.window, 0.1, MAX_SECONDS)?;
-        within("retries.window", self.retries.window, 0.1, MAX_SECONDS)?;
-        within(
-            "topology.zones",
-            self.topology.zones as f64,
-            1.0,
-            engines.count as f64,
-        )?;
-        within(
-            "topology.regions",
-            self.topology.regions as f64,
-            1.0,
-            self.topology.zones as f64,
-        )?;
-        within(
-            "topology.racks_per_zone",
-            self.topology.racks_per_zone as f64,
-            1.0,
-            1e4,
-        )?;
-        within("classes, entries", self.classes.len() as f64, 1.0, 64.0)?;
-        for class in &self.classes {
-            within(
-                &format!("classes, {}: share", class.name),
-                class.share,
-                1e-6,
-                1e6,
-            )?;
-            within(
-                &format!("classes, {}: work", class.name),
-                class.work,
-                1e-6,
-                1e6,
-            )?;
-            within(
-                &format!("classes, {}: deadline", class.name),
-                class.deadline,
-                0.1,
-                MAX_SECONDS,
-            )?;
-        }
-        self.script
-            .iter()
-            .try_for_each(|step| self.check_step(step))
+        within("retries.window", self.retries.window, 0.1, MAX_SECONDS)
+    }
+
+    fn check_topology(&self) -> Result<(), ExperimentError> {
+        let topology = &self.topology;
+        let (engines, zones) = (self.engines.count as f64, topology.zones as f64);
+        let regions = topology.regions as f64;
+        let racks_per_zone = topology.racks_per_zone as f64;
+        within("topology.zones", zones, 1.0, engines)?;
+        within("topology.regions", regions, 1.0, zones)?;
+        within("topology.racks_per_zone", racks_per_zone, 1.0, 1e4)
     }
 
     fn check_step(&self, step: &ScriptStep) -> Result<(), ExperimentError> {
@@ -352,6 +340,15 @@
     }
 }
 
+impl QueryClass {
+    fn check(&self) -> Result<(), ExperimentError> {
+        let place = |field| format!("classes, {}: {field}", self.name);
+        within(&place("share"), self.share, 1e-6, 1e6)?;
+        within(&place("work"), self.work, 1e-6, 1e6)?;
+        within(&place("deadline"), self.deadline, 0.1, MAX_SECONDS)
+    }
+}
+
 fn within(place: &str, found: f64, least: f64, most: f64) -> Result<(), ExperimentError> {
     if found >= least && found <= most {
         return Ok(());
--- a/crates/scale/src/fleet/gateway/attempts.rs
+++ b/crates/scale/src/fleet/gateway/attempts.rs
@@ -1,5 +1,6 @@
 //! The lifecycle of an attempt: placed, sent, and ended by its engine, the network, a timeout or the module.
 
+use super::super::clients::Query;
 use super::super::engine::AttemptKey;
 use super::super::environment::Environment;
 use super::super::injected_fault::InjectedFault;
@@ -140,23 +141,12 @@
         end: AttemptEnd,
         environment: &mut Environment,
     ) {
-        let name = self.query_name(id);
-        let attempt_key = self.attempt_key(id, attempt);
-        let Some(process) = &mut self.process else {
-            return;
-        };
-        let Some(query) = process.queries.get_mut(&id) else {
+        let Some((query, open)) = self.close_attempt(now, id, attempt, environment) else {
             return;
         };
-        let Some(open) = query.open.take_if(|open| open.number == attempt) else {
+        let Some(process) = &mut self.process else {
             return;
         };
-        let query = query.query;
-        process.deadlines.remove(&(open.deadline, id));
-        if let Some(done_at) = open.done_at {
-            environment.withdraw(now, attempt_key, open.engine, done_at);
-            environment.judge.attempt_ended(name, query.key);
-        }
         let succeeded = end == AttemptEnd::Succeeded;
         if succeeded {
             process.report_load(now, &open, environment);
@@ -180,4 +170,26 @@
             FollowUp::Nothing => {}
         }
     }
+
+    /// Removes an attempt that is in flight, and withdraws it from its engine if that was reached.
+    fn close_attempt(
+        &mut self,
+        now: SimTime,
+        id: QueryId,
+        attempt: u32,
+        environment: &mut Environment,
+    ) -> Option<(Query, OpenAttempt)> {
+        let name = self.query_name(id);
+        let key = self.attempt_key(id, attempt);
+        let process = self.process.as_mut()?;
+        let query = process.queries.get_mut(&id)?;
+        let open = query.open.take_if(|open| open.number == attempt)?;
+        let query = query.query;
+        process.deadlines.remove(&(open.deadline, id));
+        if let Some(done_at) = open.done_at {
+            environment.withdraw(now, key, open.engine, done_at);
+            environment.judge.attempt_ended(name, query.key);
+        }
+        Some((query, open))
+    }
 }
--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -32,7 +32,7 @@
     missing: Missing,
 }
 
-/// Deliveries that were overdue when their gateway ended, or at the end of the play.
+/// Deliveries that were overdue when their gateway ended, or at the end of the run.
 #[derive(Clone, Copy, Default)]
 struct Missing {
     unknown: u64,
@@ -83,7 +83,8 @@
 
     pub fn healed(&mut self, now: SimTime, gateway: u32) {
         let reader = &mut self.readers[gateway as usize];
-        (reader.cut, reader.healed) = (false, Some(now));
+        reader.cut = false;
+        reader.healed = Some(now);
     }
 
     pub fn delivered(&mut self, now: SimTime, gateway: u32, sequence: usize) {
--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -11,15 +11,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A window over the budget counts against the gateways if more than this share came from those that were told.
+/// A window over the budget counts against the gateways if more than this share came from notified gateways.
 const NOTIFIED_SHARE_LIMIT: f64 = 2.0 / 3.0;
-/// Seconds in which the log has to tell of a start.
+/// The log has to announce a start within this time.
 const START_ANNOUNCEMENT_LIMIT_SECONDS: f64 = 2.0;
 
 struct Start {
     at: SimTime,
     window: ColdWindow,
-    /// Work that came from gateways that were told, and from all, in seconds.
+    /// Work in core seconds from notified gateways, and from all.
     notified_work: f64,
     all_work: f64,
 }
@@ -44,7 +44,7 @@
     falls: u64,
     over: u64,
     over_by_notified: u64,
-    /// The largest part of budget and chance that gateways that were told filled in a window; and all gateways.
+    /// The largest share of a window's limit that notified gateways filled, and that all gateways filled.
     max_notified_fill: f64,
     max_total_fill: f64,
 }
@@ -87,7 +87,7 @@
         self.starts += 1;
     }
 
-    /// A cold time that does not run to its end tells nothing of its share.
+    /// Drops a cold time that did not run to its end: it says nothing of the share.
     pub fn stopped(&mut self, engine: usize) {
         self.cold_since.remove(&engine);
         self.unannounced_starts.remove(&engine);
@@ -206,18 +206,17 @@
         )
     }
 
+    fn sorted_shares(&self, share: fn(&Warmed) -> f64) -> Vec<f64> {
+        let mut shares: Vec<f64> = self.warmed.iter().map(share).collect();
+        shares.sort_by(f64::total_cmp);
+        shares
+    }
+
     fn share_finding(&self) -> Finding {
-        let sorted = |share: fn(&Warmed) -> f64| {
-            let mut shares: Vec<f64> = self.warmed.iter().map(share).collect();
-            shares.sort_by(f64::total_cmp);
-            shares
-        };
-        let (told, all) = (
-            sorted(|warmed| warmed.notified_share),
-            sorted(|warmed| warmed.all_share),
-        );
-        let (least, median) = (quantile(&told, 0.0), quantile(&told, 0.5));
-        let (tenth, most) = (quantile(&told, 0.1), quantile(&told, 1.0));
+        let notified = self.sorted_shares(|warmed| warmed.notified_share);
+        let all = self.sorted_shares(|warmed| warmed.all_share);
+        let (least, median) = (quantile(&notified, 0.0), quantile(&notified, 0.5));
+        let (tenth, most) = (quantile(&notified, 0.1), quantile(&notified, 1.0));
         let needed = self.experiment.limits.cold_share_p50;
         let held_against = needed.map_or("not judged".into(), |least| {
             format!("at least {least:.2} in the median")
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -1,4 +1,4 @@
-//! Which gateways each engine meets, and how long after a zone's loss gateways have full subsets again.
+//! How many gateways connect to each engine, and how long after a zone's loss gateways have full subsets again.
 
 use super::super::experiment::Experiment;
 use super::super::time::SimTime;
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -1,5 +1,5 @@
-//! The judge. It is fed with what clients, engines and the change log see, and with nothing that a gateway thinks;
-//! the one word of a gateway that it takes is which entry of the log it has put in force.
+//! The judge. It is fed with what clients, engines and the change log see, and with no state of a gateway,
+//! save which entry of the log it has put in force.
 
 mod changes;
 mod cold_starts;
@@ -28,7 +28,7 @@
     pub query: u32,
 }
 
-/// An attempt as its engine sees it come.
+/// An attempt as its engine receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct SeenAttempt {
     pub name: QueryName,
@@ -165,7 +165,7 @@
         self.connections.disconnected(gateway, engine);
     }
 
-    /// A zone is lost; its gateways and engines are told as ended and stopped before.
+    /// A zone is lost; the end of its gateways and engines is reported before.
     pub fn zone_lost(&mut self, now: SimTime) {
         self.connections.zone_lost(now);
     }
@@ -195,7 +195,7 @@
         self.changes.healed(now, gateway);
     }
 
-    /// What it all comes to.
+    /// The findings of all rules.
     pub fn findings(&mut self, now: SimTime) -> Vec<Finding> {
         let mut findings = self.queries.findings(now);
         findings.push(self.placement.announcement_finding());
--- a/crates/scale/src/fleet/judge/order.rs
+++ b/crates/scale/src/fleet/judge/order.rs
@@ -1,11 +1,11 @@
-//! Rule 5: queries of a key run in the order in which they came, one at a time.
+//! Rule 5: queries of a key run in the order in which they arrived, one at a time.
 
 use super::{Finding, QueryName};
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Default)]
 struct KeyRecord {
-    /// Queries without a final answer, in the order in which they came.
+    /// Queries without a final answer, in the order of their arrival.
     unanswered: VecDeque<QueryName>,
     running: Vec<QueryName>,
 }
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -1,4 +1,4 @@
-//! Rules 3 and 6: nothing new to an engine told draining or gone, and attempts only where their class may go.
+//! Rules 3 and 6: no attempts to an engine known as draining or removed, and only to zones and kinds of the class.
 
 use super::super::engine::Site;
 use super::super::experiment::Experiment;
@@ -41,10 +41,8 @@
             ListedState::Draining => self.to_draining += 1,
             ListedState::Removed => self.to_removed += 1,
         }
-        let (site, class) = (
-            self.sites[attempt.engine],
-            &self.experiment.classes[attempt.class],
-        );
+        let site = self.sites[attempt.engine];
+        let class = &self.experiment.classes[attempt.class];
         let open = |allowed: &Option<Vec<u32>>, found: usize| {
             allowed
                 .as_ref()
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -105,16 +105,23 @@
     }
 
     pub fn findings(&self, now: SimTime) -> Vec<Finding> {
+        vec![self.answer_finding(now), self.success_finding()]
+    }
+
+    fn answered_total(&self) -> u64 {
+        self.succeeded + self.rejected + self.failed
+    }
+
+    fn answer_finding(&self, now: SimTime) -> Finding {
         let unanswered = self
             .open
             .values()
             .filter(|query| self.past_deadline(query, now))
             .count() as u64;
-        let answered = self.succeeded + self.rejected + self.failed;
         let faults = self.late + self.repeated + self.attempts_after_answer + unanswered;
-        let rule = Finding::new(
+        Finding::new(
             "rule 1, one final answer in time",
-            faults == 0 && answered > 0,
+            faults == 0 && self.answered_total() > 0,
             format!(
                 "{} queries: {unanswered} unanswered, {} late, {} answered twice, {} sent after the answer; \
                  {} broken off with their gateway, {} still open",
@@ -133,21 +140,26 @@
                 ("sent_after", self.attempts_after_answer as f64),
                 ("broken", self.broken as f64),
             ],
-        );
-        let share = self.succeeded as f64 / answered.max(1) as f64;
-        let rejected = self.rejected as f64 / answered.max(1) as f64;
-        let served = Finding::new(
+        )
+    }
+
+    fn success_finding(&self) -> Finding {
+        let answered = self.answered_total().max(1) as f64;
+        let succeeded = self.succeeded as f64 / answered;
+        let rejected = self.rejected as f64 / answered;
+        let failed = self.failed as f64 / answered;
+        let least = self.experiment.limits.succeeded;
+        Finding::new(
             "queries that succeed",
-            share >= self.experiment.limits.succeeded,
+            succeeded >= least,
             format!(
                 "{:.2}% succeeded, {:.2}% rejected, {:.2}% failed; at least {:.2}%",
-                share * 100.0,
+                succeeded * 100.0,
                 rejected * 100.0,
-                self.failed as f64 / answered.max(1) as f64 * 100.0,
-                self.experiment.limits.succeeded * 100.0
+                failed * 100.0,
+                least * 100.0
             ),
-            &[("succeeded", share), ("rejected", rejected)],
-        );
-        vec![rule, served]
+            &[("succeeded", succeeded), ("rejected", rejected)],
+        )
     }
 }
--- a/crates/scale/src/fleet/judge/retries.rs
+++ b/crates/scale/src/fleet/judge/retries.rs
@@ -55,7 +55,7 @@
         self.fullest = self.fullest.max(used / most);
     }
 
-    /// A process that starts anew has a budget of its own.
+    /// The gateway's next process has a budget of its own.
     pub fn gateway_ended(&mut self, gateway: u32) {
         self.windows[gateway as usize] = Window::default();
     }
--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -1,4 +1,4 @@
-//! How evenly the work is spread over the engines that nothing befell, weighted by their cores.
+//! How evenly the work is spread over the engines that no fault disturbed, weighted by their cores.
 
 use super::super::engine::Site;
 use super::super::experiment::Experiment;
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Fleet: thousands of hollow gateways before hollow engines, in simulated time, in one process.
 //!
 //! A gateway has the real decision module and the real subset, and neither sockets nor bodies. One seeded queue of
-//! events drives all: the same seed plays the same. The judge is fed with what clients, engines and the change log see.
+//! events drives all: the same seed gives the same run. The judge is fed with what clients, engines and the change log see.
 
 mod change_log;
 mod clients;
--- a/crates/scale/src/fleet/module_settings.rs
+++ b/crates/scale/src/fleet/module_settings.rs
@@ -4,64 +4,65 @@
 use super::injected_fault::InjectedFault;
 use garnetwall::api::{self, Idempotency, LoadReporting, RetryBudget, Settings, SlowStart};
 
-/// Goals stand at this share of the deadline; the mean of our deployments.
+/// Latency objective as a share of the deadline.
 const LATENCY_OBJECTIVE_SHARE: f64 = 1.0 / 3.0;
 const LATENCY_OBJECTIVE_STRETCH: f64 = 2.0;
 const LATE_VALUE_SHARE: f64 = 0.3;
-/// Part of the cold budget that a slip leaves.
+/// Share of the slow-start budget that an injected fault leaves.
 const FAULTY_OVERLOAD_FRACTION: f64 = 0.01;
 const MAX_ATTEMPTS: u32 = 4;
 const MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
 
 pub fn module_settings(experiment: &Experiment) -> Settings {
     let injected_fault = experiment.injected_fault;
+    let class = |class| query_class(class, injected_fault);
+    let kind_cores = &experiment.engines.kind_cores;
+    let gateways = if injected_fault == Some(InjectedFault::HoldersForgotten) {
+        1.0
+    } else {
+        experiment.gateways.count as f64
+    };
+    Settings {
+        classes: experiment.classes.iter().map(class).collect(),
+        tenants: 1,
+        gateways,
+        kind_cores: kind_cores.iter().copied().map(Some).collect(),
+        load_reporting: LoadReporting::WithAnswers,
+        health_checks_allowed: true,
+        cancellation_allowed: true,
+        retry_after_allowed: true,
+        max_retry_after: MAX_RETRY_AFTER_SECONDS,
+        max_attempts: MAX_ATTEMPTS,
+        retry_budget: retry_budget(experiment),
+        slow_start: Some(slow_start(experiment)),
+        ..Settings::default()
+    }
+}
+
+fn retry_budget(experiment: &Experiment) -> Option<RetryBudget> {
+    if experiment.injected_fault == Some(InjectedFault::BudgetForgotten) {
+        return None;
+    }
     let retries = &experiment.retries;
-    let budget = RetryBudget {
+    Some(RetryBudget {
         floor: retries.floor,
         per_query: retries.per_query,
         window: retries.window,
-    };
+    })
+}
+
+fn slow_start(experiment: &Experiment) -> SlowStart {
     let cold = &experiment.cold;
-    let overload_fraction = if injected_fault == Some(InjectedFault::ColdShunned) {
+    let overload_fraction = if experiment.injected_fault == Some(InjectedFault::ColdShunned) {
         FAULTY_OVERLOAD_FRACTION
     } else {
         1.0
     };
-    let slow_start = SlowStart {
+    SlowStart {
         initial_fraction: cold.starts_at,
         duration: cold.warm_after,
         overload_multiple: cold.multiple * overload_fraction,
         window: cold.window,
-    };
-    let holders_known = injected_fault != Some(InjectedFault::HoldersForgotten);
-    Settings {
-        classes: experiment
-            .classes
-            .iter()
-            .map(|class| query_class(class, injected_fault))
-            .collect(),
-        tenants: 1,
-        gateways: if holders_known {
-            experiment.gateways.count as f64
-        } else {
-            1.0
-        },
-        kind_cores: experiment
-            .engines
-            .kind_cores
-            .iter()
-            .copied()
-            .map(Some)
-            .collect(),
-        load_reporting: LoadReporting::WithAnswers,
-        health_checks_allowed: true,
-        cancellation_allowed: true,
-        retry_after_allowed: true,
-        max_retry_after: MAX_RETRY_AFTER_SECONDS,
-        max_attempts: MAX_ATTEMPTS,
-        retry_budget: (injected_fault != Some(InjectedFault::BudgetForgotten)).then_some(budget),
-        slow_start: Some(slow_start),
-        ..Settings::default()
     }
 }
 
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What a play prints and writes.
+//! What a run prints and writes.
 
 use super::experiment::Experiment;
 use super::judge::Finding;
@@ -58,7 +58,7 @@
     failed == 0
 }
 
-/// Writes the same as JSON lines: a header, then one line a finding.
+/// Writes the same as JSON lines: a header, then one record a finding.
 pub fn write(
     path: &Path,
     experiment: &Experiment,
@@ -93,9 +93,9 @@
     file.write_all(b"\n")
 }
 
-/// The most memory that this process has had resident, where the system tells.
+/// The most memory that this process has had resident, where the system reports it.
 pub fn peak_memory_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
-    line.split_whitespace().nth(1)?.parse().ok()
+    let peak = status.lines().find(|entry| entry.starts_with("VmHWM:"))?;
+    peak.split_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -1,4 +1,4 @@
-//! The failures and changes that an experiment's script plays.
+//! The failures and changes of an experiment's script.
 
 use super::event::{EngineStep, Event};
 use super::experiment::{Action, ScriptStep};
@@ -47,7 +47,7 @@
         self.environment.judge.zone_lost(now);
     }
 
-    /// Engines vanish without a word, and come back cold.
+    /// Engines fail without notice, and start again cold.
     fn engines_lost(&mut self, now: SimTime, engines: &[usize], lasts: f64) {
         let detection = self.experiment.engines.loss_detection;
         let reported_at = now.after(self.experiment.log.loss_report_delay);
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -9,11 +9,11 @@
     pub key: EngineKey,
     pub engine: usize,
     pub holders: f64,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub open: u32,
     /// Whether it takes new ones.
     pub joined: bool,
-    /// The line by which the module knows it.
+    /// The endpoint by which the module knows it.
     pub endpoint: Option<Endpoint>,
 }
 
@@ -28,7 +28,7 @@
 pub struct Left {
     pub slot: EngineId,
     pub engine: usize,
-    /// Nothing of it is open: its index may be used again.
+    /// Nothing at it is in flight: its index may be used again.
     pub freed: bool,
     pub endpoint: Option<Endpoint>,
 }
@@ -73,7 +73,8 @@
             .get(&key)
             .and_then(|slot| self.members[*slot].as_mut())
         {
-            (member.joined, member.holders) = (true, holders);
+            member.joined = true;
+            member.holders = holders;
             return;
         }
         let slot = self.free.pop().unwrap_or_else(|| {
--- a/crates/scale/src/fleet/world.rs
+++ b/crates/scale/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The fleet: gateways and what they meet, played event by event.
+//! The event loop: gateways and their environment, event by event.
 
 use super::clients::{self, Clients};
 use super::environment::Environment;
@@ -13,9 +13,9 @@
 use rand::{Rng, SeedableRng};
 use std::rc::Rc;
 
-/// Seconds in which all gateways start at the beginning.
+/// All gateways start within this time at the beginning.
 const INITIAL_START_SPREAD_SECONDS: f64 = 0.5;
-/// Seconds that an engine told to drain has until it is replaced.
+/// From the notice to drain until an engine is replaced.
 const DRAIN_DEADLINE_SECONDS: f64 = 3.0;
 
 pub struct World {
@@ -24,7 +24,7 @@
     pub(super) environment: Environment,
 }
 
-/// What a play came to.
+/// The outcome of a run.
 pub struct Played {
     pub findings: Vec<Finding>,
     pub events: u64,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Plays the experiment to its end.
+    /// Runs the experiment to its end.
     pub fn play(mut self) -> Result<Played, SubsetError> {
         let end = SimTime::from_seconds(self.experiment.seconds);
         self.schedule_beginning();
@@ -91,42 +91,10 @@
 
     fn handle(&mut self, now: SimTime, event: Event) -> Result<(), SubsetError> {
         match event {
-            Event::Arrival {
-                gateway,
-                incarnation,
-            } => {
-                if let Some(gateway) = running_gateway(&mut self.gateways, gateway, incarnation) {
-                    gateway.arrival(now, &mut self.environment);
-                }
-            }
-            Event::Wake {
-                gateway,
-                incarnation,
-            } => {
-                let gateway = running_gateway(&mut self.gateways, gateway, incarnation);
-                if let Some(gateway) =
-                    gateway.and_then(|gateway| gateway.wakes(now).then_some(gateway))
-                {
-                    gateway.pump(now, &mut self.environment);
-                }
-            }
-            Event::Deliver {
-                gateway,
-                incarnation,
-                sequence,
-            } => {
-                let gateway = running_gateway(&mut self.gateways, gateway, incarnation);
-                if let Some(gateway) = gateway.filter(|gateway| !gateway.cut) {
-                    gateway.deliver(now, sequence as usize, &mut self.environment);
-                }
-            }
-            Event::AttemptFails { key, end } => {
-                if let Some(gateway) =
-                    running_gateway(&mut self.gateways, key.gateway, key.incarnation)
-                {
-                    gateway.attempt_ended(now, key, end, &mut self.environment);
-                }
-            }
+            Event::Arrival { .. }
+            | Event::Wake { .. }
+            | Event::Deliver { .. }
+            | Event::AttemptFails { .. } => self.handle_in_process(now, event),
             Event::EngineDue { engine } => self.engine_due(now, engine as usize),
             Event::EngineStep { engine, step } => self.engine_step(now, engine as usize, step),
             Event::GatewayEnds { gateway, down_for } => {
@@ -147,6 +115,26 @@
         Ok(())
     }
 
+    /// Handles an event of one process of a gateway, unless that process has ended.
+    fn handle_in_process(&mut self, now: SimTime, event: Event) {
+        let Some((number, incarnation)) = event.process() else {
+            return;
+        };
+        let Some(gateway) = running_gateway(&mut self.gateways, number, incarnation) else {
+            return;
+        };
+        let environment = &mut self.environment;
+        match event {
+            Event::Arrival { .. } => gateway.arrival(now, environment),
+            Event::Wake { .. } if gateway.wakes(now) => gateway.pump(now, environment),
+            Event::Deliver { sequence, .. } if !gateway.cut => {
+                gateway.deliver(now, sequence as usize, environment)
+            }
+            Event::AttemptFails { key, end } => gateway.attempt_ended(now, key, end, environment),
+            _ => {}
+        }
+    }
+
     // ---- engines ----
 
     fn engine_due(&mut self, now: SimTime, engine: usize) {
@@ -229,7 +217,7 @@
         }
     }
 
-    /// The gateways of a region catch up, spread over the time told.
+    /// The gateways of a region catch up, spread over the experiment's `resume` time.
     fn region_heals(&mut self, now: SimTime, region: usize) {
         let resume = self.experiment.log.resume;
         let sequence = self.environment.log.latest() as u32;
@@ -258,7 +246,7 @@
     }
 }
 
-/// The gateway, if this process of it still runs.
+/// The gateway, if this incarnation of it still runs.
 fn running_gateway(
     gateways: &mut [Gateway],
     gateway: u32,
