--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -1,8 +1,8 @@
-//! Rules 3 and 6: nothing new to an engine told draining or gone, and attempts only where their class may go.
+//! Rules 3 and 6: no attempts to an engine known as draining or removed, and only to zones and kinds of the class.
 
 use super::super::engine::Site;
 use super::super::experiment::Experiment;
-use super::told::KnownLine;
+use super::endpoint_history::KnownEndpoint;
 use super::{Finding, SeenAttempt};
 use garnetwall_subset::ListedState;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
     attempts: u64,
     bound: u64,
     to_draining: u64,
-    to_gone: u64,
+    to_removed: u64,
     misplaced: u64,
 }
 
@@ -25,7 +25,7 @@
             attempts: 0,
             bound: 0,
             to_draining: 0,
-            to_gone: 0,
+            to_removed: 0,
             misplaced: 0,
         }
     }
@@ -34,17 +34,15 @@
         self.sites.push(site);
     }
 
-    pub fn attempt_began(&mut self, attempt: SeenAttempt, told: Option<KnownLine>) {
+    pub fn attempt_began(&mut self, attempt: SeenAttempt, known: Option<KnownEndpoint>) {
         self.attempts += 1;
-        match told.map_or(ListedState::Removed, |line| line.condition) {
+        match known.map_or(ListedState::Removed, |endpoint| endpoint.state) {
             ListedState::Ready => {}
             ListedState::Draining => self.to_draining += 1,
-            ListedState::Removed => self.to_gone += 1,
+            ListedState::Removed => self.to_removed += 1,
         }
-        let (site, class) = (
-            self.sites[attempt.engine],
-            &self.experiment.classes[attempt.class],
-        );
+        let site = self.sites[attempt.engine];
+        let class = &self.experiment.classes[attempt.class];
         let open = |allowed: &Option<Vec<u32>>, found: usize| {
             allowed
                 .as_ref()
@@ -55,18 +53,18 @@
             u64::from(!open(&class.zones, site.zone) || !open(&class.kinds, site.kind));
     }
 
-    pub fn told_finding(&self) -> Finding {
+    pub fn announcement_finding(&self) -> Finding {
         Finding::new(
             "rule 3, engines told draining or gone",
-            self.to_draining + self.to_gone == 0,
+            self.to_draining + self.to_removed == 0,
             format!(
                 "{} attempts: {} to engines told draining, {} told gone",
-                self.attempts, self.to_draining, self.to_gone
+                self.attempts, self.to_draining, self.to_removed
             ),
             &[
                 ("attempts", self.attempts as f64),
                 ("to_draining", self.to_draining as f64),
-                ("to_gone", self.to_gone as f64),
+                ("to_gone", self.to_removed as f64),
             ],
         )
     }
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Seconds over the deadline that pass; clients measure to the millisecond.
-const DEADLINE_TOLERANCE: f64 = 0.001;
+const DEADLINE_TOLERANCE_SECONDS: f64 = 0.001;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
@@ -33,7 +33,7 @@
     broken: u64,
     late: u64,
     repeated: u64,
-    sent_after: u64,
+    attempts_after_answer: u64,
 }
 
 impl Queries {
@@ -48,7 +48,7 @@
             broken: 0,
             late: 0,
             repeated: 0,
-            sent_after: 0,
+            attempts_after_answer: 0,
         }
     }
 
@@ -80,7 +80,7 @@
     /// Takes in an attempt; returns how many engines had seen one of this query before.
     pub fn attempt_began(&mut self, name: QueryName) -> u32 {
         let Some(query) = self.open.get_mut(&name) else {
-            self.sent_after += 1;
+            self.attempts_after_answer += 1;
             return 0;
         };
         query.attempts += 1;
@@ -100,27 +100,35 @@
     }
 
     fn past_deadline(&self, query: &OpenQuery, now: SimTime) -> bool {
-        now.since(query.came) > self.experiment.classes[query.class].deadline + DEADLINE_TOLERANCE
+        now.since(query.came)
+            > self.experiment.classes[query.class].deadline + DEADLINE_TOLERANCE_SECONDS
     }
 
     pub fn findings(&self, now: SimTime) -> Vec<Finding> {
+        vec![self.answer_finding(now), self.success_finding()]
+    }
+
+    fn answered_total(&self) -> u64 {
+        self.succeeded + self.rejected + self.failed
+    }
+
+    fn answer_finding(&self, now: SimTime) -> Finding {
         let unanswered = self
             .open
             .values()
             .filter(|query| self.past_deadline(query, now))
             .count() as u64;
-        let answered = self.succeeded + self.rejected + self.failed;
-        let faults = self.late + self.repeated + self.sent_after + unanswered;
-        let rule = Finding::new(
+        let faults = self.late + self.repeated + self.attempts_after_answer + unanswered;
+        Finding::new(
             "rule 1, one final answer in time",
-            faults == 0 && answered > 0,
+            faults == 0 && self.answered_total() > 0,
             format!(
                 "{} queries: {unanswered} unanswered, {} late, {} answered twice, {} sent after the answer; \
                  {} broken off with their gateway, {} still open",
                 self.came,
                 self.late,
                 self.repeated,
-                self.sent_after,
+                self.attempts_after_answer,
                 self.broken,
                 self.open.len()
             ),
@@ -129,24 +137,29 @@
                 ("unanswered", unanswered as f64),
                 ("late", self.late as f64),
                 ("repeated", self.repeated as f64),
-                ("sent_after", self.sent_after as f64),
+                ("sent_after", self.attempts_after_answer as f64),
                 ("broken", self.broken as f64),
             ],
-        );
-        let share = self.succeeded as f64 / answered.max(1) as f64;
-        let rejected = self.rejected as f64 / answered.max(1) as f64;
-        let served = Finding::new(
+        )
+    }
+
+    fn success_finding(&self) -> Finding {
+        let answered = self.answered_total().max(1) as f64;
+        let succeeded = self.succeeded as f64 / answered;
+        let rejected = self.rejected as f64 / answered;
+        let failed = self.failed as f64 / answered;
+        let least = self.experiment.limits.succeeded;
+        Finding::new(
             "queries that succeed",
-            share >= self.experiment.limits.succeeded,
+            succeeded >= least,
             format!(
                 "{:.2}% succeeded, {:.2}% rejected, {:.2}% failed; at least {:.2}%",
-                share * 100.0,
+                succeeded * 100.0,
                 rejected * 100.0,
-                self.failed as f64 / answered.max(1) as f64 * 100.0,
-                self.experiment.limits.succeeded * 100.0
+                failed * 100.0,
+                least * 100.0
             ),
-            &[("succeeded", share), ("rejected", rejected)],
-        );
-        vec![rule, served]
+            &[("succeeded", succeeded), ("rejected", rejected)],
+        )
     }
 }
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What a play prints and writes.
+//! What a run prints and writes.
 
 use super::experiment::Experiment;
 use super::judge::Finding;
@@ -58,7 +58,7 @@
     failed == 0
 }
 
-/// Writes the same as JSON lines: a header, then one line a finding.
+/// Writes the same as JSON lines: a header, then one record a finding.
 pub fn write(
     path: &Path,
     experiment: &Experiment,
@@ -80,22 +80,22 @@
         wall_seconds: wall.as_secs_f64(),
         peak_memory_kb: peak_memory_kb(),
     };
-    write_line(&mut file, &header)?;
+    write_record(&mut file, &header)?;
     played
         .findings
         .iter()
-        .try_for_each(|finding: &Finding| write_line(&mut file, finding))?;
+        .try_for_each(|finding: &Finding| write_record(&mut file, finding))?;
     file.flush()
 }
 
-fn write_line(file: &mut impl Write, value: &impl Serialize) -> io::Result<()> {
+fn write_record(file: &mut impl Write, value: &impl Serialize) -> io::Result<()> {
     serde_json::to_writer(&mut *file, value)?;
     file.write_all(b"\n")
 }
 
-/// The most memory that this process has had resident, where the system tells.
+/// The most memory that this process has had resident, where the system reports it.
 pub fn peak_memory_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
-    line.split_whitespace().nth(1)?.parse().ok()
+    let peak = status.lines().find(|entry| entry.starts_with("VmHWM:"))?;
+    peak.split_whitespace().nth(1)?.parse().ok()
 }
