--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -1,6 +1,6 @@
 //! The names and forms of all settings, written out literally: a key that is renamed by accident fails here.
 //!
-//! Every key of `ALL` is abbreviate to be read in both forms (another value gives another result), and to be refused by
+//! Every key of `ALL` is shown to be read in both forms (another value gives another result), and to be refused by
 //! its whole path where its value has the wrong form. The keys of the gateway's own configuration file and of
 //! `subset` are pinned by crates/gateway/tests/bad_input.rs; what settings must be to one another by that and by
 //! src/tests.rs.
@@ -322,8 +322,8 @@
         ),
     ];
     for (path, value, said) in cases {
-        let flat = Flat::from_json(&with(path, value)).unwrap();
-        let fault = decode(&flat).unwrap().check().expect_err(path);
+        let flat = FlatSettings::from_json(&with(path, value)).unwrap();
+        let fault = decode(&flat).unwrap().validate().expect_err(path);
         assert_eq!(fault.to_string(), format!("settings.{said}"));
     }
 }
