--- a/src/controller.rs
+++ b/src/controller.rs
@@ -31,7 +31,9 @@
 mod admission;
 mod attempt;
 mod attempt_outcome;
+mod attempt_state;
 mod averages;
+mod candidate;
 mod class_statistics;
 mod data_set_locks;
 mod eligibility;
@@ -79,6 +81,11 @@
 const WORK_DECAY_SECONDS: f64 = 20.0;
 /// Fraction of cores that a pool keeps busy under load.
 const SUSTAINABLE_UTILISATION: f64 = 0.85;
+/// Seconds in which the observed load and the failure rate of an engine decay; answers from one engine are rare.
+const HEALTH_DECAY_SECONDS: f64 = 8.0;
+/// Seconds until a query that did not begin draws again, drawn evenly between these.
+const MIN_REDRAW_DELAY_SECONDS: f64 = 0.02;
+const MAX_REDRAW_DELAY_SECONDS: f64 = 0.06;
 /// Seconds between two calls from which this process counts as having been stalled; ticks come far sooner.
 const STALL_THRESHOLD_SECONDS: f64 = 0.3;
 
--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -7,42 +7,11 @@
 //!
 //! Rule: a query whose attempt may have run counts as such until every one of its attempts is proved not to have run.
 
+use super::attempt_state::Attempt;
 use super::query_state::{QueryPhase, QueryState};
 use super::{AdmissionController, WORK_DECAY_SECONDS};
 use crate::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, Placement, Query, QueryId};
 
-/// An attempt in flight.
-#[derive(Clone, Copy)]
-pub(crate) struct Attempt {
-    pub(crate) engine: EngineId,
-    /// When it began, in seconds.
-    pub(crate) begun_at: f64,
-    /// When it began, or its last progress event came.
-    pub(crate) last_progress_at: f64,
-    /// Expected memory in megabytes.
-    memory: f64,
-    /// It has counted as load for taking too long.
-    pub(crate) counted_overdue: bool,
-    /// Its outcome was recorded while its end was unknown.
-    outcome_recorded: bool,
-    /// It is the only attempt of its query that may have run, and counts so because its end was unknown.
-    only_possible_run: bool,
-}
-
-impl Attempt {
-    fn new(engine: EngineId, begun_at: f64, memory: f64) -> Self {
-        Attempt {
-            engine,
-            begun_at,
-            last_progress_at: begun_at,
-            memory,
-            counted_overdue: false,
-            outcome_recorded: false,
-            only_possible_run: false,
-        }
-    }
-}
-
 impl AdmissionController {
     /// Begins an attempt of a queued query at an engine that was chosen for it.
     pub(super) fn begin_attempt(&mut self, now: f64, id: QueryId, engine: EngineId) -> Placement {
--- a/src/controller/attempt_outcome.rs
+++ b/src/controller/attempt_outcome.rs
@@ -1,6 +1,6 @@
 //! What the outcome of an attempt shows of its engine and of its query's class.
 
-use super::attempt::Attempt;
+use super::attempt_state::Attempt;
 use super::load::{MAX_OBSERVED_LOAD, SLOWDOWN_AT_LOAD_LIMIT};
 use super::{AdmissionController, MIN_DIVISOR};
 use crate::api::{AttemptEnd, AttemptOutcome, Query};
--- a/src/controller/eligibility.rs
+++ b/src/controller/eligibility.rs
@@ -5,7 +5,7 @@
 //! endpoint subset; the retry budget; the work budget of an engine in slow start. Every attempt passes
 //! [`AdmissionController::may_begin_attempt`] and [`AdmissionController::engine_eligible`].
 
-use super::engine_choice::Candidate;
+use super::candidate::Candidate;
 use super::query_state::{QueryPhase, QueryState};
 use super::{AdmissionController, DEADLINE_MARGIN_SECONDS};
 use crate::api::{DeduplicationScope, EndpointState, EngineId, Idempotency};
--- a/src/controller/endpoint_list.rs
+++ b/src/controller/endpoint_list.rs
@@ -1,7 +1,8 @@
 //! The endpoint list as the module knows it: which engines are ready, their capacity, and the endpoint subsets that
 //! queries may be confined to.
 
-use super::slow_start::{gateways_of, WorkBudget};
+use super::engine_state::WorkBudget;
+use super::slow_start::gateways_of;
 use super::{AdmissionController, EngineState};
 use crate::api::{Endpoint, EndpointState, EngineId, EngineSet};
 use std::collections::BTreeSet;
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -1,48 +1,25 @@
 //! Which engine a query's attempt goes to: the one with the fewest of our threads a core, of those that would begin it
 //! at once; where there is none, the least loaded of all, by chance.
 
-use super::engine_state::EngineState;
+use super::candidate::Candidate;
 use super::load::engine_load;
 use super::outlier_ejection::is_available;
 use super::query_state::{QueryPhase, QueryState};
 use super::sampling::sample;
 use super::start_probability::start_probability;
-use super::{AdmissionController, WORK_DECAY_SECONDS};
+use super::{
+    AdmissionController, MAX_REDRAW_DELAY_SECONDS, MIN_REDRAW_DELAY_SECONDS, WORK_DECAY_SECONDS,
+};
 use crate::api::{EngineId, Placement, Query, QueryId};
 
 /// Engines that a choice looks at in a list of over twice as many.
 const SAMPLE_SIZE: usize = 256;
 /// Candidates of a sample below which the whole list is looked through.
 const MIN_SAMPLED_CANDIDATES: usize = 32;
-/// Seconds until a query that did not begin draws again, drawn evenly between these.
-const MIN_REDRAW_DELAY_SECONDS: f64 = 0.02;
-pub(super) const MAX_REDRAW_DELAY_SECONDS: f64 = 0.06;
 /// Random part of an engine's load in a choice, in units of the load limit: gateways that know the same must not all
 /// choose the same.
 const LOAD_JITTER: f64 = 0.3;
 
-/// An engine that a query may go to.
-pub(crate) struct Candidate {
-    pub(crate) engine: EngineId,
-    kind: usize,
-    /// Cores that it can use now.
-    pub(crate) effective_cores: f64,
-    /// Our threads for each of these; `None` of an engine that was not contacted yet.
-    threads_per_core: Option<f64>,
-}
-
-impl Candidate {
-    fn new(id: EngineId, engine: &EngineState, effective_cores: f64) -> Self {
-        let threads_per_core = engine.in_flight.threads / effective_cores;
-        Candidate {
-            engine: id,
-            kind: engine.kind(),
-            effective_cores,
-            threads_per_core: engine.contacted.then_some(threads_per_core),
-        }
-    }
-}
-
 /// The engines that a query may go to now.
 struct Candidates {
     engines: Vec<Candidate>,
--- a/src/controller/engine_state.rs
+++ b/src/controller/engine_state.rs
@@ -1,10 +1,7 @@
 //! What is known of an engine, and what this gateway has in flight there.
 
-use super::health_checks::HealthCheckState;
-use super::load::ObservedLoad;
-use super::outlier_ejection::EngineHealth;
-use super::slow_start::WorkBudget;
-use crate::api::{Endpoint, EndpointState};
+use super::HEALTH_DECAY_SECONDS;
+use crate::api::{Endpoint, EndpointState, Query};
 
 /// An engine that the endpoint list has named.
 #[derive(Default)]
@@ -78,3 +75,66 @@
         };
     }
 }
+
+/// The load of an engine as observed last.
+#[derive(Default)]
+pub(crate) struct ObservedLoad {
+    /// In units of the load limit.
+    pub(super) load: f64,
+    pub(super) observed_at: f64,
+    pub(super) reported_at: f64,
+    /// This gateway's threads in flight at the last report; those begun since are added to the load.
+    pub(super) threads_at_report: f64,
+}
+
+/// What the ends of attempts have shown of an engine.
+#[derive(Default)]
+pub(crate) struct EngineHealth {
+    /// Decaying share of failed attempts at the last failure, from 0 to 1.
+    pub(super) failure_rate: f64,
+    pub(super) failed_at: f64,
+    pub(crate) last_success_at: f64,
+    /// Not used before, in seconds.
+    pub(super) ejected_until: f64,
+}
+
+impl EngineHealth {
+    /// The failure rate now. It decays, so that an engine from which few answers come is not avoided for good.
+    pub(crate) fn failure_rate(&self, now: f64) -> f64 {
+        if self.failure_rate == 0.0 {
+            return 0.0;
+        }
+        let elapsed = (now - self.failed_at).max(0.0);
+        self.failure_rate * (-elapsed / HEALTH_DECAY_SECONDS).exp()
+    }
+}
+
+/// When an engine had its health check.
+#[derive(Default)]
+pub(crate) struct HealthCheckState {
+    /// No health check before, in seconds.
+    pub(super) next_at: f64,
+}
+
+/// The part of an engine's slow-start budget that this gateway has used.
+#[derive(Default)]
+pub(crate) struct WorkBudget {
+    /// When this gateway was notified of the start, in seconds.
+    pub(super) known_since: f64,
+    /// A query admitted before: the budget becomes due in quanta of its work.
+    pub(super) sample_query: Option<Query>,
+    /// Work sent or lapsed since, in seconds on one thread.
+    pub(super) spent: f64,
+    /// The work at which the present quantum begins.
+    pub(super) quantum_from: f64,
+}
+
+impl WorkBudget {
+    pub(crate) fn starting_at(now: f64, sample_query: Option<Query>) -> Self {
+        WorkBudget {
+            known_since: now,
+            sample_query,
+            ..WorkBudget::default()
+        }
+    }
+}
--- a/src/controller/health_checks.rs
+++ b/src/controller/health_checks.rs
@@ -9,13 +9,6 @@
 /// Health checks that one admitted query pays for, so that their cost follows the traffic, not gateways x engines.
 const HEALTH_CHECKS_PER_QUERY: f64 = 0.05;
 
-/// When an engine had its health check.
-#[derive(Default)]
-pub(crate) struct HealthCheckState {
-    /// No health check before, in seconds.
-    next_at: f64,
-}
-
 impl AdmissionController {
     /// A health check has ended. To be called for each [`crate::api::NextAction::HealthCheck`], before the load report that came with it.
     pub fn health_check_ended(&mut self, now: f64, engine: EngineId, end: AttemptEnd) {
--- a/src/controller/load.rs
+++ b/src/controller/load.rs
@@ -2,9 +2,9 @@
 //!
 //! Loads are in units of the load limit: at 1 an engine runs [`LOAD_LIMIT_THREADS_PER_CORE`] threads a core.
 
-use super::engine_choice::Candidate;
+use super::candidate::Candidate;
 use super::engine_state::EngineState;
-use super::{AdmissionController, MIN_DIVISOR};
+use super::{AdmissionController, HEALTH_DECAY_SECONDS, MIN_DIVISOR};
 use crate::api::{AttemptOutcome, EngineId, LoadReport, Query};
 
 /// Threads a core that an engine is filled to.
@@ -29,22 +29,9 @@
 const OWN_THREADS_PRESSURE: f64 = 2.0;
 /// Seconds in which the observed load of a kind decays.
 const KIND_LOAD_DECAY_SECONDS: f64 = 2.0;
-/// Seconds in which the observed load and the failure rate of an engine decay; answers from one engine are rare.
-pub(super) const HEALTH_DECAY_SECONDS: f64 = 8.0;
 /// Weight of the assumption that a kind is idle, in observations just made.
 const IDLE_WEIGHT: f64 = 0.5;
 
-/// The load of an engine as observed last.
-#[derive(Default)]
-pub(crate) struct ObservedLoad {
-    /// In units of the load limit.
-    load: f64,
-    observed_at: f64,
-    reported_at: f64,
-    /// This gateway's threads in flight at the last report; those begun since are added to the load.
-    threads_at_report: f64,
-}
-
 /// Thread-seconds and seconds that this gateway's attempts were in flight, for their mean number of threads.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct InFlightTime {
--- a/src/controller/outlier_ejection.rs
+++ b/src/controller/outlier_ejection.rs
@@ -1,10 +1,8 @@
 //! Outlier ejection: an engine whose attempts fail far more often than those of the pool is not used for a while, and
 //! comes back one query at a time.
 
-use super::engine_choice::MAX_REDRAW_DELAY_SECONDS;
 use super::engine_state::EngineState;
-use super::load::HEALTH_DECAY_SECONDS;
-use super::AdmissionController;
+use super::{AdmissionController, MAX_REDRAW_DELAY_SECONDS};
 use crate::api::EngineId;
 
 /// Weight of a failed attempt in the failure rate; a success has half of it.
@@ -16,28 +14,6 @@
 /// Seconds that an engine stays ejected.
 const EJECTION_SECONDS: f64 = 2.0;
 
-/// What the ends of attempts have shown of an engine.
-#[derive(Default)]
-pub(crate) struct EngineHealth {
-    /// Decaying share of failed attempts at the last failure, from 0 to 1.
-    failure_rate: f64,
-    failed_at: f64,
-    pub(crate) last_success_at: f64,
-    /// Not used before, in seconds.
-    ejected_until: f64,
-}
-
-impl EngineHealth {
-    /// The failure rate now. It decays, so that an engine from which few answers come is not avoided for good.
-    pub(crate) fn failure_rate(&self, now: f64) -> f64 {
-        if self.failure_rate == 0.0 {
-            return 0.0;
-        }
-        let elapsed = (now - self.failed_at).max(0.0);
-        self.failure_rate * (-elapsed / HEALTH_DECAY_SECONDS).exp()
-    }
-}
-
 /// Whether an engine may be used: it is not ejected, and one that was takes a single query until it succeeds.
 pub(super) fn is_available(engine: &EngineState, now: f64) -> bool {
     engine.health.ejected_until <= now
--- a/src/controller/query_state.rs
+++ b/src/controller/query_state.rs
@@ -1,6 +1,6 @@
 //! What is kept of a query from its admission until it is over and no attempt of it is in flight.
 
-use super::attempt::Attempt;
+use super::attempt_state::Attempt;
 use crate::api::{Query, QueryId};
 
 /// Where a query stands.
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -5,10 +5,10 @@
 //! [`SlowStart::overload_multiple`](crate::api::SlowStart::overload_multiple) x window x effective cores. No gateway
 //! knows what others send, so each keeps to its share.
 
-use super::engine_choice::Candidate;
+use super::candidate::Candidate;
 use super::engine_state::EngineState;
 use super::{AdmissionController, MIN_DIVISOR, SUSTAINABLE_UTILISATION, WORK_DECAY_SECONDS};
-use crate::api::{Endpoint, EngineId, Query, SlowStart};
+use crate::api::{Endpoint, EngineId, SlowStart};
 
 /// Share of an engine's budget that gateways use together; the rest is for chance and uneven traffic.
 const BUDGET_SHARE: f64 = 0.6;
@@ -17,29 +17,6 @@
 /// Windows for which unused budget stays available. More would add up where all gateways send in step.
 const MAX_SAVED_WINDOWS: f64 = 0.6;
 
-/// The part of an engine's slow-start budget that this gateway has used.
-#[derive(Default)]
-pub(crate) struct WorkBudget {
-    /// When this gateway was notified of the start, in seconds.
-    known_since: f64,
-    /// A query admitted before: the budget becomes due in quanta of its work.
-    sample_query: Option<Query>,
-    /// Work sent or lapsed since, in seconds on one thread.
-    spent: f64,
-    /// The work at which the present quantum begins.
-    quantum_from: f64,
-}
-
-impl WorkBudget {
-    pub(crate) fn starting_at(now: f64, sample_query: Option<Query>) -> Self {
-        WorkBudget {
-            known_since: now,
-            sample_query,
-            ..WorkBudget::default()
-        }
-    }
-}
-
 /// A gateway's share of a budget at one moment, in seconds of work on one thread.
 struct BudgetBalance {
     /// What has become due since the start.
