--- a/crates/benchlink/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -176,7 +176,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_garnetwall-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_garnetwall-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
