--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -34,7 +34,7 @@
 use axum::routing::{get, post};
 use axum::Router;
 use garnetwall_bodies::Store;
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use rejection::Rejection;
 use responses::error_response;
 use std::net::IpAddr;
@@ -45,8 +45,8 @@
 
 pub use accept::accept;
 
-/// Protocol: a client that can't be served is owed a close within 3 s of connecting. The first request has this long
-/// to bring its head, and a statement as long as that.
+/// Protocol: the connection of a client that can't be served closes within 3 s. The head of a first request must arrive within
+/// this time, and its statement within as long again.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What all request handlers share.
@@ -56,7 +56,7 @@
     /// Runs the attempts of queries.
     pub engines: Arc<Engines>,
     /// The settings of query classes, and the names of classes and tenants.
-    pub decoded: Decoded,
+    pub decoded: DecodedSettings,
     /// Whether the gateway is serving, for the health check.
     pub phase: watch::Receiver<Phase>,
     /// Records non-idempotent queries before they are sent.
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -10,7 +10,7 @@
     LimitExceeded, LimitKind, LimitPermit, Limits, Names, PoolMembers, RouteDecision, RoutedQuery,
     Routing,
 };
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -158,9 +158,9 @@
 
 impl PlanRouter {
     /// A router for a gateway that can hold `capacity` queries at once.
-    pub fn new(decoded: &Decoded, plan: Arc<Plan>, capacity: f64) -> Self {
+    pub fn new(decoded: &DecodedSettings, plan: Arc<Plan>, capacity: f64) -> Self {
         let names = Names {
-            classes: decoded.names.groups.clone(),
+            classes: decoded.names.classes.clone(),
             tenants: decoded.names.tenants.clone(),
         };
         let routing = Routing::new(plan, names.clone());
@@ -280,7 +280,8 @@
             }
         };
         let permit = self.limits.admit(routing, unix_time(now), query)?;
-        let deadline_of = |class: usize| routing.class_rules(class).and_then(|rules| rules.limit);
+        let deadline_of =
+            |class: usize| routing.class_rules(class).and_then(|rules| rules.deadline);
         let deadlines = [deadline_of(query.class), deadline_of(class)];
         let is_restricted = !routing.subsets()[index].is_unrestricted();
         Ok(PlanAdmission {
@@ -299,7 +300,7 @@
 }
 
 fn refused_by_route(routing: &Routing, route: usize) -> PlanRejection {
-    let reason = routing.plan().routes[route].refuse.clone();
+    let reason = routing.plan().routes[route].reject_reason.clone();
     PlanRejection::LimitReached {
         reason: reason.unwrap_or_default(),
         retry_after: None,
