--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -32,8 +32,6 @@
 //!
 //! Times are durations since one fixed point, the same for all calls, and never run backwards.
 
-#![warn(missing_docs)]
-
 mod attempts;
 pub mod journal;
 mod polling;
--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -322,8 +322,8 @@
         ),
     ];
     for (path, value, said) in cases {
-        let flat = Flat::from_json(&with(path, value)).unwrap();
-        let fault = decode(&flat).unwrap().check().expect_err(path);
+        let flat = FlatSettings::from_json(&with(path, value)).unwrap();
+        let fault = decode(&flat).unwrap().validate().expect_err(path);
         assert_eq!(fault.to_string(), format!("settings.{said}"));
     }
 }
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -19,8 +19,6 @@
 //! a short reserve, and answers each change with [`Action`]s. A subset narrows what the decision module may choose
 //! from and never widens it. docs/subsets.md weighs the options.
 
-#![warn(missing_docs)]
-
 mod candidates;
 mod catalog;
 mod class_shortage;
