--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -1,17 +1,17 @@
-//! From checked blocks to a plan: names are resolved, and what contradicts itself, the settings or a rule is a fault.
+//! Builds a plan from checked blocks: names are resolved, and contradictions are faults.
 //!
 //! The [`Builder`] turns the blocks of each kind into their part of the [`Plan`]; where that brought no fault, the
-//! [`ConsistencyCheck`] looks for what the parts say against one another.
+//! [`ConsistencyCheck`] compares the parts with one another and with the settings.
 
-mod bodies;
+mod classes;
 mod consistency;
 mod entries;
-mod groups;
 mod limits;
 mod names;
 mod pools;
 mod routes;
 mod settings;
+mod storage;
 
 use crate::check::Checked;
 use crate::fault::Fault;
@@ -21,35 +21,29 @@
 
 pub use settings::{Settings, SettingsClass};
 
-/// Builds a plan of checked blocks. Where there are faults the plan is not to be used.
+/// Builds a plan from checked blocks. Where there are faults the plan is not to be used.
 pub fn build(blocks: &[Checked], settings: Option<&Settings>, faults: &mut Vec<Fault>) -> Plan {
-    let places = |kind: &str| {
-        of(blocks, kind)
-            .into_iter()
-            .enumerate()
-            .map(|(n, b)| (b.name.as_str(), n))
-            .collect()
-    };
-    let places = HashMap::from([("pool", places("pool")), ("addresses", places("addresses"))]);
     let mut builder = Builder {
         blocks,
-        places,
+        indices: HashMap::from([
+            ("pool", indices(blocks, "pool")),
+            ("addresses", indices(blocks, "addresses")),
+        ]),
         settings,
         faults,
         plan: Plan::default(),
     };
-    builder.outer_names();
+    builder.external_names();
     builder.addresses();
     builder.pools();
-    builder.groups();
+    builder.classes();
     builder.tenants();
     builder.routes();
     builder.limits();
     builder.bodies();
     builder.journal();
-    let resolved = builder.faults.is_empty();
-    let plan = builder.plan;
-    if resolved {
+    let Builder { plan, faults, .. } = builder;
+    if faults.is_empty() {
         ConsistencyCheck {
             plan: &plan,
             settings,
@@ -62,14 +56,23 @@
 
 /// The blocks of a kind, in their order.
 fn of<'a>(blocks: &'a [Checked], kind: &str) -> Vec<&'a Checked> {
-    blocks.iter().filter(|b| b.kind.name == kind).collect()
+    let of_kind = |block: &&Checked| block.kind.name == kind;
+    blocks.iter().filter(of_kind).collect()
+}
+
+/// The indices of the blocks of a kind among themselves, by name.
+fn indices<'a>(blocks: &'a [Checked], kind: &str) -> HashMap<&'a str, usize> {
+    let blocks = of(blocks, kind).into_iter().enumerate();
+    blocks
+        .map(|(index, block)| (block.name.as_str(), index))
+        .collect()
 }
 
-/// What is built so far, beside what it is built of.
+/// The part of a plan that is built so far, with what it is built from.
 struct Builder<'a> {
     blocks: &'a [Checked],
-    /// The indices of pools and of address sets, by name.
-    places: HashMap<&'static str, HashMap<&'a str, usize>>,
+    /// The indices of pools and of address sets, by kind of block and name.
+    indices: HashMap<&'static str, HashMap<&'a str, usize>>,
     settings: Option<&'a Settings>,
     faults: &'a mut Vec<Fault>,
     plan: Plan,
@@ -80,13 +83,12 @@
         of(self.blocks, kind)
     }
 
-    /// A block that says too little, unless a faulty line may be the one that is missing.
-    fn says_too_little(&mut self, block: &Checked, fault: Fault) {
-        let inside = |f: &Fault| {
-            f.span.file == block.whole.file
-                && (block.whole.start..block.whole.end).contains(&f.span.start)
+    /// Reports that a block lacks an entry, unless a faulty line in it may be the one that is missing.
+    fn incomplete(&mut self, block: &Checked, fault: Fault) {
+        let is_inside = |fault: &Fault| {
+            fault.span.file == block.whole.file && block.whole.range().contains(&fault.span.start)
         };
-        if !self.faults.iter().any(inside) {
+        if !self.faults.iter().any(is_inside) {
             self.faults.push(fault);
         }
     }
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -1,10 +1,11 @@
-//! Whether a plan whose names are all resolved contradicts itself, the settings or a rule.
+//! Checks whether a plan whose names are all resolved contradicts itself, the settings or a rule.
 
+mod classes;
 mod limits;
 mod placement;
 mod routes;
 
-use super::Settings;
+use super::{Settings, SettingsClass};
 use crate::cells::{Cells, Known};
 use crate::fault::Fault;
 use crate::model::Plan;
@@ -19,66 +20,49 @@
 impl ConsistencyCheck<'_> {
     pub(super) fn run(&mut self) {
         self.pools();
-        self.groups();
+        self.classes();
         self.routes();
         self.limits();
     }
 
     fn known(&self) -> Known<'_> {
         Known {
-            zones: self.settings.map(|s| s.zones.as_slice()),
-            kinds: self.settings.map(|s| s.kinds.as_slice()),
+            zones: self.settings.map(|settings| settings.zones.as_slice()),
+            kinds: self.settings.map(|settings| settings.kinds.as_slice()),
         }
     }
 
+    /// A pool in which no engine can be.
     fn pools(&mut self) {
         let Some(cells) = Cells::of(&[self.plan], self.known()) else {
             return;
         };
-        for (pool, held) in self.plan.pools.iter().zip(cells.of_pools(self.plan, 0)) {
-            if held.is_clear() {
-                let text = format!("no engine can be in the pool `{}`", pool.name);
-                let by = pool.except.first().map(|e| &self.plan.pools[*e]);
-                let fault = Fault::new(pool.span.clone(), text);
-                self.faults.push(match by {
-                    Some(by) => fault.related(by.span.clone(), "what it has is excepted"),
-                    None => fault,
-                });
+        let cells_of = cells.of_pools(self.plan, 0);
+        for (pool, cells) in self.plan.pools.iter().zip(cells_of) {
+            if !cells.is_clear() {
+                continue;
             }
+            let text = format!("no engine can be in the pool `{}`", pool.name);
+            let fault = Fault::new(pool.span.clone(), text);
+            let except = pool.except.first().map(|except| &self.plan.pools[*except]);
+            self.faults.push(match except {
+                Some(except) => fault.related(except.span.clone(), "what it has is excepted"),
+                None => fault,
+            });
         }
     }
+}
 
-    fn groups(&mut self) {
-        for group in &self.plan.classes {
-            let told = self.settings.and_then(|s| s.class(&group.name));
-            let limit = group.deadline.or(told.map(|t| t.deadline));
-            if let (Some(goal), Some(limit)) = (group.latency_objective, limit) {
-                if goal > limit {
-                    let text =
-                        format!("the goal of `{}` is longer than its time limit", group.name);
-                    self.faults.push(Fault::new(group.span.clone(), text));
-                }
-            }
-            let Some(told) = told else { continue };
-            let mut wider = |what: &str| {
-                let text = format!(
-                    "a plan narrows what the settings allow; this {what} of `{}` is wider",
-                    group.name
-                );
-                self.faults.push(Fault::new(group.span.clone(), text));
-            };
-            if group.deadline.is_some_and(|limit| limit > told.deadline) {
-                wider("time limit");
-            }
-            if group.in_order == Some(false) && told.in_order {
-                wider("order");
-            }
-            if group
-                .idempotency
-                .is_some_and(|effect| !effect.narrows(&told.idempotency))
-            {
-                wider("effect");
-            }
-        }
+/// Whether every name that the narrow selection lets through is let through by the wide one; `None` is any name.
+fn is_subset(narrow: &Option<Vec<String>>, wide: &Option<Vec<String>>) -> bool {
+    match (narrow, wide) {
+        (_, None) => true,
+        (None, Some(_)) => false,
+        (Some(narrow), Some(wide)) => narrow.iter().all(|name| wide.contains(name)),
     }
 }
+
+/// Whether the settings bind a class to some kinds or zones.
+fn is_bound(class: &SettingsClass) -> bool {
+    class.kinds.is_some() || class.zones.is_some()
+}
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -2,98 +2,104 @@
 
 use super::ConsistencyCheck;
 use crate::fault::Fault;
-use crate::model::{Limit, Per};
+use crate::model::{Limit, Per, Tenant};
 
 impl ConsistencyCheck<'_> {
-    /// Limits that contradict one another.
     pub(super) fn limits(&mut self) {
         let limits = &self.plan.limits;
-        for (n, limit) in limits.iter().enumerate() {
-            for other in &limits[..n] {
-                let same = limit.per == other.per && scope_of(limit) == scope_of(other);
-                let figures = |l: &Limit| {
-                    [
-                        l.max_in_flight.is_some(),
-                        l.rate.is_some(),
-                        l.bytes.is_some(),
-                    ]
-                };
-                let both = figures(limit)
-                    .iter()
-                    .zip(figures(other))
-                    .any(|(a, b)| *a && b);
-                if same && both {
-                    let text = format!(
-                        "the limits `{}` and `{}` limit the same",
-                        other.name, limit.name
-                    );
-                    let fault = Fault::new(limit.span.clone(), text);
-                    self.faults
-                        .push(fault.related(other.span.clone(), "the other one"));
-                }
-                let (wide, narrow) = (other, limit);
-                self.never_binds(wide, narrow);
-                self.never_binds(narrow, wide);
+        for (index, limit) in limits.iter().enumerate() {
+            for earlier in &limits[..index] {
+                self.duplicate(earlier, limit);
+                self.never_binds(earlier, limit);
+                self.never_binds(limit, earlier);
             }
         }
         for tenant in &self.plan.tenants {
-            let covers = |l: &&Limit| {
-                let whole = l.per.iter().all(|p| *p == Per::Tenant)
-                    && l.classes.is_empty()
-                    && l.clients.is_empty();
-                whole && (l.tenants.is_empty() || l.tenants == [tenant.name.clone()])
-            };
-            for limit in limits.iter().filter(covers) {
-                if let (Some(most), Some(own)) = (limit.max_in_flight, tenant.max_in_flight) {
-                    if own > most {
-                        let text = format!(
-                            "`{}` may have {own} batches in hand, but the limit `{}` holds it to {most}",
-                            tenant.name, limit.name
-                        );
-                        self.faults.push(
-                            Fault::new(tenant.span.clone(), text)
-                                .related(limit.span.clone(), "this one"),
-                        );
-                    }
-                }
+            for limit in limits.iter().filter(|limit| covers(limit, tenant)) {
+                self.tenant_over_limit(tenant, limit);
             }
         }
     }
 
-    /// A limit that counts no more than another, wider one of fewer batches in hand.
+    /// Two limits that set the same figure for the same queries.
+    fn duplicate(&mut self, first: &Limit, second: &Limit) {
+        let shares_figure = (first.max_in_flight.is_some() && second.max_in_flight.is_some())
+            || (first.rate.is_some() && second.rate.is_some())
+            || (first.bytes.is_some() && second.bytes.is_some());
+        if !shares_figure || !have_same_scope(first, second) {
+            return;
+        }
+        let text = format!(
+            "the limits `{}` and `{}` limit the same",
+            first.name, second.name
+        );
+        let fault = Fault::new(second.span.clone(), text);
+        self.faults
+            .push(fault.related(first.span.clone(), "the other one"));
+    }
+
+    /// A limit that can never be reached, as a wider one lets fewer queries be in flight.
     fn never_binds(&mut self, wide: &Limit, narrow: &Limit) {
-        let within = |narrow: &[String], wide: &[String]| {
-            wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|n| wide.contains(n)))
+        let (Some(fewer), Some(more)) = (wide.max_in_flight, narrow.max_in_flight) else {
+            return;
         };
-        let clients = wide.clients.is_empty() || wide.clients == narrow.clients;
-        let inside = within(&narrow.classes, &wide.classes)
-            && within(&narrow.tenants, &wide.tenants)
-            && clients;
-        if let (true, true, Some(less), Some(more)) = (
-            inside,
-            wide.per.is_empty(),
-            wide.max_in_flight,
-            narrow.max_in_flight,
-        ) {
-            if more > less && (scope_of(wide) != scope_of(narrow) || wide.per != narrow.per) {
-                let text = format!(
-                    "the limit `{}` of {more} in hand can never bind: `{}` holds all of them to {less}",
-                    narrow.name, wide.name
-                );
-                self.faults.push(
-                    Fault::new(narrow.span.clone(), text).related(wide.span.clone(), "this one"),
-                );
-            }
+        let counts_all_together = wide.per.is_empty() && contains(wide, narrow);
+        if !counts_all_together || more <= fewer || have_same_scope(wide, narrow) {
+            return;
         }
+        let text = format!(
+            "the limit `{}` of {more} in hand can never bind: `{}` holds all of them to {fewer}",
+            narrow.name, wide.name
+        );
+        let fault = Fault::new(narrow.span.clone(), text);
+        self.faults
+            .push(fault.related(wide.span.clone(), "this one"));
     }
+
+    /// A tenant's own limit of queries in flight that is above a general one.
+    fn tenant_over_limit(&mut self, tenant: &Tenant, limit: &Limit) {
+        let (Some(own), Some(most)) = (tenant.max_in_flight, limit.max_in_flight) else {
+            return;
+        };
+        if own <= most {
+            return;
+        }
+        let text = format!(
+            "`{}` may have {own} batches in hand, but the limit `{}` holds it to {most}",
+            tenant.name, limit.name
+        );
+        let fault = Fault::new(tenant.span.clone(), text);
+        self.faults
+            .push(fault.related(limit.span.clone(), "this one"));
+    }
+}
+
+/// Whether a limit counts every query of a tenant, alone or with those of others.
+fn covers(limit: &Limit, tenant: &Tenant) -> bool {
+    let counts_tenants = limit.per.iter().all(|per| *per == Per::Tenant);
+    let is_tenant = limit.tenants.is_empty() || limit.tenants == [tenant.name.clone()];
+    counts_tenants && limit.classes.is_empty() && limit.clients.is_empty() && is_tenant
 }
 
-fn scope_of(limit: &Limit) -> (Vec<&String>, Vec<&String>, Vec<usize>) {
-    let mut groups: Vec<&String> = limit.classes.iter().collect();
-    let mut tenants: Vec<&String> = limit.tenants.iter().collect();
-    let mut clients = limit.clients.clone();
-    groups.sort_unstable();
-    tenants.sort_unstable();
-    clients.sort_unstable();
-    (groups, tenants, clients)
+/// Whether a limit counts every query that another one counts, as far as their lists show.
+fn contains(wide: &Limit, narrow: &Limit) -> bool {
+    let within = |narrow: &[String], wide: &[String]| {
+        wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|name| wide.contains(name)))
+    };
+    within(&narrow.classes, &wide.classes)
+        && within(&narrow.tenants, &wide.tenants)
+        && (wide.clients.is_empty() || wide.clients == narrow.clients)
+}
+
+/// Whether two limits count the same queries by the same things.
+fn have_same_scope(a: &Limit, b: &Limit) -> bool {
+    fn sorted<Item: Ord>(items: &[Item]) -> Vec<&Item> {
+        let mut sorted: Vec<&Item> = items.iter().collect();
+        sorted.sort_unstable();
+        sorted
+    }
+    a.per == b.per
+        && sorted(&a.classes) == sorted(&b.classes)
+        && sorted(&a.tenants) == sorted(&b.tenants)
+        && sorted(&a.clients) == sorted(&b.clients)
 }
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -1,127 +1,164 @@
-//! Whether routes keep to the pools, kinds and zones that a group is bound to.
+//! Checks that routes keep to the pools, kinds and zones that a class is bound to.
 
-use super::ConsistencyCheck;
+use super::{is_bound, ConsistencyCheck};
+use crate::build::SettingsClass;
 use crate::cells::Cells;
 use crate::fault::Fault;
 use crate::files::Span;
 use crate::model::{ClassRules, Route};
-use crate::region::{Region, ValueClasses};
+use crate::region::{Region, ValueClasses, QUERY_CLASS};
 use fixedbitset::FixedBitSet;
 
+/// A route that names pools, with the classes whose queries it may match.
+struct PlacedRoute<'a> {
+    route: &'a Route,
+    /// The place of the entry that names the pools.
+    pools_span: &'a Span,
+    classes: &'a ValueClasses,
+    /// The regions that it decides on; `None` where they are too many.
+    pieces: Option<&'a [Region]>,
+}
+
+impl PlacedRoute<'_> {
+    /// Whether queries of a class may match the route, or be treated as that class by it.
+    fn concerns(&self, class: &str) -> bool {
+        let value_class = self.classes.query_class(class);
+        let has_class = |piece: &Region| piece[QUERY_CLASS].contains(value_class);
+        self.route.treats_as(class)
+            || self
+                .pieces
+                .is_none_or(|pieces| pieces.iter().any(has_class))
+    }
+}
+
+/// The cells that a plan tells apart, with those of each of its pools.
+struct PoolCells {
+    cells: Cells,
+    of_pools: Vec<FixedBitSet>,
+}
+
 impl ConsistencyCheck<'_> {
-    /// No route sends a batch out of the pools that its group is bound to, and each leaves it some engine.
+    /// Reports routes that may send queries out of the pools, kinds or zones that their class is bound to.
     pub(super) fn placement(&mut self, classes: &ValueClasses, reach: &[Option<Vec<Region>>]) {
         let cells = Cells::of(&[self.plan], self.known());
-        let held = cells.as_ref().map(|cells| cells.of_pools(self.plan, 0));
-        for (n, route) in self.plan.routes.iter().enumerate() {
-            let Some(to_span) = &route.pools_span else {
+        let pool_cells = cells.map(|cells| PoolCells {
+            of_pools: cells.of_pools(self.plan, 0),
+            cells,
+        });
+        for (route, pieces) in self.plan.routes.iter().zip(reach) {
+            let Some(pools_span) = &route.pools_span else {
                 continue;
             };
-            let reaches = |group: &str| {
-                let class = classes.query_class(group);
-                reach[n]
-                    .as_ref()
-                    .is_none_or(|pieces| pieces.iter().any(|p| p[0].contains(class)))
+            let placed = PlacedRoute {
+                route,
+                pools_span,
+                classes,
+                pieces: pieces.as_deref(),
             };
-            for group in self.plan.classes.iter().filter(|g| !g.pools.is_empty()) {
-                let treated = route.treats_as(&group.name);
-                if !(reaches(&group.name) || treated) {
-                    continue;
-                }
-                for to in &route.pools {
-                    let inside = match &held {
-                        Some(held) => {
-                            let mut rest = held[*to].clone();
-                            group
-                                .pools
-                                .iter()
-                                .for_each(|p| rest.difference_with(&held[*p]));
-                            rest.is_clear()
-                        }
-                        None => group.pools.contains(to),
-                    };
-                    if !inside {
-                        self.leaves(route, to_span, group, *to);
-                    }
+            self.bound_by_plan(&placed, pool_cells.as_ref());
+            if let Some(pool_cells) = &pool_cells {
+                self.bound_by_settings(&placed, pool_cells);
+            }
+        }
+    }
+
+    /// The pools that the plan's own rules bind a class to.
+    fn bound_by_plan(&mut self, placed: &PlacedRoute, pool_cells: Option<&PoolCells>) {
+        let bound = self.plan.classes.iter();
+        let bound = bound.filter(|class| !class.pools.is_empty());
+        for class in bound.filter(|class| placed.concerns(&class.name)) {
+            for pool in &placed.route.pools {
+                if !is_inside(*pool, &class.pools, pool_cells) {
+                    let fault = self.out_of_pools(placed, class, *pool);
+                    self.faults.push(fault);
                 }
             }
-            self.settled(route, to_span, &reaches, cells.as_ref(), held.as_deref());
         }
     }
 
-    fn leaves(&mut self, route: &Route, to_span: &Span, group: &ClassRules, to: usize) {
-        let bound: Vec<&str> = group
-            .pools
-            .iter()
-            .map(|p| self.plan.pools[*p].name.as_str())
-            .collect();
-        let to = &self.plan.pools[to].name;
+    fn out_of_pools(&self, placed: &PlacedRoute, class: &ClassRules, pool: usize) -> Fault {
+        let pool_name = |pool: &usize| self.plan.pools[*pool].name.as_str();
+        let bound: Vec<&str> = class.pools.iter().map(pool_name).collect();
+        let pool = pool_name(&pool);
         let text = format!(
-            "the route `{}` may send `{}` to `{to}`, out of `{}`",
-            route.name,
-            group.name,
+            "the route `{}` may send `{}` to `{pool}`, out of `{}`",
+            placed.route.name,
+            class.name,
             bound.join("`, `")
         );
-        let fault = Fault::new(to_span.clone(), text).label("this leaves the binding");
-        let binding = group.pools_span.clone().unwrap_or(group.span.clone());
-        let fault = fault.related(binding, format!("`{}` is bound here", group.name));
-        self.faults.push(fault.help(format!(
-            "take `{}` with an earlier route, or leave `{to}` out",
-            group.name
-        )));
+        let binding = class.pools_span.as_ref().unwrap_or(&class.span);
+        Fault::new(placed.pools_span.clone(), text)
+            .label("this leaves the binding")
+            .related(binding.clone(), format!("`{}` is bound here", class.name))
+            .help(format!(
+                "take `{}` with an earlier route, or leave `{pool}` out",
+                class.name
+            ))
     }
 
-    /// The same for kinds and zones that the settings bind a group to.
-    fn settled(
-        &mut self,
-        route: &Route,
-        to_span: &Span,
-        reaches: &dyn Fn(&str) -> bool,
-        cells: Option<&Cells>,
-        held: Option<&[FixedBitSet]>,
-    ) {
-        let (Some(settings), Some(cells), Some(held)) = (self.settings, cells, held) else {
+    /// The kinds and zones that the settings bind a class to.
+    fn bound_by_settings(&mut self, placed: &PlacedRoute, pool_cells: &PoolCells) {
+        let Some(settings) = self.settings else {
             return;
         };
-        let bound = settings
-            .classes
-            .iter()
-            .filter(|g| g.kinds.is_some() || g.zones.is_some());
-        for group in bound.filter(|g| reaches(&g.name) || route.treats_as(&g.name)) {
-            let allowed = |cell: usize| {
-                let (zone, kind) = cells.place(cell);
-                let among = |list: &Option<Vec<String>>, name: Option<&str>| {
-                    list.as_ref()
-                        .is_none_or(|l| name.is_some_and(|n| l.iter().any(|m| m == n)))
-                };
-                among(&group.zones, zone) && among(&group.kinds, kind)
-            };
-            for to in &route.pools {
-                if let Some(cell) = held[*to].ones().find(|cell| !allowed(*cell)) {
-                    let (zone, kind) = cells.place(cell);
-                    let place = match (zone, kind) {
-                        (Some(zone), Some(kind)) => format!("{kind} in {zone}"),
-                        (_, kind) => kind.unwrap_or("engines of other kinds").to_string(),
-                    };
-                    let pool = &self.plan.pools[*to].name;
-                    let text = format!(
-                        "the route `{}` may send `{}` to {place}, by the pool `{pool}`",
-                        route.name, group.name
-                    );
-                    let list = |l: &Option<Vec<String>>| l.as_ref().map(|l| l.join(", "));
-                    let only = [list(&group.kinds), list(&group.zones)]
-                        .into_iter()
-                        .flatten()
-                        .collect::<Vec<_>>();
-                    let fault = Fault::new(to_span.clone(), text).label("this leaves the binding");
-                    let fault = fault.help(format!(
-                        "the settings bind `{}` to {}; take it with an earlier route",
-                        group.name,
-                        only.join(" and ")
-                    ));
+        let bound = settings.classes.iter().filter(|class| is_bound(class));
+        for class in bound.filter(|class| placed.concerns(&class.name)) {
+            for pool in &placed.route.pools {
+                let mut cells = pool_cells.of_pools[*pool].ones();
+                let places = &pool_cells.cells;
+                let outside = cells.find(|cell| !is_allowed(class, places.place(*cell)));
+                if let Some(cell) = outside {
+                    let place = place_in_words(places.place(cell));
+                    let pool = &self.plan.pools[*pool].name;
+                    let fault = out_of_places(placed, class, &place, pool);
                     self.faults.push(fault);
                 }
             }
         }
     }
 }
+
+/// Whether every engine of a pool is in one of the pools that a class is bound to.
+fn is_inside(pool: usize, bound: &[usize], pool_cells: Option<&PoolCells>) -> bool {
+    let Some(PoolCells { of_pools, .. }) = pool_cells else {
+        return bound.contains(&pool);
+    };
+    let mut outside = of_pools[pool].clone();
+    for allowed in bound {
+        outside.difference_with(&of_pools[*allowed]);
+    }
+    outside.is_clear()
+}
+
+/// Whether the settings let a class run in a zone and on a kind; `None` stands for names that no plan has.
+fn is_allowed(class: &SettingsClass, (zone, kind): (Option<&str>, Option<&str>)) -> bool {
+    let among = |allowed: &Option<Vec<String>>, name: Option<&str>| {
+        let Some(allowed) = allowed else { return true };
+        name.is_some_and(|name| allowed.iter().any(|other| other == name))
+    };
+    among(&class.zones, zone) && among(&class.kinds, kind)
+}
+
+fn place_in_words(place: (Option<&str>, Option<&str>)) -> String {
+    match place {
+        (Some(zone), Some(kind)) => format!("{kind} in {zone}"),
+        (_, Some(kind)) => kind.to_string(),
+        (_, None) => "engines of other kinds".to_string(),
+    }
+}
+
+fn out_of_places(placed: &PlacedRoute, class: &SettingsClass, place: &str, pool: &str) -> Fault {
+    let text = format!(
+        "the route `{}` may send `{}` to {place}, by the pool `{pool}`",
+        placed.route.name, class.name
+    );
+    let bound = class.kinds.iter().chain(&class.zones);
+    let bound: Vec<String> = bound.map(|names| names.join(", ")).collect();
+    Fault::new(placed.pools_span.clone(), text)
+        .label("this leaves the binding")
+        .help(format!(
+            "the settings bind `{}` to {}; take it with an earlier route",
+            class.name,
+            bound.join(" and ")
+        ))
+}
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -1,88 +1,86 @@
-//! Routes that never match, or that treat a group as one of weaker rules.
+//! Routes that never match, or that treat a class as one of weaker rules.
 
-use super::ConsistencyCheck;
+use super::{is_subset, ConsistencyCheck};
 use crate::build::SettingsClass;
 use crate::fault::Fault;
 use crate::region::{self, Region, ValueClasses};
 
 impl ConsistencyCheck<'_> {
     pub(super) fn routes(&mut self) {
-        let groups: Vec<String> = self.settings.map_or(Vec::new(), |s| {
-            s.classes.iter().map(|g| g.name.clone()).collect()
+        let class_names: Vec<String> = self.settings.map_or(Vec::new(), |settings| {
+            let classes = settings.classes.iter();
+            classes.map(|class| class.name.clone()).collect()
         });
-        let tenants = self.settings.map_or(&[][..], |s| &s.tenants);
-        let classes = ValueClasses::of(&[self.plan], &groups, tenants);
-        let regions: Vec<Region> = self
-            .plan
-            .routes
-            .iter()
-            .map(|r| classes.region(r, 0))
-            .collect();
-        let whole = region::whole(&classes);
-        let reach = region::reach(&regions, &whole);
-        self.unreached(&regions, &reach);
+        let tenants = self.settings.map_or(&[][..], |settings| &settings.tenants);
+        let classes = ValueClasses::of(&[self.plan], &class_names, tenants);
+        let routes = self.plan.routes.iter();
+        let regions: Vec<Region> = routes.map(|route| classes.region(route, 0)).collect();
+        let reach = region::reach(&regions, &region::whole(&classes));
+        self.never_matching(&regions, &reach);
         self.treated_as();
         self.placement(&classes, &reach);
     }
 
-    /// A route that can never match as earlier ones take all.
-    fn unreached(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
-        for (n, route) in self.plan.routes.iter().enumerate() {
-            if reach[n].as_ref().is_none_or(|pieces| !pieces.is_empty()) {
+    /// Routes that can never match, as earlier ones match all their queries.
+    fn never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
+        for (index, route) in self.plan.routes.iter().enumerate() {
+            let may_match = reach[index]
+                .as_ref()
+                .is_none_or(|pieces| !pieces.is_empty());
+            if may_match {
                 continue;
             }
-            let alone = regions[..n]
-                .iter()
-                .position(|earlier| region::difference(&regions[n], earlier).is_empty());
+            let covers = |earlier: &Region| region::difference(&regions[index], earlier).is_empty();
             let text = format!("the route `{}` can never match", route.name);
             let fault = Fault::new(route.span.clone(), text);
-            self.faults.push(match alone {
-                Some(earlier) => fault.related(
-                    self.plan.routes[earlier].span.clone(),
-                    "this one takes all that it asks for",
-                ),
-                None => fault.label("earlier routes together take all that it asks for"),
-            });
+            self.faults
+                .push(match regions[..index].iter().position(covers) {
+                    Some(earlier) => fault.related(
+                        self.plan.routes[earlier].span.clone(),
+                        "this one takes all that it asks for",
+                    ),
+                    None => fault.label("earlier routes together take all that it asks for"),
+                });
         }
     }
 
-    /// What is treated as another group keeps the rules of its own.
+    /// Routes that treat queries as a class which allows what the settings do not allow for their own class.
     fn treated_as(&mut self) {
         let Some(settings) = self.settings else {
             return;
         };
         for route in &self.plan.routes {
-            let (Some(other), Some(span)) = (&route.as_class, &route.as_span) else {
+            let (Some(name), Some(span)) = (&route.as_class, &route.as_span) else {
                 continue;
             };
-            let Some(to) = settings.class(other) else {
+            let Some(treated_as) = settings.class(name) else {
                 continue;
             };
-            let takes =
-                |g: &&SettingsClass| route.classes.is_empty() || route.classes.contains(&g.name);
-            for from in settings.classes.iter().filter(takes) {
-                let within =
-                    |narrow: &Option<Vec<String>>, wide: &Option<Vec<String>>| match (narrow, wide)
-                    {
-                        (_, None) => true,
-                        (None, Some(_)) => false,
-                        (Some(narrow), Some(wide)) => narrow.iter().all(|n| wide.contains(n)),
-                    };
-                let what = if !to.idempotency.narrows(&from.idempotency) {
-                    "run again where they may not"
-                } else if from.in_order && !to.in_order {
-                    "lose their order"
-                } else if !within(&to.kinds, &from.kinds) || !within(&to.zones, &from.zones) {
-                    "run where they may not"
-                } else {
+            for class in &settings.classes {
+                let is_matched = route.classes.is_empty() || route.classes.contains(&class.name);
+                let violation = violation(class, treated_as).filter(|_| is_matched);
+                let Some(violation) = violation else {
                     continue;
                 };
                 let text = format!(
-                    "batches of `{}` can't be treated as `{other}`: they would {what}",
-                    from.name
+                    "batches of `{}` can't be treated as `{name}`: they would {violation}",
+                    class.name
                 );
                 self.faults.push(Fault::new(span.clone(), text));
             }
         }
     }
 }
+
+/// The first rule of a class that its queries would break if they were treated as another class.
+fn violation(class: &SettingsClass, treated_as: &SettingsClass) -> Option<&'static str> {
+    if !treated_as.idempotency.narrows(&class.idempotency) {
+        return Some("run again where they may not");
+    }
+    if class.in_order && !treated_as.in_order {
+        return Some("lose their order");
+    }
+    let stays_inside =
+        is_subset(&treated_as.kinds, &class.kinds) && is_subset(&treated_as.zones, &class.zones);
+    (!stays_inside).then_some("run where they may not")
+}
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -5,32 +5,57 @@
 use crate::quantity::Value;
 use std::time::Duration;
 
+/// The values that are names, patterns or texts.
 pub(super) fn named(values: &[Spanned]) -> Vec<String> {
-    let name = |s: &Spanned| match &s.value {
+    let name = |value: &Spanned| match &value.value {
         Value::Name(name) | Value::Pattern(name) | Value::Text(name) => Some(name.clone()),
         _ => None,
     };
     values.iter().filter_map(name).collect()
 }
 
-pub(super) fn time(given: Option<&Spanned>) -> Option<Duration> {
-    match given?.value {
+/// The first value that is a name, pattern or text.
+pub(super) fn first_name(values: &[Spanned]) -> Option<String> {
+    named(values).into_iter().next()
+}
+
+pub(super) fn time(value: Option<&Spanned>) -> Option<Duration> {
+    match value?.value {
         Value::Time(time) => Some(time),
         _ => None,
     }
 }
 
-pub(super) fn number(given: Option<&Spanned>) -> Option<f64> {
-    match given?.value {
-        Value::Size(n) | Value::Count(n) => Some(n as f64),
-        Value::Rate(n) | Value::Flow(n) | Value::Share(n) => Some(n),
+/// A size, count, rate or share in base units.
+pub(super) fn number(value: Option<&Spanned>) -> Option<f64> {
+    match value?.value {
+        Value::Size(whole) | Value::Count(whole) => Some(whole as f64),
+        Value::Rate(number) | Value::Flow(number) | Value::Share(number) => Some(number),
+        _ => None,
+    }
+}
+
+/// A size in bytes, or a count.
+pub(super) fn count(value: Option<&Spanned>) -> Option<u64> {
+    match value?.value {
+        Value::Size(whole) | Value::Count(whole) => Some(whole),
         _ => None,
     }
 }
 
-/// A rate with its burst; where none is told, what comes in a second, one batch at least.
-pub(super) fn bucket(given: Option<&Given>) -> Option<Bucket> {
-    let values = &given?.values;
+/// Ranges of numbers, or of minutes of the day.
+pub(super) fn ranges(values: &[Spanned]) -> Vec<(u32, u32)> {
+    let range = |value: &Spanned| match value.value {
+        Value::Numbers(from, to) => Some((from, to)),
+        Value::Clock(from, until) => Some((from, until)),
+        _ => None,
+    };
+    values.iter().filter_map(range).collect()
+}
+
+/// A rate with its burst; where none is given, what comes in a second, at least 1.
+pub(super) fn bucket(entry: Option<&Given>) -> Option<Bucket> {
+    let values = &entry?.values;
     let rate = number(values.first())?;
     Some(Bucket {
         rate,
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -1,48 +1,48 @@
-//! Limits.
+//! Builds limits.
 
-use super::entries::{bucket, named, number};
+use super::entries::{bucket, count, named};
 use super::Builder;
+use crate::check::Spanned;
 use crate::fault::Fault;
 use crate::model::{Limit, Per};
 
 impl Builder<'_> {
     pub(super) fn limits(&mut self) {
         for block in self.of("limit") {
-            let clients = self.refs("addresses", block.get("client"));
-            if !["in-hand", "rate", "bytes"]
-                .iter()
-                .any(|e| block.get(e).is_some())
-            {
-                let fault = Fault::new(
-                    block.span.clone(),
-                    format!("the limit `{}` limits nothing", block.name),
-                );
-                self.says_too_little(
-                    block,
-                    fault.help("say how much: `in-hand`, `rate` or `bytes`"),
-                );
+            let clients = self.block_indices("addresses", block.get("client"));
+            if !block.has_any(&["in-hand", "rate", "bytes"]) {
+                let text = format!("the limit `{}` limits nothing", block.name);
+                let help = "say how much: `in-hand`, `rate` or `bytes`";
+                let fault = Fault::new(block.span.clone(), text);
+                self.incomplete(block, fault.help(help));
             }
-            let mut per: Vec<Per> = named(block.values("per"))
-                .iter()
-                .map(|word| match word.as_str() {
-                    "group" => Per::Class,
-                    "tenant" => Per::Tenant,
-                    _ => Per::Client,
-                })
-                .collect();
-            per.sort_unstable();
-            per.dedup();
             self.plan.limits.push(Limit {
-                per,
+                name: block.name.clone(),
+                span: block.span.clone(),
+                per: per(block.values("per")),
                 classes: named(block.values("group")),
                 tenants: named(block.values("tenant")),
                 clients,
-                max_in_flight: number(block.one("in-hand")).map(|n| n as u64),
+                max_in_flight: count(block.one("in-hand")),
                 rate: bucket(block.get("rate")),
                 bytes: bucket(block.get("bytes")),
-                name: block.name.clone(),
-                span: block.span.clone(),
             });
         }
     }
 }
+
+/// What a limit is counted by, in order, each once.
+fn per(values: &[Spanned]) -> Vec<Per> {
+    let words = named(values);
+    let mut per: Vec<Per> = words
+        .iter()
+        .map(|word| match word.as_str() {
+            "group" => Per::Class,
+            "tenant" => Per::Tenant,
+            _ => Per::Client,
+        })
+        .collect();
+    per.sort_unstable();
+    per.dedup();
+    per
+}
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -1,117 +1,148 @@
-//! Resolves names: those of the settings, and those of other blocks.
+//! Resolves names: those that the settings know, and those of other blocks.
 
 use super::{Builder, Settings};
-use crate::check::Given;
+use crate::check::{Checked, Given};
 use crate::fault::Fault;
 use crate::files::Span;
 use crate::quantity::Value;
-use crate::schema::{Outer, Shape};
+use crate::schema::{External, Shape};
 
 impl Builder<'_> {
-    /// Names of groups, tenants, kinds and zones, where the settings are at hand.
-    pub(super) fn outer_names(&mut self) {
+    /// Checks names of classes, tenants, kinds and zones, where the settings are at hand.
+    pub(super) fn external_names(&mut self) {
         let Some(settings) = self.settings else {
             return;
         };
         for block in self.blocks {
-            if let Some(outer) = block.kind.outer {
-                self.outer_name(settings, outer, &block.name, &block.span);
+            if let Some(external) = block.kind.external {
+                self.external_name(settings, external, &block.name, &block.span);
             }
             for entry in block.kind.entries {
-                let (Shape::Outer(outer) | Shape::OneOuter(outer)) = entry.shape else {
+                let (Shape::ExternalNames(external) | Shape::ExternalName(external)) = entry.shape
+                else {
                     continue;
                 };
                 for value in block.values(entry.name) {
                     if let Value::Name(name) = &value.value {
-                        self.outer_name(settings, outer, name, &value.span);
+                        self.external_name(settings, external, name, &value.span);
                     }
                 }
             }
         }
     }
 
-    fn outer_name(&mut self, settings: &Settings, outer: Outer, name: &str, span: &Span) {
-        let names = settings.names(outer);
+    fn external_name(&mut self, settings: &Settings, external: External, name: &str, span: &Span) {
+        let names = settings.names(external);
         if !names.contains(&name) {
-            let text = format!("the settings know no {} `{name}`", outer.is());
-            self.faults
-                .push(Fault::new(span.clone(), text).suggest_nearest(name, names));
+            let text = format!("the settings know no {} `{name}`", external.described());
+            let fault = Fault::new(span.clone(), text);
+            self.faults.push(fault.suggest_nearest(name, names));
         }
     }
 
-    /// The indices of blocks of a kind that an entry names.
-    pub(super) fn refs(&mut self, kind: &'static str, given: Option<&Given>) -> Vec<usize> {
-        let known = &self.places[kind];
+    /// The indices of the blocks of a kind that an entry names.
+    pub(super) fn block_indices(
+        &mut self,
+        kind: &'static str,
+        entry: Option<&Given>,
+    ) -> Vec<usize> {
+        let known = &self.indices[kind];
         let mut found = Vec::new();
-        for value in given.map_or(&[][..], |g| &g.values) {
+        for value in entry.map_or(&[][..], |entry| &entry.values) {
             let Value::Name(name) = &value.value else {
                 continue;
             };
-            match known.get(name.as_str()) {
-                Some(n) if found.contains(n) => {
-                    self.faults.push(Fault::new(
-                        value.span.clone(),
-                        format!("`{name}` stands twice in this list"),
-                    ));
-                }
-                Some(n) => found.push(*n),
-                None => {
-                    let what = if kind == "pool" {
-                        "pool"
-                    } else {
-                        "address set"
-                    };
-                    let fault =
-                        Fault::new(value.span.clone(), format!("there is no {what} `{name}`"));
-                    self.faults
-                        .push(fault.suggest_nearest(name, known.keys().copied()));
-                }
+            let Some(index) = known.get(name.as_str()) else {
+                let what = match kind {
+                    "addresses" => "address set",
+                    other => other,
+                };
+                let text = format!("there is no {what} `{name}`");
+                let fault = Fault::new(value.span.clone(), text);
+                let names = known.keys().copied();
+                self.faults.push(fault.suggest_nearest(name, names));
+                continue;
+            };
+            if found.contains(index) {
+                let text = format!("`{name}` stands twice in this list");
+                self.faults.push(Fault::new(value.span.clone(), text));
+            } else {
+                found.push(*index);
             }
         }
         found
     }
 
-    /// An order in which each block comes after those that it refers to; those in a loop are a fault.
-    pub(super) fn ordered(&mut self, kind: &str, refers: &[Vec<usize>]) -> Vec<usize> {
-        let blocks: Vec<(String, Span)> = self
-            .of(kind)
-            .iter()
-            .map(|b| (b.name.clone(), b.span.clone()))
-            .collect();
-        let (mut done, mut order) = (vec![false; refers.len()], Vec::new());
-        for first in 0..refers.len() {
-            // The way from `first` down, with how far each one's references were followed.
-            let mut way: Vec<(usize, usize)> = if done[first] {
-                Vec::new()
-            } else {
-                vec![(first, 0)]
+    /// An order in which each block of a kind comes after those that it refers to; a cycle is a fault.
+    pub(super) fn reference_order(&mut self, kind: &str, references: &[Vec<usize>]) -> Vec<usize> {
+        let blocks = self.of(kind);
+        let mut search = ReferenceSearch {
+            references,
+            is_done: vec![false; references.len()],
+            order: Vec::with_capacity(references.len()),
+        };
+        for start in 0..references.len() {
+            for cycle in search.visit(start) {
+                self.faults.push(cycle_fault(&blocks, &cycle));
+            }
+        }
+        search.order
+    }
+}
+
+/// A depth-first search over references; it keeps its own stack, so that no plan makes it recurse deeply.
+struct ReferenceSearch<'a> {
+    references: &'a [Vec<usize>],
+    is_done: Vec<bool>,
+    /// The blocks that are done, those that others refer to first.
+    order: Vec<usize>,
+}
+
+/// A block whose references are being followed.
+struct Visit {
+    block: usize,
+    /// How many of its references were followed.
+    followed: usize,
+}
+
+impl Visit {
+    fn new(block: usize) -> Self {
+        Visit { block, followed: 0 }
+    }
+}
+
+impl ReferenceSearch<'_> {
+    /// Visits a block and all that it refers to, and returns the cycles that were found.
+    fn visit(&mut self, start: usize) -> Vec<Vec<usize>> {
+        let mut cycles = Vec::new();
+        let mut path = Vec::new();
+        if !self.is_done[start] {
+            path.push(Visit::new(start));
+        }
+        while let Some(visit) = path.last_mut() {
+            let block = visit.block;
+            let Some(&next) = self.references[block].get(visit.followed) else {
+                self.is_done[block] = true;
+                self.order.push(block);
+                path.pop();
+                continue;
             };
-            while let Some((at, next)) = way.last_mut() {
-                let at = *at;
-                let Some(&other) = refers[at].get(*next) else {
-                    done[at] = true;
-                    order.push(at);
-                    way.pop();
-                    continue;
-                };
-                *next += 1;
-                if let Some(begins) = way.iter().position(|(n, _)| *n == other) {
-                    let mut names: Vec<&str> = way[begins..]
-                        .iter()
-                        .map(|(n, _)| blocks[*n].0.as_str())
-                        .collect();
-                    names.push(&blocks[other].0);
-                    let text = format!(
-                        "`{}` refers to itself: {}",
-                        blocks[other].0,
-                        names.join(" -> ")
-                    );
-                    self.faults.push(Fault::new(blocks[other].1.clone(), text));
-                } else if !done[other] {
-                    way.push((other, 0));
-                }
+            visit.followed += 1;
+            if let Some(first) = path.iter().position(|visit| visit.block == next) {
+                cycles.push(path[first..].iter().map(|visit| visit.block).collect());
+            } else if !self.is_done[next] {
+                path.push(Visit::new(next));
             }
         }
-        order
+        cycles
     }
 }
+
+/// The fault of blocks each of which refers to the next, and the last to the first.
+fn cycle_fault(blocks: &[&Checked], cycle: &[usize]) -> Fault {
+    let first = blocks[cycle[0]];
+    let names = cycle.iter().map(|index| blocks[*index].name.as_str());
+    let names: Vec<&str> = names.chain([first.name.as_str()]).collect();
+    let text = format!("`{}` refers to itself: {}", first.name, names.join(" -> "));
+    Fault::new(first.span.clone(), text)
+}
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -1,9 +1,9 @@
-//! Address sets and pools.
+//! Builds address sets and pools.
 
 use super::entries::named;
 use super::Builder;
 use crate::address::{difference, span, union, Spans};
-use crate::check::Spanned;
+use crate::check::{Checked, Spanned};
 use crate::fault::Fault;
 use crate::model::{AddressSet, Pool};
 use crate::quantity::Value;
@@ -11,46 +11,41 @@
 impl Builder<'_> {
     pub(super) fn addresses(&mut self) {
         let blocks = self.of("addresses");
-        let of: Vec<Vec<usize>> = blocks
+        let included: Vec<Vec<usize>> = blocks
             .iter()
-            .map(|b| self.refs("addresses", b.get("of")))
+            .map(|block| self.block_indices("addresses", block.get("of")))
             .collect();
-        let order = self.ordered("addresses", &of);
-        let flat = |values: &[Spanned]| -> Spans {
-            let nets = values.iter().filter_map(|s| match &s.value {
-                Value::Network(net) => Some(span(net)),
-                _ => None,
+        let mut spans_of: Vec<Spans> = vec![Spans::new(); blocks.len()];
+        for index in self.reference_order("addresses", &included) {
+            let others = included[index].iter();
+            let mut spans = network_spans(blocks[index].values("net"));
+            spans.extend(others.flat_map(|other| spans_of[*other].iter().copied()));
+            let excluded = network_spans(blocks[index].values("except"));
+            spans_of[index] = difference(&union(spans), &excluded);
+        }
+        for (block, spans) in blocks.into_iter().zip(spans_of) {
+            self.check_addresses(block, &spans);
+            self.plan.addresses.push(AddressSet {
+                name: block.name.clone(),
+                span: block.span.clone(),
+                spans,
             });
-            union(nets.collect())
-        };
-        let mut all: Vec<Spans> = vec![Spans::new(); blocks.len()];
-        for n in order {
-            let mut spans = flat(blocks[n].values("net"));
-            spans.extend(of[n].iter().flat_map(|other| all[*other].clone()));
-            all[n] = difference(&union(spans), &flat(blocks[n].values("except")));
         }
-        for (block, spans) in blocks.into_iter().zip(all) {
-            let given = block.get("net").is_some() || block.get("of").is_some();
-            if !given {
-                let fault = Fault::new(
-                    block.span.clone(),
-                    format!("the address set `{}` says nothing", block.name),
-                );
-                self.says_too_little(block, fault.help("net 10.1.0.0/16"));
-            } else if spans.is_empty() && !block.values("net").is_empty() {
-                let text = format!("the address set `{}` holds no address", block.name);
-                self.faults.push(Fault::new(block.span.clone(), text));
-            }
-            let (name, span) = (block.name.clone(), block.span.clone());
-            self.plan.addresses.push(AddressSet { name, span, spans });
+    }
+
+    fn check_addresses(&mut self, block: &Checked, spans: &Spans) {
+        if !block.has_any(&["net", "of"]) {
+            let text = format!("the address set `{}` says nothing", block.name);
+            let fault = Fault::new(block.span.clone(), text);
+            self.incomplete(block, fault.help("net 10.1.0.0/16"));
+        } else if spans.is_empty() && !block.values("net").is_empty() {
+            let text = format!("the address set `{}` holds no address", block.name);
+            self.faults.push(Fault::new(block.span.clone(), text));
         }
     }
 
     pub(super) fn pools(&mut self) {
         for block in self.of("pool") {
-            let addresses = self.refs("addresses", block.get("address"));
-            let union = self.refs("pool", block.get("union"));
-            let except = self.refs("pool", block.get("except"));
             let pool = Pool {
                 name: block.name.clone(),
                 span: block.span.clone(),
@@ -58,29 +53,29 @@
                 zones: named(block.values("zone")),
                 kinds: named(block.values("kind")),
                 ids: named(block.values("id")),
-                addresses,
-                union,
-                except,
+                addresses: self.block_indices("addresses", block.get("address")),
+                union: self.block_indices("pool", block.get("union")),
+                except: self.block_indices("pool", block.get("except")),
             };
-            let selects = ["all", "zone", "kind", "id", "address", "union"]
-                .iter()
-                .any(|e| block.get(e).is_some());
-            if !selects {
-                let fault = Fault::new(
-                    block.span.clone(),
-                    format!("the pool `{}` holds no engine", block.name),
-                );
-                self.says_too_little(
-                    block,
-                    fault.help(
-                        "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`",
-                    ),
-                );
-            }
             self.plan.pools.push(pool);
+            if !block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
+                let text = format!("the pool `{}` holds no engine", block.name);
+                let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
+                let fault = Fault::new(block.span.clone(), text);
+                self.incomplete(block, fault.help(help));
+            }
         }
-        let refers = |p: &Pool| p.union.iter().chain(&p.except).copied().collect();
-        let refers: Vec<Vec<usize>> = self.plan.pools.iter().map(refers).collect();
-        self.plan.pool_order = self.ordered("pool", &refers);
+        let references = |pool: &Pool| pool.union.iter().chain(&pool.except).copied().collect();
+        let references: Vec<Vec<usize>> = self.plan.pools.iter().map(references).collect();
+        self.plan.pool_order = self.reference_order("pool", &references);
     }
 }
+
+/// The addresses of some networks.
+fn network_spans(networks: &[Spanned]) -> Spans {
+    let spans = networks.iter().filter_map(|value| match &value.value {
+        Value::Network(network) => Some(span(network)),
+        _ => None,
+    });
+    union(spans.collect())
+}
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -1,60 +1,51 @@
-//! Routes.
+//! Builds routes.
 
-use super::entries::named;
+use super::entries::{first_name, named, ranges};
 use super::Builder;
-use crate::check::Spanned;
+use crate::check::Checked;
 use crate::fault::Fault;
 use crate::model::Route;
-use crate::quantity::Value;
 
 impl Builder<'_> {
     pub(super) fn routes(&mut self) {
         for block in self.of("route") {
-            let clients = self.refs("addresses", block.get("client"));
-            let to = self.refs("pool", block.get("to"));
-            let word = |entry: &str| named(block.values(entry)).into_iter().next();
-            let says = ["to", "as", "refuse"]
-                .iter()
-                .any(|e| block.get(e).is_some());
-            if !says {
-                let fault = Fault::new(
-                    block.span.clone(),
-                    format!("the route `{}` says nothing", block.name),
-                );
-                self.says_too_little(
-                    block,
-                    fault.help("say what becomes of its batches: `to`, `as` or `refuse`"),
-                );
-            }
-            if let Some(refuse) = block.get("refuse") {
-                if let Some(other) = block.get("to").or(block.get("as")) {
-                    let fault = Fault::new(refuse.span.clone(), "what is refused goes nowhere");
-                    self.faults
-                        .push(fault.related(other.span.clone(), "and this says where it goes"));
-                }
-            }
-            let spans = |entry: &str| {
-                let pair = |s: &Spanned| match s.value {
-                    Value::Numbers(a, b) | Value::Clock(a, b) => Some((a, b)),
-                    _ => None,
-                };
-                block.values(entry).iter().filter_map(pair).collect()
-            };
+            let clients = self.block_indices("addresses", block.get("client"));
+            let pools = self.block_indices("pool", block.get("to"));
+            self.check_outcome(block);
+            let key = first_name(block.values("key"));
+            let place = |entry: &str| block.get(entry).map(|entry| entry.span.clone());
             self.plan.routes.push(Route {
+                name: block.name.clone(),
+                span: block.span.clone(),
                 classes: named(block.values("group")),
                 tenants: named(block.values("tenant")),
                 clients,
-                key: word("key").map(|w| w == "given"),
-                data_sets: spans("data-set"),
-                hours: spans("hours"),
-                pools: to,
-                pools_span: block.get("to").map(|g| g.span.clone()),
-                as_class: word("as"),
-                as_span: block.get("as").map(|g| g.span.clone()),
-                reject_reason: word("refuse"),
-                name: block.name.clone(),
-                span: block.span.clone(),
+                key: key.map(|word| word == "given"),
+                data_sets: ranges(block.values("data-set")),
+                hours: ranges(block.values("hours")),
+                pools,
+                pools_span: place("to"),
+                as_class: first_name(block.values("as")),
+                as_span: place("as"),
+                reject_reason: first_name(block.values("refuse")),
             });
         }
     }
+
+    /// A route says where its queries go, or that they are rejected, and not both.
+    fn check_outcome(&mut self, block: &Checked) {
+        if !block.has_any(&["to", "as", "refuse"]) {
+            let text = format!("the route `{}` says nothing", block.name);
+            let help = "say what becomes of its batches: `to`, `as` or `refuse`";
+            let fault = Fault::new(block.span.clone(), text);
+            self.incomplete(block, fault.help(help));
+        }
+        let destination = block.get("to").or(block.get("as"));
+        if let (Some(refuse), Some(destination)) = (block.get("refuse"), destination) {
+            let fault = Fault::new(refuse.span.clone(), "what is refused goes nowhere");
+            let text = "and this says where it goes";
+            self.faults
+                .push(fault.related(destination.span.clone(), text));
+        }
+    }
 }
--- a/crates/plan/src/build/settings.rs
+++ b/crates/plan/src/build/settings.rs
@@ -1,42 +1,55 @@
 //! The platform's settings, as far as a plan must fit them.
 
 use crate::model::Idempotency;
-use crate::schema::Outer;
+use crate::schema::External;
 use std::time::Duration;
 
 /// What the platform's settings say, as far as a plan must fit them.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
+    /// The query classes.
     pub classes: Vec<SettingsClass>,
+    /// The names of the tenants.
     pub tenants: Vec<String>,
+    /// The names of the kinds of engines.
     pub kinds: Vec<String>,
+    /// The names of the zones.
     pub zones: Vec<String>,
 }
 
-/// A service group of the settings.
+/// A query class of the settings.
 #[derive(Clone, Debug)]
 pub struct SettingsClass {
+    /// Its name.
     pub name: String,
+    /// The response time to aim for.
     pub latency_objective: Duration,
+    /// The time after which a query is of no use.
     pub deadline: Duration,
+    /// Whether queries of one key run one at a time, in order.
     pub in_order: bool,
+    /// Whether a query that may have run may run again.
     pub idempotency: Idempotency,
-    /// Where its batches may run; anywhere where it is none.
+    /// The kinds of engines on which its queries may run; `None` is any.
     pub kinds: Option<Vec<String>>,
+    /// The zones in which its queries may run; `None` is any.
     pub zones: Option<Vec<String>>,
 }
 
 impl Settings {
     pub(super) fn class(&self, name: &str) -> Option<&SettingsClass> {
-        self.classes.iter().find(|g| g.name == name)
+        self.classes.iter().find(|class| class.name == name)
     }
 
-    pub(super) fn names(&self, outer: Outer) -> Vec<&str> {
-        match outer {
-            Outer::Group => self.classes.iter().map(|g| g.name.as_str()).collect(),
-            Outer::Tenant => self.tenants.iter().map(String::as_str).collect(),
-            Outer::Kind => self.kinds.iter().map(String::as_str).collect(),
-            Outer::Zone => self.zones.iter().map(String::as_str).collect(),
-        }
+    /// All names of a sort.
+    pub(super) fn names(&self, external: External) -> Vec<&str> {
+        let class_names = self.classes.iter().map(|class| &class.name);
+        let names: Vec<&String> = match external {
+            External::Class => class_names.collect(),
+            External::Tenant => self.tenants.iter().collect(),
+            External::Kind => self.kinds.iter().collect(),
+            External::Zone => self.zones.iter().collect(),
+        };
+        names.into_iter().map(String::as_str).collect()
     }
 }
--- /dev/null
+++ b/crates/plan/src/build/storage.rs
@@ -0,0 +1,78 @@
+//! Builds the storage of bodies and of the query journal: blocks of which a plan has one at most.
+
+use super::entries::{count, first_name, named, number};
+use super::{of, Builder};
+use crate::check::Checked;
+use crate::fault::Fault;
+use crate::model::{Bodies, Journal};
+
+/// The memory for bodies where none is given.
+const DEFAULT_MEMORY_BYTES: u64 = 32 << 20;
+/// The part of the memory that one body may use where none is given.
+const DEFAULT_QUERY_MEMORY_DIVISOR: u64 = 8;
+/// The longest body where none is given.
+const DEFAULT_MAX_BODY_BYTES: u64 = 200 << 20;
+
+impl<'a> Builder<'a> {
+    /// The block of a kind of which there is one at most.
+    fn single(&mut self, kind: &'static str) -> Option<&'a Checked> {
+        let all = of(self.blocks, kind);
+        let (first, others) = all.split_first()?;
+        for other in others {
+            let text = format!("a plan has one block `{kind}` at most");
+            let fault = Fault::new(other.span.clone(), text);
+            self.faults
+                .push(fault.related(first.span.clone(), "the first"));
+        }
+        Some(first)
+    }
+
+    pub(super) fn bodies(&mut self) {
+        let Some(block) = self.single("bodies") else {
+            return;
+        };
+        let size = |entry: &str| count(block.one(entry));
+        let memory = size("memory").unwrap_or(DEFAULT_MEMORY_BYTES);
+        let bodies = Bodies {
+            memory,
+            query_memory: size("batch-memory").unwrap_or(memory / DEFAULT_QUERY_MEMORY_DIVISOR),
+            files: size("files").unwrap_or(0),
+            directory: first_name(block.values("directory")),
+            max_body: size("batch").unwrap_or(DEFAULT_MAX_BODY_BYTES),
+            share: number(block.one("share")).unwrap_or(1.0),
+            unknown_length: block.get("unknown-length").is_some(),
+            must_keep: named(block.values("must-keep")),
+        };
+        self.check_bodies(block, &bodies);
+        self.plan.bodies = Some(bodies);
+    }
+
+    fn check_bodies(&mut self, block: &Checked, bodies: &Bodies) {
+        let mut report = |entry: &str, text: &str| {
+            let span = block.get(entry).map_or(&block.span, |entry| &entry.span);
+            self.faults.push(Fault::new(span.clone(), text));
+        };
+        if bodies.query_memory > bodies.memory {
+            let text = "one body may have more memory than all together";
+            report("batch-memory", text);
+        }
+        match (&bodies.directory, bodies.files > 0) {
+            (None, true) => report("files", "files need a `directory`"),
+            (Some(_), false) => report("directory", "nothing goes there without `files`"),
+            _ => {}
+        }
+    }
+
+    pub(super) fn journal(&mut self) {
+        let Some(block) = self.single("journal") else {
+            return;
+        };
+        match first_name(block.values("directory")) {
+            Some(directory) => self.plan.journal = Some(Journal { directory }),
+            None => {
+                let fault = Fault::new(block.span.clone(), "the journal has no `directory`");
+                self.incomplete(block, fault.help("directory \"/var/lib/garnetwall\""));
+            }
+        }
+    }
+}
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -53,6 +53,11 @@
         self.entries.get(entry)
     }
 
+    /// Whether the block has one of some entries.
+    pub fn has_any(&self, entries: &[&str]) -> bool {
+        entries.iter().any(|entry| self.get(entry).is_some())
+    }
+
     /// The values of an entry; empty where the block does not have it.
     pub fn values(&self, entry: &str) -> &[Spanned] {
         self.get(entry).map_or(&[], |given| &given.values)
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -42,11 +42,13 @@
         match self.entry.shape {
             Shape::Flag => self.nothing(&expanded),
             Shape::One(kind) => self.one(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::OneOuter(_) => self.one(&expanded, |reader, word| reader.read(Kind::Name, word)),
+            Shape::ExternalName(_) => {
+                self.one(&expanded, |reader, word| reader.read(Kind::Name, word))
+            }
             Shape::Choice(words) => self.one(&expanded, |reader, word| reader.choice(words, word)),
             Shape::Words(words) => self.list(&expanded, |reader, word| reader.choice(words, word)),
             Shape::List(kind) => self.list(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::Refs(_) | Shape::Outer(_) => {
+            Shape::BlockNames(_) | Shape::ExternalNames(_) => {
                 self.list(&expanded, |reader, word| reader.read(Kind::Name, word))
             }
             Shape::Bucket(rate, burst) => self.bucket(rate, burst, &expanded),
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -1,68 +1,74 @@
-//! The one form of a file: two spaces of indent, one between words, an empty line between blocks, long lists broken
-//! behind commas. Words stay as they were written, and so do comments; only what is around them changes.
+//! Prints a file in its one form.
+//!
+//! Two spaces of indentation, one between words, an empty line between blocks, long lists broken behind commas. Words
+//! and comments stay as they were written; only what is around them changes.
 
 use crate::fault::Fault;
 use crate::files::FileId;
 use crate::syntax::{self, Block, BlockItem, Item, Part, Tree, Word};
 
-/// Columns that a line has at most, where it can be broken.
-const WIDTH: usize = 100;
+/// A longer line is broken where it can be.
+const MAX_COLUMNS: usize = 100;
+const INDENT_COLUMNS: usize = 2;
 
 /// Prints a file in its one form.
 ///
 /// # Errors
 ///
-/// The lines that can't be read: what is not understood is not touched.
+/// The faults of the lines that cannot be read; such a file is not formatted.
 pub fn format(text: &str) -> Result<String, Vec<Fault>> {
     let Tree { items, faults } = syntax::parse(text, FileId(0));
     if !faults.is_empty() {
         return Err(faults);
     }
-    let mut out = Out::default();
+    let mut formatter = Formatter::default();
     for item in &items {
+        formatter.item(item);
+    }
+    Ok(formatter.text)
+}
+
+#[derive(Default)]
+struct Formatter {
+    text: String,
+    /// An empty line belongs before what comes next.
+    needs_gap: bool,
+    /// The last line closes a block, which an empty line follows.
+    is_after_block: bool,
+}
+
+impl Formatter {
+    fn item(&mut self, item: &Item) {
         match item {
-            Item::Blank(None) => out.empty(),
-            Item::Blank(Some(comment)) => out.line(0, comment, &None),
+            Item::Blank(None) => self.blank(),
+            Item::Blank(Some(comment)) => self.print(0, comment, &None),
             Item::Include { path, comment, .. } => {
-                out.line(0, &format!("include {}", word(path)), comment)
+                self.print(0, &format!("include {}", written(path)), comment)
             }
             Item::Constant {
                 name,
                 parts,
                 comment,
                 ..
-            } => {
-                out.wrapped(0, &format!("let {} =", name.text), parts, comment);
-            }
-            Item::Block(block) => out.block(block),
+            } => self.wrapped(0, &format!("let {} =", name.text), parts, comment),
+            Item::Block(block) => self.block(block),
         }
     }
-    Ok(out.end())
-}
 
-#[derive(Default)]
-struct Out {
-    text: String,
-    /// An empty line is due before what comes next.
-    gap: bool,
-    /// What stands last is a block, which an empty line follows.
-    after_block: bool,
-}
-
-impl Out {
-    fn empty(&mut self) {
-        self.gap = !self.text.is_empty() && !self.text.ends_with("{\n");
+    fn blank(&mut self) {
+        self.needs_gap = !self.text.is_empty() && !self.text.ends_with("{\n");
     }
 
-    fn line(&mut self, indent: usize, text: &str, comment: &Option<String>) {
-        if std::mem::take(&mut self.gap)
-            || (std::mem::take(&mut self.after_block) && indent == 0 && text != "}")
-        {
+    /// Prints one line.
+    fn print(&mut self, indent: usize, code: &str, comment: &Option<String>) {
+        let follows_block = self.is_after_block && indent == 0 && code != "}";
+        if self.needs_gap || follows_block {
             self.text.push('\n');
         }
-        self.after_block = false;
+        self.needs_gap = false;
+        self.is_after_block = false;
         self.text += &" ".repeat(indent);
-        self.text += text;
+        self.text += code;
         if let Some(comment) = comment {
             self.text += "  ";
             self.text += comment;
@@ -71,64 +77,58 @@
     }
 
     fn block(&mut self, block: &Block) {
-        // An empty line before a block, save for a comment right above it.
-        let follows_comment = self
-            .text
-            .lines()
-            .next_back()
-            .is_some_and(|line| line.starts_with('#'));
-        self.gap |= !self.text.is_empty() && !follows_comment;
-        let name = block
-            .name
-            .as_ref()
-            .map_or(String::new(), |name| format!("{} ", word(name)));
-        self.line(0, &format!("{} {name}{{", block.kind.text), &block.comment);
+        // An empty line precedes a block, except where a comment is right above it.
+        let last_printed = self.text.lines().next_back();
+        let follows_comment = last_printed.is_some_and(|last| last.starts_with('#'));
+        self.needs_gap |= !self.text.is_empty() && !follows_comment;
+        let kind = &block.kind.text;
+        let head = match &block.name {
+            Some(name) => format!("{kind} {} {{", written(name)),
+            None => format!("{kind} {{"),
+        };
+        self.print(0, &head, &block.comment);
         for item in &block.items {
             match item {
-                BlockItem::Blank(None) => self.empty(),
-                BlockItem::Blank(Some(comment)) => self.line(2, comment, &None),
+                BlockItem::Blank(None) => self.blank(),
+                BlockItem::Blank(Some(comment)) => self.print(INDENT_COLUMNS, comment, &None),
                 BlockItem::Entry(entry) => {
-                    self.wrapped(2, &word(&entry.name), &entry.parts, &entry.comment)
+                    let name = written(&entry.name);
+                    self.wrapped(INDENT_COLUMNS, &name, &entry.parts, &entry.comment)
                 }
             }
         }
-        self.gap = false;
-        self.line(0, "}", &block.close_comment);
-        self.after_block = true;
+        self.needs_gap = false;
+        self.print(0, "}", &block.close_comment);
+        self.is_after_block = true;
     }
 
-    /// A name with its parts, broken behind commas where it is too long.
+    /// Prints a name with its values, broken behind commas where it is too long.
     fn wrapped(&mut self, indent: usize, name: &str, parts: &[Part], comment: &Option<String>) {
-        let mut line = name.to_string();
-        let mut indent = indent;
-        let deeper = indent + 2;
+        let mut code = name.to_string();
+        let mut code_indent = indent;
         for part in parts {
-            for (n, w) in part.iter().enumerate() {
-                let comma = if n + 1 < part.len() { "," } else { "" };
-                let next = format!("{}{comma}", word(w));
-                let full = indent + line.chars().count() + 1 + next.chars().count() > WIDTH;
-                if n > 0 && full {
-                    self.line(indent, &line, &None);
-                    (line, indent) = (next, deeper);
+            for (index, word) in part.iter().enumerate() {
+                let comma = if index + 1 < part.len() { "," } else { "" };
+                let next = format!("{}{comma}", written(word));
+                let columns = code_indent + code.chars().count() + 1 + next.chars().count();
+                if index > 0 && columns > MAX_COLUMNS {
+                    self.print(code_indent, &code, &None);
+                    code = next;
+                    code_indent = indent + INDENT_COLUMNS;
                 } else {
-                    line = format!("{line} {next}");
+                    code = format!("{code} {next}");
                 }
             }
         }
-        self.line(indent, &line, comment);
-    }
-
-    fn end(self) -> String {
-        self.text
+        self.print(code_indent, &code, comment);
     }
 }
 
-fn word(word: &Word) -> String {
-    match word.quoted {
-        true => format!(
-            "\"{}\"",
-            word.text.replace('\\', "\\\\").replace('"', "\\\"")
-        ),
-        false => word.text.clone(),
+/// A word with its quotes and escapes.
+fn written(word: &Word) -> String {
+    if !word.quoted {
+        return word.text.clone();
     }
+    let escaped = word.text.replace('\\', "\\\\").replace('"', "\\\"");
+    format!("\"{escaped}\"")
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,8 +1,14 @@
-//! The plan language: pools, routes, limits and rules of service groups, as operators write them.
+//! Parses, checks, formats and compares plans: files in which operators define pools, routes, limits and rules of
+//! query classes.
 //!
-//! [`compile`] reads a plan with all that it includes and gives the [`Plan`] or every fault of it. [`mod@format`] prints
-//! a file in its one form, [`diff`] tells what two plans do otherwise. No module here does I/O; files come by a
-//! [`source::Loader`]. docs/plan-language.md has the grammar and the table of blocks.
+//! [`compile`] reads a plan with all that it includes and returns the [`Plan`] or all its faults. [`mod@format`] prints
+//! a file in its one form, [`diff`] compares what two plans do, [`explain`] shows what a plan does with one query. No
+//! module does I/O; files come by a [`source::Loader`]. docs/plan-language.md has the grammar and the table of blocks.
+//!
+//! A plan goes through these modules in order: [`source`] and `syntax` (text to items), `check` (items to entries of
+//! known kinds, by the table of [`schema`]), `build` (entries to a [`Plan`], with names resolved and contradictions
+//! reported). Words of the language that differ from the terms of the code are mapped in `build` and in the serde names
+//! of [`model`].
 
 pub mod address;
 mod build;
@@ -29,14 +35,18 @@
 /// A plan with the files it was read from.
 #[derive(Debug)]
 pub struct Compiled {
+    /// The plan.
     pub plan: Plan,
+    /// Its files.
     pub files: Files,
 }
 
 /// The faults of a plan with the files they are in.
 #[derive(Debug)]
 pub struct Faulty {
+    /// The faults, at least one.
     pub faults: Vec<Fault>,
+    /// The files that were read.
     pub files: Files,
 }
 
@@ -48,12 +58,12 @@
 
 impl std::error::Error for Faulty {}
 
-/// Reads a plan with all that it includes. Where the platform's settings are at hand it is checked against them.
+/// Reads the plan of the file `main` with all that it includes, and checks it; with `settings`, also against these.
 ///
 /// # Errors
 ///
-/// All faults that one reading finds; names are looked into only where every line could be read, and what the plan
-/// would do only where every name is known.
+/// All faults that one run finds. Names are resolved only where every line could be read, and the plan is checked for
+/// contradictions only where every name is known.
 pub fn compile(
     loader: &dyn Loader,
     main: &str,
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -85,8 +85,8 @@
         if pieces.is_empty() || pieces.len() > MAX_PIECES {
             break;
         }
-        let rest = pieces.iter().flat_map(|piece| difference(piece, other));
-        pieces = rest.collect();
+        let remainder = pieces.iter().flat_map(|piece| difference(piece, other));
+        pieces = remainder.collect();
     }
     (pieces.len() <= MAX_PIECES).then_some(pieces)
 }
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -1,6 +1,6 @@
 //! Value classes: the values that some plans do not tell apart.
 
-use super::{all_of, Point, Region, CLIENT, DATA_SET, HOUR, KEY, QUERY_CLASS, TENANT};
+use super::{Point, Region, CLIENT, DATA_SET, KEY, QUERY_CLASS, TENANT};
 use crate::address::AddressClasses;
 use crate::model::{Plan, QueryFacts, Route};
 use crate::quantity::MINUTES_PER_DAY;
@@ -126,45 +126,24 @@
     /// The region of a route; `first_set` is the index of its plan's first address set among those of all plans.
     pub fn region(&self, route: &Route, first_set: usize) -> Region {
         let counts = self.counts();
-        let mut region: Region = counts.map(all_of);
-        let mut restrict = |dimension: usize, classes: &mut dyn Iterator<Item = usize>| {
-            let mut allowed = FixedBitSet::with_capacity(counts[dimension]);
-            allowed.extend(classes);
-            region[dimension] = allowed;
-        };
-        if !route.classes.is_empty() {
-            let classes = route.classes.iter();
-            restrict(QUERY_CLASS, &mut classes.map(|name| self.query_class(name)));
-        }
-        if !route.tenants.is_empty() {
-            let tenants = route.tenants.iter();
-            restrict(TENANT, &mut tenants.map(|name| self.tenant(name)));
-        }
-        if !route.clients.is_empty() {
-            let classes = 0..counts[CLIENT];
-            restrict(
-                CLIENT,
-                &mut classes.filter(|class| self.is_client(route, first_set, *class)),
-            );
-        }
-        if let Some(key) = route.key {
-            restrict(KEY, &mut std::iter::once(usize::from(key)));
-        }
-        if !route.data_sets.is_empty() {
-            let classes = 0..counts[DATA_SET];
-            restrict(
-                DATA_SET,
-                &mut classes.filter(|class| self.is_data_set(route, *class)),
-            );
-        }
-        if !route.hours.is_empty() {
-            let classes = 0..counts[HOUR];
-            restrict(
-                HOUR,
-                &mut classes.filter(|class| route.is_open_at(self.hours[*class])),
-            );
+        std::array::from_fn(|dimension| {
+            let matches = |class: &usize| self.matches(route, first_set, dimension, *class);
+            let mut classes = FixedBitSet::with_capacity(counts[dimension]);
+            classes.extend((0..counts[dimension]).filter(matches));
+            classes
+        })
+    }
+
+    /// Whether a route matches the values of a class of one dimension.
+    fn matches(&self, route: &Route, first_set: usize, dimension: usize, class: usize) -> bool {
+        match dimension {
+            QUERY_CLASS => is_listed(&self.query_classes, &route.classes, class),
+            TENANT => is_listed(&self.tenants, &route.tenants, class),
+            CLIENT => route.clients.is_empty() || self.is_client(route, first_set, class),
+            KEY => route.key.is_none_or(|key| usize::from(key) == class),
+            DATA_SET => route.data_sets.is_empty() || self.is_data_set(route, class),
+            _ => route.is_open_at(self.hours[class]),
         }
-        region
     }
 
     fn is_client(&self, route: &Route, first_set: usize, class: usize) -> bool {
@@ -180,6 +159,11 @@
     }
 }
 
+/// Whether a value class is that of one of the listed names; an empty list has every class.
+fn is_listed(names: &Names, listed: &[String], class: usize) -> bool {
+    listed.is_empty() || listed.iter().any(|name| names.class(name) == class)
+}
+
 /// The query classes that plans name, routes first.
 fn class_names<'a>(plans: &'a [&Plan]) -> impl Iterator<Item = &'a String> {
     let routes = plans.iter().flat_map(|plan| &plan.routes);
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -1,5 +1,6 @@
-//! The table of block kinds. Checker, formatter, diff and the docs all read it; a subsystem that puts its block into
-//! the language adds it here.
+//! The table of the kinds of blocks and their entries.
+//!
+//! The checker, the builder and the table in docs/plan-language.md read it; a new kind of block is added here.
 
 use crate::quantity::Kind;
 use std::fmt::Write;
@@ -14,11 +15,11 @@
     /// One value or several with commas between; the entry may stand more than once.
     List(Kind),
     /// Names of blocks of this kind, as a list.
-    Refs(&'static str),
-    /// Names that the platform's settings know, as a list.
-    Outer(Outer),
-    /// One name that the settings know.
-    OneOuter(Outer),
+    BlockNames(&'static str),
+    /// Names that the settings define, as a list.
+    ExternalNames(External),
+    /// One name that the settings define.
+    ExternalName(External),
     /// One of these words.
     Choice(&'static [&'static str]),
     /// Some of these words, as a list.
@@ -34,27 +35,32 @@
     pub fn is_list(self) -> bool {
         matches!(
             self,
-            Shape::List(_) | Shape::Refs(_) | Shape::Outer(_) | Shape::Words(_)
+            Shape::List(_) | Shape::BlockNames(_) | Shape::ExternalNames(_) | Shape::Words(_)
         )
     }
 }
 
-/// Names that are not the plan's own.
+/// A sort of names that the platform's settings define.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outer {
-    Group,
+pub enum External {
+    /// A query class.
+    Class,
+    /// A tenant.
     Tenant,
+    /// A kind of engines.
     Kind,
+    /// A zone.
     Zone,
 }
 
-impl Outer {
-    pub fn is(self) -> &'static str {
+impl External {
+    /// What messages call such a name.
+    pub fn described(self) -> &'static str {
         match self {
-            Outer::Group => "service group",
-            Outer::Tenant => "tenant",
-            Outer::Kind => "kind",
-            Outer::Zone => "zone",
+            External::Class => "service group",
+            External::Tenant => "tenant",
+            External::Kind => "kind",
+            External::Zone => "zone",
         }
     }
 }
@@ -62,26 +68,33 @@
 /// A kind of entry.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EntryKind {
+    /// Its name.
     pub name: &'static str,
+    /// What stands behind the name.
     pub shape: Shape,
+    /// What it means, for the docs.
     pub about: &'static str,
-    /// What may stand behind the name.
+    /// What may stand behind the name, for the docs and for messages.
     pub example: &'static str,
 }
 
 /// A kind of block.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BlockKind {
+    /// The word that begins such a block.
     pub name: &'static str,
+    /// What it means, for the docs.
     pub about: &'static str,
-    /// Its name is one that the settings know; otherwise it is the plan's own.
-    pub outer: Option<Outer>,
+    /// The sort of its name where the settings define it; otherwise it is the plan's own.
+    pub external: Option<External>,
+    /// The entries that it may have.
     pub entries: &'static [EntryKind],
 }
 
 impl BlockKind {
+    /// A kind of entry by its name.
     pub fn entry(&self, name: &str) -> Option<&'static EntryKind> {
-        self.entries.iter().find(|e| e.name == name)
+        self.entries.iter().find(|entry| entry.name == name)
     }
 }
 
@@ -118,35 +131,35 @@
     BlockKind {
         name: "addresses",
         about: "A set of addresses of clients or engines.",
-        outer: None,
+        external: None,
         entries: &[
             entry("net", Shape::List(Kind::Network), "10.1.0.0/16, 2001:db8::/32", "networks and single addresses in the set"),
-            entry("of", Shape::Refs("addresses"), "houses, partners", "other sets that are in it"),
+            entry("of", Shape::BlockNames("addresses"), "houses, partners", "other sets that are in it"),
             entry("except", Shape::List(Kind::Network), "10.1.9.0/24", "networks that are not in it, whatever else says"),
         ],
     },
     BlockKind {
         name: "pool",
         about: "A set of engines: those that fit every entry of the first five, and those of other pools, less some.",
-        outer: None,
+        external: None,
         entries: &[
             entry("all", Shape::Flag, "", "every engine"),
-            entry("zone", Shape::Outer(Outer::Zone), "maribor, tezno", "engines in one of these zones"),
-            entry("kind", Shape::Outer(Outer::Kind), "engine-8", "engines of one of these kinds"),
+            entry("zone", Shape::ExternalNames(External::Zone), "maribor, tezno", "engines in one of these zones"),
+            entry("kind", Shape::ExternalNames(External::Kind), "engine-8", "engines of one of these kinds"),
             entry("id", Shape::List(Kind::Pattern), "s-0*, s-1*", "engines whose id fits one of these patterns"),
-            entry("address", Shape::Refs("addresses"), "racks", "engines at an address of one of these sets"),
-            entry("union", Shape::Refs("pool"), "big, spare", "the engines of these pools, too"),
-            entry("except", Shape::Refs("pool"), "cellar", "never the engines of these pools"),
+            entry("address", Shape::BlockNames("addresses"), "racks", "engines at an address of one of these sets"),
+            entry("union", Shape::BlockNames("pool"), "big, spare", "the engines of these pools, too"),
+            entry("except", Shape::BlockNames("pool"), "cellar", "never the engines of these pools"),
         ],
     },
     BlockKind {
         name: "group",
         about: "Rules of a service group. They narrow what the settings allow, and never widen it.",
-        outer: Some(Outer::Group),
+        external: Some(External::Class),
         entries: &[
             entry("goal", Shape::One(Kind::Time), "1s", "response goal; at most the time limit"),
             entry("limit", Shape::One(Kind::Time), "5s", "time limit; at most that of the settings"),
-            entry("pools", Shape::Refs("pool"), "big", "its batches never leave these pools, whatever a route says"),
+            entry("pools", Shape::BlockNames("pool"), "big", "its batches never leave these pools, whatever a route says"),
             entry("order", Shape::Choice(ORDERS), "key", "whether batches of one key run one at a time, in order"),
             entry("effect", Shape::Effect, "referenced zone 30s", "whether a batch that may have run may run again"),
             entry("further", Shape::One(Kind::Share), "10%", "further dispatches in a minute, as a share of its batches, 1 at least"),
@@ -156,7 +169,7 @@
     BlockKind {
         name: "tenant",
         about: "Limits of one tenant.",
-        outer: Some(Outer::Tenant),
+        external: Some(External::Tenant),
         entries: &[
             entry("share", Shape::One(Kind::Share), "30%", "the most of this gateway's room for batches that it may hold"),
             entry("in-hand", Shape::One(Kind::Count), "200", "batches in hand at this gateway"),
@@ -167,28 +180,28 @@
     BlockKind {
         name: "route",
         about: "Where batches go. Routes are tried in the order in which they stand; the first that fits decides.",
-        outer: None,
+        external: None,
         entries: &[
-            entry("group", Shape::Outer(Outer::Group), "lookup, report", "only batches of these service groups"),
-            entry("tenant", Shape::Outer(Outer::Tenant), "acme", "only batches of these tenants"),
-            entry("client", Shape::Refs("addresses"), "houses", "only from clients at these addresses"),
+            entry("group", Shape::ExternalNames(External::Class), "lookup, report", "only batches of these service groups"),
+            entry("tenant", Shape::ExternalNames(External::Tenant), "acme", "only batches of these tenants"),
+            entry("client", Shape::BlockNames("addresses"), "houses", "only from clients at these addresses"),
             entry("key", Shape::Choice(KEYS), "given", "only batches with a key, or only those without"),
             entry("data-set", Shape::List(Kind::Numbers), "17, 20..30", "only batches on these data sets"),
             entry("hours", Shape::List(Kind::Clock), "06:00..20:00", "only at these hours of the day, UTC"),
-            entry("to", Shape::Refs("pool"), "big, small", "pools in order of preference: a later one only where no earlier one has an engine that may be used"),
-            entry("as", Shape::OneOuter(Outer::Group), "report", "the service group that they are treated as"),
+            entry("to", Shape::BlockNames("pool"), "big, small", "pools in order of preference: a later one only where no earlier one has an engine that may be used"),
+            entry("as", Shape::ExternalName(External::Class), "report", "the service group that they are treated as"),
             entry("refuse", Shape::One(Kind::Text), "\"closed on sale days\"", "they are pushed back, with this reason"),
         ],
     },
     BlockKind {
         name: "limit",
         about: "A limit on what is taken. A batch over it is pushed back at once, with a time to come back.",
-        outer: None,
+        external: None,
         entries: &[
             entry("per", Shape::Words(SCOPES), "tenant, client", "one limit for each of these; without it one for all"),
-            entry("group", Shape::Outer(Outer::Group), "report", "counts only batches of these service groups"),
-            entry("tenant", Shape::Outer(Outer::Tenant), "acme", "counts only batches of these tenants"),
-            entry("client", Shape::Refs("addresses"), "houses", "counts only batches from these addresses"),
+            entry("group", Shape::ExternalNames(External::Class), "report", "counts only batches of these service groups"),
+            entry("tenant", Shape::ExternalNames(External::Tenant), "acme", "counts only batches of these tenants"),
+            entry("client", Shape::BlockNames("addresses"), "houses", "counts only batches from these addresses"),
             entry("in-hand", Shape::One(Kind::Count), "300", "batches in hand at this gateway"),
             entry("rate", Shape::Bucket(Kind::Rate, Kind::Count), "50/s burst 100", "batches taken over time"),
             entry("bytes", Shape::Bucket(Kind::Flow, Kind::Size), "10MiB/s burst 20MiB", "bytes of statements over time"),
@@ -197,7 +210,7 @@
     BlockKind {
         name: "bodies",
         about: "Where bodies of batches over 256 KiB are kept for further dispatches. One at most; it takes effect at a start.",
-        outer: None,
+        external: None,
         entries: &[
             entry("memory", Shape::One(Kind::Size), "32MiB", "kept in memory, in all"),
             entry("batch-memory", Shape::One(Kind::Size), "4MiB", "kept in memory of one body; a longer one goes to files"),
@@ -206,13 +219,13 @@
             entry("batch", Shape::One(Kind::Size), "200MiB", "the longest body; a longer one is refused"),
             entry("share", Shape::One(Kind::Share), "50%", "the most of memory and files that one tenant may have"),
             entry("unknown-length", Shape::Flag, "", "bodies may come whose length is not told"),
-            entry("must-keep", Shape::Outer(Outer::Group), "lookup", "batches of these groups are pushed back where their body can't be kept"),
+            entry("must-keep", Shape::ExternalNames(External::Class), "lookup", "batches of these groups are pushed back where their body can't be kept"),
         ],
     },
     BlockKind {
         name: "journal",
         about: "Once-only batches are written down before they are sent, so that a restart runs none again. One at most; it takes effect at a start.",
-        outer: None,
+        external: None,
         entries: &[
             entry("directory", Shape::One(Kind::Text), "\"/var/lib/garnetwall\"", "on a disk that lasts"),
         ],
@@ -221,29 +234,29 @@
 
 /// A kind of block by its name.
 pub fn block(name: &str) -> Option<&'static BlockKind> {
-    BLOCKS.iter().find(|b| b.name == name)
+    BLOCKS.iter().find(|block| block.name == name)
 }
 
 /// The table as Markdown, as docs/plan-language.md has it.
 pub fn as_markdown() -> String {
+    BLOCKS.iter().map(block_as_markdown).collect()
+}
+
+fn block_as_markdown(block: &BlockKind) -> String {
     let mut out = String::new();
-    for block in BLOCKS {
-        // Writing to a string does not fail.
-        let _ = writeln!(
-            out,
-            "### `{}`\n\n{}\n\n| entry | example | meaning |\n|---|---|---|",
-            block.name, block.about
-        );
-        for e in block.entries {
-            let _ = writeln!(
-                out,
-                "| `{}` | `{}` | {} |",
-                e.name,
-                format!("{} {}", e.name, e.example).trim_end(),
-                e.about
-            );
-        }
-        out.push('\n');
+    // Writing to a string does not fail.
+    let _ = writeln!(out, "### `{}`\n\n{}\n", block.name, block.about);
+    out += "| entry | example | meaning |\n|---|---|---|\n";
+    for EntryKind {
+        name,
+        example,
+        about,
+        ..
+    } in block.entries
+    {
+        let example = format!("{name} {example}");
+        let _ = writeln!(out, "| `{name}` | `{}` | {about} |", example.trim_end());
     }
+    out.push('\n');
     out
 }
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -87,8 +87,8 @@
     let folder = from.rsplit_once('/').map_or("", |(folder, _)| folder);
     let mut parts: Vec<&str> = components(folder).collect();
     for part in components(included) {
-        let goes_up = part == ".." && parts.last().is_some_and(|last| *last != "..");
-        if goes_up {
+        let is_parent = part == ".." && parts.last().is_some_and(|last| *last != "..");
+        if is_parent {
             parts.pop();
         } else {
             parts.push(part);
