--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -11,7 +11,8 @@
 pub mod subset;
 
 pub use error::ConfigError;
-pub use files::{Files, FILE_VARIABLE, PLAN_VARIABLE};
+pub use error::FILE_VARIABLE;
+pub use files::{Files, PLAN_VARIABLE};
 
 use crate::discovery::Event;
 use crate::scheduling::plan_routing;
--- a/crates/gateway/src/configuration/error.rs
+++ b/crates/gateway/src/configuration/error.rs
@@ -1,11 +1,13 @@
 //! What is wrong with a configuration: the place, the cause and the remedy.
 
-use super::files::FILE_VARIABLE;
 use garnetwall_settings::{SettingsError, SettingsErrorCause};
 use garnetwall_subset::SubsetError;
 use serde_json::Value;
 use thiserror::Error;
 
+/// The environment variable that names the configuration file.
+pub const FILE_VARIABLE: &str = "PROXY_CONFIG";
+
 /// Why a configuration or a plan cannot be used; its text names the place, the cause and the remedy.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -6,15 +6,13 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The environment variable that names the configuration file.
-pub const FILE_VARIABLE: &str = "PROXY_CONFIG";
 /// The environment variable that names the plan file; a gateway may run without a plan.
 pub const PLAN_VARIABLE: &str = "GARNETWALL_PLAN";
 
 /// The files that the command line names; where it names none, the environment does.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
-    /// The configuration file, otherwise that of [`FILE_VARIABLE`].
+    /// The configuration file, otherwise that of [`FILE_VARIABLE`](super::FILE_VARIABLE).
     pub config: Option<String>,
     /// The plan file, otherwise that of [`PLAN_VARIABLE`].
     pub plan: Option<String>,
