--- a/src/api.rs
+++ b/src/api.rs
@@ -235,17 +235,19 @@
     Succeeded,
     /// The engine answered with an error.
     Failed,
-    /// The engine had no capacity and did not run it.
+    /// The engine had no capacity and did not run it; its query is not rejected by that.
     Rejected,
     /// No answer came within the response timeout.
     TimedOut,
-    /// No connection came up, so it never ran.
+    /// Nothing of it reached the engine: no connection came up, the engine had left the list, or it was stopped before it
+    /// was sent. It never ran, and the query may be tried elsewhere.
     ConnectFailed,
     /// The connection was lost under it.
     ConnectionLost,
     /// It was cancelled at the engine.
     Cancelled,
-    /// It was dropped before it reached the engine, so it never ran.
+    /// It was dropped before it reached the engine, because its query was over or could not be recorded in the journal. It
+    /// never ran, and there is no further attempt.
     NotNeeded,
     /// This gateway's own machine could not send it: it never ran, and says nothing of its engine.
     NotSent,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -3,12 +3,12 @@
 //! It has no I/O and no clock. The caller hands in events with the time, then asks [`AdmissionController::next_action`]
 //! until that says to wait; [`crate::api`] has the values that go in and out.
 //!
-//! The rules, each in one place:
+//! The rules, and where each is decided:
 //!
 //! | rule | where |
 //! |---|---|
-//! | one whole answer in time | `final_answer`, `load_shedding`, the deadline timers of `next_action` |
-//! | no second effect | `eligibility` (idempotency, window, scope), `attempt` (what may have run), `final_answer` |
+//! | one whole answer in time | `final_answer`; `load_shedding` and the deadline timers of `next_action` bring queries there |
+//! | no second effect | `eligibility` (idempotency, window, scope), by what `attempt` knows to have run; `final_answer` for the client's own retry |
 //! | no attempt at a draining or removed engine | `eligibility`, by `endpoint_list` |
 //! | slow start | `slow_start` |
 //! | order by key | `key_order` |
@@ -73,8 +73,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use timers::{Timer, TimerQueue};
 
-/// Seconds kept clear of a deadline or window, for travel and the caller's timer.
-const DEADLINE_MARGIN_SECONDS: f64 = 0.02;
+/// Seconds kept clear of deadlines, windows and pauses, for travel and the caller's timer.
+const TIME_MARGIN_SECONDS: f64 = 0.02;
 /// Least seconds, cores or work that is divided by or waited for, against odd settings.
 const MIN_DIVISOR: f64 = 1e-3;
 /// Seconds in which work sent to a kind, and the usual work of a query, decay.
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -2,7 +2,7 @@
 
 use super::query_state::{QueryPhase, QueryState};
 use super::timers::Timer;
-use super::{AdmissionController, AttemptId, DEADLINE_MARGIN_SECONDS, WORK_DECAY_SECONDS};
+use super::{AdmissionController, AttemptId, TIME_MARGIN_SECONDS, WORK_DECAY_SECONDS};
 use crate::api::{Query, QueryClass, QueryId};
 
 impl AdmissionController {
@@ -24,7 +24,7 @@
             None => QueryPhase::Queued,
         };
         let state = QueryState::new(query, now, phase);
-        let deadline_timer_at = state.deadline - DEADLINE_MARGIN_SECONDS;
+        let deadline_timer_at = state.deadline - TIME_MARGIN_SECONDS;
         self.queries.insert(query.id, state);
         self.timers
             .schedule(deadline_timer_at, Timer::Deadline(query.id));
@@ -107,7 +107,7 @@
         }
         for id in self.queries.keys() {
             self.timers
-                .schedule(at - DEADLINE_MARGIN_SECONDS, Timer::Deadline(*id));
+                .schedule(at - TIME_MARGIN_SECONDS, Timer::Deadline(*id));
         }
     }
 }
--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -80,7 +80,8 @@
         let query = state.query;
         state.in_flight = Some(Attempt {
             outcome_recorded: true,
-            only_possible_run: attempt.only_possible_run || state.may_have_run.is_none(),
+            sole_cause_of_may_have_run: attempt.sole_cause_of_may_have_run
+                || state.may_have_run.is_none(),
             ..attempt
         });
         state.may_have_run.get_or_insert(attempt);
@@ -144,7 +145,7 @@
 fn update_may_have_run(state: &mut QueryState, attempt: Attempt, end: AttemptEnd) {
     if !never_ran(end) {
         state.may_have_run.get_or_insert(attempt);
-    } else if attempt.only_possible_run {
+    } else if attempt.sole_cause_of_may_have_run {
         state.may_have_run = None;
     }
 }
--- a/src/controller/attempt_state.rs
+++ b/src/controller/attempt_state.rs
@@ -16,8 +16,8 @@
     pub(crate) counted_overdue: bool,
     /// Its outcome was recorded while its end was unknown.
     pub(super) outcome_recorded: bool,
-    /// It is the only attempt of its query that may have run, and counts so because its end was unknown.
-    pub(super) only_possible_run: bool,
+    /// Its query counts as one that may have run because of this attempt alone, whose outcome is not known yet.
+    pub(super) sole_cause_of_may_have_run: bool,
 }
 
 impl Attempt {
@@ -29,7 +29,7 @@
             memory,
             counted_overdue: false,
             outcome_recorded: false,
-            only_possible_run: false,
+            sole_cause_of_may_have_run: false,
         }
     }
 }
--- a/src/controller/candidate.rs
+++ b/src/controller/candidate.rs
@@ -1,4 +1,4 @@
-//! An engine that a query may go to.
+//! What a choice knows of one engine.
 
 use super::engine_state::EngineState;
 use crate::api::EngineId;
--- a/src/controller/class_statistics.rs
+++ b/src/controller/class_statistics.rs
@@ -64,8 +64,8 @@
             let estimate = query.estimated_memory;
             statistics.memory.learn(weight, memory, estimate);
             let covered = estimate.is_none_or(|e| memory <= e * statistics.grant_factor);
-            let overshoot = if covered { 1.0 } else { 0.0 };
-            statistics.grant_factor *= 1.0 + GRANT_STEP * (GRANT_COVERAGE - overshoot);
+            let covered_share = if covered { 1.0 } else { 0.0 };
+            statistics.grant_factor *= 1.0 + GRANT_STEP * (GRANT_COVERAGE - covered_share);
         }
         let slowdown = slowdown.clamp(1.0, MAX_SLOWDOWN);
         statistics.slowdown += weight * (slowdown - statistics.slowdown);
--- a/src/controller/eligibility.rs
+++ b/src/controller/eligibility.rs
@@ -3,11 +3,12 @@
 //! Rules: at most one attempt of a query in flight; no attempt after the deadline or without a client; no second
 //! effect (idempotency, its window and scope); no attempt at a draining or removed engine; placement by zone, kind and
 //! endpoint subset; the retry budget; the work budget of an engine in slow start. Every attempt passes
-//! [`AdmissionController::may_begin_attempt`] and [`AdmissionController::engine_eligible`].
+//! [`AdmissionController::may_begin_attempt`] and [`AdmissionController::engine_eligible`]. Whether an eligible engine is
+//! avoided, full or simply not the best is decided in `outlier_ejection`, `load` and `engine_choice`.
 
 use super::candidate::Candidate;
 use super::query_state::{QueryPhase, QueryState};
-use super::{AdmissionController, DEADLINE_MARGIN_SECONDS};
+use super::{AdmissionController, TIME_MARGIN_SECONDS};
 use crate::api::{DeduplicationScope, EndpointState, EngineId, Idempotency};
 
 impl AdmissionController {
@@ -62,7 +63,7 @@
             Idempotency::Idempotent => f64::INFINITY,
             Idempotency::NonIdempotent => 0.0,
             Idempotency::IdempotentByKey { window, .. } => {
-                first.begun_at + window - DEADLINE_MARGIN_SECONDS - now
+                first.begun_at + window - TIME_MARGIN_SECONDS - now
             }
         }
     }
@@ -96,5 +97,5 @@
 
 /// Whether the deadline is far enough off for an attempt to begin.
 fn has_time_left(now: f64, state: &QueryState) -> bool {
-    now < state.deadline - DEADLINE_MARGIN_SECONDS
+    now < state.deadline - TIME_MARGIN_SECONDS
 }
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -98,8 +98,8 @@
             return None;
         }
         let kind_cores = kind_of(&kinds, choice.kind).effective_cores;
-        let kind_share_load = self.kind_share_load(now, choice.kind, kind_cores, &query);
-        let load = choice.load.max(kind_share_load);
+        let kind_load_with_query = self.kind_load_with_query(now, choice.kind, kind_cores, &query);
+        let load = choice.load.max(kind_load_with_query);
         let begins =
             load < 1.0 || self.rng.uniform() < self.probability_to_begin(now, &query, load);
         begins.then_some(choice.engine)
@@ -237,7 +237,7 @@
     }
 }
 
-/// The summary of a candidate's kind, which is there for each.
+/// The summary of a candidate's kind; there is one for each.
 fn kind_of(kinds: &[KindSummary], kind: usize) -> &KindSummary {
     let position = kinds.partition_point(|summary| summary.kind < kind);
     &kinds[position]
--- a/src/controller/engine_state.rs
+++ b/src/controller/engine_state.rs
@@ -12,7 +12,7 @@
     pub(crate) memory: Option<f64>,
     /// Gateways that work with it, this one included.
     pub(crate) gateways: f64,
-    /// Something was received from it since its start.
+    /// An attempt or a health check there has ended, or a load report has come, since its start.
     pub(crate) contacted: bool,
     /// A random number from 0 to 1, drawn at its start, that keeps gateways out of step.
     pub(crate) jitter: f64,
@@ -94,8 +94,8 @@
     pub(super) failure_rate: f64,
     pub(super) failed_at: f64,
     pub(crate) last_success_at: f64,
-    /// Not used before, in seconds.
-    pub(super) ejected_until: f64,
+    /// Not used before, in seconds: it is ejected, or has just had no capacity.
+    pub(super) avoided_until: f64,
 }
 
 impl EngineHealth {
--- a/src/controller/final_answer.rs
+++ b/src/controller/final_answer.rs
@@ -5,7 +5,7 @@
 
 use super::query_state::QueryPhase;
 use super::timers::Timer;
-use super::{AdmissionController, DEADLINE_MARGIN_SECONDS};
+use super::{AdmissionController, TIME_MARGIN_SECONDS};
 use crate::api::{DeduplicationScope, FinalAnswer, Idempotency, QueryId};
 
 /// Part of the latency objective that a Retry-After names; an answer is then still worth something.
@@ -57,7 +57,7 @@
         let Some(state) = self.queries.get_mut(&id) else {
             return;
         };
-        let deadline_timer_at = state.deadline - DEADLINE_MARGIN_SECONDS;
+        let deadline_timer_at = state.deadline - TIME_MARGIN_SECONDS;
         self.timers.cancel(deadline_timer_at, Timer::Deadline(id));
         if state.in_flight.is_some() {
             state.phase = QueryPhase::Finished;
--- a/src/controller/health_checks.rs
+++ b/src/controller/health_checks.rs
@@ -10,7 +10,8 @@
 const HEALTH_CHECKS_PER_QUERY: f64 = 0.05;
 
 impl AdmissionController {
-    /// A health check has ended. To be called for each [`crate::api::NextAction::HealthCheck`], before the load report that came with it.
+    /// A health check has ended, or a connection was made to the engine ahead of its use. A load report that came with it goes
+    /// to [`Self::load_reported`].
     pub fn health_check_ended(&mut self, now: f64, engine: EngineId, end: AttemptEnd) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
--- a/src/controller/key_order.rs
+++ b/src/controller/key_order.rs
@@ -3,7 +3,7 @@
 
 use super::query_state::QueryPhase;
 use super::timers::{microseconds, Timer};
-use super::{AdmissionController, DEADLINE_MARGIN_SECONDS};
+use super::{AdmissionController, TIME_MARGIN_SECONDS};
 use crate::api::{AttemptEnd, Query, QueryId};
 use std::collections::VecDeque;
 
@@ -17,7 +17,7 @@
 
 impl AdmissionController {
     /// Holds back all queries of an ordering key until a time in seconds: an attempt that an earlier process began may
-    /// still run. To be called at the start, before queries of the key are admitted.
+    /// still run. To be called at the start, before queries of the key are admitted; the longest pause counts.
     pub fn pause_key(&mut self, key: u64, until: f64) {
         let key_queue = self.key_queues.entry(key).or_default();
         key_queue.paused_until = key_queue.paused_until.max(until);
@@ -46,7 +46,8 @@
         self.release_key(now, key);
     }
 
-    /// Pauses the key of an attempt that may still run although it has ended for this gateway.
+    /// Pauses the key of an attempt that may still run although it has ended for this gateway. It replaces a pause that was
+    /// set before.
     pub(super) fn pause_after(&mut self, now: f64, query: &Query, end: AttemptEnd) {
         let uncertain = matches!(
             end,
@@ -57,7 +58,7 @@
         }
         if let Some(key) = self.ordering_key(query) {
             let key_queue = self.key_queues.entry(key).or_default();
-            key_queue.paused_until = now + self.settings.key_pause + DEADLINE_MARGIN_SECONDS;
+            key_queue.paused_until = now + self.settings.key_pause + TIME_MARGIN_SECONDS;
         }
     }
 
--- a/src/controller/load.rs
+++ b/src/controller/load.rs
@@ -142,10 +142,10 @@
         reported.max(inferred)
     }
 
-    /// How full this gateway's share of a whole kind is with the query: by memory, and under pressure by threads. Keeps
-    /// many gateways that each begin little from beginning too much together: a share of one engine is less than a
-    /// query. `effective_cores` is the sum over the engines of the kind that are open to the query.
-    pub(super) fn kind_share_load(
+    /// Load of a whole kind with the query: by this gateway's share of its memory, and under pressure the mean of that, or of
+    /// its share of threads, with the kind's observed load. Many gateways that each begin few queries would begin too many
+    /// together: a share of one engine is under one query. `effective_cores` is the sum over the engines of the kind that are open to the query.
+    pub(super) fn kind_load_with_query(
         &self,
         now: f64,
         kind: usize,
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -26,6 +26,13 @@
     max_wait: f64,
 }
 
+impl Prospect {
+    /// Whether no answer of any value can come in time.
+    fn is_too_late(&self) -> bool {
+        self.value_density <= 0.0 || self.max_wait < 0.0
+    }
+}
+
 /// A query that waits, with what shedding compares.
 struct WaitingQuery {
     id: QueryId,
@@ -42,6 +49,8 @@
         let service = self.expected_service(&state.query);
         let uncertainty = estimate_uncertainty(&state.query);
         let objective = class.latency_objective + class.latency_objective_stretch * bare_service;
+        // For the objective an uncertain service counts as longer, so that a query is not begun in vain; for the deadline as
+        // shorter, so that none is given up that may still be answered.
         let service_in_objective = (uncertainty * service).min(objective * MAX_SERVICE_FRACTION);
         let until_objective = state.admitted_at + objective - service_in_objective - now;
         let until_deadline = state.deadline - service / uncertainty - now;
@@ -76,9 +85,7 @@
     /// Whether no answer of any value can come in time, or the rules now forbid the retry that the query waits for.
     pub(super) fn is_hopeless(&self, now: f64, state: &QueryState) -> bool {
         let prospect = self.prospect(now, state);
-        prospect.value_density <= 0.0
-            || prospect.max_wait < 0.0
-            || (state.attempts > 0 && !self.may_retry(now, state))
+        prospect.is_too_late() || (state.attempts > 0 && !self.may_retry(now, state))
     }
 
     /// Gives up the queries that cannot be answered in time behind the more valuable ones that wait too.
@@ -102,11 +109,7 @@
         {
             capacity -= 1.0;
             let max_wait = prospect.max_wait.min(shortest_wait);
-            if prospect.value_density <= 0.0
-                || prospect.max_wait < 0.0
-                || capacity < 0.0
-                || work_ahead / work_rate > max_wait
-            {
+            if prospect.is_too_late() || capacity < 0.0 || work_ahead / work_rate > max_wait {
                 self.abandon(id);
                 continue;
             }
--- a/src/controller/outlier_ejection.rs
+++ b/src/controller/outlier_ejection.rs
@@ -1,5 +1,5 @@
-//! Outlier ejection: an engine whose attempts fail far more often than those of the pool is not used for a while, and
-//! comes back one query at a time.
+//! Outlier ejection: an engine whose attempts fail far more often than those of the pool is not used for a while. While its
+//! failure rate is above the threshold, it then takes one query at a time.
 
 use super::engine_state::EngineState;
 use super::{AdmissionController, MAX_REDRAW_DELAY_SECONDS};
@@ -14,9 +14,9 @@
 /// Seconds that an engine stays ejected.
 const EJECTION_SECONDS: f64 = 2.0;
 
-/// Whether an engine may be used: it is not ejected, and one that was takes a single query until it succeeds.
+/// Whether an engine may be used: it is not avoided for now, and above the threshold it takes a single query at a time.
 pub(super) fn is_available(engine: &EngineState, now: f64) -> bool {
-    engine.health.ejected_until <= now
+    engine.health.avoided_until <= now
         && (engine.health.failure_rate(now) <= EJECTION_FAILURE_RATE
             || engine.in_flight.attempts == 0)
 }
@@ -32,7 +32,7 @@
     /// The engine had no capacity: others are tried first for a moment.
     pub(super) fn record_rejection(&mut self, now: f64, engine: EngineId) {
         let health = &mut self.engines[engine].health;
-        health.ejected_until = health.ejected_until.max(now + MAX_REDRAW_DELAY_SECONDS);
+        health.avoided_until = health.avoided_until.max(now + MAX_REDRAW_DELAY_SECONDS);
     }
 
     /// An attempt or a health check at the engine has failed: it is ejected where it fails far more than the pool.
@@ -46,8 +46,8 @@
         health.failed_at = now;
         let is_outlier = health.failure_rate > EJECTION_FAILURE_RATE
             && health.failure_rate > OUTLIER_RATIO * pool_mean;
-        if is_outlier && health.ejected_until <= now {
-            health.ejected_until = now + EJECTION_SECONDS;
+        if is_outlier && health.avoided_until <= now {
+            health.avoided_until = now + EJECTION_SECONDS;
         }
     }
 }
--- a/src/controller/retry_budget.rs
+++ b/src/controller/retry_budget.rs
@@ -4,7 +4,7 @@
 //! admitted in it.
 
 use super::averages::SlidingWindow;
-use super::{AdmissionController, DEADLINE_MARGIN_SECONDS};
+use super::{AdmissionController, TIME_MARGIN_SECONDS};
 use crate::api::RetryBudget;
 
 /// Seconds beyond a budget's window for which its events are stored.
@@ -31,10 +31,8 @@
         let window_start = now - budget.window;
         let admitted = self
             .admissions
-            .count_since(window_start + DEADLINE_MARGIN_SECONDS);
-        let retries = self
-            .retries
-            .count_since(window_start - DEADLINE_MARGIN_SECONDS);
+            .count_since(window_start + TIME_MARGIN_SECONDS);
+        let retries = self.retries.count_since(window_start - TIME_MARGIN_SECONDS);
         retries + 1.0 <= budget.floor + budget.per_query * admitted
     }
 
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -78,6 +78,9 @@
     /// One gateway's share in a window can be less than one query, so it becomes due in quanta of a query, with a
     /// random offset for each start: the sum over gateways stays the same, and chance adds little. What is not sent in
     /// time lapses, since the savings of all gateways sent in step would overload the engine.
+    ///
+    /// For example, with a share of 0.5 s of work a second and a quantum of 1 s, a gateway whose jitter is 0.25 has 1 s due
+    /// from 0.5 s after it was notified of the start, and another 1 s every 2 s from then on.
     fn budget_balance(
         &self,
         now: f64,
--- a/src/controller/stalled_attempts.rs
+++ b/src/controller/stalled_attempts.rs
@@ -86,7 +86,8 @@
         silent || started_at.is_some_and(|started_at| started_at > attempt.begun_at)
     }
 
-    /// Cancels an attempt that makes no progress, where its query may run again elsewhere.
+    /// Cancels an attempt that makes no progress, where its query may run again elsewhere. Only idempotent queries: the
+    /// others, also those with a key, wait for their outcome.
     fn cancel_stalled(&mut self, now: f64, id: QueryId) {
         let state = &self.queries[&id];
         let class = &self.settings.classes[state.query.class];
