--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -43,8 +43,8 @@
 const BODIES_MEMORY_DIVISOR: u64 = 4;
 const BYTES_PER_MB: u64 = 1 << 20;
 
-/// Keys that need no restart: `changelog` takes effect at a reload, the others are of use at a start only.
-const RELOADABLE_KEYS: [&str; 3] = ["changelog", "known", "seed"];
+/// Keys whose change is not logged as needing a restart: `changelog` takes effect at a reload, the others matter at a start only.
+const KEYS_WITHOUT_RESTART_WARNING: [&str; 3] = ["changelog", "known", "seed"];
 
 /// A gateway's configuration, checked and with defaults filled in.
 #[derive(Clone, Debug)]
@@ -83,7 +83,7 @@
         };
         let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
         keys.into_iter()
-            .filter(|key| !RELOADABLE_KEYS.contains(&key.as_str()))
+            .filter(|key| !KEYS_WITHOUT_RESTART_WARNING.contains(&key.as_str()))
             .filter(|key| old.get(*key) != new.get(*key))
             .cloned()
             .collect()
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -14,12 +14,12 @@
 //! detect a repeated query only within a limited time. [`CancellationState`] says what is still wanted of it; all facts
 //! that say whether it may still run go to the ledger as [`Evidence`].
 
+mod call_timeout;
 mod cancel;
 mod cancellable_call;
 mod exchange;
 mod pages;
 mod polling;
-mod response_timeout;
 mod start;
 
 use super::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
@@ -28,11 +28,11 @@
 use super::{Engines, Target};
 use crate::system::budgeted_stream::AbortFlag;
 use crate::system::send_gate::SendGate;
+use call_timeout::CallTimeout;
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger::{AttemptId, Connection, Evidence, PollSchedule, Proof};
 use http::{Method, Request};
 use polling::PollOutcome;
-use response_timeout::ResponseTimeout;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
@@ -60,7 +60,7 @@
     request_may_have_arrived: bool,
     /// The request's body could not be read to its end.
     body_unreadable: bool,
-    response_timeout: ResponseTimeout,
+    call_timeout: CallTimeout,
 }
 
 impl<'a> EngineAttempt<'a> {
@@ -98,7 +98,7 @@
             response_deadline: now,
             request_may_have_arrived: false,
             body_unreadable: false,
-            response_timeout: ResponseTimeout::new(engines.connect_timeout, now),
+            call_timeout: CallTimeout::new(engines.connect_timeout, now),
         }
     }
 
@@ -144,7 +144,7 @@
 
     /// How long the response to a poll is waited for, once a connection is up.
     fn poll_timeout(&self) -> Duration {
-        self.response_timeout.timeout(Instant::now())
+        self.call_timeout.timeout(Instant::now())
     }
 
     fn poll_schedule(&self) -> PollSchedule {
--- a/crates/gateway/src/engines/attempt/response_timeout.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout.rs
@@ -15,7 +15,7 @@
 
 /// The response timeout of one attempt, adapted to the responses so far.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ResponseTimeout {
+pub(super) struct CallTimeout {
     /// The platform's time limit for a connection to come up.
     connect_timeout: Duration,
     /// Calls in a row that timed out.
@@ -26,9 +26,9 @@
     last_response_at: Instant,
 }
 
-impl ResponseTimeout {
+impl CallTimeout {
     pub(super) fn new(connect_timeout: Duration, now: Instant) -> Self {
-        ResponseTimeout {
+        CallTimeout {
             connect_timeout,
             consecutive_timeouts: 0,
             slowest_response: Duration::ZERO,
--- a/crates/gateway/src/engines/attempt/response_timeout/tests.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout/tests.rs
@@ -10,20 +10,20 @@
 /// When the first response is received from an engine that always takes this long; none where none is.
 fn first_response_after(connect_timeout: Duration, takes: Duration) -> Option<Duration> {
     let began = Instant::now();
-    let mut response_timeout = ResponseTimeout::new(connect_timeout, began);
+    let mut call_timeout = CallTimeout::new(connect_timeout, began);
     let mut now = began;
     while now - began <= LONG_POLL_LIMIT + POLL_EXPIRY {
-        let within = response_timeout.timeout(now);
+        let within = call_timeout.timeout(now);
         if takes <= within {
-            response_timeout.answered(now + takes, takes);
+            call_timeout.answered(now + takes, takes);
             assert!(
-                response_timeout.timeout(now + takes) >= takes,
+                call_timeout.timeout(now + takes) >= takes,
                 "the first call after it waits long enough"
             );
             return Some(now + takes - began);
         }
         now += within;
-        response_timeout.timed_out();
+        call_timeout.timed_out();
     }
     None
 }
@@ -51,12 +51,12 @@
 fn timeouts_end_with_the_unpolled_run() {
     for connect_timeout in [ms(50), CONNECT_TIMEOUT, ms(1500)] {
         let began = Instant::now();
-        let mut response_timeout = ResponseTimeout::new(connect_timeout, began);
+        let mut call_timeout = CallTimeout::new(connect_timeout, began);
         let mut now = began;
         let mut calls = 0;
         while now - began < LONG_POLL_LIMIT + POLL_EXPIRY {
-            now += response_timeout.timeout(now);
-            response_timeout.timed_out();
+            now += call_timeout.timeout(now);
+            call_timeout.timed_out();
             calls += 1;
         }
         assert!(
@@ -70,10 +70,10 @@
 /// A response that is held back for as long as the protocol allows is not slow.
 #[test]
 fn a_usual_response_does_not_lengthen_the_timeout() {
-    let mut response_timeout = ResponseTimeout::new(CONNECT_TIMEOUT, Instant::now());
-    response_timeout.answered(response_timeout.last_response_at, LONG_POLL_LIMIT + ms(20));
+    let mut call_timeout = CallTimeout::new(CONNECT_TIMEOUT, Instant::now());
+    call_timeout.answered(call_timeout.last_response_at, LONG_POLL_LIMIT + ms(20));
     assert_eq!(
-        response_timeout.timeout(response_timeout.last_response_at),
+        call_timeout.timeout(call_timeout.last_response_at),
         USUAL_RESPONSE_TIMEOUT
     );
 }
@@ -81,21 +81,21 @@
 /// A slow engine can still be asked whether it has the attempt that is being cancelled.
 #[test]
 fn calls_after_the_unpolled_run_get_the_second_call_timeout() {
-    let mut response_timeout = ResponseTimeout::new(CONNECT_TIMEOUT, Instant::now());
-    response_timeout.timed_out();
+    let mut call_timeout = CallTimeout::new(CONNECT_TIMEOUT, Instant::now());
+    call_timeout.timed_out();
     assert_eq!(
-        response_timeout.timeout(response_timeout.last_response_at + LONG_POLL_LIMIT + POLL_EXPIRY),
+        call_timeout.timeout(call_timeout.last_response_at + LONG_POLL_LIMIT + POLL_EXPIRY),
         LONG_POLL_LIMIT + CONNECT_TIMEOUT * 2
     );
 }
 
 #[test]
 fn a_lost_connection_does_not_lengthen_the_timeout() {
-    let mut response_timeout = ResponseTimeout::new(CONNECT_TIMEOUT, Instant::now());
-    response_timeout.timed_out();
-    response_timeout.failed();
+    let mut call_timeout = CallTimeout::new(CONNECT_TIMEOUT, Instant::now());
+    call_timeout.timed_out();
+    call_timeout.failed();
     assert_eq!(
-        response_timeout.timeout(response_timeout.last_response_at),
+        call_timeout.timeout(call_timeout.last_response_at),
         LONG_POLL_LIMIT + SOCKET_TIMEOUT_SLACK
     );
 }
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -56,8 +56,8 @@
 
     fn record_call_error(&mut self, error: CallError) {
         match error {
-            CallError::TimedOut => self.response_timeout.timed_out(),
-            _ => self.response_timeout.failed(),
+            CallError::TimedOut => self.call_timeout.timed_out(),
+            _ => self.call_timeout.failed(),
         }
         match error {
             CallError::ConnectionRefused => self.record(Evidence::ConnectionRefused),
@@ -135,7 +135,7 @@
             .await
             .unwrap_or(Err(CallError::TimedOut));
         if response.is_ok() {
-            self.response_timeout
+            self.call_timeout
                 .answered(Instant::now(), started_at.elapsed());
         }
         response
--- a/crates/gateway/src/http/responses.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// The query has not run and may be sent again, after so many seconds where these are given.
+/// The query may be sent again, after so many seconds where these are given: it has not run, or a second run does no harm.
 pub(super) fn busy_response(reason: Option<&str>, retry_after_seconds: Option<f64>) -> Response {
     let body = match reason {
         Some(reason) => json!({"error": "Busy", "reason": reason}),
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -1,5 +1,5 @@
 //! Routes queries by the plan: compiles it with the engines of its pools, applies its limits, and numbers the endpoint subsets
-//! that the admission controller knows. It decides nothing itself; `garnetwall_routing` does.
+//! that the admission controller knows. Which route, engines and limits apply is decided in `garnetwall_routing`.
 
 mod class_settings;
 
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -1,5 +1,6 @@
 //! The scheduler: the admission controller behind one lock, its timer, and the open queries. It hands events to the controller and
-//! carries out what the controller decides; it decides nothing itself.
+//! carries out what the controller decides. Of its own it answers only what needs no attempt: a repeat of a query that is open or
+//! over, and a query that an earlier process may have run.
 //!
 //! This file holds the lock, the timer and the way of every event. `admission` opens queries, `query_end` answers and releases
 //! them, `waiter` tracks the clients that wait; `query_index` knows which query keys were seen, `answer_cache` keeps the
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -2,7 +2,7 @@
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
 use super::open_query::OpenQuery;
-use super::query_index::QueryState;
+use super::query_index::KeyState;
 use super::state::SchedulerState;
 use super::{Admission, ArrivingQuery, Command, Scheduler, Waiter};
 use crate::engines::{Call, Statement};
@@ -53,9 +53,9 @@
         self.handle_event(|state, now| {
             state.discard_expired(now);
             match state.queries.state(query_key) {
-                Some(QueryState::Open(id)) => self.join(state, now, id, &arriving, &call),
-                Some(QueryState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
-                Some(QueryState::Recovered) => Admission::MayHaveRun,
+                Some(KeyState::Open(id)) => self.join(state, now, id, &arriving, &call),
+                Some(KeyState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
+                Some(KeyState::Recovered) => Admission::MayHaveRun,
                 None => {
                     let new = NewQuery {
                         arriving,
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -1,6 +1,6 @@
 //! The end of a query: it is answered, cancelled by its client, or released.
 
-use super::query_index::QueryState;
+use super::query_index::KeyState;
 use super::{QueryAnswer, Scheduler};
 use crate::scheduling::log_millis;
 use garnetwall::api::QueryId;
@@ -41,11 +41,11 @@
     /// The client cancels the query of a key. Returns whether that is open.
     pub fn cancel(&self, query_key: u64) -> bool {
         self.handle_event(|state, now| match state.queries.state(query_key) {
-            Some(QueryState::Open(id)) => {
+            Some(KeyState::Open(id)) => {
                 state.client_left(now, id);
                 true
             }
-            Some(QueryState::Finished | QueryState::Recovered) | None => false,
+            Some(KeyState::Finished | KeyState::Recovered) | None => false,
         })
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/query_index.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_index.rs
@@ -5,7 +5,7 @@
 
 /// What is known of the query of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum QueryState {
+pub(super) enum KeyState {
     /// It is open in this process.
     Open(QueryId),
     /// It has finished in this process, and its key is remembered.
@@ -44,15 +44,15 @@
 
 impl QueryIndex {
     /// The state of a key's query; `None` for a key that is not known.
-    pub(super) fn state(&self, query_key: u64) -> Option<QueryState> {
+    pub(super) fn state(&self, query_key: u64) -> Option<KeyState> {
         if let Some(id) = self.open.get(&query_key) {
-            return Some(QueryState::Open(*id));
+            return Some(KeyState::Open(*id));
         }
         if self.finished.contains(&query_key) {
-            return Some(QueryState::Finished);
+            return Some(KeyState::Finished);
         }
         let is_recovered = self.recovered.contains_key(&query_key);
-        is_recovered.then_some(QueryState::Recovered)
+        is_recovered.then_some(KeyState::Recovered)
     }
 
     /// A query has been admitted under a key.
