--- /dev/null
+++ b/crates/settings/src/decode.rs
@@ -0,0 +1,178 @@
+//! Decodes settings key by key. The module doc of the package lists the keys and their fields.
+
+use crate::decoded::{DecodedSettings, Names, NetworkTimeouts};
+use crate::error::{SettingsError, SettingsErrorCause};
+use crate::flat::{place_of, FlatSettings};
+use garnetwall::api::{
+    DeduplicationScope, Idempotency, LoadReporting, QueryClass, RetryBudget, Settings, SlowStart,
+};
+
+/// Holds where the settings name no timeout.
+const DEFAULT_TIMEOUTS: NetworkTimeouts = NetworkTimeouts {
+    connect_timeout: 0.25,
+    idle_timeout: 15.0,
+};
+/// The threads that a query of a class uses where the settings name no possible number.
+const DEFAULT_THREADS: f64 = 1.0;
+
+/// Decodes settings. Each key is decoded by itself; [`DecodedSettings::validate`] checks that they fit together.
+///
+/// # Errors
+///
+/// A value can't be read as what its key holds.
+pub fn decode(flat: &FlatSettings) -> Result<DecodedSettings, SettingsError> {
+    let names = decode_names(flat)?;
+    let classes = (0..flat.count("categories")?)
+        .map(|index| decode_class(flat, index, &names))
+        .collect::<Result<Vec<_>, _>>()?;
+    let settings = decode_settings(flat, classes)?;
+    Ok(DecodedSettings {
+        settings,
+        names,
+        network: decode_timeouts(flat)?,
+        report_fields: words(flat, "telemetry.fields"),
+    })
+}
+
+fn decode_names(flat: &FlatSettings) -> Result<Names, SettingsError> {
+    Ok(Names {
+        classes: flat.names("categories")?,
+        tenants: flat.names("tenants")?,
+        zones: words(flat, "zones"),
+        kinds: words(flat, "kinds"),
+    })
+}
+
+fn decode_settings(
+    flat: &FlatSettings,
+    classes: Vec<QueryClass>,
+) -> Result<Settings, SettingsError> {
+    let tenants = flat.count("tenants")?;
+    let retry_budget = decode_retry_budget(flat)?;
+    let slow_start = decode_slow_start(flat)?;
+    Ok(Settings {
+        classes,
+        tenants,
+        gateways: flat.number_or("balancers", 1.0)?.max(1.0),
+        kind_cores: flat.sizes("domain.kind-cores"),
+        kind_memory: flat.sizes("domain.kind-memory-mb"),
+        max_grant_fraction: flat.number_or("domain.largest-share", 1.0)?,
+        memory_grants: flat.flag("domain.grants-count")?,
+        load_reporting: decode_load_reporting(flat),
+        capacity: flat.number("allowed.open-cap")?,
+        health_checks_allowed: flat.flag("allowed.may-probe")?,
+        cancellation_allowed: flat.flag("allowed.cancelling")?,
+        retry_after_allowed: flat.flag("allowed.retry-after")?,
+        max_retry_after: flat.seconds_or("allowed.max-retry-after", 0.0)?,
+        max_attempts: flat.number_or("allowed.max-attempts", 1.0)?.max(1.0) as u32,
+        subscription_required: flat.word("registry-mode") == Some("on_request"),
+        retry_budget,
+        slow_start,
+        progress_interval: flat.seconds_or("domain.progress", 0.0)?,
+        key_pause: flat.seconds_or("rules.order-pause", 0.0)?,
+    })
+}
+
+fn decode_retry_budget(flat: &FlatSettings) -> Result<Option<RetryBudget>, SettingsError> {
+    let Some(window) = flat.seconds("rules.extra-window")? else {
+        return Ok(None);
+    };
+    Ok(Some(RetryBudget {
+        floor: flat.number_or("rules.extra-floor", 0.0)?,
+        per_query: flat.number_or("rules.extra-per-request", 0.0)?,
+        window,
+    }))
+}
+
+fn decode_slow_start(flat: &FlatSettings) -> Result<Option<SlowStart>, SettingsError> {
+    let overload_multiple = flat.number("rules.fall-multiple")?;
+    let window = flat.seconds("rules.fall")?;
+    let (Some(overload_multiple), Some(window)) = (overload_multiple, window) else {
+        return Ok(None);
+    };
+    Ok(Some(SlowStart {
+        initial_fraction: flat.number_or("rules.cold-from", 0.0)?,
+        duration: flat.seconds_or("rules.warm-after", 0.0)?,
+        overload_multiple,
+        window,
+    }))
+}
+
+fn decode_load_reporting(flat: &FlatSettings) -> LoadReporting {
+    match flat.word("telemetry.how") {
+        Some("inline") => LoadReporting::WithAnswers,
+        Some("on_probe") => LoadReporting::WithHealthChecks,
+        _ => LoadReporting::Never,
+    }
+}
+
+fn decode_timeouts(flat: &FlatSettings) -> Result<NetworkTimeouts, SettingsError> {
+    let default = DEFAULT_TIMEOUTS;
+    Ok(NetworkTimeouts {
+        connect_timeout: flat.seconds_or("allowed.dial-timeout", default.connect_timeout)?,
+        idle_timeout: flat.seconds_or("allowed.idle-close", default.idle_timeout)?,
+    })
+}
+
+/// Decodes the query class of an index, with what `domain` lists for each class.
+fn decode_class(
+    flat: &FlatSettings,
+    index: usize,
+    names: &Names,
+) -> Result<QueryClass, SettingsError> {
+    let key = |key: &str| format!("categories.{index}.{key}");
+    let idempotency = decode_idempotency(flat, index)?;
+    let deadline = flat.seconds_or(&key("give-up"), 0.0)?;
+    Ok(QueryClass {
+        latency_objective: flat.seconds_or(&key("goal-time"), deadline)?,
+        latency_objective_stretch: flat.number_or(&key("aim-stretch"), 0.0)?,
+        deadline,
+        priority_weight: flat.number_or(&key("worth"), 1.0)?,
+        late_value_share: flat.number_or(&key("late-share"), 0.0)?,
+        idempotency,
+        in_order: flat.flag(&key("one-at-a-time"))?,
+        zones: flat.indices(&key("zones-only"), &names.zones)?,
+        kinds: flat.indices(&key("allowed-on"), &names.kinds)?,
+        threads: decode_threads(flat, index),
+        is_load: flat.item("domain.loads", index) == Some("true"),
+        waits_for_loads: flat.item("domain.waits-for-loads", index) == Some("true"),
+        retry_budget: None,
+    })
+}
+
+fn decode_idempotency(flat: &FlatSettings, class: usize) -> Result<Idempotency, SettingsError> {
+    let semantics = format!("categories.{class}.semantics");
+    let cause = match flat.word(&semantics) {
+        Some("retryable") => return Ok(Idempotency::Idempotent),
+        Some("dedup") => return decode_idempotency_by_key(flat, class),
+        Some("fragile") => return Ok(Idempotency::NonIdempotent),
+        Some(other) => SettingsErrorCause::Unknown(other.into()),
+        None => SettingsErrorCause::Missing,
+    };
+    let remedy = "write retryable, dedup or fragile";
+    Err(SettingsError::new(place_of(&semantics), cause, remedy))
+}
+
+fn decode_idempotency_by_key(
+    flat: &FlatSettings,
+    class: usize,
+) -> Result<Idempotency, SettingsError> {
+    let scope = match flat.word(&format!("categories.{class}.key-scope")) {
+        Some("all") => DeduplicationScope::Everywhere,
+        Some("zone") => DeduplicationScope::Zone,
+        _ => DeduplicationScope::Cell,
+    };
+    let window = flat.seconds_or(&format!("categories.{class}.dedup-window"), 0.0)?;
+    Ok(Idempotency::IdempotentByKey { scope, window })
+}
+
+fn decode_threads(flat: &FlatSettings, class: usize) -> f64 {
+    flat.item("domain.parallelism", class)
+        .and_then(|word| word.parse::<f64>().ok())
+        .filter(|threads| threads.is_finite() && *threads >= 1.0)
+        .unwrap_or(DEFAULT_THREADS)
+}
+
+fn words(flat: &FlatSettings, path: &str) -> Vec<String> {
+    flat.list(path).into_iter().map(String::from).collect()
+}
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -1,209 +1,219 @@
 //! Settings as a map from path to word, whichever form they came in.
 
 use crate::error::{SettingsError, SettingsErrorCause};
-use crate::shape::SETTINGS;
+use crate::schema::SETTINGS_SCHEMA;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Settings by their paths: `categories.0.name`, with the length of a list of objects under `.count`.
+/// Settings by their paths, as `categories.0.name`. The length of a list of objects is under its path and `.count`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FlatSettings(BTreeMap<String, String>);
 
 impl FlatSettings {
-    /// From `path=value` lines.
+    /// Reads `path=value` lines. Empty lines are ignored.
+    ///
+    /// # Errors
+    ///
+    /// A line has no `=`.
     pub fn from_text(text: &str) -> Result<Self, SettingsError> {
-        let mut map = BTreeMap::new();
-        for (n, line) in text
-            .lines()
-            .enumerate()
-            .filter(|(_, l)| !l.trim().is_empty())
-        {
-            let none = || {
-                unusable(
-                    &format!("settings line {}", n + 1),
-                    "no '='".into(),
-                    "write path=value",
-                )
+        let mut words = BTreeMap::new();
+        for (index, line) in text.lines().enumerate() {
+            if line.trim().is_empty() {
+                continue;
+            }
+            let Some((path, word)) = line.split_once('=') else {
+                let place = format!("settings line {}", index + 1);
+                return Err(unusable(&place, "no '='".into(), "write path=value"));
             };
-            let (path, value) = line.split_once('=').ok_or_else(none)?;
-            map.insert(path.trim().to_string(), value.trim().to_string());
+            words.insert(path.trim().to_string(), word.trim().to_string());
         }
-        Ok(FlatSettings(map))
+        Ok(FlatSettings(words))
     }
 
-    /// From nested JSON under the same names, where what is read is of the right type and in range.
+    /// Reads nested JSON under the same names. Unknown keys are ignored.
+    ///
+    /// # Errors
+    ///
+    /// The value of a known key has the wrong type or is out of range.
     pub fn from_json(settings: &Value) -> Result<Self, SettingsError> {
-        SETTINGS.check("settings", settings)?;
+        SETTINGS_SCHEMA.check("settings", settings)?;
         let mut flat = FlatSettings::default();
-        flat.put("", settings);
+        flat.insert("", settings);
         Ok(flat)
     }
 
-    /// What has no text form is under a key that nobody reads, and is passed over.
-    fn put(&mut self, path: &str, value: &Value) {
-        let under = |key: &str| {
-            if path.is_empty() {
-                key.to_string()
-            } else {
-                format!("{path}.{key}")
-            }
-        };
+    /// Inserts a value with all that is under it. A value without a text form is under an unknown key, and is ignored.
+    fn insert(&mut self, path: &str, value: &Value) {
         match value {
-            Value::Object(fields) => fields
-                .iter()
-                .for_each(|(key, field)| self.put(&under(key), field)),
+            Value::Object(fields) => {
+                for (key, field) in fields {
+                    self.insert(&join(path, key), field);
+                }
+            }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(under("count"), items.len().to_string());
-                items
-                    .iter()
-                    .enumerate()
-                    .for_each(|(i, item)| self.put(&under(&i.to_string()), item));
+                self.0.insert(join(path, "count"), items.len().to_string());
+                for (index, item) in items.iter().enumerate() {
+                    self.insert(&join(path, &index.to_string()), item);
+                }
             }
             Value::Array(items) => {
-                let words: Vec<_> = items.iter().filter_map(word).collect();
+                let words: Vec<_> = items.iter().filter_map(text_form).collect();
                 self.0.insert(path.to_string(), words.join(","));
             }
-            plain => self
-                .0
-                .extend(word(plain).map(|word| (path.to_string(), word))),
+            plain => {
+                if let Some(word) = text_form(plain) {
+                    self.0.insert(path.to_string(), word);
+                }
+            }
         }
     }
 
-    pub(crate) fn has(&self, path: &str) -> bool {
-        self.0.contains_key(path)
-    }
-
-    pub(crate) fn len(&self) -> usize {
-        self.0.len()
-    }
-
+    /// The word at a path; none where it is absent or empty.
     pub(crate) fn word(&self, path: &str) -> Option<&str> {
-        self.0
-            .get(path)
-            .map(String::as_str)
-            .filter(|v| !v.is_empty())
+        let word = self.0.get(path)?;
+        Some(word.as_str()).filter(|word| !word.is_empty())
     }
 
+    /// The finite number at a path.
     pub(crate) fn number(&self, path: &str) -> Result<Option<f64>, SettingsError> {
         let Some(word) = self.word(path) else {
             return Ok(None);
         };
         match word.parse::<f64>() {
-            Ok(v) if v.is_finite() => Ok(Some(v)),
-            _ => Err(unusable(
-                &at(path),
-                format!("'{word}' is not a number"),
-                "write a number",
-            )),
+            Ok(number) if number.is_finite() => Ok(Some(number)),
+            _ => {
+                let cause = format!("'{word}' is not a number");
+                Err(unusable(&place_of(path), cause, "write a number"))
+            }
         }
     }
 
-    pub(crate) fn number_or(&self, path: &str, absent: f64) -> Result<f64, SettingsError> {
-        Ok(self.number(path)?.unwrap_or(absent))
+    /// The number at a path, or `default` where it is absent.
+    pub(crate) fn number_or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
+        Ok(self.number(path)?.unwrap_or(default))
     }
 
+    /// The milliseconds at a path, in seconds.
     pub(crate) fn seconds(&self, path: &str) -> Result<Option<f64>, SettingsError> {
-        Ok(self.number(path)?.map(|ms| ms / 1000.0))
+        Ok(self.number(path)?.map(|milliseconds| milliseconds / 1000.0))
     }
 
-    pub(crate) fn seconds_or(&self, path: &str, absent: f64) -> Result<f64, SettingsError> {
-        Ok(self.seconds(path)?.unwrap_or(absent))
+    /// The milliseconds at a path in seconds, or `default` seconds where they are absent.
+    pub(crate) fn seconds_or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
+        Ok(self.seconds(path)?.unwrap_or(default))
     }
 
+    /// Whether the flag at a path is set.
     pub(crate) fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.word(path) {
             None | Some("false") | Some("0") => Ok(false),
             Some("true") | Some("1") => Ok(true),
             Some(other) => {
-                let what = format!("'{other}' is neither true nor false");
-                Err(unusable(&at(path), what, "write one of them"))
+                let cause = format!("'{other}' is neither true nor false");
+                Err(unusable(&place_of(path), cause, "write one of them"))
             }
         }
     }
 
+    /// The words of the list at a path.
     pub(crate) fn list(&self, path: &str) -> Vec<&str> {
         self.word(path)
-            .map(|v| v.split(',').collect())
+            .map(|words| words.split(',').collect())
             .unwrap_or_default()
     }
 
-    /// Positive numbers of a list; anything else in it stands as unknown.
+    /// One word of the list at a path.
+    pub(crate) fn item(&self, path: &str, index: usize) -> Option<&str> {
+        self.word(path)?.split(',').nth(index)
+    }
+
+    /// The positive numbers of the list at a path. Anything else in it counts as unknown.
     pub(crate) fn sizes(&self, path: &str) -> Vec<Option<f64>> {
-        let size = |v: &str| v.parse::<f64>().ok().filter(|n| n.is_finite() && *n > 0.0);
+        let size = |word: &str| {
+            let number = word.parse::<f64>().ok()?;
+            Some(number).filter(|number| number.is_finite() && *number > 0.0)
+        };
         self.list(path).into_iter().map(size).collect()
     }
 
-    /// Indices, or names of a list that they index.
+    /// The indices in the list at a path, which holds indices or the names that they stand for.
     pub(crate) fn indices(
         &self,
         path: &str,
         names: &[String],
     ) -> Result<Option<Vec<u32>>, SettingsError> {
-        if !self.has(path) {
+        if !self.0.contains_key(path) {
             return Ok(None);
         }
-        let named = |v: &str| names.iter().position(|n| n == v).map(|i| i as u32);
-        let one = |v: &str| {
-            v.parse()
-                .ok()
-                .or_else(|| named(v))
-                .ok_or_else(|| wrong_index(path, v))
-        };
         self.list(path)
             .into_iter()
-            .map(one)
-            .collect::<Result<_, _>>()
+            .map(|word| index_of(word, names).ok_or_else(|| unknown_index(path, word)))
+            .collect::<Result<Vec<_>, _>>()
             .map(Some)
     }
 
-    /// How many items a list of objects says it has; more than it can hold in this text is malformed.
+    /// The length of the list of objects at a path. A length that these settings can't hold is an error, so that it
+    /// reserves no memory.
     pub(crate) fn count(&self, path: &str) -> Result<usize, SettingsError> {
-        let said = self.number_or(&format!("{path}.count"), 0.0)?;
-        if said < 0.0 || said.fract() != 0.0 || said > self.len() as f64 {
-            let what = format!("{said} is not a possible count");
-            return Err(unusable(
-                &at(&format!("{path}.count")),
-                what,
-                "write how many items follow",
-            ));
+        let path = format!("{path}.count");
+        let count = self.number_or(&path, 0.0)?;
+        if count < 0.0 || count.fract() != 0.0 || count > self.0.len() as f64 {
+            let cause = format!("{count} is not a possible count");
+            let remedy = "write how many items follow";
+            return Err(unusable(&place_of(&path), cause, remedy));
         }
-        Ok(said as usize)
+        Ok(count as usize)
     }
 
-    /// The names of a list of objects.
+    /// The names of the list of objects at a path; empty where one has none.
     pub(crate) fn names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
-        let name = |i| {
-            self.word(&format!("{path}.{i}.name"))
-                .unwrap_or_default()
-                .to_string()
+        let name = |index| {
+            let word = self.word(&format!("{path}.{index}.name"));
+            word.unwrap_or_default().to_string()
         };
         Ok((0..self.count(path)?).map(name).collect())
     }
 }
 
 /// The place of a path in messages.
-pub(crate) fn at(path: &str) -> String {
+pub(crate) fn place_of(path: &str) -> String {
     format!("settings.{path}")
 }
 
-fn unusable(place: &str, what: String, remedy: &str) -> SettingsError {
-    SettingsError::new(place, SettingsErrorCause::Unusable(what), remedy)
+fn join(path: &str, key: &str) -> String {
+    if path.is_empty() {
+        key.to_string()
+    } else {
+        format!("{path}.{key}")
+    }
+}
+
+fn index_of(word: &str, names: &[String]) -> Option<u32> {
+    if let Ok(index) = word.parse() {
+        return Some(index);
+    }
+    let position = names.iter().position(|name| name == word)?;
+    Some(position as u32)
+}
+
+fn unusable(place: &str, cause: String, remedy: &str) -> SettingsError {
+    SettingsError::new(place, SettingsErrorCause::Unusable(cause), remedy)
 }
 
-fn wrong_index(path: &str, word: &str) -> SettingsError {
+fn unknown_index(path: &str, word: &str) -> SettingsError {
     SettingsError::new(
-        at(path),
+        place_of(path),
         SettingsErrorCause::Unknown(word.into()),
         "write a name of the settings' list, or its place from 0",
     )
 }
 
 /// A plain value as the text form has it, with spaces and commas as underscores.
-fn word(value: &Value) -> Option<String> {
+fn text_form(value: &Value) -> Option<String> {
     match value {
-        Value::String(s) => Some(s.replace([' ', ','], "_")),
-        Value::Number(n) => Some(n.to_string()),
-        Value::Bool(b) => Some(b.to_string()),
+        Value::String(text) => Some(text.replace([' ', ','], "_")),
+        Value::Number(number) => Some(number.to_string()),
+        Value::Bool(flag) => Some(flag.to_string()),
         _ => None,
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,4 @@
-//! Both forms of the same settings, and what is said of wrong ones.
+//! Both forms of the same settings, the errors of wrong ones, and load reports.
 
 use crate::{decode, decode_load_report, FlatSettings};
 use serde_json::json;
@@ -55,20 +55,20 @@
         (json!([]), "settings: an object"),
     ];
     for (settings, key) in wrong {
-        let end = FlatSettings::from_json(&settings).and_then(|flat| decode(&flat).map(drop));
-        let what = end.expect_err(key).to_string();
-        assert!(what.contains(key), "{key}: {what}");
+        let result = FlatSettings::from_json(&settings).and_then(|flat| decode(&flat).map(drop));
+        let message = result.expect_err(key).to_string();
+        assert!(message.contains(key), "{key}: {message}");
     }
 }
 
 #[test]
-fn a_report_takes_the_named_values_and_passes_over_absurd_ones() {
-    let told = decode_load_report([("queue", 3.0), ("util", f64::NAN), ("other", 1.0)]).unwrap();
+fn a_load_report_has_the_named_values_without_impossible_ones() {
+    let report = decode_load_report([("queue", 3.0), ("util", f64::NAN), ("other", 1.0)]).unwrap();
     assert_eq!(
         (
-            told.waiting_for_memory,
-            told.cpu_utilisation,
-            told.in_flight
+            report.waiting_for_memory,
+            report.cpu_utilisation,
+            report.in_flight
         ),
         (Some(3.0), None, None)
     );
--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -1,8 +1,8 @@
 //! The names and forms of all settings, written out literally: a key that is renamed by accident fails here.
 //!
-//! Every key of `ALL` is abbreviate to be read in both forms (another value gives another result), and to be refused by
+//! Every key of `ALL` is shown to be read in both forms (another value gives another result), and to be rejected by
 //! its whole path where its value has the wrong form. The keys of the gateway's own configuration file and of
-//! `subset` are pinned by crates/gateway/tests/bad_input.rs; what settings must be to one another by that and by
+//! `subset` are pinned by crates/gateway/tests/bad_input.rs; how settings must fit together by that and by
 //! src/tests.rs.
 
 use garnetwall_settings::{decode, decode_load_report, FlatSettings};
@@ -38,7 +38,7 @@
     "zones": ["east", "west"]
 }"#;
 
-/// A key, another good value for it, a value of the wrong form, and what is said of that.
+/// A key, another good value for it, a value of the wrong form, and the error that is expected for it.
 const KEYS: &[(&str, &str, &str, &str)] = &[
     ("allowed.cancelling", "false", "\"perhaps\"", FLAG),
     ("allowed.dial-timeout", "301", "true", DAY),
@@ -124,10 +124,10 @@
 }
 
 fn decoded(settings: &Value) -> String {
-    let flat = FlatSettings::from_json(settings).unwrap_or_else(|fault| panic!("{fault}"));
+    let flat = FlatSettings::from_json(settings).unwrap_or_else(|error| panic!("{error}"));
     format!(
         "{:?}",
-        decode(&flat).unwrap_or_else(|fault| panic!("{fault}"))
+        decode(&flat).unwrap_or_else(|error| panic!("{error}"))
     )
 }
 
@@ -172,15 +172,15 @@
 }
 
 fn decoded_text(text: &str) -> String {
-    let flat = FlatSettings::from_text(text).unwrap_or_else(|fault| panic!("{fault}"));
+    let flat = FlatSettings::from_text(text).unwrap_or_else(|error| panic!("{error}"));
     format!(
         "{:?}",
-        decode(&flat).unwrap_or_else(|fault| panic!("{fault}"))
+        decode(&flat).unwrap_or_else(|error| panic!("{error}"))
     )
 }
 
 #[test]
-fn the_lists_name_every_key_of_the_document() {
+fn the_lists_have_every_key_of_the_document() {
     let mut all = Vec::new();
     paths(&parsed(ALL), "", &mut all);
     let mut named: Vec<String> = KEYS.iter().map(|key| key.0.to_string()).collect();
@@ -210,32 +210,32 @@
 }
 
 #[test]
-fn a_value_of_the_wrong_form_is_refused_by_its_key() {
+fn a_value_of_the_wrong_form_is_rejected_by_its_key() {
     let forms = KEYS
         .iter()
-        .map(|(path, _, wrong, said)| (path, wrong, said));
+        .map(|(path, _, wrong, expected)| (path, wrong, expected));
     let unused = FORM_ONLY
         .iter()
-        .map(|(path, wrong, said)| (path, wrong, said));
-    for (path, wrong, said) in forms.chain(unused) {
-        let fault = FlatSettings::from_json(&with(path, wrong)).expect_err(path);
-        assert_eq!(fault.to_string(), format!("settings.{path}: {said}"));
+        .map(|(path, wrong, expected)| (path, wrong, expected));
+    for (path, wrong, expected) in forms.chain(unused) {
+        let error = FlatSettings::from_json(&with(path, wrong)).expect_err(path);
+        assert_eq!(error.to_string(), format!("settings.{path}: {expected}"));
     }
     for block in ["allowed", "domain", "rules", "telemetry"] {
-        let fault = FlatSettings::from_json(&with(block, "[]")).expect_err(block);
-        let said = "an object expected, not []; write {...} with its keys";
-        assert_eq!(fault.to_string(), format!("settings.{block}: {said}"));
+        let error = FlatSettings::from_json(&with(block, "[]")).expect_err(block);
+        let expected = "an object expected, not []; write {...} with its keys";
+        assert_eq!(error.to_string(), format!("settings.{block}: {expected}"));
     }
     for list in ["categories", "tenants"] {
-        let fault = FlatSettings::from_json(&with(list, "{}")).expect_err(list);
-        let said = "a list of objects expected, not {}; write [{...}] with one object an item";
-        assert_eq!(fault.to_string(), format!("settings.{list}: {said}"));
+        let error = FlatSettings::from_json(&with(list, "{}")).expect_err(list);
+        let expected = "a list of objects expected, not {}; write [{...}] with one object an item";
+        assert_eq!(error.to_string(), format!("settings.{list}: {expected}"));
     }
 }
 
 /// Words that stand for a choice: each gives something of its own.
 #[test]
-fn every_word_of_a_choice_has_a_meaning_of_its_own() {
+fn every_word_of_a_choice_is_decoded_differently() {
     let choices: [(&str, &[&str]); 4] = [
         (
             "categories.0.semantics",
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn keys_that_are_not_read_are_passed_over() {
+fn unknown_keys_are_ignored() {
     let base = decoded(&parsed(ALL));
     let mut more = parsed(ALL);
     more["prices"] = json!([null, {"a": 1}]);
