--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,9 +1,9 @@
 //! `garnetwall-scale`: what the program costs at a size that no machine holds.
 
-mod beside;
 mod experiment;
 mod fleet;
 mod process;
+mod real_processes;
 mod results;
 mod slopes;
 mod spread;
@@ -31,7 +31,7 @@
     /// Plays thousands of hollow gateways in simulated time, and judges them.
     Fleet(Run),
     /// Plays real gateways on loopback beside what hollow ones predict.
-    Beside(beside::BesideRun),
+    Beside(real_processes::RealProcessesRun),
     /// Compares ways to choose subsets: spread over engines, moves on a change.
     Spread(Run),
 }
@@ -63,7 +63,7 @@
         Command::Slopes(run) => slopes::run(&run),
         Command::SlopePoint => slopes::measure_point(),
         Command::Fleet(run) => fleet::run(&run),
-        Command::Beside(run) => beside::run(&run),
+        Command::Beside(run) => real_processes::run(&run),
         Command::Spread(run) => spread::run(&run),
     };
     match verdict {
--- a/crates/scale/src/beside/change_log.rs
+++ b/crates/scale/src/real_processes/change_log.rs
@@ -1,8 +1,8 @@
 //! The change log's stand-in: numbered server-sent events, a comment each second, resume by the last event's number, and
-//! the whole list for who is too far behind. It has a thread of its own, so that its processor time can be told.
+//! the whole list for readers that are too far behind. It has a thread of its own, so that its processor time is known.
 
-use super::facts::{Delivery, Notice, Recorder};
-use super::roster::{event, EngineId, Roster, State, PORT_PLACEHOLDER};
+use super::endpoint_list::{event_data, EndpointList, EngineId, State, PORT_PLACEHOLDER};
+use super::observations::{Delivery, Notice, Recorder};
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::channel::{Channel, Sender};
@@ -22,25 +22,25 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{sleep, timeout};
 
-/// Protocol: a comment comes this often.
-const COMMENT_EVERY: Duration = Duration::from_secs(1);
+/// Protocol: the interval of comments.
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 const COMMENT: &[u8] = b":\n\n";
 /// What a watch costs while nothing changes.
 pub const COMMENT_BYTES_PER_SECOND: f64 = COMMENT.len() as f64;
-/// Events that are kept; who is further behind gets the whole list.
-const HISTORY: usize = 1_024;
-/// Who takes no bytes for this long is hung up on.
-const SLOW_READER: Duration = Duration::from_secs(10);
+/// Events that are retained; a reader further behind gets the whole list.
+const HISTORY_EVENTS: usize = 1_024;
+/// A reader that takes no bytes for this long is disconnected.
+const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(10);
 /// A reader that names no last event has none.
 const LAST_EVENT: &str = "last-event-id";
-/// Watches of gateways come to this address plus the gateway's number; all others are watchers'.
-const FIRST_GATEWAY: u32 = 0x7f0a_0001;
-/// A slip: how late a slow log tells.
-const SLOW: Duration = Duration::from_millis(1_400);
+/// Gateways watch at this address plus their number; all other connections are watchers'.
+const FIRST_GATEWAY_ADDRESS: u32 = 0x7f0a_0001;
+/// Injected fault: the delay of a slow log.
+const SLOW_LOG_DELAY: Duration = Duration::from_millis(1_400);
 
 /// Where gateway `gateway` reaches a log at this port.
 pub fn address_for_gateway(gateway: usize, port: u16) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::from(FIRST_GATEWAY + gateway as u32), port))
+    SocketAddr::from((Ipv4Addr::from(FIRST_GATEWAY_ADDRESS + gateway as u32), port))
 }
 
 /// Where watchers reach it.
@@ -52,24 +52,24 @@
     let IpAddr::V4(address) = local.ip().to_canonical() else {
         return None;
     };
-    let gateway = u32::from(address).checked_sub(FIRST_GATEWAY)? as usize;
+    let gateway = u32::from(address).checked_sub(FIRST_GATEWAY_ADDRESS)? as usize;
     (gateway < gateways).then_some(gateway)
 }
 
-struct Told {
+struct PublishedEvent {
     number: u64,
     /// With a placeholder for the engines' port.
     data: String,
     /// As watchers get it.
     rendered: Bytes,
-    /// Gateways that never get it: a slip.
+    /// A gateway that never receives it, an injected fault.
     withheld_from: Option<usize>,
 }
 
 struct History {
-    roster: Roster,
+    endpoint_list: EndpointList,
     last: u64,
-    events: VecDeque<Told>,
+    events: VecDeque<PublishedEvent>,
     /// The whole list at the last event, while nothing has changed since it was made.
     whole: Option<(u64, String)>,
 }
@@ -80,7 +80,7 @@
         match &self.whole {
             Some((number, data)) if *number == self.last => data.clone(),
             _ => {
-                let data = event(self.last, true, &self.roster.lines());
+                let data = event_data(self.last, true, &self.endpoint_list.entries());
                 self.whole = Some((self.last, data.clone()));
                 data
             }
@@ -90,8 +90,8 @@
 
 /// Faults that the log makes on purpose.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LogSlips {
-    /// This gateway is not told that engines drain.
+pub struct LogFaults {
+    /// This gateway is not notified that engines drain.
     pub withhold_drains_from: Option<usize>,
     pub slow: bool,
 }
@@ -106,7 +106,7 @@
     /// Bytes of all events appended, once each.
     event_bytes: AtomicU64,
     recorder: Recorder,
-    slips: LogSlips,
+    injects: LogFaults,
 }
 
 impl Shared {
@@ -126,17 +126,17 @@
 impl ChangeLog {
     /// Starts a log whose first event is the whole list.
     pub fn start(
-        roster: Roster,
+        endpoint_list: EndpointList,
         engine_ports: Vec<u16>,
         recorder: Recorder,
-        slips: LogSlips,
+        injects: LogFaults,
     ) -> std::io::Result<ChangeLog> {
         let listener = std::net::TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         listener.set_nonblocking(true)?;
         let port = listener.local_addr()?.port();
-        let data = event(1, true, &roster.lines());
+        let data = event_data(1, true, &endpoint_list.entries());
         let history = History {
-            roster,
+            endpoint_list,
             last: 1,
             events: VecDeque::new(),
             whole: Some((1, data)),
@@ -149,34 +149,14 @@
             event_bytes: AtomicU64::new(0),
             engine_ports,
             recorder,
-            slips,
+            injects,
         });
         let (stop, stopped) = oneshot::channel::<()>();
-        let (tell_thread, thread) = std::sync::mpsc::channel();
-        let serving = shared.clone();
-        let run = move || -> std::io::Result<()> {
-            let runtime = tokio::runtime::Builder::new_current_thread()
-                .enable_all()
-                .build()?;
-            let _ = tell_thread.send(std::fs::read_link("/proc/thread-self")?);
-            runtime.block_on(async {
-                let listener = TcpListener::from_std(listener)?;
-                tokio::select! {
-                    () = accept(listener, serving) => {}
-                    _ = stopped => {}
-                }
-                Ok(())
-            })
-        };
-        std::thread::Builder::new()
-            .name("change-log".into())
-            .spawn(run)?;
-        let thread = thread.recv().map_err(std::io::Error::other)?;
-        let thread_statistics = PathBuf::from("/proc").join(thread).join("schedstat");
+        let thread = spawn_server(listener, shared.clone(), stopped)?;
         Ok(ChangeLog {
             shared,
             port,
-            thread_statistics,
+            thread_statistics: thread.join("schedstat"),
             _stop: stop,
         })
     }
@@ -207,77 +187,77 @@
         self.shared.history().last
     }
 
-    /// What a gateway's configuration says under `known`: the list as it stands.
+    /// What a gateway's configuration says under `known`: the current list.
     pub fn known(&self, gateway: usize) -> Value {
         let mut history = self.shared.history();
         let data = rendered_data(&history.whole(), self.shared.engine_ports[gateway]);
-        let event: Value = serde_json::from_str(&data).unwrap_or(Value::Null);
-        json!({"seq": history.last, "results": [event]})
+        let event_data: Value = serde_json::from_str(&data).unwrap_or(Value::Null);
+        json!({"seq": history.last, "results": [event_data]})
     }
 
-    /// Changes the list and tells what has changed; the lines of these slots, or those that `change` made itself.
-    pub fn change(&self, change: impl FnOnce(&mut Roster) -> Vec<Value>) {
+    /// Changes the list and publishes the entries that `change` returns.
+    pub fn change(&self, change: impl FnOnce(&mut EndpointList) -> Vec<Value>) {
         let mut history = self.shared.history();
-        let lines = change(&mut history.roster);
+        let entries = change(&mut history.endpoint_list);
         let number = history.last + 1;
-        let data = event(number, false, &lines);
-        self.append(&mut history, number, data, &lines);
+        let data = event_data(number, false, &entries);
+        self.append(&mut history, number, data, &entries);
     }
 
-    /// Tells the whole list again.
-    pub fn tell_whole(&self) {
+    /// Publishes the whole list again.
+    pub fn publish_whole_list(&self) {
         let mut history = self.shared.history();
         let number = history.last + 1;
-        let lines = history.roster.lines();
-        let data = event(number, true, &lines);
+        let entries = history.endpoint_list.entries();
+        let data = event_data(number, true, &entries);
         self.append(&mut history, number, data, &[]);
     }
 
-    fn append(&self, history: &mut History, number: u64, data: String, lines: &[Value]) {
+    fn append(&self, history: &mut History, number: u64, data: String, entries: &[Value]) {
         let appended = self.shared.recorder.now();
-        let drains = lines.iter().any(|line| line["state"] == "DRAINING");
-        let withheld_from = self.shared.slips.withhold_drains_from.filter(|_| drains);
+        let drains = entries.iter().any(|entry| entry["state"] == "DRAINING");
+        let withheld_from = self.shared.injects.withhold_drains_from.filter(|_| drains);
         let rendered = frame(number, &rendered_data(&data, 0));
         self.shared
             .event_bytes
             .fetch_add(rendered.len() as u64, Ordering::Relaxed);
-        history.events.push_back(Told {
+        history.events.push_back(PublishedEvent {
             number,
             data,
             rendered,
             withheld_from,
         });
-        if history.events.len() > HISTORY {
+        if history.events.len() > HISTORY_EVENTS {
             history.events.pop_front();
         }
         history.last = number;
-        let mut facts = self.shared.recorder.facts();
-        facts.notices.extend(
-            lines
+        let mut observations = self.shared.recorder.observations();
+        observations.notices.extend(
+            entries
                 .iter()
-                .filter_map(|line| notice(line, number, appended)),
+                .filter_map(|entry| notice(entry, number, appended)),
         );
-        let change = super::facts::ChangeSeen {
+        let change = super::observations::ChangeSeen {
             number,
             appended,
             seconds: Vec::new(),
         };
-        facts.changes.push(change);
-        drop(facts);
+        observations.changes.push(change);
+        drop(observations);
         self.shared.last.send_replace(number);
     }
 
-    /// The list as it is told now.
-    pub fn roster(&self) -> Roster {
-        self.shared.history().roster.clone()
+    /// A copy of the current list.
+    pub fn endpoint_list(&self) -> EndpointList {
+        self.shared.history().endpoint_list.clone()
     }
 }
 
-fn notice(line: &Value, number: u64, appended: f64) -> Option<Notice> {
-    if line["state"] == State::Serving.word() {
+fn notice(entry: &Value, number: u64, appended: f64) -> Option<Notice> {
+    if entry["state"] == State::Serving.word() {
         return None;
     }
-    let (slot, generation) = line["id"].as_str()?.strip_prefix('e')?.split_once('-')?;
+    let (slot, generation) = entry["id"].as_str()?.strip_prefix('e')?.split_once('-')?;
     let engine = EngineId {
         slot: slot.parse().ok()?,
         generation: generation.parse().ok()?,
@@ -306,6 +286,34 @@
     }
 }
 
+/// Serves the log on a thread of its own until it is stopped; returns the thread's folder in /proc.
+fn spawn_server(
+    listener: std::net::TcpListener,
+    shared: Arc<Shared>,
+    stopped: oneshot::Receiver<()>,
+) -> std::io::Result<PathBuf> {
+    let (thread_sender, thread) = std::sync::mpsc::channel();
+    let run = move || -> std::io::Result<()> {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let _ = thread_sender.send(std::fs::read_link("/proc/thread-self")?);
+        runtime.block_on(async {
+            let listener = TcpListener::from_std(listener)?;
+            tokio::select! {
+                () = accept(listener, shared) => {}
+                _ = stopped => {}
+            }
+            Ok(())
+        })
+    };
+    std::thread::Builder::new()
+        .name("change-log".into())
+        .spawn(run)?;
+    let thread = thread.recv().map_err(std::io::Error::other)?;
+    Ok(PathBuf::from("/proc").join(thread))
+}
+
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
@@ -336,7 +344,7 @@
                 Watch {
                     shared,
                     gateway,
-                    sent: last.unwrap_or(0),
+                    last_number: last.unwrap_or(0),
                 }
                 .feed(sender),
             );
@@ -353,7 +361,7 @@
     shared: Arc<Shared>,
     gateway: Option<usize>,
     /// The number of the last event sent.
-    sent: u64,
+    last_number: u64,
 }
 
 impl Watch {
@@ -361,19 +369,19 @@
         let mut last = self.shared.last.subscribe();
         loop {
             last.borrow_and_update();
-            if self.shared.slips.slow {
-                sleep(SLOW).await;
+            if self.shared.injects.slow {
+                sleep(SLOW_LOG_DELAY).await;
             }
             let due = joined(self.due());
             self.count(due.len() as u64);
             if !matches!(
-                timeout(SLOW_READER, sender.send_data(due)).await,
+                timeout(SLOW_READER_TIMEOUT, sender.send_data(due)).await,
                 Ok(Ok(()))
             ) {
                 return;
             }
             // It fails only with the log, whose end ends this task too.
-            let _ = timeout(COMMENT_EVERY, last.changed()).await;
+            let _ = timeout(COMMENT_INTERVAL, last.changed()).await;
         }
     }
 
@@ -389,14 +397,14 @@
     fn due(&mut self) -> Vec<Bytes> {
         let shared = self.shared.clone();
         let mut history = shared.history();
-        if self.sent >= history.last {
+        if self.last_number >= history.last {
             return Vec::new();
         }
         let first = history
             .events
             .front()
-            .map_or(history.last + 1, |told| told.number);
-        let from = std::mem::replace(&mut self.sent, history.last);
+            .map_or(history.last + 1, |event| event.number);
+        let from = std::mem::replace(&mut self.last_number, history.last);
         if from + 1 < first {
             return self.whole(&mut history);
         }
@@ -405,7 +413,7 @@
             .events
             .iter()
             .skip(skip)
-            .map(|told| self.render(told))
+            .map(|event| self.render(event))
             .collect()
     }
 
@@ -417,28 +425,32 @@
         vec![frame(history.last, &rendered_data(&history.whole(), port))]
     }
 
-    fn render(&self, told: &Told) -> Bytes {
+    fn render(&self, event: &PublishedEvent) -> Bytes {
         let Some(gateway) = self.gateway else {
-            return told.rendered.clone();
+            return event.rendered.clone();
         };
-        if told.withheld_from == Some(gateway) {
-            // The number goes on, so that only the change is missing.
-            return frame(told.number, &json!({"seq": told.number}).to_string());
+        if event.withheld_from == Some(gateway) {
+            // An empty event keeps the numbers without gaps, so that only the change is missing.
+            return frame(event.number, &json!({"seq": event.number}).to_string());
         }
-        self.delivered(told.number);
+        self.delivered(event.number);
         frame(
-            told.number,
-            &rendered_data(&told.data, self.shared.engine_ports[gateway]),
+            event.number,
+            &rendered_data(&event.data, self.shared.engine_ports[gateway]),
         )
     }
 
     fn delivered(&self, number: u64) {
         let Some(gateway) = self.gateway else { return };
-        let at = self.shared.recorder.now();
-        self.shared.recorder.facts().deliveries.push(Delivery {
-            number,
-            gateway,
-            at,
-        });
+        let delivered_at = self.shared.recorder.now();
+        self.shared
+            .recorder
+            .observations()
+            .deliveries
+            .push(Delivery {
+                number,
+                gateway,
+                delivered_at,
+            });
     }
 }
--- a/crates/scale/src/beside/clients.rs
+++ b/crates/scale/src/real_processes/clients.rs
@@ -1,10 +1,10 @@
-//! Clients that send real queries at a told rate, and keep what came of each.
+//! Clients that send real queries at the experiment's rate, and record the outcome of each.
 
-use super::experiment::{Experiment, Slip};
-use super::facts::{Group, Outcome, Query, Recorder};
+use super::endpoint_list;
+use super::experiment::{Experiment, InjectedFault};
 use super::gateways::{Gateways, LIMIT_MS};
 use super::http_client::{self, CallError, Connection};
-use super::roster;
+use super::observations::{Outcome, Query, QueryClass, Recorder};
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
@@ -19,26 +19,27 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Clients close idle connections after 4 s; these keep so many at a gateway, and close the others at once.
+/// Idle connections pooled for a gateway; the others are closed at once.
 const IDLE_CONNECTIONS: usize = 64;
-const IDLE_AT_MOST: Duration = Duration::from_secs(4);
+const MAX_IDLE: Duration = Duration::from_secs(4);
 /// Protocol: a query that crosses a close within this time is sent again.
-const CROSSES_CLOSE: Duration = Duration::from_millis(50);
-/// After its limit a client still waits this long, to tell a late answer from none.
-const STILL_WAITS: Duration = Duration::from_millis(2_000);
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
+/// After its limit a client still waits this long, to distinguish a late answer from none.
+const LATE_ANSWER_ALLOWANCE: Duration = Duration::from_millis(2_000);
 /// Protocol: requests of a key are at least 250 ms apart on new connections.
-const KEY_PACE_MS: [u64; 2] = [350, 700];
-/// What follows for one key.
-pub const QUERIES_PER_SECOND_OF_A_KEY: f64 = 2_000.0 / (KEY_PACE_MS[0] + KEY_PACE_MS[1]) as f64;
-const KEY_PAUSE: Duration = Duration::from_millis(100);
+const KEY_INTERVAL_MS: [u64; 2] = [350, 700];
+/// The mean rate that follows for one key.
+pub const QUERIES_PER_SECOND_OF_A_KEY: f64 =
+    2_000.0 / (KEY_INTERVAL_MS[0] + KEY_INTERVAL_MS[1]) as f64;
+const OPEN_QUERIES_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Work of a query with a key, in milliseconds: often more than the pace, so that queries of a key wait for each other.
 const KEYED_WORK_MS: [u64; 2] = [100, 600];
-/// Slips show up once in so many queries.
-const SLIP_EVERY: u64 = 20;
-/// A slip: how much longer a limit is told than it is held to, in milliseconds, and the work that then takes too long.
-const LATE_BY_MS: u64 = 2_900;
-const LATE_WORK_MS: u64 = 600;
-const SLIP_DELAY: Duration = Duration::from_millis(400);
+/// One in so many queries is affected by an injected fault.
+const FAULTY_QUERY_INTERVAL: u64 = 20;
+/// Injected fault: the client's own limit is so much shorter than the one it sends, and the work exceeds it.
+const FAULTY_LATENESS_MS: u64 = 2_900;
+const FAULTY_WORK_MS: u64 = 600;
+const FAULTY_ATTEMPT_DELAY: Duration = Duration::from_millis(400);
 
 /// All clients of a run.
 pub struct Clients {
@@ -53,7 +54,7 @@
 
 struct Planned {
     gateway: usize,
-    group: Group,
+    class: QueryClass,
     key: Option<u64>,
     work: u64,
 }
@@ -86,18 +87,18 @@
         for key in keys {
             let _ = key.await;
         }
-        let longest = Duration::from_millis(LIMIT_MS) + 2 * STILL_WAITS;
+        let longest = Duration::from_millis(LIMIT_MS) + 2 * LATE_ANSWER_ALLOWANCE;
         let _ = timeout(longest, self.all_answered()).await;
     }
 
     async fn all_answered(&self) {
         while self.open.load(Ordering::Relaxed) > 0 {
-            sleep(KEY_PAUSE).await;
+            sleep(OPEN_QUERIES_CHECK_INTERVAL).await;
         }
     }
 
-    fn slips(&self, slip: Slip) -> bool {
-        self.experiment.slip == Some(slip)
+    fn injects(&self, injected_fault: InjectedFault) -> bool {
+        self.experiment.injected_fault == Some(injected_fault)
     }
 
     async fn send_unkeyed(self: Arc<Self>, until: Instant) {
@@ -122,7 +123,7 @@
             if let Some(gateway) = all.into_iter().find(in_service) {
                 let planned = Planned {
                     gateway,
-                    group: Group::Report,
+                    class: QueryClass::Report,
                     key: None,
                     work,
                 };
@@ -136,12 +137,12 @@
         let mut random = SmallRng::seed_from_u64(self.experiment.seed ^ (key + 1) << 20);
         let gateway = key as usize % self.gateways.count();
         while Instant::now() < until {
-            let pace = random.random_range(KEY_PACE_MS[0]..=KEY_PACE_MS[1]);
+            let pace = random.random_range(KEY_INTERVAL_MS[0]..=KEY_INTERVAL_MS[1]);
             let work = random.random_range(KEYED_WORK_MS[0]..=KEYED_WORK_MS[1]);
             if self.gateways.in_service(gateway) {
                 let planned = Planned {
                     gateway,
-                    group: Group::Load,
+                    class: QueryClass::Load,
                     key: Some(key),
                     work,
                 };
@@ -161,40 +162,42 @@
 
     async fn query(&self, planned: Planned) {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let slips_now = id.is_multiple_of(SLIP_EVERY);
-        let late = slips_now && self.slips(Slip::LateAnswer);
-        let work = if late { LATE_WORK_MS } else { planned.work };
+        let faulty = id.is_multiple_of(FAULTY_QUERY_INTERVAL);
+        let late = faulty && self.injects(InjectedFault::LateAnswer);
+        let work = if late { FAULTY_WORK_MS } else { planned.work };
         let limit_ms = if late {
-            LIMIT_MS - LATE_BY_MS
+            LIMIT_MS - FAULTY_LATENESS_MS
         } else {
             LIMIT_MS
         };
-        let key = planned.key.filter(|_| !self.slips(Slip::KeyWithheld));
-        let request = request(id, planned.group, key, work);
-        if self.slips(Slip::EffectTwice) && planned.group == Group::Load {
-            self.attempt_from_nowhere(id, planned.gateway).await;
+        let key = planned
+            .key
+            .filter(|_| !self.injects(InjectedFault::KeyWithheld));
+        let request = request(id, planned.class, key, work);
+        if self.injects(InjectedFault::EffectTwice) && planned.class == QueryClass::Load {
+            self.send_forged_attempt(id, planned.gateway).await;
         }
-        let (sent, mut outcome) = self.send(id, &planned, request).await;
-        let answered = self.recorder.now();
-        if slips_now {
-            outcome = self.slip_outcome(outcome);
+        let (started_at, mut outcome) = self.send(id, &planned, request).await;
+        let answered_at = self.recorder.now();
+        if faulty {
+            outcome = self.inject_into(outcome);
         }
         let limit = limit_ms as f64 / 1000.0;
-        let (gateway, group, key) = (planned.gateway, planned.group, planned.key);
+        let (gateway, class, key) = (planned.gateway, planned.class, planned.key);
         let query = Query {
             id,
             gateway,
-            group,
+            class,
             key,
-            sent,
+            started_at,
             limit,
-            answered,
+            answered_at,
             outcome,
         };
-        self.recorder.facts().queries.push(query);
-        if slips_now && self.slips(Slip::AttemptAfterAnswer) {
-            sleep(SLIP_DELAY).await;
-            self.attempt_from_nowhere(id, planned.gateway).await;
+        self.recorder.observations().queries.push(query);
+        if faulty && self.injects(InjectedFault::AttemptAfterAnswer) {
+            sleep(FAULTY_ATTEMPT_DELAY).await;
+            self.send_forged_attempt(id, planned.gateway).await;
         }
     }
 
@@ -205,28 +208,28 @@
         planned: &Planned,
         request: Request<Full<Bytes>>,
     ) -> (f64, Outcome) {
-        let within = Duration::from_millis(LIMIT_MS) + STILL_WAITS;
+        let within = Duration::from_millis(LIMIT_MS) + LATE_ANSWER_ALLOWANCE;
         let idle = planned
             .key
             .is_none()
-            .then(|| self.take_idle(planned.gateway))
+            .then(|| self.pooled_connection(planned.gateway))
             .flatten();
         if let Some(mut connection) = idle {
-            let sent = self.recorder.now();
+            let started_at = self.recorder.now();
             let answer = http_client::call(&mut connection, request.clone(), within).await;
             let crossed = matches!(answer, Err(CallError::CutShort(_)))
-                && self.recorder.now() - sent < CROSSES_CLOSE.as_secs_f64();
+                && self.recorder.now() - started_at < CLOSE_RACE_WINDOW.as_secs_f64();
             if !crossed {
-                return (sent, self.ended(id, planned, connection, answer));
+                return (started_at, self.ended(id, planned, connection, answer));
             }
         }
         let connection = http_client::connect(self.gateways.address(planned.gateway)).await;
-        let sent = self.recorder.now();
+        let started_at = self.recorder.now();
         let Ok(mut connection) = connection else {
-            return (sent, Outcome::NotTaken);
+            return (started_at, Outcome::ConnectionRefused);
         };
         let answer = http_client::call(&mut connection, request, within).await;
-        (sent, self.ended(id, planned, connection, answer))
+        (started_at, self.ended(id, planned, connection, answer))
     }
 
     fn ended(
@@ -238,17 +241,17 @@
     ) -> Outcome {
         let outcome = outcome(id, answer);
         if matches!(outcome, Outcome::Succeeded { .. }) && planned.key.is_none() {
-            self.keep(planned.gateway, connection);
+            self.pool_connection(planned.gateway, connection);
         }
         outcome
     }
 
-    fn slip_outcome(&self, outcome: Outcome) -> Outcome {
+    fn inject_into(&self, outcome: Outcome) -> Outcome {
         match outcome {
-            Outcome::Succeeded { .. } if self.slips(Slip::LostAnswer) => {
+            Outcome::Succeeded { .. } if self.injects(InjectedFault::LostAnswer) => {
                 Outcome::Lost("a slip".into())
             }
-            Outcome::Succeeded { engine } if self.slips(Slip::AlteredAnswer) => {
+            Outcome::Succeeded { engine } if self.injects(InjectedFault::AlteredAnswer) => {
                 Outcome::Succeeded {
                     engine: format!("{engine}0"),
                 }
@@ -257,31 +260,31 @@
         }
     }
 
-    /// A slip: an attempt that no gateway sent.
-    async fn attempt_from_nowhere(&self, id: u64, gateway: usize) {
-        let address =
-            SocketAddr::from((IpAddr::from(roster::address(0)), self.engine_ports[gateway]));
+    /// Injected fault: an attempt that no gateway sent.
+    async fn send_forged_attempt(&self, id: u64, gateway: usize) {
+        let address = SocketAddr::from((
+            IpAddr::from(endpoint_list::address(0)),
+            self.engine_ports[gateway],
+        ));
         let Ok(mut connection) = http_client::connect(address).await else {
             return;
         };
-        let mut request = request(id, Group::Report, None, 0);
+        let mut request = request(id, QueryClass::Report, None, 0);
         *request.uri_mut() = http::Uri::from_static("/c");
         if let Ok(trace) = format!("{id:016x}").parse() {
             request.headers_mut().insert("x-trace", trace);
         }
-        let _ = http_client::call(&mut connection, request, STILL_WAITS).await;
+        let _ = http_client::call(&mut connection, request, LATE_ANSWER_ALLOWANCE).await;
     }
 
-    fn take_idle(&self, gateway: usize) -> Option<Connection> {
+    fn pooled_connection(&self, gateway: usize) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = idle.get_mut(&gateway)?;
-        idle.retain(|(connection, since)| {
-            since.elapsed() < IDLE_AT_MOST && !connection.is_closed()
-        });
+        idle.retain(|(connection, since)| since.elapsed() < MAX_IDLE && !connection.is_closed());
         idle.pop().map(|(connection, _)| connection)
     }
 
-    fn keep(&self, gateway: usize, connection: Connection) {
+    fn pool_connection(&self, gateway: usize, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let idle = idle.entry(gateway).or_default();
         if idle.len() < IDLE_CONNECTIONS && self.gateways.in_service(gateway) {
@@ -290,10 +293,10 @@
     }
 }
 
-fn request(id: u64, group: Group, key: Option<u64>, work: u64) -> Request<Full<Bytes>> {
-    let path = match group {
-        Group::Report => "/v1/report",
-        Group::Load => "/v1/load",
+fn request(id: u64, class: QueryClass, key: Option<u64>, work: u64) -> Request<Full<Bytes>> {
+    let path = match class {
+        QueryClass::Report => "/v1/report",
+        QueryClass::Load => "/v1/load",
     };
     let statement = format!("SELECT * FROM sales_{}.orders /* work {work} */", id % 50);
     let mut request = http_client::get(path);
@@ -317,11 +320,11 @@
 fn outcome(id: u64, answer: Result<Response<Bytes>, CallError>) -> Outcome {
     let answer = match answer {
         Ok(answer) => answer,
-        Err(CallError::Unconnected(_)) => return Outcome::NotTaken,
+        Err(CallError::Unconnected(_)) => return Outcome::ConnectionRefused,
         Err(error) => return Outcome::Lost(error.to_string()),
     };
     let Ok(json) = serde_json::from_slice::<Value>(answer.body()) else {
-        return Outcome::Garbled(String::from_utf8_lossy(answer.body()).into_owned());
+        return Outcome::Malformed(String::from_utf8_lossy(answer.body()).into_owned());
     };
     let busy = [
         StatusCode::TOO_MANY_REQUESTS,
@@ -338,6 +341,6 @@
         (Some(engine), Some(query)) if query == format!("{id:016x}") => Outcome::Succeeded {
             engine: engine.into(),
         },
-        _ => Outcome::Garbled(json.to_string()),
+        _ => Outcome::Malformed(json.to_string()),
     }
 }
--- a/crates/scale/src/beside/roster.rs
+++ b/crates/scale/src/real_processes/endpoint_list.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// The state that the list tells of an engine.
+/// An engine's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Serving,
@@ -65,22 +65,22 @@
     started_ms: u64,
 }
 
-/// The whole list as it is told.
+/// The whole list as it is published.
 #[derive(Clone, Debug)]
-pub struct Roster {
+pub struct EndpointList {
     slots: Vec<Slot>,
     zones: usize,
 }
 
-impl Roster {
-    pub fn new(engines: usize, zones: usize) -> Roster {
+impl EndpointList {
+    pub fn new(engines: usize, zones: usize) -> EndpointList {
         let slot = Slot {
             generation: 0,
             state: State::Serving,
             weight: 1,
             started_ms: 0,
         };
-        Roster {
+        EndpointList {
             slots: vec![slot; engines],
             zones,
         }
@@ -129,30 +129,32 @@
     /// Another engine at the same address.
     pub fn replace(&mut self, slot: usize, started_ms: u64) {
         let slot = &mut self.slots[slot];
-        (slot.generation, slot.state, slot.started_ms) =
-            (slot.generation + 1, State::Serving, started_ms);
+        slot.generation += 1;
+        slot.state = State::Serving;
+        slot.started_ms = started_ms;
     }
 
-    /// A change that matters to nobody.
+    /// A change without effect on placement.
     pub fn touch(&mut self, slot: usize) {
         self.slots[slot].weight = self.slots[slot].weight % 8 + 1;
     }
 
-    pub fn line(&self, slot: usize) -> Value {
-        let told = self.slots[slot];
+    pub fn entry(&self, slot: usize) -> Value {
+        let stored = self.slots[slot];
         json!({"id": self.engine(slot).to_string(), "addr": format!("{}:{PORT_PLACEHOLDER}", address(slot)),
-            "zone": format!("z{}", self.zone(slot)), "kind": "std", "cell": self.cell(slot), "state": told.state.word(),
-            "weight": told.weight, "started_ms": told.started_ms})
+            "zone": format!("z{}", self.zone(slot)), "kind": "std", "cell": self.cell(slot), "state": stored.state.word(),
+            "weight": stored.weight, "started_ms": stored.started_ms})
     }
 
-    /// Lines of all engines that have not gone.
-    pub fn lines(&self) -> Vec<Value> {
+    /// Entries of all engines that are not deleted.
+    pub fn entries(&self) -> Vec<Value> {
         let known = (0..self.slots.len()).filter(|slot| self.slots[*slot].state != State::Deleted);
-        known.map(|slot| self.line(slot)).collect()
+        known.map(|slot| self.entry(slot)).collect()
     }
 }
 
 /// An event's data.
-pub fn event(number: u64, full: bool, lines: &[Value]) -> String {
-    json!({"seq": number, "fleet": {"version": number, "full": full, "servers": lines}}).to_string()
+pub fn event_data(number: u64, full: bool, entries: &[Value]) -> String {
+    json!({"seq": number, "fleet": {"version": number, "full": full, "servers": entries}})
+        .to_string()
 }
--- a/crates/scale/src/beside/engines.rs
+++ b/crates/scale/src/real_processes/engines.rs
@@ -1,8 +1,8 @@
 //! Hollow engines: their work is a timer. One listener for each gateway answers for all engines' addresses, so that the port
-//! tells which gateway asks and the local address which engine is asked.
+//! identifies the gateway and the local address the engine.
 
-use super::facts::{self, Attempt, Recorder};
-use super::roster::{self, EngineId};
+use super::endpoint_list::{self, EngineId};
+use super::observations::{self, Attempt, Recorder};
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
@@ -12,6 +12,7 @@
 use hyper_util::rt::TokioIo;
 use std::collections::HashMap;
 use std::convert::Infallible;
+use std::future::Future;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,19 +21,19 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// Protocol: news is held back this long.
-const NEWS: Duration = Duration::from_millis(250);
-/// Protocol: a query that nobody asks for ends after this.
-const UNASKED: Duration = Duration::from_secs(facts::UNASKED_SECONDS);
+/// Protocol: a poll waits this long for the end of the query.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Protocol: a query that is not polled ends after this.
+const ABANDONED_AFTER: Duration = Duration::from_secs(observations::ABANDONED_AFTER_SECONDS);
 /// More than any statement of this run.
-const LONGEST_STATEMENT: usize = 64 << 10;
-/// What a statement says of its work: `/* work 35 */`, in milliseconds.
-const WORK_MARK: &str = "/* work ";
+const MAX_STATEMENT_BYTES: usize = 64 << 10;
+/// Precedes the work in a statement: `/* work 35 */`, in milliseconds.
+const WORK_PREFIX: &str = "/* work ";
 /// A core runs one query; an engine has so many.
 const CORES: f64 = 8.0;
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
-/// A slip: of so many engines just one takes work.
-const DECLINING: usize = 8;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Injected fault: one in so many engines accepts work.
+const DECLINING_INTERVAL: usize = 8;
 
 /// Whether an engine's process and machine run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,12 +46,12 @@
 }
 
 struct Running {
-    /// Its place among the facts.
-    fact: usize,
+    /// Its index among the observed attempts.
+    attempt: usize,
     ends: Instant,
-    asked: Instant,
+    polled_at: Instant,
     rows: Bytes,
-    over: bool,
+    ended: bool,
 }
 
 struct Engine {
@@ -76,14 +77,14 @@
     recorder: Recorder,
     /// Connections that are open, by gateway.
     connections: Vec<AtomicUsize>,
-    /// Connections that came up since the start, by gateway.
+    /// Connections made since the start, by gateway.
     connections_made: Vec<AtomicUsize>,
     uneven: bool,
     pub ports: Vec<u16>,
 }
 
 impl Engines {
-    /// Starts engines for so many gateways. `uneven` has most of them decline: a slip.
+    /// Starts engines for so many gateways. `uneven` has most of them decline, an injected fault.
     pub async fn start(
         engines: usize,
         gateways: usize,
@@ -136,9 +137,9 @@
             .queries
             .drain()
             .map(|(_, running)| running)
-            .filter(|running| !running.over)
+            .filter(|running| !running.ended)
         {
-            self.recorder.facts().attempts[running.fact].end(now);
+            self.recorder.observations().attempts[running.attempt].end(now);
         }
     }
 
@@ -156,7 +157,7 @@
                 Ok((stream, _)) => drop(tokio::spawn(self.clone().serve(stream, gateway))),
                 Err(fault) => {
                     tracing::warn!(%fault, "engines can't accept");
-                    sleep(ACCEPT_AGAIN).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -168,7 +169,7 @@
         let slot = stream
             .local_addr()
             .ok()
-            .and_then(|local| roster::slot(local.ip()));
+            .and_then(|local| endpoint_list::slot(local.ip()));
         let Some(slot) = slot.filter(|slot| *slot < self.engines.len()) else {
             return;
         };
@@ -180,8 +181,8 @@
         self.connections[gateway].fetch_add(1, Ordering::Relaxed);
         self.connections_made[gateway].fetch_add(1, Ordering::Relaxed);
         self.recorder
-            .facts()
-            .met
+            .observations()
+            .connected_engines
             .entry(gateway)
             .or_default()
             .insert(slot);
@@ -190,22 +191,8 @@
             let engines = engines.clone();
             async move { Ok::<_, Infallible>(engines.call(slot, gateway, request).await) }
         });
-        let mut connection =
-            Box::pin(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
-        loop {
-            let now = *health.borrow_and_update();
-            let ended = match now {
-                Health::Down => break,
-                Health::Silent => health.changed().await.is_err(),
-                Health::Up => tokio::select! {
-                    _ = &mut connection => true,
-                    changed = health.changed() => changed.is_err(),
-                },
-            };
-            if ended {
-                break;
-            }
-        }
+        let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+        drive_while_up(connection, health).await;
         self.connections[gateway].fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -221,14 +208,15 @@
         match (&head.method, parts.as_slice()) {
             (&Method::GET, ["ping"]) => answer(StatusCode::OK),
             (&Method::GET, ["stats"]) => self.report(slot),
-            (&Method::POST, ["c"]) => match Limited::new(body, LONGEST_STATEMENT).collect().await {
+            (&Method::POST, ["c"]) => match Limited::new(body, MAX_STATEMENT_BYTES).collect().await
+            {
                 Ok(statement) => {
                     self.begin(slot, gateway, &head.headers, &statement.to_bytes())
                         .await
                 }
                 Err(_) => answer(StatusCode::BAD_REQUEST),
             },
-            (&Method::GET, ["c", id, "0"]) => self.news(slot, id).await,
+            (&Method::GET, ["c", id, "0"]) => self.poll(slot, id).await,
             (&Method::DELETE, ["c", id]) => self.cancel(slot, id),
             _ => answer(StatusCode::INTERNAL_SERVER_ERROR),
         }
@@ -240,7 +228,7 @@
         let running = state
             .queries
             .values()
-            .filter(|running| !running.over && running.ends > now)
+            .filter(|running| !running.ended && running.ends > now)
             .count();
         let share = (running as f64 / CORES).min(1.0);
         let mut response = answer(StatusCode::OK);
@@ -264,7 +252,7 @@
         let (Ok(query), Some(work)) = (u64::from_str_radix(id, 16), work_of(statement)) else {
             return answer(StatusCode::BAD_REQUEST);
         };
-        let declined = self.uneven && !slot.is_multiple_of(DECLINING);
+        let declined = self.uneven && !slot.is_multiple_of(DECLINING_INTERVAL);
         self.record(slot, gateway, query, id, work, declined);
         if declined {
             let mut response = answer(StatusCode::SERVICE_UNAVAILABLE);
@@ -273,7 +261,7 @@
                 .insert("x-declined", http::HeaderValue::from_static("1"));
             return response;
         }
-        self.news(slot, id).await
+        self.poll(slot, id).await
     }
 
     fn record(
@@ -285,82 +273,79 @@
         work: Duration,
         declined: bool,
     ) {
-        let came = self.recorder.now();
+        let received_at = self.recorder.now();
         let mut state = self.engines[slot].state();
         let engine = EngineId {
             slot,
             generation: state.generation,
         };
-        let over = declined.then_some(came);
-        let attempt = Attempt {
+        let attempt = self.recorder.add_attempt(Attempt {
             query,
             gateway,
             engine,
-            came,
-            over,
+            received_at,
+            ended_at: declined.then_some(received_at),
             succeeded: false,
             declined,
-            asked: came,
-        };
-        let mut facts = self.recorder.facts();
-        let fact = facts.attempts.len();
-        facts.attempts.push(attempt);
-        drop(facts);
+            polled_at: received_at,
+        });
         if declined {
             return;
         }
         let rows = Bytes::from(format!("{engine}\t{id}\tend\n"));
         let now = Instant::now();
         let running = Running {
-            fact,
+            attempt,
             ends: now + work,
-            asked: now,
+            polled_at: now,
             rows,
-            over: false,
+            ended: false,
         };
         state.queries.insert(id.to_string(), running);
     }
 
     /// The end of a query, or that there is none yet.
-    async fn news(&self, slot: usize, id: &str) -> Response<Full<Bytes>> {
-        let until = Instant::now() + NEWS;
-        let Some(ends) = self.ask(slot, id) else {
+    async fn poll(&self, slot: usize, id: &str) -> Response<Full<Bytes>> {
+        let until = Instant::now() + LONG_POLL_TIMEOUT;
+        let Some(ends) = self.record_poll(slot, id) else {
             return answer(StatusCode::INTERNAL_SERVER_ERROR);
         };
         tokio::time::sleep_until(ends.min(until)).await;
-        self.told(slot, id)
+        self.poll_answer(slot, id)
     }
 
-    /// When a query ends, where it is asked for in time.
-    fn ask(&self, slot: usize, id: &str) -> Option<Instant> {
+    /// Records a poll; returns when the query ends, or `None` if it was abandoned before.
+    fn record_poll(&self, slot: usize, id: &str) -> Option<Instant> {
         let mut state = self.engines[slot].state();
         let running = state.queries.get_mut(id)?;
         let now = Instant::now();
-        if !running.over && now > running.asked + UNASKED && running.ends > running.asked + UNASKED
+        if !running.ended
+            && now > running.polled_at + ABANDONED_AFTER
+            && running.ends > running.polled_at + ABANDONED_AFTER
         {
             return None;
         }
-        running.asked = now;
-        self.recorder.facts().attempts[running.fact].asked = self.recorder.now();
+        running.polled_at = now;
+        self.recorder.observations().attempts[running.attempt].polled_at = self.recorder.now();
         Some(running.ends)
     }
 
-    fn told(&self, slot: usize, id: &str) -> Response<Full<Bytes>> {
+    fn poll_answer(&self, slot: usize, id: &str) -> Response<Full<Bytes>> {
         let mut state = self.engines[slot].state();
         let Some(running) = state.queries.get_mut(id) else {
             return answer(StatusCode::INTERNAL_SERVER_ERROR);
         };
-        running.asked = Instant::now();
-        if running.ends > running.asked {
-            self.recorder.facts().attempts[running.fact].asked = self.recorder.now();
+        running.polled_at = Instant::now();
+        if running.ends > running.polled_at {
+            self.recorder.observations().attempts[running.attempt].polled_at = self.recorder.now();
             return answer(StatusCode::ACCEPTED);
         }
-        running.over = true;
-        let mut facts = self.recorder.facts();
-        let attempt = &mut facts.attempts[running.fact];
+        running.ended = true;
+        let mut observations = self.recorder.observations();
+        let attempt = &mut observations.attempts[running.attempt];
         attempt.succeeded = true;
         attempt.end(self.recorder.now());
-        drop(facts);
+        drop(observations);
         let mut response = Response::new(Full::new(running.rows.clone()));
         response
             .headers_mut()
@@ -371,12 +356,31 @@
     fn cancel(&self, slot: usize, id: &str) -> Response<Full<Bytes>> {
         if let Some(running) = self.engines[slot].state().queries.remove(id) {
             let now = self.recorder.now();
-            self.recorder.facts().attempts[running.fact].end(now);
+            self.recorder.observations().attempts[running.attempt].end(now);
         }
         answer(StatusCode::NO_CONTENT)
     }
 }
 
+/// Drives a connection until it ends or its engine's process does; it rests while the engine is silent.
+async fn drive_while_up(connection: impl Future, mut health: watch::Receiver<Health>) {
+    let mut connection = std::pin::pin!(connection);
+    loop {
+        let now = *health.borrow_and_update();
+        let ended = match now {
+            Health::Down => return,
+            Health::Silent => health.changed().await.is_err(),
+            Health::Up => tokio::select! {
+                _ = &mut connection => true,
+                changed = health.changed() => changed.is_err(),
+            },
+        };
+        if ended {
+            return;
+        }
+    }
+}
+
 fn answer(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
@@ -385,7 +389,7 @@
 
 fn work_of(statement: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(statement).ok()?;
-    let (_, rest) = text.split_once(WORK_MARK)?;
+    let (_, rest) = text.split_once(WORK_PREFIX)?;
     rest.split(' ')
         .next()?
         .parse()
--- a/crates/scale/src/beside/experiment.rs
+++ b/crates/scale/src/real_processes/experiment.rs
@@ -4,24 +4,25 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// More real gateways than one machine plays well.
-const MOST_GATEWAYS: usize = 200;
+/// More than one machine can run well.
+const MAX_GATEWAYS: usize = 200;
 /// One loopback address an engine.
-const MOST_ENGINES: usize = 20_000;
-const MOST_WATCHERS: usize = 8_000;
-const MOST_SECONDS: f64 = 600.0;
-/// Every query is kept for the judge.
-const MOST_QUERIES: f64 = 1e6;
-const MOST_CLIENT_CONNECTIONS: usize = 8_000;
+const MAX_ENGINES: usize = 20_000;
+const MAX_WATCHERS: usize = 8_000;
+const MAX_SECONDS: f64 = 600.0;
+/// Every query is held in memory for the judge.
+const MAX_QUERIES: f64 = 1e6;
+const MAX_CLIENT_CONNECTIONS: usize = 8_000;
 
-/// Everything that one run plays.
+/// All parameters of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub seed: u64,
     pub gateways: usize,
-    /// How many gateways each is told that there are; as many as run if not told.
-    pub gateways_told: Option<usize>,
+    /// The number of gateways in each gateway's settings; by default as many as run.
+    #[serde(rename = "gateways_told")]
+    pub assumed_gateways: Option<usize>,
     pub engines: usize,
     #[serde(default = "default_zones")]
     pub zones: usize,
@@ -43,10 +44,11 @@
     pub gateway_memory_mb: usize,
     /// The size in the gateways' `subset` block; without it they work with the whole list.
     pub subset_size: Option<usize>,
-    /// The program to run; beside this one if not told.
+    /// The program to run; by default the one beside this program.
     pub gateway_binary: Option<PathBuf>,
-    /// A fault put in on purpose, which the judge has to find.
-    pub slip: Option<Slip>,
+    /// An injected fault, which the judge has to find.
+    #[serde(rename = "slip")]
+    pub injected_fault: Option<InjectedFault>,
     #[serde(default)]
     pub events: Vec<Event>,
     #[serde(default)]
@@ -74,28 +76,45 @@
 /// Something that happens at a time, in seconds after queries begin.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub at_seconds: f64,
     #[serde(flatten)]
-    pub what: Happening,
+    pub action: Action,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Happening {
-    /// Engines die; the log tells so `told_after` seconds later.
-    EnginesKilled { count: usize, told_after: f64 },
-    /// Engines are told draining, and gone `gone_after` seconds later.
-    EnginesDrained { count: usize, gone_after: f64 },
-    /// Engines die, and others take their addresses at once.
+pub enum Action {
+    /// Engines end; the log reports it `told_after` seconds later.
+    EnginesKilled {
+        count: usize,
+        #[serde(rename = "told_after")]
+        report_delay: f64,
+    },
+    /// The log reports engines as draining, and as deleted `gone_after` seconds later.
+    EnginesDrained {
+        count: usize,
+        #[serde(rename = "gone_after")]
+        removal_delay: f64,
+    },
+    /// Engines end, and others take their addresses at once.
     EnginesReplaced { count: usize },
-    /// Engines die and come back cold after `down` seconds.
+    /// Engines end and are started again, cold, after `down` seconds.
     EnginesRestarted { count: usize, down: f64 },
-    /// A zone falls silent; the log tells so `told_after` seconds later.
-    ZoneLost { zone: usize, told_after: f64 },
+    /// A zone stops answering; the log reports it `told_after` seconds later.
+    ZoneLost {
+        zone: usize,
+        #[serde(rename = "told_after")]
+        report_delay: f64,
+    },
     /// A lost zone serves again.
     ZoneBack { zone: usize },
-    /// Changes of single lines, spread over some seconds.
-    ChangesBurst { count: usize, over: f64 },
+    /// Changes of single entries, spread over some seconds.
+    ChangesBurst {
+        count: usize,
+        #[serde(rename = "over")]
+        spread_over: f64,
+    },
     /// SIGHUP.
     GatewayReloaded { gateway: usize },
     /// SIGTERM, and a new start once the process has ended.
@@ -104,7 +123,7 @@
     GatewayKilled { gateway: usize },
 }
 
-/// Bounds that the judge holds measures to; what is not told is measured only.
+/// Bounds that the judge holds measures to; without a bound a value is only measured.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
@@ -134,11 +153,11 @@
     pub log_watchers: Vec<usize>,
 }
 
-/// Faults that the stand-ins make on purpose, one for each thing that is judged.
+/// Faults that the stand-ins inject, one for each thing that is judged.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Slip {
-    /// Clients tell gateways a longer limit than they hold to.
+pub enum InjectedFault {
+    /// Clients send gateways a longer limit than their own.
     LateAnswer,
     /// Clients drop an answer.
     LostAnswer,
@@ -150,11 +169,11 @@
     EffectTwice,
     /// The log withholds from a gateway that an engine drains.
     DrainWithheld,
-    /// Clients do not tell the key.
+    /// Clients do not send the key.
     KeyWithheld,
     /// Most engines decline.
     UnevenEngines,
-    /// The log tells changes late.
+    /// The log publishes changes late.
     SlowLog,
     /// A gateway that is terminated is killed instead.
     KilledDrain,
@@ -204,64 +223,62 @@
         let queries = self.queries_per_second * self.seconds;
         let least_work = self.work_ms[0] as f64;
         let numbers = [
-            ("gateways", self.gateways as f64, 1.0, MOST_GATEWAYS as f64),
-            ("engines", self.engines as f64, 1.0, MOST_ENGINES as f64),
+            ("gateways", self.gateways as f64, 1.0, MAX_GATEWAYS as f64),
+            ("engines", self.engines as f64, 1.0, MAX_ENGINES as f64),
             ("zones", self.zones as f64, 1.0, self.engines as f64),
-            ("watchers", self.watchers as f64, 0.0, MOST_WATCHERS as f64),
-            ("seconds", self.seconds, 0.0, MOST_SECONDS),
-            ("queries_per_second * seconds", queries, 0.0, MOST_QUERIES),
+            ("watchers", self.watchers as f64, 0.0, MAX_WATCHERS as f64),
+            ("seconds", self.seconds, 0.0, MAX_SECONDS),
+            ("queries_per_second * seconds", queries, 0.0, MAX_QUERIES),
             ("work_ms.1", self.work_ms[1] as f64, least_work, 2_000.0),
             ("keys", self.keys as f64, 0.0, 10_000.0),
         ];
         for (place, found, least, most) in numbers {
             within(file, place, found, least, most)?;
         }
-        for (i, event) in self.events.iter().enumerate() {
-            within(file, &format!("events.{i}.at"), event.at, 0.0, self.seconds)?;
-            let (name, found, most) = event.what.reach(self);
+        self.check_events(file)?;
+        for step in &self.sweeps.client_connections {
+            let place = "sweeps.client_connections";
             within(
                 file,
-                &format!("events.{i}.{name}"),
-                found as f64,
+                place,
+                *step as f64,
                 0.0,
-                most as f64,
+                MAX_CLIENT_CONNECTIONS as f64,
             )?;
         }
-        for (place, steps, most) in [
-            (
-                "sweeps.client_connections",
-                &self.sweeps.client_connections,
-                MOST_CLIENT_CONNECTIONS,
-            ),
-            (
-                "sweeps.log_watchers",
-                &self.sweeps.log_watchers,
-                MOST_WATCHERS,
-            ),
-        ] {
-            for step in steps {
-                within(file, place, *step as f64, 0.0, most as f64)?;
-            }
+        for step in &self.sweeps.log_watchers {
+            let place = "sweeps.log_watchers";
+            within(file, place, *step as f64, 0.0, MAX_WATCHERS as f64)?;
+        }
+        Ok(())
+    }
+
+    fn check_events(&self, file: &Path) -> Result<(), ExperimentError> {
+        for (index, event) in self.events.iter().enumerate() {
+            let place = |key: &str| format!("events.{index}.{key}");
+            within(file, &place("at"), event.at_seconds, 0.0, self.seconds)?;
+            let (key, found, most) = event.action.bounded_number(self);
+            within(file, &place(key), found as f64, 0.0, most as f64)?;
         }
         Ok(())
     }
 }
 
-impl Happening {
+impl Action {
     /// The number that it names, and the most that there is.
-    fn reach(&self, experiment: &Experiment) -> (&'static str, usize, usize) {
+    fn bounded_number(&self, experiment: &Experiment) -> (&'static str, usize, usize) {
         match *self {
-            Happening::EnginesKilled { count, .. }
-            | Happening::EnginesDrained { count, .. }
-            | Happening::EnginesReplaced { count }
-            | Happening::EnginesRestarted { count, .. } => ("count", count, experiment.engines),
-            Happening::ChangesBurst { count, .. } => ("count", count, 10_000),
-            Happening::ZoneLost { zone, .. } | Happening::ZoneBack { zone } => {
+            Action::EnginesKilled { count, .. }
+            | Action::EnginesDrained { count, .. }
+            | Action::EnginesReplaced { count }
+            | Action::EnginesRestarted { count, .. } => ("count", count, experiment.engines),
+            Action::ChangesBurst { count, .. } => ("count", count, 10_000),
+            Action::ZoneLost { zone, .. } | Action::ZoneBack { zone } => {
                 ("zone", zone, experiment.zones - 1)
             }
-            Happening::GatewayReloaded { gateway }
-            | Happening::GatewayTerminated { gateway }
-            | Happening::GatewayKilled { gateway } => ("gateway", gateway, experiment.gateways - 1),
+            Action::GatewayReloaded { gateway }
+            | Action::GatewayTerminated { gateway }
+            | Action::GatewayKilled { gateway } => ("gateway", gateway, experiment.gateways - 1),
         }
     }
 }
--- a/crates/scale/src/beside/gateways.rs
+++ b/crates/scale/src/real_processes/gateways.rs
@@ -2,8 +2,8 @@
 
 use super::change_log::{address_for_gateway, ChangeLog};
 use super::experiment::Experiment;
-use super::facts::{Outage, Recorder};
 use super::http_client;
+use super::observations::{Outage, Recorder};
 use super::process::{signal, Usage};
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -22,13 +22,13 @@
 /// Outside the ports that the machine hands out; addresses differ by run and gateway.
 const PORT: u16 = 4_300;
 /// A gateway that does not serve by then has failed.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-const ASK_HEALTH_EVERY: Duration = Duration::from_millis(10);
-/// Protocol: after SIGTERM clients go on coming for a moment.
-const COMING_AFTER_TERM: Duration = Duration::from_millis(300);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Protocol: after SIGTERM clients still send queries for this time.
+const ARRIVALS_AFTER_TERM: Duration = Duration::from_millis(300);
 /// Protocol: no kill before the longest limit and 0.7 s have passed.
-const ENDS_WITHIN: Duration = Duration::from_millis(LIMIT_MS + 700);
-const KILLED_WITHIN: Duration = Duration::from_secs(5);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(LIMIT_MS + 700);
+const KILL_TIMEOUT: Duration = Duration::from_secs(5);
 const CORES: u32 = 8;
 
 /// Why gateways could not be run: where, why, and what to do.
@@ -44,7 +44,7 @@
         file: PathBuf,
         cause: std::io::Error,
     },
-    #[error("gateway {gateway} did not serve within {} s; its log is {}", READY_WITHIN.as_secs(), log.display())]
+    #[error("gateway {gateway} did not serve within {} s; its log is {}", READY_TIMEOUT.as_secs(), log.display())]
     NeverReady { gateway: usize, log: PathBuf },
     #[error("gateway {gateway} ended before it served ({status}); its log is {}", log.display())]
     Ended {
@@ -62,6 +62,11 @@
     },
 }
 
+fn unwritable(file: &Path) -> impl FnOnce(std::io::Error) -> GatewayError {
+    let file = file.to_path_buf();
+    move |cause| GatewayError::Unwritable { file, cause }
+}
+
 /// Where a gateway of this run listens.
 fn listen_address(gateway: usize) -> SocketAddr {
     let run = std::process::id();
@@ -76,7 +81,7 @@
 
 struct Gateway {
     address: SocketAddr,
-    /// Clients know that it serves.
+    /// Whether clients send queries to it.
     in_service: AtomicBool,
     child: Mutex<Option<Child>>,
     /// Processor time of its processes that have ended is not known; that of the current one counts from here.
@@ -93,9 +98,9 @@
     sockets: usize,
     memory_mb: usize,
     subset_size: Option<usize>,
-    /// A slip: SIGKILL in place of SIGTERM.
-    kills_for_term: bool,
-    /// The run is over: none is started any more.
+    /// Injected fault: SIGKILL in place of SIGTERM.
+    kill_on_terminate: bool,
+    /// The run is over: no process is started any more.
     stopping: AtomicBool,
 }
 
@@ -105,7 +110,7 @@
         binary: PathBuf,
         folder: &Path,
         recorder: Recorder,
-        kills_for_term: bool,
+        kill_on_terminate: bool,
     ) -> Gateways {
         let gateway = |n| Gateway {
             address: listen_address(n),
@@ -122,7 +127,7 @@
             sockets: experiment.gateway_sockets,
             memory_mb: experiment.gateway_memory_mb,
             subset_size: experiment.subset_size,
-            kills_for_term,
+            kill_on_terminate,
             stopping: AtomicBool::new(false),
         }
     }
@@ -160,53 +165,57 @@
     }
 
     /// Starts a process and waits until it serves.
+    ///
+    /// # Errors
+    /// Its files cannot be written, its program cannot be started, or it does not serve in time.
     pub async fn start(&self, gateway: usize, log: &ChangeLog) -> Result<(), GatewayError> {
         let file = self.config_file(gateway);
-        let unwritable = |file: PathBuf| move |cause| GatewayError::Unwritable { file, cause };
-        std::fs::write(&file, self.config(gateway, log).to_string())
-            .map_err(unwritable(file.clone()))?;
         let log_file = self.log_file(gateway);
+        std::fs::write(&file, self.config(gateway, log).to_string()).map_err(unwritable(&file))?;
         let output = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(&log_file);
-        let output = output.map_err(unwritable(log_file.clone()))?;
+            .open(&log_file)
+            .map_err(unwritable(&log_file))?;
         let began = self.recorder.now();
-        let mut place = self.gateways[gateway].child.lock().await;
+        let mut child = self.gateways[gateway].child.lock().await;
         if self.stopping.load(Ordering::SeqCst) {
             return Err(GatewayError::Stopping { gateway });
         }
-        let child = Command::new(&self.binary)
-            .args(["serve", "--config"])
-            .arg(&file)
-            .env_remove("PROXY_NAME")
-            .env_remove("PROXY_LISTEN")
-            .env_remove("GARNETWALL_PLAN")
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(output)
-            .kill_on_drop(true)
-            .spawn();
-        let no_binary = |cause| GatewayError::NoBinary {
-            binary: self.binary.clone(),
-            cause,
-        };
-        *place = Some(child.map_err(no_binary)?);
-        drop(place);
-        let ready = timeout(READY_WITHIN, self.healthy(gateway)).await;
+        *child = Some(self.spawn(&file, output)?);
+        drop(child);
+        let ready = timeout(READY_TIMEOUT, self.healthy(gateway)).await;
         ready.map_err(|_| GatewayError::NeverReady {
             gateway,
             log: log_file,
         })??;
-        let took = self.recorder.now() - began;
-        self.recorder.facts().ready.push(took);
-        self.mark_usage(gateway).await;
+        let ready_seconds = self.recorder.now() - began;
+        self.recorder.observations().ready.push(ready_seconds);
+        self.reset_processor_time(gateway).await;
         self.gateways[gateway]
             .in_service
             .store(true, Ordering::Relaxed);
         Ok(())
     }
 
+    fn spawn(&self, config: &Path, output: std::fs::File) -> Result<Child, GatewayError> {
+        Command::new(&self.binary)
+            .args(["serve", "--config"])
+            .arg(config)
+            .env_remove("PROXY_NAME")
+            .env_remove("PROXY_LISTEN")
+            .env_remove("GARNETWALL_PLAN")
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(output)
+            .kill_on_drop(true)
+            .spawn()
+            .map_err(|cause| GatewayError::NoBinary {
+                binary: self.binary.clone(),
+                cause,
+            })
+    }
+
     async fn healthy(&self, gateway: usize) -> Result<(), GatewayError> {
         while !http_client::is_healthy(self.address(gateway)).await {
             let mut child = self.gateways[gateway].child.lock().await;
@@ -218,7 +227,7 @@
                 });
             }
             drop(child);
-            sleep(ASK_HEALTH_EVERY).await;
+            sleep(HEALTH_CHECK_INTERVAL).await;
         }
         Ok(())
     }
@@ -237,8 +246,8 @@
         Usage::of(self.process(gateway).await?)
     }
 
-    /// Processor time counts from now on.
-    pub async fn mark_usage(&self, gateway: usize) {
+    /// Counts processor time from now on.
+    pub async fn reset_processor_time(&self, gateway: usize) {
         let usage = self.usage(gateway).await.unwrap_or_default();
         *self.gateways[gateway]
             .first
@@ -273,23 +282,23 @@
         self.signal(gateway, Signal::HUP).await
     }
 
-    /// SIGTERM; whether it ended by itself with exit code 0 is kept as a fact.
+    /// SIGTERM; whether it ended by itself with exit code 0 is recorded.
     pub async fn terminate(&self, gateway: usize) -> Result<(), GatewayError> {
         let from = self.recorder.now();
-        let kind = if self.kills_for_term {
+        let kind = if self.kill_on_terminate {
             Signal::KILL
         } else {
             Signal::TERM
         };
         self.signal(gateway, kind).await?;
-        if !self.kills_for_term {
-            sleep(COMING_AFTER_TERM).await;
+        if !self.kill_on_terminate {
+            sleep(ARRIVALS_AFTER_TERM).await;
         }
         self.gateways[gateway]
             .in_service
             .store(false, Ordering::Relaxed);
-        let clean = self.ended(gateway, ENDS_WITHIN).await;
-        self.recorder.facts().outages.push(Outage {
+        let clean = self.ended(gateway, SHUTDOWN_TIMEOUT).await;
+        self.recorder.observations().outages.push(Outage {
             gateway,
             from,
             killed: false,
@@ -306,12 +315,12 @@
             killed: true,
             clean: false,
         };
-        self.recorder.facts().outages.push(outage);
+        self.recorder.observations().outages.push(outage);
         self.gateways[gateway]
             .in_service
             .store(false, Ordering::Relaxed);
         self.signal(gateway, Signal::KILL).await?;
-        self.ended(gateway, KILLED_WITHIN).await;
+        self.ended(gateway, KILL_TIMEOUT).await;
         Ok(())
     }
 
@@ -324,7 +333,7 @@
         match timeout(within, child.wait()).await {
             Ok(Ok(status)) => status.success(),
             _ => {
-                let _ = timeout(KILLED_WITHIN, child.kill()).await;
+                let _ = timeout(KILL_TIMEOUT, child.kill()).await;
                 false
             }
         }
@@ -338,14 +347,14 @@
             let _ = self.signal(gateway, Signal::KILL).await;
         }
         for gateway in 0..self.count() {
-            self.ended(gateway, KILLED_WITHIN).await;
+            self.ended(gateway, KILL_TIMEOUT).await;
         }
     }
 }
 
-/// The settings that every gateway is told.
+/// The settings in every gateway's configuration.
 pub fn settings(experiment: &Experiment) -> Value {
-    let group = |name: &str, semantics: &str| {
+    let class = |name: &str, semantics: &str| {
         json!({"name": name, "semantics": semantics, "give-up": LIMIT_MS, "goal-time": LIMIT_MS / 2,
             "worth": 1.0, "late-share": 0.5, "one-at-a-time": name == "load"})
     };
@@ -355,8 +364,8 @@
     json!({
         "allowed": {"dial-timeout": 250.0, "idle-close": 30_000.0, "cancelling": true, "max-attempts": 2,
             "retry-after": true, "max-retry-after": 1_000.0, "may-probe": true, "open-cap": 20_000},
-        "balancers": experiment.gateways_told.unwrap_or(experiment.gateways),
-        "categories": [group("report", "retryable"), group("load", "fragile")],
+        "balancers": experiment.assumed_gateways.unwrap_or(experiment.gateways),
+        "categories": [class("report", "retryable"), class("load", "fragile")],
         "domain": {"kind-cores": [CORES], "parallelism": [1, 1], "loads": [false, false]},
         "kinds": ["std"], "zones": zones, "rules": {"order-pause": 200.0},
         "telemetry": {"fields": ["depth", "load_share"], "how": "on_probe"},
--- a/crates/scale/src/beside/hollow.rs
+++ b/crates/scale/src/real_processes/hollow_gateway.rs
@@ -1,4 +1,4 @@
-//! One hollow gateway without neighbours: the decision module alone, at the rate and with the list of a real one.
+//! One hollow gateway by itself: the decision module alone, at the rate and with the list of a real one.
 
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, LoadReport, NextAction,
@@ -11,23 +11,23 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Seconds of simulated time that are played.
-pub const PLAYED: f64 = 5.0;
-/// Hollow gateways that stand beside each other, so that the memory of one can be told from pages and free ones.
-const COPIES: usize = 32;
-const MICROSECONDS: f64 = 1e6;
-/// The group of queries without a key.
-const GROUP: usize = 0;
-const LIMIT: f64 = 3.0;
-/// Decisions without time passing after which the module is held to spin.
-const MOST_DECISIONS: usize = 100_000;
+/// Length of the simulation.
+pub const SIMULATED_SECONDS: f64 = 5.0;
+/// Hollow gateways in memory at once: whole and free pages blur the memory of a single one.
+const GATEWAY_COPIES: usize = 32;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+/// The class of queries without a key.
+const CLASS: usize = 0;
+const QUERY_LIMIT_SECONDS: f64 = 3.0;
+/// Decisions at one moment after which the module counts as caught in an endless loop.
+const MAX_DECISIONS_PER_MOMENT: usize = 100_000;
 
 /// What the module alone costs.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
     /// Of a core, without I/O.
     pub processor_share: f64,
-    /// The module with its list, and the whole list beside a subset; 0 where that can't be told from free pages.
+    /// The module with its list, and the whole list beside a subset; 0 where it fits into free pages.
     pub resident_bytes: f64,
 }
 
@@ -40,26 +40,26 @@
 }
 
 /// What a hollow gateway holds.
-struct Held {
+struct HollowGateway {
     module: AdmissionController,
     /// The whole list, beside a subset of it.
     _catalog: Option<Catalog>,
 }
 
-/// Plays one gateway's queries before these engines, by the process's own clock; where they are a subset it holds the whole
-/// list as well.
+/// Plays one gateway's queries before these engines, by the process's own clock. Where they are a subset it holds the
+/// whole list as well.
 pub fn cost(
     settings: &Settings,
-    lines: &[Endpoint],
+    endpoints: &[Endpoint],
     whole_list: Option<&[ListedEngine]>,
     load: Load,
 ) -> std::io::Result<Cost> {
     let before = resident_bytes()?;
-    let held: Vec<Held> = (0..COPIES)
-        .map(|copy| hold(settings, lines, whole_list, copy as u64))
+    let gateways: Vec<HollowGateway> = (0..GATEWAY_COPIES)
+        .map(|copy| hold(settings, endpoints, whole_list, copy as u64))
         .collect();
-    let resident_bytes = (resident_bytes()? - before) / COPIES as f64;
-    let Some(Held { module, .. }) = held.into_iter().next() else {
+    let resident_bytes = (resident_bytes()? - before) / GATEWAY_COPIES as f64;
+    let Some(HollowGateway { module, .. }) = gateways.into_iter().next() else {
         return Ok(Cost {
             processor_share: 0.0,
             resident_bytes,
@@ -74,30 +74,30 @@
     let before = thread_seconds()?;
     hollow.play();
     Ok(Cost {
-        processor_share: (thread_seconds()? - before) / PLAYED,
+        processor_share: (thread_seconds()? - before) / SIMULATED_SECONDS,
         resident_bytes,
     })
 }
 
 fn hold(
     settings: &Settings,
-    lines: &[Endpoint],
+    endpoints: &[Endpoint],
     whole_list: Option<&[ListedEngine]>,
     seed: u64,
-) -> Held {
+) -> HollowGateway {
     let mut module = AdmissionController::new(settings.clone(), seed, 0.0);
-    module.update_endpoints(lines, true);
+    module.update_endpoints(endpoints, true);
     let _catalog = whole_list.map(|whole_list| {
         let mut catalog = Catalog::default();
         catalog.apply(whole_list, true);
         catalog
     });
-    Held { module, _catalog }
+    HollowGateway { module, _catalog }
 }
 
-/// Lines of so many engines that serve.
-pub fn lines(engines: usize, zones: usize, holders: Option<f64>) -> Vec<Endpoint> {
-    let line = |engine: usize| Endpoint {
+/// Endpoints of so many engines, all ready.
+pub fn endpoints(engines: usize, zones: usize, holders: Option<f64>) -> Vec<Endpoint> {
+    let endpoint = |engine: usize| Endpoint {
         engine,
         zone: (engine % zones) as u32,
         kind: 0,
@@ -106,7 +106,7 @@
         state: EndpointState::Ready,
         gateways: holders,
     };
-    (0..engines).map(line).collect()
+    (0..engines).map(endpoint).collect()
 }
 
 struct Hollow {
@@ -122,50 +122,49 @@
         let mut random = SmallRng::seed_from_u64(self.load.seed);
         let mut next_query = 0.0;
         let mut id = 0;
-        while self.now < PLAYED {
+        while self.now < SIMULATED_SECONDS {
             if next_query <= self.now {
-                self.take(id);
+                self.admit(id);
                 id += 1;
                 let gap =
                     -(1.0 - random.random::<f64>()).ln() / self.load.queries_per_second.max(1e-3);
                 next_query = self.now + gap;
             }
             while let Some(Reverse((at, query, engine))) = self.ends.peek().copied() {
-                if at as f64 / MICROSECONDS > self.now {
+                if at as f64 / MICROSECONDS_PER_SECOND > self.now {
                     break;
                 }
                 self.ends.pop();
                 self.end(query, engine);
             }
             let wait = self.decide();
-            let next_end = self
-                .ends
-                .peek()
-                .map_or(f64::INFINITY, |Reverse((at, ..))| *at as f64 / MICROSECONDS);
+            let next_end = self.ends.peek().map_or(f64::INFINITY, |Reverse((at, ..))| {
+                *at as f64 / MICROSECONDS_PER_SECOND
+            });
             self.now = (self.now + wait)
                 .min(next_query)
                 .min(next_end.max(self.now));
         }
     }
 
-    fn take(&mut self, id: u32) {
-        let batch = Query {
+    fn admit(&mut self, id: u32) {
+        let query = Query {
             id,
-            class: GROUP,
+            class: CLASS,
             tenant: 0,
             ordering_key: None,
-            remaining_time: LIMIT,
+            remaining_time: QUERY_LIMIT_SECONDS,
             estimated_work: None,
             estimated_memory: None,
             data_set: id % 50,
             endpoint_subset: None,
         };
-        self.module.admit(self.now, batch);
+        self.module.admit(self.now, query);
     }
 
-    /// Does what is due, and tells how long nothing is.
+    /// Carries out all decisions that are due; returns the seconds until the next.
     fn decide(&mut self) -> f64 {
-        for _ in 0..MOST_DECISIONS {
+        for _ in 0..MAX_DECISIONS_PER_MOMENT {
             match self.module.next_action(self.now) {
                 NextAction::Wait(seconds) => return seconds,
                 NextAction::Place(id) => self.place(id),
@@ -182,12 +181,12 @@
                 NextAction::Cancel { .. } | NextAction::Subscribe => {}
             }
         }
-        1.0 / MICROSECONDS
+        1.0 / MICROSECONDS_PER_SECOND
     }
 
     fn place(&mut self, id: u32) {
         if let Placement::Attempt { engine, .. } = self.module.place(self.now, id) {
-            let at = ((self.now + self.load.work_seconds) * MICROSECONDS) as u64;
+            let at = ((self.now + self.load.work_seconds) * MICROSECONDS_PER_SECOND) as u64;
             self.ends.push(Reverse((at, id, engine)));
         }
     }
@@ -203,7 +202,7 @@
             work,
             memory: None,
         };
-        // Whoever succeeds is over.
+        // A query ends with its first success, so there is no follow-up.
         let (FollowUp::Nothing | FollowUp::Answer(_)) =
             self.module.attempt_ended(self.now, id, outcome);
     }
--- a/crates/scale/src/beside/http_client.rs
+++ b/crates/scale/src/real_processes/http_client.rs
@@ -11,10 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
-const HEALTH_WITHIN: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 /// More than any answer of this run.
-const LONGEST_ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 pub type Connection = SendRequest<Full<Bytes>>;
 
@@ -32,7 +32,7 @@
 /// Connects, and drives the connection in a task of its own.
 pub async fn connect(address: SocketAddr) -> Result<Connection, CallError> {
     let unconnected = |cause: String| CallError::Unconnected(cause);
-    let stream = timeout(CONNECT_WITHIN, TcpStream::connect(address)).await;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| unconnected("no answer".into()))?;
     let stream = stream.map_err(|cause| unconnected(cause.to_string()))?;
     let _ = stream.set_nodelay(true);
@@ -58,7 +58,7 @@
             .await
             .map_err(|e| CallError::CutShort(e.to_string()))?;
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, LONGEST_ANSWER).collect().await;
+        let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         let body = body.map_err(|cause| CallError::CutShort(cause.to_string()))?;
         Ok(Response::from_parts(head, body.to_bytes()))
     };
@@ -83,6 +83,6 @@
     let Ok(mut connection) = connect(address).await else {
         return false;
     };
-    let answer = call(&mut connection, get("/healthz"), HEALTH_WITHIN).await;
+    let answer = call(&mut connection, get("/healthz"), HEALTH_TIMEOUT).await;
     answer.is_ok_and(|answer| answer.status() == StatusCode::OK)
 }
--- a/crates/scale/src/beside/judge.rs
+++ b/crates/scale/src/real_processes/judge.rs
@@ -1,20 +1,20 @@
-//! The judge: holds what was seen from outside to the rules. It knows nothing of how gateways decide.
+//! The judge: checks external observations against the rules, without knowledge of how gateways decide.
 
+use super::endpoint_list::EngineId;
 use super::experiment::Expect;
-use super::facts::{Attempt, Facts, Group, Notice, Outcome, Query};
-use super::roster::EngineId;
+use super::observations::{Attempt, Notice, Observations, Outcome, Query, QueryClass};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Sockets take this much longer than a query's limit.
-const SOCKET_ALLOWANCE: f64 = 0.05;
-/// An attempt that came this much after the answer may have been on its way.
-const ON_ITS_WAY: f64 = 0.05;
-/// What the log has counts as told by then, whether or not it was written.
-const TOLD_AT_LATEST: f64 = 7.0;
-/// What was written to a gateway's watch counts as told by then.
-const TOLD_AFTER_WRITE: f64 = 1.0;
-/// Violations that are told one by one.
-const MOST_TOLD: usize = 3;
+/// Connections may add this to a query's limit.
+const SOCKET_ALLOWANCE_SECONDS: f64 = 0.05;
+/// An attempt received this long after the answer may have been sent before it.
+const IN_TRANSIT_ALLOWANCE_SECONDS: f64 = 0.05;
+/// From an event's publication until gateways count as notified, delivered or not.
+const NOTIFICATION_LIMIT_SECONDS: f64 = 7.0;
+/// From an event's delivery until the gateway counts as notified.
+const NOTIFICATION_AFTER_WRITE_SECONDS: f64 = 1.0;
+/// Violations that are listed in a judgement.
+const MAX_VIOLATIONS_SHOWN: usize = 3;
 
 /// One thing that was judged.
 #[derive(Clone, Debug)]
@@ -25,8 +25,8 @@
 }
 
 /// Judges everything.
-pub fn judge(facts: &Facts, expect: &Expect) -> Vec<Judgement> {
-    let index = Index::new(facts);
+pub fn judge(observations: &Observations, expect: &Expect) -> Vec<Judgement> {
+    let index = Index::new(observations);
     let mut judgements = vec![
         rule("something was played", index.nothing_played()),
         rule("one whole answer within its limit", index.answers()),
@@ -40,20 +40,20 @@
         rule("nothing sent after the answer", index.after_answer()),
         rule("terminated gateways end cleanly", index.ends()),
     ];
-    judgements.extend(bounds(facts, expect));
+    judgements.extend(bounds(observations, expect));
     judgements
 }
 
 fn rule(what: &'static str, violations: Vec<String>) -> Judgement {
-    let told = violations
+    let notified_times = violations
         .iter()
-        .take(MOST_TOLD)
+        .take(MAX_VIOLATIONS_SHOWN)
         .cloned()
         .collect::<Vec<_>>()
         .join("; ");
     let detail = match violations.len() {
         0 => "none broke it".to_string(),
-        count => format!("{count} broke it: {told}"),
+        count => format!("{count} broke it: {notified_times}"),
     };
     Judgement {
         what,
@@ -63,24 +63,24 @@
 }
 
 struct Index<'a> {
-    facts: &'a Facts,
+    observations: &'a Observations,
     attempts: HashMap<u64, Vec<&'a Attempt>>,
     queries: HashMap<u64, &'a Query>,
 }
 
 impl<'a> Index<'a> {
-    fn new(facts: &'a Facts) -> Index<'a> {
+    fn new(observations: &'a Observations) -> Index<'a> {
         let mut attempts: HashMap<u64, Vec<&Attempt>> = HashMap::new();
-        for attempt in &facts.attempts {
+        for attempt in &observations.attempts {
             attempts.entry(attempt.query).or_default().push(attempt);
         }
-        let queries = facts
+        let queries = observations
             .queries
             .iter()
             .map(|query| (query.id, query))
             .collect();
         Index {
-            facts,
+            observations,
             attempts,
             queries,
         }
@@ -92,8 +92,10 @@
 
     /// Whether the query's gateway was killed while the query was open.
     fn was_killed(&self, query: &Query) -> bool {
-        let cut = |from: f64| query.sent <= from && from <= query.answered + SOCKET_ALLOWANCE;
-        self.facts
+        let cut = |from: f64| {
+            query.started_at <= from && from <= query.answered_at + SOCKET_ALLOWANCE_SECONDS
+        };
+        self.observations
             .outages
             .iter()
             .any(|o| o.killed && o.gateway == query.gateway && cut(o.from))
@@ -102,25 +104,25 @@
     /// A run in which nothing succeeded shows nothing.
     fn nothing_played(&self) -> Vec<String> {
         let succeeded = |query: &&Query| matches!(query.outcome, Outcome::Succeeded { .. });
-        match self.facts.queries.iter().find(succeeded) {
+        match self.observations.queries.iter().find(succeeded) {
             Some(_) => Vec::new(),
             None => vec![format!(
                 "of {} queries none succeeded",
-                self.facts.queries.len()
+                self.observations.queries.len()
             )],
         }
     }
 
     fn answers(&self) -> Vec<String> {
         let fault = |query: &&Query| {
-            let took = query.answered - query.sent;
+            let took = query.answered_at - query.started_at;
             match &query.outcome {
                 Outcome::Lost(why) if !self.was_killed(query) => {
                     Some(format!("{:016x} lost: {why}", query.id))
                 }
-                Outcome::Garbled(why) => Some(format!("{:016x} garbled: {why}", query.id)),
+                Outcome::Malformed(why) => Some(format!("{:016x} garbled: {why}", query.id)),
                 Outcome::Succeeded { .. } | Outcome::Rejected | Outcome::Failed
-                    if took > query.limit + SOCKET_ALLOWANCE =>
+                    if took > query.limit + SOCKET_ALLOWANCE_SECONDS =>
                 {
                     Some(format!(
                         "{:016x} took {took:.3} s of {:.3} s",
@@ -130,7 +132,7 @@
                 _ => None,
             }
         };
-        self.facts
+        self.observations
             .queries
             .iter()
             .filter_map(|query| fault(&query))
@@ -146,7 +148,7 @@
             }
             _ => None,
         };
-        self.facts
+        self.observations
             .queries
             .iter()
             .filter_map(|query| fault(&query))
@@ -160,52 +162,55 @@
                 .iter()
                 .filter(|attempt| !attempt.declined)
                 .count();
-            match (query.group, &query.outcome) {
-                (Group::Report, _) => None,
-                (Group::Load, Outcome::Rejected) if ran > 0 => {
+            match (query.class, &query.outcome) {
+                (QueryClass::Report, _) => None,
+                (QueryClass::Load, Outcome::Rejected) if ran > 0 => {
                     Some(format!("{:016x} was rejected and may have run", query.id))
                 }
-                (Group::Load, _) if ran > 1 => Some(format!("{:016x} ran {ran} times", query.id)),
-                (Group::Load, _) => None,
+                (QueryClass::Load, _) if ran > 1 => {
+                    Some(format!("{:016x} ran {ran} times", query.id))
+                }
+                (QueryClass::Load, _) => None,
             }
         };
-        self.facts
+        self.observations
             .queries
             .iter()
             .filter_map(|query| fault(&query))
             .collect()
     }
 
-    /// When each gateway counts as told that an engine takes nothing new, the earliest notice of it.
-    fn told(&self) -> HashMap<(EngineId, usize), f64> {
+    /// When each gateway counts as notified that an engine takes no new attempts, by the earliest notice.
+    fn notified_times(&self) -> HashMap<(EngineId, usize), f64> {
         let mut delivered: HashMap<(u64, usize), f64> = HashMap::new();
-        for delivery in &self.facts.deliveries {
+        for delivery in &self.observations.deliveries {
             delivered
                 .entry((delivery.number, delivery.gateway))
-                .or_insert(delivery.at);
+                .or_insert(delivery.delivered_at);
         }
-        let mut told = HashMap::new();
-        for notice in &self.facts.notices {
-            for gateway in 0..self.facts.gateways {
-                let at = told_at(notice, delivered.get(&(notice.number, gateway)).copied());
-                let earliest: &mut f64 = told.entry((notice.engine, gateway)).or_insert(at);
+        let mut notified_times = HashMap::new();
+        for notice in &self.observations.notices {
+            for gateway in 0..self.observations.gateways {
+                let at = notified_at(notice, delivered.get(&(notice.number, gateway)).copied());
+                let earliest: &mut f64 =
+                    notified_times.entry((notice.engine, gateway)).or_insert(at);
                 *earliest = earliest.min(at);
             }
         }
-        told
+        notified_times
     }
 
     fn drains(&self) -> Vec<String> {
-        let told = self.told();
+        let notified_times = self.notified_times();
         let fault = |attempt: &&Attempt| {
-            let told = *told.get(&(attempt.engine, attempt.gateway))?;
-            let late = attempt.came - told;
+            let notified_times = *notified_times.get(&(attempt.engine, attempt.gateway))?;
+            let late = attempt.received_at - notified_times;
             let (gateway, engine) = (attempt.gateway, attempt.engine);
             (late > 0.0).then(|| {
                 format!("gateway {gateway} sent to {engine} {late:.3} s after it was told")
             })
         };
-        self.facts
+        self.observations
             .attempts
             .iter()
             .filter_map(|attempt| fault(&attempt))
@@ -214,7 +219,7 @@
 
     fn order(&self) -> Vec<String> {
         let mut by_key: BTreeMap<u64, Vec<&Query>> = BTreeMap::new();
-        for query in &self.facts.queries {
+        for query in &self.observations.queries {
             if let Some(key) = query.key.filter(|_| !self.was_killed(query)) {
                 by_key.entry(key).or_default().push(query);
             }
@@ -230,18 +235,19 @@
             .iter()
             .flat_map(|query| self.attempts(query.id).iter().map(|a| (*query, *a)));
         let mut attempts: Vec<(&Query, &Attempt)> = attempts.filter(|(_, a)| !a.declined).collect();
-        attempts.sort_by(|a, b| a.1.came.total_cmp(&b.1.came));
+        attempts.sort_by(|a, b| a.1.received_at.total_cmp(&b.1.received_at));
         let fault = |pair: &[(&Query, &Attempt)]| {
             let ((earlier, before), (later, after)) = (pair[0], pair[1]);
-            let over = before.over.unwrap_or_else(|| before.unasked());
+            let ended_at = before.ended_at.unwrap_or_else(|| before.abandoned_at());
             let ids = format!("{:016x} and {:016x}", earlier.id, later.id);
-            if after.came < over {
+            if after.received_at < ended_at {
                 return Some(format!(
                     "{ids} of one key ran {:.3} s together",
-                    over - after.came
+                    ended_at - after.received_at
                 ));
             }
-            (later.sent < earlier.sent).then(|| format!("{ids} of one key ran in the wrong order"))
+            (later.started_at < earlier.started_at)
+                .then(|| format!("{ids} of one key ran in the wrong order"))
         };
         attempts.windows(2).filter_map(fault).collect()
     }
@@ -249,12 +255,13 @@
     fn after_answer(&self) -> Vec<String> {
         let fault = |attempt: &&Attempt| {
             let query = self.queries.get(&attempt.query)?;
-            let late = attempt.came - query.answered;
-            let answered = !matches!(query.outcome, Outcome::Lost(_) | Outcome::NotTaken);
-            (answered && late > ON_ITS_WAY)
+            let late = attempt.received_at - query.answered_at;
+            let answered_at =
+                !matches!(query.outcome, Outcome::Lost(_) | Outcome::ConnectionRefused);
+            (answered_at && late > IN_TRANSIT_ALLOWANCE_SECONDS)
                 .then(|| format!("{:016x} sent {late:.3} s after its answer", query.id))
         };
-        self.facts
+        self.observations
             .attempts
             .iter()
             .filter_map(|attempt| fault(&attempt))
@@ -263,7 +270,7 @@
 
     fn ends(&self) -> Vec<String> {
         let unclean = self
-            .facts
+            .observations
             .outages
             .iter()
             .filter(|outage| !outage.killed && !outage.clean);
@@ -273,56 +280,64 @@
     }
 }
 
-fn told_at(notice: &Notice, delivered: Option<f64>) -> f64 {
-    let latest = notice.appended + TOLD_AT_LATEST;
-    delivered.map_or(latest, |at| latest.min(at + TOLD_AFTER_WRITE))
+fn notified_at(notice: &Notice, delivered: Option<f64>) -> f64 {
+    let latest = notice.appended + NOTIFICATION_LIMIT_SECONDS;
+    delivered.map_or(latest, |at| {
+        latest.min(at + NOTIFICATION_AFTER_WRITE_SECONDS)
+    })
 }
 
 /// What is measured, and held to a bound where one is expected.
-fn bounds(facts: &Facts, expect: &Expect) -> Vec<Judgement> {
-    let measured = Measured::new(facts);
-    let whole = |bound: Option<usize>| bound.map(|n| n as f64);
-    let bounds = [
-        (
+fn bounds(observations: &Observations, expect: &Expect) -> Vec<Judgement> {
+    let measured = Measured::new(observations);
+    let count = |bound: Option<usize>| bound.map(|count| count as f64);
+    let judgements = [
+        at_most(
             "attempts at the busiest engine over the mean",
             measured.max_over_mean,
             expect.spread_max_over_mean,
         ),
-        (
+        at_most(
             "engines a gateway meets",
             measured.engines_a_gateway,
-            whole(expect.engines_a_gateway),
+            count(expect.engines_a_gateway),
         ),
-        (
+        at_most(
             "gateways an engine meets",
             measured.gateways_an_engine,
-            whole(expect.gateways_an_engine),
+            count(expect.gateways_an_engine),
         ),
-        (
+        at_most(
             "ms until 99 in 100 watchers see a change",
             measured.change_seen_ms,
             expect.change_seen_ms,
         ),
-        (
+        at_most(
             "ms until a gateway is ready",
             measured.ready_ms,
             expect.ready_ms,
         ),
+        succeeded_share(&measured, expect),
     ];
-    let at_most = bounds.into_iter().filter_map(|(what, found, most)| {
-        let most = most?;
-        Some(Judgement {
-            what,
-            passed: found <= most,
-            detail: format!("{found:.2}, at most {most}"),
-        })
-    });
-    let share = expect.succeeded_share.map(|least| Judgement {
+    judgements.into_iter().flatten().collect()
+}
+
+fn at_most(what: &'static str, found: f64, most: Option<f64>) -> Option<Judgement> {
+    let most = most?;
+    Some(Judgement {
+        what,
+        passed: found <= most,
+        detail: format!("{found:.2}, at most {most}"),
+    })
+}
+
+fn succeeded_share(measured: &Measured, expect: &Expect) -> Option<Judgement> {
+    let least = expect.succeeded_share?;
+    Some(Judgement {
         what: "share of queries that succeed",
         passed: measured.succeeded_share >= least,
         detail: format!("{:.3}, at least {least}", measured.succeeded_share),
-    });
-    at_most.chain(share).collect()
+    })
 }
 
 /// Figures of a run.
@@ -345,44 +360,57 @@
 }
 
 impl Measured {
-    pub fn new(facts: &Facts) -> Measured {
-        let mut loads = vec![0.0; facts.engines];
-        let mut holders = vec![0_usize; facts.engines];
-        for attempt in facts.attempts.iter().filter(|attempt| !attempt.declined) {
-            loads[attempt.engine.slot] += 1.0;
-        }
-        for slot in facts.met.values().flatten() {
-            holders[*slot] += 1;
-        }
-        let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
-        let busiest = (0..loads.len())
-            .max_by(|a, b| loads[*a].total_cmp(&loads[*b]))
+    pub fn new(observations: &Observations) -> Measured {
+        let mut attempts = attempts_by_engine(observations);
+        let mean = attempts.iter().sum::<f64>() / attempts.len().max(1) as f64;
+        let busiest = (0..attempts.len())
+            .max_by(|a, b| attempts[*a].total_cmp(&attempts[*b]))
             .unwrap_or(0);
-        let engines_used = loads.iter().filter(|load| **load > 0.0).count();
-        loads.sort_by(f64::total_cmp);
+        let engines_used = attempts.iter().filter(|count| **count > 0.0).count();
+        attempts.sort_by(f64::total_cmp);
         let over_mean = |part: f64| {
-            quantile(&loads, part).map_or(0.0, |load| load / mean.max(f64::MIN_POSITIVE))
+            quantile(&attempts, part).map_or(0.0, |count| count / mean.max(f64::MIN_POSITIVE))
         };
         let succeeded = |query: &&Query| matches!(query.outcome, Outcome::Succeeded { .. });
-        let succeeded = facts.queries.iter().filter(succeeded).count() as f64;
-        let seen = facts
+        let succeeded = observations.queries.iter().filter(succeeded).count() as f64;
+        let engines_of_gateways = observations.connected_engines.values();
+        let engines_a_gateway = engines_of_gateways.map(BTreeSet::len).max().unwrap_or(0);
+        let seen = observations
             .changes
             .iter()
-            .map(|change| 1000.0 * seen_by_99_in_100(change, facts.watchers));
+            .map(|change| 1000.0 * seen_by_99_in_100(change, observations.watchers));
         Measured {
             max_over_mean: over_mean(1.0),
             p99_over_mean: over_mean(0.99),
             busiest,
             engines_used,
-            engines_a_gateway: facts.met.values().map(BTreeSet::len).max().unwrap_or(0) as f64,
-            gateways_an_engine: holders.into_iter().max().unwrap_or(0) as f64,
+            engines_a_gateway: engines_a_gateway as f64,
+            gateways_an_engine: most_gateways_an_engine(observations) as f64,
             change_seen_ms: seen.fold(0.0, f64::max),
-            ready_ms: 1000.0 * facts.ready.iter().copied().fold(0.0, f64::max),
-            succeeded_share: succeeded / facts.queries.len().max(1) as f64,
+            ready_ms: 1000.0 * observations.ready.iter().copied().fold(0.0, f64::max),
+            succeeded_share: succeeded / observations.queries.len().max(1) as f64,
         }
     }
 }
 
+/// Attempts that each slot's engines ran.
+fn attempts_by_engine(observations: &Observations) -> Vec<f64> {
+    let mut counts = vec![0.0; observations.engines];
+    let attempts = observations.attempts.iter();
+    for attempt in attempts.filter(|attempt| !attempt.declined) {
+        counts[attempt.engine.slot] += 1.0;
+    }
+    counts
+}
+
+fn most_gateways_an_engine(observations: &Observations) -> usize {
+    let mut gateways = vec![0; observations.engines];
+    for slot in observations.connected_engines.values().flatten() {
+        gateways[*slot] += 1;
+    }
+    gateways.into_iter().max().unwrap_or(0)
+}
+
 /// The value of sorted ones that this part of them is at or under.
 pub fn quantile(sorted: &[f64], part: f64) -> Option<f64> {
     let rank = (part * sorted.len() as f64).ceil() as usize;
@@ -390,7 +418,7 @@
 }
 
 /// Seconds until 99 in 100 of the watchers had seen a change; infinite where fewer did.
-pub fn seen_by_99_in_100(change: &super::facts::ChangeSeen, watchers: usize) -> f64 {
+pub fn seen_by_99_in_100(change: &super::observations::ChangeSeen, watchers: usize) -> f64 {
     let mut seconds = change.seconds.clone();
     seconds.sort_by(f64::total_cmp);
     let rank = (0.99 * watchers as f64).ceil() as usize;
--- a/crates/scale/src/beside/fit.rs
+++ b/crates/scale/src/real_processes/least_squares.rs
@@ -1,20 +1,20 @@
-//! Straight lines through swept figures: fitted on all steps but the largest, which the line then predicts.
+//! Straight lines through swept figures: fitted on all steps but the largest, which the fit then predicts.
 
 use super::report::Figure;
 use std::collections::BTreeMap;
 
-/// A line by least squares.
+/// A linear least-squares fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct LeastSquares {
     pub slope: f64,
     pub intercept: f64,
-    /// The largest distance of a point from the line.
+    /// The largest distance of a point from the fitted line.
     pub worst: f64,
 }
 
-impl Line {
-    /// None for fewer than two different places.
-    pub fn through(points: &[(f64, f64)]) -> Option<Line> {
+impl LeastSquares {
+    /// The fit through points; `None` for fewer than two different `x`.
+    pub fn through(points: &[(f64, f64)]) -> Option<LeastSquares> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
@@ -31,16 +31,16 @@
             .sum::<f64>()
             / spread;
         let intercept = mean_y - slope * mean_x;
-        let line = Line {
+        let trend = LeastSquares {
             slope,
             intercept,
             worst: 0.0,
         };
         let worst = points
             .iter()
-            .map(|(x, y)| (y - line.at(*x)).abs())
+            .map(|(x, y)| (y - trend.at(*x)).abs())
             .fold(0.0, f64::max);
-        Some(Line { worst, ..line })
+        Some(LeastSquares { worst, ..trend })
     }
 
     pub fn at(&self, x: f64) -> f64 {
@@ -53,9 +53,9 @@
     let mut series: BTreeMap<(&str, &str), Vec<(f64, f64)>> = BTreeMap::new();
     for figure in swept {
         series
-            .entry((&figure.of, &figure.name))
+            .entry((&figure.subject, &figure.name))
             .or_default()
-            .push((figure.at, figure.value));
+            .push((figure.position, figure.value));
     }
     series
         .into_iter()
@@ -68,16 +68,16 @@
     let Some((largest, measured)) = points.pop() else {
         return Vec::new();
     };
-    let Some(line) = Line::through(&points) else {
+    let Some(trend) = LeastSquares::through(&points) else {
         return Vec::new();
     };
     let figure =
         |what: &str, value: f64| Figure::new(of, largest, &format!("{name} {what}"), value);
     vec![
-        figure("slope", line.slope),
-        figure("intercept", line.intercept),
-        figure("left over", line.worst),
-        figure("predicted", line.at(largest)),
-        figure("measured over predicted", measured / line.at(largest)),
+        figure("slope", trend.slope),
+        figure("intercept", trend.intercept),
+        figure("left over", trend.worst),
+        figure("predicted", trend.at(largest)),
+        figure("measured over predicted", measured / trend.at(largest)),
     ]
 }
--- a/crates/scale/src/beside/measure.rs
+++ b/crates/scale/src/real_processes/measure.rs
@@ -1,16 +1,16 @@
 //! What is measured of the gateways' processes and of a run as a whole.
 
 use super::change_log;
-use super::facts::{Facts, Outcome};
 use super::judge::{quantile, Measured};
+use super::observations::{Observations, Outcome};
 use super::report::Figure;
-use super::script::Stage;
+use super::script::TestBed;
 use std::time::Duration;
 use tokio::time::sleep;
 
-const SAMPLE_EVERY: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The most that a gateway's process was seen to hold.
+/// The largest sampled values of a gateway's process.
 #[derive(Clone, Copy, Default)]
 pub struct Peak {
     resident_bytes: u64,
@@ -18,28 +18,29 @@
     connections: usize,
 }
 
-/// Looks at all gateways now and then, without end.
-pub async fn sample(stage: &Stage, peaks: &mut [Peak]) {
+/// Samples all gateways at an interval, without end.
+pub async fn sample(test_bed: &TestBed, peaks: &mut [Peak]) {
     loop {
         for (gateway, peak) in peaks.iter_mut().enumerate() {
-            let usage = stage.gateways.usage(gateway).await.unwrap_or_default();
+            let usage = test_bed.gateways.usage(gateway).await.unwrap_or_default();
             peak.resident_bytes = peak.resident_bytes.max(usage.resident_bytes);
             peak.descriptors = peak.descriptors.max(usage.descriptors);
-            peak.connections = peak.connections.max(stage.engines.connections(gateway));
+            peak.connections = peak.connections.max(test_bed.engines.connections(gateway));
         }
-        sleep(SAMPLE_EVERY).await;
+        sleep(SAMPLE_INTERVAL).await;
     }
 }
 
 /// What each gateway's process uses; processor time as a part of one core since queries began, or since its last start.
-pub async fn gateway_figures(stage: &Stage, peaks: &[Peak], seconds: f64) -> Vec<Figure> {
-    let predicted = stage.log.event_bytes() as f64 + change_log::COMMENT_BYTES_PER_SECOND * seconds;
+pub async fn gateway_figures(test_bed: &TestBed, peaks: &[Peak], seconds: f64) -> Vec<Figure> {
+    let predicted =
+        test_bed.log.event_bytes() as f64 + change_log::COMMENT_BYTES_PER_SECOND * seconds;
     let mut figures = vec![Figure::new("run", 0.0, "predicted_watch_bytes", predicted)];
     for (gateway, peak) in peaks.iter().enumerate() {
-        let Some(usage) = stage.gateways.usage(gateway).await else {
+        let Some(usage) = test_bed.gateways.usage(gateway).await else {
             continue;
         };
-        let processor = stage
+        let processor = test_bed
             .gateways
             .processor_seconds(gateway)
             .await
@@ -55,16 +56,16 @@
             figure("most_connections_to_engines", peak.connections as f64),
             figure(
                 "connections_made",
-                stage.engines.connections_made(gateway) as f64,
+                test_bed.engines.connections_made(gateway) as f64,
             ),
-            figure("watch_bytes", stage.log.bytes_to_gateway(gateway) as f64),
+            figure("watch_bytes", test_bed.log.bytes_to_gateway(gateway) as f64),
             figure(
                 "watch_bytes_over_predicted",
-                stage.log.bytes_to_gateway(gateway) as f64 / predicted,
+                test_bed.log.bytes_to_gateway(gateway) as f64 / predicted,
             ),
             figure(
                 "watch_bytes_per_second",
-                stage.log.bytes_to_gateway(gateway) as f64 / seconds,
+                test_bed.log.bytes_to_gateway(gateway) as f64 / seconds,
             ),
         ]);
     }
@@ -72,39 +73,29 @@
 }
 
 /// Figures of the whole run.
-pub fn figures_of(facts: &Facts) -> Vec<Figure> {
-    let measured = Measured::new(facts);
+pub fn figures_of(observations: &Observations) -> Vec<Figure> {
+    let measured = Measured::new(observations);
     let figure = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
     let ended = |wanted: fn(&Outcome) -> bool| {
-        facts
-            .queries
-            .iter()
-            .filter(|query| wanted(&query.outcome))
-            .count() as f64
+        let outcomes = observations.queries.iter().map(|query| &query.outcome);
+        outcomes.filter(|outcome| wanted(outcome)).count() as f64
     };
-    let mut ready = facts.ready.clone();
+    let succeeded = ended(|outcome| matches!(outcome, Outcome::Succeeded { .. }));
+    let rejected = ended(|outcome| matches!(outcome, Outcome::Rejected));
+    let failed = ended(|outcome| matches!(outcome, Outcome::Failed));
+    let refused = ended(|outcome| matches!(outcome, Outcome::ConnectionRefused));
+    let lost = ended(|outcome| matches!(outcome, Outcome::Lost(_)));
+    let mut ready = observations.ready.clone();
     ready.sort_by(f64::total_cmp);
     vec![
-        figure("queries", facts.queries.len() as f64),
-        figure(
-            "succeeded",
-            ended(|outcome| matches!(outcome, Outcome::Succeeded { .. })),
-        ),
-        figure(
-            "rejected",
-            ended(|outcome| matches!(outcome, Outcome::Rejected)),
-        ),
-        figure(
-            "failed",
-            ended(|outcome| matches!(outcome, Outcome::Failed)),
-        ),
-        figure(
-            "not_taken",
-            ended(|outcome| matches!(outcome, Outcome::NotTaken)),
-        ),
-        figure("lost", ended(|outcome| matches!(outcome, Outcome::Lost(_)))),
-        figure("attempts", facts.attempts.len() as f64),
-        figure("changes", facts.changes.len() as f64),
+        figure("queries", observations.queries.len() as f64),
+        figure("succeeded", succeeded),
+        figure("rejected", rejected),
+        figure("failed", failed),
+        figure("not_taken", refused),
+        figure("lost", lost),
+        figure("attempts", observations.attempts.len() as f64),
+        figure("changes", observations.changes.len() as f64),
         figure("busiest_engine_over_mean", measured.max_over_mean),
         figure("busiest_engine", measured.busiest as f64),
         figure("engines_that_ran_something", measured.engines_used as f64),
--- a/crates/scale/src/beside/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -1,71 +1,70 @@
-//! Beside: real gateways on loopback, between a change log, engines, clients and watchers that are stand-ins, and a judge that
-//! reads only what these saw.
+//! The subcommand `beside`: real gateways on loopback, between stand-ins for change log, engines, clients and watchers, and a
+//! judge that reads only what these observed.
 
 mod change_log;
 mod clients;
+mod endpoint_list;
 mod engines;
 mod experiment;
-mod facts;
-mod fit;
 mod gateways;
-mod hollow;
+mod hollow_gateway;
 mod http_client;
 mod judge;
+mod least_squares;
 mod measure;
+mod observations;
 mod prediction;
 mod process;
 mod report;
-mod roster;
 mod script;
 mod sweeps;
 mod watchers;
 
 use crate::{Run, Verdict};
-use change_log::{address_for_watchers, ChangeLog, LogSlips};
+use change_log::{address_for_watchers, ChangeLog, LogFaults};
 use clients::Clients;
+use endpoint_list::EndpointList;
 use engines::Engines;
-use experiment::{Experiment, Slip};
-use facts::{Facts, Recorder};
+use experiment::{Experiment, InjectedFault};
 use gateways::{GatewayError, Gateways};
 use judge::Judgement;
 use measure::{figures_of, gateway_figures, sample, Peak};
+use observations::{Observations, Recorder};
 use report::Figure;
-use roster::Roster;
-use script::Stage;
+use script::TestBed;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use thiserror::Error;
 use tokio::signal::unix::{signal, SignalKind};
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, timeout};
 use watchers::Watchers;
 
 /// Threads of the stand-ins; the change log has its own.
-const WORKERS: usize = 4;
-/// Gateways that start at the same time, as a mass start has them.
-const START_WITHIN: Duration = Duration::from_secs(120);
-/// What a run may take beyond the time in which queries are sent.
-const BEYOND_QUERIES: Duration = Duration::from_secs(240);
-/// Watchers that are not there by then are left out, and fail their bound.
-const WATCHERS_WITHIN: Duration = Duration::from_secs(30);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// After the last event, so that watchers see it.
-const LAST_LOOK: Duration = Duration::from_secs(1);
+const WORKER_THREADS: usize = 4;
+/// For the start of all gateways at the same time.
+const START_TIMEOUT: Duration = Duration::from_secs(120);
+/// Added to the time in which queries are sent, for each part of a run.
+const RUN_ALLOWANCE: Duration = Duration::from_secs(240);
+/// Watchers that are not connected by then are left out, and fail their bound.
+const WATCHERS_TIMEOUT: Duration = Duration::from_secs(30);
+/// After the last event, so that watchers receive it.
+const FINAL_DELIVERY_DELAY: Duration = Duration::from_secs(1);
 
-/// Why a run came to no verdict.
+/// Why a run has no verdict.
 #[derive(Debug, Error)]
-enum BesideError {
+enum RealProcessesError {
     #[error("stopped by a signal; all processes have ended")]
     Stopped,
     #[error("not over within {0:?}; all processes have ended; give it fewer gateways or a quieter machine")]
     TooLong(Duration),
-    #[error("gateways did not serve within {START_WITHIN:?}; give the run fewer of them")]
+    #[error("gateways did not serve within {START_TIMEOUT:?}; give the run fewer of them")]
     StartTooLong,
 }
 
 /// The command's own arguments.
 #[derive(clap::Args)]
-pub struct BesideRun {
+pub struct RealProcessesRun {
     #[command(flatten)]
     run: Run,
     /// The gateway's program; by default that of the experiment, or the one beside this program.
@@ -80,7 +79,7 @@
 }
 
 /// Runs one experiment.
-pub fn run(arguments: &BesideRun) -> Verdict {
+pub fn run(arguments: &RealProcessesRun) -> Verdict {
     let mut experiment = Experiment::read(&arguments.run.experiment)?;
     experiment.seed = arguments.run.seed.unwrap_or(experiment.seed);
     let binary = match arguments
@@ -93,7 +92,7 @@
     };
     let mut folder = Scratch::new()?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()?;
     let findings = runtime.block_on(bounded(experiment, binary, folder.path.clone()));
@@ -109,7 +108,7 @@
     Ok(report::print_judgements(&findings.judgements))
 }
 
-/// A folder for configurations and logs of gateways, which goes with the run unless a gateway failed.
+/// A folder for configurations and logs of gateways, deleted after the run unless a gateway failed.
 struct Scratch {
     path: PathBuf,
     keep: bool,
@@ -141,13 +140,13 @@
     let mut interrupted = signal(SignalKind::interrupt())?;
     let mut terminated = signal(SignalKind::terminate())?;
     let sweeps = experiment.sweeps.client_connections.len() + experiment.sweeps.log_watchers.len();
-    let within = Duration::from_secs_f64(experiment.seconds) + BEYOND_QUERIES * (1 + sweeps as u32);
+    let within = Duration::from_secs_f64(experiment.seconds) + RUN_ALLOWANCE * (1 + sweeps as u32);
     let started = Started::default();
     let found = tokio::select! {
         found = play(&experiment, &binary, &folder, &started) => found,
-        _ = interrupted.recv() => Err(BesideError::Stopped.into()),
-        _ = terminated.recv() => Err(BesideError::Stopped.into()),
-        () = sleep(within) => Err(BesideError::TooLong(within).into()),
+        _ = interrupted.recv() => Err(RealProcessesError::Stopped.into()),
+        _ = terminated.recv() => Err(RealProcessesError::Stopped.into()),
+        () = sleep(within) => Err(RealProcessesError::TooLong(within).into()),
     };
     let gateways = std::mem::take(&mut *started.lock().unwrap_or_else(PoisonError::into_inner));
     for gateways in gateways {
@@ -166,7 +165,7 @@
     }
     let swept = sweeps::run(experiment, binary, folder, started).await?;
     judgements.extend(sweeps::judge(&swept));
-    figures.extend(fit::slopes(&swept));
+    figures.extend(least_squares::slopes(&swept));
     figures.extend(swept);
     Ok(Findings {
         figures,
@@ -180,80 +179,120 @@
     folder: &Path,
     started: &Started,
 ) -> Found {
-    let recorder = Recorder::new(Facts {
+    let recorder = Recorder::new(Observations {
         gateways: experiment.gateways,
         watchers: experiment.watchers,
         engines: experiment.engines,
-        ..Facts::default()
+        ..Observations::default()
     });
-    let slips = |slip| experiment.slip == Some(slip);
-    let (count, gateways) = (experiment.engines, experiment.gateways);
+    let test_bed = build_test_bed(experiment, binary, folder, &recorder).await?;
+    register(started, &test_bed.gateways);
+    let watchers = Watchers::start(
+        experiment.watchers,
+        address_for_watchers(test_bed.log.port),
+        test_bed.log.last(),
+        &recorder,
+    )
+    .await;
+    let test_bed = Arc::new(test_bed);
+    let played = play_on(experiment, &test_bed, &watchers, &recorder).await;
+    test_bed.gateways.stop().await;
+    let mut figures = played?;
+    let observations = recorder.observations();
+    figures.extend(figures_of(&observations));
+    Ok(Findings {
+        figures,
+        judgements: judge::judge(&observations, &experiment.expect),
+    })
+}
+
+/// Starts the stand-ins; the gateways are not started yet.
+async fn build_test_bed(
+    experiment: &Experiment,
+    binary: &Path,
+    folder: &Path,
+    recorder: &Recorder,
+) -> std::io::Result<TestBed> {
+    let injects = |fault| experiment.injected_fault == Some(fault);
     let engines = Engines::start(
-        count,
-        gateways,
+        experiment.engines,
+        experiment.gateways,
         recorder.clone(),
-        slips(Slip::UnevenEngines),
+        injects(InjectedFault::UnevenEngines),
     )
     .await?;
-    let log_slips = LogSlips {
-        withhold_drains_from: slips(Slip::DrainWithheld).then_some(0),
-        slow: slips(Slip::SlowLog),
+    let log_faults = LogFaults {
+        withhold_drains_from: injects(InjectedFault::DrainWithheld).then_some(0),
+        slow: injects(InjectedFault::SlowLog),
     };
-    let roster = Roster::new(count, experiment.zones);
-    let log = ChangeLog::start(roster, engines.ports.clone(), recorder.clone(), log_slips)?;
-    let kills = slips(Slip::KilledDrain);
+    let log = ChangeLog::start(
+        EndpointList::new(experiment.engines, experiment.zones),
+        engines.ports.clone(),
+        recorder.clone(),
+        log_faults,
+    )?;
     let gateways = Arc::new(Gateways::new(
         experiment,
         binary.into(),
         folder,
         recorder.clone(),
-        kills,
+        injects(InjectedFault::KilledDrain),
     ));
+    Ok(TestBed::new(log, engines, gateways, experiment.seed))
+}
+
+/// Has the run end these gateways however it ends.
+fn register(started: &Started, gateways: &Arc<Gateways>) {
     started
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .push(gateways.clone());
-    let watchers = Watchers::start(
-        experiment.watchers,
-        address_for_watchers(log.port),
-        log.last(),
-        &recorder,
-    )
-    .await;
-    let stage = Arc::new(Stage::new(log, engines, gateways.clone(), experiment.seed));
-    let played = play_stage(experiment, &stage, &watchers, &recorder).await;
-    gateways.stop().await;
-    let mut figures = played?;
-    let facts = recorder.facts();
-    figures.extend(figures_of(&facts));
-    Ok(Findings {
-        figures,
-        judgements: judge::judge(&facts, &experiment.expect),
-    })
 }
 
-/// Starts the gateways, plays clients and events, and measures the gateways before they end.
-async fn play_stage(
+/// Starts the gateways, runs clients and events, and measures the gateways before they end.
+async fn play_on(
     experiment: &Experiment,
-    stage: &Arc<Stage>,
+    test_bed: &Arc<TestBed>,
     watchers: &Watchers,
     recorder: &Recorder,
 ) -> Result<Vec<Figure>, Box<dyn std::error::Error>> {
-    let started = timeout(START_WITHIN, start_all(stage)).await;
-    started.map_err(|_| BesideError::StartTooLong)??;
-    let until = Instant::now() + WATCHERS_WITHIN;
-    while watchers.connected() < experiment.watchers && Instant::now() < until {
-        sleep(LOOK_EVERY).await;
-    }
+    let started = timeout(START_TIMEOUT, start_all(test_bed)).await;
+    started.map_err(|_| RealProcessesError::StartTooLong)??;
+    watchers
+        .wait_connected(experiment.watchers, WATCHERS_TIMEOUT)
+        .await;
     for gateway in 0..experiment.gateways {
-        stage.gateways.mark_usage(gateway).await;
+        test_bed.gateways.reset_processor_time(gateway).await;
     }
     let measured_from = recorder.now();
-    let ports = stage.engines.ports.clone();
-    let clients = Clients::new(experiment, stage.gateways.clone(), ports, recorder.clone());
+    let peaks = play_clients_and_events(experiment, test_bed, recorder).await?;
+    sleep(FINAL_DELIVERY_DELAY).await;
+    let mut figures = gateway_figures(test_bed, &peaks, recorder.now() - measured_from).await;
+    let run = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
+    figures.push(run(
+        "log_processor_seconds",
+        test_bed.log.processor_seconds(),
+    ));
+    figures.push(run("watchers_connected", watchers.connected() as f64));
+    figures.extend(prediction::figures(experiment, &figures, recorder)?);
+    Ok(figures)
+}
+
+/// Runs clients and events to their end; returns what the gateways used at most meanwhile.
+async fn play_clients_and_events(
+    experiment: &Experiment,
+    test_bed: &Arc<TestBed>,
+    recorder: &Recorder,
+) -> Result<Vec<Peak>, GatewayError> {
+    let clients = Clients::new(
+        experiment,
+        test_bed.gateways.clone(),
+        test_bed.engines.ports.clone(),
+        recorder.clone(),
+    );
     let playing = async {
         let (played, ()) = tokio::join!(
-            script::play(stage.clone(), experiment.events.clone()),
+            script::play(test_bed.clone(), experiment.events.clone()),
             clients.run()
         );
         played
@@ -261,33 +300,17 @@
     let mut peaks = vec![Peak::default(); experiment.gateways];
     tokio::select! {
         played = playing => played?,
-        () = sample(stage, &mut peaks) => {}
+        () = sample(test_bed, &mut peaks) => {}
     }
-    sleep(LAST_LOOK).await;
-    let mut figures = gateway_figures(stage, &peaks, recorder.now() - measured_from).await;
-    let log_seconds = stage.log.processor_seconds();
-    figures.push(Figure::new(
-        "run",
-        0.0,
-        "log_processor_seconds",
-        log_seconds,
-    ));
-    figures.push(Figure::new(
-        "run",
-        0.0,
-        "watchers_connected",
-        watchers.connected() as f64,
-    ));
-    figures.extend(prediction::figures(experiment, &figures, recorder)?);
-    Ok(figures)
+    Ok(peaks)
 }
 
 /// Starts all gateways at once.
-async fn start_all(stage: &Arc<Stage>) -> Result<(), GatewayError> {
+async fn start_all(test_bed: &Arc<TestBed>) -> Result<(), GatewayError> {
     let mut starting = tokio::task::JoinSet::new();
-    for gateway in 0..stage.gateways.count() {
-        let stage = stage.clone();
-        starting.spawn(async move { stage.gateways.start(gateway, &stage.log).await });
+    for gateway in 0..test_bed.gateways.count() {
+        let test_bed = test_bed.clone();
+        starting.spawn(async move { test_bed.gateways.start(gateway, &test_bed.log).await });
     }
     while let Some(started) = starting.join_next().await {
         if let Ok(Err(fault)) = started {
--- a/crates/scale/src/beside/facts.rs
+++ b/crates/scale/src/real_processes/observations.rs
@@ -1,13 +1,13 @@
-//! What was seen from outside, as plain values: the judge reads nothing else. Times are seconds of one clock.
+//! External observations as plain values: the judge reads nothing else. Times are seconds of one clock.
 
-use super::roster::EngineId;
+use super::endpoint_list::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// How often a query may run.
+/// The class of a query: how often it may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum QueryClass {
     /// Idempotent: it may be retried.
     Report,
     /// Not idempotent, and one at a time for each key.
@@ -24,23 +24,23 @@
     Rejected,
     Failed,
     /// The gateway accepted no connection.
-    NotTaken,
-    /// The connection ended with no whole answer, or none came.
+    ConnectionRefused,
+    /// The connection ended before the answer was complete, or there was no answer.
     Lost(String),
     /// An answer that can't be read, or is another query's.
-    Garbled(String),
+    Malformed(String),
 }
 
 #[derive(Clone, Debug)]
 pub struct Query {
     pub id: u64,
     pub gateway: usize,
-    pub group: Group,
+    pub class: QueryClass,
     pub key: Option<u64>,
-    pub sent: f64,
+    pub started_at: f64,
     /// How long its client waits.
     pub limit: f64,
-    pub answered: f64,
+    pub answered_at: f64,
     pub outcome: Outcome,
 }
 
@@ -49,34 +49,34 @@
     pub query: u64,
     pub gateway: usize,
     pub engine: EngineId,
-    /// When it had come whole.
-    pub came: f64,
+    /// When the request was complete.
+    pub received_at: f64,
     /// When its end was written, it was cancelled, or its engine died.
-    pub over: Option<f64>,
+    pub ended_at: Option<f64>,
     pub succeeded: bool,
-    /// It was told that it never ran.
+    /// Its engine declined it, so it never ran.
     pub declined: bool,
-    /// When its gateway last asked for it.
-    pub asked: f64,
+    /// When its gateway last polled it.
+    pub polled_at: f64,
 }
 
-/// Protocol: an attempt that nobody asks for ends after this.
-pub const UNASKED_SECONDS: u64 = 2;
+/// Protocol: an attempt that is not polled ends after this.
+pub const ABANDONED_AFTER_SECONDS: u64 = 2;
 
 impl Attempt {
-    /// When it ends if it is not asked for again.
-    pub fn unasked(&self) -> f64 {
-        self.asked + UNASKED_SECONDS as f64
+    /// When it ends if it is not polled again.
+    pub fn abandoned_at(&self) -> f64 {
+        self.polled_at + ABANDONED_AFTER_SECONDS as f64
     }
 
     /// It ends now, unless it has ended before.
     pub fn end(&mut self, now: f64) {
-        let end = now.min(self.unasked());
-        self.over.get_or_insert(end);
+        let end = now.min(self.abandoned_at());
+        self.ended_at.get_or_insert(end);
     }
 }
 
-/// An engine told draining or gone.
+/// An engine published as draining or deleted.
 #[derive(Clone, Debug)]
 pub struct Notice {
     pub engine: EngineId,
@@ -89,7 +89,7 @@
 pub struct Delivery {
     pub number: u64,
     pub gateway: usize,
-    pub at: f64,
+    pub delivered_at: f64,
 }
 
 /// How long each watcher took to see an event.
@@ -111,15 +111,15 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct Observations {
     pub queries: Vec<Query>,
     pub attempts: Vec<Attempt>,
     pub notices: Vec<Notice>,
     pub deliveries: Vec<Delivery>,
     pub changes: Vec<ChangeSeen>,
     pub outages: Vec<Outage>,
-    /// Engines' slots that each gateway opened connections to.
-    pub met: BTreeMap<usize, BTreeSet<usize>>,
+    /// Engines' slots that each gateway connected to.
+    pub connected_engines: BTreeMap<usize, BTreeSet<usize>>,
     /// Seconds from each start of a gateway until it served.
     pub ready: Vec<f64>,
     pub gateways: usize,
@@ -127,18 +127,18 @@
     pub engines: usize,
 }
 
-/// The run's one clock, and the facts as they are gathered.
+/// The run's one clock, and the observations so far.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
-    facts: Arc<Mutex<Facts>>,
+    observations: Arc<Mutex<Observations>>,
 }
 
 impl Recorder {
-    pub fn new(facts: Facts) -> Recorder {
+    pub fn new(observations: Observations) -> Recorder {
         Recorder {
             start: Instant::now(),
-            facts: Arc::new(Mutex::new(facts)),
+            observations: Arc::new(Mutex::new(observations)),
         }
     }
 
@@ -146,7 +146,16 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    pub fn facts(&self) -> MutexGuard<'_, Facts> {
-        self.facts.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Adds an attempt; returns its index.
+    pub fn add_attempt(&self, attempt: Attempt) -> usize {
+        let mut observations = self.observations();
+        observations.attempts.push(attempt);
+        observations.attempts.len() - 1
+    }
+
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/scale/src/beside/prediction.rs
+++ b/crates/scale/src/real_processes/prediction.rs
@@ -1,12 +1,12 @@
 //! What hollow gateways predict for the real ones: the same list and settings taken through `garnetwall-subset` and the
 //! decision module directly.
 
+use super::endpoint_list::EndpointList;
 use super::experiment::Experiment;
-use super::facts::Recorder;
 use super::gateways;
-use super::hollow::{self, Load};
+use super::hollow_gateway::{self, Load};
+use super::observations::Recorder;
 use super::report::Figure;
-use super::roster::Roster;
 use garnetwall_settings::{decode, Flat};
 use garnetwall_subset::{
     Action, Catalog, EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, Subset,
@@ -20,8 +20,8 @@
 const NEAR_WEIGHT: f64 = 1.0;
 const CORES: f64 = 8.0;
 /// Simulated seconds in which a subset fills, and the steps.
-const FILLS_WITHIN: f64 = 60.0;
-const STEP: f64 = 0.25;
+const FILL_SECONDS: f64 = 60.0;
+const STEP_SECONDS: f64 = 0.25;
 
 type Figures = Result<Vec<Figure>, Box<dyn std::error::Error>>;
 
@@ -31,7 +31,7 @@
     let of = |name: &str| figures.iter().find(|f| f.name == name).map(|f| f.value);
     let engines = of("predicted_members").map_or(experiment.engines, |members| members as usize);
     let holders = of("predicted_members").map(|members| {
-        let gateways = experiment.gateways_told.unwrap_or(experiment.gateways) as f64;
+        let gateways = experiment.assumed_gateways.unwrap_or(experiment.gateways) as f64;
         (gateways * members / experiment.engines as f64).max(1.0)
     });
     let settings = decode(&Flat::from_json(&gateways::settings(experiment))?)?.settings;
@@ -41,14 +41,14 @@
         work_seconds: (experiment.work_ms[0] + experiment.work_ms[1]) as f64 / 2000.0,
         seed: experiment.seed,
     };
-    let whole_list = experiment.subset_size.map(|_| lines(experiment));
-    let members = hollow::lines(engines, experiment.zones, holders);
-    let cost = hollow::cost(&settings, &members, whole_list.as_deref(), load)?;
+    let whole_list = experiment.subset_size.map(|_| listed_engines(experiment));
+    let members = hollow_gateway::endpoints(engines, experiment.zones, holders);
+    let cost = hollow_gateway::cost(&settings, &members, whole_list.as_deref(), load)?;
     let run = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
     figures.push(run("hollow_queries_per_second", load.queries_per_second));
     figures.push(run("hollow_processor_share", cost.processor_share));
     figures.push(run("hollow_resident_bytes", cost.resident_bytes));
-    for figure in real.iter().filter(|figure| figure.of == "gateway") {
+    for figure in real.iter().filter(|figure| figure.subject == "gateway") {
         let predicted = match figure.name.as_str() {
             "processor_share" if cost.processor_share > 0.0 => cost.processor_share,
             "resident_bytes" if cost.resident_bytes > 0.0 => cost.resident_bytes,
@@ -57,7 +57,7 @@
         let name = format!("{}_over_hollow", figure.name);
         figures.push(Figure::new(
             "gateway",
-            figure.at,
+            figure.position,
             &name,
             figure.value / predicted,
         ));
@@ -73,9 +73,9 @@
     let mut figures = Vec::new();
     for gateway in 0..experiment.gateways {
         let members = members(experiment, gateway, size)? as f64;
-        let met = recorder
-            .facts()
-            .met
+        let connected_engines = recorder
+            .observations()
+            .connected_engines
             .get(&gateway)
             .map_or(0, |engines| engines.len()) as f64;
         figures.push(Figure::new(
@@ -84,12 +84,17 @@
             "predicted_members",
             members,
         ));
-        figures.push(Figure::new("gateway", gateway as f64, "engines_met", met));
+        figures.push(Figure::new(
+            "gateway",
+            gateway as f64,
+            "engines_met",
+            connected_engines,
+        ));
         figures.push(Figure::new(
             "gateway",
             gateway as f64,
             "met_over_predicted",
-            met / members,
+            connected_engines / members,
         ));
     }
     Ok(figures)
@@ -104,38 +109,38 @@
         joins_per_second: JOINS_PER_SECOND,
         zone: None,
         near_weight: NEAR_WEIGHT,
-        gateways: experiment.gateways_told.unwrap_or(experiment.gateways) as f64,
+        gateways: experiment.assumed_gateways.unwrap_or(experiment.gateways) as f64,
         classes: vec![PlacementClass::default()],
         retry_scope: RetryScope::Everywhere,
     };
     let mut subset = Subset::new(&format!("g{gateway}"), settings)?;
     let mut catalog = Catalog::default();
-    let changes = catalog.apply(&lines(experiment), true);
+    let changes = catalog.apply(&listed_engines(experiment), true);
     subset.changed(0.0, &catalog, &changes);
     let mut now = 0.0;
-    while now < FILLS_WITHIN {
+    while now < FILL_SECONDS {
         for action in subset.poll(now, &catalog) {
             if let Action::Warm(engine) = action {
                 subset.warmed(now, engine, true);
             }
         }
-        now += STEP;
+        now += STEP_SECONDS;
     }
     Ok(subset.members().count())
 }
 
-fn lines(experiment: &Experiment) -> Vec<ListedEngine> {
-    let roster = Roster::new(experiment.engines, experiment.zones);
+fn listed_engines(experiment: &Experiment) -> Vec<ListedEngine> {
+    let endpoint_list = EndpointList::new(experiment.engines, experiment.zones);
     let facts = |slot: usize| EngineFacts {
-        zone: roster.zone(slot) as u32,
+        zone: endpoint_list.zone(slot) as u32,
         kind: 0,
-        cell: roster.cell(slot) as u32,
+        cell: endpoint_list.cell(slot) as u32,
         cores: CORES,
         state: ListedState::Ready,
     };
-    let line = |slot| ListedEngine {
-        id: roster.engine(slot).to_string(),
+    let listed_engine = |slot| ListedEngine {
+        id: endpoint_list.engine(slot).to_string(),
         facts: facts(slot),
     };
-    (0..experiment.engines).map(line).collect()
+    (0..experiment.engines).map(listed_engine).collect()
 }
--- a/crates/scale/src/beside/process.rs
+++ b/crates/scale/src/real_processes/process.rs
@@ -1,4 +1,4 @@
-//! What the kernel tells of a process.
+//! The kernel's figures of a process, and signals to it.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde::Serialize;
@@ -10,7 +10,7 @@
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
-/// One look at a process.
+/// Resources that a process uses.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Usage {
     pub resident_bytes: u64,
@@ -42,10 +42,10 @@
 }
 
 fn resident_bytes(status: &str) -> Option<u64> {
-    let line = status
+    let value = status
         .lines()
-        .find_map(|line| line.strip_prefix("VmRSS:"))?;
-    let kilobytes: u64 = line.split_whitespace().next()?.parse().ok()?;
+        .find_map(|value| value.strip_prefix("VmRSS:"))?;
+    let kilobytes: u64 = value.split_whitespace().next()?.parse().ok()?;
     Some(kilobytes << 10)
 }
 
--- a/crates/scale/src/beside/report.rs
+++ b/crates/scale/src/real_processes/report.rs
@@ -9,18 +9,20 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
     /// What it belongs to: `run`, `gateway`, or the quantity that was swept.
-    pub of: String,
+    #[serde(rename = "of")]
+    pub subject: String,
     /// The gateway's number, or the swept quantity's value.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub position: f64,
     pub name: String,
     pub value: f64,
 }
 
 impl Figure {
-    pub fn new(of: &str, at: f64, name: &str, value: f64) -> Figure {
+    pub fn new(subject: &str, position: f64, name: &str, value: f64) -> Figure {
         Figure {
-            of: of.into(),
-            at,
+            subject: subject.into(),
+            position,
             name: name.into(),
             value,
         }
@@ -36,16 +38,16 @@
     Ok(())
 }
 
-/// Prints figures, one a line.
+/// Prints one figure per line.
 pub fn print_figures(figures: &[Figure]) {
     for Figure {
-        of,
-        at,
+        subject,
+        position,
         name,
         value,
     } in figures
     {
-        println!("{of:<20} {at:>8} {name:<62} {value:>18.7}");
+        println!("{subject:<20} {position:>8} {name:<62} {value:>18.7}");
     }
 }
 
--- /dev/null
+++ b/crates/scale/src/real_processes/script.rs
@@ -0,0 +1,196 @@
+//! Carries out the experiment's events during a run.
+
+use super::change_log::ChangeLog;
+use super::endpoint_list::{EndpointList, State};
+use super::engines::{Engines, Health};
+use super::experiment::{Action, Event};
+use super::gateways::{GatewayError, Gateways};
+use rand::rngs::SmallRng;
+use rand::seq::SliceRandom;
+use rand::SeedableRng;
+use serde_json::Value;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::task::JoinSet;
+use tokio::time::{sleep, sleep_until, Instant};
+
+/// Everything that an event may change.
+pub struct TestBed {
+    pub log: ChangeLog,
+    pub engines: Arc<Engines>,
+    pub gateways: Arc<Gateways>,
+    random: Mutex<SmallRng>,
+}
+
+/// Carries out all events, and waits until their effects have ended.
+pub async fn play(test_bed: Arc<TestBed>, events: Vec<Event>) -> Result<(), GatewayError> {
+    let start = Instant::now();
+    let mut playing = JoinSet::new();
+    for event in events {
+        let test_bed = test_bed.clone();
+        playing.spawn(async move {
+            sleep_until(start + Duration::from_secs_f64(event.at_seconds)).await;
+            tracing::info!(at_seconds = event.at_seconds, action = ?event.action, "event");
+            test_bed.play(event.action).await
+        });
+    }
+    while let Some(ended) = playing.join_next().await {
+        if let Ok(Err(fault)) = ended {
+            return Err(fault);
+        }
+    }
+    Ok(())
+}
+
+impl TestBed {
+    pub fn new(
+        log: ChangeLog,
+        engines: Arc<Engines>,
+        gateways: Arc<Gateways>,
+        seed: u64,
+    ) -> TestBed {
+        TestBed {
+            log,
+            engines,
+            gateways,
+            random: Mutex::new(SmallRng::seed_from_u64(seed)),
+        }
+    }
+
+    async fn play(&self, action: Action) -> Result<(), GatewayError> {
+        match action {
+            Action::EnginesKilled {
+                count,
+                report_delay,
+            } => {
+                let slots = self.kill(count);
+                self.publish_deleted_after(&slots, report_delay).await;
+            }
+            Action::EnginesDrained {
+                count,
+                removal_delay,
+            } => self.drain(count, removal_delay).await,
+            Action::EnginesReplaced { count } => self.start_replacements(&self.kill(count)),
+            Action::EnginesRestarted { count, down } => {
+                let slots = self.kill(count);
+                pause(down).await;
+                self.start_replacements(&slots);
+            }
+            Action::ZoneLost { zone, report_delay } => {
+                let slots = self.log.endpoint_list().in_zone(zone);
+                self.set_health(&slots, Health::Silent);
+                self.publish_deleted_after(&slots, report_delay).await;
+            }
+            Action::ZoneBack { zone } => {
+                let slots = self.log.endpoint_list().in_zone(zone);
+                self.kill_slots(&slots);
+                self.start_replacements(&slots);
+            }
+            Action::ChangesBurst { count, spread_over } => self.burst(count, spread_over).await,
+            Action::GatewayReloaded { gateway } => self.gateways.reload(gateway).await?,
+            Action::GatewayTerminated { gateway } => {
+                self.gateways.terminate(gateway).await?;
+                self.gateways.start(gateway, &self.log).await?;
+            }
+            Action::GatewayKilled { gateway } => {
+                self.gateways.kill(gateway).await?;
+                self.gateways.start(gateway, &self.log).await?;
+            }
+        }
+        Ok(())
+    }
+
+    fn set_health(&self, slots: &[usize], health: Health) {
+        for slot in slots {
+            self.engines.set_health(*slot, health);
+        }
+    }
+
+    async fn publish_deleted_after(&self, slots: &[usize], delay: f64) {
+        pause(delay).await;
+        self.publish(slots, |endpoint_list, slot| {
+            endpoint_list.set_state(slot, State::Deleted)
+        });
+    }
+
+    /// So many engines that serve, drawn by the seed, and not those that another event has taken.
+    fn draw(&self, count: usize) -> Vec<usize> {
+        let mut slots = self.log.endpoint_list().serving();
+        slots.shuffle(&mut *self.random.lock().unwrap_or_else(PoisonError::into_inner));
+        slots.retain(|slot| self.engines.health(*slot) == Health::Up);
+        slots.truncate(count);
+        slots
+    }
+
+    fn kill(&self, count: usize) -> Vec<usize> {
+        let slots = self.draw(count);
+        self.kill_slots(&slots);
+        slots
+    }
+
+    fn kill_slots(&self, slots: &[usize]) {
+        for slot in slots {
+            self.engines.kill(*slot);
+        }
+    }
+
+    async fn drain(&self, count: usize, removal_delay: f64) {
+        let slots = self.draw(count);
+        self.publish(&slots, |endpoint_list, slot| {
+            endpoint_list.set_state(slot, State::Draining)
+        });
+        pause(removal_delay).await;
+        self.kill_slots(&slots);
+        self.publish(&slots, |endpoint_list, slot| {
+            endpoint_list.set_state(slot, State::Deleted)
+        });
+    }
+
+    /// Starts other engines at these addresses; the same event reports the old ones as deleted.
+    fn start_replacements(&self, slots: &[usize]) {
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
+        self.set_health(slots, Health::Up);
+        self.log.change(|endpoint_list| {
+            let start_replacements = |slot: &usize| replacement(endpoint_list, *slot, now);
+            slots.iter().flat_map(start_replacements).collect()
+        });
+    }
+
+    fn publish(&self, slots: &[usize], change: impl Fn(&mut EndpointList, usize)) {
+        self.log.change(|endpoint_list| {
+            let entry = |slot: &usize| {
+                change(endpoint_list, *slot);
+                endpoint_list.entry(*slot)
+            };
+            slots.iter().map(entry).collect()
+        });
+    }
+
+    async fn burst(&self, count: usize, spread_over: f64) {
+        let slots = self.log.endpoint_list().serving();
+        for slot in slots.iter().cycle().take(count) {
+            // Another event may have changed the slot meanwhile: the entry is published as it is.
+            self.publish(&[*slot], |endpoint_list, slot| endpoint_list.touch(slot));
+            pause(spread_over / count as f64).await;
+        }
+    }
+}
+
+/// Entries that report one engine as deleted and the next one at its address as serving.
+fn replacement(endpoint_list: &mut EndpointList, slot: usize, started_ms: u64) -> Vec<Value> {
+    let was_reported_removed = endpoint_list.state(slot) == State::Deleted;
+    endpoint_list.set_state(slot, State::Deleted);
+    let removed = (!was_reported_removed).then(|| endpoint_list.entry(slot));
+    endpoint_list.replace(slot, started_ms);
+    removed
+        .into_iter()
+        .chain([endpoint_list.entry(slot)])
+        .collect()
+}
+
+async fn pause(seconds: f64) {
+    sleep(Duration::from_secs_f64(seconds)).await;
+}
--- a/crates/scale/src/beside/tests.rs
+++ b/crates/scale/src/real_processes/tests.rs
@@ -1,13 +1,15 @@
-//! The judge on facts written by hand, and small parts of the stand-ins.
+//! The judge on observations written by hand, and small parts of the stand-ins.
 
+use super::endpoint_list::{address, slot, EngineId};
 use super::experiment::{Expect, Experiment};
-use super::facts::{Attempt, ChangeSeen, Delivery, Facts, Group, Notice, Outcome, Query};
-use super::fit::Line;
 use super::judge::{judge, seen_by_99_in_100};
+use super::least_squares::LeastSquares;
+use super::observations::{
+    Attempt, ChangeSeen, Delivery, Notice, Observations, Outcome, Query, QueryClass,
+};
 use super::report::Figure;
-use super::roster::{address, slot, EngineId};
 use super::sweeps;
-use super::watchers::LineStarts;
+use super::watchers::EventNumberParser;
 use bytes::Bytes;
 use std::net::IpAddr;
 
@@ -16,49 +18,49 @@
     generation: 0,
 };
 
-fn query(id: u64, group: Group, sent: f64, answered: f64) -> Query {
+fn query(id: u64, class: QueryClass, started_at: f64, answered_at: f64) -> Query {
     let outcome = Outcome::Succeeded {
         engine: ENGINE.to_string(),
     };
-    let key = (group == Group::Load).then_some(1);
+    let key = (class == QueryClass::Load).then_some(1);
     Query {
         id,
         gateway: 0,
-        group,
+        class,
         key,
-        sent,
+        started_at,
         limit: 3.0,
-        answered,
+        answered_at,
         outcome,
     }
 }
 
-fn attempt(query: u64, came: f64, over: f64) -> Attempt {
-    let over = Some(over);
+fn attempt(query: u64, received_at: f64, ended_at: f64) -> Attempt {
+    let ended_at = Some(ended_at);
     Attempt {
         query,
         gateway: 0,
         engine: ENGINE,
-        came,
-        over,
+        received_at,
+        ended_at,
         succeeded: true,
         declined: false,
-        asked: came,
+        polled_at: received_at,
     }
 }
 
-fn facts(queries: Vec<Query>, attempts: Vec<Attempt>) -> Facts {
-    Facts {
+fn observations(queries: Vec<Query>, attempts: Vec<Attempt>) -> Observations {
+    Observations {
         queries,
         attempts,
         gateways: 1,
         engines: 1,
-        ..Facts::default()
+        ..Observations::default()
     }
 }
 
-fn failed(facts: &Facts) -> Vec<&'static str> {
-    let judgements = judge(facts, &Expect::default());
+fn failed(observations: &Observations) -> Vec<&'static str> {
+    let judgements = judge(observations, &Expect::default());
     judgements
         .into_iter()
         .filter(|judgement| !judgement.passed)
@@ -69,30 +71,30 @@
 #[test]
 fn a_run_by_the_rules_passes() {
     let queries = vec![
-        query(1, Group::Load, 0.0, 0.3),
-        query(2, Group::Load, 0.1, 0.9),
+        query(1, QueryClass::Load, 0.0, 0.3),
+        query(2, QueryClass::Load, 0.1, 0.9),
     ];
     let attempts = vec![attempt(1, 0.05, 0.25), attempt(2, 0.5, 0.8)];
-    assert_eq!(failed(&facts(queries, attempts)), Vec::<&str>::new());
+    assert_eq!(failed(&observations(queries, attempts)), Vec::<&str>::new());
 }
 
 #[test]
 fn a_run_in_which_nothing_succeeded_fails() {
     assert_eq!(
-        failed(&facts(Vec::new(), Vec::new())),
+        failed(&observations(Vec::new(), Vec::new())),
         ["something was played"]
     );
 }
 
 #[test]
 fn an_answer_later_than_its_limit_on_sockets_is_found() {
-    let on_time = facts(
-        vec![query(1, Group::Report, 0.0, 3.04)],
+    let on_time = observations(
+        vec![query(1, QueryClass::Report, 0.0, 3.04)],
         vec![attempt(1, 0.1, 0.2)],
     );
     assert_eq!(failed(&on_time), Vec::<&str>::new());
-    let late = facts(
-        vec![query(1, Group::Report, 0.0, 3.06)],
+    let late = observations(
+        vec![query(1, QueryClass::Report, 0.0, 3.06)],
         vec![attempt(1, 0.1, 0.2)],
     );
     assert_eq!(failed(&late), ["one whole answer within its limit"]);
@@ -101,17 +103,17 @@
 #[test]
 fn queries_of_a_key_that_run_together_or_in_the_wrong_order_are_found() {
     let queries = vec![
-        query(1, Group::Load, 0.0, 0.9),
-        query(2, Group::Load, 0.1, 0.9),
+        query(1, QueryClass::Load, 0.0, 0.9),
+        query(2, QueryClass::Load, 0.1, 0.9),
     ];
     let together = vec![attempt(1, 0.2, 0.6), attempt(2, 0.5, 0.8)];
     assert_eq!(
-        failed(&facts(queries.clone(), together)),
+        failed(&observations(queries.clone(), together)),
         ["one at a time for each key"]
     );
     let turned = vec![attempt(2, 0.2, 0.4), attempt(1, 0.5, 0.8)];
     assert_eq!(
-        failed(&facts(queries, turned)),
+        failed(&observations(queries, turned)),
         ["one at a time for each key"]
     );
 }
@@ -120,11 +122,17 @@
 fn an_effect_made_twice_is_found() {
     let twice = vec![attempt(1, 0.1, 0.2), attempt(1, 0.3, 0.4)];
     assert_eq!(
-        failed(&facts(vec![query(1, Group::Load, 0.0, 0.9)], twice.clone())),
+        failed(&observations(
+            vec![query(1, QueryClass::Load, 0.0, 0.9)],
+            twice.clone()
+        )),
         ["no effect twice"]
     );
     assert_eq!(
-        failed(&facts(vec![query(1, Group::Report, 0.0, 0.9)], twice)),
+        failed(&observations(
+            vec![query(1, QueryClass::Report, 0.0, 0.9)],
+            twice
+        )),
         Vec::<&str>::new()
     );
 }
@@ -132,14 +140,17 @@
 #[test]
 fn an_attempt_after_the_answer_is_found() {
     let attempts = vec![attempt(1, 0.1, 0.2), attempt(1, 0.5, 0.6)];
-    let found = failed(&facts(vec![query(1, Group::Report, 0.0, 0.3)], attempts));
+    let found = failed(&observations(
+        vec![query(1, QueryClass::Report, 0.0, 0.3)],
+        attempts,
+    ));
     assert_eq!(found, ["nothing sent after the answer"]);
 }
 
 #[test]
-fn a_drain_counts_as_told_soon_after_it_was_written_and_7_s_after_it_was_logged_at_the_latest() {
-    let mut drained = facts(
-        vec![query(1, Group::Report, 6.4, 6.9)],
+fn a_drain_counts_as_notified_soon_after_delivery_and_7_s_after_publication_at_the_latest() {
+    let mut drained = observations(
+        vec![query(1, QueryClass::Report, 6.4, 6.9)],
         vec![attempt(1, 6.5, 6.8)],
     );
     drained.notices = vec![Notice {
@@ -151,15 +162,15 @@
     drained.deliveries = vec![Delivery {
         number: 2,
         gateway: 0,
-        at: 5.0,
+        delivered_at: 5.0,
     }];
     assert_eq!(
         failed(&drained),
         ["nothing new to an engine told draining or gone"]
     );
     drained.deliveries.clear();
-    drained.attempts[0].came = 7.1;
-    drained.queries[0].answered = 7.5;
+    drained.attempts[0].received_at = 7.1;
+    drained.queries[0].answered_at = 7.5;
     assert_eq!(
         failed(&drained),
         ["nothing new to an engine told draining or gone"]
@@ -179,13 +190,13 @@
 }
 
 #[test]
-fn watchers_take_numbers_from_events_that_are_whole_however_their_bytes_come() {
+fn event_numbers_are_parsed_from_complete_events_however_the_bytes_are_split() {
     let stream = format!(
         ":\n\nid: 7\ndata: {}\n\nid: 8\ndata: {{}}\n\nid: 9\n",
         "x".repeat(500)
     );
     for size in [1, 3, 64, 4096] {
-        let mut lines = LineStarts::default();
+        let mut lines = EventNumberParser::default();
         let parts = stream.as_bytes().chunks(size);
         let numbers: Vec<u64> = parts
             .flat_map(|part| lines.feed(&Bytes::copy_from_slice(part)))
@@ -202,17 +213,17 @@
 }
 
 #[test]
-fn a_line_is_fitted_with_what_is_left_over() {
-    let line = Line::through(&[(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]);
+fn least_squares_reports_the_largest_distance() {
+    let line = LeastSquares::through(&[(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]);
     assert_eq!(
         line,
-        Some(Line {
+        Some(LeastSquares {
             slope: 2.0,
             intercept: 1.0,
             worst: 0.0
         })
     );
-    assert_eq!(Line::through(&[(1.0, 1.0), (1.0, 2.0)]), None);
+    assert_eq!(LeastSquares::through(&[(1.0, 1.0), (1.0, 2.0)]), None);
 }
 
 #[test]
--- a/crates/scale/src/beside/watchers.rs
+++ b/crates/scale/src/real_processes/watchers.rs
@@ -1,6 +1,7 @@
-//! Hollow watchers: each follows the change log over a real connection and keeps only when it saw which event.
+//! Hollow watchers: each follows the change log over a real connection and records only when it received which event.
 
-use super::facts::Recorder;
+use super::http_client::CallError;
+use super::observations::Recorder;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use rand::rngs::SmallRng;
@@ -9,17 +10,19 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::time::{sleep, timeout};
+use thiserror::Error;
+use tokio::time::{sleep, timeout, Instant};
 
-/// A stream of which nothing has come for this long is silent.
-const SILENT: Duration = Duration::from_millis(2_500);
+/// A stream without bytes for this long has failed.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A watcher connects again after a random time up to this.
-const RECONNECT_MS: u64 = 1_000;
-/// Connections that come up at a time, so that the log's accept queue holds them.
-const AT_A_TIME: usize = 200;
-const NEXT_LOT: Duration = Duration::from_millis(20);
-/// So much of a line tells its number.
-const LINE_START: usize = 32;
+const MAX_RECONNECT_DELAY_MS: u64 = 1_000;
+/// Connections that are opened at a time, so that the log's accept queue holds them.
+const CONNECTS_AT_ONCE: usize = 200;
+const CONNECT_INTERVAL: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A line's first bytes, which hold the event's number.
+const PREFIX_BYTES: usize = 32;
 
 /// Watchers that run; they end with the runtime.
 pub struct Watchers {
@@ -41,19 +44,40 @@
                 random,
             };
             tokio::spawn(watcher.follow());
-            if number % AT_A_TIME == AT_A_TIME - 1 {
-                sleep(NEXT_LOT).await;
+            if number % CONNECTS_AT_ONCE == CONNECTS_AT_ONCE - 1 {
+                sleep(CONNECT_INTERVAL).await;
             }
         }
         Watchers { connected }
     }
 
+    /// Waits until so many have a stream, or the time is up.
+    pub async fn wait_connected(&self, count: usize, limit: Duration) {
+        let until = Instant::now() + limit;
+        while self.connected() < count && Instant::now() < until {
+            sleep(CHECK_INTERVAL).await;
+        }
+    }
+
     /// How many have a stream.
     pub fn connected(&self) -> usize {
         self.connected.load(Ordering::Relaxed)
     }
 }
 
+/// Why a watcher lost its stream; it connects again.
+#[derive(Debug, Error)]
+enum WatchError {
+    #[error(transparent)]
+    Connect(#[from] CallError),
+    #[error("no answer")]
+    NoAnswer,
+    #[error("silent")]
+    Silent,
+    #[error(transparent)]
+    Stream(#[from] hyper::Error),
+}
+
 struct Watcher {
     log: SocketAddr,
     last: u64,
@@ -66,51 +90,50 @@
 impl Watcher {
     async fn follow(mut self) {
         loop {
-            if let Err(fault) = self.one_connection().await {
-                tracing::debug!(fault, "watcher lost the log");
+            if let Err(error) = self.follow_once().await {
+                tracing::debug!(%error, "watcher lost the log");
             }
-            let pause = self.random.random_range(0..RECONNECT_MS);
+            let pause = self.random.random_range(0..MAX_RECONNECT_DELAY_MS);
             sleep(Duration::from_millis(pause)).await;
         }
     }
 
-    async fn one_connection(&mut self) -> Result<(), String> {
-        let mut connection = super::http_client::connect(self.log)
-            .await
-            .map_err(|e| e.to_string())?;
+    /// Follows the log on one connection until that ends.
+    async fn follow_once(&mut self) -> Result<(), WatchError> {
+        let mut connection = super::http_client::connect(self.log).await?;
         let mut request = super::http_client::get("/changes");
         request
             .headers_mut()
             .insert("last-event-id", http::HeaderValue::from(self.last));
-        let answer = timeout(SILENT, connection.send_request(request)).await;
-        let response = answer
-            .map_err(|_| "no answer")?
-            .map_err(|e| e.to_string())?;
+        let answer = timeout(SILENCE_TIMEOUT, connection.send_request(request)).await;
+        let response = answer.map_err(|_| WatchError::NoAnswer)??;
         self.connected.fetch_add(1, Ordering::Relaxed);
         let end = self.read(response.into_body()).await;
         self.connected.fetch_sub(1, Ordering::Relaxed);
         end
     }
 
-    async fn read(&mut self, mut body: hyper::body::Incoming) -> Result<(), String> {
-        let mut lines = LineStarts::default();
+    async fn read(&mut self, mut body: hyper::body::Incoming) -> Result<(), WatchError> {
+        let mut parser = EventNumberParser::default();
         loop {
-            let frame = timeout(SILENT, body.frame()).await.map_err(|_| "silent")?;
+            let frame = timeout(SILENCE_TIMEOUT, body.frame())
+                .await
+                .map_err(|_| WatchError::Silent)?;
             let Some(frame) = frame else { return Ok(()) };
-            let Ok(bytes) = frame.map_err(|e| e.to_string())?.into_data() else {
+            let Ok(bytes) = frame?.into_data() else {
                 continue;
             };
-            for number in lines.feed(&bytes) {
-                self.saw(number);
+            for number in parser.feed(&bytes) {
+                self.record_received(number);
             }
         }
     }
 
-    fn saw(&mut self, number: u64) {
+    fn record_received(&mut self, number: u64) {
         let now = self.recorder.now();
-        let mut facts = self.recorder.facts();
+        let mut observations = self.recorder.observations();
         // One event of the whole list brings all changes up to its number.
-        for change in facts
+        for change in observations
             .changes
             .iter_mut()
             .rev()
@@ -124,34 +147,36 @@
     }
 }
 
-/// Numbers of events out of a stream's bytes, of which nothing is kept but the beginning of the line that is open.
+/// Parses the numbers of events from a stream's bytes; it stores only the start of the unfinished line.
 #[derive(Default)]
-pub struct LineStarts {
+pub struct EventNumberParser {
     start: Vec<u8>,
-    /// The number of the event that is open; it has come whole with its empty line.
+    /// The number of the unfinished event; an empty line completes it.
     number: Option<u64>,
 }
 
-impl LineStarts {
+impl EventNumberParser {
     pub fn feed(&mut self, bytes: &Bytes) -> Vec<u64> {
         let mut whole = Vec::new();
         let mut parts = bytes.split(|byte| *byte == b'\n').peekable();
         while let Some(part) = parts.next() {
-            let room = LINE_START.saturating_sub(self.start.len()).min(part.len());
-            self.start.extend_from_slice(&part[..room]);
+            let missing = PREFIX_BYTES
+                .saturating_sub(self.start.len())
+                .min(part.len());
+            self.start.extend_from_slice(&part[..missing]);
             if parts.peek().is_some() {
-                whole.extend(self.line());
+                whole.extend(self.parse_field());
             }
         }
         whole
     }
 
-    fn line(&mut self) -> Option<u64> {
-        let line = std::mem::take(&mut self.start);
-        if line.is_empty() {
+    fn parse_field(&mut self) -> Option<u64> {
+        let parse_field = std::mem::take(&mut self.start);
+        if parse_field.is_empty() {
             return self.number.take();
         }
-        let number = line
+        let number = parse_field
             .strip_prefix(b"id: ")
             .and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
         self.number = number.or(self.number);
--- a/crates/scale/tests/beside.rs
+++ b/crates/scale/tests/beside.rs
@@ -132,14 +132,14 @@
 }
 
 /// Runs a fault, which has to be found as a failure of what it breaks.
-fn finds(slip: &str, more: &str, broken: &str) {
+fn assert_finds(fault: &str, more: &str, broken: &str) {
     let text = format!(
-        "seed = 3\ngateways = 2\nengines = 24\nwatchers = 20\nqueries_per_second = 40.0\nkeys = 4\nslip = '{slip}'\n{more}"
+        "seed = 3\ngateways = 2\nengines = 24\nwatchers = 20\nqueries_per_second = 40.0\nkeys = 4\nslip = '{fault}'\n{more}"
     );
-    finds_in(slip, &text, gateway_binary(), broken);
+    assert_finds_in(fault, &text, gateway_binary(), broken);
 }
 
-fn finds_in(name: &str, text: &str, binary: &Path, broken: &str) {
+fn assert_finds_in(name: &str, text: &str, binary: &Path, broken: &str) {
     let output = run(&experiment(name, text), binary);
     let shown = String::from_utf8_lossy(&output.stdout);
     assert_eq!(
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_late_answer_is_found() {
-    finds(
+    assert_finds(
         "late-answer",
         "seconds = 3.0",
         "one whole answer within its limit",
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_lost_answer_is_found() {
-    finds(
+    assert_finds(
         "lost-answer",
         "seconds = 3.0",
         "one whole answer within its limit",
@@ -192,7 +192,7 @@
 
 #[test]
 fn an_altered_answer_is_found() {
-    finds(
+    assert_finds(
         "altered-answer",
         "seconds = 3.0",
         "rows as an engine made them",
@@ -201,7 +201,7 @@
 
 #[test]
 fn an_attempt_after_the_answer_is_found() {
-    finds(
+    assert_finds(
         "attempt-after-answer",
         "seconds = 3.0",
         "nothing sent after the answer",
@@ -210,14 +210,14 @@
 
 #[test]
 fn an_effect_made_twice_is_found() {
-    finds("effect-twice", "seconds = 5.0", "no effect twice");
+    assert_finds("effect-twice", "seconds = 5.0", "no effect twice");
 }
 
 #[test]
-fn a_drain_that_a_gateway_does_not_hear_of_is_found() {
+fn a_drain_that_a_gateway_is_not_notified_of_is_found() {
     let drain =
         "seconds = 10.0\n[[events]]\nat = 0.2\nwhat = 'engines-drained'\ncount = 12\ngone_after = 10.0";
-    finds(
+    assert_finds(
         "drain-withheld",
         drain,
         "nothing new to an engine told draining or gone",
@@ -226,7 +226,7 @@
 
 #[test]
 fn queries_of_a_key_that_run_together_are_found() {
-    finds(
+    assert_finds(
         "key-withheld",
         "seconds = 6.0",
         "one at a time for each key",
@@ -236,7 +236,7 @@
 #[test]
 fn uneven_work_is_found() {
     let bound = "seconds = 5.0\n[expect]\nspread_max_over_mean = 5.0\nsucceeded_share = 0.9";
-    finds(
+    assert_finds(
         "uneven-engines",
         bound,
         "attempts at the busiest engine over the mean",
@@ -246,15 +246,15 @@
 #[test]
 fn queries_that_too_seldom_succeed_are_found() {
     let bound = "seconds = 5.0\n[expect]\nsucceeded_share = 0.9";
-    finds("uneven-engines", bound, "share of queries that succeed");
+    assert_finds("uneven-engines", bound, "share of queries that succeed");
 }
 
 #[test]
-fn a_change_told_late_is_found() {
+fn a_change_published_late_is_found() {
     let burst =
         "seconds = 4.0\n[[events]]\nat = 0.5\nwhat = 'changes-burst'\ncount = 5\nover = 2.0\n";
     let text = format!("{burst}[expect]\nchange_seen_ms = 1000");
-    finds(
+    assert_finds(
         "slow-log",
         &text,
         "ms until 99 in 100 watchers see a change",
@@ -264,7 +264,7 @@
 #[test]
 fn a_gateway_that_does_not_end_cleanly_is_found() {
     let term = "seconds = 3.0\n[[events]]\nat = 1.0\nwhat = 'gateway-terminated'\ngateway = 1";
-    finds("killed-drain", term, "terminated gateways end cleanly");
+    assert_finds("killed-drain", term, "terminated gateways end cleanly");
 }
 
 const WITHOUT_SLIP: &str =
@@ -273,14 +273,14 @@
 #[test]
 fn a_gateway_that_meets_too_many_engines_and_an_engine_that_meets_too_many_gateways_are_found() {
     let text = format!("{WITHOUT_SLIP}[expect]\nengines_a_gateway = 6");
-    finds_in(
+    assert_finds_in(
         "many-engines",
         &text,
         gateway_binary(),
         "engines a gateway meets",
     );
     let text = format!("{WITHOUT_SLIP}[expect]\ngateways_an_engine = 1");
-    finds_in(
+    assert_finds_in(
         "many-gateways",
         &text,
         gateway_binary(),
@@ -300,13 +300,13 @@
     std::fs::write(&script, lines).unwrap();
     std::fs::set_permissions(&script, std::fs::Permissions::from_mode(0o755)).unwrap();
     let text = format!("{WITHOUT_SLIP}[expect]\nready_ms = 1000");
-    finds_in("slow-start", &text, &script, "ms until a gateway is ready");
+    assert_finds_in("slow-start", &text, &script, "ms until a gateway is ready");
 }
 
 #[test]
 fn a_run_in_which_nothing_is_played_fails() {
     let text = WITHOUT_SLIP.replace("60.0", "0.0");
-    finds_in("nothing", &text, gateway_binary(), "something was played");
+    assert_finds_in("nothing", &text, gateway_binary(), "something was played");
 }
 
 #[test]
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_gateway_that_ends_at_once_is_told_with_its_log() {
+fn a_gateway_that_ends_at_once_is_reported_with_its_log() {
     let file = experiment("ends", WITHOUT_SLIP);
     let child = start(&file, Path::new("/bin/false"));
     let folder = std::env::temp_dir().join(format!("garnetwall-beside-{}", child.id()));
@@ -365,13 +365,13 @@
 }
 
 #[test]
-fn a_faulty_experiment_is_told_with_its_place() {
+fn a_faulty_experiment_is_reported_with_its_place() {
     let cases = [
         ("gateways = 0", "gateways: 0 is not from 1 to 200"),
         ("gateways = 'two'", "invalid type: string"),
         ("gateways = 2\nslip = 'none'", "unknown variant `none`"),
     ];
-    for (number, (line, told)) in cases.into_iter().enumerate() {
+    for (number, (line, reported)) in cases.into_iter().enumerate() {
         let text =
             format!("{line}\nseed = 1\nengines = 5\nwatchers = 0\nseconds = 1.0\nqueries_per_second = 1.0\n");
         let output = run(
@@ -380,6 +380,6 @@
         );
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains(told), "{said}");
+        assert!(said.contains(reported), "{said}");
     }
 }
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The hollow fleet in small: it passes, the same seed plays the same, and each slip is found where it belongs.
+//! The hollow fleet in small: it passes, the same seed plays the same, and each injected fault is found where it belongs.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -34,14 +34,14 @@
     path
 }
 
-fn is_found(from: &str, slip: &str, finding: &str) {
-    let path = changed(from, slip, |text| format!("slip = \"{slip}\"\n{text}"));
+fn assert_found(from: &str, fault: &str, finding: &str) {
+    let path = changed(from, fault, |text| format!("slip = \"{fault}\"\n{text}"));
     let output = play(&path, &[]);
     let shown = text(&output);
-    assert_eq!(output.status.code(), Some(1), "{slip}: {shown}");
+    assert_eq!(output.status.code(), Some(1), "{fault}: {shown}");
     assert!(
         shown.contains(&format!("FAIL {finding}:")),
-        "{slip} is not found:\n{shown}"
+        "{fault} is not found:\n{shown}"
     );
 }
 
@@ -94,24 +94,24 @@
 }
 
 #[test]
-fn a_bad_experiment_is_told_with_its_place() {
+fn a_bad_experiment_is_reported_with_its_place() {
     for (name, from, to, place) in [
         ("no-engines", "count = 60", "count = 0", "engines.count"),
         ("no-such-zone", "which = 2", "which = 4", "script.which"),
         ("misspelt", "settle =", "setle =", "setle"),
     ] {
         let output = play(&changed(SMALL, name, |text| text.replace(from, to)), &[]);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{name}: {told}");
-        assert!(told.contains(place), "{name}: {told}");
+        let reported = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{name}: {reported}");
+        assert!(reported.contains(place), "{name}: {reported}");
     }
 }
 
 #[test]
-fn slips_against_one_answer_in_time_are_found() {
-    is_found(SMALL, "answer-twice", "rule 1, one final answer in time");
-    is_found(SMALL, "answer-late", "rule 1, one final answer in time");
-    is_found(
+fn injected_faults_against_one_answer_in_time_are_found() {
+    assert_found(SMALL, "answer-twice", "rule 1, one final answer in time");
+    assert_found(SMALL, "answer-late", "rule 1, one final answer in time");
+    assert_found(
         SMALL,
         "send-after-answer",
         "rule 1, one final answer in time",
@@ -119,13 +119,13 @@
 }
 
 #[test]
-fn a_slip_that_loses_answers_is_found() {
-    is_found(SMALL, "answers-lost", "queries that succeed");
+fn an_injected_fault_that_loses_answers_is_found() {
+    assert_found(SMALL, "answers-lost", "queries that succeed");
 }
 
 #[test]
-fn a_slip_that_sends_to_draining_engines_is_found() {
-    is_found(
+fn an_injected_fault_that_sends_to_draining_engines_is_found() {
+    assert_found(
         SMALL,
         "send-to-draining",
         "rule 3, engines told draining or gone",
@@ -133,40 +133,40 @@
 }
 
 #[test]
-fn slips_against_cold_engines_are_found() {
-    is_found(
+fn injected_faults_against_cold_engines_are_found() {
+    assert_found(
         COLD,
         "holders-forgotten",
         "rule 4, cold engines under the sum",
     );
-    is_found(COLD, "cold-shunned", "cold budget used");
-    is_found(SMALL, "starts-untold", "engines told cold");
+    assert_found(COLD, "cold-shunned", "cold budget used");
+    assert_found(SMALL, "starts-untold", "engines told cold");
 }
 
 #[test]
-fn a_slip_against_the_order_of_keys_is_found() {
-    is_found(SMALL, "order-forgotten", "rule 5, order of a key");
+fn an_injected_fault_against_the_order_of_keys_is_found() {
+    assert_found(SMALL, "order-forgotten", "rule 5, order of a key");
 }
 
 #[test]
-fn a_slip_against_placement_is_found() {
-    is_found(SMALL, "placement-forgotten", "rule 6, placement");
+fn an_injected_fault_against_placement_is_found() {
+    assert_found(SMALL, "placement-forgotten", "rule 6, placement");
 }
 
 #[test]
-fn a_slip_against_the_retry_budget_is_found() {
-    is_found(SMALL, "budget-forgotten", "rule 7, retry budget");
+fn an_injected_fault_against_the_retry_budget_is_found() {
+    assert_found(SMALL, "budget-forgotten", "rule 7, retry budget");
 }
 
 #[test]
-fn slips_against_subsets_are_found() {
-    is_found(SMALL, "half-joined", "spread of work");
-    is_found(SMALL, "all-connected", "gateways an engine meets");
-    is_found(SMALL, "no-refill", "full subsets after a zone's loss");
+fn injected_faults_against_subsets_are_found() {
+    assert_found(SMALL, "half-joined", "spread of work");
+    assert_found(SMALL, "all-connected", "gateways an engine meets");
+    assert_found(SMALL, "no-refill", "full subsets after a zone's loss");
 }
 
 #[test]
-fn slips_against_the_change_log_are_found() {
-    is_found(SMALL, "deaf", "time until known");
-    is_found(SMALL, "never-in-force", "time until in force");
+fn injected_faults_against_the_change_log_are_found() {
+    assert_found(SMALL, "deaf", "time until known");
+    assert_found(SMALL, "never-in-force", "time until in force");
 }
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -216,11 +216,11 @@
     ];
     for (text, expected) in cases {
         let output = slopes(&scratch.experiment(&text), None);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{text}: {told}");
+        let reported = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{text}: {reported}");
         assert!(
-            told.contains(expected) && told.contains("experiment.toml"),
-            "{expected}: {told}"
+            reported.contains(expected) && reported.contains("experiment.toml"),
+            "{expected}: {reported}"
         );
     }
     let missing = slopes(&scratch.0.join("none.toml"), None);
@@ -233,9 +233,9 @@
     let scratch = Scratch::new("slow");
     let text = "role = \"membership\"\nsweep = \"members\"\nsizes = [200, 300, 400, 500]\nruns = 1\nseed = 5\npoint-limit = 0.05\n";
     let output = slopes(&scratch.experiment(text), None);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(2), "{told}");
-    assert!(told.contains("the point took over 50ms"), "{told}");
+    let reported = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{reported}");
+    assert!(reported.contains("the point took over 50ms"), "{reported}");
 }
 
 /// The experiments that the pages quote can be read.
@@ -259,10 +259,10 @@
             &scratch.experiment(&format!("point-limit = 0.001\n{text}")),
             None,
         );
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
+        let reported = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            told.contains("the point took over 1ms"),
-            "{}: {told}",
+            reported.contains("the point took over 1ms"),
+            "{}: {reported}",
             path.display()
         );
         count += 1;
--- a/crates/scale/tests/spread.rs
+++ b/crates/scale/tests/spread.rs
@@ -1,4 +1,4 @@
-//! `garnetwall-scale spread` from outside: its verdict, each slip found, bad experiments refused.
+//! `garnetwall-scale spread` from outside: its verdict, each injected fault found, bad experiments refused.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -88,8 +88,8 @@
     );
 }
 
-/// Each slip, and what the judge says of it.
-const SLIPS: [(&str, &[&str]); 6] = [
+/// Each injected fault, and what the judge says of it.
+const INJECTED_FAULTS: [(&str, &[&str]); 6] = [
     (
         "unheld-engine",
         &[
@@ -116,24 +116,24 @@
 ];
 
 #[test]
-fn each_slip_is_found() {
+fn each_injected_fault_is_found() {
     let shorter = shorter();
-    let unslipped = verdict(&spread(&experiment("unslipped", &shorter), &[]));
-    assert!(unslipped.0.is_empty(), "{unslipped:#?}");
-    for (slip, found) in SLIPS {
+    let fault_free = verdict(&spread(&experiment("fault_free", &shorter), &[]));
+    assert!(fault_free.0.is_empty(), "{fault_free:#?}");
+    for (fault, found) in INJECTED_FAULTS {
         let output = spread(
-            &experiment(slip, &format!("slip = \"{slip}\"\n{shorter}")),
+            &experiment(fault, &format!("slip = \"{fault}\"\n{shorter}")),
             &[],
         );
         let (failed, last) = verdict(&output);
         for wanted in found {
             assert!(
                 failed.iter().any(|line| line.contains(wanted)),
-                "{slip}: {wanted}: {failed:#?}"
+                "{fault}: {wanted}: {failed:#?}"
             );
         }
-        assert!(!last.ends_with(" 0 failed"), "{slip}: {last}");
-        assert_eq!(output.status.code(), Some(1), "{slip}");
+        assert!(!last.ends_with(" 0 failed"), "{fault}: {last}");
+        assert_eq!(output.status.code(), Some(1), "{fault}");
     }
 }
 
