--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -48,6 +48,30 @@
     }
 }
 
+/// A key whose value can't be used, and why.
+pub struct Fault {
+    pub key: &'static str,
+    pub found: String,
+    pub expected: &'static str,
+    pub remedy: &'static str,
+}
+
+impl Fault {
+    pub fn new(
+        key: &'static str,
+        found: impl ToString,
+        expected: &'static str,
+        remedy: &'static str,
+    ) -> Self {
+        Fault {
+            key,
+            found: found.to_string(),
+            expected,
+            remedy,
+        }
+    }
+}
+
 /// Reads an experiment.
 ///
 /// # Errors
--- a/crates/scale/src/slopes/chart.rs
+++ b/crates/scale/src/slopes/chart.rs
@@ -4,6 +4,7 @@
 use super::settings::Quantity;
 use plotters::prelude::*;
 use std::error::Error;
+use std::ops::Range;
 use std::path::Path;
 
 const SIZE: (u32, u32) = (640, 420);
@@ -12,8 +13,8 @@
 const POINT: i32 = 4;
 /// Points of the fitted curve.
 const CURVE_POINTS: u32 = 64;
-/// Room around the values, as a factor.
-const AROUND: f64 = 2.0;
+/// Space around the values, as a factor.
+const MARGIN_FACTOR: f64 = 2.0;
 
 /// Draws the medians, the fit and what was measured outside of its range.
 ///
@@ -31,21 +32,13 @@
         .iter()
         .map(|p| (p.measured.size, p.measured.median()))
         .collect();
-    let all = || {
-        medians
-            .iter()
-            .chain(&outside)
-            .copied()
-            .filter(|(_, value)| *value > 0.0)
-    };
-    let range = |of: fn((f64, f64)) -> f64| {
-        let least = all().map(of).fold(f64::INFINITY, f64::min) / AROUND;
-        least..all().map(of).fold(0.0, f64::max) * AROUND
-    };
-    let (sizes, values) = (range(|(size, _)| size), range(|(_, value)| value));
-    if all().next().is_none() {
+    let mut positive = medians.iter().chain(&outside).copied().collect::<Vec<_>>();
+    positive.retain(|(_, value)| *value > 0.0);
+    if positive.is_empty() {
         return Ok(());
     }
+    let sizes = axis_range(positive.iter().map(|(size, _)| *size));
+    let values = axis_range(positive.iter().map(|(_, value)| *value));
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -58,22 +51,32 @@
         .x_desc(quantity.label())
         .y_desc(series.metric.label())
         .draw()?;
-    let step = (sizes.end / sizes.start).powf(1.0 / f64::from(CURVE_POINTS));
-    let curve = (0..=CURVE_POINTS).map(|n| sizes.start * step.powi(n as i32));
-    let curve = curve
-        .map(|size| (size, series.fit.predict(size)))
-        .filter(|(_, value)| values.contains(value));
+    let curve = fitted_curve(series, &sizes);
+    let curve = curve.filter(|(_, value)| values.contains(value));
     chart.draw_series(LineSeries::new(curve, &BLUE))?;
-    chart.draw_series(
-        medians
-            .iter()
-            .map(|point| Circle::new(*point, POINT, BLUE.filled())),
-    )?;
-    chart.draw_series(
-        outside
-            .iter()
-            .map(|point| Circle::new(*point, POINT, RED.filled())),
-    )?;
+    let circle =
+        |color: RGBColor| move |point: &(f64, f64)| Circle::new(*point, POINT, color.filled());
+    chart.draw_series(medians.iter().map(circle(BLUE)))?;
+    chart.draw_series(outside.iter().map(circle(RED)))?;
     area.present()?;
     Ok(())
 }
+
+/// The range of an axis, with room on both sides.
+fn axis_range(values: impl Iterator<Item = f64> + Clone) -> Range<f64> {
+    let least = values.clone().fold(f64::INFINITY, f64::min);
+    let most = values.fold(0.0, f64::max);
+    least / MARGIN_FACTOR..most * MARGIN_FACTOR
+}
+
+fn fitted_curve<'a>(
+    series: &'a Series,
+    sizes: &Range<f64>,
+) -> impl Iterator<Item = (f64, f64)> + 'a {
+    let smallest = sizes.start;
+    let step = (sizes.end / sizes.start).powf(1.0 / f64::from(CURVE_POINTS));
+    (0..=CURVE_POINTS).map(move |n| {
+        let size = smallest * step.powi(n as i32);
+        (size, series.regression.predict(size))
+    })
+}
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/configuration.rs
@@ -23,18 +23,9 @@
             growth(|| timed(|| configuration::read(files(), |_| None)))?;
         config.map_err(|error| RoleError::Data(error.to_string()))?;
         Ok(vec![
-            Measured {
-                metric: Metric::Read,
-                value: read,
-            },
-            Measured {
-                metric: Metric::Resident,
-                value: resident,
-            },
-            Measured {
-                metric: Metric::ListBytes,
-                value: bytes,
-            },
+            Measured::new(Metric::Read, read),
+            Measured::new(Metric::Resident, resident),
+            Measured::new(Metric::ListBytes, bytes),
         ])
     }
 }
@@ -63,7 +54,7 @@
     )
 }
 
-/// A file that is gone once it is dropped.
+/// A file that is deleted once it is dropped.
 struct TemporaryFile {
     path: PathBuf,
 }
@@ -81,7 +72,7 @@
 
 impl Drop for TemporaryFile {
     fn drop(&mut self) {
-        // Where it is gone already nothing is left to do.
+        // It may have been deleted already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/crates/scale/src/slopes/gateway_list.rs
+++ b/crates/scale/src/slopes/gateway_list.rs
@@ -1,4 +1,4 @@
-//! The gateway's own list of engines, in the one place where this tool touches it.
+//! Adapter to the gateway's own endpoint list.
 
 use super::measurement::RoleError;
 use super::pool::{kind_name, subset_settings, zone_name, KIND_CORES, ZONES};
@@ -8,17 +8,17 @@
 use garnetwall_settings::Names;
 use std::time::Duration;
 
-/// Queries know of an engine that has gone for so long at most; usual limits.
-const KEPT: Duration = Duration::from_secs(22);
+/// A removed engine is remembered for so long, for queries that still use it.
+const REMOVED_ENGINE_RETENTION: Duration = Duration::from_secs(22);
 
-/// A gateway's list of engines, with the names that its lines use.
+/// A gateway's endpoint list, with the names that its entries use.
 pub struct GatewayList {
     names: NameIndex,
     list: EngineList,
 }
 
 impl GatewayList {
-    /// The list of a gateway that works with all engines, or with a subset where a size is told.
+    /// The list of a gateway that works with all engines, or with a subset where a size is set.
     ///
     /// # Errors
     ///
@@ -41,7 +41,7 @@
             .filter(|size| *size > 0)
             .map(select)
             .transpose()?;
-        let list = EngineList::new(KEPT, Clock::start(), selection);
+        let list = EngineList::new(REMOVED_ENGINE_RETENTION, Clock::start(), selection);
         Ok(GatewayList {
             names: NameIndex::new(&names),
             list,
@@ -58,7 +58,7 @@
             .map_err(|error| RoleError::Data(error.to_string()))
     }
 
-    /// Takes an event in; how many lines the module would be told.
+    /// Applies an event; returns the number of endpoint updates for the module.
     pub fn apply(&self, event: Event) -> usize {
         self.list.apply(event).updates.len()
     }
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -5,25 +5,29 @@
 use garnetwall_fleet::{Ask, Claim, Epoch, Grantor, Member, Terms, Thing};
 use std::time::Duration;
 
-/// A lease of two seconds, asked for each quarter of it.
-const LEASE: Duration = Duration::from_secs(2);
-const TERM: Duration = Duration::from_millis(1990);
-const ASKS_A_TERM: u64 = 4;
+/// A lease of two seconds, renewed each quarter of it.
+const LEASE_LENGTH: Duration = Duration::from_secs(2);
+const TERM_LENGTH: Duration = Duration::from_millis(1990);
+const RENEWALS_PER_TERM: u64 = 4;
 const GRANTORS: usize = 3;
-/// Things that the grantor may keep.
-const MOST_THINGS: usize = 100_000;
+/// Leases that the grantor may store.
+const MAX_LEASES: usize = 100_000;
 
 pub struct Leases;
 
 impl Role for Leases {
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let members = point.quantities.members;
-        let terms = Terms::unchecked(LEASE, TERM, GRANTORS);
+        let terms = Terms::unchecked(LEASE_LENGTH, TERM_LENGTH, GRANTORS);
         let mut grantor =
-            Grantor::start(Duration::ZERO, 0, 1, &terms, members as usize, MOST_THINGS);
-        let begin = LEASE * 2;
+            Grantor::start(Duration::ZERO, 0, 1, &terms, members as usize, MAX_LEASES);
+        let begin = LEASE_LENGTH * 2;
         let (resident, refused) = growth(|| {
-            let first = |member: u64| grantor.asked(begin, &ask(member, 1, true)).is_err();
+            let first = |member: u64| {
+                grantor
+                    .asked(begin, &lease_request(member, 1, true))
+                    .is_err()
+            };
             (0..members).map(first).filter(|refused| *refused).count()
         })?;
         if refused > 0 {
@@ -32,29 +36,23 @@
             )));
         }
         // Renewals of all members in turn, evenly over a quarter of the term.
-        let step = TERM.as_nanos() as u64 / ASKS_A_TERM / members;
+        let step = TERM_LENGTH.as_nanos() as u64 / RENEWALS_PER_TERM / members;
         let renewal = repeated(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
             grantor.asked(
                 now,
-                &ask(repeat % members, 2 + (repeat / members) as u32, false),
+                &lease_request(repeat % members, 2 + (repeat / members) as u32, false),
             )
         });
         Ok(vec![
-            Measured {
-                metric: Metric::Renewal,
-                value: renewal,
-            },
-            Measured {
-                metric: Metric::Resident,
-                value: resident,
-            },
+            Measured::new(Metric::Renewal, renewal),
+            Measured::new(Metric::Resident, resident),
         ])
     }
 }
 
-/// What a member asks: that its stay goes on, and at first one thing.
-fn ask(member: u64, number: u32, claims: bool) -> Ask {
+/// A member's request: to renew its membership, and at first to claim one lease.
+fn lease_request(member: u64, number: u32, claims: bool) -> Ask {
     /// After any that the grantor's start rules out.
     const FIRST_EPOCH: Epoch = Epoch(1 << 40);
     let claim = Claim {
--- a/crates/scale/src/slopes/ledger.rs
+++ b/crates/scale/src/slopes/ledger.rs
@@ -34,14 +34,8 @@
             *slot = begin(&mut ledger, now);
         });
         Ok(vec![
-            Measured {
-                metric: Metric::Attempt,
-                value: attempt,
-            },
-            Measured {
-                metric: Metric::Resident,
-                value: resident,
-            },
+            Measured::new(Metric::Attempt, attempt),
+            Measured::new(Metric::Resident, resident),
         ])
     }
 }
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -5,9 +5,9 @@
 use super::pool;
 use super::stopwatch::{each, growth, repeated, timed};
 
-/// Whole lists that come again, and changed lines, in one run.
+/// Repeated whole lists, and changed entries, in one run.
 const WHOLE_LISTS: usize = 8;
-const CHANGED_LINES: usize = 8192;
+const CHANGED_ENTRIES: usize = 8192;
 
 pub struct List;
 
@@ -17,57 +17,38 @@
         let text = pool::whole_list(engines);
         let changed = engine_changes(engines);
         let list = GatewayList::new(&point.quantities)?;
-        // The event is dropped once it was taken in, as in the gateway.
+        // The event is dropped once it was applied, as in the gateway.
         let (resident, times) = growth(|| first_list(&list, &text))?;
         let (decode_list, first_list) = times?;
         let whole = list.decode(&text)?;
         let whole_list = each(vec![whole; WHOLE_LISTS], |event| list.apply(event));
-        let line = |repeat: u64| &changed[repeat as usize % changed.len()];
-        let decode_line = repeated(|repeat| list.decode(line(repeat)));
+        let entry = |repeat: u64| &changed[repeat as usize % changed.len()];
+        let decode_entry = repeated(|repeat| list.decode(entry(repeat)));
         let events = changed
             .iter()
             .map(|text| list.decode(text))
             .collect::<Result<Vec<_>, _>>()?;
-        let events = events.iter().cycle().take(CHANGED_LINES).cloned().collect();
-        let changed_line = each(events, |event| list.apply(event));
+        let events = events
+            .iter()
+            .cycle()
+            .take(CHANGED_ENTRIES)
+            .cloned()
+            .collect();
+        let changed_entry = each(events, |event| list.apply(event));
         Ok(vec![
-            Measured {
-                metric: Metric::ListBytes,
-                value: text.len() as f64,
-            },
-            Measured {
-                metric: Metric::LineBytes,
-                value: changed[0].len() as f64,
-            },
-            Measured {
-                metric: Metric::DecodeList,
-                value: decode_list,
-            },
-            Measured {
-                metric: Metric::DecodeLine,
-                value: decode_line,
-            },
-            Measured {
-                metric: Metric::FirstList,
-                value: first_list,
-            },
-            Measured {
-                metric: Metric::WholeList,
-                value: whole_list,
-            },
-            Measured {
-                metric: Metric::ChangedLine,
-                value: changed_line,
-            },
-            Measured {
-                metric: Metric::Resident,
-                value: resident,
-            },
+            Measured::new(Metric::ListBytes, text.len() as f64),
+            Measured::new(Metric::LineBytes, changed[0].len() as f64),
+            Measured::new(Metric::DecodeList, decode_list),
+            Measured::new(Metric::DecodeLine, decode_entry),
+            Measured::new(Metric::FirstList, first_list),
+            Measured::new(Metric::WholeList, whole_list),
+            Measured::new(Metric::ChangedLine, changed_entry),
+            Measured::new(Metric::Resident, resident),
         ])
     }
 }
 
-/// Processor time of the first whole list: its decoding, and its taking in.
+/// Processor time of the first whole list: decoding and applying it.
 fn first_list(list: &GatewayList, text: &str) -> Result<(f64, f64), RoleError> {
     let (decode, event) = timed(|| list.decode(text));
     let event = event?;
@@ -75,7 +56,7 @@
     Ok((decode, apply))
 }
 
-/// Events that each change one line, spread over the list: engines drain, and serve again.
+/// Events that each change one entry, spread over the list: engines drain, and serve again.
 fn engine_changes(engines: u64) -> Vec<String> {
     const CHANGES: u64 = 64;
     let change = |number: u64| {
@@ -85,7 +66,7 @@
             "SERVING"
         };
         let engine = pool::engine(number / 2 * engines / CHANGES * 2 % engines);
-        pool::log_event(number + 2, false, std::iter::once(engine.log_line(state)))
+        pool::log_event(number + 2, false, std::iter::once(engine.log_entry(state)))
     };
     (0..CHANGES).map(change).collect()
 }
--- a/crates/scale/src/slopes/measurement.rs
+++ b/crates/scale/src/slopes/measurement.rs
@@ -1,4 +1,4 @@
-//! What is measured at a point, and how the measuring process is told of it.
+//! What is measured at a point, and the input and output of the measuring process.
 
 use super::settings::{Fixed, RoleName};
 use serde::{Deserialize, Serialize};
@@ -12,25 +12,25 @@
     Query,
     /// Share of a core that the decisions take at the rate of the point, in hundredths.
     CoreShare,
-    /// How often the module was asked where to send a query, before it was sent.
+    /// Placement decisions of the module for each query.
     Draws,
-    /// Processor microseconds of the whole list, when it comes for the first time.
+    /// Processor microseconds of the first whole list.
     FirstList,
-    /// Processor microseconds of the whole list, when it comes again.
+    /// Processor microseconds of a repeated whole list.
     WholeList,
-    /// Processor microseconds of one changed line.
+    /// Processor microseconds of one changed entry.
     ChangedLine,
     /// Processor microseconds of decoding the whole list.
     DecodeList,
-    /// Processor microseconds of decoding one changed line.
+    /// Processor microseconds of decoding one changed entry.
     DecodeLine,
     /// Bytes of the whole list as it is sent.
     ListBytes,
-    /// Bytes of one changed line as it is sent.
+    /// Bytes of one changed entry as it is sent.
     LineBytes,
     /// Resident bytes that were added.
     Resident,
-    /// Resident bytes that each further subset of one catalog adds.
+    /// Resident bytes that each additional subset of one catalog adds.
     SubsetBytes,
     /// Engines of the subset.
     SubsetEngines,
@@ -85,7 +85,13 @@
     pub value: f64,
 }
 
-/// What the measuring process is told.
+impl Measured {
+    pub fn new(metric: Metric, value: f64) -> Self {
+        Measured { metric, value }
+    }
+}
+
+/// The input of the measuring process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Point {
     pub role: RoleName,
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -11,13 +11,13 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Simulated time goes on by this, in milliseconds.
-const STEP: u64 = 10;
-/// Each member's timers are looked at least this often, in milliseconds.
-const LOOK_EVERY: u64 = 100;
-/// A message is on its way for 1 to this many milliseconds.
-const LONGEST_TRIP: u64 = 20;
-/// Members whom a new one asks to be taken in.
+/// The step of simulated time.
+const STEP_MS: u64 = 10;
+/// Each member's timers are checked at least this often.
+const TIMER_CHECK_INTERVAL_MS: u64 = 100;
+/// A message takes 1 to this many milliseconds.
+const MAX_LATENCY_MS: u64 = 20;
+/// Members that a new one contacts to join.
 const CONTACTS: usize = 3;
 const PORT: u16 = 7946;
 
@@ -27,35 +27,26 @@
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let members = point.quantities.members as usize;
         let span = (point.quantities.seconds * 1000.0) as u64;
-        // Members come to know one another first.
+        // Members discover each other first.
         let settling = (point.quantities.settling * 1000.0) as u64;
         let (resident, mut network) = growth(|| {
             let mut network = Network::start(members, point.quantities.loss, point.seed);
             network.play(settling);
             network
         })?;
-        let sent_before = network.bytes_sent;
-        let (taken, ()) = timed(|| network.play(span));
+        let bytes_before = network.bytes_out;
+        let (spent, ()) = timed(|| network.play(span));
         let member_seconds = members as f64 * span as f64 / 1000.0;
-        let sent = (network.bytes_sent - sent_before) as f64;
+        let bytes = (network.bytes_out - bytes_before) as f64;
         Ok(vec![
-            Measured {
-                metric: Metric::MemberBytes,
-                value: sent / member_seconds,
-            },
-            Measured {
-                metric: Metric::MemberTime,
-                value: taken / member_seconds,
-            },
-            Measured {
-                metric: Metric::MemberResident,
-                value: resident / members as f64,
-            },
+            Measured::new(Metric::MemberBytes, bytes / member_seconds),
+            Measured::new(Metric::MemberTime, spent / member_seconds),
+            Measured::new(Metric::MemberResident, resident / members as f64),
         ])
     }
 }
 
-/// A datagram on its way, the first to come first.
+/// A datagram in transit, ordered by its arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Datagram {
     due: u64,
@@ -72,9 +63,9 @@
     wire: Wire,
     members: Vec<Members>,
     by_address: HashMap<SocketAddrV4, usize>,
-    on_the_way: BinaryHeap<Reverse<Datagram>>,
+    in_transit: BinaryHeap<Reverse<Datagram>>,
     sequence: u64,
-    bytes_sent: u64,
+    bytes_out: u64,
 }
 
 fn address(member: usize) -> SocketAddrV4 {
@@ -109,30 +100,30 @@
             members: (0..size).map(start).collect(),
             by_address: addresses.iter().copied().zip(0..).collect(),
             wire,
-            on_the_way: BinaryHeap::new(),
+            in_transit: BinaryHeap::new(),
             sequence: 0,
-            bytes_sent: 0,
+            bytes_out: 0,
         }
     }
 
-    /// Plays so many milliseconds.
+    /// Runs the network for so many milliseconds.
     fn play(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
             self.deliver();
             (0..self.members.len()).for_each(|member| self.run(member));
-            self.now += STEP;
+            self.now += STEP_MS;
         }
     }
 
     fn deliver(&mut self) {
         let now = Duration::from_millis(self.now);
         while self
-            .on_the_way
+            .in_transit
             .peek()
             .is_some_and(|Reverse(datagram)| datagram.due <= self.now)
         {
-            let Some(Reverse(datagram)) = self.on_the_way.pop() else {
+            let Some(Reverse(datagram)) = self.in_transit.pop() else {
                 return;
             };
             if let Ok(Message::Swim(bytes)) = self.wire.read(&datagram.bytes) {
@@ -145,18 +136,20 @@
     fn run(&mut self, member: usize) {
         let now = Duration::from_millis(self.now);
         let running = &mut self.members[member];
-        if running.next().is_some_and(|at| at <= now) || self.now.is_multiple_of(LOOK_EVERY) {
+        if running.next().is_some_and(|at| at <= now)
+            || self.now.is_multiple_of(TIMER_CHECK_INTERVAL_MS)
+        {
             running.tick(now);
         }
         running.news();
         for (to, bytes) in running.sends() {
-            self.bytes_sent += bytes.len() as u64;
+            self.bytes_out += bytes.len() as u64;
             let lost = self.rng.random_range(0..100) < self.loss;
-            let trip = self.rng.random_range(1..=LONGEST_TRIP);
+            let trip = self.rng.random_range(1..=MAX_LATENCY_MS);
             if let Some(to) = self.by_address.get(&to).copied().filter(|_| !lost) {
                 self.sequence += 1;
                 let (due, sequence) = (self.now + trip, self.sequence);
-                self.on_the_way.push(Reverse(Datagram {
+                self.in_transit.push(Reverse(Datagram {
                     due,
                     sequence,
                     to,
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -3,7 +3,6 @@
 
 mod chart;
 mod configuration;
-mod fit;
 mod gateway_list;
 mod leases;
 mod ledger;
@@ -12,6 +11,7 @@
 mod membership;
 mod module;
 mod pool;
+mod regression;
 mod report;
 mod runner;
 mod settings;
@@ -20,9 +20,9 @@
 
 use crate::results::Results;
 use crate::{Run, Verdict};
-use fit::{Fit, Sample};
 use indicatif::{ProgressBar, ProgressStyle};
 use measurement::{Measured, Metric, Point, Role};
+use regression::{Regression, Sample};
 use report::{number, Prediction, Series, ValueRow};
 use runner::Runner;
 use settings::{Experiment, Limit, RoleName};
@@ -59,7 +59,7 @@
     }
 }
 
-/// Measures the point that standard input tells, and writes the values to standard output.
+/// Measures the point on standard input, and writes the values to standard output.
 pub fn measure_point() -> Verdict {
     let point: Point = serde_json::from_reader(std::io::stdin())?;
     let measured = point.role.role().measure(&point)?;
@@ -86,7 +86,7 @@
     Ok(judge(&experiment, &all_series))
 }
 
-/// Measures all points. The sizes come in turn in each run, so that a change of the machine's load meets all of them.
+/// Measures all points. Each run takes the sizes in turn, so that a change of the machine's load affects all of them.
 fn measure_all(
     experiment: &Experiment,
     results: &mut Results,
@@ -103,27 +103,17 @@
     for run in 0..experiment.runs {
         for size in &sizes {
             progress.set_message(format!("{} {}", size, experiment.sweep.label()));
-            let seed = experiment.seed + u64::from(run);
-            let quantities = experiment.fixed.with(experiment.sweep, *size);
-            let measured = runner.measure(&Point {
-                role: experiment.role,
-                seed,
-                quantities,
-            })?;
-            for Measured { metric, value } in measured {
-                values
-                    .entry(metric)
-                    .or_default()
-                    .entry(*size)
-                    .or_default()
-                    .push(value);
+            let point = point(experiment, run, *size);
+            for Measured { metric, value } in runner.measure(&point)? {
+                let sizes = values.entry(metric).or_default();
+                sizes.entry(*size).or_default().push(value);
                 results.add(&ValueRow {
                     role: experiment.role.label(),
                     metric: metric.label(),
                     quantity: experiment.sweep.label(),
                     size: *size,
                     run,
-                    seed,
+                    seed: point.seed,
                     value,
                 })?;
             }
@@ -134,6 +124,14 @@
     Ok(values)
 }
 
+fn point(experiment: &Experiment, run: u32, size: u64) -> Point {
+    Point {
+        role: experiment.role,
+        seed: experiment.seed + u64::from(run),
+        quantities: experiment.fixed.with(experiment.sweep, size),
+    }
+}
+
 /// A bar on standard error, hidden where that is no terminal.
 fn progress(points: u64) -> ProgressBar {
     let bar = ProgressBar::new(points);
@@ -147,15 +145,15 @@
         .and_then(|size| Some((size, sizes.remove(&size)?)));
     let sample = |(size, values): (u64, Vec<f64>)| Sample::new(size as f64, values);
     let samples: Vec<Sample> = sizes.into_iter().map(sample).collect();
-    let fit = Fit::new(&samples);
+    let regression = Regression::new(&samples);
     let predicted = outside.map(|(size, values)| Prediction {
-        value: fit.predict(size as f64),
+        value: regression.predict(size as f64),
         measured: sample((size, values)),
     });
     Series {
         metric,
         samples,
-        fit,
+        regression,
         predicted,
     }
 }
@@ -169,11 +167,11 @@
     for series in all_series {
         println!("{}", series.table(experiment.sweep));
     }
-    let rows: String = all_series.iter().map(Series::fit_row).collect();
-    println!("{}{rows}", report::fit_head(experiment.predict));
+    let rows: String = all_series.iter().map(Series::regression_row).collect();
+    println!("{}{rows}", report::regression_header(experiment.predict));
 }
 
-/// Whether all limits are kept. Each is printed with its figure.
+/// Whether all limits hold. Each is printed with its figure.
 fn judge(experiment: &Experiment, all_series: &[Series]) -> bool {
     let verdicts: Vec<bool> = experiment
         .limits
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/module/engines.rs
@@ -1,4 +1,4 @@
-//! The engines that the module is told of: the whole list, or the members of a subset under indices of their own.
+//! The module's endpoints: the whole list, or the members of a subset under indices of their own.
 
 use crate::slopes::measurement::RoleError;
 use crate::slopes::pool::{self, PoolEngine};
@@ -8,7 +8,7 @@
 use garnetwall_subset::{Action, EngineKey};
 use std::collections::HashMap;
 
-/// Lines of the list on their way to the module.
+/// Translates the list into endpoints for the module.
 pub struct ListedEngines {
     engines: u64,
     subset: Option<Members>,
@@ -40,58 +40,58 @@
         Ok(ListedEngines { engines, subset })
     }
 
-    /// All lines that the module is told.
+    /// All endpoints of the module.
     pub fn whole(&mut self) -> Vec<Endpoint> {
         match self.subset.as_mut() {
             None => (0..self.engines)
-                .map(|number| line(pool::engine(number), EndpointState::Ready))
+                .map(|number| endpoint(pool::engine(number), EndpointState::Ready))
                 .collect(),
-            Some(members) => members.lines(),
+            Some(members) => members.endpoints(),
         }
     }
 
-    /// Takes the whole list in again; the lines that the module is told, and whether these are all.
+    /// Applies the whole list again; returns the module's endpoint updates, and whether these are all endpoints.
     pub fn again(&mut self) -> (Vec<Endpoint>, bool) {
         match self.subset.as_mut() {
             None => (self.whole(), true),
             Some(members) => {
                 let actions = members
                     .chosen
-                    .apply(&super::super::subset::catalog_lines(self.engines), true);
+                    .apply(&super::super::subset::listed_engines(self.engines), true);
                 (members.carry_out(&actions), false)
             }
         }
     }
 
-    /// Takes one changed line in; the lines that the module is told.
+    /// Applies one changed entry; returns the module's endpoint updates.
     pub fn change(&mut self, repeat: u64) -> Vec<Endpoint> {
-        let line_changed = changed(self.engines, repeat);
+        let changed_engine = changed(self.engines, repeat);
         match self.subset.as_mut() {
-            None => vec![whole_list_line(&line_changed)],
+            None => vec![endpoint_of_listed(&changed_engine)],
             Some(members) => {
-                let actions = members.chosen.apply(&[line_changed], false);
+                let actions = members.chosen.apply(&[changed_engine], false);
                 members.carry_out(&actions)
             }
         }
     }
 }
 
-/// The module's line of a line of the catalog, where engines are indexed as they are numbered.
-fn whole_list_line(changed: &garnetwall_subset::ListedEngine) -> Endpoint {
+/// The module's endpoint for an entry of the catalog, where engines are indexed by their numbers.
+fn endpoint_of_listed(changed: &garnetwall_subset::ListedEngine) -> Endpoint {
     let number = changed
         .id
         .trim_start_matches(|c: char| !c.is_ascii_digit())
         .parse()
         .unwrap_or(0);
-    let condition = match changed.facts.state {
+    let state = match changed.facts.state {
         garnetwall_subset::ListedState::Ready => EndpointState::Ready,
         garnetwall_subset::ListedState::Draining => EndpointState::Draining,
         garnetwall_subset::ListedState::Removed => EndpointState::Removed,
     };
-    line(pool::engine(number), condition)
+    endpoint(pool::engine(number), state)
 }
 
-fn line(engine: PoolEngine, condition: EndpointState) -> Endpoint {
+fn endpoint(engine: PoolEngine, state: EndpointState) -> Endpoint {
     let PoolEngine {
         number,
         zone,
@@ -104,7 +104,7 @@
         kind,
         cell,
         started_at: None,
-        state: condition,
+        state,
         gateways: None,
     }
 }
@@ -119,15 +119,15 @@
         }
     }
 
-    fn lines(&self) -> Vec<Endpoint> {
-        let line = |(engine, holders)| {
+    fn endpoints(&self) -> Vec<Endpoint> {
+        let endpoint = |(engine, holders)| {
             let index = self.indices.get(&engine).copied()?;
-            self.line(engine, index, EndpointState::Ready, Some(holders))
+            self.endpoint(engine, index, EndpointState::Ready, Some(holders))
         };
-        self.chosen.subset.members().filter_map(line).collect()
+        self.chosen.subset.members().filter_map(endpoint).collect()
     }
 
-    /// What the module is told of actions.
+    /// The module's endpoint updates for the subset's actions.
     fn carry_out(&mut self, actions: &[Action]) -> Vec<Endpoint> {
         actions
             .iter()
@@ -140,15 +140,15 @@
             Action::Warm(_) => None,
             Action::Join { engine, holders } | Action::Update { engine, holders } => {
                 let index = self.index(engine);
-                self.line(engine, index, EndpointState::Ready, Some(holders))
+                self.endpoint(engine, index, EndpointState::Ready, Some(holders))
             }
             Action::Leave(engine) => {
                 let index = self.indices.remove(&engine)?;
                 self.free.push(index);
-                let gone = self.line(engine, index, EndpointState::Removed, None);
-                gone.or(Some(Endpoint {
+                let removed = self.endpoint(engine, index, EndpointState::Removed, None);
+                removed.or(Some(Endpoint {
                     state: EndpointState::Removed,
-                    ..line_of_unknown(index)
+                    ..endpoint_of_unknown(index)
                 }))
             }
         }
@@ -163,11 +163,11 @@
         index
     }
 
-    fn line(
+    fn endpoint(
         &self,
         engine: EngineKey,
         index: EngineId,
-        condition: EndpointState,
+        state: EndpointState,
         holders: Option<f64>,
     ) -> Option<Endpoint> {
         let facts = self.chosen.catalog.facts(engine)?;
@@ -178,15 +178,15 @@
             kind,
             cell,
             started_at: None,
-            state: condition,
+            state,
             gateways: holders,
         })
     }
 }
 
-/// A line of an engine that is in the catalog no more.
-fn line_of_unknown(index: EngineId) -> Endpoint {
-    line(
+/// The endpoint of an engine that is no longer in the catalog.
+fn endpoint_of_unknown(index: EngineId) -> Endpoint {
+    endpoint(
         PoolEngine {
             number: index as u64,
             zone: 0,
--- a/crates/scale/src/slopes/module/mod.rs
+++ b/crates/scale/src/slopes/module/mod.rs
@@ -18,48 +18,24 @@
         let settings = workload::settings(quantities);
         let (resident, (first_list, mut world)) =
             growth(|| timed(|| World::new(point, settings, engines)))?;
-        // The module hears of its engines first.
+        // The module learns its engines' load first.
         world.play(quantities.settling);
-        let (taken_before, draws_before) = (world.queries_taken, world.draws);
+        let (admitted_before, placements_before) = (world.queries_admitted, world.placements);
         let (spent, ()) = timed(|| world.play(quantities.seconds));
-        let queries = (world.queries_taken - taken_before).max(1) as f64;
-        let draws = (world.draws - draws_before) as f64;
+        let queries = (world.queries_admitted - admitted_before).max(1) as f64;
+        let placements = (world.placements - placements_before) as f64;
         world.check()?;
-        let whole_list = repeated(|_| world.list_again());
-        let changed_line = repeated(|repeat| world.change_line(repeat));
+        let whole_list = repeated(|_| world.update_whole_list());
+        let changed_entry = repeated(|repeat| world.change_endpoint(repeat));
         Ok(vec![
-            Measured {
-                metric: Metric::Query,
-                value: spent / queries,
-            },
-            Measured {
-                metric: Metric::CoreShare,
-                value: spent / quantities.seconds / 1e6 * 100.0,
-            },
-            Measured {
-                metric: Metric::Draws,
-                value: draws / queries,
-            },
-            Measured {
-                metric: Metric::FirstList,
-                value: first_list,
-            },
-            Measured {
-                metric: Metric::WholeList,
-                value: whole_list,
-            },
-            Measured {
-                metric: Metric::ChangedLine,
-                value: changed_line,
-            },
-            Measured {
-                metric: Metric::SubsetEngines,
-                value: world.engines_listed() as f64,
-            },
-            Measured {
-                metric: Metric::Resident,
-                value: resident,
-            },
+            Measured::new(Metric::Query, spent / queries),
+            Measured::new(Metric::CoreShare, spent / quantities.seconds / 1e6 * 100.0),
+            Measured::new(Metric::Draws, placements / queries),
+            Measured::new(Metric::FirstList, first_list),
+            Measured::new(Metric::WholeList, whole_list),
+            Measured::new(Metric::ChangedLine, changed_entry),
+            Measured::new(Metric::SubsetEngines, world.engines_listed() as f64),
+            Measured::new(Metric::Resident, resident),
         ])
     }
 }
--- a/crates/scale/src/slopes/module/workload.rs
+++ b/crates/scale/src/slopes/module/workload.rs
@@ -1,4 +1,4 @@
-//! What the module is fed with: service groups, and queries by chance.
+//! The module's workload: query classes, and random queries.
 
 use crate::slopes::pool::KIND_CORES;
 use crate::slopes::settings::Fixed;
@@ -9,24 +9,24 @@
 use rand::Rng;
 
 pub const TENANTS: usize = 4;
-/// Threads of a query, by its group.
+/// Threads of a query, by its class.
 pub const THREADS: [f64; 2] = [1.0, 2.0];
-/// The group whose queries have keys, where there are any.
-const KEYED_GROUP: usize = 1;
+/// The class whose queries have keys, where there are any.
+const KEYED_CLASS: usize = 1;
 /// Estimates lie within this part of the work.
 const ESTIMATE_ERROR: f64 = 0.3;
-const GOAL: f64 = 1.0;
-const LIMIT: f64 = 5.0;
+const LATENCY_OBJECTIVE_SECONDS: f64 = 1.0;
+const DEADLINE_SECONDS: f64 = 5.0;
 
-/// Two groups, reports with answers, engines that start cold.
+/// Two classes, load reports with answers, slow start.
 pub fn settings(quantities: &Fixed) -> Settings {
-    let keyed = |index: usize| index == KEYED_GROUP && quantities.keys > 0;
-    let groups = THREADS
+    let keyed = |index: usize| index == KEYED_CLASS && quantities.keys > 0;
+    let classes = THREADS
         .iter()
         .enumerate()
-        .map(|(index, threads)| group(*threads, keyed(index)));
+        .map(|(index, threads)| class(*threads, keyed(index)));
     Settings {
-        classes: groups.collect(),
+        classes: classes.collect(),
         tenants: TENANTS,
         gateways: quantities.gateways as f64,
         kind_cores: KIND_CORES.iter().copied().map(Some).collect(),
@@ -48,11 +48,11 @@
     }
 }
 
-fn group(threads: f64, in_order: bool) -> QueryClass {
+fn class(threads: f64, in_order: bool) -> QueryClass {
     QueryClass {
-        latency_objective: GOAL,
+        latency_objective: LATENCY_OBJECTIVE_SECONDS,
         latency_objective_stretch: 2.0,
-        deadline: LIMIT,
+        deadline: DEADLINE_SECONDS,
         priority_weight: 1.0,
         late_value_share: 0.3,
         idempotency: Idempotency::Idempotent,
@@ -66,17 +66,17 @@
     }
 }
 
-/// A query by chance.
+/// A random query.
 pub fn query(id: QueryId, quantities: &Fixed, rng: &mut SmallRng) -> Query {
-    let group = rng.random_range(0..THREADS.len());
-    let keyed = group == KEYED_GROUP && quantities.keys > 0;
+    let class = rng.random_range(0..THREADS.len());
+    let keyed = class == KEYED_CLASS && quantities.keys > 0;
     let error = rng.random_range(-ESTIMATE_ERROR..ESTIMATE_ERROR);
     Query {
         id,
-        class: group,
+        class,
         tenant: rng.random_range(0..TENANTS),
         ordering_key: keyed.then(|| rng.random_range(0..quantities.keys)),
-        remaining_time: LIMIT,
+        remaining_time: DEADLINE_SECONDS,
         estimated_work: Some(quantities.work * (1.0 + error)),
         estimated_memory: None,
         data_set: 0,
--- a/crates/scale/src/slopes/module/world.rs
+++ b/crates/scale/src/slopes/module/world.rs
@@ -1,5 +1,5 @@
-//! Queries, answers and the module's own timer, in simulated time. The time that the world itself takes is measured with
-//! the module's: a heap of the queries that are out, and a few random numbers a query.
+//! Queries, answers and the module's timer, in simulated time. The simulation's own processor time is measured with the
+//! module's: a heap of the queries in flight, and a few random numbers a query.
 
 use super::engines::ListedEngines;
 use super::workload::{query, THREADS};
@@ -15,14 +15,14 @@
 use std::collections::BinaryHeap;
 
 /// The simulated clock starts here, as one that has run for a while.
-const START: f64 = 1000.0;
-const MICROSECOND: f64 = 1e-6;
-/// What engines tell of their cores.
+const START_SECONDS: f64 = 1000.0;
+const SECONDS_PER_MICROSECOND: f64 = 1e-6;
+/// Utilisation that engines report.
 const UTILISATION: std::ops::Range<f64> = 0.4..0.65;
 /// Answers take so many times the work over its threads.
 const SLOWDOWN: std::ops::Range<f64> = 1.0..1.3;
-/// More of the queries than this turned away is not the load that is to be measured.
-const MOST_REJECTED: f64 = 0.05;
+/// With a larger share of rejected queries the load is not the one to be measured.
+const MAX_REJECTED_SHARE: f64 = 0.05;
 
 /// Something due, the earliest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,23 +30,23 @@
     /// Microseconds.
     due: u64,
     sequence: u64,
-    what: What,
+    kind: EventKind,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum EventKind {
     Arrival,
     Answer {
         query: QueryId,
         engine: EngineId,
-        sent: u64,
+        started_at: u64,
         work_nanoseconds: u64,
     },
     Change,
 }
 
 pub struct World {
-    control: AdmissionController,
+    controller: AdmissionController,
     engines: ListedEngines,
     engines_listed: usize,
     quantities: Fixed,
@@ -55,48 +55,48 @@
     sequence: u64,
     /// Microseconds.
     now: u64,
-    /// When the module wants to be asked again, in microseconds.
+    /// When the module's next decision is due, in microseconds.
     wake: u64,
     changes: u64,
-    /// Groups of the queries that are in hand, by their ids in a ring.
-    groups: Vec<usize>,
-    pub queries_taken: u64,
-    /// How often the module was asked where to send one.
-    pub draws: u64,
+    /// Classes of the queries in flight, by their ids in a ring.
+    classes: Vec<usize>,
+    pub queries_admitted: u64,
+    /// Placement decisions of the module.
+    pub placements: u64,
     queries_rejected: u64,
 }
 
-/// Ids go round after so many; far more than are in hand at once.
-const RING: usize = 1 << 16;
+/// Ids are reused after so many; far more than are in flight at once.
+const QUERY_ID_RING: usize = 1 << 16;
 
 fn micros(seconds: f64) -> u64 {
-    (seconds / MICROSECOND).round() as u64
+    (seconds / SECONDS_PER_MICROSECOND).round() as u64
 }
 
 impl World {
     pub fn new(point: &Point, settings: Settings, mut engines: ListedEngines) -> Self {
-        let mut control = AdmissionController::new(settings, point.seed, START);
-        let lines = engines.whole();
-        control.update_endpoints(&lines, true);
+        let mut controller = AdmissionController::new(settings, point.seed, START_SECONDS);
+        let endpoints = engines.whole();
+        controller.update_endpoints(&endpoints, true);
         let mut world = World {
-            control,
+            controller,
             engines,
-            engines_listed: lines.len(),
+            engines_listed: endpoints.len(),
             quantities: point.quantities,
             rng: SmallRng::seed_from_u64(point.seed),
             events: BinaryHeap::new(),
             sequence: 0,
-            now: micros(START),
-            wake: micros(START),
+            now: micros(START_SECONDS),
+            wake: micros(START_SECONDS),
             changes: 0,
-            groups: vec![0; RING],
-            queries_taken: 0,
-            draws: 0,
+            classes: vec![0; QUERY_ID_RING],
+            queries_admitted: 0,
+            placements: 0,
             queries_rejected: 0,
         };
-        world.schedule_next(What::Arrival, point.quantities.queries_per_second);
+        world.schedule_next(EventKind::Arrival, point.quantities.queries_per_second);
         if point.quantities.changes_per_second > 0 {
-            world.schedule_next(What::Change, point.quantities.changes_per_second);
+            world.schedule_next(EventKind::Change, point.quantities.changes_per_second);
         }
         world
     }
@@ -105,7 +105,7 @@
         self.engines_listed
     }
 
-    /// Plays so many seconds.
+    /// Runs the simulation for so many seconds.
     pub fn play(&mut self, seconds: f64) {
         let end = self.now + micros(seconds);
         loop {
@@ -119,7 +119,7 @@
             }
             if due <= self.wake {
                 if let Some(Reverse(event)) = self.events.pop() {
-                    self.happen(event.what);
+                    self.happen(event.kind);
                 }
             }
             self.decide();
@@ -128,84 +128,84 @@
 
     /// # Errors
     ///
-    /// Where too many queries were rejected: what was measured is not the load that was told.
+    /// Where too many queries were rejected: what was measured is not the load of the experiment.
     pub fn check(&self) -> Result<(), RoleError> {
-        let rejected = self.queries_rejected as f64 / self.queries_taken.max(1) as f64;
-        match rejected <= MOST_REJECTED {
+        let rejected = self.queries_rejected as f64 / self.queries_admitted.max(1) as f64;
+        match rejected <= MAX_REJECTED_SHARE {
             true => Ok(()),
             false => Err(RoleError::Data(format!(
                 "{} of {} queries were rejected: lower fixed.work or queries-per-second",
-                self.queries_rejected, self.queries_taken
+                self.queries_rejected, self.queries_admitted
             ))),
         }
     }
 
-    /// The whole list comes again as it was.
-    pub fn list_again(&mut self) {
-        let (lines, whole) = self.engines.again();
-        self.control.update_endpoints(&lines, whole);
+    /// Applies the whole list again, unchanged.
+    pub fn update_whole_list(&mut self) {
+        let (endpoints, whole) = self.engines.again();
+        self.controller.update_endpoints(&endpoints, whole);
     }
 
-    /// One line of the list changes.
-    pub fn change_line(&mut self, repeat: u64) {
-        let lines = self.engines.change(repeat);
-        if !lines.is_empty() {
-            self.control.update_endpoints(&lines, false);
+    /// Changes one entry of the list.
+    pub fn change_endpoint(&mut self, repeat: u64) {
+        let endpoints = self.engines.change(repeat);
+        if !endpoints.is_empty() {
+            self.controller.update_endpoints(&endpoints, false);
         }
     }
 
     fn seconds(&self) -> f64 {
-        self.now as f64 * MICROSECOND
+        self.now as f64 * SECONDS_PER_MICROSECOND
     }
 
-    fn schedule(&mut self, due: u64, what: What) {
+    fn schedule(&mut self, due: u64, kind: EventKind) {
         self.sequence += 1;
         self.events.push(Reverse(Event {
             due,
             sequence: self.sequence,
-            what,
+            kind,
         }));
     }
 
-    /// The next of events that come by chance at a rate.
-    fn schedule_next(&mut self, what: What, per_second: u64) {
+    /// Schedules the next event of a Poisson process.
+    fn schedule_next(&mut self, kind: EventKind, per_second: u64) {
         let even: f64 = self.rng.random();
         let gap = -(1.0 - even).ln() / per_second as f64;
-        self.schedule(self.now + micros(gap), what);
+        self.schedule(self.now + micros(gap), kind);
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Arrival => self.arrive(),
-            What::Answer {
+    fn happen(&mut self, kind: EventKind) {
+        match kind {
+            EventKind::Arrival => self.arrive(),
+            EventKind::Answer {
                 query,
                 engine,
-                sent,
+                started_at,
                 work_nanoseconds,
             } => {
-                self.answer(query, engine, sent, work_nanoseconds as f64 / 1e9);
+                self.answer(query, engine, started_at, work_nanoseconds as f64 / 1e9);
             }
-            What::Change => {
-                self.change_line(self.changes);
+            EventKind::Change => {
+                self.change_endpoint(self.changes);
                 self.changes += 1;
-                self.schedule_next(What::Change, self.quantities.changes_per_second);
+                self.schedule_next(EventKind::Change, self.quantities.changes_per_second);
             }
         }
     }
 
     fn arrive(&mut self) {
-        let id = (self.queries_taken % RING as u64) as QueryId;
-        self.queries_taken += 1;
+        let id = (self.queries_admitted % QUERY_ID_RING as u64) as QueryId;
+        self.queries_admitted += 1;
         let query = query(id, &self.quantities, &mut self.rng);
-        self.groups[id as usize] = query.class;
-        self.control.admit(self.seconds(), query);
-        self.schedule_next(What::Arrival, self.quantities.queries_per_second);
+        self.classes[id as usize] = query.class;
+        self.controller.admit(self.seconds(), query);
+        self.schedule_next(EventKind::Arrival, self.quantities.queries_per_second);
     }
 
-    fn answer(&mut self, query: QueryId, engine: EngineId, sent: u64, work: f64) {
+    fn answer(&mut self, query: QueryId, engine: EngineId, started_at: u64, work: f64) {
         let now = self.seconds();
         let utilisation = Some(self.rng.random_range(UTILISATION));
-        self.control.load_reported(
+        self.controller.load_reported(
             now,
             engine,
             LoadReport {
@@ -213,7 +213,7 @@
                 ..LoadReport::default()
             },
         );
-        let latency = (self.now - sent) as f64 * MICROSECOND;
+        let latency = (self.now - started_at) as f64 * SECONDS_PER_MICROSECOND;
         let end = AttemptEnd::Succeeded;
         let outcome = AttemptOutcome {
             engine,
@@ -224,21 +224,21 @@
             work: Some(work),
             memory: None,
         };
-        self.control.attempt_ended(now, query, outcome);
+        self.controller.attempt_ended(now, query, outcome);
     }
 
-    /// Asks the module until it names a time.
+    /// Carries out the module's decisions until nothing more is due.
     fn decide(&mut self) {
         let now = self.seconds();
         loop {
-            match self.control.next_action(now) {
+            match self.controller.next_action(now) {
                 NextAction::Wait(time) => {
                     self.wake = self.now + micros(time).max(1);
                     return;
                 }
                 NextAction::Place(query) => self.place(now, query),
                 NextAction::HealthCheck(engine) => {
-                    self.control
+                    self.controller
                         .health_check_ended(now, engine, AttemptEnd::Succeeded)
                 }
                 NextAction::Subscribe | NextAction::Cancel { .. } => {}
@@ -247,19 +247,19 @@
     }
 
     fn place(&mut self, now: f64, query: QueryId) {
-        self.draws += 1;
-        match self.control.place(now, query) {
+        self.placements += 1;
+        match self.controller.place(now, query) {
             Placement::Attempt { engine, .. } => {
-                let threads = THREADS[self.groups[query as usize]];
+                let threads = THREADS[self.classes[query as usize]];
                 let work = self.quantities.work;
                 let latency = work / threads * self.rng.random_range(SLOWDOWN);
-                let (sent, work_nanoseconds) = (self.now, (work * 1e9) as u64);
+                let (started_at, work_nanoseconds) = (self.now, (work * 1e9) as u64);
                 self.schedule(
                     self.now + micros(latency),
-                    What::Answer {
+                    EventKind::Answer {
                         query,
                         engine,
-                        sent,
+                        started_at,
                         work_nanoseconds,
                     },
                 );
--- a/crates/scale/src/slopes/pool.rs
+++ b/crates/scale/src/slopes/pool.rs
@@ -1,11 +1,11 @@
-//! The pool of engines that all roles measure: zones, kinds and cells as at the size told.
+//! The pool of engines that all roles measure: zones, kinds and cells as at the target size.
 
 use garnetwall_subset::{
     EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
 };
 use serde_json::{json, Value};
 
-/// At the size told.
+/// At the target size.
 pub const ZONES: u64 = 21;
 /// Cores of an engine by its kind.
 pub const KIND_CORES: [f64; 2] = [8.0, 16.0];
@@ -37,8 +37,8 @@
         format!("engine-{:05}", self.number)
     }
 
-    /// The line of a catalog.
-    pub fn catalog_line(&self, condition: ListedState) -> ListedEngine {
+    /// The entry of a catalog.
+    pub fn listed_engine(&self, state: ListedState) -> ListedEngine {
         let cores = KIND_CORES[self.kind];
         let kind = self.kind as u32;
         let facts = EngineFacts {
@@ -46,7 +46,7 @@
             kind,
             cell: self.cell,
             cores,
-            state: condition,
+            state,
         };
         ListedEngine {
             id: self.id(),
@@ -54,8 +54,8 @@
         }
     }
 
-    /// The line of the change log.
-    pub fn log_line(&self, state: &str) -> Value {
+    /// The entry in the change log.
+    pub fn log_entry(&self, state: &str) -> Value {
         let [high, low] = (self.number as u16).to_be_bytes();
         json!({
             "id": self.id(),
@@ -78,7 +78,7 @@
     format!("kind-{kind}")
 }
 
-/// An event of the change log, as text. Written line by line: it leaves no memory behind that a measurement could use.
+/// An event of the change log, as text. Written entry by entry, so that no free memory is left that would hide a measurement.
 pub fn log_event(number: u64, whole: bool, servers: impl Iterator<Item = Value>) -> String {
     let mut text = format!(
         "{{\"seq\":{number},\"fleet\":{{\"version\":{number},\"full\":{whole},\"servers\":["
@@ -95,11 +95,11 @@
     log_event(
         1,
         true,
-        (0..engines).map(|number| engine(number).log_line("SERVING")),
+        (0..engines).map(|number| engine(number).log_entry("SERVING")),
     )
 }
 
-/// Settings of a subset for the service groups of the module's role.
+/// Settings of a subset for the query classes of the module's role.
 pub fn subset_settings(size: u64, gateways: u64) -> SubsetSettings {
     SubsetSettings {
         size: size as usize,
--- a/crates/scale/src/slopes/fit.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -1,11 +1,11 @@
-//! Fits: a line, and a power, with what they leave over.
+//! Regression of a metric on the size: a line and a power law, with their residuals.
 
 /// Exponents over this grow faster than linear.
-pub const LINEAR: f64 = 1.1;
-/// Standard errors that an exponent must be over [`LINEAR`] to be beyond its spread.
-const BEYOND_SPREAD: f64 = 2.0;
+pub const MAX_LINEAR_EXPONENT: f64 = 1.1;
+/// Standard errors by which an exponent must exceed [`LINEAR`] to count as superlinear.
+const STANDARD_ERRORS: f64 = 2.0;
 /// Nothing is divided by less.
-const LEAST: f64 = 1e-12;
+const MIN_DIVISOR: f64 = 1e-12;
 
 /// All runs at one size.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,8 +40,10 @@
 }
 
 /// How a metric grows with the size.
+///
+/// The power law needs positive values.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fit {
+pub struct Regression {
     pub slope: f64,
     pub intercept: f64,
     /// Largest distance of a median from the line, over the largest median.
@@ -57,31 +59,31 @@
     last: (f64, f64),
 }
 
-impl Fit {
-    /// A fit over four sizes or more, the smallest first.
+impl Regression {
+    /// The regression over four sizes or more, the smallest first.
     pub fn new(samples: &[Sample]) -> Self {
         let medians: Vec<(f64, f64)> = samples.iter().map(|s| (s.size, s.median())).collect();
-        let line = Line::new(&medians);
+        let linear = LeastSquares::new(&medians);
         let largest = medians
             .iter()
             .map(|(_, value)| value.abs())
-            .fold(LEAST, f64::max);
-        let distance = |(size, value): &(f64, f64)| (value - line.at(*size)).abs();
+            .fold(MIN_DIVISOR, f64::max);
+        let distance = |(size, value): &(f64, f64)| (value - linear.at(*size)).abs();
         let logarithms: Vec<(f64, f64)> = samples.iter().flat_map(logarithms).collect();
-        let power = Line::new(&logarithms);
+        let power = LeastSquares::new(&logarithms);
         let exponent_error = power.slope_error(&logarithms);
         let (last_exponent, last_least) = last_exponents(samples);
         // One run of a size has no spread to be beyond.
         let repeated = samples.iter().all(|sample| sample.values.len() > 1);
-        Fit {
-            slope: line.slope,
-            intercept: line.intercept,
+        Regression {
+            slope: linear.slope,
+            intercept: linear.intercept,
             residual: medians.iter().map(distance).fold(0.0, f64::max) / largest,
             exponent: power.slope,
             exponent_error,
             last_exponent,
-            superlinear: power.slope - BEYOND_SPREAD * exponent_error > LINEAR
-                || last_least > LINEAR && repeated,
+            superlinear: power.slope - STANDARD_ERRORS * exponent_error > MAX_LINEAR_EXPONENT
+                || last_least > MAX_LINEAR_EXPONENT && repeated,
             last: medians.last().copied().unwrap_or((1.0, 0.0)),
         }
     }
@@ -93,7 +95,7 @@
         let from_last = |exponent: f64| last_median * (size / last_size).powf(exponent);
         match (
             self.superlinear,
-            self.exponent + BEYOND_SPREAD * self.exponent_error < 0.0,
+            self.exponent + STANDARD_ERRORS * self.exponent_error < 0.0,
         ) {
             (true, _) => from_last(self.exponent.max(self.last_exponent)),
             (false, true) => from_last(self.exponent),
@@ -134,14 +136,14 @@
     )
 }
 
-/// A line by least squares.
+/// A linear least-squares fit.
 #[derive(Clone, Copy, Debug)]
-struct Line {
+struct LeastSquares {
     slope: f64,
     intercept: f64,
 }
 
-impl Line {
+impl LeastSquares {
     fn new(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -150,8 +152,8 @@
             .iter()
             .map(|(x, y)| (x - mean_x) * (y - mean_y))
             .sum();
-        let slope = covariance / squares(points).max(LEAST);
-        Line {
+        let slope = covariance / squares(points).max(MIN_DIVISOR);
+        LeastSquares {
             slope,
             intercept: mean_y - slope * mean_x,
         }
@@ -165,7 +167,7 @@
     fn slope_error(&self, points: &[(f64, f64)]) -> f64 {
         let left_over: f64 = points.iter().map(|(x, y)| (y - self.at(*x)).powi(2)).sum();
         let freedom = points.len().saturating_sub(2).max(1) as f64;
-        (left_over / freedom / squares(points).max(LEAST)).sqrt()
+        (left_over / freedom / squares(points).max(MIN_DIVISOR)).sqrt()
     }
 }
 
--- a/crates/scale/src/slopes/report.rs
+++ b/crates/scale/src/slopes/report.rs
@@ -1,7 +1,7 @@
 //! What is printed: tables in Markdown, as the pages quote them.
 
-use super::fit::{Fit, Sample};
 use super::measurement::Metric;
+use super::regression::{Regression, Sample};
 use super::settings::Quantity;
 use serde::Serialize;
 
@@ -9,7 +9,7 @@
 pub struct Series {
     pub metric: Metric,
     pub samples: Vec<Sample>,
-    pub fit: Fit,
+    pub regression: Regression,
     pub predicted: Option<Prediction>,
 }
 
@@ -54,8 +54,8 @@
     }
 
     /// One row: slope, intercept, exponents, what is left over, and prediction beside measured.
-    pub fn fit_row(&self) -> String {
-        let Fit {
+    pub fn regression_row(&self) -> String {
+        let Regression {
             slope,
             intercept,
             residual,
@@ -64,7 +64,7 @@
             last_exponent,
             superlinear,
             ..
-        } = self.fit;
+        } = self.regression;
         let growth = if superlinear {
             "**faster than linear**"
         } else {
@@ -93,7 +93,7 @@
 }
 
 /// The head of the table of fits.
-pub fn fit_head(predict: Option<u64>) -> String {
+pub fn regression_header(predict: Option<u64>) -> String {
     let outside = predict.map_or_else(String::new, |size| {
         format!("measured / predicted at {size}")
     });
--- a/crates/scale/src/slopes/runner.rs
+++ b/crates/scale/src/slopes/runner.rs
@@ -29,7 +29,7 @@
     Stopped,
 }
 
-/// Starts processes that measure; what it started ends with it.
+/// Starts measuring processes, which end with it.
 pub struct Runner {
     runtime: tokio::runtime::Runtime,
     limit: Duration,
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Where the process fails, takes too long, or this one is told to stop.
+    /// Where the process fails, takes too long, or this one is stopped by a signal.
     pub fn measure(&self, point: &Point) -> Result<Vec<Measured>, RunnerError> {
         self.runtime.block_on(async {
             let mut interrupted = signal(SignalKind::interrupt())?;
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -1,16 +1,17 @@
 //! What an experiment on slopes says, and what is wrong with it.
 
 use super::measurement::Metric;
-use crate::experiment::ExperimentError;
+use crate::experiment::{ExperimentError, Fault};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
 /// A fit over fewer sizes says little.
-const FEWEST_SIZES: usize = 4;
+const MIN_SIZES: usize = 4;
 /// More runs of one point only make it last longer.
-const MOST_RUNS: u32 = 100;
+const MAX_RUNS: u32 = 100;
 /// Larger points would not fit a test machine.
-const LARGEST: u64 = 10_000_000;
+const MAX_SIZE: u64 = 10_000_000;
+const MAX_LOSS_PERCENT: u64 = 90;
 
 /// The part of the program that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,7 +19,7 @@
 pub enum RoleName {
     /// Decisions of the module, fed with queries in simulated time.
     Module,
-    /// The list of engines as the gateway decodes it and hands it to the module.
+    /// The endpoint list as the gateway decodes it and passes it to the module.
     List,
     /// The catalog and the choice of a subset.
     Subset,
@@ -72,7 +73,7 @@
     /// How often each point is measured.
     pub runs: u32,
     pub seed: u64,
-    /// Seconds after which the measurement of one point is given up.
+    /// Timeout of the measurement of one point, in seconds.
     #[serde(default = "usual_point_limit")]
     pub point_limit: f64,
     /// The quantities that stay as they are.
@@ -93,17 +94,17 @@
 pub struct Fixed {
     pub engines: u64,
     pub gateways: u64,
-    /// Queries that the one measured gateway takes.
+    /// Queries that the one measured gateway receives.
     pub queries_per_second: u64,
     /// Distinct keys of a class of queries in order; 0 for no such class.
     pub keys: u64,
-    /// Changed lines of the list.
+    /// Changed entries of the list.
     pub changes_per_second: u64,
     pub members: u64,
     pub open_attempts: u64,
-    /// Played seconds that are measured.
+    /// Simulated seconds that are measured.
     pub seconds: f64,
-    /// Played seconds before.
+    /// Simulated seconds before.
     pub settling: f64,
     /// Processor seconds of one query on an engine.
     pub work: f64,
@@ -172,116 +173,104 @@
     }
 
     fn check(&self, file: &Path) -> Result<(), ExperimentError> {
-        let wrong = |key: &str, found: String, expected: &str, remedy: &str| {
-            Err(ExperimentError::unusable(
-                file, key, found, expected, remedy,
-            ))
+        let faults = [
+            self.fault_in_sizes(),
+            self.fault_in_prediction(),
+            self.fault_in_runs(),
+            self.fixed.fault_in_times(),
+            self.fixed.fault_in_counts(),
+        ];
+        match faults.into_iter().flatten().next() {
+            None => Ok(()),
+            Some(fault) => Err(ExperimentError::unusable(
+                file,
+                fault.key,
+                fault.found,
+                fault.expected,
+                fault.remedy,
+            )),
+        }
+    }
+
+    fn fault_in_sizes(&self) -> Option<Fault> {
+        let fault = |expected, remedy| {
+            let found = format!("{:?}", self.sizes);
+            Some(Fault::new("sizes", found, expected, remedy))
         };
-        let sizes = format!("{:?}", self.sizes);
-        if self.sizes.len() < FEWEST_SIZES {
-            return wrong(
-                "sizes",
-                sizes,
-                "a list of four sizes or more",
-                "add sizes, each about twice the last",
-            );
+        if self.sizes.len() < MIN_SIZES {
+            let remedy = "add sizes, each about twice the last";
+            return fault("a list of four sizes or more", remedy);
         }
         if !self.sizes.windows(2).all(|pair| pair[0] < pair[1]) || self.sizes[0] == 0 {
-            return wrong(
-                "sizes",
-                sizes,
-                "a list that grows from over 0",
-                "sort it, and name each size once",
-            );
+            let remedy = "sort it, and name each size once";
+            return fault("a list that grows from over 0", remedy);
         }
-        let largest = self.sizes[self.sizes.len() - 1];
-        if largest > LARGEST {
-            return wrong(
-                "sizes",
-                sizes,
-                "a list of sizes up to 10,000,000",
-                "leave the larger out",
-            );
+        if self.sizes[self.sizes.len() - 1] > MAX_SIZE {
+            return fault("a list of sizes up to 10,000,000", "leave the larger out");
         }
-        let inside = self.sizes[0]..=largest;
-        match self.predict {
-            Some(size) if inside.contains(&size) || size == 0 || size > LARGEST => {
-                let remedy = "name a size under the smallest or over the largest, up to 10,000,000";
-                return wrong(
-                    "predict",
-                    size.to_string(),
-                    "a size outside of the sizes",
-                    remedy,
-                );
-            }
-            _ => {}
+        None
+    }
+
+    fn fault_in_prediction(&self) -> Option<Fault> {
+        let size = self.predict?;
+        let inside = *self.sizes.first()?..=*self.sizes.last()?;
+        if !inside.contains(&size) && size != 0 && size <= MAX_SIZE {
+            return None;
         }
-        if self.runs == 0 || self.runs > MOST_RUNS {
-            return wrong(
-                "runs",
-                self.runs.to_string(),
-                "a number from 1 to 100",
-                "3 to 9 are usual",
-            );
+        Some(Fault::new(
+            "predict",
+            size,
+            "a size outside of the sizes",
+            "name a size under the smallest or over the largest, up to 10,000,000",
+        ))
+    }
+
+    fn fault_in_runs(&self) -> Option<Fault> {
+        if self.runs == 0 || self.runs > MAX_RUNS {
+            let expected = "a number from 1 to 100";
+            return Some(Fault::new("runs", self.runs, expected, "3 to 9 are usual"));
         }
         if !(self.point_limit.is_finite() && self.point_limit > 0.0) {
-            let remedy = "write the seconds that the slowest point may take";
-            return wrong(
+            return Some(Fault::new(
                 "point-limit",
-                self.point_limit.to_string(),
+                self.point_limit,
                 "a time over 0",
-                remedy,
-            );
+                "write the seconds that the slowest point may take",
+            ));
         }
-        self.check_fixed(file)
+        None
     }
+}
 
-    fn check_fixed(&self, file: &Path) -> Result<(), ExperimentError> {
-        let wrong = |key: &str, found: String, expected: &str, remedy: &str| {
-            Err(ExperimentError::unusable(
-                file, key, found, expected, remedy,
-            ))
-        };
-        let fixed = &self.fixed;
-        for (key, seconds) in [
-            ("fixed.seconds", fixed.seconds),
-            ("fixed.settling", fixed.settling),
-            ("fixed.work", fixed.work),
-        ] {
-            if !(seconds.is_finite() && seconds > 0.0) {
-                return wrong(
-                    key,
-                    seconds.to_string(),
-                    "a time over 0",
-                    "write it in seconds",
-                );
-            }
-        }
-        if fixed.loss > 90 {
-            return wrong(
-                "fixed.loss",
-                fixed.loss.to_string(),
-                "0 to 90 of 100",
-                "no message comes at 100",
-            );
-        }
-        for (key, count) in [
-            ("fixed.engines", fixed.engines),
-            ("fixed.gateways", fixed.gateways),
-            ("fixed.queries-per-second", fixed.queries_per_second),
-            ("fixed.members", fixed.members),
-            ("fixed.open-attempts", fixed.open_attempts),
-        ] {
-            if count == 0 || count > LARGEST {
-                let remedy = "leave the key out for the usual number";
-                return wrong(
-                    key,
-                    count.to_string(),
-                    "a number from 1 to 10,000,000",
-                    remedy,
-                );
-            }
+impl Fixed {
+    fn fault_in_times(&self) -> Option<Fault> {
+        let times = [
+            ("fixed.seconds", self.seconds),
+            ("fixed.settling", self.settling),
+            ("fixed.work", self.work),
+        ];
+        let unusable = |(_, seconds): &(_, f64)| !(seconds.is_finite() && *seconds > 0.0);
+        let (key, seconds) = times.into_iter().find(unusable)?;
+        let (expected, remedy) = ("a time over 0", "write it in seconds");
+        Some(Fault::new(key, seconds, expected, remedy))
+    }
+
+    fn fault_in_counts(&self) -> Option<Fault> {
+        if self.loss > MAX_LOSS_PERCENT {
+            let (expected, remedy) = ("0 to 90 of 100", "no message comes at 100");
+            return Some(Fault::new("fixed.loss", self.loss, expected, remedy));
         }
-        Ok(())
+        let counts = [
+            ("fixed.engines", self.engines),
+            ("fixed.gateways", self.gateways),
+            ("fixed.queries-per-second", self.queries_per_second),
+            ("fixed.members", self.members),
+            ("fixed.open-attempts", self.open_attempts),
+        ];
+        let unusable = |(_, count): &(_, u64)| *count == 0 || *count > MAX_SIZE;
+        let (key, count) = counts.into_iter().find(unusable)?;
+        let expected = "a number from 1 to 10,000,000";
+        let remedy = "leave the key out for the usual number";
+        Some(Fault::new(key, count, expected, remedy))
     }
 }
--- a/crates/scale/src/slopes/stopwatch.rs
+++ b/crates/scale/src/slopes/stopwatch.rs
@@ -5,10 +5,10 @@
 use std::io;
 use std::time::Duration;
 
-/// Short work is repeated until it has taken so long: the clock itself takes a fraction of a microsecond.
-const LONG_ENOUGH: Duration = Duration::from_millis(20);
-/// However short, it is repeated no more often.
-const MOST_REPEATS: u64 = 100_000;
+/// Short work is repeated for so long, since reading the clock takes a fraction of a microsecond.
+const MIN_MEASURED_TIME: Duration = Duration::from_millis(20);
+/// Upper bound of repeats.
+const MAX_REPEATS: u64 = 100_000;
 
 /// Processor time of a piece of work, in microseconds, and what it gave.
 pub fn timed<T>(work: impl FnOnce() -> T) -> (f64, T) {
@@ -17,36 +17,36 @@
     (microseconds(process::processor_time() - before), result)
 }
 
-/// The mean processor time of a repeated piece of work, in microseconds. It is told how often it was done before.
+/// The mean processor time of a repeated piece of work, in microseconds. Its argument counts the repeats before.
 pub fn repeated<T>(mut work: impl FnMut(u64) -> T) -> f64 {
     let before = process::processor_time();
     let mut repeats = 0;
     loop {
         drop(black_box(work(repeats)));
         repeats += 1;
-        let taken = process::processor_time() - before;
-        if taken >= LONG_ENOUGH || repeats >= MOST_REPEATS {
-            return microseconds(taken) / repeats as f64;
+        let spent = process::processor_time() - before;
+        if spent >= MIN_MEASURED_TIME || repeats >= MAX_REPEATS {
+            return microseconds(spent) / repeats as f64;
         }
     }
 }
 
-/// The mean processor time of a piece of work on each of some items, in microseconds; they are made before.
+/// The mean processor time of a piece of work on each of some items, in microseconds, without making the items.
 pub fn each<I, T>(items: Vec<I>, mut work: impl FnMut(I) -> T) -> f64 {
     let count = items.len().max(1) as f64;
-    let (taken, ()) = timed(|| {
+    let (spent, ()) = timed(|| {
         items
             .into_iter()
             .for_each(|item| drop(black_box(work(item))))
     });
-    taken / count
+    spent / count
 }
 
 /// Resident bytes that a piece of work added, and what it gave.
 ///
 /// # Errors
 ///
-/// Where the system does not tell.
+/// Where the system does not report it.
 pub fn growth<T>(work: impl FnOnce() -> T) -> io::Result<(f64, T)> {
     let before = process::resident_bytes()?;
     let result = work();
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/subset.rs
@@ -5,10 +5,10 @@
 use super::stopwatch::{growth, repeated, timed};
 use garnetwall_subset::{Action, Catalog, ListedEngine, ListedState, Subset};
 
-/// Further subsets of one catalog, whose memory is told apart from the catalog's by their number.
-const FURTHER_SUBSETS: usize = 200;
-/// Times that a subset is asked what to do until it has settled.
-const MOST_POLLS: usize = 10_000;
+/// Subsets that share one catalog, so that a subset's memory is known apart from the catalog's.
+const ADDITIONAL_SUBSETS: usize = 200;
+/// Polls after which a subset counts as settled.
+const MAX_POLLS: usize = 10_000;
 
 /// One gateway's subset and the catalog that it chooses from.
 pub struct Chosen {
@@ -25,9 +25,9 @@
     ///
     /// Where its settings can't be used.
     pub fn new(engines: u64, gateways: u64, size: u64) -> Result<Self, RoleError> {
-        let lines = catalog_lines(engines);
+        let listed = listed_engines(engines);
         let mut catalog = Catalog::default();
-        let changes = catalog.apply(&lines, true);
+        let changes = catalog.apply(&listed, true);
         let mut subset = Subset::new("gateway-0", pool::subset_settings(size, gateways))?;
         subset.changed(0.0, &catalog, &changes);
         let mut chosen = Chosen {
@@ -39,9 +39,9 @@
         Ok(chosen)
     }
 
-    /// Takes in lines and settles; what is to be done about engines.
-    pub fn apply(&mut self, lines: &[ListedEngine], whole: bool) -> Vec<Action> {
-        let changes = self.catalog.apply(lines, whole);
+    /// Applies entries of the list and settles; returns the subset's actions.
+    pub fn apply(&mut self, listed: &[ListedEngine], whole: bool) -> Vec<Action> {
+        let changes = self.catalog.apply(listed, whole);
         self.subset.changed(self.now, &self.catalog, &changes);
         self.settle()
     }
@@ -49,7 +49,7 @@
     /// Polls until nothing is due any more, with each connection up at once.
     fn settle(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        for _ in 0..MOST_POLLS {
+        for _ in 0..MAX_POLLS {
             let due = self.subset.poll(self.now, &self.catalog);
             for action in &due {
                 if let Action::Warm(engine) = action {
@@ -67,9 +67,9 @@
 }
 
 /// All engines of a pool, ready.
-pub fn catalog_lines(engines: u64) -> Vec<ListedEngine> {
+pub fn listed_engines(engines: u64) -> Vec<ListedEngine> {
     (0..engines)
-        .map(|number| pool::engine(number).catalog_line(ListedState::Ready))
+        .map(|number| pool::engine(number).listed_engine(ListedState::Ready))
         .collect()
 }
 
@@ -84,7 +84,7 @@
         } else {
             quantities.subset_size
         };
-        let lines = catalog_lines(engines);
+        let listed = listed_engines(engines);
         let (resident, (first_list, chosen)) =
             growth(|| timed(|| Chosen::new(engines, gateways, size)))?;
         let mut chosen = chosen?;
@@ -93,55 +93,38 @@
             .members()
             .map(|(_, holders)| holders)
             .collect();
-        let whole_list = repeated(|_| chosen.apply(&lines, true));
-        let changed_line = repeated(|repeat| chosen.apply(&[changed(engines, repeat)], false));
-        let (further, _kept) = growth(|| further_subsets(&chosen.catalog, gateways, size))?;
+        let whole_list = repeated(|_| chosen.apply(&listed, true));
+        let changed_entry = repeated(|repeat| chosen.apply(&[changed(engines, repeat)], false));
+        let (additional, _additional_subsets) =
+            growth(|| additional_subsets(&chosen.catalog, gateways, size))?;
         Ok(vec![
-            Measured {
-                metric: Metric::FirstList,
-                value: first_list,
-            },
-            Measured {
-                metric: Metric::WholeList,
-                value: whole_list,
-            },
-            Measured {
-                metric: Metric::ChangedLine,
-                value: changed_line,
-            },
-            Measured {
-                metric: Metric::Resident,
-                value: resident,
-            },
-            Measured {
-                metric: Metric::SubsetBytes,
-                value: further / FURTHER_SUBSETS as f64,
-            },
-            Measured {
-                metric: Metric::SubsetEngines,
-                value: members.len() as f64,
-            },
-            Measured {
-                metric: Metric::Holders,
-                value: members.iter().sum::<f64>() / members.len().max(1) as f64,
-            },
+            Measured::new(Metric::FirstList, first_list),
+            Measured::new(Metric::WholeList, whole_list),
+            Measured::new(Metric::ChangedLine, changed_entry),
+            Measured::new(Metric::Resident, resident),
+            Measured::new(Metric::SubsetBytes, additional / ADDITIONAL_SUBSETS as f64),
+            Measured::new(Metric::SubsetEngines, members.len() as f64),
+            Measured::new(
+                Metric::Holders,
+                members.iter().sum::<f64>() / members.len().max(1) as f64,
+            ),
         ])
     }
 }
 
-/// A line that changes: each engine of some that are spread over the pool drains, and is ready again.
+/// A changed entry: engines spread over the pool drain in turn, and are ready again.
 pub fn changed(engines: u64, repeat: u64) -> ListedEngine {
     /// A prime, so that all engines come up in turn.
     const STRIDE: u64 = 7919;
-    let condition = if repeat.is_multiple_of(2) {
+    let state = if repeat.is_multiple_of(2) {
         ListedState::Draining
     } else {
         ListedState::Ready
     };
-    pool::engine(repeat / 2 * STRIDE % engines).catalog_line(condition)
+    pool::engine(repeat / 2 * STRIDE % engines).listed_engine(state)
 }
 
-fn further_subsets(catalog: &Catalog, gateways: u64, size: u64) -> Vec<Subset> {
+fn additional_subsets(catalog: &Catalog, gateways: u64, size: u64) -> Vec<Subset> {
     let all = |(engine, _, facts)| garnetwall_subset::Change {
         engine,
         before: None,
@@ -155,5 +138,5 @@
         subset.poll(0.0, catalog);
         Some(subset)
     };
-    (1..=FURTHER_SUBSETS).filter_map(choose).collect()
+    (1..=ADDITIONAL_SUBSETS).filter_map(choose).collect()
 }
--- a/crates/scale/src/spread/experiment.rs
+++ b/crates/scale/src/spread/experiment.rs
@@ -2,7 +2,7 @@
 
 use super::slip::Slip;
 use super::ways::WayName;
-use crate::experiment::ExperimentError;
+use crate::experiment::{ExperimentError, Fault};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -290,30 +290,6 @@
     }
 }
 
-/// A value that can't be used.
-struct Fault {
-    key: &'static str,
-    found: String,
-    expected: &'static str,
-    remedy: &'static str,
-}
-
-impl Fault {
-    fn new(
-        key: &'static str,
-        found: impl ToString,
-        expected: &'static str,
-        remedy: &'static str,
-    ) -> Self {
-        Fault {
-            key,
-            found: found.to_string(),
-            expected,
-            remedy,
-        }
-    }
-}
-
 fn positive(number: f64) -> bool {
     number.is_finite() && number > 0.0
 }
