--- a/crates/scale/src/fleet/cold_engine.rs
+++ b/crates/scale/src/fleet/cold_engine.rs
@@ -11,7 +11,7 @@
 /// Work of one attempt at a cold engine.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdWork {
-    pub at: SimTime,
+    pub received_at: SimTime,
     pub work: f64,
     /// Whether the gateway had been notified of the start.
     pub notified: bool,
@@ -40,7 +40,7 @@
         while self
             .attempts
             .front()
-            .is_some_and(|first| attempt.at.since(first.at) >= cold.window)
+            .is_some_and(|first| attempt.received_at.since(first.received_at) >= cold.window)
         {
             self.attempts.pop_front();
         }
--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -130,7 +130,7 @@
             cold,
             mean_work,
             ColdWork {
-                at: now,
+                received_at: now,
                 work,
                 notified: true,
             },
--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -141,7 +141,7 @@
             cold,
             self.mean_work,
             ColdWork {
-                at: now,
+                received_at: now,
                 work: attempt.work,
                 notified,
             },
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -18,30 +18,30 @@
 mod module_settings;
 mod report;
 mod script;
+mod simulation;
 mod slots;
 mod time;
-mod world;
 
 use crate::{Run, Verdict};
 use experiment::Experiment;
+use simulation::Simulation;
 use std::time::Instant;
-use world::World;
 
 /// Runs one experiment.
 pub fn run(run: &Run) -> Verdict {
     let experiment = Experiment::read(&run.experiment)?;
     let seed = run.seed.unwrap_or(experiment.seed);
     let began = Instant::now();
-    let played = World::new(experiment.clone(), seed).play()?;
+    let outcome = Simulation::new(experiment.clone(), seed).run()?;
     let wall = began.elapsed();
     eprintln!(
         "{} events in {:.1} s, {} MB at most",
-        played.events,
+        outcome.events,
         wall.as_secs_f64(),
         report::peak_memory_kb().unwrap_or(0) / 1024
     );
     if let Some(path) = &run.results {
-        report::write(path, &experiment, seed, &played, wall)?;
+        report::write(path, &experiment, seed, &outcome, wall)?;
     }
-    Ok(report::print(&experiment, seed, &played))
+    Ok(report::print(&experiment, seed, &outcome))
 }
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -2,7 +2,7 @@
 
 use super::experiment::Experiment;
 use super::judge::Finding;
-use super::world::Played;
+use super::simulation::Outcome;
 use serde::Serialize;
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -25,7 +25,7 @@
 }
 
 /// Prints the findings, the number passed and failed last; whether all passed.
-pub fn print(experiment: &Experiment, seed: u64, played: &Played) -> bool {
+pub fn print(experiment: &Experiment, seed: u64, outcome: &Outcome) -> bool {
     let gateways = &experiment.gateways;
     println!(
         "{}: {} gateways before {} engines, seed {seed}, {} s played; {:.2}% of {} queries a second a gateway, \
@@ -36,9 +36,9 @@
         experiment.seconds,
         gateways.rate / gateways.real_rate * 100.0,
         gateways.real_rate,
-        played.mean_work
+        outcome.mean_work
     );
-    for finding in &played.findings {
+    for finding in &outcome.findings {
         let word = match finding.passed {
             Some(true) => "ok  ",
             Some(false) => "FAIL",
@@ -47,7 +47,7 @@
         println!("{word} {}: {}", finding.name, finding.figure);
     }
     let count = |verdict| {
-        played
+        outcome
             .findings
             .iter()
             .filter(|finding| finding.passed == Some(verdict))
@@ -63,7 +63,7 @@
     path: &Path,
     experiment: &Experiment,
     seed: u64,
-    played: &Played,
+    outcome: &Outcome,
     wall: Duration,
 ) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
@@ -75,13 +75,13 @@
         subset: experiment.subset.as_ref().map(|subset| subset.size),
         seconds: experiment.seconds,
         played_share: experiment.gateways.rate / experiment.gateways.real_rate,
-        mean_work: played.mean_work,
-        events: played.events,
+        mean_work: outcome.mean_work,
+        events: outcome.events,
         wall_seconds: wall.as_secs_f64(),
         peak_memory_kb: peak_memory_kb(),
     };
     write_record(&mut file, &header)?;
-    played
+    outcome
         .findings
         .iter()
         .try_for_each(|finding: &Finding| write_record(&mut file, finding))?;
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -2,8 +2,8 @@
 
 use super::event::{EngineStep, Event};
 use super::experiment::{Action, ScriptStep};
+use super::simulation::Simulation;
 use super::time::SimTime;
-use super::world::World;
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -12,8 +12,8 @@
 /// Seconds over which the gateways of a zone that is back start.
 const ZONE_START_SPREAD_SECONDS: f64 = 1.0;
 
-impl World {
-    pub(super) fn play_script_step(&mut self, now: SimTime, step: usize) {
+impl Simulation {
+    pub(super) fn run_script_step(&mut self, now: SimTime, step: usize) {
         let step = self.experiment.script[step].clone();
         tracing::info!(at = now.seconds(), what = ?step.what, "script");
         match step.what {
--- a/crates/scale/src/fleet/world.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -18,21 +18,21 @@
 /// From the notice to drain until an engine is replaced.
 const DRAIN_DEADLINE_SECONDS: f64 = 3.0;
 
-pub struct World {
+pub struct Simulation {
     pub(super) experiment: Rc<Experiment>,
     pub(super) gateways: Vec<Gateway>,
     pub(super) environment: Environment,
 }
 
 /// The outcome of a run.
-pub struct Played {
+pub struct Outcome {
     pub findings: Vec<Finding>,
     pub events: u64,
     pub mean_work: f64,
 }
 
-impl World {
-    pub fn new(experiment: Experiment, seed: u64) -> World {
+impl Simulation {
+    pub fn new(experiment: Experiment, seed: u64) -> Simulation {
         let experiment = Rc::new(experiment);
         let mut random = SmallRng::seed_from_u64(seed);
         let rates = clients::rates(&experiment, &mut random);
@@ -46,7 +46,7 @@
         };
         let gateways: Vec<Gateway> = rates.into_iter().enumerate().map(gateway).collect();
         let environment = Environment::new(Rc::clone(&experiment), random);
-        World {
+        Simulation {
             experiment,
             gateways,
             environment,
@@ -54,7 +54,7 @@
     }
 
     /// Runs the experiment to its end.
-    pub fn play(mut self) -> Result<Played, SubsetError> {
+    pub fn run(mut self) -> Result<Outcome, SubsetError> {
         let end = SimTime::from_seconds(self.experiment.seconds);
         self.schedule_beginning();
         while let Some((now, event)) = self.environment.queue.pop() {
@@ -63,7 +63,7 @@
             }
             self.handle(now, event)?;
         }
-        Ok(Played {
+        Ok(Outcome {
             findings: self.environment.judge.findings(end),
             events: self.environment.queue.scheduled_total(),
             mean_work: self.environment.demand.mean_work,
@@ -110,7 +110,7 @@
                 self.announce(now, &[]);
             }
             Event::RegionHeals { region } => self.region_heals(now, region as usize),
-            Event::Script { step } => self.play_script_step(now, step as usize),
+            Event::Script { step } => self.run_script_step(now, step as usize),
         }
         Ok(())
     }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -6,7 +6,7 @@
 mod real_processes;
 mod results;
 mod slopes;
-mod spread;
+mod subset_comparison;
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
@@ -64,7 +64,7 @@
         Command::SlopePoint => slopes::measure_point(),
         Command::Fleet(run) => fleet::run(&run),
         Command::Beside(run) => real_processes::run(&run),
-        Command::Spread(run) => spread::run(&run),
+        Command::Spread(run) => subset_comparison::run(&run),
     };
     match verdict {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -21,7 +21,7 @@
 
 struct Files {
     path: PathBuf,
-    json_lines: BufWriter<File>,
+    json: BufWriter<File>,
     table: csv::Writer<File>,
 }
 
@@ -36,12 +36,12 @@
             return Ok(Results { files: None });
         };
         let table_path = path.with_extension("csv");
-        let json_lines = BufWriter::new(create(path)?);
+        let json = BufWriter::new(create(path)?);
         let table = csv::Writer::from_writer(create(&table_path)?);
         Ok(Results {
             files: Some(Files {
                 path: path.into(),
-                json_lines,
+                json,
                 table,
             }),
         })
@@ -65,9 +65,9 @@
 
 impl Files {
     fn write(&mut self, row: &impl Serialize) -> io::Result<()> {
-        serde_json::to_writer(&mut self.json_lines, row)?;
-        self.json_lines.write_all(b"\n")?;
-        self.json_lines.flush()?;
+        serde_json::to_writer(&mut self.json, row)?;
+        self.json.write_all(b"\n")?;
+        self.json.flush()?;
         self.table.serialize(row).map_err(io::Error::other)?;
         self.table.flush()
     }
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -31,11 +31,11 @@
         let settling = (point.quantities.settling * 1000.0) as u64;
         let (resident, mut network) = growth(|| {
             let mut network = Network::start(members, point.quantities.loss, point.seed);
-            network.play(settling);
+            network.advance(settling);
             network
         })?;
         let bytes_before = network.bytes_out;
-        let (spent, ()) = timed(|| network.play(span));
+        let (spent, ()) = timed(|| network.advance(span));
         let member_seconds = members as f64 * span as f64 / 1000.0;
         let bytes = (network.bytes_out - bytes_before) as f64;
         Ok(vec![
@@ -107,11 +107,11 @@
     }
 
     /// Runs the network for so many milliseconds.
-    fn play(&mut self, span: u64) {
+    fn advance(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
             self.deliver();
-            (0..self.members.len()).for_each(|member| self.run(member));
+            (0..self.members.len()).for_each(|member| self.run_member(member));
             self.now += STEP_MS;
         }
     }
@@ -133,7 +133,7 @@
         }
     }
 
-    fn run(&mut self, member: usize) {
+    fn run_member(&mut self, member: usize) {
         let now = Duration::from_millis(self.now);
         let running = &mut self.members[member];
         if running.next().is_some_and(|at| at <= now)
--- a/crates/scale/src/slopes/module/mod.rs
+++ b/crates/scale/src/slopes/module/mod.rs
@@ -1,13 +1,13 @@
 //! The role of the decision module: one gateway's module, fed with queries in simulated time.
 
 mod engines;
+mod simulation;
 mod workload;
-mod world;
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated, timed};
 use engines::ListedEngines;
-use world::World;
+use simulation::Simulation;
 
 pub struct Module;
 
@@ -16,17 +16,18 @@
         let quantities = &point.quantities;
         let engines = ListedEngines::new(quantities)?;
         let settings = workload::settings(quantities);
-        let (resident, (first_list, mut world)) =
-            growth(|| timed(|| World::new(point, settings, engines)))?;
+        let (resident, (first_list, mut simulation)) =
+            growth(|| timed(|| Simulation::new(point, settings, engines)))?;
         // The module learns its engines' load first.
-        world.play(quantities.settling);
-        let (admitted_before, placements_before) = (world.queries_admitted, world.placements);
-        let (spent, ()) = timed(|| world.play(quantities.seconds));
-        let queries = (world.queries_admitted - admitted_before).max(1) as f64;
-        let placements = (world.placements - placements_before) as f64;
-        world.check()?;
-        let whole_list = repeated(|_| world.update_whole_list());
-        let changed_entry = repeated(|repeat| world.change_endpoint(repeat));
+        simulation.run(quantities.settling);
+        let (admitted_before, placements_before) =
+            (simulation.queries_admitted, simulation.placements);
+        let (spent, ()) = timed(|| simulation.run(quantities.seconds));
+        let queries = (simulation.queries_admitted - admitted_before).max(1) as f64;
+        let placements = (simulation.placements - placements_before) as f64;
+        simulation.check()?;
+        let whole_list = repeated(|_| simulation.update_whole_list());
+        let changed_entry = repeated(|repeat| simulation.change_endpoint(repeat));
         Ok(vec![
             Measured::new(Metric::Query, spent / queries),
             Measured::new(Metric::CoreShare, spent / quantities.seconds / 1e6 * 100.0),
@@ -34,7 +35,7 @@
             Measured::new(Metric::FirstList, first_list),
             Measured::new(Metric::WholeList, whole_list),
             Measured::new(Metric::ChangedLine, changed_entry),
-            Measured::new(Metric::SubsetEngines, world.engines_listed() as f64),
+            Measured::new(Metric::SubsetEngines, simulation.engines_listed() as f64),
             Measured::new(Metric::Resident, resident),
         ])
     }
--- a/crates/scale/src/slopes/module/world.rs
+++ b/crates/scale/src/slopes/module/simulation.rs
@@ -45,7 +45,7 @@
     Change,
 }
 
-pub struct World {
+pub struct Simulation {
     controller: AdmissionController,
     engines: ListedEngines,
     engines_listed: usize,
@@ -73,12 +73,12 @@
     (seconds / SECONDS_PER_MICROSECOND).round() as u64
 }
 
-impl World {
+impl Simulation {
     pub fn new(point: &Point, settings: Settings, mut engines: ListedEngines) -> Self {
         let mut controller = AdmissionController::new(settings, point.seed, START_SECONDS);
         let endpoints = engines.whole();
         controller.update_endpoints(&endpoints, true);
-        let mut world = World {
+        let mut simulation = Simulation {
             controller,
             engines,
             engines_listed: endpoints.len(),
@@ -94,11 +94,11 @@
             placements: 0,
             queries_rejected: 0,
         };
-        world.schedule_next(EventKind::Arrival, point.quantities.queries_per_second);
+        simulation.schedule_next(EventKind::Arrival, point.quantities.queries_per_second);
         if point.quantities.changes_per_second > 0 {
-            world.schedule_next(EventKind::Change, point.quantities.changes_per_second);
+            simulation.schedule_next(EventKind::Change, point.quantities.changes_per_second);
         }
-        world
+        simulation
     }
 
     pub fn engines_listed(&self) -> usize {
@@ -106,7 +106,7 @@
     }
 
     /// Runs the simulation for so many seconds.
-    pub fn play(&mut self, seconds: f64) {
+    pub fn run(&mut self, seconds: f64) {
         let end = self.now + micros(seconds);
         loop {
             let due = self
--- a/crates/scale/src/spread/chart.rs
+++ b/crates/scale/src/subset_comparison/chart.rs
@@ -1,7 +1,8 @@
 //! Charts of the spread against the size of the subset, one for each fleet.
 
 use super::report::{Figure, Row};
-use super::ways::WayName;
+use super::strategies::StrategyName;
+use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -9,10 +10,10 @@
 const WIDTH_AND_HEIGHT: (u32, u32) = (900, 540);
 const POINT_SIZE: i32 = 4;
 const LABEL_AREA: u32 = 50;
-/// Room above the highest value, as a factor.
+/// Space above the highest value, as a factor.
 const HEADROOM: f64 = 1.05;
 
-/// Draws the p99 of work per core over the mean, even traffic, one line a way, into files beside `results`.
+/// Draws the p99 of work per core over the mean, even traffic, one curve for each strategy, into files beside `results`.
 pub fn draw(rows: &[Row], results: &Path) -> Result<(), Box<dyn Error>> {
     let mut fleets: Vec<(usize, usize)> =
         rows.iter().map(|row| (row.gateways, row.engines)).collect();
@@ -32,22 +33,11 @@
 }
 
 fn draw_fleet(rows: &[Row], fleet: (usize, usize), path: &Path) -> Result<(), Box<dyn Error>> {
-    let lines = lines(rows, fleet);
-    let sizes = || {
-        lines
-            .iter()
-            .flat_map(|(_, points)| points.iter().map(|point| point.0))
-    };
-    let values = || {
-        lines
-            .iter()
-            .flat_map(|(_, points)| points.iter().map(|point| point.1))
-    };
-    let (smallest, largest) = (
-        sizes().fold(f64::MAX, f64::min),
-        sizes().fold(0.0, f64::max),
-    );
-    let highest = values().fold(1.0, f64::max) * HEADROOM;
+    let curves = curves(rows, fleet);
+    let points = || curves.iter().flat_map(|(_, points)| points);
+    let smallest = points().map(|(size, _)| *size).fold(f64::MAX, f64::min);
+    let largest = points().map(|(size, _)| *size).fold(0.0, f64::max);
+    let highest = points().map(|(_, value)| *value).fold(1.0, f64::max) * HEADROOM;
     let area = SVGBackend::new(path, WIDTH_AND_HEIGHT).into_drawing_area();
     area.fill(&WHITE)?;
     let title = format!(
@@ -65,21 +55,8 @@
         .x_desc("engines in a subset")
         .y_desc("p99 over mean")
         .draw()?;
-    for (index, (way, points)) in lines.into_iter().enumerate() {
-        let color = Palette99::pick(index).to_rgba();
-        let label = way.label();
-        chart
-            .draw_series(LineSeries::new(
-                points.iter().copied(),
-                color.stroke_width(2),
-            ))?
-            .label(label)
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
-        chart.draw_series(
-            points
-                .iter()
-                .map(|point| Circle::new(*point, POINT_SIZE, color.filled())),
-        )?;
+    for (index, (strategy, points)) in curves.into_iter().enumerate() {
+        draw_curve(&mut chart, index, strategy, &points)?;
     }
     chart
         .configure_series_labels()
@@ -90,22 +67,42 @@
     Ok(())
 }
 
-/// The points of each way that depends on the size.
-fn lines(rows: &[Row], fleet: (usize, usize)) -> Vec<(WayName, Vec<(f64, f64)>)> {
-    let points_of = |way: WayName| {
-        let of_way = |row: &&Row| row.way == way && row.figure == Figure::EvenP99;
+type FleetChart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
+fn draw_curve<'a>(
+    chart: &mut FleetChart<'a>,
+    index: usize,
+    strategy: StrategyName,
+    points: &[(f64, f64)],
+) -> Result<(), Box<dyn Error>> {
+    let color = Palette99::pick(index).to_rgba();
+    let series = LineSeries::new(points.iter().copied(), color.stroke_width(2));
+    chart
+        .draw_series(series)?
+        .label(strategy.label())
+        .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color.stroke_width(2)));
+    let circle = |point: &(f64, f64)| Circle::new(*point, POINT_SIZE, color.filled());
+    chart.draw_series(points.iter().map(circle))?;
+    Ok(())
+}
+
+/// The points of each strategy that depends on the size.
+fn curves(rows: &[Row], fleet: (usize, usize)) -> Vec<(StrategyName, Vec<(f64, f64)>)> {
+    let points_of = |strategy: StrategyName| {
+        let of_strategy = |row: &&Row| row.strategy == strategy && row.figure == Figure::EvenP99;
         let of_fleet = |row: &&Row| (row.gateways, row.engines) == fleet;
         let points = rows
             .iter()
-            .filter(of_way)
+            .filter(of_strategy)
             .filter(of_fleet)
             .map(|row| (row.size as f64, row.median));
-        (way, points.collect())
+        (strategy, points.collect())
     };
-    let ways = WayName::all()
+    let strategies = StrategyName::all()
         .into_iter()
-        .filter(|way| !way.holds_whole_list());
-    ways.map(points_of)
-        .filter(|(_, points): &(WayName, Vec<_>)| !points.is_empty())
+        .filter(|strategy| !strategy.holds_whole_list());
+    strategies
+        .map(points_of)
+        .filter(|(_, points): &(StrategyName, Vec<_>)| !points.is_empty())
         .collect()
 }
--- a/crates/scale/src/spread/compare.rs
+++ b/crates/scale/src/subset_comparison/compare.rs
@@ -1,39 +1,39 @@
-//! Plays each way on each fleet with each size and seed, and gathers the figures.
+//! Runs each strategy on each fleet with each size and seed, and gathers the figures.
 
 use super::experiment::{Experiment, Fleet};
+use super::injected_fault::Moment;
 use super::measure::{self, Distribution, Required};
 use super::population::{even_traffic, uneven_traffic, Change, Population};
 use super::report::{Figure, Row};
-use super::slip::Moment;
-use super::ways::{Assignment, Choices, Way, WayName};
+use super::strategies::{Assignment, Choices, Strategy, StrategyName};
 use indicatif::ProgressBar;
 use std::collections::BTreeMap;
 
-/// Gateways that hold an engine at least in the mean; a smaller size is raised to that. The chance that an engine is
-/// held by nobody is about e to the power of minus this.
+/// Mean number of gateways that hold an engine at least; a smaller size is raised to that. An engine has no holder with
+/// a probability of about e to the power of minus this.
 const MIN_HOLDERS: usize = 24;
-const MICROSECONDS: f64 = 1e6;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 /// What one seed gave, by figure.
 type Figures = BTreeMap<Figure, f64>;
 
-/// One way with one size in one fleet.
+/// One strategy with one size in one fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Case {
     gateways: usize,
     engines: usize,
     size: usize,
-    way: WayName,
+    strategy: StrategyName,
 }
 
-/// Plays the experiment.
+/// Runs the experiment.
 pub fn compare(experiment: &Experiment) -> Vec<Row> {
     let mut gathered: BTreeMap<Case, Vec<Figures>> = BTreeMap::new();
     let rounds = experiment.fleets.len() * experiment.seeds;
     let progress = ProgressBar::new(rounds as u64);
     for fleet in &experiment.fleets {
         for seed in experiment.seed..experiment.seed + experiment.seeds as u64 {
-            for (case, figures) in play_seed(experiment, fleet, seed) {
+            for (case, figures) in measure_seed(experiment, fleet, seed) {
                 gathered.entry(case).or_default().push(figures);
             }
             progress.inc(1);
@@ -51,57 +51,57 @@
         gateways,
         engines,
         size,
-        way,
+        strategy,
     } = case;
     let figures = seeds[0].keys();
     let row = |figure: &Figure| {
         let values = seeds.iter().map(|seed| seed[figure]).collect();
-        Row::new(gateways, engines, size, way, *figure, values)
+        Row::new(gateways, engines, size, strategy, *figure, values)
     };
     figures.map(row).collect()
 }
 
-fn play_seed(experiment: &Experiment, fleet: &Fleet, seed: u64) -> Vec<(Case, Figures)> {
-    let world = World::draw(experiment, fleet, seed);
+fn measure_seed(experiment: &Experiment, fleet: &Fleet, seed: u64) -> Vec<(Case, Figures)> {
+    let scenario = Scenario::draw(experiment, fleet, seed);
     let sizes = sizes(fleet);
-    let mut played = Vec::new();
+    let mut measured = Vec::new();
     for (index, &size) in sizes.iter().enumerate() {
         // The whole list has one size only.
-        let plays = |way: &WayName| {
-            experiment.ways.contains(way) && (index == 0 || !way.holds_whole_list())
+        let is_compared = |strategy: &StrategyName| {
+            experiment.strategies.contains(strategy) && (index == 0 || !strategy.holds_whole_list())
         };
         let mut plain_form: Option<Choices> = None;
-        for way in WayName::all().into_iter().filter(plays) {
-            let choices = world.choose(way, size);
-            let mut figures = world.measure(way, size, &choices);
-            match (way, &plain_form) {
-                (WayName::RendezvousFloors, _) => plain_form = Some(choices),
-                (WayName::Subset, Some(plain)) => {
+        for strategy in StrategyName::all().into_iter().filter(is_compared) {
+            let choices = scenario.choose(strategy, size);
+            let mut figures = scenario.measure(strategy, size, &choices);
+            match (strategy, &plain_form) {
+                (StrategyName::RendezvousFloors, _) => plain_form = Some(choices),
+                (StrategyName::Subset, Some(plain)) => {
                     let disagreeing = disagreeing(plain, &choices);
                     figures.insert(Figure::Disagreeing, disagreeing as f64);
                 }
                 _ => {}
             }
-            let size = if way.holds_whole_list() {
+            let size = if strategy.holds_whole_list() {
                 fleet.engines
             } else {
                 size
             };
-            played.push((
+            measured.push((
                 Case {
                     gateways: fleet.gateways,
                     engines: fleet.engines,
                     size,
-                    way,
+                    strategy,
                 },
                 figures,
             ));
         }
     }
-    played
+    measured
 }
 
-/// The sizes to play: raised to the floor, without repeats, and under the whole list.
+/// The sizes to compare: raised to the floor, without repeats, and under the whole list.
 fn sizes(fleet: &Fleet) -> Vec<usize> {
     let floor = (MIN_HOLDERS * fleet.engines).div_ceil(fleet.gateways);
     let raised = fleet.subset_sizes.iter().map(|size| (*size).max(floor));
@@ -112,7 +112,7 @@
 }
 
 /// One fleet under one seed, and what it becomes by each change.
-struct World<'a> {
+struct Scenario<'a> {
     experiment: &'a Experiment,
     population: Population,
     /// In the order of [`Change::ALL`].
@@ -121,14 +121,14 @@
     uneven: Vec<f64>,
 }
 
-impl<'a> World<'a> {
+impl<'a> Scenario<'a> {
     fn draw(experiment: &'a Experiment, fleet: &Fleet, seed: u64) -> Self {
         let population = Population::draw(experiment, fleet, seed);
         let after = |change: &Change| population.after(*change, experiment, seed);
         let changed = Change::ALL.iter().map(after).collect();
         let even = even_traffic(fleet.gateways);
         let uneven = uneven_traffic(experiment, fleet.gateways, seed);
-        World {
+        Scenario {
             experiment,
             population,
             changed,
@@ -137,41 +137,46 @@
         }
     }
 
-    fn choose(&self, name: WayName, size: usize) -> Choices {
-        let way = name.build(self.experiment);
-        let mut choices = way.choose_in_turn(&self.population, &self.changed, size);
-        self.slip(name, &mut choices);
+    fn choose(&self, name: StrategyName, size: usize) -> Choices {
+        let strategy = name.build(self.experiment);
+        let mut choices = strategy.choose_sequentially(&self.population, &self.changed, size);
+        self.inject_fault(name, &mut choices);
         choices
     }
 
-    fn measure(&self, name: WayName, size: usize, choices: &Choices) -> Figures {
-        let way = name.build(self.experiment);
+    fn measure(&self, name: StrategyName, size: usize, choices: &Choices) -> Figures {
+        let strategy = name.build(self.experiment);
         let mut figures = Figures::new();
-        let choosing = choices.choosing.as_secs_f64() * MICROSECONDS;
+        let choice_time = choices.choice_time.as_secs_f64() * MICROSECONDS_PER_SECOND;
         figures.insert(
             Figure::ChooseMicroseconds,
-            choosing / self.population.gateways.len() as f64,
+            choice_time / self.population.gateways.len() as f64,
         );
         figures.insert(
             Figure::StateBytes,
-            way.state_bytes(&self.population, size) as f64,
+            strategy.state_bytes(&self.population, size) as f64,
         );
-        self.measure_spread(&*way, &choices.before, &mut figures);
+        self.measure_spread(&*strategy, &choices.before, &mut figures);
         let required = Required {
             size,
-            classes: way.classes(),
+            classes: strategy.classes(),
         };
         for (index, after) in choices.after.iter().enumerate() {
             self.measure_moves(&choices.before, index, after, &required, &mut figures);
         }
-        if let Some(returned) = &choices.returned {
-            let not_back = measure::disagreeing(&choices.before, returned);
-            figures.insert(Figure::NotBack, not_back as f64);
+        if let Some(restored) = &choices.restored {
+            let not_restored = measure::disagreeing(&choices.before, restored);
+            figures.insert(Figure::NotRestored, not_restored as f64);
         }
         figures
     }
 
-    fn measure_spread(&self, way: &dyn Way, assignment: &Assignment, figures: &mut Figures) {
+    fn measure_spread(
+        &self,
+        strategy: &dyn Strategy,
+        assignment: &Assignment,
+        figures: &mut Figures,
+    ) {
         let even = measure::work_over_mean(&self.population, assignment, &self.even);
         insert(
             figures,
@@ -184,7 +189,7 @@
             uneven,
             [Figure::UnevenP50, Figure::UnevenP99, Figure::UnevenMax],
         );
-        let connections = Distribution::of(way.connections(&self.population, assignment));
+        let connections = Distribution::of(strategy.connections(&self.population, assignment));
         let names = [
             Figure::ConnectionsP50,
             Figure::ConnectionsP99,
@@ -198,7 +203,7 @@
             Figure::Members,
             members as f64 / assignment.held.len() as f64,
         );
-        if !assignment.told_holders.is_empty() {
+        if !assignment.holder_counts.is_empty() {
             let sum = measure::largest_sum_of_parts(&self.population, assignment);
             figures.insert(Figure::SumOfParts, sum);
         }
@@ -221,18 +226,22 @@
         figures.insert(Figure::MovedOverFloor(change), moves.over_floor());
     }
 
-    fn slip(&self, way: WayName, choices: &mut Choices) {
-        let Some(slip) = self.experiment.slip.filter(|_| way == WayName::Subset) else {
+    fn inject_fault(&self, strategy: StrategyName, choices: &mut Choices) {
+        let Some(injected_fault) = self
+            .experiment
+            .injected_fault
+            .filter(|_| strategy == StrategyName::Subset)
+        else {
             return;
         };
-        slip.apply(Moment::First, &mut choices.before);
+        injected_fault.apply(Moment::First, &mut choices.before);
         for (change, assignment) in Change::ALL.into_iter().zip(&mut choices.after) {
-            slip.apply(Moment::After(change), assignment);
+            injected_fault.apply(Moment::After(change), assignment);
         }
         choices
-            .returned
+            .restored
             .iter_mut()
-            .for_each(|returned| slip.apply(Moment::Returned, returned));
+            .for_each(|restored| injected_fault.apply(Moment::Restored, restored));
     }
 }
 
--- a/crates/scale/src/spread/experiment.rs
+++ b/crates/scale/src/subset_comparison/experiment.rs
@@ -1,17 +1,17 @@
-//! An experiment's file: the fleets, the ways and the changes to compare.
+//! An experiment's file: the fleets and the strategies to compare.
 
-use super::slip::Slip;
-use super::ways::WayName;
+use super::injected_fault::InjectedFault;
+use super::strategies::StrategyName;
 use crate::experiment::{ExperimentError, Fault};
 use serde::Deserialize;
 use std::path::Path;
 
-/// Fleets, sizes and seeds an experiment may name, so that a slip of the pen does not fill the machine.
-const MOST_SEEDS: usize = 1_024;
-const MOST_ENGINES: usize = 100_000;
-const MOST_GATEWAYS: usize = 100_000;
-const MOST_THREADS: usize = 64;
-const MOST_POINTS_PER_CORE: usize = 256;
+/// Bounds of an experiment, so that a typing error does not exhaust the machine.
+const MAX_SEEDS: usize = 1_024;
+const MAX_ENGINES: usize = 100_000;
+const MAX_GATEWAYS: usize = 100_000;
+const MAX_THREADS: usize = 64;
+const MAX_POINTS_PER_CORE: usize = 256;
 
 /// What is compared, and over which fleets.
 #[derive(Clone, Debug, Deserialize)]
@@ -19,15 +19,15 @@
 pub struct Experiment {
     /// The first seed; the others follow it.
     pub seed: u64,
-    /// How many seeds each comparison is played with.
+    /// How many seeds each comparison runs with.
     pub seeds: usize,
     /// Threads that choose at the same time.
     #[serde(default = "one")]
     pub threads: usize,
-    /// The ways to compare; all when left out.
-    #[serde(default = "WayName::all")]
-    pub ways: Vec<WayName>,
-    /// Engines of each named kind in a subset at least, for the ways that know placement classes.
+    /// The strategies to compare; all when left out.
+    #[serde(rename = "ways", default = "StrategyName::all")]
+    pub strategies: Vec<StrategyName>,
+    /// Engines of each named kind in a subset at least, for the strategies that know placement classes.
     pub class_floor: usize,
     /// Zones, over which engines and gateways are dealt evenly.
     pub zones: u32,
@@ -39,11 +39,11 @@
     pub traffic: Traffic,
     pub ring: Ring,
     pub sampling: Sampling,
-    /// Part of the gateways that goes away in the change of gateways.
+    /// Share of the gateways that leaves in the change of gateways.
     pub gateways_lost: f64,
-    /// A fault put in on purpose, which the judge has to find.
-    #[serde(default)]
-    pub slip: Option<Slip>,
+    /// An injected fault, which the judge has to find.
+    #[serde(rename = "slip", default)]
+    pub injected_fault: Option<InjectedFault>,
 }
 
 /// Engines of one number of cores.
@@ -53,7 +53,7 @@
     pub cores: f64,
     /// Part of all engines.
     pub share: f64,
-    /// Whether a service group names this kind, which makes it a placement class.
+    /// Whether a query class names this kind, which makes it a placement class.
     #[serde(default)]
     pub named: bool,
 }
@@ -68,6 +68,23 @@
     pub subset_sizes: Vec<usize>,
 }
 
+impl Fleet {
+    fn fault(&self) -> Option<Fault> {
+        let found = format!("{self:?}");
+        let counts = (2..=MAX_GATEWAYS).contains(&self.gateways)
+            && (2..=MAX_ENGINES).contains(&self.engines);
+        if !counts {
+            let remedy = "name gateways and engines in this range";
+            return Some(Fault::new("fleets", found, "2 to 100,000 of each", remedy));
+        }
+        if self.subset_sizes.is_empty() || self.subset_sizes.contains(&0) {
+            let (expected, remedy) = ("a list of 1 or more", "name the sizes to compare");
+            return Some(Fault::new("fleets.subset_sizes", found, expected, remedy));
+        }
+        None
+    }
+}
+
 /// Uneven traffic: some gateways get several times the mean of the others.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -90,7 +107,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sampling {
-    /// Engines asked for their load, for each decision.
+    /// Engines polled for their load, for each decision.
     pub draws: usize,
     /// A connection is closed when it was idle for so long.
     pub connection_idle_s: f64,
@@ -117,7 +134,7 @@
         }
     }
 
-    /// The kinds that service groups name.
+    /// The kinds that query classes name.
     pub fn named_kinds(&self) -> Vec<u32> {
         (0..)
             .zip(&self.kinds)
@@ -131,14 +148,14 @@
             self.fault_in_repeats(),
             self.fault_in_engines(),
             self.fault_in_fleets(),
-            self.fault_in_ways(),
+            self.fault_in_strategies(),
             self.fault_in_traffic(),
         ];
         faults.into_iter().flatten().next()
     }
 
     fn fault_in_repeats(&self) -> Option<Fault> {
-        if !(1..=MOST_SEEDS).contains(&self.seeds) {
+        if !(1..=MAX_SEEDS).contains(&self.seeds) {
             return Some(Fault::new(
                 "seeds",
                 self.seeds,
@@ -146,7 +163,7 @@
                 "name how often each is played",
             ));
         }
-        if !(1..=MOST_THREADS).contains(&self.threads) {
+        if !(1..=MAX_THREADS).contains(&self.threads) {
             return Some(Fault::new(
                 "threads",
                 self.threads,
@@ -190,60 +207,40 @@
 
     fn fault_in_fleets(&self) -> Option<Fault> {
         if self.fleets.is_empty() {
-            return Some(Fault::new(
-                "fleets",
-                "an empty list",
-                "a list of fleets",
-                "add a [[fleets]] table",
-            ));
+            let (found, expected) = ("an empty list", "a list of fleets");
+            let remedy = "add a [[fleets]] table";
+            return Some(Fault::new("fleets", found, expected, remedy));
         }
-        for fleet in &self.fleets {
-            let counts = (2..=MOST_GATEWAYS).contains(&fleet.gateways)
-                && (2..=MOST_ENGINES).contains(&fleet.engines);
-            if !counts {
-                let remedy = "name gateways and engines in this range";
-                return Some(Fault::new(
-                    "fleets",
-                    format!("{fleet:?}"),
-                    "2 to 100,000 of each",
-                    remedy,
-                ));
-            }
-            if fleet.subset_sizes.is_empty() || fleet.subset_sizes.contains(&0) {
-                let remedy = "name the sizes to compare";
-                return Some(Fault::new(
-                    "fleets.subset_sizes",
-                    format!("{fleet:?}"),
-                    "a list of 1 or more",
-                    remedy,
-                ));
-            }
+        if let Some(fault) = self.fleets.iter().find_map(Fleet::fault) {
+            return Some(fault);
         }
         if !(0.0..1.0).contains(&self.gateways_lost) {
-            let remedy = "name the part of the gateways that goes";
-            return Some(Fault::new(
-                "gateways_lost",
-                self.gateways_lost,
+            let (expected, remedy) = (
                 "0 or more and under 1",
-                remedy,
-            ));
+                "name the part of the gateways that goes",
+            );
+            let found = self.gateways_lost;
+            return Some(Fault::new("gateways_lost", found, expected, remedy));
         }
         None
     }
 
-    fn fault_in_ways(&self) -> Option<Fault> {
-        let judged = [WayName::Subset, WayName::RendezvousFloors];
-        if !judged.iter().all(|way| self.ways.contains(way)) {
+    fn fault_in_strategies(&self) -> Option<Fault> {
+        let judged = [StrategyName::Subset, StrategyName::RendezvousFloors];
+        if !judged
+            .iter()
+            .all(|strategy| self.strategies.contains(strategy))
+        {
             let remedy = "name both as well: one is judged by the other";
             let expected = "a list with subset and rendezvous-floors";
             return Some(Fault::new(
                 "ways",
-                format!("{:?}", self.ways),
+                format!("{:?}", self.strategies),
                 expected,
                 remedy,
             ));
         }
-        if !(1..=MOST_POINTS_PER_CORE).contains(&self.ring.points_per_core) {
+        if !(1..=MAX_POINTS_PER_CORE).contains(&self.ring.points_per_core) {
             let remedy = "name the points of an engine on the ring for each core";
             return Some(Fault::new(
                 "ring.points_per_core",
--- a/crates/scale/src/spread/slip.rs
+++ b/crates/scale/src/subset_comparison/injected_fault.rs
@@ -1,25 +1,25 @@
-//! Faults put in on purpose between the ways and the measures: the judge has to find each of them.
+//! Faults injected between the strategies and the measures: the judge has to find each of them.
 
 use super::population::Change;
-use super::ways::Assignment;
+use super::strategies::Assignment;
 use serde::Deserialize;
 use std::sync::Arc;
 
 /// A fault in what `garnetwall-subset` chose.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Slip {
+pub enum InjectedFault {
     /// No gateway holds the first engine.
     UnheldEngine,
     /// After a change of engines each gateway has the subset of its neighbour.
     NeedlessMoves,
     /// After a change of gateways each gateway has the subset of its neighbour.
     MovesWithGateways,
-    /// One gateway holds an engine less than it should.
+    /// One gateway holds one engine too few.
     OneMemberLacks,
-    /// Each gateway takes itself for the only one that holds its engines.
+    /// Each gateway counts only itself as a holder of its engines.
     HoldersUntold,
-    /// When all that was lost has come back each gateway has the subset of its neighbour.
+    /// When all that was lost is restored each gateway has the subset of its neighbour.
     NoReturn,
 }
 
@@ -28,36 +28,36 @@
 pub enum Moment {
     First,
     After(Change),
-    /// All that was lost has come back.
-    Returned,
+    /// All that was lost is restored.
+    Restored,
 }
 
-impl Slip {
-    /// Puts the fault into a choice.
+impl InjectedFault {
+    /// Injects the fault into a choice.
     pub fn apply(self, moment: Moment, assignment: &mut Assignment) {
         match (self, moment) {
-            (Slip::UnheldEngine, Moment::First) => {
+            (InjectedFault::UnheldEngine, Moment::First) => {
                 assignment.held.iter_mut().for_each(drop_first_engine)
             }
             (
-                Slip::NeedlessMoves,
+                InjectedFault::NeedlessMoves,
                 Moment::After(Change::OneEngine | Change::Rack | Change::Zone),
             ) => {
                 assignment.held.rotate_left(1);
             }
-            (Slip::MovesWithGateways, Moment::After(Change::Gateways)) => {
+            (InjectedFault::MovesWithGateways, Moment::After(Change::Gateways)) => {
                 assignment.held.rotate_left(1)
             }
-            (Slip::NoReturn, Moment::Returned) => assignment.held.rotate_left(1),
-            (Slip::OneMemberLacks, Moment::First) => {
+            (InjectedFault::NoReturn, Moment::Restored) => assignment.held.rotate_left(1),
+            (InjectedFault::OneMemberLacks, Moment::First) => {
                 let held = &mut assignment.held[0];
                 *held = held[..held.len() - 1].into();
             }
-            (Slip::HoldersUntold, Moment::First) => {
+            (InjectedFault::HoldersUntold, Moment::First) => {
                 assignment
-                    .told_holders
+                    .holder_counts
                     .iter_mut()
-                    .for_each(|told| told.fill(1.0));
+                    .for_each(|counts| counts.fill(1.0));
             }
             _ => {}
         }
--- a/crates/scale/src/spread/judge.rs
+++ b/crates/scale/src/subset_comparison/judge.rs
@@ -1,13 +1,13 @@
-//! The verdict on the chosen way, from its figures only.
+//! The verdict on the strategy in use, from its figures only.
 
 use super::population::Change;
 use super::report::{Figure, Row};
-use super::ways::WayName;
+use super::strategies::StrategyName;
 
-/// Moves that are allowed for each that no way could do without.
-const MOVES_ALLOWED: f64 = 1.05;
-/// The holders of an engine may take so much of it together: the module gives out 0.6 of a cold engine's budget.
-const SUM_OF_PARTS_ALLOWED: f64 = 1.0 / 0.6;
+/// Moves over those that no strategy could avoid, at most.
+const MAX_MOVE_RATIO: f64 = 1.05;
+/// Sum of the holders' shares of an engine, at most: the module uses 0.6 of a cold engine's budget.
+const MAX_SUM_OF_PARTS: f64 = 1.0 / 0.6;
 
 /// One judged thing.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
 /// Judges `garnetwall-subset` in every fleet and with every size.
 pub fn judge(rows: &[Row]) -> Vec<Check> {
     rows.iter()
-        .filter(|row| row.way == WayName::Subset)
+        .filter(|row| row.strategy == StrategyName::Subset)
         .filter_map(judge_row)
         .collect()
 }
@@ -28,20 +28,20 @@
     let (what, allowed) = match row.figure {
         Figure::Unheld => ("engines held by nobody", 0.0),
         Figure::MovedOverLeast(Change::OneEngine) => {
-            ("moves over the least, one engine lost", MOVES_ALLOWED)
+            ("moves over the least, one engine lost", MAX_MOVE_RATIO)
         }
         Figure::MovedOverLeast(Change::Rack) => {
-            ("moves over the least, a rack lost", MOVES_ALLOWED)
+            ("moves over the least, a rack lost", MAX_MOVE_RATIO)
         }
         Figure::MovedOverLeast(Change::Zone) => {
-            ("moves over the least, a zone lost", MOVES_ALLOWED)
+            ("moves over the least, a zone lost", MAX_MOVE_RATIO)
         }
         Figure::Moved(Change::Gateways) => ("moves of those that stay, gateways lost", 0.0),
         Figure::Disagreeing => ("gateways that differ from the plain form", 0.0),
-        Figure::NotBack => ("gateways not back at their subset when all is back", 0.0),
+        Figure::NotRestored => ("gateways not back at their subset when all is back", 0.0),
         Figure::SumOfParts => (
             "sum of what the holders of an engine take",
-            SUM_OF_PARTS_ALLOWED,
+            MAX_SUM_OF_PARTS,
         ),
         _ => return None,
     };
@@ -60,7 +60,7 @@
     Some(Check { passed, text })
 }
 
-/// Prints each check and the counts, and tells whether all passed. No check at all is no pass.
+/// Prints each check and the counts, and returns whether all passed, and at least one did.
 pub fn print_verdict(checks: &[Check]) -> bool {
     checks.iter().for_each(|check| println!("{}", check.text));
     let passed = checks.iter().filter(|check| check.passed).count();
--- a/crates/scale/src/spread/measure.rs
+++ b/crates/scale/src/subset_comparison/measure.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use super::population::Population;
-use super::ways::{Assignment, Classes};
+use super::strategies::{Assignment, Classes};
 use std::collections::HashMap;
 
 /// A distribution over engines.
@@ -66,31 +66,31 @@
         .count()
 }
 
-/// Gateways whose subsets differ, or that one of both lacks.
+/// Gateways whose subsets differ, or that are in one assignment only.
 pub fn disagreeing(one: &Assignment, other: &Assignment) -> usize {
     let pairs = one.held.iter().zip(&other.held);
     pairs.filter(|(one, other)| one != other).count() + one.held.len().abs_diff(other.held.len())
 }
 
-/// The most that all holders of an engine take together, where each takes one part in the number of holders that it
-/// was told. 1 is all of the engine.
+/// The largest sum of the holders' shares of an engine, where a share is one over the holder's own count of holders.
+/// 1 is the whole engine.
 pub fn largest_sum_of_parts(population: &Population, assignment: &Assignment) -> f64 {
     let mut sums = vec![0.0; population.engine_numbers()];
-    for (held, told) in assignment.held.iter().zip(&assignment.told_holders) {
+    for (held, holder_counts) in assignment.held.iter().zip(&assignment.holder_counts) {
         held.iter()
-            .zip(told)
+            .zip(holder_counts)
             .for_each(|(engine, holders)| sums[*engine as usize] += 1.0 / holders);
     }
     sums.into_iter().fold(0.0, f64::max)
 }
 
-/// Pairs of a gateway and an engine that came or went, for the gateways that stayed.
+/// Pairs of a gateway and an engine that were added or removed, for the gateways that stayed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moves {
     pub moved: usize,
-    /// What any way needs that comes to as many members as this one: those lost leave, the difference joins.
+    /// What any strategy needs that holds as many members afterwards: those lost leave, the difference joins.
     pub least: usize,
-    /// What any way needs to have the size told and each kind's floor again, and no more.
+    /// What any strategy needs to restore the size and each kind's floor, and no more.
     pub floor: usize,
     /// Pairs before the change.
     pub held: usize,
@@ -171,12 +171,12 @@
     one.len() + other.len() - 2 * common
 }
 
-/// The engines that are there after a change.
+/// The engines that remain after a change.
 struct Remaining {
     count: usize,
     count_by_kind: Vec<usize>,
-    /// By the numbers of the engines that were there before.
-    is_there: Vec<bool>,
+    /// By the numbers of the engines before the change.
+    remains: Vec<bool>,
     kinds: Vec<u32>,
 }
 
@@ -184,27 +184,27 @@
     fn new(before: &Population, after: &Population) -> Self {
         let kinds = before.kinds();
         let numbers = after.numbers();
-        let mut is_there = vec![false; before.engine_numbers()];
+        let mut remains = vec![false; before.engine_numbers()];
         numbers
             .iter()
-            .for_each(|engine| is_there[*engine as usize] = true);
+            .for_each(|engine| remains[*engine as usize] = true);
         Remaining {
             count: numbers.len(),
             count_by_kind: count_by_kind(&numbers, &kinds),
-            is_there,
+            remains,
             kinds,
         }
     }
 
-    /// The members that are still there.
+    /// The members that remain.
     fn staying(&self, held: &[u32]) -> Vec<u32> {
         held.iter()
             .copied()
-            .filter(|engine| self.is_there[*engine as usize])
+            .filter(|engine| self.remains[*engine as usize])
             .collect()
     }
 
-    /// Engines that have to join to bring back the size and each class's floor, as far as engines are there.
+    /// Engines that have to join to restore the size and each class's floor, as far as engines remain.
     fn lacking(&self, staying: &[u32], required: &Required) -> usize {
         let of_size = required.size.min(self.count).saturating_sub(staying.len());
         let staying_by_kind = count_by_kind(staying, &self.kinds);
@@ -221,9 +221,9 @@
 
 fn count_by_kind(engines: &[u32], kinds: &[u32]) -> Vec<usize> {
     let kind_count = kinds.iter().max().map_or(0, |kind| *kind as usize + 1);
-    let mut counts = vec![0; kind_count];
+    let mut holder_counts = vec![0; kind_count];
     engines
         .iter()
-        .for_each(|engine| counts[kinds[*engine as usize] as usize] += 1);
-    counts
+        .for_each(|engine| holder_counts[kinds[*engine as usize] as usize] += 1);
+    holder_counts
 }
--- a/crates/scale/src/spread/measure/tests.rs
+++ b/crates/scale/src/subset_comparison/measure/tests.rs
@@ -1,7 +1,7 @@
 //! The measures by hand-worked fleets.
 
 use super::*;
-use crate::spread::population::{Engine, Gateway};
+use crate::subset_comparison::population::{Engine, Gateway};
 use std::sync::Arc;
 
 /// Two engines of 8 cores and of kind 0, two of 16 and of kind 1.
@@ -31,7 +31,7 @@
 fn assignment(held: &[&[u32]]) -> Assignment {
     Assignment {
         held: held.iter().map(|held| Arc::from(*held)).collect(),
-        told_holders: Vec::new(),
+        holder_counts: Vec::new(),
     }
 }
 
@@ -185,6 +185,6 @@
 fn parts_sum_over_the_holders_of_an_engine() {
     let fleet = population(&[0, 1], 2);
     let mut assignment = assignment(&[&[0, 1], &[1]]);
-    assignment.told_holders = vec![vec![2.0, 2.0], vec![4.0]];
+    assignment.holder_counts = vec![vec![2.0, 2.0], vec![4.0]];
     assert_eq!(largest_sum_of_parts(&fleet, &assignment), 0.75);
 }
--- a/crates/scale/src/spread/report.rs
+++ b/crates/scale/src/subset_comparison/report.rs
@@ -1,7 +1,7 @@
 //! Figures as rows: a table for the terminal, and flat rows for files.
 
 use super::population::Change;
-use super::ways::WayName;
+use super::strategies::StrategyName;
 use serde::Serialize;
 
 /// What was measured. Work is per core over the mean; moves are pairs of a gateway and an engine.
@@ -22,19 +22,19 @@
     Moved(Change),
     /// Part of all pairs that moved.
     MovedShare(Change),
-    /// Moves over what any way needs that comes to as many members.
+    /// Moves over what any strategy needs that holds as many members afterwards.
     MovedOverLeast(Change),
-    /// Moves over what any way needs to have the size told and the floors again, and no more.
+    /// Moves over what any strategy needs to restore the size and the floors, and no more.
     MovedOverFloor(Change),
-    /// Bytes a gateway keeps for the choice, beside the list.
+    /// Bytes that a gateway stores for the choice, beside the list.
     StateBytes,
-    /// Processor time of the first choice, a gateway.
+    /// Processor time of the first choice, for each gateway.
     ChooseMicroseconds,
     /// Gateways whose settled subset differs from the plain form's, before a change or after one, summed.
     Disagreeing,
-    /// Gateways whose subset is another one than at first when all that was lost has come back.
-    NotBack,
-    /// The most that the holders of an engine take together, by the holders that they were told.
+    /// Gateways whose subset differs from the first one when all that was lost is restored.
+    NotRestored,
+    /// The largest sum of the holders' shares of an engine, by the holder counts that they know.
     SumOfParts,
 }
 
@@ -68,19 +68,19 @@
             Figure::StateBytes => "state-bytes".into(),
             Figure::ChooseMicroseconds => "choose-us".into(),
             Figure::Disagreeing => "disagreeing".into(),
-            Figure::NotBack => "not-back".into(),
+            Figure::NotRestored => "not-back".into(),
             Figure::SumOfParts => "sum-of-parts".into(),
         }
     }
 }
 
-/// One figure of one way with one size in one fleet, over all seeds.
+/// One figure of one strategy with one size in one fleet, over all seeds.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub gateways: usize,
     pub engines: usize,
     pub size: usize,
-    pub way: WayName,
+    pub strategy: StrategyName,
     pub figure: Figure,
     pub min: f64,
     pub median: f64,
@@ -94,7 +94,8 @@
     gateways: usize,
     engines: usize,
     size: usize,
-    way: &'static str,
+    #[serde(rename = "way")]
+    strategy: &'static str,
     knows: &'static str,
     figure: String,
     min: f64,
@@ -109,7 +110,7 @@
         gateways: usize,
         engines: usize,
         size: usize,
-        way: WayName,
+        strategy: StrategyName,
         figure: Figure,
         mut values: Vec<f64>,
     ) -> Self {
@@ -119,7 +120,7 @@
             gateways,
             engines,
             size,
-            way,
+            strategy,
             figure,
             min,
             median: median(&values),
@@ -134,8 +135,8 @@
             gateways: self.gateways,
             engines: self.engines,
             size: self.size,
-            way: self.way.label(),
-            knows: self.way.knowledge(),
+            strategy: self.strategy.label(),
+            knows: self.strategy.knowledge(),
             figure: self.figure.label(),
             min: self.min,
             median: self.median,
@@ -187,7 +188,7 @@
 
 /// Prints medians over the seeds, and the range of the seeds where it is not one value.
 pub fn print_table(rows: &[Row]) {
-    let mut cases: Vec<(usize, usize, usize, WayName)> = rows.iter().map(case).collect();
+    let mut cases: Vec<(usize, usize, usize, StrategyName)> = rows.iter().map(case).collect();
     cases.dedup();
     let mut table = vec![titles()];
     table.extend(cases.into_iter().map(|case| cells(rows, case)));
@@ -195,13 +196,13 @@
     let width = |column: usize| {
         table
             .iter()
-            .map(|line| line[column].len())
+            .map(|row_cells| row_cells[column].len())
             .max()
             .unwrap_or(0)
     };
     let widths: Vec<usize> = (0..columns).map(width).collect();
-    for line in &table {
-        let padded: Vec<String> = line
+    for row_cells in &table {
+        let padded: Vec<String> = row_cells
             .iter()
             .zip(&widths)
             .map(|(cell, width)| format!("{cell:>width$}", width = *width))
@@ -210,8 +211,8 @@
     }
 }
 
-fn case(row: &Row) -> (usize, usize, usize, WayName) {
-    (row.gateways, row.engines, row.size, row.way)
+fn case(row: &Row) -> (usize, usize, usize, StrategyName) {
+    (row.gateways, row.engines, row.size, row.strategy)
 }
 
 fn titles() -> Vec<String> {
@@ -222,20 +223,20 @@
         .collect()
 }
 
-fn cells(rows: &[Row], wanted: (usize, usize, usize, WayName)) -> Vec<String> {
-    let (gateways, engines, size, way) = wanted;
-    let mut line = vec![
+fn cells(rows: &[Row], wanted: (usize, usize, usize, StrategyName)) -> Vec<String> {
+    let (gateways, engines, size, strategy) = wanted;
+    let mut row_cells = vec![
         format!("{gateways} x {engines}"),
         size.to_string(),
-        way.label().to_string(),
+        strategy.label().to_string(),
     ];
     for (_, figure, digits) in COLUMNS {
         let row = rows
             .iter()
             .find(|row| case(row) == wanted && row.figure == figure);
-        line.push(row.map_or_else(|| "-".to_string(), |row| cell(row, digits)));
+        row_cells.push(row.map_or_else(|| "-".to_string(), |row| cell(row, digits)));
     }
-    line
+    row_cells
 }
 
 fn cell(row: &Row, digits: usize) -> String {
--- a/crates/scale/src/spread/ways/index_rounds.rs
+++ b/crates/scale/src/subset_comparison/strategies/index_rounds.rs
@@ -1,17 +1,17 @@
-//! Deterministic subsets by index: gateways are numbered, and each round of numbers deals a shuffled list out.
+//! Deterministic subsets by index: gateways are numbered, and each round of numbers divides a shuffled list.
 
-use super::{Assignment, Way};
-use crate::spread::population::Population;
+use super::{Assignment, Strategy};
+use crate::subset_comparison::population::Population;
 use std::collections::HashMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How numbers follow from the gateways that are there.
+/// How the present gateways are numbered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Numbering {
-    /// Gapless: dealt anew when a gateway goes.
+    /// Gapless: assigned again when a gateway leaves.
     Compact,
-    /// A gateway keeps its number; those that went leave gaps.
+    /// A gateway's number is permanent; those that left leave gaps.
     Kept,
 }
 
@@ -20,7 +20,7 @@
     pub numbering: Numbering,
 }
 
-impl Way for IndexRounds {
+impl Strategy for IndexRounds {
     fn choose(&self, population: &Population, size: usize) -> Assignment {
         let subsets_in_round = (population.engines.len() / size).max(1);
         let mut rounds: HashMap<usize, Vec<u32>> = HashMap::new();
@@ -44,7 +44,7 @@
             });
         Assignment {
             held: held.collect(),
-            told_holders: Vec::new(),
+            holder_counts: Vec::new(),
         }
     }
 
@@ -54,7 +54,7 @@
 }
 
 fn shuffled(population: &Population, round: usize) -> Vec<u32> {
-    let place = |engine: &crate::spread::population::Engine| {
+    let place = |engine: &crate::subset_comparison::population::Engine| {
         (
             xxh3_64_with_seed(engine.id.as_bytes(), round as u64),
             engine.number,
--- a/crates/scale/src/spread/ways/mod.rs
+++ b/crates/scale/src/subset_comparison/strategies/mod.rs
@@ -1,4 +1,4 @@
-//! The ways to choose, each behind one small trait.
+//! The strategies to choose subsets, behind one trait.
 
 mod index_rounds;
 mod rendezvous;
@@ -24,8 +24,8 @@
 #[derive(Clone, Debug)]
 pub struct Assignment {
     pub held: Vec<Arc<[u32]>>,
-    /// For how many holders of an engine each gateway reckons, beside `held`; empty where the way does not tell.
-    pub told_holders: Vec<Vec<f64>>,
+    /// The number of holders that each gateway assumes for each engine of `held`; empty where the strategy has none.
+    pub holder_counts: Vec<Vec<f64>>,
 }
 
 /// Placement classes, one for each kind that is named.
@@ -36,35 +36,40 @@
     pub kinds: Vec<u32>,
 }
 
-/// What was chosen before any change, and after each change by itself.
+/// The choices before any change, and after each change by itself.
 pub struct Choices {
     pub before: Assignment,
     /// Processor time of the first choice.
-    pub choosing: Duration,
+    pub choice_time: Duration,
     pub after: Vec<Assignment>,
-    /// The choice when all changes have been taken back again, where it follows from more than the population.
-    pub returned: Option<Assignment>,
+    /// The choice when all changes are undone, where it depends on more than the population.
+    pub restored: Option<Assignment>,
 }
 
-/// A way to choose subsets.
-pub trait Way {
+/// A strategy to choose subsets.
+pub trait Strategy {
     /// The subsets of all gateways.
     fn choose(&self, population: &Population, size: usize) -> Assignment;
 
     /// The subsets before and after each change.
-    fn choose_in_turn(&self, before: &Population, changed: &[Population], size: usize) -> Choices {
+    fn choose_sequentially(
+        &self,
+        before: &Population,
+        changed: &[Population],
+        size: usize,
+    ) -> Choices {
         let started = processor_time();
         let first = self.choose(before, size);
-        let choosing = processor_time().saturating_sub(started);
+        let choice_time = processor_time().saturating_sub(started);
         let after = changed
             .iter()
             .map(|population| self.choose(population, size))
             .collect();
         Choices {
             before: first,
-            choosing,
+            choice_time,
             after,
-            returned: None,
+            restored: None,
         }
     }
 
@@ -76,7 +81,7 @@
         connections
     }
 
-    /// Bytes that one gateway keeps for the choice, beside the list itself.
+    /// Bytes that one gateway stores for the choice, beside the list itself.
     fn state_bytes(&self, population: &Population, size: usize) -> usize;
 
     /// The placement classes that it knows.
@@ -85,17 +90,17 @@
     }
 }
 
-/// The ways by the names that an experiment calls them.
+/// The strategies by their names in an experiment.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum WayName {
+pub enum StrategyName {
     /// Every gateway holds every engine.
     WholeList,
     /// A few of the whole list for each decision.
     Sampling,
-    /// Rounds of shuffled subsets by gapless numbers, which are dealt anew when gateways go.
+    /// Rounds of shuffled subsets by gapless numbers, which are assigned again when gateways leave.
     IndexCompact,
-    /// The same by numbers that stay, with gaps where gateways have gone.
+    /// The same by permanent numbers, with gaps where gateways have left.
     IndexKept,
     /// The next engines on a ring with virtual nodes.
     Ring,
@@ -109,54 +114,60 @@
     Subset,
 }
 
-impl WayName {
-    /// All ways, in the order of the tables.
-    pub fn all() -> Vec<WayName> {
+impl StrategyName {
+    /// All strategies, in the order of the tables.
+    pub fn all() -> Vec<StrategyName> {
         vec![
-            WayName::WholeList,
-            WayName::Sampling,
-            WayName::IndexCompact,
-            WayName::IndexKept,
-            WayName::Ring,
-            WayName::RendezvousEqual,
-            WayName::RendezvousCores,
-            WayName::RendezvousFloors,
-            WayName::Subset,
+            StrategyName::WholeList,
+            StrategyName::Sampling,
+            StrategyName::IndexCompact,
+            StrategyName::IndexKept,
+            StrategyName::Ring,
+            StrategyName::RendezvousEqual,
+            StrategyName::RendezvousCores,
+            StrategyName::RendezvousFloors,
+            StrategyName::Subset,
         ]
     }
 
     /// Its name in tables and files.
     pub fn label(self) -> &'static str {
         match self {
-            WayName::WholeList => "whole-list",
-            WayName::Sampling => "sampling",
-            WayName::IndexCompact => "index-compact",
-            WayName::IndexKept => "index-kept",
-            WayName::Ring => "ring",
-            WayName::RendezvousEqual => "rendezvous-equal",
-            WayName::RendezvousCores => "rendezvous-cores",
-            WayName::RendezvousFloors => "rendezvous-floors",
-            WayName::Subset => "subset",
+            StrategyName::WholeList => "whole-list",
+            StrategyName::Sampling => "sampling",
+            StrategyName::IndexCompact => "index-compact",
+            StrategyName::IndexKept => "index-kept",
+            StrategyName::Ring => "ring",
+            StrategyName::RendezvousEqual => "rendezvous-equal",
+            StrategyName::RendezvousCores => "rendezvous-cores",
+            StrategyName::RendezvousFloors => "rendezvous-floors",
+            StrategyName::Subset => "subset",
         }
     }
 
     /// Whether a gateway works with all engines, whatever the size of a subset is.
     pub fn holds_whole_list(self) -> bool {
-        matches!(self, WayName::WholeList | WayName::Sampling)
+        matches!(self, StrategyName::WholeList | StrategyName::Sampling)
     }
 
-    /// What a gateway has to know for it.
+    /// What a gateway has to know to use it.
     pub fn knowledge(self) -> &'static str {
         match self {
-            WayName::WholeList | WayName::Sampling => "list",
-            WayName::RendezvousEqual | WayName::RendezvousCores | WayName::Ring => "name, list",
-            WayName::RendezvousFloors | WayName::Subset => "name, number of gateways, list",
-            WayName::IndexCompact | WayName::IndexKept => "agreed number, number of gateways, list",
+            StrategyName::WholeList | StrategyName::Sampling => "list",
+            StrategyName::RendezvousEqual | StrategyName::RendezvousCores | StrategyName::Ring => {
+                "name, list"
+            }
+            StrategyName::RendezvousFloors | StrategyName::Subset => {
+                "name, number of gateways, list"
+            }
+            StrategyName::IndexCompact | StrategyName::IndexKept => {
+                "agreed number, number of gateways, list"
+            }
         }
     }
 
-    /// The way, as the experiment sets it.
-    pub fn build(self, experiment: &Experiment) -> Box<dyn Way> {
+    /// The strategy, with the experiment's settings.
+    pub fn build(self, experiment: &Experiment) -> Box<dyn Strategy> {
         let rendezvous = |weights, classes| {
             let threads = experiment.threads;
             Box::new(Rendezvous {
@@ -170,24 +181,24 @@
             kinds: experiment.named_kinds(),
         };
         match self {
-            WayName::WholeList => Box::new(WholeList),
-            WayName::Sampling => Box::new(Sampling {
+            StrategyName::WholeList => Box::new(WholeList),
+            StrategyName::Sampling => Box::new(Sampling {
                 settings: experiment.sampling,
                 queries_per_second: experiment.traffic.queries_per_second,
             }),
-            WayName::IndexCompact => Box::new(IndexRounds {
+            StrategyName::IndexCompact => Box::new(IndexRounds {
                 numbering: Numbering::Compact,
             }),
-            WayName::IndexKept => Box::new(IndexRounds {
+            StrategyName::IndexKept => Box::new(IndexRounds {
                 numbering: Numbering::Kept,
             }),
-            WayName::Ring => Box::new(VirtualNodeRing {
+            StrategyName::Ring => Box::new(VirtualNodeRing {
                 points_per_core: experiment.ring.points_per_core,
             }),
-            WayName::RendezvousEqual => rendezvous(Weights::Equal, Classes::default()),
-            WayName::RendezvousCores => rendezvous(Weights::Cores, Classes::default()),
-            WayName::RendezvousFloors => rendezvous(Weights::Equal, classes),
-            WayName::Subset => Box::new(SubsetCrate {
+            StrategyName::RendezvousEqual => rendezvous(Weights::Equal, Classes::default()),
+            StrategyName::RendezvousCores => rendezvous(Weights::Cores, Classes::default()),
+            StrategyName::RendezvousFloors => rendezvous(Weights::Equal, classes),
+            StrategyName::Subset => Box::new(SubsetCrate {
                 classes,
                 threads: experiment.threads,
             }),
--- a/crates/scale/src/spread/ways/rendezvous.rs
+++ b/crates/scale/src/subset_comparison/strategies/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing, in a plain form: all scores of a gateway are worked out, and the smallest are held.
 
-use super::{Assignment, Classes, Way};
-use crate::spread::population::{Engine, Gateway, Population};
+use super::{Assignment, Classes, Strategy};
+use crate::subset_comparison::population::{Engine, Gateway, Population};
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -66,7 +66,7 @@
     }
 }
 
-impl Way for Rendezvous {
+impl Strategy for Rendezvous {
     fn choose(&self, population: &Population, size: usize) -> Assignment {
         let part = population.gateways.len().div_ceil(self.threads).max(1);
         let held = std::thread::scope(|scope| {
@@ -87,7 +87,7 @@
         });
         Assignment {
             held,
-            told_holders: Vec::new(),
+            holder_counts: Vec::new(),
         }
     }
 
--- a/crates/scale/src/spread/ways/ring.rs
+++ b/crates/scale/src/subset_comparison/strategies/ring.rs
@@ -1,7 +1,7 @@
 //! A ring with virtual nodes: a gateway takes the next distinct engines after its own place.
 
-use super::{Assignment, Way};
-use crate::spread::population::{Engine, Population};
+use super::{Assignment, Strategy};
+use crate::subset_comparison::population::{Engine, Population};
 use std::collections::HashSet;
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -15,7 +15,7 @@
     pub points_per_core: usize,
 }
 
-impl Way for VirtualNodeRing {
+impl Strategy for VirtualNodeRing {
     fn choose(&self, population: &Population, size: usize) -> Assignment {
         let ring = self.points(population);
         let size = size.min(population.engines.len());
@@ -25,7 +25,7 @@
             .map(|gateway| next_distinct(&ring, &gateway.name, size));
         Assignment {
             held: held.collect(),
-            told_holders: Vec::new(),
+            holder_counts: Vec::new(),
         }
     }
 
--- a/crates/scale/src/spread/ways/sampling.rs
+++ b/crates/scale/src/subset_comparison/strategies/sampling.rs
@@ -1,8 +1,8 @@
-//! Sampling: for each decision a few engines of the whole list are asked, and the least loaded gets the query.
+//! Sampling: for each decision a few engines of the whole list are polled, and the least loaded gets the query.
 
-use super::{Assignment, Way};
-use crate::spread::experiment;
-use crate::spread::population::Population;
+use super::{Assignment, Strategy};
+use crate::subset_comparison::experiment;
+use crate::subset_comparison::population::Population;
 use std::sync::Arc;
 
 /// Bytes of an alias table a engine: a threshold and the other engine.
@@ -14,18 +14,18 @@
     pub queries_per_second: f64,
 }
 
-impl Way for Sampling {
-    /// Over time each gateway meets each engine, by its cores.
+impl Strategy for Sampling {
+    /// Over time each gateway uses each engine, by its cores.
     fn choose(&self, population: &Population, _size: usize) -> Assignment {
         let all: Arc<[u32]> = population.numbers().into();
         Assignment {
             held: vec![all; population.gateways.len()],
-            told_holders: Vec::new(),
+            holder_counts: Vec::new(),
         }
     }
 
-    /// A connection lasts while the engine is drawn again before the connection was idle for too long. Worked out,
-    /// not played: the draws of a gateway at an engine come by a Poisson process.
+    /// A connection lasts while the engine is drawn again before the connection was idle for too long. Computed,
+    /// not simulated: the draws of a gateway at an engine are a Poisson process.
     fn connections(&self, population: &Population, assignment: &Assignment) -> Vec<f64> {
         let cores = population.cores();
         let all: f64 = cores.iter().sum();
--- a/crates/scale/src/spread/ways/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -1,18 +1,18 @@
-//! `garnetwall-subset` itself: fed with the list as a gateway feeds it, and played until nothing changes any more.
+//! `garnetwall-subset` itself: given the list as a gateway gives it, and simulated until nothing changes any more.
 
-use super::{Assignment, Choices, Classes, Way};
+use super::{Assignment, Choices, Classes, Strategy};
 use crate::process::processor_time;
-use crate::spread::population::{Engine, Gateway, Population};
+use crate::subset_comparison::population::{Engine, Gateway, Population};
 use garnetwall_subset::{
     Action, Catalog, Change, EngineFacts, EngineKey, ListedEngine, ListedState, PlacementClass,
     RetryScope, Subset, SubsetSettings,
 };
 use std::collections::{HashMap, HashSet};
 
-/// Played time in which a subset has to settle, in seconds.
-const SETTLE_S: f64 = 3_600.0;
-/// Polls after which a subset that goes on is taken as it is.
-const MOST_POLLS: usize = 100_000;
+/// Simulated time in which a subset has to settle.
+const SETTLE_SECONDS: f64 = 3_600.0;
+/// Polls after which a subset that still acts is taken as it is.
+const MAX_POLLS: usize = 100_000;
 /// Engines in the reserve, and newcomers a second: they decide how fast a subset settles, not where.
 const RESERVE: usize = 16;
 const JOINS_PER_SECOND: f64 = 10.0;
@@ -44,19 +44,19 @@
     }
 
     /// A fleet whose gateways have no list yet.
-    fn start(&self, population: &Population, size: usize) -> Play {
+    fn start(&self, population: &Population, size: usize) -> SimulatedFleet {
         let settings = self.settings(population.gateways.len(), size);
         let start = |gateway: &Gateway| {
             let subset =
                 Subset::new(&gateway.name, settings.clone()).expect("the settings are in range");
-            PlayedGateway {
+            SimulatedGateway {
                 number: gateway.number,
                 subset,
                 now: 0.0,
             }
         };
         let gateways = population.gateways.iter().map(start).collect();
-        Play {
+        SimulatedFleet {
             catalog: Catalog::default(),
             numbers: HashMap::new(),
             gateways,
@@ -65,26 +65,26 @@
     }
 }
 
-/// A fleet in play.
-struct Play {
+/// A simulated fleet.
+struct SimulatedFleet {
     catalog: Catalog,
     /// The numbers of all engines that were in the catalog.
     numbers: HashMap<EngineKey, u32>,
-    gateways: Vec<PlayedGateway>,
+    gateways: Vec<SimulatedGateway>,
     threads: usize,
 }
 
-/// One gateway's subset in play.
-struct PlayedGateway {
+/// One gateway's subset in the simulation.
+struct SimulatedGateway {
     number: u32,
     subset: Subset,
     now: f64,
 }
 
-impl Play {
-    /// All gateways are told a whole list, and settle. Returns what those hold that are in the population.
-    fn tell(&mut self, population: &Population) -> Assignment {
-        let changes = self.catalog.apply(&lines(population), true);
+impl SimulatedFleet {
+    /// Applies a whole list at all gateways, which settle. Returns what the gateways of the population hold.
+    fn apply_list(&mut self, population: &Population) -> Assignment {
+        let changes = self.catalog.apply(&listed_engines(population), true);
         for engine in &population.engines {
             self.numbers
                 .extend(self.catalog.key(&engine.id).map(|key| (key, engine.number)));
@@ -97,7 +97,7 @@
                 scope.spawn(move || {
                     gateways
                         .iter_mut()
-                        .for_each(|gateway| gateway.tell(catalog, changes))
+                        .for_each(|gateway| gateway.apply_list(catalog, changes))
                 });
             }
         });
@@ -112,7 +112,7 @@
             .collect();
         let mut assignment = Assignment {
             held: Vec::new(),
-            told_holders: Vec::new(),
+            holder_counts: Vec::new(),
         };
         for gateway in self
             .gateways
@@ -126,23 +126,23 @@
                 .held
                 .push(members.iter().map(|member| member.0).collect());
             assignment
-                .told_holders
+                .holder_counts
                 .push(members.iter().map(|member| member.1).collect());
         }
         assignment
     }
 }
 
-impl PlayedGateway {
-    fn tell(&mut self, catalog: &Catalog, changes: &[Change]) {
+impl SimulatedGateway {
+    fn apply_list(&mut self, catalog: &Catalog, changes: &[Change]) {
         self.subset.changed(self.now, catalog, changes);
         self.settle(catalog);
     }
 
     /// Does what the subset asks for, with every engine reached, until it asks for nothing.
     fn settle(&mut self, catalog: &Catalog) {
-        let end = self.now + SETTLE_S;
-        for _ in 0..MOST_POLLS {
+        let end = self.now + SETTLE_SECONDS;
+        for _ in 0..MAX_POLLS {
             let actions = self.subset.poll(self.now, catalog);
             for action in &actions {
                 if let Action::Warm(engine) = action {
@@ -158,28 +158,33 @@
     }
 }
 
-impl Way for SubsetCrate {
+impl Strategy for SubsetCrate {
     fn choose(&self, population: &Population, size: usize) -> Assignment {
-        self.start(population, size).tell(population)
+        self.start(population, size).apply_list(population)
     }
 
-    /// Each change comes to settled gateways, and is taken back before the next.
-    fn choose_in_turn(&self, before: &Population, changed: &[Population], size: usize) -> Choices {
+    /// Each change is applied to settled gateways, and undone before the next.
+    fn choose_sequentially(
+        &self,
+        before: &Population,
+        changed: &[Population],
+        size: usize,
+    ) -> Choices {
         let started = processor_time();
-        let mut play = self.start(before, size);
-        let first = play.tell(before);
-        let choosing = processor_time().saturating_sub(started);
+        let mut fleet = self.start(before, size);
+        let first = fleet.apply_list(before);
+        let choice_time = processor_time().saturating_sub(started);
         let mut after = Vec::new();
-        let mut returned = None;
+        let mut restored = None;
         for population in changed {
-            after.push(play.tell(population));
-            returned = Some(play.tell(before));
+            after.push(fleet.apply_list(population));
+            restored = Some(fleet.apply_list(before));
         }
         Choices {
             before: first,
-            choosing,
+            choice_time,
             after,
-            returned,
+            restored,
         }
     }
 
@@ -192,11 +197,11 @@
     }
 }
 
-fn lines(population: &Population) -> Vec<ListedEngine> {
-    population.engines.iter().map(line).collect()
+fn listed_engines(population: &Population) -> Vec<ListedEngine> {
+    population.engines.iter().map(listed_engine).collect()
 }
 
-fn line(engine: &Engine) -> ListedEngine {
+fn listed_engine(engine: &Engine) -> ListedEngine {
     let facts = EngineFacts {
         zone: engine.zone,
         kind: engine.kind,
--- a/crates/scale/src/spread/ways/whole_list.rs
+++ b/crates/scale/src/subset_comparison/strategies/whole_list.rs
@@ -1,18 +1,18 @@
 //! The whole list: what a gateway without subsets does.
 
-use super::{Assignment, Way};
-use crate::spread::population::Population;
+use super::{Assignment, Strategy};
+use crate::subset_comparison::population::Population;
 use std::sync::Arc;
 
 /// Every gateway holds every engine.
 pub struct WholeList;
 
-impl Way for WholeList {
+impl Strategy for WholeList {
     fn choose(&self, population: &Population, _size: usize) -> Assignment {
         let all: Arc<[u32]> = population.numbers().into();
         Assignment {
             held: vec![all; population.gateways.len()],
-            told_holders: Vec::new(),
+            holder_counts: Vec::new(),
         }
     }
 
