--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,12 +1,12 @@
 //! `garnetwall-scale`: what the program costs at a size that no machine holds.
 
-mod beside;
 mod experiment;
 mod fleet;
 mod process;
+mod real_processes;
 mod results;
 mod slopes;
-mod spread;
+mod subset_comparison;
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
@@ -31,7 +31,7 @@
     /// Plays thousands of hollow gateways in simulated time, and judges them.
     Fleet(Run),
     /// Plays real gateways on loopback beside what hollow ones predict.
-    Beside(beside::BesideRun),
+    Beside(real_processes::RealProcessesRun),
     /// Compares ways to choose subsets: spread over engines, moves on a change.
     Spread(Run),
 }
@@ -63,8 +63,8 @@
         Command::Slopes(run) => slopes::run(&run),
         Command::SlopePoint => slopes::measure_point(),
         Command::Fleet(run) => fleet::run(&run),
-        Command::Beside(run) => beside::run(&run),
-        Command::Spread(run) => spread::run(&run),
+        Command::Beside(run) => real_processes::run(&run),
+        Command::Spread(run) => subset_comparison::run(&run),
     };
     match verdict {
         Ok(true) => ExitCode::SUCCESS,
