--- a/crates/plan/src/address/tests.rs
+++ b/crates/plan/src/address/tests.rs
@@ -2,8 +2,8 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-fn net() -> impl Strategy<Value = IpNet> {
-    // Few bits, so that networks meet, nest and touch.
+fn network() -> impl Strategy<Value = IpNet> {
+    // Few bits, so that networks overlap, nest and adjoin.
     let v4 = (0u8..4, 0u8..=255, 0u8..=32).prop_map(|(a, b, len)| {
         IpNet::new(IpAddr::from([10, a, 0, b]), len)
             .expect("a prefix")
@@ -23,7 +23,7 @@
     prop_oneof![4 => v4, 4 => v6, 1 => ends.prop_map(|n| n.parse().expect("a network"))]
 }
 
-fn probe() -> impl Strategy<Value = IpAddr> {
+fn address() -> impl Strategy<Value = IpAddr> {
     prop_oneof![
         (0u8..4, 0u8..=255).prop_map(|(a, b)| IpAddr::from([10, a, 0, b])),
         (0u16..4, 0u16..4).prop_map(|(a, b)| IpAddr::from([0x2001, 0xdb8, a, 0, 0, 0, 0, b])),
@@ -32,25 +32,26 @@
     ]
 }
 
-fn holds(nets: &[IpNet], address: IpAddr) -> bool {
-    nets.iter()
+fn contains(networks: &[IpNet], address: IpAddr) -> bool {
+    networks
+        .iter()
         .map(span)
         .any(|(from, to)| (from..=to).contains(&number(address)))
 }
 
 proptest! {
     #[test]
-    fn classes_tell_what_the_plain_lists_tell(
-        sets in vec((vec(net(), 0..6), vec(net(), 0..4)), 0..6),
-        probes in vec(probe(), 30),
+    fn address_classes_agree_with_lists_of_networks(
+        sets in vec((vec(network(), 0..6), vec(network(), 0..4)), 0..6),
+        addresses in vec(address(), 30),
     ) {
-        let flat = |nets: &[IpNet]| union(nets.iter().map(span).collect());
-        let spans: Vec<Spans> = sets.iter().map(|(with, less)| difference(&flat(with), &flat(less))).collect();
+        let union_of = |networks: &[IpNet]| union(networks.iter().map(span).collect());
+        let spans: Vec<Spans> = sets.iter().map(|(included, excluded)| difference(&union_of(included), &union_of(excluded))).collect();
         let classes = AddressClasses::new(&spans);
-        for address in probes {
+        for address in addresses {
             let members = classes.members(classes.class(address));
-            for (n, (with, less)) in sets.iter().enumerate() {
-                prop_assert_eq!(members.contains(n), holds(with, address) && !holds(less, address));
+            for (index, (included, excluded)) in sets.iter().enumerate() {
+                prop_assert_eq!(members.contains(index), contains(included, address) && !contains(excluded, address));
             }
         }
     }
--- a/crates/plan/tests/broken.rs
+++ b/crates/plan/tests/broken.rs
@@ -27,26 +27,26 @@
 
 /// The settings that plans of a name with `settings` are checked against.
 fn settings() -> Settings {
-    let group = |name: &str, effect, in_order, kinds: Option<&str>| SettingsClass {
+    let class = |name: &str, idempotency, in_order, kinds: Option<&str>| SettingsClass {
         name: name.into(),
         latency_objective: Duration::from_secs(1),
         deadline: Duration::from_secs(5),
         in_order,
-        idempotency: effect,
+        idempotency,
         kinds: kinds.map(|kind| vec![kind.to_string()]),
         zones: None,
     };
-    let referenced = Idempotency::IdempotentByKey {
+    let by_key = Idempotency::IdempotentByKey {
         scope: DeduplicationScope::Zone,
         window: Duration::from_secs(30),
     };
     Settings {
         classes: vec![
-            group("lookup", Idempotency::Idempotent, false, None),
-            group("catalogue", referenced, false, None),
-            group("sale-load", Idempotency::NonIdempotent, true, None),
-            group("price-feed", Idempotency::Idempotent, true, None),
-            group(
+            class("lookup", Idempotency::Idempotent, false, None),
+            class("catalogue", by_key, false, None),
+            class("sale-load", Idempotency::NonIdempotent, true, None),
+            class("price-feed", Idempotency::Idempotent, true, None),
+            class(
                 "trend-report",
                 Idempotency::Idempotent,
                 false,
@@ -71,7 +71,7 @@
     plans.sort();
     assert!(plans.len() >= 60, "{} broken plans", plans.len());
     let mut wrong = Vec::new();
-    let mut seen = BTreeSet::new();
+    let mut messages = BTreeSet::new();
     for path in plans {
         let name = path
             .file_name()
@@ -79,23 +79,27 @@
             .expect("a name")
             .to_string();
         let settings = name.starts_with("settings").then(settings);
-        let said = match compile(&Folder(folder.clone()), &name, settings.as_ref()) {
+        let message = match compile(&Folder(folder.clone()), &name, settings.as_ref()) {
             Ok(_) => "no fault\n".to_string(),
             Err(faulty) => faulty.to_string(),
         };
         let expected = path.with_extension("txt");
         if bless {
-            std::fs::write(&expected, &said).expect("the message is written");
+            std::fs::write(&expected, &message).expect("the message is written");
         }
-        seen.insert(said.lines().next().unwrap_or_default().to_string());
-        if said.starts_with("no fault")
-            || std::fs::read_to_string(&expected).ok().as_deref() != Some(&said)
+        messages.insert(message.lines().next().unwrap_or_default().to_string());
+        if message.starts_with("no fault")
+            || std::fs::read_to_string(&expected).ok().as_deref() != Some(&message)
         {
-            wrong.push(format!("{name}:\n{said}"));
+            wrong.push(format!("{name}:\n{message}"));
         }
     }
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
-    assert!(seen.len() >= 60, "{} messages that differ", seen.len());
+    assert!(
+        messages.len() >= 60,
+        "{} messages that differ",
+        messages.len()
+    );
 }
 
 /// The page for readers has the table that the checker reads.
@@ -104,8 +108,8 @@
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/plan-language.md");
     let text = std::fs::read_to_string(&page).expect("the page of the language");
     let begin = "<!-- blocks: made from the table; a test compares -->\n";
-    let (before, rest) = text.split_once(begin).expect("where the table begins");
-    let (table, after) = rest
+    let (before, tail) = text.split_once(begin).expect("where the table begins");
+    let (table, after) = tail
         .split_once("<!-- end of blocks -->")
         .expect("where it ends");
     let made = garnetwall_plan::schema::as_markdown();
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -10,7 +10,7 @@
 use proptest::sample::{select, subsequence};
 use std::net::IpAddr;
 
-pub const GROUPS: [&str; 4] = ["lookup", "report", "sale-load", "trend-report"];
+pub const CLASSES: [&str; 4] = ["lookup", "report", "sale-load", "trend-report"];
 pub const TENANTS: [&str; 3] = ["acme", "bravo", "mura"];
 pub const ZONES: [&str; 3] = ["maribor", "tezno", "ptuj"];
 pub const KINDS: [&str; 3] = ["engine-8", "engine-16", "engine-32"];
@@ -117,7 +117,7 @@
 fn group() -> impl Strategy<Value = String> {
     block(
         "group",
-        select(&GROUPS[..]).prop_map(str::to_string),
+        select(&CLASSES[..]).prop_map(str::to_string),
         (
             maybe("pools", refs("p", 5)),
             maybe("limit", (1u32..9).prop_map(|n| format!("{n}s"))),
@@ -129,15 +129,15 @@
 fn route() -> impl Strategy<Value = String> {
     let goes = prop_oneof![
         4 => refs("p", 5).prop_map(|to| format!("  to {to}\n")),
-        1 => select(&GROUPS[..]).prop_map(|g| format!("  as {g}\n")),
-        1 => (refs("p", 5), select(&GROUPS[..])).prop_map(|(to, g)| format!("  to {to}\n  as {g}\n")),
+        1 => select(&CLASSES[..]).prop_map(|g| format!("  as {g}\n")),
+        1 => (refs("p", 5), select(&CLASSES[..])).prop_map(|(to, g)| format!("  to {to}\n  as {g}\n")),
         1 => Just("  refuse \"closed\"\n".to_string()),
     ];
     block(
         "route",
         numbered("r", 12),
         (
-            maybe("group", some(&GROUPS, 3)),
+            maybe("group", some(&CLASSES, 3)),
             maybe("tenant", some(&TENANTS, 2)),
             maybe("client", refs("a", 4)),
             maybe(
@@ -168,7 +168,7 @@
         numbered("l", 4),
         (
             maybe("per", some(&["group", "tenant", "client"], 3)),
-            maybe("group", some(&GROUPS, 2)),
+            maybe("group", some(&CLASSES, 2)),
             maybe("tenant", some(&TENANTS, 2)),
             maybe("client", refs("a", 4)),
             maybe("in-hand", (1u32..20).prop_map(|n| n.to_string())),
@@ -187,24 +187,24 @@
 }
 
 /// Blocks that together are a good plan: each that would make it faulty is left out.
-pub fn settle(blocks: &[String]) -> Vec<String> {
+pub fn accepted_blocks(blocks: &[String]) -> Vec<String> {
     let good =
         |blocks: &[String]| compile(&InMemory::one(blocks.concat()), "main.plan", None).is_ok();
-    let mut kept: Vec<String> = Vec::new();
+    let mut accepted: Vec<String> = Vec::new();
     // What refers to a block that comes later is tried again.
     for _ in 0..2 {
         for block in blocks {
-            if !kept.contains(block) {
+            if !accepted.contains(block) {
                 // Before what may refer to it; routes keep their order.
                 let first = block.starts_with("addresses") || block.starts_with("pool");
-                kept.insert(if first { 0 } else { kept.len() }, block.clone());
-                if !good(&kept) {
-                    kept.remove(if first { 0 } else { kept.len() - 1 });
+                accepted.insert(if first { 0 } else { accepted.len() }, block.clone());
+                if !good(&accepted) {
+                    accepted.remove(if first { 0 } else { accepted.len() - 1 });
                 }
             }
         }
     }
-    kept
+    accepted
 }
 
 pub fn plan_of(blocks: &[String]) -> Compiled {
@@ -224,14 +224,14 @@
         vec(any_block(), 0..4),
     )
         .prop_map(|(sets, pools, groups, routes, more)| {
-            settle(&[sets, pools, groups, routes, more].concat())
+            accepted_blocks(&[sets, pools, groups, routes, more].concat())
         })
 }
 
-/// A batch of every class that the small world has.
-pub fn batches() -> Vec<QueryFacts<'static>> {
+/// A query of every value class that the small world has.
+pub fn queries() -> Vec<QueryFacts<'static>> {
     let mut all = Vec::new();
-    for group in GROUPS.into_iter().chain(["other"]) {
+    for class in CLASSES.into_iter().chain(["other"]) {
         for tenant in TENANTS.into_iter().chain(["other"]) {
             for client in CLIENTS {
                 for key in [false, true] {
@@ -239,7 +239,7 @@
                         for minute in MINUTES {
                             let client: IpAddr = client.parse().expect("an address");
                             all.push(QueryFacts {
-                                class: group,
+                                class,
                                 tenant,
                                 client,
                                 has_key: key,
@@ -275,44 +275,44 @@
     all
 }
 
-/// What a plan does with a batch, worked out the slow way: refused, or the group and for each preference the engines
-/// that no earlier one has.
+/// What a plan does with a query, computed the slow way: rejected, or the class and for each priority level the engines
+/// that no earlier level has.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Does {
-    Refuses(String),
-    Sends(String, Vec<Vec<usize>>),
+pub enum Outcome {
+    Rejected(String),
+    Routed(String, Vec<Vec<usize>>),
 }
 
-/// By route (the last is none) and group.
-pub fn does(plan: &Plan, engines: &[EngineFacts]) -> Vec<Vec<Does>> {
-    let held: Vec<Vec<bool>> = engines.iter().map(|e| plan.pools_of(e)).collect();
-    let all_groups: Vec<&str> = GROUPS.into_iter().chain(["other"]).collect();
-    let one = |route: Option<&garnetwall_plan::model::Route>, group: &str| {
+/// What a plan does, by route (the last is none) and class.
+pub fn outcomes(plan: &Plan, engines: &[EngineFacts]) -> Vec<Vec<Outcome>> {
+    let pools_of: Vec<Vec<bool>> = engines.iter().map(|e| plan.pools_of(e)).collect();
+    let all_classes: Vec<&str> = CLASSES.into_iter().chain(["other"]).collect();
+    let one = |route: Option<&garnetwall_plan::model::Route>, class: &str| {
         if let Some(reason) = route.and_then(|r| r.reject_reason.clone()) {
-            return Does::Refuses(reason);
+            return Outcome::Rejected(reason);
         }
-        let treated = route.and_then(|r| r.as_class.as_deref()).unwrap_or(group);
+        let treated_as = route.and_then(|r| r.as_class.as_deref()).unwrap_or(class);
         let to = route.map_or(&[][..], |r| &r.pools);
-        let mut seen = vec![false; engines.len()];
-        let mut tiers = Vec::new();
+        let mut used = vec![false; engines.len()];
+        let mut levels = Vec::new();
         for n in 0..to.len().max(1) {
             let open = |e: &usize| {
-                to.get(n).is_none_or(|pool| held[*e][*pool])
-                    && plan.allows(&[group, treated], &held[*e])
+                to.get(n).is_none_or(|pool| pools_of[*e][*pool])
+                    && plan.allows(&[class, treated_as], &pools_of[*e])
             };
-            let tier: Vec<usize> = (0..engines.len())
-                .filter(|e| !seen[*e])
+            let level: Vec<usize> = (0..engines.len())
+                .filter(|e| !used[*e])
                 .filter(open)
                 .collect();
-            tier.iter().for_each(|e| seen[*e] = true);
-            if !tier.is_empty() {
-                tiers.push(tier);
+            level.iter().for_each(|e| used[*e] = true);
+            if !level.is_empty() {
+                levels.push(level);
             }
         }
-        Does::Sends(treated.to_string(), tiers)
+        Outcome::Routed(treated_as.to_string(), levels)
     };
     let routes = plan.routes.iter().map(Some).chain([None]);
     routes
-        .map(|r| all_groups.iter().map(|g| one(r, g)).collect())
+        .map(|route| all_classes.iter().map(|class| one(route, class)).collect())
         .collect()
 }
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -1,5 +1,5 @@
-//! The printed form keeps the meaning, a diff is empty exactly where two plans do the same, and nothing makes the
-//! checker panic.
+//! Properties of plans: the printed form keeps the meaning, a diff is empty exactly where two plans do the same, and no
+//! input makes the checker panic.
 
 mod generate;
 
@@ -12,17 +12,17 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// Whether two plans send every batch of the small world alike.
+/// Whether two plans route every query of the small world alike.
 fn route_alike(a: &Plan, b: &Plan) -> bool {
     let engines = engines();
-    let (does_a, does_b) = (does(a, &engines), does(b, &engines));
-    let group = |name: &str| {
-        GROUPS
+    let (outcomes_a, outcomes_b) = (outcomes(a, &engines), outcomes(b, &engines));
+    let class = |name: &str| {
+        CLASSES
             .iter()
-            .position(|g| *g == name)
-            .unwrap_or(GROUPS.len())
+            .position(|class| *class == name)
+            .unwrap_or(CLASSES.len())
     };
-    batches().iter().all(|facts| {
+    queries().iter().all(|facts| {
         let at = |plan: &Plan| {
             plan.routes
                 .iter()
@@ -32,7 +32,7 @@
             at(a).unwrap_or(a.routes.len()),
             at(b).unwrap_or(b.routes.len()),
         );
-        does_a[m][group(facts.class)] == does_b[n][group(facts.class)]
+        outcomes_a[m][class(facts.class)] == outcomes_b[n][class(facts.class)]
     })
 }
 
@@ -80,8 +80,8 @@
                     let lines: Vec<&str> = other[at].lines().collect();
                     let cut = (how + lines.len()) % lines.len().max(1);
                     let entry = |n: usize| n > 0 && n + 1 < lines.len();
-                    let kept = lines.iter().enumerate().filter(|(n, _)| *n != cut || !entry(*n));
-                    other[at] = kept.map(|(_, line)| format!("{line}\n")).collect();
+                    let shorter = lines.iter().enumerate().filter(|(n, _)| *n != cut || !entry(*n));
+                    other[at] = shorter.map(|(_, line)| format!("{line}\n")).collect();
                 }
                 _ => {
                     let block = other.remove(at);
@@ -89,7 +89,7 @@
                 }
             }
         }
-        let other = settle(&other);
+        let other = accepted_blocks(&other);
         let (a, b) = (plan_of(&blocks).plan, plan_of(&other).plan);
         prop_assert_eq!(diff(&a, &a), vec![]);
         let changes = diff(&a, &b);
@@ -102,7 +102,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn random_bytes_are_told_apart_and_never_panic(bytes in vec(any::<u8>(), 0..400)) {
+    fn random_bytes_are_accepted_or_reported_and_never_panic(bytes in vec(any::<u8>(), 0..400)) {
         if let Err(faulty) = compile(&InMemory::one(bytes), "main.plan", None) {
             prop_assert!(!faulty.to_string().is_empty());
         }
@@ -134,7 +134,7 @@
 
 /// What stands where matters only for routes: blocks moved, constants renamed and units changed are no change.
 #[test]
-fn what_is_written_otherwise_is_no_change() {
+fn equivalent_text_is_no_change() {
     let old =
         "let far = 1s\npool a {\n zone maribor\n}\ngroup lookup {\n limit $far\n pools a\n}\n\
         route x {\n group lookup\n to a\n}\nlimit l {\n rate 60/min\n}\n";
@@ -182,17 +182,17 @@
     );
 }
 
-/// Sizes at which a careless parser gives up: a message in good time, no panic and no overflow.
+/// Sizes at which a careless parser fails: a message in good time, no panic and no overflow.
 #[test]
-fn huge_and_deep_files_get_a_message() {
-    let told = |bytes: Vec<u8>| match compile(&InMemory::one(bytes), "main.plan", None) {
+fn huge_and_deep_files_are_reported() {
+    let message = |bytes: Vec<u8>| match compile(&InMemory::one(bytes), "main.plan", None) {
         Ok(_) => String::new(),
         Err(faulty) => faulty.to_string(),
     };
     let deep = "pool a {\n".repeat(10_000);
-    assert!(told(deep.into_bytes()).contains("this block is not closed"));
-    assert!(told("{".repeat(10_000).into_bytes()).contains("a block begins with its kind"));
-    let long = told(format!("pool {} {{\n all\n}}\n", "x".repeat(1 << 20)).into_bytes());
+    assert!(message(deep.into_bytes()).contains("this block is not closed"));
+    assert!(message("{".repeat(10_000).into_bytes()).contains("a block begins with its kind"));
+    let long = message(format!("pool {} {{\n all\n}}\n", "x".repeat(1 << 20)).into_bytes());
     assert!(
         long.contains("is no name") && long.len() < 1000,
         "{} bytes",
@@ -202,15 +202,15 @@
         .map(|n| format!("pool p{n} {{\n  zone z{}\n}}\n\n", n % 7))
         .collect();
     assert_eq!(lines.lines().count(), 100_000);
-    assert_eq!(told(lines.into_bytes()), "");
+    assert_eq!(message(lines.into_bytes()), "");
     let bombs: String = (0..60)
         .map(|n| format!("let c{} = $c{n}, $c{n}\n", n + 1))
         .collect();
-    assert!(told(
+    assert!(message(
         format!("let c0 = 1\n{bombs}route r {{\n data-set $c60\n refuse \"x\"\n}}\n").into_bytes()
     )
     .contains("the constant"));
-    assert!(told(vec![b'a'; 17 << 20]).contains("16777216 at most"));
+    assert!(message(vec![b'a'; 17 << 20]).contains("16777216 at most"));
     let includes: String = (0..300)
         .map(|n| format!("include \"{n}.plan\"\n"))
         .collect();
@@ -218,21 +218,21 @@
     files
         .0
         .extend((0..300).map(|n| (format!("{n}.plan"), Vec::new())));
-    let said = compile(&files, "main.plan", None)
+    let report = compile(&files, "main.plan", None)
         .expect_err("too many files")
         .to_string();
     assert!(
-        said.contains("a plan has 256 files at most; `255.plan` is one more"),
-        "{said}"
+        report.contains("a plan has 256 files at most; `255.plan` is one more"),
+        "{report}"
     );
     let many: String = (0..5000).map(|n| format!("nonsense {n}\n")).collect();
-    assert!(told(many.into_bytes()).contains("and 4900 more"));
+    assert!(message(many.into_bytes()).contains("and 4900 more"));
     // A chain of pools as long as the file.
     let chain: String = (0..10_000)
         .map(|n| format!("pool p{n} {{\n  union p{}\n}}\n", n + 1))
         .collect();
     assert_eq!(
-        told(format!("{chain}pool p10000 {{\n  all\n}}\n").into_bytes()),
+        message(format!("{chain}pool p10000 {{\n  all\n}}\n").into_bytes()),
         ""
     );
 }
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -19,7 +19,7 @@
             .collect()
     };
     Names {
-        classes: list(&GROUPS),
+        classes: list(&CLASSES),
         tenants: list(&TENANTS),
     }
 }
@@ -50,7 +50,7 @@
             here[engine] = None;
         }
         let at = |names: &[String], name: &str| names.iter().position(|n| n == name).expect("a name");
-        for facts in batches().iter().step_by(7) {
+        for facts in queries().iter().step_by(7) {
             let b = RoutedQuery {
                 class: at(&routing.names().classes, facts.class),
                 tenant: at(&routing.names().tenants, facts.tenant),
