--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -11,13 +11,14 @@
 pub mod subset;
 
 pub use error::ConfigError;
-pub use files::{Files, FILE_VARIABLE, PLAN_VARIABLE};
+pub use error::FILE_VARIABLE;
+pub use files::{Files, PLAN_VARIABLE};
 
 use crate::discovery::Event;
 use crate::scheduling::plan_routing;
 use error::{unusable, wrong_type, Checked};
 use garnetwall_plan::{Faulty, Plan};
-use garnetwall_settings::{decode, Decoded, Flat};
+use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
 use garnetwall_subset::SubsetSettings;
 use initial_list::InitialList;
 use serde_json::Value;
@@ -61,11 +62,11 @@
     /// Where the change log is.
     pub changelog: SocketAddr,
     /// The number of the last event known at the start.
-    pub last_known: u64,
+    pub last_initial_event: u64,
     /// The events known at the start, in ascending order.
-    pub known: Vec<Event>,
+    pub initial_events: Vec<Event>,
     /// The settings of the platform.
-    pub decoded: Decoded,
+    pub decoded: DecodedSettings,
     /// The engine subset that the gateway works with; the whole list where it is none.
     pub subset: Option<SubsetSettings>,
     /// The plan, checked against the settings.
@@ -160,8 +161,8 @@
         sockets: sockets.unwrap_or(DEFAULT_SOCKETS),
         memory_mb: memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
         changelog,
-        last_known: initial_list.last_event,
-        known: initial_list.events,
+        last_initial_event: initial_list.last_event,
+        initial_events: initial_list.events,
         decoded,
         subset,
         plan: None,
@@ -199,7 +200,7 @@
     })
 }
 
-fn settings(source: &Value) -> Checked<Decoded> {
+fn settings(source: &Value) -> Checked<DecodedSettings> {
     let settings = source.get("settings").ok_or_else(|| {
         wrong_type(
             "settings",
@@ -208,8 +209,8 @@
             "write {...} with the settings of the platform",
         )
     })?;
-    let decoded = decode(&Flat::from_json(settings)?)?;
-    decoded.check()?;
+    let decoded = decode(&FlatSettings::from_json(settings)?)?;
+    decoded.validate()?;
     Ok(decoded)
 }
 
--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -2,19 +2,17 @@
 
 use super::error::{Checked, ConfigError};
 use garnetwall_plan::source::{beside, LoadError, Loader};
-use garnetwall_settings::{decode, Decoded, Flat};
+use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
 use serde_json::Value;
 use std::path::Path;
 
-/// The environment variable that names the configuration file.
-pub const FILE_VARIABLE: &str = "PROXY_CONFIG";
 /// The environment variable that names the plan file; a gateway may run without a plan.
 pub const PLAN_VARIABLE: &str = "GARNETWALL_PLAN";
 
 /// The files that the command line names; where it names none, the environment does.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
-    /// The configuration file, otherwise that of [`FILE_VARIABLE`].
+    /// The configuration file, otherwise that of [`FILE_VARIABLE`](super::FILE_VARIABLE).
     pub config: Option<String>,
     /// The plan file, otherwise that of [`PLAN_VARIABLE`].
     pub plan: Option<String>,
@@ -49,10 +47,10 @@
 }
 
 /// Reads the settings out of a gateway's configuration file, or out of a file that holds nothing else.
-pub(super) fn read_settings(file: &str) -> Checked<Decoded> {
+pub(super) fn read_settings(file: &str) -> Checked<DecodedSettings> {
     let json = read_json(file)?;
     let settings = json.get("settings").unwrap_or(&json);
-    let decoded = Flat::from_json(settings).and_then(|flat| decode(&flat));
+    let decoded = FlatSettings::from_json(settings).and_then(|flat| decode(&flat));
     decoded.map_err(|fault| ConfigError::Settings {
         file: file.into(),
         fault,
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -105,16 +105,16 @@
         &mut self,
         now: f64,
         entries: Vec<EngineEntry>,
-        is_full_list: bool,
+        is_complete: bool,
     ) -> Vec<Selected> {
-        let catalog_entries: Vec<subset::EngineLine> = entries
+        let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
-            .map(|entry| subset::EngineLine {
+            .map(|entry| subset::ListedEngine {
                 id: entry.id.clone(),
                 facts: self.facts(entry),
             })
             .collect();
-        let changes = self.catalog.apply(&catalog_entries, is_full_list);
+        let changes = self.catalog.apply(&catalog_entries, is_complete);
         for change in changes.iter().filter(|change| change.after.is_none()) {
             self.details.remove(&change.engine);
         }
@@ -149,9 +149,9 @@
     fn facts(&self, entry: &EngineEntry) -> EngineFacts {
         let cores = self.kind_cores.get(entry.kind).copied().flatten();
         let condition = match entry.state {
-            EndpointState::Ready => subset::Condition::Ready,
-            EndpointState::Draining => subset::Condition::Draining,
-            EndpointState::Removed => subset::Condition::Gone,
+            EndpointState::Ready => subset::ListedState::Ready,
+            EndpointState::Draining => subset::ListedState::Draining,
+            EndpointState::Removed => subset::ListedState::Removed,
         };
         let cores = cores
             .filter(|cores| cores.is_finite() && *cores > 0.0)
@@ -161,7 +161,7 @@
             kind: entry.kind as u32,
             cell: entry.cell,
             cores,
-            condition,
+            state: condition,
         }
     }
 
@@ -186,10 +186,10 @@
         let id = self.catalog.id(engine)?;
         let facts = self.catalog.facts(engine)?;
         let details = self.details.get(&engine)?;
-        let state = match facts.condition {
-            subset::Condition::Ready => EndpointState::Ready,
-            subset::Condition::Draining => EndpointState::Draining,
-            subset::Condition::Gone => EndpointState::Removed,
+        let state = match facts.state {
+            subset::ListedState::Ready => EndpointState::Ready,
+            subset::ListedState::Draining => EndpointState::Draining,
+            subset::ListedState::Removed => EndpointState::Removed,
         };
         Some(EngineEntry {
             id: id.into(),
@@ -253,7 +253,7 @@
     }
 
     /// Records how an attempt at the engine of this id ended.
-    pub(super) fn attempted(&mut self, now: f64, id: &str, failed: bool) {
+    pub(super) fn attempt_ended(&mut self, now: f64, id: &str, failed: bool) {
         if let Some(engine) = self.catalog.key(id) {
             self.subset.attempted(now, engine, failed);
         }
@@ -272,7 +272,7 @@
             size,
             reason,
             widened_by: self.subset.widened_by(),
-            failed: self.subset.failing(),
+            failed: self.subset.unhealthy_members(),
             unreached: self.subset.unreached(),
             unserved_classes: self.subset.unserved_classes(&self.catalog).count(),
         }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -39,9 +39,9 @@
             None,
         ));
         let engines = Engines::new(
-            Network {
-                dial: 2.0,
-                idle: 15.0,
+            NetworkTimeouts {
+                connect_timeout: 2.0,
+                idle_timeout: 15.0,
             },
             0.0,
             &budget,
@@ -65,7 +65,7 @@
         }];
         self.engines.list.apply(Event {
             number: 1,
-            is_full_list: true,
+            is_complete: true,
             entries: lines,
         });
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -200,7 +200,7 @@
         let Some(bodies) = plan.and_then(|plan| plan.bodies.as_ref()) else {
             return Ok(None);
         };
-        let names = &self.config.decoded.names.groups;
+        let names = &self.config.decoded.names.classes;
         body_store::body_store(bodies, names, &self.config.name).map(Some)
     }
 
@@ -212,10 +212,10 @@
             body_store: store,
             decoded: self.config.decoded.clone(),
             phase: self.phase.subscribe(),
-            statement_memory: self.budget.statement_bytes.clone(),
+            statement_bytes: self.budget.statement_bytes.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
-                self.config.decoded.network.dial,
+                self.config.decoded.network.connect_timeout,
                 self.longest_deadline_seconds,
             )),
         }
@@ -229,7 +229,7 @@
         stop: Pin<&mut impl Future<Output = ()>>,
     ) {
         let become_healthy = async {
-            self.list.known().await;
+            self.list.wait_until_known().await;
             self.enter(Phase::Serving);
             std::future::pending::<()>().await;
         };
@@ -274,7 +274,7 @@
 
     fn stopped(&self, store: Option<&Store>) {
         if let Some(store) = store {
-            body_store::log_body_store(store, &self.config.decoded.names.groups);
+            body_store::log_body_store(store, &self.config.decoded.names.classes);
         }
         self.enter(Phase::Stopped);
     }
@@ -293,7 +293,7 @@
 fn query_classes(config: &Config) -> Vec<QueryClass> {
     let classes = &config.decoded.settings.classes;
     match &config.plan {
-        Some(plan) => plan_routing::narrowed_classes(classes, &config.decoded.names.groups, plan),
+        Some(plan) => plan_routing::narrowed_classes(classes, &config.decoded.names.classes, plan),
         None => classes.clone(),
     }
 }
--- a/crates/gateway/src/http/rejection.rs
+++ b/crates/gateway/src/http/rejection.rs
@@ -5,11 +5,11 @@
 use crate::scheduling::plan_routing::PlanRejection;
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
-use garnetwall_bodies::room::Refused;
-use garnetwall_settings::Decoded;
+use garnetwall_bodies::AdmissionError;
+use garnetwall_settings::DecodedSettings;
 use thiserror::Error;
 
-/// Why a query is not admitted; the text is what the client is answered.
+/// Why a query is not admitted. The text is the client's response, so it keeps the words of the protocol.
 #[derive(Debug, Error, PartialEq)]
 pub(super) enum Rejection {
     /// The head of the request is wrong.
@@ -63,8 +63,8 @@
 }
 
 impl Rejection {
-    /// What the client is told of a rejection by the plan: the settings say whether it is told when to retry, and the most.
-    pub fn by_plan(rejection: PlanRejection, decoded: &Decoded) -> Self {
+    /// A rejection by the plan. The settings say whether its response gives a time to retry after, and the longest.
+    pub fn by_plan(rejection: PlanRejection, decoded: &DecodedSettings) -> Self {
         match rejection {
             PlanRejection::StatementTooLong { max_bytes } => {
                 Rejection::StatementOverPlan { max_bytes }
@@ -129,12 +129,12 @@
     }
 }
 
-impl From<Refused> for Rejection {
-    fn from(refused: Refused) -> Self {
-        match refused {
-            Refused::TooLarge { most } => Rejection::BodyTooLong { max_bytes: most },
-            Refused::UnknownLength => Rejection::LengthRequired,
-            Refused::NoRoom => Rejection::BodyStoreFull,
+impl From<AdmissionError> for Rejection {
+    fn from(error: AdmissionError) -> Self {
+        match error {
+            AdmissionError::TooLarge { max_bytes } => Rejection::BodyTooLong { max_bytes },
+            AdmissionError::UnknownLength => Rejection::LengthRequired,
+            AdmissionError::NoCapacity => Rejection::BodyStoreFull,
         }
     }
 }
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -4,7 +4,7 @@
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::scheduler::ArrivingQuery;
 use axum::http::header::{HeaderMap, HeaderValue};
-use garnetwall_settings::Decoded;
+use garnetwall_settings::DecodedSettings;
 use std::net::IpAddr;
 use std::sync::Arc;
 use thiserror::Error;
@@ -22,7 +22,7 @@
 /// Milliseconds in a second; the protocol gives times in milliseconds, decisions take seconds.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// What is wrong with the head of a request; the text is what the client is answered.
+/// What is wrong with the head of a request. The text is the client's response, so it keeps the words of the protocol.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub(super) enum RequestError {
     /// The path names no query class.
@@ -64,7 +64,7 @@
     pub stream: StreamHandle,
 }
 
-/// A query to be admitted: what decisions need, and what goes on to the engine unchanged.
+/// A query to be admitted: what decisions need, and what is sent to the engine unchanged.
 #[derive(Debug)]
 pub(super) struct SubmittedQuery {
     pub arrival: ArrivingQuery,
@@ -99,7 +99,7 @@
     ///
     /// The first part of the request that is wrong.
     pub fn parse(
-        decoded: &Decoded,
+        decoded: &DecodedSettings,
         submission: &Submission,
         statement: Option<&[u8]>,
     ) -> Result<Self, RequestError> {
@@ -109,7 +109,7 @@
             ..
         } = submission;
         let unknown_class = || RequestError::UnknownClass(class_name.clone());
-        let class = position(&decoded.names.groups, class_name).ok_or_else(unknown_class)?;
+        let class = position(&decoded.names.classes, class_name).ok_or_else(unknown_class)?;
         let class_settings = &decoded.settings.classes[class];
         let id = header(headers, QUERY_ID_HEADER)?;
         let query_key = parse_key(QUERY_ID_HEADER, id)?;
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -12,7 +12,7 @@
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
-use garnetwall_ledger::records::{SentQuery, RUN_MARGIN};
+use garnetwall_ledger::records::{StartedQuery, RUN_MARGIN};
 use std::fmt;
 use std::hash::BuildHasher;
 use std::sync::Arc;
@@ -285,11 +285,11 @@
 }
 
 /// The journal's record of a query, which may run until a margin after its deadline.
-fn journal_entry(arriving: &ArrivingQuery, deadline: f64) -> SentQuery {
-    SentQuery {
+fn journal_entry(arriving: &ArrivingQuery, deadline: f64) -> StartedQuery {
+    StartedQuery {
         id: arriving.query_key,
-        key: arriving.ordering_key,
-        until: millis(deadline + RUN_MARGIN.as_secs_f64()),
+        ordering_key: arriving.ordering_key,
+        may_run_until_ms: millis(deadline + RUN_MARGIN.as_secs_f64()),
     }
 }
 
--- a/crates/routing/src/zones.rs
+++ b/crates/routing/src/zones.rs
@@ -4,6 +4,8 @@
 //!
 //! Loads and capacities are in cores. docs/zones.md has the states and the reasons.
 
+mod shares;
+
 use std::time::Duration;
 
 /// Fraction of a zone's capacity up to which all stays there; from there on it spills by degrees.
@@ -42,13 +44,16 @@
 /// How a zone looks from here.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
+    /// It gets its share of the load.
     Healthy,
     /// It gets trials only, from then on.
     Lost {
+        /// In seconds.
         until: f64,
     },
     /// It gets this part of its capacity.
     Recovering {
+        /// From above 0 to 1.
         fraction: f64,
     },
 }
@@ -58,9 +63,12 @@
 pub enum ZoneOutcome {
     /// Work in core seconds, and latency over the usual one of its like.
     Succeeded {
+        /// In core seconds.
         work: f64,
+        /// Latency over the usual one of its class.
         slowdown: f64,
     },
+    /// It failed, timed out or was lost.
     Failed,
 }
 
@@ -148,6 +156,7 @@
         }
     }
 
+    /// How a zone looks from here.
     pub fn health(&self, zone: usize) -> Health {
         self.zones[zone].health
     }
@@ -158,7 +167,7 @@
         let was = std::mem::replace(&mut zone_state.capacity, capacity.max(0.0));
         zone_state.others = others.max(0.0);
         if capacity <= 0.0 {
-            zone_state.mark_lost(now);
+            zone_state.record_loss(now);
         } else if was <= 0.0 && matches!(zone_state.health, Health::Lost { .. }) {
             // Listed again: it is tried at once, if it has not been lost too often.
             zone_state.trials = 0;
@@ -210,105 +219,6 @@
             Health::Recovering { fraction } => zone_state.capacity * fraction,
         }
     }
-
-    /// What goes where of a load in cores that may run in some zones only; `eligible` tells by zone.
-    pub fn shares(&self, load: f64, eligible: &[bool]) -> Shares {
-        let eligible: Vec<usize> = (0..self.zones.len())
-            .filter(|zone| eligible.get(*zone).copied().unwrap_or_default())
-            .collect();
-        let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
-        let allowed: f64 = eligible.iter().map(|zone| self.allowed_cores(*zone)).sum();
-        // Too few look healthy, and they would not carry it: what makes the others look ill may be here.
-        let panic = allowed < PANIC_FRACTION * listed && allowed < load;
-        let mut shares = Shares {
-            zones: vec![0.0; self.zones.len()],
-            priority_levels: vec![0.0; self.priority_levels],
-            panic,
-        };
-        if load <= MIN_DIVISOR {
-            self.share_nearest(&mut shares, &eligible);
-        } else if panic {
-            self.share_by_capacity(&mut shares, &eligible, load);
-        } else {
-            self.share_by_level(&mut shares, &eligible, load);
-        }
-        shares
-    }
-
-    /// Cores that a zone has left for us.
-    fn free_cores(&self, zone: usize, panic: bool) -> f64 {
-        if panic {
-            return self.zones[zone].capacity;
-        }
-        (self.allowed_cores(zone) - self.zones[zone].others).max(0.0)
-    }
-
-    /// Nothing is offered yet: the first query goes to the nearest priority level that has any capacity.
-    fn share_nearest(&self, shares: &mut Shares, eligible: &[usize]) {
-        let panic = shares.panic;
-        let has_cores = |zone: &&usize| self.free_cores(**zone, panic) > 0.0;
-        let level_of = |zone: &usize| self.zones[*zone].priority_level;
-        let nearest = eligible.iter().filter(has_cores).map(level_of).min();
-        let in_nearest: Vec<usize> = eligible
-            .iter()
-            .filter(|zone| Some(level_of(zone)) == nearest && has_cores(zone))
-            .copied()
-            .collect();
-        let cores: f64 = in_nearest
-            .iter()
-            .map(|zone| self.free_cores(*zone, panic))
-            .sum();
-        for zone in in_nearest {
-            let share = self.free_cores(zone, panic) / cores;
-            shares.add(zone, level_of(&zone), share);
-        }
-    }
-
-    /// By capacity over all zones that are listed: none gets more than the healthy few would have.
-    fn share_by_capacity(&self, shares: &mut Shares, eligible: &[usize], load: f64) {
-        let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
-        let carried = load.min(listed);
-        for zone in eligible.iter().copied() {
-            let state = &self.zones[zone];
-            let share = carried / load * state.capacity / listed.max(MIN_DIVISOR);
-            shares.add(zone, state.priority_level, share);
-        }
-    }
-
-    /// By priority level, the nearest first, each spilling to the next.
-    fn share_by_level(&self, shares: &mut Shares, eligible: &[usize], load: f64) {
-        let free_cores = |zone: usize| self.free_cores(zone, false);
-        let level_of = |zone: usize| self.zones[zone].priority_level;
-        let mut remaining = load;
-        for level in 0..self.priority_levels {
-            let in_level: Vec<usize> = eligible
-                .iter()
-                .copied()
-                .filter(|zone| level_of(*zone) == level)
-                .collect();
-            let cores: f64 = in_level.iter().map(|zone| free_cores(*zone)).sum();
-            let can_spill = eligible
-                .iter()
-                .any(|zone| level_of(*zone) > level && free_cores(*zone) > 0.0);
-            let carried = if can_spill {
-                kept_before_spilling(remaining, cores)
-            } else {
-                remaining.min(cores)
-            };
-            for zone in in_level.into_iter().filter(|_| cores > MIN_DIVISOR) {
-                shares.add(zone, level, carried / load * free_cores(zone) / cores);
-            }
-            remaining -= carried;
-        }
-        // What spilled and found no capacity further on goes back to where there is some.
-        for zone in eligible.iter().copied() {
-            let free = (free_cores(zone) - shares.zones[zone] * load)
-                .max(0.0)
-                .min(remaining.max(0.0));
-            shares.add(zone, level_of(zone), free / load);
-            remaining -= free;
-        }
-    }
 }
 
 impl Shares {
@@ -320,7 +230,7 @@
 
 /// What a priority level keeps of a load: all of it up to the soft mark, then less and less of what is added, never more than it
 /// holds. Without an edge, so that a load that wavers does not jump between priority levels.
-pub fn kept_before_spilling(load: f64, capacity: f64) -> f64 {
+pub fn carried_before_spilling(load: f64, capacity: f64) -> f64 {
     if capacity <= MIN_DIVISOR {
         return 0.0;
     }
@@ -328,9 +238,11 @@
     if x <= SPILL_FROM_FRACTION {
         return load;
     }
-    let rest = 1.0 - SPILL_FROM_FRACTION;
-    (capacity * (SPILL_FROM_FRACTION + rest * (1.0 - (-(x - SPILL_FROM_FRACTION) / rest).exp())))
-        .min(load)
+    let soft_range = 1.0 - SPILL_FROM_FRACTION;
+    (capacity
+        * (SPILL_FROM_FRACTION
+            + soft_range * (1.0 - (-(x - SPILL_FROM_FRACTION) / soft_range).exp())))
+    .min(load)
 }
 
 /// Which parts of groups are held where not all can be: those with the most utility for their work first. Each group is
@@ -359,16 +271,16 @@
 
 impl Zone {
     fn decay(&mut self, now: f64) {
-        let kept = (-(now - self.decayed_at).max(0.0) / OUTCOME_DECAY_SECONDS).exp();
+        let decay = (-(now - self.decayed_at).max(0.0) / OUTCOME_DECAY_SECONDS).exp();
         (self.successes, self.failures, self.decayed_at) =
-            (self.successes * kept, self.failures * kept, now);
+            (self.successes * decay, self.failures * decay, now);
     }
 
     fn failure_rate(&self) -> f64 {
         self.failures / (self.successes + self.failures).max(MIN_DIVISOR)
     }
 
-    fn mark_lost(&mut self, now: f64) {
+    fn record_loss(&mut self, now: f64) {
         if matches!(self.health, Health::Lost { .. }) {
             return;
         }
@@ -406,10 +318,10 @@
                 {
                     return;
                 }
-                let asked = self.carried / (now - self.round_at).max(MIN_DIVISOR)
+                let demanded = self.carried / (now - self.round_at).max(MIN_DIVISOR)
                     >= MIN_DEMAND_FRACTION * fraction * self.capacity;
                 (self.carried, self.round_at) = (0.0, now);
-                self.health = match asked {
+                self.health = match demanded {
                     true if fraction >= 1.0 => Health::Healthy,
                     true => Health::Recovering {
                         fraction: (fraction * GROWTH_FACTOR).min(1.0),
@@ -434,7 +346,7 @@
         if self.successes + self.failures >= MIN_OUTCOMES
             && self.failure_rate() >= LOST_FAILURE_RATE
         {
-            return self.mark_lost(now);
+            return self.record_loss(now);
         }
         if let Health::Recovering { fraction } = self.health {
             self.back_off(now, fraction);
--- a/crates/scale/src/beside/prediction.rs
+++ b/crates/scale/src/beside/prediction.rs
@@ -7,9 +7,9 @@
 use super::hollow::{self, Load};
 use super::report::Figure;
 use super::roster::Roster;
-use garnetwall_settings::{decode, Flat};
+use garnetwall_settings::{decode, FlatSettings};
 use garnetwall_subset::{
-    Action, Catalog, Condition, EngineFacts, EngineLine, PlacementClass, RetryScope, Subset,
+    Action, Catalog, EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, Subset,
     SubsetError, SubsetSettings,
 };
 
@@ -34,7 +34,7 @@
         let gateways = experiment.gateways_told.unwrap_or(experiment.gateways) as f64;
         (gateways * members / experiment.engines as f64).max(1.0)
     });
-    let settings = decode(&Flat::from_json(&gateways::settings(experiment))?)?.settings;
+    let settings = decode(&FlatSettings::from_json(&gateways::settings(experiment))?)?.settings;
     let keyed = experiment.keys as f64 * super::clients::QUERIES_PER_SECOND_OF_A_KEY;
     let load = Load {
         queries_per_second: (experiment.queries_per_second + keyed) / experiment.gateways as f64,
@@ -124,16 +124,16 @@
     Ok(subset.members().count())
 }
 
-fn lines(experiment: &Experiment) -> Vec<EngineLine> {
+fn lines(experiment: &Experiment) -> Vec<ListedEngine> {
     let roster = Roster::new(experiment.engines, experiment.zones);
     let facts = |slot: usize| EngineFacts {
         zone: roster.zone(slot) as u32,
         kind: 0,
         cell: roster.cell(slot) as u32,
         cores: CORES,
-        condition: Condition::Ready,
+        state: ListedState::Ready,
     };
-    let line = |slot| EngineLine {
+    let line = |slot| ListedEngine {
         id: roster.engine(slot).to_string(),
         facts: facts(slot),
     };
--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -1,13 +1,13 @@
-//! The change log: numbered entries, and the list of engines as it stands after each.
+//! The change log: numbered entries, and the endpoint list after each.
 
 use super::time::SimTime;
-use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, EngineLine};
+use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, ListedEngine};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// What the log tells of one engine.
+/// One engine's entry in the endpoint list, as published.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldLine {
+pub struct EndpointUpdate {
     pub engine: usize,
     pub facts: EngineFacts,
     pub started: Option<SimTime>,
@@ -17,7 +17,7 @@
 #[derive(Clone, Default)]
 pub struct ListState {
     pub catalog: Catalog,
-    /// Start of each engine's process as told, by the engine's number.
+    /// Published start of each engine's process, by the engine's number.
     pub started: Vec<Option<SimTime>>,
     engine_of_key: HashMap<EngineKey, usize>,
 }
@@ -38,25 +38,25 @@
         self.catalog.engines().map(change).collect()
     }
 
-    fn apply(&mut self, lines: &[ToldLine]) -> (Vec<Change>, Vec<EngineKey>) {
+    fn apply(&mut self, updates: &[EndpointUpdate]) -> (Vec<Change>, Vec<EngineKey>) {
         let mut restarted = Vec::new();
-        for line in lines {
-            let known = self.started.len().max(line.engine + 1);
+        for update in updates {
+            let known = self.started.len().max(update.engine + 1);
             self.started.resize(known, None);
-            if self.started[line.engine] != line.started {
-                restarted.extend(self.catalog.key(&engine_id(line.engine)));
+            if self.started[update.engine] != update.started {
+                restarted.extend(self.catalog.key(&engine_id(update.engine)));
             }
-            self.started[line.engine] = line.started;
+            self.started[update.engine] = update.started;
         }
-        let catalog_line = |line: &ToldLine| EngineLine {
-            id: engine_id(line.engine),
-            facts: line.facts,
+        let listed_engine = |update: &EndpointUpdate| ListedEngine {
+            id: engine_id(update.engine),
+            facts: update.facts,
         };
-        let catalog_lines: Vec<EngineLine> = lines.iter().map(catalog_line).collect();
-        let changes = self.catalog.apply(&catalog_lines, false);
-        for line in lines {
-            if let Some(key) = self.catalog.key(&engine_id(line.engine)) {
-                self.engine_of_key.insert(key, line.engine);
+        let listed_engines: Vec<ListedEngine> = updates.iter().map(listed_engine).collect();
+        let changes = self.catalog.apply(&listed_engines, false);
+        for update in updates {
+            if let Some(key) = self.catalog.key(&engine_id(update.engine)) {
+                self.engine_of_key.insert(key, update.engine);
             }
         }
         (changes, restarted)
@@ -71,7 +71,7 @@
 #[derive(Clone)]
 pub struct Entry {
     pub changes: Vec<Change>,
-    /// Engines that were in the list and whose process started anew.
+    /// Engines that were in the list and whose process was started again.
     pub restarted: Vec<EngineKey>,
     pub list: Rc<ListState>,
     /// The version of the configuration from here on.
@@ -81,14 +81,14 @@
 /// All entries so far; entry 0 is the list at the start.
 pub struct ChangeLog {
     entries: Vec<Entry>,
-    /// Lines that go out with the next entry.
-    pending: BTreeMap<usize, ToldLine>,
+    /// Updates for the next entry, by engine.
+    pending: BTreeMap<usize, EndpointUpdate>,
 }
 
 impl ChangeLog {
-    pub fn new(lines: &[ToldLine]) -> ChangeLog {
+    pub fn new(updates: &[EndpointUpdate]) -> ChangeLog {
         let mut list = ListState::default();
-        list.apply(lines);
+        list.apply(updates);
         let first = Entry {
             changes: Vec::new(),
             restarted: Vec::new(),
@@ -109,29 +109,30 @@
         &self.entries[sequence]
     }
 
-    /// Puts a line into the next entry; whether that is the first one.
-    pub fn stage(&mut self, line: ToldLine) -> bool {
+    /// Adds an update to the next entry; returns whether it is the first one there.
+    pub fn stage(&mut self, update: EndpointUpdate) -> bool {
         let first = self.pending.is_empty();
-        self.pending.insert(line.engine, line);
+        self.pending.insert(update.engine, update);
         first
     }
 
-    /// Writes what is staged; returns the lines of the new entry.
-    pub fn publish_lines(&mut self) -> Vec<ToldLine> {
-        let lines: Vec<ToldLine> = std::mem::take(&mut self.pending).into_values().collect();
+    /// Writes the staged updates as an entry, and returns them.
+    pub fn publish_updates(&mut self) -> Vec<EndpointUpdate> {
+        let updates: Vec<EndpointUpdate> =
+            std::mem::take(&mut self.pending).into_values().collect();
         let before = &self.entries[self.latest()];
         let (mut list, configuration) = (ListState::clone(&before.list), before.configuration);
-        let (changes, restarted) = list.apply(&lines);
+        let (changes, restarted) = list.apply(&updates);
         self.entries.push(Entry {
             changes,
             restarted,
             list: Rc::new(list),
             configuration,
         });
-        lines
+        updates
     }
 
-    /// Writes an entry with a new version of the configuration, and no lines.
+    /// Writes an entry with a new version of the configuration, and no updates.
     pub fn publish_configuration(&mut self) {
         let before = &self.entries[self.latest()];
         let entry = Entry {
--- a/crates/scale/src/fleet/surroundings.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -1,24 +1,24 @@
-//! What gateways meet: engines, the change log, clients, the queue of events, and the judge that watches.
+//! What surrounds the gateways: engines, the change log, clients, the event queue and the judge.
 
-use super::change_log::{ChangeLog, ToldLine};
+use super::change_log::{ChangeLog, EndpointUpdate};
 use super::clients::Demand;
 use super::engine::{AttemptKey, Engine, EngineState, Received, Site};
 use super::event::{EngineStep, Event};
 use super::event_queue::EventQueue;
 use super::experiment::Experiment;
+use super::injected_fault::InjectedFault;
 use super::judge::{Judge, SeenAttempt};
-use super::slip::Slip;
 use super::time::SimTime;
 use garnetwall::api::AttemptEnd;
-use garnetwall_subset::{Condition, EngineFacts};
+use garnetwall_subset::{EngineFacts, ListedState};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::rc::Rc;
 
-/// Seconds in which lines are gathered into one entry of the log.
-const PUBLISH_PACE: f64 = 0.1;
+/// Updates within this time are published as one entry of the log.
+const PUBLISH_INTERVAL_SECONDS: f64 = 0.1;
 
-pub struct Surroundings {
+pub struct Environment {
     pub experiment: Rc<Experiment>,
     pub engines: Vec<Engine>,
     pub queue: EventQueue<Event>,
@@ -28,8 +28,8 @@
     pub random: SmallRng,
 }
 
-impl Surroundings {
-    pub fn new(experiment: Rc<Experiment>, mut random: SmallRng) -> Surroundings {
+impl Environment {
+    pub fn new(experiment: Rc<Experiment>, mut random: SmallRng) -> Environment {
         let engines: Vec<Engine> = (0..experiment.engines.count)
             .map(|n| Engine::new(site(&experiment, n, &mut random), None))
             .collect();
@@ -39,11 +39,13 @@
         engines
             .iter()
             .for_each(|engine| judge.engine_added(engine.site));
-        let line = |(number, engine): (usize, &Engine)| told_line(number, engine, Condition::Ready);
-        let lines: Vec<ToldLine> = engines.iter().enumerate().map(line).collect();
-        let log = ChangeLog::new(&lines);
-        judge.published(SimTime::START, log.latest(), &lines);
-        Surroundings {
+        let update = |(number, engine): (usize, &Engine)| {
+            endpoint_update(number, engine, ListedState::Ready)
+        };
+        let updates: Vec<EndpointUpdate> = engines.iter().enumerate().map(update).collect();
+        let log = ChangeLog::new(&updates);
+        judge.published(SimTime::START, log.latest(), &updates);
+        Environment {
             experiment,
             engines,
             queue: EventQueue::new(),
@@ -54,13 +56,13 @@
         }
     }
 
-    pub fn slips(&self, slip: Slip) -> bool {
-        self.experiment.slip == Some(slip)
+    pub fn injects(&self, injected_fault: InjectedFault) -> bool {
+        self.experiment.injected_fault == Some(injected_fault)
     }
 
     // ---- attempts ----
 
-    /// An attempt goes to an engine. Returns the progress by which it can be withdrawn, if the engine was reached.
+    /// Sends an attempt to an engine. Returns the progress by which it can be withdrawn, if the engine was reached.
     pub fn send(&mut self, now: SimTime, key: AttemptKey, attempt: SeenAttempt) -> Option<u64> {
         let engine = &mut self.engines[attempt.engine];
         if !engine.reachable() {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Sees to it that the engine is looked at when its next attempt is done.
+    /// Schedules the engine's next event.
     pub fn schedule_engine(&mut self, now: SimTime, engine: usize) {
         let hollow = &mut self.engines[engine];
         let Some(next) = hollow.next_due(&self.experiment.cold, now) else {
@@ -117,7 +119,7 @@
         self.restart_engine(now, engine);
     }
 
-    /// A process ends and breaks its connections; it starts anew after a while.
+    /// Ends a process with its connections, and schedules the next start.
     pub fn restart_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         let up_at = now.after(self.experiment.engines.restart);
@@ -149,20 +151,20 @@
         }
         self.engines[engine].start(now);
         self.judge.engine_started(now, engine);
-        self.tell(now, engine, Condition::Ready);
+        self.stage_update(now, engine, ListedState::Ready);
     }
 
     /// A new engine at the same place.
     pub fn replace_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         self.engines[engine].state = EngineState::Retired;
-        self.tell(now, engine, Condition::Gone);
+        self.stage_update(now, engine, ListedState::Removed);
         let site = self.engines[engine].site;
         let new = self.engines.len();
         self.engines.push(Engine::new(site, Some(now)));
         self.judge.engine_added(site);
         self.judge.engine_started(now, new);
-        self.tell(now, new, Condition::Ready);
+        self.stage_update(now, new, ListedState::Ready);
     }
 
     pub fn silence_engine(&mut self, now: SimTime, engine: usize, silent: bool) {
@@ -183,15 +185,15 @@
 
     // ---- the change log ----
 
-    /// Stages a line on an engine as it is now.
-    pub fn tell(&mut self, now: SimTime, engine: usize, condition: Condition) {
-        let mut line = told_line(engine, &self.engines[engine], condition);
-        if self.slips(Slip::StartsUntold) {
-            line.started = None;
+    /// Stages an update on an engine as it is now.
+    pub fn stage_update(&mut self, now: SimTime, engine: usize, state: ListedState) {
+        let mut update = endpoint_update(engine, &self.engines[engine], state);
+        if self.injects(InjectedFault::StartsUntold) {
+            update.started = None;
         }
-        if self.log.stage(line) {
+        if self.log.stage(update) {
             self.queue
-                .push(now.after(PUBLISH_PACE), Event::PublishLines);
+                .push(now.after(PUBLISH_INTERVAL_SECONDS), Event::PublishUpdates);
         }
     }
 
@@ -217,7 +219,7 @@
     }
 }
 
-fn told_line(number: usize, engine: &Engine, condition: Condition) -> ToldLine {
+fn endpoint_update(number: usize, engine: &Engine, state: ListedState) -> EndpointUpdate {
     let Site {
         zone,
         rack,
@@ -229,9 +231,9 @@
         kind: kind as u32,
         cell: rack as u32,
         cores,
-        condition,
+        state,
     };
-    ToldLine {
+    EndpointUpdate {
         engine: number,
         facts,
         started: engine.started,
