--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -38,7 +38,7 @@
         "extra-window": 10000.0, "extra-floor": 3.0, "extra-per-request": 0.2, "order-pause": 200.0});
     c["settings"]["tenants"] = json!([{"name": "acme", "portion": 0.7, "quota-per-s": 119.0},
         {"name": "other", "portion": 0.3, "quota-per-s": 28.0}]);
-    let mut referenced = group("lookup", "dedup", 3000.0);
+    let mut referenced = query_class("lookup", "dedup", 3000.0);
     referenced["key-scope"] = json!("zone");
     referenced["dedup-window"] = json!(5000.0);
     referenced["aim-stretch"] = json!(2.0);
@@ -127,7 +127,7 @@
 /// Runs a command on a file until it ends: whether it went well, and what it said on standard error.
 fn run(command: &str, file: &Path, what: &str) -> (bool, String) {
     let said = file.with_extension("said");
-    let mut child = program(&[command, "--config", file.to_str().unwrap()])
+    let mut child = gateway_command(&[command, "--config", file.to_str().unwrap()])
         .stdout(Stdio::null())
         .stderr(File::create(&said).unwrap())
         .spawn()
@@ -145,7 +145,7 @@
 
 /// Refused by both commands, in one line: the place, the cause, and what to do.
 fn assert_refused(config: &Value, place: &str, cause: &str, what: &str) {
-    let file = file(config);
+    let file = write_config(config);
     for command in ["check-config", "serve"] {
         let (good, said) = run(command, &file, what);
         assert!(!good, "{what}: {command} takes it");
@@ -174,7 +174,7 @@
 
 impl Started {
     fn by(config: &Value) -> Started {
-        let file = file(config);
+        let file = write_config(config);
         let said = file.with_extension("said");
         let child = serve_from(&file, File::create(&said).unwrap().into());
         Started {
@@ -194,7 +194,7 @@
             let answer = TcpStream::connect(self.address)
                 .ok()
                 .and_then(|s| call(s, "GET /healthz", "", ""));
-            if answer.is_some_and(|m| m.first.starts_with(&format!("HTTP/1.1 {status} "))) {
+            if answer.is_some_and(|m| m.start_line.starts_with(&format!("HTTP/1.1 {status} "))) {
                 return;
             }
             sleep(Duration::from_millis(5));
@@ -206,7 +206,7 @@
     }
 
     /// Sends a batch; the status of its answer, which comes in time.
-    fn batch(&mut self, fields: &str, what: &str) -> u16 {
+    fn query(&mut self, fields: &str, what: &str) -> u16 {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(LONGEST)).unwrap();
         let answer = call(stream, "POST /v1/report", fields, "SELECT 1");
@@ -268,11 +268,11 @@
     }
 
     fn line(&self, id: &str) -> Value {
-        line(id, self.engine.address, "SERVING")
+        endpoint(id, self.engine.address, "SERVING")
     }
 
     fn with_engines(&self, lines: &[Value]) -> Value {
-        self.with("known.results", json!([change(0, true, lines)]))
+        self.with("known.results", json!([list_event(0, true, lines)]))
     }
 }
 
@@ -281,7 +281,10 @@
     let world = World::new();
     let mut gateway = Started::by(&world.config());
     gateway.healthy(200, "the base");
-    assert_eq!(gateway.batch(&fields(&new_id(), 3000), "the base"), 200);
+    assert_eq!(
+        gateway.query(&request_fields(&new_id(), 3000), "the base"),
+        200
+    );
     gateway.stop("the base");
 }
 
@@ -526,7 +529,7 @@
     let events = |numbers: &[u64]| {
         numbers
             .iter()
-            .map(|n| change(*n, *n == numbers[0], &[world.line("s-1")]))
+            .map(|n| list_event(*n, *n == numbers[0], &[world.line("s-1")]))
             .collect::<Vec<_>>()
     };
     for (numbers, last, fault) in [
@@ -539,7 +542,10 @@
         let what = format!("{numbers:?} up to {last}");
         match fault {
             Some(place) => assert_refused(&config, place, "goes back or past known.seq", &what),
-            None => assert!(run("check-config", &file(&config), &what).0, "{what}"),
+            None => assert!(
+                run("check-config", &write_config(&config), &what).0,
+                "{what}"
+            ),
         }
     }
 }
@@ -574,7 +580,7 @@
         ),
     ];
     for (what, bytes, cause) in files {
-        let path = file(&json!({}));
+        let path = write_config(&json!({}));
         std::fs::write(&path, bytes).unwrap();
         for command in ["check-config", "serve"] {
             let (good, said) = run(command, &path, what);
@@ -588,9 +594,9 @@
     }
     for path in [
         std::env::temp_dir(),
-        file(&json!({})).with_extension("gone"),
+        write_config(&json!({})).with_extension("gone"),
     ] {
-        let child = program(&["check-config", "--config", path.to_str().unwrap()])
+        let child = gateway_command(&["check-config", "--config", path.to_str().unwrap()])
             .output()
             .unwrap();
         let said = String::from_utf8(child.stderr).unwrap();
@@ -609,7 +615,7 @@
         let address =
             |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, (i % 250) as u8 + 1], 4100));
         (0..n)
-            .map(|i| line(&format!("s-{i}"), address(i), "SERVING"))
+            .map(|i| endpoint(&format!("s-{i}"), address(i), "SERVING"))
             .collect::<Vec<_>>()
     };
     let peers: Vec<String> = (0..1024)
@@ -669,7 +675,7 @@
         ("an address of two engines", world.with_engines(&[world.line("s-1"), world.line("s-2")]), true),
         (
             "an engine that has gone",
-            world.with_engines(&[line("s-1", world.engine.address, "DELETED")]),
+            world.with_engines(&[endpoint("s-1", world.engine.address, "DELETED")]),
             false,
         ),
         ("an engine with little told", world.with_engines(&[cold]), true),
@@ -687,7 +693,7 @@
 }
 
 fn assert_served(what: &str, config: &Value, returned: bool) {
-    assert!(run("check-config", &file(config), what).0, "{what}");
+    assert!(run("check-config", &write_config(config), what).0, "{what}");
     let mut config = config.clone();
     config["listen"] = json!(own_address().to_string());
     let mut gateway = Started::by(&config);
@@ -698,13 +704,13 @@
         .unwrap();
     let team = config["settings"]["tenants"][0].is_object();
     let mut batch = || {
-        let fields = fields(&new_id(), allowed as u32);
+        let fields = request_fields(&new_id(), allowed as u32);
         let fields = if team {
             fields
         } else {
             fields.replace("X-Team: acme\r\n", "")
         };
-        gateway.batch(&fields, what)
+        gateway.query(&fields, what)
     };
     let begun = Instant::now();
     let mut status = batch();
@@ -733,7 +739,10 @@
         let what = format!("known {known}");
         let mut config = world.with("known", known);
         config["listen"] = json!(own_address().to_string());
-        assert!(run("check-config", &file(&config), &what).0, "{what}");
+        assert!(
+            run("check-config", &write_config(&config), &what).0,
+            "{what}"
+        );
         let mut gateway = Started::by(&config);
         gateway.healthy(503, &what);
         gateway.stop(&what);
@@ -763,7 +772,7 @@
             let what = format!("{path}={value}");
             let mut config = base.clone();
             put(&mut config, path, value.clone());
-            let (good, said) = run("check-config", &file(&config), &what);
+            let (good, said) = run("check-config", &write_config(&config), &what);
             if !good {
                 refused += 1;
                 let rest = said.strip_prefix("garnetwall: configuration ");
@@ -785,7 +794,7 @@
                 .as_array()
                 .is_none_or(Vec::is_empty);
             gateway.healthy(if starting { 503 } else { 200 }, &what);
-            gateway.batch(&fields(&new_id(), 200), &what);
+            gateway.query(&request_fields(&new_id(), 200), &what);
             assert!(
                 !gateway.said().contains("panicked"),
                 "{what}: {}",
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -216,7 +216,7 @@
         std::fs::write(&plan, format!("bodies store {{\n{entries}\n}}\n")).unwrap();
         let sink = Sink::start();
         let at = sink.address;
-        let service = Service::by(
+        let service = Service::with_launcher(
             |config| {
                 config["known"]["results"][0]["fleet"]["servers"][0]["addr"] =
                     json!(at.to_string());
@@ -230,7 +230,9 @@
                 let gateway = env!("CARGO_BIN_EXE_garnetwall");
                 let run = format!("{before} exec {gateway} serve --plan {}", plan.display());
                 let mut command = Command::new("sh");
-                command.args(["-c", &run]).env("PROXY_CONFIG", file(config));
+                command
+                    .args(["-c", &run])
+                    .env("PROXY_CONFIG", write_config(config));
                 command
                     .stderr(std::fs::File::create(&log).unwrap())
                     .spawn()
@@ -242,7 +244,7 @@
 
     fn sends(&self, group: &str, body: &[u8]) -> Answer {
         let stream = self.service.open();
-        let fields = fields(&new_id(), 60_000);
+        let fields = request_fields(&new_id(), 60_000);
         let head = format!(
             "POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
             body.len()
@@ -281,7 +283,7 @@
             let before = s.sink.came().len();
             let body = body(how, size);
             let answer = s.sends("report", &body);
-            assert!(answer.returned(), "{size} {how}: {answer:?}");
+            assert!(answer.succeeded(), "{size} {how}: {answer:?}");
             let wanted = Came {
                 bytes: size,
                 sum: sum(&body),
@@ -298,7 +300,7 @@
     assert!(peak < 64, "{peak} MiB at the most, of 64");
     println!("{peak} MiB at the most");
     s.service.signal("TERM");
-    until("the counts", || {
+    wait_until("the counts", || {
         std::fs::read_to_string(&s.log)
             .unwrap()
             .contains("storage=File bodies=4 retry_reads=4 missing=0")
@@ -317,7 +319,7 @@
     let s = Storing::start(FILES, "");
     let long = body("breaks", 100 * MIB);
     let answer = s.sends("report", &long);
-    assert!(answer.returned(), "{answer:?}");
+    assert!(answer.succeeded(), "{answer:?}");
     let came = s.sink.came();
     assert!(!came[0].whole && came[0].bytes >= 50 * MIB, "{came:?}");
     assert_eq!(
@@ -340,7 +342,7 @@
         (500, 4),
         "it may have run"
     );
-    assert!(s.sends("load", &body("works", MIB)).returned());
+    assert!(s.sends("load", &body("works", MIB)).succeeded());
 }
 
 /// An engine that answers before it has read the body.
@@ -349,7 +351,7 @@
     let s = Storing::start(FILES, "");
     let long = body("early", 30 * MIB);
     let answer = s.sends("report", &long);
-    assert!(answer.returned(), "{answer:?}");
+    assert!(answer.succeeded(), "{answer:?}");
     let came = s.sink.came();
     assert_eq!(
         (came.len(), came[0].whole, came[1].sum),
@@ -362,7 +364,7 @@
 fn what_is_not_kept_is_not_sent_again() {
     let s = Storing::start("  memory 1MiB\n  batch-memory 512KiB\n  batch 100MiB", "");
     let long = body("works", 50 * MIB);
-    assert!(s.sends("report", &long).returned());
+    assert!(s.sends("report", &long).succeeded());
     assert_eq!(
         s.sink.came(),
         [Came {
@@ -380,7 +382,7 @@
     assert_eq!(s.sends("report", &body("works", 101 * MIB)).status, 413);
     assert!(s.peak() < 40, "{} MiB", s.peak());
     let kept = s.sends("report", &body("declines", 400 * KIB));
-    assert!(kept.returned(), "this one is kept: {kept:?}");
+    assert!(kept.succeeded(), "this one is kept: {kept:?}");
 }
 
 /// The disk fills in truth, in the middle of a body: by a limit on the size of the process's files.
@@ -389,7 +391,7 @@
     let s = Storing::start(FILES, "trap '' XFSZ; ulimit -f 8192;");
     let long = body("works", 40 * MIB);
     let answer = s.sends("report", &long);
-    assert!(answer.returned(), "{answer:?}");
+    assert!(answer.succeeded(), "{answer:?}");
     assert_eq!(
         s.sink.came(),
         [Came {
@@ -401,7 +403,7 @@
     let answer = s.sends("report", &body("declines", 40 * MIB));
     assert_eq!((answer.status, s.sink.came().len()), (503, 2), "{answer:?}");
     assert!(
-        s.sends("report", &body("declines", 3 * MIB)).returned(),
+        s.sends("report", &body("declines", 3 * MIB)).succeeded(),
         "what fits is kept"
     );
 }
@@ -412,14 +414,14 @@
     for size in [600 * KIB, 5 * MIB] {
         let before = s.sink.came().len();
         let stream = s.service.open();
-        let fields = fields(&new_id(), 60_000);
+        let fields = request_fields(&new_id(), 60_000);
         let head = format!(
             "POST /v1/load HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
             2 * size
         );
         (&stream).write_all(head.as_bytes()).unwrap();
         (&stream).write_all(&body("works", size)).unwrap();
-        until("the start", || s.sink.came().len() > before);
+        wait_until("the start", || s.sink.came().len() > before);
         stream.shutdown(Shutdown::Write).unwrap();
         let mut rest = Vec::new();
         let _ = (&stream).read_to_end(&mut rest);
@@ -431,7 +433,7 @@
         );
     }
     assert!(
-        s.sends("load", &body("works", MIB)).returned(),
+        s.sends("load", &body("works", MIB)).succeeded(),
         "the next is not troubled"
     );
 }
@@ -441,19 +443,19 @@
 fn a_client_that_is_gone_frees_the_engine_at_once() {
     let s = Storing::start(FILES, "");
     let stream = s.service.open();
-    let fields = fields(&new_id(), 60_000);
+    let fields = request_fields(&new_id(), 60_000);
     let head = format!(
         "POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
         9 * MIB
     );
     (&stream).write_all(head.as_bytes()).unwrap();
     (&stream).write_all(&body("works", 3 * MIB)).unwrap();
-    until("the start", || s.sink.came().len() == 1);
+    wait_until("the start", || s.sink.came().len() == 1);
     sleep(Duration::from_millis(200));
     assert_eq!(s.sink.came()[0].bytes, 0, "it still comes");
     drop(stream);
     // The stand-in notes what came once its connection ends.
-    until("the end", || s.sink.came()[0].bytes > 0);
+    wait_until("the end", || s.sink.came()[0].bytes > 0);
     assert!(!s.sink.came()[0].whole);
 }
 
@@ -465,7 +467,7 @@
         let body = body("declines", size);
         let text = format!(
             "POST /v1/report HTTP/1.1\r\nHost: g\r\n{}Transfer-Encoding: chunked\r\n\r\n",
-            fields(&new_id(), 9000)
+            request_fields(&new_id(), 9000)
         );
         for (to, allowed) in [(&s, true), (&closed, false)] {
             let before = to.sink.came().len();
@@ -488,7 +490,7 @@
                         sum: sum(&body),
                         whole: true,
                     };
-                    assert!(answer.returned(), "{size}: {answer:?}");
+                    assert!(answer.succeeded(), "{size}: {answer:?}");
                     assert_eq!(to.sink.came()[before..], [wanted.clone(), wanted]);
                 }
                 false => assert_eq!((answer.status, to.sink.came().len()), (411, before)),
--- a/crates/gateway/tests/closing.rs
+++ b/crates/gateway/tests/closing.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 fn text(id: &str, statement: &str) -> String {
-    let (fields, length) = (fields(id, 3000), statement.len());
+    let (fields, length) = (request_fields(id, 3000), statement.len());
     format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {length}\r\n\r\n{statement}")
 }
 
@@ -29,7 +29,7 @@
     (&stream)
         .write_all(text(&new_id(), "SELECT 1").as_bytes())
         .unwrap();
-    assert!(answered(&stream).expect("an answer").returned());
+    assert!(answered(&stream).expect("an answer").succeeded());
     stream
 }
 
@@ -91,7 +91,7 @@
         let kept: Vec<TcpStream> = (0..12).map(|_| kept(&service)).collect();
         service.signal("TERM");
         let term = Instant::now();
-        service.stops();
+        service.pause();
         if term.elapsed() > ms(500) {
             return false;
         }
@@ -105,7 +105,7 @@
         service.signal("CONT");
         for (n, stream) in kept.iter().enumerate() {
             assert!(
-                answered(stream).is_some_and(|a| a.returned()),
+                answered(stream).is_some_and(|a| a.succeeded()),
                 "call {n} was not answered"
             );
         }
@@ -128,7 +128,7 @@
     (&stream).write_all(first.as_bytes()).unwrap();
     at(term + ms(900));
     (&stream).write_all(rest.as_bytes()).unwrap();
-    assert!(answered(&stream).expect("an answer").returned());
+    assert!(answered(&stream).expect("an answer").succeeded());
 }
 
 /// What is written after our end of the connection is never sent on, and the answer before it is not lost by a reset.
@@ -158,7 +158,7 @@
 fn an_idle_connection_on_which_a_call_has_come_does_not_give_way() {
     let service = Service::with(|config| config["limits"]["sockets"] = json!(64));
     let idle: Vec<TcpStream> = (0..26).map(|_| kept(&service)).collect();
-    service.stops();
+    service.pause();
     let mut oldest = &idle[0];
     oldest
         .write_all(text(&new_id(), "SELECT 2").as_bytes())
@@ -170,11 +170,11 @@
     sleep(ms(150));
     service.signal("CONT");
     assert!(
-        answered(oldest).is_some_and(|a| a.returned()),
+        answered(oldest).is_some_and(|a| a.succeeded()),
         "its call was lost"
     );
     assert!(
-        answered(&new).is_some_and(|a| a.returned()),
+        answered(&new).is_some_and(|a| a.succeeded()),
         "the new one is served"
     );
 }
@@ -194,12 +194,12 @@
         .write_all(text(&new_id(), "SELECT 3").as_bytes())
         .unwrap();
     assert!(
-        answered(&new).is_some_and(|a| a.returned()),
+        answered(&new).is_some_and(|a| a.succeeded()),
         "the new one is served"
     );
     oldest.write_all(rest.as_bytes()).unwrap();
     assert!(
-        answered(oldest).is_some_and(|a| a.returned()),
+        answered(oldest).is_some_and(|a| a.succeeded()),
         "its call was lost"
     );
 }
@@ -236,7 +236,7 @@
     (&stream)
         .write_all(text(&new_id(), "SELECT 2").as_bytes())
         .unwrap();
-    assert!(answered(&stream).expect("an answer").returned());
+    assert!(answered(&stream).expect("an answer").succeeded());
     assert!(service.child.wait().unwrap().success());
     assert!(
         term.elapsed() < ms(3700),
@@ -282,7 +282,7 @@
         .unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     for asked in 0.. {
-        let (fields, sent) = (fields(&new_id(), deadline), Instant::now());
+        let (fields, sent) = (request_fields(&new_id(), deadline), Instant::now());
         let call = format!(
             "POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 8\r\n\r\nSELECT 1"
         );
--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -25,7 +25,7 @@
             .status()
             .unwrap()
             .success());
-        let mut command = program(&["serve"]);
+        let mut command = gateway_command(&["serve"]);
         let child = command
             .env("PROXY_CONFIG", &pipe)
             .stderr(Stdio::null())
@@ -76,7 +76,7 @@
     drop(pipe);
     // It serves, whatever its files wait for.
     let address: std::net::SocketAddr = told["listen"].as_str().unwrap().parse().unwrap();
-    until("it listens", || {
+    wait_until("it listens", || {
         std::net::TcpStream::connect(address).is_ok()
     });
     // It reads its configuration again: there the change log is at another place.
@@ -84,17 +84,17 @@
     told["changelog"] = moved.address.to_string().into();
     again.write_all(told.to_string().as_bytes()).unwrap();
     drop(again);
-    until("it follows the other log", || {
-        !moved.readers.lock().unwrap().is_empty()
+    wait_until("it follows the other log", || {
+        !moved.last_event_ids.lock().unwrap().is_empty()
     });
     let stream = std::net::TcpStream::connect(address).unwrap();
     let answer = call(
         stream,
         "POST /v1/report",
-        &fields(&new_id(), 3000),
+        &request_fields(&new_id(), 3000),
         "SELECT 1",
     );
-    assert!(Answer::of(answer.expect("an answer")).returned());
+    assert!(Answer::of(answer.expect("an answer")).succeeded());
 }
 
 fn sigterm_during_the_start_ends_it_with_0() {
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use helper::process::{ms, Process};
+use helper::process::{ms, EngineProcess};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
@@ -40,7 +40,8 @@
 /// A gateway before one engine.
 fn before(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
     Service::with(|config| {
-        config["known"]["results"] = json!([change(0, true, &[line("s-0", engine, "SERVING")])]);
+        config["known"]["results"] =
+            json!([list_event(0, true, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
     })
@@ -61,7 +62,7 @@
 /// An engine whose every result has as many pages, and each as many bytes, as there may be.
 fn engine_of_large_results() -> SocketAddr {
     scripted_engine(|call| {
-        let number = match call.first.strip_prefix("GET /c/") {
+        let number = match call.start_line.strip_prefix("GET /c/") {
             None => 0,
             Some(path) => path.split([' ', '/']).nth(1).unwrap().parse().unwrap(),
         };
@@ -79,8 +80,8 @@
 #[test]
 fn the_largest_result_comes_whole_and_in_order() {
     let s = before(engine_of_large_results(), |_| {});
-    let answer = s.batch("report", "SELECT 1");
-    assert!(answer.returned());
+    let answer = s.query("report", "SELECT 1");
+    assert!(answer.succeeded());
     let rows = answer.json["data"].as_array().unwrap();
     let expected: String = (0..RESULT / PAGE).map(page).collect();
     let columns = |row: &Value| -> String {
@@ -110,7 +111,7 @@
     send(
         &stream,
         "POST /v1/report",
-        &fields(&new_id(), 3000),
+        &request_fields(&new_id(), 3000),
         "SELECT 1",
     );
     assert!(stream.peek(&mut [0; 1]).unwrap() > 0);
@@ -157,13 +158,14 @@
                 format!("{coding}\r\n{length}\r\n{coding}"),
             ] {
                 let stream = s.open();
-                let head = fields(&new_id(), 3000);
+                let head = request_fields(&new_id(), 3000);
                 let text = format!(
                     "POST /v1/report HTTP/1.1\r\nHost: g\r\n{head}{told}\r\n\r\n0\r\n\r\n{hidden}"
                 );
                 (&stream).write_all(text.as_bytes()).unwrap();
                 let answer = read_message(&mut BufReader::new(&stream));
-                let refused = answer.is_none_or(|answer| answer.first.starts_with("HTTP/1.1 4"));
+                let refused =
+                    answer.is_none_or(|answer| answer.start_line.starts_with("HTTP/1.1 4"));
                 assert!(refused, "{told}");
             }
         }
@@ -175,28 +177,28 @@
 #[test]
 fn a_cancel_and_a_close_at_once_give_one_end() {
     for closes_first in [true, false] {
-        let engine = Process::start();
+        let engine = EngineProcess::start();
         let s = before(engine.address, |_| {});
         let id = new_id();
         let stream = s.open();
         send(
             &stream,
             "POST /v1/report",
-            &fields(&id, 3000),
+            &request_fields(&id, 3000),
             "SELECT 1 /* runs 60000 */",
         );
-        until("the start", || engine.dispatches().len() == 1);
+        wait_until("the start", || engine.attempts().len() == 1);
         let cancel = s.open();
         let left = Instant::now();
         if closes_first {
             drop(stream);
-            send(&cancel, "DELETE /v1/report", &fields(&id, 3000), "");
+            send(&cancel, "DELETE /v1/report", &request_fields(&id, 3000), "");
         } else {
-            send(&cancel, "DELETE /v1/report", &fields(&id, 3000), "");
+            send(&cancel, "DELETE /v1/report", &request_fields(&id, 3000), "");
             drop(stream);
         }
         read_message(&mut BufReader::new(cancel)).expect("an answer to the cancel");
-        until("given up", || engine.dispatches()[0].over.is_some());
+        wait_until("given up", || engine.attempts()[0].stopped_at.is_some());
         assert!(
             left.elapsed() < ms(1000),
             "given up after {:?}",
@@ -204,7 +206,7 @@
         );
         sleep(ms(300));
         assert_eq!(
-            (engine.dispatches().len(), engine.state().deletes),
+            (engine.attempts().len(), engine.state().cancel_calls),
             (1, 1),
             "one attempt, given up once"
         );
@@ -219,9 +221,9 @@
             let told = config["settings"]["allowed"].as_object_mut().unwrap();
             told.extend(allowed.as_object().unwrap().clone());
         });
-        let answer = s.batch_of(&new_id(), "report", 400, "SELECT 1");
+        let answer = s.query_with_id(&new_id(), "report", 400, "SELECT 1");
         assert_eq!(answer.status, 503, "{answer:?}");
-        answer.come_back
+        answer.retry_after_ms
     };
     assert_eq!(wait(json!({"retry-after": false})), None);
     assert_eq!(
@@ -239,30 +241,33 @@
 /// Two hundred clients close while the gateway has no processor time, and then the turn of their key comes.
 #[test]
 fn hundreds_of_closes_in_one_turn_have_nothing_begun_after() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let s = before(engine.address, |config| {
         config["limits"]["sockets"] = json!(1024);
         config["settings"]["rules"]["order-pause"] = json!(0.0);
     });
     let keyed = |statement: &str| {
         let stream = s.open();
-        let head = format!("{}X-Item: 7f3a9c21e0b4d655\r\n", fields(&new_id(), 3000));
+        let head = format!(
+            "{}X-Item: 7f3a9c21e0b4d655\r\n",
+            request_fields(&new_id(), 3000)
+        );
         send(&stream, "POST /v1/load", &head, statement);
         stream
     };
     let first = keyed("INSERT 1 /* runs 2500 */");
-    until("the first is out", || engine.dispatches().len() == 1);
+    wait_until("the first is out", || engine.attempts().len() == 1);
     let leavers: Vec<TcpStream> = (0..200).map(|_| keyed("INSERT 2")).collect();
     sleep(ms(200));
-    s.stops();
+    s.pause();
     drop(leavers);
-    engine.state().dispatches[0].runs = ms(0);
+    engine.state().attempts[0].run_time = ms(0);
     sleep(ms(150));
     s.signal("CONT");
-    assert!(Answer::of(read_message(&mut BufReader::new(first)).unwrap()).returned());
+    assert!(Answer::of(read_message(&mut BufReader::new(first)).unwrap()).succeeded());
     sleep(ms(400));
     assert_eq!(
-        engine.dispatches().len(),
+        engine.attempts().len(),
         1,
         "begun for clients that had left"
     );
@@ -277,7 +282,7 @@
     let told: Arc<Mutex<Vec<(Instant, u64)>>> = Arc::default();
     let seen = told.clone();
     let engine = scripted_engine(move |call| {
-        if call.first.starts_with("POST") {
+        if call.start_line.starts_with("POST") {
             let mut seen = seen.lock().unwrap();
             seen.push((Instant::now(), call.fields["x-patience"].parse().unwrap()));
             if seen.len() == 1 {
@@ -291,8 +296,8 @@
     let s = before(engine, |_| {});
     let began = Instant::now();
     assert!(s
-        .batch_of(&new_id(), "report", ALLOWED as u32, "SELECT 1")
-        .returned());
+        .query_with_id(&new_id(), "report", ALLOWED as u32, "SELECT 1")
+        .succeeded());
     let told = told.lock().unwrap();
     assert_eq!(told.len(), 2);
     for (at, deadline) in told.iter() {
@@ -311,37 +316,40 @@
     const ENGINES: usize = 3200;
     let engine = Engine::start();
     let lines: Vec<Value> = (0..ENGINES)
-        .map(|n| line(&format!("s-{n:08x}"), engine.address, "SERVING"))
+        .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "SERVING"))
         .collect();
     let s = Service::with(|config| {
-        config["known"] = json!({"seq": 0, "results": [change(0, true, &lines)]});
+        config["known"] = json!({"seq": 0, "results": [list_event(0, true, &lines)]});
         config["settings"]["balancers"] = json!(900);
         config["peers"] = json!((0..900)
             .map(|n| format!("10.3.{}.{}:7946", n / 250, n % 250))
             .collect::<Vec<_>>());
     });
     for _ in 0..20 {
-        assert!(s.batch("report", "SELECT 1").returned());
+        assert!(s.query("report", "SELECT 1").succeeded());
     }
     let drained: Vec<Value> = (0..ENGINES)
-        .map(|n| line(&format!("s-{n:08x}"), engine.address, "DRAINING"))
+        .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "DRAINING"))
         .collect();
     for number in 1..10 {
         let state = if number % 2 == 1 { &drained } else { &lines };
-        s.log.tell(change(number, false, state));
+        s.log.publish(list_event(number, false, state));
     }
-    until("all drain", || {
-        s.batch_of(&new_id(), "report", 300, "SELECT 1").status == 503
+    wait_until("all drain", || {
+        s.query_with_id(&new_id(), "report", 300, "SELECT 1").status == 503
     });
     let before = engine.calls("POST");
-    assert_eq!(s.batch_of(&new_id(), "report", 300, "SELECT 1").status, 503);
+    assert_eq!(
+        s.query_with_id(&new_id(), "report", 300, "SELECT 1").status,
+        503
+    );
     assert_eq!(
         engine.calls("POST"),
         before,
         "nothing to engines that drain"
     );
-    s.log.tell(change(10, false, &lines));
-    until("all serve again", || {
-        s.batch("report", "SELECT 1").returned()
+    s.log.publish(list_event(10, false, &lines));
+    wait_until("all serve again", || {
+        s.query("report", "SELECT 1").succeeded()
     });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -17,10 +17,10 @@
     let address =
         |n: usize| SocketAddr::from(([127, 200, (n / 250) as u8, (n % 250) as u8 + 1], 4100));
     let mut lines: Vec<Value> = (1..MANY)
-        .map(|n| line(&format!("s-{first}{n:07x}"), address(n), "DRAINING"))
+        .map(|n| endpoint(&format!("s-{first}{n:07x}"), address(n), "DRAINING"))
         .collect();
-    lines.push(line(&format!("s-{first}last"), last, "SERVING"));
-    change(number, true, &lines)
+    lines.push(endpoint(&format!("s-{first}last"), last, "SERVING"));
+    list_event(number, true, &lines)
 }
 
 /// Kilobytes of memory that a process has in use.
@@ -48,21 +48,21 @@
         config["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
     });
     assert!(
-        s.batch("report", "SELECT 1").returned(),
+        s.query("report", "SELECT 1").succeeded(),
         "the last engine of the configuration's list"
     );
     let other = Engine::start();
-    s.log.tell(many(1, "b", other.address));
-    until("the last engine of the log's list", || {
-        s.batch("report", "SELECT 2").returned() && other.calls("POST") > 0
+    s.log.publish(many(1, "b", other.address));
+    wait_until("the last engine of the log's list", || {
+        s.query("report", "SELECT 2").succeeded() && other.calls("POST") > 0
     });
     // Whole lists under new names, one after another: an index is kept for a while, and no cap is met.
     for number in 2..6 {
         let newest = Engine::start();
         s.log
-            .tell(many(number, &format!("{number}c"), newest.address));
-        until("the newest list", || {
-            s.batch("report", "SELECT 3").returned() && newest.calls("POST") > 0
+            .publish(many(number, &format!("{number}c"), newest.address));
+        wait_until("the newest list", || {
+            s.query("report", "SELECT 3").succeeded() && newest.calls("POST") > 0
         });
     }
     let used = resident(s.child.id());
@@ -71,14 +71,17 @@
 
 /// Sends a keyed batch; its answer is read later.
 fn load(stream: &TcpStream, statement: &str) {
-    let fields = format!("{}X-Item: 7f3a9c21e0b4d655\r\n", fields(&new_id(), 2900));
+    let fields = format!(
+        "{}X-Item: 7f3a9c21e0b4d655\r\n",
+        request_fields(&new_id(), 2900)
+    );
     send(stream, "POST /v1/load", &fields, statement);
 }
 
 fn returned(stream: TcpStream) -> bool {
     read_message(&mut BufReader::new(stream))
         .map(Answer::of)
-        .is_some_and(|a| a.returned())
+        .is_some_and(|a| a.succeeded())
 }
 
 /// Two batches of a key wait for a gateway that gets no processor time: the first on a new connection, the second, the
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use helper::process::{ms, Process};
+use helper::process::{ms, EngineProcess};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
@@ -16,7 +16,8 @@
 
 fn service(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
     Service::with(|config| {
-        config["known"]["results"] = json!([change(0, true, &[line("s-0", engine, "SERVING")])]);
+        config["known"]["results"] =
+            json!([list_event(0, true, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         config["limits"] = json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS});
         change_more(config);
@@ -49,7 +50,7 @@
 /// Dozens of clients write hundreds of kilobytes of calls at once, read nothing and go, again and again.
 #[test]
 fn a_flood_that_sends_much_at_once_and_goes_leaves_room_for_others() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(engine.address, |_| {});
     let address = service.address;
     let floods: Vec<_> = (0..40)
@@ -58,7 +59,7 @@
                 for _ in 0..5 {
                     let Ok(mut stream) = TcpStream::connect(address) else { continue };
                     let call = |_| {
-                        let fields = fields(&new_id(), 2000);
+                        let fields = request_fields(&new_id(), 2000);
                         format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 8\r\n\r\nSELECT 1")
                     };
                     let much: String = (0..2000).map(call).collect();
@@ -71,7 +72,7 @@
         .collect();
     for _ in 0..20 {
         assert!(
-            service.batch("report", "SELECT 2").returned(),
+            service.query("report", "SELECT 2").succeeded(),
             "others are served meanwhile"
         );
         is_inside_its_limits(&service);
@@ -79,10 +80,10 @@
     }
     floods.into_iter().for_each(|f| f.join().unwrap());
     sleep(ms(300));
-    let before = engine.dispatches().len();
+    let before = engine.attempts().len();
     sleep(ms(500));
     assert_eq!(
-        engine.dispatches().len(),
+        engine.attempts().len(),
         before,
         "nothing is sent on for those that have gone"
     );
@@ -92,9 +93,9 @@
 /// Heads and bodies that come a byte at a time hold every seat that there is.
 #[test]
 fn calls_that_come_a_byte_at_a_time_are_closed_in_their_time() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(engine.address, |_| {});
-    let fields = fields(&new_id(), 2000);
+    let fields = request_fields(&new_id(), 2000);
     let body =
         format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 5000\r\n\r\n");
     let slow: Vec<_> = (0..60)
@@ -125,7 +126,7 @@
         .collect();
     for _ in 0..5 {
         assert!(
-            service.batch("report", "SELECT 2").returned(),
+            service.query("report", "SELECT 2").succeeded(),
             "others are served meanwhile"
         );
         is_inside_its_limits(&service);
@@ -148,12 +149,12 @@
             spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while let Some(call) = read_message(&mut reader) {
-                    if call.first.starts_with("DELETE") {
+                    if call.start_line.starts_with("DELETE") {
                         let _ = (&stream).write_all(http("204 No Content", "", "").as_bytes());
                         continue;
                     }
                     let endless = String::from_utf8_lossy(&call.body).contains("endless");
-                    if !endless && call.first.starts_with("POST") {
+                    if !endless && call.start_line.starts_with("POST") {
                         let _ = (&stream)
                             .write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes());
                         continue;
@@ -170,14 +171,14 @@
     });
     let service = service(address, |_| {});
     let begun = Instant::now();
-    let answer = service.batch_of(&new_id(), "report", 1200, "SELECT 1 /* endless */");
+    let answer = service.query_with_id(&new_id(), "report", 1200, "SELECT 1 /* endless */");
     assert!(
-        !answer.returned() && begun.elapsed() < ms(1300),
+        !answer.succeeded() && begun.elapsed() < ms(1300),
         "{answer:?} after {:?}",
         begun.elapsed()
     );
     for _ in 0..5 {
-        let answer = service.batch("report", "SELECT 2");
+        let answer = service.query("report", "SELECT 2");
         assert_eq!(answer.json["data"], json!(ROWS_AS_JSON));
     }
 }
@@ -185,11 +186,11 @@
 /// Deadlines of 20 s and an engine that hangs for 16 s: SIGTERM's own time holds.
 #[test]
 fn sigterm_under_long_deadlines_answers_all_before_the_kill_may_come() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let mut service = service(engine.address, |config| {
         config["settings"]["categories"] = json!([
-            group("report", "retryable", 20_000.0),
-            group("load", "fragile", 20_000.0)
+            query_class("report", "retryable", 20_000.0),
+            query_class("load", "fragile", 20_000.0)
         ]);
     });
     let calls: Vec<TcpStream> = ["report", "load"]
@@ -200,18 +201,18 @@
             send(
                 &stream,
                 &format!("POST /v1/{group}"),
-                &fields(&new_id(), 18_000),
+                &request_fields(&new_id(), 18_000),
                 statement,
             );
             stream
         })
         .collect();
-    until("both are out", || engine.dispatches().len() == 2);
+    wait_until("both are out", || engine.attempts().len() == 2);
     service.signal("TERM");
     let term = Instant::now();
     for stream in calls {
         let answer = read_message(&mut BufReader::new(stream)).expect("an answer");
-        assert!(!Answer::of(answer).returned());
+        assert!(!Answer::of(answer).succeeded());
     }
     assert!(
         term.elapsed() < ms(3700),
--- a/crates/gateway/tests/helper/faults.rs
+++ b/crates/gateway/tests/helper/faults.rs
@@ -1,15 +1,15 @@
-//! Faults of the machine, put into one gateway process by a library that stands before the C library's calls
-//! (`tests/faults/interpose.c`). A fault is on while a file of its name stands in the process's folder of faults.
+//! Machine faults, injected into one gateway process by a library that interposes C library calls
+//! (`tests/faults/interpose.c`). A fault is enabled while a file of its name exists in the process's fault directory.
 
 use super::new_id;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Names faults that all gateways of a test program have from their start, as in `short=2,eintr=20`.
-const ALWAYS: &str = "GATEWAY_TEST_FAULTS";
+/// Environment variable with the faults that every gateway of a test program starts with, as in `short=2,eintr=20`.
+const DEFAULT_FAULTS_VARIABLE: &str = "GATEWAY_TEST_FAULTS";
 
-/// The library, built once a test program.
+/// Returns the path of the library, which is built once for each test program.
 fn library() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -31,7 +31,7 @@
     })
 }
 
-/// The faults of one gateway, or of several.
+/// The fault directory of one or more gateways.
 #[derive(Clone, Debug)]
 pub struct Faults(PathBuf);
 
@@ -46,32 +46,32 @@
         Faults(folder)
     }
 
-    /// Those that the environment names for all gateways, if it names any.
-    pub fn always() -> Option<Faults> {
-        let named = std::env::var(ALWAYS).ok()?;
+    /// Returns the faults that the environment names for all gateways, if any.
+    pub fn from_environment() -> Option<Faults> {
+        let named = std::env::var(DEFAULT_FAULTS_VARIABLE).ok()?;
         let faults = Faults::none();
-        for (name, figures) in named.split(',').filter_map(|fault| fault.split_once('=')) {
-            faults.on(name, &figures.replace(':', " "));
+        for (name, parameters) in named.split(',').filter_map(|fault| fault.split_once('=')) {
+            faults.enable(name, &parameters.replace(':', " "));
         }
         Some(faults)
     }
 
-    /// Has a process started by this command meet them.
-    pub fn strike(&self, command: &mut Command) {
+    /// Injects the faults into the process that this command starts.
+    pub fn apply_to(&self, command: &mut Command) {
         command
             .env("LD_PRELOAD", library())
             .env("GATEWAY_FAULTS", &self.0);
     }
 
-    /// Switches a fault on, with its figures.
-    pub fn on(&self, name: &str, figures: &str) {
-        // Never read half written.
-        let beside = self.0.join(format!("{name}.new"));
-        std::fs::write(&beside, figures).unwrap();
-        std::fs::rename(beside, self.0.join(name)).unwrap();
+    /// Enables a fault with its parameters.
+    pub fn enable(&self, name: &str, parameters: &str) {
+        // Renamed into place, so that it is never read half written.
+        let temporary = self.0.join(format!("{name}.new"));
+        std::fs::write(&temporary, parameters).unwrap();
+        std::fs::rename(temporary, self.0.join(name)).unwrap();
     }
 
-    pub fn off(&self, name: &str) {
+    pub fn disable(&self, name: &str) {
         std::fs::remove_file(self.0.join(name)).unwrap();
     }
 }
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests over sockets share: raw clients, a stand-in engine and a stand-in change log, and the program
-//! started between them as in service. A comment in the statement tells the engine how to behave.
+//! Shared by the tests over sockets: raw clients, a stand-in engine, a stand-in change log, and the gateway program
+//! started between them. Directives in the comments of a statement control the engine's behaviour.
 
 #![allow(dead_code)] // Each test program uses a part.
 
@@ -22,12 +22,12 @@
 pub const ROWS_AS_JSON: [[&str; 3]; 2] = [["a", "b\"\\", "\u{1} é"], ["c", "", "漢"]];
 
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub fields: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
-/// One HTTP message, or none where the connection ends first.
+/// Reads one HTTP message; `None` where the connection ends first.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
@@ -37,7 +37,7 @@
             .filter(|n| *n > 0)
             .map(|_| line.trim_end().to_string())
     };
-    let first = line()?;
+    let start_line = line()?;
     let mut fields = HashMap::new();
     loop {
         let text = line()?;
@@ -53,20 +53,20 @@
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     Some(Message {
-        first,
+        start_line,
         fields,
         body,
     })
 }
 
-/// A statement, when it was started, and how many times.
+/// A statement, the time of its last start, and the number of its starts.
 pub type Started = (String, Instant, u32);
 
-/// An engine that keeps to the protocol but for what a statement's comment asks of it, as in `/* slow */`.
+/// An engine that keeps to the protocol except where a directive in the statement says otherwise, as in `/* slow */`.
 #[derive(Clone)]
 pub struct Engine {
     pub address: SocketAddr,
-    /// Calls as they came: method, path, and the statement of a start.
+    /// Requests in the order received: method, path, and the statement of a start.
     pub calls: Arc<Mutex<Vec<String>>>,
     pub started: Arc<Mutex<HashMap<String, Started>>>,
 }
@@ -93,7 +93,7 @@
     pub fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(call) = read_message(&mut reader) {
-            let mut words = call.first.split(' ');
+            let mut words = call.start_line.split(' ');
             let (method, path) = (words.next().unwrap(), words.next().unwrap().to_string());
             let body = String::from_utf8_lossy(&call.body).into_owned();
             self.calls
@@ -120,11 +120,11 @@
             {
                 return;
             }
-            let Some(answer) = answer(method, &path, known) else {
+            let Some(answer) = engine_response(method, &path, known) else {
                 return;
             };
             let answer = if first {
-                spoilt(&statement, answer)
+                corrupted(&statement, answer)
             } else {
                 answer
             };
@@ -151,12 +151,12 @@
     )
 }
 
-/// How an answer comes out of a network that spoils it, as the statement's comment asks.
-pub fn spoilt(statement: &str, answer: String) -> String {
-    let spoil = statement
+/// Corrupts a response as the statement's `spoilt` directive says.
+pub fn corrupted(statement: &str, answer: String) -> String {
+    let directive = statement
         .split_once("/* spoilt ")
         .and_then(|(_, rest)| rest.split_once(" */"));
-    match spoil.map(|(how, _)| how) {
+    match directive.map(|(how, _)| how) {
         Some("noise") => "\u{1}\u{2} no head at all\r\n\r\n".into(),
         Some("endless head") => format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(1 << 20)),
         Some("length") => answer.replace("Content-Length: ", "Content-Length: 9"),
@@ -173,17 +173,17 @@
     }
 }
 
-/// What the engine answers; none closes the connection.
-pub fn answer(method: &str, path: &str, known: Option<Started>) -> Option<String> {
+/// The engine's response; `None` closes the connection.
+pub fn engine_response(method: &str, path: &str, known: Option<Started>) -> Option<String> {
     if path == "/stats" {
         return Some(http("200 OK", "X-Stats: queue:0;util:0.1\r\n", ""));
     }
     let Some((statement, since, times)) = known else {
         return Some(http("500 Oops", "", ""));
     };
-    let asks = |word: &str| statement.contains(&format!("/* {word} */"));
+    let has_directive = |word: &str| statement.contains(&format!("/* {word} */"));
     if method == "DELETE" {
-        sleep(Duration::from_secs(if asks("keeps delete") {
+        sleep(Duration::from_secs(if has_directive("keeps delete") {
             5
         } else {
             0
@@ -195,47 +195,47 @@
         .next()
         .and_then(|n| n.parse::<usize>().ok())
         .unwrap_or(0);
-    if method == "POST" && asks("full once") && times == 1 {
+    if method == "POST" && has_directive("full once") && times == 1 {
         return Some(http("503 Full", "X-Declined: 1\r\n", ""));
     }
-    if asks("error") {
+    if has_directive("error") {
         return Some(http("500 Oops", "", ""));
     }
-    if method == "POST" && asks("reset") {
+    if method == "POST" && has_directive("reset") {
         return None;
     }
-    if method == "GET" && asks("forgets") {
+    if method == "GET" && has_directive("forgets") {
         return Some(http("500 Oops", "", ""));
     }
-    if method == "POST" && asks("late") {
+    if method == "POST" && has_directive("late") {
         sleep(Duration::from_secs(2));
     }
-    if asks("silent") {
+    if has_directive("silent") {
         sleep(Duration::from_secs(5));
         return None;
     }
-    let slow = asks("slow") && since.elapsed() < Duration::from_millis(900);
-    if asks("keeps delete")
+    let slow = has_directive("slow") && since.elapsed() < Duration::from_millis(900);
+    if has_directive("keeps delete")
         || slow
-        || asks("very slow") && since.elapsed() < Duration::from_millis(2300)
+        || has_directive("very slow") && since.elapsed() < Duration::from_millis(2300)
     {
         sleep(Duration::from_millis(250));
         return Some(http("202 Not yet", "", ""));
     }
     let end = "Query-Cost: 12\r\nQuery-Need: 64\r\n";
     Some(match page {
-        _ if asks("empty") => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), ""),
-        _ if asks("no count") => http("200 OK", end, ROWS),
-        _ if asks("huge") => http(
+        _ if has_directive("empty") => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), ""),
+        _ if has_directive("no count") => http("200 OK", end, ROWS),
+        _ if has_directive("huge") => http(
             "200 OK",
             &format!("Result-Pages: 1\r\n{end}"),
             &"x\ty\tz\n".repeat(2000),
         ),
-        0 if asks("pages") || asks("lost page") => {
+        0 if has_directive("pages") || has_directive("lost page") => {
             http("200 OK", &format!("Result-Pages: 3\r\n{end}"), ROWS)
         }
         0 => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), ROWS),
-        2 if asks("lost page") => http("500 Oops", "", ""),
+        2 if has_directive("lost page") => http("500 Oops", "", ""),
         n => http(
             "200 OK",
             &format!("Result-Page: {n}\r\n"),
@@ -244,15 +244,15 @@
     })
 }
 
-/// A change log that tells its events to whoever connects, and ends its streams on demand.
+/// A change log that sends its events to every reader and closes its streams on demand.
 #[derive(Clone)]
 pub struct ChangeLog {
     pub address: SocketAddr,
     pub events: Arc<Mutex<Vec<String>>>,
-    /// The number that each reader said it had last.
-    pub readers: Arc<Mutex<Vec<usize>>>,
+    /// The `Last-Event-ID` of each reader, in the order of connection.
+    pub last_event_ids: Arc<Mutex<Vec<usize>>>,
     pub streams: Arc<Mutex<Vec<TcpStream>>>,
-    pub mute: Arc<AtomicBool>,
+    pub paused: Arc<AtomicBool>,
 }
 
 impl ChangeLog {
@@ -262,9 +262,9 @@
         let log = ChangeLog {
             address,
             events: Arc::default(),
-            readers: Arc::default(),
+            last_event_ids: Arc::default(),
             streams: Arc::default(),
-            mute: Arc::default(),
+            paused: Arc::default(),
         };
         let shared = log.clone();
         spawn(move || {
@@ -278,8 +278,8 @@
 
     pub fn serve(&self, stream: TcpStream) {
         let call = read_message(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
-        let mut told: usize = call.fields["last-event-id"].parse().unwrap();
-        self.readers.lock().unwrap().push(told);
+        let mut sent_events: usize = call.fields["last-event-id"].parse().unwrap();
+        self.last_event_ids.lock().unwrap().push(sent_events);
         self.streams
             .lock()
             .unwrap()
@@ -288,38 +288,38 @@
         let mut out = head.to_string();
         while (&stream).write_all(out.as_bytes()).is_ok() {
             out = ":\n\n".into();
-            for event in self.events.lock().unwrap().iter().skip(told) {
-                told += 1;
-                out += &format!("id: {told}\ndata: {event}\n\n");
+            for event in self.events.lock().unwrap().iter().skip(sent_events) {
+                sent_events += 1;
+                out += &format!("id: {sent_events}\ndata: {event}\n\n");
             }
             sleep(Duration::from_millis(20));
-            while self.mute.load(Ordering::Relaxed) {
+            while self.paused.load(Ordering::Relaxed) {
                 sleep(Duration::from_millis(20));
             }
         }
     }
 
-    pub fn tell(&self, event: Value) {
+    pub fn publish(&self, event: Value) {
         self.events.lock().unwrap().push(event.to_string());
     }
 
-    pub fn hang_up(&self) {
+    pub fn close_streams(&self) {
         for stream in self.streams.lock().unwrap().drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 }
 
-pub fn line(id: &str, address: SocketAddr, state: &str) -> Value {
+pub fn endpoint(id: &str, address: SocketAddr, state: &str) -> Value {
     json!({"id": id, "addr": address.to_string(), "zone": "east", "kind": "std", "cell": 0, "state": state,
         "weight": 1, "started_ms": 0})
 }
 
-pub fn change(number: u64, whole: bool, servers: &[Value]) -> Value {
+pub fn list_event(number: u64, whole: bool, servers: &[Value]) -> Value {
     json!({"seq": number, "fleet": {"version": number, "full": whole, "servers": servers}})
 }
 
-/// The program with its surroundings; killed when dropped.
+/// The gateway program with its stand-in engine and change log; killed when dropped.
 pub struct Service {
     pub engine: Engine,
     pub log: ChangeLog,
@@ -328,16 +328,19 @@
     pub child: Child,
 }
 
-pub static NEXT: AtomicU64 = AtomicU64::new(1);
+pub static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-pub fn group(name: &str, semantics: &str, limit: f64) -> Value {
+pub fn query_class(name: &str, semantics: &str, limit: f64) -> Value {
     json!({"name": name, "semantics": semantics, "give-up": limit, "goal-time": limit / 2.0, "worth": 1.0,
         "late-share": 0.5, "one-at-a-time": name == "load"})
 }
 
-/// An address of its own for each test and run, outside the ports that the machine hands out.
+/// Returns an address that no other test or run uses, outside the ephemeral port range.
 pub fn free_address() -> SocketAddr {
-    let (run, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let (run, number) = (
+        std::process::id(),
+        NEXT_NUMBER.fetch_add(1, Ordering::Relaxed),
+    );
     let parts = [
         127,
         64 + run % 128,
@@ -345,50 +348,50 @@
         number as u32 % 254 + 1,
     ]
     .map(|part| part as u8);
-    // One test program may take many numbers: the next round of them has another port.
+    // After 254 addresses the next ones get another port.
     SocketAddr::from((parts, 4100 + (number / 254 % 1000) as u16))
 }
 
 pub fn config(engine: SocketAddr, log: SocketAddr) -> Value {
     json!({"name": "n0", "listen": free_address().to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "changelog": log.to_string(),
-        "known": {"seq": 0, "results": [change(0, true, &[line("s-1", engine, "SERVING")])]},
+        "known": {"seq": 0, "results": [list_event(0, true, &[endpoint("s-1", engine, "SERVING")])]},
         "settings": {
             "allowed": {"dial-timeout": 250.0, "idle-close": 30000.0, "cancelling": true, "max-attempts": 2,
                 "retry-after": true, "max-retry-after": 1000.0, "may-probe": true, "open-cap": 20000},
-            "categories": [group("report", "retryable", 3000.0), group("load", "fragile", 3000.0)],
+            "categories": [query_class("report", "retryable", 3000.0), query_class("load", "fragile", 3000.0)],
             "domain": {"kind-cores": [64], "parallelism": [1, 1], "loads": [false, false]},
             "kinds": ["std"], "zones": ["east"], "rules": {"order-pause": 200.0},
             "telemetry": {"fields": ["depth", "load_share"], "how": "on_probe"},
             "tenants": [{"name": "acme"}]}})
 }
 
-pub fn file(config: &Value) -> std::path::PathBuf {
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+pub fn write_config(config: &Value) -> std::path::PathBuf {
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("config-{}-{number}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).unwrap();
     path
 }
 
-pub fn program(arguments: &[&str]) -> Command {
+pub fn gateway_command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_garnetwall"));
     command.args(arguments);
     for name in ["PROXY_CONFIG", "PROXY_NAME", "PROXY_LISTEN"] {
         command.env_remove(name);
     }
-    if let Some(faults) = Faults::always() {
-        faults.strike(&mut command);
+    if let Some(faults) = Faults::from_environment() {
+        faults.apply_to(&mut command);
     }
     command
 }
 
 pub fn serve(config: &Value) -> Child {
-    serve_from(&file(config), Stdio::null())
+    serve_from(&write_config(config), Stdio::null())
 }
 
 pub fn serve_from(file: &std::path::Path, log: Stdio) -> Child {
-    program(&["serve"])
+    gateway_command(&["serve"])
         .env("PROXY_CONFIG", file)
         .stderr(log)
         .spawn()
@@ -401,10 +404,10 @@
     }
 
     pub fn with(change: impl Fn(&mut Value)) -> Service {
-        Service::by(change, serve)
+        Service::with_launcher(change, serve)
     }
 
-    pub fn by(change: impl Fn(&mut Value), serve: impl Fn(&Value) -> Child) -> Service {
+    pub fn with_launcher(change: impl Fn(&mut Value), serve: impl Fn(&Value) -> Child) -> Service {
         let (engine, log) = (Engine::start(), ChangeLog::start());
         let mut config = config(engine.address, log.address);
         change(&mut config);
@@ -417,40 +420,40 @@
             address,
             child,
         };
-        service.healthy();
+        service.wait_until_healthy();
         service
     }
 
-    pub fn healthy(&self) {
+    pub fn wait_until_healthy(&self) {
         for _ in 0..500 {
             if let Some(answer) = TcpStream::connect(self.address)
                 .ok()
                 .and_then(|s| call(s, "GET /healthz", "", ""))
             {
-                if answer.first == "HTTP/1.1 200 OK" {
+                if answer.start_line == "HTTP/1.1 200 OK" {
                     return;
                 }
             }
             sleep(Duration::from_millis(10));
         }
-        panic!("the gateway never became healthy");
+        panic!("the gateway did not become healthy");
     }
 
     pub fn open(&self) -> TcpStream {
         TcpStream::connect(self.address).unwrap()
     }
 
-    /// One batch on a connection of its own.
-    pub fn batch(&self, group: &str, statement: &str) -> Answer {
+    /// Sends one query on its own connection.
+    pub fn query(&self, group: &str, statement: &str) -> Answer {
         let id = new_id();
-        self.batch_of(&id, group, 3000, statement)
+        self.query_with_id(&id, group, 3000, statement)
     }
 
-    pub fn batch_of(&self, id: &str, group: &str, allowed: u32, statement: &str) -> Answer {
+    pub fn query_with_id(&self, id: &str, group: &str, allowed: u32, statement: &str) -> Answer {
         let answer = call(
             self.open(),
             &format!("POST /v1/{group}"),
-            &fields(id, allowed),
+            &request_fields(id, allowed),
             statement,
         );
         Answer::of(answer.expect("an answer"))
@@ -467,11 +470,11 @@
 }
 
 impl Service {
-    /// Takes all processor time from it, until it is told to go on.
-    pub fn stops(&self) {
+    /// Stops the process with SIGSTOP until it gets SIGCONT.
+    pub fn pause(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || {
+        wait_until("the process is stopped", || {
             std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T "))
         });
     }
@@ -488,21 +491,21 @@
 pub struct Answer {
     pub status: u16,
     pub json: Value,
-    pub come_back: Option<u64>,
+    pub retry_after_ms: Option<u64>,
 }
 
 impl Answer {
     pub fn of(m: Message) -> Answer {
-        let status = m.first.split(' ').nth(1).unwrap().parse().unwrap();
+        let status = m.start_line.split(' ').nth(1).unwrap().parse().unwrap();
         let json = serde_json::from_slice(&m.body).unwrap_or(Value::Null);
         Answer {
             status,
             json,
-            come_back: m.fields.get("x-wait-ms").map(|v| v.parse().unwrap()),
+            retry_after_ms: m.fields.get("x-wait-ms").map(|v| v.parse().unwrap()),
         }
     }
 
-    pub fn returned(&self) -> bool {
+    pub fn succeeded(&self) -> bool {
         self.status == 200 && self.json.get("error").is_none()
     }
 }
@@ -510,11 +513,11 @@
 pub fn new_id() -> String {
     format!(
         "{:016x}",
-        0x9b1f_0000_0000_0000_u64 + NEXT.fetch_add(1, Ordering::Relaxed)
+        0x9b1f_0000_0000_0000_u64 + NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)
     )
 }
 
-pub fn fields(id: &str, allowed: u32) -> String {
+pub fn request_fields(id: &str, allowed: u32) -> String {
     format!("X-Job-Id: {id}\r\nX-Allow-Ms: {allowed}\r\nX-Team: acme\r\n")
 }
 
@@ -532,7 +535,7 @@
     read_message(&mut BufReader::new(stream))
 }
 
-pub fn until(what: &str, done: impl Fn() -> bool) {
+pub fn wait_until(what: &str, done: impl Fn() -> bool) {
     for _ in 0..400 {
         if done() {
             return;
--- a/crates/gateway/tests/helper/process.rs
+++ b/crates/gateway/tests/helper/process.rs
@@ -1,86 +1,91 @@
-//! A process of an engine that records when each dispatch was really out.
+//! A stand-in engine process that records when each attempt was received, polled and ended.
 
-use super::{http, read_message, until, ROWS};
+use super::{http, read_message, wait_until, ROWS};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// The protocol's: a dispatch that nobody asks for ends after this.
-const UNASKED: Duration = Duration::from_secs(2);
-/// The protocol's: news is held back this long.
-pub const NEWS: Duration = Duration::from_millis(250);
+/// Set by the protocol: an attempt that is not polled ends after this time.
+const UNPOLLED_LIFETIME: Duration = Duration::from_secs(2);
+/// Set by the protocol: a poll of an attempt that still runs is answered after this time.
+pub const POLL_HOLD_TIME: Duration = Duration::from_millis(250);
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// One dispatch as it really was.
+/// One attempt as the engine received and ran it.
 #[derive(Clone, Debug)]
-pub struct Dispatch {
+pub struct ReceivedAttempt {
     pub id: String,
     pub statement: String,
-    /// What came with it against repeats.
-    pub mark: Option<String>,
-    pub came: Instant,
-    pub runs: Duration,
-    /// When its last call for news ended.
-    pub asked: Instant,
-    pub asking: bool,
-    pub over: Option<Instant>,
+    /// The `X-Op-Key` field of the start.
+    pub idempotency_key: Option<String>,
+    pub received_at: Instant,
+    pub run_time: Duration,
+    /// When its last poll ended.
+    pub last_polled_at: Instant,
+    pub poll_in_flight: bool,
+    pub stopped_at: Option<Instant>,
 }
 
-impl Dispatch {
-    pub fn end(&self) -> Option<Instant> {
-        // A note that it tells keeps it running.
-        let unasked = (!self.asking && !self.asks("notes")).then_some(self.asked + UNASKED);
-        let ends = [Some(self.came + self.runs), self.over, unasked];
+impl ReceivedAttempt {
+    pub fn ended_at(&self) -> Option<Instant> {
+        // Progress that the engine has to report keeps the attempt running without polls.
+        let unpolled_end = (!self.poll_in_flight && !self.has_directive("notes"))
+            .then_some(self.last_polled_at + UNPOLLED_LIFETIME);
+        let ends = [
+            Some(self.received_at + self.run_time),
+            self.stopped_at,
+            unpolled_end,
+        ];
         ends.into_iter()
             .flatten()
             .min()
             .filter(|at| *at <= Instant::now())
     }
 
-    pub fn asks(&self, word: &str) -> bool {
+    pub fn has_directive(&self, word: &str) -> bool {
         self.statement.contains(&format!("/* {word} */"))
     }
 }
 
 #[derive(Default)]
-pub struct State {
-    pub dispatches: Vec<Dispatch>,
+pub struct ProcessState {
+    pub attempts: Vec<ReceivedAttempt>,
     pub connections: Vec<TcpStream>,
-    pub deletes: usize,
-    pub news: usize,
-    pub refuses: bool,
+    pub cancel_calls: usize,
+    pub poll_responses: usize,
+    pub refuses_connections: bool,
 }
 
-/// A process of an engine: it keeps to the protocol but for what a statement's comment asks, and can be made to
-/// refuse new connections while it runs on, or to die.
+/// An engine process that keeps to the protocol except where a directive in the statement's comment says otherwise. It can
+/// refuse new connections while it runs on, or be killed.
 #[derive(Clone)]
-pub struct Process {
+pub struct EngineProcess {
     pub address: SocketAddr,
-    pub state: Arc<Mutex<State>>,
+    pub state: Arc<Mutex<ProcessState>>,
 }
 
-impl Process {
-    pub fn start() -> Process {
-        Process::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+impl EngineProcess {
+    pub fn start() -> EngineProcess {
+        EngineProcess::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    pub fn at(address: SocketAddr) -> Process {
+    pub fn at(address: SocketAddr) -> EngineProcess {
         let listener = (0..100)
             .find_map(|_| TcpListener::bind(address).map_err(|_| sleep(ms(10))).ok())
             .expect("the address is free");
-        let process = Process {
+        let process = EngineProcess {
             address: listener.local_addr().unwrap(),
             state: Arc::default(),
         };
         let shared = process.clone();
         listener.set_nonblocking(true).unwrap();
         spawn(move || {
-            while !shared.state().refuses {
+            while !shared.state().refuses_connections {
                 match listener.accept() {
                     Ok((stream, _)) => {
                         stream.set_nonblocking(false).unwrap();
@@ -95,35 +100,35 @@
         process
     }
 
-    pub fn state(&self) -> MutexGuard<'_, State> {
+    pub fn state(&self) -> MutexGuard<'_, ProcessState> {
         self.state.lock().unwrap()
     }
 
-    /// No new connection comes up; what is open goes on.
-    pub fn refuses(&self) {
-        self.state().refuses = true;
-        until("nobody listens", || {
+    /// Refuses new connections; open ones continue.
+    pub fn refuse_connections(&self) {
+        self.state().refuses_connections = true;
+        wait_until("nobody listens", || {
             TcpStream::connect(self.address).is_err()
         });
     }
 
-    /// The process ends, and all that it runs.
-    pub fn dies(&self) {
-        self.refuses();
+    /// Ends the process and every attempt that it runs.
+    pub fn kill(&self) {
+        self.refuse_connections();
         let mut state = self.state();
         let now = Instant::now();
         state
-            .dispatches
+            .attempts
             .iter_mut()
-            .for_each(|d| d.over = Some(d.end().unwrap_or(now)));
+            .for_each(|attempt| attempt.stopped_at = Some(attempt.ended_at().unwrap_or(now)));
         state
             .connections
             .drain(..)
             .for_each(|c| drop(c.shutdown(Shutdown::Both)));
     }
 
-    /// The network breaks every connection that is open; the process runs on.
-    pub fn loses_connections(&self) {
+    /// Breaks every open connection; the process and its attempts run on.
+    pub fn break_connections(&self) {
         self.state()
             .connections
             .drain(..)
@@ -133,7 +138,7 @@
     pub fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(call) = read_message(&mut reader) {
-            let mut words = call.first.split(' ');
+            let mut words = call.start_line.split(' ');
             let (method, path) = (words.next().unwrap(), words.next().unwrap().to_string());
             if path == "/stats" {
                 let _ = (&stream)
@@ -145,13 +150,17 @@
                 _ => path.split('/').nth(2).unwrap_or_default().to_string(),
             };
             let answer = match method {
-                "DELETE" => self.delete(&id),
+                "DELETE" => self.cancel(&id),
                 _ => {
                     if method == "POST" {
-                        let mark = call.fields.get("x-op-key").cloned();
-                        self.begin(&id, &String::from_utf8_lossy(&call.body), mark);
+                        let idempotency_key = call.fields.get("x-op-key").cloned();
+                        self.start_attempt(
+                            &id,
+                            &String::from_utf8_lossy(&call.body),
+                            idempotency_key,
+                        );
                     }
-                    self.news(&id)
+                    self.poll(&id)
                 }
             };
             let Some(answer) = answer else {
@@ -164,45 +173,51 @@
         }
     }
 
-    pub fn begin(&self, id: &str, statement: &str, mark: Option<String>) {
-        let runs = statement
+    pub fn start_attempt(&self, id: &str, statement: &str, idempotency_key: Option<String>) {
+        let run_time = statement
             .split_once("/* runs ")
             .and_then(|(_, rest)| rest.split(' ').next());
-        let runs = ms(runs.and_then(|n| n.parse().ok()).unwrap_or(0));
+        let run_time = ms(run_time.and_then(|n| n.parse().ok()).unwrap_or(0));
         let now = Instant::now();
         let (id, statement) = (id.to_string(), statement.to_string());
-        let new = Dispatch {
+        let new = ReceivedAttempt {
             id,
             statement,
-            mark,
-            came: now,
-            runs,
-            asked: now,
-            asking: false,
-            over: None,
+            idempotency_key,
+            received_at: now,
+            run_time,
+            last_polled_at: now,
+            poll_in_flight: false,
+            stopped_at: None,
         };
-        self.state().dispatches.push(new);
+        self.state().attempts.push(new);
     }
 
-    pub fn news(&self, id: &str) -> Option<String> {
-        let until = Instant::now() + NEWS;
+    pub fn poll(&self, id: &str) -> Option<String> {
+        let poll_deadline = Instant::now() + POLL_HOLD_TIME;
         loop {
             let mut state = self.state();
-            let Some(d) = state.dispatches.iter_mut().find(|d| d.id == id) else {
+            let Some(attempt) = state.attempts.iter_mut().find(|attempt| attempt.id == id) else {
                 return Some(http("500 Oops", "", ""));
             };
-            let (over, now) = (d.end(), Instant::now());
-            // Dropped as nobody asked: asking now doesn't bring it back.
-            d.over = d.over.or(over.filter(|at| *at < d.came + d.runs));
-            (d.asking, d.asked) = (over.is_none() && now < until, now);
-            if over.is_some() || now >= until {
-                let (d, good) = (d.clone(), over.is_some() && d.over.is_none());
-                state.news += 1;
-                if d.asks("second news spoilt") && state.news == 2 {
+            let (ended_at, now) = (attempt.ended_at(), Instant::now());
+            // An attempt that ended for lack of polls is not revived by this poll.
+            attempt.stopped_at = attempt
+                .stopped_at
+                .or(ended_at.filter(|at| *at < attempt.received_at + attempt.run_time));
+            (attempt.poll_in_flight, attempt.last_polled_at) =
+                (ended_at.is_none() && now < poll_deadline, now);
+            if ended_at.is_some() || now >= poll_deadline {
+                let (attempt, succeeded) = (
+                    attempt.clone(),
+                    ended_at.is_some() && attempt.stopped_at.is_none(),
+                );
+                state.poll_responses += 1;
+                if attempt.has_directive("second news spoilt") && state.poll_responses == 2 {
                     return Some("\u{1}\u{2} no head at all\r\n\r\n".into());
                 }
-                return Some(match (over, good) {
-                    (None, _) if d.asks("notes") => {
+                return Some(match (ended_at, succeeded) {
+                    (None, _) if attempt.has_directive("notes") => {
                         http("202 Not yet", "X-Result: frac\r\nNote-Value: 0.250\r\n", "")
                     }
                     (None, _) => http("202 Not yet", "", ""),
@@ -215,29 +230,29 @@
         }
     }
 
-    pub fn delete(&self, id: &str) -> Option<String> {
+    pub fn cancel(&self, id: &str) -> Option<String> {
         let mut state = self.state();
-        state.deletes += 1;
-        let first = state.deletes == 1;
-        let d = state.dispatches.iter_mut().find(|d| d.id == id);
-        if let Some(d) = d {
-            if first && d.asks("delete reset") {
+        state.cancel_calls += 1;
+        let first = state.cancel_calls == 1;
+        let attempt = state.attempts.iter_mut().find(|attempt| attempt.id == id);
+        if let Some(attempt) = attempt {
+            if first && attempt.has_directive("delete reset") {
                 return None;
             }
-            if first && d.asks("delete spoilt") {
+            if first && attempt.has_directive("delete spoilt") {
                 return Some("\u{1}\u{2} no head at all\r\n\r\n".into());
             }
-            if first && d.asks("delete silent") {
+            if first && attempt.has_directive("delete silent") {
                 drop(state);
                 sleep(ms(1500));
                 return None;
             }
-            d.over = Some(d.end().unwrap_or_else(Instant::now));
+            attempt.stopped_at = Some(attempt.ended_at().unwrap_or_else(Instant::now));
         }
         Some(http("204 No Content", "", ""))
     }
 
-    pub fn dispatches(&self) -> Vec<Dispatch> {
-        self.state().dispatches.clone()
+    pub fn attempts(&self) -> Vec<ReceivedAttempt> {
+        self.state().attempts.clone()
     }
 }
--- a/crates/gateway/tests/helper/scripted_log.rs
+++ b/crates/gateway/tests/helper/scripted_log.rs
@@ -1,4 +1,4 @@
-//! A change log of which each connection is played by a script: late, in pieces, at a rate, silent or reset.
+//! A change log that serves each connection by a script: late, in pieces, at a rate, silent or reset.
 
 use super::read_message;
 use serde_json::Value;
@@ -12,36 +12,36 @@
 
 pub const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 pub const COMMENT: &str = ":\n\n";
-/// The protocol's: a comment comes each second.
+/// Set by the protocol: a comment is sent each second.
 const COMMENT_PERIOD: Duration = Duration::from_secs(1);
-/// Bytes that are written at the given rate go out in pieces of this length.
+/// Length of the pieces in which text is written at a given rate.
 const RATE_PIECE: usize = 4 << 10;
 
-/// One event as it goes over the stream.
+/// Formats one event of the stream.
 pub fn event_text(event: &Value) -> String {
     format!("id: {}\ndata: {event}\n\n", event["seq"])
 }
 
-/// Flags of `recv`: look without taking, and don't wait.
+/// Flags of `recv`: leave the data in the buffer, and don't block.
 const MSG_PEEK: i32 = 0x02;
 const MSG_DONTWAIT: i32 = 0x40;
 
-/// What the log has seen of its readers.
+/// Connections of readers to the log.
 #[derive(Default)]
-pub struct Seen {
+pub struct ReaderStatistics {
     connections: AtomicUsize,
-    /// Every connection whose script still runs, for a look at whether its reader has it open.
+    /// Every connection whose script still runs.
     accepted: Mutex<Vec<Weak<TcpStream>>>,
     first: OnceLock<Instant>,
 }
 
-impl Seen {
+impl ReaderStatistics {
     /// Connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Connections that their reader has open now, whatever the script does meanwhile.
+    /// Connections that their reader has not closed, whatever the script does.
     pub fn open(&self) -> usize {
         let is_open = |stream: &Weak<TcpStream>| {
             let Some(stream) = stream.upgrade() else {
@@ -58,16 +58,16 @@
         accepted.len()
     }
 
-    /// When the first connection came.
+    /// When the first connection was accepted.
     pub fn first(&self) -> Option<Instant> {
         self.first.get().copied()
     }
 }
 
-/// One connection to the log, its call read and nothing answered yet.
+/// One connection to the log whose request has been read and not answered.
 pub struct Connection {
     stream: Arc<TcpStream>,
-    /// How many connections came before it.
+    /// Number of connections accepted before it.
     pub number: usize,
 }
 
@@ -77,7 +77,7 @@
         let _ = (&*self.stream).write_all(text.as_bytes());
     }
 
-    /// Writes a text in so many pieces with a pause before each.
+    /// Writes a text in `pieces` pieces with a pause before each.
     pub fn write_in_pieces(&self, text: &str, pieces: usize, pause: Duration) {
         for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
             sleep(pause);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Writes a text at so many bytes a second.
+    /// Writes a text at `rate` bytes per second.
     pub fn write_at_rate(&self, text: &str, rate: usize) {
         let began = Instant::now();
         for (number, piece) in text.as_bytes().chunks(RATE_PIECE).enumerate() {
@@ -98,47 +98,51 @@
     }
 
     /// Writes a comment each second until the reader closes.
-    pub fn lives_on(&self) {
+    pub fn send_keepalives(&self) {
         while (&*self.stream).write_all(COMMENT.as_bytes()).is_ok() {
             sleep(COMMENT_PERIOD);
         }
     }
 
-    /// Says nothing more until the reader closes.
-    pub fn falls_silent(&self) {
+    /// Sends nothing until the reader closes.
+    pub fn wait_for_close(&self) {
         let mut rest = [0; 64];
         while matches!((&*self.stream).read(&mut rest), Ok(read) if read > 0) {}
     }
 
-    /// Resets the connection once the script ends.
-    pub fn resets(&self) {
+    /// Resets the connection when the script ends.
+    pub fn reset_on_end(&self) {
         SockRef::from(&*self.stream)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
     }
 }
 
-/// The log itself.
+/// A listening change log.
 pub struct ScriptedLog {
     pub address: SocketAddr,
-    pub seen: Arc<Seen>,
+    pub statistics: Arc<ReaderStatistics>,
 }
 
 impl ScriptedLog {
-    /// Plays each connection by the script, on a thread of its own.
+    /// Runs the script for each connection on its own thread.
     pub fn start(script: impl Fn(&Connection) + Send + Sync + 'static) -> ScriptedLog {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let log = ScriptedLog {
             address: listener.local_addr().unwrap(),
-            seen: Arc::default(),
+            statistics: Arc::default(),
         };
-        let (seen, script) = (log.seen.clone(), Arc::new(script));
+        let (statistics, script) = (log.statistics.clone(), Arc::new(script));
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let number = seen.connections.fetch_add(1, Ordering::Relaxed);
+                let number = statistics.connections.fetch_add(1, Ordering::Relaxed);
                 let stream = Arc::new(stream);
-                seen.accepted.lock().unwrap().push(Arc::downgrade(&stream));
-                seen.first.get_or_init(Instant::now);
+                statistics
+                    .accepted
+                    .lock()
+                    .unwrap()
+                    .push(Arc::downgrade(&stream));
+                statistics.first.get_or_init(Instant::now);
                 let script = script.clone();
                 spawn(move || {
                     stream.set_nodelay(true).unwrap();
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -84,9 +84,9 @@
         let lines: Vec<Value> = engines
             .iter()
             .enumerate()
-            .map(|(n, at)| line(&format!("s-{n}"), *at, "SERVING"))
+            .map(|(n, at)| endpoint(&format!("s-{n}"), *at, "SERVING"))
             .collect();
-        config["known"]["results"] = json!([change(0, true, &lines)]);
+        config["known"]["results"] = json!([list_event(0, true, &lines)]);
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
@@ -106,10 +106,10 @@
         crowded.makes_room()
     });
     let began = Instant::now();
-    let answer = service.batch_of(&new_id(), "report", 930, "SELECT 1");
+    let answer = service.query_with_id(&new_id(), "report", 930, "SELECT 1");
     let took = began.elapsed();
     assert!(
-        !answer.returned() && took > ms(800) && took < ms(980),
+        !answer.succeeded() && took > ms(800) && took < ms(980),
         "{answer:?} after {took:?}"
     );
     assert!(
@@ -129,7 +129,7 @@
     send(
         &stream,
         "POST /v1/load",
-        &fields(&new_id(), 3000),
+        &request_fields(&new_id(), 3000),
         "INSERT 1",
     );
     sleep(ms(300));
@@ -159,11 +159,11 @@
             .unwrap();
         slow
     });
-    assert!(service.batch("report", "SELECT 1").returned());
+    assert!(service.query("report", "SELECT 1").succeeded());
     let slow = quick.join().unwrap();
     let statement = format!("SELECT 1 /* {} */", "x".repeat(200_000));
-    let answer = service.batch_of(&new_id(), "report", 230, &statement);
-    assert!(!answer.returned());
+    let answer = service.query_with_id(&new_id(), "report", 230, &statement);
+    assert!(!answer.succeeded());
     let stream = accepted(&slow);
     let came = read_for(stream, ms(600));
     assert!(
@@ -178,21 +178,22 @@
 fn the_rest_of_a_body_that_comes_slowly_is_not_sent_after_the_answer() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = engine.local_addr().unwrap();
-    let plan = file(&json!({})).with_extension("plan");
+    let plan = write_config(&json!({})).with_extension("plan");
     std::fs::write(
         &plan,
         "bodies store {\n  memory 8MiB\n  batch-memory 2MiB\n  batch 4MiB\n}\n",
     )
     .unwrap();
-    let service = Service::by(
+    let service = Service::with_launcher(
         |config| {
-            config["known"]["results"] = json!([change(0, true, &[line("s-0", at, "SERVING")])]);
+            config["known"]["results"] =
+                json!([list_event(0, true, &[endpoint("s-0", at, "SERVING")])]);
             config["settings"]["allowed"]["may-probe"] = json!(false);
         },
         |config| {
             let plan = plan.to_str().unwrap();
-            program(&["serve", "--plan", plan])
-                .env("PROXY_CONFIG", file(config))
+            gateway_command(&["serve", "--plan", plan])
+                .env("PROXY_CONFIG", write_config(config))
                 .spawn()
                 .unwrap()
         },
@@ -201,7 +202,7 @@
     let mut stream = service.open();
     let head = format!(
         "POST /v1/report HTTP/1.1\r\nHost: g\r\n{}Content-Length: {}\r\n\r\n",
-        fields(&new_id(), 800),
+        request_fields(&new_id(), 800),
         body.len()
     );
     let (first, rest) = body.split_at(350_000);
@@ -245,7 +246,7 @@
         sleep(ms(300));
         crowded.makes_room()
     });
-    let _ = service.batch_of(&new_id(), "report", 2500, "SELECT 1");
+    let _ = service.query_with_id(&new_id(), "report", 2500, "SELECT 1");
     let told = told_deadline(&reading.join().unwrap());
     // The machine asks for its connection again after one second.
     assert!(told <= 2500 - 1000 + SLACK, "told {told} ms");
@@ -258,12 +259,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let service = service(&[listener.local_addr().unwrap()], |_| {});
         let stream = service.open();
-        service.healthy();
-        service.stops();
+        service.wait_until_healthy();
+        service.pause();
         send(
             &stream,
             "POST /v1/report",
-            &fields(&new_id(), 2000),
+            &request_fields(&new_id(), 2000),
             "SELECT 1",
         );
         sleep(ms(waited));
@@ -283,9 +284,9 @@
     let service = service(&[listener.local_addr().unwrap()], |_| {});
     for group in ["report", "load"] {
         let began = Instant::now();
-        let answer = service.batch_of(&new_id(), group, 1, "SELECT 1");
+        let answer = service.query_with_id(&new_id(), group, 1, "SELECT 1");
         assert!(
-            !answer.returned() && began.elapsed() < ms(200),
+            !answer.succeeded() && began.elapsed() < ms(200),
             "{answer:?} after {:?}",
             began.elapsed()
         );
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 mod helper;
 
-use helper::process::{ms, Dispatch, Process};
+use helper::process::{ms, EngineProcess, ReceivedAttempt};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -12,10 +12,13 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-fn service(engine: &Process, change_more: impl Fn(&mut Value)) -> Service {
+fn service(engine: &EngineProcess, change_more: impl Fn(&mut Value)) -> Service {
     Service::with(|config| {
-        config["known"]["results"] =
-            json!([change(0, true, &[line("s-0", engine.address, "SERVING")])]);
+        config["known"]["results"] = json!([list_event(
+            0,
+            true,
+            &[endpoint("s-0", engine.address, "SERVING")]
+        )]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
     })
@@ -23,7 +26,7 @@
 
 /// A call as the bytes that its client writes.
 fn text(id: &str, group: &str, more: &str, statement: &str) -> String {
-    let fields = fields(id, 3000) + more;
+    let fields = request_fields(id, 3000) + more;
     let length = statement.len();
     format!("POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {length}\r\n\r\n{statement}")
 }
@@ -36,24 +39,24 @@
     stream
 }
 
-fn of(engine: &Process, id: &str) -> Option<Dispatch> {
-    engine.dispatches().into_iter().find(|d| d.id == id)
+fn of(engine: &EngineProcess, id: &str) -> Option<ReceivedAttempt> {
+    engine.attempts().into_iter().find(|d| d.id == id)
 }
 
 /// A dispatch comes to a good end now.
-fn ends(engine: &Process, id: &str) {
+fn ends(engine: &EngineProcess, id: &str) {
     let mut state = engine.state();
     state
-        .dispatches
+        .attempts
         .iter_mut()
         .filter(|d| d.id == id)
-        .for_each(|d| d.runs = ms(0));
+        .for_each(|d| d.run_time = ms(0));
 }
 
 /// Two calls on one connection, the second behind more or less of what is read ahead, then the client leaves in one of the
 /// ways there are.
 fn leaves_behind(filling: usize, leave: impl Fn(TcpStream)) {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(&engine, |_| {});
     let (first, second) = (new_id(), new_id());
     let mut stream = service.open();
@@ -65,14 +68,14 @@
             &format!("SELECT 2 /* {} */", "x".repeat(filling)),
         );
     stream.write_all(calls.as_bytes()).unwrap();
-    until("the first is out", || of(&engine, &first).is_some());
+    wait_until("the first is out", || of(&engine, &first).is_some());
     leave(stream);
-    until("the first is given up", || {
-        of(&engine, &first).unwrap().over.is_some()
+    wait_until("the first is given up", || {
+        of(&engine, &first).unwrap().stopped_at.is_some()
     });
     let out = of(&engine, &first).unwrap();
     assert!(
-        out.over.unwrap() < out.came + ms(500),
+        out.stopped_at.unwrap() < out.received_at + ms(500),
         "given up only once it had ended"
     );
     sleep(ms(600));
@@ -118,20 +121,20 @@
 /// The batch before it on its key ends within the time in which a lost connection's client may come again.
 #[test]
 fn a_key_s_turn_that_comes_just_after_the_client_left_sends_nothing() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     let (first, second, third) = (new_id(), new_id(), new_id());
     let _first = keyed(&service, &first, "INSERT 1 /* runs 2500 */");
-    until("the first is out", || of(&engine, &first).is_some());
+    wait_until("the first is out", || of(&engine, &first).is_some());
     let leaver = keyed(&service, &second, "INSERT 2");
     sleep(ms(50));
     drop(leaver);
     let _third = keyed(&service, &third, "INSERT 3");
     sleep(ms(10));
     ends(&engine, &first);
-    until("the third is out", || of(&engine, &third).is_some());
+    wait_until("the third is out", || of(&engine, &third).is_some());
     assert!(
         of(&engine, &second).is_none(),
         "sent on for a client that had left"
@@ -141,23 +144,19 @@
 /// A client whose connection was lost, and which comes again at once, is served: its batch is held, not over.
 #[test]
 fn a_client_that_comes_again_at_once_is_served() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     let (first, second) = (new_id(), new_id());
     let _first = keyed(&service, &first, "INSERT 1 /* runs 300 */");
-    until("the first is out", || of(&engine, &first).is_some());
+    wait_until("the first is out", || of(&engine, &first).is_some());
     drop(keyed(&service, &second, "INSERT 2"));
     let again = keyed(&service, &second, "INSERT 2");
     let answer = read_message(&mut std::io::BufReader::new(again)).expect("an answer");
-    assert!(Answer::of(answer).returned());
+    assert!(Answer::of(answer).succeeded());
     assert_eq!(
-        engine
-            .dispatches()
-            .iter()
-            .filter(|d| d.id == second)
-            .count(),
+        engine.attempts().iter().filter(|d| d.id == second).count(),
         1
     );
 }
@@ -165,10 +164,10 @@
 /// A call and its client's close that both came while the gateway had no processor time.
 #[test]
 fn a_call_whose_client_left_before_it_was_read_is_not_sent_on() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(&engine, |_| {});
     let kept = service.open();
-    service.stops();
+    service.pause();
     let ids: Vec<String> = (0..20).map(|_| new_id()).collect();
     for (n, id) in ids.iter().enumerate() {
         // On new connections, and one on a connection that is known already.
@@ -185,7 +184,7 @@
     drop(kept);
     sleep(ms(150));
     service.signal("CONT");
-    assert!(service.batch("report", "SELECT 9").returned());
+    assert!(service.query("report", "SELECT 9").succeeded());
     sleep(ms(300));
     let sent = ids.iter().filter(|id| of(&engine, id).is_some()).count();
     assert_eq!(sent, 0, "calls sent on for clients that had left");
@@ -194,23 +193,23 @@
 /// The turn of a batch comes, and its client leaves, while the gateway has no processor time.
 #[test]
 fn a_turn_and_a_close_that_come_together_send_nothing() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     for _ in 0..5 {
         let (first, second) = (new_id(), new_id());
         let first_call = keyed(&service, &first, "INSERT 1 /* runs 2500 */");
-        until("the first is out", || of(&engine, &first).is_some());
+        wait_until("the first is out", || of(&engine, &first).is_some());
         let leaver = keyed(&service, &second, "INSERT 2");
         sleep(ms(50));
-        service.stops();
+        service.pause();
         drop(leaver);
         ends(&engine, &first);
         sleep(ms(100));
         service.signal("CONT");
         assert!(
-            Answer::of(read_message(&mut std::io::BufReader::new(first_call)).unwrap()).returned()
+            Answer::of(read_message(&mut std::io::BufReader::new(first_call)).unwrap()).succeeded()
         );
         sleep(ms(200));
         assert!(
@@ -223,7 +222,7 @@
 /// Some hundred batches wait behind one another; all their clients leave in one burst.
 #[test]
 fn hundreds_that_leave_at_once_have_nothing_begun_after() {
-    let engine = Process::start();
+    let engine = EngineProcess::start();
     let service = service(&engine, |config| {
         config["limits"]["sockets"] = json!(1024);
         config["settings"]["rules"]["order-pause"] = json!(0.0);
@@ -233,14 +232,14 @@
         .iter()
         .map(|id| keyed(&service, id, "INSERT 1 /* runs 20 */"))
         .collect();
-    until("some have had their turn", || engine.dispatches().len() > 3);
+    wait_until("some have had their turn", || engine.attempts().len() > 3);
     let left = Instant::now();
     drop(calls);
     sleep(ms(800));
     let late: Vec<_> = engine
-        .dispatches()
+        .attempts()
         .iter()
-        .map(|d| d.came)
+        .map(|d| d.received_at)
         .filter(|came| *came > left + ms(100))
         .collect();
     assert!(
@@ -249,7 +248,7 @@
         late.len()
     );
     assert!(
-        service.batch("report", "SELECT 1").returned(),
+        service.query("report", "SELECT 1").succeeded(),
         "others are served"
     );
 }
--- a/crates/gateway/tests/log.rs
+++ b/crates/gateway/tests/log.rs
@@ -12,9 +12,9 @@
 
 /// A gateway that logs every outcome into a pipe.
 fn logging(config: &serde_json::Value) -> Child {
-    let mut command = program(&["serve"]);
+    let mut command = gateway_command(&["serve"]);
     command
-        .env("PROXY_CONFIG", file(config))
+        .env("PROXY_CONFIG", write_config(config))
         .env("GARNETWALL_LOG", "debug");
     command
         .stderr(Stdio::piped())
@@ -34,11 +34,11 @@
         let answer = call(
             stream,
             "POST /v1/report",
-            &fields(&new_id(), 3000),
+            &request_fields(&new_id(), 3000),
             "SELECT 1",
         );
         assert!(
-            answer.map(Answer::of).is_some_and(|a| a.returned()),
+            answer.map(Answer::of).is_some_and(|a| a.succeeded()),
             "query {n} after {:?}",
             began.elapsed()
         );
@@ -58,13 +58,13 @@
 
 #[test]
 fn a_reader_of_the_log_that_stops_reading_stops_nothing() {
-    let service = Service::by(|_| {}, logging);
+    let service = Service::with_launcher(|_| {}, logging);
     serves_and_ends(service);
 }
 
 #[test]
 fn a_reader_of_the_log_that_goes_away_ends_nothing() {
-    let mut service = Service::by(|_| {}, logging);
+    let mut service = Service::with_launcher(|_| {}, logging);
     drop(service.child.stderr.take());
     serves_and_ends(service);
 }
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, Process};
+use helper::process::{ms, EngineProcess};
 use helper::*;
 use serde_json::{json, Value};
 use std::process::{Child, Stdio};
@@ -12,11 +12,11 @@
 
 fn serve_with(faults: &Faults) -> impl Fn(&Value) -> Child + '_ {
     move |config| {
-        let mut command = program(&["serve"]);
+        let mut command = gateway_command(&["serve"]);
         command
-            .env("PROXY_CONFIG", file(config))
+            .env("PROXY_CONFIG", write_config(config))
             .stderr(Stdio::null());
-        faults.strike(&mut command);
+        faults.apply_to(&mut command);
         command.spawn().unwrap()
     }
 }
@@ -39,12 +39,12 @@
         let answer = call(
             kept.try_clone().unwrap(),
             "POST /v1/report",
-            &fields(&new_id(), 3000),
+            &request_fields(&new_id(), 3000),
             statement,
         );
         let answer = answer.map(Answer::of);
         assert!(
-            answer.as_ref().is_some_and(Answer::returned),
+            answer.as_ref().is_some_and(Answer::succeeded),
             "query {n} after {:?}: {answer:?}",
             began.elapsed()
         );
@@ -54,16 +54,16 @@
 #[test]
 fn short_reads_and_writes_lose_no_query() {
     let faults = Faults::none();
-    faults.on("short", "2");
-    all_are_answered(&Service::by(|_| {}, serve_with(&faults)), 40);
+    faults.enable("short", "2");
+    all_are_answered(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
 }
 
 #[test]
 fn interrupted_calls_lose_no_query() {
     let faults = Faults::none();
-    faults.on("eintr", "2");
-    faults.on("waits", "3");
-    all_are_answered(&Service::by(|_| {}, serve_with(&faults)), 40);
+    faults.enable("eintr", "2");
+    faults.enable("waits", "3");
+    all_are_answered(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
 }
 
 /// A listener's socket that the system refuses for a moment, or an address that a predecessor still holds, is no end.
@@ -72,13 +72,13 @@
     // EMFILE, ENFILE, ENOBUFS, ENOMEM.
     for code in [24, 23, 105, 12] {
         let faults = Faults::none();
-        faults.on("socket", &format!("1 {code}"));
+        faults.enable("socket", &format!("1 {code}"));
         let later = faults.clone();
         std::thread::spawn(move || {
             std::thread::sleep(ms(400));
-            later.off("socket");
+            later.disable("socket");
         });
-        all_are_answered(&Service::by(|_| {}, serve_with(&faults)), 1);
+        all_are_answered(&Service::with_launcher(|_| {}, serve_with(&faults)), 1);
     }
     let held: std::sync::Mutex<Option<std::net::TcpListener>> = std::sync::Mutex::default();
     let takes = |config: &mut Value| {
@@ -91,25 +91,25 @@
         held.lock().unwrap().take();
         child
     };
-    all_are_answered(&Service::by(takes, serve), 1);
+    all_are_answered(&Service::with_launcher(takes, serve), 1);
 }
 
 /// Accepts that fail cost those who come then next to nothing.
 #[test]
 fn accepts_that_fail_hold_nobody_up() {
     let faults = Faults::none();
-    let service = Service::by(
+    let service = Service::with_launcher(
         |config| config["limits"]["sockets"] = json!(1024),
         serve_with(&faults),
     );
-    faults.on("accept", "2");
+    faults.enable("accept", "2");
     let began = Instant::now();
     let open: Vec<_> = (0..200).map(|_| service.open()).collect();
     for stream in &open {
         send(
             stream,
             "POST /v1/report",
-            &fields(&new_id(), 3000),
+            &request_fields(&new_id(), 3000),
             "SELECT 1",
         );
     }
@@ -119,7 +119,7 @@
             .unwrap();
         let answer = read_message(&mut std::io::BufReader::new(stream)).map(Answer::of);
         assert!(
-            answer.is_some_and(|a| a.returned()),
+            answer.is_some_and(|a| a.succeeded()),
             "after {:?}",
             began.elapsed()
         );
@@ -133,15 +133,15 @@
 fn what_this_machine_lacks_to_connect_is_laid_to_no_engine() {
     for code in [99, 105, 101] {
         let faults = Faults::none();
-        let service = Service::by(|_| {}, serve_with(&faults));
+        let service = Service::with_launcher(|_| {}, serve_with(&faults));
         all_are_answered(&service, 3);
-        faults.on("connect", &format!("1 {code}"));
+        faults.enable("connect", &format!("1 {code}"));
         let began = Instant::now();
         while began.elapsed() < ms(1000) {
-            let answer = service.batch("load", "INSERT 1");
+            let answer = service.query("load", "INSERT 1");
             assert_eq!(answer.status, 503, "{code}: {answer:?}");
         }
-        faults.off("connect");
+        faults.disable("connect");
         let back = Instant::now();
         all_are_answered(&service, 1);
         assert!(
@@ -156,13 +156,16 @@
 #[test]
 fn a_connection_that_times_out_proves_nothing() {
     for code in [110, 113] {
-        let (engine, faults) = (Process::start(), Faults::none());
+        let (engine, faults) = (EngineProcess::start(), Faults::none());
         let told = |config: &mut Value| {
-            config["known"]["results"] =
-                json!([change(0, true, &[line("s-0", engine.address, "SERVING")])]);
+            config["known"]["results"] = json!([list_event(
+                0,
+                true,
+                &[endpoint("s-0", engine.address, "SERVING")]
+            )]);
         };
-        let service = Service::by(told, serve_with(&faults));
-        faults.on("broken", &format!("12 {code}"));
+        let service = Service::with_launcher(told, serve_with(&faults));
+        faults.enable("broken", &format!("12 {code}"));
         for _ in 0..60 {
             let id = new_id();
             let call_of = format!("INSERT {id} /* runs 5 */");
@@ -170,11 +173,11 @@
             let _ = call(
                 service.open(),
                 "POST /v1/load",
-                &fields(&id, 1000),
+                &request_fields(&id, 1000),
                 &call_of,
             );
         }
-        let dispatches = engine.dispatches();
+        let dispatches = engine.attempts();
         let mut ids: Vec<_> = dispatches.iter().map(|d| &d.id).collect();
         ids.sort();
         let sent = ids.len();
@@ -193,7 +196,7 @@
     const DEADLINE: u64 = 500;
     for _ in 0..6 {
         let faults = Faults::none();
-        let mut service = Service::by(
+        let mut service = Service::with_launcher(
             |config| {
                 for n in 0..2 {
                     config["settings"]["categories"][n]["give-up"] = json!(DEADLINE as f64);
@@ -201,7 +204,7 @@
             },
             serve_with(&faults),
         );
-        faults.on("wake", "1");
+        faults.enable("wake", "1");
         // A client whose every query lasts until its deadline, up to the end.
         let address = service.address;
         let client = std::thread::spawn(move || {
@@ -210,7 +213,7 @@
                 if call(
                     stream,
                     "POST /v1/report",
-                    &fields(&new_id(), DEADLINE as u32),
+                    &request_fields(&new_id(), DEADLINE as u32),
                     slow,
                 )
                 .is_none()
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -4,7 +4,7 @@
 
 mod helper;
 
-use helper::process::{ms, Process, NEWS};
+use helper::process::{ms, EngineProcess, POLL_HOLD_TIME};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Read};
@@ -21,8 +21,8 @@
 /// A gateway with two engines: the first batches go to `first`, as `second` is listed only by `hands_over`.
 struct Play {
     service: Service,
-    first: Process,
-    second: Process,
+    first: EngineProcess,
+    second: EngineProcess,
 }
 
 /// What came of a batch, and when.
@@ -46,7 +46,7 @@
     }
 
     fn with(change: impl Fn(&mut Value)) -> Play {
-        let (first, second) = (Process::start(), Process::start());
+        let (first, second) = (EngineProcess::start(), EngineProcess::start());
         let at = first.address;
         let service = Service::with(|config| {
             config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at.to_string());
@@ -63,13 +63,13 @@
     fn hands_over(&self) {
         let lines = [
             self.line("DRAINING"),
-            line("s-2", self.second.address, "SERVING"),
+            endpoint("s-2", self.second.address, "SERVING"),
         ];
-        self.service.log.tell(change(1, false, &lines));
+        self.service.log.publish(list_event(1, false, &lines));
     }
 
     fn line(&self, state: &str) -> Value {
-        line("s-1", self.first.address, state)
+        endpoint("s-1", self.first.address, state)
     }
 
     /// Sends a keyed, once-only batch; its answer comes through the handle.
@@ -79,7 +79,7 @@
         statement: &str,
     ) -> (TcpStream, std::thread::JoinHandle<Answered>) {
         let stream = self.service.open();
-        let fields = format!("{}{KEY}", fields(&new_id(), allowed));
+        let fields = format!("{}{KEY}", request_fields(&new_id(), allowed));
         let began = Instant::now();
         send(&stream, "POST /v1/load", &fields, statement);
         let reading = stream.try_clone().unwrap();
@@ -94,26 +94,26 @@
     }
 
     fn until_sent(&self) {
-        until("the first start", || !self.first.dispatches().is_empty());
+        wait_until("the first start", || !self.first.attempts().is_empty());
     }
 
     /// Waits for the second batch of the key and checks that none overlapped; how long after the first was really
     /// over it was sent.
     fn order_is_kept(&self) -> Duration {
-        let all = || [self.first.dispatches(), self.second.dispatches()].concat();
-        until("the second start", || all().len() == 2);
+        let all = || [self.first.attempts(), self.second.attempts()].concat();
+        wait_until("the second start", || all().len() == 2);
         sleep(ms(20));
         let mut all = all();
-        all.sort_by_key(|d| d.came);
+        all.sort_by_key(|d| d.received_at);
         let end = all[0]
-            .end()
+            .ended_at()
             .unwrap_or_else(|| panic!("both out at once: {all:#?}"));
         assert!(
-            end <= all[1].came,
+            end <= all[1].received_at,
             "overlap of {:?}: {all:#?}",
-            end - all[1].came
+            end - all[1].received_at
         );
-        all[1].came - end
+        all[1].received_at - end
     }
 }
 
@@ -129,13 +129,13 @@
     let p = Play::start();
     let (_a, first) = p.load(1000, "INSERT 1 /* runs 6000 */");
     p.until_sent();
-    p.first.refuses();
+    p.first.refuse_connections();
     p.hands_over();
     sleep(ms(100));
     let (_b, second) = p.load(3000, "INSERT 2 /* runs 10 */");
     assert_eq!(answered_in(1050, first).status, 500);
     assert!(p.order_is_kept() < REST + SLACK, "a proof, not the bound");
-    assert!(answered_in(3050, second).returned());
+    assert!(answered_in(3050, second).succeeded());
 }
 
 /// The connection goes with a spoilt answer, no other comes up, the dispatch runs on unasked: only the bound is left.
@@ -144,7 +144,7 @@
     let p = Play::long();
     let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
     p.until_sent();
-    p.first.refuses();
+    p.first.refuse_connections();
     p.hands_over();
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(
@@ -153,8 +153,11 @@
         "given up, so answered at once"
     );
     let held = p.order_is_kept();
-    assert!(held < NEWS + REST + SLACK, "held {held:?} past the end");
-    assert!(answered_in(7050, second).returned());
+    assert!(
+        held < POLL_HOLD_TIME + REST + SLACK,
+        "held {held:?} past the end"
+    );
+    assert!(answered_in(7050, second).succeeded());
 }
 
 /// Another process answers at the address: what it says proves nothing of the first.
@@ -163,18 +166,21 @@
     let p = Play::long();
     let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
     p.until_sent();
-    p.first.refuses();
-    let other = Process::at(p.first.address);
-    let lines = [p.line("DELETED"), line("s-2", p.second.address, "SERVING")];
-    p.service.log.tell(change(
+    p.first.refuse_connections();
+    let other = EngineProcess::at(p.first.address);
+    let lines = [
+        p.line("DELETED"),
+        endpoint("s-2", p.second.address, "SERVING"),
+    ];
+    p.service.log.publish(list_event(
         1,
         false,
-        &[&lines[..], &[line("s-3", other.address, "DRAINING")]].concat(),
+        &[&lines[..], &[endpoint("s-3", other.address, "DRAINING")]].concat(),
     ));
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(answered_in(900, first).status, 500);
     p.order_is_kept();
-    assert!(other.dispatches().is_empty());
+    assert!(other.attempts().is_empty());
     answered_in(7050, second);
 }
 
@@ -188,8 +194,8 @@
         assert_eq!(answered_in(750, first).status, 500, "{how}");
         // The second goes on a connection on which the engine has not shown the dispatch: it ends it and proves nothing.
         p.order_is_kept();
-        assert!(answered_in(4050, second).returned(), "{how}");
-        assert_eq!(p.first.state().deletes, 2, "{how}");
+        assert!(answered_in(4050, second).succeeded(), "{how}");
+        assert_eq!(p.first.state().cancel_calls, 2, "{how}");
     }
 }
 
@@ -203,7 +209,7 @@
         send(
             &stream,
             "POST /v1/load",
-            &format!("{}{KEY}", fields(&id, 600)),
+            &format!("{}{KEY}", request_fields(&id, 600)),
             "INSERT 1 /* runs 6000 */",
         );
         let sent = Instant::now();
@@ -211,12 +217,18 @@
         let (_b, second) = p.load(3000, "INSERT 2 /* runs 10 */");
         // The gateway takes a keyed batch to have been sent up to 0.25 s earlier than it came.
         sleep((ms(350 - early)).saturating_sub(sent.elapsed()));
-        let withdrawn = call(p.service.open(), "DELETE /v1/load", &fields(&id, 600), "").unwrap();
+        let withdrawn = call(
+            p.service.open(),
+            "DELETE /v1/load",
+            &request_fields(&id, 600),
+            "",
+        )
+        .unwrap();
         assert!(["HTTP/1.1 204 No Content", "HTTP/1.1 404 Not Found"]
-            .contains(&withdrawn.first.as_str()));
+            .contains(&withdrawn.start_line.as_str()));
         assert!(p.order_is_kept() < REST + SLACK, "{early}");
-        assert_eq!(p.first.state().deletes, 1, "one give-up");
-        assert!(answered_in(3050, second).returned());
+        assert_eq!(p.first.state().cancel_calls, 1, "one give-up");
+        assert!(answered_in(3050, second).succeeded());
     }
 }
 
@@ -226,7 +238,7 @@
     let p = Play::long();
     let (stream, _first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
     p.until_sent();
-    p.first.refuses();
+    p.first.refuse_connections();
     p.hands_over();
     sleep(ms(150));
     stream.shutdown(Shutdown::Both).unwrap();
@@ -242,21 +254,21 @@
     let p = Play::long();
     let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */");
     p.until_sent();
-    p.service.log.tell(change(
+    p.service.log.publish(list_event(
         1,
         false,
-        &[line("s-2", p.second.address, "SERVING")],
+        &[endpoint("s-2", p.second.address, "SERVING")],
     ));
-    sleep(NEWS + ms(50));
-    p.first.refuses();
-    p.first.loses_connections();
+    sleep(POLL_HOLD_TIME + ms(50));
+    p.first.refuse_connections();
+    p.first.break_connections();
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(
         answered_in(900, first).status,
         500,
         "the answer waits for no proof"
     );
-    assert!(p.order_is_kept() < NEWS + REST + SLACK);
+    assert!(p.order_is_kept() < POLL_HOLD_TIME + REST + SLACK);
     answered_in(7050, second);
 }
 
@@ -267,14 +279,14 @@
     let mut p = Play::long();
     let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */");
     p.until_sent();
-    sleep(NEWS + ms(50));
-    p.first.refuses();
-    p.second = Process::at(p.first.address);
-    p.first.loses_connections();
+    sleep(POLL_HOLD_TIME + ms(50));
+    p.first.refuse_connections();
+    p.second = EngineProcess::at(p.first.address);
+    p.first.break_connections();
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(answered_in(900, first).status, 500);
     p.order_is_kept();
-    assert!(answered_in(7050, second).returned());
+    assert!(answered_in(7050, second).succeeded());
 }
 
 /// The same sight while the process runs on: the network reset the connection, and the engine drains.
@@ -283,14 +295,14 @@
     let p = Play::long();
     let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */");
     p.until_sent();
-    sleep(NEWS + ms(50));
-    p.first.refuses();
+    sleep(POLL_HOLD_TIME + ms(50));
+    p.first.refuse_connections();
     p.hands_over();
     sleep(ms(100));
-    p.first.loses_connections();
+    p.first.break_connections();
     let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(answered_in(1200, first).status, 500);
-    assert!(p.order_is_kept() < NEWS + REST + SLACK);
+    assert!(p.order_is_kept() < POLL_HOLD_TIME + REST + SLACK);
     answered_in(7050, second);
 }
 
@@ -310,7 +322,7 @@
         config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at);
     });
     let statement = format!("INSERT 1 /* {} */", "x".repeat(200_000));
-    let answer = service.batch_of(&new_id(), "load", 2000, &statement);
+    let answer = service.query_with_id(&new_id(), "load", 2000, &statement);
     assert_eq!(answer.status, 500, "it may have run");
     sleep(ms(2600));
     cut_off.set_nonblocking(true).unwrap();
@@ -333,7 +345,7 @@
     let mut p = Play::start();
     let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
     p.until_sent();
-    p.first.refuses();
+    p.first.refuse_connections();
     p.hands_over();
     let (_b, second) = p.load(3000, "INSERT 2 /* runs 10 */");
     let began = Instant::now();
@@ -359,19 +371,19 @@
 fn notes_keep_a_dispatch_running_though_nobody_can_ask_for_it() {
     let play = with_notes();
     let (_first, one) = play.load(4600, "INSERT 1 /* notes */ /* runs 4000 */");
-    until("it runs", || !play.first.dispatches().is_empty());
-    play.first.refuses();
+    wait_until("it runs", || !play.first.attempts().is_empty());
+    play.first.refuse_connections();
     play.hands_over();
-    play.first.loses_connections();
+    play.first.break_connections();
     sleep(Duration::from_secs(2));
     let (_second, two) = play.load(6000, "INSERT 2");
-    assert!(two.join().unwrap().answer.is_some_and(|a| a.returned()));
-    let end = play.first.dispatches()[0].end().expect("it has ended");
+    assert!(two.join().unwrap().answer.is_some_and(|a| a.succeeded()));
+    let end = play.first.attempts()[0].ended_at().expect("it has ended");
     assert!(
-        play.second.dispatches()[0].came >= end + REST,
+        play.second.attempts()[0].received_at >= end + REST,
         "sent beside a dispatch that ran"
     );
-    assert!(one.join().unwrap().answer.is_some_and(|a| !a.returned()));
+    assert!(one.join().unwrap().answer.is_some_and(|a| !a.succeeded()));
 }
 
 /// Found there too: notes that were not passed on looked like silence, after which a dispatch was taken back.
@@ -381,10 +393,10 @@
     let statement = "SELECT 1 /* notes */ /* runs 3200 */";
     assert!(play
         .service
-        .batch_of(&new_id(), "report", 6000, statement)
-        .returned());
-    assert_eq!(play.first.dispatches().len(), 1);
-    assert_eq!(play.first.state().deletes, 0, "taken back");
+        .query_with_id(&new_id(), "report", 6000, statement)
+        .succeeded());
+    assert_eq!(play.first.attempts().len(), 1);
+    assert_eq!(play.first.state().cancel_calls, 0, "taken back");
 }
 
 /// Found on deployments with a referenced group, whose engines refuse what comes without its mark.
@@ -398,15 +410,15 @@
     let say = |more: &str| {
         let fields = format!(
             "{}{KEY}X-Unique: 00ab12ffee34cd56\r\n{more}",
-            fields(&new_id(), 2900)
+            request_fields(&new_id(), 2900)
         );
         call(play.service.open(), "POST /v1/load", &fields, "INSERT 1")
             .map(Answer::of)
             .unwrap()
     };
-    assert!(say("X-Size-Ms: 120\r\nX-Memory: 64\r\n").returned());
+    assert!(say("X-Size-Ms: 120\r\nX-Memory: 64\r\n").succeeded());
     assert_eq!(
-        play.first.dispatches()[0].mark.as_deref(),
+        play.first.attempts()[0].idempotency_key.as_deref(),
         Some("00ab12ffee34cd56")
     );
     for wrong in [
@@ -414,7 +426,7 @@
         "X-Memory: much\r\n",
         "X-Unique: twice\r\n",
     ] {
-        assert!(!say(wrong).returned(), "{wrong}");
+        assert!(!say(wrong).succeeded(), "{wrong}");
     }
-    assert_eq!(play.first.dispatches().len(), 1, "nothing of those went on");
+    assert_eq!(play.first.attempts().len(), 1, "nothing of those went on");
 }
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -35,17 +35,17 @@
     fn start(text: &str) -> Planned {
         let (plan, log, second) = (written("a.plan", text), written("log", ""), Engine::start());
         let at = second.address;
-        let service = Service::by(
+        let service = Service::with_launcher(
             |config| {
                 let servers = config["known"]["results"][0]["fleet"]["servers"]
                     .as_array_mut()
                     .unwrap();
-                servers.push(line("s-2", at, "SERVING"));
+                servers.push(endpoint("s-2", at, "SERVING"));
             },
             |config| {
-                let mut command = program(&["serve", "--plan", plan.to_str().unwrap()]);
+                let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
                 command
-                    .env("PROXY_CONFIG", file(config))
+                    .env("PROXY_CONFIG", write_config(config))
                     .stderr(std::fs::File::create(&log).unwrap());
                 command.spawn().unwrap()
             },
@@ -64,7 +64,7 @@
     }
 
     fn until_logged(&self, words: &str) -> String {
-        until(words, || {
+        wait_until(words, || {
             std::fs::read_to_string(&self.log).unwrap().contains(words)
         });
         std::fs::read_to_string(&self.log).unwrap()
@@ -76,7 +76,7 @@
 }
 
 fn run(arguments: &[&str]) -> Output {
-    program(arguments).output().unwrap()
+    gateway_command(arguments).output().unwrap()
 }
 
 fn said(output: &Output) -> String {
@@ -117,7 +117,7 @@
     let p = Planned::start(ROUTES);
     let s = &p.service;
     for n in 0..10 {
-        assert!(s.batch("report", &format!("SELECT {n}")).returned());
+        assert!(s.query("report", &format!("SELECT {n}")).succeeded());
     }
     assert_eq!(
         p.starts(),
@@ -125,43 +125,46 @@
         "reports are bound to the second engine"
     );
     for n in 0..5 {
-        assert!(s.batch("load", &format!("INSERT {n}")).returned());
+        assert!(s.query("load", &format!("INSERT {n}")).succeeded());
     }
     assert_eq!(p.starts(), (5, 10), "loads prefer the first");
-    s.log.tell(change(
+    s.log.publish(list_event(
         1,
         false,
-        &[line("s-1", s.engine.address, "DRAINING")],
+        &[endpoint("s-1", s.engine.address, "DRAINING")],
     ));
-    until("the drain", || {
-        s.batch("load", "INSERT").returned() && p.starts().1 > 10
+    wait_until("the drain", || {
+        s.query("load", "INSERT").succeeded() && p.starts().1 > 10
     });
     let before = p.starts().0;
-    assert!(s.batch("load", "INSERT").returned());
+    assert!(s.query("load", "INSERT").succeeded());
     assert_eq!(
         p.starts().0,
         before,
         "the second preference, as the first has none left"
     );
-    s.log.tell(change(
+    s.log.publish(list_event(
         2,
         false,
-        &[line("s-2", p.second.address, "DELETED")],
+        &[endpoint("s-2", p.second.address, "DELETED")],
     ));
-    s.log.tell(change(
+    s.log.publish(list_event(
         3,
         false,
-        &[line("s-3", s.engine.address, "SERVING")],
+        &[endpoint("s-3", s.engine.address, "SERVING")],
     ));
     sleep(Duration::from_millis(200));
-    let answer = s.batch_of(&new_id(), "report", 400, "SELECT 1");
+    let answer = s.query_with_id(&new_id(), "report", 400, "SELECT 1");
     assert_eq!(
         answer.status, 503,
         "bound to what has gone, it leaves for no other: {answer:?}"
     );
     assert_eq!(p.starts().0, before);
 
-    let key = format!("{}X-Item: 7f3a9c21e0b4d655\r\n", fields(&new_id(), 3000));
+    let key = format!(
+        "{}X-Item: 7f3a9c21e0b4d655\r\n",
+        request_fields(&new_id(), 3000)
+    );
     let closed = Answer::of(call(s.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
     assert_eq!(closed.status, 503);
     assert_eq!(
@@ -203,10 +206,10 @@
     );
     let s = &p.service;
     for _ in 0..2 {
-        assert!(s.batch("report", "SELECT 1").returned());
+        assert!(s.query("report", "SELECT 1").succeeded());
     }
     let began = Instant::now();
-    let third = s.batch("report", "SELECT 1");
+    let third = s.query("report", "SELECT 1");
     assert!(
         began.elapsed() < Duration::from_millis(200),
         "at once: {:?}",
@@ -216,11 +219,11 @@
         (third.status, &third.json["reason"]),
         (503, &json!("over the limit each (Rate)"))
     );
-    let wait = third.come_back.expect("a time to come back");
+    let wait = third.retry_after_ms.expect("a time to come back");
     assert!((10..=250).contains(&wait), "{wait}");
     sleep(Duration::from_millis(wait + 5));
     assert!(
-        s.batch("report", "SELECT 1").returned(),
+        s.query("report", "SELECT 1").succeeded(),
         "then there is room"
     );
 
@@ -228,30 +231,30 @@
     send(
         &slow,
         "POST /v1/load",
-        &fields(&id, 3000),
+        &request_fields(&id, 3000),
         "INSERT /* slow */",
     );
-    until("the start", || {
+    wait_until("the start", || {
         p.starts() != (3, 0) && p.starts().0 + p.starts().1 == 4
     });
-    let second = s.batch("load", "INSERT");
+    let second = s.query("load", "INSERT");
     assert_eq!(
         (second.status, &second.json["reason"]),
         (503, &json!("over the limit loads (InHand)"))
     );
     // The same batch again is not another one.
-    let again = s.batch_of(&id, "load", 3000, "INSERT /* slow */");
-    assert!(again.returned(), "{again:?}");
-    assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).returned());
-    assert!(s.batch("load", "INSERT").returned(), "room again");
-    assert_eq!(s.batch("load", &"x".repeat(101)).status, 413);
+    let again = s.query_with_id(&id, "load", 3000, "INSERT /* slow */");
+    assert!(again.succeeded(), "{again:?}");
+    assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
+    assert!(s.query("load", "INSERT").succeeded(), "room again");
+    assert_eq!(s.query("load", &"x".repeat(101)).status, 413);
 }
 
 #[test]
 fn a_plans_time_limit_is_kept_though_the_client_allows_more() {
     let p = Planned::start("group report {\n  limit 500ms\n}\n");
     let began = Instant::now();
-    let answer = p.service.batch("report", "SELECT 1 /* very slow */");
+    let answer = p.service.query("report", "SELECT 1 /* very slow */");
     assert_eq!(answer.status, 503);
     assert!(
         began.elapsed() < Duration::from_millis(600),
@@ -268,8 +271,8 @@
         let load = scope.spawn(|| {
             let mut answers = 0;
             while !stop.load(Ordering::Relaxed) {
-                let answer = s.batch("report", "SELECT 1");
-                assert!(answer.returned(), "{answer:?}");
+                let answer = s.query("report", "SELECT 1");
+                assert!(answer.succeeded(), "{answer:?}");
                 answers += 1;
             }
             answers
@@ -279,10 +282,10 @@
         send(
             &slow,
             "POST /v1/load",
-            &fields(&new_id(), 3000),
+            &request_fields(&new_id(), 3000),
             "INSERT /* slow */",
         );
-        until("the start", || p.starts().0 == 1);
+        wait_until("the start", || p.starts().0 == 1);
         p.reload(&ROUTES.replace("  to two\n", "  to two, one\n"));
         let log = p.until_logged("the old one stays");
         assert!(
@@ -298,12 +301,12 @@
                 .replace("to two", "to one"),
         );
         p.until_logged("plan updated");
-        until("reports at the first", || p.starts().0 > 3);
+        wait_until("reports at the first", || p.starts().0 > 3);
         let before = p.starts().1;
-        assert!(s.batch("report", "SELECT 1").returned());
+        assert!(s.query("report", "SELECT 1").succeeded());
         sleep(Duration::from_millis(100));
         assert!(p.starts().1 <= before + 1, "the second has no more of them");
-        assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).returned());
+        assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
         drop(reader);
         stop.store(true, Ordering::Relaxed);
         assert!(load.join().unwrap() > 10);
@@ -314,8 +317,8 @@
 fn a_gateway_with_a_faulty_plan_does_not_start() {
     let (engine, log) = (Engine::start(), ChangeLog::start());
     let plan = written("b.plan", "pool one {\n  id s-1\n  knid std\n}\n");
-    let config = file(&config(engine.address, log.address));
-    let output = program(&["serve", "--plan", plan.to_str().unwrap()])
+    let config = write_config(&config(engine.address, log.address));
+    let output = gateway_command(&["serve", "--plan", plan.to_str().unwrap()])
         .env("PROXY_CONFIG", config)
         .output()
         .unwrap();
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, Process};
+use helper::process::{ms, EngineProcess};
 use helper::*;
 use serde_json::json;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 
 /// A gateway that can be killed and started again under its address, with its journal.
 struct Lasting {
-    engine: Process,
+    engine: EngineProcess,
     _log: ChangeLog,
     config: PathBuf,
     plan: PathBuf,
@@ -33,7 +33,7 @@
     }
 
     fn start_with(faults: Faults) -> Lasting {
-        let (engine, log) = (Process::start(), ChangeLog::start());
+        let (engine, log) = (EngineProcess::start(), ChangeLog::start());
         let mut told = config(engine.address, log.address);
         told["settings"]["categories"][1]["give-up"] = json!(8000.0);
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
@@ -51,7 +51,7 @@
             ),
         )
         .unwrap();
-        let config = file(&told);
+        let config = write_config(&told);
         let address = told["listen"].as_str().unwrap().parse().unwrap();
         let child = Lasting::serve(&config, &plan, &faults);
         let lasting = Lasting {
@@ -63,13 +63,13 @@
             faults,
             child,
         };
-        lasting.healthy();
+        lasting.wait_until_healthy();
         lasting
     }
 
     fn serve(config: &Path, plan: &Path, faults: &Faults) -> Child {
-        let mut command = program(&["serve", "--plan", plan.to_str().unwrap()]);
-        faults.strike(&mut command);
+        let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
+        faults.apply_to(&mut command);
         command
             .env("PROXY_CONFIG", config)
             .stderr(Stdio::null())
@@ -77,14 +77,14 @@
             .unwrap()
     }
 
-    fn healthy(&self) {
+    fn wait_until_healthy(&self) {
         let asked = || {
             TcpStream::connect(self.address)
                 .ok()
                 .and_then(|s| call(s, "GET /healthz", "", ""))
         };
-        until("health", || {
-            asked().is_some_and(|answer| answer.first == "HTTP/1.1 200 OK")
+        wait_until("health", || {
+            asked().is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
         });
     }
 
@@ -92,15 +92,15 @@
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         self.child = Lasting::serve(&self.config, &self.plan, &self.faults);
-        self.healthy();
+        self.wait_until_healthy();
     }
 
-    fn sends(&self, id: &str, statement: &str) -> TcpStream {
+    fn send_load(&self, id: &str, statement: &str) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         send(
             &stream,
             "POST /v1/load",
-            &format!("{}{KEY}", fields(id, 7000)),
+            &format!("{}{KEY}", request_fields(id, 7000)),
             statement,
         );
         stream
@@ -118,11 +118,14 @@
 fn a_once_only_batch_that_may_have_run_is_not_sent_after_a_restart_and_its_key_rests() {
     let mut g = Lasting::start();
     let (first, second) = (new_id(), new_id());
-    let _lost = g.sends(&first, "INSERT 1 /* runs 60000 */");
-    until("the start", || g.engine.dispatches().len() == 1);
+    let _lost = g.send_load(&first, "INSERT 1 /* runs 60000 */");
+    wait_until("the start", || g.engine.attempts().len() == 1);
     g.restarted();
     let again = Answer::of(
-        read_message(&mut std::io::BufReader::new(g.sends(&first, "INSERT 1"))).unwrap(),
+        read_message(&mut std::io::BufReader::new(
+            g.send_load(&first, "INSERT 1"),
+        ))
+        .unwrap(),
     );
     assert_eq!(
         (again.status, &again.json),
@@ -130,21 +133,27 @@
         "it may have run"
     );
     let next = Answer::of(
-        read_message(&mut std::io::BufReader::new(g.sends(&second, "INSERT 2"))).unwrap(),
+        read_message(&mut std::io::BufReader::new(
+            g.send_load(&second, "INSERT 2"),
+        ))
+        .unwrap(),
     );
-    assert!(next.returned(), "{next:?}");
-    let all = g.engine.dispatches();
+    assert!(next.succeeded(), "{next:?}");
+    let all = g.engine.attempts();
     assert_eq!(all.len(), 2, "one dispatch each: {all:#?}");
     assert!(
-        all[0].end().unwrap() <= all[1].came,
+        all[0].ended_at().unwrap() <= all[1].received_at,
         "the key rested for what still ran"
     );
     // What had its answer is not held against anybody.
     g.restarted();
     let third = Answer::of(
-        read_message(&mut std::io::BufReader::new(g.sends(&new_id(), "INSERT 3"))).unwrap(),
+        read_message(&mut std::io::BufReader::new(
+            g.send_load(&new_id(), "INSERT 3"),
+        ))
+        .unwrap(),
     );
-    assert!(third.returned());
+    assert!(third.succeeded());
 }
 
 /// Killed at random, over and over, with clients that send the same batch again: by the engine's count no batch runs
@@ -158,7 +167,7 @@
 #[test]
 fn killed_in_a_loop_while_the_wall_clock_steps_none_runs_twice() {
     killed_in_a_loop(|faults, round| {
-        faults.on("realtime", ["3600", "-3600", "7", "-7"][round as usize % 4])
+        faults.enable("realtime", ["3600", "-3600", "7", "-7"][round as usize % 4])
     });
 }
 
@@ -180,7 +189,7 @@
                 send(
                     &stream,
                     "POST /v1/load",
-                    &fields(id, 7000),
+                    &request_fields(id, 7000),
                     &format!("INSERT {id} /* runs 3 */"),
                 );
                 stream
@@ -196,7 +205,7 @@
             let answer = call(
                 stream,
                 "POST /v1/load",
-                &fields(id, 7000),
+                &request_fields(id, 7000),
                 &format!("INSERT {id} /* runs 3 */"),
             );
             let answer = Answer::of(answer.expect("an answer"));
@@ -206,11 +215,11 @@
     }
     let mut runs: HashMap<String, usize> = HashMap::new();
     g.engine
-        .dispatches()
+        .attempts()
         .iter()
         .for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
     let twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
-    let known = |id: &str| g.engine.dispatches().iter().any(|d| d.id == id);
+    let known = |id: &str| g.engine.attempts().iter().any(|d| d.id == id);
     assert!(twice.is_empty(), "run twice: {twice:?}");
     assert!(
         ids.iter().filter(|id| known(id)).count() > 20,
@@ -248,7 +257,7 @@
         call(
             stream,
             "POST /v1/load",
-            &fields(&id, 3000),
+            &request_fields(&id, 3000),
             &format!("INSERT {id}"),
         )
         .expect("an answer"),
@@ -261,7 +270,7 @@
         call(
             stream,
             "POST /v1/report",
-            &fields(&new_id(), 3000),
+            &request_fields(&new_id(), 3000),
             "SELECT 1",
         )
         .expect("an answer"),
@@ -272,24 +281,24 @@
 fn fails_for_a_while(g: &Lasting, calls: &[&str]) {
     let began = Instant::now();
     while began.elapsed() < disk_fails_for() {
-        assert!(report(g).returned(), "{calls:?}");
+        assert!(report(g).succeeded(), "{calls:?}");
         let asked = Instant::now();
         let turned = load(g);
         assert!(
-            !turned.returned() && asked.elapsed() < ms(400),
+            !turned.succeeded() && asked.elapsed() < ms(400),
             "{calls:?}: {turned:?} after {:?}",
             asked.elapsed()
         );
     }
-    calls.iter().for_each(|call| g.faults.off(call));
+    calls.iter().for_each(|call| g.faults.disable(call));
     let back = Instant::now();
-    while !load(g).returned() {
+    while !load(g).succeeded() {
         assert!(back.elapsed() < ms(2000), "{calls:?}: not served again");
         sleep(ms(20));
     }
     let mut runs: HashMap<String, usize> = HashMap::new();
     g.engine
-        .dispatches()
+        .attempts()
         .iter()
         .for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
     assert!(runs.values().all(|n| *n == 1), "{calls:?}: run twice");
@@ -299,11 +308,11 @@
 fn a_disk_that_fails_for_a_while_is_used_again() {
     for (n, calls) in DISK_FAULTS.into_iter().enumerate() {
         let g = Lasting::start();
-        assert!(load(&g).returned());
+        assert!(load(&g).succeeded());
         let code = if n % 2 == 0 { ENOSPC } else { EIO };
         calls
             .iter()
-            .for_each(|call| g.faults.on(call, &format!("1 {code}")));
+            .for_each(|call| g.faults.enable(call, &format!("1 {code}")));
         fails_for_a_while(&g, calls);
     }
 }
@@ -315,11 +324,11 @@
 #[test]
 fn a_disk_whose_syncs_are_slow_is_used() {
     let g = Lasting::start();
-    assert!(load(&g).returned());
-    g.faults.on("disk-slow", "800");
+    assert!(load(&g).succeeded());
+    g.faults.enable("disk-slow", "800");
     for _ in 0..3 {
         let began = Instant::now();
-        assert!(load(&g).returned(), "after {:?}", began.elapsed());
+        assert!(load(&g).succeeded(), "after {:?}", began.elapsed());
         assert!(
             began.elapsed() >= ms(800),
             "nothing leaves before its record is on the disk"
@@ -332,8 +341,8 @@
 fn a_start_while_the_disk_fails_serves_what_needs_no_journal() {
     let mut g = Lasting::start();
     let first = new_id();
-    let _lost = g.sends(&first, "INSERT 1 /* runs 60000 */");
-    until("the start", || g.engine.dispatches().len() == 1);
+    let _lost = g.send_load(&first, "INSERT 1 /* runs 60000 */");
+    wait_until("the start", || g.engine.attempts().len() == 1);
     let calls = [
         "disk-write",
         "disk-sync",
@@ -343,10 +352,13 @@
     ];
     calls
         .iter()
-        .for_each(|call| g.faults.on(call, &format!("1 {EIO}")));
+        .for_each(|call| g.faults.enable(call, &format!("1 {EIO}")));
     g.restarted();
     let again = Answer::of(
-        read_message(&mut std::io::BufReader::new(g.sends(&first, "INSERT 1"))).unwrap(),
+        read_message(&mut std::io::BufReader::new(
+            g.send_load(&first, "INSERT 1"),
+        ))
+        .unwrap(),
     );
     assert_eq!(
         (again.status, &again.json),
@@ -362,8 +374,8 @@
     let plan = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("no-journal-{}.plan", std::process::id()));
     std::fs::write(&plan, "journal j {\n  directory \"/no/such/folder\"\n}\n").unwrap();
-    let config: PathBuf = file(&config(engine.address, log.address));
-    let out = program(&["serve", "--plan", plan.to_str().unwrap()])
+    let config: PathBuf = write_config(&config(engine.address, log.address));
+    let out = gateway_command(&["serve", "--plan", plan.to_str().unwrap()])
         .env("PROXY_CONFIG", config)
         .output()
         .unwrap();
--- a/crates/gateway/tests/repeated_calls.rs
+++ b/crates/gateway/tests/repeated_calls.rs
@@ -23,7 +23,7 @@
     send(
         &stream,
         &format!("POST /v1/{group}"),
-        &fields(id, 3000),
+        &request_fields(id, 3000),
         statement,
     );
     stream
@@ -47,8 +47,8 @@
         lose_answer(&s, &id, group, "SELECT 1");
         std::thread::sleep(ms(100));
         for _ in 0..REPEATS {
-            let answer = s.batch_of(&id, group, 3000, "SELECT 1");
-            assert!(answer.returned(), "{group}: {answer:?}");
+            let answer = s.query_with_id(&id, group, 3000, "SELECT 1");
+            assert!(answer.succeeded(), "{group}: {answer:?}");
             assert_eq!(answer.json["data"], serde_json::json!(ROWS_AS_JSON));
         }
         assert_eq!(s.engine.calls("POST") - before, 1, "{group}: one attempt");
@@ -61,7 +61,7 @@
     let (id, before) = (new_id(), s.engine.calls("POST"));
     lose_answer(&s, &id, "load", "INSERT /* error */");
     std::thread::sleep(ms(100));
-    let answer = s.batch_of(&id, "load", 3000, "INSERT /* error */");
+    let answer = s.query_with_id(&id, "load", 3000, "INSERT /* error */");
     assert_eq!(
         (answer.status, &answer.json["error"]),
         (500, &serde_json::json!("Failed"))
@@ -79,8 +79,8 @@
     let id = new_id();
     lose_answer(&s, &id, "report", "SELECT 1");
     std::thread::sleep(ms(100));
-    assert_eq!(s.batch_of(&id, "report", 3000, "SELECT 2").status, 409);
-    assert_eq!(s.batch_of(&id, "load", 3000, "SELECT 1").status, 409);
+    assert_eq!(s.query_with_id(&id, "report", 3000, "SELECT 2").status, 409);
+    assert_eq!(s.query_with_id(&id, "load", 3000, "SELECT 1").status, 409);
     assert_eq!(s.engine.calls("POST"), 1);
 }
 
@@ -89,9 +89,14 @@
 fn an_answer_is_kept_no_longer_than_its_deadline() {
     let s = Service::start();
     let id = new_id();
-    let answer = call(s.open(), "POST /v1/report", &fields(&id, 400), "SELECT 1");
-    assert!(Answer::of(answer.unwrap()).returned());
+    let answer = call(
+        s.open(),
+        "POST /v1/report",
+        &request_fields(&id, 400),
+        "SELECT 1",
+    );
+    assert!(Answer::of(answer.unwrap()).succeeded());
     std::thread::sleep(ms(500));
-    assert_eq!(s.batch_of(&id, "report", 400, "SELECT 1").status, 409);
+    assert_eq!(s.query_with_id(&id, "report", 400, "SELECT 1").status, 409);
     assert_eq!(s.engine.calls("POST"), 1);
 }
--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -29,14 +29,15 @@
 
 /// A list that names this engine and so many others that nothing listens at, which drain.
 fn list(engine: &Engine, others: usize) -> Value {
-    let mut servers = vec![line("s-1", engine.address, "SERVING")];
+    let mut servers = vec![endpoint("s-1", engine.address, "SERVING")];
     let address = |n: usize| {
         format!("10.{}.{}.9:4100", n / 256, n % 256)
             .parse()
             .unwrap()
     };
-    servers.extend((0..others).map(|n| line(&format!("s-00c4{n:04x}"), address(n), "DRAINING")));
-    change(1, true, &servers)
+    servers
+        .extend((0..others).map(|n| endpoint(&format!("s-00c4{n:04x}"), address(n), "DRAINING")));
+    list_event(1, true, &servers)
 }
 
 /// A gateway that knows no list, with the log played so; how long after its first connection the list is in force.
@@ -63,21 +64,24 @@
         let asked = TcpStream::connect(service.address)
             .ok()
             .and_then(|s| call(s, "GET /healthz", "", ""));
-        asked.is_some_and(|answer| answer.first == "HTTP/1.1 200 OK")
+        asked.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
     };
     let (started, mut most_open) = (Instant::now(), 0);
     while !healthy() {
-        most_open = most_open.max(log.seen.open());
-        let waited = log.seen.first().unwrap_or(started).elapsed();
+        most_open = most_open.max(log.statistics.open());
+        let waited = log.statistics.first().unwrap_or(started).elapsed();
         assert!(
             waited < TOLD,
             "{name}: not heard, {} connections",
-            log.seen.connections()
+            log.statistics.connections()
         );
         sleep(ms(10));
     }
-    let after = log.seen.first().expect("a connection").elapsed();
-    println!("{name}: {after:?}, {} connections", log.seen.connections());
+    let after = log.statistics.first().expect("a connection").elapsed();
+    println!(
+        "{name}: {after:?}, {} connections",
+        log.statistics.connections()
+    );
     assert!(after < TOLD, "{name}: heard after {after:?}");
     assert!(most_open <= MOST_OPEN, "{name}: {most_open} open at once");
 }
@@ -101,7 +105,7 @@
                 connection.write(HEAD);
                 sleep(ms(late));
                 connection.write(told);
-                connection.lives_on();
+                connection.send_keepalives();
             },
         );
     });
@@ -117,7 +121,7 @@
                 sleep(ms(late));
                 connection.write(HEAD);
                 connection.write(told);
-                connection.lives_on();
+                connection.send_keepalives();
             },
         );
     });
@@ -131,12 +135,12 @@
             0,
             move |connection, told| {
                 if connection.number > 0 {
-                    return connection.resets();
+                    return connection.reset_on_end();
                 }
                 sleep(ms(late));
                 connection.write(HEAD);
                 connection.write(told);
-                connection.lives_on();
+                connection.send_keepalives();
             },
         );
     });
@@ -150,7 +154,7 @@
             0,
             move |connection, told| {
                 connection.write_in_pieces(&format!("{HEAD}{told}"), 12, ms(apart));
-                connection.lives_on();
+                connection.send_keepalives();
             },
         );
     });
@@ -166,7 +170,7 @@
             move |connection, told| {
                 connection.write(HEAD);
                 connection.write_at_rate(told, rate);
-                connection.lives_on();
+                connection.send_keepalives();
             },
         );
     });
@@ -180,11 +184,11 @@
             0,
             move |connection, told| {
                 if connection.number < silent {
-                    return connection.falls_silent();
+                    return connection.wait_for_close();
                 }
                 connection.write(HEAD);
                 connection.write(told);
-                connection.lives_on();
+                connection.send_keepalives();
             },
         );
     });
@@ -202,7 +206,7 @@
                 connection.write(COMMENT);
                 sleep(ms(late));
                 connection.write(told);
-                connection.lives_on();
+                connection.send_keepalives();
             },
         );
     });
@@ -212,12 +216,12 @@
 fn behind_two_silent_connections_a_late_list_is_heard() {
     heard_after("two silent, others 2 s late", 0, |connection, told| {
         if connection.number < 2 {
-            return connection.falls_silent();
+            return connection.wait_for_close();
         }
         sleep(ms(2000));
         connection.write(HEAD);
         connection.write(told);
-        connection.lives_on();
+        connection.send_keepalives();
     });
 }
 
@@ -231,7 +235,7 @@
             return;
         }
         connection.write(told);
-        connection.lives_on();
+        connection.send_keepalives();
     });
 }
 
@@ -241,12 +245,12 @@
     let (drained, other) = (Engine::start(), Engine::start());
     let lines = |state: &str| {
         [
-            line("s-0", drained.address, state),
-            line("s-1", other.address, "SERVING"),
+            endpoint("s-0", drained.address, state),
+            endpoint("s-1", other.address, "SERVING"),
         ]
     };
-    let first = event_text(&change(1, true, &lines("SERVING")));
-    let drain = event_text(&change(2, false, &lines("DRAINING")[..1]));
+    let first = event_text(&list_event(1, true, &lines("SERVING")));
+    let drain = event_text(&list_event(2, false, &lines("DRAINING")[..1]));
     let told: Arc<OnceLock<Instant>> = Arc::default();
     let when = told.clone();
     let log = ScriptedLog::start(move |connection| {
@@ -254,7 +258,7 @@
             sleep(late);
             connection.write(HEAD);
             connection.write(&drain);
-            return connection.lives_on();
+            return connection.send_keepalives();
         }
         connection.write(HEAD);
         connection.write(&first);
@@ -263,29 +267,29 @@
             sleep(ms(1000));
         }
         when.get_or_init(Instant::now);
-        connection.falls_silent();
+        connection.wait_for_close();
     });
     let service = Service::with(|config| {
         config["changelog"] = json!(log.address.to_string());
         config["settings"]["allowed"]["may-probe"] = json!(false);
     });
-    until("both engines are sent to", || {
-        service.batch("report", "SELECT 1");
+    wait_until("both engines are sent to", || {
+        service.query("report", "SELECT 1");
         drained.calls("POST") > 0 && other.calls("POST") > 0
     });
     let told = loop {
         match told.get() {
             Some(told) => break *told,
-            None => assert!(service.batch("report", "SELECT 1").returned()),
+            None => assert!(service.query("report", "SELECT 1").succeeded()),
         }
     };
     while told.elapsed() < TOLD + SOCKET_SLACK {
-        assert!(service.batch("report", "SELECT 1").returned());
+        assert!(service.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
     let before = drained.calls("POST");
     while told.elapsed() < TOLD + ms(5000) {
-        assert!(service.batch("report", "SELECT 1").returned());
+        assert!(service.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
     let after = drained.calls("POST") - before;
--- a/crates/gateway/tests/slow_engines.rs
+++ b/crates/gateway/tests/slow_engines.rs
@@ -51,10 +51,11 @@
     let s = Service::with(|config| {
         config["settings"]["allowed"]["may-probe"] = json!(false);
         config["settings"]["categories"][0]["give-up"] = json!(10_000.0);
-        config["known"]["results"] = json!([change(0, true, &[line("s-1", link, "SERVING")])]);
+        config["known"]["results"] =
+            json!([list_event(0, true, &[endpoint("s-1", link, "SERVING")])]);
     });
     let began = Instant::now();
-    let answer = s.batch_of(&new_id(), "report", 9000, "SELECT 1 /* pages */");
+    let answer = s.query_with_id(&new_id(), "report", 9000, "SELECT 1 /* pages */");
     (answer, began.elapsed(), engine.calls("POST"))
 }
 
@@ -66,7 +67,7 @@
                 let (answer, took, attempts) = play(delay);
                 println!("{delay} ms late: {answer:?} after {took:?}, {attempts} attempts");
                 assert!(
-                    answer.returned(),
+                    answer.succeeded(),
                     "{delay} ms late: {answer:?} after {took:?}"
                 );
                 assert_eq!(attempts, 1, "{delay} ms late: none is begun anew");
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -5,7 +5,7 @@
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, Process};
+use helper::process::{ms, EngineProcess};
 use helper::*;
 use serde_json::json;
 use std::collections::HashMap;
@@ -68,7 +68,7 @@
                 "SELECT"
             };
             let statement = format!("{word} {id} /* runs {runs} */");
-            let (fields, length) = (fields(&id, deadline as u32), statement.len());
+            let (fields, length) = (request_fields(&id, deadline as u32), statement.len());
             let call = format!(
                 "POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {length}\r\n\r\n{statement}"
             );
@@ -117,26 +117,26 @@
 fn play(seed: u64) {
     let mut random = Random(seed);
     let deadline = random.one_of(&[100, 200, 500, 1000, 3000]);
-    let (engine, log, faults) = (Process::start(), ChangeLog::start(), Faults::none());
+    let (engine, log, faults) = (EngineProcess::start(), ChangeLog::start(), Faults::none());
     let mut told = config(engine.address, log.address);
     for n in 0..2 {
         told["settings"]["categories"][n]["give-up"] = json!(deadline as f64);
     }
     match random.below(4) {
-        0 => faults.on("short", "3"),
-        1 => faults.on("eintr", "10"),
-        2 => faults.on("accept", "3"),
+        0 => faults.enable("short", "3"),
+        1 => faults.enable("eintr", "10"),
+        2 => faults.enable("accept", "3"),
         _ => {}
     }
     let address: SocketAddr = told["listen"].as_str().unwrap().parse().unwrap();
-    let mut command = program(&["serve"]);
-    faults.strike(&mut command);
+    let mut command = gateway_command(&["serve"]);
+    faults.apply_to(&mut command);
     let mut child = command
-        .env("PROXY_CONFIG", file(&told))
+        .env("PROXY_CONFIG", write_config(&told))
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    until("it listens", || TcpStream::connect(address).is_ok());
+    wait_until("it listens", || TcpStream::connect(address).is_ok());
     let crowd: Vec<TcpStream> = match random.below(3) {
         0 => (0..CROWD)
             .filter_map(|_| TcpStream::connect(address).ok())
@@ -173,7 +173,7 @@
         .sum();
     drop(crowd);
     let mut runs: HashMap<String, usize> = HashMap::new();
-    let dispatches = engine.dispatches();
+    let dispatches = engine.attempts();
     let once = dispatches
         .iter()
         .filter(|d| d.statement.starts_with(NON_IDEMPOTENT));
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -16,7 +16,7 @@
 fn a_batch_goes_through_unchanged_and_its_rows_come_back_whole() {
     let s = Service::start();
     let statement = "SELECT é FROM s_17.t /* pages */ WHERE a = 'x\\y'";
-    let answer = s.batch("report", statement);
+    let answer = s.query("report", statement);
     let mut rows: Vec<Value> = ROWS_AS_JSON.iter().map(|row| json!(row)).collect();
     rows.extend([json!(["p1", "", ""]), json!(["p2", "", ""])]);
     assert_eq!((answer.status, &answer.json), (200, &json!({"data": rows})));
@@ -27,7 +27,7 @@
         .unwrap()
         .contains(&format!("POST /c {statement}")));
     assert_eq!(
-        s.batch("report", "SELECT 1 /* empty */").json,
+        s.query("report", "SELECT 1 /* empty */").json,
         json!({"data": []})
     );
     // Many calls on one connection.
@@ -36,7 +36,7 @@
         let answer = call(
             stream.try_clone().unwrap(),
             "POST /v1/report",
-            &fields(&new_id(), 3000),
+            &request_fields(&new_id(), 3000),
             "SELECT 1",
         );
         assert_eq!(
@@ -49,7 +49,7 @@
 #[test]
 fn what_is_no_batch_gets_a_short_4xx_and_no_dispatch() {
     let s = Service::start();
-    let good = fields(&new_id(), 3000);
+    let good = request_fields(&new_id(), 3000);
     let cases = [
         ("POST /v1/other", good.clone(), 400),
         ("POST /v2/report", good.clone(), 404),
@@ -61,9 +61,13 @@
         ),
         ("POST /v1/report", good.replace("X-Team: acme\r\n", ""), 400),
         ("POST /v1/report", format!("{good}{good}"), 400),
-        ("POST /v1/report", fields("123", 3000), 400),
-        ("POST /v1/report", fields("9b1f03aa5c7e2dzz", 3000), 400),
-        ("POST /v1/report", fields(&new_id(), 0), 400),
+        ("POST /v1/report", request_fields("123", 3000), 400),
+        (
+            "POST /v1/report",
+            request_fields("9b1f03aa5c7e2dzz", 3000),
+            400,
+        ),
+        ("POST /v1/report", request_fields(&new_id(), 0), 400),
         ("POST /v1/report", good.replace("3000", "soon"), 400),
         ("POST /v1/report", good.replace("3000", "NaN"), 400),
         ("POST /v1/report", good.replace("3000", "3001"), 400),
@@ -93,9 +97,9 @@
             "{start} {fields:.200}"
         );
     }
-    assert_eq!(s.batch("report", "").status, 400);
+    assert_eq!(s.query("report", "").status, 400);
     // Read by one that is still sending, too.
-    assert_eq!(s.batch("report", &"x".repeat(3_000_000)).status, 413);
+    assert_eq!(s.query("report", &"x".repeat(3_000_000)).status, 413);
     assert_eq!(s.engine.calls("POST"), 0);
 }
 
@@ -103,20 +107,20 @@
 #[test]
 fn every_failure_is_an_outcome_and_never_rows() {
     let s = Service::start();
-    let sent_again = s.batch("report", "SELECT 1 /* full once */");
-    assert!(sent_again.returned(), "full never ran: {sent_again:?}");
+    let sent_again = s.query("report", "SELECT 1 /* full once */");
+    assert!(sent_again.succeeded(), "full never ran: {sent_again:?}");
     for words in ["error", "lost page", "no count", "huge"] {
         let before = s.engine.calls("POST");
-        let answer = s.batch("load", &format!("INSERT /* {words} */"));
+        let answer = s.query("load", &format!("INSERT /* {words} */"));
         assert_eq!(
             (answer.status, s.engine.calls("POST") - before),
             (500, 1),
             "once-only, {words}: {answer:?}"
         );
     }
-    let twice = s.batch("report", "SELECT 1 /* error */");
+    let twice = s.query("report", "SELECT 1 /* error */");
     assert_eq!(
-        (twice.status, &twice.json, twice.come_back),
+        (twice.status, &twice.json, twice.retry_after_ms),
         (503, &json!({"error": "Busy"}), Some(600))
     );
     assert_eq!(
@@ -129,7 +133,7 @@
 #[test]
 fn a_connection_reset_after_the_start_is_asked_about_not_started_again() {
     let s = Service::start();
-    assert!(s.batch("load", "INSERT /* reset */").returned());
+    assert!(s.query("load", "INSERT /* reset */").succeeded());
     assert_eq!(s.engine.calls("POST"), 1);
 }
 
@@ -155,14 +159,14 @@
         "surplus",
     ] {
         for kind in ["pages", "one"] {
-            let answer = s.batch("load", &format!("INSERT /* {kind} */ /* spoilt {spoil} */"));
+            let answer = s.query("load", &format!("INSERT /* {kind} */ /* spoilt {spoil} */"));
             assert_eq!(
                 (answer.status, answer.json),
                 (200, rows(kind)),
                 "{spoil}, {kind}"
             );
             assert_eq!(
-                s.batch("report", "SELECT 1").json,
+                s.query("report", "SELECT 1").json,
                 rows("one"),
                 "after {spoil}"
             );
@@ -176,7 +180,7 @@
 fn an_answer_that_does_not_come_is_asked_for_once_news_is_due() {
     let s = Service::start();
     let began = Instant::now();
-    assert!(s.batch("load", "INSERT /* late */").returned());
+    assert!(s.query("load", "INSERT /* late */").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(700),
         "{:?}",
@@ -190,21 +194,21 @@
 fn a_dispatch_whose_end_is_not_known_is_given_up_before_it_counts_as_over() {
     let s = Service::start();
     assert_eq!(
-        s.batch("load", "INSERT /* reset */ /* forgets */").status,
+        s.query("load", "INSERT /* reset */ /* forgets */").status,
         500
     );
-    until("the DELETE", || {
+    wait_until("the DELETE", || {
         (s.engine.calls("POST"), s.engine.calls("DELETE")) == (1, 1)
     });
     assert_eq!(
-        s.batch(
+        s.query(
             "load",
             "INSERT /* reset */ /* forgets */ /* loses delete */"
         )
         .status,
         500
     );
-    until("the DELETE asked again", || {
+    wait_until("the DELETE asked again", || {
         (s.engine.calls("POST"), s.engine.calls("DELETE")) == (2, 3)
     });
 }
@@ -215,7 +219,7 @@
         let dead = free_address().to_string();
         c["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(dead);
     });
-    let answer = s.batch_of(&new_id(), "load", 3000, "INSERT 1");
+    let answer = s.query_with_id(&new_id(), "load", 3000, "INSERT 1");
     assert_eq!(
         (answer.status, &answer.json["error"]),
         (503, &json!("Busy"))
@@ -226,14 +230,14 @@
 fn a_silent_engine_is_answered_for_in_time_and_given_up() {
     let s = Service::start();
     let (id, began) = (new_id(), Instant::now());
-    let answer = s.batch_of(&id, "load", 1000, "INSERT /* silent */");
+    let answer = s.query_with_id(&id, "load", 1000, "INSERT /* silent */");
     assert_eq!(answer.status, 500);
     assert!(
         began.elapsed() < Duration::from_millis(1050),
         "{:?}",
         began.elapsed()
     );
-    until("the DELETE", || {
+    wait_until("the DELETE", || {
         s.engine.calls(&format!("DELETE /c/{id}")) == 1
     });
 }
@@ -246,7 +250,7 @@
     send(
         &stream,
         "POST /v1/report",
-        &fields(&new_id(), 1000),
+        &request_fields(&new_id(), 1000),
         "SELECT 1 /* keeps delete */",
     );
     sleep(Duration::from_millis(800));
@@ -254,9 +258,9 @@
     let unix = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
-    let mut restarted = line("s-1", s.engine.address, "SERVING");
+    let mut restarted = endpoint("s-1", s.engine.address, "SERVING");
     restarted["started_ms"] = json!(unix.as_millis() as u64);
-    s.log.tell(change(1, false, &[restarted]));
+    s.log.publish(list_event(1, false, &[restarted]));
     let answer = Answer::of(read_message(&mut BufReader::new(stream)).unwrap());
     assert_eq!(answer.status, 503);
     assert!(
@@ -275,18 +279,24 @@
         send(
             &stream,
             "POST /v1/report",
-            &fields(&id, 3000),
+            &request_fields(&id, 3000),
             "SELECT 1 /* slow */",
         );
-        until("the start", || {
+        wait_until("the start", || {
             s.engine.started.lock().unwrap().contains_key(&id)
         });
         if how == "deletes" {
-            let answer = call(s.open(), "DELETE /v1/report", &fields(&id, 3000), "").unwrap();
-            assert_eq!(answer.first, "HTTP/1.1 204 No Content");
+            let answer = call(
+                s.open(),
+                "DELETE /v1/report",
+                &request_fields(&id, 3000),
+                "",
+            )
+            .unwrap();
+            assert_eq!(answer.start_line, "HTTP/1.1 204 No Content");
         }
         drop(stream);
-        until(how, || s.engine.calls(&format!("DELETE /c/{id}")) == 1);
+        wait_until(how, || s.engine.calls(&format!("DELETE /c/{id}")) == 1);
     }
 }
 
@@ -299,19 +309,19 @@
         send(
             &stream,
             "POST /v1/load",
-            &fields(&id, 3000),
+            &request_fields(&id, 3000),
             "INSERT /* slow */",
         );
         stream
     });
     for stream in both {
-        assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).returned());
+        assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
     // Made again it gets the same answer, and no second attempt is made; with another statement it gets neither.
     assert!(s
-        .batch_of(&id, "load", 3000, "INSERT /* slow */")
-        .returned());
-    assert_eq!(s.batch_of(&id, "load", 3000, "INSERT").status, 409);
+        .query_with_id(&id, "load", 3000, "INSERT /* slow */")
+        .succeeded());
+    assert_eq!(s.query_with_id(&id, "load", 3000, "INSERT").status, 409);
     assert_eq!(s.engine.calls("POST"), 1);
     // A client whose connection is lost has 50 ms to come again; a slow machine may take longer, so some tries.
     let joined = (0..10).any(|_| {
@@ -320,15 +330,15 @@
         send(
             &lost,
             "POST /v1/report",
-            &fields(&id, 3000),
+            &request_fields(&id, 3000),
             "SELECT 1 /* slow */",
         );
-        until("the start", || {
+        wait_until("the start", || {
             s.engine.started.lock().unwrap().contains_key(&id)
         });
         drop(lost);
-        s.batch_of(&id, "report", 3000, "SELECT 1 /* slow */")
-            .returned()
+        s.query_with_id(&id, "report", 3000, "SELECT 1 /* slow */")
+            .succeeded()
     });
     assert!(joined);
 }
@@ -341,16 +351,17 @@
     send(
         &stream,
         "POST /v1/report",
-        &fields(&id, 3000),
+        &request_fields(&id, 3000),
         "SELECT 1 /* slow */",
     );
-    until("the start", || s.engine.calls("POST") == 1);
-    assert_eq!(s.batch_of(&id, "report", 3000, "SELECT 2").status, 409);
+    wait_until("the start", || s.engine.calls("POST") == 1);
+    assert_eq!(s.query_with_id(&id, "report", 3000, "SELECT 2").status, 409);
     assert_eq!(
-        s.batch_of(&id, "load", 3000, "SELECT 1 /* slow */").status,
+        s.query_with_id(&id, "load", 3000, "SELECT 1 /* slow */")
+            .status,
         409
     );
-    assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).returned());
+    assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     assert_eq!(s.engine.calls("POST"), 1);
 }
 
@@ -365,10 +376,10 @@
             let answer = call(
                 stream.try_clone().unwrap(),
                 "POST /v1/report",
-                &fields(&new_id(), 3000),
+                &request_fields(&new_id(), 3000),
                 "SELECT 1",
             );
-            assert!(Answer::of(answer.unwrap()).returned());
+            assert!(Answer::of(answer.unwrap()).succeeded());
             stream
         })
         .collect();
@@ -382,7 +393,7 @@
         .write_all(b"POST /v1/report HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\nSEL")
         .unwrap();
     let began = Instant::now();
-    assert!(s.batch("report", "SELECT 1").returned());
+    assert!(s.query("report", "SELECT 1").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(1500),
         "{:?}",
@@ -392,7 +403,7 @@
     send(
         &asking,
         "POST /v1/report",
-        &fields(&new_id(), 3000),
+        &request_fields(&new_id(), 3000),
         "SELECT 1 /* very slow */",
     );
     for mut stream in silent.into_iter().chain([half, body]) {
@@ -412,7 +423,7 @@
     );
     drop(kept);
     assert!(
-        Answer::of(read_message(&mut BufReader::new(asking)).expect("an answer")).returned(),
+        Answer::of(read_message(&mut BufReader::new(asking)).expect("an answer")).succeeded(),
         "it asked"
     );
 }
@@ -423,7 +434,10 @@
     let streams: Vec<TcpStream> = (0..3)
         .map(|n| {
             let stream = s.open();
-            let fields = format!("{}X-Item: 7f3a9c21e0b4d655\r\n", fields(&new_id(), 2900));
+            let fields = format!(
+                "{}X-Item: 7f3a9c21e0b4d655\r\n",
+                request_fields(&new_id(), 2900)
+            );
             send(
                 &stream,
                 "POST /v1/load",
@@ -436,7 +450,7 @@
         .collect();
     assert_eq!(s.engine.calls("POST"), 1, "the others wait for the first");
     for stream in streams {
-        assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).returned());
+        assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
     let calls = s.engine.calls.lock().unwrap().join("\n");
     let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
@@ -447,50 +461,53 @@
 fn the_change_log_is_followed_over_faults_and_lost_connections() {
     let s = Service::start();
     let other = Engine::start();
-    s.log.tell(
+    s.log.publish(
         json!({"seq": 1, "fleet": {"full": false, "servers": [{"id": "s-2", "state": "ODD"}]}}),
     );
-    s.log.tell(change(
+    s.log.publish(list_event(
         2,
         false,
         &[
-            line("s-1", s.engine.address, "DRAINING"),
-            line("s-2", other.address, "SERVING"),
+            endpoint("s-1", s.engine.address, "DRAINING"),
+            endpoint("s-2", other.address, "SERVING"),
         ],
     ));
     // The malformed event is asked for again once, then passed over.
-    until("the second connection", || {
-        s.log.readers.lock().unwrap().starts_with(&[0, 0])
+    wait_until("the second connection", || {
+        s.log.last_event_ids.lock().unwrap().starts_with(&[0, 0])
     });
-    until("the new engine", || {
-        s.batch("report", "SELECT 1").returned() && other.calls("POST") > 0
+    wait_until("the new engine", || {
+        s.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
     });
     let before = s.engine.calls("POST");
-    assert!(s.batch("report", "SELECT 1").returned());
+    assert!(s.query("report", "SELECT 1").succeeded());
     assert_eq!(
         s.engine.calls("POST"),
         before,
         "nothing new to an engine that drains"
     );
-    s.log.hang_up();
-    until("the third connection", || {
-        s.log.readers.lock().unwrap().last() == Some(&2)
+    s.log.close_streams();
+    wait_until("the third connection", || {
+        s.log.last_event_ids.lock().unwrap().last() == Some(&2)
     });
-    s.log
-        .tell(change(3, true, &[line("s-3", s.engine.address, "SERVING")]));
-    until("the whole list", || {
-        s.batch("report", "SELECT 1").returned() && s.engine.calls("POST") > before
+    s.log.publish(list_event(
+        3,
+        true,
+        &[endpoint("s-3", s.engine.address, "SERVING")],
+    ));
+    wait_until("the whole list", || {
+        s.query("report", "SELECT 1").succeeded() && s.engine.calls("POST") > before
     });
     let left = other.calls("POST");
-    assert!(s.batch("report", "SELECT 1").returned());
+    assert!(s.query("report", "SELECT 1").succeeded());
     assert_eq!(
         other.calls("POST"),
         left,
         "what a whole list does not name is gone"
     );
-    s.log.mute.store(true, Ordering::Relaxed);
-    until("a fresh connection in place of a silent one", || {
-        s.log.readers.lock().unwrap().last() == Some(&3)
+    s.log.paused.store(true, Ordering::Relaxed);
+    wait_until("a fresh connection in place of a silent one", || {
+        s.log.last_event_ids.lock().unwrap().last() == Some(&3)
     });
 }
 
@@ -507,13 +524,16 @@
         config,
         address,
     };
-    until("the port", || TcpStream::connect(address).is_ok());
-    let health = || call(s.open(), "GET /healthz", "", "").unwrap().first;
+    wait_until("the port", || TcpStream::connect(address).is_ok());
+    let health = || call(s.open(), "GET /healthz", "", "").unwrap().start_line;
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
-    s.log
-        .tell(change(1, true, &[line("s-1", s.engine.address, "SERVING")]));
-    s.healthy();
-    assert!(s.batch("report", "SELECT 1").returned());
+    s.log.publish(list_event(
+        1,
+        true,
+        &[endpoint("s-1", s.engine.address, "SERVING")],
+    ));
+    s.wait_until_healthy();
+    assert!(s.query("report", "SELECT 1").succeeded());
 }
 
 #[test]
@@ -523,18 +543,18 @@
     send(
         &slow,
         "POST /v1/report",
-        &fields(&new_id(), 3000),
+        &request_fields(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    until("the start", || s.engine.calls("POST") == 1);
+    wait_until("the start", || s.engine.calls("POST") == 1);
     let began = Instant::now();
     s.signal("TERM");
     sleep(Duration::from_millis(300));
     assert!(
-        s.batch("report", "SELECT 1").returned(),
+        s.query("report", "SELECT 1").succeeded(),
         "connections still come"
     );
-    assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).returned());
+    assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
     assert!(s.child.wait().unwrap().success());
     assert!(began.elapsed() < Duration::from_millis(3700));
 }
@@ -547,10 +567,10 @@
     send(
         &silent,
         "POST /v1/load",
-        &fields(&new_id(), 20_000),
+        &request_fields(&new_id(), 20_000),
         "INSERT /* silent */",
     );
-    until("the start", || s.engine.calls("POST") == 1);
+    wait_until("the start", || s.engine.calls("POST") == 1);
     let began = Instant::now();
     s.signal("TERM");
     assert_eq!(
@@ -568,23 +588,23 @@
 /// Days of new configurations crashed the gateway: SIGHUP was not handled.
 #[test]
 fn sighup_follows_the_new_change_log_and_keeps_the_old_file_where_the_new_one_is_faulty() {
-    let path = file(&Value::Null);
-    let mut s = Service::by(
+    let path = write_config(&Value::Null);
+    let mut s = Service::with_launcher(
         |_| {},
         |config| {
             std::fs::write(&path, config.to_string()).unwrap();
             serve_from(&path, Stdio::piped())
         },
     );
-    s.log.tell(change(1, false, &[]));
-    until("the first log", || {
-        s.log.readers.lock().unwrap().as_slice() == [0]
+    s.log.publish(list_event(1, false, &[]));
+    wait_until("the first log", || {
+        s.log.last_event_ids.lock().unwrap().as_slice() == [0]
     });
     let slow = s.open();
     send(
         &slow,
         "POST /v1/report",
-        &fields(&new_id(), 3000),
+        &request_fields(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
     std::fs::write(&path, "{").unwrap();
@@ -597,21 +617,28 @@
         .unwrap()
         .iter()
         .for_each(|e| new.events.lock().unwrap().push(e.clone()));
-    new.tell(change(2, true, &[line("s-2", other.address, "SERVING")]));
+    new.publish(list_event(
+        2,
+        true,
+        &[endpoint("s-2", other.address, "SERVING")],
+    ));
     s.config["changelog"] = json!(new.address.to_string());
     s.config["limits"]["sockets"] = json!(512);
     std::fs::write(&path, s.config.to_string()).unwrap();
     s.signal("HUP");
-    until("the new log from the last number", || {
-        new.readers.lock().unwrap().as_slice() == [1]
+    wait_until("the new log from the last number", || {
+        new.last_event_ids.lock().unwrap().as_slice() == [1]
     });
-    s.log
-        .tell(change(2, true, &[line("s-3", free_address(), "SERVING")]));
-    until("the new engine", || {
-        s.batch("report", "SELECT 1").returned() && other.calls("POST") > 0
+    s.log.publish(list_event(
+        2,
+        true,
+        &[endpoint("s-3", free_address(), "SERVING")],
+    ));
+    wait_until("the new engine", || {
+        s.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
     });
     assert!(
-        Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).returned(),
+        Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded(),
         "no batch notices"
     );
     s.signal("TERM");
@@ -637,15 +664,15 @@
     send(
         &open,
         "POST /v1/report",
-        &fields(&new_id(), 3000),
+        &request_fields(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    until("the start", || s.engine.calls("POST") == 1);
+    wait_until("the start", || s.engine.calls("POST") == 1);
     s.signal("KILL");
     s.child.wait().unwrap();
     s.child = serve(&s.config);
-    s.healthy();
-    assert!(s.batch("report", "SELECT 1").returned());
+    s.wait_until_healthy();
+    assert!(s.query("report", "SELECT 1").succeeded());
 }
 
 #[test]
@@ -658,18 +685,18 @@
         let mut command = Command::new("sh");
         command
             .args(["-c", &start])
-            .env("PROXY_CONFIG", file(config))
+            .env("PROXY_CONFIG", write_config(config))
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let s = Service::by(|c| c["limits"]["sockets"] = json!(64), limited);
+    let s = Service::with_launcher(|c| c["limits"]["sockets"] = json!(64), limited);
     let streams: Vec<TcpStream> = (0..60)
         .map(|_| {
             let stream = s.open();
             send(
                 &stream,
                 "POST /v1/report",
-                &fields(&new_id(), 3000),
+                &request_fields(&new_id(), 3000),
                 "SELECT 1 /* slow */",
             );
             stream
@@ -678,13 +705,16 @@
     for stream in streams {
         // Connections are closed as they are answered, so that waiting ones are accepted.
         let answer = Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer"));
-        assert!(answer.returned() || answer.status == 503, "{answer:?}");
+        assert!(answer.succeeded() || answer.status == 503, "{answer:?}");
     }
-    assert!(s.batch("report", "SELECT 1").returned(), "and it serves on");
+    assert!(
+        s.query("report", "SELECT 1").succeeded(),
+        "and it serves on"
+    );
 }
 
 fn run(arguments: &[&str], file: Option<&std::path::Path>) -> Output {
-    let mut command = program(arguments);
+    let mut command = gateway_command(arguments);
     if let Some(file) = file {
         command.env("PROXY_CONFIG", file);
     }
@@ -718,7 +748,7 @@
         let mut config = config(address, address);
         *config.pointer_mut(key).unwrap() = value;
         for command in ["check-config", "serve"] {
-            let output = run(&[command], Some(&file(&config)));
+            let output = run(&[command], Some(&write_config(&config)));
             let said = String::from_utf8_lossy(&output.stderr).into_owned();
             assert!(
                 !output.status.success() && said.contains(named),
@@ -728,11 +758,12 @@
         }
     }
     assert!(!run(&["serve"], None).status.success());
-    assert!(
-        run(&["check-config"], Some(&file(&config(address, address))))
-            .status
-            .success()
-    );
+    assert!(run(
+        &["check-config"],
+        Some(&write_config(&config(address, address)))
+    )
+    .status
+    .success());
     assert!(String::from_utf8_lossy(&run(&["version"], None).stdout).starts_with("garnetwall "));
     assert!(!run(&["dance"], None).status.success());
 }
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use helper::process::{ms, Dispatch, Process};
+use helper::process::{ms, EngineProcess, ReceivedAttempt};
 use helper::*;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
 
 /// A gateway before many engines.
 struct World {
-    engines: Vec<Process>,
+    engines: Vec<EngineProcess>,
     service: Service,
     said: PathBuf,
     /// The number of the change that was told last.
@@ -42,24 +42,24 @@
     format!("z{}", engine % ZONES)
 }
 
-fn line_of(id: &str, engine: usize, process: &Process, state: &str) -> Value {
-    let mut line = line(id, process.address, state);
+fn line_of(id: &str, engine: usize, process: &EngineProcess, state: &str) -> Value {
+    let mut line = endpoint(id, process.address, state);
     line["zone"] = json!(zone(engine));
     line
 }
 
 impl World {
     fn start() -> World {
-        let engines: Vec<Process> = (0..ENGINES).map(|_| Process::start()).collect();
+        let engines: Vec<EngineProcess> = (0..ENGINES).map(|_| EngineProcess::start()).collect();
         let lines: Vec<Value> = engines
             .iter()
             .enumerate()
             .map(|(n, e)| line_of(&format!("s-{n}"), n, e, "SERVING"))
             .collect();
         let said = Mutex::new(PathBuf::new());
-        let service = Service::by(
+        let service = Service::with_launcher(
             |config| {
-                config["known"]["results"][0] = change(0, true, &lines);
+                config["known"]["results"][0] = list_event(0, true, &lines);
                 config["settings"]["zones"] = (0..ZONES).map(zone).collect();
                 config["settings"]["balancers"] = json!(GATEWAYS);
                 config["settings"]["domain"]["kind-cores"] = json!([CORES]);
@@ -70,7 +70,7 @@
                     "joins_per_second": 20.0});
             },
             |config| {
-                let file = file(config);
+                let file = write_config(config);
                 let path = file.with_extension("said");
                 let child = serve_from(&file, File::create(&path).unwrap().into());
                 *said.lock().unwrap() = path;
@@ -95,10 +95,10 @@
     }
 
     /// Tells a change, and waits until the gateway has applied it.
-    fn tell(&self, whole: bool, lines: &[Value]) {
+    fn publish(&self, whole: bool, lines: &[Value]) {
         let number = self.number.fetch_add(1, Ordering::Relaxed) + 1;
-        self.service.log.tell(change(number, whole, lines));
-        until("the change is applied", || {
+        self.service.log.publish(list_event(number, whole, lines));
+        wait_until("the change is applied", || {
             self.said()
                 .contains(&format!("engine list updated event={number} "))
         });
@@ -113,8 +113,8 @@
                 scope.spawn(move || {
                     let answer = self
                         .service
-                        .batch("report", &format!("SELECT {n} /* runs 250 */"));
-                    returned.fetch_add(u64::from(answer.returned()), Ordering::Relaxed);
+                        .query("report", &format!("SELECT {n} /* runs 250 */"));
+                    returned.fetch_add(u64::from(answer.succeeded()), Ordering::Relaxed);
                 });
             }
         });
@@ -125,9 +125,9 @@
     fn used(&self, since: Instant) -> BTreeSet<usize> {
         let used = |n: &usize| {
             self.engines[*n]
-                .dispatches()
+                .attempts()
                 .iter()
-                .any(|d| d.came >= since)
+                .any(|d| d.received_at >= since)
         };
         (0..self.engines.len()).filter(used).collect()
     }
@@ -153,14 +153,14 @@
     }
 
     /// All that was started with a text, as it came.
-    fn started(&self, text: &str) -> Vec<Dispatch> {
-        let of = |e: &Process| {
-            e.dispatches()
+    fn started(&self, text: &str) -> Vec<ReceivedAttempt> {
+        let of = |e: &EngineProcess| {
+            e.attempts()
                 .into_iter()
                 .filter(|d| d.statement.contains(text))
         };
-        let mut started: Vec<Dispatch> = self.engines.iter().flat_map(of).collect();
-        started.sort_by_key(|d| d.came);
+        let mut started: Vec<ReceivedAttempt> = self.engines.iter().flat_map(of).collect();
+        started.sort_by_key(|d| d.received_at);
         started
     }
 }
@@ -171,7 +171,7 @@
     send(
         &stream,
         &format!("POST /v1/{group}"),
-        &format!("{}{more}", fields(&new_id(), 3000)),
+        &format!("{}{more}", request_fields(&new_id(), 3000)),
         statement,
     );
     stream
@@ -212,18 +212,18 @@
             )
         })
         .collect();
-    until("they are out", || world.started("/* out */").len() == SIZE);
+    wait_until("they are out", || world.started("/* out */").len() == SIZE);
     let drained: BTreeSet<usize> = members.iter().copied().take(3).collect();
-    let out = |d: &Dispatch| {
+    let out = |d: &ReceivedAttempt| {
         drained
             .iter()
-            .any(|n| world.engines[*n].dispatches().iter().any(|o| o.id == d.id))
+            .any(|n| world.engines[*n].attempts().iter().any(|o| o.id == d.id))
     };
     assert!(
         world.started("/* out */").iter().any(out),
         "something runs on one that drains"
     );
-    world.tell(
+    world.publish(
         false,
         &drained
             .iter()
@@ -235,10 +235,10 @@
     assert!(after.is_disjoint(&drained), "{after:?} after {drained:?}");
     assert!(world.used(told).is_disjoint(&drained));
     for stream in streams {
-        assert!(answer(stream).returned());
+        assert!(answer(stream).succeeded());
     }
     for d in world.started("/* out */") {
-        assert_eq!(d.over, None, "nothing was given up: {d:?}");
+        assert_eq!(d.stopped_at, None, "nothing was given up: {d:?}");
     }
     assert_eq!(
         world.started("/* out */").len(),
@@ -246,7 +246,7 @@
         "nothing was started twice"
     );
     // One that takes work again may come back, and the gateway works on.
-    world.tell(
+    world.publish(
         false,
         &drained
             .iter()
@@ -262,25 +262,25 @@
     let members = world.members();
     let killed: BTreeSet<usize> = members.iter().copied().take(KILLED).collect();
     for n in &killed {
-        world.engines[*n].dies();
+        world.engines[*n].kill();
     }
     let since = Instant::now();
     assert_eq!(world.work(), 4 * SIZE, "before the list tells");
     assert!(world.used(since).len() >= SIZE - killed.len());
     // The list has others in their places.
     let mut lines: Vec<Value> = killed.iter().map(|n| world.line(*n, "DELETED")).collect();
-    let newcomers: Vec<Process> = killed.iter().map(|_| Process::start()).collect();
+    let newcomers: Vec<EngineProcess> = killed.iter().map(|_| EngineProcess::start()).collect();
     for (n, process) in killed.iter().zip(&newcomers) {
         lines.push(line_of(&format!("s-new-{n}"), *n, process, "SERVING"));
     }
-    world.tell(false, &lines);
+    world.publish(false, &lines);
     let begun = Instant::now();
     loop {
         let since = Instant::now();
         assert_eq!(world.work(), 4 * SIZE);
         let new = newcomers
             .iter()
-            .filter(|e| e.dispatches().iter().any(|d| d.came >= since))
+            .filter(|e| e.attempts().iter().any(|d| d.received_at >= since))
             .count();
         if world.used(since).len() + new >= SIZE {
             break;
@@ -296,7 +296,7 @@
     let world = World::start();
     let dead: BTreeSet<usize> = (0..ENGINES).filter(|n| n % ZONES == 1).collect();
     for n in &dead {
-        world.engines[*n].dies();
+        world.engines[*n].kill();
     }
     let begun = Instant::now();
     world.work();
@@ -323,9 +323,9 @@
     world.members();
     let lost: BTreeSet<usize> = (0..ENGINES).filter(|n| n % ZONES == 1).collect();
     for n in &lost {
-        world.engines[*n].dies();
+        world.engines[*n].kill();
     }
-    world.tell(
+    world.publish(
         false,
         &lost
             .iter()
@@ -358,7 +358,7 @@
         (&all[..], true),
         (&all[..], false),
     ] {
-        world.tell(whole, &lines(part));
+        world.publish(whole, &lines(part));
         let told = Instant::now();
         assert_eq!(world.work(), 4 * SIZE);
         let used = world.used(told);
@@ -369,15 +369,15 @@
         );
     }
     // A list that has no engine, and one that has fewer than the subset.
-    world.tell(true, &[]);
-    world.tell(true, &lines(&all[..3]));
+    world.publish(true, &[]);
+    world.publish(true, &lines(&all[..3]));
     let told = Instant::now();
     assert_eq!(world.work(), 4 * SIZE);
     assert_eq!(world.used(told), all[..3].iter().copied().collect());
     // The log is away for a while, and tells all that was missed at once.
-    world.service.log.hang_up();
-    world.tell(false, &lines(half));
-    world.tell(true, &lines(&all));
+    world.service.log.close_streams();
+    world.publish(false, &lines(half));
+    world.publish(true, &lines(&all));
     assert!(world.members().len() >= SIZE);
 }
 
@@ -406,7 +406,7 @@
             (at(n + 1), "DELETED"),
             (at(n.wrapping_sub(1) % ENGINES), "SERVING"),
         ];
-        world.tell(false, &changed.map(|(n, state)| world.line(n, state)));
+        world.publish(false, &changed.map(|(n, state)| world.line(n, state)));
         if n == BATCHES / 2 {
             world.service.signal("HUP");
         }
@@ -414,7 +414,7 @@
     let returned = streams
         .into_iter()
         .map(answer)
-        .filter(Answer::returned)
+        .filter(Answer::succeeded)
         .count();
     for key in 0..KEYS {
         let started = world.started(&format!("INSERT key-{key} "));
@@ -427,8 +427,8 @@
             "key {key}: {numbers:?}"
         );
         for pair in started.windows(2) {
-            let end = pair[0].end().expect("it is over");
-            assert!(end <= pair[1].came, "key {key}: {pair:?}");
+            let end = pair[0].ended_at().expect("it is over");
+            assert!(end <= pair[1].received_at, "key {key}: {pair:?}");
         }
         let ids: BTreeSet<&String> = started.iter().map(|d| &d.id).collect();
         assert_eq!(
@@ -448,8 +448,8 @@
         config["settings"]["kinds"] = json!(["std", "large"]);
     });
     let (config, plan) = (
-        file(&service.config),
-        file(&json!({})).with_extension("plan"),
+        write_config(&service.config),
+        write_config(&json!({})).with_extension("plan"),
     );
     let check = |text: &str| {
         std::fs::write(&plan, text).unwrap();
@@ -460,7 +460,7 @@
             "--plan",
             plan.to_str().unwrap(),
         ];
-        let ended = program(&arguments).output().unwrap();
+        let ended = gateway_command(&arguments).output().unwrap();
         (
             ended.status.success(),
             String::from_utf8(ended.stderr).unwrap(),
@@ -491,7 +491,7 @@
     config["subset"]["size"] = json!(2 * SIZE);
     std::fs::write(&file, config.to_string()).unwrap();
     world.service.signal("HUP");
-    until("it is read again", || {
+    wait_until("it is read again", || {
         world.said().contains("configuration reloaded")
     });
     assert!(
@@ -505,7 +505,7 @@
     config["subset"]["size"] = json!(0);
     std::fs::write(&file, config.to_string()).unwrap();
     world.service.signal("HUP");
-    until("it is refused", || {
+    wait_until("it is refused", || {
         world.said().contains("configuration not reloaded")
     });
     assert!(world.said().contains("subset.size: 0 "), "{}", world.said());
@@ -515,7 +515,7 @@
     sleep(ms(100));
     world.service.signal("TERM");
     for stream in out {
-        assert!(answer(stream).returned());
+        assert!(answer(stream).succeeded());
     }
     let status = world.service.child.wait().unwrap();
     assert!(status.success(), "{status}: {}", world.said());
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -82,7 +82,7 @@
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
         let call = read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("a call");
-        assert_eq!(call.first, "GET /changes HTTP/1.1");
+        assert_eq!(call.start_line, "GET /changes HTTP/1.1");
         Watch {
             stream,
             last: call.fields["last-event-id"].parse().unwrap(),
@@ -147,21 +147,21 @@
 
 /// A list that names this engine alone.
 fn only(number: u64, engine: &Engine) -> Value {
-    change(
+    list_event(
         number,
         true,
-        &[line(&format!("s-{number}x"), engine.address, "SERVING")],
+        &[endpoint(&format!("s-{number}x"), engine.address, "SERVING")],
     )
 }
 
 /// The next batch comes to this engine and to no other.
 fn goes_to(s: &Service, engine: &Engine) -> bool {
     let before = engine.calls("POST");
-    s.batch("report", "SELECT 1").returned() && engine.calls("POST") > before
+    s.query("report", "SELECT 1").succeeded() && engine.calls("POST") > before
 }
 
 fn is_followed(s: &Service, engine: &Engine) {
-    until("the list told is the one in force", || goes_to(s, engine));
+    wait_until("the list told is the one in force", || goes_to(s, engine));
 }
 
 // Who holds the descriptors.
@@ -173,12 +173,12 @@
     let (log, hanging, other) = (Log::start(), Engine::start(), Engine::start());
     let lines = |state: &str| -> Vec<Value> {
         (0..40)
-            .map(|n| line(&format!("s-{n}"), hanging.address, state))
+            .map(|n| endpoint(&format!("s-{n}"), hanging.address, state))
             .collect()
     };
     let s = watched(log.address, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
-        config["known"]["results"] = json!([change(0, true, &lines("SERVING"))]);
+        config["known"]["results"] = json!([list_event(0, true, &lines("SERVING"))]);
     });
     let first = log.opens();
     let address = log.address;
@@ -192,13 +192,13 @@
         send(
             &stream,
             "POST /v1/report",
-            &fields(&new_id(), 3000),
+            &request_fields(&new_id(), 3000),
             "SELECT 1 /* keeps delete */",
         );
         stream
     };
     let batches: Vec<TcpStream> = (0..SOCKETS / 3).map(batch).collect();
-    until("all descriptors of engines are taken", || {
+    wait_until("all descriptors of engines are taken", || {
         hanging.calls("POST") >= all
     });
     assert!(began.elapsed() < ms(1500), "the batches are in hand still");
@@ -208,8 +208,8 @@
         .expect("the watch beside engines that hold their whole budget");
     watch.says(HEAD);
     let mut told = lines("DRAINING");
-    told.push(line("s-other", other.address, "SERVING"));
-    watch.tells(&change(1, false, &told));
+    told.push(endpoint("s-other", other.address, "SERVING"));
+    watch.tells(&list_event(1, false, &told));
     let _lives = watch.lives();
     for stream in batches {
         read_message(&mut BufReader::new(stream)).expect("an answer");
@@ -238,11 +238,11 @@
         let mut command = std::process::Command::new("sh");
         command
             .args(["-c", &start])
-            .env("PROXY_CONFIG", file(config))
+            .env("PROXY_CONFIG", write_config(config))
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let s = Service::by(
+    let s = Service::with_launcher(
         |config| {
             config["changelog"] = json!(address.to_string());
             config["limits"]["sockets"] = json!(SOCKETS);
@@ -263,7 +263,7 @@
     let idle: Vec<TcpStream> = (0..SOCKETS * 2).map(idle).collect();
     for _ in 0..5 {
         assert!(
-            s.batch("report", "SELECT 1").returned(),
+            s.query("report", "SELECT 1").succeeded(),
             "new clients are served without the log"
         );
     }
@@ -453,7 +453,7 @@
 /// Who reads the gateway's log sees each time that it is lost, also where the stream was ended in good order before.
 #[test]
 fn a_log_that_ends_its_stream_and_is_gone_then_is_warned_of_again() {
-    let path = file(&Value::Null).with_extension("log");
+    let path = write_config(&Value::Null).with_extension("log");
     let said = || {
         std::fs::read_to_string(&path)
             .unwrap()
@@ -463,16 +463,21 @@
     let log = Log::start();
     let address = log.address;
     drop(log);
-    let _s = Service::by(
+    let _s = Service::with_launcher(
         |config| config["changelog"] = json!(address.to_string()),
-        |config| serve_from(&file(config), std::fs::File::create(&path).unwrap().into()),
+        |config| {
+            serve_from(
+                &write_config(config),
+                std::fs::File::create(&path).unwrap().into(),
+            )
+        },
     );
-    until("lost at the start", || said() == 1);
+    wait_until("lost at the start", || said() == 1);
     let log = Log::at(address);
     let watch = log.opens();
     drop(log);
     drop(watch);
-    until("lost again", || said() == 2);
+    wait_until("lost again", || said() == 2);
     sleep(PAUSES * 2);
     assert_eq!(said(), 2, "and told once");
 }
@@ -487,12 +492,12 @@
 
 impl Reloading {
     fn start(log: SocketAddr, change_more: impl Fn(&mut Value)) -> Reloading {
-        let path = file(&Value::Null);
+        let path = write_config(&Value::Null);
         let serve = |config: &Value| -> Child {
             std::fs::write(&path, config.to_string()).unwrap();
             serve_from(&path, Stdio::null())
         };
-        let s = Service::by(
+        let s = Service::with_launcher(
             |config| {
                 config["changelog"] = json!(log.to_string());
                 config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -549,7 +554,7 @@
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
     });
     let watch = old.opens();
-    watch.tells(&change(1, false, &[]));
+    watch.tells(&list_event(1, false, &[]));
     drop(watch);
     drop(old.opens());
     let paused = Instant::now();
@@ -636,16 +641,20 @@
     let (log, newer, older) = (Log::start(), Engine::start(), Engine::start());
     let s = watched(log.address, |_| {});
     let watch = log.opens();
-    watch.tells(&change(1, false, &[line("s-a", older.address, "SERVING")]));
+    watch.tells(&list_event(
+        1,
+        false,
+        &[endpoint("s-a", older.address, "SERVING")],
+    ));
     watch.tells(&only(2, &newer));
     is_followed(&s, &newer);
     let before = older.calls("POST");
     // Late, twice, and a whole list whose number goes back; then as another connection's first events.
     let late = [
-        change(1, false, &[line("s-a", older.address, "SERVING")]),
-        change(2, true, &[line("s-a", older.address, "SERVING")]),
-        change(0, true, &[line("s-a", older.address, "SERVING")]),
-        change(1, true, &[line("s-a", older.address, "SERVING")]),
+        list_event(1, false, &[endpoint("s-a", older.address, "SERVING")]),
+        list_event(2, true, &[endpoint("s-a", older.address, "SERVING")]),
+        list_event(0, true, &[endpoint("s-a", older.address, "SERVING")]),
+        list_event(1, true, &[endpoint("s-a", older.address, "SERVING")]),
     ];
     late.iter().for_each(|event| watch.tells(event));
     for _ in 0..10 {
@@ -707,11 +716,11 @@
     // The third came where the second was due: the first has been applied by then.
     let watch = log.opens();
     assert_eq!(watch.last, 1);
-    let health = || call(s.open(), "GET /healthz", "", "").unwrap().first;
+    let health = || call(s.open(), "GET /healthz", "", "").unwrap().start_line;
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
     watch.tells(&only(2, &s.engine));
     let _lives = watch.lives();
-    s.healthy();
+    s.wait_until_healthy();
 }
 
 /// A log that is slow or crowded: each connection brings its first line only after longer than a silent one is waited for.
@@ -731,7 +740,7 @@
     let began = Instant::now();
     let address = log.address;
     let listener = log.listener;
-    let list = change(1, true, &[line("s-1", engine.address, "SERVING")]);
+    let list = list_event(1, true, &[endpoint("s-1", engine.address, "SERVING")]);
     spawn(move || loop {
         let Ok((stream, _)) = listener.accept() else {
             sleep(ms(2));
@@ -750,7 +759,7 @@
         let asked = TcpStream::connect(service.address)
             .ok()
             .and_then(|s| call(s, "GET /healthz", "", ""));
-        asked.is_some_and(|answer| answer.first == "HTTP/1.1 200 OK")
+        asked.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
     };
     while !healthy() {
         assert!(
