--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -197,7 +197,7 @@
     (&stream)
         .write_all(post(&id, "report", "", "SELECT 1 /* slow */").as_bytes())
         .unwrap();
-    until("the start", || {
+    wait_until("the start", || {
         s.engine.started.lock().unwrap().contains_key(&id)
     });
     let withdrawn = post(&id, "report", "", "").replace("POST", "DELETE");
@@ -237,11 +237,11 @@
     std::fs::create_dir_all(&folder).unwrap();
     let plan = folder.join("a.plan");
     std::fs::write(&plan, text).unwrap();
-    let service = Service::by(
+    let service = Service::with_launcher(
         |_| {},
         |config| {
-            let mut command = program(&["serve", "--plan", plan.to_str().unwrap()]);
-            let command = command.env("PROXY_CONFIG", file(config));
+            let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
+            let command = command.env("PROXY_CONFIG", write_config(config));
             command.stderr(Stdio::null()).spawn().unwrap()
         },
     );
@@ -272,7 +272,7 @@
         )
     );
     for _ in 0..2 {
-        s.batch("report", "SELECT 1");
+        s.query("report", "SELECT 1");
     }
     let limited = answer_to(s.address, &post(&new_id(), "report", "", "SELECT 1"));
     let (before, rest) = limited.split_once("x-wait-ms: ").expect("x-wait-ms");
@@ -293,7 +293,7 @@
     (&slow)
         .write_all(post(&id, "load", "", "INSERT /* slow */").as_bytes())
         .unwrap();
-    until("the start", || s.engine.calls("POST") == 3);
+    wait_until("the start", || s.engine.calls("POST") == 3);
     assert_eq!(
         answer_to(s.address, &post(&new_id(), "load", "", "INSERT")),
         short(
@@ -314,7 +314,7 @@
     config["known"] = json!(null);
     let address = config["listen"].as_str().unwrap().parse().unwrap();
     let _gateway = Killed(serve(&config));
-    until("it listens", || TcpStream::connect(address).is_ok());
+    wait_until("it listens", || TcpStream::connect(address).is_ok());
     assert_eq!(
         answer_to(address, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"),
         "HTTP/1.1 503 Service Unavailable\r\ncontent-type: text/plain; charset=utf-8\r\ncontent-length: 12\r\n\r\n\
@@ -369,7 +369,7 @@
             let calls = self.calls.lock().unwrap();
             calls.iter().find(|call| call.starts_with(start)).cloned()
         };
-        until(start, || found().is_some());
+        wait_until(start, || found().is_some());
         found().unwrap()
     }
 
@@ -397,10 +397,10 @@
         let lines: Vec<_> = addresses
             .iter()
             .enumerate()
-            .map(|(i, address)| line(&format!("s-{i}"), *address, "SERVING"))
+            .map(|(i, address)| endpoint(&format!("s-{i}"), *address, "SERVING"))
             .collect();
-        config["known"]["results"] = json!([change(0, true, &lines)]);
-        let mut keyed = group("keyed", "dedup", 3000.0);
+        config["known"]["results"] = json!([list_event(0, true, &lines)]);
+        let mut keyed = query_class("keyed", "dedup", 3000.0);
         keyed["key-scope"] = json!("all");
         keyed["dedup-window"] = json!(5000.0);
         let categories = config["settings"]["categories"].as_array_mut().unwrap();
@@ -490,8 +490,8 @@
         config["subset"] = json!({"size": 4, "class_floor": 0, "reserve": 0});
     });
     // An engine is checked before it comes into a subset.
-    let listed = line("s-2", newcomer.address, "SERVING");
-    s.log.tell(change(1, false, &[listed]));
+    let listed = endpoint("s-2", newcomer.address, "SERVING");
+    s.log.publish(list_event(1, false, &[listed]));
     let host = format!("host: {}\r\n", newcomer.address);
     assert_eq!(
         newcomer.first("GET"),
@@ -550,11 +550,11 @@
     };
     let (full, idle) = (with("queue:900;util:1.0"), with("queue:0;util:0.0"));
     let lines = [
-        line("s-1", full.address, "SERVING"),
-        line("s-2", idle.address, "SERVING"),
+        endpoint("s-1", full.address, "SERVING"),
+        endpoint("s-2", idle.address, "SERVING"),
     ];
     let s = Service::with(|config| {
-        config["known"]["results"] = json!([change(0, true, &lines)]);
+        config["known"]["results"] = json!([list_event(0, true, &lines)]);
         config["settings"]["telemetry"]["how"] = json!("inline");
     });
     for _ in 0..40 {
@@ -583,7 +583,7 @@
 #[test]
 fn commands_and_their_exit_codes() {
     let address = free_address();
-    let good = file(&config(address, address));
+    let good = write_config(&config(address, address));
     let good = good.to_str().unwrap();
     let unset = "garnetwall: PROXY_CONFIG: not set; name the file of the configuration there, or with --config\n";
     let cases: [(&[&str], i32, &str, &str); 10] = [
@@ -619,7 +619,7 @@
         ),
     ];
     for (arguments, code, out, err) in cases {
-        let ended = program(arguments)
+        let ended = gateway_command(arguments)
             .env_remove("GARNETWALL_PLAN")
             .output()
             .unwrap();
@@ -671,14 +671,14 @@
 #[test]
 fn names_of_the_environment() {
     let address = free_address();
-    let good = file(&config(address, address));
+    let good = write_config(&config(address, address));
     let ended = |command: &mut Command| {
         let ended = command.output().unwrap();
         let said = [ended.stdout, ended.stderr].concat();
         (ended.status.code(), String::from_utf8(said).unwrap())
     };
     let check = || {
-        let mut command = program(&["check-config"]);
+        let mut command = gateway_command(&["check-config"]);
         command
             .env("PROXY_CONFIG", &good)
             .env_remove("GARNETWALL_PLAN");
@@ -698,7 +698,7 @@
         "{said}"
     );
     let log = |level: &str| {
-        let mut command = program(&["serve"]);
+        let mut command = gateway_command(&["serve"]);
         command
             .env("PROXY_CONFIG", &good)
             .env("GARNETWALL_LOG", level);
@@ -734,11 +734,11 @@
         folder.to_str().unwrap()
     );
     std::fs::write(&plan, text).unwrap();
-    let s = Service::by(
+    let s = Service::with_launcher(
         |_| {},
         |config| {
-            let mut command = program(&["serve", "--plan", plan.to_str().unwrap()]);
-            let command = command.env("PROXY_CONFIG", file(config));
+            let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
+            let command = command.env("PROXY_CONFIG", write_config(config));
             command.stderr(Stdio::null()).spawn().unwrap()
         },
     );
@@ -750,8 +750,8 @@
     assert_eq!(s.engine.calls("POST"), 0);
     // The interrupted record was never on the disk: its query was not sent.
     assert!(s
-        .batch_of("9b1f03aa5c7e2d04", "load", 2500, "INSERT 1")
-        .returned());
+        .query_with_id("9b1f03aa5c7e2d04", "load", 2500, "INSERT 1")
+        .succeeded());
     let stored = std::fs::read(folder.join("n0.once-only")).unwrap();
     assert_eq!((stored.len() % 32, stored[0], stored[1]), (0, b'G', 3));
     drop(s);
