--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -1,6 +1,6 @@
-//! The order of a key where a dispatch's end is not known: engines that record when each dispatch was really out,
-//! and the faults of days in service caused in truth. No two dispatches of a key overlap, every batch has one
-//! answer in its time, and the key is not held longer than the bound.
+//! In-order execution of a key where an attempt's outcome is unknown: stand-in engines record when each attempt ran, under
+//! real faults. No two attempts of a key overlap, every query has one answer in time, and the key is not held longer
+//! than the bound.
 
 mod helper;
 
@@ -13,54 +13,54 @@
 use std::time::{Duration, Instant};
 
 const KEY: &str = "X-Item: 7f3a9c21e0b4d655\r\n";
-/// The rest of a key that the configuration of these tests tells.
-const REST: Duration = Duration::from_millis(200);
-/// For a busy machine.
+/// The `order-pause` of these tests' configuration.
+const KEY_PAUSE: Duration = Duration::from_millis(200);
+/// Tolerance for a busy machine.
 const SLACK: Duration = Duration::from_millis(400);
 
-/// A gateway with two engines: the first batches go to `first`, as `second` is listed only by `hands_over`.
-struct Play {
+/// A gateway with two engines: the first queries go to `first`, as `second` is listed only by `replace_first_engine`.
+struct TwoEngines {
     service: Service,
     first: EngineProcess,
     second: EngineProcess,
 }
 
-/// What came of a batch, and when.
+/// The answer to a query and the time that it took.
 struct Answered {
     after: Duration,
     answer: Option<Answer>,
 }
 
-impl Play {
-    fn start() -> Play {
-        Play::with_limit(3000.0)
+impl TwoEngines {
+    fn start() -> TwoEngines {
+        TwoEngines::with_deadline(3000.0)
     }
 
-    /// With a limit longer than the bound, so that who waits behind a dispatch of unknown end is still sent.
-    fn long() -> Play {
-        Play::with_limit(8000.0)
+    /// A deadline longer than the bound, so that a query queued behind an attempt of unknown outcome is still sent.
+    fn with_long_deadline() -> TwoEngines {
+        TwoEngines::with_deadline(8000.0)
     }
 
-    fn with_limit(limit: f64) -> Play {
-        Play::with(|settings| settings["categories"][1]["give-up"] = json!(limit))
+    fn with_deadline(limit: f64) -> TwoEngines {
+        TwoEngines::with(|settings| settings["categories"][1]["give-up"] = json!(limit))
     }
 
-    fn with(change: impl Fn(&mut Value)) -> Play {
+    fn with(change: impl Fn(&mut Value)) -> TwoEngines {
         let (first, second) = (EngineProcess::start(), EngineProcess::start());
         let at = first.address;
         let service = Service::with(|config| {
             config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at.to_string());
             change(&mut config["settings"]);
         });
-        Play {
+        TwoEngines {
             service,
             first,
             second,
         }
     }
 
-    /// The first engine drains; the second is there for what comes.
-    fn hands_over(&self) {
+    /// Lists the first engine as draining and the second as serving.
+    fn replace_first_engine(&self) {
         let lines = [
             self.line("DRAINING"),
             endpoint("s-2", self.second.address, "SERVING"),
@@ -72,7 +72,7 @@
         endpoint("s-1", self.first.address, state)
     }
 
-    /// Sends a keyed, once-only batch; its answer comes through the handle.
+    /// Sends a non-idempotent query with an ordering key; the handle returns its answer.
     fn load(
         &self,
         allowed: u32,
@@ -93,21 +93,20 @@
         (stream, answer)
     }
 
-    fn until_sent(&self) {
-        wait_until("the first start", || !self.first.attempts().is_empty());
+    fn wait_until_sent(&self) {
+        wait_until("the first attempt", || !self.first.attempts().is_empty());
     }
 
-    /// Waits for the second batch of the key and checks that none overlapped; how long after the first was really
-    /// over it was sent.
-    fn order_is_kept(&self) -> Duration {
+    /// Waits for the key's second attempt, asserts that the two did not overlap, and returns the time between them.
+    fn assert_order_kept(&self) -> Duration {
         let all = || [self.first.attempts(), self.second.attempts()].concat();
-        wait_until("the second start", || all().len() == 2);
+        wait_until("the second attempt", || all().len() == 2);
         sleep(ms(20));
         let mut all = all();
-        all.sort_by_key(|d| d.received_at);
+        all.sort_by_key(|attempt| attempt.received_at);
         let end = all[0]
             .ended_at()
-            .unwrap_or_else(|| panic!("both out at once: {all:#?}"));
+            .unwrap_or_else(|| panic!("both attempts run: {all:#?}"));
         assert!(
             end <= all[1].received_at,
             "overlap of {:?}: {all:#?}",
@@ -117,95 +116,99 @@
     }
 }
 
-fn answered_in(limit: u64, what: std::thread::JoinHandle<Answered>) -> Answer {
+fn answer_within(limit: u64, what: std::thread::JoinHandle<Answered>) -> Answer {
     let answered = what.join().unwrap();
     assert!(answered.after < ms(limit), "{:?}", answered.after);
     answered.answer.expect("an answer")
 }
 
-/// The recorded day rc98ea0: the limit passes while the engine drains, refuses new connections and runs on.
+/// Recorded day rc98ea0: the deadline passes while the engine drains, refuses new connections and runs on.
 #[test]
-fn a_time_out_at_a_draining_engine_is_given_up_on_the_connection_that_is_up() {
-    let p = Play::start();
-    let (_a, first) = p.load(1000, "INSERT 1 /* runs 6000 */");
-    p.until_sent();
-    p.first.refuse_connections();
-    p.hands_over();
+fn timeout_at_a_draining_engine_is_cancelled_on_the_open_connection() {
+    let engines = TwoEngines::start();
+    let (_a, first) = engines.load(1000, "INSERT 1 /* runs 6000 */");
+    engines.wait_until_sent();
+    engines.first.refuse_connections();
+    engines.replace_first_engine();
     sleep(ms(100));
-    let (_b, second) = p.load(3000, "INSERT 2 /* runs 10 */");
-    assert_eq!(answered_in(1050, first).status, 500);
-    assert!(p.order_is_kept() < REST + SLACK, "a proof, not the bound");
-    assert!(answered_in(3050, second).succeeded());
+    let (_b, second) = engines.load(3000, "INSERT 2 /* runs 10 */");
+    assert_eq!(answer_within(1050, first).status, 500);
+    assert!(
+        engines.assert_order_kept() < KEY_PAUSE + SLACK,
+        "a proof, not the bound"
+    );
+    assert!(answer_within(3050, second).succeeded());
 }
 
-/// The connection goes with a spoilt answer, no other comes up, the dispatch runs on unasked: only the bound is left.
+/// The connection is lost with a corrupted response and no other opens; the attempt runs on without polls until its bound.
 #[test]
-fn a_spoilt_answer_of_a_draining_engine_is_errored_at_once_and_the_key_waits_for_the_bound() {
-    let p = Play::long();
-    let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
-    p.until_sent();
-    p.first.refuse_connections();
-    p.hands_over();
-    let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
+fn corrupted_response_of_a_draining_engine_fails_at_once_and_the_key_waits_for_the_bound() {
+    let engines = TwoEngines::with_long_deadline();
+    let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
+    engines.wait_until_sent();
+    engines.first.refuse_connections();
+    engines.replace_first_engine();
+    let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(
-        answered_in(900, first).status,
+        answer_within(900, first).status,
         500,
-        "given up, so answered at once"
+        "abandoned, so answered at once"
     );
-    let held = p.order_is_kept();
+    let held = engines.assert_order_kept();
     assert!(
-        held < POLL_HOLD_TIME + REST + SLACK,
+        held < POLL_HOLD_TIME + KEY_PAUSE + SLACK,
         "held {held:?} past the end"
     );
-    assert!(answered_in(7050, second).succeeded());
+    assert!(answer_within(7050, second).succeeded());
 }
 
-/// Another process answers at the address: what it says proves nothing of the first.
+/// Another process answers at the address: its responses prove nothing about the first.
 #[test]
-fn a_process_that_took_the_address_over_proves_nothing() {
-    let p = Play::long();
-    let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
-    p.until_sent();
-    p.first.refuse_connections();
-    let other = EngineProcess::at(p.first.address);
+fn listed_process_that_took_over_the_address_proves_nothing() {
+    let engines = TwoEngines::with_long_deadline();
+    let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
+    engines.wait_until_sent();
+    engines.first.refuse_connections();
+    let other = EngineProcess::at(engines.first.address);
     let lines = [
-        p.line("DELETED"),
-        endpoint("s-2", p.second.address, "SERVING"),
+        engines.line("DELETED"),
+        endpoint("s-2", engines.second.address, "SERVING"),
     ];
-    p.service.log.publish(list_event(
+    engines.service.log.publish(list_event(
         1,
         false,
         &[&lines[..], &[endpoint("s-3", other.address, "DRAINING")]].concat(),
     ));
-    let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
-    assert_eq!(answered_in(900, first).status, 500);
-    p.order_is_kept();
+    let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
+    assert_eq!(answer_within(900, first).status, 500);
+    engines.assert_order_kept();
     assert!(other.attempts().is_empty());
-    answered_in(7050, second);
+    answer_within(7050, second);
 }
 
 #[test]
-fn a_give_up_that_is_reset_spoilt_or_silent_is_made_again() {
+fn cancel_call_that_is_reset_corrupted_or_unanswered_is_retried() {
     for how in ["reset", "spoilt", "silent"] {
-        let p = Play::with_limit(4000.0);
-        let (_a, first) = p.load(700, &format!("INSERT 1 /* runs 6000 */ /* delete {how} */"));
-        p.until_sent();
-        let (_b, second) = p.load(4000, "INSERT 2 /* runs 10 */");
-        assert_eq!(answered_in(750, first).status, 500, "{how}");
-        // The second goes on a connection on which the engine has not shown the dispatch: it ends it and proves nothing.
-        p.order_is_kept();
-        assert!(answered_in(4050, second).succeeded(), "{how}");
-        assert_eq!(p.first.state().cancel_calls, 2, "{how}");
+        let engines = TwoEngines::with_deadline(4000.0);
+        let (_a, first) =
+            engines.load(700, &format!("INSERT 1 /* runs 6000 */ /* delete {how} */"));
+        engines.wait_until_sent();
+        let (_b, second) = engines.load(4000, "INSERT 2 /* runs 10 */");
+        assert_eq!(answer_within(750, first).status, 500, "{how}");
+        // The second goes over a connection on which the engine has not confirmed the attempt: it cancels it and proves nothing.
+        engines.assert_order_kept();
+        assert!(answer_within(4050, second).succeeded(), "{how}");
+        assert_eq!(engines.first.state().cancel_calls, 2, "{how}");
     }
 }
 
-/// The client withdraws its batch in the instant in which its limit passes.
+/// The client cancels its query at the moment when its deadline passes.
 #[test]
-fn a_time_out_and_a_cancel_at_once_are_one_end() {
+fn simultaneous_timeout_and_client_cancel_give_one_end() {
     for early in [0, 5, 10, 20] {
-        let p = Play::start();
+        let engines = TwoEngines::start();
         let id = new_id();
-        let stream = p.service.open();
+        let stream = engines.service.open();
         send(
             &stream,
             "POST /v1/load",
@@ -213,12 +216,12 @@
             "INSERT 1 /* runs 6000 */",
         );
         let sent = Instant::now();
-        p.until_sent();
-        let (_b, second) = p.load(3000, "INSERT 2 /* runs 10 */");
-        // The gateway takes a keyed batch to have been sent up to 0.25 s earlier than it came.
+        engines.wait_until_sent();
+        let (_b, second) = engines.load(3000, "INSERT 2 /* runs 10 */");
+        // The gateway assumes that a keyed query was sent up to 0.25 s before it was received.
         sleep((ms(350 - early)).saturating_sub(sent.elapsed()));
         let withdrawn = call(
-            p.service.open(),
+            engines.service.open(),
             "DELETE /v1/load",
             &request_fields(&id, 600),
             "",
@@ -226,90 +229,90 @@
         .unwrap();
         assert!(["HTTP/1.1 204 No Content", "HTTP/1.1 404 Not Found"]
             .contains(&withdrawn.start_line.as_str()));
-        assert!(p.order_is_kept() < REST + SLACK, "{early}");
-        assert_eq!(p.first.state().cancel_calls, 1, "one give-up");
-        assert!(answered_in(3050, second).succeeded());
+        assert!(engines.assert_order_kept() < KEY_PAUSE + SLACK, "{early}");
+        assert_eq!(engines.first.state().cancel_calls, 1, "one cancel call");
+        assert!(answer_within(3050, second).succeeded());
     }
 }
 
-/// A client that has gone holds its key for as long as its dispatch may run.
+/// A disconnected client's query holds its key for as long as its attempt may run.
 #[test]
-fn a_client_that_leaves_holds_its_key_until_its_dispatch_is_over() {
-    let p = Play::long();
-    let (stream, _first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
-    p.until_sent();
-    p.first.refuse_connections();
-    p.hands_over();
+fn disconnected_client_holds_its_key_until_its_attempt_has_ended() {
+    let engines = TwoEngines::with_long_deadline();
+    let (stream, _first) = engines.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
+    engines.wait_until_sent();
+    engines.first.refuse_connections();
+    engines.replace_first_engine();
     sleep(ms(150));
     stream.shutdown(Shutdown::Both).unwrap();
-    let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
-    p.order_is_kept();
-    answered_in(7050, second);
+    let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
+    engines.assert_order_kept();
+    answer_within(7050, second);
 }
 
-/// An engine drains and the list is late: it refuses new connections and runs on, and the network resets the old one.
-/// That looks like a process that has ended, and the next batch of the key was sent beside it.
+/// An engine drains before the endpoint list says so: it refuses new connections and runs on, and the network resets the
+/// old one. That looks like a process that has ended; the key's next query must not be sent meanwhile.
 #[test]
-fn a_reset_at_an_engine_that_drains_untold_is_no_proof() {
-    let p = Play::long();
-    let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */");
-    p.until_sent();
-    p.service.log.publish(list_event(
+fn reset_at_an_engine_whose_draining_is_not_listed_yet_is_no_proof() {
+    let engines = TwoEngines::with_long_deadline();
+    let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */");
+    engines.wait_until_sent();
+    engines.service.log.publish(list_event(
         1,
         false,
-        &[endpoint("s-2", p.second.address, "SERVING")],
+        &[endpoint("s-2", engines.second.address, "SERVING")],
     ));
     sleep(POLL_HOLD_TIME + ms(50));
-    p.first.refuse_connections();
-    p.first.break_connections();
-    let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
+    engines.first.refuse_connections();
+    engines.first.break_connections();
+    let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(
-        answered_in(900, first).status,
+        answer_within(900, first).status,
         500,
         "the answer waits for no proof"
     );
-    assert!(p.order_is_kept() < POLL_HOLD_TIME + REST + SLACK);
-    answered_in(7050, second);
+    assert!(engines.assert_order_kept() < POLL_HOLD_TIME + KEY_PAUSE + SLACK);
+    answer_within(7050, second);
 }
 
-/// Another process has the address, untold, while the first runs on: that it does not know the dispatch, or says that it
-/// is given up, proves nothing.
+/// An unlisted process has the address while the first runs on: that it does not know the attempt, or confirms its
+/// cancellation, proves nothing.
 #[test]
-fn who_took_the_address_untold_proves_nothing() {
-    let mut p = Play::long();
-    let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */");
-    p.until_sent();
+fn unlisted_process_that_took_over_the_address_proves_nothing() {
+    let mut engines = TwoEngines::with_long_deadline();
+    let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */");
+    engines.wait_until_sent();
     sleep(POLL_HOLD_TIME + ms(50));
-    p.first.refuse_connections();
-    p.second = EngineProcess::at(p.first.address);
-    p.first.break_connections();
-    let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
-    assert_eq!(answered_in(900, first).status, 500);
-    p.order_is_kept();
-    assert!(answered_in(7050, second).succeeded());
+    engines.first.refuse_connections();
+    engines.second = EngineProcess::at(engines.first.address);
+    engines.first.break_connections();
+    let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
+    assert_eq!(answer_within(900, first).status, 500);
+    engines.assert_order_kept();
+    assert!(answer_within(7050, second).succeeded());
 }
 
-/// The same sight while the process runs on: the network reset the connection, and the engine drains.
+/// The network resets the connection of a draining engine that runs on.
 #[test]
-fn a_reset_at_a_draining_engine_is_no_proof() {
-    let p = Play::long();
-    let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */");
-    p.until_sent();
+fn reset_at_a_draining_engine_is_no_proof() {
+    let engines = TwoEngines::with_long_deadline();
+    let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */");
+    engines.wait_until_sent();
     sleep(POLL_HOLD_TIME + ms(50));
-    p.first.refuse_connections();
-    p.hands_over();
+    engines.first.refuse_connections();
+    engines.replace_first_engine();
     sleep(ms(100));
-    p.first.break_connections();
-    let (_b, second) = p.load(7000, "INSERT 2 /* runs 10 */");
-    assert_eq!(answered_in(1200, first).status, 500);
-    assert!(p.order_is_kept() < POLL_HOLD_TIME + REST + SLACK);
-    answered_in(7050, second);
+    engines.first.break_connections();
+    let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
+    assert_eq!(answer_within(1200, first).status, 500);
+    assert!(engines.assert_order_kept() < POLL_HOLD_TIME + KEY_PAUSE + SLACK);
+    answer_within(7050, second);
 }
 
-/// The engine's machine takes in a part of a long start and then nothing, as one that is cut off; what it reads once it is
-/// back must not be the rest of a start that was given up meanwhile.
+/// The engine's machine receives part of a long start and is then partitioned; once it is back it must not read the rest of
+/// a start that was abandoned meanwhile.
 #[test]
-fn a_start_that_was_given_up_does_not_come_whole_later() {
+fn abandoned_start_never_arrives_complete_later() {
     let cut_off = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     cut_off.set_recv_buffer_size(2048).unwrap();
     cut_off
@@ -333,76 +336,78 @@
         let _ = stream.read_to_end(&mut came);
         assert!(
             came.len() < statement.len(),
-            "a start came whole after {} bytes",
+            "a complete start arrived: {} bytes",
             came.len()
         );
     }
 }
 
-/// SIGTERM with a dispatch whose end is not known: every answer still comes in time, and the program ends.
+/// SIGTERM with an attempt of unknown outcome: every query is answered in time, and the program exits.
 #[test]
-fn sigterm_with_a_dispatch_of_unknown_end_answers_all_in_time() {
-    let mut p = Play::start();
-    let (_a, first) = p.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
-    p.until_sent();
-    p.first.refuse_connections();
-    p.hands_over();
-    let (_b, second) = p.load(3000, "INSERT 2 /* runs 10 */");
+fn sigterm_with_an_attempt_of_unknown_outcome_answers_all_in_time() {
+    let mut engines = TwoEngines::start();
+    let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
+    engines.wait_until_sent();
+    engines.first.refuse_connections();
+    engines.replace_first_engine();
+    let (_b, second) = engines.load(3000, "INSERT 2 /* runs 10 */");
     let began = Instant::now();
-    p.service.signal("TERM");
-    assert_eq!(answered_in(900, first).status, 500);
-    answered_in(3050, second);
-    assert!(p.service.child.wait().unwrap().success());
+    engines.service.signal("TERM");
+    assert_eq!(answer_within(900, first).status, 500);
+    answer_within(3050, second);
+    assert!(engines.service.child.wait().unwrap().success());
     assert!(began.elapsed() < ms(3700), "{:?}", began.elapsed());
 }
 
-/// Engines that tell notes, one each second, with limits longer than what runs here.
-fn with_notes() -> Play {
-    Play::with(|settings| {
+/// Engines that report progress each second, with deadlines longer than the attempts.
+fn with_progress() -> TwoEngines {
+    TwoEngines::with(|settings| {
         settings["domain"]["progress"] = json!(1000.0);
         settings["categories"][0]["give-up"] = json!(6000.0);
         settings["categories"][1]["give-up"] = json!(6000.0);
     })
 }
 
-/// Found on pomurje-estimates, split+mass: a zone is cut off, and its engines run on what nobody asks for, as each note
-/// that they have to tell keeps it running.
+/// Seen on pomurje-estimates, split+mass: in a partitioned zone, engines keep running attempts that nobody polls while they
+/// have progress to report.
 #[test]
-fn notes_keep_a_dispatch_running_though_nobody_can_ask_for_it() {
-    let play = with_notes();
-    let (_first, one) = play.load(4600, "INSERT 1 /* notes */ /* runs 4000 */");
-    wait_until("it runs", || !play.first.attempts().is_empty());
-    play.first.refuse_connections();
-    play.hands_over();
-    play.first.break_connections();
+fn progress_keeps_an_attempt_running_that_cannot_be_polled() {
+    let engines = with_progress();
+    let (_first, one) = engines.load(4600, "INSERT 1 /* notes */ /* runs 4000 */");
+    wait_until("it runs", || !engines.first.attempts().is_empty());
+    engines.first.refuse_connections();
+    engines.replace_first_engine();
+    engines.first.break_connections();
     sleep(Duration::from_secs(2));
-    let (_second, two) = play.load(6000, "INSERT 2");
+    let (_second, two) = engines.load(6000, "INSERT 2");
     assert!(two.join().unwrap().answer.is_some_and(|a| a.succeeded()));
-    let end = play.first.attempts()[0].ended_at().expect("it has ended");
+    let end = engines.first.attempts()[0]
+        .ended_at()
+        .expect("it has ended");
     assert!(
-        play.second.attempts()[0].received_at >= end + REST,
-        "sent beside a dispatch that ran"
+        engines.second.attempts()[0].received_at >= end + KEY_PAUSE,
+        "sent while another attempt ran"
     );
     assert!(one.join().unwrap().answer.is_some_and(|a| !a.succeeded()));
 }
 
-/// Found there too: notes that were not passed on looked like silence, after which a dispatch was taken back.
+/// Progress that is not forwarded must not count as silence, after which an attempt is cancelled.
 #[test]
-fn a_dispatch_that_tells_notes_is_not_taken_back_as_lost() {
-    let play = with_notes();
+fn attempt_that_reports_progress_is_not_cancelled_as_lost() {
+    let engines = with_progress();
     let statement = "SELECT 1 /* notes */ /* runs 3200 */";
-    assert!(play
+    assert!(engines
         .service
         .query_with_id(&new_id(), "report", 6000, statement)
         .succeeded());
-    assert_eq!(play.first.attempts().len(), 1);
-    assert_eq!(play.first.state().cancel_calls, 0, "taken back");
+    assert_eq!(engines.first.attempts().len(), 1);
+    assert_eq!(engines.first.state().cancel_calls, 0, "cancelled");
 }
 
-/// Found on deployments with a referenced group, whose engines refuse what comes without its mark.
+/// Engines of a class that is idempotent by key reject a start without its idempotency key.
 #[test]
-fn a_mark_against_repeats_goes_on_unchanged_and_estimates_are_checked() {
-    let play = Play::with(|settings| {
+fn idempotency_key_is_forwarded_unchanged_and_estimates_are_checked() {
+    let engines = TwoEngines::with(|settings| {
         settings["categories"][1]["semantics"] = json!("dedup");
         settings["categories"][1]["key-scope"] = json!("all");
         settings["categories"][1]["dedup-window"] = json!(6000.0);
@@ -412,13 +417,13 @@
             "{}{KEY}X-Unique: 00ab12ffee34cd56\r\n{more}",
             request_fields(&new_id(), 2900)
         );
-        call(play.service.open(), "POST /v1/load", &fields, "INSERT 1")
+        call(engines.service.open(), "POST /v1/load", &fields, "INSERT 1")
             .map(Answer::of)
             .unwrap()
     };
     assert!(say("X-Size-Ms: 120\r\nX-Memory: 64\r\n").succeeded());
     assert_eq!(
-        play.first.attempts()[0].idempotency_key.as_deref(),
+        engines.first.attempts()[0].idempotency_key.as_deref(),
         Some("00ab12ffee34cd56")
     );
     for wrong in [
@@ -428,5 +433,9 @@
     ] {
         assert!(!say(wrong).succeeded(), "{wrong}");
     }
-    assert_eq!(play.first.attempts().len(), 1, "nothing of those went on");
+    assert_eq!(
+        engines.first.attempts().len(),
+        1,
+        "none of those was forwarded"
+    );
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! A gateway with a journal, killed while once-only batches are out: none of them runs twice, by the engine's own count,
-//! and its key rests for what may still run.
+//! A gateway with a journal, killed while non-idempotent queries are in flight: by the engine's count none runs twice, and
+//! its key is paused for what may still run.
 
 mod helper;
 
@@ -16,8 +16,8 @@
 
 const KEY: &str = "X-Item: 7f3a9c21e0b4d655\r\n";
 
-/// A gateway that can be killed and started again under its address, with its journal.
-struct Lasting {
+/// A gateway that can be killed and restarted with the same address and journal.
+struct RestartableGateway {
     engine: EngineProcess,
     _log: ChangeLog,
     config: PathBuf,
@@ -27,15 +27,15 @@
     child: Child,
 }
 
-impl Lasting {
-    fn start() -> Lasting {
-        Lasting::start_with(Faults::none())
+impl RestartableGateway {
+    fn start() -> RestartableGateway {
+        RestartableGateway::start_with(Faults::none())
     }
 
-    fn start_with(faults: Faults) -> Lasting {
+    fn start_with(faults: Faults) -> RestartableGateway {
         let (engine, log) = (EngineProcess::start(), ChangeLog::start());
-        let mut told = config(engine.address, log.address);
-        told["settings"]["categories"][1]["give-up"] = json!(8000.0);
+        let mut settings_file = config(engine.address, log.address);
+        settings_file["settings"]["categories"][1]["give-up"] = json!(8000.0);
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
             "journal-{}-{}",
             std::process::id(),
@@ -51,10 +51,10 @@
             ),
         )
         .unwrap();
-        let config = write_config(&told);
-        let address = told["listen"].as_str().unwrap().parse().unwrap();
-        let child = Lasting::serve(&config, &plan, &faults);
-        let lasting = Lasting {
+        let config = write_config(&settings_file);
+        let address = settings_file["listen"].as_str().unwrap().parse().unwrap();
+        let child = RestartableGateway::serve(&config, &plan, &faults);
+        let lasting = RestartableGateway {
             engine,
             _log: log,
             config,
@@ -78,20 +78,20 @@
     }
 
     fn wait_until_healthy(&self) {
-        let asked = || {
+        let health_response = || {
             TcpStream::connect(self.address)
                 .ok()
                 .and_then(|s| call(s, "GET /healthz", "", ""))
         };
         wait_until("health", || {
-            asked().is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
+            health_response().is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
         });
     }
 
-    fn restarted(&mut self) {
+    fn restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        self.child = Lasting::serve(&self.config, &self.plan, &self.faults);
+        self.child = RestartableGateway::serve(&self.config, &self.plan, &self.faults);
         self.wait_until_healthy();
     }
 
@@ -107,7 +107,7 @@
     }
 }
 
-impl Drop for Lasting {
+impl Drop for RestartableGateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -115,15 +115,15 @@
 }
 
 #[test]
-fn a_once_only_batch_that_may_have_run_is_not_sent_after_a_restart_and_its_key_rests() {
-    let mut g = Lasting::start();
+fn non_idempotent_query_that_may_have_run_is_not_sent_after_a_restart_and_its_key_pauses() {
+    let mut gateway = RestartableGateway::start();
     let (first, second) = (new_id(), new_id());
-    let _lost = g.send_load(&first, "INSERT 1 /* runs 60000 */");
-    wait_until("the start", || g.engine.attempts().len() == 1);
-    g.restarted();
+    let _lost = gateway.send_load(&first, "INSERT 1 /* runs 60000 */");
+    wait_until("the first attempt", || gateway.engine.attempts().len() == 1);
+    gateway.restart();
     let again = Answer::of(
         read_message(&mut std::io::BufReader::new(
-            g.send_load(&first, "INSERT 1"),
+            gateway.send_load(&first, "INSERT 1"),
         ))
         .unwrap(),
     );
@@ -134,36 +134,35 @@
     );
     let next = Answer::of(
         read_message(&mut std::io::BufReader::new(
-            g.send_load(&second, "INSERT 2"),
+            gateway.send_load(&second, "INSERT 2"),
         ))
         .unwrap(),
     );
     assert!(next.succeeded(), "{next:?}");
-    let all = g.engine.attempts();
-    assert_eq!(all.len(), 2, "one dispatch each: {all:#?}");
+    let all = gateway.engine.attempts();
+    assert_eq!(all.len(), 2, "one attempt each: {all:#?}");
     assert!(
         all[0].ended_at().unwrap() <= all[1].received_at,
-        "the key rested for what still ran"
+        "the key was paused for what still ran"
     );
-    // What had its answer is not held against anybody.
-    g.restarted();
+    // An answered query does not delay the key after a restart.
+    gateway.restart();
     let third = Answer::of(
         read_message(&mut std::io::BufReader::new(
-            g.send_load(&new_id(), "INSERT 3"),
+            gateway.send_load(&new_id(), "INSERT 3"),
         ))
         .unwrap(),
     );
     assert!(third.succeeded());
 }
 
-/// Killed at random, over and over, with clients that send the same batch again: by the engine's count no batch runs
-/// twice.
+/// Killed repeatedly, with clients that resend their queries: by the engine's count no query runs twice.
 #[test]
-fn killed_in_a_loop_no_once_only_batch_runs_twice() {
+fn killed_in_a_loop_no_non_idempotent_query_runs_twice() {
     killed_in_a_loop(|_, _| {});
 }
 
-/// The same while the wall clock steps forward and back by seconds and by an hour between two processes.
+/// The same with wall clock steps of seconds and of an hour, forward and back, between two processes.
 #[test]
 fn killed_in_a_loop_while_the_wall_clock_steps_none_runs_twice() {
     killed_in_a_loop(|faults, round| {
@@ -171,21 +170,21 @@
     });
 }
 
-/// Kills by hand may be more: `GATEWAY_TEST_KILLS`.
+/// Number of kills; `GATEWAY_TEST_KILLS` overrides it.
 fn kills() -> u64 {
     std::env::var("GATEWAY_TEST_KILLS").map_or(12, |n| n.parse().unwrap())
 }
 
 fn killed_in_a_loop(before_restart: impl Fn(&Faults, u64)) {
-    let mut g = Lasting::start();
+    let mut gateway = RestartableGateway::start();
     let mut ids = Vec::new();
     for round in 0..kills() {
-        let batch: Vec<String> = (0..6).map(|_| new_id()).collect();
+        let round_ids: Vec<String> = (0..6).map(|_| new_id()).collect();
         let began = Instant::now();
-        let streams: Vec<TcpStream> = batch
+        let streams: Vec<TcpStream> = round_ids
             .iter()
             .map(|id| {
-                let stream = TcpStream::connect(g.address).unwrap();
+                let stream = TcpStream::connect(gateway.address).unwrap();
                 send(
                     &stream,
                     "POST /v1/load",
@@ -197,11 +196,11 @@
             .collect();
         // From before the first record to after the last answer.
         sleep(ms(round * 7 % 30).saturating_sub(began.elapsed()));
-        before_restart(&g.faults, round);
-        g.restarted();
+        before_restart(&gateway.faults, round);
+        gateway.restart();
         drop(streams);
-        for id in &batch {
-            let stream = TcpStream::connect(g.address).unwrap();
+        for id in &round_ids {
+            let stream = TcpStream::connect(gateway.address).unwrap();
             let answer = call(
                 stream,
                 "POST /v1/load",
@@ -211,31 +210,38 @@
             let answer = Answer::of(answer.expect("an answer"));
             assert!([200, 500, 503].contains(&answer.status), "{answer:?}");
         }
-        ids.extend(batch);
+        ids.extend(round_ids);
     }
     let mut runs: HashMap<String, usize> = HashMap::new();
-    g.engine
+    gateway
+        .engine
         .attempts()
         .iter()
-        .for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
+        .for_each(|attempt| *runs.entry(attempt.id.clone()).or_default() += 1);
     let twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
-    let known = |id: &str| g.engine.attempts().iter().any(|d| d.id == id);
+    let known = |id: &str| {
+        gateway
+            .engine
+            .attempts()
+            .iter()
+            .any(|attempt| attempt.id == id)
+    };
     assert!(twice.is_empty(), "run twice: {twice:?}");
     assert!(
         ids.iter().filter(|id| known(id)).count() > 20,
-        "most came to the engine"
+        "most reached the engine"
     );
 }
 
-/// For so long the disk fails; by hand it may be longer: `GATEWAY_TEST_DISK_MS`.
-fn disk_fails_for() -> Duration {
+/// Duration of a disk fault; `GATEWAY_TEST_DISK_MS` overrides it.
+fn disk_fault_duration() -> Duration {
     ms(std::env::var("GATEWAY_TEST_DISK_MS").map_or(500, |n| n.parse().unwrap()))
 }
 
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
-/// Which calls fail together: those of an ordinary write, and those that a whole new copy needs as well.
+/// Calls that fail together: those of an append, and those that rewriting the file needs as well.
 const DISK_FAULTS: [&[&str]; 5] = [
     &["disk-write"],
     &["disk-sync"],
@@ -250,8 +256,8 @@
     ],
 ];
 
-fn load(g: &Lasting) -> Answer {
-    let stream = TcpStream::connect(g.address).unwrap();
+fn load(gateway: &RestartableGateway) -> Answer {
+    let stream = TcpStream::connect(gateway.address).unwrap();
     let id = new_id();
     Answer::of(
         call(
@@ -264,8 +270,8 @@
     )
 }
 
-fn report(g: &Lasting) -> Answer {
-    let stream = TcpStream::connect(g.address).unwrap();
+fn report(gateway: &RestartableGateway) -> Answer {
+    let stream = TcpStream::connect(gateway.address).unwrap();
     Answer::of(
         call(
             stream,
@@ -277,58 +283,63 @@
     )
 }
 
-/// While the disk fails: what needs no journal is served, what needs one is turned away at once. Then all is served again.
-fn fails_for_a_while(g: &Lasting, calls: &[&str]) {
+/// While the disk fails, queries that need no journal are served and those that need one are rejected at once; afterwards
+/// all are served again.
+fn assert_recovers_from_disk_fault(gateway: &RestartableGateway, calls: &[&str]) {
     let began = Instant::now();
-    while began.elapsed() < disk_fails_for() {
-        assert!(report(g).succeeded(), "{calls:?}");
-        let asked = Instant::now();
-        let turned = load(g);
+    while began.elapsed() < disk_fault_duration() {
+        assert!(report(gateway).succeeded(), "{calls:?}");
+        let sent_at = Instant::now();
+        let rejected = load(gateway);
         assert!(
-            !turned.succeeded() && asked.elapsed() < ms(400),
-            "{calls:?}: {turned:?} after {:?}",
-            asked.elapsed()
+            !rejected.succeeded() && sent_at.elapsed() < ms(400),
+            "{calls:?}: {rejected:?} after {:?}",
+            sent_at.elapsed()
         );
     }
-    calls.iter().for_each(|call| g.faults.disable(call));
-    let back = Instant::now();
-    while !load(g).succeeded() {
-        assert!(back.elapsed() < ms(2000), "{calls:?}: not served again");
+    calls.iter().for_each(|call| gateway.faults.disable(call));
+    let recovered_at = Instant::now();
+    while !load(gateway).succeeded() {
+        assert!(
+            recovered_at.elapsed() < ms(2000),
+            "{calls:?}: not served again"
+        );
         sleep(ms(20));
     }
     let mut runs: HashMap<String, usize> = HashMap::new();
-    g.engine
+    gateway
+        .engine
         .attempts()
         .iter()
-        .for_each(|d| *runs.entry(d.id.clone()).or_default() += 1);
+        .for_each(|attempt| *runs.entry(attempt.id.clone()).or_default() += 1);
     assert!(runs.values().all(|n| *n == 1), "{calls:?}: run twice");
 }
 
 #[test]
-fn a_disk_that_fails_for_a_while_is_used_again() {
+fn disk_that_fails_temporarily_is_used_again() {
     for (n, calls) in DISK_FAULTS.into_iter().enumerate() {
-        let g = Lasting::start();
-        assert!(load(&g).succeeded());
+        let gateway = RestartableGateway::start();
+        assert!(load(&gateway).succeeded());
         let code = if n % 2 == 0 { ENOSPC } else { EIO };
         calls
             .iter()
-            .for_each(|call| g.faults.enable(call, &format!("1 {code}")));
-        fails_for_a_while(&g, calls);
+            .for_each(|call| gateway.faults.enable(call, &format!("1 {code}")));
+        assert_recovers_from_disk_fault(&gateway, calls);
     }
 }
 
-/// What happened: each sync took 0.8 s, and no non-idempotent query was sent at all, though all of them had seven seconds: each was answered
-/// as failed after 0.5 s. The cause was a bound of its own on the journal's promise (`WRITTEN_IN`), shorter than the query's; the
-/// evidence is `journal is too slow: a once-only batch was not sent` for each, and no attempt at the engine. Since then a query waits for
-/// its record for as long as it has left.
+/// What happened: each sync took 0.8 s, and no non-idempotent query was sent, though all had seven seconds: each was answered
+/// as failed after 0.5 s. The cause was a bound on the journal write (`WRITTEN_IN`) shorter than the query's deadline; the
+/// evidence is `journal is too slow: a once-only batch was not sent` for each, and no attempt at the engine. A query now waits
+/// for its record until its deadline.
 #[test]
-fn a_disk_whose_syncs_are_slow_is_used() {
-    let g = Lasting::start();
-    assert!(load(&g).succeeded());
-    g.faults.enable("disk-slow", "800");
+fn disk_with_slow_syncs_is_used() {
+    let gateway = RestartableGateway::start();
+    assert!(load(&gateway).succeeded());
+    gateway.faults.enable("disk-slow", "800");
     for _ in 0..3 {
         let began = Instant::now();
-        assert!(load(&g).succeeded(), "after {:?}", began.elapsed());
+        assert!(load(&gateway).succeeded(), "after {:?}", began.elapsed());
         assert!(
             began.elapsed() >= ms(800),
             "nothing leaves before its record is on the disk"
@@ -336,13 +347,13 @@
     }
 }
 
-/// A start while the disk fails is no refusal to serve what needs no journal, and forgets nothing that was sent.
+/// A gateway started while the disk fails serves what needs no journal and forgets no attempt that was sent.
 #[test]
-fn a_start_while_the_disk_fails_serves_what_needs_no_journal() {
-    let mut g = Lasting::start();
+fn gateway_started_while_the_disk_fails_serves_queries_that_need_no_journal() {
+    let mut gateway = RestartableGateway::start();
     let first = new_id();
-    let _lost = g.send_load(&first, "INSERT 1 /* runs 60000 */");
-    wait_until("the start", || g.engine.attempts().len() == 1);
+    let _lost = gateway.send_load(&first, "INSERT 1 /* runs 60000 */");
+    wait_until("the first attempt", || gateway.engine.attempts().len() == 1);
     let calls = [
         "disk-write",
         "disk-sync",
@@ -352,11 +363,11 @@
     ];
     calls
         .iter()
-        .for_each(|call| g.faults.enable(call, &format!("1 {EIO}")));
-    g.restarted();
+        .for_each(|call| gateway.faults.enable(call, &format!("1 {EIO}")));
+    gateway.restart();
     let again = Answer::of(
         read_message(&mut std::io::BufReader::new(
-            g.send_load(&first, "INSERT 1"),
+            gateway.send_load(&first, "INSERT 1"),
         ))
         .unwrap(),
     );
@@ -365,11 +376,11 @@
         (500, &json!({"error": "Failed"})),
         "it may have run"
     );
-    fails_for_a_while(&g, &calls);
+    assert_recovers_from_disk_fault(&gateway, &calls);
 }
 
 #[test]
-fn a_journal_that_cant_be_opened_is_told_with_its_place() {
+fn journal_that_cannot_be_opened_is_reported_with_its_path() {
     let (engine, log) = (Engine::start(), ChangeLog::start());
     let plan = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("no-journal-{}.plan", std::process::id()));
