--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments: TOML files that say what is run. Every error names the file, the place in it and what to do.
+//! Experiments: TOML files that describe a run. Every error names the file, the place in it and what to do.
 
 use serde::de::DeserializeOwned;
 use std::fmt::Display;
--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// The id of an engine in the endpoint list.
 pub fn engine_id(engine: usize) -> String {
     format!("engine-{engine:05}")
 }
--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -21,6 +21,7 @@
     pub attempt: u32,
 }
 
+/// Whether an engine's process runs and answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
     Up,
@@ -48,6 +49,7 @@
     Fell,
 }
 
+/// A hollow engine.
 pub struct Engine {
     pub site: Site,
     pub state: EngineState,
--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -18,6 +18,7 @@
 /// Updates within this time are published as one entry of the log.
 const PUBLISH_INTERVAL_SECONDS: f64 = 0.1;
 
+/// All that gateways share: engines, change log, clients, event queue and judge.
 pub struct Environment {
     pub experiment: Rc<Experiment>,
     pub engines: Vec<Engine>,
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -3,6 +3,7 @@
 use super::engine::AttemptKey;
 use garnetwall::api::AttemptEnd;
 
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// A client's query arrives at a gateway's process.
--- a/crates/scale/src/fleet/event_queue.rs
+++ b/crates/scale/src/fleet/event_queue.rs
@@ -4,6 +4,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
+/// A queue of events in the order of their times.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
     next_sequence: u64,
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -1,4 +1,4 @@
-//! What an experiment's file says, and what may be wrong with it.
+//! The file of an experiment with the hollow fleet, and its checks.
 
 use super::injected_fault::InjectedFault;
 use serde::Deserialize;
@@ -38,6 +38,7 @@
     pub injected_fault: Option<InjectedFault>,
 }
 
+/// The gateways and their load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
@@ -51,6 +52,7 @@
     pub busy_times: f64,
 }
 
+/// The engines, and how they fail.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
@@ -67,6 +69,7 @@
     pub restart: f64,
 }
 
+/// How gateways and engines are spread over regions, zones and racks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
@@ -75,6 +78,7 @@
     pub racks_per_zone: usize,
 }
 
+/// Settings of the gateways' subsets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubsetTable {
@@ -85,6 +89,7 @@
     pub near_weight: f64,
 }
 
+/// Slow start: the fraction of its cores that a started engine can use, for how many seconds, and its budget.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cold {
@@ -94,6 +99,7 @@
     pub window: f64,
 }
 
+/// The retry budget: a floor and a share of the queries, in a window of seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
@@ -116,6 +122,7 @@
     pub resume: f64,
 }
 
+/// A class of queries.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryClass {
@@ -138,21 +145,23 @@
 pub struct ScriptStep {
     #[serde(rename = "at")]
     pub at_seconds: f64,
-    pub what: Action,
+    #[serde(rename = "what")]
+    pub action: Action,
     /// Number of the zone, rack or region.
-    #[serde(default)]
-    pub which: usize,
+    #[serde(rename = "which", default)]
+    pub index: usize,
     /// Engines or changes.
     #[serde(default)]
     pub count: usize,
     /// Seconds that it lasts, or over which it is spread.
-    #[serde(default)]
-    pub lasts: f64,
+    #[serde(rename = "lasts", default)]
+    pub duration_seconds: f64,
     /// Share of the gateways at a time.
     #[serde(default)]
     pub share: f64,
 }
 
+/// What an action of the script does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
@@ -188,6 +197,7 @@
     pub succeeded: f64,
 }
 
+/// An experiment that cannot be used: where, why, and what to do.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
     #[error("{path}: {cause}; name a readable TOML file")]
@@ -302,9 +312,9 @@
 
     fn check_step(&self, step: &ScriptStep) -> Result<(), ExperimentError> {
         within("script.at", step.at_seconds, 0.0, self.seconds)?;
-        within("script.lasts", step.lasts, 0.0, self.seconds)?;
+        within("script.lasts", step.duration_seconds, 0.0, self.seconds)?;
         let topology = &self.topology;
-        let numbered = match step.what {
+        let numbered = match step.action {
             Action::RackLost => topology.zones * topology.racks_per_zone,
             Action::ZoneLost => topology.zones,
             Action::RegionCut => topology.regions,
@@ -312,11 +322,11 @@
         };
         within(
             "script.which",
-            step.which as f64,
+            step.index as f64,
             0.0,
             numbered as f64 - 1.0,
         )?;
-        match step.what {
+        match step.action {
             Action::RollingRestart => within("script.share", step.share, 0.001, 1.0),
             Action::ConfigurationBurst => within("script.count", step.count as f64, 1.0, 1e5),
             Action::EnginesReplaced | Action::EnginesRestarted | Action::EnginesSilent => within(
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -1,4 +1,4 @@
-//! From the change log to the engines that the module may use: reads entries, and does what the subset asks for.
+//! From the change log to the engines that the module may use: reads entries, and carries out the subset's actions.
 
 use super::super::environment::Environment;
 use super::super::injected_fault::InjectedFault;
@@ -65,7 +65,7 @@
         self.apply_membership(now, environment);
     }
 
-    /// Does what the subset asks for, until it asks for nothing more.
+    /// Carries out the subset's actions until there are none.
     pub(super) fn apply_membership(&mut self, now: SimTime, environment: &mut Environment) {
         let Some(process) = &mut self.process else {
             return;
@@ -122,7 +122,7 @@
         Some(endpoint)
     }
 
-    /// Does one thing that the subset asks for; returns the endpoint to update the module with.
+    /// Carries out one action of the subset; returns the endpoint to update the module with.
     fn apply(
         &mut self,
         now: SimTime,
--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -24,7 +24,7 @@
 pub struct Gateway {
     pub number: u32,
     pub zone: usize,
-    /// Counts its processes, so that events of an earlier one can be told apart.
+    /// Counts its processes, so that events of an earlier one are ignored.
     pub incarnation: u32,
     pub running: bool,
     /// Whether the change log does not reach it.
--- a/crates/scale/src/fleet/injected_fault.rs
+++ b/crates/scale/src/fleet/injected_fault.rs
@@ -2,6 +2,7 @@
 
 use serde::Deserialize;
 
+/// A fault that an experiment names under `slip`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedFault {
--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -21,6 +21,7 @@
     healed: Option<SimTime>,
 }
 
+/// Measures the delivery of change log entries.
 pub struct Changes {
     experiment: Rc<Experiment>,
     /// Of each entry; entry 0 is the list at the start.
--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -30,6 +30,7 @@
     all_share: f64,
 }
 
+/// Sums the work at each cold engine in windows, and over its cold time.
 pub struct ColdStarts {
     experiment: Rc<Experiment>,
     mean_work: f64,
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -26,6 +26,7 @@
     refilling_since: Option<SimTime>,
 }
 
+/// Tracks which gateways are connected to which engines.
 pub struct Connections {
     experiment: Rc<Experiment>,
     engines: Vec<EngineSide>,
--- a/crates/scale/src/fleet/judge/finding.rs
+++ b/crates/scale/src/fleet/judge/finding.rs
@@ -3,6 +3,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
+/// One judged figure.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
     pub name: &'static str,
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -38,6 +38,7 @@
     pub work: f64,
 }
 
+/// All rules of the judge, each in a module of its own.
 pub struct Judge {
     endpoint_history: endpoint_history::EndpointHistory,
     queries: queries::Queries,
--- a/crates/scale/src/fleet/judge/order.rs
+++ b/crates/scale/src/fleet/judge/order.rs
@@ -10,6 +10,7 @@
     running: Vec<QueryName>,
 }
 
+/// Tracks the queries of each key.
 #[derive(Default)]
 pub struct Order {
     keys: BTreeMap<u64, KeyRecord>,
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -7,6 +7,7 @@
 use garnetwall_subset::ListedState;
 use std::rc::Rc;
 
+/// Counts attempts at engines that should not get them.
 pub struct Placement {
     experiment: Rc<Experiment>,
     sites: Vec<Site>,
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -9,6 +9,7 @@
 /// Seconds over the deadline that pass; clients measure to the millisecond.
 const DEADLINE_TOLERANCE_SECONDS: f64 = 0.001;
 
+/// The final answer to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
     Succeeded,
@@ -22,6 +23,7 @@
     attempts: u32,
 }
 
+/// Tracks each query from its arrival to its final answer.
 pub struct Queries {
     experiment: Rc<Experiment>,
     open: BTreeMap<QueryName, OpenQuery>,
--- a/crates/scale/src/fleet/judge/retries.rs
+++ b/crates/scale/src/fleet/judge/retries.rs
@@ -12,6 +12,7 @@
     retries: VecDeque<SimTime>,
 }
 
+/// Counts queries and retries of each gateway in the budget's window.
 pub struct Retries {
     experiment: Rc<Experiment>,
     windows: Vec<Window>,
--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -13,6 +13,7 @@
     undisturbed: bool,
 }
 
+/// Sums the work of each engine.
 pub struct Spread {
     experiment: Rc<Experiment>,
     settled: SimTime,
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -7,6 +7,7 @@
 };
 use std::collections::BTreeSet;
 
+/// The engines that a gateway may use.
 pub enum Membership {
     Subset(Box<Subset>),
     Whole(WholeList),
--- a/crates/scale/src/fleet/module_settings.rs
+++ b/crates/scale/src/fleet/module_settings.rs
@@ -13,6 +13,7 @@
 const MAX_ATTEMPTS: u32 = 4;
 const MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
 
+/// The decision module's settings, changed by the injected fault.
 pub fn module_settings(experiment: &Experiment) -> Settings {
     let injected_fault = experiment.injected_fault;
     let class = |class| query_class(class, injected_fault);
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -15,40 +15,40 @@
 impl Simulation {
     pub(super) fn run_script_step(&mut self, now: SimTime, step: usize) {
         let step = self.experiment.script[step].clone();
-        tracing::info!(at = now.seconds(), what = ?step.what, "script");
-        match step.what {
-            Action::RackLost => self.rack_lost(now, &step),
-            Action::ZoneLost => self.zone_lost(now, &step),
-            Action::RegionCut => self.region_cut(now, &step),
-            Action::RollingRestart => self.rolling_restart(now, &step),
-            Action::MassRestart => self.mass_restart(now, &step),
-            Action::ConfigurationBurst => self.configuration_burst(now, &step),
-            Action::EnginesReplaced => self.engines_one_by_one(now, &step, EngineStep::Drain),
-            Action::EnginesRestarted => self.engines_one_by_one(now, &step, EngineStep::Restart),
-            Action::EnginesSilent => self.engines_silent(now, &step),
+        tracing::info!(at_seconds = now.seconds(), action = ?step.action, "script");
+        match step.action {
+            Action::RackLost => self.lose_rack(now, &step),
+            Action::ZoneLost => self.lose_zone(now, &step),
+            Action::RegionCut => self.cut_region(now, &step),
+            Action::RollingRestart => self.restart_rolling(now, &step),
+            Action::MassRestart => self.restart_all(now, &step),
+            Action::ConfigurationBurst => self.publish_burst(now, &step),
+            Action::EnginesReplaced => self.schedule_engines(now, &step, EngineStep::Drain),
+            Action::EnginesRestarted => self.schedule_engines(now, &step, EngineStep::Restart),
+            Action::EnginesSilent => self.silence_engines(now, &step),
         }
     }
 
-    fn rack_lost(&mut self, now: SimTime, step: &ScriptStep) {
-        let engines: Vec<usize> = self.engines_up(|site| site.rack == step.which);
-        self.engines_lost(now, &engines, step.lasts);
+    fn lose_rack(&mut self, now: SimTime, step: &ScriptStep) {
+        let engines: Vec<usize> = self.engines_up(|site| site.rack == step.index);
+        self.lose_engines(now, &engines, step.duration_seconds);
     }
 
-    fn zone_lost(&mut self, now: SimTime, step: &ScriptStep) {
-        let of_zone = |number: &u32| self.gateways[*number as usize].zone == step.which;
+    fn lose_zone(&mut self, now: SimTime, step: &ScriptStep) {
+        let of_zone = |number: &u32| self.gateways[*number as usize].zone == step.index;
         let gateways: Vec<u32> = (0..self.gateways.len() as u32).filter(of_zone).collect();
         for gateway in gateways {
-            let down_for =
-                step.lasts + self.environment.random.random::<f64>() * ZONE_START_SPREAD_SECONDS;
+            let down_for = step.duration_seconds
+                + self.environment.random.random::<f64>() * ZONE_START_SPREAD_SECONDS;
             self.gateway_ends(now, gateway, down_for);
         }
-        let engines = self.engines_up(|site| site.zone == step.which);
-        self.engines_lost(now, &engines, step.lasts);
+        let engines = self.engines_up(|site| site.zone == step.index);
+        self.lose_engines(now, &engines, step.duration_seconds);
         self.environment.judge.zone_lost(now);
     }
 
     /// Engines fail without notice, and start again cold.
-    fn engines_lost(&mut self, now: SimTime, engines: &[usize], lasts: f64) {
+    fn lose_engines(&mut self, now: SimTime, engines: &[usize], duration_seconds: f64) {
         let detection = self.experiment.engines.loss_detection;
         let reported_at = now.after(self.experiment.log.loss_report_delay);
         for engine in engines {
@@ -56,40 +56,42 @@
             self.environment
                 .plan(reported_at, *engine, EngineStep::ReportRemoved);
             self.environment.plan(
-                now.after(lasts).max(reported_at),
+                now.after(duration_seconds).max(reported_at),
                 *engine,
                 EngineStep::Start,
             );
         }
     }
 
-    fn region_cut(&mut self, now: SimTime, step: &ScriptStep) {
-        for number in self.gateways_of_region(step.which) {
+    fn cut_region(&mut self, now: SimTime, step: &ScriptStep) {
+        for number in self.gateways_of_region(step.index) {
             self.gateways[number].cut = true;
             self.environment.judge.cut(number as u32);
         }
         let heals = Event::RegionHeals {
-            region: step.which as u32,
+            region: step.index as u32,
         };
-        self.environment.queue.push(now.after(step.lasts), heals);
+        self.environment
+            .queue
+            .push(now.after(step.duration_seconds), heals);
     }
 
-    fn rolling_restart(&mut self, now: SimTime, step: &ScriptStep) {
+    fn restart_rolling(&mut self, now: SimTime, step: &ScriptStep) {
         let mut order: Vec<u32> = (0..self.gateways.len() as u32).collect();
         order.shuffle(&mut self.environment.random);
         let at_a_time = ((order.len() as f64 * step.share).ceil() as usize).max(1);
-        let groups = order.len().div_ceil(at_a_time);
-        for (group, gateways) in order.chunks(at_a_time).enumerate() {
-            let at = now.after(step.lasts * group as f64 / groups as f64);
+        let rounds = order.len().div_ceil(at_a_time);
+        for (round, gateways) in order.chunks(at_a_time).enumerate() {
+            let at = now.after(step.duration_seconds * round as f64 / rounds as f64);
             gateways
                 .iter()
                 .for_each(|gateway| self.plan_restart(at, *gateway));
         }
     }
 
-    fn mass_restart(&mut self, now: SimTime, step: &ScriptStep) {
+    fn restart_all(&mut self, now: SimTime, step: &ScriptStep) {
         for gateway in 0..self.gateways.len() as u32 {
-            let at = now.after(self.environment.random.random::<f64>() * step.lasts);
+            let at = now.after(self.environment.random.random::<f64>() * step.duration_seconds);
             self.plan_restart(at, gateway);
         }
     }
@@ -101,25 +103,28 @@
             .push(at, Event::GatewayEnds { gateway, down_for });
     }
 
-    fn configuration_burst(&mut self, now: SimTime, step: &ScriptStep) {
+    fn publish_burst(&mut self, now: SimTime, step: &ScriptStep) {
         for change in 0..step.count {
-            let at = now.after(step.lasts * change as f64 / step.count as f64);
+            let at = now.after(step.duration_seconds * change as f64 / step.count as f64);
             self.environment.queue.push(at, Event::PublishConfiguration);
         }
     }
 
-    fn engines_one_by_one(&mut self, now: SimTime, step: &ScriptStep, engine_step: EngineStep) {
+    fn schedule_engines(&mut self, now: SimTime, step: &ScriptStep, engine_step: EngineStep) {
         for (place, engine) in self.draw_engines(step.count).into_iter().enumerate() {
-            let at = now.after(step.lasts * place as f64 / step.count as f64);
+            let at = now.after(step.duration_seconds * place as f64 / step.count as f64);
             self.environment.plan(at, engine, engine_step);
         }
     }
 
-    fn engines_silent(&mut self, now: SimTime, step: &ScriptStep) {
+    fn silence_engines(&mut self, now: SimTime, step: &ScriptStep) {
         for engine in self.draw_engines(step.count) {
             self.environment.silence_engine(now, engine, true);
-            self.environment
-                .plan(now.after(step.lasts), engine, EngineStep::Respond);
+            self.environment.plan(
+                now.after(step.duration_seconds),
+                engine,
+                EngineStep::Respond,
+            );
         }
     }
 
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -18,6 +18,7 @@
 /// From the notice to drain until an engine is replaced.
 const DRAIN_DEADLINE_SECONDS: f64 = 3.0;
 
+/// Gateways and their environment in simulated time.
 pub struct Simulation {
     pub(super) experiment: Rc<Experiment>,
     pub(super) gateways: Vec<Gateway>,
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -5,6 +5,7 @@
 use garnetwall_subset::EngineKey;
 use std::collections::HashMap;
 
+/// An engine that has a slot.
 pub struct Member {
     pub key: EngineKey,
     pub engine: usize,
@@ -17,6 +18,7 @@
     pub endpoint: Option<Endpoint>,
 }
 
+/// The members by slot and by key.
 #[derive(Default)]
 pub struct Slots {
     members: Vec<Option<Member>>,
--- a/crates/scale/src/fleet/slots/tests.rs
+++ b/crates/scale/src/fleet/slots/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_member_that_comes_back_while_one_is_open_keeps_its_index() {
+fn a_member_that_rejoins_with_an_attempt_in_flight_keeps_its_index() {
     let mut slots = Slots::default();
     slots.join(EngineKey(1), 1, 2.0);
     slots.get_mut(0).expect("joined").open = 1;
--- a/crates/scale/src/fleet/time.rs
+++ b/crates/scale/src/fleet/time.rs
@@ -7,6 +7,7 @@
 pub struct SimTime(u64);
 
 impl SimTime {
+    /// The beginning of the simulation.
     pub const START: SimTime = SimTime(0);
 
     pub fn from_seconds(seconds: f64) -> SimTime {
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// Where the system does not tell.
+/// Where the system does not report it.
 pub fn resident_bytes() -> io::Result<u64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text
--- a/crates/scale/src/real_processes/change_log.rs
+++ b/crates/scale/src/real_processes/change_log.rs
@@ -106,7 +106,7 @@
     /// Bytes of all events appended, once each.
     event_bytes: AtomicU64,
     recorder: Recorder,
-    injects: LogFaults,
+    faults: LogFaults,
 }
 
 impl Shared {
@@ -129,7 +129,7 @@
         endpoint_list: EndpointList,
         engine_ports: Vec<u16>,
         recorder: Recorder,
-        injects: LogFaults,
+        faults: LogFaults,
     ) -> std::io::Result<ChangeLog> {
         let listener = std::net::TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         listener.set_nonblocking(true)?;
@@ -149,7 +149,7 @@
             event_bytes: AtomicU64::new(0),
             engine_ports,
             recorder,
-            injects,
+            faults,
         });
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = spawn_server(listener, shared.clone(), stopped)?;
@@ -216,7 +216,7 @@
     fn append(&self, history: &mut History, number: u64, data: String, entries: &[Value]) {
         let appended = self.shared.recorder.now();
         let drains = entries.iter().any(|entry| entry["state"] == "DRAINING");
-        let withheld_from = self.shared.injects.withhold_drains_from.filter(|_| drains);
+        let withheld_from = self.shared.faults.withhold_drains_from.filter(|_| drains);
         let rendered = frame(number, &rendered_data(&data, 0));
         self.shared
             .event_bytes
@@ -318,8 +318,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::spawn(serve(stream, shared.clone()))),
-            Err(fault) => {
-                tracing::warn!(%fault, "change log can't accept");
+            Err(error) => {
+                tracing::warn!(%error, "change log can't accept");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -369,7 +369,7 @@
         let mut last = self.shared.last.subscribe();
         loop {
             last.borrow_and_update();
-            if self.shared.injects.slow {
+            if self.shared.faults.slow {
                 sleep(SLOW_LOG_DELAY).await;
             }
             let due = joined(self.due());
--- a/crates/scale/src/real_processes/engines.rs
+++ b/crates/scale/src/real_processes/engines.rs
@@ -155,8 +155,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => drop(tokio::spawn(self.clone().serve(stream, gateway))),
-                Err(fault) => {
-                    tracing::warn!(%fault, "engines can't accept");
+                Err(error) => {
+                    tracing::warn!(%error, "engines can't accept");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
--- a/crates/scale/src/real_processes/experiment.rs
+++ b/crates/scale/src/real_processes/experiment.rs
@@ -1,4 +1,4 @@
-//! The file of an experiment: what is started, what happens when, and what is expected.
+//! The file of an experiment with real processes: what is started, the events, and the bounds.
 
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
@@ -82,6 +82,7 @@
     pub action: Action,
 }
 
+/// What an event does.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Action {
--- a/crates/scale/src/real_processes/http_client.rs
+++ b/crates/scale/src/real_processes/http_client.rs
@@ -16,6 +16,7 @@
 /// More than any answer of this run.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
+/// An HTTP/1 connection that requests are sent on.
 pub type Connection = SendRequest<Full<Bytes>>;
 
 /// Why a call brought no whole answer.
--- a/crates/scale/src/real_processes/judge.rs
+++ b/crates/scale/src/real_processes/judge.rs
@@ -203,8 +203,8 @@
     fn drains(&self) -> Vec<String> {
         let notified_times = self.notified_times();
         let fault = |attempt: &&Attempt| {
-            let notified_times = *notified_times.get(&(attempt.engine, attempt.gateway))?;
-            let late = attempt.received_at - notified_times;
+            let notified = *notified_times.get(&(attempt.engine, attempt.gateway))?;
+            let late = attempt.received_at - notified;
             let (gateway, engine) = (attempt.gateway, attempt.engine);
             (late > 0.0).then(|| {
                 format!("gateway {gateway} sent to {engine} {late:.3} s after it was told")
--- a/crates/scale/src/real_processes/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -143,7 +143,7 @@
     let within = Duration::from_secs_f64(experiment.seconds) + RUN_ALLOWANCE * (1 + sweeps as u32);
     let started = Started::default();
     let found = tokio::select! {
-        found = play(&experiment, &binary, &folder, &started) => found,
+        found = run_all(&experiment, &binary, &folder, &started) => found,
         _ = interrupted.recv() => Err(RealProcessesError::Stopped.into()),
         _ = terminated.recv() => Err(RealProcessesError::Stopped.into()),
         () = sleep(within) => Err(RealProcessesError::TooLong(within).into()),
@@ -155,11 +155,16 @@
     found
 }
 
-async fn play(experiment: &Experiment, binary: &Path, folder: &Path, started: &Started) -> Found {
+async fn run_all(
+    experiment: &Experiment,
+    binary: &Path,
+    folder: &Path,
+    started: &Started,
+) -> Found {
     let mut figures = Vec::new();
     let mut judgements = Vec::new();
     if experiment.seconds > 0.0 {
-        let found = play_run(experiment, binary, folder, started).await?;
+        let found = run_main(experiment, binary, folder, started).await?;
         figures.extend(found.figures);
         judgements.extend(found.judgements);
     }
@@ -173,7 +178,7 @@
     })
 }
 
-async fn play_run(
+async fn run_main(
     experiment: &Experiment,
     binary: &Path,
     folder: &Path,
@@ -195,7 +200,7 @@
     )
     .await;
     let test_bed = Arc::new(test_bed);
-    let played = play_on(experiment, &test_bed, &watchers, &recorder).await;
+    let played = run_test_bed(experiment, &test_bed, &watchers, &recorder).await;
     test_bed.gateways.stop().await;
     let mut figures = played?;
     let observations = recorder.observations();
@@ -250,7 +255,7 @@
 }
 
 /// Starts the gateways, runs clients and events, and measures the gateways before they end.
-async fn play_on(
+async fn run_test_bed(
     experiment: &Experiment,
     test_bed: &Arc<TestBed>,
     watchers: &Watchers,
@@ -265,7 +270,7 @@
         test_bed.gateways.reset_processor_time(gateway).await;
     }
     let measured_from = recorder.now();
-    let peaks = play_clients_and_events(experiment, test_bed, recorder).await?;
+    let peaks = run_clients_and_events(experiment, test_bed, recorder).await?;
     sleep(FINAL_DELIVERY_DELAY).await;
     let mut figures = gateway_figures(test_bed, &peaks, recorder.now() - measured_from).await;
     let run = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
@@ -279,7 +284,7 @@
 }
 
 /// Runs clients and events to their end; returns what the gateways used at most meanwhile.
-async fn play_clients_and_events(
+async fn run_clients_and_events(
     experiment: &Experiment,
     test_bed: &Arc<TestBed>,
     recorder: &Recorder,
@@ -290,16 +295,16 @@
         test_bed.engines.ports.clone(),
         recorder.clone(),
     );
-    let playing = async {
+    let running = async {
         let (played, ()) = tokio::join!(
-            script::play(test_bed.clone(), experiment.events.clone()),
+            script::run(test_bed.clone(), experiment.events.clone()),
             clients.run()
         );
         played
     };
     let mut peaks = vec![Peak::default(); experiment.gateways];
     tokio::select! {
-        played = playing => played?,
+        played = running => played?,
         () = sample(test_bed, &mut peaks) => {}
     }
     Ok(peaks)
--- a/crates/scale/src/real_processes/observations.rs
+++ b/crates/scale/src/real_processes/observations.rs
@@ -31,6 +31,7 @@
     Malformed(String),
 }
 
+/// A query as its client observed it.
 #[derive(Clone, Debug)]
 pub struct Query {
     pub id: u64,
@@ -44,6 +45,7 @@
     pub outcome: Outcome,
 }
 
+/// An attempt as its engine observed it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub query: u64,
@@ -110,6 +112,7 @@
     pub clean: bool,
 }
 
+/// Everything that the stand-ins observed in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     pub queries: Vec<Query>,
--- a/crates/scale/src/real_processes/script.rs
+++ b/crates/scale/src/real_processes/script.rs
@@ -23,18 +23,18 @@
 }
 
 /// Carries out all events, and waits until their effects have ended.
-pub async fn play(test_bed: Arc<TestBed>, events: Vec<Event>) -> Result<(), GatewayError> {
+pub async fn run(test_bed: Arc<TestBed>, events: Vec<Event>) -> Result<(), GatewayError> {
     let start = Instant::now();
-    let mut playing = JoinSet::new();
+    let mut running = JoinSet::new();
     for event in events {
         let test_bed = test_bed.clone();
-        playing.spawn(async move {
+        running.spawn(async move {
             sleep_until(start + Duration::from_secs_f64(event.at_seconds)).await;
             tracing::info!(at_seconds = event.at_seconds, action = ?event.action, "event");
-            test_bed.play(event.action).await
+            test_bed.run(event.action).await
         });
     }
-    while let Some(ended) = playing.join_next().await {
+    while let Some(ended) = running.join_next().await {
         if let Ok(Err(fault)) = ended {
             return Err(fault);
         }
@@ -57,7 +57,7 @@
         }
     }
 
-    async fn play(&self, action: Action) -> Result<(), GatewayError> {
+    async fn run(&self, action: Action) -> Result<(), GatewayError> {
         match action {
             Action::EnginesKilled {
                 count,
@@ -81,11 +81,7 @@
                 self.set_health(&slots, Health::Silent);
                 self.publish_deleted_after(&slots, report_delay).await;
             }
-            Action::ZoneBack { zone } => {
-                let slots = self.log.endpoint_list().in_zone(zone);
-                self.kill_slots(&slots);
-                self.start_replacements(&slots);
-            }
+            Action::ZoneBack { zone } => self.replace_zone(zone),
             Action::ChangesBurst { count, spread_over } => self.burst(count, spread_over).await,
             Action::GatewayReloaded { gateway } => self.gateways.reload(gateway).await?,
             Action::GatewayTerminated { gateway } => {
@@ -100,6 +96,12 @@
         Ok(())
     }
 
+    fn replace_zone(&self, zone: usize) {
+        let slots = self.log.endpoint_list().in_zone(zone);
+        self.kill_slots(&slots);
+        self.start_replacements(&slots);
+    }
+
     fn set_health(&self, slots: &[usize], health: Health) {
         for slot in slots {
             self.engines.set_health(*slot, health);
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/configuration.rs
@@ -7,6 +7,7 @@
 use serde_json::json;
 use std::path::PathBuf;
 
+/// Reads and checks a configuration with a list of engines.
 pub struct Configuration;
 
 impl Role for Configuration {
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -13,6 +13,7 @@
 /// Leases that the grantor may store.
 const MAX_LEASES: usize = 100_000;
 
+/// Measures the lease issuer.
 pub struct Leases;
 
 impl Role for Leases {
--- a/crates/scale/src/slopes/ledger.rs
+++ b/crates/scale/src/slopes/ledger.rs
@@ -14,6 +14,7 @@
     cancel_pause: Duration::from_millis(50),
 };
 
+/// Measures a ledger with so many open attempts.
 pub struct OpenAttempts;
 
 impl Role for OpenAttempts {
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -9,6 +9,7 @@
 const WHOLE_LISTS: usize = 8;
 const CHANGED_ENTRIES: usize = 8192;
 
+/// Measures the decoding and the application of the endpoint list.
 pub struct List;
 
 impl Role for List {
--- a/crates/scale/src/slopes/measurement.rs
+++ b/crates/scale/src/slopes/measurement.rs
@@ -116,6 +116,6 @@
     ///
     /// # Errors
     ///
-    /// Where the process can't be measured or the quantities can't be played.
+    /// Where the process can't be measured or the quantities can't be simulated.
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError>;
 }
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -21,6 +21,7 @@
 const CONTACTS: usize = 3;
 const PORT: u16 = 7946;
 
+/// Measures members that exchange messages.
 pub struct Membership;
 
 impl Role for Membership {
--- a/crates/scale/src/slopes/module/mod.rs
+++ b/crates/scale/src/slopes/module/mod.rs
@@ -9,6 +9,7 @@
 use engines::ListedEngines;
 use simulation::Simulation;
 
+/// Measures one gateway's decision module.
 pub struct Module;
 
 impl Role for Module {
--- a/crates/scale/src/slopes/module/simulation.rs
+++ b/crates/scale/src/slopes/module/simulation.rs
@@ -45,6 +45,7 @@
     Change,
 }
 
+/// One decision module with its queries and engines in simulated time.
 pub struct Simulation {
     controller: AdmissionController,
     engines: ListedEngines,
--- a/crates/scale/src/slopes/module/workload.rs
+++ b/crates/scale/src/slopes/module/workload.rs
@@ -8,6 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 
+/// Tenants, over which queries are spread evenly.
 pub const TENANTS: usize = 4;
 /// Threads of a query, by its class.
 pub const THREADS: [f64; 2] = [1.0, 2.0];
--- a/crates/scale/src/slopes/pool.rs
+++ b/crates/scale/src/slopes/pool.rs
@@ -70,10 +70,12 @@
     }
 }
 
+/// The name of a zone in settings and list entries.
 pub fn zone_name(zone: u64) -> String {
     format!("zone-{zone:02}")
 }
 
+/// The name of a kind in settings and list entries.
 pub fn kind_name(kind: usize) -> String {
     format!("kind-{kind}")
 }
--- a/crates/scale/src/slopes/regression/tests.rs
+++ b/crates/scale/src/slopes/regression/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_line_is_found_again_and_predicts_outside_its_range() {
+fn a_linear_fit_recovers_the_line_and_predicts_outside_its_range() {
     let regression = Regression::new(&samples(|size| 6.0 + 0.15 * size));
     assert!(
         (regression.slope - 0.15).abs() < 1e-9 && (regression.intercept - 6.0).abs() < 1e-6,
--- a/crates/scale/src/slopes/report.rs
+++ b/crates/scale/src/slopes/report.rs
@@ -53,7 +53,7 @@
         table
     }
 
-    /// One row: slope, intercept, exponents, what is left over, and prediction beside measured.
+    /// One row: slope, intercept, exponents, residual, and the prediction beside the measured value.
     pub fn regression_row(&self) -> String {
         let Regression {
             slope,
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -1,4 +1,4 @@
-//! What an experiment on slopes says, and what is wrong with it.
+//! The file of an experiment on slopes, and its checks.
 
 use super::measurement::Metric;
 use crate::experiment::{ExperimentError, Fault};
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/subset.rs
@@ -73,6 +73,7 @@
         .collect()
 }
 
+/// Measures the catalog and the choice of a subset.
 pub struct SubsetChoice;
 
 impl Role for SubsetChoice {
--- a/crates/scale/src/subset_comparison/compare.rs
+++ b/crates/scale/src/subset_comparison/compare.rs
@@ -26,6 +26,22 @@
     strategy: StrategyName,
 }
 
+impl Case {
+    fn new(fleet: &Fleet, size: usize, strategy: StrategyName) -> Case {
+        let size = if strategy.holds_whole_list() {
+            fleet.engines
+        } else {
+            size
+        };
+        Case {
+            gateways: fleet.gateways,
+            engines: fleet.engines,
+            size,
+            strategy,
+        }
+    }
+}
+
 /// Runs the experiment.
 pub fn compare(experiment: &Experiment) -> Vec<Row> {
     let mut gathered: BTreeMap<Case, Vec<Figures>> = BTreeMap::new();
@@ -82,20 +98,7 @@
                 }
                 _ => {}
             }
-            let size = if strategy.holds_whole_list() {
-                fleet.engines
-            } else {
-                size
-            };
-            measured.push((
-                Case {
-                    gateways: fleet.gateways,
-                    engines: fleet.engines,
-                    size,
-                    strategy,
-                },
-                figures,
-            ));
+            measured.push((Case::new(fleet, size, strategy), figures));
         }
     }
     measured
--- a/crates/scale/src/subset_comparison/measure/tests.rs
+++ b/crates/scale/src/subset_comparison/measure/tests.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn gateways_that_went_are_no_moves() {
+fn gateways_that_left_are_no_moves() {
     let (before, after) = (population(&[0, 1], 2), population(&[0, 1], 1));
     let required = required(1, 0);
     let moves = moves(
--- a/crates/scale/src/subset_comparison/population.rs
+++ b/crates/scale/src/subset_comparison/population.rs
@@ -1,4 +1,4 @@
-//! Engines and gateways of one fleet under one seed, and what a change makes of them.
+//! Engines and gateways of one fleet under one seed, and the same after a change.
 
 use super::experiment::{Experiment, Fleet};
 use rand::rngs::SmallRng;
@@ -10,7 +10,7 @@
 /// One engine of the list.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Stays the same over changes, and is no part of what a gateway is told.
+    /// Stays the same over changes, and is not known to gateways.
     pub number: u32,
     pub id: String,
     pub cores: f64,
@@ -27,14 +27,14 @@
     pub name: String,
 }
 
-/// The engines and gateways that are there at one time.
+/// The engines and gateways that are present at one time.
 #[derive(Clone, Debug)]
 pub struct Population {
     pub engines: Vec<Engine>,
     pub gateways: Vec<Gateway>,
 }
 
-/// What happens to a fleet.
+/// A change of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
@@ -45,6 +45,7 @@
 }
 
 impl Change {
+    /// All changes, in the order of the figures.
     pub const ALL: [Change; 4] = [
         Change::OneEngine,
         Change::Rack,
@@ -54,7 +55,7 @@
 }
 
 impl Population {
-    /// The fleet of one seed. Names hold the seed, so that each seed hashes anew.
+    /// The fleet of one seed. Names hold the seed, so that each seed gives other hashes.
     pub fn draw(experiment: &Experiment, fleet: &Fleet, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let engines = (0..fleet.engines)
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The fleet after a change. What goes away is drawn by the seed.
+    /// The fleet after a change. The seed draws what is lost.
     pub fn after(&self, change: Change, experiment: &Experiment, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let example = &self.engines[rng.random_range(0..self.engines.len())];
@@ -112,7 +113,7 @@
         }
     }
 
-    /// One over the largest number of an engine, also of one that has gone.
+    /// One over the largest number of an engine, lost ones included.
     pub fn engine_numbers(&self) -> usize {
         self.engines
             .iter()
@@ -121,7 +122,7 @@
             .unwrap_or(0)
     }
 
-    /// Cores by engine number; 0 for engines that have gone.
+    /// Cores by engine number; 0 for engines that are lost.
     pub fn cores(&self) -> Vec<f64> {
         let mut cores = vec![0.0; self.engine_numbers()];
         self.engines
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -139,7 +139,7 @@
         self.settle(catalog);
     }
 
-    /// Does what the subset asks for, with every engine reached, until it asks for nothing.
+    /// Carries out the subset's actions, with every engine reached, until there are none.
     fn settle(&mut self, catalog: &Catalog) {
         let end = self.now + SETTLE_SECONDS;
         for _ in 0..MAX_POLLS {
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The hollow fleet in small: it passes, the same seed plays the same, and each injected fault is found where it belongs.
+//! The hollow fleet in small: it passes, the same seed gives the same run, and each injected fault is found where it belongs.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_same_seed_plays_the_same_and_another_does_not() {
+fn the_same_seed_gives_the_same_run_and_another_does_not() {
     let seeded = |seed| text(&play(&experiment(SMALL), &["--seed", seed]));
     let first = seeded("11");
     assert_eq!(first, seeded("11"));
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A directory that is gone at the end of its test.
+/// A directory that is deleted at the end of its test.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_limit_that_is_passed_fails_the_run_and_one_that_is_kept_does_not() {
+fn a_limit_that_is_exceeded_fails_the_run_and_one_that_holds_does_not() {
     let scratch = Scratch::new("limits");
     let limited =
         |most: f64| format!("{LEDGER}\n[[limits]]\nmetric = \"attempt\"\nmost = {most}\n");
@@ -227,9 +227,9 @@
     assert_eq!(missing.status.code(), Some(2));
 }
 
-/// A point that takes too long is ended and told.
+/// A point that takes too long is ended and reported.
 #[test]
-fn a_point_is_given_up_at_its_limit() {
+fn a_point_times_out_at_its_limit() {
     let scratch = Scratch::new("slow");
     let text = "role = \"membership\"\nsweep = \"members\"\nsizes = [200, 300, 400, 500]\nruns = 1\nseed = 5\npoint-limit = 0.05\n";
     let output = slopes(&scratch.experiment(text), None);
@@ -252,7 +252,7 @@
         .filter(|path| is_ours(&path.file_name().unwrap().to_string_lossy()));
     let mut count = 0;
     for path in ours {
-        // Given up at once: what is wrong with the file would be told before.
+        // Times out at once: a fault of the file would be reported before.
         let text = std::fs::read_to_string(path).unwrap();
         let scratch = Scratch::new(&format!("sound-{count}"));
         let output = slopes(
--- a/crates/scale/tests/spread.rs
+++ b/crates/scale/tests/spread.rs
@@ -190,14 +190,14 @@
 }
 
 #[test]
-fn an_experiment_that_is_not_there_is_told_by_name() {
+fn an_experiment_that_is_not_there_is_reported_by_name() {
     let output = spread(Path::new("no-such-experiment.toml"), &[]);
     assert_eq!(output.status.code(), Some(2));
     assert!(text(&output.stderr).contains("no-such-experiment.toml"));
 }
 
 #[test]
-fn results_that_cannot_be_written_are_told_before_the_run() {
+fn results_that_cannot_be_written_are_reported_before_the_run() {
     let output = spread(
         &experiment("unwritable", SMALL),
         &["--results", "/proc/no/such/file.jsonl"],
