--- /dev/null
+++ b/crates/scale/src/real_processes/change_log/reader.rs
@@ -0,0 +1,172 @@
+//! The log's connections: each reader gets a stream of the events after the last one that it names.
+
+use super::{
+    frame, gateway_of, rendered_data, History, PublishedEvent, Shared, COMMENT, COMMENT_INTERVAL,
+    LAST_EVENT, SLOW_LOG_DELAY, SLOW_READER_TIMEOUT,
+};
+use crate::real_processes::observations::Delivery;
+use bytes::Bytes;
+use http::{Request, Response};
+use http_body_util::channel::{Channel, Sender};
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use serde_json::json;
+use std::convert::Infallible;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, timeout};
+
+/// Serves all connections, without end.
+pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => drop(tokio::spawn(serve(stream, shared.clone()))),
+            Err(error) => {
+                tracing::warn!(%error, "change log can't accept");
+                sleep(Duration::from_millis(10)).await;
+            }
+        }
+    }
+}
+
+async fn serve(stream: TcpStream, shared: Arc<Shared>) {
+    let _ = stream.set_nodelay(true);
+    let Ok(local) = stream.local_addr() else {
+        return;
+    };
+    let gateway = gateway_of(local, shared.engine_ports.len());
+    let service = service_fn(move |request: Request<Incoming>| {
+        let shared = shared.clone();
+        async move {
+            let last = request
+                .headers()
+                .get(LAST_EVENT)
+                .and_then(|value| value.to_str().ok()?.parse().ok());
+            let (sender, body) = Channel::<Bytes, Infallible>::new(1);
+            tokio::spawn(
+                Watch {
+                    shared,
+                    gateway,
+                    last_number: last.unwrap_or(0),
+                }
+                .feed(sender),
+            );
+            Ok::<_, Infallible>(Response::new(body))
+        }
+    });
+    let _ = http1::Builder::new()
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
+}
+
+/// One reader's stream.
+struct Watch {
+    shared: Arc<Shared>,
+    gateway: Option<usize>,
+    /// The number of the last event sent.
+    last_number: u64,
+}
+
+impl Watch {
+    async fn feed(mut self, mut sender: Sender<Bytes, Infallible>) {
+        let mut last = self.shared.last.subscribe();
+        loop {
+            last.borrow_and_update();
+            if self.shared.faults.slow {
+                sleep(SLOW_LOG_DELAY).await;
+            }
+            let due = joined(self.due());
+            self.count(due.len() as u64);
+            if !matches!(
+                timeout(SLOW_READER_TIMEOUT, sender.send_data(due)).await,
+                Ok(Ok(()))
+            ) {
+                return;
+            }
+            // It fails only with the log, whose end ends this task too.
+            let _ = timeout(COMMENT_INTERVAL, last.changed()).await;
+        }
+    }
+
+    fn count(&self, bytes: u64) {
+        let counter = match self.gateway {
+            Some(gateway) => &self.shared.bytes_to_gateways[gateway],
+            None => &self.shared.bytes_to_watchers,
+        };
+        counter.fetch_add(bytes, Ordering::Relaxed);
+    }
+
+    /// Events that it has not been sent.
+    fn due(&mut self) -> Vec<Bytes> {
+        let shared = self.shared.clone();
+        let mut history = shared.history();
+        if self.last_number >= history.last {
+            return Vec::new();
+        }
+        let first = history
+            .events
+            .front()
+            .map_or(history.last + 1, |event| event.number);
+        let from = std::mem::replace(&mut self.last_number, history.last);
+        if from + 1 < first {
+            return self.whole(&mut history);
+        }
+        let skip = (from + 1 - first) as usize;
+        history
+            .events
+            .iter()
+            .skip(skip)
+            .map(|event| self.render(event))
+            .collect()
+    }
+
+    fn whole(&self, history: &mut History) -> Vec<Bytes> {
+        let port = self
+            .gateway
+            .map_or(0, |gateway| self.shared.engine_ports[gateway]);
+        self.delivered(history.last);
+        vec![frame(history.last, &rendered_data(&history.whole(), port))]
+    }
+
+    fn render(&self, event: &PublishedEvent) -> Bytes {
+        let Some(gateway) = self.gateway else {
+            return event.rendered.clone();
+        };
+        if event.withheld_from == Some(gateway) {
+            // An empty event keeps the numbers without gaps, so that only the change is missing.
+            return frame(event.number, &json!({"seq": event.number}).to_string());
+        }
+        self.delivered(event.number);
+        frame(
+            event.number,
+            &rendered_data(&event.data, self.shared.engine_ports[gateway]),
+        )
+    }
+
+    fn delivered(&self, number: u64) {
+        let Some(gateway) = self.gateway else { return };
+        let delivered_at = self.shared.recorder.now();
+        self.shared
+            .recorder
+            .observations()
+            .deliveries
+            .push(Delivery {
+                number,
+                gateway,
+                delivered_at,
+            });
+    }
+}
+
+/// Frames to be written at once; a comment where there are none.
+fn joined(frames: Vec<Bytes>) -> Bytes {
+    match <[Bytes; 1]>::try_from(frames) {
+        Ok([one]) => one,
+        Err(none) if none.is_empty() => Bytes::from_static(COMMENT),
+        Err(several) => Bytes::from(several.concat()),
+    }
+}
--- a/crates/scale/src/real_processes/measure.rs
+++ b/crates/scale/src/real_processes/measure.rs
@@ -1,7 +1,7 @@
 //! What is measured of the gateways' processes and of a run as a whole.
 
 use super::change_log;
-use super::judge::{quantile, Measured};
+use super::measured::{quantile, Measured};
 use super::observations::{Observations, Outcome};
 use super::report::Figure;
 use super::script::TestBed;
--- a/crates/scale/src/real_processes/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -12,6 +12,7 @@
 mod judge;
 mod least_squares;
 mod measure;
+mod measured;
 mod observations;
 mod prediction;
 mod process;
--- a/crates/scale/src/real_processes/tests.rs
+++ b/crates/scale/src/real_processes/tests.rs
@@ -2,8 +2,9 @@
 
 use super::endpoint_list::{address, slot, EngineId};
 use super::experiment::{Expect, Experiment};
-use super::judge::{judge, seen_by_99_in_100};
+use super::judge::judge;
 use super::least_squares::LeastSquares;
+use super::measured::seen_by_99_in_100;
 use super::observations::{
     Attempt, ChangeSeen, Delivery, Notice, Observations, Outcome, Query, QueryClass,
 };
