--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -71,7 +71,7 @@
 ) -> ConfigError {
     let cause = SettingsErrorCause::OutOfRange {
         found: abbreviate(found),
-        off: expected,
+        violation: expected,
     };
     SettingsError::new(place, cause, remedy).into()
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -36,12 +36,12 @@
         found: String,
     },
     /// The number is beyond the range of the key.
-    #[error("{found} is {off}")]
+    #[error("{found} is {violation}")]
     OutOfRange {
         /// The value, abbreviated.
         found: String,
         /// The bound that it passes, as `more than 5`.
-        off: String,
+        violation: String,
     },
     /// The word or index names nothing.
     #[error("'{0}' is unknown")]
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -121,12 +121,12 @@
             let remedy = self.remedy();
             return wrong_type(place, "a number", value, &remedy);
         };
-        let Some(off) = self.violation(number) else {
+        let Some(violation) = self.violation(number) else {
             return Ok(());
         };
         let cause = SettingsErrorCause::OutOfRange {
             found: abbreviate(value),
-            off,
+            violation,
         };
         Err(SettingsError::new(place, cause, self.remedy()))
     }
