--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -1,5 +1,5 @@
-//! Long bodies over sockets: they go on while they come in, are kept as they pass, and go again whole where the first
-//! dispatch fails; what is not kept is not sent again. A stand-in engine counts bytes and sums each body up.
+//! Long bodies over sockets: they are streamed to the engine, stored as they pass, and sent again complete where the first
+//! attempt fails; a body that is not stored is not sent again. A stand-in engine counts the bytes and computes a checksum.
 
 mod helper;
 
@@ -17,38 +17,38 @@
 const KIB: usize = 1 << 10;
 const MIB: usize = 1 << 20;
 
-/// One start as it came to the engine.
+/// The body of one start as the engine received it.
 #[derive(Clone, Debug, PartialEq)]
-struct Came {
+struct ReceivedBody {
     bytes: usize,
     sum: u32,
-    whole: bool,
+    is_complete: bool,
 }
 
-/// An engine that reads bodies of any length. The first words of a body say how its first start fails.
+/// An engine that reads bodies of any length. A directive at the beginning of a body says how its first attempt fails.
 #[derive(Clone)]
-struct Sink {
+struct CountingEngine {
     address: SocketAddr,
-    came: Arc<Mutex<Vec<Came>>>,
-    over: Arc<Mutex<HashMap<String, bool>>>,
+    received: Arc<Mutex<Vec<ReceivedBody>>>,
+    started_ids: Arc<Mutex<HashMap<String, bool>>>,
 }
 
-impl Sink {
-    fn start() -> Sink {
+impl CountingEngine {
+    fn start() -> CountingEngine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let sink = Sink {
+        let engine = CountingEngine {
             address: listener.local_addr().unwrap(),
-            came: Arc::default(),
-            over: Arc::default(),
+            received: Arc::default(),
+            started_ids: Arc::default(),
         };
-        let shared = sink.clone();
+        let shared = engine.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let sink = shared.clone();
-                spawn(move || sink.serve(stream));
+                let engine = shared.clone();
+                spawn(move || engine.serve(stream));
             }
         });
-        sink
+        engine
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reads a body to its end, or as far as the way it fails lets it come.
+    /// Reads a body to its end, or up to the point where its directive makes it fail.
     fn post(
         &self,
         reader: &mut impl BufRead,
@@ -75,53 +75,55 @@
         fields: &HashMap<String, String>,
     ) -> Option<String> {
         let id = fields["x-trace"].clone();
-        let told = fields
+        let content_length = fields
             .get("content-length")
             .and_then(|n| n.parse::<usize>().ok());
-        let again = self.over.lock().unwrap().insert(id, true).is_some();
-        let mut sum = crc32fast::Hasher::new();
-        let (mut bytes, mut how) = (0, String::new());
+        let is_retry = self.started_ids.lock().unwrap().insert(id, true).is_some();
+        let mut hasher = crc32fast::Hasher::new();
+        let (mut bytes, mut beginning) = (0, String::new());
         let n = {
-            let mut came = self.came.lock().unwrap();
-            came.push(Came {
+            let mut received = self.received.lock().unwrap();
+            received.push(ReceivedBody {
                 bytes: 0,
                 sum: 0,
-                whole: false,
+                is_complete: false,
             });
-            came.len() - 1
+            received.len() - 1
         };
-        let whole = read_body(reader, told, |part| {
-            sum.update(part);
-            bytes += part.len();
-            if how.len() < 80 {
-                how += &String::from_utf8_lossy(&part[..part.len().min(80)]);
+        let is_complete = read_body(reader, content_length, |piece| {
+            hasher.update(piece);
+            bytes += piece.len();
+            if beginning.len() < 80 {
+                beginning += &String::from_utf8_lossy(&piece[..piece.len().min(80)]);
             }
-            let breaks = how.contains("/* breaks */") && !again && bytes > told.unwrap_or(0) / 2;
-            let early = how.contains("/* early */") && !again;
+            let breaks = beginning.contains("/* breaks */")
+                && !is_retry
+                && bytes > content_length.unwrap_or(0) / 2;
+            let early = beginning.contains("/* early */") && !is_retry;
             !breaks && !early
         });
-        self.came.lock().unwrap()[n] = Came {
+        self.received.lock().unwrap()[n] = ReceivedBody {
             bytes,
-            sum: sum.finalize(),
-            whole,
+            sum: hasher.finalize(),
+            is_complete,
         };
-        let asks = |word: &str| how.contains(&format!("/* {word} */"));
-        if !whole && asks("early") {
+        let has_directive = |word: &str| beginning.contains(&format!("/* {word} */"));
+        if !is_complete && has_directive("early") {
             return Some(http("503 Full", "X-Declined: 1\r\n", ""));
         }
-        if !whole {
+        if !is_complete {
             let _ = stream.shutdown(Shutdown::Both);
             return None;
         }
-        Some(match again {
-            false if asks("declines") => http("503 Full", "X-Declined: 1\r\n", ""),
-            false if asks("fails") => http("500 Oops", "", ""),
+        Some(match is_retry {
+            false if has_directive("declines") => http("503 Full", "X-Declined: 1\r\n", ""),
+            false if has_directive("fails") => http("500 Oops", "", ""),
             _ => http("200 OK", "Result-Pages: 1\r\nQuery-Cost: 12\r\n", ROWS),
         })
     }
 
-    fn came(&self) -> Vec<Came> {
-        self.came.lock().unwrap().clone()
+    fn received(&self) -> Vec<ReceivedBody> {
+        self.received.lock().unwrap().clone()
     }
 }
 
@@ -142,11 +144,11 @@
     Some((first, fields))
 }
 
-/// Reads a body of a told length, or in chunks, until it ends or `part` wants no more; whether it came whole.
+/// Reads a body of a given length, or in chunks, until it ends or `piece` returns false; returns whether it was complete.
 fn read_body(
     reader: &mut impl BufRead,
-    told: Option<usize>,
-    mut part: impl FnMut(&[u8]) -> bool,
+    content_length: Option<usize>,
+    mut piece: impl FnMut(&[u8]) -> bool,
 ) -> bool {
     let mut some = |reader: &mut dyn BufRead, mut left: usize| {
         while left > 0 {
@@ -154,7 +156,7 @@
                 return false;
             };
             let n = bytes.len().min(left);
-            if n == 0 || !part(&bytes[..n]) {
+            if n == 0 || !piece(&bytes[..n]) {
                 return false;
             }
             reader.consume(n);
@@ -162,8 +164,8 @@
         }
         true
     };
-    if let Some(told) = told {
-        return some(reader, told);
+    if let Some(content_length) = content_length {
+        return some(reader, content_length);
     }
     loop {
         let mut line = String::new();
@@ -182,7 +184,7 @@
     }
 }
 
-/// A body of a size that begins with words.
+/// A body of `size` bytes that begins with the directive `words`.
 fn body(words: &str, size: usize) -> Vec<u8> {
     let begin = format!("INSERT INTO sales_17.orders /* {words} */ ");
     let mut out = begin.into_bytes();
@@ -191,20 +193,20 @@
     out
 }
 
-fn sum(bytes: &[u8]) -> u32 {
+fn checksum(bytes: &[u8]) -> u32 {
     crc32fast::hash(bytes)
 }
 
-/// A gateway with a store of bodies.
-struct Storing {
+/// A gateway with body storage.
+struct BodyStorageGateway {
     service: Service,
-    sink: Sink,
+    engine: CountingEngine,
     log: PathBuf,
 }
 
-impl Storing {
-    /// `bodies` are the entries of the block; `before` is what a shell does before it starts the gateway.
-    fn start(bodies: &str, before: &str) -> Storing {
+impl BodyStorageGateway {
+    /// `bodies` are the entries of the plan's block; `before` is what the shell runs before it starts the gateway.
+    fn start(bodies: &str, before: &str) -> BodyStorageGateway {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
             "bodies-{}-{}",
             std::process::id(),
@@ -214,8 +216,8 @@
         let (plan, log) = (folder.join("a.plan"), folder.join("log"));
         let entries = bodies.replace("FOLDER", folder.to_str().unwrap());
         std::fs::write(&plan, format!("bodies store {{\n{entries}\n}}\n")).unwrap();
-        let sink = Sink::start();
-        let at = sink.address;
+        let engine = CountingEngine::start();
+        let at = engine.address;
         let service = Service::with_launcher(
             |config| {
                 config["known"]["results"][0]["fleet"]["servers"][0]["addr"] =
@@ -239,18 +241,22 @@
                     .unwrap()
             },
         );
-        Storing { service, sink, log }
+        BodyStorageGateway {
+            service,
+            engine,
+            log,
+        }
     }
 
-    fn sends(&self, group: &str, body: &[u8]) -> Answer {
+    fn send(&self, class: &str, body: &[u8]) -> Answer {
         let stream = self.service.open();
         let fields = request_fields(&new_id(), 60_000);
         let head = format!(
-            "POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
+            "POST /v1/{class} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
             body.len()
         );
         let mut out = stream.try_clone().unwrap();
-        // An answer may come before all is sent; then nobody reads on.
+        // The answer may arrive before all is sent; then the rest is not read.
         let sent = out
             .write_all(head.as_bytes())
             .and_then(|()| out.write_all(body));
@@ -258,8 +264,8 @@
         Answer::of(answer.unwrap_or_else(|| panic!("an answer; sent: {sent:?}")))
     }
 
-    /// The most memory that the gateway has had, in MiB.
-    fn peak(&self) -> usize {
+    /// The gateway's peak resident memory in MiB.
+    fn peak_memory_mib(&self) -> usize {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.service.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
@@ -274,146 +280,163 @@
 
 const FILES: &str = "  memory 8MiB\n  batch-memory 2MiB\n  files 1GiB\n  directory \"FOLDER\"\n  batch 220MiB\n  unknown-length";
 
-/// The first dispatch of each is declined: the second gets the same bytes, from memory and from files.
+/// The first attempt of each fails: the retry gets the same bytes, from memory and from files.
 #[test]
-fn bodies_of_every_size_go_again_whole() {
-    let s = Storing::start(FILES, "");
+fn bodies_of_every_size_are_retried_complete() {
+    let gateway = BodyStorageGateway::start(FILES, "");
     for size in [KIB, 300 * KIB, MIB, 20 * MIB, 200 * MIB] {
-        for how in ["declines", "fails"] {
-            let before = s.sink.came().len();
-            let body = body(how, size);
-            let answer = s.sends("report", &body);
-            assert!(answer.succeeded(), "{size} {how}: {answer:?}");
-            let wanted = Came {
+        for directive in ["declines", "fails"] {
+            let before = gateway.engine.received().len();
+            let body = body(directive, size);
+            let answer = gateway.send("report", &body);
+            assert!(answer.succeeded(), "{size} {directive}: {answer:?}");
+            let wanted = ReceivedBody {
                 bytes: size,
-                sum: sum(&body),
-                whole: true,
+                sum: checksum(&body),
+                is_complete: true,
             };
             assert_eq!(
-                s.sink.came()[before..],
+                gateway.engine.received()[before..],
                 [wanted.clone(), wanted],
-                "{size} {how}"
+                "{size} {directive}"
             );
         }
     }
-    let peak = s.peak();
+    let peak = gateway.peak_memory_mib();
     assert!(peak < 64, "{peak} MiB at the most, of 64");
     println!("{peak} MiB at the most");
-    s.service.signal("TERM");
+    gateway.service.signal("TERM");
     wait_until("the counts", || {
-        std::fs::read_to_string(&s.log)
+        std::fs::read_to_string(&gateway.log)
             .unwrap()
             .contains("storage=File bodies=4 retry_reads=4 missing=0")
     });
-    let log = std::fs::read_to_string(&s.log).unwrap();
+    let log = std::fs::read_to_string(&gateway.log).unwrap();
     assert!(
         log.contains("class=\"report\" storage=Memory bodies=4 retry_reads=4 missing=0"),
         "{log}"
     );
 }
 
-/// The connection breaks in the middle of the body: nothing ran. What is kept goes again; a once-only body was let go
-/// with its first bytes and is pushed back.
+/// The connection breaks within the body: nothing ran. A stored body is sent again; a non-idempotent body was released
+/// with its first bytes, and its query is rejected.
 #[test]
-fn a_dispatch_that_breaks_in_the_middle_of_its_body_never_ran() {
-    let s = Storing::start(FILES, "");
+fn attempt_whose_connection_breaks_within_the_body_never_ran() {
+    let gateway = BodyStorageGateway::start(FILES, "");
     let long = body("breaks", 100 * MIB);
-    let answer = s.sends("report", &long);
+    let answer = gateway.send("report", &long);
     assert!(answer.succeeded(), "{answer:?}");
-    let came = s.sink.came();
-    assert!(!came[0].whole && came[0].bytes >= 50 * MIB, "{came:?}");
+    let received = gateway.engine.received();
+    assert!(
+        !received[0].is_complete && received[0].bytes >= 50 * MIB,
+        "{received:?}"
+    );
     assert_eq!(
-        came[1],
-        Came {
+        received[1],
+        ReceivedBody {
             bytes: 100 * MIB,
-            sum: sum(&long),
-            whole: true
+            sum: checksum(&long),
+            is_complete: true
         }
     );
-    let answer = s.sends("load", &long);
+    let answer = gateway.send("load", &long);
     assert_eq!(
-        (answer.status, s.sink.came().len()),
+        (answer.status, gateway.engine.received().len()),
         (503, 3),
-        "it never ran, and is not there any more: {answer:?}"
+        "it never ran, and its body is no longer stored: {answer:?}"
     );
-    let answer = s.sends("load", &body("fails", MIB));
+    let answer = gateway.send("load", &body("fails", MIB));
     assert_eq!(
-        (answer.status, s.sink.came().len()),
+        (answer.status, gateway.engine.received().len()),
         (500, 4),
         "it may have run"
     );
-    assert!(s.sends("load", &body("works", MIB)).succeeded());
+    assert!(gateway.send("load", &body("works", MIB)).succeeded());
 }
 
 /// An engine that answers before it has read the body.
 #[test]
-fn an_answer_before_the_body_is_read_counts() {
-    let s = Storing::start(FILES, "");
+fn response_before_the_body_is_read_counts() {
+    let gateway = BodyStorageGateway::start(FILES, "");
     let long = body("early", 30 * MIB);
-    let answer = s.sends("report", &long);
+    let answer = gateway.send("report", &long);
     assert!(answer.succeeded(), "{answer:?}");
-    let came = s.sink.came();
+    let received = gateway.engine.received();
     assert_eq!(
-        (came.len(), came[0].whole, came[1].sum),
-        (2, false, sum(&long))
+        (received.len(), received[0].is_complete, received[1].sum),
+        (2, false, checksum(&long))
     );
 }
 
-/// Without files, and too long for memory: it passes through once.
+/// Without files, a body too long for memory is streamed once.
 #[test]
-fn what_is_not_kept_is_not_sent_again() {
-    let s = Storing::start("  memory 1MiB\n  batch-memory 512KiB\n  batch 100MiB", "");
+fn body_that_is_not_stored_is_not_retried() {
+    let gateway =
+        BodyStorageGateway::start("  memory 1MiB\n  batch-memory 512KiB\n  batch 100MiB", "");
     let long = body("works", 50 * MIB);
-    assert!(s.sends("report", &long).succeeded());
+    assert!(gateway.send("report", &long).succeeded());
     assert_eq!(
-        s.sink.came(),
-        [Came {
+        gateway.engine.received(),
+        [ReceivedBody {
             bytes: 50 * MIB,
-            sum: sum(&long),
-            whole: true
+            sum: checksum(&long),
+            is_complete: true
         }]
     );
-    let answer = s.sends("report", &body("declines", 5 * MIB));
+    let answer = gateway.send("report", &body("declines", 5 * MIB));
     assert_eq!(
-        (answer.status, s.sink.came().len()),
+        (answer.status, gateway.engine.received().len()),
         (503, 2),
-        "pushed back, as nothing ran: {answer:?}"
+        "rejected, as nothing ran: {answer:?}"
+    );
+    assert_eq!(
+        gateway.send("report", &body("works", 101 * MIB)).status,
+        413
+    );
+    assert!(
+        gateway.peak_memory_mib() < 40,
+        "{} MiB",
+        gateway.peak_memory_mib()
     );
-    assert_eq!(s.sends("report", &body("works", 101 * MIB)).status, 413);
-    assert!(s.peak() < 40, "{} MiB", s.peak());
-    let kept = s.sends("report", &body("declines", 400 * KIB));
-    assert!(kept.succeeded(), "this one is kept: {kept:?}");
+    let stored = gateway.send("report", &body("declines", 400 * KIB));
+    assert!(stored.succeeded(), "this one is stored: {stored:?}");
 }
 
-/// The disk fills in truth, in the middle of a body: by a limit on the size of the process's files.
+/// The disk is full within a body, by a limit on the size of the process's files.
 #[test]
-fn a_disk_that_fills_costs_the_further_dispatch_and_never_the_body() {
-    let s = Storing::start(FILES, "trap '' XFSZ; ulimit -f 8192;");
+fn full_disk_prevents_the_retry_and_never_loses_the_body() {
+    let gateway = BodyStorageGateway::start(FILES, "trap '' XFSZ; ulimit -f 8192;");
     let long = body("works", 40 * MIB);
-    let answer = s.sends("report", &long);
+    let answer = gateway.send("report", &long);
     assert!(answer.succeeded(), "{answer:?}");
     assert_eq!(
-        s.sink.came(),
-        [Came {
+        gateway.engine.received(),
+        [ReceivedBody {
             bytes: 40 * MIB,
-            sum: sum(&long),
-            whole: true
+            sum: checksum(&long),
+            is_complete: true
         }]
     );
-    let answer = s.sends("report", &body("declines", 40 * MIB));
-    assert_eq!((answer.status, s.sink.came().len()), (503, 2), "{answer:?}");
+    let answer = gateway.send("report", &body("declines", 40 * MIB));
+    assert_eq!(
+        (answer.status, gateway.engine.received().len()),
+        (503, 2),
+        "{answer:?}"
+    );
     assert!(
-        s.sends("report", &body("declines", 3 * MIB)).succeeded(),
-        "what fits is kept"
+        gateway
+            .send("report", &body("declines", 3 * MIB))
+            .succeeded(),
+        "a body that fits is stored"
     );
 }
 
 #[test]
-fn a_client_that_stops_halfway_sends_nothing_to_its_end() {
-    let s = Storing::start(FILES, "");
+fn client_that_stops_within_its_body_forwards_no_complete_body() {
+    let gateway = BodyStorageGateway::start(FILES, "");
     for size in [600 * KIB, 5 * MIB] {
-        let before = s.sink.came().len();
-        let stream = s.service.open();
+        let before = gateway.engine.received().len();
+        let stream = gateway.service.open();
         let fields = request_fields(&new_id(), 60_000);
         let head = format!(
             "POST /v1/load HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
@@ -421,28 +444,30 @@
         );
         (&stream).write_all(head.as_bytes()).unwrap();
         (&stream).write_all(&body("works", size)).unwrap();
-        wait_until("the start", || s.sink.came().len() > before);
+        wait_until("the start", || gateway.engine.received().len() > before);
         stream.shutdown(Shutdown::Write).unwrap();
         let mut rest = Vec::new();
         let _ = (&stream).read_to_end(&mut rest);
         sleep(Duration::from_millis(100));
         assert!(
-            s.sink.came()[before..].iter().all(|c| !c.whole),
+            gateway.engine.received()[before..]
+                .iter()
+                .all(|c| !c.is_complete),
             "{:?}",
-            s.sink.came()
+            gateway.engine.received()
         );
     }
     assert!(
-        s.sends("load", &body("works", MIB)).succeeded(),
-        "the next is not troubled"
+        gateway.send("load", &body("works", MIB)).succeeded(),
+        "the next query is not affected"
     );
 }
 
-/// A client that is gone in the middle of its body: the engine's connection is broken off at once, not at the limit.
+/// A client disconnects within its body: the engine's connection is closed at once, not at the deadline.
 #[test]
-fn a_client_that_is_gone_frees_the_engine_at_once() {
-    let s = Storing::start(FILES, "");
-    let stream = s.service.open();
+fn client_disconnect_frees_the_engine_at_once() {
+    let gateway = BodyStorageGateway::start(FILES, "");
+    let stream = gateway.service.open();
     let fields = request_fields(&new_id(), 60_000);
     let head = format!(
         "POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
@@ -450,27 +475,31 @@
     );
     (&stream).write_all(head.as_bytes()).unwrap();
     (&stream).write_all(&body("works", 3 * MIB)).unwrap();
-    wait_until("the start", || s.sink.came().len() == 1);
+    wait_until("the start", || gateway.engine.received().len() == 1);
     sleep(Duration::from_millis(200));
-    assert_eq!(s.sink.came()[0].bytes, 0, "it still comes");
+    assert_eq!(
+        gateway.engine.received()[0].bytes,
+        0,
+        "the body is still being received"
+    );
     drop(stream);
-    // The stand-in notes what came once its connection ends.
-    wait_until("the end", || s.sink.came()[0].bytes > 0);
-    assert!(!s.sink.came()[0].whole);
+    // The stand-in engine records the body once its connection ends.
+    wait_until("the end", || gateway.engine.received()[0].bytes > 0);
+    assert!(!gateway.engine.received()[0].is_complete);
 }
 
 #[test]
-fn a_body_of_unknown_length_is_taken_where_the_plan_allows_it() {
-    let s = Storing::start(FILES, "");
-    let closed = Storing::start("  memory 8MiB", "");
+fn body_of_unknown_length_is_accepted_where_the_plan_allows_it() {
+    let gateway = BodyStorageGateway::start(FILES, "");
+    let without_unknown_length = BodyStorageGateway::start("  memory 8MiB", "");
     for size in [10, 100 * KIB, 5 * MIB] {
         let body = body("declines", size);
         let text = format!(
             "POST /v1/report HTTP/1.1\r\nHost: g\r\n{}Transfer-Encoding: chunked\r\n\r\n",
             request_fields(&new_id(), 9000)
         );
-        for (to, allowed) in [(&s, true), (&closed, false)] {
-            let before = to.sink.came().len();
+        for (to, allowed) in [(&gateway, true), (&without_unknown_length, false)] {
+            let before = to.engine.received().len();
             let stream = to.service.open();
             let mut out = stream.try_clone().unwrap();
             let sent = out.write_all(text.as_bytes()).and_then(|()| {
@@ -485,24 +514,24 @@
             let answer = answer.unwrap_or_else(|| panic!("an answer: {sent:?}"));
             match allowed {
                 true => {
-                    let wanted = Came {
+                    let wanted = ReceivedBody {
                         bytes: body.len(),
-                        sum: sum(&body),
-                        whole: true,
+                        sum: checksum(&body),
+                        is_complete: true,
                     };
                     assert!(answer.succeeded(), "{size}: {answer:?}");
-                    assert_eq!(to.sink.came()[before..], [wanted.clone(), wanted]);
+                    assert_eq!(to.engine.received()[before..], [wanted.clone(), wanted]);
                 }
-                false => assert_eq!((answer.status, to.sink.came().len()), (411, before)),
+                false => assert_eq!((answer.status, to.engine.received().len()), (411, before)),
             }
         }
     }
 }
 
-/// Many at once, at the edge of every budget: each is answered, what is returned came whole, and memory stays flat.
+/// Many at once, at the limit of every budget: each is answered, each that succeeds was complete, and memory stays bounded.
 #[test]
-fn many_bodies_at_once_stay_within_the_budgets() {
-    let s = Storing::start(
+fn many_concurrent_bodies_stay_within_the_budgets() {
+    let gateway = BodyStorageGateway::start(
         "  memory 8MiB\n  batch-memory 512KiB\n  files 24MiB\n  directory \"FOLDER\"\n  batch 2MiB\n  must-keep report",
         "",
     );
@@ -512,30 +541,39 @@
     for round in 0..10usize {
         let statuses: Vec<u16> = std::thread::scope(|scope| {
             let send = |n: usize| {
-                let group = if n.is_multiple_of(2) {
+                let class = if n.is_multiple_of(2) {
                     "report"
                 } else {
                     "load"
                 };
                 let size = 300 * KIB + (n * 7919 + round * 104_729) % (900 * KIB);
-                s.sends(group, &body("works", size)).status
+                gateway.send(class, &body("works", size)).status
             };
             let threads: Vec<_> = (0..80).map(|n| scope.spawn(move || send(n))).collect();
             threads.into_iter().map(|t| t.join().unwrap()).collect()
         });
         answers.extend(statuses);
     }
-    let (returned, pushed_back) = (count(200, &answers), count(503, &answers));
-    assert_eq!(returned + pushed_back, answers.len(), "{answers:?}");
-    let whole = s.sink.came().iter().filter(|c| c.whole).count();
+    let (succeeded, rejected) = (count(200, &answers), count(503, &answers));
+    assert_eq!(succeeded + rejected, answers.len(), "{answers:?}");
+    let complete = gateway
+        .engine
+        .received()
+        .iter()
+        .filter(|c| c.is_complete)
+        .count();
+    assert!(
+        succeeded > 100 && complete == succeeded,
+        "{succeeded} succeeded, {complete} complete"
+    );
     assert!(
-        returned > 100 && whole == returned,
-        "{returned} returned, {whole} came whole"
+        gateway.peak_memory_mib() < 64,
+        "{} MiB",
+        gateway.peak_memory_mib()
     );
-    assert!(s.peak() < 64, "{} MiB", s.peak());
     println!(
-        "of {} bodies {returned} returned, {pushed_back} pushed back, {} MiB at most",
+        "of {} bodies {succeeded} returned, {rejected} pushed back, {} MiB at most",
         answers.len(),
-        s.peak()
+        gateway.peak_memory_mib()
     );
 }
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -1,5 +1,5 @@
-//! Clients and engines that send much at once, a byte at a time, or without end: each is closed in its time, others are served
-//! meanwhile, and descriptors and memory stay inside what was told.
+//! Clients and engines that send in bulk, byte by byte, or without end: each is closed in time, others are served meanwhile,
+//! and descriptors and memory stay within the configured limits.
 
 mod helper;
 
@@ -30,7 +30,7 @@
         .count()
 }
 
-fn resident_mb(service: &Service) -> usize {
+fn peak_memory_mb(service: &Service) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", service.child.id())).unwrap();
     let peak = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
     peak.split_whitespace()
@@ -41,19 +41,19 @@
         / 1024
 }
 
-fn is_inside_its_limits(service: &Service) {
-    let (descriptors, memory) = (descriptors(service), resident_mb(service));
+fn assert_within_limits(service: &Service) {
+    let (descriptors, memory) = (descriptors(service), peak_memory_mb(service));
     assert!(descriptors < SOCKETS, "{descriptors} descriptors");
     assert!(memory < MEMORY_MB, "{memory} MB");
 }
 
-/// Dozens of clients write hundreds of kilobytes of calls at once, read nothing and go, again and again.
+/// Dozens of clients repeatedly write hundreds of kilobytes of requests at once, read nothing and disconnect.
 #[test]
-fn a_flood_that_sends_much_at_once_and_goes_leaves_room_for_others() {
+fn clients_that_send_in_bulk_and_disconnect_leave_capacity_for_others() {
     let engine = EngineProcess::start();
     let service = service(engine.address, |_| {});
     let address = service.address;
-    let floods: Vec<_> = (0..40)
+    let senders: Vec<_> = (0..40)
         .map(|_| {
             spawn(move || {
                 for _ in 0..5 {
@@ -62,10 +62,10 @@
                         let fields = request_fields(&new_id(), 2000);
                         format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 8\r\n\r\nSELECT 1")
                     };
-                    let much: String = (0..2000).map(call).collect();
+                    let requests: String = (0..2000).map(call).collect();
                     stream.set_write_timeout(Some(ms(100))).unwrap();
-                    // What the machine takes of it is enough.
-                    let _ = stream.write(much.as_bytes());
+                    // What the kernel accepts of it is enough.
+                    let _ = stream.write(requests.as_bytes());
                 }
             })
         })
@@ -75,24 +75,24 @@
             service.query("report", "SELECT 2").succeeded(),
             "others are served meanwhile"
         );
-        is_inside_its_limits(&service);
+        assert_within_limits(&service);
         sleep(ms(30));
     }
-    floods.into_iter().for_each(|f| f.join().unwrap());
+    senders.into_iter().for_each(|f| f.join().unwrap());
     sleep(ms(300));
     let before = engine.attempts().len();
     sleep(ms(500));
     assert_eq!(
         engine.attempts().len(),
         before,
-        "nothing is sent on for those that have gone"
+        "nothing is forwarded for disconnected clients"
     );
-    is_inside_its_limits(&service);
+    assert_within_limits(&service);
 }
 
-/// Heads and bodies that come a byte at a time hold every seat that there is.
+/// Request heads and bodies sent byte by byte hold every slot.
 #[test]
-fn calls_that_come_a_byte_at_a_time_are_closed_in_their_time() {
+fn requests_sent_byte_by_byte_are_closed_in_time() {
     let engine = EngineProcess::start();
     let service = service(engine.address, |_| {});
     let fields = request_fields(&new_id(), 2000);
@@ -100,7 +100,7 @@
         format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 5000\r\n\r\n");
     let slow: Vec<_> = (0..60)
         .map(|n| {
-            let (mut stream, begun, head) = (service.open(), Instant::now(), n % 2 == 0);
+            let (mut stream, started_at, head) = (service.open(), Instant::now(), n % 2 == 0);
             let first = if head {
                 "POST /v1/report HTTP/1.1\r\nX-Slow: "
             } else {
@@ -112,13 +112,15 @@
                 let mut answer = [0; 512];
                 loop {
                     match stream.read(&mut answer) {
-                        Ok(0) => return begun.elapsed(),
+                        Ok(0) => return started_at.elapsed(),
                         Ok(_) => {}
                         Err(fault) if fault.kind() == std::io::ErrorKind::WouldBlock => {}
-                        Err(_) => return begun.elapsed(),
+                        Err(_) => return started_at.elapsed(),
                     }
-                    if stream.write_all(b"x").is_err() || begun.elapsed() > Duration::from_secs(6) {
-                        return begun.elapsed();
+                    if stream.write_all(b"x").is_err()
+                        || started_at.elapsed() > Duration::from_secs(6)
+                    {
+                        return started_at.elapsed();
                     }
                 }
             })
@@ -129,19 +131,19 @@
             service.query("report", "SELECT 2").succeeded(),
             "others are served meanwhile"
         );
-        is_inside_its_limits(&service);
+        assert_within_limits(&service);
     }
     let spans: Vec<_> = slow.into_iter().map(|s| s.join().unwrap()).collect();
     let longest = *spans.iter().max().unwrap();
     assert!(
         longest < ms(4000),
-        "one was let be for {longest:?}, of {spans:?}"
+        "a connection stayed open for {longest:?}, of {spans:?}"
     );
 }
 
-/// An answer whose bytes go on coming and never end: the batch has its answer in its time, and nobody else gets what comes.
+/// A response that never ends: its query is answered in time, and no other query gets its bytes.
 #[test]
-fn an_answer_that_never_ends_is_bounded() {
+fn endless_response_is_bounded() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     spawn(move || {
@@ -170,12 +172,12 @@
         }
     });
     let service = service(address, |_| {});
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let answer = service.query_with_id(&new_id(), "report", 1200, "SELECT 1 /* endless */");
     assert!(
-        !answer.succeeded() && begun.elapsed() < ms(1300),
+        !answer.succeeded() && started_at.elapsed() < ms(1300),
         "{answer:?} after {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     for _ in 0..5 {
         let answer = service.query("report", "SELECT 2");
@@ -183,9 +185,9 @@
     }
 }
 
-/// Deadlines of 20 s and an engine that hangs for 16 s: SIGTERM's own time holds.
+/// Deadlines of 20 s and an engine that hangs for 16 s: the shutdown limit applies.
 #[test]
-fn sigterm_under_long_deadlines_answers_all_before_the_kill_may_come() {
+fn sigterm_under_long_deadlines_answers_all_before_the_earliest_kill() {
     let engine = EngineProcess::start();
     let mut service = service(engine.address, |config| {
         config["settings"]["categories"] = json!([
@@ -195,34 +197,34 @@
     });
     let calls: Vec<TcpStream> = ["report", "load"]
         .iter()
-        .map(|group| {
+        .map(|class| {
             let stream = service.open();
             let statement = "SELECT 1 /* runs 16000 */";
             send(
                 &stream,
-                &format!("POST /v1/{group}"),
+                &format!("POST /v1/{class}"),
                 &request_fields(&new_id(), 18_000),
                 statement,
             );
             stream
         })
         .collect();
-    wait_until("both are out", || engine.attempts().len() == 2);
+    wait_until("both attempts", || engine.attempts().len() == 2);
     service.signal("TERM");
-    let term = Instant::now();
+    let signalled_at = Instant::now();
     for stream in calls {
         let answer = read_message(&mut BufReader::new(stream)).expect("an answer");
         assert!(!Answer::of(answer).succeeded());
     }
     assert!(
-        term.elapsed() < ms(3700),
+        signalled_at.elapsed() < ms(3700),
         "answered after {:?}",
-        term.elapsed()
+        signalled_at.elapsed()
     );
     assert!(service.child.wait().unwrap().success());
     assert!(
-        term.elapsed() < ms(3900),
+        signalled_at.elapsed() < ms(3900),
         "ended after {:?}",
-        term.elapsed()
+        signalled_at.elapsed()
     );
 }
