--- a/crates/gateway/tests/reconnect.rs
+++ b/crates/gateway/tests/reconnect.rs
@@ -6,7 +6,7 @@
 const PAUSE: Duration = Duration::from_millis(250);
 
 #[test]
-fn a_log_that_closes_at_once_is_connected_to_once_a_pause_at_most() {
+fn log_that_closes_at_once_is_reconnected_to_at_most_once_per_backoff() {
     let mut reconnect = Reconnect::new(PAUSE, 7);
     for lasted in [0, 1, 100, 249].map(Duration::from_millis) {
         for _ in 0..1000 {
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The program over sockets: started as in service, between raw clients, a stand-in engine and a stand-in
-//! change log. A comment in the statement tells the engine how to behave.
+//! The gateway program over sockets, between raw clients, a stand-in engine and a stand-in change log. Directives in the
+//! comments of a statement control the engine's behaviour.
 
 mod helper;
 
@@ -13,25 +13,25 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_batch_goes_through_unchanged_and_its_rows_come_back_whole() {
-    let s = Service::start();
+fn query_is_forwarded_unchanged_and_its_rows_are_returned_complete() {
+    let service = Service::start();
     let statement = "SELECT é FROM s_17.t /* pages */ WHERE a = 'x\\y'";
-    let answer = s.query("report", statement);
+    let answer = service.query("report", statement);
     let mut rows: Vec<Value> = ROWS_AS_JSON.iter().map(|row| json!(row)).collect();
     rows.extend([json!(["p1", "", ""]), json!(["p2", "", ""])]);
     assert_eq!((answer.status, &answer.json), (200, &json!({"data": rows})));
-    assert!(s
+    assert!(service
         .engine
         .calls
         .lock()
         .unwrap()
         .contains(&format!("POST /c {statement}")));
     assert_eq!(
-        s.query("report", "SELECT 1 /* empty */").json,
+        service.query("report", "SELECT 1 /* empty */").json,
         json!({"data": []})
     );
-    // Many calls on one connection.
-    let stream = s.open();
+    // Several requests on one connection.
+    let stream = service.open();
     for _ in 0..5 {
         let answer = call(
             stream.try_clone().unwrap(),
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn what_is_no_batch_gets_a_short_4xx_and_no_dispatch() {
-    let s = Service::start();
+fn invalid_request_gets_a_short_4xx_and_no_attempt() {
+    let service = Service::start();
     let good = request_fields(&new_id(), 3000);
     let cases = [
         ("POST /v1/other", good.clone(), 400),
@@ -90,57 +90,60 @@
         ),
     ];
     for (start, fields, status) in cases {
-        let answer = Answer::of(call(s.open(), start, &fields, "SELECT 1").expect(start));
+        let answer = Answer::of(call(service.open(), start, &fields, "SELECT 1").expect(start));
         assert_eq!(answer.status, status, "{start} {fields:.200}");
         assert!(
             status == 431 || answer.json["error"].is_string(),
             "{start} {fields:.200}"
         );
     }
-    assert_eq!(s.query("report", "").status, 400);
-    // Read by one that is still sending, too.
-    assert_eq!(s.query("report", &"x".repeat(3_000_000)).status, 413);
-    assert_eq!(s.engine.calls("POST"), 0);
+    assert_eq!(service.query("report", "").status, 400);
+    // Also read by a client that is still sending.
+    assert_eq!(service.query("report", &"x".repeat(3_000_000)).status, 413);
+    assert_eq!(service.engine.calls("POST"), 0);
 }
 
-/// Each way a dispatch can fail, and what the batch's answer is then.
+/// Each way in which an attempt can fail, and the query's answer then.
 #[test]
-fn every_failure_is_an_outcome_and_never_rows() {
-    let s = Service::start();
-    let sent_again = s.query("report", "SELECT 1 /* full once */");
-    assert!(sent_again.succeeded(), "full never ran: {sent_again:?}");
+fn every_failed_attempt_has_an_outcome_and_no_rows() {
+    let service = Service::start();
+    let retried = service.query("report", "SELECT 1 /* full once */");
+    assert!(
+        retried.succeeded(),
+        "a rejected attempt never ran: {retried:?}"
+    );
     for words in ["error", "lost page", "no count", "huge"] {
-        let before = s.engine.calls("POST");
-        let answer = s.query("load", &format!("INSERT /* {words} */"));
+        let before = service.engine.calls("POST");
+        let answer = service.query("load", &format!("INSERT /* {words} */"));
         assert_eq!(
-            (answer.status, s.engine.calls("POST") - before),
+            (answer.status, service.engine.calls("POST") - before),
             (500, 1),
-            "once-only, {words}: {answer:?}"
+            "non-idempotent, {words}: {answer:?}"
         );
     }
-    let twice = s.query("report", "SELECT 1 /* error */");
+    let failed = service.query("report", "SELECT 1 /* error */");
     assert_eq!(
-        (twice.status, &twice.json, twice.retry_after_ms),
+        (failed.status, &failed.json, failed.retry_after_ms),
         (503, &json!({"error": "Busy"}), Some(600))
     );
     assert_eq!(
-        s.engine.calls("POST /c SELECT 1 /* error */"),
+        service.engine.calls("POST /c SELECT 1 /* error */"),
         2,
-        "two dispatches are allowed"
+        "two attempts are allowed"
     );
 }
 
 #[test]
-fn a_connection_reset_after_the_start_is_asked_about_not_started_again() {
-    let s = Service::start();
-    assert!(s.query("load", "INSERT /* reset */").succeeded());
-    assert_eq!(s.engine.calls("POST"), 1);
+fn attempt_is_polled_not_restarted_after_a_connection_reset() {
+    let service = Service::start();
+    assert!(service.query("load", "INSERT /* reset */").succeeded());
+    assert_eq!(service.engine.calls("POST"), 1);
 }
 
-/// Days of spoilt answers: a good end is given again when asked, and is asked for before the batch is given up.
+/// Corrupted responses: the engine repeats a result when polled, and is polled before the query is abandoned.
 #[test]
-fn a_spoilt_answer_is_asked_for_again_and_reaches_no_other_batch() {
-    let s = Service::start();
+fn corrupted_response_is_polled_again_and_reaches_no_other_query() {
+    let service = Service::start();
     let rows = |kind: &str| {
         let pages = [json!(["p1", "", ""]), json!(["p2", "", ""])];
         let first = ROWS_AS_JSON.iter().map(|row| json!(row));
@@ -149,7 +152,7 @@
             .collect();
         json!({ "data": rows })
     };
-    for spoil in [
+    for corruption in [
         "noise",
         "endless head",
         "length",
@@ -159,67 +162,73 @@
         "surplus",
     ] {
         for kind in ["pages", "one"] {
-            let answer = s.query("load", &format!("INSERT /* {kind} */ /* spoilt {spoil} */"));
+            let answer = service.query(
+                "load",
+                &format!("INSERT /* {kind} */ /* spoilt {corruption} */"),
+            );
             assert_eq!(
                 (answer.status, answer.json),
                 (200, rows(kind)),
-                "{spoil}, {kind}"
+                "{corruption}, {kind}"
             );
             assert_eq!(
-                s.query("report", "SELECT 1").json,
+                service.query("report", "SELECT 1").json,
                 rows("one"),
-                "after {spoil}"
+                "after {corruption}"
             );
         }
     }
-    assert_eq!(s.engine.calls("POST"), 28, "no batch was sent twice");
+    assert_eq!(service.engine.calls("POST"), 28, "no query was sent twice");
 }
 
-/// Days of answers that come late or never: lookups waited 0.75 s for them and missed their goal.
+/// Responses that are late or missing: lookups waited 0.75 s for them and missed their latency objective.
 #[test]
-fn an_answer_that_does_not_come_is_asked_for_once_news_is_due() {
-    let s = Service::start();
+fn missing_response_is_polled_once_it_is_due() {
+    let service = Service::start();
     let began = Instant::now();
-    assert!(s.query("load", "INSERT /* late */").succeeded());
+    assert!(service.query("load", "INSERT /* late */").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(700),
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(s.engine.calls("POST"), 1);
+    assert_eq!(service.engine.calls("POST"), 1);
 }
 
-/// Days of resets: an engine that had a start whole ran it on, unasked, while the next batch of its key was sent.
+/// Connection resets: an engine that had received a complete start ran it without polls while the key's next query was sent.
 #[test]
-fn a_dispatch_whose_end_is_not_known_is_given_up_before_it_counts_as_over() {
-    let s = Service::start();
+fn attempt_of_unknown_outcome_is_cancelled_before_it_counts_as_ended() {
+    let service = Service::start();
     assert_eq!(
-        s.query("load", "INSERT /* reset */ /* forgets */").status,
+        service
+            .query("load", "INSERT /* reset */ /* forgets */")
+            .status,
         500
     );
     wait_until("the DELETE", || {
-        (s.engine.calls("POST"), s.engine.calls("DELETE")) == (1, 1)
+        (service.engine.calls("POST"), service.engine.calls("DELETE")) == (1, 1)
     });
     assert_eq!(
-        s.query(
-            "load",
-            "INSERT /* reset */ /* forgets */ /* loses delete */"
-        )
-        .status,
+        service
+            .query(
+                "load",
+                "INSERT /* reset */ /* forgets */ /* loses delete */"
+            )
+            .status,
         500
     );
-    wait_until("the DELETE asked again", || {
-        (s.engine.calls("POST"), s.engine.calls("DELETE")) == (2, 3)
+    wait_until("the DELETE is retried", || {
+        (service.engine.calls("POST"), service.engine.calls("DELETE")) == (2, 3)
     });
 }
 
 #[test]
-fn nobody_listening_at_an_engine_proves_that_nothing_ran() {
-    let s = Service::with(|c| {
+fn refused_connection_proves_that_nothing_ran() {
+    let service = Service::with(|c| {
         let dead = free_address().to_string();
         c["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(dead);
     });
-    let answer = s.query_with_id(&new_id(), "load", 3000, "INSERT 1");
+    let answer = service.query_with_id(&new_id(), "load", 3000, "INSERT 1");
     assert_eq!(
         (answer.status, &answer.json["error"]),
         (503, &json!("Busy"))
@@ -227,10 +236,10 @@
 }
 
 #[test]
-fn a_silent_engine_is_answered_for_in_time_and_given_up() {
-    let s = Service::start();
+fn query_to_a_silent_engine_is_answered_in_time_and_its_attempt_cancelled() {
+    let service = Service::start();
     let (id, began) = (new_id(), Instant::now());
-    let answer = s.query_with_id(&id, "load", 1000, "INSERT /* silent */");
+    let answer = service.query_with_id(&id, "load", 1000, "INSERT /* silent */");
     assert_eq!(answer.status, 500);
     assert!(
         began.elapsed() < Duration::from_millis(1050),
@@ -238,15 +247,15 @@
         began.elapsed()
     );
     wait_until("the DELETE", || {
-        s.engine.calls(&format!("DELETE /c/{id}")) == 1
+        service.engine.calls(&format!("DELETE /c/{id}")) == 1
     });
 }
 
-/// Found by reading: a dispatch taken back shortly before the limit was waited for past it.
+/// An attempt cancelled shortly before the deadline must not be awaited past it.
 #[test]
-fn a_dispatch_taken_back_late_does_not_hold_up_the_answer() {
-    let s = Service::start();
-    let (stream, began) = (s.open(), Instant::now());
+fn attempt_cancelled_late_does_not_delay_the_answer() {
+    let service = Service::start();
+    let (stream, began) = (service.open(), Instant::now());
     send(
         &stream,
         "POST /v1/report",
@@ -254,13 +263,13 @@
         "SELECT 1 /* keeps delete */",
     );
     sleep(Duration::from_millis(800));
-    // An engine told to have started after the dispatch has lost it: the module takes it back.
+    // An engine listed with a start time after the attempt has lost it: the attempt is cancelled.
     let unix = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
-    let mut restarted = endpoint("s-1", s.engine.address, "SERVING");
+    let mut restarted = endpoint("s-1", service.engine.address, "SERVING");
     restarted["started_ms"] = json!(unix.as_millis() as u64);
-    s.log.publish(list_event(1, false, &[restarted]));
+    service.log.publish(list_event(1, false, &[restarted]));
     let answer = Answer::of(read_message(&mut BufReader::new(stream)).unwrap());
     assert_eq!(answer.status, 503);
     assert!(
@@ -271,11 +280,11 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_dispatch_along() {
-    let s = Service::start();
-    for how in ["closes", "deletes"] {
+fn client_disconnect_or_cancel_cancels_the_attempt() {
+    let service = Service::start();
+    for way in ["closes", "deletes"] {
         let id = new_id();
-        let stream = s.open();
+        let stream = service.open();
         send(
             &stream,
             "POST /v1/report",
@@ -283,11 +292,11 @@
             "SELECT 1 /* slow */",
         );
         wait_until("the start", || {
-            s.engine.started.lock().unwrap().contains_key(&id)
+            service.engine.started.lock().unwrap().contains_key(&id)
         });
-        if how == "deletes" {
+        if way == "deletes" {
             let answer = call(
-                s.open(),
+                service.open(),
                 "DELETE /v1/report",
                 &request_fields(&id, 3000),
                 "",
@@ -296,16 +305,18 @@
             assert_eq!(answer.start_line, "HTTP/1.1 204 No Content");
         }
         drop(stream);
-        wait_until(how, || s.engine.calls(&format!("DELETE /c/{id}")) == 1);
+        wait_until(way, || {
+            service.engine.calls(&format!("DELETE /c/{id}")) == 1
+        });
     }
 }
 
 #[test]
-fn a_repeated_id_joins_its_batch_and_never_makes_a_second() {
-    let s = Service::start();
+fn repeated_id_joins_its_query_and_never_starts_a_second() {
+    let service = Service::start();
     let id = new_id();
     let both = [(); 2].map(|()| {
-        let stream = s.open();
+        let stream = service.open();
         send(
             &stream,
             "POST /v1/load",
@@ -317,16 +328,19 @@
     for stream in both {
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
-    // Made again it gets the same answer, and no second attempt is made; with another statement it gets neither.
-    assert!(s
+    // A repeated request gets the same answer without a second attempt; with another statement it is refused.
+    assert!(service
         .query_with_id(&id, "load", 3000, "INSERT /* slow */")
         .succeeded());
-    assert_eq!(s.query_with_id(&id, "load", 3000, "INSERT").status, 409);
-    assert_eq!(s.engine.calls("POST"), 1);
-    // A client whose connection is lost has 50 ms to come again; a slow machine may take longer, so some tries.
+    assert_eq!(
+        service.query_with_id(&id, "load", 3000, "INSERT").status,
+        409
+    );
+    assert_eq!(service.engine.calls("POST"), 1);
+    // A disconnected client has 50 ms to reconnect; a slow machine may take longer, hence several rounds.
     let joined = (0..10).any(|_| {
         let id = new_id();
-        let lost = s.open();
+        let lost = service.open();
         send(
             &lost,
             "POST /v1/report",
@@ -334,45 +348,51 @@
             "SELECT 1 /* slow */",
         );
         wait_until("the start", || {
-            s.engine.started.lock().unwrap().contains_key(&id)
+            service.engine.started.lock().unwrap().contains_key(&id)
         });
         drop(lost);
-        s.query_with_id(&id, "report", 3000, "SELECT 1 /* slow */")
+        service
+            .query_with_id(&id, "report", 3000, "SELECT 1 /* slow */")
             .succeeded()
     });
     assert!(joined);
 }
 
-/// Days of bad clients: some had 'returned' for the id of a batch in hand and a statement of their own.
+/// Misbehaving clients got an answer for the id of an active query and a statement of their own.
 #[test]
-fn an_id_in_hand_with_anything_else_is_refused_and_does_not_touch_the_batch() {
-    let s = Service::start();
-    let (id, stream) = (new_id(), s.open());
+fn active_id_with_another_request_is_refused_and_does_not_affect_the_query() {
+    let service = Service::start();
+    let (id, stream) = (new_id(), service.open());
     send(
         &stream,
         "POST /v1/report",
         &request_fields(&id, 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || s.engine.calls("POST") == 1);
-    assert_eq!(s.query_with_id(&id, "report", 3000, "SELECT 2").status, 409);
+    wait_until("the start", || service.engine.calls("POST") == 1);
+    assert_eq!(
+        service
+            .query_with_id(&id, "report", 3000, "SELECT 2")
+            .status,
+        409
+    );
     assert_eq!(
-        s.query_with_id(&id, "load", 3000, "SELECT 1 /* slow */")
+        service
+            .query_with_id(&id, "load", 3000, "SELECT 1 /* slow */")
             .status,
         409
     );
     assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
-    assert_eq!(s.engine.calls("POST"), 1);
+    assert_eq!(service.engine.calls("POST"), 1);
 }
 
-/// Days of new engines and of bad clients: connections kept for good and silent ones held all seats, and those
-/// that came waited unread, out of their order.
+/// Keep-alive and silent connections held all slots, and new ones waited unread and out of order.
 #[test]
-fn silent_and_idle_connections_cost_those_that_ask_no_time_and_are_closed() {
-    let s = Service::start();
-    let kept: Vec<TcpStream> = (0..120)
+fn silent_and_idle_connections_delay_no_query_and_are_closed() {
+    let service = Service::start();
+    let keep_alive: Vec<TcpStream> = (0..120)
         .map(|_| {
-            let stream = s.open();
+            let stream = service.open();
             let answer = call(
                 stream.try_clone().unwrap(),
                 "POST /v1/report",
@@ -383,37 +403,37 @@
             stream
         })
         .collect();
-    let silent: Vec<TcpStream> = (0..300).map(|_| s.open()).collect();
-    let half = s.open();
-    (&half)
+    let silent: Vec<TcpStream> = (0..300).map(|_| service.open()).collect();
+    let partial_head = service.open();
+    (&partial_head)
         .write_all(b"POST /v1/report HTTP/1.1\r\nHost: o")
         .unwrap();
-    let body = s.open();
-    (&body)
+    let partial_body = service.open();
+    (&partial_body)
         .write_all(b"POST /v1/report HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\nSEL")
         .unwrap();
     let began = Instant::now();
-    assert!(s.query("report", "SELECT 1").succeeded());
+    assert!(service.query("report", "SELECT 1").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(1500),
         "{:?}",
         began.elapsed()
     );
-    let asking = s.open();
+    let busy = service.open();
     send(
-        &asking,
+        &busy,
         "POST /v1/report",
         &request_fields(&new_id(), 3000),
         "SELECT 1 /* very slow */",
     );
-    for mut stream in silent.into_iter().chain([half, body]) {
+    for mut stream in silent.into_iter().chain([partial_head, partial_body]) {
         stream
             .set_read_timeout(Some(Duration::from_secs(3)))
             .unwrap();
         let end = std::io::copy(&mut stream, &mut std::io::sink());
         assert!(
             !end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock),
-            "left open"
+            "still open"
         );
     }
     assert!(
@@ -421,19 +441,19 @@
         "{:?}",
         began.elapsed()
     );
-    drop(kept);
+    drop(keep_alive);
     assert!(
-        Answer::of(read_message(&mut BufReader::new(asking)).expect("an answer")).succeeded(),
-        "it asked"
+        Answer::of(read_message(&mut BufReader::new(busy)).expect("an answer")).succeeded(),
+        "it sent a query"
     );
 }
 
 #[test]
-fn batches_of_a_key_run_one_at_a_time_in_the_order_they_came() {
-    let s = Service::start();
+fn queries_of_a_key_run_one_at_a_time_in_order_of_arrival() {
+    let service = Service::start();
     let streams: Vec<TcpStream> = (0..3)
         .map(|n| {
-            let stream = s.open();
+            let stream = service.open();
             let fields = format!(
                 "{}X-Item: 7f3a9c21e0b4d655\r\n",
                 request_fields(&new_id(), 2900)
@@ -448,76 +468,85 @@
             stream
         })
         .collect();
-    assert_eq!(s.engine.calls("POST"), 1, "the others wait for the first");
+    assert_eq!(
+        service.engine.calls("POST"),
+        1,
+        "the others wait for the first"
+    );
     for stream in streams {
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
-    let calls = s.engine.calls.lock().unwrap().join("\n");
+    let calls = service.engine.calls.lock().unwrap().join("\n");
     let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
     assert!(at(0) < at(1) && at(1) < at(2));
 }
 
 #[test]
 fn the_change_log_is_followed_over_faults_and_lost_connections() {
-    let s = Service::start();
+    let service = Service::start();
     let other = Engine::start();
-    s.log.publish(
+    service.log.publish(
         json!({"seq": 1, "fleet": {"full": false, "servers": [{"id": "s-2", "state": "ODD"}]}}),
     );
-    s.log.publish(list_event(
+    service.log.publish(list_event(
         2,
         false,
         &[
-            endpoint("s-1", s.engine.address, "DRAINING"),
+            endpoint("s-1", service.engine.address, "DRAINING"),
             endpoint("s-2", other.address, "SERVING"),
         ],
     ));
-    // The malformed event is asked for again once, then passed over.
+    // The malformed event is requested again once, then skipped.
     wait_until("the second connection", || {
-        s.log.last_event_ids.lock().unwrap().starts_with(&[0, 0])
+        service
+            .log
+            .last_event_ids
+            .lock()
+            .unwrap()
+            .starts_with(&[0, 0])
     });
     wait_until("the new engine", || {
-        s.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
+        service.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
     });
-    let before = s.engine.calls("POST");
-    assert!(s.query("report", "SELECT 1").succeeded());
+    let before = service.engine.calls("POST");
+    assert!(service.query("report", "SELECT 1").succeeded());
     assert_eq!(
-        s.engine.calls("POST"),
+        service.engine.calls("POST"),
         before,
-        "nothing new to an engine that drains"
+        "no attempt at a draining engine"
     );
-    s.log.close_streams();
+    service.log.close_streams();
     wait_until("the third connection", || {
-        s.log.last_event_ids.lock().unwrap().last() == Some(&2)
+        service.log.last_event_ids.lock().unwrap().last() == Some(&2)
     });
-    s.log.publish(list_event(
+    service.log.publish(list_event(
         3,
         true,
-        &[endpoint("s-3", s.engine.address, "SERVING")],
+        &[endpoint("s-3", service.engine.address, "SERVING")],
     ));
-    wait_until("the whole list", || {
-        s.query("report", "SELECT 1").succeeded() && s.engine.calls("POST") > before
+    wait_until("the full list", || {
+        service.query("report", "SELECT 1").succeeded() && service.engine.calls("POST") > before
     });
-    let left = other.calls("POST");
-    assert!(s.query("report", "SELECT 1").succeeded());
+    let requests_before = other.calls("POST");
+    assert!(service.query("report", "SELECT 1").succeeded());
     assert_eq!(
         other.calls("POST"),
-        left,
-        "what a whole list does not name is gone"
+        requests_before,
+        "an engine that a full list does not name is removed"
     );
-    s.log.paused.store(true, Ordering::Relaxed);
+    service.log.paused.store(true, Ordering::Relaxed);
     wait_until("a fresh connection in place of a silent one", || {
-        s.log.last_event_ids.lock().unwrap().last() == Some(&3)
+        service.log.last_event_ids.lock().unwrap().last() == Some(&3)
     });
 }
 
 #[test]
-fn it_is_healthy_only_once_it_knows_a_list_of_engines() {
+fn gateway_is_healthy_only_once_it_has_an_endpoint_list() {
     let (engine, log) = (Engine::start(), ChangeLog::start());
     let mut config = config(engine.address, log.address);
     config["known"] = json!({"seq": 0, "results": []});
     let address = config["listen"].as_str().unwrap().parse().unwrap();
-    let s = Service {
+    let service = Service {
         child: serve(&config),
         engine,
         log,
@@ -525,59 +554,64 @@
         address,
     };
     wait_until("the port", || TcpStream::connect(address).is_ok());
-    let health = || call(s.open(), "GET /healthz", "", "").unwrap().start_line;
+    let health = || {
+        call(service.open(), "GET /healthz", "", "")
+            .unwrap()
+            .start_line
+    };
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
-    s.log.publish(list_event(
+    service.log.publish(list_event(
         1,
         true,
-        &[endpoint("s-1", s.engine.address, "SERVING")],
+        &[endpoint("s-1", service.engine.address, "SERVING")],
     ));
-    s.wait_until_healthy();
-    assert!(s.query("report", "SELECT 1").succeeded());
+    service.wait_until_healthy();
+    assert!(service.query("report", "SELECT 1").succeeded());
 }
 
 #[test]
-fn sigterm_takes_on_what_still_comes_answers_all_and_exits() {
-    let mut s = Service::start();
-    let slow = s.open();
+fn sigterm_admits_new_queries_answers_all_and_exits() {
+    let mut service = Service::start();
+    let slow = service.open();
     send(
         &slow,
         "POST /v1/report",
         &request_fields(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || s.engine.calls("POST") == 1);
+    wait_until("the start", || service.engine.calls("POST") == 1);
     let began = Instant::now();
-    s.signal("TERM");
+    service.signal("TERM");
     sleep(Duration::from_millis(300));
     assert!(
-        s.query("report", "SELECT 1").succeeded(),
-        "connections still come"
+        service.query("report", "SELECT 1").succeeded(),
+        "connections are still accepted"
     );
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
-    assert!(s.child.wait().unwrap().success());
+    assert!(service.child.wait().unwrap().success());
     assert!(began.elapsed() < Duration::from_millis(3700));
 }
 
-/// SIGKILL may come 3.7 s after SIGTERM, however long batches may take.
+/// SIGKILL may come 3.7 s after SIGTERM, however long queries may take.
 #[test]
-fn sigterm_leaves_no_batch_unanswered_when_the_kill_may_come() {
-    let mut s = Service::with(|c| c["settings"]["categories"][1]["give-up"] = json!(20_000.0));
-    let silent = s.open();
+fn sigterm_leaves_no_query_unanswered_at_the_earliest_kill() {
+    let mut service =
+        Service::with(|config| config["settings"]["categories"][1]["give-up"] = json!(20_000.0));
+    let silent = service.open();
     send(
         &silent,
         "POST /v1/load",
         &request_fields(&new_id(), 20_000),
         "INSERT /* silent */",
     );
-    wait_until("the start", || s.engine.calls("POST") == 1);
+    wait_until("the start", || service.engine.calls("POST") == 1);
     let began = Instant::now();
-    s.signal("TERM");
+    service.signal("TERM");
     assert_eq!(
         Answer::of(read_message(&mut BufReader::new(silent)).unwrap()).status,
         500
     );
-    assert!(s.child.wait().unwrap().success());
+    assert!(service.child.wait().unwrap().success());
     assert!(
         began.elapsed() < Duration::from_millis(3700),
         "{:?}",
@@ -585,22 +619,22 @@
     );
 }
 
-/// Days of new configurations crashed the gateway: SIGHUP was not handled.
+/// An unhandled SIGHUP ended the gateway on each new configuration.
 #[test]
 fn sighup_follows_the_new_change_log_and_keeps_the_old_file_where_the_new_one_is_faulty() {
     let path = write_config(&Value::Null);
-    let mut s = Service::with_launcher(
+    let mut service = Service::with_launcher(
         |_| {},
         |config| {
             std::fs::write(&path, config.to_string()).unwrap();
             serve_from(&path, Stdio::piped())
         },
     );
-    s.log.publish(list_event(1, false, &[]));
+    service.log.publish(list_event(1, false, &[]));
     wait_until("the first log", || {
-        s.log.last_event_ids.lock().unwrap().as_slice() == [0]
+        service.log.last_event_ids.lock().unwrap().as_slice() == [0]
     });
-    let slow = s.open();
+    let slow = service.open();
     send(
         &slow,
         "POST /v1/report",
@@ -608,10 +642,11 @@
         "SELECT 1 /* slow */",
     );
     std::fs::write(&path, "{").unwrap();
-    s.signal("HUP");
+    service.signal("HUP");
     sleep(Duration::from_millis(100));
     let (other, new) = (Engine::start(), ChangeLog::start());
-    s.log
+    service
+        .log
         .events
         .lock()
         .unwrap()
@@ -622,61 +657,61 @@
         true,
         &[endpoint("s-2", other.address, "SERVING")],
     ));
-    s.config["changelog"] = json!(new.address.to_string());
-    s.config["limits"]["sockets"] = json!(512);
-    std::fs::write(&path, s.config.to_string()).unwrap();
-    s.signal("HUP");
+    service.config["changelog"] = json!(new.address.to_string());
+    service.config["limits"]["sockets"] = json!(512);
+    std::fs::write(&path, service.config.to_string()).unwrap();
+    service.signal("HUP");
     wait_until("the new log from the last number", || {
         new.last_event_ids.lock().unwrap().as_slice() == [1]
     });
-    s.log.publish(list_event(
+    service.log.publish(list_event(
         2,
         true,
         &[endpoint("s-3", free_address(), "SERVING")],
     ));
     wait_until("the new engine", || {
-        s.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
+        service.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
     });
     assert!(
         Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded(),
-        "no batch notices"
+        "no query is affected"
     );
-    s.signal("TERM");
-    s.signal("HUP");
+    service.signal("TERM");
+    service.signal("HUP");
     assert!(
-        s.child.wait().unwrap().success(),
-        "nor does SIGHUP end one that drains"
+        service.child.wait().unwrap().success(),
+        "SIGHUP does not end a draining gateway"
     );
-    let said = std::io::read_to_string(s.child.stderr.take().unwrap()).unwrap();
+    let log_text = std::io::read_to_string(service.child.stderr.take().unwrap()).unwrap();
     for line in [
         "configuration not reloaded",
         "key=\"limits\"",
         "configuration reloaded",
     ] {
-        assert!(said.contains(line), "{line}: {said}");
+        assert!(log_text.contains(line), "{line}: {log_text}");
     }
 }
 
 #[test]
-fn killed_outright_it_starts_again_under_its_address() {
-    let mut s = Service::start();
-    let open = s.open();
+fn gateway_restarts_at_its_address_after_sigkill() {
+    let mut service = Service::start();
+    let open = service.open();
     send(
         &open,
         "POST /v1/report",
         &request_fields(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || s.engine.calls("POST") == 1);
-    s.signal("KILL");
-    s.child.wait().unwrap();
-    s.child = serve(&s.config);
-    s.wait_until_healthy();
-    assert!(s.query("report", "SELECT 1").succeeded());
+    wait_until("the start", || service.engine.calls("POST") == 1);
+    service.signal("KILL");
+    service.child.wait().unwrap();
+    service.child = serve(&service.config);
+    service.wait_until_healthy();
+    assert!(service.query("report", "SELECT 1").succeeded());
 }
 
 #[test]
-fn short_of_descriptors_every_batch_still_has_its_answer() {
+fn every_query_is_answered_when_descriptors_run_out() {
     let limited = |config: &Value| {
         let start = format!(
             "ulimit -n 64; exec {} serve",
@@ -689,10 +724,10 @@
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let s = Service::with_launcher(|c| c["limits"]["sockets"] = json!(64), limited);
+    let service = Service::with_launcher(|config| config["limits"]["sockets"] = json!(64), limited);
     let streams: Vec<TcpStream> = (0..60)
         .map(|_| {
-            let stream = s.open();
+            let stream = service.open();
             send(
                 &stream,
                 "POST /v1/report",
@@ -703,13 +738,13 @@
         })
         .collect();
     for stream in streams {
-        // Connections are closed as they are answered, so that waiting ones are accepted.
+        // Answered connections are closed, so that waiting ones are accepted.
         let answer = Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer"));
         assert!(answer.succeeded() || answer.status == 503, "{answer:?}");
     }
     assert!(
-        s.query("report", "SELECT 1").succeeded(),
-        "and it serves on"
+        service.query("report", "SELECT 1").succeeded(),
+        "it still serves"
     );
 }
 
@@ -722,7 +757,7 @@
 }
 
 #[test]
-fn a_faulty_configuration_is_named_by_its_key_and_nothing_is_bound() {
+fn configuration_error_names_its_key_and_nothing_is_bound() {
     let address = free_address();
     let faults: [(&str, Value, &str); 10] = [
         ("/listen", json!("nowhere"), "listen"),
@@ -749,12 +784,12 @@
         *config.pointer_mut(key).unwrap() = value;
         for command in ["check-config", "serve"] {
             let output = run(&[command], Some(&write_config(&config)));
-            let said = String::from_utf8_lossy(&output.stderr).into_owned();
+            let log_text = String::from_utf8_lossy(&output.stderr).into_owned();
             assert!(
-                !output.status.success() && said.contains(named),
-                "{command} {key}: {said}"
+                !output.status.success() && log_text.contains(named),
+                "{command} {key}: {log_text}"
             );
-            assert_eq!(said.lines().count(), 1, "{said}");
+            assert_eq!(log_text.lines().count(), 1, "{log_text}");
         }
     }
     assert!(!run(&["serve"], None).status.success());
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -1,5 +1,5 @@
-//! The watch of the change log where its events cross others: engines or idle clients that hold the descriptors, streams that
-//! are silent or nearly so, SIGHUP at each step, numbers that come late, twice or too early. The log here is played byte by byte.
+//! The watch of the change log under concurrent events: engines or idle clients that use all descriptors, streams that are
+//! silent or nearly so, SIGHUP at each step, numbers that are late, repeated or too high. The tests write the log's bytes.
 
 mod helper;
 
@@ -16,51 +16,53 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Far more than any test waits for a connection that comes.
-const LONG: Duration = Duration::from_secs(8);
-/// A line is missed for this long before the stream counts as silent at the latest, and what the machine may take besides.
-const SILENT: Duration = Duration::from_millis(2500);
-const SLACK: Duration = Duration::from_millis(400);
-/// The longest wait with a fresh connection at the helper's dial time of 250 ms.
-const PAUSES: Duration = Duration::from_millis(500);
+/// Far longer than any expected connection takes.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
+/// Latest time without a line after which the stream counts as silent, and the tolerance for a busy machine.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+const TOLERANCE: Duration = Duration::from_millis(400);
+/// Longest wait before a new connection at the helper's `dial-timeout` of 250 ms.
+const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A change log of which the test plays every byte.
-struct Log {
+/// A change log whose every byte the test writes.
+struct ScriptedLog {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-impl Log {
-    fn start() -> Log {
-        Log::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+impl ScriptedLog {
+    fn start() -> ScriptedLog {
+        ScriptedLog::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    fn at(address: SocketAddr) -> Log {
+    fn at(address: SocketAddr) -> ScriptedLog {
         let listener = TcpListener::bind(address).unwrap();
         listener.set_nonblocking(true).unwrap();
-        Log {
+        ScriptedLog {
             address: listener.local_addr().unwrap(),
             listener,
         }
     }
 
-    /// The next connection within a time, with its call read and nothing answered.
-    fn next(&self, within: Duration) -> Option<Watch> {
+    /// Accepts the next connection within a time and reads its request.
+    fn accept_within(&self, within: Duration) -> Option<WatchConnection> {
         let until = Instant::now() + within;
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => return Some(Watch::of(stream)),
+                Ok((stream, _)) => return Some(WatchConnection::of(stream)),
                 Err(_) if Instant::now() >= until => return None,
                 Err(_) => sleep(ms(1)),
             }
         }
     }
 
-    /// The next connection, its head answered and a comment sent.
-    fn opens(&self) -> Watch {
-        let watch = self.next(LONG).expect("a connection to the log");
-        watch.says(HEAD);
-        watch.says(COMMENT);
+    /// Accepts the next connection and sends a response head and a comment.
+    fn accept_and_answer(&self) -> WatchConnection {
+        let watch = self
+            .accept_within(CONNECTION_TIMEOUT)
+            .expect("a connection to the log");
+        watch.write(HEAD);
+        watch.write(COMMENT);
         watch
     }
 }
@@ -69,43 +71,43 @@
 const COMMENT: &str = ":\n\n";
 
 /// One connection to the log.
-struct Watch {
+struct WatchConnection {
     stream: TcpStream,
-    /// The number that it was opened with.
-    last: u64,
-    came: Instant,
+    /// The `Last-Event-ID` that it was opened with.
+    last_event_id: u64,
+    accepted_at: Instant,
 }
 
-impl Watch {
-    fn of(stream: TcpStream) -> Watch {
-        let came = Instant::now();
+impl WatchConnection {
+    fn of(stream: TcpStream) -> WatchConnection {
+        let accepted_at = Instant::now();
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
         let call = read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("a call");
         assert_eq!(call.start_line, "GET /changes HTTP/1.1");
-        Watch {
+        WatchConnection {
             stream,
-            last: call.fields["last-event-id"].parse().unwrap(),
-            came,
+            last_event_id: call.fields["last-event-id"].parse().unwrap(),
+            accepted_at,
         }
     }
 
-    fn says(&self, text: &str) {
+    fn write(&self, text: &str) {
         (&self.stream)
             .write_all(text.as_bytes())
             .expect("the connection is open");
     }
 
-    fn tells(&self, event: &Value) {
-        self.says(&format!("id: {}\ndata: {event}\n\n", event["seq"]));
+    fn send_event(&self, event: &Value) {
+        self.write(&format!("id: {}\ndata: {event}\n\n", event["seq"]));
     }
 
-    /// Whether the gateway closes it within a time; nothing else may come on it.
+    /// Whether the gateway closes it within a time; the gateway may send nothing on it.
     fn is_closed(&self, within: Duration) -> bool {
         self.stream.set_read_timeout(Some(within)).unwrap();
         match (&self.stream).read(&mut [0; 64]) {
             Ok(0) => true,
-            Ok(n) => panic!("{n} bytes came"),
+            Ok(n) => panic!("{n} bytes received"),
             Err(e) => !matches!(
                 e.kind(),
                 std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
@@ -113,31 +115,31 @@
         }
     }
 
-    /// Comments come on it until what is given is dropped.
-    fn lives(&self) -> Lives {
+    /// Sends comments until the returned guard is dropped.
+    fn send_keepalives(&self) -> Keepalives {
         let (stream, on) = (
             self.stream.try_clone().unwrap(),
             Arc::new(AtomicBool::new(true)),
         );
-        let lives = Lives(on.clone());
+        let keepalives = Keepalives(on.clone());
         spawn(move || {
             while on.load(Ordering::Relaxed) && (&stream).write_all(COMMENT.as_bytes()).is_ok() {
                 sleep(ms(200));
             }
         });
-        lives
+        keepalives
     }
 }
 
-struct Lives(Arc<AtomicBool>);
+struct Keepalives(Arc<AtomicBool>);
 
-impl Drop for Lives {
+impl Drop for Keepalives {
     fn drop(&mut self) {
         self.0.store(false, Ordering::Relaxed);
     }
 }
 
-fn watched(log: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
+fn service_watching(log: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
     Service::with(|config| {
         config["changelog"] = json!(log.to_string());
         config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -145,8 +147,8 @@
     })
 }
 
-/// A list that names this engine alone.
-fn only(number: u64, engine: &Engine) -> Value {
+/// A full endpoint list with this engine alone.
+fn list_of_one(number: u64, engine: &Engine) -> Value {
     list_event(
         number,
         true,
@@ -154,41 +156,43 @@
     )
 }
 
-/// The next batch comes to this engine and to no other.
-fn goes_to(s: &Service, engine: &Engine) -> bool {
+/// Whether the next query reaches this engine.
+fn next_query_reaches(service: &Service, engine: &Engine) -> bool {
     let before = engine.calls("POST");
-    s.query("report", "SELECT 1").succeeded() && engine.calls("POST") > before
+    service.query("report", "SELECT 1").succeeded() && engine.calls("POST") > before
 }
 
-fn is_followed(s: &Service, engine: &Engine) {
-    wait_until("the list told is the one in force", || goes_to(s, engine));
+fn wait_until_in_force(service: &Service, engine: &Engine) {
+    wait_until("the sent list is in force", || {
+        next_query_reaches(service, engine)
+    });
 }
 
-// Who holds the descriptors.
+// Use of descriptors.
 
-/// Event A: engines that hang hold all that engines may have. Event B: the log comes back and tells that they drain.
+/// Event A: hanging engines use all descriptors of engine connections. Event B: the log is back and lists them as draining.
 #[test]
-fn engines_that_hold_all_their_descriptors_do_not_keep_the_watch_out() {
+fn engines_that_use_all_their_descriptors_do_not_block_the_watch() {
     const SOCKETS: usize = 64;
-    let (log, hanging, other) = (Log::start(), Engine::start(), Engine::start());
+    let (log, hanging, other) = (ScriptedLog::start(), Engine::start(), Engine::start());
     let lines = |state: &str| -> Vec<Value> {
         (0..40)
             .map(|n| endpoint(&format!("s-{n}"), hanging.address, state))
             .collect()
     };
-    let s = watched(log.address, |config| {
+    let service = service_watching(log.address, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["known"]["results"] = json!([list_event(0, true, &lines("SERVING"))]);
     });
-    let first = log.opens();
+    let first = log.accept_and_answer();
     let address = log.address;
     drop((log, first));
     let all = ResourceBudget::of(SOCKETS, 192)
         .engine_connections
         .available_permits();
     let began = Instant::now();
-    let batch = |_| {
-        let stream = s.open();
+    let send_query = |_| {
+        let stream = service.open();
         send(
             &stream,
             "POST /v1/report",
@@ -197,37 +201,37 @@
         );
         stream
     };
-    let batches: Vec<TcpStream> = (0..SOCKETS / 3).map(batch).collect();
-    wait_until("all descriptors of engines are taken", || {
+    let streams: Vec<TcpStream> = (0..SOCKETS / 3).map(send_query).collect();
+    wait_until("all descriptors of engine connections are in use", || {
         hanging.calls("POST") >= all
     });
-    assert!(began.elapsed() < ms(1500), "the batches are in hand still");
-    let log = Log::at(address);
+    assert!(began.elapsed() < ms(1500), "the queries are still active");
+    let log = ScriptedLog::at(address);
     let watch = log
-        .next(PAUSES + SLACK)
-        .expect("the watch beside engines that hold their whole budget");
-    watch.says(HEAD);
-    let mut told = lines("DRAINING");
-    told.push(endpoint("s-other", other.address, "SERVING"));
-    watch.tells(&list_event(1, false, &told));
-    let _lives = watch.lives();
-    for stream in batches {
+        .accept_within(LONGEST_BACKOFF + TOLERANCE)
+        .expect("the watch connects while engine connections use their whole budget");
+    watch.write(HEAD);
+    let mut endpoints = lines("DRAINING");
+    endpoints.push(endpoint("s-other", other.address, "SERVING"));
+    watch.send_event(&list_event(1, false, &endpoints));
+    let _keepalives = watch.send_keepalives();
+    for stream in streams {
         read_message(&mut BufReader::new(stream)).expect("an answer");
     }
     let before = hanging.calls("POST");
-    is_followed(&s, &other);
+    wait_until_in_force(&service, &other);
     assert_eq!(
         hanging.calls("POST"),
         before,
-        "nothing new to engines that drain"
+        "no attempt at draining engines"
     );
 }
 
-/// Event A: the log is down, and idle clients take all that clients may have. Event B: it comes back.
+/// Event A: the log is down, and idle clients use all client descriptors. Event B: the log is back.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_neither_batches_nor_the_watch_out() {
+fn idle_clients_that_use_all_descriptors_block_neither_queries_nor_the_watch() {
     const SOCKETS: usize = 64;
-    let log = Log::start();
+    let log = ScriptedLog::start();
     let (address, other) = (log.address, Engine::start());
     drop(log);
     let limited = |config: &Value| {
@@ -242,7 +246,7 @@
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let s = Service::with_launcher(
+    let service = Service::with_launcher(
         |config| {
             config["changelog"] = json!(address.to_string());
             config["limits"]["sockets"] = json!(SOCKETS);
@@ -252,8 +256,8 @@
     );
     let began = Instant::now();
     let idle = |n: usize| {
-        let stream = s.open();
-        // Half of them rest after an answer, half say nothing at all.
+        let stream = service.open();
+        // Half of them are idle after an answer, half send nothing.
         if n < SOCKETS {
             send(&stream, "GET /healthz", "", "");
             read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("an answer");
@@ -263,79 +267,79 @@
     let idle: Vec<TcpStream> = (0..SOCKETS * 2).map(idle).collect();
     for _ in 0..5 {
         assert!(
-            s.query("report", "SELECT 1").succeeded(),
+            service.query("report", "SELECT 1").succeeded(),
             "new clients are served without the log"
         );
     }
-    // Long before the idle would be closed for being that.
+    // Long before idle connections are closed.
     let served = began.elapsed();
     assert!(served < ms(1900), "served after {served:?}");
-    let log = Log::at(address);
+    let log = ScriptedLog::at(address);
     let watch = log
-        .next(PAUSES + SLACK)
-        .expect("the watch beside idle clients");
-    watch.says(HEAD);
-    watch.tells(&only(1, &other));
-    let _lives = watch.lives();
-    is_followed(&s, &other);
+        .accept_within(LONGEST_BACKOFF + TOLERANCE)
+        .expect("the watch connects beside idle clients");
+    watch.write(HEAD);
+    watch.send_event(&list_of_one(1, &other));
+    let _keepalives = watch.send_keepalives();
+    wait_until_in_force(&service, &other);
     drop(idle);
 }
 
 // Streams that are silent, or nearly so.
 
 #[test]
-fn bytes_without_a_whole_line_are_no_life() {
-    let (log, other) = (Log::start(), Engine::start());
-    let s = watched(log.address, |_| {});
-    let first = log.opens();
+fn bytes_without_a_complete_line_do_not_keep_a_stream_alive() {
+    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let service = service_watching(log.address, |_| {});
+    let first = log.accept_and_answer();
     let stream = first.stream.try_clone().unwrap();
-    let (trickles, on) = (Instant::now(), Arc::new(AtomicBool::new(true)));
-    let goes_on = on.clone();
+    let (started_at, on) = (Instant::now(), Arc::new(AtomicBool::new(true)));
+    let keeps_sending = on.clone();
     spawn(move || {
-        while goes_on.load(Ordering::Relaxed) && (&stream).write_all(b":").is_ok() {
+        while keeps_sending.load(Ordering::Relaxed) && (&stream).write_all(b":").is_ok() {
             sleep(ms(500));
         }
     });
     let second = log
-        .next(SILENT + PAUSES + SLACK)
-        .expect("a connection in place of one that trickles");
-    let after = second.came - trickles;
+        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
+        .expect("a connection in place of a trickling one");
+    let after = second.accepted_at - started_at;
     assert!(
         after > ms(2000),
-        "after {after:?}: one comment that is late is no silence"
+        "after {after:?}: one late comment is not silence"
     );
     on.store(false, Ordering::Relaxed);
-    second.says(HEAD);
-    second.tells(&only(1, &other));
-    let _lives = second.lives();
-    is_followed(&s, &other);
+    second.write(HEAD);
+    second.send_event(&list_of_one(1, &other));
+    let _keepalives = second.send_keepalives();
+    wait_until_in_force(&service, &other);
 }
 
 #[test]
-fn a_head_is_no_life_either() {
-    let (log, other) = (Log::start(), Engine::start());
-    let s = watched(log.address, |_| {});
-    let first = log.next(LONG).expect("a connection");
+fn response_head_does_not_keep_a_stream_alive() {
+    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let service = service_watching(log.address, |_| {});
+    let first = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
     sleep(ms(2000));
-    first.says(HEAD);
+    first.write(HEAD);
     let second = log
-        .next(SILENT + PAUSES + SLACK - ms(2000))
+        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE - ms(2000))
         .expect("a connection in place of a silent one");
-    assert_eq!(second.last, 0, "from the last number applied");
-    second.says(HEAD);
-    second.tells(&only(1, &other));
-    let _lives = second.lives();
-    is_followed(&s, &other);
+    assert_eq!(second.last_event_id, 0, "from the last number applied");
+    second.write(HEAD);
+    second.send_event(&list_of_one(1, &other));
+    let _keepalives = second.send_keepalives();
+    wait_until_in_force(&service, &other);
 }
 
-/// Each step of it may take nearly as long as a silent stream does; only as a whole it counts.
+/// Each part may take nearly as long as the silence timeout; the event counts once it is complete.
 #[test]
-fn a_large_event_in_many_parts_comes_through_whole() {
+fn large_event_in_many_parts_is_received_complete() {
     const MEGABYTES: usize = 3;
-    let (log, other) = (Log::start(), Engine::start());
-    let s = watched(log.address, |_| {});
-    let watch = log.opens();
-    let mut event = only(1, &other);
+    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let service = service_watching(log.address, |_| {});
+    let watch = log.accept_and_answer();
+    let mut event = list_of_one(1, &other);
     event["fleet"]["note"] = json!("x".repeat(MEGABYTES << 20));
     let text = format!("id: 1\ndata: {event}\n\n");
     let began = Instant::now();
@@ -344,126 +348,138 @@
         sleep(ms(5));
     }
     let written = began.elapsed();
-    let _lives = watch.lives();
-    is_followed(&s, &other);
+    let _keepalives = watch.send_keepalives();
+    wait_until_in_force(&service, &other);
     let took = began.elapsed();
     assert!(
         took < ms(2000),
         "written after {written:?}, applied after {took:?}"
     );
     assert!(
-        log.next(Duration::ZERO).is_none(),
+        log.accept_within(Duration::ZERO).is_none(),
         "over the first connection"
     );
 }
 
-/// The list is told right after the last line of the first connection, the second falls silent as well, as late as it can:
-/// its head still comes. The settings allow a connection so much time that it can't be the pause.
+/// The list is published right after the first connection's last line; the second connection falls silent as late as it can,
+/// after its head. The `dial-timeout` is so long that the backoff cannot be the cause.
 #[test]
-fn over_two_silent_connections_in_a_row_a_list_is_applied_inside_its_seven_seconds() {
-    let (log, other) = (Log::start(), Engine::start());
-    let s = watched(log.address, |config| {
+fn list_is_applied_within_seven_seconds_despite_two_silent_connections() {
+    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let service = service_watching(log.address, |config| {
         config["settings"]["allowed"]["dial-timeout"] = json!(1500.0)
     });
-    let first = log.opens();
+    let first = log.accept_and_answer();
     sleep(ms(300));
-    first.says(COMMENT);
-    let told = Instant::now();
-    let second = log.next(LONG).expect("a second connection");
+    first.write(COMMENT);
+    let endpoints = Instant::now();
+    let second = log
+        .accept_within(CONNECTION_TIMEOUT)
+        .expect("a second connection");
     sleep(ms(2000));
-    second.says(HEAD);
-    let third = log.opens();
-    third.tells(&only(1, &other));
-    is_followed(&s, &other);
-    let took = told.elapsed();
-    assert!(took < ms(7000), "applied {took:?} after it was told");
+    second.write(HEAD);
+    let third = log.accept_and_answer();
+    third.send_event(&list_of_one(1, &other));
+    wait_until_in_force(&service, &other);
+    let took = endpoints.elapsed();
+    assert!(took < ms(7000), "applied {took:?} after it was published");
 }
 
-/// Each silent one has another beside it in time, none is given up for that, and all are closed once one brings an event.
+/// Each silent connection gets another beside it, none is closed for that, and all others are closed once one brings an event.
 #[test]
-fn silent_from_its_first_second_and_again_each_has_another_beside_it() {
-    let (log, other) = (Log::start(), Engine::start());
+fn each_silent_connection_gets_another_beside_it() {
+    let (log, other) = (ScriptedLog::start(), Engine::start());
     let began = Instant::now();
-    let s = watched(log.address, |_| {});
+    let service = service_watching(log.address, |_| {});
     // Accepted and never answered, then answered by a head alone.
-    let first = log.next(LONG).expect("a connection");
-    let second = log.next(SILENT + PAUSES + SLACK).expect("a second");
-    second.says(HEAD);
-    let third = log.next(SILENT + PAUSES + SLACK).expect("a third");
+    let first = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
+    let second = log
+        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
+        .expect("a second");
+    second.write(HEAD);
+    let third = log
+        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
+        .expect("a third");
     assert!(
         !first.is_closed(ms(50)) && !second.is_closed(ms(50)),
-        "what is slow is not given up for a newer one"
+        "a slow connection is not closed for a newer one"
     );
-    third.says(HEAD);
-    third.tells(&only(1, &other));
-    let _lives = third.lives();
-    assert!(first.is_closed(SLACK), "what is not needed is closed");
+    third.write(HEAD);
+    third.send_event(&list_of_one(1, &other));
+    let _keepalives = third.send_keepalives();
     assert!(
-        second.is_closed(SLACK),
-        "what is not needed is closed, though nothing comes on it any more"
+        first.is_closed(TOLERANCE),
+        "a connection that is not needed is closed"
     );
-    is_followed(&s, &other);
+    assert!(
+        second.is_closed(TOLERANCE),
+        "a connection that is not needed is closed, though it is silent"
+    );
+    wait_until_in_force(&service, &other);
     let took = began.elapsed();
     assert!(took < ms(7000), "applied {took:?} after the start");
-    assert!(log.next(ms(500)).is_none(), "one connection is enough then");
+    assert!(
+        log.accept_within(ms(500)).is_none(),
+        "no further connection is opened"
+    );
 }
 
-/// Nothing silent is kept for longer than what the log tells takes to count as told.
+/// No silent connection is kept longer than the time within which a published list must apply.
 #[test]
-fn a_connection_that_stays_silent_is_closed_after_its_seven_seconds() {
-    let log = Log::start();
-    let _s = watched(log.address, |_| {});
-    let silent = log.next(LONG).expect("a connection");
-    let second = log.opens();
-    let _lives = second.lives();
-    // It was begun a little before it was seen here.
-    let has = ms(7000) - SLACK;
+fn silent_connection_is_closed_after_seven_seconds() {
+    let log = ScriptedLog::start();
+    let _service = service_watching(log.address, |_| {});
+    let silent = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
+    let second = log.accept_and_answer();
+    let _keepalives = second.send_keepalives();
+    // It was opened shortly before it was accepted here.
+    let allowed = ms(7000) - TOLERANCE;
     assert!(
-        !silent.is_closed(has.saturating_sub(silent.came.elapsed())),
-        "it has its time"
+        !silent.is_closed(allowed.saturating_sub(silent.accepted_at.elapsed())),
+        "it is open until its time limit"
     );
     assert!(
-        silent.is_closed((has + SLACK * 2).saturating_sub(silent.came.elapsed())),
-        "and no more"
+        silent.is_closed((allowed + TOLERANCE * 2).saturating_sub(silent.accepted_at.elapsed())),
+        "it is closed at its time limit"
     );
     assert!(
-        !second.is_closed(ms(100)) && log.next(ms(100)).is_none(),
-        "the one that lives stays"
+        !second.is_closed(ms(100)) && log.accept_within(ms(100)).is_none(),
+        "the live connection stays open"
     );
 }
 
 #[test]
-fn a_log_that_closes_at_once_is_connected_to_once_a_pause_at_most() {
-    let log = Log::start();
-    let _s = watched(log.address, |_| {});
-    drop(log.next(LONG).expect("a connection"));
+fn log_that_closes_at_once_is_reconnected_to_at_most_once_per_backoff() {
+    let log = ScriptedLog::start();
+    let _service = service_watching(log.address, |_| {});
+    drop(log.accept_within(CONNECTION_TIMEOUT).expect("a connection"));
     let began = Instant::now();
-    let mut came = 0;
-    while let Some(watch) = log.next(ms(3000).saturating_sub(began.elapsed())) {
-        watch.says(HEAD);
+    let mut connections = 0;
+    while let Some(watch) = log.accept_within(ms(3000).saturating_sub(began.elapsed())) {
+        watch.write(HEAD);
         drop(watch);
-        came += 1;
+        connections += 1;
     }
     assert!(
-        (5..=12).contains(&came),
-        "{came} connections in 3 s at a pause of 250 ms"
+        (5..=12).contains(&connections),
+        "{connections} connections in 3 s at a backoff of 250 ms"
     );
 }
 
-/// Who reads the gateway's log sees each time that it is lost, also where the stream was ended in good order before.
+/// The gateway logs each loss of the change log, also after a stream that ended in an orderly way.
 #[test]
-fn a_log_that_ends_its_stream_and_is_gone_then_is_warned_of_again() {
+fn loss_of_the_log_is_logged_again_after_an_orderly_end() {
     let path = write_config(&Value::Null).with_extension("log");
-    let said = || {
+    let losses_logged = || {
         std::fs::read_to_string(&path)
             .unwrap()
             .matches("change log lost")
             .count()
     };
-    let log = Log::start();
+    let log = ScriptedLog::start();
     let address = log.address;
     drop(log);
-    let _s = Service::with_launcher(
+    let _service = Service::with_launcher(
         |config| config["changelog"] = json!(address.to_string()),
         |config| {
             serve_from(
@@ -472,21 +488,21 @@
             )
         },
     );
-    wait_until("lost at the start", || said() == 1);
-    let log = Log::at(address);
-    let watch = log.opens();
+    wait_until("lost at the start", || losses_logged() == 1);
+    let log = ScriptedLog::at(address);
+    let watch = log.accept_and_answer();
     drop(log);
     drop(watch);
-    wait_until("lost again", || said() == 2);
-    sleep(PAUSES * 2);
-    assert_eq!(said(), 2, "and told once");
+    wait_until("lost again", || losses_logged() == 2);
+    sleep(LONGEST_BACKOFF * 2);
+    assert_eq!(losses_logged(), 2, "and logged once");
 }
 
 // SIGHUP at each step of the watch.
 
-/// A gateway with a file that a test writes anew.
+/// A gateway whose configuration file the test rewrites.
 struct Reloading {
-    s: Service,
+    service: Service,
     path: PathBuf,
 }
 
@@ -497,7 +513,7 @@
             std::fs::write(&path, config.to_string()).unwrap();
             serve_from(&path, Stdio::null())
         };
-        let s = Service::with_launcher(
+        let service = Service::with_launcher(
             |config| {
                 config["changelog"] = json!(log.to_string());
                 config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -505,236 +521,280 @@
             },
             serve,
         );
-        Reloading { s, path }
+        Reloading { service, path }
     }
 
-    fn reads(&self, text: &str) {
-        // Never half a file: the gateway may be reading the one before.
+    fn reload(&self, text: &str) {
+        // Renamed into place: the gateway may be reading the previous file.
         let new: &Path = &self.path.with_extension("new");
         std::fs::write(new, text)
             .and_then(|()| std::fs::rename(new, &self.path))
             .unwrap();
-        self.s.signal("HUP");
+        self.service.signal("HUP");
     }
 
-    fn moves_to(&self, log: &Log) {
-        let mut config = self.s.config.clone();
+    fn change_log_to(&self, log: &ScriptedLog) {
+        let mut config = self.service.config.clone();
         config["changelog"] = json!(log.address.to_string());
-        self.reads(&config.to_string());
+        self.reload(&config.to_string());
     }
 
-    /// What a new place is followed with: at once, from the last number applied, and to what it tells.
-    fn follows(&self, log: &Log, last: u64, tells: &Engine) -> Watch {
-        let watch = log.next(SLACK).expect("the new place at once");
-        assert_eq!(watch.last, last, "the numbers go on");
-        watch.says(HEAD);
-        watch.tells(&only(last + 1, tells));
-        let lives = watch.lives();
-        is_followed(&self.s, tells);
-        drop(lives);
+    /// Asserts that a new log is followed at once, from the last number applied, and that its list is applied.
+    fn assert_follows(
+        &self,
+        log: &ScriptedLog,
+        last_event_id: u64,
+        expected: &Engine,
+    ) -> WatchConnection {
+        let watch = log.accept_within(TOLERANCE).expect("the new log at once");
+        assert_eq!(watch.last_event_id, last_event_id, "the numbers continue");
+        watch.write(HEAD);
+        watch.send_event(&list_of_one(last_event_id + 1, expected));
+        let keepalives = watch.send_keepalives();
+        wait_until_in_force(&self.service, expected);
+        drop(keepalives);
         watch
     }
 }
 
 #[test]
 fn sighup_while_the_watch_connects_is_followed_at_once() {
-    let (old, new, other) = (Log::start(), Log::start(), Engine::start());
-    let r = Reloading::start(old.address, |_| {});
-    let connecting = old.next(LONG).expect("a connection that is not answered");
-    r.moves_to(&new);
-    r.follows(&new, 0, &other);
-    assert!(connecting.is_closed(SLACK), "the old place is left");
+    let (old, new, other) = (ScriptedLog::start(), ScriptedLog::start(), Engine::start());
+    let reloading = Reloading::start(old.address, |_| {});
+    let connecting = old
+        .accept_within(CONNECTION_TIMEOUT)
+        .expect("a connection that is not answered");
+    reloading.change_log_to(&new);
+    reloading.assert_follows(&new, 0, &other);
+    assert!(
+        connecting.is_closed(TOLERANCE),
+        "the connection to the old log is closed"
+    );
 }
 
-/// The pause is the longest that there is, and the new place comes within a part of it.
+/// The backoff is the longest possible, and the new log is followed within a part of it.
 #[test]
-fn sighup_in_the_pause_is_followed_at_once() {
-    let (old, new, other) = (Log::start(), Log::start(), Engine::start());
-    let r = Reloading::start(old.address, |config| {
+fn sighup_during_backoff_is_followed_at_once() {
+    let (old, new, other) = (ScriptedLog::start(), ScriptedLog::start(), Engine::start());
+    let reloading = Reloading::start(old.address, |config| {
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
     });
-    let watch = old.opens();
-    watch.tells(&list_event(1, false, &[]));
+    let watch = old.accept_and_answer();
+    watch.send_event(&list_event(1, false, &[]));
     drop(watch);
-    drop(old.opens());
+    drop(old.accept_and_answer());
     let paused = Instant::now();
-    r.moves_to(&new);
-    let watch = r.follows(&new, 1, &other);
-    let after = watch.came - paused;
-    assert!(after < ms(450), "{after:?} into a pause of 500 ms or more");
-    assert!(old.next(Duration::ZERO).is_none(), "it was the pause");
+    reloading.change_log_to(&new);
+    let watch = reloading.assert_follows(&new, 1, &other);
+    let after = watch.accepted_at - paused;
+    assert!(
+        after < ms(450),
+        "{after:?} into a backoff of 500 ms or more"
+    );
+    assert!(
+        old.accept_within(Duration::ZERO).is_none(),
+        "the backoff was running"
+    );
 }
 
 #[test]
 fn sighup_on_a_silent_stream_is_followed_at_once_and_nothing_of_the_old_one_after() {
-    let (old, new, other, stale) = (Log::start(), Log::start(), Engine::start(), Engine::start());
-    let r = Reloading::start(old.address, |_| {});
-    let watch = old.opens();
-    watch.tells(&only(1, &other));
-    is_followed(&r.s, &other);
+    let (old, new, other, stale) = (
+        ScriptedLog::start(),
+        ScriptedLog::start(),
+        Engine::start(),
+        Engine::start(),
+    );
+    let reloading = Reloading::start(old.address, |_| {});
+    let watch = old.accept_and_answer();
+    watch.send_event(&list_of_one(1, &other));
+    wait_until_in_force(&reloading.service, &other);
     sleep(ms(1500));
-    r.moves_to(&new);
-    let newest = new.next(SLACK).expect("the new place at once");
-    assert_eq!(newest.last, 1);
-    newest.says(HEAD);
-    // The gateway may have closed the old one by then; whatever comes there is not applied.
-    let stale_event = only(2, &stale);
+    reloading.change_log_to(&new);
+    let newest = new.accept_within(TOLERANCE).expect("the new log at once");
+    assert_eq!(newest.last_event_id, 1);
+    newest.write(HEAD);
+    // The gateway may have closed the old connection by then; events on it are not applied.
+    let stale_event = list_of_one(2, &stale);
     let _ = (&watch.stream).write_all(format!("id: 2\ndata: {stale_event}\n\n").as_bytes());
-    let _lives = newest.lives();
+    let _keepalives = newest.send_keepalives();
     for _ in 0..5 {
-        assert!(goes_to(&r.s, &other), "the last list stays");
+        assert!(
+            next_query_reaches(&reloading.service, &other),
+            "the last list stays in force"
+        );
     }
     let newer = Engine::start();
-    newest.tells(&only(2, &newer));
-    is_followed(&r.s, &newer);
+    newest.send_event(&list_of_one(2, &newer));
+    wait_until_in_force(&reloading.service, &newer);
     assert_eq!(stale.calls("POST"), 0, "nothing of the old stream");
 }
 
 #[test]
-fn of_two_sighups_the_last_counts_also_with_a_faulty_file_between() {
-    let (old, between, new) = (Log::start(), Log::start(), Log::start());
+fn last_of_two_sighups_applies_despite_a_faulty_file_between() {
+    let (old, between, new) = (
+        ScriptedLog::start(),
+        ScriptedLog::start(),
+        ScriptedLog::start(),
+    );
     let (first, stale, other) = (Engine::start(), Engine::start(), Engine::start());
-    let r = Reloading::start(old.address, |_| {});
-    let watch = old.opens();
-    watch.tells(&only(1, &first));
-    is_followed(&r.s, &first);
-    r.moves_to(&between);
-    r.reads("{");
-    r.moves_to(&new);
-    let newest = r.follows(&new, 1, &other);
-    let _lives = newest.lives();
-    assert!(watch.is_closed(SLACK), "the first place is left");
-    // It may have been connected to between the two, and is left.
-    if let Some(left) = between.next(Duration::ZERO) {
+    let reloading = Reloading::start(old.address, |_| {});
+    let watch = old.accept_and_answer();
+    watch.send_event(&list_of_one(1, &first));
+    wait_until_in_force(&reloading.service, &first);
+    reloading.change_log_to(&between);
+    reloading.reload("{");
+    reloading.change_log_to(&new);
+    let newest = reloading.assert_follows(&new, 1, &other);
+    let _keepalives = newest.send_keepalives();
+    assert!(
+        watch.is_closed(TOLERANCE),
+        "the connection to the first log is closed"
+    );
+    // The gateway may have connected to the log between the two, and closes that connection.
+    if let Some(left) = between.accept_within(Duration::ZERO) {
         let _ = (&left.stream)
-            .write_all(format!("{HEAD}id: 3\ndata: {}\n\n", only(3, &stale)).as_bytes());
+            .write_all(format!("{HEAD}id: 3\ndata: {}\n\n", list_of_one(3, &stale)).as_bytes());
     }
-    r.reads("{");
+    reloading.reload("{");
     assert!(
-        (0..5).all(|_| goes_to(&r.s, &other)),
+        (0..5).all(|_| next_query_reaches(&reloading.service, &other)),
         "a faulty file changes nothing"
     );
     assert!(
-        new.next(ms(100)).is_none() && !newest.is_closed(ms(100)),
-        "nor does it cost a connection"
+        new.accept_within(ms(100)).is_none() && !newest.is_closed(ms(100)),
+        "and opens or closes no connection"
     );
     assert_eq!(stale.calls("POST"), 0);
 }
 
-/// A reload for another reason, such as a plan, costs no call for the list.
+/// A reload for another reason, such as a plan, opens no new connection to the log.
 #[test]
-fn sighup_with_the_same_place_keeps_the_stream() {
-    let (log, other) = (Log::start(), Engine::start());
-    let r = Reloading::start(log.address, |_| {});
-    let watch = log.opens();
-    let _lives = watch.lives();
-    r.moves_to(&log);
-    assert!(log.next(SLACK).is_none(), "no other connection");
-    watch.tells(&only(1, &other));
-    is_followed(&r.s, &other);
+fn sighup_with_the_same_log_address_keeps_the_stream() {
+    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let reloading = Reloading::start(log.address, |_| {});
+    let watch = log.accept_and_answer();
+    let _keepalives = watch.send_keepalives();
+    reloading.change_log_to(&log);
+    assert!(
+        log.accept_within(TOLERANCE).is_none(),
+        "no other connection"
+    );
+    watch.send_event(&list_of_one(1, &other));
+    wait_until_in_force(&reloading.service, &other);
 }
 
 // Numbers.
 
 #[test]
-fn no_older_list_takes_the_place_of_a_newer_one() {
-    let (log, newer, older) = (Log::start(), Engine::start(), Engine::start());
-    let s = watched(log.address, |_| {});
-    let watch = log.opens();
-    watch.tells(&list_event(
+fn older_list_never_replaces_a_newer_one() {
+    let (log, newer, older) = (ScriptedLog::start(), Engine::start(), Engine::start());
+    let service = service_watching(log.address, |_| {});
+    let watch = log.accept_and_answer();
+    watch.send_event(&list_event(
         1,
         false,
         &[endpoint("s-a", older.address, "SERVING")],
     ));
-    watch.tells(&only(2, &newer));
-    is_followed(&s, &newer);
+    watch.send_event(&list_of_one(2, &newer));
+    wait_until_in_force(&service, &newer);
     let before = older.calls("POST");
-    // Late, twice, and a whole list whose number goes back; then as another connection's first events.
+    // Late, repeated, and a full list with a lower number; then as the first events of another connection.
     let late = [
         list_event(1, false, &[endpoint("s-a", older.address, "SERVING")]),
         list_event(2, true, &[endpoint("s-a", older.address, "SERVING")]),
         list_event(0, true, &[endpoint("s-a", older.address, "SERVING")]),
         list_event(1, true, &[endpoint("s-a", older.address, "SERVING")]),
     ];
-    late.iter().for_each(|event| watch.tells(event));
+    late.iter().for_each(|event| watch.send_event(event));
     for _ in 0..10 {
-        assert!(goes_to(&s, &newer), "the newest list stays");
+        assert!(
+            next_query_reaches(&service, &newer),
+            "the newest list stays in force"
+        );
     }
     drop(watch);
-    let watch = log.opens();
-    assert_eq!(watch.last, 2, "the number never goes back");
-    late.iter().for_each(|event| watch.tells(event));
-    let _lives = watch.lives();
+    let watch = log.accept_and_answer();
+    assert_eq!(watch.last_event_id, 2, "the number never goes back");
+    late.iter().for_each(|event| watch.send_event(event));
+    let _keepalives = watch.send_keepalives();
     for _ in 0..10 {
-        assert!(goes_to(&s, &newer), "the newest list stays");
+        assert!(
+            next_query_reaches(&service, &newer),
+            "the newest list stays in force"
+        );
     }
     assert_eq!(
         older.calls("POST"),
         before,
-        "nothing to an engine that the newest list does not name"
+        "no attempt at an engine that the newest list does not name"
     );
-    watch.tells(&only(3, &older));
-    is_followed(&s, &older);
+    watch.send_event(&list_of_one(3, &older));
+    wait_until_in_force(&service, &older);
 }
 
-/// What was due before it would never come: the log goes on from the number that it is asked with.
+/// Accepting its number would lose the events before it: the log continues from the requested number.
 #[test]
-fn a_spoilt_event_with_too_high_a_number_skips_none() {
-    let (log, other) = (Log::start(), Engine::start());
-    let s = watched(log.address, |_| {});
+fn corrupted_event_with_too_high_a_number_skips_none() {
+    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let service = service_watching(log.address, |_| {});
     for _ in 0..3 {
-        let watch = log.opens();
-        assert_eq!(watch.last, 0, "nothing was applied");
-        watch.says("id: 9\ndata: {\"se\n\n");
-        assert!(watch.is_closed(SLACK), "and it is asked for again");
+        let watch = log.accept_and_answer();
+        assert_eq!(watch.last_event_id, 0, "nothing was applied");
+        watch.write("id: 9\ndata: {\"se\n\n");
+        assert!(watch.is_closed(TOLERANCE), "and it is requested again");
     }
-    let watch = log.opens();
-    assert_eq!(watch.last, 0, "nothing was applied");
-    watch.tells(&only(1, &other));
-    let _lives = watch.lives();
-    is_followed(&s, &other);
+    let watch = log.accept_and_answer();
+    assert_eq!(watch.last_event_id, 0, "nothing was applied");
+    watch.send_event(&list_of_one(1, &other));
+    let _keepalives = watch.send_keepalives();
+    wait_until_in_force(&service, &other);
 }
 
 #[test]
-fn an_event_without_a_list_makes_no_gateway_healthy() {
-    let log = Log::start();
+fn event_without_a_list_makes_no_gateway_healthy() {
+    let log = ScriptedLog::start();
     let (engine, unused) = (Engine::start(), ChangeLog::start());
     let mut config = config(engine.address, log.address);
     config["known"] = json!({"seq": 0, "results": []});
     let address = config["listen"].as_str().unwrap().parse().unwrap();
-    let s = Service {
+    let service = Service {
         child: serve(&config),
         engine,
         log: unused,
         config,
         address,
     };
-    let watch = log.opens();
-    let _lives = watch.lives();
-    watch.tells(&json!({"seq": 1}));
-    watch.tells(&json!({"seq": 3}));
-    // The third came where the second was due: the first has been applied by then.
-    let watch = log.opens();
-    assert_eq!(watch.last, 1);
-    let health = || call(s.open(), "GET /healthz", "", "").unwrap().start_line;
+    let watch = log.accept_and_answer();
+    let _keepalives = watch.send_keepalives();
+    watch.send_event(&json!({"seq": 1}));
+    watch.send_event(&json!({"seq": 3}));
+    // The third arrived where the second was due: the first has been applied by then.
+    let watch = log.accept_and_answer();
+    assert_eq!(watch.last_event_id, 1);
+    let health = || {
+        call(service.open(), "GET /healthz", "", "")
+            .unwrap()
+            .start_line
+    };
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
-    watch.tells(&only(2, &s.engine));
-    let _lives = watch.lives();
-    s.wait_until_healthy();
+    watch.send_event(&list_of_one(2, &service.engine));
+    let _keepalives = watch.send_keepalives();
+    service.wait_until_healthy();
 }
 
-/// A log that is slow or crowded: each connection brings its first line only after longer than a silent one is waited for.
+/// A slow log: each connection gets its first line only after the silence timeout.
 #[test]
-fn a_log_whose_first_line_comes_late_is_heard_inside_its_seven_seconds() {
-    let (log, engine) = (Log::start(), Engine::start());
-    let mut told = config(free_address(), log.address);
-    told["known"]["results"] = json!([]);
-    let child = serve(&told);
+fn list_from_a_slow_log_is_applied_within_seven_seconds() {
+    let (log, engine) = (ScriptedLog::start(), Engine::start());
+    let mut endpoints = config(free_address(), log.address);
+    endpoints["known"]["results"] = json!([]);
+    let child = serve(&endpoints);
     let service = Service {
         engine: engine.clone(),
         log: ChangeLog::start(),
-        address: told["listen"].as_str().unwrap().parse().unwrap(),
-        config: told,
+        address: endpoints["listen"].as_str().unwrap().parse().unwrap(),
+        config: endpoints,
         child,
     };
     let began = Instant::now();
@@ -748,9 +808,9 @@
         };
         let list = list.clone();
         spawn(move || {
-            let watch = Watch::of(stream);
+            let watch = WatchConnection::of(stream);
             sleep(ms(3200));
-            // It may have been given up by now.
+            // The gateway may have closed it by now.
             let _ = (&watch.stream).write_all(format!("{HEAD}id: 1\ndata: {list}\n\n").as_bytes());
             sleep(ms(9000));
         });
@@ -764,7 +824,7 @@
     while !healthy() {
         assert!(
             began.elapsed() < ms(7000),
-            "the log at {address} is never heard"
+            "no list from the log at {address} is applied"
         );
         sleep(ms(20));
     }
