--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -1,4 +1,4 @@
-//! Signals that come while the gateway is still starting: its configuration is a pipe that has not been written yet.
+//! Signals received while the gateway is starting: its configuration is a pipe that has not been written yet.
 
 mod helper;
 
@@ -17,7 +17,7 @@
 }
 
 impl Starting {
-    fn begin() -> Starting {
+    fn spawn() -> Starting {
         let pipe = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("pipe-{}", new_id()));
         let _ = std::fs::remove_file(&pipe);
         assert!(Command::new("mkfifo")
@@ -34,8 +34,8 @@
         Starting { child, pipe }
     }
 
-    /// Waits until it has opened the pipe, where it then waits.
-    fn opened(&self) -> std::fs::File {
+    /// Waits until the gateway has opened the pipe, from which it then reads.
+    fn open_pipe(&self) -> std::fs::File {
         std::fs::OpenOptions::new()
             .write(true)
             .open(&self.pipe)
@@ -60,32 +60,35 @@
 }
 
 #[test]
-fn signals_during_the_start_are_heard() {
-    sighup_during_the_start_takes_effect_after_it();
-    sigterm_during_the_start_ends_it_with_0();
+fn signals_during_startup_are_handled() {
+    assert_sighup_during_startup_takes_effect();
+    assert_sigterm_during_startup_exits_with_0();
 }
 
-fn sighup_during_the_start_takes_effect_after_it() {
-    let (engine, log, moved) = (Engine::start(), ChangeLog::start(), ChangeLog::start());
-    let starting = Starting::begin();
-    let mut pipe = starting.opened();
+fn assert_sighup_during_startup_takes_effect() {
+    let (engine, log, second_log) = (Engine::start(), ChangeLog::start(), ChangeLog::start());
+    let starting = Starting::spawn();
+    let mut pipe = starting.open_pipe();
     starting.signal("HUP");
     sleep(ms(50));
-    let mut told = config(engine.address, log.address);
-    pipe.write_all(told.to_string().as_bytes()).unwrap();
+    let mut configuration = config(engine.address, log.address);
+    pipe.write_all(configuration.to_string().as_bytes())
+        .unwrap();
     drop(pipe);
-    // It serves, whatever its files wait for.
-    let address: std::net::SocketAddr = told["listen"].as_str().unwrap().parse().unwrap();
+    // The gateway serves although a file is not readable yet.
+    let address: std::net::SocketAddr = configuration["listen"].as_str().unwrap().parse().unwrap();
     wait_until("it listens", || {
         std::net::TcpStream::connect(address).is_ok()
     });
-    // It reads its configuration again: there the change log is at another place.
-    let mut again = starting.opened();
-    told["changelog"] = moved.address.to_string().into();
-    again.write_all(told.to_string().as_bytes()).unwrap();
-    drop(again);
+    // It reloads its configuration, which names another change log.
+    let mut second_pipe = starting.open_pipe();
+    configuration["changelog"] = second_log.address.to_string().into();
+    second_pipe
+        .write_all(configuration.to_string().as_bytes())
+        .unwrap();
+    drop(second_pipe);
     wait_until("it follows the other log", || {
-        !moved.last_event_ids.lock().unwrap().is_empty()
+        !second_log.last_event_ids.lock().unwrap().is_empty()
     });
     let stream = std::net::TcpStream::connect(address).unwrap();
     let answer = call(
@@ -97,17 +100,17 @@
     assert!(Answer::of(answer.expect("an answer")).succeeded());
 }
 
-fn sigterm_during_the_start_ends_it_with_0() {
-    let mut starting = Starting::begin();
-    let _pipe = starting.opened();
+fn assert_sigterm_during_startup_exits_with_0() {
+    let mut starting = Starting::spawn();
+    let _pipe = starting.open_pipe();
     starting.signal("TERM");
-    let told = Instant::now();
-    while told.elapsed() < Duration::from_secs(3) {
+    let signalled_at = Instant::now();
+    while signalled_at.elapsed() < Duration::from_secs(3) {
         if let Some(status) = starting.child.try_wait().unwrap() {
             assert_eq!(status.code(), Some(0));
             return;
         }
         sleep(ms(10));
     }
-    panic!("it never ended");
+    panic!("the gateway did not exit");
 }
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -1,5 +1,5 @@
-//! Clauses of the protocol at their extremes: the largest result, a length told in two ways in every order and case, a cancel and a
-//! close at once, waits at their least and most, hundreds of closes in one turn, the deadline of a retry, the largest list.
+//! The protocol at its limits: the largest result, two body lengths in every order and case, a simultaneous cancel and close,
+//! the shortest and longest Retry-After, hundreds of closes in one loop iteration, the deadline of a retry, the largest list.
 
 mod helper;
 
@@ -12,11 +12,11 @@
 use std::thread::{sleep, spawn};
 use std::time::Instant;
 
-/// The protocol's: bytes of a page, and of a whole result.
-const PAGE: usize = 6_000;
-const RESULT: usize = 48_000;
+/// Set by the protocol: largest page and largest result.
+const PAGE_BYTES: usize = 6_000;
+const RESULT_BYTES: usize = 48_000;
 
-/// An engine that answers each call by a script.
+/// An engine that answers each request by a script.
 fn scripted_engine(answer: impl Fn(&Message) -> String + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -37,8 +37,8 @@
     address
 }
 
-/// A gateway before one engine.
-fn before(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
+/// A gateway with one engine.
+fn service_with_engine(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
     Service::with(|config| {
         config["known"]["results"] =
             json!([list_event(0, true, &[endpoint("s-0", engine, "SERVING")])]);
@@ -47,19 +47,19 @@
     })
 }
 
-/// Rows of one page, as long as a page may be, with all that has to be escaped.
+/// Rows of one page of the largest size, with all characters that have to be escaped.
 fn page(number: usize) -> String {
     let row = format!("p{number}\t\"\\\u{1}é漢\u{7f}\t\n");
-    let mut text = row.repeat(PAGE / row.len() - 1);
+    let mut text = row.repeat(PAGE_BYTES / row.len() - 1);
     text += &format!(
         "p{number}\t\t{}\n",
-        "x".repeat(PAGE - text.len() - format!("p{number}\t\t\n").len())
+        "x".repeat(PAGE_BYTES - text.len() - format!("p{number}\t\t\n").len())
     );
-    assert_eq!(text.len(), PAGE);
+    assert_eq!(text.len(), PAGE_BYTES);
     text
 }
 
-/// An engine whose every result has as many pages, and each as many bytes, as there may be.
+/// An engine whose every result has the largest number of pages, each of the largest size.
 fn engine_of_large_results() -> SocketAddr {
     scripted_engine(|call| {
         let number = match call.start_line.strip_prefix("GET /c/") {
@@ -69,7 +69,7 @@
         match number {
             0 => http(
                 "200 OK",
-                &format!("Result-Pages: {}\r\n", RESULT / PAGE),
+                &format!("Result-Pages: {}\r\n", RESULT_BYTES / PAGE_BYTES),
                 &page(0),
             ),
             n => http("200 OK", &format!("Result-Page: {n}\r\n"), &page(n)),
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn the_largest_result_comes_whole_and_in_order() {
-    let s = before(engine_of_large_results(), |_| {});
-    let answer = s.query("report", "SELECT 1");
+fn largest_result_is_returned_complete_and_in_order() {
+    let service = service_with_engine(engine_of_large_results(), |_| {});
+    let answer = service.query("report", "SELECT 1");
     assert!(answer.succeeded());
     let rows = answer.json["data"].as_array().unwrap();
-    let expected: String = (0..RESULT / PAGE).map(page).collect();
+    let expected: String = (0..RESULT_BYTES / PAGE_BYTES).map(page).collect();
     let columns = |row: &Value| -> String {
         let texts: Vec<&str> = row
             .as_array()
@@ -100,11 +100,11 @@
     );
 }
 
-/// An answer that the gateway has begun and can't finish shows that it is not whole.
+/// An answer that the gateway began and cannot finish is recognizable as incomplete.
 #[test]
-fn an_answer_that_a_kill_cuts_short_shows_it() {
-    let mut s = before(engine_of_large_results(), |_| {});
-    let stream = s.open();
+fn answer_truncated_by_a_kill_is_recognizable() {
+    let mut service = service_with_engine(engine_of_large_results(), |_| {});
+    let stream = service.open();
     socket2::SockRef::from(&stream)
         .set_recv_buffer_size(2048)
         .unwrap();
@@ -115,25 +115,32 @@
         "SELECT 1",
     );
     assert!(stream.peek(&mut [0; 1]).unwrap() > 0);
-    s.child.kill().unwrap();
-    s.child.wait().unwrap();
-    let mut all = Vec::new();
-    let _ = (&stream).read_to_end(&mut all);
-    let text = String::from_utf8_lossy(&all);
+    service.child.kill().unwrap();
+    service.child.wait().unwrap();
+    let mut received = Vec::new();
+    let _ = (&stream).read_to_end(&mut received);
+    let text = String::from_utf8_lossy(&received);
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
-    let told = head.lines().find_map(|l| {
+    let content_length = head.lines().find_map(|l| {
         l.to_ascii_lowercase()
             .strip_prefix("content-length: ")
             .map(str::to_string)
     });
-    let told: usize = told.expect("its length is told").parse().unwrap();
-    let whole = body.len() == told && serde_json::from_str::<Value>(body).is_ok();
-    assert!(whole || body.len() < told, "{} of {told} bytes", body.len());
+    let content_length: usize = content_length
+        .expect("a Content-Length field")
+        .parse()
+        .unwrap();
+    let complete = body.len() == content_length && serde_json::from_str::<Value>(body).is_ok();
+    assert!(
+        complete || body.len() < content_length,
+        "{} of {content_length} bytes",
+        body.len()
+    );
 }
 
 #[test]
-fn a_length_told_in_two_ways_is_never_passed_on() {
-    let s = Service::start();
+fn request_with_two_body_lengths_is_never_forwarded() {
+    let service = Service::start();
     let hidden = "POST /v1/report HTTP/1.1\r\nHost: g\r\n\r\n";
     let lengths = [
         "Content-Length: 8",
@@ -151,36 +158,36 @@
     ];
     for length in lengths {
         for coding in codings {
-            for told in [
+            for length_fields in [
                 format!("{length}\r\n{coding}"),
                 format!("{coding}\r\n{length}"),
                 format!("{length}\r\n{coding}\r\n{length}"),
                 format!("{coding}\r\n{length}\r\n{coding}"),
             ] {
-                let stream = s.open();
+                let stream = service.open();
                 let head = request_fields(&new_id(), 3000);
                 let text = format!(
-                    "POST /v1/report HTTP/1.1\r\nHost: g\r\n{head}{told}\r\n\r\n0\r\n\r\n{hidden}"
+                    "POST /v1/report HTTP/1.1\r\nHost: g\r\n{head}{length_fields}\r\n\r\n0\r\n\r\n{hidden}"
                 );
                 (&stream).write_all(text.as_bytes()).unwrap();
                 let answer = read_message(&mut BufReader::new(&stream));
                 let refused =
                     answer.is_none_or(|answer| answer.start_line.starts_with("HTTP/1.1 4"));
-                assert!(refused, "{told}");
+                assert!(refused, "{length_fields}");
             }
         }
     }
-    assert_eq!(s.engine.calls("POST"), 0);
+    assert_eq!(service.engine.calls("POST"), 0);
 }
 
-/// Both ways in which a client stops waiting, in one moment.
+/// A client cancels its query and closes its connection at the same moment.
 #[test]
-fn a_cancel_and_a_close_at_once_give_one_end() {
-    for closes_first in [true, false] {
+fn simultaneous_cancel_and_close_give_one_end() {
+    for close_first in [true, false] {
         let engine = EngineProcess::start();
-        let s = before(engine.address, |_| {});
+        let service = service_with_engine(engine.address, |_| {});
         let id = new_id();
-        let stream = s.open();
+        let stream = service.open();
         send(
             &stream,
             "POST /v1/report",
@@ -188,9 +195,9 @@
             "SELECT 1 /* runs 60000 */",
         );
         wait_until("the start", || engine.attempts().len() == 1);
-        let cancel = s.open();
-        let left = Instant::now();
-        if closes_first {
+        let cancel = service.open();
+        let cancelled_at = Instant::now();
+        if close_first {
             drop(stream);
             send(&cancel, "DELETE /v1/report", &request_fields(&id, 3000), "");
         } else {
@@ -198,30 +205,30 @@
             drop(stream);
         }
         read_message(&mut BufReader::new(cancel)).expect("an answer to the cancel");
-        wait_until("given up", || engine.attempts()[0].stopped_at.is_some());
+        wait_until("cancelled", || engine.attempts()[0].stopped_at.is_some());
         assert!(
-            left.elapsed() < ms(1000),
-            "given up after {:?}",
-            left.elapsed()
+            cancelled_at.elapsed() < ms(1000),
+            "cancelled after {:?}",
+            cancelled_at.elapsed()
         );
         sleep(ms(300));
         assert_eq!(
             (engine.attempts().len(), engine.state().cancel_calls),
             (1, 1),
-            "one attempt, given up once"
+            "one attempt, cancelled once"
         );
     }
 }
 
 #[test]
-fn the_wait_of_a_rejection_keeps_to_the_settings() {
+fn retry_after_of_a_rejection_follows_the_settings() {
     let wait = |allowed: Value| {
         let full = scripted_engine(|_| http("503 Full", "X-Declined: 1\r\n", ""));
-        let s = before(full, |config| {
-            let told = config["settings"]["allowed"].as_object_mut().unwrap();
-            told.extend(allowed.as_object().unwrap().clone());
+        let service = service_with_engine(full, |config| {
+            let settings = config["settings"]["allowed"].as_object_mut().unwrap();
+            settings.extend(allowed.as_object().unwrap().clone());
         });
-        let answer = s.query_with_id(&new_id(), "report", 400, "SELECT 1");
+        let answer = service.query_with_id(&new_id(), "report", 400, "SELECT 1");
         assert_eq!(answer.status, 503, "{answer:?}");
         answer.retry_after_ms
     };
@@ -234,20 +241,20 @@
         wait(json!({"retry-after": true, "max-retry-after": 1.0})),
         Some(1)
     );
-    let most = wait(json!({"retry-after": true, "max-retry-after": 1000.0})).expect("a wait");
-    assert!(most > 0 && most <= 1000, "{most}");
+    let longest = wait(json!({"retry-after": true, "max-retry-after": 1000.0})).expect("a wait");
+    assert!(longest > 0 && longest <= 1000, "{longest}");
 }
 
-/// Two hundred clients close while the gateway has no processor time, and then the turn of their key comes.
+/// Two hundred clients close while the gateway process is stopped, before their key's turn comes.
 #[test]
-fn hundreds_of_closes_in_one_turn_have_nothing_begun_after() {
+fn hundreds_of_closes_in_one_iteration_start_no_attempt_afterwards() {
     let engine = EngineProcess::start();
-    let s = before(engine.address, |config| {
+    let service = service_with_engine(engine.address, |config| {
         config["limits"]["sockets"] = json!(1024);
         config["settings"]["rules"]["order-pause"] = json!(0.0);
     });
-    let keyed = |statement: &str| {
-        let stream = s.open();
+    let send_keyed = |statement: &str| {
+        let stream = service.open();
         let head = format!(
             "{}X-Item: 7f3a9c21e0b4d655\r\n",
             request_fields(&new_id(), 3000)
@@ -255,70 +262,70 @@
         send(&stream, "POST /v1/load", &head, statement);
         stream
     };
-    let first = keyed("INSERT 1 /* runs 2500 */");
-    wait_until("the first is out", || engine.attempts().len() == 1);
-    let leavers: Vec<TcpStream> = (0..200).map(|_| keyed("INSERT 2")).collect();
+    let first = send_keyed("INSERT 1 /* runs 2500 */");
+    wait_until("the first attempt", || engine.attempts().len() == 1);
+    let disconnecting: Vec<TcpStream> = (0..200).map(|_| send_keyed("INSERT 2")).collect();
     sleep(ms(200));
-    s.pause();
-    drop(leavers);
+    service.pause();
+    drop(disconnecting);
     engine.state().attempts[0].run_time = ms(0);
     sleep(ms(150));
-    s.signal("CONT");
+    service.signal("CONT");
     assert!(Answer::of(read_message(&mut BufReader::new(first)).unwrap()).succeeded());
     sleep(ms(400));
     assert_eq!(
         engine.attempts().len(),
         1,
-        "begun for clients that had left"
+        "started for disconnected clients"
     );
 }
 
-/// The deadline that is passed on with a retry is what is left then.
+/// The deadline forwarded with a retry is the time remaining then.
 #[test]
-fn the_deadline_of_a_retry_is_what_is_left() {
-    const ALLOWED: u64 = 2000;
-    /// Protocol's slack of a deadline that is passed on.
-    const SLACK: u64 = 150;
-    let told: Arc<Mutex<Vec<(Instant, u64)>>> = Arc::default();
-    let seen = told.clone();
+fn retry_forwards_the_remaining_time() {
+    const ALLOWED_MS: u64 = 2000;
+    /// The protocol's tolerance for a forwarded deadline.
+    const DEADLINE_TOLERANCE_MS: u64 = 150;
+    let deadlines: Arc<Mutex<Vec<(Instant, u64)>>> = Arc::default();
+    let recorded = deadlines.clone();
     let engine = scripted_engine(move |call| {
         if call.start_line.starts_with("POST") {
-            let mut seen = seen.lock().unwrap();
-            seen.push((Instant::now(), call.fields["x-patience"].parse().unwrap()));
-            if seen.len() == 1 {
-                drop(seen);
+            let mut recorded = recorded.lock().unwrap();
+            recorded.push((Instant::now(), call.fields["x-patience"].parse().unwrap()));
+            if recorded.len() == 1 {
+                drop(recorded);
                 sleep(ms(200));
                 return http("503 Full", "X-Declined: 1\r\n", "");
             }
         }
         http("200 OK", "Result-Pages: 1\r\n", ROWS)
     });
-    let s = before(engine, |_| {});
+    let service = service_with_engine(engine, |_| {});
     let began = Instant::now();
-    assert!(s
-        .query_with_id(&new_id(), "report", ALLOWED as u32, "SELECT 1")
+    assert!(service
+        .query_with_id(&new_id(), "report", ALLOWED_MS as u32, "SELECT 1")
         .succeeded());
-    let told = told.lock().unwrap();
-    assert_eq!(told.len(), 2);
-    for (at, deadline) in told.iter() {
-        let left = ALLOWED.saturating_sub((*at - began).as_millis() as u64);
+    let deadlines = deadlines.lock().unwrap();
+    assert_eq!(deadlines.len(), 2);
+    for (at, deadline) in deadlines.iter() {
+        let remaining_ms = ALLOWED_MS.saturating_sub((*at - began).as_millis() as u64);
         assert!(
-            *deadline <= left + SLACK,
-            "{deadline} ms told with {left} left"
+            *deadline <= remaining_ms + DEADLINE_TOLERANCE_MS,
+            "{deadline} ms forwarded with {remaining_ms} left"
         );
     }
-    assert!(told[1].1 + 200 <= told[0].1, "{told:?}");
+    assert!(deadlines[1].1 + 200 <= deadlines[0].1, "{deadlines:?}");
 }
 
-/// The largest list that there is, and as many gateways.
+/// The largest endpoint list and number of gateways.
 #[test]
-fn a_list_of_3200_engines_beside_900_gateways_is_served() {
+fn list_of_3200_engines_with_900_gateways_is_served() {
     const ENGINES: usize = 3200;
     let engine = Engine::start();
     let lines: Vec<Value> = (0..ENGINES)
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "SERVING"))
         .collect();
-    let s = Service::with(|config| {
+    let service = Service::with(|config| {
         config["known"] = json!({"seq": 0, "results": [list_event(0, true, &lines)]});
         config["settings"]["balancers"] = json!(900);
         config["peers"] = json!((0..900)
@@ -326,30 +333,35 @@
             .collect::<Vec<_>>());
     });
     for _ in 0..20 {
-        assert!(s.query("report", "SELECT 1").succeeded());
+        assert!(service.query("report", "SELECT 1").succeeded());
     }
     let drained: Vec<Value> = (0..ENGINES)
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "DRAINING"))
         .collect();
     for number in 1..10 {
         let state = if number % 2 == 1 { &drained } else { &lines };
-        s.log.publish(list_event(number, false, state));
+        service.log.publish(list_event(number, false, state));
     }
     wait_until("all drain", || {
-        s.query_with_id(&new_id(), "report", 300, "SELECT 1").status == 503
+        service
+            .query_with_id(&new_id(), "report", 300, "SELECT 1")
+            .status
+            == 503
     });
     let before = engine.calls("POST");
     assert_eq!(
-        s.query_with_id(&new_id(), "report", 300, "SELECT 1").status,
+        service
+            .query_with_id(&new_id(), "report", 300, "SELECT 1")
+            .status,
         503
     );
     assert_eq!(
         engine.calls("POST"),
         before,
-        "nothing to engines that drain"
+        "no attempt at draining engines"
     );
-    s.log.publish(list_event(10, false, &lines));
+    service.log.publish(list_event(10, false, &lines));
     wait_until("all serve again", || {
-        s.query("report", "SELECT 1").succeeded()
+        service.query("report", "SELECT 1").succeeded()
     });
 }
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -1,5 +1,6 @@
-//! Nothing of a start leaves once its batch has its answer: not when its connection comes up late, not the rest of a body that comes slowly or of a long statement that the engine's
-//! machine takes in by parts. Engines tell what came and when.
+//! No part of a start is sent once its query has been answered: not over a connection that is established late, nor the rest
+//! of a slow body or of a long statement that the engine's machine receives in parts. Stand-in engines record what they
+//! received and when.
 
 mod helper;
 
@@ -12,16 +13,16 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// An engine's machine whose queue of connections is full: a connection comes up only when the machine asks again, one
-/// second after it first did, and only once the queue has room.
-struct Crowded {
+/// An engine's machine whose accept queue is full: a connection is established only when its SYN is retransmitted, after one
+/// second, and only once the queue has capacity.
+struct FullAcceptQueue {
     listener: TcpListener,
     address: SocketAddr,
-    crowd: Vec<TcpStream>,
+    blocking_connections: Vec<TcpStream>,
 }
 
-impl Crowded {
-    fn start() -> Crowded {
+impl FullAcceptQueue {
+    fn start() -> FullAcceptQueue {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -30,21 +31,21 @@
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().unwrap();
         let connect = |_| TcpStream::connect_timeout(&address, ms(100)).ok();
-        let crowd = (0..8).map_while(connect).collect();
+        let blocking_connections = (0..8).map_while(connect).collect();
         assert!(
             TcpStream::connect_timeout(&address, ms(100)).is_err(),
             "the queue is full"
         );
-        Crowded {
+        FullAcceptQueue {
             listener,
             address,
-            crowd,
+            blocking_connections,
         }
     }
 
-    /// Makes room in the queue, and reads what comes on each connection for a while.
-    fn makes_room(self) -> Vec<u8> {
-        drop(self.crowd);
+    /// Empties the queue, and reads from each connection for a while.
+    fn drain_and_read(self) -> Vec<u8> {
+        drop(self.blocking_connections);
         let until = Instant::now() + ms(2500);
         self.listener.set_nonblocking(true).unwrap();
         let mut reading = Vec::new();
@@ -61,11 +62,11 @@
     }
 }
 
-/// The next connection; a test that waits for one that never comes ends.
-fn accepted(listener: &TcpListener) -> TcpStream {
+/// Accepts the next connection, or fails the test after a while.
+fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
-    let accept = |_| listener.accept().map_err(|_| sleep(ms(5))).ok();
-    let (stream, _) = (0..1000).find_map(accept).expect("a connection");
+    let try_accept = |_| listener.accept().map_err(|_| sleep(ms(5))).ok();
+    let (stream, _) = (0..1000).find_map(try_accept).expect("a connection");
     stream.set_nonblocking(false).unwrap();
     stream
 }
@@ -73,10 +74,10 @@
 fn read_for(mut stream: TcpStream, span: Duration) -> Vec<u8> {
     stream.set_nonblocking(false).unwrap();
     stream.set_read_timeout(Some(span)).unwrap();
-    let mut came = Vec::new();
-    // What comes before the connection breaks or says nothing counts.
-    let _ = stream.read_to_end(&mut came);
-    came
+    let mut received = Vec::new();
+    // What was received before an error or timeout counts.
+    let _ = stream.read_to_end(&mut received);
+    received
 }
 
 fn service(engines: &[SocketAddr], change_more: impl Fn(&mut Value)) -> Service {
@@ -93,17 +94,17 @@
     })
 }
 
-fn started(came: &[u8]) -> bool {
-    String::from_utf8_lossy(came).contains("POST /c")
+fn contains_start(received: &[u8]) -> bool {
+    String::from_utf8_lossy(received).contains("POST /c")
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_answer_carries_no_start() {
-    let crowded = Crowded::start();
-    let service = service(&[crowded.address], |_| {});
+fn connection_established_after_the_answer_carries_no_start() {
+    let full_queue = FullAcceptQueue::start();
+    let service = service(&[full_queue.address], |_| {});
     let reading = spawn(move || {
         sleep(ms(800));
-        crowded.makes_room()
+        full_queue.drain_and_read()
     });
     let began = Instant::now();
     let answer = service.query_with_id(&new_id(), "report", 930, "SELECT 1");
@@ -113,16 +114,16 @@
         "{answer:?} after {took:?}"
     );
     assert!(
-        !started(&reading.join().unwrap()),
-        "sent on after its answer"
+        !contains_start(&reading.join().unwrap()),
+        "forwarded after its answer"
     );
 }
 
-/// The same for a client that leaves while the connection comes up, where nothing can be cancelled.
+/// The same for a client that disconnects while the connection is established, where attempts cannot be cancelled.
 #[test]
-fn a_connection_that_comes_up_after_the_client_has_gone_carries_no_start() {
-    let crowded = Crowded::start();
-    let service = service(&[crowded.address], |config| {
+fn connection_established_after_the_client_disconnected_carries_no_start() {
+    let full_queue = FullAcceptQueue::start();
+    let service = service(&[full_queue.address], |config| {
         config["settings"]["allowed"]["cancelling"] = json!(false)
     });
     let stream = service.open();
@@ -135,14 +136,14 @@
     sleep(ms(300));
     drop(stream);
     assert!(
-        !started(&crowded.makes_room()),
-        "sent on after its client had gone"
+        !contains_start(&full_queue.drain_and_read()),
+        "forwarded after its client had disconnected"
     );
 }
 
-/// The engine's machine takes a part of a long start in, and the rest only after the answer.
+/// The engine's machine receives part of a long start, and could receive the rest only after the answer.
 #[test]
-fn the_rest_of_a_long_start_does_not_come_after_the_answer() {
+fn rest_of_a_long_start_is_not_sent_after_the_answer() {
     let slow = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     slow.set_recv_buffer_size(2048).unwrap();
     slow.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -150,9 +151,9 @@
     slow.listen(16).unwrap();
     let slow: TcpListener = slow.into();
     let service = service(&[slow.local_addr().unwrap()], |_| {});
-    // A first batch shows that the engine is quick, so that one with little time is sent, too.
-    let quick = spawn(move || {
-        let stream = accepted(&slow);
+    // A first query shows that the engine is fast, so that one with little time left is sent, too.
+    let first_query = spawn(move || {
+        let stream = accept(&slow);
         read_message(&mut std::io::BufReader::new(stream.try_clone().unwrap())).expect("a start");
         (&stream)
             .write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes())
@@ -160,22 +161,22 @@
         slow
     });
     assert!(service.query("report", "SELECT 1").succeeded());
-    let slow = quick.join().unwrap();
+    let slow = first_query.join().unwrap();
     let statement = format!("SELECT 1 /* {} */", "x".repeat(200_000));
     let answer = service.query_with_id(&new_id(), "report", 230, &statement);
     assert!(!answer.succeeded());
-    let stream = accepted(&slow);
-    let came = read_for(stream, ms(600));
+    let stream = accept(&slow);
+    let received = read_for(stream, ms(600));
     assert!(
-        came.len() < statement.len(),
-        "it came whole after its answer, {} bytes",
-        came.len()
+        received.len() < statement.len(),
+        "the complete start was received after the answer, {} bytes",
+        received.len()
     );
 }
 
-/// A body that goes on as it comes: its client sends the rest just after its time.
+/// A streamed body whose client sends the rest just after the deadline.
 #[test]
-fn the_rest_of_a_body_that_comes_slowly_is_not_sent_after_the_answer() {
+fn rest_of_a_slow_body_is_not_sent_after_the_answer() {
     let engine = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = engine.local_addr().unwrap();
     let plan = write_config(&json!({})).with_extension("plan");
@@ -210,51 +211,54 @@
         .write_all(head.as_bytes())
         .and_then(|()| stream.write_all(first))
         .unwrap();
-    let arrived = accepted(&engine);
+    let arrived = accept(&engine);
     let reading = spawn(move || read_for(arrived, ms(1500)));
     sleep(ms(830));
     // The connection may be closed by then.
     let _ = stream.write_all(rest);
-    let came = reading.join().unwrap();
-    assert!(started(&came), "it was begun");
+    let received = reading.join().unwrap();
+    assert!(contains_start(&received), "the start was begun");
     assert!(
-        came.len() < body.len(),
-        "it came whole after its answer, {} bytes",
-        came.len()
+        received.len() < body.len(),
+        "the complete start was received after the answer, {} bytes",
+        received.len()
     );
 }
 
-/// The deadline that an engine was told, in milliseconds.
-fn told_deadline(came: &[u8]) -> u64 {
-    let text = String::from_utf8_lossy(came).to_ascii_lowercase();
-    let told = text
+/// The deadline that was forwarded to the engine, in milliseconds.
+fn forwarded_deadline_ms(received: &[u8]) -> u64 {
+    let text = String::from_utf8_lossy(received).to_ascii_lowercase();
+    let deadline_ms = text
         .lines()
         .find_map(|line| line.strip_prefix("x-patience:"))
         .expect("a deadline");
-    told.trim().parse().unwrap()
+    deadline_ms.trim().parse().unwrap()
 }
 
-/// Protocol's slack of a deadline that is passed on, with what a test's own clock is off.
-const SLACK: u64 = 150;
+/// The protocol's tolerance for a forwarded deadline, plus that of the test's clock.
+const DEADLINE_TOLERANCE_MS: u64 = 150;
 
-/// The deadline passed on is what is left when the start leaves, not when its connection was begun.
+/// The forwarded deadline is the remaining time when the start is sent, not when its connection was begun.
 #[test]
-fn a_start_over_a_connection_that_comes_up_late_tells_what_is_left() {
-    let crowded = Crowded::start();
-    let service = service(&[crowded.address], |_| {});
+fn start_over_a_late_connection_forwards_the_remaining_time() {
+    let full_queue = FullAcceptQueue::start();
+    let service = service(&[full_queue.address], |_| {});
     let reading = spawn(move || {
         sleep(ms(300));
-        crowded.makes_room()
+        full_queue.drain_and_read()
     });
     let _ = service.query_with_id(&new_id(), "report", 2500, "SELECT 1");
-    let told = told_deadline(&reading.join().unwrap());
-    // The machine asks for its connection again after one second.
-    assert!(told <= 2500 - 1000 + SLACK, "told {told} ms");
+    let deadline_ms = forwarded_deadline_ms(&reading.join().unwrap());
+    // The SYN is retransmitted after one second.
+    assert!(
+        deadline_ms <= 2500 - 1000 + DEADLINE_TOLERANCE_MS,
+        "forwarded {deadline_ms} ms"
+    );
 }
 
-/// A query that came while the gateway had no processor time has less left than one that was read at once.
+/// A query received while the gateway process was stopped has less time left than one that was read at once.
 #[test]
-fn a_query_that_waited_for_its_gateway_to_run_passes_on_what_is_left() {
+fn query_received_by_a_stopped_gateway_forwards_the_remaining_time() {
     for waited in [300, 700] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let service = service(&[listener.local_addr().unwrap()], |_| {});
@@ -269,22 +273,22 @@
         );
         sleep(ms(waited));
         service.signal("CONT");
-        let told = told_deadline(&read_for(accepted(&listener), ms(300)));
+        let deadline_ms = forwarded_deadline_ms(&read_for(accept(&listener), ms(300)));
         assert!(
-            told <= 2000 - waited + SLACK,
-            "told {told} ms after {waited}"
+            deadline_ms <= 2000 - waited + DEADLINE_TOLERANCE_MS,
+            "forwarded {deadline_ms} ms after {waited}"
         );
     }
 }
 
-/// A query with next to nothing left is answered at once, and what it passes on is no more than that.
+/// A query with almost no time left is answered at once, and forwards no more than that.
 #[test]
-fn a_query_with_one_millisecond_left_is_answered_at_once() {
+fn query_with_one_millisecond_left_is_answered_at_once() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = service(&[listener.local_addr().unwrap()], |_| {});
-    for group in ["report", "load"] {
+    for class in ["report", "load"] {
         let began = Instant::now();
-        let answer = service.query_with_id(&new_id(), group, 1, "SELECT 1");
+        let answer = service.query_with_id(&new_id(), class, 1, "SELECT 1");
         assert!(
             !answer.succeeded() && began.elapsed() < ms(200),
             "{answer:?} after {:?}",
@@ -293,7 +297,10 @@
     }
     listener.set_nonblocking(true).unwrap();
     if let Ok((stream, _)) = listener.accept() {
-        let came = read_for(stream, ms(200));
-        assert!(!started(&came) || told_deadline(&came) <= 1 + SLACK);
+        let received = read_for(stream, ms(200));
+        assert!(
+            !contains_start(&received)
+                || forwarded_deadline_ms(&received) <= 1 + DEADLINE_TOLERANCE_MS
+        );
     }
 }
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -1,5 +1,5 @@
-//! System calls that fail as Linux says they may, on a gateway that serves: short reads and writes, interrupted calls, accepts
-//! and sockets that fail for a moment.
+//! System calls that fail as documented for Linux, on a serving gateway: short reads and writes, interrupted calls,
+//! temporary failures of accept and socket.
 
 mod helper;
 
@@ -21,15 +21,17 @@
     }
 }
 
-/// Queries one after another on kept connections and on new ones, some with long statements: all are answered with their rows.
-fn all_are_answered(service: &Service, queries: usize) {
+/// Sends queries one after another on keep-alive and new connections, some with long statements, and asserts that all succeed.
+fn assert_all_succeed(service: &Service, queries: usize) {
     let long = format!("SELECT '{}' FROM sales_1.orders", "x".repeat(60_000));
-    let mut kept = service.open();
+    let mut keep_alive = service.open();
     for n in 0..queries {
         if n % 5 == 0 {
-            kept = service.open();
+            keep_alive = service.open();
         }
-        kept.set_read_timeout(Some(Duration::from_secs(4))).unwrap();
+        keep_alive
+            .set_read_timeout(Some(Duration::from_secs(4)))
+            .unwrap();
         let statement = if n % 4 == 3 {
             long.as_str()
         } else {
@@ -37,7 +39,7 @@
         };
         let began = Instant::now();
         let answer = call(
-            kept.try_clone().unwrap(),
+            keep_alive.try_clone().unwrap(),
             "POST /v1/report",
             &request_fields(&new_id(), 3000),
             statement,
@@ -55,7 +57,7 @@
 fn short_reads_and_writes_lose_no_query() {
     let faults = Faults::none();
     faults.enable("short", "2");
-    all_are_answered(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
+    assert_all_succeed(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
 }
 
 #[test]
@@ -63,12 +65,12 @@
     let faults = Faults::none();
     faults.enable("eintr", "2");
     faults.enable("waits", "3");
-    all_are_answered(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
+    assert_all_succeed(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
 }
 
-/// A listener's socket that the system refuses for a moment, or an address that a predecessor still holds, is no end.
+/// A temporary failure to create the listening socket, or an address still in use, does not end the gateway.
 #[test]
-fn a_start_for_which_the_system_has_no_socket_is_tried_again() {
+fn bind_is_retried_when_the_system_has_no_socket() {
     // EMFILE, ENFILE, ENOBUFS, ENOMEM.
     for code in [24, 23, 105, 12] {
         let faults = Faults::none();
@@ -78,25 +80,25 @@
             std::thread::sleep(ms(400));
             later.disable("socket");
         });
-        all_are_answered(&Service::with_launcher(|_| {}, serve_with(&faults)), 1);
+        assert_all_succeed(&Service::with_launcher(|_| {}, serve_with(&faults)), 1);
     }
-    let held: std::sync::Mutex<Option<std::net::TcpListener>> = std::sync::Mutex::default();
-    let takes = |config: &mut Value| {
-        *held.lock().unwrap() =
+    let occupied: std::sync::Mutex<Option<std::net::TcpListener>> = std::sync::Mutex::default();
+    let occupy_address = |config: &mut Value| {
+        *occupied.lock().unwrap() =
             Some(std::net::TcpListener::bind(config["listen"].as_str().unwrap()).unwrap());
     };
     let serve = |config: &Value| {
         let child = serve(config);
         std::thread::sleep(ms(300));
-        held.lock().unwrap().take();
+        occupied.lock().unwrap().take();
         child
     };
-    all_are_answered(&Service::with_launcher(takes, serve), 1);
+    assert_all_succeed(&Service::with_launcher(occupy_address, serve), 1);
 }
 
-/// Accepts that fail cost those who come then next to nothing.
+/// Failed accepts delay new clients only slightly.
 #[test]
-fn accepts_that_fail_hold_nobody_up() {
+fn failed_accepts_delay_no_client() {
     let faults = Faults::none();
     let service = Service::with_launcher(
         |config| config["limits"]["sockets"] = json!(1024),
@@ -127,14 +129,14 @@
     assert!(began.elapsed() < ms(1000), "{:?}", began.elapsed());
 }
 
-/// EADDRNOTAVAIL, ENOBUFS, ENETUNREACH at connect: this machine's own faults. Queries are answered, none as failed, and once it
-/// passes the engine is used at once.
+/// EADDRNOTAVAIL, ENOBUFS and ENETUNREACH at connect are faults of the local machine. Queries are rejected, none fails, and
+/// once the fault has passed the engine is used at once.
 #[test]
-fn what_this_machine_lacks_to_connect_is_laid_to_no_engine() {
+fn local_connect_faults_are_not_attributed_to_an_engine() {
     for code in [99, 105, 101] {
         let faults = Faults::none();
         let service = Service::with_launcher(|_| {}, serve_with(&faults));
-        all_are_answered(&service, 3);
+        assert_all_succeed(&service, 3);
         faults.enable("connect", &format!("1 {code}"));
         let began = Instant::now();
         while began.elapsed() < ms(1000) {
@@ -142,57 +144,58 @@
             assert_eq!(answer.status, 503, "{code}: {answer:?}");
         }
         faults.disable("connect");
-        let back = Instant::now();
-        all_are_answered(&service, 1);
+        let recovered_at = Instant::now();
+        assert_all_succeed(&service, 1);
         assert!(
-            back.elapsed() < ms(300),
+            recovered_at.elapsed() < ms(300),
             "{code}: used again only after {:?}",
-            back.elapsed()
+            recovered_at.elapsed()
         );
     }
 }
 
-/// Connections that break as ETIMEDOUT or EHOSTUNREACH prove nothing: what may have run is not sent again.
+/// Connections lost with ETIMEDOUT or EHOSTUNREACH prove nothing: a query that may have run is not sent again.
 #[test]
-fn a_connection_that_times_out_proves_nothing() {
+fn connection_timeout_proves_nothing() {
     for code in [110, 113] {
         let (engine, faults) = (EngineProcess::start(), Faults::none());
-        let told = |config: &mut Value| {
+        let one_engine = |config: &mut Value| {
             config["known"]["results"] = json!([list_event(
                 0,
                 true,
                 &[endpoint("s-0", engine.address, "SERVING")]
             )]);
         };
-        let service = Service::with_launcher(told, serve_with(&faults));
+        let service = Service::with_launcher(one_engine, serve_with(&faults));
         faults.enable("broken", &format!("12 {code}"));
         for _ in 0..60 {
             let id = new_id();
-            let call_of = format!("INSERT {id} /* runs 5 */");
-            // Its own connection may break as well.
+            let statement = format!("INSERT {id} /* runs 5 */");
+            // The client's connection may break as well.
             let _ = call(
                 service.open(),
                 "POST /v1/load",
                 &request_fields(&id, 1000),
-                &call_of,
+                &statement,
             );
         }
-        let dispatches = engine.attempts();
-        let mut ids: Vec<_> = dispatches.iter().map(|d| &d.id).collect();
+        let attempts = engine.attempts();
+        let mut ids: Vec<_> = attempts.iter().map(|attempt| &attempt.id).collect();
         ids.sort();
         let sent = ids.len();
         ids.dedup();
         assert_eq!(ids.len(), sent, "{code}: run twice");
-        assert!(sent > 20, "{code}: {sent} came");
+        assert!(sent > 20, "{code}: {sent} received");
     }
 }
 
-/// What happened: seed 111 of the soak, with one in ten calls interrupted and deadlines of 500 ms, met its kill 1.2 s after SIGTERM with the
-/// gateway still there, in 1 of 6 plays, and in 6 of 10 of the program before. The cause: the write by which the signal's handler wakes the gateway was interrupted, and the
-/// flags were looked at every 250 ms only, while the end keeps 100 ms clear of the earliest kill. The evidence: with every such write
-/// interrupted the end came 1.33 s after SIGTERM. Since then the flags are looked at every 50 ms.
+/// What happened: in seed 111 of the soak, with one in ten calls interrupted and deadlines of 500 ms, the gateway was still
+/// running at its kill 1.2 s after SIGTERM, in 1 of 6 runs, and in 6 of 10 of the program before. The cause: the write by
+/// which the signal handler wakes the gateway was interrupted, and the flags were polled every 250 ms only, while the shutdown
+/// ends 100 ms before the earliest kill. The evidence: with every such write interrupted the gateway exited 1.33 s after
+/// SIGTERM. The flags are now polled every 50 ms.
 #[test]
-fn a_signal_whose_wake_is_lost_is_heeded_in_time() {
+fn signal_with_a_lost_wakeup_is_handled_in_time() {
     const DEADLINE: u64 = 500;
     for _ in 0..6 {
         let faults = Faults::none();
@@ -205,7 +208,7 @@
             serve_with(&faults),
         );
         faults.enable("wake", "1");
-        // A client whose every query lasts until its deadline, up to the end.
+        // Each query of this client lasts until its deadline.
         let address = service.address;
         let client = std::thread::spawn(move || {
             while let Ok(stream) = std::net::TcpStream::connect(address) {
@@ -224,9 +227,9 @@
         });
         std::thread::sleep(ms(20));
         service.signal("TERM");
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         assert!(service.child.wait().unwrap().success());
-        let took = told.elapsed();
+        let took = signalled_at.elapsed();
         client.join().unwrap();
         assert!(
             took < ms(700 + DEADLINE),
