--- a/crates/scale/src/slopes/regression.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -2,7 +2,7 @@
 
 /// Exponents over this grow faster than linear.
 pub const MAX_LINEAR_EXPONENT: f64 = 1.1;
-/// Standard errors by which an exponent must exceed [`LINEAR`] to count as superlinear.
+/// Standard errors by which an exponent must exceed [`MAX_LINEAR_EXPONENT`] to count as superlinear.
 const STANDARD_ERRORS: f64 = 2.0;
 /// Nothing is divided by less.
 const MIN_DIVISOR: f64 = 1e-12;
