--- a/crates/fleet/src/grantor.rs
+++ b/crates/fleet/src/grantor.rs
@@ -1,203 +1,212 @@
-//! A grantor: what it has given, to whom, until when. It keeps nothing on a disk: one that has started again stays mute for a
-//! whole lease, after which nothing that it gave before can still be held.
+//! The lease grantor: which resource is granted to whom, until when.
+//!
+//! It stores nothing on a disk. A restarted grantor sends no reply for the duration of a lease, after which no lease that it
+//! granted before can still be held.
 
-use crate::message::{Ask, Claim, Epoch, Member, Mute, Thing, Told, Verdict};
+use crate::message::{Claim, Epoch, LeaseReply, LeaseRequest, Member, NoReply, Resource, Verdict};
 use crate::terms::Terms;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A member's unbroken stay.
+/// The time over which a member has renewed its leases without a gap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Session {
     number: u64,
     until: Duration,
-    /// The last ask that was answered: an older one says nothing of what its member wants now.
+    /// The number of the latest request; claims of older ones are out of date.
     last: u32,
 }
 
-/// The last that was given of a thing.
+/// The latest grant of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Given {
+struct Grant {
     epoch: Epoch,
-    /// In which session; none once it was returned.
+    /// The holder and its session; `None` once it was released.
     to: Option<(Member, u64)>,
 }
 
-/// One grantor.
+/// A lease grantor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Grantor {
     length: Duration,
-    mute_until: Duration,
-    /// Sessions are numbered from the grantor's own life on, so that those of two lives never meet.
+    silent_until: Duration,
+    /// Sessions are numbered from the incarnation on, so that two incarnations never use the same numbers.
     next_session: u64,
-    most_members: usize,
-    most_things: usize,
+    max_members: usize,
+    max_resources: usize,
     sessions: BTreeMap<Member, Session>,
-    given: BTreeMap<Thing, Given>,
-    /// Of things that were let go of here: no epoch up to this is given for one that is not known.
+    granted: BTreeMap<Resource, Grant>,
+    /// No epoch up to this is granted for a resource that is not stored: it may have been evicted.
     floor: Epoch,
 }
 
 impl Grantor {
-    /// A grantor that starts now, at `unix_ms` by its wall clock. `life` is drawn anew with each start; `most_members` and
-    /// `most_things` bound what is kept.
+    /// A grantor that starts now, at `unix_ms` by its wall clock, in milliseconds. `incarnation` is drawn anew with each
+    /// start; `max_members` and `max_resources` bound what is stored.
     ///
-    /// It remembers no epoch that was given before. All of those are under its wall clock and one lease, as long as the
-    /// grantors' wall clocks are no more than a lease apart: it gives none up to there.
+    /// It remembers no epoch that was granted before. All of those are below its wall clock plus one lease, as long as the
+    /// grantors' wall clocks are no more than a lease apart: it grants none up to there.
     pub fn start(
         now: Duration,
         unix_ms: u64,
-        life: u64,
+        incarnation: u64,
         terms: &Terms,
-        most_members: usize,
-        most_things: usize,
+        max_members: usize,
+        max_resources: usize,
     ) -> Grantor {
         Grantor {
             length: terms.length(),
-            mute_until: now + terms.length(),
-            next_session: life,
-            most_members,
-            most_things,
+            silent_until: now + terms.length(),
+            next_session: incarnation,
+            max_members,
+            max_resources,
             sessions: BTreeMap::new(),
-            given: BTreeMap::new(),
+            granted: BTreeMap::new(),
             floor: Epoch(unix_ms + terms.length().as_millis() as u64),
         }
     }
 
-    /// One that remembers nothing and speaks at once: for tests that show what that breaks.
-    pub fn hasty(now: Duration, unix_ms: u64, life: u64, terms: &Terms) -> Grantor {
+    /// A grantor that replies at once though it remembers nothing, for tests that show what that breaks.
+    pub fn hasty(now: Duration, unix_ms: u64, incarnation: u64, terms: &Terms) -> Grantor {
         Grantor {
-            mute_until: now,
-            ..Grantor::start(now, unix_ms, life, terms, 8, 8)
+            silent_until: now,
+            ..Grantor::start(now, unix_ms, incarnation, terms, 8, 8)
         }
     }
 
-    /// Answers an ask that has come at `now`.
+    /// Handles a request that was received at `now`.
     ///
     /// # Errors
     ///
-    /// Where nothing is answered, with the reason for the log.
-    pub fn asked(&mut self, now: Duration, ask: &Ask) -> Result<Told, Mute> {
-        if now < self.mute_until {
-            return Err(Mute::Started(self.mute_until - now));
+    /// Why no reply is sent, for the log.
+    pub fn handle_request(
+        &mut self,
+        now: Duration,
+        request: &LeaseRequest,
+    ) -> Result<LeaseReply, NoReply> {
+        if now < self.silent_until {
+            return Err(NoReply::Started(self.silent_until - now));
         }
         self.sessions.retain(|_, session| now < session.until);
-        let session = self.stays(now, ask)?;
-        ask.returns
+        let session = self.renew_session(now, request)?;
+        request
+            .releases
             .iter()
-            .for_each(|claim| self.takes_back(ask.from, claim));
-        // What an older ask claims may have been given back since.
-        let claims = if session.last == ask.number {
-            &ask.claims[..]
+            .for_each(|claim| self.release(request.from, claim));
+        // What an older request claims may have been released since.
+        let claims = if session.last == request.number {
+            &request.claims[..]
         } else {
             &[]
         };
-        let weigh = |claim: &Claim| (*claim, self.weigh(claim, ask.from, session.number));
-        let verdicts = claims.iter().map(weigh).collect();
-        Ok(Told {
-            to: ask.from,
-            number: ask.number,
+        let verdict = |claim: &Claim| (*claim, self.verdict(claim, request.from, session.number));
+        let verdicts = claims.iter().map(verdict).collect();
+        Ok(LeaseReply {
+            to: request.from,
+            number: request.number,
             session: session.number,
             verdicts,
-            returned: ask.returns.clone(),
+            released: request.releases.clone(),
         })
     }
 
-    /// Begins or goes on with the stay of who asks.
-    fn stays(&mut self, now: Duration, ask: &Ask) -> Result<Session, Mute> {
+    /// Starts or extends the session of the member that sent a request.
+    fn renew_session(&mut self, now: Duration, request: &LeaseRequest) -> Result<Session, NoReply> {
         let until = now + self.length;
-        if let Some(session) = self.sessions.get_mut(&ask.from) {
-            session.last = session.last.max(ask.number);
+        if let Some(session) = self.sessions.get_mut(&request.from) {
+            session.last = session.last.max(request.number);
             session.until = until;
             return Ok(*session);
         }
-        if self.sessions.len() >= self.most_members {
-            return Err(Mute::Crowded(self.most_members));
+        if self.sessions.len() >= self.max_members {
+            return Err(NoReply::Crowded(self.max_members));
         }
         let session = Session {
             number: self.next_session,
             until,
-            last: ask.number,
+            last: request.number,
         };
         self.next_session += 1;
-        self.sessions.insert(ask.from, session);
+        self.sessions.insert(request.from, session);
         Ok(session)
     }
 
-    /// Who has a thing in a session that still lasts.
-    fn has(&self, given: &Given) -> Option<Member> {
-        let (member, number) = given.to?;
+    /// The holder of a grant whose session still lasts.
+    fn current_holder(&self, granted: &Grant) -> Option<Member> {
+        let (member, number) = granted.to?;
         self.sessions
             .get(&member)
             .filter(|session| session.number == number)
             .map(|_| member)
     }
 
-    fn weigh(&mut self, claim: &Claim, from: Member, session: u64) -> Verdict {
-        let Claim { thing, epoch } = *claim;
-        let new = Given {
+    fn verdict(&mut self, claim: &Claim, from: Member, session: u64) -> Verdict {
+        let Claim { resource, epoch } = *claim;
+        let new = Grant {
             epoch,
             to: Some((from, session)),
         };
         match self
-            .given
-            .get(&thing)
-            .map(|given| (*given, self.has(given)))
+            .granted
+            .get(&resource)
+            .map(|granted| (*granted, self.current_holder(granted)))
         {
-            Some((given, Some(holder))) if holder == from => {
+            Some((granted, Some(holder))) if holder == from => {
                 // The same, or a later epoch of the same holder.
-                if epoch < given.epoch {
-                    return Verdict::Late(given.epoch);
+                if epoch < granted.epoch {
+                    return Verdict::Stale(granted.epoch);
                 }
-                self.given.insert(thing, new);
-                Verdict::Given
+                self.granted.insert(resource, new);
+                Verdict::Granted
+            }
+            Some((granted, Some(_))) => Verdict::Held(granted.epoch),
+            Some((granted, None)) if epoch <= granted.epoch => Verdict::Stale(granted.epoch),
+            None if epoch <= self.floor => Verdict::Stale(self.floor),
+            None if self.granted.len() >= self.max_resources && !self.evict_free_resource() => {
+                Verdict::Full
             }
-            Some((given, Some(_))) => Verdict::Held(given.epoch),
-            Some((given, None)) if epoch <= given.epoch => Verdict::Late(given.epoch),
-            None if epoch <= self.floor => Verdict::Late(self.floor),
-            None if self.given.len() >= self.most_things && !self.makes_room() => Verdict::Full,
             Some((_, None)) | None => {
-                self.given.insert(thing, new);
-                Verdict::Given
+                self.granted.insert(resource, new);
+                Verdict::Granted
             }
         }
     }
 
-    /// Forgets a thing that nobody has, with the lowest epoch: the floor stands in for all that were forgotten.
-    fn makes_room(&mut self) -> bool {
+    /// Evicts the resource without a holder that has the lowest epoch, and raises the floor to that epoch.
+    fn evict_free_resource(&mut self) -> bool {
         let free = self
-            .given
+            .granted
             .iter()
-            .filter(|(_, given)| self.has(given).is_none());
-        let Some((thing, given)) = free
-            .min_by_key(|(_, given)| given.epoch)
+            .filter(|(_, granted)| self.current_holder(granted).is_none());
+        let Some((resource, granted)) = free
+            .min_by_key(|(_, granted)| granted.epoch)
             .map(|(t, g)| (*t, *g))
         else {
             return false;
         };
-        self.floor = self.floor.max(given.epoch);
-        self.given.remove(&thing);
+        self.floor = self.floor.max(granted.epoch);
+        self.granted.remove(&resource);
         true
     }
 
-    /// Frees what the member gives back, if it has it under this epoch.
-    fn takes_back(&mut self, from: Member, claim: &Claim) {
-        if let Some(given) = self
-            .given
-            .get_mut(&claim.thing)
-            .filter(|given| given.epoch == claim.epoch)
+    /// Frees what a member releases, if it has it under this epoch.
+    fn release(&mut self, from: Member, claim: &Claim) {
+        if let Some(granted) = self
+            .granted
+            .get_mut(&claim.resource)
+            .filter(|granted| granted.epoch == claim.epoch)
         {
-            given.to = given.to.filter(|(member, _)| *member != from);
+            granted.to = granted.to.filter(|(member, _)| *member != from);
         }
     }
 
-    /// Things and members that it keeps.
+    /// How many resources and members it stores.
     pub fn size(&self) -> (usize, usize) {
-        (self.given.len(), self.sessions.len())
+        (self.granted.len(), self.sessions.len())
     }
 
-    /// When it began to speak, or will.
-    pub fn mute_until(&self) -> Duration {
-        self.mute_until
+    /// When it starts or started to reply.
+    pub fn silent_until(&self) -> Duration {
+        self.silent_until
     }
 }
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/holder.rs
@@ -1,170 +1,174 @@
-//! What a gateway holds, by the word of a majority of grantors. One ask renews all that it has from a grantor.
+//! The lease holder: which leases a gateway has from a majority of grantors. One request renews all leases of a grantor.
 
-use crate::message::{Ask, Claim, Epoch, Member, Thing, Told, Verdict, MOST};
-use crate::terms::{Terms, MOST_GRANTORS};
+use crate::message::{
+    Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict, MAX_CLAIMS_PER_MESSAGE,
+};
+use crate::terms::{Terms, MAX_GRANTORS};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Asks that an answer may still come for: more than are sent in a term.
-const ASKED: usize = 6;
+/// Requests whose replies are accepted; more than are sent in a term.
+const RECENT_REQUESTS: usize = 6;
 
-/// So many messages go to a grantor at once at most, each with [`MOST`] claims.
-const BURST: usize = 16;
+/// Messages that go to a grantor at once, each with up to [`MAX_CLAIMS_PER_MESSAGE`] claims.
+const MAX_MESSAGES_PER_GRANTOR: usize = 16;
 
 /// What is known of one grantor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Grant {
-    /// The stay with it that is going on, or was last.
+    /// The current or last session with it.
     session: u64,
-    /// What it gave in that stay lasts until then, for us.
+    /// When the leases of that session end, by our clock.
     until: Duration,
 }
 
-/// What is known of a thing that is wanted.
+/// What is known of a wanted resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Wanted {
     epoch: Epoch,
-    /// By grantor: the stay in which it gave the thing under this epoch.
-    given: [Option<u64>; MOST_GRANTORS],
-    /// By grantor: it has given it to another.
-    held: u16,
-    /// Nothing is claimed before: two that claim at once would keep each other out for ever.
-    rests_until: Duration,
-    /// Since when it is claimed without a rest.
+    /// The session in which each grantor granted the resource under this epoch.
+    granted_in: [Option<u64>; MAX_GRANTORS],
+    /// A bit for each grantor that did not grant it.
+    refused_by: u16,
+    /// No claim before this: two members that claim at once could keep each other from a majority for ever.
+    backoff_until: Duration,
+    /// Since when it is claimed without a backoff.
     since: Duration,
 }
 
-/// One gateway that holds things.
+/// The leases of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Holder {
     me: Member,
     terms: Terms,
-    grants: [Grant; MOST_GRANTORS],
-    wanted: BTreeMap<Thing, Wanted>,
-    /// Given back, and by which grantors that is known.
-    returned: BTreeMap<Claim, u16>,
-    /// The last asks and when they were sent.
-    asked: [(u32, Duration); ASKED],
+    grants: [Grant; MAX_GRANTORS],
+    wanted: BTreeMap<Resource, Wanted>,
+    /// Released claims, with a bit for each grantor that knows of it.
+    released: BTreeMap<Claim, u16>,
+    /// The number of each of the last requests, and when it was sent.
+    recent_requests: [(u32, Duration); RECENT_REQUESTS],
     number: u32,
-    next_ask: Duration,
+    next_request_at: Duration,
     /// No epoch up to this is claimed again.
     last_epoch: Epoch,
-    dice: u64,
+    rng_state: u64,
 }
 
 impl Holder {
-    /// A gateway that holds nothing yet. `dice` seeds the rests between claims.
-    pub fn new(me: Member, terms: Terms, dice: u64) -> Holder {
+    /// A holder without leases. `rng_state` seeds the jitter of backoffs.
+    pub fn new(me: Member, terms: Terms, rng_state: u64) -> Holder {
         Holder {
             me,
             terms,
             grants: Default::default(),
             wanted: BTreeMap::new(),
-            returned: BTreeMap::new(),
-            asked: [(0, Duration::ZERO); ASKED],
+            released: BTreeMap::new(),
+            recent_requests: [(0, Duration::ZERO); RECENT_REQUESTS],
             number: 0,
-            next_ask: Duration::ZERO,
+            next_request_at: Duration::ZERO,
             last_epoch: Epoch(0),
-            dice: dice | 1,
+            rng_state: rng_state | 1,
         }
     }
 
-    /// Wants a thing from now on. Its epoch is the next that this gateway has not used; grantors that have seen a later one say so.
-    pub fn want(&mut self, now: Duration, thing: Thing) {
-        if self.wanted.contains_key(&thing) {
+    /// Claims a resource from now on, under the next epoch that this gateway has not used.
+    pub fn want(&mut self, now: Duration, resource: Resource) {
+        if self.wanted.contains_key(&resource) {
             return;
         }
         let epoch = self.next_epoch();
         let wanted = Wanted {
             epoch,
-            given: [None; MOST_GRANTORS],
-            held: 0,
-            rests_until: now,
+            granted_in: [None; MAX_GRANTORS],
+            refused_by: 0,
+            backoff_until: now,
             since: now,
         };
-        self.wanted.insert(thing, wanted);
-        self.next_ask = self.next_ask.min(now);
+        self.wanted.insert(resource, wanted);
+        self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// Gives a thing back: it is not held from this call on, and others may have it as soon as the grantors know.
-    pub fn let_go(&mut self, now: Duration, thing: Thing) {
-        if let Some(wanted) = self.wanted.remove(&thing) {
-            self.returned.insert(
+    /// Releases a resource: it is not held from this call on, and free for others as soon as the grantors know.
+    pub fn release(&mut self, now: Duration, resource: Resource) {
+        if let Some(wanted) = self.wanted.remove(&resource) {
+            self.released.insert(
                 Claim {
-                    thing,
+                    resource,
                     epoch: wanted.epoch,
                 },
                 0,
             );
-            self.next_ask = self.next_ask.min(now);
+            self.next_request_at = self.next_request_at.min(now);
         }
     }
 
-    /// The epoch under which a thing is held now. To be looked at right before each act.
-    pub fn holds(&self, now: Duration, thing: Thing) -> Option<Epoch> {
-        let wanted = self.wanted.get(&thing)?;
+    /// The epoch under which a resource is held now; to be checked right before each act that needs the lease.
+    pub fn holds(&self, now: Duration, resource: Resource) -> Option<Epoch> {
+        let wanted = self.wanted.get(&resource)?;
         self.is_held(now, wanted).then_some(wanted.epoch)
     }
 
-    /// Whether a majority gives it now: only what a grantor gave in the stay that it renews counts.
+    /// Whether a majority grants it now; only grants of the current sessions count.
     fn is_held(&self, now: Duration, wanted: &Wanted) -> bool {
-        let pairs = self.grants.iter().zip(&wanted.given);
-        let lasting =
-            pairs.filter(|(grant, given)| **given == Some(grant.session) && now < grant.until);
+        let pairs = self.grants.iter().zip(&wanted.granted_in);
+        let lasting = pairs
+            .filter(|(grant, granted_in)| **granted_in == Some(grant.session) && now < grant.until);
         lasting.count() >= self.terms.majority()
     }
 
-    /// So many grantors give it in the stay that is going on.
-    fn giving(&self, wanted: &Wanted) -> usize {
-        let pairs = self.grants.iter().zip(&wanted.given);
+    /// How many grantors granted it in their current sessions.
+    fn granting(&self, wanted: &Wanted) -> usize {
+        let pairs = self.grants.iter().zip(&wanted.granted_in);
         pairs
-            .filter(|(grant, given)| **given == Some(grant.session))
+            .filter(|(grant, granted_in)| **granted_in == Some(grant.session))
             .count()
     }
 
-    /// When the next ask is due.
-    pub fn next_ask(&self) -> Duration {
-        self.next_ask
+    /// When the next requests are due.
+    pub fn next_request_at(&self) -> Duration {
+        self.next_request_at
     }
 
-    /// The asks that are due, by grantor; none before [`Holder::next_ask`].
-    pub fn ask(&mut self, now: Duration) -> Vec<(usize, Ask)> {
-        if now < self.next_ask {
+    /// The requests that are due, each with the index of its grantor; none before [`Holder::next_request_at`].
+    pub fn requests(&mut self, now: Duration) -> Vec<(usize, LeaseRequest)> {
+        if now < self.next_request_at {
             return Vec::new();
         }
-        self.next_ask = now + self.terms.pause();
-        if self.wanted.is_empty() && self.returned.is_empty() {
+        self.next_request_at = now + self.terms.request_interval();
+        if self.wanted.is_empty() && self.released.is_empty() {
             return Vec::new();
         }
-        self.forget(now);
-        self.starts_over(now);
+        self.drop_expired_releases(now);
+        self.back_off_stuck_claims(now);
         self.number += 1;
-        self.asked[self.number as usize % ASKED] = (self.number, now);
+        self.recent_requests[self.number as usize % RECENT_REQUESTS] = (self.number, now);
         (0..self.terms.grantors())
-            .flat_map(|n| self.asks_of(now, n))
+            .flat_map(|grantor| self.requests_to(now, grantor))
             .collect()
     }
 
-    /// One ask renews all; more go along only while there is more to claim or to give back than it can carry.
-    fn asks_of(&self, now: Duration, n: usize) -> Vec<(usize, Ask)> {
-        let session = self.grants[n].session;
-        let due = |w: &&Wanted| w.rests_until <= now && w.given[n] != Some(session);
-        let missing = self.wanted.iter().filter(|(_, w)| due(w));
-        let claims = missing.map(|(thing, w)| Claim {
-            thing: *thing,
-            epoch: w.epoch,
+    /// One request renews all leases; there are more only for claims and releases that do not fit into one.
+    fn requests_to(&self, now: Duration, grantor: usize) -> Vec<(usize, LeaseRequest)> {
+        let session = self.grants[grantor].session;
+        let due = |wanted: &&Wanted| {
+            wanted.backoff_until <= now && wanted.granted_in[grantor] != Some(session)
+        };
+        let missing = self.wanted.iter().filter(|(_, wanted)| due(wanted));
+        let claims = missing.map(|(resource, wanted)| Claim {
+            resource: *resource,
+            epoch: wanted.epoch,
         });
-        let returns = self
-            .returned
+        let releases = self
+            .released
             .iter()
-            .filter(|(_, known)| **known & (1 << n) == 0)
+            .filter(|(_, known)| **known & (1 << grantor) == 0)
             .map(|(claim, _)| *claim);
-        let both: Vec<_> = returns
+        let both: Vec<_> = releases
             .map(|c| (c, true))
             .chain(claims.map(|c| (c, false)))
-            .take(MOST * BURST)
+            .take(MAX_CLAIMS_PER_MESSAGE * MAX_MESSAGES_PER_GRANTOR)
             .collect();
-        let ask = |part: &[(Claim, bool)]| {
+        let request = |part: &[(Claim, bool)]| {
             let of = |back: bool| {
                 part.iter()
                     .filter(|(_, b)| *b == back)
@@ -172,57 +176,62 @@
                     .collect()
             };
             (
-                n,
-                Ask {
+                grantor,
+                LeaseRequest {
                     from: self.me,
                     number: self.number,
                     claims: of(false),
-                    returns: of(true),
+                    releases: of(true),
                 },
             )
         };
         match both.is_empty() {
-            true => vec![ask(&[])],
-            false => both.chunks(MOST).map(ask).collect(),
+            true => vec![request(&[])],
+            false => both.chunks(MAX_CLAIMS_PER_MESSAGE).map(request).collect(),
         }
     }
 
-    /// Gives back what could not be had within a term, and claims it again after a rest of its own: others that claim the same
-    /// may have the grantors that are missing.
-    fn starts_over(&mut self, now: Duration) {
-        let stuck: Vec<Thing> = self
+    /// Releases what no majority granted for some time, and claims it again after a backoff: another member that claims the
+    /// same may have the other grantors.
+    fn back_off_stuck_claims(&mut self, now: Duration) {
+        let stuck: Vec<Resource> = self
             .wanted
             .iter()
-            .filter(|(_, w)| w.held != 0 && self.giving(w) > 0 && !self.is_held(now, w))
-            .filter(|(_, w)| now >= w.since + self.terms.pause() * 2)
-            .map(|(thing, _)| *thing)
+            .filter(|(_, wanted)| {
+                wanted.refused_by != 0 && self.granting(wanted) > 0 && !self.is_held(now, wanted)
+            })
+            .filter(|(_, wanted)| now >= wanted.since + self.terms.request_interval() * 2)
+            .map(|(resource, _)| *resource)
             .collect();
-        for thing in stuck {
-            let rests = self.terms.pause().mul_f64(1.0 + 3.0 * self.draws());
+        for resource in stuck {
+            let backoff = self
+                .terms
+                .request_interval()
+                .mul_f64(1.0 + 3.0 * self.random_fraction());
             let epoch = self.next_epoch();
-            let Some(w) = self.wanted.get_mut(&thing) else {
+            let Some(wanted) = self.wanted.get_mut(&resource) else {
                 continue;
             };
-            self.returned.insert(
+            self.released.insert(
                 Claim {
-                    thing,
-                    epoch: w.epoch,
+                    resource,
+                    epoch: wanted.epoch,
                 },
                 0,
             );
-            let (rests_until, since) = (now + rests, now + rests);
-            *w = Wanted {
+            let (backoff_until, since) = (now + backoff, now + backoff);
+            *wanted = Wanted {
                 epoch,
-                given: [None; MOST_GRANTORS],
-                held: 0,
-                rests_until,
+                granted_in: [None; MAX_GRANTORS],
+                refused_by: 0,
+                backoff_until,
                 since,
             };
         }
     }
 
-    /// An epoch that was heard of: what is wanted from now on is claimed under later ones.
-    pub fn heard(&mut self, epoch: Epoch) {
+    /// Notes an epoch that others use: further claims use later ones.
+    pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.last_epoch = self.last_epoch.max(epoch);
     }
 
@@ -231,100 +240,103 @@
         self.last_epoch
     }
 
-    fn draws(&mut self) -> f64 {
-        self.dice = self
-            .dice
+    fn random_fraction(&mut self) -> f64 {
+        self.rng_state = self
+            .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.dice >> 40) as f64 / (1 << 24) as f64
+        (self.rng_state >> 40) as f64 / (1 << 24) as f64
     }
 
-    /// Takes in an answer of grantor `n`.
-    pub fn told(&mut self, n: usize, told: &Told) {
-        let (number, sent) = self.asked[told.number as usize % ASKED];
-        if n >= self.terms.grantors() || told.to != self.me || told.number != number || number == 0
+    /// Handles a reply of a grantor, given by index.
+    pub fn handle_reply(&mut self, grantor: usize, reply: &LeaseReply) {
+        let (number, sent) = self.recent_requests[reply.number as usize % RECENT_REQUESTS];
+        if grantor >= self.terms.grantors()
+            || reply.to != self.me
+            || reply.number != number
+            || number == 0
         {
             return;
         }
         let until = sent + self.terms.term();
-        let grant = &mut self.grants[n];
-        match grant.session == told.session {
+        let grant = &mut self.grants[grantor];
+        match grant.session == reply.session {
             true => grant.until = grant.until.max(until),
-            // Another stay: what was given in the one before is gone. An answer that comes late must not bring that back.
+            // A new session: leases of the one before have ended, and a late reply must not restore them.
             false if until > grant.until || grant.session == 0 => {
                 *grant = Grant {
-                    session: told.session,
+                    session: reply.session,
                     until,
                 };
             }
             false => return,
         }
-        for (claim, verdict) in &told.verdicts {
-            self.weigh(n, told.session, claim, *verdict);
+        for (claim, verdict) in &reply.verdicts {
+            self.apply_verdict(grantor, reply.session, claim, *verdict);
         }
-        for claim in &told.returned {
-            if let Some(known) = self.returned.get_mut(claim) {
-                *known |= 1 << n;
+        for claim in &reply.released {
+            if let Some(known) = self.released.get_mut(claim) {
+                *known |= 1 << grantor;
             }
         }
         let all = (1_u16 << self.terms.grantors()) - 1;
-        self.returned.retain(|_, known| *known != all);
+        self.released.retain(|_, known| *known != all);
     }
 
-    fn weigh(&mut self, n: usize, session: u64, claim: &Claim, verdict: Verdict) {
-        let Some(w) = self
+    fn apply_verdict(&mut self, grantor: usize, session: u64, claim: &Claim, verdict: Verdict) {
+        let Some(wanted) = self
             .wanted
-            .get_mut(&claim.thing)
-            .filter(|w| w.epoch == claim.epoch)
+            .get_mut(&claim.resource)
+            .filter(|wanted| wanted.epoch == claim.epoch)
         else {
             return;
         };
         match verdict {
-            Verdict::Given => {
-                w.given[n] = Some(session);
-                w.held &= !(1 << n);
+            Verdict::Granted => {
+                wanted.granted_in[grantor] = Some(session);
+                wanted.refused_by &= !(1 << grantor);
             }
             Verdict::Held(epoch) => {
-                w.held |= 1 << n;
-                // Claimed later than that from now on, so that the first ask after its holder's end is given.
-                self.raise(claim.thing, epoch, 1);
+                wanted.refused_by |= 1 << grantor;
+                // Later claims use a higher epoch, so that the first one after the holder's end is granted.
+                self.raise_epoch(claim.resource, epoch, 1);
             }
-            Verdict::Full => w.held |= 1 << n,
-            // Where a majority gives it already, one that remembers more can be done without.
-            Verdict::Late(epoch) => self.raise(claim.thing, epoch, self.terms.majority()),
+            Verdict::Full => wanted.refused_by |= 1 << grantor,
+            // A majority that grants it already does not need this grantor.
+            Verdict::Stale(epoch) => self.raise_epoch(claim.resource, epoch, self.terms.majority()),
         }
     }
 
-    /// Claims a thing under an epoch later than this, where fewer grantors than that give it.
-    fn raise(&mut self, thing: Thing, over: Epoch, giving: usize) {
-        let Some(w) = self
+    /// Claims a resource under an epoch above `over`, where fewer than `granting` grantors grant it.
+    fn raise_epoch(&mut self, resource: Resource, over: Epoch, granting: usize) {
+        let Some(wanted) = self
             .wanted
-            .get(&thing)
-            .filter(|w| w.epoch <= over && self.giving(w) < giving)
+            .get(&resource)
+            .filter(|wanted| wanted.epoch <= over && self.granting(wanted) < granting)
         else {
             return;
         };
         let mut raised = Wanted {
-            given: [None; MOST_GRANTORS],
-            ..w.clone()
+            granted_in: [None; MAX_GRANTORS],
+            ..wanted.clone()
         };
         self.last_epoch = self.last_epoch.max(over);
         raised.epoch = self.next_epoch();
-        self.wanted.insert(thing, raised);
+        self.wanted.insert(resource, raised);
     }
 
-    /// Drops what was given back to grantors that have not answered for a term: by then it is over there anyway.
-    fn forget(&mut self, now: Duration) {
-        let lapsed = |n: usize| self.grants[n].until + self.terms.length() < now;
-        let gone = (0..self.terms.grantors())
-            .filter(|n| lapsed(*n))
-            .fold(0, |all, n| all | 1 << n);
+    /// Drops releases that only grantors without a reply for a lease do not know of: the leases have ended there.
+    fn drop_expired_releases(&mut self, now: Duration) {
+        let lapsed = |grantor: usize| self.grants[grantor].until + self.terms.length() < now;
+        let expired = (0..self.terms.grantors())
+            .filter(|grantor| lapsed(*grantor))
+            .fold(0, |all, grantor| all | 1 << grantor);
         let all = (1_u16 << self.terms.grantors()) - 1;
-        self.returned.retain(|_, known| *known | gone != all);
+        self.released.retain(|_, known| *known | expired != all);
     }
 
-    /// Things wanted, and things given back that not all grantors know of.
+    /// How many resources are wanted, and how many releases are not known to all grantors.
     pub fn size(&self) -> (usize, usize) {
-        (self.wanted.len(), self.returned.len())
+        (self.wanted.len(), self.released.len())
     }
 }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -2,7 +2,7 @@
 //! by foca, which does no I/O either; beside it goes what members tell of themselves, merged so that order, repeats and loss
 //! do not matter. A member that was stopped acts on nothing it knows until somebody has spoken to it again.
 
-use crate::wire::{Dropped, Message, Wire, SWIM_LONGEST};
+use crate::wire::{Dropped, Message, Wire, MAX_SWIM_BYTES};
 use bytes::{Buf, BufMut};
 use foca::{
     BroadcastHandler, Codec, Config, Foca, Header, Identity, Invalidates, Member, Notification,
@@ -306,7 +306,7 @@
                 .max(NonZeroU8::new(6).expect("not zero")),
             suspect_to_down_after: Duration::from_millis(1500),
             remove_down_after: Duration::from_secs(60),
-            max_packet_size: few(SWIM_LONGEST),
+            max_packet_size: few(MAX_SWIM_BYTES),
             periodic_announce: Some(PeriodicParams {
                 frequency: Duration::from_secs(5),
                 num_members: few(1),
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,74 +1,85 @@
-//! What goes between holders and grantors.
+//! Messages between lease holders and grantors.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Of claims and returns together that one message carries; what is over that comes with the next.
-pub const MOST: usize = 6;
+/// Claims and releases together that one message carries; further ones go into the next message.
+pub const MAX_CLAIMS_PER_MESSAGE: usize = 6;
 
-/// Something that has at most one holder: the hash of its name.
+/// Something that has at most one holder, by the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Thing(pub u64);
+pub struct Resource(pub u64);
 
-/// Grows with each holder of a thing, and goes with every act in its name.
+/// A fencing token: it grows with each holder of a resource and goes with every act of the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// One life of a gateway: a restarted one is another member.
+/// One incarnation of a gateway; a restarted gateway is another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     /// The hash of the gateway's name.
     pub gateway: u64,
-    /// Drawn anew with each start.
-    pub life: u64,
+    /// A random number, drawn at each start.
+    pub incarnation: u64,
 }
 
-/// A thing under an epoch.
+/// A resource under an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Claim {
-    pub thing: Thing,
+    /// The resource.
+    pub resource: Resource,
+    /// The epoch.
     pub epoch: Epoch,
 }
 
-/// Renews all that a member has from a grantor, claims more, and gives back.
+/// Renews all leases that a member has from a grantor, claims further ones, and releases some.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
+    /// The member that sends it.
     pub from: Member,
-    /// Counts the member's asks: what is told names the one that it answers.
+    /// The sequence number of the member's requests, which the reply repeats.
     pub number: u32,
+    /// What is claimed.
     pub claims: Vec<Claim>,
-    pub returns: Vec<Claim>,
+    /// What is released.
+    pub releases: Vec<Claim>,
 }
 
-/// What a grantor says to a claim.
+/// A grantor's decision on a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Given, for as long as the member's session lasts here.
-    Given,
+    /// Granted, for as long as the member's session with this grantor lasts.
+    Granted,
     /// Another member has it, under this epoch.
     Held(Epoch),
-    /// This epoch, or a later one, has been here before: claim a later one.
-    Late(Epoch),
-    /// The grantor can keep no more.
+    /// The grantor has seen this epoch or a later one: claim a later one than that.
+    Stale(Epoch),
+    /// The grantor can store no further resource.
     Full,
 }
 
-/// A grantor's answer to one ask.
+/// A grantor's reply to one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Told {
+pub struct LeaseReply {
+    /// The member that sent the request.
     pub to: Member,
+    /// The number of the request.
     pub number: u32,
-    /// One unbroken stay of the member with this life of the grantor. What was given in an earlier one is gone.
+    /// The member's session with this incarnation of the grantor. Leases of an earlier session have ended.
     pub session: u64,
+    /// The decisions on the claims.
     pub verdicts: Vec<(Claim, Verdict)>,
-    pub returned: Vec<Claim>,
+    /// The releases that were carried out.
+    pub released: Vec<Claim>,
 }
 
-/// A grantor that has just started may have given what it does not remember.
+/// Why a grantor does not reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Mute {
+pub enum NoReply {
+    /// It started less than a lease ago, and may have granted what it does not remember; the time until it replies.
     #[error("grantor started less than the longest lease ago: it gives nothing for another {0:?}; nothing is to be done")]
     Started(Duration),
+    /// It has sessions with as many members as it may have.
     #[error(
         "grantor has {0} members, as many as it is told to keep: raise the fleet's most members"
     )]
--- a/crates/fleet/src/shares.rs
+++ b/crates/fleet/src/shares.rs
@@ -1,13 +1,15 @@
-//! Shares of a sum: a budget of the fleet is cut into units, and each unit is a thing with one holder. So the sum of what is
-//! held never passes the budget, over any cut or restart, by the promise of leases alone. Who wants which unit is drawn by
-//! rendezvous: all members that see the same fleet agree, and one that comes or goes moves its own part only.
+//! Shares of a budget of the fleet, as leased units.
+//!
+//! Each unit is a resource with one holder, so that the sum of the held units never exceeds the budget, over any partition
+//! or restart. Rendezvous hashing decides which member claims which unit: members that see the same fleet agree, and a
+//! member that joins or leaves moves its own part only.
 
 use crate::holder::Holder;
-use crate::message::Thing;
+use crate::message::Resource;
 use std::time::Duration;
 
 /// More units make finer shares and more to claim; a fleet of more members than units has some with none.
-pub const MOST_UNITS: u32 = 1024;
+pub const MAX_UNITS: u32 = 1024;
 
 /// A budget of the fleet in equal units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,32 +19,33 @@
 }
 
 impl Budget {
-    /// A budget by its name, in so many units, [`MOST_UNITS`] at most.
+    /// A budget by its name, in so many units, [`MAX_UNITS`] at most.
     pub fn new(name: &str, units: u32) -> Budget {
         let hash = blake3::hash(name.as_bytes());
         let mut first = [0; 8];
         first.copy_from_slice(&hash.as_bytes()[..8]);
         Budget {
             name: u64::from_le_bytes(first),
-            units: units.clamp(1, MOST_UNITS),
+            units: units.clamp(1, MAX_UNITS),
         }
     }
 
+    /// How many units there are.
     pub fn units(&self) -> u32 {
         self.units
     }
 
-    fn unit(&self, n: u32) -> Thing {
-        Thing(mix(self.name, u64::from(n)))
+    fn unit(&self, n: u32) -> Resource {
+        Resource(mix(self.name, u64::from(n)))
     }
 
-    fn things(&self) -> impl Iterator<Item = Thing> + '_ {
+    fn resources(&self) -> impl Iterator<Item = Resource> + '_ {
         (0..self.units).map(|n| self.unit(n))
     }
 
     /// The units that a gateway should want, given the gateways that it sees, itself included.
-    pub fn due<'a>(&'a self, me: u64, there: &'a [u64]) -> impl Iterator<Item = Thing> + 'a {
-        self.things().filter(move |unit| {
+    pub fn due<'a>(&'a self, me: u64, there: &'a [u64]) -> impl Iterator<Item = Resource> + 'a {
+        self.resources().filter(move |unit| {
             let mine = (mix(unit.0, me), me);
             there
                 .iter()
@@ -50,20 +53,20 @@
         })
     }
 
-    /// Has a holder want what is due to it, and give the rest back.
+    /// Makes a holder claim the units that are due to it and release all others.
     pub fn settle(&self, holder: &mut Holder, now: Duration, me: u64, there: &[u64]) {
         let mut due = self.due(me, there).peekable();
-        for unit in self.things() {
+        for unit in self.resources() {
             match due.next_if_eq(&unit) {
                 Some(unit) => holder.want(now, unit),
-                None => holder.let_go(now, unit),
+                None => holder.release(now, unit),
             }
         }
     }
 
-    /// The units that are held now. To be looked at right before what they allow is used.
+    /// How many units are held now; to be checked right before they are used.
     pub fn held(&self, holder: &Holder, now: Duration) -> u32 {
-        self.things()
+        self.resources()
             .filter(|unit| holder.holds(now, *unit).is_some())
             .count() as u32
     }
--- a/crates/fleet/src/terms.rs
+++ b/crates/fleet/src/terms.rs
@@ -1,34 +1,42 @@
-//! The terms of all leases of a fleet, checked once.
+//! The durations of leases, checked against clock drift and round-trip time.
 
 use std::time::Duration;
 
-/// More grantors only make each claim cost more: with nine, four may fail.
-pub const MOST_GRANTORS: usize = 9;
-/// A lease is asked for anew so many times in its term, so that two asks may be lost.
-const ASKS: u32 = 4;
+/// Grantors of a fleet; of nine, four may fail.
+pub const MAX_GRANTORS: usize = 9;
+/// Renewals within the term of a lease, so that two may be lost.
+const REQUESTS_PER_TERM: u32 = 4;
 
-/// What of a fleet's settings can't be used. Each says what to do about it.
+/// Why the settings of a fleet cannot be used, and what to do about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum TermsError {
+    /// The number of grantors is even or above [`MAX_GRANTORS`].
     #[error("{0} grantors are named: name an odd number from 1 to 9, since an even one bears no more failures than one less")]
     Grantors(usize),
+    /// A grantor, by index, is named twice.
     #[error("grantor {0} is named twice: give each grantor a gateway of its own, or two could be one vote counted double")]
     Twice(usize),
+    /// The lease leaves its holder too little time to renew it.
     #[error(
-        "a lease of {length:?} is too short for a drift of {drift} parts in a million and {trip:?} on the way: \
+        "a lease of {length:?} is too short for a drift of {drift} parts in a million and {round_trip:?} on the way: \
          its holder would be left {term:?}; take a longer lease or a smaller drift"
     )]
     Short {
+        /// The duration by the grantor's clock.
         length: Duration,
+        /// The clock drift, in parts in a million.
         drift: u32,
-        trip: Duration,
+        /// The round-trip time.
+        round_trip: Duration,
+        /// The duration that is left to the holder.
         term: Duration,
     },
+    /// The clock drift, in parts in a million, is half a clock or more.
     #[error("a drift of {0} parts in a million is half a clock or more: measure the machines' clocks, usual is under 500")]
     Drift(u32),
 }
 
-/// How long leases last.
+/// How long leases last for grantors and holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Terms {
     length: Duration,
@@ -37,36 +45,36 @@
 }
 
 impl Terms {
-    /// `length`: for how long a grantor gives a lease, by its own clock. `drift`: by how many parts in a million a clock may run
-    /// fast or slow, the same bound for all. `trip`: how long a message there and back takes at the most in good times.
+    /// `length` is the duration of a lease by the grantor's clock. `drift` bounds how fast or slow any clock may run, in
+    /// parts in a million. `round_trip` bounds the round-trip time of a message while the network is healthy.
     ///
     /// # Errors
     ///
-    /// Each says which setting is at fault and what to do.
+    /// Names the setting that cannot be used, and what to do.
     pub fn new(
         length: Duration,
         drift: u32,
-        trip: Duration,
+        round_trip: Duration,
         grantors: &[u64],
-    ) -> Result<Terms, Fault> {
-        if grantors.len().is_multiple_of(2) || grantors.len() > MOST_GRANTORS {
-            return Err(Fault::Grantors(grantors.len()));
+    ) -> Result<Terms, TermsError> {
+        if grantors.len().is_multiple_of(2) || grantors.len() > MAX_GRANTORS {
+            return Err(TermsError::Grantors(grantors.len()));
         }
         let twice = |n: &usize| grantors[..*n].contains(&grantors[*n]);
         if let Some(n) = (0..grantors.len()).find(twice) {
-            return Err(Fault::Twice(n));
+            return Err(TermsError::Twice(n));
         }
         if drift >= 500_000 {
-            return Err(Fault::Drift(drift));
+            return Err(TermsError::Drift(drift));
         }
         // A slow clock's term ends no later than a fast clock's length, for (1 - d) / (1 + d) is never under 1 - 2d.
         let early = length.mul_f64(2.0 * f64::from(drift) / 1e6) + Duration::from_nanos(1);
         let term = length.saturating_sub(early);
-        if term < trip * ASKS {
-            return Err(Fault::Short {
+        if term < round_trip * REQUESTS_PER_TERM {
+            return Err(TermsError::Short {
                 length,
                 drift,
-                trip,
+                round_trip,
                 term,
             });
         }
@@ -77,7 +85,7 @@
         })
     }
 
-    /// Terms as they are wanted, right or wrong: for tests that show what a wrong one breaks.
+    /// Terms without checks, for tests that show what wrong ones break.
     pub fn unchecked(length: Duration, term: Duration, grantors: usize) -> Terms {
         Terms {
             length,
@@ -86,26 +94,27 @@
         }
     }
 
-    /// For how long a grantor gives a lease, by its clock.
+    /// The duration of a lease by the grantor's clock.
     pub fn length(&self) -> Duration {
         self.length
     }
 
-    /// For how long the holder takes itself to have it, by its clock, from when it asked.
+    /// The duration of a lease by the holder's clock, from when it sent its request.
     pub fn term(&self) -> Duration {
         self.term
     }
 
-    /// How long a holder waits between two asks.
-    pub fn pause(&self) -> Duration {
-        self.term / ASKS
+    /// The time between two requests of a holder.
+    pub fn request_interval(&self) -> Duration {
+        self.term / REQUESTS_PER_TERM
     }
 
+    /// How many grantors there are.
     pub fn grantors(&self) -> usize {
         self.grantors
     }
 
-    /// So many grantors are a majority.
+    /// How many grantors are a majority.
     pub fn majority(&self) -> usize {
         self.grantors / 2 + 1
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,24 +1,27 @@
-//! Messages as datagrams: version, fleet, message, and a keyed hash where there is a key. What is not of this fleet, of
-//! another version, altered or malformed is dropped by who calls, counted by the fault's kind, and never answered.
+//! Encodes messages as datagrams: version, fleet, message, and a keyed hash where there is a key.
+//!
+//! Callers drop datagrams of other fleets or versions and forged or malformed ones, count them by cause, and never reply.
 
-use crate::message::{Ask, Told, MOST};
+use crate::message::{LeaseReply, LeaseRequest, MAX_CLAIMS_PER_MESSAGE};
 use serde::{Deserialize, Serialize};
 
-/// The form of datagrams that this text speaks.
+/// The version of the format.
 pub const VERSION: u8 = 1;
-/// Where the settings bound datagrams, it is by this.
-pub const LONGEST: usize = 256;
+/// The longest datagram, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 const FLEET: usize = 8;
 const HASH: usize = 16;
-/// What is left of a datagram for SWIM: less our head, the hash, the message's kind and its length.
-pub const SWIM_LONGEST: usize = LONGEST - 1 - FLEET - HASH - 3;
+/// The longest SWIM message, in bytes: a datagram without the head, the hash, and the message's kind and length.
+pub const MAX_SWIM_BYTES: usize = MAX_DATAGRAM_BYTES - 1 - FLEET - HASH - 3;
 
 /// A message between gateways of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
-    Ask(Ask),
-    Told(Told),
-    /// SWIM's own, in its own coding.
+    /// From a lease holder.
+    Request(LeaseRequest),
+    /// From a grantor.
+    Reply(LeaseReply),
+    /// Of the membership, in its own encoding.
     Swim(Vec<u8>),
 }
 
@@ -75,14 +78,14 @@
         Some(short)
     }
 
-    /// A message as a datagram; none where it carries more than [`MOST`] claims and returns and would be too long.
+    /// A message as a datagram; `None` where it carries more than [`MAX_CLAIMS_PER_MESSAGE`] claims and releases.
     pub fn write(&self, message: &Message) -> Option<Vec<u8>> {
         let many = match message {
-            Message::Ask(ask) => ask.claims.len() + ask.returns.len(),
-            Message::Told(told) => told.verdicts.len() + told.returned.len(),
+            Message::Request(ask) => ask.claims.len() + ask.releases.len(),
+            Message::Reply(told) => told.verdicts.len() + told.released.len(),
             Message::Swim(_) => 0,
         };
-        if many > MOST {
+        if many > MAX_CLAIMS_PER_MESSAGE {
             return None;
         }
         let mut bytes = vec![VERSION];
@@ -90,7 +93,7 @@
         bytes.extend(postcard::to_allocvec(message).ok()?);
         let hash = self.hash(&bytes);
         bytes.extend(hash.into_iter().flatten());
-        Some(bytes).filter(|bytes| bytes.len() <= LONGEST)
+        Some(bytes).filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
     }
 
     /// Reads a datagram.
@@ -99,7 +102,7 @@
     ///
     /// Why it is to be dropped.
     pub fn read(&self, bytes: &[u8]) -> Result<Message, Dropped> {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Dropped::Long(bytes.len()));
         }
         let hash = if self.key.is_some() { HASH } else { 0 };
@@ -112,16 +115,19 @@
         if bytes[1..=FLEET] != self.fleet {
             return Err(Dropped::Foreign);
         }
-        let (said, told) = bytes.split_at(bytes.len() - hash);
-        // Compared in constant time, as blake3's hashes are: what is told must not be guessed byte by byte.
-        let right = self.hash(said).is_none_or(|right| {
-            let differs = right.iter().zip(told).fold(0, |all, (a, b)| all | (a ^ b));
+        let (signed, signature) = bytes.split_at(bytes.len() - hash);
+        // Compared in constant time, as blake3's hashes are: the hash must not be guessed byte by byte.
+        let right = self.hash(signed).is_none_or(|right| {
+            let differs = right
+                .iter()
+                .zip(signature)
+                .fold(0, |all, (a, b)| all | (a ^ b));
             differs == 0
         });
         if !right {
             return Err(Dropped::Forged);
         }
-        match postcard::take_from_bytes(&said[1 + FLEET..]) {
+        match postcard::take_from_bytes(&signed[1 + FLEET..]) {
             Ok((message, [])) => Ok(message),
             Ok(_) | Err(_) => Err(Dropped::Malformed),
         }
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -1,10 +1,12 @@
 //! Bad input: each fault has its own error that says what to do; no datagram, whatever its bytes, is a panic or a grant.
 
-use garnetwall_fleet::message::{Mute, MOST};
+use garnetwall_fleet::message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
 use garnetwall_fleet::shares::Budget;
-use garnetwall_fleet::terms::Fault;
-use garnetwall_fleet::wire::{Dropped, Message, Wire, LONGEST, SWIM_LONGEST};
-use garnetwall_fleet::{Ask, Claim, Epoch, Grantor, Holder, Member, Terms, Thing, Told, Verdict};
+use garnetwall_fleet::terms::TermsError;
+use garnetwall_fleet::wire::{Dropped, Message, Wire, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES};
+use garnetwall_fleet::{
+    Claim, Epoch, Grantor, Holder, LeaseReply, LeaseRequest, Member, Resource, Terms, Verdict,
+};
 use proptest::prelude::*;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -19,20 +21,20 @@
 
 fn claim(n: u64) -> Claim {
     Claim {
-        thing: Thing(u64::MAX - n),
+        resource: Resource(u64::MAX - n),
         epoch: Epoch(u64::MAX - n),
     }
 }
 
-fn ask(number: u32, claims: Vec<Claim>) -> Ask {
-    Ask {
+fn ask(number: u32, claims: Vec<Claim>) -> LeaseRequest {
+    LeaseRequest {
         from: Member {
             gateway: u64::MAX,
-            life: u64::MAX,
+            incarnation: u64::MAX,
         },
         number,
         claims,
-        returns: Vec::new(),
+        releases: Vec::new(),
     }
 }
 
@@ -42,27 +44,27 @@
     let faults = [
         (
             Terms::new(ms(2000), 500, ms(100), &[1, 2]).unwrap_err(),
-            Fault::Grantors(2),
+            TermsError::Grantors(2),
             "odd number",
         ),
         (
             Terms::new(ms(2000), 500, ms(100), &[]).unwrap_err(),
-            Fault::Grantors(0),
+            TermsError::Grantors(0),
             "odd number",
         ),
         (
             Terms::new(ms(2000), 500, ms(100), &[1; 11]).unwrap_err(),
-            Fault::Grantors(11),
+            TermsError::Grantors(11),
             "1 to 9",
         ),
         (
             Terms::new(ms(2000), 500, ms(100), &[1, 2, 1]).unwrap_err(),
-            Fault::Twice(2),
+            TermsError::Twice(2),
             "gateway of its own",
         ),
         (
             Terms::new(ms(2000), 600_000, ms(100), &[1]).unwrap_err(),
-            Fault::Drift(600_000),
+            TermsError::Drift(600_000),
             "measure",
         ),
         (short, short, "take a longer lease"),
@@ -71,13 +73,13 @@
         assert_eq!(fault, wanted);
         assert!(fault.to_string().contains(says), "{fault}");
     }
-    assert!(matches!(short, Fault::Short { .. }));
+    assert!(matches!(short, TermsError::Short { .. }));
 }
 
 #[test]
 fn each_bad_datagram_is_dropped_for_its_own_reason() {
     let (ours, keyed) = (Wire::new("sale", None), Wire::new("sale", Some(b"key")));
-    let message = Message::Ask(ask(1, vec![claim(0)]));
+    let message = Message::Request(ask(1, vec![claim(0)]));
     let good = keyed.write(&message).unwrap();
     assert_eq!(keyed.read(&good), Ok(message.clone()));
     let mut other_version = good.clone();
@@ -88,8 +90,8 @@
     let cases: [(&Wire, Vec<u8>, Dropped, &str); 7] = [
         (
             &keyed,
-            vec![1; LONGEST + 1],
-            Dropped::Long(LONGEST + 1),
+            vec![1; MAX_DATAGRAM_BYTES + 1],
+            Dropped::Long(MAX_DATAGRAM_BYTES + 1),
             "longest",
         ),
         (&keyed, vec![1; 20], Dropped::Short(20), "too short"),
@@ -131,29 +133,29 @@
 #[test]
 fn the_largest_messages_fit_and_larger_ones_are_not_written() {
     let wire = Wire::new("sale", Some(b"key"));
-    let claims: Vec<_> = (0..MOST as u64).map(claim).collect();
+    let claims: Vec<_> = (0..MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect();
     assert!(wire
-        .write(&Message::Ask(ask(u32::MAX, claims.clone())))
+        .write(&Message::Request(ask(u32::MAX, claims.clone())))
         .is_some());
-    let late = |claim: &Claim| (*claim, Verdict::Late(Epoch(u64::MAX)));
-    let told = Told {
+    let late = |claim: &Claim| (*claim, Verdict::Stale(Epoch(u64::MAX)));
+    let told = LeaseReply {
         to: Member {
             gateway: u64::MAX,
-            life: u64::MAX,
+            incarnation: u64::MAX,
         },
         number: u32::MAX,
         session: u64::MAX,
         verdicts: claims.iter().map(late).collect(),
-        returned: Vec::new(),
+        released: Vec::new(),
     };
-    assert!(wire.write(&Message::Told(told)).is_some());
+    assert!(wire.write(&Message::Reply(told)).is_some());
     assert!(wire
-        .write(&Message::Swim(vec![0xff; SWIM_LONGEST]))
+        .write(&Message::Swim(vec![0xff; MAX_SWIM_BYTES]))
         .is_some());
     assert!(wire
-        .write(&Message::Ask(ask(
+        .write(&Message::Request(ask(
             1,
-            (0..=MOST as u64).map(claim).collect()
+            (0..=MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect()
         )))
         .is_none());
 }
@@ -162,13 +164,13 @@
 fn a_grantor_that_has_started_is_mute_for_a_lease_and_bounds_what_it_keeps() {
     let mut grantor = Grantor::start(ms(0), 0, 1, &terms(), 2, 3);
     let fault = grantor
-        .asked(ms(1999), &ask(1, vec![claim(0)]))
+        .handle_request(ms(1999), &ask(1, vec![claim(0)]))
         .unwrap_err();
-    assert_eq!(fault, Mute::Started(ms(1)));
+    assert_eq!(fault, NoReply::Started(ms(1)));
     assert!(fault.to_string().contains("nothing is to be done"));
     let verdict = |grantor: &mut Grantor, now, number, n| {
         grantor
-            .asked(ms(now), &ask(number, vec![claim(n)]))
+            .handle_request(ms(now), &ask(number, vec![claim(n)]))
             .unwrap()
             .verdicts[0]
             .1
@@ -176,25 +178,28 @@
     for n in 0..3 {
         assert_eq!(
             verdict(&mut grantor, 2000, n as u32 + 1, 10 - n),
-            Verdict::Given
+            Verdict::Granted
         );
     }
     assert_eq!(verdict(&mut grantor, 2000, 4, 3), Verdict::Full);
     // Its session is over: what it had gives way, and what was forgotten is not given under an old epoch.
-    assert_eq!(verdict(&mut grantor, 9000, 5, 3), Verdict::Given);
+    assert_eq!(verdict(&mut grantor, 9000, 5, 3), Verdict::Granted);
     assert_eq!(
         verdict(&mut grantor, 9000, 6, 20),
-        Verdict::Late(claim(10).epoch)
+        Verdict::Stale(claim(10).epoch)
     );
     for life in 0..10 {
-        let one = Ask {
-            from: Member { gateway: 1, life },
+        let one = LeaseRequest {
+            from: Member {
+                gateway: 1,
+                incarnation: life,
+            },
             ..ask(1, Vec::new())
         };
-        let told = grantor.asked(ms(9000), &one);
+        let told = grantor.handle_request(ms(9000), &one);
         assert_eq!(told.is_err(), life > 0, "{told:?}");
         if let Err(fault) = told {
-            assert_eq!(fault, Mute::Crowded(2));
+            assert_eq!(fault, NoReply::Crowded(2));
             assert!(fault.to_string().contains("raise"));
         }
     }
@@ -211,26 +216,26 @@
     let mut holder = Holder::new(
         Member {
             gateway: 1,
-            life: 1,
+            incarnation: 1,
         },
         terms,
         1,
     );
-    (0..10_000).for_each(|n| holder.want(ms(2000), Thing(n)));
+    (0..10_000).for_each(|n| holder.want(ms(2000), Resource(n)));
     let mut now = ms(2000);
     let mut last = 0;
     for _ in 0..200 {
-        let asks = holder.ask(now);
+        let asks = holder.requests(now);
         last = asks.len();
         for (n, ask) in asks {
-            let told = grantors[n].asked(now, &ask).unwrap();
-            holder.told(n, &told);
+            let told = grantors[n].handle_request(now, &ask).unwrap();
+            holder.handle_reply(n, &told);
         }
-        now = holder.next_ask();
+        now = holder.next_request_at();
     }
     assert_eq!(last, 3);
     let held = (0..10_000)
-        .filter(|n| holder.holds(now, Thing(*n)).is_some())
+        .filter(|n| holder.holds(now, Resource(*n)).is_some())
         .count();
     assert_eq!(held, 10_000);
 }
@@ -248,7 +253,7 @@
             Holder::new(
                 Member {
                     gateway: n,
-                    life: n,
+                    incarnation: n,
                 },
                 terms,
                 n,
@@ -272,9 +277,9 @@
         for n in (0..6).filter(|n| !gone(*n)) {
             let holder = &mut holders[n as usize];
             budget.settle(holder, now, n, &there(n));
-            for (g, ask) in holder.ask(now) {
-                if let Ok(told) = grantors[g].asked(now, &ask) {
-                    holder.told(g, &told);
+            for (g, ask) in holder.requests(now) {
+                if let Ok(told) = grantors[g].handle_request(now, &ask) {
+                    holder.handle_reply(g, &told);
                 }
             }
         }
@@ -304,15 +309,15 @@
     let mut holder = Holder::new(
         Member {
             gateway: 1,
-            life: 1,
+            incarnation: 1,
         },
         terms,
         1,
     );
-    (0..10_000).for_each(|n| holder.want(ms(0), Thing(n)));
+    (0..10_000).for_each(|n| holder.want(ms(0), Resource(n)));
     let began = std::time::Instant::now();
     let held = (0..100_000)
-        .filter(|n| holder.holds(ms(1), Thing(n % 10_000)).is_some())
+        .filter(|n| holder.holds(ms(1), Resource(n % 10_000)).is_some())
         .count();
     let each = began.elapsed() / 100_000;
     println!("{each:?} a look");
@@ -325,12 +330,12 @@
     fn no_bytes_are_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
         let wire = Wire::new("sale", keyed.then_some(b"key"));
         let _ = wire.read(&bytes);
-        let mut ours = wire.write(&Message::Ask(ask(1, Vec::new()))).unwrap();
+        let mut ours = wire.write(&Message::Request(ask(1, Vec::new()))).unwrap();
         ours.truncate(9);
         ours.extend(&bytes);
-        if let Ok(Message::Ask(ask)) = wire.read(&ours) {
+        if let Ok(Message::Request(ask)) = wire.read(&ours) {
             let mut grantor = Grantor::start(ms(0), 0, 1, &terms(), 2, 3);
-            let _ = grantor.asked(ms(5000), &ask);
+            let _ = grantor.handle_request(ms(5000), &ask);
         }
     }
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -2,7 +2,7 @@
 //! again. Judged by what the simulation did to them, not by their own word.
 
 use garnetwall_fleet::members::{Members, News, Peer, Standing};
-use garnetwall_fleet::wire::{Message, Wire, LONGEST};
+use garnetwall_fleet::wire::{Message, Wire, MAX_DATAGRAM_BYTES};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -116,7 +116,7 @@
                     self.members[n].tick(now);
                 }
                 for (to, bytes) in self.members[n].sends() {
-                    assert!(bytes.len() <= LONGEST);
+                    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.bytes += bytes.len() as u64;
                     let to = self.at[&to];
                     if self.dice.roll(100) >= self.loss && self.part[n] == self.part[to] {
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -2,7 +2,7 @@
 //! pause and restart of each at every step, and clocks that drift at the bound: grantors' fast, holders' slow. Judged in
 //! every state: never two holders at once, and epochs that grow. A slip put in on purpose must be found, with its trace.
 
-use garnetwall_fleet::{Ask, Epoch, Grantor, Holder, Member, Terms, Thing, Told};
+use garnetwall_fleet::{Epoch, Grantor, Holder, LeaseReply, LeaseRequest, Member, Resource, Terms};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
@@ -10,7 +10,7 @@
 
 const GRANTORS: usize = 3;
 const HOLDERS: usize = 2;
-const THING: Thing = Thing(7);
+const THING: Resource = Resource(7);
 /// A step of real time, by a clock that is right. Clocks drift by a tenth.
 const FAST: Duration = Duration::from_millis(11);
 const SLOW: Duration = Duration::from_millis(9);
@@ -28,8 +28,8 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 enum Message {
-    Ask(usize, usize, Ask),
-    Told(usize, usize, Told),
+    Ask(usize, usize, LeaseRequest),
+    Told(usize, usize, LeaseReply),
 }
 
 /// What may still happen: the search ends where all is used up.
@@ -75,7 +75,7 @@
 fn member(n: usize, life: u64) -> Member {
     Member {
         gateway: n as u64,
-        life,
+        incarnation: life,
     }
 }
 
@@ -90,7 +90,7 @@
         };
         let holder = |n| {
             let mut holder = Holder::new(member(n, n as u64), terms, n as u64);
-            holder.heard(Epoch(100 + n as u64));
+            holder.observe_epoch(Epoch(100 + n as u64));
             holder.want(Duration::ZERO, THING);
             (holder, Duration::ZERO)
         };
@@ -114,7 +114,7 @@
             }
         }
         for n in 0..HOLDERS {
-            if self.left.asks[n] > 0 && self.holders[n].1 >= self.holders[n].0.next_ask() {
+            if self.left.asks[n] > 0 && self.holders[n].1 >= self.holders[n].0.next_request_at() {
                 acts.push(Act::Asks(n));
             }
         }
@@ -152,7 +152,7 @@
                 self.left.asks[*n] -= 1;
                 let (holder, clock) = &mut self.holders[*n];
                 let asks = holder
-                    .ask(*clock)
+                    .requests(*clock)
                     .into_iter()
                     .map(|(g, ask)| Message::Ask(*n, g, ask));
                 self.on_the_way.extend(asks);
@@ -165,11 +165,11 @@
                 match message {
                     Message::Ask(n, g, ask) => {
                         let (grantor, clock) = &mut self.grantors[*g];
-                        if let Ok(told) = grantor.asked(*clock, ask) {
+                        if let Ok(told) = grantor.handle_request(*clock, ask) {
                             self.on_the_way.insert(Message::Told(*n, *g, told));
                         }
                     }
-                    Message::Told(n, g, told) => self.holders[*n].0.told(*g, told),
+                    Message::Told(n, g, told) => self.holders[*n].0.handle_reply(*g, told),
                 }
             }
             Act::GrantorRestarts(n) => {
@@ -189,13 +189,13 @@
                 self.born[*n] = self.lives;
                 let (holder, clock) = &mut self.holders[*n];
                 *holder = Holder::new(member(*n, self.lives), terms(slip), *n as u64);
-                holder.heard(Epoch(100 + self.lives));
+                holder.observe_epoch(Epoch(100 + self.lives));
                 holder.want(*clock, THING);
             }
             Act::Returns(n) => {
                 self.left.returns -= 1;
                 let (holder, clock) = &mut self.holders[*n];
-                holder.let_go(*clock, THING);
+                holder.release(*clock, THING);
                 holder.want(*clock, THING);
             }
         }
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -4,7 +4,7 @@
 //! find a holder again. A slip for each assumption must be found.
 
 use garnetwall_fleet::wire::{Message, Wire};
-use garnetwall_fleet::{Epoch, Grantor, Holder, Member, Terms, Thing};
+use garnetwall_fleet::{Epoch, Grantor, Holder, Member, Resource, Terms};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -52,13 +52,13 @@
     holder: Holder,
     grantor: Option<Grantor>,
     /// What it held when it was stopped.
-    held: Vec<(Thing, Epoch)>,
+    held: Vec<(Resource, Epoch)>,
 }
 
 struct Played {
     broken: Vec<String>,
     acts: usize,
-    unheld: Vec<Thing>,
+    unheld: Vec<Resource>,
     /// By kill of a holder, in ms: how long its things had no holder.
     gaps: Vec<u64>,
 }
@@ -126,7 +126,7 @@
             let holder = Holder::new(
                 Member {
                     gateway: n as u64,
-                    life,
+                    incarnation: life,
                 },
                 terms,
                 life,
@@ -164,7 +164,7 @@
         node.holder = Holder::new(
             Member {
                 gateway: n as u64,
-                life,
+                incarnation: life,
             },
             terms,
             life,
@@ -175,7 +175,7 @@
             false => Grantor::start(now, unix, life, &terms, 64, 64),
         });
         for thing in 0..THINGS {
-            node.holder.want(now, Thing(thing));
+            node.holder.want(now, Resource(thing));
         }
     }
 
@@ -236,8 +236,8 @@
                 let clock = self.clock(n);
                 let held = |thing| {
                     Some((
-                        Thing(thing),
-                        self.nodes[n].holder.holds(clock, Thing(thing))?,
+                        Resource(thing),
+                        self.nodes[n].holder.holds(clock, Resource(thing))?,
                     ))
                 };
                 self.nodes[n].held = (0..THINGS).filter_map(held).collect();
@@ -251,12 +251,12 @@
         if self.dice.one_in(600) {
             let (n, thing) = (
                 self.dice.roll(GATEWAYS as u64) as usize,
-                Thing(self.dice.roll(THINGS)),
+                Resource(self.dice.roll(THINGS)),
             );
             if self.runs(n) {
                 let clock = self.clock(n);
                 let node = &mut self.nodes[n];
-                node.holder.let_go(clock, thing);
+                node.holder.release(clock, thing);
                 node.holder.want(clock, thing);
             }
         }
@@ -265,7 +265,7 @@
     fn kills(&mut self, n: usize) {
         let clock = self.clock(n);
         for thing in 0..THINGS {
-            if self.nodes[n].holder.holds(clock, Thing(thing)).is_some() {
+            if self.nodes[n].holder.holds(clock, Resource(thing)).is_some() {
                 self.since_kill[thing as usize] = Some(self.now);
             }
         }
@@ -279,7 +279,12 @@
             return;
         }
         let clock = |n| self.clock(n);
-        let holds = |n: &usize| self.nodes[*n].holder.holds(clock(*n), Thing(0)).is_some();
+        let holds = |n: &usize| {
+            self.nodes[*n]
+                .holder
+                .holds(clock(*n), Resource(0))
+                .is_some()
+        };
         if let Some(n) = (self.grantors..GATEWAYS).find(holds) {
             self.kills(n);
         }
@@ -295,16 +300,16 @@
         }
         let now = self.clock(to);
         match self.wires.read(bytes) {
-            Ok(Message::Ask(ask)) => {
+            Ok(Message::Request(ask)) => {
                 let told = self.nodes[to]
                     .grantor
                     .as_mut()
-                    .and_then(|grantor| grantor.asked(now, &ask).ok());
+                    .and_then(|grantor| grantor.handle_request(now, &ask).ok());
                 if let Some(told) = told {
-                    self.sends(to, from, &Message::Told(told));
+                    self.sends(to, from, &Message::Reply(told));
                 }
             }
-            Ok(Message::Told(told)) => self.nodes[to].holder.told(from, &told),
+            Ok(Message::Reply(told)) => self.nodes[to].holder.handle_reply(from, &told),
             Ok(Message::Swim(_)) | Err(_) => {}
         }
     }
@@ -314,8 +319,10 @@
         let mut acting: Vec<Vec<(usize, u64, Epoch)>> = vec![Vec::new(); THINGS as usize];
         for n in (0..GATEWAYS).filter(|n| self.runs(*n)).collect::<Vec<_>>() {
             let clock = self.clock(n);
-            let mut acts: Vec<(Thing, Epoch)> = (0..THINGS)
-                .filter_map(|t| Some((Thing(t), self.nodes[n].holder.holds(clock, Thing(t))?)))
+            let mut acts: Vec<(Resource, Epoch)> = (0..THINGS)
+                .filter_map(|t| {
+                    Some((Resource(t), self.nodes[n].holder.holds(clock, Resource(t))?))
+                })
                 .collect();
             let held = std::mem::take(&mut self.nodes[n].held);
             if self.slip == Slip::ActsBeforeItLooks {
@@ -376,14 +383,14 @@
             }
             for n in (0..GATEWAYS).filter(|n| runs[*n]) {
                 let clock = self.clock(n);
-                for (grantor, ask) in self.nodes[n].holder.ask(clock) {
-                    self.sends(n, grantor, &Message::Ask(ask));
+                for (grantor, ask) in self.nodes[n].holder.requests(clock) {
+                    self.sends(n, grantor, &Message::Request(ask));
                 }
             }
             self.judge();
             self.now += STEP;
         }
-        for thing in (0..THINGS).map(Thing) {
+        for thing in (0..THINGS).map(Resource) {
             let held =
                 (0..GATEWAYS).any(|n| self.nodes[n].holder.holds(self.clock(n), thing).is_some());
             if !held {
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -2,7 +2,7 @@
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated};
-use garnetwall_fleet::{Ask, Claim, Epoch, Grantor, Member, Terms, Thing};
+use garnetwall_fleet::{Claim, Epoch, Grantor, LeaseRequest, Member, Resource, Terms};
 use std::time::Duration;
 
 /// A lease of two seconds, asked for each quarter of it.
@@ -23,7 +23,11 @@
             Grantor::start(Duration::ZERO, 0, 1, &terms, members as usize, MOST_THINGS);
         let begin = LEASE * 2;
         let (resident, refused) = growth(|| {
-            let first = |member: u64| grantor.asked(begin, &ask(member, 1, true)).is_err();
+            let first = |member: u64| {
+                grantor
+                    .handle_request(begin, &ask(member, 1, true))
+                    .is_err()
+            };
             (0..members).map(first).filter(|refused| *refused).count()
         })?;
         if refused > 0 {
@@ -35,7 +39,7 @@
         let step = TERM.as_nanos() as u64 / ASKS_A_TERM / members;
         let renewal = repeated(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
-            grantor.asked(
+            grantor.handle_request(
                 now,
                 &ask(repeat % members, 2 + (repeat / members) as u32, false),
             )
@@ -54,21 +58,21 @@
 }
 
 /// What a member asks: that its stay goes on, and at first one thing.
-fn ask(member: u64, number: u32, claims: bool) -> Ask {
+fn ask(member: u64, number: u32, claims: bool) -> LeaseRequest {
     /// After any that the grantor's start rules out.
     const FIRST_EPOCH: Epoch = Epoch(1 << 40);
     let claim = Claim {
-        thing: Thing(member),
+        resource: Resource(member),
         epoch: FIRST_EPOCH,
     };
     let from = Member {
         gateway: member,
-        life: 1,
+        incarnation: 1,
     };
-    Ask {
+    LeaseRequest {
         from,
         number,
         claims: if claims { vec![claim] } else { Vec::new() },
-        returns: Vec::new(),
+        releases: Vec::new(),
     }
 }
