--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -2,7 +2,7 @@
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated};
-use garnetwall_fleet::{Ask, Claim, Epoch, Grantor, Member, Terms, Thing};
+use garnetwall_fleet::{Claim, Epoch, Grantor, LeaseRequest, Member, Resource, Terms};
 use std::time::Duration;
 
 /// A lease of two seconds, renewed each quarter of it.
@@ -26,7 +26,7 @@
         let (resident, refused) = growth(|| {
             let first = |member: u64| {
                 grantor
-                    .asked(begin, &lease_request(member, 1, true))
+                    .handle_request(begin, &lease_request(member, 1, true))
                     .is_err()
             };
             (0..members).map(first).filter(|refused| *refused).count()
@@ -40,7 +40,7 @@
         let step = TERM_LENGTH.as_nanos() as u64 / RENEWALS_PER_TERM / members;
         let renewal = repeated(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
-            grantor.asked(
+            grantor.handle_request(
                 now,
                 &lease_request(repeat % members, 2 + (repeat / members) as u32, false),
             )
@@ -53,21 +53,21 @@
 }
 
 /// A member's request: to renew its membership, and at first to claim one lease.
-fn lease_request(member: u64, number: u32, claims: bool) -> Ask {
+fn lease_request(member: u64, number: u32, claims: bool) -> LeaseRequest {
     /// After any that the grantor's start rules out.
     const FIRST_EPOCH: Epoch = Epoch(1 << 40);
     let claim = Claim {
-        thing: Thing(member),
+        resource: Resource(member),
         epoch: FIRST_EPOCH,
     };
     let from = Member {
         gateway: member,
-        life: 1,
+        incarnation: 1,
     };
-    Ask {
+    LeaseRequest {
         from,
         number,
         claims: if claims { vec![claim] } else { Vec::new() },
-        returns: Vec::new(),
+        releases: Vec::new(),
     }
 }
