--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,6 +1,8 @@
-//! Membership: who is there, who is suspected, who has gone and who has left on purpose. The protocol is SWIM with suspicion,
-//! by foca, which does no I/O either; beside it goes what members tell of themselves, merged so that order, repeats and loss
-//! do not matter. A member that was stopped acts on nothing it knows until somebody has spoken to it again.
+//! Membership: which gateways are alive, suspected or down, and which have left on purpose.
+//!
+//! The protocol is SWIM with suspicion, by foca, which does no I/O either. Beside it members publish facts about themselves,
+//! merged so that order, repetition and loss do not matter. A member whose process was paused uses nothing that it knows
+//! until another one has sent it a message.
 
 use crate::wire::{Dropped, Message, Wire, MAX_SWIM_BYTES};
 use bytes::{Buf, BufMut};
@@ -17,27 +19,29 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Kinds of facts that a member may tell of itself at once.
-pub const MOST_FACTS: u8 = 8;
-/// The kind of fact by which a member says that it leaves on purpose.
-const LEAVES: u8 = 0;
+/// Kinds of facts that a member may publish about itself.
+pub const MAX_FACT_KINDS: u8 = 8;
+/// The kind of fact by which a member announces that it leaves on purpose.
+const LEAVING: u8 = 0;
 
-/// One life of a gateway at its address among the peers.
+/// One incarnation of a gateway, at its address among the peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
     address: ([u8; 4], u16),
-    /// The larger is the later: Unix milliseconds of its start, and one more each time that it was taken for gone.
-    pub life: u64,
+    /// The larger is the later one: Unix milliseconds of its start, plus one each time that it was declared down.
+    pub incarnation: u64,
 }
 
 impl Peer {
-    pub fn new(address: SocketAddrV4, life: u64) -> Peer {
+    /// An incarnation at an address.
+    pub fn new(address: SocketAddrV4, incarnation: u64) -> Peer {
         Peer {
             address: (address.ip().octets(), address.port()),
-            life,
+            incarnation,
         }
     }
 
+    /// Its address.
     pub fn address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.address.0.into(), self.address.1)
     }
@@ -48,7 +52,7 @@
 
     fn renew(&self) -> Option<Self> {
         Some(Peer {
-            life: self.life + 1,
+            incarnation: self.incarnation + 1,
             ..*self
         })
     }
@@ -58,54 +62,60 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.life > adversary.life
+        self.incarnation > adversary.incarnation
     }
 }
 
-/// What a member tells of itself: zone evidence, load, a generation. Only the highest version of a kind counts.
+/// A fact that a member publishes about itself. Only the highest version of a kind counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fact {
+    /// The member.
     pub of: Peer,
-    /// Under [`MOST_FACTS`]; 0 is the membership's own.
+    /// Under [`MAX_FACT_KINDS`]; 0 is the membership's own.
     pub kind: u8,
+    /// Grows with each fact of the member.
     pub version: u64,
+    /// The content, by kind.
     pub value: u64,
 }
 
-/// What changed.
+/// A change in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum News {
+pub enum MembershipEvent {
+    /// The member is alive.
     Up(Peer),
-    /// It is taken for gone by the fleet.
+    /// The fleet declared it down.
     Down(Peer),
-    /// It said that it leaves.
+    /// It left on purpose.
     Left(Peer),
-    /// We were taken for gone, and are back as another life: what we held is not ours any more.
-    WasGone,
-    /// Nobody else is there.
+    /// This member was declared down and is back as another incarnation: its leases have ended.
+    Rejoined,
+    /// No other member is alive.
     Alone,
 }
 
-/// How a member stands.
+/// The state of another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Standing {
-    There,
+    /// It replies to health checks.
+    Alive,
+    /// It did not reply, and is declared down unless it refutes that.
     Suspected,
 }
 
 /// Facts by member and kind; one version of each.
 #[derive(Debug, Default)]
 struct Facts {
-    told: BTreeMap<([u8; 4], u16, u8), Fact>,
-    /// Facts are kept of these only.
+    latest: BTreeMap<([u8; 4], u16, u8), Fact>,
+    /// Only facts of these are stored.
     peers: BTreeSet<([u8; 4], u16)>,
 }
 
-/// A fact on its way: it takes the place of an older version of its own.
+/// The key and the version of a published fact, which replaces older versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place(([u8; 4], u16, u8), (u64, u64));
+struct FactKey(([u8; 4], u16, u8), (u64, u64));
 
-impl Invalidates for Place {
+impl Invalidates for FactKey {
     fn invalidates(&self, other: &Self) -> bool {
         self.0 == other.0 && self.1 > other.1
     }
@@ -116,10 +126,10 @@
 struct Unreadable;
 
 impl Facts {
-    /// Takes a fact in; where it goes on, if it was news.
-    fn take(&mut self, data: &[u8]) -> Result<Option<Place>, Unreadable> {
+    /// Stores a fact; returns its key where it is to be passed on, as it was not known.
+    fn accept(&mut self, data: &[u8]) -> Result<Option<FactKey>, Unreadable> {
         let fact: Fact = postcard::from_bytes(data).map_err(|_| Unreadable)?;
-        if fact.kind >= MOST_FACTS {
+        if fact.kind >= MAX_FACT_KINDS {
             return Err(Unreadable);
         }
         if !self.peers.contains(&fact.of.address) {
@@ -127,114 +137,126 @@
         }
         let (ip, port) = fact.of.address;
         let at = (ip, port, fact.kind);
-        let order = (fact.of.life, fact.version);
+        let order = (fact.of.incarnation, fact.version);
         if self
-            .told
+            .latest
             .get(&at)
-            .is_some_and(|old| (old.of.life, old.version) >= order)
+            .is_some_and(|old| (old.of.incarnation, old.version) >= order)
         {
             return Ok(None);
         }
-        self.told.insert(at, fact);
-        Ok(Some(Place(at, order)))
+        self.latest.insert(at, fact);
+        Ok(Some(FactKey(at, order)))
     }
 }
 
-/// Reads and writes SWIM's messages, and takes no word of who is not among the peers: what is kept is bounded by their number.
+/// Encodes SWIM's messages. It rejects members that are not among the peers, whose number bounds what is stored.
 #[derive(Clone, Debug)]
-struct Known {
+struct PeerCodec {
     peers: BTreeSet<([u8; 4], u16)>,
 }
 
 #[derive(Debug, thiserror::Error)]
-enum Unread {
+enum DecodeError {
     #[error("SWIM's message can't be read: {0}; compare the gateways' builds")]
     Coding(#[from] postcard::Error),
     #[error(
         "a message of {0}, which is not among the peers: bring the peers of all configurations to one list"
     )]
-    Stranger(SocketAddrV4),
+    UnknownPeer(SocketAddrV4),
 }
 
-impl Known {
-    fn knows(&self, peer: &Peer) -> Result<(), Unread> {
+impl PeerCodec {
+    fn knows(&self, peer: &Peer) -> Result<(), DecodeError> {
         match self.peers.contains(&peer.address) {
             true => Ok(()),
-            false => Err(Unread::Stranger(peer.address())),
+            false => Err(DecodeError::UnknownPeer(peer.address())),
         }
     }
 }
 
-impl Codec<Peer> for Known {
-    type Error = Unread;
+impl Codec<Peer> for PeerCodec {
+    type Error = DecodeError;
 
-    fn encode_header(&mut self, header: &Header<Peer>, buf: impl BufMut) -> Result<(), Unread> {
+    fn encode_header(
+        &mut self,
+        header: &Header<Peer>,
+        buf: impl BufMut,
+    ) -> Result<(), DecodeError> {
         Ok(PostcardCodec.encode_header(header, buf)?)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Peer>, Unread> {
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Peer>, DecodeError> {
         let header: Header<Peer> = PostcardCodec.decode_header(buf)?;
         self.knows(&header.src)?;
         Ok(header)
     }
 
-    fn encode_member(&mut self, member: &Member<Peer>, buf: impl BufMut) -> Result<(), Unread> {
+    fn encode_member(
+        &mut self,
+        member: &Member<Peer>,
+        buf: impl BufMut,
+    ) -> Result<(), DecodeError> {
         Ok(PostcardCodec.encode_member(member, buf)?)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Peer>, Unread> {
+    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Peer>, DecodeError> {
         let member: Member<Peer> = PostcardCodec.decode_member(buf)?;
         self.knows(member.id())?;
         Ok(member)
     }
 }
 
-/// The facts where foca can hand them in: it gives no way to look at what it was given.
+/// The facts, shared with foca, which gives no access to the handler that it owns.
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Facts>>);
+struct SharedFacts(Arc<Mutex<Facts>>);
 
-impl Shared {
+impl SharedFacts {
     fn facts(&self) -> MutexGuard<'_, Facts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl BroadcastHandler<Peer> for Shared {
-    type Key = Place;
+impl BroadcastHandler<Peer> for SharedFacts {
+    type Key = FactKey;
     type Error = Unreadable;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Peer>) -> Result<Option<Place>, Unreadable> {
-        self.facts().take(data)
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _: Option<&Peer>,
+    ) -> Result<Option<FactKey>, Unreadable> {
+        self.facts().accept(data)
     }
 }
 
 #[derive(Default)]
-struct Out {
+struct Output {
     now: Duration,
     number: u64,
     timers: BTreeMap<(Duration, u64), Timer<Peer>>,
-    sends: Vec<(Peer, Vec<u8>)>,
-    news: Vec<News>,
-    /// We have become another life, which has told nothing of itself yet.
+    outgoing: Vec<(Peer, Vec<u8>)>,
+    events: Vec<MembershipEvent>,
+    /// This member became another incarnation, which has not published its facts yet.
     renewed: bool,
 }
 
-impl Runtime<Peer> for Out {
+impl Runtime<Peer> for Output {
     fn notify(&mut self, what: Notification<'_, Peer>) {
         match what {
-            Notification::MemberUp(peer) => self.news.push(News::Up(*peer)),
-            Notification::MemberDown(peer) => self.news.push(News::Down(*peer)),
+            Notification::MemberUp(peer) => self.events.push(MembershipEvent::Up(*peer)),
+            Notification::MemberDown(peer) => self.events.push(MembershipEvent::Down(*peer)),
             Notification::Rejoin(_) => {
-                self.news.push(News::WasGone);
+                self.events.push(MembershipEvent::Rejoined);
                 self.renewed = true;
             }
-            Notification::Idle => self.news.push(News::Alone),
+            Notification::Idle => self.events.push(MembershipEvent::Alone),
             Notification::Rename(..) | Notification::Active | Notification::Defunct => {}
         }
     }
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
-        self.sends.push((to, data.to_vec()));
+        self.outgoing.push((to, data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<Peer>, after: Duration) {
@@ -245,39 +267,39 @@
 
 /// The membership as one gateway sees it.
 pub struct Members {
-    foca: Foca<Peer, Known, SmallRng, Shared>,
-    known: Known,
-    facts: Shared,
-    out: Out,
+    foca: Foca<Peer, PeerCodec, SmallRng, SharedFacts>,
+    known: PeerCodec,
+    facts: SharedFacts,
+    out: Output,
     wire: Wire,
-    /// A gap of this length between two calls means that the process was stopped.
+    /// A longer gap between two calls means that the process was paused.
     stopped_after: Duration,
     last_call: Duration,
-    /// Nobody has spoken to us since we were stopped.
-    unsure: bool,
+    /// No other member has sent a message since the process was paused.
+    is_unconfirmed: bool,
     version: u64,
-    /// What we tell of ourselves, by kind.
-    mine: BTreeMap<u8, u64>,
+    /// The facts that this member publishes, by kind.
+    own_facts: BTreeMap<u8, u64>,
 }
 
 impl Members {
-    /// A member that knows nobody yet. `peers` are the addresses of all gateways of the fleet: nothing is kept of others.
+    /// A member that knows no other one. `peers` are the addresses of all gateways of the fleet.
     pub fn new(now: Duration, me: Peer, peers: &[SocketAddrV4], seed: u64, wire: Wire) -> Members {
-        let known = Known {
+        let known = PeerCodec {
             peers: peers.iter().map(|a| (a.ip().octets(), a.port())).collect(),
         };
         let size = NonZeroU32::new(known.peers.len().max(2) as u32).expect("at least two");
         let config = Members::config(size);
         let stopped_after = config.suspect_to_down_after;
-        let facts = Shared(Arc::new(Mutex::new(Facts {
+        let facts = SharedFacts(Arc::new(Mutex::new(Facts {
             peers: known.peers.clone(),
             ..Facts::default()
         })));
         let rng = SmallRng::seed_from_u64(seed);
         let foca = Foca::with_custom_broadcast(me, config, rng, known.clone(), facts.clone());
-        let out = Out {
+        let out = Output {
             now,
-            ..Out::default()
+            ..Output::default()
         };
         Members {
             foca,
@@ -287,21 +309,21 @@
             wire,
             stopped_after,
             last_call: now,
-            unsure: false,
+            is_unconfirmed: false,
             version: 0,
-            mine: BTreeMap::new(),
+            own_facts: BTreeMap::new(),
         }
     }
 
-    /// A probe each half second, answered in a fifth of one; a death is known to all within some seconds.
+    /// A health check each half second; a failure is known to all members within some seconds.
     fn config(size: NonZeroU32) -> Config {
         let few = |n| NonZeroUsize::new(n).expect("not zero");
-        let told = Config::new_lan(size);
+        let defaults = Config::new_lan(size);
         Config {
             probe_period: Duration::from_millis(500),
             probe_rtt: Duration::from_millis(200),
             num_indirect_probes: few(3),
-            max_transmissions: told
+            max_transmissions: defaults
                 .max_transmissions
                 .max(NonZeroU8::new(6).expect("not zero")),
             suspect_to_down_after: Duration::from_millis(1500),
@@ -319,12 +341,12 @@
                 frequency: Duration::from_millis(200),
                 num_members: few(3),
             }),
-            ..told
+            ..defaults
         }
     }
 
-    /// Asks peers to be taken in. Their lives are not known: any at that address answers.
-    pub fn joins(&mut self, now: Duration, peers: &[SocketAddrV4]) {
+    /// Announces this member to peers. Their incarnations are not known: any at the address replies.
+    pub fn join(&mut self, now: Duration, peers: &[SocketAddrV4]) {
         self.at(now);
         let me = self.me().address();
         for address in peers.iter().filter(|address| **address != me) {
@@ -333,22 +355,22 @@
         }
     }
 
-    /// Takes in a datagram of SWIM's.
+    /// Handles a SWIM message.
     ///
     /// # Errors
     ///
     /// Where it is to be dropped.
-    pub fn came(&mut self, now: Duration, bytes: &[u8]) -> Result<(), Dropped> {
+    pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Result<(), Dropped> {
         self.at(now);
         self.foca
             .handle_data(bytes, &mut self.out)
             .map_err(|_| Dropped::Malformed)?;
-        self.unsure = false;
-        self.tells_again();
+        self.is_unconfirmed = false;
+        self.publish_again();
         Ok(())
     }
 
-    /// What is due by now.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
         self.at(now);
         while let Some(entry) = self
@@ -361,22 +383,23 @@
             // Timers of what is over by now say so by an error, which changes nothing.
             let _ = self.foca.handle_timer(event, &mut self.out);
         }
-        self.tells_again();
+        self.publish_again();
     }
 
-    /// What an earlier life told counts no more for others: this one tells it again.
-    fn tells_again(&mut self) {
+    /// Publishes the facts again where this member became another incarnation: those of the earlier one no longer count.
+    fn publish_again(&mut self) {
         if std::mem::take(&mut self.out.renewed) {
-            for (kind, value) in self.mine.clone() {
-                self.tells(kind, value);
+            for (kind, value) in self.own_facts.clone() {
+                self.publish(kind, value);
             }
         }
     }
 
     fn at(&mut self, now: Duration) {
-        self.unsure |=
+        self.is_unconfirmed |=
             now.saturating_sub(self.last_call) > self.stopped_after && self.foca.num_members() > 0;
-        (self.last_call, self.out.now) = (now, now);
+        self.last_call = now;
+        self.out.now = now;
     }
 
     /// When [`Members::tick`] is to be called next.
@@ -384,15 +407,15 @@
         self.out.timers.keys().next().map(|(at, _)| *at)
     }
 
-    /// Whether what is known may be acted on: not after a stop, until somebody has spoken to us again.
-    pub fn is_sure(&self, now: Duration) -> bool {
-        !self.unsure && now.saturating_sub(self.last_call) <= self.stopped_after
+    /// Whether what is known may be used: not after a pause of the process, until another member has sent a message.
+    pub fn is_current(&self, now: Duration) -> bool {
+        !self.is_unconfirmed && now.saturating_sub(self.last_call) <= self.stopped_after
     }
 
-    /// Tells a fact of this member to all.
-    pub fn tells(&mut self, kind: u8, value: u64) {
+    /// Publishes a fact about this member to all.
+    pub fn publish(&mut self, kind: u8, value: u64) {
         self.version += 1;
-        self.mine.insert(kind, value);
+        self.own_facts.insert(kind, value);
         let fact = Fact {
             of: *self.foca.identity(),
             kind,
@@ -406,16 +429,16 @@
     }
 
     /// Leaves on purpose.
-    pub fn leaves(&mut self, now: Duration) {
+    pub fn leave(&mut self, now: Duration) {
         self.at(now);
-        self.tells(LEAVES, 1);
+        self.publish(LEAVING, 1);
         // It fails only where a message is too long, which gossip is not.
         let _ = self.foca.leave_cluster(&mut self.out);
     }
 
     /// Datagrams to be sent, with where to.
-    pub fn sends(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
-        let all = std::mem::take(&mut self.out.sends);
+    pub fn outgoing(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
+        let all = std::mem::take(&mut self.out.outgoing);
         let wired = |(to, bytes): (Peer, Vec<u8>)| {
             Some((to.address(), self.wire.write(&Message::Swim(bytes))?))
         };
@@ -426,29 +449,29 @@
             .collect()
     }
 
-    /// What has changed since the last call.
-    pub fn news(&mut self) -> Vec<News> {
-        let all = std::mem::take(&mut self.out.news);
-        let named = |news| match news {
-            News::Down(peer) if self.has_left(&peer) => News::Left(peer),
+    /// The changes since the last call.
+    pub fn events(&mut self) -> Vec<MembershipEvent> {
+        let all = std::mem::take(&mut self.out.events);
+        let named = |events| match events {
+            MembershipEvent::Down(peer) if self.has_left(&peer) => MembershipEvent::Left(peer),
             other => other,
         };
         all.into_iter().map(named).collect()
     }
 
     fn has_left(&self, peer: &Peer) -> bool {
-        self.fact(peer, LEAVES).is_some_and(|fact| fact.value == 1)
+        self.fact(peer, LEAVING).is_some_and(|fact| fact.value == 1)
     }
 
-    /// The last that a member has told of this kind, in this life.
+    /// The latest fact of a kind that this incarnation of a member published.
     pub fn fact(&self, peer: &Peer, kind: u8) -> Option<Fact> {
         let (ip, port) = peer.address;
         self.facts
             .facts()
-            .told
+            .latest
             .get(&(ip, port, kind))
             .copied()
-            .filter(|fact| fact.of.life == peer.life)
+            .filter(|fact| fact.of.incarnation == peer.incarnation)
     }
 
     /// This member.
@@ -456,11 +479,11 @@
         *self.foca.identity()
     }
 
-    /// Who else is there, and how each stands.
-    pub fn there(&self) -> Vec<(Peer, Standing)> {
+    /// The other members and their states.
+    pub fn others(&self) -> Vec<(Peer, Standing)> {
         let standing = |state| match state {
             State::Suspect => Standing::Suspected,
-            State::Alive | State::Down => Standing::There,
+            State::Alive | State::Down => Standing::Alive,
         };
         self.foca
             .iter_members()
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -28,20 +28,26 @@
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Dropped {
+    /// It is longer than [`MAX_DATAGRAM_BYTES`]; its length in bytes.
     #[error(
         "datagram of {0} bytes: the longest here is 256; look for who else sends to the peers' addresses"
     )]
     Long(usize),
+    /// It is too short; its length in bytes.
     #[error("datagram of {0} bytes is too short to be one of a gateway; look for who else sends to the peers' addresses")]
     Short(usize),
+    /// It has this other version.
     #[error(
         "datagram of version {0}, this gateway speaks 1: bring all gateways of the fleet to one version"
     )]
     Version(u8),
+    /// It is of another fleet.
     #[error("datagram of another fleet: give each fleet a name and peers of its own")]
     Foreign,
+    /// Its keyed hash is wrong.
     #[error("datagram whose keyed hash is wrong: compare the fleet's key files, and suspect who sends it")]
     Forged,
+    /// Its message cannot be decoded.
     #[error("datagram that can't be read though its head is right; compare the gateways' builds")]
     Malformed,
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -1,7 +1,7 @@
 //! Membership in a simulated network by seed: loss, delay, cuts, members that are killed, stopped and go on, leave, and start
 //! again. Judged by what the simulation did to them, not by their own word.
 
-use garnetwall_fleet::members::{Members, News, Peer, Standing};
+use garnetwall_fleet::members::{Members, MembershipEvent, Peer, Standing};
 use garnetwall_fleet::wire::{Message, Wire, MAX_DATAGRAM_BYTES};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -35,7 +35,7 @@
     on_the_way: Vec<(u64, usize, Vec<u8>)>,
     at: HashMap<SocketAddrV4, usize>,
     bytes: u64,
-    news: Vec<(u64, usize, News)>,
+    news: Vec<(u64, usize, MembershipEvent)>,
 }
 
 fn address(n: usize) -> SocketAddrV4 {
@@ -84,7 +84,7 @@
         let few: Vec<_> = (0..3)
             .map(|k| address((n + 1 + k * 7) % self.off_until.len()))
             .collect();
-        self.members[n].joins(Duration::from_millis(self.now), &few);
+        self.members[n].join(Duration::from_millis(self.now), &few);
     }
 
     fn runs(&self, n: usize) -> bool {
@@ -102,7 +102,7 @@
             for (_, to, bytes) in due {
                 if self.runs(to) {
                     if let Ok(Message::Swim(bytes)) = self.wire.read(&bytes) {
-                        let _ = self.members[to].came(now, &bytes);
+                        let _ = self.members[to].receive(now, &bytes);
                     }
                 }
             }
@@ -115,7 +115,7 @@
                 {
                     self.members[n].tick(now);
                 }
-                for (to, bytes) in self.members[n].sends() {
+                for (to, bytes) in self.members[n].outgoing() {
                     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.bytes += bytes.len() as u64;
                     let to = self.at[&to];
@@ -124,7 +124,7 @@
                         self.on_the_way.push((due, to, bytes));
                     }
                 }
-                let news = self.members[n].news();
+                let news = self.members[n].events();
                 self.news
                     .extend(news.into_iter().map(|news| (self.now, n, news)));
             }
@@ -135,12 +135,12 @@
     /// How many of those that run see so many others.
     fn see(&self, others: usize) -> usize {
         (0..self.members.len())
-            .filter(|n| self.runs(*n) && self.members[*n].there().len() == others)
+            .filter(|n| self.runs(*n) && self.members[*n].others().len() == others)
             .count()
     }
 
     /// When each member heard this of a peer, from a moment on.
-    fn heard(&self, from: u64, what: impl Fn(&News) -> bool) -> Vec<u64> {
+    fn heard(&self, from: u64, what: impl Fn(&MembershipEvent) -> bool) -> Vec<u64> {
         let mut first: HashMap<usize, u64> = HashMap::new();
         for (at, n, news) in self.news.iter().filter(|(at, ..)| *at >= from) {
             if what(news) {
@@ -162,13 +162,13 @@
     let gone = net.members[dies].me();
     net.off_until[dies] = u64::MAX;
     net.plays(10_000);
-    let heard = net.heard(from, |news| *news == News::Down(gone));
+    let heard = net.heard(from, |news| *news == MembershipEvent::Down(gone));
     assert_eq!(heard.len(), 19, "all have heard");
     assert!(heard[18] < 8_000, "the last after {} ms", heard[18]);
     assert!(
         net.heard(
             from,
-            |news| matches!(news, News::Down(peer) if *peer != gone)
+            |news| matches!(news, MembershipEvent::Down(peer) if *peer != gone)
         )
         .is_empty(),
         "a false alarm"
@@ -181,12 +181,12 @@
     net.plays(8_000);
     let (leaves, from) = (3, net.now);
     let gone = net.members[leaves].me();
-    net.members[leaves].leaves(Duration::from_millis(net.now));
+    net.members[leaves].leave(Duration::from_millis(net.now));
     net.plays(500);
     net.off_until[leaves] = u64::MAX;
     net.plays(8_000);
-    let left = net.heard(from, |news| *news == News::Left(gone));
-    let down = net.heard(from, |news| *news == News::Down(gone));
+    let left = net.heard(from, |news| *news == MembershipEvent::Left(gone));
+    let down = net.heard(from, |news| *news == MembershipEvent::Down(gone));
     assert!(
         left.len() >= 8,
         "{} heard that it left, {} took it for dead",
@@ -204,23 +204,26 @@
     net.plays(8_000);
     let stops = 4;
     let before = net.members[stops].me();
-    assert!(net.members[stops].is_sure(Duration::from_millis(net.now)));
+    assert!(net.members[stops].is_current(Duration::from_millis(net.now)));
     net.off_until[stops] = net.now + 30_000;
     net.plays(30_000);
     let now = Duration::from_millis(net.now);
-    assert!(!net.members[stops].is_sure(now), "by its clock alone");
+    assert!(!net.members[stops].is_current(now), "by its clock alone");
     net.members[stops].tick(now);
     assert!(
-        !net.members[stops].is_sure(now),
+        !net.members[stops].is_current(now),
         "nobody has spoken to it yet"
     );
     net.plays(6_000);
-    assert!(net.members[stops].is_sure(Duration::from_millis(net.now)));
+    assert!(net.members[stops].is_current(Duration::from_millis(net.now)));
     assert!(net
         .news
         .iter()
-        .any(|(_, n, news)| *n == stops && *news == News::WasGone));
-    assert!(net.members[stops].me().life > before.life, "another life");
+        .any(|(_, n, news)| *n == stops && *news == MembershipEvent::Rejoined));
+    assert!(
+        net.members[stops].me().incarnation > before.incarnation,
+        "another life"
+    );
     net.plays(6_000);
     assert_eq!(net.see(9), 10, "it is back with all");
 }
@@ -234,9 +237,9 @@
     net.plays(8_000);
     let lives = |net: &Net| {
         net.members[0]
-            .there()
+            .others()
             .iter()
-            .filter(|(p, _)| p.life == 50)
+            .filter(|(p, _)| p.incarnation == 50)
             .count()
     };
     assert_eq!(lives(&net), 1);
@@ -246,8 +249,8 @@
     (0..6).for_each(|n| net.part[n] = 0);
     net.plays(30_000);
     assert_eq!(net.see(11), 12, "all see all again");
-    let sound = |(_, standing): &(Peer, Standing)| *standing == Standing::There;
-    assert!(net.members.iter().all(|m| m.there().iter().all(sound)));
+    let sound = |(_, standing): &(Peer, Standing)| *standing == Standing::Alive;
+    assert!(net.members.iter().all(|m| m.others().iter().all(sound)));
 }
 
 #[test]
@@ -255,7 +258,7 @@
     let mut net = Net::start(15, 30, 5);
     net.plays(10_000);
     for value in 0..5 {
-        net.members[1].tells(1, 100 + value);
+        net.members[1].publish(1, 100 + value);
         net.plays(50);
     }
     net.plays(15_000);
@@ -299,14 +302,14 @@
             bytes[at] = dice.roll(256) as u8;
         }
         bytes.truncate(bytes.len() - dice.roll(4) as usize);
-        let _ = net.members[0].came(now, &bytes);
+        let _ = net.members[0].receive(now, &bytes);
         net.members[0].tick(now);
-        let _ = (net.members[0].sends(), net.members[0].news());
+        let _ = (net.members[0].outgoing(), net.members[0].events());
     }
     assert!(
-        net.members[0].there().len() <= 5,
+        net.members[0].others().len() <= 5,
         "{:?}",
-        net.members[0].there()
+        net.members[0].others()
     );
 }
 
@@ -325,13 +328,15 @@
                 net.off_until[1] = u64::MAX;
                 net.plays(20_000);
                 bytes += (net.bytes - sent) / 20 / size as u64;
-                let heard = net.heard(from, |news| *news == News::Down(gone));
+                let heard = net.heard(from, |news| *news == MembershipEvent::Down(gone));
                 unknown += size - 1 - heard.len().min(size - 1);
                 known.extend(heard);
                 alarms += net
                     .news
                     .iter()
-                    .filter(|(at, _, n)| *at >= from && matches!(n, News::Down(p) if *p != gone))
+                    .filter(|(at, _, n)| {
+                        *at >= from && matches!(n, MembershipEvent::Down(p) if *p != gone)
+                    })
                     .count();
             }
             known.sort_unstable();
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -96,7 +96,7 @@
                 wire.clone(),
             );
             let contact = |contact: usize| addresses[(member + 1 + contact * 7) % size];
-            started.joins(
+            started.join(
                 Duration::ZERO,
                 &(0..CONTACTS).map(contact).collect::<Vec<_>>(),
             );
@@ -137,7 +137,7 @@
             };
             if let Ok(Message::Swim(bytes)) = self.wire.read(&datagram.bytes) {
                 // A datagram that can't be used is dropped, as on a socket.
-                let _ = self.members[datagram.to].came(now, &bytes);
+                let _ = self.members[datagram.to].receive(now, &bytes);
             }
         }
     }
@@ -148,8 +148,8 @@
         if running.next().is_some_and(|at| at <= now) || self.now.is_multiple_of(LOOK_EVERY) {
             running.tick(now);
         }
-        running.news();
-        for (to, bytes) in running.sends() {
+        running.events();
+        for (to, bytes) in running.outgoing() {
             self.bytes_sent += bytes.len() as u64;
             let lost = self.rng.random_range(0..100) < self.loss;
             let trip = self.rng.random_range(1..=LONGEST_TRIP);
