--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -88,7 +88,7 @@
                 wire.clone(),
             );
             let contact = |contact: usize| addresses[(member + 1 + contact * 7) % size];
-            started.joins(
+            started.join(
                 Duration::ZERO,
                 &(0..CONTACTS).map(contact).collect::<Vec<_>>(),
             );
@@ -129,7 +129,7 @@
             };
             if let Ok(Message::Swim(bytes)) = self.wire.read(&datagram.bytes) {
                 // A datagram that can't be used is dropped, as on a socket.
-                let _ = self.members[datagram.to].came(now, &bytes);
+                let _ = self.members[datagram.to].receive(now, &bytes);
             }
         }
     }
@@ -142,8 +142,8 @@
         {
             running.tick(now);
         }
-        running.news();
-        for (to, bytes) in running.sends() {
+        running.events();
+        for (to, bytes) in running.outgoing() {
             self.bytes_out += bytes.len() as u64;
             let lost = self.rng.random_range(0..100) < self.loss;
             let trip = self.rng.random_range(1..=MAX_LATENCY_MS);
