--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -7,6 +7,7 @@
 mod limits;
 mod placement;
 mod routing;
+mod side;
 
 use crate::model::Plan;
 use serde::Serialize;
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -1,9 +1,9 @@
 //! Changes in the zones and kinds of engines that a class may use.
 
-use super::routing::{priority_levels, Comparison, Side};
+use super::side::{priority_levels, Side};
 use super::Change;
 use crate::cells::Cells;
-use crate::region::QUERY_CLASS;
+use crate::region::{ValueClasses, QUERY_CLASS};
 use fixedbitset::FixedBitSet;
 use std::collections::BTreeSet;
 
@@ -11,15 +11,18 @@
 type Place<'a> = (Option<&'a str>, Option<&'a str>);
 
 /// The places that a class may use in one of the plans only.
-pub(super) fn changes(comparison: &Comparison) -> Vec<Change> {
-    let Some(cells) = comparison.cells else {
-        return Vec::new();
-    };
+pub(super) fn changes(
+    class_names: &BTreeSet<String>,
+    classes: &ValueClasses,
+    cells: &Cells,
+    old_side: &Side,
+    new_side: &Side,
+) -> Vec<Change> {
     let mut changes = Vec::new();
-    for class in &comparison.class_names {
-        let value_class = comparison.classes.query_class(class);
-        let old = places(&comparison.old, class, value_class, cells);
-        let new = places(&comparison.new, class, value_class, cells);
+    for class in class_names {
+        let value_class = classes.query_class(class);
+        let old = places(old_side, class, value_class, cells);
+        let new = places(new_side, class, value_class, cells);
         let left = old.difference(&new);
         changes.extend(left.map(|place| change(class, "may no longer", place)));
         let added = new.difference(&old);
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -1,8 +1,9 @@
 //! Changes in which engines queries may go to, and in which are rejected.
 
+use super::side::{priority_levels, Side};
 use super::{placement, Change};
 use crate::cells::{Cells, Known};
-use crate::model::{Plan, Route};
+use crate::model::Plan;
 use crate::region::{self, Region, ValueClasses, QUERY_CLASS};
 use fixedbitset::FixedBitSet;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +26,16 @@
         cell_sets: CellSets::default(),
     };
     let differences = comparison.differences();
-    let mut changes = placement::changes(&comparison);
+    let mut changes = match comparison.cells {
+        Some(cells) => placement::changes(
+            &comparison.class_names,
+            &classes,
+            cells,
+            &comparison.old,
+            &comparison.new,
+        ),
+        None => Vec::new(),
+    };
     let set_names = set_names(old, new);
     for (difference, regions) in differences {
         changes.push(comparison.change(&difference, &regions, &set_names));
@@ -61,37 +71,6 @@
     sets.map(|set| set.name.clone()).collect()
 }
 
-/// One of the two plans with what its routes and pools have.
-pub(super) struct Side<'a> {
-    pub(super) plan: &'a Plan,
-    /// The cells of each pool; `None` where there are too many cells.
-    pools: Option<Vec<FixedBitSet>>,
-    /// The regions that each route decides on, and last those that no route matches.
-    pub(super) reach: Vec<Vec<Region>>,
-}
-
-impl<'a> Side<'a> {
-    /// `first_set` is the index of the plan's first address set among those of both plans. `None` where the routes
-    /// fall into too many regions.
-    fn of(
-        plan: &'a Plan,
-        first_set: usize,
-        classes: &ValueClasses,
-        cells: Option<&Cells>,
-    ) -> Option<Self> {
-        let regions = plan.routes.iter();
-        let regions: Vec<Region> = regions
-            .map(|route| classes.region(route, first_set))
-            .collect();
-        let reach = region::reach(&regions, &region::whole(classes));
-        Some(Side {
-            plan,
-            pools: cells.map(|cells| cells.of_pools(plan, first_set)),
-            reach: reach.into_iter().collect::<Option<_>>()?,
-        })
-    }
-}
-
 /// What a plan does with the queries of a region.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Decision {
@@ -126,12 +105,13 @@
     }
 }
 
-pub(super) struct Comparison<'a> {
-    pub(super) class_names: BTreeSet<String>,
-    pub(super) classes: &'a ValueClasses,
-    pub(super) cells: Option<&'a Cells>,
-    pub(super) old: Side<'a>,
-    pub(super) new: Side<'a>,
+/// The two plans, over the value classes and cells that they tell apart.
+struct Comparison<'a> {
+    class_names: BTreeSet<String>,
+    classes: &'a ValueClasses,
+    cells: Option<&'a Cells>,
+    old: Side<'a>,
+    new: Side<'a>,
     cell_sets: CellSets,
 }
 
@@ -236,57 +216,6 @@
     }
 }
 
-/// For each level of preference of a class on a route, the cells that no earlier level has; empty ones are left out.
-pub(super) fn priority_levels(
-    side: &Side,
-    route: Option<&Route>,
-    class: &str,
-    cells: &Cells,
-) -> Vec<FixedBitSet> {
-    let Some(pools) = &side.pools else {
-        return Vec::new();
-    };
-    let treated_as = route.and_then(|route| route.as_class.as_deref());
-    let mut unused = allowed_cells(
-        side.plan,
-        pools,
-        cells,
-        &[class, treated_as.unwrap_or(class)],
-    );
-    let preferred: Vec<FixedBitSet> = match route.map(|route| route.pools.as_slice()) {
-        None | Some([]) => vec![cells.all()],
-        Some(to) => to.iter().map(|pool| pools[*pool].clone()).collect(),
-    };
-    let mut levels = Vec::new();
-    for mut level in preferred {
-        level.intersect_with(&unused);
-        unused.difference_with(&level);
-        if !level.is_clear() {
-            levels.push(level);
-        }
-    }
-    levels
-}
-
-/// The cells that the rules of some classes allow; `pools` has the cells of each pool.
-fn allowed_cells(
-    plan: &Plan,
-    pools: &[FixedBitSet],
-    cells: &Cells,
-    classes: &[&str],
-) -> FixedBitSet {
-    let mut allowed = cells.all();
-    let rules = classes.iter().filter_map(|class| plan.class(class));
-    for class in rules.filter(|class| !class.pools.is_empty()) {
-        let mut bound = FixedBitSet::with_capacity(cells.count());
-        for pool in &class.pools {
-            bound.union_with(&pools[*pool]);
-        }
-        allowed.intersect_with(&bound);
-    }
-    allowed
-}
-
 fn in_words(plan: &Plan, route: usize, decision: &Decision) -> String {
     let class = match decision {
         Decision::Rejected { reason } => return format!("refused, \"{reason}\""),
