--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input at the start: whatever a configuration holds, the program serves under it, or refuses it at once with the place,
-//! the cause and what to do. It never panics and never hangs. `check-config` and `serve` say the same.
+//! Invalid input at startup: the program serves with a configuration, or refuses it at once with the place, the cause and a
+//! remedy. It never panics and never hangs. `check-config` and `serve` report the same.
 
 mod helper;
 
@@ -14,10 +14,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// An answer comes within this.
-const LONGEST: Duration = Duration::from_secs(5);
+/// Time limit of every answer and exit.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The helper's addresses come again after 254 numbers, and these tests use more: each has a port of its own.
+/// The helper's addresses repeat after 254 numbers, and these tests use more: each gets its own port.
 fn own_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(10_000);
     SocketAddr::new(
@@ -27,16 +27,16 @@
 }
 
 /// A valid configuration that names every key that is read.
-fn whole(engine: SocketAddr, log: SocketAddr) -> Value {
-    let mut c = config(engine, log);
-    c["listen"] = json!(own_address().to_string());
-    c["peers"] = json!(["127.0.0.1:7946"]);
-    c["settings"]["allowed"]["max-retry-after"] = json!(1000.0);
-    c["settings"]["balancers"] = json!(2);
-    c["settings"]["registry-mode"] = json!("pushed");
-    c["settings"]["rules"] = json!({"cold-from": 0.36, "warm-after": 15000.0, "fall": 3000.0, "fall-multiple": 2.5,
+fn full_config(engine: SocketAddr, log: SocketAddr) -> Value {
+    let mut config = config(engine, log);
+    config["listen"] = json!(own_address().to_string());
+    config["peers"] = json!(["127.0.0.1:7946"]);
+    config["settings"]["allowed"]["max-retry-after"] = json!(1000.0);
+    config["settings"]["balancers"] = json!(2);
+    config["settings"]["registry-mode"] = json!("pushed");
+    config["settings"]["rules"] = json!({"cold-from": 0.36, "warm-after": 15000.0, "fall": 3000.0, "fall-multiple": 2.5,
         "extra-window": 10000.0, "extra-floor": 3.0, "extra-per-request": 0.2, "order-pause": 200.0});
-    c["settings"]["tenants"] = json!([{"name": "acme", "portion": 0.7, "quota-per-s": 119.0},
+    config["settings"]["tenants"] = json!([{"name": "acme", "portion": 0.7, "quota-per-s": 119.0},
         {"name": "other", "portion": 0.3, "quota-per-s": 28.0}]);
     let mut referenced = query_class("lookup", "dedup", 3000.0);
     referenced["key-scope"] = json!("zone");
@@ -44,25 +44,25 @@
     referenced["aim-stretch"] = json!(2.0);
     referenced["zones-only"] = json!(["east"]);
     referenced["allowed-on"] = json!([0]);
-    c["settings"]["categories"]
+    config["settings"]["categories"]
         .as_array_mut()
         .unwrap()
         .push(referenced);
-    let domain = &mut c["settings"]["domain"];
+    let domain = &mut config["settings"]["domain"];
     domain["kind-memory-mb"] = json!([32768.0]);
     domain["largest-share"] = json!(0.4);
     domain["grants-count"] = json!(true);
     domain["progress"] = json!(500.0);
     domain["waits-for-loads"] = json!([false, false, false]);
-    c
+    config
 }
 
 fn pointer(path: &str) -> String {
     format!("/{}", path.replace('.', "/"))
 }
 
-/// Puts a value at a path, also where there is no key yet.
-fn put(config: &mut Value, path: &str, value: Value) {
+/// Sets a value at a path, also where the key does not exist yet.
+fn set_value(config: &mut Value, path: &str, value: Value) {
     let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
     let parent = if parent.is_empty() {
         config
@@ -85,8 +85,8 @@
     parent.as_object_mut().unwrap().remove(key).unwrap();
 }
 
-/// The paths of all values under one, its own first.
-fn paths(value: &Value, at: &str, into: &mut Vec<String>) {
+/// Collects the paths of a value and of all values in it, its own first.
+fn collect_paths(value: &Value, at: &str, into: &mut Vec<String>) {
     let under = |key: &str| {
         if at.is_empty() {
             key.to_string()
@@ -100,20 +100,20 @@
     match value {
         Value::Object(keys) => keys
             .iter()
-            .for_each(|(key, value)| paths(value, &under(key), into)),
+            .for_each(|(key, value)| collect_paths(value, &under(key), into)),
         Value::Array(items) => {
             items
                 .iter()
                 .enumerate()
-                .for_each(|(i, value)| paths(value, &under(&i.to_string()), into));
+                .for_each(|(i, value)| collect_paths(value, &under(&i.to_string()), into));
         }
         _ => {}
     }
 }
 
-fn ended(child: &mut Child, what: &str) -> ExitStatus {
-    let begun = Instant::now();
-    while begun.elapsed() < LONGEST {
+fn wait_for_exit(child: &mut Child, case: &str) -> ExitStatus {
+    let started_at = Instant::now();
+    while started_at.elapsed() < RESPONSE_TIMEOUT {
         if let Some(status) = child.try_wait().unwrap() {
             return status;
         }
@@ -121,75 +121,79 @@
     }
     child.kill().unwrap();
     child.wait().unwrap();
-    panic!("{what}: no answer in {LONGEST:?}");
+    panic!("{case}: no answer in {RESPONSE_TIMEOUT:?}");
 }
 
-/// Runs a command on a file until it ends: whether it went well, and what it said on standard error.
-fn run(command: &str, file: &Path, what: &str) -> (bool, String) {
-    let said = file.with_extension("said");
+/// Runs a command on a file until it exits; returns whether it succeeded and its standard error.
+fn run(command: &str, file: &Path, case: &str) -> (bool, String) {
+    let stderr_text = file.with_extension("said");
     let mut child = gateway_command(&[command, "--config", file.to_str().unwrap()])
         .stdout(Stdio::null())
-        .stderr(File::create(&said).unwrap())
+        .stderr(File::create(&stderr_text).unwrap())
         .spawn()
         .unwrap();
-    let status = ended(&mut child, what);
-    let said = std::fs::read_to_string(said).unwrap();
-    assert_eq!(status.signal(), None, "{what}: {said}");
-    assert!(!said.contains("panicked"), "{what}: {said}");
+    let status = wait_for_exit(&mut child, case);
+    let stderr_text = std::fs::read_to_string(stderr_text).unwrap();
+    assert_eq!(status.signal(), None, "{case}: {stderr_text}");
+    assert!(!stderr_text.contains("panicked"), "{case}: {stderr_text}");
     assert!(
         matches!(status.code(), Some(0 | 1)),
-        "{what}: {status}: {said}"
+        "{case}: {status}: {stderr_text}"
     );
-    (status.success(), said)
+    (status.success(), stderr_text)
 }
 
-/// Refused by both commands, in one line: the place, the cause, and what to do.
-fn assert_refused(config: &Value, place: &str, cause: &str, what: &str) {
+/// Asserts that both commands refuse it in one line with the place, the cause and a remedy.
+fn assert_refused(config: &Value, place: &str, cause: &str, case: &str) {
     let file = write_config(config);
     for command in ["check-config", "serve"] {
-        let (good, said) = run(command, &file, what);
-        assert!(!good, "{what}: {command} takes it");
-        assert_line(&said, place, cause, &format!("{what}: {command}"));
+        let (accepted, stderr_text) = run(command, &file, case);
+        assert!(!accepted, "{case}: {command} accepts it");
+        assert_error_line(&stderr_text, place, cause, &format!("{case}: {command}"));
     }
 }
 
-fn assert_line(said: &str, place: &str, cause: &str, what: &str) {
-    let lines: Vec<&str> = said.lines().collect();
-    assert_eq!(lines.len(), 1, "{what}: {said}");
+fn assert_error_line(stderr_text: &str, place: &str, cause: &str, case: &str) {
+    let lines: Vec<&str> = stderr_text.lines().collect();
+    assert_eq!(lines.len(), 1, "{case}: {stderr_text}");
     let rest = lines[0].strip_prefix(&format!("garnetwall: configuration {place}: "));
-    let rest = rest.unwrap_or_else(|| panic!("{what}: names another place than {place}: {said}"));
-    let (told, remedy) = rest
+    let rest =
+        rest.unwrap_or_else(|| panic!("{case}: names another place than {place}: {stderr_text}"));
+    let (message, remedy) = rest
         .rsplit_once("; ")
-        .unwrap_or_else(|| panic!("{what}: no remedy: {said}"));
-    assert!(told.contains(cause), "{what}: not '{cause}': {said}");
-    assert!(remedy.len() > 3, "{what}: {said}");
+        .unwrap_or_else(|| panic!("{case}: no remedy: {stderr_text}"));
+    assert!(
+        message.contains(cause),
+        "{case}: not '{cause}': {stderr_text}"
+    );
+    assert!(remedy.len() > 3, "{case}: {stderr_text}");
 }
 
-/// A gateway that was started, with what it says.
-struct Started {
+/// A started gateway with the file of its standard error.
+struct StartedGateway {
     child: Child,
-    said: std::path::PathBuf,
+    stderr_text: std::path::PathBuf,
     address: SocketAddr,
 }
 
-impl Started {
-    fn by(config: &Value) -> Started {
+impl StartedGateway {
+    fn with_config(config: &Value) -> StartedGateway {
         let file = write_config(config);
-        let said = file.with_extension("said");
-        let child = serve_from(&file, File::create(&said).unwrap().into());
-        Started {
+        let stderr_text = file.with_extension("said");
+        let child = serve_from(&file, File::create(&stderr_text).unwrap().into());
+        StartedGateway {
             child,
-            said,
+            stderr_text,
             address: config["listen"].as_str().unwrap().parse().unwrap(),
         }
     }
 
-    /// Until it answers on its health as expected.
-    fn healthy(&mut self, status: u16, what: &str) {
-        let begun = Instant::now();
-        while begun.elapsed() < LONGEST {
-            if let Some(ended) = self.child.try_wait().unwrap() {
-                panic!("{what}: {ended}: {}", self.said());
+    /// Waits until `/healthz` answers with a status.
+    fn wait_until_health_is(&mut self, status: u16, case: &str) {
+        let started_at = Instant::now();
+        while started_at.elapsed() < RESPONSE_TIMEOUT {
+            if let Some(exit_status) = self.child.try_wait().unwrap() {
+                panic!("{case}: {exit_status}: {}", self.stderr_text());
             }
             let answer = TcpStream::connect(self.address)
                 .ok()
@@ -200,74 +204,78 @@
             sleep(Duration::from_millis(5));
         }
         panic!(
-            "{what}: never answered {status} on its health: {}",
-            self.said()
+            "{case}: /healthz did not answer {status}: {}",
+            self.stderr_text()
         );
     }
 
-    /// Sends a batch; the status of its answer, which comes in time.
-    fn query(&mut self, fields: &str, what: &str) -> u16 {
+    /// Sends a query and returns the status of its answer.
+    fn query(&mut self, fields: &str, case: &str) -> u16 {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONGEST)).unwrap();
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
         let answer = call(stream, "POST /v1/report", fields, "SELECT 1");
-        let answer = answer.unwrap_or_else(|| panic!("{what}: no answer: {}", self.said()));
+        let answer = answer.unwrap_or_else(|| panic!("{case}: no answer: {}", self.stderr_text()));
         assert!(
             self.child.try_wait().unwrap().is_none(),
-            "{what}: {}",
-            self.said()
+            "{case}: {}",
+            self.stderr_text()
         );
         Answer::of(answer).status
     }
 
-    fn said(&self) -> String {
-        std::fs::read_to_string(&self.said).unwrap()
+    fn stderr_text(&self) -> String {
+        std::fs::read_to_string(&self.stderr_text).unwrap()
     }
 
-    /// Stops it as the platform does; it ends well and has not panicked anywhere.
-    fn stop(mut self, what: &str) {
+    /// Stops it with SIGTERM; asserts that it exits successfully and has not panicked.
+    fn stop(mut self, case: &str) {
         let kill = format!("kill -TERM {}", self.child.id());
         assert!(Command::new("sh")
             .args(["-c", &kill])
             .status()
             .unwrap()
             .success());
-        let status = ended(&mut self.child, what);
-        assert!(status.success(), "{what}: {status}: {}", self.said());
-        assert!(!self.said().contains("panicked"), "{what}: {}", self.said());
+        let status = wait_for_exit(&mut self.child, case);
+        assert!(status.success(), "{case}: {status}: {}", self.stderr_text());
+        assert!(
+            !self.stderr_text().contains("panicked"),
+            "{case}: {}",
+            self.stderr_text()
+        );
     }
 }
 
-impl Drop for Started {
+impl Drop for StartedGateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-struct World {
+struct Surroundings {
     engine: Engine,
     log: ChangeLog,
 }
 
-impl World {
-    fn new() -> World {
-        World {
+impl Surroundings {
+    fn new() -> Surroundings {
+        Surroundings {
             engine: Engine::start(),
             log: ChangeLog::start(),
         }
     }
 
     fn config(&self) -> Value {
-        whole(self.engine.address, self.log.address)
+        full_config(self.engine.address, self.log.address)
     }
 
     fn with(&self, path: &str, value: Value) -> Value {
         let mut config = self.config();
-        put(&mut config, path, value);
+        set_value(&mut config, path, value);
         config
     }
 
-    fn line(&self, id: &str) -> Value {
+    fn endpoint(&self, id: &str) -> Value {
         endpoint(id, self.engine.address, "SERVING")
     }
 
@@ -277,10 +285,10 @@
 }
 
 #[test]
-fn the_base_is_served() {
-    let world = World::new();
-    let mut gateway = Started::by(&world.config());
-    gateway.healthy(200, "the base");
+fn base_configuration_is_served() {
+    let surroundings = Surroundings::new();
+    let mut gateway = StartedGateway::with_config(&surroundings.config());
+    gateway.wait_until_health_is(200, "the base");
     assert_eq!(
         gateway.query(&request_fields(&new_id(), 3000), "the base"),
         200
@@ -289,8 +297,8 @@
 }
 
 #[test]
-fn what_can_not_be_served_is_refused_with_place_cause_and_remedy() {
-    let world = World::new();
+fn invalid_configuration_is_refused_with_place_cause_and_remedy() {
+    let surroundings = Surroundings::new();
     let day = 86_400_000.0;
     let engine = "known.results.0.fleet.servers.0";
     let at = |key: &str| format!("{engine}.{key}");
@@ -436,8 +444,8 @@
         (&at("started_ms"), json!(1e308), "a number expected"),
     ];
     for (path, value, cause) in refused {
-        let what = format!("{path}={value}");
-        // The item of a list that is at fault is part of its place.
+        let case = format!("{path}={value}");
+        // The index of a faulty list item is part of its place.
         let place = match *path {
             "settings.domain.parallelism" | "settings.domain.kind-cores" | "settings.kinds" => {
                 format!("{path}.0")
@@ -446,21 +454,26 @@
             "settings.categories.2.allowed-on" if value[0].is_object() => format!("{path}.0"),
             _ => path.to_string(),
         };
-        assert_refused(&world.with(path, value.clone()), &place, cause, &what);
+        assert_refused(
+            &surroundings.with(path, value.clone()),
+            &place,
+            cause,
+            &case,
+        );
     }
 }
 
 #[test]
-fn a_subset_that_can_not_be_kept_is_refused() {
-    let world = World::new();
+fn unsatisfiable_subset_is_refused() {
+    let surroundings = Surroundings::new();
     assert_refused(
-        &world.with("subset", json!([])),
+        &surroundings.with("subset", json!([])),
         "subset",
         "an object expected",
         "subset=[]",
     );
     assert_refused(
-        &world.with("subset", json!({})),
+        &surroundings.with("subset", json!({})),
         "subset.size",
         "missing",
         "subset={}",
@@ -494,7 +507,7 @@
         subset[key] = value.clone();
         let place = format!("subset.{key}");
         assert_refused(
-            &world.with("subset", subset),
+            &surroundings.with("subset", subset),
             &place,
             cause,
             &format!("{place}={value}"),
@@ -504,7 +517,7 @@
 
 #[test]
 fn missing_keys_are_refused() {
-    let world = World::new();
+    let surroundings = Surroundings::new();
     for key in [
         "name",
         "listen",
@@ -514,22 +527,22 @@
         "known.seq",
         "known.results",
     ] {
-        let mut config = world.config();
+        let mut config = surroundings.config();
         remove(&mut config, key);
         assert_refused(&config, key, "missing", key);
     }
-    let mut config = world.config();
+    let mut config = surroundings.config();
     remove(&mut config, "settings.categories");
     assert_refused(&config, "settings.categories", "empty", "no categories");
 }
 
 #[test]
-fn numbers_of_the_known_changes_go_up() {
-    let world = World::new();
+fn event_numbers_of_the_initial_list_increase() {
+    let surroundings = Surroundings::new();
     let events = |numbers: &[u64]| {
         numbers
             .iter()
-            .map(|n| list_event(*n, *n == numbers[0], &[world.line("s-1")]))
+            .map(|n| list_event(*n, *n == numbers[0], &[surroundings.endpoint("s-1")]))
             .collect::<Vec<_>>()
     };
     for (numbers, last, fault) in [
@@ -538,20 +551,20 @@
         (&[1, 2, 4], 3, Some("known.results.2.seq")),
         (&[1, 3], 3, None),
     ] {
-        let config = world.with("known", json!({"seq": last, "results": events(numbers)}));
-        let what = format!("{numbers:?} up to {last}");
+        let config = surroundings.with("known", json!({"seq": last, "results": events(numbers)}));
+        let case = format!("{numbers:?} up to {last}");
         match fault {
-            Some(place) => assert_refused(&config, place, "goes back or past known.seq", &what),
+            Some(place) => assert_refused(&config, place, "goes back or past known.seq", &case),
             None => assert!(
-                run("check-config", &write_config(&config), &what).0,
-                "{what}"
+                run("check-config", &write_config(&config), &case).0,
+                "{case}"
             ),
         }
     }
 }
 
 #[test]
-fn a_file_that_is_no_configuration_is_refused() {
+fn file_that_is_no_configuration_is_refused() {
     let deep = "[".repeat(10_000);
     let files: &[(&str, &[u8], &str)] = &[
         ("empty", b"", "not JSON"),
@@ -579,17 +592,18 @@
             "configuration file: an object expected, not null",
         ),
     ];
-    for (what, bytes, cause) in files {
+    for (case, bytes, cause) in files {
         let path = write_config(&json!({}));
         std::fs::write(&path, bytes).unwrap();
         for command in ["check-config", "serve"] {
-            let (good, said) = run(command, &path, what);
+            let (accepted, stderr_text) = run(command, &path, case);
             assert!(
-                !good && said.contains(cause) && said.contains("; "),
-                "{what}: {said}"
+                !accepted && stderr_text.contains(cause) && stderr_text.contains("; "),
+                "{case}: {stderr_text}"
             );
-            let place = cause.starts_with("configuration") || said.contains(path.to_str().unwrap());
-            assert!(place, "{what}: {said}");
+            let place =
+                cause.starts_with("configuration") || stderr_text.contains(path.to_str().unwrap());
+            assert!(place, "{case}: {stderr_text}");
         }
     }
     for path in [
@@ -599,18 +613,18 @@
         let child = gateway_command(&["check-config", "--config", path.to_str().unwrap()])
             .output()
             .unwrap();
-        let said = String::from_utf8(child.stderr).unwrap();
-        assert_eq!(child.status.code(), Some(1), "{said}");
+        let stderr_text = String::from_utf8(child.stderr).unwrap();
+        assert_eq!(child.status.code(), Some(1), "{stderr_text}");
         assert!(
-            said.contains(path.to_str().unwrap()) && said.contains("; name a file"),
-            "{said}"
+            stderr_text.contains(path.to_str().unwrap()) && stderr_text.contains("; name a file"),
+            "{stderr_text}"
         );
     }
 }
 
 #[test]
-fn what_is_odd_but_clear_is_served() {
-    let world = World::new();
+fn unusual_but_valid_configuration_is_served() {
+    let surroundings = Surroundings::new();
     let many = |n: usize| {
         let address =
             |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, (i % 250) as u8 + 1], 4100));
@@ -621,84 +635,85 @@
     let peers: Vec<String> = (0..1024)
         .map(|i| format!("10.3.{}.{}:7946", i / 250, i % 250 + 1))
         .collect();
-    let cold = json!({"id": "s-1", "addr": world.engine.address.to_string(), "state": "SERVING"});
-    // Whether a batch comes back with its rows; where not, it has another answer.
+    let cold =
+        json!({"id": "s-1", "addr": surroundings.engine.address.to_string(), "state": "SERVING"});
+    // Whether a query succeeds; otherwise it has another answer.
     let served: &[(&str, Value, bool)] = &[
-        ("hours", world.with("settings.categories.0.give-up", json!(86_400_000)), true),
-        ("goal of 0", world.with("settings.categories.0.goal-time", json!(0)), true),
-        ("no worth", world.with("settings.categories.0.worth", json!(0)), false),
-        ("no late share", world.with("settings.categories.0.late-share", json!(0)), true),
-        ("portion of 0", world.with("settings.tenants.0.portion", json!(0)), true),
-        ("quota of 0", world.with("settings.tenants.0.quota-per-s", json!(0)), true),
-        ("no tenants named", world.with("settings.tenants", json!(null)), true),
-        ("empty tenants", world.with("settings.tenants", json!([])), true),
-        ("unknown way of reports", world.with("settings.telemetry.how", json!("by post")), true),
-        ("unknown way of lists", world.with("settings.registry-mode", json!("shouted")), true),
+        ("hours", surroundings.with("settings.categories.0.give-up", json!(86_400_000)), true),
+        ("goal of 0", surroundings.with("settings.categories.0.goal-time", json!(0)), true),
+        ("no worth", surroundings.with("settings.categories.0.worth", json!(0)), false),
+        ("no late share", surroundings.with("settings.categories.0.late-share", json!(0)), true),
+        ("portion of 0", surroundings.with("settings.tenants.0.portion", json!(0)), true),
+        ("quota of 0", surroundings.with("settings.tenants.0.quota-per-s", json!(0)), true),
+        ("no tenants named", surroundings.with("settings.tenants", json!(null)), true),
+        ("empty tenants", surroundings.with("settings.tenants", json!([])), true),
+        ("unknown way of reports", surroundings.with("settings.telemetry.how", json!("by post")), true),
+        ("unknown way of lists", surroundings.with("settings.registry-mode", json!("shouted")), true),
         (
             "unknown scope, taken for the narrowest",
-            world.with("settings.categories.2.key-scope", json!("house")),
+            surroundings.with("settings.categories.2.key-scope", json!("house")),
             true,
         ),
-        ("cores of 0 are not known", world.with("settings.domain.kind-cores", json!([0])), true),
-        ("no room for a kind's memory", world.with("settings.domain.kind-memory-mb", json!([])), true),
-        ("threads without a number", world.with("settings.domain.parallelism", json!([])), true),
-        ("a budget of no time", world.with("settings.rules.extra-window", json!(0)), true),
-        ("no rules", world.with("settings.rules", json!(null)), true),
-        ("unknown key", world.with("weather", json!({"x": [[null, {}], 1e308]})), true),
+        ("cores of 0 are not known", surroundings.with("settings.domain.kind-cores", json!([0])), true),
+        ("no room for a kind's memory", surroundings.with("settings.domain.kind-memory-mb", json!([])), true),
+        ("threads without a number", surroundings.with("settings.domain.parallelism", json!([])), true),
+        ("a budget of no time", surroundings.with("settings.rules.extra-window", json!(0)), true),
+        ("no rules", surroundings.with("settings.rules", json!(null)), true),
+        ("unknown key", surroundings.with("weather", json!({"x": [[null, {}], 1e308]})), true),
         (
             "unknown keys in settings",
-            world.with("settings.more", json!({"x": [[1], null, {"y": [[]]}]})),
+            surroundings.with("settings.more", json!({"x": [[1], null, {"y": [[]]}]})),
             true,
         ),
-        ("unknown key in a group", world.with("settings.categories.0.more", json!([[1], [{}]])), true),
-        ("odd unread keys", world.with("settings.prices", json!([null, {"a": 1}, 3])), true),
-        ("no limits", world.with("limits", json!(null)), true),
-        ("subset of null", world.with("subset", json!(null)), true),
-        ("subset of one", world.with("subset", json!({"size": 1})), true),
-        ("subset over the list", world.with("subset", json!({"size": 1 << 20})), true),
+        ("unknown key in a group", surroundings.with("settings.categories.0.more", json!([[1], [{}]])), true),
+        ("odd unread keys", surroundings.with("settings.prices", json!([null, {"a": 1}, 3])), true),
+        ("no limits", surroundings.with("limits", json!(null)), true),
+        ("subset of null", surroundings.with("subset", json!(null)), true),
+        ("subset of one", surroundings.with("subset", json!({"size": 1})), true),
+        ("subset over the list", surroundings.with("subset", json!({"size": 1 << 20})), true),
         (
             "subset with all that is read, and more",
-            world.with(
+            surroundings.with(
                 "subset",
                 json!({"size": 80, "class_floor": 0, "reserve": 0, "joins_per_second": 1e-3, "zone": "east",
                     "near_weight": 1, "weather": [null]}),
             ),
             true,
         ),
-        ("least limits", world.with("limits", json!({"sockets": 64, "memory_mb": 16})), true),
-        ("most limits", world.with("limits", json!({"sockets": 1 << 30, "memory_mb": 1 << 30})), true),
-        ("no peers", world.with("peers", json!([])), true),
-        ("peers of null", world.with("peers", json!(null)), true),
-        ("1024 peers", world.with("peers", json!(peers)), true),
-        ("no engines", world.with_engines(&[]), false),
-        ("an engine twice", world.with_engines(&[world.line("s-1"), world.line("s-1")]), true),
-        ("an address of two engines", world.with_engines(&[world.line("s-1"), world.line("s-2")]), true),
+        ("least limits", surroundings.with("limits", json!({"sockets": 64, "memory_mb": 16})), true),
+        ("most limits", surroundings.with("limits", json!({"sockets": 1 << 30, "memory_mb": 1 << 30})), true),
+        ("no peers", surroundings.with("peers", json!([])), true),
+        ("peers of null", surroundings.with("peers", json!(null)), true),
+        ("1024 peers", surroundings.with("peers", json!(peers)), true),
+        ("no engines", surroundings.with_engines(&[]), false),
+        ("an engine twice", surroundings.with_engines(&[surroundings.endpoint("s-1"), surroundings.endpoint("s-1")]), true),
+        ("an address of two engines", surroundings.with_engines(&[surroundings.endpoint("s-1"), surroundings.endpoint("s-2")]), true),
         (
             "an engine that has gone",
-            world.with_engines(&[endpoint("s-1", world.engine.address, "DELETED")]),
+            surroundings.with_engines(&[endpoint("s-1", surroundings.engine.address, "DELETED")]),
             false,
         ),
-        ("an engine with little told", world.with_engines(&[cold]), true),
-        ("1024 engines that nobody runs", world.with_engines(&many(1024)), false),
+        ("an engine with little told", surroundings.with_engines(&[cold]), true),
+        ("1024 engines that nobody runs", surroundings.with_engines(&many(1024)), false),
     ];
     // Stopping takes each 0.7 s.
     std::thread::scope(|scope| {
         for part in served.chunks(served.len().div_ceil(4)) {
             scope.spawn(|| {
                 part.iter()
-                    .for_each(|(what, config, returned)| assert_served(what, config, *returned))
+                    .for_each(|(case, config, returned)| assert_served(case, config, *returned))
             });
         }
     });
 }
 
-fn assert_served(what: &str, config: &Value, returned: bool) {
-    assert!(run("check-config", &write_config(config), what).0, "{what}");
+fn assert_served(case: &str, config: &Value, returned: bool) {
+    assert!(run("check-config", &write_config(config), case).0, "{case}");
     let mut config = config.clone();
     config["listen"] = json!(own_address().to_string());
-    let mut gateway = Started::by(&config);
-    gateway.healthy(200, what);
-    // Its client waits for all the time that its group allows.
+    let mut gateway = StartedGateway::with_config(&config);
+    gateway.wait_until_health_is(200, case);
+    // The client allows the largest time of its query class.
     let allowed = config["settings"]["categories"][0]["give-up"]
         .as_f64()
         .unwrap();
@@ -710,53 +725,53 @@
         } else {
             fields.replace("X-Team: acme\r\n", "")
         };
-        gateway.query(&fields, what)
+        gateway.query(&fields, case)
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut status = batch();
-    // On a busy machine a connection may come up too late; a client that is pushed back comes again.
-    while returned && status == 503 && begun.elapsed() < LONGEST {
+    // On a busy machine a connection may be established too late; a rejected client retries.
+    while returned && status == 503 && started_at.elapsed() < RESPONSE_TIMEOUT {
         status = batch();
     }
-    let good = if returned {
+    let accepted = if returned {
         status == 200
     } else {
         status == 503 || status == 500
     };
-    assert!(good, "{what}: {status}: {}", gateway.said());
-    gateway.stop(what);
+    assert!(accepted, "{case}: {status}: {}", gateway.stderr_text());
+    gateway.stop(case);
 }
 
-/// Without a list it starts, takes calls, and says that it does not serve yet.
+/// Without a list it starts, accepts requests, and reports that it does not serve yet.
 #[test]
-fn without_a_list_of_engines_it_waits_for_one() {
-    let world = World::new();
+fn gateway_without_an_endpoint_list_waits_for_one() {
+    let surroundings = Surroundings::new();
     for known in [
         json!(null),
         json!({"seq": 0, "results": []}),
         json!({"seq": 1, "results": [{"seq": 1}]}),
     ] {
-        let what = format!("known {known}");
-        let mut config = world.with("known", known);
+        let case = format!("known {known}");
+        let mut config = surroundings.with("known", known);
         config["listen"] = json!(own_address().to_string());
         assert!(
-            run("check-config", &write_config(&config), &what).0,
-            "{what}"
+            run("check-config", &write_config(&config), &case).0,
+            "{case}"
         );
-        let mut gateway = Started::by(&config);
-        gateway.healthy(503, &what);
-        gateway.stop(&what);
+        let mut gateway = StartedGateway::with_config(&config);
+        gateway.wait_until_health_is(503, &case);
+        gateway.stop(&case);
     }
 }
 
-/// Puts what does not belong there in every place of the base. What is refused names a place and what to do; what is not is
-/// really started, answers on its health, and takes a batch.
+/// Sets unexpected values at every path of the base configuration. A refusal names a place and a remedy; otherwise the gateway
+/// is started, answers `/healthz`, and accepts a query.
 #[test]
-fn in_every_place_what_does_not_belong_there_is_served_or_refused() {
-    let world = World::new();
-    let base = world.config();
+fn unexpected_value_at_every_path_is_served_or_refused() {
+    let surroundings = Surroundings::new();
+    let base = surroundings.config();
     let mut all = Vec::new();
-    paths(&base, "", &mut all);
+    collect_paths(&base, "", &mut all);
     assert!(all.len() > 100, "{}", all.len());
     let wrong = [
         json!(null),
@@ -769,36 +784,39 @@
     let (mut refused, mut served) = (0, 0);
     for path in &all {
         for value in &wrong {
-            let what = format!("{path}={value}");
+            let case = format!("{path}={value}");
             let mut config = base.clone();
-            put(&mut config, path, value.clone());
-            let (good, said) = run("check-config", &write_config(&config), &what);
-            if !good {
+            set_value(&mut config, path, value.clone());
+            let (accepted, stderr_text) = run("check-config", &write_config(&config), &case);
+            if !accepted {
                 refused += 1;
-                let rest = said.strip_prefix("garnetwall: configuration ");
-                let rest = rest.unwrap_or_else(|| panic!("{what}: {said}"));
+                let rest = stderr_text.strip_prefix("garnetwall: configuration ");
+                let rest = rest.unwrap_or_else(|| panic!("{case}: {stderr_text}"));
                 let (place, rest) = rest.split_once(": ").unwrap();
                 let root = place.split('.').next().unwrap();
-                assert!(base.get(root).is_some(), "{what}: no such place: {said}");
                 assert!(
-                    rest.contains("; ") && said.lines().count() == 1,
-                    "{what}: {said}"
+                    base.get(root).is_some(),
+                    "{case}: no such place: {stderr_text}"
+                );
+                assert!(
+                    rest.contains("; ") && stderr_text.lines().count() == 1,
+                    "{case}: {stderr_text}"
                 );
                 continue;
             }
             served += 1;
-            assert!(said.is_empty(), "{what}: {said}");
+            assert!(stderr_text.is_empty(), "{case}: {stderr_text}");
             config["listen"] = json!(own_address().to_string());
-            let mut gateway = Started::by(&config);
+            let mut gateway = StartedGateway::with_config(&config);
             let starting = config["known"]["results"]
                 .as_array()
                 .is_none_or(Vec::is_empty);
-            gateway.healthy(if starting { 503 } else { 200 }, &what);
-            gateway.query(&request_fields(&new_id(), 200), &what);
+            gateway.wait_until_health_is(if starting { 503 } else { 200 }, &case);
+            gateway.query(&request_fields(&new_id(), 200), &case);
             assert!(
-                !gateway.said().contains("panicked"),
-                "{what}: {}",
-                gateway.said()
+                !gateway.stderr_text().contains("panicked"),
+                "{case}: {}",
+                gateway.stderr_text()
             );
         }
     }
