--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -1,10 +1,10 @@
-//! What others see of a gateway, written out literally: a name or a form that is changed by accident fails here.
+//! The gateway's external interface, written out literally: an accidental change of a name or format fails here.
 //!
 //! Pinned elsewhere, and not again: every key of the configuration file with its refusal (bad_input.rs), of the
 //! settings (crates/settings/tests/keys.rs), of an event of the change log (src/discovery/event/tests.rs and
 //! bad_input.rs); how plans are refused and what they refuse (plan.rs); exit codes of the commands on plans
-//! (plan.rs); statuses of a batch's failures and of bad calls (sockets.rs), of long bodies (bodies.rs) and of repeated
-//! calls (repeated_calls.rs); records of the journal and pieces of the spool (crates/ledger/tests/stored_records.rs,
+//! (plan.rs); statuses of a query's failures and of invalid requests (sockets.rs), of long bodies (bodies.rs) and of repeated
+//! requests (repeated_calls.rs); records of the journal and pieces of the spool (crates/ledger/tests/stored_records.rs,
 //! crates/bodies/tests/stored_spool.rs); frames of the bench (crates/bench-adapter).
 
 mod helper;
@@ -19,7 +19,7 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// One message as it came, byte for byte, with its body as `Content-Length` tells.
+/// Reads one message byte for byte, with a body of its `Content-Length`.
 fn raw_message(reader: &mut impl BufRead) -> Option<String> {
     let (mut text, mut length) = (String::new(), 0);
     loop {
@@ -41,7 +41,7 @@
     Some(text + &String::from_utf8(body).ok()?)
 }
 
-/// What a gateway answers to these bytes, without the field `date`.
+/// The gateway's response to these bytes, without the field `date`.
 fn answer_to(address: SocketAddr, text: &str) -> String {
     let stream = TcpStream::connect(address).unwrap();
     (&stream).write_all(text.as_bytes()).unwrap();
@@ -66,7 +66,7 @@
 }
 
 /// A short answer of a gateway.
-fn short(status: &str, fields: &str, body: &str) -> String {
+fn short_answer(status: &str, fields: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\ncontent-type: application/json\r\n{fields}content-length: {}\r\n\r\n{body}",
         body.len()
@@ -74,12 +74,13 @@
 }
 
 #[test]
-fn answers_to_calls_that_bring_no_query() {
+fn responses_to_requests_without_a_query() {
     let s = Service::start();
     let good = || post(&new_id(), "report", "", "SELECT 1");
     let with = |more: &str| post(&new_id(), "report", more, "SELECT 1");
     let without = |line: &str| good().replace(line, "");
-    let error = |what: &str| short("400 Bad Request", "", &format!("{{\"error\":\"{what}\"}}"));
+    let error =
+        |what: &str| short_answer("400 Bad Request", "", &format!("{{\"error\":\"{what}\"}}"));
     let cases = [
         (
             "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".to_string(),
@@ -87,11 +88,11 @@
         ),
         (
             good().replace("/v1/", "/v2/"),
-            short("404 Not Found", "", r#"{"error":"no such path"}"#),
+            short_answer("404 Not Found", "", r#"{"error":"no such path"}"#),
         ),
         (
             good().replace("POST", "PUT"),
-            short("405 Method Not Allowed", "allow: POST,DELETE\r\n", r#"{"error":"method not served"}"#),
+            short_answer("405 Method Not Allowed", "allow: POST,DELETE\r\n", r#"{"error":"method not served"}"#),
         ),
         (good().replace("/report", "/other"), error("unknown service group 'other'")),
         (without("X-Allow-Ms: 2500\r\n"), error("x-allow-ms: missing")),
@@ -107,7 +108,7 @@
         (post(&new_id(), "report", "", ""), error("no statement")),
         (
             good().replace("Content-Length: 8", "Transfer-Encoding: chunked"),
-            short(
+            short_answer(
                 "411 Length Required",
                 "connection: close\r\n",
                 r#"{"error":"a statement comes with its Content-Length"}"#,
@@ -115,11 +116,11 @@
         ),
         (
             good().replace("Content-Length: 8", "Content-Length: 262145"),
-            short("413 Payload Too Large", "connection: close\r\n", r#"{"error":"statement too long"}"#),
+            short_answer("413 Payload Too Large", "connection: close\r\n", r#"{"error":"statement too long"}"#),
         ),
         (
             good().replace("Content-Length: 8", "Content-Length: 9"),
-            short("408 Request Timeout", "connection: close\r\n", r#"{"error":"statement came too slowly"}"#),
+            short_answer("408 Request Timeout", "connection: close\r\n", r#"{"error":"statement came too slowly"}"#),
         ),
         (
             with(&format!("X-Long: {}\r\n", "x".repeat(40_000))),
@@ -127,7 +128,7 @@
         ),
         (
             good().replace("POST", "DELETE"),
-            short("404 Not Found", "", r#"{"error":"no batch of this id is in hand"}"#),
+            short_answer("404 Not Found", "", r#"{"error":"no batch of this id is in hand"}"#),
         ),
         (
             post("123", "report", "", "").replace("POST", "DELETE"),
@@ -141,22 +142,22 @@
 }
 
 #[test]
-fn answers_to_queries() {
+fn responses_to_queries() {
     let s = Service::start();
     let id = new_id();
     let rows = r#"{"data":[["a","b\"\\","\u0001 é"],["c","","漢"]]}"#;
     let cases = [
         (
             post(&id, "report", "", "SELECT 1"),
-            short("200 OK", "", rows),
+            short_answer("200 OK", "", rows),
         ),
         (
             post(&id, "report", "", "SELECT 1"),
-            short("200 OK", "", rows),
+            short_answer("200 OK", "", rows),
         ),
         (
             post(&id, "report", "", "SELECT 2"),
-            short(
+            short_answer(
                 "409 Conflict",
                 "",
                 r#"{"error":"this id is that of another batch"}"#,
@@ -164,11 +165,11 @@
         ),
         (
             post(&new_id(), "report", "", "SELECT 1 /* empty */"),
-            short("200 OK", "", r#"{"data":[]}"#),
+            short_answer("200 OK", "", r#"{"data":[]}"#),
         ),
         (
             post(&new_id(), "report", "", "SELECT 1 /* error */"),
-            short(
+            short_answer(
                 "503 Service Unavailable",
                 "x-wait-ms: 600\r\n",
                 r#"{"error":"Busy"}"#,
@@ -176,18 +177,21 @@
         ),
         (
             post(&new_id(), "load", "", "INSERT /* error */"),
-            short("500 Internal Server Error", "", r#"{"error":"Failed"}"#),
+            short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#),
         ),
     ];
     for (call, expected) in cases {
         assert_eq!(answer_to(s.address, &call), expected, "{call}");
     }
     let late = post(&new_id(), "report", "", "SELECT 1").replace("2500", "900");
-    assert_eq!(answer_to(s.address, &late), short("200 OK", "", rows));
+    assert_eq!(
+        answer_to(s.address, &late),
+        short_answer("200 OK", "", rows)
+    );
     sleep(Duration::from_millis(1000));
     assert_eq!(
         answer_to(s.address, &late),
-        short(
+        short_answer(
             "409 Conflict",
             "",
             r#"{"error":"this id has had its answer"}"#
@@ -230,7 +234,7 @@
 }
 ";
 
-/// A gateway with a plan beside its configuration.
+/// A gateway with a plan and a configuration.
 fn gateway_with_plan(folder: &str, text: &str) -> (Service, PathBuf) {
     let name = format!("{folder}-{}", std::process::id());
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -249,12 +253,12 @@
 }
 
 #[test]
-fn answers_under_a_plan() {
+fn responses_under_a_plan() {
     let (s, folder) = gateway_with_plan("answers-plan", PLAN);
     let too_long = "x".repeat(101);
     assert_eq!(
         answer_to(s.address, &post(&new_id(), "load", "", &too_long)),
-        short(
+        short_answer(
             "413 Payload Too Large",
             "connection: close\r\n",
             r#"{"error":"the plan allows statements of 100 bytes"}"#,
@@ -265,7 +269,7 @@
     let answer = answer_to(s.address, &huge);
     assert_eq!(
         answer,
-        short(
+        short_answer(
             "413 Payload Too Large",
             "connection: close\r\n",
             r#"{"error":"a body has 1048576 bytes at most"}"#,
@@ -283,7 +287,7 @@
     );
     assert_eq!(
         format!("{before}{after}"),
-        short(
+        short_answer(
             "503 Service Unavailable",
             "",
             r#"{"error":"Busy","reason":"over the limit each (Rate)"}"#,
@@ -296,7 +300,7 @@
     wait_until("the start", || s.engine.calls("POST") == 3);
     assert_eq!(
         answer_to(s.address, &post(&new_id(), "load", "", "INSERT")),
-        short(
+        short_answer(
             "503 Service Unavailable",
             "x-wait-ms: 10\r\n",
             r#"{"error":"Busy","reason":"over the limit loads (InHand)"}"#,
@@ -308,12 +312,12 @@
 }
 
 #[test]
-fn a_gateway_without_engines_says_that_it_does_not_serve() {
+fn gateway_without_engines_reports_that_it_does_not_serve() {
     let (engine, log) = (Engine::start(), ChangeLog::start());
     let mut config = config(engine.address, log.address);
     config["known"] = json!(null);
     let address = config["listen"].as_str().unwrap().parse().unwrap();
-    let _gateway = Killed(serve(&config));
+    let _gateway = KillOnDrop(serve(&config));
     wait_until("it listens", || TcpStream::connect(address).is_ok());
     assert_eq!(
         answer_to(address, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"),
@@ -322,17 +326,17 @@
     );
 }
 
-/// A process that goes with the test.
-struct Killed(Child);
+/// A process that is killed when dropped.
+struct KillOnDrop(Child);
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// A server that keeps every call as it came, and answers as a function says; nothing said closes the connection.
+/// A server that records every request and answers by a function; `None` closes the connection.
 #[derive(Clone)]
 struct Recorder {
     address: SocketAddr,
@@ -363,8 +367,8 @@
         recorder
     }
 
-    /// The first call that starts so, once it came.
-    fn first(&self, start: &str) -> String {
+    /// Waits for the first request with this prefix.
+    fn wait_for_first(&self, start: &str) -> String {
         let found = || {
             let calls = self.calls.lock().unwrap();
             calls.iter().find(|call| call.starts_with(start)).cloned()
@@ -379,8 +383,8 @@
     }
 }
 
-/// An engine by what its script says of a call; it answers health checks with a report.
-fn engine(
+/// An engine that answers requests by a script, and health checks with a load report.
+fn scripted_engine(
     stats: &'static str,
     script: impl Fn(&str) -> String + Send + Sync + 'static,
 ) -> Recorder {
@@ -390,8 +394,8 @@
     })
 }
 
-/// A gateway before engines of our own, with a category of each semantics.
-fn gateway_before(engines: &[&Recorder]) -> Service {
+/// A gateway with these engines and a query class of each idempotency.
+fn gateway_with_engines(engines: &[&Recorder]) -> Service {
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
     Service::with(|config| {
         let lines: Vec<_> = addresses
@@ -408,8 +412,8 @@
     })
 }
 
-/// A start with the time that its answer is waited for left out.
-fn without_patience(call: &str) -> String {
+/// Replaces the response timeout of a start, which varies.
+fn mask_response_timeout(call: &str) -> String {
     let (before, rest) = call.split_once("x-patience: ").expect("x-patience");
     let (value, after) = rest.split_once("\r\n").unwrap();
     let value: u64 = value.parse().unwrap();
@@ -418,8 +422,8 @@
 }
 
 #[test]
-fn calls_to_engines() {
-    let engine = engine("queue:0;util:0.1", |call| {
+fn requests_to_engines() {
+    let engine = scripted_engine("queue:0;util:0.1", |call| {
         let method = call.split(' ').next().unwrap();
         let first_poll = call.starts_with("GET /c/") && call.contains("/0 HTTP");
         match method {
@@ -436,7 +440,7 @@
             _ => http("200 OK", "Result-Page: 1\r\n", "d\te\tf\n"),
         }
     });
-    let s = gateway_before(&[&engine]);
+    let s = gateway_with_engines(&[&engine]);
     let host = format!("host: {}\r\n", engine.address);
     let more = "X-Item: 7f3a9c21e0b4d655\r\nX-Unique: 00ab12ffee34cd56\r\nX-Size-Ms: 120\r\nX-Memory: 64\r\n";
     assert_eq!(
@@ -444,10 +448,10 @@
             s.address,
             &post("9b1f03aa5c7e2d01", "keyed", more, "INSERT 1")
         ),
-        short("200 OK", "", r#"{"data":[["a","b","c"],["d","e","f"]]}"#)
+        short_answer("200 OK", "", r#"{"data":[["a","b","c"],["d","e","f"]]}"#)
     );
     assert_eq!(
-        without_patience(&engine.first("POST")),
+        mask_response_timeout(&engine.wait_for_first("POST")),
         format!(
             "POST /c HTTP/1.1\r\n{host}x-trace: 9b1f03aa5c7e2d01\r\nx-profile: keyed\r\n\
              x-op-key: 00ab12ffee34cd56\r\nx-patience: N\r\ncontent-length: 8\r\n\r\nINSERT 1"
@@ -456,17 +460,20 @@
     for path in ["/c/9b1f03aa5c7e2d01/0", "/c/9b1f03aa5c7e2d01/1"] {
         let start = format!("GET {path} HTTP");
         assert_eq!(
-            engine.first(&start),
+            engine.wait_for_first(&start),
             format!("GET {path} HTTP/1.1\r\n{host}\r\n")
         );
     }
     let stream = s.open();
     let call = post("9b1f03aa5c7e2d02", "report", "", "SELECT 1");
     (&stream).write_all(call.as_bytes()).unwrap();
-    engine.first("GET /c/9b1f03aa5c7e2d02/0 HTTP");
+    engine.wait_for_first("GET /c/9b1f03aa5c7e2d02/0 HTTP");
     drop(stream);
     let delete = "DELETE /c/9b1f03aa5c7e2d02 HTTP/1.1\r\n";
-    assert_eq!(engine.first("DELETE"), format!("{delete}{host}\r\n"));
+    assert_eq!(
+        engine.wait_for_first("DELETE"),
+        format!("{delete}{host}\r\n")
+    );
     let start = engine
         .calls
         .lock()
@@ -475,7 +482,7 @@
         .rfind(|call| call.starts_with("POST"))
         .cloned();
     assert_eq!(
-        without_patience(&start.unwrap()),
+        mask_response_timeout(&start.unwrap()),
         format!(
             "POST /c HTTP/1.1\r\n{host}x-trace: 9b1f03aa5c7e2d02\r\nx-profile: report\r\nx-patience: N\r\n\
              content-length: 8\r\n\r\nSELECT 1"
@@ -484,25 +491,25 @@
 }
 
 #[test]
-fn the_health_check_of_an_engine() {
-    let newcomer = engine("queue:0;util:0.1", |_| http("500 Oops", "", ""));
+fn health_check_of_an_engine() {
+    let newcomer = scripted_engine("queue:0;util:0.1", |_| http("500 Oops", "", ""));
     let s = Service::with(|config| {
         config["subset"] = json!({"size": 4, "class_floor": 0, "reserve": 0});
     });
-    // An engine is checked before it comes into a subset.
+    // An engine is checked before it joins a subset.
     let listed = endpoint("s-2", newcomer.address, "SERVING");
     s.log.publish(list_event(1, false, &[listed]));
     let host = format!("host: {}\r\n", newcomer.address);
     assert_eq!(
-        newcomer.first("GET"),
+        newcomer.wait_for_first("GET"),
         format!("GET /stats HTTP/1.1\r\n{host}\r\n")
     );
 }
 
-/// Each answer of an engine to a start, how often it is started then, and the client's answer.
+/// Each response of an engine to a start, the number of starts, and the client's answer.
 #[test]
-fn answers_of_engines() {
-    let engine = engine("queue:0;util:0.1", |call| {
+fn responses_of_engines() {
+    let engine = scripted_engine("queue:0;util:0.1", |call| {
         let (_, statement) = call.split_once("\r\n\r\n").unwrap();
         match (call.split(' ').next().unwrap(), statement) {
             ("DELETE", _) => http("204 No Content", "", ""),
@@ -513,9 +520,9 @@
             _ => http("500 Oops", "", ""),
         }
     });
-    let s = gateway_before(&[&engine]);
-    let failed = short("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
-    let rows = short("200 OK", "", r#"{"data":[["a","b","c"]]}"#);
+    let s = gateway_with_engines(&[&engine]);
+    let failed = short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
+    let rows = short_answer("200 OK", "", r#"{"data":[["a","b","c"]]}"#);
     for (statement, starts, expected) in [
         ("done", 1, Some(rows)),
         ("failed", 1, Some(failed)),
@@ -536,7 +543,7 @@
     }
 }
 
-/// The load report of an engine, in its answers: one that says that it is full gets the smaller part.
+/// The load report in an engine's responses: an engine that reports full load gets the smaller share.
 #[test]
 fn load_reports_of_engines() {
     let with = |stats: &'static str| {
@@ -568,13 +575,13 @@
 }
 
 #[test]
-fn the_call_to_the_change_log() {
+fn request_to_the_change_log() {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     let log = Recorder::start(move |_| Some(format!("{head}id: 8\ndata: {{\"seq\":8}}\n\n")));
     let s = Service::with(|config| config["changelog"] = json!(log.address.to_string()));
     let host = format!("host: {}\r\n", log.address);
     assert_eq!(
-        log.first("GET"),
+        log.wait_for_first("GET"),
         format!("GET /changes HTTP/1.1\r\n{host}last-event-id: 0\r\n\r\n")
     );
     drop(s);
@@ -702,7 +709,7 @@
         command
             .env("PROXY_CONFIG", &good)
             .env("GARNETWALL_LOG", level);
-        let mut child = Killed(command.stderr(Stdio::piped()).spawn().unwrap());
+        let mut child = KillOnDrop(command.stderr(Stdio::piped()).spawn().unwrap());
         sleep(Duration::from_millis(400));
         child.0.kill().unwrap();
         let mut said = String::new();
@@ -719,10 +726,10 @@
     assert!(!log("error").contains(" INFO "));
 }
 
-/// A journal that the program wrote before its code was renamed (crates/ledger/tests/stored_records.rs says how): what
-/// it holds as finished or as sent is not sent again.
+/// A journal written before the code was renamed (see crates/ledger/tests/stored_records.rs): queries recorded as finished or
+/// as sent are not sent again.
 #[test]
-fn a_gateway_goes_on_with_a_stored_journal() {
+fn gateway_continues_with_a_stored_journal() {
     const STORED: &[u8] = include_bytes!("../../ledger/tests/fixtures/interrupted.once-only");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("stored-journal-{}", std::process::id()));
@@ -742,13 +749,13 @@
             command.stderr(Stdio::null()).spawn().unwrap()
         },
     );
-    let failed = short("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
+    let failed = short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
     for id in ["9b1f03aa5c7e2d01", "9b1f03aa5c7e2d02", "9b1f03aa5c7e2d03"] {
         let answer = answer_to(s.address, &post(id, "load", "", "INSERT 1"));
         assert_eq!(answer, failed, "{id}");
     }
     assert_eq!(s.engine.calls("POST"), 0);
-    // The interrupted record was never on the disk: its query was not sent.
+    // The interrupted record was never written completely: its query was not sent.
     assert!(s
         .query_with_id("9b1f03aa5c7e2d04", "load", 2500, "INSERT 1")
         .succeeded());
--- a/crates/gateway/tests/world.rs
+++ b/crates/gateway/tests/world.rs
@@ -1,56 +1,59 @@
-//! The module, the ledger and the keys of one gateway in a world without I/O: lists that come late, engines that drain
-//! untold, addresses that change hands while the old process runs on, resets, cuts, starts lost on their way, spoilt
-//! answers, and a gateway that gets no processor time. The seven rules are judged in the world, by what really ran where,
-//! not by what the gateway believes. A slip put in on purpose for each rule must be found.
+//! Simulates the controller and the ledger of one gateway without I/O: late endpoint lists, engines that drain before the
+//! list says so, addresses taken over while the old process runs on, resets, partitions, lost starts, corrupted responses,
+//! and pauses of the gateway process. The seven rules are checked against what really ran where, not against what the gateway
+//! believes. For each rule a bug injected on purpose must be found.
 //!
-//! The driver below does what `life` and `engines` do with sockets, in steps of 10 ms.
+//! The simulation does what the query task and the engine attempts do with sockets, in steps of 10 ms.
 
 #[path = "world/mod.rs"]
 mod world;
 
 use proptest::prelude::*;
-use world::{Rule, Slip, World};
+use world::{InjectedBug, Rule, Simulation};
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(150))]
 
     #[test]
-    fn no_rule_breaks_in_any_world(seed in any::<u64>()) {
-        let broken = World::new(seed, Slip::None).play();
-        prop_assert!(broken.is_empty(), "{:#?}", &broken[..broken.len().min(5)]);
+    fn no_rule_is_violated_in_any_simulation(seed in any::<u64>()) {
+        let violations = Simulation::new(seed, InjectedBug::None).run();
+        prop_assert!(violations.is_empty(), "{:#?}", &violations[..violations.len().min(5)]);
     }
 }
 
-/// Found by the worlds: a gateway without processor time for 2.4 s, whose engine had dropped a dispatch that nobody asked
-/// for; the 500 for its news was taken for a failure, and the key did not rest.
+/// Found by the simulation: the gateway was paused for 2.4 s and its engine had ended an attempt that was not polled; the 500
+/// for the next poll counted as a failure, and the key was not paused.
 #[test]
-fn a_key_rests_after_a_dispatch_that_was_dropped_unasked() {
-    assert_eq!(World::new(2_929_970_749_735_284_927, Slip::None).play(), []);
+fn key_is_paused_after_an_attempt_that_ended_for_lack_of_polls() {
+    assert_eq!(
+        Simulation::new(2_929_970_749_735_284_927, InjectedBug::None).run(),
+        []
+    );
 }
 
 #[test]
-fn a_slip_for_each_rule_is_found() {
-    let slips = [
-        (Slip::LosesAnswers, Rule::Answer),
-        (Slip::TrustsRefusals, Rule::Order),
-        (Slip::TrustsAddresses, Rule::Order),
-        (Slip::OverlooksDrains, Rule::Drain),
-        (Slip::OverlooksColdness, Rule::Cold),
-        (Slip::RestsNoKeys, Rule::Order),
-        (Slip::MixesArrivals, Rule::Order),
-        (Slip::OverlooksZones, Rule::Placement),
-        (Slip::OverlooksBudget, Rule::Budget),
-        (Slip::TrustsRefusals, Rule::Effect),
-        (Slip::OverlooksNotes, Rule::Order),
-        (Slip::StartsLate, Rule::Answer),
+fn injected_bug_is_found_for_each_rule() {
+    let bugs = [
+        (InjectedBug::DropsAnswers, Rule::Answer),
+        (InjectedBug::TrustsConnectionRefused, Rule::Order),
+        (InjectedBug::TrustsAddresses, Rule::Order),
+        (InjectedBug::IgnoresDraining, Rule::Draining),
+        (InjectedBug::IgnoresSlowStart, Rule::SlowStart),
+        (InjectedBug::PausesNoKeys, Rule::Order),
+        (InjectedBug::ReordersArrivals, Rule::Order),
+        (InjectedBug::IgnoresZones, Rule::Placement),
+        (InjectedBug::IgnoresRetryBudget, Rule::RetryBudget),
+        (InjectedBug::TrustsConnectionRefused, Rule::Idempotency),
+        (InjectedBug::IgnoresProgress, Rule::Order),
+        (InjectedBug::StartsAfterAnswer, Rule::Answer),
     ];
-    for (slip, rule) in slips {
+    for (bug, rule) in bugs {
         let found = (0..300).find(|seed| {
-            World::new(*seed, slip)
-                .play()
+            Simulation::new(*seed, bug)
+                .run()
                 .iter()
                 .any(|(r, _)| *r == rule)
         });
-        assert!(found.is_some(), "{slip:?} breaks {rule:?} nowhere");
+        assert!(found.is_some(), "{bug:?} breaks {rule:?} for no seed");
     }
 }
--- a/crates/gateway/tests/world/day.rs
+++ b/crates/gateway/tests/world/day.rs
@@ -1,34 +1,34 @@
-//! The day that is played: batches come, clients leave, lists are told, until all is over.
+//! The simulated day: queries arrive, clients disconnect, endpoint lists change, until all queries have ended.
 
 use super::figures::{DAY, STEP};
 use super::gateway::QueryRecord;
-use super::{seconds, Rule, Slip, World};
+use super::{seconds, InjectedBug, Rule, Simulation};
 use garnetwall::api::{Query, QueryId};
 
-impl World {
-    fn comes(&mut self, waiting: &mut Vec<(usize, Option<u64>, u64)>) {
-        let (group, key) = (self.rng.draw(3) as usize, self.rng.draw(3));
-        waiting.push((group, (group != 0).then_some(key), self.now));
+impl Simulation {
+    fn query_arrives(&mut self, waiting: &mut Vec<(usize, Option<u64>, u64)>) {
+        let (class, key) = (self.rng.draw(3) as usize, self.rng.draw(3));
+        waiting.push((class, (class != 0).then_some(key), self.now));
     }
 
-    fn take(&mut self, place: usize, group: usize, key: Option<u64>, came: u64) {
+    fn admit(&mut self, position: usize, class: usize, key: Option<u64>, came: u64) {
         let id = self.queries.len() as QueryId;
-        let limit = came + if self.rng.one_in(6) { 900 } else { 5000 };
+        let deadline = came + if self.rng.one_in(6) { 900 } else { 5000 };
         let held = QueryRecord {
-            group,
+            class,
             key,
-            place,
-            limit,
-            left: false,
+            position,
+            deadline,
+            client_left: false,
             answered: None,
-            dispatches: Vec::new(),
+            attempts: Vec::new(),
         };
         self.queries.push(held);
-        let left = limit.saturating_sub(self.now) as f64 / 1000.0;
+        let left = deadline.saturating_sub(self.now) as f64 / 1000.0;
         let data_set = id % 3;
         let b = Query {
             id,
-            class: group,
+            class,
             tenant: 0,
             ordering_key: key,
             remaining_time: left,
@@ -37,60 +37,60 @@
             data_set,
             endpoint_subset: None,
         };
-        self.control.admit(seconds(self.now), b);
+        self.controller.admit(seconds(self.now), b);
     }
 
-    fn leaves(&mut self) {
+    fn client_disconnects(&mut self) {
         let n = self.rng.draw(self.queries.len() as u64) as usize;
         let h = &mut self.queries[n];
-        if h.answered.is_none() && !h.left {
-            h.left = true;
-            self.control.client_left(seconds(self.now), n as QueryId);
+        if h.answered.is_none() && !h.client_left {
+            h.client_left = true;
+            self.controller.client_left(seconds(self.now), n as QueryId);
         }
     }
 
-    pub fn play(mut self) -> Vec<(Rule, String)> {
+    pub fn run(mut self) -> Vec<(Rule, String)> {
         let mut waiting = Vec::new();
-        let mut places = 0;
-        let mut told = 0;
+        let mut positions = 0;
+        let mut applied_at = 0;
         while self.now < DAY + 10_000 {
-            self.engines();
+            self.advance_engines();
             if self.now < DAY && self.rng.one_in(6) {
-                self.comes(&mut waiting);
+                self.query_arrives(&mut waiting);
             }
-            if !self.is_starved() {
+            if !self.is_paused() {
                 for engine in 0..self.processes.len() {
-                    let before = self.line(engine, told).map(|l| l.state);
-                    let line = self
-                        .line(engine, self.now)
+                    let before = self.endpoint_at(engine, applied_at).map(|l| l.state);
+                    let updated = self
+                        .endpoint_at(engine, self.now)
                         .filter(|l| before != Some(l.state));
-                    self.control.update_endpoints(line.as_slice(), false);
+                    self.controller.update_endpoints(updated.as_slice(), false);
                 }
-                told = self.now;
-                let mut came: Vec<_> = waiting.drain(..).enumerate().collect();
-                if self.slip == Slip::MixesArrivals {
-                    came.reverse();
+                applied_at = self.now;
+                let mut arrivals: Vec<_> = waiting.drain(..).enumerate().collect();
+                if self.bug == InjectedBug::ReordersArrivals {
+                    arrivals.reverse();
                 }
-                let all = came.len();
-                for (n, (group, key, at)) in came {
-                    self.take(places + n, group, key, at);
+                let count = arrivals.len();
+                for (n, (class, key, at)) in arrivals {
+                    self.admit(positions + n, class, key, at);
                 }
-                places += all;
+                positions += count;
                 if !self.queries.is_empty() && self.rng.one_in(60) {
-                    self.leaves();
+                    self.client_disconnects();
                 }
-                self.gateway();
+                self.advance_gateway();
             }
             self.now += STEP;
         }
         let open = self
             .queries
             .iter()
-            .filter(|b| b.answered.is_none() && !b.left)
+            .filter(|b| b.answered.is_none() && !b.client_left)
             .count();
         if open > 0 {
-            self.breaks(Rule::Answer, format!("{open} batches have no answer"));
+            self.record_violation(Rule::Answer, format!("{open} queries have no answer"));
         }
-        self.broken
+        self.violations
     }
 }
--- a/crates/gateway/tests/world/engines.rs
+++ b/crates/gateway/tests/world/engines.rs
@@ -1,154 +1,155 @@
-//! Engines as they really are: processes at addresses, what runs there, and what they answer.
+//! The true state of the engines: processes at addresses, what runs there, and what they answer.
 
-use super::figures::{LONGEST_DEADLINE, POLL_HOLD, UNASKED_RUN};
+use super::figures::{LONGEST_DEADLINE, POLL_HOLD, UNPOLLED_LIFETIME};
 use super::gateway::{Attempt, Call, Reply};
-use super::World;
+use super::Simulation;
 use garnetwall::api::QueryId;
 
-/// A process of an engine as it really is. Its address is that of the slot; who listens there is found by time.
+/// A process of an engine. Its address is that of the slot; which process listens there depends on the time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Process {
     pub(super) slot: usize,
-    pub(super) up: u64,
-    /// It refuses new connections from then on, and runs on.
-    pub(super) drains: u64,
-    pub(super) dies: u64,
-    /// When the list tells that it is there, drains, and is gone.
-    pub(super) told_up: u64,
-    pub(super) told: u64,
-    pub(super) told_gone: u64,
+    pub(super) started_at: u64,
+    /// When it begins to refuse new connections; it runs on.
+    pub(super) refuses_from: u64,
+    pub(super) killed_at: u64,
+    /// When the endpoint list shows it as serving, draining and removed.
+    pub(super) listed_at: u64,
+    pub(super) draining_listed_at: u64,
+    pub(super) removal_listed_at: u64,
 }
 
-/// What happens to an address.
+/// Partition and connection resets of an address.
 #[derive(Clone, Debug)]
 pub(super) struct Slot {
-    pub(super) cut: (u64, u64),
+    pub(super) partition: (u64, u64),
     pub(super) resets: Vec<u64>,
 }
 
-/// What an engine made of an attempt.
+/// An attempt as the engine ran it.
 pub(super) struct Execution {
-    pub(super) batch: QueryId,
+    pub(super) query: QueryId,
     pub(super) process: usize,
-    pub(super) from: u64,
-    pub(super) ends: u64,
-    pub(super) asked: u64,
-    /// It ends then, where notes keep it running.
-    pub(super) stops: u64,
-    /// A call is held since then.
-    pub(super) held: Option<u64>,
-    pub(super) to: Option<u64>,
-    pub(super) good: bool,
+    pub(super) started_at: u64,
+    pub(super) ends_at: u64,
+    pub(super) last_polled_at: u64,
+    /// When it ends for lack of polls where progress reports keep it running.
+    pub(super) progress_until: u64,
+    /// Since when a poll is in flight.
+    pub(super) poll_since: Option<u64>,
+    pub(super) ended_at: Option<u64>,
+    pub(super) succeeded: bool,
 }
 
-impl World {
-    /// Engines: what ends by itself, with its process, or unasked.
-    pub(super) fn engines(&mut self) {
-        for r in self.executions.iter_mut().filter(|r| r.to.is_none()) {
+impl Simulation {
+    /// Ends executions that complete, die with their process or are not polled.
+    pub(super) fn advance_engines(&mut self) {
+        for r in self.executions.iter_mut().filter(|r| r.ended_at.is_none()) {
             let p = &self.processes[r.process];
-            // A call for news is answered by then, whether or not the answer comes through.
-            if let Some(since) = r.held.filter(|since| self.now >= since + POLL_HOLD) {
-                (r.asked, r.held) = (since + POLL_HOLD, None);
+            // The poll is answered by then, whether or not the answer is received.
+            if let Some(since) = r.poll_since.filter(|since| self.now >= since + POLL_HOLD) {
+                (r.last_polled_at, r.poll_since) = (since + POLL_HOLD, None);
             }
-            let unasked = match self.notes {
-                true => self.now >= r.stops,
-                false => r.held.is_none() && self.now >= r.asked + UNASKED_RUN,
+            let unpolled = match self.reports_progress {
+                true => self.now >= r.progress_until,
+                false => r.poll_since.is_none() && self.now >= r.last_polled_at + UNPOLLED_LIFETIME,
             };
-            r.good = self.now >= r.ends && self.now < p.dies;
-            if self.now >= r.ends || self.now >= p.dies || unasked {
-                r.to = Some(self.now);
+            r.succeeded = self.now >= r.ends_at && self.now < p.killed_at;
+            if self.now >= r.ends_at || self.now >= p.killed_at || unpolled {
+                r.ended_at = Some(self.now);
             }
         }
-        // What a cut, a reset or a dead process leaves of connections.
-        let broken: Vec<usize> = (0..self.attempts.len())
-            .filter(|n| self.loses(&self.attempts[*n]))
+        // Connections lost by a partition, a reset or a dead process.
+        let broken_connections: Vec<usize> = (0..self.attempts.len())
+            .filter(|n| self.connection_breaks(&self.attempts[*n]))
             .collect();
-        for n in broken {
-            let held = self.attempts[n].batch;
+        for n in broken_connections {
+            let query = self.attempts[n].query;
             let o = &mut self.attempts[n];
             self.executions
                 .iter_mut()
-                .filter(|r| r.batch == held && r.to.is_none())
-                .for_each(|r| r.held = None);
-            o.up = None;
+                .filter(|r| r.query == query && r.ended_at.is_none())
+                .for_each(|r| r.poll_since = None);
+            o.connected_to = None;
         }
     }
 
-    fn loses(&self, o: &Attempt) -> bool {
-        o.up.is_some_and(|p| {
+    fn connection_breaks(&self, o: &Attempt) -> bool {
+        o.connected_to.is_some_and(|p| {
             let p = &self.processes[p];
-            self.now >= p.dies
-                || self.slots[p.slot].resets.contains(&self.now) && !self.is_cut(p.slot)
+            self.now >= p.killed_at
+                || self.slots[p.slot].resets.contains(&self.now) && !self.is_partitioned(p.slot)
         })
     }
 
-    /// A call has come whole to the process at the end of the connection.
-    pub(super) fn arrives(&mut self, n: usize, call: Call) {
-        let (now, Some(process)) = (self.now, self.attempts[n].up) else {
+    /// A complete request arrives at the connected process.
+    pub(super) fn request_arrives(&mut self, n: usize, call: Call) {
+        let (now, Some(process)) = (self.now, self.attempts[n].connected_to) else {
             return;
         };
-        let batch = self.attempts[n].batch;
+        let query = self.attempts[n].query;
         match call {
             Call::Start if self.rng.one_in(15) => {}
             Call::Start => {
-                let ends = now
+                let ends_at = now
                     + if self.rng.one_in(4) {
                         6000
                     } else {
                         self.rng.between(20, 900)
                     };
-                self.judge_start(batch, process);
-                let ran = Execution {
-                    batch,
+                self.judge_start(query, process);
+                let execution = Execution {
+                    query,
                     process,
-                    from: now,
-                    ends,
-                    asked: now,
-                    stops: now + LONGEST_DEADLINE,
-                    held: Some(now),
-                    to: None,
-                    good: false,
+                    started_at: now,
+                    ends_at,
+                    last_polled_at: now,
+                    progress_until: now + LONGEST_DEADLINE,
+                    poll_since: Some(now),
+                    ended_at: None,
+                    succeeded: false,
                 };
-                self.executions.push(ran);
+                self.executions.push(execution);
             }
-            Call::News | Call::GiveUp => {
-                let mine =
-                    |r: &&mut Execution| r.batch == batch && r.process == process && r.to.is_none();
+            Call::Poll | Call::Cancel => {
+                let mine = |r: &&mut Execution| {
+                    r.query == query && r.process == process && r.ended_at.is_none()
+                };
                 if let Some(r) = self.executions.iter_mut().find(mine) {
                     match call {
-                        Call::GiveUp => r.to = Some(now),
-                        _ => (r.asked, r.held) = (now, Some(now)),
+                        Call::Cancel => r.ended_at = Some(now),
+                        _ => (r.last_polled_at, r.poll_since) = (now, Some(now)),
                     }
                 }
             }
         }
     }
 
-    /// What the process at the end of the connection answers by now.
+    /// The connected process's reply by now, if any.
     pub(super) fn reply(&mut self, n: usize, since: u64, call: Call) -> Option<Reply> {
-        let (batch, process) = (self.attempts[n].batch, self.attempts[n].up?);
-        if self.is_cut(self.processes[process].slot) {
+        let (query, process) = (self.attempts[n].query, self.attempts[n].connected_to?);
+        if self.is_partitioned(self.processes[process].slot) {
             return None;
         }
-        let mine = |r: &&Execution| r.batch == batch && r.process == process;
+        let mine = |r: &&Execution| r.query == query && r.process == process;
         let sent = self.attempts[n].sent;
-        let spoilt = self.rng.one_in(40);
+        let corrupted = self.rng.one_in(40);
         let reply = match self
             .executions
             .iter()
             .rfind(mine)
-            .filter(|r| r.from >= sent)
+            .filter(|r| r.started_at >= sent)
         {
-            _ if call == Call::GiveUp => Reply::GivenUp,
-            None if call == Call::Start => Reply::Full,
+            _ if call == Call::Cancel => Reply::Cancelled,
+            None if call == Call::Start => Reply::Rejected,
             None => Reply::Unknown,
-            // It was answered when its time was up, however late the gateway gets to reading that.
-            Some(r) if r.to.is_some_and(|to| to >= since + POLL_HOLD) => Reply::NotYet,
-            Some(r) if r.good => Reply::Good,
-            Some(r) if r.to.is_some() => Reply::Unknown,
-            Some(_) if self.now >= since + POLL_HOLD => Reply::NotYet,
+            // It was answered at its hold time, however late the gateway reads that.
+            Some(r) if r.ended_at.is_some_and(|to| to >= since + POLL_HOLD) => Reply::Running,
+            Some(r) if r.succeeded => Reply::Succeeded,
+            Some(r) if r.ended_at.is_some() => Reply::Unknown,
+            Some(_) if self.now >= since + POLL_HOLD => Reply::Running,
             Some(_) => return None,
         };
-        Some(if spoilt { Reply::Spoilt } else { reply })
+        Some(if corrupted { Reply::Corrupted } else { reply })
     }
 }
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -1,50 +1,54 @@
-//! The calls of one attempt: its connection, its start, asking for it, giving it up.
+//! The exchanges of one attempt: its connection, its start, its polls, its cancellation.
 
-use super::figures::{CONNECT_TIMEOUT, POLL_HOLD, SLACK, STEP};
-use super::gateway::{Call, Doing, Reply};
-use super::{Slip, World};
+use super::figures::{CONNECT_TIMEOUT, DEADLINE_TOLERANCE, POLL_HOLD, STEP};
+use super::gateway::{AttemptPhase, Call, Reply};
+use super::{InjectedBug, Simulation};
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger::{
     weigh_reported_end, CallFailure, CancelStep, Evidence, PollStep, ReportVerdict,
 };
 
-impl World {
-    pub(super) fn drive(&mut self, n: usize) {
-        if self.now >= self.attempts[n].time_out && !self.attempts[n].late {
-            (self.attempts[n].late, self.attempts[n].unwanted) = (true, true);
+impl Simulation {
+    pub(super) fn advance_attempt(&mut self, n: usize) {
+        if self.now >= self.attempts[n].response_timeout && !self.attempts[n].timed_out {
+            (
+                self.attempts[n].timed_out,
+                self.attempts[n].cancel_requested,
+            ) = (true, true);
             let unsent = matches!(
-                self.attempts[n].doing,
-                Doing::Connects {
+                self.attempts[n].phase,
+                AttemptPhase::Connecting {
                     then: Call::Start,
                     ..
                 }
             );
-            if !unsent || self.slip == Slip::StartsLate {
-                self.in_doubt(n, AttemptEnd::TimedOut);
+            if !unsent || self.bug == InjectedBug::StartsAfterAnswer {
+                self.report_unknown_outcome(n, AttemptEnd::TimedOut);
             }
         }
-        match self.attempts[n].doing {
-            Doing::Connects { since, then } => self.connect(n, since, then),
-            Doing::Calls {
+        match self.attempts[n].phase {
+            AttemptPhase::Connecting { since, then } => self.connect(n, since, then),
+            AttemptPhase::AwaitingReply {
                 since,
                 call,
                 reached,
             } => self.await_reply(n, since, call, reached),
-            Doing::Pauses { until } if self.now >= until => {
-                self.attempts[n].doing = Doing::Connects {
+            AttemptPhase::Backoff { until } if self.now >= until => {
+                self.attempts[n].phase = AttemptPhase::Connecting {
                     since: self.now,
-                    then: Call::News,
+                    then: Call::Poll,
                 };
             }
-            Doing::Pauses { .. } => {}
-            Doing::GivesUp => {
+            AttemptPhase::Backoff { .. } => {}
+            AttemptPhase::Cancelling => {
                 let (now, id) = (self.ledger_now(), self.attempts[n].id);
-                let trusted = self.slip == Slip::TrustsRefusals && self.attempts[n].refused;
+                let trusted =
+                    self.bug == InjectedBug::TrustsConnectionRefused && self.attempts[n].refused;
                 match self.ledger.next_cancel_step(now, id) {
                     CancelStep::Finished(proof) => {
                         let never = proof == garnetwall_ledger::Proof::NeverReached;
                         let end = self.attempts[n].end.unwrap_or(AttemptEnd::Cancelled);
-                        self.over(
+                        self.end_attempt(
                             n,
                             if never {
                                 AttemptEnd::ConnectFailed
@@ -53,18 +57,18 @@
                             },
                         );
                     }
-                    _ if trusted => self.over(n, AttemptEnd::ConnectionLost),
+                    _ if trusted => self.end_attempt(n, AttemptEnd::ConnectionLost),
                     CancelStep::Wait(_) => {}
                     CancelStep::IdentifyProcess => {
-                        self.attempts[n].doing = Doing::Connects {
+                        self.attempts[n].phase = AttemptPhase::Connecting {
                             since: self.now,
-                            then: Call::News,
+                            then: Call::Poll,
                         };
                     }
                     CancelStep::Cancel(_) => {
-                        self.attempts[n].doing = Doing::Connects {
+                        self.attempts[n].phase = AttemptPhase::Connecting {
                             since: self.now,
-                            then: Call::GiveUp,
+                            then: Call::Cancel,
                         };
                     }
                 }
@@ -73,11 +77,14 @@
     }
 
     fn connect(&mut self, n: usize, since: u64, then: Call) {
-        if then == Call::Start && self.attempts[n].unwanted && self.slip != Slip::StartsLate {
-            self.tell(n, Evidence::NeverReached);
-            return self.over(
+        if then == Call::Start
+            && self.attempts[n].cancel_requested
+            && self.bug != InjectedBug::StartsAfterAnswer
+        {
+            self.record_evidence(n, Evidence::NeverReached);
+            return self.end_attempt(
                 n,
-                if self.attempts[n].late {
+                if self.attempts[n].timed_out {
                     AttemptEnd::NotNeeded
                 } else {
                     AttemptEnd::ConnectFailed
@@ -85,55 +92,59 @@
             );
         }
         let slot = self.processes[self.attempts[n].engine].slot;
-        if self.attempts[n].up.is_none() {
-            if self.is_cut(slot) {
+        if self.attempts[n].connected_to.is_none() {
+            if self.is_partitioned(slot) {
                 if self.now >= since + CONNECT_TIMEOUT {
-                    self.lost(n, then, CallFailure::Unanswered);
+                    self.call_failed(n, then, CallFailure::Unanswered);
                 }
                 return;
             }
-            let Some(process) = self.listens(slot) else {
-                self.tell(n, Evidence::ConnectionRefused);
+            let Some(process) = self.listening_process(slot) else {
+                self.record_evidence(n, Evidence::ConnectionRefused);
                 self.attempts[n].refused = true;
-                self.lost(n, then, CallFailure::Refused);
+                self.call_failed(n, then, CallFailure::Refused);
                 return;
             };
-            // Some connections come up late, and the batch may have its answer meanwhile.
-            let late = if self.rng.one_in(5) {
+            // Some connections are established late, and the query may be answered meanwhile.
+            let delay = if self.rng.one_in(5) {
                 self.rng.between(STEP, CONNECT_TIMEOUT)
             } else {
                 0
             };
-            if self.now < *self.attempts[n].comes_up.get_or_insert(self.now + late) {
+            if self.now
+                < *self.attempts[n]
+                    .established_at
+                    .get_or_insert(self.now + delay)
+            {
                 return;
             }
-            self.attempts[n].comes_up = None;
-            self.attempts[n].up = Some(process);
+            self.attempts[n].established_at = None;
+            self.attempts[n].connected_to = Some(process);
             self.attempts[n].connection += 1;
         }
-        if then != Call::GiveUp {
-            self.attempts[n].may_have_come = true;
-            self.tell(n, Evidence::RequestSent);
+        if then != Call::Cancel {
+            self.attempts[n].may_have_arrived = true;
+            self.record_evidence(n, Evidence::RequestSent);
         }
-        // A cut takes what is written into it; a reset may come under it.
-        let lost = self.is_cut(slot) || self.rng.one_in(12);
-        if lost && !self.is_cut(slot) {
-            self.attempts[n].up = None;
+        // A partition swallows what is written; a reset may break the connection.
+        let lost = self.is_partitioned(slot) || self.rng.one_in(12);
+        if lost && !self.is_partitioned(slot) {
+            self.attempts[n].connected_to = None;
         }
-        self.attempts[n].doing = Doing::Calls {
+        self.attempts[n].phase = AttemptPhase::AwaitingReply {
             since: self.now,
             call: then,
             reached: !lost,
         };
         if !lost {
-            self.arrives(n, then);
+            self.request_arrives(n, then);
         }
     }
 
     fn await_reply(&mut self, n: usize, since: u64, call: Call, reached: bool) {
-        if self.attempts[n].up.is_none() {
-            self.tell(n, Evidence::ConnectionLost(self.attempts[n].connection));
-            return self.lost(n, call, CallFailure::Unanswered);
+        if self.attempts[n].connected_to.is_none() {
+            self.record_evidence(n, Evidence::ConnectionLost(self.attempts[n].connection));
+            return self.call_failed(n, call, CallFailure::Unanswered);
         }
         let reply = if reached {
             self.reply(n, since, call)
@@ -141,66 +152,69 @@
             None
         };
         let Some(reply) = reply else {
-            if self.now > since + POLL_HOLD + SLACK {
-                self.drops(n);
-                self.lost(n, call, CallFailure::Unanswered);
+            if self.now > since + POLL_HOLD + DEADLINE_TOLERANCE {
+                self.close_connection(n);
+                self.call_failed(n, call, CallFailure::Unanswered);
             }
             return;
         };
         let on = self.attempts[n].connection;
         let now = self.ledger_now();
         match reply {
-            Reply::Spoilt => {
-                self.drops(n);
-                self.lost(n, call, CallFailure::Garbled);
+            Reply::Corrupted => {
+                self.close_connection(n);
+                self.call_failed(n, call, CallFailure::Garbled);
             }
-            Reply::Good => {
-                self.tell(n, Evidence::Ended);
+            Reply::Succeeded => {
+                self.record_evidence(n, Evidence::Ended);
                 if self.attempts[n].end.is_some() {
-                    return self.attempts[n].doing = Doing::GivesUp;
+                    return self.attempts[n].phase = AttemptPhase::Cancelling;
                 }
-                let unwanted = self.attempts[n].unwanted && self.attempts[n].late;
-                self.over(
+                let cancel_requested =
+                    self.attempts[n].cancel_requested && self.attempts[n].timed_out;
+                self.end_attempt(
                     n,
-                    if unwanted {
+                    if cancel_requested {
                         AttemptEnd::Cancelled
                     } else {
                         AttemptEnd::Succeeded
                     },
                 );
             }
-            Reply::Full => {
-                self.tell(n, Evidence::Ended);
-                self.over(n, AttemptEnd::Rejected);
+            Reply::Rejected => {
+                self.record_evidence(n, Evidence::Ended);
+                self.end_attempt(n, AttemptEnd::Rejected);
             }
             Reply::Unknown => {
-                self.tell(n, Evidence::ReportedFailed(on));
+                self.record_evidence(n, Evidence::ReportedFailed(on));
                 if self.attempts[n].end.is_some() {
-                    return self.attempts[n].doing = Doing::GivesUp;
+                    return self.attempts[n].phase = AttemptPhase::Cancelling;
                 }
                 let id = self.attempts[n].id;
-                let over =
-                    self.ledger.may_run_until(id).is_none() || self.slip == Slip::TrustsAddresses;
+                let over = self.ledger.may_run_until(id).is_none()
+                    || self.bug == InjectedBug::TrustsAddresses;
                 match weigh_reported_end(call == Call::Start, true, over) {
-                    ReportVerdict::Accepted => self.over(n, AttemptEnd::Failed),
-                    ReportVerdict::Interrupted => self.over(n, AttemptEnd::ConnectionLost),
-                    ReportVerdict::Inconclusive => self.doubts(n),
+                    ReportVerdict::Accepted => self.end_attempt(n, AttemptEnd::Failed),
+                    ReportVerdict::Interrupted => self.end_attempt(n, AttemptEnd::ConnectionLost),
+                    ReportVerdict::Inconclusive => self.abandon_with_unknown_outcome(n),
                 }
             }
-            Reply::GivenUp => {
-                self.tell(n, Evidence::Cancelled(on));
-                self.attempts[n].doing = Doing::GivesUp;
+            Reply::Cancelled => {
+                self.record_evidence(n, Evidence::Cancelled(on));
+                self.attempts[n].phase = AttemptPhase::Cancelling;
             }
-            Reply::NotYet => {
-                self.tell(n, Evidence::Running(on));
-                self.attempts[n].asking.answered(now);
-                match self.attempts[n].unwanted {
-                    _ if self.attempts[n].end.is_some() => self.attempts[n].doing = Doing::GivesUp,
-                    true => self.give_up(n, AttemptEnd::Cancelled),
+            Reply::Running => {
+                self.record_evidence(n, Evidence::Running(on));
+                self.attempts[n].poll_schedule.answered(now);
+                match self.attempts[n].cancel_requested {
+                    _ if self.attempts[n].end.is_some() => {
+                        self.attempts[n].phase = AttemptPhase::Cancelling
+                    }
+                    true => self.start_cancelling(n, AttemptEnd::Cancelled),
                     false => {
-                        self.attempts[n].doing = Doing::Connects {
+                        self.attempts[n].phase = AttemptPhase::Connecting {
                             since: self.now,
-                            then: Call::News,
+                            then: Call::Poll,
                         }
                     }
                 }
@@ -208,39 +222,39 @@
         }
     }
 
-    /// A connection of no further use; the process's machine hears of it, but for one that is cut off.
-    fn drops(&mut self, n: usize) {
-        self.tell(n, Evidence::ConnectionUnusable(self.attempts[n].connection));
-        let (batch, up) = (self.attempts[n].batch, self.attempts[n].up.take());
+    /// Closes a connection; the engine's machine notices it unless it is partitioned.
+    fn close_connection(&mut self, n: usize) {
+        self.record_evidence(n, Evidence::ConnectionUnusable(self.attempts[n].connection));
+        let (query, up) = (self.attempts[n].query, self.attempts[n].connected_to.take());
         let held = self
             .executions
             .iter_mut()
-            .filter(|r| r.batch == batch && Some(r.process) == up);
-        held.for_each(|r| r.held = None);
+            .filter(|r| r.query == query && Some(r.process) == up);
+        held.for_each(|r| r.poll_since = None);
     }
 
-    fn lost(&mut self, n: usize, call: Call, how: CallFailure) {
-        if call == Call::GiveUp || self.attempts[n].end.is_some() {
+    fn call_failed(&mut self, n: usize, call: Call, how: CallFailure) {
+        if call == Call::Cancel || self.attempts[n].end.is_some() {
             if how != CallFailure::Refused {
-                self.tell(n, Evidence::CancelFailed);
+                self.record_evidence(n, Evidence::CancelFailed);
             }
-            self.attempts[n].doing = Doing::GivesUp;
+            self.attempts[n].phase = AttemptPhase::Cancelling;
             return;
         }
-        if call == Call::Start && !self.attempts[n].may_have_come {
-            self.tell(n, Evidence::NeverReached);
-            return self.over(n, AttemptEnd::ConnectFailed);
+        if call == Call::Start && !self.attempts[n].may_have_arrived {
+            self.record_evidence(n, Evidence::NeverReached);
+            return self.end_attempt(n, AttemptEnd::ConnectFailed);
         }
-        if self.attempts[n].unwanted {
-            return self.give_up(n, AttemptEnd::Cancelled);
+        if self.attempts[n].cancel_requested {
+            return self.start_cancelling(n, AttemptEnd::Cancelled);
         }
         let now = self.ledger_now();
-        match self.attempts[n].asking.failed(now, how) {
+        match self.attempts[n].poll_schedule.failed(now, how) {
             PollStep::PollAgain(after) => {
                 let until = self.now + after.as_millis() as u64;
-                self.attempts[n].doing = Doing::Pauses { until };
+                self.attempts[n].phase = AttemptPhase::Backoff { until };
             }
-            PollStep::Stop => self.doubts(n),
+            PollStep::Stop => self.abandon_with_unknown_outcome(n),
         }
     }
 }
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -1,7 +1,7 @@
-//! The gateway's side: the module's orders, answers, and the attempts that are out.
+//! The gateway's side: the controller's actions, answers, and the attempts in flight.
 
-use super::figures::{BOUNDS, CONNECT_TIMEOUT, LONGEST_DEADLINE, SLACK, STEP};
-use super::{seconds, Rule, Slip, World};
+use super::figures::{BOUNDS, CONNECT_TIMEOUT, DEADLINE_TOLERANCE, LONGEST_DEADLINE, STEP};
+use super::{seconds, InjectedBug, Rule, Simulation};
 use garnetwall::api::*;
 use garnetwall_ledger::{AttemptId, Evidence, PollSchedule};
 use std::time::Duration;
@@ -9,83 +9,83 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Call {
     Start,
-    News,
-    GiveUp,
+    Poll,
+    Cancel,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Doing {
-    Connects {
+pub(super) enum AttemptPhase {
+    Connecting {
         since: u64,
         then: Call,
     },
-    Calls {
+    AwaitingReply {
         since: u64,
         call: Call,
         reached: bool,
     },
-    Pauses {
+    Backoff {
         until: u64,
     },
-    GivesUp,
+    Cancelling,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reply {
-    Good,
-    NotYet,
-    Full,
+    Succeeded,
+    Running,
+    Rejected,
     Unknown,
-    GivenUp,
-    Spoilt,
+    Cancelled,
+    Corrupted,
 }
 
-/// An attempt as the gateway sees it.
+/// An attempt as the gateway knows it.
 pub(super) struct Attempt {
-    pub(super) batch: QueryId,
+    pub(super) query: QueryId,
     pub(super) engine: EngineId,
     pub(super) number: u32,
     pub(super) id: AttemptId,
     pub(super) sent: u64,
-    pub(super) time_out: u64,
-    pub(super) doing: Doing,
-    pub(super) asking: PollSchedule,
-    /// The connection that is up, to which process.
-    pub(super) up: Option<usize>,
+    pub(super) response_timeout: u64,
+    pub(super) phase: AttemptPhase,
+    pub(super) poll_schedule: PollSchedule,
+    /// The process to which the connection is established.
+    pub(super) connected_to: Option<usize>,
     pub(super) connection: u32,
     pub(super) refused: bool,
-    /// When the connection that is coming up is there.
-    pub(super) comes_up: Option<u64>,
-    pub(super) may_have_come: bool,
-    pub(super) unwanted: bool,
-    pub(super) late: bool,
-    /// What the module is told once it is proved over.
+    /// When the pending connection will be established.
+    pub(super) established_at: Option<u64>,
+    pub(super) may_have_arrived: bool,
+    pub(super) cancel_requested: bool,
+    pub(super) timed_out: bool,
+    /// The end to report to the controller once it is proved.
     pub(super) end: Option<AttemptEnd>,
 }
 
-/// A query in hand, or one that is over.
+/// An active or completed query.
 pub(super) struct QueryRecord {
-    pub(super) group: usize,
+    pub(super) class: usize,
     pub(super) key: Option<u64>,
-    /// Where it stands among all that came.
-    pub(super) place: usize,
-    pub(super) limit: u64,
-    pub(super) left: bool,
+    /// Its position in the order of arrival.
+    pub(super) position: usize,
+    pub(super) deadline: u64,
+    pub(super) client_left: bool,
     pub(super) answered: Option<(u64, bool)>,
-    pub(super) dispatches: Vec<(u64, EngineId)>,
+    pub(super) attempts: Vec<(u64, EngineId)>,
 }
 
-impl World {
-    pub(super) fn gateway(&mut self) {
+impl Simulation {
+    pub(super) fn advance_gateway(&mut self) {
         for n in (0..self.attempts.len()).rev() {
-            self.drive(n);
+            self.advance_attempt(n);
         }
-        self.pump();
+        self.run_actions();
     }
 
-    fn pump(&mut self) {
+    fn run_actions(&mut self) {
         loop {
-            match self.control.next_action(seconds(self.now)) {
+            match self.controller.next_action(seconds(self.now)) {
                 NextAction::Wait(_) => return,
                 NextAction::Subscribe | NextAction::HealthCheck(_) => {}
                 NextAction::Cancel {
@@ -95,69 +95,72 @@
                     if let Some(o) = self
                         .attempts
                         .iter_mut()
-                        .find(|o| o.batch == id && o.number == n)
+                        .find(|o| o.query == id && o.number == n)
                     {
-                        o.unwanted = true;
+                        o.cancel_requested = true;
                     }
                 }
-                NextAction::Place(id) => match self.control.place(seconds(self.now), id) {
+                NextAction::Place(id) => match self.controller.place(seconds(self.now), id) {
                     Placement::Wait => {}
                     Placement::Answer(answer) => self.answer(id, answer),
                     Placement::Attempt {
                         engine,
-                        response_timeout: time_out,
+                        response_timeout,
                         ..
-                    } => self.send(id, engine, time_out),
+                    } => self.send(id, engine, response_timeout),
                 },
             }
         }
     }
 
     pub(super) fn answer(&mut self, id: QueryId, answer: FinalAnswer) {
-        let pushed_back = matches!(answer, FinalAnswer::Rejected { .. });
-        if self.slip == Slip::LosesAnswers && self.rng.one_in(20) {
+        let rejected = matches!(answer, FinalAnswer::Rejected { .. });
+        if self.bug == InjectedBug::DropsAnswers && self.rng.one_in(20) {
             return;
         }
-        self.answered(id, pushed_back);
+        self.answered(id, rejected);
     }
 
-    pub(super) fn answered(&mut self, id: QueryId, pushed_back: bool) {
-        let (now, starved) = (self.now, self.starved);
+    pub(super) fn answered(&mut self, id: QueryId, rejected: bool) {
+        let (now, pause) = (self.now, self.pause);
         let h = &mut self.queries[id as usize];
-        if h.left {
+        if h.client_left {
             return;
         }
-        if h.answered.replace((now, pushed_back)).is_some() {
-            self.breaks(Rule::Answer, format!("batch {id} has two answers"));
+        if h.answered.replace((now, rejected)).is_some() {
+            self.record_violation(Rule::Answer, format!("query {id} has two answers"));
             return;
         }
-        // A gateway that gets no time can't answer; it does so at once when it does.
-        let woke = if (starved.0..=starved.1 + STEP).contains(&h.limit) {
-            starved.1 + STEP
+        // A paused gateway answers as soon as it runs again.
+        let woke = if (pause.0..=pause.1 + STEP).contains(&h.deadline) {
+            pause.1 + STEP
         } else {
             0
         };
-        if now > h.limit.max(woke) + SLACK {
-            let limit = h.limit;
-            self.breaks(
+        if now > h.deadline.max(woke) + DEADLINE_TOLERANCE {
+            let deadline = h.deadline;
+            self.record_violation(
                 Rule::Answer,
-                format!("batch {id} answered after its limit {limit}"),
+                format!("query {id} answered after its deadline {deadline}"),
             );
         }
-        let ran = self.executions.iter().any(|r| r.batch == id);
-        if pushed_back && ran && self.queries[id as usize].group != 0 {
-            self.breaks(Rule::Effect, format!("batch {id} ran and was pushed back"));
+        let ran = self.executions.iter().any(|r| r.query == id);
+        if rejected && ran && self.queries[id as usize].class != 0 {
+            self.record_violation(
+                Rule::Idempotency,
+                format!("query {id} ran and was rejected"),
+            );
         }
     }
 
-    pub(super) fn send(&mut self, id: QueryId, engine: EngineId, time_out: f64) {
+    pub(super) fn send(&mut self, id: QueryId, engine: EngineId, response_timeout: f64) {
         self.judge_send(id, engine);
         let now = self.now;
         let h = &mut self.queries[id as usize];
-        let number = h.dispatches.len() as u32;
-        h.dispatches.push((now, engine));
+        let number = h.attempts.len() as u32;
+        h.attempts.push((now, engine));
         self.attempts.push(Attempt {
-            batch: id,
+            query: id,
             engine,
             number,
             id: self.ledger.open(
@@ -165,36 +168,36 @@
                 Duration::from_millis(LONGEST_DEADLINE),
             ),
             sent: now,
-            time_out: now + (time_out * 1000.0) as u64,
-            doing: Doing::Connects {
+            response_timeout: now + (response_timeout * 1000.0) as u64,
+            phase: AttemptPhase::Connecting {
                 since: now,
                 then: Call::Start,
             },
-            asking: PollSchedule::new(
+            poll_schedule: PollSchedule::new(
                 Duration::from_millis(now),
                 BOUNDS,
                 Duration::from_millis(CONNECT_TIMEOUT),
             ),
-            up: None,
+            connected_to: None,
             connection: 0,
             refused: false,
-            comes_up: None,
-            may_have_come: false,
-            unwanted: false,
-            late: false,
+            established_at: None,
+            may_have_arrived: false,
+            cancel_requested: false,
+            timed_out: false,
             end: None,
         });
     }
 
-    pub(super) fn tell(&mut self, n: usize, fact: Evidence) {
+    pub(super) fn record_evidence(&mut self, n: usize, fact: Evidence) {
         let now = self.ledger_now();
         self.ledger.record(now, self.attempts[n].id, fact);
     }
 
     fn outcome(&self, n: usize, end: AttemptEnd) -> AttemptOutcome {
         let o = &self.attempts[n];
-        let closed = self.queries[o.batch as usize].answered.is_some()
-            || self.queries[o.batch as usize].left;
+        let closed = self.queries[o.query as usize].answered.is_some()
+            || self.queries[o.query as usize].client_left;
         let latency = (self.now - o.sent) as f64 / 1000.0;
         let work = (end == AttemptEnd::Succeeded).then_some(latency);
         AttemptOutcome {
@@ -208,25 +211,28 @@
         }
     }
 
-    pub(super) fn in_doubt(&mut self, n: usize, end: AttemptEnd) {
-        let (id, outcome) = (self.attempts[n].batch, self.outcome(n, end));
+    pub(super) fn report_unknown_outcome(&mut self, n: usize, end: AttemptEnd) {
+        let (id, outcome) = (self.attempts[n].query, self.outcome(n, end));
         if let FollowUp::Answer(answer) =
-            self.control.outcome_unknown(seconds(self.now), id, outcome)
+            self.controller
+                .outcome_unknown(seconds(self.now), id, outcome)
         {
             self.answer(id, answer);
         }
     }
 
-    /// The dispatch is over as far as the gateway can know.
-    pub(super) fn over(&mut self, n: usize, end: AttemptEnd) {
-        let end = if self.attempts[n].late && end != AttemptEnd::NotNeeded {
+    /// Ends the attempt, as far as the gateway can know.
+    pub(super) fn end_attempt(&mut self, n: usize, end: AttemptEnd) {
+        let end = if self.attempts[n].timed_out && end != AttemptEnd::NotNeeded {
             AttemptEnd::TimedOut
         } else {
             end
         };
-        let (id, outcome) = (self.attempts[n].batch, self.outcome(n, end));
+        let (id, outcome) = (self.attempts[n].query, self.outcome(n, end));
         let closed = outcome.query_finished;
-        let next = self.control.attempt_ended(seconds(self.now), id, outcome);
+        let next = self
+            .controller
+            .attempt_ended(seconds(self.now), id, outcome);
         self.ledger.close(self.attempts[n].id);
         self.attempts.remove(n);
         match next {
@@ -236,15 +242,15 @@
         }
     }
 
-    pub(super) fn give_up(&mut self, n: usize, end: AttemptEnd) {
+    pub(super) fn start_cancelling(&mut self, n: usize, end: AttemptEnd) {
         self.attempts[n].end = Some(end);
-        self.attempts[n].doing = Doing::GivesUp;
+        self.attempts[n].phase = AttemptPhase::Cancelling;
     }
 
-    pub(super) fn doubts(&mut self, n: usize) {
-        if !self.attempts[n].unwanted {
-            self.in_doubt(n, AttemptEnd::ConnectionLost);
+    pub(super) fn abandon_with_unknown_outcome(&mut self, n: usize) {
+        if !self.attempts[n].cancel_requested {
+            self.report_unknown_outcome(n, AttemptEnd::ConnectionLost);
         }
-        self.give_up(n, AttemptEnd::ConnectionLost);
+        self.start_cancelling(n, AttemptEnd::ConnectionLost);
     }
 }
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! One gateway's world: what is there, and what can be looked up in it.
+//! The state of the simulation, and look-ups in it.
 
 mod day;
 mod engines;
@@ -19,31 +19,31 @@
 
 pub use judge::Rule;
 
-/// What the gateway does wrong on purpose.
+/// A bug that the simulated gateway has on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Slip {
+pub enum InjectedBug {
     None,
-    LosesAnswers,
-    TrustsRefusals,
+    DropsAnswers,
+    TrustsConnectionRefused,
     TrustsAddresses,
-    OverlooksDrains,
-    OverlooksColdness,
-    RestsNoKeys,
-    MixesArrivals,
-    OverlooksZones,
-    OverlooksBudget,
-    OverlooksNotes,
-    StartsLate,
+    IgnoresDraining,
+    IgnoresSlowStart,
+    PausesNoKeys,
+    ReordersArrivals,
+    IgnoresZones,
+    IgnoresRetryBudget,
+    IgnoresProgress,
+    StartsAfterAnswer,
 }
 
-pub struct World {
-    slip: Slip,
-    /// Engines tell notes, each of which keeps its attempt running.
-    notes: bool,
+pub struct Simulation {
+    bug: InjectedBug,
+    /// Whether engines report progress, which keeps an attempt running.
+    reports_progress: bool,
     rng: Rng,
     now: u64,
-    starved: (u64, u64),
-    control: AdmissionController,
+    pause: (u64, u64),
+    controller: AdmissionController,
     ledger: Ledger,
     processes: Vec<Process>,
     slots: Vec<Slot>,
@@ -51,28 +51,30 @@
     attempts: Vec<Attempt>,
     queries: Vec<QueryRecord>,
     retries: Vec<u64>,
-    broken: Vec<(Rule, String)>,
+    violations: Vec<(Rule, String)>,
 }
 
 fn seconds(ms: u64) -> f64 {
     1000.0 + ms as f64 / 1000.0
 }
 
-impl World {
+impl Simulation {
     pub(super) fn zone(&self, engine: EngineId) -> u32 {
         (self.processes[engine].slot % 2) as u32
     }
 
-    /// What the list says of a process at a time.
-    pub(super) fn line(&self, engine: EngineId, at: u64) -> Option<Endpoint> {
+    /// A process's entry in the endpoint list at a time.
+    pub(super) fn endpoint_at(&self, engine: EngineId, at: u64) -> Option<Endpoint> {
         let p = &self.processes[engine];
         let condition = match at {
-            _ if at < p.told_up => return None,
-            _ if at >= p.told_gone => EndpointState::Removed,
-            _ if at >= p.told && self.slip != Slip::OverlooksDrains => EndpointState::Draining,
+            _ if at < p.listed_at => return None,
+            _ if at >= p.removal_listed_at => EndpointState::Removed,
+            _ if at >= p.draining_listed_at && self.bug != InjectedBug::IgnoresDraining => {
+                EndpointState::Draining
+            }
             _ => EndpointState::Ready,
         };
-        let came_up = (p.up > 0).then(|| seconds(p.up));
+        let came_up = (p.started_at > 0).then(|| seconds(p.started_at));
         Some(Endpoint {
             engine,
             zone: self.zone(engine),
@@ -84,19 +86,21 @@
         })
     }
 
-    pub(super) fn listens(&self, slot: usize) -> Option<usize> {
+    pub(super) fn listening_process(&self, slot: usize) -> Option<usize> {
         let t = self.now;
-        let there = |p: &Process| p.slot == slot && p.up <= t && t < p.drains && t < p.dies;
+        let there = |p: &Process| {
+            p.slot == slot && p.started_at <= t && t < p.refuses_from && t < p.killed_at
+        };
         self.processes.iter().rposition(there)
     }
 
-    pub(super) fn is_cut(&self, slot: usize) -> bool {
-        let (from, to) = self.slots[slot].cut;
+    pub(super) fn is_partitioned(&self, slot: usize) -> bool {
+        let (from, to) = self.slots[slot].partition;
         (from..to).contains(&self.now)
     }
 
-    pub(super) fn is_starved(&self) -> bool {
-        (self.starved.0..self.starved.1).contains(&self.now)
+    pub(super) fn is_paused(&self) -> bool {
+        (self.pause.0..self.pause.1).contains(&self.now)
     }
 
     pub(super) fn ledger_now(&self) -> Duration {
--- a/crates/gateway/tests/world/random.rs
+++ b/crates/gateway/tests/world/random.rs
@@ -1,4 +1,4 @@
-//! The random draws of a world: one seed, one day.
+//! Random numbers of the simulation: one seed gives one day.
 
 pub(super) struct Rng(pub(super) u64);
 
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -1,66 +1,66 @@
-//! How a world begins: its engines, cuts and resets, and the module with its settings, all drawn from one seed.
+//! The initial state: engines, partitions and resets, and the controller with its settings, all drawn from one seed.
 
 use super::engines::{Process, Slot};
 use super::figures::{
-    BOUNDS, CORES, DAY, ENGINES, IDEMPOTENCY_WINDOW, KEY_REST, RETRY_BUDGET, SLOW_START, STEP,
+    BOUNDS, CORES, DAY, ENGINES, IDEMPOTENCY_WINDOW, KEY_PAUSE, RETRY_BUDGET, SLOW_START, STEP,
 };
 use super::random::Rng;
-use super::{seconds, Slip, World};
+use super::{seconds, InjectedBug, Simulation};
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
 use garnetwall_ledger::{Bounds, Ledger};
 
-impl World {
-    pub fn new(seed: u64, slip: Slip) -> World {
+impl Simulation {
+    pub fn new(seed: u64, bug: InjectedBug) -> Simulation {
         let mut rng = Rng(seed ^ 0x9e37_79b9_7f4a_7c15);
         rng.draw(2);
         let mut processes = Vec::new();
         for slot in 0..ENGINES {
-            let drains = rng.between(1000, 9000);
-            let dies = drains + rng.between(0, 5000);
-            let told = drains + rng.draw(3000);
-            let next = drains + rng.between(20, 4000);
-            let far = 10 * DAY;
-            let lasts = slot == 0 || rng.one_in(3);
-            let (drains, dies, told) = if lasts {
-                (far, far, far)
+            let refuses_from = rng.between(1000, 9000);
+            let killed_at = refuses_from + rng.between(0, 5000);
+            let draining_listed_at = refuses_from + rng.draw(3000);
+            let next = refuses_from + rng.between(20, 4000);
+            let never = 10 * DAY;
+            let runs_on = slot == 0 || rng.one_in(3);
+            let (refuses_from, killed_at, draining_listed_at) = if runs_on {
+                (never, never, never)
             } else {
-                (drains, dies, told)
+                (refuses_from, killed_at, draining_listed_at)
             };
-            let told_gone = dies.max(told) + rng.draw(2000);
+            let removal_listed_at = killed_at.max(draining_listed_at) + rng.draw(2000);
             processes.push(Process {
                 slot,
-                up: 0,
-                drains,
-                dies,
-                told_up: 0,
-                told,
-                told_gone,
+                started_at: 0,
+                refuses_from,
+                killed_at,
+                listed_at: 0,
+                draining_listed_at,
+                removal_listed_at,
             });
-            if !lasts {
-                // It takes the address, perhaps while the old one runs on.
-                let told_up = next + rng.draw(1000);
-                let heir = Process {
+            if !runs_on {
+                // It takes over the address, perhaps while the old process runs on.
+                let listed_at = next + rng.draw(1000);
+                let successor = Process {
                     slot,
-                    up: next,
-                    drains: far,
-                    dies: far,
-                    told_up,
-                    told: far,
-                    told_gone: far,
+                    started_at: next,
+                    refuses_from: never,
+                    killed_at: never,
+                    listed_at,
+                    draining_listed_at: never,
+                    removal_listed_at: never,
                 };
-                processes.push(heir);
+                processes.push(successor);
             }
         }
         let slots = (0..ENGINES).map(|_| {
             let from = rng.between(500, DAY);
-            let cut = if rng.one_in(3) {
+            let partition = if rng.one_in(3) {
                 (from, from + rng.between(500, 6000))
             } else {
                 (0, 0)
             };
             Slot {
-                cut,
+                partition,
                 resets: (0..rng.draw(5))
                     .map(|_| rng.between(300, DAY) / STEP * STEP)
                     .collect(),
@@ -71,14 +71,14 @@
             scope: DeduplicationScope::Zone,
             window: IDEMPOTENCY_WINDOW,
         };
-        let mut groups = vec![
-            group(Idempotency::Idempotent, false),
-            group(Idempotency::NonIdempotent, true),
-            group(referenced, true),
+        let mut classes = vec![
+            class(Idempotency::Idempotent, false),
+            class(Idempotency::NonIdempotent, true),
+            class(referenced, true),
         ];
-        groups[0].zones = (slip != Slip::OverlooksZones).then(|| vec![0]);
+        classes[0].zones = (bug != InjectedBug::IgnoresZones).then(|| vec![0]);
         let settings = Settings {
-            classes: groups,
+            classes,
             tenants: 1,
             gateways: 1.0,
             kind_cores: vec![Some(CORES)],
@@ -86,32 +86,32 @@
             retry_after_allowed: true,
             max_retry_after: 1.0,
             max_attempts: 4,
-            key_pause: if slip == Slip::RestsNoKeys {
+            key_pause: if bug == InjectedBug::PausesNoKeys {
                 0.0
             } else {
-                KEY_REST as f64 / 1000.0
+                KEY_PAUSE as f64 / 1000.0
             },
-            retry_budget: (slip != Slip::OverlooksBudget).then_some(RETRY_BUDGET),
-            slow_start: (slip != Slip::OverlooksColdness).then_some(SLOW_START),
+            retry_budget: (bug != InjectedBug::IgnoresRetryBudget).then_some(RETRY_BUDGET),
+            slow_start: (bug != InjectedBug::IgnoresSlowStart).then_some(SLOW_START),
             ..Settings::default()
         };
-        let starved = rng.between(1000, DAY);
-        let starved = if rng.one_in(2) {
-            (starved, starved + rng.between(100, 2500))
+        let pause = rng.between(1000, DAY);
+        let pause = if rng.one_in(2) {
+            (pause, pause + rng.between(100, 2500))
         } else {
             (0, 0)
         };
-        let notes = (seed >> 8) % 4 == 1;
+        let reports_progress = (seed >> 8) % 4 == 1;
         let bounds = Bounds {
-            progress_events: notes && slip != Slip::OverlooksNotes,
+            progress_events: reports_progress && bug != InjectedBug::IgnoresProgress,
             ..BOUNDS
         };
-        let mut world = World {
-            slip,
-            notes,
+        let mut world = Simulation {
+            bug,
+            reports_progress,
             now: 0,
-            starved,
-            control: AdmissionController::new(settings, seed | 1, seconds(0)),
+            pause,
+            controller: AdmissionController::new(settings, seed | 1, seconds(0)),
             ledger: Ledger::new(bounds),
             processes,
             slots,
@@ -119,18 +119,18 @@
             attempts: Vec::new(),
             queries: Vec::new(),
             retries: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             rng,
         };
         let lines: Vec<Endpoint> = (0..world.processes.len())
-            .filter_map(|e| world.line(e, 0))
+            .filter_map(|e| world.endpoint_at(e, 0))
             .collect();
-        world.control.update_endpoints(&lines, true);
+        world.controller.update_endpoints(&lines, true);
         world
     }
 }
 
-fn group(effect: Idempotency, in_order: bool) -> QueryClass {
+fn class(effect: Idempotency, in_order: bool) -> QueryClass {
     QueryClass {
         latency_objective: 2.0,
         latency_objective_stretch: 2.0,
