--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -693,7 +693,7 @@
             surroundings.with_engines(&[endpoint("s-1", surroundings.engine.address, "DELETED")]),
             false,
         ),
-        ("an engine with little told", surroundings.with_engines(&[cold]), true),
+        ("an engine with few fields", surroundings.with_engines(&[cold]), true),
         ("1024 engines that nobody runs", surroundings.with_engines(&many(1024)), false),
     ];
     // Stopping takes each 0.7 s.
@@ -718,7 +718,7 @@
         .as_f64()
         .unwrap();
     let team = config["settings"]["tenants"][0].is_object();
-    let mut batch = || {
+    let mut send_query = || {
         let fields = request_fields(&new_id(), allowed as u32);
         let fields = if team {
             fields
@@ -728,10 +728,10 @@
         gateway.query(&fields, case)
     };
     let started_at = Instant::now();
-    let mut status = batch();
+    let mut status = send_query();
     // On a busy machine a connection may be established too late; a rejected client retries.
     while returned && status == 503 && started_at.elapsed() < RESPONSE_TIMEOUT {
-        status = batch();
+        status = send_query();
     }
     let accepted = if returned {
         status == 200
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -572,7 +572,7 @@
         gateway.peak_memory_mib()
     );
     println!(
-        "of {} bodies {succeeded} returned, {rejected} pushed back, {} MiB at most",
+        "of {} bodies {succeeded} succeeded, {rejected} rejected, {} MiB at most",
         answers.len(),
         gateway.peak_memory_mib()
     );
--- a/crates/gateway/tests/reconnect.rs
+++ b/crates/gateway/tests/reconnect.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn gateways_that_lose_the_log_together_are_spread_over_a_pause() {
+fn gateways_that_lose_the_log_together_reconnect_spread_over_a_backoff() {
     for lasted in [Duration::ZERO, Duration::from_secs(60)] {
         let mut fleet: Vec<Reconnect> = (0..300).map(|seed| Reconnect::new(PAUSE, seed)).collect();
         for round in 0..10 {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn two_silent_connections_and_their_pauses_leave_time_however_long_a_connection_may_take() {
+fn backoff_after_two_silent_connections_is_bounded_for_any_dial_timeout() {
     let mut reconnect = Reconnect::new(Duration::from_secs(3), 7);
     assert!((0..1000).all(|_| reconnect.wait(Duration::from_millis(2500)) < MAX_PAUSE));
 }
--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -49,8 +49,8 @@
     script: impl Fn(&Connection, &str) + Send + Sync + 'static,
 ) {
     let engine = Engine::start();
-    let told = event_text(&list(&engine, others));
-    let log = ScriptedLog::start(move |connection| script(connection, &told));
+    let event = event_text(&list(&engine, others));
+    let log = ScriptedLog::start(move |connection| script(connection, &event));
     let mut config = config(free_address(), log.address);
     config["known"]["results"] = json!([]);
     let address = config["listen"].as_str().unwrap().parse().unwrap();
@@ -74,7 +74,7 @@
         let waited = log.statistics.first().unwrap_or(started).elapsed();
         assert!(
             waited < PUBLICATION_LIMIT,
-            "{name}: not heard, {} connections",
+            "{name}: list not applied, {} connections",
             log.statistics.connections()
         );
         sleep(ms(10));
@@ -84,7 +84,10 @@
         "{name}: {after:?}, {} connections",
         log.statistics.connections()
     );
-    assert!(after < PUBLICATION_LIMIT, "{name}: heard after {after:?}");
+    assert!(
+        after < PUBLICATION_LIMIT,
+        "{name}: list applied after {after:?}"
+    );
     assert!(
         most_open <= MAX_OPEN_CONNECTIONS,
         "{name}: {most_open} open at once"
@@ -106,10 +109,10 @@
         assert_applied_in_time(
             &format!("first line after {late} ms"),
             0,
-            move |connection, told| {
+            move |connection, event| {
                 connection.write(HEAD);
                 sleep(ms(late));
-                connection.write(told);
+                connection.write(event);
                 connection.send_keepalives();
             },
         );
@@ -122,10 +125,10 @@
         assert_applied_in_time(
             &format!("answer after {late} ms"),
             0,
-            move |connection, told| {
+            move |connection, event| {
                 sleep(ms(late));
                 connection.write(HEAD);
-                connection.write(told);
+                connection.write(event);
                 connection.send_keepalives();
             },
         );
@@ -138,13 +141,13 @@
         assert_applied_in_time(
             &format!("first after {late} ms, others reset"),
             0,
-            move |connection, told| {
+            move |connection, event| {
                 if connection.number > 0 {
                     return connection.reset_on_end();
                 }
                 sleep(ms(late));
                 connection.write(HEAD);
-                connection.write(told);
+                connection.write(event);
                 connection.send_keepalives();
             },
         );
@@ -157,8 +160,8 @@
         assert_applied_in_time(
             &format!("twelve pieces {apart} ms apart"),
             0,
-            move |connection, told| {
-                connection.write_in_pieces(&format!("{HEAD}{told}"), 12, ms(apart));
+            move |connection, event| {
+                connection.write_in_pieces(&format!("{HEAD}{event}"), 12, ms(apart));
                 connection.send_keepalives();
             },
         );
@@ -172,9 +175,9 @@
         assert_applied_in_time(
             &format!("{ENGINES} engines at {rate} bytes/s"),
             ENGINES,
-            move |connection, told| {
+            move |connection, event| {
                 connection.write(HEAD);
-                connection.write_at_rate(told, rate);
+                connection.write_at_rate(event, rate);
                 connection.send_keepalives();
             },
         );
@@ -187,12 +190,12 @@
         assert_applied_in_time(
             &format!("{silent} silent, then a good one"),
             0,
-            move |connection, told| {
+            move |connection, event| {
                 if connection.number < silent {
                     return connection.wait_for_close();
                 }
                 connection.write(HEAD);
-                connection.write(told);
+                connection.write(event);
                 connection.send_keepalives();
             },
         );
@@ -206,11 +209,11 @@
         assert_applied_in_time(
             &format!("a comment at once, the list after {late} ms"),
             0,
-            move |connection, told| {
+            move |connection, event| {
                 connection.write(HEAD);
                 connection.write(COMMENT);
                 sleep(ms(late));
-                connection.write(told);
+                connection.write(event);
                 connection.send_keepalives();
             },
         );
@@ -219,94 +222,94 @@
 
 #[test]
 fn late_list_is_applied_after_two_silent_connections() {
-    assert_applied_in_time("two silent, others 2 s late", 0, |connection, told| {
+    assert_applied_in_time("two silent, others 2 s late", 0, |connection, event| {
         if connection.number < 2 {
             return connection.wait_for_close();
         }
         sleep(ms(2000));
         connection.write(HEAD);
-        connection.write(told);
+        connection.write(event);
         connection.send_keepalives();
     });
 }
 
-/// Bytes alone hold a connection for a time, not for ever, and keep no better one out.
+/// Incomplete lines keep a connection open for a limited time, and do not prevent a further one.
 #[test]
-fn behind_three_connections_that_trickle_a_list_is_heard() {
-    assert_applied_in_time("three trickle, then a good one", 0, |connection, told| {
+fn list_is_applied_after_three_trickling_connections() {
+    assert_applied_in_time("three trickle, then a good one", 0, |connection, event| {
         connection.write(HEAD);
         if connection.number < 3 {
             connection.write_in_pieces(&"x".repeat(100), 100, ms(200));
             return;
         }
-        connection.write(told);
+        connection.write(event);
         connection.send_keepalives();
     });
 }
 
-/// A gateway in service with two engines; its log falls silent as one of them begins to drain, and each later connection is
-/// answered so late.
-fn sends_nothing_to_a_drained_engine(late: Duration) {
+/// A serving gateway with two engines: its log falls silent as one of them begins to drain, and answers each later connection
+/// after `late`.
+fn assert_drained_engine_gets_no_attempt(late: Duration) {
     let (drained, other) = (Engine::start(), Engine::start());
-    let lines = |state: &str| {
+    let endpoints = |state: &str| {
         [
             endpoint("s-0", drained.address, state),
             endpoint("s-1", other.address, "SERVING"),
         ]
     };
-    let first = event_text(&list_event(1, true, &lines("SERVING")));
-    let drain = event_text(&list_event(2, false, &lines("DRAINING")[..1]));
-    let told: Arc<OnceLock<Instant>> = Arc::default();
-    let when = told.clone();
+    let first_event = event_text(&list_event(1, true, &endpoints("SERVING")));
+    let drain_event = event_text(&list_event(2, false, &endpoints("DRAINING")[..1]));
+    let published_at: Arc<OnceLock<Instant>> = Arc::default();
+    let publish_time = published_at.clone();
     let log = ScriptedLog::start(move |connection| {
         if connection.number > 0 {
             sleep(late);
             connection.write(HEAD);
-            connection.write(&drain);
+            connection.write(&drain_event);
             return connection.send_keepalives();
         }
         connection.write(HEAD);
-        connection.write(&first);
+        connection.write(&first_event);
         for _ in 0..3 {
             connection.write(COMMENT);
             sleep(ms(1000));
         }
-        when.get_or_init(Instant::now);
+        publish_time.get_or_init(Instant::now);
         connection.wait_for_close();
     });
     let service = Service::with(|config| {
         config["changelog"] = json!(log.address.to_string());
         config["settings"]["allowed"]["may-probe"] = json!(false);
     });
-    wait_until("both engines are sent to", || {
+    wait_until("both engines get attempts", || {
         service.query("report", "SELECT 1");
         drained.calls("POST") > 0 && other.calls("POST") > 0
     });
-    let told = loop {
-        match told.get() {
-            Some(told) => break *told,
+    let published_at = loop {
+        match published_at.get() {
+            Some(published_at) => break *published_at,
             None => assert!(service.query("report", "SELECT 1").succeeded()),
         }
     };
-    while told.elapsed() < PUBLICATION_LIMIT + SOCKET_TOLERANCE {
+    while published_at.elapsed() < PUBLICATION_LIMIT + SOCKET_TOLERANCE {
         assert!(service.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
     let before = drained.calls("POST");
-    while told.elapsed() < PUBLICATION_LIMIT + ms(5000) {
+    while published_at.elapsed() < PUBLICATION_LIMIT + ms(5000) {
         assert!(service.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
     let after = drained.calls("POST") - before;
     assert_eq!(
         after, 0,
-        "attempts at the draining engine later than 7.05 s after it was told"
+        "attempts at the draining engine later than 7.05 s after publication"
     );
 }
 
 #[test]
 fn drained_engine_gets_no_attempt_while_the_log_responds_late() {
     run_concurrently([500, 3000, 4000], |late| {
-        sends_nothing_to_a_drained_engine(ms(late))
+        assert_drained_engine_gets_no_attempt(ms(late))
     });
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -621,7 +621,7 @@
 
 /// An unhandled SIGHUP ended the gateway on each new configuration.
 #[test]
-fn sighup_follows_the_new_change_log_and_keeps_the_old_file_where_the_new_one_is_faulty() {
+fn sighup_follows_the_new_change_log_and_keeps_the_old_configuration_if_the_new_one_is_faulty() {
     let path = write_config(&Value::Null);
     let mut service = Service::with_launcher(
         |_| {},
