--- a/crates/bench-adapter/src/endpoints.rs
+++ b/crates/bench-adapter/src/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint lists of the wire.
 
-use crate::fields::{Address, FieldReader, Malformed, Read};
+use crate::fields::{Address, FieldReader, Malformed, ReadResult};
 use garnetwall::api::EndpointState;
 
 /// Bytes of one entry of an endpoint list.
@@ -19,7 +19,7 @@
 }
 
 /// Reads a list: its length, then its entries.
-pub fn read_list(fields: &mut FieldReader) -> Read<Vec<EndpointEntry>> {
+pub fn read_list(fields: &mut FieldReader) -> ReadResult<Vec<EndpointEntry>> {
     let entries = fields.u32("list length")? as usize;
     let bytes = entries.checked_mul(ENTRY_BYTES).ok_or(Malformed {
         what: "list length: impossible".into(),
@@ -31,7 +31,7 @@
         .collect()
 }
 
-fn read_entry(fields: &mut FieldReader) -> Read<EndpointEntry> {
+fn read_entry(fields: &mut FieldReader) -> ReadResult<EndpointEntry> {
     fields.f32("size")?;
     let address = fields.address()?;
     let zone = u32::from(fields.u16("zone")?);
--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -1,7 +1,7 @@
 //! Events of the wire, decoded and handed to an instance's decision module. Those for an instance that is not attached
 //! are read and passed over.
 
-use crate::fields::{Address, FieldReader, Read};
+use crate::fields::{Address, FieldReader, ReadResult};
 use crate::instance::{Instance, OwedAnswer};
 use crate::protocol::{attempt_end, incoming, progress};
 use garnetwall::api::{AttemptEnd, AttemptOutcome, FollowUp, LoadReport, Progress, Query};
@@ -10,7 +10,8 @@
 const STREAM_HEAD_BYTES: usize = 4 + 2 + 6 + 8;
 /// Bit of a query's flags that says that its estimated work is of use.
 const HAS_ESTIMATED_WORK: u8 = 1;
-/// Measured work and memory share a field: work in milliseconds from this bit on, memory in units of 4 MB below it.
+/// Measured work and memory share a field: divided by this it is work in milliseconds, the remainder is memory in units of
+/// 4 MB.
 const MEASURED_MEMORY_RANGE: u32 = 4096;
 const MEASURED_MEMORY_UNIT_MB: f64 = 4.0;
 
@@ -25,7 +26,7 @@
         code: u8,
         clock: f64,
         fields: &mut FieldReader,
-    ) -> Read<()> {
+    ) -> ReadResult<()> {
         match code {
             incoming::CLIENT_LEFT => client_left(instance, clock, fields),
             incoming::PEER_MESSAGE => {
@@ -59,7 +60,11 @@
     }
 }
 
-fn client_left(instance: Option<&mut Instance>, clock: f64, fields: &mut FieldReader) -> Read<()> {
+fn client_left(
+    instance: Option<&mut Instance>,
+    clock: f64,
+    fields: &mut FieldReader,
+) -> ReadResult<()> {
     let wire_id = fields.u32("batch id")?;
     let Some(instance) = instance else {
         return Ok(());
@@ -75,7 +80,7 @@
     instance: Option<&mut Instance>,
     clock: f64,
     fields: &mut FieldReader,
-) -> Read<()> {
+) -> ReadResult<()> {
     let wire_id = fields.u32("batch id")?;
     let query = read_query(fields)?;
     let Some(instance) = instance else {
@@ -93,7 +98,7 @@
 }
 
 /// A query's fields after its id; its number is not given yet.
-fn read_query(fields: &mut FieldReader) -> Read<Query> {
+fn read_query(fields: &mut FieldReader) -> ReadResult<Query> {
     let class = usize::from(fields.u8("service group")?);
     let tenant = fields.u32("tenant")? as usize;
     let ordering_key = Some(fields.u64("key")?).filter(|key| *key != 0);
@@ -130,7 +135,7 @@
     report_values: Vec<f64>,
 }
 
-fn read_outcome(fields: &mut FieldReader) -> Read<WireOutcome> {
+fn read_outcome(fields: &mut FieldReader) -> ReadResult<WireOutcome> {
     let wire_id = fields.u32("batch id")?;
     let attempt = u32::from(fields.u16("dispatch")?);
     let address = fields.address()?;
@@ -153,7 +158,11 @@
     })
 }
 
-fn outcome(instance: Option<&mut Instance>, clock: f64, fields: &mut FieldReader) -> Read<()> {
+fn outcome(
+    instance: Option<&mut Instance>,
+    clock: f64,
+    fields: &mut FieldReader,
+) -> ReadResult<()> {
     let read = read_outcome(fields)?;
     let Some(instance) = instance else {
         return Ok(());
@@ -187,7 +196,7 @@
     instance: Option<&mut Instance>,
     clock: f64,
     fields: &mut FieldReader,
-) -> Read<()> {
+) -> ReadResult<()> {
     let end = read_end(fields)?;
     fields.time("latency")?;
     let address = fields.address()?;
@@ -207,7 +216,7 @@
     instance: Option<&mut Instance>,
     clock: f64,
     fields: &mut FieldReader,
-) -> Read<()> {
+) -> ReadResult<()> {
     let wire_id = fields.u32("batch id")?;
     let amount = fields.f32("amount")?;
     let attempt = u32::from(fields.u16("dispatch")?);
@@ -215,7 +224,9 @@
     let progress = match fields.u8("sort of note")? {
         progress::COMPLETED => not_negative(amount).map(Progress::Completed),
         progress::SPILLING => not_negative(amount).map(Progress::Spilling),
-        progress::WAITING if amount == progress::AMOUNT_OF_LOAD => Some(Progress::WaitingForLoad),
+        progress::WAITING if amount == progress::WAITING_FOR_LOAD_AMOUNT => {
+            Some(Progress::WaitingForLoad)
+        }
         progress::WAITING => Some(Progress::WaitingForMemory),
         other => return fields.malformed(format!("unknown sort of note {other}")),
     };
@@ -230,7 +241,7 @@
     Ok(())
 }
 
-fn read_end(fields: &mut FieldReader) -> Read<AttemptEnd> {
+fn read_end(fields: &mut FieldReader) -> ReadResult<AttemptEnd> {
     let code = fields.u8("outcome")?;
     match attempt_end(code) {
         Some(end) => Ok(end),
@@ -238,7 +249,7 @@
     }
 }
 
-fn read_report_values(fields: &mut FieldReader) -> Read<Vec<f64>> {
+fn read_report_values(fields: &mut FieldReader) -> ReadResult<Vec<f64>> {
     let count = usize::from(fields.u8("report length")?);
     (0..count).map(|_| fields.f32("report value")).collect()
 }
--- a/crates/bench-adapter/src/fields.rs
+++ b/crates/bench-adapter/src/fields.rs
@@ -18,7 +18,7 @@
 }
 
 /// A field or record that was read.
-pub type Read<T> = Result<T, Malformed>;
+pub type ReadResult<T> = Result<T, Malformed>;
 
 /// Four bytes of address and a port, given back as they came.
 pub type Address = [u8; 6];
@@ -39,14 +39,14 @@
     }
 
     /// Says that what was just read is wrong.
-    pub fn malformed<T>(&self, what: impl Into<String>) -> Read<T> {
+    pub fn malformed<T>(&self, what: impl Into<String>) -> ReadResult<T> {
         Err(Malformed {
             what: what.into(),
             offset: self.offset,
         })
     }
 
-    pub fn bytes(&mut self, count: usize, name: &str) -> Read<&'a [u8]> {
+    pub fn bytes(&mut self, count: usize, name: &str) -> ReadResult<&'a [u8]> {
         let remaining = &self.bytes[self.offset..];
         if remaining.len() < count {
             return self.malformed(format!(
@@ -58,38 +58,38 @@
         Ok(&remaining[..count])
     }
 
-    fn array<const N: usize>(&mut self, name: &str) -> Read<[u8; N]> {
+    fn array<const N: usize>(&mut self, name: &str) -> ReadResult<[u8; N]> {
         let mut array = [0; N];
         array.copy_from_slice(self.bytes(N, name)?);
         Ok(array)
     }
 
-    pub fn u8(&mut self, name: &str) -> Read<u8> {
+    pub fn u8(&mut self, name: &str) -> ReadResult<u8> {
         Ok(self.array::<1>(name)?[0])
     }
 
-    pub fn u16(&mut self, name: &str) -> Read<u16> {
+    pub fn u16(&mut self, name: &str) -> ReadResult<u16> {
         Ok(u16::from_be_bytes(self.array(name)?))
     }
 
-    pub fn u32(&mut self, name: &str) -> Read<u32> {
+    pub fn u32(&mut self, name: &str) -> ReadResult<u32> {
         Ok(u32::from_be_bytes(self.array(name)?))
     }
 
-    pub fn u64(&mut self, name: &str) -> Read<u64> {
+    pub fn u64(&mut self, name: &str) -> ReadResult<u64> {
         Ok(u64::from_be_bytes(self.array(name)?))
     }
 
-    pub fn f32(&mut self, name: &str) -> Read<f64> {
+    pub fn f32(&mut self, name: &str) -> ReadResult<f64> {
         Ok(f64::from(f32::from_be_bytes(self.array(name)?)))
     }
 
-    pub fn f64(&mut self, name: &str) -> Read<f64> {
+    pub fn f64(&mut self, name: &str) -> ReadResult<f64> {
         Ok(f64::from_be_bytes(self.array(name)?))
     }
 
     /// Milliseconds on the wire, seconds here; a number that is none is malformed.
-    pub fn time(&mut self, name: &str) -> Read<f64> {
+    pub fn time(&mut self, name: &str) -> ReadResult<f64> {
         let milliseconds = self.f64(name)?;
         if !milliseconds.is_finite() {
             return self.malformed(format!("{name}: not a finite time"));
@@ -97,7 +97,7 @@
         Ok(milliseconds / 1000.0)
     }
 
-    pub fn address(&mut self) -> Read<Address> {
+    pub fn address(&mut self) -> ReadResult<Address> {
         self.array("engine address")
     }
 }
--- a/crates/bench-adapter/src/protocol.rs
+++ b/crates/bench-adapter/src/protocol.rs
@@ -38,13 +38,13 @@
     pub const FAILED: u8 = 3;
 }
 
-/// Sorts of a progress event.
+/// Kinds of a progress event.
 pub mod progress {
     pub const COMPLETED: u8 = 1;
     pub const SPILLING: u8 = 2;
     pub const WAITING: u8 = 3;
-    /// The amount of a waiting event that waits for a load.
-    pub const AMOUNT_OF_LOAD: f64 = 2.0;
+    /// The amount that marks a waiting event as waiting for a load of its data set.
+    pub const WAITING_FOR_LOAD_AMOUNT: f64 = 2.0;
 }
 
 /// The end of an attempt by its code; `None` for one that the wire does not have.
--- a/crates/bench-adapter/src/session.rs
+++ b/crates/bench-adapter/src/session.rs
@@ -1,7 +1,7 @@
 //! One process on the wire: the numbered endpoint lists, and the records of a frame handed to their instances.
 
 use crate::endpoints::{read_list, EndpointEntry};
-use crate::fields::{FieldReader, Read, ReplyWriter};
+use crate::fields::{FieldReader, ReadResult, ReplyWriter};
 use crate::frame::Frame;
 use crate::instance::Instance;
 use crate::protocol::{incoming, list_kind};
@@ -20,7 +20,7 @@
     /// # Errors
     ///
     /// A record is malformed, or there are fewer or more than announced.
-    pub fn process(&mut self, frame: &Frame) -> Read<Vec<u8>> {
+    pub fn process(&mut self, frame: &Frame) -> ReadResult<Vec<u8>> {
         let mut fields = FieldReader::new(&frame.body);
         let mut touched: Vec<u16> = Vec::new();
         let mut selected = None;
@@ -73,7 +73,7 @@
         code: u8,
         clock: f64,
         fields: &mut FieldReader,
-    ) -> Read<()> {
+    ) -> ReadResult<()> {
         match code {
             incoming::ATTACH_INSTANCE => self.attach(number, clock, fields),
             incoming::DETACH_INSTANCE => {
@@ -85,7 +85,7 @@
         }
     }
 
-    fn attach(&mut self, number: u16, clock: f64, fields: &mut FieldReader) -> Read<()> {
+    fn attach(&mut self, number: u16, clock: f64, fields: &mut FieldReader) -> ReadResult<()> {
         let seed = fields.u64("seed")?;
         let length = fields.u32("settings length")? as usize;
         let bytes = fields.bytes(length, "settings")?;
@@ -101,7 +101,7 @@
         }
     }
 
-    fn update_endpoints(&mut self, number: u16, fields: &mut FieldReader) -> Read<()> {
+    fn update_endpoints(&mut self, number: u16, fields: &mut FieldReader) -> ReadResult<()> {
         let kind = fields.u8("list kind")?;
         fields.u32("list version")?;
         let list_number = fields.u32("list number")?;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -17,7 +17,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A query as routing sees it; groups and tenants are the settings' indices.
+/// A query as routing sees it; classes and tenants are the settings' indices.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutedQuery {
     /// Index of its query class.
@@ -45,12 +45,12 @@
     pub tenants: Vec<String>,
 }
 
-/// A way that queries may go: pools by preference, within the pools that their groups are bound to.
+/// A way that queries may go: pools by preference, within the pools that their classes are bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSubset {
     /// Pools by preference; every engine where it is empty.
     pub pools: Vec<usize>,
-    /// For each group that binds, the pools that its queries never leave.
+    /// For each class with such a rule, the pools that its queries never leave.
     pub required_pools: Vec<Vec<usize>>,
 }
 
@@ -64,12 +64,12 @@
 /// What a plan says of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// Pushed back, by this route, whose `refuse` says why.
+    /// Rejected by this route, whose `reject_reason` says why.
     Rejected {
         /// Index of the route.
         route: usize,
     },
-    /// Its statement is over what its group may have, in bytes.
+    /// Its statement is over what its class may have, in bytes.
     StatementTooLong {
         /// The longest statement of its class.
         max_bytes: u64,
@@ -85,7 +85,7 @@
     },
 }
 
-/// What stands for a route, or for none, and a group.
+/// How queries of a class that took a route, or none, go on.
 #[derive(Clone, Copy, Debug)]
 struct Target {
     class: usize,
@@ -107,7 +107,7 @@
     /// For each dimension a row for each class: the routes that let it through.
     matching_routes: [Vec<u64>; garnetwall_plan::region::DIMENSIONS],
     subsets: Vec<EndpointSubset>,
-    /// By route (the last is none) and group.
+    /// By route (the last is none) and query class.
     targets: Vec<Target>,
 }
 
@@ -201,9 +201,9 @@
         &self.names
     }
 
-    /// The plan's rules of a group of the settings.
-    pub fn class_rules(&self, group: usize) -> Option<&ClassRules> {
-        self.plan.class(self.names.classes.get(group)?)
+    /// The plan's rules of a query class of the settings.
+    pub fn class_rules(&self, class: usize) -> Option<&ClassRules> {
+        self.plan.class(self.names.classes.get(class)?)
     }
 
     /// All endpoint subsets that a query may be confined to.
@@ -213,10 +213,11 @@
 
     /// The first route that takes a query.
     pub fn route(&self, query: &RoutedQuery) -> Option<usize> {
-        let other = |known: &[usize], n: usize| known.get(n).copied().unwrap_or_default();
+        let value_class =
+            |known: &[usize], index: usize| known.get(index).copied().unwrap_or_default();
         let point = [
-            other(&self.query_class_rows, query.class),
-            other(&self.tenant_rows, query.tenant),
+            value_class(&self.query_class_rows, query.class),
+            value_class(&self.tenant_rows, query.tenant),
             self.value_classes.clients().class(query.client),
             usize::from(query.has_key),
             self.value_classes.data_set(query.data_set),
@@ -258,7 +259,7 @@
         }
     }
 
-    /// A query in the words of the plan, for the slow way and for logs.
+    /// A query in the words of the plan, for the plain model in tests and for logs.
     pub fn facts(&self, query: &RoutedQuery) -> QueryFacts<'_> {
         QueryFacts {
             class: self
--- a/crates/routing/src/sketch.rs
+++ b/crates/routing/src/sketch.rs
@@ -1,5 +1,5 @@
-//! What came for keys of which there are too many to keep one by one: a count-min sketch. Several keys share a cell,
-//! so that a key may be held to more than its own, and never to less.
+//! A count-min sketch of the usage of keys of which there are too many to count each. Several keys share a cell, so a key may
+//! be limited to less than its own, and is never allowed more.
 
 use std::hash::{BuildHasher, RandomState};
 use std::time::Duration;
@@ -61,19 +61,19 @@
     }
 
     /// A query was taken: one more in flight, and the times moved on to these.
-    pub fn add(&mut self, cells: &Cells, batches: Duration, bytes: Duration) {
+    pub fn add(&mut self, cells: &Cells, queries_due: Duration, bytes_due: Duration) {
         for cell in cells {
-            let load = &mut self.cells[*cell as usize];
-            load.in_flight += 1;
-            (load.queries_due, load.bytes_due) =
-                (load.queries_due.max(batches), load.bytes_due.max(bytes));
+            let usage = &mut self.cells[*cell as usize];
+            usage.in_flight += 1;
+            usage.queries_due = usage.queries_due.max(queries_due);
+            usage.bytes_due = usage.bytes_due.max(bytes_due);
         }
     }
 
     pub fn release(&mut self, cells: &Cells) {
         for cell in cells {
-            let load = &mut self.cells[*cell as usize];
-            load.in_flight = load.in_flight.saturating_sub(1);
+            let usage = &mut self.cells[*cell as usize];
+            usage.in_flight = usage.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/routing/src/zones.rs
+++ b/crates/routing/src/zones.rs
@@ -1,6 +1,7 @@
 //! Zone-aware load sharing: how healthy each zone looks from here, how much it may carry, and what share of the load goes
 //! where. Near zones come first; what they cannot carry spills to the next priority level by degrees; what fits nowhere
-//! is rejected. A zone that recovers gets its share by what it has shown it can carry, not by the clock. No I/O.
+//! is rejected. A zone that recovers gets its share by what it has shown it can carry, not by the clock. No I/O. Used by no
+//! gateway yet.
 //!
 //! Loads and capacities are in cores. docs/zones.md has the states and the reasons.
 
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -83,7 +83,7 @@
 const SUSTAINABLE_UTILISATION: f64 = 0.85;
 /// Seconds in which the observed load and the failure rate of an engine decay; answers from one engine are rare.
 const HEALTH_DECAY_SECONDS: f64 = 8.0;
-/// Seconds until a query that did not begin draws again, drawn evenly between these.
+/// Seconds until the random start of a query is tried again, evenly distributed between these.
 const MIN_REDRAW_DELAY_SECONDS: f64 = 0.02;
 const MAX_REDRAW_DELAY_SECONDS: f64 = 0.06;
 /// Seconds between two calls from which this process counts as having been stalled; ticks come far sooner.
@@ -91,7 +91,7 @@
 
 /// An attempt of a query, by its number from 0.
 #[derive(Clone, Copy)]
-struct AttemptId {
+struct AttemptRef {
     query: QueryId,
     attempt: u32,
 }
@@ -203,7 +203,7 @@
     subscription_due: bool,
     /// What waits is looked over for shedding once nothing more can begin.
     shedding_due: bool,
-    pending_cancellations: VecDeque<AttemptId>,
+    pending_cancellations: VecDeque<AttemptRef>,
     pending_health_checks: VecDeque<EngineId>,
     /// Queries that were given up and wait for their answer.
     abandoned: VecDeque<QueryId>,
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -2,7 +2,7 @@
 
 use super::query_state::{QueryPhase, QueryState};
 use super::timers::Timer;
-use super::{AdmissionController, AttemptId, TIME_MARGIN_SECONDS, WORK_DECAY_SECONDS};
+use super::{AdmissionController, AttemptRef, TIME_MARGIN_SECONDS, WORK_DECAY_SECONDS};
 use crate::api::{Query, QueryClass, QueryId};
 
 impl AdmissionController {
@@ -62,7 +62,7 @@
         self.observe_time(now);
         if let Some(state) = self.queries.get(&id) {
             if state.in_flight.is_some() && self.settings.cancellation_allowed {
-                let attempt = AttemptId {
+                let attempt = AttemptRef {
                     query: id,
                     attempt: state.last_attempt(),
                 };
--- a/src/controller/fair_queue.rs
+++ b/src/controller/fair_queue.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Default)]
 struct ClassQueue {
     queries: VecDeque<QueryId>,
-    /// Its head draws again for its start then, in seconds.
+    /// The random start of its head is tried again then, in seconds.
     held_until: f64,
 }
 
--- a/src/controller/load.rs
+++ b/src/controller/load.rs
@@ -142,9 +142,13 @@
         reported.max(inferred)
     }
 
-    /// Load of a whole kind with the query: by this gateway's share of its memory, and under pressure the mean of that, or of
-    /// its share of threads, with the kind's observed load. Many gateways that each begin few queries would begin too many
-    /// together: a share of one engine is under one query. `effective_cores` is the sum over the engines of the kind that are open to the query.
+    /// Load of a whole kind with the query. By this gateway's share of the kind's memory; under pressure the mean of the kind's
+    /// observed load and this gateway's share of threads or memory, whichever is fuller.
+    ///
+    /// A share of one engine is under one query, so that without this many gateways would each begin few queries and too many
+    /// together.
+    ///
+    /// `effective_cores` is the sum over the engines of the kind that are open to the query.
     pub(super) fn kind_load_with_query(
         &self,
         now: f64,
--- a/src/controller/stalled_attempts.rs
+++ b/src/controller/stalled_attempts.rs
@@ -4,7 +4,7 @@
 use super::load::{MAX_OBSERVED_LOAD, SLOWDOWN_AT_LOAD_LIMIT};
 use super::load_shedding::estimate_uncertainty;
 use super::query_state::QueryPhase;
-use super::{AdmissionController, AttemptId};
+use super::{AdmissionController, AttemptRef};
 use crate::api::{Idempotency, Progress, QueryId};
 
 /// Latency over bare work from which an attempt in flight counts as overdue, where the work is known well.
@@ -33,7 +33,7 @@
     }
 
     /// Looks at all attempts in flight: counts the overdue ones as load once, and cancels those that are lost, because
-    /// the engine's process has restarted or has stopped to send progress events.
+    /// the engine's process has restarted or has stopped sending progress events.
     pub(super) fn check_in_flight(&mut self, now: f64) {
         let in_flight: Vec<QueryId> = self
             .queries
@@ -96,7 +96,7 @@
             && self.settings.cancellation_allowed
             && self.may_retry(now, state);
         if may_run_elsewhere {
-            let attempt = AttemptId {
+            let attempt = AttemptRef {
                 query: id,
                 attempt: state.last_attempt(),
             };
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -8,7 +8,7 @@
 pub(crate) enum Timer {
     /// The periodic look at what waits and what is in flight.
     Tick,
-    /// A queue's head draws again for its start.
+    /// The random start of a queue's head is tried again.
     Redraw,
     /// A query's deadline.
     Deadline(QueryId),
