--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -225,7 +225,7 @@
         progress::COMPLETED => not_negative(amount).map(Progress::Completed),
         progress::SPILLING => not_negative(amount).map(Progress::Spilling),
         progress::WAITING if amount == progress::WAITING_FOR_LOAD_AMOUNT => {
-            Some(Progress::WaitingForLoad)
+            Some(Progress::WaitingForDataLoad)
         }
         progress::WAITING => Some(Progress::WaitingForMemory),
         other => return fields.malformed(format!("unknown sort of note {other}")),
--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -97,7 +97,7 @@
         match self.text(response_header::PROGRESS_KIND)?.trim() {
             "frac" => Some(Progress::Completed(amount)),
             "missing" => Some(Progress::Spilling(amount)),
-            "parked" if amount == 2.0 => Some(Progress::WaitingForLoad),
+            "parked" if amount == 2.0 => Some(Progress::WaitingForDataLoad),
             "parked" => Some(Progress::WaitingForMemory),
             _ => None,
         }
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -142,8 +142,8 @@
         zones: None,
         kinds: None,
         threads: 1.0,
-        is_load: false,
-        waits_for_loads: false,
+        loads_data: false,
+        waits_for_data_loads: false,
         retry_budget: None,
     }
 }
--- a/crates/scale/src/fleet/module_settings.rs
+++ b/crates/scale/src/fleet/module_settings.rs
@@ -80,8 +80,8 @@
         zones: class.zones.clone().filter(|_| placed),
         kinds: class.kinds.clone().filter(|_| placed),
         threads: 1.0,
-        is_load: false,
-        waits_for_loads: false,
+        loads_data: false,
+        waits_for_data_loads: false,
         retry_budget: None,
     }
 }
--- a/crates/scale/src/slopes/module/workload.rs
+++ b/crates/scale/src/slopes/module/workload.rs
@@ -61,8 +61,8 @@
         zones: None,
         kinds: None,
         threads,
-        is_load: false,
-        waits_for_loads: false,
+        loads_data: false,
+        waits_for_data_loads: false,
         retry_budget: None,
     }
 }
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -134,8 +134,8 @@
         zones: flat.indices(&key("zones-only"), &names.zones)?,
         kinds: flat.indices(&key("allowed-on"), &names.kinds)?,
         threads: decode_threads(flat, index),
-        is_load: flat.item("domain.loads", index) == Some("true"),
-        waits_for_loads: flat.item("domain.waits-for-loads", index) == Some("true"),
+        loads_data: flat.item("domain.loads", index) == Some("true"),
+        waits_for_data_loads: flat.item("domain.waits-for-loads", index) == Some("true"),
         retry_budget: None,
     })
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -31,7 +31,7 @@
 //! | `domain.grants-count` | [`Settings::memory_grants`] |
 //! | `domain.kind-cores`, `kind-memory-mb` | [`Settings::kind_cores`], [`Settings::kind_memory`] |
 //! | `domain.largest-share` | [`Settings::max_grant_fraction`] |
-//! | `domain.loads`, `waits-for-loads` | [`QueryClass::is_load`], [`QueryClass::waits_for_loads`] |
+//! | `domain.loads`, `waits-for-loads` | [`QueryClass::loads_data`], [`QueryClass::waits_for_data_loads`] |
 //! | `domain.parallelism` | [`QueryClass::threads`] |
 //! | `domain.progress` | [`Settings::progress_interval`] |
 //! | `kinds` | [`Names::kinds`] |
@@ -49,14 +49,14 @@
 //! [`QueryClass::deadline`]: garnetwall::api::QueryClass::deadline
 //! [`QueryClass::idempotency`]: garnetwall::api::QueryClass::idempotency
 //! [`QueryClass::in_order`]: garnetwall::api::QueryClass::in_order
-//! [`QueryClass::is_load`]: garnetwall::api::QueryClass::is_load
+//! [`QueryClass::loads_data`]: garnetwall::api::QueryClass::loads_data
 //! [`QueryClass::kinds`]: garnetwall::api::QueryClass::kinds
 //! [`QueryClass::late_value_share`]: garnetwall::api::QueryClass::late_value_share
 //! [`QueryClass::latency_objective`]: garnetwall::api::QueryClass::latency_objective
 //! [`QueryClass::latency_objective_stretch`]: garnetwall::api::QueryClass::latency_objective_stretch
 //! [`QueryClass::priority_weight`]: garnetwall::api::QueryClass::priority_weight
 //! [`QueryClass::threads`]: garnetwall::api::QueryClass::threads
-//! [`QueryClass::waits_for_loads`]: garnetwall::api::QueryClass::waits_for_loads
+//! [`QueryClass::waits_for_data_loads`]: garnetwall::api::QueryClass::waits_for_data_loads
 //! [`QueryClass::zones`]: garnetwall::api::QueryClass::zones
 //! [`RetryBudget::floor`]: garnetwall::api::RetryBudget::floor
 //! [`RetryBudget::per_query`]: garnetwall::api::RetryBudget::per_query
--- a/src/api.rs
+++ b/src/api.rs
@@ -61,9 +61,9 @@
     /// Threads that one query uses on its engine.
     pub threads: f64,
     /// Its queries load a data set, which is locked meanwhile.
-    pub is_load: bool,
+    pub loads_data: bool,
     /// Its queries stand still on an engine that loads their data set.
-    pub waits_for_loads: bool,
+    pub waits_for_data_loads: bool,
     /// A retry budget of the class, beside the gateway's.
     pub retry_budget: Option<RetryBudget>,
 }
@@ -282,7 +282,7 @@
     /// It stands still until its engine has memory for it.
     WaitingForMemory,
     /// It stands still until its data set is loaded.
-    WaitingForLoad,
+    WaitingForDataLoad,
 }
 
 /// What happens to a query now.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -113,8 +113,8 @@
 ///     zones: None,
 ///     kinds: None,
 ///     threads: 1.0,
-///     is_load: false,
-///     waits_for_loads: false,
+///     loads_data: false,
+///     waits_for_data_loads: false,
 ///     retry_budget: None,
 /// };
 /// let settings = Settings {
--- a/src/controller/data_set_locks.rs
+++ b/src/controller/data_set_locks.rs
@@ -5,15 +5,15 @@
 use crate::api::{EngineId, Query};
 
 impl AdmissionController {
-    /// Engines where a load of ours locks the query's data set. None for a query that neither loads nor waits for loads.
+    /// Engines where a query of ours that loads data locks the data set. None where the class neither loads data nor waits for it.
     pub(super) fn engines_with_locked_data(&self, query: &Query) -> Vec<EngineId> {
         let class = &self.settings.classes[query.class];
-        if !class.is_load && !class.waits_for_loads {
+        if !class.loads_data && !class.waits_for_data_loads {
             return Vec::new();
         }
         let locks_data_set = |state: &&QueryState| {
             state.query.data_set == query.data_set
-                && self.settings.classes[state.query.class].is_load
+                && self.settings.classes[state.query.class].loads_data
         };
         self.queries
             .values()
--- a/src/controller/stalled_attempts.rs
+++ b/src/controller/stalled_attempts.rs
@@ -27,7 +27,7 @@
             return;
         };
         in_flight.last_progress_at = now;
-        if progress == Progress::WaitingForLoad {
+        if progress == Progress::WaitingForDataLoad {
             self.cancel_stalled(now, id);
         }
     }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -73,8 +73,8 @@
         zones: None,
         kinds: None,
         threads: 1.0,
-        is_load: false,
-        waits_for_loads: false,
+        loads_data: false,
+        waits_for_data_loads: false,
         retry_budget: None,
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -37,8 +37,8 @@
         zones: bit(i + 3).then(|| vec![1]),
         kinds: (bit(i + 6) && bit(i + 9)).then(|| vec![0, 1]),
         threads: 1.0 + f64::from(i),
-        is_load: bit(12) && i == 2,
-        waits_for_loads: bit(12),
+        loads_data: bit(12) && i == 2,
+        waits_for_data_loads: bit(12),
         retry_budget: bit(29).then_some(RetryBudget {
             floor: 1.0,
             per_query: 0.1,
@@ -116,7 +116,7 @@
                 id,
                 0,
                 if n % 2 == 0 {
-                    Progress::WaitingForLoad
+                    Progress::WaitingForDataLoad
                 } else {
                     Progress::Completed(0.5)
                 },
@@ -351,7 +351,7 @@
 fn without_capacity_a_load_does_not_wait_at_our_own_lock() {
     for room in [None, Some(4.0)] {
         let load = QueryClass {
-            is_load: true,
+            loads_data: true,
             ..query_class(Idempotency::NonIdempotent)
         };
         let mut world = World::new(
@@ -375,7 +375,7 @@
 #[test]
 fn readers_avoid_a_reported_lock() {
     let reader = QueryClass {
-        waits_for_loads: true,
+        waits_for_data_loads: true,
         ..query_class(Idempotency::Idempotent)
     };
     let mut world = World::new(settings(vec![reader]), 2);
@@ -384,7 +384,7 @@
     let first = world.engines_tried(id)[0];
     world
         .controller
-        .attempt_progressed(world.now, id, 0, Progress::WaitingForLoad);
+        .attempt_progressed(world.now, id, 0, Progress::WaitingForDataLoad);
     world.pump();
     assert_eq!(world.engines_tried(id), [first, 1 - first]);
 }
--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -139,8 +139,8 @@
             zones: None,
             kinds: None,
             threads: 1.0,
-            is_load: false,
-            waits_for_loads: false,
+            loads_data: false,
+            waits_for_data_loads: false,
             retry_budget: None,
         };
         Settings {
