--- a/src/controller/load/engine_load.rs
+++ b/src/controller/load/engine_load.rs
@@ -10,8 +10,8 @@
 const OWN_THREADS_PRESSURE: f64 = 2.0;
 
 impl AdmissionController {
-    /// How full an engine is with the query: by its observed load or our threads against our share, and by our memory
-    /// there, which keeps it from spilling and paging.
+    /// How full an engine would be with the query, in units of the load limit: by threads or by memory, whichever is
+    /// fuller. `needed_memory` is the query's, in megabytes.
     pub(in crate::controller) fn load_with_query(
         &self,
         query: &Query,
@@ -19,30 +19,47 @@
         candidate: &Candidate,
         engine_load: f64,
         kind_load: f64,
+    ) -> f64 {
+        let by_threads = self.load_by_threads(query, candidate, engine_load, kind_load);
+        let engine = &self.engines[candidate.engine];
+        by_threads.max(memory_share_used(engine, needed_memory))
+    }
+
+    /// The observed load, or how full our share of the engine's threads is with the query: where the engine is past
+    /// the load limit, or we alone would take it past.
+    fn load_by_threads(
+        &self,
+        query: &Query,
+        candidate: &Candidate,
+        engine_load: f64,
+        kind_load: f64,
     ) -> f64 {
         let engine = &self.engines[candidate.engine];
         let threads = self.settings.classes[query.class].threads;
-        let thread_share =
-            candidate.effective_cores * LOAD_LIMIT_THREADS_PER_CORE / engine.gateways;
-        let by_own_threads = (engine.in_flight.threads + threads) / thread_share.max(threads);
+        let share = candidate.effective_cores * LOAD_LIMIT_THREADS_PER_CORE / engine.gateways;
+        let share_used = (engine.in_flight.threads + threads) / share.max(threads);
         let observed = if !self.cpu_reported && kind_load < 1.0 {
             0.0
         } else {
             engine_load
         };
-        let by_threads = if observed < 1.0 && by_own_threads <= OWN_THREADS_PRESSURE {
+        if observed < 1.0 && share_used <= OWN_THREADS_PRESSURE {
             observed
         } else {
-            observed.max(by_own_threads)
-        };
-        let by_memory = engine.memory.map_or(0.0, |memory| {
-            let share = memory * MEMORY_FRACTION_AT_LOAD_LIMIT / engine.gateways;
-            (engine.in_flight.memory + needed_memory) / share.max(needed_memory)
-        });
-        by_threads.max(by_memory)
+            observed.max(share_used)
+        }
     }
 }
 
+/// How much of our share of an engine's memory our queries use with this one, which keeps it from spilling and paging;
+/// 0 where its memory is not known.
+fn memory_share_used(engine: &EngineState, needed: f64) -> f64 {
+    engine.memory.map_or(0.0, |memory| {
+        let share = memory * MEMORY_FRACTION_AT_LOAD_LIMIT / engine.gateways;
+        (engine.in_flight.memory + needed) / share.max(needed)
+    })
+}
+
 /// The load at which an engine is assumed to run: as observed last, decaying to the load of its kind.
 pub(in crate::controller) fn engine_load(now: f64, kind_load: f64, engine: &EngineState) -> f64 {
     let elapsed = (now - engine.load.observed_at).max(0.0);
--- a/src/controller/load/kind_load.rs
+++ b/src/controller/load/kind_load.rs
@@ -2,6 +2,7 @@
 
 use super::{KIND_LOAD_DECAY_SECONDS, LOAD_LIMIT_THREADS_PER_CORE, MEMORY_FRACTION_AT_LOAD_LIMIT};
 use crate::api::Query;
+use crate::controller::kind_state::KindState;
 use crate::controller::{AdmissionController, MIN_DIVISOR};
 
 /// Times the gateway's share of a kind's memory that it may fill while the kind is not under pressure.
@@ -30,11 +31,11 @@
         reported.max(inferred)
     }
 
-    /// Load of a whole kind with the query. By this gateway's share of the kind's memory; under pressure the mean of the kind's
-    /// observed load and this gateway's share of threads or memory, whichever is fuller.
+    /// The load of a whole kind with the query: how full this gateway's share of the kind's memory is; under pressure the
+    /// mean of the kind's load and of the fuller of its shares of threads and memory.
     ///
-    /// A share of one engine is under one query, so that without this many gateways would each begin few queries and too many
-    /// together.
+    /// A share of one engine is under one query, so that without this many gateways would each begin few queries and too
+    /// many together.
     ///
     /// `effective_cores` is the sum over the engines of the kind that are open to the query.
     pub(in crate::controller) fn kind_load_with_query(
@@ -48,25 +49,32 @@
             return 0.0;
         };
         let kind_load = self.kind_load(now, kind);
-        let needed_memory = self.expected_memory(query);
-        let threads = self.settings.classes[query.class].threads;
-        let gateways = kind_state.ready.gateways(self.settings.gateways);
-        let thread_share = effective_cores * LOAD_LIMIT_THREADS_PER_CORE / gateways;
-        let by_threads = (kind_state.threads_in_flight + threads) / thread_share.max(threads);
-        let memory =
-            kind_state.ready.memory * effective_cores / kind_state.ready.cores.max(MIN_DIVISOR);
-        let memory_share = (memory * MEMORY_FRACTION_AT_LOAD_LIMIT / gateways)
-            .max(needed_memory)
-            .max(MIN_DIVISOR);
-        let by_memory = if kind_state.ready.memory > 0.0 {
-            (kind_state.memory_in_flight + needed_memory) / memory_share
-        } else {
-            0.0
-        };
+        let by_memory = self.memory_share_used(kind_state, effective_cores, query);
         if kind_load < 1.0 {
-            by_memory / MEMORY_SHARE_TOLERANCE
-        } else {
-            (kind_load + by_threads.max(by_memory)) / 2.0
+            return by_memory / MEMORY_SHARE_TOLERANCE;
+        }
+        let by_threads = self.thread_share_used(kind_state, effective_cores, query);
+        (kind_load + by_threads.max(by_memory)) / 2.0
+    }
+
+    /// How much of its share of a kind's threads this gateway uses with the query; 1 is all of it.
+    fn thread_share_used(&self, kind: &KindState, effective_cores: f64, query: &Query) -> f64 {
+        let gateways = kind.ready.gateways(self.settings.gateways);
+        let threads = self.settings.classes[query.class].threads;
+        let share = effective_cores * LOAD_LIMIT_THREADS_PER_CORE / gateways;
+        (kind.threads_in_flight + threads) / share.max(threads)
+    }
+
+    /// How much of its share of a kind's memory this gateway uses with the query; 1 is all of it, 0 where the memory is not
+    /// known.
+    fn memory_share_used(&self, kind: &KindState, effective_cores: f64, query: &Query) -> f64 {
+        if kind.ready.memory <= 0.0 {
+            return 0.0;
         }
+        let gateways = kind.ready.gateways(self.settings.gateways);
+        let needed = self.expected_memory(query);
+        let memory = kind.ready.memory * effective_cores / kind.ready.cores.max(MIN_DIVISOR);
+        let share = memory * MEMORY_FRACTION_AT_LOAD_LIMIT / gateways;
+        (kind.memory_in_flight + needed) / share.max(needed).max(MIN_DIVISOR)
     }
 }
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -6,7 +6,7 @@
 //! knows what others send, so each keeps to its share.
 
 use super::candidate::Candidate;
-use super::engine_state::EngineState;
+use super::engine_state::{EngineState, WorkBudget};
 use super::{AdmissionController, MIN_DIVISOR, SUSTAINABLE_UTILISATION, WORK_DECAY_SECONDS};
 use crate::api::{Endpoint, EngineId, SlowStart};
 
@@ -18,6 +18,7 @@
 const MAX_SAVED_WINDOWS: f64 = 0.6;
 
 /// A gateway's share of a budget at one moment, in seconds of work on one thread.
+#[derive(Default)]
 struct BudgetBalance {
     /// What has become due since the start.
     due: f64,
@@ -60,10 +61,7 @@
     pub(super) fn spend_slow_start_budget(&mut self, now: f64, engine: EngineId, work: f64) {
         let balance = match self.settings.slow_start {
             Some(slow_start) => self.budget_balance(now, &self.engines[engine], &slow_start),
-            None => BudgetBalance {
-                due: 0.0,
-                spent: 0.0,
-            },
+            None => BudgetBalance::default(),
         };
         let budget = &mut self.engines[engine].work_budget;
         budget.spent = balance.spent + work;
@@ -73,47 +71,73 @@
         }
     }
 
-    /// This gateway's share of the budget since it was notified of the start.
-    ///
-    /// One gateway's share in a window can be less than one query, so it becomes due in quanta of a query, with a
-    /// random offset for each start: the sum over gateways stays the same, and chance adds little. What is not sent in
-    /// time lapses, since the savings of all gateways sent in step would overload the engine.
-    ///
-    /// For example, with a share of 0.5 s of work a second and a quantum of 1 s, a gateway whose jitter is 0.25 has 1 s due
-    /// from 0.5 s after it was notified of the start, and another 1 s every 2 s from then on.
+    /// This gateway's share of an engine's budget since it was notified of the start.
     fn budget_balance(
         &self,
         now: f64,
         engine: &EngineState,
         slow_start: &SlowStart,
     ) -> BudgetBalance {
-        let budget = &engine.work_budget;
-        let rate = slow_start.overload_multiple
-            * slow_start.initial_fraction
-            * engine.cores
-            * SUSTAINABLE_UTILISATION
-            * BUDGET_SHARE
-            / engine.gateways;
-        let usual_work = self.usual_work.mean(now, WORK_DECAY_SECONDS, 0.0);
-        let sample_work = budget.sample_query.as_ref();
-        let quantum = sample_work
-            .map_or(usual_work, |query| self.expected_work(query))
-            .min(max_query_work(
-                slow_start,
-                self.effective_cores(now, engine),
-            ))
-            .max(MIN_DIVISOR);
-        let quanta_at = |at: f64| {
-            let earned = rate * (at - budget.known_since).max(0.0) - budget.quantum_from;
-            earned / quantum + 1.0 - engine.jitter
+        let schedule = BudgetSchedule {
+            rate: budget_rate(engine, slow_start),
+            quantum: self.budget_quantum(now, engine, slow_start),
+            jitter: engine.jitter,
+            budget: &engine.work_budget,
         };
-        let due_at = |at: f64| budget.quantum_from + quantum * quanta_at(at).floor().max(0.0);
-        let lapsed = due_at(now - MAX_SAVED_WINDOWS * slow_start.window);
+        let lapsed = schedule.due_at(now - MAX_SAVED_WINDOWS * slow_start.window);
         BudgetBalance {
-            due: due_at(now),
-            spent: lapsed.max(budget.spent),
+            due: schedule.due_at(now),
+            spent: lapsed.max(engine.work_budget.spent),
         }
     }
+
+    /// The work that becomes due at once: that of a usual query, in seconds on one thread.
+    fn budget_quantum(&self, now: f64, engine: &EngineState, slow_start: &SlowStart) -> f64 {
+        let work = match &engine.work_budget.sample_query {
+            Some(query) => self.expected_work(query),
+            None => self.usual_work.mean(now, WORK_DECAY_SECONDS, 0.0),
+        };
+        let max_work = max_query_work(slow_start, self.effective_cores(now, engine));
+        work.min(max_work).max(MIN_DIVISOR)
+    }
+}
+
+/// When this gateway's share of a budget becomes due.
+///
+/// The share in one window can be less than one query, so it becomes due in quanta of a query, with a random offset for each
+/// start: the sum over gateways stays the same, and chance adds little. What is not sent in time lapses, since the
+/// savings of all gateways sent in step would overload the engine.
+///
+/// For example, with a rate of 0.5 s of work a second and a quantum of 1 s, a gateway whose jitter is 0.25 has 1 s due from
+/// 0.5 s after it was notified of the start, and another 1 s every 2 s from then on.
+struct BudgetSchedule<'a> {
+    /// Seconds of work on one thread that become due a second.
+    rate: f64,
+    /// Seconds of work on one thread that become due at once.
+    quantum: f64,
+    /// The offset of the first quantum, as a share of it.
+    jitter: f64,
+    budget: &'a WorkBudget,
+}
+
+impl BudgetSchedule<'_> {
+    /// Work that is due at a time in seconds, counted from the notification of the start.
+    fn due_at(&self, at: f64) -> f64 {
+        let earned = self.rate * (at - self.budget.known_since).max(0.0);
+        let earned_in_quantum = earned - self.budget.quantum_from;
+        let quanta = earned_in_quantum / self.quantum + 1.0 - self.jitter;
+        self.budget.quantum_from + self.quantum * quanta.floor().max(0.0)
+    }
+}
+
+/// Seconds of work on one thread that this gateway may send an engine in slow start each second.
+fn budget_rate(engine: &EngineState, slow_start: &SlowStart) -> f64 {
+    slow_start.overload_multiple
+        * slow_start.initial_fraction
+        * engine.cores
+        * SUSTAINABLE_UTILISATION
+        * BUDGET_SHARE
+        / engine.gateways
 }
 
 /// Work that one query may bring to an engine in slow start.
