--- /dev/null
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -0,0 +1,139 @@
+//! The bytes on the wire, as literal hex: gateways of different builds must read each other.
+
+use garnetwall_fleet::members::{Fact, Members, Peer};
+use garnetwall_fleet::wire::{Message, Wire};
+use garnetwall_fleet::{Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict};
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::time::Duration;
+
+const SENDER: Member = Member {
+    gateway: 0x0102_0304_0506_0708,
+    incarnation: 300,
+};
+
+/// Version, fleet, kind of message, and the message.
+const REQUEST_HEX: &str =
+    "0106efdf38dde16e9c00888e98a8c0e0808101ac02f0a204020102ffffffffffffffffff01c801010304";
+const REPLY_HEX: &str =
+    "0106efdf38dde16e9c01888e98a8c0e0808101ac0209e807040102000203010503040206040503010607";
+const SWIM_HEX: &str = "0106efdf38dde16e9c0204deadbeef";
+
+fn address(last_octet: u8) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 1, 2, last_octet), 7946)
+}
+
+fn claim(resource: u64, epoch: u64) -> Claim {
+    Claim {
+        resource: Resource(resource),
+        epoch: Epoch(epoch),
+    }
+}
+
+fn request() -> Message {
+    Message::Request(LeaseRequest {
+        from: SENDER,
+        number: 70_000,
+        claims: vec![claim(1, 2), claim(u64::MAX, 200)],
+        releases: vec![claim(3, 4)],
+    })
+}
+
+fn reply() -> Message {
+    Message::Reply(LeaseReply {
+        to: SENDER,
+        number: 9,
+        session: 1_000,
+        verdicts: vec![
+            (claim(1, 2), Verdict::Granted),
+            (claim(2, 3), Verdict::Held(Epoch(5))),
+            (claim(3, 4), Verdict::Stale(Epoch(6))),
+            (claim(4, 5), Verdict::Full),
+        ],
+        released: vec![claim(6, 7)],
+    })
+}
+
+fn swim() -> Message {
+    Message::Swim(vec![0xde, 0xad, 0xbe, 0xef])
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(digits: &str) -> Vec<u8> {
+    (0..digits.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
+        .collect()
+}
+
+/// A datagram is written as these bytes, and read from them.
+fn assert_datagram(wire: &Wire, message: &Message, expected: &str) {
+    assert_eq!(hex(&wire.write(message).unwrap()), expected);
+    assert_eq!(wire.read(&unhex(expected)).as_ref(), Ok(message));
+}
+
+#[test]
+fn datagrams_without_a_key_have_these_bytes() {
+    let wire = Wire::new("sale", None);
+    assert_datagram(&wire, &request(), REQUEST_HEX);
+    assert_datagram(&wire, &reply(), REPLY_HEX);
+    assert_datagram(&wire, &swim(), SWIM_HEX);
+}
+
+#[test]
+fn datagrams_with_a_key_end_with_these_hashes() {
+    let wire = Wire::new("sale", Some(b"key"));
+    let keyed = |plain: &str, hash: &str| format!("{plain}{hash}");
+    assert_datagram(
+        &wire,
+        &request(),
+        &keyed(REQUEST_HEX, "7c9cc413fbe4a79f0dddaeaf0edf20ce"),
+    );
+    assert_datagram(
+        &wire,
+        &reply(),
+        &keyed(REPLY_HEX, "15085a56c4276d7f8240e92513c77332"),
+    );
+    assert_datagram(
+        &wire,
+        &swim(),
+        &keyed(SWIM_HEX, "6aceb7acc3e46a2893d1fe0e6a9d3836"),
+    );
+}
+
+#[test]
+fn a_published_fact_has_these_bytes() {
+    let fact = Fact {
+        of: Peer::new(address(3), 1_700_000_000_123),
+        kind: 5,
+        version: 300,
+        value: u64::MAX,
+    };
+    let expected = "0a0102038a3efbd095ffbc3105ac02ffffffffffffffffff01";
+    assert_eq!(hex(&postcard::to_allocvec(&fact).unwrap()), expected);
+    assert_eq!(postcard::from_bytes(&unhex(expected)), Ok(fact));
+}
+
+/// An announcement is the header of SWIM's messages alone: source, its incarnation, target, message.
+#[test]
+fn an_announcement_to_a_peer_has_these_bytes() {
+    let peers = [address(3), address(4)];
+    let myself = Peer::new(peers[0], 1_700_000_000_123);
+    let wire = Wire::new("sale", None);
+    let mut members = Members::new(Duration::ZERO, myself, &peers, 1, wire);
+    members.join(Duration::ZERO, &peers);
+    let sent: Vec<_> = members
+        .outgoing()
+        .into_iter()
+        .map(|(to, bytes)| (to, hex(&bytes)))
+        .collect();
+    assert_eq!(
+        sent,
+        [(
+            peers[1],
+            "0106efdf38dde16e9c02150a0102038a3efbd095ffbc31000a0102048a3e0006".to_string()
+        )]
+    );
+}
