--- /dev/null
+++ b/crates/fleet/src/members/facts.rs
@@ -0,0 +1,95 @@
+//! Facts that members publish about themselves, merged so that order, repetition and loss do not matter.
+
+use super::peer::Peer;
+use foca::{BroadcastHandler, Invalidates};
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// Kinds of facts that a member may publish about itself.
+pub const MAX_FACT_KINDS: u8 = 8;
+/// The kind of fact by which a member announces that it leaves on purpose.
+pub(super) const LEAVING: u8 = 0;
+
+/// A fact that a member publishes about itself. Only the highest version of a kind counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct Fact {
+    /// The member.
+    pub of: Peer,
+    /// Under [`MAX_FACT_KINDS`]; 0 is the membership's own.
+    pub kind: u8,
+    /// Grows with each fact of the member.
+    pub version: u64,
+    /// The content, by kind.
+    pub value: u64,
+}
+
+/// Facts by member and kind; one version of each.
+#[derive(Debug, Default)]
+pub(super) struct Facts {
+    pub(super) latest: BTreeMap<([u8; 4], u16, u8), Fact>,
+    /// Only facts of these are stored.
+    pub(super) peers: BTreeSet<([u8; 4], u16)>,
+}
+
+/// The key and the version of a published fact, which replaces older versions.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct FactKey(([u8; 4], u16, u8), (u64, u64));
+
+impl Invalidates for FactKey {
+    fn invalidates(&self, other: &Self) -> bool {
+        self.0 == other.0 && self.1 > other.1
+    }
+}
+
+#[derive(Debug, thiserror::Error)]
+#[error("a fact that can't be read, or of who is no peer; compare the gateways' builds and peers")]
+pub(super) struct Unreadable;
+
+impl Facts {
+    /// Stores a fact; returns its key where it is to be passed on, as it was not known.
+    fn accept(&mut self, data: &[u8]) -> Result<Option<FactKey>, Unreadable> {
+        let fact: Fact = postcard::from_bytes(data).map_err(|_| Unreadable)?;
+        if fact.kind >= MAX_FACT_KINDS {
+            return Err(Unreadable);
+        }
+        if !self.peers.contains(&fact.of.address) {
+            return Err(Unreadable);
+        }
+        let (ip, port) = fact.of.address;
+        let at = (ip, port, fact.kind);
+        let order = (fact.of.incarnation, fact.version);
+        if self
+            .latest
+            .get(&at)
+            .is_some_and(|old| (old.of.incarnation, old.version) >= order)
+        {
+            return Ok(None);
+        }
+        self.latest.insert(at, fact);
+        Ok(Some(FactKey(at, order)))
+    }
+}
+
+/// The facts, shared with foca, which gives no access to the handler that it owns.
+#[derive(Clone, Default)]
+pub(super) struct SharedFacts(pub(super) Arc<Mutex<Facts>>);
+
+impl SharedFacts {
+    pub(super) fn facts(&self) -> MutexGuard<'_, Facts> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl BroadcastHandler<Peer> for SharedFacts {
+    type Key = FactKey;
+    type Error = Unreadable;
+
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _: Option<&Peer>,
+    ) -> Result<Option<FactKey>, Unreadable> {
+        self.facts().accept(data)
+    }
+}
