--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,7 +7,7 @@
 //! * [`grantor`]: which resource a grantor has granted, to whom, until when.
 //! * [`holder`]: which leases a gateway has from a majority of grantors.
 //! * [`shares`]: a budget of the fleet in leased units.
-//! * [`members`]: membership by SWIM, with facts that members publish about themselves.
+//! * [`membership`]: membership by SWIM, with facts that members publish about themselves.
 //! * [`message`]: messages between holders and grantors.
 //! * [`wire`]: messages as datagrams: bounded, of one fleet, with a keyed hash where there is a key.
 //!
@@ -16,7 +16,7 @@
 
 pub mod grantor;
 pub mod holder;
-pub mod members;
+pub mod membership;
 pub mod message;
 pub mod shares;
 pub mod terms;
--- a/crates/fleet/src/members/codec.rs
+++ b/crates/fleet/src/membership/codec.rs
@@ -23,7 +23,7 @@
 }
 
 impl PeerCodec {
-    pub(super) fn knows(&self, peer: &Peer) -> Result<(), DecodeError> {
+    pub(super) fn check_known(&self, peer: &Peer) -> Result<(), DecodeError> {
         match self.peers.contains(&peer.address) {
             true => Ok(()),
             false => Err(DecodeError::UnknownPeer(peer.address())),
@@ -44,7 +44,7 @@
 
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Peer>, DecodeError> {
         let header: Header<Peer> = PostcardCodec.decode_header(buf)?;
-        self.knows(&header.src)?;
+        self.check_known(&header.src)?;
         Ok(header)
     }
 
@@ -58,7 +58,7 @@
 
     fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Peer>, DecodeError> {
         let member: Member<Peer> = PostcardCodec.decode_member(buf)?;
-        self.knows(member.id())?;
+        self.check_known(member.id())?;
         Ok(member)
     }
 }
--- a/crates/fleet/src/members/event.rs
+++ b/crates/fleet/src/membership/event.rs
@@ -19,7 +19,7 @@
 
 /// The state of another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum PeerState {
     /// It replies to health checks.
     Alive,
     /// It did not reply, and is declared down unless it refutes that.
--- a/crates/fleet/src/members/runtime.rs
+++ b/crates/fleet/src/membership/runtime.rs
@@ -7,24 +7,24 @@
 use std::time::Duration;
 
 #[derive(Default)]
-pub(super) struct Output {
+pub(super) struct ProtocolOutput {
     pub(super) now: Duration,
-    pub(super) number: u64,
+    pub(super) last_timer_number: u64,
     pub(super) timers: BTreeMap<(Duration, u64), Timer<Peer>>,
     pub(super) outgoing: Vec<(Peer, Vec<u8>)>,
     pub(super) events: Vec<MembershipEvent>,
     /// This member became another incarnation, which has not published its facts yet.
-    pub(super) renewed: bool,
+    pub(super) was_renewed: bool,
 }
 
-impl Runtime<Peer> for Output {
+impl Runtime<Peer> for ProtocolOutput {
     fn notify(&mut self, what: Notification<'_, Peer>) {
         match what {
             Notification::MemberUp(peer) => self.events.push(MembershipEvent::Up(*peer)),
             Notification::MemberDown(peer) => self.events.push(MembershipEvent::Down(*peer)),
             Notification::Rejoin(_) => {
                 self.events.push(MembershipEvent::Rejoined);
-                self.renewed = true;
+                self.was_renewed = true;
             }
             Notification::Idle => self.events.push(MembershipEvent::Alone),
             Notification::Rename(..) | Notification::Active | Notification::Defunct => {}
@@ -36,7 +36,8 @@
     }
 
     fn submit_after(&mut self, event: Timer<Peer>, after: Duration) {
-        self.number += 1;
-        self.timers.insert((self.now + after, self.number), event);
+        self.last_timer_number += 1;
+        self.timers
+            .insert((self.now + after, self.last_timer_number), event);
     }
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Membership in a simulated network by seed: loss, delay, cuts, members that are killed, stopped and go on, leave, and start
 //! again. Judged by what the simulation did to them, not by their own word.
 
-use garnetwall_fleet::members::{Members, MembershipEvent, Peer, Standing};
+use garnetwall_fleet::membership::{Membership, MembershipEvent, Peer, PeerState};
 use garnetwall_fleet::wire::{Message, Wire, MAX_DATAGRAM_BYTES};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -26,7 +26,7 @@
     loss: u64,
     dice: Dice,
     wire: Wire,
-    members: Vec<Members>,
+    members: Vec<Membership>,
     /// Neither sends nor hears until then.
     off_until: Vec<u64>,
     /// By member: the part of the network that it is in.
@@ -65,9 +65,9 @@
         net
     }
 
-    fn member(&self, n: usize, size: usize, life: u64, seed: u64) -> Members {
+    fn member(&self, n: usize, size: usize, life: u64, seed: u64) -> Membership {
         let now = Duration::from_millis(self.now);
-        Members::new(
+        Membership::new(
             now,
             Peer::new(address(n), life),
             &self.addresses(size),
@@ -110,12 +110,12 @@
                 .filter(|n| self.now >= self.off_until[*n])
                 .collect::<Vec<_>>()
             {
-                if self.members[n].next().is_some_and(|at| at <= now)
+                if self.members[n].next_tick_at().is_some_and(|at| at <= now)
                     || self.now.is_multiple_of(100)
                 {
                     self.members[n].tick(now);
                 }
-                for (to, bytes) in self.members[n].outgoing() {
+                for (to, bytes) in self.members[n].take_outgoing() {
                     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.bytes += bytes.len() as u64;
                     let to = self.at[&to];
@@ -124,7 +124,7 @@
                         self.on_the_way.push((due, to, bytes));
                     }
                 }
-                let news = self.members[n].events();
+                let news = self.members[n].take_events();
                 self.news
                     .extend(news.into_iter().map(|news| (self.now, n, news)));
             }
@@ -135,7 +135,7 @@
     /// How many of those that run see so many others.
     fn see(&self, others: usize) -> usize {
         (0..self.members.len())
-            .filter(|n| self.runs(*n) && self.members[*n].others().len() == others)
+            .filter(|n| self.runs(*n) && self.members[*n].peers().len() == others)
             .count()
     }
 
@@ -159,7 +159,7 @@
     net.plays(10_000);
     assert_eq!(net.see(19), 20, "all see all");
     let (dies, from) = (5, net.now);
-    let gone = net.members[dies].me();
+    let gone = net.members[dies].local_peer();
     net.off_until[dies] = u64::MAX;
     net.plays(10_000);
     let heard = net.heard(from, |news| *news == MembershipEvent::Down(gone));
@@ -180,7 +180,7 @@
     let mut net = Net::start(10, 0, 2);
     net.plays(8_000);
     let (leaves, from) = (3, net.now);
-    let gone = net.members[leaves].me();
+    let gone = net.members[leaves].local_peer();
     net.members[leaves].leave(Duration::from_millis(net.now));
     net.plays(500);
     net.off_until[leaves] = u64::MAX;
@@ -203,7 +203,7 @@
     let mut net = Net::start(10, 0, 3);
     net.plays(8_000);
     let stops = 4;
-    let before = net.members[stops].me();
+    let before = net.members[stops].local_peer();
     assert!(net.members[stops].is_current(Duration::from_millis(net.now)));
     net.off_until[stops] = net.now + 30_000;
     net.plays(30_000);
@@ -221,7 +221,7 @@
         .iter()
         .any(|(_, n, news)| *n == stops && *news == MembershipEvent::Rejoined));
     assert!(
-        net.members[stops].me().incarnation > before.incarnation,
+        net.members[stops].local_peer().incarnation > before.incarnation,
         "another life"
     );
     net.plays(6_000);
@@ -237,7 +237,7 @@
     net.plays(8_000);
     let lives = |net: &Net| {
         net.members[0]
-            .others()
+            .peers()
             .iter()
             .filter(|(p, _)| p.incarnation == 50)
             .count()
@@ -249,8 +249,8 @@
     (0..6).for_each(|n| net.part[n] = 0);
     net.plays(30_000);
     assert_eq!(net.see(11), 12, "all see all again");
-    let sound = |(_, standing): &(Peer, Standing)| *standing == Standing::Alive;
-    assert!(net.members.iter().all(|m| m.others().iter().all(sound)));
+    let sound = |(_, standing): &(Peer, PeerState)| *standing == PeerState::Alive;
+    assert!(net.members.iter().all(|m| m.peers().iter().all(sound)));
 }
 
 #[test]
@@ -262,7 +262,7 @@
         net.plays(50);
     }
     net.plays(15_000);
-    let teller = net.members[1].me();
+    let teller = net.members[1].local_peer();
     let know = net
         .members
         .iter()
@@ -304,12 +304,12 @@
         bytes.truncate(bytes.len() - dice.roll(4) as usize);
         let _ = net.members[0].receive(now, &bytes);
         net.members[0].tick(now);
-        let _ = (net.members[0].outgoing(), net.members[0].events());
+        let _ = (net.members[0].take_outgoing(), net.members[0].take_events());
     }
     assert!(
-        net.members[0].others().len() <= 5,
+        net.members[0].peers().len() <= 5,
         "{:?}",
-        net.members[0].others()
+        net.members[0].peers()
     );
 }
 
@@ -324,7 +324,7 @@
                 let mut net = Net::start(size, loss, 100 + seed);
                 net.plays(15_000);
                 let (from, sent) = (net.now, net.bytes);
-                let gone = net.members[1].me();
+                let gone = net.members[1].local_peer();
                 net.off_until[1] = u64::MAX;
                 net.plays(20_000);
                 bytes += (net.bytes - sent) / 20 / size as u64;
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -1,6 +1,6 @@
 //! The bytes on the wire, as literal hex: gateways of different builds must read each other.
 
-use garnetwall_fleet::members::{Fact, Members, Peer};
+use garnetwall_fleet::membership::{Fact, Membership, Peer};
 use garnetwall_fleet::wire::{Message, Wire};
 use garnetwall_fleet::{Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -106,7 +106,7 @@
 #[test]
 fn a_published_fact_has_these_bytes() {
     let fact = Fact {
-        of: Peer::new(address(3), 1_700_000_000_123),
+        publisher: Peer::new(address(3), 1_700_000_000_123),
         kind: 5,
         version: 300,
         value: u64::MAX,
@@ -122,10 +122,10 @@
     let peers = [address(3), address(4)];
     let myself = Peer::new(peers[0], 1_700_000_000_123);
     let wire = Wire::new("sale", None);
-    let mut members = Members::new(Duration::ZERO, myself, &peers, 1, wire);
+    let mut members = Membership::new(Duration::ZERO, myself, &peers, 1, wire);
     members.join(Duration::ZERO, &peers);
     let sent: Vec<_> = members
-        .outgoing()
+        .take_outgoing()
         .into_iter()
         .map(|(to, bytes)| (to, hex(&bytes)))
         .collect();
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -2,7 +2,7 @@
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, timed};
-use garnetwall_fleet::members::{Members, Peer};
+use garnetwall_fleet::membership::{self, Peer};
 use garnetwall_fleet::wire::{Message, Wire};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -62,7 +62,7 @@
     loss: u64,
     rng: SmallRng,
     wire: Wire,
-    members: Vec<Members>,
+    members: Vec<membership::Membership>,
     by_address: HashMap<SocketAddrV4, usize>,
     in_transit: BinaryHeap<Reverse<Datagram>>,
     sequence: u64,
@@ -80,7 +80,7 @@
         let addresses: Vec<SocketAddrV4> = (0..size).map(address).collect();
         let start = |member: usize| {
             let peer = Peer::new(addresses[member], 1);
-            let mut started = Members::new(
+            let mut started = membership::Membership::new(
                 Duration::ZERO,
                 peer,
                 &addresses,
@@ -137,13 +137,13 @@
     fn run_member(&mut self, member: usize) {
         let now = Duration::from_millis(self.now);
         let running = &mut self.members[member];
-        if running.next().is_some_and(|at| at <= now)
+        if running.next_tick_at().is_some_and(|at| at <= now)
             || self.now.is_multiple_of(TIMER_CHECK_INTERVAL_MS)
         {
             running.tick(now);
         }
-        running.events();
-        for (to, bytes) in running.outgoing() {
+        running.take_events();
+        for (to, bytes) in running.take_outgoing() {
             self.bytes_out += bytes.len() as u64;
             let lost = self.rng.random_range(0..100) < self.loss;
             let trip = self.rng.random_range(1..=MAX_LATENCY_MS);
