--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,8 +1,8 @@
 //! Membership: which gateways are alive, suspected or down, and which have left on purpose.
 //!
-//! The protocol is SWIM with suspicion, by foca, which does no I/O either. Beside it members publish facts about themselves,
-//! merged so that order, repetition and loss do not matter. A member whose process was paused uses nothing that it knows
-//! until another one has sent it a message.
+//! The protocol is SWIM with suspicion, by foca, which does no I/O either. Beside it peers publish facts about themselves,
+//! merged so that order, repetition and loss do not matter. A gateway whose process was paused uses nothing that it knows
+//! until a peer has sent it a message.
 
 mod codec;
 mod config;
@@ -11,23 +11,25 @@
 mod peer;
 mod runtime;
 
-pub use event::{MembershipEvent, PeerState};
+pub use event::{MembershipEvent, PeerState, PeerStatus};
 pub use facts::{Fact, MAX_FACT_KINDS};
 pub use peer::Peer;
 
-use crate::wire::{Dropped, Message, Wire};
+use crate::wire::{Datagram, Dropped, Message, Wire};
 use codec::PeerCodec;
-use facts::{FactStore, SharedFactStore, LEAVING_FACT_KIND};
+use config::SUSPICION_TIMEOUT;
+use facts::{SharedFactStore, LEAVING_FACT_KIND};
 use foca::{Foca, State};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use runtime::ProtocolOutput;
-use std::collections::BTreeMap;
+use runtime::{OutgoingMessage, ProtocolOutput};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
-use std::num::NonZeroU32;
-use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// A longer gap between two calls means that the process was paused: peers may have declared it down meanwhile.
+const PAUSE_THRESHOLD: Duration = SUSPICION_TIMEOUT;
+
 /// The membership as one gateway sees it.
 pub struct Membership {
     foca: Foca<Peer, PeerCodec, SmallRng, SharedFactStore>,
@@ -35,48 +37,41 @@
     facts: SharedFactStore,
     output: ProtocolOutput,
     wire: Wire,
-    /// A longer gap between two calls means that the process was paused.
-    pause_threshold: Duration,
     last_call: Duration,
-    /// No other member has sent a message since the process was paused.
+    /// No peer has sent a message since the process was paused.
     is_unconfirmed: bool,
     last_fact_version: u64,
-    /// The facts that this member publishes, by kind.
+    /// The facts that this gateway publishes, by kind.
     own_facts: BTreeMap<u8, u64>,
 }
 
 impl Membership {
-    /// A member that knows no other one. `peers` are the addresses of all gateways of the fleet.
+    /// A gateway that knows no other one. `peer_addresses` are those of all gateways of the fleet; `seed` is for the random
+    /// choice of peers to check and to gossip with.
     pub fn new(
         now: Duration,
-        me: Peer,
-        peers: &[SocketAddrV4],
+        local_peer: Peer,
+        peer_addresses: &[SocketAddrV4],
         seed: u64,
         wire: Wire,
     ) -> Membership {
-        let codec = PeerCodec {
-            peers: peers.iter().map(|a| (a.ip().octets(), a.port())).collect(),
-        };
-        let size = NonZeroU32::new(codec.peers.len().max(2) as u32).expect("at least two");
-        let config = config::config(size);
-        let pause_threshold = config.suspect_to_down_after;
-        let facts = SharedFactStore(Arc::new(Mutex::new(FactStore {
-            peers: codec.peers.clone(),
-            ..FactStore::default()
-        })));
+        let peer_addresses: BTreeSet<SocketAddrV4> = peer_addresses.iter().copied().collect();
+        let config = config::swim_config(peer_addresses.len());
+        let codec = PeerCodec::new(peer_addresses.clone());
+        let facts = SharedFactStore::new(peer_addresses);
         let rng = SmallRng::seed_from_u64(seed);
-        let foca = Foca::with_custom_broadcast(me, config, rng, codec.clone(), facts.clone());
-        let output = ProtocolOutput {
-            now,
-            ..ProtocolOutput::default()
-        };
         Membership {
-            foca,
+            foca: Foca::with_custom_broadcast(
+                local_peer,
+                config,
+                rng,
+                codec.clone(),
+                facts.clone(),
+            ),
             codec,
             facts,
-            output,
+            output: ProtocolOutput::new(now),
             wire,
-            pause_threshold,
             last_call: now,
             is_unconfirmed: false,
             last_fact_version: 0,
@@ -84,13 +79,14 @@
         }
     }
 
-    /// Announces this member to peers. Their incarnations are not known: any at the address replies.
-    pub fn join(&mut self, now: Duration, peers: &[SocketAddrV4]) {
+    /// Announces this gateway to the peers at these addresses. Their incarnations are not known: any at the address replies.
+    pub fn join(&mut self, now: Duration, addresses: &[SocketAddrV4]) {
         self.observe_time(now);
-        let me = self.local_peer().address();
-        for address in peers.iter().filter(|address| **address != me) {
+        let own_address = self.local_peer().address();
+        for address in addresses.iter().filter(|address| **address != own_address) {
+            let any_incarnation = Peer::new(*address, 0);
             // It fails only where a message is too long, which an announcement is not.
-            let _ = self.foca.announce(Peer::new(*address, 0), &mut self.output);
+            let _ = self.foca.announce(any_incarnation, &mut self.output);
         }
     }
 
@@ -112,51 +108,46 @@
     /// Runs the timers that are due.
     pub fn tick(&mut self, now: Duration) {
         self.observe_time(now);
-        while let Some(entry) = self
-            .output
-            .timers
-            .first_entry()
-            .filter(|entry| entry.key().0 <= now)
-        {
-            let event = entry.remove();
+        while let Some(timer) = self.output.pop_due_timer() {
             // Timers of what is over by now say so by an error, which changes nothing.
-            let _ = self.foca.handle_timer(event, &mut self.output);
+            let _ = self.foca.handle_timer(timer, &mut self.output);
         }
         self.republish_facts();
     }
 
-    /// Publishes the facts again where this member became another incarnation: those of the earlier one no longer count.
+    /// Publishes the facts again where this gateway became another incarnation: those of the earlier one no longer count.
     fn republish_facts(&mut self) {
-        if std::mem::take(&mut self.output.was_renewed) {
+        if self.output.take_was_renewed() {
             for (kind, value) in self.own_facts.clone() {
                 self.publish(kind, value);
             }
         }
     }
 
+    /// Notices a pause of the process by the time of this call and the last one.
     fn observe_time(&mut self, now: Duration) {
-        self.is_unconfirmed |= now.saturating_sub(self.last_call) > self.pause_threshold
-            && self.foca.num_members() > 0;
+        let was_paused = now.saturating_sub(self.last_call) > PAUSE_THRESHOLD;
+        self.is_unconfirmed |= was_paused && self.foca.num_members() > 0;
         self.last_call = now;
-        self.output.now = now;
+        self.output.set_now(now);
     }
 
     /// When [`Membership::tick`] is to be called next.
     pub fn next_tick_at(&self) -> Option<Duration> {
-        self.output.timers.keys().next().map(|(at, _)| *at)
+        self.output.next_timer_at()
     }
 
-    /// Whether what is known may be used: not after a pause of the process, until another member has sent a message.
+    /// Whether what is known may be used: not after a pause of the process, until a peer has sent a message.
     pub fn is_current(&self, now: Duration) -> bool {
-        !self.is_unconfirmed && now.saturating_sub(self.last_call) <= self.pause_threshold
+        !self.is_unconfirmed && now.saturating_sub(self.last_call) <= PAUSE_THRESHOLD
     }
 
-    /// Publishes a fact about this member to all.
+    /// Publishes a fact about this gateway to all peers. `kind` is under [`MAX_FACT_KINDS`].
     pub fn publish(&mut self, kind: u8, value: u64) {
         self.last_fact_version += 1;
         self.own_facts.insert(kind, value);
         let fact = Fact {
-            publisher: *self.foca.identity(),
+            publisher: self.local_peer(),
             kind,
             version: self.last_fact_version,
             value,
@@ -175,27 +166,32 @@
         let _ = self.foca.leave_cluster(&mut self.output);
     }
 
-    /// Datagrams to be sent, with where to.
-    pub fn take_outgoing(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
-        let all = std::mem::take(&mut self.output.outgoing);
-        let wired = |(to, bytes): (Peer, Vec<u8>)| {
-            Some((to.address(), self.wire.write(&Message::Swim(bytes))?))
-        };
-        // What a forged message names as a member is not sent to.
-        all.into_iter()
-            .filter(|(to, _)| self.codec.check_known(to).is_ok())
-            .filter_map(wired)
+    /// The datagrams to be sent since the last call.
+    pub fn take_outgoing(&mut self) -> Vec<Datagram> {
+        let messages = self.output.take_outgoing();
+        messages
+            .into_iter()
+            // A forged message may name a peer at any address: nothing is sent there.
+            .filter(|message| self.codec.check_known(&message.to).is_ok())
+            .filter_map(|message| self.datagram(message))
             .collect()
     }
 
+    fn datagram(&self, message: OutgoingMessage) -> Option<Datagram> {
+        Some(Datagram {
+            to: message.to.address(),
+            bytes: self.wire.write(&Message::Swim(message.bytes))?,
+        })
+    }
+
     /// The changes since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
-        let all = std::mem::take(&mut self.output.events);
-        let named = |events| match events {
+        let events = self.output.take_events();
+        let left_or_down = |event| match event {
             MembershipEvent::Down(peer) if self.has_left(&peer) => MembershipEvent::Left(peer),
             other => other,
         };
-        all.into_iter().map(named).collect()
+        events.into_iter().map(left_or_down).collect()
     }
 
     fn has_left(&self, peer: &Peer) -> bool {
@@ -203,31 +199,28 @@
             .is_some_and(|fact| fact.value == 1)
     }
 
-    /// The latest fact of a kind that this incarnation of a member published.
+    /// The latest fact of a kind that this incarnation of a peer published.
     pub fn fact(&self, peer: &Peer, kind: u8) -> Option<Fact> {
-        let (ip, port) = peer.address;
-        self.facts
-            .lock()
-            .latest
-            .get(&(ip, port, kind))
-            .copied()
-            .filter(|fact| fact.publisher.incarnation == peer.incarnation)
+        self.facts.latest(peer, kind)
     }
 
-    /// This member.
+    /// This gateway as its peers know it.
     pub fn local_peer(&self) -> Peer {
         *self.foca.identity()
     }
 
-    /// The other members and their states.
-    pub fn peers(&self) -> Vec<(Peer, PeerState)> {
-        let standing = |state| match state {
+    /// The other peers that are not down, with their states.
+    pub fn peers(&self) -> Vec<PeerStatus> {
+        let state = |state| match state {
             State::Suspect => PeerState::Suspected,
             State::Alive | State::Down => PeerState::Alive,
         };
         self.foca
             .iter_members()
-            .map(|m| (*m.id(), standing(m.state())))
+            .map(|member| PeerStatus {
+                peer: *member.id(),
+                state: state(member.state()),
+            })
             .collect()
     }
 }
--- a/crates/fleet/src/membership/codec.rs
+++ b/crates/fleet/src/membership/codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of SWIM's messages, which rejects members that are not among the peers.
+//! The encoding of SWIM's messages, which rejects peers at addresses that are not configured.
 
 use super::peer::Peer;
 use bytes::{Buf, BufMut};
@@ -6,14 +6,15 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// Encodes SWIM's messages. It rejects members that are not among the peers, whose number bounds what is stored.
+/// Encodes SWIM's messages. It rejects peers at other addresses than these, whose number bounds what is stored.
 #[derive(Clone, Debug)]
 pub(super) struct PeerCodec {
-    pub(super) peers: BTreeSet<([u8; 4], u16)>,
+    peer_addresses: BTreeSet<SocketAddrV4>,
 }
 
+/// Why a SWIM message is not encoded or decoded.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum DecodeError {
+pub(super) enum CodecError {
     #[error("SWIM's message can't be read: {0}; compare the gateways' builds")]
     Coding(#[from] postcard::Error),
     #[error(
@@ -23,40 +24,39 @@
 }
 
 impl PeerCodec {
-    pub(super) fn check_known(&self, peer: &Peer) -> Result<(), DecodeError> {
-        match self.peers.contains(&peer.address) {
+    /// A codec for the gateways at these addresses.
+    pub(super) fn new(peer_addresses: BTreeSet<SocketAddrV4>) -> PeerCodec {
+        PeerCodec { peer_addresses }
+    }
+
+    /// Fails where the peer's address is not configured.
+    pub(super) fn check_known(&self, peer: &Peer) -> Result<(), CodecError> {
+        let address = peer.address();
+        match self.peer_addresses.contains(&address) {
             true => Ok(()),
-            false => Err(DecodeError::UnknownPeer(peer.address())),
+            false => Err(CodecError::UnknownPeer(address)),
         }
     }
 }
 
 impl Codec<Peer> for PeerCodec {
-    type Error = DecodeError;
+    type Error = CodecError;
 
-    fn encode_header(
-        &mut self,
-        header: &Header<Peer>,
-        buf: impl BufMut,
-    ) -> Result<(), DecodeError> {
+    fn encode_header(&mut self, header: &Header<Peer>, buf: impl BufMut) -> Result<(), CodecError> {
         Ok(PostcardCodec.encode_header(header, buf)?)
     }
 
-    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Peer>, DecodeError> {
+    fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Peer>, CodecError> {
         let header: Header<Peer> = PostcardCodec.decode_header(buf)?;
         self.check_known(&header.src)?;
         Ok(header)
     }
 
-    fn encode_member(
-        &mut self,
-        member: &Member<Peer>,
-        buf: impl BufMut,
-    ) -> Result<(), DecodeError> {
+    fn encode_member(&mut self, member: &Member<Peer>, buf: impl BufMut) -> Result<(), CodecError> {
         Ok(PostcardCodec.encode_member(member, buf)?)
     }
 
-    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Peer>, DecodeError> {
+    fn decode_member(&mut self, buf: impl Buf) -> Result<Member<Peer>, CodecError> {
         let member: Member<Peer> = PostcardCodec.decode_member(buf)?;
         self.check_known(member.id())?;
         Ok(member)
--- a/crates/fleet/src/membership/event.rs
+++ b/crates/fleet/src/membership/event.rs
@@ -1,23 +1,23 @@
-//! What the membership reports: changes, and the state of another member.
+//! What the membership reports: changes, and the states of peers.
 
 use super::peer::Peer;
 
 /// A change in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MembershipEvent {
-    /// The member is alive.
+    /// The peer is alive.
     Up(Peer),
     /// The fleet declared it down.
     Down(Peer),
     /// It left on purpose.
     Left(Peer),
-    /// This member was declared down and is back as another incarnation: its leases have ended.
+    /// This gateway was declared down and is back as another incarnation: its leases have ended.
     Rejoined,
-    /// No other member is alive.
+    /// No other peer is alive.
     Alone,
 }
 
-/// The state of another member.
+/// The state of a peer that is not declared down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PeerState {
     /// It replies to health checks.
@@ -25,3 +25,12 @@
     /// It did not reply, and is declared down unless it refutes that.
     Suspected,
 }
+
+/// A peer with its state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct PeerStatus {
+    /// The peer.
+    pub peer: Peer,
+    /// Its state.
+    pub state: PeerState,
+}
--- a/crates/fleet/src/membership/peer.rs
+++ b/crates/fleet/src/membership/peer.rs
@@ -4,10 +4,10 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// One incarnation of a gateway, at its address among the peers.
+/// One incarnation of a gateway as the membership knows it; a restarted gateway is another peer at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
-    pub(super) address: ([u8; 4], u16),
+    address: SocketAddrV4,
     /// The larger is the later one: Unix milliseconds of its start, plus one each time that it was declared down.
     pub incarnation: u64,
 }
@@ -16,19 +16,19 @@
     /// An incarnation at an address.
     pub fn new(address: SocketAddrV4, incarnation: u64) -> Peer {
         Peer {
-            address: (address.ip().octets(), address.port()),
+            address,
             incarnation,
         }
     }
 
     /// Its address.
     pub fn address(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(self.address.0.into(), self.address.1)
+        self.address
     }
 }
 
 impl Identity for Peer {
-    type Addr = ([u8; 4], u16);
+    type Addr = SocketAddrV4;
 
     fn renew(&self) -> Option<Self> {
         Some(Peer {
--- a/crates/fleet/src/membership/runtime.rs
+++ b/crates/fleet/src/membership/runtime.rs
@@ -1,4 +1,4 @@
-//! What the SWIM protocol asks of its caller: timers, datagrams and events.
+//! What the SWIM protocol asks of its caller: timers, messages to send, and events.
 
 use super::event::MembershipEvent;
 use super::peer::Peer;
@@ -6,20 +6,77 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-#[derive(Default)]
+/// When a timer is due; the number keeps timers of the same time in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    due: Duration,
+    number: u64,
+}
+
+/// A SWIM message to be sent.
+pub(super) struct OutgoingMessage {
+    pub(super) to: Peer,
+    pub(super) bytes: Vec<u8>,
+}
+
+/// Collects what the protocol asks for, until the membership carries it out or hands it on.
 pub(super) struct ProtocolOutput {
-    pub(super) now: Duration,
-    pub(super) last_timer_number: u64,
-    pub(super) timers: BTreeMap<(Duration, u64), Timer<Peer>>,
-    pub(super) outgoing: Vec<(Peer, Vec<u8>)>,
-    pub(super) events: Vec<MembershipEvent>,
-    /// This member became another incarnation, which has not published its facts yet.
-    pub(super) was_renewed: bool,
+    now: Duration,
+    last_timer_number: u64,
+    timers: BTreeMap<TimerKey, Timer<Peer>>,
+    outgoing: Vec<OutgoingMessage>,
+    events: Vec<MembershipEvent>,
+    was_renewed: bool,
+}
+
+impl ProtocolOutput {
+    /// Nothing asked for yet.
+    pub(super) fn new(now: Duration) -> ProtocolOutput {
+        ProtocolOutput {
+            now,
+            last_timer_number: 0,
+            timers: BTreeMap::new(),
+            outgoing: Vec::new(),
+            events: Vec::new(),
+            was_renewed: false,
+        }
+    }
+
+    /// Sets the time from which further timers count.
+    pub(super) fn set_now(&mut self, now: Duration) {
+        self.now = now;
+    }
+
+    /// When the next timer is due.
+    pub(super) fn next_timer_at(&self) -> Option<Duration> {
+        self.timers.keys().next().map(|key| key.due)
+    }
+
+    /// Removes the next timer that is due.
+    pub(super) fn pop_due_timer(&mut self) -> Option<Timer<Peer>> {
+        let entry = self.timers.first_entry()?;
+        (entry.key().due <= self.now).then(|| entry.remove())
+    }
+
+    /// The messages since the last call.
+    pub(super) fn take_outgoing(&mut self) -> Vec<OutgoingMessage> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    /// The events since the last call.
+    pub(super) fn take_events(&mut self) -> Vec<MembershipEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// Whether this gateway became another incarnation since the last call.
+    pub(super) fn take_was_renewed(&mut self) -> bool {
+        std::mem::take(&mut self.was_renewed)
+    }
 }
 
 impl Runtime<Peer> for ProtocolOutput {
-    fn notify(&mut self, what: Notification<'_, Peer>) {
-        match what {
+    fn notify(&mut self, notification: Notification<'_, Peer>) {
+        match notification {
             Notification::MemberUp(peer) => self.events.push(MembershipEvent::Up(*peer)),
             Notification::MemberDown(peer) => self.events.push(MembershipEvent::Down(*peer)),
             Notification::Rejoin(_) => {
@@ -32,12 +89,16 @@
     }
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
-        self.outgoing.push((to, data.to_vec()));
+        let bytes = data.to_vec();
+        self.outgoing.push(OutgoingMessage { to, bytes });
     }
 
-    fn submit_after(&mut self, event: Timer<Peer>, after: Duration) {
+    fn submit_after(&mut self, timer: Timer<Peer>, after: Duration) {
         self.last_timer_number += 1;
-        self.timers
-            .insert((self.now + after, self.last_timer_number), event);
+        let key = TimerKey {
+            due: self.now + after,
+            number: self.last_timer_number,
+        };
+        self.timers.insert(key, timer);
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -4,6 +4,7 @@
 
 use crate::message::{LeaseReply, LeaseRequest, MAX_CLAIMS_PER_MESSAGE};
 use serde::{Deserialize, Serialize};
+use std::net::SocketAddrV4;
 
 /// The version of the format.
 pub const VERSION: u8 = 1;
@@ -25,6 +26,15 @@
     Swim(Vec<u8>),
 }
 
+/// An encoded message and where it is to be sent.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Datagram {
+    /// The address of the gateway that it goes to.
+    pub to: SocketAddrV4,
+    /// The encoded message.
+    pub bytes: Vec<u8>,
+}
+
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Dropped {
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,8 +1,8 @@
 //! Membership in a simulated network by seed: loss, delay, cuts, members that are killed, stopped and go on, leave, and start
 //! again. Judged by what the simulation did to them, not by their own word.
 
-use garnetwall_fleet::membership::{Membership, MembershipEvent, Peer, PeerState};
-use garnetwall_fleet::wire::{Message, Wire, MAX_DATAGRAM_BYTES};
+use garnetwall_fleet::membership::{Membership, MembershipEvent, Peer, PeerState, PeerStatus};
+use garnetwall_fleet::wire::{Datagram, Message, Wire, MAX_DATAGRAM_BYTES};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -115,7 +115,7 @@
                 {
                     self.members[n].tick(now);
                 }
-                for (to, bytes) in self.members[n].take_outgoing() {
+                for Datagram { to, bytes } in self.members[n].take_outgoing() {
                     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.bytes += bytes.len() as u64;
                     let to = self.at[&to];
@@ -239,7 +239,7 @@
         net.members[0]
             .peers()
             .iter()
-            .filter(|(p, _)| p.incarnation == 50)
+            .filter(|status| status.peer.incarnation == 50)
             .count()
     };
     assert_eq!(lives(&net), 1);
@@ -249,7 +249,7 @@
     (0..6).for_each(|n| net.part[n] = 0);
     net.plays(30_000);
     assert_eq!(net.see(11), 12, "all see all again");
-    let sound = |(_, standing): &(Peer, PeerState)| *standing == PeerState::Alive;
+    let sound = |status: &PeerStatus| status.state == PeerState::Alive;
     assert!(net.members.iter().all(|m| m.peers().iter().all(sound)));
 }
 
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -127,7 +127,7 @@
     let sent: Vec<_> = members
         .take_outgoing()
         .into_iter()
-        .map(|(to, bytes)| (to, hex(&bytes)))
+        .map(|datagram| (datagram.to, hex(&datagram.bytes)))
         .collect();
     assert_eq!(
         sent,
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -3,7 +3,7 @@
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, timed};
 use garnetwall_fleet::membership::{self, Peer};
-use garnetwall_fleet::wire::{Message, Wire};
+use garnetwall_fleet::wire::{self, Message, Wire};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -143,7 +143,7 @@
             running.tick(now);
         }
         running.take_events();
-        for (to, bytes) in running.take_outgoing() {
+        for wire::Datagram { to, bytes } in running.take_outgoing() {
             self.bytes_out += bytes.len() as u64;
             let lost = self.rng.random_range(0..100) < self.loss;
             let trip = self.rng.random_range(1..=MAX_LATENCY_MS);
