--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -1,19 +1,19 @@
-//! The lease holder: which leases a gateway has from a majority of grantors. One request renews all leases of a grantor.
+//! The lease holder: which leases a gateway has from a majority of issuers. One request renews all leases of an issuer.
 
+use crate::lease_terms::{LeaseTerms, MAX_ISSUERS};
 use crate::message::{
     Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict, MAX_CLAIMS_PER_MESSAGE,
 };
-use crate::terms::{Terms, MAX_GRANTORS};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Requests whose replies are accepted; more than are sent in a term.
 const RECENT_REQUESTS: usize = 6;
 
-/// Messages that go to a grantor at once, each with up to [`MAX_CLAIMS_PER_MESSAGE`] claims.
-const MAX_MESSAGES_PER_GRANTOR: usize = 16;
+/// Messages that go to an issuer at once, each with up to [`MAX_CLAIMS_PER_MESSAGE`] claims.
+const MAX_MESSAGES_PER_ISSUER: usize = 16;
 
-/// What is known of one grantor.
+/// What is known of one issuer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Grant {
     /// The current or last session with it.
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Wanted {
     epoch: Epoch,
-    /// The session in which each grantor granted the resource under this epoch.
-    granted_in: [Option<u64>; MAX_GRANTORS],
-    /// A bit for each grantor that did not grant it.
+    /// The session in which each issuer granted the resource under this epoch.
+    granted_in: [Option<u64>; MAX_ISSUERS],
+    /// A bit for each issuer that did not grant it.
     refused_by: u16,
     /// No claim before this: two members that claim at once could keep each other from a majority for ever.
     backoff_until: Duration,
@@ -38,12 +38,12 @@
 
 /// The leases of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Holder {
+pub struct LeaseHolder {
     me: Member,
-    terms: Terms,
-    grants: [Grant; MAX_GRANTORS],
+    terms: LeaseTerms,
+    grants: [Grant; MAX_ISSUERS],
     wanted: BTreeMap<Resource, Wanted>,
-    /// Released claims, with a bit for each grantor that knows of it.
+    /// Released claims, with a bit for each issuer that knows of it.
     released: BTreeMap<Claim, u16>,
     /// The number of each of the last requests, and when it was sent.
     recent_requests: [(u32, Duration); RECENT_REQUESTS],
@@ -54,10 +54,10 @@
     rng_state: u64,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// A holder without leases. `rng_state` seeds the jitter of backoffs.
-    pub fn new(me: Member, terms: Terms, rng_state: u64) -> Holder {
-        Holder {
+    pub fn new(me: Member, terms: LeaseTerms, rng_state: u64) -> LeaseHolder {
+        LeaseHolder {
             me,
             terms,
             grants: Default::default(),
@@ -79,7 +79,7 @@
         let epoch = self.next_epoch();
         let wanted = Wanted {
             epoch,
-            granted_in: [None; MAX_GRANTORS],
+            granted_in: [None; MAX_ISSUERS],
             refused_by: 0,
             backoff_until: now,
             since: now,
@@ -88,7 +88,7 @@
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// Releases a resource: it is not held from this call on, and free for others as soon as the grantors know.
+    /// Releases a resource: it is not held from this call on, and free for others as soon as the issuers know.
     pub fn release(&mut self, now: Duration, resource: Resource) {
         if let Some(wanted) = self.wanted.remove(&resource) {
             self.released.insert(
@@ -116,7 +116,7 @@
         lasting.count() >= self.terms.majority()
     }
 
-    /// How many grantors granted it in their current sessions.
+    /// How many issuers granted it in their current sessions.
     fn granting(&self, wanted: &Wanted) -> usize {
         let pairs = self.grants.iter().zip(&wanted.granted_in);
         pairs
@@ -129,7 +129,7 @@
         self.next_request_at
     }
 
-    /// The requests that are due, each with the index of its grantor; none before [`Holder::next_request_at`].
+    /// The requests that are due, each with the index of its issuer; none before [`LeaseHolder::next_request_at`].
     pub fn requests(&mut self, now: Duration) -> Vec<(usize, LeaseRequest)> {
         if now < self.next_request_at {
             return Vec::new();
@@ -142,16 +142,16 @@
         self.back_off_stuck_claims(now);
         self.number += 1;
         self.recent_requests[self.number as usize % RECENT_REQUESTS] = (self.number, now);
-        (0..self.terms.grantors())
-            .flat_map(|grantor| self.requests_to(now, grantor))
+        (0..self.terms.issuer_count())
+            .flat_map(|issuer| self.requests_to(now, issuer))
             .collect()
     }
 
     /// One request renews all leases; there are more only for claims and releases that do not fit into one.
-    fn requests_to(&self, now: Duration, grantor: usize) -> Vec<(usize, LeaseRequest)> {
-        let session = self.grants[grantor].session;
+    fn requests_to(&self, now: Duration, issuer: usize) -> Vec<(usize, LeaseRequest)> {
+        let session = self.grants[issuer].session;
         let due = |wanted: &&Wanted| {
-            wanted.backoff_until <= now && wanted.granted_in[grantor] != Some(session)
+            wanted.backoff_until <= now && wanted.granted_in[issuer] != Some(session)
         };
         let missing = self.wanted.iter().filter(|(_, wanted)| due(wanted));
         let claims = missing.map(|(resource, wanted)| Claim {
@@ -161,12 +161,12 @@
         let releases = self
             .released
             .iter()
-            .filter(|(_, known)| **known & (1 << grantor) == 0)
+            .filter(|(_, known)| **known & (1 << issuer) == 0)
             .map(|(claim, _)| *claim);
         let both: Vec<_> = releases
             .map(|c| (c, true))
             .chain(claims.map(|c| (c, false)))
-            .take(MAX_CLAIMS_PER_MESSAGE * MAX_MESSAGES_PER_GRANTOR)
+            .take(MAX_CLAIMS_PER_MESSAGE * MAX_MESSAGES_PER_ISSUER)
             .collect();
         let request = |part: &[(Claim, bool)]| {
             let of = |back: bool| {
@@ -176,7 +176,7 @@
                     .collect()
             };
             (
-                grantor,
+                issuer,
                 LeaseRequest {
                     from: self.me,
                     number: self.number,
@@ -192,7 +192,7 @@
     }
 
     /// Releases what no majority granted for some time, and claims it again after a backoff: another member that claims the
-    /// same may have the other grantors.
+    /// same may have the other issuers.
     fn back_off_stuck_claims(&mut self, now: Duration) {
         let stuck: Vec<Resource> = self
             .wanted
@@ -222,7 +222,7 @@
             let (backoff_until, since) = (now + backoff, now + backoff);
             *wanted = Wanted {
                 epoch,
-                granted_in: [None; MAX_GRANTORS],
+                granted_in: [None; MAX_ISSUERS],
                 refused_by: 0,
                 backoff_until,
                 since,
@@ -248,18 +248,18 @@
         (self.rng_state >> 40) as f64 / (1 << 24) as f64
     }
 
-    /// Handles a reply of a grantor, given by index.
-    pub fn handle_reply(&mut self, grantor: usize, reply: &LeaseReply) {
+    /// Handles a reply of an issuer, given by index.
+    pub fn handle_reply(&mut self, issuer: usize, reply: &LeaseReply) {
         let (number, sent) = self.recent_requests[reply.number as usize % RECENT_REQUESTS];
-        if grantor >= self.terms.grantors()
+        if issuer >= self.terms.issuer_count()
             || reply.to != self.me
             || reply.number != number
             || number == 0
         {
             return;
         }
-        let until = sent + self.terms.term();
-        let grant = &mut self.grants[grantor];
+        let until = sent + self.terms.holder_duration();
+        let grant = &mut self.grants[issuer];
         match grant.session == reply.session {
             true => grant.until = grant.until.max(until),
             // A new session: leases of the one before have ended, and a late reply must not restore them.
@@ -272,18 +272,18 @@
             false => return,
         }
         for (claim, verdict) in &reply.verdicts {
-            self.apply_verdict(grantor, reply.session, claim, *verdict);
+            self.apply_verdict(issuer, reply.session, claim, *verdict);
         }
         for claim in &reply.released {
             if let Some(known) = self.released.get_mut(claim) {
-                *known |= 1 << grantor;
+                *known |= 1 << issuer;
             }
         }
-        let all = (1_u16 << self.terms.grantors()) - 1;
+        let all = (1_u16 << self.terms.issuer_count()) - 1;
         self.released.retain(|_, known| *known != all);
     }
 
-    fn apply_verdict(&mut self, grantor: usize, session: u64, claim: &Claim, verdict: Verdict) {
+    fn apply_verdict(&mut self, issuer: usize, session: u64, claim: &Claim, verdict: Verdict) {
         let Some(wanted) = self
             .wanted
             .get_mut(&claim.resource)
@@ -293,21 +293,23 @@
         };
         match verdict {
             Verdict::Granted => {
-                wanted.granted_in[grantor] = Some(session);
-                wanted.refused_by &= !(1 << grantor);
+                wanted.granted_in[issuer] = Some(session);
+                wanted.refused_by &= !(1 << issuer);
             }
-            Verdict::Held(epoch) => {
-                wanted.refused_by |= 1 << grantor;
+            Verdict::HeldByOther(epoch) => {
+                wanted.refused_by |= 1 << issuer;
                 // Later claims use a higher epoch, so that the first one after the holder's end is granted.
                 self.raise_epoch(claim.resource, epoch, 1);
             }
-            Verdict::Full => wanted.refused_by |= 1 << grantor,
-            // A majority that grants it already does not need this grantor.
-            Verdict::Stale(epoch) => self.raise_epoch(claim.resource, epoch, self.terms.majority()),
+            Verdict::AtCapacity => wanted.refused_by |= 1 << issuer,
+            // A majority that grants it already does not need this issuer.
+            Verdict::StaleEpoch(epoch) => {
+                self.raise_epoch(claim.resource, epoch, self.terms.majority())
+            }
         }
     }
 
-    /// Claims a resource under an epoch above `over`, where fewer than `granting` grantors grant it.
+    /// Claims a resource under an epoch above `over`, where fewer than `granting` issuers grant it.
     fn raise_epoch(&mut self, resource: Resource, over: Epoch, granting: usize) {
         let Some(wanted) = self
             .wanted
@@ -317,7 +319,7 @@
             return;
         };
         let mut raised = Wanted {
-            granted_in: [None; MAX_GRANTORS],
+            granted_in: [None; MAX_ISSUERS],
             ..wanted.clone()
         };
         self.last_epoch = self.last_epoch.max(over);
@@ -325,17 +327,17 @@
         self.wanted.insert(resource, raised);
     }
 
-    /// Drops releases that only grantors without a reply for a lease do not know of: the leases have ended there.
+    /// Drops releases that only issuers without a reply for a lease do not know of: the leases have ended there.
     fn drop_expired_releases(&mut self, now: Duration) {
-        let lapsed = |grantor: usize| self.grants[grantor].until + self.terms.length() < now;
-        let expired = (0..self.terms.grantors())
-            .filter(|grantor| lapsed(*grantor))
-            .fold(0, |all, grantor| all | 1 << grantor);
-        let all = (1_u16 << self.terms.grantors()) - 1;
+        let lapsed = |issuer: usize| self.grants[issuer].until + self.terms.issuer_duration() < now;
+        let expired = (0..self.terms.issuer_count())
+            .filter(|issuer| lapsed(*issuer))
+            .fold(0, |all, issuer| all | 1 << issuer);
+        let all = (1_u16 << self.terms.issuer_count()) - 1;
         self.released.retain(|_, known| *known | expired != all);
     }
 
-    /// How many resources are wanted, and how many releases are not known to all grantors.
+    /// How many resources are wanted, and how many releases are not known to all issuers.
     pub fn size(&self) -> (usize, usize) {
         (self.wanted.len(), self.released.len())
     }
--- a/crates/fleet/src/grantor.rs
+++ b/crates/fleet/src/lease_issuer.rs
@@ -1,10 +1,10 @@
-//! The lease grantor: which resource is granted to whom, until when.
+//! The lease issuer: which resource is granted to whom, until when.
 //!
-//! It stores nothing on a disk. A restarted grantor sends no reply for the duration of a lease, after which no lease that it
+//! It stores nothing on a disk. A restarted issuer sends no reply for the duration of a lease, after which no lease that it
 //! granted before can still be held.
 
+use crate::lease_terms::LeaseTerms;
 use crate::message::{Claim, Epoch, LeaseReply, LeaseRequest, Member, NoReply, Resource, Verdict};
-use crate::terms::Terms;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -25,10 +25,10 @@
     to: Option<(Member, u64)>,
 }
 
-/// A lease grantor.
+/// A lease issuer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Grantor {
-    length: Duration,
+pub struct LeaseIssuer {
+    lease_duration: Duration,
     silent_until: Duration,
     /// Sessions are numbered from the incarnation on, so that two incarnations never use the same numbers.
     next_session: u64,
@@ -40,37 +40,42 @@
     floor: Epoch,
 }
 
-impl Grantor {
-    /// A grantor that starts now, at `unix_ms` by its wall clock, in milliseconds. `incarnation` is drawn anew with each
+impl LeaseIssuer {
+    /// An issuer that starts now, at `unix_ms` by its wall clock, in milliseconds. `incarnation` is drawn anew with each
     /// start; `max_members` and `max_resources` bound what is stored.
     ///
     /// It remembers no epoch that was granted before. All of those are below its wall clock plus one lease, as long as the
-    /// grantors' wall clocks are no more than a lease apart: it grants none up to there.
+    /// issuers' wall clocks are no more than a lease apart: it grants none up to there.
     pub fn start(
         now: Duration,
         unix_ms: u64,
         incarnation: u64,
-        terms: &Terms,
+        terms: &LeaseTerms,
         max_members: usize,
         max_resources: usize,
-    ) -> Grantor {
-        Grantor {
-            length: terms.length(),
-            silent_until: now + terms.length(),
+    ) -> LeaseIssuer {
+        LeaseIssuer {
+            lease_duration: terms.issuer_duration(),
+            silent_until: now + terms.issuer_duration(),
             next_session: incarnation,
             max_members,
             max_resources,
             sessions: BTreeMap::new(),
             granted: BTreeMap::new(),
-            floor: Epoch(unix_ms + terms.length().as_millis() as u64),
+            floor: Epoch(unix_ms + terms.issuer_duration().as_millis() as u64),
         }
     }
 
-    /// A grantor that replies at once though it remembers nothing, for tests that show what that breaks.
-    pub fn hasty(now: Duration, unix_ms: u64, incarnation: u64, terms: &Terms) -> Grantor {
-        Grantor {
+    /// An issuer that replies at once though it remembers nothing, for tests that show what that breaks.
+    pub fn start_without_silence(
+        now: Duration,
+        unix_ms: u64,
+        incarnation: u64,
+        terms: &LeaseTerms,
+    ) -> LeaseIssuer {
+        LeaseIssuer {
             silent_until: now,
-            ..Grantor::start(now, unix_ms, incarnation, terms, 8, 8)
+            ..LeaseIssuer::start(now, unix_ms, incarnation, terms, 8, 8)
         }
     }
 
@@ -85,7 +90,7 @@
         request: &LeaseRequest,
     ) -> Result<LeaseReply, NoReply> {
         if now < self.silent_until {
-            return Err(NoReply::Started(self.silent_until - now));
+            return Err(NoReply::Starting(self.silent_until - now));
         }
         self.sessions.retain(|_, session| now < session.until);
         let session = self.renew_session(now, request)?;
@@ -112,14 +117,14 @@
 
     /// Starts or extends the session of the member that sent a request.
     fn renew_session(&mut self, now: Duration, request: &LeaseRequest) -> Result<Session, NoReply> {
-        let until = now + self.length;
+        let until = now + self.lease_duration;
         if let Some(session) = self.sessions.get_mut(&request.from) {
             session.last = session.last.max(request.number);
             session.until = until;
             return Ok(*session);
         }
         if self.sessions.len() >= self.max_members {
-            return Err(NoReply::Crowded(self.max_members));
+            return Err(NoReply::TooManyHolders(self.max_members));
         }
         let session = Session {
             number: self.next_session,
@@ -154,16 +159,16 @@
             Some((granted, Some(holder))) if holder == from => {
                 // The same, or a later epoch of the same holder.
                 if epoch < granted.epoch {
-                    return Verdict::Stale(granted.epoch);
+                    return Verdict::StaleEpoch(granted.epoch);
                 }
                 self.granted.insert(resource, new);
                 Verdict::Granted
             }
-            Some((granted, Some(_))) => Verdict::Held(granted.epoch),
-            Some((granted, None)) if epoch <= granted.epoch => Verdict::Stale(granted.epoch),
-            None if epoch <= self.floor => Verdict::Stale(self.floor),
+            Some((granted, Some(_))) => Verdict::HeldByOther(granted.epoch),
+            Some((granted, None)) if epoch <= granted.epoch => Verdict::StaleEpoch(granted.epoch),
+            None if epoch <= self.floor => Verdict::StaleEpoch(self.floor),
             None if self.granted.len() >= self.max_resources && !self.evict_free_resource() => {
-                Verdict::Full
+                Verdict::AtCapacity
             }
             Some((_, None)) | None => {
                 self.granted.insert(resource, new);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,26 +3,26 @@
 //! It does no I/O and reads no clock: callers pass time and messages in and carry out the results. docs/fleet.md has the
 //! guarantees and the design.
 //!
-//! * [`terms`]: the duration of leases for grantors and holders.
-//! * [`grantor`]: which resource a grantor has granted, to whom, until when.
-//! * [`holder`]: which leases a gateway has from a majority of grantors.
+//! * [`lease_terms`]: the duration of leases for issuers and holders.
+//! * [`lease_issuer`]: which resource an issuer has granted, to whom, until when.
+//! * [`lease_holder`]: which leases a gateway has from a majority of issuers.
 //! * [`shares`]: a budget of the fleet in leased units.
 //! * [`membership`]: membership by SWIM, with facts that members publish about themselves.
-//! * [`message`]: messages between holders and grantors.
+//! * [`message`]: messages between holders and issuers.
 //! * [`wire`]: messages as datagrams: bounded, of one fleet, with a keyed hash where there is a key.
 //!
 //! Times are spans since any fixed point of the caller's own, on a clock that never runs backwards and runs on through a
 //! pause of the process. No two parties need agree on them.
 
-pub mod grantor;
-pub mod holder;
+pub mod lease_holder;
+pub mod lease_issuer;
+pub mod lease_terms;
 pub mod membership;
 pub mod message;
 pub mod shares;
-pub mod terms;
 pub mod wire;
 
-pub use grantor::Grantor;
-pub use holder::Holder;
+pub use lease_holder::LeaseHolder;
+pub use lease_issuer::LeaseIssuer;
+pub use lease_terms::{LeaseTerms, LeaseTermsError};
 pub use message::{Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict};
-pub use terms::{Terms, TermsError};
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between lease holders and grantors.
+//! Messages between lease holders and issuers.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     pub epoch: Epoch,
 }
 
-/// Renews all leases that a member has from a grantor, claims further ones, and releases some.
+/// Renews all leases that a member has from an issuer, claims further ones, and releases some.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The member that sends it.
@@ -45,27 +45,27 @@
     pub releases: Vec<Claim>,
 }
 
-/// A grantor's decision on a claim.
+/// An issuer's decision on a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Granted, for as long as the member's session with this grantor lasts.
+    /// Granted, for as long as the member's session with this issuer lasts.
     Granted,
     /// Another member has it, under this epoch.
-    Held(Epoch),
-    /// The grantor has seen this epoch or a later one: claim a later one than that.
-    Stale(Epoch),
-    /// The grantor can store no further resource.
-    Full,
+    HeldByOther(Epoch),
+    /// The issuer has seen this epoch or a later one: claim a later one than that.
+    StaleEpoch(Epoch),
+    /// The issuer can store no further resource.
+    AtCapacity,
 }
 
-/// A grantor's reply to one request.
+/// An issuer's reply to one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseReply {
     /// The member that sent the request.
     pub to: Member,
     /// The number of the request.
     pub number: u32,
-    /// The member's session with this incarnation of the grantor. Leases of an earlier session have ended.
+    /// The member's session with this incarnation of the issuer. Leases of an earlier session have ended.
     pub session: u64,
     /// The decisions on the claims.
     pub verdicts: Vec<(Claim, Verdict)>,
@@ -73,15 +73,15 @@
     pub released: Vec<Claim>,
 }
 
-/// Why a grantor does not reply to a request.
+/// Why an issuer does not reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum NoReply {
     /// It started less than a lease ago, and may have granted what it does not remember; the time until it replies.
-    #[error("grantor started less than the longest lease ago: it gives nothing for another {0:?}; nothing is to be done")]
-    Started(Duration),
+    #[error("issuer started less than the longest lease ago: it gives nothing for another {0:?}; nothing is to be done")]
+    Starting(Duration),
     /// It has sessions with as many members as it may have.
     #[error(
-        "grantor has {0} members, as many as it is told to keep: raise the fleet's most members"
+        "issuer has {0} members, as many as it is told to keep: raise the fleet's most members"
     )]
-    Crowded(usize),
+    TooManyHolders(usize),
 }
--- a/crates/fleet/src/shares.rs
+++ b/crates/fleet/src/shares.rs
@@ -4,7 +4,7 @@
 //! or restart. Rendezvous hashing decides which member claims which unit: members that see the same fleet agree, and a
 //! member that joins or leaves moves its own part only.
 
-use crate::holder::Holder;
+use crate::lease_holder::LeaseHolder;
 use crate::message::Resource;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
     }
 
     /// Makes a holder claim the units that are due to it and release all others.
-    pub fn settle(&self, holder: &mut Holder, now: Duration, me: u64, there: &[u64]) {
+    pub fn settle(&self, holder: &mut LeaseHolder, now: Duration, me: u64, there: &[u64]) {
         let mut due = self.due(me, there).peekable();
         for unit in self.resources() {
             match due.next_if_eq(&unit) {
@@ -65,7 +65,7 @@
     }
 
     /// How many units are held now; to be checked right before they are used.
-    pub fn held(&self, holder: &Holder, now: Duration) -> u32 {
+    pub fn held(&self, holder: &LeaseHolder, now: Duration) -> u32 {
         self.resources()
             .filter(|unit| holder.holds(now, *unit).is_some())
             .count() as u32
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -20,7 +20,7 @@
 pub enum Message {
     /// From a lease holder.
     Request(LeaseRequest),
-    /// From a grantor.
+    /// From an issuer.
     Reply(LeaseReply),
     /// Of the membership, in its own encoding.
     Swim(Vec<u8>),
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -1,11 +1,12 @@
 //! Bad input: each fault has its own error that says what to do; no datagram, whatever its bytes, is a panic or a grant.
 
+use garnetwall_fleet::lease_terms::LeaseTermsError;
 use garnetwall_fleet::message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
 use garnetwall_fleet::shares::Budget;
-use garnetwall_fleet::terms::TermsError;
 use garnetwall_fleet::wire::{Dropped, Message, Wire, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES};
 use garnetwall_fleet::{
-    Claim, Epoch, Grantor, Holder, LeaseReply, LeaseRequest, Member, Resource, Terms, Verdict,
+    Claim, Epoch, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms, Member, Resource,
+    Verdict,
 };
 use proptest::prelude::*;
 use std::collections::HashSet;
@@ -15,8 +16,8 @@
     Duration::from_millis(n)
 }
 
-fn terms() -> Terms {
-    Terms::new(ms(2000), 500, ms(100), &[1, 2, 3]).unwrap()
+fn terms() -> LeaseTerms {
+    LeaseTerms::new(ms(2000), 500, ms(100), &[1, 2, 3]).unwrap()
 }
 
 fn claim(n: u64) -> Claim {
@@ -40,31 +41,31 @@
 
 #[test]
 fn each_fault_of_the_settings_is_told_with_what_to_do() {
-    let short = Terms::new(ms(300), 500, ms(100), &[1, 2, 3]).unwrap_err();
+    let short = LeaseTerms::new(ms(300), 500, ms(100), &[1, 2, 3]).unwrap_err();
     let faults = [
         (
-            Terms::new(ms(2000), 500, ms(100), &[1, 2]).unwrap_err(),
-            TermsError::Grantors(2),
+            LeaseTerms::new(ms(2000), 500, ms(100), &[1, 2]).unwrap_err(),
+            LeaseTermsError::IssuerCount(2),
             "odd number",
         ),
         (
-            Terms::new(ms(2000), 500, ms(100), &[]).unwrap_err(),
-            TermsError::Grantors(0),
+            LeaseTerms::new(ms(2000), 500, ms(100), &[]).unwrap_err(),
+            LeaseTermsError::IssuerCount(0),
             "odd number",
         ),
         (
-            Terms::new(ms(2000), 500, ms(100), &[1; 11]).unwrap_err(),
-            TermsError::Grantors(11),
+            LeaseTerms::new(ms(2000), 500, ms(100), &[1; 11]).unwrap_err(),
+            LeaseTermsError::IssuerCount(11),
             "1 to 9",
         ),
         (
-            Terms::new(ms(2000), 500, ms(100), &[1, 2, 1]).unwrap_err(),
-            TermsError::Twice(2),
+            LeaseTerms::new(ms(2000), 500, ms(100), &[1, 2, 1]).unwrap_err(),
+            LeaseTermsError::DuplicateIssuer(2),
             "gateway of its own",
         ),
         (
-            Terms::new(ms(2000), 600_000, ms(100), &[1]).unwrap_err(),
-            TermsError::Drift(600_000),
+            LeaseTerms::new(ms(2000), 600_000, ms(100), &[1]).unwrap_err(),
+            LeaseTermsError::DriftTooLarge(600_000),
             "measure",
         ),
         (short, short, "take a longer lease"),
@@ -73,7 +74,7 @@
         assert_eq!(fault, wanted);
         assert!(fault.to_string().contains(says), "{fault}");
     }
-    assert!(matches!(short, TermsError::Short { .. }));
+    assert!(matches!(short, LeaseTermsError::LeaseTooShort { .. }));
 }
 
 #[test]
@@ -137,7 +138,7 @@
     assert!(wire
         .write(&Message::Request(ask(u32::MAX, claims.clone())))
         .is_some());
-    let late = |claim: &Claim| (*claim, Verdict::Stale(Epoch(u64::MAX)));
+    let late = |claim: &Claim| (*claim, Verdict::StaleEpoch(Epoch(u64::MAX)));
     let told = LeaseReply {
         to: Member {
             gateway: u64::MAX,
@@ -162,14 +163,14 @@
 
 #[test]
 fn a_grantor_that_has_started_is_mute_for_a_lease_and_bounds_what_it_keeps() {
-    let mut grantor = Grantor::start(ms(0), 0, 1, &terms(), 2, 3);
-    let fault = grantor
+    let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), 2, 3);
+    let fault = issuer
         .handle_request(ms(1999), &ask(1, vec![claim(0)]))
         .unwrap_err();
-    assert_eq!(fault, NoReply::Started(ms(1)));
+    assert_eq!(fault, NoReply::Starting(ms(1)));
     assert!(fault.to_string().contains("nothing is to be done"));
-    let verdict = |grantor: &mut Grantor, now, number, n| {
-        grantor
+    let verdict = |issuer: &mut LeaseIssuer, now, number, n| {
+        issuer
             .handle_request(ms(now), &ask(number, vec![claim(n)]))
             .unwrap()
             .verdicts[0]
@@ -177,16 +178,16 @@
     };
     for n in 0..3 {
         assert_eq!(
-            verdict(&mut grantor, 2000, n as u32 + 1, 10 - n),
+            verdict(&mut issuer, 2000, n as u32 + 1, 10 - n),
             Verdict::Granted
         );
     }
-    assert_eq!(verdict(&mut grantor, 2000, 4, 3), Verdict::Full);
+    assert_eq!(verdict(&mut issuer, 2000, 4, 3), Verdict::AtCapacity);
     // Its session is over: what it had gives way, and what was forgotten is not given under an old epoch.
-    assert_eq!(verdict(&mut grantor, 9000, 5, 3), Verdict::Granted);
+    assert_eq!(verdict(&mut issuer, 9000, 5, 3), Verdict::Granted);
     assert_eq!(
-        verdict(&mut grantor, 9000, 6, 20),
-        Verdict::Stale(claim(10).epoch)
+        verdict(&mut issuer, 9000, 6, 20),
+        Verdict::StaleEpoch(claim(10).epoch)
     );
     for life in 0..10 {
         let one = LeaseRequest {
@@ -196,24 +197,24 @@
             },
             ..ask(1, Vec::new())
         };
-        let told = grantor.handle_request(ms(9000), &one);
+        let told = issuer.handle_request(ms(9000), &one);
         assert_eq!(told.is_err(), life > 0, "{told:?}");
         if let Err(fault) = told {
-            assert_eq!(fault, NoReply::Crowded(2));
+            assert_eq!(fault, NoReply::TooManyHolders(2));
             assert!(fault.to_string().contains("raise"));
         }
     }
-    assert_eq!(grantor.size(), (3, 2));
+    assert_eq!(issuer.size(), (3, 2));
 }
 
-/// Thousands of things are renewed by one message to each grantor.
+/// Thousands of things are renewed by one message to each issuer.
 #[test]
 fn ten_thousand_things_are_renewed_by_one_message_to_each_grantor() {
     let terms = terms();
-    let mut grantors: Vec<_> = (0..3)
-        .map(|n| Grantor::start(ms(0), 0, n << 32, &terms, 8, 20_000))
+    let mut issuers: Vec<_> = (0..3)
+        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, 8, 20_000))
         .collect();
-    let mut holder = Holder::new(
+    let mut holder = LeaseHolder::new(
         Member {
             gateway: 1,
             incarnation: 1,
@@ -228,7 +229,7 @@
         let asks = holder.requests(now);
         last = asks.len();
         for (n, ask) in asks {
-            let told = grantors[n].handle_request(now, &ask).unwrap();
+            let told = issuers[n].handle_request(now, &ask).unwrap();
             holder.handle_reply(n, &told);
         }
         now = holder.next_request_at();
@@ -245,12 +246,12 @@
 fn shares_sum_up_to_no_more_than_the_budget_and_settle_on_the_whole() {
     let terms = terms();
     let budget = Budget::new("return of east", 60);
-    let mut grantors: Vec<_> = (0..3)
-        .map(|n| Grantor::start(ms(0), 0, n << 32, &terms, 16, 200))
+    let mut issuers: Vec<_> = (0..3)
+        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, 16, 200))
         .collect();
     let mut holders: Vec<_> = (0..6)
         .map(|n| {
-            Holder::new(
+            LeaseHolder::new(
                 Member {
                     gateway: n,
                     incarnation: n,
@@ -278,7 +279,7 @@
             let holder = &mut holders[n as usize];
             budget.settle(holder, now, n, &there(n));
             for (g, ask) in holder.requests(now) {
-                if let Ok(told) = grantors[g].handle_request(now, &ask) {
+                if let Ok(told) = issuers[g].handle_request(now, &ask) {
                     holder.handle_reply(g, &told);
                 }
             }
@@ -306,7 +307,7 @@
 #[test]
 fn a_lease_is_looked_at_quickly() {
     let terms = terms();
-    let mut holder = Holder::new(
+    let mut holder = LeaseHolder::new(
         Member {
             gateway: 1,
             incarnation: 1,
@@ -334,8 +335,8 @@
         ours.truncate(9);
         ours.extend(&bytes);
         if let Ok(Message::Request(ask)) = wire.read(&ours) {
-            let mut grantor = Grantor::start(ms(0), 0, 1, &terms(), 2, 3);
-            let _ = grantor.handle_request(ms(5000), &ask);
+            let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), 2, 3);
+            let _ = issuer.handle_request(ms(5000), &ask);
         }
     }
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,14 +1,16 @@
-//! Every order of events of a small fleet, by search: three grantors, two gateways, one thing, with loss, repeats, reorder,
-//! pause and restart of each at every step, and clocks that drift at the bound: grantors' fast, holders' slow. Judged in
+//! Every order of events of a small fleet, by search: three issuers, two gateways, one thing, with loss, repeats, reorder,
+//! pause and restart of each at every step, and clocks that drift at the bound: issuers' fast, holders' slow. Judged in
 //! every state: never two holders at once, and epochs that grow. A slip put in on purpose must be found, with its trace.
 
-use garnetwall_fleet::{Epoch, Grantor, Holder, LeaseReply, LeaseRequest, Member, Resource, Terms};
+use garnetwall_fleet::{
+    Epoch, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms, Member, Resource,
+};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-const GRANTORS: usize = 3;
+const ISSUERS: usize = 3;
 const HOLDERS: usize = 2;
 const THING: Resource = Resource(7);
 /// A step of real time, by a clock that is right. Clocks drift by a tenth.
@@ -20,9 +22,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Slip {
     None,
-    /// The holder counts its lease as long as its grantors do.
+    /// The holder counts its lease as long as its issuers do.
     NoDriftBound,
-    /// A restarted grantor speaks at once.
+    /// A restarted issuer speaks at once.
     NoSilence,
 }
 
@@ -44,8 +46,8 @@
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
-    grantors: Vec<(Grantor, Duration)>,
-    holders: Vec<(Holder, Duration)>,
+    issuers: Vec<(LeaseIssuer, Duration)>,
+    holders: Vec<(LeaseHolder, Duration)>,
     on_the_way: BTreeSet<Message>,
     lives: u64,
     left: Left,
@@ -59,15 +61,15 @@
     Step,
     Asks(usize),
     Comes(Message, bool),
-    GrantorRestarts(usize),
+    IssuerRestarts(usize),
     HolderRestarts(usize),
     Returns(usize),
 }
 
-fn terms(slip: Slip) -> Terms {
-    let checked = Terms::new(LENGTH, DRIFT, Duration::from_millis(4), &[1, 2, 3]).unwrap();
+fn terms(slip: Slip) -> LeaseTerms {
+    let checked = LeaseTerms::new(LENGTH, DRIFT, Duration::from_millis(4), &[1, 2, 3]).unwrap();
     match slip {
-        Slip::NoDriftBound => Terms::unchecked(LENGTH, LENGTH, GRANTORS),
+        Slip::NoDriftBound => LeaseTerms::unchecked(LENGTH, LENGTH, ISSUERS),
         Slip::None | Slip::NoSilence => checked,
     }
 }
@@ -82,20 +84,25 @@
 impl World {
     fn new(slip: Slip, left: Left) -> World {
         let terms = terms(slip);
-        let grantor = |n| {
+        let issuer = |n| {
             (
-                Grantor::hasty(Duration::ZERO, 0, 1000 * (n as u64 + 1), &terms),
+                LeaseIssuer::start_without_silence(
+                    Duration::ZERO,
+                    0,
+                    1000 * (n as u64 + 1),
+                    &terms,
+                ),
                 Duration::ZERO,
             )
         };
         let holder = |n| {
-            let mut holder = Holder::new(member(n, n as u64), terms, n as u64);
+            let mut holder = LeaseHolder::new(member(n, n as u64), terms, n as u64);
             holder.observe_epoch(Epoch(100 + n as u64));
             holder.want(Duration::ZERO, THING);
             (holder, Duration::ZERO)
         };
         World {
-            grantors: (0..GRANTORS).map(grantor).collect(),
+            issuers: (0..ISSUERS).map(issuer).collect(),
             holders: (0..HOLDERS).map(holder).collect(),
             on_the_way: BTreeSet::new(),
             lives: 10,
@@ -122,7 +129,7 @@
             acts.push(Act::Step);
         }
         if self.left.restarts > 0 {
-            acts.extend((0..GRANTORS).map(Act::GrantorRestarts));
+            acts.extend((0..ISSUERS).map(Act::IssuerRestarts));
             acts.extend((0..HOLDERS).map(Act::HolderRestarts));
         }
         if self.left.returns > 0 {
@@ -141,7 +148,7 @@
         match act {
             Act::Step => {
                 self.left.steps -= 1;
-                self.grantors
+                self.issuers
                     .iter_mut()
                     .for_each(|(_, clock)| *clock += FAST);
                 self.holders
@@ -164,23 +171,25 @@
                 }
                 match message {
                     Message::Ask(n, g, ask) => {
-                        let (grantor, clock) = &mut self.grantors[*g];
-                        if let Ok(told) = grantor.handle_request(*clock, ask) {
+                        let (issuer, clock) = &mut self.issuers[*g];
+                        if let Ok(told) = issuer.handle_request(*clock, ask) {
                             self.on_the_way.insert(Message::Told(*n, *g, told));
                         }
                     }
                     Message::Told(n, g, told) => self.holders[*n].0.handle_reply(*g, told),
                 }
             }
-            Act::GrantorRestarts(n) => {
+            Act::IssuerRestarts(n) => {
                 self.left.restarts -= 1;
                 self.lives += 1;
-                let (grantor, clock) = &mut self.grantors[*n];
+                let (issuer, clock) = &mut self.issuers[*n];
                 let (life, unix, terms) =
                     (1000 * self.lives, clock.as_millis() as u64, terms(slip));
-                *grantor = match slip {
-                    Slip::NoSilence => Grantor::hasty(*clock, unix, life, &terms),
-                    _ => Grantor::start(*clock, unix, life, &terms, 8, 8),
+                *issuer = match slip {
+                    Slip::NoSilence => {
+                        LeaseIssuer::start_without_silence(*clock, unix, life, &terms)
+                    }
+                    _ => LeaseIssuer::start(*clock, unix, life, &terms, 8, 8),
                 };
             }
             Act::HolderRestarts(n) => {
@@ -188,7 +197,7 @@
                 self.lives += 1;
                 self.born[*n] = self.lives;
                 let (holder, clock) = &mut self.holders[*n];
-                *holder = Holder::new(member(*n, self.lives), terms(slip), *n as u64);
+                *holder = LeaseHolder::new(member(*n, self.lives), terms(slip), *n as u64);
                 holder.observe_epoch(Epoch(100 + self.lives));
                 holder.want(*clock, THING);
             }
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -45,9 +45,9 @@
         session: 1_000,
         verdicts: vec![
             (claim(1, 2), Verdict::Granted),
-            (claim(2, 3), Verdict::Held(Epoch(5))),
-            (claim(3, 4), Verdict::Stale(Epoch(6))),
-            (claim(4, 5), Verdict::Full),
+            (claim(2, 3), Verdict::HeldByOther(Epoch(5))),
+            (claim(3, 4), Verdict::StaleEpoch(Epoch(6))),
+            (claim(4, 5), Verdict::AtCapacity),
         ],
         released: vec![claim(6, 7)],
     })
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -1,10 +1,10 @@
-//! Grantors and holders in a played world without I/O, by seed: loss, repeats, delays that reorder, cuts one way and both,
+//! Lease issuers and holders in a played world without I/O, by seed: loss, repeats, delays that reorder, cuts one way and both,
 //! gateways that are stopped and go on, kills and restarts, clocks that drift within the bound. An engine that is acted on
 //! judges: at each moment at most one gateway may act on a thing, and epochs never fall. After the faults, each thing must
 //! find a holder again. A slip for each assumption must be found.
 
 use garnetwall_fleet::wire::{Message, Wire};
-use garnetwall_fleet::{Epoch, Grantor, Holder, Member, Resource, Terms};
+use garnetwall_fleet::{Epoch, LeaseHolder, LeaseIssuer, LeaseTerms, Member, Resource};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -49,8 +49,8 @@
     stopped_until: u64,
     dead_until: u64,
     life: u64,
-    holder: Holder,
-    grantor: Option<Grantor>,
+    holder: LeaseHolder,
+    issuer: Option<LeaseIssuer>,
     /// What it held when it was stopped.
     held: Vec<(Resource, Epoch)>,
 }
@@ -67,13 +67,13 @@
     slip: Slip,
     dice: Dice,
     now: u64,
-    terms: Terms,
-    grantors: usize,
+    terms: LeaseTerms,
+    issuers: usize,
     nodes: Vec<Node>,
     wires: Wire,
     /// Due at, from, to, bytes.
     on_the_way: Vec<(u64, usize, usize, Vec<u8>)>,
-    /// Nothing fails but gateways that are no grantors.
+    /// Nothing fails but gateways that are no issuers.
     mild: bool,
     /// From, to, until.
     cuts: Vec<(usize, usize, u64)>,
@@ -87,12 +87,12 @@
     fn new(seed: u64, slip: Slip) -> World {
         let mut dice = Dice(seed ^ 0x51_7c_c1_b7);
         dice.roll(1);
-        let grantors = if dice.one_in(4) { 1 } else { 3 };
-        let names: Vec<u64> = (0..grantors as u64).collect();
+        let issuers = if dice.one_in(4) { 1 } else { 3 };
+        let names: Vec<u64> = (0..issuers as u64).collect();
         let length = Duration::from_millis(LENGTH);
-        let checked = Terms::new(length, DRIFT, Duration::from_millis(100), &names).unwrap();
+        let checked = LeaseTerms::new(length, DRIFT, Duration::from_millis(100), &names).unwrap();
         let terms = match slip {
-            Slip::NoDriftBound => Terms::unchecked(length, length, grantors),
+            Slip::NoDriftBound => LeaseTerms::unchecked(length, length, issuers),
             _ => checked,
         };
         let loss = [0, 10, 30][dice.roll(3) as usize];
@@ -100,7 +100,7 @@
             slip,
             now: 0,
             terms,
-            grantors,
+            issuers,
             nodes: Vec::new(),
             wires: Wire::new("played", dice.one_in(2).then_some(b"a key")),
             on_the_way: Vec::new(),
@@ -119,11 +119,11 @@
         };
         for n in 0..GATEWAYS {
             let ahead = world.dice.roll(1 << 20);
-            // At the bound or near it, fast or slow: grantors and holders alike.
+            // At the bound or near it, fast or slow: issuers and holders alike.
             let part = 1.0 - world.dice.roll(3) as f64 / 10.0;
             let rate = if world.dice.one_in(2) { part } else { -part } * f64::from(DRIFT) / 1e6;
             let life = world.dice.roll(u64::MAX);
-            let holder = Holder::new(
+            let holder = LeaseHolder::new(
                 Member {
                     gateway: n as u64,
                     incarnation: life,
@@ -139,7 +139,7 @@
                 dead_until,
                 life,
                 holder,
-                grantor: None,
+                issuer: None,
                 held: Vec::new(),
             };
             world.nodes.push(node);
@@ -161,7 +161,7 @@
         let unix = 1_000_000 + self.now + self.nodes[n].ahead % (LENGTH / 2);
         let node = &mut self.nodes[n];
         node.life = life;
-        node.holder = Holder::new(
+        node.holder = LeaseHolder::new(
             Member {
                 gateway: n as u64,
                 incarnation: life,
@@ -170,9 +170,9 @@
             life,
         );
         node.held.clear();
-        node.grantor = (n < self.grantors).then(|| match self.slip == Slip::NoSilence && !first {
-            true => Grantor::hasty(now, unix, life, &terms),
-            false => Grantor::start(now, unix, life, &terms, 64, 64),
+        node.issuer = (n < self.issuers).then(|| match self.slip == Slip::NoSilence && !first {
+            true => LeaseIssuer::start_without_silence(now, unix, life, &terms),
+            false => LeaseIssuer::start(now, unix, life, &terms, 64, 64),
         });
         for thing in 0..THINGS {
             node.holder.want(now, Resource(thing));
@@ -271,7 +271,7 @@
         }
         self.nodes[n].dead_until = self.now + 10 + self.dice.roll(3000);
         self.nodes[n].stopped_until = 0;
-        self.nodes[n].grantor = None;
+        self.nodes[n].issuer = None;
     }
 
     fn kills_one_that_grants_nothing(&mut self) {
@@ -285,7 +285,7 @@
                 .holds(clock(*n), Resource(0))
                 .is_some()
         };
-        if let Some(n) = (self.grantors..GATEWAYS).find(holds) {
+        if let Some(n) = (self.issuers..GATEWAYS).find(holds) {
             self.kills(n);
         }
     }
@@ -302,9 +302,9 @@
         match self.wires.read(bytes) {
             Ok(Message::Request(ask)) => {
                 let told = self.nodes[to]
-                    .grantor
+                    .issuer
                     .as_mut()
-                    .and_then(|grantor| grantor.handle_request(now, &ask).ok());
+                    .and_then(|issuer| issuer.handle_request(now, &ask).ok());
                 if let Some(told) = told {
                     self.sends(to, from, &Message::Reply(told));
                 }
@@ -383,8 +383,8 @@
             }
             for n in (0..GATEWAYS).filter(|n| runs[*n]) {
                 let clock = self.clock(n);
-                for (grantor, ask) in self.nodes[n].holder.requests(clock) {
-                    self.sends(n, grantor, &Message::Request(ask));
+                for (issuer, ask) in self.nodes[n].holder.requests(clock) {
+                    self.sends(n, issuer, &Message::Request(ask));
                 }
             }
             self.judge();
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -1,16 +1,16 @@
-//! The role of a lease grantor: members renew what they have.
+//! The role of a lease issuer: members renew what they have.
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated};
-use garnetwall_fleet::{Claim, Epoch, Grantor, LeaseRequest, Member, Resource, Terms};
+use garnetwall_fleet::{Claim, Epoch, LeaseIssuer, LeaseRequest, LeaseTerms, Member, Resource};
 use std::time::Duration;
 
 /// A lease of two seconds, renewed each quarter of it.
 const LEASE_LENGTH: Duration = Duration::from_secs(2);
 const TERM_LENGTH: Duration = Duration::from_millis(1990);
 const RENEWALS_PER_TERM: u64 = 4;
-const GRANTORS: usize = 3;
-/// Leases that the grantor may store.
+const ISSUERS: usize = 3;
+/// Leases that the issuer may store.
 const MAX_LEASES: usize = 100_000;
 
 /// Measures the lease issuer.
@@ -19,13 +19,13 @@
 impl Role for Leases {
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let members = point.quantities.members;
-        let terms = Terms::unchecked(LEASE_LENGTH, TERM_LENGTH, GRANTORS);
-        let mut grantor =
-            Grantor::start(Duration::ZERO, 0, 1, &terms, members as usize, MAX_LEASES);
+        let terms = LeaseTerms::unchecked(LEASE_LENGTH, TERM_LENGTH, ISSUERS);
+        let mut issuer =
+            LeaseIssuer::start(Duration::ZERO, 0, 1, &terms, members as usize, MAX_LEASES);
         let begin = LEASE_LENGTH * 2;
         let (resident, refused) = growth(|| {
             let first = |member: u64| {
-                grantor
+                issuer
                     .handle_request(begin, &lease_request(member, 1, true))
                     .is_err()
             };
@@ -40,7 +40,7 @@
         let step = TERM_LENGTH.as_nanos() as u64 / RENEWALS_PER_TERM / members;
         let renewal = repeated(|repeat| {
             let now = begin + Duration::from_nanos(step * repeat);
-            grantor.handle_request(
+            issuer.handle_request(
                 now,
                 &lease_request(repeat % members, 2 + (repeat / members) as u32, false),
             )
@@ -54,7 +54,7 @@
 
 /// A member's request: to renew its membership, and at first to claim one lease.
 fn lease_request(member: u64, number: u32, claims: bool) -> LeaseRequest {
-    /// After any that the grantor's start rules out.
+    /// After any that the issuer's start rules out.
     const FIRST_EPOCH: Epoch = Epoch(1 << 40);
     let claim = Claim {
         resource: Resource(member),
--- a/crates/scale/src/slopes/measurement.rs
+++ b/crates/scale/src/slopes/measurement.rs
@@ -46,7 +46,7 @@
     Attempt,
     /// Processor microseconds of reading and checking a file.
     Read,
-    /// Processor microseconds of one member's renewal at a grantor.
+    /// Processor microseconds of one member's renewal at a lease issuer.
     Renewal,
 }
 
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -29,7 +29,7 @@
     Ledger,
     /// A configuration file that is read and checked.
     Configuration,
-    /// A lease grantor.
+    /// A lease issuer.
     Leases,
 }
 
