--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -2,7 +2,7 @@
 
 use crate::lease_terms::{LeaseTerms, MAX_ISSUERS};
 use crate::message::{
-    Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict, MAX_CLAIMS_PER_MESSAGE,
+    Claim, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict, MAX_CLAIMS_PER_MESSAGE,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 /// The leases of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseHolder {
-    me: Member,
+    id: HolderId,
     terms: LeaseTerms,
     grants: [Grant; MAX_ISSUERS],
     wanted: BTreeMap<Resource, Wanted>,
@@ -56,9 +56,9 @@
 
 impl LeaseHolder {
     /// A holder without leases. `rng_state` seeds the jitter of backoffs.
-    pub fn new(me: Member, terms: LeaseTerms, rng_state: u64) -> LeaseHolder {
+    pub fn new(id: HolderId, terms: LeaseTerms, rng_state: u64) -> LeaseHolder {
         LeaseHolder {
-            me,
+            id,
             terms,
             grants: Default::default(),
             wanted: BTreeMap::new(),
@@ -178,7 +178,7 @@
             (
                 issuer,
                 LeaseRequest {
-                    from: self.me,
+                    holder: self.id,
                     number: self.number,
                     claims: of(false),
                     releases: of(true),
@@ -252,7 +252,7 @@
     pub fn handle_reply(&mut self, issuer: usize, reply: &LeaseReply) {
         let (number, sent) = self.recent_requests[reply.number as usize % RECENT_REQUESTS];
         if issuer >= self.terms.issuer_count()
-            || reply.to != self.me
+            || reply.holder != self.id
             || reply.number != number
             || number == 0
         {
--- a/crates/fleet/src/lease_issuer.rs
+++ b/crates/fleet/src/lease_issuer.rs
@@ -4,11 +4,13 @@
 //! granted before can still be held.
 
 use crate::lease_terms::LeaseTerms;
-use crate::message::{Claim, Epoch, LeaseReply, LeaseRequest, Member, NoReply, Resource, Verdict};
+use crate::message::{
+    Claim, Epoch, HolderId, LeaseReply, LeaseRequest, NoReply, Resource, Verdict,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time over which a member has renewed its leases without a gap.
+/// The time over which a holder has renewed its leases without a gap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Session {
     number: u64,
@@ -22,7 +24,7 @@
 struct Grant {
     epoch: Epoch,
     /// The holder and its session; `None` once it was released.
-    to: Option<(Member, u64)>,
+    to: Option<(HolderId, u64)>,
 }
 
 /// A lease issuer.
@@ -32,9 +34,9 @@
     silent_until: Duration,
     /// Sessions are numbered from the incarnation on, so that two incarnations never use the same numbers.
     next_session: u64,
-    max_members: usize,
+    max_holders: usize,
     max_resources: usize,
-    sessions: BTreeMap<Member, Session>,
+    sessions: BTreeMap<HolderId, Session>,
     granted: BTreeMap<Resource, Grant>,
     /// No epoch up to this is granted for a resource that is not stored: it may have been evicted.
     floor: Epoch,
@@ -42,7 +44,7 @@
 
 impl LeaseIssuer {
     /// An issuer that starts now, at `unix_ms` by its wall clock, in milliseconds. `incarnation` is drawn anew with each
-    /// start; `max_members` and `max_resources` bound what is stored.
+    /// start; `max_holders` and `max_resources` bound what is stored.
     ///
     /// It remembers no epoch that was granted before. All of those are below its wall clock plus one lease, as long as the
     /// issuers' wall clocks are no more than a lease apart: it grants none up to there.
@@ -51,14 +53,14 @@
         unix_ms: u64,
         incarnation: u64,
         terms: &LeaseTerms,
-        max_members: usize,
+        max_holders: usize,
         max_resources: usize,
     ) -> LeaseIssuer {
         LeaseIssuer {
             lease_duration: terms.issuer_duration(),
             silent_until: now + terms.issuer_duration(),
             next_session: incarnation,
-            max_members,
+            max_holders,
             max_resources,
             sessions: BTreeMap::new(),
             granted: BTreeMap::new(),
@@ -97,17 +99,17 @@
         request
             .releases
             .iter()
-            .for_each(|claim| self.release(request.from, claim));
+            .for_each(|claim| self.release(request.holder, claim));
         // What an older request claims may have been released since.
         let claims = if session.last == request.number {
             &request.claims[..]
         } else {
             &[]
         };
-        let verdict = |claim: &Claim| (*claim, self.verdict(claim, request.from, session.number));
+        let verdict = |claim: &Claim| (*claim, self.verdict(claim, request.holder, session.number));
         let verdicts = claims.iter().map(verdict).collect();
         Ok(LeaseReply {
-            to: request.from,
+            holder: request.holder,
             number: request.number,
             session: session.number,
             verdicts,
@@ -115,16 +117,16 @@
         })
     }
 
-    /// Starts or extends the session of the member that sent a request.
+    /// Starts or extends the session of the holder that sent a request.
     fn renew_session(&mut self, now: Duration, request: &LeaseRequest) -> Result<Session, NoReply> {
         let until = now + self.lease_duration;
-        if let Some(session) = self.sessions.get_mut(&request.from) {
+        if let Some(session) = self.sessions.get_mut(&request.holder) {
             session.last = session.last.max(request.number);
             session.until = until;
             return Ok(*session);
         }
-        if self.sessions.len() >= self.max_members {
-            return Err(NoReply::TooManyHolders(self.max_members));
+        if self.sessions.len() >= self.max_holders {
+            return Err(NoReply::TooManyHolders(self.max_holders));
         }
         let session = Session {
             number: self.next_session,
@@ -132,12 +134,12 @@
             last: request.number,
         };
         self.next_session += 1;
-        self.sessions.insert(request.from, session);
+        self.sessions.insert(request.holder, session);
         Ok(session)
     }
 
     /// The holder of a grant whose session still lasts.
-    fn current_holder(&self, granted: &Grant) -> Option<Member> {
+    fn current_holder(&self, granted: &Grant) -> Option<HolderId> {
         let (member, number) = granted.to?;
         self.sessions
             .get(&member)
@@ -145,7 +147,7 @@
             .map(|_| member)
     }
 
-    fn verdict(&mut self, claim: &Claim, from: Member, session: u64) -> Verdict {
+    fn verdict(&mut self, claim: &Claim, from: HolderId, session: u64) -> Verdict {
         let Claim { resource, epoch } = *claim;
         let new = Grant {
             epoch,
@@ -194,8 +196,8 @@
         true
     }
 
-    /// Frees what a member releases, if it has it under this epoch.
-    fn release(&mut self, from: Member, claim: &Claim) {
+    /// Frees what a holder releases, if it has it under this epoch.
+    fn release(&mut self, from: HolderId, claim: &Claim) {
         if let Some(granted) = self
             .granted
             .get_mut(&claim.resource)
@@ -205,7 +207,7 @@
         }
     }
 
-    /// How many resources and members it stores.
+    /// How many resources and sessions with holders it stores.
     pub fn size(&self) -> (usize, usize) {
         (self.granted.len(), self.sessions.len())
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -25,4 +25,4 @@
 pub use lease_holder::LeaseHolder;
 pub use lease_issuer::LeaseIssuer;
 pub use lease_terms::{LeaseTerms, LeaseTermsError};
-pub use message::{Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict};
+pub use message::{Claim, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict};
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -14,9 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// One incarnation of a gateway; a restarted gateway is another member.
+/// One incarnation of a gateway as lease issuers know it; a restarted gateway is another holder.
+///
+/// The membership knows the same gateway by its address, as a [`Peer`](crate::membership::Peer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Member {
+pub struct HolderId {
     /// The hash of the gateway's name.
     pub gateway: u64,
     /// A random number, drawn at each start.
@@ -32,12 +34,12 @@
     pub epoch: Epoch,
 }
 
-/// Renews all leases that a member has from an issuer, claims further ones, and releases some.
+/// Renews all leases that a holder has from an issuer, claims further ones, and releases some.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The member that sends it.
-    pub from: Member,
-    /// The sequence number of the member's requests, which the reply repeats.
+    /// The holder that sends it.
+    pub holder: HolderId,
+    /// The sequence number among the holder's requests, which the reply repeats.
     pub number: u32,
     /// What is claimed.
     pub claims: Vec<Claim>,
@@ -48,9 +50,9 @@
 /// An issuer's decision on a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Granted, for as long as the member's session with this issuer lasts.
+    /// Granted, for as long as the holder's session with this issuer lasts.
     Granted,
-    /// Another member has it, under this epoch.
+    /// Another holder has it, under this epoch.
     HeldByOther(Epoch),
     /// The issuer has seen this epoch or a later one: claim a later one than that.
     StaleEpoch(Epoch),
@@ -61,11 +63,11 @@
 /// An issuer's reply to one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// The member that sent the request.
-    pub to: Member,
+    /// The holder that sent the request.
+    pub holder: HolderId,
     /// The number of the request.
     pub number: u32,
-    /// The member's session with this incarnation of the issuer. Leases of an earlier session have ended.
+    /// The holder's session with this incarnation of the issuer. Leases of an earlier session have ended.
     pub session: u64,
     /// The decisions on the claims.
     pub verdicts: Vec<(Claim, Verdict)>,
@@ -77,11 +79,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum NoReply {
     /// It started less than a lease ago, and may have granted what it does not remember; the time until it replies.
-    #[error("issuer started less than the longest lease ago: it gives nothing for another {0:?}; nothing is to be done")]
+    #[error("issuer started less than the longest lease ago: it grants nothing for another {0:?}; nothing is to be done")]
     Starting(Duration),
-    /// It has sessions with as many members as it may have.
+    /// It has sessions with as many holders as it may have; their number.
     #[error(
-        "issuer has {0} members, as many as it is told to keep: raise the fleet's most members"
+        "issuer has sessions with {0} lease holders, as many as it may have: raise the fleet's limit of members"
     )]
     TooManyHolders(usize),
 }
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -5,8 +5,8 @@
 use garnetwall_fleet::shares::Budget;
 use garnetwall_fleet::wire::{Dropped, Message, Wire, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES};
 use garnetwall_fleet::{
-    Claim, Epoch, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms, Member, Resource,
-    Verdict,
+    Claim, Epoch, HolderId, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms,
+    Resource, Verdict,
 };
 use proptest::prelude::*;
 use std::collections::HashSet;
@@ -29,7 +29,7 @@
 
 fn ask(number: u32, claims: Vec<Claim>) -> LeaseRequest {
     LeaseRequest {
-        from: Member {
+        holder: HolderId {
             gateway: u64::MAX,
             incarnation: u64::MAX,
         },
@@ -140,7 +140,7 @@
         .is_some());
     let late = |claim: &Claim| (*claim, Verdict::StaleEpoch(Epoch(u64::MAX)));
     let told = LeaseReply {
-        to: Member {
+        holder: HolderId {
             gateway: u64::MAX,
             incarnation: u64::MAX,
         },
@@ -191,7 +191,7 @@
     );
     for life in 0..10 {
         let one = LeaseRequest {
-            from: Member {
+            holder: HolderId {
                 gateway: 1,
                 incarnation: life,
             },
@@ -215,7 +215,7 @@
         .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, 8, 20_000))
         .collect();
     let mut holder = LeaseHolder::new(
-        Member {
+        HolderId {
             gateway: 1,
             incarnation: 1,
         },
@@ -252,7 +252,7 @@
     let mut holders: Vec<_> = (0..6)
         .map(|n| {
             LeaseHolder::new(
-                Member {
+                HolderId {
                     gateway: n,
                     incarnation: n,
                 },
@@ -308,7 +308,7 @@
 fn a_lease_is_looked_at_quickly() {
     let terms = terms();
     let mut holder = LeaseHolder::new(
-        Member {
+        HolderId {
             gateway: 1,
             incarnation: 1,
         },
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -3,7 +3,7 @@
 //! every state: never two holders at once, and epochs that grow. A slip put in on purpose must be found, with its trace.
 
 use garnetwall_fleet::{
-    Epoch, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms, Member, Resource,
+    Epoch, HolderId, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms, Resource,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
@@ -74,8 +74,8 @@
     }
 }
 
-fn member(n: usize, life: u64) -> Member {
-    Member {
+fn member(n: usize, life: u64) -> HolderId {
+    HolderId {
         gateway: n as u64,
         incarnation: life,
     }
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -2,11 +2,11 @@
 
 use garnetwall_fleet::membership::{Fact, Membership, Peer};
 use garnetwall_fleet::wire::{Message, Wire};
-use garnetwall_fleet::{Claim, Epoch, LeaseReply, LeaseRequest, Member, Resource, Verdict};
+use garnetwall_fleet::{Claim, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-const SENDER: Member = Member {
+const SENDER: HolderId = HolderId {
     gateway: 0x0102_0304_0506_0708,
     incarnation: 300,
 };
@@ -31,7 +31,7 @@
 
 fn request() -> Message {
     Message::Request(LeaseRequest {
-        from: SENDER,
+        holder: SENDER,
         number: 70_000,
         claims: vec![claim(1, 2), claim(u64::MAX, 200)],
         releases: vec![claim(3, 4)],
@@ -40,7 +40,7 @@
 
 fn reply() -> Message {
     Message::Reply(LeaseReply {
-        to: SENDER,
+        holder: SENDER,
         number: 9,
         session: 1_000,
         verdicts: vec![
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -4,7 +4,7 @@
 //! find a holder again. A slip for each assumption must be found.
 
 use garnetwall_fleet::wire::{Message, Wire};
-use garnetwall_fleet::{Epoch, LeaseHolder, LeaseIssuer, LeaseTerms, Member, Resource};
+use garnetwall_fleet::{Epoch, HolderId, LeaseHolder, LeaseIssuer, LeaseTerms, Resource};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -124,7 +124,7 @@
             let rate = if world.dice.one_in(2) { part } else { -part } * f64::from(DRIFT) / 1e6;
             let life = world.dice.roll(u64::MAX);
             let holder = LeaseHolder::new(
-                Member {
+                HolderId {
                     gateway: n as u64,
                     incarnation: life,
                 },
@@ -162,7 +162,7 @@
         let node = &mut self.nodes[n];
         node.life = life;
         node.holder = LeaseHolder::new(
-            Member {
+            HolderId {
                 gateway: n as u64,
                 incarnation: life,
             },
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -2,7 +2,7 @@
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated};
-use garnetwall_fleet::{Claim, Epoch, LeaseIssuer, LeaseRequest, LeaseTerms, Member, Resource};
+use garnetwall_fleet::{Claim, Epoch, HolderId, LeaseIssuer, LeaseRequest, LeaseTerms, Resource};
 use std::time::Duration;
 
 /// A lease of two seconds, renewed each quarter of it.
@@ -60,12 +60,12 @@
         resource: Resource(member),
         epoch: FIRST_EPOCH,
     };
-    let from = Member {
+    let holder = HolderId {
         gateway: member,
         incarnation: 1,
     };
     LeaseRequest {
-        from,
+        holder,
         number,
         claims: if claims { vec![claim] } else { Vec::new() },
         releases: Vec::new(),
