--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -4,6 +4,7 @@
 
 use crate::message::{LeaseReply, LeaseRequest, MAX_CLAIMS_PER_MESSAGE};
 use serde::{Deserialize, Serialize};
+use std::net::SocketAddrV4;
 
 /// The version of the format.
 pub const VERSION: u8 = 1;
@@ -19,12 +20,21 @@
 pub enum Message {
     /// From a lease holder.
     Request(LeaseRequest),
-    /// From a grantor.
+    /// From an issuer.
     Reply(LeaseReply),
     /// Of the membership, in its own encoding.
     Swim(Vec<u8>),
 }
 
+/// An encoded message and where it is to be sent.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Datagram {
+    /// The address of the gateway that it goes to.
+    pub to: SocketAddrV4,
+    /// The encoded message.
+    pub bytes: Vec<u8>,
+}
+
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Dropped {
