--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -1,16 +1,9 @@
 //! One body in flight: its writer pushes bytes, which are stored as the capacity decides, while a reader follows.
 //! Bytes that are not stored pass through a window, so that a slow reader holds the writer back.
 
-mod eviction;
-mod piece;
-mod writer;
-
-pub use writer::PushError;
-
-pub(crate) use piece::{Piece, PieceData};
-
 use crate::capacity::{BodyId, Capacity, Storage, Usage};
 use crate::lock;
+use crate::piece::{Piece, PieceData};
 use crate::reader::{ReadError, Reader};
 use crate::spool::Spool;
 use crate::store::Store;
@@ -39,12 +32,12 @@
     /// Bytes that the present reader has read.
     pub(crate) read_bytes: u64,
     /// The number of the last piece written to the spool file.
-    last_piece_number: u32,
+    pub(crate) last_piece_number: u32,
     pub(crate) state: ReceiveState,
     /// No piece was discarded yet, so it can be read from its start.
     has_start: bool,
     /// Bytes received that are too few for a piece.
-    pending: BytesMut,
+    pub(crate) pending: BytesMut,
 }
 
 impl Content {
@@ -75,8 +68,8 @@
 pub struct Body {
     pub(crate) store: Arc<Store>,
     pub(crate) id: BodyId,
-    class: usize,
-    length: Option<u64>,
+    pub(crate) class: usize,
+    pub(crate) length: Option<u64>,
     pub(crate) non_idempotent: bool,
     content: Mutex<Content>,
     /// Notified when bytes arrive, are read, or the state changes.
@@ -106,7 +99,7 @@
         lock(&self.content)
     }
 
-    fn capacity(&self) -> MutexGuard<'_, Capacity> {
+    pub(crate) fn capacity(&self) -> MutexGuard<'_, Capacity> {
         lock(&self.store.capacity)
     }
 
--- a/crates/bodies/src/body/eviction.rs
+++ b/crates/bodies/src/eviction.rs
@@ -1,6 +1,7 @@
 //! Moves a body from memory to the spool file.
 
-use super::{Body, Piece, PieceData};
+use crate::body::Body;
+use crate::piece::{Piece, PieceData};
 use crate::spool::Spool;
 use std::sync::Arc;
 
--- a/crates/bodies/src/body/piece.rs
+++ b/crates/bodies/src/piece.rs
@@ -27,7 +27,7 @@
     }
 
     /// What it takes of the budgets.
-    pub(super) fn usage(&self) -> Usage {
+    pub(crate) fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         match self {
             PieceData::Memory(bytes) => usage.memory_bytes = bytes.len() as u64,
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -1,7 +1,8 @@
 //! Reads a body from its start to its end, while it still arrives.
 
-use crate::body::{Body, Piece, PieceData, ReceiveState};
+use crate::body::{Body, ReceiveState};
 use crate::capacity::Storage;
+use crate::piece::{Piece, PieceData};
 use crate::spool::SpoolError;
 use bytes::Bytes;
 use std::fmt;
--- a/crates/bodies/src/body/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -1,7 +1,8 @@
 //! The writer's side of a body: bytes are collected into pieces and stored.
 
-use super::{Body, Piece, PieceData, ReceiveState};
+use crate::body::{Body, ReceiveState};
 use crate::capacity::{AdmissionError, Storage, PIECE_BYTES, WINDOW_BYTES};
+use crate::piece::{Piece, PieceData};
 use crate::spool::Spool;
 use bytes::Bytes;
 use std::fmt;
@@ -167,7 +168,7 @@
     }
 
     /// Writes a piece to the spool file, on a thread for blocking work; none where that fails.
-    pub(super) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
+    pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
         let number = self.next_piece_number();
         let length = piece.len();
         let body = self.id.0;
