--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -1,72 +1,22 @@
-//! One body in flight: its writer pushes bytes, which are stored as the capacity decides, while a reader follows.
-//! Bytes that are not stored pass through a window, so that a slow reader holds the writer back.
+//! One body in flight: what of it is stored, and where. Its writer and its reader are in modules of their own.
 
 use crate::capacity::{BodyId, Capacity, Storage, Usage};
-use crate::lock;
-use crate::piece::{Piece, PieceData};
-use crate::reader::{ReadError, Reader};
+use crate::content::{Content, ReceiveState};
+use crate::mutex::lock;
+use crate::piece::PieceData;
+use crate::registry::Registry;
+use crate::resources::Resources;
 use crate::spool::Spool;
-use crate::store::Store;
-use bytes::BytesMut;
-use std::collections::VecDeque;
+use bytes::Bytes;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
-
-/// Whether a body is still arriving.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReceiveState {
-    /// More bytes may arrive.
-    Receiving,
-    /// All of it has arrived.
-    Complete,
-    /// Its writer stopped before its end.
-    Truncated,
-}
-
-/// What the writer and the reader of a body share.
-pub(crate) struct Content {
-    /// The pieces in order, without a gap between them.
-    pub(crate) pieces: VecDeque<Piece>,
-    /// Bytes that can be read or have been.
-    pub(crate) readable_bytes: u64,
-    /// Bytes that the present reader has read.
-    pub(crate) read_bytes: u64,
-    /// The number of the last piece written to the spool file.
-    pub(crate) last_piece_number: u32,
-    pub(crate) state: ReceiveState,
-    /// No piece was discarded yet, so it can be read from its start.
-    has_start: bool,
-    /// Bytes received that are too few for a piece.
-    pub(crate) pending: BytesMut,
-}
-
-impl Content {
-    fn new() -> Self {
-        Content {
-            pieces: VecDeque::new(),
-            readable_bytes: 0,
-            read_bytes: 0,
-            last_piece_number: 0,
-            state: ReceiveState::Receiving,
-            has_start: true,
-            pending: BytesMut::new(),
-        }
-    }
-
-    /// Removes the next piece that was read completely.
-    fn pop_read_piece(&mut self) -> Option<Arc<PieceData>> {
-        let first = self.pieces.front()?;
-        if first.end() > self.read_bytes {
-            return None;
-        }
-        self.has_start = false;
-        self.pieces.pop_front().map(|piece| piece.data)
-    }
-}
+use tokio::task::spawn_blocking;
 
 /// One body in flight. Its reservation is released when it is dropped.
 pub struct Body {
-    pub(crate) store: Arc<Store>,
+    pub(crate) resources: Arc<Resources>,
+    /// Where eviction finds the bodies; this one removes itself when it is dropped.
+    pub(crate) registry: Arc<Registry<Body>>,
     pub(crate) id: BodyId,
     pub(crate) class: usize,
     pub(crate) length: Option<u64>,
@@ -78,14 +28,16 @@
 
 impl Body {
     pub(crate) fn new(
-        store: Arc<Store>,
+        resources: Arc<Resources>,
+        registry: Arc<Registry<Body>>,
         id: BodyId,
         class: usize,
         length: Option<u64>,
         non_idempotent: bool,
     ) -> Self {
         Body {
-            store,
+            resources,
+            registry,
             id,
             class,
             length,
@@ -100,11 +52,11 @@
     }
 
     pub(crate) fn capacity(&self) -> MutexGuard<'_, Capacity> {
-        lock(&self.store.capacity)
+        lock(&self.resources.capacity)
     }
 
     fn spool(&self) -> Option<&Spool> {
-        self.store.spool.as_deref()
+        self.resources.spool.as_deref()
     }
 
     /// The length that was announced, in bytes; none where it is unknown.
@@ -137,35 +89,6 @@
         self.content().state == ReceiveState::Complete
     }
 
-    /// Opens a reader at its start. `is_retry` is set for attempts after the first, which are counted.
-    ///
-    /// # Errors
-    ///
-    /// [`ReadError::Discarded`] where its start is not stored any more.
-    pub fn reader(self: &Arc<Self>, is_retry: bool) -> Result<Reader, ReadError> {
-        if !self.rewind() {
-            self.store.count(self.class, Storage::NotStored, |counts| {
-                counts.missing += 1;
-            });
-            return Err(ReadError::Discarded);
-        }
-        if is_retry {
-            self.store.count(self.class, self.storage(), |counts| {
-                counts.retry_reads += 1;
-            });
-        }
-        Ok(Reader::new(self.clone()))
-    }
-
-    /// Lets the next reader begin at the start; false where that was discarded.
-    fn rewind(&self) -> bool {
-        let mut content = self.content();
-        if content.has_start {
-            content.read_bytes = 0;
-        }
-        content.has_start
-    }
-
     /// Stops storing it, and discards what was read and what will be.
     pub fn discard(&self) {
         self.stop_storing();
@@ -189,6 +112,27 @@
             self.capacity().release_read(self.id, released);
         }
     }
+
+    /// Writes a piece to the spool file, on a thread for blocking work; none where that fails.
+    pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
+        let number = self.next_piece_number();
+        let length = piece.len();
+        let body = self.id.0;
+        let spool = spool.clone();
+        let written = spawn_blocking(move || spool.write(body, number, &piece)).await;
+        let slot = written.ok()?.ok()?;
+        Some(PieceData::File {
+            slot,
+            number,
+            length,
+        })
+    }
+
+    fn next_piece_number(&self) -> u32 {
+        let mut content = self.content();
+        content.last_piece_number += 1;
+        content.last_piece_number
+    }
 }
 
 impl Drop for Body {
@@ -198,9 +142,10 @@
             .get_mut()
             .unwrap_or_else(PoisonError::into_inner);
         for piece in content.pieces.drain(..) {
-            PieceData::free(piece.data, self.store.spool.as_deref());
+            PieceData::free(piece.data, self.resources.spool.as_deref());
         }
-        self.store.remove(self.id);
+        self.registry.remove(self.id);
+        lock(&self.resources.capacity).remove(self.id);
     }
 }
 
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -1,8 +1,9 @@
 //! Bodies on media that fail on request: what is read is what was written, or an error, never a part of it.
 
 use crate::capacity::{EvictionPolicy, Limits, Storage, Usage, PIECE_BYTES, WINDOW_BYTES};
+use crate::mutex::lock;
 use crate::spool::{Media, Spool, SpoolError};
-use crate::{lock, Body, Counts, PushError, ReadError, Store};
+use crate::{Body, Counts, PushError, ReadError, Store};
 use bytes::Bytes;
 use std::io;
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
@@ -140,7 +141,7 @@
                 drop(body);
                 assert_eq!(store.usage(), Usage::default());
                 assert_eq!(
-                    store.spool.as_ref().map(|s| s.used()),
+                    store.resources.spool.as_ref().map(|s| s.used()),
                     Some(0),
                     "every slot is free"
                 );
@@ -195,7 +196,10 @@
         fake.left.store(-1, Ordering::Relaxed);
         drop(body);
         assert_eq!(
-            (store.usage(), store.spool.as_ref().map(|s| s.used())),
+            (
+                store.usage(),
+                store.resources.spool.as_ref().map(|s| s.used())
+            ),
             (Usage::default(), Some(0))
         );
     }
@@ -327,7 +331,10 @@
     }
     drop(all);
     assert_eq!(
-        (store.usage(), store.spool.as_ref().map(|s| s.used())),
+        (
+            store.usage(),
+            store.resources.spool.as_ref().map(|s| s.used())
+        ),
         (Usage::default(), Some(0))
     );
 }
--- a/crates/bodies/src/eviction.rs
+++ b/crates/bodies/src/eviction.rs
@@ -1,14 +1,35 @@
-//! Moves a body from memory to the spool file.
+//! Moves bodies from memory to the spool file while memory is short.
 
 use crate::body::Body;
+use crate::mutex::lock;
 use crate::piece::{Piece, PieceData};
+use crate::registry::Registry;
+use crate::resources::Resources;
 use crate::spool::Spool;
 use std::sync::Arc;
 
+/// Evicts bodies from memory to the spool file until memory is not short any more, or a write fails.
+pub(crate) async fn evict(resources: &Resources, registry: &Registry<Body>) {
+    let Some(spool) = &resources.spool else {
+        return;
+    };
+    let start_eviction = || lock(&resources.capacity).start_eviction();
+    while let Some(id) = start_eviction() {
+        let written = match registry.get(id) {
+            Some(body) => body.write_to_spool(spool).await,
+            None => false,
+        };
+        lock(&resources.capacity).finish_eviction(id, written);
+        if !written {
+            return;
+        }
+    }
+}
+
 impl Body {
     /// Writes all pieces in memory to the spool file. Where one can't be written all stay in memory, and the result is
     /// false.
-    pub(crate) async fn write_to_spool(&self, spool: &Arc<Spool>) -> bool {
+    async fn write_to_spool(&self, spool: &Arc<Spool>) -> bool {
         let pieces: Vec<Piece> = self.content().pieces.iter().cloned().collect();
         let mut written = Vec::new();
         for piece in pieces {
--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -6,19 +6,27 @@
 //! |---|---|
 //! | [`capacity`] | decides where a body is stored, what is evicted and what is rejected; no I/O |
 //! | [`spool`] | the slots of the spool file, each with a checksum; the file is behind a trait |
-//! | [`store`] | all bodies in flight, within one capacity |
+//! | `piece`, `content` | a piece and where it is stored; the pieces of a body that its writer and reader share |
+//! | `resources`, `registry` | what all bodies share; where bodies in flight are found by id |
 //! | [`body`] | one body in flight, and what of it is stored |
+//! | `eviction` | moves bodies from memory to the spool file |
 //! | [`writer`] | receives a body, and stores it in pieces |
 //! | [`reader`] | reads a body from its start while it still arrives |
-//! | `eviction` | moves a body from memory to the spool file |
+//! | [`store`] | admits bodies to one capacity |
+//!
+//! Each module knows only those above it in this table.
 //!
 //! docs/bodies.md explains the design.
 
 pub mod body;
 pub mod capacity;
+mod content;
 mod eviction;
+mod mutex;
 mod piece;
 pub mod reader;
+mod registry;
+mod resources;
 pub mod spool;
 pub mod store;
 pub mod writer;
@@ -26,13 +34,7 @@
 pub use body::Body;
 pub use capacity::{AdmissionError, BodyId, Capacity, EvictionPolicy, Limits, Storage, Usage};
 pub use reader::{ReadError, Reader};
+pub use resources::Counts;
 pub use spool::{Disk, Media, Spool, SpoolError};
-pub use store::{Counts, Store};
+pub use store::Store;
 pub use writer::PushError;
-
-use std::sync::{Mutex, MutexGuard, PoisonError};
-
-/// Locks a mutex; what a panicked thread left behind is still consistent.
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -1,7 +1,8 @@
 //! Reads a body from its start to its end, while it still arrives.
 
-use crate::body::{Body, ReceiveState};
+use crate::body::Body;
 use crate::capacity::Storage;
+use crate::content::ReceiveState;
 use crate::piece::{Piece, PieceData};
 use crate::spool::SpoolError;
 use bytes::Bytes;
@@ -45,11 +46,42 @@
     NotYetReceived,
 }
 
-impl Reader {
-    pub(crate) fn new(body: Arc<Body>) -> Self {
-        Reader { body, position: 0 }
+impl Body {
+    /// Opens a reader at its start. `is_retry` is set for attempts after the first, which are counted.
+    ///
+    /// # Errors
+    ///
+    /// [`ReadError::Discarded`] where its start is not stored any more.
+    pub fn reader(self: &Arc<Self>, is_retry: bool) -> Result<Reader, ReadError> {
+        if !self.rewind() {
+            self.resources
+                .count(self.class, Storage::NotStored, |counts| {
+                    counts.missing += 1;
+                });
+            return Err(ReadError::Discarded);
+        }
+        if is_retry {
+            self.resources.count(self.class, self.storage(), |counts| {
+                counts.retry_reads += 1;
+            });
+        }
+        Ok(Reader {
+            body: self.clone(),
+            position: 0,
+        })
+    }
+
+    /// Lets the next reader begin at the start; false where that was discarded.
+    fn rewind(&self) -> bool {
+        let mut content = self.content();
+        if content.has_start {
+            content.read_bytes = 0;
+        }
+        content.has_start
     }
+}
 
+impl Reader {
     /// The next bytes, once they have arrived; none at the end of the body.
     ///
     /// # Errors
@@ -119,7 +151,7 @@
 
     /// Reads a piece from the spool file, on a thread for blocking work.
     async fn read_from_spool(&self, data: Arc<PieceData>) -> Result<Bytes, ReadError> {
-        let Some(spool) = self.body.store.spool.clone() else {
+        let Some(spool) = self.body.resources.spool.clone() else {
             return Err(ReadError::Discarded);
         };
         let body = self.body.id.0;
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -19,7 +19,7 @@
 pub use disk::{remove_leftover_files, Disk};
 
 use crate::capacity::PIECE_BYTES;
-use crate::lock;
+use crate::mutex::lock;
 use std::fmt;
 use std::io;
 use std::sync::Mutex;
--- a/crates/bodies/src/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -1,13 +1,13 @@
 //! The writer's side of a body: bytes are collected into pieces and stored.
 
-use crate::body::{Body, ReceiveState};
+use crate::body::Body;
 use crate::capacity::{AdmissionError, Storage, PIECE_BYTES, WINDOW_BYTES};
+use crate::content::ReceiveState;
+use crate::eviction::evict;
 use crate::piece::{Piece, PieceData};
-use crate::spool::Spool;
 use bytes::Bytes;
 use std::fmt;
 use std::sync::Arc;
-use tokio::task::spawn_blocking;
 
 /// Smaller chunks are joined, so that a client that sends byte by byte costs no more than its bytes.
 const MIN_CHUNK_BYTES: usize = 16 << 10;
@@ -69,10 +69,10 @@
         let state = self.end();
         self.changed.notify_waiters();
         if state == ReceiveState::Complete {
-            self.store.count(self.class, self.storage(), |counts| {
+            self.resources.count(self.class, self.storage(), |counts| {
                 counts.bodies += 1;
             });
-            self.store.evict().await;
+            evict(&self.resources, &self.registry).await;
         }
     }
 
@@ -122,7 +122,7 @@
     /// Stores a piece wherever the body is stored now. Where the spool file can't be written, the piece passes
     /// through, and the body is not stored any more.
     async fn store_piece(&self, piece: Bytes) {
-        match (self.storage(), &self.store.spool) {
+        match (self.storage(), &self.resources.spool) {
             (Storage::Memory, _) => self.append(PieceData::Memory(piece)),
             (Storage::File, Some(spool)) => match self.write_piece(spool, piece.clone()).await {
                 Some(data) => self.append(data),
@@ -166,25 +166,4 @@
         let unread_bytes = content.readable_bytes - content.read_bytes;
         unread_bytes < WINDOW_BYTES || content.state == ReceiveState::Truncated
     }
-
-    /// Writes a piece to the spool file, on a thread for blocking work; none where that fails.
-    pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
-        let number = self.next_piece_number();
-        let length = piece.len();
-        let body = self.id.0;
-        let spool = spool.clone();
-        let written = spawn_blocking(move || spool.write(body, number, &piece)).await;
-        let slot = written.ok()?.ok()?;
-        Some(PieceData::File {
-            slot,
-            number,
-            length,
-        })
-    }
-
-    fn next_piece_number(&self) -> u32 {
-        let mut content = self.content();
-        content.last_piece_number += 1;
-        content.last_piece_number
-    }
 }
