--- a/crates/bodies/benches/bodies/eviction.rs
+++ b/crates/bodies/benches/bodies/eviction.rs
@@ -3,7 +3,7 @@
 //! memory.
 
 use crate::{limits, KIB, MIB};
-use garnetwall_bodies::{BodyId, Capacity, EvictionPolicy, Limits, Storage};
+use garnetwall_bodies::{BodyId, Capacity, EvictionOutcome, EvictionPolicy, Limits, Storage};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -133,7 +133,7 @@
         while let Some(id) = self.capacity.start_eviction() {
             let body = self.in_flight.values().find(|body| body.id == id);
             self.totals.written_bytes += body.map_or(0, |body| body.bytes);
-            self.capacity.finish_eviction(id, true);
+            self.capacity.finish_eviction(id, EvictionOutcome::Written);
         }
     }
 }
--- a/crates/bodies/benches/bodies/main.rs
+++ b/crates/bodies/benches/bodies/main.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use divan::counter::BytesCount;
 use divan::{black_box, Bencher};
-use garnetwall_bodies::{Disk, EvictionPolicy, Limits, Spool, Store};
+use garnetwall_bodies::{Disk, EvictionPolicy, Limits, Retention, Spool, Store};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
@@ -67,7 +67,7 @@
 
 /// Writes a body and reads it twice, as by an attempt and a retry. Returns the bytes read.
 async fn write_and_read_twice(store: &Arc<Store>, chunks: &[Bytes], size: u64) -> usize {
-    let Ok(body) = store.admit(0, 0, Some(size)) else {
+    let Ok(body) = store.admit(0, 0, Some(size), Retention::UntilQueryEnds) else {
         return 0;
     };
     for chunk in chunks {
--- a/crates/bodies/benches/bodies/peak_memory.rs
+++ b/crates/bodies/benches/bodies/peak_memory.rs
@@ -3,6 +3,7 @@
 use crate::{runtime, store, CHUNK_BYTES, MIB, SIZES};
 use bytes::Bytes;
 use divan::black_box;
+use garnetwall_bodies::Retention;
 use std::io::Write;
 use std::path::Path;
 use std::process::Command;
@@ -84,7 +85,7 @@
 }
 
 async fn through_store(memory: u64, size: u64) {
-    let Ok(body) = store(memory).admit(0, 0, Some(size)) else {
+    let Ok(body) = store(memory).admit(0, 0, Some(size), Retention::UntilQueryEnds) else {
         return;
     };
     for chunk in chunks(size) {
--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -12,6 +12,15 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_blocking;
 
+/// Until when the bytes of a body are stored.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Retention {
+    /// Until its query ends, so that a retry can read them again.
+    UntilQueryEnds,
+    /// Until a reader has read some of them: the body of a non-idempotent query must not be sent twice.
+    UntilRead,
+}
+
 /// One body in flight. Its reservation is released when it is dropped.
 pub struct Body {
     pub(crate) resources: Arc<Resources>,
@@ -20,7 +29,7 @@
     pub(crate) id: BodyId,
     pub(crate) class: usize,
     pub(crate) length: Option<u64>,
-    pub(crate) non_idempotent: bool,
+    pub(crate) retention: Retention,
     content: Mutex<Content>,
     /// Notified when bytes arrive, are read, or the state changes.
     pub(crate) changed: Notify,
@@ -33,7 +42,7 @@
         id: BodyId,
         class: usize,
         length: Option<u64>,
-        non_idempotent: bool,
+        retention: Retention,
     ) -> Self {
         Body {
             resources,
@@ -41,7 +50,7 @@
             id,
             class,
             length,
-            non_idempotent,
+            retention,
             content: Mutex::new(Content::new()),
             changed: Notify::new(),
         }
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -3,7 +3,7 @@
 use crate::capacity::{EvictionPolicy, Limits, Storage, Usage, PIECE_BYTES, WINDOW_BYTES};
 use crate::mutex::lock;
 use crate::spool::{Media, Spool, SpoolError};
-use crate::{Body, Counts, PushError, ReadError, Store};
+use crate::{Body, Counts, PushError, ReadError, Retention, Store};
 use bytes::Bytes;
 use std::io;
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
@@ -114,7 +114,9 @@
         for announced in [Some(length), None] {
             for step in [700, 16 << 10, 1 << 20] {
                 let (store, _) = store(-1);
-                let body = store.admit(0, 0, announced).expect("capacity");
+                let body = store
+                    .admit(0, 0, announced, Retention::UntilQueryEnds)
+                    .expect("capacity");
                 let all = bytes(length);
                 fill(&body, all.clone(), step).await;
                 for is_retry in [false, true, true] {
@@ -154,7 +156,9 @@
 #[tokio::test]
 async fn a_reader_follows_the_writer() {
     let (store, _) = store(-1);
-    let body = store.admit(0, 0, Some(8 * MIB)).expect("capacity");
+    let body = store
+        .admit(0, 0, Some(8 * MIB), Retention::UntilQueryEnds)
+        .expect("capacity");
     let all = bytes(8 * MIB);
     let writer = {
         let (body, all) = (body.clone(), all.clone());
@@ -176,7 +180,9 @@
 async fn a_disk_that_fills_never_yields_a_partial_body() {
     for writes in [0, 1, 5, 63] {
         let (store, fake) = store(writes);
-        let body = store.admit(0, 0, Some(4 * MIB)).expect("capacity");
+        let body = store
+            .admit(0, 0, Some(4 * MIB), Retention::UntilQueryEnds)
+            .expect("capacity");
         let all = bytes(4 * MIB);
         let writer = {
             let (body, all) = (body.clone(), all.clone());
@@ -208,7 +214,9 @@
 #[tokio::test]
 async fn a_damaged_piece_is_an_error_at_its_place() {
     let (store, fake) = store(-1);
-    let body = store.admit(0, 0, Some(2 * MIB)).expect("capacity");
+    let body = store
+        .admit(0, 0, Some(2 * MIB), Retention::UntilQueryEnds)
+        .expect("capacity");
     fill(&body, bytes(2 * MIB), 1 << 20).await;
     fake.damaged.store(1, Ordering::Relaxed);
     assert!(matches!(
@@ -230,7 +238,9 @@
         EvictionPolicy::Largest,
         None,
     );
-    let body = store.admit(0, 0, Some(8 * MIB)).expect("it passes through");
+    let body = store
+        .admit(0, 0, Some(8 * MIB), Retention::UntilQueryEnds)
+        .expect("it passes through");
     let all = bytes(8 * MIB);
     let writer = {
         let (body, all) = (body.clone(), all.clone());
@@ -252,7 +262,9 @@
 async fn a_truncated_body_is_an_error_for_the_waiting_reader() {
     let (store, _) = store(-1);
     for cut in ["stops", "short"] {
-        let body = store.admit(0, 0, Some(MIB)).expect("capacity");
+        let body = store
+            .admit(0, 0, Some(MIB), Retention::UntilQueryEnds)
+            .expect("capacity");
         body.push(bytes(300_000)).await.expect("admitted");
         let reading = {
             let body = body.clone();
@@ -269,7 +281,9 @@
             .expect("no panic");
         assert!(matches!(result, Err(ReadError::Truncated)), "{cut}");
     }
-    let body = store.admit(0, 0, Some(10)).expect("capacity");
+    let body = store
+        .admit(0, 0, Some(10), Retention::UntilQueryEnds)
+        .expect("capacity");
     assert_eq!(body.push(bytes(11)).await, Err(PushError::TooManyBytes));
 }
 
@@ -278,7 +292,9 @@
 async fn a_discarded_body_releases_what_was_read() {
     let (store, _) = store(-1);
     for length in [MIB, 4 * MIB] {
-        let body = store.admit(0, 0, Some(length)).expect("capacity");
+        let body = store
+            .admit(0, 0, Some(length), Retention::UntilQueryEnds)
+            .expect("capacity");
         let all = bytes(length);
         fill(&body, all.clone(), 1 << 20).await;
         let mut reader = body.reader(false).expect("its start");
@@ -312,7 +328,9 @@
     let sizes = [900, 200, 800, 300, 700, 400];
     let mut all = Vec::new();
     for size in sizes {
-        let body = store.admit(0, 0, Some(size << 10)).expect("capacity");
+        let body = store
+            .admit(0, 0, Some(size << 10), Retention::UntilQueryEnds)
+            .expect("capacity");
         fill(&body, bytes(size << 10), 1 << 20).await;
         all.push((size << 10, body));
     }
--- a/crates/bodies/src/capacity.rs
+++ b/crates/bodies/src/capacity.rs
@@ -9,7 +9,7 @@
 mod reservation;
 
 pub use error::AdmissionError;
-pub use limits::{EvictionPolicy, Limits, PIECE_BYTES, WINDOW_BYTES};
+pub use limits::{EvictionOutcome, EvictionPolicy, Limits, PIECE_BYTES, WINDOW_BYTES};
 pub use reservation::{BodyId, Storage, Usage};
 
 use reservation::{in_pieces, Reservation};
--- a/crates/bodies/src/capacity/eviction.rs
+++ b/crates/bodies/src/capacity/eviction.rs
@@ -1,7 +1,7 @@
 //! Chooses the bodies that are evicted from memory to the spool file.
 
 use super::reservation::Reservation;
-use super::{BodyId, Capacity, EvictionPolicy, Storage, Usage};
+use super::{BodyId, Capacity, EvictionOutcome, EvictionPolicy, Storage, Usage};
 use std::cmp::Reverse;
 
 /// The part of the memory budget at which eviction starts, and the part at which it stops.
@@ -28,9 +28,9 @@
         Some(id)
     }
 
-    /// Ends the eviction of a body. Where all of it was `written` to the spool file its memory is released, otherwise
-    /// its space in the file, and it stays in memory.
-    pub fn finish_eviction(&mut self, id: BodyId, written: bool) {
+    /// Ends the eviction of a body. Where all of it is in the spool file its memory is released, otherwise its space in
+    /// the file.
+    pub fn finish_eviction(&mut self, id: BodyId, outcome: EvictionOutcome) {
         let Some(reservation) = self.reservations.get_mut(&id) else {
             return;
         };
@@ -39,7 +39,7 @@
         }
         reservation.evicting = false;
         let memory_bytes = reservation.usage.memory_bytes;
-        if !written {
+        if outcome == EvictionOutcome::Failed {
             self.release(id, Usage::stored(Storage::File, memory_bytes));
             return;
         }
--- a/crates/bodies/src/capacity/limits.rs
+++ b/crates/bodies/src/capacity/limits.rs
@@ -31,6 +31,15 @@
     }
 }
 
+/// How the eviction of a body ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EvictionOutcome {
+    /// All of it is in the spool file.
+    Written,
+    /// It is still in memory: a write failed, or the body is gone.
+    Failed,
+}
+
 /// Which bodies are evicted from memory to the spool file when memory runs short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionPolicy {
--- a/crates/bodies/src/capacity/tests.rs
+++ b/crates/bodies/src/capacity/tests.rs
@@ -24,12 +24,20 @@
     },
     Receive(usize, u64),
     StartEviction,
-    FinishEviction(usize, bool),
+    FinishEviction(usize, EvictionOutcome),
     StopStoring(usize),
     ReleaseRead(usize, u64),
     Remove(usize),
 }
 
+fn outcome(written: bool) -> EvictionOutcome {
+    if written {
+        EvictionOutcome::Written
+    } else {
+        EvictionOutcome::Failed
+    }
+}
+
 fn events() -> impl Strategy<Value = Vec<Event>> {
     let length = prop_oneof![
         3 => (1u64..64 * KIB).prop_map(Some),
@@ -42,7 +50,7 @@
         4 => (0usize..3, 0usize..2, length).prop_map(|(tenant, class, length)| Event::Admit { tenant, class, length }),
         3 => (n.clone(), 1u64..200 * KIB).prop_map(|(n, b)| Event::Receive(n, b)),
         2 => Just(Event::StartEviction),
-        2 => (n.clone(), any::<bool>()).prop_map(|(n, done)| Event::FinishEviction(n, done)),
+        2 => (n.clone(), any::<bool>()).prop_map(|(n, written)| Event::FinishEviction(n, outcome(written))),
         1 => n.clone().prop_map(Event::StopStoring),
         1 => (n.clone(), 1u64..300 * KIB).prop_map(|(n, b)| Event::ReleaseRead(n, b)),
         2 => n.prop_map(Event::Remove),
@@ -123,10 +131,10 @@
                     let h = &capacity.reservations[&id];
                     prop_assert!(h.evicting && h.storage == Storage::Memory && h.usage.file_bytes >= h.usage.memory_bytes);
                 },
-                Event::FinishEviction(n, done) => if let Some(id) = pick(&ids, n) {
+                Event::FinishEviction(n, outcome) => if let Some(id) = pick(&ids, n) {
                     let before = capacity.reservations.get(&id).cloned();
-                    capacity.finish_eviction(id, done);
-                    if let Some(h) = before.filter(|h| h.evicting && done) {
+                    capacity.finish_eviction(id, outcome);
+                    if let Some(h) = before.filter(|h| h.evicting && outcome == EvictionOutcome::Written) {
                         prop_assert_eq!(capacity.reservations[&id].usage.memory_bytes, 0, "{:?}", h);
                     }
                 },
--- a/crates/bodies/src/eviction.rs
+++ b/crates/bodies/src/eviction.rs
@@ -1,6 +1,7 @@
 //! Moves bodies from memory to the spool file while memory is short.
 
 use crate::body::Body;
+use crate::capacity::EvictionOutcome;
 use crate::mutex::lock;
 use crate::piece::{Piece, PieceData};
 use crate::registry::Registry;
@@ -15,21 +16,20 @@
     };
     let start_eviction = || lock(&resources.capacity).start_eviction();
     while let Some(id) = start_eviction() {
-        let written = match registry.get(id) {
+        let outcome = match registry.get(id) {
             Some(body) => body.write_to_spool(spool).await,
-            None => false,
+            None => EvictionOutcome::Failed,
         };
-        lock(&resources.capacity).finish_eviction(id, written);
-        if !written {
+        lock(&resources.capacity).finish_eviction(id, outcome);
+        if outcome == EvictionOutcome::Failed {
             return;
         }
     }
 }
 
 impl Body {
-    /// Writes all pieces in memory to the spool file. Where one can't be written all stay in memory, and the result is
-    /// false.
-    async fn write_to_spool(&self, spool: &Arc<Spool>) -> bool {
+    /// Writes all pieces in memory to the spool file. Where one can't be written all stay in memory.
+    async fn write_to_spool(&self, spool: &Arc<Spool>) -> EvictionOutcome {
         let pieces: Vec<Piece> = self.content().pieces.iter().cloned().collect();
         let mut written = Vec::new();
         for piece in pieces {
@@ -38,7 +38,7 @@
             };
             let Some(data) = self.write_piece(spool, bytes.clone()).await else {
                 free_all(written, spool);
-                return false;
+                return EvictionOutcome::Failed;
             };
             written.push(Piece {
                 offset: piece.offset,
@@ -46,7 +46,7 @@
             });
         }
         self.replace_pieces(written, spool);
-        true
+        EvictionOutcome::Written
     }
 
     /// Puts the written pieces in the place of those in memory. One that was discarded in the meantime is freed.
--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -31,8 +31,10 @@
 pub mod store;
 pub mod writer;
 
-pub use body::Body;
-pub use capacity::{AdmissionError, BodyId, Capacity, EvictionPolicy, Limits, Storage, Usage};
+pub use body::{Body, Retention};
+pub use capacity::{
+    AdmissionError, BodyId, Capacity, EvictionOutcome, EvictionPolicy, Limits, Storage, Usage,
+};
 pub use reader::{ReadError, Reader};
 pub use resources::Counts;
 pub use spool::{Disk, Media, Spool, SpoolError};
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -1,6 +1,6 @@
 //! Reads a body from its start to its end, while it still arrives.
 
-use crate::body::Body;
+use crate::body::{Body, Retention};
 use crate::capacity::Storage;
 use crate::content::ReceiveState;
 use crate::piece::{Piece, PieceData};
@@ -176,7 +176,8 @@
     fn advance(&mut self, bytes: u64) {
         self.position += bytes;
         self.body.content().read_bytes = self.position;
-        if self.body.non_idempotent && self.body.storage() != Storage::NotStored {
+        if self.body.retention == Retention::UntilRead && self.body.storage() != Storage::NotStored
+        {
             self.body.stop_storing();
         }
         if self.body.storage() == Storage::NotStored {
--- a/crates/bodies/src/store.rs
+++ b/crates/bodies/src/store.rs
@@ -1,6 +1,6 @@
 //! Admits bodies to one capacity, and tells what became of those of each query class.
 
-use crate::body::Body;
+use crate::body::{Body, Retention};
 use crate::capacity::{AdmissionError, Capacity, EvictionPolicy, Limits, Storage, Usage};
 use crate::mutex::lock;
 use crate::registry::Registry;
@@ -53,22 +53,7 @@
         tenant: usize,
         class: usize,
         length: Option<u64>,
-    ) -> Result<Arc<Body>, AdmissionError> {
-        self.admit_as(tenant, class, length, false)
-    }
-
-    /// Admits a body as [`Store::admit`] does. That of a non-idempotent query is discarded while it is read, since it
-    /// must not be sent twice.
-    ///
-    /// # Errors
-    ///
-    /// The same as of [`Store::admit`].
-    pub fn admit_as(
-        &self,
-        tenant: usize,
-        class: usize,
-        length: Option<u64>,
-        non_idempotent: bool,
+        retention: Retention,
     ) -> Result<Arc<Body>, AdmissionError> {
         let id = lock(&self.resources.capacity).admit(tenant, class, length)?;
         let body = Arc::new(Body::new(
@@ -77,7 +62,7 @@
             id,
             class,
             length,
-            non_idempotent,
+            retention,
         ));
         self.registry.insert(id, &body);
         Ok(body)
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -12,7 +12,7 @@
 use axum::body::Body;
 use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
-use garnetwall_bodies::{Body as StoredBody, Store};
+use garnetwall_bodies::{Body as StoredBody, Retention, Store};
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
 use std::sync::Arc;
@@ -45,8 +45,12 @@
         .scheduler
         .arrival_time(submission.stream.last_read_at());
     let head = RequestHead::parse(&state.decoded, &submission, None)?;
-    let non_idempotent = state.scheduler.is_non_idempotent(head.class);
-    let stored = store.admit_as(head.tenant, head.class, length, non_idempotent)?;
+    let retention = if state.scheduler.is_non_idempotent(head.class) {
+        Retention::UntilRead
+    } else {
+        Retention::UntilQueryEnds
+    };
+    let stored = store.admit(head.tenant, head.class, length, retention)?;
     let _cut_off = CutOffOnDrop(stored.clone());
     let prefix = receive_prefix(&mut body, &stored).await?;
     if prefix.is_empty() {
