--- a/crates/bodies/benches/bodies/main.rs
+++ b/crates/bodies/benches/bodies/main.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use divan::counter::BytesCount;
 use divan::{black_box, Bencher};
-use garnetwall_bodies::{Disk, EvictionPolicy, Limits, Retention, Spool, Store};
+use garnetwall_bodies::{EvictionPolicy, Limits, Retention, Spool, SpoolFile, Store};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
@@ -43,11 +43,11 @@
 }
 
 fn store(memory: u64) -> Arc<Store> {
-    let disk = Disk::open(&std::env::temp_dir(), "bench").unwrap_or_else(|e| panic!("{e}"));
+    let file = SpoolFile::create(&std::env::temp_dir(), "bench").unwrap_or_else(|e| panic!("{e}"));
     Store::new(
         limits(memory),
         EvictionPolicy::Largest,
-        Some(Spool::new(disk, SPOOL_BYTES)),
+        Some(Spool::new(file, SPOOL_BYTES)),
     )
 }
 
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::capacity::{EvictionPolicy, Limits, Storage, Usage, PIECE_BYTES, WINDOW_BYTES};
 use crate::mutex::lock;
-use crate::spool::{Media, Spool, SpoolError};
+use crate::spool::{RandomAccessFile, Spool, SpoolError};
 use crate::{Body, Counts, PushError, ReadError, Retention, Store};
 use bytes::Bytes;
 use std::io;
@@ -20,7 +20,7 @@
     damaged: Arc<AtomicUsize>,
 }
 
-impl Media for Fake {
+impl RandomAccessFile for Fake {
     fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
         if self.left.fetch_sub(1, Ordering::Relaxed) == 0 {
             // Half of it reaches the disk.
@@ -143,7 +143,7 @@
                 drop(body);
                 assert_eq!(store.usage(), Usage::default());
                 assert_eq!(
-                    store.resources.spool.as_ref().map(|s| s.used()),
+                    store.resources.spool.as_ref().map(|s| s.used_slots()),
                     Some(0),
                     "every slot is free"
                 );
@@ -204,7 +204,7 @@
         assert_eq!(
             (
                 store.usage(),
-                store.resources.spool.as_ref().map(|s| s.used())
+                store.resources.spool.as_ref().map(|s| s.used_slots())
             ),
             (Usage::default(), Some(0))
         );
@@ -351,7 +351,7 @@
     assert_eq!(
         (
             store.usage(),
-            store.resources.spool.as_ref().map(|s| s.used())
+            store.resources.spool.as_ref().map(|s| s.used_slots())
         ),
         (Usage::default(), Some(0))
     );
--- a/crates/bodies/src/capacity.rs
+++ b/crates/bodies/src/capacity.rs
@@ -12,7 +12,7 @@
 pub use limits::{EvictionOutcome, EvictionPolicy, Limits, PIECE_BYTES, WINDOW_BYTES};
 pub use reservation::{BodyId, Storage, Usage};
 
-use reservation::{in_pieces, Reservation};
+use reservation::{round_up_to_pieces, Reservation};
 use std::collections::BTreeMap;
 
 /// The budgets of memory and of the spool file, and the reservations of all bodies in flight.
@@ -22,7 +22,7 @@
     policy: EvictionPolicy,
     next_id: u64,
     /// Memory ran short, and bodies are evicted to the spool file until enough of it is free again.
-    evicting: bool,
+    memory_pressure: bool,
     reservations: BTreeMap<BodyId, Reservation>,
     total: Usage,
     /// The usage of each tenant that has any.
@@ -36,7 +36,7 @@
             limits,
             policy,
             next_id: 0,
-            evicting: false,
+            memory_pressure: false,
             reservations: BTreeMap::new(),
             total: Usage::default(),
             by_tenant: BTreeMap::new(),
@@ -100,7 +100,8 @@
             return Ok(reservation.storage);
         }
         // Whole pieces are reserved, so that a few bytes rarely need a new reservation.
-        let needed = in_pieces(reservation.received_bytes).min(in_pieces(max_bytes));
+        let needed =
+            round_up_to_pieces(reservation.received_bytes).min(round_up_to_pieces(max_bytes));
         if needed <= reservation.stored_bytes() {
             return Ok(reservation.storage);
         }
--- a/crates/bodies/src/capacity/eviction.rs
+++ b/crates/bodies/src/capacity/eviction.rs
@@ -10,13 +10,13 @@
 
 impl Capacity {
     /// Chooses the next body to evict and reserves space for it in the spool file; none while memory is not short.
-    /// Tenants that use more than an even part of the used memory are evicted first.
+    /// Tenants that use more than a fair share of the used memory are evicted first.
     pub fn start_eviction(&mut self) -> Option<BodyId> {
         if self.policy == EvictionPolicy::Never || self.limits.file_bytes == 0 {
             return None;
         }
-        self.evicting = self.is_memory_short();
-        if !self.evicting {
+        self.memory_pressure = self.is_memory_short();
+        if !self.memory_pressure {
             return None;
         }
         let id = self.eviction_candidate()?;
@@ -57,7 +57,7 @@
             .filter(|reservation| reservation.evicting)
             .map(|reservation| reservation.usage.memory_bytes)
             .sum();
-        let fraction = if self.evicting {
+        let fraction = if self.memory_pressure {
             EVICTION_STOP_FRACTION
         } else {
             EVICTION_START_FRACTION
@@ -67,21 +67,21 @@
     }
 
     fn eviction_candidate(&self) -> Option<BodyId> {
-        let even_part = self.total.memory_bytes / self.by_tenant.len().max(1) as u64;
+        let fair_share_bytes = self.total.memory_bytes / self.by_tenant.len().max(1) as u64;
         let candidates = self
             .reservations
             .iter()
             .filter(|(_, reservation)| self.can_evict(reservation));
         let priority = |(id, reservation): &(&BodyId, &Reservation)| {
-            let over_even_part = self
+            let over_fair_share = self
                 .by_tenant
                 .get(&reservation.tenant)
-                .is_some_and(|usage| usage.memory_bytes >= even_part);
+                .is_some_and(|usage| usage.memory_bytes >= fair_share_bytes);
             let size = match self.policy {
                 EvictionPolicy::Largest => reservation.usage.memory_bytes,
                 EvictionPolicy::Oldest | EvictionPolicy::Never => 0,
             };
-            (over_even_part, size, Reverse(**id))
+            (over_fair_share, size, Reverse(**id))
         };
         candidates.max_by_key(priority).map(|(id, _)| *id)
     }
--- a/crates/bodies/src/capacity/reservation.rs
+++ b/crates/bodies/src/capacity/reservation.rs
@@ -45,7 +45,7 @@
         let mut usage = Usage::default();
         match storage {
             Storage::Memory => usage.memory_bytes = bytes,
-            Storage::File => usage.file_bytes = in_pieces(bytes),
+            Storage::File => usage.file_bytes = round_up_to_pieces(bytes),
             Storage::NotStored => {}
         }
         usage
@@ -67,7 +67,7 @@
 }
 
 /// Bytes rounded up to whole pieces, as the spool file stores them.
-pub(super) fn in_pieces(bytes: u64) -> u64 {
+pub(super) fn round_up_to_pieces(bytes: u64) -> u64 {
     bytes.div_ceil(PIECE_BYTES) * PIECE_BYTES
 }
 
--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -37,6 +37,6 @@
 };
 pub use reader::{ReadError, Reader};
 pub use resources::Counts;
-pub use spool::{Disk, Media, Spool, SpoolError};
+pub use spool::{RandomAccessFile, Spool, SpoolError, SpoolFile};
 pub use store::Store;
 pub use writer::PushError;
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -14,9 +14,9 @@
 //! | 16..20 | CRC-32 of the 16 bytes before and of the piece |
 //! | 20..32 | zero |
 
-mod disk;
+mod file;
 
-pub use disk::{remove_leftover_files, Disk};
+pub use file::{remove_leftover_files, SpoolFile};
 
 use crate::capacity::PIECE_BYTES;
 use crate::mutex::lock;
@@ -30,7 +30,7 @@
 const SLOT_BYTES: u64 = HEADER_BYTES as u64 + PIECE_BYTES;
 
 /// Where the slots of a spool are stored.
-pub trait Media: Send + Sync {
+pub trait RandomAccessFile: Send + Sync {
     /// Writes all of `bytes` at `offset`. It blocks.
     ///
     /// # Errors
@@ -51,8 +51,8 @@
 pub enum SpoolError {
     /// All slots are in use, or the piece is longer than a slot.
     Full,
-    /// The disk reported an error.
-    Disk(io::Error),
+    /// The file system reported an error.
+    Io(io::Error),
     /// The slot does not hold what was written.
     Damaged,
 }
@@ -61,7 +61,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             SpoolError::Full => f.write_str("the spool is full"),
-            SpoolError::Disk(error) => write!(f, "{error}"),
+            SpoolError::Io(error) => write!(f, "{error}"),
             SpoolError::Damaged => f.write_str("a piece of the spool is damaged"),
         }
     }
@@ -105,16 +105,16 @@
 
 /// The slots of a spool file.
 pub struct Spool {
-    media: Box<dyn Media>,
+    file: Box<dyn RandomAccessFile>,
     slots: Mutex<SlotAllocator>,
 }
 
 impl Spool {
     /// A spool for `bytes` of bodies, in whole pieces.
-    pub fn new(media: impl Media + 'static, bytes: u64) -> Self {
+    pub fn new(file: impl RandomAccessFile + 'static, bytes: u64) -> Self {
         let capacity = u32::try_from(bytes / PIECE_BYTES).unwrap_or(u32::MAX);
         Spool {
-            media: Box::new(media),
+            file: Box::new(file),
             slots: Mutex::new(SlotAllocator {
                 free: Vec::new(),
                 next_unused: 0,
@@ -135,9 +135,9 @@
         let slot = lock(&self.slots).allocate().ok_or(SpoolError::Full)?;
         let mut record = header(body, number, bytes).to_vec();
         record.extend_from_slice(bytes);
-        if let Err(error) = self.media.write_at(&record, slot.offset()) {
+        if let Err(error) = self.file.write_at(&record, slot.offset()) {
             self.free(slot);
-            return Err(SpoolError::Disk(error));
+            return Err(SpoolError::Io(error));
         }
         Ok(slot)
     }
@@ -155,11 +155,11 @@
         length: usize,
     ) -> Result<Vec<u8>, SpoolError> {
         let mut record = vec![0; HEADER_BYTES + length];
-        self.media
+        self.file
             .read_at(&mut record, slot.offset())
             .map_err(|error| match error.kind() {
                 io::ErrorKind::UnexpectedEof => SpoolError::Damaged,
-                _ => SpoolError::Disk(error),
+                _ => SpoolError::Io(error),
             })?;
         let bytes = record.split_off(HEADER_BYTES);
         if record != header(body, number, &bytes) {
@@ -174,7 +174,7 @@
     }
 
     /// The number of slots in use.
-    pub fn used(&self) -> usize {
+    pub fn used_slots(&self) -> usize {
         let slots = lock(&self.slots);
         slots.next_unused as usize - slots.free.len()
     }
--- a/crates/bodies/src/spool/disk.rs
+++ b/crates/bodies/src/spool/file.rs
@@ -1,6 +1,6 @@
-//! A spool file on a disk.
+//! The spool file on a disk, unlinked as soon as it is open.
 
-use super::Media;
+use super::RandomAccessFile;
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -10,18 +10,18 @@
 /// The end of a spool file's name while it has one, between its creation and its unlinking.
 const FILE_SUFFIX: &str = ".garnetwall-spool";
 
-/// An open file that is unlinked.
+/// An open spool file that has no name any more, so that it vanishes with its process.
 #[derive(Debug)]
-pub struct Disk(pub(super) File);
+pub struct SpoolFile(pub(super) File);
 
-impl Disk {
+impl SpoolFile {
     /// Creates a spool file in `directory` and unlinks it, after removing what a killed process of this gateway left
     /// there.
     ///
     /// # Errors
     ///
     /// The directory can't be read, or the file not created or unlinked; the text names the path.
-    pub fn open(directory: &Path, gateway: &str) -> io::Result<Disk> {
+    pub fn create(directory: &Path, gateway: &str) -> io::Result<SpoolFile> {
         remove_leftover_files(directory, gateway).map_err(|error| with_path(directory, &error))?;
         let path = directory.join(file_name(gateway));
         let file = OpenOptions::new()
@@ -31,11 +31,11 @@
             .open(&path)
             .map_err(|error| with_path(&path, &error))?;
         std::fs::remove_file(&path).map_err(|error| with_path(&path, &error))?;
-        Ok(Disk(file))
+        Ok(SpoolFile(file))
     }
 }
 
-impl Media for Disk {
+impl RandomAccessFile for SpoolFile {
     fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
         self.0.write_all_at(bytes, offset)
     }
--- a/crates/bodies/src/spool/tests.rs
+++ b/crates/bodies/src/spool/tests.rs
@@ -14,7 +14,10 @@
 #[test]
 fn pieces_are_read_as_written_and_slots_are_reused() {
     let folder = folder("again");
-    let spool = Spool::new(Disk::open(&folder, "n0").expect("a file"), 2 * PIECE_BYTES);
+    let spool = Spool::new(
+        SpoolFile::create(&folder, "n0").expect("a file"),
+        2 * PIECE_BYTES,
+    );
     assert_eq!(
         std::fs::read_dir(&folder).expect("a folder").count(),
         0,
@@ -33,7 +36,7 @@
     spool.free(a);
     let c = spool.write(2, 0, b"other").expect("a free slot again");
     assert_eq!(
-        (spool.used(), spool.read(&c, 2, 0, 5).expect("stored")),
+        (spool.used_slots(), spool.read(&c, 2, 0, 5).expect("stored")),
         (2, b"other".to_vec())
     );
     // A slot that is of another body by now, or of another piece, is found by its header.
@@ -45,7 +48,7 @@
 #[test]
 fn every_flipped_byte_of_a_slot_is_damage() {
     let folder = folder("damaged");
-    let disk = Disk::open(&folder, "n0").expect("a file");
+    let disk = SpoolFile::create(&folder, "n0").expect("a file");
     let file = disk.0.try_clone().expect("a second handle");
     let spool = Spool::new(disk, PIECE_BYTES);
     let slot = spool
@@ -109,10 +112,10 @@
         .write(true)
         .open("/dev/full")
         .expect("/dev/full");
-    let spool = Spool::new(Disk(file), 4 * PIECE_BYTES);
+    let spool = Spool::new(SpoolFile(file), 4 * PIECE_BYTES);
     match spool.write(1, 0, b"x") {
-        Err(SpoolError::Disk(e)) => assert_eq!(e.kind(), io::ErrorKind::StorageFull),
+        Err(SpoolError::Io(e)) => assert_eq!(e.kind(), io::ErrorKind::StorageFull),
         other => panic!("{other:?}"),
     }
-    assert_eq!(spool.used(), 0);
+    assert_eq!(spool.used_slots(), 0);
 }
--- a/crates/bodies/tests/stored_spool.rs
+++ b/crates/bodies/tests/stored_spool.rs
@@ -8,7 +8,7 @@
 //! had open (copied through its descriptor), with a plan that names a directory for bodies, while a stand-in engine
 //! on loopback held a query with a body of 327,756 bytes.
 
-use garnetwall_bodies::{Media, Spool};
+use garnetwall_bodies::{RandomAccessFile, Spool};
 use std::io;
 use std::sync::{Arc, Mutex};
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Default)]
 struct Memory(Arc<Mutex<Vec<u8>>>);
 
-impl Media for Memory {
+impl RandomAccessFile for Memory {
     fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
         let (mut all, at) = (self.0.lock().unwrap(), at as usize);
         let end = at + bytes.len();
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -1,7 +1,7 @@
 //! Builds the store of request bodies that a plan configures, and logs its counts.
 
 use garnetwall_bodies::EvictionPolicy;
-use garnetwall_bodies::{Disk, Limits, Spool, Store};
+use garnetwall_bodies::{Limits, Spool, SpoolFile, Store};
 use garnetwall_plan::model::Bodies;
 use std::io;
 use std::path::Path;
@@ -21,8 +21,8 @@
 ) -> io::Result<Arc<Store>> {
     let spool = match &bodies.directory {
         Some(directory) => {
-            let disk = Disk::open(Path::new(directory), gateway)?;
-            Some(Spool::new(disk, bodies.files))
+            let file = SpoolFile::create(Path::new(directory), gateway)?;
+            Some(Spool::new(file, bodies.files))
         }
         None => None,
     };
