--- a/crates/bodies/src/capacity.rs
+++ b/crates/bodies/src/capacity.rs
@@ -112,8 +112,12 @@
     /// Stops storing a body: it was discarded, or its spool file failed. What is still to be read stays reserved until
     /// [`Capacity::release_read`].
     pub fn stop_storing(&mut self, id: BodyId) {
+        self.set_storage(id, Storage::NotStored);
+    }
+
+    fn set_storage(&mut self, id: BodyId, storage: Storage) {
         if let Some(reservation) = self.reservations.get_mut(&id) {
-            reservation.storage = Storage::NotStored;
+            reservation.storage = storage;
         }
     }
 
@@ -224,9 +228,7 @@
         let storage = self.storage_for(reservation, more, needed);
         if storage != Storage::NotStored {
             self.reserve(id, Usage::stored(storage, more));
-            self.reservations
-                .entry(id)
-                .and_modify(|reservation| reservation.storage = storage);
+            self.set_storage(id, storage);
             return Ok(storage);
         }
         if self.must_store(reservation.class) {
@@ -253,18 +255,28 @@
     /// Whether both budgets, and the tenant's share of each, have capacity for `more`.
     fn fits(&self, tenant: usize, more: Usage) -> bool {
         let tenant_usage = self.by_tenant.get(&tenant).copied().unwrap_or_default();
-        let (total, limits) = (&self.total, &self.limits);
-        let memory_fits = more.memory_bytes == 0
-            || total.memory_bytes + more.memory_bytes <= limits.memory_bytes
-                && tenant_usage.memory_bytes + more.memory_bytes
-                    <= limits.tenant_budget(limits.memory_bytes);
-        let file_fits = more.file_bytes == 0
-            || total.file_bytes + more.file_bytes <= limits.file_bytes
-                && tenant_usage.file_bytes + more.file_bytes
-                    <= limits.tenant_budget(limits.file_bytes);
+        let memory_fits = self.fits_budget(
+            self.limits.memory_bytes,
+            self.total.memory_bytes,
+            tenant_usage.memory_bytes,
+            more.memory_bytes,
+        );
+        let file_fits = self.fits_budget(
+            self.limits.file_bytes,
+            self.total.file_bytes,
+            tenant_usage.file_bytes,
+            more.file_bytes,
+        );
         memory_fits && file_fits
     }
 
+    /// Whether `more` bytes fit into one budget, of which all bodies use `used` bytes and those of the tenant
+    /// `used_by_tenant`. No bytes always fit, also where a budget is full.
+    fn fits_budget(&self, budget: u64, used: u64, used_by_tenant: u64, more: u64) -> bool {
+        more == 0
+            || used + more <= budget && used_by_tenant + more <= self.limits.tenant_budget(budget)
+    }
+
     fn reserve(&mut self, id: BodyId, more: Usage) {
         let Some(reservation) = self.reservations.get_mut(&id) else {
             return;
