--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -36,7 +36,7 @@
             | CallError::LocalResources
             | CallError::ConnectionLost
             | CallError::TimedOut => CallFailure::Unanswered,
-            CallError::InvalidResponse => CallFailure::Garbled,
+            CallError::InvalidResponse => CallFailure::InvalidResponse,
         }
     }
 }
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -126,7 +126,7 @@
     /// Lets the query go; every attempt has provably ended.
     fn release(self, attempts_begun: u32) {
         if let Some(entry) = self.journal_entry.filter(|_| attempts_begun > 0) {
-            self.journal.record_end(entry.id);
+            self.journal.record_end(entry.query_key);
         }
         self.scheduler.release(self.id);
     }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -287,7 +287,7 @@
 /// The journal's record of a query, which may run until a margin after its deadline.
 fn journal_entry(arriving: &ArrivingQuery, deadline: f64) -> StartedQuery {
     StartedQuery {
-        id: arriving.query_key,
+        query_key: arriving.query_key,
         ordering_key: arriving.ordering_key,
         may_run_until_ms: millis(deadline + RUN_MARGIN.as_secs_f64()),
     }
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -22,7 +22,7 @@
             let resumes_at = now + longest_unpolled_run.as_secs_f64();
             for RecoveredQuery { record, finished } in queries {
                 let expires_at = record.may_run_until_ms as f64 / MILLIS_PER_SECOND;
-                state.queries.recover(record.id, expires_at);
+                state.queries.recover(record.query_key, expires_at);
                 if let Some(key) = record.ordering_key.filter(|_| !finished) {
                     state.controller.pause_key(key, resumes_at);
                 }
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -6,7 +6,7 @@
 use crate::system::os_error::is_transient;
 pub use garnetwall_ledger::journal::RecoveredQuery;
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
-use garnetwall_ledger::records::{BootRun, StartedQuery, RUN_MARGIN};
+use garnetwall_ledger::records::{Boot, StartedQuery, RUN_MARGIN};
 use std::io;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -79,13 +79,13 @@
             log_recovered(&shown_path, &queries);
             recovered(queries);
         };
-        let boot_run = BootRun {
-            id: boot_clock.run,
-            longest_run_ms: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
+        let boot = Boot {
+            boot_id: boot_clock.run,
+            longest_query_run_ms: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
         };
         let (journal, started) = Journal::start(
             FileStorage::new(&path),
-            boot_run,
+            boot,
             move || boot_clock.millis(),
             Box::new(on_recovery),
         );
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -163,7 +163,7 @@
         match reply {
             Reply::Corrupted => {
                 self.close_connection(n);
-                self.call_failed(n, call, CallFailure::Garbled);
+                self.call_failed(n, call, CallFailure::InvalidResponse);
             }
             Reply::Succeeded => {
                 self.record_evidence(n, Evidence::Ended);
--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -2,7 +2,7 @@
 //! the disk of the temporary directory.
 
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
-use garnetwall_ledger::records::{BootRun, StartedQuery};
+use garnetwall_ledger::records::{Boot, StartedQuery};
 use std::sync::mpsc::channel;
 use std::time::Instant;
 
@@ -15,9 +15,9 @@
             "garnetwall-journal-{}-{writers}",
             std::process::id()
         ));
-        let boot = BootRun {
-            id: 1,
-            longest_run_ms: 1000,
+        let boot = Boot {
+            boot_id: 1,
+            longest_query_run_ms: 1000,
         };
         let (journal, started) =
             Journal::start(FileStorage::new(&path), boot, || 0, Box::new(drop));
@@ -33,7 +33,7 @@
             };
             journal.record_started(
                 StartedQuery {
-                    id,
+                    query_key: id,
                     ordering_key: Some(id % 7),
                     may_run_until_ms: u64::MAX,
                 },
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -15,7 +15,7 @@
 pub use state::{JournalState, RecoveredQuery, Replay};
 pub use storage::{FileStorage, JournalStorage};
 
-use crate::records::{BootRun, Record, StartedQuery};
+use crate::records::{Boot, Record, StartedQuery};
 use std::io;
 use std::sync::mpsc::{channel, Sender};
 use std::thread::JoinHandle;
@@ -40,7 +40,7 @@
     /// and until it succeeds no query may be sent.
     pub fn start(
         storage: impl JournalStorage + 'static,
-        boot: BootRun,
+        boot: Boot,
         clock_ms: impl Fn() -> u64 + Send + 'static,
         recovery: RecoveryCallback,
     ) -> (Journal, io::Result<()>) {
@@ -68,8 +68,8 @@
 
     /// Records that no attempt of a query runs any more. Nobody waits for it: if it is lost, a later process pauses the
     /// query's key and rejects its id, which is safe.
-    pub fn record_finished(&self, id: u64) {
-        let command = Command::Write(Record::Finished { id }, None);
+    pub fn record_finished(&self, query_key: u64) {
+        let command = Command::Write(Record::Finished { query_key }, None);
         // A journal that has stopped keeps the query as one that may run.
         let _ = self.commands.send(command);
     }
--- a/crates/ledger/src/journal/state.rs
+++ b/crates/ledger/src/journal/state.rs
@@ -1,6 +1,6 @@
 //! What the records of a journal add up to.
 
-use crate::records::{BootRun, Record, StartedQuery, RECORD_BYTES};
+use crate::records::{Boot, Record, StartedQuery, RECORD_BYTES};
 use std::collections::HashMap;
 
 /// A journal with fewer records is never compacted.
@@ -38,25 +38,25 @@
 pub struct JournalState {
     queries: HashMap<u64, RecoveredQuery>,
     /// The boot whose clock the times are of.
-    boot: Option<BootRun>,
+    boot: Option<Boot>,
     /// Records since the last compaction.
     record_count: usize,
-    /// How many records there are when it is next checked whether they are stale.
-    next_stale_check: usize,
+    /// How many records there are when it is next checked whether they need compaction.
+    next_compaction_check: usize,
 }
 
 impl JournalState {
     /// Reads a journal up to its last valid record, wherever a crash has interrupted it. Damaged records before that are
     /// passed over.
-    pub fn read(bytes: &[u8]) -> Replay {
+    pub fn replay(bytes: &[u8]) -> Replay {
         let mut replay = Replay::default();
         let mut damaged_since_valid = 0;
         for (index, chunk) in bytes.chunks(RECORD_BYTES).enumerate() {
-            let Some(record) = Record::read(chunk) else {
+            let Some(record) = Record::decode(chunk) else {
                 damaged_since_valid += 1;
                 continue;
             };
-            replay.state.add(&record);
+            replay.state.apply(&record);
             replay.damaged_records += damaged_since_valid;
             replay.valid_bytes = (index + 1) * RECORD_BYTES;
             damaged_since_valid = 0;
@@ -64,32 +64,38 @@
         replay
     }
 
-    /// Takes in a record.
-    pub fn add(&mut self, record: &Record) {
+    /// Applies a record.
+    pub fn apply(&mut self, record: &Record) {
         self.record_count += 1;
         match record {
-            Record::Started(started) => self.add_started(started),
-            Record::Finished { id } => {
-                if let Some(query) = self.queries.get_mut(id) {
+            Record::Started(started) => self.apply_started(started),
+            Record::Finished { query_key } => {
+                if let Some(query) = self.queries.get_mut(query_key) {
                     query.finished = true;
                 }
             }
-            Record::Boot(boot) => self.add_boot(*boot),
+            Record::Boot(boot) => self.apply_boot(*boot),
         }
     }
 
     /// A further attempt of a query keeps the later time.
-    fn add_started(&mut self, started: &StartedQuery) {
-        let query = self.queries.entry(started.id).or_insert(RecoveredQuery {
-            record: *started,
-            finished: false,
-        });
+    fn apply_started(&mut self, started: &StartedQuery) {
+        let query = self
+            .queries
+            .entry(started.query_key)
+            .or_insert(RecoveredQuery {
+                record: *started,
+                finished: false,
+            });
         query.record.may_run_until_ms = query.record.may_run_until_ms.max(started.may_run_until_ms);
         query.finished = false;
     }
 
-    fn add_boot(&mut self, boot: BootRun) {
-        if self.boot.is_some_and(|before| before.id != boot.id) {
+    fn apply_boot(&mut self, boot: Boot) {
+        if self
+            .boot
+            .is_some_and(|before| before.boot_id != boot.boot_id)
+        {
             for query in self.queries.values_mut() {
                 query.record.may_run_until_ms = NOT_COMPARABLE_MS;
             }
@@ -99,40 +105,43 @@
 
     /// Continues in a boot whose clock says `now_ms`. A query that was, or may have been, recorded in another boot may run for
     /// the longest time of both from now on.
-    pub fn resume(&mut self, boot: BootRun, now_ms: u64) {
-        let same_boot = boot.id != 0 && self.boot.is_some_and(|before| before.id == boot.id);
-        let longest_before_ms = self.boot.map_or(0, |before| before.longest_run_ms);
-        let longest_run_ms = longest_before_ms.max(boot.longest_run_ms);
+    pub fn resume(&mut self, boot: Boot, now_ms: u64) {
+        let same_boot = boot.boot_id != 0
+            && self
+                .boot
+                .is_some_and(|before| before.boot_id == boot.boot_id);
+        let longest_before_ms = self.boot.map_or(0, |before| before.longest_query_run_ms);
+        let longest_query_run_ms = longest_before_ms.max(boot.longest_query_run_ms);
         for query in self.queries.values_mut() {
             if !same_boot || query.record.may_run_until_ms == NOT_COMPARABLE_MS {
-                query.record.may_run_until_ms = now_ms.saturating_add(longest_run_ms);
+                query.record.may_run_until_ms = now_ms.saturating_add(longest_query_run_ms);
             }
         }
-        self.boot = Some(BootRun {
-            longest_run_ms,
+        self.boot = Some(Boot {
+            longest_query_run_ms,
             ..boot
         });
     }
 
-    /// The queries whose time is not over, ordered by id.
+    /// The queries whose time is not over, ordered by query key.
     pub fn unexpired(&self, now_ms: u64) -> Vec<RecoveredQuery> {
         let unexpired = self
             .queries
             .values()
             .filter(|query| query.record.may_run_until_ms > now_ms);
         let mut queries: Vec<_> = unexpired.copied().collect();
-        queries.sort_unstable_by_key(|query| query.record.id);
+        queries.sort_unstable_by_key(|query| query.record.query_key);
         queries
     }
 
     /// Whether most records are of no use any more. It forgets the queries whose time is over; the more records there are the
     /// rarer it looks through them, so that each record costs little.
-    pub fn is_stale(&mut self, now_ms: u64) -> bool {
-        if self.record_count < self.next_stale_check.max(MIN_RECORDS_TO_COMPACT) {
+    pub fn needs_compaction(&mut self, now_ms: u64) -> bool {
+        if self.record_count < self.next_compaction_check.max(MIN_RECORDS_TO_COMPACT) {
             return false;
         }
         self.remove_expired(now_ms);
-        self.next_stale_check = RECHECK_GROWTH * self.record_count;
+        self.next_compaction_check = RECHECK_GROWTH * self.record_count;
         self.record_count > MAX_RECORDS_PER_QUERY * self.queries.len()
     }
 
@@ -144,13 +153,13 @@
             records.push(Record::Started(query.record));
             if query.finished {
                 records.push(Record::Finished {
-                    id: query.record.id,
+                    query_key: query.record.query_key,
                 });
             }
         }
         self.record_count = records.len();
-        self.next_stale_check = RECHECK_GROWTH * records.len();
-        records.iter().flat_map(Record::bytes).collect()
+        self.next_compaction_check = RECHECK_GROWTH * records.len();
+        records.iter().flat_map(Record::encode).collect()
     }
 
     fn remove_expired(&mut self, now_ms: u64) {
--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -3,7 +3,7 @@
 use super::state::JournalState;
 use super::storage::JournalStorage;
 use super::{JournalError, RecoveryCallback, WriteCallback};
-use crate::records::{BootRun, Record};
+use crate::records::{Boot, Record};
 use std::io;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
@@ -33,25 +33,25 @@
 /// Writes the journal of one process. `C` is the clock of the boot, in milliseconds.
 pub(super) struct Writer<S, C> {
     storage: S,
-    boot: BootRun,
+    boot: Boot,
     clock_ms: C,
     /// Until the journal of earlier processes has been read.
     recovery: Option<RecoveryCallback>,
     state: JournalState,
-    /// All that callbacks were promised is stored, and records can be appended.
-    is_complete: bool,
+    /// All that was confirmed to callbacks is stored, and records can be appended to it.
+    can_append: bool,
     last_restore: Instant,
 }
 
 impl<S: JournalStorage, C: Fn() -> u64> Writer<S, C> {
-    pub(super) fn new(storage: S, boot: BootRun, clock_ms: C, recovery: RecoveryCallback) -> Self {
+    pub(super) fn new(storage: S, boot: Boot, clock_ms: C, recovery: RecoveryCallback) -> Self {
         Writer {
             storage,
             boot,
             clock_ms,
             recovery: Some(recovery),
             state: JournalState::default(),
-            is_complete: false,
+            can_append: false,
             last_restore: Instant::now(),
         }
     }
@@ -59,7 +59,7 @@
     /// Carries out commands until it is told to stop, or nobody can send any more.
     pub(super) fn run(mut self, commands: &Receiver<Command>) {
         loop {
-            let received = match self.is_complete {
+            let received = match self.can_append {
                 true => commands.recv().map_err(|_| RecvTimeoutError::Disconnected),
                 false => commands.recv_timeout(RESTORE_INTERVAL),
             };
@@ -71,7 +71,7 @@
             if stop {
                 return;
             }
-            if !self.is_complete && self.last_restore.elapsed() >= RESTORE_INTERVAL {
+            if !self.can_append && self.last_restore.elapsed() >= RESTORE_INTERVAL {
                 // After a failure it is tried again.
                 let _ = self.restore();
             }
@@ -89,22 +89,22 @@
             self.add_to_group(command, &mut group);
         }
         let stop = group.stop;
-        if self.is_complete {
+        if self.can_append {
             self.append(group);
-            self.compact_if_stale();
+            self.compact_if_needed();
         }
         stop
     }
 
     fn add_to_group(&mut self, command: Command, group: &mut CommitGroup) {
         match command {
-            // Without the promise the query is not sent, and needs no record.
-            Command::Write(Record::Started(_), Some(callback)) if !self.is_complete => {
+            // A query whose record is not confirmed is not sent, and needs none.
+            Command::Write(Record::Started(_), Some(callback)) if !self.can_append => {
                 callback(Err(JournalError::EarlierWriteFailed));
             }
             Command::Write(record, callback) => {
-                group.bytes.extend_from_slice(&record.bytes());
-                self.state.add(&record);
+                group.bytes.extend_from_slice(&record.encode());
+                self.state.apply(&record);
                 group.callbacks.extend(callback);
             }
             Command::Stop => group.stop = true,
@@ -119,7 +119,7 @@
             written = written.and_then(|()| self.storage.sync());
         }
         if written.is_err() {
-            self.is_complete = false;
+            self.can_append = false;
             self.last_restore = Instant::now();
         }
         let result = written.map_err(|error| JournalError::Storage(Arc::new(error)));
@@ -128,9 +128,9 @@
         }
     }
 
-    fn compact_if_stale(&mut self) {
+    fn compact_if_needed(&mut self) {
         let now_ms = (self.clock_ms)();
-        if self.is_complete && self.state.is_stale(now_ms) {
+        if self.can_append && self.state.needs_compaction(now_ms) {
             // After a failure it is tried again.
             let _ = self.restore();
         }
@@ -138,11 +138,11 @@
 
     /// Reads the journal if that has not succeeded yet, and replaces it by a complete one.
     pub(super) fn restore(&mut self) -> io::Result<()> {
-        self.is_complete = false;
+        self.can_append = false;
         self.last_restore = Instant::now();
         let now_ms = (self.clock_ms)();
         if self.recovery.is_some() {
-            let mut state = JournalState::read(&self.storage.read()?).state;
+            let mut state = JournalState::replay(&self.storage.read()?).state;
             state.resume(self.boot, now_ms);
             self.state = state;
             if let Some(recovery) = self.recovery.take() {
@@ -151,7 +151,7 @@
         }
         let complete = self.state.compacted(now_ms);
         self.storage.replace(&complete)?;
-        self.is_complete = true;
+        self.can_append = true;
         Ok(())
     }
 }
--- a/crates/ledger/src/polling.rs
+++ b/crates/ledger/src/polling.rs
@@ -11,7 +11,7 @@
     /// The connection broke, was not made, or brought no answer in time: the call may not have reached the engine.
     Unanswered,
     /// The answer can't be read: the call reached the engine, and its answer was damaged on the way.
-    Garbled,
+    InvalidResponse,
 }
 
 /// What follows a call.
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -14,7 +14,7 @@
 //! | 4 to 7 | CRC-32 of all other bytes |
 //! | 8 to 15 | id of the query, or of the boot |
 //! | 16 to 23 | ordering key, or 0 |
-//! | 24 to 31 | [`StartedQuery::may_run_until_ms`], [`BootRun::longest_run_ms`], or 0 |
+//! | 24 to 31 | [`StartedQuery::may_run_until_ms`], [`Boot::longest_query_run_ms`], or 0 |
 
 use std::ops::Range;
 use std::time::Duration;
@@ -38,18 +38,18 @@
 
 /// The time from one start of the machine to its end, during which times can be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BootRun {
+pub struct Boot {
     /// Tells it from other boots; 0 where that is not known.
-    pub id: u64,
+    pub boot_id: u64,
     /// How long a query may run at most after it was sent, in milliseconds.
-    pub longest_run_ms: u64,
+    pub longest_query_run_ms: u64,
 }
 
 /// A non-idempotent query that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedQuery {
     /// The client's id of the query.
-    pub id: u64,
+    pub query_key: u64,
     /// Queries of one key run one after the other.
     pub ordering_key: Option<u64>,
     /// The time after which nobody polls the query and nothing of it runs, in milliseconds.
@@ -65,24 +65,24 @@
     /// client may send it again.
     Finished {
         /// The client's id of the query.
-        id: u64,
+        query_key: u64,
     },
     /// The times of all records that follow are of this boot.
-    Boot(BootRun),
+    Boot(Boot),
 }
 
 impl Record {
     /// The bytes of the record.
-    pub fn bytes(&self) -> [u8; RECORD_BYTES] {
+    pub fn encode(&self) -> [u8; RECORD_BYTES] {
         let (kind, id, ordering_key, time_ms) = match self {
             Record::Started(query) => (
                 KIND_STARTED,
-                query.id,
+                query.query_key,
                 query.ordering_key,
                 query.may_run_until_ms,
             ),
-            Record::Finished { id } => (KIND_FINISHED, *id, None, 0),
-            Record::Boot(boot) => (KIND_BOOT, boot.id, None, boot.longest_run_ms),
+            Record::Finished { query_key } => (KIND_FINISHED, *query_key, None, 0),
+            Record::Boot(boot) => (KIND_BOOT, boot.boot_id, None, boot.longest_query_run_ms),
         };
         let mut bytes = [0; RECORD_BYTES];
         bytes[0] = MAGIC;
@@ -97,7 +97,7 @@
     }
 
     /// Reads a record; `None` where the bytes are not one.
-    pub fn read(bytes: &[u8]) -> Option<Record> {
+    pub fn decode(bytes: &[u8]) -> Option<Record> {
         let bytes: [u8; RECORD_BYTES] = bytes.try_into().ok()?;
         let stored_checksum = u32::from_le_bytes(bytes[CHECKSUM].try_into().ok()?);
         if bytes[0] != MAGIC || stored_checksum != checksum(&bytes) {
@@ -107,14 +107,14 @@
         let time_ms = number(&bytes, TIME_MS);
         match bytes[1] {
             KIND_STARTED => Some(Record::Started(StartedQuery {
-                id,
+                query_key: id,
                 ordering_key: (bytes[2] == 1).then(|| number(&bytes, ORDERING_KEY)),
                 may_run_until_ms: time_ms,
             })),
-            KIND_FINISHED => Some(Record::Finished { id }),
-            KIND_BOOT => Some(Record::Boot(BootRun {
-                id,
-                longest_run_ms: time_ms,
+            KIND_FINISHED => Some(Record::Finished { query_key: id }),
+            KIND_BOOT => Some(Record::Boot(Boot {
+                boot_id: id,
+                longest_query_run_ms: time_ms,
             })),
             _ => None,
         }
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -5,7 +5,7 @@
     FileStorage, Journal, JournalError, JournalState, JournalStorage, RecoveredQuery,
     RecoveryCallback,
 };
-use garnetwall_ledger::records::{BootRun, Record, StartedQuery, RECORD_BYTES};
+use garnetwall_ledger::records::{Boot, Record, StartedQuery, RECORD_BYTES};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 
 fn query(id: u64) -> StartedQuery {
     StartedQuery {
-        id,
+        query_key: id,
         ordering_key: (!id.is_multiple_of(3)).then_some(id % 5),
         may_run_until_ms: 1000 + id,
     }
@@ -29,7 +29,7 @@
     prop_oneof![
         2 => (id.clone(), 0u64..3000)
             .prop_map(|(id, may_run_until_ms)| Record::Started(StartedQuery { may_run_until_ms, ..query(id) })),
-        1 => id.prop_map(|id| Record::Finished { id }),
+        1 => id.prop_map(|id| Record::Finished { query_key: id }),
     ]
 }
 
@@ -38,8 +38,8 @@
     let mut queries = Vec::new();
     for id in 0..20 {
         let is_of_query = |record: &&Record| {
-            matches!(record, Record::Started(query) if query.id == id)
-                || **record == Record::Finished { id }
+            matches!(record, Record::Started(query) if query.query_key == id)
+                || **record == Record::Finished { query_key: id }
         };
         let of_query: Vec<&Record> = records.iter().filter(is_of_query).collect();
         let started = of_query.iter().filter_map(|record| match record {
@@ -55,7 +55,7 @@
                     may_run_until_ms,
                     ..*first
                 },
-                finished: of_query.last() == Some(&&Record::Finished { id }),
+                finished: of_query.last() == Some(&&Record::Finished { query_key: id }),
             });
         }
     }
@@ -66,20 +66,20 @@
 proptest! {
     #[test]
     fn state_agrees_with_the_plain_model(records in vec(record(), 0..200), now in 0u64..3000) {
-        let bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
-        let mut replay = JournalState::read(&bytes);
+        let bytes: Vec<u8> = records.iter().flat_map(|r| r.encode()).collect();
+        let mut replay = JournalState::replay(&bytes);
         prop_assert_eq!((replay.valid_bytes, replay.damaged_records), (bytes.len(), 0));
         prop_assert_eq!(replay.state.unexpired(now), plain_model(&records, now));
-        let compacted = JournalState::read(&replay.state.compacted(now));
+        let compacted = JournalState::replay(&replay.state.compacted(now));
         prop_assert_eq!(compacted.state.unexpired(now), plain_model(&records, now), "after compaction");
     }
 
     /// Interrupted at every byte: all complete records before it count, nothing else.
     #[test]
     fn an_interrupted_tail_is_ignored(records in vec(record(), 1..8)) {
-        let bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
+        let bytes: Vec<u8> = records.iter().flat_map(|r| r.encode()).collect();
         for end in 0..=bytes.len() {
-            let replay = JournalState::read(&bytes[..end]);
+            let replay = JournalState::replay(&bytes[..end]);
             let complete = end / RECORD_BYTES;
             prop_assert_eq!(replay.valid_bytes, complete * RECORD_BYTES);
             prop_assert_eq!(replay.state.unexpired(0), plain_model(&records[..complete], 0));
@@ -88,13 +88,13 @@
 
     #[test]
     fn a_damaged_record_is_counted_and_the_others_are_read(records in vec(record(), 2..20), at in any::<prop::sample::Index>(), bit in 0u8..8) {
-        let mut bytes: Vec<u8> = records.iter().flat_map(|r| r.bytes()).collect();
+        let mut bytes: Vec<u8> = records.iter().flat_map(|r| r.encode()).collect();
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
         let damaged = at / RECORD_BYTES;
         let others: Vec<Record> =
             records.iter().enumerate().filter(|(n, _)| *n != damaged).map(|(_, r)| *r).collect();
-        let replay = JournalState::read(&bytes);
+        let replay = JournalState::replay(&bytes);
         // The checksum covers the flag of the key, too.
         prop_assert_eq!(replay.state.unexpired(0), plain_model(&others, 0));
         let is_last = damaged == records.len() - 1;
@@ -102,9 +102,9 @@
     }
 }
 
-const BOOT: BootRun = BootRun {
-    id: 7,
-    longest_run_ms: 5000,
+const BOOT: Boot = Boot {
+    boot_id: 7,
+    longest_query_run_ms: 5000,
 };
 
 /// For tests that need no recovered queries.
@@ -208,7 +208,7 @@
             Ok(()) => confirmed.push(id),
             Err(_) => rejected += 1,
         }
-        let stored = JournalState::read(&storage.bytes.lock().unwrap());
+        let stored = JournalState::replay(&storage.bytes.lock().unwrap());
         let stored = stored.state.unexpired(0);
         for id in &confirmed {
             let query = RecoveredQuery {
@@ -236,28 +236,28 @@
 fn times_count_only_in_the_boot_they_were_recorded_in() {
     let mut state = JournalState::default();
     state.resume(BOOT, 1_000_000);
-    state.add(&Record::Started(StartedQuery {
+    state.apply(&Record::Started(StartedQuery {
         may_run_until_ms: 1_004_000,
         ..query(1)
     }));
     let file = state.compacted(1_000_000);
-    let remaining_ms = |boot: BootRun, now: u64| {
-        let mut state = JournalState::read(&file).state;
+    let remaining_ms = |boot: Boot, now: u64| {
+        let mut state = JournalState::replay(&file).state;
         state.resume(boot, now);
         state
             .unexpired(now)
             .first()
             .map(|query| query.record.may_run_until_ms - now)
     };
-    let unknown = BootRun {
-        id: 0,
-        longest_run_ms: 9000,
+    let unknown = Boot {
+        boot_id: 0,
+        longest_query_run_ms: 9000,
     };
     assert_eq!(remaining_ms(BOOT, 1_003_000), Some(1000));
     assert_eq!(remaining_ms(BOOT, 1_005_000), None);
-    assert_eq!(remaining_ms(BootRun { id: 8, ..BOOT }, 40), Some(5000));
+    assert_eq!(remaining_ms(Boot { boot_id: 8, ..BOOT }, 40), Some(5000));
     assert_eq!(
-        remaining_ms(BootRun { id: 8, ..BOOT }, 9_000_000),
+        remaining_ms(Boot { boot_id: 8, ..BOOT }, 9_000_000),
         Some(5000)
     );
     assert_eq!(remaining_ms(unknown, 1_003_000), Some(9000));
@@ -266,9 +266,9 @@
         may_run_until_ms: 1_700_000_000_000,
         ..query(2)
     })
-    .bytes()
+    .encode()
     .to_vec();
-    let mut state = JournalState::read(&old).state;
+    let mut state = JournalState::replay(&old).state;
     state.resume(BOOT, 500);
     assert_eq!(state.unexpired(500)[0].record.may_run_until_ms, 5500);
 }
@@ -301,10 +301,10 @@
     drop(journal);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
     assert!(length < 12_000 * RECORD_BYTES, "{length}");
-    let stored = JournalState::read(&std::fs::read(&path).unwrap());
+    let stored = JournalState::replay(&std::fs::read(&path).unwrap());
     let stored = stored.state.unexpired(1_000_000);
     assert!(stored.iter().all(|query| query.finished));
-    let stored: Vec<u64> = stored.iter().map(|query| query.record.id).collect();
+    let stored: Vec<u64> = stored.iter().map(|query| query.record.query_key).collect();
     assert_eq!(stored, (19_990..20_000).collect::<Vec<_>>());
     std::fs::remove_file(path).unwrap();
 }
@@ -372,9 +372,9 @@
                 last_printed.insert(id, word);
             }
         }
-        let stored = JournalState::read(&std::fs::read(&path).unwrap());
+        let stored = JournalState::replay(&std::fs::read(&path).unwrap());
         let stored = stored.state.unexpired(0);
-        let stored: Vec<u64> = stored.iter().map(|query| query.record.id).collect();
+        let stored: Vec<u64> = stored.iter().map(|query| query.record.query_key).collect();
         for (id, word) in last_printed.iter().filter(|(_, word)| **word == "started") {
             assert!(
                 stored.contains(id),
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -8,29 +8,29 @@
 //! journal holds, in crates/gateway/tests/recovery.rs and wire.rs.
 
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalState, RecoveredQuery};
-use garnetwall_ledger::records::{BootRun, Record, StartedQuery};
+use garnetwall_ledger::records::{Boot, Record, StartedQuery};
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
 
 const STORED: &[u8] = include_bytes!("fixtures/interrupted.once-only");
 
 /// The boot run in which it was written, and the time that its queries may run at most.
-const BOOT: BootRun = BootRun {
-    id: 0x2b7e_1516_28ae_4d2a,
-    longest_run_ms: 65_000,
+const BOOT: Boot = Boot {
+    boot_id: 0x2b7e_1516_28ae_4d2a,
+    longest_query_run_ms: 65_000,
 };
 const FIRST: StartedQuery = StartedQuery {
-    id: 0x9b1f_03aa_5c7e_2d01,
+    query_key: 0x9b1f_03aa_5c7e_2d01,
     ordering_key: None,
     may_run_until_ms: 1_138_390,
 };
 const SECOND: StartedQuery = StartedQuery {
-    id: 0x9b1f_03aa_5c7e_2d02,
+    query_key: 0x9b1f_03aa_5c7e_2d02,
     ordering_key: Some(0x7f3a_9c21_e0b4_d655),
     may_run_until_ms: 1_138_171,
 };
 const THIRD: StartedQuery = StartedQuery {
-    id: 0x9b1f_03aa_5c7e_2d03,
+    query_key: 0x9b1f_03aa_5c7e_2d03,
     ordering_key: Some(0x7f3a_9c21_e0b4_d655),
     may_run_until_ms: 1_138_171,
 };
@@ -47,7 +47,9 @@
     ),
     (
         "47020000 fcc917c1 012d7e5caa031f9b 0000000000000000 0000000000000000",
-        Record::Finished { id: FIRST.id },
+        Record::Finished {
+            query_key: FIRST.query_key,
+        },
     ),
     (
         "47010100 295e2f2a 022d7e5caa031f9b 55d6b4e0219c3a7f fb5d110000000000",
@@ -55,7 +57,9 @@
     ),
     (
         "47020000 d4600999 022d7e5caa031f9b 0000000000000000 0000000000000000",
-        Record::Finished { id: SECOND.id },
+        Record::Finished {
+            query_key: SECOND.query_key,
+        },
     ),
     (
         "47010100 0e3b0aab 032d7e5caa031f9b 55d6b4e0219c3a7f fb5d110000000000",
@@ -73,10 +77,10 @@
     assert_eq!(STORED.len(), 205, "six records, and 13 bytes of a seventh");
     for ((hex, record), stored) in RECORDS.iter().zip(STORED.chunks(32)) {
         assert_eq!(bytes(hex), stored);
-        assert_eq!(Record::read(stored), Some(*record));
-        assert_eq!(record.bytes(), stored);
+        assert_eq!(Record::decode(stored), Some(*record));
+        assert_eq!(record.encode(), stored);
     }
-    assert_eq!(Record::read(&STORED[192..]), None);
+    assert_eq!(Record::decode(&STORED[192..]), None);
 }
 
 fn recovered(record: StartedQuery, finished: bool) -> RecoveredQuery {
@@ -90,7 +94,7 @@
 
 #[test]
 fn an_interrupted_journal_says_what_was_sent_and_what_is_finished() {
-    let replay = JournalState::read(STORED);
+    let replay = JournalState::replay(STORED);
     assert_eq!((replay.valid_bytes, replay.damaged_records), (192, 0));
     assert_eq!(replay.state.unexpired(0), all_recovered());
     assert_eq!(replay.state.unexpired(1_138_171), [recovered(FIRST, true)]);
@@ -98,15 +102,15 @@
 
 #[test]
 fn in_another_boot_run_all_of_it_counts_for_its_whole_span() {
-    let mut state = JournalState::read(STORED).state;
-    let run = BootRun {
-        id: 7,
-        longest_run_ms: 1_000,
+    let mut state = JournalState::replay(STORED).state;
+    let run = Boot {
+        boot_id: 7,
+        longest_query_run_ms: 1_000,
     };
     state.resume(run, 5_000);
     let mut all = all_recovered();
     for query in &mut all {
-        query.record.may_run_until_ms = 5_000 + BOOT.longest_run_ms;
+        query.record.may_run_until_ms = 5_000 + BOOT.longest_query_run_ms;
     }
     assert_eq!(state.unexpired(5_000), all);
 }
@@ -123,7 +127,7 @@
     let (journal, started) = Journal::start(storage, BOOT, || 1_138_170, callback);
     started.unwrap();
     assert_eq!(known.recv().unwrap(), all_recovered());
-    journal.record_finished(THIRD.id);
+    journal.record_finished(THIRD.query_key);
     drop(journal);
     let mut expected = STORED[..192].to_vec();
     let finished = "47020000 f3052c18 032d7e5caa031f9b 0000000000000000 0000000000000000";
