--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -4,7 +4,7 @@
 use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
 use garnetwall::api::AttemptEnd;
-use garnetwall_ledger::{weigh_reported_end, Evidence, PollSchedule, PollStep, ReportVerdict};
+use garnetwall_ledger::{Evidence, PollSchedule, PollStep, ReportVerdict, ReportedEnd};
 use std::ops::ControlFlow;
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -188,8 +188,11 @@
         } else {
             Evidence::ReportedFailed(self.connection)
         });
-        let failed = reported == AttemptEnd::Failed;
-        let end = match weigh_reported_end(answers_start, failed, !self.may_run()) {
+        let reported_end = ReportedEnd {
+            answers_start,
+            is_failure: reported == AttemptEnd::Failed,
+        };
+        let end = match reported_end.weigh(!self.may_run()) {
             ReportVerdict::Accepted => reported,
             ReportVerdict::Interrupted => AttemptEnd::ConnectionLost,
             ReportVerdict::Inconclusive => return PollOutcome::Unknown,
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -4,9 +4,7 @@
 use super::gateway::{AttemptPhase, Call, Reply};
 use super::{InjectedBug, Simulation};
 use garnetwall::api::AttemptEnd;
-use garnetwall_ledger::{
-    weigh_reported_end, CallFailure, CancelStep, Evidence, PollStep, ReportVerdict,
-};
+use garnetwall_ledger::{CallFailure, CancelStep, Evidence, PollStep, ReportVerdict, ReportedEnd};
 
 impl Simulation {
     pub(super) fn advance_attempt(&mut self, n: usize) {
@@ -193,7 +191,11 @@
                 let id = self.attempts[n].id;
                 let over = self.ledger.may_run_until(id).is_none()
                     || self.bug == InjectedBug::TrustsAddresses;
-                match weigh_reported_end(call == Call::Start, true, over) {
+                let reported_end = ReportedEnd {
+                    answers_start: call == Call::Start,
+                    is_failure: true,
+                };
+                match reported_end.weigh(over) {
                     ReportVerdict::Accepted => self.end_attempt(n, AttemptEnd::Failed),
                     ReportVerdict::Interrupted => self.end_attempt(n, AttemptEnd::ConnectionLost),
                     ReportVerdict::Inconclusive => self.abandon_with_unknown_outcome(n),
--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -5,6 +5,7 @@
 use super::{JournalError, RecoveryCallback, WriteCallback};
 use crate::records::{Boot, Record};
 use std::io;
+use std::ops::ControlFlow;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -59,16 +60,17 @@
     /// Carries out commands until it is told to stop, or nobody can send any more.
     pub(super) fn run(mut self, commands: &Receiver<Command>) {
         loop {
-            let received = match self.can_append {
-                true => commands.recv().map_err(|_| RecvTimeoutError::Disconnected),
-                false => commands.recv_timeout(RESTORE_INTERVAL),
+            let received = if self.can_append {
+                commands.recv().map_err(|_| RecvTimeoutError::Disconnected)
+            } else {
+                commands.recv_timeout(RESTORE_INTERVAL)
             };
-            let stop = match received {
+            let flow = match received {
                 Ok(first) => self.commit(first, commands),
-                Err(RecvTimeoutError::Timeout) => false,
-                Err(RecvTimeoutError::Disconnected) => return,
+                Err(RecvTimeoutError::Timeout) => ControlFlow::Continue(()),
+                Err(RecvTimeoutError::Disconnected) => ControlFlow::Break(()),
             };
-            if stop {
+            if flow.is_break() {
                 return;
             }
             if !self.can_append && self.last_restore.elapsed() >= RESTORE_INTERVAL {
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Carries out a command and those that wait behind it; returns whether to stop.
-    fn commit(&mut self, first: Command, commands: &Receiver<Command>) -> bool {
+    /// Carries out a command and those that wait behind it, and breaks where one of them is to stop.
+    fn commit(&mut self, first: Command, commands: &Receiver<Command>) -> ControlFlow<()> {
         let waiting = std::iter::from_fn(|| commands.try_recv().ok());
         let mut group = CommitGroup::default();
         for command in std::iter::once(first)
@@ -93,7 +95,11 @@
             self.append(group);
             self.compact_if_needed();
         }
-        stop
+        if stop {
+            ControlFlow::Break(())
+        } else {
+            ControlFlow::Continue(())
+        }
     }
 
     fn add_to_group(&mut self, command: Command, group: &mut CommitGroup) {
@@ -136,18 +142,24 @@
         }
     }
 
+    /// Reads what earlier processes have stored, and hands it to the recovery callback.
+    fn recover(&mut self, now_ms: u64) -> io::Result<()> {
+        let mut state = JournalState::replay(&self.storage.read()?).state;
+        state.resume(self.boot, now_ms);
+        self.state = state;
+        if let Some(recovery) = self.recovery.take() {
+            recovery(self.state.unexpired(now_ms));
+        }
+        Ok(())
+    }
+
     /// Reads the journal if that has not succeeded yet, and replaces it by a complete one.
     pub(super) fn restore(&mut self) -> io::Result<()> {
         self.can_append = false;
         self.last_restore = Instant::now();
         let now_ms = (self.clock_ms)();
         if self.recovery.is_some() {
-            let mut state = JournalState::replay(&self.storage.read()?).state;
-            state.resume(self.boot, now_ms);
-            self.state = state;
-            if let Some(recovery) = self.recovery.take() {
-                recovery(self.state.unexpired(now_ms));
-            }
+            self.recover(now_ms)?;
         }
         let complete = self.state.compacted(now_ms);
         self.storage.replace(&complete)?;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,7 +1,8 @@
 //! Remembers what is known of attempts and of non-idempotent queries until they provably run no more.
 //!
 //! [`Ledger`] holds every attempt that was sent to an engine and is not finished: callers record what they observe as
-//! [`Evidence`] and ask what follows. It does no I/O. [`PollSchedule`] says when an attempt is polled again.
+//! [`Evidence`] and ask what follows. It does no I/O. [`PollSchedule`] says when an attempt is polled again,
+//! [`ReportedEnd`] what an engine's report of an end is worth.
 //! [`journal`] stores non-idempotent queries on a disk, so that a later process does not send them again;
 //! [`records`] has the bytes of its file.
 //!
@@ -36,6 +37,8 @@
 pub mod journal;
 mod polling;
 pub mod records;
+mod reported_end;
 
 pub use attempts::{AttemptId, Bounds, CancelStep, Connection, Evidence, Ledger, Proof};
-pub use polling::{weigh_reported_end, CallFailure, PollSchedule, PollStep, ReportVerdict};
+pub use polling::{CallFailure, PollSchedule, PollStep};
+pub use reported_end::{ReportVerdict, ReportedEnd};
--- a/crates/ledger/src/polling.rs
+++ b/crates/ledger/src/polling.rs
@@ -1,4 +1,4 @@
-//! Decides when an attempt, or a page of its result, is polled again, and what an engine's report of an end is worth.
+//! Decides when an attempt, or a page of its result, is polled again.
 
 use crate::Bounds;
 use std::time::Duration;
@@ -23,33 +23,6 @@
     Stop,
 }
 
-/// What an engine's report that an attempt has ended counts for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportVerdict {
-    /// The attempt ended as reported.
-    Accepted,
-    /// The attempt has ended and may have been interrupted: its ordering key pauses.
-    Interrupted,
-    /// Nothing: another process may have reported it, or the request may still be on its way.
-    Inconclusive,
-}
-
-/// Weighs an engine's report that an attempt has ended.
-///
-/// `answers_start`: it answers the request that started the attempt. `failed`: it says that the attempt failed or is
-/// unknown, not that it never ran. `finished`: the ledger has a proof that the attempt does not run any more.
-pub fn weigh_reported_end(answers_start: bool, failed: bool, finished: bool) -> ReportVerdict {
-    if answers_start {
-        return ReportVerdict::Accepted;
-    }
-    match (finished, failed) {
-        (true, false) => ReportVerdict::Accepted,
-        // It failed, or was dropped while this gateway had no time to poll.
-        (true, true) => ReportVerdict::Interrupted,
-        (false, _) => ReportVerdict::Inconclusive,
-    }
-}
-
 /// The polls of one attempt.
 #[derive(Debug)]
 pub struct PollSchedule {
@@ -86,9 +59,10 @@
             return PollStep::Stop;
         }
         let failed_before = std::mem::replace(&mut self.last_call_failed, true);
-        match failed_before {
-            true => PollStep::PollAgain(self.retry_pause),
-            false => PollStep::PollAgain(Duration::ZERO),
+        if failed_before {
+            PollStep::PollAgain(self.retry_pause)
+        } else {
+            PollStep::PollAgain(Duration::ZERO)
         }
     }
 }
