--- a/crates/subset/src/candidates.rs
+++ b/crates/subset/src/candidates.rs
@@ -1,7 +1,7 @@
 //! Keeps the engines with the lowest scores: all below a limit, and none above it.
 
+use crate::engine::EngineKey;
 use crate::score::Score;
-use crate::EngineKey;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// Spare candidates as a fraction of those that are wanted: so many may leave before the list is read again.
--- a/crates/subset/src/class_shortage.rs
+++ b/crates/subset/src/class_shortage.rs
@@ -1,6 +1,7 @@
 //! Counts how many members each placement class lacks.
 
-use crate::{EngineFacts, PlacementClass};
+use crate::engine::EngineFacts;
+use crate::settings::PlacementClass;
 
 /// The number of members that each placement class lacks; negative where it has more than it needs.
 pub(crate) struct ClassShortage<'a> {
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -1,6 +1,6 @@
 //! Judges which members fail by the outcomes of the gateway's own attempts, and widens the subset for them.
 
-use crate::EngineKey;
+use crate::engine::EngineKey;
 use std::collections::BTreeMap;
 
 /// The time after which an attempt counts half.
--- a/crates/subset/src/holders.rs
+++ b/crates/subset/src/holders.rs
@@ -8,8 +8,9 @@
 mod choice;
 mod estimate;
 
+use crate::engine::EngineFacts;
 use crate::ready::{EngineShape, ReadyEngines, RetryDomain};
-use crate::{EngineFacts, PlacementClass, RetryScope, SubsetSettings};
+use crate::settings::{PlacementClass, RetryScope, SubsetSettings};
 use estimate::Estimate;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/subset/src/holders/choice.rs
+++ b/crates/subset/src/holders/choice.rs
@@ -2,7 +2,7 @@
 
 use crate::ready::{EngineShape, RetryDomain, ShapeCounts};
 use crate::score::base_weight;
-use crate::{PlacementClass, RetryScope};
+use crate::settings::{PlacementClass, RetryScope};
 use std::collections::BTreeMap;
 
 /// Engines of one weight in a retry domain: the weight's bits, and how many.
--- a/crates/subset/src/holders/estimate.rs
+++ b/crates/subset/src/holders/estimate.rs
@@ -4,7 +4,7 @@
 use super::{Group, HoldersTerms};
 use crate::ready::{EngineShape, ReadyEngines, RetryDomain, ShapeCounts};
 use crate::score::{base_weight, usable_cores};
-use crate::RetryScope;
+use crate::settings::RetryScope;
 use std::collections::BTreeMap;
 
 /// Standard deviations by which the expected number of holders is raised: it divides what all of them may do together.
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -22,6 +22,7 @@
 mod candidates;
 mod catalog;
 mod class_shortage;
+mod engine;
 mod health;
 mod holders;
 mod newcomers;
@@ -32,7 +33,8 @@
 mod size;
 mod subset;
 
-pub use catalog::{Catalog, Change, EngineFacts, EngineKey, ListedEngine, ListedState};
+pub use catalog::Catalog;
+pub use engine::{Change, EngineFacts, EngineKey, ListedEngine, ListedState};
 pub use score::{GatewayHash, Score};
 pub use settings::{
     PlacementClass, RetryScope, SubsetError, SubsetSettings, MAX_CLASSES, MAX_NEAR_WEIGHT,
--- a/crates/subset/src/newcomers.rs
+++ b/crates/subset/src/newcomers.rs
@@ -1,7 +1,7 @@
 //! Admits engines into the subset at a pace: connections that are being made, and engines that could not be reached.
 
+use crate::engine::EngineKey;
 use crate::score::GatewayHash;
-use crate::EngineKey;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most connections that are made at the same time.
--- a/crates/subset/src/ready.rs
+++ b/crates/subset/src/ready.rs
@@ -1,6 +1,7 @@
 //! Indexes and counts the engines that take new work, by zone, cell and shape.
 
-use crate::{EngineFacts, EngineKey, PlacementClass, RetryScope};
+use crate::engine::{EngineFacts, EngineKey};
+use crate::settings::{PlacementClass, RetryScope};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A cell of a zone.
@@ -153,14 +154,14 @@
 
     /// The number of engines that may serve a class.
     pub fn count_in_class(&self, class: &PlacementClass) -> usize {
-        let admitted = |zone: u32| {
-            move |(shape, count): (&EngineShape, &usize)| {
-                class.admits(zone, shape.kind) as usize * *count
-            }
+        let in_zone = |(zone, shapes): (u32, &ShapeCounts)| -> usize {
+            shapes
+                .iter()
+                .filter(|(shape, _)| class.admits(zone, shape.kind))
+                .map(|(_, count)| *count)
+                .sum()
         };
-        self.zones()
-            .map(|(zone, shapes)| shapes.iter().map(admitted(zone)).sum::<usize>())
-            .sum()
+        self.zones().map(in_zone).sum()
     }
 
     /// The engines of a retry domain.
--- a/crates/subset/src/score.rs
+++ b/crates/subset/src/score.rs
@@ -5,7 +5,8 @@
 //! its weight, and an engine more or less moves no other engine's score. Engines of the gateway's own zone weigh more,
 //! where that is configured; cores are left to the decision module.
 
-use crate::{EngineFacts, SubsetSettings};
+use crate::engine::EngineFacts;
+use crate::settings::SubsetSettings;
 use std::cmp::Ordering;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
--- a/crates/subset/src/selection.rs
+++ b/crates/subset/src/selection.rs
@@ -1,9 +1,11 @@
 //! Selects the engines that one gateway is to hold: the lowest scores of the list, and of each placement class.
 
 use crate::candidates::Candidates;
+use crate::catalog::Catalog;
+use crate::engine::{EngineFacts, EngineKey, ListedState};
 use crate::ready::RetryDomain;
 use crate::score::{GatewayHash, Score};
-use crate::{Catalog, EngineFacts, EngineKey, ListedState, PlacementClass, SubsetSettings};
+use crate::settings::{PlacementClass, SubsetSettings};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Scores the engines of a catalog for one gateway.
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a subset, and their validation.
 
-use crate::EngineFacts;
+use crate::engine::EngineFacts;
 use thiserror::Error;
 
 /// The most placement classes; each costs a gateway memory and a comparison for each changed engine.
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -1,6 +1,6 @@
 //! Decides how many engines a gateway holds.
 
-use crate::SubsetSettings;
+use crate::settings::SubsetSettings;
 
 /// The least number of gateways that hold an engine on average. The probability that none holds it is then `exp(-24)`, and
 /// the engines of one gateway carry 24 times a gateway's mean traffic.
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -7,16 +7,16 @@
 mod target;
 mod transition;
 
+use crate::catalog::Catalog;
+use crate::engine::{Change, EngineKey, ListedState};
 use crate::health::Health;
 use crate::holders::{HoldersTable, HoldersTerms};
 use crate::newcomers::Newcomers;
 use crate::ready::RetryDomain;
 use crate::score::GatewayHash;
 use crate::selection::{Chooser, Selection, Target};
-use crate::{
-    Catalog, Change, EffectiveSize, EngineKey, ListedState, PlacementClass, SubsetError,
-    SubsetSettings,
-};
+use crate::settings::{PlacementClass, SubsetError, SubsetSettings};
+use crate::size::EffectiveSize;
 use members::Member;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/subset/src/subset/members.rs
+++ b/crates/subset/src/subset/members.rs
@@ -1,7 +1,8 @@
 //! The members of a subset, and what is reported of them.
 
 use super::{Action, Outdated, Subset};
-use crate::{Catalog, EngineFacts, EngineKey};
+use crate::catalog::Catalog;
+use crate::engine::{EngineFacts, EngineKey};
 use std::sync::Arc;
 
 /// A member's number of holders is reported again when it has changed by more than this fraction: each change of the list
--- a/crates/subset/src/subset/target.rs
+++ b/crates/subset/src/subset/target.rs
@@ -1,12 +1,12 @@
 //! Chooses the engines that a subset is to hold.
 
 use super::{Outdated, Subset};
+use crate::catalog::Catalog;
+use crate::engine::{Change, EngineFacts, EngineKey};
 use crate::newcomers::Newcomers;
 use crate::selection::{Chooser, Target};
-use crate::size::floor_of;
-use crate::{
-    Catalog, Change, EffectiveSize, EngineFacts, EngineKey, PlacementClass, SubsetSettings,
-};
+use crate::settings::{PlacementClass, SubsetSettings};
+use crate::size::{floor_of, EffectiveSize};
 use std::collections::BTreeSet;
 
 impl Subset {
--- a/crates/subset/src/subset/transition.rs
+++ b/crates/subset/src/subset/transition.rs
@@ -1,10 +1,12 @@
 //! Moves the members towards the target: who joins, who is warmed first, who leaves.
 
 use super::{Action, Subset};
+use crate::catalog::Catalog;
 use crate::class_shortage::ClassShortage;
+use crate::engine::{EngineFacts, EngineKey};
 use crate::ready::RetryDomain;
 use crate::score::Score;
-use crate::{Catalog, EngineFacts, EngineKey, PlacementClass};
+use crate::settings::PlacementClass;
 use std::collections::BTreeMap;
 
 impl Subset {
