--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -207,7 +207,7 @@
         let mut selected = Vec::new();
         for action in self.subset.poll(now, &self.catalog) {
             match action {
-                Action::Warm(engine) => {
+                Action::Connect(engine) => {
                     if self.warming.insert(engine) {
                         self.candidates.push_back(engine);
                     }
@@ -249,13 +249,13 @@
     /// Records whether a candidate could be reached.
     pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
         self.warming.remove(&engine);
-        self.subset.warmed(now, engine, reached);
+        self.subset.connect_ended(now, engine, reached);
     }
 
     /// Records how an attempt at the engine of this id ended.
     pub(super) fn attempt_ended(&mut self, now: f64, id: &str, failed: bool) {
         if let Some(engine) = self.catalog.key(id) {
-            self.subset.attempted(now, engine, failed);
+            self.subset.attempt_ended(now, engine, failed);
         }
     }
 
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -131,7 +131,7 @@
         environment: &mut Environment,
     ) -> Option<Endpoint> {
         match action {
-            Action::Warm(key) => {
+            Action::Connect(key) => {
                 self.warm(now, key, gateway, environment);
                 None
             }
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -50,13 +50,13 @@
 
     pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
         if let Membership::Subset(subset) = self {
-            subset.warmed(now, engine, reached);
+            subset.connect_ended(now, engine, reached);
         }
     }
 
     pub fn attempted(&mut self, now: f64, engine: EngineKey, failed: bool) {
         if let Membership::Subset(subset) = self {
-            subset.attempted(now, engine, failed);
+            subset.attempt_ended(now, engine, failed);
         }
     }
 
--- a/crates/scale/src/real_processes/prediction.rs
+++ b/crates/scale/src/real_processes/prediction.rs
@@ -120,8 +120,8 @@
     let mut now = 0.0;
     while now < FILL_SECONDS {
         for action in subset.poll(now, &catalog) {
-            if let Action::Warm(engine) = action {
-                subset.warmed(now, engine, true);
+            if let Action::Connect(engine) = action {
+                subset.connect_ended(now, engine, true);
             }
         }
         now += STEP_SECONDS;
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/module/engines.rs
@@ -137,7 +137,7 @@
 
     fn carry_out_one(&mut self, action: &Action) -> Option<Endpoint> {
         match *action {
-            Action::Warm(_) => None,
+            Action::Connect(_) => None,
             Action::Join { engine, holders } | Action::Update { engine, holders } => {
                 let index = self.index(engine);
                 self.endpoint(engine, index, EndpointState::Ready, Some(holders))
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/subset.rs
@@ -52,8 +52,8 @@
         for _ in 0..MAX_POLLS {
             let due = self.subset.poll(self.now, &self.catalog);
             for action in &due {
-                if let Action::Warm(engine) = action {
-                    self.subset.warmed(self.now, *engine, true);
+                if let Action::Connect(engine) = action {
+                    self.subset.connect_ended(self.now, *engine, true);
                 }
             }
             actions.extend(due);
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -145,8 +145,8 @@
         for _ in 0..MAX_POLLS {
             let actions = self.subset.poll(self.now, catalog);
             for action in &actions {
-                if let Action::Warm(engine) = action {
-                    self.subset.warmed(self.now, *engine, true);
+                if let Action::Connect(engine) = action {
+                    self.subset.connect_ended(self.now, *engine, true);
                 }
             }
             match self.subset.wake() {
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -121,8 +121,8 @@
         subset.changed(now, catalog, &changes);
         for action in subset.poll(now, catalog) {
             actions += 1;
-            if let Action::Warm(engine) = action {
-                subset.warmed(now, engine, true);
+            if let Action::Connect(engine) = action {
+                subset.connect_ended(now, engine, true);
             }
         }
     });
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -1,7 +1,7 @@
 //! Holds the whole list of engines once, for all subsets that choose from it.
 
 use crate::engine::{Change, EngineFacts, EngineKey, ListedEngine, ListedState};
-use crate::holders::{HoldersCache, HoldersTable, HoldersTerms};
+use crate::holders::{HoldersCache, HoldersParameters, HoldersTable};
 use crate::ready::ReadyEngines;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -136,10 +136,11 @@
         &self.ready
     }
 
-    /// How many gateways hold each engine on these terms. Subsets on the same terms share one table, which is worked
+    /// How many gateways hold each engine with these parameters. Subsets with the same parameters share one table, which is worked
     /// out again when a small fraction of the list has changed.
-    pub(crate) fn holders(&self, terms: &HoldersTerms) -> Arc<HoldersTable> {
-        self.holders.table(terms, &self.ready, self.change_count)
+    pub(crate) fn holders(&self, parameters: &HoldersParameters) -> Arc<HoldersTable> {
+        self.holders
+            .table(parameters, &self.ready, self.change_count)
     }
 }
 
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -41,7 +41,7 @@
 
 /// The health of a subset's members.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Health {
+pub(crate) struct MemberHealth {
     histories: BTreeMap<EngineKey, AttemptHistory>,
     /// Unhealthy members, and until when they count as such.
     unhealthy: BTreeMap<EngineKey, f64>,
@@ -49,7 +49,7 @@
     narrow_at: Option<f64>,
 }
 
-impl Health {
+impl MemberHealth {
     /// Takes in how an attempt at a member ended; whether that made the member unhealthy.
     pub fn record(&mut self, now: f64, member: EngineKey, failed: bool) -> bool {
         let history = self.histories.entry(member).or_default();
@@ -100,7 +100,7 @@
         self.unhealthy.len()
     }
 
-    /// When [`Health::advance`] may change something next.
+    /// When [`MemberHealth::advance`] may change something next.
     pub fn wake(&self) -> Option<f64> {
         let recovers_at = self.unhealthy.values().copied().reduce(f64::min);
         recovers_at
--- a/crates/subset/src/holders.rs
+++ b/crates/subset/src/holders.rs
@@ -5,8 +5,8 @@
 //! the configured size. Thresholds of placement classes are found in the same way, each gateway's own zone counts by its
 //! weight, and gateways are taken to be spread over zones as cores are.
 
-mod choice;
 mod estimate;
+mod selection_model;
 
 use crate::engine::EngineFacts;
 use crate::ready::{EngineShape, ReadyEngines, RetryDomain};
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Tables that are cached for subsets on different terms, at most.
+/// Tables that are cached for subsets on different parameters, at most.
 const MAX_CACHED_TABLES: usize = 64;
 
 /// A table is stale once this fraction of the engines has changed: far less than the margin makes up for.
@@ -23,7 +23,7 @@
 
 /// What the number of holders depends on, beside the list.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct HoldersTerms {
+pub(crate) struct HoldersParameters {
     pub size: usize,
     pub class_floor: usize,
     pub classes: Arc<[PlacementClass]>,
@@ -33,9 +33,9 @@
     pub gateways: f64,
 }
 
-impl HoldersTerms {
+impl HoldersParameters {
     pub fn new(settings: &SubsetSettings) -> Self {
-        HoldersTerms {
+        HoldersParameters {
             size: settings.size,
             class_floor: settings.class_floor,
             classes: settings.classes.as_slice().into(),
@@ -73,7 +73,7 @@
 /// The number of holders of each engine of a list.
 #[derive(Debug)]
 pub(crate) struct HoldersTable {
-    terms: HoldersTerms,
+    parameters: HoldersParameters,
     /// The catalog's count of changes, and of shapes that came into a domain, when it was worked out.
     change_count: u64,
     added_shapes: u64,
@@ -84,9 +84,9 @@
     /// The number of holders of an engine. One that is unlike all of the list counts as held by all gateways.
     pub fn holders(&self, facts: &EngineFacts) -> f64 {
         self.holders
-            .get(&self.terms.group(facts))
+            .get(&self.parameters.group(facts))
             .copied()
-            .unwrap_or(self.terms.gateways)
+            .unwrap_or(self.parameters.gateways)
     }
 }
 
@@ -104,28 +104,28 @@
 }
 
 impl HoldersCache {
-    /// The table on these terms; worked out if there is none that is fresh.
+    /// The table with these parameters; worked out if there is none that is fresh.
     pub fn table(
         &self,
-        terms: &HoldersTerms,
+        parameters: &HoldersParameters,
         ready: &ReadyEngines,
         change_count: u64,
     ) -> Arc<HoldersTable> {
         let stale_after = (ready.count() as f64 * STALE_FRACTION) as u64;
         let is_fresh = |table: &Arc<HoldersTable>| {
             let knows_all_shapes =
-                table.added_shapes == ready.added_shapes(table.terms.retry_scope);
+                table.added_shapes == ready.added_shapes(table.parameters.retry_scope);
             knows_all_shapes && change_count - table.change_count <= stale_after
         };
         let mut tables = self.tables.lock().unwrap_or_else(PoisonError::into_inner);
         tables.retain(is_fresh);
-        if let Some(table) = tables.iter().find(|table| table.terms == *terms) {
+        if let Some(table) = tables.iter().find(|table| table.parameters == *parameters) {
             return table.clone();
         }
-        let holders = Estimate::new(terms, ready).holders();
-        let added_shapes = ready.added_shapes(terms.retry_scope);
+        let holders = Estimate::new(parameters, ready).holders();
+        let added_shapes = ready.added_shapes(parameters.retry_scope);
         let table = Arc::new(HoldersTable {
-            terms: terms.clone(),
+            parameters: parameters.clone(),
             change_count,
             added_shapes,
             holders,
--- a/crates/subset/src/holders/estimate.rs
+++ b/crates/subset/src/holders/estimate.rs
@@ -1,7 +1,7 @@
 //! Works out the number of holders of each group of engines.
 
-use super::choice::Choice;
-use super::{Group, HoldersTerms};
+use super::selection_model::SelectionModel;
+use super::{Group, HoldersParameters};
 use crate::ready::{EngineShape, ReadyEngines, RetryDomain, ShapeCounts};
 use crate::score::{base_weight, usable_cores};
 use crate::settings::RetryScope;
@@ -30,15 +30,15 @@
 
 /// The members whose scores lie under a threshold, and the companions that retries ask for.
 pub(super) struct Estimate<'a> {
-    terms: &'a HoldersTerms,
+    parameters: &'a HoldersParameters,
     domains: Vec<(RetryDomain, &'a ShapeCounts)>,
-    choices: Vec<Choice<'a>>,
+    models: Vec<SelectionModel<'a>>,
     gateway_zones: Vec<GatewayZone>,
 }
 
 impl<'a> Estimate<'a> {
-    pub(super) fn new(terms: &'a HoldersTerms, ready: &'a ReadyEngines) -> Self {
-        let domains: Vec<(RetryDomain, &ShapeCounts)> = match terms.retry_scope {
+    pub(super) fn new(parameters: &'a HoldersParameters, ready: &'a ReadyEngines) -> Self {
+        let domains: Vec<(RetryDomain, &ShapeCounts)> = match parameters.retry_scope {
             RetryScope::Cell => ready
                 .cells()
                 .map(|(cell, shapes)| (cell.into(), shapes))
@@ -48,13 +48,19 @@
                 .map(|(zone, shapes)| (RetryDomain { zone, cell: None }, shapes))
                 .collect(),
         };
-        let whole = Choice::new(None, terms.size, &domains, terms.retry_scope);
-        let of_class =
-            |class| Choice::new(Some(class), terms.class_floor, &domains, terms.retry_scope);
-        let choices = std::iter::once(whole)
-            .chain(terms.classes.iter().map(of_class))
+        let whole = SelectionModel::new(None, parameters.size, &domains, parameters.retry_scope);
+        let of_class = |class| {
+            SelectionModel::new(
+                Some(class),
+                parameters.class_floor,
+                &domains,
+                parameters.retry_scope,
+            )
+        };
+        let models = std::iter::once(whole)
+            .chain(parameters.classes.iter().map(of_class))
             .collect();
-        let gateway_zones = if terms.near_weight > 1.0 {
+        let gateway_zones = if parameters.near_weight > 1.0 {
             gateway_zones(ready)
         } else {
             vec![GatewayZone {
@@ -63,9 +69,9 @@
             }]
         };
         Estimate {
-            terms,
+            parameters,
             domains,
-            choices,
+            models,
             gateway_zones,
         }
     }
@@ -75,9 +81,9 @@
         let mut fractions: BTreeMap<Group, f64> = BTreeMap::new();
         for GatewayZone { zone, fraction } in &self.gateway_zones {
             let thresholds: Vec<Threshold> = self
-                .choices
+                .models
                 .iter()
-                .map(|choice| self.threshold(choice, *zone))
+                .map(|model| self.threshold(model, *zone))
                 .collect();
             for (domain, shapes) in &self.domains {
                 for shape in shapes.keys() {
@@ -97,41 +103,41 @@
     }
 
     fn with_margin(&self, fraction: f64) -> f64 {
-        let expected = self.terms.gateways * fraction;
-        (expected + MARGIN_DEVIATIONS * expected.sqrt()).clamp(1.0, self.terms.gateways)
+        let expected = self.parameters.gateways * fraction;
+        (expected + MARGIN_DEVIATIONS * expected.sqrt()).clamp(1.0, self.parameters.gateways)
     }
 
     /// Whether a retry needs a second engine in the domain of the first.
     fn needs_companions(&self) -> bool {
-        self.terms.retry_scope != RetryScope::Everywhere
+        self.parameters.retry_scope != RetryScope::Everywhere
     }
 
     /// How many times its weight an engine of this zone counts for a gateway.
     fn near_weight(&self, gateway_zone: Option<u32>, zone: u32) -> f64 {
         if gateway_zone == Some(zone) {
-            self.terms.near_weight
+            self.parameters.near_weight
         } else {
             1.0
         }
     }
 
-    /// The threshold at which a gateway of this zone expects as many members as the choice asks for.
-    fn threshold(&self, choice: &Choice, gateway_zone: Option<u32>) -> Threshold {
-        if choice.quota >= choice.engines {
+    /// The threshold at which a gateway of this zone expects the model's quota of members.
+    fn threshold(&self, model: &SelectionModel, gateway_zone: Option<u32>) -> Threshold {
+        if model.quota >= model.engines {
             return Threshold {
                 mean: f64::INFINITY,
                 deviation: 0.0,
             };
         }
         let expected = |threshold: f64| {
-            choice.expected(
+            model.expected(
                 threshold,
                 gateway_zone,
-                self.terms.near_weight,
+                self.parameters.near_weight,
                 self.needs_companions(),
             )
         };
-        let quota = choice.quota as f64;
+        let quota = model.quota as f64;
         let mut high = 1.0;
         while expected(high) < quota && high < f64::MAX / 2.0 {
             high *= 2.0;
@@ -161,10 +167,11 @@
         shape: EngineShape,
     ) -> f64 {
         let near_weight = self.near_weight(gateway_zone, domain.zone);
-        let admitting = |choice: &&(&Choice, &Threshold)| choice.0.admits(domain.zone, shape);
-        let choices: Vec<(&Choice, &Threshold)> = self.choices.iter().zip(thresholds).collect();
+        let admitting = |model: &&(&SelectionModel, &Threshold)| model.0.admits(domain.zone, shape);
+        let models: Vec<(&SelectionModel, &Threshold)> =
+            self.models.iter().zip(thresholds).collect();
         let threshold = highest(
-            choices
+            models
                 .iter()
                 .filter(admitting)
                 .map(|(_, threshold)| **threshold),
@@ -173,10 +180,10 @@
         if !self.needs_companions() {
             return chosen;
         }
-        let companion = |(choice, threshold): &(&Choice, &Threshold)| {
-            choice.companion_probability(domain.zone, shapes, shape, near_weight * threshold.mean)
+        let companion = |(model, threshold): &(&SelectionModel, &Threshold)| {
+            model.companion_probability(domain.zone, shapes, shape, near_weight * threshold.mean)
         };
-        (chosen + choices.iter().map(companion).sum::<f64>()).min(1.0)
+        (chosen + models.iter().map(companion).sum::<f64>()).min(1.0)
     }
 }
 
--- a/crates/subset/src/holders/choice.rs
+++ b/crates/subset/src/holders/selection_model.rs
@@ -1,4 +1,5 @@
-//! What one threshold of scores chooses, counted by weight so that the list need not be walked for each threshold.
+//! How many engines a threshold of scores is expected to select, counted by weight so that the list need not be walked for
+//! each threshold.
 
 use crate::ready::{EngineShape, RetryDomain, ShapeCounts};
 use crate::score::base_weight;
@@ -11,8 +12,8 @@
 /// Retry domains that are alike, and how many there are.
 type DomainCounts = BTreeMap<WeightCounts, usize>;
 
-/// The engines that one threshold chooses from: the whole list, or those of one placement class.
-pub(super) struct Choice<'a> {
+/// A model of a [`Selection`](crate::selection::Selection): the engines that one threshold selects from, the whole list, or those of one placement class.
+pub(super) struct SelectionModel<'a> {
     class: Option<&'a PlacementClass>,
     /// The members that are asked for.
     pub(super) quota: usize,
@@ -22,14 +23,14 @@
     by_zone: BTreeMap<u32, DomainCounts>,
 }
 
-impl<'a> Choice<'a> {
+impl<'a> SelectionModel<'a> {
     pub(super) fn new(
         class: Option<&'a PlacementClass>,
         quota: usize,
         domains: &[(RetryDomain, &ShapeCounts)],
         retry_scope: RetryScope,
     ) -> Self {
-        let mut choice = Choice {
+        let mut model = SelectionModel {
             class,
             quota,
             engines: 0,
@@ -38,13 +39,13 @@
         };
         let mut merged: BTreeMap<u32, WeightCounts> = BTreeMap::new();
         for (domain, shapes) in domains {
-            let weights = choice.weights(domain.zone, shapes);
-            choice.engines += weights.values().sum::<usize>();
+            let weights = model.weights(domain.zone, shapes);
+            model.engines += weights.values().sum::<usize>();
             if retry_scope == RetryScope::Everywhere {
                 merged.insert(domain.zone, weights);
             } else if !weights.is_empty() {
-                *choice.everywhere.entry(weights.clone()).or_default() += 1;
-                *choice
+                *model.everywhere.entry(weights.clone()).or_default() += 1;
+                *model
                     .by_zone
                     .entry(domain.zone)
                     .or_default()
@@ -53,9 +54,9 @@
             }
         }
         if retry_scope == RetryScope::Everywhere {
-            choice.merge(merged);
+            model.merge(merged);
         }
-        choice
+        model
     }
 
     /// Without companions only the weights count, not what domain they are in.
@@ -76,7 +77,7 @@
             .is_none_or(|class| class.admits(zone, shape.kind))
     }
 
-    /// The weights of the engines of a domain that the choice is among.
+    /// The weights of the engines of a domain that can be selected.
     fn weights(&self, zone: u32, shapes: &ShapeCounts) -> WeightCounts {
         let mut weights = WeightCounts::new();
         for (shape, count) in shapes
@@ -130,12 +131,12 @@
             let alone = alone_probability(lead, total(&among), threshold);
             let leads =
                 (*count as f64 - f64::from(self.admits(zone, engine) && lead == weight)).max(0.0);
-            let in_choice = total_of_others(&among, lead) > lead * f64::EPSILON;
-            let others_weight = match in_choice {
+            let lead_has_peers = total_of_others(&among, lead) > lead * f64::EPSILON;
+            let others_weight = match lead_has_peers {
                 true => total_of_others(&among, lead),
                 false => total_of_others(&all, lead),
             };
-            let is_eligible = !in_choice || self.admits(zone, engine);
+            let is_eligible = !lead_has_peers || self.admits(zone, engine);
             let chosen_of_others = match is_eligible {
                 true => (weight / others_weight.max(weight)).min(1.0),
                 false => 0.0,
--- a/crates/subset/src/newcomers.rs
+++ b/crates/subset/src/join_queue.rs
@@ -1,16 +1,17 @@
-//! Admits engines into the subset at a pace: connections that are being made, and engines that could not be reached.
+//! Engines on their way into the subset: connections are made at a pace, and engines that could not be reached are retried
+//! with a backoff.
 
 use crate::engine::EngineKey;
 use crate::score::GatewayHash;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most connections that are made at the same time.
-const MAX_WARMING: usize = 64;
+const MAX_CONNECTING: usize = 64;
 
 /// An engine whose connection is not made within this time counts as not reached.
-const WARM_TIMEOUT_SECONDS: f64 = 10.0;
+const CONNECT_TIMEOUT_SECONDS: f64 = 10.0;
 
-/// The longest jitter before the first newcomer, so that gateways do not act in step.
+/// The longest jitter before the first engine that joins at the pace, so that gateways do not act in step.
 const MAX_JITTER_SECONDS: f64 = 2.0;
 
 /// The first backoff of an engine that was not reached; it doubles with each failure.
@@ -24,7 +25,7 @@
 
 /// A connection that is being made.
 #[derive(Clone, Copy, Debug)]
-struct Warming {
+struct Connecting {
     deadline: f64,
     /// It fills a vacated place, which does not wait for the pace.
     refill: bool,
@@ -37,36 +38,36 @@
     failures: i32,
 }
 
-/// Engines on their way into the subset.
+/// Engines that are to join the subset, until they do.
 #[derive(Clone, Debug)]
-pub(crate) struct Newcomers {
+pub(crate) struct JoinQueue {
     gateway: GatewayHash,
-    /// Seconds between two newcomers at the pace.
+    /// Seconds between two engines that start to join at the pace.
     interval: f64,
-    warming: BTreeMap<EngineKey, Warming>,
+    connecting: BTreeMap<EngineKey, Connecting>,
     /// Engines whose connection was made, and which wait to join.
     reached: BTreeSet<EngineKey>,
     unreached: BTreeMap<EngineKey, Unreached>,
     /// Vacated places that may be filled without waiting for the pace.
     refills: usize,
-    /// When the next newcomer at the pace is admitted, while one waits.
-    next_at: Option<f64>,
+    /// When the next engine may start to join at the pace, while one waits.
+    next_start_at: Option<f64>,
     /// When the last one was.
-    last_at: Option<f64>,
+    last_start_at: Option<f64>,
     jitter_draws: u64,
 }
 
-impl Newcomers {
+impl JoinQueue {
     pub fn new(gateway: GatewayHash, joins_per_second: f64) -> Self {
-        Newcomers {
+        JoinQueue {
             gateway,
             interval: joins_per_second.recip(),
-            warming: BTreeMap::new(),
+            connecting: BTreeMap::new(),
             reached: BTreeSet::new(),
             unreached: BTreeMap::new(),
             refills: 0,
-            next_at: None,
-            last_at: None,
+            next_start_at: None,
+            last_start_at: None,
             jitter_draws: 0,
         }
     }
@@ -77,30 +78,30 @@
     }
 
     /// A member's place was vacated.
-    pub fn vacate(&mut self, reserve: usize) {
+    pub fn add_refill(&mut self, reserve: usize) {
         self.refills = (self.refills + 1).min(reserve);
     }
 
     /// No engine is missing: no vacated place is left to refill.
-    pub fn end_refill(&mut self) {
+    pub fn clear_refills(&mut self) {
         self.refills = 0;
     }
 
     /// No engine waits for the pace.
-    pub fn end_wait(&mut self) {
-        self.next_at = None;
+    pub fn clear_pace_wait(&mut self) {
+        self.next_start_at = None;
     }
 
     /// Forgets an engine that has joined or that has left the list.
     pub fn forget(&mut self, engine: EngineKey) {
-        self.warming.remove(&engine);
+        self.connecting.remove(&engine);
         self.reached.remove(&engine);
         self.unreached.remove(&engine);
     }
 
-    /// Takes in whether a connection was made; returns whether that was awaited.
-    pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) -> bool {
-        let Some(warming) = self.warming.remove(&engine) else {
+    /// Takes in whether a connection was made; returns whether the engine was waited for.
+    pub fn connect_ended(&mut self, now: f64, engine: EngineKey, reached: bool) -> bool {
+        let Some(connecting) = self.connecting.remove(&engine) else {
             return false;
         };
         if reached {
@@ -108,7 +109,7 @@
             self.reached.insert(engine);
             return true;
         }
-        self.refills += usize::from(warming.refill);
+        self.refills += usize::from(connecting.refill);
         self.add_unreached(now, engine);
         true
     }
@@ -138,72 +139,73 @@
     }
 
     /// Counts connections that were not made in time as not reached; whether there were any.
-    pub fn expire(&mut self, now: f64) -> bool {
-        let is_expired = |(engine, warming): (&EngineKey, &Warming)| {
-            (warming.deadline <= now).then_some(*engine)
+    pub fn expire_connecting(&mut self, now: f64) -> bool {
+        let is_expired = |(engine, connecting): (&EngineKey, &Connecting)| {
+            (connecting.deadline <= now).then_some(*engine)
         };
-        let expired: Vec<EngineKey> = self.warming.iter().filter_map(is_expired).collect();
+        let expired: Vec<EngineKey> = self.connecting.iter().filter_map(is_expired).collect();
         for engine in &expired {
-            self.warmed(now, *engine, false);
+            self.connect_ended(now, *engine, false);
         }
         !expired.is_empty()
     }
 
     /// Starts the retries that are due; the engines that are to be connected to.
-    pub fn retries(&mut self, now: f64) -> Vec<EngineKey> {
-        let free_slots = MAX_WARMING.saturating_sub(self.warming.len());
+    pub fn start_retries(&mut self, now: f64) -> Vec<EngineKey> {
+        let free_slots = MAX_CONNECTING.saturating_sub(self.connecting.len());
         let is_due = |(engine, unreached): (&EngineKey, &Unreached)| {
-            (unreached.retry_at <= now && !self.warming.contains_key(engine)).then_some(*engine)
+            (unreached.retry_at <= now && !self.connecting.contains_key(engine)).then_some(*engine)
         };
         let due = self.unreached.iter().filter_map(is_due);
         let due: Vec<EngineKey> = due.take(free_slots).collect();
         for engine in &due {
-            self.warm(now, *engine, false);
+            self.start_connecting(now, *engine, false);
         }
         due
     }
 
-    fn warm(&mut self, now: f64, engine: EngineKey, refill: bool) {
-        let deadline = now + WARM_TIMEOUT_SECONDS;
-        self.warming.insert(engine, Warming { deadline, refill });
+    fn start_connecting(&mut self, now: f64, engine: EngineKey, refill: bool) {
+        let deadline = now + CONNECT_TIMEOUT_SECONDS;
+        self.connecting
+            .insert(engine, Connecting { deadline, refill });
     }
 
-    /// Whether a connection to this missing engine may be made now; it counts as being made then.
-    pub fn admit(&mut self, now: f64, engine: EngineKey, urgent: bool) -> bool {
-        if self.warming.len() >= MAX_WARMING {
+    /// Starts to connect to a missing engine, if the pace, a refill or its urgency allows; whether it did.
+    pub fn try_connect(&mut self, now: f64, engine: EngineKey, urgent: bool) -> bool {
+        if self.connecting.len() >= MAX_CONNECTING {
             return false;
         }
         if urgent {
-            self.warm(now, engine, true);
+            self.start_connecting(now, engine, true);
             return true;
         }
         if self.refills > 0 {
             self.refills -= 1;
-            self.warm(now, engine, true);
+            self.start_connecting(now, engine, true);
             return true;
         }
-        self.admit_at_pace(now, engine)
+        self.try_connect_at_pace(now, engine)
     }
 
-    fn admit_at_pace(&mut self, now: f64, engine: EngineKey) -> bool {
-        if self.next_at.is_none() {
+    fn try_connect_at_pace(&mut self, now: f64, engine: EngineKey) -> bool {
+        if self.next_start_at.is_none() {
             let earliest = self
-                .last_at
+                .last_start_at
                 .map_or(now, |last| (last + self.interval).max(now));
-            self.next_at = Some(earliest + MAX_JITTER_SECONDS * self.jitter());
+            self.next_start_at = Some(earliest + MAX_JITTER_SECONDS * self.jitter());
         }
-        if self.next_at.is_some_and(|next| now < next) {
+        if self.next_start_at.is_some_and(|next| now < next) {
             return false;
         }
-        self.last_at = Some(now);
-        self.next_at = Some(now + self.interval);
-        self.warm(now, engine, false);
+        self.last_start_at = Some(now);
+        self.next_start_at = Some(now + self.interval);
+        self.start_connecting(now, engine, false);
         true
     }
 
     /// Whether a connection to the engine is being made.
-    pub fn is_warming(&self, engine: EngineKey) -> bool {
-        self.warming.contains_key(&engine)
+    pub fn is_connecting(&self, engine: EngineKey) -> bool {
+        self.connecting.contains_key(&engine)
     }
 
     /// Whether the connection was made, and the engine waits to join.
@@ -212,7 +214,7 @@
     }
 
     /// Forgets reached engines that are not to join after all.
-    pub fn drop_reached(&mut self) {
+    pub fn clear_reached(&mut self) {
         self.reached.clear();
     }
 
@@ -227,23 +229,26 @@
     }
 
     /// Forgets that engines were not reached.
-    pub fn forgive_unreached(&mut self) {
+    pub fn clear_unreached(&mut self) {
         self.unreached.clear();
     }
 
     /// When something is due, if nothing is reported until then.
     pub fn wake(&self) -> Option<f64> {
-        let deadlines = self.warming.values().map(|warming| warming.deadline);
-        let not_warming =
-            |(engine, _): &(&EngineKey, &Unreached)| !self.warming.contains_key(engine);
+        let deadlines = self
+            .connecting
+            .values()
+            .map(|connecting| connecting.deadline);
+        let not_connecting =
+            |(engine, _): &(&EngineKey, &Unreached)| !self.connecting.contains_key(engine);
         let retries = self
             .unreached
             .iter()
-            .filter(not_warming)
+            .filter(not_connecting)
             .map(|(_, unreached)| unreached.retry_at);
-        let has_free_slot = self.warming.len() < MAX_WARMING;
+        let has_free_slot = self.connecting.len() < MAX_CONNECTING;
         deadlines
-            .chain(retries.chain(self.next_at).filter(|_| has_free_slot))
+            .chain(retries.chain(self.next_start_at).filter(|_| has_free_slot))
             .reduce(f64::min)
     }
 }
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -11,7 +11,7 @@
 //! | the first list, or no member left | all engines to hold join at once |
 //! | a member drains or leaves the list | it leaves at once; up to `reserve` vacated places are refilled at once, others at the pace |
 //! | under the floor (half of the size, or of a class's floor) | engines join at once, without a connection |
-//! | an engine with a lower score than a member | it is warmed at the pace and joins; then the member leaves |
+//! | an engine with a lower score than a member | it is connected to at the pace and joins; then the member leaves |
 //! | an engine is not reached | the next candidate takes its place; it is retried with a backoff |
 //! | a member fails by the outcomes of the gateway's own attempts | the subset widens by one, up to `reserve`, and narrows slowly |
 //!
@@ -25,7 +25,7 @@
 mod engine;
 mod health;
 mod holders;
-mod newcomers;
+mod join_queue;
 mod ready;
 mod score;
 mod selection;
--- a/crates/subset/src/selection.rs
+++ b/crates/subset/src/selection.rs
@@ -10,13 +10,13 @@
 
 /// Scores the engines of a catalog for one gateway.
 #[derive(Clone, Copy)]
-pub(crate) struct Chooser<'a> {
+pub(crate) struct Scorer<'a> {
     pub gateway: GatewayHash,
     pub settings: &'a SubsetSettings,
     pub catalog: &'a Catalog,
 }
 
-impl Chooser<'_> {
+impl Scorer<'_> {
     /// The score of an engine of the list that takes new work.
     pub fn score(&self, engine: EngineKey) -> Option<Score> {
         let facts = self.ready_facts(engine)?;
@@ -83,8 +83,8 @@
     }
 
     /// Reads the whole list.
-    pub fn rescan(&mut self, chooser: &Chooser, wanted: usize) {
-        let admitted = chooser.scores().filter(|(_, _, facts)| self.admits(facts));
+    pub fn rescan(&mut self, scorer: &Scorer, wanted: usize) {
+        let admitted = scorer.scores().filter(|(_, _, facts)| self.admits(facts));
         self.candidates =
             Candidates::collect(admitted.map(|(score, engine, _)| (score, engine)), wanted);
     }
@@ -116,7 +116,7 @@
     /// that could not be reached are passed over.
     pub fn select(
         &self,
-        chooser: &Chooser,
+        scorer: &Scorer,
         quota: usize,
         passed_over: &BTreeSet<EngineKey>,
         target: &mut Target,
@@ -127,7 +127,7 @@
             .in_order()
             .filter(eligible)
             .take(quota)
-            .map(|engine| (engine, chooser.domain(engine)))
+            .map(|engine| (engine, scorer.domain(engine)))
             .collect();
         let mut companions = runners_up(&first);
         let mut selected: BTreeSet<EngineKey> = BTreeSet::new();
@@ -143,7 +143,7 @@
             };
             let companion = companion.or_else(|| {
                 target.searched.insert(*domain);
-                self.companion(chooser, *engine, *domain, passed_over)
+                self.companion(scorer, *engine, *domain, passed_over)
             });
             selected.extend(companion);
         }
@@ -153,18 +153,18 @@
     /// The engine with the lowest score among the others of a domain, of this class where there is one.
     fn companion(
         &self,
-        chooser: &Chooser,
+        scorer: &Scorer,
         engine: EngineKey,
         domain: RetryDomain,
         passed_over: &BTreeSet<EngineKey>,
     ) -> Option<EngineKey> {
-        let others = chooser.catalog.ready().in_domain(domain);
+        let others = scorer.catalog.ready().in_domain(domain);
         let eligible = others.filter(|other| *other != engine && !passed_over.contains(other));
         let rank = |other: EngineKey| {
-            let outside = !chooser
+            let outside = !scorer
                 .ready_facts(other)
                 .is_some_and(|facts| self.admits(&facts));
-            chooser.score(other).map(|score| (outside, score, other))
+            scorer.score(other).map(|score| (outside, score, other))
         };
         eligible.filter_map(rank).min().map(|(_, _, other)| other)
     }
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -15,7 +15,7 @@
 /// The size over the usual reserve: a lost zone of four can be replaced.
 const DEFAULT_SIZE_PER_RESERVE: usize = 4;
 
-/// The usual pace of newcomers: a subset of 80 is all new in 80 s, longer than the slow start of an engine.
+/// The usual pace at which engines join: a subset of 80 is all new in 80 s, longer than the slow start of an engine.
 const DEFAULT_JOINS_PER_SECOND: f64 = 1.0;
 
 /// The usual near weight: no engine is preferred.
@@ -68,7 +68,7 @@
     pub class_floor: usize,
     /// The most engines that are added while members fail.
     pub reserve: usize,
-    /// Newcomers per second, while the subset is above its floor.
+    /// Engines that join per second, while the subset is above its floor.
     pub joins_per_second: f64,
     /// The gateway's own zone, if it is configured; its engines are preferred.
     pub zone: Option<u32>,
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -6,7 +6,7 @@
 /// the engines of one gateway carry 24 times a gateway's mean traffic.
 pub const MIN_HOLDERS: f64 = 24.0;
 
-/// The subset's floor as a fraction of its size: below it newcomers join at once.
+/// The subset's floor as a fraction of its size: below it engines join at once, untried.
 const FLOOR_FRACTION: f64 = 0.5;
 
 /// Why a subset has its size.
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -9,12 +9,12 @@
 
 use crate::catalog::Catalog;
 use crate::engine::{Change, EngineKey, ListedState};
-use crate::health::Health;
-use crate::holders::{HoldersTable, HoldersTerms};
-use crate::newcomers::Newcomers;
+use crate::health::MemberHealth;
+use crate::holders::{HoldersParameters, HoldersTable};
+use crate::join_queue::JoinQueue;
 use crate::ready::RetryDomain;
 use crate::score::GatewayHash;
-use crate::selection::{Chooser, Selection, Target};
+use crate::selection::{Scorer, Selection, Target};
 use crate::settings::{PlacementClass, SubsetError, SubsetSettings};
 use crate::size::EffectiveSize;
 use members::Member;
@@ -24,8 +24,8 @@
 /// What the caller is to do about an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Make a connection, and report by [`Subset::warmed`] whether it was made. The engine takes no work yet.
-    Warm(EngineKey),
+    /// Make a connection, and report by [`Subset::connect_ended`] whether it was made. The engine takes no work yet.
+    Connect(EngineKey),
     /// The engine takes work from now on.
     Join {
         /// The new member.
@@ -57,7 +57,7 @@
 /// The engines that one gateway works with.
 ///
 /// Call [`Subset::poll`] after every other call that takes `&mut self`, and by the time that [`Subset::wake`] returns. After
-/// [`Subset::attempted`] that is needed only when [`Subset::wake`] returns a time that has come.
+/// [`Subset::attempt_ended`] that is needed only when [`Subset::wake`] returns a time that has come.
 ///
 /// Times are seconds on one clock that does not run backwards. All calls take the same catalog. A new subset fills itself
 /// from the catalog by its first poll, so a gateway that starts later needs no earlier changes.
@@ -73,9 +73,9 @@
     members: BTreeMap<EngineKey, Member>,
     /// There are members whose facts changed.
     facts_changed: bool,
-    newcomers: Newcomers,
-    health: Health,
-    terms: HoldersTerms,
+    join_queue: JoinQueue,
+    health: MemberHealth,
+    parameters: HoldersParameters,
     table: Option<Arc<HoldersTable>>,
     pending_actions: Vec<Action>,
     last_call: f64,
@@ -103,9 +103,9 @@
             settled: false,
             members: BTreeMap::new(),
             facts_changed: false,
-            newcomers: Newcomers::new(gateway, settings.joins_per_second),
-            health: Health::default(),
-            terms: HoldersTerms::new(&settings),
+            join_queue: JoinQueue::new(gateway, settings.joins_per_second),
+            health: MemberHealth::default(),
+            parameters: HoldersParameters::new(&settings),
             table: None,
             pending_actions: Vec::new(),
             last_call: 0.0,
@@ -140,7 +140,7 @@
         }
         let was_candidate = self.update_candidates(catalog, change);
         let size = self.effective_size(catalog).size + self.health.widened_by();
-        if was_candidate || size != self.terms.size || self.concerns_searched_domain(change) {
+        if was_candidate || size != self.parameters.size || self.concerns_searched_domain(change) {
             self.invalidate(Outdated::Target);
         }
     }
@@ -159,16 +159,16 @@
         self.settled = false;
     }
 
-    /// Takes in whether the connection to an engine that was to be warmed was made.
-    pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
+    /// Takes in whether the connection that [`Action::Connect`] asked for was made.
+    pub fn connect_ended(&mut self, now: f64, engine: EngineKey, reached: bool) {
         self.last_call = now;
-        if self.newcomers.warmed(now, engine, reached) {
+        if self.join_queue.connect_ended(now, engine, reached) {
             self.invalidate(Outdated::Target);
         }
     }
 
     /// Takes in how an attempt at a member ended; `failed` where the engine is at fault, and not the query.
-    pub fn attempted(&mut self, now: f64, engine: EngineKey, failed: bool) {
+    pub fn attempt_ended(&mut self, now: f64, engine: EngineKey, failed: bool) {
         if self.members.contains_key(&engine) && self.health.record(now, engine, failed) {
             self.last_call = now;
             self.invalidate(Outdated::Target);
@@ -178,7 +178,7 @@
     /// What is to be done by now.
     pub fn poll(&mut self, now: f64, catalog: &Catalog) -> Vec<Action> {
         self.last_call = now;
-        let expired = self.newcomers.expire(now);
+        let expired = self.join_queue.expire_connecting(now);
         let resized = self.health.advance(now, self.settings.reserve);
         if expired || resized {
             self.invalidate(Outdated::Target);
@@ -200,12 +200,12 @@
             return Some(self.last_call);
         }
         let wake = self
-            .newcomers
+            .join_queue
             .wake()
             .into_iter()
             .chain(self.health.wake())
             .reduce(f64::min);
-        // A pace near 0 puts the next newcomer off for ever.
+        // A pace near 0 puts the next joining engine off for ever.
         wake.filter(|at| at.is_finite())
     }
 
@@ -244,11 +244,11 @@
 
     /// The number of engines that could not be reached and are tried again.
     pub fn unreached(&self) -> usize {
-        self.newcomers.unreached_count()
+        self.join_queue.unreached_count()
     }
 
-    fn chooser<'a>(&'a self, catalog: &'a Catalog) -> Chooser<'a> {
-        Chooser {
+    fn scorer<'a>(&'a self, catalog: &'a Catalog) -> Scorer<'a> {
+        Scorer {
             gateway: self.gateway,
             settings: &self.settings,
             catalog,
--- a/crates/subset/src/subset/members.rs
+++ b/crates/subset/src/subset/members.rs
@@ -27,16 +27,16 @@
             holders,
             facts_changed: false,
         };
-        self.newcomers.forget(engine);
+        self.join_queue.forget(engine);
         self.members.insert(engine, member);
         self.pending_actions.push(Action::Join { engine, holders });
     }
 
     /// An engine of the list takes no new work any more.
     pub(super) fn leave_list(&mut self, engine: EngineKey) {
-        self.newcomers.forget(engine);
+        self.join_queue.forget(engine);
         if self.remove_member(engine) {
-            self.newcomers.vacate(self.settings.reserve);
+            self.join_queue.add_refill(self.settings.reserve);
             self.invalidate(Outdated::Target);
         }
     }
@@ -53,7 +53,7 @@
 
     /// Reports members whose facts or number of holders have changed.
     pub(super) fn refresh_holders(&mut self, catalog: &Catalog) {
-        let table = catalog.holders(&self.terms);
+        let table = catalog.holders(&self.parameters);
         let is_same_table = self
             .table
             .as_ref()
--- a/crates/subset/src/subset/target.rs
+++ b/crates/subset/src/subset/target.rs
@@ -3,8 +3,8 @@
 use super::{Outdated, Subset};
 use crate::catalog::Catalog;
 use crate::engine::{Change, EngineFacts, EngineKey};
-use crate::newcomers::Newcomers;
-use crate::selection::{Chooser, Target};
+use crate::join_queue::JoinQueue;
+use crate::selection::{Scorer, Target};
 use crate::settings::{PlacementClass, SubsetSettings};
 use crate::size::{floor_of, EffectiveSize};
 use std::collections::BTreeSet;
@@ -14,10 +14,10 @@
     pub(super) fn select(&mut self, catalog: &Catalog) {
         self.remove_unready_members(catalog);
         self.refill_candidates(catalog);
-        self.terms.size = self.effective_size(catalog).size + self.health.widened_by();
-        self.target = self.choose(catalog, &self.newcomers.unreached());
-        if self.newcomers.unreached_count() > 0 && self.target_under_floor(catalog) {
-            self.newcomers.forgive_unreached();
+        self.parameters.size = self.effective_size(catalog).size + self.health.widened_by();
+        self.target = self.choose(catalog, &self.join_queue.unreached());
+        if self.join_queue.unreached_count() > 0 && self.target_under_floor(catalog) {
+            self.join_queue.clear_unreached();
             self.target = self.choose(catalog, &BTreeSet::new());
         }
         self.outdated = Outdated::Nothing;
@@ -25,8 +25,8 @@
 
     /// Removes the members that the list does not have as ready, also where the caller reported no change.
     fn remove_unready_members(&mut self, catalog: &Catalog) {
-        let chooser = self.chooser(catalog);
-        let is_unready = |engine: &EngineKey| chooser.ready_facts(*engine).is_none();
+        let scorer = self.scorer(catalog);
+        let is_unready = |engine: &EngineKey| scorer.ready_facts(*engine).is_none();
         let unready: Vec<EngineKey> = self.members.keys().copied().filter(is_unready).collect();
         for engine in unready {
             self.leave_list(engine);
@@ -55,31 +55,31 @@
 
     /// Reads the list again for the selections that may lack candidates.
     fn refill_candidates(&mut self, catalog: &Catalog) {
-        let chooser = Chooser {
+        let scorer = Scorer {
             gateway: self.gateway,
             settings: &self.settings,
             catalog,
         };
-        let wanted = candidates_wanted(&self.settings, &self.newcomers, catalog);
+        let wanted = candidates_wanted(&self.settings, &self.join_queue, catalog);
         for (selection, wanted) in self.selections.iter_mut().zip(wanted) {
             if self.outdated == Outdated::Candidates || selection.falls_short(wanted) {
-                selection.rescan(&chooser, wanted);
+                selection.rescan(&scorer, wanted);
             }
         }
     }
 
     /// Updates the candidates; whether the engine is or was one.
     pub(super) fn update_candidates(&mut self, catalog: &Catalog, change: &Change) -> bool {
-        let chooser = Chooser {
+        let scorer = Scorer {
             gateway: self.gateway,
             settings: &self.settings,
             catalog,
         };
         // The catalog may have a later state than this change.
-        let current = chooser
+        let current = scorer
             .ready_facts(change.engine)
-            .zip(chooser.score(change.engine));
-        let wanted = candidates_wanted(&self.settings, &self.newcomers, catalog);
+            .zip(scorer.score(change.engine));
+        let wanted = candidates_wanted(&self.settings, &self.join_queue, catalog);
         let mut concerned = false;
         for (selection, wanted) in self.selections.iter_mut().zip(wanted) {
             concerned |= match current {
@@ -91,19 +91,19 @@
     }
 
     fn choose(&self, catalog: &Catalog, passed_over: &BTreeSet<EngineKey>) -> Target {
-        let chooser = self.chooser(catalog);
+        let scorer = self.scorer(catalog);
         let class_quotas = std::iter::repeat(self.settings.class_floor);
-        let quotas = std::iter::once(self.terms.size).chain(class_quotas);
+        let quotas = std::iter::once(self.parameters.size).chain(class_quotas);
         let mut target = Target::default();
         for (selection, quota) in self.selections.iter().zip(quotas) {
-            selection.select(&chooser, quota, passed_over, &mut target);
+            selection.select(&scorer, quota, passed_over, &mut target);
         }
         target
     }
 
     /// How many candidates the selection of the whole list should have.
     pub(super) fn candidates_wanted(&self, catalog: &Catalog) -> usize {
-        candidates_wanted(&self.settings, &self.newcomers, catalog)
+        candidates_wanted(&self.settings, &self.join_queue, catalog)
             .next()
             .unwrap_or(self.settings.size)
     }
@@ -112,10 +112,10 @@
 /// How many candidates each selection should have: what may be held, and as many as are passed over.
 fn candidates_wanted<'a>(
     settings: &'a SubsetSettings,
-    newcomers: &Newcomers,
+    join_queue: &JoinQueue,
     catalog: &Catalog,
 ) -> impl Iterator<Item = usize> + 'a {
-    let passed_over = newcomers.unreached_count();
+    let passed_over = join_queue.unreached_count();
     let size = EffectiveSize::new(settings, catalog.ready_count()).size;
     let whole_list = size
         .saturating_add(settings.reserve)
--- a/crates/subset/src/subset/transition.rs
+++ b/crates/subset/src/subset/transition.rs
@@ -1,4 +1,4 @@
-//! Moves the members towards the target: who joins, who is warmed first, who leaves.
+//! Moves the members towards the target: which engines are connected to, join and leave.
 
 use super::{Action, Subset};
 use crate::catalog::Catalog;
@@ -15,21 +15,21 @@
         let missing = self.missing(catalog);
         let waiting = self.join(catalog, missing);
         if waiting.is_empty() {
-            self.newcomers.end_refill();
+            self.join_queue.clear_refills();
         }
-        self.warm(now, catalog, &waiting);
+        self.connect(now, catalog, &waiting);
         self.release(catalog, waiting.is_empty());
-        self.newcomers.drop_reached();
+        self.join_queue.clear_reached();
         self.settled = waiting.is_empty();
     }
 
     /// The engines of the target that are no members yet, lowest score first.
     fn missing(&self, catalog: &Catalog) -> Vec<EngineKey> {
-        let chooser = self.chooser(catalog);
+        let scorer = self.scorer(catalog);
         let engines = self.target.engines.iter();
         let mut missing: Vec<(Score, EngineKey)> = engines
             .filter(|engine| !self.members.contains_key(engine))
-            .filter_map(|engine| chooser.score(*engine).map(|score| (score, *engine)))
+            .filter_map(|engine| scorer.score(*engine).map(|score| (score, *engine)))
             .collect();
         missing.sort_unstable();
         missing.into_iter().map(|(_, engine)| engine).collect()
@@ -69,7 +69,7 @@
             let Some(facts) = catalog.facts(engine) else {
                 continue;
             };
-            let is_reached = self.newcomers.is_reached(engine);
+            let is_reached = self.join_queue.is_reached(engine);
             if is_first_fill || is_reached || shortage.concerns(&facts) {
                 shortage.add(&facts);
                 self.add_member(engine, &facts);
@@ -93,7 +93,7 @@
     }
 
     /// Has connections made to the engines that wait, as the pace allows.
-    fn warm(&mut self, now: f64, catalog: &Catalog, waiting: &[EngineKey]) {
+    fn connect(&mut self, now: f64, catalog: &Catalog, waiting: &[EngineKey]) {
         let classes = self.settings.classes.clone();
         let mut shortage = self.class_shortage(catalog, &classes, |_| self.settings.class_floor);
         let mut waits_for_pace = false;
@@ -103,26 +103,26 @@
             };
             let is_urgent = shortage.concerns(&facts);
             shortage.add(&facts);
-            if self.newcomers.is_warming(*engine) {
+            if self.join_queue.is_connecting(*engine) {
                 continue;
             }
-            if self.newcomers.admit(now, *engine, is_urgent) {
-                self.pending_actions.push(Action::Warm(*engine));
+            if self.join_queue.try_connect(now, *engine, is_urgent) {
+                self.pending_actions.push(Action::Connect(*engine));
             } else {
                 waits_for_pace = true;
             }
         }
         if !waits_for_pace {
-            self.newcomers.end_wait();
+            self.join_queue.clear_pace_wait();
         }
     }
 
     /// Has connections made again to engines that were not reached.
     pub(super) fn retry_unreached(&mut self, now: f64, catalog: &Catalog) {
-        for engine in self.newcomers.retries(now) {
+        for engine in self.join_queue.start_retries(now) {
             match catalog.facts(engine) {
-                Some(_) => self.pending_actions.push(Action::Warm(engine)),
-                None => self.newcomers.forget(engine),
+                Some(_) => self.pending_actions.push(Action::Connect(engine)),
+                None => self.join_queue.forget(engine),
             }
         }
     }
@@ -141,11 +141,11 @@
 
     /// The members that are not in the target, highest score first.
     fn surplus(&self, catalog: &Catalog) -> Vec<EngineKey> {
-        let chooser = self.chooser(catalog);
+        let scorer = self.scorer(catalog);
         let members = self.members.keys();
         let mut surplus: Vec<(Option<Score>, EngineKey)> = members
             .filter(|engine| !self.target.engines.contains(engine))
-            .map(|engine| (chooser.score(*engine), *engine))
+            .map(|engine| (scorer.score(*engine), *engine))
             .collect();
         surplus.sort_unstable_by(|a, b| b.cmp(a));
         surplus.into_iter().map(|(_, engine)| engine).collect()
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -11,7 +11,7 @@
     SETTLING_SECONDS,
 };
 
-/// Whether newcomers came no faster than the pace, one at once allowed.
+/// Whether engines were connected to no faster than the pace, one at once allowed.
 fn within_pace(times: &[f64], joins_per_second: f64) -> bool {
     let interval_respected = |(index, start): (usize, &f64)| {
         let allowed = |end: &f64| 1.0 + joins_per_second * (end - start) + 1e-6;
@@ -23,28 +23,28 @@
     times.iter().enumerate().all(interval_respected)
 }
 
-/// When newcomers were warmed as a list doubled.
-fn newcomer_times(injected: InjectedFault) -> Vec<f64> {
+/// When engines were connected to as a list doubled.
+fn connect_times(injected: InjectedFault) -> Vec<f64> {
     let mut world = World::new(settings(40), injected);
     world.apply(&listed_engines(200, 5), true);
     world.advance(SETTLING_SECONDS);
-    assert_eq!(world.warmed_at, [0.0; 0]);
+    assert_eq!(world.connects_at, [0.0; 0]);
     world.apply(&listed_engines(400, 5), true);
     assert_eq!(world.members.len(), 40);
     world.settle();
     assert_eq!(world.faults, BTreeSet::new());
-    world.warmed_at
+    world.connects_at
 }
 
 #[test]
-fn newcomers_come_at_the_pace() {
-    let times = newcomer_times(InjectedFault::None);
-    assert!(times.len() > 10, "{} newcomers", times.len());
+fn engines_join_at_the_pace() {
+    let times = connect_times(InjectedFault::None);
+    assert!(times.len() > 10, "{} engines", times.len());
     assert!(within_pace(&times, 2.0));
-    assert!(!within_pace(&newcomer_times(InjectedFault::TooFast), 2.0));
+    assert!(!within_pace(&connect_times(InjectedFault::TooFast), 2.0));
 }
 
-/// Gateways that warm one newcomer, by tenths of a second since it was listed.
+/// Gateways that connect to one new engine, by tenths of a second since it was listed.
 fn tenths(injected: InjectedFault) -> BTreeSet<i64> {
     let mut tenths = BTreeSet::new();
     for gateway in 0..300 {
@@ -54,7 +54,7 @@
         let listed = world.now;
         world.apply(&[listed_engine(30, 5)], false);
         world.advance(10.0);
-        let at = world.warmed_at.first().copied();
+        let at = world.connects_at.first().copied();
         let at = if injected == InjectedFault::InStep {
             at.and(Some(listed))
         } else {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn gateways_do_not_warm_a_newcomer_in_step() {
+fn gateways_do_not_connect_to_a_new_engine_in_step() {
     assert!(
         out_of_step(&tenths(InjectedFault::None)),
         "{:?}",
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn an_unreached_newcomer_is_replaced_and_retried() {
+fn an_unreached_engine_is_replaced_and_retried() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(100, 5), true);
     world.advance(10.0);
@@ -224,9 +224,9 @@
     assert_eq!(world.subset.unreached(), 1);
     world.advance(300.0);
     assert!(
-        (4..=16).contains(&world.warmed_at.len()),
+        (4..=16).contains(&world.connects_at.len()),
         "{} tries, ever more seldom",
-        world.warmed_at.len()
+        world.connects_at.len()
     );
     world.settle();
     assert_eq!(world.member_ids(), expected, "reached in the end");
@@ -244,23 +244,23 @@
     );
     world.apply(&listed_engines(200, 5), true);
     // With one engine of these the member with the highest score is displaced; while it fails there is room for one.
-    let displaces = |world: &World, newcomer: &ListedEngine| {
+    let displaces = |world: &World, new_engine: &ListedEngine| {
         let mut list = world.list.clone();
-        list.insert(newcomer.id.clone(), newcomer.facts);
+        list.insert(new_engine.id.clone(), new_engine.facts);
         let target = plain_target(GATEWAY, &world.settings, &list);
         world.member_ids().difference(&target).next().cloned()
     };
-    let newcomers: Vec<ListedEngine> = (200..400)
+    let new_engines: Vec<ListedEngine> = (200..400)
         .map(|number| listed_engine(number, 5))
         .filter(|listed| displaces(&world, listed).is_some())
         .take(2)
         .collect();
-    let last = displaces(&world, &newcomers[0]).expect("it displaces a member");
+    let last = displaces(&world, &new_engines[0]).expect("it displaces a member");
     let failing = world.catalog.key(&last).expect("listed");
     world.attempts(failing, true, 4);
     world.advance(5.0);
     assert_eq!((world.subset.widened_by(), world.members.len()), (1, 21));
-    world.apply(&newcomers, false);
+    world.apply(&new_engines, false);
     world.settle();
     assert_eq!((world.subset.widened_by(), world.members.len()), (0, 20));
     assert_eq!(world.faults, BTreeSet::new());
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn newcomers_that_are_listed_one_by_one_keep_the_pace() {
+fn engines_that_are_listed_one_by_one_join_at_the_pace() {
     let mut world = World::new(
         SubsetSettings {
             joins_per_second: 0.2,
@@ -320,7 +320,7 @@
         world.apply(&[listed_engine(number, 5)], false);
         world.advance(1.0);
     }
-    assert!(world.warmed_at.len() > 10 && within_pace(&world.warmed_at, 0.2));
+    assert!(world.connects_at.len() > 10 && within_pace(&world.connects_at, 0.2));
 }
 
 /// Candidates are kept, dropped and read anew while a list grows and shrinks by single engines.
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -14,7 +14,7 @@
 pub const SETTLING_SECONDS: f64 = 600.0;
 
 /// A connection is made, or has failed, after this time.
-const WARM_SECONDS: f64 = 0.01;
+const CONNECT_SECONDS: f64 = 0.01;
 
 /// Polls in one step of the simulated time; more mean that the subset wants to be polled for nothing.
 const MAX_POLLS: usize = 20_000;
@@ -78,7 +78,7 @@
     pub unreachable: BTreeSet<String>,
     /// The members by the actions so far.
     pub members: BTreeMap<EngineKey, f64>,
-    pub warmed_at: Vec<f64>,
+    pub connects_at: Vec<f64>,
     pub updated: BTreeSet<EngineKey>,
     /// The outcomes of connections are not reported.
     pub silent: bool,
@@ -104,7 +104,7 @@
             list: BTreeMap::new(),
             unreachable: BTreeSet::new(),
             members: BTreeMap::new(),
-            warmed_at: Vec::new(),
+            connects_at: Vec::new(),
             updated: BTreeSet::new(),
             silent: false,
             faults: BTreeSet::new(),
@@ -143,7 +143,7 @@
     }
 
     pub fn attempts(&mut self, engine: EngineKey, failed: bool, count: usize) {
-        (0..count).for_each(|_| self.subset.attempted(self.now, engine, failed));
+        (0..count).for_each(|_| self.subset.attempt_ended(self.now, engine, failed));
         self.poll();
     }
 
@@ -175,7 +175,7 @@
             if reached {
                 self.reached.insert(engine);
             }
-            self.subset.warmed(self.now, engine, reached);
+            self.subset.connect_ended(self.now, engine, reached);
         }
     }
 
@@ -191,7 +191,7 @@
     fn inject(&mut self, action: Action) {
         match (self.injected, action) {
             (InjectedFault::KeepsUnready, Action::Leave(_)) => {}
-            (InjectedFault::JoinsUntried, Action::Warm(engine)) => self.perform(Action::Join {
+            (InjectedFault::JoinsUntried, Action::Connect(engine)) => self.perform(Action::Join {
                 engine,
                 holders: 1.0,
             }),
@@ -209,7 +209,7 @@
                     .expect("the list is longer than the subset");
                 self.members.insert(engine, holders);
             }
-            (InjectedFault::TooFast, Action::Warm(_)) => {
+            (InjectedFault::TooFast, Action::Connect(_)) => {
                 self.perform(action);
                 self.perform(action);
             }
@@ -228,10 +228,10 @@
             self.updated.insert(engine);
         }
         match action {
-            Action::Warm(engine) => {
-                self.warmed_at.push(self.now);
+            Action::Connect(engine) => {
+                self.connects_at.push(self.now);
                 self.reached.remove(&engine);
-                self.pending.push((self.now + WARM_SECONDS, engine));
+                self.pending.push((self.now + CONNECT_SECONDS, engine));
             }
             Action::Join { engine, holders } => {
                 self.filling |= self.members.is_empty();
