--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -110,7 +110,7 @@
         let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
             .map(|entry| subset::ListedEngine {
-                id: entry.id.clone(),
+                engine_id: entry.id.clone(),
                 facts: self.facts(entry),
             })
             .collect();
--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -49,7 +49,7 @@
             self.started[update.engine] = update.started;
         }
         let listed_engine = |update: &EndpointUpdate| ListedEngine {
-            id: engine_id(update.engine),
+            engine_id: engine_id(update.engine),
             facts: update.facts,
         };
         let listed_engines: Vec<ListedEngine> = updates.iter().map(listed_engine).collect();
--- a/crates/scale/src/real_processes/prediction.rs
+++ b/crates/scale/src/real_processes/prediction.rs
@@ -139,7 +139,7 @@
         state: ListedState::Ready,
     };
     let listed_engine = |slot| ListedEngine {
-        id: endpoint_list.engine(slot).to_string(),
+        engine_id: endpoint_list.engine(slot).to_string(),
         facts: facts(slot),
     };
     (0..experiment.engines).map(listed_engine).collect()
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/module/engines.rs
@@ -79,7 +79,7 @@
 /// The module's endpoint for an entry of the catalog, where engines are indexed by their numbers.
 fn endpoint_of_listed(changed: &garnetwall_subset::ListedEngine) -> Endpoint {
     let number = changed
-        .id
+        .engine_id
         .trim_start_matches(|c: char| !c.is_ascii_digit())
         .parse()
         .unwrap_or(0);
--- a/crates/scale/src/slopes/pool.rs
+++ b/crates/scale/src/slopes/pool.rs
@@ -49,7 +49,7 @@
             state,
         };
         ListedEngine {
-            id: self.id(),
+            engine_id: self.id(),
             facts,
         }
     }
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -210,7 +210,7 @@
         state: ListedState::Ready,
     };
     ListedEngine {
-        id: engine.id.clone(),
+        engine_id: engine.id.clone(),
         facts,
     }
 }
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -38,7 +38,7 @@
         state: condition,
     };
     ListedEngine {
-        id: format!("engine-{number}"),
+        engine_id: format!("engine-{number}"),
         facts,
     }
 }
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -31,7 +31,10 @@
     pub fn apply(&mut self, engines: &[ListedEngine], whole: bool) -> Vec<Change> {
         let mut changes = Vec::new();
         if whole {
-            let named: HashSet<&str> = engines.iter().map(|listed| listed.id.as_str()).collect();
+            let named: HashSet<&str> = engines
+                .iter()
+                .map(|listed| listed.engine_id.as_str())
+                .collect();
             let unnamed =
                 |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
             let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
@@ -46,13 +49,13 @@
     }
 
     fn apply_engine(&mut self, listed: &ListedEngine) -> Option<Change> {
-        let known = self.by_id.get(listed.id.as_str()).copied();
+        let known = self.by_id.get(listed.engine_id.as_str()).copied();
         if listed.facts.state == ListedState::Removed {
             return known.and_then(|key| self.remove(key));
         }
-        let engine = known.unwrap_or_else(|| self.assign_key(&listed.id));
+        let engine = known.unwrap_or_else(|| self.assign_key(&listed.engine_id));
         let entry = Entry {
-            id: listed.id.as_str().into(),
+            id: listed.engine_id.as_str().into(),
             facts: listed.facts,
         };
         let before = self.entries.insert(engine, entry).map(|entry| entry.facts);
--- a/crates/subset/src/engine.rs
+++ b/crates/subset/src/engine.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
     /// Its id in the list.
-    pub id: String,
+    pub engine_id: String,
     /// What the choice depends on.
     pub facts: EngineFacts,
 }
--- a/crates/subset/src/holders/selection_model.rs
+++ b/crates/subset/src/holders/selection_model.rs
@@ -12,7 +12,8 @@
 /// Retry domains that are alike, and how many there are.
 type DomainCounts = BTreeMap<WeightCounts, usize>;
 
-/// A model of a [`Selection`](crate::selection::Selection): the engines that one threshold selects from, the whole list, or those of one placement class.
+/// A model of a [`Selection`](crate::selection::Selection): the engines that one threshold selects from, the whole list or
+/// those of one placement class.
 pub(super) struct SelectionModel<'a> {
     class: Option<&'a PlacementClass>,
     /// The members that are asked for.
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -118,14 +118,14 @@
     let members = world.member_ids();
     let left: Vec<ListedEngine> = listed_engines(200, 5)
         .into_iter()
-        .filter(|listed| !members.contains(&listed.id))
+        .filter(|listed| !members.contains(&listed.engine_id))
         .collect();
     world.apply(&left, true);
     assert_eq!(world.members.len(), 40, "all members gone: a first fill");
     let few: BTreeSet<String> = world.member_ids().into_iter().take(35).collect();
     let left: Vec<ListedEngine> = left
         .into_iter()
-        .filter(|listed| !few.contains(&listed.id))
+        .filter(|listed| !few.contains(&listed.engine_id))
         .collect();
     world.apply(&left, true);
     assert_eq!(world.members.len(), 20, "the floor");
@@ -246,7 +246,7 @@
     // With one engine of these the member with the highest score is displaced; while it fails there is room for one.
     let displaces = |world: &World, new_engine: &ListedEngine| {
         let mut list = world.list.clone();
-        list.insert(new_engine.id.clone(), new_engine.facts);
+        list.insert(new_engine.engine_id.clone(), new_engine.facts);
         let target = plain_target(GATEWAY, &world.settings, &list);
         world.member_ids().difference(&target).next().cloned()
     };
@@ -297,7 +297,7 @@
     };
     world
         .unreachable
-        .extend((23..38).map(|number| listed_engine(number, 5).id));
+        .extend((23..38).map(|number| listed_engine(number, 5).engine_id));
     tell(&mut world, 70);
     tell(&mut world, 21);
     world.advance(29.0);
@@ -454,7 +454,7 @@
         world.updated.clear();
         world.apply(
             &[ListedEngine {
-                id: id.clone(),
+                engine_id: id.clone(),
                 facts,
             }],
             false,
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -171,7 +171,7 @@
             .iter()
             .map(|listed| {
                 (
-                    hash.score(&listed.id, weight(&listed.facts)),
+                    hash.score(&listed.engine_id, weight(&listed.facts)),
                     listed.facts.cores,
                 )
             })
@@ -267,14 +267,14 @@
     };
     one_by_one.apply(
         &[ListedEngine {
-            id: "engine-9999".into(),
+            engine_id: "engine-9999".into(),
             facts: drains,
         }],
         false,
     );
     one_by_one.apply(
         &[ListedEngine {
-            id: "engine-3".into(),
+            engine_id: "engine-3".into(),
             facts: gone,
         }],
         false,
@@ -283,7 +283,7 @@
     whole.apply(
         &listed_engines(ENGINES, ZONES)
             .into_iter()
-            .filter(|listed| listed.id != "engine-3")
+            .filter(|listed| listed.engine_id != "engine-3")
             .collect::<Vec<_>>(),
         true,
     );
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -155,16 +155,16 @@
             };
             let lost: Vec<ListedEngine> = lost
                 .map(|(id, facts)| ListedEngine {
-                    id: id.clone(),
+                    engine_id: id.clone(),
                     facts: gone(facts),
                 })
                 .collect();
             world.apply(&lost, false);
         }
         Step::Unreachable { first, count } => {
-            world
-                .unreachable
-                .extend((first..first + count).map(|number| listed_engine(number, ZONES).id));
+            world.unreachable.extend(
+                (first..first + count).map(|number| listed_engine(number, ZONES).engine_id),
+            );
         }
         Step::Reachable => world.unreachable.clear(),
         Step::MemberFails { member, attempts } => {
@@ -200,7 +200,7 @@
         let mut world = World::new(settings.clone(), InjectedFault::None);
         world.apply(&listed_engines(ENGINES, ZONES), true);
         let whole = world.member_ids();
-        world.set_state(&listed_engine(engine, ZONES).id, ListedState::Removed);
+        world.set_state(&listed_engine(engine, ZONES).engine_id, ListedState::Removed);
         world.settle();
         let without = world.member_ids();
         prop_assert!(moves_the_least(&settings, &whole, &without));
@@ -235,7 +235,7 @@
     let settings = settings(20);
     let list = listed_engines(ENGINES, ZONES)
         .into_iter()
-        .map(|listed| (listed.id, listed.facts))
+        .map(|listed| (listed.engine_id, listed.facts))
         .collect();
     let before = plain_target(GATEWAY, &settings, &list);
     assert!(!moves_the_least(
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -44,7 +44,7 @@
         state: ListedState::Ready,
     };
     ListedEngine {
-        id: format!("engine-{number}"),
+        engine_id: format!("engine-{number}"),
         facts,
     }
 }
@@ -121,8 +121,8 @@
         }
         for listed in engines {
             match listed.facts.state {
-                ListedState::Removed => drop(self.list.remove(&listed.id)),
-                _ => drop(self.list.insert(listed.id.clone(), listed.facts)),
+                ListedState::Removed => drop(self.list.remove(&listed.engine_id)),
+                _ => drop(self.list.insert(listed.engine_id.clone(), listed.facts)),
             }
         }
         let changes = self.catalog.apply(engines, whole);
@@ -134,7 +134,7 @@
         if let Some(facts) = self.list.get(id).copied() {
             self.apply(
                 &[ListedEngine {
-                    id: id.into(),
+                    engine_id: id.into(),
                     facts: EngineFacts { state, ..facts },
                 }],
                 false,
