--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -26,20 +26,14 @@
 }
 
 impl Catalog {
-    /// Takes in the whole list, or only the engines that have changed, and returns what that changed. Removed engines, and
-    /// those that a whole list does not name, leave the catalog.
-    pub fn apply(&mut self, engines: &[ListedEngine], whole: bool) -> Vec<Change> {
-        let mut changes = Vec::new();
-        if whole {
-            let named: HashSet<&str> = engines
-                .iter()
-                .map(|listed| listed.engine_id.as_str())
-                .collect();
-            let unnamed =
-                |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
-            let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
-            changes.extend(unnamed.into_iter().filter_map(|key| self.remove(key)));
-        }
+    /// Applies the full list, or only the engines that have changed, and returns what that changed. Removed engines, and
+    /// those that a full list does not name, leave the catalog.
+    pub fn apply(&mut self, engines: &[ListedEngine], is_full_list: bool) -> Vec<Change> {
+        let mut changes = if is_full_list {
+            self.remove_unnamed(engines)
+        } else {
+            Vec::new()
+        };
         changes.extend(
             engines
                 .iter()
@@ -48,6 +42,21 @@
         changes
     }
 
+    /// Removes the engines that a full list does not name.
+    fn remove_unnamed(&mut self, engines: &[ListedEngine]) -> Vec<Change> {
+        let named: HashSet<&str> = engines
+            .iter()
+            .map(|listed| listed.engine_id.as_str())
+            .collect();
+        let unnamed =
+            |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
+        let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
+        unnamed
+            .into_iter()
+            .filter_map(|key| self.remove(key))
+            .collect()
+    }
+
     fn apply_engine(&mut self, listed: &ListedEngine) -> Option<Change> {
         let known = self.by_id.get(listed.engine_id.as_str()).copied();
         if listed.facts.state == ListedState::Removed {
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -50,7 +50,7 @@
 }
 
 impl MemberHealth {
-    /// Takes in how an attempt at a member ended; whether that made the member unhealthy.
+    /// Records how an attempt at a member ended; whether that made the member unhealthy.
     pub fn record(&mut self, now: f64, member: EngineKey, failed: bool) -> bool {
         let history = self.histories.entry(member).or_default();
         history.record(now, failed);
--- a/crates/subset/src/holders/estimate.rs
+++ b/crates/subset/src/holders/estimate.rs
@@ -28,6 +28,14 @@
     fraction: f64,
 }
 
+impl GatewayZone {
+    /// All gateways, where their zones do not matter.
+    const UNKNOWN: GatewayZone = GatewayZone {
+        zone: None,
+        fraction: 1.0,
+    };
+}
+
 /// The members whose scores lie under a threshold, and the companions that retries ask for.
 pub(super) struct Estimate<'a> {
     parameters: &'a HoldersParameters,
@@ -38,16 +46,7 @@
 
 impl<'a> Estimate<'a> {
     pub(super) fn new(parameters: &'a HoldersParameters, ready: &'a ReadyEngines) -> Self {
-        let domains: Vec<(RetryDomain, &ShapeCounts)> = match parameters.retry_scope {
-            RetryScope::Cell => ready
-                .cells()
-                .map(|(cell, shapes)| (cell.into(), shapes))
-                .collect(),
-            _ => ready
-                .zones()
-                .map(|(zone, shapes)| (RetryDomain { zone, cell: None }, shapes))
-                .collect(),
-        };
+        let domains = retry_domains(ready, parameters.retry_scope);
         let whole = SelectionModel::new(None, parameters.size, &domains, parameters.retry_scope);
         let of_class = |class| {
             SelectionModel::new(
@@ -63,10 +62,7 @@
         let gateway_zones = if parameters.near_weight > 1.0 {
             gateway_zones(ready)
         } else {
-            vec![GatewayZone {
-                zone: None,
-                fraction: 1.0,
-            }]
+            vec![GatewayZone::UNKNOWN]
         };
         Estimate {
             parameters,
@@ -187,6 +183,20 @@
     }
 }
 
+/// The retry domains of the engines that take new work, with the shapes in each. By zone where retries may go everywhere.
+fn retry_domains(ready: &ReadyEngines, scope: RetryScope) -> Vec<(RetryDomain, &ShapeCounts)> {
+    match scope {
+        RetryScope::Cell => ready
+            .cells()
+            .map(|(cell, shapes)| (cell.into(), shapes))
+            .collect(),
+        RetryScope::Zone | RetryScope::Everywhere => ready
+            .zones()
+            .map(|(zone, shapes)| (RetryDomain { zone, cell: None }, shapes))
+            .collect(),
+    }
+}
+
 /// The zones of the gateways, which are taken to be spread over zones as cores are.
 fn gateway_zones(ready: &ReadyEngines) -> Vec<GatewayZone> {
     let cores = |shapes: &ShapeCounts| -> f64 {
--- a/crates/subset/src/holders/selection_model.rs
+++ b/crates/subset/src/holders/selection_model.rs
@@ -6,8 +6,22 @@
 use crate::settings::{PlacementClass, RetryScope};
 use std::collections::BTreeMap;
 
-/// Engines of one weight in a retry domain: the weight's bits, and how many.
-type WeightCounts = BTreeMap<u64, usize>;
+/// The weight of an engine, by its bits, so that weights can be ordered.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Weight(u64);
+
+impl Weight {
+    fn of(shape: EngineShape) -> Self {
+        Weight(base_weight(shape.cores()).to_bits())
+    }
+
+    fn value(self) -> f64 {
+        f64::from_bits(self.0)
+    }
+}
+
+/// Engines of a retry domain by their weights.
+type WeightCounts = BTreeMap<Weight, usize>;
 
 /// Retry domains that are alike, and how many there are.
 type DomainCounts = BTreeMap<WeightCounts, usize>;
@@ -80,16 +94,11 @@
 
     /// The weights of the engines of a domain that can be selected.
     fn weights(&self, zone: u32, shapes: &ShapeCounts) -> WeightCounts {
-        let mut weights = WeightCounts::new();
-        for (shape, count) in shapes
-            .iter()
-            .filter(|(shape, _)| self.admits(zone, **shape))
-        {
-            *weights
-                .entry(base_weight(shape.cores()).to_bits())
-                .or_default() += count;
-        }
-        weights
+        weight_counts(
+            shapes
+                .iter()
+                .filter(|(shape, _)| self.admits(zone, **shape)),
+        )
     }
 
     /// The number of members that a gateway of this zone expects under a threshold.
@@ -115,7 +124,8 @@
         }
     }
 
-    /// The probability that an engine is chosen only as the companion of the one engine of its domain under the threshold.
+    /// The probability that an engine is selected only as the companion of the one engine of its domain under the threshold,
+    /// the lead.
     pub(super) fn companion_probability(
         &self,
         zone: u32,
@@ -123,37 +133,39 @@
         engine: EngineShape,
         threshold: f64,
     ) -> f64 {
-        let among = self.weights(zone, shapes);
-        let total_of_others = |weights: &WeightCounts, lead: f64| total(weights) - lead;
-        let all = weight_counts(shapes);
-        let weight = base_weight(engine.cores());
-        let of_lead = |(bits, count): (&u64, &usize)| {
-            let lead = f64::from_bits(*bits);
-            let alone = alone_probability(lead, total(&among), threshold);
-            let leads =
-                (*count as f64 - f64::from(self.admits(zone, engine) && lead == weight)).max(0.0);
-            let lead_has_peers = total_of_others(&among, lead) > lead * f64::EPSILON;
-            let others_weight = match lead_has_peers {
-                true => total_of_others(&among, lead),
-                false => total_of_others(&all, lead),
+        let selectable = self.weights(zone, shapes);
+        let all = weight_counts(shapes.iter());
+        let engine_weight = Weight::of(engine);
+        let with_lead = |(lead, count): (&Weight, &usize)| {
+            let is_itself = self.admits(zone, engine) && *lead == engine_weight;
+            let leads = (*count as f64 - f64::from(is_itself)).max(0.0);
+            let lead = lead.value();
+            let alone = alone_probability(lead, total(&selectable), threshold);
+            // A companion is selected among the selectable engines, or among all where the lead is the only one of them.
+            let selectable_others = total(&selectable) - lead;
+            let has_selectable_others = selectable_others > lead * f64::EPSILON;
+            let others = if has_selectable_others {
+                selectable_others
+            } else {
+                total(&all) - lead
             };
-            let is_eligible = !lead_has_peers || self.admits(zone, engine);
-            let chosen_of_others = match is_eligible {
-                true => (weight / others_weight.max(weight)).min(1.0),
-                false => 0.0,
+            let is_eligible = !has_selectable_others || self.admits(zone, engine);
+            let selected_of_others = if is_eligible {
+                (engine_weight.value() / others.max(engine_weight.value())).min(1.0)
+            } else {
+                0.0
             };
-            leads * alone * chosen_of_others
+            leads * alone * selected_of_others
         };
-        among.iter().map(of_lead).sum()
+        selectable.iter().map(with_lead).sum()
     }
 }
 
-fn weight_counts(shapes: &ShapeCounts) -> WeightCounts {
+/// Counts engines by their weights.
+fn weight_counts<'a>(shapes: impl Iterator<Item = (&'a EngineShape, &'a usize)>) -> WeightCounts {
     let mut weights = WeightCounts::new();
     for (shape, count) in shapes {
-        *weights
-            .entry(base_weight(shape.cores()).to_bits())
-            .or_default() += count;
+        *weights.entry(Weight::of(*shape)).or_default() += count;
     }
     weights
 }
@@ -161,7 +173,7 @@
 fn total(weights: &WeightCounts) -> f64 {
     weights
         .iter()
-        .map(|(bits, count)| f64::from_bits(*bits) * *count as f64)
+        .map(|(weight, count)| weight.value() * *count as f64)
         .sum()
 }
 
@@ -176,16 +188,16 @@
 
 /// The expected number of members of a domain: those under the threshold, and a companion for one that is alone.
 fn expected_in_domain(weights: &WeightCounts, threshold: f64, companions: bool) -> f64 {
-    let under = |(bits, count): (&u64, &usize)| {
-        *count as f64 * (1.0 - (-f64::from_bits(*bits) * threshold).exp())
+    let under = |(weight, count): (&Weight, &usize)| {
+        *count as f64 * (1.0 - (-weight.value() * threshold).exp())
     };
     let chosen: f64 = weights.iter().map(under).sum();
     if !companions || weights.values().sum::<usize>() < 2 {
         return chosen;
     }
     let total = total(weights);
-    let alone = |(bits, count): (&u64, &usize)| {
-        *count as f64 * alone_probability(f64::from_bits(*bits), total, threshold)
+    let alone = |(weight, count): (&Weight, &usize)| {
+        *count as f64 * alone_probability(weight.value(), total, threshold)
     };
     chosen + weights.iter().map(alone).sum::<f64>()
 }
--- a/crates/subset/src/join_queue.rs
+++ b/crates/subset/src/join_queue.rs
@@ -99,7 +99,7 @@
         self.unreached.remove(&engine);
     }
 
-    /// Takes in whether a connection was made; returns whether the engine was waited for.
+    /// Records whether a connection was made; returns whether the engine was waited for.
     pub fn connect_ended(&mut self, now: f64, engine: EngineKey, reached: bool) -> bool {
         let Some(connecting) = self.connecting.remove(&engine) else {
             return false;
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -118,47 +118,46 @@
                 found: self.classes.len(),
             });
         }
-        self.validate_numbers()
+        self.validate_joins_per_second()?;
+        self.validate_near_weight()?;
+        self.validate_gateways()
     }
 
-    fn validate_numbers(&self) -> Result<(), SubsetError> {
-        let out_of_range = |place, found, expected, remedy| {
-            Err(SubsetError::OutOfRange {
-                place,
-                found,
-                expected,
-                remedy,
-            })
-        };
-        if !(self.joins_per_second.is_finite() && self.joins_per_second > 0.0) {
-            let remedy = "name how many engines may be added a second, such as 2";
-            return out_of_range(
-                "subset.joins_per_second",
-                self.joins_per_second,
-                "a number over 0",
-                remedy,
-            );
+    fn validate_joins_per_second(&self) -> Result<(), SubsetError> {
+        if self.joins_per_second.is_finite() && self.joins_per_second > 0.0 {
+            return Ok(());
         }
-        if !(1.0..=MAX_NEAR_WEIGHT).contains(&self.near_weight) {
-            let remedy =
-                "name 1 for no preference, or how many times more often a near engine is chosen";
-            return out_of_range(
-                "subset.near_weight",
-                self.near_weight,
-                "a number from 1 to 1000000",
-                remedy,
-            );
+        Err(SubsetError::OutOfRange {
+            place: "subset.joins_per_second",
+            found: self.joins_per_second,
+            expected: "a number over 0",
+            remedy: "name how many engines may be added a second, such as 2",
+        })
+    }
+
+    fn validate_near_weight(&self) -> Result<(), SubsetError> {
+        if (1.0..=MAX_NEAR_WEIGHT).contains(&self.near_weight) {
+            return Ok(());
         }
-        if !(self.gateways.is_finite() && self.gateways >= 1.0) {
-            let remedy = "tell the number of gateways before these engines, this one included";
-            return out_of_range(
-                "subset.gateways",
-                self.gateways,
-                "a number of 1 or more",
-                remedy,
-            );
+        Err(SubsetError::OutOfRange {
+            place: "subset.near_weight",
+            found: self.near_weight,
+            expected: "a number from 1 to 1000000",
+            remedy:
+                "name 1 for no preference, or how many times more often a near engine is chosen",
+        })
+    }
+
+    fn validate_gateways(&self) -> Result<(), SubsetError> {
+        if self.gateways.is_finite() && self.gateways >= 1.0 {
+            return Ok(());
         }
-        Ok(())
+        Err(SubsetError::OutOfRange {
+            place: "subset.gateways",
+            found: self.gateways,
+            expected: "a number of 1 or more",
+            remedy: "tell the number of gateways before these engines, this one included",
+        })
     }
 }
 
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Takes in what changed in the catalog, which has the changes already.
+    /// Applies changes of the catalog, which has them already.
     pub fn changed(&mut self, now: f64, catalog: &Catalog, changes: &[Change]) {
         self.last_call = now;
         // To read the list once is cheaper than to take in a great part of it one by one.
@@ -159,7 +159,7 @@
         self.settled = false;
     }
 
-    /// Takes in whether the connection that [`Action::Connect`] asked for was made.
+    /// Records whether the connection that [`Action::Connect`] asked for was made.
     pub fn connect_ended(&mut self, now: f64, engine: EngineKey, reached: bool) {
         self.last_call = now;
         if self.join_queue.connect_ended(now, engine, reached) {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes in how an attempt at a member ended; `failed` where the engine is at fault, and not the query.
+    /// Records how an attempt at a member ended; `failed` where the engine is at fault, and not the query.
     pub fn attempt_ended(&mut self, now: f64, engine: EngineKey, failed: bool) {
         if self.members.contains_key(&engine) && self.health.record(now, engine, failed) {
             self.last_call = now;
--- a/crates/subset/src/subset/transition.rs
+++ b/crates/subset/src/subset/transition.rs
@@ -18,7 +18,7 @@
             self.join_queue.clear_refills();
         }
         self.connect(now, catalog, &waiting);
-        self.release(catalog, waiting.is_empty());
+        self.remove_surplus(catalog, waiting.is_empty());
         self.join_queue.clear_reached();
         self.settled = waiting.is_empty();
     }
@@ -127,12 +127,13 @@
         }
     }
 
-    /// Removes members that are not in the target: all of them once the target is `complete`.
-    fn release(&mut self, catalog: &Catalog, complete: bool) {
+    /// Removes members that are not in the target: all of them once the target is complete, as all of it are members.
+    fn remove_surplus(&mut self, catalog: &Catalog, is_complete: bool) {
         let surplus = self.surplus(catalog);
-        let leaving = match complete {
-            true => surplus,
-            false => self.dispensable(catalog, &surplus),
+        let leaving = if is_complete {
+            surplus
+        } else {
+            self.dispensable(catalog, &surplus)
         };
         for engine in leaving {
             self.remove_member(engine);
