--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -80,13 +80,13 @@
 }
 
 impl CompiledPlan {
-    /// The number of the endpoint subset at an index of [`Routing::subsets`].
+    /// The number of the endpoint subset at an index of [`Routing::endpoint_subsets`].
     fn subset_number(&self, index: usize) -> u32 {
         self.first_subset.wrapping_add(index as u32)
     }
 
     fn subset_count(&self) -> usize {
-        self.routing.subsets().len()
+        self.routing.endpoint_subsets().len()
     }
 }
 
@@ -114,7 +114,7 @@
     /// Its endpoint subsets, except those that leave every engine open.
     fn subset_updates(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
         let routing = &self.plan.routing;
-        let is_restricted = |index: &usize| !routing.subsets()[*index].is_unrestricted();
+        let is_restricted = |index: &usize| !routing.endpoint_subsets()[*index].is_unrestricted();
         (0..self.plan.subset_count())
             .filter(is_restricted)
             .map(|index| SubsetUpdate {
@@ -273,7 +273,11 @@
         let plan = &self.in_force.plan;
         let routing = &plan.routing;
         let (class, index) = match routing.decide(query) {
-            RouteDecision::Admitted { class, subset, .. } => (class, subset),
+            RouteDecision::Admitted {
+                class,
+                endpoint_subset,
+                ..
+            } => (class, endpoint_subset),
             RouteDecision::Rejected { route } => return Err(refused_by_route(routing, route)),
             RouteDecision::StatementTooLong { max_bytes } => {
                 return Err(PlanRejection::StatementTooLong { max_bytes })
@@ -283,7 +287,7 @@
         let deadline_of =
             |class: usize| routing.class_rules(class).and_then(|rules| rules.deadline);
         let deadlines = [deadline_of(query.class), deadline_of(class)];
-        let is_restricted = !routing.subsets()[index].is_unrestricted();
+        let is_restricted = !routing.endpoint_subsets()[index].is_unrestricted();
         Ok(PlanAdmission {
             permit,
             _plan: plan.clone(),
--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -97,7 +97,7 @@
     Routing::new(Arc::new(plan), names())
 }
 
-fn batches() -> Vec<RoutedQuery> {
+fn queries() -> Vec<RoutedQuery> {
     let mut rng = StdRng::seed_from_u64(18);
     let one = |rng: &mut StdRng| {
         let set: u8 = rng.random_range(0..SETS as u8);
@@ -149,24 +149,24 @@
 
 #[divan::bench]
 fn decide_compiled(bencher: Bencher) {
-    let (routing, batches) = (routing(&large()), batches());
+    let (routing, queries) = (routing(&large()), queries());
     let mut at = 0;
     bencher.bench_local(|| {
-        at = (at + 1) % batches.len();
-        black_box(routing.decide(&batches[at]))
+        at = (at + 1) % queries.len();
+        black_box(routing.decide(&queries[at]))
     });
 }
 
 #[divan::bench]
 fn decide_plain_list(bencher: Bencher) {
-    let (routing, batches) = (routing(&large()), batches());
+    let (routing, queries) = (routing(&large()), queries());
     let mut at = 0;
     bencher.bench_local(|| {
-        at = (at + 1) % batches.len();
+        at = (at + 1) % queries.len();
         black_box(
             routing
                 .plan()
-                .route_of(&routing.facts(&batches[at]))
+                .route_of(&routing.facts(&queries[at]))
                 .map(|r| r.pools.len()),
         )
     });
@@ -196,21 +196,23 @@
 /// Route and engines of a query, as at each attempt: the endpoint subset's sets are at hand.
 #[divan::bench]
 fn place_compiled_500_engines(bencher: Bencher) {
-    let (routing, batches, all) = (routing(&large()), batches(), engines());
+    let (routing, queries, all) = (routing(&large()), queries(), engines());
     let mut engines = PoolMembers::new(&routing);
     all.iter()
         .enumerate()
         .for_each(|(n, e)| engines.update(&routing, n, Some(&facts(e))));
-    let tiers: Vec<_> = (0..routing.subsets().len())
-        .map(|lane| engines.priority_levels(&routing, lane))
+    let levels: Vec<_> = (0..routing.endpoint_subsets().len())
+        .map(|endpoint_subset| engines.priority_levels(&routing, endpoint_subset))
         .collect();
     let mut at = 0;
     bencher.bench_local(|| {
-        at = (at + 1) % batches.len();
-        match routing.decide(&batches[at]) {
-            garnetwall_routing::RouteDecision::Admitted { subset: lane, .. } => tiers[lane]
+        at = (at + 1) % queries.len();
+        match routing.decide(&queries[at]) {
+            garnetwall_routing::RouteDecision::Admitted {
+                endpoint_subset, ..
+            } => levels[endpoint_subset]
                 .iter()
-                .map(|tier| tier.words().iter().map(|w| w.count_ones()).sum::<u32>())
+                .map(|level| level.words().iter().map(|w| w.count_ones()).sum::<u32>())
                 .sum(),
             _ => 0,
         }
@@ -219,16 +221,16 @@
 
 #[divan::bench(sample_count = 20)]
 fn place_plain_500_engines(bencher: Bencher) {
-    let (routing, batches, all) = (routing(&large()), batches(), engines());
+    let (routing, queries, all) = (routing(&large()), queries(), engines());
     let mut at = 0;
     bencher.bench_local(|| {
-        at = (at + 1) % batches.len();
-        let batch = routing.facts(&batches[at]);
+        at = (at + 1) % queries.len();
+        let query = routing.facts(&queries[at]);
         all.iter()
             .filter(|e| {
                 routing
                     .plan()
-                    .priority_levels(&batch, &facts(e))
+                    .priority_levels(&query, &facts(e))
                     .contains(&true)
             })
             .count()
@@ -256,7 +258,7 @@
         at += 1;
         let now = Duration::from_micros(at * 10);
         let client = IpAddr::from((0x0a00_0000 + rng.random_range(0..clients)).to_be_bytes());
-        let b = RoutedQuery {
+        let query = RoutedQuery {
             class: 0,
             tenant: 0,
             client,
@@ -265,7 +267,7 @@
             minute: 0,
             statement_bytes: 200,
         };
-        if let Ok(ticket) = limits.admit(&routing, now, &b) {
+        if let Ok(ticket) = limits.admit(&routing, now, &query) {
             limits.release(now, ticket);
         }
     });
--- /dev/null
+++ b/crates/routing/src/engine_set.rs
@@ -0,0 +1,68 @@
+//! Sets of engines as bits.
+
+/// Engines in one word of a set.
+const WORD_BITS: usize = u64::BITS as usize;
+
+/// A set of engines by their index.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct EngineSet(Vec<u64>);
+
+impl EngineSet {
+    /// Whether the engine is in the set.
+    pub fn contains(&self, engine: usize) -> bool {
+        self.0
+            .get(engine / WORD_BITS)
+            .is_some_and(|word| word >> (engine % WORD_BITS) & 1 == 1)
+    }
+
+    /// Adds an engine to the set, or removes it where it is no member.
+    pub fn set(&mut self, engine: usize, is_member: bool) {
+        let word = engine / WORD_BITS;
+        if self.0.len() <= word {
+            self.0.resize(word + 1, 0);
+        }
+        let bit = 1 << (engine % WORD_BITS);
+        if is_member {
+            self.0[word] |= bit;
+        } else {
+            self.0[word] &= !bit;
+        }
+    }
+
+    /// Whether no engine is in the set.
+    pub fn is_empty(&self) -> bool {
+        self.0.iter().all(|word| *word == 0)
+    }
+
+    /// The engines in it, lowest first.
+    pub fn engines(&self) -> impl Iterator<Item = usize> + '_ {
+        let bits = |(n, word): (usize, &u64)| {
+            let word = *word;
+            (0..WORD_BITS)
+                .filter(move |bit| word >> bit & 1 == 1)
+                .map(move |bit| n * WORD_BITS + bit)
+        };
+        self.0.iter().enumerate().flat_map(bits)
+    }
+
+    /// Words of 64 engines each, lowest first.
+    pub fn words(&self) -> &[u64] {
+        &self.0
+    }
+
+    pub(crate) fn union_with(&mut self, other: &EngineSet) {
+        self.0.resize(self.0.len().max(other.0.len()), 0);
+        self.0
+            .iter_mut()
+            .zip(&other.0)
+            .for_each(|(word, other)| *word |= other);
+    }
+
+    pub(crate) fn intersect_with(&mut self, other: &EngineSet) {
+        self.0.truncate(other.0.len());
+        self.0
+            .iter_mut()
+            .zip(&other.0)
+            .for_each(|(word, other)| *word &= other);
+    }
+}
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -6,8 +6,9 @@
 mod rules;
 mod state;
 
+use crate::query::RoutedQuery;
+use crate::routing::Routing;
 use crate::sketch::Usage;
-use crate::{RoutedQuery, Routing};
 use garnetwall_plan::model::{Bucket, Per};
 use rules::limit_rules;
 use state::{LimitKey, LimitState, Slot};
--- a/crates/routing/src/limits/rules.rs
+++ b/crates/routing/src/limits/rules.rs
@@ -2,7 +2,7 @@
 
 use super::state::LimitState;
 use super::LimitRule;
-use crate::Routing;
+use crate::routing::Routing;
 use garnetwall_plan::model::{Limit, Plan, Tenant};
 
 /// The limits of a plan, then the shares and limits of its tenants. `capacity` is the queries that this gateway can hold.
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -28,7 +28,7 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
-    fn every_batch_goes_where_the_plain_plan_sends_it(
+    fn every_query_is_routed_as_by_the_plain_plan(
         blocks in blocks(),
         listed in vec(any::<prop::sample::Index>(), 1..40),
         gone in vec(any::<prop::sample::Index>(), 0..10),
@@ -38,20 +38,20 @@
         // Engines come under indices in any order; some go.
         let all = engines();
         let mut here: Vec<Option<EngineFacts>> = Vec::new();
-        let mut kept = PoolMembers::new(&routing);
+        let mut members = PoolMembers::new(&routing);
         for pick in listed {
             let facts = all[pick.index(all.len())];
-            kept.update(&routing, here.len(), Some(&facts));
+            members.update(&routing, here.len(), Some(&facts));
             here.push(Some(facts));
         }
         for pick in gone {
             let engine = pick.index(here.len());
-            kept.update(&routing, engine, None);
+            members.update(&routing, engine, None);
             here[engine] = None;
         }
         let at = |names: &[String], name: &str| names.iter().position(|n| n == name).expect("a name");
         for facts in queries().iter().step_by(7) {
-            let b = RoutedQuery {
+            let query = RoutedQuery {
                 class: at(&routing.names().classes, facts.class),
                 tenant: at(&routing.names().tenants, facts.tenant),
                 client: facts.client,
@@ -61,19 +61,19 @@
                 statement_bytes: 1,
             };
             let plain = plan.routes.iter().position(|r| r.unmet(facts, &plan.addresses).is_none());
-            prop_assert_eq!(routing.route(&b), plain, "{:?}", facts);
-            match routing.decide(&b) {
+            prop_assert_eq!(routing.route(&query), plain, "{:?}", facts);
+            match routing.decide(&query) {
                 RouteDecision::Rejected { route } => prop_assert!(plan.routes[route].reject_reason.is_some()),
                 RouteDecision::StatementTooLong { .. } => prop_assert!(false, "no plan limits statements here"),
-                RouteDecision::Admitted { route, class: group, subset: lane } => {
+                RouteDecision::Admitted { route, class, endpoint_subset } => {
                     prop_assert_eq!(route, plain);
                     let treated = plain.and_then(|r| plan.routes[r].as_class.clone());
-                    prop_assert_eq!(&routing.names().classes[group], &treated.unwrap_or(facts.class.to_string()));
-                    let tiers = kept.priority_levels(&routing, lane);
+                    prop_assert_eq!(&routing.names().classes[class], &treated.unwrap_or(facts.class.to_string()));
+                    let levels = members.priority_levels(&routing, endpoint_subset);
                     for (n, engine) in here.iter().enumerate() {
                         let wanted = engine.as_ref().map(|e| plan.priority_levels(facts, e));
-                        for (t, tier) in tiers.iter().enumerate() {
-                            prop_assert_eq!(tier.contains(n), wanted.as_ref().is_some_and(|w| w[t]));
+                        for (index, level) in levels.iter().enumerate() {
+                            prop_assert_eq!(level.contains(n), wanted.as_ref().is_some_and(|wanted| wanted[index]));
                         }
                     }
                 }
