--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -13,7 +13,6 @@
 mod pool_members;
 mod query;
 mod routing;
-mod sketch;
 pub mod zones;
 
 pub use endpoint_subset::EndpointSubset;
--- a/crates/routing/src/limits/rules.rs
+++ b/crates/routing/src/limits/compile.rs
@@ -1,11 +1,11 @@
-//! The limits of a plan and the shares of its tenants, as rules that count.
+//! Compiles the limits of a plan and the shares of its tenants to rules.
 
+use super::rule::LimitRule;
 use super::state::LimitState;
-use super::LimitRule;
 use crate::routing::Routing;
 use garnetwall_plan::model::{Limit, Plan, Tenant};
 
-/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the queries that this gateway can hold.
+/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the number of queries that this gateway can hold.
 pub(super) fn limit_rules(routing: &Routing, capacity: f64) -> Vec<LimitRule> {
     let plan = routing.plan();
     let limits = plan
@@ -28,7 +28,7 @@
         classes: indices(&names.classes, &limit.classes),
         tenants: indices(&names.tenants, &limit.tenants),
         clients: limit.clients.clone(),
-        in_flight: limit
+        max_in_flight: limit
             .max_in_flight
             .map(|n| n.min(u64::from(u32::MAX)) as u32),
         rate: limit.rate,
@@ -40,7 +40,7 @@
 fn rule_of_tenant(routing: &Routing, tenant: &Tenant, capacity: f64) -> LimitRule {
     let by_share = tenant.share.map(|share| (share * capacity).max(1.0));
     let by_count = tenant.max_in_flight.map(|n| n as f64);
-    let in_flight = by_count
+    let max_in_flight = by_count
         .into_iter()
         .chain(by_share)
         .min_by(f64::total_cmp)
@@ -52,14 +52,14 @@
         classes: Vec::new(),
         tenants: indices(&routing.names().tenants, std::slice::from_ref(&tenant.name)),
         clients: Vec::new(),
-        in_flight: in_flight.map(|n| n.min(f64::from(u32::MAX)) as u32),
+        max_in_flight: max_in_flight.map(|n| n.min(f64::from(u32::MAX)) as u32),
         rate: tenant.rate,
         bytes: tenant.bytes,
         state: LimitState::default(),
     }
 }
 
-/// What a limit counts, in words that do not depend on the order in which the plan lists it.
+/// What a limit counts, as text that does not depend on the order in which the plan lists it.
 fn scope_of(plan: &Plan, limit: &Limit) -> String {
     let sorted = |list: &[String]| {
         let mut list = list.to_vec();
@@ -75,9 +75,10 @@
     format!("{:?} {classes:?} {tenants:?} {spans:?}", limit.per)
 }
 
-/// The places of some names in a list; unknown names are left out.
-fn indices(names: &[String], list: &[String]) -> Vec<usize> {
-    list.iter()
-        .filter_map(|name| names.iter().position(|other| other == name))
+/// The indices of some names among all; unknown names are left out.
+fn indices(all: &[String], names: &[String]) -> Vec<usize> {
+    names
+        .iter()
+        .filter_map(|name| all.iter().position(|other| other == name))
         .collect()
 }
--- a/crates/routing/src/sketch.rs
+++ b/crates/routing/src/limits/sketch.rs
@@ -1,66 +1,71 @@
-//! A count-min sketch of the usage of keys of which there are too many to count each. Several keys share a cell, so a key may
+//! A count-min sketch of the usage of keys of which there are too many to count each exactly. Several keys share a cell, so a key may
 //! be limited to less than its own, and is never allowed more.
 
 use std::hash::{BuildHasher, RandomState};
 use std::time::Duration;
 
-/// Rows; a key is wronged only where others share its cell in each.
+/// Rows; a key is limited to less than its own only where others share its cell in each row.
 const ROWS: usize = 4;
 /// Cells of a row.
-const CELLS: usize = 4096;
+const COLUMNS: usize = 4096;
 
-/// What is kept for a key or a cell.
+/// What was counted of a key, or of a cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
+    /// Queries in flight.
     pub in_flight: u32,
-    /// When what came would have come at the rate, evenly (the theoretical arrival time of the cell rate algorithm).
+    /// The theoretical arrival time of the limit on queries.
     pub queries_due: Duration,
+    /// The same of the limit on bytes.
     pub bytes_due: Duration,
 }
 
 impl Usage {
-    /// Nothing is left of what came.
+    /// Whether it is as if nothing had been counted.
     pub fn is_idle(&self, now: Duration) -> bool {
         self.in_flight == 0 && self.queries_due <= now && self.bytes_due <= now
     }
 }
 
-/// The sketch; made when the first key finds no place.
+/// The sketch; created with the first key that can't be counted exactly.
 #[derive(Debug)]
 pub struct CountMinSketch {
     cells: Vec<Usage>,
     hashes: [RandomState; ROWS],
 }
 
-/// Where a key's cells are.
+/// The indices of a key's cells, one in each row.
 pub type Cells = [u32; ROWS];
 
 impl CountMinSketch {
     pub fn new() -> Self {
         CountMinSketch {
-            cells: vec![Usage::default(); ROWS * CELLS],
+            cells: vec![Usage::default(); ROWS * COLUMNS],
             hashes: std::array::from_fn(|_| RandomState::new()),
         }
     }
 
     pub fn cells(&self, key: &impl std::hash::Hash) -> Cells {
         std::array::from_fn(|row| {
-            let at = self.hashes[row].hash_one(key) as usize % CELLS;
-            (row * CELLS + at) as u32
+            let column = self.hashes[row].hash_one(key) as usize % COLUMNS;
+            (row * COLUMNS + column) as u32
         })
     }
 
-    /// What a key is held to: the least of its cells, which is at least its own.
+    /// What a key is limited by: the least of its cells, which is at least its own usage.
     pub fn usage(&self, cells: &Cells) -> Usage {
-        let all = || cells.iter().map(|c| &self.cells[*c as usize]);
+        let all = || cells.iter().map(|cell| &self.cells[*cell as usize]);
         Usage {
-            in_flight: all().map(|l| l.in_flight).min().unwrap_or_default(),
-            queries_due: all().map(|l| l.queries_due).min().unwrap_or_default(),
-            bytes_due: all().map(|l| l.bytes_due).min().unwrap_or_default(),
+            in_flight: all().map(|usage| usage.in_flight).min().unwrap_or_default(),
+            queries_due: all()
+                .map(|usage| usage.queries_due)
+                .min()
+                .unwrap_or_default(),
+            bytes_due: all().map(|usage| usage.bytes_due).min().unwrap_or_default(),
         }
     }
 
-    /// A query was taken: one more in flight, and the times moved on to these.
+    /// Counts one more query in flight, and moves the theoretical arrival times on to these.
     pub fn add(&mut self, cells: &Cells, queries_due: Duration, bytes_due: Duration) {
         for cell in cells {
             let usage = &mut self.cells[*cell as usize];
--- a/crates/routing/src/limits/state.rs
+++ b/crates/routing/src/limits/state.rs
@@ -1,6 +1,6 @@
-//! What one limit has counted, by key: exactly for as many keys as there is room for, in a sketch for the rest.
+//! What one limit has counted, by key: exactly for a bounded number of keys, in a sketch for the rest.
 
-use crate::sketch::{Cells, CountMinSketch, Usage};
+use super::sketch::{Cells, CountMinSketch, Usage};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::Duration;
@@ -16,29 +16,46 @@
     pub(super) client: Option<IpAddr>,
 }
 
-/// Where the counts of a key stand.
+/// Where a key is counted.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Slot {
+    /// At this index, by itself.
     Exact(u32),
+    /// In these cells of the sketch, with other keys.
     Shared(Cells),
 }
 
+/// A key that is counted exactly.
+#[derive(Debug)]
+struct ExactEntry {
+    key: LimitKey,
+    usage: Usage,
+}
+
 /// The state of a limit.
 #[derive(Debug, Default)]
 pub(super) struct LimitState {
+    /// Tells it from the states of other limits, also over changes of the plan.
     pub(super) number: u64,
-    slots: HashMap<LimitKey, u32>,
-    pub(super) usage: Vec<(LimitKey, Usage)>,
+    /// The index of each key's entry.
+    indices: HashMap<LimitKey, u32>,
+    entries: Vec<ExactEntry>,
+    /// The entry that was last looked at for one to evict, as by a clock algorithm.
     eviction_hand: usize,
-    pub(super) sketch: Option<CountMinSketch>,
-    /// Usual seconds in flight.
-    pub(super) mean_hold_seconds: f64,
+    sketch: Option<CountMinSketch>,
+    /// How long queries were in flight, as an exponentially weighted mean in seconds.
+    pub(super) mean_seconds_in_flight: f64,
 }
 
 impl LimitState {
+    /// The number of keys that are counted exactly.
+    pub(super) fn exact_keys(&self) -> usize {
+        self.entries.len()
+    }
+
     pub(super) fn usage_of_key(&self, key: &LimitKey) -> Usage {
-        match (self.slots.get(key), &self.sketch) {
-            (Some(at), _) => self.usage[*at as usize].1,
+        match (self.indices.get(key), &self.sketch) {
+            (Some(index), _) => self.entries[*index as usize].usage,
             (None, Some(sketch)) => sketch.usage(&sketch.cells(key)),
             (None, None) => Usage::default(),
         }
@@ -46,51 +63,84 @@
 
     pub(super) fn usage_of_slot(&self, slot: &Slot) -> Usage {
         match (slot, &self.sketch) {
-            (Slot::Exact(at), _) => self.usage[*at as usize].1,
+            (Slot::Exact(index), _) => self.entries[*index as usize].usage,
             (Slot::Shared(cells), Some(sketch)) => sketch.usage(cells),
             (Slot::Shared(_), None) => Usage::default(),
         }
     }
 
-    /// A place for a key: its own, a new one, that of an idle key, or cells that it shares.
+    /// The slot of a key: its own, a new one, that of an idle key, or cells that it shares.
     pub(super) fn slot_for(&mut self, now: Duration, key: LimitKey, max_exact_keys: usize) -> Slot {
-        if let Some(at) = self.slots.get(&key) {
-            return Slot::Exact(*at);
+        if let Some(index) = self.indices.get(&key) {
+            return Slot::Exact(*index);
         }
-        // What the sketch holds of it must not be forgotten.
+        // What the sketch has counted of it must not be forgotten.
         if let Some(sketch) = &self.sketch {
             let cells = sketch.cells(&key);
             if !sketch.usage(&cells).is_idle(now) {
                 return Slot::Shared(cells);
             }
         }
-        if self.usage.len() < max_exact_keys {
-            self.usage.push((key, Usage::default()));
-            self.slots.insert(key, self.usage.len() as u32 - 1);
-            return Slot::Exact(self.usage.len() as u32 - 1);
+        if self.entries.len() < max_exact_keys {
+            return self.add_entry(key);
         }
-        for _ in 0..EVICTION_PROBES.min(self.usage.len()) {
-            self.eviction_hand = (self.eviction_hand + 1) % self.usage.len();
-            let (old, load) = self.usage[self.eviction_hand];
-            if load.is_idle(now) {
-                self.slots.remove(&old);
-                self.usage[self.eviction_hand] = (key, Usage::default());
-                self.slots.insert(key, self.eviction_hand as u32);
-                return Slot::Exact(self.eviction_hand as u32);
+        if let Some(slot) = self.replace_idle_entry(now, key) {
+            return slot;
+        }
+        let sketch = self.sketch.get_or_insert_with(CountMinSketch::new);
+        Slot::Shared(sketch.cells(&key))
+    }
+
+    fn add_entry(&mut self, key: LimitKey) -> Slot {
+        let index = self.entries.len() as u32;
+        self.entries.push(ExactEntry {
+            key,
+            usage: Usage::default(),
+        });
+        self.indices.insert(key, index);
+        Slot::Exact(index)
+    }
+
+    /// Gives the key the entry of an idle one, if one is found soon.
+    fn replace_idle_entry(&mut self, now: Duration, key: LimitKey) -> Option<Slot> {
+        for _ in 0..EVICTION_PROBES.min(self.entries.len()) {
+            self.eviction_hand = (self.eviction_hand + 1) % self.entries.len();
+            let entry = &mut self.entries[self.eviction_hand];
+            if entry.usage.is_idle(now) {
+                self.indices.remove(&entry.key);
+                *entry = ExactEntry {
+                    key,
+                    usage: Usage::default(),
+                };
+                let index = self.eviction_hand as u32;
+                self.indices.insert(key, index);
+                return Some(Slot::Exact(index));
             }
         }
-        Slot::Shared(
-            self.sketch
-                .get_or_insert_with(CountMinSketch::new)
-                .cells(&key),
-        )
+        None
+    }
+
+    /// Counts one more query in flight, and sets the theoretical arrival times.
+    pub(super) fn add(&mut self, slot: &Slot, queries_due: Duration, bytes_due: Duration) {
+        match (slot, &mut self.sketch) {
+            (Slot::Exact(index), _) => {
+                let usage = &mut self.entries[*index as usize].usage;
+                *usage = Usage {
+                    in_flight: usage.in_flight + 1,
+                    queries_due,
+                    bytes_due,
+                };
+            }
+            (Slot::Shared(cells), Some(sketch)) => sketch.add(cells, queries_due, bytes_due),
+            (Slot::Shared(_), None) => {}
+        }
     }
 
     pub(super) fn release(&mut self, slot: Slot) {
         match (slot, &mut self.sketch) {
-            (Slot::Exact(at), _) => {
-                let load = &mut self.usage[at as usize].1;
-                load.in_flight = load.in_flight.saturating_sub(1);
+            (Slot::Exact(index), _) => {
+                let usage = &mut self.entries[index as usize].usage;
+                usage.in_flight = usage.in_flight.saturating_sub(1);
             }
             (Slot::Shared(cells), Some(sketch)) => sketch.release(&cells),
             (Slot::Shared(_), None) => {}
