--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -1,83 +1,35 @@
-//! One body in flight: its writer pushes bytes, which are stored as the capacity decides, while a reader follows.
-//! Bytes that are not stored pass through a window, so that a slow reader holds the writer back.
-
-mod eviction;
-mod piece;
-mod writer;
-
-pub use writer::PushError;
-
-pub(crate) use piece::{Piece, PieceData};
+//! One body in flight: what of it is stored, and where. Its writer and its reader are in modules of their own.
 
 use crate::capacity::{BodyId, Capacity, Storage, Usage};
-use crate::lock;
-use crate::reader::{ReadError, Reader};
+use crate::content::{Content, ReceiveState};
+use crate::mutex::lock;
+use crate::piece::PieceData;
+use crate::registry::Registry;
+use crate::resources::Resources;
 use crate::spool::Spool;
-use crate::store::Store;
-use bytes::BytesMut;
-use std::collections::VecDeque;
+use bytes::Bytes;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
+use tokio::task::spawn_blocking;
 
-/// Whether a body is still arriving.
+/// Until when the bytes of a body are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReceiveState {
-    /// More bytes may arrive.
-    Receiving,
-    /// All of it has arrived.
-    Complete,
-    /// Its writer stopped before its end.
-    Truncated,
-}
-
-/// What the writer and the reader of a body share.
-pub(crate) struct Content {
-    /// The pieces in order, without a gap between them.
-    pub(crate) pieces: VecDeque<Piece>,
-    /// Bytes that can be read or have been.
-    pub(crate) readable_bytes: u64,
-    /// Bytes that the present reader has read.
-    pub(crate) read_bytes: u64,
-    /// The number of the last piece written to the spool file.
-    last_piece_number: u32,
-    pub(crate) state: ReceiveState,
-    /// No piece was discarded yet, so it can be read from its start.
-    has_start: bool,
-    /// Bytes received that are too few for a piece.
-    pending: BytesMut,
-}
-
-impl Content {
-    fn new() -> Self {
-        Content {
-            pieces: VecDeque::new(),
-            readable_bytes: 0,
-            read_bytes: 0,
-            last_piece_number: 0,
-            state: ReceiveState::Receiving,
-            has_start: true,
-            pending: BytesMut::new(),
-        }
-    }
-
-    /// Removes the next piece that was read completely.
-    fn pop_read_piece(&mut self) -> Option<Arc<PieceData>> {
-        let first = self.pieces.front()?;
-        if first.end() > self.read_bytes {
-            return None;
-        }
-        self.has_start = false;
-        self.pieces.pop_front().map(|piece| piece.data)
-    }
+pub enum Retention {
+    /// Until its query ends, so that a retry can read them again.
+    UntilQueryEnds,
+    /// Until a reader has read some of them: the body of a non-idempotent query must not be sent twice.
+    UntilRead,
 }
 
 /// One body in flight. Its reservation is released when it is dropped.
 pub struct Body {
-    pub(crate) store: Arc<Store>,
+    pub(crate) resources: Arc<Resources>,
+    /// Where eviction finds the bodies; this one removes itself when it is dropped.
+    pub(crate) registry: Arc<Registry<Body>>,
     pub(crate) id: BodyId,
-    class: usize,
-    length: Option<u64>,
-    pub(crate) non_idempotent: bool,
+    pub(crate) class: usize,
+    pub(crate) length: Option<u64>,
+    pub(crate) retention: Retention,
     content: Mutex<Content>,
     /// Notified when bytes arrive, are read, or the state changes.
     pub(crate) changed: Notify,
@@ -85,18 +37,20 @@
 
 impl Body {
     pub(crate) fn new(
-        store: Arc<Store>,
+        resources: Arc<Resources>,
+        registry: Arc<Registry<Body>>,
         id: BodyId,
         class: usize,
         length: Option<u64>,
-        non_idempotent: bool,
+        retention: Retention,
     ) -> Self {
         Body {
-            store,
+            resources,
+            registry,
             id,
             class,
             length,
-            non_idempotent,
+            retention,
             content: Mutex::new(Content::new()),
             changed: Notify::new(),
         }
@@ -106,12 +60,12 @@
         lock(&self.content)
     }
 
-    fn capacity(&self) -> MutexGuard<'_, Capacity> {
-        lock(&self.store.capacity)
+    pub(crate) fn capacity(&self) -> MutexGuard<'_, Capacity> {
+        lock(&self.resources.capacity)
     }
 
     fn spool(&self) -> Option<&Spool> {
-        self.store.spool.as_deref()
+        self.resources.spool.as_deref()
     }
 
     /// The length that was announced, in bytes; none where it is unknown.
@@ -144,35 +98,6 @@
         self.content().state == ReceiveState::Complete
     }
 
-    /// Opens a reader at its start. `is_retry` is set for attempts after the first, which are counted.
-    ///
-    /// # Errors
-    ///
-    /// [`ReadError::Discarded`] where its start is not stored any more.
-    pub fn reader(self: &Arc<Self>, is_retry: bool) -> Result<Reader, ReadError> {
-        if !self.rewind() {
-            self.store.count(self.class, Storage::NotStored, |counts| {
-                counts.missing += 1;
-            });
-            return Err(ReadError::Discarded);
-        }
-        if is_retry {
-            self.store.count(self.class, self.storage(), |counts| {
-                counts.retry_reads += 1;
-            });
-        }
-        Ok(Reader::new(self.clone()))
-    }
-
-    /// Lets the next reader begin at the start; false where that was discarded.
-    fn rewind(&self) -> bool {
-        let mut content = self.content();
-        if content.has_start {
-            content.read_bytes = 0;
-        }
-        content.has_start
-    }
-
     /// Stops storing it, and discards what was read and what will be.
     pub fn discard(&self) {
         self.stop_storing();
@@ -196,6 +121,27 @@
             self.capacity().release_read(self.id, released);
         }
     }
+
+    /// Writes a piece to the spool file, on a thread for blocking work; none where that fails.
+    pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
+        let number = self.next_piece_number();
+        let length = piece.len();
+        let body = self.id.0;
+        let spool = spool.clone();
+        let written = spawn_blocking(move || spool.write(body, number, &piece)).await;
+        let slot = written.ok()?.ok()?;
+        Some(PieceData::File {
+            slot,
+            number,
+            length,
+        })
+    }
+
+    fn next_piece_number(&self) -> u32 {
+        let mut content = self.content();
+        content.last_piece_number += 1;
+        content.last_piece_number
+    }
 }
 
 impl Drop for Body {
@@ -205,9 +151,10 @@
             .get_mut()
             .unwrap_or_else(PoisonError::into_inner);
         for piece in content.pieces.drain(..) {
-            PieceData::free(piece.data, self.store.spool.as_deref());
+            PieceData::free(piece.data, self.resources.spool.as_deref());
         }
-        self.store.remove(self.id);
+        self.registry.remove(self.id);
+        lock(&self.resources.capacity).remove(self.id);
     }
 }
 
--- a/crates/bodies/src/capacity/eviction.rs
+++ b/crates/bodies/src/capacity/eviction.rs
@@ -1,7 +1,7 @@
 //! Chooses the bodies that are evicted from memory to the spool file.
 
 use super::reservation::Reservation;
-use super::{BodyId, Capacity, EvictionPolicy, Storage, Usage};
+use super::{BodyId, Capacity, EvictionOutcome, EvictionPolicy, Storage, Usage};
 use std::cmp::Reverse;
 
 /// The part of the memory budget at which eviction starts, and the part at which it stops.
@@ -10,13 +10,13 @@
 
 impl Capacity {
     /// Chooses the next body to evict and reserves space for it in the spool file; none while memory is not short.
-    /// Tenants that use more than an even part of the used memory are evicted first.
+    /// Tenants that use more than a fair share of the used memory are evicted first.
     pub fn start_eviction(&mut self) -> Option<BodyId> {
         if self.policy == EvictionPolicy::Never || self.limits.file_bytes == 0 {
             return None;
         }
-        self.evicting = self.is_memory_short();
-        if !self.evicting {
+        self.memory_pressure = self.is_memory_short();
+        if !self.memory_pressure {
             return None;
         }
         let id = self.eviction_candidate()?;
@@ -28,9 +28,9 @@
         Some(id)
     }
 
-    /// Ends the eviction of a body. Where all of it was `written` to the spool file its memory is released, otherwise
-    /// its space in the file, and it stays in memory.
-    pub fn finish_eviction(&mut self, id: BodyId, written: bool) {
+    /// Ends the eviction of a body. Where all of it is in the spool file its memory is released, otherwise its space in
+    /// the file.
+    pub fn finish_eviction(&mut self, id: BodyId, outcome: EvictionOutcome) {
         let Some(reservation) = self.reservations.get_mut(&id) else {
             return;
         };
@@ -39,7 +39,7 @@
         }
         reservation.evicting = false;
         let memory_bytes = reservation.usage.memory_bytes;
-        if !written {
+        if outcome == EvictionOutcome::Failed {
             self.release(id, Usage::stored(Storage::File, memory_bytes));
             return;
         }
@@ -57,7 +57,7 @@
             .filter(|reservation| reservation.evicting)
             .map(|reservation| reservation.usage.memory_bytes)
             .sum();
-        let fraction = if self.evicting {
+        let fraction = if self.memory_pressure {
             EVICTION_STOP_FRACTION
         } else {
             EVICTION_START_FRACTION
@@ -67,21 +67,21 @@
     }
 
     fn eviction_candidate(&self) -> Option<BodyId> {
-        let even_part = self.total.memory_bytes / self.by_tenant.len().max(1) as u64;
+        let fair_share_bytes = self.total.memory_bytes / self.by_tenant.len().max(1) as u64;
         let candidates = self
             .reservations
             .iter()
             .filter(|(_, reservation)| self.can_evict(reservation));
         let priority = |(id, reservation): &(&BodyId, &Reservation)| {
-            let over_even_part = self
+            let over_fair_share = self
                 .by_tenant
                 .get(&reservation.tenant)
-                .is_some_and(|usage| usage.memory_bytes >= even_part);
+                .is_some_and(|usage| usage.memory_bytes >= fair_share_bytes);
             let size = match self.policy {
                 EvictionPolicy::Largest => reservation.usage.memory_bytes,
                 EvictionPolicy::Oldest | EvictionPolicy::Never => 0,
             };
-            (over_even_part, size, Reverse(**id))
+            (over_fair_share, size, Reverse(**id))
         };
         candidates.max_by_key(priority).map(|(id, _)| *id)
     }
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -1,60 +1,11 @@
 //! Holds the whole list of engines once, for all subsets that choose from it.
 
-use crate::holders::{HoldersCache, HoldersTable, HoldersTerms};
+use crate::engine::{Change, EngineFacts, EngineKey, ListedEngine, ListedState};
+use crate::holders::{HoldersCache, HoldersParameters, HoldersTable};
 use crate::ready::ReadyEngines;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// An engine of a catalog. A key is never used again for another engine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EngineKey(pub u64);
-
-/// Whether an engine takes new work.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedState {
-    /// It takes new work.
-    Ready,
-    /// It takes no new work, and finishes what it has.
-    Draining,
-    /// It is not in the list any more.
-    Removed,
-}
-
-/// What the choice of subsets depends on.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EngineFacts {
-    /// The number of its zone.
-    pub zone: u32,
-    /// The number of its kind.
-    pub kind: u32,
-    /// The number of its cell in its zone.
-    pub cell: u32,
-    /// Processor cores, more than 0. Gateways are taken to be spread over zones as cores are.
-    pub cores: f64,
-    /// Whether it takes new work.
-    pub state: ListedState,
-}
-
-/// An engine as the list has it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ListedEngine {
-    /// Its id in the list.
-    pub id: String,
-    /// What the choice depends on.
-    pub facts: EngineFacts,
-}
-
-/// A change of the catalog.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
-    /// The engine that changed.
-    pub engine: EngineKey,
-    /// None for an engine that was not in the catalog.
-    pub before: Option<EngineFacts>,
-    /// None for an engine that is not in the catalog any more.
-    pub after: Option<EngineFacts>,
-}
-
 /// An engine of the catalog.
 #[derive(Clone, Debug)]
 struct Entry {
@@ -75,17 +26,14 @@
 }
 
 impl Catalog {
-    /// Takes in the whole list, or only the engines that have changed, and returns what that changed. Removed engines, and
-    /// those that a whole list does not name, leave the catalog.
-    pub fn apply(&mut self, engines: &[ListedEngine], whole: bool) -> Vec<Change> {
-        let mut changes = Vec::new();
-        if whole {
-            let named: HashSet<&str> = engines.iter().map(|listed| listed.id.as_str()).collect();
-            let unnamed =
-                |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
-            let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
-            changes.extend(unnamed.into_iter().filter_map(|key| self.remove(key)));
-        }
+    /// Applies the full list, or only the engines that have changed, and returns what that changed. Removed engines, and
+    /// those that a full list does not name, leave the catalog.
+    pub fn apply(&mut self, engines: &[ListedEngine], is_full_list: bool) -> Vec<Change> {
+        let mut changes = if is_full_list {
+            self.remove_unnamed(engines)
+        } else {
+            Vec::new()
+        };
         changes.extend(
             engines
                 .iter()
@@ -94,14 +42,29 @@
         changes
     }
 
+    /// Removes the engines that a full list does not name.
+    fn remove_unnamed(&mut self, engines: &[ListedEngine]) -> Vec<Change> {
+        let named: HashSet<&str> = engines
+            .iter()
+            .map(|listed| listed.engine_id.as_str())
+            .collect();
+        let unnamed =
+            |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
+        let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
+        unnamed
+            .into_iter()
+            .filter_map(|key| self.remove(key))
+            .collect()
+    }
+
     fn apply_engine(&mut self, listed: &ListedEngine) -> Option<Change> {
-        let known = self.by_id.get(listed.id.as_str()).copied();
+        let known = self.by_id.get(listed.engine_id.as_str()).copied();
         if listed.facts.state == ListedState::Removed {
             return known.and_then(|key| self.remove(key));
         }
-        let engine = known.unwrap_or_else(|| self.assign_key(&listed.id));
+        let engine = known.unwrap_or_else(|| self.assign_key(&listed.engine_id));
         let entry = Entry {
-            id: listed.id.as_str().into(),
+            id: listed.engine_id.as_str().into(),
             facts: listed.facts,
         };
         let before = self.entries.insert(engine, entry).map(|entry| entry.facts);
@@ -185,10 +148,11 @@
         &self.ready
     }
 
-    /// How many gateways hold each engine on these terms. Subsets on the same terms share one table, which is worked
+    /// How many gateways hold each engine with these parameters. Subsets with the same parameters share one table, which is worked
     /// out again when a small fraction of the list has changed.
-    pub(crate) fn holders(&self, terms: &HoldersTerms) -> Arc<HoldersTable> {
-        self.holders.table(terms, &self.ready, self.change_count)
+    pub(crate) fn holders(&self, parameters: &HoldersParameters) -> Arc<HoldersTable> {
+        self.holders
+            .table(parameters, &self.ready, self.change_count)
     }
 }
 
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a subset, and their validation.
 
-use crate::EngineFacts;
+use crate::engine::EngineFacts;
 use thiserror::Error;
 
 /// The most placement classes; each costs a gateway memory and a comparison for each changed engine.
@@ -15,7 +15,7 @@
 /// The size over the usual reserve: a lost zone of four can be replaced.
 const DEFAULT_SIZE_PER_RESERVE: usize = 4;
 
-/// The usual pace of newcomers: a subset of 80 is all new in 80 s, longer than the slow start of an engine.
+/// The usual pace at which engines join: a subset of 80 is all new in 80 s, longer than the slow start of an engine.
 const DEFAULT_JOINS_PER_SECOND: f64 = 1.0;
 
 /// The usual near weight: no engine is preferred.
@@ -68,7 +68,7 @@
     pub class_floor: usize,
     /// The most engines that are added while members fail.
     pub reserve: usize,
-    /// Newcomers per second, while the subset is above its floor.
+    /// Engines that join per second, while the subset is above its floor.
     pub joins_per_second: f64,
     /// The gateway's own zone, if it is configured; its engines are preferred.
     pub zone: Option<u32>,
@@ -118,47 +118,46 @@
                 found: self.classes.len(),
             });
         }
-        self.validate_numbers()
+        self.validate_joins_per_second()?;
+        self.validate_near_weight()?;
+        self.validate_gateways()
     }
 
-    fn validate_numbers(&self) -> Result<(), SubsetError> {
-        let out_of_range = |place, found, expected, remedy| {
-            Err(SubsetError::OutOfRange {
-                place,
-                found,
-                expected,
-                remedy,
-            })
-        };
-        if !(self.joins_per_second.is_finite() && self.joins_per_second > 0.0) {
-            let remedy = "name how many engines may be added a second, such as 2";
-            return out_of_range(
-                "subset.joins_per_second",
-                self.joins_per_second,
-                "a number over 0",
-                remedy,
-            );
+    fn validate_joins_per_second(&self) -> Result<(), SubsetError> {
+        if self.joins_per_second.is_finite() && self.joins_per_second > 0.0 {
+            return Ok(());
         }
-        if !(1.0..=MAX_NEAR_WEIGHT).contains(&self.near_weight) {
-            let remedy =
-                "name 1 for no preference, or how many times more often a near engine is chosen";
-            return out_of_range(
-                "subset.near_weight",
-                self.near_weight,
-                "a number from 1 to 1000000",
-                remedy,
-            );
+        Err(SubsetError::OutOfRange {
+            place: "subset.joins_per_second",
+            found: self.joins_per_second,
+            expected: "a number over 0",
+            remedy: "name how many engines may be added a second, such as 2",
+        })
+    }
+
+    fn validate_near_weight(&self) -> Result<(), SubsetError> {
+        if (1.0..=MAX_NEAR_WEIGHT).contains(&self.near_weight) {
+            return Ok(());
         }
-        if !(self.gateways.is_finite() && self.gateways >= 1.0) {
-            let remedy = "tell the number of gateways before these engines, this one included";
-            return out_of_range(
-                "subset.gateways",
-                self.gateways,
-                "a number of 1 or more",
-                remedy,
-            );
+        Err(SubsetError::OutOfRange {
+            place: "subset.near_weight",
+            found: self.near_weight,
+            expected: "a number from 1 to 1000000",
+            remedy:
+                "name 1 for no preference, or how many times more often a near engine is chosen",
+        })
+    }
+
+    fn validate_gateways(&self) -> Result<(), SubsetError> {
+        if self.gateways.is_finite() && self.gateways >= 1.0 {
+            return Ok(());
         }
-        Ok(())
+        Err(SubsetError::OutOfRange {
+            place: "subset.gateways",
+            found: self.gateways,
+            expected: "a number of 1 or more",
+            remedy: "tell the number of gateways before these engines, this one included",
+        })
     }
 }
 
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -1,12 +1,12 @@
 //! Decides how many engines a gateway holds.
 
-use crate::SubsetSettings;
+use crate::settings::SubsetSettings;
 
 /// The least number of gateways that hold an engine on average. The probability that none holds it is then `exp(-24)`, and
 /// the engines of one gateway carry 24 times a gateway's mean traffic.
 pub const MIN_HOLDERS: f64 = 24.0;
 
-/// The subset's floor as a fraction of its size: below it newcomers join at once.
+/// The subset's floor as a fraction of its size: below it engines join at once, untried.
 const FLOOR_FRACTION: f64 = 0.5;
 
 /// Why a subset has its size.
