--- a/crates/scale/tests/beside.rs
+++ b/crates/scale/tests/beside.rs
@@ -4,6 +4,7 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::OnceLock;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -50,9 +51,14 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/beside-small.toml")
 }
 
+/// Writes an experiment into a file of its own: tests run at the same time, two of them with the same fault.
 fn experiment(name: &str, text: &str) -> PathBuf {
-    let file = Path::new(env!("CARGO_TARGET_TMPDIR"))
-        .join(format!("beside-{name}-{}.toml", std::process::id()));
+    static WRITTEN: AtomicUsize = AtomicUsize::new(0);
+    let number = WRITTEN.fetch_add(1, Ordering::Relaxed);
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
+        "beside-{name}-{}-{number}.toml",
+        std::process::id()
+    ));
     std::fs::write(&file, text).unwrap();
     file
 }
