--- a/crates/scale/src/real_processes/engines.rs
+++ b/crates/scale/src/real_processes/engines.rs
@@ -3,6 +3,7 @@
 
 use super::endpoint_list::{self, EngineId};
 use super::observations::{self, Attempt, Recorder};
+use super::uneven_engines::UnevenEngines;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
@@ -32,8 +33,6 @@
 /// A core runs one query; an engine has so many.
 const CORES: f64 = 8.0;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Injected fault: one in so many engines accepts work.
-const DECLINING_INTERVAL: usize = 8;
 
 /// Whether an engine's process and machine run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,7 +78,8 @@
     connections: Vec<AtomicUsize>,
     /// Connections made since the start, by gateway.
     connections_made: Vec<AtomicUsize>,
-    uneven: bool,
+    /// Injected fault.
+    uneven: Option<UnevenEngines>,
     pub ports: Vec<u16>,
 }
 
@@ -107,7 +107,7 @@
             recorder,
             connections: (0..gateways).map(|_| AtomicUsize::new(0)).collect(),
             connections_made: (0..gateways).map(|_| AtomicUsize::new(0)).collect(),
-            uneven,
+            uneven: uneven.then(UnevenEngines::default),
             ports: ports.collect::<std::io::Result<_>>()?,
         });
         for (gateway, listener) in listeners.into_iter().enumerate() {
@@ -252,7 +252,10 @@
         let (Ok(query), Some(work)) = (u64::from_str_radix(id, 16), work_of(statement)) else {
             return answer(StatusCode::BAD_REQUEST);
         };
-        let declined = self.uneven && !slot.is_multiple_of(DECLINING_INTERVAL);
+        let declined = self
+            .uneven
+            .as_ref()
+            .is_some_and(|uneven| !uneven.accepts(slot, gateway));
         self.record(slot, gateway, query, id, work, declined);
         if declined {
             let mut response = answer(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/scale/src/real_processes/experiment.rs
+++ b/crates/scale/src/real_processes/experiment.rs
@@ -172,7 +172,7 @@
     DrainWithheld,
     /// Clients do not send the key.
     KeyWithheld,
-    /// Most engines decline.
+    /// A few engines accept the attempts of one gateway; all other attempts are declined.
     UnevenEngines,
     /// The log publishes changes late.
     SlowLog,
--- a/crates/scale/src/real_processes/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -19,6 +19,7 @@
 mod report;
 mod script;
 mod sweeps;
+mod uneven_engines;
 mod watchers;
 
 use crate::{Run, Verdict};
