--- a/crates/scale/src/real_processes/engines.rs
+++ b/crates/scale/src/real_processes/engines.rs
@@ -1,10 +1,15 @@
 //! Hollow engines: their work is a timer. One listener for each gateway answers for all engines' addresses, so that the port
 //! identifies the gateway and the local address the engine.
 
+mod health;
+
+pub use health::Health;
+
 use super::endpoint_list::{self, EngineId};
 use super::observations::{self, Attempt, Recorder};
 use super::uneven_engines::UnevenEngines;
 use bytes::Bytes;
+use health::drive_while_up;
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -13,7 +18,6 @@
 use hyper_util::rt::TokioIo;
 use std::collections::HashMap;
 use std::convert::Infallible;
-use std::future::Future;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -34,16 +38,6 @@
 const CORES: f64 = 8.0;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Whether an engine's process and machine run.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
-    Up,
-    /// The process has ended: connections end.
-    Down,
-    /// The machine is cut off: nothing is answered.
-    Silent,
-}
-
 struct Running {
     /// Its index among the observed attempts.
     attempt: usize,
@@ -365,25 +359,6 @@
     }
 }
 
-/// Drives a connection until it ends or its engine's process does; it rests while the engine is silent.
-async fn drive_while_up(connection: impl Future, mut health: watch::Receiver<Health>) {
-    let mut connection = std::pin::pin!(connection);
-    loop {
-        let now = *health.borrow_and_update();
-        let ended = match now {
-            Health::Down => return,
-            Health::Silent => health.changed().await.is_err(),
-            Health::Up => tokio::select! {
-                _ = &mut connection => true,
-                changed = health.changed() => changed.is_err(),
-            },
-        };
-        if ended {
-            return;
-        }
-    }
-}
-
 fn answer(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
