--- a/crates/scale/src/slopes/chart.rs
+++ b/crates/scale/src/slopes/chart.rs
@@ -1,7 +1,7 @@
 //! A chart of one metric: all sizes on logarithmic axes, so that a straight line of slope 1 is linear growth.
 
+use super::quantities::Quantity;
 use super::report::Series;
-use super::settings::Quantity;
 use plotters::prelude::*;
 use std::error::Error;
 use std::ops::Range;
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/configuration.rs
@@ -1,7 +1,9 @@
 //! The role of a configuration that is read and checked, as at a start and at a reload.
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
+use super::measurement::{Measured, Point};
+use super::metric::Metric;
 use super::pool::{kind_name, log_event, whole_list, zone_name, KIND_CORES, ZONES};
+use super::role::{Role, RoleError};
 use super::stopwatch::{growth, timed};
 use garnetwall_gateway::configuration::{self, Files};
 use serde_json::json;
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -1,6 +1,8 @@
 //! The role of a lease grantor: members renew what they have.
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
+use super::measurement::{Measured, Point};
+use super::metric::Metric;
+use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated};
 use garnetwall_fleet::{Claim, Epoch, Grantor, LeaseRequest, Member, Resource, Terms};
 use std::time::Duration;
--- a/crates/scale/src/slopes/ledger.rs
+++ b/crates/scale/src/slopes/ledger.rs
@@ -1,6 +1,8 @@
 //! The role of the ledger of open attempts.
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
+use super::measurement::{Measured, Point};
+use super::metric::Metric;
+use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated};
 use garnetwall_ledger::{AttemptId, Bounds, Evidence, Ledger};
 use std::hint::black_box;
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -1,8 +1,10 @@
 //! The role of the list of engines in a gateway: decode and apply.
 
 use super::gateway_list::GatewayList;
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
+use super::measurement::{Measured, Point};
+use super::metric::Metric;
 use super::pool;
+use super::role::{Role, RoleError};
 use super::stopwatch::{each, growth, repeated, timed};
 
 /// Repeated whole lists, and changed entries, in one run.
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -1,6 +1,8 @@
 //! The role of membership: all members in one process, in simulated time, over a network that may lose messages.
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
+use super::measurement::{Measured, Point};
+use super::metric::Metric;
+use super::role::{Role, RoleError};
 use super::stopwatch::{growth, timed};
 use garnetwall_fleet::members::{Members, Peer};
 use garnetwall_fleet::wire::{Message, Wire};
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -9,10 +9,14 @@
 mod list;
 mod measurement;
 mod membership;
+mod metric;
 mod module;
 mod pool;
+mod quantities;
 mod regression;
 mod report;
+mod role;
+mod role_name;
 mod runner;
 mod settings;
 mod stopwatch;
@@ -21,11 +25,14 @@
 use crate::results::Results;
 use crate::{Run, Verdict};
 use indicatif::{ProgressBar, ProgressStyle};
-use measurement::{Measured, Metric, Point, Role};
+use measurement::{Measured, Point};
+use metric::Metric;
 use regression::{Regression, Sample};
 use report::{number, Prediction, Series, ValueRow};
+use role::Role;
+use role_name::RoleName;
 use runner::Runner;
-use settings::{Experiment, Limit, RoleName};
+use settings::{Experiment, Limit};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -45,18 +52,6 @@
             RoleName::Leases => &leases::Leases,
         }
     }
-
-    fn label(self) -> &'static str {
-        match self {
-            RoleName::Module => "module",
-            RoleName::List => "list",
-            RoleName::Subset => "subset",
-            RoleName::Membership => "membership",
-            RoleName::Ledger => "ledger",
-            RoleName::Configuration => "configuration",
-            RoleName::Leases => "leases",
-        }
-    }
 }
 
 /// Measures the point on standard input, and writes the values to standard output.
--- a/crates/scale/src/slopes/module/mod.rs
+++ b/crates/scale/src/slopes/module/mod.rs
@@ -4,7 +4,9 @@
 mod simulation;
 mod workload;
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
+use super::measurement::{Measured, Point};
+use super::metric::Metric;
+use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated, timed};
 use engines::ListedEngines;
 use simulation::Simulation;
--- a/crates/scale/src/slopes/module/simulation.rs
+++ b/crates/scale/src/slopes/module/simulation.rs
@@ -3,8 +3,9 @@
 
 use super::engines::ListedEngines;
 use super::workload::{query, THREADS};
-use crate::slopes::measurement::{Point, RoleError};
-use crate::slopes::settings::Fixed;
+use crate::slopes::measurement::Point;
+use crate::slopes::quantities::Fixed;
+use crate::slopes::role::RoleError;
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, EngineId, LoadReport, NextAction, Placement, QueryId, Settings,
 };
--- a/crates/scale/src/slopes/module/workload.rs
+++ b/crates/scale/src/slopes/module/workload.rs
@@ -1,7 +1,7 @@
 //! The module's workload: query classes, and random queries.
 
 use crate::slopes::pool::KIND_CORES;
-use crate::slopes::settings::Fixed;
+use crate::slopes::quantities::Fixed;
 use garnetwall::api::{
     Idempotency, LoadReporting, Query, QueryClass, QueryId, Settings, SlowStart,
 };
--- a/crates/scale/src/slopes/report.rs
+++ b/crates/scale/src/slopes/report.rs
@@ -1,8 +1,8 @@
 //! What is printed: tables in Markdown, as the pages quote them.
 
-use super::measurement::Metric;
+use super::metric::Metric;
+use super::quantities::Quantity;
 use super::regression::{Regression, Sample};
-use super::settings::Quantity;
 use serde::Serialize;
 
 /// A metric over all sizes, with its fit and the check outside of the fitted range.
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/subset.rs
@@ -1,7 +1,9 @@
 //! The role of the catalog and the choice of a subset.
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
+use super::measurement::{Measured, Point};
+use super::metric::Metric;
 use super::pool;
+use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated, timed};
 use garnetwall_subset::{Action, Catalog, ListedEngine, ListedState, Subset};
 
