--- a/crates/scale/src/subset_comparison/chart.rs
+++ b/crates/scale/src/subset_comparison/chart.rs
@@ -1,7 +1,7 @@
 //! Charts of the spread against the size of the subset, one for each fleet.
 
 use super::report::{Figure, Row};
-use super::strategies::StrategyName;
+use super::strategy_name::StrategyName;
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 use std::error::Error;
--- a/crates/scale/src/subset_comparison/compare.rs
+++ b/crates/scale/src/subset_comparison/compare.rs
@@ -1,11 +1,13 @@
 //! Runs each strategy on each fleet with each size and seed, and gathers the figures.
 
 use super::experiment::{Experiment, Fleet};
-use super::injected_fault::Moment;
+use super::fault_injection::{inject, Moment};
 use super::measure::{self, Distribution, Required};
 use super::population::{even_traffic, uneven_traffic, Change, Population};
 use super::report::{Figure, Row};
-use super::strategies::{Assignment, Choices, Strategy, StrategyName};
+use super::strategies;
+use super::strategy::{Assignment, Choices, Strategy};
+use super::strategy_name::StrategyName;
 use indicatif::ProgressBar;
 use std::collections::BTreeMap;
 
@@ -141,14 +143,14 @@
     }
 
     fn choose(&self, name: StrategyName, size: usize) -> Choices {
-        let strategy = name.build(self.experiment);
+        let strategy = strategies::build(name, self.experiment);
         let mut choices = strategy.choose_sequentially(&self.population, &self.changed, size);
         self.inject_fault(name, &mut choices);
         choices
     }
 
     fn measure(&self, name: StrategyName, size: usize, choices: &Choices) -> Figures {
-        let strategy = name.build(self.experiment);
+        let strategy = strategies::build(name, self.experiment);
         let mut figures = Figures::new();
         let choice_time = choices.choice_time.as_secs_f64() * MICROSECONDS_PER_SECOND;
         figures.insert(
@@ -230,21 +232,21 @@
     }
 
     fn inject_fault(&self, strategy: StrategyName, choices: &mut Choices) {
-        let Some(injected_fault) = self
+        let Some(fault) = self
             .experiment
             .injected_fault
             .filter(|_| strategy == StrategyName::Subset)
         else {
             return;
         };
-        injected_fault.apply(Moment::First, &mut choices.before);
+        inject(fault, Moment::First, &mut choices.before);
         for (change, assignment) in Change::ALL.into_iter().zip(&mut choices.after) {
-            injected_fault.apply(Moment::After(change), assignment);
+            inject(fault, Moment::After(change), assignment);
         }
         choices
             .restored
             .iter_mut()
-            .for_each(|restored| injected_fault.apply(Moment::Restored, restored));
+            .for_each(|restored| inject(fault, Moment::Restored, restored));
     }
 }
 
--- a/crates/scale/src/subset_comparison/experiment.rs
+++ b/crates/scale/src/subset_comparison/experiment.rs
@@ -1,7 +1,7 @@
 //! An experiment's file: the fleets and the strategies to compare.
 
 use super::injected_fault::InjectedFault;
-use super::strategies::StrategyName;
+use super::strategy_name::StrategyName;
 use crate::experiment::{ExperimentError, Fault};
 use serde::Deserialize;
 use std::path::Path;
--- /dev/null
+++ b/crates/scale/src/subset_comparison/fault_injection.rs
@@ -0,0 +1,49 @@
+//! Injects faults between the strategies and the measures.
+
+use super::injected_fault::InjectedFault;
+use super::population::Change;
+use super::strategy::Assignment;
+use std::sync::Arc;
+
+/// When a choice was made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Moment {
+    First,
+    After(Change),
+    /// All that was lost is restored.
+    Restored,
+}
+
+/// Injects the fault into a choice.
+pub fn inject(fault: InjectedFault, moment: Moment, assignment: &mut Assignment) {
+    match (fault, moment) {
+        (InjectedFault::UnheldEngine, Moment::First) => {
+            assignment.held.iter_mut().for_each(drop_first_engine)
+        }
+        (
+            InjectedFault::NeedlessMoves,
+            Moment::After(Change::OneEngine | Change::Rack | Change::Zone),
+        ) => {
+            assignment.held.rotate_left(1);
+        }
+        (InjectedFault::MovesWithGateways, Moment::After(Change::Gateways)) => {
+            assignment.held.rotate_left(1)
+        }
+        (InjectedFault::NoReturn, Moment::Restored) => assignment.held.rotate_left(1),
+        (InjectedFault::OneMemberLacks, Moment::First) => {
+            let held = &mut assignment.held[0];
+            *held = held[..held.len() - 1].into();
+        }
+        (InjectedFault::HoldersUntold, Moment::First) => {
+            assignment
+                .holder_counts
+                .iter_mut()
+                .for_each(|counts| counts.fill(1.0));
+        }
+        _ => {}
+    }
+}
+
+fn drop_first_engine(held: &mut Arc<[u32]>) {
+    *held = held.iter().copied().filter(|engine| *engine != 0).collect();
+}
--- a/crates/scale/src/subset_comparison/judge.rs
+++ b/crates/scale/src/subset_comparison/judge.rs
@@ -2,7 +2,7 @@
 
 use super::population::Change;
 use super::report::{Figure, Row};
-use super::strategies::StrategyName;
+use super::strategy_name::StrategyName;
 
 /// Moves over those that no strategy could avoid, at most.
 const MAX_MOVE_RATIO: f64 = 1.05;
--- a/crates/scale/src/subset_comparison/measure.rs
+++ b/crates/scale/src/subset_comparison/measure.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use super::population::Population;
-use super::strategies::{Assignment, Classes};
+use super::strategy::{Assignment, Classes};
 use std::collections::HashMap;
 
 /// A distribution over engines.
--- a/crates/scale/src/subset_comparison/mod.rs
+++ b/crates/scale/src/subset_comparison/mod.rs
@@ -1,18 +1,21 @@
 //! The subcommand `spread`: strategies to choose subsets of engines, compared from outside.
 //!
-//! Each strategy is a [`strategies::Strategy`]. It gets the list that a gateway would get, and returns the engines that
+//! Each strategy is a [`strategy::Strategy`]. It gets the list that a gateway would get, and returns the engines that
 //! each gateway holds. The measures are computed here, the same for all strategies: work over engines, connections an engine
 //! holds, pairs that move on a change. Nothing here has feedback: a gateway splits its traffic over its subset by cores.
 
 mod chart;
 mod compare;
 mod experiment;
+mod fault_injection;
 mod injected_fault;
 mod judge;
 mod measure;
 mod population;
 mod report;
 mod strategies;
+mod strategy;
+mod strategy_name;
 
 use crate::results::Results;
 use crate::{Run, Verdict};
--- a/crates/scale/src/subset_comparison/report.rs
+++ b/crates/scale/src/subset_comparison/report.rs
@@ -1,7 +1,7 @@
 //! Figures as rows: a table for the terminal, and flat rows for files.
 
 use super::population::Change;
-use super::strategies::StrategyName;
+use super::strategy_name::StrategyName;
 use serde::Serialize;
 
 /// What was measured. Work is per core over the mean; moves are pairs of a gateway and an engine.
--- a/crates/scale/src/subset_comparison/strategies/index_rounds.rs
+++ b/crates/scale/src/subset_comparison/strategies/index_rounds.rs
@@ -1,7 +1,7 @@
 //! Deterministic subsets by index: gateways are numbered, and each round of numbers divides a shuffled list.
 
-use super::{Assignment, Strategy};
 use crate::subset_comparison::population::Population;
+use crate::subset_comparison::strategy::{Assignment, Strategy};
 use std::collections::HashMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/crates/scale/src/subset_comparison/strategies/rendezvous.rs
+++ b/crates/scale/src/subset_comparison/strategies/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing, in a plain form: all scores of a gateway are worked out, and the smallest are held.
 
-use super::{Assignment, Classes, Strategy};
 use crate::subset_comparison::population::{Engine, Gateway, Population};
+use crate::subset_comparison::strategy::{Assignment, Classes, Strategy};
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
--- a/crates/scale/src/subset_comparison/strategies/ring.rs
+++ b/crates/scale/src/subset_comparison/strategies/ring.rs
@@ -1,7 +1,7 @@
 //! A ring with virtual nodes: a gateway takes the next distinct engines after its own place.
 
-use super::{Assignment, Strategy};
 use crate::subset_comparison::population::{Engine, Population};
+use crate::subset_comparison::strategy::{Assignment, Strategy};
 use std::collections::HashSet;
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
--- a/crates/scale/src/subset_comparison/strategies/sampling.rs
+++ b/crates/scale/src/subset_comparison/strategies/sampling.rs
@@ -1,8 +1,8 @@
 //! Sampling: for each decision a few engines of the whole list are polled, and the least loaded gets the query.
 
-use super::{Assignment, Strategy};
 use crate::subset_comparison::experiment;
 use crate::subset_comparison::population::Population;
+use crate::subset_comparison::strategy::{Assignment, Strategy};
 use std::sync::Arc;
 
 /// Bytes of an alias table a engine: a threshold and the other engine.
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -1,8 +1,8 @@
 //! `garnetwall-subset` itself: given the list as a gateway gives it, and simulated until nothing changes any more.
 
-use super::{Assignment, Choices, Classes, Strategy};
 use crate::process::processor_time;
 use crate::subset_comparison::population::{Engine, Gateway, Population};
+use crate::subset_comparison::strategy::{Assignment, Choices, Classes, Strategy};
 use garnetwall_subset::{
     Action, Catalog, Change, EngineFacts, EngineKey, ListedEngine, ListedState, PlacementClass,
     RetryScope, Subset, SubsetSettings,
--- a/crates/scale/src/subset_comparison/strategies/whole_list.rs
+++ b/crates/scale/src/subset_comparison/strategies/whole_list.rs
@@ -1,7 +1,7 @@
 //! The whole list: what a gateway without subsets does.
 
-use super::{Assignment, Strategy};
 use crate::subset_comparison::population::Population;
+use crate::subset_comparison::strategy::{Assignment, Strategy};
 use std::sync::Arc;
 
 /// Every gateway holds every engine.
