--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 mod slots;
 mod time;
 
-use crate::{Run, Verdict};
+use crate::run::{Run, Verdict};
 use experiment::Experiment;
 use simulation::Simulation;
 use std::time::Instant;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -5,11 +5,12 @@
 mod process;
 mod real_processes;
 mod results;
+mod run;
 mod slopes;
 mod subset_comparison;
 
 use clap::{Parser, Subcommand};
-use std::path::PathBuf;
+use run::Run;
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
@@ -36,22 +37,6 @@
     Spread(Run),
 }
 
-/// One experiment, and where its results go.
-#[derive(clap::Args)]
-pub struct Run {
-    /// The experiment's file.
-    pub experiment: PathBuf,
-    /// Writes results here as JSON lines, and beside it as CSV and SVG.
-    #[arg(long)]
-    pub results: Option<PathBuf>,
-    /// Overrides the experiment's seed.
-    #[arg(long)]
-    pub seed: Option<u64>,
-}
-
-/// Whether everything that was judged passed.
-pub type Verdict = Result<bool, Box<dyn std::error::Error>>;
-
 fn main() -> ExitCode {
     let filter =
         EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("warn"));
--- a/crates/scale/src/real_processes/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -22,7 +22,7 @@
 mod uneven_engines;
 mod watchers;
 
-use crate::{Run, Verdict};
+use crate::run::{Run, Verdict};
 use change_log::{address_for_watchers, ChangeLog, LogFaults};
 use clients::Clients;
 use endpoint_list::EndpointList;
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -23,7 +23,7 @@
 mod subset;
 
 use crate::results::Results;
-use crate::{Run, Verdict};
+use crate::run::{Run, Verdict};
 use indicatif::{ProgressBar, ProgressStyle};
 use measurement::{Measured, Point};
 use metric::Metric;
--- a/crates/scale/src/subset_comparison/mod.rs
+++ b/crates/scale/src/subset_comparison/mod.rs
@@ -18,7 +18,7 @@
 mod strategy_name;
 
 use crate::results::Results;
-use crate::{Run, Verdict};
+use crate::run::{Run, Verdict};
 use experiment::Experiment;
 
 /// Runs one experiment: prints the table, writes the results, and judges the strategy in use.
