--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -1,8 +1,8 @@
 //! How long after its publication each gateway knows of an entry of the change log, and has it in force.
 
-use super::super::experiment::Experiment;
-use super::super::time::SimTime;
-use super::Finding;
+use super::finding::Finding;
+use crate::fleet::experiment::Experiment;
+use crate::fleet::time::SimTime;
 use hdrhistogram::Histogram;
 use std::rc::Rc;
 
--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -1,13 +1,13 @@
 //! Rule 4: what all gateways together send a cold engine keeps to its budget, and does not starve it.
 
-use super::super::change_log::EndpointUpdate;
-use super::super::cold_engine::{budget, limit_queries, ColdWindow, ColdWork};
-use super::super::engine::Site;
-use super::super::experiment::Experiment;
-use super::super::time::SimTime;
+use super::attempt::SeenAttempt;
 use super::endpoint_history::KnownEndpoint;
-use super::finding::quantile;
-use super::{Finding, SeenAttempt};
+use super::finding::{quantile, Finding};
+use crate::fleet::change_log::EndpointUpdate;
+use crate::fleet::cold_engine::{budget, limit_queries, ColdWindow, ColdWork};
+use crate::fleet::engine::Site;
+use crate::fleet::experiment::Experiment;
+use crate::fleet::time::SimTime;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -1,9 +1,8 @@
 //! How many gateways connect to each engine, and how long after a zone's loss gateways have full subsets again.
 
-use super::super::experiment::Experiment;
-use super::super::time::SimTime;
-use super::finding::quantile;
-use super::Finding;
+use super::finding::{quantile, Finding};
+use crate::fleet::experiment::Experiment;
+use crate::fleet::time::SimTime;
 use std::rc::Rc;
 
 const WORD: usize = u64::BITS as usize;
--- a/crates/scale/src/fleet/judge/endpoint_history.rs
+++ b/crates/scale/src/fleet/judge/endpoint_history.rs
@@ -1,7 +1,7 @@
 //! What each gateway knows of each engine: the published endpoint updates, and how far each gateway has read them.
 
-use super::super::change_log::EndpointUpdate;
-use super::super::time::SimTime;
+use crate::fleet::change_log::EndpointUpdate;
+use crate::fleet::time::SimTime;
 use garnetwall_subset::ListedState;
 
 /// The latest update on an engine that a gateway has read.
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -1,6 +1,7 @@
 //! The judge. It is fed with what clients, engines and the change log see, and with no state of a gateway,
 //! save which entry of the log it has put in force.
 
+mod attempt;
 mod changes;
 mod cold_starts;
 mod connections;
@@ -12,6 +13,7 @@
 mod retries;
 mod spread;
 
+pub use attempt::{QueryName, SeenAttempt};
 pub use finding::Finding;
 pub use queries::FinalAnswer;
 
@@ -21,23 +23,6 @@
 use super::time::SimTime;
 use std::rc::Rc;
 
-/// Names a query: gateways never use a number again, also not after a restart.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct QueryName {
-    pub gateway: u32,
-    pub query: u32,
-}
-
-/// An attempt as its engine receives it.
-#[derive(Clone, Copy, Debug)]
-pub struct SeenAttempt {
-    pub name: QueryName,
-    pub class: usize,
-    pub key: Option<u64>,
-    pub engine: usize,
-    pub work: f64,
-}
-
 /// All rules of the judge, each in a module of its own.
 pub struct Judge {
     endpoint_history: endpoint_history::EndpointHistory,
--- a/crates/scale/src/fleet/judge/order.rs
+++ b/crates/scale/src/fleet/judge/order.rs
@@ -1,6 +1,7 @@
 //! Rule 5: queries of a key run in the order in which they arrived, one at a time.
 
-use super::{Finding, QueryName};
+use super::attempt::QueryName;
+use super::finding::Finding;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Default)]
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -1,9 +1,10 @@
 //! Rules 3 and 6: no attempts to an engine known as draining or removed, and only to zones and kinds of the class.
 
-use super::super::engine::Site;
-use super::super::experiment::Experiment;
+use super::attempt::SeenAttempt;
 use super::endpoint_history::KnownEndpoint;
-use super::{Finding, SeenAttempt};
+use super::finding::Finding;
+use crate::fleet::engine::Site;
+use crate::fleet::experiment::Experiment;
 use garnetwall_subset::ListedState;
 use std::rc::Rc;
 
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -1,8 +1,9 @@
 //! Rule 1: every query gets one whole final answer within its deadline, and nothing of it is sent after that.
 
-use super::super::experiment::Experiment;
-use super::super::time::SimTime;
-use super::{Finding, QueryName};
+use super::attempt::QueryName;
+use super::finding::Finding;
+use crate::fleet::experiment::Experiment;
+use crate::fleet::time::SimTime;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/scale/src/fleet/judge/retries.rs
+++ b/crates/scale/src/fleet/judge/retries.rs
@@ -1,8 +1,8 @@
 //! Rule 7: a gateway's retries in a window keep to the budget that its queries in the same window allow.
 
-use super::super::experiment::Experiment;
-use super::super::time::SimTime;
-use super::Finding;
+use super::finding::Finding;
+use crate::fleet::experiment::Experiment;
+use crate::fleet::time::SimTime;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -1,10 +1,10 @@
 //! How evenly the work is spread over the engines that no fault disturbed, weighted by their cores.
 
-use super::super::engine::Site;
-use super::super::experiment::Experiment;
-use super::super::time::SimTime;
-use super::finding::quantile;
-use super::{Finding, SeenAttempt};
+use super::attempt::SeenAttempt;
+use super::finding::{quantile, Finding};
+use crate::fleet::engine::Site;
+use crate::fleet::experiment::Experiment;
+use crate::fleet::time::SimTime;
 use std::rc::Rc;
 
 struct Share {
