--- a/crates/scale/src/real_processes/change_log/reader.rs
+++ b/crates/scale/src/real_processes/change_log/reader.rs
@@ -1,9 +1,8 @@
 //! The log's connections: each reader gets a stream of the events after the last one that it names.
 
-use super::{
-    frame, gateway_of, rendered_data, History, PublishedEvent, Shared, COMMENT, COMMENT_INTERVAL,
-    LAST_EVENT, SLOW_LOG_DELAY, SLOW_READER_TIMEOUT,
-};
+use super::addresses::gateway_of;
+use super::history::{frame, rendered_data, History, PublishedEvent};
+use super::shared::Shared;
 use crate::real_processes::observations::Delivery;
 use bytes::Bytes;
 use http::{Request, Response};
@@ -20,8 +19,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
+/// Protocol: the interval of comments.
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
+const COMMENT: &[u8] = b":\n\n";
+/// What a watch costs while nothing changes.
+pub const COMMENT_BYTES_PER_SECOND: f64 = COMMENT.len() as f64;
+/// A reader that takes no bytes for this long is disconnected.
+const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(10);
+/// A reader that names no last event has none.
+const LAST_EVENT: &str = "last-event-id";
+/// Injected fault: the delay of a slow log.
+const SLOW_LOG_DELAY: Duration = Duration::from_millis(1_400);
+
 /// Serves all connections, without end.
-pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+pub async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::spawn(serve(stream, shared.clone()))),
