--- a/crates/scale/src/real_processes/measure.rs
+++ b/crates/scale/src/real_processes/measure.rs
@@ -4,7 +4,7 @@
 use super::measured::{quantile, Measured};
 use super::observations::{Observations, Outcome};
 use super::report::Figure;
-use super::script::TestBed;
+use super::test_bed::TestBed;
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/crates/scale/src/real_processes/script.rs
+++ b/crates/scale/src/real_processes/script.rs
@@ -1,10 +1,10 @@
 //! Carries out the experiment's events during a run.
 
-use super::change_log::ChangeLog;
 use super::endpoint_list::{EndpointList, State};
-use super::engines::{Engines, Health};
+use super::engines::Health;
 use super::experiment::{Action, Event};
-use super::gateways::{GatewayError, Gateways};
+use super::gateways::GatewayError;
+use super::test_bed::TestBed;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -14,24 +14,27 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Everything that an event may change.
-pub struct TestBed {
-    pub log: ChangeLog,
-    pub engines: Arc<Engines>,
-    pub gateways: Arc<Gateways>,
-    random: Mutex<SmallRng>,
-}
-
-/// Carries out all events, and waits until their effects have ended.
-pub async fn run(test_bed: Arc<TestBed>, events: Vec<Event>) -> Result<(), GatewayError> {
+/// Carries out all events, and waits until their effects have ended. The seed draws the engines.
+///
+/// # Errors
+/// Where a gateway can't be signalled or started again.
+pub async fn run(
+    test_bed: Arc<TestBed>,
+    events: Vec<Event>,
+    seed: u64,
+) -> Result<(), GatewayError> {
     let start = Instant::now();
+    let script = Arc::new(Script {
+        test_bed,
+        random: Mutex::new(SmallRng::seed_from_u64(seed)),
+    });
     let mut running = JoinSet::new();
     for event in events {
-        let test_bed = test_bed.clone();
+        let script = script.clone();
         running.spawn(async move {
             sleep_until(start + Duration::from_secs_f64(event.at_seconds)).await;
             tracing::info!(at_seconds = event.at_seconds, action = ?event.action, "event");
-            test_bed.run(event.action).await
+            script.run(event.action).await
         });
     }
     while let Some(ended) = running.join_next().await {
@@ -42,21 +45,13 @@
     Ok(())
 }
 
-impl TestBed {
-    pub fn new(
-        log: ChangeLog,
-        engines: Arc<Engines>,
-        gateways: Arc<Gateways>,
-        seed: u64,
-    ) -> TestBed {
-        TestBed {
-            log,
-            engines,
-            gateways,
-            random: Mutex::new(SmallRng::seed_from_u64(seed)),
-        }
-    }
+/// Events on a test bed.
+struct Script {
+    test_bed: Arc<TestBed>,
+    random: Mutex<SmallRng>,
+}
 
+impl Script {
     async fn run(&self, action: Action) -> Result<(), GatewayError> {
         match action {
             Action::EnginesKilled {
@@ -77,34 +72,40 @@
                 self.start_replacements(&slots);
             }
             Action::ZoneLost { zone, report_delay } => {
-                let slots = self.log.endpoint_list().in_zone(zone);
+                let slots = self.test_bed.log.endpoint_list().in_zone(zone);
                 self.set_health(&slots, Health::Silent);
                 self.publish_deleted_after(&slots, report_delay).await;
             }
             Action::ZoneBack { zone } => self.replace_zone(zone),
             Action::ChangesBurst { count, spread_over } => self.burst(count, spread_over).await,
-            Action::GatewayReloaded { gateway } => self.gateways.reload(gateway).await?,
+            Action::GatewayReloaded { gateway } => self.test_bed.gateways.reload(gateway).await?,
             Action::GatewayTerminated { gateway } => {
-                self.gateways.terminate(gateway).await?;
-                self.gateways.start(gateway, &self.log).await?;
+                self.test_bed.gateways.terminate(gateway).await?;
+                self.test_bed
+                    .gateways
+                    .start(gateway, &self.test_bed.log)
+                    .await?;
             }
             Action::GatewayKilled { gateway } => {
-                self.gateways.kill(gateway).await?;
-                self.gateways.start(gateway, &self.log).await?;
+                self.test_bed.gateways.kill(gateway).await?;
+                self.test_bed
+                    .gateways
+                    .start(gateway, &self.test_bed.log)
+                    .await?;
             }
         }
         Ok(())
     }
 
     fn replace_zone(&self, zone: usize) {
-        let slots = self.log.endpoint_list().in_zone(zone);
+        let slots = self.test_bed.log.endpoint_list().in_zone(zone);
         self.kill_slots(&slots);
         self.start_replacements(&slots);
     }
 
     fn set_health(&self, slots: &[usize], health: Health) {
         for slot in slots {
-            self.engines.set_health(*slot, health);
+            self.test_bed.engines.set_health(*slot, health);
         }
     }
 
@@ -117,9 +118,9 @@
 
     /// So many engines that serve, drawn by the seed, and not those that another event has taken.
     fn draw(&self, count: usize) -> Vec<usize> {
-        let mut slots = self.log.endpoint_list().serving();
+        let mut slots = self.test_bed.log.endpoint_list().serving();
         slots.shuffle(&mut *self.random.lock().unwrap_or_else(PoisonError::into_inner));
-        slots.retain(|slot| self.engines.health(*slot) == Health::Up);
+        slots.retain(|slot| self.test_bed.engines.health(*slot) == Health::Up);
         slots.truncate(count);
         slots
     }
@@ -132,7 +133,7 @@
 
     fn kill_slots(&self, slots: &[usize]) {
         for slot in slots {
-            self.engines.kill(*slot);
+            self.test_bed.engines.kill(*slot);
         }
     }
 
@@ -155,14 +156,14 @@
             .unwrap_or_default()
             .as_millis() as u64;
         self.set_health(slots, Health::Up);
-        self.log.change(|endpoint_list| {
+        self.test_bed.log.change(|endpoint_list| {
             let start_replacements = |slot: &usize| replacement(endpoint_list, *slot, now);
             slots.iter().flat_map(start_replacements).collect()
         });
     }
 
     fn publish(&self, slots: &[usize], change: impl Fn(&mut EndpointList, usize)) {
-        self.log.change(|endpoint_list| {
+        self.test_bed.log.change(|endpoint_list| {
             let entry = |slot: &usize| {
                 change(endpoint_list, *slot);
                 endpoint_list.entry(*slot)
@@ -172,7 +173,7 @@
     }
 
     async fn burst(&self, count: usize, spread_over: f64) {
-        let slots = self.log.endpoint_list().serving();
+        let slots = self.test_bed.log.endpoint_list().serving();
         for slot in slots.iter().cycle().take(count) {
             // Another event may have changed the slot meanwhile: the entry is published as it is.
             self.publish(&[*slot], |endpoint_list, slot| endpoint_list.touch(slot));
--- a/crates/scale/src/real_processes/sweeps.rs
+++ b/crates/scale/src/real_processes/sweeps.rs
@@ -9,8 +9,9 @@
 use super::measured::seen_by_99_in_100;
 use super::observations::{Observations, Recorder};
 use super::report::Figure;
+use super::test_bed::{StartedGateways, TestBed};
 use super::watchers::Watchers;
-use super::Started;
+
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
@@ -79,7 +80,7 @@
     experiment: &Experiment,
     binary: &Path,
     folder: &Path,
-    started: &Started,
+    started: &StartedGateways,
 ) -> SweepResult {
     let mut figures = Vec::new();
     for count in &experiment.sweeps.client_connections {
@@ -96,7 +97,7 @@
     experiment: &Experiment,
     binary: &Path,
     folder: &Path,
-    started: &Started,
+    started: &StartedGateways,
     count: usize,
 ) -> SweepResult {
     let swept = Experiment {
@@ -111,9 +112,9 @@
         engines: swept.engines,
         ..Observations::default()
     });
-    let test_bed = super::build_test_bed(&swept, binary, folder, &recorder).await?;
+    let test_bed = TestBed::build(&swept, binary, folder, &recorder).await?;
     let gateways = &test_bed.gateways;
-    super::register(started, gateways);
+    started.register(gateways);
     gateways.start(0, &test_bed.log).await?;
     let connections = open(gateways, count).await;
     sleep(SETTLE_TIME).await;
--- /dev/null
+++ b/crates/scale/src/real_processes/workload.rs
@@ -0,0 +1,125 @@
+//! The workload of an experiment: clients send queries while its events happen, and what was observed is judged.
+
+use super::change_log::address_for_watchers;
+use super::clients::Clients;
+use super::experiment::Experiment;
+use super::findings::{Findings, RunResult};
+use super::gateways::GatewayError;
+use super::judge;
+use super::measure::{figures_of, gateway_figures, sample, Peak};
+use super::observations::{Observations, Recorder};
+use super::prediction;
+use super::report::Figure;
+use super::script;
+use super::test_bed::{StartedGateways, TestBed};
+use super::watchers::Watchers;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::time::{sleep, timeout};
+
+/// For the start of all gateways at the same time.
+const START_TIMEOUT: Duration = Duration::from_secs(120);
+/// Watchers that are not connected by then are left out, and fail their bound.
+const WATCHERS_TIMEOUT: Duration = Duration::from_secs(30);
+/// After the last event, so that watchers receive it.
+const FINAL_DELIVERY_DELAY: Duration = Duration::from_secs(1);
+
+/// Why a workload can't be run.
+#[derive(Debug, Error)]
+#[error("gateways did not serve within {START_TIMEOUT:?}; give the run fewer of them")]
+struct StartTooLong;
+
+/// Runs clients and events on a test bed, and judges what was observed.
+///
+/// # Errors
+/// Where the test bed can't be started, or a gateway fails.
+pub async fn run(
+    experiment: &Experiment,
+    binary: &Path,
+    folder: &Path,
+    started: &StartedGateways,
+) -> RunResult {
+    let recorder = Recorder::new(Observations {
+        gateways: experiment.gateways,
+        watchers: experiment.watchers,
+        engines: experiment.engines,
+        ..Observations::default()
+    });
+    let test_bed = TestBed::build(experiment, binary, folder, &recorder).await?;
+    started.register(&test_bed.gateways);
+    let watchers = Watchers::start(
+        experiment.watchers,
+        address_for_watchers(test_bed.log.port),
+        test_bed.log.last(),
+        &recorder,
+    )
+    .await;
+    let test_bed = Arc::new(test_bed);
+    let played = run_test_bed(experiment, &test_bed, &watchers, &recorder).await;
+    test_bed.gateways.stop().await;
+    let mut figures = played?;
+    let observations = recorder.observations();
+    figures.extend(figures_of(&observations));
+    Ok(Findings {
+        figures,
+        judgements: judge::judge(&observations, &experiment.expect),
+    })
+}
+
+/// Starts the gateways, runs clients and events, and measures the gateways before they end.
+async fn run_test_bed(
+    experiment: &Experiment,
+    test_bed: &Arc<TestBed>,
+    watchers: &Watchers,
+    recorder: &Recorder,
+) -> Result<Vec<Figure>, Box<dyn std::error::Error>> {
+    let started = timeout(START_TIMEOUT, test_bed.start_gateways()).await;
+    started.map_err(|_| StartTooLong)??;
+    watchers
+        .wait_connected(experiment.watchers, WATCHERS_TIMEOUT)
+        .await;
+    for gateway in 0..experiment.gateways {
+        test_bed.gateways.reset_processor_time(gateway).await;
+    }
+    let measured_from = recorder.now();
+    let peaks = run_clients_and_events(experiment, test_bed, recorder).await?;
+    sleep(FINAL_DELIVERY_DELAY).await;
+    let mut figures = gateway_figures(test_bed, &peaks, recorder.now() - measured_from).await;
+    let run = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
+    figures.push(run(
+        "log_processor_seconds",
+        test_bed.log.processor_seconds(),
+    ));
+    figures.push(run("watchers_connected", watchers.connected() as f64));
+    figures.extend(prediction::figures(experiment, &figures, recorder)?);
+    Ok(figures)
+}
+
+/// Runs clients and events to their end; returns what the gateways used at most meanwhile.
+async fn run_clients_and_events(
+    experiment: &Experiment,
+    test_bed: &Arc<TestBed>,
+    recorder: &Recorder,
+) -> Result<Vec<Peak>, GatewayError> {
+    let clients = Clients::new(
+        experiment,
+        test_bed.gateways.clone(),
+        test_bed.engines.ports.clone(),
+        recorder.clone(),
+    );
+    let running = async {
+        let (played, ()) = tokio::join!(
+            script::run(test_bed.clone(), experiment.events.clone(), experiment.seed),
+            clients.run()
+        );
+        played
+    };
+    let mut peaks = vec![Peak::default(); experiment.gateways];
+    tokio::select! {
+        played = running => played?,
+        () = sample(test_bed, &mut peaks) => {}
+    }
+    Ok(peaks)
+}
