--- /dev/null
+++ b/crates/scale/src/least_squares.rs
@@ -0,0 +1,61 @@
+//! Linear least-squares fits.
+
+/// A straight line through points.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LeastSquares {
+    pub slope: f64,
+    pub intercept: f64,
+    /// The largest distance of a point from the line, along y.
+    pub largest_residual: f64,
+}
+
+impl LeastSquares {
+    /// The fit through points `(x, y)`; `None` for fewer than two different `x`.
+    pub fn through(points: &[(f64, f64)]) -> Option<LeastSquares> {
+        let squares = squares_of_x(points);
+        if points.len() < 2 || squares <= 0.0 {
+            return None;
+        }
+        let mean_x = mean(points.iter().map(|(x, _)| *x));
+        let mean_y = mean(points.iter().map(|(_, y)| *y));
+        let covariance: f64 = points
+            .iter()
+            .map(|(x, y)| (x - mean_x) * (y - mean_y))
+            .sum();
+        let slope = covariance / squares;
+        let mut fit = LeastSquares {
+            slope,
+            intercept: mean_y - slope * mean_x,
+            largest_residual: 0.0,
+        };
+        let distances = points.iter().map(|(x, y)| (y - fit.at(*x)).abs());
+        fit.largest_residual = distances.fold(0.0, f64::max);
+        Some(fit)
+    }
+
+    /// The line's value at `x`.
+    pub fn at(&self, x: f64) -> f64 {
+        self.intercept + self.slope * x
+    }
+
+    /// The standard error of the slope, by the points that the line was fitted through.
+    pub fn slope_error(&self, points: &[(f64, f64)]) -> f64 {
+        let residuals: f64 = points.iter().map(|(x, y)| (y - self.at(*x)).powi(2)).sum();
+        let degrees_of_freedom = points.len().saturating_sub(2).max(1) as f64;
+        (residuals / degrees_of_freedom / squares_of_x(points)).sqrt()
+    }
+}
+
+/// The sum of the squared distances of all `x` from their mean.
+fn squares_of_x(points: &[(f64, f64)]) -> f64 {
+    let mean = mean(points.iter().map(|(x, _)| *x));
+    points.iter().map(|(x, _)| (x - mean).powi(2)).sum()
+}
+
+fn mean(values: impl ExactSizeIterator<Item = f64>) -> f64 {
+    let count = values.len().max(1) as f64;
+    values.sum::<f64>() / count
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -2,6 +2,7 @@
 
 mod experiment;
 mod fleet;
+mod least_squares;
 mod process;
 mod real_processes;
 mod results;
--- a/crates/scale/src/real_processes/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -11,7 +11,6 @@
 mod hollow_gateway;
 mod http_client;
 mod judge;
-mod least_squares;
 mod measure;
 mod measured;
 mod observations;
@@ -22,6 +21,7 @@
 mod script;
 mod sweeps;
 mod test_bed;
+mod trends;
 mod uneven_engines;
 mod watchers;
 mod workload;
@@ -121,7 +121,7 @@
     }
     let swept = sweeps::run(experiment, binary, folder, started).await?;
     findings.judgements.extend(sweeps::judge(&swept));
-    findings.figures.extend(least_squares::slopes(&swept));
+    findings.figures.extend(trends::figures(&swept));
     findings.figures.extend(swept);
     Ok(findings)
 }
--- a/crates/scale/src/real_processes/tests.rs
+++ b/crates/scale/src/real_processes/tests.rs
@@ -3,7 +3,6 @@
 use super::endpoint_list::{address, slot, EngineId};
 use super::experiment::{Expect, Experiment};
 use super::judge::judge;
-use super::least_squares::LeastSquares;
 use super::measured::seen_by_99_in_100;
 use super::observations::{
     Attempt, ChangeSeen, Delivery, Notice, Observations, Outcome, Query, QueryClass,
@@ -213,20 +212,6 @@
     }
 }
 
-#[test]
-fn least_squares_reports_the_largest_distance() {
-    let line = LeastSquares::through(&[(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]);
-    assert_eq!(
-        line,
-        Some(LeastSquares {
-            slope: 2.0,
-            intercept: 1.0,
-            worst: 0.0
-        })
-    );
-    assert_eq!(LeastSquares::through(&[(1.0, 1.0), (1.0, 2.0)]), None);
-}
-
 #[test]
 fn a_sweep_that_lost_what_it_measured_fails() {
     let step = |name: &str, value: f64| Figure::new("log_watchers", 100.0, name, value);
--- a/crates/scale/src/slopes/regression.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -1,5 +1,7 @@
 //! Regression of a metric on the size: a line and a power law, with their residuals.
 
+use crate::least_squares::LeastSquares;
+
 /// Exponents over this grow faster than linear.
 pub const MAX_LINEAR_EXPONENT: f64 = 1.1;
 /// Standard errors by which an exponent must exceed [`MAX_LINEAR_EXPONENT`] to count as superlinear.
@@ -63,14 +65,13 @@
     /// The regression over four sizes or more, the smallest first.
     pub fn new(samples: &[Sample]) -> Self {
         let medians: Vec<(f64, f64)> = samples.iter().map(|s| (s.size, s.median())).collect();
-        let linear = LeastSquares::new(&medians);
+        let linear = fit(&medians);
         let largest = medians
             .iter()
             .map(|(_, value)| value.abs())
             .fold(MIN_DIVISOR, f64::max);
-        let distance = |(size, value): &(f64, f64)| (value - linear.at(*size)).abs();
         let logarithms: Vec<(f64, f64)> = samples.iter().flat_map(logarithms).collect();
-        let power = LeastSquares::new(&logarithms);
+        let power = fit(&logarithms);
         let exponent_error = power.slope_error(&logarithms);
         let (last_exponent, last_least) = last_exponents(samples);
         // One run of a size has no spread to be beyond.
@@ -78,7 +79,7 @@
         Regression {
             slope: linear.slope,
             intercept: linear.intercept,
-            residual: medians.iter().map(distance).fold(0.0, f64::max) / largest,
+            residual: linear.largest_residual / largest,
             exponent: power.slope,
             exponent_error,
             last_exponent,
@@ -104,6 +105,11 @@
     }
 }
 
+/// Experiments have several sizes, so that there is a fit.
+fn fit(points: &[(f64, f64)]) -> LeastSquares {
+    LeastSquares::through(points).unwrap_or_default()
+}
+
 fn logarithms(sample: &Sample) -> impl Iterator<Item = (f64, f64)> + '_ {
     sample
         .values
@@ -136,46 +142,5 @@
     )
 }
 
-/// A linear least-squares fit.
-#[derive(Clone, Copy, Debug)]
-struct LeastSquares {
-    slope: f64,
-    intercept: f64,
-}
-
-impl LeastSquares {
-    fn new(points: &[(f64, f64)]) -> Self {
-        let count = points.len().max(1) as f64;
-        let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
-        let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let covariance: f64 = points
-            .iter()
-            .map(|(x, y)| (x - mean_x) * (y - mean_y))
-            .sum();
-        let slope = covariance / squares(points).max(MIN_DIVISOR);
-        LeastSquares {
-            slope,
-            intercept: mean_y - slope * mean_x,
-        }
-    }
-
-    fn at(&self, x: f64) -> f64 {
-        self.intercept + self.slope * x
-    }
-
-    /// The standard error of the slope.
-    fn slope_error(&self, points: &[(f64, f64)]) -> f64 {
-        let left_over: f64 = points.iter().map(|(x, y)| (y - self.at(*x)).powi(2)).sum();
-        let freedom = points.len().saturating_sub(2).max(1) as f64;
-        (left_over / freedom / squares(points).max(MIN_DIVISOR)).sqrt()
-    }
-}
-
-/// The sum of the squared distances of all x from their mean.
-fn squares(points: &[(f64, f64)]) -> f64 {
-    let mean = points.iter().map(|(x, _)| x).sum::<f64>() / points.len().max(1) as f64;
-    points.iter().map(|(x, _)| (x - mean).powi(2)).sum()
-}
-
 #[cfg(test)]
 mod tests;
