--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -1,7 +1,6 @@
 //! Experiments: TOML files that describe a run. Every error names the file, the place in it and what to do.
 
 use serde::de::DeserializeOwned;
-use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
@@ -19,65 +18,64 @@
         file: PathBuf,
         cause: Box<toml::de::Error>,
     },
-    #[error("{file}: {key}: {found} is not {expected}; {remedy}", file = file.display())]
-    Unusable {
-        file: PathBuf,
-        key: String,
-        found: String,
-        expected: String,
-        remedy: String,
-    },
+    #[error("{file}: {value}", file = file.display())]
+    Invalid { file: PathBuf, value: InvalidValue },
 }
 
-impl ExperimentError {
-    /// A key whose value is of the right type and can't be used.
-    pub fn unusable(
-        file: &Path,
-        key: &str,
-        found: impl Display,
-        expected: &str,
-        remedy: &str,
-    ) -> Self {
-        ExperimentError::Unusable {
-            file: file.into(),
-            key: key.into(),
-            found: found.to_string(),
-            expected: expected.into(),
-            remedy: remedy.into(),
-        }
-    }
-}
-
-/// A key whose value can't be used, and why.
-pub struct Fault {
-    pub key: &'static str,
-    pub found: String,
-    pub expected: &'static str,
-    pub remedy: &'static str,
+/// A key whose value is of the right type and can't be used, and why.
+#[derive(Debug, Error)]
+#[error("{key}: {found} is not {expected}; {remedy}")]
+pub struct InvalidValue {
+    key: String,
+    found: String,
+    expected: String,
+    remedy: &'static str,
 }
 
-impl Fault {
+impl InvalidValue {
     pub fn new(
-        key: &'static str,
+        key: impl Into<String>,
         found: impl ToString,
-        expected: &'static str,
+        expected: impl Into<String>,
         remedy: &'static str,
     ) -> Self {
-        Fault {
-            key,
+        InvalidValue {
+            key: key.into(),
             found: found.to_string(),
-            expected,
+            expected: expected.into(),
             remedy,
         }
     }
 }
 
-/// Reads an experiment.
+/// Checks that a number lies in a range, both ends included.
+///
+/// # Errors
+///
+/// Where it does not, or is not a number.
+pub fn check_range(
+    key: &str,
+    found: f64,
+    least: f64,
+    most: f64,
+    remedy: &'static str,
+) -> Result<(), InvalidValue> {
+    if found >= least && found <= most {
+        return Ok(());
+    }
+    let expected = format!("from {least} to {most}");
+    Err(InvalidValue::new(key, found, expected, remedy))
+}
+
+/// Reads an experiment and checks its values.
 ///
 /// # Errors
 ///
-/// Where the file can't be read, or is no experiment of this kind.
-pub fn read<T: DeserializeOwned>(file: &Path) -> Result<T, ExperimentError> {
+/// Where the file can't be read, is no experiment of this kind, or has a value that can't be used.
+pub fn read<T: DeserializeOwned>(
+    file: &Path,
+    check: impl FnOnce(&T) -> Result<(), InvalidValue>,
+) -> Result<T, ExperimentError> {
     let unreadable = |cause| ExperimentError::Unreadable {
         file: file.into(),
         cause,
@@ -87,5 +85,11 @@
         file: file.into(),
         cause: Box::new(cause),
     };
-    toml::from_str(&text).map_err(malformed)
+    let experiment = toml::from_str(&text).map_err(malformed)?;
+    let invalid = |value| ExperimentError::Invalid {
+        file: file.into(),
+        value,
+    };
+    check(&experiment).map_err(invalid)?;
+    Ok(experiment)
 }
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -1,9 +1,9 @@
 //! The file of an experiment with the hollow fleet, and its checks.
 
 use super::injected_fault::InjectedFault;
+use crate::experiment::{self, check_range, ExperimentError, InvalidValue};
 use serde::Deserialize;
-use std::path::{Path, PathBuf};
-use thiserror::Error;
+use std::path::Path;
 
 const MAX_GATEWAYS: usize = 20_000;
 const MAX_ENGINES: usize = 50_000;
@@ -197,44 +197,17 @@
     pub succeeded: f64,
 }
 
-/// An experiment that cannot be used: where, why, and what to do.
-#[derive(Debug, Error)]
-pub enum ExperimentError {
-    #[error("{path}: {cause}; name a readable TOML file")]
-    Unreadable {
-        path: PathBuf,
-        cause: std::io::Error,
-    },
-    #[error("{path}: {cause}")]
-    Malformed {
-        path: PathBuf,
-        cause: Box<toml::de::Error>,
-    },
-    #[error("{place}: {found} is out of range; {remedy}")]
-    OutOfRange {
-        place: String,
-        found: String,
-        remedy: &'static str,
-    },
-}
-
 impl Experiment {
-    pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
-        let unreadable = |cause| ExperimentError::Unreadable {
-            path: path.into(),
-            cause,
-        };
-        let text = std::fs::read_to_string(path).map_err(unreadable)?;
-        let malformed = |cause| ExperimentError::Malformed {
-            path: path.into(),
-            cause: Box::new(cause),
-        };
-        let experiment: Experiment = toml::from_str(&text).map_err(malformed)?;
-        experiment.check()?;
-        Ok(experiment)
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    ///
+    /// Where it can't be read, is no such experiment, or has a value that can't be used.
+    pub fn read(file: &Path) -> Result<Experiment, ExperimentError> {
+        experiment::read(file, Experiment::check)
     }
 
-    fn check(&self) -> Result<(), ExperimentError> {
+    fn check(&self) -> Result<(), InvalidValue> {
         within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         within("settle", self.settle, 0.0, self.seconds)?;
         self.check_gateways()?;
@@ -250,7 +223,7 @@
             .try_for_each(|step| self.check_step(step))
     }
 
-    fn check_gateways(&self) -> Result<(), ExperimentError> {
+    fn check_gateways(&self) -> Result<(), InvalidValue> {
         let gateways = &self.gateways;
         let count = gateways.count as f64;
         within("gateways.count", count, 1.0, MAX_GATEWAYS as f64)?;
@@ -260,7 +233,7 @@
         within("gateways.busy_times", gateways.busy_times, 1.0, 1e3)
     }
 
-    fn check_engines(&self) -> Result<(), ExperimentError> {
+    fn check_engines(&self) -> Result<(), InvalidValue> {
         let engines = &self.engines;
         let kinds = engines.kind_cores.len() as f64;
         within(
@@ -277,7 +250,7 @@
             .try_for_each(|cores| within("engines.kind_cores", *cores, 0.5, 1e4))
     }
 
-    fn check_durations(&self) -> Result<(), ExperimentError> {
+    fn check_durations(&self) -> Result<(), InvalidValue> {
         let durations = [
             ("engines.connect_timeout", self.engines.connect_timeout),
             ("engines.loss_detection", self.engines.loss_detection),
@@ -292,7 +265,7 @@
             .try_for_each(|(place, seconds)| within(place, seconds, 0.0, MAX_SECONDS))
     }
 
-    fn check_rules(&self) -> Result<(), ExperimentError> {
+    fn check_rules(&self) -> Result<(), InvalidValue> {
         within("cold.starts_at", self.cold.starts_at, 0.01, 1.0)?;
         within("cold.warm_after", self.cold.warm_after, 0.1, MAX_SECONDS)?;
         within("cold.multiple", self.cold.multiple, 0.1, 100.0)?;
@@ -300,7 +273,7 @@
         within("retries.window", self.retries.window, 0.1, MAX_SECONDS)
     }
 
-    fn check_topology(&self) -> Result<(), ExperimentError> {
+    fn check_topology(&self) -> Result<(), InvalidValue> {
         let topology = &self.topology;
         let (engines, zones) = (self.engines.count as f64, topology.zones as f64);
         let regions = topology.regions as f64;
@@ -310,7 +283,7 @@
         within("topology.racks_per_zone", racks_per_zone, 1.0, 1e4)
     }
 
-    fn check_step(&self, step: &ScriptStep) -> Result<(), ExperimentError> {
+    fn check_step(&self, step: &ScriptStep) -> Result<(), InvalidValue> {
         within("script.at", step.at_seconds, 0.0, self.seconds)?;
         within("script.lasts", step.duration_seconds, 0.0, self.seconds)?;
         let topology = &self.topology;
@@ -351,7 +324,7 @@
 }
 
 impl QueryClass {
-    fn check(&self) -> Result<(), ExperimentError> {
+    fn check(&self) -> Result<(), InvalidValue> {
         let place = |field| format!("classes, {}: {field}", self.name);
         within(&place("share"), self.share, 1e-6, 1e6)?;
         within(&place("work"), self.work, 1e-6, 1e6)?;
@@ -359,14 +332,7 @@
     }
 }
 
-fn within(place: &str, found: f64, least: f64, most: f64) -> Result<(), ExperimentError> {
-    if found >= least && found <= most {
-        return Ok(());
-    }
+fn within(place: &str, found: f64, least: f64, most: f64) -> Result<(), InvalidValue> {
     let remedy = "see docs/scale.md, section fleet, for what each field may be";
-    Err(ExperimentError::OutOfRange {
-        place: place.into(),
-        found: format!("{found} (from {least} to {most})"),
-        remedy,
-    })
+    check_range(place, found, least, most, remedy)
 }
--- a/crates/scale/src/real_processes/experiment.rs
+++ b/crates/scale/src/real_processes/experiment.rs
@@ -1,8 +1,8 @@
 //! The file of an experiment with real processes: what is started, the events, and the bounds.
 
+use crate::experiment::{self, check_range, ExperimentError, InvalidValue};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
-use thiserror::Error;
 
 /// More than one machine can run well.
 const MAX_GATEWAYS: usize = 200;
@@ -180,47 +180,16 @@
     KilledDrain,
 }
 
-/// What is wrong with an experiment: where, why, and what to do.
-#[derive(Debug, Error)]
-pub enum ExperimentError {
-    #[error("{}: {cause}; name a file that can be read", file.display())]
-    Unreadable {
-        file: PathBuf,
-        cause: std::io::Error,
-    },
-    #[error("{}: {cause}", file.display())]
-    NotToml {
-        file: PathBuf,
-        cause: Box<toml::de::Error>,
-    },
-    #[error("{}: {place}: {found} is not {expected}; {remedy}", file.display())]
-    OutOfRange {
-        file: PathBuf,
-        place: String,
-        found: f64,
-        expected: String,
-        remedy: &'static str,
-    },
-}
-
 impl Experiment {
     /// Reads and checks a file.
+    ///
+    /// # Errors
+    /// Where it can't be read, is no such experiment, or has a value that can't be used.
     pub fn read(file: &Path) -> Result<Experiment, ExperimentError> {
-        let unreadable = |cause| ExperimentError::Unreadable {
-            file: file.into(),
-            cause,
-        };
-        let text = std::fs::read_to_string(file).map_err(unreadable)?;
-        let not_toml = |cause| ExperimentError::NotToml {
-            file: file.into(),
-            cause: Box::new(cause),
-        };
-        let experiment: Experiment = toml::from_str(&text).map_err(not_toml)?;
-        experiment.check(file)?;
-        Ok(experiment)
+        experiment::read(file, Experiment::check)
     }
 
-    fn check(&self, file: &Path) -> Result<(), ExperimentError> {
+    fn check(&self) -> Result<(), InvalidValue> {
         let queries = self.queries_per_second * self.seconds;
         let least_work = self.work_ms[0] as f64;
         let numbers = [
@@ -234,32 +203,26 @@
             ("keys", self.keys as f64, 0.0, 10_000.0),
         ];
         for (place, found, least, most) in numbers {
-            within(file, place, found, least, most)?;
+            within(place, found, least, most)?;
         }
-        self.check_events(file)?;
+        self.check_events()?;
         for step in &self.sweeps.client_connections {
             let place = "sweeps.client_connections";
-            within(
-                file,
-                place,
-                *step as f64,
-                0.0,
-                MAX_CLIENT_CONNECTIONS as f64,
-            )?;
+            within(place, *step as f64, 0.0, MAX_CLIENT_CONNECTIONS as f64)?;
         }
         for step in &self.sweeps.log_watchers {
             let place = "sweeps.log_watchers";
-            within(file, place, *step as f64, 0.0, MAX_WATCHERS as f64)?;
+            within(place, *step as f64, 0.0, MAX_WATCHERS as f64)?;
         }
         Ok(())
     }
 
-    fn check_events(&self, file: &Path) -> Result<(), ExperimentError> {
+    fn check_events(&self) -> Result<(), InvalidValue> {
         for (index, event) in self.events.iter().enumerate() {
             let place = |key: &str| format!("events.{index}.{key}");
-            within(file, &place("at"), event.at_seconds, 0.0, self.seconds)?;
+            within(&place("at"), event.at_seconds, 0.0, self.seconds)?;
             let (key, found, most) = event.action.bounded_number(self);
-            within(file, &place(key), found as f64, 0.0, most as f64)?;
+            within(&place(key), found as f64, 0.0, most as f64)?;
         }
         Ok(())
     }
@@ -284,23 +247,6 @@
     }
 }
 
-fn within(
-    file: &Path,
-    place: &str,
-    found: f64,
-    least: f64,
-    most: f64,
-) -> Result<(), ExperimentError> {
-    if found >= least && found <= most {
-        return Ok(());
-    }
-    let expected = format!("from {least} to {most}");
-    let (file, place) = (file.into(), place.into());
-    Err(ExperimentError::OutOfRange {
-        file,
-        place,
-        found,
-        expected,
-        remedy: "write a number from that range",
-    })
+fn within(place: &str, found: f64, least: f64, most: f64) -> Result<(), InvalidValue> {
+    check_range(place, found, least, most, "write a number from that range")
 }
--- a/crates/scale/src/slopes/quantities.rs
+++ b/crates/scale/src/slopes/quantities.rs
@@ -1,6 +1,6 @@
 //! The quantities of a point, one of which a sweep varies.
 
-use crate::experiment::Fault;
+use crate::experiment::InvalidValue;
 use serde::{Deserialize, Serialize};
 
 /// Larger points would not fit a test machine.
@@ -96,27 +96,32 @@
 }
 
 impl Fixed {
+    /// # Errors
+    ///
     /// The first of the quantities that can't be simulated.
-    pub fn fault(&self) -> Option<Fault> {
-        self.fault_in_times().or_else(|| self.fault_in_counts())
+    pub fn check(&self) -> Result<(), InvalidValue> {
+        self.check_times()?;
+        self.check_counts()
     }
 
-    fn fault_in_times(&self) -> Option<Fault> {
+    fn check_times(&self) -> Result<(), InvalidValue> {
         let times = [
             ("fixed.seconds", self.seconds),
             ("fixed.settling", self.settling),
             ("fixed.work", self.work),
         ];
         let unusable = |(_, seconds): &(_, f64)| !(seconds.is_finite() && *seconds > 0.0);
-        let (key, seconds) = times.into_iter().find(unusable)?;
+        let Some((key, seconds)) = times.into_iter().find(unusable) else {
+            return Ok(());
+        };
         let (expected, remedy) = ("a time over 0", "write it in seconds");
-        Some(Fault::new(key, seconds, expected, remedy))
+        Err(InvalidValue::new(key, seconds, expected, remedy))
     }
 
-    fn fault_in_counts(&self) -> Option<Fault> {
+    fn check_counts(&self) -> Result<(), InvalidValue> {
         if self.loss > MAX_LOSS_PERCENT {
             let (expected, remedy) = ("0 to 90 of 100", "no message comes at 100");
-            return Some(Fault::new("fixed.loss", self.loss, expected, remedy));
+            return Err(InvalidValue::new("fixed.loss", self.loss, expected, remedy));
         }
         let counts = [
             ("fixed.engines", self.engines),
@@ -126,9 +131,11 @@
             ("fixed.open-attempts", self.open_attempts),
         ];
         let unusable = |(_, count): &(_, u64)| *count == 0 || *count > MAX_SIZE;
-        let (key, count) = counts.into_iter().find(unusable)?;
+        let Some((key, count)) = counts.into_iter().find(unusable) else {
+            return Ok(());
+        };
         let expected = "a number from 1 to 10,000,000";
         let remedy = "leave the key out for the usual number";
-        Some(Fault::new(key, count, expected, remedy))
+        Err(InvalidValue::new(key, count, expected, remedy))
     }
 }
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -3,7 +3,7 @@
 use super::metric::Metric;
 use super::quantities::{Fixed, Quantity, MAX_SIZE};
 use super::role_name::RoleName;
-use crate::experiment::{ExperimentError, Fault};
+use crate::experiment::{self, ExperimentError, InvalidValue};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -58,34 +58,20 @@
     ///
     /// Where it can't be read or used: with the place in it, and what to do.
     pub fn read(file: &Path) -> Result<Self, ExperimentError> {
-        let experiment: Experiment = crate::experiment::read(file)?;
-        experiment.check(file)?;
-        Ok(experiment)
+        experiment::read(file, Experiment::check)
     }
 
-    fn check(&self, file: &Path) -> Result<(), ExperimentError> {
-        let faults = [
-            self.fault_in_sizes(),
-            self.fault_in_prediction(),
-            self.fault_in_runs(),
-            self.fixed.fault(),
-        ];
-        match faults.into_iter().flatten().next() {
-            None => Ok(()),
-            Some(fault) => Err(ExperimentError::unusable(
-                file,
-                fault.key,
-                fault.found,
-                fault.expected,
-                fault.remedy,
-            )),
-        }
+    fn check(&self) -> Result<(), InvalidValue> {
+        self.check_sizes()?;
+        self.check_prediction()?;
+        self.check_runs()?;
+        self.fixed.check()
     }
 
-    fn fault_in_sizes(&self) -> Option<Fault> {
+    fn check_sizes(&self) -> Result<(), InvalidValue> {
         let fault = |expected, remedy| {
             let found = format!("{:?}", self.sizes);
-            Some(Fault::new("sizes", found, expected, remedy))
+            Err(InvalidValue::new("sizes", found, expected, remedy))
         };
         if self.sizes.len() < MIN_SIZES {
             let remedy = "add sizes, each about twice the last";
@@ -98,16 +84,18 @@
         if self.sizes[self.sizes.len() - 1] > MAX_SIZE {
             return fault("a list of sizes up to 10,000,000", "leave the larger out");
         }
-        None
+        Ok(())
     }
 
-    fn fault_in_prediction(&self) -> Option<Fault> {
-        let size = self.predict?;
-        let inside = *self.sizes.first()?..=*self.sizes.last()?;
+    fn check_prediction(&self) -> Result<(), InvalidValue> {
+        let (Some(size), [smallest, .., largest]) = (self.predict, self.sizes.as_slice()) else {
+            return Ok(());
+        };
+        let inside = *smallest..=*largest;
         if !inside.contains(&size) && size != 0 && size <= MAX_SIZE {
-            return None;
+            return Ok(());
         }
-        Some(Fault::new(
+        Err(InvalidValue::new(
             "predict",
             size,
             "a size outside of the sizes",
@@ -115,19 +103,24 @@
         ))
     }
 
-    fn fault_in_runs(&self) -> Option<Fault> {
+    fn check_runs(&self) -> Result<(), InvalidValue> {
         if self.runs == 0 || self.runs > MAX_RUNS {
             let expected = "a number from 1 to 100";
-            return Some(Fault::new("runs", self.runs, expected, "3 to 9 are usual"));
+            return Err(InvalidValue::new(
+                "runs",
+                self.runs,
+                expected,
+                "3 to 9 are usual",
+            ));
         }
         if !(self.point_limit.is_finite() && self.point_limit > 0.0) {
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "point-limit",
                 self.point_limit,
                 "a time over 0",
                 "write the seconds that the slowest point may take",
             ));
         }
-        None
+        Ok(())
     }
 }
--- a/crates/scale/src/subset_comparison/experiment.rs
+++ b/crates/scale/src/subset_comparison/experiment.rs
@@ -2,7 +2,7 @@
 
 use super::injected_fault::InjectedFault;
 use super::strategy_name::StrategyName;
-use crate::experiment::{ExperimentError, Fault};
+use crate::experiment::{self, ExperimentError, InvalidValue};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -69,19 +69,29 @@
 }
 
 impl Fleet {
-    fn fault(&self) -> Option<Fault> {
+    fn check(&self) -> Result<(), InvalidValue> {
         let found = format!("{self:?}");
         let counts = (2..=MAX_GATEWAYS).contains(&self.gateways)
             && (2..=MAX_ENGINES).contains(&self.engines);
         if !counts {
             let remedy = "name gateways and engines in this range";
-            return Some(Fault::new("fleets", found, "2 to 100,000 of each", remedy));
+            return Err(InvalidValue::new(
+                "fleets",
+                found,
+                "2 to 100,000 of each",
+                remedy,
+            ));
         }
         if self.subset_sizes.is_empty() || self.subset_sizes.contains(&0) {
             let (expected, remedy) = ("a list of 1 or more", "name the sizes to compare");
-            return Some(Fault::new("fleets.subset_sizes", found, expected, remedy));
+            return Err(InvalidValue::new(
+                "fleets.subset_sizes",
+                found,
+                expected,
+                remedy,
+            ));
         }
-        None
+        Ok(())
     }
 }
 
@@ -119,19 +129,12 @@
 
 impl Experiment {
     /// Reads and checks an experiment.
-    pub fn read(path: &Path) -> Result<Self, ExperimentError> {
-        let experiment: Experiment = crate::experiment::read(path)?;
-        match experiment.fault() {
-            None => Ok(experiment),
-            Some(Fault {
-                key,
-                found,
-                expected,
-                remedy,
-            }) => Err(ExperimentError::unusable(
-                path, key, found, expected, remedy,
-            )),
-        }
+    ///
+    /// # Errors
+    ///
+    /// Where it can't be read, is no such experiment, or has a value that can't be used.
+    pub fn read(file: &Path) -> Result<Self, ExperimentError> {
+        experiment::read(file, Experiment::check)
     }
 
     /// The kinds that query classes name.
@@ -143,20 +146,17 @@
             .collect()
     }
 
-    fn fault(&self) -> Option<Fault> {
-        let faults = [
-            self.fault_in_repeats(),
-            self.fault_in_engines(),
-            self.fault_in_fleets(),
-            self.fault_in_strategies(),
-            self.fault_in_traffic(),
-        ];
-        faults.into_iter().flatten().next()
+    fn check(&self) -> Result<(), InvalidValue> {
+        self.check_repeats()?;
+        self.check_engines()?;
+        self.check_fleets()?;
+        self.check_strategies()?;
+        self.check_traffic()
     }
 
-    fn fault_in_repeats(&self) -> Option<Fault> {
+    fn check_repeats(&self) -> Result<(), InvalidValue> {
         if !(1..=MAX_SEEDS).contains(&self.seeds) {
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "seeds",
                 self.seeds,
                 "1 to 1,024",
@@ -164,19 +164,19 @@
             ));
         }
         if !(1..=MAX_THREADS).contains(&self.threads) {
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "threads",
                 self.threads,
                 "1 to 64",
                 "name the cores it may use",
             ));
         }
-        None
+        Ok(())
     }
 
-    fn fault_in_engines(&self) -> Option<Fault> {
+    fn check_engines(&self) -> Result<(), InvalidValue> {
         if self.zones == 0 {
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "zones",
                 self.zones,
                 "1 or more",
@@ -185,7 +185,7 @@
         }
         if self.rack_engines == 0 {
             let remedy = "name the engines that share a rack";
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "rack_engines",
                 self.rack_engines,
                 "1 or more",
@@ -195,37 +195,35 @@
         let usable = |kind: &Kind| positive(kind.cores) && positive(kind.share);
         if self.kinds.is_empty() || !self.kinds.iter().all(usable) {
             let remedy = "name cores and share of each kind";
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "kinds",
                 format!("{:?}", self.kinds),
                 "a list with both over 0",
                 remedy,
             ));
         }
-        None
+        Ok(())
     }
 
-    fn fault_in_fleets(&self) -> Option<Fault> {
+    fn check_fleets(&self) -> Result<(), InvalidValue> {
         if self.fleets.is_empty() {
             let (found, expected) = ("an empty list", "a list of fleets");
             let remedy = "add a [[fleets]] table";
-            return Some(Fault::new("fleets", found, expected, remedy));
-        }
-        if let Some(fault) = self.fleets.iter().find_map(Fleet::fault) {
-            return Some(fault);
+            return Err(InvalidValue::new("fleets", found, expected, remedy));
         }
+        self.fleets.iter().try_for_each(Fleet::check)?;
         if !(0.0..1.0).contains(&self.gateways_lost) {
             let (expected, remedy) = (
                 "0 or more and under 1",
                 "name the part of the gateways that goes",
             );
             let found = self.gateways_lost;
-            return Some(Fault::new("gateways_lost", found, expected, remedy));
+            return Err(InvalidValue::new("gateways_lost", found, expected, remedy));
         }
-        None
+        Ok(())
     }
 
-    fn fault_in_strategies(&self) -> Option<Fault> {
+    fn check_strategies(&self) -> Result<(), InvalidValue> {
         let judged = [StrategyName::Subset, StrategyName::RendezvousFloors];
         if !judged
             .iter()
@@ -233,7 +231,7 @@
         {
             let remedy = "name both as well: one is judged by the other";
             let expected = "a list with subset and rendezvous-floors";
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "ways",
                 format!("{:?}", self.strategies),
                 expected,
@@ -242,7 +240,7 @@
         }
         if !(1..=MAX_POINTS_PER_CORE).contains(&self.ring.points_per_core) {
             let remedy = "name the points of an engine on the ring for each core";
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "ring.points_per_core",
                 self.ring.points_per_core,
                 "1 to 256",
@@ -251,21 +249,21 @@
         }
         if self.sampling.draws == 0 || !positive(self.sampling.connection_idle_s) {
             let remedy = "name draws of 1 or more and a time over 0";
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "sampling",
                 format!("{:?}", self.sampling),
                 "usable",
                 remedy,
             ));
         }
-        None
+        Ok(())
     }
 
-    fn fault_in_traffic(&self) -> Option<Fault> {
+    fn check_traffic(&self) -> Result<(), InvalidValue> {
         let traffic = &self.traffic;
         if !positive(traffic.heavy_factor) || !positive(traffic.queries_per_second) {
             let remedy = "name a factor and a rate over 0";
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "traffic",
                 format!("{traffic:?}"),
                 "usable",
@@ -276,14 +274,14 @@
         if !(0.0..1.0).contains(&traffic.heavy_share) || heavy >= 1.0 {
             let remedy =
                 "name fewer heavy gateways or a lower factor, so that something is left for the others";
-            return Some(Fault::new(
+            return Err(InvalidValue::new(
                 "traffic.heavy_share",
                 traffic.heavy_share,
                 "under 1 / heavy_factor",
                 remedy,
             ));
         }
-        None
+        Ok(())
     }
 }
 
