--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -2,37 +2,26 @@
 //! a line and a power are fitted, and a size outside of the fitted range is predicted and then measured.
 
 mod chart;
-mod configuration;
-mod gateway_list;
-mod leases;
-mod ledger;
-mod list;
+mod experiment;
 mod measurement;
-mod membership;
 mod metric;
-mod module;
-mod pool;
 mod quantities;
 mod regression;
 mod report;
 mod role;
 mod role_name;
+mod roles;
 mod runner;
-mod settings;
-mod stopwatch;
-mod subset;
 
 use crate::results::Results;
 use crate::run::{Run, Verdict};
+use experiment::{Experiment, Limit};
 use indicatif::{ProgressBar, ProgressStyle};
 use measurement::{Measured, Point};
 use metric::Metric;
 use regression::{Regression, Sample};
 use report::{number, Prediction, Series, ValueRow};
-use role::Role;
-use role_name::RoleName;
 use runner::Runner;
-use settings::{Experiment, Limit};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -40,24 +29,10 @@
 /// Values by metric and size.
 type Values = BTreeMap<Metric, BTreeMap<u64, Vec<f64>>>;
 
-impl RoleName {
-    fn role(self) -> &'static dyn Role {
-        match self {
-            RoleName::Module => &module::Module,
-            RoleName::List => &list::List,
-            RoleName::Subset => &subset::SubsetChoice,
-            RoleName::Membership => &membership::Membership,
-            RoleName::Ledger => &ledger::OpenAttempts,
-            RoleName::Configuration => &configuration::Configuration,
-            RoleName::Leases => &leases::Leases,
-        }
-    }
-}
-
 /// Measures the point on standard input, and writes the values to standard output.
 pub fn measure_point() -> Verdict {
     let point: Point = serde_json::from_reader(std::io::stdin())?;
-    let measured = point.role.role().measure(&point)?;
+    let measured = roles::role(point.role).measure(&point)?;
     println!("{}", serde_json::to_string(&measured)?);
     Ok(true)
 }
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/roles/configuration.rs
@@ -1,10 +1,10 @@
 //! The role of a configuration that is read and checked, as at a start and at a reload.
 
-use super::measurement::{Measured, Point};
-use super::metric::Metric;
 use super::pool::{kind_name, log_event, whole_list, zone_name, KIND_CORES, ZONES};
-use super::role::{Role, RoleError};
 use super::stopwatch::{growth, timed};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use garnetwall_gateway::configuration::{self, Files};
 use serde_json::json;
 use std::path::PathBuf;
--- a/crates/scale/src/slopes/gateway_list.rs
+++ b/crates/scale/src/slopes/roles/gateway_list.rs
@@ -1,8 +1,8 @@
 //! Adapter to the gateway's own endpoint list.
 
 use super::pool::{kind_name, subset_settings, zone_name, KIND_CORES, ZONES};
-use super::quantities::Fixed;
-use super::role::RoleError;
+use crate::slopes::quantities::Fixed;
+use crate::slopes::role::RoleError;
 use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
 use garnetwall_gateway::system::clock::Clock;
 use garnetwall_settings::Names;
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/roles/leases.rs
@@ -1,9 +1,9 @@
 //! The role of a lease grantor: members renew what they have.
 
-use super::measurement::{Measured, Point};
-use super::metric::Metric;
-use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use garnetwall_fleet::{Claim, Epoch, Grantor, LeaseRequest, Member, Resource, Terms};
 use std::time::Duration;
 
--- a/crates/scale/src/slopes/ledger.rs
+++ b/crates/scale/src/slopes/roles/ledger.rs
@@ -1,9 +1,9 @@
 //! The role of the ledger of open attempts.
 
-use super::measurement::{Measured, Point};
-use super::metric::Metric;
-use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use garnetwall_ledger::{AttemptId, Bounds, Evidence, Ledger};
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/roles/list.rs
@@ -1,11 +1,11 @@
 //! The role of the list of engines in a gateway: decode and apply.
 
 use super::gateway_list::GatewayList;
-use super::measurement::{Measured, Point};
-use super::metric::Metric;
 use super::pool;
-use super::role::{Role, RoleError};
 use super::stopwatch::{each, growth, repeated, timed};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 
 /// Repeated whole lists, and changed entries, in one run.
 const WHOLE_LISTS: usize = 8;
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/roles/membership.rs
@@ -1,9 +1,9 @@
 //! The role of membership: all members in one process, in simulated time, over a network that may lose messages.
 
-use super::measurement::{Measured, Point};
-use super::metric::Metric;
-use super::role::{Role, RoleError};
 use super::stopwatch::{growth, timed};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use garnetwall_fleet::members::{Members, Peer};
 use garnetwall_fleet::wire::{Message, Wire};
 use rand::rngs::SmallRng;
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -1,9 +1,9 @@
 //! The module's endpoints: the whole list, or the members of a subset under indices of their own.
 
-use crate::slopes::pool::{self, PoolEngine};
 use crate::slopes::quantities::Fixed;
 use crate::slopes::role::RoleError;
-use crate::slopes::subset::{changed, Chosen};
+use crate::slopes::roles::pool::{self, PoolEngine};
+use crate::slopes::roles::subset::{changed, Chosen};
 use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use garnetwall_subset::{Action, EngineKey};
 use std::collections::HashMap;
--- a/crates/scale/src/slopes/module/mod.rs
+++ b/crates/scale/src/slopes/roles/module/mod.rs
@@ -4,10 +4,10 @@
 mod simulation;
 mod workload;
 
-use super::measurement::{Measured, Point};
-use super::metric::Metric;
-use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated, timed};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use engines::ListedEngines;
 use simulation::Simulation;
 
--- a/crates/scale/src/slopes/module/workload.rs
+++ b/crates/scale/src/slopes/roles/module/workload.rs
@@ -1,7 +1,7 @@
 //! The module's workload: query classes, and random queries.
 
-use crate::slopes::pool::KIND_CORES;
 use crate::slopes::quantities::Fixed;
+use crate::slopes::roles::pool::KIND_CORES;
 use garnetwall::api::{
     Idempotency, LoadReporting, Query, QueryClass, QueryId, Settings, SlowStart,
 };
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/roles/subset.rs
@@ -1,10 +1,10 @@
 //! The role of the catalog and the choice of a subset.
 
-use super::measurement::{Measured, Point};
-use super::metric::Metric;
 use super::pool;
-use super::role::{Role, RoleError};
 use super::stopwatch::{growth, repeated, timed};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use garnetwall_subset::{Action, Catalog, ListedEngine, ListedState, Subset};
 
 /// Subsets that share one catalog, so that a subset's memory is known apart from the catalog's.
