--- a/crates/scale/src/real_processes/script.rs
+++ b/crates/scale/src/real_processes/script.rs
@@ -72,31 +72,34 @@
                 self.start_replacements(&slots);
             }
             Action::ZoneLost { zone, report_delay } => {
-                let slots = self.test_bed.log.endpoint_list().in_zone(zone);
-                self.set_health(&slots, Health::Silent);
-                self.publish_deleted_after(&slots, report_delay).await;
+                self.silence_zone(zone, report_delay).await;
             }
             Action::ZoneBack { zone } => self.replace_zone(zone),
             Action::ChangesBurst { count, spread_over } => self.burst(count, spread_over).await,
             Action::GatewayReloaded { gateway } => self.test_bed.gateways.reload(gateway).await?,
             Action::GatewayTerminated { gateway } => {
                 self.test_bed.gateways.terminate(gateway).await?;
-                self.test_bed
-                    .gateways
-                    .start(gateway, &self.test_bed.log)
-                    .await?;
+                self.start_gateway(gateway).await?;
             }
             Action::GatewayKilled { gateway } => {
                 self.test_bed.gateways.kill(gateway).await?;
-                self.test_bed
-                    .gateways
-                    .start(gateway, &self.test_bed.log)
-                    .await?;
+                self.start_gateway(gateway).await?;
             }
         }
         Ok(())
     }
 
+    async fn start_gateway(&self, gateway: usize) -> Result<(), GatewayError> {
+        let TestBed { gateways, log, .. } = &*self.test_bed;
+        gateways.start(gateway, log).await
+    }
+
+    async fn silence_zone(&self, zone: usize, report_delay: f64) {
+        let slots = self.test_bed.log.endpoint_list().in_zone(zone);
+        self.set_health(&slots, Health::Silent);
+        self.publish_deleted_after(&slots, report_delay).await;
+    }
+
     fn replace_zone(&self, zone: usize) {
         let slots = self.test_bed.log.endpoint_list().in_zone(zone);
         self.kill_slots(&slots);
--- a/crates/scale/src/slopes/experiment.rs
+++ b/crates/scale/src/slopes/experiment.rs
@@ -1,7 +1,7 @@
 //! The file of an experiment on slopes, and its checks.
 
 use super::metric::Metric;
-use super::quantities::{Fixed, Quantity, MAX_SIZE};
+use super::quantities::{Quantities, Quantity, MAX_SIZE};
 use super::role_name::RoleName;
 use crate::experiment::{self, ExperimentError, InvalidValue};
 use serde::Deserialize;
@@ -30,7 +30,7 @@
     pub point_limit: f64,
     /// The quantities that stay as they are.
     #[serde(default)]
-    pub fixed: Fixed,
+    pub fixed: Quantities,
     /// Judged at the end; the verdict fails where one is passed.
     #[serde(default)]
     pub limits: Vec<Limit>,
--- a/crates/scale/src/slopes/measurement.rs
+++ b/crates/scale/src/slopes/measurement.rs
@@ -1,7 +1,7 @@
 //! A point and the values measured at it: the input and output of the measuring process.
 
 use super::metric::Metric;
-use super::quantities::Fixed;
+use super::quantities::Quantities;
 use super::role_name::RoleName;
 use serde::{Deserialize, Serialize};
 
@@ -23,5 +23,5 @@
 pub struct Point {
     pub role: RoleName,
     pub seed: u64,
-    pub quantities: Fixed,
+    pub quantities: Quantities,
 }
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -3,6 +3,7 @@
 
 mod chart;
 mod experiment;
+mod judge;
 mod measurement;
 mod metric;
 mod quantities;
@@ -15,12 +16,12 @@
 
 use crate::results::Results;
 use crate::run::{Run, Verdict};
-use experiment::{Experiment, Limit};
+use experiment::Experiment;
 use indicatif::{ProgressBar, ProgressStyle};
 use measurement::{Measured, Point};
 use metric::Metric;
 use regression::{Regression, Sample};
-use report::{number, Prediction, Series, ValueRow};
+use report::{Prediction, Series, ValueRow};
 use runner::Runner;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -53,7 +54,7 @@
             chart::draw(&chart_path(path, one.metric), one, experiment.sweep)?;
         }
     }
-    Ok(judge(&experiment, &all_series))
+    Ok(judge::judge(&experiment.limits, &all_series))
 }
 
 /// Measures all points. Each run takes the sizes in turn, so that a change of the machine's load affects all of them.
@@ -141,55 +142,6 @@
     println!("{}{rows}", report::regression_header(experiment.predict));
 }
 
-/// Whether all limits hold. Each is printed with its figure.
-fn judge(experiment: &Experiment, all_series: &[Series]) -> bool {
-    let verdicts: Vec<bool> = experiment
-        .limits
-        .iter()
-        .flat_map(|limit| judge_limit(limit, all_series))
-        .collect();
-    let passed = verdicts.iter().filter(|verdict| **verdict).count();
-    println!("{passed} passed, {} failed", verdicts.len() - passed);
-    passed == verdicts.len()
-}
-
-fn judge_limit(limit: &Limit, all_series: &[Series]) -> Vec<bool> {
-    let label = limit.metric.label();
-    let Some(series) = all_series
-        .iter()
-        .find(|series| series.metric == limit.metric)
-    else {
-        println!("FAILED {label}: not measured by this role");
-        return vec![false];
-    };
-    let measured = series
-        .predicted
-        .iter()
-        .map(|prediction| prediction.measured.median());
-    let worst = series
-        .samples
-        .iter()
-        .map(Sample::median)
-        .chain(measured)
-        .fold(0.0, f64::max);
-    let smallest = series.samples.first().map_or(0.0, Sample::median);
-    let most = limit.most.map(|most| ("", worst, most));
-    let ratio = limit
-        .most_over_smallest
-        .map(|most| (" over the smallest", worst / smallest, most));
-    let verdict = |(what, found, most): (&str, f64, f64)| {
-        let passed = found <= most;
-        let word = if passed { "passed" } else { "FAILED" };
-        println!(
-            "{word} {label}{what}: {} at worst, {} at most",
-            number(found),
-            number(most)
-        );
-        passed
-    };
-    most.into_iter().chain(ratio).map(verdict).collect()
-}
-
 /// Beside the results, by the metric's name.
 fn chart_path(results: &Path, metric: Metric) -> PathBuf {
     let stem = results.file_stem().unwrap_or_default().to_string_lossy();
--- a/crates/scale/src/slopes/quantities.rs
+++ b/crates/scale/src/slopes/quantities.rs
@@ -37,7 +37,7 @@
 /// The quantities of a point.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
-pub struct Fixed {
+pub struct Quantities {
     pub engines: u64,
     pub gateways: u64,
     /// Queries that the one measured gateway receives.
@@ -60,9 +60,9 @@
     pub loss: u64,
 }
 
-impl Default for Fixed {
+impl Default for Quantities {
     fn default() -> Self {
-        Fixed {
+        Quantities {
             engines: 80,
             gateways: 4400,
             queries_per_second: 1795,
@@ -79,7 +79,7 @@
     }
 }
 
-impl Fixed {
+impl Quantities {
     /// The same with one quantity set.
     pub fn with(mut self, quantity: Quantity, size: u64) -> Self {
         match quantity {
@@ -95,7 +95,7 @@
     }
 }
 
-impl Fixed {
+impl Quantities {
     /// # Errors
     ///
     /// The first of the quantities that can't be simulated.
--- a/crates/scale/src/slopes/regression.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -65,13 +65,13 @@
     /// The regression over four sizes or more, the smallest first.
     pub fn new(samples: &[Sample]) -> Self {
         let medians: Vec<(f64, f64)> = samples.iter().map(|s| (s.size, s.median())).collect();
-        let linear = fit(&medians);
+        let linear = least_squares(&medians);
         let largest = medians
             .iter()
             .map(|(_, value)| value.abs())
             .fold(MIN_DIVISOR, f64::max);
         let logarithms: Vec<(f64, f64)> = samples.iter().flat_map(logarithms).collect();
-        let power = fit(&logarithms);
+        let power = least_squares(&logarithms);
         let exponent_error = power.slope_error(&logarithms);
         let (last_exponent, last_least) = last_exponents(samples);
         // One run of a size has no spread to be beyond.
@@ -106,7 +106,7 @@
 }
 
 /// Experiments have several sizes, so that there is a fit.
-fn fit(points: &[(f64, f64)]) -> LeastSquares {
+fn least_squares(points: &[(f64, f64)]) -> LeastSquares {
     LeastSquares::through(points).unwrap_or_default()
 }
 
--- a/crates/scale/src/slopes/roles/gateway_list.rs
+++ b/crates/scale/src/slopes/roles/gateway_list.rs
@@ -1,7 +1,7 @@
 //! Adapter to the gateway's own endpoint list.
 
 use super::pool::{kind_name, subset_settings, zone_name, KIND_CORES, ZONES};
-use crate::slopes::quantities::Fixed;
+use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
 use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
 use garnetwall_gateway::system::clock::Clock;
@@ -23,7 +23,7 @@
     /// # Errors
     ///
     /// Where the settings of the subset can't be used.
-    pub fn new(quantities: &Fixed) -> Result<Self, RoleError> {
+    pub fn new(quantities: &Quantities) -> Result<Self, RoleError> {
         let names = Names {
             zones: (0..ZONES).map(zone_name).collect(),
             kinds: (0..KIND_CORES.len()).map(kind_name).collect(),
--- a/crates/scale/src/slopes/roles/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -1,6 +1,6 @@
 //! The module's endpoints: the whole list, or the members of a subset under indices of their own.
 
-use crate::slopes::quantities::Fixed;
+use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
 use crate::slopes::roles::pool::{self, PoolEngine};
 use crate::slopes::roles::subset::{changed, Chosen};
@@ -26,8 +26,8 @@
     /// # Errors
     ///
     /// Where the settings of the subset can't be used.
-    pub fn new(quantities: &Fixed) -> Result<Self, RoleError> {
-        let Fixed {
+    pub fn new(quantities: &Quantities) -> Result<Self, RoleError> {
+        let Quantities {
             engines,
             gateways,
             subset_size,
--- a/crates/scale/src/slopes/roles/module/simulation.rs
+++ b/crates/scale/src/slopes/roles/module/simulation.rs
@@ -4,7 +4,7 @@
 use super::engines::ListedEngines;
 use super::workload::{query, THREADS};
 use crate::slopes::measurement::Point;
-use crate::slopes::quantities::Fixed;
+use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, EngineId, LoadReport, NextAction, Placement, QueryId, Settings,
@@ -51,7 +51,7 @@
     controller: AdmissionController,
     engines: ListedEngines,
     engines_listed: usize,
-    quantities: Fixed,
+    quantities: Quantities,
     rng: SmallRng,
     events: BinaryHeap<Reverse<Event>>,
     sequence: u64,
--- a/crates/scale/src/slopes/roles/module/workload.rs
+++ b/crates/scale/src/slopes/roles/module/workload.rs
@@ -1,6 +1,6 @@
 //! The module's workload: query classes, and random queries.
 
-use crate::slopes::quantities::Fixed;
+use crate::slopes::quantities::Quantities;
 use crate::slopes::roles::pool::KIND_CORES;
 use garnetwall::api::{
     Idempotency, LoadReporting, Query, QueryClass, QueryId, Settings, SlowStart,
@@ -20,7 +20,7 @@
 const DEADLINE_SECONDS: f64 = 5.0;
 
 /// Two classes, load reports with answers, slow start.
-pub fn settings(quantities: &Fixed) -> Settings {
+pub fn settings(quantities: &Quantities) -> Settings {
     let keyed = |index: usize| index == KEYED_CLASS && quantities.keys > 0;
     let classes = THREADS
         .iter()
@@ -68,7 +68,7 @@
 }
 
 /// A random query.
-pub fn query(id: QueryId, quantities: &Fixed, rng: &mut SmallRng) -> Query {
+pub fn query(id: QueryId, quantities: &Quantities, rng: &mut SmallRng) -> Query {
     let class = rng.random_range(0..THREADS.len());
     let keyed = class == KEYED_CLASS && quantities.keys > 0;
     let error = rng.random_range(-ESTIMATE_ERROR..ESTIMATE_ERROR);
