--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/roles/leases.rs
@@ -1,7 +1,9 @@
 //! The role of a lease issuer: members renew what they have.
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use garnetwall_fleet::{Claim, Epoch, HolderId, LeaseIssuer, LeaseRequest, LeaseTerms, Resource};
 use std::time::Duration;
 
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/roles/list.rs
@@ -1,9 +1,11 @@
 //! The role of the list of engines in a gateway: decode and apply.
 
 use super::gateway_list::GatewayList;
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::pool;
 use super::stopwatch::{each, growth, repeated, timed};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 
 /// Repeated whole lists, and changed entries, in one run.
 const WHOLE_LISTS: usize = 8;
--- a/crates/scale/src/slopes/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -1,9 +1,9 @@
 //! The module's endpoints: the whole list, or the members of a subset under indices of their own.
 
-use crate::slopes::measurement::RoleError;
-use crate::slopes::pool::{self, PoolEngine};
-use crate::slopes::settings::Fixed;
-use crate::slopes::subset::{changed, Chosen};
+use crate::slopes::quantities::Quantities;
+use crate::slopes::role::RoleError;
+use crate::slopes::roles::pool::{self, PoolEngine};
+use crate::slopes::roles::subset::{changed, Chosen};
 use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use garnetwall_subset::{Action, EngineKey};
 use std::collections::HashMap;
@@ -26,8 +26,8 @@
     /// # Errors
     ///
     /// Where the settings of the subset can't be used.
-    pub fn new(quantities: &Fixed) -> Result<Self, RoleError> {
-        let Fixed {
+    pub fn new(quantities: &Quantities) -> Result<Self, RoleError> {
+        let Quantities {
             engines,
             gateways,
             subset_size,
--- a/crates/scale/src/slopes/module/mod.rs
+++ b/crates/scale/src/slopes/roles/module/mod.rs
@@ -4,8 +4,10 @@
 mod simulation;
 mod workload;
 
-use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated, timed};
+use crate::slopes::measurement::{Measured, Point};
+use crate::slopes::metric::Metric;
+use crate::slopes::role::{Role, RoleError};
 use engines::ListedEngines;
 use simulation::Simulation;
 
