--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -13,7 +13,7 @@
 mod settings;
 mod storage;
 
-use crate::check::Checked;
+use crate::check::CheckedBlock;
 use crate::fault::Fault;
 use crate::model::Plan;
 use consistency::ConsistencyCheck;
@@ -22,7 +22,11 @@
 pub use settings::{Settings, SettingsClass};
 
 /// Builds a plan from checked blocks. Where there are faults the plan is not to be used.
-pub fn build(blocks: &[Checked], settings: Option<&Settings>, faults: &mut Vec<Fault>) -> Plan {
+pub fn build(
+    blocks: &[CheckedBlock],
+    settings: Option<&Settings>,
+    faults: &mut Vec<Fault>,
+) -> Plan {
     let mut builder = Builder {
         blocks,
         indices: HashMap::from([
@@ -55,13 +59,13 @@
 }
 
 /// The blocks of a kind, in their order.
-fn of<'a>(blocks: &'a [Checked], kind: &str) -> Vec<&'a Checked> {
-    let of_kind = |block: &&Checked| block.kind.name == kind;
+fn of<'a>(blocks: &'a [CheckedBlock], kind: &str) -> Vec<&'a CheckedBlock> {
+    let of_kind = |block: &&CheckedBlock| block.kind.name == kind;
     blocks.iter().filter(of_kind).collect()
 }
 
 /// The indices of the blocks of a kind among themselves, by name.
-fn indices<'a>(blocks: &'a [Checked], kind: &str) -> HashMap<&'a str, usize> {
+fn indices<'a>(blocks: &'a [CheckedBlock], kind: &str) -> HashMap<&'a str, usize> {
     let blocks = of(blocks, kind).into_iter().enumerate();
     blocks
         .map(|(index, block)| (block.name.as_str(), index))
@@ -70,7 +74,7 @@
 
 /// The part of a plan that is built so far, with what it is built from.
 struct Builder<'a> {
-    blocks: &'a [Checked],
+    blocks: &'a [CheckedBlock],
     /// The indices of pools and of address sets, by kind of block and name.
     indices: HashMap<&'static str, HashMap<&'a str, usize>>,
     settings: Option<&'a Settings>,
@@ -79,12 +83,12 @@
 }
 
 impl<'a> Builder<'a> {
-    fn of(&self, kind: &str) -> Vec<&'a Checked> {
+    fn of(&self, kind: &str) -> Vec<&'a CheckedBlock> {
         of(self.blocks, kind)
     }
 
     /// Reports that a block lacks an entry, unless a faulty line in it may be the one that is missing.
-    fn incomplete(&mut self, block: &Checked, fault: Fault) {
+    fn incomplete(&mut self, block: &CheckedBlock, fault: Fault) {
         let is_inside = |fault: &Fault| {
             fault.span.file == block.whole.file && block.whole.range().contains(&fault.span.start)
         };
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -1,6 +1,6 @@
 //! Values of checked entries as plain numbers, times and names.
 
-use crate::check::{Given, Spanned};
+use crate::check::{CheckedEntry, Spanned};
 use crate::model::Bucket;
 use crate::quantity::Value;
 use std::time::Duration;
@@ -54,7 +54,7 @@
 }
 
 /// A rate with its burst; where none is given, what comes in a second, at least 1.
-pub(super) fn bucket(entry: Option<&Given>) -> Option<Bucket> {
+pub(super) fn bucket(entry: Option<&CheckedEntry>) -> Option<Bucket> {
     let values = &entry?.values;
     let rate = number(values.first())?;
     Some(Bucket {
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -1,7 +1,7 @@
 //! Resolves names: those that the settings know, and those of other blocks.
 
 use super::{Builder, Settings};
-use crate::check::{Checked, Given};
+use crate::check::{CheckedBlock, CheckedEntry};
 use crate::fault::Fault;
 use crate::files::Span;
 use crate::quantity::Value;
@@ -44,7 +44,7 @@
     pub(super) fn block_indices(
         &mut self,
         kind: &'static str,
-        entry: Option<&Given>,
+        entry: Option<&CheckedEntry>,
     ) -> Vec<usize> {
         let known = &self.indices[kind];
         let mut found = Vec::new();
@@ -139,7 +139,7 @@
 }
 
 /// The fault of blocks each of which refers to the next, and the last to the first.
-fn cycle_fault(blocks: &[&Checked], cycle: &[usize]) -> Fault {
+fn cycle_fault(blocks: &[&CheckedBlock], cycle: &[usize]) -> Fault {
     let first = blocks[cycle[0]];
     let names = cycle.iter().map(|index| blocks[*index].name.as_str());
     let names: Vec<&str> = names.chain([first.name.as_str()]).collect();
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -3,7 +3,7 @@
 use super::entries::named;
 use super::Builder;
 use crate::address::{difference, span, union, Spans};
-use crate::check::{Checked, Spanned};
+use crate::check::{CheckedBlock, Spanned};
 use crate::fault::Fault;
 use crate::model::{AddressSet, Pool};
 use crate::quantity::Value;
@@ -33,7 +33,7 @@
         }
     }
 
-    fn check_addresses(&mut self, block: &Checked, spans: &Spans) {
+    fn check_addresses(&mut self, block: &CheckedBlock, spans: &Spans) {
         if !block.has_any(&["net", "of"]) {
             let text = format!("the address set `{}` says nothing", block.name);
             let fault = Fault::new(block.span.clone(), text);
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -2,7 +2,7 @@
 
 use super::entries::{first_name, named, ranges};
 use super::Builder;
-use crate::check::Checked;
+use crate::check::CheckedBlock;
 use crate::fault::Fault;
 use crate::model::Route;
 
@@ -33,7 +33,7 @@
     }
 
     /// A route says where its queries go, or that they are rejected, and not both.
-    fn check_outcome(&mut self, block: &Checked) {
+    fn check_outcome(&mut self, block: &CheckedBlock) {
         if !block.has_any(&["to", "as", "refuse"]) {
             let text = format!("the route `{}` says nothing", block.name);
             let help = "say what becomes of its batches: `to`, `as` or `refuse`";
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -2,7 +2,7 @@
 
 use super::entries::{count, first_name, named, number};
 use super::{of, Builder};
-use crate::check::Checked;
+use crate::check::CheckedBlock;
 use crate::fault::Fault;
 use crate::model::{Bodies, Journal};
 
@@ -15,7 +15,7 @@
 
 impl<'a> Builder<'a> {
     /// The block of a kind of which there is one at most.
-    fn single(&mut self, kind: &'static str) -> Option<&'a Checked> {
+    fn single(&mut self, kind: &'static str) -> Option<&'a CheckedBlock> {
         let all = of(self.blocks, kind);
         let (first, others) = all.split_first()?;
         for other in others {
@@ -47,7 +47,7 @@
         self.plan.bodies = Some(bodies);
     }
 
-    fn check_bodies(&mut self, block: &Checked, bodies: &Bodies) {
+    fn check_bodies(&mut self, block: &CheckedBlock, bodies: &Bodies) {
         let mut report = |entry: &str, text: &str| {
             let span = block.get(entry).map_or(&block.span, |entry| &entry.span);
             self.faults.push(Fault::new(span.clone(), text));
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -24,7 +24,7 @@
 
 /// An entry whose values have the shape that its kind requires.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct CheckedEntry {
     /// The place of the entry.
     pub span: Span,
     /// By shape: none for a flag; the rate and perhaps the burst for a bucket; for an effect its word and, where it
@@ -34,7 +34,7 @@
 
 /// A block all of whose entries belong to its kind.
 #[derive(Clone, Debug)]
-pub struct Checked {
+pub struct CheckedBlock {
     /// Its kind.
     pub kind: &'static BlockKind,
     /// Its name.
@@ -44,12 +44,12 @@
     /// The place of the whole block.
     pub whole: Span,
     /// Its entries by name.
-    pub entries: HashMap<&'static str, Given>,
+    pub entries: HashMap<&'static str, CheckedEntry>,
 }
 
-impl Checked {
+impl CheckedBlock {
     /// An entry by its name.
-    pub fn get(&self, entry: &str) -> Option<&Given> {
+    pub fn get(&self, entry: &str) -> Option<&CheckedEntry> {
         self.entries.get(entry)
     }
 
@@ -60,7 +60,7 @@
 
     /// The values of an entry; empty where the block does not have it.
     pub fn values(&self, entry: &str) -> &[Spanned] {
-        self.get(entry).map_or(&[], |given| &given.values)
+        self.get(entry).map_or(&[], |entry| &entry.values)
     }
 
     /// The first value of an entry.
@@ -70,7 +70,7 @@
 }
 
 /// Checks all items; faulty ones are reported and left out.
-pub fn check(items: &[Item], faults: &mut Vec<Fault>) -> Vec<Checked> {
+pub fn check(items: &[Item], faults: &mut Vec<Fault>) -> Vec<CheckedBlock> {
     let mut constants = Constants::default();
     for item in items {
         if let Item::Constant {
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -2,7 +2,7 @@
 
 use super::constants::Constants;
 use super::values::ValueReader;
-use super::{Checked, Given, Spanned};
+use super::{CheckedBlock, CheckedEntry, Spanned};
 use crate::fault::{shown, Fault};
 use crate::files::Span;
 use crate::quantity::{self, Kind};
@@ -27,7 +27,7 @@
     }
 
     /// Checks a block; `None` where its kind or name is faulty. Of a block that is taken, faulty entries are left out.
-    pub(super) fn block(&mut self, block: &Block) -> Option<Checked> {
+    pub(super) fn block(&mut self, block: &Block) -> Option<CheckedBlock> {
         let head = block_kind(block).and_then(|kind| Ok((kind, block_name(kind, block)?)));
         let (kind, name) = match head {
             Ok(head) => head,
@@ -44,7 +44,7 @@
             return None;
         }
         self.defined.insert(key, name.span.clone());
-        let mut checked = Checked {
+        let mut checked = CheckedBlock {
             kind,
             name: name.text.clone(),
             span: name.span.clone(),
@@ -57,7 +57,7 @@
         Some(checked)
     }
 
-    fn entry(&mut self, block: &mut Checked, entry: &Entry) {
+    fn entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
         let name = &entry.name;
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.quoted) else {
             let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
@@ -71,7 +71,7 @@
             Some(values) => self.add(block, kind, entry, values),
             None => {
                 // A faulty entry counts as given, so that it is not reported as missing too.
-                block.entries.entry(kind.name).or_insert(Given {
+                block.entries.entry(kind.name).or_insert(CheckedEntry {
                     span: entry.span.clone(),
                     values: Vec::new(),
                 });
@@ -82,7 +82,7 @@
     /// Adds an entry to its block. A list may be given several times, everything else once.
     fn add(
         &mut self,
-        block: &mut Checked,
+        block: &mut CheckedBlock,
         kind: &'static EntryKind,
         entry: &Entry,
         values: Vec<Spanned>,
@@ -90,7 +90,9 @@
         let span = entry.span.clone();
         match block.entries.get_mut(kind.name) {
             None => {
-                block.entries.insert(kind.name, Given { span, values });
+                block
+                    .entries
+                    .insert(kind.name, CheckedEntry { span, values });
             }
             Some(first) if kind.shape.is_list() => first.values.extend(values),
             Some(first) => {
