--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -93,24 +93,28 @@
             v6_classes: Vec::new(),
             members: Vec::new(),
         };
-        let mut class_of: HashMap<FixedBitSet, u32> = HashMap::new();
+        let mut class_by_members: HashMap<FixedBitSet, u32> = HashMap::new();
         let mut members = FixedBitSet::with_capacity(sets.len());
-        let class = classes.class_of(&mut class_of, &members);
+        let class = classes.class_of(&mut class_by_members, &members);
         classes.start(0, class);
         let boundaries = boundaries(sets);
         for boundaries in boundaries.chunk_by(|a, b| a.at == b.at) {
             for boundary in boundaries {
                 members.set(boundary.set, boundary.is_start);
             }
-            let class = classes.class_of(&mut class_of, &members);
+            let class = classes.class_of(&mut class_by_members, &members);
             classes.start(boundaries[0].at, class);
         }
         classes.fill_v4();
         classes
     }
 
-    fn class_of(&mut self, known: &mut HashMap<FixedBitSet, u32>, members: &FixedBitSet) -> u32 {
-        *known.entry(members.clone()).or_insert_with(|| {
+    fn class_of(
+        &mut self,
+        class_by_members: &mut HashMap<FixedBitSet, u32>,
+        members: &FixedBitSet,
+    ) -> u32 {
+        *class_by_members.entry(members.clone()).or_insert_with(|| {
             self.members.push(members.clone());
             self.members.len() as u32 - 1
         })
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -6,7 +6,7 @@
 mod routes;
 
 use super::{Settings, SettingsClass};
-use crate::cells::{Cells, Known};
+use crate::cells::{Cells, ConfiguredNames};
 use crate::fault::Fault;
 use crate::model::Plan;
 
@@ -25,8 +25,8 @@
         self.limits();
     }
 
-    fn known(&self) -> Known<'_> {
-        Known {
+    fn configured_names(&self) -> ConfiguredNames<'_> {
+        ConfiguredNames {
             zones: self.settings.map(|settings| settings.zones.as_slice()),
             kinds: self.settings.map(|settings| settings.kinds.as_slice()),
         }
@@ -34,7 +34,7 @@
 
     /// A pool in which no engine can be.
     fn pools(&mut self) {
-        let Some(cells) = Cells::of(&[self.plan], self.known()) else {
+        let Some(cells) = Cells::of(&[self.plan], self.configured_names()) else {
             return;
         };
         let cells_of = cells.of_pools(self.plan, 0);
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -40,7 +40,7 @@
 impl ConsistencyCheck<'_> {
     /// Reports routes that may send queries out of the pools, kinds or zones that their class is bound to.
     pub(super) fn placement(&mut self, classes: &ValueClasses, reach: &[Option<Vec<Region>>]) {
-        let cells = Cells::of(&[self.plan], self.known());
+        let cells = Cells::of(&[self.plan], self.configured_names());
         let pool_cells = cells.map(|cells| PoolCells {
             of_pools: cells.of_pools(self.plan, 0),
             cells,
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -46,20 +46,20 @@
         kind: &'static str,
         entry: Option<&CheckedEntry>,
     ) -> Vec<usize> {
-        let known = &self.indices[kind];
+        let indices = &self.indices[kind];
         let mut found = Vec::new();
         for value in entry.map_or(&[][..], |entry| &entry.values) {
             let Value::Name(name) = &value.value else {
                 continue;
             };
-            let Some(index) = known.get(name.as_str()) else {
+            let Some(index) = indices.get(name.as_str()) else {
                 let what = match kind {
                     "addresses" => "address set",
                     other => other,
                 };
                 let text = format!("there is no {what} `{name}`");
                 let fault = Fault::new(value.span.clone(), text);
-                let names = known.keys().copied();
+                let names = indices.keys().copied();
                 self.faults.push(fault.suggest_nearest(name, names));
                 continue;
             };
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -14,7 +14,7 @@
 /// All cells that some plans tell apart.
 #[derive(Debug)]
 pub struct Cells {
-    /// The zones; `None` for all that no plan names, absent where all names are known.
+    /// The zones; `None` for all that no plan names, absent where the settings define all names.
     zones: Vec<Option<String>>,
     /// The kinds, in the same way.
     kinds: Vec<Option<String>>,
@@ -25,9 +25,9 @@
     addresses: AddressClasses,
 }
 
-/// Names that the settings know; without them there may be any.
+/// Names that the settings define; `None` where no settings are at hand, so that there may be any.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Known<'a> {
+pub struct ConfiguredNames<'a> {
     /// The names of all zones.
     pub zones: Option<&'a [String]>,
     /// The names of all kinds.
@@ -44,13 +44,13 @@
 
 impl Cells {
     /// The cells that these plans tell apart; `None` where they are too many.
-    pub fn of(plans: &[&Plan], known: Known) -> Option<Self> {
+    pub fn of(plans: &[&Plan], configured: ConfiguredNames) -> Option<Self> {
         let pools = || plans.iter().flat_map(|plan| &plan.pools);
         let patterns = sorted(pools().flat_map(|pool| &pool.ids));
         let spans: Vec<_> = plans.iter().flat_map(|plan| used_sets(plan)).collect();
         let cells = Cells {
-            zones: names(pools().flat_map(|pool| &pool.zones), known.zones),
-            kinds: names(pools().flat_map(|pool| &pool.kinds), known.kinds),
+            zones: names(pools().flat_map(|pool| &pool.zones), configured.zones),
+            kinds: names(pools().flat_map(|pool| &pool.kinds), configured.kinds),
             pattern_sets: patterns::sets(&patterns)?,
             patterns,
             addresses: AddressClasses::new(&spans),
@@ -131,13 +131,13 @@
     sorted
 }
 
-/// The names that plans use with the known ones, or with `None` for all others.
+/// The names that plans use with those of the settings, or with `None` for all others.
 fn names<'a>(
     used: impl Iterator<Item = &'a String>,
-    known: Option<&'a [String]>,
+    configured: Option<&'a [String]>,
 ) -> Vec<Option<String>> {
-    let others = known.is_none().then_some(None);
-    let named = sorted(used.chain(known.unwrap_or_default()));
+    let others = configured.is_none().then_some(None);
+    let named = sorted(used.chain(configured.unwrap_or_default()));
     named.into_iter().map(Some).chain(others).collect()
 }
 
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -14,7 +14,7 @@
 /// The constants of a plan by name.
 #[derive(Default)]
 pub(super) struct Constants {
-    known: HashMap<String, Constant>,
+    by_name: HashMap<String, Constant>,
 }
 
 struct Constant {
@@ -51,7 +51,7 @@
             faults.push(fault.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
             return;
         };
-        if let Some(first) = self.known.get(&name.text) {
+        if let Some(first) = self.by_name.get(&name.text) {
             let text = format!("the constant `{}` is there already", name.text);
             let fault = Fault::new(name.span.clone(), text);
             faults.push(fault.related(first.span.clone(), "first here"));
@@ -61,7 +61,7 @@
             values: values.clone(),
             span: name.span.clone(),
         };
-        self.known.insert(name.text.clone(), constant);
+        self.by_name.insert(name.text.clone(), constant);
     }
 
     /// Replaces the constants in a list of words.
@@ -103,11 +103,11 @@
     }
 
     fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Fault> {
-        let known = &self.constants.known;
-        let Some(constant) = known.get(name) else {
+        let constants = &self.constants.by_name;
+        let Some(constant) = constants.get(name) else {
             let text = format!("there is no constant `{}`", shown(name));
             let fault = Fault::new(used.span.clone(), text);
-            return Err(fault.suggest_nearest(name, known.keys().map(String::as_str)));
+            return Err(fault.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
         let text = if depth >= MAX_DEPTH {
             format!(
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -2,7 +2,7 @@
 
 use super::side::{priority_levels, Side};
 use super::{placement, Change};
-use crate::cells::{Cells, Known};
+use crate::cells::{Cells, ConfiguredNames};
 use crate::model::Plan;
 use crate::region::{self, Region, ValueClasses, QUERY_CLASS};
 use fixedbitset::FixedBitSet;
@@ -11,7 +11,7 @@
 /// The changes in routing and placement.
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
     let classes = ValueClasses::of(&[old, new], &[], &[]);
-    let cells = Cells::of(&[old, new], Known::default());
+    let cells = Cells::of(&[old, new], ConfiguredNames::default());
     let old_side = Side::of(old, 0, &classes, cells.as_ref());
     let new_side = Side::of(new, old.addresses.len(), &classes, cells.as_ref());
     let (Some(old_side), Some(new_side)) = (old_side, new_side) else {
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -16,12 +16,12 @@
 
 impl Names {
     fn of<'a>(names: impl Iterator<Item = &'a String>) -> Self {
-        let mut known = HashMap::new();
+        let mut classes = HashMap::new();
         for name in names {
-            let next = known.len();
-            known.entry(name.clone()).or_insert(next);
+            let next = classes.len();
+            classes.entry(name.clone()).or_insert(next);
         }
-        Names(known)
+        Names(classes)
     }
 
     fn class(&self, name: &str) -> usize {
