--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -10,14 +10,14 @@
 
 pub use value_classes::ValueClasses;
 
-/// What a route can ask for: class, tenant, client, key, data set, hour.
+/// What a route can ask for: class, tenant, client, key, data set, minute of the day.
 pub const DIMENSIONS: usize = 6;
 pub(crate) const QUERY_CLASS: usize = 0;
 const TENANT: usize = 1;
 const CLIENT: usize = 2;
 const KEY: usize = 3;
 const DATA_SET: usize = 4;
-const HOUR: usize = 5;
+const MINUTE_OF_DAY: usize = 5;
 
 /// Pieces into which the region of a route may fall; one of more pieces is not computed.
 const MAX_PIECES: usize = 2048;
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -1,7 +1,7 @@
 //! Prints regions in the words of the plan language.
 
 use super::value_classes::Names;
-use super::{Region, ValueClasses, CLIENT, DATA_SET, HOUR, KEY, QUERY_CLASS, TENANT};
+use super::{Region, ValueClasses, CLIENT, DATA_SET, KEY, MINUTE_OF_DAY, QUERY_CLASS, TENANT};
 use crate::quantity::MINUTES_PER_DAY;
 use fixedbitset::FixedBitSet;
 
@@ -22,7 +22,7 @@
             KEY if region[KEY].contains(1) => "with a key".to_string(),
             KEY => "without a key".to_string(),
             DATA_SET => self.data_sets_in_words(&region[DATA_SET]),
-            _ => self.hours_in_words(&region[HOUR]),
+            _ => self.hours_in_words(&region[MINUTE_OF_DAY]),
         };
         let is_partial = |dimension: &usize| region[*dimension].count_ones(..) < counts[*dimension];
         let partial = (0..region.len()).filter(is_partial);
@@ -63,9 +63,9 @@
     fn hours_in_words(&self, classes: &FixedBitSet) -> String {
         let clock = |minute: u32| format!("{:02}:{:02}", minute / 60, minute % 60);
         let range = |(first, last): (usize, usize)| {
-            let end = self.hours.get(last + 1).copied();
+            let end = self.minutes_of_day.get(last + 1).copied();
             let until = end.unwrap_or(MINUTES_PER_DAY);
-            format!("{}..{}", clock(self.hours[first]), clock(until))
+            format!("{}..{}", clock(self.minutes_of_day[first]), clock(until))
         };
         let ranges: Vec<String> = runs(classes).map(range).collect();
         format!("hours {}", list(&ranges))
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -47,8 +47,8 @@
     pub(super) clients: AddressClasses,
     /// The lowest number of each class of data sets, ascending from 0.
     pub(super) data_sets: Vec<u32>,
-    /// The first minute of the day of each class of hours, ascending from 0.
-    pub(super) hours: Vec<u32>,
+    /// The first minute of each class of minutes of the day, ascending from 0.
+    pub(super) minutes_of_day: Vec<u32>,
 }
 
 impl ValueClasses {
@@ -61,7 +61,7 @@
             .flat_map(|route| &route.data_sets)
             .flat_map(|(from, to)| [Some(*from), to.checked_add(1)])
             .flatten();
-        let hour_bounds = routes()
+        let minute_bounds = routes()
             .flat_map(|route| &route.hours)
             .flat_map(|(from, until)| [*from, *until])
             .filter(|minute| *minute < MINUTES_PER_DAY);
@@ -70,7 +70,7 @@
             tenants: Names::of(tenant_names(plans).chain(tenants)),
             clients: AddressClasses::new(&spans),
             data_sets: sorted_from_0(data_set_bounds),
-            hours: sorted_from_0(hour_bounds),
+            minutes_of_day: sorted_from_0(minute_bounds),
         }
     }
 
@@ -82,7 +82,7 @@
             self.clients.count(),
             KEY_CLASSES,
             self.data_sets.len(),
-            self.hours.len(),
+            self.minutes_of_day.len(),
         ]
     }
 
@@ -107,8 +107,8 @@
     }
 
     /// The value class of a minute of the day.
-    pub fn hour(&self, minute: u32) -> usize {
-        self.hours.partition_point(|from| *from <= minute) - 1
+    pub fn minute_of_day(&self, minute: u32) -> usize {
+        self.minutes_of_day.partition_point(|from| *from <= minute) - 1
     }
 
     /// The value classes of a query.
@@ -119,7 +119,7 @@
             self.clients.class(query.client),
             usize::from(query.has_key),
             self.data_set(query.data_set),
-            self.hour(query.minute_of_day),
+            self.minute_of_day(query.minute_of_day),
         ]
     }
 
@@ -142,7 +142,7 @@
             CLIENT => route.clients.is_empty() || self.is_client(route, first_set, class),
             KEY => route.key.is_none_or(|key| usize::from(key) == class),
             DATA_SET => route.data_sets.is_empty() || self.is_data_set(route, class),
-            _ => route.is_open_at(self.hours[class]),
+            _ => route.is_open_at(self.minutes_of_day[class]),
         }
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -133,7 +133,7 @@
                 .collect(),
             tenant_rows: names.tenants.iter().map(|t| classes.tenant(t)).collect(),
             minute_rows: (0..MINUTES_PER_DAY)
-                .map(|minute| classes.hour(minute) as u16)
+                .map(|minute| classes.minute_of_day(minute) as u16)
                 .collect(),
             words_per_row: words,
             matching_routes: rows,
