--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -17,7 +17,7 @@
 use crate::discovery::Event;
 use crate::scheduling::plan_routing;
 use error::{unusable, wrong_type, Checked};
-use garnetwall_plan::{Faulty, Plan};
+use garnetwall_plan::{InvalidPlan, Plan};
 use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
 use garnetwall_subset::SubsetSettings;
 use initial_list::InitialList;
@@ -113,9 +113,9 @@
 fn add_plan(config: &mut Config, file: String) -> Checked<()> {
     let settings = plan_routing::settings(&config.decoded);
     let compiled = garnetwall_plan::compile(&files::Disk, &file, Some(&settings));
-    let compiled = compiled.map_err(|faulty: Faulty| ConfigError::Plan {
+    let compiled = compiled.map_err(|invalid: InvalidPlan| ConfigError::Plan {
         file: file.clone(),
-        what: faulty.to_string(),
+        what: invalid.to_string(),
     })?;
     let plan = compiled.plan;
     let bodies = plan.bodies.as_ref().map_or(0, |bodies| bodies.memory);
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -7,7 +7,9 @@
 use crate::scheduling::plan_routing;
 use garnetwall_plan::model::QueryFacts;
 use garnetwall_plan::source::Loader;
-use garnetwall_plan::{compile, diff, explain, fault, format, Compiled, Faulty, Settings};
+use garnetwall_plan::{
+    compile, diagnostic, diff, explain, format, Compiled, InvalidPlan, Settings,
+};
 use pico_args::Arguments;
 use std::fmt::Display;
 use std::net::IpAddr;
@@ -73,9 +75,9 @@
     }
 }
 
-impl From<Faulty> for PlanCommandError {
-    fn from(faulty: Faulty) -> Self {
-        PlanCommandError::FaultyPlan(faulty.to_string())
+impl From<InvalidPlan> for PlanCommandError {
+    fn from(invalid: InvalidPlan) -> Self {
+        PlanCommandError::FaultyPlan(invalid.to_string())
     }
 }
 
@@ -176,11 +178,11 @@
     expect_no_more(arguments)?;
     let text = read_text(&file)?;
     let Ok(formatted) = format::format(&text) else {
-        // Reading the plan as a whole finds the faults with their places.
+        // Reading the plan as a whole finds the errors with their places.
         let source = garnetwall_plan::source::read(&Disk, &file);
-        return Err(PlanCommandError::FaultyPlan(fault::render(
+        return Err(PlanCommandError::FaultyPlan(diagnostic::render(
             &source.files,
-            &source.faults,
+            &source.diagnostics,
         )));
     };
     if formatted == text {
--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -1,6 +1,6 @@
-//! Builds a plan from checked blocks: names are resolved, and contradictions are faults.
+//! Builds a plan from checked blocks: names are resolved, and contradictions are errors.
 //!
-//! The [`Builder`] turns the blocks of each kind into their part of the [`Plan`]; where that brought no fault, the
+//! The [`Builder`] turns the blocks of each kind into their part of the [`Plan`]; where that brought no error, the
 //! [`ConsistencyCheck`] compares the parts with one another and with the settings.
 
 mod classes;
@@ -14,18 +14,18 @@
 mod storage;
 
 use crate::check::CheckedBlock;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::Plan;
 use consistency::ConsistencyCheck;
 use std::collections::HashMap;
 
 pub use settings::{Settings, SettingsClass};
 
-/// Builds a plan from checked blocks. Where there are faults the plan is not to be used.
+/// Builds a plan from checked blocks. Where there are errors the plan is not to be used.
 pub fn build(
     blocks: &[CheckedBlock],
     settings: Option<&Settings>,
-    faults: &mut Vec<Fault>,
+    diagnostics: &mut Vec<Diagnostic>,
 ) -> Plan {
     let mut builder = Builder {
         blocks,
@@ -34,7 +34,7 @@
             ("addresses", indices(blocks, "addresses")),
         ]),
         settings,
-        faults,
+        diagnostics,
         plan: Plan::default(),
     };
     builder.external_names();
@@ -46,12 +46,14 @@
     builder.limits();
     builder.bodies();
     builder.journal();
-    let Builder { plan, faults, .. } = builder;
-    if faults.is_empty() {
+    let Builder {
+        plan, diagnostics, ..
+    } = builder;
+    if diagnostics.is_empty() {
         ConsistencyCheck {
             plan: &plan,
             settings,
-            faults,
+            diagnostics,
         }
         .run();
     }
@@ -78,7 +80,7 @@
     /// The indices of pools and of address sets, by kind of block and name.
     indices: HashMap<&'static str, HashMap<&'a str, usize>>,
     settings: Option<&'a Settings>,
-    faults: &'a mut Vec<Fault>,
+    diagnostics: &'a mut Vec<Diagnostic>,
     plan: Plan,
 }
 
@@ -87,13 +89,14 @@
         of(self.blocks, kind)
     }
 
-    /// Reports that a block lacks an entry, unless a faulty line in it may be the one that is missing.
-    fn incomplete(&mut self, block: &CheckedBlock, fault: Fault) {
-        let is_inside = |fault: &Fault| {
-            fault.span.file == block.whole.file && block.whole.range().contains(&fault.span.start)
+    /// Reports that a block lacks an entry, unless an invalid line in it may be the one that is missing.
+    fn incomplete(&mut self, block: &CheckedBlock, diagnostic: Diagnostic) {
+        let is_inside = |diagnostic: &Diagnostic| {
+            diagnostic.span.file == block.whole.file
+                && block.whole.range().contains(&diagnostic.span.start)
         };
-        if !self.faults.iter().any(is_inside) {
-            self.faults.push(fault);
+        if !self.diagnostics.iter().any(is_inside) {
+            self.diagnostics.push(diagnostic);
         }
     }
 }
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -7,14 +7,14 @@
 
 use super::{Settings, SettingsClass};
 use crate::cells::{Cells, ConfiguredNames};
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::Plan;
 
 /// Checks a plan whose names are all resolved.
 pub(super) struct ConsistencyCheck<'a> {
     pub(super) plan: &'a Plan,
     pub(super) settings: Option<&'a Settings>,
-    pub(super) faults: &'a mut Vec<Fault>,
+    pub(super) diagnostics: &'a mut Vec<Diagnostic>,
 }
 
 impl ConsistencyCheck<'_> {
@@ -43,11 +43,11 @@
                 continue;
             }
             let text = format!("no engine can be in the pool `{}`", pool.name);
-            let fault = Fault::new(pool.span.clone(), text);
+            let diagnostic = Diagnostic::new(pool.span.clone(), text);
             let except = pool.except.first().map(|except| &self.plan.pools[*except]);
-            self.faults.push(match except {
-                Some(except) => fault.related(except.span.clone(), "what it has is excepted"),
-                None => fault,
+            self.diagnostics.push(match except {
+                Some(except) => diagnostic.related(except.span.clone(), "what it has is excepted"),
+                None => diagnostic,
             });
         }
     }
--- a/crates/plan/src/build/consistency/classes.rs
+++ b/crates/plan/src/build/consistency/classes.rs
@@ -2,7 +2,7 @@
 
 use super::ConsistencyCheck;
 use crate::build::SettingsClass;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::ClassRules;
 
 impl ConsistencyCheck<'_> {
@@ -18,7 +18,8 @@
                 .is_some_and(|(time, limit)| time > limit)
             {
                 let text = format!("the goal of `{}` is longer than its time limit", class.name);
-                self.faults.push(Fault::new(class.span.clone(), text));
+                self.diagnostics
+                    .push(Diagnostic::new(class.span.clone(), text));
             }
             for what in allowed
                 .map(|allowed| wider(class, allowed))
@@ -28,7 +29,8 @@
                     "a plan narrows what the settings allow; this {what} of `{}` is wider",
                     class.name
                 );
-                self.faults.push(Fault::new(class.span.clone(), text));
+                self.diagnostics
+                    .push(Diagnostic::new(class.span.clone(), text));
             }
         }
     }
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that contradict one another.
 
 use super::ConsistencyCheck;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::{Limit, Per, Tenant};
 
 impl ConsistencyCheck<'_> {
@@ -33,9 +33,9 @@
             "the limits `{}` and `{}` limit the same",
             first.name, second.name
         );
-        let fault = Fault::new(second.span.clone(), text);
-        self.faults
-            .push(fault.related(first.span.clone(), "the other one"));
+        let diagnostic = Diagnostic::new(second.span.clone(), text);
+        self.diagnostics
+            .push(diagnostic.related(first.span.clone(), "the other one"));
     }
 
     /// A limit that can never be reached, as a wider one lets fewer queries be in flight.
@@ -51,9 +51,9 @@
             "the limit `{}` of {more} in hand can never bind: `{}` holds all of them to {fewer}",
             narrow.name, wide.name
         );
-        let fault = Fault::new(narrow.span.clone(), text);
-        self.faults
-            .push(fault.related(wide.span.clone(), "this one"));
+        let diagnostic = Diagnostic::new(narrow.span.clone(), text);
+        self.diagnostics
+            .push(diagnostic.related(wide.span.clone(), "this one"));
     }
 
     /// A tenant's own limit of queries in flight that is above a general one.
@@ -68,9 +68,9 @@
             "`{}` may have {own} batches in hand, but the limit `{}` holds it to {most}",
             tenant.name, limit.name
         );
-        let fault = Fault::new(tenant.span.clone(), text);
-        self.faults
-            .push(fault.related(limit.span.clone(), "this one"));
+        let diagnostic = Diagnostic::new(tenant.span.clone(), text);
+        self.diagnostics
+            .push(diagnostic.related(limit.span.clone(), "this one"));
     }
 }
 
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -3,7 +3,7 @@
 use super::{is_bound, ConsistencyCheck};
 use crate::build::SettingsClass;
 use crate::cells::Cells;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::model::{ClassRules, Route};
 use crate::region::{Region, ValueClasses, QUERY_CLASS};
@@ -69,14 +69,14 @@
         for class in bound.filter(|class| placed.concerns(&class.name)) {
             for pool in &placed.route.pools {
                 if !is_inside(*pool, &class.pools, pool_cells) {
-                    let fault = self.out_of_pools(placed, class, *pool);
-                    self.faults.push(fault);
+                    let diagnostic = self.out_of_pools(placed, class, *pool);
+                    self.diagnostics.push(diagnostic);
                 }
             }
         }
     }
 
-    fn out_of_pools(&self, placed: &PlacedRoute, class: &ClassRules, pool: usize) -> Fault {
+    fn out_of_pools(&self, placed: &PlacedRoute, class: &ClassRules, pool: usize) -> Diagnostic {
         let pool_name = |pool: &usize| self.plan.pools[*pool].name.as_str();
         let bound: Vec<&str> = class.pools.iter().map(pool_name).collect();
         let pool = pool_name(&pool);
@@ -87,7 +87,7 @@
             bound.join("`, `")
         );
         let binding = class.pools_span.as_ref().unwrap_or(&class.span);
-        Fault::new(placed.pools_span.clone(), text)
+        Diagnostic::new(placed.pools_span.clone(), text)
             .label("this leaves the binding")
             .related(binding.clone(), format!("`{}` is bound here", class.name))
             .help(format!(
@@ -110,8 +110,8 @@
                 if let Some(cell) = outside {
                     let place = place_in_words(places.place(cell));
                     let pool = &self.plan.pools[*pool].name;
-                    let fault = out_of_places(placed, class, &place, pool);
-                    self.faults.push(fault);
+                    let diagnostic = out_of_places(placed, class, &place, pool);
+                    self.diagnostics.push(diagnostic);
                 }
             }
         }
@@ -147,14 +147,19 @@
     }
 }
 
-fn out_of_places(placed: &PlacedRoute, class: &SettingsClass, place: &str, pool: &str) -> Fault {
+fn out_of_places(
+    placed: &PlacedRoute,
+    class: &SettingsClass,
+    place: &str,
+    pool: &str,
+) -> Diagnostic {
     let text = format!(
         "the route `{}` may send `{}` to {place}, by the pool `{pool}`",
         placed.route.name, class.name
     );
     let bound = class.kinds.iter().chain(&class.zones);
     let bound: Vec<String> = bound.map(|names| names.join(", ")).collect();
-    Fault::new(placed.pools_span.clone(), text)
+    Diagnostic::new(placed.pools_span.clone(), text)
         .label("this leaves the binding")
         .help(format!(
             "the settings bind `{}` to {}; take it with an earlier route",
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -2,7 +2,7 @@
 
 use super::{is_subset, ConsistencyCheck};
 use crate::build::SettingsClass;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::region::{self, Region, ValueClasses};
 
 impl ConsistencyCheck<'_> {
@@ -32,14 +32,14 @@
             }
             let covers = |earlier: &Region| region::difference(&regions[index], earlier).is_empty();
             let text = format!("the route `{}` can never match", route.name);
-            let fault = Fault::new(route.span.clone(), text);
-            self.faults
+            let diagnostic = Diagnostic::new(route.span.clone(), text);
+            self.diagnostics
                 .push(match regions[..index].iter().position(covers) {
-                    Some(earlier) => fault.related(
+                    Some(earlier) => diagnostic.related(
                         self.plan.routes[earlier].span.clone(),
                         "this one takes all that it asks for",
                     ),
-                    None => fault.label("earlier routes together take all that it asks for"),
+                    None => diagnostic.label("earlier routes together take all that it asks for"),
                 });
         }
     }
@@ -66,7 +66,7 @@
                     "batches of `{}` can't be treated as `{name}`: they would {violation}",
                     class.name
                 );
-                self.faults.push(Fault::new(span.clone(), text));
+                self.diagnostics.push(Diagnostic::new(span.clone(), text));
             }
         }
     }
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -3,7 +3,7 @@
 use super::entries::{bucket, count, named};
 use super::Builder;
 use crate::check::Spanned;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::{Limit, Per};
 
 impl Builder<'_> {
@@ -13,8 +13,8 @@
             if !block.has_any(&["in-hand", "rate", "bytes"]) {
                 let text = format!("the limit `{}` limits nothing", block.name);
                 let help = "say how much: `in-hand`, `rate` or `bytes`";
-                let fault = Fault::new(block.span.clone(), text);
-                self.incomplete(block, fault.help(help));
+                let diagnostic = Diagnostic::new(block.span.clone(), text);
+                self.incomplete(block, diagnostic.help(help));
             }
             self.plan.limits.push(Limit {
                 name: block.name.clone(),
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -2,7 +2,7 @@
 
 use super::{Builder, Settings};
 use crate::check::{CheckedBlock, CheckedEntry};
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::quantity::Value;
 use crate::schema::{External, Shape};
@@ -35,8 +35,9 @@
         let names = settings.names(external);
         if !names.contains(&name) {
             let text = format!("the settings know no {} `{name}`", external.described());
-            let fault = Fault::new(span.clone(), text);
-            self.faults.push(fault.suggest_nearest(name, names));
+            let diagnostic = Diagnostic::new(span.clone(), text);
+            self.diagnostics
+                .push(diagnostic.suggest_nearest(name, names));
         }
     }
 
@@ -58,14 +59,16 @@
                     other => other,
                 };
                 let text = format!("there is no {what} `{name}`");
-                let fault = Fault::new(value.span.clone(), text);
+                let diagnostic = Diagnostic::new(value.span.clone(), text);
                 let names = indices.keys().copied();
-                self.faults.push(fault.suggest_nearest(name, names));
+                self.diagnostics
+                    .push(diagnostic.suggest_nearest(name, names));
                 continue;
             };
             if found.contains(index) {
                 let text = format!("`{name}` stands twice in this list");
-                self.faults.push(Fault::new(value.span.clone(), text));
+                self.diagnostics
+                    .push(Diagnostic::new(value.span.clone(), text));
             } else {
                 found.push(*index);
             }
@@ -73,7 +76,7 @@
         found
     }
 
-    /// An order in which each block of a kind comes after those that it refers to; a cycle is a fault.
+    /// An order in which each block of a kind comes after those that it refers to; a cycle is an error.
     pub(super) fn reference_order(&mut self, kind: &str, references: &[Vec<usize>]) -> Vec<usize> {
         let blocks = self.of(kind);
         let mut search = ReferenceSearch {
@@ -83,7 +86,7 @@
         };
         for start in 0..references.len() {
             for cycle in search.visit(start) {
-                self.faults.push(cycle_fault(&blocks, &cycle));
+                self.diagnostics.push(cycle_diagnostic(&blocks, &cycle));
             }
         }
         search.order
@@ -138,11 +141,11 @@
     }
 }
 
-/// The fault of blocks each of which refers to the next, and the last to the first.
-fn cycle_fault(blocks: &[&CheckedBlock], cycle: &[usize]) -> Fault {
+/// The diagnostic of blocks each of which refers to the next, and the last to the first.
+fn cycle_diagnostic(blocks: &[&CheckedBlock], cycle: &[usize]) -> Diagnostic {
     let first = blocks[cycle[0]];
     let names = cycle.iter().map(|index| blocks[*index].name.as_str());
     let names: Vec<&str> = names.chain([first.name.as_str()]).collect();
     let text = format!("`{}` refers to itself: {}", first.name, names.join(" -> "));
-    Fault::new(first.span.clone(), text)
+    Diagnostic::new(first.span.clone(), text)
 }
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -4,7 +4,7 @@
 use super::Builder;
 use crate::address::{difference, span, union, Spans};
 use crate::check::{CheckedBlock, Spanned};
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::{AddressSet, Pool};
 use crate::quantity::Value;
 
@@ -36,11 +36,12 @@
     fn check_addresses(&mut self, block: &CheckedBlock, spans: &Spans) {
         if !block.has_any(&["net", "of"]) {
             let text = format!("the address set `{}` says nothing", block.name);
-            let fault = Fault::new(block.span.clone(), text);
-            self.incomplete(block, fault.help("net 10.1.0.0/16"));
+            let diagnostic = Diagnostic::new(block.span.clone(), text);
+            self.incomplete(block, diagnostic.help("net 10.1.0.0/16"));
         } else if spans.is_empty() && !block.values("net").is_empty() {
             let text = format!("the address set `{}` holds no address", block.name);
-            self.faults.push(Fault::new(block.span.clone(), text));
+            self.diagnostics
+                .push(Diagnostic::new(block.span.clone(), text));
         }
     }
 
@@ -61,8 +62,8 @@
             if !block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
                 let text = format!("the pool `{}` holds no engine", block.name);
                 let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
-                let fault = Fault::new(block.span.clone(), text);
-                self.incomplete(block, fault.help(help));
+                let diagnostic = Diagnostic::new(block.span.clone(), text);
+                self.incomplete(block, diagnostic.help(help));
             }
         }
         let references = |pool: &Pool| pool.union.iter().chain(&pool.except).copied().collect();
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -3,7 +3,7 @@
 use super::entries::{first_name, named, ranges};
 use super::Builder;
 use crate::check::CheckedBlock;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::Route;
 
 impl Builder<'_> {
@@ -37,15 +37,15 @@
         if !block.has_any(&["to", "as", "refuse"]) {
             let text = format!("the route `{}` says nothing", block.name);
             let help = "say what becomes of its batches: `to`, `as` or `refuse`";
-            let fault = Fault::new(block.span.clone(), text);
-            self.incomplete(block, fault.help(help));
+            let diagnostic = Diagnostic::new(block.span.clone(), text);
+            self.incomplete(block, diagnostic.help(help));
         }
         let destination = block.get("to").or(block.get("as"));
         if let (Some(refuse), Some(destination)) = (block.get("refuse"), destination) {
-            let fault = Fault::new(refuse.span.clone(), "what is refused goes nowhere");
+            let diagnostic = Diagnostic::new(refuse.span.clone(), "what is refused goes nowhere");
             let text = "and this says where it goes";
-            self.faults
-                .push(fault.related(destination.span.clone(), text));
+            self.diagnostics
+                .push(diagnostic.related(destination.span.clone(), text));
         }
     }
 }
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -3,7 +3,7 @@
 use super::entries::{count, first_name, named, number};
 use super::{of, Builder};
 use crate::check::CheckedBlock;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::model::{Bodies, Journal};
 
 /// The memory for bodies where none is given.
@@ -20,9 +20,9 @@
         let (first, others) = all.split_first()?;
         for other in others {
             let text = format!("a plan has one block `{kind}` at most");
-            let fault = Fault::new(other.span.clone(), text);
-            self.faults
-                .push(fault.related(first.span.clone(), "the first"));
+            let diagnostic = Diagnostic::new(other.span.clone(), text);
+            self.diagnostics
+                .push(diagnostic.related(first.span.clone(), "the first"));
         }
         Some(first)
     }
@@ -50,7 +50,7 @@
     fn check_bodies(&mut self, block: &CheckedBlock, bodies: &Bodies) {
         let mut report = |entry: &str, text: &str| {
             let span = block.get(entry).map_or(&block.span, |entry| &entry.span);
-            self.faults.push(Fault::new(span.clone(), text));
+            self.diagnostics.push(Diagnostic::new(span.clone(), text));
         };
         if bodies.query_memory > bodies.memory {
             let text = "one body may have more memory than all together";
@@ -70,8 +70,9 @@
         match first_name(block.values("directory")) {
             Some(directory) => self.plan.journal = Some(Journal { directory }),
             None => {
-                let fault = Fault::new(block.span.clone(), "the journal has no `directory`");
-                self.incomplete(block, fault.help("directory \"/var/lib/garnetwall\""));
+                let diagnostic =
+                    Diagnostic::new(block.span.clone(), "the journal has no `directory`");
+                self.incomplete(block, diagnostic.help("directory \"/var/lib/garnetwall\""));
             }
         }
     }
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -4,7 +4,7 @@
 mod constants;
 mod values;
 
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::quantity::Value;
 use crate::schema::BlockKind;
@@ -69,18 +69,18 @@
     }
 }
 
-/// Checks all items; faulty ones are reported and left out.
-pub fn check(items: &[Item], faults: &mut Vec<Fault>) -> Vec<CheckedBlock> {
+/// Checks all items; invalid ones are reported and left out.
+pub fn check(items: &[Item], diagnostics: &mut Vec<Diagnostic>) -> Vec<CheckedBlock> {
     let mut constants = Constants::default();
     for item in items {
         if let Item::Constant {
             name, parts, span, ..
         } = item
         {
-            constants.define(name, parts, span, faults);
+            constants.define(name, parts, span, diagnostics);
         }
     }
-    let mut checker = BlockChecker::new(&constants, faults);
+    let mut checker = BlockChecker::new(&constants, diagnostics);
     let blocks = items.iter().filter_map(|item| match item {
         Item::Block(block) => checker.block(block),
         _ => None,
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -3,7 +3,7 @@
 use super::constants::Constants;
 use super::values::ValueReader;
 use super::{CheckedBlock, CheckedEntry, Spanned};
-use crate::fault::{shown, Fault};
+use crate::diagnostic::{shown, Diagnostic};
 use crate::files::Span;
 use crate::quantity::{self, Kind};
 use crate::schema::{self, BlockKind, EntryKind};
@@ -12,35 +12,36 @@
 
 pub(super) struct BlockChecker<'a> {
     constants: &'a Constants,
-    faults: &'a mut Vec<Fault>,
+    diagnostics: &'a mut Vec<Diagnostic>,
     /// The places of the blocks so far, by kind and name.
     defined: HashMap<(&'static str, String), Span>,
 }
 
 impl<'a> BlockChecker<'a> {
-    pub(super) fn new(constants: &'a Constants, faults: &'a mut Vec<Fault>) -> Self {
+    pub(super) fn new(constants: &'a Constants, diagnostics: &'a mut Vec<Diagnostic>) -> Self {
         BlockChecker {
             constants,
-            faults,
+            diagnostics,
             defined: HashMap::new(),
         }
     }
 
-    /// Checks a block; `None` where its kind or name is faulty. Of a block that is taken, faulty entries are left out.
+    /// Checks a block; `None` where its kind or name is invalid. Of a block that is taken, invalid entries are left out.
     pub(super) fn block(&mut self, block: &Block) -> Option<CheckedBlock> {
         let head = block_kind(block).and_then(|kind| Ok((kind, block_name(kind, block)?)));
         let (kind, name) = match head {
             Ok(head) => head,
-            Err(fault) => {
-                self.faults.push(fault);
+            Err(diagnostic) => {
+                self.diagnostics.push(diagnostic);
                 return None;
             }
         };
         let key = (kind.name, name.text.clone());
         if let Some(first) = self.defined.get(&key) {
             let text = format!("the {} `{}` is there already", kind.name, name.text);
-            let fault = Fault::new(name.span.clone(), text);
-            self.faults.push(fault.related(first.clone(), "first here"));
+            let diagnostic = Diagnostic::new(name.span.clone(), text);
+            self.diagnostics
+                .push(diagnostic.related(first.clone(), "first here"));
             return None;
         }
         self.defined.insert(key, name.span.clone());
@@ -62,15 +63,16 @@
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.quoted) else {
             let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
             let names = block.kind.entries.iter().map(|e| e.name);
-            let fault = Fault::new(name.span.clone(), text);
-            self.faults.push(fault.suggest_nearest(&name.text, names));
+            let diagnostic = Diagnostic::new(name.span.clone(), text);
+            self.diagnostics
+                .push(diagnostic.suggest_nearest(&name.text, names));
             return;
         };
-        let mut reader = ValueReader::new(kind, name, self.constants, self.faults);
+        let mut reader = ValueReader::new(kind, name, self.constants, self.diagnostics);
         match reader.values(&entry.parts) {
             Some(values) => self.add(block, kind, entry, values),
             None => {
-                // A faulty entry counts as given, so that it is not reported as missing too.
+                // An invalid entry counts as given, so that it is not reported as missing too.
                 block.entries.entry(kind.name).or_insert(CheckedEntry {
                     span: entry.span.clone(),
                     values: Vec::new(),
@@ -97,28 +99,28 @@
             Some(first) if kind.shape.is_list() => first.values.extend(values),
             Some(first) => {
                 let text = format!("`{}` stands twice in this {}", kind.name, block.kind.name);
-                let fault = Fault::new(span, text);
-                self.faults
-                    .push(fault.related(first.span.clone(), "first here"));
+                let diagnostic = Diagnostic::new(span, text);
+                self.diagnostics
+                    .push(diagnostic.related(first.span.clone(), "first here"));
             }
         }
     }
 }
 
-fn block_kind(block: &Block) -> Result<&'static BlockKind, Fault> {
+fn block_kind(block: &Block) -> Result<&'static BlockKind, Diagnostic> {
     let word = &block.kind;
     schema::block(&word.text).ok_or_else(|| {
         let text = format!("there is no block of the kind `{}`", shown(&word.text));
         let names = schema::BLOCKS.iter().map(|kind| kind.name);
-        Fault::new(word.span.clone(), text).suggest_nearest(&word.text, names)
+        Diagnostic::new(word.span.clone(), text).suggest_nearest(&word.text, names)
     })
 }
 
-fn block_name<'a>(kind: &BlockKind, block: &'a Block) -> Result<&'a Word, Fault> {
+fn block_name<'a>(kind: &BlockKind, block: &'a Block) -> Result<&'a Word, Diagnostic> {
     let Some(name) = &block.name else {
         let text = format!("this {} has no name", kind.name);
-        let fault = Fault::new(block.kind.span.clone(), text);
-        return Err(fault.help(format!("{} some-name {{", kind.name)));
+        let diagnostic = Diagnostic::new(block.kind.span.clone(), text);
+        return Err(diagnostic.help(format!("{} some-name {{", kind.name)));
     };
     match quantity::read(Kind::Name, &name.text, name.quoted) {
         Ok(_) => Ok(name),
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -1,6 +1,6 @@
 //! Constants of a plan, and their replacement by values.
 
-use crate::fault::{shown, Fault};
+use crate::diagnostic::{shown, Diagnostic};
 use crate::files::Span;
 use crate::quantity;
 use crate::syntax::{Part, Word};
@@ -32,29 +32,29 @@
 }
 
 impl Constants {
-    /// Adds a constant; one that is badly named, empty or defined before is a fault.
+    /// Adds a constant; one that is badly named, empty or defined before is an error.
     pub(super) fn define(
         &mut self,
         name: &Word,
         parts: &[Part],
         span: &Span,
-        faults: &mut Vec<Fault>,
+        diagnostics: &mut Vec<Diagnostic>,
     ) {
         if !quantity::is_name(&name.text) || name.quoted {
             let text = format!("`{}` is no name for a constant", shown(&name.text));
-            faults.push(Fault::new(name.span.clone(), text));
+            diagnostics.push(Diagnostic::new(name.span.clone(), text));
             return;
         }
         let [values] = parts else {
             let text = "a constant is one value, or a list with commas";
-            let fault = Fault::new(span.clone(), text);
-            faults.push(fault.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
+            let diagnostic = Diagnostic::new(span.clone(), text);
+            diagnostics.push(diagnostic.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
             return;
         };
         if let Some(first) = self.by_name.get(&name.text) {
             let text = format!("the constant `{}` is there already", name.text);
-            let fault = Fault::new(name.span.clone(), text);
-            faults.push(fault.related(first.span.clone(), "first here"));
+            let diagnostic = Diagnostic::new(name.span.clone(), text);
+            diagnostics.push(diagnostic.related(first.span.clone(), "first here"));
             return;
         }
         let constant = Constant {
@@ -65,7 +65,7 @@
     }
 
     /// Replaces the constants in a list of words.
-    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<Expanded>, Fault> {
+    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<Expanded>, Diagnostic> {
         let mut expansion = Expansion {
             constants: self,
             words: Vec::new(),
@@ -84,7 +84,7 @@
 
 impl<'a> Expansion<'a> {
     /// Adds a word, which `used` brings in over `depth` constants.
-    fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Fault> {
+    fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Diagnostic> {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.quoted) else {
             self.words.push(Expanded {
                 word: Word {
@@ -102,12 +102,12 @@
         Ok(())
     }
 
-    fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Fault> {
+    fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
         let constants = &self.constants.by_name;
         let Some(constant) = constants.get(name) else {
             let text = format!("there is no constant `{}`", shown(name));
-            let fault = Fault::new(used.span.clone(), text);
-            return Err(fault.suggest_nearest(name, constants.keys().map(String::as_str)));
+            let diagnostic = Diagnostic::new(used.span.clone(), text);
+            return Err(diagnostic.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
         let text = if depth >= MAX_DEPTH {
             format!(
@@ -119,7 +119,7 @@
         } else {
             return Ok(constant);
         };
-        let fault = Fault::new(used.span.clone(), text);
-        Err(fault.related(constant.span.clone(), "the constant"))
+        let diagnostic = Diagnostic::new(used.span.clone(), text);
+        Err(diagnostic.related(constant.span.clone(), "the constant"))
     }
 }
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -2,7 +2,7 @@
 
 use super::constants::{Constants, Expanded};
 use super::Spanned;
-use crate::fault::{shown, Fault};
+use crate::diagnostic::{shown, Diagnostic};
 use crate::quantity::{self, Kind, Value};
 use crate::schema::{self, EntryKind, Shape};
 use crate::syntax::{Part, Word};
@@ -12,7 +12,7 @@
     /// The entry's name where it stands in the plan.
     name: &'a Word,
     constants: &'a Constants,
-    faults: &'a mut Vec<Fault>,
+    diagnostics: &'a mut Vec<Diagnostic>,
 }
 
 impl<'a> ValueReader<'a> {
@@ -20,23 +20,23 @@
         entry: &'a EntryKind,
         name: &'a Word,
         constants: &'a Constants,
-        faults: &'a mut Vec<Fault>,
+        diagnostics: &'a mut Vec<Diagnostic>,
     ) -> Self {
         ValueReader {
             entry,
             name,
             constants,
-            faults,
+            diagnostics,
         }
     }
 
-    /// The values of the entry; `None` where a fault was found in them.
+    /// The values of the entry; `None` where an error was found in them.
     pub(super) fn values(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
         let mut expanded = Vec::with_capacity(parts.len());
         for part in parts {
             match self.constants.expand(part) {
                 Ok(words) => expanded.push(words),
-                Err(fault) => return self.fail(fault),
+                Err(diagnostic) => return self.fail(diagnostic),
             }
         }
         match self.entry.shape {
@@ -56,27 +56,27 @@
         }
     }
 
-    fn fail<T>(&mut self, fault: Fault) -> Option<T> {
-        self.faults.push(fault);
+    fn fail<T>(&mut self, diagnostic: Diagnostic) -> Option<T> {
+        self.diagnostics.push(diagnostic);
         None
     }
 
-    /// Reports a fault in a word that may come from a constant.
-    fn fail_in<T>(&mut self, word: &Expanded, fault: Fault) -> Option<T> {
+    /// Reports an error in a word that may come from a constant.
+    fn fail_in<T>(&mut self, word: &Expanded, diagnostic: Diagnostic) -> Option<T> {
         self.fail(match &word.defined_at {
-            Some(defined_at) => fault.related(defined_at.clone(), "from this constant"),
-            None => fault,
+            Some(defined_at) => diagnostic.related(defined_at.clone(), "from this constant"),
+            None => diagnostic,
         })
     }
 
     fn fail_missing<T>(&mut self) -> Option<T> {
         let text = format!("`{}` says nothing", self.entry.name);
-        let fault = Fault::new(self.name.span.clone(), text);
-        self.fail(fault.help(self.example()))
+        let diagnostic = Diagnostic::new(self.name.span.clone(), text);
+        self.fail(diagnostic.help(self.example()))
     }
 
     fn fail_at<T>(&mut self, word: &Expanded, text: String) -> Option<T> {
-        self.fail(Fault::new(word.word.span.clone(), text))
+        self.fail(Diagnostic::new(word.word.span.clone(), text))
     }
 
     /// The entry as it might be written.
@@ -109,9 +109,9 @@
             choices.join(", "),
             self.entry.name
         );
-        let fault = Fault::new(word.span.clone(), text);
-        let fault = fault.suggest_nearest(&word.text, choices.iter().copied());
-        self.fail_in(expanded, fault)
+        let diagnostic = Diagnostic::new(word.span.clone(), text);
+        let diagnostic = diagnostic.suggest_nearest(&word.text, choices.iter().copied());
+        self.fail_in(expanded, diagnostic)
     }
 
     fn nothing(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// One list of values; every value is read, so that all faults are reported at once.
+    /// One list of values; every value is read, so that all errors are reported at once.
     fn list(
         &mut self,
         parts: &[Vec<Expanded>],
@@ -190,8 +190,8 @@
                     "`{}` is a rate, and perhaps `burst` with an amount",
                     self.entry.name
                 );
-                let fault = Fault::new(self.name.span.clone(), text);
-                self.fail(fault.help(self.example()))
+                let diagnostic = Diagnostic::new(self.name.span.clone(), text);
+                self.fail(diagnostic.help(self.example()))
             }
         }
     }
@@ -211,8 +211,8 @@
             }
             ("referenced", _) => {
                 let text = "`referenced` needs a scope and how long repeats are dropped";
-                let fault = Fault::new(self.name.span.clone(), text);
-                self.fail(fault.help("effect referenced zone 30s"))
+                let diagnostic = Diagnostic::new(self.name.span.clone(), text);
+                self.fail(diagnostic.help("effect referenced zone 30s"))
             }
             (word, [next, ..]) => {
                 let next_word = shown(&next.word.text);
--- a/crates/plan/src/fault.rs
+++ b/crates/plan/src/diagnostic.rs
@@ -1,17 +1,17 @@
-//! Faults of a plan, and how they are printed: place, cause, the line, a suggestion.
+//! Diagnostics of a plan, and how they are printed: place, cause, the line, a suggestion.
 
 mod render;
 
 use crate::files::Span;
 
-pub use render::{render, MAX_RENDERED_FAULTS};
+pub use render::{render, MAX_RENDERED_DIAGNOSTICS};
 
 /// Characters of a word that a message shows; a longer one is cut.
 const MAX_WORD_CHARS: usize = 48;
 
-/// A fault of a plan.
+/// An error in a plan, for those who write it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where it is.
     pub span: Span,
     /// What is wrong.
@@ -24,10 +24,10 @@
     pub help: Option<String>,
 }
 
-impl Fault {
-    /// A fault at a place.
+impl Diagnostic {
+    /// An error at a place.
     pub fn new(span: Span, text: impl Into<String>) -> Self {
-        Fault {
+        Diagnostic {
             span,
             text: text.into(),
             label: None,
--- a/crates/plan/src/fault/render.rs
+++ b/crates/plan/src/diagnostic/render.rs
@@ -1,76 +1,77 @@
-//! Prints faults with the lines of the plan that they are in.
+//! Prints errors with the lines of the plan that they are in.
 
-use super::Fault;
+use super::Diagnostic;
 use crate::files::{File, Files, Span};
-use codespan_reporting::diagnostic::{Diagnostic, Label};
+use codespan_reporting::diagnostic as codespan;
 use codespan_reporting::files::SimpleFiles;
 use codespan_reporting::term;
 use std::fmt::Write;
 
-/// Faults that are printed in full; of further ones the number is printed.
-pub const MAX_RENDERED_FAULTS: usize = 100;
+/// Diagnostics that are printed in full; of further ones the number is printed.
+pub const MAX_RENDERED_DIAGNOSTICS: usize = 100;
 /// A longer line is not printed.
 const MAX_LINE_BYTES: usize = 300;
 /// A span over more line breaks is not printed.
 const MAX_LINE_BREAKS: usize = 3;
 
-/// All faults as text, in the order of their places.
-pub fn render(files: &Files, faults: &[Fault]) -> String {
-    let mut sorted: Vec<&Fault> = faults.iter().collect();
+/// All errors as text, in the order of their places.
+pub fn render(files: &Files, diagnostics: &[Diagnostic]) -> String {
+    let mut sorted: Vec<&Diagnostic> = diagnostics.iter().collect();
     sorted.sort_by(|a, b| (&a.span, &a.text).cmp(&(&b.span, &b.text)));
     let mut source_texts = SimpleFiles::new();
     for file in files.all() {
         source_texts.add(&file.name, &file.text);
     }
     let mut out = String::new();
-    for fault in sorted.iter().take(MAX_RENDERED_FAULTS) {
-        out += &render_fault(files, &source_texts, fault);
+    for diagnostic in sorted.iter().take(MAX_RENDERED_DIAGNOSTICS) {
+        out += &render_one(files, &source_texts, diagnostic);
     }
-    if sorted.len() > MAX_RENDERED_FAULTS {
+    if sorted.len() > MAX_RENDERED_DIAGNOSTICS {
         // Writing to a string does not fail.
-        let _ = writeln!(out, "and {} more", sorted.len() - MAX_RENDERED_FAULTS);
+        let _ = writeln!(out, "and {} more", sorted.len() - MAX_RENDERED_DIAGNOSTICS);
     }
     out
 }
 
-fn render_fault(
+fn render_one(
     files: &Files,
     source_texts: &SimpleFiles<&String, &String>,
-    fault: &Fault,
+    diagnostic: &Diagnostic,
 ) -> String {
-    let notes = notes(files, fault);
-    let printable = places(fault).all(|(span, _)| is_printable(files, span));
+    let notes = notes(files, diagnostic);
+    let printable = places(diagnostic).all(|(span, _)| is_printable(files, span));
     if !printable {
-        return without_source(files, fault, &notes);
+        return without_source(files, diagnostic, &notes);
     }
     let mut out = String::new();
     let config = term::Config::default();
-    let diagnostic = diagnostic(fault, notes.clone());
-    match term::emit_to_string(&mut out, &config, source_texts, &diagnostic) {
+    let printed = to_codespan(diagnostic, notes.clone());
+    match term::emit_to_string(&mut out, &config, source_texts, &printed) {
         Ok(()) => out,
-        Err(_) => without_source(files, fault, &notes),
+        Err(_) => without_source(files, diagnostic, &notes),
     }
 }
 
-fn diagnostic(fault: &Fault, notes: Vec<String>) -> Diagnostic<usize> {
-    let labels = places(fault).enumerate().map(|(index, (span, text))| {
+fn to_codespan(diagnostic: &Diagnostic, notes: Vec<String>) -> codespan::Diagnostic<usize> {
+    let labels = places(diagnostic).enumerate().map(|(index, (span, text))| {
         let label = match index {
-            0 => Label::primary(span.file.0, span.range()),
-            _ => Label::secondary(span.file.0, span.range()),
+            0 => codespan::Label::primary(span.file.0, span.range()),
+            _ => codespan::Label::secondary(span.file.0, span.range()),
         };
         label.with_message(text)
     });
-    Diagnostic::error()
-        .with_message(&fault.text)
+    codespan::Diagnostic::error()
+        .with_message(&diagnostic.text)
         .with_labels(labels.collect())
         .with_notes(notes)
 }
 
-/// The place of a fault, then the related ones, each with its text.
-fn places(fault: &Fault) -> impl Iterator<Item = (&Span, &str)> {
-    let label = fault.label.as_deref().unwrap_or_default();
-    let related = fault.related.iter();
-    std::iter::once((&fault.span, label)).chain(related.map(|(span, text)| (span, text.as_str())))
+/// The place of an error, then the related ones, each with its text.
+fn places(diagnostic: &Diagnostic) -> impl Iterator<Item = (&Span, &str)> {
+    let label = diagnostic.label.as_deref().unwrap_or_default();
+    let related = diagnostic.related.iter();
+    std::iter::once((&diagnostic.span, label))
+        .chain(related.map(|(span, text)| (span, text.as_str())))
 }
 
 /// Whether the lines of a span are few and short, and would not disturb a terminal.
@@ -89,9 +90,9 @@
     line.len() <= MAX_LINE_BYTES && !line.contains(is_forbidden)
 }
 
-fn without_source(files: &Files, fault: &Fault, notes: &[String]) -> String {
-    let mut out = format!("error: {}\n", fault.text);
-    for (span, text) in places(fault) {
+fn without_source(files: &Files, diagnostic: &Diagnostic, notes: &[String]) -> String {
+    let mut out = format!("error: {}\n", diagnostic.text);
+    for (span, text) in places(diagnostic) {
         let Some(file) = files.get(span.file) else {
             continue;
         };
@@ -106,14 +107,14 @@
 }
 
 /// The suggestion, and the chain of includes where the place is in an included file.
-fn notes(files: &Files, fault: &Fault) -> Vec<String> {
-    let help = fault.help.iter().map(|help| format!("help: {help}"));
+fn notes(files: &Files, diagnostic: &Diagnostic) -> Vec<String> {
+    let help = diagnostic.help.iter().map(|help| format!("help: {help}"));
     let mut notes: Vec<String> = help.collect();
     let included_at = |span: &Span| {
         let file = files.get(span.file);
         file.and_then(|file| file.included_at.as_ref())
     };
-    let includes = std::iter::successors(included_at(&fault.span), |span| included_at(span));
+    let includes = std::iter::successors(included_at(&diagnostic.span), |span| included_at(span));
     let chain: Vec<String> = includes.map(|span| files.at(span)).collect();
     if !chain.is_empty() {
         notes.push(format!("included at {}", chain.join(", included at ")));
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -3,7 +3,7 @@
 //! Two spaces of indentation, one between words, an empty line between blocks, long lists broken behind commas. Words
 //! and comments stay as they were written; only what is around them changes.
 
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::FileId;
 use crate::syntax::{self, Block, BlockItem, Item, Part, Tree, Word};
 
@@ -15,11 +15,11 @@
 ///
 /// # Errors
 ///
-/// The faults of the lines that cannot be read; such a file is not formatted.
-pub fn format(text: &str) -> Result<String, Vec<Fault>> {
-    let Tree { items, faults } = syntax::parse(text, FileId(0));
-    if !faults.is_empty() {
-        return Err(faults);
+/// The errors of the lines that cannot be read; such a file is not formatted.
+pub fn format(text: &str) -> Result<String, Vec<Diagnostic>> {
+    let Tree { items, diagnostics } = syntax::parse(text, FileId(0));
+    if !diagnostics.is_empty() {
+        return Err(diagnostics);
     }
     let mut formatter = Formatter::default();
     for item in &items {
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,7 +1,7 @@
 //! Parses, checks, formats and compares plans: files in which operators define pools, routes, limits and rules of
 //! query classes.
 //!
-//! [`compile`] reads a plan with all that it includes and returns the [`Plan`] or all its faults. [`mod@format`] prints
+//! [`compile`] reads a plan with all that it includes and returns the [`Plan`] or all its errors. [`mod@format`] prints
 //! a file in its one form, [`diff`] compares what two plans do, [`explain`] shows what a plan does with one query. No
 //! module does I/O; files come by a [`source::Loader`]. docs/plan-language.md has the grammar and the table of blocks.
 //!
@@ -14,9 +14,9 @@
 mod build;
 pub mod cells;
 mod check;
+pub mod diagnostic;
 pub mod diff;
 pub mod explain;
-pub mod fault;
 pub mod files;
 pub mod format;
 pub mod model;
@@ -27,7 +27,7 @@
 mod syntax;
 
 pub use build::{Settings, SettingsClass};
-pub use fault::Fault;
+pub use diagnostic::Diagnostic;
 use files::Files;
 pub use model::Plan;
 use source::{Loader, Source};
@@ -41,43 +41,43 @@
     pub files: Files,
 }
 
-/// The faults of a plan with the files they are in.
+/// The errors of a plan with the files they are in.
 #[derive(Debug)]
-pub struct Faulty {
-    /// The faults, at least one.
-    pub faults: Vec<Fault>,
+pub struct InvalidPlan {
+    /// The errors, at least one.
+    pub diagnostics: Vec<Diagnostic>,
     /// The files that were read.
     pub files: Files,
 }
 
-impl std::fmt::Display for Faulty {
+impl std::fmt::Display for InvalidPlan {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(&fault::render(&self.files, &self.faults))
+        f.write_str(&diagnostic::render(&self.files, &self.diagnostics))
     }
 }
 
-impl std::error::Error for Faulty {}
+impl std::error::Error for InvalidPlan {}
 
 /// Reads the plan of the file `main` with all that it includes, and checks it; with `settings`, also against these.
 ///
 /// # Errors
 ///
-/// All faults that one run finds. Names are resolved only where every line could be read, and the plan is checked for
+/// All errors that one run finds. Names are resolved only where every line could be read, and the plan is checked for
 /// contradictions only where every name is known.
 pub fn compile(
     loader: &dyn Loader,
     main: &str,
     settings: Option<&Settings>,
-) -> Result<Compiled, Faulty> {
+) -> Result<Compiled, InvalidPlan> {
     let Source {
         files,
         items,
-        mut faults,
+        mut diagnostics,
     } = source::read(loader, main);
-    let blocks = check::check(&items, &mut faults);
-    let plan = build::build(&blocks, settings, &mut faults);
-    match faults.is_empty() {
+    let blocks = check::check(&items, &mut diagnostics);
+    let plan = build::build(&blocks, settings, &mut diagnostics);
+    match diagnostics.is_empty() {
         true => Ok(Compiled { plan, files }),
-        false => Err(Faulty { faults, files }),
+        false => Err(InvalidPlan { diagnostics, files }),
     }
 }
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -4,7 +4,7 @@
 
 mod units;
 
-use crate::fault::{shown, Fault};
+use crate::diagnostic::{shown, Diagnostic};
 use crate::files::Span;
 use ipnet::IpNet;
 use std::net::IpAddr;
@@ -146,11 +146,11 @@
         self
     }
 
-    /// The fault of the word at a place.
-    pub fn at(self, span: Span) -> Fault {
-        Fault {
+    /// The diagnostic of the word at a place.
+    pub fn at(self, span: Span) -> Diagnostic {
+        Diagnostic {
             help: self.help,
-            ..Fault::new(span, self.text)
+            ..Diagnostic::new(span, self.text)
         }
     }
 }
--- a/crates/plan/src/quantity/units.rs
+++ b/crates/plan/src/quantity/units.rs
@@ -1,7 +1,7 @@
 //! Numbers with units, and counts, which have none.
 
 use super::{Kind, Value, ValueError};
-use crate::fault::{nearest, shown};
+use crate::diagnostic::{nearest, shown};
 use std::time::Duration;
 
 /// Units of time, in seconds.
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -1,6 +1,6 @@
 //! Reads a plan with all the files that it includes.
 
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::{FileId, Files, Span};
 use crate::syntax::{self, Item, Tree};
 use std::collections::BTreeMap;
@@ -110,7 +110,7 @@
     /// Their items in the order of reading, those of an included file in place of the include.
     pub items: Vec<Item>,
     /// What could not be read.
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 /// Reads a plan with all that it includes; a file that is included more than once is read once.
@@ -143,9 +143,9 @@
             Err(error) => return self.not_utf8(name, included_at, error),
         };
         let file = self.source.files.next_id();
-        let Tree { items, faults } = syntax::parse(&text, file);
+        let Tree { items, diagnostics } = syntax::parse(&text, file);
         self.source.files.add(name, text, included_at);
-        self.source.faults.extend(faults);
+        self.source.diagnostics.extend(diagnostics);
         self.open_files.push(name.to_string());
         for item in items {
             match item {
@@ -165,17 +165,17 @@
                 .collect();
             cycle.push(&name);
             let text = format!("`{name}` includes itself: {}", cycle.join(" -> "));
-            let fault = Fault::new(span, text).label("here the loop closes");
-            self.source.faults.push(fault);
+            let diagnostic = Diagnostic::new(span, text).label("here the loop closes");
+            self.source.diagnostics.push(diagnostic);
         } else if self.source.files.contains(&name) {
             // It was included elsewhere; its blocks count once.
         } else if self.open_files.len() >= MAX_INCLUDE_DEPTH {
             let text =
                 format!("`{name}` is included {MAX_INCLUDE_DEPTH} files deep, which is the most");
-            self.source.faults.push(Fault::new(span, text));
+            self.source.diagnostics.push(Diagnostic::new(span, text));
         } else if self.source.files.all().len() >= MAX_FILES {
             let text = format!("a plan has {MAX_FILES} files at most; `{name}` is one more");
-            self.source.faults.push(Fault::new(span, text));
+            self.source.diagnostics.push(Diagnostic::new(span, text));
         } else {
             self.read_file(&name, Some(span));
         }
@@ -188,7 +188,7 @@
             Span::start_of(file)
         });
         let text = format!("`{name}` can't be read: {error}");
-        self.source.faults.push(Fault::new(span, text));
+        self.source.diagnostics.push(Diagnostic::new(span, text));
     }
 
     fn not_utf8(&mut self, name: &str, included_at: Option<Span>, error: FromUtf8Error) {
@@ -200,8 +200,9 @@
             start,
             end: start + '\u{fffd}'.len_utf8(),
         };
-        let fault = Fault::new(span, "this is not UTF-8").label("the first byte that is no text");
-        self.source.faults.push(fault);
+        let diagnostic =
+            Diagnostic::new(span, "this is not UTF-8").label("the first byte that is no text");
+        self.source.diagnostics.push(diagnostic);
     }
 }
 
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -3,7 +3,7 @@
 mod reader;
 mod unreadable;
 
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::{FileId, Span};
 use pest::iterators::Pair;
 use pest::Parser;
@@ -116,16 +116,16 @@
     Block(Block),
 }
 
-/// The items of a file, and the faults of what could not be read as one.
+/// The items of a file, and the diagnostics of what could not be read as one.
 #[derive(Debug, Default)]
 pub struct Tree {
     /// What could be read.
     pub items: Vec<Item>,
     /// What could not.
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
-/// Parses a text. A line that fits nothing is a fault, and parsing goes on behind it.
+/// Parses a text. A line that fits nothing is an error, and parsing goes on behind it.
 pub fn parse(text: &str, file: FileId) -> Tree {
     let mut reader = Reader::new(file);
     match Grammar::parse(Rule::file, text) {
@@ -137,7 +137,7 @@
         // The grammar accepts any text; this is for a grammar that no longer does.
         Err(error) => {
             let text = format!("can't be read: {}", error.variant.message());
-            reader.push_fault(Fault::new(Span::start_of(file), text));
+            reader.push_diagnostic(Diagnostic::new(Span::start_of(file), text));
         }
     }
     reader.into_tree()
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -2,7 +2,7 @@
 
 use super::unreadable::{self, Context};
 use super::{Block, BlockItem, Entry, Item, Part, Rule, Tree, Word};
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::{FileId, Span};
 use pest::iterators::Pair;
 
@@ -42,8 +42,8 @@
         self.tree
     }
 
-    pub(super) fn push_fault(&mut self, fault: Fault) {
-        self.tree.faults.push(fault);
+    pub(super) fn push_diagnostic(&mut self, diagnostic: Diagnostic) {
+        self.tree.diagnostics.push(diagnostic);
     }
 
     pub(super) fn item(&mut self, pair: Pair<Rule>) {
@@ -52,8 +52,8 @@
             Rule::include => self.include(pair),
             Rule::constant => self.constant(pair),
             Rule::block => self.block(pair),
-            Rule::lost => self.block_without_head(pair),
-            Rule::fault => self.unreadable(&pair, Context::File),
+            Rule::headless_block => self.block_without_head(pair),
+            Rule::unreadable => self.unreadable(&pair, Context::File),
             _ => {}
         }
     }
@@ -90,7 +90,7 @@
         for part in pair.into_inner() {
             match part.as_rule() {
                 Rule::bad_head => self.unreadable(&part, Context::File),
-                Rule::fault => self.unreadable(&part, Context::Block),
+                Rule::unreadable => self.unreadable(&part, Context::Block),
                 _ => {}
             }
         }
@@ -107,7 +107,7 @@
                 Rule::head => head = Some((self.span(&part), self.statement(part))),
                 Rule::entry => items.extend(self.entry(part).map(BlockItem::Entry)),
                 Rule::blank => items.push(BlockItem::Blank(comment_of(part))),
-                Rule::fault => self.unreadable(&part, Context::Block),
+                Rule::unreadable => self.unreadable(&part, Context::Block),
                 Rule::close => {
                     is_closed = true;
                     close_comment = comment_of(part);
@@ -121,8 +121,8 @@
         let mut words = statement.words.into_iter();
         let Some(kind) = words.next() else { return };
         if !is_closed {
-            let fault = Fault::new(span.clone(), "this block is not closed");
-            self.push_fault(fault.help("add a line with `}` at its end"));
+            let diagnostic = Diagnostic::new(span.clone(), "this block is not closed");
+            self.push_diagnostic(diagnostic.help("add a line with `}` at its end"));
         }
         self.tree.items.push(Item::Block(Block {
             kind,
@@ -200,8 +200,8 @@
 
     fn unreadable(&mut self, pair: &Pair<Rule>, context: Context) {
         let span = self.span(pair);
-        let fault = unreadable::fault(span, pair.as_str(), context);
-        self.push_fault(fault);
+        let diagnostic = unreadable::diagnostic(span, pair.as_str(), context);
+        self.push_diagnostic(diagnostic);
     }
 }
 
--- a/crates/plan/src/syntax/unreadable.rs
+++ b/crates/plan/src/syntax/unreadable.rs
@@ -1,6 +1,6 @@
 //! Says what is wrong with a line that fits no rule of the grammar.
 
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 
 /// Where an unreadable line stands.
@@ -12,8 +12,8 @@
     Block,
 }
 
-/// The fault of an unreadable line, whose text `span` holds.
-pub(super) fn fault(span: Span, text: &str, context: Context) -> Fault {
+/// The diagnostic of an unreadable line, whose text `span` holds.
+pub(super) fn diagnostic(span: Span, text: &str, context: Context) -> Diagnostic {
     bad_character(&span, text)
         .or_else(|| bad_string(&span, text))
         .unwrap_or_else(|| misplaced(span, text.trim(), context))
@@ -29,7 +29,7 @@
     }
 }
 
-fn bad_character(span: &Span, text: &str) -> Option<Fault> {
+fn bad_character(span: &Span, text: &str) -> Option<Diagnostic> {
     let is_forbidden = |c: char| c.is_control() && !matches!(c, '\n' | '\r' | '\t');
     let (offset, character) = text.char_indices().find(|(_, c)| is_forbidden(*c))?;
     let text = format!(
@@ -37,50 +37,50 @@
         u32::from(character)
     );
     let place = within(span, offset, character.len_utf8());
-    Some(Fault::new(place, text))
+    Some(Diagnostic::new(place, text))
 }
 
-fn bad_string(span: &Span, text: &str) -> Option<Fault> {
+fn bad_string(span: &Span, text: &str) -> Option<Diagnostic> {
     if let Some(offset) = unclosed_quote(text) {
         let place = within(span, offset, text.trim_end().len() - offset);
         let help = "a string ends with `\"` on its own line; within it write `\\\"` and `\\\\`";
-        return Some(Fault::new(place, "this string is not closed").help(help));
+        return Some(Diagnostic::new(place, "this string is not closed").help(help));
     }
     let offset = bad_escape(text)?;
     let text = "in a string `\\` stands before `\"` or another `\\` only";
-    Some(Fault::new(within(span, offset, 2), text))
+    Some(Diagnostic::new(within(span, offset, 2), text))
 }
 
 /// A line whose characters and strings are good, but which stands for nothing.
-fn misplaced(span: Span, line: &str, context: Context) -> Fault {
+fn misplaced(span: Span, line: &str, context: Context) -> Diagnostic {
     const ENTRY_HELP: &str = "an entry is its name and its values: `limit 20s`";
     const FILE_HELP: &str =
         "a plan has includes, constants and blocks: `include \"...\"`, `let a = ...`, `pool big {`";
     let in_block = context == Context::Block;
     let has_bad_comma = line.contains(",,") || line.ends_with(',') || line.starts_with(',');
-    let fault = |text: &str| Fault::new(span, text);
+    let diagnostic = |text: &str| Diagnostic::new(span, text);
     if line == "}" {
-        fault("this `}` closes no block")
+        diagnostic("this `}` closes no block")
     } else if line.starts_with('}') {
-        fault("nothing can follow the `}` of a block on its line")
+        diagnostic("nothing can follow the `}` of a block on its line")
     } else if line.starts_with("include") {
-        fault("an include names one file in quotes").help("include \"pools.plan\"")
+        diagnostic("an include names one file in quotes").help("include \"pools.plan\"")
     } else if line.starts_with("let ") || line == "let" {
-        fault("a constant has a name, `=` and a value").help("let far = 40ms")
+        diagnostic("a constant has a name, `=` and a value").help("let far = 40ms")
     } else if line.contains('{') && line.contains('}') {
-        fault("a block's entries stand on lines of their own")
+        diagnostic("a block's entries stand on lines of their own")
     } else if line.starts_with('{') {
-        fault("a block begins with its kind").help("pool big {")
+        diagnostic("a block begins with its kind").help("pool big {")
     } else if line.contains('{') && !in_block {
-        fault("a block's head is its kind, its name and `{`").help("pool big {")
+        diagnostic("a block's head is its kind, its name and `{`").help("pool big {")
     } else if has_bad_comma {
-        fault("a comma stands between two values")
+        diagnostic("a comma stands between two values")
     } else if line.contains('=') {
-        fault("`=` stands in constants only").help(ENTRY_HELP)
+        diagnostic("`=` stands in constants only").help(ENTRY_HELP)
     } else if in_block {
-        fault("this is no entry").help(ENTRY_HELP)
+        diagnostic("this is no entry").help(ENTRY_HELP)
     } else {
-        fault("this stands in no block").help(FILE_HELP)
+        diagnostic("this stands in no block").help(FILE_HELP)
     }
 }
 
