--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -7,8 +7,32 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Ranges of addresses as numbers, both ends included, sorted and disjoint.
-pub type Spans = Vec<(u128, u128)>;
+/// Neighbouring addresses, as the numbers of their IPv6 form.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AddressRange {
+    /// The lowest address.
+    pub first: u128,
+    /// The highest address, which is in the range.
+    pub last: u128,
+}
+
+impl AddressRange {
+    /// The addresses of a network.
+    pub fn of(network: &IpNet) -> Self {
+        AddressRange {
+            first: number(network.network()),
+            last: number(network.broadcast()),
+        }
+    }
+
+    /// Whether an address, as a number, is in the range.
+    pub fn contains(&self, address: u128) -> bool {
+        (self.first..=self.last).contains(&address)
+    }
+}
+
+/// Ranges of addresses, sorted and disjoint.
+pub type AddressRanges = Vec<AddressRange>;
 
 /// An address as the number of its IPv6 form.
 pub fn number(address: IpAddr) -> u128 {
@@ -18,45 +42,45 @@
     })
 }
 
-/// First and last address of a network.
-pub fn span(network: &IpNet) -> (u128, u128) {
-    (number(network.network()), number(network.broadcast()))
-}
-
 /// The addresses in any of some ranges, which need not be sorted or disjoint.
-pub fn union(mut spans: Spans) -> Spans {
-    spans.sort_unstable();
-    let mut merged: Spans = Vec::with_capacity(spans.len());
-    for (from, to) in spans {
+pub fn union(mut ranges: Vec<AddressRange>) -> AddressRanges {
+    ranges.sort_unstable();
+    let mut merged: AddressRanges = Vec::with_capacity(ranges.len());
+    for range in ranges {
         match merged.last_mut() {
-            Some(last) if from <= last.1.saturating_add(1) => last.1 = last.1.max(to),
-            _ => merged.push((from, to)),
+            Some(previous) if range.first <= previous.last.saturating_add(1) => {
+                previous.last = previous.last.max(range.last);
+            }
+            _ => merged.push(range),
         }
     }
     merged
 }
 
 /// The addresses that are in the first ranges and not in the second.
-pub fn difference(a: &Spans, b: &Spans) -> Spans {
+pub fn difference(a: &AddressRanges, b: &AddressRanges) -> AddressRanges {
     let mut difference = Vec::with_capacity(a.len());
     let mut skipped = 0;
-    for &(from, to) in a {
-        while b.get(skipped).is_some_and(|(_, cut_to)| *cut_to < from) {
+    for range in a {
+        while b.get(skipped).is_some_and(|cut| cut.last < range.first) {
             skipped += 1;
         }
         let cuts = b[skipped..].iter();
-        let cuts = cuts.take_while(|(cut_from, _)| *cut_from <= to);
+        let cuts = cuts.take_while(|cut| cut.first <= range.last);
         // The first address that no cut has covered; `None` behind the highest one.
-        let mut next = Some(from);
-        for &(cut_from, cut_to) in cuts {
-            let Some(start) = next else { break };
-            if cut_from > start {
-                difference.push((start, cut_from - 1));
+        let mut next = Some(range.first);
+        for cut in cuts {
+            let Some(first) = next else { break };
+            if cut.first > first {
+                let last = cut.first - 1;
+                difference.push(AddressRange { first, last });
             }
-            let after_cut = cut_to.checked_add(1).filter(|after| *after <= to);
-            next = after_cut.map(|after| after.max(start));
+            let after_cut = cut.last.checked_add(1);
+            let after_cut = after_cut.filter(|after| *after <= range.last);
+            next = after_cut.map(|after| after.max(first));
         }
-        difference.extend(next.map(|start| (start, to)));
+        let last = range.last;
+        difference.extend(next.map(|first| AddressRange { first, last }));
     }
     difference
 }
@@ -85,7 +109,7 @@
 
 impl AddressClasses {
     /// The classes of some sets.
-    pub fn new(sets: &[Spans]) -> Self {
+    pub fn new(sets: &[AddressRanges]) -> Self {
         let mut classes = AddressClasses {
             v4_starts: Vec::new(),
             v4_classes: Vec::new(),
@@ -167,16 +191,16 @@
 }
 
 /// The boundaries of all ranges, in order.
-fn boundaries(sets: &[Spans]) -> Vec<Boundary> {
+fn boundaries(sets: &[AddressRanges]) -> Vec<Boundary> {
     let mut boundaries = Vec::new();
-    for (set, spans) in sets.iter().enumerate() {
-        for (from, to) in spans {
+    for (set, ranges) in sets.iter().enumerate() {
+        for range in ranges {
             boundaries.push(Boundary {
-                at: *from,
+                at: range.first,
                 set,
                 is_start: true,
             });
-            let after = to.checked_add(1);
+            let after = range.last.checked_add(1);
             boundaries.extend(after.map(|at| Boundary {
                 at,
                 set,
--- a/crates/plan/src/address/tests.rs
+++ b/crates/plan/src/address/tests.rs
@@ -35,8 +35,8 @@
 fn contains(networks: &[IpNet], address: IpAddr) -> bool {
     networks
         .iter()
-        .map(span)
-        .any(|(from, to)| (from..=to).contains(&number(address)))
+        .map(AddressRange::of)
+        .any(|range| (range.first..=range.last).contains(&number(address)))
 }
 
 proptest! {
@@ -45,9 +45,9 @@
         sets in vec((vec(network(), 0..6), vec(network(), 0..4)), 0..6),
         addresses in vec(address(), 30),
     ) {
-        let union_of = |networks: &[IpNet]| union(networks.iter().map(span).collect());
-        let spans: Vec<Spans> = sets.iter().map(|(included, excluded)| difference(&union_of(included), &union_of(excluded))).collect();
-        let classes = AddressClasses::new(&spans);
+        let union_of = |networks: &[IpNet]| union(networks.iter().map(AddressRange::of).collect());
+        let ranges: Vec<AddressRanges> = sets.iter().map(|(included, excluded)| difference(&union_of(included), &union_of(excluded))).collect();
+        let classes = AddressClasses::new(&ranges);
         for address in addresses {
             let members = classes.members(classes.class(address));
             for (index, (included, excluded)) in sets.iter().enumerate() {
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -2,7 +2,7 @@
 
 use super::entries::named;
 use super::Builder;
-use crate::address::{difference, span, union, Spans};
+use crate::address::{difference, union, AddressRange, AddressRanges};
 use crate::check::{CheckedBlock, Spanned};
 use crate::diagnostic::Diagnostic;
 use crate::model::{AddressSet, Pool};
@@ -15,30 +15,30 @@
             .iter()
             .map(|block| self.block_indices("addresses", block.get("of")))
             .collect();
-        let mut spans_of: Vec<Spans> = vec![Spans::new(); blocks.len()];
+        let mut ranges_of: Vec<AddressRanges> = vec![AddressRanges::new(); blocks.len()];
         for index in self.reference_order("addresses", &included) {
             let others = included[index].iter();
-            let mut spans = network_spans(blocks[index].values("net"));
-            spans.extend(others.flat_map(|other| spans_of[*other].iter().copied()));
-            let excluded = network_spans(blocks[index].values("except"));
-            spans_of[index] = difference(&union(spans), &excluded);
+            let mut ranges = network_ranges(blocks[index].values("net"));
+            ranges.extend(others.flat_map(|other| ranges_of[*other].iter().copied()));
+            let excluded = network_ranges(blocks[index].values("except"));
+            ranges_of[index] = difference(&union(ranges), &excluded);
         }
-        for (block, spans) in blocks.into_iter().zip(spans_of) {
-            self.check_addresses(block, &spans);
+        for (block, ranges) in blocks.into_iter().zip(ranges_of) {
+            self.check_addresses(block, &ranges);
             self.plan.addresses.push(AddressSet {
                 name: block.name.clone(),
                 span: block.span.clone(),
-                spans,
+                ranges,
             });
         }
     }
 
-    fn check_addresses(&mut self, block: &CheckedBlock, spans: &Spans) {
+    fn check_addresses(&mut self, block: &CheckedBlock, ranges: &AddressRanges) {
         if !block.has_any(&["net", "of"]) {
             let text = format!("the address set `{}` says nothing", block.name);
             let diagnostic = Diagnostic::new(block.span.clone(), text);
             self.incomplete(block, diagnostic.help("net 10.1.0.0/16"));
-        } else if spans.is_empty() && !block.values("net").is_empty() {
+        } else if ranges.is_empty() && !block.values("net").is_empty() {
             let text = format!("the address set `{}` holds no address", block.name);
             self.diagnostics
                 .push(Diagnostic::new(block.span.clone(), text));
@@ -73,10 +73,10 @@
 }
 
 /// The addresses of some networks.
-fn network_spans(networks: &[Spanned]) -> Spans {
-    let spans = networks.iter().filter_map(|value| match &value.value {
-        Value::Network(network) => Some(span(network)),
+fn network_ranges(networks: &[Spanned]) -> AddressRanges {
+    let ranges = networks.iter().filter_map(|value| match &value.value {
+        Value::Network(network) => Some(AddressRange::of(network)),
         _ => None,
     });
-    union(spans.collect())
+    union(ranges.collect())
 }
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -4,7 +4,7 @@
 
 mod patterns;
 
-use crate::address::{AddressClasses, Spans};
+use crate::address::{AddressClasses, AddressRanges};
 use crate::model::{Plan, Pool};
 use fixedbitset::FixedBitSet;
 
@@ -47,13 +47,13 @@
     pub fn of(plans: &[&Plan], configured: ConfiguredNames) -> Option<Self> {
         let pools = || plans.iter().flat_map(|plan| &plan.pools);
         let patterns = sorted(pools().flat_map(|pool| &pool.ids));
-        let spans: Vec<_> = plans.iter().flat_map(|plan| used_sets(plan)).collect();
+        let address_sets: Vec<_> = plans.iter().flat_map(|plan| used_sets(plan)).collect();
         let cells = Cells {
             zones: names(pools().flat_map(|pool| &pool.zones), configured.zones),
             kinds: names(pools().flat_map(|pool| &pool.kinds), configured.kinds),
             pattern_sets: patterns::sets(&patterns)?,
             patterns,
-            addresses: AddressClasses::new(&spans),
+            addresses: AddressClasses::new(&address_sets),
         };
         (cells.count() <= MAX_CELLS).then_some(cells)
     }
@@ -142,12 +142,12 @@
 }
 
 /// The address sets of a plan; those that no pool uses are taken as empty.
-fn used_sets(plan: &Plan) -> Vec<Spans> {
+fn used_sets(plan: &Plan) -> Vec<AddressRanges> {
     let is_used = |set: usize| plan.pools.iter().any(|pool| pool.addresses.contains(&set));
     let sets = plan.addresses.iter().enumerate();
-    let spans = sets.map(|(index, set)| match is_used(index) {
-        true => set.spans.clone(),
+    let used = sets.map(|(index, set)| match is_used(index) {
+        true => set.ranges.clone(),
         false => Vec::new(),
     });
-    spans.collect()
+    used.collect()
 }
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -55,9 +55,9 @@
 /// Which queries a limit counts, and by what, without the names of address sets.
 fn scope(plan: &Plan, limit: &Limit) -> String {
     let sets = limit.clients.iter().map(|set| &plan.addresses[*set]);
-    let spans = sets.flat_map(|set| set.spans.iter().copied()).collect();
-    let spans = address::union(spans);
+    let ranges = sets.flat_map(|set| set.ranges.iter().copied());
+    let ranges = address::union(ranges.collect());
     let classes: BTreeSet<&String> = limit.classes.iter().collect();
     let tenants: BTreeSet<&String> = limit.tenants.iter().collect();
-    format!("{:?} {classes:?} {tenants:?} {spans:?}", limit.per)
+    format!("{:?} {classes:?} {tenants:?} {ranges:?}", limit.per)
 }
--- a/crates/plan/src/model/sets.rs
+++ b/crates/plan/src/model/sets.rs
@@ -1,6 +1,6 @@
 //! Sets of addresses, and pools of engines.
 
-use crate::address::{number, Spans};
+use crate::address::{number, AddressRanges};
 use crate::files::Span;
 use serde::{Serialize, Serializer};
 use std::net::{IpAddr, Ipv6Addr};
@@ -14,16 +14,15 @@
     #[serde(skip)]
     pub span: Span,
     /// All its addresses, with those of included sets and without exceptions.
-    #[serde(serialize_with = "address_ranges")]
-    pub spans: Spans,
+    #[serde(rename = "spans", serialize_with = "printed_ranges")]
+    pub ranges: AddressRanges,
 }
 
 impl AddressSet {
     /// Whether an address is in the set.
     pub fn contains(&self, address: IpAddr) -> bool {
         let number = number(address);
-        let in_span = |(from, to): &(u128, u128)| (*from..=*to).contains(&number);
-        self.spans.iter().any(in_span)
+        self.ranges.iter().any(|range| range.contains(number))
     }
 }
 
@@ -97,10 +96,10 @@
     text.ends_with(suffix)
 }
 
-fn address_ranges<S: Serializer>(spans: &Spans, serializer: S) -> Result<S::Ok, S::Error> {
-    let ranges = spans
+fn printed_ranges<S: Serializer>(ranges: &AddressRanges, serializer: S) -> Result<S::Ok, S::Error> {
+    let ranges = ranges
         .iter()
-        .map(|(from, to)| format!("{}..{}", printed(*from), printed(*to)));
+        .map(|range| format!("{}..{}", printed(range.first), printed(range.last)));
     serializer.collect_seq(ranges)
 }
 
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -55,7 +55,7 @@
     /// The classes that these plans tell apart together; further names of query classes and tenants get their own.
     pub fn of(plans: &[&Plan], query_classes: &[String], tenants: &[String]) -> Self {
         let sets = plans.iter().flat_map(|plan| &plan.addresses);
-        let spans: Vec<_> = sets.map(|set| set.spans.clone()).collect();
+        let address_sets: Vec<_> = sets.map(|set| set.ranges.clone()).collect();
         let routes = || plans.iter().flat_map(|plan| &plan.routes);
         let data_set_bounds = routes()
             .flat_map(|route| &route.data_sets)
@@ -68,7 +68,7 @@
         ValueClasses {
             query_classes: Names::of(class_names(plans).chain(query_classes)),
             tenants: Names::of(tenant_names(plans).chain(tenants)),
-            clients: AddressClasses::new(&spans),
+            clients: AddressClasses::new(&address_sets),
             data_sets: sorted_from_0(data_set_bounds),
             minutes_of_day: sorted_from_0(minute_bounds),
         }
--- a/crates/routing/src/limits/rules.rs
+++ b/crates/routing/src/limits/rules.rs
@@ -66,13 +66,13 @@
         list.sort_unstable();
         list
     };
-    let spans = limit
+    let ranges = limit
         .clients
         .iter()
-        .flat_map(|set| plan.addresses[*set].spans.clone());
-    let spans = garnetwall_plan::address::union(spans.collect());
+        .flat_map(|set| plan.addresses[*set].ranges.clone());
+    let ranges = garnetwall_plan::address::union(ranges.collect());
     let (classes, tenants) = (sorted(&limit.classes), sorted(&limit.tenants));
-    format!("{:?} {classes:?} {tenants:?} {spans:?}", limit.per)
+    format!("{:?} {classes:?} {tenants:?} {ranges:?}", limit.per)
 }
 
 /// The places of some names in a list; unknown names are left out.
