--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -37,7 +37,7 @@
         diagnostics,
         plan: Plan::default(),
     };
-    builder.external_names();
+    builder.check_settings_names();
     builder.addresses();
     builder.pools();
     builder.classes();
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -30,7 +30,7 @@
 pub(super) fn number(value: Option<&Spanned>) -> Option<f64> {
     match value?.value {
         Value::Size(whole) | Value::Count(whole) => Some(whole as f64),
-        Value::Rate(number) | Value::Flow(number) | Value::Share(number) => Some(number),
+        Value::Rate(number) | Value::ByteRate(number) | Value::Share(number) => Some(number),
         _ => None,
     }
 }
@@ -47,7 +47,7 @@
 pub(super) fn ranges(values: &[Spanned]) -> Vec<(u32, u32)> {
     let range = |value: &Spanned| match value.value {
         Value::Numbers(from, to) => Some((from, to)),
-        Value::Clock(from, until) => Some((from, until)),
+        Value::TimesOfDay(from, until) => Some((from, until)),
         _ => None,
     };
     values.iter().filter_map(range).collect()
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -5,36 +5,43 @@
 use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::quantity::Value;
-use crate::schema::{External, Shape};
+use crate::schema::{Namespace, Shape};
 
 impl Builder<'_> {
     /// Checks names of classes, tenants, kinds and zones, where the settings are at hand.
-    pub(super) fn external_names(&mut self) {
+    pub(super) fn check_settings_names(&mut self) {
         let Some(settings) = self.settings else {
             return;
         };
         for block in self.blocks {
-            if let Some(external) = block.kind.external {
-                self.external_name(settings, external, &block.name, &block.span);
+            if let Some(namespace) = block.kind.namespace {
+                self.check_settings_name(settings, namespace, &block.name, &block.span);
             }
             for entry in block.kind.entries {
-                let (Shape::ExternalNames(external) | Shape::ExternalName(external)) = entry.shape
+                let (Shape::SettingsNames(namespace) | Shape::SettingsName(namespace)) =
+                    entry.shape
                 else {
                     continue;
                 };
                 for value in block.values(entry.name) {
                     if let Value::Name(name) = &value.value {
-                        self.external_name(settings, external, name, &value.span);
+                        self.check_settings_name(settings, namespace, name, &value.span);
                     }
                 }
             }
         }
     }
 
-    fn external_name(&mut self, settings: &Settings, external: External, name: &str, span: &Span) {
-        let names = settings.names(external);
+    fn check_settings_name(
+        &mut self,
+        settings: &Settings,
+        namespace: Namespace,
+        name: &str,
+        span: &Span,
+    ) {
+        let names = settings.names(namespace);
         if !names.contains(&name) {
-            let text = format!("the settings know no {} `{name}`", external.described());
+            let text = format!("the settings know no {} `{name}`", namespace.description());
             let diagnostic = Diagnostic::new(span.clone(), text);
             self.diagnostics
                 .push(diagnostic.suggest_nearest(name, names));
--- a/crates/plan/src/build/settings.rs
+++ b/crates/plan/src/build/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings, as far as a plan must fit them.
 
 use crate::model::Idempotency;
-use crate::schema::External;
+use crate::schema::Namespace;
 use std::time::Duration;
 
 /// What the platform's settings say, as far as a plan must fit them.
@@ -41,14 +41,14 @@
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// All names of a sort.
-    pub(super) fn names(&self, external: External) -> Vec<&str> {
+    /// All names of a namespace.
+    pub(super) fn names(&self, namespace: Namespace) -> Vec<&str> {
         let class_names = self.classes.iter().map(|class| &class.name);
-        let names: Vec<&String> = match external {
-            External::Class => class_names.collect(),
-            External::Tenant => self.tenants.iter().collect(),
-            External::Kind => self.kinds.iter().collect(),
-            External::Zone => self.zones.iter().collect(),
+        let names: Vec<&String> = match namespace {
+            Namespace::QueryClass => class_names.collect(),
+            Namespace::Tenant => self.tenants.iter().collect(),
+            Namespace::EngineKind => self.kinds.iter().collect(),
+            Namespace::Zone => self.zones.iter().collect(),
         };
         names.into_iter().map(String::as_str).collect()
     }
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -5,7 +5,7 @@
 use super::{CheckedBlock, CheckedEntry, Spanned};
 use crate::diagnostic::{shown, Diagnostic};
 use crate::files::Span;
-use crate::quantity::{self, Kind};
+use crate::quantity::{self, ValueKind};
 use crate::schema::{self, BlockKind, EntryKind};
 use crate::syntax::{Block, Entry, Word};
 use std::collections::HashMap;
@@ -122,7 +122,7 @@
         let diagnostic = Diagnostic::new(block.kind.span.clone(), text);
         return Err(diagnostic.help(format!("{} some-name {{", kind.name)));
     };
-    match quantity::read(Kind::Name, &name.text, name.quoted) {
+    match quantity::read(ValueKind::Name, &name.text, name.quoted) {
         Ok(_) => Ok(name),
         Err(error) => Err(error.at(name.span.clone())),
     }
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -3,7 +3,7 @@
 use super::constants::{Constants, Expanded};
 use super::Spanned;
 use crate::diagnostic::{shown, Diagnostic};
-use crate::quantity::{self, Kind, Value};
+use crate::quantity::{self, Value, ValueKind};
 use crate::schema::{self, EntryKind, Shape};
 use crate::syntax::{Part, Word};
 
@@ -42,14 +42,14 @@
         match self.entry.shape {
             Shape::Flag => self.nothing(&expanded),
             Shape::One(kind) => self.one(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::ExternalName(_) => {
-                self.one(&expanded, |reader, word| reader.read(Kind::Name, word))
+            Shape::SettingsName(_) => {
+                self.one(&expanded, |reader, word| reader.read(ValueKind::Name, word))
             }
             Shape::Choice(words) => self.one(&expanded, |reader, word| reader.choice(words, word)),
             Shape::Words(words) => self.list(&expanded, |reader, word| reader.choice(words, word)),
             Shape::List(kind) => self.list(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::BlockNames(_) | Shape::ExternalNames(_) => {
-                self.list(&expanded, |reader, word| reader.read(Kind::Name, word))
+            Shape::BlockNames(_) | Shape::SettingsNames(_) => {
+                self.list(&expanded, |reader, word| reader.read(ValueKind::Name, word))
             }
             Shape::Bucket(rate, burst) => self.bucket(rate, burst, &expanded),
             Shape::Effect => self.effect(&expanded),
@@ -84,7 +84,7 @@
         format!("{} {}", self.entry.name, self.entry.example)
     }
 
-    fn read(&mut self, kind: Kind, expanded: &Expanded) -> Option<Spanned> {
+    fn read(&mut self, kind: ValueKind, expanded: &Expanded) -> Option<Spanned> {
         let word = &expanded.word;
         match quantity::read(kind, &word.text, word.quoted) {
             Ok(value) => Some(Spanned {
@@ -168,8 +168,8 @@
     /// `RATE` or `RATE burst AMOUNT`.
     fn bucket(
         &mut self,
-        rate_kind: Kind,
-        burst_kind: Kind,
+        rate_kind: ValueKind,
+        burst_kind: ValueKind,
         parts: &[Vec<Expanded>],
     ) -> Option<Vec<Spanned>> {
         let single = |part: &Vec<Expanded>| match part.as_slice() {
@@ -206,7 +206,7 @@
         match (first.word.text.as_str(), more) {
             ("referenced", [scope, window]) => {
                 let scope = self.choice(schema::EFFECT_SCOPES, scope);
-                let window = self.read(Kind::Time, window);
+                let window = self.read(ValueKind::Time, window);
                 Some(vec![effect, scope?, window?])
             }
             ("referenced", _) => {
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -21,7 +21,7 @@
 
 /// What a value is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ValueKind {
     /// `5ms`, `1.5s`, `2min`, `1h`.
     Time,
     /// `512B`, `64KiB`, `10MiB`, `1GiB`.
@@ -29,13 +29,13 @@
     /// `50/s`, `3000/min`.
     Rate,
     /// Bytes over time: `10MiB/s`.
-    Flow,
+    ByteRate,
     /// `30%`, 0 to 100.
     Share,
     /// A whole number from 1.
     Count,
     /// A range of times of day: `06:00..20:00`; over midnight too.
-    Clock,
+    TimesOfDay,
     /// `10.1.0.0/16`, `2001:db8::/32`, or one address.
     Network,
     /// A whole number or a range of such: `17`, `20..30`.
@@ -48,39 +48,39 @@
     Text,
 }
 
-impl Kind {
+impl ValueKind {
     /// What a message asks for where a value of this kind belongs, with an example.
     pub fn wanted(self) -> &'static str {
         match self {
-            Kind::Time => "a time such as 250ms, 1.5s or 2min",
-            Kind::Size => "a size such as 512B, 64KiB or 10MiB",
-            Kind::Rate => "a rate such as 50/s or 3000/min",
-            Kind::Flow => "bytes over time such as 10MiB/s",
-            Kind::Share => "a share such as 30%",
-            Kind::Count => "a whole number such as 300",
-            Kind::Clock => "hours of the day such as 06:00..20:00",
-            Kind::Network => "a network such as 10.1.0.0/16 or 2001:db8::/32",
-            Kind::Numbers => "a number or a range such as 17 or 20..30",
-            Kind::Name => "a name",
-            Kind::Pattern => "a name, with `*` for any characters",
-            Kind::Text => "a text in quotes",
+            ValueKind::Time => "a time such as 250ms, 1.5s or 2min",
+            ValueKind::Size => "a size such as 512B, 64KiB or 10MiB",
+            ValueKind::Rate => "a rate such as 50/s or 3000/min",
+            ValueKind::ByteRate => "bytes over time such as 10MiB/s",
+            ValueKind::Share => "a share such as 30%",
+            ValueKind::Count => "a whole number such as 300",
+            ValueKind::TimesOfDay => "hours of the day such as 06:00..20:00",
+            ValueKind::Network => "a network such as 10.1.0.0/16 or 2001:db8::/32",
+            ValueKind::Numbers => "a number or a range such as 17 or 20..30",
+            ValueKind::Name => "a name",
+            ValueKind::Pattern => "a name, with `*` for any characters",
+            ValueKind::Text => "a text in quotes",
         }
     }
 
     /// What a message calls a value of this kind where another one is wanted.
-    fn described(self) -> &'static str {
+    fn description(self) -> &'static str {
         match self {
-            Kind::Time => "a time",
-            Kind::Size => "a size",
-            Kind::Rate => "a rate",
-            Kind::Flow => "bytes over time",
-            Kind::Share => "a share",
-            Kind::Count => "a number without a unit",
-            Kind::Clock => "hours of the day",
-            Kind::Network => "a network",
-            Kind::Numbers => "a range of numbers",
-            Kind::Name | Kind::Pattern => "a name",
-            Kind::Text => "a text",
+            ValueKind::Time => "a time",
+            ValueKind::Size => "a size",
+            ValueKind::Rate => "a rate",
+            ValueKind::ByteRate => "bytes over time",
+            ValueKind::Share => "a share",
+            ValueKind::Count => "a number without a unit",
+            ValueKind::TimesOfDay => "hours of the day",
+            ValueKind::Network => "a network",
+            ValueKind::Numbers => "a range of numbers",
+            ValueKind::Name | ValueKind::Pattern => "a name",
+            ValueKind::Text => "a text",
         }
     }
 }
@@ -95,13 +95,13 @@
     /// Events a second.
     Rate(f64),
     /// Bytes a second.
-    Flow(f64),
+    ByteRate(f64),
     /// A fraction, 0 to 1.
     Share(f64),
     /// A whole number.
     Count(u64),
     /// Minutes of the day: from, until (excluded).
-    Clock(u32, u32),
+    TimesOfDay(u32, u32),
     /// A network.
     Network(IpNet),
     /// From, to (included).
@@ -133,7 +133,7 @@
     }
 
     /// The word is something else than a value of a kind.
-    fn not(word: &str, description: &str, wanted: Kind) -> Self {
+    fn not(word: &str, description: &str, wanted: ValueKind) -> Self {
         ValueError::new(format!(
             "`{}` {description}; here {} is wanted",
             shown(word),
@@ -160,22 +160,25 @@
 /// # Errors
 ///
 /// Where the word, or its being in quotes or not, does not fit the kind.
-pub fn read(kind: Kind, word: &str, quoted: bool) -> Result<Value, ValueError> {
-    match (quoted, kind == Kind::Text) {
+pub fn read(kind: ValueKind, word: &str, quoted: bool) -> Result<Value, ValueError> {
+    match (quoted, kind == ValueKind::Text) {
         (true, false) => return Err(ValueError::not(word, "is in quotes", kind)),
         (false, true) => return Err(ValueError::not(word, "is not in quotes", kind)),
         _ => {}
     }
     match kind {
-        Kind::Text => Ok(Value::Text(word.to_string())),
-        Kind::Name => name(word),
-        Kind::Pattern => pattern(word),
-        Kind::Clock => clock(word),
-        Kind::Network => network(word),
-        Kind::Numbers => numbers(word),
-        Kind::Time | Kind::Size | Kind::Rate | Kind::Flow | Kind::Share | Kind::Count => {
-            units::number_with_unit(kind, word)
-        }
+        ValueKind::Text => Ok(Value::Text(word.to_string())),
+        ValueKind::Name => name(word),
+        ValueKind::Pattern => pattern(word),
+        ValueKind::TimesOfDay => clock(word),
+        ValueKind::Network => network(word),
+        ValueKind::Numbers => numbers(word),
+        ValueKind::Time
+        | ValueKind::Size
+        | ValueKind::Rate
+        | ValueKind::ByteRate
+        | ValueKind::Share
+        | ValueKind::Count => units::number_with_unit(kind, word),
     }
 }
 
@@ -205,7 +208,7 @@
 }
 
 fn clock(word: &str) -> Result<Value, ValueError> {
-    let no_range = || ValueError::not(word, "is no span of hours", Kind::Clock);
+    let no_range = || ValueError::not(word, "is no span of hours", ValueKind::TimesOfDay);
     let (from, until) = word.split_once("..").ok_or_else(no_range)?;
     let from = minute_of_day(from).ok_or_else(no_range)?;
     let until = minute_of_day(until).ok_or_else(no_range)?;
@@ -213,7 +216,7 @@
         let text = format!("`{}` is no time at all, or a whole day", shown(word));
         return Err(ValueError::new(text).help("leave the entry out for the whole day"));
     }
-    Ok(Value::Clock(from % MINUTES_PER_DAY, until))
+    Ok(Value::TimesOfDay(from % MINUTES_PER_DAY, until))
 }
 
 /// The minute of the day of `HH:MM`, up to and with `24:00`.
@@ -236,7 +239,7 @@
     }
     let network: IpNet = word
         .parse()
-        .map_err(|_| ValueError::not(word, "is no network", Kind::Network))?;
+        .map_err(|_| ValueError::not(word, "is no network", ValueKind::Network))?;
     if network.trunc() == network {
         return Ok(Value::Network(network));
     }
@@ -250,7 +253,7 @@
 
 fn numbers(word: &str) -> Result<Value, ValueError> {
     let (from, to) = word.split_once("..").unwrap_or((word, word));
-    let no_number = |_| ValueError::not(word, "is no number", Kind::Numbers);
+    let no_number = |_| ValueError::not(word, "is no number", ValueKind::Numbers);
     let from: u32 = from.parse().map_err(no_number)?;
     let to: u32 = to.parse().map_err(no_number)?;
     if from <= to {
--- a/crates/plan/src/quantity/units.rs
+++ b/crates/plan/src/quantity/units.rs
@@ -1,6 +1,6 @@
 //! Numbers with units, and counts, which have none.
 
-use super::{Kind, Value, ValueError};
+use super::{Value, ValueError, ValueKind};
 use crate::diagnostic::{nearest, shown};
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 const MAX_NUMBER: f64 = 1.0e15;
 
 /// Reads a number with the unit of a kind.
-pub(super) fn number_with_unit(kind: Kind, word: &str) -> Result<Value, ValueError> {
+pub(super) fn number_with_unit(kind: ValueKind, word: &str) -> Result<Value, ValueError> {
     let is_numeric = |c: char| c.is_ascii_digit() || c == '.';
     let digits = word.find(|c| !is_numeric(c)).unwrap_or(word.len());
     let (digits, unit) = word.split_at(digits);
@@ -55,16 +55,16 @@
     };
     match kind_of_unit(unit) {
         Some(found) if found == kind => value(kind, word, number * factor(unit)),
-        Some(Kind::Count) => Err(ValueError::not(word, "has no unit", kind)),
+        Some(ValueKind::Count) => Err(ValueError::not(word, "has no unit", kind)),
         Some(found) => {
-            let description = format!("is {}", found.described());
+            let description = format!("is {}", found.description());
             Err(ValueError::not(word, &description, kind))
         }
         None => Err(unknown_unit(kind, digits, unit)),
     }
 }
 
-fn unknown_unit(kind: Kind, digits: &str, unit: &str) -> ValueError {
+fn unknown_unit(kind: ValueKind, digits: &str, unit: &str) -> ValueError {
     let units = units(kind);
     let alias = UNIT_ALIASES
         .iter()
@@ -78,35 +78,39 @@
 }
 
 /// A number in base units as a value, within the bounds of its kind.
-fn value(kind: Kind, word: &str, number: f64) -> Result<Value, ValueError> {
+fn value(kind: ValueKind, word: &str, number: f64) -> Result<Value, ValueError> {
     let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", shown(word))));
     match kind {
-        Kind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than a week"),
-        Kind::Time if number <= 0.0 => out_of_bounds("is no time; it must be above 0"),
+        ValueKind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than a week"),
+        ValueKind::Time if number <= 0.0 => out_of_bounds("is no time; it must be above 0"),
         // Rounded, so that 1s equals 1000ms.
-        Kind::Time => Ok(Value::Time(Duration::from_micros(
+        ValueKind::Time => Ok(Value::Time(Duration::from_micros(
             (number * 1e6).round().max(1.0) as u64,
         ))),
-        Kind::Share if number > 1.0 => out_of_bounds("is more than all; a share is 100% at most"),
-        Kind::Share => Ok(Value::Share(number)),
+        ValueKind::Share if number > 1.0 => {
+            out_of_bounds("is more than all; a share is 100% at most")
+        }
+        ValueKind::Share => Ok(Value::Share(number)),
         _ if number <= 0.0 => out_of_bounds("is nothing; it must be above 0"),
         _ if number > MAX_NUMBER => out_of_bounds("is too large"),
-        Kind::Size | Kind::Count if number.fract() != 0.0 => out_of_bounds("is no whole number"),
-        Kind::Size => Ok(Value::Size(number as u64)),
-        Kind::Count => Ok(Value::Count(number as u64)),
-        Kind::Rate => Ok(Value::Rate(number)),
-        _ => Ok(Value::Flow(number)),
+        ValueKind::Size | ValueKind::Count if number.fract() != 0.0 => {
+            out_of_bounds("is no whole number")
+        }
+        ValueKind::Size => Ok(Value::Size(number as u64)),
+        ValueKind::Count => Ok(Value::Count(number as u64)),
+        ValueKind::Rate => Ok(Value::Rate(number)),
+        _ => Ok(Value::ByteRate(number)),
     }
 }
 
 /// The units that messages suggest for a kind.
-fn units(kind: Kind) -> Vec<&'static str> {
+fn units(kind: ValueKind) -> Vec<&'static str> {
     match kind {
-        Kind::Time => TIME_UNITS.iter().map(|(unit, _)| *unit).collect(),
-        Kind::Size => SIZE_UNITS.iter().map(|(unit, _)| *unit).collect(),
-        Kind::Rate => vec!["/s", "/min", "/h"],
-        Kind::Flow => vec!["B/s", "KiB/s", "MiB/s", "GiB/s"],
-        Kind::Share => vec!["%"],
+        ValueKind::Time => TIME_UNITS.iter().map(|(unit, _)| *unit).collect(),
+        ValueKind::Size => SIZE_UNITS.iter().map(|(unit, _)| *unit).collect(),
+        ValueKind::Rate => vec!["/s", "/min", "/h"],
+        ValueKind::ByteRate => vec!["B/s", "KiB/s", "MiB/s", "GiB/s"],
+        ValueKind::Share => vec!["%"],
         _ => Vec::new(),
     }
 }
@@ -117,16 +121,16 @@
 }
 
 /// The kind that a unit belongs to; `None` where it is no unit.
-fn kind_of_unit(unit: &str) -> Option<Kind> {
+fn kind_of_unit(unit: &str) -> Option<ValueKind> {
     let is_time = |unit: &str| in_table(&TIME_UNITS, unit).is_some();
     let is_size = |unit: &str| in_table(&SIZE_UNITS, unit).is_some();
     match unit.split_once('/') {
-        None if unit.is_empty() => Some(Kind::Count),
-        None if unit == "%" => Some(Kind::Share),
-        None if is_time(unit) => Some(Kind::Time),
-        None if is_size(unit) => Some(Kind::Size),
-        Some(("", per)) if is_time(per) => Some(Kind::Rate),
-        Some((size, per)) if is_size(size) && is_time(per) => Some(Kind::Flow),
+        None if unit.is_empty() => Some(ValueKind::Count),
+        None if unit == "%" => Some(ValueKind::Share),
+        None if is_time(unit) => Some(ValueKind::Time),
+        None if is_size(unit) => Some(ValueKind::Size),
+        Some(("", per)) if is_time(per) => Some(ValueKind::Rate),
+        Some((size, per)) if is_size(size) && is_time(per) => Some(ValueKind::ByteRate),
         _ => None,
     }
 }
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -2,7 +2,7 @@
 //!
 //! The checker, the builder and the table in docs/plan-language.md read it; a new kind of block is added here.
 
-use crate::quantity::Kind;
+use crate::quantity::ValueKind;
 use std::fmt::Write;
 
 /// What stands behind the name of an entry.
@@ -11,21 +11,21 @@
     /// Nothing.
     Flag,
     /// One value.
-    One(Kind),
+    One(ValueKind),
     /// One value or several with commas between; the entry may stand more than once.
-    List(Kind),
+    List(ValueKind),
     /// Names of blocks of this kind, as a list.
     BlockNames(&'static str),
     /// Names that the settings define, as a list.
-    ExternalNames(External),
+    SettingsNames(Namespace),
     /// One name that the settings define.
-    ExternalName(External),
+    SettingsName(Namespace),
     /// One of these words.
     Choice(&'static [&'static str]),
     /// Some of these words, as a list.
     Words(&'static [&'static str]),
     /// A rate and, behind `burst`, an amount of this kind.
-    Bucket(Kind, Kind),
+    Bucket(ValueKind, ValueKind),
     /// `repeatable`, `once-only`, or `referenced` with a scope and a time.
     Effect,
 }
@@ -35,32 +35,32 @@
     pub fn is_list(self) -> bool {
         matches!(
             self,
-            Shape::List(_) | Shape::BlockNames(_) | Shape::ExternalNames(_) | Shape::Words(_)
+            Shape::List(_) | Shape::BlockNames(_) | Shape::SettingsNames(_) | Shape::Words(_)
         )
     }
 }
 
-/// A sort of names that the platform's settings define.
+/// A group of names that the platform's settings define.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum External {
-    /// A query class.
-    Class,
-    /// A tenant.
+pub enum Namespace {
+    /// Query classes.
+    QueryClass,
+    /// Tenants.
     Tenant,
-    /// A kind of engines.
-    Kind,
-    /// A zone.
+    /// Kinds of engines.
+    EngineKind,
+    /// Zones.
     Zone,
 }
 
-impl External {
+impl Namespace {
     /// What messages call such a name.
-    pub fn described(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            External::Class => "service group",
-            External::Tenant => "tenant",
-            External::Kind => "kind",
-            External::Zone => "zone",
+            Namespace::QueryClass => "service group",
+            Namespace::Tenant => "tenant",
+            Namespace::EngineKind => "kind",
+            Namespace::Zone => "zone",
         }
     }
 }
@@ -85,8 +85,8 @@
     pub name: &'static str,
     /// What it means, for the docs.
     pub about: &'static str,
-    /// The sort of its name where the settings define it; otherwise it is the plan's own.
-    pub external: Option<External>,
+    /// Where its name is defined by the settings; `None` where it is the plan's own.
+    pub namespace: Option<Namespace>,
     /// The entries that it may have.
     pub entries: &'static [EntryKind],
 }
@@ -131,22 +131,22 @@
     BlockKind {
         name: "addresses",
         about: "A set of addresses of clients or engines.",
-        external: None,
+        namespace: None,
         entries: &[
-            entry("net", Shape::List(Kind::Network), "10.1.0.0/16, 2001:db8::/32", "networks and single addresses in the set"),
+            entry("net", Shape::List(ValueKind::Network), "10.1.0.0/16, 2001:db8::/32", "networks and single addresses in the set"),
             entry("of", Shape::BlockNames("addresses"), "houses, partners", "other sets that are in it"),
-            entry("except", Shape::List(Kind::Network), "10.1.9.0/24", "networks that are not in it, whatever else says"),
+            entry("except", Shape::List(ValueKind::Network), "10.1.9.0/24", "networks that are not in it, whatever else says"),
         ],
     },
     BlockKind {
         name: "pool",
         about: "A set of engines: those that fit every entry of the first five, and those of other pools, less some.",
-        external: None,
+        namespace: None,
         entries: &[
             entry("all", Shape::Flag, "", "every engine"),
-            entry("zone", Shape::ExternalNames(External::Zone), "maribor, tezno", "engines in one of these zones"),
-            entry("kind", Shape::ExternalNames(External::Kind), "engine-8", "engines of one of these kinds"),
-            entry("id", Shape::List(Kind::Pattern), "s-0*, s-1*", "engines whose id fits one of these patterns"),
+            entry("zone", Shape::SettingsNames(Namespace::Zone), "maribor, tezno", "engines in one of these zones"),
+            entry("kind", Shape::SettingsNames(Namespace::EngineKind), "engine-8", "engines of one of these kinds"),
+            entry("id", Shape::List(ValueKind::Pattern), "s-0*, s-1*", "engines whose id fits one of these patterns"),
             entry("address", Shape::BlockNames("addresses"), "racks", "engines at an address of one of these sets"),
             entry("union", Shape::BlockNames("pool"), "big, spare", "the engines of these pools, too"),
             entry("except", Shape::BlockNames("pool"), "cellar", "never the engines of these pools"),
@@ -155,79 +155,79 @@
     BlockKind {
         name: "group",
         about: "Rules of a service group. They narrow what the settings allow, and never widen it.",
-        external: Some(External::Class),
+        namespace: Some(Namespace::QueryClass),
         entries: &[
-            entry("goal", Shape::One(Kind::Time), "1s", "response goal; at most the time limit"),
-            entry("limit", Shape::One(Kind::Time), "5s", "time limit; at most that of the settings"),
+            entry("goal", Shape::One(ValueKind::Time), "1s", "response goal; at most the time limit"),
+            entry("limit", Shape::One(ValueKind::Time), "5s", "time limit; at most that of the settings"),
             entry("pools", Shape::BlockNames("pool"), "big", "its batches never leave these pools, whatever a route says"),
             entry("order", Shape::Choice(ORDERS), "key", "whether batches of one key run one at a time, in order"),
             entry("effect", Shape::Effect, "referenced zone 30s", "whether a batch that may have run may run again"),
-            entry("further", Shape::One(Kind::Share), "10%", "further dispatches in a minute, as a share of its batches, 1 at least"),
-            entry("statement", Shape::One(Kind::Size), "64KiB", "the largest statement"),
+            entry("further", Shape::One(ValueKind::Share), "10%", "further dispatches in a minute, as a share of its batches, 1 at least"),
+            entry("statement", Shape::One(ValueKind::Size), "64KiB", "the largest statement"),
         ],
     },
     BlockKind {
         name: "tenant",
         about: "Limits of one tenant.",
-        external: Some(External::Tenant),
+        namespace: Some(Namespace::Tenant),
         entries: &[
-            entry("share", Shape::One(Kind::Share), "30%", "the most of this gateway's room for batches that it may hold"),
-            entry("in-hand", Shape::One(Kind::Count), "200", "batches in hand at this gateway"),
-            entry("rate", Shape::Bucket(Kind::Rate, Kind::Count), "50/s burst 100", "batches taken over time"),
-            entry("bytes", Shape::Bucket(Kind::Flow, Kind::Size), "1MiB/s burst 4MiB", "bytes of statements over time"),
+            entry("share", Shape::One(ValueKind::Share), "30%", "the most of this gateway's room for batches that it may hold"),
+            entry("in-hand", Shape::One(ValueKind::Count), "200", "batches in hand at this gateway"),
+            entry("rate", Shape::Bucket(ValueKind::Rate, ValueKind::Count), "50/s burst 100", "batches taken over time"),
+            entry("bytes", Shape::Bucket(ValueKind::ByteRate, ValueKind::Size), "1MiB/s burst 4MiB", "bytes of statements over time"),
         ],
     },
     BlockKind {
         name: "route",
         about: "Where batches go. Routes are tried in the order in which they stand; the first that fits decides.",
-        external: None,
+        namespace: None,
         entries: &[
-            entry("group", Shape::ExternalNames(External::Class), "lookup, report", "only batches of these service groups"),
-            entry("tenant", Shape::ExternalNames(External::Tenant), "acme", "only batches of these tenants"),
+            entry("group", Shape::SettingsNames(Namespace::QueryClass), "lookup, report", "only batches of these service groups"),
+            entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "only batches of these tenants"),
             entry("client", Shape::BlockNames("addresses"), "houses", "only from clients at these addresses"),
             entry("key", Shape::Choice(KEYS), "given", "only batches with a key, or only those without"),
-            entry("data-set", Shape::List(Kind::Numbers), "17, 20..30", "only batches on these data sets"),
-            entry("hours", Shape::List(Kind::Clock), "06:00..20:00", "only at these hours of the day, UTC"),
+            entry("data-set", Shape::List(ValueKind::Numbers), "17, 20..30", "only batches on these data sets"),
+            entry("hours", Shape::List(ValueKind::TimesOfDay), "06:00..20:00", "only at these hours of the day, UTC"),
             entry("to", Shape::BlockNames("pool"), "big, small", "pools in order of preference: a later one only where no earlier one has an engine that may be used"),
-            entry("as", Shape::ExternalName(External::Class), "report", "the service group that they are treated as"),
-            entry("refuse", Shape::One(Kind::Text), "\"closed on sale days\"", "they are pushed back, with this reason"),
+            entry("as", Shape::SettingsName(Namespace::QueryClass), "report", "the service group that they are treated as"),
+            entry("refuse", Shape::One(ValueKind::Text), "\"closed on sale days\"", "they are pushed back, with this reason"),
         ],
     },
     BlockKind {
         name: "limit",
         about: "A limit on what is taken. A batch over it is pushed back at once, with a time to come back.",
-        external: None,
+        namespace: None,
         entries: &[
             entry("per", Shape::Words(SCOPES), "tenant, client", "one limit for each of these; without it one for all"),
-            entry("group", Shape::ExternalNames(External::Class), "report", "counts only batches of these service groups"),
-            entry("tenant", Shape::ExternalNames(External::Tenant), "acme", "counts only batches of these tenants"),
+            entry("group", Shape::SettingsNames(Namespace::QueryClass), "report", "counts only batches of these service groups"),
+            entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "counts only batches of these tenants"),
             entry("client", Shape::BlockNames("addresses"), "houses", "counts only batches from these addresses"),
-            entry("in-hand", Shape::One(Kind::Count), "300", "batches in hand at this gateway"),
-            entry("rate", Shape::Bucket(Kind::Rate, Kind::Count), "50/s burst 100", "batches taken over time"),
-            entry("bytes", Shape::Bucket(Kind::Flow, Kind::Size), "10MiB/s burst 20MiB", "bytes of statements over time"),
+            entry("in-hand", Shape::One(ValueKind::Count), "300", "batches in hand at this gateway"),
+            entry("rate", Shape::Bucket(ValueKind::Rate, ValueKind::Count), "50/s burst 100", "batches taken over time"),
+            entry("bytes", Shape::Bucket(ValueKind::ByteRate, ValueKind::Size), "10MiB/s burst 20MiB", "bytes of statements over time"),
         ],
     },
     BlockKind {
         name: "bodies",
         about: "Where bodies of batches over 256 KiB are kept for further dispatches. One at most; it takes effect at a start.",
-        external: None,
+        namespace: None,
         entries: &[
-            entry("memory", Shape::One(Kind::Size), "32MiB", "kept in memory, in all"),
-            entry("batch-memory", Shape::One(Kind::Size), "4MiB", "kept in memory of one body; a longer one goes to files"),
-            entry("files", Shape::One(Kind::Size), "1GiB", "kept in a file, in all; without it nothing is"),
-            entry("directory", Shape::One(Kind::Text), "\"/var/lib/garnetwall\"", "where that file is"),
-            entry("batch", Shape::One(Kind::Size), "200MiB", "the longest body; a longer one is refused"),
-            entry("share", Shape::One(Kind::Share), "50%", "the most of memory and files that one tenant may have"),
+            entry("memory", Shape::One(ValueKind::Size), "32MiB", "kept in memory, in all"),
+            entry("batch-memory", Shape::One(ValueKind::Size), "4MiB", "kept in memory of one body; a longer one goes to files"),
+            entry("files", Shape::One(ValueKind::Size), "1GiB", "kept in a file, in all; without it nothing is"),
+            entry("directory", Shape::One(ValueKind::Text), "\"/var/lib/garnetwall\"", "where that file is"),
+            entry("batch", Shape::One(ValueKind::Size), "200MiB", "the longest body; a longer one is refused"),
+            entry("share", Shape::One(ValueKind::Share), "50%", "the most of memory and files that one tenant may have"),
             entry("unknown-length", Shape::Flag, "", "bodies may come whose length is not told"),
-            entry("must-keep", Shape::ExternalNames(External::Class), "lookup", "batches of these groups are pushed back where their body can't be kept"),
+            entry("must-keep", Shape::SettingsNames(Namespace::QueryClass), "lookup", "batches of these groups are pushed back where their body can't be kept"),
         ],
     },
     BlockKind {
         name: "journal",
         about: "Once-only batches are written down before they are sent, so that a restart runs none again. One at most; it takes effect at a start.",
-        external: None,
+        namespace: None,
         entries: &[
-            entry("directory", Shape::One(Kind::Text), "\"/var/lib/garnetwall\"", "on a disk that lasts"),
+            entry("directory", Shape::One(ValueKind::Text), "\"/var/lib/garnetwall\"", "on a disk that lasts"),
         ],
     },
 ];
