--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{CheckedEntry, Spanned};
 use crate::model::Bucket;
-use crate::quantity::Value;
+use crate::quantity::{MinuteRange, NumberRange, Value};
 use std::time::Duration;
 
 /// The values that are names, patterns or texts.
@@ -43,11 +43,19 @@
     }
 }
 
-/// Ranges of numbers, or of minutes of the day.
-pub(super) fn ranges(values: &[Spanned]) -> Vec<(u32, u32)> {
+/// The values that are ranges of whole numbers.
+pub(super) fn number_ranges(values: &[Spanned]) -> Vec<NumberRange> {
     let range = |value: &Spanned| match value.value {
-        Value::Numbers(from, to) => Some((from, to)),
-        Value::TimesOfDay(from, until) => Some((from, until)),
+        Value::Numbers(range) => Some(range),
+        _ => None,
+    };
+    values.iter().filter_map(range).collect()
+}
+
+/// The values that are ranges of times of day.
+pub(super) fn minute_ranges(values: &[Spanned]) -> Vec<MinuteRange> {
+    let range = |value: &Spanned| match value.value {
+        Value::TimesOfDay(range) => Some(range),
         _ => None,
     };
     values.iter().filter_map(range).collect()
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -1,6 +1,6 @@
 //! Builds routes.
 
-use super::entries::{first_name, named, ranges};
+use super::entries::{first_name, minute_ranges, named, number_ranges};
 use super::Builder;
 use crate::check::CheckedBlock;
 use crate::diagnostic::Diagnostic;
@@ -21,8 +21,8 @@
                 tenants: named(block.values("tenant")),
                 clients,
                 key: key.map(|word| word == "given"),
-                data_sets: ranges(block.values("data-set")),
-                hours: ranges(block.values("hours")),
+                data_sets: number_ranges(block.values("data-set")),
+                times_of_day: minute_ranges(block.values("hours")),
                 pools,
                 pools_span: place("to"),
                 as_class: first_name(block.values("as")),
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -122,7 +122,7 @@
         let diagnostic = Diagnostic::new(block.kind.span.clone(), text);
         return Err(diagnostic.help(format!("{} some-name {{", kind.name)));
     };
-    match quantity::read(ValueKind::Name, &name.text, name.quoted) {
+    match quantity::read(ValueKind::Name, name) {
         Ok(_) => Ok(name),
         Err(error) => Err(error.at(name.span.clone())),
     }
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -86,7 +86,7 @@
 
     fn read(&mut self, kind: ValueKind, expanded: &Expanded) -> Option<Spanned> {
         let word = &expanded.word;
-        match quantity::read(kind, &word.text, word.quoted) {
+        match quantity::read(kind, word) {
             Ok(value) => Some(Spanned {
                 value,
                 span: word.span.clone(),
--- a/crates/plan/src/model/routes.rs
+++ b/crates/plan/src/model/routes.rs
@@ -2,7 +2,7 @@
 
 use super::{AddressSet, QueryFacts};
 use crate::files::Span;
-use crate::quantity::MINUTES_PER_DAY;
+use crate::quantity::{MinuteRange, NumberRange, MINUTES_PER_DAY};
 use serde::Serialize;
 
 /// A rule on where queries go. An empty list of conditions matches any query.
@@ -22,11 +22,11 @@
     pub clients: Vec<usize>,
     /// Matches queries with a key, or those without.
     pub key: Option<bool>,
-    /// Matches data sets by their number: from, to (included).
-    pub data_sets: Vec<(u32, u32)>,
-    /// Matches times, in minutes of the day (UTC): from, until (excluded); over midnight where the second is not
-    /// above the first.
-    pub hours: Vec<(u32, u32)>,
+    /// Matches data sets by their number.
+    pub data_sets: Vec<NumberRange>,
+    /// Matches queries that come at these times of day.
+    #[serde(rename = "hours")]
+    pub times_of_day: Vec<MinuteRange>,
     /// The pools that the queries go to, by index, in order of preference; all engines where it is empty.
     #[serde(rename = "to")]
     pub pools: Vec<usize>,
@@ -47,11 +47,8 @@
 impl Route {
     /// Whether the route matches queries at a minute of the day.
     pub fn is_open_at(&self, minute: u32) -> bool {
-        let within = |(from, until): &(u32, u32)| match from < until {
-            true => (*from..*until).contains(&minute),
-            false => minute >= *from || minute < *until,
-        };
-        self.hours.is_empty() || self.hours.iter().any(within)
+        let mut ranges = self.times_of_day.iter();
+        self.times_of_day.is_empty() || ranges.any(|range| range.contains(minute))
     }
 
     /// Whether the route treats its queries as a class.
@@ -62,7 +59,7 @@
     /// The name of the first entry that a query does not meet; `None` where the route matches it. `sets` are the
     /// plan's address sets.
     pub fn unmet(&self, query: &QueryFacts, sets: &[AddressSet]) -> Option<&'static str> {
-        let in_range = |(from, to): &(u32, u32)| (*from..=*to).contains(&query.data_set);
+        let has_data_set = |range: &NumberRange| range.contains(query.data_set);
         if !is_named(&self.classes, query.class) {
             Some("group")
         } else if !is_named(&self.tenants, query.tenant) {
@@ -71,7 +68,7 @@
             Some("client")
         } else if self.key.is_some_and(|key| key != query.has_key) {
             Some("key")
-        } else if !self.data_sets.is_empty() && !self.data_sets.iter().any(in_range) {
+        } else if !self.data_sets.is_empty() && !self.data_sets.iter().any(has_data_set) {
             Some("data-set")
         } else if !self.is_open_at(query.minute_of_day % MINUTES_PER_DAY) {
             Some("hours")
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -2,15 +2,19 @@
 //!
 //! A number without a unit where one is needed is an error, and so is a unit of another kind.
 
+mod ranges;
 mod units;
 
 use crate::diagnostic::{shown, Diagnostic};
 use crate::files::Span;
+use crate::syntax::Word;
 use ipnet::IpNet;
 use std::net::IpAddr;
 use std::time::Duration;
 use thiserror::Error;
 
+pub use ranges::{MinuteRange, NumberRange};
+
 /// Minutes of a day.
 pub const MINUTES_PER_DAY: u32 = 24 * 60;
 
@@ -100,12 +104,12 @@
     Share(f64),
     /// A whole number.
     Count(u64),
-    /// Minutes of the day: from, until (excluded).
-    TimesOfDay(u32, u32),
+    /// A range of times of day.
+    TimesOfDay(MinuteRange),
     /// A network.
     Network(IpNet),
-    /// From, to (included).
-    Numbers(u32, u32),
+    /// A range of whole numbers, or one.
+    Numbers(NumberRange),
     /// A name.
     Name(String),
     /// A name with `*` for any characters.
@@ -160,25 +164,26 @@
 /// # Errors
 ///
 /// Where the word, or its being in quotes or not, does not fit the kind.
-pub fn read(kind: ValueKind, word: &str, quoted: bool) -> Result<Value, ValueError> {
-    match (quoted, kind == ValueKind::Text) {
-        (true, false) => return Err(ValueError::not(word, "is in quotes", kind)),
-        (false, true) => return Err(ValueError::not(word, "is not in quotes", kind)),
+pub fn read(kind: ValueKind, word: &Word) -> Result<Value, ValueError> {
+    let text = word.text.as_str();
+    match (word.quoted, kind == ValueKind::Text) {
+        (true, false) => return Err(ValueError::not(text, "is in quotes", kind)),
+        (false, true) => return Err(ValueError::not(text, "is not in quotes", kind)),
         _ => {}
     }
     match kind {
-        ValueKind::Text => Ok(Value::Text(word.to_string())),
-        ValueKind::Name => name(word),
-        ValueKind::Pattern => pattern(word),
-        ValueKind::TimesOfDay => clock(word),
-        ValueKind::Network => network(word),
-        ValueKind::Numbers => numbers(word),
+        ValueKind::Text => Ok(Value::Text(text.to_string())),
+        ValueKind::Name => name(text),
+        ValueKind::Pattern => pattern(text),
+        ValueKind::TimesOfDay => times_of_day(text),
+        ValueKind::Network => network(text),
+        ValueKind::Numbers => numbers(text),
         ValueKind::Time
         | ValueKind::Size
         | ValueKind::Rate
         | ValueKind::ByteRate
         | ValueKind::Share
-        | ValueKind::Count => units::number_with_unit(kind, word),
+        | ValueKind::Count => units::number_with_unit(kind, text),
     }
 }
 
@@ -207,7 +212,7 @@
     Err(ValueError::new(format!("`{}` is no name", shown(word))).help(help))
 }
 
-fn clock(word: &str) -> Result<Value, ValueError> {
+fn times_of_day(word: &str) -> Result<Value, ValueError> {
     let no_range = || ValueError::not(word, "is no span of hours", ValueKind::TimesOfDay);
     let (from, until) = word.split_once("..").ok_or_else(no_range)?;
     let from = minute_of_day(from).ok_or_else(no_range)?;
@@ -216,7 +221,8 @@
         let text = format!("`{}` is no time at all, or a whole day", shown(word));
         return Err(ValueError::new(text).help("leave the entry out for the whole day"));
     }
-    Ok(Value::TimesOfDay(from % MINUTES_PER_DAY, until))
+    let from = from % MINUTES_PER_DAY;
+    Ok(Value::TimesOfDay(MinuteRange { from, until }))
 }
 
 /// The minute of the day of `HH:MM`, up to and with `24:00`.
@@ -252,13 +258,13 @@
 }
 
 fn numbers(word: &str) -> Result<Value, ValueError> {
-    let (from, to) = word.split_once("..").unwrap_or((word, word));
+    let (first, last) = word.split_once("..").unwrap_or((word, word));
     let no_number = |_| ValueError::not(word, "is no number", ValueKind::Numbers);
-    let from: u32 = from.parse().map_err(no_number)?;
-    let to: u32 = to.parse().map_err(no_number)?;
-    if from <= to {
-        return Ok(Value::Numbers(from, to));
+    let first: u32 = first.parse().map_err(no_number)?;
+    let last: u32 = last.parse().map_err(no_number)?;
+    if first <= last {
+        return Ok(Value::Numbers(NumberRange { first, last }));
     }
     let text = format!("`{}` runs backwards", shown(word));
-    Err(ValueError::new(text).help(format!("did you mean `{to}..{from}`?")))
+    Err(ValueError::new(text).help(format!("did you mean `{last}..{first}`?")))
 }
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -59,11 +59,11 @@
         let routes = || plans.iter().flat_map(|plan| &plan.routes);
         let data_set_bounds = routes()
             .flat_map(|route| &route.data_sets)
-            .flat_map(|(from, to)| [Some(*from), to.checked_add(1)])
+            .flat_map(|range| [Some(range.first), range.last.checked_add(1)])
             .flatten();
         let minute_bounds = routes()
-            .flat_map(|route| &route.hours)
-            .flat_map(|(from, until)| [*from, *until])
+            .flat_map(|route| &route.times_of_day)
+            .flat_map(|range| [range.from, range.until])
             .filter(|minute| *minute < MINUTES_PER_DAY);
         ValueClasses {
             query_classes: Names::of(class_names(plans).chain(query_classes)),
@@ -155,7 +155,7 @@
     fn is_data_set(&self, route: &Route, class: usize) -> bool {
         let data_set = self.data_sets[class];
         let mut ranges = route.data_sets.iter();
-        ranges.any(|(from, to)| (*from..=*to).contains(&data_set))
+        ranges.any(|range| range.contains(data_set))
     }
 }
 
