--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -118,7 +118,7 @@
         what: invalid.to_string(),
     })?;
     let plan = compiled.plan;
-    let bodies = plan.bodies.as_ref().map_or(0, |bodies| bodies.memory);
+    let bodies = plan.bodies.as_ref().map_or(0, |bodies| bodies.memory_bytes);
     let most = config.memory_mb as u64 * BYTES_PER_MB / BODIES_MEMORY_DIVISOR;
     if bodies > most {
         return Err(ConfigError::Bodies { file, bodies, most });
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -22,20 +22,20 @@
     let spool = match &bodies.directory {
         Some(directory) => {
             let disk = Disk::open(Path::new(directory), gateway)?;
-            Some(Spool::new(disk, bodies.files))
+            Some(Spool::new(disk, bodies.file_bytes))
         }
         None => None,
     };
     let limits = Limits {
-        memory_bytes: bodies.memory,
-        file_bytes: bodies.files,
-        max_body_memory_bytes: bodies.query_memory,
-        max_body_bytes: bodies.max_body,
-        tenant_share: bodies.share,
-        unknown_length_allowed: bodies.unknown_length,
+        memory_bytes: bodies.memory_bytes,
+        file_bytes: bodies.file_bytes,
+        max_body_memory_bytes: bodies.max_body_memory_bytes,
+        max_body_bytes: bodies.max_body_bytes,
+        tenant_share: bodies.tenant_share,
+        unknown_length_allowed: bodies.unknown_length_allowed,
         storage_required: class_names
             .iter()
-            .map(|class| bodies.must_keep.contains(class))
+            .map(|class| bodies.storage_required.contains(class))
             .collect(),
     };
     Ok(Store::new(limits, EvictionPolicy::Largest, spool))
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -9,7 +9,7 @@
 /// The memory for bodies where none is given.
 const DEFAULT_MEMORY_BYTES: u64 = 32 << 20;
 /// The part of the memory that one body may use where none is given.
-const DEFAULT_QUERY_MEMORY_DIVISOR: u64 = 8;
+const DEFAULT_BODY_MEMORY_DIVISOR: u64 = 8;
 /// The longest body where none is given.
 const DEFAULT_MAX_BODY_BYTES: u64 = 200 << 20;
 
@@ -32,16 +32,17 @@
             return;
         };
         let size = |entry: &str| count(block.one(entry));
-        let memory = size("memory").unwrap_or(DEFAULT_MEMORY_BYTES);
+        let memory_bytes = size("memory").unwrap_or(DEFAULT_MEMORY_BYTES);
         let bodies = Bodies {
-            memory,
-            query_memory: size("batch-memory").unwrap_or(memory / DEFAULT_QUERY_MEMORY_DIVISOR),
-            files: size("files").unwrap_or(0),
+            memory_bytes,
+            max_body_memory_bytes: size("batch-memory")
+                .unwrap_or(memory_bytes / DEFAULT_BODY_MEMORY_DIVISOR),
+            file_bytes: size("files").unwrap_or(0),
             directory: first_name(block.values("directory")),
-            max_body: size("batch").unwrap_or(DEFAULT_MAX_BODY_BYTES),
-            share: number(block.one("share")).unwrap_or(1.0),
-            unknown_length: block.get("unknown-length").is_some(),
-            must_keep: named(block.values("must-keep")),
+            max_body_bytes: size("batch").unwrap_or(DEFAULT_MAX_BODY_BYTES),
+            tenant_share: number(block.one("share")).unwrap_or(1.0),
+            unknown_length_allowed: block.get("unknown-length").is_some(),
+            storage_required: named(block.values("must-keep")),
         };
         self.check_bodies(block, &bodies);
         self.plan.bodies = Some(bodies);
@@ -52,11 +53,11 @@
             let span = block.get(entry).map_or(&block.span, |entry| &entry.span);
             self.diagnostics.push(Diagnostic::new(span.clone(), text));
         };
-        if bodies.query_memory > bodies.memory {
+        if bodies.max_body_memory_bytes > bodies.memory_bytes {
             let text = "one body may have more memory than all together";
             report("batch-memory", text);
         }
-        match (&bodies.directory, bodies.files > 0) {
+        match (&bodies.directory, bodies.file_bytes > 0) {
             (None, true) => report("files", "files need a `directory`"),
             (Some(_), false) => report("directory", "nothing goes there without `files`"),
             _ => {}
--- a/crates/plan/src/diff/figures.rs
+++ b/crates/plan/src/diff/figures.rs
@@ -30,18 +30,20 @@
 ];
 
 const BODIES_FIGURES: [Figure<Bodies>; 8] = [
-    ("memory", |bodies| Some(bytes(bodies.memory))),
-    ("batch-memory", |bodies| Some(bytes(bodies.query_memory))),
-    ("files", |bodies| Some(bytes(bodies.files))),
+    ("memory", |bodies| Some(bytes(bodies.memory_bytes))),
+    ("batch-memory", |bodies| {
+        Some(bytes(bodies.max_body_memory_bytes))
+    }),
+    ("files", |bodies| Some(bytes(bodies.file_bytes))),
     ("directory", |bodies| {
         Some(bodies.directory.clone().unwrap_or_default())
     }),
-    ("batch", |bodies| Some(bytes(bodies.max_body))),
-    ("share", |bodies| Some(percent(bodies.share))),
+    ("batch", |bodies| Some(bytes(bodies.max_body_bytes))),
+    ("share", |bodies| Some(percent(bodies.tenant_share))),
     ("unknown-length", |bodies| {
-        Some(bodies.unknown_length.to_string())
+        Some(bodies.unknown_length_allowed.to_string())
     }),
-    ("must-keep", |bodies| Some(sorted(&bodies.must_keep))),
+    ("must-keep", |bodies| Some(sorted(&bodies.storage_required))),
 ];
 
 fn seconds(time: Duration) -> String {
--- a/crates/plan/src/model/storage.rs
+++ b/crates/plan/src/model/storage.rs
@@ -6,23 +6,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Bodies {
     /// Bytes in memory, in all.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub memory_bytes: u64,
     /// Bytes in memory of one body; a longer one is stored in the spool file.
     #[serde(rename = "batch_memory")]
-    pub query_memory: u64,
+    pub max_body_memory_bytes: u64,
     /// Bytes in the spool file, in all.
-    pub files: u64,
+    #[serde(rename = "files")]
+    pub file_bytes: u64,
     /// The directory of the spool file.
     pub directory: Option<String>,
     /// Bytes of the longest body; a longer one is rejected.
     #[serde(rename = "batch")]
-    pub max_body: u64,
+    pub max_body_bytes: u64,
     /// The fraction of the storage that one tenant may use, 0 to 1.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub tenant_share: f64,
     /// Whether bodies are accepted whose length is not announced.
-    pub unknown_length: bool,
+    #[serde(rename = "unknown_length")]
+    pub unknown_length_allowed: bool,
     /// Classes whose queries are rejected where their body cannot be stored.
-    pub must_keep: Vec<String>,
+    #[serde(rename = "must_keep")]
+    pub storage_required: Vec<String>,
 }
 
 /// The storage of the journal of non-idempotent queries.
