--- a/crates/plan/src/build/consistency/classes.rs
+++ b/crates/plan/src/build/consistency/classes.rs
@@ -13,18 +13,16 @@
                 .and_then(|settings| settings.class(&class.name));
             let deadline = class.deadline.or(allowed.map(|allowed| allowed.deadline));
             let objective = class.latency_objective;
-            if objective
+            let is_too_long = objective
                 .zip(deadline)
-                .is_some_and(|(time, limit)| time > limit)
-            {
+                .is_some_and(|(objective, deadline)| objective > deadline);
+            if is_too_long {
                 let text = format!("the goal of `{}` is longer than its time limit", class.name);
                 self.diagnostics
                     .push(Diagnostic::new(class.span.clone(), text));
             }
-            for what in allowed
-                .map(|allowed| wider(class, allowed))
-                .unwrap_or_default()
-            {
+            let wider = allowed.map(|allowed| wider_rules(class, allowed));
+            for what in wider.unwrap_or_default() {
                 let text = format!(
                     "a plan narrows what the settings allow; this {what} of `{}` is wider",
                     class.name
@@ -36,8 +34,8 @@
     }
 }
 
-/// What the rules of a class allow beyond the settings.
-fn wider(class: &ClassRules, allowed: &SettingsClass) -> Vec<&'static str> {
+/// The rules of a class that allow more than the settings, by what messages call them.
+fn wider_rules(class: &ClassRules, allowed: &SettingsClass) -> Vec<&'static str> {
     let later = class
         .deadline
         .is_some_and(|deadline| deadline > allowed.deadline);
@@ -45,11 +43,10 @@
     let repeated = class
         .idempotency
         .is_some_and(|idempotency| !idempotency.narrows(&allowed.idempotency));
-    let checks = [
-        (later, "time limit"),
-        (unordered, "order"),
-        (repeated, "effect"),
+    let wider = [
+        later.then_some("time limit"),
+        unordered.then_some("order"),
+        repeated.then_some("effect"),
     ];
-    let wider = checks.into_iter().filter(|(is_wider, _)| *is_wider);
-    wider.map(|(_, what)| what).collect()
+    wider.into_iter().flatten().collect()
 }
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -2,7 +2,7 @@
 
 use super::{is_bound, ConsistencyCheck};
 use crate::build::SettingsClass;
-use crate::cells::Cells;
+use crate::cells::{Cells, Place};
 use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::model::{ClassRules, Route};
@@ -130,17 +130,17 @@
     outside.is_clear()
 }
 
-/// Whether the settings let a class run in a zone and on a kind; `None` stands for names that no plan has.
-fn is_allowed(class: &SettingsClass, (zone, kind): (Option<&str>, Option<&str>)) -> bool {
+/// Whether the settings let a class run at a place.
+fn is_allowed(class: &SettingsClass, place: Place) -> bool {
     let among = |allowed: &Option<Vec<String>>, name: Option<&str>| {
         let Some(allowed) = allowed else { return true };
         name.is_some_and(|name| allowed.iter().any(|other| other == name))
     };
-    among(&class.zones, zone) && among(&class.kinds, kind)
+    among(&class.zones, place.zone) && among(&class.kinds, place.kind)
 }
 
-fn place_in_words(place: (Option<&str>, Option<&str>)) -> String {
-    match place {
+fn place_in_words(place: Place) -> String {
+    match (place.zone, place.kind) {
         (Some(zone), Some(kind)) => format!("{kind} in {zone}"),
         (_, Some(kind)) => kind.to_string(),
         (_, None) => "engines of other kinds".to_string(),
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -34,6 +34,15 @@
     pub kinds: Option<&'a [String]>,
 }
 
+/// The zone and the kind of some engines; `None` stands for names that no plan has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Place<'a> {
+    /// The name of the zone.
+    pub zone: Option<&'a str>,
+    /// The name of the kind.
+    pub kind: Option<&'a str>,
+}
+
 /// The coordinates of a cell, as indices into the fields of [`Cells`].
 struct Coordinates {
     zone: usize,
@@ -78,10 +87,13 @@
         }
     }
 
-    /// Zone and kind of a cell; `None` for those that no plan names.
-    pub fn place(&self, cell: usize) -> (Option<&str>, Option<&str>) {
+    /// Zone and kind of a cell.
+    pub fn place(&self, cell: usize) -> Place<'_> {
         let Coordinates { zone, kind, .. } = self.coordinates(cell);
-        (self.zones[zone].as_deref(), self.kinds[kind].as_deref())
+        Place {
+            zone: self.zones[zone].as_deref(),
+            kind: self.kinds[kind].as_deref(),
+        }
     }
 
     /// The cells of each pool of a plan; `first_set` is the index of its first address set among those of all plans.
--- a/crates/plan/src/diagnostic.rs
+++ b/crates/plan/src/diagnostic.rs
@@ -18,12 +18,21 @@
     pub text: String,
     /// A short text beside the marked place.
     pub label: Option<String>,
-    /// Other places that matter, and why.
-    pub related: Vec<(Span, String)>,
+    /// Other places that matter.
+    pub related: Vec<RelatedPlace>,
     /// What to do about it.
     pub help: Option<String>,
 }
 
+/// A place that helps to understand a diagnostic.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RelatedPlace {
+    /// Where it is.
+    pub span: Span,
+    /// Why it matters.
+    pub reason: String,
+}
+
 impl Diagnostic {
     /// An error at a place.
     pub fn new(span: Span, text: impl Into<String>) -> Self {
@@ -43,8 +52,9 @@
     }
 
     /// Adds another place, with the reason why it matters.
-    pub fn related(mut self, span: Span, text: impl Into<String>) -> Self {
-        self.related.push((span, text.into()));
+    pub fn related(mut self, span: Span, reason: impl Into<String>) -> Self {
+        let reason = reason.into();
+        self.related.push(RelatedPlace { span, reason });
         self
     }
 
--- a/crates/plan/src/diagnostic/render.rs
+++ b/crates/plan/src/diagnostic/render.rs
@@ -1,7 +1,7 @@
 //! Prints errors with the lines of the plan that they are in.
 
 use super::Diagnostic;
-use crate::files::{File, Files, Span};
+use crate::files::{File, Files, Position, Span};
 use codespan_reporting::diagnostic as codespan;
 use codespan_reporting::files::SimpleFiles;
 use codespan_reporting::term;
@@ -71,7 +71,7 @@
     let label = diagnostic.label.as_deref().unwrap_or_default();
     let related = diagnostic.related.iter();
     std::iter::once((&diagnostic.span, label))
-        .chain(related.map(|(span, text)| (span, text.as_str())))
+        .chain(related.map(|place| (&place.span, place.reason.as_str())))
 }
 
 /// Whether the lines of a span are few and short, and would not disturb a terminal.
@@ -79,8 +79,8 @@
     let Some(file) = files.get(span.file) else {
         return false;
     };
-    let (first, _) = file.place(span.start);
-    let (last, _) = file.place(span.end);
+    let first = file.position(span.start).line;
+    let last = file.position(span.end).line;
     last - first <= MAX_LINE_BREAKS && (first..=last).all(|line| is_printable_line(file, line))
 }
 
@@ -96,7 +96,7 @@
         let Some(file) = files.get(span.file) else {
             continue;
         };
-        let (line, column) = file.place(span.start);
+        let Position { line, column } = file.position(span.start);
         let _ = writeln!(out, "  --> {}:{line}:{column} {text}", file.name);
     }
     for note in notes {
--- a/crates/plan/src/diff/figures.rs
+++ b/crates/plan/src/diff/figures.rs
@@ -6,44 +6,52 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A figure by its name, with how it is printed; `None` where it is not given.
-type Figure<Block> = (&'static str, fn(&Block) -> Option<String>);
+/// A figure of a kind of block.
+struct Figure<Block> {
+    name: &'static str,
+    /// How it is printed; `None` where it is not given.
+    printed: fn(&Block) -> Option<String>,
+}
+
+const fn figure<Block>(name: &'static str, printed: fn(&Block) -> Option<String>) -> Figure<Block> {
+    Figure { name, printed }
+}
 
 const CLASS_FIGURES: [Figure<ClassRules>; 6] = [
-    ("goal", |class| class.latency_objective.map(seconds)),
-    ("limit", |class| class.deadline.map(seconds)),
-    ("order", |class| class.in_order.map(order)),
-    ("effect", |class| {
+    figure("goal", |class| class.latency_objective.map(seconds)),
+    figure("limit", |class| class.deadline.map(seconds)),
+    figure("order", |class| class.in_order.map(order)),
+    figure("effect", |class| {
         class.idempotency.as_ref().map(idempotency_in_words)
     }),
-    ("further", |class| class.retries_per_query.map(percent)),
-    ("statement", |class| class.max_statement_bytes.map(bytes)),
+    figure("further", |class| class.retries_per_query.map(percent)),
+    figure("statement", |class| class.max_statement_bytes.map(bytes)),
 ];
 
 const TENANT_FIGURES: [Figure<Tenant>; 4] = [
-    ("share", |tenant| tenant.share.map(percent)),
-    ("in-hand limit", |tenant| {
+    figure("share", |tenant| tenant.share.map(percent)),
+    figure("in-hand limit", |tenant| {
         tenant.max_in_flight.map(|count| count.to_string())
     }),
-    ("rate", |tenant| bucket(tenant.rate)),
-    ("bytes", |tenant| bucket(tenant.bytes)),
+    figure("rate", |tenant| bucket(tenant.rate)),
+    figure("bytes", |tenant| bucket(tenant.bytes)),
 ];
 
 const BODIES_FIGURES: [Figure<Bodies>; 8] = [
-    ("memory", |bodies| Some(bytes(bodies.memory_bytes))),
-    ("batch-memory", |bodies| {
+    figure("memory", |bodies| Some(bytes(bodies.memory_bytes))),
+    figure("batch-memory", |bodies| {
         Some(bytes(bodies.max_body_memory_bytes))
     }),
-    ("files", |bodies| Some(bytes(bodies.file_bytes))),
-    ("directory", |bodies| {
+    figure("files", |bodies| Some(bytes(bodies.file_bytes))),
+    figure("directory", |bodies| {
         Some(bodies.directory.clone().unwrap_or_default())
     }),
-    ("batch", |bodies| Some(bytes(bodies.max_body_bytes))),
-    ("share", |bodies| Some(percent(bodies.tenant_share))),
-    ("unknown-length", |bodies| {
+    figure("batch", |bodies| Some(bytes(bodies.max_body_bytes))),
+    figure("share", |bodies| Some(percent(bodies.tenant_share))),
+    figure("unknown-length", |bodies| {
         Some(bodies.unknown_length_allowed.to_string())
     }),
-    ("must-keep", |bodies| Some(sorted(&bodies.storage_required))),
+    figure("must-keep", |bodies| Some(sorted(&bodies.storage_required))),
 ];
 
 fn seconds(time: Duration) -> String {
@@ -99,9 +107,11 @@
     old: Option<&Block>,
     new: Option<&Block>,
 ) -> Vec<Change> {
-    let changed = figures.iter().filter_map(|(figure, printed)| {
-        let what = format!("{figure} of {name}");
-        change(subject, &what, old.and_then(printed), new.and_then(printed))
+    let changed = figures.iter().filter_map(|figure| {
+        let what = format!("{} of {name}", figure.name);
+        let old = old.and_then(figure.printed);
+        let new = new.and_then(figure.printed);
+        change(subject, &what, old, new)
     });
     changed.collect()
 }
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -2,14 +2,11 @@
 
 use super::side::{priority_levels, Side};
 use super::Change;
-use crate::cells::Cells;
+use crate::cells::{Cells, Place};
 use crate::region::{ValueClasses, QUERY_CLASS};
 use fixedbitset::FixedBitSet;
 use std::collections::BTreeSet;
 
-/// A zone and a kind; `None` for those that no plan names.
-type Place<'a> = (Option<&'a str>, Option<&'a str>);
-
 /// The places that a class may use in one of the plans only.
 pub(super) fn changes(
     class_names: &BTreeSet<String>,
@@ -31,9 +28,9 @@
     changes
 }
 
-fn change(class: &str, how: &str, (zone, kind): &Place) -> Change {
-    let kind = kind.unwrap_or("engines of other kinds");
-    let zone = zone.unwrap_or("other zones");
+fn change(class: &str, how: &str, place: &Place) -> Change {
+    let kind = place.kind.unwrap_or("engines of other kinds");
+    let zone = place.zone.unwrap_or("other zones");
     Change {
         subject: "placement",
         text: format!("`{class}` {how} use {kind} in {zone}"),
--- a/crates/plan/src/files.rs
+++ b/crates/plan/src/files.rs
@@ -33,6 +33,15 @@
     }
 }
 
+/// A place in a file, as its readers count.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Position {
+    /// The line, from 1.
+    pub line: usize,
+    /// The column in characters, from 1.
+    pub column: usize,
+}
+
 /// A file that was read.
 #[derive(Debug)]
 pub struct File {
@@ -62,15 +71,18 @@
         }
     }
 
-    /// Line and column of a byte offset, both from 1; columns count characters.
-    pub fn place(&self, offset: usize) -> (usize, usize) {
+    /// Line and column of a byte offset.
+    pub fn position(&self, offset: usize) -> Position {
         let line = self
             .line_starts
             .partition_point(|start| *start <= offset)
             .max(1);
         let start = self.line_starts.get(line - 1).copied().unwrap_or_default();
         let before = self.text.get(start..offset).unwrap_or_default();
-        (line, before.chars().count() + 1)
+        Position {
+            line,
+            column: before.chars().count() + 1,
+        }
     }
 
     /// A line without its line break, by its number from 1.
@@ -125,6 +137,6 @@
         let Some(file) = self.get(span.file) else {
             return String::new();
         };
-        format!("{}:{}", file.name, file.place(span.start).0)
+        format!("{}:{}", file.name, file.position(span.start).line)
     }
 }
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -4,6 +4,7 @@
 use super::{Region, ValueClasses, CLIENT, DATA_SET, KEY, MINUTE_OF_DAY, QUERY_CLASS, TENANT};
 use crate::quantity::MINUTES_PER_DAY;
 use fixedbitset::FixedBitSet;
+use std::ops::RangeInclusive;
 
 /// A list of up to so many names is printed in full.
 const MAX_FULL_LIST: usize = 6;
@@ -48,9 +49,9 @@
     }
 
     fn data_sets_in_words(&self, classes: &FixedBitSet) -> String {
-        let range = |(first, last): (usize, usize)| {
-            let from = self.data_sets[first];
-            match self.data_sets.get(last + 1).map(|next| next - 1) {
+        let range = |run: RangeInclusive<usize>| {
+            let from = self.data_sets[*run.start()];
+            match self.data_sets.get(run.end() + 1).map(|next| next - 1) {
                 Some(to) if from == to => from.to_string(),
                 Some(to) => format!("{from}..{to}"),
                 None => format!("{from} and above"),
@@ -62,10 +63,14 @@
 
     fn hours_in_words(&self, classes: &FixedBitSet) -> String {
         let clock = |minute: u32| format!("{:02}:{:02}", minute / 60, minute % 60);
-        let range = |(first, last): (usize, usize)| {
-            let end = self.minutes_of_day.get(last + 1).copied();
+        let range = |run: RangeInclusive<usize>| {
+            let end = self.minutes_of_day.get(run.end() + 1).copied();
             let until = end.unwrap_or(MINUTES_PER_DAY);
-            format!("{}..{}", clock(self.minutes_of_day[first]), clock(until))
+            format!(
+                "{}..{}",
+                clock(self.minutes_of_day[*run.start()]),
+                clock(until)
+            )
         };
         let ranges: Vec<String> = runs(classes).map(range).collect();
         format!("hours {}", list(&ranges))
@@ -93,13 +98,13 @@
     )
 }
 
-/// The first and the last of each run of neighbouring classes.
-fn runs(classes: &FixedBitSet) -> impl Iterator<Item = (usize, usize)> + '_ {
+/// The runs of neighbouring classes.
+fn runs(classes: &FixedBitSet) -> impl Iterator<Item = RangeInclusive<usize>> + '_ {
     let is_first = |class: &usize| *class == 0 || !classes.contains(*class - 1);
     let last_of = |first: usize| {
         let run = (first..classes.len()).take_while(|class| classes.contains(*class));
         run.last().unwrap_or(first)
     };
     let firsts = classes.ones().filter(is_first);
-    firsts.map(move |first| (first, last_of(first)))
+    firsts.map(move |first| first..=last_of(first))
 }
