--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -119,21 +119,21 @@
         };
         let mut class_by_members: HashMap<FixedBitSet, u32> = HashMap::new();
         let mut members = FixedBitSet::with_capacity(sets.len());
-        let class = classes.class_of(&mut class_by_members, &members);
-        classes.start(0, class);
+        let class = classes.class_with_members(&mut class_by_members, &members);
+        classes.start_range(0, class);
         let boundaries = boundaries(sets);
         for boundaries in boundaries.chunk_by(|a, b| a.at == b.at) {
             for boundary in boundaries {
                 members.set(boundary.set, boundary.is_start);
             }
-            let class = classes.class_of(&mut class_by_members, &members);
-            classes.start(boundaries[0].at, class);
+            let class = classes.class_with_members(&mut class_by_members, &members);
+            classes.start_range(boundaries[0].at, class);
         }
         classes.fill_v4();
         classes
     }
 
-    fn class_of(
+    fn class_with_members(
         &mut self,
         class_by_members: &mut HashMap<FixedBitSet, u32>,
         members: &FixedBitSet,
@@ -144,7 +144,7 @@
         })
     }
 
-    fn start(&mut self, at: u128, class: u32) {
+    fn start_range(&mut self, at: u128, class: u32) {
         if self.v6_classes.last() != Some(&class) {
             self.v6_starts.push(at);
             self.v6_classes.push(class);
--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -38,14 +38,14 @@
         plan: Plan::default(),
     };
     builder.check_settings_names();
-    builder.addresses();
-    builder.pools();
-    builder.classes();
-    builder.tenants();
-    builder.routes();
-    builder.limits();
-    builder.bodies();
-    builder.journal();
+    builder.build_addresses();
+    builder.build_pools();
+    builder.build_classes();
+    builder.build_tenants();
+    builder.build_routes();
+    builder.build_limits();
+    builder.build_bodies();
+    builder.build_journal();
     let Builder {
         plan, diagnostics, ..
     } = builder;
@@ -61,14 +61,14 @@
 }
 
 /// The blocks of a kind, in their order.
-fn of<'a>(blocks: &'a [CheckedBlock], kind: &str) -> Vec<&'a CheckedBlock> {
+fn blocks_of_kind<'a>(blocks: &'a [CheckedBlock], kind: &str) -> Vec<&'a CheckedBlock> {
     let of_kind = |block: &&CheckedBlock| block.kind.name == kind;
     blocks.iter().filter(of_kind).collect()
 }
 
 /// The indices of the blocks of a kind among themselves, by name.
 fn indices<'a>(blocks: &'a [CheckedBlock], kind: &str) -> HashMap<&'a str, usize> {
-    let blocks = of(blocks, kind).into_iter().enumerate();
+    let blocks = blocks_of_kind(blocks, kind).into_iter().enumerate();
     blocks
         .map(|(index, block)| (block.name.as_str(), index))
         .collect()
@@ -85,12 +85,12 @@
 }
 
 impl<'a> Builder<'a> {
-    fn of(&self, kind: &str) -> Vec<&'a CheckedBlock> {
-        of(self.blocks, kind)
+    fn blocks_of_kind(&self, kind: &str) -> Vec<&'a CheckedBlock> {
+        blocks_of_kind(self.blocks, kind)
     }
 
     /// Reports that a block lacks an entry, unless an invalid line in it may be the one that is missing.
-    fn incomplete(&mut self, block: &CheckedBlock, diagnostic: Diagnostic) {
+    fn report_incomplete(&mut self, block: &CheckedBlock, diagnostic: Diagnostic) {
         let is_inside = |diagnostic: &Diagnostic| {
             diagnostic.span.file == block.whole.file
                 && block.whole.range().contains(&diagnostic.span.start)
--- a/crates/plan/src/build/classes.rs
+++ b/crates/plan/src/build/classes.rs
@@ -1,39 +1,39 @@
 //! Builds the rules of query classes, and the limits of tenants.
 
-use super::entries::{bucket, count, first_name, named, number, time};
+use super::entries::{bucket, count, first_text, number, texts, time};
 use super::Builder;
 use crate::check::Spanned;
 use crate::model::{ClassRules, DeduplicationScope, Idempotency, Tenant};
 
 impl Builder<'_> {
-    pub(super) fn classes(&mut self) {
-        for block in self.of("group") {
-            let order = first_name(block.values("order"));
+    pub(super) fn build_classes(&mut self) {
+        for block in self.blocks_of_kind("group") {
+            let order = first_text(block.values("order"));
             let rules = ClassRules {
                 name: block.name.clone(),
                 span: block.span.clone(),
-                latency_objective: time(block.one("goal")),
-                deadline: time(block.one("limit")),
-                pools: self.block_indices("pool", block.get("pools")),
-                pools_span: block.get("pools").map(|entry| entry.span.clone()),
+                latency_objective: time(block.first_value("goal")),
+                deadline: time(block.first_value("limit")),
+                pools: self.block_indices("pool", block.entry("pools")),
+                pools_span: block.entry("pools").map(|entry| entry.span.clone()),
                 in_order: order.map(|word| word == "key"),
                 idempotency: idempotency(block.values("effect")),
-                retries_per_query: number(block.one("further")),
-                max_statement_bytes: count(block.one("statement")),
+                retries_per_query: number(block.first_value("further")),
+                max_statement_bytes: count(block.first_value("statement")),
             };
             self.plan.classes.push(rules);
         }
     }
 
-    pub(super) fn tenants(&mut self) {
-        for block in self.of("tenant") {
+    pub(super) fn build_tenants(&mut self) {
+        for block in self.blocks_of_kind("tenant") {
             self.plan.tenants.push(Tenant {
                 name: block.name.clone(),
                 span: block.span.clone(),
-                share: number(block.one("share")),
-                max_in_flight: count(block.one("in-hand")),
-                rate: bucket(block.get("rate")),
-                bytes: bucket(block.get("bytes")),
+                share: number(block.first_value("share")),
+                max_in_flight: count(block.first_value("in-hand")),
+                rate: bucket(block.entry("rate")),
+                bytes: bucket(block.entry("bytes")),
             });
         }
     }
@@ -41,7 +41,7 @@
 
 /// The idempotency that the values of an `effect` stand for; `None` where it is not given.
 fn idempotency(values: &[Spanned]) -> Option<Idempotency> {
-    let words = named(values);
+    let words = texts(values);
     let effect = words.first()?;
     let scope = match words.get(1).map(String::as_str) {
         Some("zone") => DeduplicationScope::Zone,
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -19,10 +19,10 @@
 
 impl ConsistencyCheck<'_> {
     pub(super) fn run(&mut self) {
-        self.pools();
-        self.classes();
-        self.routes();
-        self.limits();
+        self.check_pools();
+        self.check_classes();
+        self.check_routes();
+        self.check_limits();
     }
 
     fn configured_names(&self) -> ConfiguredNames<'_> {
@@ -33,7 +33,7 @@
     }
 
     /// A pool in which no engine can be.
-    fn pools(&mut self) {
+    fn check_pools(&mut self) {
         let Some(cells) = Cells::of(&[self.plan], self.configured_names()) else {
             return;
         };
--- a/crates/plan/src/build/consistency/classes.rs
+++ b/crates/plan/src/build/consistency/classes.rs
@@ -6,7 +6,7 @@
 use crate::model::ClassRules;
 
 impl ConsistencyCheck<'_> {
-    pub(super) fn classes(&mut self) {
+    pub(super) fn check_classes(&mut self) {
         for class in &self.plan.classes {
             let allowed = self
                 .settings
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -5,24 +5,24 @@
 use crate::model::{Limit, Per, Tenant};
 
 impl ConsistencyCheck<'_> {
-    pub(super) fn limits(&mut self) {
+    pub(super) fn check_limits(&mut self) {
         let limits = &self.plan.limits;
         for (index, limit) in limits.iter().enumerate() {
             for earlier in &limits[..index] {
-                self.duplicate(earlier, limit);
-                self.never_binds(earlier, limit);
-                self.never_binds(limit, earlier);
+                self.report_duplicate(earlier, limit);
+                self.report_never_binding(earlier, limit);
+                self.report_never_binding(limit, earlier);
             }
         }
         for tenant in &self.plan.tenants {
             for limit in limits.iter().filter(|limit| covers(limit, tenant)) {
-                self.tenant_over_limit(tenant, limit);
+                self.report_tenant_over_limit(tenant, limit);
             }
         }
     }
 
     /// Two limits that set the same figure for the same queries.
-    fn duplicate(&mut self, first: &Limit, second: &Limit) {
+    fn report_duplicate(&mut self, first: &Limit, second: &Limit) {
         let shares_figure = (first.max_in_flight.is_some() && second.max_in_flight.is_some())
             || (first.rate.is_some() && second.rate.is_some())
             || (first.bytes.is_some() && second.bytes.is_some());
@@ -39,7 +39,7 @@
     }
 
     /// A limit that can never be reached, as a wider one lets fewer queries be in flight.
-    fn never_binds(&mut self, wide: &Limit, narrow: &Limit) {
+    fn report_never_binding(&mut self, wide: &Limit, narrow: &Limit) {
         let (Some(fewer), Some(more)) = (wide.max_in_flight, narrow.max_in_flight) else {
             return;
         };
@@ -57,7 +57,7 @@
     }
 
     /// A tenant's own limit of queries in flight that is above a general one.
-    fn tenant_over_limit(&mut self, tenant: &Tenant, limit: &Limit) {
+    fn report_tenant_over_limit(&mut self, tenant: &Tenant, limit: &Limit) {
         let (Some(own), Some(most)) = (tenant.max_in_flight, limit.max_in_flight) else {
             return;
         };
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -14,7 +14,7 @@
     route: &'a Route,
     /// The place of the entry that names the pools.
     pools_span: &'a Span,
-    classes: &'a ValueClasses,
+    value_classes: &'a ValueClasses,
     /// The regions that it decides on; `None` where they are too many.
     pieces: Option<&'a [Region]>,
 }
@@ -22,7 +22,7 @@
 impl PlacedRoute<'_> {
     /// Whether queries of a class may match the route, or be treated as that class by it.
     fn concerns(&self, class: &str) -> bool {
-        let value_class = self.classes.query_class(class);
+        let value_class = self.value_classes.query_class(class);
         let has_class = |piece: &Region| piece[QUERY_CLASS].contains(value_class);
         self.route.treats_as(class)
             || self
@@ -39,7 +39,11 @@
 
 impl ConsistencyCheck<'_> {
     /// Reports routes that may send queries out of the pools, kinds or zones that their class is bound to.
-    pub(super) fn placement(&mut self, classes: &ValueClasses, reach: &[Option<Vec<Region>>]) {
+    pub(super) fn check_placement(
+        &mut self,
+        value_classes: &ValueClasses,
+        reach: &[Option<Vec<Region>>],
+    ) {
         let cells = Cells::of(&[self.plan], self.configured_names());
         let pool_cells = cells.map(|cells| PoolCells {
             of_pools: cells.of_pools(self.plan, 0),
@@ -52,31 +56,36 @@
             let placed = PlacedRoute {
                 route,
                 pools_span,
-                classes,
+                value_classes,
                 pieces: pieces.as_deref(),
             };
-            self.bound_by_plan(&placed, pool_cells.as_ref());
+            self.check_plan_bindings(&placed, pool_cells.as_ref());
             if let Some(pool_cells) = &pool_cells {
-                self.bound_by_settings(&placed, pool_cells);
+                self.check_settings_bindings(&placed, pool_cells);
             }
         }
     }
 
     /// The pools that the plan's own rules bind a class to.
-    fn bound_by_plan(&mut self, placed: &PlacedRoute, pool_cells: Option<&PoolCells>) {
+    fn check_plan_bindings(&mut self, placed: &PlacedRoute, pool_cells: Option<&PoolCells>) {
         let bound = self.plan.classes.iter();
         let bound = bound.filter(|class| !class.pools.is_empty());
         for class in bound.filter(|class| placed.concerns(&class.name)) {
             for pool in &placed.route.pools {
                 if !is_inside(*pool, &class.pools, pool_cells) {
-                    let diagnostic = self.out_of_pools(placed, class, *pool);
+                    let diagnostic = self.out_of_pools_diagnostic(placed, class, *pool);
                     self.diagnostics.push(diagnostic);
                 }
             }
         }
     }
 
-    fn out_of_pools(&self, placed: &PlacedRoute, class: &ClassRules, pool: usize) -> Diagnostic {
+    fn out_of_pools_diagnostic(
+        &self,
+        placed: &PlacedRoute,
+        class: &ClassRules,
+        pool: usize,
+    ) -> Diagnostic {
         let pool_name = |pool: &usize| self.plan.pools[*pool].name.as_str();
         let bound: Vec<&str> = class.pools.iter().map(pool_name).collect();
         let pool = pool_name(&pool);
@@ -97,7 +106,7 @@
     }
 
     /// The kinds and zones that the settings bind a class to.
-    fn bound_by_settings(&mut self, placed: &PlacedRoute, pool_cells: &PoolCells) {
+    fn check_settings_bindings(&mut self, placed: &PlacedRoute, pool_cells: &PoolCells) {
         let Some(settings) = self.settings else {
             return;
         };
@@ -110,7 +119,7 @@
                 if let Some(cell) = outside {
                     let place = place_in_words(places.place(cell));
                     let pool = &self.plan.pools[*pool].name;
-                    let diagnostic = out_of_places(placed, class, &place, pool);
+                    let diagnostic = out_of_places_diagnostic(placed, class, &place, pool);
                     self.diagnostics.push(diagnostic);
                 }
             }
@@ -147,7 +156,7 @@
     }
 }
 
-fn out_of_places(
+fn out_of_places_diagnostic(
     placed: &PlacedRoute,
     class: &SettingsClass,
     place: &str,
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -6,23 +6,23 @@
 use crate::region::{self, Region, ValueClasses};
 
 impl ConsistencyCheck<'_> {
-    pub(super) fn routes(&mut self) {
+    pub(super) fn check_routes(&mut self) {
         let class_names: Vec<String> = self.settings.map_or(Vec::new(), |settings| {
             let classes = settings.classes.iter();
             classes.map(|class| class.name.clone()).collect()
         });
         let tenants = self.settings.map_or(&[][..], |settings| &settings.tenants);
-        let classes = ValueClasses::of(&[self.plan], &class_names, tenants);
+        let value_classes = ValueClasses::of(&[self.plan], &class_names, tenants);
         let routes = self.plan.routes.iter();
-        let regions: Vec<Region> = routes.map(|route| classes.region(route, 0)).collect();
-        let reach = region::reach(&regions, &region::whole(&classes));
-        self.never_matching(&regions, &reach);
-        self.treated_as();
-        self.placement(&classes, &reach);
+        let regions: Vec<Region> = routes.map(|route| value_classes.region(route, 0)).collect();
+        let reach = region::reach(&regions, &region::all_queries(&value_classes));
+        self.report_never_matching(&regions, &reach);
+        self.check_treated_as();
+        self.check_placement(&value_classes, &reach);
     }
 
     /// Routes that can never match, as earlier ones match all their queries.
-    fn never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
+    fn report_never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
         for (index, route) in self.plan.routes.iter().enumerate() {
             let may_match = reach[index]
                 .as_ref()
@@ -45,7 +45,7 @@
     }
 
     /// Routes that treat queries as a class which allows what the settings do not allow for their own class.
-    fn treated_as(&mut self) {
+    fn check_treated_as(&mut self) {
         let Some(settings) = self.settings else {
             return;
         };
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The values that are names, patterns or texts.
-pub(super) fn named(values: &[Spanned]) -> Vec<String> {
+pub(super) fn texts(values: &[Spanned]) -> Vec<String> {
     let name = |value: &Spanned| match &value.value {
         Value::Name(name) | Value::Pattern(name) | Value::Text(name) => Some(name.clone()),
         _ => None,
@@ -15,8 +15,8 @@
 }
 
 /// The first value that is a name, pattern or text.
-pub(super) fn first_name(values: &[Spanned]) -> Option<String> {
-    named(values).into_iter().next()
+pub(super) fn first_text(values: &[Spanned]) -> Option<String> {
+    texts(values).into_iter().next()
 }
 
 pub(super) fn time(value: Option<&Spanned>) -> Option<Duration> {
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -85,7 +85,7 @@
 
     /// An order in which each block of a kind comes after those that it refers to; a cycle is an error.
     pub(super) fn reference_order(&mut self, kind: &str, references: &[Vec<usize>]) -> Vec<usize> {
-        let blocks = self.of(kind);
+        let blocks = self.blocks_of_kind(kind);
         let mut search = ReferenceSearch {
             references,
             is_done: vec![false; references.len()],
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -1,6 +1,6 @@
 //! Builds address sets and pools.
 
-use super::entries::named;
+use super::entries::texts;
 use super::Builder;
 use crate::address::{difference, union, AddressRange, AddressRanges};
 use crate::check::{CheckedBlock, Spanned};
@@ -9,11 +9,11 @@
 use crate::quantity::Value;
 
 impl Builder<'_> {
-    pub(super) fn addresses(&mut self) {
-        let blocks = self.of("addresses");
+    pub(super) fn build_addresses(&mut self) {
+        let blocks = self.blocks_of_kind("addresses");
         let included: Vec<Vec<usize>> = blocks
             .iter()
-            .map(|block| self.block_indices("addresses", block.get("of")))
+            .map(|block| self.block_indices("addresses", block.entry("of")))
             .collect();
         let mut ranges_of: Vec<AddressRanges> = vec![AddressRanges::new(); blocks.len()];
         for index in self.reference_order("addresses", &included) {
@@ -37,7 +37,7 @@
         if !block.has_any(&["net", "of"]) {
             let text = format!("the address set `{}` says nothing", block.name);
             let diagnostic = Diagnostic::new(block.span.clone(), text);
-            self.incomplete(block, diagnostic.help("net 10.1.0.0/16"));
+            self.report_incomplete(block, diagnostic.help("net 10.1.0.0/16"));
         } else if ranges.is_empty() && !block.values("net").is_empty() {
             let text = format!("the address set `{}` holds no address", block.name);
             self.diagnostics
@@ -45,25 +45,25 @@
         }
     }
 
-    pub(super) fn pools(&mut self) {
-        for block in self.of("pool") {
+    pub(super) fn build_pools(&mut self) {
+        for block in self.blocks_of_kind("pool") {
             let pool = Pool {
                 name: block.name.clone(),
                 span: block.span.clone(),
-                all: block.get("all").is_some(),
-                zones: named(block.values("zone")),
-                kinds: named(block.values("kind")),
-                ids: named(block.values("id")),
-                addresses: self.block_indices("addresses", block.get("address")),
-                union: self.block_indices("pool", block.get("union")),
-                except: self.block_indices("pool", block.get("except")),
+                all: block.entry("all").is_some(),
+                zones: texts(block.values("zone")),
+                kinds: texts(block.values("kind")),
+                ids: texts(block.values("id")),
+                addresses: self.block_indices("addresses", block.entry("address")),
+                union: self.block_indices("pool", block.entry("union")),
+                except: self.block_indices("pool", block.entry("except")),
             };
             self.plan.pools.push(pool);
             if !block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
                 let text = format!("the pool `{}` holds no engine", block.name);
                 let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
                 let diagnostic = Diagnostic::new(block.span.clone(), text);
-                self.incomplete(block, diagnostic.help(help));
+                self.report_incomplete(block, diagnostic.help(help));
             }
         }
         let references = |pool: &Pool| pool.union.iter().chain(&pool.except).copied().collect();
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -1,33 +1,33 @@
 //! Builds routes.
 
-use super::entries::{first_name, minute_ranges, named, number_ranges};
+use super::entries::{first_text, minute_ranges, number_ranges, texts};
 use super::Builder;
 use crate::check::CheckedBlock;
 use crate::diagnostic::Diagnostic;
 use crate::model::Route;
 
 impl Builder<'_> {
-    pub(super) fn routes(&mut self) {
-        for block in self.of("route") {
-            let clients = self.block_indices("addresses", block.get("client"));
-            let pools = self.block_indices("pool", block.get("to"));
+    pub(super) fn build_routes(&mut self) {
+        for block in self.blocks_of_kind("route") {
+            let clients = self.block_indices("addresses", block.entry("client"));
+            let pools = self.block_indices("pool", block.entry("to"));
             self.check_outcome(block);
-            let key = first_name(block.values("key"));
-            let place = |entry: &str| block.get(entry).map(|entry| entry.span.clone());
+            let key = first_text(block.values("key"));
+            let place = |entry: &str| block.entry(entry).map(|entry| entry.span.clone());
             self.plan.routes.push(Route {
                 name: block.name.clone(),
                 span: block.span.clone(),
-                classes: named(block.values("group")),
-                tenants: named(block.values("tenant")),
+                classes: texts(block.values("group")),
+                tenants: texts(block.values("tenant")),
                 clients,
                 key: key.map(|word| word == "given"),
                 data_sets: number_ranges(block.values("data-set")),
                 times_of_day: minute_ranges(block.values("hours")),
                 pools,
                 pools_span: place("to"),
-                as_class: first_name(block.values("as")),
+                as_class: first_text(block.values("as")),
                 as_span: place("as"),
-                reject_reason: first_name(block.values("refuse")),
+                reject_reason: first_text(block.values("refuse")),
             });
         }
     }
@@ -38,10 +38,10 @@
             let text = format!("the route `{}` says nothing", block.name);
             let help = "say what becomes of its batches: `to`, `as` or `refuse`";
             let diagnostic = Diagnostic::new(block.span.clone(), text);
-            self.incomplete(block, diagnostic.help(help));
+            self.report_incomplete(block, diagnostic.help(help));
         }
-        let destination = block.get("to").or(block.get("as"));
-        if let (Some(refuse), Some(destination)) = (block.get("refuse"), destination) {
+        let destination = block.entry("to").or(block.entry("as"));
+        if let (Some(refuse), Some(destination)) = (block.entry("refuse"), destination) {
             let diagnostic = Diagnostic::new(refuse.span.clone(), "what is refused goes nowhere");
             let text = "and this says where it goes";
             self.diagnostics
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -1,7 +1,7 @@
 //! Builds the storage of bodies and of the query journal: blocks of which a plan has one at most.
 
-use super::entries::{count, first_name, named, number};
-use super::{of, Builder};
+use super::entries::{count, first_text, number, texts};
+use super::{blocks_of_kind, Builder};
 use crate::check::CheckedBlock;
 use crate::diagnostic::Diagnostic;
 use crate::model::{Bodies, Journal};
@@ -16,7 +16,7 @@
 impl<'a> Builder<'a> {
     /// The block of a kind of which there is one at most.
     fn single(&mut self, kind: &'static str) -> Option<&'a CheckedBlock> {
-        let all = of(self.blocks, kind);
+        let all = blocks_of_kind(self.blocks, kind);
         let (first, others) = all.split_first()?;
         for other in others {
             let text = format!("a plan has one block `{kind}` at most");
@@ -27,22 +27,22 @@
         Some(first)
     }
 
-    pub(super) fn bodies(&mut self) {
+    pub(super) fn build_bodies(&mut self) {
         let Some(block) = self.single("bodies") else {
             return;
         };
-        let size = |entry: &str| count(block.one(entry));
+        let size = |entry: &str| count(block.first_value(entry));
         let memory_bytes = size("memory").unwrap_or(DEFAULT_MEMORY_BYTES);
         let bodies = Bodies {
             memory_bytes,
             max_body_memory_bytes: size("batch-memory")
                 .unwrap_or(memory_bytes / DEFAULT_BODY_MEMORY_DIVISOR),
             file_bytes: size("files").unwrap_or(0),
-            directory: first_name(block.values("directory")),
+            directory: first_text(block.values("directory")),
             max_body_bytes: size("batch").unwrap_or(DEFAULT_MAX_BODY_BYTES),
-            tenant_share: number(block.one("share")).unwrap_or(1.0),
-            unknown_length_allowed: block.get("unknown-length").is_some(),
-            storage_required: named(block.values("must-keep")),
+            tenant_share: number(block.first_value("share")).unwrap_or(1.0),
+            unknown_length_allowed: block.entry("unknown-length").is_some(),
+            storage_required: texts(block.values("must-keep")),
         };
         self.check_bodies(block, &bodies);
         self.plan.bodies = Some(bodies);
@@ -50,7 +50,7 @@
 
     fn check_bodies(&mut self, block: &CheckedBlock, bodies: &Bodies) {
         let mut report = |entry: &str, text: &str| {
-            let span = block.get(entry).map_or(&block.span, |entry| &entry.span);
+            let span = block.entry(entry).map_or(&block.span, |entry| &entry.span);
             self.diagnostics.push(Diagnostic::new(span.clone(), text));
         };
         if bodies.max_body_memory_bytes > bodies.memory_bytes {
@@ -64,16 +64,16 @@
         }
     }
 
-    pub(super) fn journal(&mut self) {
+    pub(super) fn build_journal(&mut self) {
         let Some(block) = self.single("journal") else {
             return;
         };
-        match first_name(block.values("directory")) {
+        match first_text(block.values("directory")) {
             Some(directory) => self.plan.journal = Some(Journal { directory }),
             None => {
                 let diagnostic =
                     Diagnostic::new(block.span.clone(), "the journal has no `directory`");
-                self.incomplete(block, diagnostic.help("directory \"/var/lib/garnetwall\""));
+                self.report_incomplete(block, diagnostic.help("directory \"/var/lib/garnetwall\""));
             }
         }
     }
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -49,22 +49,22 @@
 
 impl CheckedBlock {
     /// An entry by its name.
-    pub fn get(&self, entry: &str) -> Option<&CheckedEntry> {
+    pub fn entry(&self, entry: &str) -> Option<&CheckedEntry> {
         self.entries.get(entry)
     }
 
     /// Whether the block has one of some entries.
     pub fn has_any(&self, entries: &[&str]) -> bool {
-        entries.iter().any(|entry| self.get(entry).is_some())
+        entries.iter().any(|entry| self.entry(entry).is_some())
     }
 
     /// The values of an entry; empty where the block does not have it.
     pub fn values(&self, entry: &str) -> &[Spanned] {
-        self.get(entry).map_or(&[], |entry| &entry.values)
+        self.entry(entry).map_or(&[], |entry| &entry.values)
     }
 
     /// The first value of an entry.
-    pub fn one(&self, entry: &str) -> Option<&Spanned> {
+    pub fn first_value(&self, entry: &str) -> Option<&Spanned> {
         self.values(entry).first()
     }
 }
@@ -82,7 +82,7 @@
     }
     let mut checker = BlockChecker::new(&constants, diagnostics);
     let blocks = items.iter().filter_map(|item| match item {
-        Item::Block(block) => checker.block(block),
+        Item::Block(block) => checker.check_block(block),
         _ => None,
     });
     blocks.collect()
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -27,7 +27,7 @@
     }
 
     /// Checks a block; `None` where its kind or name is invalid. Of a block that is taken, invalid entries are left out.
-    pub(super) fn block(&mut self, block: &Block) -> Option<CheckedBlock> {
+    pub(super) fn check_block(&mut self, block: &Block) -> Option<CheckedBlock> {
         let head = block_kind(block).and_then(|kind| Ok((kind, block_name(kind, block)?)));
         let (kind, name) = match head {
             Ok(head) => head,
@@ -53,12 +53,12 @@
             entries: HashMap::new(),
         };
         for entry in block.entries() {
-            self.entry(&mut checked, entry);
+            self.check_entry(&mut checked, entry);
         }
         Some(checked)
     }
 
-    fn entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
+    fn check_entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
         let name = &entry.name;
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.quoted) else {
             let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
@@ -69,8 +69,8 @@
             return;
         };
         let mut reader = ValueReader::new(kind, name, self.constants, self.diagnostics);
-        match reader.values(&entry.parts) {
-            Some(values) => self.add(block, kind, entry, values),
+        match reader.read(&entry.parts) {
+            Some(values) => self.add_entry(block, kind, entry, values),
             None => {
                 // An invalid entry counts as given, so that it is not reported as missing too.
                 block.entries.entry(kind.name).or_insert(CheckedEntry {
@@ -82,7 +82,7 @@
     }
 
     /// Adds an entry to its block. A list may be given several times, everything else once.
-    fn add(
+    fn add_entry(
         &mut self,
         block: &mut CheckedBlock,
         kind: &'static EntryKind,
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -31,7 +31,7 @@
     }
 
     /// The values of the entry; `None` where an error was found in them.
-    pub(super) fn values(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
+    pub(super) fn read(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
         let mut expanded = Vec::with_capacity(parts.len());
         for part in parts {
             match self.constants.expand(part) {
@@ -40,19 +40,28 @@
             }
         }
         match self.entry.shape {
-            Shape::Flag => self.nothing(&expanded),
-            Shape::One(kind) => self.one(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::SettingsName(_) => {
-                self.one(&expanded, |reader, word| reader.read(ValueKind::Name, word))
+            Shape::Flag => self.read_flag(&expanded),
+            Shape::One(kind) => {
+                self.read_one(&expanded, |reader, word| reader.read_value(kind, word))
             }
-            Shape::Choice(words) => self.one(&expanded, |reader, word| reader.choice(words, word)),
-            Shape::Words(words) => self.list(&expanded, |reader, word| reader.choice(words, word)),
-            Shape::List(kind) => self.list(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::BlockNames(_) | Shape::SettingsNames(_) => {
-                self.list(&expanded, |reader, word| reader.read(ValueKind::Name, word))
+            Shape::SettingsName(_) => self.read_one(&expanded, |reader, word| {
+                reader.read_value(ValueKind::Name, word)
+            }),
+            Shape::Choice(words) => {
+                self.read_one(&expanded, |reader, word| reader.read_choice(words, word))
+            }
+            Shape::Words(words) => {
+                self.read_list(&expanded, |reader, word| reader.read_choice(words, word))
+            }
+            Shape::List(kind) => {
+                self.read_list(&expanded, |reader, word| reader.read_value(kind, word))
             }
-            Shape::Bucket(rate, burst) => self.bucket(rate, burst, &expanded),
-            Shape::Effect => self.effect(&expanded),
+            Shape::BlockNames(_) | Shape::SettingsNames(_) => self
+                .read_list(&expanded, |reader, word| {
+                    reader.read_value(ValueKind::Name, word)
+                }),
+            Shape::Bucket(rate, burst) => self.read_bucket(rate, burst, &expanded),
+            Shape::Effect => self.read_effect(&expanded),
         }
     }
 
@@ -84,7 +93,7 @@
         format!("{} {}", self.entry.name, self.entry.example)
     }
 
-    fn read(&mut self, kind: ValueKind, expanded: &Expanded) -> Option<Spanned> {
+    fn read_value(&mut self, kind: ValueKind, expanded: &Expanded) -> Option<Spanned> {
         let word = &expanded.word;
         match quantity::read(kind, word) {
             Ok(value) => Some(Spanned {
@@ -95,7 +104,7 @@
         }
     }
 
-    fn choice(&mut self, choices: &[&'static str], expanded: &Expanded) -> Option<Spanned> {
+    fn read_choice(&mut self, choices: &[&'static str], expanded: &Expanded) -> Option<Spanned> {
         let word = &expanded.word;
         if !word.quoted && choices.contains(&word.text.as_str()) {
             return Some(Spanned {
@@ -114,7 +123,7 @@
         self.fail_in(expanded, diagnostic)
     }
 
-    fn nothing(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
+    fn read_flag(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
         let Some(first) = parts.iter().flatten().next() else {
             return Some(Vec::new());
         };
@@ -128,7 +137,7 @@
     }
 
     /// Exactly one value.
-    fn one(
+    fn read_one(
         &mut self,
         parts: &[Vec<Expanded>],
         read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
@@ -149,7 +158,7 @@
     }
 
     /// One list of values; every value is read, so that all errors are reported at once.
-    fn list(
+    fn read_list(
         &mut self,
         parts: &[Vec<Expanded>],
         read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
@@ -166,7 +175,7 @@
     }
 
     /// `RATE` or `RATE burst AMOUNT`.
-    fn bucket(
+    fn read_bucket(
         &mut self,
         rate_kind: ValueKind,
         burst_kind: ValueKind,
@@ -179,10 +188,10 @@
         let words: Option<Vec<Expanded>> = parts.iter().map(single).collect();
         match words.as_deref() {
             Some([]) => self.fail_missing(),
-            Some([rate]) => Some(vec![self.read(rate_kind, rate)?]),
+            Some([rate]) => Some(vec![self.read_value(rate_kind, rate)?]),
             Some([rate, keyword, burst]) if keyword.word.is_keyword("burst") => {
-                let rate = self.read(rate_kind, rate);
-                let burst = self.read(burst_kind, burst);
+                let rate = self.read_value(rate_kind, rate);
+                let burst = self.read_value(burst_kind, burst);
                 Some(vec![rate?, burst?])
             }
             _ => {
@@ -197,16 +206,16 @@
     }
 
     /// A word of [`schema::EFFECTS`]; `referenced` with its scope and window.
-    fn effect(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
+    fn read_effect(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
         let words: Vec<&Expanded> = parts.iter().flatten().collect();
         let Some((first, more)) = words.split_first() else {
             return self.fail_missing();
         };
-        let effect = self.choice(schema::EFFECTS, first)?;
+        let effect = self.read_choice(schema::EFFECTS, first)?;
         match (first.word.text.as_str(), more) {
             ("referenced", [scope, window]) => {
-                let scope = self.choice(schema::EFFECT_SCOPES, scope);
-                let window = self.read(ValueKind::Time, window);
+                let scope = self.read_choice(schema::EFFECT_SCOPES, scope);
+                let window = self.read_value(ValueKind::Time, window);
                 Some(vec![effect, scope?, window?])
             }
             ("referenced", _) => {
--- a/crates/plan/src/diagnostic/render.rs
+++ b/crates/plan/src/diagnostic/render.rs
@@ -115,7 +115,7 @@
         file.and_then(|file| file.included_at.as_ref())
     };
     let includes = std::iter::successors(included_at(&diagnostic.span), |span| included_at(span));
-    let chain: Vec<String> = includes.map(|span| files.at(span)).collect();
+    let chain: Vec<String> = includes.map(|span| files.location(span)).collect();
     if !chain.is_empty() {
         notes.push(format!("included at {}", chain.join(", included at ")));
     }
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -10,14 +10,14 @@
 /// The places that a class may use in one of the plans only.
 pub(super) fn changes(
     class_names: &BTreeSet<String>,
-    classes: &ValueClasses,
+    value_classes: &ValueClasses,
     cells: &Cells,
     old_side: &Side,
     new_side: &Side,
 ) -> Vec<Change> {
     let mut changes = Vec::new();
     for class in class_names {
-        let value_class = classes.query_class(class);
+        let value_class = value_classes.query_class(class);
         let old = places(old_side, class, value_class, cells);
         let new = places(new_side, class, value_class, cells);
         let left = old.difference(&new);
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -10,16 +10,16 @@
 
 /// The changes in routing and placement.
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
-    let classes = ValueClasses::of(&[old, new], &[], &[]);
+    let value_classes = ValueClasses::of(&[old, new], &[], &[]);
     let cells = Cells::of(&[old, new], ConfiguredNames::default());
-    let old_side = Side::of(old, 0, &classes, cells.as_ref());
-    let new_side = Side::of(new, old.addresses.len(), &classes, cells.as_ref());
+    let old_side = Side::of(old, 0, &value_classes, cells.as_ref());
+    let new_side = Side::of(new, old.addresses.len(), &value_classes, cells.as_ref());
     let (Some(old_side), Some(new_side)) = (old_side, new_side) else {
         return not_comparable(old, new);
     };
     let mut comparison = Comparison {
         class_names: class_names(old, new),
-        classes: &classes,
+        value_classes: &value_classes,
         cells: cells.as_ref(),
         old: old_side,
         new: new_side,
@@ -29,7 +29,7 @@
     let mut changes = match comparison.cells {
         Some(cells) => placement::changes(
             &comparison.class_names,
-            &classes,
+            &value_classes,
             cells,
             &comparison.old,
             &comparison.new,
@@ -108,7 +108,7 @@
 /// The two plans, over the value classes and cells that they tell apart.
 struct Comparison<'a> {
     class_names: BTreeSet<String>,
-    classes: &'a ValueClasses,
+    value_classes: &'a ValueClasses,
     cells: Option<&'a Cells>,
     old: Side<'a>,
     new: Side<'a>,
@@ -152,7 +152,7 @@
         new_route: usize,
         class: usize,
     ) -> Option<Difference> {
-        let has_class = |name: &&String| self.classes.query_class(name) == class;
+        let has_class = |name: &&String| self.value_classes.query_class(name) == class;
         let name = self.class_names.iter().find(has_class);
         let name = name.map_or("others", String::as_str);
         let old = decision(&self.old, old_route, name, self.cells, &mut self.cell_sets);
@@ -166,7 +166,7 @@
     }
 
     fn change(&self, difference: &Difference, regions: &[Region], set_names: &[String]) -> Change {
-        let first = self.classes.in_words(&regions[0], set_names);
+        let first = self.value_classes.in_words(&regions[0], set_names);
         let more = match regions.len() {
             1 => String::new(),
             count => format!(" (and {} more)", count - 1),
--- a/crates/plan/src/diff/side.rs
+++ b/crates/plan/src/diff/side.rs
@@ -20,14 +20,14 @@
     pub(super) fn of(
         plan: &'a Plan,
         first_set: usize,
-        classes: &ValueClasses,
+        value_classes: &ValueClasses,
         cells: Option<&Cells>,
     ) -> Option<Self> {
         let regions = plan.routes.iter();
         let regions: Vec<Region> = regions
-            .map(|route| classes.region(route, first_set))
+            .map(|route| value_classes.region(route, first_set))
             .collect();
-        let reach = region::reach(&regions, &region::whole(classes));
+        let reach = region::reach(&regions, &region::all_queries(value_classes));
         Some(Side {
             plan,
             pools: cells.map(|cells| cells.of_pools(plan, first_set)),
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -35,8 +35,8 @@
     fn write(&mut self) -> Result {
         let plan = &self.compiled.plan;
         let route = plan.route_index_of(self.query);
-        self.query()?;
-        self.mismatches(&plan.routes[..route.unwrap_or(plan.routes.len())])?;
+        self.write_query()?;
+        self.write_mismatches(&plan.routes[..route.unwrap_or(plan.routes.len())])?;
         let mut classes = vec![self.query.class];
         match route.map(|index| &plan.routes[index]) {
             None => writeln!(
@@ -44,23 +44,23 @@
                 "no route takes it: every engine is open to it that its group's rules leave"
             )?,
             Some(route) => {
-                self.route(route)?;
+                self.write_route(route)?;
                 if route.reject_reason.is_some() {
                     return Ok(());
                 }
                 classes.extend(route.as_class.as_deref());
             }
         }
-        self.classes(&classes)?;
-        self.tenant()?;
-        self.limits()
+        self.write_classes(&classes)?;
+        self.write_tenant()?;
+        self.write_limits()
     }
 
-    fn at(&self, span: &Span) -> String {
-        self.compiled.files.at(span)
+    fn location(&self, span: &Span) -> String {
+        self.compiled.files.location(span)
     }
 
-    fn query(&mut self) -> Result {
+    fn write_query(&mut self) -> Result {
         let query = self.query;
         let key = match query.has_key {
             true => "with a key",
@@ -76,11 +76,11 @@
     }
 
     /// The routes before the one that matches, each with the first entry that the query does not meet.
-    fn mismatches(&mut self, routes: &[Route]) -> Result {
+    fn write_mismatches(&mut self, routes: &[Route]) -> Result {
         let plan = &self.compiled.plan;
         for route in routes.iter().take(MAX_PRINTED_MISMATCHES) {
             let unmet = route.unmet(self.query, &plan.addresses).unwrap_or_default();
-            let place = self.at(&route.span);
+            let place = self.location(&route.span);
             let name = &route.name;
             writeln!(
                 self.out,
@@ -93,9 +93,9 @@
         }
     }
 
-    fn route(&mut self, route: &Route) -> Result {
+    fn write_route(&mut self, route: &Route) -> Result {
         let plan = &self.compiled.plan;
-        let place = self.at(&route.span);
+        let place = self.location(&route.span);
         writeln!(self.out, "route `{}` ({place}) takes it", route.name)?;
         if let Some(reason) = &route.reject_reason {
             return writeln!(self.out, "it is pushed back: {reason}");
@@ -105,7 +105,7 @@
         }
         for (index, pool) in route.pools.iter().enumerate() {
             let pool = &plan.pools[*pool];
-            let place = self.at(&pool.span);
+            let place = self.location(&pool.span);
             let words = pool_in_words(plan, pool);
             let number = index + 1;
             writeln!(
@@ -117,32 +117,32 @@
         Ok(())
     }
 
-    fn classes(&mut self, names: &[&str]) -> Result {
+    fn write_classes(&mut self, names: &[&str]) -> Result {
         let plan = &self.compiled.plan;
         for class in names.iter().filter_map(|name| plan.class(name)) {
-            let place = self.at(&class.span);
+            let place = self.location(&class.span);
             let words = class_in_words(plan, class);
             writeln!(self.out, "group `{}` ({place}): {words}", class.name)?;
         }
         Ok(())
     }
 
-    fn tenant(&mut self) -> Result {
+    fn write_tenant(&mut self) -> Result {
         let Some(tenant) = self.compiled.plan.tenant(self.query.tenant) else {
             return Ok(());
         };
-        let place = self.at(&tenant.span);
+        let place = self.location(&tenant.span);
         let words = tenant_in_words(tenant);
         writeln!(self.out, "tenant `{}` ({place}): {words}", tenant.name)
     }
 
-    fn limits(&mut self) -> Result {
+    fn write_limits(&mut self) -> Result {
         let plan = &self.compiled.plan;
         for limit in &plan.limits {
             if !limit.applies_to(self.query, &plan.addresses) {
                 continue;
             }
-            let place = self.at(&limit.span);
+            let place = self.location(&limit.span);
             let words = limit_in_words(limit);
             writeln!(self.out, "limit `{}` ({place}): {words}", limit.name)?;
         }
--- a/crates/plan/src/files.rs
+++ b/crates/plan/src/files.rs
@@ -133,7 +133,7 @@
     }
 
     /// `file:line` of a span's start; empty where the span is in no file.
-    pub fn at(&self, span: &Span) -> String {
+    pub fn location(&self, span: &Span) -> String {
         let Some(file) = self.get(span.file) else {
             return String::new();
         };
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -23,7 +23,7 @@
     }
     let mut formatter = Formatter::default();
     for item in &items {
-        formatter.item(item);
+        formatter.print_item(item);
     }
     Ok(formatter.text)
 }
@@ -38,29 +38,29 @@
 }
 
 impl Formatter {
-    fn item(&mut self, item: &Item) {
+    fn print_item(&mut self, item: &Item) {
         match item {
-            Item::Blank(None) => self.blank(),
-            Item::Blank(Some(comment)) => self.print(0, comment, &None),
+            Item::Blank(None) => self.request_gap(),
+            Item::Blank(Some(comment)) => self.print_line(0, comment, &None),
             Item::Include { path, comment, .. } => {
-                self.print(0, &format!("include {}", written(path)), comment)
+                self.print_line(0, &format!("include {}", written(path)), comment)
             }
             Item::Constant {
                 name,
                 parts,
                 comment,
                 ..
-            } => self.wrapped(0, &format!("let {} =", name.text), parts, comment),
-            Item::Block(block) => self.block(block),
+            } => self.print_wrapped(0, &format!("let {} =", name.text), parts, comment),
+            Item::Block(block) => self.print_block(block),
         }
     }
 
-    fn blank(&mut self) {
+    fn request_gap(&mut self) {
         self.needs_gap = !self.text.is_empty() && !self.text.ends_with("{\n");
     }
 
     /// Prints one line.
-    fn print(&mut self, indent: usize, code: &str, comment: &Option<String>) {
+    fn print_line(&mut self, indent: usize, code: &str, comment: &Option<String>) {
         let follows_block = self.is_after_block && indent == 0 && code != "}";
         if self.needs_gap || follows_block {
             self.text.push('\n');
@@ -76,7 +76,7 @@
         self.text.push('\n');
     }
 
-    fn block(&mut self, block: &Block) {
+    fn print_block(&mut self, block: &Block) {
         // An empty line precedes a block, except where a comment is right above it.
         let last_printed = self.text.lines().next_back();
         let follows_comment = last_printed.is_some_and(|last| last.starts_with('#'));
@@ -86,24 +86,30 @@
             Some(name) => format!("{kind} {} {{", written(name)),
             None => format!("{kind} {{"),
         };
-        self.print(0, &head, &block.comment);
+        self.print_line(0, &head, &block.comment);
         for item in &block.items {
             match item {
-                BlockItem::Blank(None) => self.blank(),
-                BlockItem::Blank(Some(comment)) => self.print(INDENT_COLUMNS, comment, &None),
+                BlockItem::Blank(None) => self.request_gap(),
+                BlockItem::Blank(Some(comment)) => self.print_line(INDENT_COLUMNS, comment, &None),
                 BlockItem::Entry(entry) => {
                     let name = written(&entry.name);
-                    self.wrapped(INDENT_COLUMNS, &name, &entry.parts, &entry.comment)
+                    self.print_wrapped(INDENT_COLUMNS, &name, &entry.parts, &entry.comment)
                 }
             }
         }
         self.needs_gap = false;
-        self.print(0, "}", &block.close_comment);
+        self.print_line(0, "}", &block.close_comment);
         self.is_after_block = true;
     }
 
     /// Prints a name with its values, broken behind commas where it is too long.
-    fn wrapped(&mut self, indent: usize, name: &str, parts: &[Part], comment: &Option<String>) {
+    fn print_wrapped(
+        &mut self,
+        indent: usize,
+        name: &str,
+        parts: &[Part],
+        comment: &Option<String>,
+    ) {
         let mut code = name.to_string();
         let mut code_indent = indent;
         for part in parts {
@@ -112,7 +118,7 @@
                 let next = format!("{}{comma}", written(word));
                 let columns = code_indent + code.chars().count() + 1 + next.chars().count();
                 if index > 0 && columns > MAX_COLUMNS {
-                    self.print(code_indent, &code, &None);
+                    self.print_line(code_indent, &code, &None);
                     code = next;
                     code_indent = indent + INDENT_COLUMNS;
                 } else {
@@ -120,7 +126,7 @@
                 }
             }
         }
-        self.print(code_indent, &code, comment);
+        self.print_line(code_indent, &code, comment);
     }
 }
 
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -34,8 +34,8 @@
 }
 
 /// The region of all queries.
-pub(crate) fn whole(classes: &ValueClasses) -> Region {
-    classes.counts().map(all_of)
+pub(crate) fn all_queries(value_classes: &ValueClasses) -> Region {
+    value_classes.counts().map(all_of)
 }
 
 fn overlaps(a: &Region, b: &Region) -> bool {
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -1,6 +1,6 @@
 //! Prints regions in the words of the plan language.
 
-use super::value_classes::Names;
+use super::value_classes::NameClasses;
 use super::{Region, ValueClasses, CLIENT, DATA_SET, KEY, MINUTE_OF_DAY, QUERY_CLASS, TENANT};
 use crate::quantity::MINUTES_PER_DAY;
 use fixedbitset::FixedBitSet;
@@ -77,7 +77,7 @@
     }
 }
 
-fn names(what: &str, names: &Names, classes: &FixedBitSet) -> String {
+fn names(what: &str, names: &NameClasses, classes: &FixedBitSet) -> String {
     let name = |class| names.name(class).unwrap_or("others");
     let all: Vec<&str> = classes.ones().map(name).collect();
     format!("{what} {}", list(&all))
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -12,16 +12,16 @@
 
 /// Names by value class; all names that no plan has share the last class.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Names(HashMap<String, usize>);
+pub(super) struct NameClasses(HashMap<String, usize>);
 
-impl Names {
+impl NameClasses {
     fn of<'a>(names: impl Iterator<Item = &'a String>) -> Self {
         let mut classes = HashMap::new();
         for name in names {
             let next = classes.len();
             classes.entry(name.clone()).or_insert(next);
         }
-        Names(classes)
+        NameClasses(classes)
     }
 
     fn class(&self, name: &str) -> usize {
@@ -41,8 +41,8 @@
 /// The value classes that some plans tell apart. They treat two queries alike that agree in every dimension.
 #[derive(Clone, Debug)]
 pub struct ValueClasses {
-    pub(super) query_classes: Names,
-    pub(super) tenants: Names,
+    pub(super) query_classes: NameClasses,
+    pub(super) tenants: NameClasses,
     /// Over the address sets of all plans, one plan after the other.
     pub(super) clients: AddressClasses,
     /// The lowest number of each class of data sets, ascending from 0.
@@ -66,8 +66,8 @@
             .flat_map(|range| [range.from, range.until])
             .filter(|minute| *minute < MINUTES_PER_DAY);
         ValueClasses {
-            query_classes: Names::of(class_names(plans).chain(query_classes)),
-            tenants: Names::of(tenant_names(plans).chain(tenants)),
+            query_classes: NameClasses::of(class_names(plans).chain(query_classes)),
+            tenants: NameClasses::of(tenant_names(plans).chain(tenants)),
             clients: AddressClasses::new(&address_sets),
             data_sets: sorted_from_0(data_set_bounds),
             minutes_of_day: sorted_from_0(minute_bounds),
@@ -160,7 +160,7 @@
 }
 
 /// Whether a value class is that of one of the listed names; an empty list has every class.
-fn is_listed(names: &Names, listed: &[String], class: usize) -> bool {
+fn is_listed(names: &NameClasses, listed: &[String], class: usize) -> bool {
     listed.is_empty() || listed.iter().any(|name| names.class(name) == class)
 }
 
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -136,11 +136,11 @@
     fn read_file(&mut self, name: &str, included_at: Option<Span>) {
         let bytes = match self.loader.load(name).and_then(checked_size) {
             Ok(bytes) => bytes,
-            Err(error) => return self.unreadable(name, included_at, &error),
+            Err(error) => return self.report_unreadable(name, included_at, &error),
         };
         let text = match String::from_utf8(bytes) {
             Ok(text) => text,
-            Err(error) => return self.not_utf8(name, included_at, error),
+            Err(error) => return self.report_not_utf8(name, included_at, error),
         };
         let file = self.source.files.next_id();
         let Tree { items, diagnostics } = syntax::parse(&text, file);
@@ -149,14 +149,14 @@
         self.open_files.push(name.to_string());
         for item in items {
             match item {
-                Item::Include { path, span, .. } => self.include(name, &path.text, span),
+                Item::Include { path, span, .. } => self.read_include(name, &path.text, span),
                 other => self.source.items.push(other),
             }
         }
         self.open_files.pop();
     }
 
-    fn include(&mut self, from: &str, path: &str, span: Span) {
+    fn read_include(&mut self, from: &str, path: &str, span: Span) {
         let name = self.loader.resolve(from, path);
         if let Some(first) = self.open_files.iter().position(|open| *open == name) {
             let mut cycle: Vec<&str> = self.open_files[first..]
@@ -182,7 +182,7 @@
     }
 
     /// Reports a file that cannot be loaded at its include; the main file at the start of an empty file of its name.
-    fn unreadable(&mut self, name: &str, included_at: Option<Span>, error: &LoadError) {
+    fn report_unreadable(&mut self, name: &str, included_at: Option<Span>, error: &LoadError) {
         let span = included_at.unwrap_or_else(|| {
             let file = self.source.files.add(name, String::new(), None);
             Span::start_of(file)
@@ -191,7 +191,7 @@
         self.source.diagnostics.push(Diagnostic::new(span, text));
     }
 
-    fn not_utf8(&mut self, name: &str, included_at: Option<Span>, error: FromUtf8Error) {
+    fn report_not_utf8(&mut self, name: &str, included_at: Option<Span>, error: FromUtf8Error) {
         let start = error.utf8_error().valid_up_to();
         let text = String::from_utf8_lossy(&error.into_bytes()).into_owned();
         let file: FileId = self.source.files.add(name, text, included_at);
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -131,7 +131,7 @@
     match Grammar::parse(Rule::file, text) {
         Ok(pairs) => {
             for pair in pairs.flat_map(Pair::into_inner) {
-                reader.item(pair);
+                reader.read_item(pair);
             }
         }
         // The grammar accepts any text; this is for a grammar that no longer does.
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -46,21 +46,21 @@
         self.tree.diagnostics.push(diagnostic);
     }
 
-    pub(super) fn item(&mut self, pair: Pair<Rule>) {
+    pub(super) fn read_item(&mut self, pair: Pair<Rule>) {
         match pair.as_rule() {
             Rule::blank => self.tree.items.push(Item::Blank(comment_of(pair))),
-            Rule::include => self.include(pair),
-            Rule::constant => self.constant(pair),
-            Rule::block => self.block(pair),
-            Rule::headless_block => self.block_without_head(pair),
-            Rule::unreadable => self.unreadable(&pair, Context::File),
+            Rule::include => self.read_include(pair),
+            Rule::constant => self.read_constant(pair),
+            Rule::block => self.read_block(pair),
+            Rule::headless_block => self.report_headless_block(pair),
+            Rule::unreadable => self.report_unreadable(&pair, Context::File),
             _ => {}
         }
     }
 
-    fn include(&mut self, pair: Pair<Rule>) {
+    fn read_include(&mut self, pair: Pair<Rule>) {
         let span = self.span(&pair);
-        let mut statement = self.statement(pair);
+        let mut statement = self.read_statement(pair);
         let Some(path) = statement.words.pop() else {
             return;
         };
@@ -71,9 +71,9 @@
         });
     }
 
-    fn constant(&mut self, pair: Pair<Rule>) {
+    fn read_constant(&mut self, pair: Pair<Rule>) {
         let span = self.span(&pair);
-        let mut statement = self.statement(pair);
+        let mut statement = self.read_statement(pair);
         let Some(name) = statement.words.pop() else {
             return;
         };
@@ -86,17 +86,17 @@
     }
 
     /// A block whose head fits nothing: the head and what is wrong inside are reported, not each entry.
-    fn block_without_head(&mut self, pair: Pair<Rule>) {
+    fn report_headless_block(&mut self, pair: Pair<Rule>) {
         for part in pair.into_inner() {
             match part.as_rule() {
-                Rule::bad_head => self.unreadable(&part, Context::File),
-                Rule::unreadable => self.unreadable(&part, Context::Block),
+                Rule::bad_head => self.report_unreadable(&part, Context::File),
+                Rule::unreadable => self.report_unreadable(&part, Context::Block),
                 _ => {}
             }
         }
     }
 
-    fn block(&mut self, pair: Pair<Rule>) {
+    fn read_block(&mut self, pair: Pair<Rule>) {
         let whole = self.span(&pair);
         let mut head = None;
         let mut items = Vec::new();
@@ -104,10 +104,10 @@
         let mut close_comment = None;
         for part in pair.into_inner() {
             match part.as_rule() {
-                Rule::head => head = Some((self.span(&part), self.statement(part))),
-                Rule::entry => items.extend(self.entry(part).map(BlockItem::Entry)),
+                Rule::head => head = Some((self.span(&part), self.read_statement(part))),
+                Rule::entry => items.extend(self.read_entry(part).map(BlockItem::Entry)),
                 Rule::blank => items.push(BlockItem::Blank(comment_of(part))),
-                Rule::unreadable => self.unreadable(&part, Context::Block),
+                Rule::unreadable => self.report_unreadable(&part, Context::Block),
                 Rule::close => {
                     is_closed = true;
                     close_comment = comment_of(part);
@@ -135,9 +135,9 @@
         }));
     }
 
-    fn entry(&self, pair: Pair<Rule>) -> Option<Entry> {
+    fn read_entry(&self, pair: Pair<Rule>) -> Option<Entry> {
         let span = self.span(&pair);
-        let mut statement = self.statement(pair);
+        let mut statement = self.read_statement(pair);
         Some(Entry {
             name: statement.words.pop()?,
             parts: statement.parts,
@@ -146,12 +146,12 @@
         })
     }
 
-    fn statement(&self, pair: Pair<Rule>) -> Statement {
+    fn read_statement(&self, pair: Pair<Rule>) -> Statement {
         let mut statement = Statement::default();
         for piece in pair.into_inner() {
             match piece.as_rule() {
-                Rule::word | Rule::string => statement.words.push(self.word(&piece)),
-                Rule::part => self.part(piece, &mut statement),
+                Rule::word | Rule::string => statement.words.push(self.read_word(&piece)),
+                Rule::part => self.read_part(piece, &mut statement),
                 Rule::comment => statement.add_comment(text_of(&piece)),
                 _ => {}
             }
@@ -159,18 +159,18 @@
         statement
     }
 
-    fn part(&self, pair: Pair<Rule>, statement: &mut Statement) {
+    fn read_part(&self, pair: Pair<Rule>, statement: &mut Statement) {
         let mut part = Part::new();
         for piece in pair.into_inner() {
             match piece.as_rule() {
                 Rule::comment => statement.add_comment(text_of(&piece)),
-                _ => part.push(self.word(&piece)),
+                _ => part.push(self.read_word(&piece)),
             }
         }
         statement.parts.push(part);
     }
 
-    fn word(&self, pair: &Pair<Rule>) -> Word {
+    fn read_word(&self, pair: &Pair<Rule>) -> Word {
         let written = pair.as_str();
         let quoted = pair.as_rule() == Rule::string;
         Word {
@@ -198,7 +198,7 @@
         }
     }
 
-    fn unreadable(&mut self, pair: &Pair<Rule>, context: Context) {
+    fn report_unreadable(&mut self, pair: &Pair<Rule>, context: Context) {
         let span = self.span(pair);
         let diagnostic = unreadable::diagnostic(span, pair.as_str(), context);
         self.push_diagnostic(diagnostic);
