--- a/crates/plan/src/diff/figures.rs
+++ b/crates/plan/src/diff/figures.rs
@@ -1,10 +1,9 @@
 //! Changes of single figures: rules of classes, limits of tenants, storage.
 
 use super::Change;
-use crate::explain::{bucket_in_words, idempotency_in_words};
+use crate::explain::{bucket_in_words, bytes, idempotency_in_words, order, percent, seconds};
 use crate::model::{Bodies, Bucket, ClassRules, Plan, Tenant};
 use std::collections::BTreeSet;
-use std::time::Duration;
 
 /// A figure of a kind of block.
 struct Figure<Block> {
@@ -20,7 +19,9 @@
 const CLASS_FIGURES: [Figure<ClassRules>; 6] = [
     figure("goal", |class| class.latency_objective.map(seconds)),
     figure("limit", |class| class.deadline.map(seconds)),
-    figure("order", |class| class.in_order.map(order)),
+    figure("order", |class| {
+        class.in_order.map(|in_order| order(in_order).to_string())
+    }),
     figure("effect", |class| {
         class.idempotency.as_ref().map(idempotency_in_words)
     }),
@@ -54,25 +55,6 @@
     figure("must-keep", |bodies| Some(sorted(&bodies.storage_required))),
 ];
 
-fn seconds(time: Duration) -> String {
-    format!("{}s", time.as_secs_f64())
-}
-
-fn percent(fraction: f64) -> String {
-    format!("{}%", fraction * 100.0)
-}
-
-fn bytes(count: u64) -> String {
-    format!("{count}B")
-}
-
-fn order(in_order: bool) -> String {
-    match in_order {
-        true => "key".to_string(),
-        false => "none".to_string(),
-    }
-}
-
 fn bucket(bucket: Option<Bucket>) -> Option<String> {
     bucket.as_ref().map(bucket_in_words)
 }
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -7,7 +7,9 @@
 use crate::Compiled;
 use std::fmt::{Result, Write};
 
-pub(crate) use words::{bucket_in_words, idempotency_in_words, limit_in_words};
+pub(crate) use words::{
+    bucket_in_words, bytes, idempotency_in_words, limit_in_words, order, percent, seconds,
+};
 use words::{class_in_words, pool_in_words, tenant_in_words};
 
 /// Routes that do not match the query and are printed; of further ones the number is printed.
--- a/crates/plan/src/explain/words.rs
+++ b/crates/plan/src/explain/words.rs
@@ -3,6 +3,7 @@
 use crate::model::{
     Bucket, ClassRules, DeduplicationScope, Idempotency, Limit, Per, Plan, Pool, Tenant,
 };
+use std::time::Duration;
 
 /// The entries that are given, or `nothing`.
 fn joined<const N: usize>(entries: [Option<String>; N]) -> String {
@@ -17,6 +18,29 @@
     (!values.is_empty()).then(|| format!("{entry} {}", values.join(", ")))
 }
 
+/// A time as the plan language writes it.
+pub(crate) fn seconds(time: Duration) -> String {
+    format!("{}s", time.as_secs_f64())
+}
+
+/// A fraction as the plan language writes it.
+pub(crate) fn percent(fraction: f64) -> String {
+    format!("{}%", fraction * 100.0)
+}
+
+/// A size as the plan language writes it.
+pub(crate) fn bytes(count: u64) -> String {
+    format!("{count}B")
+}
+
+/// The word of `order`.
+pub(crate) fn order(in_order: bool) -> &'static str {
+    match in_order {
+        true => "key",
+        false => "none",
+    }
+}
+
 fn pool_names(plan: &Plan, pools: &[usize]) -> Vec<String> {
     let name = |pool: &usize| plan.pools[*pool].name.clone();
     pools.iter().map(name).collect()
@@ -37,27 +61,25 @@
 }
 
 pub(super) fn class_in_words(plan: &Plan, class: &ClassRules) -> String {
-    let order = |in_order: bool| match in_order {
-        true => "order key".to_string(),
-        false => "order none".to_string(),
-    };
     let effect = |idempotency| format!("effect {}", idempotency_in_words(&idempotency));
     joined([
         class
             .latency_objective
-            .map(|time| format!("goal {}s", time.as_secs_f64())),
+            .map(|time| format!("goal {}", seconds(time))),
         class
             .deadline
-            .map(|time| format!("limit {}s", time.as_secs_f64())),
+            .map(|time| format!("limit {}", seconds(time))),
         list("pools", &pool_names(plan, &class.pools)),
-        class.in_order.map(order),
+        class
+            .in_order
+            .map(|in_order| format!("order {}", order(in_order))),
         class.idempotency.map(effect),
         class
             .retries_per_query
-            .map(|fraction| format!("further {}%", fraction * 100.0)),
+            .map(|fraction| format!("further {}", percent(fraction))),
         class
             .max_statement_bytes
-            .map(|bytes| format!("statement {bytes}B")),
+            .map(|count| format!("statement {}", bytes(count))),
     ])
 }
 
@@ -72,14 +94,14 @@
         DeduplicationScope::Zone => "zone",
         DeduplicationScope::Cell => "cell",
     };
-    format!("referenced {scope} {}s", window.as_secs_f64())
+    format!("referenced {scope} {}", seconds(*window))
 }
 
 pub(super) fn tenant_in_words(tenant: &Tenant) -> String {
     joined([
         tenant
             .share
-            .map(|fraction| format!("share {}%", fraction * 100.0)),
+            .map(|fraction| format!("share {}", percent(fraction))),
         tenant.max_in_flight.map(|count| format!("in-hand {count}")),
         bucket("rate", tenant.rate),
         bucket("bytes", tenant.bytes),
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -113,19 +113,16 @@
 }
 
 /// Words of `per`.
-pub const SCOPES: &[&str] = &["group", "tenant", "client"];
+pub const LIMIT_SCOPES: &[&str] = &["group", "tenant", "client"];
 /// Words of `order`.
 pub const ORDERS: &[&str] = &["key", "none"];
 /// Words of `key` in a route.
-pub const KEYS: &[&str] = &["given", "none"];
+pub const KEY_CONDITIONS: &[&str] = &["given", "none"];
 /// Words of `effect`.
 pub const EFFECTS: &[&str] = &["repeatable", "referenced", "once-only"];
 /// Scopes of `effect referenced`.
 pub const EFFECT_SCOPES: &[&str] = &["everywhere", "zone", "cell"];
 
-/// Kinds of blocks of which a plan has one at most.
-pub const SINGLE: &[&str] = &["bodies", "journal"];
-
 /// All kinds of blocks.
 pub const BLOCKS: &[BlockKind] = &[
     BlockKind {
@@ -185,7 +182,7 @@
             entry("group", Shape::SettingsNames(Namespace::QueryClass), "lookup, report", "only batches of these service groups"),
             entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "only batches of these tenants"),
             entry("client", Shape::BlockNames("addresses"), "houses", "only from clients at these addresses"),
-            entry("key", Shape::Choice(KEYS), "given", "only batches with a key, or only those without"),
+            entry("key", Shape::Choice(KEY_CONDITIONS), "given", "only batches with a key, or only those without"),
             entry("data-set", Shape::List(ValueKind::Numbers), "17, 20..30", "only batches on these data sets"),
             entry("hours", Shape::List(ValueKind::TimesOfDay), "06:00..20:00", "only at these hours of the day, UTC"),
             entry("to", Shape::BlockNames("pool"), "big, small", "pools in order of preference: a later one only where no earlier one has an engine that may be used"),
@@ -198,7 +195,7 @@
         about: "A limit on what is taken. A batch over it is pushed back at once, with a time to come back.",
         namespace: None,
         entries: &[
-            entry("per", Shape::Words(SCOPES), "tenant, client", "one limit for each of these; without it one for all"),
+            entry("per", Shape::Words(LIMIT_SCOPES), "tenant, client", "one limit for each of these; without it one for all"),
             entry("group", Shape::SettingsNames(Namespace::QueryClass), "report", "counts only batches of these service groups"),
             entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "counts only batches of these tenants"),
             entry("client", Shape::BlockNames("addresses"), "houses", "counts only batches from these addresses"),
