--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -59,17 +59,22 @@
                 except: self.block_indices("pool", block.entry("except")),
             };
             self.plan.pools.push(pool);
-            if !block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
-                let text = format!("the pool `{}` holds no engine", block.name);
-                let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
-                let diagnostic = Diagnostic::new(block.span.clone(), text);
-                self.report_incomplete(block, diagnostic.help(help));
-            }
+            self.check_pool(block);
         }
         let references = |pool: &Pool| pool.union.iter().chain(&pool.except).copied().collect();
         let references: Vec<Vec<usize>> = self.plan.pools.iter().map(references).collect();
         self.plan.pool_order = self.reference_order("pool", &references);
     }
+
+    fn check_pool(&mut self, block: &CheckedBlock) {
+        if block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
+            return;
+        }
+        let text = format!("the pool `{}` holds no engine", block.name);
+        let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
+        let diagnostic = Diagnostic::new(block.span.clone(), text);
+        self.report_incomplete(block, diagnostic.help(help));
+    }
 }
 
 /// The addresses of some networks.
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Checks all items; invalid ones are reported and left out.
+/// Checks all items; invalid ones are reported and left out. Constants may be used before they are defined.
 pub fn check(items: &[Item], diagnostics: &mut Vec<Diagnostic>) -> Vec<CheckedBlock> {
     let mut constants = Constants::default();
     for item in items {
@@ -77,7 +77,8 @@
             name, parts, span, ..
         } = item
         {
-            constants.define(name, parts, span, diagnostics);
+            let defined = constants.define(name, parts, span);
+            diagnostics.extend(defined.err());
         }
     }
     let mut checker = BlockChecker::new(&constants, diagnostics);
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -26,36 +26,45 @@
         }
     }
 
-    /// Checks a block; `None` where its kind or name is invalid. Of a block that is taken, invalid entries are left out.
+    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid ones have no values.
     pub(super) fn check_block(&mut self, block: &Block) -> Option<CheckedBlock> {
-        let head = block_kind(block).and_then(|kind| Ok((kind, block_name(kind, block)?)));
-        let (kind, name) = match head {
-            Ok(head) => head,
+        let mut checked = match self.check_head(block) {
+            Ok(checked) => checked,
             Err(diagnostic) => {
                 self.diagnostics.push(diagnostic);
                 return None;
             }
         };
-        let key = (kind.name, name.text.clone());
-        if let Some(first) = self.defined.get(&key) {
-            let text = format!("the {} `{}` is there already", kind.name, name.text);
-            let diagnostic = Diagnostic::new(name.span.clone(), text);
-            self.diagnostics
-                .push(diagnostic.related(first.clone(), "first here"));
-            return None;
+        for entry in block.entries() {
+            self.check_entry(&mut checked, entry);
         }
-        self.defined.insert(key, name.span.clone());
-        let mut checked = CheckedBlock {
+        Some(checked)
+    }
+
+    /// Checks kind and name of a block, and returns it without entries.
+    fn check_head(&mut self, block: &Block) -> Result<CheckedBlock, Diagnostic> {
+        let kind = block_kind(block)?;
+        let name = block_name(kind, block)?;
+        self.define(kind, name)?;
+        Ok(CheckedBlock {
             kind,
             name: name.text.clone(),
             span: name.span.clone(),
             whole: block.whole.clone(),
             entries: HashMap::new(),
-        };
-        for entry in block.entries() {
-            self.check_entry(&mut checked, entry);
+        })
+    }
+
+    /// Notes the name of a block; an earlier block of the kind that has it is an error.
+    fn define(&mut self, kind: &BlockKind, name: &Word) -> Result<(), Diagnostic> {
+        let key = (kind.name, name.text.clone());
+        if let Some(first) = self.defined.get(&key) {
+            let text = format!("the {} `{}` is there already", kind.name, name.text);
+            let diagnostic = Diagnostic::new(name.span.clone(), text);
+            return Err(diagnostic.related(first.clone(), "first here"));
         }
-        Some(checked)
+        self.defined.insert(key, name.span.clone());
+        Ok(())
     }
 
     fn check_entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -32,36 +32,37 @@
 }
 
 impl Constants {
-    /// Adds a constant; one that is badly named, empty or defined before is an error.
+    /// Adds a constant.
+    ///
+    /// # Errors
+    ///
+    /// Where it is badly named, is not one value or list, or was defined before.
     pub(super) fn define(
         &mut self,
         name: &Word,
         parts: &[Part],
         span: &Span,
-        diagnostics: &mut Vec<Diagnostic>,
-    ) {
+    ) -> Result<(), Diagnostic> {
         if !quantity::is_name(&name.text) || name.quoted {
             let text = format!("`{}` is no name for a constant", shown(&name.text));
-            diagnostics.push(Diagnostic::new(name.span.clone(), text));
-            return;
+            return Err(Diagnostic::new(name.span.clone(), text));
         }
         let [values] = parts else {
             let text = "a constant is one value, or a list with commas";
             let diagnostic = Diagnostic::new(span.clone(), text);
-            diagnostics.push(diagnostic.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
-            return;
+            return Err(diagnostic.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
         };
         if let Some(first) = self.by_name.get(&name.text) {
             let text = format!("the constant `{}` is there already", name.text);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
-            diagnostics.push(diagnostic.related(first.span.clone(), "first here"));
-            return;
+            return Err(diagnostic.related(first.span.clone(), "first here"));
         }
         let constant = Constant {
             values: values.clone(),
             span: name.span.clone(),
         };
         self.by_name.insert(name.text.clone(), constant);
+        Ok(())
     }
 
     /// Replaces the constants in a list of words.
@@ -102,6 +103,7 @@
         Ok(())
     }
 
+    /// The constant that a word uses at a depth of `depth` constants.
     fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
         let constants = &self.constants.by_name;
         let Some(constant) = constants.get(name) else {
@@ -109,17 +111,21 @@
             let diagnostic = Diagnostic::new(used.span.clone(), text);
             return Err(diagnostic.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
-        let text = if depth >= MAX_DEPTH {
-            format!(
-                "the constant `{}` needs itself, or {MAX_DEPTH} others",
-                shown(name)
-            )
-        } else if self.words.len() > MAX_VALUES {
-            format!("with constants put in, this has more than {MAX_VALUES} values")
-        } else {
-            return Ok(constant);
+        let error = |text: String| {
+            let diagnostic = Diagnostic::new(used.span.clone(), text);
+            Err(diagnostic.related(constant.span.clone(), "the constant"))
         };
-        let diagnostic = Diagnostic::new(used.span.clone(), text);
-        Err(diagnostic.related(constant.span.clone(), "the constant"))
+        if depth >= MAX_DEPTH {
+            let name = shown(name);
+            return error(format!(
+                "the constant `{name}` needs itself, or {MAX_DEPTH} others"
+            ));
+        }
+        if self.words.len() > MAX_VALUES {
+            return error(format!(
+                "with constants put in, this has more than {MAX_VALUES} values"
+            ));
+        }
+        Ok(constant)
     }
 }
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -158,27 +158,40 @@
 
     fn read_include(&mut self, from: &str, path: &str, span: Span) {
         let name = self.loader.resolve(from, path);
-        if let Some(first) = self.open_files.iter().position(|open| *open == name) {
-            let mut cycle: Vec<&str> = self.open_files[first..]
-                .iter()
-                .map(String::as_str)
-                .collect();
-            cycle.push(&name);
-            let text = format!("`{name}` includes itself: {}", cycle.join(" -> "));
+        if let Some(cycle) = self.include_cycle(&name) {
+            let text = format!("`{name}` includes itself: {cycle}");
             let diagnostic = Diagnostic::new(span, text).label("here the loop closes");
             self.source.diagnostics.push(diagnostic);
-        } else if self.source.files.contains(&name) {
+            return;
+        }
+        if self.source.files.contains(&name) {
             // It was included elsewhere; its blocks count once.
-        } else if self.open_files.len() >= MAX_INCLUDE_DEPTH {
+            return;
+        }
+        match self.exceeded_limit(&name) {
+            Some(text) => self.source.diagnostics.push(Diagnostic::new(span, text)),
+            None => self.read_file(&name, Some(span)),
+        }
+    }
+
+    /// The chain of includes from a file to itself, where it is being read.
+    fn include_cycle(&self, name: &str) -> Option<String> {
+        let first = self.open_files.iter().position(|open| *open == name)?;
+        let open_files = self.open_files[first..].iter();
+        let mut cycle: Vec<&str> = open_files.map(String::as_str).collect();
+        cycle.push(name);
+        Some(cycle.join(" -> "))
+    }
+
+    /// What is said where one more file is too deep, or too many.
+    fn exceeded_limit(&self, name: &str) -> Option<String> {
+        if self.open_files.len() >= MAX_INCLUDE_DEPTH {
             let text =
                 format!("`{name}` is included {MAX_INCLUDE_DEPTH} files deep, which is the most");
-            self.source.diagnostics.push(Diagnostic::new(span, text));
-        } else if self.source.files.all().len() >= MAX_FILES {
-            let text = format!("a plan has {MAX_FILES} files at most; `{name}` is one more");
-            self.source.diagnostics.push(Diagnostic::new(span, text));
-        } else {
-            self.read_file(&name, Some(span));
+            return Some(text);
         }
+        let is_full = self.source.files.all().len() >= MAX_FILES;
+        is_full.then(|| format!("a plan has {MAX_FILES} files at most; `{name}` is one more"))
     }
 
     /// Reports a file that cannot be loaded at its include; the main file at the start of an empty file of its name.
