--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -1,6 +1,6 @@
-//! Builds a plan from checked blocks: names are resolved, and contradictions are faults.
+//! Builds a plan from checked blocks: names are resolved, and contradictions are errors.
 //!
-//! The [`Builder`] turns the blocks of each kind into their part of the [`Plan`]; where that brought no fault, the
+//! The [`Builder`] turns the blocks of each kind into their part of the [`Plan`]; where that brought no error, the
 //! [`ConsistencyCheck`] compares the parts with one another and with the settings.
 
 mod classes;
@@ -13,16 +13,20 @@
 mod settings;
 mod storage;
 
-use crate::check::Checked;
-use crate::fault::Fault;
+use crate::check::CheckedBlock;
+use crate::diagnostic::Diagnostic;
 use crate::model::Plan;
 use consistency::ConsistencyCheck;
 use std::collections::HashMap;
 
 pub use settings::{Settings, SettingsClass};
 
-/// Builds a plan from checked blocks. Where there are faults the plan is not to be used.
-pub fn build(blocks: &[Checked], settings: Option<&Settings>, faults: &mut Vec<Fault>) -> Plan {
+/// Builds a plan from checked blocks. Where there are errors the plan is not to be used.
+pub fn build(
+    blocks: &[CheckedBlock],
+    settings: Option<&Settings>,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> Plan {
     let mut builder = Builder {
         blocks,
         indices: HashMap::from([
@@ -30,24 +34,26 @@
             ("addresses", indices(blocks, "addresses")),
         ]),
         settings,
-        faults,
+        diagnostics,
         plan: Plan::default(),
     };
-    builder.external_names();
-    builder.addresses();
-    builder.pools();
-    builder.classes();
-    builder.tenants();
-    builder.routes();
-    builder.limits();
-    builder.bodies();
-    builder.journal();
-    let Builder { plan, faults, .. } = builder;
-    if faults.is_empty() {
+    builder.check_settings_names();
+    builder.build_addresses();
+    builder.build_pools();
+    builder.build_classes();
+    builder.build_tenants();
+    builder.build_routes();
+    builder.build_limits();
+    builder.build_bodies();
+    builder.build_journal();
+    let Builder {
+        plan, diagnostics, ..
+    } = builder;
+    if diagnostics.is_empty() {
         ConsistencyCheck {
             plan: &plan,
             settings,
-            faults,
+            diagnostics,
         }
         .run();
     }
@@ -55,14 +61,14 @@
 }
 
 /// The blocks of a kind, in their order.
-fn of<'a>(blocks: &'a [Checked], kind: &str) -> Vec<&'a Checked> {
-    let of_kind = |block: &&Checked| block.kind.name == kind;
+fn blocks_of_kind<'a>(blocks: &'a [CheckedBlock], kind: &str) -> Vec<&'a CheckedBlock> {
+    let of_kind = |block: &&CheckedBlock| block.kind.name == kind;
     blocks.iter().filter(of_kind).collect()
 }
 
 /// The indices of the blocks of a kind among themselves, by name.
-fn indices<'a>(blocks: &'a [Checked], kind: &str) -> HashMap<&'a str, usize> {
-    let blocks = of(blocks, kind).into_iter().enumerate();
+fn indices<'a>(blocks: &'a [CheckedBlock], kind: &str) -> HashMap<&'a str, usize> {
+    let blocks = blocks_of_kind(blocks, kind).into_iter().enumerate();
     blocks
         .map(|(index, block)| (block.name.as_str(), index))
         .collect()
@@ -70,26 +76,27 @@
 
 /// The part of a plan that is built so far, with what it is built from.
 struct Builder<'a> {
-    blocks: &'a [Checked],
+    blocks: &'a [CheckedBlock],
     /// The indices of pools and of address sets, by kind of block and name.
     indices: HashMap<&'static str, HashMap<&'a str, usize>>,
     settings: Option<&'a Settings>,
-    faults: &'a mut Vec<Fault>,
+    diagnostics: &'a mut Vec<Diagnostic>,
     plan: Plan,
 }
 
 impl<'a> Builder<'a> {
-    fn of(&self, kind: &str) -> Vec<&'a Checked> {
-        of(self.blocks, kind)
+    fn blocks_of_kind(&self, kind: &str) -> Vec<&'a CheckedBlock> {
+        blocks_of_kind(self.blocks, kind)
     }
 
-    /// Reports that a block lacks an entry, unless a faulty line in it may be the one that is missing.
-    fn incomplete(&mut self, block: &Checked, fault: Fault) {
-        let is_inside = |fault: &Fault| {
-            fault.span.file == block.whole.file && block.whole.range().contains(&fault.span.start)
+    /// Reports that a block lacks an entry, unless an invalid line in it may be the one that is missing.
+    fn report_incomplete(&mut self, block: &CheckedBlock, diagnostic: Diagnostic) {
+        let is_inside = |diagnostic: &Diagnostic| {
+            diagnostic.span.file == block.whole.file
+                && block.whole.range().contains(&diagnostic.span.start)
         };
-        if !self.faults.iter().any(is_inside) {
-            self.faults.push(fault);
+        if !self.diagnostics.iter().any(is_inside) {
+            self.diagnostics.push(diagnostic);
         }
     }
 }
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -6,35 +6,35 @@
 mod routes;
 
 use super::{Settings, SettingsClass};
-use crate::cells::{Cells, Known};
-use crate::fault::Fault;
+use crate::cells::{Cells, ConfiguredNames};
+use crate::diagnostic::Diagnostic;
 use crate::model::Plan;
 
 /// Checks a plan whose names are all resolved.
 pub(super) struct ConsistencyCheck<'a> {
     pub(super) plan: &'a Plan,
     pub(super) settings: Option<&'a Settings>,
-    pub(super) faults: &'a mut Vec<Fault>,
+    pub(super) diagnostics: &'a mut Vec<Diagnostic>,
 }
 
 impl ConsistencyCheck<'_> {
     pub(super) fn run(&mut self) {
-        self.pools();
-        self.classes();
-        self.routes();
-        self.limits();
+        self.check_pools();
+        self.check_classes();
+        self.check_routes();
+        self.check_limits();
     }
 
-    fn known(&self) -> Known<'_> {
-        Known {
+    fn configured_names(&self) -> ConfiguredNames<'_> {
+        ConfiguredNames {
             zones: self.settings.map(|settings| settings.zones.as_slice()),
             kinds: self.settings.map(|settings| settings.kinds.as_slice()),
         }
     }
 
     /// A pool in which no engine can be.
-    fn pools(&mut self) {
-        let Some(cells) = Cells::of(&[self.plan], self.known()) else {
+    fn check_pools(&mut self) {
+        let Some(cells) = Cells::of(&[self.plan], self.configured_names()) else {
             return;
         };
         let cells_of = cells.of_pools(self.plan, 0);
@@ -43,11 +43,11 @@
                 continue;
             }
             let text = format!("no engine can be in the pool `{}`", pool.name);
-            let fault = Fault::new(pool.span.clone(), text);
+            let diagnostic = Diagnostic::new(pool.span.clone(), text);
             let except = pool.except.first().map(|except| &self.plan.pools[*except]);
-            self.faults.push(match except {
-                Some(except) => fault.related(except.span.clone(), "what it has is excepted"),
-                None => fault,
+            self.diagnostics.push(match except {
+                Some(except) => diagnostic.related(except.span.clone(), "what it has is excepted"),
+                None => diagnostic,
             });
         }
     }
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -2,8 +2,8 @@
 
 use super::{is_bound, ConsistencyCheck};
 use crate::build::SettingsClass;
-use crate::cells::Cells;
-use crate::fault::Fault;
+use crate::cells::{Cells, Place};
+use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::model::{ClassRules, Route};
 use crate::region::{Region, ValueClasses, QUERY_CLASS};
@@ -14,7 +14,7 @@
     route: &'a Route,
     /// The place of the entry that names the pools.
     pools_span: &'a Span,
-    classes: &'a ValueClasses,
+    value_classes: &'a ValueClasses,
     /// The regions that it decides on; `None` where they are too many.
     pieces: Option<&'a [Region]>,
 }
@@ -22,7 +22,7 @@
 impl PlacedRoute<'_> {
     /// Whether queries of a class may match the route, or be treated as that class by it.
     fn concerns(&self, class: &str) -> bool {
-        let value_class = self.classes.query_class(class);
+        let value_class = self.value_classes.query_class(class);
         let has_class = |piece: &Region| piece[QUERY_CLASS].contains(value_class);
         self.route.treats_as(class)
             || self
@@ -39,8 +39,12 @@
 
 impl ConsistencyCheck<'_> {
     /// Reports routes that may send queries out of the pools, kinds or zones that their class is bound to.
-    pub(super) fn placement(&mut self, classes: &ValueClasses, reach: &[Option<Vec<Region>>]) {
-        let cells = Cells::of(&[self.plan], self.known());
+    pub(super) fn check_placement(
+        &mut self,
+        value_classes: &ValueClasses,
+        reach: &[Option<Vec<Region>>],
+    ) {
+        let cells = Cells::of(&[self.plan], self.configured_names());
         let pool_cells = cells.map(|cells| PoolCells {
             of_pools: cells.of_pools(self.plan, 0),
             cells,
@@ -52,31 +56,36 @@
             let placed = PlacedRoute {
                 route,
                 pools_span,
-                classes,
+                value_classes,
                 pieces: pieces.as_deref(),
             };
-            self.bound_by_plan(&placed, pool_cells.as_ref());
+            self.check_plan_bindings(&placed, pool_cells.as_ref());
             if let Some(pool_cells) = &pool_cells {
-                self.bound_by_settings(&placed, pool_cells);
+                self.check_settings_bindings(&placed, pool_cells);
             }
         }
     }
 
     /// The pools that the plan's own rules bind a class to.
-    fn bound_by_plan(&mut self, placed: &PlacedRoute, pool_cells: Option<&PoolCells>) {
+    fn check_plan_bindings(&mut self, placed: &PlacedRoute, pool_cells: Option<&PoolCells>) {
         let bound = self.plan.classes.iter();
         let bound = bound.filter(|class| !class.pools.is_empty());
         for class in bound.filter(|class| placed.concerns(&class.name)) {
             for pool in &placed.route.pools {
                 if !is_inside(*pool, &class.pools, pool_cells) {
-                    let fault = self.out_of_pools(placed, class, *pool);
-                    self.faults.push(fault);
+                    let diagnostic = self.out_of_pools_diagnostic(placed, class, *pool);
+                    self.diagnostics.push(diagnostic);
                 }
             }
         }
     }
 
-    fn out_of_pools(&self, placed: &PlacedRoute, class: &ClassRules, pool: usize) -> Fault {
+    fn out_of_pools_diagnostic(
+        &self,
+        placed: &PlacedRoute,
+        class: &ClassRules,
+        pool: usize,
+    ) -> Diagnostic {
         let pool_name = |pool: &usize| self.plan.pools[*pool].name.as_str();
         let bound: Vec<&str> = class.pools.iter().map(pool_name).collect();
         let pool = pool_name(&pool);
@@ -87,7 +96,7 @@
             bound.join("`, `")
         );
         let binding = class.pools_span.as_ref().unwrap_or(&class.span);
-        Fault::new(placed.pools_span.clone(), text)
+        Diagnostic::new(placed.pools_span.clone(), text)
             .label("this leaves the binding")
             .related(binding.clone(), format!("`{}` is bound here", class.name))
             .help(format!(
@@ -97,7 +106,7 @@
     }
 
     /// The kinds and zones that the settings bind a class to.
-    fn bound_by_settings(&mut self, placed: &PlacedRoute, pool_cells: &PoolCells) {
+    fn check_settings_bindings(&mut self, placed: &PlacedRoute, pool_cells: &PoolCells) {
         let Some(settings) = self.settings else {
             return;
         };
@@ -110,8 +119,8 @@
                 if let Some(cell) = outside {
                     let place = place_in_words(places.place(cell));
                     let pool = &self.plan.pools[*pool].name;
-                    let fault = out_of_places(placed, class, &place, pool);
-                    self.faults.push(fault);
+                    let diagnostic = out_of_places_diagnostic(placed, class, &place, pool);
+                    self.diagnostics.push(diagnostic);
                 }
             }
         }
@@ -130,31 +139,36 @@
     outside.is_clear()
 }
 
-/// Whether the settings let a class run in a zone and on a kind; `None` stands for names that no plan has.
-fn is_allowed(class: &SettingsClass, (zone, kind): (Option<&str>, Option<&str>)) -> bool {
+/// Whether the settings let a class run at a place.
+fn is_allowed(class: &SettingsClass, place: Place) -> bool {
     let among = |allowed: &Option<Vec<String>>, name: Option<&str>| {
         let Some(allowed) = allowed else { return true };
         name.is_some_and(|name| allowed.iter().any(|other| other == name))
     };
-    among(&class.zones, zone) && among(&class.kinds, kind)
+    among(&class.zones, place.zone) && among(&class.kinds, place.kind)
 }
 
-fn place_in_words(place: (Option<&str>, Option<&str>)) -> String {
-    match place {
+fn place_in_words(place: Place) -> String {
+    match (place.zone, place.kind) {
         (Some(zone), Some(kind)) => format!("{kind} in {zone}"),
         (_, Some(kind)) => kind.to_string(),
         (_, None) => "engines of other kinds".to_string(),
     }
 }
 
-fn out_of_places(placed: &PlacedRoute, class: &SettingsClass, place: &str, pool: &str) -> Fault {
+fn out_of_places_diagnostic(
+    placed: &PlacedRoute,
+    class: &SettingsClass,
+    place: &str,
+    pool: &str,
+) -> Diagnostic {
     let text = format!(
         "the route `{}` may send `{}` to {place}, by the pool `{pool}`",
         placed.route.name, class.name
     );
     let bound = class.kinds.iter().chain(&class.zones);
     let bound: Vec<String> = bound.map(|names| names.join(", ")).collect();
-    Fault::new(placed.pools_span.clone(), text)
+    Diagnostic::new(placed.pools_span.clone(), text)
         .label("this leaves the binding")
         .help(format!(
             "the settings bind `{}` to {}; take it with an earlier route",
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -2,27 +2,27 @@
 
 use super::{is_subset, ConsistencyCheck};
 use crate::build::SettingsClass;
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::region::{self, Region, ValueClasses};
 
 impl ConsistencyCheck<'_> {
-    pub(super) fn routes(&mut self) {
+    pub(super) fn check_routes(&mut self) {
         let class_names: Vec<String> = self.settings.map_or(Vec::new(), |settings| {
             let classes = settings.classes.iter();
             classes.map(|class| class.name.clone()).collect()
         });
         let tenants = self.settings.map_or(&[][..], |settings| &settings.tenants);
-        let classes = ValueClasses::of(&[self.plan], &class_names, tenants);
+        let value_classes = ValueClasses::of(&[self.plan], &class_names, tenants);
         let routes = self.plan.routes.iter();
-        let regions: Vec<Region> = routes.map(|route| classes.region(route, 0)).collect();
-        let reach = region::reach(&regions, &region::whole(&classes));
-        self.never_matching(&regions, &reach);
-        self.treated_as();
-        self.placement(&classes, &reach);
+        let regions: Vec<Region> = routes.map(|route| value_classes.region(route, 0)).collect();
+        let reach = region::reach(&regions, &region::all_queries(&value_classes));
+        self.report_never_matching(&regions, &reach);
+        self.check_treated_as();
+        self.check_placement(&value_classes, &reach);
     }
 
     /// Routes that can never match, as earlier ones match all their queries.
-    fn never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
+    fn report_never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
         for (index, route) in self.plan.routes.iter().enumerate() {
             let may_match = reach[index]
                 .as_ref()
@@ -32,20 +32,20 @@
             }
             let covers = |earlier: &Region| region::difference(&regions[index], earlier).is_empty();
             let text = format!("the route `{}` can never match", route.name);
-            let fault = Fault::new(route.span.clone(), text);
-            self.faults
+            let diagnostic = Diagnostic::new(route.span.clone(), text);
+            self.diagnostics
                 .push(match regions[..index].iter().position(covers) {
-                    Some(earlier) => fault.related(
+                    Some(earlier) => diagnostic.related(
                         self.plan.routes[earlier].span.clone(),
                         "this one takes all that it asks for",
                     ),
-                    None => fault.label("earlier routes together take all that it asks for"),
+                    None => diagnostic.label("earlier routes together take all that it asks for"),
                 });
         }
     }
 
     /// Routes that treat queries as a class which allows what the settings do not allow for their own class.
-    fn treated_as(&mut self) {
+    fn check_treated_as(&mut self) {
         let Some(settings) = self.settings else {
             return;
         };
@@ -66,7 +66,7 @@
                     "batches of `{}` can't be treated as `{name}`: they would {violation}",
                     class.name
                 );
-                self.faults.push(Fault::new(span.clone(), text));
+                self.diagnostics.push(Diagnostic::new(span.clone(), text));
             }
         }
     }
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -1,12 +1,12 @@
 //! Values of checked entries as plain numbers, times and names.
 
-use crate::check::{Given, Spanned};
+use crate::check::{CheckedEntry, Spanned};
 use crate::model::Bucket;
-use crate::quantity::Value;
+use crate::quantity::{MinuteRange, NumberRange, Value};
 use std::time::Duration;
 
 /// The values that are names, patterns or texts.
-pub(super) fn named(values: &[Spanned]) -> Vec<String> {
+pub(super) fn texts(values: &[Spanned]) -> Vec<String> {
     let name = |value: &Spanned| match &value.value {
         Value::Name(name) | Value::Pattern(name) | Value::Text(name) => Some(name.clone()),
         _ => None,
@@ -15,8 +15,8 @@
 }
 
 /// The first value that is a name, pattern or text.
-pub(super) fn first_name(values: &[Spanned]) -> Option<String> {
-    named(values).into_iter().next()
+pub(super) fn first_text(values: &[Spanned]) -> Option<String> {
+    texts(values).into_iter().next()
 }
 
 pub(super) fn time(value: Option<&Spanned>) -> Option<Duration> {
@@ -30,7 +30,7 @@
 pub(super) fn number(value: Option<&Spanned>) -> Option<f64> {
     match value?.value {
         Value::Size(whole) | Value::Count(whole) => Some(whole as f64),
-        Value::Rate(number) | Value::Flow(number) | Value::Share(number) => Some(number),
+        Value::Rate(number) | Value::ByteRate(number) | Value::Share(number) => Some(number),
         _ => None,
     }
 }
@@ -43,18 +43,26 @@
     }
 }
 
-/// Ranges of numbers, or of minutes of the day.
-pub(super) fn ranges(values: &[Spanned]) -> Vec<(u32, u32)> {
+/// The values that are ranges of whole numbers.
+pub(super) fn number_ranges(values: &[Spanned]) -> Vec<NumberRange> {
     let range = |value: &Spanned| match value.value {
-        Value::Numbers(from, to) => Some((from, to)),
-        Value::Clock(from, until) => Some((from, until)),
+        Value::Numbers(range) => Some(range),
+        _ => None,
+    };
+    values.iter().filter_map(range).collect()
+}
+
+/// The values that are ranges of times of day.
+pub(super) fn minute_ranges(values: &[Spanned]) -> Vec<MinuteRange> {
+    let range = |value: &Spanned| match value.value {
+        Value::TimesOfDay(range) => Some(range),
         _ => None,
     };
     values.iter().filter_map(range).collect()
 }
 
 /// A rate with its burst; where none is given, what comes in a second, at least 1.
-pub(super) fn bucket(entry: Option<&Given>) -> Option<Bucket> {
+pub(super) fn bucket(entry: Option<&CheckedEntry>) -> Option<Bucket> {
     let values = &entry?.values;
     let rate = number(values.first())?;
     Some(Bucket {
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -1,42 +1,50 @@
 //! Resolves names: those that the settings know, and those of other blocks.
 
 use super::{Builder, Settings};
-use crate::check::{Checked, Given};
-use crate::fault::Fault;
+use crate::check::{CheckedBlock, CheckedEntry};
+use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::quantity::Value;
-use crate::schema::{External, Shape};
+use crate::schema::{Namespace, Shape};
 
 impl Builder<'_> {
     /// Checks names of classes, tenants, kinds and zones, where the settings are at hand.
-    pub(super) fn external_names(&mut self) {
+    pub(super) fn check_settings_names(&mut self) {
         let Some(settings) = self.settings else {
             return;
         };
         for block in self.blocks {
-            if let Some(external) = block.kind.external {
-                self.external_name(settings, external, &block.name, &block.span);
+            if let Some(namespace) = block.kind.namespace {
+                self.check_settings_name(settings, namespace, &block.name, &block.span);
             }
             for entry in block.kind.entries {
-                let (Shape::ExternalNames(external) | Shape::ExternalName(external)) = entry.shape
+                let (Shape::SettingsNames(namespace) | Shape::SettingsName(namespace)) =
+                    entry.shape
                 else {
                     continue;
                 };
                 for value in block.values(entry.name) {
                     if let Value::Name(name) = &value.value {
-                        self.external_name(settings, external, name, &value.span);
+                        self.check_settings_name(settings, namespace, name, &value.span);
                     }
                 }
             }
         }
     }
 
-    fn external_name(&mut self, settings: &Settings, external: External, name: &str, span: &Span) {
-        let names = settings.names(external);
+    fn check_settings_name(
+        &mut self,
+        settings: &Settings,
+        namespace: Namespace,
+        name: &str,
+        span: &Span,
+    ) {
+        let names = settings.names(namespace);
         if !names.contains(&name) {
-            let text = format!("the settings know no {} `{name}`", external.described());
-            let fault = Fault::new(span.clone(), text);
-            self.faults.push(fault.suggest_nearest(name, names));
+            let text = format!("the settings know no {} `{name}`", namespace.description());
+            let diagnostic = Diagnostic::new(span.clone(), text);
+            self.diagnostics
+                .push(diagnostic.suggest_nearest(name, names));
         }
     }
 
@@ -44,28 +52,30 @@
     pub(super) fn block_indices(
         &mut self,
         kind: &'static str,
-        entry: Option<&Given>,
+        entry: Option<&CheckedEntry>,
     ) -> Vec<usize> {
-        let known = &self.indices[kind];
+        let indices = &self.indices[kind];
         let mut found = Vec::new();
         for value in entry.map_or(&[][..], |entry| &entry.values) {
             let Value::Name(name) = &value.value else {
                 continue;
             };
-            let Some(index) = known.get(name.as_str()) else {
+            let Some(index) = indices.get(name.as_str()) else {
                 let what = match kind {
                     "addresses" => "address set",
                     other => other,
                 };
                 let text = format!("there is no {what} `{name}`");
-                let fault = Fault::new(value.span.clone(), text);
-                let names = known.keys().copied();
-                self.faults.push(fault.suggest_nearest(name, names));
+                let diagnostic = Diagnostic::new(value.span.clone(), text);
+                let names = indices.keys().copied();
+                self.diagnostics
+                    .push(diagnostic.suggest_nearest(name, names));
                 continue;
             };
             if found.contains(index) {
                 let text = format!("`{name}` stands twice in this list");
-                self.faults.push(Fault::new(value.span.clone(), text));
+                self.diagnostics
+                    .push(Diagnostic::new(value.span.clone(), text));
             } else {
                 found.push(*index);
             }
@@ -73,9 +83,9 @@
         found
     }
 
-    /// An order in which each block of a kind comes after those that it refers to; a cycle is a fault.
+    /// An order in which each block of a kind comes after those that it refers to; a cycle is an error.
     pub(super) fn reference_order(&mut self, kind: &str, references: &[Vec<usize>]) -> Vec<usize> {
-        let blocks = self.of(kind);
+        let blocks = self.blocks_of_kind(kind);
         let mut search = ReferenceSearch {
             references,
             is_done: vec![false; references.len()],
@@ -83,7 +93,7 @@
         };
         for start in 0..references.len() {
             for cycle in search.visit(start) {
-                self.faults.push(cycle_fault(&blocks, &cycle));
+                self.diagnostics.push(cycle_diagnostic(&blocks, &cycle));
             }
         }
         search.order
@@ -138,11 +148,11 @@
     }
 }
 
-/// The fault of blocks each of which refers to the next, and the last to the first.
-fn cycle_fault(blocks: &[&Checked], cycle: &[usize]) -> Fault {
+/// The diagnostic of blocks each of which refers to the next, and the last to the first.
+fn cycle_diagnostic(blocks: &[&CheckedBlock], cycle: &[usize]) -> Diagnostic {
     let first = blocks[cycle[0]];
     let names = cycle.iter().map(|index| blocks[*index].name.as_str());
     let names: Vec<&str> = names.chain([first.name.as_str()]).collect();
     let text = format!("`{}` refers to itself: {}", first.name, names.join(" -> "));
-    Fault::new(first.span.clone(), text)
+    Diagnostic::new(first.span.clone(), text)
 }
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -1,81 +1,87 @@
 //! Builds address sets and pools.
 
-use super::entries::named;
+use super::entries::texts;
 use super::Builder;
-use crate::address::{difference, span, union, Spans};
-use crate::check::{Checked, Spanned};
-use crate::fault::Fault;
+use crate::address::{difference, union, AddressRange, AddressRanges};
+use crate::check::{CheckedBlock, Spanned};
+use crate::diagnostic::Diagnostic;
 use crate::model::{AddressSet, Pool};
 use crate::quantity::Value;
 
 impl Builder<'_> {
-    pub(super) fn addresses(&mut self) {
-        let blocks = self.of("addresses");
+    pub(super) fn build_addresses(&mut self) {
+        let blocks = self.blocks_of_kind("addresses");
         let included: Vec<Vec<usize>> = blocks
             .iter()
-            .map(|block| self.block_indices("addresses", block.get("of")))
+            .map(|block| self.block_indices("addresses", block.entry("of")))
             .collect();
-        let mut spans_of: Vec<Spans> = vec![Spans::new(); blocks.len()];
+        let mut ranges_of: Vec<AddressRanges> = vec![AddressRanges::new(); blocks.len()];
         for index in self.reference_order("addresses", &included) {
             let others = included[index].iter();
-            let mut spans = network_spans(blocks[index].values("net"));
-            spans.extend(others.flat_map(|other| spans_of[*other].iter().copied()));
-            let excluded = network_spans(blocks[index].values("except"));
-            spans_of[index] = difference(&union(spans), &excluded);
+            let mut ranges = network_ranges(blocks[index].values("net"));
+            ranges.extend(others.flat_map(|other| ranges_of[*other].iter().copied()));
+            let excluded = network_ranges(blocks[index].values("except"));
+            ranges_of[index] = difference(&union(ranges), &excluded);
         }
-        for (block, spans) in blocks.into_iter().zip(spans_of) {
-            self.check_addresses(block, &spans);
+        for (block, ranges) in blocks.into_iter().zip(ranges_of) {
+            self.check_addresses(block, &ranges);
             self.plan.addresses.push(AddressSet {
                 name: block.name.clone(),
                 span: block.span.clone(),
-                spans,
+                ranges,
             });
         }
     }
 
-    fn check_addresses(&mut self, block: &Checked, spans: &Spans) {
+    fn check_addresses(&mut self, block: &CheckedBlock, ranges: &AddressRanges) {
         if !block.has_any(&["net", "of"]) {
             let text = format!("the address set `{}` says nothing", block.name);
-            let fault = Fault::new(block.span.clone(), text);
-            self.incomplete(block, fault.help("net 10.1.0.0/16"));
-        } else if spans.is_empty() && !block.values("net").is_empty() {
+            let diagnostic = Diagnostic::new(block.span.clone(), text);
+            self.report_incomplete(block, diagnostic.help("net 10.1.0.0/16"));
+        } else if ranges.is_empty() && !block.values("net").is_empty() {
             let text = format!("the address set `{}` holds no address", block.name);
-            self.faults.push(Fault::new(block.span.clone(), text));
+            self.diagnostics
+                .push(Diagnostic::new(block.span.clone(), text));
         }
     }
 
-    pub(super) fn pools(&mut self) {
-        for block in self.of("pool") {
+    pub(super) fn build_pools(&mut self) {
+        for block in self.blocks_of_kind("pool") {
             let pool = Pool {
                 name: block.name.clone(),
                 span: block.span.clone(),
-                all: block.get("all").is_some(),
-                zones: named(block.values("zone")),
-                kinds: named(block.values("kind")),
-                ids: named(block.values("id")),
-                addresses: self.block_indices("addresses", block.get("address")),
-                union: self.block_indices("pool", block.get("union")),
-                except: self.block_indices("pool", block.get("except")),
+                all: block.entry("all").is_some(),
+                zones: texts(block.values("zone")),
+                kinds: texts(block.values("kind")),
+                ids: texts(block.values("id")),
+                addresses: self.block_indices("addresses", block.entry("address")),
+                union: self.block_indices("pool", block.entry("union")),
+                except: self.block_indices("pool", block.entry("except")),
             };
             self.plan.pools.push(pool);
-            if !block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
-                let text = format!("the pool `{}` holds no engine", block.name);
-                let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
-                let fault = Fault::new(block.span.clone(), text);
-                self.incomplete(block, fault.help(help));
-            }
+            self.check_pool(block);
         }
         let references = |pool: &Pool| pool.union.iter().chain(&pool.except).copied().collect();
         let references: Vec<Vec<usize>> = self.plan.pools.iter().map(references).collect();
         self.plan.pool_order = self.reference_order("pool", &references);
     }
+
+    fn check_pool(&mut self, block: &CheckedBlock) {
+        if block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
+            return;
+        }
+        let text = format!("the pool `{}` holds no engine", block.name);
+        let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
+        let diagnostic = Diagnostic::new(block.span.clone(), text);
+        self.report_incomplete(block, diagnostic.help(help));
+    }
 }
 
 /// The addresses of some networks.
-fn network_spans(networks: &[Spanned]) -> Spans {
-    let spans = networks.iter().filter_map(|value| match &value.value {
-        Value::Network(network) => Some(span(network)),
+fn network_ranges(networks: &[Spanned]) -> AddressRanges {
+    let ranges = networks.iter().filter_map(|value| match &value.value {
+        Value::Network(network) => Some(AddressRange::of(network)),
         _ => None,
     });
-    union(spans.collect())
+    union(ranges.collect())
 }
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -1,77 +1,79 @@
 //! Builds the storage of bodies and of the query journal: blocks of which a plan has one at most.
 
-use super::entries::{count, first_name, named, number};
-use super::{of, Builder};
-use crate::check::Checked;
-use crate::fault::Fault;
+use super::entries::{count, first_text, number, texts};
+use super::{blocks_of_kind, Builder};
+use crate::check::CheckedBlock;
+use crate::diagnostic::Diagnostic;
 use crate::model::{Bodies, Journal};
 
 /// The memory for bodies where none is given.
 const DEFAULT_MEMORY_BYTES: u64 = 32 << 20;
 /// The part of the memory that one body may use where none is given.
-const DEFAULT_QUERY_MEMORY_DIVISOR: u64 = 8;
+const DEFAULT_BODY_MEMORY_DIVISOR: u64 = 8;
 /// The longest body where none is given.
 const DEFAULT_MAX_BODY_BYTES: u64 = 200 << 20;
 
 impl<'a> Builder<'a> {
     /// The block of a kind of which there is one at most.
-    fn single(&mut self, kind: &'static str) -> Option<&'a Checked> {
-        let all = of(self.blocks, kind);
+    fn single(&mut self, kind: &'static str) -> Option<&'a CheckedBlock> {
+        let all = blocks_of_kind(self.blocks, kind);
         let (first, others) = all.split_first()?;
         for other in others {
             let text = format!("a plan has one block `{kind}` at most");
-            let fault = Fault::new(other.span.clone(), text);
-            self.faults
-                .push(fault.related(first.span.clone(), "the first"));
+            let diagnostic = Diagnostic::new(other.span.clone(), text);
+            self.diagnostics
+                .push(diagnostic.related(first.span.clone(), "the first"));
         }
         Some(first)
     }
 
-    pub(super) fn bodies(&mut self) {
+    pub(super) fn build_bodies(&mut self) {
         let Some(block) = self.single("bodies") else {
             return;
         };
-        let size = |entry: &str| count(block.one(entry));
-        let memory = size("memory").unwrap_or(DEFAULT_MEMORY_BYTES);
+        let size = |entry: &str| count(block.first_value(entry));
+        let memory_bytes = size("memory").unwrap_or(DEFAULT_MEMORY_BYTES);
         let bodies = Bodies {
-            memory,
-            query_memory: size("batch-memory").unwrap_or(memory / DEFAULT_QUERY_MEMORY_DIVISOR),
-            files: size("files").unwrap_or(0),
-            directory: first_name(block.values("directory")),
-            max_body: size("batch").unwrap_or(DEFAULT_MAX_BODY_BYTES),
-            share: number(block.one("share")).unwrap_or(1.0),
-            unknown_length: block.get("unknown-length").is_some(),
-            must_keep: named(block.values("must-keep")),
+            memory_bytes,
+            max_body_memory_bytes: size("batch-memory")
+                .unwrap_or(memory_bytes / DEFAULT_BODY_MEMORY_DIVISOR),
+            file_bytes: size("files").unwrap_or(0),
+            directory: first_text(block.values("directory")),
+            max_body_bytes: size("batch").unwrap_or(DEFAULT_MAX_BODY_BYTES),
+            tenant_share: number(block.first_value("share")).unwrap_or(1.0),
+            unknown_length_allowed: block.entry("unknown-length").is_some(),
+            storage_required: texts(block.values("must-keep")),
         };
         self.check_bodies(block, &bodies);
         self.plan.bodies = Some(bodies);
     }
 
-    fn check_bodies(&mut self, block: &Checked, bodies: &Bodies) {
+    fn check_bodies(&mut self, block: &CheckedBlock, bodies: &Bodies) {
         let mut report = |entry: &str, text: &str| {
-            let span = block.get(entry).map_or(&block.span, |entry| &entry.span);
-            self.faults.push(Fault::new(span.clone(), text));
+            let span = block.entry(entry).map_or(&block.span, |entry| &entry.span);
+            self.diagnostics.push(Diagnostic::new(span.clone(), text));
         };
-        if bodies.query_memory > bodies.memory {
+        if bodies.max_body_memory_bytes > bodies.memory_bytes {
             let text = "one body may have more memory than all together";
             report("batch-memory", text);
         }
-        match (&bodies.directory, bodies.files > 0) {
+        match (&bodies.directory, bodies.file_bytes > 0) {
             (None, true) => report("files", "files need a `directory`"),
             (Some(_), false) => report("directory", "nothing goes there without `files`"),
             _ => {}
         }
     }
 
-    pub(super) fn journal(&mut self) {
+    pub(super) fn build_journal(&mut self) {
         let Some(block) = self.single("journal") else {
             return;
         };
-        match first_name(block.values("directory")) {
+        match first_text(block.values("directory")) {
             Some(directory) => self.plan.journal = Some(Journal { directory }),
             None => {
-                let fault = Fault::new(block.span.clone(), "the journal has no `directory`");
-                self.incomplete(block, fault.help("directory \"/var/lib/garnetwall\""));
+                let diagnostic =
+                    Diagnostic::new(block.span.clone(), "the journal has no `directory`");
+                self.report_incomplete(block, diagnostic.help("directory \"/var/lib/garnetwall\""));
             }
         }
     }
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -4,7 +4,7 @@
 
 mod patterns;
 
-use crate::address::{AddressClasses, Spans};
+use crate::address::{AddressClasses, AddressRanges};
 use crate::model::{Plan, Pool};
 use fixedbitset::FixedBitSet;
 
@@ -14,7 +14,7 @@
 /// All cells that some plans tell apart.
 #[derive(Debug)]
 pub struct Cells {
-    /// The zones; `None` for all that no plan names, absent where all names are known.
+    /// The zones; `None` for all that no plan names, absent where the settings define all names.
     zones: Vec<Option<String>>,
     /// The kinds, in the same way.
     kinds: Vec<Option<String>>,
@@ -25,15 +25,24 @@
     addresses: AddressClasses,
 }
 
-/// Names that the settings know; without them there may be any.
+/// Names that the settings define; `None` where no settings are at hand, so that there may be any.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Known<'a> {
+pub struct ConfiguredNames<'a> {
     /// The names of all zones.
     pub zones: Option<&'a [String]>,
     /// The names of all kinds.
     pub kinds: Option<&'a [String]>,
 }
 
+/// The zone and the kind of some engines; `None` stands for names that no plan has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Place<'a> {
+    /// The name of the zone.
+    pub zone: Option<&'a str>,
+    /// The name of the kind.
+    pub kind: Option<&'a str>,
+}
+
 /// The coordinates of a cell, as indices into the fields of [`Cells`].
 struct Coordinates {
     zone: usize,
@@ -44,16 +53,16 @@
 
 impl Cells {
     /// The cells that these plans tell apart; `None` where they are too many.
-    pub fn of(plans: &[&Plan], known: Known) -> Option<Self> {
+    pub fn of(plans: &[&Plan], configured: ConfiguredNames) -> Option<Self> {
         let pools = || plans.iter().flat_map(|plan| &plan.pools);
         let patterns = sorted(pools().flat_map(|pool| &pool.ids));
-        let spans: Vec<_> = plans.iter().flat_map(|plan| used_sets(plan)).collect();
+        let address_sets: Vec<_> = plans.iter().flat_map(|plan| used_sets(plan)).collect();
         let cells = Cells {
-            zones: names(pools().flat_map(|pool| &pool.zones), known.zones),
-            kinds: names(pools().flat_map(|pool| &pool.kinds), known.kinds),
+            zones: names(pools().flat_map(|pool| &pool.zones), configured.zones),
+            kinds: names(pools().flat_map(|pool| &pool.kinds), configured.kinds),
             pattern_sets: patterns::sets(&patterns)?,
             patterns,
-            addresses: AddressClasses::new(&spans),
+            addresses: AddressClasses::new(&address_sets),
         };
         (cells.count() <= MAX_CELLS).then_some(cells)
     }
@@ -78,10 +87,13 @@
         }
     }
 
-    /// Zone and kind of a cell; `None` for those that no plan names.
-    pub fn place(&self, cell: usize) -> (Option<&str>, Option<&str>) {
+    /// Zone and kind of a cell.
+    pub fn place(&self, cell: usize) -> Place<'_> {
         let Coordinates { zone, kind, .. } = self.coordinates(cell);
-        (self.zones[zone].as_deref(), self.kinds[kind].as_deref())
+        Place {
+            zone: self.zones[zone].as_deref(),
+            kind: self.kinds[kind].as_deref(),
+        }
     }
 
     /// The cells of each pool of a plan; `first_set` is the index of its first address set among those of all plans.
@@ -131,23 +143,23 @@
     sorted
 }
 
-/// The names that plans use with the known ones, or with `None` for all others.
+/// The names that plans use with those of the settings, or with `None` for all others.
 fn names<'a>(
     used: impl Iterator<Item = &'a String>,
-    known: Option<&'a [String]>,
+    configured: Option<&'a [String]>,
 ) -> Vec<Option<String>> {
-    let others = known.is_none().then_some(None);
-    let named = sorted(used.chain(known.unwrap_or_default()));
+    let others = configured.is_none().then_some(None);
+    let named = sorted(used.chain(configured.unwrap_or_default()));
     named.into_iter().map(Some).chain(others).collect()
 }
 
 /// The address sets of a plan; those that no pool uses are taken as empty.
-fn used_sets(plan: &Plan) -> Vec<Spans> {
+fn used_sets(plan: &Plan) -> Vec<AddressRanges> {
     let is_used = |set: usize| plan.pools.iter().any(|pool| pool.addresses.contains(&set));
     let sets = plan.addresses.iter().enumerate();
-    let spans = sets.map(|(index, set)| match is_used(index) {
-        true => set.spans.clone(),
+    let used = sets.map(|(index, set)| match is_used(index) {
+        true => set.ranges.clone(),
         false => Vec::new(),
     });
-    spans.collect()
+    used.collect()
 }
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -4,7 +4,7 @@
 mod constants;
 mod values;
 
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::quantity::Value;
 use crate::schema::BlockKind;
@@ -24,7 +24,7 @@
 
 /// An entry whose values have the shape that its kind requires.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct CheckedEntry {
     /// The place of the entry.
     pub span: Span,
     /// By shape: none for a flag; the rate and perhaps the burst for a bucket; for an effect its word and, where it
@@ -34,7 +34,7 @@
 
 /// A block all of whose entries belong to its kind.
 #[derive(Clone, Debug)]
-pub struct Checked {
+pub struct CheckedBlock {
     /// Its kind.
     pub kind: &'static BlockKind,
     /// Its name.
@@ -44,45 +44,46 @@
     /// The place of the whole block.
     pub whole: Span,
     /// Its entries by name.
-    pub entries: HashMap<&'static str, Given>,
+    pub entries: HashMap<&'static str, CheckedEntry>,
 }
 
-impl Checked {
+impl CheckedBlock {
     /// An entry by its name.
-    pub fn get(&self, entry: &str) -> Option<&Given> {
+    pub fn entry(&self, entry: &str) -> Option<&CheckedEntry> {
         self.entries.get(entry)
     }
 
     /// Whether the block has one of some entries.
     pub fn has_any(&self, entries: &[&str]) -> bool {
-        entries.iter().any(|entry| self.get(entry).is_some())
+        entries.iter().any(|entry| self.entry(entry).is_some())
     }
 
     /// The values of an entry; empty where the block does not have it.
     pub fn values(&self, entry: &str) -> &[Spanned] {
-        self.get(entry).map_or(&[], |given| &given.values)
+        self.entry(entry).map_or(&[], |entry| &entry.values)
     }
 
     /// The first value of an entry.
-    pub fn one(&self, entry: &str) -> Option<&Spanned> {
+    pub fn first_value(&self, entry: &str) -> Option<&Spanned> {
         self.values(entry).first()
     }
 }
 
-/// Checks all items; faulty ones are reported and left out.
-pub fn check(items: &[Item], faults: &mut Vec<Fault>) -> Vec<Checked> {
+/// Checks all items; invalid ones are reported and left out. Constants may be used before they are defined.
+pub fn check(items: &[Item], diagnostics: &mut Vec<Diagnostic>) -> Vec<CheckedBlock> {
     let mut constants = Constants::default();
     for item in items {
         if let Item::Constant {
             name, parts, span, ..
         } = item
         {
-            constants.define(name, parts, span, faults);
+            let defined = constants.define(name, parts, span);
+            diagnostics.extend(defined.err());
         }
     }
-    let mut checker = BlockChecker::new(&constants, faults);
+    let mut checker = BlockChecker::new(&constants, diagnostics);
     let blocks = items.iter().filter_map(|item| match item {
-        Item::Block(block) => checker.block(block),
+        Item::Block(block) => checker.check_block(block),
         _ => None,
     });
     blocks.collect()
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -2,76 +2,87 @@
 
 use super::constants::Constants;
 use super::values::ValueReader;
-use super::{Checked, Given, Spanned};
-use crate::fault::{shown, Fault};
+use super::{CheckedBlock, CheckedEntry, Spanned};
+use crate::diagnostic::{shown, Diagnostic};
 use crate::files::Span;
-use crate::quantity::{self, Kind};
+use crate::quantity::{self, ValueKind};
 use crate::schema::{self, BlockKind, EntryKind};
 use crate::syntax::{Block, Entry, Word};
 use std::collections::HashMap;
 
 pub(super) struct BlockChecker<'a> {
     constants: &'a Constants,
-    faults: &'a mut Vec<Fault>,
+    diagnostics: &'a mut Vec<Diagnostic>,
     /// The places of the blocks so far, by kind and name.
     defined: HashMap<(&'static str, String), Span>,
 }
 
 impl<'a> BlockChecker<'a> {
-    pub(super) fn new(constants: &'a Constants, faults: &'a mut Vec<Fault>) -> Self {
+    pub(super) fn new(constants: &'a Constants, diagnostics: &'a mut Vec<Diagnostic>) -> Self {
         BlockChecker {
             constants,
-            faults,
+            diagnostics,
             defined: HashMap::new(),
         }
     }
 
-    /// Checks a block; `None` where its kind or name is faulty. Of a block that is taken, faulty entries are left out.
-    pub(super) fn block(&mut self, block: &Block) -> Option<Checked> {
-        let head = block_kind(block).and_then(|kind| Ok((kind, block_name(kind, block)?)));
-        let (kind, name) = match head {
-            Ok(head) => head,
-            Err(fault) => {
-                self.faults.push(fault);
+    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid ones have no values.
+    pub(super) fn check_block(&mut self, block: &Block) -> Option<CheckedBlock> {
+        let mut checked = match self.check_head(block) {
+            Ok(checked) => checked,
+            Err(diagnostic) => {
+                self.diagnostics.push(diagnostic);
                 return None;
             }
         };
-        let key = (kind.name, name.text.clone());
-        if let Some(first) = self.defined.get(&key) {
-            let text = format!("the {} `{}` is there already", kind.name, name.text);
-            let fault = Fault::new(name.span.clone(), text);
-            self.faults.push(fault.related(first.clone(), "first here"));
-            return None;
+        for entry in block.entries() {
+            self.check_entry(&mut checked, entry);
         }
-        self.defined.insert(key, name.span.clone());
-        let mut checked = Checked {
+        Some(checked)
+    }
+
+    /// Checks kind and name of a block, and returns it without entries.
+    fn check_head(&mut self, block: &Block) -> Result<CheckedBlock, Diagnostic> {
+        let kind = block_kind(block)?;
+        let name = block_name(kind, block)?;
+        self.define(kind, name)?;
+        Ok(CheckedBlock {
             kind,
             name: name.text.clone(),
             span: name.span.clone(),
             whole: block.whole.clone(),
             entries: HashMap::new(),
-        };
-        for entry in block.entries() {
-            self.entry(&mut checked, entry);
+        })
+    }
+
+    /// Notes the name of a block; an earlier block of the kind that has it is an error.
+    fn define(&mut self, kind: &BlockKind, name: &Word) -> Result<(), Diagnostic> {
+        let key = (kind.name, name.text.clone());
+        if let Some(first) = self.defined.get(&key) {
+            let text = format!("the {} `{}` is there already", kind.name, name.text);
+            let diagnostic = Diagnostic::new(name.span.clone(), text);
+            return Err(diagnostic.related(first.clone(), "first here"));
         }
-        Some(checked)
+        self.defined.insert(key, name.span.clone());
+        Ok(())
     }
 
-    fn entry(&mut self, block: &mut Checked, entry: &Entry) {
+    fn check_entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
         let name = &entry.name;
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.quoted) else {
             let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
             let names = block.kind.entries.iter().map(|e| e.name);
-            let fault = Fault::new(name.span.clone(), text);
-            self.faults.push(fault.suggest_nearest(&name.text, names));
+            let diagnostic = Diagnostic::new(name.span.clone(), text);
+            self.diagnostics
+                .push(diagnostic.suggest_nearest(&name.text, names));
             return;
         };
-        let mut reader = ValueReader::new(kind, name, self.constants, self.faults);
-        match reader.values(&entry.parts) {
-            Some(values) => self.add(block, kind, entry, values),
+        let mut reader = ValueReader::new(kind, name, self.constants, self.diagnostics);
+        match reader.read(&entry.parts) {
+            Some(values) => self.add_entry(block, kind, entry, values),
             None => {
-                // A faulty entry counts as given, so that it is not reported as missing too.
-                block.entries.entry(kind.name).or_insert(Given {
+                // An invalid entry counts as given, so that it is not reported as missing too.
+                block.entries.entry(kind.name).or_insert(CheckedEntry {
                     span: entry.span.clone(),
                     values: Vec::new(),
                 });
@@ -80,9 +91,9 @@
     }
 
     /// Adds an entry to its block. A list may be given several times, everything else once.
-    fn add(
+    fn add_entry(
         &mut self,
-        block: &mut Checked,
+        block: &mut CheckedBlock,
         kind: &'static EntryKind,
         entry: &Entry,
         values: Vec<Spanned>,
@@ -90,35 +101,37 @@
         let span = entry.span.clone();
         match block.entries.get_mut(kind.name) {
             None => {
-                block.entries.insert(kind.name, Given { span, values });
+                block
+                    .entries
+                    .insert(kind.name, CheckedEntry { span, values });
             }
             Some(first) if kind.shape.is_list() => first.values.extend(values),
             Some(first) => {
                 let text = format!("`{}` stands twice in this {}", kind.name, block.kind.name);
-                let fault = Fault::new(span, text);
-                self.faults
-                    .push(fault.related(first.span.clone(), "first here"));
+                let diagnostic = Diagnostic::new(span, text);
+                self.diagnostics
+                    .push(diagnostic.related(first.span.clone(), "first here"));
             }
         }
     }
 }
 
-fn block_kind(block: &Block) -> Result<&'static BlockKind, Fault> {
+fn block_kind(block: &Block) -> Result<&'static BlockKind, Diagnostic> {
     let word = &block.kind;
     schema::block(&word.text).ok_or_else(|| {
         let text = format!("there is no block of the kind `{}`", shown(&word.text));
         let names = schema::BLOCKS.iter().map(|kind| kind.name);
-        Fault::new(word.span.clone(), text).suggest_nearest(&word.text, names)
+        Diagnostic::new(word.span.clone(), text).suggest_nearest(&word.text, names)
     })
 }
 
-fn block_name<'a>(kind: &BlockKind, block: &'a Block) -> Result<&'a Word, Fault> {
+fn block_name<'a>(kind: &BlockKind, block: &'a Block) -> Result<&'a Word, Diagnostic> {
     let Some(name) = &block.name else {
         let text = format!("this {} has no name", kind.name);
-        let fault = Fault::new(block.kind.span.clone(), text);
-        return Err(fault.help(format!("{} some-name {{", kind.name)));
+        let diagnostic = Diagnostic::new(block.kind.span.clone(), text);
+        return Err(diagnostic.help(format!("{} some-name {{", kind.name)));
     };
-    match quantity::read(Kind::Name, &name.text, name.quoted) {
+    match quantity::read(ValueKind::Name, name) {
         Ok(_) => Ok(name),
         Err(error) => Err(error.at(name.span.clone())),
     }
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -1,6 +1,6 @@
 //! Constants of a plan, and their replacement by values.
 
-use crate::fault::{shown, Fault};
+use crate::diagnostic::{shown, Diagnostic};
 use crate::files::Span;
 use crate::quantity;
 use crate::syntax::{Part, Word};
@@ -14,7 +14,7 @@
 /// The constants of a plan by name.
 #[derive(Default)]
 pub(super) struct Constants {
-    known: HashMap<String, Constant>,
+    by_name: HashMap<String, Constant>,
 }
 
 struct Constant {
@@ -32,40 +32,41 @@
 }
 
 impl Constants {
-    /// Adds a constant; one that is badly named, empty or defined before is a fault.
+    /// Adds a constant.
+    ///
+    /// # Errors
+    ///
+    /// Where it is badly named, is not one value or list, or was defined before.
     pub(super) fn define(
         &mut self,
         name: &Word,
         parts: &[Part],
         span: &Span,
-        faults: &mut Vec<Fault>,
-    ) {
+    ) -> Result<(), Diagnostic> {
         if !quantity::is_name(&name.text) || name.quoted {
             let text = format!("`{}` is no name for a constant", shown(&name.text));
-            faults.push(Fault::new(name.span.clone(), text));
-            return;
+            return Err(Diagnostic::new(name.span.clone(), text));
         }
         let [values] = parts else {
             let text = "a constant is one value, or a list with commas";
-            let fault = Fault::new(span.clone(), text);
-            faults.push(fault.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
-            return;
+            let diagnostic = Diagnostic::new(span.clone(), text);
+            return Err(diagnostic.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
         };
-        if let Some(first) = self.known.get(&name.text) {
+        if let Some(first) = self.by_name.get(&name.text) {
             let text = format!("the constant `{}` is there already", name.text);
-            let fault = Fault::new(name.span.clone(), text);
-            faults.push(fault.related(first.span.clone(), "first here"));
-            return;
+            let diagnostic = Diagnostic::new(name.span.clone(), text);
+            return Err(diagnostic.related(first.span.clone(), "first here"));
         }
         let constant = Constant {
             values: values.clone(),
             span: name.span.clone(),
         };
-        self.known.insert(name.text.clone(), constant);
+        self.by_name.insert(name.text.clone(), constant);
+        Ok(())
     }
 
     /// Replaces the constants in a list of words.
-    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<Expanded>, Fault> {
+    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<Expanded>, Diagnostic> {
         let mut expansion = Expansion {
             constants: self,
             words: Vec::new(),
@@ -84,7 +85,7 @@
 
 impl<'a> Expansion<'a> {
     /// Adds a word, which `used` brings in over `depth` constants.
-    fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Fault> {
+    fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Diagnostic> {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.quoted) else {
             self.words.push(Expanded {
                 word: Word {
@@ -102,24 +103,29 @@
         Ok(())
     }
 
-    fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Fault> {
-        let known = &self.constants.known;
-        let Some(constant) = known.get(name) else {
+    /// The constant that a word uses at a depth of `depth` constants.
+    fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
+        let constants = &self.constants.by_name;
+        let Some(constant) = constants.get(name) else {
             let text = format!("there is no constant `{}`", shown(name));
-            let fault = Fault::new(used.span.clone(), text);
-            return Err(fault.suggest_nearest(name, known.keys().map(String::as_str)));
+            let diagnostic = Diagnostic::new(used.span.clone(), text);
+            return Err(diagnostic.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
-        let text = if depth >= MAX_DEPTH {
-            format!(
-                "the constant `{}` needs itself, or {MAX_DEPTH} others",
-                shown(name)
-            )
-        } else if self.words.len() > MAX_VALUES {
-            format!("with constants put in, this has more than {MAX_VALUES} values")
-        } else {
-            return Ok(constant);
+        let error = |text: String| {
+            let diagnostic = Diagnostic::new(used.span.clone(), text);
+            Err(diagnostic.related(constant.span.clone(), "the constant"))
         };
-        let fault = Fault::new(used.span.clone(), text);
-        Err(fault.related(constant.span.clone(), "the constant"))
+        if depth >= MAX_DEPTH {
+            let name = shown(name);
+            return error(format!(
+                "the constant `{name}` needs itself, or {MAX_DEPTH} others"
+            ));
+        }
+        if self.words.len() > MAX_VALUES {
+            return error(format!(
+                "with constants put in, this has more than {MAX_VALUES} values"
+            ));
+        }
+        Ok(constant)
     }
 }
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -2,8 +2,8 @@
 
 use super::constants::{Constants, Expanded};
 use super::Spanned;
-use crate::fault::{shown, Fault};
-use crate::quantity::{self, Kind, Value};
+use crate::diagnostic::{shown, Diagnostic};
+use crate::quantity::{self, Value, ValueKind};
 use crate::schema::{self, EntryKind, Shape};
 use crate::syntax::{Part, Word};
 
@@ -12,7 +12,7 @@
     /// The entry's name where it stands in the plan.
     name: &'a Word,
     constants: &'a Constants,
-    faults: &'a mut Vec<Fault>,
+    diagnostics: &'a mut Vec<Diagnostic>,
 }
 
 impl<'a> ValueReader<'a> {
@@ -20,63 +20,72 @@
         entry: &'a EntryKind,
         name: &'a Word,
         constants: &'a Constants,
-        faults: &'a mut Vec<Fault>,
+        diagnostics: &'a mut Vec<Diagnostic>,
     ) -> Self {
         ValueReader {
             entry,
             name,
             constants,
-            faults,
+            diagnostics,
         }
     }
 
-    /// The values of the entry; `None` where a fault was found in them.
-    pub(super) fn values(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
+    /// The values of the entry; `None` where an error was found in them.
+    pub(super) fn read(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
         let mut expanded = Vec::with_capacity(parts.len());
         for part in parts {
             match self.constants.expand(part) {
                 Ok(words) => expanded.push(words),
-                Err(fault) => return self.fail(fault),
+                Err(diagnostic) => return self.fail(diagnostic),
             }
         }
         match self.entry.shape {
-            Shape::Flag => self.nothing(&expanded),
-            Shape::One(kind) => self.one(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::ExternalName(_) => {
-                self.one(&expanded, |reader, word| reader.read(Kind::Name, word))
+            Shape::Flag => self.read_flag(&expanded),
+            Shape::One(kind) => {
+                self.read_one(&expanded, |reader, word| reader.read_value(kind, word))
             }
-            Shape::Choice(words) => self.one(&expanded, |reader, word| reader.choice(words, word)),
-            Shape::Words(words) => self.list(&expanded, |reader, word| reader.choice(words, word)),
-            Shape::List(kind) => self.list(&expanded, |reader, word| reader.read(kind, word)),
-            Shape::BlockNames(_) | Shape::ExternalNames(_) => {
-                self.list(&expanded, |reader, word| reader.read(Kind::Name, word))
+            Shape::SettingsName(_) => self.read_one(&expanded, |reader, word| {
+                reader.read_value(ValueKind::Name, word)
+            }),
+            Shape::Choice(words) => {
+                self.read_one(&expanded, |reader, word| reader.read_choice(words, word))
+            }
+            Shape::Words(words) => {
+                self.read_list(&expanded, |reader, word| reader.read_choice(words, word))
+            }
+            Shape::List(kind) => {
+                self.read_list(&expanded, |reader, word| reader.read_value(kind, word))
             }
-            Shape::Bucket(rate, burst) => self.bucket(rate, burst, &expanded),
-            Shape::Effect => self.effect(&expanded),
+            Shape::BlockNames(_) | Shape::SettingsNames(_) => self
+                .read_list(&expanded, |reader, word| {
+                    reader.read_value(ValueKind::Name, word)
+                }),
+            Shape::Bucket(rate, burst) => self.read_bucket(rate, burst, &expanded),
+            Shape::Effect => self.read_effect(&expanded),
         }
     }
 
-    fn fail<T>(&mut self, fault: Fault) -> Option<T> {
-        self.faults.push(fault);
+    fn fail<T>(&mut self, diagnostic: Diagnostic) -> Option<T> {
+        self.diagnostics.push(diagnostic);
         None
     }
 
-    /// Reports a fault in a word that may come from a constant.
-    fn fail_in<T>(&mut self, word: &Expanded, fault: Fault) -> Option<T> {
+    /// Reports an error in a word that may come from a constant.
+    fn fail_in<T>(&mut self, word: &Expanded, diagnostic: Diagnostic) -> Option<T> {
         self.fail(match &word.defined_at {
-            Some(defined_at) => fault.related(defined_at.clone(), "from this constant"),
-            None => fault,
+            Some(defined_at) => diagnostic.related(defined_at.clone(), "from this constant"),
+            None => diagnostic,
         })
     }
 
     fn fail_missing<T>(&mut self) -> Option<T> {
         let text = format!("`{}` says nothing", self.entry.name);
-        let fault = Fault::new(self.name.span.clone(), text);
-        self.fail(fault.help(self.example()))
+        let diagnostic = Diagnostic::new(self.name.span.clone(), text);
+        self.fail(diagnostic.help(self.example()))
     }
 
     fn fail_at<T>(&mut self, word: &Expanded, text: String) -> Option<T> {
-        self.fail(Fault::new(word.word.span.clone(), text))
+        self.fail(Diagnostic::new(word.word.span.clone(), text))
     }
 
     /// The entry as it might be written.
@@ -84,9 +93,9 @@
         format!("{} {}", self.entry.name, self.entry.example)
     }
 
-    fn read(&mut self, kind: Kind, expanded: &Expanded) -> Option<Spanned> {
+    fn read_value(&mut self, kind: ValueKind, expanded: &Expanded) -> Option<Spanned> {
         let word = &expanded.word;
-        match quantity::read(kind, &word.text, word.quoted) {
+        match quantity::read(kind, word) {
             Ok(value) => Some(Spanned {
                 value,
                 span: word.span.clone(),
@@ -95,7 +104,7 @@
         }
     }
 
-    fn choice(&mut self, choices: &[&'static str], expanded: &Expanded) -> Option<Spanned> {
+    fn read_choice(&mut self, choices: &[&'static str], expanded: &Expanded) -> Option<Spanned> {
         let word = &expanded.word;
         if !word.quoted && choices.contains(&word.text.as_str()) {
             return Some(Spanned {
@@ -109,12 +118,12 @@
             choices.join(", "),
             self.entry.name
         );
-        let fault = Fault::new(word.span.clone(), text);
-        let fault = fault.suggest_nearest(&word.text, choices.iter().copied());
-        self.fail_in(expanded, fault)
+        let diagnostic = Diagnostic::new(word.span.clone(), text);
+        let diagnostic = diagnostic.suggest_nearest(&word.text, choices.iter().copied());
+        self.fail_in(expanded, diagnostic)
     }
 
-    fn nothing(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
+    fn read_flag(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
         let Some(first) = parts.iter().flatten().next() else {
             return Some(Vec::new());
         };
@@ -128,7 +137,7 @@
     }
 
     /// Exactly one value.
-    fn one(
+    fn read_one(
         &mut self,
         parts: &[Vec<Expanded>],
         read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
@@ -148,8 +157,8 @@
         }
     }
 
-    /// One list of values; every value is read, so that all faults are reported at once.
-    fn list(
+    /// One list of values; every value is read, so that all errors are reported at once.
+    fn read_list(
         &mut self,
         parts: &[Vec<Expanded>],
         read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
@@ -166,10 +175,10 @@
     }
 
     /// `RATE` or `RATE burst AMOUNT`.
-    fn bucket(
+    fn read_bucket(
         &mut self,
-        rate_kind: Kind,
-        burst_kind: Kind,
+        rate_kind: ValueKind,
+        burst_kind: ValueKind,
         parts: &[Vec<Expanded>],
     ) -> Option<Vec<Spanned>> {
         let single = |part: &Vec<Expanded>| match part.as_slice() {
@@ -179,10 +188,10 @@
         let words: Option<Vec<Expanded>> = parts.iter().map(single).collect();
         match words.as_deref() {
             Some([]) => self.fail_missing(),
-            Some([rate]) => Some(vec![self.read(rate_kind, rate)?]),
+            Some([rate]) => Some(vec![self.read_value(rate_kind, rate)?]),
             Some([rate, keyword, burst]) if keyword.word.is_keyword("burst") => {
-                let rate = self.read(rate_kind, rate);
-                let burst = self.read(burst_kind, burst);
+                let rate = self.read_value(rate_kind, rate);
+                let burst = self.read_value(burst_kind, burst);
                 Some(vec![rate?, burst?])
             }
             _ => {
@@ -190,29 +199,29 @@
                     "`{}` is a rate, and perhaps `burst` with an amount",
                     self.entry.name
                 );
-                let fault = Fault::new(self.name.span.clone(), text);
-                self.fail(fault.help(self.example()))
+                let diagnostic = Diagnostic::new(self.name.span.clone(), text);
+                self.fail(diagnostic.help(self.example()))
             }
         }
     }
 
     /// A word of [`schema::EFFECTS`]; `referenced` with its scope and window.
-    fn effect(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
+    fn read_effect(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
         let words: Vec<&Expanded> = parts.iter().flatten().collect();
         let Some((first, more)) = words.split_first() else {
             return self.fail_missing();
         };
-        let effect = self.choice(schema::EFFECTS, first)?;
+        let effect = self.read_choice(schema::EFFECTS, first)?;
         match (first.word.text.as_str(), more) {
             ("referenced", [scope, window]) => {
-                let scope = self.choice(schema::EFFECT_SCOPES, scope);
-                let window = self.read(Kind::Time, window);
+                let scope = self.read_choice(schema::EFFECT_SCOPES, scope);
+                let window = self.read_value(ValueKind::Time, window);
                 Some(vec![effect, scope?, window?])
             }
             ("referenced", _) => {
                 let text = "`referenced` needs a scope and how long repeats are dropped";
-                let fault = Fault::new(self.name.span.clone(), text);
-                self.fail(fault.help("effect referenced zone 30s"))
+                let diagnostic = Diagnostic::new(self.name.span.clone(), text);
+                self.fail(diagnostic.help("effect referenced zone 30s"))
             }
             (word, [next, ..]) => {
                 let next_word = shown(&next.word.text);
--- a/crates/plan/src/fault.rs
+++ b/crates/plan/src/diagnostic.rs
@@ -1,33 +1,42 @@
-//! Faults of a plan, and how they are printed: place, cause, the line, a suggestion.
+//! Diagnostics of a plan, and how they are printed: place, cause, the line, a suggestion.
 
 mod render;
 
 use crate::files::Span;
 
-pub use render::{render, MAX_RENDERED_FAULTS};
+pub use render::{render, MAX_RENDERED_DIAGNOSTICS};
 
 /// Characters of a word that a message shows; a longer one is cut.
 const MAX_WORD_CHARS: usize = 48;
 
-/// A fault of a plan.
+/// An error in a plan, for those who write it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where it is.
     pub span: Span,
     /// What is wrong.
     pub text: String,
     /// A short text beside the marked place.
     pub label: Option<String>,
-    /// Other places that matter, and why.
-    pub related: Vec<(Span, String)>,
+    /// Other places that matter.
+    pub related: Vec<RelatedPlace>,
     /// What to do about it.
     pub help: Option<String>,
 }
 
-impl Fault {
-    /// A fault at a place.
+/// A place that helps to understand a diagnostic.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RelatedPlace {
+    /// Where it is.
+    pub span: Span,
+    /// Why it matters.
+    pub reason: String,
+}
+
+impl Diagnostic {
+    /// An error at a place.
     pub fn new(span: Span, text: impl Into<String>) -> Self {
-        Fault {
+        Diagnostic {
             span,
             text: text.into(),
             label: None,
@@ -43,8 +52,9 @@
     }
 
     /// Adds another place, with the reason why it matters.
-    pub fn related(mut self, span: Span, text: impl Into<String>) -> Self {
-        self.related.push((span, text.into()));
+    pub fn related(mut self, span: Span, reason: impl Into<String>) -> Self {
+        let reason = reason.into();
+        self.related.push(RelatedPlace { span, reason });
         self
     }
 
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -10,14 +10,14 @@
 
 pub use value_classes::ValueClasses;
 
-/// What a route can ask for: class, tenant, client, key, data set, hour.
+/// What a route can ask for: class, tenant, client, key, data set, minute of the day.
 pub const DIMENSIONS: usize = 6;
 pub(crate) const QUERY_CLASS: usize = 0;
 const TENANT: usize = 1;
 const CLIENT: usize = 2;
 const KEY: usize = 3;
 const DATA_SET: usize = 4;
-const HOUR: usize = 5;
+const MINUTE_OF_DAY: usize = 5;
 
 /// Pieces into which the region of a route may fall; one of more pieces is not computed.
 const MAX_PIECES: usize = 2048;
@@ -34,8 +34,8 @@
 }
 
 /// The region of all queries.
-pub(crate) fn whole(classes: &ValueClasses) -> Region {
-    classes.counts().map(all_of)
+pub(crate) fn all_queries(value_classes: &ValueClasses) -> Region {
+    value_classes.counts().map(all_of)
 }
 
 fn overlaps(a: &Region, b: &Region) -> bool {
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -12,16 +12,16 @@
 
 /// Names by value class; all names that no plan has share the last class.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Names(HashMap<String, usize>);
+pub(super) struct NameClasses(HashMap<String, usize>);
 
-impl Names {
+impl NameClasses {
     fn of<'a>(names: impl Iterator<Item = &'a String>) -> Self {
-        let mut known = HashMap::new();
+        let mut classes = HashMap::new();
         for name in names {
-            let next = known.len();
-            known.entry(name.clone()).or_insert(next);
+            let next = classes.len();
+            classes.entry(name.clone()).or_insert(next);
         }
-        Names(known)
+        NameClasses(classes)
     }
 
     fn class(&self, name: &str) -> usize {
@@ -41,36 +41,36 @@
 /// The value classes that some plans tell apart. They treat two queries alike that agree in every dimension.
 #[derive(Clone, Debug)]
 pub struct ValueClasses {
-    pub(super) query_classes: Names,
-    pub(super) tenants: Names,
+    pub(super) query_classes: NameClasses,
+    pub(super) tenants: NameClasses,
     /// Over the address sets of all plans, one plan after the other.
     pub(super) clients: AddressClasses,
     /// The lowest number of each class of data sets, ascending from 0.
     pub(super) data_sets: Vec<u32>,
-    /// The first minute of the day of each class of hours, ascending from 0.
-    pub(super) hours: Vec<u32>,
+    /// The first minute of each class of minutes of the day, ascending from 0.
+    pub(super) minutes_of_day: Vec<u32>,
 }
 
 impl ValueClasses {
     /// The classes that these plans tell apart together; further names of query classes and tenants get their own.
     pub fn of(plans: &[&Plan], query_classes: &[String], tenants: &[String]) -> Self {
         let sets = plans.iter().flat_map(|plan| &plan.addresses);
-        let spans: Vec<_> = sets.map(|set| set.spans.clone()).collect();
+        let address_sets: Vec<_> = sets.map(|set| set.ranges.clone()).collect();
         let routes = || plans.iter().flat_map(|plan| &plan.routes);
         let data_set_bounds = routes()
             .flat_map(|route| &route.data_sets)
-            .flat_map(|(from, to)| [Some(*from), to.checked_add(1)])
+            .flat_map(|range| [Some(range.first), range.last.checked_add(1)])
             .flatten();
-        let hour_bounds = routes()
-            .flat_map(|route| &route.hours)
-            .flat_map(|(from, until)| [*from, *until])
+        let minute_bounds = routes()
+            .flat_map(|route| &route.times_of_day)
+            .flat_map(|range| [range.from, range.until])
             .filter(|minute| *minute < MINUTES_PER_DAY);
         ValueClasses {
-            query_classes: Names::of(class_names(plans).chain(query_classes)),
-            tenants: Names::of(tenant_names(plans).chain(tenants)),
-            clients: AddressClasses::new(&spans),
+            query_classes: NameClasses::of(class_names(plans).chain(query_classes)),
+            tenants: NameClasses::of(tenant_names(plans).chain(tenants)),
+            clients: AddressClasses::new(&address_sets),
             data_sets: sorted_from_0(data_set_bounds),
-            hours: sorted_from_0(hour_bounds),
+            minutes_of_day: sorted_from_0(minute_bounds),
         }
     }
 
@@ -82,7 +82,7 @@
             self.clients.count(),
             KEY_CLASSES,
             self.data_sets.len(),
-            self.hours.len(),
+            self.minutes_of_day.len(),
         ]
     }
 
@@ -107,8 +107,8 @@
     }
 
     /// The value class of a minute of the day.
-    pub fn hour(&self, minute: u32) -> usize {
-        self.hours.partition_point(|from| *from <= minute) - 1
+    pub fn minute_of_day(&self, minute: u32) -> usize {
+        self.minutes_of_day.partition_point(|from| *from <= minute) - 1
     }
 
     /// The value classes of a query.
@@ -119,7 +119,7 @@
             self.clients.class(query.client),
             usize::from(query.has_key),
             self.data_set(query.data_set),
-            self.hour(query.minute_of_day),
+            self.minute_of_day(query.minute_of_day),
         ]
     }
 
@@ -142,7 +142,7 @@
             CLIENT => route.clients.is_empty() || self.is_client(route, first_set, class),
             KEY => route.key.is_none_or(|key| usize::from(key) == class),
             DATA_SET => route.data_sets.is_empty() || self.is_data_set(route, class),
-            _ => route.is_open_at(self.hours[class]),
+            _ => route.is_open_at(self.minutes_of_day[class]),
         }
     }
 
@@ -155,12 +155,12 @@
     fn is_data_set(&self, route: &Route, class: usize) -> bool {
         let data_set = self.data_sets[class];
         let mut ranges = route.data_sets.iter();
-        ranges.any(|(from, to)| (*from..=*to).contains(&data_set))
+        ranges.any(|range| range.contains(data_set))
     }
 }
 
 /// Whether a value class is that of one of the listed names; an empty list has every class.
-fn is_listed(names: &Names, listed: &[String], class: usize) -> bool {
+fn is_listed(names: &NameClasses, listed: &[String], class: usize) -> bool {
     listed.is_empty() || listed.iter().any(|name| names.class(name) == class)
 }
 
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -1,6 +1,6 @@
 //! Reads a plan with all the files that it includes.
 
-use crate::fault::Fault;
+use crate::diagnostic::Diagnostic;
 use crate::files::{FileId, Files, Span};
 use crate::syntax::{self, Item, Tree};
 use std::collections::BTreeMap;
@@ -110,7 +110,7 @@
     /// Their items in the order of reading, those of an included file in place of the include.
     pub items: Vec<Item>,
     /// What could not be read.
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 /// Reads a plan with all that it includes; a file that is included more than once is read once.
@@ -136,62 +136,75 @@
     fn read_file(&mut self, name: &str, included_at: Option<Span>) {
         let bytes = match self.loader.load(name).and_then(checked_size) {
             Ok(bytes) => bytes,
-            Err(error) => return self.unreadable(name, included_at, &error),
+            Err(error) => return self.report_unreadable(name, included_at, &error),
         };
         let text = match String::from_utf8(bytes) {
             Ok(text) => text,
-            Err(error) => return self.not_utf8(name, included_at, error),
+            Err(error) => return self.report_not_utf8(name, included_at, error),
         };
         let file = self.source.files.next_id();
-        let Tree { items, faults } = syntax::parse(&text, file);
+        let Tree { items, diagnostics } = syntax::parse(&text, file);
         self.source.files.add(name, text, included_at);
-        self.source.faults.extend(faults);
+        self.source.diagnostics.extend(diagnostics);
         self.open_files.push(name.to_string());
         for item in items {
             match item {
-                Item::Include { path, span, .. } => self.include(name, &path.text, span),
+                Item::Include { path, span, .. } => self.read_include(name, &path.text, span),
                 other => self.source.items.push(other),
             }
         }
         self.open_files.pop();
     }
 
-    fn include(&mut self, from: &str, path: &str, span: Span) {
+    fn read_include(&mut self, from: &str, path: &str, span: Span) {
         let name = self.loader.resolve(from, path);
-        if let Some(first) = self.open_files.iter().position(|open| *open == name) {
-            let mut cycle: Vec<&str> = self.open_files[first..]
-                .iter()
-                .map(String::as_str)
-                .collect();
-            cycle.push(&name);
-            let text = format!("`{name}` includes itself: {}", cycle.join(" -> "));
-            let fault = Fault::new(span, text).label("here the loop closes");
-            self.source.faults.push(fault);
-        } else if self.source.files.contains(&name) {
+        if let Some(cycle) = self.include_cycle(&name) {
+            let text = format!("`{name}` includes itself: {cycle}");
+            let diagnostic = Diagnostic::new(span, text).label("here the loop closes");
+            self.source.diagnostics.push(diagnostic);
+            return;
+        }
+        if self.source.files.contains(&name) {
             // It was included elsewhere; its blocks count once.
-        } else if self.open_files.len() >= MAX_INCLUDE_DEPTH {
+            return;
+        }
+        match self.exceeded_limit(&name) {
+            Some(text) => self.source.diagnostics.push(Diagnostic::new(span, text)),
+            None => self.read_file(&name, Some(span)),
+        }
+    }
+
+    /// The chain of includes from a file to itself, where it is being read.
+    fn include_cycle(&self, name: &str) -> Option<String> {
+        let first = self.open_files.iter().position(|open| *open == name)?;
+        let open_files = self.open_files[first..].iter();
+        let mut cycle: Vec<&str> = open_files.map(String::as_str).collect();
+        cycle.push(name);
+        Some(cycle.join(" -> "))
+    }
+
+    /// What is said where one more file is too deep, or too many.
+    fn exceeded_limit(&self, name: &str) -> Option<String> {
+        if self.open_files.len() >= MAX_INCLUDE_DEPTH {
             let text =
                 format!("`{name}` is included {MAX_INCLUDE_DEPTH} files deep, which is the most");
-            self.source.faults.push(Fault::new(span, text));
-        } else if self.source.files.all().len() >= MAX_FILES {
-            let text = format!("a plan has {MAX_FILES} files at most; `{name}` is one more");
-            self.source.faults.push(Fault::new(span, text));
-        } else {
-            self.read_file(&name, Some(span));
+            return Some(text);
         }
+        let is_full = self.source.files.all().len() >= MAX_FILES;
+        is_full.then(|| format!("a plan has {MAX_FILES} files at most; `{name}` is one more"))
     }
 
     /// Reports a file that cannot be loaded at its include; the main file at the start of an empty file of its name.
-    fn unreadable(&mut self, name: &str, included_at: Option<Span>, error: &LoadError) {
+    fn report_unreadable(&mut self, name: &str, included_at: Option<Span>, error: &LoadError) {
         let span = included_at.unwrap_or_else(|| {
             let file = self.source.files.add(name, String::new(), None);
             Span::start_of(file)
         });
         let text = format!("`{name}` can't be read: {error}");
-        self.source.faults.push(Fault::new(span, text));
+        self.source.diagnostics.push(Diagnostic::new(span, text));
     }
 
-    fn not_utf8(&mut self, name: &str, included_at: Option<Span>, error: FromUtf8Error) {
+    fn report_not_utf8(&mut self, name: &str, included_at: Option<Span>, error: FromUtf8Error) {
         let start = error.utf8_error().valid_up_to();
         let text = String::from_utf8_lossy(&error.into_bytes()).into_owned();
         let file: FileId = self.source.files.add(name, text, included_at);
@@ -200,8 +213,9 @@
             start,
             end: start + '\u{fffd}'.len_utf8(),
         };
-        let fault = Fault::new(span, "this is not UTF-8").label("the first byte that is no text");
-        self.source.faults.push(fault);
+        let diagnostic =
+            Diagnostic::new(span, "this is not UTF-8").label("the first byte that is no text");
+        self.source.diagnostics.push(diagnostic);
     }
 }
 
--- a/crates/routing/src/routing.rs
+++ b/crates/routing/src/routing.rs
@@ -91,7 +91,7 @@
                 .map(|name| classes.tenant(name))
                 .collect(),
             minute_rows: (0..MINUTES_PER_DAY)
-                .map(|minute| classes.hour(minute) as u16)
+                .map(|minute| classes.minute_of_day(minute) as u16)
                 .collect(),
             words_per_row,
             matching_routes,
