--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -1,4 +1,20 @@
 //! Calls that end early once nobody waits for their response any more.
+//!
+//! # States of a call
+//!
+//! | state | waits for | next state |
+//! |---|---|---|
+//! | wanted | the response | responded |
+//! | | a cancellation of any kind, or the send deadline | the gate is told to stop the request that starts the attempt: unwanted where it is [`Stopped`](StopOutcome::Stopped), sent where it was [`AlreadySent`](StopOutcome::AlreadySent) |
+//! | sent | the response | responded |
+//! | | a cancellation that forbids polling | unwanted |
+//! | unwanted | nothing | interrupted where the request was stopped, or where the call starts the attempt and its query has finished; otherwise last wait |
+//! | last wait | the response | responded |
+//! | | [`LONG_POLL_LIMIT`], the longest that an engine holds a poll back | interrupted |
+//! | interrupted | nothing: its connection is aborted | |
+//! | responded | nothing: the response goes to the caller | |
+//!
+//! A response that has come goes before all else.
 
 use super::exchange::CallKind;
 use super::start::StreamedBody;
@@ -7,7 +23,7 @@
 use crate::engines::protocol::LONG_POLL_LIMIT;
 use crate::engines::request::RequestBody;
 use crate::engines::response::{CallError, Reply};
-use crate::system::send_gate::SendGate;
+use crate::system::send_gate::{SendGate, StopOutcome};
 use garnetwall_ledger::Evidence;
 use http::Request;
 use std::future::pending;
@@ -15,91 +31,108 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout};
 
+/// How a call ended that nobody may wait for any more.
+pub(super) enum CallOutcome {
+    /// The call ended by itself, with a response or an error.
+    Responded(Result<Reply, CallError>),
+    /// It was interrupted, and its connection is aborted.
+    Interrupted,
+}
+
+/// How long the response is waited for once it is no longer wanted.
+enum LastWait {
+    /// The call is interrupted at once.
+    None,
+    /// As long as an engine may hold a poll back: what it says tells whether the attempt runs.
+    LongPollLimit,
+}
+
 impl EngineAttempt<'_> {
-    /// Sends the request that starts the attempt; none where it was interrupted.
+    /// Sends the request that starts the attempt, until nobody waits for it any more.
     pub(super) async fn start_until_cancelled(
         &mut self,
         request: Request<RequestBody>,
         body: Option<StreamedBody>,
         cancellation: &mut watch::Receiver<CancellationState>,
-    ) -> Option<Result<Reply, CallError>> {
+    ) -> CallOutcome {
         self.call_until_cancelled(CallKind::Start, request, body, cancellation)
             .await
     }
 
-    /// Polls the attempt; none where the poll was interrupted.
+    /// Polls the attempt, until nobody waits for it any more.
     pub(super) async fn poll_until_cancelled(
         &mut self,
         request: Request<RequestBody>,
         cancellation: &mut watch::Receiver<CancellationState>,
-    ) -> Option<Result<Reply, CallError>> {
+    ) -> CallOutcome {
         self.call_until_cancelled(CallKind::Poll, request, None, cancellation)
             .await
     }
 
-    /// One call. Once its response is no longer wanted, it gets as long as an engine may hold a poll back, then it is
-    /// interrupted. A request that starts the attempt is interrupted at once where part of it has not been sent, or where
-    /// the query has finished: what is still on its way would otherwise arrive after the query's answer.
     async fn call_until_cancelled(
         &mut self,
         kind: CallKind,
         request: Request<RequestBody>,
         body: Option<StreamedBody>,
         cancellation: &mut watch::Receiver<CancellationState>,
-    ) -> Option<Result<Reply, CallError>> {
+    ) -> CallOutcome {
         let time_limit = self.poll_timeout();
         let send_deadline = self.send_deadline;
-        let gate = self.send_gate.clone();
-        let gate = gate.as_deref();
+        let send_gate = self.send_gate.clone();
+        let send_gate = send_gate.as_deref();
         let response = {
-            let calling = self.call(kind, request, body, time_limit);
-            tokio::pin!(calling);
+            let response = self.call(kind, request, body, time_limit);
+            tokio::pin!(response);
             tokio::select! {
                 biased;
-                response = &mut calling => return Some(response),
-                () = until_unwanted(cancellation, send_deadline, gate) => {}
+                response = &mut response => return CallOutcome::Responded(response),
+                () = until_unwanted(cancellation, send_deadline, send_gate) => {}
             }
-            let is_query_finished = *cancellation.borrow() == CancellationState::QueryFinished;
-            let interrupt_now = stop_sending(gate) || kind == CallKind::Start && is_query_finished;
-            if interrupt_now {
-                None
-            } else {
-                timeout(LONG_POLL_LIMIT, calling).await.ok()
+            let cancellation = *cancellation.borrow();
+            let start_request = stop_start_request(send_gate);
+            match last_wait(kind, start_request, cancellation) {
+                LastWait::None => None,
+                LastWait::LongPollLimit => timeout(LONG_POLL_LIMIT, response).await.ok(),
             }
         };
-        if response.is_none() {
-            self.abandon_connection(stop_sending(gate));
+        match response {
+            Some(response) => CallOutcome::Responded(response),
+            None => {
+                self.abandon_connection(stop_start_request(send_gate));
+                CallOutcome::Interrupted
+            }
         }
-        response
     }
 
     /// Gives up the connection of an interrupted call: its response would be taken for that of the next call.
-    fn abandon_connection(&mut self, request_stopped: bool) {
+    fn abandon_connection(&mut self, start_request: StopOutcome) {
         self.abort_flag.abort();
         self.sender = None;
         self.record(Evidence::ConnectionUnusable(self.connection));
-        if request_stopped {
+        if start_request == StopOutcome::Stopped {
             self.record(Evidence::NeverReached);
         }
     }
 }
 
-/// Waits until the response is no longer wanted: the request was stopped before it was sent completely, or the attempt
-/// is not to be polled any more.
+/// Waits until the response is no longer wanted: the request that starts the attempt was stopped before it was sent
+/// completely, or the attempt is not to be polled any more.
 async fn until_unwanted(
     cancellation: &mut watch::Receiver<CancellationState>,
     send_deadline: Option<Instant>,
-    gate: Option<&SendGate>,
+    send_gate: Option<&SendGate>,
 ) {
     // The waits for a state fail only once the sender is dropped, by the task that waits for this call.
     tokio::select! {
         _ = cancellation.wait_for(|state| *state != CancellationState::NotRequested) => {}
         () = until_deadline(send_deadline) => {}
     }
-    if stop_sending(gate) {
-        return;
+    match stop_start_request(send_gate) {
+        StopOutcome::Stopped => {}
+        StopOutcome::AlreadySent => {
+            let _ = cancellation.wait_for(|state| !state.allows_polling()).await;
+        }
     }
-    let _ = cancellation.wait_for(|state| !state.allows_polling()).await;
 }
 
 async fn until_deadline(deadline: Option<Instant>) {
@@ -109,7 +142,23 @@
     }
 }
 
-/// Stops the request that starts the attempt unless it has been sent completely; whether it was stopped.
-fn stop_sending(gate: Option<&SendGate>) -> bool {
-    gate.is_some_and(SendGate::stop)
+/// Stops the request that starts the attempt unless it has been sent completely. Without a gate there is none to stop.
+fn stop_start_request(send_gate: Option<&SendGate>) -> StopOutcome {
+    send_gate.map_or(StopOutcome::AlreadySent, SendGate::stop_unless_sent)
+}
+
+/// How long an unwanted call still waits for its response.
+fn last_wait(
+    kind: CallKind,
+    start_request: StopOutcome,
+    cancellation: CancellationState,
+) -> LastWait {
+    if start_request == StopOutcome::Stopped {
+        return LastWait::None;
+    }
+    // What of the request is still on its way would arrive after the query's answer.
+    if kind == CallKind::Start && cancellation == CancellationState::QueryFinished {
+        return LastWait::None;
+    }
+    LastWait::LongPollLimit
 }
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,5 +1,6 @@
 //! Polls an attempt until its end is known, polls can't tell it any more, or its cancellation is requested.
 
+use super::cancellable_call::CallOutcome;
 use super::EngineAttempt;
 use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
@@ -68,8 +69,8 @@
             }
             let poll = self.poll_request(call, 0);
             response = match self.poll_until_cancelled(poll, cancellation).await {
-                Some(response) => response,
-                None => return PollOutcome::CancelRequested,
+                CallOutcome::Responded(response) => response,
+                CallOutcome::Interrupted => return PollOutcome::CancelRequested,
             };
             response_to = ResponseTo::Poll;
         }
@@ -86,10 +87,10 @@
         let Some((request, body)) = self.start_request(call, start) else {
             return ControlFlow::Break(self.never_reached(AttemptEnd::ConnectFailed));
         };
-        let Some(response) = self
+        let outcome = self
             .start_until_cancelled(request, body, cancellation)
-            .await
-        else {
+            .await;
+        let CallOutcome::Responded(response) = outcome else {
             return ControlFlow::Break(PollOutcome::CancelRequested);
         };
         let cancellation = *cancellation.borrow();
--- a/crates/gateway/src/system/budgeted_stream.rs
+++ b/crates/gateway/src/system/budgeted_stream.rs
@@ -1,6 +1,6 @@
 //! A TCP stream that holds its part of the connection budget for as long as it is open.
 
-use crate::system::send_gate::SendGate;
+use crate::system::send_gate::{SendGate, WriteDecision};
 use crate::system::socket::Socket;
 use crate::system::write_timeout::WriteTimeout;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -67,18 +67,22 @@
         self
     }
 
-    fn check_write_allowed(&self) -> io::Result<()> {
-        let is_aborted = self.abort_flag.is_aborted();
-        if is_aborted || !self.send_gate_allows_write() {
+    /// Allows a write, or stops the request that it belongs to.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::ConnectionAborted`] where nothing may be written.
+    fn allow_write_or_stop(&self) -> io::Result<()> {
+        if self.abort_flag.is_aborted() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        Ok(())
-    }
-
-    fn send_gate_allows_write(&self) -> bool {
-        self.send_gate
-            .as_ref()
-            .is_none_or(|gate| gate.allows_write())
+        let Some(gate) = &self.send_gate else {
+            return Ok(());
+        };
+        match gate.allow_write_or_stop() {
+            WriteDecision::Allowed => Ok(()),
+            WriteDecision::Stopped => Err(io::ErrorKind::ConnectionAborted.into()),
+        }
     }
 }
 
@@ -106,7 +110,7 @@
         cx: &mut Context,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.check_write_allowed()?;
+        self.allow_write_or_stop()?;
         let result = Pin::new(&mut self.io).poll_write(cx, buf);
         self.write_timeout.bounded(cx, result)
     }
@@ -132,7 +136,7 @@
         cx: &mut Context,
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        self.check_write_allowed()?;
+        self.allow_write_or_stop()?;
         let result = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
         self.write_timeout.bounded(cx, result)
     }
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -2,6 +2,19 @@
 //!
 //! A query may be answered while the connection of an attempt is still coming up, or while a long request is being
 //! written. An engine that received the rest would run a query that is over.
+//!
+//! # States of the request
+//!
+//! | state | left by | next state |
+//! |---|---|---|
+//! | `NotStarted` | [`start_sending`](SendGate::start_sending) | `Sending` |
+//! | `Sending` | [`body_consumed`](SendGate::body_consumed) | `Buffered` |
+//! | `Buffered` | `flushed` | `Sent` |
+//! | `NotStarted`, `Sending`, `Buffered` | [`release`](SendGate::release) | `Sent` |
+//! | `NotStarted`, `Sending`, `Buffered` | `allow_write_or_stop`, where a write is not allowed | `Stopped` |
+//! | `NotStarted`, `Sending`, `Buffered` | [`stop_unless_sent`](SendGate::stop_unless_sent) | `Stopped` |
+//! | `Sent` | nothing: every write is allowed from then on | |
+//! | `Stopped` | nothing: no write is allowed any more | |
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
@@ -16,7 +29,7 @@
     Sending,
     /// Handed to the connection up to its last byte, which may still be in its buffer.
     Buffered,
-    /// Written to the socket completely. Final.
+    /// Written to the socket completely, or followed by a later call of its attempt. Final.
     Sent,
     /// Stopped before it was written completely. Final.
     Stopped,
@@ -54,12 +67,29 @@
     }
 }
 
+/// What a request to stop has achieved. Final: asking again gives the same.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StopOutcome {
+    /// The request is stopped, by now or before: its engine never receives it completely.
+    Stopped,
+    /// The request had been sent before it could be stopped: its engine may run it.
+    AlreadySent,
+}
+
+/// Whether bytes may be written to the connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WriteDecision {
+    /// They may be written.
+    Allowed,
+    /// They may not, and the request is stopped.
+    Stopped,
+}
+
 /// Decides right before each write whether the request that starts an attempt may still be sent.
 pub struct SendGate {
     may_start: Box<dyn Fn() -> bool + Send + Sync>,
     is_wanted: Box<dyn Fn() -> bool + Send + Sync>,
     state: SharedState,
-    /// The first write was allowed.
     has_started: AtomicBool,
 }
 
@@ -102,41 +132,46 @@
         self.state.advance(SendState::Buffered, SendState::Sent);
     }
 
-    /// Lets later calls on the same connection through, whatever became of the request; a stopped gate stays stopped.
+    /// A later call of the attempt begins, perhaps on the same connection. It is let through, whatever became of the
+    /// request, unless that was stopped.
     pub fn release(&self) {
         if !self.is_stopped() {
             self.state.set(SendState::Sent);
         }
     }
 
-    /// Whether bytes may be written. Once they may not, the request is stopped.
-    pub(super) fn allows_write(&self) -> bool {
+    /// Allows a write, or stops the request for good.
+    pub(super) fn allow_write_or_stop(&self) -> WriteDecision {
         match self.state.get() {
-            SendState::Sent => true,
-            SendState::Stopped => false,
+            SendState::Sent => WriteDecision::Allowed,
+            SendState::Stopped => WriteDecision::Stopped,
             SendState::NotStarted | SendState::Sending | SendState::Buffered => {
-                self.check_still_wanted()
+                self.stop_unless_wanted()
             }
         }
     }
 
-    fn check_still_wanted(&self) -> bool {
-        let has_started = self.has_started.load(Ordering::Relaxed);
-        let is_allowed = (self.is_wanted)() && (has_started || (self.may_start)());
-        if is_allowed {
-            self.has_started.store(true, Ordering::Relaxed);
-        } else {
+    fn stop_unless_wanted(&self) -> WriteDecision {
+        let is_begun = self.has_started.load(Ordering::Relaxed);
+        let is_allowed = (self.is_wanted)() && (is_begun || (self.may_start)());
+        if !is_allowed {
             self.state.set(SendState::Stopped);
+            return WriteDecision::Stopped;
         }
-        is_allowed
+        self.has_started.store(true, Ordering::Relaxed);
+        WriteDecision::Allowed
     }
 
-    /// Stops the request unless it was written to the socket completely; whether it is stopped.
-    pub fn stop(&self) -> bool {
+    /// Stops the request unless it was written to the socket completely.
+    pub fn stop_unless_sent(&self) -> StopOutcome {
         if self.state.get() != SendState::Sent {
             self.state.set(SendState::Stopped);
         }
-        self.is_stopped()
+        if self.is_stopped() {
+            StopOutcome::Stopped
+        } else {
+            StopOutcome::AlreadySent
+        }
     }
 
     /// Whether the request was stopped, so that its engine never receives it completely.
--- a/crates/gateway/src/system/send_gate/tests.rs
+++ b/crates/gateway/src/system/send_gate/tests.rs
@@ -31,7 +31,7 @@
     let test = TestGate::new();
     test.may_start.store(false, Ordering::Relaxed);
     test.gate.start_sending();
-    assert!(!test.gate.allows_write());
+    assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
     assert!(test.gate.is_stopped());
 }
 
@@ -39,23 +39,23 @@
 fn a_request_that_has_started_may_end_while_its_engine_drains() {
     let test = TestGate::new();
     test.gate.start_sending();
-    assert!(test.gate.allows_write());
+    assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
     test.may_start.store(false, Ordering::Relaxed);
-    assert!(test.gate.allows_write());
+    assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
 }
 
 #[test]
 fn a_request_that_nobody_waits_for_is_stopped_for_good() {
     let test = TestGate::new();
     test.gate.start_sending();
-    assert!(test.gate.allows_write());
+    assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
     test.is_wanted.store(false, Ordering::Relaxed);
-    assert!(!test.gate.allows_write());
+    assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
     test.is_wanted.store(true, Ordering::Relaxed);
     test.gate.body_consumed();
     test.gate.flushed();
     test.gate.release();
-    assert!(!test.gate.allows_write());
+    assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
 }
 
 #[test]
@@ -63,7 +63,7 @@
     let test = TestGate::new();
     test.gate.start_sending();
     test.gate.flushed();
-    assert!(test.gate.stop());
+    assert_eq!(test.gate.stop_unless_sent(), StopOutcome::Stopped);
 }
 
 #[test]
@@ -73,6 +73,6 @@
     test.gate.body_consumed();
     test.gate.flushed();
     test.is_wanted.store(false, Ordering::Relaxed);
-    assert!(!test.gate.stop());
-    assert!(test.gate.allows_write());
+    assert_eq!(test.gate.stop_unless_sent(), StopOutcome::AlreadySent);
+    assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
 }
