--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -119,8 +119,8 @@
             return;
         };
         match kind {
-            CallKind::Start => gate.start_sending(),
-            CallKind::Poll | CallKind::Other => gate.release(),
+            CallKind::Start => gate.sending_started(),
+            CallKind::Poll | CallKind::Other => gate.later_call_begins(),
         }
     }
 
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -7,10 +7,10 @@
 //!
 //! | state | left by | next state |
 //! |---|---|---|
-//! | `NotStarted` | [`start_sending`](SendGate::start_sending) | `Sending` |
+//! | `NotStarted` | [`sending_started`](SendGate::sending_started) | `Sending` |
 //! | `Sending` | [`body_consumed`](SendGate::body_consumed) | `Buffered` |
 //! | `Buffered` | `flushed` | `Sent` |
-//! | `NotStarted`, `Sending`, `Buffered` | [`release`](SendGate::release) | `Sent` |
+//! | `NotStarted`, `Sending`, `Buffered` | [`later_call_begins`](SendGate::later_call_begins) | `Sent` |
 //! | `NotStarted`, `Sending`, `Buffered` | `allow_write_or_stop`, where a write is not allowed | `Stopped` |
 //! | `NotStarted`, `Sending`, `Buffered` | [`stop_unless_sent`](SendGate::stop_unless_sent) | `Stopped` |
 //! | `Sent` | nothing: every write is allowed from then on | |
@@ -90,7 +90,7 @@
     may_start: Box<dyn Fn() -> bool + Send + Sync>,
     is_wanted: Box<dyn Fn() -> bool + Send + Sync>,
     state: SharedState,
-    has_started: AtomicBool,
+    first_write_allowed: AtomicBool,
 }
 
 impl fmt::Debug for SendGate {
@@ -112,12 +112,12 @@
             may_start: Box::new(may_start),
             is_wanted: Box::new(is_wanted),
             state: SharedState::new(SendState::NotStarted),
-            has_started: AtomicBool::new(false),
+            first_write_allowed: AtomicBool::new(false),
         }
     }
 
     /// The request is handed to the connection from now on.
-    pub fn start_sending(&self) {
+    pub fn sending_started(&self) {
         self.state
             .advance(SendState::NotStarted, SendState::Sending);
     }
@@ -134,7 +134,7 @@
 
     /// A later call of the attempt begins, perhaps on the same connection. It is let through, whatever became of the
     /// request, unless that was stopped.
-    pub fn release(&self) {
+    pub fn later_call_begins(&self) {
         if !self.is_stopped() {
             self.state.set(SendState::Sent);
         }
@@ -152,13 +152,13 @@
     }
 
     fn stop_unless_wanted(&self) -> WriteDecision {
-        let is_begun = self.has_started.load(Ordering::Relaxed);
+        let is_begun = self.first_write_allowed.load(Ordering::Relaxed);
         let is_allowed = (self.is_wanted)() && (is_begun || (self.may_start)());
         if !is_allowed {
             self.state.set(SendState::Stopped);
             return WriteDecision::Stopped;
         }
-        self.has_started.store(true, Ordering::Relaxed);
+        self.first_write_allowed.store(true, Ordering::Relaxed);
         WriteDecision::Allowed
     }
 
--- a/crates/gateway/src/system/send_gate/tests.rs
+++ b/crates/gateway/src/system/send_gate/tests.rs
@@ -30,7 +30,7 @@
 fn a_request_whose_engine_takes_no_new_attempts_does_not_start() {
     let test = TestGate::new();
     test.may_start.store(false, Ordering::Relaxed);
-    test.gate.start_sending();
+    test.gate.sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
     assert!(test.gate.is_stopped());
 }
@@ -38,7 +38,7 @@
 #[test]
 fn a_request_that_has_started_may_end_while_its_engine_drains() {
     let test = TestGate::new();
-    test.gate.start_sending();
+    test.gate.sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
     test.may_start.store(false, Ordering::Relaxed);
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
@@ -47,21 +47,21 @@
 #[test]
 fn a_request_that_nobody_waits_for_is_stopped_for_good() {
     let test = TestGate::new();
-    test.gate.start_sending();
+    test.gate.sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
     test.is_wanted.store(false, Ordering::Relaxed);
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
     test.is_wanted.store(true, Ordering::Relaxed);
     test.gate.body_consumed();
     test.gate.flushed();
-    test.gate.release();
+    test.gate.later_call_begins();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Stopped);
 }
 
 #[test]
 fn a_flush_before_the_last_byte_does_not_count_as_sent() {
     let test = TestGate::new();
-    test.gate.start_sending();
+    test.gate.sending_started();
     test.gate.flushed();
     assert_eq!(test.gate.stop_unless_sent(), StopOutcome::Stopped);
 }
@@ -69,7 +69,7 @@
 #[test]
 fn a_request_that_was_sent_completely_can_t_be_stopped() {
     let test = TestGate::new();
-    test.gate.start_sending();
+    test.gate.sending_started();
     test.gate.body_consumed();
     test.gate.flushed();
     test.is_wanted.store(false, Ordering::Relaxed);
