--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -17,7 +17,7 @@
 //! A response that has come goes before all else.
 
 use super::exchange::CallKind;
-use super::start::StreamedBody;
+use super::start::{StartRequest, StreamedBody};
 use super::EngineAttempt;
 use crate::engines::call::CancellationState;
 use crate::engines::protocol::LONG_POLL_LIMIT;
@@ -51,11 +51,14 @@
     /// Sends the request that starts the attempt, until nobody waits for it any more.
     pub(super) async fn start_until_cancelled(
         &mut self,
-        request: Request<RequestBody>,
-        body: Option<StreamedBody>,
+        start_request: StartRequest,
         cancellation: &mut watch::Receiver<CancellationState>,
     ) -> CallOutcome {
-        self.call_until_cancelled(CallKind::Start, request, body, cancellation)
+        let StartRequest {
+            request,
+            streamed_body,
+        } = start_request;
+        self.call_until_cancelled(CallKind::Start, request, streamed_body, cancellation)
             .await
     }
 
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -1,6 +1,7 @@
 //! Fetches the pages of a result after the first.
 
 use super::exchange::CallKind;
+use super::polling::NextPoll;
 use super::EngineAttempt;
 use crate::engines::call::{AttemptResult, Call};
 use crate::engines::protocol::response_header;
@@ -43,7 +44,7 @@
         schedule: &mut PollSchedule,
     ) -> Result<Bytes, AttemptEnd> {
         let mut previous = Ok(());
-        while self.wait_for_next_poll(schedule, previous).await {
+        while self.wait_for_next_poll(schedule, previous).await == NextPoll::Due {
             let request = self.poll_request(call, page);
             let time_limit = self.poll_timeout();
             previous = match self.call(CallKind::Poll, request, None, time_limit).await {
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -32,6 +32,15 @@
     }
 }
 
+/// Whether an attempt is polled again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum NextPoll {
+    /// Its time has come.
+    Due,
+    /// Further polls can't tell the outcome.
+    Useless,
+}
+
 /// Whether a response answers the request that starts the attempt, or a later poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseTo {
@@ -64,7 +73,8 @@
                 self.drop_connection_if_invalid(checked);
                 return PollOutcome::CancelRequested;
             }
-            if !self.wait_for_next_poll(&mut schedule, checked).await {
+            let next_poll = self.wait_for_next_poll(&mut schedule, checked).await;
+            if next_poll == NextPoll::Useless {
                 return PollOutcome::Unknown;
             }
             let poll = self.poll_request(call, 0);
@@ -84,12 +94,10 @@
         start: &AttemptStart,
         cancellation: &mut watch::Receiver<CancellationState>,
     ) -> ControlFlow<PollOutcome, Result<Reply, CallError>> {
-        let Some((request, body)) = self.start_request(call, start) else {
+        let Some(request) = self.start_request(call, start) else {
             return ControlFlow::Break(self.never_reached(AttemptEnd::ConnectFailed));
         };
-        let outcome = self
-            .start_until_cancelled(request, body, cancellation)
-            .await;
+        let outcome = self.start_until_cancelled(request, cancellation).await;
         let CallOutcome::Responded(response) = outcome else {
             return ControlFlow::Break(PollOutcome::CancelRequested);
         };
@@ -184,11 +192,11 @@
         response_to: ResponseTo,
     ) -> PollOutcome {
         let answers_start = response_to == ResponseTo::Start;
-        self.record(if answers_start {
-            Evidence::Ended
-        } else {
-            Evidence::ReportedFailed(self.connection)
-        });
+        let evidence = match response_to {
+            ResponseTo::Start => Evidence::Ended,
+            ResponseTo::Poll => Evidence::ReportedFailed(self.connection),
+        };
+        self.record(evidence);
         let failed = reported == AttemptEnd::Failed;
         let end = match weigh_reported_end(answers_start, failed, !self.may_run()) {
             ReportVerdict::Accepted => reported,
@@ -201,12 +209,12 @@
         })
     }
 
-    /// Waits after a call until the next poll is due; false where further polls can't tell the outcome.
+    /// Waits after a call until the next poll is due.
     pub(super) async fn wait_for_next_poll(
         &mut self,
         schedule: &mut PollSchedule,
         response: Result<(), CallError>,
-    ) -> bool {
+    ) -> NextPoll {
         let now = self.engines.now();
         let step = match response {
             Ok(()) => schedule.answered(now),
@@ -214,13 +222,13 @@
         };
         self.drop_connection_if_invalid(response);
         let PollStep::PollAgain(pause) = step else {
-            return false;
+            return NextPoll::Useless;
         };
         // A call that timed out has taken at least as long as the pause.
         let has_waited = response == Err(CallError::TimedOut);
         if !pause.is_zero() && !has_waited {
             sleep(pause).await;
         }
-        true
+        NextPoll::Due
     }
 }
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -18,6 +18,13 @@
 /// Chunks of a streamed body that may wait for the connection.
 const BODY_CHANNEL_CAPACITY: usize = 1;
 
+/// The request that starts an attempt.
+pub(super) struct StartRequest {
+    pub(super) request: Request<RequestBody>,
+    /// Its body, where that is still being received from the client; otherwise the request holds all of it.
+    pub(super) streamed_body: Option<StreamedBody>,
+}
+
 /// A body that is sent while it is still being received from the client.
 pub(super) struct StreamedBody {
     reader: Reader,
@@ -27,39 +34,55 @@
 }
 
 impl EngineAttempt<'_> {
-    /// The request that starts the attempt, with its body where that is streamed; none where the body is not stored any
-    /// more.
-    pub(super) fn start_request(
-        &self,
-        call: &Call,
-        start: &AttemptStart,
-    ) -> Option<(Request<RequestBody>, Option<StreamedBody>)> {
-        let mut request = request(Method::POST, self.target.address, START_PATH);
-        let (source, length, streamed) = match &call.statement {
-            Statement::Complete(bytes) => {
-                let source = Either::Left(Full::new(bytes.clone()));
-                (source, Some(bytes.len() as u64), None)
-            }
+    /// The request that starts the attempt; none where its body is not stored any more.
+    pub(super) fn start_request(&self, call: &Call, start: &AttemptStart) -> Option<StartRequest> {
+        match &call.statement {
+            Statement::Complete(bytes) => Some(self.complete_start_request(call, bytes)),
             Statement::Streamed(body) => {
                 let reader = body.reader(start.is_retry).ok()?;
-                let length = body.length();
-                let (sender, receiver) = Channel::new(BODY_CHANNEL_CAPACITY);
-                insert_content_length(request.headers_mut(), length);
-                let streamed = StreamedBody {
-                    reader,
-                    length,
-                    sender,
-                };
-                (Either::Right(receiver), length, Some(streamed))
+                Some(self.streamed_start_request(call, reader, body.length()))
             }
+        }
+    }
+
+    fn complete_start_request(&self, call: &Call, statement: &Bytes) -> StartRequest {
+        let mut request = request(Method::POST, self.target.address, START_PATH);
+        insert_query_headers(request.headers_mut(), call);
+        *request.body_mut() = RequestBody {
+            source: Either::Left(Full::new(statement.clone())),
+            remaining_bytes: Some(statement.len() as u64),
+            gate: self.send_gate.clone(),
         };
+        StartRequest {
+            request,
+            streamed_body: None,
+        }
+    }
+
+    fn streamed_start_request(
+        &self,
+        call: &Call,
+        reader: Reader,
+        length: Option<u64>,
+    ) -> StartRequest {
+        let (sender, receiver) = Channel::new(BODY_CHANNEL_CAPACITY);
+        let mut request = request(Method::POST, self.target.address, START_PATH);
+        insert_content_length(request.headers_mut(), length);
         insert_query_headers(request.headers_mut(), call);
         *request.body_mut() = RequestBody {
-            source,
+            source: Either::Right(receiver),
             remaining_bytes: length,
             gate: self.send_gate.clone(),
         };
-        Some((request, streamed))
+        let streamed_body = StreamedBody {
+            reader,
+            length,
+            sender,
+        };
+        StartRequest {
+            request,
+            streamed_body: Some(streamed_body),
+        }
     }
 
     /// Tells the engine the milliseconds until the response deadline. Set right before the request is sent, since
