--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -21,7 +21,7 @@
 use crate::system::clock::span;
 use crate::system::resource_budget::ResourceBudget;
 use crate::system::send_gate::SendGate;
-use attempt::EngineAttempt;
+use attempt::EngineSession;
 use garnetwall::api::{AttemptEnd, EngineId};
 use garnetwall_ledger::{Bounds, Ledger};
 use garnetwall_settings::NetworkTimeouts;
@@ -114,8 +114,8 @@
     ) -> AttemptResult {
         let id = self.ledger().open(self.now(), self.assumed_run_time(call));
         let send_gate = self.send_gate(target, &start, cancellation.clone());
-        let mut attempt = EngineAttempt::of_query(self, target, id, send_gate, &start);
-        let result = attempt.run(call, &start, cancellation, events).await;
+        let mut session = EngineSession::for_attempt(self, target, id, send_gate, &start);
+        let result = session.run(call, &start, cancellation, events).await;
         self.ledger().close(id);
         result
     }
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -39,7 +39,7 @@
 
 /// One attempt, or one health check, at an engine. It has one connection at a time, which no other attempt uses and
 /// which is replaced once it is lost or has carried what can't be read.
-pub(super) struct EngineAttempt<'a> {
+pub(super) struct EngineSession<'a> {
     engines: &'a Engines,
     target: Target,
     /// None for a health check.
@@ -63,9 +63,9 @@
     call_timeout: CallTimeout,
 }
 
-impl<'a> EngineAttempt<'a> {
+impl<'a> EngineSession<'a> {
     /// An attempt of a query.
-    pub(super) fn of_query(
+    pub(super) fn for_attempt(
         engines: &'a Engines,
         target: Target,
         ledger_id: AttemptId,
@@ -74,19 +74,19 @@
     ) -> Self {
         let earlier_send_deadline =
             Some(start.send_deadline).filter(|by| *by < start.response_deadline);
-        EngineAttempt {
+        EngineSession {
             ledger_id: Some(ledger_id),
             send_gate: Some(Arc::new(send_gate)),
             send_deadline: earlier_send_deadline,
             response_deadline: start.response_deadline,
-            ..EngineAttempt::of_health_check(engines, target)
+            ..EngineSession::for_health_check(engines, target)
         }
     }
 
     /// A health check, which is in no ledger and has no deadline of its own.
-    pub(super) fn of_health_check(engines: &'a Engines, target: Target) -> Self {
+    pub(super) fn for_health_check(engines: &'a Engines, target: Target) -> Self {
         let now = Instant::now();
-        EngineAttempt {
+        EngineSession {
             engines,
             target,
             ledger_id: None,
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -1,7 +1,7 @@
 //! Cancels an attempt at its engine, until it is proved that it does not run any more.
 
 use super::exchange::CallKind;
-use super::EngineAttempt;
+use super::EngineSession;
 use crate::engines::call::Call;
 use crate::engines::request::{attempt_path, request};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// Does what the ledger asks for, step by step, until it has a proof that the attempt does not run.
     pub(super) async fn cancel(&mut self, call: &Call) -> Proof {
         let Some(id) = self.ledger_id else {
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -18,7 +18,7 @@
 
 use super::exchange::CallKind;
 use super::start::{StartRequest, StreamedBody};
-use super::EngineAttempt;
+use super::EngineSession;
 use crate::engines::call::CancellationState;
 use crate::engines::protocol::LONG_POLL_LIMIT;
 use crate::engines::request::RequestBody;
@@ -47,7 +47,7 @@
     LongPollLimit,
 }
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// Sends the request that starts the attempt, until nobody waits for it any more.
     pub(super) async fn start_until_cancelled(
         &mut self,
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -2,7 +2,7 @@
 //! what the call proves.
 
 use super::start::StreamedBody;
-use super::EngineAttempt;
+use super::EngineSession;
 use crate::engines::connect::EngineConnection;
 use crate::engines::request::{RequestBody, Sender};
 use crate::engines::response::{receive_reply, CallError, Reply};
@@ -24,7 +24,7 @@
     Other,
 }
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// Sends the request of a health check.
     pub(in crate::engines) async fn check_health(
         &mut self,
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::CallKind;
 use super::polling::NextPoll;
-use super::EngineAttempt;
+use super::EngineSession;
 use crate::engines::call::{AttemptResult, Call};
 use crate::engines::protocol::response_header;
 use crate::engines::response::{CallError, Reply};
@@ -12,7 +12,7 @@
 use garnetwall_ledger::PollSchedule;
 use http::StatusCode;
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// Fetches all pages after the first. Where one can't be had, the result still tells how the attempt ended.
     pub(super) async fn fetch_pages(
         &mut self,
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,7 +1,7 @@
 //! Polls an attempt until its end is known, polls can't tell it any more, or its cancellation is requested.
 
 use super::cancellable_call::CallOutcome;
-use super::EngineAttempt;
+use super::EngineSession;
 use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
 use garnetwall::api::AttemptEnd;
@@ -48,7 +48,7 @@
     Poll,
 }
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// Sends the request and polls the attempt. A request that was not answered may have arrived all the same, so that the
     /// outcome is polled for; an engine repeats the response of an attempt that succeeded.
     pub(super) async fn poll_until_end(
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -1,6 +1,6 @@
 //! The request that starts an attempt, and its body on the way to the engine.
 
-use super::EngineAttempt;
+use super::EngineSession;
 use crate::engines::call::{AttemptStart, Call, Statement};
 use crate::engines::protocol::request_header;
 use crate::engines::request::{request, RequestBody, START_PATH};
@@ -33,7 +33,7 @@
     sender: BodySender<Bytes, ReadError>,
 }
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// The request that starts the attempt; none where its body is not stored any more.
     pub(super) fn start_request(&self, call: &Call, start: &AttemptStart) -> Option<StartRequest> {
         match &call.statement {
--- a/crates/gateway/src/engines/health_check.rs
+++ b/crates/gateway/src/engines/health_check.rs
@@ -1,6 +1,6 @@
 //! Health checks of engines, warming up of new ones, and the log of engines that become unreachable.
 
-use super::attempt::EngineAttempt;
+use super::attempt::EngineSession;
 use super::request::request;
 use super::response::{CallError, Reply};
 use super::Engines;
@@ -44,7 +44,7 @@
     async fn check_target(&self, target: Target) -> (AttemptEnd, Option<LoadReport>) {
         let stats = request(Method::GET, target.address, HEALTH_CHECK_PATH);
         let time_limit = self.connect_timeout * 2;
-        let response = EngineAttempt::of_health_check(self, target)
+        let response = EngineSession::for_health_check(self, target)
             .check_health(stats, time_limit)
             .await;
         let report = response.as_ref().ok().and_then(Reply::load_report);
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -50,14 +50,14 @@
 
 /// An attempt as the scheduler knows it.
 #[derive(Clone, Copy, Debug)]
-struct Attempt {
+struct ScheduledAttempt {
     engine: EngineId,
     /// Its number within the query, from 0.
     number: u32,
     started_at: Instant,
 }
 
-impl Attempt {
+impl ScheduledAttempt {
     fn outcome(&self, result: &AttemptResult, query_status: QueryStatus) -> AttemptOutcome {
         let is_finished = query_status == QueryStatus::Finished;
         AttemptOutcome {
@@ -95,7 +95,7 @@
                     response_deadline,
                     send_deadline,
                 } => {
-                    let attempt = Attempt {
+                    let attempt = ScheduledAttempt {
                         engine,
                         number: attempts_begun,
                         started_at: Instant::now(),
@@ -132,7 +132,7 @@
     }
 
     /// Runs one attempt until it has ended, which may be later than the query's answer.
-    async fn run_attempt(&mut self, attempt: Attempt, start: AttemptStart) -> QueryStatus {
+    async fn run_attempt(&mut self, attempt: ScheduledAttempt, start: AttemptStart) -> QueryStatus {
         let ended = match self.engines.target(attempt.engine) {
             Some(target) => AttemptInFlight::run(self, attempt, target, start).await,
             None => EndedAttempt {
@@ -144,7 +144,7 @@
     }
 
     /// Reports that the outcome of an attempt is unknown for now, and answers the query where that follows.
-    fn outcome_unknown(&self, attempt: Attempt, end: AttemptEnd) -> QueryStatus {
+    fn outcome_unknown(&self, attempt: ScheduledAttempt, end: AttemptEnd) -> QueryStatus {
         self.report_discarded_body();
         let outcome = attempt.outcome(&AttemptResult::of(end), QueryStatus::Open);
         match self.scheduler.outcome_unknown(self.id, outcome) {
@@ -157,7 +157,7 @@
     }
 
     /// Reports the end of an attempt, and answers the query where that follows.
-    fn attempt_ended(&self, attempt: Attempt, ended: EndedAttempt) -> QueryStatus {
+    fn attempt_ended(&self, attempt: ScheduledAttempt, ended: EndedAttempt) -> QueryStatus {
         let CheckedResult { result, rows } = self.check_rows(attempt, ended.result);
         self.engines.record_attempt_end(attempt.engine, result.end);
         let outcome = attempt.outcome(&result, ended.query_status);
@@ -183,7 +183,7 @@
     }
 
     /// Decodes the rows of a success; one with malformed rows counts as a failure of its engine.
-    fn check_rows(&self, attempt: Attempt, result: AttemptResult) -> CheckedResult {
+    fn check_rows(&self, attempt: ScheduledAttempt, result: AttemptResult) -> CheckedResult {
         if result.end != AttemptEnd::Succeeded {
             return CheckedResult { result, rows: None };
         }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -1,6 +1,6 @@
 //! One attempt while it is in flight: its exchange with the engine beside its deadline, its events and the scheduler's commands.
 
-use super::{Attempt, EndedAttempt, QueryStatus, QueryTask};
+use super::{EndedAttempt, QueryStatus, QueryTask, ScheduledAttempt};
 use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, Target};
 use crate::scheduling::scheduler::{Command, Scheduler};
 use garnetwall::api::{AttemptEnd, Progress};
@@ -24,7 +24,7 @@
 /// An attempt in flight, with what has been asked of it and what it has reported.
 pub(super) struct AttemptInFlight<'a> {
     task: &'a mut QueryTask,
-    attempt: Attempt,
+    attempt: ScheduledAttempt,
     cancellation: watch::Sender<CancellationState>,
     unknown_outcome: watch::Receiver<Option<AttemptEnd>>,
     progress: watch::Receiver<Option<Progress>>,
@@ -36,7 +36,7 @@
     /// Runs an attempt until it has ended.
     pub(super) async fn run(
         task: &'a mut QueryTask,
-        attempt: Attempt,
+        attempt: ScheduledAttempt,
         target: Target,
         start: AttemptStart,
     ) -> EndedAttempt {
@@ -184,7 +184,7 @@
 /// The exchange with the engine; a non-idempotent query is recorded in the journal first.
 fn exchange(
     task: &QueryTask,
-    attempt: Attempt,
+    attempt: ScheduledAttempt,
     target: Target,
     start: AttemptStart,
     cancellation: watch::Receiver<CancellationState>,
