--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -9,6 +9,16 @@
 //! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: `Cancelled`, `NotNeeded`, `ConnectFailed`, or `ConnectionLost` after an unknown outcome |
 //! | ended | [`AttemptResult`] | |
 //!
+//! Five types stand for one attempt, each for what its owner has to know:
+//!
+//! | type | owner | what it is for | created | dropped |
+//! |---|---|---|---|---|
+//! | `Attempt` in `src/controller/attempt_state.rs` | decision module, in the state of the query | the load that the engine counts for it, and when it is overdue | as the engine is chosen | as `attempt_ended` reports its end |
+//! | `ScheduledAttempt` in `scheduling/query_task.rs` | task of the query | engine, number and start, with which its outcome is reported | on `Command::BeginAttempt` | once its end is reported |
+//! | `AttemptInFlight` in `scheduling/query_task/attempt_in_flight.rs` | task of the query | response deadline, commands and events beside the exchange with the engine | once the engine's address is known | as the exchange ends |
+//! | `AttemptId`, and `OpenAttempt` behind it, in `crates/ledger` | [`Engines`] | the proof that it does not run any more | before the session, once the journal allows the attempt | after the session |
+//! | [`EngineSession`] | `Engines::run_attempt` | connection, calls, deadlines | with its ledger entry | once it has ended, or can't be running any more |
+//!
 //! Two deadlines bound an attempt. From its *response deadline* on nobody waits for its response; the engine is told the
 //! time that remains until then. By its *send deadline* its request has been sent completely or is not sent: engines
 //! detect a repeated query only within a limited time. [`CancellationState`] says what is still wanted of it; all facts
@@ -37,8 +47,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// One attempt, or one health check, at an engine. It has one connection at a time, which no other attempt uses and
-/// which is replaced once it is lost or has carried what can't be read.
+/// The calls of one attempt, or of one health check, to its engine. It has one connection at a time, which no other session
+/// uses and which is replaced once it is lost or has carried what can't be read.
 pub(super) struct EngineSession<'a> {
     engines: &'a Engines,
     target: Target,
@@ -64,7 +74,7 @@
 }
 
 impl<'a> EngineSession<'a> {
-    /// An attempt of a query.
+    /// The session of an attempt of a query.
     pub(super) fn for_attempt(
         engines: &'a Engines,
         target: Target,
@@ -83,7 +93,7 @@
         }
     }
 
-    /// A health check, which is in no ledger and has no deadline of its own.
+    /// The session of a health check, which is in no ledger and has no deadline of its own.
     pub(super) fn for_health_check(engines: &'a Engines, target: Target) -> Self {
         let now = Instant::now();
         EngineSession {
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -48,7 +48,7 @@
     Finished,
 }
 
-/// An attempt as the scheduler knows it.
+/// What an attempt is reported with to the scheduler, which chose its engine.
 #[derive(Clone, Copy, Debug)]
 struct ScheduledAttempt {
     engine: EngineId,
