--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -4,9 +4,9 @@
 //! holds the lifecycle of one attempt, `protocol` all names on the wire and time limits.
 
 mod attempt;
-mod call;
 mod connect;
 mod health_check;
+mod messages;
 mod protocol;
 mod request;
 mod response;
@@ -15,7 +15,9 @@
 mod tests;
 
 pub use crate::discovery::Target;
-pub use call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState, Statement};
+pub use messages::{
+    AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery, Statement,
+};
 
 use crate::discovery::EngineList;
 use crate::system::clock::span;
@@ -107,23 +109,23 @@
     pub async fn run_attempt(
         &self,
         target: Target,
-        call: &Call,
+        query: &ForwardedQuery,
         start: AttemptStart,
         cancellation: watch::Receiver<CancellationState>,
         events: AttemptEvents,
     ) -> AttemptResult {
-        let id = self.ledger().open(self.now(), self.assumed_run_time(call));
+        let id = self.ledger().open(self.now(), self.assumed_run_time(query));
         let send_gate = self.send_gate(target, &start, cancellation.clone());
         let mut session = EngineSession::for_attempt(self, target, id, send_gate, &start);
-        let result = session.run(call, &start, cancellation, events).await;
+        let result = session.run(query, &start, cancellation, events).await;
         self.ledger().close(id);
         result
     }
 
     /// For how long an attempt counts as running where only progress events keep it running. The protocol names no end of
     /// that, so that a query that must not overlap the next of its key takes the longest time limit.
-    fn assumed_run_time(&self, call: &Call) -> Duration {
-        if call.in_order {
+    fn assumed_run_time(&self, query: &ForwardedQuery) -> Duration {
+        if query.in_order {
             self.longest_time_limit
         } else {
             Duration::ZERO
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -32,7 +32,9 @@
 mod polling;
 mod start;
 
-use super::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
+use super::messages::{
+    AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery,
+};
 use super::request::{page_path, request, RequestBody, Sender};
 use super::response::CallError;
 use super::{Engines, Target};
@@ -115,13 +117,13 @@
     /// Runs the attempt until it has ended, or can't be running any more.
     pub(super) async fn run(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         start: &AttemptStart,
         mut cancellation: watch::Receiver<CancellationState>,
         events: AttemptEvents,
     ) -> AttemptResult {
         let outcome = self
-            .poll_until_end(call, start, &mut cancellation, &events)
+            .poll_until_end(query, start, &mut cancellation, &events)
             .await;
         let end = match outcome {
             PollOutcome::Ended(result) => return result,
@@ -133,23 +135,23 @@
             PollOutcome::Succeeded {
                 first_page,
                 page_count,
-            } => return self.fetch_pages(call, first_page, page_count).await,
+            } => return self.fetch_pages(query, first_page, page_count).await,
             PollOutcome::Unknown => {
                 let apparent_end = Some(AttemptEnd::ConnectionLost);
                 events.unknown_outcome.send_replace(apparent_end);
-                self.cancel(call).await;
+                self.cancel(query).await;
                 AttemptEnd::ConnectionLost
             }
             PollOutcome::CancelRequested => {
-                let proof = self.cancel(call).await;
+                let proof = self.cancel(query).await;
                 end_after_cancel(proof, *cancellation.borrow())
             }
         };
         AttemptResult::of(end)
     }
 
-    fn poll_request(&self, call: &Call, page: usize) -> Request<RequestBody> {
-        request(Method::GET, self.target.address, &page_path(call, page))
+    fn poll_request(&self, query: &ForwardedQuery, page: usize) -> Request<RequestBody> {
+        request(Method::GET, self.target.address, &page_path(query, page))
     }
 
     /// How long the response to a poll is waited for, once a connection is up.
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::CallKind;
 use super::EngineSession;
-use crate::engines::call::Call;
+use crate::engines::messages::ForwardedQuery;
 use crate::engines::request::{attempt_path, request};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError};
 use garnetwall_ledger::{CancelStep, Evidence, Proof};
@@ -12,7 +12,7 @@
 
 impl EngineSession<'_> {
     /// Does what the ledger asks for, step by step, until it has a proof that the attempt does not run.
-    pub(super) async fn cancel(&mut self, call: &Call) -> Proof {
+    pub(super) async fn cancel(&mut self, query: &ForwardedQuery) -> Proof {
         let Some(id) = self.ledger_id else {
             return Proof::NeverReached;
         };
@@ -24,23 +24,23 @@
                     let engine = self.target.engine;
                     tracing::debug!(
                         engine,
-                        path = attempt_path(call),
+                        path = attempt_path(query),
                         ?proof,
                         "attempt cancelled"
                     );
                     return proof;
                 }
                 CancelStep::Wait(pause) => sleep(pause).await,
-                CancelStep::IdentifyProcess => self.identify_process(call).await,
-                CancelStep::Cancel(remaining) => self.send_cancel(call, remaining).await,
+                CancelStep::IdentifyProcess => self.identify_process(query).await,
+                CancelStep::Cancel(remaining) => self.send_cancel(query, remaining).await,
             }
         }
     }
 
     /// Sends a cancellation, preferably on the connection that the attempt was polled on. The attempt expires by itself
     /// after `remaining`.
-    async fn send_cancel(&mut self, call: &Call, remaining: Duration) {
-        let delete = request(Method::DELETE, self.target.address, &attempt_path(call));
+    async fn send_cancel(&mut self, query: &ForwardedQuery, remaining: Duration) {
+        let delete = request(Method::DELETE, self.target.address, &attempt_path(query));
         let time_limit = remaining.min(self.engines.connect_timeout * 2);
         match self.call(CallKind::Other, delete, None, time_limit).await {
             Ok(reply) if confirms_cancel(reply.status) => {
@@ -52,21 +52,21 @@
             }
             Err(error) => {
                 let engine = self.target.engine;
-                tracing::debug!(engine, path = attempt_path(call), ?error, "cancel failed");
+                tracing::debug!(engine, path = attempt_path(query), ?error, "cancel failed");
                 self.record_cancel_failed(error);
             }
         }
     }
 
     /// Polls the attempt to learn whether the process that listens at the engine's address has it.
-    async fn identify_process(&mut self, call: &Call) {
-        if let Err(error) = self.poll_for_evidence(call).await {
+    async fn identify_process(&mut self, query: &ForwardedQuery) {
+        if let Err(error) = self.poll_for_evidence(query).await {
             self.record_cancel_failed(error);
         }
     }
 
-    async fn poll_for_evidence(&mut self, call: &Call) -> Result<(), CallError> {
-        let poll = self.poll_request(call, 0);
+    async fn poll_for_evidence(&mut self, query: &ForwardedQuery) -> Result<(), CallError> {
+        let poll = self.poll_request(query, 0);
         let time_limit = self.poll_timeout();
         let reply = self.call(CallKind::Poll, poll, None, time_limit).await?;
         let evidence = match attempt_status(&reply) {
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -19,7 +19,7 @@
 use super::exchange::CallKind;
 use super::start::{StartRequest, StreamedBody};
 use super::EngineSession;
-use crate::engines::call::CancellationState;
+use crate::engines::messages::CancellationState;
 use crate::engines::protocol::LONG_POLL_LIMIT;
 use crate::engines::request::RequestBody;
 use crate::engines::response::{CallError, Reply};
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -3,7 +3,7 @@
 use super::exchange::CallKind;
 use super::polling::NextPoll;
 use super::EngineSession;
-use crate::engines::call::{AttemptResult, Call};
+use crate::engines::messages::{AttemptResult, ForwardedQuery};
 use crate::engines::protocol::response_header;
 use crate::engines::response::{CallError, Reply};
 use crate::engines::result_rows;
@@ -16,14 +16,14 @@
     /// Fetches all pages after the first. Where one can't be had, the result still tells how the attempt ended.
     pub(super) async fn fetch_pages(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         first_page: Reply,
         page_count: usize,
     ) -> AttemptResult {
         let mut result = first_page.into_result();
         let mut schedule = self.poll_schedule();
         for page in 1..page_count {
-            match self.fetch_page(call, page, &mut schedule).await {
+            match self.fetch_page(query, page, &mut schedule).await {
                 Ok(bytes) => result.pages.push(bytes),
                 Err(end) => return AttemptResult { end, ..result },
             }
@@ -39,13 +39,13 @@
     /// [`AttemptEnd::ConnectionLost`].
     async fn fetch_page(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         page: usize,
         schedule: &mut PollSchedule,
     ) -> Result<Bytes, AttemptEnd> {
         let mut previous = Ok(());
         while self.wait_for_next_poll(schedule, previous).await == NextPoll::Due {
-            let request = self.poll_request(call, page);
+            let request = self.poll_request(query, page);
             let time_limit = self.poll_timeout();
             previous = match self.call(CallKind::Poll, request, None, time_limit).await {
                 Ok(reply) if reply.status == StatusCode::INTERNAL_SERVER_ERROR => {
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -2,7 +2,9 @@
 
 use super::cancellable_call::CallOutcome;
 use super::EngineSession;
-use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
+use crate::engines::messages::{
+    AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery,
+};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger::{weigh_reported_end, Evidence, PollSchedule, PollStep, ReportVerdict};
@@ -53,13 +55,13 @@
     /// outcome is polled for; an engine repeats the response of an attempt that succeeded.
     pub(super) async fn poll_until_end(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         start: &AttemptStart,
         cancellation: &mut watch::Receiver<CancellationState>,
         events: &AttemptEvents,
     ) -> PollOutcome {
         let mut schedule = self.poll_schedule();
-        let mut response = match self.send_start(call, start, cancellation).await {
+        let mut response = match self.send_start(query, start, cancellation).await {
             ControlFlow::Break(outcome) => return outcome,
             ControlFlow::Continue(response) => response,
         };
@@ -77,7 +79,7 @@
             if next_poll == NextPoll::Useless {
                 return PollOutcome::Unknown;
             }
-            let poll = self.poll_request(call, 0);
+            let poll = self.poll_request(query, 0);
             response = match self.poll_until_cancelled(poll, cancellation).await {
                 CallOutcome::Responded(response) => response,
                 CallOutcome::Interrupted => return PollOutcome::CancelRequested,
@@ -90,11 +92,11 @@
     /// the response.
     async fn send_start(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         start: &AttemptStart,
         cancellation: &mut watch::Receiver<CancellationState>,
     ) -> ControlFlow<PollOutcome, Result<Reply, CallError>> {
-        let Some(request) = self.start_request(call, start) else {
+        let Some(request) = self.start_request(query, start) else {
             return ControlFlow::Break(self.never_reached(AttemptEnd::ConnectFailed));
         };
         let outcome = self.start_until_cancelled(request, cancellation).await;
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -1,7 +1,7 @@
 //! The request that starts an attempt, and its body on the way to the engine.
 
 use super::EngineSession;
-use crate::engines::call::{AttemptStart, Call, Statement};
+use crate::engines::messages::{AttemptStart, ForwardedQuery, Statement};
 use crate::engines::protocol::request_header;
 use crate::engines::request::{request, RequestBody, START_PATH};
 use bytes::Bytes;
@@ -35,19 +35,23 @@
 
 impl EngineSession<'_> {
     /// The request that starts the attempt; none where its body is not stored any more.
-    pub(super) fn start_request(&self, call: &Call, start: &AttemptStart) -> Option<StartRequest> {
-        match &call.statement {
-            Statement::Complete(bytes) => Some(self.complete_start_request(call, bytes)),
+    pub(super) fn start_request(
+        &self,
+        query: &ForwardedQuery,
+        start: &AttemptStart,
+    ) -> Option<StartRequest> {
+        match &query.statement {
+            Statement::Complete(bytes) => Some(self.complete_start_request(query, bytes)),
             Statement::Streamed(body) => {
                 let reader = body.reader(start.is_retry).ok()?;
-                Some(self.streamed_start_request(call, reader, body.length()))
+                Some(self.streamed_start_request(query, reader, body.length()))
             }
         }
     }
 
-    fn complete_start_request(&self, call: &Call, statement: &Bytes) -> StartRequest {
+    fn complete_start_request(&self, query: &ForwardedQuery, statement: &Bytes) -> StartRequest {
         let mut request = request(Method::POST, self.target.address, START_PATH);
-        insert_query_headers(request.headers_mut(), call);
+        insert_query_headers(request.headers_mut(), query);
         *request.body_mut() = RequestBody {
             source: Either::Left(Full::new(statement.clone())),
             remaining_bytes: Some(statement.len() as u64),
@@ -61,14 +65,14 @@
 
     fn streamed_start_request(
         &self,
-        call: &Call,
+        query: &ForwardedQuery,
         reader: Reader,
         length: Option<u64>,
     ) -> StartRequest {
         let (sender, receiver) = Channel::new(BODY_CHANNEL_CAPACITY);
         let mut request = request(Method::POST, self.target.address, START_PATH);
         insert_content_length(request.headers_mut(), length);
-        insert_query_headers(request.headers_mut(), call);
+        insert_query_headers(request.headers_mut(), query);
         *request.body_mut() = RequestBody {
             source: Either::Right(receiver),
             remaining_bytes: length,
@@ -140,10 +144,10 @@
     }
 }
 
-fn insert_query_headers(headers: &mut HeaderMap, call: &Call) {
-    headers.insert(request_header::QUERY_ID, call.id.clone());
-    headers.insert(request_header::QUERY_CLASS, call.class.clone());
-    if let Some(key) = &call.idempotency_key {
+fn insert_query_headers(headers: &mut HeaderMap, query: &ForwardedQuery) {
+    headers.insert(request_header::QUERY_ID, query.query_key.clone());
+    headers.insert(request_header::QUERY_CLASS, query.class.clone());
+    if let Some(key) = &query.idempotency_key {
         headers.insert(request_header::IDEMPOTENCY_KEY, key.clone());
     }
 }
--- a/crates/gateway/src/engines/call.rs
+++ b/crates/gateway/src/engines/messages.rs
@@ -12,9 +12,9 @@
 
 /// A query as it is forwarded to engines, unchanged.
 #[derive(Debug, PartialEq)]
-pub struct Call {
-    /// The client's id of the query.
-    pub id: HeaderValue,
+pub struct ForwardedQuery {
+    /// The client's key of the query, as it sent it.
+    pub query_key: HeaderValue,
     /// The name of the query's class.
     pub class: HeaderValue,
     /// The key by which engines detect a repeated query; set where the query is idempotent by key.
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -1,6 +1,6 @@
 //! Requests to engines. The body of a request that starts an attempt goes out through its send gate.
 
-use super::call::Call;
+use super::messages::ForwardedQuery;
 use crate::system::send_gate::SendGate;
 use bytes::Bytes;
 use garnetwall_bodies::ReadError;
@@ -84,14 +84,14 @@
 }
 
 /// The path of an attempt at its engine.
-pub(super) fn attempt_path(call: &Call) -> String {
-    let id = call.id.to_str().unwrap_or_default();
-    format!("{START_PATH}/{id}")
+pub(super) fn attempt_path(query: &ForwardedQuery) -> String {
+    let query_key = query.query_key.to_str().unwrap_or_default();
+    format!("{START_PATH}/{query_key}")
 }
 
 /// The path of a page of an attempt's result; page 0 also polls the attempt.
-pub(super) fn page_path(call: &Call, page: usize) -> String {
-    format!("{}/{page}", attempt_path(call))
+pub(super) fn page_path(query: &ForwardedQuery, page: usize) -> String {
+    format!("{}/{page}", attempt_path(query))
 }
 
 /// A request without a body.
--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -1,6 +1,6 @@
 //! An engine's responses: how one is received, what it says of an attempt, and why a call failed.
 
-use super::call::AttemptResult;
+use super::messages::AttemptResult;
 use super::protocol::response_header;
 use super::request::{RequestBody, Sender};
 use super::result_rows;
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -92,8 +92,8 @@
         };
         let value = HeaderValue::from_static;
         let statement = Statement::Complete(Bytes::from_static(b"SELECT 1"));
-        let call = Call {
-            id: value("a1"),
+        let query = ForwardedQuery {
+            query_key: value("a1"),
             class: value("report"),
             idempotency_key: None,
             in_order: false,
@@ -101,7 +101,7 @@
         };
         let target = self.engines.target(0).unwrap();
         self.engines
-            .run_attempt(target, &call, start, cancellation, events)
+            .run_attempt(target, &query, start, cancellation, events)
             .await
     }
 
--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -42,10 +42,13 @@
     statement_memory: OwnedSemaphorePermit,
     stream: &StreamHandle,
 ) -> Result<AdmittedQuery, Rejection> {
-    let SubmittedQuery { mut arrival, call } = query;
+    let SubmittedQuery {
+        mut arrival,
+        forwarded_query,
+    } = query;
     reject_if_client_closed(stream, arrival.query_key)?;
     arrival.deadline += state.earliest_send_time(arrival.ordering_key, arrived_at);
-    match state.scheduler.admit(arrival, call.clone()) {
+    match state.scheduler.admit(arrival, forwarded_query.clone()) {
         Admission::New {
             id,
             commands,
@@ -56,8 +59,8 @@
             let task = QueryTask {
                 scheduler: state.scheduler.clone(),
                 engines: state.engines.clone(),
-                id,
-                call,
+                query_id: id,
+                forwarded_query,
                 commands,
                 journal: state.journal.clone(),
                 journal_entry,
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -1,6 +1,6 @@
 //! Parse stage: checks the head of a request that submits a query, and takes out of it what decisions need.
 
-use crate::engines::{Call, Statement};
+use crate::engines::{ForwardedQuery, Statement};
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::scheduler::ArrivingQuery;
 use axum::http::header::{HeaderMap, HeaderValue};
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub(super) struct SubmittedQuery {
     pub arrival: ArrivingQuery,
-    pub call: Arc<Call>,
+    pub forwarded_query: Arc<ForwardedQuery>,
 }
 
 /// The checked head of a request that submits a query.
@@ -159,14 +159,17 @@
             client,
             bytes: statement_bytes,
         };
-        let call = Arc::new(Call {
-            id: self.id,
+        let forwarded_query = Arc::new(ForwardedQuery {
+            query_key: self.id,
             class: self.class_name,
             idempotency_key: self.idempotency_key,
             in_order: self.in_order,
             statement,
         });
-        SubmittedQuery { arrival, call }
+        SubmittedQuery {
+            arrival,
+            forwarded_query,
+        }
     }
 }
 
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -3,7 +3,7 @@
 mod attempt_in_flight;
 
 use crate::engines::result_rows;
-use crate::engines::{AttemptResult, AttemptStart, Call, Engines, Statement};
+use crate::engines::{AttemptResult, AttemptStart, Engines, ForwardedQuery, Statement};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::log_millis;
 use crate::scheduling::scheduler::{Command, QueryAnswer, Scheduler};
@@ -24,9 +24,9 @@
     /// Where attempts are sent.
     pub engines: Arc<Engines>,
     /// The query's number.
-    pub id: QueryId,
+    pub query_id: QueryId,
     /// What is sent to engines.
-    pub call: Arc<Call>,
+    pub forwarded_query: Arc<ForwardedQuery>,
     /// What the scheduler wants done.
     pub commands: UnboundedReceiver<Command>,
     /// Where a non-idempotent query is recorded.
@@ -112,7 +112,7 @@
                     }
                 }
                 Command::Answer(answer) => {
-                    self.scheduler.answer(self.id, answer.into());
+                    self.scheduler.answer(self.query_id, answer.into());
                     break;
                 }
                 Command::ClientLeft => break,
@@ -128,7 +128,7 @@
         if let Some(entry) = self.journal_entry.filter(|_| attempts_begun > 0) {
             self.journal.record_end(entry.id);
         }
-        self.scheduler.release(self.id);
+        self.scheduler.release(self.query_id);
     }
 
     /// Runs one attempt until it has ended, which may be later than the query's answer.
@@ -147,10 +147,10 @@
     fn outcome_unknown(&self, attempt: ScheduledAttempt, end: AttemptEnd) -> QueryStatus {
         self.report_discarded_body();
         let outcome = attempt.outcome(&AttemptResult::of(end), QueryStatus::Open);
-        match self.scheduler.outcome_unknown(self.id, outcome) {
+        match self.scheduler.outcome_unknown(self.query_id, outcome) {
             FollowUp::Nothing => QueryStatus::Open,
             FollowUp::Answer(answer) => {
-                self.scheduler.answer(self.id, answer.into());
+                self.scheduler.answer(self.query_id, answer.into());
                 QueryStatus::Finished
             }
         }
@@ -162,7 +162,7 @@
         self.engines.record_attempt_end(attempt.engine, result.end);
         let outcome = attempt.outcome(&result, ended.query_status);
         tracing::debug!(
-            query_id = self.id,
+            query_id = self.query_id,
             attempt = attempt.number,
             engine = attempt.engine,
             end = ?result.end,
@@ -172,13 +172,13 @@
         self.report_discarded_body();
         let follow_up = self
             .scheduler
-            .attempt_ended(self.id, outcome, result.report);
+            .attempt_ended(self.query_id, outcome, result.report);
         let answer = match (rows, follow_up) {
             (Some(rows), _) => QueryAnswer::Succeeded(rows),
             (None, FollowUp::Answer(answer)) => answer.into(),
             (None, FollowUp::Nothing) => return ended.query_status,
         };
-        self.scheduler.answer(self.id, answer);
+        self.scheduler.answer(self.query_id, answer);
         QueryStatus::Finished
     }
 
@@ -208,9 +208,9 @@
 
     /// Reports that the statement can't be sent again, where its body has been discarded.
     fn report_discarded_body(&self) {
-        if matches!(&self.call.statement, Statement::Streamed(body) if !body.is_readable_from_start())
+        if matches!(&self.forwarded_query.statement, Statement::Streamed(body) if !body.is_readable_from_start())
         {
-            self.scheduler.body_discarded(self.id);
+            self.scheduler.body_discarded(self.query_id);
         }
     }
 }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -124,7 +124,7 @@
         if let Some(progress) = progress {
             let task = &self.task;
             task.scheduler
-                .attempt_progressed(task.id, self.attempt.number, progress);
+                .attempt_progressed(task.query_id, self.attempt.number, progress);
         }
     }
 
@@ -190,11 +190,11 @@
     cancellation: watch::Receiver<CancellationState>,
     events: AttemptEvents,
 ) -> impl Future<Output = AttemptResult> {
-    let id = task.id;
+    let query_id = task.query_id;
     let journal = task.journal.clone();
     let journal_entry = task.journal_entry;
     let engines = task.engines.clone();
-    let call = task.call.clone();
+    let forwarded_query = task.forwarded_query.clone();
     async move {
         if let Some(entry) = journal_entry {
             let record = journal.record_before_send(entry);
@@ -203,13 +203,13 @@
             }
         }
         tracing::debug!(
-            query_id = id,
+            query_id,
             attempt = attempt.number,
             engine = attempt.engine,
             "attempt started"
         );
         engines
-            .run_attempt(target, &call, start, cancellation, events)
+            .run_attempt(target, &forwarded_query, start, cancellation, events)
             .await
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -5,7 +5,7 @@
 use super::query_index::KeyState;
 use super::state::SchedulerState;
 use super::{Admission, ArrivingQuery, Command, Scheduler, Waiter};
-use crate::engines::{Call, Statement};
+use crate::engines::{ForwardedQuery, Statement};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::log_millis;
 use crate::scheduling::plan_routing::{PlanAdmission, PlanRejection};
@@ -31,7 +31,7 @@
 /// An arriving query whose key is not known.
 struct NewQuery {
     arriving: ArrivingQuery,
-    call: Arc<Call>,
+    forwarded_query: Arc<ForwardedQuery>,
     fingerprint: Option<Fingerprint>,
 }
 
@@ -47,19 +47,23 @@
 
 impl Scheduler {
     /// Opens an arriving query, or finds what is known of the query of its key.
-    pub fn admit(self: &Arc<Self>, arriving: ArrivingQuery, call: Arc<Call>) -> Admission {
+    pub fn admit(
+        self: &Arc<Self>,
+        arriving: ArrivingQuery,
+        forwarded_query: Arc<ForwardedQuery>,
+    ) -> Admission {
         let query_key = arriving.query_key;
-        let fingerprint = self.fingerprint(&arriving, &call);
+        let fingerprint = self.fingerprint(&arriving, &forwarded_query);
         self.handle_event(|state, now| {
             state.discard_expired(now);
             match state.queries.state(query_key) {
-                Some(KeyState::Open(id)) => self.join(state, now, id, &arriving, &call),
+                Some(KeyState::Open(id)) => self.join(state, now, id, &arriving, &forwarded_query),
                 Some(KeyState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
                 Some(KeyState::Recovered) => Admission::MayHaveRun,
                 None => {
                     let new = NewQuery {
                         arriving,
-                        call,
+                        forwarded_query,
                         fingerprint,
                     };
                     self.admit_new(state, now, new)
@@ -69,16 +73,20 @@
     }
 
     /// A hash of what makes two calls the same; `None` where the statement is not in memory.
-    fn fingerprint(&self, arriving: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
-        let Statement::Complete(statement) = &call.statement else {
+    fn fingerprint(
+        &self,
+        arriving: &ArrivingQuery,
+        forwarded_query: &ForwardedQuery,
+    ) -> Option<Fingerprint> {
+        let Statement::Complete(statement) = &forwarded_query.statement else {
             return None;
         };
         Some(Fingerprint(self.fingerprint_hasher.hash_one((
             arriving.tenant,
             arriving.ordering_key,
-            &call.id,
-            &call.class,
-            &call.idempotency_key,
+            &forwarded_query.query_key,
+            &forwarded_query.class,
+            &forwarded_query.idempotency_key,
             statement,
         ))))
     }
@@ -90,21 +98,21 @@
         now: f64,
         id: QueryId,
         arriving: &ArrivingQuery,
-        call: &Call,
+        forwarded_query: &ForwardedQuery,
     ) -> Admission {
         let Some(query) = state.open_queries.get_mut(&id) else {
             return Admission::AnswerNotCached;
         };
         let is_same_call = query.tenant == arriving.tenant
             && query.ordering_key == arriving.ordering_key
-            && *query.call == *call;
+            && *query.forwarded_query == *forwarded_query;
         if !is_same_call {
             return Admission::Conflict;
         }
         query.add_waiter();
         let waiter = Waiter {
             scheduler: self.clone(),
-            id,
+            query_id: id,
             answer: query.answer.subscribe(),
         };
         state.controller.set_client_waiting(now, id, true);
@@ -154,7 +162,7 @@
         state.controller.admit(now, query);
         let waiter = Waiter {
             scheduler: self.clone(),
-            id,
+            query_id: id,
             answer,
         };
         Admission::New {
@@ -204,7 +212,7 @@
             query_key: self.arriving.query_key,
             tenant: self.arriving.tenant,
             ordering_key: self.arriving.ordering_key,
-            call: self.call,
+            forwarded_query: self.forwarded_query,
             fingerprint: self.fingerprint,
             commands,
             answer: watch::Sender::new(None),
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -2,7 +2,7 @@
 
 use super::answer_cache::Fingerprint;
 use super::{Command, QueryAnswer};
-use crate::engines::Call;
+use crate::engines::ForwardedQuery;
 use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::plan_routing::PlanAdmission;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
     pub(super) query_key: u64,
     pub(super) tenant: usize,
     pub(super) ordering_key: Option<u64>,
-    pub(super) call: Arc<Call>,
+    pub(super) forwarded_query: Arc<ForwardedQuery>,
     /// `None` where its call can't be compared with another.
     pub(super) fingerprint: Option<Fingerprint>,
     /// The commands to its task.
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -15,7 +15,7 @@
 /// within the reconnect window.
 pub struct Waiter {
     pub(super) scheduler: Arc<Scheduler>,
-    pub(super) id: QueryId,
+    pub(super) query_id: QueryId,
     pub(super) answer: watch::Receiver<Option<QueryAnswer>>,
 }
 
@@ -32,10 +32,10 @@
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        let Some(waiters_ever) = self.scheduler.waiter_left(self.id) else {
+        let Some(waiters_ever) = self.scheduler.waiter_left(self.query_id) else {
             return;
         };
-        let id = self.id;
+        let id = self.query_id;
         let scheduler = self.scheduler.clone();
         let Ok(runtime) = Handle::try_current() else {
             scheduler.client_did_not_return(id, waiters_ever);
