--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -6,7 +6,7 @@
 //! 2. Handler: `submission` takes a request that submits or cancels a query, `streamed_body` one with a long body.
 //! 3. Parse: `request_head` checks the head, [`statement`] finds the data set.
 //! 4. Admission: [`send_time`] estimates when the client sent the query, `admission` hands it to the scheduler.
-//! 5. Response: `responses` has final answers, `rejection` says why a query is not admitted.
+//! 5. Response: `responses` has final answers, `submission_error` says why a query is not admitted.
 //!
 //! The protocol's names of headers and paths stand in `request_head`, `responses` and [`router`] only.
 
@@ -15,13 +15,13 @@
 pub mod client_connections;
 pub mod client_stream;
 mod connection;
-mod rejection;
 mod request_head;
 mod responses;
 pub mod send_time;
 pub mod statement;
 mod streamed_body;
 mod submission;
+mod submission_error;
 
 use crate::engines::Engines;
 use crate::http::send_time::SendTimeEstimator;
@@ -35,12 +35,12 @@
 use axum::Router;
 use garnetwall_bodies::Store;
 use garnetwall_settings::DecodedSettings;
-use rejection::Rejection;
 use responses::error_response;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use submission::{cancel, submit};
+use submission_error::SubmissionError;
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 
 pub use accept::accept;
@@ -86,11 +86,11 @@
     }
 
     /// Reserves memory for a statement of so many bytes.
-    fn reserve_statement_bytes(&self, bytes: u32) -> Result<OwnedSemaphorePermit, Rejection> {
+    fn reserve_statement_bytes(&self, bytes: u32) -> Result<OwnedSemaphorePermit, SubmissionError> {
         self.statement_bytes
             .clone()
             .try_acquire_many_owned(bytes)
-            .map_err(|_| Rejection::StatementMemoryFull)
+            .map_err(|_| SubmissionError::StatementMemoryFull)
     }
 }
 
--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -1,9 +1,9 @@
 //! Admission stage: hands a submitted query to the scheduler, and starts the task of a new one. Shared by statements that are
 //! read whole and bodies that are streamed.
 
-use super::rejection::Rejection;
 use super::request_head::SubmittedQuery;
 use super::responses::answer_response;
+use super::submission_error::SubmissionError;
 use super::ServerState;
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::query_task::QueryTask;
@@ -34,19 +34,19 @@
 ///
 /// # Errors
 ///
-/// The client has closed its connection, the id can't be used again, or the plan rejects the query.
+/// The client has closed its connection, the id can't be used again, or the plan denies the query.
 pub(super) fn admit(
     state: &ServerState,
     query: SubmittedQuery,
     arrived_at: f64,
     statement_memory: OwnedSemaphorePermit,
     stream: &StreamHandle,
-) -> Result<AdmittedQuery, Rejection> {
+) -> Result<AdmittedQuery, SubmissionError> {
     let SubmittedQuery {
         mut arrival,
         forwarded_query,
     } = query;
-    reject_if_client_closed(stream, arrival.query_key)?;
+    check_client_connected(stream, arrival.query_key)?;
     arrival.deadline += state.earliest_send_time(arrival.ordering_key, arrived_at);
     match state.scheduler.admit(arrival, forwarded_query.clone()) {
         Admission::New {
@@ -72,19 +72,21 @@
         }
         Admission::Joined(waiter) => Ok(AdmittedQuery::Open(waiter)),
         Admission::Answered(answer) => Ok(AdmittedQuery::Answered(answer)),
-        Admission::Conflict => Err(Rejection::QueryKeyConflict),
-        Admission::AnswerNotCached => Err(Rejection::AnswerNotCached),
-        Admission::MayHaveRun => Err(Rejection::MayHaveRun),
-        Admission::RejectedByPlan(rejection) => Err(Rejection::by_plan(rejection, &state.decoded)),
+        Admission::Conflict => Err(SubmissionError::QueryKeyConflict),
+        Admission::AnswerNotCached => Err(SubmissionError::AnswerNotCached),
+        Admission::MayHaveRun => Err(SubmissionError::MayHaveRun),
+        Admission::DeniedByPlan(denial) => {
+            Err(SubmissionError::denied_by_plan(denial, &state.decoded))
+        }
     }
 }
 
 /// Nothing is sent for a client that closed its connection while its request was still to be parsed or admitted.
-fn reject_if_client_closed(stream: &StreamHandle, query_key: u64) -> Result<(), Rejection> {
+fn check_client_connected(stream: &StreamHandle, query_key: u64) -> Result<(), SubmissionError> {
     if !stream.is_closed_by_client() {
         return Ok(());
     }
     let query_key = format_args!("{query_key:016x}");
     tracing::debug!(%query_key, "client closed its connection before admission");
-    Err(Rejection::ClientClosed)
+    Err(SubmissionError::ClientClosed)
 }
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -2,9 +2,9 @@
 //! the body store holds what has arrived, for retries.
 
 use super::admission::{admit, AdmittedQuery};
-use super::rejection::Rejection;
 use super::request_head::{RequestError, RequestHead, Submission};
 use super::responses::{answer_response, close_after};
+use super::submission_error::SubmissionError;
 use super::{ServerState, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::statement::data_set;
@@ -21,7 +21,7 @@
 /// Bytes of a body that are read before its query is admitted, to find its data set.
 const PREFIX_BYTES: usize = 64 << 10;
 
-/// Admits a query while its body arrives, and waits for its answer. Every rejection closes the connection, since unread
+/// Admits a query while its body arrives, and waits for its answer. Every error closes the connection, since unread
 /// parts of the body may follow.
 pub(super) async fn submit_streamed(
     state: &ServerState,
@@ -31,7 +31,7 @@
 ) -> Response {
     stream_body(state, store, submission, body)
         .await
-        .unwrap_or_else(|rejection| close_after(rejection.into_response()))
+        .unwrap_or_else(|error| close_after(error.into_response()))
 }
 
 async fn stream_body(
@@ -39,7 +39,7 @@
     store: &Arc<Store>,
     submission: Submission,
     mut body: Body,
-) -> Result<Response, Rejection> {
+) -> Result<Response, SubmissionError> {
     let length = body.size_hint().exact();
     let arrived_at = state
         .scheduler
@@ -76,7 +76,7 @@
     query_key: u64,
     body: &mut Body,
     stored: &StoredBody,
-) -> Result<Response, Rejection> {
+) -> Result<Response, SubmissionError> {
     let answer = waiter.answer();
     tokio::pin!(answer);
     let received = tokio::select! {
@@ -84,9 +84,9 @@
         answer = &mut answer => return Ok(close_after(answer_response(answer))),
         received = receive_remaining(body, stored) => received,
     };
-    if let Err(rejection) = received {
+    if let Err(error) = received {
         state.scheduler.cancel(query_key);
-        return Err(rejection);
+        return Err(error);
     }
     Ok(answer_response(answer.await))
 }
@@ -101,12 +101,12 @@
 }
 
 /// Receives the first [`PREFIX_BYTES`] of a body, or all of a shorter one.
-async fn receive_prefix(body: &mut Body, stored: &StoredBody) -> Result<Vec<u8>, Rejection> {
+async fn receive_prefix(body: &mut Body, stored: &StoredBody) -> Result<Vec<u8>, SubmissionError> {
     let mut prefix = Vec::new();
     while prefix.len() < PREFIX_BYTES {
         let chunk = timeout(FIRST_REQUEST_TIMEOUT, next_chunk(body))
             .await
-            .map_err(|_| Rejection::BodyTooSlow)??;
+            .map_err(|_| SubmissionError::BodyTooSlow)??;
         let Some(bytes) = chunk else {
             break;
         };
@@ -114,27 +114,27 @@
         stored
             .push(bytes)
             .await
-            .map_err(|_| Rejection::BodyStoreFull)?;
+            .map_err(|_| SubmissionError::BodyStoreFull)?;
     }
     Ok(prefix)
 }
 
 /// Receives what is left of a body. It ends at the latest with its query, whose deadline bounds it.
-async fn receive_remaining(body: &mut Body, stored: &StoredBody) -> Result<(), Rejection> {
+async fn receive_remaining(body: &mut Body, stored: &StoredBody) -> Result<(), SubmissionError> {
     while let Some(bytes) = next_chunk(body).await? {
         stored
             .push(bytes)
             .await
-            .map_err(|_| Rejection::BodyNotStored)?;
+            .map_err(|_| SubmissionError::BodyNotStored)?;
     }
     stored.finish().await;
     Ok(())
 }
 
 /// The next bytes of a body; none at its end. Trailers carry nothing here.
-async fn next_chunk(body: &mut Body) -> Result<Option<Bytes>, Rejection> {
+async fn next_chunk(body: &mut Body) -> Result<Option<Bytes>, SubmissionError> {
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| Rejection::BodyCutOff)?;
+        let frame = frame.map_err(|_| SubmissionError::BodyCutOff)?;
         if let Ok(bytes) = frame.into_data() {
             return Ok(Some(bytes));
         }
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -1,10 +1,10 @@
 //! Handler stage: a request that submits a query, or cancels one.
 
 use super::admission::admit;
-use super::rejection::Rejection;
 use super::request_head::{query_key, RequestHead, Submission};
 use super::responses::error_response;
 use super::streamed_body::submit_streamed;
+use super::submission_error::SubmissionError;
 use super::{Client, ServerState, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::client_stream::StreamHandle;
@@ -45,7 +45,7 @@
         }
         _ => submit_whole(&state, submission, body)
             .await
-            .unwrap_or_else(Rejection::into_response),
+            .unwrap_or_else(SubmissionError::into_response),
     }
 }
 
@@ -54,7 +54,7 @@
     state: &ServerState,
     submission: Submission,
     body: Body,
-) -> Result<Response, Rejection> {
+) -> Result<Response, SubmissionError> {
     let length = statement_length(&submission.headers, &body)?;
     let memory = state.reserve_statement_bytes(length)?;
     let statement = read_statement(body).await?;
@@ -73,23 +73,23 @@
 
 /// The length of a statement in bytes. Only `Content-Length` counts: with a length given in two ways, the body may hide
 /// another request.
-fn statement_length(headers: &HeaderMap, body: &Body) -> Result<u32, Rejection> {
+fn statement_length(headers: &HeaderMap, body: &Body) -> Result<u32, SubmissionError> {
     if headers.contains_key(TRANSFER_ENCODING) {
-        return Err(Rejection::LengthRequired);
+        return Err(SubmissionError::LengthRequired);
     }
     body.size_hint()
         .exact()
         .filter(|bytes| *bytes <= MAX_STATEMENT_BYTES)
         .and_then(|bytes| u32::try_from(bytes).ok())
-        .ok_or(Rejection::StatementTooLong)
+        .ok_or(SubmissionError::StatementTooLong)
 }
 
-async fn read_statement(body: Body) -> Result<Bytes, Rejection> {
+async fn read_statement(body: Body) -> Result<Bytes, SubmissionError> {
     let read = to_bytes(body, MAX_STATEMENT_BYTES as usize);
     timeout(FIRST_REQUEST_TIMEOUT, read)
         .await
-        .map_err(|_| Rejection::BodyTooSlow)?
-        .map_err(|_| Rejection::BodyCutOff)
+        .map_err(|_| SubmissionError::BodyTooSlow)?
+        .map_err(|_| SubmissionError::BodyCutOff)
 }
 
 /// Handles a request that cancels a query.
--- a/crates/gateway/src/http/rejection.rs
+++ b/crates/gateway/src/http/submission_error.rs
@@ -2,7 +2,7 @@
 
 use super::request_head::RequestError;
 use super::responses::{busy_response, close_after, error_response};
-use crate::scheduling::plan_routing::PlanRejection;
+use crate::scheduling::plan_routing::PlanDenial;
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use garnetwall_bodies::AdmissionError;
@@ -11,7 +11,7 @@
 
 /// Why a query is not admitted. The text is the client's response, so it keeps the words of the protocol.
 #[derive(Debug, Error, PartialEq)]
-pub(super) enum Rejection {
+pub(super) enum SubmissionError {
     /// The head of the request is wrong.
     #[error(transparent)]
     InvalidHead(#[from] RequestError),
@@ -54,22 +54,22 @@
     /// An earlier process sent the query to an engine, which may have run it.
     #[error("Failed")]
     MayHaveRun,
-    /// A rule or a limit of the plan rejects the query; it may be sent again after `retry_after_seconds`.
+    /// A rule or a limit of the plan denies the query; it may be sent again after `retry_after_seconds`.
     #[error("{reason}")]
-    RejectedByPlan {
+    DeniedByPlan {
         reason: String,
         retry_after_seconds: Option<f64>,
     },
 }
 
-impl Rejection {
-    /// A rejection by the plan. The settings say whether its response gives a time to retry after, and the longest.
-    pub fn by_plan(rejection: PlanRejection, decoded: &DecodedSettings) -> Self {
-        match rejection {
-            PlanRejection::StatementTooLong { max_bytes } => {
-                Rejection::StatementOverPlan { max_bytes }
+impl SubmissionError {
+    /// A denial by the plan. The settings say whether its response gives a time to retry after, and the longest.
+    pub fn denied_by_plan(denial: PlanDenial, decoded: &DecodedSettings) -> Self {
+        match denial {
+            PlanDenial::StatementTooLong { max_bytes } => {
+                SubmissionError::StatementOverPlan { max_bytes }
             }
-            PlanRejection::LimitReached {
+            PlanDenial::RouteOrLimit {
                 reason,
                 retry_after,
             } => {
@@ -79,7 +79,7 @@
                 let retry_after_seconds = retry_after
                     .filter(|_| settings.retry_after_allowed)
                     .map(|span| span.as_secs_f64().min(settings.max_retry_after));
-                Rejection::RejectedByPlan {
+                SubmissionError::DeniedByPlan {
                     reason,
                     retry_after_seconds,
                 }
@@ -89,62 +89,64 @@
 
     fn status(&self) -> StatusCode {
         match self {
-            Rejection::InvalidHead(_)
-            | Rejection::BodyCutOff
-            | Rejection::BodyNotStored
-            | Rejection::ClientClosed => StatusCode::BAD_REQUEST,
-            Rejection::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
-            Rejection::QueryKeyConflict | Rejection::AnswerNotCached => StatusCode::CONFLICT,
-            Rejection::LengthRequired => StatusCode::LENGTH_REQUIRED,
-            Rejection::StatementTooLong
-            | Rejection::StatementOverPlan { .. }
-            | Rejection::BodyTooLong { .. } => StatusCode::PAYLOAD_TOO_LARGE,
-            Rejection::MayHaveRun => StatusCode::INTERNAL_SERVER_ERROR,
-            Rejection::BodyStoreFull | Rejection::RejectedByPlan { .. } => {
+            SubmissionError::InvalidHead(_)
+            | SubmissionError::BodyCutOff
+            | SubmissionError::BodyNotStored
+            | SubmissionError::ClientClosed => StatusCode::BAD_REQUEST,
+            SubmissionError::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
+            SubmissionError::QueryKeyConflict | SubmissionError::AnswerNotCached => {
+                StatusCode::CONFLICT
+            }
+            SubmissionError::LengthRequired => StatusCode::LENGTH_REQUIRED,
+            SubmissionError::StatementTooLong
+            | SubmissionError::StatementOverPlan { .. }
+            | SubmissionError::BodyTooLong { .. } => StatusCode::PAYLOAD_TOO_LARGE,
+            SubmissionError::MayHaveRun => StatusCode::INTERNAL_SERVER_ERROR,
+            SubmissionError::BodyStoreFull | SubmissionError::DeniedByPlan { .. } => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            Rejection::StatementMemoryFull => StatusCode::INSUFFICIENT_STORAGE,
+            SubmissionError::StatementMemoryFull => StatusCode::INSUFFICIENT_STORAGE,
         }
     }
 
     /// Whether a part of the request may be unread, so that what follows can't be parsed as a request.
     fn closes_connection(&self) -> bool {
         match self {
-            Rejection::InvalidHead(_)
-            | Rejection::QueryKeyConflict
-            | Rejection::AnswerNotCached
-            | Rejection::MayHaveRun
-            | Rejection::RejectedByPlan { .. } => false,
-            Rejection::LengthRequired
-            | Rejection::StatementTooLong
-            | Rejection::StatementOverPlan { .. }
-            | Rejection::BodyTooLong { .. }
-            | Rejection::StatementMemoryFull
-            | Rejection::BodyStoreFull
-            | Rejection::BodyCutOff
-            | Rejection::BodyTooSlow
-            | Rejection::BodyNotStored
-            | Rejection::ClientClosed => true,
+            SubmissionError::InvalidHead(_)
+            | SubmissionError::QueryKeyConflict
+            | SubmissionError::AnswerNotCached
+            | SubmissionError::MayHaveRun
+            | SubmissionError::DeniedByPlan { .. } => false,
+            SubmissionError::LengthRequired
+            | SubmissionError::StatementTooLong
+            | SubmissionError::StatementOverPlan { .. }
+            | SubmissionError::BodyTooLong { .. }
+            | SubmissionError::StatementMemoryFull
+            | SubmissionError::BodyStoreFull
+            | SubmissionError::BodyCutOff
+            | SubmissionError::BodyTooSlow
+            | SubmissionError::BodyNotStored
+            | SubmissionError::ClientClosed => true,
         }
     }
 }
 
-impl From<AdmissionError> for Rejection {
+impl From<AdmissionError> for SubmissionError {
     fn from(error: AdmissionError) -> Self {
         match error {
-            AdmissionError::TooLarge { max_bytes } => Rejection::BodyTooLong { max_bytes },
-            AdmissionError::UnknownLength => Rejection::LengthRequired,
-            AdmissionError::NoCapacity => Rejection::BodyStoreFull,
+            AdmissionError::TooLarge { max_bytes } => SubmissionError::BodyTooLong { max_bytes },
+            AdmissionError::UnknownLength => SubmissionError::LengthRequired,
+            AdmissionError::NoCapacity => SubmissionError::BodyStoreFull,
         }
     }
 }
 
-impl IntoResponse for Rejection {
+impl IntoResponse for SubmissionError {
     fn into_response(self) -> Response {
         let text = self.to_string();
         let response = match &self {
-            Rejection::BodyStoreFull => busy_response(Some(&text), None),
-            Rejection::RejectedByPlan {
+            SubmissionError::BodyStoreFull => busy_response(Some(&text), None),
+            SubmissionError::DeniedByPlan {
                 retry_after_seconds,
                 ..
             } => busy_response(Some(&text), *retry_after_seconds),
--- a/crates/gateway/src/http/rejection/tests.rs
+++ b/crates/gateway/src/http/submission_error/tests.rs
@@ -2,16 +2,16 @@
 use axum::body::to_bytes;
 use axum::http::header::{HeaderMap, CONNECTION};
 
-/// The status, headers and body of the response to a rejection.
-async fn response_parts(rejection: Rejection) -> (u16, HeaderMap, String) {
-    let (head, body) = rejection.into_response().into_parts();
+/// The status, headers and body of the response to an error.
+async fn response_parts(error: SubmissionError) -> (u16, HeaderMap, String) {
+    let (head, body) = error.into_response().into_parts();
     let body = to_bytes(body, 1 << 10).await.unwrap();
     let text = String::from_utf8(body.to_vec()).unwrap();
     (head.status.as_u16(), head.headers, text)
 }
 
 #[tokio::test]
-async fn a_rejection_has_its_status_and_text_and_closes_where_the_body_may_be_unread() {
+async fn a_submission_error_has_its_status_and_text_and_closes_where_the_body_may_be_unread() {
     let cases = [
         (
             RequestError::NoStatement.into(),
@@ -20,19 +20,19 @@
             false,
         ),
         (
-            Rejection::LengthRequired,
+            SubmissionError::LengthRequired,
             411,
             r#"{"error":"a statement comes with its Content-Length"}"#,
             true,
         ),
         (
-            Rejection::StatementTooLong,
+            SubmissionError::StatementTooLong,
             413,
             r#"{"error":"statement too long"}"#,
             true,
         ),
         (
-            Rejection::StatementOverPlan { max_bytes: 7 },
+            SubmissionError::StatementOverPlan { max_bytes: 7 },
             413,
             r#"{"error":"the plan allows statements of 7 bytes"}"#,
             true,
@@ -44,7 +44,7 @@
             true,
         ),
         (
-            Rejection::StatementMemoryFull,
+            SubmissionError::StatementMemoryFull,
             507,
             r#"{"error":"too many statements in hand"}"#,
             true,
@@ -56,45 +56,50 @@
             true,
         ),
         (
-            Rejection::BodyCutOff,
+            SubmissionError::BodyCutOff,
             400,
             r#"{"error":"statement cut off"}"#,
             true,
         ),
         (
-            Rejection::BodyTooSlow,
+            SubmissionError::BodyTooSlow,
             408,
             r#"{"error":"statement came too slowly"}"#,
             true,
         ),
         (
-            Rejection::BodyNotStored,
+            SubmissionError::BodyNotStored,
             400,
             r#"{"error":"the body can't be kept, or is longer than it may be"}"#,
             true,
         ),
         (
-            Rejection::ClientClosed,
+            SubmissionError::ClientClosed,
             400,
             r#"{"error":"the client has left"}"#,
             true,
         ),
         (
-            Rejection::QueryKeyConflict,
+            SubmissionError::QueryKeyConflict,
             409,
             r#"{"error":"this id is that of another batch"}"#,
             false,
         ),
         (
-            Rejection::AnswerNotCached,
+            SubmissionError::AnswerNotCached,
             409,
             r#"{"error":"this id has had its answer"}"#,
             false,
         ),
-        (Rejection::MayHaveRun, 500, r#"{"error":"Failed"}"#, false),
+        (
+            SubmissionError::MayHaveRun,
+            500,
+            r#"{"error":"Failed"}"#,
+            false,
+        ),
     ];
-    for (rejection, status, text, closes) in cases {
-        let (got_status, headers, got_text) = response_parts(rejection).await;
+    for (error, status, text, closes) in cases {
+        let (got_status, headers, got_text) = response_parts(error).await;
         assert_eq!((got_status, got_text.as_str()), (status, text));
         assert_eq!(headers["content-type"], "application/json");
         assert_eq!(headers.contains_key(CONNECTION), closes, "{text}");
@@ -102,16 +107,16 @@
 }
 
 #[tokio::test]
-async fn a_rejection_by_the_plan_gives_its_reason_and_when_to_retry() {
-    let rejection = |retry_after_seconds| Rejection::RejectedByPlan {
+async fn a_denial_by_the_plan_gives_its_reason_and_when_to_retry() {
+    let error = |retry_after_seconds| SubmissionError::DeniedByPlan {
         reason: "over the limit".into(),
         retry_after_seconds,
     };
     let text = r#"{"error":"Busy","reason":"over the limit"}"#;
-    let (status, headers, got_text) = response_parts(rejection(Some(0.25))).await;
+    let (status, headers, got_text) = response_parts(error(Some(0.25))).await;
     assert_eq!((status, got_text.as_str()), (503, text));
     assert_eq!(headers["x-wait-ms"], "250");
     assert!(!headers.contains_key(CONNECTION));
-    let (_, headers, _) = response_parts(rejection(None)).await;
+    let (_, headers, _) = response_parts(error(None)).await;
     assert!(!headers.contains_key("x-wait-ms"));
 }
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -40,11 +40,11 @@
     pub deadline: Option<Duration>,
 }
 
-/// Why the plan rejects a query.
+/// Why the plan denies a query.
 #[derive(Debug, PartialEq)]
-pub enum PlanRejection {
+pub enum PlanDenial {
     /// A route refuses it, or it is over a limit.
-    LimitReached {
+    RouteOrLimit {
         /// The reason, for the client.
         reason: String,
         /// When the limit is expected to admit the query; `None` where a route refuses it.
@@ -57,7 +57,7 @@
     },
 }
 
-impl From<LimitExceeded> for PlanRejection {
+impl From<LimitExceeded> for PlanDenial {
     fn from(exceeded: LimitExceeded) -> Self {
         // Wire: clients are sent these words.
         let quantity = match exceeded.kind {
@@ -65,7 +65,7 @@
             LimitKind::Rate => "Rate",
             LimitKind::Bytes => "Bytes",
         };
-        PlanRejection::LimitReached {
+        PlanDenial::RouteOrLimit {
             reason: format!("over the limit {} ({quantity})", exceeded.limit),
             retry_after: Some(exceeded.retry_after),
         }
@@ -269,14 +269,14 @@
     /// # Errors
     ///
     /// A route refuses the query, its statement is too long, or it is over a limit.
-    pub fn admit(&mut self, now: f64, query: &RoutedQuery) -> Result<PlanAdmission, PlanRejection> {
+    pub fn admit(&mut self, now: f64, query: &RoutedQuery) -> Result<PlanAdmission, PlanDenial> {
         let plan = &self.in_force.plan;
         let routing = &plan.routing;
         let (class, index) = match routing.decide(query) {
             RouteDecision::Admitted { class, subset, .. } => (class, subset),
-            RouteDecision::Rejected { route } => return Err(refused_by_route(routing, route)),
+            RouteDecision::Rejected { route } => return Err(denied_by_route(routing, route)),
             RouteDecision::StatementTooLong { max_bytes } => {
-                return Err(PlanRejection::StatementTooLong { max_bytes })
+                return Err(PlanDenial::StatementTooLong { max_bytes })
             }
         };
         let permit = self.limits.admit(routing, unix_time(now), query)?;
@@ -299,9 +299,9 @@
     }
 }
 
-fn refused_by_route(routing: &Routing, route: usize) -> PlanRejection {
+fn denied_by_route(routing: &Routing, route: usize) -> PlanDenial {
     let reason = routing.plan().routes[route].reject_reason.clone();
-    PlanRejection::LimitReached {
+    PlanDenial::RouteOrLimit {
         reason: reason.unwrap_or_default(),
         retry_after: None,
     }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: an arriving query is opened, joins the open query of its key, or is rejected.
+//! Admission: an arriving query is opened, joins the open query of its key, or is not admitted.
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
 use super::open_query::OpenQuery;
@@ -8,7 +8,7 @@
 use crate::engines::{ForwardedQuery, Statement};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::log_millis;
-use crate::scheduling::plan_routing::{PlanAdmission, PlanRejection};
+use crate::scheduling::plan_routing::{PlanAdmission, PlanDenial};
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
@@ -128,7 +128,7 @@
     ) -> Admission {
         let plan_admission = match state.admit_by_plan(now, &new.arriving) {
             Ok(plan_admission) => plan_admission,
-            Err(rejection) => return Admission::RejectedByPlan(rejection),
+            Err(denial) => return Admission::DeniedByPlan(denial),
         };
         let terms = state.terms(now, &new.arriving, plan_admission);
         if terms.is_non_idempotent && state.queries.is_recovery_pending() {
@@ -254,7 +254,7 @@
         &mut self,
         now: f64,
         arriving: &ArrivingQuery,
-    ) -> Result<Option<PlanAdmission>, PlanRejection> {
+    ) -> Result<Option<PlanAdmission>, PlanDenial> {
         let Some(plan_router) = self.plan_router.as_mut() else {
             return Ok(None);
         };
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -2,7 +2,7 @@
 
 use super::Waiter;
 use crate::scheduling::client_presence::ClientPresence;
-use crate::scheduling::plan_routing::PlanRejection;
+use crate::scheduling::plan_routing::PlanDenial;
 use bytes::Bytes;
 use garnetwall::api::{EngineId, FinalAnswer, QueryId};
 use garnetwall_ledger::records::StartedQuery;
@@ -125,6 +125,6 @@
     AnswerNotCached,
     /// An earlier process may have sent it, and it may have run.
     MayHaveRun,
-    /// The plan rejects it.
-    RejectedByPlan(PlanRejection),
+    /// The plan denies it.
+    DeniedByPlan(PlanDenial),
 }
