--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -1,7 +1,7 @@
 //! Admission stage: hands a submitted query to the scheduler, and starts the task of a new one. Shared by statements that are
 //! read whole and bodies that are streamed.
 
-use super::request_head::SubmittedQuery;
+use super::request_head::{SubmittedQuery, TimedQuery};
 use super::responses::answer_response;
 use super::submission_error::SubmissionError;
 use super::ServerState;
@@ -29,12 +29,12 @@
     }
 }
 
-/// Admits a query, or joins the open one of the same id. `arrived_at` is the scheduler's time in seconds at which the request
+/// Admits a query, or joins the open one of the same key. `arrived_at` is the scheduler's time in seconds at which the request
 /// arrived, and `statement_memory` is held until the query's task ends.
 ///
 /// # Errors
 ///
-/// The client has closed its connection, the id can't be used again, or the plan denies the query.
+/// The client has closed its connection, the query key can't be used again, or the plan denies the query.
 pub(super) fn admit(
     state: &ServerState,
     query: SubmittedQuery,
@@ -42,15 +42,15 @@
     statement_memory: OwnedSemaphorePermit,
     stream: &StreamHandle,
 ) -> Result<AdmittedQuery, SubmissionError> {
-    let SubmittedQuery {
-        mut arrival,
+    check_client_connected(stream, query.head.query_key)?;
+    let sent_at = state.earliest_send_time(query.head.ordering_key, arrived_at);
+    let TimedQuery {
+        arriving,
         forwarded_query,
-    } = query;
-    check_client_connected(stream, arrival.query_key)?;
-    arrival.deadline += state.earliest_send_time(arrival.ordering_key, arrived_at);
-    match state.scheduler.admit(arrival, forwarded_query.clone()) {
+    } = query.sent_at(sent_at);
+    match state.scheduler.admit(arriving, forwarded_query.clone()) {
         Admission::New {
-            id,
+            query_id,
             commands,
             waiter,
             journal_entry,
@@ -59,7 +59,7 @@
             let task = QueryTask {
                 scheduler: state.scheduler.clone(),
                 engines: state.engines.clone(),
-                query_id: id,
+                query_id,
                 forwarded_query,
                 commands,
                 journal: state.journal.clone(),
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -10,14 +10,14 @@
 use thiserror::Error;
 
 /// Protocol: names of the headers.
-const QUERY_ID_HEADER: &str = "x-job-id";
+const QUERY_KEY_HEADER: &str = "x-job-id";
 const DEADLINE_HEADER: &str = "x-allow-ms";
 const TENANT_HEADER: &str = "x-team";
 const ORDERING_KEY_HEADER: &str = "x-item";
 const IDEMPOTENCY_KEY_HEADER: &str = "x-unique";
 const ESTIMATED_WORK_HEADER: &str = "x-size-ms";
 const ESTIMATED_MEMORY_HEADER: &str = "x-memory";
-/// Protocol: hex digits of a query id and of an ordering key.
+/// Protocol: hex digits of a query key and of an ordering key.
 const KEY_DIGITS: usize = 16;
 /// Milliseconds in a second; the protocol gives times in milliseconds, decisions take seconds.
 const MS_PER_SECOND: f64 = 1000.0;
@@ -34,7 +34,7 @@
     /// A header has several values.
     #[error("{0}: repeated")]
     RepeatedHeader(&'static str),
-    /// A query id or an ordering key is not written as such.
+    /// A query key or an ordering key is not written as such.
     #[error("{0}: {KEY_DIGITS} hex digits expected")]
     InvalidKey(&'static str),
     /// The deadline is not a number.
@@ -64,10 +64,22 @@
     pub stream: StreamHandle,
 }
 
-/// A query to be admitted: what decisions need, and what is sent to the engine unchanged.
+/// A query to be admitted, of which it is still to be estimated when its client sent it.
 #[derive(Debug)]
 pub(super) struct SubmittedQuery {
-    pub arrival: ArrivingQuery,
+    pub head: RequestHead,
+    pub client: IpAddr,
+    pub statement: Statement,
+    /// The length of the statement, in bytes; what has arrived of it where the client declares none.
+    pub statement_bytes: u64,
+    /// The data set that the statement reads or loads.
+    pub data_set: u32,
+}
+
+/// A query that can be admitted: what decisions need, and what is sent to the engine unchanged.
+#[derive(Debug)]
+pub(super) struct TimedQuery {
+    pub arriving: ArrivingQuery,
     pub forwarded_query: Arc<ForwardedQuery>,
 }
 
@@ -78,10 +90,11 @@
     pub class: usize,
     /// Index of the tenant; 0 where none are configured.
     pub tenant: usize,
-    id: HeaderValue,
-    query_key: u64,
+    pub query_key: u64,
+    pub ordering_key: Option<u64>,
+    /// The query key as the client wrote it.
+    query_key_text: HeaderValue,
     class_name: HeaderValue,
-    ordering_key: Option<u64>,
     idempotency_key: Option<HeaderValue>,
     in_order: bool,
     /// Time that the client allows, from when it sent the query.
@@ -111,8 +124,8 @@
         let unknown_class = || RequestError::UnknownClass(class_name.clone());
         let class = position(&decoded.names.classes, class_name).ok_or_else(unknown_class)?;
         let class_settings = &decoded.settings.classes[class];
-        let id = header(headers, QUERY_ID_HEADER)?;
-        let query_key = parse_key(QUERY_ID_HEADER, id)?;
+        let query_key_text = header(headers, QUERY_KEY_HEADER)?;
+        let query_key = parse_key(QUERY_KEY_HEADER, query_key_text)?;
         let allowed_seconds = parse_allowed_seconds(headers, class_settings.deadline)?;
         if statement.is_some_and(<[u8]>::is_empty) {
             return Err(RequestError::NoStatement);
@@ -127,10 +140,10 @@
         Ok(RequestHead {
             class,
             tenant,
-            id: id.clone(),
             query_key,
-            class_name,
             ordering_key,
+            query_key_text: query_key_text.clone(),
+            class_name,
             idempotency_key,
             in_order: ordering_key.is_some() && class_settings.in_order,
             allowed_seconds,
@@ -138,36 +151,33 @@
             estimated_memory: parse_estimate(headers, ESTIMATED_MEMORY_HEADER)?,
         })
     }
+}
 
-    /// The query that a head and a statement make. The deadline still counts from when the client sent the query.
-    pub fn into_query(
-        self,
-        client: IpAddr,
-        statement: Statement,
-        statement_bytes: u64,
-        data_set: u32,
-    ) -> SubmittedQuery {
-        let arrival = ArrivingQuery {
-            query_key: self.query_key,
-            class: self.class,
-            tenant: self.tenant,
-            ordering_key: self.ordering_key,
-            deadline: self.allowed_seconds,
-            estimated_work: self.estimated_work,
-            estimated_memory: self.estimated_memory,
-            data_set,
-            client,
-            bytes: statement_bytes,
+impl SubmittedQuery {
+    /// The query with the deadline that follows from when its client sent it, in seconds on the scheduler's clock.
+    pub fn sent_at(self, sent_at: f64) -> TimedQuery {
+        let head = self.head;
+        let arriving = ArrivingQuery {
+            query_key: head.query_key,
+            class: head.class,
+            tenant: head.tenant,
+            ordering_key: head.ordering_key,
+            deadline: head.allowed_seconds + sent_at,
+            estimated_work: head.estimated_work,
+            estimated_memory: head.estimated_memory,
+            data_set: self.data_set,
+            client: self.client,
+            statement_bytes: self.statement_bytes,
         };
         let forwarded_query = Arc::new(ForwardedQuery {
-            query_key: self.id,
-            class: self.class_name,
-            idempotency_key: self.idempotency_key,
-            in_order: self.in_order,
-            statement,
+            query_key: head.query_key_text,
+            class: head.class_name,
+            idempotency_key: head.idempotency_key,
+            in_order: head.in_order,
+            statement: self.statement,
         });
-        SubmittedQuery {
-            arrival,
+        TimedQuery {
+            arriving,
             forwarded_query,
         }
     }
@@ -177,9 +187,9 @@
 ///
 /// # Errors
 ///
-/// The header is missing or repeated, or its value is not a query id.
+/// The header is missing or repeated, or its value is not a query key.
 pub(super) fn query_key(headers: &HeaderMap) -> Result<u64, RequestError> {
-    parse_key(QUERY_ID_HEADER, header(headers, QUERY_ID_HEADER)?)
+    parse_key(QUERY_KEY_HEADER, header(headers, QUERY_KEY_HEADER)?)
 }
 
 fn position(names: &[String], name: &str) -> Option<usize> {
@@ -223,7 +233,7 @@
     value.to_str().ok()?.trim().parse().ok()
 }
 
-/// A query id or an ordering key.
+/// A query key or an ordering key.
 fn parse_key(name: &'static str, value: &HeaderValue) -> Result<u64, RequestError> {
     let text = value.to_str().unwrap_or_default();
     if text.len() != KEY_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
--- a/crates/gateway/src/http/request_head/tests.rs
+++ b/crates/gateway/src/http/request_head/tests.rs
@@ -9,7 +9,7 @@
             "unknown service group 'x'",
         ),
         (
-            RequestError::MissingHeader(QUERY_ID_HEADER),
+            RequestError::MissingHeader(QUERY_KEY_HEADER),
             "x-job-id: missing",
         ),
         (
@@ -42,7 +42,7 @@
     let mut headers = HeaderMap::new();
     assert_eq!(
         query_key(&headers),
-        Err(RequestError::MissingHeader(QUERY_ID_HEADER))
+        Err(RequestError::MissingHeader(QUERY_KEY_HEADER))
     );
     for (value, expected) in [
         ("00000000000000ff", Some(255)),
@@ -51,17 +51,17 @@
         ("ff", None),
         ("00000000000000fg", None),
     ] {
-        headers.insert(QUERY_ID_HEADER, HeaderValue::from_static(value));
-        let expected = expected.ok_or(RequestError::InvalidKey(QUERY_ID_HEADER));
+        headers.insert(QUERY_KEY_HEADER, HeaderValue::from_static(value));
+        let expected = expected.ok_or(RequestError::InvalidKey(QUERY_KEY_HEADER));
         assert_eq!(query_key(&headers), expected, "{value}");
     }
     headers.append(
-        QUERY_ID_HEADER,
+        QUERY_KEY_HEADER,
         HeaderValue::from_static("00000000000000ff"),
     );
     assert_eq!(
         query_key(&headers),
-        Err(RequestError::RepeatedHeader(QUERY_ID_HEADER))
+        Err(RequestError::RepeatedHeader(QUERY_KEY_HEADER))
     );
 }
 
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -2,7 +2,7 @@
 //! the body store holds what has arrived, for retries.
 
 use super::admission::{admit, AdmittedQuery};
-use super::request_head::{RequestError, RequestHead, Submission};
+use super::request_head::{RequestError, RequestHead, Submission, SubmittedQuery};
 use super::responses::{answer_response, close_after};
 use super::submission_error::SubmissionError;
 use super::{ServerState, FIRST_REQUEST_TIMEOUT};
@@ -55,11 +55,16 @@
     let statement_bytes = length.unwrap_or(prefix.len() as u64);
     let data_set = data_set(&prefix).unwrap_or(0);
     drop(prefix);
-    let statement = Statement::Streamed(stored.clone());
-    let query = head.into_query(submission.client, statement, statement_bytes, data_set);
+    let query = SubmittedQuery {
+        head,
+        client: submission.client,
+        statement: Statement::Streamed(stored.clone()),
+        statement_bytes,
+        data_set,
+    };
     // The store has a budget of its own.
     let memory = state.reserve_statement_bytes(0)?;
-    let query_key = query.arrival.query_key;
+    let query_key = query.head.query_key;
     match admit(state, query, arrived_at, memory, &submission.stream)? {
         AdmittedQuery::Answered(answer) => Ok(close_after(answer_response(answer))),
         AdmittedQuery::Open(waiter) => {
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -1,7 +1,7 @@
 //! Handler stage: a request that submits a query, or cancels one.
 
 use super::admission::admit;
-use super::request_head::{query_key, RequestHead, Submission};
+use super::request_head::{query_key, RequestHead, Submission, SubmittedQuery};
 use super::responses::error_response;
 use super::streamed_body::submit_streamed;
 use super::submission_error::SubmissionError;
@@ -63,10 +63,13 @@
         .arrival_time(submission.stream.last_read_at());
     let head = RequestHead::parse(&state.decoded, &submission, Some(&statement))
         .inspect_err(|error| tracing::debug!(%error, "request rejected"))?;
-    let statement_bytes = statement.len() as u64;
-    let data_set = data_set(&statement).unwrap_or(0);
-    let statement = Statement::Complete(statement);
-    let query = head.into_query(submission.client, statement, statement_bytes, data_set);
+    let query = SubmittedQuery {
+        head,
+        client: submission.client,
+        statement_bytes: statement.len() as u64,
+        data_set: data_set(&statement).unwrap_or(0),
+        statement: Statement::Complete(statement),
+    };
     let admitted = admit(state, query, arrived_at, memory, &submission.stream)?;
     Ok(admitted.response().await)
 }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -166,7 +166,7 @@
             answer,
         };
         Admission::New {
-            id,
+            query_id: id,
             commands,
             waiter,
             journal_entry,
@@ -265,7 +265,7 @@
             has_key: arriving.ordering_key.is_some(),
             data_set: arriving.data_set,
             minute: minute_of_day(now),
-            statement_bytes: arriving.bytes,
+            statement_bytes: arriving.statement_bytes,
         };
         plan_router.admit(now, &query).map(Some)
     }
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -97,7 +97,7 @@
     /// The address of its client.
     pub client: IpAddr,
     /// The length of its statement, in bytes.
-    pub bytes: u64,
+    pub statement_bytes: u64,
 }
 
 /// What became of an arriving query.
@@ -105,7 +105,7 @@
     /// It is opened.
     New {
         /// Its number.
-        id: QueryId,
+        query_id: QueryId,
         /// The commands that its task carries out.
         commands: UnboundedReceiver<Command>,
         /// Its first waiter.
