--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -23,12 +23,30 @@
 /// Discarded at most when a connection closes; more than a kernel buffers unread for one connection.
 const MAX_DISCARDED_BYTES: usize = 8 << 20;
 
+/// How a client ended its side of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StreamEnd {
+    /// In order.
+    Closed,
+    /// By an error of this kind.
+    Failed(io::ErrorKind),
+}
+
+/// What a read from a connection brought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadOutcome {
+    /// Bytes.
+    Received,
+    /// None: nothing has arrived, or the client has ended its side.
+    Nothing,
+}
+
 struct StreamState {
     io: TokioIo<Socket>,
     /// Read, but not yet taken by the parser.
     read_ahead: BytesMut,
-    /// How the client ended its side: in order, or with an error.
-    end: Option<Result<(), io::ErrorKind>>,
+    /// How the client ended its side, once it has.
+    end: Option<StreamEnd>,
     /// Bytes were read ahead since the connection's task was last woken to parse.
     parser_needs_wake: bool,
     last_read_at: Instant,
@@ -136,20 +154,20 @@
 }
 
 impl StreamState {
-    /// Takes in the result of a read into `buffer`; whether it brought bytes.
-    fn record_read(&mut self, result: io::Result<usize>, buffer: &[u8]) -> bool {
+    /// Takes in the result of a read into `buffer`.
+    fn record_read(&mut self, result: io::Result<usize>, buffer: &[u8]) -> ReadOutcome {
         match result {
-            Ok(0) => self.end = Some(Ok(())),
+            Ok(0) => self.end = Some(StreamEnd::Closed),
             Ok(count) => {
                 self.last_read_at = Instant::now();
                 self.parser_needs_wake = true;
                 self.read_ahead.extend_from_slice(&buffer[..count]);
-                return true;
+                return ReadOutcome::Received;
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            Err(error) => self.end = Some(Err(error.kind())),
+            Err(error) => self.end = Some(StreamEnd::Failed(error.kind())),
         }
-        false
+        ReadOutcome::Nothing
     }
 
     fn is_read_ahead_full(&self) -> bool {
@@ -162,7 +180,7 @@
         while self.end.is_none() && !self.is_read_ahead_full() {
             let free = READ_AHEAD_BYTES - self.read_ahead.len();
             let result = self.io.inner().read_now(&mut buffer[..free]);
-            if !self.record_read(result, &buffer) {
+            if self.record_read(result, &buffer) == ReadOutcome::Nothing {
                 return;
             }
         }
@@ -216,8 +234,10 @@
             state.read_ahead.advance(count);
             return Poll::Ready(Ok(()));
         }
-        if let Some(end) = state.end {
-            return Poll::Ready(end.map_err(io::Error::from));
+        match state.end {
+            Some(StreamEnd::Closed) => return Poll::Ready(Ok(())),
+            Some(StreamEnd::Failed(kind)) => return Poll::Ready(Err(kind.into())),
+            None => {}
         }
         let result = ready!(Pin::new(&mut state.io).poll_read(cx, buffer));
         state.last_read_at = Instant::now();
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -7,7 +7,7 @@
 use crate::http::client_stream::StreamHandle;
 use axum::Router;
 use hyper_util::rt::TokioIo;
-use request_loop::{CloseReason, RequestLoop};
+use request_loop::{CloseReason, RequestLoop, RequestsWanted};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -26,6 +26,15 @@
     b"HTTP/1.1 408 Request Timeout\r\nContent-Type: application/json\r\nConnection: close\r\n\
     Content-Length: 36\r\n\r\n{\"error\":\"the call came too slowly\"}";
 
+/// How a connection is closed after what was written last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CloseMode {
+    /// Its client has time to read that and to close.
+    Linger,
+    /// At once: another connection needs its slot.
+    Immediate,
+}
+
 /// One client connection while it is served.
 pub(super) struct ConnectionServer {
     stream: StreamHandle,
@@ -55,28 +64,32 @@
 
     /// Serves until the client closes the connection, is silent for too long, or the gateway closes it.
     pub async fn run(mut self) {
-        let mut is_last_request = false;
-        let evicted = loop {
-            let reason = RequestLoop::new(&mut self, is_last_request).run().await;
-            match reason {
+        let mut requests_wanted = RequestsWanted::Any;
+        let mode = loop {
+            let mode = match RequestLoop::new(&mut self, requests_wanted).run().await {
                 CloseReason::ClientClosed => return,
-                CloseReason::NoRequest { evicted } => return self.close_unserved(evicted).await,
-                CloseReason::LastResponse => break false,
-                CloseReason::Shutdown | CloseReason::Evicted => {}
-            }
-            if is_last_request || !self.stream.has_unparsed_bytes() {
-                break reason == CloseReason::Evicted;
+                CloseReason::Silent => return self.close_unserved(CloseMode::Linger).await,
+                CloseReason::EvictedUnserved => {
+                    return self.close_unserved(CloseMode::Immediate).await
+                }
+                CloseReason::LastResponse => break CloseMode::Linger,
+                CloseReason::Shutdown => CloseMode::Linger,
+                CloseReason::Evicted => CloseMode::Immediate,
+            };
+            let was_last = requests_wanted == RequestsWanted::OneMore;
+            if was_last || !self.stream.has_unparsed_bytes() {
+                break mode;
             }
             // A request whose first bytes arrived before the close is still served, as the last.
-            is_last_request = true;
+            requests_wanted = RequestsWanted::OneMore;
         };
-        self.close(evicted).await;
+        self.close(mode).await;
     }
 
-    /// Closes the connection after its last response; one that was evicted does not wait for its client.
-    async fn close(&self, evicted: bool) {
+    /// Closes the connection after its last response.
+    async fn close(&self, mode: CloseMode) {
         self.stream.shut_down_write();
-        if !evicted {
+        if mode == CloseMode::Linger {
             self.connection.started_closing();
             tokio::select! {
                 () = linger(&self.stream) => {}
@@ -88,7 +101,7 @@
 
     /// Closes a connection that had no request. A client that writes slowly is answered that its request was not read: its
     /// remaining bytes may cross our close.
-    async fn close_unserved(&self, evicted: bool) {
+    async fn close_unserved(&self, mode: CloseMode) {
         if !self.stream.has_unparsed_bytes() {
             return;
         }
@@ -96,7 +109,7 @@
         // A client that does not read the response sees the close.
         let _ = timeout(LINGER_TIMEOUT, stream.write_all(PARTIAL_HEAD_RESPONSE)).await;
         self.stream.shut_down_write();
-        if !evicted {
+        if mode == CloseMode::Linger {
             linger(&self.stream).await;
         }
         self.stream.discard_received();
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -29,8 +29,10 @@
 pub(super) enum CloseReason {
     /// The client closed it: no response is owed.
     ClientClosed,
-    /// No complete first request head arrived in time, or not before the connection was evicted.
-    NoRequest { evicted: bool },
+    /// No complete first request head arrived in time.
+    Silent,
+    /// Evicted before a complete first request head arrived.
+    EvictedUnserved,
     /// The last response announced it, or what the client sent is no HTTP.
     LastResponse,
     /// The gateway closes its connections, and no request was open.
@@ -39,6 +41,36 @@
     Evicted,
 }
 
+/// How many requests a connection may still carry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestsWanted {
+    /// Any number, with idle times between them.
+    Any,
+    /// The one that has begun to arrive.
+    OneMore,
+}
+
+impl RequestsWanted {
+    /// How long the head of the next request is waited for.
+    fn head_timeout(self) -> Duration {
+        match self {
+            RequestsWanted::Any => IDLE_TIMEOUT,
+            RequestsWanted::OneMore => FIRST_REQUEST_TIMEOUT,
+        }
+    }
+}
+
+/// How far a connection has come in closing for the gateway's shutdown.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ShutdownProgress {
+    /// It was not asked to.
+    NotRequested,
+    /// Bytes were found that the parser has not seen, and it is polled once more.
+    UnparsedLeftToParser,
+    /// The HTTP protocol was asked to end.
+    Handled,
+}
+
 /// What happened on a connection that is being served.
 enum Event {
     /// The HTTP protocol ended: by an error, or after the last response.
@@ -66,35 +98,26 @@
     first_request_timeout: Pin<Box<Sleep>>,
     /// The extra time for a first request head was granted.
     grace_granted: bool,
-    /// Unparsed bytes were found after the request to shut down, and left to the parser.
-    unparsed_found_at_shutdown: bool,
-    /// The HTTP protocol was asked to end because of the request to shut down.
-    shutdown_handled: bool,
+    shutdown: ShutdownProgress,
     /// Holds once the HTTP protocol has ended without an error.
     close_reason: CloseReason,
 }
 
 impl<'a> RequestLoop<'a> {
-    /// `is_last_request` serves one more request, which has begun to arrive.
-    pub fn new(server: &'a mut ConnectionServer, is_last_request: bool) -> Self {
-        let head_timeout = if is_last_request {
-            FIRST_REQUEST_TIMEOUT
-        } else {
-            IDLE_TIMEOUT
-        };
+    /// A loop over the requests of a connection, for as many as are wanted.
+    pub fn new(server: &'a mut ConnectionServer, requests_wanted: RequestsWanted) -> Self {
         let http = http1::Builder::new()
             .timer(TokioTimer::new())
             .max_buf_size(MAX_HEAD_BYTES)
-            .keep_alive(!is_last_request)
-            .header_read_timeout(head_timeout)
+            .keep_alive(requests_wanted == RequestsWanted::Any)
+            .header_read_timeout(requests_wanted.head_timeout())
             .serve_connection(server.stream.stream(), RequestService::new(server));
         RequestLoop {
             server,
             http,
             first_request_timeout: Box::pin(sleep(FIRST_REQUEST_TIMEOUT)),
             grace_granted: false,
-            unparsed_found_at_shutdown: false,
-            shutdown_handled: false,
+            shutdown: ShutdownProgress::NotRequested,
             close_reason: CloseReason::LastResponse,
         }
     }
@@ -128,6 +151,7 @@
         } = &mut *self.server;
         let http = &mut self.http;
         let first_request_timeout = self.first_request_timeout.as_mut();
+        let is_shutdown_handled = self.shutdown == ShutdownProgress::Handled;
         let awaits_first_request =
             connection.awaits_first_request() && !first_request_timeout.is_elapsed();
         tokio::select! {
@@ -136,7 +160,7 @@
             () = stream.closed_by_client(|| connection.has_request()) => Event::ClientClosed,
             () = connection.eviction.notified() => Event::EvictionRequested,
             () = first_request_timeout, if awaits_first_request => Event::FirstRequestTimeout,
-            Ok(_) = shutdown.wait_for(|shutdown| *shutdown), if !self.shutdown_handled => {
+            Ok(_) = shutdown.wait_for(|shutdown| *shutdown), if !is_shutdown_handled => {
                 Event::ShutdownRequested
             }
         }
@@ -168,7 +192,7 @@
         }
         tracing::debug!(client = %self.client(), "client connection evicted");
         if connection.awaits_first_request() {
-            return Step::Close(CloseReason::NoRequest { evicted: true });
+            return Step::Close(CloseReason::EvictedUnserved);
         }
         Step::CloseAfterResponse(CloseReason::Evicted)
     }
@@ -178,7 +202,7 @@
         let has_no_request = self.server.connection.awaits_first_request();
         if has_no_request && (self.grace_granted || !self.server.stream.has_unparsed_bytes()) {
             tracing::debug!(client = %self.client(), "silent client connection closed");
-            return Step::Close(CloseReason::NoRequest { evicted: false });
+            return Step::Close(CloseReason::Silent);
         }
         self.grace_granted = true;
         self.first_request_timeout
@@ -190,19 +214,19 @@
     /// A request that arrived before the shutdown is parsed first: the parser is polled once more.
     fn shutdown_requested(&mut self) -> Step {
         let has_request = self.server.connection.has_request();
-        if !self.unparsed_found_at_shutdown
+        if self.shutdown == ShutdownProgress::NotRequested
             && !has_request
             && self.server.stream.has_unparsed_bytes()
         {
-            self.unparsed_found_at_shutdown = true;
+            self.shutdown = ShutdownProgress::UnparsedLeftToParser;
             return Step::Continue;
         }
-        self.shutdown_handled = true;
-        Step::CloseAfterResponse(if has_request {
-            CloseReason::LastResponse
-        } else {
-            CloseReason::Shutdown
-        })
+        self.shutdown = ShutdownProgress::Handled;
+        let reason = match has_request {
+            true => CloseReason::LastResponse,
+            false => CloseReason::Shutdown,
+        };
+        Step::CloseAfterResponse(reason)
     }
 
     fn client(&self) -> std::net::IpAddr {
