--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -108,14 +108,14 @@
             outcome.end,
             AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected
         );
-        let id = self.list.candidate_warmed(candidate, reached);
+        let name = self.list.candidate_warmed(candidate, reached);
         let updates = self.poll_subset();
         if !reached {
             return;
         }
         let member = updates
             .iter()
-            .find(|update| Some(&update.id) == id.as_ref());
+            .find(|update| Some(&update.name) == name.as_ref());
         if let Some(update) = member {
             joined(update.endpoint.engine, outcome);
         }
--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -24,8 +24,8 @@
 /// An engine as the change log has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEntry {
-    /// The engine's name in the log.
-    pub id: String,
+    /// The engine's name in the log, which calls it its id.
+    pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// The index of its zone in the settings.
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -188,7 +188,7 @@
 impl RawEntry<'_> {
     fn check(&self, names: &NameIndex) -> Result<EngineEntry, EventError> {
         let state = state(&self.state)?;
-        let id = text("id", &self.id)?.to_string();
+        let name = text("id", &self.id)?.to_string();
         let address = text("addr", &self.addr)?
             .parse()
             .map_err(|_| EventError::expected("addr", "an address with its port"))?;
@@ -201,7 +201,7 @@
             millis => Some(millis as f64 / MILLIS_PER_SECOND),
         };
         Ok(EngineEntry {
-            id,
+            name,
             address,
             zone,
             kind,
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -29,7 +29,7 @@
     /// The engine for the decision module.
     pub endpoint: Endpoint,
     /// The engine's name in the change log.
-    pub id: String,
+    pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -115,12 +115,12 @@
         selection.next_candidate(self.clock.now())
     }
 
-    /// Records whether a candidate could be reached; returns the engine's id where it is still in the list.
+    /// Records whether a candidate could be reached; returns the engine's name where it is still in the list.
     pub(super) fn candidate_warmed(&self, candidate: Candidate, reached: bool) -> Option<String> {
         let mut state = self.state();
         let selection = state.selection.as_mut()?;
         selection.warmed(self.clock.now(), candidate.engine, reached);
-        selection.id(candidate.engine).map(String::from)
+        selection.name(candidate.engine).map(String::from)
     }
 
     /// Reports to the subset how an attempt ended: whether its engine failed.
@@ -134,11 +134,11 @@
         else {
             return;
         };
-        let Some(id) = table.id(engine) else {
+        let Some(name) = table.name(engine) else {
             return;
         };
         let next_poll = selection.wake();
-        selection.attempt_ended(self.clock.now(), id, failed);
+        selection.attempt_ended(self.clock.now(), name, failed);
         if selection.wake() != next_poll {
             self.subset_changed.notify_one();
         }
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -85,8 +85,8 @@
         self.counts
     }
 
-    pub(super) fn id(&self, engine: EngineId) -> Option<&str> {
-        Some(&self.engines.get(engine)?.entry.id)
+    pub(super) fn name(&self, engine: EngineId) -> Option<&str> {
+        Some(&self.engines.get(engine)?.entry.name)
     }
 
     pub(super) fn address(&self, engine: EngineId) -> Option<SocketAddr> {
@@ -158,7 +158,7 @@
         holders: Option<f64>,
         now: Instant,
     ) -> Option<EngineUpdate> {
-        let engine = match self.indices.get(&entry.id) {
+        let engine = match self.indices.get(&entry.name) {
             Some(engine) => *engine,
             None if entry.state == EndpointState::Removed => return None,
             None => self.add(&entry, now),
@@ -175,7 +175,7 @@
                 state: entry.state,
                 gateways: holders,
             },
-            id: entry.id.clone(),
+            name: entry.name.clone(),
             address: entry.address,
         };
         let known = self.engines.get_mut(engine)?;
@@ -198,7 +198,7 @@
     fn add(&mut self, entry: &EngineEntry, now: Instant) -> EngineId {
         self.free_expired_indices(now);
         let engine = self.free_indices.pop_first().unwrap_or(self.engines.len());
-        self.indices.insert(entry.id.clone(), engine);
+        self.indices.insert(entry.name.clone(), engine);
         let new = KnownEngine {
             entry: EngineEntry {
                 state: EndpointState::Removed,
@@ -212,7 +212,7 @@
         match self.engines.get_mut(engine) {
             Some(known) => {
                 let old = std::mem::replace(known, new);
-                self.indices.remove(&old.entry.id);
+                self.indices.remove(&old.entry.name);
             }
             None => self.engines.push(new),
         }
--- a/crates/gateway/src/discovery/list/engine_table/tests.rs
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -5,7 +5,7 @@
 fn entry(id: &str, state: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineEntry {
-        id: id.into(),
+        name: id.into(),
         address,
         zone: 0,
         kind: 0,
@@ -77,7 +77,7 @@
         let engine = match self
             .known
             .iter()
-            .position(|(known, _)| known.id == entry.id)
+            .position(|(known, _)| known.name == entry.name)
         {
             Some(engine) => engine,
             None if entry.state == EndpointState::Removed => return None,
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -4,7 +4,7 @@
 fn entry(id: &str, state: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineEntry {
-        id: id.into(),
+        name: id.into(),
         address,
         zone: 0,
         kind: 0,
@@ -53,7 +53,7 @@
                 .collect::<Vec<_>>(),
             engines
         );
-        let expected = entries.iter().filter(|entry| entry.id != "x");
+        let expected = entries.iter().filter(|entry| entry.name != "x");
         for (update, entry) in change.updates.iter().zip(expected) {
             let Endpoint {
                 zone,
@@ -64,7 +64,7 @@
                 gateways: holders,
                 ..
             } = update.endpoint;
-            assert_eq!((&update.id, update.address), (&entry.id, entry.address));
+            assert_eq!((&update.name, update.address), (&entry.name, entry.address));
             assert_eq!((zone, kind, cell), (entry.zone, entry.kind, entry.cell));
             assert_eq!(
                 (started_at, state, holders),
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -110,7 +110,7 @@
         let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
             .map(|entry| subset::ListedEngine {
-                id: entry.id.clone(),
+                id: entry.name.clone(),
                 facts: self.facts(entry),
             })
             .collect();
@@ -133,7 +133,7 @@
     fn record_details(&mut self, entries: &[EngineEntry]) -> Vec<EngineKey> {
         let mut engines = Vec::with_capacity(entries.len());
         for entry in entries {
-            let Some(engine) = self.catalog.key(&entry.id) else {
+            let Some(engine) = self.catalog.key(&entry.name) else {
                 continue;
             };
             let details = Details {
@@ -183,7 +183,7 @@
 
     /// An engine's entry, put together from the catalog and the details.
     fn entry(&self, engine: EngineKey) -> Option<EngineEntry> {
-        let id = self.catalog.id(engine)?;
+        let name = self.catalog.id(engine)?;
         let facts = self.catalog.facts(engine)?;
         let details = self.details.get(&engine)?;
         let state = match facts.state {
@@ -192,7 +192,7 @@
             subset::ListedState::Removed => EndpointState::Removed,
         };
         Some(EngineEntry {
-            id: id.into(),
+            name: name.into(),
             address: details.address,
             zone: facts.zone,
             kind: facts.kind as usize,
@@ -252,14 +252,14 @@
         self.subset.warmed(now, engine, reached);
     }
 
-    /// Records how an attempt at the engine of this id ended.
-    pub(super) fn attempt_ended(&mut self, now: f64, id: &str, failed: bool) {
-        if let Some(engine) = self.catalog.key(id) {
+    /// Records how an attempt at the engine of this name ended.
+    pub(super) fn attempt_ended(&mut self, now: f64, name: &str, failed: bool) {
+        if let Some(engine) = self.catalog.key(name) {
             self.subset.attempted(now, engine, failed);
         }
     }
 
-    pub(super) fn id(&self, engine: EngineKey) -> Option<&str> {
+    pub(super) fn name(&self, engine: EngineKey) -> Option<&str> {
         self.catalog.id(engine)
     }
 
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -24,7 +24,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 4100 + u16::from(number)));
     let (zone, started_at_unix) = (u32::from(number % 3), Some(f64::from(started)));
     EngineEntry {
-        id: format!("e{number}"),
+        name: format!("e{number}"),
         address,
         zone,
         kind: 0,
@@ -40,8 +40,11 @@
 
 impl Module {
     fn update(&mut self, selected: Vec<Selected>) {
-        self.0
-            .extend(selected.into_iter().map(|s| (s.entry.id.clone(), s.entry)));
+        self.0.extend(
+            selected
+                .into_iter()
+                .map(|s| (s.entry.name.clone(), s.entry)),
+        );
     }
 
     fn ready(&self) -> impl Iterator<Item = &EngineEntry> {
@@ -70,11 +73,11 @@
             if is_complete {
                 list.clear();
             }
-            list.extend(entries.iter().map(|entry| (entry.id.clone(), entry.clone())));
+            list.extend(entries.iter().map(|entry| (entry.name.clone(), entry.clone())));
             module.update(selection.apply(now, entries, is_complete));
             for step in 0..5 {
                 for entry in module.ready() {
-                    prop_assert_eq!(Some(entry), list.get(&entry.id), "at {} of {}", step, now);
+                    prop_assert_eq!(Some(entry), list.get(&entry.name), "at {} of {}", step, now);
                 }
                 let ready = list.values().filter(|entry| entry.state == EndpointState::Ready).count();
                 prop_assert!(module.ready().count() >= ready.min(1), "at {} of {}", step, now);
@@ -179,7 +182,7 @@
             true,
         ),
     );
-    let failing = module.ready().next().unwrap().id.clone();
+    let failing = module.ready().next().unwrap().name.clone();
     for n in 0..50 {
         selection.attempt_ended(1.0 + f64::from(n) * 0.01, &failing, true);
     }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -12,7 +12,7 @@
 fn engine_line(id: &str, state: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineEntry {
-        id: id.into(),
+        name: id.into(),
         address,
         zone: 0,
         kind: 0,
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -234,7 +234,7 @@
     fn update_pools(&mut self, engine: usize) {
         let update = self.endpoints.get(engine).and_then(Option::as_ref);
         let facts = update.map(|update| EngineFacts {
-            id: &update.id,
+            id: &update.name,
             zone: name_at(&self.zone_names, update.endpoint.zone as usize),
             kind: name_at(&self.kind_names, update.endpoint.kind),
             address: update.address.ip(),
