--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -7,6 +7,7 @@
 mod connection;
 mod connection_set;
 mod driver;
+mod engine_health;
 mod event;
 mod lenient;
 mod list;
@@ -17,7 +18,8 @@
 mod stream;
 mod watch;
 
-pub use driver::{Deliver, Discovery, Warmed};
+pub use driver::{Deliver, Discovery, HealthCheckOutcome};
+pub use engine_health::{EngineHealth, Reachability, ReachabilityChange};
 pub use event::{event, event_of_text, EngineEntry, Event, EventError, EventErrorCause, NameIndex};
 pub use list::{EngineList, EngineUpdate, ListChange, Target};
 pub use selection::Selection;
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -1,7 +1,8 @@
 //! Applies events of the change log and changes of the subset, and delivers the updates of the engine list in order.
 
+use super::engine_health::Reachability;
 use super::event::Event;
-use super::list::{EngineList, EngineUpdate};
+use super::list::{EngineList, EngineUpdate, ListChange};
 use super::selection::Candidate;
 use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
 use std::future::Future;
@@ -16,12 +17,12 @@
 /// The subset's own timer polls it no more often than this.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Receives updates of the list, and whether they are the full list.
-pub type Deliver = Box<dyn FnMut(&[EngineUpdate], bool) + Send>;
+/// Receives changes of the list, one after another.
+pub type Deliver = Box<dyn FnMut(&ListChange) + Send>;
 
-/// How the warm-up of a connection to a candidate ended.
-pub struct Warmed {
-    /// The end of the attempt.
+/// How a health check, or the warm-up of a connection, ended.
+pub struct HealthCheckOutcome {
+    /// Its end.
     pub end: AttemptEnd,
     /// The engine's load report, where it sent one.
     pub report: Option<LoadReport>,
@@ -47,25 +48,31 @@
     pub fn apply(&self, event: Event) {
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
         let change = self.list.apply(event);
-        deliver(&change.updates, change.is_complete);
+        deliver(&change);
     }
 
     /// Applies the changes of the subset that are due, and returns the engines that they concern.
     fn poll_subset(&self) -> Vec<EngineUpdate> {
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
-        let updates = self.list.poll_subset();
-        if !updates.is_empty() {
-            deliver(&updates, false);
+        let change = ListChange {
+            updates: self.list.poll_subset(),
+            is_complete: false,
+        };
+        if !change.updates.is_empty() {
+            deliver(&change);
         }
-        updates
+        change.updates
     }
 
     /// Maintains the subset for as long as the future is polled. `warm_up` opens a connection to a candidate; `joined` is
     /// called with the outcome for each engine that becomes a member by it.
-    pub async fn maintain_subset<W, F>(&self, warm_up: W, joined: impl Fn(EngineId, Warmed))
-    where
+    pub async fn maintain_subset<W, F>(
+        &self,
+        warm_up: W,
+        joined: impl Fn(EngineId, HealthCheckOutcome),
+    ) where
         W: Fn(SocketAddr) -> F,
-        F: Future<Output = Warmed> + Send + 'static,
+        F: Future<Output = HealthCheckOutcome> + Send + 'static,
     {
         let mut warming = JoinSet::new();
         loop {
@@ -100,17 +107,13 @@
     fn candidate_warmed(
         &self,
         candidate: Candidate,
-        outcome: Warmed,
-        joined: &impl Fn(EngineId, Warmed),
+        outcome: HealthCheckOutcome,
+        joined: &impl Fn(EngineId, HealthCheckOutcome),
     ) {
-        // An engine that answers at all was reached.
-        let reached = matches!(
-            outcome.end,
-            AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected
-        );
-        let name = self.list.candidate_warmed(candidate, reached);
+        let reachability = reachability(outcome.end);
+        let name = self.list.candidate_warmed(candidate, reachability);
         let updates = self.poll_subset();
-        if !reached {
+        if reachability == Reachability::Unreachable {
             return;
         }
         let member = updates
@@ -121,3 +124,18 @@
         }
     }
 }
+
+/// What a warm-up says of its engine. One that answers at all was reached.
+fn reachability(end: AttemptEnd) -> Reachability {
+    match end {
+        AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected => {
+            Reachability::Reachable
+        }
+        AttemptEnd::TimedOut
+        | AttemptEnd::ConnectFailed
+        | AttemptEnd::ConnectionLost
+        | AttemptEnd::Cancelled
+        | AttemptEnd::NotNeeded
+        | AttemptEnd::NotSent => Reachability::Unreachable,
+    }
+}
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -3,6 +3,7 @@
 mod engine_table;
 mod subset_log;
 
+use super::engine_health::{EngineHealth, Reachability, ReachabilityChange};
 use super::event::Event;
 use super::selection::{Candidate, Selection};
 use crate::system::clock::{span, Clock};
@@ -116,15 +117,19 @@
     }
 
     /// Records whether a candidate could be reached; returns the engine's name where it is still in the list.
-    pub(super) fn candidate_warmed(&self, candidate: Candidate, reached: bool) -> Option<String> {
+    pub(super) fn candidate_warmed(
+        &self,
+        candidate: Candidate,
+        reachability: Reachability,
+    ) -> Option<String> {
         let mut state = self.state();
         let selection = state.selection.as_mut()?;
-        selection.warmed(self.clock.now(), candidate.engine, reached);
+        selection.warmed(self.clock.now(), candidate.engine, reachability);
         selection.name(candidate.engine).map(String::from)
     }
 
-    /// Reports to the subset how an attempt ended: whether its engine failed.
-    pub fn attempt_ended(&self, engine: EngineId, failed: bool) {
+    /// Reports to the subset what the end of an attempt says of its engine.
+    pub fn attempt_ended(&self, engine: EngineId, health: EngineHealth) {
         let mut state = self.state();
         let ListState {
             table,
@@ -138,7 +143,7 @@
             return;
         };
         let next_poll = selection.wake();
-        selection.attempt_ended(self.clock.now(), name, failed);
+        selection.attempt_ended(self.clock.now(), name, health);
         if selection.wake() != next_poll {
             self.subset_changed.notify_one();
         }
@@ -163,11 +168,17 @@
             && table.address(target.engine) == Some(target.address)
     }
 
-    /// Records whether an engine could be reached at this address; whether that differs from before.
-    pub fn record_reachability(&self, target: Target, is_reachable: bool) -> bool {
+    /// Records whether an engine could be reached at this address.
+    pub fn record_reachability(
+        &self,
+        target: Target,
+        reachability: Reachability,
+    ) -> ReachabilityChange {
         let table = &mut self.state().table;
-        table.address(target.engine) == Some(target.address)
-            && table.record_reachability(target.engine, is_reachable)
+        if table.address(target.engine) != Some(target.address) {
+            return ReachabilityChange::Unchanged;
+        }
+        table.record_reachability(target.engine, reachability)
     }
 }
 
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -4,6 +4,7 @@
 //! engine gets the index, so that the table does not grow with every engine that ever was.
 
 use super::EngineUpdate;
+use crate::discovery::engine_health::{Reachability, ReachabilityChange};
 use crate::discovery::event::EngineEntry;
 use crate::discovery::selection::Selected;
 use crate::discovery::start_times::StartTimes;
@@ -35,8 +36,8 @@
     /// When it started, in seconds of this process's clock.
     started_at: Option<f64>,
     removed_at: Option<Instant>,
-    /// Its last attempt could not reach it.
-    is_unreachable: bool,
+    /// Whether its last attempt could reach it.
+    reachability: Reachability,
     /// The number of the last change that named it.
     last_change: u64,
 }
@@ -97,14 +98,21 @@
         Some(self.engines.get(engine)?.entry.state)
     }
 
-    /// Records whether an engine could be reached; whether that differs from before.
-    pub(super) fn record_reachability(&mut self, engine: EngineId, is_reachable: bool) -> bool {
+    /// Records whether an engine could be reached.
+    pub(super) fn record_reachability(
+        &mut self,
+        engine: EngineId,
+        reachability: Reachability,
+    ) -> ReachabilityChange {
         let Some(known) = self.engines.get_mut(engine) else {
-            return false;
+            return ReachabilityChange::Unchanged;
         };
-        let was_reachable = !known.is_unreachable;
-        known.is_unreachable = !is_reachable;
-        was_reachable != is_reachable
+        let before = std::mem::replace(&mut known.reachability, reachability);
+        if before == reachability {
+            ReachabilityChange::Unchanged
+        } else {
+            ReachabilityChange::Changed
+        }
     }
 
     /// Records the start times of entries that are received at `now`, in seconds of this process's clock.
@@ -206,7 +214,7 @@
             },
             started_at: None,
             removed_at: None,
-            is_unreachable: false,
+            reachability: Reachability::Reachable,
             last_change: 0,
         };
         match self.engines.get_mut(engine) {
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -2,6 +2,7 @@
 //!
 //! Of all other engines only the catalog's facts and a few details are stored.
 
+use super::engine_health::{EngineHealth, Reachability};
 use super::event::EngineEntry;
 use garnetwall::api::EndpointState;
 use garnetwall_subset as subset;
@@ -240,22 +241,24 @@
                         address: details.address,
                     })
                 }
-                None => self.warmed(now, engine, false),
+                None => self.warmed(now, engine, Reachability::Unreachable),
             }
         }
         None
     }
 
     /// Records whether a candidate could be reached.
-    pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
+    pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reachability: Reachability) {
+        let is_reached = reachability == Reachability::Reachable;
         self.warming.remove(&engine);
-        self.subset.warmed(now, engine, reached);
+        self.subset.warmed(now, engine, is_reached);
     }
 
-    /// Records how an attempt at the engine of this name ended.
-    pub(super) fn attempt_ended(&mut self, now: f64, name: &str, failed: bool) {
+    /// Records what the end of an attempt says of the engine of this name.
+    pub(super) fn attempt_ended(&mut self, now: f64, name: &str, health: EngineHealth) {
         if let Some(engine) = self.catalog.key(name) {
-            self.subset.attempted(now, engine, failed);
+            self.subset
+                .attempted(now, engine, health == EngineHealth::Failing);
         }
     }
 
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -66,7 +66,11 @@
     ) {
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
-        for (is_complete, entries, reached) in events {
+        for (is_complete, entries, is_reached) in events {
+            let reachability = match is_reached {
+                true => Reachability::Reachable,
+                false => Reachability::Unreachable,
+            };
             let condition = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
             let of = |(n, c, started): &(u8, u8, u8)| entry(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
             let entries: Vec<EngineEntry> = entries.iter().map(of).collect();
@@ -83,7 +87,7 @@
                 prop_assert!(module.ready().count() >= ready.min(1), "at {} of {}", step, now);
                 prop_assert_eq!(module.ready().count(), selection.status().members);
                 while let Some(candidate) = selection.next_candidate(now) {
-                    selection.warmed(now, candidate.engine, reached);
+                    selection.warmed(now, candidate.engine, reachability);
                 }
                 now += 0.5;
                 module.update(selection.poll(now));
@@ -184,14 +188,14 @@
     );
     let failing = module.ready().next().unwrap().name.clone();
     for n in 0..50 {
-        selection.attempt_ended(1.0 + f64::from(n) * 0.01, &failing, true);
+        selection.attempt_ended(1.0 + f64::from(n) * 0.01, &failing, EngineHealth::Failing);
     }
     let mut now = 2.0;
     while selection.status().members == 8 && now < 20.0 {
         assert!(module.ready().count() == 8, "not before it was reached");
         module.update(selection.poll(now));
         while let Some(candidate) = selection.next_candidate(now) {
-            selection.warmed(now, candidate.engine, true);
+            selection.warmed(now, candidate.engine, Reachability::Reachable);
         }
         now += 0.25;
     }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -19,7 +19,7 @@
     AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery, Statement,
 };
 
-use crate::discovery::EngineList;
+use crate::discovery::{EngineHealth, EngineList};
 use crate::system::clock::span;
 use crate::system::resource_budget::ResourceBudget;
 use crate::system::send_gate::SendGate;
@@ -154,13 +154,14 @@
 
     /// Reports to the endpoint list how an attempt ended, where that says something of the engine.
     pub fn record_attempt_end(&self, engine: EngineId, end: AttemptEnd) {
-        match end {
-            AttemptEnd::Succeeded | AttemptEnd::Rejected => self.list.attempt_ended(engine, false),
+        let health = match end {
+            AttemptEnd::Succeeded | AttemptEnd::Rejected => EngineHealth::Healthy,
             AttemptEnd::Failed
             | AttemptEnd::TimedOut
             | AttemptEnd::ConnectFailed
-            | AttemptEnd::ConnectionLost => self.list.attempt_ended(engine, true),
-            AttemptEnd::Cancelled | AttemptEnd::NotNeeded | AttemptEnd::NotSent => {}
-        }
+            | AttemptEnd::ConnectionLost => EngineHealth::Failing,
+            AttemptEnd::Cancelled | AttemptEnd::NotNeeded | AttemptEnd::NotSent => return,
+        };
+        self.list.attempt_ended(engine, health);
     }
 }
--- a/crates/gateway/src/engines/health_check.rs
+++ b/crates/gateway/src/engines/health_check.rs
@@ -4,8 +4,8 @@
 use super::request::request;
 use super::response::{CallError, Reply};
 use super::Engines;
-use crate::discovery::{Target, Warmed};
-use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
+use crate::discovery::{HealthCheckOutcome, Reachability, ReachabilityChange, Target};
+use garnetwall::api::{AttemptEnd, EngineId};
 use http::{Method, StatusCode};
 use std::net::SocketAddr;
 
@@ -15,48 +15,57 @@
 const HEALTH_CHECK_PATH: &str = "/stats";
 
 impl Engines {
-    /// Checks an engine's health; how the check ended, and the load report that came with it.
-    pub async fn health_check(&self, engine: EngineId) -> (AttemptEnd, Option<LoadReport>) {
+    /// Checks an engine's health.
+    pub async fn health_check(&self, engine: EngineId) -> HealthCheckOutcome {
         match self.target(engine) {
             Some(target) => self.check_target(target).await,
-            None => (AttemptEnd::ConnectFailed, None),
+            None => HealthCheckOutcome {
+                end: AttemptEnd::ConnectFailed,
+                report: None,
+            },
         }
     }
 
-    /// Connects to an engine that the decision module does not know yet, with a health check where engines may be checked.
-    pub async fn warm(&self, address: SocketAddr, may_health_check: bool) -> Warmed {
+    /// Checks the health of an engine that the decision module does not know yet.
+    pub async fn warm_by_health_check(&self, address: SocketAddr) -> HealthCheckOutcome {
         let target = Target {
             engine: UNLISTED_ENGINE,
             address,
         };
-        if may_health_check {
-            let (end, report) = self.check_target(target).await;
-            return Warmed { end, report };
-        }
+        self.check_target(target).await
+    }
+
+    /// Connects to an engine that the decision module does not know yet, without a request.
+    pub async fn warm_by_connecting(&self, address: SocketAddr) -> HealthCheckOutcome {
         let end = match self.connect(address, None).await {
             Ok(_) => AttemptEnd::Succeeded,
             Err(CallError::LocalResources) => AttemptEnd::NotSent,
             Err(_) => AttemptEnd::ConnectFailed,
         };
-        Warmed { end, report: None }
+        HealthCheckOutcome { end, report: None }
     }
 
-    async fn check_target(&self, target: Target) -> (AttemptEnd, Option<LoadReport>) {
+    async fn check_target(&self, target: Target) -> HealthCheckOutcome {
         let stats = request(Method::GET, target.address, HEALTH_CHECK_PATH);
         let time_limit = self.connect_timeout * 2;
         let response = EngineSession::for_health_check(self, target)
             .check_health(stats, time_limit)
             .await;
         let report = response.as_ref().ok().and_then(Reply::load_report);
-        (health_check_end(response), report)
+        HealthCheckOutcome {
+            end: health_check_end(response),
+            report,
+        }
     }
 
     /// Logs an engine that becomes unreachable or reachable again, once each.
     pub(super) fn log_reachability(&self, target: Target, error: Option<&CallError>) {
         let Target { engine, address } = target;
-        let is_reachable = match error {
-            None => true,
-            Some(CallError::ConnectionRefused | CallError::ConnectFailed) => false,
+        let reachability = match error {
+            None => Reachability::Reachable,
+            Some(CallError::ConnectionRefused | CallError::ConnectFailed) => {
+                Reachability::Unreachable
+            }
             // The engine accepted the connection, or none was tried; an engine that is cut off shows at the next connect.
             Some(
                 CallError::LocalResources
@@ -65,7 +74,8 @@
                 | CallError::InvalidResponse,
             ) => return,
         };
-        if !self.list.record_reachability(target, is_reachable) {
+        let change = self.list.record_reachability(target, reachability);
+        if change == ReachabilityChange::Unchanged {
             return;
         }
         match error {
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -4,7 +4,7 @@
 use super::Gateway;
 use crate::configuration::{subset, Config};
 use crate::discovery::reconnect::Reconnect;
-use crate::discovery::{Discovery, EngineUpdate, NameIndex, Selection, Watch};
+use crate::discovery::{Discovery, HealthCheckOutcome, ListChange, NameIndex, Selection, Watch};
 use crate::engines::Engines;
 use crate::scheduling::scheduler::Scheduler;
 use crate::system::clock::span;
@@ -51,9 +51,7 @@
     /// Discovery that delivers changes of the engine list to the scheduler.
     fn discovery(&self) -> Discovery {
         let scheduler = self.scheduler.clone();
-        let deliver = move |updates: &[EngineUpdate], is_complete| {
-            scheduler.update_endpoints(updates, is_complete)
-        };
+        let deliver = move |change: &ListChange| scheduler.update_endpoints(change);
         Discovery::new(self.list.clone(), Box::new(deliver))
     }
 
@@ -90,7 +88,12 @@
 ) {
     let warm_up = |address| {
         let engines = engines.clone();
-        async move { engines.warm(address, health_checks_allowed).await }
+        async move {
+            match health_checks_allowed {
+                true => engines.warm_by_health_check(address).await,
+                false => engines.warm_by_connecting(address).await,
+            }
+        }
     };
     discovery
         .maintain_subset(warm_up, |engine, warmed| {
@@ -109,7 +112,7 @@
         let engines = engines.clone();
         let scheduler = scheduler.clone();
         tokio::spawn(async move {
-            let (end, report) = engines.health_check(engine).await;
+            let HealthCheckOutcome { end, report } = engines.health_check(engine).await;
             // Reaching an engine does not prove that queries end well there, so only a failure counts.
             if end != AttemptEnd::Succeeded {
                 engines.record_attempt_end(engine, end);
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -3,7 +3,7 @@
 
 mod class_settings;
 
-use crate::discovery::EngineUpdate;
+use crate::discovery::{EngineUpdate, ListChange};
 use garnetwall::api::{EndpointState, EngineSet};
 use garnetwall_plan::model::{EngineFacts, Plan};
 use garnetwall_routing::{
@@ -197,21 +197,17 @@
 
     /// Applies a change of the endpoint list; a complete one removes the engines that it does not name. Returns the changes of
     /// endpoint subsets.
-    pub fn update_endpoints(
-        &mut self,
-        changes: &[EngineUpdate],
-        is_complete: bool,
-    ) -> Vec<SubsetUpdate> {
-        if is_complete {
-            self.remove_unnamed_endpoints(changes);
+    pub fn update_endpoints(&mut self, change: &ListChange) -> Vec<SubsetUpdate> {
+        if change.is_complete {
+            self.remove_unnamed_endpoints(&change.updates);
         }
-        for change in changes {
-            let engine = change.endpoint.engine;
+        for update in &change.updates {
+            let engine = update.endpoint.engine;
             if engine >= self.endpoints.len() {
                 self.endpoints.resize_with(engine + 1, || None);
             }
-            let is_listed = change.endpoint.state != EndpointState::Removed;
-            self.endpoints[engine] = is_listed.then(|| change.clone());
+            let is_listed = update.endpoint.state != EndpointState::Removed;
+            self.endpoints[engine] = is_listed.then(|| update.clone());
             self.update_pools(engine);
         }
         let mut updates = self.remove_unused_plans();
@@ -219,10 +215,10 @@
         updates
     }
 
-    fn remove_unnamed_endpoints(&mut self, changes: &[EngineUpdate]) {
-        let named: HashSet<usize> = changes
+    fn remove_unnamed_endpoints(&mut self, updates: &[EngineUpdate]) {
+        let named: HashSet<usize> = updates
             .iter()
-            .map(|change| change.endpoint.engine)
+            .map(|update| update.endpoint.engine)
             .collect();
         for engine in (0..self.endpoints.len()).filter(|engine| !named.contains(engine)) {
             self.endpoints[engine] = None;
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -1,19 +1,21 @@
 //! Updates of the endpoint list, the query classes and the plan.
 
 use super::Scheduler;
-use crate::discovery::EngineUpdate;
+use crate::discovery::ListChange;
 use garnetwall::api::QueryClass;
 use garnetwall_plan::Plan;
 use std::sync::Arc;
 
 impl Scheduler {
     /// Applies a change of the endpoint list; a complete one removes the engines that it does not name.
-    pub fn update_endpoints(&self, changes: &[EngineUpdate], is_complete: bool) {
-        let endpoints: Vec<_> = changes.iter().map(|change| change.endpoint).collect();
+    pub fn update_endpoints(&self, change: &ListChange) {
+        let updates = change.updates.iter();
+        let endpoints: Vec<_> = updates.map(|update| update.endpoint).collect();
         self.handle_event(|state, _| {
-            state.controller.update_endpoints(&endpoints, is_complete);
+            let controller = &mut state.controller;
+            controller.update_endpoints(&endpoints, change.is_complete);
             if let Some(plan_router) = state.plan_router.as_mut() {
-                let updates = plan_router.update_endpoints(changes, is_complete);
+                let updates = plan_router.update_endpoints(change);
                 state.update_endpoint_subsets(updates);
             }
         });
