--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -111,7 +111,7 @@
 
 /// Compiles the plan, and checks it against the rest of the configuration.
 fn add_plan(config: &mut Config, file: String) -> Checked<()> {
-    let settings = plan_routing::settings(&config.decoded);
+    let settings = plan_routing::plan_settings(&config.decoded);
     let compiled = garnetwall_plan::compile(&files::Disk, &file, Some(&settings));
     let compiled = compiled.map_err(|faulty: Faulty| ConfigError::Plan {
         file: file.clone(),
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -148,7 +148,7 @@
         return Ok(None);
     };
     let decoded = read_settings(&file)?;
-    Ok(Some(plan_routing::settings(&decoded)))
+    Ok(Some(plan_routing::plan_settings(&decoded)))
 }
 
 fn read(file: &str, settings: Option<&Settings>) -> Result<Compiled, PlanCommandError> {
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use class_settings::{narrowed_classes, settings};
+pub use class_settings::{narrowed_classes, plan_settings};
 
 /// A change of an endpoint subset, for the admission controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/gateway/src/scheduling/plan_routing/class_settings.rs
+++ b/crates/gateway/src/scheduling/plan_routing/class_settings.rs
@@ -7,7 +7,7 @@
 use garnetwall_settings::DecodedSettings;
 
 /// The platform's settings in the form that a plan is checked against.
-pub fn settings(decoded: &DecodedSettings) -> Settings {
+pub fn plan_settings(decoded: &DecodedSettings) -> Settings {
     let names = &decoded.names;
     let classes = names
         .classes
@@ -18,7 +18,7 @@
             latency_objective: span(class.latency_objective),
             deadline: span(class.deadline),
             in_order: class.in_order,
-            idempotency: effect(class.idempotency),
+            idempotency: to_plan(class.idempotency),
             kinds: selected_names(class.kinds.as_deref(), &names.kinds),
             zones: selected_names(class.zones.as_deref(), &names.zones),
         });
@@ -61,13 +61,13 @@
             per_query: retries_per_query,
             window: RETRY_WINDOW_SECONDS,
         });
-    if let Some(effect) = rules.idempotency {
-        class.idempotency = idempotency(effect);
+    if let Some(idempotency) = rules.idempotency {
+        class.idempotency = from_plan(idempotency);
     }
     class
 }
 
-fn effect(idempotency: Idempotency) -> model::Idempotency {
+fn to_plan(idempotency: Idempotency) -> model::Idempotency {
     match idempotency {
         Idempotency::Idempotent => model::Idempotency::Idempotent,
         Idempotency::NonIdempotent => model::Idempotency::NonIdempotent,
@@ -83,8 +83,8 @@
     }
 }
 
-fn idempotency(effect: model::Idempotency) -> Idempotency {
-    match effect {
+fn from_plan(idempotency: model::Idempotency) -> Idempotency {
+    match idempotency {
         model::Idempotency::Idempotent => Idempotency::Idempotent,
         model::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
         model::Idempotency::IdempotentByKey { scope, window } => {
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -80,7 +80,7 @@
             recovered(queries);
         };
         let boot_run = BootRun {
-            id: boot_clock.run,
+            id: boot_clock.boot_id,
             longest_run_ms: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
         };
         let (journal, started) = Journal::start(
--- a/crates/gateway/src/system/boot_clock.rs
+++ b/crates/gateway/src/system/boot_clock.rs
@@ -15,19 +15,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     /// Identifies the boot; 0 where it is unknown, and times cannot be compared.
-    pub run: u64,
+    pub boot_id: u64,
     started: Instant,
 }
 
 impl BootClock {
     /// The clock of the current boot.
     pub fn start() -> BootClock {
-        let run = match boot_millis() {
-            Some(_) => boot_id().unwrap_or(0),
+        let boot_id = match boot_millis() {
+            Some(_) => read_boot_id().unwrap_or(0),
             None => 0,
         };
         BootClock {
-            run,
+            boot_id,
             started: Instant::now(),
         }
     }
@@ -48,7 +48,7 @@
     Some(seconds * 1000 + nanoseconds / 1_000_000)
 }
 
-fn boot_id() -> Option<u64> {
+fn read_boot_id() -> Option<u64> {
     let text = std::fs::read_to_string(BOOT_ID_FILE).ok()?;
     let digits: String = text
         .chars()
