--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::Config;
 use crate::scheduling::plan_routing;
-use crate::scheduling::scheduler::Scheduler;
+use crate::scheduling::scheduler::{PlanUpdate, Scheduler};
 use garnetwall_plan::Plan;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,15 +32,14 @@
 fn update_plan(started: &Config, scheduler: &Scheduler, plan: &Arc<Plan>) {
     let names = &started.decoded.names.classes;
     let classes = plan_routing::narrowed_classes(&started.decoded.settings.classes, names, plan);
-    if !scheduler.update_plan(plan.clone(), &classes) {
-        log_restart_needed("plan");
-        return;
+    match scheduler.update_plan(plan.clone(), &classes) {
+        PlanUpdate::NeedsRestart => log_restart_needed("plan"),
+        PlanUpdate::InForce => tracing::info!(
+            routes = plan.routes.len(),
+            limits = plan.limits.len(),
+            "plan updated"
+        ),
     }
-    tracing::info!(
-        routes = plan.routes.len(),
-        limits = plan.limits.len(),
-        "plan updated"
-    );
 }
 
 fn log_restart_needed(key: &str) {
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -9,6 +9,7 @@
 use crate::engines::Statement;
 use crate::http::client_stream::StreamHandle;
 use crate::http::statement::data_set;
+use crate::scheduling::scheduler::CancelOutcome;
 use axum::body::{to_bytes, Body};
 use axum::extract::{Path, State};
 use axum::http::header::{HeaderMap, TRANSFER_ENCODING};
@@ -97,9 +98,14 @@
 
 /// Handles a request that cancels a query.
 pub(super) async fn cancel(State(state): State<Arc<ServerState>>, headers: HeaderMap) -> Response {
-    match query_key(&headers) {
-        Ok(key) if state.scheduler.cancel(key) => StatusCode::NO_CONTENT.into_response(),
-        Ok(_) => error_response(StatusCode::NOT_FOUND, "no batch of this id is in hand"),
-        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
+    let query_key = match query_key(&headers) {
+        Ok(query_key) => query_key,
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
+    };
+    match state.scheduler.cancel(query_key) {
+        CancelOutcome::Cancelled => StatusCode::NO_CONTENT.into_response(),
+        CancelOutcome::NotOpen => {
+            error_response(StatusCode::NOT_FOUND, "no batch of this id is in hand")
+        }
     }
 }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -3,6 +3,7 @@
 use super::{EndedAttempt, QueryStatus, QueryTask, ScheduledAttempt};
 use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, Target};
 use crate::scheduling::scheduler::{Command, Scheduler};
+use crate::storage::query_journal::SendPermission;
 use garnetwall::api::{AttemptEnd, Progress};
 use std::future::{ready, Future};
 use std::sync::Arc;
@@ -220,7 +221,7 @@
 ///
 /// How the attempt ends where it must not be sent.
 async fn recorded_or_cancelled(
-    record: impl Future<Output = bool>,
+    record: impl Future<Output = SendPermission>,
     mut cancellation: watch::Receiver<CancellationState>,
 ) -> Result<(), AttemptEnd> {
     let cancelled = cancellation.wait_for(|state| *state != CancellationState::NotRequested);
@@ -232,9 +233,9 @@
             _ => Err(AttemptEnd::NotNeeded),
         },
         // A failed write is not the engine's fault: nothing was sent.
-        is_recorded = record => match is_recorded {
-            true => Ok(()),
-            false => Err(AttemptEnd::NotNeeded),
+        permission = record => match permission {
+            SendPermission::Granted => Ok(()),
+            SendPermission::Denied => Err(AttemptEnd::NotNeeded),
         },
     }
 }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
@@ -14,18 +14,22 @@
         cancellation.send_replace(last);
         assert_eq!(waiting.await, Err(end));
         assert_eq!(
-            recorded_or_cancelled(std::future::ready(true), requests).await,
+            recorded_or_cancelled(std::future::ready(SendPermission::Granted), requests).await,
             Err(end),
             "both at once"
         );
     }
     let (_cancellation, requests) = watch::channel(CancellationState::NotRequested);
     assert_eq!(
-        recorded_or_cancelled(std::future::ready(true), requests.clone()).await,
+        recorded_or_cancelled(
+            std::future::ready(SendPermission::Granted),
+            requests.clone()
+        )
+        .await,
         Ok(())
     );
     assert_eq!(
-        recorded_or_cancelled(std::future::ready(false), requests).await,
+        recorded_or_cancelled(std::future::ready(SendPermission::Denied), requests).await,
         Err(AttemptEnd::NotNeeded),
         "no engine is at fault"
     );
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -100,6 +100,24 @@
     pub statement_bytes: u64,
 }
 
+/// What became of another plan.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PlanUpdate {
+    /// It is in force.
+    InForce,
+    /// Nothing is changed: the gateway started without a plan.
+    NeedsRestart,
+}
+
+/// What became of a client's request to cancel the query of a key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CancelOutcome {
+    /// The query was open, and no attempt of it begins any more.
+    Cancelled,
+    /// No query of this key is open.
+    NotOpen,
+}
+
 /// What became of an arriving query.
 pub enum Admission {
     /// It is opened.
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -1,7 +1,7 @@
 //! The end of a query: it is answered, cancelled by its client, or released.
 
 use super::query_index::KeyState;
-use super::{QueryAnswer, Scheduler};
+use super::{CancelOutcome, QueryAnswer, Scheduler};
 use crate::scheduling::log_millis;
 use garnetwall::api::QueryId;
 
@@ -38,14 +38,14 @@
         self.open_count.send_replace(state.open_queries.len());
     }
 
-    /// The client cancels the query of a key. Returns whether that is open.
-    pub fn cancel(&self, query_key: u64) -> bool {
+    /// The client cancels the query of a key.
+    pub fn cancel(&self, query_key: u64) -> CancelOutcome {
         self.handle_event(|state, now| match state.queries.state(query_key) {
             Some(KeyState::Open(id)) => {
                 state.client_left(now, id);
-                true
+                CancelOutcome::Cancelled
             }
-            Some(KeyState::Finished | KeyState::Recovered) | None => false,
+            Some(KeyState::Finished | KeyState::Recovered) | None => CancelOutcome::NotOpen,
         })
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint list, the query classes and the plan.
 
-use super::Scheduler;
+use super::{PlanUpdate, Scheduler};
 use crate::discovery::ListChange;
 use garnetwall::api::QueryClass;
 use garnetwall_plan::Plan;
@@ -31,18 +31,17 @@
         self.state().is_non_idempotent(class)
     }
 
-    /// Puts another plan in force, with the classes as it narrows them. Returns `false`, and changes nothing, where the gateway
-    /// started without a plan.
-    pub fn update_plan(&self, plan: Arc<Plan>, classes: &[QueryClass]) -> bool {
+    /// Puts another plan in force, with the classes as it narrows them.
+    pub fn update_plan(&self, plan: Arc<Plan>, classes: &[QueryClass]) -> PlanUpdate {
         self.handle_event(|state, _| {
             let Some(plan_router) = state.plan_router.as_mut() else {
-                return false;
+                return PlanUpdate::NeedsRestart;
             };
             let updates = plan_router.update_plan(plan);
             state.update_endpoint_subsets(updates);
             state.controller.update_classes(classes);
             state.set_classes(classes);
-            true
+            PlanUpdate::InForce
         })
     }
 }
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -15,6 +15,15 @@
 /// A write that takes longer is logged.
 const SLOW_WRITE: Duration = Duration::from_millis(500);
 
+/// Whether a query may be sent to an engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SendPermission {
+    /// It is recorded, or needs no record.
+    Granted,
+    /// It could not be recorded: a later process would not know of it.
+    Denied,
+}
+
 /// The journal of a gateway. The default one records nothing, for plans that name no journal.
 #[derive(Default)]
 pub struct QueryJournal {
@@ -99,12 +108,12 @@
         })
     }
 
-    /// Records that a non-idempotent query is about to be sent. Returns whether it may be sent.
+    /// Records that a non-idempotent query is about to be sent.
     ///
     /// It takes as long as the disk does: the caller bounds it by the query's deadline. A caller that stops waiting must not send.
-    pub async fn record_before_send(&self, record: StartedQuery) -> bool {
+    pub async fn record_before_send(&self, record: StartedQuery) -> SendPermission {
         let Some(open) = &self.open else {
-            return true;
+            return SendPermission::Granted;
         };
         let started_at = Instant::now();
         let result = open.write_record(record).await;
@@ -117,10 +126,10 @@
             );
         }
         match result {
-            Ok(()) => true,
+            Ok(()) => SendPermission::Granted,
             Err(error) => {
                 tracing::error!(%error, "query journal not written: non-idempotent query not sent");
-                false
+                SendPermission::Denied
             }
         }
     }
