--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -5,6 +5,7 @@
 use super::files::{read_settings, Disk};
 use super::ConfigError;
 use crate::scheduling::plan_routing;
+use crate::system::clock::minute_of_day;
 use garnetwall_plan::model::QueryFacts;
 use garnetwall_plan::source::Loader;
 use garnetwall_plan::{compile, diff, explain, fault, format, Compiled, Faulty, Settings};
@@ -296,7 +297,7 @@
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    (since_epoch.as_secs() / 60 % 1440) as u32
+    minute_of_day(since_epoch.as_secs() as f64)
 }
 
 /// Parses HH:MM.
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -2,13 +2,12 @@
 
 use super::{EngineEntry, Event, EventError, EventErrorCause, NameIndex};
 use crate::discovery::lenient::{Field, Parts, ReadInto};
+use crate::system::clock::MILLIS_PER_SECOND;
 use garnetwall::api::EndpointState;
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, SeqAccess};
 use serde_json::Value;
 use std::collections::HashMap;
 
-const MILLIS_PER_SECOND: f64 = 1000.0;
-
 /// Decodes an event.
 ///
 /// # Errors
--- a/crates/gateway/src/engines/protocol.rs
+++ b/crates/gateway/src/engines/protocol.rs
@@ -38,7 +38,7 @@
     pub const NEVER_RAN: &str = "x-declined";
     /// The engine's load report.
     pub const LOAD_REPORT: &str = "x-stats";
-    /// What a progress event reports: `frac`, `missing` or `parked`.
+    /// What a progress event reports, one of [`progress_kind`](super::progress_kind).
     pub const PROGRESS_KIND: &str = "x-result";
     /// The amount that belongs to the progress kind.
     pub const PROGRESS_VALUE: &str = "note-value";
@@ -51,3 +51,15 @@
     /// Memory used, in megabytes.
     pub const MEMORY_MB: &str = "query-need";
 }
+
+/// Kinds of progress events, each with an amount.
+pub(super) mod progress_kind {
+    /// The amount is the fraction of the work that is done.
+    pub const COMPLETED: &str = "frac";
+    /// The amount is the megabytes that the query spills to disk.
+    pub const SPILLING: &str = "missing";
+    /// The query waits; the amount says for what.
+    pub const WAITING: &str = "parked";
+    /// The amount of a query that waits for a load; any other is that of one that waits for memory.
+    pub const WAITING_FOR_LOAD: f64 = 2.0;
+}
--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -1,9 +1,10 @@
 //! An engine's responses: how one is received, what it says of an attempt, and why a call failed.
 
 use super::messages::AttemptResult;
-use super::protocol::response_header;
+use super::protocol::{progress_kind, response_header};
 use super::request::{RequestBody, Sender};
 use super::result_rows;
+use crate::system::clock::MILLIS_PER_SECOND;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_ledger::CallFailure;
@@ -81,10 +82,11 @@
     /// The result of an attempt that succeeded, with its first page.
     pub(super) fn into_result(self) -> AttemptResult {
         let work_ms = self.number(response_header::WORK_MS);
+        let work = work_ms.map(|ms| ms / MILLIS_PER_SECOND);
         let memory_mb = self.number(response_header::MEMORY_MB);
         AttemptResult {
             end: AttemptEnd::Succeeded,
-            work: work_ms.map(|ms| ms / 1000.0).filter(|work| *work > 0.0),
+            work: work.filter(|work| *work > 0.0),
             memory: memory_mb.filter(|memory| *memory > 0.0),
             report: self.load_report(),
             pages: vec![self.body],
@@ -95,10 +97,12 @@
     fn progress(&self) -> Option<Progress> {
         let amount = self.number(response_header::PROGRESS_VALUE)?;
         match self.text(response_header::PROGRESS_KIND)?.trim() {
-            "frac" => Some(Progress::Completed(amount)),
-            "missing" => Some(Progress::Spilling(amount)),
-            "parked" if amount == 2.0 => Some(Progress::WaitingForLoad),
-            "parked" => Some(Progress::WaitingForMemory),
+            progress_kind::COMPLETED => Some(Progress::Completed(amount)),
+            progress_kind::SPILLING => Some(Progress::Spilling(amount)),
+            progress_kind::WAITING if amount == progress_kind::WAITING_FOR_LOAD => {
+                Some(Progress::WaitingForLoad)
+            }
+            progress_kind::WAITING => Some(Progress::WaitingForMemory),
             _ => None,
         }
     }
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -3,6 +3,7 @@
 use crate::engines::{ForwardedQuery, Statement};
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::scheduler::ArrivingQuery;
+use crate::system::clock::MILLIS_PER_SECOND;
 use axum::http::header::{HeaderMap, HeaderValue};
 use garnetwall_settings::DecodedSettings;
 use std::net::IpAddr;
@@ -19,8 +20,6 @@
 const ESTIMATED_MEMORY_HEADER: &str = "x-memory";
 /// Protocol: hex digits of a query key and of an ordering key.
 const KEY_DIGITS: usize = 16;
-/// Milliseconds in a second; the protocol gives times in milliseconds, decisions take seconds.
-const MS_PER_SECOND: f64 = 1000.0;
 
 /// What is wrong with the head of a request. The text is the client's response, so it keeps the words of the protocol.
 #[derive(Clone, Debug, Error, PartialEq)]
@@ -147,7 +146,7 @@
             idempotency_key,
             in_order: ordering_key.is_some() && class_settings.in_order,
             allowed_seconds,
-            estimated_work: estimated_work_ms.map(|ms| ms / MS_PER_SECOND),
+            estimated_work: estimated_work_ms.map(|ms| ms / MILLIS_PER_SECOND),
             estimated_memory: parse_estimate(headers, ESTIMATED_MEMORY_HEADER)?,
         })
     }
@@ -200,9 +199,9 @@
 fn parse_allowed_seconds(headers: &HeaderMap, max_seconds: f64) -> Result<f64, RequestError> {
     let value = header(headers, DEADLINE_HEADER)?;
     let allowed_ms = parse_number(value).ok_or(RequestError::InvalidDeadline)?;
-    let max_ms = max_seconds * MS_PER_SECOND;
+    let max_ms = max_seconds * MILLIS_PER_SECOND;
     if allowed_ms > 0.0 && allowed_ms <= max_ms {
-        Ok(allowed_ms / MS_PER_SECOND)
+        Ok(allowed_ms / MILLIS_PER_SECOND)
     } else {
         Err(RequestError::DeadlineOutOfRange { max_ms })
     }
--- a/crates/gateway/src/http/responses.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -1,6 +1,7 @@
 //! Response stage: the forms that all responses to queries have.
 
 use crate::scheduling::scheduler::QueryAnswer;
+use crate::system::clock::MILLIS_PER_SECOND;
 use axum::body::Body;
 use axum::http::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE};
 use axum::http::StatusCode;
@@ -9,8 +10,6 @@
 
 /// Protocol: the header with the milliseconds after which a rejected query may be sent again.
 const RETRY_AFTER_HEADER: HeaderName = HeaderName::from_static("x-wait-ms");
-/// Milliseconds in a second.
-const MS_PER_SECOND: f64 = 1000.0;
 
 /// The response that carries a query's final answer.
 pub(super) fn answer_response(answer: QueryAnswer) -> Response {
@@ -29,7 +28,7 @@
     };
     let mut response = json_response(StatusCode::SERVICE_UNAVAILABLE, body.to_string());
     if let Some(seconds) = retry_after_seconds {
-        let milliseconds = (seconds * MS_PER_SECOND) as u64;
+        let milliseconds = (seconds * MILLIS_PER_SECOND) as u64;
         response
             .headers_mut()
             .insert(RETRY_AFTER_HEADER, HeaderValue::from(milliseconds));
--- a/crates/gateway/src/scheduling.rs
+++ b/crates/gateway/src/scheduling.rs
@@ -5,7 +5,9 @@
 pub mod query_task;
 pub mod scheduler;
 
+use crate::system::clock::MILLIS_PER_SECOND;
+
 /// Converts seconds to whole milliseconds for the log; a deadline that has passed is negative.
 fn log_millis(seconds: f64) -> i64 {
-    (seconds * 1000.0).round() as i64
+    (seconds * MILLIS_PER_SECOND).round() as i64
 }
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -2,11 +2,9 @@
 
 use super::Scheduler;
 use crate::storage::query_journal::RecoveredQuery;
+use crate::system::clock::MILLIS_PER_SECOND;
 use std::time::Duration;
 
-/// Milliseconds of a second, as the journal counts times in milliseconds.
-const MILLIS_PER_SECOND: f64 = 1000.0;
-
 impl Scheduler {
     /// A journal is being read: until [`recovered`](Scheduler::recovered), a non-idempotent query that arrives may have run.
     pub fn await_recovery(&self) {
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -2,7 +2,7 @@
 //! does not send it again. `garnetwall_ledger` decides what the records mean.
 
 use crate::system::boot_clock::BootClock;
-use crate::system::clock::Clock;
+use crate::system::clock::{Clock, MILLIS_PER_SECOND};
 use crate::system::os_error::is_transient;
 pub use garnetwall_ledger::journal::RecoveredQuery;
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
@@ -186,5 +186,5 @@
 
 /// Converts seconds to whole milliseconds; what is negative becomes 0.
 pub fn millis(seconds: f64) -> u64 {
-    (seconds.max(0.0) * 1000.0) as u64
+    (seconds.max(0.0) * MILLIS_PER_SECOND) as u64
 }
--- a/crates/gateway/src/system/clock.rs
+++ b/crates/gateway/src/system/clock.rs
@@ -5,6 +5,11 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Decisions take seconds; the wire, the journal and the log have milliseconds.
+pub const MILLIS_PER_SECOND: f64 = 1000.0;
+const SECONDS_PER_MINUTE: f64 = 60.0;
+const MINUTES_PER_DAY: u64 = 24 * 60;
+
 /// A monotonic clock whose times are seconds since the Unix epoch, as the wall clock had it at the start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -49,5 +54,6 @@
 
 /// The minute of the day, in UTC, of a time in Unix seconds.
 pub fn minute_of_day(now: f64) -> u32 {
-    ((now / 60.0).max(0.0) as u64 % (24 * 60)) as u32
+    let minute = (now / SECONDS_PER_MINUTE).max(0.0) as u64;
+    (minute % MINUTES_PER_DAY) as u32
 }
