--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -2,13 +2,12 @@
 
 use super::{EngineEntry, Event, EventError, EventErrorCause, NameIndex};
 use crate::discovery::lenient::{Field, Parts, ReadInto};
+use crate::system::clock::MILLIS_PER_SECOND;
 use garnetwall::api::EndpointState;
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, SeqAccess};
 use serde_json::Value;
 use std::collections::HashMap;
 
-const MILLIS_PER_SECOND: f64 = 1000.0;
-
 /// Decodes an event.
 ///
 /// # Errors
@@ -188,7 +187,7 @@
 impl RawEntry<'_> {
     fn check(&self, names: &NameIndex) -> Result<EngineEntry, EventError> {
         let state = state(&self.state)?;
-        let id = text("id", &self.id)?.to_string();
+        let name = text("id", &self.id)?.to_string();
         let address = text("addr", &self.addr)?
             .parse()
             .map_err(|_| EventError::expected("addr", "an address with its port"))?;
@@ -201,7 +200,7 @@
             millis => Some(millis as f64 / MILLIS_PER_SECOND),
         };
         Ok(EngineEntry {
-            id,
+            name,
             address,
             zone,
             kind,
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -4,6 +4,7 @@
 //! engine gets the index, so that the table does not grow with every engine that ever was.
 
 use super::EngineUpdate;
+use crate::discovery::engine_health::{Reachability, ReachabilityChange};
 use crate::discovery::event::EngineEntry;
 use crate::discovery::selection::Selected;
 use crate::discovery::start_times::StartTimes;
@@ -35,8 +36,8 @@
     /// When it started, in seconds of this process's clock.
     started_at: Option<f64>,
     removed_at: Option<Instant>,
-    /// Its last attempt could not reach it.
-    is_unreachable: bool,
+    /// Whether its last attempt could reach it.
+    reachability: Reachability,
     /// The number of the last change that named it.
     last_change: u64,
 }
@@ -85,8 +86,8 @@
         self.counts
     }
 
-    pub(super) fn id(&self, engine: EngineId) -> Option<&str> {
-        Some(&self.engines.get(engine)?.entry.id)
+    pub(super) fn name(&self, engine: EngineId) -> Option<&str> {
+        Some(&self.engines.get(engine)?.entry.name)
     }
 
     pub(super) fn address(&self, engine: EngineId) -> Option<SocketAddr> {
@@ -97,14 +98,21 @@
         Some(self.engines.get(engine)?.entry.state)
     }
 
-    /// Records whether an engine could be reached; whether that differs from before.
-    pub(super) fn record_reachability(&mut self, engine: EngineId, is_reachable: bool) -> bool {
+    /// Records whether an engine could be reached.
+    pub(super) fn record_reachability(
+        &mut self,
+        engine: EngineId,
+        reachability: Reachability,
+    ) -> ReachabilityChange {
         let Some(known) = self.engines.get_mut(engine) else {
-            return false;
+            return ReachabilityChange::Unchanged;
         };
-        let was_reachable = !known.is_unreachable;
-        known.is_unreachable = !is_reachable;
-        was_reachable != is_reachable
+        let before = std::mem::replace(&mut known.reachability, reachability);
+        if before == reachability {
+            ReachabilityChange::Unchanged
+        } else {
+            ReachabilityChange::Changed
+        }
     }
 
     /// Records the start times of entries that are received at `now`, in seconds of this process's clock.
@@ -158,7 +166,7 @@
         holders: Option<f64>,
         now: Instant,
     ) -> Option<EngineUpdate> {
-        let engine = match self.indices.get(&entry.id) {
+        let engine = match self.indices.get(&entry.name) {
             Some(engine) => *engine,
             None if entry.state == EndpointState::Removed => return None,
             None => self.add(&entry, now),
@@ -175,7 +183,7 @@
                 state: entry.state,
                 gateways: holders,
             },
-            id: entry.id.clone(),
+            name: entry.name.clone(),
             address: entry.address,
         };
         let known = self.engines.get_mut(engine)?;
@@ -198,7 +206,7 @@
     fn add(&mut self, entry: &EngineEntry, now: Instant) -> EngineId {
         self.free_expired_indices(now);
         let engine = self.free_indices.pop_first().unwrap_or(self.engines.len());
-        self.indices.insert(entry.id.clone(), engine);
+        self.indices.insert(entry.name.clone(), engine);
         let new = KnownEngine {
             entry: EngineEntry {
                 state: EndpointState::Removed,
@@ -206,13 +214,13 @@
             },
             started_at: None,
             removed_at: None,
-            is_unreachable: false,
+            reachability: Reachability::Reachable,
             last_change: 0,
         };
         match self.engines.get_mut(engine) {
             Some(known) => {
                 let old = std::mem::replace(known, new);
-                self.indices.remove(&old.entry.id);
+                self.indices.remove(&old.entry.name);
             }
             None => self.engines.push(new),
         }
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -2,6 +2,7 @@
 //!
 //! Of all other engines only the catalog's facts and a few details are stored.
 
+use super::engine_health::{EngineHealth, Reachability};
 use super::event::EngineEntry;
 use garnetwall::api::EndpointState;
 use garnetwall_subset as subset;
@@ -110,7 +111,7 @@
         let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
             .map(|entry| subset::ListedEngine {
-                engine_id: entry.id.clone(),
+                engine_id: entry.name.clone(),
                 facts: self.facts(entry),
             })
             .collect();
@@ -133,7 +134,7 @@
     fn record_details(&mut self, entries: &[EngineEntry]) -> Vec<EngineKey> {
         let mut engines = Vec::with_capacity(entries.len());
         for entry in entries {
-            let Some(engine) = self.catalog.key(&entry.id) else {
+            let Some(engine) = self.catalog.key(&entry.name) else {
                 continue;
             };
             let details = Details {
@@ -183,7 +184,7 @@
 
     /// An engine's entry, put together from the catalog and the details.
     fn entry(&self, engine: EngineKey) -> Option<EngineEntry> {
-        let id = self.catalog.id(engine)?;
+        let name = self.catalog.id(engine)?;
         let facts = self.catalog.facts(engine)?;
         let details = self.details.get(&engine)?;
         let state = match facts.state {
@@ -192,7 +193,7 @@
             subset::ListedState::Removed => EndpointState::Removed,
         };
         Some(EngineEntry {
-            id: id.into(),
+            name: name.into(),
             address: details.address,
             zone: facts.zone,
             kind: facts.kind as usize,
@@ -240,26 +241,28 @@
                         address: details.address,
                     })
                 }
-                None => self.warmed(now, engine, false),
+                None => self.warmed(now, engine, Reachability::Unreachable),
             }
         }
         None
     }
 
     /// Records whether a candidate could be reached.
-    pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
+    pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reachability: Reachability) {
+        let is_reached = reachability == Reachability::Reachable;
         self.warming.remove(&engine);
-        self.subset.connect_ended(now, engine, reached);
+        self.subset.connect_ended(now, engine, is_reached);
     }
 
-    /// Records how an attempt at the engine of this id ended.
-    pub(super) fn attempt_ended(&mut self, now: f64, id: &str, failed: bool) {
-        if let Some(engine) = self.catalog.key(id) {
-            self.subset.attempt_ended(now, engine, failed);
+    /// Records what the end of an attempt says of the engine of this name.
+    pub(super) fn attempt_ended(&mut self, now: f64, name: &str, health: EngineHealth) {
+        if let Some(engine) = self.catalog.key(name) {
+            self.subset
+                .attempt_ended(now, engine, health == EngineHealth::Failing);
         }
     }
 
-    pub(super) fn id(&self, engine: EngineKey) -> Option<&str> {
+    pub(super) fn name(&self, engine: EngineKey) -> Option<&str> {
         self.catalog.id(engine)
     }
 
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -24,7 +24,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 4100 + u16::from(number)));
     let (zone, started_at_unix) = (u32::from(number % 3), Some(f64::from(started)));
     EngineEntry {
-        id: format!("e{number}"),
+        name: format!("e{number}"),
         address,
         zone,
         kind: 0,
@@ -40,8 +40,11 @@
 
 impl Module {
     fn update(&mut self, selected: Vec<Selected>) {
-        self.0
-            .extend(selected.into_iter().map(|s| (s.entry.id.clone(), s.entry)));
+        self.0.extend(
+            selected
+                .into_iter()
+                .map(|s| (s.entry.name.clone(), s.entry)),
+        );
     }
 
     fn ready(&self) -> impl Iterator<Item = &EngineEntry> {
@@ -63,24 +66,28 @@
     ) {
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
-        for (is_complete, entries, reached) in events {
+        for (is_complete, entries, is_reached) in events {
+            let reachability = match is_reached {
+                true => Reachability::Reachable,
+                false => Reachability::Unreachable,
+            };
             let condition = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
             let of = |(n, c, started): &(u8, u8, u8)| entry(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
             let entries: Vec<EngineEntry> = entries.iter().map(of).collect();
             if is_complete {
                 list.clear();
             }
-            list.extend(entries.iter().map(|entry| (entry.id.clone(), entry.clone())));
+            list.extend(entries.iter().map(|entry| (entry.name.clone(), entry.clone())));
             module.update(selection.apply(now, entries, is_complete));
             for step in 0..5 {
                 for entry in module.ready() {
-                    prop_assert_eq!(Some(entry), list.get(&entry.id), "at {} of {}", step, now);
+                    prop_assert_eq!(Some(entry), list.get(&entry.name), "at {} of {}", step, now);
                 }
                 let ready = list.values().filter(|entry| entry.state == EndpointState::Ready).count();
                 prop_assert!(module.ready().count() >= ready.min(1), "at {} of {}", step, now);
                 prop_assert_eq!(module.ready().count(), selection.status().members);
                 while let Some(candidate) = selection.next_candidate(now) {
-                    selection.warmed(now, candidate.engine, reached);
+                    selection.warmed(now, candidate.engine, reachability);
                 }
                 now += 0.5;
                 module.update(selection.poll(now));
@@ -179,16 +186,16 @@
             true,
         ),
     );
-    let failing = module.ready().next().unwrap().id.clone();
+    let failing = module.ready().next().unwrap().name.clone();
     for n in 0..50 {
-        selection.attempt_ended(1.0 + f64::from(n) * 0.01, &failing, true);
+        selection.attempt_ended(1.0 + f64::from(n) * 0.01, &failing, EngineHealth::Failing);
     }
     let mut now = 2.0;
     while selection.status().members == 8 && now < 20.0 {
         assert!(module.ready().count() == 8, "not before it was reached");
         module.update(selection.poll(now));
         while let Some(candidate) = selection.next_candidate(now) {
-            selection.warmed(now, candidate.engine, true);
+            selection.warmed(now, candidate.engine, Reachability::Reachable);
         }
         now += 0.25;
     }
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -9,6 +9,16 @@
 //! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: `Cancelled`, `NotNeeded`, `ConnectFailed`, or `ConnectionLost` after an unknown outcome |
 //! | ended | [`AttemptResult`] | |
 //!
+//! Five types stand for one attempt, each for what its owner has to know:
+//!
+//! | type | owner | what it is for | created | dropped |
+//! |---|---|---|---|---|
+//! | `Attempt` in `src/controller/attempt_state.rs` | decision module, in the state of the query | the load that the engine counts for it, and when it is overdue | as the engine is chosen | as `attempt_ended` reports its end |
+//! | `ScheduledAttempt` in `scheduling/query_task.rs` | task of the query | engine, number and start, with which its outcome is reported | on `Command::BeginAttempt` | once its end is reported |
+//! | `AttemptInFlight` in `scheduling/query_task/attempt_in_flight.rs` | task of the query | response deadline, commands and events beside the exchange with the engine | once the engine's address is known | as the exchange ends |
+//! | `AttemptId`, and `OpenAttempt` behind it, in `crates/ledger` | [`Engines`] | the proof that it does not run any more | before the session, once the journal allows the attempt | after the session |
+//! | [`EngineSession`] | `Engines::run_attempt` | connection, calls, deadlines | with its ledger entry | once it has ended, or can't be running any more |
+//!
 //! Two deadlines bound an attempt. From its *response deadline* on nobody waits for its response; the engine is told the
 //! time that remains until then. By its *send deadline* its request has been sent completely or is not sent: engines
 //! detect a repeated query only within a limited time. [`CancellationState`] says what is still wanted of it; all facts
@@ -22,7 +32,9 @@
 mod polling;
 mod start;
 
-use super::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
+use super::messages::{
+    AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery,
+};
 use super::request::{page_path, request, RequestBody, Sender};
 use super::response::CallError;
 use super::{Engines, Target};
@@ -37,9 +49,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// One attempt, or one health check, at an engine. It has one connection at a time, which no other attempt uses and
-/// which is replaced once it is lost or has carried what can't be read.
-pub(super) struct EngineAttempt<'a> {
+/// The calls of one attempt, or of one health check, to its engine. It has one connection at a time, which no other session
+/// uses and which is replaced once it is lost or has carried what can't be read.
+pub(super) struct EngineSession<'a> {
     engines: &'a Engines,
     target: Target,
     /// None for a health check.
@@ -63,9 +75,9 @@
     call_timeout: CallTimeout,
 }
 
-impl<'a> EngineAttempt<'a> {
-    /// An attempt of a query.
-    pub(super) fn of_query(
+impl<'a> EngineSession<'a> {
+    /// The session of an attempt of a query.
+    pub(super) fn for_attempt(
         engines: &'a Engines,
         target: Target,
         ledger_id: AttemptId,
@@ -74,19 +86,19 @@
     ) -> Self {
         let earlier_send_deadline =
             Some(start.send_deadline).filter(|by| *by < start.response_deadline);
-        EngineAttempt {
+        EngineSession {
             ledger_id: Some(ledger_id),
             send_gate: Some(Arc::new(send_gate)),
             send_deadline: earlier_send_deadline,
             response_deadline: start.response_deadline,
-            ..EngineAttempt::of_health_check(engines, target)
+            ..EngineSession::for_health_check(engines, target)
         }
     }
 
-    /// A health check, which is in no ledger and has no deadline of its own.
-    pub(super) fn of_health_check(engines: &'a Engines, target: Target) -> Self {
+    /// The session of a health check, which is in no ledger and has no deadline of its own.
+    pub(super) fn for_health_check(engines: &'a Engines, target: Target) -> Self {
         let now = Instant::now();
-        EngineAttempt {
+        EngineSession {
             engines,
             target,
             ledger_id: None,
@@ -105,13 +117,13 @@
     /// Runs the attempt until it has ended, or can't be running any more.
     pub(super) async fn run(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         start: &AttemptStart,
         mut cancellation: watch::Receiver<CancellationState>,
         events: AttemptEvents,
     ) -> AttemptResult {
         let outcome = self
-            .poll_until_end(call, start, &mut cancellation, &events)
+            .poll_until_end(query, start, &mut cancellation, &events)
             .await;
         let end = match outcome {
             PollOutcome::Ended(result) => return result,
@@ -123,23 +135,23 @@
             PollOutcome::Succeeded {
                 first_page,
                 page_count,
-            } => return self.fetch_pages(call, first_page, page_count).await,
+            } => return self.fetch_pages(query, first_page, page_count).await,
             PollOutcome::Unknown => {
                 let apparent_end = Some(AttemptEnd::ConnectionLost);
                 events.unknown_outcome.send_replace(apparent_end);
-                self.cancel(call).await;
+                self.cancel(query).await;
                 AttemptEnd::ConnectionLost
             }
             PollOutcome::CancelRequested => {
-                let proof = self.cancel(call).await;
+                let proof = self.cancel(query).await;
                 end_after_cancel(proof, *cancellation.borrow())
             }
         };
         AttemptResult::of(end)
     }
 
-    fn poll_request(&self, call: &Call, page: usize) -> Request<RequestBody> {
-        request(Method::GET, self.target.address, &page_path(call, page))
+    fn poll_request(&self, query: &ForwardedQuery, page: usize) -> Request<RequestBody> {
+        request(Method::GET, self.target.address, &page_path(query, page))
     }
 
     /// How long the response to a poll is waited for, once a connection is up.
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -1,8 +1,9 @@
 //! Fetches the pages of a result after the first.
 
 use super::exchange::CallKind;
-use super::EngineAttempt;
-use crate::engines::call::{AttemptResult, Call};
+use super::polling::NextPoll;
+use super::EngineSession;
+use crate::engines::messages::{AttemptResult, ForwardedQuery};
 use crate::engines::protocol::response_header;
 use crate::engines::response::{CallError, Reply};
 use crate::engines::result_rows;
@@ -11,18 +12,18 @@
 use garnetwall_ledger::PollSchedule;
 use http::StatusCode;
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// Fetches all pages after the first. Where one can't be had, the result still tells how the attempt ended.
     pub(super) async fn fetch_pages(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         first_page: Reply,
         page_count: usize,
     ) -> AttemptResult {
         let mut result = first_page.into_result();
         let mut schedule = self.poll_schedule();
         for page in 1..page_count {
-            match self.fetch_page(call, page, &mut schedule).await {
+            match self.fetch_page(query, page, &mut schedule).await {
                 Ok(bytes) => result.pages.push(bytes),
                 Err(end) => return AttemptResult { end, ..result },
             }
@@ -38,13 +39,13 @@
     /// [`AttemptEnd::ConnectionLost`].
     async fn fetch_page(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         page: usize,
         schedule: &mut PollSchedule,
     ) -> Result<Bytes, AttemptEnd> {
         let mut previous = Ok(());
-        while self.wait_for_next_poll(schedule, previous).await {
-            let request = self.poll_request(call, page);
+        while self.wait_for_next_poll(schedule, previous).await == NextPoll::Due {
+            let request = self.poll_request(query, page);
             let time_limit = self.poll_timeout();
             previous = match self.call(CallKind::Poll, request, None, time_limit).await {
                 Ok(reply) if reply.status == StatusCode::INTERNAL_SERVER_ERROR => {
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,7 +1,10 @@
 //! Polls an attempt until its end is known, polls can't tell it any more, or its cancellation is requested.
 
-use super::EngineAttempt;
-use crate::engines::call::{AttemptEvents, AttemptResult, AttemptStart, Call, CancellationState};
+use super::cancellable_call::CallOutcome;
+use super::EngineSession;
+use crate::engines::messages::{
+    AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery,
+};
 use crate::engines::response::{attempt_status, AttemptStatus, CallError, Reply};
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger::{Evidence, PollSchedule, PollStep, ReportVerdict, ReportedEnd};
@@ -31,6 +34,15 @@
     }
 }
 
+/// Whether an attempt is polled again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum NextPoll {
+    /// Its time has come.
+    Due,
+    /// Further polls can't tell the outcome.
+    Useless,
+}
+
 /// Whether a response answers the request that starts the attempt, or a later poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseTo {
@@ -38,18 +50,18 @@
     Poll,
 }
 
-impl EngineAttempt<'_> {
+impl EngineSession<'_> {
     /// Sends the request and polls the attempt. A request that was not answered may have arrived all the same, so that the
     /// outcome is polled for; an engine repeats the response of an attempt that succeeded.
     pub(super) async fn poll_until_end(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         start: &AttemptStart,
         cancellation: &mut watch::Receiver<CancellationState>,
         events: &AttemptEvents,
     ) -> PollOutcome {
         let mut schedule = self.poll_schedule();
-        let mut response = match self.send_start(call, start, cancellation).await {
+        let mut response = match self.send_start(query, start, cancellation).await {
             ControlFlow::Break(outcome) => return outcome,
             ControlFlow::Continue(response) => response,
         };
@@ -63,13 +75,14 @@
                 self.drop_connection_if_invalid(checked);
                 return PollOutcome::CancelRequested;
             }
-            if !self.wait_for_next_poll(&mut schedule, checked).await {
+            let next_poll = self.wait_for_next_poll(&mut schedule, checked).await;
+            if next_poll == NextPoll::Useless {
                 return PollOutcome::Unknown;
             }
-            let poll = self.poll_request(call, 0);
+            let poll = self.poll_request(query, 0);
             response = match self.poll_until_cancelled(poll, cancellation).await {
-                Some(response) => response,
-                None => return PollOutcome::CancelRequested,
+                CallOutcome::Responded(response) => response,
+                CallOutcome::Interrupted => return PollOutcome::CancelRequested,
             };
             response_to = ResponseTo::Poll;
         }
@@ -79,17 +92,15 @@
     /// the response.
     async fn send_start(
         &mut self,
-        call: &Call,
+        query: &ForwardedQuery,
         start: &AttemptStart,
         cancellation: &mut watch::Receiver<CancellationState>,
     ) -> ControlFlow<PollOutcome, Result<Reply, CallError>> {
-        let Some((request, body)) = self.start_request(call, start) else {
+        let Some(request) = self.start_request(query, start) else {
             return ControlFlow::Break(self.never_reached(AttemptEnd::ConnectFailed));
         };
-        let Some(response) = self
-            .start_until_cancelled(request, body, cancellation)
-            .await
-        else {
+        let outcome = self.start_until_cancelled(request, cancellation).await;
+        let CallOutcome::Responded(response) = outcome else {
             return ControlFlow::Break(PollOutcome::CancelRequested);
         };
         let cancellation = *cancellation.borrow();
@@ -183,11 +194,11 @@
         response_to: ResponseTo,
     ) -> PollOutcome {
         let answers_start = response_to == ResponseTo::Start;
-        self.record(if answers_start {
-            Evidence::Ended
-        } else {
-            Evidence::ReportedFailed(self.connection)
-        });
+        let evidence = match response_to {
+            ResponseTo::Start => Evidence::Ended,
+            ResponseTo::Poll => Evidence::ReportedFailed(self.connection),
+        };
+        self.record(evidence);
         let reported_end = ReportedEnd {
             answers_start,
             is_failure: reported == AttemptEnd::Failed,
@@ -203,12 +214,12 @@
         })
     }
 
-    /// Waits after a call until the next poll is due; false where further polls can't tell the outcome.
+    /// Waits after a call until the next poll is due.
     pub(super) async fn wait_for_next_poll(
         &mut self,
         schedule: &mut PollSchedule,
         response: Result<(), CallError>,
-    ) -> bool {
+    ) -> NextPoll {
         let now = self.engines.now();
         let step = match response {
             Ok(()) => schedule.answered(now),
@@ -216,13 +227,13 @@
         };
         self.drop_connection_if_invalid(response);
         let PollStep::PollAgain(pause) = step else {
-            return false;
+            return NextPoll::Useless;
         };
         // A call that timed out has taken at least as long as the pause.
         let has_waited = response == Err(CallError::TimedOut);
         if !pause.is_zero() && !has_waited {
             sleep(pause).await;
         }
-        true
+        NextPoll::Due
     }
 }
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -1,7 +1,7 @@
 //! The request that starts an attempt, and its body on the way to the engine.
 
-use super::EngineAttempt;
-use crate::engines::call::{AttemptStart, Call, Statement};
+use super::EngineSession;
+use crate::engines::messages::{AttemptStart, ForwardedQuery, Statement};
 use crate::engines::protocol::request_header;
 use crate::engines::request::{request, RequestBody, START_PATH};
 use bytes::Bytes;
@@ -18,6 +18,13 @@
 /// Chunks of a streamed body that may wait for the connection.
 const BODY_CHANNEL_CAPACITY: usize = 1;
 
+/// The request that starts an attempt.
+pub(super) struct StartRequest {
+    pub(super) request: Request<RequestBody>,
+    /// Its body, where that is still being received from the client; otherwise the request holds all of it.
+    pub(super) streamed_body: Option<StreamedBody>,
+}
+
 /// A body that is sent while it is still being received from the client.
 pub(super) struct StreamedBody {
     reader: Reader,
@@ -26,40 +33,60 @@
     sender: BodySender<Bytes, ReadError>,
 }
 
-impl EngineAttempt<'_> {
-    /// The request that starts the attempt, with its body where that is streamed; none where the body is not stored any
-    /// more.
+impl EngineSession<'_> {
+    /// The request that starts the attempt; none where its body is not stored any more.
     pub(super) fn start_request(
         &self,
-        call: &Call,
+        query: &ForwardedQuery,
         start: &AttemptStart,
-    ) -> Option<(Request<RequestBody>, Option<StreamedBody>)> {
-        let mut request = request(Method::POST, self.target.address, START_PATH);
-        let (source, length, streamed) = match &call.statement {
-            Statement::Complete(bytes) => {
-                let source = Either::Left(Full::new(bytes.clone()));
-                (source, Some(bytes.len() as u64), None)
-            }
+    ) -> Option<StartRequest> {
+        match &query.statement {
+            Statement::Complete(bytes) => Some(self.complete_start_request(query, bytes)),
             Statement::Streamed(body) => {
                 let reader = body.reader(start.is_retry).ok()?;
-                let length = body.length();
-                let (sender, receiver) = Channel::new(BODY_CHANNEL_CAPACITY);
-                insert_content_length(request.headers_mut(), length);
-                let streamed = StreamedBody {
-                    reader,
-                    length,
-                    sender,
-                };
-                (Either::Right(receiver), length, Some(streamed))
+                Some(self.streamed_start_request(query, reader, body.length()))
             }
+        }
+    }
+
+    fn complete_start_request(&self, query: &ForwardedQuery, statement: &Bytes) -> StartRequest {
+        let mut request = request(Method::POST, self.target.address, START_PATH);
+        insert_query_headers(request.headers_mut(), query);
+        *request.body_mut() = RequestBody {
+            source: Either::Left(Full::new(statement.clone())),
+            remaining_bytes: Some(statement.len() as u64),
+            gate: self.send_gate.clone(),
         };
-        insert_query_headers(request.headers_mut(), call);
+        StartRequest {
+            request,
+            streamed_body: None,
+        }
+    }
+
+    fn streamed_start_request(
+        &self,
+        query: &ForwardedQuery,
+        reader: Reader,
+        length: Option<u64>,
+    ) -> StartRequest {
+        let (sender, receiver) = Channel::new(BODY_CHANNEL_CAPACITY);
+        let mut request = request(Method::POST, self.target.address, START_PATH);
+        insert_content_length(request.headers_mut(), length);
+        insert_query_headers(request.headers_mut(), query);
         *request.body_mut() = RequestBody {
-            source,
+            source: Either::Right(receiver),
             remaining_bytes: length,
             gate: self.send_gate.clone(),
         };
-        Some((request, streamed))
+        let streamed_body = StreamedBody {
+            reader,
+            length,
+            sender,
+        };
+        StartRequest {
+            request,
+            streamed_body: Some(streamed_body),
+        }
     }
 
     /// Tells the engine the milliseconds until the response deadline. Set right before the request is sent, since
@@ -117,10 +144,10 @@
     }
 }
 
-fn insert_query_headers(headers: &mut HeaderMap, call: &Call) {
-    headers.insert(request_header::QUERY_ID, call.id.clone());
-    headers.insert(request_header::QUERY_CLASS, call.class.clone());
-    if let Some(key) = &call.idempotency_key {
+fn insert_query_headers(headers: &mut HeaderMap, query: &ForwardedQuery) {
+    headers.insert(request_header::QUERY_ID, query.query_key.clone());
+    headers.insert(request_header::QUERY_CLASS, query.class.clone());
+    if let Some(key) = &query.idempotency_key {
         headers.insert(request_header::IDEMPOTENCY_KEY, key.clone());
     }
 }
--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -1,9 +1,9 @@
 //! Admission stage: hands a submitted query to the scheduler, and starts the task of a new one. Shared by statements that are
 //! read whole and bodies that are streamed.
 
-use super::rejection::Rejection;
-use super::request_head::SubmittedQuery;
+use super::request_head::{SubmittedQuery, TimedQuery};
 use super::responses::answer_response;
+use super::submission_error::SubmissionError;
 use super::ServerState;
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::query_task::QueryTask;
@@ -29,25 +29,28 @@
     }
 }
 
-/// Admits a query, or joins the open one of the same id. `arrived_at` is the scheduler's time in seconds at which the request
+/// Admits a query, or joins the open one of the same key. `arrived_at` is the scheduler's time in seconds at which the request
 /// arrived, and `statement_memory` is held until the query's task ends.
 ///
 /// # Errors
 ///
-/// The client has closed its connection, the id can't be used again, or the plan rejects the query.
+/// The client has closed its connection, the query key can't be used again, or the plan denies the query.
 pub(super) fn admit(
     state: &ServerState,
     query: SubmittedQuery,
     arrived_at: f64,
     statement_memory: OwnedSemaphorePermit,
     stream: &StreamHandle,
-) -> Result<AdmittedQuery, Rejection> {
-    let SubmittedQuery { mut arrival, call } = query;
-    reject_if_client_closed(stream, arrival.query_key)?;
-    arrival.deadline += state.earliest_send_time(arrival.ordering_key, arrived_at);
-    match state.scheduler.admit(arrival, call.clone()) {
+) -> Result<AdmittedQuery, SubmissionError> {
+    check_client_connected(stream, query.head.query_key)?;
+    let sent_at = state.earliest_send_time(query.head.ordering_key, arrived_at);
+    let TimedQuery {
+        arriving,
+        forwarded_query,
+    } = query.sent_at(sent_at);
+    match state.scheduler.admit(arriving, forwarded_query.clone()) {
         Admission::New {
-            id,
+            query_id,
             commands,
             waiter,
             journal_entry,
@@ -56,8 +59,8 @@
             let task = QueryTask {
                 scheduler: state.scheduler.clone(),
                 engines: state.engines.clone(),
-                id,
-                call,
+                query_id,
+                forwarded_query,
                 commands,
                 journal: state.journal.clone(),
                 journal_entry,
@@ -69,19 +72,21 @@
         }
         Admission::Joined(waiter) => Ok(AdmittedQuery::Open(waiter)),
         Admission::Answered(answer) => Ok(AdmittedQuery::Answered(answer)),
-        Admission::Conflict => Err(Rejection::QueryKeyConflict),
-        Admission::AnswerNotCached => Err(Rejection::AnswerNotCached),
-        Admission::MayHaveRun => Err(Rejection::MayHaveRun),
-        Admission::RejectedByPlan(rejection) => Err(Rejection::by_plan(rejection, &state.decoded)),
+        Admission::Conflict => Err(SubmissionError::QueryKeyConflict),
+        Admission::AnswerNotCached => Err(SubmissionError::AnswerNotCached),
+        Admission::MayHaveRun => Err(SubmissionError::MayHaveRun),
+        Admission::DeniedByPlan(denial) => {
+            Err(SubmissionError::denied_by_plan(denial, &state.decoded))
+        }
     }
 }
 
 /// Nothing is sent for a client that closed its connection while its request was still to be parsed or admitted.
-fn reject_if_client_closed(stream: &StreamHandle, query_key: u64) -> Result<(), Rejection> {
+fn check_client_connected(stream: &StreamHandle, query_key: u64) -> Result<(), SubmissionError> {
     if !stream.is_closed_by_client() {
         return Ok(());
     }
     let query_key = format_args!("{query_key:016x}");
     tracing::debug!(%query_key, "client closed its connection before admission");
-    Err(Rejection::ClientClosed)
+    Err(SubmissionError::ClientClosed)
 }
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -1,14 +1,15 @@
 //! Handler stage: a request that submits a query, or cancels one.
 
 use super::admission::admit;
-use super::rejection::Rejection;
-use super::request_head::{query_key, RequestHead, Submission};
+use super::request_head::{query_key, RequestHead, Submission, SubmittedQuery};
 use super::responses::error_response;
 use super::streamed_body::submit_streamed;
+use super::submission_error::SubmissionError;
 use super::{Client, ServerState, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::client_stream::StreamHandle;
 use crate::http::statement::data_set;
+use crate::scheduling::scheduler::CancelOutcome;
 use axum::body::{to_bytes, Body};
 use axum::extract::{Path, State};
 use axum::http::header::{HeaderMap, TRANSFER_ENCODING};
@@ -45,7 +46,7 @@
         }
         _ => submit_whole(&state, submission, body)
             .await
-            .unwrap_or_else(Rejection::into_response),
+            .unwrap_or_else(SubmissionError::into_response),
     }
 }
 
@@ -54,7 +55,7 @@
     state: &ServerState,
     submission: Submission,
     body: Body,
-) -> Result<Response, Rejection> {
+) -> Result<Response, SubmissionError> {
     let length = statement_length(&submission.headers, &body)?;
     let memory = state.reserve_statement_bytes(length)?;
     let statement = read_statement(body).await?;
@@ -63,40 +64,48 @@
         .arrival_time(submission.stream.last_read_at());
     let head = RequestHead::parse(&state.decoded, &submission, Some(&statement))
         .inspect_err(|error| tracing::debug!(%error, "request rejected"))?;
-    let statement_bytes = statement.len() as u64;
-    let data_set = data_set(&statement).unwrap_or(0);
-    let statement = Statement::Complete(statement);
-    let query = head.into_query(submission.client, statement, statement_bytes, data_set);
+    let query = SubmittedQuery {
+        head,
+        client: submission.client,
+        statement_bytes: statement.len() as u64,
+        data_set: data_set(&statement).unwrap_or(0),
+        statement: Statement::Complete(statement),
+    };
     let admitted = admit(state, query, arrived_at, memory, &submission.stream)?;
     Ok(admitted.response().await)
 }
 
 /// The length of a statement in bytes. Only `Content-Length` counts: with a length given in two ways, the body may hide
 /// another request.
-fn statement_length(headers: &HeaderMap, body: &Body) -> Result<u32, Rejection> {
+fn statement_length(headers: &HeaderMap, body: &Body) -> Result<u32, SubmissionError> {
     if headers.contains_key(TRANSFER_ENCODING) {
-        return Err(Rejection::LengthRequired);
+        return Err(SubmissionError::LengthRequired);
     }
     body.size_hint()
         .exact()
         .filter(|bytes| *bytes <= MAX_STATEMENT_BYTES)
         .and_then(|bytes| u32::try_from(bytes).ok())
-        .ok_or(Rejection::StatementTooLong)
+        .ok_or(SubmissionError::StatementTooLong)
 }
 
-async fn read_statement(body: Body) -> Result<Bytes, Rejection> {
+async fn read_statement(body: Body) -> Result<Bytes, SubmissionError> {
     let read = to_bytes(body, MAX_STATEMENT_BYTES as usize);
     timeout(FIRST_REQUEST_TIMEOUT, read)
         .await
-        .map_err(|_| Rejection::BodyTooSlow)?
-        .map_err(|_| Rejection::BodyCutOff)
+        .map_err(|_| SubmissionError::BodyTooSlow)?
+        .map_err(|_| SubmissionError::BodyCutOff)
 }
 
 /// Handles a request that cancels a query.
 pub(super) async fn cancel(State(state): State<Arc<ServerState>>, headers: HeaderMap) -> Response {
-    match query_key(&headers) {
-        Ok(key) if state.scheduler.cancel(key) => StatusCode::NO_CONTENT.into_response(),
-        Ok(_) => error_response(StatusCode::NOT_FOUND, "no batch of this id is in hand"),
-        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
+    let query_key = match query_key(&headers) {
+        Ok(query_key) => query_key,
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
+    };
+    match state.scheduler.cancel(query_key) {
+        CancelOutcome::Cancelled => StatusCode::NO_CONTENT.into_response(),
+        CancelOutcome::NotOpen => {
+            error_response(StatusCode::NOT_FOUND, "no batch of this id is in hand")
+        }
     }
 }
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -3,7 +3,7 @@
 
 mod class_settings;
 
-use crate::discovery::EngineUpdate;
+use crate::discovery::{EngineUpdate, ListChange};
 use garnetwall::api::{EndpointState, EngineSet};
 use garnetwall_plan::model::{EngineFacts, Plan};
 use garnetwall_routing::{
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use class_settings::{narrowed_classes, settings};
+pub use class_settings::{narrowed_classes, plan_settings};
 
 /// A change of an endpoint subset, for the admission controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,11 +40,11 @@
     pub deadline: Option<Duration>,
 }
 
-/// Why the plan rejects a query.
+/// Why the plan denies a query.
 #[derive(Debug, PartialEq)]
-pub enum PlanRejection {
+pub enum PlanDenial {
     /// A route refuses it, or it is over a limit.
-    LimitReached {
+    RouteOrLimit {
         /// The reason, for the client.
         reason: String,
         /// When the limit is expected to admit the query; `None` where a route refuses it.
@@ -57,7 +57,7 @@
     },
 }
 
-impl From<LimitExceeded> for PlanRejection {
+impl From<LimitExceeded> for PlanDenial {
     fn from(exceeded: LimitExceeded) -> Self {
         // Wire: clients are sent these words.
         let quantity = match exceeded.kind {
@@ -65,7 +65,7 @@
             LimitKind::Rate => "Rate",
             LimitKind::Bytes => "Bytes",
         };
-        PlanRejection::LimitReached {
+        PlanDenial::RouteOrLimit {
             reason: format!("over the limit {} ({quantity})", exceeded.limit),
             retry_after: Some(exceeded.retry_after),
         }
@@ -197,21 +197,17 @@
 
     /// Applies a change of the endpoint list; a complete one removes the engines that it does not name. Returns the changes of
     /// endpoint subsets.
-    pub fn update_endpoints(
-        &mut self,
-        changes: &[EngineUpdate],
-        is_complete: bool,
-    ) -> Vec<SubsetUpdate> {
-        if is_complete {
-            self.remove_unnamed_endpoints(changes);
+    pub fn update_endpoints(&mut self, change: &ListChange) -> Vec<SubsetUpdate> {
+        if change.is_complete {
+            self.remove_unnamed_endpoints(&change.updates);
         }
-        for change in changes {
-            let engine = change.endpoint.engine;
+        for update in &change.updates {
+            let engine = update.endpoint.engine;
             if engine >= self.endpoints.len() {
                 self.endpoints.resize_with(engine + 1, || None);
             }
-            let is_listed = change.endpoint.state != EndpointState::Removed;
-            self.endpoints[engine] = is_listed.then(|| change.clone());
+            let is_listed = update.endpoint.state != EndpointState::Removed;
+            self.endpoints[engine] = is_listed.then(|| update.clone());
             self.update_pools(engine);
         }
         let mut updates = self.remove_unused_plans();
@@ -219,10 +215,10 @@
         updates
     }
 
-    fn remove_unnamed_endpoints(&mut self, changes: &[EngineUpdate]) {
-        let named: HashSet<usize> = changes
+    fn remove_unnamed_endpoints(&mut self, updates: &[EngineUpdate]) {
+        let named: HashSet<usize> = updates
             .iter()
-            .map(|change| change.endpoint.engine)
+            .map(|update| update.endpoint.engine)
             .collect();
         for engine in (0..self.endpoints.len()).filter(|engine| !named.contains(engine)) {
             self.endpoints[engine] = None;
@@ -234,7 +230,7 @@
     fn update_pools(&mut self, engine: usize) {
         let update = self.endpoints.get(engine).and_then(Option::as_ref);
         let facts = update.map(|update| EngineFacts {
-            id: &update.id,
+            id: &update.name,
             zone: name_at(&self.zone_names, update.endpoint.zone as usize),
             kind: name_at(&self.kind_names, update.endpoint.kind),
             address: update.address.ip(),
@@ -269,7 +265,7 @@
     /// # Errors
     ///
     /// A route refuses the query, its statement is too long, or it is over a limit.
-    pub fn admit(&mut self, now: f64, query: &RoutedQuery) -> Result<PlanAdmission, PlanRejection> {
+    pub fn admit(&mut self, now: f64, query: &RoutedQuery) -> Result<PlanAdmission, PlanDenial> {
         let plan = &self.in_force.plan;
         let routing = &plan.routing;
         let (class, index) = match routing.decide(query) {
@@ -278,9 +274,9 @@
                 endpoint_subset,
                 ..
             } => (class, endpoint_subset),
-            RouteDecision::Rejected { route } => return Err(refused_by_route(routing, route)),
+            RouteDecision::Rejected { route } => return Err(denied_by_route(routing, route)),
             RouteDecision::StatementTooLong { max_bytes } => {
-                return Err(PlanRejection::StatementTooLong { max_bytes })
+                return Err(PlanDenial::StatementTooLong { max_bytes })
             }
         };
         let permit = self.limits.admit(routing, unix_time(now), query)?;
@@ -303,9 +299,9 @@
     }
 }
 
-fn refused_by_route(routing: &Routing, route: usize) -> PlanRejection {
+fn denied_by_route(routing: &Routing, route: usize) -> PlanDenial {
     let reason = routing.plan().routes[route].reject_reason.clone();
-    PlanRejection::LimitReached {
+    PlanDenial::RouteOrLimit {
         reason: reason.unwrap_or_default(),
         retry_after: None,
     }
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -3,7 +3,7 @@
 mod attempt_in_flight;
 
 use crate::engines::result_rows;
-use crate::engines::{AttemptResult, AttemptStart, Call, Engines, Statement};
+use crate::engines::{AttemptResult, AttemptStart, Engines, ForwardedQuery, Statement};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::log_millis;
 use crate::scheduling::scheduler::{Command, QueryAnswer, Scheduler};
@@ -24,9 +24,9 @@
     /// Where attempts are sent.
     pub engines: Arc<Engines>,
     /// The query's number.
-    pub id: QueryId,
+    pub query_id: QueryId,
     /// What is sent to engines.
-    pub call: Arc<Call>,
+    pub forwarded_query: Arc<ForwardedQuery>,
     /// What the scheduler wants done.
     pub commands: UnboundedReceiver<Command>,
     /// Where a non-idempotent query is recorded.
@@ -48,16 +48,16 @@
     Finished,
 }
 
-/// An attempt as the scheduler knows it.
+/// What an attempt is reported with to the scheduler, which chose its engine.
 #[derive(Clone, Copy, Debug)]
-struct Attempt {
+struct ScheduledAttempt {
     engine: EngineId,
     /// Its number within the query, from 0.
     number: u32,
     started_at: Instant,
 }
 
-impl Attempt {
+impl ScheduledAttempt {
     fn outcome(&self, result: &AttemptResult, query_status: QueryStatus) -> AttemptOutcome {
         let is_finished = query_status == QueryStatus::Finished;
         AttemptOutcome {
@@ -95,7 +95,7 @@
                     response_deadline,
                     send_deadline,
                 } => {
-                    let attempt = Attempt {
+                    let attempt = ScheduledAttempt {
                         engine,
                         number: attempts_begun,
                         started_at: Instant::now(),
@@ -112,7 +112,7 @@
                     }
                 }
                 Command::Answer(answer) => {
-                    self.scheduler.answer(self.id, answer.into());
+                    self.scheduler.answer(self.query_id, answer.into());
                     break;
                 }
                 Command::ClientLeft => break,
@@ -128,11 +128,11 @@
         if let Some(entry) = self.journal_entry.filter(|_| attempts_begun > 0) {
             self.journal.record_end(entry.query_key);
         }
-        self.scheduler.release(self.id);
+        self.scheduler.release(self.query_id);
     }
 
     /// Runs one attempt until it has ended, which may be later than the query's answer.
-    async fn run_attempt(&mut self, attempt: Attempt, start: AttemptStart) -> QueryStatus {
+    async fn run_attempt(&mut self, attempt: ScheduledAttempt, start: AttemptStart) -> QueryStatus {
         let ended = match self.engines.target(attempt.engine) {
             Some(target) => AttemptInFlight::run(self, attempt, target, start).await,
             None => EndedAttempt {
@@ -144,25 +144,25 @@
     }
 
     /// Reports that the outcome of an attempt is unknown for now, and answers the query where that follows.
-    fn outcome_unknown(&self, attempt: Attempt, end: AttemptEnd) -> QueryStatus {
+    fn outcome_unknown(&self, attempt: ScheduledAttempt, end: AttemptEnd) -> QueryStatus {
         self.report_discarded_body();
         let outcome = attempt.outcome(&AttemptResult::of(end), QueryStatus::Open);
-        match self.scheduler.outcome_unknown(self.id, outcome) {
+        match self.scheduler.outcome_unknown(self.query_id, outcome) {
             FollowUp::Nothing => QueryStatus::Open,
             FollowUp::Answer(answer) => {
-                self.scheduler.answer(self.id, answer.into());
+                self.scheduler.answer(self.query_id, answer.into());
                 QueryStatus::Finished
             }
         }
     }
 
     /// Reports the end of an attempt, and answers the query where that follows.
-    fn attempt_ended(&self, attempt: Attempt, ended: EndedAttempt) -> QueryStatus {
+    fn attempt_ended(&self, attempt: ScheduledAttempt, ended: EndedAttempt) -> QueryStatus {
         let CheckedResult { result, rows } = self.check_rows(attempt, ended.result);
         self.engines.record_attempt_end(attempt.engine, result.end);
         let outcome = attempt.outcome(&result, ended.query_status);
         tracing::debug!(
-            query_id = self.id,
+            query_id = self.query_id,
             attempt = attempt.number,
             engine = attempt.engine,
             end = ?result.end,
@@ -172,18 +172,18 @@
         self.report_discarded_body();
         let follow_up = self
             .scheduler
-            .attempt_ended(self.id, outcome, result.report);
+            .attempt_ended(self.query_id, outcome, result.report);
         let answer = match (rows, follow_up) {
             (Some(rows), _) => QueryAnswer::Succeeded(rows),
             (None, FollowUp::Answer(answer)) => answer.into(),
             (None, FollowUp::Nothing) => return ended.query_status,
         };
-        self.scheduler.answer(self.id, answer);
+        self.scheduler.answer(self.query_id, answer);
         QueryStatus::Finished
     }
 
     /// Decodes the rows of a success; one with malformed rows counts as a failure of its engine.
-    fn check_rows(&self, attempt: Attempt, result: AttemptResult) -> CheckedResult {
+    fn check_rows(&self, attempt: ScheduledAttempt, result: AttemptResult) -> CheckedResult {
         if result.end != AttemptEnd::Succeeded {
             return CheckedResult { result, rows: None };
         }
@@ -208,9 +208,9 @@
 
     /// Reports that the statement can't be sent again, where its body has been discarded.
     fn report_discarded_body(&self) {
-        if matches!(&self.call.statement, Statement::Streamed(body) if !body.is_readable_from_start())
+        if matches!(&self.forwarded_query.statement, Statement::Streamed(body) if !body.is_readable_from_start())
         {
-            self.scheduler.body_discarded(self.id);
+            self.scheduler.body_discarded(self.query_id);
         }
     }
 }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -1,8 +1,9 @@
 //! One attempt while it is in flight: its exchange with the engine beside its deadline, its events and the scheduler's commands.
 
-use super::{Attempt, EndedAttempt, QueryStatus, QueryTask};
+use super::{EndedAttempt, QueryStatus, QueryTask, ScheduledAttempt};
 use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, Target};
 use crate::scheduling::scheduler::{Command, Scheduler};
+use crate::storage::query_journal::SendPermission;
 use garnetwall::api::{AttemptEnd, Progress};
 use std::future::{ready, Future};
 use std::sync::Arc;
@@ -24,7 +25,7 @@
 /// An attempt in flight, with what has been asked of it and what it has reported.
 pub(super) struct AttemptInFlight<'a> {
     task: &'a mut QueryTask,
-    attempt: Attempt,
+    attempt: ScheduledAttempt,
     cancellation: watch::Sender<CancellationState>,
     unknown_outcome: watch::Receiver<Option<AttemptEnd>>,
     progress: watch::Receiver<Option<Progress>>,
@@ -36,7 +37,7 @@
     /// Runs an attempt until it has ended.
     pub(super) async fn run(
         task: &'a mut QueryTask,
-        attempt: Attempt,
+        attempt: ScheduledAttempt,
         target: Target,
         start: AttemptStart,
     ) -> EndedAttempt {
@@ -124,7 +125,7 @@
         if let Some(progress) = progress {
             let task = &self.task;
             task.scheduler
-                .attempt_progressed(task.id, self.attempt.number, progress);
+                .attempt_progressed(task.query_id, self.attempt.number, progress);
         }
     }
 
@@ -184,17 +185,17 @@
 /// The exchange with the engine; a non-idempotent query is recorded in the journal first.
 fn exchange(
     task: &QueryTask,
-    attempt: Attempt,
+    attempt: ScheduledAttempt,
     target: Target,
     start: AttemptStart,
     cancellation: watch::Receiver<CancellationState>,
     events: AttemptEvents,
 ) -> impl Future<Output = AttemptResult> {
-    let id = task.id;
+    let query_id = task.query_id;
     let journal = task.journal.clone();
     let journal_entry = task.journal_entry;
     let engines = task.engines.clone();
-    let call = task.call.clone();
+    let forwarded_query = task.forwarded_query.clone();
     async move {
         if let Some(entry) = journal_entry {
             let record = journal.record_before_send(entry);
@@ -203,13 +204,13 @@
             }
         }
         tracing::debug!(
-            query_id = id,
+            query_id,
             attempt = attempt.number,
             engine = attempt.engine,
             "attempt started"
         );
         engines
-            .run_attempt(target, &call, start, cancellation, events)
+            .run_attempt(target, &forwarded_query, start, cancellation, events)
             .await
     }
 }
@@ -220,7 +221,7 @@
 ///
 /// How the attempt ends where it must not be sent.
 async fn recorded_or_cancelled(
-    record: impl Future<Output = bool>,
+    record: impl Future<Output = SendPermission>,
     mut cancellation: watch::Receiver<CancellationState>,
 ) -> Result<(), AttemptEnd> {
     let cancelled = cancellation.wait_for(|state| *state != CancellationState::NotRequested);
@@ -232,9 +233,9 @@
             _ => Err(AttemptEnd::NotNeeded),
         },
         // A failed write is not the engine's fault: nothing was sent.
-        is_recorded = record => match is_recorded {
-            true => Ok(()),
-            false => Err(AttemptEnd::NotNeeded),
+        permission = record => match permission {
+            SendPermission::Granted => Ok(()),
+            SendPermission::Denied => Err(AttemptEnd::NotNeeded),
         },
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,14 +1,14 @@
-//! Admission: an arriving query is opened, joins the open query of its key, or is rejected.
+//! Admission: an arriving query is opened, joins the open query of its key, or is not admitted.
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
 use super::open_query::OpenQuery;
 use super::query_index::KeyState;
 use super::state::SchedulerState;
 use super::{Admission, ArrivingQuery, Command, Scheduler, Waiter};
-use crate::engines::{Call, Statement};
+use crate::engines::{ForwardedQuery, Statement};
 use crate::scheduling::client_presence::ClientPresence;
 use crate::scheduling::log_millis;
-use crate::scheduling::plan_routing::{PlanAdmission, PlanRejection};
+use crate::scheduling::plan_routing::{PlanAdmission, PlanDenial};
 use crate::storage::query_journal::millis;
 use crate::system::clock::minute_of_day;
 use garnetwall::api::{Query, QueryId};
@@ -31,7 +31,7 @@
 /// An arriving query whose key is not known.
 struct NewQuery {
     arriving: ArrivingQuery,
-    call: Arc<Call>,
+    forwarded_query: Arc<ForwardedQuery>,
     fingerprint: Option<Fingerprint>,
 }
 
@@ -47,19 +47,23 @@
 
 impl Scheduler {
     /// Opens an arriving query, or finds what is known of the query of its key.
-    pub fn admit(self: &Arc<Self>, arriving: ArrivingQuery, call: Arc<Call>) -> Admission {
+    pub fn admit(
+        self: &Arc<Self>,
+        arriving: ArrivingQuery,
+        forwarded_query: Arc<ForwardedQuery>,
+    ) -> Admission {
         let query_key = arriving.query_key;
-        let fingerprint = self.fingerprint(&arriving, &call);
+        let fingerprint = self.fingerprint(&arriving, &forwarded_query);
         self.handle_event(|state, now| {
             state.discard_expired(now);
             match state.queries.state(query_key) {
-                Some(KeyState::Open(id)) => self.join(state, now, id, &arriving, &call),
+                Some(KeyState::Open(id)) => self.join(state, now, id, &arriving, &forwarded_query),
                 Some(KeyState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
                 Some(KeyState::Recovered) => Admission::MayHaveRun,
                 None => {
                     let new = NewQuery {
                         arriving,
-                        call,
+                        forwarded_query,
                         fingerprint,
                     };
                     self.admit_new(state, now, new)
@@ -69,16 +73,20 @@
     }
 
     /// A hash of what makes two calls the same; `None` where the statement is not in memory.
-    fn fingerprint(&self, arriving: &ArrivingQuery, call: &Call) -> Option<Fingerprint> {
-        let Statement::Complete(statement) = &call.statement else {
+    fn fingerprint(
+        &self,
+        arriving: &ArrivingQuery,
+        forwarded_query: &ForwardedQuery,
+    ) -> Option<Fingerprint> {
+        let Statement::Complete(statement) = &forwarded_query.statement else {
             return None;
         };
         Some(Fingerprint(self.fingerprint_hasher.hash_one((
             arriving.tenant,
             arriving.ordering_key,
-            &call.id,
-            &call.class,
-            &call.idempotency_key,
+            &forwarded_query.query_key,
+            &forwarded_query.class,
+            &forwarded_query.idempotency_key,
             statement,
         ))))
     }
@@ -90,21 +98,21 @@
         now: f64,
         id: QueryId,
         arriving: &ArrivingQuery,
-        call: &Call,
+        forwarded_query: &ForwardedQuery,
     ) -> Admission {
         let Some(query) = state.open_queries.get_mut(&id) else {
             return Admission::AnswerNotCached;
         };
         let is_same_call = query.tenant == arriving.tenant
             && query.ordering_key == arriving.ordering_key
-            && *query.call == *call;
+            && *query.forwarded_query == *forwarded_query;
         if !is_same_call {
             return Admission::Conflict;
         }
         query.add_waiter();
         let waiter = Waiter {
             scheduler: self.clone(),
-            id,
+            query_id: id,
             answer: query.answer.subscribe(),
         };
         state.controller.set_client_waiting(now, id, true);
@@ -120,7 +128,7 @@
     ) -> Admission {
         let plan_admission = match state.admit_by_plan(now, &new.arriving) {
             Ok(plan_admission) => plan_admission,
-            Err(rejection) => return Admission::RejectedByPlan(rejection),
+            Err(denial) => return Admission::DeniedByPlan(denial),
         };
         let terms = state.terms(now, &new.arriving, plan_admission);
         if terms.is_non_idempotent && state.queries.is_recovery_pending() {
@@ -154,11 +162,11 @@
         state.controller.admit(now, query);
         let waiter = Waiter {
             scheduler: self.clone(),
-            id,
+            query_id: id,
             answer,
         };
         Admission::New {
-            id,
+            query_id: id,
             commands,
             waiter,
             journal_entry,
@@ -204,7 +212,7 @@
             query_key: self.arriving.query_key,
             tenant: self.arriving.tenant,
             ordering_key: self.arriving.ordering_key,
-            call: self.call,
+            forwarded_query: self.forwarded_query,
             fingerprint: self.fingerprint,
             commands,
             answer: watch::Sender::new(None),
@@ -246,7 +254,7 @@
         &mut self,
         now: f64,
         arriving: &ArrivingQuery,
-    ) -> Result<Option<PlanAdmission>, PlanRejection> {
+    ) -> Result<Option<PlanAdmission>, PlanDenial> {
         let Some(plan_router) = self.plan_router.as_mut() else {
             return Ok(None);
         };
@@ -257,7 +265,7 @@
             has_key: arriving.ordering_key.is_some(),
             data_set: arriving.data_set,
             minute: minute_of_day(now),
-            statement_bytes: arriving.bytes,
+            statement_bytes: arriving.statement_bytes,
         };
         plan_router.admit(now, &query).map(Some)
     }
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -2,7 +2,7 @@
 
 use super::Waiter;
 use crate::scheduling::client_presence::ClientPresence;
-use crate::scheduling::plan_routing::PlanRejection;
+use crate::scheduling::plan_routing::PlanDenial;
 use bytes::Bytes;
 use garnetwall::api::{EngineId, FinalAnswer, QueryId};
 use garnetwall_ledger::records::StartedQuery;
@@ -97,7 +97,25 @@
     /// The address of its client.
     pub client: IpAddr,
     /// The length of its statement, in bytes.
-    pub bytes: u64,
+    pub statement_bytes: u64,
+}
+
+/// What became of another plan.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PlanUpdate {
+    /// It is in force.
+    InForce,
+    /// Nothing is changed: the gateway started without a plan.
+    NeedsRestart,
+}
+
+/// What became of a client's request to cancel the query of a key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CancelOutcome {
+    /// The query was open, and no attempt of it begins any more.
+    Cancelled,
+    /// No query of this key is open.
+    NotOpen,
 }
 
 /// What became of an arriving query.
@@ -105,7 +123,7 @@
     /// It is opened.
     New {
         /// Its number.
-        id: QueryId,
+        query_id: QueryId,
         /// The commands that its task carries out.
         commands: UnboundedReceiver<Command>,
         /// Its first waiter.
@@ -125,6 +143,6 @@
     AnswerNotCached,
     /// An earlier process may have sent it, and it may have run.
     MayHaveRun,
-    /// The plan rejects it.
-    RejectedByPlan(PlanRejection),
+    /// The plan denies it.
+    DeniedByPlan(PlanDenial),
 }
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -1,19 +1,21 @@
 //! Updates of the endpoint list, the query classes and the plan.
 
-use super::Scheduler;
-use crate::discovery::EngineUpdate;
+use super::{PlanUpdate, Scheduler};
+use crate::discovery::ListChange;
 use garnetwall::api::QueryClass;
 use garnetwall_plan::Plan;
 use std::sync::Arc;
 
 impl Scheduler {
     /// Applies a change of the endpoint list; a complete one removes the engines that it does not name.
-    pub fn update_endpoints(&self, changes: &[EngineUpdate], is_complete: bool) {
-        let endpoints: Vec<_> = changes.iter().map(|change| change.endpoint).collect();
+    pub fn update_endpoints(&self, change: &ListChange) {
+        let updates = change.updates.iter();
+        let endpoints: Vec<_> = updates.map(|update| update.endpoint).collect();
         self.handle_event(|state, _| {
-            state.controller.update_endpoints(&endpoints, is_complete);
+            let controller = &mut state.controller;
+            controller.update_endpoints(&endpoints, change.is_complete);
             if let Some(plan_router) = state.plan_router.as_mut() {
-                let updates = plan_router.update_endpoints(changes, is_complete);
+                let updates = plan_router.update_endpoints(change);
                 state.update_endpoint_subsets(updates);
             }
         });
@@ -29,18 +31,17 @@
         self.state().is_non_idempotent(class)
     }
 
-    /// Puts another plan in force, with the classes as it narrows them. Returns `false`, and changes nothing, where the gateway
-    /// started without a plan.
-    pub fn update_plan(&self, plan: Arc<Plan>, classes: &[QueryClass]) -> bool {
+    /// Puts another plan in force, with the classes as it narrows them.
+    pub fn update_plan(&self, plan: Arc<Plan>, classes: &[QueryClass]) -> PlanUpdate {
         self.handle_event(|state, _| {
             let Some(plan_router) = state.plan_router.as_mut() else {
-                return false;
+                return PlanUpdate::NeedsRestart;
             };
             let updates = plan_router.update_plan(plan);
             state.update_endpoint_subsets(updates);
             state.controller.update_classes(classes);
             state.set_classes(classes);
-            true
+            PlanUpdate::InForce
         })
     }
 }
