--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -1,4 +1,4 @@
-//! A hollow engine: attempts share its cores; a cold one is slow, and crashes when it is overloaded.
+//! A simulated engine: attempts share its cores; a cold one is slow, and crashes when it is overloaded.
 
 use super::cold_engine::{self, ColdWindow, ColdWork};
 use super::experiment::Cold;
@@ -46,10 +46,10 @@
 pub enum Received {
     Runs,
     /// The attempt overloaded it: its process ends, with all attempts.
-    Fell,
+    Crashed,
 }
 
-/// A hollow engine.
+/// A simulated engine.
 pub struct Engine {
     pub site: Site,
     pub state: EngineState,
@@ -140,7 +140,7 @@
         let limit =
             cold_engine::limit_queries(cold_engine::budget(cold, self.site.cores, mean_work));
         let received = if sum.all > limit {
-            Received::Fell
+            Received::Crashed
         } else {
             Received::Runs
         };
--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -84,7 +84,7 @@
         self.judge.attempt_began(now, attempt);
         match received {
             Received::Runs => self.schedule_engine(now, attempt.engine),
-            Received::Fell => self.fall(now, attempt.engine),
+            Received::Crashed => self.crash_engine(now, attempt.engine),
         }
         Some(done_at)
     }
@@ -98,12 +98,12 @@
 
     /// Schedules the engine's next event.
     pub fn schedule_engine(&mut self, now: SimTime, engine: usize) {
-        let hollow = &mut self.engines[engine];
-        let Some(next) = hollow.next_due(&self.experiment.cold, now) else {
+        let simulated = &mut self.engines[engine];
+        let Some(next) = simulated.next_due(&self.experiment.cold, now) else {
             return;
         };
-        if hollow.due.is_none_or(|due| next < due) {
-            hollow.due = Some(next);
+        if simulated.due.is_none_or(|due| next < due) {
+            simulated.due = Some(next);
             self.queue.push(
                 next,
                 Event::EngineDue {
@@ -115,8 +115,8 @@
 
     // ---- engines' processes ----
 
-    fn fall(&mut self, now: SimTime, engine: usize) {
-        self.judge.engine_fell();
+    fn crash_engine(&mut self, now: SimTime, engine: usize) {
+        self.judge.engine_crashed();
         self.restart_engine(now, engine);
     }
 
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -45,7 +45,7 @@
     /// The staged updates are published as one entry of the change log.
     PublishUpdates,
     PublishConfiguration,
-    RegionHeals {
+    RegionReconnected {
         region: u32,
     },
     Script {
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -1,4 +1,4 @@
-//! The file of an experiment with the hollow fleet, and its checks.
+//! The file of an experiment with the simulated fleet, and its checks.
 
 use super::injected_fault::InjectedFault;
 use crate::experiment::{self, check_range, ExperimentError, InvalidValue};
@@ -11,7 +11,7 @@
 /// Of the lists of classes and kinds.
 const MAX_ENTRIES: f64 = 64.0;
 
-/// One run of the hollow fleet.
+/// One run of the simulated fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
@@ -65,7 +65,7 @@
     pub connect_timeout: f64,
     /// Seconds until an attempt is known to be broken when its engine's rack or zone is lost.
     pub loss_detection: f64,
-    /// Seconds that an engine which fell or was restarted is down.
+    /// Seconds that an engine which crashed or was restarted is down.
     pub restart: f64,
 }
 
--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! A hollow gateway: the real decision module and the real subset, with neither sockets nor bodies.
+//! A simulated gateway: the real decision module and the real subset, with neither sockets nor bodies.
 
 mod attempts;
 mod endpoints;
@@ -28,7 +28,7 @@
     pub incarnation: u32,
     pub running: bool,
     /// Whether the change log does not reach it.
-    pub cut: bool,
+    pub disconnected_from_log: bool,
     pub clients: Clients,
     next_query: QueryId,
     process: Option<Process>,
@@ -41,7 +41,7 @@
             zone,
             incarnation: 0,
             running: false,
-            cut: false,
+            disconnected_from_log: false,
             clients,
             next_query: 0,
             process: None,
--- a/crates/scale/src/fleet/gateway/queries.rs
+++ b/crates/scale/src/fleet/gateway/queries.rs
@@ -34,7 +34,7 @@
         let remaining_time = environment.experiment.classes[query.class].deadline;
         environment
             .judge
-            .query_came(now, name, query.class, query.key);
+            .query_arrived(now, name, query.class, query.key);
         let open = OpenQuery {
             query,
             deadline: now.after(remaining_time),
--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -17,8 +17,8 @@
     /// Entries up to these are known, and in force.
     known: usize,
     in_force: usize,
-    cut: bool,
-    healed: Option<SimTime>,
+    disconnected: bool,
+    reconnected_at: Option<SimTime>,
 }
 
 /// Measures the delivery of change log entries.
@@ -29,7 +29,7 @@
     readers: Vec<Reader>,
     known: Histogram<u64>,
     in_force: Histogram<u64>,
-    after_heal: Histogram<u64>,
+    after_reconnect: Histogram<u64>,
     missing: Missing,
 }
 
@@ -43,7 +43,7 @@
 impl Changes {
     pub fn new(experiment: Rc<Experiment>) -> Changes {
         let readers = vec![Reader::default(); experiment.gateways.count];
-        let (known, in_force, after_heal) = (histogram(), histogram(), histogram());
+        let (known, in_force, after_reconnect) = (histogram(), histogram(), histogram());
         let missing = Missing::default();
         Changes {
             experiment,
@@ -51,7 +51,7 @@
             readers,
             known,
             in_force,
-            after_heal,
+            after_reconnect,
             missing,
         }
     }
@@ -63,13 +63,13 @@
 
     pub fn gateway_started(&mut self, now: SimTime, gateway: u32, sequence: usize) {
         let reader = &mut self.readers[gateway as usize];
-        let cut = reader.cut;
+        let disconnected = reader.disconnected;
         *reader = Reader {
             up_since: Some(now),
             known: sequence,
             in_force: sequence,
-            cut,
-            healed: reader.healed,
+            disconnected,
+            reconnected_at: reader.reconnected_at,
         };
     }
 
@@ -78,21 +78,26 @@
         self.readers[gateway as usize].up_since = None;
     }
 
-    pub fn cut(&mut self, gateway: u32) {
-        self.readers[gateway as usize].cut = true;
+    pub fn log_disconnected(&mut self, gateway: u32) {
+        self.readers[gateway as usize].disconnected = true;
     }
 
-    pub fn healed(&mut self, now: SimTime, gateway: u32) {
+    pub fn log_reconnected(&mut self, now: SimTime, gateway: u32) {
         let reader = &mut self.readers[gateway as usize];
-        reader.cut = false;
-        reader.healed = Some(now);
+        reader.disconnected = false;
+        reader.reconnected_at = Some(now);
     }
 
     pub fn delivered(&mut self, now: SimTime, gateway: u32, sequence: usize) {
         let reader = &mut self.readers[gateway as usize];
         for published in entries(&self.published, reader.known, sequence) {
-            match reader.healed.filter(|healed| *healed > published) {
-                Some(healed) => record(&mut self.after_heal, now.since(healed)),
+            match reader
+                .reconnected_at
+                .filter(|reconnected_at| *reconnected_at > published)
+            {
+                Some(reconnected_at) => {
+                    record(&mut self.after_reconnect, now.since(reconnected_at))
+                }
                 None => record(&mut self.known, now.since(published)),
             }
         }
@@ -102,7 +107,10 @@
     pub fn in_force(&mut self, now: SimTime, gateway: u32, sequence: usize) {
         let reader = &mut self.readers[gateway as usize];
         for published in entries(&self.published, reader.in_force, sequence) {
-            if reader.healed.is_none_or(|healed| healed <= published) {
+            if reader
+                .reconnected_at
+                .is_none_or(|reconnected_at| reconnected_at <= published)
+            {
                 record(&mut self.in_force, now.since(published));
             }
         }
@@ -112,13 +120,13 @@
     /// Counts what a gateway lacks for longer than the limits, with the time that it has lacked it.
     fn count_missing(&mut self, now: SimTime, gateway: usize) {
         let reader = &self.readers[gateway];
-        if reader.up_since.is_none() || reader.cut {
+        if reader.up_since.is_none() || reader.disconnected {
             return;
         }
         let waited = |published: &SimTime| {
             let reachable = reader
-                .healed
-                .map_or(*published, |healed| healed.max(*published));
+                .reconnected_at
+                .map_or(*published, |reconnected_at| reconnected_at.max(*published));
             now.since(reachable)
         };
         let limits = &self.experiment.limits;
@@ -150,14 +158,14 @@
             not_in_force,
             limits.in_force_p99,
         );
-        let heal = time_finding(
+        let known_after_reconnect = time_finding(
             "time until known after a heal",
-            &self.after_heal,
+            &self.after_reconnect,
             0,
             limits.known_p99,
         );
         let mut findings = vec![known, in_force];
-        findings.extend((!self.after_heal.is_empty()).then_some(heal));
+        findings.extend((!self.after_reconnect.is_empty()).then_some(known_after_reconnect));
         findings
     }
 }
--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -42,7 +42,7 @@
     announced_late: u64,
     announced_cold: BTreeSet<(SimTime, usize)>,
     max_announced_cold: usize,
-    falls: u64,
+    crashes: u64,
     over: u64,
     over_by_notified: u64,
     /// The largest share of a window's limit that notified gateways filled, and that all gateways filled.
@@ -63,7 +63,7 @@
             announced_late: 0,
             announced_cold: BTreeSet::new(),
             max_announced_cold: 0,
-            falls: 0,
+            crashes: 0,
             over: 0,
             over_by_notified: 0,
             max_notified_fill: 0.0,
@@ -94,8 +94,8 @@
         self.unannounced_starts.remove(&engine);
     }
 
-    pub fn fell(&mut self) {
-        self.falls += 1;
+    pub fn crashed(&mut self) {
+        self.crashes += 1;
     }
 
     pub fn published(&mut self, now: SimTime, updates: &[EndpointUpdate]) {
@@ -194,11 +194,11 @@
             format!(
                 "{} starts, {} falls; windows over budget and chance: {}, {} of them by gateways that were told; \
                  fullest window {:.2} by those told, {:.2} by all",
-                self.starts, self.falls, self.over, self.over_by_notified, self.max_notified_fill, self.max_total_fill
+                self.starts, self.crashes, self.over, self.over_by_notified, self.max_notified_fill, self.max_total_fill
             ),
             &[
                 ("starts", self.starts as f64),
-                ("falls", self.falls as f64),
+                ("falls", self.crashes as f64),
                 ("over", self.over as f64),
                 ("over_by_told", self.over_by_notified as f64),
                 ("fullest_told", self.max_notified_fill),
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -9,7 +9,8 @@
 
 #[derive(Default)]
 struct EngineSide {
-    running_gateway: bool,
+    /// Whether its process runs.
+    running: bool,
     /// Gateways connected now, one bit each.
     gateways: Vec<u64>,
     connected: u32,
@@ -20,7 +21,7 @@
 struct GatewaySide {
     up: bool,
     /// Connected engines that are alive.
-    running_gateway: usize,
+    live_engines: usize,
     /// When it lost engines of its subset with a zone, until it has as many again.
     refilling_since: Option<SimTime>,
 }
@@ -62,7 +63,7 @@
     pub fn engine_added(&mut self) {
         let words = self.gateways.len().div_ceil(WORD);
         self.engines.push(EngineSide {
-            running_gateway: true,
+            running: true,
             gateways: vec![0; words],
             ..EngineSide::default()
         });
@@ -90,22 +91,22 @@
     }
 
     pub fn engine_stopped(&mut self, engine: usize) {
-        if !std::mem::replace(&mut self.engines[engine].running_gateway, false) {
+        if !std::mem::replace(&mut self.engines[engine].running, false) {
             return;
         }
         self.alive_engines -= 1;
         for gateway in self.connected_gateways(engine) {
-            self.gateways[gateway].running_gateway -= 1;
+            self.gateways[gateway].live_engines -= 1;
         }
     }
 
     pub fn engine_started(&mut self, now: SimTime, engine: usize) {
-        if std::mem::replace(&mut self.engines[engine].running_gateway, true) {
+        if std::mem::replace(&mut self.engines[engine].running, true) {
             return;
         }
         self.alive_engines += 1;
         for gateway in self.connected_gateways(engine) {
-            self.gateways[gateway].running_gateway += 1;
+            self.gateways[gateway].live_engines += 1;
             self.check_if_full(now, gateway);
         }
     }
@@ -129,8 +130,8 @@
         side.gateways[gateway as usize / WORD] |= 1 << (gateway as usize % WORD);
         side.connected += 1;
         side.peak = side.peak.max(side.connected);
-        if side.running_gateway {
-            self.gateways[gateway as usize].running_gateway += 1;
+        if side.running {
+            self.gateways[gateway as usize].live_engines += 1;
             self.check_if_full(now, gateway as usize);
         }
     }
@@ -142,8 +143,8 @@
         let side = &mut self.engines[engine];
         side.gateways[gateway as usize / WORD] &= !(1 << (gateway as usize % WORD));
         side.connected -= 1;
-        if side.running_gateway {
-            self.gateways[gateway as usize].running_gateway -= 1;
+        if side.running {
+            self.gateways[gateway as usize].live_engines -= 1;
         }
     }
 
@@ -155,7 +156,7 @@
             .iter_mut()
             .filter(|side| side.up && side.refilling_since.is_none())
         {
-            if side.running_gateway < full {
+            if side.live_engines < full {
                 side.refilling_since = Some(now);
             } else {
                 self.refills.push(0.0);
@@ -166,7 +167,7 @@
     fn check_if_full(&mut self, now: SimTime, gateway: usize) {
         let full = self.full();
         let side = &mut self.gateways[gateway];
-        if side.running_gateway < full {
+        if side.live_engines < full {
             return;
         }
         if let Some(since) = side.refilling_since.take() {
@@ -191,7 +192,7 @@
         let unmet = self
             .engines
             .iter()
-            .filter(|engine| engine.running_gateway && engine.connected == 0)
+            .filter(|engine| engine.running && engine.connected == 0)
             .count();
         let most = self.experiment.limits.meets_max;
         Finding::new(
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -54,11 +54,11 @@
 
     // ---- what clients see ----
 
-    pub fn query_came(&mut self, now: SimTime, name: QueryName, class: usize, key: Option<u64>) {
-        self.queries.came(now, name, class);
-        self.retries.query_came(now, name.gateway);
+    pub fn query_arrived(&mut self, now: SimTime, name: QueryName, class: usize, key: Option<u64>) {
+        self.queries.arrived(now, name, class);
+        self.retries.query_arrived(now, name.gateway);
         if let Some(key) = key {
-            self.order.query_came(key, name);
+            self.order.query_arrived(key, name);
         }
     }
 
@@ -112,8 +112,8 @@
         self.connections.engine_stopped(engine);
     }
 
-    pub fn engine_fell(&mut self) {
-        self.cold_starts.fell();
+    pub fn engine_crashed(&mut self) {
+        self.cold_starts.crashed();
     }
 
     /// The engine drains or is silent by the script: its share of work says nothing.
@@ -173,12 +173,12 @@
         self.changes.in_force(now, gateway, sequence);
     }
 
-    pub fn cut(&mut self, gateway: u32) {
-        self.changes.cut(gateway);
+    pub fn log_disconnected(&mut self, gateway: u32) {
+        self.changes.log_disconnected(gateway);
     }
 
-    pub fn healed(&mut self, now: SimTime, gateway: u32) {
-        self.changes.healed(now, gateway);
+    pub fn log_reconnected(&mut self, now: SimTime, gateway: u32) {
+        self.changes.log_reconnected(now, gateway);
     }
 
     /// The findings of all rules.
--- a/crates/scale/src/fleet/judge/order.rs
+++ b/crates/scale/src/fleet/judge/order.rs
@@ -23,7 +23,7 @@
 }
 
 impl Order {
-    pub fn query_came(&mut self, key: u64, name: QueryName) {
+    pub fn query_arrived(&mut self, key: u64, name: QueryName) {
         let record = self.keys.entry(key).or_default();
         self.contended += u64::from(!record.unanswered.is_empty());
         record.unanswered.push_back(name);
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -19,7 +19,7 @@
 }
 
 struct OpenQuery {
-    came: SimTime,
+    arrived_at: SimTime,
     class: usize,
     attempts: u32,
 }
@@ -28,7 +28,7 @@
 pub struct Queries {
     experiment: Rc<Experiment>,
     open: BTreeMap<QueryName, OpenQuery>,
-    came: u64,
+    arrived: u64,
     succeeded: u64,
     rejected: u64,
     failed: u64,
@@ -44,7 +44,7 @@
         Queries {
             experiment,
             open: BTreeMap::new(),
-            came: 0,
+            arrived: 0,
             succeeded: 0,
             rejected: 0,
             failed: 0,
@@ -55,12 +55,12 @@
         }
     }
 
-    pub fn came(&mut self, now: SimTime, name: QueryName, class: usize) {
-        self.came += 1;
+    pub fn arrived(&mut self, now: SimTime, name: QueryName, class: usize) {
+        self.arrived += 1;
         self.open.insert(
             name,
             OpenQuery {
-                came: now,
+                arrived_at: now,
                 class,
                 attempts: 0,
             },
@@ -103,7 +103,7 @@
     }
 
     fn past_deadline(&self, query: &OpenQuery, now: SimTime) -> bool {
-        now.since(query.came)
+        now.since(query.arrived_at)
             > self.experiment.classes[query.class].deadline + DEADLINE_TOLERANCE_SECONDS
     }
 
@@ -128,7 +128,7 @@
             format!(
                 "{} queries: {unanswered} unanswered, {} late, {} answered twice, {} sent after the answer; \
                  {} broken off with their gateway, {} still open",
-                self.came,
+                self.arrived,
                 self.late,
                 self.repeated,
                 self.attempts_after_answer,
@@ -136,7 +136,7 @@
                 self.open.len()
             ),
             &[
-                ("queries", self.came as f64),
+                ("queries", self.arrived as f64),
                 ("unanswered", unanswered as f64),
                 ("late", self.late as f64),
                 ("repeated", self.repeated as f64),
--- a/crates/scale/src/fleet/judge/retries.rs
+++ b/crates/scale/src/fleet/judge/retries.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    pub fn query_came(&mut self, now: SimTime, gateway: u32) {
+    pub fn query_arrived(&mut self, now: SimTime, gateway: u32) {
         let span = self.experiment.retries.window;
         let queries = &mut self.windows[gateway as usize].queries;
         forget(queries, now, span);
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -65,15 +65,15 @@
 
     fn cut_region(&mut self, now: SimTime, step: &ScriptStep) {
         for number in self.gateways_of_region(step.index) {
-            self.gateways[number].cut = true;
-            self.environment.judge.cut(number as u32);
+            self.gateways[number].disconnected_from_log = true;
+            self.environment.judge.log_disconnected(number as u32);
         }
-        let heals = Event::RegionHeals {
+        let reconnected = Event::RegionReconnected {
             region: step.index as u32,
         };
         self.environment
             .queue
-            .push(now.after(step.duration_seconds), heals);
+            .push(now.after(step.duration_seconds), reconnected);
     }
 
     fn restart_rolling(&mut self, now: SimTime, step: &ScriptStep) {
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -110,7 +110,7 @@
                 self.environment.log.publish_configuration();
                 self.announce(now, &[]);
             }
-            Event::RegionHeals { region } => self.region_heals(now, region as usize),
+            Event::RegionReconnected { region } => self.region_reconnected(now, region as usize),
             Event::Script { step } => self.run_script_step(now, step as usize),
         }
         Ok(())
@@ -128,7 +128,7 @@
         match event {
             Event::Arrival { .. } => gateway.arrival(now, environment),
             Event::Wake { .. } if gateway.wakes(now) => gateway.pump(now, environment),
-            Event::Deliver { sequence, .. } if !gateway.cut => {
+            Event::Deliver { sequence, .. } if !gateway.disconnected_from_log => {
                 gateway.deliver(now, sequence as usize, environment)
             }
             Event::AttemptFails { key, end } => gateway.attempt_ended(now, key, end, environment),
@@ -139,12 +139,12 @@
     // ---- engines ----
 
     fn engine_due(&mut self, now: SimTime, engine: usize) {
-        let hollow = &mut self.environment.engines[engine];
-        if hollow.due != Some(now) {
+        let simulated = &mut self.environment.engines[engine];
+        if simulated.due != Some(now) {
             return;
         }
-        hollow.due = None;
-        let finished = hollow.finished(&self.experiment.cold, now);
+        simulated.due = None;
+        let finished = simulated.finished(&self.experiment.cold, now);
         for key in finished {
             if let Some(gateway) = running_gateway(&mut self.gateways, key.gateway, key.incarnation)
             {
@@ -203,7 +203,7 @@
         for gateway in self
             .gateways
             .iter()
-            .filter(|gateway| gateway.running && !gateway.cut)
+            .filter(|gateway| gateway.running && !gateway.disconnected_from_log)
         {
             let at = now.after(self.environment.delivery_delay());
             let (gateway, incarnation) = (gateway.number, gateway.incarnation);
@@ -219,13 +219,13 @@
     }
 
     /// The gateways of a region catch up, spread over the experiment's `resume` time.
-    fn region_heals(&mut self, now: SimTime, region: usize) {
+    fn region_reconnected(&mut self, now: SimTime, region: usize) {
         let resume = self.experiment.log.resume;
         let sequence = self.environment.log.latest() as u32;
         for number in self.gateways_of_region(region) {
             let gateway = &mut self.gateways[number];
-            gateway.cut = false;
-            self.environment.judge.healed(now, gateway.number);
+            gateway.disconnected_from_log = false;
+            self.environment.judge.log_reconnected(now, gateway.number);
             let wait = self.environment.random.random::<f64>() * resume
                 + self.environment.delivery_delay();
             let (gateway, incarnation) = (gateway.number, gateway.incarnation);
--- a/crates/scale/src/slopes/roles/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -3,7 +3,7 @@
 use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
 use crate::slopes::roles::pool::{self, PoolEngine};
-use crate::slopes::roles::subset::{changed, Chosen};
+use crate::slopes::roles::subset::{changed, SettledSubset};
 use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use garnetwall_subset::{Action, EngineKey};
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 
 /// A subset, and the module's indices of its members.
 struct Members {
-    chosen: Chosen,
+    chosen: SettledSubset,
     indices: HashMap<EngineKey, EngineId>,
     /// Indices of engines that have left.
     free: Vec<EngineId>,
@@ -35,7 +35,7 @@
         } = *quantities;
         let subset = match subset_size {
             0 => None,
-            size => Some(Members::new(Chosen::new(engines, gateways, size)?)),
+            size => Some(Members::new(SettledSubset::new(engines, gateways, size)?)),
         };
         Ok(ListedEngines { engines, subset })
     }
@@ -110,7 +110,7 @@
 }
 
 impl Members {
-    fn new(chosen: Chosen) -> Self {
+    fn new(chosen: SettledSubset) -> Self {
         let members: Vec<EngineKey> = chosen.subset.members().map(|(engine, _)| engine).collect();
         Members {
             chosen,
--- a/crates/scale/src/slopes/roles/subset.rs
+++ b/crates/scale/src/slopes/roles/subset.rs
@@ -13,14 +13,14 @@
 const MAX_POLLS: usize = 10_000;
 
 /// One gateway's subset and the catalog that it chooses from.
-pub struct Chosen {
+pub struct SettledSubset {
     pub catalog: Catalog,
     pub subset: Subset,
     /// Simulated time, in seconds.
     pub now: f64,
 }
 
-impl Chosen {
+impl SettledSubset {
     /// The subset of one gateway of a pool, settled.
     ///
     /// # Errors
@@ -32,7 +32,7 @@
         let changes = catalog.apply(&listed, true);
         let mut subset = Subset::new("gateway-0", pool::subset_settings(size, gateways))?;
         subset.changed(0.0, &catalog, &changes);
-        let mut chosen = Chosen {
+        let mut chosen = SettledSubset {
             catalog,
             subset,
             now: 0.0,
@@ -89,7 +89,7 @@
         };
         let listed = listed_engines(engines);
         let (resident, (first_list, chosen)) =
-            growth(|| timed(|| Chosen::new(engines, gateways, size)))?;
+            growth(|| timed(|| SettledSubset::new(engines, gateways, size)))?;
         let mut chosen = chosen?;
         let members: Vec<f64> = chosen
             .subset
--- a/crates/scale/src/subset_comparison/compare.rs
+++ b/crates/scale/src/subset_comparison/compare.rs
@@ -88,15 +88,15 @@
         let is_compared = |strategy: &StrategyName| {
             experiment.strategies.contains(strategy) && (index == 0 || !strategy.holds_whole_list())
         };
-        let mut plain_form: Option<Choices> = None;
+        let mut reference: Option<Choices> = None;
         for strategy in StrategyName::all().into_iter().filter(is_compared) {
             let choices = scenario.choose(strategy, size);
             let mut figures = scenario.measure(strategy, size, &choices);
-            match (strategy, &plain_form) {
-                (StrategyName::RendezvousFloors, _) => plain_form = Some(choices),
-                (StrategyName::Subset, Some(plain)) => {
-                    let disagreeing = disagreeing(plain, &choices);
-                    figures.insert(Figure::Disagreeing, disagreeing as f64);
+            match (strategy, &reference) {
+                (StrategyName::RendezvousFloors, _) => reference = Some(choices),
+                (StrategyName::Subset, Some(reference)) => {
+                    let differing = differing_gateways(reference, &choices);
+                    figures.insert(Figure::DifferingGateways, differing as f64);
                 }
                 _ => {}
             }
@@ -170,7 +170,7 @@
             self.measure_moves(&choices.before, index, after, &required, &mut figures);
         }
         if let Some(restored) = &choices.restored {
-            let not_restored = measure::disagreeing(&choices.before, restored);
+            let not_restored = measure::differing_gateways(&choices.before, restored);
             figures.insert(Figure::NotRestored, not_restored as f64);
         }
         figures
@@ -201,16 +201,16 @@
             Figure::ConnectionsMax,
         ];
         insert(figures, connections, names);
-        let unheld = measure::unheld(&self.population, assignment);
-        figures.insert(Figure::Unheld, unheld as f64);
+        let without_gateway = measure::engines_without_gateway(&self.population, assignment);
+        figures.insert(Figure::EnginesWithoutGateway, without_gateway as f64);
         let members: usize = assignment.held.iter().map(|held| held.len()).sum();
         figures.insert(
             Figure::Members,
             members as f64 / assignment.held.len() as f64,
         );
         if !assignment.holder_counts.is_empty() {
-            let sum = measure::largest_sum_of_parts(&self.population, assignment);
-            figures.insert(Figure::SumOfParts, sum);
+            let sum = measure::largest_sum_of_shares(&self.population, assignment);
+            figures.insert(Figure::SumOfShares, sum);
         }
     }
 
@@ -250,13 +250,13 @@
     }
 }
 
-/// Gateways that differ from the plain form, before a change or after one.
-fn disagreeing(plain: &Choices, choices: &Choices) -> usize {
-    let before = measure::disagreeing(&plain.before, &choices.before);
-    let after = plain.after.iter().zip(&choices.after);
+/// Gateways that differ from the reference implementation, before a change or after one.
+fn differing_gateways(reference: &Choices, choices: &Choices) -> usize {
+    let before = measure::differing_gateways(&reference.before, &choices.before);
+    let after = reference.after.iter().zip(&choices.after);
     before
         + after
-            .map(|(plain, after)| measure::disagreeing(plain, after))
+            .map(|(reference, after)| measure::differing_gateways(reference, after))
             .sum::<usize>()
 }
 
--- a/crates/scale/src/subset_comparison/judge.rs
+++ b/crates/scale/src/subset_comparison/judge.rs
@@ -7,7 +7,7 @@
 /// Moves over those that no strategy could avoid, at most.
 const MAX_MOVE_RATIO: f64 = 1.05;
 /// Sum of the holders' shares of an engine, at most: the module uses 0.6 of a cold engine's budget.
-const MAX_SUM_OF_PARTS: f64 = 1.0 / 0.6;
+const MAX_SUM_OF_SHARES: f64 = 1.0 / 0.6;
 
 /// One judged thing.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 
 fn judge_row(row: &Row) -> Option<Check> {
     let (what, allowed) = match row.figure {
-        Figure::Unheld => ("engines held by nobody", 0.0),
+        Figure::EnginesWithoutGateway => ("engines held by nobody", 0.0),
         Figure::MovedOverLeast(Change::OneEngine) => {
             ("moves over the least, one engine lost", MAX_MOVE_RATIO)
         }
@@ -37,11 +37,11 @@
             ("moves over the least, a zone lost", MAX_MOVE_RATIO)
         }
         Figure::Moved(Change::Gateways) => ("moves of those that stay, gateways lost", 0.0),
-        Figure::Disagreeing => ("gateways that differ from the plain form", 0.0),
+        Figure::DifferingGateways => ("gateways that differ from the plain form", 0.0),
         Figure::NotRestored => ("gateways not back at their subset when all is back", 0.0),
-        Figure::SumOfParts => (
+        Figure::SumOfShares => (
             "sum of what the holders of an engine take",
-            MAX_SUM_OF_PARTS,
+            MAX_SUM_OF_SHARES,
         ),
         _ => return None,
     };
--- a/crates/scale/src/subset_comparison/measure.rs
+++ b/crates/scale/src/subset_comparison/measure.rs
@@ -55,7 +55,7 @@
 }
 
 /// Engines that no gateway holds.
-pub fn unheld(population: &Population, assignment: &Assignment) -> usize {
+pub fn engines_without_gateway(population: &Population, assignment: &Assignment) -> usize {
     let mut is_held = vec![false; population.engine_numbers()];
     let held = assignment.held.iter().flat_map(|held| held.iter());
     held.for_each(|engine| is_held[*engine as usize] = true);
@@ -67,14 +67,14 @@
 }
 
 /// Gateways whose subsets differ, or that are in one assignment only.
-pub fn disagreeing(one: &Assignment, other: &Assignment) -> usize {
+pub fn differing_gateways(one: &Assignment, other: &Assignment) -> usize {
     let pairs = one.held.iter().zip(&other.held);
     pairs.filter(|(one, other)| one != other).count() + one.held.len().abs_diff(other.held.len())
 }
 
 /// The largest sum of the holders' shares of an engine, where a share is one over the holder's own count of holders.
 /// 1 is the whole engine.
-pub fn largest_sum_of_parts(population: &Population, assignment: &Assignment) -> f64 {
+pub fn largest_sum_of_shares(population: &Population, assignment: &Assignment) -> f64 {
     let mut sums = vec![0.0; population.engine_numbers()];
     for (held, holder_counts) in assignment.held.iter().zip(&assignment.holder_counts) {
         held.iter()
@@ -221,9 +221,9 @@
 
 fn count_by_kind(engines: &[u32], kinds: &[u32]) -> Vec<usize> {
     let kind_count = kinds.iter().max().map_or(0, |kind| *kind as usize + 1);
-    let mut holder_counts = vec![0; kind_count];
+    let mut counts = vec![0; kind_count];
     engines
         .iter()
-        .for_each(|engine| holder_counts[kinds[*engine as usize] as usize] += 1);
-    holder_counts
+        .for_each(|engine| counts[kinds[*engine as usize] as usize] += 1);
+    counts
 }
--- a/crates/scale/src/subset_comparison/measure/tests.rs
+++ b/crates/scale/src/subset_comparison/measure/tests.rs
@@ -88,7 +88,10 @@
     let uneven = work_over_mean(&fleet, &assignment(&[&[0], &[2, 3]]), &[1.0, 3.0]);
     assert_eq!(uneven.max, 1.0 / 8.0 / (4.0 / 48.0));
     assert_eq!(uneven.p50, 3.0 / 32.0 / (4.0 / 48.0));
-    assert_eq!(unheld(&fleet, &assignment(&[&[0], &[2, 3]])), 1);
+    assert_eq!(
+        engines_without_gateway(&fleet, &assignment(&[&[0], &[2, 3]])),
+        1
+    );
 }
 
 #[test]
@@ -186,5 +189,5 @@
     let fleet = population(&[0, 1], 2);
     let mut assignment = assignment(&[&[0, 1], &[1]]);
     assignment.holder_counts = vec![vec![2.0, 2.0], vec![4.0]];
-    assert_eq!(largest_sum_of_parts(&fleet, &assignment), 0.75);
+    assert_eq!(largest_sum_of_shares(&fleet, &assignment), 0.75);
 }
--- a/crates/scale/src/subset_comparison/report.rs
+++ b/crates/scale/src/subset_comparison/report.rs
@@ -18,7 +18,7 @@
     ConnectionsP99,
     ConnectionsMax,
     /// Engines that no gateway holds.
-    Unheld,
+    EnginesWithoutGateway,
     Moved(Change),
     /// Part of all pairs that moved.
     MovedShare(Change),
@@ -30,12 +30,12 @@
     StateBytes,
     /// Processor time of the first choice, for each gateway.
     ChooseMicroseconds,
-    /// Gateways whose settled subset differs from the plain form's, before a change or after one, summed.
-    Disagreeing,
+    /// Gateways whose settled subset differs from the reference implementation's, before a change or after one, summed.
+    DifferingGateways,
     /// Gateways whose subset differs from the first one when all that was lost is restored.
     NotRestored,
     /// The largest sum of the holders' shares of an engine, by the holder counts that they know.
-    SumOfParts,
+    SumOfShares,
 }
 
 impl Figure {
@@ -60,16 +60,16 @@
             Figure::ConnectionsP50 => "connections-p50".into(),
             Figure::ConnectionsP99 => "connections-p99".into(),
             Figure::ConnectionsMax => "connections-max".into(),
-            Figure::Unheld => "unheld".into(),
+            Figure::EnginesWithoutGateway => "unheld".into(),
             Figure::Moved(change) => of_change("moved", change),
             Figure::MovedShare(change) => of_change("moved-share", change),
             Figure::MovedOverLeast(change) => of_change("moved-over-least", change),
             Figure::MovedOverFloor(change) => of_change("moved-over-floor", change),
             Figure::StateBytes => "state-bytes".into(),
             Figure::ChooseMicroseconds => "choose-us".into(),
-            Figure::Disagreeing => "disagreeing".into(),
+            Figure::DifferingGateways => "disagreeing".into(),
             Figure::NotRestored => "not-back".into(),
-            Figure::SumOfParts => "sum-of-parts".into(),
+            Figure::SumOfShares => "sum-of-parts".into(),
         }
     }
 }
@@ -167,7 +167,7 @@
     ("conns p50", Figure::ConnectionsP50, 0),
     ("p99", Figure::ConnectionsP99, 0),
     ("max", Figure::ConnectionsMax, 0),
-    ("unheld", Figure::Unheld, 0),
+    ("unheld", Figure::EnginesWithoutGateway, 0),
     (
         "x least: engine",
         Figure::MovedOverLeast(Change::OneEngine),
@@ -183,7 +183,7 @@
     ("gateways: share", Figure::MovedShare(Change::Gateways), 3),
     ("bytes", Figure::StateBytes, 0),
     ("us", Figure::ChooseMicroseconds, 0),
-    ("sum", Figure::SumOfParts, 2),
+    ("sum", Figure::SumOfShares, 2),
 ];
 
 /// Prints medians over the seeds, and the range of the seeds where it is not one value.
--- a/crates/scale/src/subset_comparison/strategies/rendezvous.rs
+++ b/crates/scale/src/subset_comparison/strategies/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing, in a plain form: all scores of a gateway are worked out, and the smallest are held.
+//! Rendezvous hashing without an index: all scores of a gateway are computed, and the smallest are held.
 
 use crate::subset_comparison::population::{Engine, Gateway, Population};
 use crate::subset_comparison::strategy::{Assignment, Classes, Strategy};
--- a/crates/scale/src/subset_comparison/strategy_name.rs
+++ b/crates/scale/src/subset_comparison/strategy_name.rs
@@ -20,7 +20,7 @@
     RendezvousEqual,
     /// The same with cores as weights.
     RendezvousCores,
-    /// `RendezvousEqual` with a floor for each kind: the plain form of `Subset`.
+    /// `RendezvousEqual` with a floor for each kind: the reference implementation of `Subset`.
     RendezvousFloors,
     /// `garnetwall-subset` itself, settled.
     Subset,
