--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -27,12 +27,12 @@
 enum Command {
     /// Measures what one role costs as one quantity grows, and fits a slope.
     Slopes(Run),
-    /// Measures one point of a slope, told and answered as JSON. `slopes` runs it; not for use by hand.
+    /// Measures one point of a slope, read and written as JSON. `slopes` runs it; not for use by hand.
     #[command(hide = true)]
     SlopePoint,
-    /// Plays thousands of hollow gateways in simulated time, and judges them.
+    /// Runs thousands of simulated gateways in simulated time, and judges them.
     Fleet(Run),
-    /// Plays real gateways on loopback beside what hollow ones predict.
+    /// Runs real gateways on loopback, and compares them with what simulated ones predict.
     Beside(real_processes::RealProcessesRun),
     /// Compares ways to choose subsets: spread over engines, moves on a change.
     Spread(Run),
--- a/crates/scale/src/real_processes/endpoint_list.rs
+++ b/crates/scale/src/real_processes/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of hollow engines, and its changes as the log's events.
+//! The list of stub engines, and its changes as the log's events.
 
 use serde_json::{json, Value};
 use std::net::{IpAddr, Ipv4Addr};
--- a/crates/scale/src/real_processes/engines.rs
+++ b/crates/scale/src/real_processes/engines.rs
@@ -1,4 +1,4 @@
-//! Hollow engines: their work is a timer. One listener for each gateway answers for all engines' addresses, so that the port
+//! Stub engines: their work is a timer. One listener for each gateway answers for all engines' addresses, so that the port
 //! identifies the gateway and the local address the engine.
 
 mod health;
@@ -64,7 +64,7 @@
     }
 }
 
-/// All hollow engines.
+/// All stub engines.
 pub struct Engines {
     engines: Vec<Engine>,
     recorder: Recorder,
--- a/crates/scale/src/real_processes/experiment.rs
+++ b/crates/scale/src/real_processes/experiment.rs
@@ -26,7 +26,7 @@
     pub engines: usize,
     #[serde(default = "default_zones")]
     pub zones: usize,
-    /// Hollow watchers of the change log.
+    /// Watchers of the change log that only record what they receive.
     pub watchers: usize,
     /// How long queries are sent.
     pub seconds: f64,
@@ -149,7 +149,7 @@
     /// Idle client connections on one gateway of its own.
     #[serde(default)]
     pub client_connections: Vec<usize>,
-    /// Hollow watchers on a change log of its own.
+    /// Watchers on a change log of their own.
     #[serde(default)]
     pub log_watchers: Vec<usize>,
 }
--- a/crates/scale/src/real_processes/findings.rs
+++ b/crates/scale/src/real_processes/findings.rs
@@ -1,7 +1,7 @@
 //! What a run found: its figures, and what was judged.
 
+use super::figure::Figure;
 use super::judge::Judgement;
-use super::report::Figure;
 use std::error::Error;
 
 /// What a run found.
--- a/crates/scale/src/real_processes/judge.rs
+++ b/crates/scale/src/real_processes/judge.rs
@@ -2,8 +2,8 @@
 
 use super::endpoint_list::EngineId;
 use super::experiment::Expect;
-use super::measured::Measured;
 use super::observations::{Attempt, Notice, Observations, Outcome, Query, QueryClass};
+use super::run_statistics::RunStatistics;
 use std::collections::{BTreeMap, HashMap};
 
 /// Connections may add this to a query's limit.
@@ -29,24 +29,30 @@
 pub fn judge(observations: &Observations, expect: &Expect) -> Vec<Judgement> {
     let index = Index::new(observations);
     let mut judgements = vec![
-        rule("something was played", index.nothing_played()),
-        rule("one whole answer within its limit", index.answers()),
-        rule("rows as an engine made them", index.rows()),
-        rule("no effect twice", index.effects()),
+        rule("something was played", index.no_success()),
+        rule(
+            "one whole answer within its limit",
+            index.late_or_broken_answers(),
+        ),
+        rule("rows as an engine made them", index.foreign_rows()),
+        rule("no effect twice", index.repeated_effects()),
         rule(
             "nothing new to an engine told draining or gone",
-            index.drains(),
+            index.attempts_at_drained_engines(),
+        ),
+        rule("one at a time for each key", index.order_violations()),
+        rule(
+            "nothing sent after the answer",
+            index.attempts_after_answer(),
         ),
-        rule("one at a time for each key", index.order()),
-        rule("nothing sent after the answer", index.after_answer()),
-        rule("terminated gateways end cleanly", index.ends()),
+        rule("terminated gateways end cleanly", index.unclean_ends()),
     ];
     judgements.extend(bounds(observations, expect));
     judgements
 }
 
 fn rule(what: &'static str, violations: Vec<String>) -> Judgement {
-    let notified_times = violations
+    let shown = violations
         .iter()
         .take(MAX_VIOLATIONS_SHOWN)
         .cloned()
@@ -54,7 +60,7 @@
         .join("; ");
     let detail = match violations.len() {
         0 => "none broke it".to_string(),
-        count => format!("{count} broke it: {notified_times}"),
+        count => format!("{count} broke it: {shown}"),
     };
     Judgement {
         what,
@@ -103,7 +109,7 @@
     }
 
     /// A run in which nothing succeeded shows nothing.
-    fn nothing_played(&self) -> Vec<String> {
+    fn no_success(&self) -> Vec<String> {
         let succeeded = |query: &&Query| matches!(query.outcome, Outcome::Succeeded { .. });
         match self.observations.queries.iter().find(succeeded) {
             Some(_) => Vec::new(),
@@ -114,7 +120,7 @@
         }
     }
 
-    fn answers(&self) -> Vec<String> {
+    fn late_or_broken_answers(&self) -> Vec<String> {
         let fault = |query: &&Query| {
             let took = query.answered_at - query.started_at;
             match &query.outcome {
@@ -140,7 +146,7 @@
             .collect()
     }
 
-    fn rows(&self) -> Vec<String> {
+    fn foreign_rows(&self) -> Vec<String> {
         let fault = |query: &&Query| match &query.outcome {
             Outcome::Succeeded { engine } => {
                 let made = |a: &&Attempt| a.succeeded && a.engine.to_string() == *engine;
@@ -156,7 +162,7 @@
             .collect()
     }
 
-    fn effects(&self) -> Vec<String> {
+    fn repeated_effects(&self) -> Vec<String> {
         let fault = |query: &&Query| {
             let ran = self
                 .attempts(query.id)
@@ -201,7 +207,7 @@
         notified_times
     }
 
-    fn drains(&self) -> Vec<String> {
+    fn attempts_at_drained_engines(&self) -> Vec<String> {
         let notified_times = self.notified_times();
         let fault = |attempt: &&Attempt| {
             let notified = *notified_times.get(&(attempt.engine, attempt.gateway))?;
@@ -218,7 +224,7 @@
             .collect()
     }
 
-    fn order(&self) -> Vec<String> {
+    fn order_violations(&self) -> Vec<String> {
         let mut by_key: BTreeMap<u64, Vec<&Query>> = BTreeMap::new();
         for query in &self.observations.queries {
             if let Some(key) = query.key.filter(|_| !self.was_killed(query)) {
@@ -227,11 +233,11 @@
         }
         by_key
             .values()
-            .flat_map(|queries| self.order_of_key(queries))
+            .flat_map(|queries| self.order_violations_of_key(queries))
             .collect()
     }
 
-    fn order_of_key(&self, queries: &[&Query]) -> Vec<String> {
+    fn order_violations_of_key(&self, queries: &[&Query]) -> Vec<String> {
         let attempts = queries
             .iter()
             .flat_map(|query| self.attempts(query.id).iter().map(|a| (*query, *a)));
@@ -253,13 +259,13 @@
         attempts.windows(2).filter_map(fault).collect()
     }
 
-    fn after_answer(&self) -> Vec<String> {
+    fn attempts_after_answer(&self) -> Vec<String> {
         let fault = |attempt: &&Attempt| {
             let query = self.queries.get(&attempt.query)?;
             let late = attempt.received_at - query.answered_at;
-            let answered_at =
+            let was_answered =
                 !matches!(query.outcome, Outcome::Lost(_) | Outcome::ConnectionRefused);
-            (answered_at && late > IN_TRANSIT_ALLOWANCE_SECONDS)
+            (was_answered && late > IN_TRANSIT_ALLOWANCE_SECONDS)
                 .then(|| format!("{:016x} sent {late:.3} s after its answer", query.id))
         };
         self.observations
@@ -269,7 +275,7 @@
             .collect()
     }
 
-    fn ends(&self) -> Vec<String> {
+    fn unclean_ends(&self) -> Vec<String> {
         let unclean = self
             .observations
             .outages
@@ -290,35 +296,35 @@
 
 /// What is measured, and held to a bound where one is expected.
 fn bounds(observations: &Observations, expect: &Expect) -> Vec<Judgement> {
-    let measured = Measured::new(observations);
+    let statistics = RunStatistics::new(observations);
     let count = |bound: Option<usize>| bound.map(|count| count as f64);
     let judgements = [
         at_most(
             "attempts at the busiest engine over the mean",
-            measured.max_over_mean,
+            statistics.max_over_mean,
             expect.spread_max_over_mean,
         ),
         at_most(
             "engines a gateway meets",
-            measured.engines_a_gateway,
+            statistics.engines_a_gateway,
             count(expect.engines_a_gateway),
         ),
         at_most(
             "gateways an engine meets",
-            measured.gateways_an_engine,
+            statistics.gateways_an_engine,
             count(expect.gateways_an_engine),
         ),
         at_most(
             "ms until 99 in 100 watchers see a change",
-            measured.change_seen_ms,
+            statistics.change_seen_ms,
             expect.change_seen_ms,
         ),
         at_most(
             "ms until a gateway is ready",
-            measured.ready_ms,
+            statistics.ready_ms,
             expect.ready_ms,
         ),
-        succeeded_share(&measured, expect),
+        succeeded_share(&statistics, expect),
     ];
     judgements.into_iter().flatten().collect()
 }
@@ -332,11 +338,11 @@
     })
 }
 
-fn succeeded_share(measured: &Measured, expect: &Expect) -> Option<Judgement> {
+fn succeeded_share(statistics: &RunStatistics, expect: &Expect) -> Option<Judgement> {
     let least = expect.succeeded_share?;
     Some(Judgement {
         what: "share of queries that succeed",
-        passed: measured.succeeded_share >= least,
-        detail: format!("{:.3}, at least {least}", measured.succeeded_share),
+        passed: statistics.succeeded_share >= least,
+        detail: format!("{:.3}, at least {least}", statistics.succeeded_share),
     })
 }
--- a/crates/scale/src/real_processes/measure.rs
+++ b/crates/scale/src/real_processes/process_figures.rs
@@ -1,9 +1,7 @@
-//! What is measured of the gateways' processes and of a run as a whole.
+//! Figures of the gateways' processes: memory, descriptors, processor time, connections and bytes.
 
 use super::change_log;
-use super::measured::{quantile, Measured};
-use super::observations::{Observations, Outcome};
-use super::report::Figure;
+use super::figure::Figure;
 use super::test_bed::TestBed;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -71,42 +69,3 @@
     }
     figures
 }
-
-/// Figures of the whole run.
-pub fn figures_of(observations: &Observations) -> Vec<Figure> {
-    let measured = Measured::new(observations);
-    let figure = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
-    let ended = |wanted: fn(&Outcome) -> bool| {
-        let outcomes = observations.queries.iter().map(|query| &query.outcome);
-        outcomes.filter(|outcome| wanted(outcome)).count() as f64
-    };
-    let succeeded = ended(|outcome| matches!(outcome, Outcome::Succeeded { .. }));
-    let rejected = ended(|outcome| matches!(outcome, Outcome::Rejected));
-    let failed = ended(|outcome| matches!(outcome, Outcome::Failed));
-    let refused = ended(|outcome| matches!(outcome, Outcome::ConnectionRefused));
-    let lost = ended(|outcome| matches!(outcome, Outcome::Lost(_)));
-    let mut ready = observations.ready.clone();
-    ready.sort_by(f64::total_cmp);
-    vec![
-        figure("queries", observations.queries.len() as f64),
-        figure("succeeded", succeeded),
-        figure("rejected", rejected),
-        figure("failed", failed),
-        figure("not_taken", refused),
-        figure("lost", lost),
-        figure("attempts", observations.attempts.len() as f64),
-        figure("changes", observations.changes.len() as f64),
-        figure("busiest_engine_over_mean", measured.max_over_mean),
-        figure("busiest_engine", measured.busiest as f64),
-        figure("engines_that_ran_something", measured.engines_used as f64),
-        figure("engine_p99_over_mean", measured.p99_over_mean),
-        figure("most_engines_a_gateway", measured.engines_a_gateway),
-        figure("most_gateways_an_engine", measured.gateways_an_engine),
-        figure("worst_change_seen_by_99_in_100_ms", measured.change_seen_ms),
-        figure(
-            "ready_ms_median",
-            1000.0 * quantile(&ready, 0.5).unwrap_or(0.0),
-        ),
-        figure("ready_ms_most", measured.ready_ms),
-    ]
-}
--- a/crates/scale/src/real_processes/report.rs
+++ b/crates/scale/src/real_processes/report.rs
@@ -1,34 +1,10 @@
 //! What a run prints, and the figures that it writes as JSON lines and CSV.
 
+use super::figure::Figure;
 use super::judge::Judgement;
 use crate::results::{Results, ResultsError};
-use serde::Serialize;
 use std::path::Path;
 
-/// One figure.
-#[derive(Clone, Debug, Serialize)]
-pub struct Figure {
-    /// What it belongs to: `run`, `gateway`, or the quantity that was swept.
-    #[serde(rename = "of")]
-    pub subject: String,
-    /// The gateway's number, or the swept quantity's value.
-    #[serde(rename = "at")]
-    pub position: f64,
-    pub name: String,
-    pub value: f64,
-}
-
-impl Figure {
-    pub fn new(subject: &str, position: f64, name: &str, value: f64) -> Figure {
-        Figure {
-            subject: subject.into(),
-            position,
-            name: name.into(),
-            value,
-        }
-    }
-}
-
 /// Writes figures to this file as JSON lines, and beside it as CSV.
 pub fn write(figures: &[Figure], file: &Path) -> Result<(), ResultsError> {
     let mut results = Results::create(Some(file))?;
--- a/crates/scale/src/real_processes/measured.rs
+++ b/crates/scale/src/real_processes/run_statistics.rs
@@ -1,11 +1,12 @@
-//! Figures of a run, computed from the observations.
+//! Statistics of a run as a whole, computed from the observations.
 
+use super::figure::Figure;
 use super::observations::{ChangeSeen, Observations, Outcome, Query};
 use std::collections::BTreeSet;
 
-/// Figures of a run.
+/// Statistics that the judge holds to bounds.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
-pub struct Measured {
+pub struct RunStatistics {
     pub max_over_mean: f64,
     pub p99_over_mean: f64,
     /// The slot of the busiest engine.
@@ -22,8 +23,8 @@
     pub succeeded_share: f64,
 }
 
-impl Measured {
-    pub fn new(observations: &Observations) -> Measured {
+impl RunStatistics {
+    pub fn new(observations: &Observations) -> RunStatistics {
         let mut attempts = attempts_by_engine(observations);
         let mean = attempts.iter().sum::<f64>() / attempts.len().max(1) as f64;
         let busiest = (0..attempts.len())
@@ -42,7 +43,7 @@
             .changes
             .iter()
             .map(|change| 1000.0 * seen_by_99_in_100(change, observations.watchers));
-        Measured {
+        RunStatistics {
             max_over_mean: over_mean(1.0),
             p99_over_mean: over_mean(0.99),
             busiest,
@@ -90,3 +91,45 @@
         rank => seconds.get(rank - 1).copied().unwrap_or(f64::INFINITY),
     }
 }
+
+/// All figures of a run as a whole.
+pub fn run_figures(observations: &Observations) -> Vec<Figure> {
+    let statistics = RunStatistics::new(observations);
+    let figure = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
+    let ended = |wanted: fn(&Outcome) -> bool| {
+        let outcomes = observations.queries.iter().map(|query| &query.outcome);
+        outcomes.filter(|outcome| wanted(outcome)).count() as f64
+    };
+    let succeeded = ended(|outcome| matches!(outcome, Outcome::Succeeded { .. }));
+    let rejected = ended(|outcome| matches!(outcome, Outcome::Rejected));
+    let failed = ended(|outcome| matches!(outcome, Outcome::Failed));
+    let refused = ended(|outcome| matches!(outcome, Outcome::ConnectionRefused));
+    let lost = ended(|outcome| matches!(outcome, Outcome::Lost(_)));
+    let mut ready = observations.ready.clone();
+    ready.sort_by(f64::total_cmp);
+    vec![
+        figure("queries", observations.queries.len() as f64),
+        figure("succeeded", succeeded),
+        figure("rejected", rejected),
+        figure("failed", failed),
+        figure("not_taken", refused),
+        figure("lost", lost),
+        figure("attempts", observations.attempts.len() as f64),
+        figure("changes", observations.changes.len() as f64),
+        figure("busiest_engine_over_mean", statistics.max_over_mean),
+        figure("busiest_engine", statistics.busiest as f64),
+        figure("engines_that_ran_something", statistics.engines_used as f64),
+        figure("engine_p99_over_mean", statistics.p99_over_mean),
+        figure("most_engines_a_gateway", statistics.engines_a_gateway),
+        figure("most_gateways_an_engine", statistics.gateways_an_engine),
+        figure(
+            "worst_change_seen_by_99_in_100_ms",
+            statistics.change_seen_ms,
+        ),
+        figure(
+            "ready_ms_median",
+            1000.0 * quantile(&ready, 0.5).unwrap_or(0.0),
+        ),
+        figure("ready_ms_most", statistics.ready_ms),
+    ]
+}
--- a/crates/scale/src/real_processes/hollow_gateway.rs
+++ b/crates/scale/src/real_processes/simulated_gateway.rs
@@ -1,4 +1,4 @@
-//! One hollow gateway by itself: the decision module alone, at the rate and with the list of a real one.
+//! One simulated gateway: the decision module alone, at the rate and with the list of a real one.
 
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, LoadReport, NextAction,
@@ -13,7 +13,7 @@
 
 /// Length of the simulation.
 pub const SIMULATED_SECONDS: f64 = 5.0;
-/// Hollow gateways in memory at once: whole and free pages blur the memory of a single one.
+/// Simulation gateways in memory at once: whole and free pages blur the memory of a single one.
 const GATEWAY_COPIES: usize = 32;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 /// The class of queries without a key.
@@ -31,7 +31,7 @@
     pub resident_bytes: f64,
 }
 
-/// Queries that a hollow gateway gets.
+/// Queries that a simulated gateway gets.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub queries_per_second: f64,
@@ -39,62 +39,67 @@
     pub seed: u64,
 }
 
-/// What a hollow gateway holds.
-struct HollowGateway {
+/// What a gateway keeps in memory for its decisions.
+struct GatewayMemory {
     module: AdmissionController,
     /// The whole list, beside a subset of it.
     _catalog: Option<Catalog>,
 }
 
-/// Plays one gateway's queries before these engines, by the process's own clock. Where they are a subset it holds the
-/// whole list as well.
-pub fn cost(
+impl GatewayMemory {
+    fn new(
+        settings: &Settings,
+        endpoints: &[Endpoint],
+        whole_list: Option<&[ListedEngine]>,
+        seed: u64,
+    ) -> GatewayMemory {
+        let mut module = AdmissionController::new(settings.clone(), seed, 0.0);
+        module.update_endpoints(endpoints, true);
+        let _catalog = whole_list.map(|whole_list| {
+            let mut catalog = Catalog::default();
+            catalog.apply(whole_list, true);
+            catalog
+        });
+        GatewayMemory { module, _catalog }
+    }
+}
+
+/// Simulates one gateway's queries before these engines, and measures its memory and processor time. Where they are a
+/// subset it holds the whole list as well.
+///
+/// # Errors
+/// Where the system does not report them.
+pub fn measure_cost(
     settings: &Settings,
     endpoints: &[Endpoint],
     whole_list: Option<&[ListedEngine]>,
     load: Load,
 ) -> std::io::Result<Cost> {
     let before = resident_bytes()?;
-    let gateways: Vec<HollowGateway> = (0..GATEWAY_COPIES)
-        .map(|copy| hold(settings, endpoints, whole_list, copy as u64))
+    let gateways: Vec<GatewayMemory> = (0..GATEWAY_COPIES)
+        .map(|copy| GatewayMemory::new(settings, endpoints, whole_list, copy as u64))
         .collect();
     let resident_bytes = (resident_bytes()? - before) / GATEWAY_COPIES as f64;
-    let Some(HollowGateway { module, .. }) = gateways.into_iter().next() else {
+    let Some(GatewayMemory { module, .. }) = gateways.into_iter().next() else {
         return Ok(Cost {
             processor_share: 0.0,
             resident_bytes,
         });
     };
-    let mut hollow = Hollow {
+    let mut simulation = Simulation {
         module,
         load,
         now: 0.0,
         ends: BinaryHeap::new(),
     };
     let before = thread_seconds()?;
-    hollow.play();
+    simulation.run();
     Ok(Cost {
         processor_share: (thread_seconds()? - before) / SIMULATED_SECONDS,
         resident_bytes,
     })
 }
 
-fn hold(
-    settings: &Settings,
-    endpoints: &[Endpoint],
-    whole_list: Option<&[ListedEngine]>,
-    seed: u64,
-) -> HollowGateway {
-    let mut module = AdmissionController::new(settings.clone(), seed, 0.0);
-    module.update_endpoints(endpoints, true);
-    let _catalog = whole_list.map(|whole_list| {
-        let mut catalog = Catalog::default();
-        catalog.apply(whole_list, true);
-        catalog
-    });
-    HollowGateway { module, _catalog }
-}
-
 /// Endpoints of so many engines, all ready.
 pub fn endpoints(engines: usize, zones: usize, holders: Option<f64>) -> Vec<Endpoint> {
     let endpoint = |engine: usize| Endpoint {
@@ -109,7 +114,8 @@
     (0..engines).map(endpoint).collect()
 }
 
-struct Hollow {
+/// The queries of one gateway, in simulated time.
+struct Simulation {
     module: AdmissionController,
     load: Load,
     now: f64,
@@ -117,8 +123,8 @@
     ends: BinaryHeap<Reverse<(u64, u32, usize)>>,
 }
 
-impl Hollow {
-    fn play(&mut self) {
+impl Simulation {
+    fn run(&mut self) {
         let mut random = SmallRng::seed_from_u64(self.load.seed);
         let mut next_query = 0.0;
         let mut id = 0;
--- a/crates/scale/src/real_processes/sweeps.rs
+++ b/crates/scale/src/real_processes/sweeps.rs
@@ -3,12 +3,12 @@
 use super::change_log::{address_for_watchers, ChangeLog, LogFaults};
 use super::endpoint_list::EndpointList;
 use super::experiment::Experiment;
+use super::figure::Figure;
 use super::gateways::Gateways;
 use super::http_client::{self, Connection};
 use super::judge::Judgement;
-use super::measured::seen_by_99_in_100;
 use super::observations::{Observations, Recorder};
-use super::report::Figure;
+use super::run_statistics::seen_by_99_in_100;
 use super::test_bed::{StartedGateways, TestBed};
 use super::watchers::Watchers;
 
--- a/crates/scale/src/real_processes/tests.rs
+++ b/crates/scale/src/real_processes/tests.rs
@@ -2,12 +2,12 @@
 
 use super::endpoint_list::{address, slot, EngineId};
 use super::experiment::{Expect, Experiment};
+use super::figure::Figure;
 use super::judge::judge;
-use super::measured::seen_by_99_in_100;
 use super::observations::{
     Attempt, ChangeSeen, Delivery, Notice, Observations, Outcome, Query, QueryClass,
 };
-use super::report::Figure;
+use super::run_statistics::seen_by_99_in_100;
 use super::sweeps;
 use super::watchers::EventNumberParser;
 use bytes::Bytes;
--- a/crates/scale/src/real_processes/trends.rs
+++ b/crates/scale/src/real_processes/trends.rs
@@ -1,6 +1,6 @@
 //! Straight lines through swept figures: fitted on all steps but the largest, which the fit then predicts.
 
-use super::report::Figure;
+use super::figure::Figure;
 use crate::least_squares::LeastSquares;
 use std::collections::BTreeMap;
 
--- a/crates/scale/src/real_processes/watchers.rs
+++ b/crates/scale/src/real_processes/watchers.rs
@@ -1,4 +1,4 @@
-//! Hollow watchers: each follows the change log over a real connection and records only when it received which event.
+//! Watchers: each follows the change log over a real connection and records only when it received which event.
 
 use super::http_client::CallError;
 use super::observations::Recorder;
--- a/crates/scale/src/real_processes/workload.rs
+++ b/crates/scale/src/real_processes/workload.rs
@@ -3,13 +3,14 @@
 use super::change_log::address_for_watchers;
 use super::clients::Clients;
 use super::experiment::Experiment;
+use super::figure::Figure;
 use super::findings::{Findings, RunResult};
 use super::gateways::GatewayError;
 use super::judge;
-use super::measure::{figures_of, gateway_figures, sample, Peak};
 use super::observations::{Observations, Recorder};
 use super::prediction;
-use super::report::Figure;
+use super::process_figures::{gateway_figures, sample, Peak};
+use super::run_statistics::run_figures;
 use super::script;
 use super::test_bed::{StartedGateways, TestBed};
 use super::watchers::Watchers;
@@ -61,7 +62,7 @@
     test_bed.gateways.stop().await;
     let mut figures = played?;
     let observations = recorder.observations();
-    figures.extend(figures_of(&observations));
+    figures.extend(run_figures(&observations));
     Ok(Findings {
         figures,
         judgements: judge::judge(&observations, &experiment.expect),
