--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -2,12 +2,13 @@
 
 use super::attempt::SeenAttempt;
 use super::endpoint_history::KnownEndpoint;
-use super::finding::{quantile, Finding};
+use super::finding::Finding;
 use crate::fleet::change_log::EndpointUpdate;
 use crate::fleet::cold_engine::{budget, limit_queries, ColdWindow, ColdWork};
 use crate::fleet::engine::Site;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::time::SimTime;
+use crate::statistics::quantile;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -1,8 +1,9 @@
 //! How many gateways connect to each engine, and how long after a zone's loss gateways have full subsets again.
 
-use super::finding::{quantile, Finding};
+use super::finding::Finding;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::time::SimTime;
+use crate::statistics::quantile;
 use std::rc::Rc;
 
 const WORD: usize = u64::BITS as usize;
--- a/crates/scale/src/fleet/judge/finding.rs
+++ b/crates/scale/src/fleet/judge/finding.rs
@@ -38,13 +38,3 @@
         }
     }
 }
-
-/// The value at a share of sorted values; 0 if there are none.
-pub fn quantile(sorted: &[f64], share: f64) -> f64 {
-    let last = sorted.len().saturating_sub(1);
-    let place = (share * sorted.len() as f64).ceil() as usize;
-    sorted
-        .get(place.saturating_sub(1).min(last))
-        .copied()
-        .unwrap_or(0.0)
-}
--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -1,10 +1,11 @@
 //! How evenly the work is spread over the engines that no fault disturbed, weighted by their cores.
 
 use super::attempt::SeenAttempt;
-use super::finding::{quantile, Finding};
+use super::finding::Finding;
 use crate::fleet::engine::Site;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::time::SimTime;
+use crate::statistics::quantile;
 use std::rc::Rc;
 
 struct Share {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -8,6 +8,7 @@
 mod results;
 mod run;
 mod slopes;
+mod statistics;
 mod subset_comparison;
 
 use clap::{Parser, Subcommand};
--- a/crates/scale/src/real_processes/run_statistics.rs
+++ b/crates/scale/src/real_processes/run_statistics.rs
@@ -2,6 +2,7 @@
 
 use super::figure::Figure;
 use super::observations::{ChangeSeen, Observations, Outcome, Query};
+use crate::statistics::quantile;
 use std::collections::BTreeSet;
 
 /// Statistics that the judge holds to bounds.
@@ -32,9 +33,7 @@
             .unwrap_or(0);
         let engines_used = attempts.iter().filter(|count| **count > 0.0).count();
         attempts.sort_by(f64::total_cmp);
-        let over_mean = |part: f64| {
-            quantile(&attempts, part).map_or(0.0, |count| count / mean.max(f64::MIN_POSITIVE))
-        };
+        let over_mean = |part: f64| quantile(&attempts, part) / mean.max(f64::MIN_POSITIVE);
         let succeeded = |query: &&Query| matches!(query.outcome, Outcome::Succeeded { .. });
         let succeeded = observations.queries.iter().filter(succeeded).count() as f64;
         let engines_of_gateways = observations.connected_engines.values();
@@ -75,12 +74,6 @@
     gateways.into_iter().max().unwrap_or(0)
 }
 
-/// The value of sorted ones that this part of them is at or under.
-pub fn quantile(sorted: &[f64], part: f64) -> Option<f64> {
-    let rank = (part * sorted.len() as f64).ceil() as usize;
-    sorted.get(rank.max(1) - 1).copied()
-}
-
 /// Seconds until 99 in 100 of the watchers had seen a change; infinite where fewer did.
 pub fn seen_by_99_in_100(change: &ChangeSeen, watchers: usize) -> f64 {
     let mut seconds = change.seconds.clone();
@@ -126,10 +119,7 @@
             "worst_change_seen_by_99_in_100_ms",
             statistics.change_seen_ms,
         ),
-        figure(
-            "ready_ms_median",
-            1000.0 * quantile(&ready, 0.5).unwrap_or(0.0),
-        ),
+        figure("ready_ms_median", 1000.0 * quantile(&ready, 0.5)),
         figure("ready_ms_most", statistics.ready_ms),
     ]
 }
--- a/crates/scale/src/slopes/regression.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -1,6 +1,7 @@
 //! Regression of a metric on the size: a line and a power law, with their residuals.
 
 use crate::least_squares::LeastSquares;
+use crate::statistics;
 
 /// Exponents over this grow faster than linear.
 pub const MAX_LINEAR_EXPONENT: f64 = 1.1;
@@ -32,12 +33,7 @@
     }
 
     pub fn median(&self) -> f64 {
-        let middle = self.values.len() / 2;
-        match self.values.len() {
-            0 => 0.0,
-            n if n % 2 == 1 => self.values[middle],
-            _ => (self.values[middle - 1] + self.values[middle]) / 2.0,
-        }
+        statistics::median(&self.values)
     }
 }
 
--- a/crates/scale/src/subset_comparison/chart.rs
+++ b/crates/scale/src/subset_comparison/chart.rs
@@ -1,6 +1,8 @@
 //! Charts of the spread against the size of the subset, one for each fleet.
 
-use super::report::{Figure, Row};
+use super::case::FleetSize;
+use super::figure::Figure;
+use super::report::Row;
 use super::strategy_name::StrategyName;
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
@@ -15,15 +17,15 @@
 
 /// Draws the p99 of work per core over the mean, even traffic, one curve for each strategy, into files beside `results`.
 pub fn draw(rows: &[Row], results: &Path) -> Result<(), Box<dyn Error>> {
-    let mut fleets: Vec<(usize, usize)> =
-        rows.iter().map(|row| (row.gateways, row.engines)).collect();
+    let mut fleets: Vec<FleetSize> = rows.iter().map(|row| row.case.fleet).collect();
     fleets.dedup();
     fleets
         .into_iter()
         .try_for_each(|fleet| draw_fleet(rows, fleet, &file_name(results, fleet)))
 }
 
-fn file_name(results: &Path, (gateways, engines): (usize, usize)) -> PathBuf {
+fn file_name(results: &Path, fleet: FleetSize) -> PathBuf {
+    let FleetSize { gateways, engines } = fleet;
     let stem = results
         .file_stem()
         .unwrap_or_default()
@@ -32,7 +34,7 @@
     results.with_file_name(format!("{stem}-{gateways}x{engines}.svg"))
 }
 
-fn draw_fleet(rows: &[Row], fleet: (usize, usize), path: &Path) -> Result<(), Box<dyn Error>> {
+fn draw_fleet(rows: &[Row], fleet: FleetSize, path: &Path) -> Result<(), Box<dyn Error>> {
     let curves = curves(rows, fleet);
     let points = || curves.iter().flat_map(|(_, points)| points);
     let smallest = points().map(|(size, _)| *size).fold(f64::MAX, f64::min);
@@ -42,7 +44,7 @@
     area.fill(&WHITE)?;
     let title = format!(
         "{} gateways, {} engines: work per core, p99 over mean",
-        fleet.0, fleet.1
+        fleet.gateways, fleet.engines
     );
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
@@ -87,15 +89,16 @@
 }
 
 /// The points of each strategy that depends on the size.
-fn curves(rows: &[Row], fleet: (usize, usize)) -> Vec<(StrategyName, Vec<(f64, f64)>)> {
+fn curves(rows: &[Row], fleet: FleetSize) -> Vec<(StrategyName, Vec<(f64, f64)>)> {
     let points_of = |strategy: StrategyName| {
-        let of_strategy = |row: &&Row| row.strategy == strategy && row.figure == Figure::EvenP99;
-        let of_fleet = |row: &&Row| (row.gateways, row.engines) == fleet;
+        let of_strategy =
+            |row: &&Row| row.case.strategy == strategy && row.figure == Figure::EvenP99;
+        let of_fleet = |row: &&Row| row.case.fleet == fleet;
         let points = rows
             .iter()
             .filter(of_strategy)
             .filter(of_fleet)
-            .map(|row| (row.size as f64, row.median));
+            .map(|row| (row.case.size as f64, row.median));
         (strategy, points.collect())
     };
     let strategies = StrategyName::all()
--- a/crates/scale/src/subset_comparison/compare.rs
+++ b/crates/scale/src/subset_comparison/compare.rs
@@ -1,10 +1,12 @@
 //! Runs each strategy on each fleet with each size and seed, and gathers the figures.
 
+use super::case::Case;
 use super::experiment::{Experiment, Fleet};
 use super::fault_injection::{inject, Moment};
+use super::figure::Figure;
 use super::measure::{self, Distribution, Required};
 use super::population::{even_traffic, uneven_traffic, Change, Population};
-use super::report::{Figure, Row};
+use super::report::Row;
 use super::strategies;
 use super::strategy::{Assignment, Choices, Strategy};
 use super::strategy_name::StrategyName;
@@ -19,31 +21,6 @@
 /// What one seed gave, by figure.
 type Figures = BTreeMap<Figure, f64>;
 
-/// One strategy with one size in one fleet.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Case {
-    gateways: usize,
-    engines: usize,
-    size: usize,
-    strategy: StrategyName,
-}
-
-impl Case {
-    fn new(fleet: &Fleet, size: usize, strategy: StrategyName) -> Case {
-        let size = if strategy.holds_whole_list() {
-            fleet.engines
-        } else {
-            size
-        };
-        Case {
-            gateways: fleet.gateways,
-            engines: fleet.engines,
-            size,
-            strategy,
-        }
-    }
-}
-
 /// Runs the experiment.
 pub fn compare(experiment: &Experiment) -> Vec<Row> {
     let mut gathered: BTreeMap<Case, Vec<Figures>> = BTreeMap::new();
@@ -65,16 +42,10 @@
 }
 
 fn rows(case: Case, seeds: &[Figures]) -> Vec<Row> {
-    let Case {
-        gateways,
-        engines,
-        size,
-        strategy,
-    } = case;
     let figures = seeds[0].keys();
     let row = |figure: &Figure| {
         let values = seeds.iter().map(|seed| seed[figure]).collect();
-        Row::new(gateways, engines, size, strategy, *figure, values)
+        Row::new(case, *figure, values)
     };
     figures.map(row).collect()
 }
--- a/crates/scale/src/subset_comparison/judge.rs
+++ b/crates/scale/src/subset_comparison/judge.rs
@@ -1,7 +1,9 @@
 //! The verdict on the strategy in use, from its figures only.
 
+use super::case::Case;
+use super::figure::Figure;
 use super::population::Change;
-use super::report::{Figure, Row};
+use super::report::Row;
 use super::strategy_name::StrategyName;
 
 /// Moves over those that no strategy could avoid, at most.
@@ -19,7 +21,7 @@
 /// Judges `garnetwall-subset` in every fleet and with every size.
 pub fn judge(rows: &[Row]) -> Vec<Check> {
     rows.iter()
-        .filter(|row| row.strategy == StrategyName::Subset)
+        .filter(|row| row.case.strategy == StrategyName::Subset)
         .filter_map(judge_row)
         .collect()
 }
@@ -47,16 +49,9 @@
     };
     let passed = row.max <= allowed;
     let verdict = if passed { "passed" } else { "FAILED" };
-    let Row {
-        gateways,
-        engines,
-        size,
-        max,
-        ..
-    } = row;
-    let text = format!(
-        "{verdict}: {gateways} x {engines}, size {size}: {what}: {max:.3}, at most {allowed:.3}"
-    );
+    let Case { fleet, size, .. } = row.case;
+    let max = row.max;
+    let text = format!("{verdict}: {fleet}, size {size}: {what}: {max:.3}, at most {allowed:.3}");
     Some(Check { passed, text })
 }
 
--- a/crates/scale/src/subset_comparison/measure.rs
+++ b/crates/scale/src/subset_comparison/measure.rs
@@ -5,6 +5,7 @@
 
 use super::population::Population;
 use super::strategy::{Assignment, Classes};
+use crate::statistics::quantile;
 use std::collections::HashMap;
 
 /// A distribution over engines.
@@ -16,15 +17,13 @@
 }
 
 impl Distribution {
-    /// Of one value or more; the p99 is the value that 99 in 100 do not exceed.
+    /// The p99 is the value that 99 in 100 do not exceed.
     pub fn of(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
-        let rank =
-            |share: f64| ((values.len() as f64 * share).ceil() as usize).clamp(1, values.len()) - 1;
         Distribution {
-            p50: values[rank(0.5)],
-            p99: values[rank(0.99)],
-            max: values[rank(1.0)],
+            p50: quantile(&values, 0.5),
+            p99: quantile(&values, 0.99),
+            max: quantile(&values, 1.0),
         }
     }
 }
--- a/crates/scale/src/subset_comparison/mod.rs
+++ b/crates/scale/src/subset_comparison/mod.rs
@@ -4,10 +4,12 @@
 //! each gateway holds. The measures are computed here, the same for all strategies: work over engines, connections an engine
 //! holds, pairs that move on a change. Nothing here has feedback: a gateway splits its traffic over its subset by cores.
 
+mod case;
 mod chart;
 mod compare;
 mod experiment;
 mod fault_injection;
+mod figure;
 mod injected_fault;
 mod judge;
 mod measure;
--- a/crates/scale/src/subset_comparison/report.rs
+++ b/crates/scale/src/subset_comparison/report.rs
@@ -1,86 +1,15 @@
 //! Figures as rows: a table for the terminal, and flat rows for files.
 
+use super::case::Case;
+use super::figure::Figure;
 use super::population::Change;
-use super::strategy_name::StrategyName;
+use crate::statistics::median;
 use serde::Serialize;
 
-/// What was measured. Work is per core over the mean; moves are pairs of a gateway and an engine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Figure {
-    Members,
-    EvenP50,
-    EvenP99,
-    EvenMax,
-    UnevenP50,
-    UnevenP99,
-    UnevenMax,
-    ConnectionsP50,
-    ConnectionsP99,
-    ConnectionsMax,
-    /// Engines that no gateway holds.
-    EnginesWithoutGateway,
-    Moved(Change),
-    /// Part of all pairs that moved.
-    MovedShare(Change),
-    /// Moves over what any strategy needs that holds as many members afterwards.
-    MovedOverLeast(Change),
-    /// Moves over what any strategy needs to restore the size and the floors, and no more.
-    MovedOverFloor(Change),
-    /// Bytes that a gateway stores for the choice, beside the list.
-    StateBytes,
-    /// Processor time of the first choice, for each gateway.
-    ChooseMicroseconds,
-    /// Gateways whose settled subset differs from the reference implementation's, before a change or after one, summed.
-    DifferingGateways,
-    /// Gateways whose subset differs from the first one when all that was lost is restored.
-    NotRestored,
-    /// The largest sum of the holders' shares of an engine, by the holder counts that they know.
-    SumOfShares,
-}
-
-impl Figure {
-    fn label(self) -> String {
-        let of_change = |what: &str, change: Change| {
-            let change = match change {
-                Change::OneEngine => "one-engine",
-                Change::Rack => "rack",
-                Change::Zone => "zone",
-                Change::Gateways => "gateways",
-            };
-            format!("{what}-{change}")
-        };
-        match self {
-            Figure::Members => "members".into(),
-            Figure::EvenP50 => "work-even-p50".into(),
-            Figure::EvenP99 => "work-even-p99".into(),
-            Figure::EvenMax => "work-even-max".into(),
-            Figure::UnevenP50 => "work-uneven-p50".into(),
-            Figure::UnevenP99 => "work-uneven-p99".into(),
-            Figure::UnevenMax => "work-uneven-max".into(),
-            Figure::ConnectionsP50 => "connections-p50".into(),
-            Figure::ConnectionsP99 => "connections-p99".into(),
-            Figure::ConnectionsMax => "connections-max".into(),
-            Figure::EnginesWithoutGateway => "unheld".into(),
-            Figure::Moved(change) => of_change("moved", change),
-            Figure::MovedShare(change) => of_change("moved-share", change),
-            Figure::MovedOverLeast(change) => of_change("moved-over-least", change),
-            Figure::MovedOverFloor(change) => of_change("moved-over-floor", change),
-            Figure::StateBytes => "state-bytes".into(),
-            Figure::ChooseMicroseconds => "choose-us".into(),
-            Figure::DifferingGateways => "disagreeing".into(),
-            Figure::NotRestored => "not-back".into(),
-            Figure::SumOfShares => "sum-of-parts".into(),
-        }
-    }
-}
-
 /// One figure of one strategy with one size in one fleet, over all seeds.
 #[derive(Clone, Debug)]
 pub struct Row {
-    pub gateways: usize,
-    pub engines: usize,
-    pub size: usize,
-    pub strategy: StrategyName,
+    pub case: Case,
     pub figure: Figure,
     pub min: f64,
     pub median: f64,
@@ -106,21 +35,11 @@
 
 impl Row {
     /// The row of one value or more, one for each seed.
-    pub fn new(
-        gateways: usize,
-        engines: usize,
-        size: usize,
-        strategy: StrategyName,
-        figure: Figure,
-        mut values: Vec<f64>,
-    ) -> Self {
+    pub fn new(case: Case, figure: Figure, mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         let (min, max) = (values[0], values[values.len() - 1]);
         Row {
-            gateways,
-            engines,
-            size,
-            strategy,
+            case,
             figure,
             min,
             median: median(&values),
@@ -132,11 +51,11 @@
     /// The row as plain values.
     pub fn flat(&self) -> FlatRow {
         FlatRow {
-            gateways: self.gateways,
-            engines: self.engines,
-            size: self.size,
-            strategy: self.strategy.label(),
-            knows: self.strategy.knowledge(),
+            gateways: self.case.fleet.gateways,
+            engines: self.case.fleet.engines,
+            size: self.case.size,
+            strategy: self.case.strategy.label(),
+            knows: self.case.strategy.knowledge(),
             figure: self.figure.label(),
             min: self.min,
             median: self.median,
@@ -146,15 +65,6 @@
     }
 }
 
-fn median(sorted: &[f64]) -> f64 {
-    let middle = sorted.len() / 2;
-    if sorted.len() % 2 == 1 {
-        sorted[middle]
-    } else {
-        (sorted[middle - 1] + sorted[middle]) / 2.0
-    }
-}
-
 /// Columns of the table: their titles, figures, and digits behind the point.
 const COLUMNS: [(&str, Figure, usize); 19] = [
     ("members", Figure::Members, 1),
@@ -188,7 +98,7 @@
 
 /// Prints medians over the seeds, and the range of the seeds where it is not one value.
 pub fn print_table(rows: &[Row]) {
-    let mut cases: Vec<(usize, usize, usize, StrategyName)> = rows.iter().map(case).collect();
+    let mut cases: Vec<Case> = rows.iter().map(|row| row.case).collect();
     cases.dedup();
     let mut table = vec![titles()];
     table.extend(cases.into_iter().map(|case| cells(rows, case)));
@@ -211,10 +121,6 @@
     }
 }
 
-fn case(row: &Row) -> (usize, usize, usize, StrategyName) {
-    (row.gateways, row.engines, row.size, row.strategy)
-}
-
 fn titles() -> Vec<String> {
     let first = ["gateways x engines", "size", "way"].map(String::from);
     first
@@ -223,17 +129,16 @@
         .collect()
 }
 
-fn cells(rows: &[Row], wanted: (usize, usize, usize, StrategyName)) -> Vec<String> {
-    let (gateways, engines, size, strategy) = wanted;
+fn cells(rows: &[Row], case: Case) -> Vec<String> {
     let mut row_cells = vec![
-        format!("{gateways} x {engines}"),
-        size.to_string(),
-        strategy.label().to_string(),
+        case.fleet.to_string(),
+        case.size.to_string(),
+        case.strategy.label().to_string(),
     ];
     for (_, figure, digits) in COLUMNS {
         let row = rows
             .iter()
-            .find(|row| case(row) == wanted && row.figure == figure);
+            .find(|row| row.case == case && row.figure == figure);
         row_cells.push(row.map_or_else(|| "-".to_string(), |row| cell(row, digits)));
     }
     row_cells
