--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -2,6 +2,7 @@
 
 use super::cold_engine::{self, ColdWindow, ColdWork};
 use super::experiment::Cold;
+use super::identifiers::AttemptKey;
 use super::time::SimTime;
 use std::collections::BTreeSet;
 
@@ -12,15 +13,6 @@
 /// Attempts that lack less than this many units are done; a tenth of a microsecond's rounding.
 const COMPLETION_TOLERANCE_UNITS: u64 = 2_000;
 
-/// Identifies an attempt across all gateways and their processes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AttemptKey {
-    pub gateway: u32,
-    pub incarnation: u32,
-    pub query: u32,
-    pub attempt: u32,
-}
-
 /// Whether an engine's process runs and answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
@@ -49,14 +41,21 @@
     Crashed,
 }
 
+/// An attempt that runs; those that are done first come first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RunningAttempt {
+    /// The progress at which it is done, in [`PROGRESS_UNITS_PER_CORE_SECOND`].
+    done_at: u64,
+    key: AttemptKey,
+}
+
 /// A simulated engine.
 pub struct Engine {
     pub site: Site,
     pub state: EngineState,
     /// When its process started; `None` for one that was warm when the simulation began.
     pub started: Option<SimTime>,
-    /// Attempts by the progress at which they are done.
-    running: BTreeSet<(u64, AttemptKey)>,
+    running: BTreeSet<RunningAttempt>,
     /// Seconds on one core that each attempt present all the time would have had.
     progress: f64,
     updated: SimTime,
@@ -124,7 +123,7 @@
     ) -> (u64, Received) {
         self.advance(cold, now);
         let done_at = ((self.progress + work) * PROGRESS_UNITS_PER_CORE_SECOND) as u64;
-        self.running.insert((done_at, key));
+        self.running.insert(RunningAttempt { done_at, key });
         if self.cold_age(cold, now).is_none() {
             return (done_at, Received::Runs);
         }
@@ -150,7 +149,7 @@
     /// Takes an attempt back; whether it still ran.
     pub fn withdraw(&mut self, cold: &Cold, now: SimTime, done_at: u64, key: AttemptKey) -> bool {
         self.advance(cold, now);
-        self.running.remove(&(done_at, key))
+        self.running.remove(&RunningAttempt { done_at, key })
     }
 
     /// The attempts that are done by now.
@@ -162,9 +161,9 @@
         while self
             .running
             .first()
-            .is_some_and(|(done_at, _)| *done_at <= done)
+            .is_some_and(|attempt| attempt.done_at <= done)
         {
-            finished.extend(self.running.pop_first().map(|(_, key)| key));
+            finished.extend(self.running.pop_first().map(|attempt| attempt.key));
         }
         finished
     }
@@ -172,9 +171,9 @@
     /// When its next event is due: the end of an attempt, or sooner while it warms up.
     pub fn next_due(&self, cold: &Cold, now: SimTime) -> Option<SimTime> {
         let speed = self.speed(cold, now);
-        let (done_at, _) = self.running.first().filter(|_| speed > 0.0)?;
-        let left =
-            (*done_at as f64 / PROGRESS_UNITS_PER_CORE_SECOND - self.progress).max(0.0) / speed;
+        let first = self.running.first().filter(|_| speed > 0.0)?;
+        let left = (first.done_at as f64 / PROGRESS_UNITS_PER_CORE_SECOND - self.progress).max(0.0)
+            / speed;
         let limit = if self.cold_age(cold, now).is_some() {
             WARMUP_STEP_SECONDS
         } else {
@@ -189,7 +188,7 @@
         self.state = state;
         std::mem::take(&mut self.running)
             .into_iter()
-            .map(|(_, key)| key)
+            .map(|attempt| attempt.key)
             .collect()
     }
 
--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -2,10 +2,11 @@
 
 use super::change_log::{ChangeLog, EndpointUpdate};
 use super::clients::Demand;
-use super::engine::{AttemptKey, Engine, EngineState, Received, Site};
+use super::engine::{Engine, EngineState, Received, Site};
 use super::event::{EngineStep, Event};
 use super::event_queue::EventQueue;
 use super::experiment::Experiment;
+use super::identifiers::AttemptKey;
 use super::injected_fault::InjectedFault;
 use super::judge::{Judge, SeenAttempt};
 use super::time::SimTime;
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -1,6 +1,6 @@
 //! What can happen in the simulation.
 
-use super::engine::AttemptKey;
+use super::identifiers::{AttemptKey, ProcessId};
 use garnetwall::api::AttemptEnd;
 
 /// An event of the simulation.
@@ -22,6 +22,7 @@
         incarnation: u32,
         sequence: u32,
     },
+    /// A gateway's process ends, and is started again `down_for` seconds later.
     GatewayEnds {
         gateway: u32,
         down_for: f32,
@@ -54,8 +55,8 @@
 }
 
 impl Event {
-    /// Number and incarnation of the gateway whose process the event is for; `None` for all other events.
-    pub fn process(&self) -> Option<(u32, u32)> {
+    /// The process that the event is for; `None` for events of no single process.
+    pub fn process(&self) -> Option<ProcessId> {
         match *self {
             Event::Arrival {
                 gateway,
@@ -69,8 +70,11 @@
                 gateway,
                 incarnation,
                 ..
-            } => Some((gateway, incarnation)),
-            Event::AttemptFails { key, .. } => Some((key.gateway, key.incarnation)),
+            } => Some(ProcessId {
+                gateway,
+                incarnation,
+            }),
+            Event::AttemptFails { key, .. } => Some(key.process()),
             _ => None,
         }
     }
@@ -89,5 +93,6 @@
     Replace,
     /// Its process ends; a new one starts later.
     Restart,
+    /// It answers again after a silence.
     Respond,
 }
--- a/crates/scale/src/fleet/gateway/attempts.rs
+++ b/crates/scale/src/fleet/gateway/attempts.rs
@@ -1,13 +1,13 @@
 //! The lifecycle of an attempt: placed, sent, and ended by its engine, the network, a timeout or the module.
 
-use super::super::clients::Query;
-use super::super::engine::AttemptKey;
-use super::super::environment::Environment;
-use super::super::injected_fault::InjectedFault;
-use super::super::judge::{FinalAnswer, SeenAttempt};
-use super::super::time::SimTime;
 use super::process::OpenAttempt;
 use super::Gateway;
+use crate::fleet::clients::Query;
+use crate::fleet::environment::Environment;
+use crate::fleet::identifiers::AttemptKey;
+use crate::fleet::injected_fault::InjectedFault;
+use crate::fleet::judge::{FinalAnswer, SeenAttempt};
+use crate::fleet::time::SimTime;
 use garnetwall::api::{AttemptEnd, AttemptOutcome, FollowUp, Placement, QueryId};
 
 impl Gateway {
@@ -27,7 +27,7 @@
             && end == AttemptEnd::Succeeded;
         let end = if lost { AttemptEnd::Failed } else { end };
         self.end_attempt(now, key.query, key.attempt, end, environment);
-        self.pump(now, environment);
+        self.run_decisions(now, environment);
     }
 
     /// Ends the attempts whose response timeout has passed.
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -1,12 +1,12 @@
 //! From the change log to the engines that the module may use: reads entries, and carries out the subset's actions.
 
-use super::super::environment::Environment;
-use super::super::injected_fault::InjectedFault;
-use super::super::module_settings::module_settings;
-use super::super::time::SimTime;
 use super::fault_injection::join_skipped;
 use super::process::{OpenAttempt, Process};
 use super::Gateway;
+use crate::fleet::environment::Environment;
+use crate::fleet::injected_fault::InjectedFault;
+use crate::fleet::module_settings::module_settings;
+use crate::fleet::time::SimTime;
 use garnetwall::api::{AttemptEnd, Endpoint, EndpointState};
 use garnetwall_subset::{Action, Change, EngineKey};
 use std::rc::Rc;
@@ -47,7 +47,7 @@
         if !self.has_fault(InjectedFault::NeverInForce, environment) {
             environment.judge.in_force(now, self.number, sequence);
         }
-        self.pump(now, environment);
+        self.run_decisions(now, environment);
     }
 
     pub(super) fn change_members(
--- a/crates/scale/src/fleet/gateway/fault_injection.rs
+++ b/crates/scale/src/fleet/gateway/fault_injection.rs
@@ -1,12 +1,12 @@
 //! Faults that an experiment injects into a gateway, so that the judge has something to find.
 
-use super::super::clients::Query;
-use super::super::environment::Environment;
-use super::super::injected_fault::InjectedFault;
-use super::super::judge::{QueryName, SeenAttempt};
-use super::super::time::SimTime;
 use super::process::OpenQuery;
 use super::Gateway;
+use crate::fleet::clients::Query;
+use crate::fleet::environment::Environment;
+use crate::fleet::injected_fault::InjectedFault;
+use crate::fleet::judge::{QueryName, SeenAttempt};
+use crate::fleet::time::SimTime;
 
 /// One in so many gateways is faulty, where a fault affects some of them.
 pub(super) const FAULTY_GATEWAY_INTERVAL: u32 = 10;
--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -7,9 +7,9 @@
 mod queries;
 
 use super::clients::Clients;
-use super::engine::AttemptKey;
 use super::environment::Environment;
 use super::event::Event;
+use super::identifiers::AttemptKey;
 use super::injected_fault::InjectedFault;
 use super::judge::QueryName;
 use super::time::SimTime;
@@ -72,7 +72,7 @@
             }
         }
         self.schedule_arrival(now, environment);
-        self.pump(now, environment);
+        self.run_decisions(now, environment);
         Ok(())
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Carries out the module's decisions until it has nothing more to do now.
-    pub fn pump(&mut self, now: SimTime, environment: &mut Environment) {
+    pub fn run_decisions(&mut self, now: SimTime, environment: &mut Environment) {
         self.expire_attempts(now, environment);
         if self.membership_due(now) {
             self.apply_membership(now, environment);
--- a/crates/scale/src/fleet/gateway/process.rs
+++ b/crates/scale/src/fleet/gateway/process.rs
@@ -1,12 +1,12 @@
 //! What a gateway's process holds in memory, and loses when it ends.
 
-use super::super::change_log::ListState;
-use super::super::clients::Query;
-use super::super::environment::Environment;
-use super::super::membership::Membership;
-use super::super::module_settings::module_settings;
-use super::super::slots::Slots;
-use super::super::time::SimTime;
+use crate::fleet::change_log::ListState;
+use crate::fleet::clients::Query;
+use crate::fleet::environment::Environment;
+use crate::fleet::membership::Membership;
+use crate::fleet::module_settings::module_settings;
+use crate::fleet::slots::Slots;
+use crate::fleet::time::SimTime;
 use garnetwall::api::{AttemptEnd, LoadReport, QueryId};
 use garnetwall::controller::AdmissionController;
 use garnetwall_subset::SubsetError;
--- a/crates/scale/src/fleet/gateway/queries.rs
+++ b/crates/scale/src/fleet/gateway/queries.rs
@@ -1,13 +1,13 @@
 //! Queries of a gateway's clients, from their arrival to the final answer.
 
-use super::super::environment::Environment;
-use super::super::event::Event;
-use super::super::injected_fault::InjectedFault;
-use super::super::judge::FinalAnswer;
-use super::super::time::SimTime;
 use super::fault_injection::{FAULTY_LATENESS_SECONDS, FAULTY_QUERY_INTERVAL};
 use super::process::OpenQuery;
 use super::Gateway;
+use crate::fleet::environment::Environment;
+use crate::fleet::event::Event;
+use crate::fleet::injected_fault::InjectedFault;
+use crate::fleet::judge::FinalAnswer;
+use crate::fleet::time::SimTime;
 use garnetwall::api::{self, QueryId};
 
 impl Gateway {
@@ -54,7 +54,7 @@
             endpoint_subset: None,
         };
         process.controller.admit(now.seconds(), admitted);
-        self.pump(now, environment);
+        self.run_decisions(now, environment);
     }
 
     pub(super) fn answer(
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -1,19 +1,18 @@
 //! How many gateways connect to each engine, and how long after a zone's loss gateways have full subsets again.
 
 use super::finding::Finding;
+use super::gateway_set::GatewaySet;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::time::SimTime;
 use crate::statistics::quantile;
 use std::rc::Rc;
 
-const WORD: usize = u64::BITS as usize;
-
 #[derive(Default)]
 struct EngineSide {
     /// Whether its process runs.
     running: bool,
-    /// Gateways connected now, one bit each.
-    gateways: Vec<u64>,
+    /// Gateways connected now.
+    gateways: GatewaySet,
     connected: u32,
     peak: u32,
 }
@@ -62,10 +61,9 @@
     }
 
     pub fn engine_added(&mut self) {
-        let words = self.gateways.len().div_ceil(WORD);
         self.engines.push(EngineSide {
             running: true,
-            gateways: vec![0; words],
+            gateways: GatewaySet::new(self.gateways.len()),
             ..EngineSide::default()
         });
         self.alive_engines += 1;
@@ -119,8 +117,7 @@
     }
 
     fn is_connected(&self, gateway: u32, engine: usize) -> bool {
-        let gateway = gateway as usize;
-        self.engines[engine].gateways[gateway / WORD] >> (gateway % WORD) & 1 == 1
+        self.engines[engine].gateways.contains(gateway as usize)
     }
 
     pub fn connected(&mut self, now: SimTime, gateway: u32, engine: usize) {
@@ -128,7 +125,7 @@
             return;
         }
         let side = &mut self.engines[engine];
-        side.gateways[gateway as usize / WORD] |= 1 << (gateway as usize % WORD);
+        side.gateways.insert(gateway as usize);
         side.connected += 1;
         side.peak = side.peak.max(side.connected);
         if side.running {
@@ -142,7 +139,7 @@
             return;
         }
         let side = &mut self.engines[engine];
-        side.gateways[gateway as usize / WORD] &= !(1 << (gateway as usize % WORD));
+        side.gateways.remove(gateway as usize);
         side.connected -= 1;
         if side.running {
             self.gateways[gateway as usize].live_engines -= 1;
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -7,6 +7,7 @@
 mod connections;
 mod endpoint_history;
 mod finding;
+mod gateway_set;
 mod order;
 mod placement;
 mod queries;
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -12,6 +12,7 @@
 mod event_queue;
 mod experiment;
 mod gateway;
+mod identifiers;
 mod injected_fault;
 mod judge;
 mod membership;
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -5,6 +5,7 @@
 use super::event::{EngineStep, Event};
 use super::experiment::Experiment;
 use super::gateway::Gateway;
+use super::identifiers::ProcessId;
 use super::judge::Finding;
 use super::time::SimTime;
 use garnetwall::api::AttemptEnd;
@@ -118,16 +119,16 @@
 
     /// Handles an event of one process of a gateway, unless that process has ended.
     fn handle_in_process(&mut self, now: SimTime, event: Event) {
-        let Some((number, incarnation)) = event.process() else {
+        let Some(process) = event.process() else {
             return;
         };
-        let Some(gateway) = running_gateway(&mut self.gateways, number, incarnation) else {
+        let Some(gateway) = running_gateway(&mut self.gateways, process) else {
             return;
         };
         let environment = &mut self.environment;
         match event {
             Event::Arrival { .. } => gateway.arrival(now, environment),
-            Event::Wake { .. } if gateway.wakes(now) => gateway.pump(now, environment),
+            Event::Wake { .. } if gateway.wakes(now) => gateway.run_decisions(now, environment),
             Event::Deliver { sequence, .. } if !gateway.disconnected_from_log => {
                 gateway.deliver(now, sequence as usize, environment)
             }
@@ -146,8 +147,7 @@
         simulated.due = None;
         let finished = simulated.finished(&self.experiment.cold, now);
         for key in finished {
-            if let Some(gateway) = running_gateway(&mut self.gateways, key.gateway, key.incarnation)
-            {
+            if let Some(gateway) = running_gateway(&mut self.gateways, key.process()) {
                 gateway.attempt_ended(now, key, AttemptEnd::Succeeded, &mut self.environment);
             }
         }
@@ -247,13 +247,9 @@
     }
 }
 
-/// The gateway, if this incarnation of it still runs.
-fn running_gateway(
-    gateways: &mut [Gateway],
-    gateway: u32,
-    incarnation: u32,
-) -> Option<&mut Gateway> {
+/// The gateway of a process, if that process still runs.
+fn running_gateway(gateways: &mut [Gateway], process: ProcessId) -> Option<&mut Gateway> {
     gateways
-        .get_mut(gateway as usize)
-        .filter(|gateway| gateway.running && gateway.incarnation == incarnation)
+        .get_mut(process.gateway as usize)
+        .filter(|gateway| gateway.running && gateway.incarnation == process.incarnation)
 }
--- a/crates/scale/src/least_squares.rs
+++ b/crates/scale/src/least_squares.rs
@@ -23,14 +23,14 @@
             .map(|(x, y)| (x - mean_x) * (y - mean_y))
             .sum();
         let slope = covariance / squares;
-        let mut line = LeastSquares {
+        let mut fitted = LeastSquares {
             slope,
             intercept: mean_y - slope * mean_x,
             largest_residual: 0.0,
         };
-        let distances = points.iter().map(|(x, y)| (y - line.at(*x)).abs());
-        line.largest_residual = distances.fold(0.0, f64::max);
-        Some(line)
+        let distances = points.iter().map(|(x, y)| (y - fitted.at(*x)).abs());
+        fitted.largest_residual = distances.fold(0.0, f64::max);
+        Some(fitted)
     }
 
     /// The line's value at `x`.
--- a/crates/scale/src/real_processes/gateways.rs
+++ b/crates/scale/src/real_processes/gateways.rs
@@ -255,7 +255,7 @@
             .unwrap_or_else(|e| e.into_inner()) = usage;
     }
 
-    /// Processor time of the gateway's process since it was last marked.
+    /// Processor time of the gateway's process, in seconds, since the last reset.
     pub async fn processor_seconds(&self, gateway: usize) -> Option<f64> {
         let now = self.usage(gateway).await?;
         let first = *self.gateways[gateway]
@@ -297,7 +297,7 @@
         self.gateways[gateway]
             .in_service
             .store(false, Ordering::Relaxed);
-        let clean = self.ended(gateway, SHUTDOWN_TIMEOUT).await;
+        let clean = self.wait_for_end(gateway, SHUTDOWN_TIMEOUT).await;
         self.recorder.observations().outages.push(Outage {
             gateway,
             from,
@@ -320,12 +320,12 @@
             .in_service
             .store(false, Ordering::Relaxed);
         self.signal(gateway, Signal::KILL).await?;
-        self.ended(gateway, KILL_TIMEOUT).await;
+        self.wait_for_end(gateway, KILL_TIMEOUT).await;
         Ok(())
     }
 
     /// Waits for the process to end; whether it did so in time and with exit code 0. One that does not is killed.
-    async fn ended(&self, gateway: usize, within: Duration) -> bool {
+    async fn wait_for_end(&self, gateway: usize, within: Duration) -> bool {
         let mut child = self.gateways[gateway].child.lock().await;
         let Some(mut child) = child.take() else {
             return false;
@@ -347,7 +347,7 @@
             let _ = self.signal(gateway, Signal::KILL).await;
         }
         for gateway in 0..self.count() {
-            self.ended(gateway, KILL_TIMEOUT).await;
+            self.wait_for_end(gateway, KILL_TIMEOUT).await;
         }
     }
 }
--- a/crates/scale/src/real_processes/simulated_gateway.rs
+++ b/crates/scale/src/real_processes/simulated_gateway.rs
@@ -114,13 +114,26 @@
     (0..engines).map(endpoint).collect()
 }
 
+/// When an attempt ends; the earliest is the smallest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEnd {
+    at_microseconds: u64,
+    query: u32,
+    engine: usize,
+}
+
+impl ScheduledEnd {
+    fn at_seconds(&self) -> f64 {
+        self.at_microseconds as f64 / MICROSECONDS_PER_SECOND
+    }
+}
+
 /// The queries of one gateway, in simulated time.
 struct Simulation {
     module: AdmissionController,
     load: Load,
     now: f64,
-    /// When attempts end, in microseconds, with their query and engine.
-    ends: BinaryHeap<Reverse<(u64, u32, usize)>>,
+    ends: BinaryHeap<Reverse<ScheduledEnd>>,
 }
 
 impl Simulation {
@@ -136,17 +149,18 @@
                     -(1.0 - random.random::<f64>()).ln() / self.load.queries_per_second.max(1e-3);
                 next_query = self.now + gap;
             }
-            while let Some(Reverse((at, query, engine))) = self.ends.peek().copied() {
-                if at as f64 / MICROSECONDS_PER_SECOND > self.now {
+            while let Some(Reverse(end)) = self.ends.peek().copied() {
+                if end.at_seconds() > self.now {
                     break;
                 }
                 self.ends.pop();
-                self.end(query, engine);
+                self.end(end.query, end.engine);
             }
             let wait = self.decide();
-            let next_end = self.ends.peek().map_or(f64::INFINITY, |Reverse((at, ..))| {
-                *at as f64 / MICROSECONDS_PER_SECOND
-            });
+            let next_end = self
+                .ends
+                .peek()
+                .map_or(f64::INFINITY, |Reverse(end)| end.at_seconds());
             self.now = (self.now + wait)
                 .min(next_query)
                 .min(next_end.max(self.now));
@@ -192,8 +206,12 @@
 
     fn place(&mut self, id: u32) {
         if let Placement::Attempt { engine, .. } = self.module.place(self.now, id) {
-            let at = ((self.now + self.load.work_seconds) * MICROSECONDS_PER_SECOND) as u64;
-            self.ends.push(Reverse((at, id, engine)));
+            let at = (self.now + self.load.work_seconds) * MICROSECONDS_PER_SECOND;
+            self.ends.push(Reverse(ScheduledEnd {
+                at_microseconds: at as u64,
+                query: id,
+                engine,
+            }));
         }
     }
 
--- a/crates/scale/src/real_processes/watchers.rs
+++ b/crates/scale/src/real_processes/watchers.rs
@@ -157,7 +157,7 @@
 
 impl EventNumberParser {
     pub fn feed(&mut self, bytes: &Bytes) -> Vec<u64> {
-        let mut whole = Vec::new();
+        let mut complete = Vec::new();
         let mut parts = bytes.split(|byte| *byte == b'\n').peekable();
         while let Some(part) = parts.next() {
             let missing = PREFIX_BYTES
@@ -165,18 +165,18 @@
                 .min(part.len());
             self.start.extend_from_slice(&part[..missing]);
             if parts.peek().is_some() {
-                whole.extend(self.parse_field());
+                complete.extend(self.parse_field());
             }
         }
-        whole
+        complete
     }
 
     fn parse_field(&mut self) -> Option<u64> {
-        let parse_field = std::mem::take(&mut self.start);
-        if parse_field.is_empty() {
+        let field = std::mem::take(&mut self.start);
+        if field.is_empty() {
             return self.number.take();
         }
-        let number = parse_field
+        let number = field
             .strip_prefix(b"id: ")
             .and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
         self.number = number.or(self.number);
--- a/crates/scale/src/slopes/roles/module/simulation.rs
+++ b/crates/scale/src/slopes/roles/module/simulation.rs
@@ -121,7 +121,7 @@
             }
             if due <= self.wake {
                 if let Some(Reverse(event)) = self.events.pop() {
-                    self.happen(event.kind);
+                    self.handle(event.kind);
                 }
             }
             self.decide();
@@ -176,9 +176,9 @@
         self.schedule(self.now + micros(gap), kind);
     }
 
-    fn happen(&mut self, kind: EventKind) {
+    fn handle(&mut self, kind: EventKind) {
         match kind {
-            EventKind::Arrival => self.arrive(),
+            EventKind::Arrival => self.admit_query(),
             EventKind::Answer {
                 query,
                 engine,
@@ -195,7 +195,7 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn admit_query(&mut self) {
         let id = (self.queries_admitted % QUERY_ID_RING as u64) as QueryId;
         self.queries_admitted += 1;
         let query = query(id, &self.quantities, &mut self.rng);
