--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -23,15 +23,15 @@
 mod slots;
 mod time;
 
-use crate::run::{Run, Verdict};
+use crate::run::{RunArguments, Verdict};
 use experiment::Experiment;
 use simulation::Simulation;
 use std::time::Instant;
 
 /// Runs one experiment.
-pub fn run(run: &Run) -> Verdict {
-    let experiment = Experiment::read(&run.experiment)?;
-    let seed = run.seed.unwrap_or(experiment.seed);
+pub fn run(arguments: &RunArguments) -> Verdict {
+    let experiment = Experiment::read(&arguments.experiment)?;
+    let seed = arguments.seed.unwrap_or(experiment.seed);
     let began = Instant::now();
     let outcome = Simulation::new(experiment.clone(), seed).run()?;
     let wall = began.elapsed();
@@ -41,7 +41,7 @@
         wall.as_secs_f64(),
         report::peak_memory_kb().unwrap_or(0) / 1024
     );
-    if let Some(path) = &run.results {
+    if let Some(path) = &arguments.results {
         report::write(path, &experiment, seed, &outcome, wall)?;
     }
     Ok(report::print(&experiment, seed, &outcome))
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -12,7 +12,7 @@
 mod subset_comparison;
 
 use clap::{Parser, Subcommand};
-use run::Run;
+use run::RunArguments;
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
@@ -27,16 +27,16 @@
 #[derive(Subcommand)]
 enum Command {
     /// Measures what one role costs as one quantity grows, and fits a slope.
-    Slopes(Run),
+    Slopes(RunArguments),
     /// Measures one point of a slope, read and written as JSON. `slopes` runs it; not for use by hand.
     #[command(hide = true)]
     SlopePoint,
     /// Runs thousands of simulated gateways in simulated time, and judges them.
-    Fleet(Run),
+    Fleet(RunArguments),
     /// Runs real gateways on loopback, and compares them with what simulated ones predict.
-    Beside(real_processes::RealProcessesRun),
+    Beside(real_processes::RealProcessesArguments),
     /// Compares ways to choose subsets: spread over engines, moves on a change.
-    Spread(Run),
+    Spread(RunArguments),
 }
 
 fn main() -> ExitCode {
@@ -47,11 +47,11 @@
         .with_writer(std::io::stderr)
         .init();
     let verdict = match Arguments::parse().command {
-        Command::Slopes(run) => slopes::run(&run),
+        Command::Slopes(arguments) => slopes::run(&arguments),
         Command::SlopePoint => slopes::measure_point(),
-        Command::Fleet(run) => fleet::run(&run),
-        Command::Beside(run) => real_processes::run(&run),
-        Command::Spread(run) => subset_comparison::run(&run),
+        Command::Fleet(arguments) => fleet::run(&arguments),
+        Command::Beside(arguments) => real_processes::run(&arguments),
+        Command::Spread(arguments) => subset_comparison::run(&arguments),
     };
     match verdict {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/scale/src/real_processes/mod.rs
+++ b/crates/scale/src/real_processes/mod.rs
@@ -27,7 +27,7 @@
 mod watchers;
 mod workload;
 
-use crate::run::{Run, Verdict};
+use crate::run::{RunArguments, Verdict};
 use experiment::Experiment;
 use findings::{Findings, RunResult};
 use gateways::GatewayError;
@@ -54,16 +54,16 @@
 
 /// The command's own arguments.
 #[derive(clap::Args)]
-pub struct RealProcessesRun {
+pub struct RealProcessesArguments {
     #[command(flatten)]
-    run: Run,
+    run: RunArguments,
     /// The gateway's program; by default that of the experiment, or the one beside this program.
     #[arg(long)]
     gateway_binary: Option<PathBuf>,
 }
 
 /// Runs one experiment.
-pub fn run(arguments: &RealProcessesRun) -> Verdict {
+pub fn run(arguments: &RealProcessesArguments) -> Verdict {
     let mut experiment = Experiment::read(&arguments.run.experiment)?;
     experiment.seed = arguments.run.seed.unwrap_or(experiment.seed);
     let binary = match arguments
@@ -79,7 +79,7 @@
         .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()?;
-    let findings = runtime.block_on(bounded(experiment, binary, folder.path.clone()));
+    let findings = runtime.block_on(run_until_stopped(experiment, binary, folder.path.clone()));
     // Its message names a log in there.
     folder.keep = findings
         .as_ref()
@@ -92,8 +92,8 @@
     Ok(report::print_judgements(&findings.judgements))
 }
 
-/// The run, unless it is stopped or takes too long.
-async fn bounded(experiment: Experiment, binary: PathBuf, folder: PathBuf) -> RunResult {
+/// The run, unless it is stopped by a signal or takes too long. All processes have ended when this returns.
+async fn run_until_stopped(experiment: Experiment, binary: PathBuf, folder: PathBuf) -> RunResult {
     let mut interrupted = signal(SignalKind::interrupt())?;
     let mut terminated = signal(SignalKind::terminate())?;
     let sweeps = experiment.sweeps.client_connections.len() + experiment.sweeps.log_watchers.len();
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,10 +1,10 @@
-//! What all subcommands share: their arguments and their verdict.
+//! What all subcommands share: their arguments, and their verdict.
 
 use std::path::PathBuf;
 
-/// One experiment, and where its results go.
+/// The arguments of a run: its experiment, and where its results go.
 #[derive(clap::Args)]
-pub struct Run {
+pub struct RunArguments {
     /// The experiment's file.
     pub experiment: PathBuf,
     /// Writes results here as JSON lines, and beside it as CSV and SVG.
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -15,7 +15,7 @@
 mod runner;
 
 use crate::results::Results;
-use crate::run::{Run, Verdict};
+use crate::run::{RunArguments, Verdict};
 use experiment::Experiment;
 use indicatif::{ProgressBar, ProgressStyle};
 use measurement::{Measured, Point};
@@ -39,17 +39,17 @@
 }
 
 /// Runs one experiment.
-pub fn run(run: &Run) -> Verdict {
-    let mut experiment = Experiment::read(&run.experiment)?;
-    experiment.seed = run.seed.unwrap_or(experiment.seed);
-    let mut results = Results::create(run.results.as_deref())?;
+pub fn run(arguments: &RunArguments) -> Verdict {
+    let mut experiment = Experiment::read(&arguments.experiment)?;
+    experiment.seed = arguments.seed.unwrap_or(experiment.seed);
+    let mut results = Results::create(arguments.results.as_deref())?;
     let values = measure_all(&experiment, &mut results)?;
     let all_series: Vec<Series> = values
         .into_iter()
         .map(|(metric, sizes)| series(&experiment, metric, sizes))
         .collect();
     print(&experiment, &all_series);
-    if let Some(path) = &run.results {
+    if let Some(path) = &arguments.results {
         for one in &all_series {
             chart::draw(&chart_path(path, one.metric), one, experiment.sweep)?;
         }
--- a/crates/scale/src/subset_comparison/mod.rs
+++ b/crates/scale/src/subset_comparison/mod.rs
@@ -20,21 +20,21 @@
 mod strategy_name;
 
 use crate::results::Results;
-use crate::run::{Run, Verdict};
+use crate::run::{RunArguments, Verdict};
 use experiment::Experiment;
 
 /// Runs one experiment: prints the table, writes the results, and judges the strategy in use.
-pub fn run(run: &Run) -> Verdict {
-    let mut experiment = Experiment::read(&run.experiment)?;
-    if let Some(seed) = run.seed {
+pub fn run(arguments: &RunArguments) -> Verdict {
+    let mut experiment = Experiment::read(&arguments.experiment)?;
+    if let Some(seed) = arguments.seed {
         experiment.seed = seed;
     }
     // Opened first: a file that can't be written is reported before the run, not after it.
-    let mut results = Results::create(run.results.as_deref())?;
+    let mut results = Results::create(arguments.results.as_deref())?;
     let rows = compare::compare(&experiment);
     report::print_table(&rows);
     rows.iter().try_for_each(|row| results.add(&row.flat()))?;
-    if let Some(path) = &run.results {
+    if let Some(path) = &arguments.results {
         chart::draw(&rows, path)?;
     }
     let checks = judge::judge(&rows);
