--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -2,10 +2,11 @@
 
 use super::change_log::{ChangeLog, EndpointUpdate};
 use super::clients::Demand;
-use super::engine::{AttemptKey, Engine, EngineState, Received, Site};
+use super::engine::{Engine, EngineState, Received, Site};
 use super::event::{EngineStep, Event};
 use super::event_queue::EventQueue;
 use super::experiment::Experiment;
+use super::identifiers::AttemptKey;
 use super::injected_fault::InjectedFault;
 use super::judge::{Judge, SeenAttempt};
 use super::time::SimTime;
@@ -84,7 +85,7 @@
         self.judge.attempt_began(now, attempt);
         match received {
             Received::Runs => self.schedule_engine(now, attempt.engine),
-            Received::Fell => self.fall(now, attempt.engine),
+            Received::Crashed => self.crash_engine(now, attempt.engine),
         }
         Some(done_at)
     }
@@ -98,12 +99,12 @@
 
     /// Schedules the engine's next event.
     pub fn schedule_engine(&mut self, now: SimTime, engine: usize) {
-        let hollow = &mut self.engines[engine];
-        let Some(next) = hollow.next_due(&self.experiment.cold, now) else {
+        let simulated = &mut self.engines[engine];
+        let Some(next) = simulated.next_due(&self.experiment.cold, now) else {
             return;
         };
-        if hollow.due.is_none_or(|due| next < due) {
-            hollow.due = Some(next);
+        if simulated.due.is_none_or(|due| next < due) {
+            simulated.due = Some(next);
             self.queue.push(
                 next,
                 Event::EngineDue {
@@ -115,8 +116,8 @@
 
     // ---- engines' processes ----
 
-    fn fall(&mut self, now: SimTime, engine: usize) {
-        self.judge.engine_fell();
+    fn crash_engine(&mut self, now: SimTime, engine: usize) {
+        self.judge.engine_crashed();
         self.restart_engine(now, engine);
     }
 
--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! A hollow gateway: the real decision module and the real subset, with neither sockets nor bodies.
+//! A simulated gateway: the real decision module and the real subset, with neither sockets nor bodies.
 
 mod attempts;
 mod endpoints;
@@ -7,9 +7,9 @@
 mod queries;
 
 use super::clients::Clients;
-use super::engine::AttemptKey;
 use super::environment::Environment;
 use super::event::Event;
+use super::identifiers::AttemptKey;
 use super::injected_fault::InjectedFault;
 use super::judge::QueryName;
 use super::time::SimTime;
@@ -28,7 +28,7 @@
     pub incarnation: u32,
     pub running: bool,
     /// Whether the change log does not reach it.
-    pub cut: bool,
+    pub disconnected_from_log: bool,
     pub clients: Clients,
     next_query: QueryId,
     process: Option<Process>,
@@ -41,7 +41,7 @@
             zone,
             incarnation: 0,
             running: false,
-            cut: false,
+            disconnected_from_log: false,
             clients,
             next_query: 0,
             process: None,
@@ -72,7 +72,7 @@
             }
         }
         self.schedule_arrival(now, environment);
-        self.pump(now, environment);
+        self.run_decisions(now, environment);
         Ok(())
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Carries out the module's decisions until it has nothing more to do now.
-    pub fn pump(&mut self, now: SimTime, environment: &mut Environment) {
+    pub fn run_decisions(&mut self, now: SimTime, environment: &mut Environment) {
         self.expire_attempts(now, environment);
         if self.membership_due(now) {
             self.apply_membership(now, environment);
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Fleet: thousands of hollow gateways before hollow engines, in simulated time, in one process.
+//! Fleet: thousands of simulated gateways before simulated engines, in simulated time, in one process.
 //!
 //! A gateway has the real decision module and the real subset, and neither sockets nor bodies. One seeded queue of
 //! events drives all: the same seed gives the same run. The judge is fed with what clients, engines and the change log see.
@@ -12,6 +12,7 @@
 mod event_queue;
 mod experiment;
 mod gateway;
+mod identifiers;
 mod injected_fault;
 mod judge;
 mod membership;
@@ -22,15 +23,15 @@
 mod slots;
 mod time;
 
-use crate::run::{Run, Verdict};
+use crate::run::{RunArguments, Verdict};
 use experiment::Experiment;
 use simulation::Simulation;
 use std::time::Instant;
 
 /// Runs one experiment.
-pub fn run(run: &Run) -> Verdict {
-    let experiment = Experiment::read(&run.experiment)?;
-    let seed = run.seed.unwrap_or(experiment.seed);
+pub fn run(arguments: &RunArguments) -> Verdict {
+    let experiment = Experiment::read(&arguments.experiment)?;
+    let seed = arguments.seed.unwrap_or(experiment.seed);
     let began = Instant::now();
     let outcome = Simulation::new(experiment.clone(), seed).run()?;
     let wall = began.elapsed();
@@ -40,7 +41,7 @@
         wall.as_secs_f64(),
         report::peak_memory_kb().unwrap_or(0) / 1024
     );
-    if let Some(path) = &run.results {
+    if let Some(path) = &arguments.results {
         report::write(path, &experiment, seed, &outcome, wall)?;
     }
     Ok(report::print(&experiment, seed, &outcome))
--- a/crates/scale/src/subset_comparison/judge.rs
+++ b/crates/scale/src/subset_comparison/judge.rs
@@ -1,13 +1,15 @@
 //! The verdict on the strategy in use, from its figures only.
 
+use super::case::Case;
+use super::figure::Figure;
 use super::population::Change;
-use super::report::{Figure, Row};
+use super::report::Row;
 use super::strategy_name::StrategyName;
 
 /// Moves over those that no strategy could avoid, at most.
 const MAX_MOVE_RATIO: f64 = 1.05;
 /// Sum of the holders' shares of an engine, at most: the module uses 0.6 of a cold engine's budget.
-const MAX_SUM_OF_PARTS: f64 = 1.0 / 0.6;
+const MAX_SUM_OF_SHARES: f64 = 1.0 / 0.6;
 
 /// One judged thing.
 #[derive(Debug)]
@@ -19,14 +21,14 @@
 /// Judges `garnetwall-subset` in every fleet and with every size.
 pub fn judge(rows: &[Row]) -> Vec<Check> {
     rows.iter()
-        .filter(|row| row.strategy == StrategyName::Subset)
+        .filter(|row| row.case.strategy == StrategyName::Subset)
         .filter_map(judge_row)
         .collect()
 }
 
 fn judge_row(row: &Row) -> Option<Check> {
     let (what, allowed) = match row.figure {
-        Figure::Unheld => ("engines held by nobody", 0.0),
+        Figure::EnginesWithoutGateway => ("engines held by nobody", 0.0),
         Figure::MovedOverLeast(Change::OneEngine) => {
             ("moves over the least, one engine lost", MAX_MOVE_RATIO)
         }
@@ -37,26 +39,19 @@
             ("moves over the least, a zone lost", MAX_MOVE_RATIO)
         }
         Figure::Moved(Change::Gateways) => ("moves of those that stay, gateways lost", 0.0),
-        Figure::Disagreeing => ("gateways that differ from the plain form", 0.0),
+        Figure::DifferingGateways => ("gateways that differ from the plain form", 0.0),
         Figure::NotRestored => ("gateways not back at their subset when all is back", 0.0),
-        Figure::SumOfParts => (
+        Figure::SumOfShares => (
             "sum of what the holders of an engine take",
-            MAX_SUM_OF_PARTS,
+            MAX_SUM_OF_SHARES,
         ),
         _ => return None,
     };
     let passed = row.max <= allowed;
     let verdict = if passed { "passed" } else { "FAILED" };
-    let Row {
-        gateways,
-        engines,
-        size,
-        max,
-        ..
-    } = row;
-    let text = format!(
-        "{verdict}: {gateways} x {engines}, size {size}: {what}: {max:.3}, at most {allowed:.3}"
-    );
+    let Case { fleet, size, .. } = row.case;
+    let max = row.max;
+    let text = format!("{verdict}: {fleet}, size {size}: {what}: {max:.3}, at most {allowed:.3}");
     Some(Check { passed, text })
 }
 
