--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -1,4 +1,4 @@
-//! A simulated engine: attempts share its cores; a cold one is slow, and crashes when it is overloaded.
+//! A hollow engine: attempts share its cores; a cold one is slow, and crashes when it is overloaded.
 
 use super::cold_engine::{self, ColdWindow, ColdWork};
 use super::experiment::Cold;
@@ -49,7 +49,7 @@
     key: AttemptKey,
 }
 
-/// A simulated engine.
+/// A hollow engine.
 pub struct Engine {
     pub site: Site,
     pub state: EngineState,
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -1,4 +1,4 @@
-//! The file of an experiment with the simulated fleet, and its checks.
+//! The file of an experiment with the hollow fleet, and its checks.
 
 use super::injected_fault::InjectedFault;
 use crate::experiment::{self, check_range, ExperimentError, InvalidValue};
@@ -11,7 +11,7 @@
 /// Of the lists of classes and kinds.
 const MAX_ENTRIES: f64 = 64.0;
 
-/// One run of the simulated fleet.
+/// One run of the hollow fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated gateway: the real decision module and the real subset, with neither sockets nor bodies.
+//! A hollow gateway: the real decision module and the real subset, with neither sockets nor bodies.
 
 mod attempts;
 mod endpoints;
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Fleet: thousands of simulated gateways before simulated engines, in simulated time, in one process.
+//! Fleet: thousands of hollow gateways before hollow engines, in simulated time, in one process.
 //!
 //! A gateway has the real decision module and the real subset, and neither sockets nor bodies. One seeded queue of
 //! events drives all: the same seed gives the same run. The judge is fed with what clients, engines and the change log see.
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -140,12 +140,12 @@
     // ---- engines ----
 
     fn engine_due(&mut self, now: SimTime, engine: usize) {
-        let simulated = &mut self.environment.engines[engine];
-        if simulated.due != Some(now) {
+        let hollow = &mut self.environment.engines[engine];
+        if hollow.due != Some(now) {
             return;
         }
-        simulated.due = None;
-        let finished = simulated.finished(&self.experiment.cold, now);
+        hollow.due = None;
+        let finished = hollow.finished(&self.experiment.cold, now);
         for key in finished {
             if let Some(gateway) = running_gateway(&mut self.gateways, key.process()) {
                 gateway.attempt_ended(now, key, AttemptEnd::Succeeded, &mut self.environment);
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -31,7 +31,7 @@
     /// Measures one point of a slope, read and written as JSON. `slopes` runs it; not for use by hand.
     #[command(hide = true)]
     SlopePoint,
-    /// Runs thousands of simulated gateways in simulated time, and judges them.
+    /// Runs thousands of hollow gateways in simulated time, and judges them.
     Fleet(RunArguments),
     /// Runs real gateways on loopback, and compares them with what simulated ones predict.
     Beside(real_processes::RealProcessesArguments),
--- a/crates/scale/src/real_processes/simulated_gateway.rs
+++ b/crates/scale/src/real_processes/hollow_gateway.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway: the decision module alone, at the rate and with the list of a real one.
+//! One hollow gateway: the decision module alone, at the rate and with the list of a real one.
 
 use garnetwall::api::{
     AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, LoadReport, NextAction,
@@ -31,7 +31,7 @@
     pub resident_bytes: f64,
 }
 
-/// Queries that a simulated gateway gets.
+/// Queries that a hollow gateway gets.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub queries_per_second: f64,
--- a/crates/scale/src/real_processes/prediction.rs
+++ b/crates/scale/src/real_processes/prediction.rs
@@ -1,12 +1,12 @@
-//! What simulated gateways predict for the real ones: the same list and settings taken through `garnetwall-subset` and the
+//! What hollow gateways predict for the real ones: the same list and settings taken through `garnetwall-subset` and the
 //! decision module directly.
 
 use super::endpoint_list::EndpointList;
 use super::experiment::Experiment;
 use super::figure::Figure;
 use super::gateways;
+use super::hollow_gateway::{self, Load};
 use super::observations::Recorder;
-use super::simulated_gateway::{self, Load};
 use garnetwall_settings::{decode, FlatSettings};
 use garnetwall_subset::{
     Action, Catalog, EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, Subset,
@@ -25,7 +25,7 @@
 
 type Figures = Result<Vec<Figure>, Box<dyn std::error::Error>>;
 
-/// Figures of a simulated gateway, and the real ones over them.
+/// Figures of a hollow gateway, and the real ones over them.
 pub fn figures(experiment: &Experiment, real: &[Figure], recorder: &Recorder) -> Figures {
     let mut figures = member_figures(experiment, recorder)?;
     let of = |name: &str| figures.iter().find(|f| f.name == name).map(|f| f.value);
@@ -42,8 +42,8 @@
         seed: experiment.seed,
     };
     let whole_list = experiment.subset_size.map(|_| listed_engines(experiment));
-    let members = simulated_gateway::endpoints(engines, experiment.zones, holders);
-    let cost = simulated_gateway::measure_cost(&settings, &members, whole_list.as_deref(), load)?;
+    let members = hollow_gateway::endpoints(engines, experiment.zones, holders);
+    let cost = hollow_gateway::measure_cost(&settings, &members, whole_list.as_deref(), load)?;
     let run = |name: &str, value: f64| Figure::new("run", 0.0, name, value);
     figures.push(run("hollow_queries_per_second", load.queries_per_second));
     figures.push(run("hollow_processor_share", cost.processor_share));
@@ -65,7 +65,7 @@
     Ok(figures)
 }
 
-/// Engines that simulated gateways of the same names hold, and the real ones' engines over that.
+/// Engines that hollow gateways of the same names hold, and the real ones' engines over that.
 fn member_figures(
     experiment: &Experiment,
     recorder: &Recorder,
@@ -103,7 +103,7 @@
     Ok(figures)
 }
 
-/// How many engines one simulated gateway holds once its subset has filled.
+/// How many engines one hollow gateway holds once its subset has filled.
 fn predicted_members(
     experiment: &Experiment,
     gateway: usize,
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -49,7 +49,7 @@
         let start = |gateway: &Gateway| {
             let subset =
                 Subset::new(&gateway.name, settings.clone()).expect("the settings are in range");
-            SimulatedGateway {
+            HollowGateway {
                 number: gateway.number,
                 subset,
                 now: 0.0,
@@ -65,17 +65,17 @@
     }
 }
 
-/// A simulated fleet.
+/// A hollow fleet.
 struct SimulatedFleet {
     catalog: Catalog,
     /// The numbers of all engines that were in the catalog.
     numbers: HashMap<EngineKey, u32>,
-    gateways: Vec<SimulatedGateway>,
+    gateways: Vec<HollowGateway>,
     threads: usize,
 }
 
 /// One gateway's subset in the simulation.
-struct SimulatedGateway {
+struct HollowGateway {
     number: u32,
     subset: Subset,
     now: f64,
@@ -133,7 +133,7 @@
     }
 }
 
-impl SimulatedGateway {
+impl HollowGateway {
     fn apply_list(&mut self, catalog: &Catalog, changes: &[Change]) {
         self.subset.changed(self.now, catalog, changes);
         self.settle(catalog);
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet in small: it passes, the same seed gives the same run, and each injected fault is found where it belongs.
+//! The hollow fleet in small: it passes, the same seed gives the same run, and each injected fault is found where it belongs.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
