--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -99,12 +99,12 @@
 
     /// Schedules the engine's next event.
     pub fn schedule_engine(&mut self, now: SimTime, engine: usize) {
-        let simulated = &mut self.engines[engine];
-        let Some(next) = simulated.next_due(&self.experiment.cold, now) else {
+        let hollow = &mut self.engines[engine];
+        let Some(next) = hollow.next_due(&self.experiment.cold, now) else {
             return;
         };
-        if simulated.due.is_none_or(|due| next < due) {
-            simulated.due = Some(next);
+        if hollow.due.is_none_or(|due| next < due) {
+            hollow.due = Some(next);
             self.queue.push(
                 next,
                 Event::EngineDue {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -33,7 +33,7 @@
     SlopePoint,
     /// Runs thousands of hollow gateways in simulated time, and judges them.
     Fleet(RunArguments),
-    /// Runs real gateways on loopback, and compares them with what simulated ones predict.
+    /// Runs real gateways on loopback, and compares them with what hollow ones predict.
     Beside(real_processes::RealProcessesArguments),
     /// Compares ways to choose subsets: spread over engines, moves on a change.
     Spread(RunArguments),
