--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -197,7 +197,7 @@
             }
             let answer = TcpStream::connect(self.address)
                 .ok()
-                .and_then(|s| call(s, "GET /healthz", "", ""));
+                .and_then(|s| round_trip(s, "GET /healthz", "", ""));
             if answer.is_some_and(|m| m.start_line.starts_with(&format!("HTTP/1.1 {status} "))) {
                 return;
             }
@@ -210,10 +210,10 @@
     }
 
     /// Sends a query and returns the status of its answer.
-    fn query(&mut self, fields: &str, case: &str) -> u16 {
+    fn query(&mut self, headers: &str, case: &str) -> u16 {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
-        let answer = call(stream, "POST /v1/report", fields, "SELECT 1");
+        let answer = round_trip(stream, "POST /v1/report", headers, "SELECT 1");
         let answer = answer.unwrap_or_else(|| panic!("{case}: no answer: {}", self.stderr_text()));
         assert!(
             self.child.try_wait().unwrap().is_none(),
@@ -290,7 +290,7 @@
     let mut gateway = StartedGateway::with_config(&surroundings.config());
     gateway.wait_until_health_is(200, "the base");
     assert_eq!(
-        gateway.query(&request_fields(&new_id(), 3000), "the base"),
+        gateway.query(&request_headers(&new_id(), 3000), "the base"),
         200
     );
     gateway.stop("the base");
@@ -719,13 +719,13 @@
         .unwrap();
     let team = config["settings"]["tenants"][0].is_object();
     let mut send_query = || {
-        let fields = request_fields(&new_id(), allowed as u32);
-        let fields = if team {
-            fields
+        let headers = request_headers(&new_id(), allowed as u32);
+        let headers = if team {
+            headers
         } else {
-            fields.replace("X-Team: acme\r\n", "")
+            headers.replace("X-Team: acme\r\n", "")
         };
-        gateway.query(&fields, case)
+        gateway.query(&headers, case)
     };
     let started_at = Instant::now();
     let mut status = send_query();
@@ -812,7 +812,7 @@
                 .as_array()
                 .is_none_or(Vec::is_empty);
             gateway.wait_until_health_is(if starting { 503 } else { 200 }, &case);
-            gateway.query(&request_fields(&new_id(), 200), &case);
+            gateway.query(&request_headers(&new_id(), 200), &case);
             assert!(
                 !gateway.stderr_text().contains("panicked"),
                 "{case}: {}",
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -54,14 +54,14 @@
     fn serve(&self, stream: TcpStream) -> Option<()> {
         let mut reader = BufReader::with_capacity(256 * KIB, stream.try_clone().unwrap());
         loop {
-            let (first, fields) = head(&mut reader)?;
+            let (first, headers) = head(&mut reader)?;
             let answer = match first.starts_with("POST") {
-                true => self.post(&mut reader, &stream, &fields)?,
+                true => self.post(&mut reader, &stream, &headers)?,
                 false if first.contains("/stats") => {
-                    http("200 OK", "X-Stats: queue:0;util:0.1\r\n", "")
+                    http_response("200 OK", "X-Stats: queue:0;util:0.1\r\n", "")
                 }
-                false if first.starts_with("DELETE") => http("204 No Content", "", ""),
-                false => http("500 Oops", "", ""),
+                false if first.starts_with("DELETE") => http_response("204 No Content", "", ""),
+                false => http_response("500 Oops", "", ""),
             };
             (&stream).write_all(answer.as_bytes()).ok()?;
         }
@@ -72,10 +72,10 @@
         &self,
         reader: &mut impl BufRead,
         stream: &TcpStream,
-        fields: &HashMap<String, String>,
+        headers: &HashMap<String, String>,
     ) -> Option<String> {
-        let id = fields["x-trace"].clone();
-        let content_length = fields
+        let id = headers["x-trace"].clone();
+        let content_length = headers
             .get("content-length")
             .and_then(|n| n.parse::<usize>().ok());
         let is_retry = self.started_ids.lock().unwrap().insert(id, true).is_some();
@@ -109,16 +109,18 @@
         };
         let has_directive = |word: &str| beginning.contains(&format!("/* {word} */"));
         if !is_complete && has_directive("early") {
-            return Some(http("503 Full", "X-Declined: 1\r\n", ""));
+            return Some(http_response("503 Full", "X-Declined: 1\r\n", ""));
         }
         if !is_complete {
             let _ = stream.shutdown(Shutdown::Both);
             return None;
         }
         Some(match is_retry {
-            false if has_directive("declines") => http("503 Full", "X-Declined: 1\r\n", ""),
-            false if has_directive("fails") => http("500 Oops", "", ""),
-            _ => http("200 OK", "Result-Pages: 1\r\nQuery-Cost: 12\r\n", ROWS),
+            false if has_directive("declines") => {
+                http_response("503 Full", "X-Declined: 1\r\n", "")
+            }
+            false if has_directive("fails") => http_response("500 Oops", "", ""),
+            _ => http_response("200 OK", "Result-Pages: 1\r\nQuery-Cost: 12\r\n", ROWS),
         })
     }
 
@@ -137,11 +139,11 @@
             .map(|_| line.trim_end().to_string())
     };
     let first = line()?;
-    let mut fields = HashMap::new();
+    let mut headers = HashMap::new();
     while let Some((name, value)) = line()?.split_once(':') {
-        fields.insert(name.to_ascii_lowercase(), value.trim().to_string());
+        headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
-    Some((first, fields))
+    Some((first, headers))
 }
 
 /// Reads a body of a given length, or in chunks, until it ends or `piece` returns false; returns whether it was complete.
@@ -218,7 +220,7 @@
         std::fs::write(&plan, format!("bodies store {{\n{entries}\n}}\n")).unwrap();
         let engine = CountingEngine::start();
         let at = engine.address;
-        let service = Service::with_launcher(
+        let service = Service::start_with_launcher(
             |config| {
                 config["known"]["results"][0]["fleet"]["servers"][0]["addr"] =
                     json!(at.to_string());
@@ -250,9 +252,9 @@
 
     fn send(&self, class: &str, body: &[u8]) -> Answer {
         let stream = self.service.open();
-        let fields = request_fields(&new_id(), 60_000);
+        let headers = request_headers(&new_id(), 60_000);
         let head = format!(
-            "POST /v1/{class} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
+            "POST /v1/{class} HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {}\r\n\r\n",
             body.len()
         );
         let mut out = stream.try_clone().unwrap();
@@ -437,9 +439,9 @@
     for size in [600 * KIB, 5 * MIB] {
         let before = gateway.engine.received().len();
         let stream = gateway.service.open();
-        let fields = request_fields(&new_id(), 60_000);
+        let headers = request_headers(&new_id(), 60_000);
         let head = format!(
-            "POST /v1/load HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
+            "POST /v1/load HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {}\r\n\r\n",
             2 * size
         );
         (&stream).write_all(head.as_bytes()).unwrap();
@@ -468,9 +470,9 @@
 fn client_disconnect_frees_the_engine_at_once() {
     let gateway = BodyStorageGateway::start(FILES, "");
     let stream = gateway.service.open();
-    let fields = request_fields(&new_id(), 60_000);
+    let headers = request_headers(&new_id(), 60_000);
     let head = format!(
-        "POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {}\r\n\r\n",
+        "POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {}\r\n\r\n",
         9 * MIB
     );
     (&stream).write_all(head.as_bytes()).unwrap();
@@ -496,7 +498,7 @@
         let body = body("declines", size);
         let text = format!(
             "POST /v1/report HTTP/1.1\r\nHost: g\r\n{}Transfer-Encoding: chunked\r\n\r\n",
-            request_fields(&new_id(), 9000)
+            request_headers(&new_id(), 9000)
         );
         for (to, allowed) in [(&gateway, true), (&without_unknown_length, false)] {
             let before = to.engine.received().len();
--- a/crates/gateway/tests/closing.rs
+++ b/crates/gateway/tests/closing.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 fn request_text(id: &str, statement: &str) -> String {
-    let (fields, length) = (request_fields(id, 3000), statement.len());
-    format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {length}\r\n\r\n{statement}")
+    let (headers, length) = (request_headers(id, 3000), statement.len());
+    format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {length}\r\n\r\n{statement}")
 }
 
 fn read_answer(stream: &TcpStream) -> Option<Answer> {
@@ -41,7 +41,7 @@
 /// the kernel's accept queue, when accepting ends.
 #[test]
 fn connections_that_wait_for_a_slot_when_accepting_ends_are_answered() {
-    let service = Service::with(|config| config["limits"]["sockets"] = json!(64));
+    let service = Service::start_with(|config| config["limits"]["sockets"] = json!(64));
     let calls: Vec<String> = (0..26)
         .map(|_| request_text(&new_id(), "SELECT 1 FROM sales_1.orders"))
         .collect();
@@ -151,7 +151,7 @@
     let _ = stream.write_all(request_text(&id, "SELECT 2").as_bytes());
     sleep(ms(300));
     assert_eq!(
-        service.engine.calls("POST"),
+        service.engine.requests("POST"),
         1,
         "only the first was forwarded"
     );
@@ -161,7 +161,7 @@
 /// needs a slot.
 #[test]
 fn idle_connection_with_an_unread_request_is_not_evicted() {
-    let service = Service::with(|config| config["limits"]["sockets"] = json!(64));
+    let service = Service::start_with(|config| config["limits"]["sockets"] = json!(64));
     let idle: Vec<TcpStream> = (0..26).map(|_| keep_alive_connection(&service)).collect();
     service.pause();
     let mut oldest = &idle[0];
@@ -187,7 +187,7 @@
 /// Part of a request has arrived on the connection that is to be evicted.
 #[test]
 fn request_partly_received_on_a_connection_to_be_evicted_is_answered() {
-    let service = Service::with(|config| config["limits"]["sockets"] = json!(64));
+    let service = Service::start_with(|config| config["limits"]["sockets"] = json!(64));
     let idle: Vec<TcpStream> = (0..26).map(|_| keep_alive_connection(&service)).collect();
     let request = request_text(&new_id(), "SELECT 2");
     let (first, rest) = request.split_at(60);
@@ -254,7 +254,7 @@
 #[test]
 fn shutdown_with_short_deadlines_ends_before_the_earliest_kill() {
     for deadline in [50, 100, 300, 1000] {
-        let mut service = Service::with(|config| {
+        let mut service = Service::start_with(|config| {
             for n in 0..2 {
                 config["settings"]["categories"][n]["give-up"] = json!(f64::from(deadline));
             }
@@ -287,9 +287,9 @@
         .unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     for queries in 0.. {
-        let (fields, sent) = (request_fields(&new_id(), deadline), Instant::now());
+        let (headers, sent) = (request_headers(&new_id(), deadline), Instant::now());
         let request = format!(
-            "POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 8\r\n\r\nSELECT 1"
+            "POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: 8\r\n\r\nSELECT 1"
         );
         if (&stream).write_all(request.as_bytes()).is_err() {
             return queries;
--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -91,10 +91,10 @@
         !second_log.last_event_ids.lock().unwrap().is_empty()
     });
     let stream = std::net::TcpStream::connect(address).unwrap();
-    let answer = call(
+    let answer = round_trip(
         stream,
         "POST /v1/report",
-        &request_fields(&new_id(), 3000),
+        &request_headers(&new_id(), 3000),
         "SELECT 1",
     );
     assert!(Answer::of(answer.expect("an answer")).succeeded());
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -39,7 +39,7 @@
 
 /// A gateway with one engine.
 fn service_with_engine(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
-    Service::with(|config| {
+    Service::start_with(|config| {
         config["known"]["results"] =
             json!([list_event(0, true, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -67,12 +67,12 @@
             Some(path) => path.split([' ', '/']).nth(1).unwrap().parse().unwrap(),
         };
         match number {
-            0 => http(
+            0 => http_response(
                 "200 OK",
                 &format!("Result-Pages: {}\r\n", RESULT_BYTES / PAGE_BYTES),
                 &page(0),
             ),
-            n => http("200 OK", &format!("Result-Page: {n}\r\n"), &page(n)),
+            n => http_response("200 OK", &format!("Result-Page: {n}\r\n"), &page(n)),
         }
     })
 }
@@ -108,10 +108,10 @@
     socket2::SockRef::from(&stream)
         .set_recv_buffer_size(2048)
         .unwrap();
-    send(
+    send_request(
         &stream,
         "POST /v1/report",
-        &request_fields(&new_id(), 3000),
+        &request_headers(&new_id(), 3000),
         "SELECT 1",
     );
     assert!(stream.peek(&mut [0; 1]).unwrap() > 0);
@@ -165,7 +165,7 @@
                 format!("{coding}\r\n{length}\r\n{coding}"),
             ] {
                 let stream = service.open();
-                let head = request_fields(&new_id(), 3000);
+                let head = request_headers(&new_id(), 3000);
                 let text = format!(
                     "POST /v1/report HTTP/1.1\r\nHost: g\r\n{head}{length_fields}\r\n\r\n0\r\n\r\n{hidden}"
                 );
@@ -177,7 +177,7 @@
             }
         }
     }
-    assert_eq!(service.engine.calls("POST"), 0);
+    assert_eq!(service.engine.requests("POST"), 0);
 }
 
 /// A client cancels its query and closes its connection at the same moment.
@@ -188,10 +188,10 @@
         let service = service_with_engine(engine.address, |_| {});
         let id = new_id();
         let stream = service.open();
-        send(
+        send_request(
             &stream,
             "POST /v1/report",
-            &request_fields(&id, 3000),
+            &request_headers(&id, 3000),
             "SELECT 1 /* runs 60000 */",
         );
         wait_until("the start", || engine.attempts().len() == 1);
@@ -199,9 +199,19 @@
         let cancelled_at = Instant::now();
         if close_first {
             drop(stream);
-            send(&cancel, "DELETE /v1/report", &request_fields(&id, 3000), "");
+            send_request(
+                &cancel,
+                "DELETE /v1/report",
+                &request_headers(&id, 3000),
+                "",
+            );
         } else {
-            send(&cancel, "DELETE /v1/report", &request_fields(&id, 3000), "");
+            send_request(
+                &cancel,
+                "DELETE /v1/report",
+                &request_headers(&id, 3000),
+                "",
+            );
             drop(stream);
         }
         read_message(&mut BufReader::new(cancel)).expect("an answer to the cancel");
@@ -213,7 +223,7 @@
         );
         sleep(ms(300));
         assert_eq!(
-            (engine.attempts().len(), engine.state().cancel_calls),
+            (engine.attempts().len(), engine.state().cancel_requests),
             (1, 1),
             "one attempt, cancelled once"
         );
@@ -223,7 +233,7 @@
 #[test]
 fn retry_after_of_a_rejection_follows_the_settings() {
     let wait = |allowed: Value| {
-        let full = scripted_engine(|_| http("503 Full", "X-Declined: 1\r\n", ""));
+        let full = scripted_engine(|_| http_response("503 Full", "X-Declined: 1\r\n", ""));
         let service = service_with_engine(full, |config| {
             let settings = config["settings"]["allowed"].as_object_mut().unwrap();
             settings.extend(allowed.as_object().unwrap().clone());
@@ -257,9 +267,9 @@
         let stream = service.open();
         let head = format!(
             "{}X-Item: 7f3a9c21e0b4d655\r\n",
-            request_fields(&new_id(), 3000)
+            request_headers(&new_id(), 3000)
         );
-        send(&stream, "POST /v1/load", &head, statement);
+        send_request(&stream, "POST /v1/load", &head, statement);
         stream
     };
     let first = send_keyed("INSERT 1 /* runs 2500 */");
@@ -291,14 +301,14 @@
     let engine = scripted_engine(move |call| {
         if call.start_line.starts_with("POST") {
             let mut recorded = recorded.lock().unwrap();
-            recorded.push((Instant::now(), call.fields["x-patience"].parse().unwrap()));
+            recorded.push((Instant::now(), call.headers["x-patience"].parse().unwrap()));
             if recorded.len() == 1 {
                 drop(recorded);
                 sleep(ms(200));
-                return http("503 Full", "X-Declined: 1\r\n", "");
+                return http_response("503 Full", "X-Declined: 1\r\n", "");
             }
         }
-        http("200 OK", "Result-Pages: 1\r\n", ROWS)
+        http_response("200 OK", "Result-Pages: 1\r\n", ROWS)
     });
     let service = service_with_engine(engine, |_| {});
     let began = Instant::now();
@@ -325,7 +335,7 @@
     let lines: Vec<Value> = (0..ENGINES)
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "SERVING"))
         .collect();
-    let service = Service::with(|config| {
+    let service = Service::start_with(|config| {
         config["known"] = json!({"seq": 0, "results": [list_event(0, true, &lines)]});
         config["settings"]["balancers"] = json!(900);
         config["peers"] = json!((0..900)
@@ -348,7 +358,7 @@
             .status
             == 503
     });
-    let before = engine.calls("POST");
+    let before = engine.requests("POST");
     assert_eq!(
         service
             .query_with_id(&new_id(), "report", 300, "SELECT 1")
@@ -356,7 +366,7 @@
         503
     );
     assert_eq!(
-        engine.calls("POST"),
+        engine.requests("POST"),
         before,
         "no attempt at draining engines"
     );
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn lists_of_1024_gateways_and_1024_engines_are_applied_from_configuration_and_change_log() {
-    let service = Service::with(|config| {
+    let service = Service::start_with(|config| {
         let engine = config["known"]["results"][0]["fleet"]["servers"][0]["addr"]
             .as_str()
             .unwrap()
@@ -54,7 +54,7 @@
     let other = Engine::start();
     service.log.publish(full_list(1, "b", other.address));
     wait_until("the last engine of the log's list", || {
-        service.query("report", "SELECT 2").succeeded() && other.calls("POST") > 0
+        service.query("report", "SELECT 2").succeeded() && other.requests("POST") > 0
     });
     // Full lists with new names, one after another: indexes are kept for a while, and no limit is reached.
     for number in 2..6 {
@@ -63,7 +63,7 @@
             .log
             .publish(full_list(number, &format!("{number}c"), newest.address));
         wait_until("the newest list", || {
-            service.query("report", "SELECT 3").succeeded() && newest.calls("POST") > 0
+            service.query("report", "SELECT 3").succeeded() && newest.requests("POST") > 0
         });
     }
     let used = resident_kb(service.child.id());
@@ -72,11 +72,11 @@
 
 /// Sends a query with an ordering key; its answer is read later.
 fn send_load(stream: &TcpStream, statement: &str) {
-    let fields = format!(
+    let headers = format!(
         "{}X-Item: 7f3a9c21e0b4d655\r\n",
-        request_fields(&new_id(), 2900)
+        request_headers(&new_id(), 2900)
     );
-    send(stream, "POST /v1/load", &fields, statement);
+    send_request(stream, "POST /v1/load", &headers, statement);
 }
 
 fn succeeded(stream: TcpStream) -> bool {
@@ -91,7 +91,7 @@
 fn order_of_a_key_is_kept_while_the_gateway_is_stopped() {
     let service = Service::start();
     let open = service.open();
-    assert!(call(open.try_clone().unwrap(), "GET /healthz", "", "").is_some());
+    assert!(round_trip(open.try_clone().unwrap(), "GET /healthz", "", "").is_some());
     service.signal("STOP");
     let new = service.open();
     send_load(&new, "INSERT 1");
@@ -100,7 +100,7 @@
     sleep(Duration::from_millis(50));
     service.signal("CONT");
     assert!(succeeded(new) && succeeded(open));
-    let calls = service.engine.calls.lock().unwrap().join("\n");
+    let calls = service.engine.requests.lock().unwrap().join("\n");
     let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
     assert!(at(1) < at(2), "received first, sent last: {calls}");
 }
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -15,7 +15,7 @@
 const MEMORY_MB: usize = 48;
 
 fn service(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
-    Service::with(|config| {
+    Service::start_with(|config| {
         config["known"]["results"] =
             json!([list_event(0, true, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -59,8 +59,8 @@
                 for _ in 0..5 {
                     let Ok(mut stream) = TcpStream::connect(address) else { continue };
                     let call = |_| {
-                        let fields = request_fields(&new_id(), 2000);
-                        format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 8\r\n\r\nSELECT 1")
+                        let headers = request_headers(&new_id(), 2000);
+                        format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: 8\r\n\r\nSELECT 1")
                     };
                     let requests: String = (0..2000).map(call).collect();
                     stream.set_write_timeout(Some(ms(100))).unwrap();
@@ -95,9 +95,9 @@
 fn requests_sent_byte_by_byte_are_closed_in_time() {
     let engine = EngineProcess::start();
     let service = service(engine.address, |_| {});
-    let fields = request_fields(&new_id(), 2000);
+    let headers = request_headers(&new_id(), 2000);
     let body =
-        format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: 5000\r\n\r\n");
+        format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: 5000\r\n\r\n");
     let slow: Vec<_> = (0..60)
         .map(|n| {
             let (mut stream, started_at, head) = (service.open(), Instant::now(), n % 2 == 0);
@@ -152,13 +152,15 @@
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while let Some(call) = read_message(&mut reader) {
                     if call.start_line.starts_with("DELETE") {
-                        let _ = (&stream).write_all(http("204 No Content", "", "").as_bytes());
+                        let _ =
+                            (&stream).write_all(http_response("204 No Content", "", "").as_bytes());
                         continue;
                     }
                     let endless = String::from_utf8_lossy(&call.body).contains("endless");
                     if !endless && call.start_line.starts_with("POST") {
-                        let _ = (&stream)
-                            .write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes());
+                        let _ = (&stream).write_all(
+                            http_response("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes(),
+                        );
                         continue;
                     }
                     let head = "HTTP/1.1 200 OK\r\nResult-Pages: 1\r\nContent-Length: 5900\r\n\r\n";
@@ -200,10 +202,10 @@
         .map(|class| {
             let stream = service.open();
             let statement = "SELECT 1 /* runs 16000 */";
-            send(
+            send_request(
                 &stream,
                 &format!("POST /v1/{class}"),
-                &request_fields(&new_id(), 18_000),
+                &request_headers(&new_id(), 18_000),
                 statement,
             );
             stream
--- a/crates/gateway/tests/full_start.rs
+++ b/crates/gateway/tests/full_start.rs
@@ -21,7 +21,7 @@
     let endpoints: Vec<Value> = (0..ENGINES)
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "SERVING"))
         .collect();
-    let mut service = Service::with(|config| {
+    let mut service = Service::start_with(|config| {
         config["changelog"] = json!(address.to_string());
         // Keeps the clients within their third of the sockets.
         config["limits"]["sockets"] = json!(CLIENTS * 4);
@@ -34,10 +34,10 @@
     wait_until("the port", || TcpStream::connect(service.address).is_ok());
     let send_query = |_| {
         let stream = service.open();
-        send(
+        send_request(
             &stream,
             "POST /v1/report",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             "SELECT 1",
         );
         stream
--- a/crates/gateway/tests/helper/faults.rs
+++ b/crates/gateway/tests/helper/faults.rs
@@ -36,7 +36,7 @@
 pub struct Faults(PathBuf);
 
 impl Faults {
-    pub fn none() -> Faults {
+    pub fn new() -> Faults {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
             "faults-{}-{}",
             std::process::id(),
@@ -49,7 +49,7 @@
     /// Returns the faults that the environment names for all gateways, if any.
     pub fn from_environment() -> Option<Faults> {
         let named = std::env::var(DEFAULT_FAULTS_VARIABLE).ok()?;
-        let faults = Faults::none();
+        let faults = Faults::new();
         for (name, parameters) in named.split(',').filter_map(|fault| fault.split_once('=')) {
             faults.enable(name, &parameters.replace(':', " "));
         }
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -23,7 +23,7 @@
 
 pub struct Message {
     pub start_line: String,
-    pub fields: HashMap<String, String>,
+    pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
@@ -38,15 +38,15 @@
             .map(|_| line.trim_end().to_string())
     };
     let start_line = line()?;
-    let mut fields = HashMap::new();
+    let mut headers = HashMap::new();
     loop {
         let text = line()?;
         let Some((name, value)) = text.split_once(':') else {
             break;
         };
-        fields.insert(name.to_ascii_lowercase(), value.trim().to_string());
+        headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
-    let length = fields
+    let length = headers
         .get("content-length")
         .and_then(|n| n.parse().ok())
         .unwrap_or(0);
@@ -54,7 +54,7 @@
     reader.read_exact(&mut body).ok()?;
     Some(Message {
         start_line,
-        fields,
+        headers,
         body,
     })
 }
@@ -67,7 +67,7 @@
 pub struct Engine {
     pub address: SocketAddr,
     /// Requests in the order received: method, path, and the statement of a start.
-    pub calls: Arc<Mutex<Vec<String>>>,
+    pub requests: Arc<Mutex<Vec<String>>>,
     pub started: Arc<Mutex<HashMap<String, Started>>>,
 }
 
@@ -77,7 +77,7 @@
         let address = listener.local_addr().unwrap();
         let engine = Engine {
             address,
-            calls: Arc::default(),
+            requests: Arc::default(),
             started: Arc::default(),
         };
         let shared = engine.clone();
@@ -92,16 +92,16 @@
 
     pub fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Some(call) = read_message(&mut reader) {
-            let mut words = call.start_line.split(' ');
+        while let Some(request) = read_message(&mut reader) {
+            let mut words = request.start_line.split(' ');
             let (method, path) = (words.next().unwrap(), words.next().unwrap().to_string());
-            let body = String::from_utf8_lossy(&call.body).into_owned();
-            self.calls
+            let body = String::from_utf8_lossy(&request.body).into_owned();
+            self.requests
                 .lock()
                 .unwrap()
                 .push(format!("{method} {path} {body}").trim_end().into());
             let id = match method {
-                "POST" => call.fields["x-trace"].clone(),
+                "POST" => request.headers["x-trace"].clone(),
                 _ => path.split('/').nth(2).unwrap_or_default().to_string(),
             };
             let mut started = self.started.lock().unwrap();
@@ -113,10 +113,10 @@
             drop(started);
             let statement = known.as_ref().map(|k| k.0.clone()).unwrap_or_default();
             let first = method == "POST"
-                || !path.ends_with("/0") && self.calls(&format!("GET {path}")) == 1;
+                || !path.ends_with("/0") && self.requests(&format!("GET {path}")) == 1;
             if method == "DELETE"
                 && statement.contains("loses delete")
-                && self.calls(&format!("DELETE {path}")) == 1
+                && self.requests(&format!("DELETE {path}")) == 1
             {
                 return;
             }
@@ -134,19 +134,19 @@
         }
     }
 
-    pub fn calls(&self, start: &str) -> usize {
-        self.calls
+    pub fn requests(&self, start: &str) -> usize {
+        self.requests
             .lock()
             .unwrap()
             .iter()
-            .filter(|call| call.starts_with(start))
+            .filter(|request| request.starts_with(start))
             .count()
     }
 }
 
-pub fn http(status: &str, fields: &str, body: &str) -> String {
+pub fn http_response(status: &str, headers: &str, body: &str) -> String {
     format!(
-        "HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
@@ -167,7 +167,7 @@
         Some("1xx ahead") => format!("HTTP/1.1 103 Early Hints\r\n\r\n{answer}"),
         Some("surplus") => format!(
             "{answer}{}",
-            http("200 OK", "Result-Pages: 1\r\n", "of\tanother\t\n")
+            http_response("200 OK", "Result-Pages: 1\r\n", "of\tanother\t\n")
         ),
         _ => answer,
     }
@@ -176,10 +176,10 @@
 /// The engine's response; `None` closes the connection.
 pub fn engine_response(method: &str, path: &str, known: Option<Started>) -> Option<String> {
     if path == "/stats" {
-        return Some(http("200 OK", "X-Stats: queue:0;util:0.1\r\n", ""));
+        return Some(http_response("200 OK", "X-Stats: queue:0;util:0.1\r\n", ""));
     }
     let Some((statement, since, times)) = known else {
-        return Some(http("500 Oops", "", ""));
+        return Some(http_response("500 Oops", "", ""));
     };
     let has_directive = |word: &str| statement.contains(&format!("/* {word} */"));
     if method == "DELETE" {
@@ -188,7 +188,7 @@
         } else {
             0
         }));
-        return Some(http("204 No Content", "", ""));
+        return Some(http_response("204 No Content", "", ""));
     }
     let page = path
         .rsplit('/')
@@ -196,16 +196,16 @@
         .and_then(|n| n.parse::<usize>().ok())
         .unwrap_or(0);
     if method == "POST" && has_directive("full once") && times == 1 {
-        return Some(http("503 Full", "X-Declined: 1\r\n", ""));
+        return Some(http_response("503 Full", "X-Declined: 1\r\n", ""));
     }
     if has_directive("error") {
-        return Some(http("500 Oops", "", ""));
+        return Some(http_response("500 Oops", "", ""));
     }
     if method == "POST" && has_directive("reset") {
         return None;
     }
     if method == "GET" && has_directive("forgets") {
-        return Some(http("500 Oops", "", ""));
+        return Some(http_response("500 Oops", "", ""));
     }
     if method == "POST" && has_directive("late") {
         sleep(Duration::from_secs(2));
@@ -220,23 +220,25 @@
         || has_directive("very slow") && since.elapsed() < Duration::from_millis(2300)
     {
         sleep(Duration::from_millis(250));
-        return Some(http("202 Not yet", "", ""));
+        return Some(http_response("202 Not yet", "", ""));
     }
     let end = "Query-Cost: 12\r\nQuery-Need: 64\r\n";
     Some(match page {
-        _ if has_directive("empty") => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), ""),
-        _ if has_directive("no count") => http("200 OK", end, ROWS),
-        _ if has_directive("huge") => http(
+        _ if has_directive("empty") => {
+            http_response("200 OK", &format!("Result-Pages: 1\r\n{end}"), "")
+        }
+        _ if has_directive("no count") => http_response("200 OK", end, ROWS),
+        _ if has_directive("huge") => http_response(
             "200 OK",
             &format!("Result-Pages: 1\r\n{end}"),
             &"x\ty\tz\n".repeat(2000),
         ),
         0 if has_directive("pages") || has_directive("lost page") => {
-            http("200 OK", &format!("Result-Pages: 3\r\n{end}"), ROWS)
+            http_response("200 OK", &format!("Result-Pages: 3\r\n{end}"), ROWS)
         }
-        0 => http("200 OK", &format!("Result-Pages: 1\r\n{end}"), ROWS),
-        2 if has_directive("lost page") => http("500 Oops", "", ""),
-        n => http(
+        0 => http_response("200 OK", &format!("Result-Pages: 1\r\n{end}"), ROWS),
+        2 if has_directive("lost page") => http_response("500 Oops", "", ""),
+        n => http_response(
             "200 OK",
             &format!("Result-Page: {n}\r\n"),
             &format!("p{n}\t\t\n"),
@@ -277,8 +279,8 @@
     }
 
     pub fn serve(&self, stream: TcpStream) {
-        let call = read_message(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
-        let mut sent_events: usize = call.fields["last-event-id"].parse().unwrap();
+        let request = read_message(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
+        let mut sent_events: usize = request.headers["last-event-id"].parse().unwrap();
         self.last_event_ids.lock().unwrap().push(sent_events);
         self.streams
             .lock()
@@ -315,8 +317,8 @@
         "weight": 1, "started_ms": 0})
 }
 
-pub fn list_event(number: u64, whole: bool, servers: &[Value]) -> Value {
-    json!({"seq": number, "fleet": {"version": number, "full": whole, "servers": servers}})
+pub fn list_event(number: u64, is_complete: bool, servers: &[Value]) -> Value {
+    json!({"seq": number, "fleet": {"version": number, "full": is_complete, "servers": servers}})
 }
 
 /// The gateway program with its stand-in engine and change log; killed when dropped.
@@ -400,14 +402,17 @@
 
 impl Service {
     pub fn start() -> Service {
-        Service::with(|_| {})
+        Service::start_with(|_| {})
     }
 
-    pub fn with(change: impl Fn(&mut Value)) -> Service {
-        Service::with_launcher(change, serve)
+    pub fn start_with(change: impl Fn(&mut Value)) -> Service {
+        Service::start_with_launcher(change, serve)
     }
 
-    pub fn with_launcher(change: impl Fn(&mut Value), serve: impl Fn(&Value) -> Child) -> Service {
+    pub fn start_with_launcher(
+        change: impl Fn(&mut Value),
+        serve: impl Fn(&Value) -> Child,
+    ) -> Service {
         let (engine, log) = (Engine::start(), ChangeLog::start());
         let mut config = config(engine.address, log.address);
         change(&mut config);
@@ -428,7 +433,7 @@
         for _ in 0..500 {
             if let Some(answer) = TcpStream::connect(self.address)
                 .ok()
-                .and_then(|s| call(s, "GET /healthz", "", ""))
+                .and_then(|s| round_trip(s, "GET /healthz", "", ""))
             {
                 if answer.start_line == "HTTP/1.1 200 OK" {
                     return;
@@ -444,16 +449,16 @@
     }
 
     /// Sends one query on its own connection.
-    pub fn query(&self, group: &str, statement: &str) -> Answer {
+    pub fn query(&self, class: &str, statement: &str) -> Answer {
         let id = new_id();
-        self.query_with_id(&id, group, 3000, statement)
+        self.query_with_id(&id, class, 3000, statement)
     }
 
-    pub fn query_with_id(&self, id: &str, group: &str, allowed: u32, statement: &str) -> Answer {
-        let answer = call(
+    pub fn query_with_id(&self, id: &str, class: &str, allowed_ms: u32, statement: &str) -> Answer {
+        let answer = round_trip(
             self.open(),
-            &format!("POST /v1/{group}"),
-            &request_fields(id, allowed),
+            &format!("POST /v1/{class}"),
+            &request_headers(id, allowed_ms),
             statement,
         );
         Answer::of(answer.expect("an answer"))
@@ -495,13 +500,19 @@
 }
 
 impl Answer {
-    pub fn of(m: Message) -> Answer {
-        let status = m.start_line.split(' ').nth(1).unwrap().parse().unwrap();
-        let json = serde_json::from_slice(&m.body).unwrap_or(Value::Null);
+    pub fn of(message: Message) -> Answer {
+        let status = message
+            .start_line
+            .split(' ')
+            .nth(1)
+            .unwrap()
+            .parse()
+            .unwrap();
+        let json = serde_json::from_slice(&message.body).unwrap_or(Value::Null);
         Answer {
             status,
             json,
-            retry_after_ms: m.fields.get("x-wait-ms").map(|v| v.parse().unwrap()),
+            retry_after_ms: message.headers.get("x-wait-ms").map(|v| v.parse().unwrap()),
         }
     }
 
@@ -517,21 +528,26 @@
     )
 }
 
-pub fn request_fields(id: &str, allowed: u32) -> String {
-    format!("X-Job-Id: {id}\r\nX-Allow-Ms: {allowed}\r\nX-Team: acme\r\n")
+pub fn request_headers(id: &str, allowed_ms: u32) -> String {
+    format!("X-Job-Id: {id}\r\nX-Allow-Ms: {allowed_ms}\r\nX-Team: acme\r\n")
 }
 
-pub fn send(stream: &TcpStream, call: &str, fields: &str, body: &str) {
+pub fn send_request(stream: &TcpStream, request_line: &str, headers: &str, body: &str) {
     let text = format!(
-        "{call} HTTP/1.1\r\nHost: origin.svc\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        "{request_line} HTTP/1.1\r\nHost: origin.svc\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
     let mut stream = stream;
     stream.write_all(text.as_bytes()).unwrap();
 }
 
-pub fn call(stream: TcpStream, call: &str, fields: &str, body: &str) -> Option<Message> {
-    send(&stream, call, fields, body);
+pub fn round_trip(
+    stream: TcpStream,
+    request_line: &str,
+    headers: &str,
+    body: &str,
+) -> Option<Message> {
+    send_request(&stream, request_line, headers, body);
     read_message(&mut BufReader::new(stream))
 }
 
--- a/crates/gateway/tests/helper/process.rs
+++ b/crates/gateway/tests/helper/process.rs
@@ -1,6 +1,6 @@
 //! A stand-in engine process that records when each attempt was received, polled and ended.
 
-use super::{http, read_message, wait_until, ROWS};
+use super::{http_response, read_message, wait_until, ROWS};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -56,7 +56,7 @@
 pub struct ProcessState {
     pub attempts: Vec<ReceivedAttempt>,
     pub connections: Vec<TcpStream>,
-    pub cancel_calls: usize,
+    pub cancel_requests: usize,
     pub poll_responses: usize,
     pub refuses_connections: bool,
 }
@@ -137,26 +137,27 @@
 
     pub fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Some(call) = read_message(&mut reader) {
-            let mut words = call.start_line.split(' ');
+        while let Some(request) = read_message(&mut reader) {
+            let mut words = request.start_line.split(' ');
             let (method, path) = (words.next().unwrap(), words.next().unwrap().to_string());
             if path == "/stats" {
-                let _ = (&stream)
-                    .write_all(http("200 OK", "X-Stats: queue:0;util:0.1\r\n", "").as_bytes());
+                let _ = (&stream).write_all(
+                    http_response("200 OK", "X-Stats: queue:0;util:0.1\r\n", "").as_bytes(),
+                );
                 continue;
             }
             let id = match method {
-                "POST" => call.fields["x-trace"].clone(),
+                "POST" => request.headers["x-trace"].clone(),
                 _ => path.split('/').nth(2).unwrap_or_default().to_string(),
             };
             let answer = match method {
                 "DELETE" => self.cancel(&id),
                 _ => {
                     if method == "POST" {
-                        let idempotency_key = call.fields.get("x-op-key").cloned();
+                        let idempotency_key = request.headers.get("x-op-key").cloned();
                         self.start_attempt(
                             &id,
-                            &String::from_utf8_lossy(&call.body),
+                            &String::from_utf8_lossy(&request.body),
                             idempotency_key,
                         );
                     }
@@ -198,7 +199,7 @@
         loop {
             let mut state = self.state();
             let Some(attempt) = state.attempts.iter_mut().find(|attempt| attempt.id == id) else {
-                return Some(http("500 Oops", "", ""));
+                return Some(http_response("500 Oops", "", ""));
             };
             let (ended_at, now) = (attempt.ended_at(), Instant::now());
             // An attempt that ended for lack of polls is not revived by this poll.
@@ -218,11 +219,11 @@
                 }
                 return Some(match (ended_at, succeeded) {
                     (None, _) if attempt.has_directive("notes") => {
-                        http("202 Not yet", "X-Result: frac\r\nNote-Value: 0.250\r\n", "")
+                        http_response("202 Not yet", "X-Result: frac\r\nNote-Value: 0.250\r\n", "")
                     }
-                    (None, _) => http("202 Not yet", "", ""),
-                    (Some(_), true) => http("200 OK", "Result-Pages: 1\r\n", ROWS),
-                    (Some(_), false) => http("500 Oops", "", ""),
+                    (None, _) => http_response("202 Not yet", "", ""),
+                    (Some(_), true) => http_response("200 OK", "Result-Pages: 1\r\n", ROWS),
+                    (Some(_), false) => http_response("500 Oops", "", ""),
                 });
             }
             drop(state);
@@ -232,8 +233,8 @@
 
     pub fn cancel(&self, id: &str) -> Option<String> {
         let mut state = self.state();
-        state.cancel_calls += 1;
-        let first = state.cancel_calls == 1;
+        state.cancel_requests += 1;
+        let first = state.cancel_requests == 1;
         let attempt = state.attempts.iter_mut().find(|attempt| attempt.id == id);
         if let Some(attempt) = attempt {
             if first && attempt.has_directive("delete reset") {
@@ -249,7 +250,7 @@
             }
             attempt.stopped_at = Some(attempt.ended_at().unwrap_or_else(Instant::now));
         }
-        Some(http("204 No Content", "", ""))
+        Some(http_response("204 No Content", "", ""))
     }
 
     pub fn attempts(&self) -> Vec<ReceivedAttempt> {
--- a/crates/gateway/tests/helper/scripted_log.rs
+++ b/crates/gateway/tests/helper/scripted_log.rs
@@ -32,17 +32,17 @@
     connections: AtomicUsize,
     /// Every connection whose script still runs.
     accepted: Mutex<Vec<Weak<TcpStream>>>,
-    first: OnceLock<Instant>,
+    first_accepted_at: OnceLock<Instant>,
 }
 
 impl ReaderStatistics {
     /// Connections accepted so far.
-    pub fn connections(&self) -> usize {
+    pub fn accepted_connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
     /// Connections that their reader has not closed, whatever the script does.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         let is_open = |stream: &Weak<TcpStream>| {
             let Some(stream) = stream.upgrade() else {
                 return false;
@@ -50,7 +50,7 @@
             let mut byte = [std::mem::MaybeUninit::uninit(); 1];
             match SockRef::from(&*stream).recv_with_flags(&mut byte, MSG_PEEK | MSG_DONTWAIT) {
                 Ok(read) => read > 0,
-                Err(fault) => fault.kind() == ErrorKind::WouldBlock,
+                Err(error) => error.kind() == ErrorKind::WouldBlock,
             }
         };
         let mut accepted = self.accepted.lock().unwrap();
@@ -59,8 +59,8 @@
     }
 
     /// When the first connection was accepted.
-    pub fn first(&self) -> Option<Instant> {
-        self.first.get().copied()
+    pub fn first_accepted_at(&self) -> Option<Instant> {
+        self.first_accepted_at.get().copied()
     }
 }
 
@@ -142,7 +142,7 @@
                     .lock()
                     .unwrap()
                     .push(Arc::downgrade(&stream));
-                statistics.first.get_or_init(Instant::now);
+                statistics.first_accepted_at.get_or_init(Instant::now);
                 let script = script.clone();
                 spawn(move || {
                     stream.set_nodelay(true).unwrap();
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -81,7 +81,7 @@
 }
 
 fn service(engines: &[SocketAddr], change_more: impl Fn(&mut Value)) -> Service {
-    Service::with(|config| {
+    Service::start_with(|config| {
         let lines: Vec<Value> = engines
             .iter()
             .enumerate()
@@ -127,10 +127,10 @@
         config["settings"]["allowed"]["cancelling"] = json!(false)
     });
     let stream = service.open();
-    send(
+    send_request(
         &stream,
         "POST /v1/load",
-        &request_fields(&new_id(), 3000),
+        &request_headers(&new_id(), 3000),
         "INSERT 1",
     );
     sleep(ms(300));
@@ -156,7 +156,7 @@
         let stream = accept(&slow);
         read_message(&mut std::io::BufReader::new(stream.try_clone().unwrap())).expect("a start");
         (&stream)
-            .write_all(http("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes())
+            .write_all(http_response("200 OK", "Result-Pages: 1\r\n", ROWS).as_bytes())
             .unwrap();
         slow
     });
@@ -185,7 +185,7 @@
         "bodies store {\n  memory 8MiB\n  batch-memory 2MiB\n  batch 4MiB\n}\n",
     )
     .unwrap();
-    let service = Service::with_launcher(
+    let service = Service::start_with_launcher(
         |config| {
             config["known"]["results"] =
                 json!([list_event(0, true, &[endpoint("s-0", at, "SERVING")])]);
@@ -203,7 +203,7 @@
     let mut stream = service.open();
     let head = format!(
         "POST /v1/report HTTP/1.1\r\nHost: g\r\n{}Content-Length: {}\r\n\r\n",
-        request_fields(&new_id(), 800),
+        request_headers(&new_id(), 800),
         body.len()
     );
     let (first, rest) = body.split_at(350_000);
@@ -265,10 +265,10 @@
         let stream = service.open();
         service.wait_until_healthy();
         service.pause();
-        send(
+        send_request(
             &stream,
             "POST /v1/report",
-            &request_fields(&new_id(), 2000),
+            &request_headers(&new_id(), 2000),
             "SELECT 1",
         );
         sleep(ms(waited));
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 fn service(engine: &EngineProcess, change_more: impl Fn(&mut Value)) -> Service {
-    Service::with(|config| {
+    Service::start_with(|config| {
         config["known"]["results"] = json!([list_event(
             0,
             true,
@@ -26,9 +26,9 @@
 
 /// Formats a request as its client writes it.
 fn request_text(id: &str, group: &str, more: &str, statement: &str) -> String {
-    let fields = request_fields(id, 3000) + more;
+    let headers = request_headers(id, 3000) + more;
     let length = statement.len();
-    format!("POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {length}\r\n\r\n{statement}")
+    format!("POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {length}\r\n\r\n{statement}")
 }
 
 fn send_keyed(service: &Service, id: &str, statement: &str) -> TcpStream {
--- a/crates/gateway/tests/log.rs
+++ b/crates/gateway/tests/log.rs
@@ -31,10 +31,10 @@
         stream
             .set_read_timeout(Some(Duration::from_secs(3)))
             .unwrap();
-        let answer = call(
+        let answer = round_trip(
             stream,
             "POST /v1/report",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             "SELECT 1",
         );
         assert!(
@@ -58,13 +58,13 @@
 
 #[test]
 fn stalled_log_reader_does_not_stop_the_gateway() {
-    let service = Service::with_launcher(|_| {}, serve_with_debug_log);
+    let service = Service::start_with_launcher(|_| {}, serve_with_debug_log);
     assert_serves_and_exits(service);
 }
 
 #[test]
 fn closed_log_reader_does_not_end_the_gateway() {
-    let mut service = Service::with_launcher(|_| {}, serve_with_debug_log);
+    let mut service = Service::start_with_launcher(|_| {}, serve_with_debug_log);
     drop(service.child.stderr.take());
     assert_serves_and_exits(service);
 }
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -38,10 +38,10 @@
             "SELECT 1"
         };
         let began = Instant::now();
-        let answer = call(
+        let answer = round_trip(
             keep_alive.try_clone().unwrap(),
             "POST /v1/report",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             statement,
         );
         let answer = answer.map(Answer::of);
@@ -55,17 +55,23 @@
 
 #[test]
 fn short_reads_and_writes_lose_no_query() {
-    let faults = Faults::none();
+    let faults = Faults::new();
     faults.enable("short", "2");
-    assert_all_succeed(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
+    assert_all_succeed(
+        &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+        40,
+    );
 }
 
 #[test]
 fn interrupted_calls_lose_no_query() {
-    let faults = Faults::none();
+    let faults = Faults::new();
     faults.enable("eintr", "2");
     faults.enable("waits", "3");
-    assert_all_succeed(&Service::with_launcher(|_| {}, serve_with(&faults)), 40);
+    assert_all_succeed(
+        &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+        40,
+    );
 }
 
 /// A temporary failure to create the listening socket, or an address still in use, does not end the gateway.
@@ -73,14 +79,17 @@
 fn bind_is_retried_when_the_system_has_no_socket() {
     // EMFILE, ENFILE, ENOBUFS, ENOMEM.
     for code in [24, 23, 105, 12] {
-        let faults = Faults::none();
+        let faults = Faults::new();
         faults.enable("socket", &format!("1 {code}"));
         let later = faults.clone();
         std::thread::spawn(move || {
             std::thread::sleep(ms(400));
             later.disable("socket");
         });
-        assert_all_succeed(&Service::with_launcher(|_| {}, serve_with(&faults)), 1);
+        assert_all_succeed(
+            &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+            1,
+        );
     }
     let occupied: std::sync::Mutex<Option<std::net::TcpListener>> = std::sync::Mutex::default();
     let occupy_address = |config: &mut Value| {
@@ -93,14 +102,14 @@
         occupied.lock().unwrap().take();
         child
     };
-    assert_all_succeed(&Service::with_launcher(occupy_address, serve), 1);
+    assert_all_succeed(&Service::start_with_launcher(occupy_address, serve), 1);
 }
 
 /// Failed accepts delay new clients only slightly.
 #[test]
 fn failed_accepts_delay_no_client() {
-    let faults = Faults::none();
-    let service = Service::with_launcher(
+    let faults = Faults::new();
+    let service = Service::start_with_launcher(
         |config| config["limits"]["sockets"] = json!(1024),
         serve_with(&faults),
     );
@@ -108,10 +117,10 @@
     let began = Instant::now();
     let open: Vec<_> = (0..200).map(|_| service.open()).collect();
     for stream in &open {
-        send(
+        send_request(
             stream,
             "POST /v1/report",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             "SELECT 1",
         );
     }
@@ -134,8 +143,8 @@
 #[test]
 fn local_connect_faults_are_not_attributed_to_an_engine() {
     for code in [99, 105, 101] {
-        let faults = Faults::none();
-        let service = Service::with_launcher(|_| {}, serve_with(&faults));
+        let faults = Faults::new();
+        let service = Service::start_with_launcher(|_| {}, serve_with(&faults));
         assert_all_succeed(&service, 3);
         faults.enable("connect", &format!("1 {code}"));
         let began = Instant::now();
@@ -158,7 +167,7 @@
 #[test]
 fn connection_timeout_proves_nothing() {
     for code in [110, 113] {
-        let (engine, faults) = (EngineProcess::start(), Faults::none());
+        let (engine, faults) = (EngineProcess::start(), Faults::new());
         let one_engine = |config: &mut Value| {
             config["known"]["results"] = json!([list_event(
                 0,
@@ -166,16 +175,16 @@
                 &[endpoint("s-0", engine.address, "SERVING")]
             )]);
         };
-        let service = Service::with_launcher(one_engine, serve_with(&faults));
+        let service = Service::start_with_launcher(one_engine, serve_with(&faults));
         faults.enable("broken", &format!("12 {code}"));
         for _ in 0..60 {
             let id = new_id();
             let statement = format!("INSERT {id} /* runs 5 */");
             // The client's connection may break as well.
-            let _ = call(
+            let _ = round_trip(
                 service.open(),
                 "POST /v1/load",
-                &request_fields(&id, 1000),
+                &request_headers(&id, 1000),
                 &statement,
             );
         }
@@ -198,8 +207,8 @@
 fn signal_with_a_lost_wakeup_is_handled_in_time() {
     const DEADLINE: u64 = 500;
     for _ in 0..6 {
-        let faults = Faults::none();
-        let mut service = Service::with_launcher(
+        let faults = Faults::new();
+        let mut service = Service::start_with_launcher(
             |config| {
                 for n in 0..2 {
                     config["settings"]["categories"][n]["give-up"] = json!(DEADLINE as f64);
@@ -213,10 +222,10 @@
         let client = std::thread::spawn(move || {
             while let Ok(stream) = std::net::TcpStream::connect(address) {
                 let slow = "SELECT 1 /* keeps delete */";
-                if call(
+                if round_trip(
                     stream,
                     "POST /v1/report",
-                    &request_fields(&new_id(), DEADLINE as u32),
+                    &request_headers(&new_id(), DEADLINE as u32),
                     slow,
                 )
                 .is_none()
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -48,7 +48,7 @@
     fn with(change: impl Fn(&mut Value)) -> TwoEngines {
         let (first, second) = (EngineProcess::start(), EngineProcess::start());
         let at = first.address;
-        let service = Service::with(|config| {
+        let service = Service::start_with(|config| {
             config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at.to_string());
             change(&mut config["settings"]);
         });
@@ -79,9 +79,9 @@
         statement: &str,
     ) -> (TcpStream, std::thread::JoinHandle<Answered>) {
         let stream = self.service.open();
-        let fields = format!("{}{KEY}", request_fields(&new_id(), allowed));
+        let headers = format!("{}{KEY}", request_headers(&new_id(), allowed));
         let began = Instant::now();
-        send(&stream, "POST /v1/load", &fields, statement);
+        send_request(&stream, "POST /v1/load", &headers, statement);
         let reading = stream.try_clone().unwrap();
         let answer = spawn(move || {
             let message = read_message(&mut BufReader::new(reading));
@@ -198,7 +198,7 @@
         // The second goes over a connection on which the engine has not confirmed the attempt: it cancels it and proves nothing.
         engines.assert_order_kept();
         assert!(answer_within(4050, second).succeeded(), "{how}");
-        assert_eq!(engines.first.state().cancel_calls, 2, "{how}");
+        assert_eq!(engines.first.state().cancel_requests, 2, "{how}");
     }
 }
 
@@ -209,10 +209,10 @@
         let engines = TwoEngines::start();
         let id = new_id();
         let stream = engines.service.open();
-        send(
+        send_request(
             &stream,
             "POST /v1/load",
-            &format!("{}{KEY}", request_fields(&id, 600)),
+            &format!("{}{KEY}", request_headers(&id, 600)),
             "INSERT 1 /* runs 6000 */",
         );
         let sent = Instant::now();
@@ -220,17 +220,17 @@
         let (_b, second) = engines.load(3000, "INSERT 2 /* runs 10 */");
         // The gateway assumes that a keyed query was sent up to 0.25 s before it was received.
         sleep((ms(350 - early)).saturating_sub(sent.elapsed()));
-        let withdrawn = call(
+        let withdrawn = round_trip(
             engines.service.open(),
             "DELETE /v1/load",
-            &request_fields(&id, 600),
+            &request_headers(&id, 600),
             "",
         )
         .unwrap();
         assert!(["HTTP/1.1 204 No Content", "HTTP/1.1 404 Not Found"]
             .contains(&withdrawn.start_line.as_str()));
         assert!(engines.assert_order_kept() < KEY_PAUSE + SLACK, "{early}");
-        assert_eq!(engines.first.state().cancel_calls, 1, "one cancel call");
+        assert_eq!(engines.first.state().cancel_requests, 1, "one cancel call");
         assert!(answer_within(3050, second).succeeded());
     }
 }
@@ -321,7 +321,7 @@
     cut_off.listen(16).unwrap();
     let cut_off: TcpListener = cut_off.into();
     let at = cut_off.local_addr().unwrap().to_string();
-    let service = Service::with(|config| {
+    let service = Service::start_with(|config| {
         config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at);
     });
     let statement = format!("INSERT 1 /* {} */", "x".repeat(200_000));
@@ -401,7 +401,7 @@
         .query_with_id(&new_id(), "report", 6000, statement)
         .succeeded());
     assert_eq!(engines.first.attempts().len(), 1);
-    assert_eq!(engines.first.state().cancel_calls, 0, "cancelled");
+    assert_eq!(engines.first.state().cancel_requests, 0, "cancelled");
 }
 
 /// Engines of a class that is idempotent by key reject a start without its idempotency key.
@@ -413,13 +413,18 @@
         settings["categories"][1]["dedup-window"] = json!(6000.0);
     });
     let say = |more: &str| {
-        let fields = format!(
+        let headers = format!(
             "{}{KEY}X-Unique: 00ab12ffee34cd56\r\n{more}",
-            request_fields(&new_id(), 2900)
+            request_headers(&new_id(), 2900)
         );
-        call(engines.service.open(), "POST /v1/load", &fields, "INSERT 1")
-            .map(Answer::of)
-            .unwrap()
+        round_trip(
+            engines.service.open(),
+            "POST /v1/load",
+            &headers,
+            "INSERT 1",
+        )
+        .map(Answer::of)
+        .unwrap()
     };
     assert!(say("X-Size-Ms: 120\r\nX-Memory: 64\r\n").succeeded());
     assert_eq!(
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -39,7 +39,7 @@
             Engine::start(),
         );
         let at = second.address;
-        let service = Service::with_launcher(
+        let service = Service::start_with_launcher(
             |config| {
                 let servers = config["known"]["results"][0]["fleet"]["servers"]
                     .as_array_mut()
@@ -75,7 +75,10 @@
     }
 
     fn attempts_per_engine(&self) -> (usize, usize) {
-        (self.service.engine.calls("POST"), self.second.calls("POST"))
+        (
+            self.service.engine.requests("POST"),
+            self.second.requests("POST"),
+        )
     }
 }
 
@@ -171,9 +174,10 @@
 
     let key = format!(
         "{}X-Item: 7f3a9c21e0b4d655\r\n",
-        request_fields(&new_id(), 3000)
+        request_headers(&new_id(), 3000)
     );
-    let refused = Answer::of(call(service.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
+    let refused =
+        Answer::of(round_trip(service.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
     assert_eq!(refused.status, 503);
     assert_eq!(
         refused.json,
@@ -236,10 +240,10 @@
     );
 
     let (slow, id) = (service.open(), new_id());
-    send(
+    send_request(
         &slow,
         "POST /v1/load",
-        &request_fields(&id, 3000),
+        &request_headers(&id, 3000),
         "INSERT /* slow */",
     );
     wait_until("the start", || {
@@ -291,10 +295,10 @@
         });
         // A query that is active while the plan changes keeps the plan that it was admitted under.
         let (slow, reader) = (service.open(), service.open());
-        send(
+        send_request(
             &slow,
             "POST /v1/load",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             "INSERT /* slow */",
         );
         wait_until("the start", || gateway.attempts_per_engine().0 == 1);
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -29,7 +29,7 @@
 
 impl RestartableGateway {
     fn start() -> RestartableGateway {
-        RestartableGateway::start_with(Faults::none())
+        RestartableGateway::start_with(Faults::new())
     }
 
     fn start_with(faults: Faults) -> RestartableGateway {
@@ -81,7 +81,7 @@
         let health_response = || {
             TcpStream::connect(self.address)
                 .ok()
-                .and_then(|s| call(s, "GET /healthz", "", ""))
+                .and_then(|s| round_trip(s, "GET /healthz", "", ""))
         };
         wait_until("health", || {
             health_response().is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
@@ -97,10 +97,10 @@
 
     fn send_load(&self, id: &str, statement: &str) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        send(
+        send_request(
             &stream,
             "POST /v1/load",
-            &format!("{}{KEY}", request_fields(id, 7000)),
+            &format!("{}{KEY}", request_headers(id, 7000)),
             statement,
         );
         stream
@@ -185,10 +185,10 @@
             .iter()
             .map(|id| {
                 let stream = TcpStream::connect(gateway.address).unwrap();
-                send(
+                send_request(
                     &stream,
                     "POST /v1/load",
-                    &request_fields(id, 7000),
+                    &request_headers(id, 7000),
                     &format!("INSERT {id} /* runs 3 */"),
                 );
                 stream
@@ -201,10 +201,10 @@
         drop(streams);
         for id in &round_ids {
             let stream = TcpStream::connect(gateway.address).unwrap();
-            let answer = call(
+            let answer = round_trip(
                 stream,
                 "POST /v1/load",
-                &request_fields(id, 7000),
+                &request_headers(id, 7000),
                 &format!("INSERT {id} /* runs 3 */"),
             );
             let answer = Answer::of(answer.expect("an answer"));
@@ -260,10 +260,10 @@
     let stream = TcpStream::connect(gateway.address).unwrap();
     let id = new_id();
     Answer::of(
-        call(
+        round_trip(
             stream,
             "POST /v1/load",
-            &request_fields(&id, 3000),
+            &request_headers(&id, 3000),
             &format!("INSERT {id}"),
         )
         .expect("an answer"),
@@ -273,10 +273,10 @@
 fn report(gateway: &RestartableGateway) -> Answer {
     let stream = TcpStream::connect(gateway.address).unwrap();
     Answer::of(
-        call(
+        round_trip(
             stream,
             "POST /v1/report",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             "SELECT 1",
         )
         .expect("an answer"),
--- a/crates/gateway/tests/repeated_calls.rs
+++ b/crates/gateway/tests/repeated_calls.rs
@@ -21,10 +21,10 @@
 /// Sends a request and resets its connection once the answer has arrived and before it is read.
 fn lose_answer(service: &Service, id: &str, class: &str, statement: &str) {
     let stream = service.open();
-    send(
+    send_request(
         &stream,
         &format!("POST /v1/{class}"),
-        &request_fields(id, 3000),
+        &request_headers(id, 3000),
         statement,
     );
     stream
@@ -44,7 +44,7 @@
 fn repeated_request_gets_its_lost_answer_and_runs_once() {
     let service = Service::start();
     for class in ["report", "load"] {
-        let (id, before) = (new_id(), service.engine.calls("POST"));
+        let (id, before) = (new_id(), service.engine.requests("POST"));
         lose_answer(&service, &id, class, "SELECT 1");
         std::thread::sleep(ms(100));
         for _ in 0..MAX_REPEATS {
@@ -53,7 +53,7 @@
             assert_eq!(answer.json["data"], serde_json::json!(ROWS_AS_JSON));
         }
         assert_eq!(
-            service.engine.calls("POST") - before,
+            service.engine.requests("POST") - before,
             1,
             "{class}: one attempt"
         );
@@ -63,7 +63,7 @@
 #[test]
 fn repeated_request_gets_its_lost_failure_again() {
     let service = Service::start();
-    let (id, before) = (new_id(), service.engine.calls("POST"));
+    let (id, before) = (new_id(), service.engine.requests("POST"));
     lose_answer(&service, &id, "load", "INSERT /* error */");
     std::thread::sleep(ms(100));
     let answer = service.query_with_id(&id, "load", 3000, "INSERT /* error */");
@@ -72,7 +72,7 @@
         (500, &serde_json::json!("Failed"))
     );
     assert_eq!(
-        service.engine.calls("POST") - before,
+        service.engine.requests("POST") - before,
         1,
         "it may have run, and runs no second time"
     );
@@ -94,7 +94,7 @@
         service.query_with_id(&id, "load", 3000, "SELECT 1").status,
         409
     );
-    assert_eq!(service.engine.calls("POST"), 1);
+    assert_eq!(service.engine.requests("POST"), 1);
 }
 
 /// After its deadline only the id is remembered, so that the query never runs again.
@@ -102,10 +102,10 @@
 fn answer_is_cached_no_longer_than_its_deadline() {
     let service = Service::start();
     let id = new_id();
-    let answer = call(
+    let answer = round_trip(
         service.open(),
         "POST /v1/report",
-        &request_fields(&id, 400),
+        &request_headers(&id, 400),
         "SELECT 1",
     );
     assert!(Answer::of(answer.unwrap()).succeeded());
@@ -114,5 +114,5 @@
         service.query_with_id(&id, "report", 400, "SELECT 1").status,
         409
     );
-    assert_eq!(service.engine.calls("POST"), 1);
+    assert_eq!(service.engine.requests("POST"), 1);
 }
--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -65,24 +65,32 @@
     let healthy = || {
         let health_response = TcpStream::connect(service.address)
             .ok()
-            .and_then(|s| call(s, "GET /healthz", "", ""));
+            .and_then(|s| round_trip(s, "GET /healthz", "", ""));
         health_response.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
     };
     let (started, mut most_open) = (Instant::now(), 0);
     while !healthy() {
-        most_open = most_open.max(log.statistics.open());
-        let waited = log.statistics.first().unwrap_or(started).elapsed();
+        most_open = most_open.max(log.statistics.open_connections());
+        let waited = log
+            .statistics
+            .first_accepted_at()
+            .unwrap_or(started)
+            .elapsed();
         assert!(
             waited < PUBLICATION_LIMIT,
             "{name}: list not applied, {} connections",
-            log.statistics.connections()
+            log.statistics.accepted_connections()
         );
         sleep(ms(10));
     }
-    let after = log.statistics.first().expect("a connection").elapsed();
+    let after = log
+        .statistics
+        .first_accepted_at()
+        .expect("a connection")
+        .elapsed();
     println!(
         "{name}: {after:?}, {} connections",
-        log.statistics.connections()
+        log.statistics.accepted_connections()
     );
     assert!(
         after < PUBLICATION_LIMIT,
@@ -277,13 +285,13 @@
         publish_time.get_or_init(Instant::now);
         connection.wait_for_close();
     });
-    let service = Service::with(|config| {
+    let service = Service::start_with(|config| {
         config["changelog"] = json!(log.address.to_string());
         config["settings"]["allowed"]["may-probe"] = json!(false);
     });
     wait_until("both engines get attempts", || {
         service.query("report", "SELECT 1");
-        drained.calls("POST") > 0 && other.calls("POST") > 0
+        drained.requests("POST") > 0 && other.requests("POST") > 0
     });
     let published_at = loop {
         match published_at.get() {
@@ -295,12 +303,12 @@
         assert!(service.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
-    let before = drained.calls("POST");
+    let before = drained.requests("POST");
     while published_at.elapsed() < PUBLICATION_LIMIT + ms(5000) {
         assert!(service.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
-    let after = drained.calls("POST") - before;
+    let after = drained.requests("POST") - before;
     assert_eq!(
         after, 0,
         "attempts at the draining engine later than 7.05 s after publication"
--- a/crates/gateway/tests/slow_engines.rs
+++ b/crates/gateway/tests/slow_engines.rs
@@ -52,7 +52,7 @@
 fn query_over_slow_link(delay: u64) -> (Answer, Duration, usize) {
     let engine = Engine::start();
     let link = slow_link(engine.address, ms(delay));
-    let service = Service::with(|config| {
+    let service = Service::start_with(|config| {
         config["settings"]["allowed"]["may-probe"] = json!(false);
         config["settings"]["categories"][0]["give-up"] = json!(10_000.0);
         config["known"]["results"] =
@@ -60,7 +60,7 @@
     });
     let began = Instant::now();
     let answer = service.query_with_id(&new_id(), "report", 9000, "SELECT 1 /* pages */");
-    (answer, began.elapsed(), engine.calls("POST"))
+    (answer, began.elapsed(), engine.requests("POST"))
 }
 
 #[test]
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -68,9 +68,9 @@
                 "SELECT"
             };
             let statement = format!("{word} {id} /* runs {runs} */");
-            let (fields, length) = (request_fields(&id, deadline as u32), statement.len());
+            let (headers, length) = (request_headers(&id, deadline as u32), statement.len());
             let request = format!(
-                "POST /v1/{class} HTTP/1.1\r\nHost: g\r\n{fields}Content-Length: {length}\r\n\r\n{statement}"
+                "POST /v1/{class} HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {length}\r\n\r\n{statement}"
             );
             let sent = Instant::now();
             if (&stream).write_all(request.as_bytes()).is_err() {
@@ -80,7 +80,7 @@
             let took = sent.elapsed();
             let closes = answer
                 .as_ref()
-                .is_none_or(|a| a.fields.get("connection").is_some_and(|c| c == "close"));
+                .is_none_or(|a| a.headers.get("connection").is_some_and(|c| c == "close"));
             answered += usize::from(answer.is_some());
             if answer.is_none() && took > CROSSING_LIMIT {
                 violations
@@ -117,7 +117,7 @@
 fn run_seed(seed: u64) {
     let mut random = Random(seed);
     let deadline = random.one_of(&[100, 200, 500, 1000, 3000]);
-    let (engine, log, faults) = (EngineProcess::start(), ChangeLog::start(), Faults::none());
+    let (engine, log, faults) = (EngineProcess::start(), ChangeLog::start(), Faults::new());
     let mut settings_file = config(engine.address, log.address);
     for n in 0..2 {
         settings_file["settings"]["categories"][n]["give-up"] = json!(deadline as f64);
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -22,7 +22,7 @@
     assert_eq!((answer.status, &answer.json), (200, &json!({"data": rows})));
     assert!(service
         .engine
-        .calls
+        .requests
         .lock()
         .unwrap()
         .contains(&format!("POST /c {statement}")));
@@ -33,10 +33,10 @@
     // Several requests on one connection.
     let stream = service.open();
     for _ in 0..5 {
-        let answer = call(
+        let answer = round_trip(
             stream.try_clone().unwrap(),
             "POST /v1/report",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             "SELECT 1",
         );
         assert_eq!(
@@ -49,7 +49,7 @@
 #[test]
 fn invalid_request_gets_a_short_4xx_and_no_attempt() {
     let service = Service::start();
-    let good = request_fields(&new_id(), 3000);
+    let good = request_headers(&new_id(), 3000);
     let cases = [
         ("POST /v1/other", good.clone(), 400),
         ("POST /v2/report", good.clone(), 404),
@@ -61,13 +61,13 @@
         ),
         ("POST /v1/report", good.replace("X-Team: acme\r\n", ""), 400),
         ("POST /v1/report", format!("{good}{good}"), 400),
-        ("POST /v1/report", request_fields("123", 3000), 400),
+        ("POST /v1/report", request_headers("123", 3000), 400),
         (
             "POST /v1/report",
-            request_fields("9b1f03aa5c7e2dzz", 3000),
+            request_headers("9b1f03aa5c7e2dzz", 3000),
             400,
         ),
-        ("POST /v1/report", request_fields(&new_id(), 0), 400),
+        ("POST /v1/report", request_headers(&new_id(), 0), 400),
         ("POST /v1/report", good.replace("3000", "soon"), 400),
         ("POST /v1/report", good.replace("3000", "NaN"), 400),
         ("POST /v1/report", good.replace("3000", "3001"), 400),
@@ -89,18 +89,19 @@
             431,
         ),
     ];
-    for (start, fields, status) in cases {
-        let answer = Answer::of(call(service.open(), start, &fields, "SELECT 1").expect(start));
-        assert_eq!(answer.status, status, "{start} {fields:.200}");
+    for (start, headers, status) in cases {
+        let answer =
+            Answer::of(round_trip(service.open(), start, &headers, "SELECT 1").expect(start));
+        assert_eq!(answer.status, status, "{start} {headers:.200}");
         assert!(
             status == 431 || answer.json["error"].is_string(),
-            "{start} {fields:.200}"
+            "{start} {headers:.200}"
         );
     }
     assert_eq!(service.query("report", "").status, 400);
     // Also read by a client that is still sending.
     assert_eq!(service.query("report", &"x".repeat(3_000_000)).status, 413);
-    assert_eq!(service.engine.calls("POST"), 0);
+    assert_eq!(service.engine.requests("POST"), 0);
 }
 
 /// Each way in which an attempt can fail, and the query's answer then.
@@ -113,10 +114,10 @@
         "a rejected attempt never ran: {retried:?}"
     );
     for words in ["error", "lost page", "no count", "huge"] {
-        let before = service.engine.calls("POST");
+        let before = service.engine.requests("POST");
         let answer = service.query("load", &format!("INSERT /* {words} */"));
         assert_eq!(
-            (answer.status, service.engine.calls("POST") - before),
+            (answer.status, service.engine.requests("POST") - before),
             (500, 1),
             "non-idempotent, {words}: {answer:?}"
         );
@@ -127,7 +128,7 @@
         (503, &json!({"error": "Busy"}), Some(600))
     );
     assert_eq!(
-        service.engine.calls("POST /c SELECT 1 /* error */"),
+        service.engine.requests("POST /c SELECT 1 /* error */"),
         2,
         "two attempts are allowed"
     );
@@ -137,7 +138,7 @@
 fn attempt_is_polled_not_restarted_after_a_connection_reset() {
     let service = Service::start();
     assert!(service.query("load", "INSERT /* reset */").succeeded());
-    assert_eq!(service.engine.calls("POST"), 1);
+    assert_eq!(service.engine.requests("POST"), 1);
 }
 
 /// Corrupted responses: the engine repeats a result when polled, and is polled before the query is abandoned.
@@ -178,7 +179,11 @@
             );
         }
     }
-    assert_eq!(service.engine.calls("POST"), 28, "no query was sent twice");
+    assert_eq!(
+        service.engine.requests("POST"),
+        28,
+        "no query was sent twice"
+    );
 }
 
 /// Responses that are late or missing: lookups waited 0.75 s for them and missed their latency objective.
@@ -192,7 +197,7 @@
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(service.engine.calls("POST"), 1);
+    assert_eq!(service.engine.requests("POST"), 1);
 }
 
 /// Connection resets: an engine that had received a complete start ran it without polls while the key's next query was sent.
@@ -206,7 +211,10 @@
         500
     );
     wait_until("the DELETE", || {
-        (service.engine.calls("POST"), service.engine.calls("DELETE")) == (1, 1)
+        (
+            service.engine.requests("POST"),
+            service.engine.requests("DELETE"),
+        ) == (1, 1)
     });
     assert_eq!(
         service
@@ -218,13 +226,16 @@
         500
     );
     wait_until("the DELETE is retried", || {
-        (service.engine.calls("POST"), service.engine.calls("DELETE")) == (2, 3)
+        (
+            service.engine.requests("POST"),
+            service.engine.requests("DELETE"),
+        ) == (2, 3)
     });
 }
 
 #[test]
 fn refused_connection_proves_that_nothing_ran() {
-    let service = Service::with(|c| {
+    let service = Service::start_with(|c| {
         let dead = free_address().to_string();
         c["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(dead);
     });
@@ -247,7 +258,7 @@
         began.elapsed()
     );
     wait_until("the DELETE", || {
-        service.engine.calls(&format!("DELETE /c/{id}")) == 1
+        service.engine.requests(&format!("DELETE /c/{id}")) == 1
     });
 }
 
@@ -256,10 +267,10 @@
 fn attempt_cancelled_late_does_not_delay_the_answer() {
     let service = Service::start();
     let (stream, began) = (service.open(), Instant::now());
-    send(
+    send_request(
         &stream,
         "POST /v1/report",
-        &request_fields(&new_id(), 1000),
+        &request_headers(&new_id(), 1000),
         "SELECT 1 /* keeps delete */",
     );
     sleep(Duration::from_millis(800));
@@ -285,20 +296,20 @@
     for way in ["closes", "deletes"] {
         let id = new_id();
         let stream = service.open();
-        send(
+        send_request(
             &stream,
             "POST /v1/report",
-            &request_fields(&id, 3000),
+            &request_headers(&id, 3000),
             "SELECT 1 /* slow */",
         );
         wait_until("the start", || {
             service.engine.started.lock().unwrap().contains_key(&id)
         });
         if way == "deletes" {
-            let answer = call(
+            let answer = round_trip(
                 service.open(),
                 "DELETE /v1/report",
-                &request_fields(&id, 3000),
+                &request_headers(&id, 3000),
                 "",
             )
             .unwrap();
@@ -306,7 +317,7 @@
         }
         drop(stream);
         wait_until(way, || {
-            service.engine.calls(&format!("DELETE /c/{id}")) == 1
+            service.engine.requests(&format!("DELETE /c/{id}")) == 1
         });
     }
 }
@@ -317,10 +328,10 @@
     let id = new_id();
     let both = [(); 2].map(|()| {
         let stream = service.open();
-        send(
+        send_request(
             &stream,
             "POST /v1/load",
-            &request_fields(&id, 3000),
+            &request_headers(&id, 3000),
             "INSERT /* slow */",
         );
         stream
@@ -336,15 +347,15 @@
         service.query_with_id(&id, "load", 3000, "INSERT").status,
         409
     );
-    assert_eq!(service.engine.calls("POST"), 1);
+    assert_eq!(service.engine.requests("POST"), 1);
     // A disconnected client has 50 ms to reconnect; a slow machine may take longer, hence several rounds.
     let joined = (0..10).any(|_| {
         let id = new_id();
         let lost = service.open();
-        send(
+        send_request(
             &lost,
             "POST /v1/report",
-            &request_fields(&id, 3000),
+            &request_headers(&id, 3000),
             "SELECT 1 /* slow */",
         );
         wait_until("the start", || {
@@ -363,13 +374,13 @@
 fn active_id_with_another_request_is_refused_and_does_not_affect_the_query() {
     let service = Service::start();
     let (id, stream) = (new_id(), service.open());
-    send(
+    send_request(
         &stream,
         "POST /v1/report",
-        &request_fields(&id, 3000),
+        &request_headers(&id, 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || service.engine.calls("POST") == 1);
+    wait_until("the start", || service.engine.requests("POST") == 1);
     assert_eq!(
         service
             .query_with_id(&id, "report", 3000, "SELECT 2")
@@ -383,7 +394,7 @@
         409
     );
     assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
-    assert_eq!(service.engine.calls("POST"), 1);
+    assert_eq!(service.engine.requests("POST"), 1);
 }
 
 /// Keep-alive and silent connections held all slots, and new ones waited unread and out of order.
@@ -393,10 +404,10 @@
     let keep_alive: Vec<TcpStream> = (0..120)
         .map(|_| {
             let stream = service.open();
-            let answer = call(
+            let answer = round_trip(
                 stream.try_clone().unwrap(),
                 "POST /v1/report",
-                &request_fields(&new_id(), 3000),
+                &request_headers(&new_id(), 3000),
                 "SELECT 1",
             );
             assert!(Answer::of(answer.unwrap()).succeeded());
@@ -420,10 +431,10 @@
         began.elapsed()
     );
     let busy = service.open();
-    send(
+    send_request(
         &busy,
         "POST /v1/report",
-        &request_fields(&new_id(), 3000),
+        &request_headers(&new_id(), 3000),
         "SELECT 1 /* very slow */",
     );
     for mut stream in silent.into_iter().chain([partial_head, partial_body]) {
@@ -454,14 +465,14 @@
     let streams: Vec<TcpStream> = (0..3)
         .map(|n| {
             let stream = service.open();
-            let fields = format!(
+            let headers = format!(
                 "{}X-Item: 7f3a9c21e0b4d655\r\n",
-                request_fields(&new_id(), 2900)
+                request_headers(&new_id(), 2900)
             );
-            send(
+            send_request(
                 &stream,
                 "POST /v1/load",
-                &fields,
+                &headers,
                 &format!("INSERT {n} /* {} */", ["slow", "x"][n.min(1)]),
             );
             sleep(Duration::from_millis(60));
@@ -469,14 +480,14 @@
         })
         .collect();
     assert_eq!(
-        service.engine.calls("POST"),
+        service.engine.requests("POST"),
         1,
         "the others wait for the first"
     );
     for stream in streams {
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
-    let calls = service.engine.calls.lock().unwrap().join("\n");
+    let calls = service.engine.requests.lock().unwrap().join("\n");
     let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
     assert!(at(0) < at(1) && at(1) < at(2));
 }
@@ -506,12 +517,12 @@
             .starts_with(&[0, 0])
     });
     wait_until("the new engine", || {
-        service.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
+        service.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
     });
-    let before = service.engine.calls("POST");
+    let before = service.engine.requests("POST");
     assert!(service.query("report", "SELECT 1").succeeded());
     assert_eq!(
-        service.engine.calls("POST"),
+        service.engine.requests("POST"),
         before,
         "no attempt at a draining engine"
     );
@@ -525,12 +536,12 @@
         &[endpoint("s-3", service.engine.address, "SERVING")],
     ));
     wait_until("the full list", || {
-        service.query("report", "SELECT 1").succeeded() && service.engine.calls("POST") > before
+        service.query("report", "SELECT 1").succeeded() && service.engine.requests("POST") > before
     });
-    let requests_before = other.calls("POST");
+    let requests_before = other.requests("POST");
     assert!(service.query("report", "SELECT 1").succeeded());
     assert_eq!(
-        other.calls("POST"),
+        other.requests("POST"),
         requests_before,
         "an engine that a full list does not name is removed"
     );
@@ -555,7 +566,7 @@
     };
     wait_until("the port", || TcpStream::connect(address).is_ok());
     let health = || {
-        call(service.open(), "GET /healthz", "", "")
+        round_trip(service.open(), "GET /healthz", "", "")
             .unwrap()
             .start_line
     };
@@ -573,13 +584,13 @@
 fn sigterm_admits_new_queries_answers_all_and_exits() {
     let mut service = Service::start();
     let slow = service.open();
-    send(
+    send_request(
         &slow,
         "POST /v1/report",
-        &request_fields(&new_id(), 3000),
+        &request_headers(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || service.engine.calls("POST") == 1);
+    wait_until("the start", || service.engine.requests("POST") == 1);
     let began = Instant::now();
     service.signal("TERM");
     sleep(Duration::from_millis(300));
@@ -595,16 +606,17 @@
 /// SIGKILL may come 3.7 s after SIGTERM, however long queries may take.
 #[test]
 fn sigterm_leaves_no_query_unanswered_at_the_earliest_kill() {
-    let mut service =
-        Service::with(|config| config["settings"]["categories"][1]["give-up"] = json!(20_000.0));
+    let mut service = Service::start_with(|config| {
+        config["settings"]["categories"][1]["give-up"] = json!(20_000.0)
+    });
     let silent = service.open();
-    send(
+    send_request(
         &silent,
         "POST /v1/load",
-        &request_fields(&new_id(), 20_000),
+        &request_headers(&new_id(), 20_000),
         "INSERT /* silent */",
     );
-    wait_until("the start", || service.engine.calls("POST") == 1);
+    wait_until("the start", || service.engine.requests("POST") == 1);
     let began = Instant::now();
     service.signal("TERM");
     assert_eq!(
@@ -623,7 +635,7 @@
 #[test]
 fn sighup_follows_the_new_change_log_and_keeps_the_old_configuration_if_the_new_one_is_faulty() {
     let path = write_config(&Value::Null);
-    let mut service = Service::with_launcher(
+    let mut service = Service::start_with_launcher(
         |_| {},
         |config| {
             std::fs::write(&path, config.to_string()).unwrap();
@@ -635,10 +647,10 @@
         service.log.last_event_ids.lock().unwrap().as_slice() == [0]
     });
     let slow = service.open();
-    send(
+    send_request(
         &slow,
         "POST /v1/report",
-        &request_fields(&new_id(), 3000),
+        &request_headers(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
     std::fs::write(&path, "{").unwrap();
@@ -670,7 +682,7 @@
         &[endpoint("s-3", free_address(), "SERVING")],
     ));
     wait_until("the new engine", || {
-        service.query("report", "SELECT 1").succeeded() && other.calls("POST") > 0
+        service.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
     });
     assert!(
         Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded(),
@@ -696,13 +708,13 @@
 fn gateway_restarts_at_its_address_after_sigkill() {
     let mut service = Service::start();
     let open = service.open();
-    send(
+    send_request(
         &open,
         "POST /v1/report",
-        &request_fields(&new_id(), 3000),
+        &request_headers(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || service.engine.calls("POST") == 1);
+    wait_until("the start", || service.engine.requests("POST") == 1);
     service.signal("KILL");
     service.child.wait().unwrap();
     service.child = serve(&service.config);
@@ -724,14 +736,15 @@
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let service = Service::with_launcher(|config| config["limits"]["sockets"] = json!(64), limited);
+    let service =
+        Service::start_with_launcher(|config| config["limits"]["sockets"] = json!(64), limited);
     let streams: Vec<TcpStream> = (0..60)
         .map(|_| {
             let stream = service.open();
-            send(
+            send_request(
                 &stream,
                 "POST /v1/report",
-                &request_fields(&new_id(), 3000),
+                &request_headers(&new_id(), 3000),
                 "SELECT 1 /* slow */",
             );
             stream
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -57,7 +57,7 @@
             .map(|(n, e)| endpoint_in_zone(&format!("s-{n}"), n, e, "SERVING"))
             .collect();
         let log_text = Mutex::new(PathBuf::new());
-        let service = Service::with_launcher(
+        let service = Service::start_with_launcher(
             |config| {
                 config["known"]["results"][0] = list_event(0, true, &lines);
                 config["settings"]["zones"] = (0..ZONES).map(zone).collect();
@@ -178,10 +178,10 @@
     statement: &str,
 ) -> TcpStream {
     let stream = gateway.service.open();
-    send(
+    send_request(
         &stream,
         &format!("POST /v1/{class}"),
-        &format!("{}{more_fields}", request_fields(&new_id(), 3000)),
+        &format!("{}{more_fields}", request_headers(&new_id(), 3000)),
         statement,
     );
     stream
@@ -502,7 +502,7 @@
 /// Engines named by id may be in no subset; zones, kinds and unions of them have a minimum number of members.
 #[test]
 fn plan_with_a_subset_has_pools_of_zones_and_kinds() {
-    let service = Service::with(|config| {
+    let service = Service::start_with(|config| {
         config["subset"] = json!({"size": SUBSET_SIZE});
         config["settings"]["kinds"] = json!(["std", "large"]);
     });
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -87,7 +87,7 @@
         assert_eq!(call.start_line, "GET /changes HTTP/1.1");
         WatchConnection {
             stream,
-            last_event_id: call.fields["last-event-id"].parse().unwrap(),
+            last_event_id: call.headers["last-event-id"].parse().unwrap(),
             accepted_at,
         }
     }
@@ -140,7 +140,7 @@
 }
 
 fn service_watching(log: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
-    Service::with(|config| {
+    Service::start_with(|config| {
         config["changelog"] = json!(log.to_string());
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
@@ -158,8 +158,8 @@
 
 /// Whether the next query reaches this engine.
 fn next_query_reaches(service: &Service, engine: &Engine) -> bool {
-    let before = engine.calls("POST");
-    service.query("report", "SELECT 1").succeeded() && engine.calls("POST") > before
+    let before = engine.requests("POST");
+    service.query("report", "SELECT 1").succeeded() && engine.requests("POST") > before
 }
 
 fn wait_until_in_force(service: &Service, engine: &Engine) {
@@ -193,17 +193,17 @@
     let began = Instant::now();
     let send_query = |_| {
         let stream = service.open();
-        send(
+        send_request(
             &stream,
             "POST /v1/report",
-            &request_fields(&new_id(), 3000),
+            &request_headers(&new_id(), 3000),
             "SELECT 1 /* keeps delete */",
         );
         stream
     };
     let streams: Vec<TcpStream> = (0..SOCKETS / 3).map(send_query).collect();
     wait_until("all descriptors of engine connections are in use", || {
-        hanging.calls("POST") >= all
+        hanging.requests("POST") >= all
     });
     assert!(began.elapsed() < ms(1500), "the queries are still active");
     let log = ScriptedLog::at(address);
@@ -218,10 +218,10 @@
     for stream in streams {
         read_message(&mut BufReader::new(stream)).expect("an answer");
     }
-    let before = hanging.calls("POST");
+    let before = hanging.requests("POST");
     wait_until_in_force(&service, &other);
     assert_eq!(
-        hanging.calls("POST"),
+        hanging.requests("POST"),
         before,
         "no attempt at draining engines"
     );
@@ -246,7 +246,7 @@
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let service = Service::with_launcher(
+    let service = Service::start_with_launcher(
         |config| {
             config["changelog"] = json!(address.to_string());
             config["limits"]["sockets"] = json!(SOCKETS);
@@ -259,7 +259,7 @@
         let stream = service.open();
         // Half of them are idle after an answer, half send nothing.
         if n < SOCKETS {
-            send(&stream, "GET /healthz", "", "");
+            send_request(&stream, "GET /healthz", "", "");
             read_message(&mut BufReader::new(stream.try_clone().unwrap())).expect("an answer");
         }
         stream
@@ -479,7 +479,7 @@
     let log = ScriptedLog::start();
     let address = log.address;
     drop(log);
-    let _service = Service::with_launcher(
+    let _service = Service::start_with_launcher(
         |config| config["changelog"] = json!(address.to_string()),
         |config| {
             serve_from(
@@ -513,7 +513,7 @@
             std::fs::write(&path, config.to_string()).unwrap();
             serve_from(&path, Stdio::null())
         };
-        let service = Service::with_launcher(
+        let service = Service::start_with_launcher(
             |config| {
                 config["changelog"] = json!(log.to_string());
                 config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -627,7 +627,7 @@
     let newer = Engine::start();
     newest.send_event(&list_of_one(2, &newer));
     wait_until_in_force(&reloading.service, &newer);
-    assert_eq!(stale.calls("POST"), 0, "nothing of the old stream");
+    assert_eq!(stale.requests("POST"), 0, "nothing of the old stream");
 }
 
 #[test]
@@ -665,7 +665,7 @@
         new.accept_within(ms(100)).is_none() && !newest.is_closed(ms(100)),
         "and opens or closes no connection"
     );
-    assert_eq!(stale.calls("POST"), 0);
+    assert_eq!(stale.requests("POST"), 0);
 }
 
 /// A reload for another reason, such as a plan, opens no new connection to the log.
@@ -698,7 +698,7 @@
     ));
     watch.send_event(&list_of_one(2, &newer));
     wait_until_in_force(&service, &newer);
-    let before = older.calls("POST");
+    let before = older.requests("POST");
     // Late, repeated, and a full list with a lower number; then as the first events of another connection.
     let late = [
         list_event(1, false, &[endpoint("s-a", older.address, "SERVING")]),
@@ -725,7 +725,7 @@
         );
     }
     assert_eq!(
-        older.calls("POST"),
+        older.requests("POST"),
         before,
         "no attempt at an engine that the newest list does not name"
     );
@@ -773,7 +773,7 @@
     let watch = log.accept_and_answer();
     assert_eq!(watch.last_event_id, 1);
     let health = || {
-        call(service.open(), "GET /healthz", "", "")
+        round_trip(service.open(), "GET /healthz", "", "")
             .unwrap()
             .start_line
     };
@@ -818,7 +818,7 @@
     let healthy = || {
         let asked = TcpStream::connect(service.address)
             .ok()
-            .and_then(|s| call(s, "GET /healthz", "", ""));
+            .and_then(|s| round_trip(s, "GET /healthz", "", ""));
         asked.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
     };
     while !healthy() {
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -66,9 +66,9 @@
 }
 
 /// A short answer of a gateway.
-fn short_answer(status: &str, fields: &str, body: &str) -> String {
+fn short_answer(status: &str, headers: &str, body: &str) -> String {
     format!(
-        "HTTP/1.1 {status}\r\ncontent-type: application/json\r\n{fields}content-length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status}\r\ncontent-type: application/json\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
@@ -138,7 +138,7 @@
     for (call, expected) in cases {
         assert_eq!(answer_to(s.address, &call), expected, "{call:.300}");
     }
-    assert_eq!(s.engine.calls("POST"), 0);
+    assert_eq!(s.engine.requests("POST"), 0);
 }
 
 #[test]
@@ -241,7 +241,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     let plan = folder.join("a.plan");
     std::fs::write(&plan, text).unwrap();
-    let service = Service::with_launcher(
+    let service = Service::start_with_launcher(
         |_| {},
         |config| {
             let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
@@ -297,7 +297,7 @@
     (&slow)
         .write_all(post(&id, "load", "", "INSERT /* slow */").as_bytes())
         .unwrap();
-    wait_until("the start", || s.engine.calls("POST") == 3);
+    wait_until("the start", || s.engine.requests("POST") == 3);
     assert_eq!(
         answer_to(s.address, &post(&new_id(), "load", "", "INSERT")),
         short_answer(
@@ -340,14 +340,14 @@
 #[derive(Clone)]
 struct Recorder {
     address: SocketAddr,
-    calls: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Recorder {
     fn start(answer: impl Fn(&str) -> Option<String> + Send + Sync + 'static) -> Recorder {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, calls) = (listener.local_addr().unwrap(), Arc::default());
-        let recorder = Recorder { address, calls };
+        let (address, requests) = (listener.local_addr().unwrap(), Arc::default());
+        let recorder = Recorder { address, requests };
         let (shared, answer) = (recorder.clone(), Arc::new(answer));
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -355,7 +355,7 @@
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(call) = raw_message(&mut reader) {
-                        recorder.calls.lock().unwrap().push(call.clone());
+                        recorder.requests.lock().unwrap().push(call.clone());
                         let Some(answer) = answer(&call) else { return };
                         if (&stream).write_all(answer.as_bytes()).is_err() {
                             return;
@@ -370,7 +370,7 @@
     /// Waits for the first request with this prefix.
     fn wait_for_first(&self, start: &str) -> String {
         let found = || {
-            let calls = self.calls.lock().unwrap();
+            let calls = self.requests.lock().unwrap();
             calls.iter().find(|call| call.starts_with(start)).cloned()
         };
         wait_until(start, || found().is_some());
@@ -378,7 +378,7 @@
     }
 
     fn count(&self, start: &str) -> usize {
-        let calls = self.calls.lock().unwrap();
+        let calls = self.requests.lock().unwrap();
         calls.iter().filter(|call| call.starts_with(start)).count()
     }
 }
@@ -389,7 +389,11 @@
     script: impl Fn(&str) -> String + Send + Sync + 'static,
 ) -> Recorder {
     Recorder::start(move |call| match call.starts_with("GET /stats ") {
-        true => Some(http("200 OK", &format!("X-Stats: {stats}\r\n"), "")),
+        true => Some(http_response(
+            "200 OK",
+            &format!("X-Stats: {stats}\r\n"),
+            "",
+        )),
         false => Some(script(call)),
     })
 }
@@ -397,7 +401,7 @@
 /// A gateway with these engines and a query class of each idempotency.
 fn gateway_with_engines(engines: &[&Recorder]) -> Service {
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
-    Service::with(|config| {
+    Service::start_with(|config| {
         let lines: Vec<_> = addresses
             .iter()
             .enumerate()
@@ -429,15 +433,15 @@
         match method {
             "POST" => {
                 sleep(Duration::from_millis(100));
-                http("202 Not yet", "", "")
+                http_response("202 Not yet", "", "")
             }
-            "DELETE" => http("204 No Content", "", ""),
+            "DELETE" => http_response("204 No Content", "", ""),
             _ if first_poll && call.contains("9b1f03aa5c7e2d02") => {
                 sleep(Duration::from_millis(250));
-                http("202 Not yet", "", "")
+                http_response("202 Not yet", "", "")
             }
-            _ if first_poll => http("200 OK", "Result-Pages: 2\r\n", "a\tb\tc\n"),
-            _ => http("200 OK", "Result-Page: 1\r\n", "d\te\tf\n"),
+            _ if first_poll => http_response("200 OK", "Result-Pages: 2\r\n", "a\tb\tc\n"),
+            _ => http_response("200 OK", "Result-Page: 1\r\n", "d\te\tf\n"),
         }
     });
     let s = gateway_with_engines(&[&engine]);
@@ -475,7 +479,7 @@
         format!("{delete}{host}\r\n")
     );
     let start = engine
-        .calls
+        .requests
         .lock()
         .unwrap()
         .iter()
@@ -492,8 +496,8 @@
 
 #[test]
 fn health_check_of_an_engine() {
-    let newcomer = scripted_engine("queue:0;util:0.1", |_| http("500 Oops", "", ""));
-    let s = Service::with(|config| {
+    let newcomer = scripted_engine("queue:0;util:0.1", |_| http_response("500 Oops", "", ""));
+    let s = Service::start_with(|config| {
         config["subset"] = json!({"size": 4, "class_floor": 0, "reserve": 0});
     });
     // An engine is checked before it joins a subset.
@@ -512,12 +516,12 @@
     let engine = scripted_engine("queue:0;util:0.1", |call| {
         let (_, statement) = call.split_once("\r\n\r\n").unwrap();
         match (call.split(' ').next().unwrap(), statement) {
-            ("DELETE", _) => http("204 No Content", "", ""),
-            ("POST", "full") => http("503 Full", "X-Declined: 1\r\n", ""),
-            ("POST", "late") => http("504 Late", "X-Declined: 1\r\n", ""),
-            ("POST", "failed") => http("500 Oops", "", ""),
-            ("POST", "done") => http("200 OK", "Result-Pages: 1\r\n", "a\tb\tc\n"),
-            _ => http("500 Oops", "", ""),
+            ("DELETE", _) => http_response("204 No Content", "", ""),
+            ("POST", "full") => http_response("503 Full", "X-Declined: 1\r\n", ""),
+            ("POST", "late") => http_response("504 Late", "X-Declined: 1\r\n", ""),
+            ("POST", "failed") => http_response("500 Oops", "", ""),
+            ("POST", "done") => http_response("200 OK", "Result-Pages: 1\r\n", "a\tb\tc\n"),
+            _ => http_response("500 Oops", "", ""),
         }
     });
     let s = gateway_with_engines(&[&engine]);
@@ -548,10 +552,10 @@
 fn load_reports_of_engines() {
     let with = |stats: &'static str| {
         Recorder::start(move |call| match call.starts_with("DELETE") {
-            true => Some(http("204 No Content", "", "")),
+            true => Some(http_response("204 No Content", "", "")),
             false => {
-                let fields = format!("Result-Pages: 1\r\nX-Stats: {stats}\r\n");
-                Some(http("200 OK", &fields, "a\tb\tc\n"))
+                let headers = format!("Result-Pages: 1\r\nX-Stats: {stats}\r\n");
+                Some(http_response("200 OK", &headers, "a\tb\tc\n"))
             }
         })
     };
@@ -560,7 +564,7 @@
         endpoint("s-1", full.address, "SERVING"),
         endpoint("s-2", idle.address, "SERVING"),
     ];
-    let s = Service::with(|config| {
+    let s = Service::start_with(|config| {
         config["known"]["results"] = json!([list_event(0, true, &lines)]);
         config["settings"]["telemetry"]["how"] = json!("inline");
     });
@@ -578,7 +582,7 @@
 fn request_to_the_change_log() {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     let log = Recorder::start(move |_| Some(format!("{head}id: 8\ndata: {{\"seq\":8}}\n\n")));
-    let s = Service::with(|config| config["changelog"] = json!(log.address.to_string()));
+    let s = Service::start_with(|config| config["changelog"] = json!(log.address.to_string()));
     let host = format!("host: {}\r\n", log.address);
     assert_eq!(
         log.wait_for_first("GET"),
@@ -741,7 +745,7 @@
         folder.to_str().unwrap()
     );
     std::fs::write(&plan, text).unwrap();
-    let s = Service::with_launcher(
+    let s = Service::start_with_launcher(
         |_| {},
         |config| {
             let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
@@ -754,7 +758,7 @@
         let answer = answer_to(s.address, &post(id, "load", "", "INSERT 1"));
         assert_eq!(answer, failed, "{id}");
     }
-    assert_eq!(s.engine.calls("POST"), 0);
+    assert_eq!(s.engine.requests("POST"), 0);
     // The interrupted record was never written completely: its query was not sent.
     assert!(s
         .query_with_id("9b1f03aa5c7e2d04", "load", 2500, "INSERT 1")
