--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -4,6 +4,7 @@
 //! holds the lifecycle of one attempt, `protocol` all names on the wire and time limits.
 
 mod attempt;
+mod client_presence;
 mod connect;
 mod health_check;
 mod messages;
@@ -15,6 +16,7 @@
 mod tests;
 
 pub use crate::discovery::Target;
+pub use client_presence::ClientPresence;
 pub use messages::{
     AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery, Statement,
 };
--- a/crates/gateway/src/engines/messages.rs
+++ b/crates/gateway/src/engines/messages.rs
@@ -1,6 +1,6 @@
 //! What is sent to an engine and what comes back, as plain values.
 
-use crate::scheduling::client_presence::ClientPresence;
+use super::client_presence::ClientPresence;
 use bytes::Bytes;
 use garnetwall::api::{AttemptEnd, LoadReport, Progress};
 use garnetwall_bodies::Body;
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,6 +1,5 @@
 use super::*;
 use crate::discovery::{EngineEntry, Event};
-use crate::scheduling::client_presence::ClientPresence;
 use crate::system::clock::Clock;
 use bytes::Bytes;
 use garnetwall::api::EndpointState;
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -3,8 +3,9 @@
 mod attempt_in_flight;
 
 use crate::engines::result_rows;
-use crate::engines::{AttemptResult, AttemptStart, Engines, ForwardedQuery, Statement};
-use crate::scheduling::client_presence::ClientPresence;
+use crate::engines::{
+    AttemptResult, AttemptStart, ClientPresence, Engines, ForwardedQuery, Statement,
+};
 use crate::scheduling::log_millis;
 use crate::scheduling::scheduler::{Command, QueryAnswer, Scheduler};
 use crate::storage::query_journal::QueryJournal;
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -1,7 +1,7 @@
 //! The values that go into the scheduler and come out of it.
 
 use super::Waiter;
-use crate::scheduling::client_presence::ClientPresence;
+use crate::engines::ClientPresence;
 use crate::scheduling::plan_routing::PlanDenial;
 use bytes::Bytes;
 use garnetwall::api::{EngineId, FinalAnswer, QueryId};
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -2,8 +2,7 @@
 
 use super::answer_cache::Fingerprint;
 use super::{Command, QueryAnswer};
-use crate::engines::ForwardedQuery;
-use crate::scheduling::client_presence::ClientPresence;
+use crate::engines::{ClientPresence, ForwardedQuery};
 use crate::scheduling::plan_routing::PlanAdmission;
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedSender;
