--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::discovery::{EngineEntry, Event};
 use crate::system::clock::Clock;
+use crate::system::resource_budget::ResourceLimits;
 use bytes::Bytes;
 use garnetwall::api::EndpointState;
 use http::HeaderValue;
@@ -31,7 +32,11 @@
 impl SilentEngine {
     async fn start() -> SilentEngine {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let budget = ResourceBudget::of(64, 64);
+        let budget = ResourceBudget::of(ResourceLimits {
+            descriptors: 64,
+            memory_mb: 64,
+            max_result_bytes: result_rows::MAX_RESULT_BYTES,
+        });
         let list = Arc::new(EngineList::new(
             endpoint_retention(5.0),
             Clock::start(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -6,7 +6,7 @@
 
 use crate::configuration::Config;
 use crate::discovery::EngineList;
-use crate::engines::{self, Engines};
+use crate::engines::{self, result_rows, Engines};
 use crate::http::client_connections::ClientConnections;
 use crate::http::send_time::SendTimeEstimator;
 use crate::http::{self, ServerState};
@@ -17,7 +17,7 @@
 use crate::storage::query_journal::QueryJournal;
 use crate::system::clock::Clock;
 use crate::system::os_error::retry;
-use crate::system::resource_budget::ResourceBudget;
+use crate::system::resource_budget::{ResourceBudget, ResourceLimits};
 use garnetwall::api::{EngineId, QueryClass, Settings};
 use garnetwall::controller::AdmissionController;
 use garnetwall_bodies::Store;
@@ -61,7 +61,11 @@
     /// A gateway that has not been started.
     pub fn new(config: Config) -> Self {
         let clock = Clock::start();
-        let budget = ResourceBudget::of(config.sockets, config.memory_mb);
+        let budget = ResourceBudget::of(ResourceLimits {
+            descriptors: config.sockets,
+            memory_mb: config.memory_mb,
+            max_result_bytes: result_rows::MAX_RESULT_BYTES,
+        });
         let classes = query_classes(&config);
         let longest_deadline_seconds = longest_deadline_seconds(&config);
         let settings = admission_settings(&config, &classes, &budget);
--- a/crates/gateway/src/system/resource_budget.rs
+++ b/crates/gateway/src/system/resource_budget.rs
@@ -1,6 +1,5 @@
 //! Splits the limits on descriptors and memory into the parts that may be in use at once.
 
-use crate::engines::result_rows;
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
@@ -23,8 +22,21 @@
 /// One in this many bytes of memory is for the answers that clients may ask for again.
 const ANSWER_CACHE_MEMORY_DIVISOR: usize = 64;
 
-/// A result takes its pages, and the answer made of them.
-const BYTES_PER_RESULT: usize = 2 * result_rows::MAX_RESULT_BYTES;
+/// A result is in memory twice: as its pages, and as the answer made of them.
+const COPIES_PER_RESULT: usize = 2;
+
+const BYTES_PER_MB: usize = 1 << 20;
+
+/// The limits that a gateway runs within.
+#[derive(Clone, Copy, Debug)]
+pub struct ResourceLimits {
+    /// File descriptors.
+    pub descriptors: usize,
+    /// Memory, in MiB.
+    pub memory_mb: usize,
+    /// Protocol: the largest result of a query, in bytes.
+    pub max_result_bytes: usize,
+}
 
 /// The parts of the limits that may be in use at once.
 #[derive(Clone, Debug)]
@@ -42,18 +54,22 @@
 }
 
 impl ResourceBudget {
-    /// Splits a limit on descriptors and one on memory, in MiB. Clients have their part and a surplus for
-    /// connections that are closing: the system accepts connections whether or not the gateway does, and each is owed an
-    /// answer. Engines have what remains.
-    pub fn of(descriptor_limit: usize, memory_mb: usize) -> Self {
-        let memory_bytes = memory_mb << 20;
-        let open_clients = descriptor_limit / CLIENT_DIVISOR;
-        let closing_clients = descriptor_limit / CLOSING_CLIENT_DIVISOR + 1;
+    /// Splits the limits. Clients have their part of the descriptors and a surplus for connections that are closing: the
+    /// system accepts connections whether or not the gateway does, and each is owed an answer. Engines have what remains.
+    pub fn of(limits: ResourceLimits) -> Self {
+        let ResourceLimits {
+            descriptors,
+            memory_mb,
+            max_result_bytes,
+        } = limits;
+        let memory_bytes = memory_mb * BYTES_PER_MB;
+        let open_clients = descriptors / CLIENT_DIVISOR;
+        let closing_clients = descriptors / CLOSING_CLIENT_DIVISOR + 1;
         let clients = open_clients + closing_clients;
-        let engines = descriptor_limit
+        let engines = descriptors
             .saturating_sub(clients + RESERVED_DESCRIPTORS)
             .max(1);
-        let results = memory_bytes / RESULT_MEMORY_DIVISOR / BYTES_PER_RESULT;
+        let results = memory_bytes / RESULT_MEMORY_DIVISOR / (COPIES_PER_RESULT * max_result_bytes);
         let statement_bytes = memory_bytes / STATEMENT_MEMORY_DIVISOR;
         ResourceBudget {
             client_connections: Arc::new(Semaphore::new(clients)),
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -3,7 +3,8 @@
 
 mod helper;
 
-use garnetwall_gateway::system::resource_budget::ResourceBudget;
+use garnetwall_gateway::engines::result_rows::MAX_RESULT_BYTES;
+use garnetwall_gateway::system::resource_budget::{ResourceBudget, ResourceLimits};
 use helper::process::ms;
 use helper::*;
 use serde_json::{json, Value};
@@ -187,7 +188,12 @@
     let first = log.accept_and_answer();
     let address = log.address;
     drop((log, first));
-    let all = ResourceBudget::of(SOCKETS, 192)
+    let limits = ResourceLimits {
+        descriptors: SOCKETS,
+        memory_mb: 192,
+        max_result_bytes: MAX_RESULT_BYTES,
+    };
+    let all = ResourceBudget::of(limits)
         .engine_connections
         .available_permits();
     let began = Instant::now();
