--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -5,10 +5,12 @@
 use super::responses::answer_response;
 use super::submission_error::SubmissionError;
 use super::ServerState;
+use crate::engines::ForwardedQuery;
 use crate::http::client_stream::StreamHandle;
 use crate::scheduling::query_task::QueryTask;
-use crate::scheduling::scheduler::{Admission, QueryAnswer, Waiter};
+use crate::scheduling::scheduler::{Admission, OpenedQuery, QueryAnswer, Waiter};
 use axum::response::Response;
+use std::sync::Arc;
 use tokio::sync::OwnedSemaphorePermit;
 
 /// A query that gets an answer.
@@ -49,25 +51,8 @@
         forwarded_query,
     } = query.sent_at(sent_at);
     match state.scheduler.admit(arriving, forwarded_query.clone()) {
-        Admission::New {
-            query_id,
-            commands,
-            waiter,
-            journal_entry,
-            client_presence,
-        } => {
-            let task = QueryTask {
-                scheduler: state.scheduler.clone(),
-                engines: state.engines.clone(),
-                query_id,
-                forwarded_query,
-                commands,
-                journal: state.journal.clone(),
-                journal_entry,
-                client_presence,
-                _memory: statement_memory,
-            };
-            tokio::spawn(task.run());
+        Admission::New(opened) => {
+            let waiter = spawn_query_task(state, opened, forwarded_query, statement_memory);
             Ok(AdmittedQuery::Open(waiter))
         }
         Admission::Joined(waiter) => Ok(AdmittedQuery::Open(waiter)),
@@ -81,6 +66,28 @@
     }
 }
 
+/// Starts the task of a new query, and returns its first waiter.
+fn spawn_query_task(
+    state: &ServerState,
+    opened: OpenedQuery,
+    forwarded_query: Arc<ForwardedQuery>,
+    statement_memory: OwnedSemaphorePermit,
+) -> Waiter {
+    let task = QueryTask {
+        scheduler: state.scheduler.clone(),
+        engines: state.engines.clone(),
+        query_id: opened.query_id,
+        forwarded_query,
+        commands: opened.commands,
+        journal: state.journal.clone(),
+        journal_entry: opened.journal_entry,
+        client_presence: opened.client_presence,
+        _memory: statement_memory,
+    };
+    tokio::spawn(task.run());
+    opened.waiter
+}
+
 /// Nothing is sent for a client that closed its connection while its request was still to be parsed or admitted.
 fn check_client_connected(stream: &StreamHandle, query_key: u64) -> Result<(), SubmissionError> {
     if !stream.is_closed_by_client() {
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -31,7 +31,9 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep_until, Instant};
 
-pub use messages::{Admission, ArrivingQuery, CancelOutcome, Command, PlanUpdate, QueryAnswer};
+pub use messages::{
+    Admission, ArrivingQuery, CancelOutcome, Command, OpenedQuery, PlanUpdate, QueryAnswer,
+};
 pub use waiter::Waiter;
 
 /// The admission controller with its timer and the open queries. Times are seconds on the gateway's [`Clock`].
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -4,7 +4,7 @@
 use super::open_query::OpenQuery;
 use super::query_index::KeyState;
 use super::state::SchedulerState;
-use super::{Admission, ArrivingQuery, Command, Scheduler, Waiter};
+use super::{Admission, ArrivingQuery, Command, OpenedQuery, Scheduler, Waiter};
 use crate::engines::{ClientPresence, ForwardedQuery, Statement};
 use crate::scheduling::log_millis;
 use crate::scheduling::plan_routing::{PlanAdmission, PlanDenial};
@@ -164,13 +164,13 @@
             query_id: id,
             answer,
         };
-        Admission::New {
+        Admission::New(OpenedQuery {
             query_id: id,
             commands,
             waiter,
             journal_entry,
             client_presence,
-        }
+        })
     }
 
     /// A new query as the admission controller takes it. It has until its deadline, or until the gateway shuts down.
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -118,21 +118,24 @@
     NotOpen,
 }
 
+/// A query that has just been opened, for the task that carries it out.
+pub struct OpenedQuery {
+    /// Its number.
+    pub query_id: QueryId,
+    /// The commands that its task carries out.
+    pub commands: UnboundedReceiver<Command>,
+    /// Its first waiter.
+    pub waiter: Waiter,
+    /// The record to be written before it is sent, where it is non-idempotent.
+    pub journal_entry: Option<StartedQuery>,
+    /// Whether a client waits for it.
+    pub client_presence: ClientPresence,
+}
+
 /// What became of an arriving query.
 pub enum Admission {
     /// It is opened.
-    New {
-        /// Its number.
-        query_id: QueryId,
-        /// The commands that its task carries out.
-        commands: UnboundedReceiver<Command>,
-        /// Its first waiter.
-        waiter: Waiter,
-        /// The record to be written before it is sent, where it is non-idempotent.
-        journal_entry: Option<StartedQuery>,
-        /// Whether a client waits for it.
-        client_presence: ClientPresence,
-    },
+    New(OpenedQuery),
     /// The same call is open already, and has one more waiter.
     Joined(Waiter),
     /// Another call has this key.
