--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -61,11 +61,7 @@
     /// A gateway that has not been started.
     pub fn new(config: Config) -> Self {
         let clock = Clock::start();
-        let budget = ResourceBudget::of(ResourceLimits {
-            descriptors: config.sockets,
-            memory_mb: config.memory_mb,
-            max_result_bytes: result_rows::MAX_RESULT_BYTES,
-        });
+        let budget = resource_budget(&config);
         let classes = query_classes(&config);
         let longest_deadline_seconds = longest_deadline_seconds(&config);
         let settings = admission_settings(&config, &classes, &budget);
@@ -125,7 +121,7 @@
             listener,
         } = resources;
         self.start_background_tasks(reloads);
-        let router = http::router(Arc::new(self.http_front(journal, store.clone())));
+        let router = http::router(Arc::new(self.server_state(journal, store.clone())));
         let clients = ClientConnections::new(self.budget.client_connections.clone());
         let (shut_idle, idle_shut) = watch::channel(false);
         let (stop_accepting, accepting_stops) = watch::channel(false);
@@ -208,7 +204,7 @@
         body_store::body_store(bodies, names, &self.config.name).map(Some)
     }
 
-    fn http_front(&self, journal: Arc<QueryJournal>, store: Option<Arc<Store>>) -> ServerState {
+    fn server_state(&self, journal: Arc<QueryJournal>, store: Option<Arc<Store>>) -> ServerState {
         ServerState {
             scheduler: self.scheduler.clone(),
             engines: self.engines.clone(),
@@ -284,6 +280,15 @@
     }
 }
 
+/// The parts of the configured limits that may be in use at once.
+fn resource_budget(config: &Config) -> ResourceBudget {
+    ResourceBudget::of(ResourceLimits {
+        descriptors: config.sockets,
+        memory_mb: config.memory_mb,
+        max_result_bytes: result_rows::MAX_RESULT_BYTES,
+    })
+}
+
 /// The longest deadline that the settings give to any query class.
 fn longest_deadline_seconds(config: &Config) -> f64 {
     let classes = &config.decoded.settings.classes;
