--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -42,17 +42,16 @@
         }
     }
 
-    /// Notes that hyper has taken `byte_count` bytes, or the end of the body.
-    fn record_frame(&mut self, byte_count: usize, is_end: bool) {
+    /// Records that hyper has taken `byte_count` bytes.
+    fn record_taken(&mut self, byte_count: usize) {
         self.remaining_bytes = self
             .remaining_bytes
             .map(|remaining| remaining.saturating_sub(byte_count as u64));
-        if !is_end && self.remaining_bytes != Some(0) && !self.source.is_end_stream() {
-            return;
-        }
-        if let Some(gate) = &self.gate {
-            gate.body_consumed();
-        }
+    }
+
+    /// Whether hyper has taken the last byte, even if it has not asked for the end yet.
+    fn is_consumed(&self) -> bool {
+        self.remaining_bytes == Some(0) || self.source.is_end_stream()
     }
 }
 
@@ -70,7 +69,12 @@
             _ => None,
         };
         let byte_count = data.map_or(0, Bytes::len);
-        self.record_frame(byte_count, frame.is_none());
+        self.record_taken(byte_count);
+        if frame.is_none() || self.is_consumed() {
+            if let Some(gate) = &self.gate {
+                gate.body_consumed();
+            }
+        }
         Poll::Ready(frame)
     }
 
