--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -144,12 +144,9 @@
         }
     }
 
-    /// When another is to be opened beside it, unless it delivers something first.
-    fn overdue_at(&self, is_only_one: bool) -> Duration {
-        let field_timeout = match is_only_one {
-            true => LONE_FIELD_TIMEOUT,
-            false => MAX_FIELD_DURATION,
-        };
+    /// When another is to be opened beside it, unless it delivers something first; its field may be unfinished for
+    /// `field_timeout`.
+    fn overdue_at(&self, field_timeout: Duration) -> Duration {
         let silent_at = self.last_progress_at + self.silence_timeout();
         silent_at.min(self.last_field_at + field_timeout)
     }
@@ -294,11 +291,14 @@
 
     /// When the next connection is due: after the backoff, and not while an open one makes progress.
     fn open_at(&self) -> Duration {
-        let is_only_one = self.open.len() == 1;
+        let field_timeout = match self.open.len() {
+            1 => LONE_FIELD_TIMEOUT,
+            _ => MAX_FIELD_DURATION,
+        };
         let overdue = self
             .open
             .iter()
-            .map(|connection| connection.overdue_at(is_only_one))
+            .map(|connection| connection.overdue_at(field_timeout))
             .max();
         let Some(all_overdue_at) = overdue else {
             return self.not_before;
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -25,11 +25,18 @@
     /// How long a removed engine keeps its index.
     retention: Duration,
     /// Removed engines that keep their index, by the time of their removal.
-    removed: BTreeSet<(Instant, EngineId)>,
+    removed: BTreeSet<Removal>,
     /// Indices whose engines were removed longer ago than the retention time.
     free_indices: BTreeSet<EngineId>,
 }
 
+/// The removal of an engine; ordered by time.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Removal {
+    removed_at: Instant,
+    engine: EngineId,
+}
+
 /// An engine that any query may know.
 struct KnownEngine {
     entry: EngineEntry,
@@ -229,7 +236,7 @@
 
     /// Frees the indices of engines that were removed longer ago than the retention time.
     fn free_expired_indices(&mut self, now: Instant) {
-        while let Some((removed_at, engine)) = self.removed.first().copied() {
+        while let Some(Removal { removed_at, engine }) = self.removed.first().copied() {
             if now - removed_at <= self.retention {
                 return;
             }
@@ -255,11 +262,11 @@
             return;
         }
         if let Some(removed_at) = before {
-            self.removed.remove(&(removed_at, engine));
+            self.removed.remove(&Removal { removed_at, engine });
             self.free_indices.remove(&engine);
         }
         if let Some(removed_at) = known.removed_at {
-            self.removed.insert((removed_at, engine));
+            self.removed.insert(Removal { removed_at, engine });
         }
     }
 }
