--- a/crates/gateway/src/engines/client_presence.rs
+++ b/crates/gateway/src/engines/client_presence.rs
@@ -18,9 +18,14 @@
 }
 
 impl ClientPresence {
-    /// Sets whether a client waits.
-    pub fn set_waiting(&self, is_waiting: bool) {
-        self.is_waiting.store(is_waiting, Ordering::Relaxed);
+    /// A client waits from now on.
+    pub fn client_joined(&self) {
+        self.is_waiting.store(true, Ordering::Relaxed);
+    }
+
+    /// No client waits any more.
+    pub fn last_client_left(&self) {
+        self.is_waiting.store(false, Ordering::Relaxed);
     }
 
     /// Whether a client waits.
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -47,6 +47,6 @@
     pub(super) fn add_waiter(&mut self) {
         self.waiters += 1;
         self.waiters_ever += 1;
-        self.client_presence.set_waiting(true);
+        self.client_presence.client_joined();
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -57,7 +57,7 @@
             if query.waiters > 0 || query.is_finished() {
                 return None;
             }
-            query.client_presence.set_waiting(false);
+            query.client_presence.last_client_left();
             let waiters_ever = query.waiters_ever;
             state.controller.set_client_waiting(now, id, false);
             Some(waiters_ever)
