--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -44,9 +44,6 @@
     /// `fmt --check` found a file in another form.
     #[error("{file} is not in its one form; `garnetwall plan fmt {file}` writes it so\n")]
     NotFormatted { file: String },
-    /// `diff` found changes, which it has printed.
-    #[error("")]
-    Different,
 }
 
 /// What is wrong with the command line.
@@ -80,8 +77,30 @@
     }
 }
 
-/// What a command prints when it succeeds.
-type Printed = Result<String, PlanCommandError>;
+/// What a command prints on standard output, and the exit code that it ends with.
+struct Output {
+    text: String,
+    exit_code: ExitCode,
+}
+
+impl Output {
+    fn success(text: String) -> Self {
+        Output {
+            text,
+            exit_code: ExitCode::SUCCESS,
+        }
+    }
+
+    /// Text that shows a difference.
+    fn difference(text: String) -> Self {
+        Output {
+            text,
+            exit_code: ExitCode::from(1),
+        }
+    }
+}
+
+type CommandResult = Result<Output, PlanCommandError>;
 
 /// Whether the first argument is `plan`; then it is removed.
 pub fn is_plan_command(arguments: &mut Arguments) -> bool {
@@ -92,9 +111,9 @@
 /// Runs the command that the arguments name, and prints its result.
 pub fn run(arguments: Arguments) -> ExitCode {
     match run_command(arguments) {
-        Ok(text) => {
-            print!("{text}");
-            ExitCode::SUCCESS
+        Ok(output) => {
+            print!("{}", output.text);
+            output.exit_code
         }
         Err(PlanCommandError::Usage(error)) => {
             eprintln!("garnetwall: {error}\n\n{HELP}");
@@ -107,12 +126,12 @@
     }
 }
 
-fn run_command(mut arguments: Arguments) -> Printed {
+fn run_command(mut arguments: Arguments) -> CommandResult {
     let name = arguments.subcommand()?;
     match name.as_deref() {
         Some("check") => check(arguments),
         Some("fmt") => fmt(arguments),
-        Some("diff") => print_diff(arguments),
+        Some("diff") => show_diff(arguments),
         Some("explain") => explain_route(arguments),
         Some("show") => show(arguments),
         Some(other) => Err(UsageError::UnknownCommand(other.into()).into()),
@@ -156,22 +175,22 @@
     Ok(compile(&Disk, file, settings)?)
 }
 
-fn check(mut arguments: Arguments) -> Printed {
+fn check(mut arguments: Arguments) -> CommandResult {
     let settings = settings(&mut arguments)?;
     let file = file(&mut arguments, "the file of a plan")?;
     expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
-    Ok(format!(
+    Ok(Output::success(format!(
         "{file} is good: {} routes, {} pools, {} limits, rules of {} groups and {} tenants\n",
         plan.routes.len(),
         plan.pools.len(),
         plan.limits.len(),
         plan.classes.len(),
         plan.tenants.len()
-    ))
+    )))
 }
 
-fn fmt(mut arguments: Arguments) -> Printed {
+fn fmt(mut arguments: Arguments) -> CommandResult {
     let only_check = arguments.contains("--check");
     let file = file(&mut arguments, "the file of a plan")?;
     expect_no_more(arguments)?;
@@ -185,13 +204,13 @@
         )));
     };
     if formatted == text {
-        return Ok(String::new());
+        return Ok(Output::success(String::new()));
     }
     if only_check {
         return Err(PlanCommandError::NotFormatted { file });
     }
     replace(&file, &formatted)?;
-    Ok(String::new())
+    Ok(Output::success(String::new()))
 }
 
 fn file_error(file: &str, cause: impl Display) -> PlanCommandError {
@@ -214,14 +233,14 @@
         .map_err(|error| file_error(file, error))
 }
 
-fn print_diff(mut arguments: Arguments) -> Printed {
+fn show_diff(mut arguments: Arguments) -> CommandResult {
     let json = arguments.contains("--json");
     let old = file(&mut arguments, "the old plan and the new one")?;
     let new = file(&mut arguments, "the new plan")?;
     expect_no_more(arguments)?;
     let changes = diff::diff(&read(&old, None)?.plan, &read(&new, None)?.plan);
     if changes.is_empty() && !json {
-        return Ok(String::new());
+        return Ok(Output::success(String::new()));
     }
     let text: String = match json {
         true => serde_json::to_string_pretty(&changes).unwrap_or_default() + "\n",
@@ -230,11 +249,10 @@
             .map(|change| format!("{}: {}\n", change.subject, change.text))
             .collect(),
     };
-    if changes.is_empty() {
-        return Ok(text);
+    match changes.is_empty() {
+        true => Ok(Output::success(text)),
+        false => Ok(Output::difference(text)),
     }
-    print!("{text}");
-    Err(PlanCommandError::Different)
 }
 
 /// The options of `plan explain`.
@@ -276,7 +294,7 @@
     }
 }
 
-fn explain_route(mut arguments: Arguments) -> Printed {
+fn explain_route(mut arguments: Arguments) -> CommandResult {
     let options = ExplainOptions::read(&mut arguments)?;
     let file = file(&mut arguments, "the file of a plan")?;
     expect_no_more(arguments)?;
@@ -289,7 +307,7 @@
         data_set: options.data_set,
         minute_of_day: options.minute_of_day,
     };
-    Ok(explain::explain(&compiled, &facts))
+    Ok(Output::success(explain::explain(&compiled, &facts)))
 }
 
 /// The minute of the day by the wall clock, in UTC.
@@ -307,10 +325,11 @@
     (hour < 24 && minute < 60).then_some(hour * 60 + minute)
 }
 
-fn show(mut arguments: Arguments) -> Printed {
+fn show(mut arguments: Arguments) -> CommandResult {
     let settings = settings(&mut arguments)?;
     let file = file(&mut arguments, "the file of a plan")?;
     expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
-    Ok(serde_json::to_string_pretty(&plan).unwrap_or_default() + "\n")
+    let json = serde_json::to_string_pretty(&plan).unwrap_or_default();
+    Ok(Output::success(json + "\n"))
 }
