--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -59,8 +59,14 @@
     })
 }
 
-/// A statement, the time of its last start, and the number of its starts.
-pub type Started = (String, Instant, u32);
+/// An attempt that an engine was asked to start.
+#[derive(Clone)]
+pub struct StartedAttempt {
+    pub statement: String,
+    /// When it was last started.
+    pub started_at: Instant,
+    pub starts: u32,
+}
 
 /// An engine that keeps to the protocol except where a directive in the statement says otherwise, as in `/* slow */`.
 #[derive(Clone)]
@@ -68,7 +74,7 @@
     pub address: SocketAddr,
     /// Requests in the order received: method, path, and the statement of a start.
     pub requests: Arc<Mutex<Vec<String>>>,
-    pub started: Arc<Mutex<HashMap<String, Started>>>,
+    pub started: Arc<Mutex<HashMap<String, StartedAttempt>>>,
 }
 
 impl Engine {
@@ -106,12 +112,18 @@
             };
             let mut started = self.started.lock().unwrap();
             if method == "POST" {
-                let times = started.get(&id).map_or(0, |s| s.2) + 1;
-                started.insert(id.clone(), (body, Instant::now(), times));
+                let earlier_starts = started.get(&id).map_or(0, |attempt| attempt.starts);
+                let attempt = StartedAttempt {
+                    statement: body,
+                    started_at: Instant::now(),
+                    starts: earlier_starts + 1,
+                };
+                started.insert(id.clone(), attempt);
             }
             let known = started.get(&id).cloned();
             drop(started);
-            let statement = known.as_ref().map(|k| k.0.clone()).unwrap_or_default();
+            let statement = known.as_ref().map(|attempt| attempt.statement.clone());
+            let statement = statement.unwrap_or_default();
             let first = method == "POST"
                 || !path.ends_with("/0") && self.requests(&format!("GET {path}")) == 1;
             if method == "DELETE"
@@ -174,11 +186,16 @@
 }
 
 /// The engine's response; `None` closes the connection.
-pub fn engine_response(method: &str, path: &str, known: Option<Started>) -> Option<String> {
+pub fn engine_response(method: &str, path: &str, known: Option<StartedAttempt>) -> Option<String> {
     if path == "/stats" {
         return Some(http_response("200 OK", "X-Stats: queue:0;util:0.1\r\n", ""));
     }
-    let Some((statement, since, times)) = known else {
+    let Some(StartedAttempt {
+        statement,
+        started_at,
+        starts,
+    }) = known
+    else {
         return Some(http_response("500 Oops", "", ""));
     };
     let has_directive = |word: &str| statement.contains(&format!("/* {word} */"));
@@ -195,7 +212,7 @@
         .next()
         .and_then(|n| n.parse::<usize>().ok())
         .unwrap_or(0);
-    if method == "POST" && has_directive("full once") && times == 1 {
+    if method == "POST" && has_directive("full once") && starts == 1 {
         return Some(http_response("503 Full", "X-Declined: 1\r\n", ""));
     }
     if has_directive("error") {
@@ -214,10 +231,10 @@
         sleep(Duration::from_secs(5));
         return None;
     }
-    let slow = has_directive("slow") && since.elapsed() < Duration::from_millis(900);
+    let slow = has_directive("slow") && started_at.elapsed() < Duration::from_millis(900);
     if has_directive("keeps delete")
         || slow
-        || has_directive("very slow") && since.elapsed() < Duration::from_millis(2300)
+        || has_directive("very slow") && started_at.elapsed() < Duration::from_millis(2300)
     {
         sleep(Duration::from_millis(250));
         return Some(http_response("202 Not yet", "", ""));
