--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -27,6 +27,7 @@
 mod call_timeout;
 mod cancel;
 mod cancellable_call;
+mod engine_call;
 mod exchange;
 mod pages;
 mod polling;
@@ -35,15 +36,16 @@
 use super::messages::{
     AttemptEvents, AttemptResult, AttemptStart, CancellationState, ForwardedQuery,
 };
-use super::request::{page_path, request, RequestBody, Sender};
+use super::request::{page_path, request, Sender};
 use super::response::CallError;
 use super::{Engines, Target};
 use crate::system::budgeted_stream::AbortFlag;
 use crate::system::send_gate::SendGate;
 use call_timeout::CallTimeout;
+use engine_call::EngineCall;
 use garnetwall::api::AttemptEnd;
 use garnetwall_ledger::{AttemptId, Connection, Evidence, PollSchedule, Proof};
-use http::{Method, Request};
+use http::Method;
 use polling::PollOutcome;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -150,8 +152,10 @@
         AttemptResult::of(end)
     }
 
-    fn poll_request(&self, query: &ForwardedQuery, page: usize) -> Request<RequestBody> {
-        request(Method::GET, self.target.address, &page_path(query, page))
+    /// A poll of the attempt, or of a page of its result.
+    fn poll_call(&self, query: &ForwardedQuery, page: usize) -> EngineCall {
+        let path = page_path(query, page);
+        EngineCall::poll(request(Method::GET, self.target.address, &path))
     }
 
     /// How long the response to a poll is waited for, once a connection is up.
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -1,6 +1,6 @@
 //! Cancels an attempt at its engine, until it is proved that it does not run any more.
 
-use super::exchange::CallKind;
+use super::engine_call::EngineCall;
 use super::EngineSession;
 use crate::engines::messages::ForwardedQuery;
 use crate::engines::request::{attempt_path, request};
@@ -42,7 +42,7 @@
     async fn send_cancel(&mut self, query: &ForwardedQuery, remaining: Duration) {
         let delete = request(Method::DELETE, self.target.address, &attempt_path(query));
         let time_limit = remaining.min(self.engines.connect_timeout * 2);
-        match self.call(CallKind::Other, delete, None, time_limit).await {
+        match self.call(EngineCall::other(delete), time_limit).await {
             Ok(reply) if confirms_cancel(reply.status) => {
                 self.record(Evidence::Cancelled(self.connection));
             }
@@ -66,9 +66,9 @@
     }
 
     async fn poll_for_evidence(&mut self, query: &ForwardedQuery) -> Result<(), CallError> {
-        let poll = self.poll_request(query, 0);
+        let poll = self.poll_call(query, 0);
         let time_limit = self.poll_timeout();
-        let reply = self.call(CallKind::Poll, poll, None, time_limit).await?;
+        let reply = self.call(poll, time_limit).await?;
         let evidence = match attempt_status(&reply) {
             AttemptStatus::Running(_) => Evidence::Running(self.connection),
             AttemptStatus::Succeeded { .. } => Evidence::Ended,
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -16,22 +16,19 @@
 //!
 //! A response that has come goes before all else.
 
-use super::exchange::CallKind;
-use super::start::{StartRequest, StreamedBody};
+use super::engine_call::{CallKind, EngineCall};
 use super::EngineSession;
 use crate::engines::messages::CancellationState;
 use crate::engines::protocol::LONG_POLL_LIMIT;
-use crate::engines::request::RequestBody;
 use crate::engines::response::{CallError, Reply};
 use crate::system::send_gate::{SendGate, StopOutcome};
 use garnetwall_ledger::Evidence;
-use http::Request;
 use std::future::pending;
 use std::time::Instant;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout};
 
-/// How a call ended that nobody may wait for any more.
+/// How a call ended that a cancellation or a deadline may interrupt.
 pub(super) enum CallOutcome {
     /// The call ended by itself, with a response or an error.
     Responded(Result<Reply, CallError>),
@@ -48,43 +45,19 @@
 }
 
 impl EngineSession<'_> {
-    /// Sends the request that starts the attempt, until nobody waits for it any more.
-    pub(super) async fn start_until_cancelled(
+    /// Starts or polls the attempt, until nobody waits for the response any more.
+    pub(super) async fn call_until_cancelled(
         &mut self,
-        start_request: StartRequest,
-        cancellation: &mut watch::Receiver<CancellationState>,
-    ) -> CallOutcome {
-        let StartRequest {
-            request,
-            streamed_body,
-        } = start_request;
-        self.call_until_cancelled(CallKind::Start, request, streamed_body, cancellation)
-            .await
-    }
-
-    /// Polls the attempt, until nobody waits for it any more.
-    pub(super) async fn poll_until_cancelled(
-        &mut self,
-        request: Request<RequestBody>,
-        cancellation: &mut watch::Receiver<CancellationState>,
-    ) -> CallOutcome {
-        self.call_until_cancelled(CallKind::Poll, request, None, cancellation)
-            .await
-    }
-
-    async fn call_until_cancelled(
-        &mut self,
-        kind: CallKind,
-        request: Request<RequestBody>,
-        body: Option<StreamedBody>,
+        call: EngineCall,
         cancellation: &mut watch::Receiver<CancellationState>,
     ) -> CallOutcome {
+        let kind = call.kind;
         let time_limit = self.poll_timeout();
         let send_deadline = self.send_deadline;
         let send_gate = self.send_gate.clone();
         let send_gate = send_gate.as_deref();
         let response = {
-            let response = self.call(kind, request, body, time_limit);
+            let response = self.call(call, time_limit);
             tokio::pin!(response);
             tokio::select! {
                 biased;
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -1,7 +1,7 @@
 //! One call to an engine: opens a connection where none is up, sends the request, waits for the response and records
 //! what the call proves.
 
-use super::start::StreamedBody;
+use super::engine_call::{CallKind, EngineCall, StreamedBody};
 use super::EngineSession;
 use crate::engines::connect::EngineConnection;
 use crate::engines::request::{RequestBody, Sender};
@@ -13,17 +13,6 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// What a call does to the attempt at its engine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallKind {
-    /// Starts the attempt. Goes out through the send gate.
-    Start,
-    /// Polls the attempt or fetches a page, which also renews its poll expiry.
-    Poll,
-    /// Neither: cancels the attempt, or checks the engine's health.
-    Other,
-}
-
 impl EngineSession<'_> {
     /// Sends the request of a health check.
     pub(in crate::engines) async fn check_health(
@@ -31,21 +20,17 @@
         request: Request<RequestBody>,
         time_limit: Duration,
     ) -> Result<Reply, CallError> {
-        self.call(CallKind::Other, request, None, time_limit).await
+        self.call(EngineCall::other(request), time_limit).await
     }
 
     /// One call, on the connection that is up or on a new one. `time_limit` bounds the wait for the response, once a
     /// connection is up and the request has been sent.
     pub(super) async fn call(
         &mut self,
-        kind: CallKind,
-        request: Request<RequestBody>,
-        body: Option<StreamedBody>,
+        call: EngineCall,
         time_limit: Duration,
     ) -> Result<Reply, CallError> {
-        let response = self
-            .call_on_connection(kind, request, body, time_limit)
-            .await;
+        let response = self.call_on_connection(call, time_limit).await;
         let error = response.as_ref().err();
         self.engines.log_reachability(self.target, error);
         if let Some(error) = error {
@@ -72,18 +57,21 @@
 
     async fn call_on_connection(
         &mut self,
-        kind: CallKind,
-        mut request: Request<RequestBody>,
-        body: Option<StreamedBody>,
+        call: EngineCall,
         time_limit: Duration,
     ) -> Result<Reply, CallError> {
+        let EngineCall {
+            kind,
+            mut request,
+            streamed_body,
+        } = call;
         let mut sender = self.ready_connection(kind).await?;
         if kind == CallKind::Start {
             self.set_remaining_time(&mut request);
         }
         self.notify_send_gate(kind);
-        let is_streamed = body.is_some();
-        let response = match body {
+        let is_streamed = streamed_body.is_some();
+        let response = match streamed_body {
             Some(body) => {
                 self.send_streamed(&mut sender, request, body, time_limit)
                     .await
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -1,6 +1,5 @@
 //! Fetches the pages of a result after the first.
 
-use super::exchange::CallKind;
 use super::polling::NextPoll;
 use super::EngineSession;
 use crate::engines::messages::{AttemptResult, ForwardedQuery};
@@ -45,9 +44,9 @@
     ) -> Result<Bytes, AttemptEnd> {
         let mut previous = Ok(());
         while self.wait_for_next_poll(schedule, previous).await == NextPoll::Due {
-            let request = self.poll_request(query, page);
+            let call = self.poll_call(query, page);
             let time_limit = self.poll_timeout();
-            previous = match self.call(CallKind::Poll, request, None, time_limit).await {
+            previous = match self.call(call, time_limit).await {
                 Ok(reply) if reply.status == StatusCode::INTERNAL_SERVER_ERROR => {
                     let engine = self.target.engine;
                     tracing::debug!(engine, page, "result page lost");
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -79,8 +79,8 @@
             if next_poll == NextPoll::Useless {
                 return PollOutcome::Unknown;
             }
-            let poll = self.poll_request(query, 0);
-            response = match self.poll_until_cancelled(poll, cancellation).await {
+            let poll = self.poll_call(query, 0);
+            response = match self.call_until_cancelled(poll, cancellation).await {
                 CallOutcome::Responded(response) => response,
                 CallOutcome::Interrupted => return PollOutcome::CancelRequested,
             };
@@ -96,10 +96,10 @@
         start: &AttemptStart,
         cancellation: &mut watch::Receiver<CancellationState>,
     ) -> ControlFlow<PollOutcome, Result<Reply, CallError>> {
-        let Some(request) = self.start_request(query, start) else {
+        let Some(call) = self.start_call(query, start) else {
             return ControlFlow::Break(self.never_reached(AttemptEnd::ConnectFailed));
         };
-        let outcome = self.start_until_cancelled(request, cancellation).await;
+        let outcome = self.call_until_cancelled(call, cancellation).await;
         let CallOutcome::Responded(response) = outcome else {
             return ControlFlow::Break(PollOutcome::CancelRequested);
         };
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -1,16 +1,16 @@
 //! The request that starts an attempt, and its body on the way to the engine.
 
+use super::engine_call::{EngineCall, StreamedBody};
 use super::EngineSession;
 use crate::engines::messages::{AttemptStart, ForwardedQuery, Statement};
 use crate::engines::protocol::request_header;
 use crate::engines::request::{request, RequestBody, START_PATH};
 use bytes::Bytes;
-use garnetwall_bodies::ReadError;
-use garnetwall_bodies::Reader;
+use garnetwall_bodies::{ReadError, Reader};
 use garnetwall_ledger::Evidence;
 use http::header::CONTENT_LENGTH;
 use http::{HeaderMap, HeaderValue, Method, Request};
-use http_body_util::channel::{Channel, Sender as BodySender};
+use http_body_util::channel::Channel;
 use http_body_util::{Either, Full};
 use std::future::pending;
 use std::time::Instant;
@@ -18,38 +18,23 @@
 /// Chunks of a streamed body that may wait for the connection.
 const BODY_CHANNEL_CAPACITY: usize = 1;
 
-/// The request that starts an attempt.
-pub(super) struct StartRequest {
-    pub(super) request: Request<RequestBody>,
-    /// Its body, where that is still being received from the client; otherwise the request holds all of it.
-    pub(super) streamed_body: Option<StreamedBody>,
-}
-
-/// A body that is sent while it is still being received from the client.
-pub(super) struct StreamedBody {
-    reader: Reader,
-    /// Its length in bytes, where the client declared it.
-    length: Option<u64>,
-    sender: BodySender<Bytes, ReadError>,
-}
-
 impl EngineSession<'_> {
-    /// The request that starts the attempt; none where its body is not stored any more.
-    pub(super) fn start_request(
+    /// The call that starts the attempt; none where its body is not stored any more.
+    pub(super) fn start_call(
         &self,
         query: &ForwardedQuery,
         start: &AttemptStart,
-    ) -> Option<StartRequest> {
+    ) -> Option<EngineCall> {
         match &query.statement {
-            Statement::Complete(bytes) => Some(self.complete_start_request(query, bytes)),
+            Statement::Complete(bytes) => Some(self.complete_start_call(query, bytes)),
             Statement::Streamed(body) => {
                 let reader = body.reader(start.is_retry).ok()?;
-                Some(self.streamed_start_request(query, reader, body.length()))
+                Some(self.streamed_start_call(query, reader, body.length()))
             }
         }
     }
 
-    fn complete_start_request(&self, query: &ForwardedQuery, statement: &Bytes) -> StartRequest {
+    fn complete_start_call(&self, query: &ForwardedQuery, statement: &Bytes) -> EngineCall {
         let mut request = request(Method::POST, self.target.address, START_PATH);
         insert_query_headers(request.headers_mut(), query);
         *request.body_mut() = RequestBody {
@@ -57,18 +42,15 @@
             remaining_bytes: Some(statement.len() as u64),
             gate: self.send_gate.clone(),
         };
-        StartRequest {
-            request,
-            streamed_body: None,
-        }
+        EngineCall::start(request, None)
     }
 
-    fn streamed_start_request(
+    fn streamed_start_call(
         &self,
         query: &ForwardedQuery,
         reader: Reader,
         length: Option<u64>,
-    ) -> StartRequest {
+    ) -> EngineCall {
         let (sender, receiver) = Channel::new(BODY_CHANNEL_CAPACITY);
         let mut request = request(Method::POST, self.target.address, START_PATH);
         insert_content_length(request.headers_mut(), length);
@@ -83,10 +65,7 @@
             length,
             sender,
         };
-        StartRequest {
-            request,
-            streamed_body: Some(streamed_body),
-        }
+        EngineCall::start(request, Some(streamed_body))
     }
 
     /// Tells the engine the milliseconds until the response deadline. Set right before the request is sent, since
