--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -6,7 +6,7 @@
 use super::engine_health::{EngineHealth, Reachability, ReachabilityChange};
 use super::event::Event;
 use super::selection::{Candidate, Selection};
-use crate::system::clock::{span, Clock};
+use crate::system::clock::{clamped_duration, Clock};
 use engine_table::{EngineTable, StateCounts};
 use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use std::net::SocketAddr;
@@ -106,7 +106,7 @@
     /// How long until the subset is to be polled.
     pub(super) fn time_to_subset_poll(&self) -> Option<Duration> {
         let next_poll = self.state().selection.as_ref()?.wake()?;
-        Some(span(next_poll - self.clock.now()))
+        Some(clamped_duration(next_poll - self.clock.now()))
     }
 
     /// The next engine that a connection is to be warmed up to.
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::discovery::{EngineHealth, EngineList};
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use crate::system::resource_budget::ResourceBudget;
 use crate::system::send_gate::SendGate;
 use attempt::EngineSession;
@@ -37,7 +37,7 @@
 /// For how long queries may refer to an engine after it has left the endpoint list, where `longest_time_limit` is the
 /// longest time limit of any query class, in seconds.
 pub fn endpoint_retention(longest_time_limit: f64) -> Duration {
-    span(longest_time_limit) + POLL_EXPIRY
+    clamped_duration(longest_time_limit) + POLL_EXPIRY
 }
 
 /// Client of all engines in the endpoint list.
@@ -73,11 +73,11 @@
         };
         Engines {
             connection_permits: budget.engine_connections.clone(),
-            connect_timeout: span(network.connect_timeout),
+            connect_timeout: clamped_duration(network.connect_timeout),
             list,
             ledger: Mutex::new(Ledger::new(ledger_bounds)),
             ledger_bounds,
-            longest_time_limit: span(longest_time_limit),
+            longest_time_limit: clamped_duration(longest_time_limit),
             started_at: Instant::now(),
         }
     }
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -7,7 +7,7 @@
 use crate::discovery::{Discovery, HealthCheckOutcome, ListChange, NameIndex, Selection, Watch};
 use crate::engines::Engines;
 use crate::scheduling::scheduler::Scheduler;
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use garnetwall::api::{AttemptEnd, EngineId, QueryClass};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,7 +59,7 @@
         let names = NameIndex::new(&self.config.decoded.names);
         let apply = Box::new(move |event| discovery.apply(event));
         let watch = Watch::new(change_log, self.config.last_initial_event, names, apply);
-        let connect_timeout = span(self.config.decoded.network.connect_timeout);
+        let connect_timeout = clamped_duration(self.config.decoded.network.connect_timeout);
         tokio::spawn(watch.follow(Reconnect::new(connect_timeout, self.config.seed)));
     }
 }
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -1,6 +1,6 @@
 //! The times of a graceful shutdown, counted back from the earliest SIGKILL.
 
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use std::time::{Duration, Instant};
 
 /// Protocol: after SIGTERM clients go on connecting for this long.
@@ -29,7 +29,8 @@
 impl ShutdownSchedule {
     /// The schedule of a shutdown that was requested at `requested_at`.
     pub(super) fn new(requested_at: Instant, longest_deadline_seconds: f64) -> Self {
-        let counted_deadline = span(longest_deadline_seconds.min(MAX_COUNTED_DEADLINE_SECONDS));
+        let counted_deadline =
+            clamped_duration(longest_deadline_seconds.min(MAX_COUNTED_DEADLINE_SECONDS));
         let earliest_kill = ACCEPT_PERIOD + counted_deadline;
         let accept_period = ACCEPT_PERIOD.min(earliest_kill - IDLE_CLOSED_BEFORE_KILL);
         ShutdownSchedule {
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -133,7 +133,7 @@
 
     /// Closes our side, after all that was written.
     pub fn shut_down_write(&self) {
-        self.state().io.inner().shut();
+        self.state().io.inner().shut_down_write();
     }
 
     /// Discards what has arrived: the kernel resets a connection that is closed over unread bytes, and the client loses the
--- a/crates/gateway/src/scheduling/plan_routing/class_settings.rs
+++ b/crates/gateway/src/scheduling/plan_routing/class_settings.rs
@@ -1,6 +1,6 @@
 //! Conversion between the platform's settings and what a plan says of query classes.
 
-use crate::system::clock::span;
+use crate::system::clock::clamped_duration;
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass, RetryBudget};
 use garnetwall_plan::model::{self, ClassRules, Plan, RETRY_FLOOR, RETRY_WINDOW_SECONDS};
 use garnetwall_plan::{Settings, SettingsClass};
@@ -15,8 +15,8 @@
         .zip(&decoded.settings.classes)
         .map(|(name, class)| SettingsClass {
             name: name.clone(),
-            latency_objective: span(class.latency_objective),
-            deadline: span(class.deadline),
+            latency_objective: clamped_duration(class.latency_objective),
+            deadline: clamped_duration(class.deadline),
             in_order: class.in_order,
             idempotency: to_plan(class.idempotency),
             kinds: selected_names(class.kinds.as_deref(), &names.kinds),
@@ -77,7 +77,7 @@
                 DeduplicationScope::Zone => model::DeduplicationScope::Zone,
                 DeduplicationScope::Cell => model::DeduplicationScope::Cell,
             };
-            let window = span(window);
+            let window = clamped_duration(window);
             model::Idempotency::IdempotentByKey { scope, window }
         }
     }
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -90,7 +90,7 @@
     fn handle_event<T>(&self, event: impl FnOnce(&mut SchedulerState, f64) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.state();
-        state.stall_detector.running(now);
+        state.stall_detector.record_run(now);
         let result = event(&mut state, now);
         let previous_wakeup = state.wakes_at;
         self.run_due_actions(&mut state, now);
--- a/crates/gateway/src/system/clock.rs
+++ b/crates/gateway/src/system/clock.rs
@@ -42,12 +42,12 @@
 
     /// The instant of a time in seconds, for timers; at most a day after the start.
     pub fn instant(&self, time: f64) -> Instant {
-        self.anchor + span(time - self.anchor_unix_seconds)
+        self.anchor + clamped_duration(time - self.anchor_unix_seconds)
     }
 }
 
 /// A duration from seconds, clamped to the range from zero to a day; zero for NaN.
-pub fn span(seconds: f64) -> Duration {
+pub fn clamped_duration(seconds: f64) -> Duration {
     const DAY_SECONDS: f64 = 86_400.0;
     Duration::try_from_secs_f64(seconds.clamp(0.0, DAY_SECONDS)).unwrap_or_default()
 }
--- a/crates/gateway/src/system/socket.rs
+++ b/crates/gateway/src/system/socket.rs
@@ -113,7 +113,7 @@
     }
 
     /// Shuts down the write side, after everything that was written.
-    pub fn shut(&self) {
+    pub fn shut_down_write(&self) {
         // It fails only where the connection has ended already.
         let _ = SockRef::from(&self.0).shutdown(Shutdown::Write);
     }
@@ -163,7 +163,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        self.shut();
+        self.shut_down_write();
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/gateway/src/system/stall_detector.rs
+++ b/crates/gateway/src/system/stall_detector.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records that the process runs now.
-    pub fn running(&mut self, now: f64) {
+    pub fn record_run(&mut self, now: f64) {
         if now - self.last_run > MAX_RUN_INTERVAL_SECONDS {
             self.last_stall = Some(Stall {
                 began: self.last_run,
@@ -54,7 +54,7 @@
     /// The earliest time at which what was read at `read` can have arrived. A stall of less than
     /// 0.12 s is not seen.
     pub fn arrival_time(&mut self, now: f64, read: f64) -> f64 {
-        self.running(now);
+        self.record_run(now);
         match self.last_stall {
             Some(stall) if stall.covers(read) => stall.began,
             _ => read,
