--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -30,9 +30,9 @@
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
 
 /// The usual limit of a process.
-const DEFAULT_SOCKETS: usize = 1024;
+const DEFAULT_DESCRIPTORS: usize = 1024;
 /// A gateway with fewer descriptors could not serve one query.
-const MIN_SOCKETS: u64 = 64;
+const MIN_DESCRIPTORS: u64 = 64;
 const DEFAULT_MEMORY_MB: usize = 512;
 /// What the program itself needs.
 const MIN_MEMORY_MB: u64 = 16;
@@ -56,11 +56,11 @@
     /// The seed of its random numbers.
     pub seed: u64,
     /// File descriptors that it may use.
-    pub sockets: usize,
+    pub descriptors: usize,
     /// Memory that it may use, in megabytes.
     pub memory_mb: usize,
     /// Where the change log is.
-    pub changelog: SocketAddr,
+    pub change_log: SocketAddr,
     /// The number of the last event known at the start.
     pub last_initial_event: u64,
     /// The events known at the start, in ascending order.
@@ -147,9 +147,10 @@
         None => fields::text(&source, "name")?.to_string(),
     };
     let subset = subset::read(source.get("subset"), &name, &decoded)?;
-    let sockets = fields::whole_number(limits, "limits", "sockets", MIN_SOCKETS..=MAX_LIMIT)?;
+    let descriptors =
+        fields::whole_number(limits, "limits", "sockets", MIN_DESCRIPTORS..=MAX_LIMIT)?;
     let memory_mb = fields::whole_number(limits, "limits", "memory_mb", MIN_MEMORY_MB..=MAX_LIMIT)?;
-    let changelog = fields::address("changelog", fields::text(&source, "changelog")?)?;
+    let change_log = fields::address("changelog", fields::text(&source, "changelog")?)?;
     // It grows with the fleet, and is not compared with a later one.
     if let Some(keys) = source.as_object_mut() {
         keys.remove("known");
@@ -158,9 +159,9 @@
         name,
         listen,
         seed,
-        sockets: sockets.unwrap_or(DEFAULT_SOCKETS),
+        descriptors: descriptors.unwrap_or(DEFAULT_DESCRIPTORS),
         memory_mb: memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
-        changelog,
+        change_log,
         last_initial_event: initial_list.last_event,
         initial_events: initial_list.events,
         decoded,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -283,7 +283,7 @@
 /// The parts of the configured limits that may be in use at once.
 fn resource_budget(config: &Config) -> ResourceBudget {
     ResourceBudget::of(ResourceLimits {
-        descriptors: config.sockets,
+        descriptors: config.descriptors,
         memory_mb: config.memory_mb,
         max_result_bytes: result_rows::MAX_RESULT_BYTES,
     })
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -21,7 +21,7 @@
         for event in std::mem::take(&mut self.config.initial_events) {
             discovery.apply(event);
         }
-        let change_log = watch::Sender::new(self.config.changelog);
+        let change_log = watch::Sender::new(self.config.change_log);
         self.watch_change_log(discovery.clone(), change_log.subscribe());
         tokio::spawn(apply_reloads(
             self.config.clone(),
--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -24,8 +24,8 @@
         if let Some(plan) = &config.plan {
             update_plan(&started, &scheduler, plan);
         }
-        tracing::info!(changelog = %config.changelog, "configuration reloaded");
-        change_log.send_replace(config.changelog);
+        tracing::info!(changelog = %config.change_log, "configuration reloaded");
+        change_log.send_replace(config.change_log);
     }
 }
 
