--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -229,7 +229,7 @@
         let Some(index) = self.index(id) else { return };
         self.open.remove(index);
         let since_last_opened = now.saturating_sub(self.last_opened_at);
-        self.not_before = now + self.reconnect.wait(since_last_opened);
+        self.not_before = now + self.reconnect.next_pause(since_last_opened);
     }
 
     /// The next action that is due; to be polled until there is none.
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -105,7 +105,7 @@
 
     /// How long until the subset is to be polled.
     pub(super) fn time_to_subset_poll(&self) -> Option<Duration> {
-        let next_poll = self.state().selection.as_ref()?.wake()?;
+        let next_poll = self.state().selection.as_ref()?.next_poll_at()?;
         Some(clamped_duration(next_poll - self.clock.now()))
     }
 
@@ -142,9 +142,9 @@
         let Some(name) = table.name(engine) else {
             return;
         };
-        let next_poll = selection.wake();
+        let next_poll = selection.next_poll_at();
         selection.attempt_ended(self.clock.now(), name, health);
-        if selection.wake() != next_poll {
+        if selection.next_poll_at() != next_poll {
             self.subset_changed.notify_one();
         }
     }
--- a/crates/gateway/src/discovery/reconnect.rs
+++ b/crates/gateway/src/discovery/reconnect.rs
@@ -24,7 +24,7 @@
 
     /// How long to wait before the next connection, where the last one was begun `since_last_start` ago: a pause from start to start, and
     /// up to another one as jitter, even after a connection that lasted.
-    pub fn wait(&mut self, since_last_start: Duration) -> Duration {
+    pub fn next_pause(&mut self, since_last_start: Duration) -> Duration {
         let jitter = self.pause.mul_f64(self.random_fraction());
         self.pause.saturating_sub(since_last_start) + jitter
     }
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -149,7 +149,7 @@
 
     fn facts(&self, entry: &EngineEntry) -> EngineFacts {
         let cores = self.kind_cores.get(entry.kind).copied().flatten();
-        let condition = match entry.state {
+        let state = match entry.state {
             EndpointState::Ready => subset::ListedState::Ready,
             EndpointState::Draining => subset::ListedState::Draining,
             EndpointState::Removed => subset::ListedState::Removed,
@@ -162,7 +162,7 @@
             kind: entry.kind as u32,
             cell: entry.cell,
             cores,
-            state: condition,
+            state,
         }
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// When to poll next, in seconds of the gateway's clock, unless something changes first.
-    pub(super) fn wake(&self) -> Option<f64> {
+    pub(super) fn next_poll_at(&self) -> Option<f64> {
         self.subset.wake()
     }
 
--- a/crates/gateway/tests/reconnect.rs
+++ b/crates/gateway/tests/reconnect.rs
@@ -10,7 +10,7 @@
     let mut reconnect = Reconnect::new(PAUSE, 7);
     for lasted in [0, 1, 100, 249].map(Duration::from_millis) {
         for _ in 0..1000 {
-            let apart = lasted + reconnect.wait(lasted);
+            let apart = lasted + reconnect.next_pause(lasted);
             assert!(
                 apart >= PAUSE && apart < PAUSE * 2,
                 "{apart:?} after {lasted:?}"
@@ -26,7 +26,7 @@
         for round in 0..10 {
             let mut tenths = [0; 10];
             for reconnect in &mut fleet {
-                let wait = reconnect.wait(lasted) - PAUSE.saturating_sub(lasted);
+                let wait = reconnect.next_pause(lasted) - PAUSE.saturating_sub(lasted);
                 tenths[(wait.as_secs_f64() / PAUSE.as_secs_f64() * 10.0) as usize] += 1;
             }
             // 30 are expected in each; 10 are four deviations off.
@@ -38,5 +38,5 @@
 #[test]
 fn backoff_after_two_silent_connections_is_bounded_for_any_dial_timeout() {
     let mut reconnect = Reconnect::new(Duration::from_secs(3), 7);
-    assert!((0..1000).all(|_| reconnect.wait(Duration::from_millis(2500)) < MAX_PAUSE));
+    assert!((0..1000).all(|_| reconnect.next_pause(Duration::from_millis(2500)) < MAX_PAUSE));
 }
