--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -34,10 +34,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{watch, Semaphore};
 
-/// For how long queries may refer to an engine after it has left the endpoint list, where `longest_time_limit` is the
-/// longest time limit of any query class, in seconds.
-pub fn endpoint_retention(longest_time_limit: f64) -> Duration {
-    clamped_duration(longest_time_limit) + POLL_EXPIRY
+/// For how long queries may refer to an engine after it has left the endpoint list, where `longest_deadline` is the
+/// longest deadline of any query class, in seconds.
+pub fn endpoint_retention(longest_deadline: f64) -> Duration {
+    clamped_duration(longest_deadline) + POLL_EXPIRY
 }
 
 /// Client of all engines in the endpoint list.
@@ -48,21 +48,21 @@
     /// Attempts that were started and are not proved to have ended.
     ledger: Mutex<Ledger>,
     ledger_bounds: Bounds,
-    /// The longest time limit of any query class.
-    longest_time_limit: Duration,
+    /// The longest deadline of any query class.
+    longest_deadline: Duration,
     /// The origin of the ledger's times.
     started_at: Instant,
 }
 
 impl Engines {
     /// A client within the engines' part of `budget`. `progress_interval` is the time between two progress events of an
-    /// attempt (0 where engines send none), `longest_time_limit` the longest time limit of any query class; both in
+    /// attempt (0 where engines send none), `longest_deadline` the longest deadline of any query class; both in
     /// seconds.
     pub fn new(
         network: NetworkTimeouts,
         progress_interval: f64,
         budget: &ResourceBudget,
-        longest_time_limit: f64,
+        longest_deadline: f64,
         list: Arc<EngineList>,
     ) -> Self {
         let ledger_bounds = Bounds {
@@ -77,7 +77,7 @@
             list,
             ledger: Mutex::new(Ledger::new(ledger_bounds)),
             ledger_bounds,
-            longest_time_limit: clamped_duration(longest_time_limit),
+            longest_deadline: clamped_duration(longest_deadline),
             started_at: Instant::now(),
         }
     }
@@ -125,10 +125,10 @@
     }
 
     /// For how long an attempt counts as running where only progress events keep it running. The protocol names no end of
-    /// that, so that a query that must not overlap the next of its key takes the longest time limit.
+    /// that, so that a query that must not overlap the next of its key takes the longest deadline.
     fn assumed_run_time(&self, query: &ForwardedQuery) -> Duration {
         if query.in_order {
-            self.longest_time_limit
+            self.longest_deadline
         } else {
             Duration::ZERO
         }
