--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -71,7 +71,7 @@
 
 /// The address that a request came from.
 #[derive(Clone, Copy, Debug)]
-struct Client(IpAddr);
+struct ClientAddress(IpAddr);
 
 impl ServerState {
     /// The earliest time, in seconds of the scheduler's clock, at which a query that arrived at `arrived_at` may have been
--- a/crates/gateway/src/http/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -1,7 +1,7 @@
 //! Connection stage: accepts clients' connections, and starts a task that serves each.
 
 use super::connection::ConnectionServer;
-use super::Client;
+use super::ClientAddress;
 use crate::http::client_connections::ClientConnections;
 use crate::http::client_stream::StreamHandle;
 use crate::system::os_error;
@@ -41,7 +41,7 @@
                 let connection = connections.acquire(number).await;
                 let stream = StreamHandle::new(stream);
                 stream.read_available();
-                let client = Client(address.ip().to_canonical());
+                let client = ClientAddress(address.ip().to_canonical());
                 let server = ConnectionServer::new(
                     stream,
                     client,
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -2,7 +2,7 @@
 
 mod request_loop;
 
-use super::{Client, FIRST_REQUEST_TIMEOUT};
+use super::{ClientAddress, FIRST_REQUEST_TIMEOUT};
 use crate::http::client_connections::ClientConnection;
 use crate::http::client_stream::StreamHandle;
 use axum::Router;
@@ -38,7 +38,7 @@
 /// One client connection while it is served.
 pub(super) struct ConnectionServer {
     stream: StreamHandle,
-    client: Client,
+    client: ClientAddress,
     router: Router,
     connection: Arc<ClientConnection>,
     shutdown: watch::Receiver<bool>,
@@ -48,7 +48,7 @@
     /// Serves an accepted connection through `router`; `shutdown` asks to close it after the open request.
     pub fn new(
         stream: StreamHandle,
-        client: Client,
+        client: ClientAddress,
         router: Router,
         connection: ClientConnection,
         shutdown: watch::Receiver<bool>,
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -1,6 +1,6 @@
 //! Connection stage: reads requests from one connection until no further one is to be read, and says why.
 
-use super::{Client, ConnectionServer, FIRST_REQUEST_TIMEOUT};
+use super::{ClientAddress, ConnectionServer, FIRST_REQUEST_TIMEOUT};
 use crate::http::client_connections::ClientConnection;
 use crate::http::client_stream::{ClientStream, StreamHandle};
 use axum::response::Response;
@@ -237,7 +237,7 @@
 /// Hands the requests of one connection to the router, and marks the connection active while one is open.
 struct RequestService {
     stream: StreamHandle,
-    client: Client,
+    client: ClientAddress,
     router: Router,
     connection: Arc<ClientConnection>,
 }
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -5,7 +5,7 @@
 use super::responses::error_response;
 use super::streamed_body::submit_streamed;
 use super::submission_error::SubmissionError;
-use super::{Client, ServerState, FIRST_REQUEST_TIMEOUT};
+use super::{ClientAddress, ServerState, FIRST_REQUEST_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::client_stream::StreamHandle;
 use crate::http::statement::data_set;
@@ -29,7 +29,7 @@
     State(state): State<Arc<ServerState>>,
     Path(class_name): Path<String>,
     Extension(stream): Extension<StreamHandle>,
-    Extension(Client(client)): Extension<Client>,
+    Extension(ClientAddress(client)): Extension<ClientAddress>,
     headers: HeaderMap,
     body: Body,
 ) -> Response {
