--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -6,7 +6,7 @@
 use super::engine_health::{EngineHealth, Reachability, ReachabilityChange};
 use super::event::Event;
 use super::selection::{Candidate, Selection};
-use crate::system::clock::{span, Clock};
+use crate::system::clock::{clamped_duration, Clock};
 use engine_table::{EngineTable, StateCounts};
 use garnetwall::api::{Endpoint, EndpointState, EngineId};
 use std::net::SocketAddr;
@@ -105,8 +105,8 @@
 
     /// How long until the subset is to be polled.
     pub(super) fn time_to_subset_poll(&self) -> Option<Duration> {
-        let next_poll = self.state().selection.as_ref()?.wake()?;
-        Some(span(next_poll - self.clock.now()))
+        let next_poll = self.state().selection.as_ref()?.next_poll_at()?;
+        Some(clamped_duration(next_poll - self.clock.now()))
     }
 
     /// The next engine that a connection is to be warmed up to.
@@ -142,9 +142,9 @@
         let Some(name) = table.name(engine) else {
             return;
         };
-        let next_poll = selection.wake();
+        let next_poll = selection.next_poll_at();
         selection.attempt_ended(self.clock.now(), name, health);
-        if selection.wake() != next_poll {
+        if selection.next_poll_at() != next_poll {
             self.subset_changed.notify_one();
         }
     }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::discovery::{EngineEntry, Event};
-use crate::scheduling::client_presence::ClientPresence;
 use crate::system::clock::Clock;
+use crate::system::resource_budget::ResourceLimits;
 use bytes::Bytes;
 use garnetwall::api::EndpointState;
 use http::HeaderValue;
@@ -32,7 +32,11 @@
 impl SilentEngine {
     async fn start() -> SilentEngine {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let budget = ResourceBudget::of(64, 64);
+        let budget = ResourceBudget::of(ResourceLimits {
+            descriptors: 64,
+            memory_mb: 64,
+            max_result_bytes: result_rows::MAX_RESULT_BYTES,
+        });
         let list = Arc::new(EngineList::new(
             endpoint_retention(5.0),
             Clock::start(),
@@ -154,7 +158,7 @@
     let client_presence = start.client_presence.clone();
     let leave = async {
         sleep(Duration::from_millis(30)).await;
-        client_presence.set_waiting(false);
+        client_presence.last_client_left();
         drop(permits);
     };
     let (result, ()) = tokio::join!(silent.run_attempt(start, cancellation), leave);
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -31,7 +31,9 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep_until, Instant};
 
-pub use messages::{Admission, ArrivingQuery, CancelOutcome, Command, PlanUpdate, QueryAnswer};
+pub use messages::{
+    Admission, ArrivingQuery, CancelOutcome, Command, OpenedQuery, PlanUpdate, QueryAnswer,
+};
 pub use waiter::Waiter;
 
 /// The admission controller with its timer and the open queries. Times are seconds on the gateway's [`Clock`].
@@ -88,7 +90,7 @@
     fn handle_event<T>(&self, event: impl FnOnce(&mut SchedulerState, f64) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.state();
-        state.stall_detector.running(now);
+        state.stall_detector.record_run(now);
         let result = event(&mut state, now);
         let previous_wakeup = state.wakes_at;
         self.run_due_actions(&mut state, now);
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -2,8 +2,7 @@
 
 use super::answer_cache::Fingerprint;
 use super::{Command, QueryAnswer};
-use crate::engines::ForwardedQuery;
-use crate::scheduling::client_presence::ClientPresence;
+use crate::engines::{ClientPresence, ForwardedQuery};
 use crate::scheduling::plan_routing::PlanAdmission;
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedSender;
@@ -48,6 +47,6 @@
     pub(super) fn add_waiter(&mut self) {
         self.waiters += 1;
         self.waiters_ever += 1;
-        self.client_presence.set_waiting(true);
+        self.client_presence.client_joined();
     }
 }
