--- /dev/null
+++ b/crates/fleet/src/lease_holder/pending_releases.rs
@@ -0,0 +1,55 @@
+//! Released claims of which not all issuers know yet.
+
+use super::issuer_set::IssuerSet;
+use crate::message::Claim;
+use std::collections::BTreeMap;
+
+/// Released claims, each with the issuers that have acknowledged the release.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(super) struct PendingReleases {
+    acknowledged_by: BTreeMap<Claim, IssuerSet>,
+}
+
+impl PendingReleases {
+    /// Adds a release that no issuer knows of.
+    pub(super) fn insert(&mut self, claim: Claim) {
+        self.acknowledged_by.insert(claim, IssuerSet::default());
+    }
+
+    /// Notes that an issuer has carried out a release.
+    pub(super) fn acknowledge(&mut self, claim: &Claim, issuer: usize) {
+        if let Some(issuers) = self.acknowledged_by.get_mut(claim) {
+            issuers.insert(issuer);
+        }
+    }
+
+    /// The releases that an issuer has not acknowledged.
+    pub(super) fn unacknowledged_by(&self, issuer: usize) -> impl Iterator<Item = Claim> + '_ {
+        self.acknowledged_by
+            .iter()
+            .filter(move |(_, issuers)| !issuers.contains(issuer))
+            .map(|(claim, _)| *claim)
+    }
+
+    /// Drops the releases that each issuer has acknowledged or that have no meaning for it any more.
+    pub(super) fn drop_settled(
+        &mut self,
+        issuer_count: usize,
+        is_meaningless: impl Fn(usize) -> bool,
+    ) {
+        self.acknowledged_by.retain(|_, acknowledged| {
+            (0..issuer_count)
+                .any(|issuer| !acknowledged.contains(issuer) && !is_meaningless(issuer))
+        });
+    }
+
+    /// Whether there are none.
+    pub(super) fn is_empty(&self) -> bool {
+        self.acknowledged_by.is_empty()
+    }
+
+    /// How many there are.
+    pub(super) fn len(&self) -> usize {
+        self.acknowledged_by.len()
+    }
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -22,7 +22,9 @@
 pub mod shares;
 pub mod wire;
 
-pub use lease_holder::LeaseHolder;
-pub use lease_issuer::LeaseIssuer;
+pub use lease_holder::{AddressedRequest, LeaseHolder};
+pub use lease_issuer::{IssuerLimits, LeaseIssuer};
 pub use lease_terms::{LeaseTerms, LeaseTermsError};
-pub use message::{Claim, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict};
+pub use message::{
+    Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict,
+};
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -60,6 +60,15 @@
     AtCapacity,
 }
 
+/// A claim with the decision on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct ClaimVerdict {
+    /// The claim.
+    pub claim: Claim,
+    /// The decision.
+    pub verdict: Verdict,
+}
+
 /// An issuer's reply to one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseReply {
@@ -70,7 +79,7 @@
     /// The holder's session with this incarnation of the issuer. Leases of an earlier session have ended.
     pub session: u64,
     /// The decisions on the claims.
-    pub verdicts: Vec<(Claim, Verdict)>,
+    pub verdicts: Vec<ClaimVerdict>,
     /// The releases that were carried out.
     pub released: Vec<Claim>,
 }
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -1,12 +1,13 @@
 //! Bad input: each fault has its own error that says what to do; no datagram, whatever its bytes, is a panic or a grant.
 
+use garnetwall_fleet::lease_issuer::IssuerSize;
 use garnetwall_fleet::lease_terms::LeaseTermsError;
 use garnetwall_fleet::message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
 use garnetwall_fleet::shares::Budget;
 use garnetwall_fleet::wire::{Dropped, Message, Wire, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES};
 use garnetwall_fleet::{
-    Claim, Epoch, HolderId, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms,
-    Resource, Verdict,
+    AddressedRequest, Claim, ClaimVerdict, Epoch, HolderId, IssuerLimits, LeaseHolder, LeaseIssuer,
+    LeaseReply, LeaseRequest, LeaseTerms, Resource, Verdict,
 };
 use proptest::prelude::*;
 use std::collections::HashSet;
@@ -20,6 +21,13 @@
     LeaseTerms::new(ms(2000), 500, ms(100), &[1, 2, 3]).unwrap()
 }
 
+fn limits(max_holders: usize, max_resources: usize) -> IssuerLimits {
+    IssuerLimits {
+        max_holders,
+        max_resources,
+    }
+}
+
 fn claim(n: u64) -> Claim {
     Claim {
         resource: Resource(u64::MAX - n),
@@ -138,7 +146,10 @@
     assert!(wire
         .write(&Message::Request(ask(u32::MAX, claims.clone())))
         .is_some());
-    let late = |claim: &Claim| (*claim, Verdict::StaleEpoch(Epoch(u64::MAX)));
+    let late = |claim: &Claim| ClaimVerdict {
+        claim: *claim,
+        verdict: Verdict::StaleEpoch(Epoch(u64::MAX)),
+    };
     let told = LeaseReply {
         holder: HolderId {
             gateway: u64::MAX,
@@ -163,7 +174,7 @@
 
 #[test]
 fn a_grantor_that_has_started_is_mute_for_a_lease_and_bounds_what_it_keeps() {
-    let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), 2, 3);
+    let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
     let fault = issuer
         .handle_request(ms(1999), &ask(1, vec![claim(0)]))
         .unwrap_err();
@@ -174,7 +185,7 @@
             .handle_request(ms(now), &ask(number, vec![claim(n)]))
             .unwrap()
             .verdicts[0]
-            .1
+            .verdict
     };
     for n in 0..3 {
         assert_eq!(
@@ -204,7 +215,13 @@
             assert!(fault.to_string().contains("raise"));
         }
     }
-    assert_eq!(issuer.size(), (3, 2));
+    assert_eq!(
+        issuer.size(),
+        IssuerSize {
+            resources: 3,
+            sessions: 2
+        }
+    );
 }
 
 /// Thousands of things are renewed by one message to each issuer.
@@ -212,7 +229,7 @@
 fn ten_thousand_things_are_renewed_by_one_message_to_each_grantor() {
     let terms = terms();
     let mut issuers: Vec<_> = (0..3)
-        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, 8, 20_000))
+        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, limits(8, 20_000)))
         .collect();
     let mut holder = LeaseHolder::new(
         HolderId {
@@ -228,9 +245,9 @@
     for _ in 0..200 {
         let asks = holder.requests(now);
         last = asks.len();
-        for (n, ask) in asks {
-            let told = issuers[n].handle_request(now, &ask).unwrap();
-            holder.handle_reply(n, &told);
+        for AddressedRequest { issuer, request } in asks {
+            let told = issuers[issuer].handle_request(now, &request).unwrap();
+            holder.handle_reply(issuer, &told);
         }
         now = holder.next_request_at();
     }
@@ -247,7 +264,7 @@
     let terms = terms();
     let budget = Budget::new("return of east", 60);
     let mut issuers: Vec<_> = (0..3)
-        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, 16, 200))
+        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, limits(16, 200)))
         .collect();
     let mut holders: Vec<_> = (0..6)
         .map(|n| {
@@ -278,9 +295,9 @@
         for n in (0..6).filter(|n| !gone(*n)) {
             let holder = &mut holders[n as usize];
             budget.settle(holder, now, n, &there(n));
-            for (g, ask) in holder.requests(now) {
-                if let Ok(told) = issuers[g].handle_request(now, &ask) {
-                    holder.handle_reply(g, &told);
+            for AddressedRequest { issuer, request } in holder.requests(now) {
+                if let Ok(told) = issuers[issuer].handle_request(now, &request) {
+                    holder.handle_reply(issuer, &told);
                 }
             }
         }
@@ -335,7 +352,7 @@
         ours.truncate(9);
         ours.extend(&bytes);
         if let Ok(Message::Request(ask)) = wire.read(&ours) {
-            let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), 2, 3);
+            let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
             let _ = issuer.handle_request(ms(5000), &ask);
         }
     }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -3,7 +3,8 @@
 //! every state: never two holders at once, and epochs that grow. A slip put in on purpose must be found, with its trace.
 
 use garnetwall_fleet::{
-    Epoch, HolderId, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms, Resource,
+    Epoch, HolderId, IssuerLimits, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms,
+    Resource,
 };
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
@@ -17,6 +18,10 @@
 const FAST: Duration = Duration::from_millis(11);
 const SLOW: Duration = Duration::from_millis(9);
 const DRIFT: u32 = 100_000;
+const LIMITS: IssuerLimits = IssuerLimits {
+    max_holders: 8,
+    max_resources: 8,
+};
 const LENGTH: Duration = Duration::from_millis(22);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,6 +96,7 @@
                     0,
                     1000 * (n as u64 + 1),
                     &terms,
+                    LIMITS,
                 ),
                 Duration::ZERO,
             )
@@ -161,7 +167,7 @@
                 let asks = holder
                     .requests(*clock)
                     .into_iter()
-                    .map(|(g, ask)| Message::Ask(*n, g, ask));
+                    .map(|ask| Message::Ask(*n, ask.issuer, ask.request));
                 self.on_the_way.extend(asks);
             }
             Act::Comes(message, again) => {
@@ -187,9 +193,9 @@
                     (1000 * self.lives, clock.as_millis() as u64, terms(slip));
                 *issuer = match slip {
                     Slip::NoSilence => {
-                        LeaseIssuer::start_without_silence(*clock, unix, life, &terms)
+                        LeaseIssuer::start_without_silence(*clock, unix, life, &terms, LIMITS)
                     }
-                    _ => LeaseIssuer::start(*clock, unix, life, &terms, 8, 8),
+                    _ => LeaseIssuer::start(*clock, unix, life, &terms, LIMITS),
                 };
             }
             Act::HolderRestarts(n) => {
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -2,7 +2,9 @@
 
 use garnetwall_fleet::membership::{Fact, Membership, Peer};
 use garnetwall_fleet::wire::{Message, Wire};
-use garnetwall_fleet::{Claim, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict};
+use garnetwall_fleet::{
+    Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict,
+};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
@@ -29,6 +31,13 @@
     }
 }
 
+fn decided(resource: u64, epoch: u64, verdict: Verdict) -> ClaimVerdict {
+    ClaimVerdict {
+        claim: claim(resource, epoch),
+        verdict,
+    }
+}
+
 fn request() -> Message {
     Message::Request(LeaseRequest {
         holder: SENDER,
@@ -44,10 +53,10 @@
         number: 9,
         session: 1_000,
         verdicts: vec![
-            (claim(1, 2), Verdict::Granted),
-            (claim(2, 3), Verdict::HeldByOther(Epoch(5))),
-            (claim(3, 4), Verdict::StaleEpoch(Epoch(6))),
-            (claim(4, 5), Verdict::AtCapacity),
+            decided(1, 2, Verdict::Granted),
+            decided(2, 3, Verdict::HeldByOther(Epoch(5))),
+            decided(3, 4, Verdict::StaleEpoch(Epoch(6))),
+            decided(4, 5, Verdict::AtCapacity),
         ],
         released: vec![claim(6, 7)],
     })
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -4,7 +4,9 @@
 //! find a holder again. A slip for each assumption must be found.
 
 use garnetwall_fleet::wire::{Message, Wire};
-use garnetwall_fleet::{Epoch, HolderId, LeaseHolder, LeaseIssuer, LeaseTerms, Resource};
+use garnetwall_fleet::{
+    Epoch, HolderId, IssuerLimits, LeaseHolder, LeaseIssuer, LeaseTerms, Resource,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -16,6 +18,10 @@
 const LENGTH: u64 = 2_000;
 const DRIFT: u32 = 50_000;
 const STEP: u64 = 5;
+const LIMITS: IssuerLimits = IssuerLimits {
+    max_holders: 64,
+    max_resources: 64,
+};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Slip {
@@ -171,8 +177,8 @@
         );
         node.held.clear();
         node.issuer = (n < self.issuers).then(|| match self.slip == Slip::NoSilence && !first {
-            true => LeaseIssuer::start_without_silence(now, unix, life, &terms),
-            false => LeaseIssuer::start(now, unix, life, &terms, 64, 64),
+            true => LeaseIssuer::start_without_silence(now, unix, life, &terms, LIMITS),
+            false => LeaseIssuer::start(now, unix, life, &terms, LIMITS),
         });
         for thing in 0..THINGS {
             node.holder.want(now, Resource(thing));
@@ -383,8 +389,8 @@
             }
             for n in (0..GATEWAYS).filter(|n| runs[*n]) {
                 let clock = self.clock(n);
-                for (issuer, ask) in self.nodes[n].holder.requests(clock) {
-                    self.sends(n, issuer, &Message::Request(ask));
+                for addressed in self.nodes[n].holder.requests(clock) {
+                    self.sends(n, addressed.issuer, &Message::Request(addressed.request));
                 }
             }
             self.judge();
--- a/crates/scale/src/slopes/leases.rs
+++ b/crates/scale/src/slopes/leases.rs
@@ -2,7 +2,9 @@
 
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, repeated};
-use garnetwall_fleet::{Claim, Epoch, HolderId, LeaseIssuer, LeaseRequest, LeaseTerms, Resource};
+use garnetwall_fleet::{
+    Claim, Epoch, HolderId, IssuerLimits, LeaseIssuer, LeaseRequest, LeaseTerms, Resource,
+};
 use std::time::Duration;
 
 /// A lease of two seconds, renewed each quarter of it.
@@ -20,8 +22,11 @@
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let members = point.quantities.members;
         let terms = LeaseTerms::unchecked(LEASE_LENGTH, TERM_LENGTH, ISSUERS);
-        let mut issuer =
-            LeaseIssuer::start(Duration::ZERO, 0, 1, &terms, members as usize, MAX_LEASES);
+        let limits = IssuerLimits {
+            max_holders: members as usize,
+            max_resources: MAX_LEASES,
+        };
+        let mut issuer = LeaseIssuer::start(Duration::ZERO, 0, 1, &terms, limits);
         let begin = LEASE_LENGTH * 2;
         let (resident, refused) = growth(|| {
             let first = |member: u64| {
