--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,7 +6,7 @@
 //! * [`lease_terms`]: the duration of leases for issuers and holders.
 //! * [`lease_issuer`]: which resource an issuer has granted, to whom, until when.
 //! * [`lease_holder`]: which leases a gateway has from a majority of issuers.
-//! * [`shares`]: a budget of the fleet in leased units.
+//! * [`quota`]: a quota of the whole fleet in leased units.
 //! * [`membership`]: membership by SWIM, with facts that members publish about themselves.
 //! * [`message`]: messages between holders and issuers.
 //! * [`wire`]: messages as datagrams: bounded, of one fleet, with a keyed hash where there is a key.
@@ -19,7 +19,8 @@
 pub mod lease_terms;
 pub mod membership;
 pub mod message;
-pub mod shares;
+pub mod quota;
+
 pub mod wire;
 
 pub use lease_holder::{AddressedRequest, LeaseHolder};
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -15,7 +15,7 @@
 pub use facts::{Fact, MAX_FACT_KINDS};
 pub use peer::Peer;
 
-use crate::wire::{Datagram, Dropped, Message, Wire};
+use crate::wire::{Datagram, DatagramCodec, DropReason, Message};
 use codec::PeerCodec;
 use config::SUSPICION_TIMEOUT;
 use facts::{SharedFactStore, LEAVING_FACT_KIND};
@@ -36,7 +36,7 @@
     codec: PeerCodec,
     facts: SharedFactStore,
     output: ProtocolOutput,
-    wire: Wire,
+    wire: DatagramCodec,
     last_call: Duration,
     /// No peer has sent a message since the process was paused.
     is_unconfirmed: bool,
@@ -53,7 +53,7 @@
         local_peer: Peer,
         peer_addresses: &[SocketAddrV4],
         seed: u64,
-        wire: Wire,
+        wire: DatagramCodec,
     ) -> Membership {
         let peer_addresses: BTreeSet<SocketAddrV4> = peer_addresses.iter().copied().collect();
         let config = config::swim_config(peer_addresses.len());
@@ -95,11 +95,11 @@
     /// # Errors
     ///
     /// Where it is to be dropped.
-    pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Result<(), Dropped> {
+    pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Result<(), DropReason> {
         self.observe_time(now);
         self.foca
             .handle_data(bytes, &mut self.output)
-            .map_err(|_| Dropped::Malformed)?;
+            .map_err(|_| DropReason::Malformed)?;
         self.is_unconfirmed = false;
         self.republish_facts();
         Ok(())
@@ -180,7 +180,7 @@
     fn datagram(&self, message: OutgoingMessage) -> Option<Datagram> {
         Some(Datagram {
             to: message.to.address(),
-            bytes: self.wire.write(&Message::Swim(message.bytes))?,
+            bytes: self.wire.encode(&Message::Swim(message.bytes))?,
         })
     }
 
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -3,8 +3,10 @@
 use garnetwall_fleet::lease_issuer::IssuerSize;
 use garnetwall_fleet::lease_terms::LeaseTermsError;
 use garnetwall_fleet::message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
-use garnetwall_fleet::shares::Budget;
-use garnetwall_fleet::wire::{Dropped, Message, Wire, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES};
+use garnetwall_fleet::quota::FleetQuota;
+use garnetwall_fleet::wire::{
+    DatagramCodec, DropReason, Message, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES,
+};
 use garnetwall_fleet::{
     AddressedRequest, Claim, ClaimVerdict, Epoch, HolderId, IssuerLimits, LeaseHolder, LeaseIssuer,
     LeaseReply, LeaseRequest, LeaseTerms, Resource, Verdict,
@@ -87,47 +89,55 @@
 
 #[test]
 fn each_bad_datagram_is_dropped_for_its_own_reason() {
-    let (ours, keyed) = (Wire::new("sale", None), Wire::new("sale", Some(b"key")));
+    let (ours, keyed) = (
+        DatagramCodec::new("sale", None),
+        DatagramCodec::new("sale", Some(b"key")),
+    );
     let message = Message::Request(ask(1, vec![claim(0)]));
-    let good = keyed.write(&message).unwrap();
-    assert_eq!(keyed.read(&good), Ok(message.clone()));
+    let good = keyed.encode(&message).unwrap();
+    assert_eq!(keyed.decode(&good), Ok(message.clone()));
     let mut other_version = good.clone();
     other_version[0] = 9;
     let mut altered = good.clone();
     altered[12] ^= 1;
-    let plain = ours.write(&message).unwrap();
-    let cases: [(&Wire, Vec<u8>, Dropped, &str); 7] = [
+    let plain = ours.encode(&message).unwrap();
+    let cases: [(&DatagramCodec, Vec<u8>, DropReason, &str); 7] = [
         (
             &keyed,
             vec![1; MAX_DATAGRAM_BYTES + 1],
-            Dropped::Long(MAX_DATAGRAM_BYTES + 1),
+            DropReason::TooLong(MAX_DATAGRAM_BYTES + 1),
             "longest",
         ),
-        (&keyed, vec![1; 20], Dropped::Short(20), "too short"),
-        (&keyed, other_version, Dropped::Version(9), "one version"),
+        (&keyed, vec![1; 20], DropReason::TooShort(20), "too short"),
+        (
+            &keyed,
+            other_version,
+            DropReason::OtherVersion(9),
+            "one version",
+        ),
         (
-            &Wire::new("other", Some(b"key")),
+            &DatagramCodec::new("other", Some(b"key")),
             good.clone(),
-            Dropped::Foreign,
+            DropReason::OtherFleet,
             "a name",
         ),
-        (&keyed, altered, Dropped::Forged, "key files"),
+        (&keyed, altered, DropReason::WrongHash, "key files"),
         (
-            &Wire::new("sale", Some(b"old key")),
+            &DatagramCodec::new("sale", Some(b"old key")),
             good,
-            Dropped::Forged,
+            DropReason::WrongHash,
             "key files",
         ),
         (
             &ours,
             plain[..plain.len() - 3].to_vec(),
-            Dropped::Malformed,
+            DropReason::Malformed,
             "builds",
         ),
     ];
     let mut seen = HashSet::new();
     for (wire, bytes, wanted, says) in cases {
-        let fault = wire.read(&bytes).unwrap_err();
+        let fault = wire.decode(&bytes).unwrap_err();
         assert_eq!(fault, wanted);
         assert!(fault.to_string().contains(says), "{fault}");
         seen.insert(std::mem::discriminant(&fault));
@@ -141,10 +151,10 @@
 
 #[test]
 fn the_largest_messages_fit_and_larger_ones_are_not_written() {
-    let wire = Wire::new("sale", Some(b"key"));
+    let wire = DatagramCodec::new("sale", Some(b"key"));
     let claims: Vec<_> = (0..MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect();
     assert!(wire
-        .write(&Message::Request(ask(u32::MAX, claims.clone())))
+        .encode(&Message::Request(ask(u32::MAX, claims.clone())))
         .is_some());
     let late = |claim: &Claim| ClaimVerdict {
         claim: *claim,
@@ -160,12 +170,12 @@
         verdicts: claims.iter().map(late).collect(),
         released: Vec::new(),
     };
-    assert!(wire.write(&Message::Reply(told)).is_some());
+    assert!(wire.encode(&Message::Reply(told)).is_some());
     assert!(wire
-        .write(&Message::Swim(vec![0xff; MAX_SWIM_BYTES]))
+        .encode(&Message::Swim(vec![0xff; MAX_SWIM_BYTES]))
         .is_some());
     assert!(wire
-        .write(&Message::Request(ask(
+        .encode(&Message::Request(ask(
             1,
             (0..=MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect()
         )))
@@ -262,7 +272,7 @@
 #[test]
 fn shares_sum_up_to_no_more_than_the_budget_and_settle_on_the_whole() {
     let terms = terms();
-    let budget = Budget::new("return of east", 60);
+    let quota = FleetQuota::new("return of east", 60);
     let mut issuers: Vec<_> = (0..3)
         .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, limits(16, 200)))
         .collect();
@@ -294,7 +304,7 @@
         let gone = |n: u64| step < 100 && n == 5 || step >= 300 && n == 0;
         for n in (0..6).filter(|n| !gone(*n)) {
             let holder = &mut holders[n as usize];
-            budget.settle(holder, now, n, &there(n));
+            quota.rebalance(holder, now, n, &there(n));
             for AddressedRequest { issuer, request } in holder.requests(now) {
                 if let Ok(told) = issuers[issuer].handle_request(now, &request) {
                     holder.handle_reply(issuer, &told);
@@ -303,16 +313,16 @@
         }
         let held: Vec<u32> = holders
             .iter()
-            .map(|holder| budget.held(holder, now))
+            .map(|holder| quota.held_units(holder, now))
             .collect();
         assert!(
-            held.iter().sum::<u32>() <= budget.units(),
+            held.iter().sum::<u32>() <= quota.unit_count(),
             "{held:?} at step {step}"
         );
         if [99, 299, 399].contains(&step) {
             assert_eq!(
                 held.iter().sum::<u32>(),
-                budget.units(),
+                quota.unit_count(),
                 "{held:?} at step {step}"
             );
         }
@@ -346,12 +356,12 @@
 proptest! {
     #[test]
     fn no_bytes_are_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
-        let wire = Wire::new("sale", keyed.then_some(b"key"));
-        let _ = wire.read(&bytes);
-        let mut ours = wire.write(&Message::Request(ask(1, Vec::new()))).unwrap();
+        let wire = DatagramCodec::new("sale", keyed.then_some(b"key"));
+        let _ = wire.decode(&bytes);
+        let mut ours = wire.encode(&Message::Request(ask(1, Vec::new()))).unwrap();
         ours.truncate(9);
         ours.extend(&bytes);
-        if let Ok(Message::Request(ask)) = wire.read(&ours) {
+        if let Ok(Message::Request(ask)) = wire.decode(&ours) {
             let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
             let _ = issuer.handle_request(ms(5000), &ask);
         }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -2,7 +2,7 @@
 //! again. Judged by what the simulation did to them, not by their own word.
 
 use garnetwall_fleet::membership::{Membership, MembershipEvent, Peer, PeerState, PeerStatus};
-use garnetwall_fleet::wire::{Datagram, Message, Wire, MAX_DATAGRAM_BYTES};
+use garnetwall_fleet::wire::{Datagram, DatagramCodec, Message, MAX_DATAGRAM_BYTES};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     now: u64,
     loss: u64,
     dice: Dice,
-    wire: Wire,
+    wire: DatagramCodec,
     members: Vec<Membership>,
     /// Neither sends nor hears until then.
     off_until: Vec<u64>,
@@ -44,7 +44,7 @@
 
 impl Net {
     fn start(size: usize, loss: u64, seed: u64) -> Net {
-        let wire = Wire::new("simulated", Some(b"key"));
+        let wire = DatagramCodec::new("simulated", Some(b"key"));
         let mut net = Net {
             now: 0,
             loss,
@@ -101,7 +101,7 @@
             self.on_the_way = later;
             for (_, to, bytes) in due {
                 if self.runs(to) {
-                    if let Ok(Message::Swim(bytes)) = self.wire.read(&bytes) {
+                    if let Ok(Message::Swim(bytes)) = self.wire.decode(&bytes) {
                         let _ = self.members[to].receive(now, &bytes);
                     }
                 }
@@ -289,7 +289,7 @@
         .collect();
     let seen: Vec<Vec<u8>> = seen
         .iter()
-        .filter_map(|b| match net.wire.read(b) {
+        .filter_map(|b| match net.wire.decode(b) {
             Ok(Message::Swim(bytes)) => Some(bytes),
             _ => None,
         })
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -1,7 +1,7 @@
 //! The bytes on the wire, as literal hex: gateways of different builds must read each other.
 
 use garnetwall_fleet::membership::{Fact, Membership, Peer};
-use garnetwall_fleet::wire::{Message, Wire};
+use garnetwall_fleet::wire::{DatagramCodec, Message};
 use garnetwall_fleet::{
     Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict,
 };
@@ -78,14 +78,14 @@
 }
 
 /// A datagram is written as these bytes, and read from them.
-fn assert_datagram(wire: &Wire, message: &Message, expected: &str) {
-    assert_eq!(hex(&wire.write(message).unwrap()), expected);
-    assert_eq!(wire.read(&unhex(expected)).as_ref(), Ok(message));
+fn assert_datagram(wire: &DatagramCodec, message: &Message, expected: &str) {
+    assert_eq!(hex(&wire.encode(message).unwrap()), expected);
+    assert_eq!(wire.decode(&unhex(expected)).as_ref(), Ok(message));
 }
 
 #[test]
 fn datagrams_without_a_key_have_these_bytes() {
-    let wire = Wire::new("sale", None);
+    let wire = DatagramCodec::new("sale", None);
     assert_datagram(&wire, &request(), REQUEST_HEX);
     assert_datagram(&wire, &reply(), REPLY_HEX);
     assert_datagram(&wire, &swim(), SWIM_HEX);
@@ -93,7 +93,7 @@
 
 #[test]
 fn datagrams_with_a_key_end_with_these_hashes() {
-    let wire = Wire::new("sale", Some(b"key"));
+    let wire = DatagramCodec::new("sale", Some(b"key"));
     let keyed = |plain: &str, hash: &str| format!("{plain}{hash}");
     assert_datagram(
         &wire,
@@ -130,7 +130,7 @@
 fn an_announcement_to_a_peer_has_these_bytes() {
     let peers = [address(3), address(4)];
     let myself = Peer::new(peers[0], 1_700_000_000_123);
-    let wire = Wire::new("sale", None);
+    let wire = DatagramCodec::new("sale", None);
     let mut members = Membership::new(Duration::ZERO, myself, &peers, 1, wire);
     members.join(Duration::ZERO, &peers);
     let sent: Vec<_> = members
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -3,7 +3,7 @@
 //! judges: at each moment at most one gateway may act on a thing, and epochs never fall. After the faults, each thing must
 //! find a holder again. A slip for each assumption must be found.
 
-use garnetwall_fleet::wire::{Message, Wire};
+use garnetwall_fleet::wire::{DatagramCodec, Message};
 use garnetwall_fleet::{
     Epoch, HolderId, IssuerLimits, LeaseHolder, LeaseIssuer, LeaseTerms, Resource,
 };
@@ -76,7 +76,7 @@
     terms: LeaseTerms,
     issuers: usize,
     nodes: Vec<Node>,
-    wires: Wire,
+    wires: DatagramCodec,
     /// Due at, from, to, bytes.
     on_the_way: Vec<(u64, usize, usize, Vec<u8>)>,
     /// Nothing fails but gateways that are no issuers.
@@ -108,7 +108,7 @@
             terms,
             issuers,
             nodes: Vec::new(),
-            wires: Wire::new("played", dice.one_in(2).then_some(b"a key")),
+            wires: DatagramCodec::new("played", dice.one_in(2).then_some(b"a key")),
             on_the_way: Vec::new(),
             mild: false,
             cuts: Vec::new(),
@@ -190,7 +190,7 @@
     }
 
     fn sends(&mut self, from: usize, to: usize, message: &Message) {
-        let Some(bytes) = self.wires.write(message) else {
+        let Some(bytes) = self.wires.encode(message) else {
             return self
                 .played
                 .broken
@@ -305,7 +305,7 @@
             return;
         }
         let now = self.clock(to);
-        match self.wires.read(bytes) {
+        match self.wires.decode(bytes) {
             Ok(Message::Request(ask)) => {
                 let told = self.nodes[to]
                     .issuer
--- a/crates/scale/src/slopes/membership.rs
+++ b/crates/scale/src/slopes/membership.rs
@@ -3,7 +3,7 @@
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::stopwatch::{growth, timed};
 use garnetwall_fleet::membership::{self, Peer};
-use garnetwall_fleet::wire::{self, Message, Wire};
+use garnetwall_fleet::wire::{self, DatagramCodec, Message};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -61,7 +61,7 @@
     now: u64,
     loss: u64,
     rng: SmallRng,
-    wire: Wire,
+    wire: DatagramCodec,
     members: Vec<membership::Membership>,
     by_address: HashMap<SocketAddrV4, usize>,
     in_transit: BinaryHeap<Reverse<Datagram>>,
@@ -76,7 +76,7 @@
 
 impl Network {
     fn start(size: usize, loss: u64, seed: u64) -> Self {
-        let wire = Wire::new("simulated", Some(b"key"));
+        let wire = DatagramCodec::new("simulated", Some(b"key"));
         let addresses: Vec<SocketAddrV4> = (0..size).map(address).collect();
         let start = |member: usize| {
             let peer = Peer::new(addresses[member], 1);
@@ -127,7 +127,7 @@
             let Some(Reverse(datagram)) = self.in_transit.pop() else {
                 return;
             };
-            if let Ok(Message::Swim(bytes)) = self.wire.read(&datagram.bytes) {
+            if let Ok(Message::Swim(bytes)) = self.wire.decode(&datagram.bytes) {
                 // A datagram that can't be used is dropped, as on a socket.
                 let _ = self.members[datagram.to].receive(now, &bytes);
             }
