--- a/crates/fleet/src/lease_terms.rs
+++ b/crates/fleet/src/lease_terms.rs
@@ -7,6 +7,10 @@
 /// Renewals within the duration of a lease, so that two may be lost.
 const REQUESTS_PER_LEASE: u32 = 4;
 
+/// A drift of this or more, in parts in a million, is refused: half a clock.
+const DRIFT_LIMIT_PPM: u32 = 500_000;
+const PARTS_PER_MILLION: f64 = 1e6;
+
 /// Why the settings of a fleet cannot be used, and what to do about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseTermsError {
@@ -45,8 +49,9 @@
 }
 
 impl LeaseTerms {
-    /// `issuer_duration` is the duration of a lease by the issuer's clock. `drift_ppm` bounds how fast or slow any clock may run,
-    /// in parts in a million. `round_trip` bounds the round-trip time of a message while the network is healthy.
+    /// Terms for these gateways as issuers. `issuer_duration` is the duration of a lease by the issuer's clock. `drift_ppm`
+    /// bounds how fast or slow any clock may run, in parts in a million. `round_trip` bounds the round-trip time of a message
+    /// while the network is healthy.
     ///
     /// # Errors
     ///
@@ -60,17 +65,17 @@
         if issuers.len().is_multiple_of(2) || issuers.len() > MAX_ISSUERS {
             return Err(LeaseTermsError::IssuerCount(issuers.len()));
         }
-        let twice = |n: &usize| issuers[..*n].contains(&issuers[*n]);
-        if let Some(n) = (0..issuers.len()).find(twice) {
-            return Err(LeaseTermsError::DuplicateIssuer(n));
+        let is_duplicate = |index: &usize| issuers[..*index].contains(&issuers[*index]);
+        if let Some(index) = (0..issuers.len()).find(is_duplicate) {
+            return Err(LeaseTermsError::DuplicateIssuer(index));
         }
-        if drift_ppm >= 500_000 {
+        if drift_ppm >= DRIFT_LIMIT_PPM {
             return Err(LeaseTermsError::DriftTooLarge(drift_ppm));
         }
         // At the slowest holder a lease ends no later than at the fastest issuer: (1 - d) / (1 + d) is never under 1 - 2d.
-        let early =
-            issuer_duration.mul_f64(2.0 * f64::from(drift_ppm) / 1e6) + Duration::from_nanos(1);
-        let holder_duration = issuer_duration.saturating_sub(early);
+        let drift_of_both = 2.0 * f64::from(drift_ppm) / PARTS_PER_MILLION;
+        let margin = issuer_duration.mul_f64(drift_of_both) + Duration::from_nanos(1);
+        let holder_duration = issuer_duration.saturating_sub(margin);
         if holder_duration < round_trip * REQUESTS_PER_LEASE {
             return Err(LeaseTermsError::LeaseTooShort {
                 issuer_duration,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,10 +7,15 @@
 //! * [`lease_issuer`]: which resource an issuer has granted, to whom, until when.
 //! * [`lease_holder`]: which leases a gateway has from a majority of issuers.
 //! * [`quota`]: a quota of the whole fleet in leased units.
-//! * [`membership`]: membership by SWIM, with facts that members publish about themselves.
+//! * [`membership`]: membership by SWIM, with facts that peers publish about themselves.
 //! * [`message`]: messages between holders and issuers.
 //! * [`wire`]: messages as datagrams: bounded, of one fleet, with a keyed hash where there is a key.
 //!
+//! A gateway has an identity in each half, both for one incarnation of it: a restarted gateway is another one.
+//!
+//! * [`membership::Peer`]: by its address and the time of its start, which orders incarnations.
+//! * [`HolderId`]: by the hash of its name and a random number, in leases.
+//!
 //! Times are spans since any fixed point of the caller's own, on a clock that never runs backwards and runs on through a
 //! pause of the process. No two parties need agree on them.
 
@@ -20,7 +25,6 @@
 pub mod membership;
 pub mod message;
 pub mod quota;
-
 pub mod wire;
 
 pub use lease_holder::{AddressedRequest, LeaseHolder};
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -36,7 +36,7 @@
     codec: PeerCodec,
     facts: SharedFactStore,
     output: ProtocolOutput,
-    wire: DatagramCodec,
+    datagrams: DatagramCodec,
     last_call: Duration,
     /// No peer has sent a message since the process was paused.
     is_unconfirmed: bool,
@@ -53,7 +53,7 @@
         local_peer: Peer,
         peer_addresses: &[SocketAddrV4],
         seed: u64,
-        wire: DatagramCodec,
+        datagrams: DatagramCodec,
     ) -> Membership {
         let peer_addresses: BTreeSet<SocketAddrV4> = peer_addresses.iter().copied().collect();
         let config = config::swim_config(peer_addresses.len());
@@ -71,7 +71,7 @@
             codec,
             facts,
             output: ProtocolOutput::new(now),
-            wire,
+            datagrams,
             last_call: now,
             is_unconfirmed: false,
             last_fact_version: 0,
@@ -180,7 +180,7 @@
     fn datagram(&self, message: OutgoingMessage) -> Option<Datagram> {
         Some(Datagram {
             to: message.to.address(),
-            bytes: self.wire.encode(&Message::Swim(message.bytes))?,
+            bytes: self.datagrams.encode(&Message::Swim(message.bytes))?,
         })
     }
 
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -22,10 +22,10 @@
     /// A quota by its name, in so many units, [`MAX_UNITS`] at most.
     pub fn new(name: &str, unit_count: u32) -> FleetQuota {
         let hash = blake3::hash(name.as_bytes());
-        let mut first = [0; 8];
-        first.copy_from_slice(&hash.as_bytes()[..8]);
+        let mut name_hash = [0; size_of::<u64>()];
+        name_hash.copy_from_slice(&hash.as_bytes()[..size_of::<u64>()]);
         FleetQuota {
-            name_hash: u64::from_le_bytes(first),
+            name_hash: u64::from_le_bytes(name_hash),
             unit_count: unit_count.clamp(1, MAX_UNITS),
         }
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -10,10 +10,17 @@
 pub const FORMAT_VERSION: u8 = 1;
 /// The longest datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
+const VERSION_BYTES: usize = 1;
 const FLEET_ID_BYTES: usize = 8;
+const HEAD_BYTES: usize = VERSION_BYTES + FLEET_ID_BYTES;
 const HASH_BYTES: usize = 16;
-/// The longest SWIM message, in bytes: a datagram without the head, the hash, and the message's kind and length.
-pub const MAX_SWIM_BYTES: usize = MAX_DATAGRAM_BYTES - 1 - FLEET_ID_BYTES - HASH_BYTES - 3;
+const KEY_BYTES: usize = 32;
+/// The kind of a message, and the length of a SWIM message, by postcard.
+const SWIM_PREFIX_BYTES: usize = 1 + 2;
+/// The longest SWIM message, in bytes: what a datagram with a hash has left for it.
+pub const MAX_SWIM_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD_BYTES - HASH_BYTES - SWIM_PREFIX_BYTES;
+/// Separates the key of datagrams from other uses of the same key file.
+const KEY_CONTEXT: &str = "garnetwall fleet datagrams v1";
 
 /// A message between gateways of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -26,6 +33,17 @@
     Swim(Vec<u8>),
 }
 
+impl Message {
+    /// How many claims and releases it carries.
+    fn claims_and_releases(&self) -> usize {
+        match self {
+            Message::Request(request) => request.claims.len() + request.releases.len(),
+            Message::Reply(reply) => reply.verdicts.len() + reply.released.len(),
+            Message::Swim(_) => 0,
+        }
+    }
+}
+
 /// An encoded message and where it is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Datagram {
@@ -40,7 +58,8 @@
 pub enum DropReason {
     /// It is longer than [`MAX_DATAGRAM_BYTES`]; its length in bytes.
     #[error(
-        "datagram of {0} bytes: the longest here is 256; look for who else sends to the peers' addresses"
+        "datagram of {0} bytes: the longest here is {max}; look for who else sends to the peers' addresses",
+        max = MAX_DATAGRAM_BYTES
     )]
     TooLong(usize),
     /// It is too short; its length in bytes.
@@ -48,7 +67,8 @@
     TooShort(usize),
     /// It has this other version.
     #[error(
-        "datagram of version {0}, this gateway speaks 1: bring all gateways of the fleet to one version"
+        "datagram of version {0}, this gateway speaks {own}: bring all gateways of the fleet to one version",
+        own = FORMAT_VERSION
     )]
     OtherVersion(u8),
     /// It is of another fleet.
@@ -62,11 +82,11 @@
     Malformed,
 }
 
-/// Writes and reads the datagrams of one fleet.
+/// Encodes and decodes the datagrams of one fleet.
 #[derive(Clone)]
 pub struct DatagramCodec {
-    fleet: [u8; FLEET_ID_BYTES],
-    key: Option<[u8; 32]>,
+    fleet_id: [u8; FLEET_ID_BYTES],
+    key: Option<[u8; KEY_BYTES]>,
 }
 
 impl std::fmt::Debug for DatagramCodec {
@@ -79,73 +99,86 @@
 }
 
 impl DatagramCodec {
-    /// Of a fleet by its name, with the bytes of its key file where one is named.
-    pub fn new(fleet: &str, key: Option<&[u8]>) -> DatagramCodec {
-        let mut name = [0; FLEET_ID_BYTES];
-        name.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..FLEET_ID_BYTES]);
-        let key = key.map(|key| blake3::derive_key("garnetwall fleet datagrams v1", key));
-        DatagramCodec { fleet: name, key }
-    }
-
-    fn hash(&self, bytes: &[u8]) -> Option<[u8; HASH_BYTES]> {
-        let hash = blake3::keyed_hash(&self.key?, bytes);
-        let mut short = [0; HASH_BYTES];
-        short.copy_from_slice(&hash.as_bytes()[..HASH_BYTES]);
-        Some(short)
+    /// A codec for a fleet by its name, with the bytes of its key file where one is named.
+    pub fn new(fleet_name: &str, key_file: Option<&[u8]>) -> DatagramCodec {
+        let name_hash = blake3::hash(fleet_name.as_bytes());
+        let mut fleet_id = [0; FLEET_ID_BYTES];
+        fleet_id.copy_from_slice(&name_hash.as_bytes()[..FLEET_ID_BYTES]);
+        DatagramCodec {
+            fleet_id,
+            key: key_file.map(|bytes| blake3::derive_key(KEY_CONTEXT, bytes)),
+        }
     }
 
-    /// A message as a datagram; `None` where it carries more than [`MAX_CLAIMS_PER_MESSAGE`] claims and releases.
+    /// A message as a datagram; `None` where it carries more than [`MAX_CLAIMS_PER_MESSAGE`] claims and releases, or is longer
+    /// than [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
-        let claims = match message {
-            Message::Request(request) => request.claims.len() + request.releases.len(),
-            Message::Reply(reply) => reply.verdicts.len() + reply.released.len(),
-            Message::Swim(_) => 0,
-        };
-        if claims > MAX_CLAIMS_PER_MESSAGE {
+        if message.claims_and_releases() > MAX_CLAIMS_PER_MESSAGE {
             return None;
         }
         let mut bytes = vec![FORMAT_VERSION];
-        bytes.extend_from_slice(&self.fleet);
+        bytes.extend_from_slice(&self.fleet_id);
         bytes.extend(postcard::to_allocvec(message).ok()?);
-        let hash = self.hash(&bytes);
-        bytes.extend(hash.into_iter().flatten());
-        Some(bytes).filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
+        if let Some(hash) = self.keyed_hash(&bytes) {
+            bytes.extend(hash);
+        }
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
     /// Why it is to be dropped.
-    pub fn decode(&self, bytes: &[u8]) -> Result<Message, DropReason> {
-        if bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(DropReason::TooLong(bytes.len()));
+    pub fn decode(&self, datagram: &[u8]) -> Result<Message, DropReason> {
+        let hash_bytes = if self.key.is_some() { HASH_BYTES } else { 0 };
+        self.check_head(datagram, hash_bytes)?;
+        let (hashed, hash) = datagram.split_at(datagram.len() - hash_bytes);
+        if !self.is_authentic(hashed, hash) {
+            return Err(DropReason::WrongHash);
         }
-        let hash = if self.key.is_some() { HASH_BYTES } else { 0 };
-        if bytes.len() <= 1 + FLEET_ID_BYTES + hash {
-            return Err(DropReason::TooShort(bytes.len()));
+        match postcard::take_from_bytes(&hashed[HEAD_BYTES..]) {
+            Ok((message, [])) => Ok(message),
+            Ok(_) | Err(_) => Err(DropReason::Malformed),
         }
-        if bytes[0] != FORMAT_VERSION {
-            return Err(DropReason::OtherVersion(bytes[0]));
+    }
+
+    /// Checks the length, the version and the fleet.
+    fn check_head(&self, datagram: &[u8], hash_bytes: usize) -> Result<(), DropReason> {
+        if datagram.len() > MAX_DATAGRAM_BYTES {
+            return Err(DropReason::TooLong(datagram.len()));
         }
-        if bytes[1..=FLEET_ID_BYTES] != self.fleet {
-            return Err(DropReason::OtherFleet);
+        if datagram.len() <= HEAD_BYTES + hash_bytes {
+            return Err(DropReason::TooShort(datagram.len()));
         }
-        let (signed, signature) = bytes.split_at(bytes.len() - hash);
-        // Compared in constant time, as blake3's hashes are: the hash must not be guessed byte by byte.
-        let right = self.hash(signed).is_none_or(|right| {
-            let differs = right
-                .iter()
-                .zip(signature)
-                .fold(0, |all, (a, b)| all | (a ^ b));
-            differs == 0
-        });
-        if !right {
-            return Err(DropReason::WrongHash);
+        let (version, fleet_id) = (datagram[0], &datagram[VERSION_BYTES..HEAD_BYTES]);
+        if version != FORMAT_VERSION {
+            return Err(DropReason::OtherVersion(version));
         }
-        match postcard::take_from_bytes(&signed[1 + FLEET_ID_BYTES..]) {
-            Ok((message, [])) => Ok(message),
-            Ok(_) | Err(_) => Err(DropReason::Malformed),
+        if fleet_id != self.fleet_id {
+            return Err(DropReason::OtherFleet);
         }
+        Ok(())
+    }
+
+    /// Whether the hash is that of the bytes under the fleet's key; true where there is no key.
+    fn is_authentic(&self, hashed: &[u8], hash: &[u8]) -> bool {
+        let Some(expected) = self.keyed_hash(hashed) else {
+            return true;
+        };
+        // Compared in constant time, as blake3's hashes are: the hash must not be guessed byte by byte.
+        let difference = expected
+            .iter()
+            .zip(hash)
+            .fold(0, |all, (expected, given)| all | (expected ^ given));
+        difference == 0
+    }
+
+    /// The truncated keyed hash; `None` where there is no key.
+    fn keyed_hash(&self, bytes: &[u8]) -> Option<[u8; HASH_BYTES]> {
+        let whole = blake3::keyed_hash(&self.key?, bytes);
+        let mut truncated = [0; HASH_BYTES];
+        truncated.copy_from_slice(&whole.as_bytes()[..HASH_BYTES]);
+        Some(truncated)
     }
 }
