--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -7,11 +7,11 @@
 mod recent_requests;
 mod wanted_lease;
 
-use crate::lease_terms::{LeaseTerms, MAX_ISSUERS};
-use crate::message::{
+use crate::lease_message::{
     Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict,
     MAX_CLAIMS_PER_MESSAGE,
 };
+use crate::lease_terms::{LeaseTerms, MAX_ISSUERS};
 use issuer_session::IssuerSession;
 use jitter::Jitter;
 use pending_releases::PendingReleases;
--- a/crates/fleet/src/lease_holder/pending_releases.rs
+++ b/crates/fleet/src/lease_holder/pending_releases.rs
@@ -1,7 +1,7 @@
 //! Released claims of which not all issuers know yet.
 
 use super::issuer_set::IssuerSet;
-use crate::message::Claim;
+use crate::lease_message::Claim;
 use std::collections::BTreeMap;
 
 /// Released claims, each with the issuers that have acknowledged the release.
--- a/crates/fleet/src/lease_holder/wanted_lease.rs
+++ b/crates/fleet/src/lease_holder/wanted_lease.rs
@@ -2,8 +2,8 @@
 
 use super::issuer_session::IssuerSession;
 use super::issuer_set::IssuerSet;
+use crate::lease_message::Epoch;
 use crate::lease_terms::MAX_ISSUERS;
-use crate::message::Epoch;
 use std::time::Duration;
 
 /// What is known of a wanted resource.
--- a/crates/fleet/src/lease_issuer.rs
+++ b/crates/fleet/src/lease_issuer.rs
@@ -3,10 +3,10 @@
 //! It stores nothing on a disk. A restarted issuer sends no reply for the duration of a lease, after which no lease that it
 //! granted before can still be held.
 
-use crate::lease_terms::LeaseTerms;
-use crate::message::{
+use crate::lease_message::{
     Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, NoReply, Resource, Verdict,
 };
+use crate::lease_terms::LeaseTerms;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,7 +8,7 @@
 //! * [`lease_holder`]: which leases a gateway has from a majority of issuers.
 //! * [`quota`]: a quota of the whole fleet in leased units.
 //! * [`membership`]: membership by SWIM, with facts that peers publish about themselves.
-//! * [`message`]: messages between holders and issuers.
+//! * [`lease_message`]: messages between holders and issuers.
 //! * [`wire`]: messages as datagrams: bounded, of one fleet, with a keyed hash where there is a key.
 //!
 //! A gateway has an identity in each half, both for one incarnation of it: a restarted gateway is another one.
@@ -21,15 +21,15 @@
 
 pub mod lease_holder;
 pub mod lease_issuer;
+pub mod lease_message;
 pub mod lease_terms;
 pub mod membership;
-pub mod message;
 pub mod quota;
 pub mod wire;
 
 pub use lease_holder::{AddressedRequest, LeaseHolder};
 pub use lease_issuer::{IssuerLimits, LeaseIssuer};
-pub use lease_terms::{LeaseTerms, LeaseTermsError};
-pub use message::{
+pub use lease_message::{
     Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict,
 };
+pub use lease_terms::{LeaseTerms, LeaseTermsError};
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -5,7 +5,7 @@
 //! gateway that joins or leaves moves its own part only.
 
 use crate::lease_holder::LeaseHolder;
-use crate::message::Resource;
+use crate::lease_message::Resource;
 use std::time::Duration;
 
 /// More units make finer shares and more to claim; a fleet of more gateways than units has some with none.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! Callers drop datagrams of other fleets or versions and forged or malformed ones, count them by cause, and never reply.
 
-use crate::message::{LeaseReply, LeaseRequest, MAX_CLAIMS_PER_MESSAGE};
+use crate::lease_message::{LeaseReply, LeaseRequest, MAX_CLAIMS_PER_MESSAGE};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -1,8 +1,8 @@
 //! Bad input: each fault has its own error that says what to do; no datagram, whatever its bytes, is a panic or a grant.
 
 use garnetwall_fleet::lease_issuer::IssuerSize;
+use garnetwall_fleet::lease_message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
 use garnetwall_fleet::lease_terms::LeaseTermsError;
-use garnetwall_fleet::message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
 use garnetwall_fleet::quota::FleetQuota;
 use garnetwall_fleet::wire::{
     DatagramCodec, DropReason, Message, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES,
