--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership in a simulated network by seed: loss, delay, cuts, members that are killed, stopped and go on, leave, and start
-//! again. Judged by what the simulation did to them, not by their own word.
+//! Membership in a simulated network by random seed: loss, delay, partitions, gateways that are killed, paused and resumed,
+//! that leave and that restart. Checked against what the simulation did to them, not against what they report.
 
 use garnetwall_fleet::membership::{Membership, MembershipEvent, Peer, PeerState, PeerStatus};
 use garnetwall_fleet::wire::{Datagram, DatagramCodec, Message, MAX_DATAGRAM_BYTES};
@@ -7,72 +7,76 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
-struct Dice(u64);
+struct Rng(u64);
 
-impl Dice {
-    fn roll(&mut self, below: u64) -> u64 {
+impl Rng {
+    /// A random number below `bound`.
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % below.max(1)
+        (self.0 >> 33) % bound.max(1)
     }
 }
 
-struct Net {
+struct SimulatedNetwork {
     now: u64,
-    loss: u64,
-    dice: Dice,
-    wire: DatagramCodec,
+    loss_percent: u64,
+    rng: Rng,
+    datagrams: DatagramCodec,
+    /// By gateway: its view of the membership.
     members: Vec<Membership>,
-    /// Neither sends nor hears until then.
-    off_until: Vec<u64>,
-    /// By member: the part of the network that it is in.
-    part: Vec<u8>,
-    /// Due at, to, bytes.
-    on_the_way: Vec<(u64, usize, Vec<u8>)>,
-    at: HashMap<SocketAddrV4, usize>,
+    /// Neither sends nor receives until then, in ms: paused or killed.
+    down_until: Vec<u64>,
+    /// By gateway: the partition that it is in.
+    partition_of: Vec<u8>,
+    /// Due in ms, to, bytes.
+    in_flight: Vec<(u64, usize, Vec<u8>)>,
+    index_by_address: HashMap<SocketAddrV4, usize>,
+    /// Sent by all gateways.
     bytes: u64,
-    news: Vec<(u64, usize, MembershipEvent)>,
+    /// When, in ms, at which gateway, what.
+    events: Vec<(u64, usize, MembershipEvent)>,
 }
 
 fn address(n: usize) -> SocketAddrV4 {
     SocketAddrV4::new([10, 0, (n >> 8) as u8, n as u8].into(), 7946)
 }
 
-impl Net {
-    fn start(size: usize, loss: u64, seed: u64) -> Net {
-        let wire = DatagramCodec::new("simulated", Some(b"key"));
-        let mut net = Net {
+impl SimulatedNetwork {
+    fn start(size: usize, loss_percent: u64, seed: u64) -> SimulatedNetwork {
+        let datagrams = DatagramCodec::new("simulated", Some(b"key"));
+        let mut network = SimulatedNetwork {
             now: 0,
-            loss,
-            dice: Dice(seed),
-            wire: wire.clone(),
+            loss_percent,
+            rng: Rng(seed),
+            datagrams,
             members: Vec::new(),
-            off_until: vec![0; size],
-            part: vec![0; size],
-            on_the_way: Vec::new(),
-            at: (0..size).map(|n| (address(n), n)).collect(),
+            down_until: vec![0; size],
+            partition_of: vec![0; size],
+            in_flight: Vec::new(),
+            index_by_address: (0..size).map(|n| (address(n), n)).collect(),
             bytes: 0,
-            news: Vec::new(),
+            events: Vec::new(),
         };
         for n in 0..size {
-            net.members.push(net.member(n, size, 1, seed));
-            net.joins(n);
+            network.members.push(network.member(n, size, 1, seed));
+            network.join_peers(n);
         }
-        net
+        network
     }
 
-    fn member(&self, n: usize, size: usize, life: u64, seed: u64) -> Membership {
+    fn member(&self, n: usize, size: usize, incarnation: u64, seed: u64) -> Membership {
         let now = Duration::from_millis(self.now);
         Membership::new(
             now,
-            Peer::new(address(n), life),
+            Peer::new(address(n), incarnation),
             &self.addresses(size),
             seed + n as u64,
-            self.wire.clone(),
+            self.datagrams.clone(),
         )
     }
 
@@ -80,34 +84,34 @@
         (0..size).map(address).collect()
     }
 
-    fn joins(&mut self, n: usize) {
-        let few: Vec<_> = (0..3)
-            .map(|k| address((n + 1 + k * 7) % self.off_until.len()))
+    fn join_peers(&mut self, n: usize) {
+        let contacts: Vec<_> = (0..3)
+            .map(|k| address((n + 1 + k * 7) % self.down_until.len()))
             .collect();
-        self.members[n].join(Duration::from_millis(self.now), &few);
+        self.members[n].join(Duration::from_millis(self.now), &contacts);
     }
 
-    fn runs(&self, n: usize) -> bool {
-        self.now >= self.off_until[n]
+    fn is_running(&self, n: usize) -> bool {
+        self.now >= self.down_until[n]
     }
 
-    fn plays(&mut self, span: u64) {
-        let end = self.now + span;
+    fn advance(&mut self, span_ms: u64) {
+        let end = self.now + span_ms;
         while self.now < end {
             let now = Duration::from_millis(self.now);
-            let (due, later) = std::mem::take(&mut self.on_the_way)
+            let (due, later) = std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|(at, ..)| *at <= self.now);
-            self.on_the_way = later;
+            self.in_flight = later;
             for (_, to, bytes) in due {
-                if self.runs(to) {
-                    if let Ok(Message::Swim(bytes)) = self.wire.decode(&bytes) {
+                if self.is_running(to) {
+                    if let Ok(Message::Swim(bytes)) = self.datagrams.decode(&bytes) {
                         let _ = self.members[to].receive(now, &bytes);
                     }
                 }
             }
             for n in (0..self.members.len())
-                .filter(|n| self.now >= self.off_until[*n])
+                .filter(|n| self.now >= self.down_until[*n])
                 .collect::<Vec<_>>()
             {
                 if self.members[n].next_tick_at().is_some_and(|at| at <= now)
@@ -118,32 +122,34 @@
                 for Datagram { to, bytes } in self.members[n].take_outgoing() {
                     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.bytes += bytes.len() as u64;
-                    let to = self.at[&to];
-                    if self.dice.roll(100) >= self.loss && self.part[n] == self.part[to] {
-                        let due = self.now + 1 + self.dice.roll(20);
-                        self.on_the_way.push((due, to, bytes));
+                    let to = self.index_by_address[&to];
+                    if self.rng.below(100) >= self.loss_percent
+                        && self.partition_of[n] == self.partition_of[to]
+                    {
+                        let due = self.now + 1 + self.rng.below(20);
+                        self.in_flight.push((due, to, bytes));
                     }
                 }
-                let news = self.members[n].take_events();
-                self.news
-                    .extend(news.into_iter().map(|news| (self.now, n, news)));
+                let events = self.members[n].take_events();
+                self.events
+                    .extend(events.into_iter().map(|event| (self.now, n, event)));
             }
-            self.now += STEP;
+            self.now += STEP_MS;
         }
     }
 
-    /// How many of those that run see so many others.
-    fn see(&self, others: usize) -> usize {
+    /// How many of the running gateways have so many peers.
+    fn count_seeing(&self, others: usize) -> usize {
         (0..self.members.len())
-            .filter(|n| self.runs(*n) && self.members[*n].peers().len() == others)
+            .filter(|n| self.is_running(*n) && self.members[*n].peers().len() == others)
             .count()
     }
 
-    /// When each member heard this of a peer, from a moment on.
-    fn heard(&self, from: u64, what: impl Fn(&MembershipEvent) -> bool) -> Vec<u64> {
+    /// How long after `from` each gateway had such an event for the first time, in ms, sorted.
+    fn detection_times(&self, from: u64, matches: impl Fn(&MembershipEvent) -> bool) -> Vec<u64> {
         let mut first: HashMap<usize, u64> = HashMap::new();
-        for (at, n, news) in self.news.iter().filter(|(at, ..)| *at >= from) {
-            if what(news) {
+        for (at, n, event) in self.events.iter().filter(|(at, ..)| *at >= from) {
+            if matches(event) {
                 first.entry(*n).or_insert(at - from);
             }
         }
@@ -154,197 +160,217 @@
 }
 
 #[test]
-fn all_come_to_know_all_and_a_death_is_known_to_all_within_seconds() {
-    let mut net = Net::start(20, 10, 1);
-    net.plays(10_000);
-    assert_eq!(net.see(19), 20, "all see all");
-    let (dies, from) = (5, net.now);
-    let gone = net.members[dies].local_peer();
-    net.off_until[dies] = u64::MAX;
-    net.plays(10_000);
-    let heard = net.heard(from, |news| *news == MembershipEvent::Down(gone));
-    assert_eq!(heard.len(), 19, "all have heard");
-    assert!(heard[18] < 8_000, "the last after {} ms", heard[18]);
+fn all_discover_all_and_detect_a_killed_peer_within_seconds() {
+    let mut network = SimulatedNetwork::start(20, 10, 1);
+    network.advance(10_000);
+    assert_eq!(network.count_seeing(19), 20, "all are peers of all");
+    let (killed, from) = (5, network.now);
+    let killed_peer = network.members[killed].local_peer();
+    network.down_until[killed] = u64::MAX;
+    network.advance(10_000);
+    let detection_times =
+        network.detection_times(from, |event| *event == MembershipEvent::Down(killed_peer));
+    assert_eq!(detection_times.len(), 19, "all detected it");
     assert!(
-        net.heard(
-            from,
-            |news| matches!(news, MembershipEvent::Down(peer) if *peer != gone)
-        )
-        .is_empty(),
-        "a false alarm"
+        detection_times[18] < 8_000,
+        "the last after {} ms",
+        detection_times[18]
+    );
+    assert!(
+        network
+            .detection_times(
+                from,
+                |event| matches!(event, MembershipEvent::Down(peer) if *peer != killed_peer)
+            )
+            .is_empty(),
+        "a false positive"
     );
 }
 
 #[test]
-fn who_leaves_on_purpose_is_not_taken_for_dead() {
-    let mut net = Net::start(10, 0, 2);
-    net.plays(8_000);
-    let (leaves, from) = (3, net.now);
-    let gone = net.members[leaves].local_peer();
-    net.members[leaves].leave(Duration::from_millis(net.now));
-    net.plays(500);
-    net.off_until[leaves] = u64::MAX;
-    net.plays(8_000);
-    let left = net.heard(from, |news| *news == MembershipEvent::Left(gone));
-    let down = net.heard(from, |news| *news == MembershipEvent::Down(gone));
+fn a_peer_that_leaves_is_not_declared_down() {
+    let mut network = SimulatedNetwork::start(10, 0, 2);
+    network.advance(8_000);
+    let (leaving, from) = (3, network.now);
+    let leaving_peer = network.members[leaving].local_peer();
+    network.members[leaving].leave(Duration::from_millis(network.now));
+    network.advance(500);
+    network.down_until[leaving] = u64::MAX;
+    network.advance(8_000);
+    let left = network.detection_times(from, |event| *event == MembershipEvent::Left(leaving_peer));
+    let down = network.detection_times(from, |event| *event == MembershipEvent::Down(leaving_peer));
     assert!(
         left.len() >= 8,
-        "{} heard that it left, {} took it for dead",
+        "{} saw that it left, {} took it for down",
         left.len(),
         down.len()
     );
     assert!(left[0] < 1_000, "{} ms", left[0]);
-    assert_eq!(net.see(8), 9);
+    assert_eq!(network.count_seeing(8), 9);
 }
 
-/// Stopped for half a minute, it is taken for gone; when it goes on it acts on nothing until it has found that out.
+/// Paused for half a minute, it is declared down; when it resumes it acts on nothing until it has found that out.
 #[test]
-fn who_was_stopped_finds_out_before_it_acts() {
-    let mut net = Net::start(10, 0, 3);
-    net.plays(8_000);
-    let stops = 4;
-    let before = net.members[stops].local_peer();
-    assert!(net.members[stops].is_current(Duration::from_millis(net.now)));
-    net.off_until[stops] = net.now + 30_000;
-    net.plays(30_000);
-    let now = Duration::from_millis(net.now);
-    assert!(!net.members[stops].is_current(now), "by its clock alone");
-    net.members[stops].tick(now);
+fn a_paused_gateway_is_not_current_until_a_peer_sends_a_message() {
+    let mut network = SimulatedNetwork::start(10, 0, 3);
+    network.advance(8_000);
+    let paused = 4;
+    let before = network.members[paused].local_peer();
+    assert!(network.members[paused].is_current(Duration::from_millis(network.now)));
+    network.down_until[paused] = network.now + 30_000;
+    network.advance(30_000);
+    let now = Duration::from_millis(network.now);
+    assert!(
+        !network.members[paused].is_current(now),
+        "by its clock alone"
+    );
+    network.members[paused].tick(now);
     assert!(
-        !net.members[stops].is_current(now),
-        "nobody has spoken to it yet"
+        !network.members[paused].is_current(now),
+        "no peer has sent it a message yet"
     );
-    net.plays(6_000);
-    assert!(net.members[stops].is_current(Duration::from_millis(net.now)));
-    assert!(net
-        .news
+    network.advance(6_000);
+    assert!(network.members[paused].is_current(Duration::from_millis(network.now)));
+    assert!(network
+        .events
         .iter()
-        .any(|(_, n, news)| *n == stops && *news == MembershipEvent::Rejoined));
+        .any(|(_, n, event)| *n == paused && *event == MembershipEvent::Rejoined));
     assert!(
-        net.members[stops].local_peer().incarnation > before.incarnation,
-        "another life"
+        network.members[paused].local_peer().incarnation > before.incarnation,
+        "another incarnation"
     );
-    net.plays(6_000);
-    assert_eq!(net.see(9), 10, "it is back with all");
+    network.advance(6_000);
+    assert_eq!(network.count_seeing(9), 10, "it is a peer of all again");
 }
 
 #[test]
-fn a_restarted_member_is_another_life_and_a_cut_heals() {
-    let mut net = Net::start(12, 0, 4);
-    net.plays(8_000);
-    net.members[2] = net.member(2, 12, 50, 9);
-    net.joins(2);
-    net.plays(8_000);
-    let lives = |net: &Net| {
-        net.members[0]
+fn a_restarted_gateway_is_another_incarnation_and_a_partition_heals() {
+    let mut network = SimulatedNetwork::start(12, 0, 4);
+    network.advance(8_000);
+    network.members[2] = network.member(2, 12, 50, 9);
+    network.join_peers(2);
+    network.advance(8_000);
+    let with_new_incarnation = |network: &SimulatedNetwork| {
+        network.members[0]
             .peers()
             .iter()
             .filter(|status| status.peer.incarnation == 50)
             .count()
     };
-    assert_eq!(lives(&net), 1);
-    (0..6).for_each(|n| net.part[n] = 1);
-    net.plays(12_000);
-    assert_eq!(net.see(5), 12, "each half sees itself");
-    (0..6).for_each(|n| net.part[n] = 0);
-    net.plays(30_000);
-    assert_eq!(net.see(11), 12, "all see all again");
-    let sound = |status: &PeerStatus| status.state == PeerState::Alive;
-    assert!(net.members.iter().all(|m| m.peers().iter().all(sound)));
+    assert_eq!(with_new_incarnation(&network), 1);
+    (0..6).for_each(|n| network.partition_of[n] = 1);
+    network.advance(12_000);
+    assert_eq!(network.count_seeing(5), 12, "each half sees itself alone");
+    (0..6).for_each(|n| network.partition_of[n] = 0);
+    network.advance(30_000);
+    assert_eq!(network.count_seeing(11), 12, "all are peers of all again");
+    let is_alive = |status: &PeerStatus| status.state == PeerState::Alive;
+    assert!(network
+        .members
+        .iter()
+        .all(|member| member.peers().iter().all(is_alive)));
 }
 
 #[test]
-fn facts_reach_all_and_the_last_version_counts() {
-    let mut net = Net::start(15, 30, 5);
-    net.plays(10_000);
+fn facts_reach_all_peers_and_the_last_version_counts() {
+    let mut network = SimulatedNetwork::start(15, 30, 5);
+    network.advance(10_000);
     for value in 0..5 {
-        net.members[1].publish(1, 100 + value);
-        net.plays(50);
+        network.members[1].publish(1, 100 + value);
+        network.advance(50);
     }
-    net.plays(15_000);
-    let teller = net.members[1].local_peer();
-    let know = net
+    network.advance(15_000);
+    let publisher = network.members[1].local_peer();
+    let knowing = network
         .members
         .iter()
-        .filter(|m| m.fact(&teller, 1).is_some_and(|f| f.value == 104))
+        .filter(|member| {
+            let fact = member.fact(&publisher, 1);
+            fact.is_some_and(|fact| fact.value == 104)
+        })
         .count();
-    assert_eq!(know, 15);
+    assert_eq!(knowing, 15);
 }
 
-/// Foreign bytes, and whole datagrams of ours with a byte altered where no key tells: dropped or taken, never a panic, and
-/// nothing grows with them.
+/// SWIM messages with altered bytes, as without a key: dropped or handled, never a panic, and nothing grows with them.
 #[test]
-fn no_bytes_are_a_panic_and_none_make_members_grow_without_bound() {
-    let mut net = Net::start(6, 0, 6);
-    net.plays(5_000);
-    while net.on_the_way.is_empty() {
-        net.plays(STEP);
+fn altered_messages_never_panic_and_add_no_peers() {
+    let mut network = SimulatedNetwork::start(6, 0, 6);
+    network.advance(5_000);
+    while network.in_flight.is_empty() {
+        network.advance(STEP_MS);
     }
-    let now = Duration::from_millis(net.now);
-    let mut dice = Dice(9);
-    let seen: Vec<Vec<u8>> = net
-        .on_the_way
+    let now = Duration::from_millis(network.now);
+    let mut rng = Rng(9);
+    let samples: Vec<Vec<u8>> = network
+        .in_flight
         .iter()
         .map(|(.., bytes)| bytes.clone())
         .collect();
-    let seen: Vec<Vec<u8>> = seen
+    let samples: Vec<Vec<u8>> = samples
         .iter()
-        .filter_map(|b| match net.wire.decode(b) {
+        .filter_map(|datagram| match network.datagrams.decode(datagram) {
             Ok(Message::Swim(bytes)) => Some(bytes),
             _ => None,
         })
         .collect();
-    assert!(!seen.is_empty());
+    assert!(!samples.is_empty());
     for n in 0..20_000 {
-        let mut bytes = seen[n % seen.len()].clone();
-        for _ in 0..=dice.roll(3) {
-            let at = dice.roll(bytes.len() as u64) as usize;
-            bytes[at] = dice.roll(256) as u8;
+        let mut bytes = samples[n % samples.len()].clone();
+        for _ in 0..=rng.below(3) {
+            let at = rng.below(bytes.len() as u64) as usize;
+            bytes[at] = rng.below(256) as u8;
         }
-        bytes.truncate(bytes.len() - dice.roll(4) as usize);
-        let _ = net.members[0].receive(now, &bytes);
-        net.members[0].tick(now);
-        let _ = (net.members[0].take_outgoing(), net.members[0].take_events());
+        bytes.truncate(bytes.len() - rng.below(4) as usize);
+        let _ = network.members[0].receive(now, &bytes);
+        network.members[0].tick(now);
+        let _ = (
+            network.members[0].take_outgoing(),
+            network.members[0].take_events(),
+        );
     }
     assert!(
-        net.members[0].peers().len() <= 5,
+        network.members[0].peers().len() <= 5,
         "{:?}",
-        net.members[0].peers()
+        network.members[0].peers()
     );
 }
 
 /// Prints the table of docs/fleet.md; by hand, as it takes minutes: cargo test --release -p garnetwall-fleet -- --ignored --nocapture
 #[test]
 #[ignore]
-fn figures_of_membership() {
+fn detection_time_false_positives_and_traffic_by_size_and_loss() {
     for size in [5, 50, 350] {
-        for loss in [0, 10, 30] {
-            let (mut known, mut alarms, mut bytes, mut unknown) = (Vec::new(), 0, 0, 0);
+        for loss_percent in [0, 10, 30] {
+            let (mut detected, mut false_positives, mut bytes, mut undetected) =
+                (Vec::new(), 0, 0, 0);
             for seed in 0..10 {
-                let mut net = Net::start(size, loss, 100 + seed);
-                net.plays(15_000);
-                let (from, sent) = (net.now, net.bytes);
-                let gone = net.members[1].local_peer();
-                net.off_until[1] = u64::MAX;
-                net.plays(20_000);
-                bytes += (net.bytes - sent) / 20 / size as u64;
-                let heard = net.heard(from, |news| *news == MembershipEvent::Down(gone));
-                unknown += size - 1 - heard.len().min(size - 1);
-                known.extend(heard);
-                alarms += net
-                    .news
+                let mut network = SimulatedNetwork::start(size, loss_percent, 100 + seed);
+                network.advance(15_000);
+                let (from, sent) = (network.now, network.bytes);
+                let killed_peer = network.members[1].local_peer();
+                network.down_until[1] = u64::MAX;
+                network.advance(20_000);
+                bytes += (network.bytes - sent) / 20 / size as u64;
+                let detection_times = network
+                    .detection_times(from, |event| *event == MembershipEvent::Down(killed_peer));
+                undetected += size - 1 - detection_times.len().min(size - 1);
+                detected.extend(detection_times);
+                false_positives += network
+                    .events
                     .iter()
-                    .filter(|(at, _, n)| {
-                        *at >= from && matches!(n, MembershipEvent::Down(p) if *p != gone)
+                    .filter(|(at, _, event)| {
+                        *at >= from
+                            && matches!(event, MembershipEvent::Down(peer) if *peer != killed_peer)
                     })
                     .count();
             }
-            known.sort_unstable();
-            let at = |part: f64| known[((known.len() - 1) as f64 * part) as usize];
+            detected.sort_unstable();
+            let quantile = |part: f64| detected[((detected.len() - 1) as f64 * part) as usize];
             println!(
-                "| {size} | {loss}% | {} ms | {} ms | {unknown} | {alarms} | {} |",
-                at(0.5),
-                at(0.99),
+                "| {size} | {loss_percent}% | {} ms | {} ms | {undetected} | {false_positives} | {} |",
+                quantile(0.5),
+                quantile(0.99),
                 bytes / 10
             );
         }
