--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -1,4 +1,5 @@
-//! Bad input: each fault has its own error that says what to do; no datagram, whatever its bytes, is a panic or a grant.
+//! Bad input: every kind has its own error that says what to do; no bytes of a datagram cause a panic. And the bounds of
+//! issuers, holders and quotas.
 
 use garnetwall_fleet::lease_issuer::IssuerSize;
 use garnetwall_fleet::lease_message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
@@ -37,7 +38,7 @@
     }
 }
 
-fn ask(number: u32, claims: Vec<Claim>) -> LeaseRequest {
+fn request(number: u32, claims: Vec<Claim>) -> LeaseRequest {
     LeaseRequest {
         holder: HolderId {
             gateway: u64::MAX,
@@ -50,9 +51,9 @@
 }
 
 #[test]
-fn each_fault_of_the_settings_is_told_with_what_to_do() {
+fn every_wrong_setting_has_an_error_that_says_what_to_do() {
     let short = LeaseTerms::new(ms(300), 500, ms(100), &[1, 2, 3]).unwrap_err();
-    let faults = [
+    let errors = [
         (
             LeaseTerms::new(ms(2000), 500, ms(100), &[1, 2]).unwrap_err(),
             LeaseTermsError::IssuerCount(2),
@@ -80,27 +81,27 @@
         ),
         (short, short, "take a longer lease"),
     ];
-    for (fault, wanted, says) in faults {
-        assert_eq!(fault, wanted);
-        assert!(fault.to_string().contains(says), "{fault}");
+    for (error, expected, advice) in errors {
+        assert_eq!(error, expected);
+        assert!(error.to_string().contains(advice), "{error}");
     }
     assert!(matches!(short, LeaseTermsError::LeaseTooShort { .. }));
 }
 
 #[test]
-fn each_bad_datagram_is_dropped_for_its_own_reason() {
-    let (ours, keyed) = (
+fn every_bad_datagram_is_dropped_with_its_own_reason() {
+    let (unkeyed, keyed) = (
         DatagramCodec::new("sale", None),
         DatagramCodec::new("sale", Some(b"key")),
     );
-    let message = Message::Request(ask(1, vec![claim(0)]));
-    let good = keyed.encode(&message).unwrap();
-    assert_eq!(keyed.decode(&good), Ok(message.clone()));
-    let mut other_version = good.clone();
+    let message = Message::Request(request(1, vec![claim(0)]));
+    let datagram = keyed.encode(&message).unwrap();
+    assert_eq!(keyed.decode(&datagram), Ok(message.clone()));
+    let mut other_version = datagram.clone();
     other_version[0] = 9;
-    let mut altered = good.clone();
+    let mut altered = datagram.clone();
     altered[12] ^= 1;
-    let plain = ours.encode(&message).unwrap();
+    let plain = unkeyed.encode(&message).unwrap();
     let cases: [(&DatagramCodec, Vec<u8>, DropReason, &str); 7] = [
         (
             &keyed,
@@ -117,32 +118,32 @@
         ),
         (
             &DatagramCodec::new("other", Some(b"key")),
-            good.clone(),
+            datagram.clone(),
             DropReason::OtherFleet,
             "a name",
         ),
         (&keyed, altered, DropReason::WrongHash, "key files"),
         (
             &DatagramCodec::new("sale", Some(b"old key")),
-            good,
+            datagram,
             DropReason::WrongHash,
             "key files",
         ),
         (
-            &ours,
+            &unkeyed,
             plain[..plain.len() - 3].to_vec(),
             DropReason::Malformed,
             "builds",
         ),
     ];
     let mut seen = HashSet::new();
-    for (wire, bytes, wanted, says) in cases {
-        let fault = wire.decode(&bytes).unwrap_err();
-        assert_eq!(fault, wanted);
-        assert!(fault.to_string().contains(says), "{fault}");
-        seen.insert(std::mem::discriminant(&fault));
+    for (codec, bytes, expected, advice) in cases {
+        let error = codec.decode(&bytes).unwrap_err();
+        assert_eq!(error, expected);
+        assert!(error.to_string().contains(advice), "{error}");
+        seen.insert(std::mem::discriminant(&error));
     }
-    assert_eq!(seen.len(), 6, "every kind of fault");
+    assert_eq!(seen.len(), 6, "every kind of error");
     assert!(
         !format!("{keyed:?}").contains("107"),
         "the key is in no log"
@@ -150,32 +151,32 @@
 }
 
 #[test]
-fn the_largest_messages_fit_and_larger_ones_are_not_written() {
-    let wire = DatagramCodec::new("sale", Some(b"key"));
+fn the_largest_messages_fit_and_larger_ones_are_not_encoded() {
+    let codec = DatagramCodec::new("sale", Some(b"key"));
     let claims: Vec<_> = (0..MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect();
-    assert!(wire
-        .encode(&Message::Request(ask(u32::MAX, claims.clone())))
+    assert!(codec
+        .encode(&Message::Request(request(u32::MAX, claims.clone())))
         .is_some());
-    let late = |claim: &Claim| ClaimVerdict {
+    let stale = |claim: &Claim| ClaimVerdict {
         claim: *claim,
         verdict: Verdict::StaleEpoch(Epoch(u64::MAX)),
     };
-    let told = LeaseReply {
+    let reply = LeaseReply {
         holder: HolderId {
             gateway: u64::MAX,
             incarnation: u64::MAX,
         },
         number: u32::MAX,
         session: u64::MAX,
-        verdicts: claims.iter().map(late).collect(),
+        verdicts: claims.iter().map(stale).collect(),
         released: Vec::new(),
     };
-    assert!(wire.encode(&Message::Reply(told)).is_some());
-    assert!(wire
+    assert!(codec.encode(&Message::Reply(reply)).is_some());
+    assert!(codec
         .encode(&Message::Swim(vec![0xff; MAX_SWIM_BYTES]))
         .is_some());
-    assert!(wire
-        .encode(&Message::Request(ask(
+    assert!(codec
+        .encode(&Message::Request(request(
             1,
             (0..=MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect()
         )))
@@ -183,16 +184,16 @@
 }
 
 #[test]
-fn a_grantor_that_has_started_is_mute_for_a_lease_and_bounds_what_it_keeps() {
+fn an_issuer_is_silent_for_a_lease_after_its_start_and_bounds_what_it_stores() {
     let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
-    let fault = issuer
-        .handle_request(ms(1999), &ask(1, vec![claim(0)]))
+    let error = issuer
+        .handle_request(ms(1999), &request(1, vec![claim(0)]))
         .unwrap_err();
-    assert_eq!(fault, NoReply::Starting(ms(1)));
-    assert!(fault.to_string().contains("nothing is to be done"));
+    assert_eq!(error, NoReply::Starting(ms(1)));
+    assert!(error.to_string().contains("nothing is to be done"));
     let verdict = |issuer: &mut LeaseIssuer, now, number, n| {
         issuer
-            .handle_request(ms(now), &ask(number, vec![claim(n)]))
+            .handle_request(ms(now), &request(number, vec![claim(n)]))
             .unwrap()
             .verdicts[0]
             .verdict
@@ -204,25 +205,25 @@
         );
     }
     assert_eq!(verdict(&mut issuer, 2000, 4, 3), Verdict::AtCapacity);
-    // Its session is over: what it had gives way, and what was forgotten is not given under an old epoch.
+    // Its session is over: its resources are evicted, and what was evicted is not granted under an old epoch.
     assert_eq!(verdict(&mut issuer, 9000, 5, 3), Verdict::Granted);
     assert_eq!(
         verdict(&mut issuer, 9000, 6, 20),
         Verdict::StaleEpoch(claim(10).epoch)
     );
-    for life in 0..10 {
-        let one = LeaseRequest {
+    for incarnation in 0..10 {
+        let first_request = LeaseRequest {
             holder: HolderId {
                 gateway: 1,
-                incarnation: life,
+                incarnation,
             },
-            ..ask(1, Vec::new())
+            ..request(1, Vec::new())
         };
-        let told = issuer.handle_request(ms(9000), &one);
-        assert_eq!(told.is_err(), life > 0, "{told:?}");
-        if let Err(fault) = told {
-            assert_eq!(fault, NoReply::TooManyHolders(2));
-            assert!(fault.to_string().contains("raise"));
+        let reply = issuer.handle_request(ms(9000), &first_request);
+        assert_eq!(reply.is_err(), incarnation > 0, "{reply:?}");
+        if let Err(error) = reply {
+            assert_eq!(error, NoReply::TooManyHolders(2));
+            assert!(error.to_string().contains("raise"));
         }
     }
     assert_eq!(
@@ -234,9 +235,8 @@
     );
 }
 
-/// Thousands of things are renewed by one message to each issuer.
 #[test]
-fn ten_thousand_things_are_renewed_by_one_message_to_each_grantor() {
+fn ten_thousand_leases_are_renewed_by_one_message_to_each_issuer() {
     let terms = terms();
     let mut issuers: Vec<_> = (0..3)
         .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, limits(8, 20_000)))
@@ -253,11 +253,11 @@
     let mut now = ms(2000);
     let mut last = 0;
     for _ in 0..200 {
-        let asks = holder.requests(now);
-        last = asks.len();
-        for AddressedRequest { issuer, request } in asks {
-            let told = issuers[issuer].handle_request(now, &request).unwrap();
-            holder.handle_reply(issuer, &told);
+        let requests = holder.requests(now);
+        last = requests.len();
+        for AddressedRequest { issuer, request } in requests {
+            let reply = issuers[issuer].handle_request(now, &request).unwrap();
+            holder.handle_reply(issuer, &reply);
         }
         now = holder.next_request_at();
     }
@@ -268,9 +268,9 @@
     assert_eq!(held, 10_000);
 }
 
-/// Members come and go and see different fleets: the sum of what all hold is never more than the budget.
+/// Gateways join, leave and see different fleets: all together never hold more units than the quota has.
 #[test]
-fn shares_sum_up_to_no_more_than_the_budget_and_settle_on_the_whole() {
+fn held_units_never_exceed_the_quota_and_converge_to_all_of_it() {
     let terms = terms();
     let quota = FleetQuota::new("return of east", 60);
     let mut issuers: Vec<_> = (0..3)
@@ -290,8 +290,8 @@
         .collect();
     let mut now = ms(2000);
     for step in 0..400 {
-        // The fifth joins in the middle; two see a part of the fleet only for a while; the first is gone at last.
-        let there = |n: u64| {
+        // The fifth joins in the middle; for a while some see only a part of the fleet; the first is down at the end.
+        let visible_gateways = |n: u64| {
             (0..6)
                 .filter(|m| match step {
                     0..100 => *m < 5,
@@ -301,13 +301,13 @@
                 })
                 .collect::<Vec<u64>>()
         };
-        let gone = |n: u64| step < 100 && n == 5 || step >= 300 && n == 0;
-        for n in (0..6).filter(|n| !gone(*n)) {
+        let is_down = |n: u64| step < 100 && n == 5 || step >= 300 && n == 0;
+        for n in (0..6).filter(|n| !is_down(*n)) {
             let holder = &mut holders[n as usize];
-            quota.rebalance(holder, now, n, &there(n));
+            quota.rebalance(holder, now, n, &visible_gateways(n));
             for AddressedRequest { issuer, request } in holder.requests(now) {
-                if let Ok(told) = issuers[issuer].handle_request(now, &request) {
-                    holder.handle_reply(issuer, &told);
+                if let Ok(reply) = issuers[issuer].handle_request(now, &request) {
+                    holder.handle_reply(issuer, &reply);
                 }
             }
         }
@@ -330,9 +330,9 @@
     }
 }
 
-/// Prints what a look at a lease costs among ten thousand.
+/// Prints the time of a lookup among ten thousand leases.
 #[test]
-fn a_lease_is_looked_at_quickly() {
+fn a_lease_lookup_takes_under_20_microseconds() {
     let terms = terms();
     let mut holder = LeaseHolder::new(
         HolderId {
@@ -343,27 +343,30 @@
         1,
     );
     (0..10_000).for_each(|n| holder.want(ms(0), Resource(n)));
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let held = (0..100_000)
         .filter(|n| holder.holds(ms(1), Resource(n % 10_000)).is_some())
         .count();
-    let each = began.elapsed() / 100_000;
-    println!("{each:?} a look");
+    let duration_per_lookup = started.elapsed() / 100_000;
+    println!("{duration_per_lookup:?} a lookup");
     assert_eq!(held, 0);
-    assert!(each < Duration::from_micros(20), "{each:?}");
+    assert!(
+        duration_per_lookup < Duration::from_micros(20),
+        "{duration_per_lookup:?}"
+    );
 }
 
 proptest! {
     #[test]
-    fn no_bytes_are_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
-        let wire = DatagramCodec::new("sale", keyed.then_some(b"key"));
-        let _ = wire.decode(&bytes);
-        let mut ours = wire.encode(&Message::Request(ask(1, Vec::new()))).unwrap();
-        ours.truncate(9);
-        ours.extend(&bytes);
-        if let Ok(Message::Request(ask)) = wire.decode(&ours) {
+    fn no_bytes_of_a_datagram_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
+        let codec = DatagramCodec::new("sale", keyed.then_some(b"key"));
+        let _ = codec.decode(&bytes);
+        let mut datagram = codec.encode(&Message::Request(request(1, Vec::new()))).unwrap();
+        datagram.truncate(9);
+        datagram.extend(&bytes);
+        if let Ok(Message::Request(request)) = codec.decode(&datagram) {
             let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
-            let _ = issuer.handle_request(ms(5000), &ask);
+            let _ = issuer.handle_request(ms(5000), &request);
         }
     }
 }
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -78,35 +78,35 @@
 }
 
 /// A datagram is written as these bytes, and read from them.
-fn assert_datagram(wire: &DatagramCodec, message: &Message, expected: &str) {
-    assert_eq!(hex(&wire.encode(message).unwrap()), expected);
-    assert_eq!(wire.decode(&unhex(expected)).as_ref(), Ok(message));
+fn assert_datagram(codec: &DatagramCodec, message: &Message, expected: &str) {
+    assert_eq!(hex(&codec.encode(message).unwrap()), expected);
+    assert_eq!(codec.decode(&unhex(expected)).as_ref(), Ok(message));
 }
 
 #[test]
 fn datagrams_without_a_key_have_these_bytes() {
-    let wire = DatagramCodec::new("sale", None);
-    assert_datagram(&wire, &request(), REQUEST_HEX);
-    assert_datagram(&wire, &reply(), REPLY_HEX);
-    assert_datagram(&wire, &swim(), SWIM_HEX);
+    let codec = DatagramCodec::new("sale", None);
+    assert_datagram(&codec, &request(), REQUEST_HEX);
+    assert_datagram(&codec, &reply(), REPLY_HEX);
+    assert_datagram(&codec, &swim(), SWIM_HEX);
 }
 
 #[test]
 fn datagrams_with_a_key_end_with_these_hashes() {
-    let wire = DatagramCodec::new("sale", Some(b"key"));
+    let codec = DatagramCodec::new("sale", Some(b"key"));
     let keyed = |plain: &str, hash: &str| format!("{plain}{hash}");
     assert_datagram(
-        &wire,
+        &codec,
         &request(),
         &keyed(REQUEST_HEX, "7c9cc413fbe4a79f0dddaeaf0edf20ce"),
     );
     assert_datagram(
-        &wire,
+        &codec,
         &reply(),
         &keyed(REPLY_HEX, "15085a56c4276d7f8240e92513c77332"),
     );
     assert_datagram(
-        &wire,
+        &codec,
         &swim(),
         &keyed(SWIM_HEX, "6aceb7acc3e46a2893d1fe0e6a9d3836"),
     );
@@ -125,15 +125,15 @@
     assert_eq!(postcard::from_bytes(&unhex(expected)), Ok(fact));
 }
 
-/// An announcement is the header of SWIM's messages alone: source, its incarnation, target, message.
+/// An announcement is the header of SWIM's messages alone: source, its incarnation, target, kind of message.
 #[test]
 fn an_announcement_to_a_peer_has_these_bytes() {
     let peers = [address(3), address(4)];
-    let myself = Peer::new(peers[0], 1_700_000_000_123);
-    let wire = DatagramCodec::new("sale", None);
-    let mut members = Membership::new(Duration::ZERO, myself, &peers, 1, wire);
-    members.join(Duration::ZERO, &peers);
-    let sent: Vec<_> = members
+    let local_peer = Peer::new(peers[0], 1_700_000_000_123);
+    let codec = DatagramCodec::new("sale", None);
+    let mut membership = Membership::new(Duration::ZERO, local_peer, &peers, 1, codec);
+    membership.join(Duration::ZERO, &peers);
+    let sent: Vec<_> = membership
         .take_outgoing()
         .into_iter()
         .map(|datagram| (datagram.to, hex(&datagram.bytes)))
