--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,6 +1,9 @@
 //! Membership in a simulated network by random seed: loss, delay, partitions, gateways that are killed, paused and resumed,
 //! that leave and that restart. Checked against what the simulation did to them, not against what they report.
 
+mod common;
+
+use common::Rng;
 use garnetwall_fleet::membership::{Membership, MembershipEvent, Peer, PeerState, PeerStatus};
 use garnetwall_fleet::wire::{Datagram, DatagramCodec, Message, MAX_DATAGRAM_BYTES};
 use std::collections::HashMap;
@@ -9,19 +12,6 @@
 
 const STEP_MS: u64 = 10;
 
-struct Rng(u64);
-
-impl Rng {
-    /// A random number below `bound`.
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self
-            .0
-            .wrapping_mul(6_364_136_223_846_793_005)
-            .wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % bound.max(1)
-    }
-}
-
 struct SimulatedNetwork {
     now: u64,
     loss_percent: u64,
