--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -34,24 +34,41 @@
     NoStartupSilence,
 }
 
+/// A message in flight between a holder and an issuer, by index.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 enum Message {
-    /// From a holder to an issuer.
-    Request(usize, usize, LeaseRequest),
-    /// To a holder from an issuer.
-    Reply(usize, usize, LeaseReply),
+    Request {
+        holder: usize,
+        issuer: usize,
+        request: LeaseRequest,
+    },
+    Reply {
+        holder: usize,
+        issuer: usize,
+        reply: LeaseReply,
+    },
 }
 
 /// How many events of each kind may still happen: the search ends where all are used up.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct EventBudget {
     steps: u8,
+    /// By holder.
     requests: [u8; HOLDERS],
     restarts: u8,
     duplicates: u8,
     releases: u8,
 }
 
+/// One request of each holder, and nothing else.
+const ONE_REQUEST_EACH: EventBudget = EventBudget {
+    steps: 0,
+    requests: [1; HOLDERS],
+    restarts: 0,
+    duplicates: 0,
+    releases: 0,
+};
+
 /// A gateway that holds the resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Holding {
@@ -60,27 +77,37 @@
     epoch: Epoch,
 }
 
+#[derive(Clone, PartialEq, Eq, Hash)]
+struct Issuer {
+    state: LeaseIssuer,
+    clock: Duration,
+}
+
+#[derive(Clone, PartialEq, Eq, Hash)]
+struct Holder {
+    state: LeaseHolder,
+    clock: Duration,
+    incarnation: u64,
+}
+
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct FleetState {
-    /// Each with its clock.
-    issuers: Vec<(LeaseIssuer, Duration)>,
-    /// Each with its clock.
-    holders: Vec<(LeaseHolder, Duration)>,
+    issuers: Vec<Issuer>,
+    holders: Vec<Holder>,
     in_flight: BTreeSet<Message>,
     last_incarnation: u64,
     budget: EventBudget,
     /// The last to hold the resource.
     last_holding: Option<Holding>,
-    /// By holder.
-    incarnations: [u64; HOLDERS],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Event {
     Step,
     SendRequests(usize),
-    /// A message, and whether it is delivered again later.
-    Deliver(Message, bool),
+    Deliver(Message),
+    /// The message is delivered, and once more later.
+    DeliverDuplicate(Message),
     RestartIssuer(usize),
     RestartHolder(usize),
     /// The holder releases the resource and claims it again.
@@ -88,13 +115,8 @@
 }
 
 fn terms(bug: InjectedBug) -> LeaseTerms {
-    let checked = LeaseTerms::new(
-        LEASE_DURATION,
-        DRIFT_PPM,
-        Duration::from_millis(4),
-        &[1, 2, 3],
-    )
-    .unwrap();
+    let round_trip = Duration::from_millis(4);
+    let checked = LeaseTerms::new(LEASE_DURATION, DRIFT_PPM, round_trip, &[1, 2, 3]).unwrap();
     match bug {
         InjectedBug::NoDriftMargin => {
             LeaseTerms::unchecked(LEASE_DURATION, LEASE_DURATION, ISSUERS)
@@ -103,58 +125,67 @@
     }
 }
 
-fn holder_id(n: usize, incarnation: u64) -> HolderId {
-    HolderId {
-        gateway: n as u64,
+/// An issuer that was started long ago.
+fn running_issuer(index: usize, terms: &LeaseTerms) -> Issuer {
+    let clock = Duration::ZERO;
+    let incarnation = 1000 * (index as u64 + 1);
+    Issuer {
+        state: LeaseIssuer::start_without_silence(clock, 0, incarnation, terms, LIMITS),
+        clock,
+    }
+}
+
+/// A holder that wants the resource.
+fn claiming_holder(index: usize, incarnation: u64, clock: Duration, terms: LeaseTerms) -> Holder {
+    let id = HolderId {
+        gateway: index as u64,
         incarnation,
+    };
+    let mut state = LeaseHolder::new(id, terms, index as u64);
+    state.observe_epoch(Epoch(100 + incarnation));
+    state.want(clock, RESOURCE);
+    Holder {
+        state,
+        clock,
+        incarnation,
+    }
+}
+
+impl Holder {
+    fn holds(&self) -> Option<Epoch> {
+        self.state.holds(self.clock, RESOURCE)
     }
 }
 
 impl FleetState {
     fn new(bug: InjectedBug, budget: EventBudget) -> FleetState {
         let terms = terms(bug);
-        let issuer = |n| {
-            (
-                LeaseIssuer::start_without_silence(
-                    Duration::ZERO,
-                    0,
-                    1000 * (n as u64 + 1),
-                    &terms,
-                    LIMITS,
-                ),
-                Duration::ZERO,
-            )
-        };
-        let holder = |n| {
-            let mut holder = LeaseHolder::new(holder_id(n, n as u64), terms, n as u64);
-            holder.observe_epoch(Epoch(100 + n as u64));
-            holder.want(Duration::ZERO, RESOURCE);
-            (holder, Duration::ZERO)
-        };
+        let holder = |index| claiming_holder(index, index as u64, Duration::ZERO, terms);
         FleetState {
-            issuers: (0..ISSUERS).map(issuer).collect(),
+            issuers: (0..ISSUERS)
+                .map(|index| running_issuer(index, &terms))
+                .collect(),
             holders: (0..HOLDERS).map(holder).collect(),
             in_flight: BTreeSet::new(),
             last_incarnation: 10,
             budget,
             last_holding: None,
-            incarnations: [0, 1],
         }
     }
 
+    /// The events that may happen next.
     fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for message in &self.in_flight {
-            events.push(Event::Deliver(message.clone(), false));
+            events.push(Event::Deliver(message.clone()));
             if self.budget.duplicates > 0 {
-                events.push(Event::Deliver(message.clone(), true));
+                events.push(Event::DeliverDuplicate(message.clone()));
             }
         }
-        for n in 0..HOLDERS {
-            if self.budget.requests[n] > 0
-                && self.holders[n].1 >= self.holders[n].0.next_request_at()
-            {
-                events.push(Event::SendRequests(n));
+        for (index, holder) in self.holders.iter().enumerate() {
+            let is_due = holder.clock >= holder.state.next_request_at();
+            if self.budget.requests[index] > 0 && is_due {
+                events.push(Event::SendRequests(index));
             }
         }
         if self.budget.steps > 0 {
@@ -165,12 +196,7 @@
             events.extend((0..HOLDERS).map(Event::RestartHolder));
         }
         if self.budget.releases > 0 {
-            let holds = |n: &usize| {
-                self.holders[*n]
-                    .0
-                    .holds(self.holders[*n].1, RESOURCE)
-                    .is_some()
-            };
+            let holds = |index: &usize| self.holders[*index].holds().is_some();
             events.extend((0..HOLDERS).filter(holds).map(Event::Release));
         }
         events
@@ -178,110 +204,122 @@
 
     fn apply(&mut self, event: &Event, bug: InjectedBug) {
         match event {
-            Event::Step => {
-                self.budget.steps -= 1;
-                self.issuers
-                    .iter_mut()
-                    .for_each(|(_, clock)| *clock += ISSUER_STEP);
-                self.holders
-                    .iter_mut()
-                    .for_each(|(_, clock)| *clock += HOLDER_STEP);
+            Event::Step => self.step(),
+            Event::SendRequests(holder) => self.send_requests(*holder),
+            Event::Deliver(message) => {
+                self.in_flight.remove(message);
+                self.deliver(message);
             }
-            Event::SendRequests(n) => {
-                self.budget.requests[*n] -= 1;
-                let (holder, clock) = &mut self.holders[*n];
-                let requests = holder
-                    .requests(*clock)
-                    .into_iter()
-                    .map(|addressed| Message::Request(*n, addressed.issuer, addressed.request));
-                self.in_flight.extend(requests);
+            Event::DeliverDuplicate(message) => {
+                self.budget.duplicates -= 1;
+                self.deliver(message);
             }
-            Event::Deliver(message, is_duplicated) => {
-                match is_duplicated {
-                    true => self.budget.duplicates -= 1,
-                    false => drop(self.in_flight.remove(message)),
-                }
-                match message {
-                    Message::Request(holder, issuer, request) => {
-                        let (lease_issuer, clock) = &mut self.issuers[*issuer];
-                        if let Ok(reply) = lease_issuer.handle_request(*clock, request) {
-                            let reply = Message::Reply(*holder, *issuer, reply);
-                            self.in_flight.insert(reply);
-                        }
-                    }
-                    Message::Reply(holder, issuer, reply) => {
-                        self.holders[*holder].0.handle_reply(*issuer, reply);
-                    }
+            Event::RestartIssuer(issuer) => self.restart_issuer(*issuer, bug),
+            Event::RestartHolder(holder) => self.restart_holder(*holder, bug),
+            Event::Release(holder) => self.release(*holder),
+        }
+    }
+
+    fn step(&mut self) {
+        self.budget.steps -= 1;
+        for issuer in &mut self.issuers {
+            issuer.clock += ISSUER_STEP;
+        }
+        for holder in &mut self.holders {
+            holder.clock += HOLDER_STEP;
+        }
+    }
+
+    fn send_requests(&mut self, index: usize) {
+        self.budget.requests[index] -= 1;
+        let holder = &mut self.holders[index];
+        for addressed in holder.state.requests(holder.clock) {
+            self.in_flight.insert(Message::Request {
+                holder: index,
+                issuer: addressed.issuer,
+                request: addressed.request,
+            });
+        }
+    }
+
+    fn deliver(&mut self, message: &Message) {
+        match message {
+            Message::Request {
+                holder,
+                issuer,
+                request,
+            } => {
+                let receiver = &mut self.issuers[*issuer];
+                if let Ok(reply) = receiver.state.handle_request(receiver.clock, request) {
+                    self.in_flight.insert(Message::Reply {
+                        holder: *holder,
+                        issuer: *issuer,
+                        reply,
+                    });
                 }
             }
-            Event::RestartIssuer(n) => {
-                self.budget.restarts -= 1;
-                self.last_incarnation += 1;
-                let (issuer, clock) = &mut self.issuers[*n];
-                let (incarnation, unix, terms) = (
-                    1000 * self.last_incarnation,
-                    clock.as_millis() as u64,
-                    terms(bug),
-                );
-                *issuer = match bug {
-                    InjectedBug::NoStartupSilence => LeaseIssuer::start_without_silence(
-                        *clock,
-                        unix,
-                        incarnation,
-                        &terms,
-                        LIMITS,
-                    ),
-                    _ => LeaseIssuer::start(*clock, unix, incarnation, &terms, LIMITS),
-                };
-            }
-            Event::RestartHolder(n) => {
-                self.budget.restarts -= 1;
-                self.last_incarnation += 1;
-                self.incarnations[*n] = self.last_incarnation;
-                let (holder, clock) = &mut self.holders[*n];
-                *holder =
-                    LeaseHolder::new(holder_id(*n, self.last_incarnation), terms(bug), *n as u64);
-                holder.observe_epoch(Epoch(100 + self.last_incarnation));
-                holder.want(*clock, RESOURCE);
-            }
-            Event::Release(n) => {
-                self.budget.releases -= 1;
-                let (holder, clock) = &mut self.holders[*n];
-                holder.release(*clock, RESOURCE);
-                holder.want(*clock, RESOURCE);
-            }
+            Message::Reply {
+                holder,
+                issuer,
+                reply,
+            } => self.holders[*holder].state.handle_reply(*issuer, reply),
         }
     }
 
+    fn restart_issuer(&mut self, index: usize, bug: InjectedBug) {
+        self.budget.restarts -= 1;
+        self.last_incarnation += 1;
+        let issuer = &mut self.issuers[index];
+        let (clock, unix_ms) = (issuer.clock, issuer.clock.as_millis() as u64);
+        let incarnation = 1000 * self.last_incarnation;
+        let terms = terms(bug);
+        issuer.state = match bug {
+            InjectedBug::NoStartupSilence => {
+                LeaseIssuer::start_without_silence(clock, unix_ms, incarnation, &terms, LIMITS)
+            }
+            _ => LeaseIssuer::start(clock, unix_ms, incarnation, &terms, LIMITS),
+        };
+    }
+
+    fn restart_holder(&mut self, index: usize, bug: InjectedBug) {
+        self.budget.restarts -= 1;
+        self.last_incarnation += 1;
+        let holder = &mut self.holders[index];
+        *holder = claiming_holder(index, self.last_incarnation, holder.clock, terms(bug));
+    }
+
+    fn release(&mut self, index: usize) {
+        self.budget.releases -= 1;
+        let holder = &mut self.holders[index];
+        holder.state.release(holder.clock, RESOURCE);
+        holder.state.want(holder.clock, RESOURCE);
+    }
+
     /// The invariant that this state violates.
     fn violation(&mut self) -> Option<String> {
-        let holding = |n: usize| {
-            self.holders[n]
-                .0
-                .holds(self.holders[n].1, RESOURCE)
-                .map(|epoch| (n, epoch))
+        let holding = |(index, holder): (usize, &Holder)| {
+            Some(Holding {
+                holder: index,
+                incarnation: holder.incarnation,
+                epoch: holder.holds()?,
+            })
         };
-        let now: Vec<(usize, Epoch)> = (0..HOLDERS).filter_map(holding).collect();
-        if now.len() > 1 {
-            return Some(format!("two holders: {now:?}"));
+        let holdings: Vec<Holding> = self
+            .holders
+            .iter()
+            .enumerate()
+            .filter_map(holding)
+            .collect();
+        if holdings.len() > 1 {
+            return Some(format!("two holders: {holdings:?}"));
         }
-        if let Some((n, epoch)) = now.first().copied() {
-            let this = Holding {
-                holder: n,
-                incarnation: self.incarnations[n],
-                epoch,
-            };
-            if self
-                .last_holding
-                .is_some_and(|last| last != this && last.epoch >= epoch)
-            {
-                return Some(format!(
-                    "epoch does not grow: {:?}, then {this:?}",
-                    self.last_holding
-                ));
+        let this = *holdings.first()?;
+        if let Some(last) = self.last_holding {
+            if last != this && last.epoch >= this.epoch {
+                return Some(format!("epoch does not grow: {last:?}, then {this:?}"));
             }
-            self.last_holding = Some(this);
         }
+        self.last_holding = Some(this);
         None
     }
 
@@ -295,45 +333,61 @@
     }
 }
 
+/// A violated invariant, and the events that led there.
+#[derive(Debug)]
+struct Violation {
+    invariant: String,
+    trace: Vec<Event>,
+}
+
 struct SearchResult {
     states: usize,
     /// Events after which the resource was held or had been.
     holdings: usize,
-    /// What is wrong, and the events that led there.
-    violation: Option<(String, Vec<Event>)>,
+    violation: Option<Violation>,
 }
 
+/// A state on the path of the search, the events that are still to be tried there, and the one that led there.
+struct PathEntry {
+    state: FleetState,
+    untried: Vec<Event>,
+    led_by: Option<Event>,
+}
+
+/// Searches all states depth first.
 fn search(bug: InjectedBug, budget: EventBudget) -> SearchResult {
     let start = FleetState::new(bug, budget);
     let mut visited = HashSet::from([start.fingerprint()]);
     let mut holdings = 0;
-    let mut path: Vec<(FleetState, Vec<Event>, Option<Event>)> = Vec::new();
-    let events = start.events();
-    path.push((start, events, None));
-    while let Some((state, events, _)) = path.last_mut() {
-        let Some(event) = events.pop() else {
+    let mut path = vec![PathEntry {
+        untried: start.events(),
+        state: start,
+        led_by: None,
+    }];
+    while let Some(entry) = path.last_mut() {
+        let Some(event) = entry.untried.pop() else {
             path.pop();
             continue;
         };
-        let mut next = state.clone();
+        let mut next = entry.state.clone();
         next.apply(&event, bug);
         let violation = next.violation();
         holdings += usize::from(next.last_holding.is_some());
-        if let Some(violation) = violation {
-            let trace = path
-                .iter()
-                .filter_map(|(_, _, event)| event.clone())
-                .chain([event])
-                .collect();
+        if let Some(invariant) = violation {
+            let earlier = path.iter().filter_map(|entry| entry.led_by.clone());
+            let trace = earlier.chain([event]).collect();
             return SearchResult {
                 states: visited.len(),
                 holdings,
-                violation: Some((violation, trace)),
+                violation: Some(Violation { invariant, trace }),
             };
         }
         if visited.insert(next.fingerprint()) {
-            let events = next.events();
-            path.push((next, events, Some(event)));
+            path.push(PathEntry {
+                untried: next.events(),
+                state: next,
+                led_by: Some(event),
+            });
         }
     }
     SearchResult {
@@ -346,49 +400,31 @@
 #[test]
 fn never_two_holders_and_epochs_grow_in_every_order_of_events() {
     // Each explores another corner; all at once are too many states for a test of seconds.
-    let corners = [
-        (
-            "steps",
-            EventBudget {
-                steps: 2,
-                requests: [1, 1],
-                restarts: 0,
-                duplicates: 0,
-                releases: 0,
-            },
-        ),
-        (
-            "restart",
-            EventBudget {
-                steps: 1,
-                requests: [1, 1],
-                restarts: 1,
-                duplicates: 0,
-                releases: 0,
-            },
-        ),
-        (
-            "release",
-            EventBudget {
-                steps: 0,
-                requests: [2, 1],
-                restarts: 0,
-                duplicates: 0,
-                releases: 1,
-            },
-        ),
-        (
-            "duplicate",
-            EventBudget {
-                steps: 1,
-                requests: [1, 1],
-                restarts: 0,
-                duplicates: 1,
-                releases: 0,
-            },
-        ),
-    ];
-    for (name, budget) in corners {
+    let steps = EventBudget {
+        steps: 2,
+        ..ONE_REQUEST_EACH
+    };
+    let restart = EventBudget {
+        steps: 1,
+        restarts: 1,
+        ..ONE_REQUEST_EACH
+    };
+    let release = EventBudget {
+        requests: [2, 1],
+        releases: 1,
+        ..ONE_REQUEST_EACH
+    };
+    let duplicate = EventBudget {
+        steps: 1,
+        duplicates: 1,
+        ..ONE_REQUEST_EACH
+    };
+    for (name, budget) in [
+        ("steps", steps),
+        ("restart", restart),
+        ("release", release),
+        ("duplicate", duplicate),
+    ] {
         let result = search(InjectedBug::None, budget);
         println!(
             "{name}: {} states, {} with a holder so far",
@@ -408,29 +444,23 @@
 
 #[test]
 fn search_finds_two_holders_without_drift_margin_or_startup_silence() {
-    let budget = EventBudget {
+    let steps = EventBudget {
         steps: 2,
-        requests: [1, 1],
-        restarts: 0,
-        duplicates: 0,
-        releases: 0,
+        ..ONE_REQUEST_EACH
     };
     let restart = EventBudget {
-        steps: 0,
-        requests: [1, 1],
         restarts: 1,
-        duplicates: 0,
-        releases: 0,
+        ..ONE_REQUEST_EACH
     };
     for (bug, budget) in [
-        (InjectedBug::NoDriftMargin, budget),
+        (InjectedBug::NoDriftMargin, steps),
         (InjectedBug::NoStartupSilence, restart),
     ] {
-        let (violation, trace) = search(bug, budget)
+        let Violation { invariant, trace } = search(bug, budget)
             .violation
             .unwrap_or_else(|| panic!("{bug:?} was not found"));
-        println!("{bug:?}: {violation} after {trace:#?}");
-        assert!(violation.contains("two holders"), "{violation}");
+        println!("{bug:?}: {invariant} after {trace:#?}");
+        assert!(invariant.contains("two holders"), "{invariant}");
         assert!(
             search(InjectedBug::None, budget).violation.is_none(),
             "without the bug nothing is wrong"
