--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -1,12 +1,16 @@
-//! Bad input: each fault has its own error that says what to do; no datagram, whatever its bytes, is a panic or a grant.
+//! Bad input: every kind has its own error that says what to do; no bytes of a datagram cause a panic. And the bounds of
+//! issuers, holders and quotas.
 
+use garnetwall_fleet::lease_issuer::IssuerSize;
+use garnetwall_fleet::lease_message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
 use garnetwall_fleet::lease_terms::LeaseTermsError;
-use garnetwall_fleet::message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
-use garnetwall_fleet::shares::Budget;
-use garnetwall_fleet::wire::{Dropped, Message, Wire, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES};
+use garnetwall_fleet::quota::FleetQuota;
+use garnetwall_fleet::wire::{
+    DatagramCodec, DropReason, Message, MAX_DATAGRAM_BYTES, MAX_SWIM_BYTES,
+};
 use garnetwall_fleet::{
-    Claim, Epoch, HolderId, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms,
-    Resource, Verdict,
+    AddressedRequest, Claim, ClaimVerdict, Epoch, HolderId, IssuerLimits, LeaseHolder, LeaseIssuer,
+    LeaseReply, LeaseRequest, LeaseTerms, Resource, Verdict,
 };
 use proptest::prelude::*;
 use std::collections::HashSet;
@@ -20,6 +24,13 @@
     LeaseTerms::new(ms(2000), 500, ms(100), &[1, 2, 3]).unwrap()
 }
 
+fn limits(max_holders: usize, max_resources: usize) -> IssuerLimits {
+    IssuerLimits {
+        max_holders,
+        max_resources,
+    }
+}
+
 fn claim(n: u64) -> Claim {
     Claim {
         resource: Resource(u64::MAX - n),
@@ -27,7 +38,7 @@
     }
 }
 
-fn ask(number: u32, claims: Vec<Claim>) -> LeaseRequest {
+fn request(number: u32, claims: Vec<Claim>) -> LeaseRequest {
     LeaseRequest {
         holder: HolderId {
             gateway: u64::MAX,
@@ -40,9 +51,9 @@
 }
 
 #[test]
-fn each_fault_of_the_settings_is_told_with_what_to_do() {
+fn every_wrong_setting_has_an_error_that_says_what_to_do() {
     let short = LeaseTerms::new(ms(300), 500, ms(100), &[1, 2, 3]).unwrap_err();
-    let faults = [
+    let errors = [
         (
             LeaseTerms::new(ms(2000), 500, ms(100), &[1, 2]).unwrap_err(),
             LeaseTermsError::IssuerCount(2),
@@ -70,61 +81,69 @@
         ),
         (short, short, "take a longer lease"),
     ];
-    for (fault, wanted, says) in faults {
-        assert_eq!(fault, wanted);
-        assert!(fault.to_string().contains(says), "{fault}");
+    for (error, expected, advice) in errors {
+        assert_eq!(error, expected);
+        assert!(error.to_string().contains(advice), "{error}");
     }
     assert!(matches!(short, LeaseTermsError::LeaseTooShort { .. }));
 }
 
 #[test]
-fn each_bad_datagram_is_dropped_for_its_own_reason() {
-    let (ours, keyed) = (Wire::new("sale", None), Wire::new("sale", Some(b"key")));
-    let message = Message::Request(ask(1, vec![claim(0)]));
-    let good = keyed.write(&message).unwrap();
-    assert_eq!(keyed.read(&good), Ok(message.clone()));
-    let mut other_version = good.clone();
+fn every_bad_datagram_is_dropped_with_its_own_reason() {
+    let (unkeyed, keyed) = (
+        DatagramCodec::new("sale", None),
+        DatagramCodec::new("sale", Some(b"key")),
+    );
+    let message = Message::Request(request(1, vec![claim(0)]));
+    let datagram = keyed.encode(&message).unwrap();
+    assert_eq!(keyed.decode(&datagram), Ok(message.clone()));
+    let mut other_version = datagram.clone();
     other_version[0] = 9;
-    let mut altered = good.clone();
+    let mut altered = datagram.clone();
     altered[12] ^= 1;
-    let plain = ours.write(&message).unwrap();
-    let cases: [(&Wire, Vec<u8>, Dropped, &str); 7] = [
+    let plain = unkeyed.encode(&message).unwrap();
+    let cases: [(&DatagramCodec, Vec<u8>, DropReason, &str); 7] = [
         (
             &keyed,
             vec![1; MAX_DATAGRAM_BYTES + 1],
-            Dropped::Long(MAX_DATAGRAM_BYTES + 1),
+            DropReason::TooLong(MAX_DATAGRAM_BYTES + 1),
             "longest",
         ),
-        (&keyed, vec![1; 20], Dropped::Short(20), "too short"),
-        (&keyed, other_version, Dropped::Version(9), "one version"),
+        (&keyed, vec![1; 20], DropReason::TooShort(20), "too short"),
+        (
+            &keyed,
+            other_version,
+            DropReason::OtherVersion(9),
+            "one version",
+        ),
         (
-            &Wire::new("other", Some(b"key")),
-            good.clone(),
-            Dropped::Foreign,
+            &DatagramCodec::new("other", Some(b"key")),
+            datagram.clone(),
+            DropReason::OtherFleet,
             "a name",
         ),
-        (&keyed, altered, Dropped::Forged, "key files"),
+        (&keyed, altered, DropReason::WrongHash, "key files"),
         (
-            &Wire::new("sale", Some(b"old key")),
-            good,
-            Dropped::Forged,
+            &DatagramCodec::new("sale", Some(b"old key")),
+            datagram,
+            DropReason::WrongHash,
             "key files",
         ),
         (
-            &ours,
+            &unkeyed,
             plain[..plain.len() - 3].to_vec(),
-            Dropped::Malformed,
+            DropReason::Malformed,
             "builds",
         ),
     ];
     let mut seen = HashSet::new();
-    for (wire, bytes, wanted, says) in cases {
-        let fault = wire.read(&bytes).unwrap_err();
-        assert_eq!(fault, wanted);
-        assert!(fault.to_string().contains(says), "{fault}");
-        seen.insert(std::mem::discriminant(&fault));
+    for (codec, bytes, expected, advice) in cases {
+        let error = codec.decode(&bytes).unwrap_err();
+        assert_eq!(error, expected);
+        assert!(error.to_string().contains(advice), "{error}");
+        seen.insert(std::mem::discriminant(&error));
     }
-    assert_eq!(seen.len(), 6, "every kind of fault");
+    assert_eq!(seen.len(), 6, "every kind of error");
     assert!(
         !format!("{keyed:?}").contains("107"),
         "the key is in no log"
@@ -132,29 +151,32 @@
 }
 
 #[test]
-fn the_largest_messages_fit_and_larger_ones_are_not_written() {
-    let wire = Wire::new("sale", Some(b"key"));
+fn the_largest_messages_fit_and_larger_ones_are_not_encoded() {
+    let codec = DatagramCodec::new("sale", Some(b"key"));
     let claims: Vec<_> = (0..MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect();
-    assert!(wire
-        .write(&Message::Request(ask(u32::MAX, claims.clone())))
+    assert!(codec
+        .encode(&Message::Request(request(u32::MAX, claims.clone())))
         .is_some());
-    let late = |claim: &Claim| (*claim, Verdict::StaleEpoch(Epoch(u64::MAX)));
-    let told = LeaseReply {
+    let stale = |claim: &Claim| ClaimVerdict {
+        claim: *claim,
+        verdict: Verdict::StaleEpoch(Epoch(u64::MAX)),
+    };
+    let reply = LeaseReply {
         holder: HolderId {
             gateway: u64::MAX,
             incarnation: u64::MAX,
         },
         number: u32::MAX,
         session: u64::MAX,
-        verdicts: claims.iter().map(late).collect(),
+        verdicts: claims.iter().map(stale).collect(),
         released: Vec::new(),
     };
-    assert!(wire.write(&Message::Reply(told)).is_some());
-    assert!(wire
-        .write(&Message::Swim(vec![0xff; MAX_SWIM_BYTES]))
+    assert!(codec.encode(&Message::Reply(reply)).is_some());
+    assert!(codec
+        .encode(&Message::Swim(vec![0xff; MAX_SWIM_BYTES]))
         .is_some());
-    assert!(wire
-        .write(&Message::Request(ask(
+    assert!(codec
+        .encode(&Message::Request(request(
             1,
             (0..=MAX_CLAIMS_PER_MESSAGE as u64).map(claim).collect()
         )))
@@ -162,19 +184,19 @@
 }
 
 #[test]
-fn a_grantor_that_has_started_is_mute_for_a_lease_and_bounds_what_it_keeps() {
-    let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), 2, 3);
-    let fault = issuer
-        .handle_request(ms(1999), &ask(1, vec![claim(0)]))
+fn an_issuer_is_silent_for_a_lease_after_its_start_and_bounds_what_it_stores() {
+    let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
+    let error = issuer
+        .handle_request(ms(1999), &request(1, vec![claim(0)]))
         .unwrap_err();
-    assert_eq!(fault, NoReply::Starting(ms(1)));
-    assert!(fault.to_string().contains("nothing is to be done"));
+    assert_eq!(error, NoReply::Starting(ms(1)));
+    assert!(error.to_string().contains("nothing is to be done"));
     let verdict = |issuer: &mut LeaseIssuer, now, number, n| {
         issuer
-            .handle_request(ms(now), &ask(number, vec![claim(n)]))
+            .handle_request(ms(now), &request(number, vec![claim(n)]))
             .unwrap()
             .verdicts[0]
-            .1
+            .verdict
     };
     for n in 0..3 {
         assert_eq!(
@@ -183,36 +205,41 @@
         );
     }
     assert_eq!(verdict(&mut issuer, 2000, 4, 3), Verdict::AtCapacity);
-    // Its session is over: what it had gives way, and what was forgotten is not given under an old epoch.
+    // Its session is over: its resources are evicted, and what was evicted is not granted under an old epoch.
     assert_eq!(verdict(&mut issuer, 9000, 5, 3), Verdict::Granted);
     assert_eq!(
         verdict(&mut issuer, 9000, 6, 20),
         Verdict::StaleEpoch(claim(10).epoch)
     );
-    for life in 0..10 {
-        let one = LeaseRequest {
+    for incarnation in 0..10 {
+        let first_request = LeaseRequest {
             holder: HolderId {
                 gateway: 1,
-                incarnation: life,
+                incarnation,
             },
-            ..ask(1, Vec::new())
+            ..request(1, Vec::new())
         };
-        let told = issuer.handle_request(ms(9000), &one);
-        assert_eq!(told.is_err(), life > 0, "{told:?}");
-        if let Err(fault) = told {
-            assert_eq!(fault, NoReply::TooManyHolders(2));
-            assert!(fault.to_string().contains("raise"));
+        let reply = issuer.handle_request(ms(9000), &first_request);
+        assert_eq!(reply.is_err(), incarnation > 0, "{reply:?}");
+        if let Err(error) = reply {
+            assert_eq!(error, NoReply::TooManyHolders(2));
+            assert!(error.to_string().contains("raise"));
         }
     }
-    assert_eq!(issuer.size(), (3, 2));
+    assert_eq!(
+        issuer.size(),
+        IssuerSize {
+            resources: 3,
+            sessions: 2
+        }
+    );
 }
 
-/// Thousands of things are renewed by one message to each issuer.
 #[test]
-fn ten_thousand_things_are_renewed_by_one_message_to_each_grantor() {
+fn ten_thousand_leases_are_renewed_by_one_message_to_each_issuer() {
     let terms = terms();
     let mut issuers: Vec<_> = (0..3)
-        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, 8, 20_000))
+        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, limits(8, 20_000)))
         .collect();
     let mut holder = LeaseHolder::new(
         HolderId {
@@ -226,11 +253,11 @@
     let mut now = ms(2000);
     let mut last = 0;
     for _ in 0..200 {
-        let asks = holder.requests(now);
-        last = asks.len();
-        for (n, ask) in asks {
-            let told = issuers[n].handle_request(now, &ask).unwrap();
-            holder.handle_reply(n, &told);
+        let requests = holder.requests(now);
+        last = requests.len();
+        for AddressedRequest { issuer, request } in requests {
+            let reply = issuers[issuer].handle_request(now, &request).unwrap();
+            holder.handle_reply(issuer, &reply);
         }
         now = holder.next_request_at();
     }
@@ -241,13 +268,13 @@
     assert_eq!(held, 10_000);
 }
 
-/// Members come and go and see different fleets: the sum of what all hold is never more than the budget.
+/// Gateways join, leave and see different fleets: all together never hold more units than the quota has.
 #[test]
-fn shares_sum_up_to_no_more_than_the_budget_and_settle_on_the_whole() {
+fn held_units_never_exceed_the_quota_and_converge_to_all_of_it() {
     let terms = terms();
-    let budget = Budget::new("return of east", 60);
+    let quota = FleetQuota::new("return of east", 60);
     let mut issuers: Vec<_> = (0..3)
-        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, 16, 200))
+        .map(|n| LeaseIssuer::start(ms(0), 0, n << 32, &terms, limits(16, 200)))
         .collect();
     let mut holders: Vec<_> = (0..6)
         .map(|n| {
@@ -263,8 +290,8 @@
         .collect();
     let mut now = ms(2000);
     for step in 0..400 {
-        // The fifth joins in the middle; two see a part of the fleet only for a while; the first is gone at last.
-        let there = |n: u64| {
+        // The fifth joins in the middle; for a while some see only a part of the fleet; the first is down at the end.
+        let visible_gateways = |n: u64| {
             (0..6)
                 .filter(|m| match step {
                     0..100 => *m < 5,
@@ -274,28 +301,28 @@
                 })
                 .collect::<Vec<u64>>()
         };
-        let gone = |n: u64| step < 100 && n == 5 || step >= 300 && n == 0;
-        for n in (0..6).filter(|n| !gone(*n)) {
+        let is_down = |n: u64| step < 100 && n == 5 || step >= 300 && n == 0;
+        for n in (0..6).filter(|n| !is_down(*n)) {
             let holder = &mut holders[n as usize];
-            budget.settle(holder, now, n, &there(n));
-            for (g, ask) in holder.requests(now) {
-                if let Ok(told) = issuers[g].handle_request(now, &ask) {
-                    holder.handle_reply(g, &told);
+            quota.rebalance(holder, now, n, &visible_gateways(n));
+            for AddressedRequest { issuer, request } in holder.requests(now) {
+                if let Ok(reply) = issuers[issuer].handle_request(now, &request) {
+                    holder.handle_reply(issuer, &reply);
                 }
             }
         }
         let held: Vec<u32> = holders
             .iter()
-            .map(|holder| budget.held(holder, now))
+            .map(|holder| quota.held_units(holder, now))
             .collect();
         assert!(
-            held.iter().sum::<u32>() <= budget.units(),
+            held.iter().sum::<u32>() <= quota.unit_count(),
             "{held:?} at step {step}"
         );
         if [99, 299, 399].contains(&step) {
             assert_eq!(
                 held.iter().sum::<u32>(),
-                budget.units(),
+                quota.unit_count(),
                 "{held:?} at step {step}"
             );
         }
@@ -303,9 +330,9 @@
     }
 }
 
-/// Prints what a look at a lease costs among ten thousand.
+/// Prints the time of a lookup among ten thousand leases.
 #[test]
-fn a_lease_is_looked_at_quickly() {
+fn a_lease_lookup_takes_under_20_microseconds() {
     let terms = terms();
     let mut holder = LeaseHolder::new(
         HolderId {
@@ -316,27 +343,30 @@
         1,
     );
     (0..10_000).for_each(|n| holder.want(ms(0), Resource(n)));
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let held = (0..100_000)
         .filter(|n| holder.holds(ms(1), Resource(n % 10_000)).is_some())
         .count();
-    let each = began.elapsed() / 100_000;
-    println!("{each:?} a look");
+    let duration_per_lookup = started.elapsed() / 100_000;
+    println!("{duration_per_lookup:?} a lookup");
     assert_eq!(held, 0);
-    assert!(each < Duration::from_micros(20), "{each:?}");
+    assert!(
+        duration_per_lookup < Duration::from_micros(20),
+        "{duration_per_lookup:?}"
+    );
 }
 
 proptest! {
     #[test]
-    fn no_bytes_are_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
-        let wire = Wire::new("sale", keyed.then_some(b"key"));
-        let _ = wire.read(&bytes);
-        let mut ours = wire.write(&Message::Request(ask(1, Vec::new()))).unwrap();
-        ours.truncate(9);
-        ours.extend(&bytes);
-        if let Ok(Message::Request(ask)) = wire.read(&ours) {
-            let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), 2, 3);
-            let _ = issuer.handle_request(ms(5000), &ask);
+    fn no_bytes_of_a_datagram_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
+        let codec = DatagramCodec::new("sale", keyed.then_some(b"key"));
+        let _ = codec.decode(&bytes);
+        let mut datagram = codec.encode(&Message::Request(request(1, Vec::new()))).unwrap();
+        datagram.truncate(9);
+        datagram.extend(&bytes);
+        if let Ok(Message::Request(request)) = codec.decode(&datagram) {
+            let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
+            let _ = issuer.handle_request(ms(5000), &request);
         }
     }
 }
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -1,8 +1,10 @@
 //! The bytes on the wire, as literal hex: gateways of different builds must read each other.
 
 use garnetwall_fleet::membership::{Fact, Membership, Peer};
-use garnetwall_fleet::wire::{Message, Wire};
-use garnetwall_fleet::{Claim, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict};
+use garnetwall_fleet::wire::{DatagramCodec, Message};
+use garnetwall_fleet::{
+    Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict,
+};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
@@ -29,6 +31,13 @@
     }
 }
 
+fn decided(resource: u64, epoch: u64, verdict: Verdict) -> ClaimVerdict {
+    ClaimVerdict {
+        claim: claim(resource, epoch),
+        verdict,
+    }
+}
+
 fn request() -> Message {
     Message::Request(LeaseRequest {
         holder: SENDER,
@@ -44,10 +53,10 @@
         number: 9,
         session: 1_000,
         verdicts: vec![
-            (claim(1, 2), Verdict::Granted),
-            (claim(2, 3), Verdict::HeldByOther(Epoch(5))),
-            (claim(3, 4), Verdict::StaleEpoch(Epoch(6))),
-            (claim(4, 5), Verdict::AtCapacity),
+            decided(1, 2, Verdict::Granted),
+            decided(2, 3, Verdict::HeldByOther(Epoch(5))),
+            decided(3, 4, Verdict::StaleEpoch(Epoch(6))),
+            decided(4, 5, Verdict::AtCapacity),
         ],
         released: vec![claim(6, 7)],
     })
@@ -69,35 +78,35 @@
 }
 
 /// A datagram is written as these bytes, and read from them.
-fn assert_datagram(wire: &Wire, message: &Message, expected: &str) {
-    assert_eq!(hex(&wire.write(message).unwrap()), expected);
-    assert_eq!(wire.read(&unhex(expected)).as_ref(), Ok(message));
+fn assert_datagram(codec: &DatagramCodec, message: &Message, expected: &str) {
+    assert_eq!(hex(&codec.encode(message).unwrap()), expected);
+    assert_eq!(codec.decode(&unhex(expected)).as_ref(), Ok(message));
 }
 
 #[test]
 fn datagrams_without_a_key_have_these_bytes() {
-    let wire = Wire::new("sale", None);
-    assert_datagram(&wire, &request(), REQUEST_HEX);
-    assert_datagram(&wire, &reply(), REPLY_HEX);
-    assert_datagram(&wire, &swim(), SWIM_HEX);
+    let codec = DatagramCodec::new("sale", None);
+    assert_datagram(&codec, &request(), REQUEST_HEX);
+    assert_datagram(&codec, &reply(), REPLY_HEX);
+    assert_datagram(&codec, &swim(), SWIM_HEX);
 }
 
 #[test]
 fn datagrams_with_a_key_end_with_these_hashes() {
-    let wire = Wire::new("sale", Some(b"key"));
+    let codec = DatagramCodec::new("sale", Some(b"key"));
     let keyed = |plain: &str, hash: &str| format!("{plain}{hash}");
     assert_datagram(
-        &wire,
+        &codec,
         &request(),
         &keyed(REQUEST_HEX, "7c9cc413fbe4a79f0dddaeaf0edf20ce"),
     );
     assert_datagram(
-        &wire,
+        &codec,
         &reply(),
         &keyed(REPLY_HEX, "15085a56c4276d7f8240e92513c77332"),
     );
     assert_datagram(
-        &wire,
+        &codec,
         &swim(),
         &keyed(SWIM_HEX, "6aceb7acc3e46a2893d1fe0e6a9d3836"),
     );
@@ -116,15 +125,15 @@
     assert_eq!(postcard::from_bytes(&unhex(expected)), Ok(fact));
 }
 
-/// An announcement is the header of SWIM's messages alone: source, its incarnation, target, message.
+/// An announcement is the header of SWIM's messages alone: source, its incarnation, target, kind of message.
 #[test]
 fn an_announcement_to_a_peer_has_these_bytes() {
     let peers = [address(3), address(4)];
-    let myself = Peer::new(peers[0], 1_700_000_000_123);
-    let wire = Wire::new("sale", None);
-    let mut members = Membership::new(Duration::ZERO, myself, &peers, 1, wire);
-    members.join(Duration::ZERO, &peers);
-    let sent: Vec<_> = members
+    let local_peer = Peer::new(peers[0], 1_700_000_000_123);
+    let codec = DatagramCodec::new("sale", None);
+    let mut membership = Membership::new(Duration::ZERO, local_peer, &peers, 1, codec);
+    membership.join(Duration::ZERO, &peers);
+    let sent: Vec<_> = membership
         .take_outgoing()
         .into_iter()
         .map(|datagram| (datagram.to, hex(&datagram.bytes)))
--- a/crates/scale/src/slopes/roles/leases.rs
+++ b/crates/scale/src/slopes/roles/leases.rs
@@ -4,7 +4,9 @@
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
-use garnetwall_fleet::{Claim, Epoch, HolderId, LeaseIssuer, LeaseRequest, LeaseTerms, Resource};
+use garnetwall_fleet::{
+    Claim, Epoch, HolderId, IssuerLimits, LeaseIssuer, LeaseRequest, LeaseTerms, Resource,
+};
 use std::time::Duration;
 
 /// A lease of two seconds, renewed each quarter of it.
@@ -22,8 +24,11 @@
     fn measure(&self, point: &Point) -> Result<Vec<Measured>, RoleError> {
         let members = point.quantities.members;
         let terms = LeaseTerms::unchecked(LEASE_LENGTH, TERM_LENGTH, ISSUERS);
-        let mut issuer =
-            LeaseIssuer::start(Duration::ZERO, 0, 1, &terms, members as usize, MAX_LEASES);
+        let limits = IssuerLimits {
+            max_holders: members as usize,
+            max_resources: MAX_LEASES,
+        };
+        let mut issuer = LeaseIssuer::start(Duration::ZERO, 0, 1, &terms, limits);
         let begin = LEASE_LENGTH * 2;
         let (resident, refused) = growth(|| {
             let first = |member: u64| {
