--- a/crates/routing/src/zones/shares.rs
+++ b/crates/routing/src/zones/shares.rs
@@ -1,16 +1,71 @@
-//! What share of the load goes to which zone.
+//! Which fraction of the load goes to which zone: the nearest first, spilling to the next priority level by degrees.
 
-use super::{carried_before_spilling, Shares, Zones, MIN_DIVISOR, PANIC_FRACTION};
+use super::{Zones, MIN_DIVISOR};
+
+/// Fraction of a priority level's capacity up to which all load stays there; from there on it spills by degrees.
+pub(super) const SPILL_FROM_FRACTION: f64 = 0.7;
+/// Fraction of the capacity listed as ready under which the healthy part is too small to be believed.
+pub(super) const PANIC_FRACTION: f64 = 0.5;
+
+/// Which fraction of the offered load goes where; what is missing to 1 is rejected.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Shares {
+    /// By zone.
+    pub zones: Vec<f64>,
+    /// By priority level.
+    pub priority_levels: Vec<f64>,
+    /// Too much looks unhealthy to be believed: the load goes to all that is listed as ready.
+    pub panic: bool,
+}
+
+impl Shares {
+    /// The fraction that fits nowhere.
+    pub fn rejected_share(&self) -> f64 {
+        (1.0 - self.zones.iter().sum::<f64>()).max(0.0)
+    }
+
+    /// The zone of one query by a number drawn from 0 to 1; none where it is rejected.
+    pub fn pick(&self, draw: f64) -> Option<usize> {
+        let mut left = draw;
+        self.zones.iter().position(|share| {
+            left -= share;
+            left < 0.0 && *share > 0.0
+        })
+    }
+
+    fn add(&mut self, zone: usize, priority_level: usize, share: f64) {
+        self.zones[zone] += share;
+        self.priority_levels[priority_level] += share;
+    }
+}
+
+/// What a priority level carries of a load before the rest spills to the next: all of it up to [`SPILL_FROM_FRACTION`] of
+/// its capacity, then less and less of what is added, never more than its capacity. The curve has no edge, so that a load
+/// that varies does not jump between priority levels. Both are in cores.
+pub fn carried_before_spilling(load: f64, capacity: f64) -> f64 {
+    if capacity <= MIN_DIVISOR {
+        return 0.0;
+    }
+    let utilization = load / capacity;
+    if utilization <= SPILL_FROM_FRACTION {
+        return load;
+    }
+    let soft_range = 1.0 - SPILL_FROM_FRACTION;
+    (capacity
+        * (SPILL_FROM_FRACTION
+            + soft_range * (1.0 - (-(utilization - SPILL_FROM_FRACTION) / soft_range).exp())))
+    .min(load)
+}
 
 impl Zones {
-    /// What goes where of a load in cores that may run in some zones only; `eligible` tells by zone.
+    /// Which fraction of a load, in cores, goes where. `eligible` says by zone whether it may run there.
     pub fn shares(&self, load: f64, eligible: &[bool]) -> Shares {
         let eligible: Vec<usize> = (0..self.zones.len())
             .filter(|zone| eligible.get(*zone).copied().unwrap_or_default())
             .collect();
         let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
         let allowed: f64 = eligible.iter().map(|zone| self.allowed_cores(*zone)).sum();
-        // Too few look healthy, and they would not carry it: what makes the others look ill may be here.
+        // Too few look healthy, and they would not carry it: the fault that makes the others look unhealthy may be here.
         let panic = allowed < PANIC_FRACTION * listed && allowed < load;
         let mut shares = Shares {
             zones: vec![0.0; self.zones.len()],
@@ -27,12 +82,12 @@
         shares
     }
 
-    /// Cores that a zone has left for us.
+    /// Cores of a zone that are not used by others.
     fn free_cores(&self, zone: usize, panic: bool) -> f64 {
         if panic {
             return self.zones[zone].capacity;
         }
-        (self.allowed_cores(zone) - self.zones[zone].others).max(0.0)
+        (self.allowed_cores(zone) - self.zones[zone].load_of_others).max(0.0)
     }
 
     /// Nothing is offered yet: the first query goes to the nearest priority level that has any capacity.
@@ -56,7 +111,7 @@
         }
     }
 
-    /// By capacity over all zones that are listed: none gets more than the healthy few would have.
+    /// By capacity over all zones that are listed: none gets more for its cores than the healthy few would get.
     fn share_by_capacity(&self, shares: &mut Shares, eligible: &[usize], load: f64) {
         let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
         let carried = load.min(listed);
@@ -92,7 +147,7 @@
             }
             remaining -= carried;
         }
-        // What spilled and found no capacity further on goes back to where there is some.
+        // What spilled and found no capacity at the next levels goes back to where there is some.
         for zone in eligible.iter().copied() {
             let free = (free_cores(zone) - shares.zones[zone] * load)
                 .max(0.0)
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -1,5 +1,7 @@
 //! Shares against what must hold of any, and a played outage: three zones, one lost and back cold.
 
+use super::shares::{PANIC_FRACTION, SPILL_FROM_FRACTION};
+use super::zone::{MAX_HOLD_DOWN_SECONDS, OUTCOME_DECAY_SECONDS, TRIALS_TO_RECOVER};
 use super::*;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -124,14 +126,18 @@
     }
 
     #[test]
-    fn the_dense_groups_are_held_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), room in 0.0..120.0f64) {
-        let parts = admit_by_value(&groups, room);
-        let held: f64 = groups.iter().zip(&parts).map(|(g, p)| g.1 * p).sum();
-        let all: f64 = groups.iter().map(|g| g.1).sum();
-        prop_assert!((held - all.min(room)).abs() < 1e-6);
-        for (a, pa) in groups.iter().zip(&parts) {
-            for (b, pb) in groups.iter().zip(&parts) {
-                prop_assert!(a.0 <= b.0 || b.1 <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "less dense before denser");
+    fn the_dense_groups_are_held_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), capacity in 0.0..120.0f64) {
+        let groups: Vec<LoadGroup> = groups
+            .into_iter()
+            .map(|(utility_per_work, load)| LoadGroup { utility_per_work, load })
+            .collect();
+        let fractions = admit_by_value(&groups, capacity);
+        let admitted: f64 = groups.iter().zip(&fractions).map(|(group, fraction)| group.load * fraction).sum();
+        let all: f64 = groups.iter().map(|group| group.load).sum();
+        prop_assert!((admitted - all.min(capacity)).abs() < 1e-6);
+        for (a, pa) in groups.iter().zip(&fractions) {
+            for (b, pb) in groups.iter().zip(&fractions) {
+                prop_assert!(a.utility_per_work <= b.utility_per_work || b.load <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "less dense before denser");
             }
         }
     }
@@ -214,7 +220,7 @@
                 }
                 _ => None,
             };
-            let trial = ramp == Ramp::Evidence && !down && zones.should_try(now, 0);
+            let trial = ramp == Ramp::Evidence && !down && zones.start_trial(now, 0);
             let zone = if trial {
                 Some(0)
             } else {
@@ -328,7 +334,7 @@
         // It does well as soon as it may be tried.
         now = until;
         assert!(
-            zones.should_try(now, 0) && !zones.should_try(now, 0),
+            zones.start_trial(now, 0) && !zones.start_trial(now, 0),
             "one trial at a time"
         );
         now += 6.0 * OUTCOME_DECAY_SECONDS;
@@ -348,7 +354,7 @@
     assert_eq!(waits[0], 0.0, "the first costs nothing");
     assert!(
         waits.windows(2).skip(1).all(|w| w[1] > w[0])
-            && waits.iter().all(|w| *w <= MAX_HOLD_SECONDS),
+            && waits.iter().all(|w| *w <= MAX_HOLD_DOWN_SECONDS),
         "{waits:?}"
     );
 }
