--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Limits beside a plain model, and the bound of what is kept under a flood of addresses.
+//! Limits against a plain model, and the bound of their state under a flood of addresses.
 
 use super::*;
 use crate::Names;
@@ -22,10 +22,10 @@
     )
 }
 
-fn batch(group: usize, tenant: usize, client: u32, bytes: u64) -> RoutedQuery {
+fn query(class: usize, tenant: usize, client: u32, bytes: u64) -> RoutedQuery {
     let client = IpAddr::from((0x0a00_0000 + client).to_be_bytes());
     RoutedQuery {
-        class: group,
+        class,
         tenant,
         client,
         has_key: false,
@@ -41,7 +41,7 @@
     limit houses {\n client houses\n per tenant, group\n bytes 1KiB/s burst 2KiB\n}\n\
     limit loads {\n group load\n in-hand 3\n}\n";
 
-/// Every query taken so far with the time, and whether it is still in flight: limits by their definition.
+/// Every query admitted so far with the time, and whether it is still in flight: limits by their definition.
 #[derive(Default)]
 struct Plain(Vec<(Duration, RoutedQuery, bool)>);
 
@@ -63,7 +63,7 @@
         (fill - (now - at).as_secs_f64() * rate).max(0.0)
     }
 
-    fn in_hand(&self, counts: impl Fn(&RoutedQuery) -> bool) -> usize {
+    fn in_flight(&self, counts: impl Fn(&RoutedQuery) -> bool) -> usize {
         self.0
             .iter()
             .filter(|(_, b, held)| *held && counts(b))
@@ -71,7 +71,7 @@
     }
 
     fn fits(&self, now: Duration, b: &RoutedQuery) -> Option<bool> {
-        let house =
+        let is_in_houses =
             |b: &RoutedQuery| matches!(b.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
         let one = |_: &RoutedQuery| 1.0;
         let mut fits = Vec::new();
@@ -86,17 +86,18 @@
                 3.0,
             );
         }
-        if house(b) {
-            let counts = |o: &RoutedQuery| house(o) && (o.tenant, o.class) == (b.tenant, b.class);
+        if is_in_houses(b) {
+            let counts =
+                |o: &RoutedQuery| is_in_houses(o) && (o.tenant, o.class) == (b.tenant, b.class);
             rate(
                 self.fill(now, (1024.0, 2048.0), counts, |b| b.statement_bytes as f64),
                 b.statement_bytes as f64,
                 2048.0,
             );
         }
-        let counted = self.in_hand(same) < 2
-            && (b.tenant != 1 || self.in_hand(|o| o.tenant == 1) < 3)
-            && (b.class != 1 || self.in_hand(|o| o.class == 1) < 3);
+        let counted = self.in_flight(same) < 2
+            && (b.tenant != 1 || self.in_flight(|o| o.tenant == 1) < 3)
+            && (b.class != 1 || self.in_flight(|o| o.class == 1) < 3);
         let edge = fits.iter().any(|left| left.abs() < 1e-3);
         (!edge).then(|| counted && fits.iter().all(|left| *left >= 0.0))
     }
@@ -104,36 +105,36 @@
 
 proptest! {
     #[test]
-    fn limits_take_what_the_plain_model_takes(
+    fn limits_admit_what_the_plain_model_admits(
         events in vec((0u64..120, 0usize..2, 0usize..2, 0u32..6, 1u64..1500, any::<bool>()), 1..200),
     ) {
         let routing = routing(PLAN);
         let mut limits = Limits::new(&routing, 10.0);
-        let (mut plain, mut tickets, mut now) = (Plain::default(), Vec::new(), Duration::ZERO);
-        for (later, group, tenant, client, bytes, ends) in events {
+        let (mut plain, mut permits, mut now) = (Plain::default(), Vec::new(), Duration::ZERO);
+        for (later, class, tenant, client, bytes, ends) in events {
             now += Duration::from_millis(later);
-            if ends && !tickets.is_empty() {
-                let (n, ticket): (usize, LimitPermit) = tickets.remove(0);
-                limits.release(now, ticket);
+            if ends && !permits.is_empty() {
+                let (n, permit): (usize, LimitPermit) = permits.remove(0);
+                limits.release(now, permit);
                 plain.0[n].2 = false;
             }
-            let b = batch(group, tenant, client, bytes);
+            let b = query(class, tenant, client, bytes);
             let fits = plain.fits(now, &b);
-            let taken = limits.admit(&routing, now, &b);
+            let admitted = limits.admit(&routing, now, &b);
             if let Some(fits) = fits {
-                prop_assert_eq!(taken.is_ok(), fits, "{:?} at {:?}: {:?}", b, now, taken);
+                prop_assert_eq!(admitted.is_ok(), fits, "{:?} at {:?}: {:?}", b, now, admitted);
             }
-            if let Ok(ticket) = taken {
-                tickets.push((plain.0.len(), ticket));
+            if let Ok(permit) = admitted {
+                permits.push((plain.0.len(), permit));
                 plain.0.push((now, b, true));
             }
         }
     }
 
-    /// With few places and many clients nothing is let through that a client's own limit forbids, and a client that
-    /// comes back at the time it was told is let in where nobody else shares its cells.
+    /// With few exact keys and many clients nothing is admitted that a client's own limit forbids, and a client that
+    /// comes back after its Retry-After is admitted where nobody else shares its cells.
     #[test]
-    fn a_sketch_never_lets_a_client_have_more(
+    fn a_sketch_never_admits_more_than_the_limit_of_a_client(
         events in vec((0u64..20, 0u32..300), 1..400),
     ) {
         let routing = routing("limit each {\n per client\n rate 10/s burst 2\n}\n");
@@ -141,13 +142,13 @@
         let (mut plain, mut now) = (Plain::default(), Duration::ZERO);
         for (later, client) in events {
             now += Duration::from_millis(later);
-            let b = batch(0, 0, client, 1);
+            let b = query(0, 0, client, 1);
             let fill = plain.fill(now, (10.0, 2.0), |o| o.client == b.client, |_| 1.0);
             match limits.admit(&routing, now, &b) {
-                Ok(ticket) => {
+                Ok(permit) => {
                     prop_assert!(fill + 1.0 <= 2.0 + 1e-6, "fill {fill}");
                     plain.0.push((now, b, true));
-                    limits.release(now, ticket);
+                    limits.release(now, permit);
                 }
                 Err(over) => prop_assert!(over.retry_after <= Duration::from_millis(100 + 1), "{over:?}"),
             }
@@ -157,34 +158,34 @@
 }
 
 #[test]
-fn what_is_kept_does_not_grow_with_the_addresses_seen() {
+fn state_does_not_grow_with_the_addresses_seen() {
     let routing = routing("limit each {\n per client\n in-hand 2\n rate 10/s burst 2\n}\n");
     let mut limits = Limits::new(&routing, 10.0);
-    let mut refused = 0;
+    let mut rejected = 0;
     for n in 0..1_000_000u32 {
         // Ten million clients a second: none is idle when the next comes.
         let now = Duration::from_nanos(u64::from(n) * 100);
-        match limits.admit(&routing, now, &batch(0, 0, n, 1)) {
-            Ok(ticket) => limits.release(now, ticket),
-            Err(_) => refused += 1,
+        match limits.admit(&routing, now, &query(0, 0, n, 1)) {
+            Ok(permit) => limits.release(now, permit),
+            Err(_) => rejected += 1,
         }
     }
     assert_eq!(limits.exact_keys(), MAX_EXACT_KEYS);
-    assert!(refused > 0, "a flood that fills every cell is held back");
-    // A second later all is idle again: places and cells are free for anyone.
+    assert!(rejected > 0, "a flood that fills every cell is limited");
+    // A second later all is idle again: entries and cells are free for any key.
     let now = Duration::from_secs(2);
-    assert!(limits.admit(&routing, now, &batch(0, 0, 77, 1)).is_ok());
+    assert!(limits.admit(&routing, now, &query(0, 0, 77, 1)).is_ok());
 }
 
 #[test]
-fn a_time_to_come_back_is_one_at_which_it_fits() {
+fn a_query_fits_after_its_retry_after_and_not_before() {
     let routing = routing(PLAN);
     let mut limits = Limits::new(&routing, 10.0);
-    let b = batch(0, 0, 9, 1);
+    let b = query(0, 0, 9, 1);
     let mut now = Duration::from_secs(5);
     for _ in 0..2 {
-        let ticket = limits.admit(&routing, now, &b).expect("a burst of two");
-        limits.release(now, ticket);
+        let permit = limits.admit(&routing, now, &b).expect("a burst of two");
+        limits.release(now, permit);
     }
     let over = limits
         .admit(&routing, now, &b)
@@ -197,15 +198,15 @@
 }
 
 #[test]
-fn another_plan_takes_up_limits_whose_name_and_scope_stay() {
+fn limits_whose_name_and_scope_stay_keep_their_counts_in_another_plan() {
     let first = routing(PLAN);
     let mut limits = Limits::new(&first, 10.0);
-    let load = |client| batch(1, 0, client, 1);
+    let load = |client| query(1, 0, client, 1);
     let held: Vec<LimitPermit> = (0..3)
         .map(|n| {
             limits
                 .admit(&first, Duration::ZERO, &load(100 + n))
-                .expect("room for three")
+                .expect("capacity for three")
         })
         .collect();
     assert!(limits.admit(&first, Duration::ZERO, &load(200)).is_err());
@@ -230,9 +231,9 @@
     limits.update_plan(&third, 10.0);
     assert!(
         limits.admit(&third, Duration::ZERO, &load(202)).is_ok(),
-        "another limit, which holds nothing yet"
+        "another limit, which has counted nothing yet"
     );
-    for ticket in held.into_iter().chain([fourth]) {
-        limits.release(Duration::from_secs(1), ticket);
+    for permit in held.into_iter().chain([fourth]) {
+        limits.release(Duration::from_secs(1), permit);
     }
 }
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -1,4 +1,4 @@
-//! Shares against what must hold of any, and a played outage: three zones, one lost and back cold.
+//! Properties of shares, and a simulated outage: three zones, of which one is lost and returns in slow start.
 
 use super::shares::{PANIC_FRACTION, SPILL_FROM_FRACTION};
 use super::zone::{MAX_HOLD_DOWN_SECONDS, OUTCOME_DECAY_SECONDS, TRIALS_TO_RECOVER};
@@ -7,17 +7,17 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-struct Drawn {
+struct Case {
     priority_levels: Vec<usize>,
     capacity: Vec<f64>,
-    others: Vec<f64>,
-    may: Vec<bool>,
+    load_of_others: Vec<f64>,
+    eligible: Vec<bool>,
     /// Zones that are lost, by failures.
     lost: Vec<bool>,
     load: f64,
 }
 
-fn drawn() -> impl Strategy<Value = Drawn> {
+fn cases() -> impl Strategy<Value = Case> {
     (1usize..6).prop_flat_map(|n| {
         (
             vec(0usize..3, n),
@@ -28,11 +28,11 @@
             0.0..600.0f64,
         )
             .prop_map(
-                |(priority_levels, capacity, others, may, lost, load)| Drawn {
+                |(priority_levels, capacity, load_of_others, eligible, lost, load)| Case {
                     priority_levels,
                     capacity,
-                    others,
-                    may,
+                    load_of_others,
+                    eligible,
                     lost,
                     load,
                 },
@@ -40,10 +40,10 @@
     })
 }
 
-fn made(d: &Drawn) -> Zones {
+fn zones_of(d: &Case) -> Zones {
     let mut zones = Zones::new(&d.priority_levels);
     for n in 0..d.priority_levels.len() {
-        zones.update_capacity(0.0, n, d.capacity[n], d.others[n]);
+        zones.update_capacity(0.0, n, d.capacity[n], d.load_of_others[n]);
         for _ in 0..if d.lost[n] { 20 } else { 0 } {
             zones.attempt_ended(0.0, n, 0.0, ZoneOutcome::Failed);
         }
@@ -55,49 +55,49 @@
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
     #[test]
-    fn shares_hold_what_fits_and_nothing_goes_where_it_may_not(d in drawn()) {
-        let zones = made(&d);
-        let shares = zones.shares(d.load, &d.may);
+    fn shares_carry_what_fits_and_only_in_eligible_zones(d in cases()) {
+        let zones = zones_of(&d);
+        let shares = zones.shares(d.load, &d.eligible);
         let all: f64 = shares.zones.iter().sum();
         prop_assert!(all <= 1.0 + 1e-9 && shares.zones.iter().all(|s| *s >= 0.0));
-        let by_tier: f64 = shares.priority_levels.iter().sum();
-        prop_assert!((by_tier - all).abs() < 1e-9);
-        let open = |n: &usize| d.may[*n];
+        let by_level: f64 = shares.priority_levels.iter().sum();
+        prop_assert!((by_level - all).abs() < 1e-9);
+        let open = |n: &usize| d.eligible[*n];
         let n = || (0..d.priority_levels.len()).filter(open);
-        let told: f64 = n().map(|n| d.capacity[n]).sum();
-        let room = |n: usize| (zones.allowed_cores(n) - d.others[n]).max(0.0);
+        let listed: f64 = n().map(|n| d.capacity[n]).sum();
+        let free_cores = |n: usize| (zones.allowed_cores(n) - d.load_of_others[n]).max(0.0);
         for (n, share) in shares.zones.iter().enumerate() {
-            prop_assert!(d.may[n] || *share == 0.0, "placement");
+            prop_assert!(d.eligible[n] || *share == 0.0, "placement");
             if shares.panic {
                 prop_assert!(share * d.load <= d.capacity[n] + 1e-6);
             } else if d.load > MIN_DIVISOR {
-                prop_assert!(share * d.load <= room(n) + 1e-6, "a neighbour is not overrun");
+                prop_assert!(share * d.load <= free_cores(n) + 1e-6, "the next zone is not overloaded");
                 prop_assert!(zones.allowed_cores(n) > 0.0 || *share == 0.0);
             }
         }
-        let held = d.load * all;
-        let holds: f64 = if shares.panic { told } else { n().map(room).sum() };
+        let carried = d.load * all;
+        let carriable: f64 = if shares.panic { listed } else { n().map(free_cores).sum() };
         if d.load > MIN_DIVISOR {
-            prop_assert!((held - d.load.min(holds)).abs() < 1e-6, "{held} held of {}, room for {holds}", d.load);
+            prop_assert!((carried - d.load.min(carriable)).abs() < 1e-6, "{carried} carried of {}, capacity for {carriable}", d.load);
         }
-        // The nearest priority_level has it all while that is well within its room.
-        let first = n().filter(|n| room(*n) > 0.0).map(|n| d.priority_levels[n]).min();
-        let near: f64 = n().filter(|n| Some(d.priority_levels[*n]) == first).map(room).sum();
+        // The nearest priority level has it all while that is well within its free cores.
+        let first = n().filter(|n| free_cores(*n) > 0.0).map(|n| d.priority_levels[n]).min();
+        let near: f64 = n().filter(|n| Some(d.priority_levels[*n]) == first).map(free_cores).sum();
         if let Some(first) = first.filter(|_| !shares.panic && d.load > MIN_DIVISOR && d.load <= SPILL_FROM_FRACTION * near) {
             prop_assert!((shares.priority_levels[first] - 1.0).abs() < 1e-9, "{shares:?}");
         }
     }
 
-    /// The panic floor: health is doubted only where the healthy part is under half of what is told and would not hold
-    /// the load; then no zone gets more for its capacity than the healthy few would have got.
+    /// Panic only where the healthy part is under half of what is listed and would not carry the load; then no zone gets
+    /// more for its capacity than the healthy few would have got.
     #[test]
-    fn doubting_health_never_gives_the_healthy_few_more(d in drawn()) {
-        let zones = made(&d);
-        let shares = zones.shares(d.load, &d.may);
-        let open = || (0..d.priority_levels.len()).filter(|n| d.may[*n]);
-        let told: f64 = open().map(|n| d.capacity[n]).sum();
+    fn panic_gives_no_zone_more_for_its_cores_than_the_healthy_few_would_get(d in cases()) {
+        let zones = zones_of(&d);
+        let shares = zones.shares(d.load, &d.eligible);
+        let open = || (0..d.priority_levels.len()).filter(|n| d.eligible[*n]);
+        let listed: f64 = open().map(|n| d.capacity[n]).sum();
         let healthy: f64 = open().map(|n| zones.allowed_cores(n)).sum();
-        prop_assert_eq!(shares.panic, healthy < PANIC_FRACTION * told && healthy < d.load);
+        prop_assert_eq!(shares.panic, healthy < PANIC_FRACTION * listed && healthy < d.load);
         if shares.panic && healthy > 0.0 {
             for n in open().filter(|n| d.capacity[*n] > 0.0) {
                 let density = shares.zones[n] * d.load / d.capacity[n];
@@ -106,17 +106,17 @@
         }
     }
 
-    /// By degrees: a little more load moves little, and a priority_level never keeps less of more.
+    /// By degrees: a little more load moves little, and a priority level never carries less of more.
     #[test]
-    fn a_tier_spills_without_an_edge(capacity in 1.0..500.0f64, load in 0.0..2000.0f64) {
+    fn a_priority_level_spills_without_an_edge(capacity in 1.0..500.0f64, load in 0.0..2000.0f64) {
         let step = capacity / 100.0;
         let (a, b) = (carried_before_spilling(load, capacity), carried_before_spilling(load + step, capacity));
         prop_assert!(a <= load.min(capacity) && b >= a - 1e-9 && b - a <= step + 1e-9);
     }
 
     #[test]
-    fn a_pick_follows_the_shares(d in drawn(), draws in vec(0.0..1.0f64, 10)) {
-        let shares = made(&d).shares(d.load, &d.may);
+    fn a_pick_follows_the_shares(d in cases(), draws in vec(0.0..1.0f64, 10)) {
+        let shares = zones_of(&d).shares(d.load, &d.eligible);
         for draw in draws {
             match shares.pick(draw) {
                 Some(zone) => prop_assert!(shares.zones[zone] > 0.0),
@@ -126,7 +126,7 @@
     }
 
     #[test]
-    fn the_dense_groups_are_held_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), capacity in 0.0..120.0f64) {
+    fn groups_of_most_utility_for_their_work_are_admitted_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), capacity in 0.0..120.0f64) {
         let groups: Vec<LoadGroup> = groups
             .into_iter()
             .map(|(utility_per_work, load)| LoadGroup { utility_per_work, load })
@@ -143,32 +143,32 @@
     }
 }
 
-/// How a zone that is back gets its load.
+/// How a zone that returns gets its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ramp {
+enum Recovery {
     Evidence,
-    /// Evenly over so many seconds since it was told back.
+    /// Evenly over so many seconds since it was listed again.
     Clock(f64),
 }
 
-/// What came of a played outage.
+/// The result of a simulated outage.
 #[derive(Debug)]
 struct Outcome {
-    /// Times the returning zone was pushed over.
+    /// How often the returning zone was overloaded until it failed.
     overruns: usize,
     /// Most of its load over what it could do then.
     worst: f64,
-    /// Seconds from being told back until it has nine tenths of its share.
+    /// Seconds from being listed again until it has nine tenths of its share.
     back_after: f64,
-    /// Parts of all work by priority_level while it was lost, and rejected.
+    /// Fractions of all work that spilled while it was lost, and that were rejected.
     spilled: f64,
     rejected_share: f64,
 }
 
-/// Three zones of 100 cores, the nearest with 65 cores of load, lost at 20 s, back cold at 40 s; it warms up in `warm`
-/// seconds of running, from 0.3 of its cores. `told` is what the settings say it takes. Work is in units of 0.2 core
-/// seconds; a zone whose work in flight is three times what it can do for half a second falls over for 2 s.
-fn played(ramp: Ramp, warm: f64, flaps: bool) -> Outcome {
+/// Three zones of 100 cores, the nearest with 65 cores of load, lost at 20 s, listed again at 40 s; its
+/// slow start takes `slow_start_seconds`, from 0.3 of its cores. Work is in units of 0.2 core seconds; a zone whose work in
+/// flight is three times what it can do for half a second fails for 2 s.
+fn simulate_outage(recovery: Recovery, slow_start_seconds: f64, flaps: bool) -> Outcome {
     let mut zones = Zones::new(&[0, 1, 2]);
     (0..3).for_each(|n| zones.update_capacity(0.0, n, 100.0, if n == 0 { 0.0 } else { 40.0 }));
     let (load, unit, step) = (65.0, 0.2, 0.01);
@@ -176,7 +176,7 @@
     let mut done = [0.0f64; 3];
     let mut up_at = 0.0f64;
     let (mut pressed, mut fallen, mut overruns, mut worst) = (0.0, -1.0f64, 0, 0.0f64);
-    let (mut spilled, mut turned, mut outage) = (0.0, 0.0, 0.0);
+    let (mut spilled, mut rejected, mut outage) = (0.0, 0.0, 0.0);
     let mut back_after = f64::NAN;
     let mut debt = 0.0;
     let mut draw = 0.5f64;
@@ -195,20 +195,20 @@
             (up_at, fallen) = (now, -1.0);
             zones.update_capacity(now, 0, 100.0, 0.0);
         }
-        let able = |n: usize, fallen: f64| match n {
+        let capable_cores = |n: usize, fallen: f64| match n {
             0 if down || now < fallen => 0.0,
-            0 if up_at > 0.0 => 100.0 * (0.3 + 0.7 * ((now - up_at) / warm).min(1.0)),
+            0 if up_at > 0.0 => 100.0 * (0.3 + 0.7 * ((now - up_at) / slow_start_seconds).min(1.0)),
             0 => 100.0,
             _ => 60.0,
         };
-        // What comes in this step, unit by unit, each drawn its zone.
+        // What comes in this step, unit by unit, each in the zone that is drawn for it.
         debt += load * step / unit;
         while debt >= 1.0 {
             debt -= 1.0;
             draw = (draw + 0.618_033_988_75).fract();
             let shares = zones.shares(load, &[true; 3]);
-            let by_clock = match ramp {
-                Ramp::Clock(over) if up_at > 0.0 && !down => {
+            let by_clock = match recovery {
+                Recovery::Clock(over) if up_at > 0.0 && !down => {
                     // By the clock: the first priority_level has its part, the rest goes on.
                     let fraction = ((now - up_at) / over).clamp(0.05, 1.0);
                     let first = (fraction * 100.0 / load).min(1.0);
@@ -220,7 +220,7 @@
                 }
                 _ => None,
             };
-            let trial = ramp == Ramp::Evidence && !down && zones.start_trial(now, 0);
+            let trial = recovery == Recovery::Evidence && !down && zones.start_trial(now, 0);
             let zone = if trial {
                 Some(0)
             } else {
@@ -229,7 +229,7 @@
             if down || (up_at > 0.0 && now < 41.0) {
                 outage += 1.0;
                 spilled += f64::from(u8::from(zone.is_some_and(|z| z > 0)));
-                turned += f64::from(u8::from(zone.is_none()));
+                rejected += f64::from(u8::from(zone.is_none()));
             }
             if let Some(zone) = zone {
                 queue[zone] += unit;
@@ -244,7 +244,7 @@
             }
         }
         for n in 0..3 {
-            let can = able(n, fallen);
+            let can = capable_cores(n, fallen);
             // Work in flight for a second of what it can do is its usual; beyond that all get slower.
             let slowdown = (queue[n] / (can * 0.25).max(MIN_DIVISOR)).max(1.0);
             if n == 0 && up_at > 0.0 && !down {
@@ -287,21 +287,23 @@
         worst,
         back_after,
         spilled: spilled / outage,
-        rejected_share: turned / outage,
+        rejected_share: rejected / outage,
     }
 }
 
-/// By evidence a returning zone is never pushed over, however long it takes to warm up, and one that is quick is back
+/// By evidence a returning zone is never overloaded, however long its slow start takes, and one that is quick is back
 /// sooner than by a careful clock; a clock that is right for one is wrong for the other.
 #[test]
-fn a_zone_returns_by_what_it_has_shown() {
-    for warm in [2.0, 10.0, 60.0] {
+fn a_zone_recovers_by_what_it_has_carried() {
+    for slow_start_seconds in [2.0, 10.0, 60.0] {
         for flaps in [false, true] {
-            let by = |ramp| played(ramp, warm, flaps);
-            let evidence = by(Ramp::Evidence);
-            println!("warm in {warm} s, flaps {flaps}: evidence {evidence:.2?}");
+            let by = |recovery| simulate_outage(recovery, slow_start_seconds, flaps);
+            let evidence = by(Recovery::Evidence);
+            println!(
+                "slow start of {slow_start_seconds} s, flaps {flaps}: evidence {evidence:.2?}"
+            );
             for over in [2.0, 10.0, 60.0] {
-                println!("    clock of {over} s: {:.2?}", by(Ramp::Clock(over)));
+                println!("    clock of {over} s: {:.2?}", by(Recovery::Clock(over)));
             }
             assert_eq!(evidence.overruns, 0, "{evidence:?}");
             assert!(
@@ -315,13 +317,13 @@
         }
     }
     assert!(
-        played(Ramp::Clock(2.0), 60.0, false).overruns > 0,
+        simulate_outage(Recovery::Clock(2.0), 60.0, false).overruns > 0,
         "the clock that is right for a quick one"
     );
 }
 
 #[test]
-fn a_zone_that_flutters_is_held_back_longer_each_time() {
+fn a_zone_that_flaps_is_held_down_longer_each_time() {
     let mut zones = Zones::new(&[0, 1]);
     (0..2).for_each(|n| zones.update_capacity(0.0, n, 100.0, 0.0));
     let (mut now, mut waits) = (0.0, Vec::new());
