--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -26,7 +26,7 @@
     pub(crate) resources: Arc<Resources>,
     /// Where eviction finds the bodies; this one removes itself when it is dropped.
     pub(crate) registry: Arc<Registry<Body>>,
-    pub(crate) id: BodyId,
+    pub(crate) body_id: BodyId,
     pub(crate) class: usize,
     pub(crate) length: Option<u64>,
     pub(crate) retention: Retention,
@@ -39,7 +39,7 @@
     pub(crate) fn new(
         resources: Arc<Resources>,
         registry: Arc<Registry<Body>>,
-        id: BodyId,
+        body_id: BodyId,
         class: usize,
         length: Option<u64>,
         retention: Retention,
@@ -47,7 +47,7 @@
         Body {
             resources,
             registry,
-            id,
+            body_id,
             class,
             length,
             retention,
@@ -80,7 +80,7 @@
 
     /// Where its next bytes go.
     pub fn storage(&self) -> Storage {
-        self.capacity().storage(self.id)
+        self.capacity().storage(self.body_id)
     }
 
     /// Whether it can be read from its start, now and later.
@@ -105,7 +105,7 @@
     }
 
     pub(crate) fn stop_storing(&self) {
-        self.capacity().stop_storing(self.id);
+        self.capacity().stop_storing(self.body_id);
     }
 
     /// Discards the pieces that were read.
@@ -118,7 +118,7 @@
         }
         drop(content);
         if released != Usage::default() {
-            self.capacity().release_read(self.id, released);
+            self.capacity().release_read(self.body_id, released);
         }
     }
 
@@ -126,7 +126,7 @@
     pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
         let number = self.next_piece_number();
         let length = piece.len();
-        let body = self.id.0;
+        let body = self.body_id.0;
         let spool = spool.clone();
         let written = spawn_blocking(move || spool.write(body, number, &piece)).await;
         let slot = written.ok()?.ok()?;
@@ -153,8 +153,8 @@
         for piece in content.pieces.drain(..) {
             PieceData::free(piece.data, self.resources.spool.as_deref());
         }
-        self.registry.remove(self.id);
-        lock(&self.resources.capacity).remove(self.id);
+        self.registry.remove(self.body_id);
+        lock(&self.resources.capacity).remove(self.body_id);
     }
 }
 
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -154,7 +154,7 @@
         let Some(spool) = self.body.resources.spool.clone() else {
             return Err(ReadError::Discarded);
         };
-        let body = self.body.id.0;
+        let body = self.body.body_id.0;
         let reading = spawn_blocking(move || {
             let read = match &*data {
                 PieceData::File {
--- a/crates/bodies/src/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -43,7 +43,7 @@
         if self.exceeds_length(bytes.len()) {
             return Err(PushError::TooManyBytes);
         }
-        let received = self.capacity().receive(self.id, bytes.len() as u64);
+        let received = self.capacity().receive(self.body_id, bytes.len() as u64);
         let storage = received.map_err(PushError::Rejected)?;
         let min_bytes = match storage {
             Storage::File => PIECE_BYTES as usize,
--- a/crates/routing/src/zones/load_shedding.rs
+++ b/crates/routing/src/zones/load_shedding.rs
@@ -6,20 +6,20 @@
 /// Queries that are alike in their value for the work that they need.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadGroup {
-    /// Utility for each core second of work.
-    pub utility_per_work: f64,
+    /// Value for each core second of work, by the priority weights of its queries.
+    pub value_per_work: f64,
     /// The load that is offered, in cores.
     pub load: f64,
 }
 
 /// Which fraction of each group is admitted where the capacity, in cores, does not suffice for all: those with the most
-/// utility for their work first. The result is in the order of the groups.
+/// value for their work first. The result is in the order of the groups.
 pub fn admit_by_value(groups: &[LoadGroup], capacity: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..groups.len()).collect();
     order.sort_by(|a, b| {
         groups[*b]
-            .utility_per_work
-            .total_cmp(&groups[*a].utility_per_work)
+            .value_per_work
+            .total_cmp(&groups[*a].value_per_work)
     });
     let mut remaining = capacity.max(0.0);
     let mut fractions = vec![0.0; groups.len()];
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -126,10 +126,10 @@
     }
 
     #[test]
-    fn groups_of_most_utility_for_their_work_are_admitted_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), capacity in 0.0..120.0f64) {
+    fn groups_of_most_value_for_their_work_are_admitted_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), capacity in 0.0..120.0f64) {
         let groups: Vec<LoadGroup> = groups
             .into_iter()
-            .map(|(utility_per_work, load)| LoadGroup { utility_per_work, load })
+            .map(|(value_per_work, load)| LoadGroup { value_per_work, load })
             .collect();
         let fractions = admit_by_value(&groups, capacity);
         let admitted: f64 = groups.iter().zip(&fractions).map(|(group, fraction)| group.load * fraction).sum();
@@ -137,7 +137,7 @@
         prop_assert!((admitted - all.min(capacity)).abs() < 1e-6);
         for (a, pa) in groups.iter().zip(&fractions) {
             for (b, pb) in groups.iter().zip(&fractions) {
-                prop_assert!(a.utility_per_work <= b.utility_per_work || b.load <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "less dense before denser");
+                prop_assert!(a.value_per_work <= b.value_per_work || b.load <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "less dense before denser");
             }
         }
     }
@@ -155,7 +155,7 @@
 #[derive(Debug)]
 struct Outcome {
     /// How often the returning zone was overloaded until it failed.
-    overruns: usize,
+    overloads: usize,
     /// Most of its load over what it could do then.
     worst: f64,
     /// Seconds from being listed again until it has nine tenths of its share.
@@ -175,7 +175,7 @@
     let mut queue = [0.0f64; 3];
     let mut done = [0.0f64; 3];
     let mut up_at = 0.0f64;
-    let (mut pressed, mut fallen, mut overruns, mut worst) = (0.0, -1.0f64, 0, 0.0f64);
+    let (mut pressed, mut fallen, mut overloads, mut worst) = (0.0, -1.0f64, 0, 0.0f64);
     let (mut spilled, mut rejected, mut outage) = (0.0, 0.0, 0.0);
     let mut back_after = f64::NAN;
     let mut debt = 0.0;
@@ -257,7 +257,7 @@
                     0.0
                 };
                 if pressed > 0.5 {
-                    overruns += 1;
+                    overloads += 1;
                     (fallen, pressed) = (now + 2.0, 0.0);
                     while queue[0] > 0.0 {
                         queue[0] -= unit;
@@ -283,7 +283,7 @@
         }
     }
     Outcome {
-        overruns,
+        overloads,
         worst,
         back_after,
         spilled: spilled / outage,
@@ -305,7 +305,7 @@
             for over in [2.0, 10.0, 60.0] {
                 println!("    clock of {over} s: {:.2?}", by(Recovery::Clock(over)));
             }
-            assert_eq!(evidence.overruns, 0, "{evidence:?}");
+            assert_eq!(evidence.overloads, 0, "{evidence:?}");
             assert!(
                 evidence.worst < 3.0 && evidence.back_after < 60.0,
                 "{evidence:?}"
@@ -317,7 +317,7 @@
         }
     }
     assert!(
-        simulate_outage(Recovery::Clock(2.0), 60.0, false).overruns > 0,
+        simulate_outage(Recovery::Clock(2.0), 60.0, false).overloads > 0,
         "the clock that is right for a quick one"
     );
 }
--- a/crates/routing/src/zones/zone.rs
+++ b/crates/routing/src/zones/zone.rs
@@ -28,7 +28,7 @@
 const INITIAL_HOLD_DOWN_SECONDS: f64 = 2.0;
 pub(super) const MAX_HOLD_DOWN_SECONDS: f64 = 60.0;
 /// Seconds in which the number of a zone's losses is halved.
-const LOSS_HALF_LIFE_SECONDS: f64 = 60.0;
+const LOSS_HALVING_SECONDS: f64 = 60.0;
 
 /// The health of a zone by the outcomes of this gateway's own attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -179,9 +179,8 @@
         if matches!(self.health, Health::Lost { .. }) {
             return;
         }
-        self.recent_losses *= (-(now - self.lost_at).max(0.0) / LOSS_HALF_LIFE_SECONDS
-            * std::f64::consts::LN_2)
-            .exp();
+        self.recent_losses *=
+            (-(now - self.lost_at).max(0.0) / LOSS_HALVING_SECONDS * std::f64::consts::LN_2).exp();
         // The first loss in a long time costs no wait: it is tried as soon as it is listed again.
         let hold_down = if self.recent_losses < 0.5 {
             0.0
