--- a/crates/routing/src/zones/shares.rs
+++ b/crates/routing/src/zones/shares.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a priority level carries of a load before the rest spills to the next: all of it up to [`SPILL_FROM_FRACTION`] of
+/// What a priority level carries of a load before the rest spills to the next: all of it up to 0.7 of
 /// its capacity, then less and less of what is added, never more than its capacity. The curve has no edge, so that a load
 /// that varies does not jump between priority levels. Both are in cores.
 pub fn carried_before_spilling(load: f64, capacity: f64) -> f64 {
