--- a/crates/bodies/tests/stored_spool.rs
+++ b/crates/bodies/tests/stored_spool.rs
@@ -14,8 +14,8 @@
 
 const STORED: &[u8] = include_bytes!("fixtures/last-piece.garnetwall-spool");
 
-/// Its head: body 0, piece 6, 76 bytes, checksum, zeros.
-const HEAD: [u8; 32] = [
+/// Its header: body 0, piece 6, 76 bytes, checksum, zeros.
+const HEADER: [u8; 32] = [
     0, 0, 0, 0, 0, 0, 0, 0, // body
     6, 0, 0, 0, // piece
     76, 0, 0, 0, // length
@@ -54,11 +54,11 @@
     let spool = Spool::new(memory.clone(), 1 << 20);
     let _slot = spool.write(0, 6, PIECE).unwrap();
     assert_eq!(*memory.0.lock().unwrap(), STORED);
-    assert_eq!(STORED, [&HEAD[..], PIECE].concat());
+    assert_eq!(STORED, [&HEADER[..], PIECE].concat());
 }
 
 #[test]
-fn a_stored_piece_is_read_and_proves_itself() {
+fn a_stored_piece_is_read_and_verified() {
     let memory = Memory::default();
     let spool = Spool::new(memory.clone(), 1 << 20);
     let slot = spool.write(0, 6, &vec![0; PIECE.len()]).unwrap();
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -14,7 +14,7 @@
 
 const STORED: &[u8] = include_bytes!("fixtures/interrupted.once-only");
 
-/// The boot run in which it was written, and the time that its queries may run at most.
+/// The boot in which it was written, and the time that its queries may run at most.
 const BOOT: Boot = Boot {
     boot_id: 0x2b7e_1516_28ae_4d2a,
     longest_query_run_ms: 65_000,
@@ -101,13 +101,13 @@
 }
 
 #[test]
-fn in_another_boot_run_all_of_it_counts_for_its_whole_span() {
+fn in_another_boot_each_query_may_run_for_the_longest_time() {
     let mut state = JournalState::replay(STORED).state;
-    let run = Boot {
+    let boot = Boot {
         boot_id: 7,
         longest_query_run_ms: 1_000,
     };
-    state.resume(run, 5_000);
+    state.resume(boot, 5_000);
     let mut all = all_recovered();
     for query in &mut all {
         query.record.may_run_until_ms = 5_000 + BOOT.longest_query_run_ms;
@@ -121,12 +121,12 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join(format!("stored-{}.once-only", std::process::id()));
     std::fs::write(&path, STORED).unwrap();
-    let (recovered, known) = channel();
+    let (recovered, recovery) = channel();
     let storage = FileStorage::new(&path);
     let callback = Box::new(move |all| drop(recovered.send(all)));
     let (journal, started) = Journal::start(storage, BOOT, || 1_138_170, callback);
     started.unwrap();
-    assert_eq!(known.recv().unwrap(), all_recovered());
+    assert_eq!(recovery.recv().unwrap(), all_recovered());
     journal.record_finished(THIRD.query_key);
     drop(journal);
     let mut expected = STORED[..192].to_vec();
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Prints what a subset costs: a whole list, a changed line, and the memory of many subsets of one catalog.
+//! Prints what a subset costs: a whole list, a changed entry, and the memory of many subsets of one catalog.
 //!
 //! `cargo run --release -p garnetwall-subset --example cost`
 
@@ -11,8 +11,8 @@
 const ENGINES: u32 = 6_500;
 const ZONES: u32 = 21;
 const GATEWAYS: usize = 4_400;
-const CHANGED_LINES: u32 = 20_000;
-const WHOLE_LISTS: u32 = 20;
+const CHANGED_ENTRIES: u32 = 20_000;
+const FULL_LISTS: u32 = 20;
 
 fn settings(retry_scope: RetryScope, near_weight: f64) -> SubsetSettings {
     SubsetSettings {
@@ -28,14 +28,14 @@
     }
 }
 
-fn line(number: u32, condition: ListedState) -> ListedEngine {
+fn listed_engine(number: u32, state: ListedState) -> ListedEngine {
     let cores = [8.0, 16.0, 32.0][(number / ZONES % 3) as usize];
     let facts = EngineFacts {
         zone: number % ZONES,
         kind: number % 3,
         cell: number / ZONES % 15,
         cores,
-        state: condition,
+        state,
     };
     ListedEngine {
         engine_id: format!("engine-{number}"),
@@ -45,17 +45,17 @@
 
 /// Time on a processor since the process began, which other processes' load does not lengthen; the wall's where the
 /// system does not tell it.
-fn processor_nanoseconds(begun: Instant) -> f64 {
+fn processor_nanoseconds(started_at: Instant) -> f64 {
     let run_time = std::fs::read_to_string("/proc/self/schedstat").ok();
     let run_time = run_time.and_then(|line| line.split_whitespace().next()?.parse().ok());
-    run_time.unwrap_or(begun.elapsed().as_nanos() as f64)
+    run_time.unwrap_or(started_at.elapsed().as_nanos() as f64)
 }
 
 fn nanoseconds(times: u32, mut act: impl FnMut(u32)) -> f64 {
-    let begun = Instant::now();
-    let before = processor_nanoseconds(begun);
+    let started_at = Instant::now();
+    let before = processor_nanoseconds(started_at);
     (0..times).for_each(&mut act);
-    (processor_nanoseconds(begun) - before) / f64::from(times)
+    (processor_nanoseconds(started_at) - before) / f64::from(times)
 }
 
 /// Resident memory in KiB, where the system tells it.
@@ -71,16 +71,16 @@
 }
 
 fn main() -> Result<(), SubsetError> {
-    let lines: Vec<ListedEngine> = (0..ENGINES)
-        .map(|number| line(number, ListedState::Ready))
+    let listed_engines: Vec<ListedEngine> = (0..ENGINES)
+        .map(|number| listed_engine(number, ListedState::Ready))
         .collect();
-    let first = nanoseconds(WHOLE_LISTS, |_| {
-        drop(Catalog::default().apply(&lines, true))
+    let first = nanoseconds(FULL_LISTS, |_| {
+        drop(Catalog::default().apply(&listed_engines, true))
     });
     println!("catalog: a first list of {ENGINES}: {:.0} us", first / 1e3);
     let mut catalog = Catalog::default();
-    catalog.apply(&lines, true);
-    let again = nanoseconds(WHOLE_LISTS, |_| drop(catalog.apply(&lines, true)));
+    catalog.apply(&listed_engines, true);
+    let again = nanoseconds(FULL_LISTS, |_| drop(catalog.apply(&listed_engines, true)));
     println!("catalog: the same list again: {:.0} us", again / 1e3);
     let scopes = [
         (RetryScope::Everywhere, 1.0),
@@ -98,10 +98,10 @@
     let what = format!("subset of 80, retries {scope:?}, near weight {near_weight}");
     let settings = settings(scope, near_weight);
     let mut failed = None;
-    let fill = nanoseconds(WHOLE_LISTS, |gateway| {
+    let fill = nanoseconds(FULL_LISTS, |gateway| {
         match Subset::new(&format!("gateway-{gateway}"), settings.clone()) {
             Ok(mut subset) => drop(subset.poll(0.0, catalog)),
-            Err(fault) => failed = Some(fault),
+            Err(error) => failed = Some(error),
         }
     });
     failed.map_or(Ok(()), Err)?;
@@ -110,13 +110,13 @@
     subset.poll(0.0, catalog);
     let mut now = 0.0;
     let mut actions = 0;
-    let changed = nanoseconds(CHANGED_LINES, |number| {
-        let condition = if number % 2 == 0 {
+    let changed = nanoseconds(CHANGED_ENTRIES, |number| {
+        let state = if number % 2 == 0 {
             ListedState::Draining
         } else {
             ListedState::Ready
         };
-        let changes = catalog.apply(&[line(number / 2 * 7 % ENGINES, condition)], false);
+        let changes = catalog.apply(&[listed_engine(number / 2 * 7 % ENGINES, state)], false);
         now += 0.1;
         subset.changed(now, catalog, &changes);
         for action in subset.poll(now, catalog) {
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -210,8 +210,8 @@
     world.apply(&listed_engines(100, 5), true);
     world.advance(10.0);
     let members = world.member_ids();
-    let gone = members.first().expect("members").clone();
-    world.set_state(&gone, ListedState::Removed);
+    let removed = members.first().expect("members").clone();
+    world.set_state(&removed, ListedState::Removed);
     let expected = plain_target(GATEWAY, &world.settings, &world.list);
     let next = expected
         .difference(&members)
@@ -243,7 +243,7 @@
         InjectedFault::None,
     );
     world.apply(&listed_engines(200, 5), true);
-    // With one engine of these the member with the highest score is displaced; while it fails there is room for one.
+    // With one engine of these the member with the highest score is displaced; while it fails there is a place for one.
     let displaces = |world: &World, new_engine: &ListedEngine| {
         let mut list = world.list.clone();
         list.insert(new_engine.engine_id.clone(), new_engine.facts);
@@ -287,7 +287,7 @@
         ..settings(3)
     };
     let mut world = World::new(slow, InjectedFault::None);
-    let tell = |world: &mut World, first: u32| {
+    let list_eight = |world: &mut World, first: u32| {
         world.apply(
             &(first..first + 8)
                 .map(|number| listed_engine(number, 5))
@@ -298,10 +298,10 @@
     world
         .unreachable
         .extend((23..38).map(|number| listed_engine(number, 5).engine_id));
-    tell(&mut world, 70);
-    tell(&mut world, 21);
+    list_eight(&mut world, 70);
+    list_eight(&mut world, 21);
     world.advance(29.0);
-    tell(&mut world, 0);
+    list_eight(&mut world, 0);
     world.settle();
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -323,7 +323,7 @@
     assert!(world.connects_at.len() > 10 && within_pace(&world.connects_at, 0.2));
 }
 
-/// Candidates are kept, dropped and read anew while a list grows and shrinks by single engines.
+/// Candidates are added, dropped and read again while a list grows and shrinks by single engines.
 #[test]
 fn a_list_that_grows_and_shrinks_engine_by_engine() {
     for retry_scope in [RetryScope::Everywhere, RetryScope::Cell] {
@@ -392,8 +392,8 @@
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(100, 5), true);
     world.silent = true;
-    let gone = world.member_ids().first().cloned().expect("members");
-    world.set_state(&gone, ListedState::Removed);
+    let removed = world.member_ids().first().cloned().expect("members");
+    world.set_state(&removed, ListedState::Removed);
     world.advance(9.0);
     assert_eq!(world.subset.unreached(), 0);
     world.advance(2.0);
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -136,16 +136,16 @@
 }
 
 #[test]
-fn no_engine_is_unheld_and_a_short_list_is_held_by_all() {
+fn no_engine_is_without_holders_and_all_gateways_hold_a_short_list() {
     // 12 engines each, and so 24 gateways an engine, by the floor.
     let fleet = fleet(&settings(1), ZONES, InjectedFault::None);
     assert_eq!(fleet.counted.len(), ENGINES as usize);
-    let alike = fleet_of(&settings(1), ZONES, InjectedFault::None, |gateway| {
+    let same_names = fleet_of(&settings(1), ZONES, InjectedFault::None, |gateway| {
         format!("gateway-{}", gateway % 20)
     });
     assert!(
-        alike.counted.len() < ENGINES as usize,
-        "gateways of few names leave engines unheld"
+        same_names.counted.len() < ENGINES as usize,
+        "gateways of few names leave engines without holders"
     );
     let least = fleet.counted.values().copied().fold(f64::MAX, f64::min);
     println!("least gateways that hold an engine: {least}");
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -185,7 +185,7 @@
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn settles_as_the_plain_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
+    fn converges_to_the_plain_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
         let mut world = World::new(settings, InjectedFault::None);
         for step in &steps {
             play(&mut world, step);
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_choice_that_is_drawn_anew_moves_too_much() {
+fn a_random_selection_moves_too_much() {
     let settings = settings(20);
     let list = listed_engines(ENGINES, ZONES)
         .into_iter()
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_fault_has_place_cause_and_remedy() {
+fn each_error_has_place_cause_and_remedy() {
     let good = settings(8);
     assert_eq!(fault(good.clone()), None);
     assert_eq!(
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn extreme_settings_are_no_fault() {
+fn extreme_settings_are_valid() {
     let widest = SubsetSettings {
         size: usize::MAX,
         class_floor: usize::MAX,
