--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -6,8 +6,8 @@
 use garnetwall::api::EndpointState;
 use garnetwall_subset as subset;
 use garnetwall_subset::{
-    Action, Catalog, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset, SubsetError,
-    SubsetSettings,
+    Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset,
+    SubsetError, SubsetSettings,
 };
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -249,7 +249,12 @@
     /// Records whether a candidate could be reached.
     pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
         self.warming.remove(&engine);
-        self.subset.connect_ended(now, engine, reached);
+        let outcome = if reached {
+            ConnectOutcome::Reached
+        } else {
+            ConnectOutcome::NotReached
+        };
+        self.subset.connect_ended(now, engine, outcome);
     }
 
     /// Records how an attempt at the engine of this id ended.
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -2,8 +2,8 @@
 
 use super::experiment::Experiment;
 use garnetwall_subset::{
-    Action, Catalog, Change, EngineKey, ListedState, PlacementClass, RetryScope, Subset,
-    SubsetError, SubsetSettings,
+    Action, Catalog, Change, ConnectOutcome, EngineKey, ListedState, PlacementClass, RetryScope,
+    Subset, SubsetError, SubsetSettings,
 };
 use std::collections::BTreeSet;
 
@@ -50,7 +50,12 @@
 
     pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
         if let Membership::Subset(subset) = self {
-            subset.connect_ended(now, engine, reached);
+            let outcome = if reached {
+                ConnectOutcome::Reached
+            } else {
+                ConnectOutcome::NotReached
+            };
+            subset.connect_ended(now, engine, outcome);
         }
     }
 
--- a/crates/scale/src/real_processes/prediction.rs
+++ b/crates/scale/src/real_processes/prediction.rs
@@ -9,8 +9,8 @@
 use super::report::Figure;
 use garnetwall_settings::{decode, FlatSettings};
 use garnetwall_subset::{
-    Action, Catalog, EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, Subset,
-    SubsetError, SubsetSettings,
+    Action, Catalog, ConnectOutcome, EngineFacts, ListedEngine, ListedState, PlacementClass,
+    RetryScope, Subset, SubsetError, SubsetSettings,
 };
 
 /// The defaults of the gateways' `subset` block.
@@ -121,7 +121,7 @@
     while now < FILL_SECONDS {
         for action in subset.poll(now, &catalog) {
             if let Action::Connect(engine) = action {
-                subset.connect_ended(now, engine, true);
+                subset.connect_ended(now, engine, ConnectOutcome::Reached);
             }
         }
         now += STEP_SECONDS;
--- a/crates/scale/src/slopes/subset.rs
+++ b/crates/scale/src/slopes/subset.rs
@@ -3,7 +3,7 @@
 use super::measurement::{Measured, Metric, Point, Role, RoleError};
 use super::pool;
 use super::stopwatch::{growth, repeated, timed};
-use garnetwall_subset::{Action, Catalog, ListedEngine, ListedState, Subset};
+use garnetwall_subset::{Action, Catalog, ConnectOutcome, ListedEngine, ListedState, Subset};
 
 /// Subsets that share one catalog, so that a subset's memory is known apart from the catalog's.
 const ADDITIONAL_SUBSETS: usize = 200;
@@ -53,7 +53,8 @@
             let due = self.subset.poll(self.now, &self.catalog);
             for action in &due {
                 if let Action::Connect(engine) = action {
-                    self.subset.connect_ended(self.now, *engine, true);
+                    self.subset
+                        .connect_ended(self.now, *engine, ConnectOutcome::Reached);
                 }
             }
             actions.extend(due);
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -4,8 +4,8 @@
 use crate::process::processor_time;
 use crate::subset_comparison::population::{Engine, Gateway, Population};
 use garnetwall_subset::{
-    Action, Catalog, Change, EngineFacts, EngineKey, ListedEngine, ListedState, PlacementClass,
-    RetryScope, Subset, SubsetSettings,
+    Action, Catalog, Change, ConnectOutcome, EngineFacts, EngineKey, ListedEngine, ListedState,
+    PlacementClass, RetryScope, Subset, SubsetSettings,
 };
 use std::collections::{HashMap, HashSet};
 
@@ -146,7 +146,8 @@
             let actions = self.subset.poll(self.now, catalog);
             for action in &actions {
                 if let Action::Connect(engine) = action {
-                    self.subset.connect_ended(self.now, *engine, true);
+                    self.subset
+                        .connect_ended(self.now, *engine, ConnectOutcome::Reached);
                 }
             }
             match self.subset.wake() {
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -3,8 +3,8 @@
 //! `cargo run --release -p garnetwall-subset --example cost`
 
 use garnetwall_subset::{
-    Action, Catalog, EngineFacts, ListedEngine, ListedState, RetryScope, Subset, SubsetError,
-    SubsetSettings,
+    Action, Catalog, ConnectOutcome, EngineFacts, ListedEngine, ListedState, RetryScope, Subset,
+    SubsetError, SubsetSettings,
 };
 use std::time::Instant;
 
@@ -122,7 +122,7 @@
         for action in subset.poll(now, catalog) {
             actions += 1;
             if let Action::Connect(engine) = action {
-                subset.connect_ended(now, engine, true);
+                subset.connect_ended(now, engine, ConnectOutcome::Reached);
             }
         }
     });
--- a/crates/subset/src/join_queue.rs
+++ b/crates/subset/src/join_queue.rs
@@ -23,12 +23,29 @@
 /// The most unreached engines that are remembered; the one that would be retried next is forgotten first.
 const MAX_UNREACHED: usize = 1_024;
 
+/// Whether the connection to an engine was made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectOutcome {
+    /// It was made: the engine may join.
+    Reached,
+    /// It was not: another engine takes the place, and this one is retried later.
+    NotReached,
+}
+
+/// Why a connection may be made now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum StartReason {
+    /// The engine fills a vacated place, which does not wait for the pace.
+    Refill,
+    /// The engine was due at the pace, or its retry was.
+    Due,
+}
+
 /// A connection that is being made.
 #[derive(Clone, Copy, Debug)]
 struct Connecting {
     deadline: f64,
-    /// It fills a vacated place, which does not wait for the pace.
-    refill: bool,
+    reason: StartReason,
 }
 
 /// An engine that was not reached.
@@ -100,16 +117,18 @@
     }
 
     /// Records whether a connection was made; returns whether the engine was waited for.
-    pub fn connect_ended(&mut self, now: f64, engine: EngineKey, reached: bool) -> bool {
+    pub fn connect_ended(&mut self, now: f64, engine: EngineKey, outcome: ConnectOutcome) -> bool {
         let Some(connecting) = self.connecting.remove(&engine) else {
             return false;
         };
-        if reached {
+        if outcome == ConnectOutcome::Reached {
             self.unreached.remove(&engine);
             self.reached.insert(engine);
             return true;
         }
-        self.refills += usize::from(connecting.refill);
+        if connecting.reason == StartReason::Refill {
+            self.refills += 1;
+        }
         self.add_unreached(now, engine);
         true
     }
@@ -145,7 +164,7 @@
         };
         let expired: Vec<EngineKey> = self.connecting.iter().filter_map(is_expired).collect();
         for engine in &expired {
-            self.connect_ended(now, *engine, false);
+            self.connect_ended(now, *engine, ConnectOutcome::NotReached);
         }
         !expired.is_empty()
     }
@@ -159,29 +178,29 @@
         let due = self.unreached.iter().filter_map(is_due);
         let due: Vec<EngineKey> = due.take(free_slots).collect();
         for engine in &due {
-            self.start_connecting(now, *engine, false);
+            self.start_connecting(now, *engine, StartReason::Due);
         }
         due
     }
 
-    fn start_connecting(&mut self, now: f64, engine: EngineKey, refill: bool) {
+    fn start_connecting(&mut self, now: f64, engine: EngineKey, reason: StartReason) {
         let deadline = now + CONNECT_TIMEOUT_SECONDS;
         self.connecting
-            .insert(engine, Connecting { deadline, refill });
+            .insert(engine, Connecting { deadline, reason });
     }
 
     /// Starts to connect to a missing engine, if the pace, a refill or its urgency allows; whether it did.
-    pub fn try_connect(&mut self, now: f64, engine: EngineKey, urgent: bool) -> bool {
+    pub fn try_connect(&mut self, now: f64, engine: EngineKey, is_urgent: bool) -> bool {
         if self.connecting.len() >= MAX_CONNECTING {
             return false;
         }
-        if urgent {
-            self.start_connecting(now, engine, true);
+        if is_urgent {
+            self.start_connecting(now, engine, StartReason::Refill);
             return true;
         }
         if self.refills > 0 {
             self.refills -= 1;
-            self.start_connecting(now, engine, true);
+            self.start_connecting(now, engine, StartReason::Refill);
             return true;
         }
         self.try_connect_at_pace(now, engine)
@@ -199,7 +218,7 @@
         }
         self.last_start_at = Some(now);
         self.next_start_at = Some(now + self.interval);
-        self.start_connecting(now, engine, false);
+        self.start_connecting(now, engine, StartReason::Due);
         true
     }
 
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -35,6 +35,7 @@
 
 pub use catalog::Catalog;
 pub use engine::{Change, EngineFacts, EngineKey, ListedEngine, ListedState};
+pub use join_queue::ConnectOutcome;
 pub use score::{GatewayHash, Score};
 pub use settings::{
     PlacementClass, RetryScope, SubsetError, SubsetSettings, MAX_CLASSES, MAX_NEAR_WEIGHT,
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -11,7 +11,7 @@
 use crate::engine::{Change, EngineKey, ListedState};
 use crate::health::MemberHealth;
 use crate::holders::{HoldersParameters, HoldersTable};
-use crate::join_queue::JoinQueue;
+use crate::join_queue::{ConnectOutcome, JoinQueue};
 use crate::ready::RetryDomain;
 use crate::score::GatewayHash;
 use crate::selection::{Scorer, Selection, Target};
@@ -160,9 +160,9 @@
     }
 
     /// Records whether the connection that [`Action::Connect`] asked for was made.
-    pub fn connect_ended(&mut self, now: f64, engine: EngineKey, reached: bool) {
+    pub fn connect_ended(&mut self, now: f64, engine: EngineKey, outcome: ConnectOutcome) {
         self.last_call = now;
-        if self.join_queue.connect_ended(now, engine, reached) {
+        if self.join_queue.connect_ended(now, engine, outcome) {
             self.invalidate(Outdated::Target);
         }
     }
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)]
 
 use garnetwall_subset::{
-    Action, Catalog, EffectiveSize, EngineFacts, EngineKey, GatewayHash, ListedEngine, ListedState,
-    PlacementClass, RetryScope, Subset, SubsetSettings,
+    Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, GatewayHash,
+    ListedEngine, ListedState, PlacementClass, RetryScope, Subset, SubsetSettings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -175,7 +175,12 @@
             if reached {
                 self.reached.insert(engine);
             }
-            self.subset.connect_ended(self.now, engine, reached);
+            let outcome = if reached {
+                ConnectOutcome::Reached
+            } else {
+                ConnectOutcome::NotReached
+            };
+            self.subset.connect_ended(self.now, engine, outcome);
         }
     }
 
