--- a/crates/bodies/src/capacity/reservation.rs
+++ b/crates/bodies/src/capacity/reservation.rs
@@ -1,6 +1,6 @@
 //! What is reserved for one body.
 
-use super::{PIECE_BYTES, WINDOW_BYTES};
+use super::limits::{PIECE_BYTES, WINDOW_BYTES};
 use std::fmt;
 use std::ops::{AddAssign, SubAssign};
 
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -16,7 +16,7 @@
 
 mod file;
 
-pub use file::{remove_leftover_files, SpoolFile};
+pub use file::{remove_leftover_files, RandomAccessFile, SpoolFile};
 
 use crate::capacity::PIECE_BYTES;
 use crate::mutex::lock;
@@ -29,23 +29,6 @@
 const CHECKED_HEADER_BYTES: usize = 16;
 const SLOT_BYTES: u64 = HEADER_BYTES as u64 + PIECE_BYTES;
 
-/// Where the slots of a spool are stored.
-pub trait RandomAccessFile: Send + Sync {
-    /// Writes all of `bytes` at `offset`. It blocks.
-    ///
-    /// # Errors
-    ///
-    /// Not all bytes could be written.
-    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
-
-    /// Fills `buffer` from `offset` on. It blocks.
-    ///
-    /// # Errors
-    ///
-    /// Not all bytes could be read; [`io::ErrorKind::UnexpectedEof`] where they are beyond the end.
-    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()>;
-}
-
 /// Why a piece can't be written or read.
 #[derive(Debug)]
 pub enum SpoolError {
--- a/crates/bodies/src/spool/file.rs
+++ b/crates/bodies/src/spool/file.rs
@@ -1,6 +1,5 @@
-//! The spool file on a disk, unlinked as soon as it is open.
+//! Where the slots of a spool are stored: behind a trait, and on a disk a file that is unlinked as soon as it is open.
 
-use super::RandomAccessFile;
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -10,6 +9,23 @@
 /// The end of a spool file's name while it has one, between its creation and its unlinking.
 const FILE_SUFFIX: &str = ".garnetwall-spool";
 
+/// Where the slots of a spool are stored.
+pub trait RandomAccessFile: Send + Sync {
+    /// Writes all of `bytes` at `offset`. It blocks.
+    ///
+    /// # Errors
+    ///
+    /// Not all bytes could be written.
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
+
+    /// Fills `buffer` from `offset` on. It blocks.
+    ///
+    /// # Errors
+    ///
+    /// Not all bytes could be read; [`io::ErrorKind::UnexpectedEof`] where they are beyond the end.
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()>;
+}
+
 /// An open spool file that has no name any more, so that it vanishes with its process.
 #[derive(Debug)]
 pub struct SpoolFile(pub(super) File);
--- a/crates/ledger/src/attempts.rs
+++ b/crates/ledger/src/attempts.rs
@@ -9,7 +9,6 @@
 pub use open_attempt::CancelStep;
 
 use open_attempt::OpenAttempt;
-
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -14,6 +14,7 @@
 pub use error::JournalError;
 pub use state::{JournalState, RecoveredQuery, Replay};
 pub use storage::{FileStorage, JournalStorage};
+pub use writer::{RecoveryCallback, WriteCallback};
 
 use crate::records::{Boot, Record, StartedQuery};
 use std::io;
@@ -21,12 +22,6 @@
 use std::thread::JoinHandle;
 use writer::{Command, Writer};
 
-/// Called once a record is stored, or can't be.
-pub type WriteCallback = Box<dyn FnOnce(Result<(), JournalError>) + Send>;
-
-/// Called with the queries of earlier processes whose time is not over, once the journal has been read.
-pub type RecoveryCallback = Box<dyn FnOnce(Vec<RecoveredQuery>) + Send>;
-
 /// The journal of a running gateway. Dropping it waits until all records are written.
 pub struct Journal {
     commands: Sender<Command>,
--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -1,8 +1,8 @@
 //! The thread that writes the journal.
 
-use super::state::JournalState;
+use super::error::JournalError;
+use super::state::{JournalState, RecoveredQuery};
 use super::storage::JournalStorage;
-use super::{JournalError, RecoveryCallback, WriteCallback};
 use crate::records::{Boot, Record};
 use std::io;
 use std::ops::ControlFlow;
@@ -15,6 +15,12 @@
 /// The time between two tries to replace a journal whose storage fails.
 const RESTORE_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Called once a record is stored, or can't be.
+pub type WriteCallback = Box<dyn FnOnce(Result<(), JournalError>) + Send>;
+
+/// Called with the queries of earlier processes whose time is not over, once the journal has been read.
+pub type RecoveryCallback = Box<dyn FnOnce(Vec<RecoveredQuery>) + Send>;
+
 /// A message to the writer.
 pub(super) enum Command {
     /// Write a record; whoever waits for it has a callback.
--- a/crates/ledger/src/polling.rs
+++ b/crates/ledger/src/polling.rs
@@ -1,6 +1,6 @@
 //! Decides when an attempt, or a page of its result, is polled again.
 
-use crate::Bounds;
+use crate::attempts::Bounds;
 use std::time::Duration;
 
 /// Why a call brought no usable answer.
--- a/crates/routing/src/zones.rs
+++ b/crates/routing/src/zones.rs
@@ -7,6 +7,8 @@
 
 mod load_shedding;
 mod shares;
+mod sharing;
+mod tolerance;
 mod zone;
 
 pub use load_shedding::{admit_by_value, retry_after, LoadGroup};
@@ -15,9 +17,6 @@
 
 use zone::Zone;
 
-/// Loads and weights up to this count as none, and none is divided by.
-const MIN_DIVISOR: f64 = 1e-9;
-
 /// All zones as this gateway sees them.
 #[derive(Clone, Debug)]
 pub struct Zones {
--- a/crates/routing/src/zones/load_shedding.rs
+++ b/crates/routing/src/zones/load_shedding.rs
@@ -1,6 +1,6 @@
 //! What is admitted where the capacity of all zones does not suffice, and when the rest may come back.
 
-use super::MIN_DIVISOR;
+use super::tolerance::MIN_DIVISOR;
 use std::time::Duration;
 
 /// Queries that are alike in their value for the work that they need.
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -1,6 +1,8 @@
 //! Properties of shares, and a simulated outage: three zones, of which one is lost and returns in slow start.
 
-use super::shares::{PANIC_FRACTION, SPILL_FROM_FRACTION};
+use super::shares::SPILL_FROM_FRACTION;
+use super::sharing::PANIC_FRACTION;
+use super::tolerance::MIN_DIVISOR;
 use super::zone::{MAX_HOLD_DOWN_SECONDS, OUTCOME_DECAY_SECONDS, TRIALS_TO_RECOVER};
 use super::*;
 use proptest::collection::vec;
--- a/crates/routing/src/zones/zone.rs
+++ b/crates/routing/src/zones/zone.rs
@@ -1,6 +1,6 @@
 //! The health of one zone: lost, tried, recovering by what it has shown it can carry, healthy.
 
-use super::MIN_DIVISOR;
+use super::tolerance::MIN_DIVISOR;
 
 /// The time constant, in seconds, with which what was observed of a zone decays.
 pub(super) const OUTCOME_DECAY_SECONDS: f64 = 5.0;
--- a/crates/subset/src/holders.rs
+++ b/crates/subset/src/holders.rs
@@ -6,70 +6,24 @@
 //! weight, and gateways are taken to be spread over zones as cores are.
 
 mod estimate;
+mod parameters;
 mod selection_model;
 
+pub(crate) use parameters::HoldersParameters;
+
 use crate::engine::EngineFacts;
-use crate::ready::{EngineShape, ReadyEngines, RetryDomain};
-use crate::settings::{PlacementClass, RetryScope, SubsetSettings};
+use crate::ready::ReadyEngines;
 use estimate::Estimate;
+use parameters::Group;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Tables that are cached for subsets on different parameters, at most.
+/// Tables that are cached for subsets with different parameters, at most.
 const MAX_CACHED_TABLES: usize = 64;
 
 /// A table is stale once this fraction of the engines has changed: far less than the margin makes up for.
 const STALE_FRACTION: f64 = 0.01;
 
-/// What the number of holders depends on, beside the list.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct HoldersParameters {
-    pub size: usize,
-    pub class_floor: usize,
-    pub classes: Arc<[PlacementClass]>,
-    pub retry_scope: RetryScope,
-    /// 1 where gateways do not know their zones.
-    pub near_weight: f64,
-    pub gateways: f64,
-}
-
-impl HoldersParameters {
-    pub fn new(settings: &SubsetSettings) -> Self {
-        HoldersParameters {
-            size: settings.size,
-            class_floor: settings.class_floor,
-            classes: settings.classes.as_slice().into(),
-            retry_scope: settings.retry_scope,
-            near_weight: if settings.zone.is_some() {
-                settings.near_weight
-            } else {
-                1.0
-            },
-            gateways: settings.gateways,
-        }
-    }
-
-    /// The group that an engine belongs to.
-    fn group(&self, facts: &EngineFacts) -> Group {
-        let in_cells = self.retry_scope == RetryScope::Cell;
-        let cell = in_cells.then_some(facts.cell);
-        Group {
-            domain: RetryDomain {
-                zone: facts.zone,
-                cell,
-            },
-            shape: EngineShape::of(facts),
-        }
-    }
-}
-
-/// Engines with the same number of holders.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Group {
-    domain: RetryDomain,
-    shape: EngineShape,
-}
-
 /// The number of holders of each engine of a list.
 #[derive(Debug)]
 pub(crate) struct HoldersTable {
--- a/crates/subset/src/holders/estimate.rs
+++ b/crates/subset/src/holders/estimate.rs
@@ -1,7 +1,7 @@
 //! Works out the number of holders of each group of engines.
 
+use super::parameters::{Group, HoldersParameters};
 use super::selection_model::SelectionModel;
-use super::{Group, HoldersParameters};
 use crate::ready::{EngineShape, ReadyEngines, RetryDomain, ShapeCounts};
 use crate::score::{base_weight, usable_cores};
 use crate::settings::RetryScope;
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -1,12 +1,16 @@
-//! One gateway's subset: takes in changes of the list and the outcomes of attempts, and answers with [`Action`]s.
+//! One gateway's subset: it is told changes of the list and the outcomes of attempts, and answers with [`Action`]s.
 //!
-//! `target` chooses the engines to hold, `transition` moves the members towards that target, and `members` keeps what is
-//! reported of each member.
+//! `target` chooses the engines to hold, `transition` moves the members towards that target, and `membership` adds and
+//! removes members and reports what changed of them.
 
-mod members;
+mod action;
+mod member;
+mod membership;
 mod target;
 mod transition;
 
+pub use action::Action;
+
 use crate::catalog::Catalog;
 use crate::engine::{Change, EngineKey, ListedState};
 use crate::health::MemberHealth;
@@ -17,33 +21,10 @@
 use crate::selection::{Scorer, Selection, Target};
 use crate::settings::{PlacementClass, SubsetError, SubsetSettings};
 use crate::size::EffectiveSize;
-use members::Member;
+use member::Member;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the caller is to do about an engine.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Action {
-    /// Make a connection, and report by [`Subset::connect_ended`] whether it was made. The engine takes no work yet.
-    Connect(EngineKey),
-    /// The engine takes work from now on.
-    Join {
-        /// The new member.
-        engine: EngineKey,
-        /// About how many gateways hold it: its capacity is shared by so many.
-        holders: f64,
-    },
-    /// A member's facts or number of holders changed.
-    Update {
-        /// The member.
-        engine: EngineKey,
-        /// About how many gateways hold it now.
-        holders: f64,
-    },
-    /// Nothing new goes to the engine. It stays known until none of its attempts is in flight.
-    Leave(EngineKey),
-}
-
 /// What the next poll has to work out again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Outdated {
--- a/crates/subset/src/subset/members.rs
+++ b/crates/subset/src/subset/membership.rs
@@ -1,5 +1,6 @@
-//! The members of a subset, and what is reported of them.
+//! Adds and removes members, and reports what changed of them.
 
+use super::member::Member;
 use super::{Action, Outdated, Subset};
 use crate::catalog::Catalog;
 use crate::engine::{EngineFacts, EngineKey};
@@ -9,14 +10,6 @@
 /// moves the numbers of all members a little.
 const HOLDERS_UPDATE_FRACTION: f64 = 0.05;
 
-/// An engine that takes work.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Member {
-    pub(super) holders: f64,
-    /// An update is due however little the number of holders changed.
-    pub(super) facts_changed: bool,
-}
-
 impl Subset {
     pub(super) fn add_member(&mut self, engine: EngineKey, facts: &EngineFacts) {
         let holders = self
