--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -7,8 +7,8 @@
 use garnetwall::api::EndpointState;
 use garnetwall_subset as subset;
 use garnetwall_subset::{
-    Action, Catalog, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset, SubsetError,
-    SubsetSettings,
+    Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset,
+    SubsetError, SubsetSettings,
 };
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -249,9 +249,12 @@
 
     /// Records whether a candidate could be reached.
     pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reachability: Reachability) {
-        let is_reached = reachability == Reachability::Reachable;
+        let outcome = match reachability {
+            Reachability::Reachable => ConnectOutcome::Reached,
+            Reachability::Unreachable => ConnectOutcome::NotReached,
+        };
         self.warming.remove(&engine);
-        self.subset.connect_ended(now, engine, is_reached);
+        self.subset.connect_ended(now, engine, outcome);
     }
 
     /// Records what the end of an attempt says of the engine of this name.
--- a/crates/scale/src/slopes/roles/subset.rs
+++ b/crates/scale/src/slopes/roles/subset.rs
@@ -5,7 +5,7 @@
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
-use garnetwall_subset::{Action, Catalog, ListedEngine, ListedState, Subset};
+use garnetwall_subset::{Action, Catalog, ConnectOutcome, ListedEngine, ListedState, Subset};
 
 /// Subsets that share one catalog, so that a subset's memory is known apart from the catalog's.
 const ADDITIONAL_SUBSETS: usize = 200;
@@ -55,7 +55,8 @@
             let due = self.subset.poll(self.now, &self.catalog);
             for action in &due {
                 if let Action::Connect(engine) = action {
-                    self.subset.connect_ended(self.now, *engine, true);
+                    self.subset
+                        .connect_ended(self.now, *engine, ConnectOutcome::Reached);
                 }
             }
             actions.extend(due);
