--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -48,7 +48,7 @@
             return;
         }
         let text = format!(
-            "the limit `{}` of {more} in hand can never bind: `{}` holds all of them to {fewer}",
+            "the limit `{}` of {more} in flight can never bind: `{}` holds all of them to {fewer}",
             narrow.name, wide.name
         );
         let diagnostic = Diagnostic::new(narrow.span.clone(), text);
@@ -65,7 +65,7 @@
             return;
         }
         let text = format!(
-            "`{}` may have {own} batches in hand, but the limit `{}` holds it to {most}",
+            "`{}` may have {own} queries in flight, but the limit `{}` holds it to {most}",
             tenant.name, limit.name
         );
         let diagnostic = Diagnostic::new(tenant.span.clone(), text);
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -63,7 +63,7 @@
                     continue;
                 };
                 let text = format!(
-                    "batches of `{}` can't be treated as `{name}`: they would {violation}",
+                    "queries of `{}` can't be treated as `{name}`: they would {violation}",
                     class.name
                 );
                 self.diagnostics.push(Diagnostic::new(span.clone(), text));
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -36,7 +36,7 @@
     fn check_outcome(&mut self, block: &CheckedBlock) {
         if !block.has_any(&["to", "as", "refuse"]) {
             let text = format!("the route `{}` says nothing", block.name);
-            let help = "say what becomes of its batches: `to`, `as` or `refuse`";
+            let help = "say what becomes of its queries: `to`, `as` or `refuse`";
             let diagnostic = Diagnostic::new(block.span.clone(), text);
             self.report_incomplete(block, diagnostic.help(help));
         }
