--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -7,7 +7,7 @@
     DeduplicationScope, Idempotency, LoadReporting, QueryClass, RetryBudget, Settings, SlowStart,
 };
 
-/// Holds where the settings name no timeout.
+/// The timeouts where the settings name none, in seconds.
 const DEFAULT_TIMEOUTS: NetworkTimeouts = NetworkTimeouts {
     connect_timeout: 0.25,
     idle_timeout: 15.0,
@@ -22,7 +22,7 @@
 /// A value can't be read as what its key holds.
 pub fn decode(flat: &FlatSettings) -> Result<DecodedSettings, SettingsError> {
     let names = decode_names(flat)?;
-    let classes = (0..flat.count("categories")?)
+    let classes = (0..flat.item_count("categories")?)
         .map(|index| decode_class(flat, index, &names))
         .collect::<Result<Vec<_>, _>>()?;
     let settings = decode_settings(flat, classes)?;
@@ -36,8 +36,8 @@
 
 fn decode_names(flat: &FlatSettings) -> Result<Names, SettingsError> {
     Ok(Names {
-        classes: flat.names("categories")?,
-        tenants: flat.names("tenants")?,
+        classes: flat.item_names("categories")?,
+        tenants: flat.item_names("tenants")?,
         zones: words(flat, "zones"),
         kinds: words(flat, "kinds"),
     })
@@ -47,15 +47,15 @@
     flat: &FlatSettings,
     classes: Vec<QueryClass>,
 ) -> Result<Settings, SettingsError> {
-    let tenants = flat.count("tenants")?;
+    let tenants = flat.item_count("tenants")?;
     let retry_budget = decode_retry_budget(flat)?;
     let slow_start = decode_slow_start(flat)?;
     Ok(Settings {
         classes,
         tenants,
         gateways: flat.number_or("balancers", 1.0)?.max(1.0),
-        kind_cores: flat.sizes("domain.kind-cores"),
-        kind_memory: flat.sizes("domain.kind-memory-mb"),
+        kind_cores: flat.positive_numbers("domain.kind-cores"),
+        kind_memory: flat.positive_numbers("domain.kind-memory-mb"),
         max_grant_fraction: flat.number_or("domain.largest-share", 1.0)?,
         memory_grants: flat.flag("domain.grants-count")?,
         load_reporting: decode_load_reporting(flat),
@@ -120,22 +120,23 @@
     index: usize,
     names: &Names,
 ) -> Result<QueryClass, SettingsError> {
-    let key = |key: &str| format!("categories.{index}.{key}");
+    let path = |key: &str| format!("categories.{index}.{key}");
+    let is_listed_true = |list: &str| flat.list_item(list, index) == Some("true");
     let idempotency = decode_idempotency(flat, index)?;
-    let deadline = flat.seconds_or(&key("give-up"), 0.0)?;
+    let deadline = flat.seconds_or(&path("give-up"), 0.0)?;
     Ok(QueryClass {
-        latency_objective: flat.seconds_or(&key("goal-time"), deadline)?,
-        latency_objective_stretch: flat.number_or(&key("aim-stretch"), 0.0)?,
+        latency_objective: flat.seconds_or(&path("goal-time"), deadline)?,
+        latency_objective_stretch: flat.number_or(&path("aim-stretch"), 0.0)?,
         deadline,
-        priority_weight: flat.number_or(&key("worth"), 1.0)?,
-        late_value_share: flat.number_or(&key("late-share"), 0.0)?,
+        priority_weight: flat.number_or(&path("worth"), 1.0)?,
+        late_value_share: flat.number_or(&path("late-share"), 0.0)?,
         idempotency,
-        in_order: flat.flag(&key("one-at-a-time"))?,
-        zones: flat.indices(&key("zones-only"), &names.zones)?,
-        kinds: flat.indices(&key("allowed-on"), &names.kinds)?,
+        in_order: flat.flag(&path("one-at-a-time"))?,
+        zones: flat.indices(&path("zones-only"), &names.zones)?,
+        kinds: flat.indices(&path("allowed-on"), &names.kinds)?,
         threads: decode_threads(flat, index),
-        is_load: flat.item("domain.loads", index) == Some("true"),
-        waits_for_loads: flat.item("domain.waits-for-loads", index) == Some("true"),
+        is_load: is_listed_true("domain.loads"),
+        waits_for_loads: is_listed_true("domain.waits-for-loads"),
         retry_budget: None,
     })
 }
@@ -166,8 +167,9 @@
     Ok(Idempotency::IdempotentByKey { scope, window })
 }
 
+/// The threads that a query of a class uses, as far as they are a number from 1.
 fn decode_threads(flat: &FlatSettings, class: usize) -> f64 {
-    flat.item("domain.parallelism", class)
+    flat.list_item("domain.parallelism", class)
         .and_then(|word| word.parse::<f64>().ok())
         .filter(|threads| threads.is_finite() && *threads >= 1.0)
         .unwrap_or(DEFAULT_THREADS)
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -5,9 +5,14 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
+
 /// Settings by their paths, as `categories.0.name`. The length of a list of objects is under its path and `.count`.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct FlatSettings(BTreeMap<String, String>);
+pub struct FlatSettings {
+    /// The value of each path as the text form has it; the items of a list have commas between.
+    words: BTreeMap<String, String>,
+}
 
 impl FlatSettings {
     /// Reads `path=value` lines. Empty lines are ignored.
@@ -27,7 +32,7 @@
             };
             words.insert(path.trim().to_string(), word.trim().to_string());
         }
-        Ok(FlatSettings(words))
+        Ok(FlatSettings { words })
     }
 
     /// Reads nested JSON under the same names. Unknown keys are ignored.
@@ -51,18 +56,19 @@
                 }
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(join(path, "count"), items.len().to_string());
+                self.words
+                    .insert(join(path, "count"), items.len().to_string());
                 for (index, item) in items.iter().enumerate() {
                     self.insert(&join(path, &index.to_string()), item);
                 }
             }
             Value::Array(items) => {
                 let words: Vec<_> = items.iter().filter_map(text_form).collect();
-                self.0.insert(path.to_string(), words.join(","));
+                self.words.insert(path.to_string(), words.join(","));
             }
             plain => {
                 if let Some(word) = text_form(plain) {
-                    self.0.insert(path.to_string(), word);
+                    self.words.insert(path.to_string(), word);
                 }
             }
         }
@@ -70,7 +76,7 @@
 
     /// The word at a path; none where it is absent or empty.
     pub(crate) fn word(&self, path: &str) -> Option<&str> {
-        let word = self.0.get(path)?;
+        let word = self.words.get(path)?;
         Some(word.as_str()).filter(|word| !word.is_empty())
     }
 
@@ -95,7 +101,9 @@
 
     /// The milliseconds at a path, in seconds.
     pub(crate) fn seconds(&self, path: &str) -> Result<Option<f64>, SettingsError> {
-        Ok(self.number(path)?.map(|milliseconds| milliseconds / 1000.0))
+        Ok(self
+            .number(path)?
+            .map(|milliseconds| milliseconds / MILLISECONDS_PER_SECOND))
     }
 
     /// The milliseconds at a path in seconds, or `default` seconds where they are absent.
@@ -123,17 +131,17 @@
     }
 
     /// One word of the list at a path.
-    pub(crate) fn item(&self, path: &str, index: usize) -> Option<&str> {
+    pub(crate) fn list_item(&self, path: &str, index: usize) -> Option<&str> {
         self.word(path)?.split(',').nth(index)
     }
 
-    /// The positive numbers of the list at a path. Anything else in it counts as unknown.
-    pub(crate) fn sizes(&self, path: &str) -> Vec<Option<f64>> {
-        let size = |word: &str| {
+    /// The numbers of the list at a path; `None` for each item that is not a positive number.
+    pub(crate) fn positive_numbers(&self, path: &str) -> Vec<Option<f64>> {
+        let positive_number = |word: &str| {
             let number = word.parse::<f64>().ok()?;
             Some(number).filter(|number| number.is_finite() && *number > 0.0)
         };
-        self.list(path).into_iter().map(size).collect()
+        self.list(path).into_iter().map(positive_number).collect()
     }
 
     /// The indices in the list at a path, which holds indices or the names that they stand for.
@@ -142,7 +150,7 @@
         path: &str,
         names: &[String],
     ) -> Result<Option<Vec<u32>>, SettingsError> {
-        if !self.0.contains_key(path) {
+        if !self.words.contains_key(path) {
             return Ok(None);
         }
         self.list(path)
@@ -154,10 +162,10 @@
 
     /// The length of the list of objects at a path. A length that these settings can't hold is an error, so that it
     /// reserves no memory.
-    pub(crate) fn count(&self, path: &str) -> Result<usize, SettingsError> {
+    pub(crate) fn item_count(&self, path: &str) -> Result<usize, SettingsError> {
         let path = format!("{path}.count");
         let count = self.number_or(&path, 0.0)?;
-        if count < 0.0 || count.fract() != 0.0 || count > self.0.len() as f64 {
+        if count < 0.0 || count.fract() != 0.0 || count > self.words.len() as f64 {
             let cause = format!("{count} is not a possible count");
             let remedy = "write how many items follow";
             return Err(unusable(&place_of(&path), cause, remedy));
@@ -166,12 +174,12 @@
     }
 
     /// The names of the list of objects at a path; empty where one has none.
-    pub(crate) fn names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
+    pub(crate) fn item_names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
         let name = |index| {
             let word = self.word(&format!("{path}.{index}.name"));
             word.unwrap_or_default().to_string()
         };
-        Ok((0..self.count(path)?).map(name).collect())
+        Ok((0..self.item_count(path)?).map(name).collect())
     }
 }
 
@@ -188,6 +196,7 @@
     }
 }
 
+/// The index that a word stands for. An index is taken as it is; whether the list has it is validated later.
 fn index_of(word: &str, names: &[String]) -> Option<u32> {
     if let Ok(index) = word.parse() {
         return Some(index);
