--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -38,62 +38,100 @@
     "zones": ["east", "west"]
 }"#;
 
-/// A key, another good value for it, a value of the wrong form, and the error that is expected for it.
-const KEYS: &[(&str, &str, &str, &str)] = &[
-    ("allowed.cancelling", "false", "\"perhaps\"", FLAG),
-    ("allowed.dial-timeout", "301", "true", DAY),
-    ("allowed.idle-close", "9001", "true", TIME),
-    ("allowed.max-attempts", "4", "true", COUNT),
-    ("allowed.max-retry-after", "1501", "true", TIME),
-    ("allowed.may-probe", "false", "\"perhaps\"", FLAG),
-    ("allowed.open-cap", "78", "true", COUNT),
-    ("allowed.retry-after", "false", "\"perhaps\"", FLAG),
-    ("balancers", "6", "true", COUNT),
-    ("categories.0.name", "\"other\"", "7", TEXT),
-    ("categories.0.semantics", "\"retryable\"", "7", TEXT),
-    ("categories.0.key-scope", "\"all\"", "7", TEXT),
-    ("categories.0.dedup-window", "6001", "true", TIME),
-    ("categories.0.give-up", "4001", "true", DAY),
-    ("categories.0.goal-time", "801", "true", TIME),
-    ("categories.0.aim-stretch", "2.6", "true", AMOUNT),
-    ("categories.0.worth", "4", "true", AMOUNT),
-    ("categories.0.late-share", "0.5", "true", AMOUNT),
-    ("categories.0.one-at-a-time", "false", "\"perhaps\"", FLAG),
-    ("categories.0.zones-only", "[\"east\"]", "true", INDEX),
-    ("categories.0.allowed-on", "[\"small\"]", "true", INDEX),
-    ("domain.grants-count", "false", "\"perhaps\"", FLAG),
-    ("domain.kind-cores", "[8, 17]", "true", AMOUNT),
-    ("domain.kind-memory-mb", "[1024, 2049]", "true", AMOUNT),
-    ("domain.largest-share", "0.31", "true", AMOUNT),
-    ("domain.loads", "[true, true]", "\"perhaps\"", FLAG),
-    ("domain.parallelism", "[3, 4]", "true", AMOUNT),
-    ("domain.progress", "501", "true", TIME),
-    (
+/// A key that is read.
+struct KeyCase {
+    /// Another good value.
+    other_value: &'static str,
+    form: FormCase,
+}
+
+/// A key with a value of the wrong form, and the error that is expected for it.
+struct FormCase {
+    path: &'static str,
+    wrong_value: &'static str,
+    expected_error: &'static str,
+}
+
+const fn key(
+    path: &'static str,
+    other_value: &'static str,
+    wrong_value: &'static str,
+    expected_error: &'static str,
+) -> KeyCase {
+    KeyCase {
+        other_value,
+        form: form(path, wrong_value, expected_error),
+    }
+}
+
+const fn form(
+    path: &'static str,
+    wrong_value: &'static str,
+    expected_error: &'static str,
+) -> FormCase {
+    FormCase {
+        path,
+        wrong_value,
+        expected_error,
+    }
+}
+
+/// Every key of `ALL` whose value is used.
+const KEYS: &[KeyCase] = &[
+    key("allowed.cancelling", "false", "\"perhaps\"", FLAG),
+    key("allowed.dial-timeout", "301", "true", DAY),
+    key("allowed.idle-close", "9001", "true", TIME),
+    key("allowed.max-attempts", "4", "true", COUNT),
+    key("allowed.max-retry-after", "1501", "true", TIME),
+    key("allowed.may-probe", "false", "\"perhaps\"", FLAG),
+    key("allowed.open-cap", "78", "true", COUNT),
+    key("allowed.retry-after", "false", "\"perhaps\"", FLAG),
+    key("balancers", "6", "true", COUNT),
+    key("categories.0.name", "\"other\"", "7", TEXT),
+    key("categories.0.semantics", "\"retryable\"", "7", TEXT),
+    key("categories.0.key-scope", "\"all\"", "7", TEXT),
+    key("categories.0.dedup-window", "6001", "true", TIME),
+    key("categories.0.give-up", "4001", "true", DAY),
+    key("categories.0.goal-time", "801", "true", TIME),
+    key("categories.0.aim-stretch", "2.6", "true", AMOUNT),
+    key("categories.0.worth", "4", "true", AMOUNT),
+    key("categories.0.late-share", "0.5", "true", AMOUNT),
+    key("categories.0.one-at-a-time", "false", "\"perhaps\"", FLAG),
+    key("categories.0.zones-only", "[\"east\"]", "true", INDEX),
+    key("categories.0.allowed-on", "[\"small\"]", "true", INDEX),
+    key("domain.grants-count", "false", "\"perhaps\"", FLAG),
+    key("domain.kind-cores", "[8, 17]", "true", AMOUNT),
+    key("domain.kind-memory-mb", "[1024, 2049]", "true", AMOUNT),
+    key("domain.largest-share", "0.31", "true", AMOUNT),
+    key("domain.loads", "[true, true]", "\"perhaps\"", FLAG),
+    key("domain.parallelism", "[3, 4]", "true", AMOUNT),
+    key("domain.progress", "501", "true", TIME),
+    key(
         "domain.waits-for-loads",
         "[true, true]",
         "\"perhaps\"",
         FLAG,
     ),
-    ("kinds", "[\"tiny\", \"large\"]", "7", TEXT),
-    ("registry-mode", "\"pushed\"", "7", TEXT),
-    ("rules.cold-from", "0.26", "true", AMOUNT),
-    ("rules.warm-after", "15001", "true", TIME),
-    ("rules.fall", "3001", "true", TIME),
-    ("rules.fall-multiple", "2.6", "true", AMOUNT),
-    ("rules.extra-floor", "5", "true", AMOUNT),
-    ("rules.extra-per-request", "0.21", "true", AMOUNT),
-    ("rules.extra-window", "10001", "true", TIME),
-    ("rules.order-pause", "201", "true", TIME),
-    ("telemetry.fields", "[\"depth\"]", "7", TEXT),
-    ("telemetry.how", "\"on_probe\"", "7", TEXT),
-    ("tenants.0.name", "\"other\"", "7", TEXT),
-    ("zones", "[\"east\", \"west\", \"north\"]", "7", TEXT),
+    key("kinds", "[\"tiny\", \"large\"]", "7", TEXT),
+    key("registry-mode", "\"pushed\"", "7", TEXT),
+    key("rules.cold-from", "0.26", "true", AMOUNT),
+    key("rules.warm-after", "15001", "true", TIME),
+    key("rules.fall", "3001", "true", TIME),
+    key("rules.fall-multiple", "2.6", "true", AMOUNT),
+    key("rules.extra-floor", "5", "true", AMOUNT),
+    key("rules.extra-per-request", "0.21", "true", AMOUNT),
+    key("rules.extra-window", "10001", "true", TIME),
+    key("rules.order-pause", "201", "true", TIME),
+    key("telemetry.fields", "[\"depth\"]", "7", TEXT),
+    key("telemetry.how", "\"on_probe\"", "7", TEXT),
+    key("tenants.0.name", "\"other\"", "7", TEXT),
+    key("zones", "[\"east\", \"west\", \"north\"]", "7", TEXT),
 ];
 
 /// Keys whose form is checked and whose value is not used.
-const FORM_ONLY: &[(&str, &str, &str)] = &[
-    ("tenants.0.portion", "true", AMOUNT),
-    ("tenants.0.quota-per-s", "true", AMOUNT),
+const FORM_ONLY: &[FormCase] = &[
+    form("tenants.0.portion", "true", AMOUNT),
+    form("tenants.0.quota-per-s", "true", AMOUNT),
 ];
 
 const FLAG: &str = "true or false expected, not \"perhaps\"; write one of them";
@@ -183,8 +221,8 @@
 fn the_lists_have_every_key_of_the_document() {
     let mut all = Vec::new();
     paths(&parsed(ALL), "", &mut all);
-    let mut named: Vec<String> = KEYS.iter().map(|key| key.0.to_string()).collect();
-    named.extend(FORM_ONLY.iter().map(|key| key.0.to_string()));
+    let mut named: Vec<String> = KEYS.iter().map(|key| key.form.path.to_string()).collect();
+    named.extend(FORM_ONLY.iter().map(|form| form.path.to_string()));
     all.sort();
     named.sort();
     assert_eq!(all, named);
@@ -196,9 +234,10 @@
     assert_eq!(
         decoded_text(&text(&parsed(ALL))),
         base,
-        "both forms say the same"
+        "both forms have the same meaning"
     );
-    for (path, other, ..) in KEYS {
+    for key in KEYS {
+        let (path, other) = (key.form.path, key.other_value);
         let changed = with(path, other);
         assert_ne!(decoded(&changed), base, "{path}={other}");
         assert_ne!(
@@ -211,15 +250,18 @@
 
 #[test]
 fn a_value_of_the_wrong_form_is_rejected_by_its_key() {
-    let forms = KEYS
-        .iter()
-        .map(|(path, _, wrong, expected)| (path, wrong, expected));
-    let unused = FORM_ONLY
-        .iter()
-        .map(|(path, wrong, expected)| (path, wrong, expected));
-    for (path, wrong, expected) in forms.chain(unused) {
-        let error = FlatSettings::from_json(&with(path, wrong)).expect_err(path);
-        assert_eq!(error.to_string(), format!("settings.{path}: {expected}"));
+    let forms = KEYS.iter().map(|key| &key.form);
+    for form in forms.chain(FORM_ONLY) {
+        let FormCase {
+            path,
+            wrong_value,
+            expected_error,
+        } = form;
+        let error = FlatSettings::from_json(&with(path, wrong_value)).expect_err(path);
+        assert_eq!(
+            error.to_string(),
+            format!("settings.{path}: {expected_error}")
+        );
     }
     for block in ["allowed", "domain", "rules", "telemetry"] {
         let error = FlatSettings::from_json(&with(block, "[]")).expect_err(block);
@@ -290,9 +332,9 @@
     assert_eq!(decoded(&more), base);
 }
 
-/// What settings must be to one another is refused by the path, too.
+/// What settings must be to one another is rejected by the path, too.
 #[test]
-fn settings_that_no_gateway_can_serve_are_refused_by_their_key() {
+fn settings_that_no_gateway_can_serve_are_rejected_by_their_key() {
     let cases = [
         ("categories", "[]", "categories: empty; name at least one service group"),
         (
@@ -321,9 +363,9 @@
             "categories.0.allowed-on: '7' is unknown; write a name of settings.kinds, or its place there from 0",
         ),
     ];
-    for (path, value, said) in cases {
+    for (path, value, expected) in cases {
         let flat = FlatSettings::from_json(&with(path, value)).unwrap();
-        let fault = decode(&flat).unwrap().validate().expect_err(path);
-        assert_eq!(fault.to_string(), format!("settings.{said}"));
+        let error = decode(&flat).unwrap().validate().expect_err(path);
+        assert_eq!(error.to_string(), format!("settings.{expected}"));
     }
 }
