--- a/crates/bench-adapter/src/actions.rs
+++ b/crates/bench-adapter/src/actions.rs
@@ -15,8 +15,8 @@
 impl Instance {
     /// Asks the module until it wants to wait, then sets the one timer that wakes it.
     pub fn act(&mut self, number: u16, clock: f64, reply: &mut ReplyWriter) {
-        for owed in std::mem::take(&mut self.owed_answers) {
-            self.answer(number, owed.query, owed.answer, reply);
+        for pending in std::mem::take(&mut self.pending_answers) {
+            self.answer(number, pending.query, pending.answer, reply);
         }
         for _ in 0..MAX_ACTIONS_PER_FRAME {
             match self.controller.next_action(clock) {
@@ -112,6 +112,6 @@
                 }
             }
         }
-        self.finish(id);
+        self.finish_query(id);
     }
 }
--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -1,10 +1,8 @@
-//! Events of the wire, decoded and handed to an instance's decision module. Those for an instance that is not attached
-//! are read and passed over.
+//! Events of the wire, decoded into typed values.
 
 use crate::fields::{Address, FieldReader, ReadResult};
-use crate::instance::{Instance, OwedAnswer};
 use crate::protocol::{attempt_end, incoming, progress};
-use garnetwall::api::{AttemptEnd, AttemptOutcome, FollowUp, LoadReport, Progress, Query};
+use garnetwall::api::{AttemptEnd, Progress, Query};
 
 /// Bytes of a stream's head that are passed over.
 const STREAM_HEAD_BYTES: usize = 4 + 2 + 6 + 8;
@@ -15,86 +13,83 @@
 const MEASURED_MEMORY_RANGE: u32 = 4096;
 const MEASURED_MEMORY_UNIT_MB: f64 = 4.0;
 
-impl Instance {
-    /// Decodes one event and applies it.
-    ///
-    /// # Errors
-    ///
-    /// It is malformed, or repeats the id of an open query.
-    pub fn process(
-        instance: Option<&mut Instance>,
-        code: u8,
-        clock: f64,
-        fields: &mut FieldReader,
-    ) -> ReadResult<()> {
-        match code {
-            incoming::CLIENT_LEFT => client_left(instance, clock, fields),
-            incoming::PEER_MESSAGE => {
-                fields.u32("sender")?;
-                let length = usize::from(fields.u16("message length")?);
-                fields.bytes(length, "message")?;
-                Ok(())
-            }
-            incoming::STREAM_HEAD => {
-                fields.bytes(STREAM_HEAD_BYTES, "head of a stream")?;
-                Ok(())
-            }
-            incoming::TIMER => {
-                fields.u64("timer")?;
-                if let Some(instance) = instance {
-                    instance.timer_at = None;
-                }
-                Ok(())
-            }
-            incoming::OUTCOME => outcome(instance, clock, fields),
-            incoming::HEALTH_CHECK => health_check_ended(instance, clock, fields),
-            incoming::QUERY => query_arrived(instance, clock, fields),
-            incoming::PROGRESS => attempt_progressed(instance, clock, fields),
-            other => fields.malformed(format!("unknown record code {other}")),
-        }
-    }
-
-    fn load_report(&self, values: &[f64]) -> Option<LoadReport> {
-        let names = self.report_fields.iter().map(String::as_str);
-        garnetwall_settings::decode_load_report(names.zip(values.iter().copied()))
-    }
+/// What a record tells an instance. Queries are named by their id on the wire.
+pub enum Event {
+    QueryArrived {
+        wire_id: u32,
+        /// Its `id` is not given yet.
+        query: Query,
+    },
+    ClientLeft {
+        wire_id: u32,
+    },
+    AttemptEnded(WireOutcome),
+    AttemptProgressed {
+        wire_id: u32,
+        attempt: u32,
+        progress: Progress,
+    },
+    HealthCheckEnded {
+        address: Address,
+        end: AttemptEnd,
+        report_values: Vec<f64>,
+    },
+    TimerExpired,
+    /// Nothing that a decision depends on.
+    Ignored,
 }
 
-fn client_left(
-    instance: Option<&mut Instance>,
-    clock: f64,
-    fields: &mut FieldReader,
-) -> ReadResult<()> {
-    let wire_id = fields.u32("batch id")?;
-    let Some(instance) = instance else {
-        return Ok(());
-    };
-    if let Some(&id) = instance.ids.get(&wire_id) {
-        instance.controller.client_left(clock, id);
-        instance.finish(id);
-    }
-    Ok(())
+/// The end of an attempt as the wire has it.
+pub struct WireOutcome {
+    pub wire_id: u32,
+    pub attempt: u32,
+    pub address: Address,
+    pub end: AttemptEnd,
+    /// In seconds.
+    pub latency: f64,
+    pub query_finished: bool,
+    /// In seconds of one core.
+    pub work: Option<f64>,
+    /// In megabytes.
+    pub memory: Option<f64>,
+    pub report_values: Vec<f64>,
 }
 
-fn query_arrived(
-    instance: Option<&mut Instance>,
-    clock: f64,
-    fields: &mut FieldReader,
-) -> ReadResult<()> {
-    let wire_id = fields.u32("batch id")?;
-    let query = read_query(fields)?;
-    let Some(instance) = instance else {
-        return Ok(());
-    };
-    if query.class >= instance.class_count {
-        return fields.malformed(format!("unknown service group {}", query.class));
-    }
-    if instance.ids.contains_key(&wire_id) {
-        return fields.malformed(format!("batch id {wire_id} used again"));
+/// Decodes the event of a record.
+///
+/// # Errors
+///
+/// The code is unknown, or a field is malformed.
+pub fn read_event(code: u8, fields: &mut FieldReader) -> ReadResult<Event> {
+    match code {
+        incoming::CLIENT_LEFT => {
+            let wire_id = fields.u32("batch id")?;
+            Ok(Event::ClientLeft { wire_id })
+        }
+        incoming::PEER_MESSAGE => {
+            fields.u32("sender")?;
+            let length = usize::from(fields.u16("message length")?);
+            fields.bytes(length, "message")?;
+            Ok(Event::Ignored)
+        }
+        incoming::STREAM_HEAD => {
+            fields.bytes(STREAM_HEAD_BYTES, "head of a stream")?;
+            Ok(Event::Ignored)
+        }
+        incoming::TIMER => {
+            fields.u64("timer")?;
+            Ok(Event::TimerExpired)
+        }
+        incoming::OUTCOME => read_outcome(fields).map(Event::AttemptEnded),
+        incoming::HEALTH_CHECK => read_health_check(fields),
+        incoming::QUERY => {
+            let wire_id = fields.u32("batch id")?;
+            let query = read_query(fields)?;
+            Ok(Event::QueryArrived { wire_id, query })
+        }
+        incoming::PROGRESS => read_progress(fields),
+        other => fields.malformed(format!("unknown record code {other}")),
     }
-    let id = instance.open(wire_id);
-    instance.controller.admit(clock, Query { id, ..query });
-    Ok(())
 }
 
 /// A query's fields after its id; its number is not given yet.
@@ -122,19 +117,6 @@
     })
 }
 
-/// The end of an attempt as the wire has it.
-struct WireOutcome {
-    wire_id: u32,
-    attempt: u32,
-    address: Address,
-    end: AttemptEnd,
-    latency: f64,
-    query_finished: bool,
-    work: Option<f64>,
-    memory: Option<f64>,
-    report_values: Vec<f64>,
-}
-
 fn read_outcome(fields: &mut FieldReader) -> ReadResult<WireOutcome> {
     let wire_id = fields.u32("batch id")?;
     let attempt = u32::from(fields.u16("dispatch")?);
@@ -158,65 +140,18 @@
     })
 }
 
-fn outcome(
-    instance: Option<&mut Instance>,
-    clock: f64,
-    fields: &mut FieldReader,
-) -> ReadResult<()> {
-    let read = read_outcome(fields)?;
-    let Some(instance) = instance else {
-        return Ok(());
-    };
-    let engine = instance.engine(read.address);
-    if let Some(report) = instance.load_report(&read.report_values) {
-        instance.controller.load_reported(clock, engine, report);
-    }
-    let Some(&id) = instance.ids.get(&read.wire_id) else {
-        return Ok(());
-    };
-    let outcome = AttemptOutcome {
-        engine,
-        attempt: read.attempt,
-        end: read.end,
-        latency: read.latency,
-        query_finished: read.query_finished,
-        work: read.work,
-        memory: read.memory,
-    };
-    let follow_up = instance.controller.attempt_ended(clock, id, outcome);
-    instance.attempt_ended(id, read.query_finished);
-    match follow_up {
-        FollowUp::Nothing => instance.forget_if_over(id),
-        FollowUp::Answer(answer) => instance.owed_answers.push(OwedAnswer { query: id, answer }),
-    }
-    Ok(())
-}
-
-fn health_check_ended(
-    instance: Option<&mut Instance>,
-    clock: f64,
-    fields: &mut FieldReader,
-) -> ReadResult<()> {
+fn read_health_check(fields: &mut FieldReader) -> ReadResult<Event> {
     let end = read_end(fields)?;
     fields.time("latency")?;
-    let address = fields.address()?;
-    let report_values = read_report_values(fields)?;
-    let Some(instance) = instance else {
-        return Ok(());
-    };
-    let engine = instance.engine(address);
-    instance.controller.health_check_ended(clock, engine, end);
-    if let Some(report) = instance.load_report(&report_values) {
-        instance.controller.load_reported(clock, engine, report);
-    }
-    Ok(())
+    Ok(Event::HealthCheckEnded {
+        address: fields.address()?,
+        end,
+        report_values: read_report_values(fields)?,
+    })
 }
 
-fn attempt_progressed(
-    instance: Option<&mut Instance>,
-    clock: f64,
-    fields: &mut FieldReader,
-) -> ReadResult<()> {
+/// A note on the progress of an attempt; one with an impossible amount is ignored.
+fn read_progress(fields: &mut FieldReader) -> ReadResult<Event> {
     let wire_id = fields.u32("batch id")?;
     let amount = fields.f32("amount")?;
     let attempt = u32::from(fields.u16("dispatch")?);
@@ -230,15 +165,14 @@
         progress::WAITING => Some(Progress::WaitingForMemory),
         other => return fields.malformed(format!("unknown sort of note {other}")),
     };
-    let (Some(instance), Some(progress)) = (instance, progress) else {
-        return Ok(());
+    let Some(progress) = progress else {
+        return Ok(Event::Ignored);
     };
-    if let Some(&id) = instance.ids.get(&wire_id) {
-        instance
-            .controller
-            .attempt_progressed(clock, id, attempt, progress);
-    }
-    Ok(())
+    Ok(Event::AttemptProgressed {
+        wire_id,
+        attempt,
+        progress,
+    })
 }
 
 fn read_end(fields: &mut FieldReader) -> ReadResult<AttemptEnd> {
--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -15,7 +15,7 @@
 }
 
 /// An answer that an outcome of this frame has brought.
-pub(crate) struct OwedAnswer {
+pub(crate) struct PendingAnswer {
     pub(crate) query: QueryId,
     pub(crate) answer: FinalAnswer,
 }
@@ -34,7 +34,7 @@
     /// When the timer that is set goes off, in seconds.
     pub(crate) timer_at: Option<f64>,
     /// In the order of their outcomes.
-    pub(crate) owed_answers: Vec<OwedAnswer>,
+    pub(crate) pending_answers: Vec<PendingAnswer>,
 }
 
 impl Instance {
@@ -60,7 +60,7 @@
             open_queries: BTreeMap::new(),
             next_id: 0,
             timer_at: None,
-            owed_answers: Vec::new(),
+            pending_answers: Vec::new(),
         })
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// A query has arrived: gives it its number.
-    pub(crate) fn open(&mut self, wire_id: u32) -> QueryId {
+    pub(crate) fn open_query(&mut self, wire_id: u32) -> QueryId {
         let id = self.next_id;
         self.next_id += 1;
         self.ids.insert(wire_id, id);
@@ -111,7 +111,7 @@
     }
 
     /// An attempt of a query has its outcome.
-    pub(crate) fn attempt_ended(&mut self, id: QueryId, query_finished: bool) {
+    pub(crate) fn count_ended_attempt(&mut self, id: QueryId, query_finished: bool) {
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.attempts_in_flight = query.attempts_in_flight.saturating_sub(1);
             query.finished |= query_finished;
@@ -119,7 +119,7 @@
     }
 
     /// A query is over for its client.
-    pub(crate) fn finish(&mut self, id: QueryId) {
+    pub(crate) fn finish_query(&mut self, id: QueryId) {
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.finished = true;
         }
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -2,6 +2,7 @@
 //! output what it returns. It has the framing, the timers and the open queries, and decides nothing.
 
 mod actions;
+mod apply;
 mod endpoints;
 mod events;
 mod fields;
--- a/crates/bench-adapter/src/session.rs
+++ b/crates/bench-adapter/src/session.rs
@@ -1,6 +1,7 @@
 //! One process on the wire: the numbered endpoint lists, and the records of a frame handed to their instances.
 
 use crate::endpoints::{read_list, EndpointEntry};
+use crate::events::read_event;
 use crate::fields::{FieldReader, ReadResult, ReplyWriter};
 use crate::frame::Frame;
 use crate::instance::Instance;
@@ -81,7 +82,25 @@
                 Ok(())
             }
             incoming::ENDPOINTS => self.update_endpoints(number, fields),
-            _ => Instance::process(self.instances.get_mut(&number), code, clock, fields),
+            _ => self.process_event(number, code, clock, fields),
+        }
+    }
+
+    /// Decodes an event, and applies it unless its instance is not attached.
+    fn process_event(
+        &mut self,
+        number: u16,
+        code: u8,
+        clock: f64,
+        fields: &mut FieldReader,
+    ) -> ReadResult<()> {
+        let event = read_event(code, fields)?;
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return Ok(());
+        };
+        match instance.apply(event, clock) {
+            Ok(()) => Ok(()),
+            Err(error) => fields.malformed(error.to_string()),
         }
     }
 
