--- a/crates/bench-adapter/src/actions.rs
+++ b/crates/bench-adapter/src/actions.rs
@@ -1,6 +1,6 @@
 //! What an instance's decision module wants done, as records of the reply.
 
-use crate::fields::ReplyWriter;
+use crate::fields::{ReplyWriter, MILLISECONDS_PER_SECOND};
 use crate::instance::Instance;
 use crate::protocol::outgoing;
 use garnetwall::api::{EngineId, FinalAnswer, NextAction, Placement, QueryId};
@@ -13,8 +13,8 @@
 const MAX_ACTIONS_PER_FRAME: usize = 1_000_000;
 
 impl Instance {
-    /// Asks the module until it wants to wait, then sets the one timer that wakes it.
-    pub fn act(&mut self, number: u16, clock: f64, reply: &mut ReplyWriter) {
+    /// Asks the module until it wants to wait, then sets the one timer that wakes it. `number` is that of the instance.
+    pub fn take_actions(&mut self, number: u16, clock: f64, reply: &mut ReplyWriter) {
         for pending in std::mem::take(&mut self.pending_answers) {
             self.answer(number, pending.query, pending.answer, reply);
         }
@@ -22,10 +22,10 @@
             match self.controller.next_action(clock) {
                 NextAction::Place(id) => self.place(number, id, clock, reply),
                 NextAction::HealthCheck(engine) => {
-                    let record = reply.record(number, outgoing::HEALTH_CHECK);
+                    let record = reply.begin_record(number, outgoing::HEALTH_CHECK);
                     record.extend(self.addresses[engine]);
                 }
-                NextAction::Subscribe => reply.record(number, outgoing::SUBSCRIBE).push(1),
+                NextAction::Subscribe => reply.begin_record(number, outgoing::SUBSCRIBE).push(1),
                 NextAction::Cancel { query, attempt } => {
                     self.cancel(number, query, attempt, reply);
                 }
@@ -36,7 +36,7 @@
 
     fn cancel(&self, number: u16, id: QueryId, attempt: u32, reply: &mut ReplyWriter) {
         if let Some(query) = self.open_queries.get(&id) {
-            let record = reply.record(number, outgoing::CANCEL);
+            let record = reply.begin_record(number, outgoing::CANCEL);
             record.extend(query.wire_id.to_be_bytes());
             record.extend((attempt as u16).to_be_bytes());
         }
@@ -49,9 +49,9 @@
             return;
         }
         self.timer_at = Some(at);
-        let record = reply.record(number, outgoing::SET_TIMER);
+        let record = reply.begin_record(number, outgoing::SET_TIMER);
         record.extend(TIMER_ID.to_be_bytes());
-        record.extend((seconds * 1000.0).to_be_bytes());
+        record.extend((seconds * MILLISECONDS_PER_SECOND).to_be_bytes());
     }
 
     fn place(&mut self, number: u16, id: QueryId, clock: f64, reply: &mut ReplyWriter) {
@@ -74,7 +74,7 @@
 
     fn grant_memory(&self, number: u16, id: QueryId, megabytes: f64, reply: &mut ReplyWriter) {
         if let Some(query) = self.open_queries.get(&id) {
-            let record = reply.record(number, outgoing::MEMORY_GRANT);
+            let record = reply.begin_record(number, outgoing::MEMORY_GRANT);
             record.extend(query.wire_id.to_be_bytes());
             record.extend((megabytes as f32).to_be_bytes());
             record.push(DEFAULT_PRIORITY);
@@ -91,10 +91,10 @@
     ) {
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.attempts_in_flight += 1;
-            let record = reply.record(number, outgoing::ATTEMPT);
+            let record = reply.begin_record(number, outgoing::ATTEMPT);
             record.extend(query.wire_id.to_be_bytes());
             record.extend(self.addresses[engine]);
-            record.extend((response_timeout * 1000.0).to_be_bytes());
+            record.extend((response_timeout * MILLISECONDS_PER_SECOND).to_be_bytes());
         }
     }
 
@@ -102,12 +102,13 @@
         if let Some(query) = self.open_queries.get(&id) {
             match answer {
                 FinalAnswer::Rejected { retry_after } => {
-                    let record = reply.record(number, outgoing::REJECT);
+                    let record = reply.begin_record(number, outgoing::REJECT);
                     record.extend(query.wire_id.to_be_bytes());
-                    record.extend((retry_after.unwrap_or(0.0) * 1000.0).to_be_bytes());
+                    let milliseconds = retry_after.unwrap_or(0.0) * MILLISECONDS_PER_SECOND;
+                    record.extend(milliseconds.to_be_bytes());
                 }
                 FinalAnswer::Failed => {
-                    let record = reply.record(number, outgoing::FAIL);
+                    let record = reply.begin_record(number, outgoing::FAIL);
                     record.extend(query.wire_id.to_be_bytes());
                 }
             }
--- a/crates/bench-adapter/src/apply.rs
+++ b/crates/bench-adapter/src/apply.rs
@@ -59,7 +59,7 @@
         if query.class >= self.class_count {
             return Err(EventError::UnknownClass(query.class));
         }
-        if self.ids.contains_key(&wire_id) {
+        if self.query_ids.contains_key(&wire_id) {
             return Err(EventError::QueryIdInUse(wire_id));
         }
         let id = self.open_query(wire_id);
@@ -68,18 +68,18 @@
     }
 
     fn client_left(&mut self, wire_id: u32, clock: f64) {
-        if let Some(&id) = self.ids.get(&wire_id) {
+        if let Some(&id) = self.query_ids.get(&wire_id) {
             self.controller.client_left(clock, id);
             self.finish_query(id);
         }
     }
 
     fn attempt_ended(&mut self, outcome: WireOutcome, clock: f64) {
-        let engine = self.engine(outcome.address);
+        let engine = self.engine_id(outcome.address);
         if let Some(report) = self.load_report(&outcome.report_values) {
             self.controller.load_reported(clock, engine, report);
         }
-        let Some(&id) = self.ids.get(&outcome.wire_id) else {
+        let Some(&id) = self.query_ids.get(&outcome.wire_id) else {
             return;
         };
         let query_finished = outcome.query_finished;
@@ -104,7 +104,7 @@
     }
 
     fn attempt_progressed(&mut self, wire_id: u32, attempt: u32, progress: Progress, clock: f64) {
-        if let Some(&id) = self.ids.get(&wire_id) {
+        if let Some(&id) = self.query_ids.get(&wire_id) {
             self.controller
                 .attempt_progressed(clock, id, attempt, progress);
         }
@@ -117,7 +117,7 @@
         report_values: &[f64],
         clock: f64,
     ) {
-        let engine = self.engine(address);
+        let engine = self.engine_id(address);
         self.controller.health_check_ended(clock, engine, end);
         if let Some(report) = self.load_report(report_values) {
             self.controller.load_reported(clock, engine, report);
--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -1,6 +1,6 @@
 //! Events of the wire, decoded into typed values.
 
-use crate::fields::{Address, FieldReader, ReadResult};
+use crate::fields::{Address, FieldReader, ReadResult, MILLISECONDS_PER_SECOND};
 use crate::protocol::{attempt_end, incoming, progress};
 use garnetwall::api::{AttemptEnd, Progress, Query};
 
@@ -48,7 +48,7 @@
     /// In seconds.
     pub latency: f64,
     pub query_finished: bool,
-    /// In seconds of one core.
+    /// In seconds on one thread.
     pub work: Option<f64>,
     /// In megabytes.
     pub memory: Option<f64>,
@@ -102,8 +102,8 @@
     let estimated_memory = positive(fields.f32("memory")?);
     let data_set = fields.f32("data set")? as u32;
     let flags = fields.u8("marks")?;
-    let estimated_work =
-        positive(work_milliseconds / 1000.0).filter(|_| flags & HAS_ESTIMATED_WORK != 0);
+    let estimated_work = positive(work_milliseconds / MILLISECONDS_PER_SECOND)
+        .filter(|_| flags & HAS_ESTIMATED_WORK != 0);
     Ok(Query {
         id: 0,
         class,
@@ -134,7 +134,7 @@
         end,
         latency,
         query_finished,
-        work: positive(work_milliseconds / 1000.0),
+        work: positive(work_milliseconds / MILLISECONDS_PER_SECOND),
         memory: positive(memory_units * MEASURED_MEMORY_UNIT_MB),
         report_values: read_report_values(fields)?,
     })
--- a/crates/bench-adapter/src/fields.rs
+++ b/crates/bench-adapter/src/fields.rs
@@ -3,6 +3,11 @@
 use crate::protocol::outgoing;
 use std::fmt;
 
+/// Times are milliseconds on the wire, and seconds here.
+pub const MILLISECONDS_PER_SECOND: f64 = 1000.0;
+/// Bytes of a reply before its records: how many these are, and their bytes.
+const REPLY_HEADER_BYTES: usize = 8;
+
 /// What was wrong with the input, and at which byte of its frame.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed {
@@ -88,13 +93,13 @@
         Ok(f64::from_be_bytes(self.array(name)?))
     }
 
-    /// Milliseconds on the wire, seconds here; a number that is none is malformed.
+    /// A time in seconds; one that is not finite is malformed.
     pub fn time(&mut self, name: &str) -> ReadResult<f64> {
         let milliseconds = self.f64(name)?;
         if !milliseconds.is_finite() {
             return self.malformed(format!("{name}: not a finite time"));
         }
-        Ok(milliseconds / 1000.0)
+        Ok(milliseconds / MILLISECONDS_PER_SECOND)
     }
 
     pub fn address(&mut self) -> ReadResult<Address> {
@@ -107,12 +112,13 @@
 pub struct ReplyWriter {
     records: u32,
     body: Vec<u8>,
+    /// The instance of the records that follow.
     selected: Option<u16>,
 }
 
 impl ReplyWriter {
     /// Begins a record of an instance; the caller adds its fields to what is returned.
-    pub fn record(&mut self, instance: u16, code: u8) -> &mut Vec<u8> {
+    pub fn begin_record(&mut self, instance: u16, code: u8) -> &mut Vec<u8> {
         if self.selected != Some(instance) {
             self.selected = Some(instance);
             self.records += 1;
@@ -126,7 +132,7 @@
 
     /// The reply with its header.
     pub fn to_frame(&self) -> Vec<u8> {
-        let mut frame = Vec::with_capacity(8 + self.body.len());
+        let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.body.len());
         frame.extend(self.records.to_be_bytes());
         frame.extend((self.body.len() as u32).to_be_bytes());
         frame.extend(&self.body);
--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -9,8 +9,10 @@
 
 /// A query until it is finished and every attempt has its outcome.
 pub(crate) struct OpenQuery {
+    /// Its id on the wire.
     pub(crate) wire_id: u32,
     pub(crate) attempts_in_flight: u32,
+    /// Its client has its answer, or has left.
     pub(crate) finished: bool,
 }
 
@@ -20,17 +22,20 @@
     pub(crate) answer: FinalAnswer,
 }
 
-/// One gateway.
+/// A gateway of the bench, with its decision module.
 pub struct Instance {
     pub(crate) controller: AdmissionController,
     /// Names of a load report's values, in wire order.
     pub(crate) report_fields: Vec<String>,
+    /// Query classes that the settings have.
     pub(crate) class_count: usize,
-    engines: BTreeMap<Address, EngineId>,
+    engine_ids: BTreeMap<Address, EngineId>,
+    /// By the index of the engine.
     pub(crate) addresses: Vec<Address>,
-    pub(crate) ids: BTreeMap<u32, QueryId>,
+    /// Open queries by their id on the wire.
+    pub(crate) query_ids: BTreeMap<u32, QueryId>,
     pub(crate) open_queries: BTreeMap<QueryId, OpenQuery>,
-    next_id: QueryId,
+    next_query_id: QueryId,
     /// When the timer that is set goes off, in seconds.
     pub(crate) timer_at: Option<f64>,
     /// In the order of their outcomes.
@@ -47,27 +52,27 @@
         let flat = FlatSettings::from_text(settings)?;
         let DecodedSettings {
             settings,
-            report_fields: fields,
+            report_fields,
             ..
         } = decode(&flat)?;
         Ok(Instance {
             class_count: settings.classes.len(),
             controller: AdmissionController::new(settings, seed, clock),
-            report_fields: fields,
-            engines: BTreeMap::new(),
+            report_fields,
+            engine_ids: BTreeMap::new(),
             addresses: Vec::new(),
-            ids: BTreeMap::new(),
+            query_ids: BTreeMap::new(),
             open_queries: BTreeMap::new(),
-            next_id: 0,
+            next_query_id: 0,
             timer_at: None,
             pending_answers: Vec::new(),
         })
     }
 
     /// The engine of an address, which gets the next index where it is new.
-    pub(crate) fn engine(&mut self, address: Address) -> EngineId {
+    pub(crate) fn engine_id(&mut self, address: Address) -> EngineId {
         let next = self.addresses.len();
-        let engine = *self.engines.entry(address).or_insert(next);
+        let engine = *self.engine_ids.entry(address).or_insert(next);
         if engine == next {
             self.addresses.push(address);
         }
@@ -79,7 +84,7 @@
         let endpoints: Vec<Endpoint> = list
             .iter()
             .map(|entry| Endpoint {
-                engine: self.engine(entry.address),
+                engine: self.engine_id(entry.address),
                 zone: entry.zone,
                 kind: entry.kind,
                 cell: entry.cell,
@@ -91,16 +96,16 @@
         self.controller.update_endpoints(&endpoints, is_complete);
     }
 
-    /// The endpoint list could not be had.
+    /// The endpoint list could not be read.
     pub fn endpoint_list_failed(&mut self) {
         self.controller.endpoint_list_failed();
     }
 
-    /// A query has arrived: gives it its number.
+    /// Gives a query that has arrived its id in the decision module.
     pub(crate) fn open_query(&mut self, wire_id: u32) -> QueryId {
-        let id = self.next_id;
-        self.next_id += 1;
-        self.ids.insert(wire_id, id);
+        let id = self.next_query_id;
+        self.next_query_id += 1;
+        self.query_ids.insert(wire_id, id);
         let query = OpenQuery {
             wire_id,
             attempts_in_flight: 0,
@@ -110,7 +115,7 @@
         id
     }
 
-    /// An attempt of a query has its outcome.
+    /// Takes an attempt of a query off those in flight.
     pub(crate) fn count_ended_attempt(&mut self, id: QueryId, query_finished: bool) {
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.attempts_in_flight = query.attempts_in_flight.saturating_sub(1);
@@ -118,7 +123,7 @@
         }
     }
 
-    /// A query is over for its client.
+    /// Marks a query as over for its client.
     pub(crate) fn finish_query(&mut self, id: QueryId) {
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.finished = true;
@@ -126,12 +131,13 @@
         self.forget_if_over(id);
     }
 
+    /// Forgets a query that is over for its client and has no attempt in flight.
     pub(crate) fn forget_if_over(&mut self, id: QueryId) {
         let Some(query) = self.open_queries.get(&id) else {
             return;
         };
         if query.finished && query.attempts_in_flight == 0 {
-            self.ids.remove(&query.wire_id);
+            self.query_ids.remove(&query.wire_id);
             self.open_queries.remove(&id);
         }
     }
--- a/crates/bench-adapter/src/session.rs
+++ b/crates/bench-adapter/src/session.rs
@@ -8,10 +8,30 @@
 use crate::protocol::{incoming, list_kind};
 use std::collections::BTreeMap;
 
-/// What is known from earlier frames.
+/// The instances that the records of a frame are for.
+#[derive(Default)]
+struct Selection {
+    /// The instance of the records that follow.
+    current: Option<u16>,
+    /// Each instance once, in the order in which they were first selected.
+    instances: Vec<u16>,
+}
+
+impl Selection {
+    fn select(&mut self, instance: u16) {
+        self.current = Some(instance);
+        if !self.instances.contains(&instance) {
+            self.instances.push(instance);
+        }
+    }
+}
+
+/// The state that frames leave behind.
 #[derive(Default)]
 pub struct Session {
+    /// By their number on the wire.
     instances: BTreeMap<u16, Instance>,
+    /// By their number on the wire.
     endpoint_lists: BTreeMap<u32, Vec<EndpointEntry>>,
 }
 
@@ -23,52 +43,56 @@
     /// A record is malformed, or there are fewer or more than announced.
     pub fn process(&mut self, frame: &Frame) -> ReadResult<Vec<u8>> {
         let mut fields = FieldReader::new(&frame.body);
-        let mut touched: Vec<u16> = Vec::new();
-        let mut selected = None;
-        for number in 0..frame.records {
+        let mut selection = Selection::default();
+        for found in 0..frame.records {
             if fields.is_empty() {
                 let announced = frame.records;
-                return fields.malformed(format!("{announced} records announced, {number} found"));
-            }
-            match fields.u8("record code")? {
-                incoming::SELECT_INSTANCE => {
-                    let instance = fields.u16("instance")?;
-                    selected = Some(instance);
-                    if !touched.contains(&instance) {
-                        touched.push(instance);
-                    }
-                }
-                incoming::ENDPOINT_LIST => {
-                    let number = fields.u32("list number")?;
-                    let list = read_list(&mut fields)?;
-                    self.endpoint_lists.insert(number, list);
-                }
-                code => {
-                    let Some(instance) = selected else {
-                        return fields
-                            .malformed(format!("record {code} before any instance was named"));
-                    };
-                    self.process_record(instance, code, frame.clock, &mut fields)?;
-                }
+                return fields.malformed(format!("{announced} records announced, {found} found"));
             }
+            self.process_record(&mut selection, frame.clock, &mut fields)?;
         }
         if !fields.is_empty() {
             return fields.malformed("bytes after the last record");
         }
-        Ok(self.act(&touched, frame.clock))
+        Ok(self.take_actions(&selection.instances, frame.clock))
     }
 
-    fn act(&mut self, touched: &[u16], clock: f64) -> Vec<u8> {
+    /// What some instances want done, as the frame of a reply.
+    fn take_actions(&mut self, instances: &[u16], clock: f64) -> Vec<u8> {
         let mut reply = ReplyWriter::default();
-        for number in touched {
+        for number in instances {
             if let Some(instance) = self.instances.get_mut(number) {
-                instance.act(*number, clock, &mut reply);
+                instance.take_actions(*number, clock, &mut reply);
             }
         }
         reply.to_frame()
     }
 
     fn process_record(
+        &mut self,
+        selection: &mut Selection,
+        clock: f64,
+        fields: &mut FieldReader,
+    ) -> ReadResult<()> {
+        match fields.u8("record code")? {
+            incoming::SELECT_INSTANCE => {
+                selection.select(fields.u16("instance")?);
+                Ok(())
+            }
+            incoming::ENDPOINT_LIST => {
+                let number = fields.u32("list number")?;
+                let list = read_list(fields)?;
+                self.endpoint_lists.insert(number, list);
+                Ok(())
+            }
+            code => match selection.current {
+                Some(instance) => self.process_instance_record(instance, code, clock, fields),
+                None => fields.malformed(format!("record {code} before any instance was named")),
+            },
+        }
+    }
+
+    fn process_instance_record(
         &mut self,
         number: u16,
         code: u8,
