--- a/crates/bench-adapter/src/tests.rs
+++ b/crates/bench-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Golden frames from the wire page, and malformed ones.
+//! The example frames of the protocol, and malformed ones.
 
 use crate::frame::{read_frame, Frame};
 use crate::serve;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_pages_query_is_attempted_at_the_listed_engine() {
+fn a_documented_query_is_attempted_at_the_listed_engine() {
     let mut body = attach(SITE);
     body.extend(bytes(LIST));
     body.extend(bytes(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_pages_outcome_of_an_unknown_query_is_passed_over() {
+fn an_outcome_of_an_unknown_query_is_ignored() {
     let mut body = attach(SITE);
     body.extend(bytes(LIST));
     body.extend(bytes(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn malformed_input_is_named_and_gets_no_reply() {
+fn malformed_input_is_reported_and_gets_no_reply() {
     let bad_settings = attach("categories.count=99999999999\n");
     let cases: [(&str, Vec<u8>, &str); 9] = [
         ("short header", vec![0; 7], "header"),
@@ -111,14 +111,14 @@
     ];
     for (name, input, expected) in cases {
         let (end, out) = run(&input);
-        let what = end.expect_err(name);
-        assert!(what.contains(expected), "{name}: {what}");
+        let error = end.expect_err(name);
+        assert!(error.contains(expected), "{name}: {error}");
         assert!(out.is_empty(), "{name}: a reply was written");
     }
 }
 
 #[test]
-fn a_clock_that_is_no_number_is_malformed() {
+fn a_clock_that_is_not_a_number_is_malformed() {
     assert!(read_frame(&mut &bytes("00000000 00000000 7ff8000000000000")[..]).is_err());
 }
 
--- a/crates/bench-adapter/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -1,7 +1,7 @@
 //! A whole exchange with the bench, byte for byte: every record code in both directions, and the exit codes.
 //!
 //! The replies are those of the adapter built from commit 2d094ab, so they pin the decisions behind them, too: a
-//! renamed record, a moved field or a random draw out of its order fails here. Malformed frames, and what is said of
+//! renamed record, a moved field or a random draw out of its order fails here. Malformed frames, and the errors for
 //! them, are pinned in src/tests.rs.
 
 use std::io::Write;
@@ -198,7 +198,7 @@
     }
 }
 
-/// Engines are checked where reports come so only, after a number of queries.
+/// Where load reports come with health checks alone, one is asked for after a number of queries.
 #[test]
 fn a_health_check_is_asked_for() {
     let site = SITE.replace("telemetry.how=inline", "telemetry.how=on_probe");
@@ -222,10 +222,10 @@
     assert_eq!(run(&[]).status.code(), Some(0));
     let cut_off = run(&[0; 7]);
     assert_eq!(cut_off.status.code(), Some(1));
-    let said = String::from_utf8(cut_off.stderr).unwrap();
+    let message = String::from_utf8(cut_off.stderr).unwrap();
     assert!(
-        said.ends_with(": frame 0: header: 16 bytes expected, input ends after 7\n"),
-        "{said}"
+        message.ends_with(": frame 0: header: 16 bytes expected, input ends after 7\n"),
+        "{message}"
     );
     assert!(cut_off.stdout.is_empty());
 }
