--- a/crates/bench-adapter/src/actions.rs
+++ b/crates/bench-adapter/src/actions.rs
@@ -14,7 +14,7 @@
 
 impl Instance {
     /// Asks the module until it wants to wait, then sets the one timer that wakes it. `number` is that of the instance.
-    pub fn take_actions(&mut self, number: u16, clock: f64, reply: &mut ReplyWriter) {
+    pub fn write_actions(&mut self, number: u16, clock: f64, reply: &mut ReplyWriter) {
         for pending in std::mem::take(&mut self.pending_answers) {
             self.answer(number, pending.query, pending.answer, reply);
         }
--- a/crates/bench-adapter/src/session.rs
+++ b/crates/bench-adapter/src/session.rs
@@ -54,15 +54,15 @@
         if !fields.is_empty() {
             return fields.malformed("bytes after the last record");
         }
-        Ok(self.take_actions(&selection.instances, frame.clock))
+        Ok(self.reply_of(&selection.instances, frame.clock))
     }
 
-    /// What some instances want done, as the frame of a reply.
-    fn take_actions(&mut self, instances: &[u16], clock: f64) -> Vec<u8> {
+    /// What some instances want done, as the frame of the reply.
+    fn reply_of(&mut self, instances: &[u16], clock: f64) -> Vec<u8> {
         let mut reply = ReplyWriter::default();
         for number in instances {
             if let Some(instance) = self.instances.get_mut(number) {
-                instance.take_actions(*number, clock, &mut reply);
+                instance.write_actions(*number, clock, &mut reply);
             }
         }
         reply.to_frame()
