--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -92,8 +92,8 @@
     /// Reports that a block lacks an entry, unless an invalid line in it may be the one that is missing.
     fn report_incomplete(&mut self, block: &CheckedBlock, diagnostic: Diagnostic) {
         let is_inside = |diagnostic: &Diagnostic| {
-            diagnostic.span.file == block.whole.file
-                && block.whole.range().contains(&diagnostic.span.start)
+            diagnostic.span.file == block.whole_span.file
+                && block.whole_span.range().contains(&diagnostic.span.start)
         };
         if !self.diagnostics.iter().any(is_inside) {
             self.diagnostics.push(diagnostic);
--- a/crates/plan/src/build/classes.rs
+++ b/crates/plan/src/build/classes.rs
@@ -11,7 +11,7 @@
             let order = first_text(block.values("order"));
             let rules = ClassRules {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 latency_objective: time(block.first_value("goal")),
                 deadline: time(block.first_value("limit")),
                 pools: self.block_indices("pool", block.entry("pools")),
@@ -29,7 +29,7 @@
         for block in self.blocks_of_kind("tenant") {
             self.plan.tenants.push(Tenant {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 share: number(block.first_value("share")),
                 max_in_flight: count(block.first_value("in-hand")),
                 rate: bucket(block.entry("rate")),
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -66,7 +66,7 @@
     let values = &entry?.values;
     let rate = number(values.first())?;
     Some(Bucket {
-        rate,
-        burst: number(values.get(1)).unwrap_or(rate.max(1.0)),
+        tokens_per_second: rate,
+        max_tokens: number(values.get(1)).unwrap_or(rate.max(1.0)),
     })
 }
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -13,12 +13,12 @@
             if !block.has_any(&["in-hand", "rate", "bytes"]) {
                 let text = format!("the limit `{}` limits nothing", block.name);
                 let help = "say how much: `in-hand`, `rate` or `bytes`";
-                let diagnostic = Diagnostic::new(block.span.clone(), text);
+                let diagnostic = Diagnostic::new(block.name_span.clone(), text);
                 self.report_incomplete(block, diagnostic.help(help));
             }
             self.plan.limits.push(Limit {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 per: per(block.values("per")),
                 classes: texts(block.values("group")),
                 tenants: texts(block.values("tenant")),
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -15,7 +15,7 @@
         };
         for block in self.blocks {
             if let Some(namespace) = block.kind.namespace {
-                self.check_settings_name(settings, namespace, &block.name, &block.span);
+                self.check_settings_name(settings, namespace, &block.name, &block.name_span);
             }
             for entry in block.kind.entries {
                 let (Shape::SettingsNames(namespace) | Shape::SettingsName(namespace)) =
@@ -154,5 +154,5 @@
     let names = cycle.iter().map(|index| blocks[*index].name.as_str());
     let names: Vec<&str> = names.chain([first.name.as_str()]).collect();
     let text = format!("`{}` refers to itself: {}", first.name, names.join(" -> "));
-    Diagnostic::new(first.span.clone(), text)
+    Diagnostic::new(first.name_span.clone(), text)
 }
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -27,7 +27,7 @@
             self.check_addresses(block, &ranges);
             self.plan.addresses.push(AddressSet {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 ranges,
             });
         }
@@ -36,12 +36,12 @@
     fn check_addresses(&mut self, block: &CheckedBlock, ranges: &AddressRanges) {
         if !block.has_any(&["net", "of"]) {
             let text = format!("the address set `{}` says nothing", block.name);
-            let diagnostic = Diagnostic::new(block.span.clone(), text);
+            let diagnostic = Diagnostic::new(block.name_span.clone(), text);
             self.report_incomplete(block, diagnostic.help("net 10.1.0.0/16"));
         } else if ranges.is_empty() && !block.values("net").is_empty() {
             let text = format!("the address set `{}` holds no address", block.name);
             self.diagnostics
-                .push(Diagnostic::new(block.span.clone(), text));
+                .push(Diagnostic::new(block.name_span.clone(), text));
         }
     }
 
@@ -49,7 +49,7 @@
         for block in self.blocks_of_kind("pool") {
             let pool = Pool {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 all: block.entry("all").is_some(),
                 zones: texts(block.values("zone")),
                 kinds: texts(block.values("kind")),
@@ -72,7 +72,7 @@
         }
         let text = format!("the pool `{}` holds no engine", block.name);
         let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
-        let diagnostic = Diagnostic::new(block.span.clone(), text);
+        let diagnostic = Diagnostic::new(block.name_span.clone(), text);
         self.report_incomplete(block, diagnostic.help(help));
     }
 }
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -16,11 +16,11 @@
             let place = |entry: &str| block.entry(entry).map(|entry| entry.span.clone());
             self.plan.routes.push(Route {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 classes: texts(block.values("group")),
                 tenants: texts(block.values("tenant")),
                 clients,
-                key: key.map(|word| word == "given"),
+                has_key: key.map(|word| word == "given"),
                 data_sets: number_ranges(block.values("data-set")),
                 times_of_day: minute_ranges(block.values("hours")),
                 pools,
@@ -37,7 +37,7 @@
         if !block.has_any(&["to", "as", "refuse"]) {
             let text = format!("the route `{}` says nothing", block.name);
             let help = "say what becomes of its queries: `to`, `as` or `refuse`";
-            let diagnostic = Diagnostic::new(block.span.clone(), text);
+            let diagnostic = Diagnostic::new(block.name_span.clone(), text);
             self.report_incomplete(block, diagnostic.help(help));
         }
         let destination = block.entry("to").or(block.entry("as"));
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -20,9 +20,9 @@
         let (first, others) = all.split_first()?;
         for other in others {
             let text = format!("a plan has one block `{kind}` at most");
-            let diagnostic = Diagnostic::new(other.span.clone(), text);
+            let diagnostic = Diagnostic::new(other.name_span.clone(), text);
             self.diagnostics
-                .push(diagnostic.related(first.span.clone(), "the first"));
+                .push(diagnostic.related(first.name_span.clone(), "the first"));
         }
         Some(first)
     }
@@ -50,7 +50,9 @@
 
     fn check_bodies(&mut self, block: &CheckedBlock, bodies: &Bodies) {
         let mut report = |entry: &str, text: &str| {
-            let span = block.entry(entry).map_or(&block.span, |entry| &entry.span);
+            let span = block
+                .entry(entry)
+                .map_or(&block.name_span, |entry| &entry.span);
             self.diagnostics.push(Diagnostic::new(span.clone(), text));
         };
         if bodies.max_body_memory_bytes > bodies.memory_bytes {
@@ -72,7 +74,7 @@
             Some(directory) => self.plan.journal = Some(Journal { directory }),
             None => {
                 let diagnostic =
-                    Diagnostic::new(block.span.clone(), "the journal has no `directory`");
+                    Diagnostic::new(block.name_span.clone(), "the journal has no `directory`");
                 self.report_incomplete(block, diagnostic.help("directory \"/var/lib/garnetwall\""));
             }
         }
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -40,9 +40,9 @@
     /// Its name.
     pub name: String,
     /// The place of the name.
-    pub span: Span,
+    pub name_span: Span,
     /// The place of the whole block.
-    pub whole: Span,
+    pub whole_span: Span,
     /// Its entries by name.
     pub entries: HashMap<&'static str, CheckedEntry>,
 }
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -49,8 +49,8 @@
         Ok(CheckedBlock {
             kind,
             name: name.text.clone(),
-            span: name.span.clone(),
-            whole: block.whole.clone(),
+            name_span: name.span.clone(),
+            whole_span: block.whole_span.clone(),
             entries: HashMap::new(),
         })
     }
@@ -69,7 +69,7 @@
 
     fn check_entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
         let name = &entry.name;
-        let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.quoted) else {
+        let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.is_quoted) else {
             let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
             let names = block.kind.entries.iter().map(|e| e.name);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -43,7 +43,7 @@
         parts: &[Part],
         span: &Span,
     ) -> Result<(), Diagnostic> {
-        if !quantity::is_name(&name.text) || name.quoted {
+        if !quantity::is_name(&name.text) || name.is_quoted {
             let text = format!("`{}` is no name for a constant", shown(&name.text));
             return Err(Diagnostic::new(name.span.clone(), text));
         }
@@ -86,7 +86,7 @@
 impl<'a> Expansion<'a> {
     /// Adds a word, which `used` brings in over `depth` constants.
     fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Diagnostic> {
-        let Some(name) = word.text.strip_prefix('$').filter(|_| !word.quoted) else {
+        let Some(name) = word.text.strip_prefix('$').filter(|_| !word.is_quoted) else {
             self.words.push(Expanded {
                 word: Word {
                     span: used.span.clone(),
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -106,7 +106,7 @@
 
     fn read_choice(&mut self, choices: &[&'static str], expanded: &Expanded) -> Option<Spanned> {
         let word = &expanded.word;
-        if !word.quoted && choices.contains(&word.text.as_str()) {
+        if !word.is_quoted && choices.contains(&word.text.as_str()) {
             return Some(Spanned {
                 value: Value::Name(word.text.clone()),
                 span: word.span.clone(),
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -81,7 +81,9 @@
     fn write_mismatches(&mut self, routes: &[Route]) -> Result {
         let plan = &self.compiled.plan;
         for route in routes.iter().take(MAX_PRINTED_MISMATCHES) {
-            let unmet = route.unmet(self.query, &plan.addresses).unwrap_or_default();
+            let unmet = route
+                .first_unmet_entry(self.query, &plan.addresses)
+                .unwrap_or_default();
             let place = self.location(&route.span);
             let name = &route.name;
             writeln!(
--- a/crates/plan/src/explain/words.rs
+++ b/crates/plan/src/explain/words.rs
@@ -127,5 +127,5 @@
 }
 
 pub(crate) fn bucket_in_words(bucket: &Bucket) -> String {
-    format!("{}/s burst {}", bucket.rate, bucket.burst)
+    format!("{}/s burst {}", bucket.tokens_per_second, bucket.max_tokens)
 }
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -132,7 +132,7 @@
 
 /// A word with its quotes and escapes.
 fn written(word: &Word) -> String {
-    if !word.quoted {
+    if !word.is_quoted {
         return word.text.clone();
     }
     let escaped = word.text.replace('\\', "\\\\").replace('"', "\\\"");
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -111,7 +111,7 @@
     pub(crate) fn route_index_of(&self, query: &QueryFacts) -> Option<usize> {
         self.routes
             .iter()
-            .position(|route| route.unmet(query, &self.addresses).is_none())
+            .position(|route| route.first_unmet_entry(query, &self.addresses).is_none())
     }
 
     /// The rules of a query class.
--- a/crates/plan/src/model/limits.rs
+++ b/crates/plan/src/model/limits.rs
@@ -9,9 +9,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Bucket {
     /// Tokens that come in a second.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub tokens_per_second: f64,
     /// Tokens that it holds at most.
-    pub burst: f64,
+    #[serde(rename = "burst")]
+    pub max_tokens: f64,
 }
 
 /// Limits of a tenant; `None` is no limit.
--- a/crates/plan/src/model/routes.rs
+++ b/crates/plan/src/model/routes.rs
@@ -21,7 +21,8 @@
     /// Matches clients at an address of these sets, by index.
     pub clients: Vec<usize>,
     /// Matches queries with a key, or those without.
-    pub key: Option<bool>,
+    #[serde(rename = "key")]
+    pub has_key: Option<bool>,
     /// Matches data sets by their number.
     pub data_sets: Vec<NumberRange>,
     /// Matches queries that come at these times of day.
@@ -58,7 +59,11 @@
 
     /// The name of the first entry that a query does not meet; `None` where the route matches it. `sets` are the
     /// plan's address sets.
-    pub fn unmet(&self, query: &QueryFacts, sets: &[AddressSet]) -> Option<&'static str> {
+    pub fn first_unmet_entry(
+        &self,
+        query: &QueryFacts,
+        sets: &[AddressSet],
+    ) -> Option<&'static str> {
         let has_data_set = |range: &NumberRange| range.contains(query.data_set);
         if !is_named(&self.classes, query.class) {
             Some("group")
@@ -66,7 +71,7 @@
             Some("tenant")
         } else if !is_client(&self.clients, query, sets) {
             Some("client")
-        } else if self.key.is_some_and(|key| key != query.has_key) {
+        } else if self.has_key.is_some_and(|has_key| has_key != query.has_key) {
             Some("key")
         } else if !self.data_sets.is_empty() && !self.data_sets.iter().any(has_data_set) {
             Some("data-set")
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -54,7 +54,7 @@
 
 impl ValueKind {
     /// What a message asks for where a value of this kind belongs, with an example.
-    pub fn wanted(self) -> &'static str {
+    pub fn expected(self) -> &'static str {
         match self {
             ValueKind::Time => "a time such as 250ms, 1.5s or 2min",
             ValueKind::Size => "a size such as 512B, 64KiB or 10MiB",
@@ -71,7 +71,7 @@
         }
     }
 
-    /// What a message calls a value of this kind where another one is wanted.
+    /// What a message calls a value of this kind where another one is expected.
     fn description(self) -> &'static str {
         match self {
             ValueKind::Time => "a time",
@@ -118,7 +118,7 @@
     Text(String),
 }
 
-/// Why a word is no value of the wanted kind.
+/// Why a word is no value of a kind.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{text}")]
 pub struct ValueError {
@@ -137,11 +137,11 @@
     }
 
     /// The word is something else than a value of a kind.
-    fn not(word: &str, description: &str, wanted: ValueKind) -> Self {
+    fn not(word: &str, description: &str, kind: ValueKind) -> Self {
         ValueError::new(format!(
             "`{}` {description}; here {} is wanted",
             shown(word),
-            wanted.wanted()
+            kind.expected()
         ))
     }
 
@@ -166,7 +166,7 @@
 /// Where the word, or its being in quotes or not, does not fit the kind.
 pub fn read(kind: ValueKind, word: &Word) -> Result<Value, ValueError> {
     let text = word.text.as_str();
-    match (word.quoted, kind == ValueKind::Text) {
+    match (word.is_quoted, kind == ValueKind::Text) {
         (true, false) => return Err(ValueError::not(text, "is in quotes", kind)),
         (false, true) => return Err(ValueError::not(text, "is not in quotes", kind)),
         _ => {}
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -140,7 +140,9 @@
             QUERY_CLASS => is_listed(&self.query_classes, &route.classes, class),
             TENANT => is_listed(&self.tenants, &route.tenants, class),
             CLIENT => route.clients.is_empty() || self.is_client(route, first_set, class),
-            KEY => route.key.is_none_or(|key| usize::from(key) == class),
+            KEY => route
+                .has_key
+                .is_none_or(|has_key| usize::from(has_key) == class),
             DATA_SET => route.data_sets.is_empty() || self.is_data_set(route, class),
             _ => route.is_open_at(self.minutes_of_day[class]),
         }
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -21,7 +21,7 @@
     /// The text without quotes and escapes.
     pub text: String,
     /// Whether it is written in quotes.
-    pub quoted: bool,
+    pub is_quoted: bool,
     /// Where it is.
     pub span: Span,
 }
@@ -29,7 +29,7 @@
 impl Word {
     /// Whether this is the given word, not in quotes.
     pub fn is_keyword(&self, keyword: &str) -> bool {
-        !self.quoted && self.text == keyword
+        !self.is_quoted && self.text == keyword
     }
 }
 
@@ -68,9 +68,9 @@
     /// Its entries, comments and empty lines.
     pub items: Vec<BlockItem>,
     /// The place of its head.
-    pub span: Span,
+    pub head_span: Span,
     /// The place of the whole block.
-    pub whole: Span,
+    pub whole_span: Span,
     /// The comment behind the head.
     pub comment: Option<String>,
     /// The comment behind the closing brace.
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -97,7 +97,7 @@
     }
 
     fn read_block(&mut self, pair: Pair<Rule>) {
-        let whole = self.span(&pair);
+        let whole_span = self.span(&pair);
         let mut head = None;
         let mut items = Vec::new();
         let mut is_closed = false;
@@ -115,21 +115,21 @@
                 _ => {}
             }
         }
-        let Some((span, statement)) = head else {
+        let Some((head_span, statement)) = head else {
             return;
         };
         let mut words = statement.words.into_iter();
         let Some(kind) = words.next() else { return };
         if !is_closed {
-            let diagnostic = Diagnostic::new(span.clone(), "this block is not closed");
+            let diagnostic = Diagnostic::new(head_span.clone(), "this block is not closed");
             self.push_diagnostic(diagnostic.help("add a line with `}` at its end"));
         }
         self.tree.items.push(Item::Block(Block {
             kind,
             name: words.next(),
             items,
-            span,
-            whole,
+            head_span,
+            whole_span,
             comment: statement.comment,
             close_comment,
         }));
@@ -172,13 +172,13 @@
 
     fn read_word(&self, pair: &Pair<Rule>) -> Word {
         let written = pair.as_str();
-        let quoted = pair.as_rule() == Rule::string;
+        let is_quoted = pair.as_rule() == Rule::string;
         Word {
-            text: match quoted {
+            text: match is_quoted {
                 true => unescaped(written),
                 false => written.to_string(),
             },
-            quoted,
+            is_quoted,
             span: self.span(pair),
         }
     }
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -26,7 +26,7 @@
         let at = |plan: &Plan| {
             plan.routes
                 .iter()
-                .position(|r| r.unmet(facts, &plan.addresses).is_none())
+                .position(|r| r.first_unmet_entry(facts, &plan.addresses).is_none())
         };
         let (m, n) = (
             at(a).unwrap_or(a.routes.len()),
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -202,7 +202,7 @@
         let too_soon = |bucket: Option<Bucket>, due: Duration, cost: f64| {
             let bucket = bucket?;
             let after = arrival_time_after(&bucket, due, now, cost).saturating_sub(now);
-            let burst = Duration::from_secs_f64(bucket.burst / bucket.rate);
+            let burst = Duration::from_secs_f64(bucket.max_tokens / bucket.tokens_per_second);
             Some(after.saturating_sub(burst)).filter(|wait| !wait.is_zero())
         };
         if self.in_flight.is_some_and(|most| load.in_flight >= most) {
@@ -246,7 +246,7 @@
 
 /// The time to which one more query of this cost moves a key's. What is larger than a whole burst counts as one.
 fn arrival_time_after(bucket: &Bucket, due: Duration, now: Duration, cost: f64) -> Duration {
-    due.max(now) + Duration::from_secs_f64(cost.min(bucket.burst) / bucket.rate)
+    due.max(now) + Duration::from_secs_f64(cost.min(bucket.max_tokens) / bucket.tokens_per_second)
 }
 
 #[cfg(test)]
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -60,7 +60,7 @@
                 minute: facts.minute_of_day,
                 statement_bytes: 1,
             };
-            let plain = plan.routes.iter().position(|r| r.unmet(facts, &plan.addresses).is_none());
+            let plain = plan.routes.iter().position(|r| r.first_unmet_entry(facts, &plan.addresses).is_none());
             prop_assert_eq!(routing.route(&b), plain, "{:?}", facts);
             match routing.decide(&b) {
                 RouteDecision::Rejected { route } => prop_assert!(plan.routes[route].reject_reason.is_some()),
