--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -6,7 +6,7 @@
 use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::model::{ClassRules, Route};
-use crate::region::{Region, ValueClasses, QUERY_CLASS};
+use crate::region::{Dimension, Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 
 /// A route that names pools, with the classes whose queries it may match.
@@ -23,7 +23,7 @@
     /// Whether queries of a class may match the route, or be treated as that class by it.
     fn concerns(&self, class: &str) -> bool {
         let value_class = self.value_classes.query_class(class);
-        let has_class = |piece: &Region| piece[QUERY_CLASS].contains(value_class);
+        let has_class = |piece: &Region| piece[Dimension::QueryClass.index()].contains(value_class);
         self.route.treats_as(class)
             || self
                 .pieces
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -60,7 +60,7 @@
                 .read_list(&expanded, |reader, word| {
                     reader.read_value(ValueKind::Name, word)
                 }),
-            Shape::Bucket(rate, burst) => self.read_bucket(rate, burst, &expanded),
+            Shape::Bucket { rate, burst } => self.read_bucket(rate, burst, &expanded),
             Shape::Effect => self.read_effect(&expanded),
         }
     }
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -3,7 +3,7 @@
 use super::side::{priority_levels, Side};
 use super::Change;
 use crate::cells::{Cells, Place};
-use crate::region::{ValueClasses, QUERY_CLASS};
+use crate::region::{Dimension, ValueClasses};
 use fixedbitset::FixedBitSet;
 use std::collections::BTreeSet;
 
@@ -50,7 +50,7 @@
         let is_rejected = route.is_some_and(|route| route.reject_reason.is_some());
         let is_matched = pieces
             .iter()
-            .any(|piece| piece[QUERY_CLASS].contains(value_class));
+            .any(|piece| piece[Dimension::QueryClass.index()].contains(value_class));
         if is_rejected || !is_matched {
             continue;
         }
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -4,7 +4,7 @@
 use super::{placement, Change};
 use crate::cells::{Cells, ConfiguredNames};
 use crate::model::Plan;
-use crate::region::{self, Region, ValueClasses, QUERY_CLASS};
+use crate::region::{self, Dimension, Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -122,7 +122,7 @@
         for old_route in 0..self.old.reach.len() {
             for new_route in 0..self.new.reach.len() {
                 for piece in self.common_pieces(old_route, new_route) {
-                    for class in piece[QUERY_CLASS].ones() {
+                    for class in piece[Dimension::QueryClass.index()].ones() {
                         let Some(difference) = self.difference(old_route, new_route, class) else {
                             continue;
                         };
@@ -186,8 +186,9 @@
 /// The part of a region that holds one query class.
 fn of_class(region: &Region, class: usize) -> Region {
     let mut part = region.clone();
-    part[QUERY_CLASS].clear();
-    part[QUERY_CLASS].insert(class);
+    let query_classes = &mut part[Dimension::QueryClass.index()];
+    query_classes.clear();
+    query_classes.insert(class);
     part
 }
 
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -10,21 +10,44 @@
 
 pub use value_classes::ValueClasses;
 
-/// What a route can ask for: class, tenant, client, key, data set, minute of the day.
-pub const DIMENSIONS: usize = 6;
-pub(crate) const QUERY_CLASS: usize = 0;
-const TENANT: usize = 1;
-const CLIENT: usize = 2;
-const KEY: usize = 3;
-const DATA_SET: usize = 4;
-const MINUTE_OF_DAY: usize = 5;
+/// What a route can ask of a query.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Dimension {
+    QueryClass,
+    Tenant,
+    Client,
+    /// Whether it has an ordering key.
+    Key,
+    DataSet,
+    MinuteOfDay,
+}
+
+/// How many dimensions there are.
+pub const DIMENSIONS: usize = Dimension::ALL.len();
+
+impl Dimension {
+    /// All dimensions, in the order of their indices in a [`Region`] and a [`Point`].
+    pub(crate) const ALL: [Dimension; 6] = [
+        Dimension::QueryClass,
+        Dimension::Tenant,
+        Dimension::Client,
+        Dimension::Key,
+        Dimension::DataSet,
+        Dimension::MinuteOfDay,
+    ];
+
+    /// Its index in a [`Region`] and a [`Point`].
+    pub(crate) const fn index(self) -> usize {
+        self as usize
+    }
+}
 
 /// Pieces into which the region of a route may fall; one of more pieces is not computed.
 const MAX_PIECES: usize = 2048;
 
-/// A set of value classes for each dimension.
+/// A set of value classes for each dimension, by its index.
 pub type Region = [FixedBitSet; DIMENSIONS];
-/// A value class for each dimension.
+/// A value class for each dimension, by its index.
 pub type Point = [usize; DIMENSIONS];
 
 fn all_of(count: usize) -> FixedBitSet {
@@ -44,7 +67,7 @@
 
 /// The region that two regions share; `None` where it is empty.
 pub fn intersection(a: &Region, b: &Region) -> Option<Region> {
-    overlaps(a, b).then(|| std::array::from_fn(|dimension| &a[dimension] & &b[dimension]))
+    overlaps(a, b).then(|| std::array::from_fn(|index| &a[index] & &b[index]))
 }
 
 /// The part of the first region that is not in the second, in disjoint pieces.
@@ -54,14 +77,14 @@
     }
     let mut remainder = a.clone();
     let mut pieces = Vec::new();
-    for dimension in 0..DIMENSIONS {
-        let mut outside = remainder[dimension].clone();
-        outside.difference_with(&b[dimension]);
+    for index in 0..DIMENSIONS {
+        let mut outside = remainder[index].clone();
+        outside.difference_with(&b[index]);
         if !outside.is_clear() {
             let mut piece = remainder.clone();
-            piece[dimension] = outside;
+            piece[index] = outside;
             pieces.push(piece);
-            remainder[dimension].intersect_with(&b[dimension]);
+            remainder[index].intersect_with(&b[index]);
         }
     }
     pieces
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -1,7 +1,7 @@
 //! Prints regions in the words of the plan language.
 
-use super::value_classes::NameClasses;
-use super::{Region, ValueClasses, CLIENT, DATA_SET, KEY, MINUTE_OF_DAY, QUERY_CLASS, TENANT};
+use super::value_classes::{NameClasses, WITH_KEY};
+use super::{Dimension, Region, ValueClasses};
 use crate::quantity::MINUTES_PER_DAY;
 use fixedbitset::FixedBitSet;
 use std::ops::RangeInclusive;
@@ -16,17 +16,23 @@
     /// address sets of all plans.
     pub fn in_words(&self, region: &Region, set_names: &[String]) -> String {
         let counts = self.counts();
-        let describe = |dimension: usize| match dimension {
-            QUERY_CLASS => names("group", &self.query_classes, &region[QUERY_CLASS]),
-            TENANT => names("tenant", &self.tenants, &region[TENANT]),
-            CLIENT => self.clients_in_words(&region[CLIENT], set_names),
-            KEY if region[KEY].contains(1) => "with a key".to_string(),
-            KEY => "without a key".to_string(),
-            DATA_SET => self.data_sets_in_words(&region[DATA_SET]),
-            _ => self.hours_in_words(&region[MINUTE_OF_DAY]),
+        let describe = |dimension: Dimension| {
+            let classes = &region[dimension.index()];
+            match dimension {
+                Dimension::QueryClass => names("group", &self.query_classes, classes),
+                Dimension::Tenant => names("tenant", &self.tenants, classes),
+                Dimension::Client => self.clients_in_words(classes, set_names),
+                Dimension::Key if classes.contains(WITH_KEY) => "with a key".to_string(),
+                Dimension::Key => "without a key".to_string(),
+                Dimension::DataSet => self.data_sets_in_words(classes),
+                Dimension::MinuteOfDay => self.hours_in_words(classes),
+            }
+        };
+        let is_partial = |dimension: &Dimension| {
+            let index = dimension.index();
+            region[index].count_ones(..) < counts[index]
         };
-        let is_partial = |dimension: &usize| region[*dimension].count_ones(..) < counts[*dimension];
-        let partial = (0..region.len()).filter(is_partial);
+        let partial = Dimension::ALL.into_iter().filter(is_partial);
         let words: Vec<String> = partial.map(describe).collect();
         match words.is_empty() {
             true => "every batch".to_string(),
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -1,6 +1,6 @@
 //! Value classes: the values that some plans do not tell apart.
 
-use super::{Point, Region, CLIENT, DATA_SET, KEY, QUERY_CLASS, TENANT};
+use super::{Dimension, Point, Region};
 use crate::address::AddressClasses;
 use crate::model::{Plan, QueryFacts, Route};
 use crate::quantity::MINUTES_PER_DAY;
@@ -9,6 +9,8 @@
 
 /// Whether a query has a key is a dimension of two classes.
 const KEY_CLASSES: usize = 2;
+/// The class of queries with a key; the other one is that of queries without.
+pub(super) const WITH_KEY: usize = 1;
 
 /// Names by value class; all names that no plan has share the last class.
 #[derive(Clone, Debug, Default)]
@@ -126,25 +128,28 @@
     /// The region of a route; `first_set` is the index of its plan's first address set among those of all plans.
     pub fn region(&self, route: &Route, first_set: usize) -> Region {
         let counts = self.counts();
-        std::array::from_fn(|dimension| {
+        Dimension::ALL.map(|dimension| {
+            let count = counts[dimension.index()];
             let matches = |class: &usize| self.matches(route, first_set, dimension, *class);
-            let mut classes = FixedBitSet::with_capacity(counts[dimension]);
-            classes.extend((0..counts[dimension]).filter(matches));
+            let mut classes = FixedBitSet::with_capacity(count);
+            classes.extend((0..count).filter(matches));
             classes
         })
     }
 
     /// Whether a route matches the values of a class of one dimension.
-    fn matches(&self, route: &Route, first_set: usize, dimension: usize, class: usize) -> bool {
+    fn matches(&self, route: &Route, first_set: usize, dimension: Dimension, class: usize) -> bool {
         match dimension {
-            QUERY_CLASS => is_listed(&self.query_classes, &route.classes, class),
-            TENANT => is_listed(&self.tenants, &route.tenants, class),
-            CLIENT => route.clients.is_empty() || self.is_client(route, first_set, class),
-            KEY => route
+            Dimension::QueryClass => is_listed(&self.query_classes, &route.classes, class),
+            Dimension::Tenant => is_listed(&self.tenants, &route.tenants, class),
+            Dimension::Client => {
+                route.clients.is_empty() || self.is_client(route, first_set, class)
+            }
+            Dimension::Key => route
                 .has_key
-                .is_none_or(|has_key| usize::from(has_key) == class),
-            DATA_SET => route.data_sets.is_empty() || self.is_data_set(route, class),
-            _ => route.is_open_at(self.minutes_of_day[class]),
+                .is_none_or(|has_key| has_key == (class == WITH_KEY)),
+            Dimension::DataSet => route.data_sets.is_empty() || self.is_data_set(route, class),
+            Dimension::MinuteOfDay => route.is_open_at(self.minutes_of_day[class]),
         }
     }
 
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -24,8 +24,13 @@
     Choice(&'static [&'static str]),
     /// Some of these words, as a list.
     Words(&'static [&'static str]),
-    /// A rate and, behind `burst`, an amount of this kind.
-    Bucket(ValueKind, ValueKind),
+    /// A rate of this kind and, behind `burst`, an amount of that kind.
+    Bucket {
+        /// The kind of the rate.
+        rate: ValueKind,
+        /// The kind of the amount.
+        burst: ValueKind,
+    },
     /// `repeatable`, `once-only`, or `referenced` with a scope and a time.
     Effect,
 }
@@ -123,6 +128,17 @@
 /// Scopes of `effect referenced`.
 pub const EFFECT_SCOPES: &[&str] = &["everywhere", "zone", "cell"];
 
+/// Queries over time.
+const QUERY_BUCKET: Shape = Shape::Bucket {
+    rate: ValueKind::Rate,
+    burst: ValueKind::Count,
+};
+/// Bytes over time.
+const BYTE_BUCKET: Shape = Shape::Bucket {
+    rate: ValueKind::ByteRate,
+    burst: ValueKind::Size,
+};
+
 /// All kinds of blocks.
 pub const BLOCKS: &[BlockKind] = &[
     BlockKind {
@@ -170,8 +186,8 @@
         entries: &[
             entry("share", Shape::One(ValueKind::Share), "30%", "the most of this gateway's capacity for queries that it may use"),
             entry("in-hand", Shape::One(ValueKind::Count), "200", "queries in flight at this gateway"),
-            entry("rate", Shape::Bucket(ValueKind::Rate, ValueKind::Count), "50/s burst 100", "queries admitted over time"),
-            entry("bytes", Shape::Bucket(ValueKind::ByteRate, ValueKind::Size), "1MiB/s burst 4MiB", "bytes of statements over time"),
+            entry("rate", QUERY_BUCKET, "50/s burst 100", "queries admitted over time"),
+            entry("bytes", BYTE_BUCKET, "1MiB/s burst 4MiB", "bytes of statements over time"),
         ],
     },
     BlockKind {
@@ -200,8 +216,8 @@
             entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "counts only queries of these tenants"),
             entry("client", Shape::BlockNames("addresses"), "houses", "counts only queries from these addresses"),
             entry("in-hand", Shape::One(ValueKind::Count), "300", "queries in flight at this gateway"),
-            entry("rate", Shape::Bucket(ValueKind::Rate, ValueKind::Count), "50/s burst 100", "queries admitted over time"),
-            entry("bytes", Shape::Bucket(ValueKind::ByteRate, ValueKind::Size), "10MiB/s burst 20MiB", "bytes of statements over time"),
+            entry("rate", QUERY_BUCKET, "50/s burst 100", "queries admitted over time"),
+            entry("bytes", BYTE_BUCKET, "10MiB/s burst 20MiB", "bytes of statements over time"),
         ],
     },
     BlockKind {
