--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -1,7 +1,7 @@
 //! The files that a gateway is configured by, and how they are read from the disk.
 
 use super::error::{Checked, ConfigError};
-use garnetwall_plan::source::{beside, LoadError, Loader};
+use garnetwall_plan::source::{resolve_relative, LoadError, Loader};
 use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
 use serde_json::Value;
 use std::path::Path;
@@ -30,7 +30,7 @@
     }
 
     fn resolve(&self, from: &str, included: &str) -> String {
-        beside(from, included)
+        resolve_relative(from, included)
     }
 }
 
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -25,7 +25,7 @@
 
 /// A word after constants are replaced: its place is that of the entry's word.
 #[derive(Clone)]
-pub(super) struct Expanded {
+pub(super) struct ExpandedWord {
     pub(super) word: Word,
     /// Where the word stands in the constant that it comes from.
     pub(super) defined_at: Option<Span>,
@@ -66,7 +66,7 @@
     }
 
     /// Replaces the constants in a list of words.
-    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<Expanded>, Diagnostic> {
+    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<ExpandedWord>, Diagnostic> {
         let mut expansion = Expansion {
             constants: self,
             words: Vec::new(),
@@ -80,14 +80,14 @@
 
 struct Expansion<'a> {
     constants: &'a Constants,
-    words: Vec<Expanded>,
+    words: Vec<ExpandedWord>,
 }
 
 impl<'a> Expansion<'a> {
     /// Adds a word, which `used` brings in over `depth` constants.
     fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Diagnostic> {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.is_quoted) else {
-            self.words.push(Expanded {
+            self.words.push(ExpandedWord {
                 word: Word {
                     span: used.span.clone(),
                     ..word.clone()
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -1,6 +1,6 @@
 //! Reads the values of an entry in the shape that its kind requires.
 
-use super::constants::{Constants, Expanded};
+use super::constants::{Constants, ExpandedWord};
 use super::Spanned;
 use crate::diagnostic::{shown, Diagnostic};
 use crate::quantity::{self, Value, ValueKind};
@@ -71,7 +71,7 @@
     }
 
     /// Reports an error in a word that may come from a constant.
-    fn fail_in<T>(&mut self, word: &Expanded, diagnostic: Diagnostic) -> Option<T> {
+    fn fail_in<T>(&mut self, word: &ExpandedWord, diagnostic: Diagnostic) -> Option<T> {
         self.fail(match &word.defined_at {
             Some(defined_at) => diagnostic.related(defined_at.clone(), "from this constant"),
             None => diagnostic,
@@ -84,7 +84,7 @@
         self.fail(diagnostic.help(self.example()))
     }
 
-    fn fail_at<T>(&mut self, word: &Expanded, text: String) -> Option<T> {
+    fn fail_at<T>(&mut self, word: &ExpandedWord, text: String) -> Option<T> {
         self.fail(Diagnostic::new(word.word.span.clone(), text))
     }
 
@@ -93,7 +93,7 @@
         format!("{} {}", self.entry.name, self.entry.example)
     }
 
-    fn read_value(&mut self, kind: ValueKind, expanded: &Expanded) -> Option<Spanned> {
+    fn read_value(&mut self, kind: ValueKind, expanded: &ExpandedWord) -> Option<Spanned> {
         let word = &expanded.word;
         match quantity::read(kind, word) {
             Ok(value) => Some(Spanned {
@@ -104,7 +104,11 @@
         }
     }
 
-    fn read_choice(&mut self, choices: &[&'static str], expanded: &Expanded) -> Option<Spanned> {
+    fn read_choice(
+        &mut self,
+        choices: &[&'static str],
+        expanded: &ExpandedWord,
+    ) -> Option<Spanned> {
         let word = &expanded.word;
         if !word.is_quoted && choices.contains(&word.text.as_str()) {
             return Some(Spanned {
@@ -123,7 +127,7 @@
         self.fail_in(expanded, diagnostic)
     }
 
-    fn read_flag(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
+    fn read_flag(&mut self, parts: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
         let Some(first) = parts.iter().flatten().next() else {
             return Some(Vec::new());
         };
@@ -139,10 +143,10 @@
     /// Exactly one value.
     fn read_one(
         &mut self,
-        parts: &[Vec<Expanded>],
-        read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
+        parts: &[Vec<ExpandedWord>],
+        read: impl Fn(&mut Self, &ExpandedWord) -> Option<Spanned>,
     ) -> Option<Vec<Spanned>> {
-        let words: Vec<&Expanded> = parts.iter().flatten().collect();
+        let words: Vec<&ExpandedWord> = parts.iter().flatten().collect();
         match words.as_slice() {
             [] => self.fail_missing(),
             [word] => Some(vec![read(self, word)?]),
@@ -160,8 +164,8 @@
     /// One list of values; every value is read, so that all errors are reported at once.
     fn read_list(
         &mut self,
-        parts: &[Vec<Expanded>],
-        read: impl Fn(&mut Self, &Expanded) -> Option<Spanned>,
+        parts: &[Vec<ExpandedWord>],
+        read: impl Fn(&mut Self, &ExpandedWord) -> Option<Spanned>,
     ) -> Option<Vec<Spanned>> {
         let Some((list, more)) = parts.split_first() else {
             return self.fail_missing();
@@ -179,13 +183,13 @@
         &mut self,
         rate_kind: ValueKind,
         burst_kind: ValueKind,
-        parts: &[Vec<Expanded>],
+        parts: &[Vec<ExpandedWord>],
     ) -> Option<Vec<Spanned>> {
-        let single = |part: &Vec<Expanded>| match part.as_slice() {
+        let single = |part: &Vec<ExpandedWord>| match part.as_slice() {
             [word] => Some(word.clone()),
             _ => None,
         };
-        let words: Option<Vec<Expanded>> = parts.iter().map(single).collect();
+        let words: Option<Vec<ExpandedWord>> = parts.iter().map(single).collect();
         match words.as_deref() {
             Some([]) => self.fail_missing(),
             Some([rate]) => Some(vec![self.read_value(rate_kind, rate)?]),
@@ -206,8 +210,8 @@
     }
 
     /// A word of [`schema::EFFECTS`]; `referenced` with its scope and window.
-    fn read_effect(&mut self, parts: &[Vec<Expanded>]) -> Option<Vec<Spanned>> {
-        let words: Vec<&Expanded> = parts.iter().flatten().collect();
+    fn read_effect(&mut self, parts: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
+        let words: Vec<&ExpandedWord> = parts.iter().flatten().collect();
         let Some((first, more)) = words.split_first() else {
             return self.fail_missing();
         };
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -43,7 +43,7 @@
             Item::Blank(None) => self.request_gap(),
             Item::Blank(Some(comment)) => self.print_line(0, comment, &None),
             Item::Include { path, comment, .. } => {
-                self.print_line(0, &format!("include {}", written(path)), comment)
+                self.print_line(0, &format!("include {}", as_written(path)), comment)
             }
             Item::Constant {
                 name,
@@ -83,7 +83,7 @@
         self.needs_gap |= !self.text.is_empty() && !follows_comment;
         let kind = &block.kind.text;
         let head = match &block.name {
-            Some(name) => format!("{kind} {} {{", written(name)),
+            Some(name) => format!("{kind} {} {{", as_written(name)),
             None => format!("{kind} {{"),
         };
         self.print_line(0, &head, &block.comment);
@@ -92,7 +92,7 @@
                 BlockItem::Blank(None) => self.request_gap(),
                 BlockItem::Blank(Some(comment)) => self.print_line(INDENT_COLUMNS, comment, &None),
                 BlockItem::Entry(entry) => {
-                    let name = written(&entry.name);
+                    let name = as_written(&entry.name);
                     self.print_wrapped(INDENT_COLUMNS, &name, &entry.parts, &entry.comment)
                 }
             }
@@ -115,7 +115,7 @@
         for part in parts {
             for (index, word) in part.iter().enumerate() {
                 let comma = if index + 1 < part.len() { "," } else { "" };
-                let next = format!("{}{comma}", written(word));
+                let next = format!("{}{comma}", as_written(word));
                 let columns = code_indent + code.chars().count() + 1 + next.chars().count();
                 if index > 0 && columns > MAX_COLUMNS {
                     self.print_line(code_indent, &code, &None);
@@ -131,7 +131,7 @@
 }
 
 /// A word with its quotes and escapes.
-fn written(word: &Word) -> String {
+fn as_written(word: &Word) -> String {
     if !word.is_quoted {
         return word.text.clone();
     }
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -74,12 +74,12 @@
     }
 
     fn resolve(&self, from: &str, included: &str) -> String {
-        beside(from, included)
+        resolve_relative(from, included)
     }
 }
 
 /// A path relative to the folder of another file, normalized as far as `.` and `..` allow; an absolute path stays.
-pub fn beside(from: &str, included: &str) -> String {
+pub fn resolve_relative(from: &str, included: &str) -> String {
     if included.starts_with('/') {
         return included.to_string();
     }
--- a/crates/plan/tests/broken.rs
+++ b/crates/plan/tests/broken.rs
@@ -3,7 +3,7 @@
 
 use garnetwall_plan::compile;
 use garnetwall_plan::model::{DeduplicationScope, Idempotency};
-use garnetwall_plan::source::{beside, LoadError, Loader};
+use garnetwall_plan::source::{resolve_relative, LoadError, Loader};
 use garnetwall_plan::{Settings, SettingsClass};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
     }
 
     fn resolve(&self, from: &str, included: &str) -> String {
-        beside(from, included)
+        resolve_relative(from, included)
     }
 }
 
