--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -4,6 +4,7 @@
 
 use crate::files::Span;
 use crate::model::{QueryFacts, Route};
+use crate::quantity::time_of_day;
 use crate::Compiled;
 use std::fmt::{Result, Write};
 
@@ -68,11 +69,10 @@
             true => "with a key",
             false => "without a key",
         };
-        let hour = query.minute_of_day / 60;
-        let minute = query.minute_of_day % 60;
+        let time = time_of_day(query.minute_of_day);
         writeln!(
             self.out,
-            "a batch of `{}` for `{}` from {}, {key}, on data set {}, at {hour:02}:{minute:02} UTC",
+            "a batch of `{}` for `{}` from {}, {key}, on data set {}, at {time} UTC",
             query.class, query.tenant, query.client, query.data_set
         )
     }
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -15,8 +15,9 @@
 
 pub use ranges::{MinuteRange, NumberRange};
 
+const MINUTES_PER_HOUR: u32 = 60;
 /// Minutes of a day.
-pub const MINUTES_PER_DAY: u32 = 24 * 60;
+pub const MINUTES_PER_DAY: u32 = 24 * MINUTES_PER_HOUR;
 
 /// Characters of a name or a pattern.
 const MAX_NAME_CHARS: usize = 64;
@@ -225,13 +226,20 @@
     Ok(Value::TimesOfDay(MinuteRange { from, until }))
 }
 
+/// A minute of the day as `HH:MM`.
+pub(crate) fn time_of_day(minute_of_day: u32) -> String {
+    let hour = minute_of_day / MINUTES_PER_HOUR;
+    let minute = minute_of_day % MINUTES_PER_HOUR;
+    format!("{hour:02}:{minute:02}")
+}
+
 /// The minute of the day of `HH:MM`, up to and with `24:00`.
 fn minute_of_day(text: &str) -> Option<u32> {
     let (hour, minute) = text.split_once(':')?;
     let hour = two_digits(hour)?;
     let minute = two_digits(minute)?;
-    let minute_of_day = hour * 60 + minute;
-    (minute < 60 && minute_of_day <= MINUTES_PER_DAY).then_some(minute_of_day)
+    let minute_of_day = hour * MINUTES_PER_HOUR + minute;
+    (minute < MINUTES_PER_HOUR && minute_of_day <= MINUTES_PER_DAY).then_some(minute_of_day)
 }
 
 fn two_digits(text: &str) -> Option<u32> {
--- a/crates/plan/src/quantity/units.rs
+++ b/crates/plan/src/quantity/units.rs
@@ -40,6 +40,7 @@
     ("rps", "/s"),
     ("percent", "%"),
 ];
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 const MAX_TIME_SECONDS: f64 = 7.0 * 86_400.0;
 /// Keeps sums of values far from overflow.
 const MAX_NUMBER: f64 = 1.0e15;
@@ -54,7 +55,7 @@
         return Err(ValueError::not(word, "is no number", kind));
     };
     match kind_of_unit(unit) {
-        Some(found) if found == kind => value(kind, word, number * factor(unit)),
+        Some(found) if found == kind => bounded_value(kind, word, number * base_units(unit)),
         Some(ValueKind::Count) => Err(ValueError::not(word, "has no unit", kind)),
         Some(found) => {
             let description = format!("is {}", found.description());
@@ -78,14 +79,14 @@
 }
 
 /// A number in base units as a value, within the bounds of its kind.
-fn value(kind: ValueKind, word: &str, number: f64) -> Result<Value, ValueError> {
+fn bounded_value(kind: ValueKind, word: &str, number: f64) -> Result<Value, ValueError> {
     let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", shown(word))));
     match kind {
         ValueKind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than a week"),
         ValueKind::Time if number <= 0.0 => out_of_bounds("is no time; it must be above 0"),
         // Rounded, so that 1s equals 1000ms.
         ValueKind::Time => Ok(Value::Time(Duration::from_micros(
-            (number * 1e6).round().max(1.0) as u64,
+            (number * MICROSECONDS_PER_SECOND).round().max(1.0) as u64,
         ))),
         ValueKind::Share if number > 1.0 => {
             out_of_bounds("is more than all; a share is 100% at most")
@@ -136,7 +137,7 @@
 }
 
 /// What a known unit is in base units: seconds, bytes, events or bytes a second, fractions.
-fn factor(unit: &str) -> f64 {
+fn base_units(unit: &str) -> f64 {
     let size = |unit: &str| in_table(&SIZE_UNITS, unit).unwrap_or(1.0);
     let time = |unit: &str| in_table(&TIME_UNITS, unit).unwrap_or(1.0);
     match unit.split_once('/') {
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -2,7 +2,7 @@
 
 use super::value_classes::{NameClasses, WITH_KEY};
 use super::{Dimension, Region, ValueClasses};
-use crate::quantity::MINUTES_PER_DAY;
+use crate::quantity::{time_of_day, MINUTES_PER_DAY};
 use fixedbitset::FixedBitSet;
 use std::ops::RangeInclusive;
 
@@ -68,14 +68,13 @@
     }
 
     fn hours_in_words(&self, classes: &FixedBitSet) -> String {
-        let clock = |minute: u32| format!("{:02}:{:02}", minute / 60, minute % 60);
         let range = |run: RangeInclusive<usize>| {
             let end = self.minutes_of_day.get(run.end() + 1).copied();
             let until = end.unwrap_or(MINUTES_PER_DAY);
             format!(
                 "{}..{}",
-                clock(self.minutes_of_day[*run.start()]),
-                clock(until)
+                time_of_day(self.minutes_of_day[*run.start()]),
+                time_of_day(until)
             )
         };
         let ranges: Vec<String> = runs(classes).map(range).collect();
