--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -1,11 +1,11 @@
 //! Resolves names: those that the settings know, and those of other blocks.
 
 use super::{Builder, Settings};
-use crate::check::{CheckedBlock, CheckedEntry};
+use crate::check::{CheckedBlock, CheckedEntry, Spanned};
 use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 use crate::quantity::Value;
-use crate::schema::{Namespace, Shape};
+use crate::schema::Namespace;
 
 impl Builder<'_> {
     /// Checks names of classes, tenants, kinds and zones, where the settings are at hand.
@@ -18,20 +18,26 @@
                 self.check_settings_name(settings, namespace, &block.name, &block.name_span);
             }
             for entry in block.kind.entries {
-                let (Shape::SettingsNames(namespace) | Shape::SettingsName(namespace)) =
-                    entry.shape
-                else {
-                    continue;
-                };
-                for value in block.values(entry.name) {
-                    if let Value::Name(name) = &value.value {
-                        self.check_settings_name(settings, namespace, name, &value.span);
-                    }
+                if let Some(namespace) = entry.shape.namespace() {
+                    self.check_settings_values(settings, namespace, block.values(entry.name));
                 }
             }
         }
     }
 
+    fn check_settings_values(
+        &mut self,
+        settings: &Settings,
+        namespace: Namespace,
+        values: &[Spanned],
+    ) {
+        for value in values {
+            if let Value::Name(name) = &value.value {
+                self.check_settings_name(settings, namespace, name, &value.span);
+            }
+        }
+    }
+
     fn check_settings_name(
         &mut self,
         settings: &Settings,
@@ -54,35 +60,39 @@
         kind: &'static str,
         entry: Option<&CheckedEntry>,
     ) -> Vec<usize> {
-        let indices = &self.indices[kind];
         let mut found = Vec::new();
         for value in entry.map_or(&[][..], |entry| &entry.values) {
             let Value::Name(name) = &value.value else {
                 continue;
             };
-            let Some(index) = indices.get(name.as_str()) else {
-                let what = match kind {
-                    "addresses" => "address set",
-                    other => other,
-                };
-                let text = format!("there is no {what} `{name}`");
-                let diagnostic = Diagnostic::new(value.span.clone(), text);
-                let names = indices.keys().copied();
-                self.diagnostics
-                    .push(diagnostic.suggest_nearest(name, names));
-                continue;
-            };
-            if found.contains(index) {
-                let text = format!("`{name}` stands twice in this list");
-                self.diagnostics
-                    .push(Diagnostic::new(value.span.clone(), text));
-            } else {
-                found.push(*index);
+            match self.block_index(kind, name, &value.span) {
+                Ok(index) if found.contains(&index) => {
+                    let text = format!("`{name}` stands twice in this list");
+                    let diagnostic = Diagnostic::new(value.span.clone(), text);
+                    self.diagnostics.push(diagnostic);
+                }
+                Ok(index) => found.push(index),
+                Err(diagnostic) => self.diagnostics.push(diagnostic),
             }
         }
         found
     }
 
+    /// The index of the block of a kind that has this name.
+    fn block_index(&self, kind: &str, name: &str, span: &Span) -> Result<usize, Diagnostic> {
+        let indices = &self.indices[kind];
+        if let Some(index) = indices.get(name) {
+            return Ok(*index);
+        }
+        let what = match kind {
+            "addresses" => "address set",
+            other => other,
+        };
+        let text = format!("there is no {what} `{name}`");
+        let diagnostic = Diagnostic::new(span.clone(), text);
+        Err(diagnostic.suggest_nearest(name, indices.keys().copied()))
+    }
+
     /// An order in which each block of a kind comes after those that it refers to; a cycle is an error.
     pub(super) fn reference_order(&mut self, kind: &str, references: &[Vec<usize>]) -> Vec<usize> {
         let blocks = self.blocks_of_kind(kind);
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -43,6 +43,14 @@
             Shape::List(_) | Shape::BlockNames(_) | Shape::SettingsNames(_) | Shape::Words(_)
         )
     }
+
+    /// Where the settings define its values, the namespace of these.
+    pub fn namespace(self) -> Option<Namespace> {
+        match self {
+            Shape::SettingsNames(namespace) | Shape::SettingsName(namespace) => Some(namespace),
+            _ => None,
+        }
+    }
 }
 
 /// A group of names that the platform's settings define.
