--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -114,7 +114,7 @@
     block("pool", Just(name), entries)
 }
 
-fn group() -> impl Strategy<Value = String> {
+fn class_rules() -> impl Strategy<Value = String> {
     block(
         "group",
         select(&CLASSES[..]).prop_map(str::to_string),
@@ -127,7 +127,7 @@
 }
 
 fn route() -> impl Strategy<Value = String> {
-    let goes = prop_oneof![
+    let outcome = prop_oneof![
         4 => refs("p", 5).prop_map(|to| format!("  to {to}\n")),
         1 => select(&CLASSES[..]).prop_map(|g| format!("  as {g}\n")),
         1 => (refs("p", 5), select(&CLASSES[..])).prop_map(|(to, g)| format!("  to {to}\n  as {g}\n")),
@@ -146,7 +146,7 @@
             ),
             maybe("data-set", some(&NUMBERS, 2)),
             maybe("hours", some(&HOURS, 2)),
-            goes,
+            outcome,
         )
             .prop_map(|(a, b, c, d, e, f, g)| vec![a, b, c, d, e, f, g]),
     )
@@ -179,7 +179,7 @@
     prop_oneof![
         2 => numbered("a", 4).prop_flat_map(addresses),
         3 => numbered("p", 5).prop_flat_map(pool),
-        1 => group(),
+        1 => class_rules(),
         1 => tenant,
         4 => route(),
         1 => limit
@@ -219,12 +219,12 @@
     (
         sets,
         pools,
-        vec(group(), 0..2),
+        vec(class_rules(), 0..2),
         vec(route(), 1..10),
         vec(any_block(), 0..4),
     )
-        .prop_map(|(sets, pools, groups, routes, more)| {
-            accepted_blocks(&[sets, pools, groups, routes, more].concat())
+        .prop_map(|(sets, pools, classes, routes, more)| {
+            accepted_blocks(&[sets, pools, classes, routes, more].concat())
         })
 }
 
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -16,23 +16,22 @@
 fn route_alike(a: &Plan, b: &Plan) -> bool {
     let engines = engines();
     let (outcomes_a, outcomes_b) = (outcomes(a, &engines), outcomes(b, &engines));
-    let class = |name: &str| {
+    let class_index = |name: &str| {
         CLASSES
             .iter()
             .position(|class| *class == name)
             .unwrap_or(CLASSES.len())
     };
-    queries().iter().all(|facts| {
-        let at = |plan: &Plan| {
+    queries().iter().all(|query| {
+        // The index past the last route stands for none.
+        let route_index = |plan: &Plan| {
             plan.routes
                 .iter()
-                .position(|r| r.first_unmet_entry(facts, &plan.addresses).is_none())
+                .position(|route| route.first_unmet_entry(query, &plan.addresses).is_none())
+                .unwrap_or(plan.routes.len())
         };
-        let (m, n) = (
-            at(a).unwrap_or(a.routes.len()),
-            at(b).unwrap_or(b.routes.len()),
-        );
-        outcomes_a[m][class(facts.class)] == outcomes_b[n][class(facts.class)]
+        let class = class_index(query.class);
+        outcomes_a[route_index(a)][class] == outcomes_b[route_index(b)][class]
     })
 }
 
