--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -17,6 +17,7 @@
 use crate::diagnostic::Diagnostic;
 use crate::model::Plan;
 use consistency::ConsistencyCheck;
+use names::Referenced;
 use std::collections::HashMap;
 
 pub use settings::{Settings, SettingsClass};
@@ -29,10 +30,8 @@
 ) -> Plan {
     let mut builder = Builder {
         blocks,
-        indices: HashMap::from([
-            ("pool", indices(blocks, "pool")),
-            ("addresses", indices(blocks, "addresses")),
-        ]),
+        address_set_indices: indices_by_name(blocks, Referenced::AddressSet),
+        pool_indices: indices_by_name(blocks, Referenced::Pool),
         settings,
         diagnostics,
         plan: Plan::default(),
@@ -67,8 +66,10 @@
 }
 
 /// The indices of the blocks of a kind among themselves, by name.
-fn indices<'a>(blocks: &'a [CheckedBlock], kind: &str) -> HashMap<&'a str, usize> {
-    let blocks = blocks_of_kind(blocks, kind).into_iter().enumerate();
+fn indices_by_name(blocks: &[CheckedBlock], kind: Referenced) -> HashMap<&str, usize> {
+    let blocks = blocks_of_kind(blocks, kind.keyword())
+        .into_iter()
+        .enumerate();
     blocks
         .map(|(index, block)| (block.name.as_str(), index))
         .collect()
@@ -77,8 +78,10 @@
 /// The part of a plan that is built so far, with what it is built from.
 struct Builder<'a> {
     blocks: &'a [CheckedBlock],
-    /// The indices of pools and of address sets, by kind of block and name.
-    indices: HashMap<&'static str, HashMap<&'a str, usize>>,
+    /// By name.
+    address_set_indices: HashMap<&'a str, usize>,
+    /// By name.
+    pool_indices: HashMap<&'a str, usize>,
     settings: Option<&'a Settings>,
     diagnostics: &'a mut Vec<Diagnostic>,
     plan: Plan,
--- a/crates/plan/src/build/classes.rs
+++ b/crates/plan/src/build/classes.rs
@@ -1,6 +1,7 @@
 //! Builds the rules of query classes, and the limits of tenants.
 
 use super::entries::{bucket, count, first_text, number, texts, time};
+use super::names::Referenced;
 use super::Builder;
 use crate::check::Spanned;
 use crate::model::{ClassRules, DeduplicationScope, Idempotency, Tenant};
@@ -14,7 +15,7 @@
                 span: block.name_span.clone(),
                 latency_objective: time(block.first_value("goal")),
                 deadline: time(block.first_value("limit")),
-                pools: self.block_indices("pool", block.entry("pools")),
+                pools: self.block_indices(Referenced::Pool, block.entry("pools")),
                 pools_span: block.entry("pools").map(|entry| entry.span.clone()),
                 in_order: order.map(|word| word == "key"),
                 idempotency: idempotency(block.values("effect")),
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -1,6 +1,7 @@
 //! Builds limits.
 
 use super::entries::{bucket, count, texts};
+use super::names::Referenced;
 use super::Builder;
 use crate::check::Spanned;
 use crate::diagnostic::Diagnostic;
@@ -9,7 +10,7 @@
 impl Builder<'_> {
     pub(super) fn build_limits(&mut self) {
         for block in self.blocks_of_kind("limit") {
-            let clients = self.block_indices("addresses", block.entry("client"));
+            let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
             if !block.has_any(&["in-hand", "rate", "bytes"]) {
                 let text = format!("the limit `{}` limits nothing", block.name);
                 let help = "say how much: `in-hand`, `rate` or `bytes`";
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -7,6 +7,31 @@
 use crate::quantity::Value;
 use crate::schema::Namespace;
 
+/// A kind of block that entries of other blocks name.
+#[derive(Clone, Copy)]
+pub(super) enum Referenced {
+    AddressSet,
+    Pool,
+}
+
+impl Referenced {
+    /// The word that begins such a block.
+    pub(super) fn keyword(self) -> &'static str {
+        match self {
+            Referenced::AddressSet => "addresses",
+            Referenced::Pool => "pool",
+        }
+    }
+
+    /// What messages call such a block.
+    fn description(self) -> &'static str {
+        match self {
+            Referenced::AddressSet => "address set",
+            Referenced::Pool => "pool",
+        }
+    }
+}
+
 impl Builder<'_> {
     /// Checks names of classes, tenants, kinds and zones, where the settings are at hand.
     pub(super) fn check_settings_names(&mut self) {
@@ -57,7 +82,7 @@
     /// The indices of the blocks of a kind that an entry names.
     pub(super) fn block_indices(
         &mut self,
-        kind: &'static str,
+        kind: Referenced,
         entry: Option<&CheckedEntry>,
     ) -> Vec<usize> {
         let mut found = Vec::new();
@@ -79,23 +104,26 @@
     }
 
     /// The index of the block of a kind that has this name.
-    fn block_index(&self, kind: &str, name: &str, span: &Span) -> Result<usize, Diagnostic> {
-        let indices = &self.indices[kind];
+    fn block_index(&self, kind: Referenced, name: &str, span: &Span) -> Result<usize, Diagnostic> {
+        let indices = match kind {
+            Referenced::AddressSet => &self.address_set_indices,
+            Referenced::Pool => &self.pool_indices,
+        };
         if let Some(index) = indices.get(name) {
             return Ok(*index);
         }
-        let what = match kind {
-            "addresses" => "address set",
-            other => other,
-        };
-        let text = format!("there is no {what} `{name}`");
+        let text = format!("there is no {} `{name}`", kind.description());
         let diagnostic = Diagnostic::new(span.clone(), text);
         Err(diagnostic.suggest_nearest(name, indices.keys().copied()))
     }
 
     /// An order in which each block of a kind comes after those that it refers to; a cycle is an error.
-    pub(super) fn reference_order(&mut self, kind: &str, references: &[Vec<usize>]) -> Vec<usize> {
-        let blocks = self.blocks_of_kind(kind);
+    pub(super) fn reference_order(
+        &mut self,
+        kind: Referenced,
+        references: &[Vec<usize>],
+    ) -> Vec<usize> {
+        let blocks = self.blocks_of_kind(kind.keyword());
         let mut search = ReferenceSearch {
             references,
             is_done: vec![false; references.len()],
