--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -1,6 +1,7 @@
 //! Builds limits.
 
 use super::entries::{bucket, count, texts};
+use super::names::Referenced;
 use super::Builder;
 use crate::check::Spanned;
 use crate::diagnostic::Diagnostic;
@@ -9,16 +10,16 @@
 impl Builder<'_> {
     pub(super) fn build_limits(&mut self) {
         for block in self.blocks_of_kind("limit") {
-            let clients = self.block_indices("addresses", block.entry("client"));
+            let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
             if !block.has_any(&["in-hand", "rate", "bytes"]) {
                 let text = format!("the limit `{}` limits nothing", block.name);
                 let help = "say how much: `in-hand`, `rate` or `bytes`";
-                let diagnostic = Diagnostic::new(block.span.clone(), text);
+                let diagnostic = Diagnostic::new(block.name_span.clone(), text);
                 self.report_incomplete(block, diagnostic.help(help));
             }
             self.plan.limits.push(Limit {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 per: per(block.values("per")),
                 classes: texts(block.values("group")),
                 tenants: texts(block.values("tenant")),
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -1,6 +1,7 @@
 //! Builds address sets and pools.
 
 use super::entries::texts;
+use super::names::Referenced;
 use super::Builder;
 use crate::address::{difference, union, AddressRange, AddressRanges};
 use crate::check::{CheckedBlock, Spanned};
@@ -13,10 +14,10 @@
         let blocks = self.blocks_of_kind("addresses");
         let included: Vec<Vec<usize>> = blocks
             .iter()
-            .map(|block| self.block_indices("addresses", block.entry("of")))
+            .map(|block| self.block_indices(Referenced::AddressSet, block.entry("of")))
             .collect();
         let mut ranges_of: Vec<AddressRanges> = vec![AddressRanges::new(); blocks.len()];
-        for index in self.reference_order("addresses", &included) {
+        for index in self.reference_order(Referenced::AddressSet, &included) {
             let others = included[index].iter();
             let mut ranges = network_ranges(blocks[index].values("net"));
             ranges.extend(others.flat_map(|other| ranges_of[*other].iter().copied()));
@@ -27,7 +28,7 @@
             self.check_addresses(block, &ranges);
             self.plan.addresses.push(AddressSet {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 ranges,
             });
         }
@@ -36,12 +37,12 @@
     fn check_addresses(&mut self, block: &CheckedBlock, ranges: &AddressRanges) {
         if !block.has_any(&["net", "of"]) {
             let text = format!("the address set `{}` says nothing", block.name);
-            let diagnostic = Diagnostic::new(block.span.clone(), text);
+            let diagnostic = Diagnostic::new(block.name_span.clone(), text);
             self.report_incomplete(block, diagnostic.help("net 10.1.0.0/16"));
         } else if ranges.is_empty() && !block.values("net").is_empty() {
             let text = format!("the address set `{}` holds no address", block.name);
             self.diagnostics
-                .push(Diagnostic::new(block.span.clone(), text));
+                .push(Diagnostic::new(block.name_span.clone(), text));
         }
     }
 
@@ -49,21 +50,21 @@
         for block in self.blocks_of_kind("pool") {
             let pool = Pool {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 all: block.entry("all").is_some(),
                 zones: texts(block.values("zone")),
                 kinds: texts(block.values("kind")),
                 ids: texts(block.values("id")),
-                addresses: self.block_indices("addresses", block.entry("address")),
-                union: self.block_indices("pool", block.entry("union")),
-                except: self.block_indices("pool", block.entry("except")),
+                addresses: self.block_indices(Referenced::AddressSet, block.entry("address")),
+                union: self.block_indices(Referenced::Pool, block.entry("union")),
+                except: self.block_indices(Referenced::Pool, block.entry("except")),
             };
             self.plan.pools.push(pool);
             self.check_pool(block);
         }
         let references = |pool: &Pool| pool.union.iter().chain(&pool.except).copied().collect();
         let references: Vec<Vec<usize>> = self.plan.pools.iter().map(references).collect();
-        self.plan.pool_order = self.reference_order("pool", &references);
+        self.plan.pool_order = self.reference_order(Referenced::Pool, &references);
     }
 
     fn check_pool(&mut self, block: &CheckedBlock) {
@@ -72,7 +73,7 @@
         }
         let text = format!("the pool `{}` holds no engine", block.name);
         let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
-        let diagnostic = Diagnostic::new(block.span.clone(), text);
+        let diagnostic = Diagnostic::new(block.name_span.clone(), text);
         self.report_incomplete(block, diagnostic.help(help));
     }
 }
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -1,6 +1,7 @@
 //! Builds routes.
 
 use super::entries::{first_text, minute_ranges, number_ranges, texts};
+use super::names::Referenced;
 use super::Builder;
 use crate::check::CheckedBlock;
 use crate::diagnostic::Diagnostic;
@@ -9,18 +10,18 @@
 impl Builder<'_> {
     pub(super) fn build_routes(&mut self) {
         for block in self.blocks_of_kind("route") {
-            let clients = self.block_indices("addresses", block.entry("client"));
-            let pools = self.block_indices("pool", block.entry("to"));
+            let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
+            let pools = self.block_indices(Referenced::Pool, block.entry("to"));
             self.check_outcome(block);
             let key = first_text(block.values("key"));
             let place = |entry: &str| block.entry(entry).map(|entry| entry.span.clone());
             self.plan.routes.push(Route {
                 name: block.name.clone(),
-                span: block.span.clone(),
+                span: block.name_span.clone(),
                 classes: texts(block.values("group")),
                 tenants: texts(block.values("tenant")),
                 clients,
-                key: key.map(|word| word == "given"),
+                has_key: key.map(|word| word == "given"),
                 data_sets: number_ranges(block.values("data-set")),
                 times_of_day: minute_ranges(block.values("hours")),
                 pools,
@@ -36,8 +37,8 @@
     fn check_outcome(&mut self, block: &CheckedBlock) {
         if !block.has_any(&["to", "as", "refuse"]) {
             let text = format!("the route `{}` says nothing", block.name);
-            let help = "say what becomes of its batches: `to`, `as` or `refuse`";
-            let diagnostic = Diagnostic::new(block.span.clone(), text);
+            let help = "say what becomes of its queries: `to`, `as` or `refuse`";
+            let diagnostic = Diagnostic::new(block.name_span.clone(), text);
             self.report_incomplete(block, diagnostic.help(help));
         }
         let destination = block.entry("to").or(block.entry("as"));
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -15,8 +15,9 @@
 
 pub use ranges::{MinuteRange, NumberRange};
 
+const MINUTES_PER_HOUR: u32 = 60;
 /// Minutes of a day.
-pub const MINUTES_PER_DAY: u32 = 24 * 60;
+pub const MINUTES_PER_DAY: u32 = 24 * MINUTES_PER_HOUR;
 
 /// Characters of a name or a pattern.
 const MAX_NAME_CHARS: usize = 64;
@@ -54,7 +55,7 @@
 
 impl ValueKind {
     /// What a message asks for where a value of this kind belongs, with an example.
-    pub fn wanted(self) -> &'static str {
+    pub fn expected(self) -> &'static str {
         match self {
             ValueKind::Time => "a time such as 250ms, 1.5s or 2min",
             ValueKind::Size => "a size such as 512B, 64KiB or 10MiB",
@@ -71,7 +72,7 @@
         }
     }
 
-    /// What a message calls a value of this kind where another one is wanted.
+    /// What a message calls a value of this kind where another one is expected.
     fn description(self) -> &'static str {
         match self {
             ValueKind::Time => "a time",
@@ -118,7 +119,7 @@
     Text(String),
 }
 
-/// Why a word is no value of the wanted kind.
+/// Why a word is no value of a kind.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{text}")]
 pub struct ValueError {
@@ -137,11 +138,11 @@
     }
 
     /// The word is something else than a value of a kind.
-    fn not(word: &str, description: &str, wanted: ValueKind) -> Self {
+    fn not(word: &str, description: &str, kind: ValueKind) -> Self {
         ValueError::new(format!(
             "`{}` {description}; here {} is wanted",
             shown(word),
-            wanted.wanted()
+            kind.expected()
         ))
     }
 
@@ -166,7 +167,7 @@
 /// Where the word, or its being in quotes or not, does not fit the kind.
 pub fn read(kind: ValueKind, word: &Word) -> Result<Value, ValueError> {
     let text = word.text.as_str();
-    match (word.quoted, kind == ValueKind::Text) {
+    match (word.is_quoted, kind == ValueKind::Text) {
         (true, false) => return Err(ValueError::not(text, "is in quotes", kind)),
         (false, true) => return Err(ValueError::not(text, "is not in quotes", kind)),
         _ => {}
@@ -225,13 +226,20 @@
     Ok(Value::TimesOfDay(MinuteRange { from, until }))
 }
 
+/// A minute of the day as `HH:MM`.
+pub(crate) fn time_of_day(minute_of_day: u32) -> String {
+    let hour = minute_of_day / MINUTES_PER_HOUR;
+    let minute = minute_of_day % MINUTES_PER_HOUR;
+    format!("{hour:02}:{minute:02}")
+}
+
 /// The minute of the day of `HH:MM`, up to and with `24:00`.
 fn minute_of_day(text: &str) -> Option<u32> {
     let (hour, minute) = text.split_once(':')?;
     let hour = two_digits(hour)?;
     let minute = two_digits(minute)?;
-    let minute_of_day = hour * 60 + minute;
-    (minute < 60 && minute_of_day <= MINUTES_PER_DAY).then_some(minute_of_day)
+    let minute_of_day = hour * MINUTES_PER_HOUR + minute;
+    (minute < MINUTES_PER_HOUR && minute_of_day <= MINUTES_PER_DAY).then_some(minute_of_day)
 }
 
 fn two_digits(text: &str) -> Option<u32> {
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -24,8 +24,13 @@
     Choice(&'static [&'static str]),
     /// Some of these words, as a list.
     Words(&'static [&'static str]),
-    /// A rate and, behind `burst`, an amount of this kind.
-    Bucket(ValueKind, ValueKind),
+    /// A rate of this kind and, behind `burst`, an amount of that kind.
+    Bucket {
+        /// The kind of the rate.
+        rate: ValueKind,
+        /// The kind of the amount.
+        burst: ValueKind,
+    },
     /// `repeatable`, `once-only`, or `referenced` with a scope and a time.
     Effect,
 }
@@ -38,6 +43,14 @@
             Shape::List(_) | Shape::BlockNames(_) | Shape::SettingsNames(_) | Shape::Words(_)
         )
     }
+
+    /// Where the settings define its values, the namespace of these.
+    pub fn namespace(self) -> Option<Namespace> {
+        match self {
+            Shape::SettingsNames(namespace) | Shape::SettingsName(namespace) => Some(namespace),
+            _ => None,
+        }
+    }
 }
 
 /// A group of names that the platform's settings define.
@@ -57,7 +70,7 @@
     /// What messages call such a name.
     pub fn description(self) -> &'static str {
         match self {
-            Namespace::QueryClass => "service group",
+            Namespace::QueryClass => "query class",
             Namespace::Tenant => "tenant",
             Namespace::EngineKind => "kind",
             Namespace::Zone => "zone",
@@ -123,6 +136,17 @@
 /// Scopes of `effect referenced`.
 pub const EFFECT_SCOPES: &[&str] = &["everywhere", "zone", "cell"];
 
+/// Queries over time.
+const QUERY_BUCKET: Shape = Shape::Bucket {
+    rate: ValueKind::Rate,
+    burst: ValueKind::Count,
+};
+/// Bytes over time.
+const BYTE_BUCKET: Shape = Shape::Bucket {
+    rate: ValueKind::ByteRate,
+    burst: ValueKind::Size,
+};
+
 /// All kinds of blocks.
 pub const BLOCKS: &[BlockKind] = &[
     BlockKind {
@@ -151,15 +175,15 @@
     },
     BlockKind {
         name: "group",
-        about: "Rules of a service group. They narrow what the settings allow, and never widen it.",
+        about: "Rules of a query class. They narrow what the settings allow, and never widen it.",
         namespace: Some(Namespace::QueryClass),
         entries: &[
-            entry("goal", Shape::One(ValueKind::Time), "1s", "response goal; at most the time limit"),
-            entry("limit", Shape::One(ValueKind::Time), "5s", "time limit; at most that of the settings"),
-            entry("pools", Shape::BlockNames("pool"), "big", "its batches never leave these pools, whatever a route says"),
-            entry("order", Shape::Choice(ORDERS), "key", "whether batches of one key run one at a time, in order"),
-            entry("effect", Shape::Effect, "referenced zone 30s", "whether a batch that may have run may run again"),
-            entry("further", Shape::One(ValueKind::Share), "10%", "further dispatches in a minute, as a share of its batches, 1 at least"),
+            entry("goal", Shape::One(ValueKind::Time), "1s", "latency objective; at most the deadline"),
+            entry("limit", Shape::One(ValueKind::Time), "5s", "deadline; at most that of the settings"),
+            entry("pools", Shape::BlockNames("pool"), "big", "its queries never leave these pools, whatever a route says"),
+            entry("order", Shape::Choice(ORDERS), "key", "whether queries of one ordering key run one at a time, in order"),
+            entry("effect", Shape::Effect, "referenced zone 30s", "whether a query that may have run may run again"),
+            entry("further", Shape::One(ValueKind::Share), "10%", "retries in a minute, as a share of its queries, 1 at least"),
             entry("statement", Shape::One(ValueKind::Size), "64KiB", "the largest statement"),
         ],
     },
@@ -168,60 +192,60 @@
         about: "Limits of one tenant.",
         namespace: Some(Namespace::Tenant),
         entries: &[
-            entry("share", Shape::One(ValueKind::Share), "30%", "the most of this gateway's room for batches that it may hold"),
-            entry("in-hand", Shape::One(ValueKind::Count), "200", "batches in hand at this gateway"),
-            entry("rate", Shape::Bucket(ValueKind::Rate, ValueKind::Count), "50/s burst 100", "batches taken over time"),
-            entry("bytes", Shape::Bucket(ValueKind::ByteRate, ValueKind::Size), "1MiB/s burst 4MiB", "bytes of statements over time"),
+            entry("share", Shape::One(ValueKind::Share), "30%", "the most of this gateway's capacity for queries that it may use"),
+            entry("in-hand", Shape::One(ValueKind::Count), "200", "queries in flight at this gateway"),
+            entry("rate", QUERY_BUCKET, "50/s burst 100", "queries admitted over time"),
+            entry("bytes", BYTE_BUCKET, "1MiB/s burst 4MiB", "bytes of statements over time"),
         ],
     },
     BlockKind {
         name: "route",
-        about: "Where batches go. Routes are tried in the order in which they stand; the first that fits decides.",
+        about: "Where queries go. Routes are tried in the order in which they stand; the first that matches decides.",
         namespace: None,
         entries: &[
-            entry("group", Shape::SettingsNames(Namespace::QueryClass), "lookup, report", "only batches of these service groups"),
-            entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "only batches of these tenants"),
+            entry("group", Shape::SettingsNames(Namespace::QueryClass), "lookup, report", "only queries of these classes"),
+            entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "only queries of these tenants"),
             entry("client", Shape::BlockNames("addresses"), "houses", "only from clients at these addresses"),
-            entry("key", Shape::Choice(KEY_CONDITIONS), "given", "only batches with a key, or only those without"),
-            entry("data-set", Shape::List(ValueKind::Numbers), "17, 20..30", "only batches on these data sets"),
+            entry("key", Shape::Choice(KEY_CONDITIONS), "given", "only queries with an ordering key, or only those without"),
+            entry("data-set", Shape::List(ValueKind::Numbers), "17, 20..30", "only queries on these data sets"),
             entry("hours", Shape::List(ValueKind::TimesOfDay), "06:00..20:00", "only at these hours of the day, UTC"),
             entry("to", Shape::BlockNames("pool"), "big, small", "pools in order of preference: a later one only where no earlier one has an engine that may be used"),
-            entry("as", Shape::SettingsName(Namespace::QueryClass), "report", "the service group that they are treated as"),
-            entry("refuse", Shape::One(ValueKind::Text), "\"closed on sale days\"", "they are pushed back, with this reason"),
+            entry("as", Shape::SettingsName(Namespace::QueryClass), "report", "the class that they are treated as"),
+            entry("refuse", Shape::One(ValueKind::Text), "\"closed on sale days\"", "they are rejected, with this reason"),
         ],
     },
     BlockKind {
         name: "limit",
-        about: "A limit on what is taken. A batch over it is pushed back at once, with a time to come back.",
+        about: "A limit on what is admitted. A query over it is rejected at once, with a time to retry after.",
         namespace: None,
         entries: &[
             entry("per", Shape::Words(LIMIT_SCOPES), "tenant, client", "one limit for each of these; without it one for all"),
-            entry("group", Shape::SettingsNames(Namespace::QueryClass), "report", "counts only batches of these service groups"),
-            entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "counts only batches of these tenants"),
-            entry("client", Shape::BlockNames("addresses"), "houses", "counts only batches from these addresses"),
-            entry("in-hand", Shape::One(ValueKind::Count), "300", "batches in hand at this gateway"),
-            entry("rate", Shape::Bucket(ValueKind::Rate, ValueKind::Count), "50/s burst 100", "batches taken over time"),
-            entry("bytes", Shape::Bucket(ValueKind::ByteRate, ValueKind::Size), "10MiB/s burst 20MiB", "bytes of statements over time"),
+            entry("group", Shape::SettingsNames(Namespace::QueryClass), "report", "counts only queries of these classes"),
+            entry("tenant", Shape::SettingsNames(Namespace::Tenant), "acme", "counts only queries of these tenants"),
+            entry("client", Shape::BlockNames("addresses"), "houses", "counts only queries from these addresses"),
+            entry("in-hand", Shape::One(ValueKind::Count), "300", "queries in flight at this gateway"),
+            entry("rate", QUERY_BUCKET, "50/s burst 100", "queries admitted over time"),
+            entry("bytes", BYTE_BUCKET, "10MiB/s burst 20MiB", "bytes of statements over time"),
         ],
     },
     BlockKind {
         name: "bodies",
-        about: "Where bodies of batches over 256 KiB are kept for further dispatches. One at most; it takes effect at a start.",
+        about: "Where bodies of queries over 256 KiB are stored for retries. One at most; it takes effect at a start.",
         namespace: None,
         entries: &[
-            entry("memory", Shape::One(ValueKind::Size), "32MiB", "kept in memory, in all"),
-            entry("batch-memory", Shape::One(ValueKind::Size), "4MiB", "kept in memory of one body; a longer one goes to files"),
-            entry("files", Shape::One(ValueKind::Size), "1GiB", "kept in a file, in all; without it nothing is"),
-            entry("directory", Shape::One(ValueKind::Text), "\"/var/lib/garnetwall\"", "where that file is"),
-            entry("batch", Shape::One(ValueKind::Size), "200MiB", "the longest body; a longer one is refused"),
-            entry("share", Shape::One(ValueKind::Share), "50%", "the most of memory and files that one tenant may have"),
-            entry("unknown-length", Shape::Flag, "", "bodies may come whose length is not told"),
-            entry("must-keep", Shape::SettingsNames(Namespace::QueryClass), "lookup", "batches of these groups are pushed back where their body can't be kept"),
+            entry("memory", Shape::One(ValueKind::Size), "32MiB", "stored in memory, in all"),
+            entry("batch-memory", Shape::One(ValueKind::Size), "4MiB", "stored in memory of one body; a longer one goes to files"),
+            entry("files", Shape::One(ValueKind::Size), "1GiB", "stored in a spool file, in all; without it nothing is"),
+            entry("directory", Shape::One(ValueKind::Text), "\"/var/lib/garnetwall\"", "the directory of that file"),
+            entry("batch", Shape::One(ValueKind::Size), "200MiB", "the longest body; a longer one is rejected"),
+            entry("share", Shape::One(ValueKind::Share), "50%", "the most of memory and files that one tenant may use"),
+            entry("unknown-length", Shape::Flag, "", "bodies are accepted whose length is not announced"),
+            entry("must-keep", Shape::SettingsNames(Namespace::QueryClass), "lookup", "queries of these classes are rejected where their body can't be stored"),
         ],
     },
     BlockKind {
         name: "journal",
-        about: "Once-only batches are written down before they are sent, so that a restart runs none again. One at most; it takes effect at a start.",
+        about: "Non-idempotent queries are recorded before they are sent, so that a restart runs none again. One at most; it takes effect at a start.",
         namespace: None,
         entries: &[
             entry("directory", Shape::One(ValueKind::Text), "\"/var/lib/garnetwall\"", "on a disk that lasts"),
--- a/crates/routing/src/limits/cell_rate.rs
+++ b/crates/routing/src/limits/cell_rate.rs
@@ -12,7 +12,8 @@
     now: Duration,
     cost: f64,
 ) -> Duration {
-    arrival_time.max(now) + Duration::from_secs_f64(cost.min(bucket.burst) / bucket.rate)
+    arrival_time.max(now)
+        + Duration::from_secs_f64(cost.min(bucket.max_tokens) / bucket.tokens_per_second)
 }
 
 /// How long a query of this cost has to wait until it conforms; none where it conforms now.
@@ -23,7 +24,7 @@
     cost: f64,
 ) -> Option<Duration> {
     let ahead = arrival_time_after(bucket, arrival_time, now, cost).saturating_sub(now);
-    let burst = Duration::from_secs_f64(bucket.burst / bucket.rate);
+    let burst = Duration::from_secs_f64(bucket.max_tokens / bucket.tokens_per_second);
     let wait = ahead.saturating_sub(burst);
     (!wait.is_zero()).then_some(wait)
 }
