--- a/src/controller.rs
+++ b/src/controller.rs
@@ -75,7 +75,7 @@
 
 /// Seconds kept clear of deadlines, windows and pauses, for travel and the caller's timer.
 const TIME_MARGIN_SECONDS: f64 = 0.02;
-/// Least seconds, cores or work that is divided by or waited for, against odd settings.
+/// Least seconds, cores or work that is divided by, against odd settings.
 const MIN_DIVISOR: f64 = 1e-3;
 /// Seconds in which work sent to a kind, and the usual work of a query, decay.
 const WORK_DECAY_SECONDS: f64 = 20.0;
--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -88,7 +88,7 @@
         if !attempt.outcome_recorded {
             self.record_outcome(now, &query, &attempt, &outcome);
         }
-        if phase == QueryPhase::Finished || self.may_retry(now, &self.queries[&id]) {
+        if phase == QueryPhase::ClosedInFlight || self.may_retry(now, &self.queries[&id]) {
             return FollowUp::Nothing;
         }
         FollowUp::Answer(self.final_answer(now, id))
@@ -115,7 +115,7 @@
         }
         self.pause_after(now, &query, outcome.end);
         let succeeded = outcome.end == AttemptEnd::Succeeded;
-        if outcome.query_finished || succeeded || phase == QueryPhase::Finished {
+        if outcome.query_finished || succeeded || phase == QueryPhase::ClosedInFlight {
             self.finish(now, id);
             return FollowUp::Nothing;
         }
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -41,8 +41,8 @@
 /// What candidates are compared by, the most important first; the lowest is chosen.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
-    /// It would not begin the query at once.
-    is_full: bool,
+    /// It is past the load limit with the query, or the data set is locked there.
+    comes_last: bool,
     /// Our threads a core, with the engine's failure rate on top.
     threads_per_core: f64,
     kind_work_per_core: f64,
@@ -73,7 +73,7 @@
             QueryPhase::Queued | QueryPhase::Abandoned => {
                 Placement::Answer(self.final_answer(now, id))
             }
-            QueryPhase::WaitingForKey | QueryPhase::InFlight | QueryPhase::Finished => {
+            QueryPhase::WaitingForKey | QueryPhase::InFlight | QueryPhase::ClosedInFlight => {
                 Placement::Wait
             }
         }
@@ -129,7 +129,7 @@
                 self.load_with_query(query, needed_memory, candidate, engine_load, kind.load);
             let threads_per_core = candidate.threads_per_core.unwrap_or(mean_threads_per_core);
             let rank = Rank {
-                is_full: locked.contains(&candidate.engine) || load >= 1.0,
+                comes_last: locked.contains(&candidate.engine) || load >= 1.0,
                 threads_per_core: threads_per_core + engine.health.failure_rate(now),
                 kind_work_per_core: kind.work_per_core,
                 load_with_jitter: engine_load + LOAD_JITTER * self.rng.uniform(),
--- a/src/controller/engine_state.rs
+++ b/src/controller/engine_state.rs
@@ -90,8 +90,9 @@
 /// What the ends of attempts have shown of an engine.
 #[derive(Default)]
 pub(crate) struct EngineHealth {
-    /// Decaying share of failed attempts at the last failure, from 0 to 1.
-    pub(super) failure_rate: f64,
+    /// The failure rate without its decay since `failed_at`, from 0 to 1.
+    pub(super) undecayed_failure_rate: f64,
+    /// When an attempt or a health check failed last, in seconds.
     pub(super) failed_at: f64,
     pub(crate) last_success_at: f64,
     /// Not used before, in seconds: it is ejected, or has just had no capacity.
@@ -101,11 +102,11 @@
 impl EngineHealth {
     /// The failure rate now. It decays, so that an engine from which few answers come is not avoided for good.
     pub(crate) fn failure_rate(&self, now: f64) -> f64 {
-        if self.failure_rate == 0.0 {
+        if self.undecayed_failure_rate == 0.0 {
             return 0.0;
         }
         let elapsed = (now - self.failed_at).max(0.0);
-        self.failure_rate * (-elapsed / HEALTH_DECAY_SECONDS).exp()
+        self.undecayed_failure_rate * (-elapsed / HEALTH_DECAY_SECONDS).exp()
     }
 }
 
--- a/src/controller/final_answer.rs
+++ b/src/controller/final_answer.rs
@@ -60,7 +60,7 @@
         let deadline_timer_at = state.deadline - TIME_MARGIN_SECONDS;
         self.timers.cancel(deadline_timer_at, Timer::Deadline(id));
         if state.in_flight.is_some() {
-            state.phase = QueryPhase::Finished;
+            state.phase = QueryPhase::ClosedInFlight;
             return;
         }
         let query = state.query;
--- a/src/controller/load/inference.rs
+++ b/src/controller/load/inference.rs
@@ -4,7 +4,10 @@
 use super::{KIND_LOAD_DECAY_SECONDS, MAX_OBSERVED_LOAD};
 use crate::api::EngineId;
 use crate::controller::engine_state::EngineState;
-use crate::controller::{AdmissionController, MIN_DIVISOR};
+use crate::controller::AdmissionController;
+
+/// A load that ranks an engine behind others and does not close it.
+const JUST_BELOW_LOAD_LIMIT: f64 = 1.0 - 1e-3;
 
 impl AdmissionController {
     /// Takes in a load that the end of an attempt, or its absence, shows. It can raise the engine's observed load, not
@@ -35,7 +38,7 @@
 fn max_inferred_load(now: f64, engine: &EngineState, known_load: f64) -> f64 {
     let report_is_recent = now - engine.load.reported_at < KIND_LOAD_DECAY_SECONDS;
     if report_is_recent {
-        known_load.max(1.0 - MIN_DIVISOR)
+        known_load.max(JUST_BELOW_LOAD_LIMIT)
     } else {
         MAX_OBSERVED_LOAD
     }
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -165,7 +165,7 @@
             match state.phase {
                 QueryPhase::WaitingForKey if end > state.deadline => too_late.push(*id),
                 QueryPhase::WaitingForKey | QueryPhase::Queued => expected_end = end,
-                QueryPhase::Abandoned | QueryPhase::InFlight | QueryPhase::Finished => {}
+                QueryPhase::Abandoned | QueryPhase::InFlight | QueryPhase::ClosedInFlight => {}
             }
         }
     }
--- a/src/controller/next_action.rs
+++ b/src/controller/next_action.rs
@@ -1,11 +1,13 @@
 //! What the caller has to do next, and the periodic work.
 
 use super::timers::Timer;
-use super::{AdmissionController, MIN_DIVISOR};
+use super::AdmissionController;
 use crate::api::NextAction;
 
 /// Seconds between periodic looks at what waits and what is in flight.
 const TICK_INTERVAL_SECONDS: f64 = 0.1;
+/// Shortest wait asked of the caller, in seconds.
+const MIN_WAIT_SECONDS: f64 = 1e-3;
 
 impl AdmissionController {
     /// What to do next. To be called after every event, again after each action, until it says to wait, and once more
@@ -37,7 +39,7 @@
         }
         match to_place {
             Some(id) => NextAction::Place(id),
-            None => NextAction::Wait(wait.max(MIN_DIVISOR)),
+            None => NextAction::Wait(wait.max(MIN_WAIT_SECONDS)),
         }
     }
 
--- a/src/controller/outlier_ejection.rs
+++ b/src/controller/outlier_ejection.rs
@@ -26,7 +26,7 @@
     pub(super) fn record_success(&mut self, now: f64, engine: EngineId) {
         let health = &mut self.engines[engine].health;
         health.last_success_at = now;
-        health.failure_rate *= 1.0 - FAILURE_WEIGHT / 2.0;
+        health.undecayed_failure_rate *= 1.0 - FAILURE_WEIGHT / 2.0;
     }
 
     /// The engine had no capacity: others are tried first for a moment.
@@ -42,10 +42,10 @@
         let pool_mean = sum / self.ready.len().max(1) as f64;
         let health = &mut self.engines[engine].health;
         let before = health.failure_rate(now);
-        health.failure_rate = before + (1.0 - before) * FAILURE_WEIGHT;
+        health.undecayed_failure_rate = before + (1.0 - before) * FAILURE_WEIGHT;
         health.failed_at = now;
-        let is_outlier = health.failure_rate > EJECTION_FAILURE_RATE
-            && health.failure_rate > OUTLIER_RATIO * pool_mean;
+        let is_outlier = health.undecayed_failure_rate > EJECTION_FAILURE_RATE
+            && health.undecayed_failure_rate > OUTLIER_RATIO * pool_mean;
         if is_outlier && health.avoided_until <= now {
             health.avoided_until = now + EJECTION_SECONDS;
         }
--- a/src/controller/query_state.rs
+++ b/src/controller/query_state.rs
@@ -15,7 +15,7 @@
     /// An attempt is in flight.
     InFlight,
     /// Over for its client; an attempt is still in flight.
-    Finished,
+    ClosedInFlight,
 }
 
 /// A query that is not over, or of which an attempt is in flight.
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -14,6 +14,10 @@
 const BUDGET_SHARE: f64 = 0.6;
 /// Share of an engine's budget in one window that one query may take.
 const MAX_QUERY_SHARE: f64 = 0.1;
+/// Cores below all of its own at which an engine still counts as at full speed, for rounding.
+const CORES_TOLERANCE: f64 = 1e-3;
+/// Seconds of work by which the budget may be exceeded, for rounding.
+const BUDGET_TOLERANCE_SECONDS: f64 = 1e-3;
 /// Windows for which unused budget stays available. More would add up where all gateways send in step.
 const MAX_SAVED_WINDOWS: f64 = 0.6;
 
@@ -49,12 +53,12 @@
         let Some(slow_start) = self.settings.slow_start else {
             return true;
         };
-        if candidate.effective_cores >= engine.cores - MIN_DIVISOR {
+        if candidate.effective_cores >= engine.cores - CORES_TOLERANCE {
             return true;
         }
         let balance = self.budget_balance(now, engine, &slow_start);
         work <= max_query_work(&slow_start, candidate.effective_cores)
-            && balance.spent + work <= balance.due + MIN_DIVISOR
+            && balance.spent + work <= balance.due + BUDGET_TOLERANCE_SECONDS
     }
 
     /// Takes the work of an attempt that begins out of the engine's budget.
