--- a/crates/bodies/src/capacity/reservation.rs
+++ b/crates/bodies/src/capacity/reservation.rs
@@ -1,7 +1,6 @@
 //! What is reserved for one body.
 
 use super::limits::{PIECE_BYTES, WINDOW_BYTES};
-use std::fmt;
 use std::ops::{AddAssign, SubAssign};
 
 /// Identifies a body; ids ascend in the order of admission.
@@ -9,7 +8,7 @@
 pub struct BodyId(pub u64);
 
 /// Where the next bytes of a body go.
-#[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Storage {
     /// Stored in memory.
     Memory,
@@ -19,17 +18,6 @@
     NotStored,
 }
 
-/// Logs name the kinds of storage by this text.
-impl fmt::Debug for Storage {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(match self {
-            Storage::Memory => "Memory",
-            Storage::File => "File",
-            Storage::NotStored => "NotKept",
-        })
-    }
-}
-
 /// Reserved bytes of each budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -24,7 +24,7 @@
 impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ReadError::Discarded => f.write_str("the body is not kept any more"),
+            ReadError::Discarded => f.write_str("the body is not stored any more"),
             ReadError::Truncated => f.write_str("the body was cut off"),
             ReadError::Spool(error) => write!(f, "{error}"),
         }
--- a/crates/ledger/src/attempts.rs
+++ b/crates/ledger/src/attempts.rs
@@ -64,7 +64,7 @@
 
     /// The latest time at which an attempt may still run; `None` once it is proved that it does not.
     pub fn may_run_until(&self, id: AttemptId) -> Option<Duration> {
-        self.attempts.get(&id)?.unproved_until()
+        self.attempts.get(&id)?.may_run_until()
     }
 
     /// Removes an attempt whose outcome has been reported.
--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -68,7 +68,7 @@
     }
 
     /// The latest time at which the attempt may still run, unless there is a proof.
-    fn may_run_until(&self) -> Duration {
+    fn expires_at(&self) -> Duration {
         self.last_contact + self.expiry
     }
 
@@ -114,10 +114,10 @@
     }
 
     /// The latest time at which the attempt may still run; `None` once it is proved that it does not.
-    pub(super) fn unproved_until(&self) -> Option<Duration> {
+    pub(super) fn may_run_until(&self) -> Option<Duration> {
         match self.proof {
             Some(_) => None,
-            None => Some(self.may_run_until()),
+            None => Some(self.expires_at()),
         }
     }
 
@@ -144,12 +144,12 @@
         if !self.may_have_reached {
             return Some(Proof::NeverReached);
         }
-        (now >= self.may_run_until()).then_some(Proof::Expired)
+        (now >= self.expires_at()).then_some(Proof::Expired)
     }
 
-    /// What can be done before `may_run_until`, which has not passed.
+    /// What can be done before [`Self::expires_at`], which has not passed.
     fn cancel_step(&mut self, now: Duration, cancel_pause: Duration) -> CancelStep {
-        let remaining = self.may_run_until() - now;
+        let remaining = self.expires_at() - now;
         let has_connection = self.identified_connection.is_some();
         if !has_connection && self.cancellation_exhausted {
             return CancelStep::Wait(remaining);
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records that no attempt of a query runs any more. Nobody waits for it: if it is lost, a later process pauses the
-    /// query's key and rejects its id, which is safe.
+    /// query's key and answers its id as failed, which is safe.
     pub fn record_finished(&self, query_key: u64) {
         let command = Command::Write(Record::Finished { query_key }, None);
         // A journal that has stopped keeps the query as one that may run.
--- a/crates/ledger/src/journal/state.rs
+++ b/crates/ledger/src/journal/state.rs
@@ -134,9 +134,9 @@
         queries
     }
 
-    /// Whether most records are of no use any more. It forgets the queries whose time is over; the more records there are the
-    /// rarer it looks through them, so that each record costs little.
-    pub fn needs_compaction(&mut self, now_ms: u64) -> bool {
+    /// Forgets the queries whose time is over, and returns whether most records are of no use any more. The more records there are
+    /// the rarer it looks through them, so that each record costs little.
+    pub fn forget_expired_and_check_compaction(&mut self, now_ms: u64) -> bool {
         if self.record_count < self.next_compaction_check.max(MIN_RECORDS_TO_COMPACT) {
             return false;
         }
--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -142,8 +142,8 @@
 
     fn compact_if_needed(&mut self) {
         let now_ms = (self.clock_ms)();
-        if self.can_append && self.state.needs_compaction(now_ms) {
-            // After a failure it is tried again.
+        if self.can_append && self.state.forget_expired_and_check_compaction(now_ms) {
+            // After a failure it is tried again each RESTORE_INTERVAL; until then no non-idempotent query is sent.
             let _ = self.restore();
         }
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -27,7 +27,7 @@
 //! | [`ConnectionLost`](Evidence::ConnectionLost), [`ConnectionUnusable`](Evidence::ConnectionUnusable) | nothing; no connection is identified any more | nothing |
 //! | [`ConnectionRefused`](Evidence::ConnectionRefused) | nothing | nothing; it is not cancelled until a connection is identified |
 //! | [`CancelFailed`](Evidence::CancelFailed) | nothing; the next cancellation waits [`Bounds::cancel_pause`] | the same |
-//! | the time until which it may run passes | [`Proof::Expired`], or [`Proof::NeverReached`] where no request was sent | the same |
+//! | the time until which it may run passes | [`Proof::Expired`]; [`Proof::NeverReached`] at once where no request was sent | the same |
 //!
 //! docs/ledger.md weighs the options and names the assumption behind each proof.
 //!
--- a/src/api.rs
+++ b/src/api.rs
@@ -7,10 +7,10 @@
 /// A query's number. Numbers rise with admission: the lower of two was admitted first.
 pub type QueryId = u32;
 
-/// An engine's index, the same for as long as the process runs.
+/// An engine's index. The caller may give it to another engine once no open query can know the first.
 pub type EngineId = usize;
 
-/// Which engines recognise a repeated idempotency key, counted from the engine of the first attempt.
+/// Which engines recognise a repeated idempotency key, counted from the engine of the first attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All engines.
@@ -26,7 +26,7 @@
 pub enum Idempotency {
     /// Running it twice has the effect of running it once.
     Idempotent,
-    /// Engines drop a repeat that reaches them in `scope` within `window` seconds of the first attempt.
+    /// Engines drop a repeat that reaches them in `scope` within `window` seconds.
     IdempotentByKey {
         /// Which engines drop a repeat.
         scope: DeduplicationScope,
@@ -242,7 +242,8 @@
     /// Nothing of it reached the engine: no connection came up, the engine had left the list, or it was stopped before it
     /// was sent. It never ran, and the query may be tried elsewhere.
     ConnectFailed,
-    /// The connection was lost under it.
+    /// Connections to its engine were lost, or what came over them can't be read, until polls could not tell its outcome
+    /// any more. One broken connection does not end an attempt. It may have run.
     ConnectionLost,
     /// It was cancelled at the engine.
     Cancelled,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -83,7 +83,8 @@
 const SUSTAINABLE_UTILISATION: f64 = 0.85;
 /// Seconds in which the observed load and the failure rate of an engine decay; answers from one engine are rare.
 const HEALTH_DECAY_SECONDS: f64 = 8.0;
-/// Seconds until the random start of a query is tried again, evenly distributed between these.
+/// Seconds until a query is placed again whose random start was not granted, or for which no engine may be used; evenly distributed
+/// between these.
 const MIN_REDRAW_DELAY_SECONDS: f64 = 0.02;
 const MAX_REDRAW_DELAY_SECONDS: f64 = 0.06;
 /// Seconds between two calls from which this process counts as having been stalled; ticks come far sooner.
@@ -167,7 +168,7 @@
 pub struct AdmissionController {
     settings: Settings,
     rng: Rng,
-    /// When the last event came, in seconds.
+    /// When the last event came that moves the virtual clock, in seconds.
     last_event_at: f64,
     /// When this process was last found to go on after a stall, in seconds.
     resumed_at: f64,
@@ -210,7 +211,8 @@
 }
 
 impl AdmissionController {
-    /// A gateway's decisions from `now` on, in seconds. Gateways need seeds of their own, or they choose alike.
+    /// A gateway's decisions from `now` on, in seconds. Gateways need seeds of their own, or they
+    /// choose alike; the lowest bit of a seed does not count.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         let classes = &settings.classes;
         let mut timers = TimerQueue::default();
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Takes over changed objectives, idempotency and budgets of the classes, in the order of the settings. Whether
-    /// they keep order stays as it was.
+    /// Takes over changed classes, in the order of the settings. Whether they keep order stays as it was. Threads and kinds have
+    /// to stay the same while attempts are in flight, which are counted by them.
     pub fn update_classes(&mut self, classes: &[QueryClass]) {
         for (old, new) in self.settings.classes.iter_mut().zip(classes) {
             *old = QueryClass {
--- a/src/controller/attempt_outcome.rs
+++ b/src/controller/attempt_outcome.rs
@@ -32,7 +32,7 @@
                 self.record_rejection(now, attempt.engine);
                 self.infer_load(now, attempt.engine, MAX_OBSERVED_LOAD);
             }
-            // The engine has answered others meanwhile.
+            // An engine that has answered others since the attempt began works; the attempt was slow, or nobody waited for it.
             AttemptEnd::TimedOut | AttemptEnd::Cancelled if self.has_succeeded_since(attempt) => {}
             AttemptEnd::NotNeeded | AttemptEnd::NotSent => {}
             AttemptEnd::Failed
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Latency over bare work. An attempt that was in flight while this process was stalled shows nothing: its answer
-    /// may have waited here.
+    /// Latency over bare work. An attempt that was in flight while this process was stalled counts as one without delay: its
+    /// answer may have waited here.
     fn slowdown(&self, query: &Query, attempt: &Attempt, outcome: &AttemptOutcome) -> f64 {
         let was_stalled = attempt.begun_at < self.resumed_at;
         let latency = if was_stalled { 0.0 } else { outcome.latency };
--- a/src/controller/engine_state.rs
+++ b/src/controller/engine_state.rs
@@ -12,7 +12,7 @@
     pub(crate) memory: Option<f64>,
     /// Gateways that work with it, this one included.
     pub(crate) gateways: f64,
-    /// An attempt or a health check there has ended, or a load report has come, since its start.
+    /// An attempt or a health check there has ended, in whatever way, or a load report has come, since its start.
     pub(crate) contacted: bool,
     /// A random number from 0 to 1, drawn at its start, that keeps gateways out of step.
     pub(crate) jitter: f64,
--- a/src/controller/fair_queue.rs
+++ b/src/controller/fair_queue.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Default)]
 struct ClassQueue {
     queries: VecDeque<QueryId>,
-    /// The random start of its head is tried again then, in seconds.
+    /// Its head is not placed before, in seconds: its random start was not granted, or no engine may be used.
     held_until: f64,
 }
 
--- a/src/controller/query_state.rs
+++ b/src/controller/query_state.rs
@@ -8,7 +8,7 @@
 pub(crate) enum QueryPhase {
     /// Behind an earlier query of its ordering key, or the key pauses.
     WaitingForKey,
-    /// In its tenant's queue.
+    /// Ready for an attempt: in its tenant's queue, unless its client is absent.
     Queued,
     /// To be answered without another attempt.
     Abandoned,
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -134,7 +134,8 @@
     }
 }
 
-/// Seconds of work on one thread that this gateway may send an engine in slow start each second.
+/// Seconds of work on one thread that this gateway may send an engine in slow start each second. It stays the same until the
+/// slow start is over; work of an attempt that never ran is not given back.
 fn budget_rate(engine: &EngineState, slow_start: &SlowStart) -> f64 {
     slow_start.overload_multiple
         * slow_start.initial_fraction
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -8,7 +8,7 @@
 pub(crate) enum Timer {
     /// The periodic look at what waits and what is in flight.
     Tick,
-    /// The random start of a queue's head is tried again.
+    /// A queue's head is placed again: its random start was not granted, or no engine may be used.
     Redraw,
     /// A query's deadline.
     Deadline(QueryId),
