--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -5,24 +5,22 @@
 mod jitter;
 mod pending_releases;
 mod recent_requests;
+mod request_packing;
 mod wanted_lease;
 
 use crate::lease_message::{
     Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, Resource, Verdict,
-    MAX_CLAIMS_PER_MESSAGE,
 };
 use crate::lease_terms::{LeaseTerms, MAX_ISSUERS};
 use issuer_session::IssuerSession;
 use jitter::Jitter;
 use pending_releases::PendingReleases;
 use recent_requests::RecentRequests;
+use request_packing::pack_requests;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wanted_lease::WantedLease;
 
-/// Messages that go to an issuer at once, each with up to [`MAX_CLAIMS_PER_MESSAGE`] claims.
-const MAX_MESSAGES_PER_ISSUER: usize = 16;
-
 /// A claim that no majority has granted after this many request intervals is backed off.
 const STUCK_AFTER_REQUEST_INTERVALS: u32 = 2;
 /// The shortest backoff, in request intervals.
@@ -48,12 +46,6 @@
     pub pending_releases: usize,
 }
 
-/// What a request asks of an issuer beside the renewal.
-enum Change {
-    Release(Claim),
-    Claim(Claim),
-}
-
 /// The leases of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseHolder {
@@ -101,8 +93,7 @@
         let Some(wanted) = self.wanted.remove(&resource) else {
             return;
         };
-        let epoch = wanted.epoch();
-        self.releases.insert(Claim { resource, epoch });
+        self.releases.insert(wanted.claim(resource));
         self.next_request_at = self.next_request_at.min(now);
     }
 
@@ -138,50 +129,18 @@
             .collect()
     }
 
-    /// One request renews all leases; there are more only for claims and releases that do not fit into one.
+    /// The requests to one issuer: the releases that it does not know of, and the claims that it has not granted.
     fn requests_to(&self, issuer: usize, number: u32, now: Duration) -> Vec<AddressedRequest> {
-        let changes = self.changes_for(issuer, now);
-        if changes.is_empty() {
-            return vec![self.request_with(&[], issuer, number)];
-        }
-        changes
-            .chunks(MAX_CLAIMS_PER_MESSAGE)
-            .map(|chunk| self.request_with(chunk, issuer, number))
-            .collect()
-    }
-
-    fn request_with(&self, changes: &[Change], issuer: usize, number: u32) -> AddressedRequest {
-        let mut request = LeaseRequest {
-            holder: self.id,
-            number,
-            claims: Vec::new(),
-            releases: Vec::new(),
-        };
-        for change in changes {
-            match change {
-                Change::Release(claim) => request.releases.push(*claim),
-                Change::Claim(claim) => request.claims.push(*claim),
-            }
-        }
-        AddressedRequest { issuer, request }
-    }
-
-    /// The releases that an issuer does not know of, then the claims that it has not granted, as many as go out at once.
-    fn changes_for(&self, issuer: usize, now: Duration) -> Vec<Change> {
         let session = &self.sessions[issuer];
-        let releases = self.releases.unacknowledged_by(issuer);
         let claims = self
             .wanted
             .iter()
             .filter(|(_, wanted)| wanted.is_claim_due(now, issuer, session))
-            .map(|(resource, wanted)| Claim {
-                resource: *resource,
-                epoch: wanted.epoch(),
-            });
-        releases
-            .map(Change::Release)
-            .chain(claims.map(Change::Claim))
-            .take(MAX_CLAIMS_PER_MESSAGE * MAX_MESSAGES_PER_ISSUER)
+            .map(|(resource, wanted)| wanted.claim(*resource));
+        let releases = self.releases.unacknowledged_by(issuer);
+        pack_requests(self.id, number, releases, claims)
+            .into_iter()
+            .map(|request| AddressedRequest { issuer, request })
             .collect()
     }
 
@@ -192,10 +151,7 @@
             .wanted
             .iter()
             .filter(|(_, wanted)| self.is_stuck(now, wanted))
-            .map(|(resource, wanted)| Claim {
-                resource: *resource,
-                epoch: wanted.epoch(),
-            })
+            .map(|(resource, wanted)| wanted.claim(*resource))
             .collect();
         for claim in stuck {
             let claimed_from = now + self.random_backoff();
--- a/crates/fleet/src/lease_holder/wanted_lease.rs
+++ b/crates/fleet/src/lease_holder/wanted_lease.rs
@@ -2,7 +2,7 @@
 
 use super::issuer_session::IssuerSession;
 use super::issuer_set::IssuerSet;
-use crate::lease_message::Epoch;
+use crate::lease_message::{Claim, Epoch, Resource};
 use crate::lease_terms::MAX_ISSUERS;
 use std::time::Duration;
 
@@ -32,6 +32,14 @@
         self.epoch
     }
 
+    /// The claim that is sent for the resource.
+    pub(super) fn claim(&self, resource: Resource) -> Claim {
+        Claim {
+            resource,
+            epoch: self.epoch,
+        }
+    }
+
     /// When claims are sent for the first time: after the backoff, where there is one.
     pub(super) fn claimed_from(&self) -> Duration {
         self.claimed_from
