--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -234,7 +234,8 @@
         }
     }
 
-    /// Claims a resource under an epoch above `over`, unless it has one or at least `enough_grants` issuers have granted it.
+    /// Claims a resource under an epoch above `over`, unless its epoch is above that already or `enough_grants` issuers have
+    /// granted it.
     fn raise_epoch(&mut self, resource: Resource, over: Epoch, enough_grants: usize) {
         let Some(wanted) = self.wanted.get(&resource) else {
             return;
