--- a/crates/gateway/src/discovery/list/engine_table/tests.rs
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -20,10 +20,10 @@
 fn an_index_is_reused_only_after_the_retention_time() {
     let mut table = EngineTable::new(Duration::from_secs(20));
     let mut now = Instant::now();
-    let mut take = |id: &str, condition, wait: u64| {
+    let mut take = |name: &str, state, wait: u64| {
         now += Duration::from_secs(wait);
         let engine = table
-            .update(entry(id, condition), None, now)
+            .update(entry(name, state), None, now)
             .map(|update| update.endpoint.engine);
         (engine, table.engines.len(), table.indices.len())
     };
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -71,8 +71,8 @@
                 true => Reachability::Reachable,
                 false => Reachability::Unreachable,
             };
-            let condition = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
-            let of = |(n, c, started): &(u8, u8, u8)| entry(*n, condition(*c).unwrap_or(EndpointState::Ready), *started);
+            let state = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
+            let of = |(n, c, started): &(u8, u8, u8)| entry(*n, state(*c).unwrap_or(EndpointState::Ready), *started);
             let entries: Vec<EngineEntry> = entries.iter().map(of).collect();
             if is_complete {
                 list.clear();
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-fn engine_line(id: &str, state: EndpointState) -> EngineEntry {
+fn engine_entry(id: &str, state: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineEntry {
         name: id.into(),
@@ -63,14 +63,14 @@
 
     fn set_state(&self, state: EndpointState) {
         let address = self.listener.local_addr().unwrap();
-        let lines = vec![EngineEntry {
+        let entries = vec![EngineEntry {
             address,
-            ..engine_line("a", state)
+            ..engine_entry("a", state)
         }];
         self.engines.list.apply(Event {
             number: 1,
             is_complete: true,
-            entries: lines,
+            entries,
         });
     }
 
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -65,33 +65,36 @@
 
     /// A process's entry in the endpoint list at a time.
     pub(super) fn endpoint_at(&self, engine: EngineId, at: u64) -> Option<Endpoint> {
-        let p = &self.processes[engine];
-        let condition = match at {
-            _ if at < p.listed_at => return None,
-            _ if at >= p.removal_listed_at => EndpointState::Removed,
-            _ if at >= p.draining_listed_at && self.bug != InjectedBug::IgnoresDraining => {
+        let process = &self.processes[engine];
+        let state = match at {
+            _ if at < process.listed_at => return None,
+            _ if at >= process.removal_listed_at => EndpointState::Removed,
+            _ if at >= process.draining_listed_at && self.bug != InjectedBug::IgnoresDraining => {
                 EndpointState::Draining
             }
             _ => EndpointState::Ready,
         };
-        let came_up = (p.started_at > 0).then(|| seconds(p.started_at));
+        let started_at = (process.started_at > 0).then(|| seconds(process.started_at));
         Some(Endpoint {
             engine,
             zone: self.zone(engine),
             kind: 0,
-            cell: p.slot as u32,
-            started_at: came_up,
-            state: condition,
+            cell: process.slot as u32,
+            started_at,
+            state,
             gateways: None,
         })
     }
 
     pub(super) fn listening_process(&self, slot: usize) -> Option<usize> {
-        let t = self.now;
-        let there = |p: &Process| {
-            p.slot == slot && p.started_at <= t && t < p.refuses_from && t < p.killed_at
+        let now = self.now;
+        let is_listening = |process: &Process| {
+            process.slot == slot
+                && process.started_at <= now
+                && now < process.refuses_from
+                && now < process.killed_at
         };
-        self.processes.iter().rposition(there)
+        self.processes.iter().rposition(is_listening)
     }
 
     pub(super) fn is_partitioned(&self, slot: usize) -> bool {
