--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,7 +1,7 @@
 //! Opens a connection to the change log.
 
 use crate::system::budgeted_stream::{BudgetedStream, MAX_RESPONSE_HEAD_BYTES};
-use crate::system::socket::Socket;
+use crate::system::socket::{ConnectWait, Socket};
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderName, HeaderValue, Method, Request, StatusCode};
@@ -10,7 +10,6 @@
 use hyper::client::conn::http1;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::atomic::AtomicBool;
 use thiserror::Error;
 
 /// Protocol: the path of the log.
@@ -41,7 +40,7 @@
 ///
 /// The log cannot be reached, or does not answer with a stream.
 pub(super) async fn open(log: SocketAddr, last_event: u64) -> Result<Incoming, OpenError> {
-    let socket = Socket::connect(log, &AtomicBool::default()).await?;
+    let socket = Socket::connect(log, &ConnectWait::for_other_end()).await?;
     let stream = BudgetedStream::new(socket, None);
     let mut builder = http1::Builder::new();
     let (mut sender, connection) = builder
--- a/crates/gateway/src/engines/connect.rs
+++ b/crates/gateway/src/engines/connect.rs
@@ -5,11 +5,10 @@
 use super::Engines;
 use crate::system::budgeted_stream::{AbortFlag, BudgetedStream, MAX_RESPONSE_HEAD_BYTES};
 use crate::system::send_gate::SendGate;
-use crate::system::socket::Socket;
+use crate::system::socket::{ConnectWait, Socket};
 use hyper::client::conn::http1;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use tokio::time::timeout;
 
@@ -33,16 +32,14 @@
         send_gate: Option<Arc<SendGate>>,
     ) -> Result<EngineConnection, CallError> {
         // Until the budget has a permit, the wait is not the engine's fault.
-        let waits_for_local_resource = AtomicBool::new(true);
-        let connecting = self.open_connection(address, send_gate, &waits_for_local_resource);
+        let wait = ConnectWait::for_this_machine();
+        let connecting = self.open_connection(address, send_gate, &wait);
         match timeout(self.connect_timeout, connecting).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 Err(CallError::ConnectionRefused)
             }
-            Err(_) if waits_for_local_resource.load(Ordering::Relaxed) => {
-                Err(CallError::LocalResources)
-            }
+            Err(_) if wait.is_local() => Err(CallError::LocalResources),
             Ok(Err(_)) | Err(_) => Err(CallError::ConnectFailed),
         }
     }
@@ -51,7 +48,7 @@
         &self,
         address: SocketAddr,
         send_gate: Option<Arc<SendGate>>,
-        waits_for_local_resource: &AtomicBool,
+        wait: &ConnectWait,
     ) -> io::Result<EngineConnection> {
         let permit = self
             .connection_permits
@@ -59,7 +56,7 @@
             .acquire_owned()
             .await
             .map_err(io::Error::other)?;
-        let socket = Socket::connect(address, waits_for_local_resource).await?;
+        let socket = Socket::connect(address, wait).await?;
         let stream = BudgetedStream::new(socket, Some(permit)).gated(send_gate);
         let abort_flag = stream.abort_flag();
         let (sender, connection) = http1::Builder::new()
--- a/crates/gateway/src/system/socket.rs
+++ b/crates/gateway/src/system/socket.rs
@@ -33,6 +33,41 @@
     }
 }
 
+/// What a connection that is coming up waits for. Its caller reads it when it stops waiting.
+#[derive(Debug)]
+pub struct ConnectWait {
+    is_local: AtomicBool,
+}
+
+impl ConnectWait {
+    /// A wait that begins with something that this machine lacks.
+    pub fn for_this_machine() -> Self {
+        ConnectWait {
+            is_local: AtomicBool::new(true),
+        }
+    }
+
+    /// A wait that begins with the other end.
+    pub fn for_other_end() -> Self {
+        ConnectWait {
+            is_local: AtomicBool::new(false),
+        }
+    }
+
+    /// Whether it waits for something that this machine lacks, which is not the other end's fault.
+    pub fn is_local(&self) -> bool {
+        self.is_local.load(Ordering::Relaxed)
+    }
+
+    fn other_end_is_tried(&self) {
+        self.is_local.store(false, Ordering::Relaxed);
+    }
+
+    fn this_machine_lacks_something(&self) {
+        self.is_local.store(true, Ordering::Relaxed);
+    }
+}
+
 /// A TCP connection with Nagle's algorithm off.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
@@ -47,17 +82,17 @@
     }
 
     /// Connects. Where this machine lacks something for the moment (a descriptor, a port, a route), it retries: the caller
-    /// bounds how long, and `blocked_locally` says whether this is the reason for the wait.
+    /// bounds how long, and `wait` says whether this is the reason for the wait.
     ///
     /// # Errors
     ///
     /// The error of the other end, or of the network on the way to it.
-    pub async fn connect(address: SocketAddr, blocked_locally: &AtomicBool) -> io::Result<Socket> {
+    pub async fn connect(address: SocketAddr, wait: &ConnectWait) -> io::Result<Socket> {
         loop {
-            blocked_locally.store(false, Ordering::Relaxed);
+            wait.other_end_is_tried();
             match TcpStream::connect(address).await {
                 Err(error) if os_error::is_local(&error) => {
-                    blocked_locally.store(true, Ordering::Relaxed);
+                    wait.this_machine_lacks_something();
                     tracing::debug!(%error, %address, "local failure to connect, retrying");
                     sleep(LOCAL_RETRY_PAUSE).await;
                 }
