--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -89,8 +89,12 @@
     /// Runs until the query is finished and every attempt has ended; this outlives the client's connection.
     pub async fn run(mut self) {
         let mut attempts_begun = 0;
-        while let Some(command) = self.commands.recv().await {
-            match command {
+        let mut status = QueryStatus::Open;
+        while status == QueryStatus::Open {
+            let Some(command) = self.commands.recv().await else {
+                break;
+            };
+            status = match command {
                 Command::BeginAttempt {
                     engine,
                     response_deadline,
@@ -108,18 +112,16 @@
                         client_presence: self.client_presence.clone(),
                     };
                     attempts_begun += 1;
-                    if self.run_attempt(attempt, start).await == QueryStatus::Finished {
-                        break;
-                    }
+                    self.run_attempt(attempt, start).await
                 }
                 Command::Answer(answer) => {
                     self.scheduler.answer(self.query_id, answer.into());
-                    break;
+                    QueryStatus::Finished
                 }
-                Command::ClientLeft => break,
+                Command::ClientLeft => QueryStatus::Finished,
                 // The attempt ended before the command came.
-                Command::CancelAttempt { .. } => {}
-            }
+                Command::CancelAttempt { .. } => QueryStatus::Open,
+            };
         }
         self.release(attempts_begun);
     }
