--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -1,20 +1,21 @@
-//! Decides which connections to the change log are open: when another is opened beside slow or silent ones, and which are
-//! closed.
+//! Decides which connections to the change log are open: when another is opened beside those without progress, and which
+//! are closed.
 //!
 //! Decisions without I/O or a clock: the driver passes in times and what was received, and gets back actions.
 //!
 //! A connection is never closed only because it is slow: a log may deliver its first bytes, or the end of a long event, a
 //! little after any fixed timeout, each time. So another connection is opened beside it, and all stay until one of them
-//! delivers the next event, is silent for [`NOTIFICATION_DEADLINE`], or trickles for [`MAX_FIELD_DURATION`]. Times are
-//! durations since a fixed moment.
+//! delivers the next event, is silent, which is without a byte for [`NOTIFICATION_DEADLINE`], or trickles for
+//! [`MAX_FIELD_DURATION`]. Times are durations since a fixed moment.
 //!
 //! | a connection is | when | what follows |
 //! |---|---|---|
 //! | live | it makes progress: a complete field, or [`PROGRESS_BYTES`] of one | no other is opened |
-//! | overdue | it makes no progress for [`SILENCE_TIMEOUT`], an unproven backup for [`BACKUP_SILENCE_TIMEOUT`], or it is the only one and its field is unfinished for [`LONE_FIELD_TIMEOUT`] | once all are overdue, a backup is opened, up to [`MAX_OPEN`] |
+//! | overdue | it makes no progress for [`PROGRESS_TIMEOUT`], an unproven backup for [`BACKUP_PROGRESS_TIMEOUT`], or it is the only one and its field is unfinished for [`LONE_FIELD_TIMEOUT`] | once all are overdue, a backup is opened, up to [`MAX_OPEN`] |
 //! | proven | it has delivered complete fields for [`NOTIFICATION_DEADLINE`] | older ones between events are closed |
-//! | replaceable | it was open for [`NOTIFICATION_DEADLINE`] and delivered nothing for [`SILENCE_TIMEOUT`]; or it is the newest and makes no progress for that long | where all [`MAX_OPEN`] are overdue, it is closed for a fresh one |
-//! | silent | it delivered nothing for [`NOTIFICATION_DEADLINE`], or trickles for [`MAX_FIELD_DURATION`] | it is closed |
+//! | replaceable | it was open for [`NOTIFICATION_DEADLINE`] and delivered no byte for [`PROGRESS_TIMEOUT`]; or it is the newest and makes no progress for that long | where all [`MAX_OPEN`] are overdue, it is closed for a fresh one |
+//! | silent | it delivered no byte for [`NOTIFICATION_DEADLINE`] | it is closed, as [`CloseReason::Silent`] |
+//! | trickling | it delivers bytes, but completed no field for [`MAX_FIELD_DURATION`] and made no progress for [`NOTIFICATION_DEADLINE`] | as where it is silent |
 
 use crate::discovery::reconnect::Reconnect;
 use std::time::Duration;
@@ -23,11 +24,11 @@
 pub(super) const MAX_OPEN: usize = 3;
 /// Protocol: a change counts as notified this long after the log has it. A connection has at least as long for its next byte.
 pub(super) const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(7);
-/// A connection is silent after this long without a complete field: two of the comments that the protocol sends each second
-/// are missing.
-pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// A connection is overdue after this long without progress: two of the comments that the protocol sends each second are
+/// missing.
+pub(super) const PROGRESS_TIMEOUT: Duration = Duration::from_millis(2200);
 /// The same for a backup connection that is not proven yet: one comment is missing.
-pub(super) const BACKUP_SILENCE_TIMEOUT: Duration = Duration::from_millis(1400);
+pub(super) const BACKUP_PROGRESS_TIMEOUT: Duration = Duration::from_millis(1400);
 /// This much of an unfinished field counts as progress, as a complete one does.
 pub(super) const PROGRESS_BYTES: usize = 16 << 10;
 /// A field may be unfinished for this long on the only connection: a backup may still deliver the event in time.
@@ -43,11 +44,11 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// It delivered nothing for [`NOTIFICATION_DEADLINE`], or no complete field for [`MAX_FIELD_DURATION`].
+    /// It delivered no byte for [`NOTIFICATION_DEADLINE`], or trickled for [`MAX_FIELD_DURATION`]; the log names both so.
     Silent,
     /// Another one has delivered the next event, or is alive and newer.
     Redundant,
-    /// All connections are silent and no more may be open: a fresh one takes its place.
+    /// All connections are overdue and no more may be open: a fresh one takes its place.
     Replaced,
 }
 
@@ -73,11 +74,11 @@
 enum ConnectionRole {
     /// It is the one that is followed: it was opened while no other was, or has delivered the next event.
     Primary,
-    /// It was opened beside slow or silent ones, and has delivered no event yet.
+    /// It was opened beside overdue ones, and has delivered no event yet.
     Backup,
 }
 
-/// How far the log has got on a connection.
+/// Whether an event has begun on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
     /// All that was received is complete.
@@ -137,18 +138,18 @@
     }
 
     /// How long it may make no progress.
-    fn silence_timeout(&self) -> Duration {
+    fn progress_timeout(&self) -> Duration {
         match self.role {
-            ConnectionRole::Backup if !self.is_proven() => BACKUP_SILENCE_TIMEOUT,
-            ConnectionRole::Backup | ConnectionRole::Primary => SILENCE_TIMEOUT,
+            ConnectionRole::Backup if !self.is_proven() => BACKUP_PROGRESS_TIMEOUT,
+            ConnectionRole::Backup | ConnectionRole::Primary => PROGRESS_TIMEOUT,
         }
     }
 
     /// When another is to be opened beside it, unless it delivers something first; its field may be unfinished for
     /// `field_timeout`.
     fn overdue_at(&self, field_timeout: Duration) -> Duration {
-        let silent_at = self.last_progress_at + self.silence_timeout();
-        silent_at.min(self.last_field_at + field_timeout)
+        let progress_due_at = self.last_progress_at + self.progress_timeout();
+        progress_due_at.min(self.last_field_at + field_timeout)
     }
 
     /// When it is closed, unless it delivers something first.
@@ -160,7 +161,7 @@
 
     /// When a fresh one may take its place, unless it delivers something first.
     fn replaceable_at(&self) -> Duration {
-        (self.opened_at + NOTIFICATION_DEADLINE).max(self.last_byte_at + SILENCE_TIMEOUT)
+        (self.opened_at + NOTIFICATION_DEADLINE).max(self.last_byte_at + PROGRESS_TIMEOUT)
     }
 }
 
@@ -310,17 +311,17 @@
         }
     }
 
-    /// When an open one may be replaced: any that has had its time, or else the newest once it is silent. The older ones stay until
-    /// they have had their time, so that a log that is slow on each connection is still read.
+    /// When an open one may be replaced: any that has had its time, or else the newest once it makes no progress. The older ones
+    /// stay until they have had their time, so that a log that is slow on each connection is still read.
     fn replacement_at(&self) -> Duration {
         let replaceable = self.open.iter().map(Connection::replaceable_at).min();
-        let newest_silent = self
+        let newest_overdue = self
             .open
             .last()
-            .map(|newest| newest.last_progress_at + SILENCE_TIMEOUT);
+            .map(|newest| newest.last_progress_at + PROGRESS_TIMEOUT);
         replaceable
             .into_iter()
-            .chain(newest_silent)
+            .chain(newest_overdue)
             .min()
             .unwrap_or_default()
     }
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -223,9 +223,9 @@
             "{age:?} old and nothing delivered"
         ),
         CloseReason::Replaced => {
-            let newest = place == MAX_OPEN - 1 && age >= SILENCE_TIMEOUT;
+            let newest = place == MAX_OPEN - 1 && age >= PROGRESS_TIMEOUT;
             assert!(
-                age >= NOTIFICATION_DEADLINE && quiet >= SILENCE_TIMEOUT || newest,
+                age >= NOTIFICATION_DEADLINE && quiet >= PROGRESS_TIMEOUT || newest,
                 "{age:?} old, {quiet:?} quiet, place {place}"
             );
         }
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -19,8 +19,8 @@
 
 /// Far longer than any expected connection takes.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
-/// Latest time without a line after which the stream counts as silent, and the tolerance for a busy machine.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Latest time without a line after which another connection is opened, and the tolerance for a busy machine.
+const PROGRESS_TIMEOUT: Duration = Duration::from_millis(2500);
 const TOLERANCE: Duration = Duration::from_millis(400);
 /// Longest wait before a new connection at the helper's `dial-timeout` of 250 ms.
 const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
@@ -307,7 +307,7 @@
         }
     });
     let second = log
-        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
+        .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
         .expect("a connection in place of a trickling one");
     let after = second.accepted_at - started_at;
     assert!(
@@ -329,7 +329,7 @@
     sleep(ms(2000));
     first.write(HEAD);
     let second = log
-        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE - ms(2000))
+        .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE - ms(2000))
         .expect("a connection in place of a silent one");
     assert_eq!(second.last_event_id, 0, "from the last number applied");
     second.write(HEAD);
@@ -338,7 +338,7 @@
     wait_until_in_force(&service, &other);
 }
 
-/// Each part may take nearly as long as the silence timeout; the event counts once it is complete.
+/// Each part may take nearly as long as the progress timeout; the event counts once it is complete.
 #[test]
 fn large_event_in_many_parts_is_received_complete() {
     const MEGABYTES: usize = 3;
@@ -400,11 +400,11 @@
     // Accepted and never answered, then answered by a head alone.
     let first = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
     let second = log
-        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
+        .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
         .expect("a second");
     second.write(HEAD);
     let third = log
-        .accept_within(SILENCE_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
+        .accept_within(PROGRESS_TIMEOUT + LONGEST_BACKOFF + TOLERANCE)
         .expect("a third");
     assert!(
         !first.is_closed(ms(50)) && !second.is_closed(ms(50)),
@@ -789,7 +789,7 @@
     service.wait_until_healthy();
 }
 
-/// A slow log: each connection gets its first line only after the silence timeout.
+/// A slow log: each connection gets its first line only after the progress timeout.
 #[test]
 fn list_from_a_slow_log_is_applied_within_seven_seconds() {
     let (log, engine) = (ScriptedLog::start(), Engine::start());
