--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -14,7 +14,7 @@
 //! | overdue | it makes no progress for [`PROGRESS_TIMEOUT`], an unproven backup for [`BACKUP_PROGRESS_TIMEOUT`], or it is the only one and its field is unfinished for [`LONE_FIELD_TIMEOUT`] | once all are overdue, a backup is opened, up to [`MAX_OPEN`] |
 //! | proven | it has delivered complete fields for [`NOTIFICATION_DEADLINE`] | older ones between events are closed |
 //! | replaceable | it was open for [`NOTIFICATION_DEADLINE`] and delivered no byte for [`PROGRESS_TIMEOUT`]; or it is the newest and makes no progress for that long | where all [`MAX_OPEN`] are overdue, it is closed for a fresh one |
-//! | silent | it delivered no byte for [`NOTIFICATION_DEADLINE`] | it is closed, as [`CloseReason::Silent`] |
+//! | silent | it delivered no byte for [`NOTIFICATION_DEADLINE`] | it is closed, as [`LogCloseReason::Silent`] |
 //! | trickling | it delivers bytes, but completed no field for [`MAX_FIELD_DURATION`] and made no progress for [`NOTIFICATION_DEADLINE`] | as where it is silent |
 
 use crate::discovery::reconnect::Reconnect;
@@ -43,7 +43,7 @@
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CloseReason {
+pub(super) enum LogCloseReason {
     /// It delivered no byte for [`NOTIFICATION_DEADLINE`], or trickled for [`MAX_FIELD_DURATION`]; the log names both so.
     Silent,
     /// Another one has delivered the next event, or is alive and newer.
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Action {
     Open(ConnectionId),
-    Close(ConnectionId, CloseReason),
+    Close(ConnectionId, LogCloseReason),
 }
 
 /// What a connection has delivered; all zero for the head of its response.
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Connection {
+struct TrackedConnection {
     id: ConnectionId,
     role: ConnectionRole,
     read_state: ReadState,
@@ -101,9 +101,9 @@
     bytes_since_progress: usize,
 }
 
-impl Connection {
+impl TrackedConnection {
     fn new(id: ConnectionId, now: Duration, role: ConnectionRole) -> Self {
-        Connection {
+        TrackedConnection {
             id,
             role,
             read_state: ReadState::BetweenEvents,
@@ -170,7 +170,7 @@
 pub(super) struct ConnectionSet {
     reconnect: Reconnect,
     /// In the order in which they were opened.
-    open: Vec<Connection>,
+    open: Vec<TrackedConnection>,
     opened_count: u64,
     last_opened_at: Duration,
     /// No connection is opened earlier: the backoff after one that ended.
@@ -236,11 +236,11 @@
     /// The next action that is due; to be polled until there is none.
     pub(super) fn poll(&mut self, now: Duration) -> Option<Action> {
         if let Some(id) = self.redundant.pop() {
-            return Some(Action::Close(id, CloseReason::Redundant));
+            return Some(Action::Close(id, LogCloseReason::Redundant));
         }
         let mut open = self.open.iter();
         if let Some(index) = open.position(|connection| connection.closed_at() <= now) {
-            return Some(self.close(index, CloseReason::Silent));
+            return Some(self.close(index, LogCloseReason::Silent));
         }
         if self.open_at() > now {
             return None;
@@ -249,12 +249,12 @@
             return Some(Action::Open(self.open(now)));
         }
         let index = self.replaceable(now)?;
-        Some(self.close(index, CloseReason::Replaced))
+        Some(self.close(index, LogCloseReason::Replaced))
     }
 
     /// When to poll next, unless something is received first.
     pub(super) fn next_poll_at(&self) -> Duration {
-        let closes = self.open.iter().map(Connection::closed_at);
+        let closes = self.open.iter().map(TrackedConnection::closed_at);
         closes.fold(self.open_at(), Duration::min)
     }
 
@@ -262,7 +262,7 @@
         self.open.iter().position(|connection| connection.id == id)
     }
 
-    fn close(&mut self, index: usize, reason: CloseReason) -> Action {
+    fn close(&mut self, index: usize, reason: LogCloseReason) -> Action {
         Action::Close(self.open.remove(index).id, reason)
     }
 
@@ -282,7 +282,7 @@
             true => ConnectionRole::Primary,
             false => ConnectionRole::Backup,
         };
-        self.open.push(Connection::new(id, now, role));
+        self.open.push(TrackedConnection::new(id, now, role));
         self.opened_count += 1;
         self.last_opened_at = now;
         self.not_before = now;
@@ -314,7 +314,11 @@
     /// When an open one may be replaced: any that has had its time, or else the newest once it makes no progress. The older ones
     /// stay until they have had their time, so that a log that is slow on each connection is still read.
     fn replacement_at(&self) -> Duration {
-        let replaceable = self.open.iter().map(Connection::replaceable_at).min();
+        let replaceable = self
+            .open
+            .iter()
+            .map(TrackedConnection::replaceable_at)
+            .min();
         let newest_overdue = self
             .open
             .last()
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -211,18 +211,18 @@
 }
 
 /// A connection is closed only where it may be.
-fn check_close(open: &Open, place: usize, now: u64, reason: CloseReason, delivered: bool) {
+fn check_close(open: &Open, place: usize, now: u64, reason: LogCloseReason, delivered: bool) {
     let (age, quiet) = (ms(now - open.opened), ms(now - open.last_byte));
     match reason {
-        CloseReason::Silent => assert!(
+        LogCloseReason::Silent => assert!(
             quiet >= NOTIFICATION_DEADLINE || age >= MAX_FIELD_DURATION,
             "{age:?} old, {quiet:?} quiet"
         ),
-        CloseReason::Redundant => assert!(
+        LogCloseReason::Redundant => assert!(
             delivered || age >= NOTIFICATION_DEADLINE,
             "{age:?} old and nothing delivered"
         ),
-        CloseReason::Replaced => {
+        LogCloseReason::Replaced => {
             let newest = place == MAX_OPEN - 1 && age >= PROGRESS_TIMEOUT;
             assert!(
                 age >= NOTIFICATION_DEADLINE && quiet >= PROGRESS_TIMEOUT || newest,
@@ -386,7 +386,7 @@
             match action {
                 Action::Open(id) => open.push(id),
                 Action::Close(id, reason) => {
-                    assert_eq!((id, reason), (open[0], CloseReason::Redundant));
+                    assert_eq!((id, reason), (open[0], LogCloseReason::Redundant));
                     assert!((9200..10_500).contains(&now), "closed at {now} ms");
                     open.remove(0);
                 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 //! [`ConnectionSet`] decides which connections are open, [`EventSequence`] what follows from an event; this drives both.
 
 use super::connection::{self, OpenError};
-use super::connection_set::{Action, CloseReason, ConnectionId, ConnectionSet, Received};
+use super::connection_set::{Action, ConnectionId, ConnectionSet, LogCloseReason, Received};
 use super::event::{Event, NameIndex};
 use super::sequence::{EventOutcome, EventSequence, SequenceError};
 use super::stream::{EventStream, EventTooLong};
@@ -36,7 +36,7 @@
 }
 
 /// What happens next on a connection.
-enum Step {
+enum LogStep {
     /// The log answered, with this body.
     Opened(Incoming),
     /// Bytes of the body arrived.
@@ -45,24 +45,24 @@
     Ended(Result<(), WatchError>),
 }
 
-async fn open(log: SocketAddr, last_event: u64) -> Step {
+async fn open(log: SocketAddr, last_event: u64) -> LogStep {
     match connection::open(log, last_event).await {
-        Ok(body) => Step::Opened(body),
-        Err(error) => Step::Ended(Err(error.into())),
+        Ok(body) => LogStep::Opened(body),
+        Err(error) => LogStep::Ended(Err(error.into())),
     }
 }
 
-async fn read(mut body: Incoming) -> Step {
+async fn read(mut body: Incoming) -> LogStep {
     match body.frame().await {
-        None => Step::Ended(Ok(())),
-        Some(Err(error)) => Step::Ended(Err(error.into())),
-        Some(Ok(frame)) => Step::Received(body, frame.into_data().unwrap_or_default()),
+        None => LogStep::Ended(Ok(())),
+        Some(Err(error)) => LogStep::Ended(Err(error.into())),
+        Some(Ok(frame)) => LogStep::Received(body, frame.into_data().unwrap_or_default()),
     }
 }
 
 /// How far a connection has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ConnectionState {
+enum LogConnectionState {
     /// The log has not answered yet.
     Connecting,
     /// The log has answered; its events are read.
@@ -70,18 +70,18 @@
 }
 
 /// An open connection; it closes when it is dropped.
-struct Connection {
+struct LogConnection {
     id: ConnectionId,
-    state: ConnectionState,
+    state: LogConnectionState,
     stream: EventStream,
-    next_step: Pin<Box<dyn Future<Output = Step> + Send>>,
+    next_step: Pin<Box<dyn Future<Output = LogStep> + Send>>,
 }
 
-impl Connection {
+impl LogConnection {
     fn open(id: ConnectionId, log: SocketAddr, last_event: u64) -> Self {
-        Connection {
+        LogConnection {
             id,
-            state: ConnectionState::Connecting,
+            state: LogConnectionState::Connecting,
             stream: EventStream::default(),
             next_step: Box::pin(open(log, last_event)),
         }
@@ -89,7 +89,7 @@
 }
 
 /// Waits for the next step of any of the connections; forever where there is none. Returns its index and the step.
-async fn next_step(connections: &mut [Connection]) -> (usize, Step) {
+async fn next_step(connections: &mut [LogConnection]) -> (usize, LogStep) {
     poll_fn(|context| {
         for (index, connection) in connections.iter_mut().enumerate() {
             if let Poll::Ready(step) = connection.next_step.as_mut().poll(context) {
@@ -117,7 +117,7 @@
     sequence: EventSequence,
     /// Applies each event that is due.
     apply: Box<dyn FnMut(Event) + Send>,
-    connections: Vec<Connection>,
+    connections: Vec<LogConnection>,
     /// Whether the log is lost, and that was logged.
     is_lost: bool,
     /// The moment that the connection set's times count from.
@@ -192,33 +192,34 @@
                 "change log slow, opening another connection"
             );
         }
-        self.connections.push(Connection::open(id, log, last_event));
+        self.connections
+            .push(LogConnection::open(id, log, last_event));
     }
 
-    fn close(&mut self, id: ConnectionId, reason: CloseReason) {
+    fn close(&mut self, id: ConnectionId, reason: LogCloseReason) {
         tracing::debug!(?reason, "change log connection closed");
         self.connections.retain(|connection| connection.id != id);
-        if reason == CloseReason::Silent {
+        if reason == LogCloseReason::Silent {
             self.log_lost(&WatchError::Silent);
         }
     }
 
     /// Handles the next step of the connection at this index.
-    fn handle_step(&mut self, set: &mut ConnectionSet, index: usize, step: Step) {
+    fn handle_step(&mut self, set: &mut ConnectionSet, index: usize, step: LogStep) {
         let now = self.now();
         let result = match step {
-            Step::Opened(body) => {
+            LogStep::Opened(body) => {
                 self.opened(set, index, now, body);
                 return;
             }
-            Step::Received(body, bytes) => {
+            LogStep::Received(body, bytes) => {
                 self.connections[index].next_step = Box::pin(read(body));
                 match self.received(set, index, now, &bytes) {
                     Ok(()) => return,
                     Err(error) => Err(error),
                 }
             }
-            Step::Ended(result) => result,
+            LogStep::Ended(result) => result,
         };
         set.ended(self.connections[index].id, now);
         self.connections.remove(index);
@@ -235,7 +236,7 @@
         tracing::info!(last_event = self.sequence.last(), "change log connected");
         self.is_lost = false;
         let connection = &mut self.connections[index];
-        connection.state = ConnectionState::Streaming;
+        connection.state = LogConnectionState::Streaming;
         connection.next_step = Box::pin(read(body));
         set.received(connection.id, now, Received::default());
     }
@@ -248,7 +249,7 @@
         now: Duration,
         bytes: &[u8],
     ) -> Result<(), WatchError> {
-        let Connection { id, stream, .. } = &mut self.connections[index];
+        let LogConnection { id, stream, .. } = &mut self.connections[index];
         let fields_before = stream.completed_fields;
         let events = stream.feed(bytes)?;
         let received = Received {
@@ -271,7 +272,8 @@
     /// Logs that the log is lost, once, unless another connection is up.
     fn log_lost(&mut self, error: &WatchError) {
         let last_event = self.sequence.last();
-        let is_streaming = |connection: &Connection| connection.state == ConnectionState::Streaming;
+        let is_streaming =
+            |connection: &LogConnection| connection.state == LogConnectionState::Streaming;
         if self.is_lost || self.connections.iter().any(is_streaming) {
             tracing::debug!(%error, last_event, "change log still lost");
             return;
