--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -45,6 +45,12 @@
     Ended(Result<(), WatchError>),
 }
 
+/// The next step of one of the connections.
+struct ConnectionStep {
+    id: ConnectionId,
+    step: LogStep,
+}
+
 async fn open(log: SocketAddr, last_event: u64) -> LogStep {
     match connection::open(log, last_event).await {
         Ok(body) => LogStep::Opened(body),
@@ -88,12 +94,13 @@
     }
 }
 
-/// Waits for the next step of any of the connections; forever where there is none. Returns its index and the step.
-async fn next_step(connections: &mut [LogConnection]) -> (usize, LogStep) {
+/// Waits for the next step of any of the connections; forever where there is none.
+async fn next_step(connections: &mut [LogConnection]) -> ConnectionStep {
     poll_fn(|context| {
-        for (index, connection) in connections.iter_mut().enumerate() {
+        for connection in connections.iter_mut() {
             if let Poll::Ready(step) = connection.next_step.as_mut().poll(context) {
-                return Poll::Ready((index, step));
+                let id = connection.id;
+                return Poll::Ready(ConnectionStep { id, step });
             }
         }
         Poll::Pending
@@ -160,8 +167,8 @@
                     self.connections.clear();
                     set.address_changed(self.now());
                 }
-                (index, step) = next_step(&mut self.connections) => {
-                    self.handle_step(&mut set, index, step);
+                next = next_step(&mut self.connections) => {
+                    self.handle_step(&mut set, next);
                 }
                 () = sleep_until(next_poll) => {}
             }
@@ -204,8 +211,13 @@
         }
     }
 
-    /// Handles the next step of the connection at this index.
-    fn handle_step(&mut self, set: &mut ConnectionSet, index: usize, step: LogStep) {
+    /// Handles the next step of a connection.
+    fn handle_step(&mut self, set: &mut ConnectionSet, next: ConnectionStep) {
+        let ConnectionStep { id, step } = next;
+        let mut connections = self.connections.iter();
+        let Some(index) = connections.position(|connection| connection.id == id) else {
+            return;
+        };
         let now = self.now();
         let result = match step {
             LogStep::Opened(body) => {
@@ -221,7 +233,7 @@
             }
             LogStep::Ended(result) => result,
         };
-        set.ended(self.connections[index].id, now);
+        set.ended(id, now);
         self.connections.remove(index);
         match result {
             Ok(()) => {
