--- a/crates/gateway/src/discovery/list/subset_log.rs
+++ b/crates/gateway/src/discovery/list/subset_log.rs
@@ -3,7 +3,8 @@
 use crate::discovery::selection::SubsetStatus;
 use garnetwall_subset::SizeReason;
 
-/// Logs the subset when it changes, with a warning where it begins to differ from what the settings ask for.
+/// Logs the subset after each event of the change log and when its members change, with a warning where it begins to differ
+/// from what the settings ask for.
 #[derive(Debug, Default)]
 pub(super) struct SubsetLog {
     last: Option<SubsetStatus>,
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -207,7 +207,7 @@
         tracing::debug!(?reason, "change log connection closed");
         self.connections.retain(|connection| connection.id != id);
         if reason == LogCloseReason::Silent {
-            self.log_lost(&WatchError::Silent);
+            self.log_failure(&WatchError::Silent);
         }
     }
 
@@ -240,7 +240,7 @@
                 let last_event = self.sequence.last();
                 tracing::info!(last_event, "change log stream ended");
             }
-            Err(error) => self.log_lost(&error),
+            Err(error) => self.log_failure(&error),
         }
     }
 
@@ -281,12 +281,16 @@
         Ok(())
     }
 
-    /// Logs that the log is lost, once, unless another connection is up.
-    fn log_lost(&mut self, error: &WatchError) {
+    /// Logs that a connection failed: that the log is lost, once, unless another connection is up.
+    fn log_failure(&mut self, error: &WatchError) {
         let last_event = self.sequence.last();
         let is_streaming =
             |connection: &LogConnection| connection.state == LogConnectionState::Streaming;
-        if self.is_lost || self.connections.iter().any(is_streaming) {
+        if self.connections.iter().any(is_streaming) {
+            tracing::debug!(%error, last_event, "change log connection failed, others are open");
+            return;
+        }
+        if self.is_lost {
             tracing::debug!(%error, last_event, "change log still lost");
             return;
         }
