--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoints::EndpointEntry;
 use crate::fields::Address;
-use garnetwall::api::{Endpoint, EngineId, FinalAnswer, QueryId};
+use garnetwall::api::{Endpoint, EngineId, FinalAnswer, ListScope, QueryId};
 use garnetwall::controller::AdmissionController;
 use garnetwall_settings::{decode, DecodedSettings, FlatSettings, SettingsError};
 use std::collections::BTreeMap;
@@ -79,8 +79,8 @@
         engine
     }
 
-    /// Hands the decision module endpoints; with `is_complete` the list names all there are.
-    pub fn update_endpoints(&mut self, list: &[EndpointEntry], is_complete: bool) {
+    /// Hands the decision module endpoints.
+    pub fn update_endpoints(&mut self, list: &[EndpointEntry], scope: ListScope) {
         let endpoints: Vec<Endpoint> = list
             .iter()
             .map(|entry| Endpoint {
@@ -93,7 +93,7 @@
                 gateways: None,
             })
             .collect();
-        self.controller.update_endpoints(&endpoints, is_complete);
+        self.controller.update_endpoints(&endpoints, scope);
     }
 
     /// The endpoint list could not be read.
--- a/crates/bench-adapter/src/session.rs
+++ b/crates/bench-adapter/src/session.rs
@@ -6,6 +6,7 @@
 use crate::frame::Frame;
 use crate::instance::Instance;
 use crate::protocol::{incoming, list_kind};
+use garnetwall::api::ListScope;
 use std::collections::BTreeMap;
 
 /// The instances that the records of a frame are for.
@@ -162,7 +163,11 @@
             return fields.malformed(format!("list number {list_number} was never declared"));
         };
         if let Some(instance) = instance {
-            instance.update_endpoints(list, kind != list_kind::CHANGES);
+            let scope = match kind {
+                list_kind::CHANGES => ListScope::Delta,
+                _ => ListScope::Full,
+            };
+            instance.update_endpoints(list, scope);
         }
         Ok(())
     }
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -4,7 +4,7 @@
 use super::event::Event;
 use super::list::{EngineList, EngineUpdate, ListChange};
 use super::selection::Candidate;
-use garnetwall::api::{AttemptEnd, EngineId, LoadReport};
+use garnetwall::api::{AttemptEnd, EngineId, ListScope, LoadReport};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -56,7 +56,7 @@
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
         let change = ListChange {
             updates: self.list.poll_subset(),
-            is_complete: false,
+            scope: ListScope::Delta,
         };
         if !change.updates.is_empty() {
             deliver(&change);
--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -4,7 +4,7 @@
 
 pub use decode::{event, event_of_text};
 
-use garnetwall::api::EndpointState;
+use garnetwall::api::{EndpointState, ListScope};
 use garnetwall_settings::Names;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     /// Its number; those of successive events are successive.
     pub number: u64,
     /// Whether the entries are the full list, or only those that changed.
-    pub is_complete: bool,
+    pub scope: ListScope,
     /// Engines in the order in which the log has them.
     pub entries: Vec<EngineEntry>,
 }
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -3,7 +3,7 @@
 use super::{EngineEntry, Event, EventError, EventErrorCause, NameIndex};
 use crate::discovery::lenient::{Field, Parts, ReadInto};
 use crate::system::clock::MILLIS_PER_SECOND;
-use garnetwall::api::EndpointState;
+use garnetwall::api::{EndpointState, ListScope};
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, SeqAccess};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -78,18 +78,21 @@
         let Some(fleet) = self.fleet else {
             return Ok(Event {
                 number,
-                is_complete: false,
+                scope: ListScope::Delta,
                 entries: Vec::new(),
             });
         };
-        let is_complete = fleet.full.flag();
-        let is_complete =
-            is_complete.ok_or_else(|| EventError::expected("fleet.full", "true or false"))?;
+        let is_full = fleet.full.flag();
+        let is_full = is_full.ok_or_else(|| EventError::expected("fleet.full", "true or false"))?;
+        let scope = match is_full {
+            true => ListScope::Full,
+            false => ListScope::Delta,
+        };
         let entries = fleet.servers.entries;
         let entries = entries.ok_or_else(|| EventError::expected("fleet.servers", "a list"))??;
         Ok(Event {
             number,
-            is_complete,
+            scope,
             entries,
         })
     }
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -50,7 +50,7 @@
         event,
         Event {
             number: 4,
-            is_complete: true,
+            scope: ListScope::Full,
             entries: vec![entry.clone(), entry]
         }
     );
@@ -58,7 +58,7 @@
         decoded(&json!({"seq": 3})),
         Ok(Event {
             number: 3,
-            is_complete: false,
+            scope: ListScope::Delta,
             entries: vec![]
         })
     );
@@ -140,12 +140,12 @@
         "servers": [{"id": "a", "id": "b", "addr": "127.0.0.1:1", "zone": "east", "state": "DRAINING"}]}}"#;
     let event = event_of_text(text, &names()).unwrap();
     assert_eq!(
-        (event.number, event.is_complete, event.entries.len()),
-        (2, false, 1)
+        (event.number, event.scope, event.entries.len()),
+        (2, ListScope::Delta, 1)
     );
     let entry = &event.entries[0];
     assert_eq!(
-        (&*entry.name, entry.zone, entry.state),
+        (&*entry.name: id, entry.zone, entry.state),
         ("b", 0, EndpointState::Draining)
     );
 }
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -8,7 +8,7 @@
 use super::selection::{Candidate, Selection};
 use crate::system::clock::{clamped_duration, Clock};
 use engine_table::{EngineTable, StateCounts};
-use garnetwall::api::{Endpoint, EndpointState, EngineId};
+use garnetwall::api::{Endpoint, EndpointState, EngineId, ListScope};
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -40,8 +40,8 @@
 pub struct ListChange {
     /// Engines that are new or changed.
     pub updates: Vec<EngineUpdate>,
-    /// Whether the updates are the full list, so that all other engines are removed.
-    pub is_complete: bool,
+    /// Whether the updates are the full list.
+    pub scope: ListScope,
 }
 
 /// The list of engines, shared by all that read it: the full list, or the gateway's subset of it.
@@ -84,7 +84,7 @@
     /// Applies an event, and returns what it changes for the decision module.
     pub fn apply(&self, event: Event) -> ListChange {
         let mut state = self.state();
-        let has_list = event.is_complete || !event.entries.is_empty();
+        let has_list = event.scope == ListScope::Full || !event.entries.is_empty();
         let change = state.apply(event, self.clock.now());
         if has_list {
             self.is_known.send_replace(true);
@@ -187,20 +187,17 @@
     fn apply(&mut self, event: Event, now: f64) -> ListChange {
         let Event {
             number,
-            is_complete,
+            scope,
             entries,
         } = event;
         self.table.record_starts(now, &entries);
         let Some(selection) = &mut self.selection else {
-            let updates = self.table.apply(entries, is_complete, Instant::now());
+            let updates = self.table.apply(entries, scope, Instant::now());
             let StateCounts { ready, draining } = self.table.counts();
             tracing::info!(event = number, ready, draining, "engine list updated");
-            return ListChange {
-                updates,
-                is_complete,
-            };
+            return ListChange { updates, scope };
         };
-        let selected = selection.apply(now, entries, is_complete);
+        let selected = selection.apply(now, entries, scope);
         let status = selection.status();
         let updates = self.table.apply_selected(selected);
         tracing::info!(
@@ -212,7 +209,7 @@
         self.subset_log.log(status);
         ListChange {
             updates,
-            is_complete: false,
+            scope: ListScope::Delta,
         }
     }
 
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -8,7 +8,7 @@
 use crate::discovery::event::EngineEntry;
 use crate::discovery::selection::Selected;
 use crate::discovery::start_times::StartTimes;
-use garnetwall::api::{Endpoint, EndpointState, EngineId};
+use garnetwall::api::{Endpoint, EndpointState, EngineId, ListScope};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -142,7 +142,7 @@
     pub(super) fn apply(
         &mut self,
         entries: Vec<EngineEntry>,
-        is_complete: bool,
+        scope: ListScope,
         now: Instant,
     ) -> Vec<EngineUpdate> {
         self.change_count += 1;
@@ -150,7 +150,7 @@
             .into_iter()
             .filter_map(|entry| self.update(entry, None, now))
             .collect();
-        if is_complete {
+        if scope == ListScope::Full {
             self.remove_unnamed(now);
         }
         updates
--- a/crates/gateway/src/discovery/list/engine_table/tests.rs
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -58,10 +58,10 @@
     fn apply(
         &mut self,
         entries: &[EngineEntry],
-        is_complete: bool,
+        scope: ListScope,
         now: Instant,
     ) -> Vec<(EngineId, EndpointState)> {
-        if is_complete {
+        if scope == ListScope::Full {
             for (entry, removed_at) in &mut self.known {
                 entry.state = EndpointState::Removed;
                 removed_at.get_or_insert(now);
@@ -124,13 +124,14 @@
         let retention = Duration::from_secs(10);
         let (mut table, mut plain) = (EngineTable::new(retention), PlainTable { retention, ..PlainTable::default() });
         let mut now = Instant::now();
-        for (is_complete, entries, wait) in events {
+        for (is_full, entries, wait) in events {
+            let scope = if is_full { ListScope::Full } else { ListScope::Delta };
             now += Duration::from_secs(wait);
             let conditions = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
             let entries: Vec<EngineEntry> =
                 entries.iter().map(|(id, c)| entry(&id.to_string(), conditions[*c as usize])).collect();
-            let expected = plain.apply(&entries, is_complete, now);
-            let updates = table.apply(entries, is_complete, now);
+            let expected = plain.apply(&entries, scope, now);
+            let updates = table.apply(entries, scope, now);
             let updates: Vec<_> = updates.iter().map(|update| (update.endpoint.engine, update.endpoint.state)).collect();
             prop_assert_eq!(updates, expected);
             prop_assert_eq!(table.counts, plain.counts());
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -20,31 +20,31 @@
     let list = EngineList::new(Duration::from_secs(20), Clock::start(), None);
     let ready = |id: &str| entry(id, EndpointState::Ready);
     let removed = |id: &str| entry(id, EndpointState::Removed);
-    for (is_complete, entries, engines) in [
+    for (scope, entries, engines) in [
         (
-            true,
+            ListScope::Full,
             vec![ready("b"), ready("a"), ready("c")],
             vec![0, 1, 2],
         ),
         (
-            false,
+            ListScope::Delta,
             vec![ready("c"), ready("c"), removed("a"), removed("x")],
             vec![2, 2, 1],
         ),
-        (false, vec![], vec![]),
+        (ListScope::Delta, vec![], vec![]),
         (
-            true,
+            ListScope::Full,
             vec![ready("d"), entry("b", EndpointState::Draining)],
             vec![3, 0],
         ),
-        (true, vec![], vec![]),
+        (ListScope::Full, vec![], vec![]),
     ] {
         let change = list.apply(Event {
             number: 1,
-            is_complete,
+            scope,
             entries: entries.clone(),
         });
-        assert_eq!(change.is_complete, is_complete);
+        assert_eq!(change.scope, scope);
         assert_eq!(
             change
                 .updates
@@ -93,7 +93,7 @@
         ];
         let first = list.apply(Event {
             number: 1,
-            is_complete: true,
+            scope: ListScope::Full,
             entries: entries.clone(),
         });
         let age = |update: &EngineUpdate| update.endpoint.started_at.map(|at| now - at);
@@ -110,7 +110,7 @@
         // Reported again, also when more is known by then, it is the same start.
         let later = list.apply(Event {
             number: 2,
-            is_complete: false,
+            scope: ListScope::Delta,
             entries: vec![started("newer", -30.0), entries[0].clone()],
         });
         assert_eq!(
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -4,7 +4,7 @@
 
 use super::engine_health::{EngineHealth, Reachability};
 use super::event::EngineEntry;
-use garnetwall::api::EndpointState;
+use garnetwall::api::{EndpointState, ListScope};
 use garnetwall_subset as subset;
 use garnetwall_subset::{
     Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset,
@@ -101,12 +101,12 @@
         })
     }
 
-    /// Applies entries, the full list or only what changed, and returns what that changes for the members.
+    /// Applies entries, and returns what that changes for the members.
     pub(super) fn apply(
         &mut self,
         now: f64,
         entries: Vec<EngineEntry>,
-        is_complete: bool,
+        scope: ListScope,
     ) -> Vec<Selected> {
         let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
@@ -115,7 +115,9 @@
                 facts: self.facts(entry),
             })
             .collect();
-        let changes = self.catalog.apply(&catalog_entries, is_complete);
+        let changes = self
+            .catalog
+            .apply(&catalog_entries, scope == ListScope::Full);
         for change in changes.iter().filter(|change| change.after.is_none()) {
             self.details.remove(&change.engine);
         }
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -66,7 +66,8 @@
     ) {
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
         let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
-        for (is_complete, entries, is_reached) in events {
+        for (is_full, entries, is_reached) in events {
+            let scope = if is_full { ListScope::Full } else { ListScope::Delta };
             let reachability = match is_reached {
                 true => Reachability::Reachable,
                 false => Reachability::Unreachable,
@@ -74,11 +75,11 @@
             let state = |c| [EndpointState::Draining, EndpointState::Removed].get(usize::from(c)).copied();
             let of = |(n, c, started): &(u8, u8, u8)| entry(*n, state(*c).unwrap_or(EndpointState::Ready), *started);
             let entries: Vec<EngineEntry> = entries.iter().map(of).collect();
-            if is_complete {
+            if is_full {
                 list.clear();
             }
             list.extend(entries.iter().map(|entry| (entry.name.clone(), entry.clone())));
-            module.update(selection.apply(now, entries, is_complete));
+            module.update(selection.apply(now, entries, scope));
             for step in 0..5 {
                 for entry in module.ready() {
                     prop_assert_eq!(Some(entry), list.get(&entry.name), "at {} of {}", step, now);
@@ -101,8 +102,12 @@
 fn a_member_that_leaves_is_removed_as_it_was_listed() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     let entries = (0..4).map(|n| entry(n, EndpointState::Ready, 1)).collect();
-    assert_eq!(selection.apply(0.0, entries, true).len(), 4);
-    let selected = selection.apply(1.0, vec![entry(2, EndpointState::Draining, 1)], false);
+    assert_eq!(selection.apply(0.0, entries, ListScope::Full).len(), 4);
+    let selected = selection.apply(
+        1.0,
+        vec![entry(2, EndpointState::Draining, 1)],
+        ListScope::Delta,
+    );
     assert_eq!(
         selected
             .iter()
@@ -111,7 +116,11 @@
         [&entry(2, EndpointState::Removed, 1)]
     );
     assert_eq!(
-        selection.apply(2.0, vec![entry(2, EndpointState::Removed, 1)], false),
+        selection.apply(
+            2.0,
+            vec![entry(2, EndpointState::Removed, 1)],
+            ListScope::Delta
+        ),
         []
     );
 }
@@ -122,16 +131,28 @@
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     assert_eq!(
         selection
-            .apply(0.0, vec![entry(1, EndpointState::Ready, 1)], true)
+            .apply(
+                0.0,
+                vec![entry(1, EndpointState::Ready, 1)],
+                ListScope::Full
+            )
             .len(),
         1
     );
     assert_eq!(
-        selection.apply(1.0, vec![entry(1, EndpointState::Ready, 1)], true),
+        selection.apply(
+            1.0,
+            vec![entry(1, EndpointState::Ready, 1)],
+            ListScope::Full
+        ),
         [],
         "nothing is new"
     );
-    let selected = selection.apply(2.0, vec![entry(1, EndpointState::Ready, 2)], true);
+    let selected = selection.apply(
+        2.0,
+        vec![entry(1, EndpointState::Ready, 2)],
+        ListScope::Full,
+    );
     assert_eq!(
         selected
             .iter()
@@ -158,7 +179,7 @@
             (0..ENGINES)
                 .map(|n| entry(n, EndpointState::Ready, 1))
                 .collect(),
-            true,
+            ListScope::Full,
         );
         let status = selection.status();
         assert_eq!(
@@ -183,7 +204,7 @@
             (0..ENGINES)
                 .map(|n| entry(n, EndpointState::Ready, 1))
                 .collect(),
-            true,
+            ListScope::Full,
         ),
     );
     let failing = module.ready().next().unwrap().name.clone();
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -2,6 +2,7 @@
 
 use super::event::{event_of_text, Event, EventError, NameIndex};
 use super::stream::SseEvent;
+use garnetwall::api::ListScope;
 use thiserror::Error;
 
 /// Why an event ends the connection that delivered it.
@@ -66,7 +67,7 @@
             return Ok(EventOutcome::Duplicate);
         }
         match event {
-            Ok(event) if number > expected && !event.is_complete => {
+            Ok(event) if number > expected && event.scope == ListScope::Delta => {
                 Err(SequenceError::Gap { number, expected })
             }
             Ok(event) => {
--- a/crates/gateway/src/discovery/sequence/tests.rs
+++ b/crates/gateway/src/discovery/sequence/tests.rs
@@ -5,9 +5,9 @@
     EventSequence::new(last, NameIndex::new(&Names::default()))
 }
 
-fn event(number: u64, is_complete: bool) -> SseEvent {
+fn event(number: u64, is_full: bool) -> SseEvent {
     let data =
-        format!(r#"{{"seq":{number},"fleet":{{"version":1,"full":{is_complete},"servers":[]}}}}"#);
+        format!(r#"{{"seq":{number},"fleet":{{"version":1,"full":{is_full},"servers":[]}}}}"#);
     SseEvent {
         number: Some(number),
         data: data.into_bytes(),
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -3,7 +3,7 @@
 use crate::system::clock::Clock;
 use crate::system::resource_budget::ResourceLimits;
 use bytes::Bytes;
-use garnetwall::api::EndpointState;
+use garnetwall::api::{EndpointState, ListScope};
 use http::HeaderValue;
 use std::net::SocketAddr;
 use tokio::sync::watch;
@@ -69,7 +69,7 @@
         }];
         self.engines.list.apply(Event {
             number: 1,
-            is_complete: true,
+            scope: ListScope::Full,
             entries,
         });
     }
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -4,7 +4,7 @@
 mod class_settings;
 
 use crate::discovery::{EngineUpdate, ListChange};
-use garnetwall::api::{EndpointState, EngineSet};
+use garnetwall::api::{EndpointState, EngineSet, ListScope};
 use garnetwall_plan::model::{EngineFacts, Plan};
 use garnetwall_routing::{
     LimitExceeded, LimitKind, LimitPermit, Limits, Names, PoolMembers, RouteDecision, RoutedQuery,
@@ -195,10 +195,10 @@
         updates
     }
 
-    /// Applies a change of the endpoint list; a complete one removes the engines that it does not name. Returns the changes of
+    /// Applies a change of the endpoint list; a full one removes the engines that it does not name. Returns the changes of
     /// endpoint subsets.
     pub fn update_endpoints(&mut self, change: &ListChange) -> Vec<SubsetUpdate> {
-        if change.is_complete {
+        if change.scope == ListScope::Full {
             self.remove_unnamed_endpoints(&change.updates);
         }
         for update in &change.updates {
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// Applies a change of the endpoint list; a complete one removes the engines that it does not name.
+    /// Applies a change of the endpoint list; a full one removes the engines that it does not name.
     pub fn update_endpoints(&self, change: &ListChange) {
         let updates = change.updates.iter();
         let endpoints: Vec<_> = updates.map(|update| update.endpoint).collect();
         self.handle_event(|state, _| {
             let controller = &mut state.controller;
-            controller.update_endpoints(&endpoints, change.is_complete);
+            controller.update_endpoints(&endpoints, change.scope);
             if let Some(plan_router) = state.plan_router.as_mut() {
                 let updates = plan_router.update_endpoints(change);
                 state.update_endpoint_subsets(updates);
--- a/crates/gateway/tests/world/day.rs
+++ b/crates/gateway/tests/world/day.rs
@@ -3,7 +3,7 @@
 use super::figures::{DAY, STEP};
 use super::gateway::QueryRecord;
 use super::{seconds, InjectedBug, Rule, Simulation};
-use garnetwall::api::{Query, QueryId};
+use garnetwall::api::{ListScope, Query, QueryId};
 
 impl Simulation {
     fn query_arrives(&mut self, waiting: &mut Vec<(usize, Option<u64>, u64)>) {
@@ -64,7 +64,8 @@
                     let updated = self
                         .endpoint_at(engine, self.now)
                         .filter(|l| before != Some(l.state));
-                    self.controller.update_endpoints(updated.as_slice(), false);
+                    self.controller
+                        .update_endpoints(updated.as_slice(), ListScope::Delta);
                 }
                 applied_at = self.now;
                 let mut arrivals: Vec<_> = waiting.drain(..).enumerate().collect();
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -125,7 +125,7 @@
         let lines: Vec<Endpoint> = (0..world.processes.len())
             .filter_map(|e| world.endpoint_at(e, 0))
             .collect();
-        world.controller.update_endpoints(&lines, true);
+        world.controller.update_endpoints(&lines, ListScope::Full);
         world
     }
 }
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::fleet::injected_fault::InjectedFault;
 use crate::fleet::module_settings::module_settings;
 use crate::fleet::time::SimTime;
-use garnetwall::api::{AttemptEnd, Endpoint, EndpointState};
+use garnetwall::api::{AttemptEnd, Endpoint, EndpointState, ListScope};
 use garnetwall_subset::{Action, Change, EngineKey};
 use std::rc::Rc;
 
@@ -101,7 +101,8 @@
 impl Process {
     fn update_endpoints(&mut self, endpoints: &[Endpoint]) {
         if !endpoints.is_empty() {
-            self.controller.update_endpoints(endpoints, false);
+            self.controller
+                .update_endpoints(endpoints, ListScope::Delta);
         }
     }
 
--- a/crates/scale/src/real_processes/hollow_gateway.rs
+++ b/crates/scale/src/real_processes/hollow_gateway.rs
@@ -1,8 +1,8 @@
 //! One hollow gateway: the decision module alone, at the rate and with the list of a real one.
 
 use garnetwall::api::{
-    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, LoadReport, NextAction,
-    Placement, Query, Settings,
+    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, ListScope, LoadReport,
+    NextAction, Placement, Query, Settings,
 };
 use garnetwall::controller::AdmissionController;
 use garnetwall_subset::{Catalog, ListedEngine};
@@ -54,7 +54,7 @@
         seed: u64,
     ) -> GatewayMemory {
         let mut module = AdmissionController::new(settings.clone(), seed, 0.0);
-        module.update_endpoints(endpoints, true);
+        module.update_endpoints(endpoints, ListScope::Full);
         let _catalog = whole_list.map(|whole_list| {
             let mut catalog = Catalog::default();
             catalog.apply(whole_list, true);
--- a/crates/scale/src/slopes/roles/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -4,7 +4,7 @@
 use crate::slopes::role::RoleError;
 use crate::slopes::roles::pool::{self, PoolEngine};
 use crate::slopes::roles::subset::{changed, SettledSubset};
-use garnetwall::api::{Endpoint, EndpointState, EngineId};
+use garnetwall::api::{Endpoint, EndpointState, EngineId, ListScope};
 use garnetwall_subset::{Action, EngineKey};
 use std::collections::HashMap;
 
@@ -14,6 +14,12 @@
     subset: Option<Members>,
 }
 
+/// Endpoint updates for the module.
+pub struct EndpointUpdates {
+    pub endpoints: Vec<Endpoint>,
+    pub scope: ListScope,
+}
+
 /// A subset, and the module's indices of its members.
 struct Members {
     chosen: SettledSubset,
@@ -50,15 +56,21 @@
         }
     }
 
-    /// Applies the whole list again; returns the module's endpoint updates, and whether these are all endpoints.
-    pub fn again(&mut self) -> (Vec<Endpoint>, bool) {
+    /// Applies the whole list again, unchanged.
+    pub fn apply_whole_list_again(&mut self) -> EndpointUpdates {
         match self.subset.as_mut() {
-            None => (self.whole(), true),
+            None => EndpointUpdates {
+                endpoints: self.whole(),
+                scope: ListScope::Full,
+            },
             Some(members) => {
                 let actions = members
                     .chosen
                     .apply(&super::super::subset::listed_engines(self.engines), true);
-                (members.carry_out(&actions), false)
+                EndpointUpdates {
+                    endpoints: members.carry_out(&actions),
+                    scope: ListScope::Delta,
+                }
             }
         }
     }
--- a/crates/scale/src/slopes/roles/module/simulation.rs
+++ b/crates/scale/src/slopes/roles/module/simulation.rs
@@ -1,13 +1,14 @@
 //! Queries, answers and the module's timer, in simulated time. The simulation's own processor time is measured with the
 //! module's: a heap of the queries in flight, and a few random numbers a query.
 
-use super::engines::ListedEngines;
+use super::engines::{EndpointUpdates, ListedEngines};
 use super::workload::{query, THREADS};
 use crate::slopes::measurement::Point;
 use crate::slopes::quantities::Quantities;
 use crate::slopes::role::RoleError;
 use garnetwall::api::{
-    AttemptEnd, AttemptOutcome, EngineId, LoadReport, NextAction, Placement, QueryId, Settings,
+    AttemptEnd, AttemptOutcome, EngineId, ListScope, LoadReport, NextAction, Placement, QueryId,
+    Settings,
 };
 use garnetwall::controller::AdmissionController;
 use rand::rngs::SmallRng;
@@ -79,7 +80,7 @@
     pub fn new(point: &Point, settings: Settings, mut engines: ListedEngines) -> Self {
         let mut controller = AdmissionController::new(settings, point.seed, START_SECONDS);
         let endpoints = engines.whole();
-        controller.update_endpoints(&endpoints, true);
+        controller.update_endpoints(&endpoints, ListScope::Full);
         let mut simulation = Simulation {
             controller,
             engines,
@@ -144,15 +145,16 @@
 
     /// Applies the whole list again, unchanged.
     pub fn update_whole_list(&mut self) {
-        let (endpoints, whole) = self.engines.again();
-        self.controller.update_endpoints(&endpoints, whole);
+        let EndpointUpdates { endpoints, scope } = self.engines.apply_whole_list_again();
+        self.controller.update_endpoints(&endpoints, scope);
     }
 
     /// Changes one entry of the list.
     pub fn change_endpoint(&mut self, repeat: u64) {
         let endpoints = self.engines.change(repeat);
         if !endpoints.is_empty() {
-            self.controller.update_endpoints(&endpoints, false);
+            self.controller
+                .update_endpoints(&endpoints, ListScope::Delta);
         }
     }
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -194,6 +194,15 @@
     Removed,
 }
 
+/// Which endpoints a list names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListScope {
+    /// All there are: an engine that it does not name is removed.
+    Full,
+    /// Those that are new or have changed.
+    Delta,
+}
+
 /// An engine as the endpoint list describes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -135,7 +135,7 @@
 ///     state: EndpointState::Ready,
 ///     gateways: None,
 /// };
-/// controller.update_endpoints(&[endpoint], true);
+/// controller.update_endpoints(&[endpoint], ListScope::Full);
 /// let query = Query {
 ///     id: 0,
 ///     class: 0,
--- a/src/controller/endpoint_list.rs
+++ b/src/controller/endpoint_list.rs
@@ -4,7 +4,7 @@
 use super::engine_state::WorkBudget;
 use super::slow_start::gateways_of;
 use super::{AdmissionController, EngineState};
-use crate::api::{Endpoint, EndpointState, EngineId, EngineSet};
+use crate::api::{Endpoint, EndpointState, EngineId, EngineSet, ListScope};
 use std::collections::BTreeSet;
 
 /// Cores of an engine whose kind the settings do not know.
@@ -38,10 +38,9 @@
 }
 
 impl AdmissionController {
-    /// Takes in endpoints that are new or have changed. With `is_complete` the list names all there are, and engines
-    /// that it does not name are removed.
-    pub fn update_endpoints(&mut self, endpoints: &[Endpoint], is_complete: bool) {
-        if is_complete {
+    /// Takes in endpoints. Engines that a full list does not name are removed.
+    pub fn update_endpoints(&mut self, endpoints: &[Endpoint], scope: ListScope) {
+        if scope == ListScope::Full {
             self.remove_unlisted(endpoints);
         }
         for endpoint in endpoints {
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -148,7 +148,9 @@
             retries: Vec::new(),
             admissions: Vec::new(),
         };
-        world.controller.update_endpoints(&world.endpoints, true);
+        world
+            .controller
+            .update_endpoints(&world.endpoints, ListScope::Full);
         world
     }
 
@@ -213,7 +215,7 @@
         self.endpoints[engine].state = condition;
         self.endpoints[engine].started_at = started_at;
         self.controller
-            .update_endpoints(&[self.endpoints[engine]], false);
+            .update_endpoints(&[self.endpoints[engine]], ListScope::Delta);
     }
 
     /// Feeds the outcome of the attempt in flight, and checks what the module makes of it.
@@ -437,7 +439,9 @@
                     self.waits.push(span);
                     return span;
                 }
-                NextAction::Subscribe => self.controller.update_endpoints(&self.endpoints, true),
+                NextAction::Subscribe => self
+                    .controller
+                    .update_endpoints(&self.endpoints, ListScope::Full),
                 NextAction::HealthCheck(engine) => {
                     self.health_checks.push(engine);
                     self.controller
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -457,16 +457,20 @@
         engines.dedup();
         engines
     };
-    world.controller.update_endpoints(&lines, true);
+    world.controller.update_endpoints(&lines, ListScope::Full);
     assert_eq!(sent(&mut world), [4, 64, 700]);
-    world.controller.update_endpoints(&lines[1..2], true);
+    world
+        .controller
+        .update_endpoints(&lines[1..2], ListScope::Full);
     assert_eq!(sent(&mut world), [4]);
-    world.controller.update_endpoints(&lines[..1], false);
+    world
+        .controller
+        .update_endpoints(&lines[..1], ListScope::Delta);
     assert_eq!(sent(&mut world), [4, 700]);
     world.update_endpoint(4, EndpointState::Draining, None);
     world.update_endpoint(64, EndpointState::Ready, None);
     assert_eq!(sent(&mut world), [64, 700]);
-    world.controller.update_endpoints(&[], true);
+    world.controller.update_endpoints(&[], ListScope::Full);
     assert!(sent(&mut world).is_empty());
 }
 
--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -364,7 +364,7 @@
             .filter(there)
             .map(|e| day.line(e, started(e)))
             .collect();
-        c.update_endpoints(&lines, true);
+        c.update_endpoints(&lines, ListScope::Full);
         Gateway {
             c,
             rate,
@@ -384,7 +384,8 @@
             if !self.listed[e] && self.notified[e] <= now {
                 self.listed[e] = true;
                 if self.members.contains(&e) {
-                    self.c.update_endpoints(&[day.line(e, true)], false);
+                    self.c
+                        .update_endpoints(&[day.line(e, true)], ListScope::Delta);
                     due = true;
                 }
             }
