--- a/crates/scale/src/real_processes/clients.rs
+++ b/crates/scale/src/real_processes/clients.rs
@@ -320,7 +320,6 @@
 fn outcome(id: u64, answer: Result<Response<Bytes>, CallError>) -> Outcome {
     let answer = match answer {
         Ok(answer) => answer,
-        Err(CallError::Unconnected(_)) => return Outcome::ConnectionRefused,
         Err(error) => return Outcome::Lost(error.to_string()),
     };
     let Ok(json) = serde_json::from_slice::<Value>(answer.body()) else {
--- a/crates/scale/src/real_processes/http_client.rs
+++ b/crates/scale/src/real_processes/http_client.rs
@@ -5,6 +5,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
+use std::error::Error as StdError;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thiserror::Error;
@@ -19,26 +21,49 @@
 /// An HTTP/1 connection that requests are sent on.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// Why a call brought no whole answer.
+/// Why there is no connection.
 #[derive(Debug, Error)]
-pub enum CallError {
+pub enum ConnectError {
+    /// Not within [`CONNECT_TIMEOUT`].
+    #[error("not connected: no answer")]
+    TimedOut,
+    #[error("not connected: {0}")]
+    Connect(#[from] io::Error),
+    /// No HTTP connection could be set up on it.
     #[error("not connected: {0}")]
-    Unconnected(String),
+    Handshake(#[from] hyper::Error),
+}
+
+/// Where an exchange broke off.
+#[derive(Debug, Error)]
+pub enum CutShort {
+    /// Before the head of the answer was whole.
+    #[error(transparent)]
+    Head(#[from] hyper::Error),
+    /// In the answer's body, or it was longer than [`MAX_ANSWER_BYTES`].
+    #[error(transparent)]
+    Body(#[from] Box<dyn StdError + Send + Sync>),
+}
+
+/// Why a call on an open connection brought no whole answer.
+#[derive(Debug, Error)]
+pub enum CallError {
     #[error("no whole answer: {0}")]
-    CutShort(String),
+    CutShort(#[from] CutShort),
     #[error("no answer in time")]
     Silent,
 }
 
 /// Connects, and drives the connection in a task of its own.
-pub async fn connect(address: SocketAddr) -> Result<Connection, CallError> {
-    let unconnected = |cause: String| CallError::Unconnected(cause);
+///
+/// # Errors
+///
+/// The connection cannot be set up in time.
+pub async fn connect(address: SocketAddr) -> Result<Connection, ConnectError> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    let stream = stream.map_err(|_| unconnected("no answer".into()))?;
-    let stream = stream.map_err(|cause| unconnected(cause.to_string()))?;
+    let stream = stream.map_err(|_| ConnectError::TimedOut)??;
     let _ = stream.set_nodelay(true);
-    let connected = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = connected.map_err(|cause| unconnected(cause.to_string()))?;
+    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(async move {
         if let Err(cause) = connection.await {
             tracing::debug!(%cause, "client connection ended");
@@ -57,10 +82,10 @@
         let response = connection
             .send_request(request)
             .await
-            .map_err(|e| CallError::CutShort(e.to_string()))?;
+            .map_err(CutShort::Head)?;
         let (head, body) = response.into_parts();
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-        let body = body.map_err(|cause| CallError::CutShort(cause.to_string()))?;
+        let body = body.map_err(CutShort::Body)?;
         Ok(Response::from_parts(head, body.to_bytes()))
     };
     timeout(within, exchange)
--- a/crates/scale/src/real_processes/watchers.rs
+++ b/crates/scale/src/real_processes/watchers.rs
@@ -1,6 +1,6 @@
 //! Watchers: each follows the change log over a real connection and records only when it received which event.
 
-use super::http_client::CallError;
+use super::http_client::ConnectError;
 use super::observations::Recorder;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -69,7 +69,7 @@
 #[derive(Debug, Error)]
 enum WatchError {
     #[error(transparent)]
-    Connect(#[from] CallError),
+    Connect(#[from] ConnectError),
     #[error("no answer")]
     NoAnswer,
     #[error("silent")]
--- a/crates/scale/src/subset_comparison/compare.rs
+++ b/crates/scale/src/subset_comparison/compare.rs
@@ -4,7 +4,7 @@
 use super::experiment::{Experiment, Fleet};
 use super::fault_injection::{inject, Moment};
 use super::figure::Figure;
-use super::measure::{self, Distribution, Required};
+use super::measure::{self, Assigned, Distribution, Required};
 use super::population::{even_traffic, uneven_traffic, Change, Population};
 use super::report::Row;
 use super::strategies;
@@ -194,8 +194,15 @@
         figures: &mut Figures,
     ) {
         let change = Change::ALL[index];
-        let changed = &self.changed[index];
-        let moves = measure::moves((&self.population, before), (changed, after), required);
+        let before = Assigned {
+            population: &self.population,
+            assignment: before,
+        };
+        let after = Assigned {
+            population: &self.changed[index],
+            assignment: after,
+        };
+        let moves = measure::moves(before, after, required);
         figures.insert(Figure::Moved(change), moves.moved as f64);
         figures.insert(Figure::MovedShare(change), moves.share());
         figures.insert(Figure::MovedOverLeast(change), moves.over_least());
--- a/crates/scale/src/subset_comparison/measure.rs
+++ b/crates/scale/src/subset_comparison/measure.rs
@@ -126,25 +126,37 @@
     pub classes: Classes,
 }
 
+/// A population, and the engines that its gateways hold.
+#[derive(Clone, Copy)]
+pub struct Assigned<'a> {
+    pub population: &'a Population,
+    pub assignment: &'a Assignment,
+}
+
+impl<'a> Assigned<'a> {
+    /// Each gateway's number, and the engines that it holds.
+    fn held_by_gateway(self) -> impl Iterator<Item = (u32, &'a [u32])> {
+        let numbers = self
+            .population
+            .gateways
+            .iter()
+            .map(|gateway| gateway.number);
+        numbers.zip(self.assignment.held.iter().map(|held| &**held))
+    }
+}
+
 /// The moves of one change.
-pub fn moves(
-    before: (&Population, &Assignment),
-    after: (&Population, &Assignment),
-    required: &Required,
-) -> Moves {
-    let numbers = after.0.gateways.iter().map(|gateway| gateway.number);
-    let after_by_number: HashMap<u32, &[u32]> = numbers
-        .zip(after.1.held.iter().map(|held| &**held))
-        .collect();
-    let remaining = Remaining::new(before.0, after.0);
+pub fn moves(before: Assigned, after: Assigned, required: &Required) -> Moves {
+    let after_by_number: HashMap<u32, &[u32]> = after.held_by_gateway().collect();
+    let remaining = Remaining::new(before.population, after.population);
     let mut moves = Moves {
         moved: 0,
         least: 0,
         floor: 0,
         held: 0,
     };
-    for (gateway, held) in before.0.gateways.iter().zip(&before.1.held) {
-        let Some(held_after) = after_by_number.get(&gateway.number) else {
+    for (gateway, held) in before.held_by_gateway() {
+        let Some(held_after) = after_by_number.get(&gateway) else {
             continue;
         };
         moves.held += held.len();
--- a/crates/scale/src/subset_comparison/measure/tests.rs
+++ b/crates/scale/src/subset_comparison/measure/tests.rs
@@ -46,6 +46,13 @@
     }
 }
 
+fn assigned<'a>(population: &'a Population, assignment: &'a Assignment) -> Assigned<'a> {
+    Assigned {
+        population,
+        assignment,
+    }
+}
+
 #[test]
 fn a_distribution_ranks_its_values() {
     let distribution = Distribution::of((1..=200).rev().map(f64::from).collect());
@@ -100,8 +107,8 @@
     let held = assignment(&[&[0, 2], &[2, 3]]);
     let no_floor = required(2, 0);
     let best = moves(
-        (&before, &held),
-        (&after, &assignment(&[&[2, 3], &[2, 3]])),
+        assigned(&before, &held),
+        assigned(&after, &assignment(&[&[2, 3], &[2, 3]])),
         &no_floor,
     );
     assert_eq!(
@@ -114,8 +121,8 @@
         }
     );
     let needless = moves(
-        (&before, &held),
-        (&after, &assignment(&[&[1, 3], &[1, 2]])),
+        assigned(&before, &held),
+        assigned(&after, &assignment(&[&[1, 3], &[1, 2]])),
         &no_floor,
     );
     assert_eq!(
@@ -130,8 +137,8 @@
     // The second gateway lacks one of kind 0, whatever its size.
     let with_floor = required(2, 1);
     let moves = moves(
-        (&before, &held),
-        (&after, &assignment(&[&[1, 2], &[1, 2, 3]])),
+        assigned(&before, &held),
+        assigned(&after, &assignment(&[&[1, 2], &[1, 2, 3]])),
         &with_floor,
     );
     assert_eq!(
@@ -150,7 +157,11 @@
     let (before, after) = (population(&[0, 1, 2, 3], 1), population(&[1, 2, 3], 1));
     let required = required(1, 0);
     let (held, held_after) = (assignment(&[&[0, 2]]), assignment(&[&[2, 3]]));
-    let moves = moves((&before, &held), (&after, &held_after), &required);
+    let moves = moves(
+        assigned(&before, &held),
+        assigned(&after, &held_after),
+        &required,
+    );
     assert_eq!(
         moves,
         Moves {
@@ -168,8 +179,8 @@
     let (before, after) = (population(&[0, 1], 2), population(&[0, 1], 1));
     let required = required(1, 0);
     let moves = moves(
-        (&before, &assignment(&[&[0], &[1]])),
-        (&after, &assignment(&[&[0]])),
+        assigned(&before, &assignment(&[&[0], &[1]])),
+        assigned(&after, &assignment(&[&[0]])),
         &required,
     );
     assert_eq!(
