--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -36,9 +36,9 @@
 fn a_full_list_is_decoded() {
     let event = decoded(&event_with(entry())).unwrap();
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
-    let (id, started_at_unix) = ("e\u{e9}\"1".to_string(), Some(1.5));
+    let (name, started_at_unix) = ("e\u{e9}\"1".to_string(), Some(1.5));
     let entry = EngineEntry {
-        name: id,
+        name,
         address,
         zone: 1,
         kind: 1,
@@ -145,7 +145,7 @@
     );
     let entry = &event.entries[0];
     assert_eq!(
-        (&*entry.name: id, entry.zone, entry.state),
+        (&*entry.name, entry.zone, entry.state),
         ("b", 0, EndpointState::Draining)
     );
 }
--- a/crates/gateway/src/discovery/list/engine_table/tests.rs
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -2,10 +2,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn entry(id: &str, state: EndpointState) -> EngineEntry {
+fn entry(name: &str, state: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineEntry {
-        name: id.into(),
+        name: name.into(),
         address,
         zone: 0,
         kind: 0,
@@ -127,9 +127,9 @@
         for (is_full, entries, wait) in events {
             let scope = if is_full { ListScope::Full } else { ListScope::Delta };
             now += Duration::from_secs(wait);
-            let conditions = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+            let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
             let entries: Vec<EngineEntry> =
-                entries.iter().map(|(id, c)| entry(&id.to_string(), conditions[*c as usize])).collect();
+                entries.iter().map(|(name, state)| entry(&name.to_string(), states[*state as usize])).collect();
             let expected = plain.apply(&entries, scope, now);
             let updates = table.apply(entries, scope, now);
             let updates: Vec<_> = updates.iter().map(|update| (update.endpoint.engine, update.endpoint.state)).collect();
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::discovery::event::EngineEntry;
 
-fn entry(id: &str, state: EndpointState) -> EngineEntry {
+fn entry(name: &str, state: EndpointState) -> EngineEntry {
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     EngineEntry {
-        name: id.into(),
+        name: name.into(),
         address,
         zone: 0,
         kind: 0,
@@ -18,8 +18,8 @@
 #[test]
 fn without_a_subset_updates_are_what_the_log_reported() {
     let list = EngineList::new(Duration::from_secs(20), Clock::start(), None);
-    let ready = |id: &str| entry(id, EndpointState::Ready);
-    let removed = |id: &str| entry(id, EndpointState::Removed);
+    let ready = |name: &str| entry(name, EndpointState::Ready);
+    let removed = |name: &str| entry(name, EndpointState::Removed);
     for (scope, entries, engines) in [
         (
             ListScope::Full,
@@ -82,9 +82,9 @@
         let clock = Clock::start();
         let list = EngineList::new(Duration::from_secs(20), clock, None);
         let now = clock.now();
-        let started = |id: &str, ago: f64| EngineEntry {
+        let started = |name: &str, ago: f64| EngineEntry {
             started_at_unix: Some(now + off - ago),
-            ..entry(id, EndpointState::Ready)
+            ..entry(name, EndpointState::Ready)
         };
         let entries = vec![
             started("new", 0.0),
