--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -38,7 +38,7 @@
         self.catalog.engines().map(change).collect()
     }
 
-    fn apply(&mut self, updates: &[EndpointUpdate]) -> (Vec<Change>, Vec<EngineKey>) {
+    fn apply(&mut self, updates: &[EndpointUpdate]) -> ListChange {
         let mut restarted = Vec::new();
         for update in updates {
             let known = self.started.len().max(update.engine + 1);
@@ -59,10 +59,17 @@
                 self.engine_of_key.insert(key, update.engine);
             }
         }
-        (changes, restarted)
+        ListChange { changes, restarted }
     }
 }
 
+/// What updates change in the list.
+struct ListChange {
+    changes: Vec<Change>,
+    /// Engines that were in the list and whose process was started again.
+    restarted: Vec<EngineKey>,
+}
+
 /// The id of an engine in the endpoint list.
 pub fn engine_id(engine: usize) -> String {
     format!("engine-{engine:05}")
@@ -123,7 +130,7 @@
             std::mem::take(&mut self.pending).into_values().collect();
         let before = &self.entries[self.latest()];
         let (mut list, configuration) = (ListState::clone(&before.list), before.configuration);
-        let (changes, restarted) = list.apply(&updates);
+        let ListChange { changes, restarted } = list.apply(&updates);
         self.entries.push(Entry {
             changes,
             restarted,
--- a/crates/scale/src/real_processes/experiment.rs
+++ b/crates/scale/src/real_processes/experiment.rs
@@ -221,28 +221,37 @@
         for (index, event) in self.events.iter().enumerate() {
             let place = |key: &str| format!("events.{index}.{key}");
             within(&place("at"), event.at_seconds, 0.0, self.seconds)?;
-            let (key, found, most) = event.action.bounded_number(self);
-            within(&place(key), found as f64, 0.0, most as f64)?;
+            let BoundedNumber { key, value, most } = event.action.bounded_number(self);
+            within(&place(key), value as f64, 0.0, most as f64)?;
         }
         Ok(())
     }
 }
 
+/// The number that an action names, under `key`, and the most that it may be.
+struct BoundedNumber {
+    key: &'static str,
+    value: usize,
+    most: usize,
+}
+
 impl Action {
-    /// The number that it names, and the most that there is.
-    fn bounded_number(&self, experiment: &Experiment) -> (&'static str, usize, usize) {
+    fn bounded_number(&self, experiment: &Experiment) -> BoundedNumber {
+        let bounded = |key, value, most| BoundedNumber { key, value, most };
         match *self {
             Action::EnginesKilled { count, .. }
             | Action::EnginesDrained { count, .. }
             | Action::EnginesReplaced { count }
-            | Action::EnginesRestarted { count, .. } => ("count", count, experiment.engines),
-            Action::ChangesBurst { count, .. } => ("count", count, 10_000),
+            | Action::EnginesRestarted { count, .. } => bounded("count", count, experiment.engines),
+            Action::ChangesBurst { count, .. } => bounded("count", count, 10_000),
             Action::ZoneLost { zone, .. } | Action::ZoneBack { zone } => {
-                ("zone", zone, experiment.zones - 1)
+                bounded("zone", zone, experiment.zones - 1)
             }
             Action::GatewayReloaded { gateway }
             | Action::GatewayTerminated { gateway }
-            | Action::GatewayKilled { gateway } => ("gateway", gateway, experiment.gateways - 1),
+            | Action::GatewayKilled { gateway } => {
+                bounded("gateway", gateway, experiment.gateways - 1)
+            }
         }
     }
 }
--- a/crates/scale/src/real_processes/http_client.rs
+++ b/crates/scale/src/real_processes/http_client.rs
@@ -51,7 +51,7 @@
     #[error("no whole answer: {0}")]
     CutShort(#[from] CutShort),
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
 }
 
 /// Connects, and drives the connection in a task of its own.
@@ -90,7 +90,7 @@
     };
     timeout(within, exchange)
         .await
-        .unwrap_or(Err(CallError::Silent))
+        .unwrap_or(Err(CallError::TimedOut))
 }
 
 /// A call without a body; its fields never fail to build.
--- a/crates/scale/src/slopes/regression.rs
+++ b/crates/scale/src/slopes/regression.rs
@@ -69,7 +69,7 @@
         let logarithms: Vec<(f64, f64)> = samples.iter().flat_map(logarithms).collect();
         let power = least_squares(&logarithms);
         let exponent_error = power.slope_error(&logarithms);
-        let (last_exponent, last_least) = last_exponents(samples);
+        let last_exponents = LastExponents::new(samples);
         // One run of a size has no spread to be beyond.
         let repeated = samples.iter().all(|sample| sample.values.len() > 1);
         Regression {
@@ -78,9 +78,9 @@
             residual: linear.largest_residual / largest,
             exponent: power.slope,
             exponent_error,
-            last_exponent,
+            last_exponent: last_exponents.by_medians,
             superlinear: power.slope - STANDARD_ERRORS * exponent_error > MAX_LINEAR_EXPONENT
-                || last_least > MAX_LINEAR_EXPONENT && repeated,
+                || last_exponents.least > MAX_LINEAR_EXPONENT && repeated,
             last: medians.last().copied().unwrap_or((1.0, 0.0)),
         }
     }
@@ -122,20 +122,33 @@
     }
 }
 
-/// The exponent between the two largest sizes by the medians, and the least that the spread allows.
-fn last_exponents(samples: &[Sample]) -> (f64, f64) {
-    let [.., before, last] = samples else {
-        return (f64::NAN, f64::NAN);
+/// Exponents between the two largest sizes; not numbers where a value has no logarithm.
+struct LastExponents {
+    by_medians: f64,
+    /// The least that the spread of the values allows.
+    least: f64,
+}
+
+impl LastExponents {
+    const NONE: LastExponents = LastExponents {
+        by_medians: f64::NAN,
+        least: f64::NAN,
     };
-    if samples.iter().any(|sample| sample.least() <= 0.0) {
-        return (f64::NAN, f64::NAN);
+
+    fn new(samples: &[Sample]) -> Self {
+        let [.., before, last] = samples else {
+            return LastExponents::NONE;
+        };
+        if samples.iter().any(|sample| sample.least() <= 0.0) {
+            return LastExponents::NONE;
+        }
+        let steps = (last.size / before.size).ln();
+        let exponent = |above: f64, below: f64| (logarithm(above) - logarithm(below)) / steps;
+        LastExponents {
+            by_medians: exponent(last.median(), before.median()),
+            least: exponent(last.least(), before.most()),
+        }
     }
-    let steps = (last.size / before.size).ln();
-    let exponent = |above: f64, below: f64| (logarithm(above) - logarithm(below)) / steps;
-    (
-        exponent(last.median(), before.median()),
-        exponent(last.least(), before.most()),
-    )
 }
 
 #[cfg(test)]
