--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -202,11 +202,11 @@
         "{load}"
     );
     assert!(
-        load.contains("passed over: route `night-watch`") && load.contains("by its `key`"),
+        load.contains("does not match: route `night-watch`") && load.contains("by its `key`"),
         "{load}"
     );
     assert!(explain(&["--group", "load", "--key", "1"])
-        .contains("pushed back: loads with a key are closed"));
+        .contains("rejected: loads with a key are closed"));
 }
 
 #[test]
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -100,7 +100,7 @@
             .label("this leaves the binding")
             .related(binding.clone(), format!("`{}` is bound here", class.name))
             .help(format!(
-                "take `{}` with an earlier route, or leave `{pool}` out",
+                "match `{}` by an earlier route, or leave `{pool}` out",
                 class.name
             ))
     }
@@ -171,7 +171,7 @@
     Diagnostic::new(placed.pools_span.clone(), text)
         .label("this leaves the binding")
         .help(format!(
-            "the settings bind `{}` to {}; take it with an earlier route",
+            "the settings bind `{}` to {}; match it by an earlier route",
             class.name,
             bound.join(" and ")
         ))
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -37,9 +37,9 @@
                 .push(match regions[..index].iter().position(covers) {
                     Some(earlier) => diagnostic.related(
                         self.plan.routes[earlier].span.clone(),
-                        "this one takes all that it asks for",
+                        "this one matches all its queries",
                     ),
-                    None => diagnostic.label("earlier routes together take all that it asks for"),
+                    None => diagnostic.label("earlier routes together match all its queries"),
                 });
         }
     }
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -43,8 +43,11 @@
         }
         let destination = block.entry("to").or(block.entry("as"));
         if let (Some(refuse), Some(destination)) = (block.entry("refuse"), destination) {
-            let diagnostic = Diagnostic::new(refuse.span.clone(), "what is refused goes nowhere");
-            let text = "and this says where it goes";
+            let diagnostic = Diagnostic::new(
+                refuse.span.clone(),
+                "a route that rejects queries has no destination",
+            );
+            let text = "this names a destination";
             self.diagnostics
                 .push(diagnostic.related(destination.span.clone(), text));
         }
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -219,7 +219,7 @@
 
 fn in_words(plan: &Plan, route: usize, decision: &Decision) -> String {
     let class = match decision {
-        Decision::Rejected { reason } => return format!("refused, \"{reason}\""),
+        Decision::Rejected { reason } => return format!("rejected, \"{reason}\""),
         Decision::Routed { class, .. } => class,
     };
     let route = plan.routes.get(route);
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -44,7 +44,7 @@
         match route.map(|index| &plan.routes[index]) {
             None => writeln!(
                 self.out,
-                "no route takes it: every engine is open to it that its group's rules leave"
+                "no route matches: any engine may run it that the rules of its query class allow"
             )?,
             Some(route) => {
                 self.write_route(route)?;
@@ -72,7 +72,7 @@
         let time = time_of_day(query.minute_of_day);
         writeln!(
             self.out,
-            "a batch of `{}` for `{}` from {}, {key}, on data set {}, at {time} UTC",
+            "a query of class `{}` for tenant `{}` from {}, {key}, on data set {}, at {time} UTC",
             query.class, query.tenant, query.client, query.data_set
         )
     }
@@ -88,7 +88,7 @@
             let name = &route.name;
             writeln!(
                 self.out,
-                "  passed over: route `{name}` ({place}), by its `{unmet}`"
+                "  does not match: route `{name}` ({place}), by its `{unmet}`"
             )?;
         }
         match routes.len().saturating_sub(MAX_PRINTED_MISMATCHES) {
@@ -100,9 +100,9 @@
     fn write_route(&mut self, route: &Route) -> Result {
         let plan = &self.compiled.plan;
         let place = self.location(&route.span);
-        writeln!(self.out, "route `{}` ({place}) takes it", route.name)?;
+        writeln!(self.out, "route `{}` ({place}) matches", route.name)?;
         if let Some(reason) = &route.reject_reason {
-            return writeln!(self.out, "it is pushed back: {reason}");
+            return writeln!(self.out, "it is rejected: {reason}");
         }
         if let Some(class) = &route.as_class {
             writeln!(self.out, "it is treated as `{class}`")?;
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -35,7 +35,7 @@
         let partial = Dimension::ALL.into_iter().filter(is_partial);
         let words: Vec<String> = partial.map(describe).collect();
         match words.is_empty() {
-            true => "every batch".to_string(),
+            true => "every query".to_string(),
             false => words.join(", "),
         }
     }
