--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -13,7 +13,7 @@
 use std::net::IpAddr;
 
 pub use classes::{ClassRules, DeduplicationScope, Idempotency, RETRY_FLOOR, RETRY_WINDOW_SECONDS};
-pub use limits::{Bucket, Limit, Per, Tenant};
+pub use limits::{Bucket, Limit, LimitScope, Per, Tenant};
 pub use routes::Route;
 pub use sets::{fits_pattern, AddressSet, Pool};
 pub use storage::{Bodies, Journal};
--- a/crates/plan/src/model/limits.rs
+++ b/crates/plan/src/model/limits.rs
@@ -2,6 +2,7 @@
 
 use super::routes::{is_client, is_named};
 use super::{AddressSet, QueryFacts};
+use crate::address::{self, AddressRanges};
 use crate::files::Span;
 use serde::Serialize;
 
@@ -81,4 +82,42 @@
             && is_named(&self.tenants, query.tenant)
             && is_client(&self.clients, query, sets)
     }
+
+    /// Which queries the limit counts, and by what. `sets` are the plan's address sets.
+    pub fn scope(&self, sets: &[AddressSet]) -> LimitScope {
+        let sets = self.clients.iter().map(|set| &sets[*set]);
+        let ranges = sets.flat_map(|set| set.ranges.iter().copied());
+        LimitScope {
+            per: self.per.clone(),
+            classes: sorted(&self.classes),
+            tenants: sorted(&self.tenants),
+            clients: address::union(ranges.collect()),
+        }
+    }
+}
+
+/// Which queries a limit counts, and by what. It does not depend on the order of names in a plan, nor on the names of
+/// address sets, so that limits of two plans can be compared.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LimitScope {
+    per: Vec<Per>,
+    /// In alphabetic order, as often as the plan lists them.
+    classes: Vec<String>,
+    tenants: Vec<String>,
+    clients: AddressRanges,
+}
+
+impl LimitScope {
+    /// The scope with each name once: a name that a plan repeats does not change which queries are counted.
+    pub fn without_repeated_names(mut self) -> LimitScope {
+        self.classes.dedup();
+        self.tenants.dedup();
+        self
+    }
+}
+
+fn sorted(names: &[String]) -> Vec<String> {
+    let mut sorted = names.to_vec();
+    sorted.sort_unstable();
+    sorted
 }
--- a/crates/routing/src/limits/compile.rs
+++ b/crates/routing/src/limits/compile.rs
@@ -1,9 +1,9 @@
 //! Compiles the limits of a plan and the shares of its tenants to rules.
 
-use super::rule::LimitRule;
+use super::rule::{LimitRule, RuleScope};
 use super::state::LimitState;
 use crate::routing::Routing;
-use garnetwall_plan::model::{Limit, Plan, Tenant};
+use garnetwall_plan::model::{Limit, Tenant};
 
 /// The limits of a plan, then the shares and limits of its tenants. `capacity` is the number of queries that this gateway can hold.
 pub(super) fn limit_rules(routing: &Routing, capacity: f64) -> Vec<LimitRule> {
@@ -23,7 +23,7 @@
     let names = routing.names();
     LimitRule {
         name: limit.name.clone(),
-        scope: scope_of(routing.plan(), limit),
+        scope: RuleScope::Limit(limit.scope(&routing.plan().addresses)),
         per: limit.per.clone(),
         classes: indices(&names.classes, &limit.classes),
         tenants: indices(&names.tenants, &limit.tenants),
@@ -47,7 +47,7 @@
         .filter(|n| n.is_finite());
     LimitRule {
         name: tenant.name.clone(),
-        scope: "tenant".to_string(),
+        scope: RuleScope::Tenant,
         per: Vec::new(),
         classes: Vec::new(),
         tenants: indices(&routing.names().tenants, std::slice::from_ref(&tenant.name)),
@@ -59,22 +59,6 @@
     }
 }
 
-/// What a limit counts, as text that does not depend on the order in which the plan lists it.
-fn scope_of(plan: &Plan, limit: &Limit) -> String {
-    let sorted = |list: &[String]| {
-        let mut list = list.to_vec();
-        list.sort_unstable();
-        list
-    };
-    let ranges = limit
-        .clients
-        .iter()
-        .flat_map(|set| plan.addresses[*set].ranges.clone());
-    let ranges = garnetwall_plan::address::union(ranges.collect());
-    let (classes, tenants) = (sorted(&limit.classes), sorted(&limit.tenants));
-    format!("{:?} {classes:?} {tenants:?} {ranges:?}", limit.per)
-}
-
 /// The indices of some names among all; unknown names are left out.
 fn indices(all: &[String], names: &[String]) -> Vec<usize> {
     names
--- a/crates/routing/src/limits/rule.rs
+++ b/crates/routing/src/limits/rule.rs
@@ -5,18 +5,27 @@
 use super::sketch::Usage;
 use super::state::{LimitKey, LimitState, Slot};
 use crate::query::RoutedQuery;
-use garnetwall_plan::model::{Bucket, Per};
+use garnetwall_plan::model::{Bucket, LimitScope, Per};
 use std::time::Duration;
 
 /// Weight of one query in the mean time in flight.
 const TIME_IN_FLIGHT_WEIGHT: f64 = 0.05;
 
+/// Which queries a rule counts, so that it can be found again in another plan.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) enum RuleScope {
+    /// Those that a limit of the plan counts.
+    Limit(LimitScope),
+    /// Those of the tenant that has the rule's name.
+    Tenant,
+}
+
 /// One limit: which queries it counts, how many it admits, and what it has counted.
 #[derive(Debug)]
 pub(super) struct LimitRule {
     pub(super) name: String,
-    /// What it counts, as text: where that stays in another plan, so does the state.
-    pub(super) scope: String,
+    /// What it counts: where name and scope stay in another plan, so does the state.
+    pub(super) scope: RuleScope,
     pub(super) per: Vec<Per>,
     /// By the settings' index; all where empty.
     pub(super) classes: Vec<usize>,
