--- a/crates/routing/src/zones.rs
+++ b/crates/routing/src/zones.rs
@@ -51,12 +51,14 @@
         self.zones[zone].update_capacity(now, capacity, load_of_others);
     }
 
-    /// An attempt of so much work, in core seconds, was sent to a zone.
+    /// An attempt of so much work, in core seconds, was sent to a zone. The work in flight has no influence on shares; only
+    /// `Debug` shows it.
     pub fn attempt_begun(&mut self, zone: usize, work: f64) {
         self.zones[zone].attempt_begun(work);
     }
 
-    /// It ended there.
+    /// An attempt ended there. `work` is what [`attempt_begun`](Zones::attempt_begun) was given; `outcome` decides on the
+    /// zone's health.
     pub fn attempt_ended(&mut self, now: f64, zone: usize, work: f64, outcome: ZoneOutcome) {
         self.zones[zone].attempt_ended(now, work, outcome);
     }
--- a/crates/routing/src/zones/zone.rs
+++ b/crates/routing/src/zones/zone.rs
@@ -82,7 +82,8 @@
     /// Work that ended well in this round of its recovery.
     carried_work: f64,
     round_started_at: f64,
-    /// Work of our attempts in flight there.
+    /// Work of our attempts in flight there, in core seconds, as callers report it. No decision reads it: only `Debug`
+    /// shows it.
     work_in_flight: f64,
     /// How often it was lost, older losses counting less.
     recent_losses: f64,
