--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -34,9 +34,9 @@
     /// The command line is wrong.
     #[error(transparent)]
     Usage(#[from] UsageError),
-    /// The plan is faulty; the text shows each fault with its place.
+    /// The plan does not compile; the text shows each error with its place.
     #[error("{0}")]
-    FaultyPlan(String),
+    InvalidPlan(String),
     /// A file of settings cannot be used.
     #[error("garnetwall: {0}\n")]
     Settings(#[from] ConfigError),
@@ -75,7 +75,7 @@
 
 impl From<InvalidPlan> for PlanCommandError {
     fn from(invalid: InvalidPlan) -> Self {
-        PlanCommandError::FaultyPlan(invalid.to_string())
+        PlanCommandError::InvalidPlan(invalid.to_string())
     }
 }
 
@@ -200,7 +200,7 @@
     let Ok(formatted) = format::format(&text) else {
         // Reading the plan as a whole finds the errors with their places.
         let source = garnetwall_plan::source::read(&Disk, &file);
-        return Err(PlanCommandError::FaultyPlan(diagnostic::render(
+        return Err(PlanCommandError::InvalidPlan(diagnostic::render(
             &source.files,
             &source.diagnostics,
         )));
