--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -165,7 +165,7 @@
                 let _ = reload.send(config);
             }
             Err(error) => {
-                // As a quoted field: the text of a faulty plan has several lines.
+                // As a quoted field: the text of an invalid plan has several lines.
                 let error = error.to_string();
                 tracing::error!(error, "configuration not reloaded, the old one stays");
             }
--- a/crates/gateway/src/configuration/error.rs
+++ b/crates/gateway/src/configuration/error.rs
@@ -47,11 +47,11 @@
         fault: SettingsError,
     },
     /// The plan does not compile.
-    #[error("plan {file} is faulty\n{what}")]
+    #[error("invalid plan {file}\n{what}")]
     Plan {
         /// The file as it was named.
         file: String,
-        /// Every fault with its place, as `plan check` prints it.
+        /// Every error with its place, as `plan check` prints it.
         what: String,
     },
     /// The plan gives bodies more memory than the gateway may use for them.
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -24,7 +24,7 @@
   plan fmt [--check] FILE             write a file of a plan in its one form; with --check only say whether it is
   plan diff OLD NEW [--json]          what the second does otherwise
   plan explain FILE --group G [--tenant T] [--client ADDRESS] [--key K] [--data-set N] [--at HH:MM] [--settings JSON]
-                                      which route, pools and limits apply to a batch, and why
+                                      which route, pools and limits apply to a query, and why
   plan show FILE [--settings JSON]    a plan as it was understood, as JSON
 ";
 
@@ -183,7 +183,7 @@
     expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
     Ok(Output::success(format!(
-        "{file} is good: {} routes, {} pools, {} limits, rules of {} groups and {} tenants\n",
+        "{file} is good: {} routes, {} pools, {} limits, rules of {} query classes and {} tenants\n",
         plan.routes.len(),
         plan.pools.len(),
         plan.limits.len(),
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -668,7 +668,7 @@
   plan fmt [--check] FILE             write a file of a plan in its one form; with --check only say whether it is
   plan diff OLD NEW [--json]          what the second does otherwise
   plan explain FILE --group G [--tenant T] [--client ADDRESS] [--key K] [--data-set N] [--at HH:MM] [--settings JSON]
-                                      which route, pools and limits apply to a batch, and why
+                                      which route, pools and limits apply to a query, and why
   plan show FILE [--settings JSON]    a plan as it was understood, as JSON
 
 Options:
@@ -705,7 +705,7 @@
     let (code, said) = ended(check().env("GARNETWALL_PLAN", "/nowhere/a.plan"));
     assert_eq!(code, Some(1));
     assert!(
-        said.starts_with("garnetwall: plan /nowhere/a.plan is faulty\n"),
+        said.starts_with("garnetwall: invalid plan /nowhere/a.plan\n"),
         "{said}"
     );
     let log = |level: &str| {
