--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -3,7 +3,7 @@
 use super::constants::Constants;
 use super::values::ValueReader;
 use super::{CheckedBlock, CheckedEntry, Spanned};
-use crate::diagnostic::{shown, Diagnostic};
+use crate::diagnostic::{truncated, Diagnostic};
 use crate::files::Span;
 use crate::quantity::{self, ValueKind};
 use crate::schema::{self, BlockKind, EntryKind};
@@ -70,7 +70,11 @@
     fn check_entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
         let name = &entry.name;
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.is_quoted) else {
-            let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
+            let text = format!(
+                "a {} has no entry `{}`",
+                block.kind.name,
+                truncated(&name.text)
+            );
             let names = block.kind.entries.iter().map(|e| e.name);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
             self.diagnostics
@@ -119,7 +123,7 @@
 fn block_kind(block: &Block) -> Result<&'static BlockKind, Diagnostic> {
     let word = &block.kind;
     schema::block(&word.text).ok_or_else(|| {
-        let text = format!("there is no block of the kind `{}`", shown(&word.text));
+        let text = format!("there is no block of the kind `{}`", truncated(&word.text));
         let names = schema::BLOCKS.iter().map(|kind| kind.name);
         Diagnostic::new(word.span.clone(), text).suggest_nearest(&word.text, names)
     })
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -1,6 +1,6 @@
 //! Constants of a plan, and their replacement by values.
 
-use crate::diagnostic::{shown, Diagnostic};
+use crate::diagnostic::{truncated, Diagnostic};
 use crate::files::Span;
 use crate::quantity;
 use crate::syntax::{Part, Word};
@@ -44,7 +44,7 @@
         span: &Span,
     ) -> Result<(), Diagnostic> {
         if !quantity::is_name(&name.text) || name.is_quoted {
-            let text = format!("`{}` is no name for a constant", shown(&name.text));
+            let text = format!("`{}` is no name for a constant", truncated(&name.text));
             return Err(Diagnostic::new(name.span.clone(), text));
         }
         let [values] = parts else {
@@ -107,7 +107,7 @@
     fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
         let constants = &self.constants.by_name;
         let Some(constant) = constants.get(name) else {
-            let text = format!("there is no constant `{}`", shown(name));
+            let text = format!("there is no constant `{}`", truncated(name));
             let diagnostic = Diagnostic::new(used.span.clone(), text);
             return Err(diagnostic.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
@@ -116,7 +116,7 @@
             Err(diagnostic.related(constant.span.clone(), "the constant"))
         };
         if depth >= MAX_DEPTH {
-            let name = shown(name);
+            let name = truncated(name);
             return error(format!(
                 "the constant `{name}` needs itself, or {MAX_DEPTH} others"
             ));
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -2,7 +2,7 @@
 
 use super::constants::{Constants, ExpandedWord};
 use super::Spanned;
-use crate::diagnostic::{shown, Diagnostic};
+use crate::diagnostic::{truncated, Diagnostic};
 use crate::quantity::{self, Value, ValueKind};
 use crate::schema::{self, EntryKind, Shape};
 use crate::syntax::{Part, Word};
@@ -118,7 +118,7 @@
         }
         let text = format!(
             "`{}` is none of {} for `{}`",
-            shown(&word.text),
+            truncated(&word.text),
             choices.join(", "),
             self.entry.name
         );
@@ -132,7 +132,7 @@
             return Some(Vec::new());
         };
         let name = self.entry.name;
-        let word = shown(&first.word.text);
+        let word = truncated(&first.word.text);
         let text = match self.entry.example {
             "" => format!("`{name}` stands alone; `{word}` is too much"),
             example => format!("`{word}` is too much; `{name}` is as in `{name} {example}`"),
@@ -154,7 +154,7 @@
                 let text = format!(
                     "`{}` has one value; `{}` is too much",
                     self.entry.name,
-                    shown(&second.word.text)
+                    truncated(&second.word.text)
                 );
                 self.fail_at(second, text)
             }
@@ -171,7 +171,7 @@
             return self.fail_missing();
         };
         if let Some(next) = more.iter().flatten().next() {
-            let text = format!("a comma is missing before `{}`", shown(&next.word.text));
+            let text = format!("a comma is missing before `{}`", truncated(&next.word.text));
             return self.fail_at(next, text);
         }
         let values: Vec<Option<Spanned>> = list.iter().map(|word| read(self, word)).collect();
@@ -228,7 +228,7 @@
                 self.fail(diagnostic.help("effect referenced zone 30s"))
             }
             (word, [next, ..]) => {
-                let next_word = shown(&next.word.text);
+                let next_word = truncated(&next.word.text);
                 let text = format!("`{next_word}` is too much; `{word}` stands alone");
                 self.fail_at(next, text)
             }
--- a/crates/plan/src/diagnostic.rs
+++ b/crates/plan/src/diagnostic.rs
@@ -85,7 +85,7 @@
 }
 
 /// A word as messages show it, cut where it is very long.
-pub fn shown(word: &str) -> String {
+pub fn truncated(word: &str) -> String {
     match word.char_indices().nth(MAX_WORD_CHARS) {
         Some((end, _)) => format!("{}...", &word[..end]),
         None => word.to_string(),
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -7,8 +7,8 @@
 
 /// The limits of one plan that the other does not have, paired by name.
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
-    let removed = others(old, &meanings(new));
-    let added = others(new, &meanings(old));
+    let removed = unmatched(old, &meanings(new));
+    let added = unmatched(new, &meanings(old));
     let names: BTreeSet<&str> = removed.keys().chain(added.keys()).copied().collect();
     let mut changes = Vec::new();
     for name in names {
@@ -56,10 +56,12 @@
 }
 
 /// The limits of a plan that mean something else than those of the other plan, by name.
-fn others<'a>(plan: &'a Plan, meanings: &BTreeSet<Meaning>) -> BTreeMap<&'a str, &'a Limit> {
-    let is_other = |limit: &&Limit| !meanings.contains(&Meaning::of(plan, limit));
-    let others = plan.limits.iter().filter(is_other);
-    others.map(|limit| (limit.name.as_str(), limit)).collect()
+fn unmatched<'a>(plan: &'a Plan, meanings: &BTreeSet<Meaning>) -> BTreeMap<&'a str, &'a Limit> {
+    let is_unmatched = |limit: &&Limit| !meanings.contains(&Meaning::of(plan, limit));
+    let unmatched = plan.limits.iter().filter(is_unmatched);
+    unmatched
+        .map(|limit| (limit.name.as_str(), limit))
+        .collect()
 }
 
 fn scope(plan: &Plan, limit: &Limit) -> LimitScope {
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -122,12 +122,13 @@
         for old_route in 0..self.old.reach.len() {
             for new_route in 0..self.new.reach.len() {
                 for piece in self.common_pieces(old_route, new_route) {
-                    for class in piece[Dimension::QueryClass.index()].ones() {
-                        let Some(difference) = self.difference(old_route, new_route, class) else {
+                    for value_class in piece[Dimension::QueryClass.index()].ones() {
+                        let Some(difference) = self.difference(old_route, new_route, value_class)
+                        else {
                             continue;
                         };
                         let regions = differences.entry(difference).or_default();
-                        regions.push(of_class(&piece, class));
+                        regions.push(of_value_class(&piece, value_class));
                     }
                 }
             }
@@ -150,10 +151,10 @@
         &mut self,
         old_route: usize,
         new_route: usize,
-        class: usize,
+        value_class: usize,
     ) -> Option<Difference> {
-        let has_class = |name: &&String| self.value_classes.query_class(name) == class;
-        let name = self.class_names.iter().find(has_class);
+        let is_member = |name: &&String| self.value_classes.query_class(name) == value_class;
+        let name = self.class_names.iter().find(is_member);
         let name = name.map_or("others", String::as_str);
         let old = decision(&self.old, old_route, name, self.cells, &mut self.cell_sets);
         let new = decision(&self.new, new_route, name, self.cells, &mut self.cell_sets);
@@ -183,12 +184,12 @@
     }
 }
 
-/// The part of a region that holds one query class.
-fn of_class(region: &Region, class: usize) -> Region {
+/// The part of a region that has one value class of query classes.
+fn of_value_class(region: &Region, value_class: usize) -> Region {
     let mut part = region.clone();
     let query_classes = &mut part[Dimension::QueryClass.index()];
     query_classes.clear();
-    query_classes.insert(class);
+    query_classes.insert(value_class);
     part
 }
 
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -5,7 +5,7 @@
 mod ranges;
 mod units;
 
-use crate::diagnostic::{shown, Diagnostic};
+use crate::diagnostic::{truncated, Diagnostic};
 use crate::files::Span;
 use crate::syntax::Word;
 use ipnet::IpNet;
@@ -141,7 +141,7 @@
     fn not(word: &str, description: &str, kind: ValueKind) -> Self {
         ValueError::new(format!(
             "`{}` {description}; here {} is wanted",
-            shown(word),
+            truncated(word),
             kind.expected()
         ))
     }
@@ -201,7 +201,7 @@
         return Ok(Value::Name(word.to_string()));
     }
     let help = "a name has letters, digits, `-`, `_` and `.`, 64 at most, and begins with a letter or digit";
-    Err(ValueError::new(format!("`{}` is no name", shown(word))).help(help))
+    Err(ValueError::new(format!("`{}` is no name", truncated(word))).help(help))
 }
 
 fn pattern(word: &str) -> Result<Value, ValueError> {
@@ -210,7 +210,7 @@
         return Ok(Value::Pattern(word.to_string()));
     }
     let help = "a pattern has letters, digits, `-`, `_`, `.` and four `*` at most, 64 in all";
-    Err(ValueError::new(format!("`{}` is no name", shown(word))).help(help))
+    Err(ValueError::new(format!("`{}` is no name", truncated(word))).help(help))
 }
 
 fn times_of_day(word: &str) -> Result<Value, ValueError> {
@@ -219,7 +219,7 @@
     let from = minute_of_day(from).ok_or_else(no_range)?;
     let until = minute_of_day(until).ok_or_else(no_range)?;
     if from % MINUTES_PER_DAY == until % MINUTES_PER_DAY {
-        let text = format!("`{}` is no time at all, or a whole day", shown(word));
+        let text = format!("`{}` is no time at all, or a whole day", truncated(word));
         return Err(ValueError::new(text).help("leave the entry out for the whole day"));
     }
     let from = from % MINUTES_PER_DAY;
@@ -257,7 +257,7 @@
     if network.trunc() == network {
         return Ok(Value::Network(network));
     }
-    let text = format!("`{}` has bits set behind its prefix", shown(word));
+    let text = format!("`{}` has bits set behind its prefix", truncated(word));
     Err(ValueError::new(text).help(format!(
         "did you mean `{}`, or the one address `{}`?",
         network.trunc(),
@@ -273,6 +273,6 @@
     if first <= last {
         return Ok(Value::Numbers(NumberRange { first, last }));
     }
-    let text = format!("`{}` runs backwards", shown(word));
+    let text = format!("`{}` runs backwards", truncated(word));
     Err(ValueError::new(text).help(format!("did you mean `{last}..{first}`?")))
 }
--- a/crates/plan/src/quantity/units.rs
+++ b/crates/plan/src/quantity/units.rs
@@ -1,7 +1,7 @@
 //! Numbers with units, and counts, which have none.
 
 use super::{Value, ValueError, ValueKind};
-use crate::diagnostic::{nearest, shown};
+use crate::diagnostic::{nearest, truncated};
 use std::time::Duration;
 
 /// Units of time, in seconds.
@@ -80,7 +80,7 @@
 
 /// A number in base units as a value, within the bounds of its kind.
 fn bounded_value(kind: ValueKind, word: &str, number: f64) -> Result<Value, ValueError> {
-    let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", shown(word))));
+    let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", truncated(word))));
     match kind {
         ValueKind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than a week"),
         ValueKind::Time if number <= 0.0 => out_of_bounds("is no time; it must be above 0"),
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -23,7 +23,7 @@
 }
 
 /// How many dimensions there are.
-pub const DIMENSIONS: usize = Dimension::ALL.len();
+pub const DIMENSION_COUNT: usize = Dimension::ALL.len();
 
 impl Dimension {
     /// All dimensions, in the order of their indices in a [`Region`] and a [`Point`].
@@ -46,9 +46,9 @@
 const MAX_PIECES: usize = 2048;
 
 /// A set of value classes for each dimension, by its index.
-pub type Region = [FixedBitSet; DIMENSIONS];
+pub type Region = [FixedBitSet; DIMENSION_COUNT];
 /// A value class for each dimension, by its index.
-pub type Point = [usize; DIMENSIONS];
+pub type Point = [usize; DIMENSION_COUNT];
 
 fn all_of(count: usize) -> FixedBitSet {
     let mut classes = FixedBitSet::with_capacity(count);
@@ -77,7 +77,7 @@
     }
     let mut remainder = a.clone();
     let mut pieces = Vec::new();
-    for index in 0..DIMENSIONS {
+    for index in 0..DIMENSION_COUNT {
         let mut outside = remainder[index].clone();
         outside.difference_with(&b[index]);
         if !outside.is_clear() {
--- a/crates/routing/src/routing.rs
+++ b/crates/routing/src/routing.rs
@@ -7,7 +7,7 @@
 use crate::query::RoutedQuery;
 use garnetwall_plan::model::{ClassRules, Plan, QueryFacts, Route};
 use garnetwall_plan::quantity::MINUTES_PER_DAY;
-use garnetwall_plan::region::{ValueClasses, DIMENSIONS};
+use garnetwall_plan::region::{ValueClasses, DIMENSION_COUNT};
 use std::sync::Arc;
 
 /// Routes in one word of a row.
@@ -67,7 +67,7 @@
     /// Words in a row, which has a bit for each route.
     words_per_row: usize,
     /// For each dimension a row for each value class: the routes that let it through.
-    matching_routes: [Vec<u64>; DIMENSIONS],
+    matching_routes: [Vec<u64>; DIMENSION_COUNT],
     endpoint_subsets: Vec<EndpointSubset>,
     /// By route (the last row is for queries that no route takes) and query class.
     results: Vec<RouteResult>,
@@ -76,28 +76,28 @@
 impl Routing {
     /// Compiles a plan that was checked with the settings of these names.
     pub fn new(plan: Arc<Plan>, names: Names) -> Self {
-        let classes = ValueClasses::of(&[&plan], &names.classes, &names.tenants);
+        let value_classes = ValueClasses::of(&[&plan], &names.classes, &names.tenants);
         let words_per_row = plan.routes.len().div_ceil(WORD_BITS).max(1);
-        let matching_routes = matching_routes(&plan, &classes, words_per_row);
+        let matching_routes = matching_routes(&plan, &value_classes, words_per_row);
         let mut routing = Routing {
             query_class_rows: names
                 .classes
                 .iter()
-                .map(|name| classes.query_class(name))
+                .map(|name| value_classes.query_class(name))
                 .collect(),
             tenant_rows: names
                 .tenants
                 .iter()
-                .map(|name| classes.tenant(name))
+                .map(|name| value_classes.tenant(name))
                 .collect(),
             minute_rows: (0..MINUTES_PER_DAY)
-                .map(|minute| classes.minute_of_day(minute) as u16)
+                .map(|minute| value_classes.minute_of_day(minute) as u16)
                 .collect(),
             words_per_row,
             matching_routes,
             endpoint_subsets: Vec::new(),
             results: Vec::new(),
-            value_classes: classes,
+            value_classes,
             names,
             plan,
         };
@@ -188,7 +188,7 @@
             let start = point[dimension] * self.words_per_row;
             &self.matching_routes[dimension][start..][..self.words_per_row]
         };
-        let rows: [&[u64]; DIMENSIONS] = std::array::from_fn(row);
+        let rows: [&[u64]; DIMENSION_COUNT] = std::array::from_fn(row);
         for word in 0..self.words_per_row {
             let all = rows.iter().fold(u64::MAX, |all, row| all & row[word]);
             if all != 0 {
@@ -250,15 +250,15 @@
 /// For each dimension a row for each value class, with the bits of the routes that let it through.
 fn matching_routes(
     plan: &Plan,
-    classes: &ValueClasses,
+    value_classes: &ValueClasses,
     words_per_row: usize,
-) -> [Vec<u64>; DIMENSIONS] {
-    let counts = classes.counts();
+) -> [Vec<u64>; DIMENSION_COUNT] {
+    let counts = value_classes.counts();
     let mut rows = std::array::from_fn(|dimension| vec![0; counts[dimension] * words_per_row]);
-    for (n, route) in plan.routes.iter().enumerate() {
-        for (row, classes) in rows.iter_mut().zip(&classes.region(route, 0)) {
-            for class in classes.ones() {
-                row[class * words_per_row + n / WORD_BITS] |= 1 << (n % WORD_BITS);
+    for (index, route) in plan.routes.iter().enumerate() {
+        for (row, matching) in rows.iter_mut().zip(&value_classes.region(route, 0)) {
+            for value_class in matching.ones() {
+                row[value_class * words_per_row + index / WORD_BITS] |= 1 << (index % WORD_BITS);
             }
         }
     }
