--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -36,15 +36,7 @@
         diagnostics,
         plan: Plan::default(),
     };
-    builder.check_settings_names();
-    builder.build_addresses();
-    builder.build_pools();
-    builder.build_classes();
-    builder.build_tenants();
-    builder.build_routes();
-    builder.build_limits();
-    builder.build_bodies();
-    builder.build_journal();
+    builder.build_blocks();
     let Builder {
         plan, diagnostics, ..
     } = builder;
@@ -88,6 +80,18 @@
 }
 
 impl<'a> Builder<'a> {
+    fn build_blocks(&mut self) {
+        self.check_settings_names();
+        self.build_addresses();
+        self.build_pools();
+        self.build_classes();
+        self.build_tenants();
+        self.build_routes();
+        self.build_limits();
+        self.build_bodies();
+        self.build_journal();
+    }
+
     fn blocks_of_kind(&self, kind: &str) -> Vec<&'a CheckedBlock> {
         blocks_of_kind(self.blocks, kind)
     }
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -32,13 +32,10 @@
 
     /// The values of the entry; `None` where an error was found in them.
     pub(super) fn read(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
-        let mut expanded = Vec::with_capacity(parts.len());
-        for part in parts {
-            match self.constants.expand(part) {
-                Ok(words) => expanded.push(words),
-                Err(diagnostic) => return self.fail(diagnostic),
-            }
-        }
+        let expanded = match self.expand(parts) {
+            Ok(expanded) => expanded,
+            Err(diagnostic) => return self.fail(diagnostic),
+        };
         match self.entry.shape {
             Shape::Flag => self.read_flag(&expanded),
             Shape::One(kind) => {
@@ -65,6 +62,12 @@
         }
     }
 
+    /// Replaces the constants in all parts; the first error ends it.
+    fn expand(&self, parts: &[Part]) -> Result<Vec<Vec<ExpandedWord>>, Diagnostic> {
+        let expanded = parts.iter().map(|part| self.constants.expand(part));
+        expanded.collect()
+    }
+
     fn fail<T>(&mut self, diagnostic: Diagnostic) -> Option<T> {
         self.diagnostics.push(diagnostic);
         None
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -25,21 +25,8 @@
         new: new_side,
         cell_sets: CellSets::default(),
     };
-    let differences = comparison.differences();
-    let mut changes = match comparison.cells {
-        Some(cells) => placement::changes(
-            &comparison.class_names,
-            &value_classes,
-            cells,
-            &comparison.old,
-            &comparison.new,
-        ),
-        None => Vec::new(),
-    };
-    let set_names = set_names(old, new);
-    for (difference, regions) in differences {
-        changes.push(comparison.change(&difference, &regions, &set_names));
-    }
+    let mut changes = comparison.placement_changes();
+    changes.extend(comparison.routing_changes(&set_names(old, new)));
     changes
 }
 
@@ -116,6 +103,28 @@
 }
 
 impl Comparison<'_> {
+    /// None where the cells are too many to be computed.
+    fn placement_changes(&self) -> Vec<Change> {
+        let Some(cells) = self.cells else {
+            return Vec::new();
+        };
+        placement::changes(
+            &self.class_names,
+            self.value_classes,
+            cells,
+            &self.old,
+            &self.new,
+        )
+    }
+
+    fn routing_changes(&mut self, set_names: &[String]) -> Vec<Change> {
+        let differences = self.differences();
+        let changes = differences
+            .iter()
+            .map(|(difference, regions)| self.change(difference, regions, set_names));
+        changes.collect()
+    }
+
     /// The regions on which the two plans decide differently, by what they decide.
     fn differences(&mut self) -> BTreeMap<Difference, Vec<Region>> {
         let mut differences: BTreeMap<Difference, Vec<Region>> = BTreeMap::new();
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -30,6 +30,21 @@
     }
 }
 
+/// The line that opens a block.
+struct BlockHead {
+    span: Span,
+    statement: Statement,
+}
+
+/// What was read of a block; the grammar accepts one without a closing brace, so that its lines are checked too.
+#[derive(Default)]
+struct BlockParts {
+    head: Option<BlockHead>,
+    items: Vec<BlockItem>,
+    is_closed: bool,
+    close_comment: Option<String>,
+}
+
 impl Reader {
     pub(super) fn new(file: FileId) -> Self {
         Reader {
@@ -98,43 +113,52 @@
 
     fn read_block(&mut self, pair: Pair<Rule>) {
         let whole_span = self.span(&pair);
-        let mut head = None;
-        let mut items = Vec::new();
-        let mut is_closed = false;
-        let mut close_comment = None;
-        for part in pair.into_inner() {
-            match part.as_rule() {
-                Rule::head => head = Some((self.span(&part), self.read_statement(part))),
-                Rule::entry => items.extend(self.read_entry(part).map(BlockItem::Entry)),
-                Rule::blank => items.push(BlockItem::Blank(comment_of(part))),
-                Rule::unreadable => self.report_unreadable(&part, Context::Block),
-                Rule::close => {
-                    is_closed = true;
-                    close_comment = comment_of(part);
-                }
-                _ => {}
-            }
-        }
-        let Some((head_span, statement)) = head else {
+        let parts = self.read_block_parts(pair);
+        let Some(head) = parts.head else {
             return;
         };
-        let mut words = statement.words.into_iter();
+        let mut words = head.statement.words.into_iter();
         let Some(kind) = words.next() else { return };
-        if !is_closed {
-            let diagnostic = Diagnostic::new(head_span.clone(), "this block is not closed");
+        if !parts.is_closed {
+            let diagnostic = Diagnostic::new(head.span.clone(), "this block is not closed");
             self.push_diagnostic(diagnostic.help("add a line with `}` at its end"));
         }
         self.tree.items.push(Item::Block(Block {
             kind,
             name: words.next(),
-            items,
-            head_span,
+            items: parts.items,
+            head_span: head.span,
             whole_span,
-            comment: statement.comment,
-            close_comment,
+            comment: head.statement.comment,
+            close_comment: parts.close_comment,
         }));
     }
 
+    fn read_block_parts(&mut self, pair: Pair<Rule>) -> BlockParts {
+        let mut parts = BlockParts::default();
+        for part in pair.into_inner() {
+            match part.as_rule() {
+                Rule::head => {
+                    parts.head = Some(BlockHead {
+                        span: self.span(&part),
+                        statement: self.read_statement(part),
+                    });
+                }
+                Rule::entry => parts
+                    .items
+                    .extend(self.read_entry(part).map(BlockItem::Entry)),
+                Rule::blank => parts.items.push(BlockItem::Blank(comment_of(part))),
+                Rule::unreadable => self.report_unreadable(&part, Context::Block),
+                Rule::close => {
+                    parts.is_closed = true;
+                    parts.close_comment = comment_of(part);
+                }
+                _ => {}
+            }
+        }
+        parts
+    }
+
     fn read_entry(&self, pair: Pair<Rule>) -> Option<Entry> {
         let span = self.span(&pair);
         let mut statement = self.read_statement(pair);
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -98,12 +98,7 @@
         now: Duration,
         query: &RoutedQuery,
     ) -> Result<LimitPermit, LimitExceeded> {
-        let address_sets = routing.value_classes.clients();
-        let sets_of_client = address_sets.members(address_sets.class(query.client));
-        let is_client_in = |set| sets_of_client.contains(set);
-        let counting: Vec<usize> = (0..self.rules.len())
-            .filter(|index| self.rules[*index].counts(query, is_client_in))
-            .collect();
+        let counting = self.counting_rules(routing, query);
         let exceeded = counting
             .iter()
             .filter_map(|index| self.rules[*index].exceeded(now, query));
@@ -127,6 +122,17 @@
         })
     }
 
+    /// The indices of the rules that count a query.
+    fn counting_rules(&self, routing: &Routing, query: &RoutedQuery) -> Vec<usize> {
+        let address_sets = routing.value_classes.clients();
+        let sets_of_client = address_sets.members(address_sets.class(query.client));
+        let is_client_in = |set| sets_of_client.contains(set);
+        let indices = 0..self.rules.len();
+        indices
+            .filter(|index| self.rules[*index].counts(query, is_client_in))
+            .collect()
+    }
+
     /// An admitted query has ended.
     pub fn release(&mut self, now: Duration, permit: LimitPermit) {
         let time_in_flight = now.saturating_sub(permit.admitted_at);
--- a/crates/routing/src/zones/sharing.rs
+++ b/crates/routing/src/zones/sharing.rs
@@ -97,12 +97,22 @@
             }
             remaining -= carried;
         }
-        // What spilled and found no capacity at the next levels goes back to where there is some.
+        self.share_remaining(shares, eligible, load, remaining);
+    }
+
+    /// What spilled and found no capacity at the next levels, in cores, goes back to where there is some.
+    fn share_remaining(
+        &self,
+        shares: &mut Shares,
+        eligible: &[usize],
+        load: f64,
+        mut remaining: f64,
+    ) {
         for zone in eligible.iter().copied() {
-            let free = (free_cores(zone) - shares.zones[zone] * load)
+            let free = (self.free_cores(zone, false) - shares.zones[zone] * load)
                 .max(0.0)
                 .min(remaining.max(0.0));
-            shares.add(zone, level_of(zone), free / load);
+            shares.add(zone, self.zones[zone].priority_level, free / load);
             remaining -= free;
         }
     }
