--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -34,8 +34,8 @@
 /// Where one limit counts a query.
 #[derive(Debug)]
 struct Counted {
-    /// The number of the limit's state.
-    limit: u64,
+    /// The id of the limit's state.
+    state_id: u64,
     slot: Slot,
 }
 
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Limits {
     rules: Vec<LimitRule>,
-    next_number: u64,
+    next_state_id: u64,
     max_exact_keys: usize,
 }
 
@@ -57,13 +57,13 @@
     pub fn with_keys(routing: &Routing, capacity: f64, max_exact_keys: usize) -> Self {
         let mut limits = Limits {
             rules: Vec::new(),
-            next_number: 0,
+            next_state_id: 0,
             max_exact_keys,
         };
         limits.rules = limit_rules(routing, capacity);
         for rule in &mut limits.rules {
-            rule.state.number = limits.next_number;
-            limits.next_number += 1;
+            rule.state.id = limits.next_state_id;
+            limits.next_state_id += 1;
         }
         limits
     }
@@ -80,8 +80,8 @@
             match same.map(|at| old.swap_remove(at)) {
                 Some(old) => rule.state = old.state,
                 None => {
-                    rule.state.number = self.next_number;
-                    self.next_number += 1;
+                    rule.state.id = self.next_state_id;
+                    self.next_state_id += 1;
                 }
             }
         }
@@ -112,7 +112,7 @@
         let counted = counting.into_iter().map(|index| {
             let rule = &mut self.rules[index];
             Counted {
-                limit: rule.state.number,
+                state_id: rule.state.id,
                 slot: rule.count(now, query, max_exact_keys),
             }
         });
@@ -136,12 +136,9 @@
     /// An admitted query has ended.
     pub fn release(&mut self, now: Duration, permit: LimitPermit) {
         let time_in_flight = now.saturating_sub(permit.admitted_at);
-        for Counted { limit, slot } in permit.counted {
+        for Counted { state_id, slot } in permit.counted {
             // A removed limit counts nothing.
-            let rule = self
-                .rules
-                .iter_mut()
-                .find(|rule| rule.state.number == limit);
+            let rule = self.rules.iter_mut().find(|rule| rule.state.id == state_id);
             if let Some(rule) = rule {
                 rule.release(slot, time_in_flight);
             }
--- a/crates/routing/src/limits/rule.rs
+++ b/crates/routing/src/limits/rule.rs
@@ -65,12 +65,12 @@
         let (kind, retry_after) = self
             .in_flight_exceeded(&usage)
             .or_else(|| {
-                let wait = wait_for(self.rate, usage.queries_due, now, 1.0)?;
+                let wait = wait_for(self.rate, usage.queries_arrival_time, now, 1.0)?;
                 Some((LimitKind::Rate, wait))
             })
             .or_else(|| {
                 let cost = query.statement_bytes as f64;
-                let wait = wait_for(self.bytes, usage.bytes_due, now, cost)?;
+                let wait = wait_for(self.bytes, usage.bytes_arrival_time, now, cost)?;
                 Some((LimitKind::Bytes, wait))
             })?;
         Some(LimitExceeded {
@@ -100,13 +100,19 @@
         let key = self.key(query);
         let slot = self.state.slot_for(now, key, max_exact_keys);
         let usage = self.state.usage_of_slot(&slot);
-        let queries_due = self.rate.map_or(usage.queries_due, |rate| {
-            arrival_time_after(&rate, usage.queries_due, now, 1.0)
+        let queries_arrival_time = self.rate.map_or(usage.queries_arrival_time, |rate| {
+            arrival_time_after(&rate, usage.queries_arrival_time, now, 1.0)
         });
-        let bytes_due = self.bytes.map_or(usage.bytes_due, |rate| {
-            arrival_time_after(&rate, usage.bytes_due, now, query.statement_bytes as f64)
+        let bytes_arrival_time = self.bytes.map_or(usage.bytes_arrival_time, |rate| {
+            arrival_time_after(
+                &rate,
+                usage.bytes_arrival_time,
+                now,
+                query.statement_bytes as f64,
+            )
         });
-        self.state.add(&slot, queries_due, bytes_due);
+        self.state
+            .add(&slot, queries_arrival_time, bytes_arrival_time);
         slot
     }
 
@@ -119,6 +125,11 @@
 }
 
 /// The wait of a query of this cost for a rate, if there is one.
-fn wait_for(rate: Option<Bucket>, due: Duration, now: Duration, cost: f64) -> Option<Duration> {
-    wait_until_conforming(&rate?, due, now, cost)
+fn wait_for(
+    rate: Option<Bucket>,
+    arrival_time: Duration,
+    now: Duration,
+    cost: f64,
+) -> Option<Duration> {
+    wait_until_conforming(&rate?, arrival_time, now, cost)
 }
--- a/crates/routing/src/limits/sketch.rs
+++ b/crates/routing/src/limits/sketch.rs
@@ -15,15 +15,15 @@
     /// Queries in flight.
     pub in_flight: u32,
     /// The theoretical arrival time of the limit on queries.
-    pub queries_due: Duration,
+    pub queries_arrival_time: Duration,
     /// The same of the limit on bytes.
-    pub bytes_due: Duration,
+    pub bytes_arrival_time: Duration,
 }
 
 impl Usage {
     /// Whether it is as if nothing had been counted.
     pub fn is_idle(&self, now: Duration) -> bool {
-        self.in_flight == 0 && self.queries_due <= now && self.bytes_due <= now
+        self.in_flight == 0 && self.queries_arrival_time <= now && self.bytes_arrival_time <= now
     }
 }
 
@@ -57,21 +57,29 @@
         let all = || cells.iter().map(|cell| &self.cells[*cell as usize]);
         Usage {
             in_flight: all().map(|usage| usage.in_flight).min().unwrap_or_default(),
-            queries_due: all()
-                .map(|usage| usage.queries_due)
+            queries_arrival_time: all()
+                .map(|usage| usage.queries_arrival_time)
+                .min()
+                .unwrap_or_default(),
+            bytes_arrival_time: all()
+                .map(|usage| usage.bytes_arrival_time)
                 .min()
                 .unwrap_or_default(),
-            bytes_due: all().map(|usage| usage.bytes_due).min().unwrap_or_default(),
         }
     }
 
     /// Counts one more query in flight, and moves the theoretical arrival times on to these.
-    pub fn add(&mut self, cells: &Cells, queries_due: Duration, bytes_due: Duration) {
+    pub fn add(
+        &mut self,
+        cells: &Cells,
+        queries_arrival_time: Duration,
+        bytes_arrival_time: Duration,
+    ) {
         for cell in cells {
             let usage = &mut self.cells[*cell as usize];
             usage.in_flight += 1;
-            usage.queries_due = usage.queries_due.max(queries_due);
-            usage.bytes_due = usage.bytes_due.max(bytes_due);
+            usage.queries_arrival_time = usage.queries_arrival_time.max(queries_arrival_time);
+            usage.bytes_arrival_time = usage.bytes_arrival_time.max(bytes_arrival_time);
         }
     }
 
--- a/crates/routing/src/limits/state.rs
+++ b/crates/routing/src/limits/state.rs
@@ -35,8 +35,8 @@
 /// The state of a limit.
 #[derive(Debug, Default)]
 pub(super) struct LimitState {
-    /// Tells it from the states of other limits, also over changes of the plan.
-    pub(super) number: u64,
+    /// Tells it from the states of other limits, also across changes of the plan.
+    pub(super) id: u64,
     /// The index of each key's entry.
     indices: HashMap<LimitKey, u32>,
     entries: Vec<ExactEntry>,
@@ -121,17 +121,24 @@
     }
 
     /// Counts one more query in flight, and sets the theoretical arrival times.
-    pub(super) fn add(&mut self, slot: &Slot, queries_due: Duration, bytes_due: Duration) {
+    pub(super) fn add(
+        &mut self,
+        slot: &Slot,
+        queries_arrival_time: Duration,
+        bytes_arrival_time: Duration,
+    ) {
         match (slot, &mut self.sketch) {
             (Slot::Exact(index), _) => {
                 let usage = &mut self.entries[*index as usize].usage;
                 *usage = Usage {
                     in_flight: usage.in_flight + 1,
-                    queries_due,
-                    bytes_due,
+                    queries_arrival_time,
+                    bytes_arrival_time,
                 };
             }
-            (Slot::Shared(cells), Some(sketch)) => sketch.add(cells, queries_due, bytes_due),
+            (Slot::Shared(cells), Some(sketch)) => {
+                sketch.add(cells, queries_arrival_time, bytes_arrival_time)
+            }
             (Slot::Shared(_), None) => {}
         }
     }
