--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Neighbouring addresses, as the numbers of their IPv6 form.
+/// Consecutive addresses, as the numbers of their IPv6 form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AddressRange {
     /// The lowest address.
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whether every name that the narrow selection lets through is let through by the wide one; `None` is any name.
+/// Whether the wide selection has every name that the narrow one has; `None` has every name.
 fn is_subset(narrow: &Option<Vec<String>>, wide: &Option<Vec<String>>) -> bool {
     match (narrow, wide) {
         (_, None) => true,
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -61,7 +61,7 @@
     values.iter().filter_map(range).collect()
 }
 
-/// A rate with its burst; where none is given, what comes in a second, at least 1.
+/// A rate with its burst; where none is given, the burst is what the rate adds in a second, at least 1.
 pub(super) fn bucket(entry: Option<&CheckedEntry>) -> Option<Bucket> {
     let values = &entry?.values;
     let rate = number(values.first())?;
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A route says where its queries go, or that they are rejected, and not both.
+    /// A route either names a destination or rejects its queries.
     fn check_outcome(&mut self, block: &CheckedBlock) {
         if !block.has_any(&["to", "as", "refuse"]) {
             let text = format!("the route `{}` says nothing", block.name);
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -1,6 +1,6 @@
 //! The engines that pools tell apart: a cell for each zone, kind, set of fitting id patterns, and address class.
 //!
-//! What a pool has is a set of cells, so that pools can be compared without a list of engines.
+//! A pool is a set of cells, so that pools can be compared without a list of engines.
 
 mod patterns;
 
@@ -8,7 +8,7 @@
 use crate::model::{Plan, Pool};
 use fixedbitset::FixedBitSet;
 
-/// Pools that tell more cells apart are not compared.
+/// Plans whose pools tell more cells apart are not compared by engines.
 const MAX_CELLS: usize = 200_000;
 
 /// All cells that some plans tell apart.
@@ -153,7 +153,7 @@
     named.into_iter().map(Some).chain(others).collect()
 }
 
-/// The address sets of a plan; those that no pool uses are taken as empty.
+/// The address sets of a plan; those that no pool uses are treated as empty.
 fn used_sets(plan: &Plan) -> Vec<AddressRanges> {
     let is_used = |set: usize| plan.pools.iter().any(|pool| pool.addresses.contains(&set));
     let sets = plan.addresses.iter().enumerate();
--- a/crates/plan/src/cells/patterns.rs
+++ b/crates/plan/src/cells/patterns.rs
@@ -3,7 +3,7 @@
 use crate::model::fits_pattern;
 use fixedbitset::FixedBitSet;
 
-/// Patterns that allow more sets are not compared.
+/// Plans whose patterns allow more sets are not compared by engines.
 const MAX_SETS: usize = 4096;
 
 /// The sets of patterns that one id can fit, as far as the patterns show: no set has two that exclude one another, or
@@ -42,7 +42,7 @@
     extensions
 }
 
-/// Whether every text that fits the first pattern fits the second. A `*` of the first is taken as a character that
+/// Whether every text that fits the first pattern fits the second. A `*` of the first is treated as a character that
 /// only a `*` matches.
 fn is_within(narrow: &str, wide: &str) -> bool {
     fits_pattern(wide, narrow)
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid ones have no values.
+    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid
+    /// ones have no values.
     pub(super) fn check_block(&mut self, block: &Block) -> Option<CheckedBlock> {
         let mut checked = match self.check_head(block) {
             Ok(checked) => checked,
@@ -55,7 +56,11 @@
         })
     }
 
-    /// Notes the name of a block; an earlier block of the kind that has it is an error.
+    /// Records the name of a block.
+    ///
+    /// # Errors
+    ///
+    /// Where an earlier block of the kind has this name.
     fn define(&mut self, kind: &BlockKind, name: &Word) -> Result<(), Diagnostic> {
         let key = (kind.name, name.text.clone());
         if let Some(first) = self.defined.get(&key) {
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -1,4 +1,4 @@
-//! Prints a file in its one form.
+//! Prints a file in its canonical form.
 //!
 //! Two spaces of indentation, one between words, an empty line between blocks, long lists broken behind commas. Words
 //! and comments stay as they were written; only what is around them changes.
@@ -11,7 +11,7 @@
 const MAX_COLUMNS: usize = 100;
 const INDENT_COLUMNS: usize = 2;
 
-/// Prints a file in its one form.
+/// Prints a file in its canonical form.
 ///
 /// # Errors
 ///
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -2,7 +2,7 @@
 //! query classes.
 //!
 //! [`compile`] reads a plan with all that it includes and returns the [`Plan`] or all its errors. [`mod@format`] prints
-//! a file in its one form, [`diff`] compares what two plans do, [`explain`] shows what a plan does with one query. No
+//! a file in its canonical form, [`diff`] compares what two plans do, [`explain`] shows what a plan does with one query. No
 //! module does I/O; files come by a [`source::Loader`]. docs/plan-language.md has the grammar and the table of blocks.
 //!
 //! A plan goes through these modules in order: [`source`] and `syntax` (text to items), `check` (items to entries of
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -18,7 +18,7 @@
 pub use sets::{fits_pattern, AddressSet, Pool};
 pub use storage::{Bodies, Journal};
 
-/// What a route can ask of a query.
+/// The properties of a query that routes and limits match on.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryFacts<'a> {
     /// The name of its class.
@@ -31,11 +31,11 @@
     pub has_key: bool,
     /// The number of its data set.
     pub data_set: u32,
-    /// When it came, in minutes of the day, UTC.
+    /// When it arrived, in minutes of the day, UTC.
     pub minute_of_day: u32,
 }
 
-/// What a pool can ask of an engine.
+/// The properties of an engine that pools select by.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineFacts<'a> {
     /// Its id.
@@ -90,7 +90,7 @@
         })
     }
 
-    /// For each pool, by index, whether it has what `fits` the selection of single pools.
+    /// For each pool, by index, whether it has what `fits` selects for a pool itself, with `union` and `except` applied.
     pub fn pools_matching(&self, fits: impl Fn(&Pool) -> bool) -> Vec<bool> {
         let mut matching = vec![false; self.pools.len()];
         for index in &self.pool_order {
--- a/crates/plan/src/model/limits.rs
+++ b/crates/plan/src/model/limits.rs
@@ -9,10 +9,10 @@
 /// The parameters of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Bucket {
-    /// Tokens that come in a second.
+    /// Tokens that are added in a second.
     #[serde(rename = "rate")]
     pub tokens_per_second: f64,
-    /// Tokens that it holds at most.
+    /// The capacity of the bucket, in tokens.
     #[serde(rename = "burst")]
     pub max_tokens: f64,
 }
--- a/crates/plan/src/model/routes.rs
+++ b/crates/plan/src/model/routes.rs
@@ -25,7 +25,7 @@
     pub has_key: Option<bool>,
     /// Matches data sets by their number.
     pub data_sets: Vec<NumberRange>,
-    /// Matches queries that come at these times of day.
+    /// Matches queries that arrive at these times of day.
     #[serde(rename = "hours")]
     pub times_of_day: Vec<MinuteRange>,
     /// The pools that the queries go to, by index, in order of preference; all engines where it is empty.
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -10,7 +10,7 @@
 
 pub use value_classes::ValueClasses;
 
-/// What a route can ask of a query.
+/// A property of queries that routes match on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Dimension {
     QueryClass,
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -183,7 +183,7 @@
         Some(cycle.join(" -> "))
     }
 
-    /// What is said where one more file is too deep, or too many.
+    /// The text of the error where one more file is too deep, or too many.
     fn exceeded_limit(&self, name: &str) -> Option<String> {
         if self.open_files.len() >= MAX_INCLUDE_DEPTH {
             let text =
--- a/crates/plan/src/syntax/unreadable.rs
+++ b/crates/plan/src/syntax/unreadable.rs
@@ -1,4 +1,4 @@
-//! Says what is wrong with a line that fits no rule of the grammar.
+//! Diagnostics of lines that no rule of the grammar accepts.
 
 use crate::diagnostic::Diagnostic;
 use crate::files::Span;
@@ -51,7 +51,7 @@
     Some(Diagnostic::new(within(span, offset, 2), text))
 }
 
-/// A line whose characters and strings are good, but which stands for nothing.
+/// The diagnostic of a line whose characters and strings are valid. The first case that fits decides.
 fn misplaced(span: Span, line: &str, context: Context) -> Diagnostic {
     const ENTRY_HELP: &str = "an entry is its name and its values: `limit 20s`";
     const FILE_HELP: &str =
--- a/crates/routing/src/endpoint_subset.rs
+++ b/crates/routing/src/endpoint_subset.rs
@@ -1,6 +1,6 @@
 //! The engines that a query is confined to, by the pools of a plan.
 
-/// A way that queries may go: pools by preference, within the pools that their classes are bound to.
+/// Pools by preference, within the pools that the query's classes are bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSubset {
     /// Pools by preference; every engine where it is empty.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,4 +1,4 @@
-//! Routes queries by a compiled plan: the route that takes a query, the engines that it may use by priority level, and
+//! Routes queries by a compiled plan: the route that matches a query, the engines that it may use by priority level, and
 //! the limits that count it. No I/O; callers hand in events and times. It narrows what the decision module may choose.
 //!
 //! [`Routing`] decides on routes, [`PoolMembers`] knows the engines of every pool, [`Limits`] counts queries in flight
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -48,12 +48,13 @@
 }
 
 impl Limits {
-    /// The limits of a plan; `capacity` is the number of queries that this gateway can hold, of which tenants have shares.
+    /// The limits of a plan; `capacity` is the number of queries that this gateway can have in flight, of which tenants have
+    /// shares.
     pub fn new(routing: &Routing, capacity: f64) -> Self {
         Limits::with_keys(routing, capacity, MAX_EXACT_KEYS)
     }
 
-    /// With another number of keys that are counted exactly.
+    /// As [`Limits::new`], with another number of keys for each limit that are counted exactly.
     pub fn with_keys(routing: &Routing, capacity: f64, max_exact_keys: usize) -> Self {
         let mut limits = Limits {
             rules: Vec::new(),
--- a/crates/routing/src/limits/cell_rate.rs
+++ b/crates/routing/src/limits/cell_rate.rs
@@ -1,5 +1,5 @@
 //! The generic cell rate algorithm (ITU-T I.371): a rate limit that keeps one time for each key, its theoretical arrival
-//! time, at which all that came would have arrived had it come evenly at the rate.
+//! time, at which all queries so far would have arrived had they arrived evenly at the rate.
 
 use garnetwall_plan::model::Bucket;
 use std::time::Duration;
--- a/crates/routing/src/limits/compile.rs
+++ b/crates/routing/src/limits/compile.rs
@@ -5,7 +5,8 @@
 use crate::routing::Routing;
 use garnetwall_plan::model::{Limit, Tenant};
 
-/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the number of queries that this gateway can hold.
+/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the number of queries that this gateway
+/// can have in flight.
 pub(super) fn limit_rules(routing: &Routing, capacity: f64) -> Vec<LimitRule> {
     let plan = routing.plan();
     let limits = plan
--- a/crates/routing/src/limits/exceeded.rs
+++ b/crates/routing/src/limits/exceeded.rs
@@ -20,6 +20,6 @@
     pub limit: String,
     /// Which of its quantities is exceeded.
     pub kind: LimitKind,
-    /// When it may come back: a rate has capacity for it then; of what is in flight one is usually over.
+    /// The time after which to retry: a rate admits the query then; of queries in flight, one has usually ended.
     pub retry_after: Duration,
 }
--- a/crates/routing/src/limits/sketch.rs
+++ b/crates/routing/src/limits/sketch.rs
@@ -1,5 +1,5 @@
-//! A count-min sketch of the usage of keys of which there are too many to count each exactly. Several keys share a cell, so a key may
-//! be limited to less than its own, and is never allowed more.
+//! A count-min sketch of the usage of keys of which there are too many to count each exactly. Several keys share a cell,
+//! so a key may be limited to less than its own, and is never allowed more.
 
 use std::hash::{BuildHasher, RandomState};
 use std::time::Duration;
--- a/crates/routing/src/routing.rs
+++ b/crates/routing/src/routing.rs
@@ -1,7 +1,7 @@
-//! A plan compiled for the names of the settings: which route takes a query, and what follows from it.
+//! A plan compiled for the names of the settings: which route matches a query, and what follows from it.
 //!
 //! Each dimension of a route's conditions is divided into value classes. For each value class of each dimension a row of bits
-//! says which routes let it through; the first bit that is set in all of a query's rows is its route.
+//! says which routes match it; the first bit that is set in all of a query's rows is its route.
 
 use crate::endpoint_subset::EndpointSubset;
 use crate::query::RoutedQuery;
@@ -22,7 +22,7 @@
     pub tenants: Vec<String>,
 }
 
-/// What a plan says of a query.
+/// What a plan decides on a query, before limits are applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
     /// Rejected by this route, whose `reject_reason` says why.
@@ -30,14 +30,14 @@
         /// Index of the route.
         route: usize,
     },
-    /// Its statement is over what its class may have, in bytes.
+    /// Its statement is longer than the rules of its class allow.
     StatementTooLong {
-        /// The longest statement of its class.
+        /// The longest statement of its class, in bytes.
         max_bytes: u64,
     },
-    /// It may run, limits apart.
+    /// It may run, unless a limit rejects it.
     Admitted {
-        /// Index of the route that took it, if any.
+        /// Index of the route that matches it, if any.
         route: Option<usize>,
         /// The query class that it is treated as.
         class: usize,
@@ -46,7 +46,7 @@
     },
 }
 
-/// What follows for queries of one class that took one route, or none.
+/// What follows for queries of one class that one route matches, or none.
 #[derive(Clone, Copy, Debug)]
 struct RouteResult {
     /// The class that they are treated as.
@@ -66,10 +66,10 @@
     minute_rows: Vec<u16>,
     /// Words in a row, which has a bit for each route.
     words_per_row: usize,
-    /// For each dimension a row for each value class: the routes that let it through.
+    /// For each dimension a row for each value class: the routes that match it.
     matching_routes: [Vec<u64>; DIMENSION_COUNT],
     endpoint_subsets: Vec<EndpointSubset>,
-    /// By route (the last row is for queries that no route takes) and query class.
+    /// By route (the last row is for queries that no route matches) and query class.
     results: Vec<RouteResult>,
 }
 
@@ -105,7 +105,7 @@
         routing
     }
 
-    /// Works out what follows from each route, and from none, for each query class.
+    /// Precomputes the result of each route, and of no route, for each query class.
     fn compile_results(&mut self) {
         let plan = self.plan.clone();
         for route in plan.routes.iter().map(Some).chain([None]) {
@@ -172,7 +172,7 @@
         &self.endpoint_subsets
     }
 
-    /// The first route that takes a query.
+    /// The index of the first route that matches a query.
     pub fn route(&self, query: &RoutedQuery) -> Option<usize> {
         let value_class =
             |known: &[usize], index: usize| known.get(index).copied().unwrap_or_default();
@@ -198,7 +198,7 @@
         None
     }
 
-    /// What the plan says of a query, limits apart.
+    /// What the plan decides on a query, before limits are applied.
     pub fn decide(&self, query: &RoutedQuery) -> RouteDecision {
         let route = self.route(query);
         if let Some(route) = route.filter(|route| self.plan.routes[*route].reject_reason.is_some())
@@ -247,7 +247,7 @@
     }
 }
 
-/// For each dimension a row for each value class, with the bits of the routes that let it through.
+/// For each dimension a row for each value class, with the bits of the routes that match it.
 fn matching_routes(
     plan: &Plan,
     value_classes: &ValueClasses,
--- a/crates/routing/src/zones/load_shedding.rs
+++ b/crates/routing/src/zones/load_shedding.rs
@@ -1,4 +1,4 @@
-//! What is admitted where the capacity of all zones does not suffice, and when the rest may come back.
+//! What is admitted where the capacity of all zones does not suffice, and when the rest may be retried.
 
 use super::tolerance::MIN_DIVISOR;
 use std::time::Duration;
