--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -25,21 +25,8 @@
         new: new_side,
         cell_sets: CellSets::default(),
     };
-    let differences = comparison.differences();
-    let mut changes = match comparison.cells {
-        Some(cells) => placement::changes(
-            &comparison.class_names,
-            &value_classes,
-            cells,
-            &comparison.old,
-            &comparison.new,
-        ),
-        None => Vec::new(),
-    };
-    let set_names = set_names(old, new);
-    for (difference, regions) in differences {
-        changes.push(comparison.change(&difference, &regions, &set_names));
-    }
+    let mut changes = comparison.placement_changes();
+    changes.extend(comparison.routing_changes(&set_names(old, new)));
     changes
 }
 
@@ -116,18 +103,41 @@
 }
 
 impl Comparison<'_> {
+    /// None where the cells are too many to be computed.
+    fn placement_changes(&self) -> Vec<Change> {
+        let Some(cells) = self.cells else {
+            return Vec::new();
+        };
+        placement::changes(
+            &self.class_names,
+            self.value_classes,
+            cells,
+            &self.old,
+            &self.new,
+        )
+    }
+
+    fn routing_changes(&mut self, set_names: &[String]) -> Vec<Change> {
+        let differences = self.differences();
+        let changes = differences
+            .iter()
+            .map(|(difference, regions)| self.change(difference, regions, set_names));
+        changes.collect()
+    }
+
     /// The regions on which the two plans decide differently, by what they decide.
     fn differences(&mut self) -> BTreeMap<Difference, Vec<Region>> {
         let mut differences: BTreeMap<Difference, Vec<Region>> = BTreeMap::new();
         for old_route in 0..self.old.reach.len() {
             for new_route in 0..self.new.reach.len() {
                 for piece in self.common_pieces(old_route, new_route) {
-                    for class in piece[Dimension::QueryClass.index()].ones() {
-                        let Some(difference) = self.difference(old_route, new_route, class) else {
+                    for value_class in piece[Dimension::QueryClass.index()].ones() {
+                        let Some(difference) = self.difference(old_route, new_route, value_class)
+                        else {
                             continue;
                         };
                         let regions = differences.entry(difference).or_default();
-                        regions.push(of_class(&piece, class));
+                        regions.push(of_value_class(&piece, value_class));
                     }
                 }
             }
@@ -150,10 +160,10 @@
         &mut self,
         old_route: usize,
         new_route: usize,
-        class: usize,
+        value_class: usize,
     ) -> Option<Difference> {
-        let has_class = |name: &&String| self.value_classes.query_class(name) == class;
-        let name = self.class_names.iter().find(has_class);
+        let is_member = |name: &&String| self.value_classes.query_class(name) == value_class;
+        let name = self.class_names.iter().find(is_member);
         let name = name.map_or("others", String::as_str);
         let old = decision(&self.old, old_route, name, self.cells, &mut self.cell_sets);
         let new = decision(&self.new, new_route, name, self.cells, &mut self.cell_sets);
@@ -183,12 +193,12 @@
     }
 }
 
-/// The part of a region that holds one query class.
-fn of_class(region: &Region, class: usize) -> Region {
+/// The part of a region that has one value class of query classes.
+fn of_value_class(region: &Region, value_class: usize) -> Region {
     let mut part = region.clone();
     let query_classes = &mut part[Dimension::QueryClass.index()];
     query_classes.clear();
-    query_classes.insert(class);
+    query_classes.insert(value_class);
     part
 }
 
@@ -219,7 +229,7 @@
 
 fn in_words(plan: &Plan, route: usize, decision: &Decision) -> String {
     let class = match decision {
-        Decision::Rejected { reason } => return format!("refused, \"{reason}\""),
+        Decision::Rejected { reason } => return format!("rejected, \"{reason}\""),
         Decision::Routed { class, .. } => class,
     };
     let route = plan.routes.get(route);
