--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -27,7 +27,7 @@
 use crate::system::send_gate::SendGate;
 use attempt::EngineSession;
 use garnetwall::api::{AttemptEnd, EngineId};
-use garnetwall_ledger::{Bounds, Ledger};
+use garnetwall_ledger::{Ledger, ProtocolLimits};
 use garnetwall_settings::NetworkTimeouts;
 use protocol::{CANCEL_RETRY_PAUSE, LONG_POLL_LIMIT, MAX_UNPOLLED_RUN, POLL_EXPIRY};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -47,7 +47,7 @@
     list: Arc<EngineList>,
     /// Attempts that were started and are not proved to have ended.
     ledger: Mutex<Ledger>,
-    ledger_bounds: Bounds,
+    protocol_limits: ProtocolLimits,
     /// The longest deadline of any query class.
     longest_deadline: Duration,
     /// The origin of the ledger's times.
@@ -65,7 +65,7 @@
         longest_deadline: f64,
         list: Arc<EngineList>,
     ) -> Self {
-        let ledger_bounds = Bounds {
+        let protocol_limits = ProtocolLimits {
             long_poll: LONG_POLL_LIMIT,
             progress_events: progress_interval > 0.0,
             poll_expiry: POLL_EXPIRY,
@@ -75,8 +75,8 @@
             connection_permits: budget.engine_connections.clone(),
             connect_timeout: clamped_duration(network.connect_timeout),
             list,
-            ledger: Mutex::new(Ledger::new(ledger_bounds)),
-            ledger_bounds,
+            ledger: Mutex::new(Ledger::new(protocol_limits)),
+            protocol_limits,
             longest_deadline: clamped_duration(longest_deadline),
             started_at: Instant::now(),
         }
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -166,7 +166,7 @@
     fn poll_schedule(&self) -> PollSchedule {
         PollSchedule::new(
             self.engines.now(),
-            self.engines.ledger_bounds,
+            self.engines.protocol_limits,
             self.engines.connect_timeout,
         )
     }
--- a/crates/gateway/tests/world/figures.rs
+++ b/crates/gateway/tests/world/figures.rs
@@ -1,7 +1,7 @@
 //! Constants of the simulation: times in milliseconds of the simulated day, and the rules in force.
 
 use garnetwall::api::{RetryBudget, SlowStart};
-use garnetwall_ledger::Bounds;
+use garnetwall_ledger::ProtocolLimits;
 use std::time::Duration;
 
 /// Time step of the simulation.
@@ -20,7 +20,7 @@
 pub(super) const DEADLINE_TOLERANCE: u64 = 50 + 2 * STEP;
 /// How long a key is paused after an attempt that did not succeed.
 pub(super) const KEY_PAUSE: u64 = 500;
-pub(super) const BOUNDS: Bounds = Bounds {
+pub(super) const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: Duration::from_millis(POLL_HOLD),
     progress_events: false,
     poll_expiry: Duration::from_millis(UNPOLLED_LIFETIME),
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -1,6 +1,8 @@
 //! The gateway's side: the controller's actions, answers, and the attempts in flight.
 
-use super::figures::{BOUNDS, CONNECT_TIMEOUT, DEADLINE_TOLERANCE, LONGEST_DEADLINE, STEP};
+use super::figures::{
+    CONNECT_TIMEOUT, DEADLINE_TOLERANCE, LONGEST_DEADLINE, PROTOCOL_LIMITS, STEP,
+};
 use super::{seconds, InjectedBug, Rule, Simulation};
 use garnetwall::api::*;
 use garnetwall_ledger::{AttemptId, Evidence, PollSchedule};
@@ -175,7 +177,7 @@
             },
             poll_schedule: PollSchedule::new(
                 Duration::from_millis(now),
-                BOUNDS,
+                PROTOCOL_LIMITS,
                 Duration::from_millis(CONNECT_TIMEOUT),
             ),
             connected_to: None,
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -2,13 +2,14 @@
 
 use super::engines::{Process, Slot};
 use super::figures::{
-    BOUNDS, CORES, DAY, ENGINES, IDEMPOTENCY_WINDOW, KEY_PAUSE, RETRY_BUDGET, SLOW_START, STEP,
+    CORES, DAY, ENGINES, IDEMPOTENCY_WINDOW, KEY_PAUSE, PROTOCOL_LIMITS, RETRY_BUDGET, SLOW_START,
+    STEP,
 };
 use super::random::Rng;
 use super::{seconds, InjectedBug, Simulation};
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
-use garnetwall_ledger::{Bounds, Ledger};
+use garnetwall_ledger::{Ledger, ProtocolLimits};
 
 impl Simulation {
     pub fn new(seed: u64, bug: InjectedBug) -> Simulation {
@@ -102,9 +103,9 @@
             (0, 0)
         };
         let reports_progress = (seed >> 8) % 4 == 1;
-        let bounds = Bounds {
+        let limits = ProtocolLimits {
             progress_events: reports_progress && bug != InjectedBug::IgnoresProgress,
-            ..BOUNDS
+            ..PROTOCOL_LIMITS
         };
         let mut world = Simulation {
             bug,
@@ -112,7 +113,7 @@
             now: 0,
             pause,
             controller: AdmissionController::new(settings, seed | 1, seconds(0)),
-            ledger: Ledger::new(bounds),
+            ledger: Ledger::new(limits),
             processes,
             slots,
             executions: Vec::new(),
--- a/crates/ledger/src/attempts.rs
+++ b/crates/ledger/src/attempts.rs
@@ -1,12 +1,12 @@
 //! The ledger of open attempts: finds the attempt that evidence is of, and holds it until its outcome has been reported.
 
-mod bounds;
 mod evidence;
 mod open_attempt;
+mod protocol_limits;
 
-pub use bounds::Bounds;
 pub use evidence::{Connection, Evidence, Proof};
 pub use open_attempt::CancelStep;
+pub use protocol_limits::ProtocolLimits;
 
 use open_attempt::OpenAttempt;
 use std::collections::HashMap;
@@ -19,16 +19,16 @@
 /// All attempts that were opened and not closed, with an entry for each.
 #[derive(Debug)]
 pub struct Ledger {
-    bounds: Bounds,
+    limits: ProtocolLimits,
     next_id: u64,
     attempts: HashMap<AttemptId, OpenAttempt>,
 }
 
 impl Ledger {
     /// An empty ledger.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(limits: ProtocolLimits) -> Self {
         Ledger {
-            bounds,
+            limits,
             next_id: 0,
             attempts: HashMap::new(),
         }
@@ -37,11 +37,11 @@
     /// Opens an attempt that is about to be sent; it stays in the ledger until [`close`](Ledger::close).
     ///
     /// Where engines send progress events the attempt may run for `progress_expiry` after it was last polled, if that is
-    /// longer than [`Bounds::poll_expiry`].
+    /// longer than [`ProtocolLimits::poll_expiry`].
     pub fn open(&mut self, now: Duration, progress_expiry: Duration) -> AttemptId {
         let id = AttemptId(self.next_id);
         self.next_id += 1;
-        let attempt = OpenAttempt::new(now, &self.bounds, progress_expiry);
+        let attempt = OpenAttempt::new(now, &self.limits, progress_expiry);
         self.attempts.insert(id, attempt);
         id
     }
@@ -51,7 +51,7 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.record(now, &self.bounds, evidence);
+        attempt.record(now, &self.limits, evidence);
     }
 
     /// The next step towards the end of an attempt that nobody waits for any more. One that is not in the ledger has ended.
@@ -59,7 +59,7 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return CancelStep::Finished(Proof::Ended);
         };
-        attempt.next_cancel_step(now, self.bounds.cancel_pause)
+        attempt.next_cancel_step(now, self.limits.cancel_pause)
     }
 
     /// The latest time at which an attempt may still run; `None` once it is proved that it does not.
--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -1,7 +1,7 @@
 //! What is known of one attempt, and what can be done to end it.
 
-use super::bounds::Bounds;
 use super::evidence::{Connection, Evidence, Proof};
+use super::protocol_limits::ProtocolLimits;
 use std::time::Duration;
 
 /// Where progress events keep attempts running: how often the process at an engine's address is asked whether it has an
@@ -48,11 +48,11 @@
 
 impl OpenAttempt {
     /// An attempt of which nothing was sent yet. `progress_expiry` is as in [`Ledger::open`](super::Ledger::open).
-    pub(super) fn new(now: Duration, bounds: &Bounds, progress_expiry: Duration) -> Self {
-        let (expiry, identifications_left) = if bounds.progress_events {
-            (bounds.poll_expiry.max(progress_expiry), MAX_IDENTIFICATIONS)
+    pub(super) fn new(now: Duration, limits: &ProtocolLimits, progress_expiry: Duration) -> Self {
+        let (expiry, identifications_left) = if limits.progress_events {
+            (limits.poll_expiry.max(progress_expiry), MAX_IDENTIFICATIONS)
         } else {
-            (bounds.poll_expiry, 0)
+            (limits.poll_expiry, 0)
         };
         OpenAttempt {
             may_have_reached: false,
@@ -73,12 +73,12 @@
     }
 
     /// Records what was observed; after a proof nothing counts any more.
-    pub(super) fn record(&mut self, now: Duration, bounds: &Bounds, evidence: Evidence) {
+    pub(super) fn record(&mut self, now: Duration, limits: &ProtocolLimits, evidence: Evidence) {
         if self.proof.is_some() {
             return;
         }
         match evidence {
-            Evidence::RequestSent => self.record_request(now, bounds.long_poll),
+            Evidence::RequestSent => self.record_request(now, limits.long_poll),
             Evidence::Running(connection) => self.record_running(now, connection),
             Evidence::Ended => self.proof = Some(Proof::Ended),
             Evidence::NeverReached => self.proof = Some(Proof::NeverReached),
--- a/crates/ledger/src/attempts/bounds.rs
+++ b/crates/ledger/src/attempts/protocol_limits.rs
@@ -4,7 +4,7 @@
 
 /// The protocol's time limits, and the pause between two cancellations.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ProtocolLimits {
     /// An engine answers a poll after this time at most.
     pub long_poll: Duration,
     /// Engines send progress events, each of which keeps its attempt running as a poll does, received or not. That nobody
--- a/crates/ledger/src/attempts/tests.rs
+++ b/crates/ledger/src/attempts/tests.rs
@@ -9,7 +9,7 @@
     Duration::from_millis(n)
 }
 
-const BOUNDS: Bounds = Bounds {
+const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: ms(250),
     progress_events: false,
     poll_expiry: ms(2000),
@@ -102,11 +102,11 @@
 
     fn may_run_until(&self) -> Duration {
         let contacts = self.recorded.iter().map(|(at, evidence)| match evidence {
-            Evidence::RequestSent => *at + BOUNDS.long_poll,
+            Evidence::RequestSent => *at + PROTOCOL_LIMITS.long_poll,
             Evidence::Running(_) => *at,
             _ => Duration::ZERO,
         });
-        contacts.max().unwrap_or_default().max(self.opened) + BOUNDS.poll_expiry
+        contacts.max().unwrap_or_default().max(self.opened) + PROTOCOL_LIMITS.poll_expiry
     }
 
     fn cancel_failed_at(&self) -> Option<Duration> {
@@ -156,7 +156,7 @@
         let pause = history
             .cancel_failed_at()
             .map_or(Duration::ZERO, |failed_at| {
-                (failed_at + BOUNDS.cancel_pause).saturating_sub(now)
+                (failed_at + PROTOCOL_LIMITS.cancel_pause).saturating_sub(now)
             });
         let has_connection = history.identified_connection().is_some();
         match !has_connection && history.cancellation_exhausted() {
@@ -173,7 +173,7 @@
     /// Any order of events: the ledger says what the plain model says, and a proof stands.
     #[test]
     fn ledger_agrees_with_the_plain_model(events in events()) {
-        let (mut ledger, mut model, mut ids) = (Ledger::new(BOUNDS), PlainModel::default(), Vec::new());
+        let (mut ledger, mut model, mut ids) = (Ledger::new(PROTOCOL_LIMITS), PlainModel::default(), Vec::new());
         let mut now = Duration::ZERO;
         for (later, event) in events {
             now += ms(later);
@@ -275,7 +275,7 @@
 
 /// Runs a simulation by steps of 10 ms; each time the ledger says that an attempt has finished, it has.
 fn simulate(world: &World) -> Result<(), TestCaseError> {
-    let mut ledger = Ledger::new(BOUNDS);
+    let mut ledger = Ledger::new(PROTOCOL_LIMITS);
     let mut attempts: Vec<Simulated> = (0..3)
         .map(|_| {
             let id = ledger.open(ms(0), ms(900));
@@ -428,7 +428,7 @@
 /// Incident rc98ea0: the deadline passes while the engine drains and refuses new connections.
 #[test]
 fn a_refused_connection_proves_nothing_and_the_identified_one_does() {
-    let mut ledger = Ledger::new(BOUNDS);
+    let mut ledger = Ledger::new(PROTOCOL_LIMITS);
     let (a, b) = (ledger.open(ms(0), ms(900)), ledger.open(ms(0), ms(900)));
     for id in [a, b] {
         ledger.record(ms(0), id, Evidence::RequestSent);
@@ -463,7 +463,7 @@
 
 #[test]
 fn an_answer_on_another_connection_proves_nothing_until_the_attempt_is_seen_there() {
-    let mut ledger = Ledger::new(BOUNDS);
+    let mut ledger = Ledger::new(PROTOCOL_LIMITS);
     let (a, b) = (ledger.open(ms(0), ms(900)), ledger.open(ms(0), ms(900)));
     for id in [a, b] {
         ledger.record(ms(0), id, Evidence::RequestSent);
@@ -492,9 +492,9 @@
 /// Incident fleet-notes: engines that send progress events run on what nobody polls.
 #[test]
 fn progress_events_keep_an_attempt_running_for_the_given_time() {
-    let mut ledger = Ledger::new(Bounds {
+    let mut ledger = Ledger::new(ProtocolLimits {
         progress_events: true,
-        ..BOUNDS
+        ..PROTOCOL_LIMITS
     });
     let id = ledger.open(ms(0), ms(4000));
     ledger.record(ms(100), id, Evidence::RequestSent);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -7,7 +7,7 @@
 //! [`records`] has the bytes of its file.
 //!
 //! An attempt belongs to no connection. It runs at its engine until it ends, is cancelled, its process ends, or nobody has
-//! polled it for [`Bounds::poll_expiry`]. That the gateway no longer waits for it ends nothing. No proof rests on the
+//! polled it for [`ProtocolLimits::poll_expiry`]. That the gateway no longer waits for it ends nothing. No proof rests on the
 //! list of endpoints or on who listens at an address: a list may be late, and a draining engine may refuse new
 //! connections and run on.
 //!
@@ -18,15 +18,15 @@
 //!
 //! | evidence | on the identified connection | on any other, or on none |
 //! |---|---|---|
-//! | [`RequestSent`](Evidence::RequestSent) | the attempt may run for [`Bounds::poll_expiry`], from [`Bounds::long_poll`] later on | the same |
-//! | [`Running`](Evidence::Running) | it runs; may run for [`Bounds::poll_expiry`] from now | the same, and this connection is identified |
+//! | [`RequestSent`](Evidence::RequestSent) | the attempt may run for [`ProtocolLimits::poll_expiry`], from [`ProtocolLimits::long_poll`] later on | the same |
+//! | [`Running`](Evidence::Running) | it runs; may run for [`ProtocolLimits::poll_expiry`] from now | the same, and this connection is identified |
 //! | [`Ended`](Evidence::Ended) | [`Proof::Ended`] | [`Proof::Ended`] |
 //! | [`NeverReached`](Evidence::NeverReached) | [`Proof::NeverReached`] | [`Proof::NeverReached`] |
 //! | [`ReportedFailed`](Evidence::ReportedFailed) | [`Proof::Ended`] | nothing: another process may have reported it, or the request is on its way |
 //! | [`Cancelled`](Evidence::Cancelled) | [`Proof::Cancelled`] | nothing: another process may have answered; it is not cancelled again until a connection is identified |
 //! | [`ConnectionLost`](Evidence::ConnectionLost), [`ConnectionUnusable`](Evidence::ConnectionUnusable) | nothing; no connection is identified any more | nothing |
 //! | [`ConnectionRefused`](Evidence::ConnectionRefused) | nothing | nothing; it is not cancelled until a connection is identified |
-//! | [`CancelFailed`](Evidence::CancelFailed) | nothing; the next cancellation waits [`Bounds::cancel_pause`] | the same |
+//! | [`CancelFailed`](Evidence::CancelFailed) | nothing; the next cancellation waits [`ProtocolLimits::cancel_pause`] | the same |
 //! | the time until which it may run passes | [`Proof::Expired`]; [`Proof::NeverReached`] at once where no request was sent | the same |
 //!
 //! docs/ledger.md weighs the options and names the assumption behind each proof.
@@ -39,6 +39,6 @@
 pub mod records;
 mod reported_end;
 
-pub use attempts::{AttemptId, Bounds, CancelStep, Connection, Evidence, Ledger, Proof};
+pub use attempts::{AttemptId, CancelStep, Connection, Evidence, Ledger, Proof, ProtocolLimits};
 pub use polling::{CallFailure, PollSchedule, PollStep};
 pub use reported_end::{ReportVerdict, ReportedEnd};
--- a/crates/ledger/src/polling.rs
+++ b/crates/ledger/src/polling.rs
@@ -1,6 +1,6 @@
 //! Decides when an attempt, or a page of its result, is polled again.
 
-use crate::attempts::Bounds;
+use crate::attempts::ProtocolLimits;
 use std::time::Duration;
 
 /// Why a call brought no usable answer.
@@ -26,7 +26,7 @@
 /// The polls of one attempt.
 #[derive(Debug)]
 pub struct PollSchedule {
-    bounds: Bounds,
+    limits: ProtocolLimits,
     /// The pause before a poll after two failed calls in a row, and after each further one.
     retry_pause: Duration,
     last_answer: Duration,
@@ -35,9 +35,9 @@
 
 impl PollSchedule {
     /// A schedule that waits `retry_pause` after each failed call but the first in a row.
-    pub fn new(now: Duration, bounds: Bounds, retry_pause: Duration) -> Self {
+    pub fn new(now: Duration, limits: ProtocolLimits, retry_pause: Duration) -> Self {
         PollSchedule {
-            bounds,
+            limits,
             retry_pause,
             last_answer: now,
             last_call_failed: false,
@@ -54,7 +54,7 @@
     /// A call failed.
     pub fn failed(&mut self, now: Duration, failure: CallFailure) -> PollStep {
         let unanswered_time = now.saturating_sub(self.last_answer);
-        let expired = unanswered_time > self.bounds.long_poll + self.bounds.poll_expiry;
+        let expired = unanswered_time > self.limits.long_poll + self.limits.poll_expiry;
         if failure == CallFailure::Refused || expired {
             return PollStep::Stop;
         }
--- a/crates/scale/src/slopes/roles/ledger.rs
+++ b/crates/scale/src/slopes/roles/ledger.rs
@@ -4,12 +4,12 @@
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
-use garnetwall_ledger::{AttemptId, Bounds, Evidence, Ledger};
+use garnetwall_ledger::{AttemptId, Evidence, Ledger, ProtocolLimits};
 use std::hint::black_box;
 use std::time::Duration;
 
 /// As in the gateway.
-const BOUNDS: Bounds = Bounds {
+const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: Duration::from_millis(250),
     progress_events: false,
     poll_expiry: Duration::from_secs(2),
@@ -24,7 +24,7 @@
         let open = point.quantities.open_attempts;
         let now = Duration::from_secs(1);
         let (resident, (mut ledger, mut attempts)) = growth(|| {
-            let mut ledger = Ledger::new(BOUNDS);
+            let mut ledger = Ledger::new(PROTOCOL_LIMITS);
             let attempts: Vec<AttemptId> = (0..open).map(|_| begin(&mut ledger, now)).collect();
             (ledger, attempts)
         })?;
