--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -27,7 +27,7 @@
 use crate::system::send_gate::SendGate;
 use attempt::EngineSession;
 use garnetwall::api::{AttemptEnd, EngineId};
-use garnetwall_ledger::{Ledger, ProtocolLimits};
+use garnetwall_ledger::{Ledger, ProgressEvents, ProtocolLimits};
 use garnetwall_settings::NetworkTimeouts;
 use protocol::{CANCEL_RETRY_PAUSE, LONG_POLL_LIMIT, MAX_UNPOLLED_RUN, POLL_EXPIRY};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -65,9 +65,14 @@
         longest_deadline: f64,
         list: Arc<EngineList>,
     ) -> Self {
+        let progress_events = if progress_interval > 0.0 {
+            ProgressEvents::KeepRunning
+        } else {
+            ProgressEvents::NotSent
+        };
         let protocol_limits = ProtocolLimits {
             long_poll: LONG_POLL_LIMIT,
-            progress_events: progress_interval > 0.0,
+            progress_events,
             poll_expiry: POLL_EXPIRY,
             cancel_pause: CANCEL_RETRY_PAUSE,
         };
--- a/crates/gateway/tests/world/figures.rs
+++ b/crates/gateway/tests/world/figures.rs
@@ -1,7 +1,7 @@
 //! Constants of the simulation: times in milliseconds of the simulated day, and the rules in force.
 
 use garnetwall::api::{RetryBudget, SlowStart};
-use garnetwall_ledger::ProtocolLimits;
+use garnetwall_ledger::{ProgressEvents, ProtocolLimits};
 use std::time::Duration;
 
 /// Time step of the simulation.
@@ -22,7 +22,7 @@
 pub(super) const KEY_PAUSE: u64 = 500;
 pub(super) const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: Duration::from_millis(POLL_HOLD),
-    progress_events: false,
+    progress_events: ProgressEvents::NotSent,
     poll_expiry: Duration::from_millis(UNPOLLED_LIFETIME),
     cancel_pause: Duration::from_millis(50),
 };
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -9,7 +9,7 @@
 use super::{seconds, InjectedBug, Simulation};
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
-use garnetwall_ledger::{Ledger, ProtocolLimits};
+use garnetwall_ledger::{Ledger, ProgressEvents, ProtocolLimits};
 
 impl Simulation {
     pub fn new(seed: u64, bug: InjectedBug) -> Simulation {
@@ -103,8 +103,13 @@
             (0, 0)
         };
         let reports_progress = (seed >> 8) % 4 == 1;
+        let progress_events = if reports_progress && bug != InjectedBug::IgnoresProgress {
+            ProgressEvents::KeepRunning
+        } else {
+            ProgressEvents::NotSent
+        };
         let limits = ProtocolLimits {
-            progress_events: reports_progress && bug != InjectedBug::IgnoresProgress,
+            progress_events,
             ..PROTOCOL_LIMITS
         };
         let mut world = Simulation {
--- a/crates/ledger/src/attempts.rs
+++ b/crates/ledger/src/attempts.rs
@@ -6,7 +6,7 @@
 
 pub use evidence::{Connection, Evidence, Proof};
 pub use open_attempt::CancelStep;
-pub use protocol_limits::ProtocolLimits;
+pub use protocol_limits::{ProgressEvents, ProtocolLimits};
 
 use open_attempt::OpenAttempt;
 use std::collections::HashMap;
--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -1,7 +1,7 @@
 //! What is known of one attempt, and what can be done to end it.
 
 use super::evidence::{Connection, Evidence, Proof};
-use super::protocol_limits::ProtocolLimits;
+use super::protocol_limits::{ProgressEvents, ProtocolLimits};
 use std::time::Duration;
 
 /// Where progress events keep attempts running: how often the process at an engine's address is asked whether it has an
@@ -49,10 +49,11 @@
 impl OpenAttempt {
     /// An attempt of which nothing was sent yet. `progress_expiry` is as in [`Ledger::open`](super::Ledger::open).
     pub(super) fn new(now: Duration, limits: &ProtocolLimits, progress_expiry: Duration) -> Self {
-        let (expiry, identifications_left) = if limits.progress_events {
-            (limits.poll_expiry.max(progress_expiry), MAX_IDENTIFICATIONS)
-        } else {
-            (limits.poll_expiry, 0)
+        let (expiry, identifications_left) = match limits.progress_events {
+            ProgressEvents::NotSent => (limits.poll_expiry, 0),
+            ProgressEvents::KeepRunning => {
+                (limits.poll_expiry.max(progress_expiry), MAX_IDENTIFICATIONS)
+            }
         };
         OpenAttempt {
             may_have_reached: false,
--- a/crates/ledger/src/attempts/protocol_limits.rs
+++ b/crates/ledger/src/attempts/protocol_limits.rs
@@ -7,11 +7,19 @@
 pub struct ProtocolLimits {
     /// An engine answers a poll after this time at most.
     pub long_poll: Duration,
-    /// Engines send progress events, each of which keeps its attempt running as a poll does, received or not. That nobody
-    /// polls an attempt does not end it then.
-    pub progress_events: bool,
+    /// Whether engines send progress events.
+    pub progress_events: ProgressEvents,
     /// An engine drops an attempt that nobody has polled for this time.
     pub poll_expiry: Duration,
-    /// The pause after a cancellation that failed.
+    /// The pause between a cancellation that failed and the next one.
     pub cancel_pause: Duration,
 }
+
+/// Whether engines send progress events, and what that means for an attempt that nobody polls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProgressEvents {
+    /// Engines send none: an attempt ends once nobody has polled it for [`ProtocolLimits::poll_expiry`].
+    NotSent,
+    /// Each event keeps its attempt running as a poll does, received or not: that nobody polls an attempt does not end it.
+    KeepRunning,
+}
--- a/crates/ledger/src/attempts/tests.rs
+++ b/crates/ledger/src/attempts/tests.rs
@@ -11,7 +11,7 @@
 
 const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: ms(250),
-    progress_events: false,
+    progress_events: ProgressEvents::NotSent,
     poll_expiry: ms(2000),
     cancel_pause: ms(50),
 };
@@ -493,7 +493,7 @@
 #[test]
 fn progress_events_keep_an_attempt_running_for_the_given_time() {
     let mut ledger = Ledger::new(ProtocolLimits {
-        progress_events: true,
+        progress_events: ProgressEvents::KeepRunning,
         ..PROTOCOL_LIMITS
     });
     let id = ledger.open(ms(0), ms(4000));
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -39,6 +39,8 @@
 pub mod records;
 mod reported_end;
 
-pub use attempts::{AttemptId, CancelStep, Connection, Evidence, Ledger, Proof, ProtocolLimits};
+pub use attempts::{
+    AttemptId, CancelStep, Connection, Evidence, Ledger, ProgressEvents, Proof, ProtocolLimits,
+};
 pub use polling::{CallFailure, PollSchedule, PollStep};
 pub use reported_end::{ReportVerdict, ReportedEnd};
--- a/crates/scale/src/slopes/roles/ledger.rs
+++ b/crates/scale/src/slopes/roles/ledger.rs
@@ -4,14 +4,14 @@
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
-use garnetwall_ledger::{AttemptId, Evidence, Ledger, ProtocolLimits};
+use garnetwall_ledger::{AttemptId, Evidence, Ledger, ProgressEvents, ProtocolLimits};
 use std::hint::black_box;
 use std::time::Duration;
 
 /// As in the gateway.
 const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: Duration::from_millis(250),
-    progress_events: false,
+    progress_events: ProgressEvents::NotSent,
     poll_expiry: Duration::from_secs(2),
     cancel_pause: Duration::from_millis(50),
 };
