--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -44,7 +44,7 @@
 use call_timeout::CallTimeout;
 use engine_call::EngineCall;
 use garnetwall::api::AttemptEnd;
-use garnetwall_ledger::{AttemptId, Connection, Evidence, PollSchedule, Proof};
+use garnetwall_ledger::{AttemptId, ConnectionId, Evidence, PollSchedule, Proof};
 use http::Method;
 use polling::PollOutcome;
 use std::sync::Arc;
@@ -63,7 +63,7 @@
     /// Aborts the connection that is up, or was last.
     abort_flag: AbortFlag,
     /// The number of the connection that is up, or was last.
-    connection: Connection,
+    connection: ConnectionId,
     /// The gate of the request that starts the attempt; none for a health check.
     send_gate: Option<Arc<SendGate>>,
     /// By when the request has been sent completely or is not sent; none where that is the response deadline.
@@ -106,7 +106,7 @@
             ledger_id: None,
             sender: None,
             abort_flag: AbortFlag::default(),
-            connection: 0,
+            connection: ConnectionId::default(),
             send_gate: None,
             send_deadline: None,
             response_deadline: now,
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -94,7 +94,7 @@
             Some(_) => self.record(Evidence::ConnectionLost(self.connection)),
             None => {}
         }
-        self.connection += 1;
+        self.connection = self.connection.next();
         let gate = self.send_gate.clone().filter(|_| kind == CallKind::Start);
         let EngineConnection { sender, abort_flag } =
             self.engines.connect(self.target.address, gate).await?;
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -118,7 +118,7 @@
             }
             self.attempts[n].established_at = None;
             self.attempts[n].connected_to = Some(process);
-            self.attempts[n].connection += 1;
+            self.attempts[n].connection = self.attempts[n].connection.next();
         }
         if then != Call::Cancel {
             self.attempts[n].may_have_arrived = true;
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -5,7 +5,7 @@
 };
 use super::{seconds, InjectedBug, Rule, Simulation};
 use garnetwall::api::*;
-use garnetwall_ledger::{AttemptId, Evidence, PollSchedule};
+use garnetwall_ledger::{AttemptId, ConnectionId, Evidence, PollSchedule};
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     pub(super) poll_schedule: PollSchedule,
     /// The process to which the connection is established.
     pub(super) connected_to: Option<usize>,
-    pub(super) connection: u32,
+    pub(super) connection: ConnectionId,
     pub(super) refused: bool,
     /// When the pending connection will be established.
     pub(super) established_at: Option<u64>,
@@ -181,7 +181,7 @@
                 Duration::from_millis(CONNECT_TIMEOUT),
             ),
             connected_to: None,
-            connection: 0,
+            connection: ConnectionId::default(),
             refused: false,
             established_at: None,
             may_have_arrived: false,
--- a/crates/ledger/src/attempts.rs
+++ b/crates/ledger/src/attempts.rs
@@ -4,7 +4,7 @@
 mod open_attempt;
 mod protocol_limits;
 
-pub use evidence::{Connection, Evidence, Proof};
+pub use evidence::{ConnectionId, Evidence, Proof};
 pub use open_attempt::CancelStep;
 pub use protocol_limits::{ProgressEvents, ProtocolLimits};
 
--- a/crates/ledger/src/attempts/evidence.rs
+++ b/crates/ledger/src/attempts/evidence.rs
@@ -1,7 +1,17 @@
 //! What can be observed of an attempt, and what proves that it does not run any more.
 
-/// A connection to the engine of one attempt, numbered in the order in which they are made.
-pub type Connection = u32;
+/// A connection to the engine of one attempt, by its number in the order in which they are made. The default is the number
+/// before the first connection.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ConnectionId(pub u32);
+
+impl ConnectionId {
+    /// The connection that is made next.
+    #[must_use]
+    pub fn next(self) -> Self {
+        ConnectionId(self.0 + 1)
+    }
+}
 
 /// An observation of an attempt. The table in the crate's documentation says what each proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,19 +19,19 @@
     /// The request that starts the attempt, or a poll, is being written: from now on it may have reached the engine.
     RequestSent,
     /// The process at the end of this connection has shown that it has the attempt, which still runs.
-    Running(Connection),
+    Running(ConnectionId),
     /// The engine has reported how the attempt ended, or that it never ran.
     Ended,
     /// Polled on this connection, a process reported that the attempt failed, or that it does not know it.
-    ReportedFailed(Connection),
+    ReportedFailed(ConnectionId),
     /// No connection was made for the request: nothing can have reached the engine.
     NeverReached,
     /// A cancellation was answered on this connection.
-    Cancelled(Connection),
+    Cancelled(ConnectionId),
     /// This connection was reset or closed.
-    ConnectionLost(Connection),
+    ConnectionLost(ConnectionId),
     /// This connection carried what can't be read, or nothing in time: it is of no further use.
-    ConnectionUnusable(Connection),
+    ConnectionUnusable(ConnectionId),
     /// A new connection was refused.
     ConnectionRefused,
     /// A cancellation failed.
--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -1,6 +1,6 @@
 //! What is known of one attempt, and what can be done to end it.
 
-use super::evidence::{Connection, Evidence, Proof};
+use super::evidence::{ConnectionId, Evidence, Proof};
 use super::protocol_limits::{ProgressEvents, ProtocolLimits};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     /// The next request that is sent asks so.
     identifying: bool,
     /// A connection to the process that has the attempt, while it can be used.
-    identified_connection: Option<Connection>,
+    identified_connection: Option<ConnectionId>,
     /// A connection was refused, or a process that may be another answered a cancellation: without an identified connection
     /// no further cancellation can achieve more.
     cancellation_exhausted: bool,
@@ -122,7 +122,7 @@
         }
     }
 
-    fn is_identified(&self, connection: Connection) -> bool {
+    fn is_identified(&self, connection: ConnectionId) -> bool {
         self.identified_connection == Some(connection)
     }
 
@@ -134,7 +134,7 @@
         self.last_contact = self.last_contact.max(now + long_poll);
     }
 
-    fn record_running(&mut self, now: Duration, connection: Connection) {
+    fn record_running(&mut self, now: Duration, connection: ConnectionId) {
         self.last_contact = self.last_contact.max(now);
         self.identified_connection = Some(connection);
         self.cancellation_exhausted = false;
--- a/crates/ledger/src/attempts/tests.rs
+++ b/crates/ledger/src/attempts/tests.rs
@@ -25,7 +25,7 @@
 }
 
 fn evidence() -> impl Strategy<Value = Evidence> {
-    let connection = 0u32..3;
+    let connection = (0u32..3).prop_map(ConnectionId);
     prop_oneof![
         3 => Just(Evidence::RequestSent),
         4 => connection.clone().prop_map(Evidence::Running),
@@ -70,7 +70,7 @@
     }
 
     /// The connection on which the attempt was last seen running, if nothing happened to that since.
-    fn identified_connection(&self) -> Option<Connection> {
+    fn identified_connection(&self) -> Option<ConnectionId> {
         let since = self.since_last_running()?;
         let Evidence::Running(connection) = since[0].1 else {
             return None;
@@ -251,7 +251,7 @@
 /// The connection of a simulated attempt.
 #[derive(Clone, Copy)]
 struct Open {
-    number: Connection,
+    number: ConnectionId,
     /// It reaches the process that has the attempt.
     to_first_process: bool,
 }
@@ -260,7 +260,7 @@
 struct Simulated {
     id: AttemptId,
     connection: Option<Open>,
-    connections_made: Connection,
+    next_connection: ConnectionId,
     polled_at: u64,
     /// The truth.
     ended_at: Option<u64>,
@@ -306,10 +306,10 @@
         Simulated {
             id,
             connection: Some(Open {
-                number: 0,
+                number: ConnectionId(0),
                 to_first_process: true,
             }),
-            connections_made: 1,
+            next_connection: ConnectionId(1),
             polled_at: 0,
             ended_at: None,
             finished: false,
@@ -405,8 +405,8 @@
         if !first_accepts && !replaced {
             return None;
         }
-        let number = self.connections_made;
-        self.connections_made += 1;
+        let number = self.next_connection;
+        self.next_connection = number.next();
         Some(Open {
             number,
             to_first_process: !replaced,
@@ -432,7 +432,7 @@
     let (a, b) = (ledger.open(ms(0), ms(900)), ledger.open(ms(0), ms(900)));
     for id in [a, b] {
         ledger.record(ms(0), id, Evidence::RequestSent);
-        ledger.record(ms(250), id, Evidence::Running(0));
+        ledger.record(ms(250), id, Evidence::Running(ConnectionId(0)));
         ledger.record(ms(250), id, Evidence::RequestSent);
     }
     assert_eq!(
@@ -440,12 +440,12 @@
         CancelStep::Cancel(ms(2100)),
         "on the identified connection"
     );
-    ledger.record(ms(410), a, Evidence::Cancelled(0));
+    ledger.record(ms(410), a, Evidence::Cancelled(ConnectionId(0)));
     assert_eq!(
         ledger.next_cancel_step(ms(410), a),
         CancelStep::Finished(Proof::Cancelled)
     );
-    ledger.record(ms(420), b, Evidence::ConnectionLost(0));
+    ledger.record(ms(420), b, Evidence::ConnectionLost(ConnectionId(0)));
     ledger.record(ms(421), b, Evidence::ConnectionRefused);
     assert_eq!(
         ledger.next_cancel_step(ms(430), b),
@@ -467,22 +467,22 @@
     let (a, b) = (ledger.open(ms(0), ms(900)), ledger.open(ms(0), ms(900)));
     for id in [a, b] {
         ledger.record(ms(0), id, Evidence::RequestSent);
-        ledger.record(ms(100), id, Evidence::ConnectionUnusable(0));
+        ledger.record(ms(100), id, Evidence::ConnectionUnusable(ConnectionId(0)));
     }
-    ledger.record(ms(200), a, Evidence::ReportedFailed(1));
+    ledger.record(ms(200), a, Evidence::ReportedFailed(ConnectionId(1)));
     assert_eq!(
         ledger.next_cancel_step(ms(200), a),
         CancelStep::Cancel(ms(2050)),
         "it may still arrive there, and be cancelled"
     );
-    ledger.record(ms(210), a, Evidence::Cancelled(1));
+    ledger.record(ms(210), a, Evidence::Cancelled(ConnectionId(1)));
     assert_eq!(
         ledger.next_cancel_step(ms(210), a),
         CancelStep::Wait(ms(2040)),
         "sent once, not every 50 ms"
     );
-    ledger.record(ms(200), b, Evidence::Running(1));
-    ledger.record(ms(210), b, Evidence::ReportedFailed(1));
+    ledger.record(ms(200), b, Evidence::Running(ConnectionId(1)));
+    ledger.record(ms(210), b, Evidence::ReportedFailed(ConnectionId(1)));
     assert_eq!(
         ledger.next_cancel_step(ms(210), b),
         CancelStep::Finished(Proof::Ended)
@@ -498,9 +498,9 @@
     });
     let id = ledger.open(ms(0), ms(4000));
     ledger.record(ms(100), id, Evidence::RequestSent);
-    ledger.record(ms(350), id, Evidence::Running(1));
+    ledger.record(ms(350), id, Evidence::Running(ConnectionId(1)));
     ledger.record(ms(350), id, Evidence::RequestSent);
-    ledger.record(ms(400), id, Evidence::ConnectionLost(1));
+    ledger.record(ms(400), id, Evidence::ConnectionLost(ConnectionId(1)));
     for at in [2700, 2800] {
         assert_eq!(
             ledger.next_cancel_step(ms(at), id),
@@ -509,20 +509,20 @@
         );
     }
     ledger.record(ms(2900), id, Evidence::RequestSent);
-    ledger.record(ms(2950), id, Evidence::ReportedFailed(2));
+    ledger.record(ms(2950), id, Evidence::ReportedFailed(ConnectionId(2)));
     assert_eq!(
         ledger.next_cancel_step(ms(2950), id),
         CancelStep::IdentifyProcess,
         "another process proves nothing"
     );
     ledger.record(ms(3000), id, Evidence::RequestSent);
-    ledger.record(ms(3050), id, Evidence::Running(3));
+    ledger.record(ms(3050), id, Evidence::Running(ConnectionId(3)));
     assert_eq!(
         ledger.next_cancel_step(ms(3050), id),
         CancelStep::Cancel(ms(4200)),
         "identified again"
     );
-    ledger.record(ms(3060), id, Evidence::ConnectionLost(3));
+    ledger.record(ms(3060), id, Evidence::ConnectionLost(ConnectionId(3)));
     assert_eq!(
         ledger.next_cancel_step(ms(3060), id),
         CancelStep::IdentifyProcess
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -40,7 +40,7 @@
 mod reported_end;
 
 pub use attempts::{
-    AttemptId, CancelStep, Connection, Evidence, Ledger, ProgressEvents, Proof, ProtocolLimits,
+    AttemptId, CancelStep, ConnectionId, Evidence, Ledger, ProgressEvents, Proof, ProtocolLimits,
 };
 pub use polling::{CallFailure, PollSchedule, PollStep};
 pub use reported_end::{ReportVerdict, ReportedEnd};
--- a/crates/scale/src/slopes/roles/ledger.rs
+++ b/crates/scale/src/slopes/roles/ledger.rs
@@ -4,7 +4,9 @@
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
-use garnetwall_ledger::{AttemptId, Evidence, Ledger, ProgressEvents, ProtocolLimits};
+use garnetwall_ledger::{
+    AttemptId, ConnectionId, Evidence, Ledger, ProgressEvents, ProtocolLimits,
+};
 use std::hint::black_box;
 use std::time::Duration;
 
@@ -46,6 +48,6 @@
 fn begin(ledger: &mut Ledger, now: Duration) -> AttemptId {
     let attempt = ledger.open(now, Duration::ZERO);
     ledger.record(now, attempt, Evidence::RequestSent);
-    ledger.record(now, attempt, Evidence::Running(1));
+    ledger.record(now, attempt, Evidence::Running(ConnectionId(1)));
     attempt
 }
