--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -5,7 +5,7 @@
 use crate::system::clock::{Clock, MILLIS_PER_SECOND};
 use crate::system::os_error::is_transient;
 pub use garnetwall_ledger::journal::RecoveredQuery;
-use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
+use garnetwall_ledger::journal::{FileStorage, Journal, JournalError, StartedJournal};
 use garnetwall_ledger::records::{Boot, StartedQuery, RUN_MARGIN};
 use std::io;
 use std::path::Path;
@@ -92,13 +92,13 @@
             boot_id: boot_clock.boot_id,
             longest_query_run_ms: millis(longest_deadline) + RUN_MARGIN.as_millis() as u64,
         };
-        let (journal, started) = Journal::start(
+        let StartedJournal { journal, restored } = Journal::start(
             FileStorage::new(&path),
             boot,
             move || boot_clock.millis(),
             Box::new(on_recovery),
         );
-        check_start(&path, started)?;
+        check_start(&path, restored)?;
         Ok(QueryJournal {
             open: Some(OpenJournal {
                 journal,
--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -1,7 +1,7 @@
 //! Commits per second of the journal, and their latency, with one writer waiting at a time and with many (group commit), on
 //! the disk of the temporary directory.
 
-use garnetwall_ledger::journal::{FileStorage, Journal, JournalError};
+use garnetwall_ledger::journal::{FileStorage, Journal, JournalError, StartedJournal};
 use garnetwall_ledger::records::{Boot, StartedQuery};
 use std::sync::mpsc::channel;
 use std::time::Instant;
@@ -19,9 +19,9 @@
             boot_id: 1,
             longest_query_run_ms: 1000,
         };
-        let (journal, started) =
+        let StartedJournal { journal, restored } =
             Journal::start(FileStorage::new(&path), boot, || 0, Box::new(drop));
-        started.unwrap_or_else(|e| panic!("{e}"));
+        restored.unwrap_or_else(|e| panic!("{e}"));
         let (on_written, written) = channel();
         let started_at = Instant::now();
         let send = |id: u64| {
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -28,17 +28,23 @@
     thread: Option<JoinHandle<()>>,
 }
 
+/// A journal that was started, and whether its storage could be used at once.
+pub struct StartedJournal {
+    /// The journal, which runs either way.
+    pub journal: Journal,
+    /// Whether the journal was read and replaced at once. Where that failed it is tried again, and until it succeeds no
+    /// query may be sent.
+    pub restored: io::Result<()>,
+}
+
 impl Journal {
     /// Opens the journal in `storage` in a boot whose clock `clock_ms` gives in milliseconds.
-    ///
-    /// The result beside it says whether the journal was read and replaced at once. Where that failed it is tried again,
-    /// and until it succeeds no query may be sent.
     pub fn start(
         storage: impl JournalStorage + 'static,
         boot: Boot,
         clock_ms: impl Fn() -> u64 + Send + 'static,
         recovery: RecoveryCallback,
-    ) -> (Journal, io::Result<()>) {
+    ) -> StartedJournal {
         let mut writer = Writer::new(storage, boot, clock_ms, recovery);
         let restored = writer.restore();
         let (commands, receiver) = channel();
@@ -47,7 +53,7 @@
             commands,
             thread: Some(thread),
         };
-        (journal, restored)
+        StartedJournal { journal, restored }
     }
 
     /// Records that a non-idempotent query is about to be sent. It may be sent once `on_written` was called with `Ok`.
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -3,7 +3,7 @@
 
 use garnetwall_ledger::journal::{
     FileStorage, Journal, JournalError, JournalState, JournalStorage, RecoveredQuery,
-    RecoveryCallback,
+    RecoveryCallback, StartedJournal,
 };
 use garnetwall_ledger::records::{Boot, Record, StartedQuery, RECORD_BYTES};
 use proptest::collection::vec;
@@ -194,9 +194,10 @@
         first_failure,
         failures,
     };
-    let (journal, started) = Journal::start(storage.clone(), BOOT, || 0, ignore_recovery());
+    let StartedJournal { journal, restored } =
+        Journal::start(storage.clone(), BOOT, || 0, ignore_recovery());
     assert_eq!(
-        started.is_ok(),
+        restored.is_ok(),
         first_failure > 2,
         "reading and the first replacement are operations 1 and 2"
     );
@@ -277,13 +278,13 @@
 fn expired_queries_are_removed_and_the_file_stays_small() {
     let path = std::env::temp_dir().join(format!("garnetwall-compact-{}", std::process::id()));
     // The time of all but the last is over.
-    let (journal, started) = Journal::start(
+    let StartedJournal { journal, restored } = Journal::start(
         FileStorage::new(&path),
         BOOT,
         || 1_000_000,
         ignore_recovery(),
     );
-    started.unwrap();
+    restored.unwrap();
     for id in 0..20_000u64 {
         let may_run_until_ms = if id < 19_990 { 1 } else { u64::MAX };
         let waits = id.is_multiple_of(100);
@@ -311,8 +312,9 @@
 
 /// The process that is killed: it records ids without end and prints each one that is confirmed or finished.
 fn write_until_killed(path: &Path, first_id: u64) {
-    let (journal, started) = Journal::start(FileStorage::new(path), BOOT, || 0, ignore_recovery());
-    started.unwrap();
+    let StartedJournal { journal, restored } =
+        Journal::start(FileStorage::new(path), BOOT, || 0, ignore_recovery());
+    restored.unwrap();
     for id in first_id.. {
         commit(&journal, id).unwrap();
         println!("started {id}");
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -7,7 +7,9 @@
 //! How a journal is torn, damaged or fails in other places is tested in journal.rs; that a gateway refuses what its
 //! journal holds, in crates/gateway/tests/recovery.rs and wire.rs.
 
-use garnetwall_ledger::journal::{FileStorage, Journal, JournalState, RecoveredQuery};
+use garnetwall_ledger::journal::{
+    FileStorage, Journal, JournalState, RecoveredQuery, StartedJournal,
+};
 use garnetwall_ledger::records::{Boot, Record, StartedQuery};
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
@@ -124,8 +126,9 @@
     let (recovered, recovery) = channel();
     let storage = FileStorage::new(&path);
     let callback = Box::new(move |all| drop(recovered.send(all)));
-    let (journal, started) = Journal::start(storage, BOOT, || 1_138_170, callback);
-    started.unwrap();
+    let StartedJournal { journal, restored } =
+        Journal::start(storage, BOOT, || 1_138_170, callback);
+    restored.unwrap();
     assert_eq!(recovery.recv().unwrap(), all_recovered());
     journal.record_finished(THIRD.query_key);
     drop(journal);
