--- /dev/null
+++ b/crates/ledger/src/attempts/tests/simulation.rs
@@ -0,0 +1,225 @@
+//! The ledger in a simulation whose engine drains, dies, is replaced and loses connections, where the truth is known.
+
+use super::*;
+use proptest::collection::vec;
+use proptest::prelude::*;
+
+/// What happens to the engine and the connections of a simulation, and when (milliseconds).
+#[derive(Clone, Debug)]
+struct World {
+    /// From then on the engine refuses new connections.
+    drains_at: u64,
+    /// Then its process ends, and resets all its connections.
+    dies_at: u64,
+    /// Then another process listens at its address.
+    replaced_at: u64,
+    /// When the network resets the connection of each attempt.
+    resets_at: Vec<u64>,
+    /// How long each attempt runs.
+    run_ms: Vec<u64>,
+    /// When the gateway stops to wait for each.
+    cancelled_at: Vec<u64>,
+    /// Whether cancellations are lost, in turn.
+    lost_cancellations: Vec<bool>,
+}
+
+fn world() -> impl Strategy<Value = World> {
+    let at = 200u64..6000;
+    (
+        at.clone(),
+        at.clone(),
+        at.clone(),
+        vec(at.clone(), 3),
+        vec(at.clone(), 3),
+        vec(at, 3),
+        vec(any::<bool>(), 8),
+    )
+        .prop_map(
+            |(drains_at, dies_at, replaced_at, resets_at, run_ms, cancelled_at, lost)| World {
+                drains_at,
+                dies_at: dies_at.max(drains_at),
+                replaced_at: replaced_at.max(drains_at),
+                resets_at,
+                run_ms,
+                cancelled_at,
+                lost_cancellations: lost,
+            },
+        )
+}
+
+/// The connection of a simulated attempt.
+#[derive(Clone, Copy)]
+struct Open {
+    number: ConnectionId,
+    /// It reaches the process that has the attempt.
+    to_first_process: bool,
+}
+
+/// One attempt of a simulation: the gateway's side and the truth.
+struct Simulated {
+    id: AttemptId,
+    connection: Option<Open>,
+    next_connection: ConnectionId,
+    polled_at: u64,
+    /// The truth.
+    ended_at: Option<u64>,
+    /// What the ledger says.
+    finished: bool,
+    cancelling: bool,
+    cancellations: usize,
+}
+
+const STEP_MS: usize = 10;
+const POLL_MS: u64 = 250;
+
+/// Runs a simulation by steps of 10 ms; each time the ledger says that an attempt has finished, it has.
+fn simulate(world: &World) -> Result<(), TestCaseError> {
+    let mut ledger = Ledger::new(PROTOCOL_LIMITS);
+    let mut attempts: Vec<Simulated> = (0..3)
+        .map(|_| {
+            let id = ledger.open(ms(0), ms(900));
+            ledger.record(ms(0), id, Evidence::RequestSent);
+            Simulated::new(id)
+        })
+        .collect();
+    for t in (0..12_000).step_by(STEP_MS) {
+        for (n, attempt) in attempts.iter_mut().enumerate() {
+            attempt.advance_truth(t, n, world, &mut ledger);
+            if attempt.finished {
+                continue;
+            }
+            if attempt.cancelling {
+                attempt.cancel(t, n, world, &mut ledger)?;
+            } else {
+                attempt.poll(t, n, world, &mut ledger);
+            }
+        }
+    }
+    let finished = attempts.iter().filter(|attempt| attempt.finished).count();
+    prop_assert_eq!(finished, 3, "every attempt has finished by the bound");
+    Ok(())
+}
+
+impl Simulated {
+    fn new(id: AttemptId) -> Simulated {
+        Simulated {
+            id,
+            connection: Some(Open {
+                number: ConnectionId(0),
+                to_first_process: true,
+            }),
+            next_connection: ConnectionId(1),
+            polled_at: 0,
+            ended_at: None,
+            finished: false,
+            cancelling: false,
+            cancellations: 0,
+        }
+    }
+
+    /// The attempt ends by itself, with its process, or as nobody polls it; its connection may break.
+    fn advance_truth(&mut self, t: u64, n: usize, world: &World, ledger: &mut Ledger) {
+        let dead = t >= world.dies_at;
+        let unpolled = t.saturating_sub(self.polled_at) >= 2250;
+        if self.ended_at.is_none() && (t >= world.run_ms[n] || dead || unpolled) {
+            self.ended_at = Some(t);
+        }
+        let reset = t == world.resets_at[n] / 10 * 10;
+        let broken = |open: &Open| reset || (dead && open.to_first_process);
+        if let Some(open) = self.connection.filter(broken) {
+            ledger.record(ms(t), self.id, Evidence::ConnectionLost(open.number));
+            self.connection = None;
+        }
+    }
+
+    /// Polls every 250 ms on a connection that reaches the process, until the gateway stops to wait.
+    fn poll(&mut self, t: u64, n: usize, world: &World, ledger: &mut Ledger) {
+        self.cancelling = t >= world.cancelled_at[n];
+        let Some(open) = self.connection else {
+            self.cancelling = true;
+            return;
+        };
+        if !open.to_first_process || !t.is_multiple_of(POLL_MS) {
+            return;
+        }
+        if self.ended_at.is_some() {
+            ledger.record(ms(t), self.id, Evidence::Ended);
+            self.cancelling = true;
+            return;
+        }
+        ledger.record(ms(t), self.id, Evidence::Running(open.number));
+        ledger.record(ms(t), self.id, Evidence::RequestSent);
+        self.polled_at = t;
+    }
+
+    fn cancel(
+        &mut self,
+        t: u64,
+        n: usize,
+        world: &World,
+        ledger: &mut Ledger,
+    ) -> Result<(), TestCaseError> {
+        match ledger.next_cancel_step(ms(t), self.id) {
+            CancelStep::IdentifyProcess => unreachable!("no progress events here"),
+            CancelStep::Finished(proof) => {
+                prop_assert!(
+                    self.ended_at.is_some_and(|at| at <= t),
+                    "attempt {n} runs at {t}, but {proof:?}: {world:?}"
+                );
+                self.finished = true;
+            }
+            CancelStep::Wait(time) => prop_assert!(!time.is_zero()),
+            CancelStep::Cancel(remaining) => {
+                prop_assert!(!remaining.is_zero());
+                self.send_cancellation(t, world, ledger);
+            }
+        }
+        Ok(())
+    }
+
+    fn send_cancellation(&mut self, t: u64, world: &World, ledger: &mut Ledger) {
+        self.cancellations += 1;
+        let lost = world.lost_cancellations[self.cancellations % world.lost_cancellations.len()];
+        let Some(open) = self.connection.or_else(|| self.connect(t, world)) else {
+            ledger.record(ms(t), self.id, Evidence::ConnectionRefused);
+            return;
+        };
+        self.connection = Some(open);
+        if lost {
+            ledger.record(ms(t), self.id, Evidence::ConnectionUnusable(open.number));
+            ledger.record(ms(t), self.id, Evidence::CancelFailed);
+            self.connection = None;
+            return;
+        }
+        if open.to_first_process && self.ended_at.is_none() {
+            self.ended_at = Some(t);
+        }
+        ledger.record(ms(t), self.id, Evidence::Cancelled(open.number));
+    }
+
+    /// A new connection, if any process accepts it.
+    fn connect(&mut self, t: u64, world: &World) -> Option<Open> {
+        let replaced = t >= world.replaced_at;
+        let first_accepts = t < world.drains_at && t < world.dies_at;
+        if !first_accepts && !replaced {
+            return None;
+        }
+        let number = self.next_connection;
+        self.next_connection = number.next();
+        Some(Open {
+            number,
+            to_first_process: !replaced,
+        })
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(2000))]
+
+    /// The engine drains without notice, the network resets its connections, another process takes its address while it runs
+    /// on: no attempt ever counts as finished while it runs.
+    #[test]
+    fn no_running_attempt_counts_as_finished_whatever_the_endpoint_list_says(world in world()) {
+        simulate(&world)?;
+    }
+}
