--- a/crates/bodies/benches/bodies/main.rs
+++ b/crates/bodies/benches/bodies/main.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use divan::counter::BytesCount;
 use divan::{black_box, Bencher};
-use garnetwall_bodies::{EvictionPolicy, Limits, Retention, Spool, SpoolFile, Store};
+use garnetwall_bodies::{EvictionPolicy, Limits, ReadBy, Retention, Spool, SpoolFile, Store};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
@@ -77,8 +77,8 @@
     }
     body.finish().await;
     let mut read = 0;
-    for is_retry in [false, true] {
-        let Ok(mut reader) = body.reader(is_retry) else {
+    for read_by in [ReadBy::FirstAttempt, ReadBy::Retry] {
+        let Ok(mut reader) = body.reader(read_by) else {
             return 0;
         };
         while let Ok(Some(bytes)) = reader.next().await {
--- a/crates/bodies/benches/bodies/peak_memory.rs
+++ b/crates/bodies/benches/bodies/peak_memory.rs
@@ -3,7 +3,7 @@
 use crate::{runtime, store, CHUNK_BYTES, MIB, SIZES};
 use bytes::Bytes;
 use divan::black_box;
-use garnetwall_bodies::Retention;
+use garnetwall_bodies::{ReadBy, Retention};
 use std::io::Write;
 use std::path::Path;
 use std::process::Command;
@@ -93,7 +93,7 @@
         let _ = body.push(Bytes::copy_from_slice(&chunk)).await;
     }
     body.finish().await;
-    let Ok(mut reader) = body.reader(false) else {
+    let Ok(mut reader) = body.reader(ReadBy::FirstAttempt) else {
         return;
     };
     while let Ok(Some(bytes)) = reader.next().await {
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -3,7 +3,7 @@
 use crate::capacity::{EvictionPolicy, Limits, Storage, Usage, PIECE_BYTES, WINDOW_BYTES};
 use crate::mutex::lock;
 use crate::spool::{RandomAccessFile, Spool, SpoolError};
-use crate::{Body, Counts, PushError, ReadError, Retention, Store};
+use crate::{Body, Counts, PushError, ReadBy, ReadError, Retention, Store};
 use bytes::Bytes;
 use std::io;
 use std::sync::atomic::{AtomicI64, AtomicUsize, Ordering};
@@ -87,8 +87,8 @@
     body.finish().await;
 }
 
-async fn read(body: &Arc<Body>, is_retry: bool) -> Result<Vec<u8>, ReadError> {
-    let mut reader = body.reader(is_retry)?;
+async fn read(body: &Arc<Body>, read_by: ReadBy) -> Result<Vec<u8>, ReadError> {
+    let mut reader = body.reader(read_by)?;
     let mut out = Vec::new();
     while let Some(bytes) = reader.next().await? {
         out.extend_from_slice(&bytes);
@@ -119,9 +119,9 @@
                     .expect("capacity");
                 let all = bytes(length);
                 fill(&body, all.clone(), step).await;
-                for is_retry in [false, true, true] {
+                for read_by in [ReadBy::FirstAttempt, ReadBy::Retry, ReadBy::Retry] {
                     assert!(
-                        read(&body, is_retry).await.expect("it is stored") == all,
+                        read(&body, read_by).await.expect("it is stored") == all,
                         "{length} {announced:?} {step}"
                     );
                 }
@@ -164,7 +164,7 @@
         let (body, all) = (body.clone(), all.clone());
         tokio::spawn(async move { fill(&body, all, 100_000).await })
     };
-    let mut reader = body.reader(false).expect("its start");
+    let mut reader = body.reader(ReadBy::FirstAttempt).expect("its start");
     let first = reader.next().await.expect("bytes").expect("not the end");
     assert!(!first.is_empty() && !body.is_complete());
     let mut out = first.to_vec();
@@ -189,13 +189,16 @@
             tokio::spawn(async move { fill(&body, all, 50_000).await })
         };
         assert!(
-            read(&body, false).await.expect("it passes through") == all,
+            read(&body, ReadBy::FirstAttempt)
+                .await
+                .expect("it passes through")
+                == all,
             "after {writes} writes"
         );
         writer.await.expect("written");
         assert!(!body.is_stored());
         assert!(
-            matches!(body.reader(true), Err(ReadError::Discarded)),
+            matches!(body.reader(ReadBy::Retry), Err(ReadError::Discarded)),
             "not again"
         );
         assert_eq!(store.counts()[&(0, Storage::NotStored)].missing, 1);
@@ -220,7 +223,7 @@
     fill(&body, bytes(2 * MIB), 1 << 20).await;
     fake.damaged.store(1, Ordering::Relaxed);
     assert!(matches!(
-        read(&body, false).await,
+        read(&body, ReadBy::FirstAttempt).await,
         Err(ReadError::Spool(SpoolError::Damaged))
     ));
 }
@@ -253,7 +256,12 @@
         "{readable_bytes} bytes are in memory"
     );
     assert!(!writer.is_finished());
-    assert!(read(&body, false).await.expect("it passes through") == all);
+    assert!(
+        read(&body, ReadBy::FirstAttempt)
+            .await
+            .expect("it passes through")
+            == all
+    );
     writer.await.expect("written");
     assert!(!body.is_readable_from_start() && store.usage().memory_bytes <= WINDOW_BYTES);
 }
@@ -268,7 +276,7 @@
         body.push(bytes(300_000)).await.expect("admitted");
         let reading = {
             let body = body.clone();
-            tokio::spawn(async move { read(&body, false).await })
+            tokio::spawn(async move { read(&body, ReadBy::FirstAttempt).await })
         };
         sleep(Duration::from_millis(10)).await;
         match cut {
@@ -297,7 +305,7 @@
             .expect("capacity");
         let all = bytes(length);
         fill(&body, all.clone(), 1 << 20).await;
-        let mut reader = body.reader(false).expect("its start");
+        let mut reader = body.reader(ReadBy::FirstAttempt).expect("its start");
         let mut out = reader
             .next()
             .await
@@ -311,7 +319,10 @@
         }
         assert!(out == all, "its one reader has all of it");
         drop(reader);
-        assert!(matches!(body.reader(true), Err(ReadError::Discarded)));
+        assert!(matches!(
+            body.reader(ReadBy::Retry),
+            Err(ReadError::Discarded)
+        ));
         assert!(
             store.usage().memory_bytes <= WINDOW_BYTES && store.usage().file_bytes == 0,
             "{:?}",
@@ -345,7 +356,7 @@
         "from three quarters of the memory down to a half"
     );
     for (size, body) in &all {
-        assert!(read(body, false).await.expect("stored") == bytes(*size));
+        assert!(read(body, ReadBy::FirstAttempt).await.expect("stored") == bytes(*size));
     }
     drop(all);
     assert_eq!(
--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -35,7 +35,7 @@
 pub use capacity::{
     AdmissionError, BodyId, Capacity, EvictionOutcome, EvictionPolicy, Limits, Storage, Usage,
 };
-pub use reader::{ReadError, Reader};
+pub use reader::{ReadBy, ReadError, Reader};
 pub use resources::Counts;
 pub use spool::{RandomAccessFile, Spool, SpoolError, SpoolFile};
 pub use store::Store;
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -33,6 +33,15 @@
 
 impl std::error::Error for ReadError {}
 
+/// Which attempt of its query reads a body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadBy {
+    /// The first attempt.
+    FirstAttempt,
+    /// A later one: its read counts as [`retry_reads`](crate::Counts::retry_reads).
+    Retry,
+}
+
 /// The position of one attempt in the body that it sends.
 pub struct Reader {
     body: Arc<Body>,
@@ -47,12 +56,12 @@
 }
 
 impl Body {
-    /// Opens a reader at its start. `is_retry` is set for attempts after the first, which are counted.
+    /// Opens a reader at its start.
     ///
     /// # Errors
     ///
     /// [`ReadError::Discarded`] where its start is not stored any more.
-    pub fn reader(self: &Arc<Self>, is_retry: bool) -> Result<Reader, ReadError> {
+    pub fn reader(self: &Arc<Self>, read_by: ReadBy) -> Result<Reader, ReadError> {
         if !self.rewind() {
             self.resources
                 .count(self.class, Storage::NotStored, |counts| {
@@ -60,7 +69,7 @@
                 });
             return Err(ReadError::Discarded);
         }
-        if is_retry {
+        if read_by == ReadBy::Retry {
             self.resources.count(self.class, self.storage(), |counts| {
                 counts.retry_reads += 1;
             });
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -6,7 +6,7 @@
 use crate::engines::protocol::request_header;
 use crate::engines::request::{request, RequestBody, START_PATH};
 use bytes::Bytes;
-use garnetwall_bodies::{ReadError, Reader};
+use garnetwall_bodies::{ReadBy, ReadError, Reader};
 use garnetwall_ledger::Evidence;
 use http::header::CONTENT_LENGTH;
 use http::{HeaderMap, HeaderValue, Method, Request};
@@ -28,7 +28,12 @@
         match &query.statement {
             Statement::Complete(bytes) => Some(self.complete_start_call(query, bytes)),
             Statement::Streamed(body) => {
-                let reader = body.reader(start.is_retry).ok()?;
+                let read_by = if start.is_retry {
+                    ReadBy::Retry
+                } else {
+                    ReadBy::FirstAttempt
+                };
+                let reader = body.reader(read_by).ok()?;
                 Some(self.streamed_start_call(query, reader, body.length()))
             }
         }
