--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -6,7 +6,7 @@
 use crate::piece::PieceData;
 use crate::registry::Registry;
 use crate::resources::Resources;
-use crate::spool::Spool;
+use crate::spool::{Spool, SpoolError};
 use bytes::Bytes;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -21,6 +21,14 @@
     UntilRead,
 }
 
+/// The outcome of writing a piece to the spool file.
+pub(crate) enum PieceWrite {
+    /// The piece is in a slot of the file.
+    Written(PieceData),
+    /// The piece is not in the file: the file is full, the disk failed, or the blocking task did not end.
+    Failed,
+}
+
 /// One body in flight. Its reservation is released when it is dropped.
 pub struct Body {
     pub(crate) resources: Arc<Resources>,
@@ -122,19 +130,25 @@
         }
     }
 
-    /// Writes a piece to the spool file, on a thread for blocking work; none where that fails.
-    pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> Option<PieceData> {
+    /// Writes a piece to the spool file, on a thread for blocking work.
+    pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> PieceWrite {
         let number = self.next_piece_number();
         let length = piece.len();
         let body = self.body_id.0;
         let spool = spool.clone();
         let written = spawn_blocking(move || spool.write(body, number, &piece)).await;
-        let slot = written.ok()?.ok()?;
-        Some(PieceData::File {
-            slot,
-            number,
-            length,
-        })
+        match written {
+            Ok(Ok(slot)) => PieceWrite::Written(PieceData::File {
+                slot,
+                number,
+                length,
+            }),
+            Ok(Err(SpoolError::Full | SpoolError::Io(_) | SpoolError::Damaged)) => {
+                PieceWrite::Failed
+            }
+            // The task panicked, or the runtime is shutting down.
+            Err(_) => PieceWrite::Failed,
+        }
     }
 
     fn next_piece_number(&self) -> u32 {
--- a/crates/bodies/src/eviction.rs
+++ b/crates/bodies/src/eviction.rs
@@ -1,6 +1,6 @@
 //! Moves bodies from memory to the spool file while memory is short.
 
-use crate::body::Body;
+use crate::body::{Body, PieceWrite};
 use crate::capacity::EvictionOutcome;
 use crate::mutex::lock;
 use crate::piece::{Piece, PieceData};
@@ -36,9 +36,12 @@
             let PieceData::Memory(bytes) = &*piece.data else {
                 continue;
             };
-            let Some(data) = self.write_piece(spool, bytes.clone()).await else {
-                free_all(written, spool);
-                return EvictionOutcome::Failed;
+            let data = match self.write_piece(spool, bytes.clone()).await {
+                PieceWrite::Written(data) => data,
+                PieceWrite::Failed => {
+                    free_all(written, spool);
+                    return EvictionOutcome::Failed;
+                }
             };
             written.push(Piece {
                 offset: piece.offset,
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -13,20 +13,20 @@
 /// Why a body can't be read to its end.
 #[derive(Debug)]
 pub enum ReadError {
-    /// What is to be read is not stored any more.
+    /// The bytes at the reader's position were discarded.
     Discarded,
     /// The writer stopped before the end of the body.
     Truncated,
-    /// The spool file failed, or a piece in it is damaged.
+    /// The spool file could not be read, or a piece in it is damaged.
     Spool(SpoolError),
 }
 
 impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ReadError::Discarded => f.write_str("the body is not stored any more"),
-            ReadError::Truncated => f.write_str("the body was cut off"),
-            ReadError::Spool(error) => write!(f, "{error}"),
+            ReadError::Discarded => f.write_str("the body was discarded"),
+            ReadError::Truncated => f.write_str("the body was truncated"),
+            ReadError::Spool(error) => write!(f, "spool file: {error}"),
         }
     }
 }
--- a/crates/bodies/src/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -1,6 +1,6 @@
 //! The writer's side of a body: bytes are collected into pieces and stored.
 
-use crate::body::Body;
+use crate::body::{Body, PieceWrite};
 use crate::capacity::{AdmissionError, Storage, PIECE_BYTES, WINDOW_BYTES};
 use crate::content::ReceiveState;
 use crate::eviction::evict;
@@ -119,14 +119,15 @@
         content.state
     }
 
-    /// Stores a piece wherever the body is stored now. Where the spool file can't be written, the piece passes
-    /// through, and the body is not stored any more.
+    /// Stores a piece wherever the body is stored now, or passes it through to the reader.
     async fn store_piece(&self, piece: Bytes) {
         match (self.storage(), &self.resources.spool) {
             (Storage::Memory, _) => self.append(PieceData::Memory(piece)),
             (Storage::File, Some(spool)) => match self.write_piece(spool, piece.clone()).await {
-                Some(data) => self.append(data),
-                None => {
+                PieceWrite::Written(data) => self.append(data),
+                // The body goes on unstored: the attempt in flight can still send it, and only a retry would need the
+                // stored copy. A failure of the disk is treated like a full file.
+                PieceWrite::Failed => {
                     self.stop_storing();
                     self.pass_through(piece).await;
                 }
