--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -115,7 +115,12 @@
                 facts: self.facts(entry),
             })
             .collect();
-        let changes = self.catalog.apply(&catalog_entries, is_complete);
+        let scope = if is_complete {
+            subset::UpdateScope::FullList
+        } else {
+            subset::UpdateScope::ChangedEngines
+        };
+        let changes = self.catalog.apply(&catalog_entries, scope);
         for change in changes.iter().filter(|change| change.after.is_none()) {
             self.details.remove(&change.engine);
         }
--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -1,7 +1,7 @@
 //! The change log: numbered entries, and the endpoint list after each.
 
 use super::time::SimTime;
-use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, ListedEngine};
+use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, ListedEngine, UpdateScope};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
@@ -53,7 +53,9 @@
             facts: update.facts,
         };
         let listed_engines: Vec<ListedEngine> = updates.iter().map(listed_engine).collect();
-        let changes = self.catalog.apply(&listed_engines, false);
+        let changes = self
+            .catalog
+            .apply(&listed_engines, UpdateScope::ChangedEngines);
         for update in updates {
             if let Some(key) = self.catalog.key(&engine_id(update.engine)) {
                 self.engine_of_key.insert(key, update.engine);
--- a/crates/scale/src/real_processes/hollow_gateway.rs
+++ b/crates/scale/src/real_processes/hollow_gateway.rs
@@ -5,7 +5,7 @@
     Placement, Query, Settings,
 };
 use garnetwall::controller::AdmissionController;
-use garnetwall_subset::{Catalog, ListedEngine};
+use garnetwall_subset::{Catalog, ListedEngine, UpdateScope};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -57,7 +57,7 @@
         module.update_endpoints(endpoints, true);
         let _catalog = whole_list.map(|whole_list| {
             let mut catalog = Catalog::default();
-            catalog.apply(whole_list, true);
+            catalog.apply(whole_list, UpdateScope::FullList);
             catalog
         });
         GatewayMemory { module, _catalog }
--- a/crates/scale/src/real_processes/prediction.rs
+++ b/crates/scale/src/real_processes/prediction.rs
@@ -10,7 +10,7 @@
 use garnetwall_settings::{decode, FlatSettings};
 use garnetwall_subset::{
     Action, Catalog, ConnectOutcome, EngineFacts, ListedEngine, ListedState, PlacementClass,
-    RetryScope, Subset, SubsetError, SubsetSettings,
+    RetryScope, Subset, SubsetError, SubsetSettings, UpdateScope,
 };
 
 /// The defaults of the gateways' `subset` block.
@@ -122,7 +122,7 @@
     };
     let mut subset = Subset::new(&format!("g{gateway}"), settings)?;
     let mut catalog = Catalog::default();
-    let changes = catalog.apply(&listed_engines(experiment), true);
+    let changes = catalog.apply(&listed_engines(experiment), UpdateScope::FullList);
     subset.changed(0.0, &catalog, &changes);
     let mut now = 0.0;
     while now < FILL_SECONDS {
--- a/crates/scale/src/slopes/roles/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -5,7 +5,7 @@
 use crate::slopes::roles::pool::{self, PoolEngine};
 use crate::slopes::roles::subset::{changed, SettledSubset};
 use garnetwall::api::{Endpoint, EndpointState, EngineId};
-use garnetwall_subset::{Action, EngineKey};
+use garnetwall_subset::{Action, EngineKey, UpdateScope};
 use std::collections::HashMap;
 
 /// Translates the list into endpoints for the module.
@@ -55,9 +55,10 @@
         match self.subset.as_mut() {
             None => (self.whole(), true),
             Some(members) => {
-                let actions = members
-                    .chosen
-                    .apply(&super::super::subset::listed_engines(self.engines), true);
+                let actions = members.chosen.apply(
+                    &super::super::subset::listed_engines(self.engines),
+                    UpdateScope::FullList,
+                );
                 (members.carry_out(&actions), false)
             }
         }
@@ -69,7 +70,9 @@
         match self.subset.as_mut() {
             None => vec![endpoint_of_listed(&changed_engine)],
             Some(members) => {
-                let actions = members.chosen.apply(&[changed_engine], false);
+                let actions = members
+                    .chosen
+                    .apply(&[changed_engine], UpdateScope::ChangedEngines);
                 members.carry_out(&actions)
             }
         }
--- a/crates/scale/src/slopes/roles/subset.rs
+++ b/crates/scale/src/slopes/roles/subset.rs
@@ -5,7 +5,9 @@
 use crate::slopes::measurement::{Measured, Point};
 use crate::slopes::metric::Metric;
 use crate::slopes::role::{Role, RoleError};
-use garnetwall_subset::{Action, Catalog, ConnectOutcome, ListedEngine, ListedState, Subset};
+use garnetwall_subset::{
+    Action, Catalog, ConnectOutcome, ListedEngine, ListedState, Subset, UpdateScope,
+};
 
 /// Subsets that share one catalog, so that a subset's memory is known apart from the catalog's.
 const ADDITIONAL_SUBSETS: usize = 200;
@@ -29,7 +31,7 @@
     pub fn new(engines: u64, gateways: u64, size: u64) -> Result<Self, RoleError> {
         let listed = listed_engines(engines);
         let mut catalog = Catalog::default();
-        let changes = catalog.apply(&listed, true);
+        let changes = catalog.apply(&listed, UpdateScope::FullList);
         let mut subset = Subset::new("gateway-0", pool::subset_settings(size, gateways))?;
         subset.changed(0.0, &catalog, &changes);
         let mut chosen = SettledSubset {
@@ -42,8 +44,8 @@
     }
 
     /// Applies entries of the list and settles; returns the subset's actions.
-    pub fn apply(&mut self, listed: &[ListedEngine], whole: bool) -> Vec<Action> {
-        let changes = self.catalog.apply(listed, whole);
+    pub fn apply(&mut self, listed: &[ListedEngine], scope: UpdateScope) -> Vec<Action> {
+        let changes = self.catalog.apply(listed, scope);
         self.subset.changed(self.now, &self.catalog, &changes);
         self.settle()
     }
@@ -97,8 +99,10 @@
             .members()
             .map(|(_, holders)| holders)
             .collect();
-        let whole_list = repeated(|_| chosen.apply(&listed, true));
-        let changed_entry = repeated(|repeat| chosen.apply(&[changed(engines, repeat)], false));
+        let whole_list = repeated(|_| chosen.apply(&listed, UpdateScope::FullList));
+        let changed_entry = repeated(|repeat| {
+            chosen.apply(&[changed(engines, repeat)], UpdateScope::ChangedEngines)
+        });
         let (additional, _additional_subsets) =
             growth(|| additional_subsets(&chosen.catalog, gateways, size))?;
         Ok(vec![
--- a/crates/scale/src/subset_comparison/strategies/subset_crate.rs
+++ b/crates/scale/src/subset_comparison/strategies/subset_crate.rs
@@ -5,7 +5,7 @@
 use crate::subset_comparison::strategy::{Assignment, Choices, Classes, Strategy};
 use garnetwall_subset::{
     Action, Catalog, Change, ConnectOutcome, EngineFacts, EngineKey, ListedEngine, ListedState,
-    PlacementClass, RetryScope, Subset, SubsetSettings,
+    PlacementClass, RetryScope, Subset, SubsetSettings, UpdateScope,
 };
 use std::collections::{HashMap, HashSet};
 
@@ -84,7 +84,9 @@
 impl SimulatedFleet {
     /// Applies a whole list at all gateways, which settle. Returns what the gateways of the population hold.
     fn apply_list(&mut self, population: &Population) -> Assignment {
-        let changes = self.catalog.apply(&listed_engines(population), true);
+        let changes = self
+            .catalog
+            .apply(&listed_engines(population), UpdateScope::FullList);
         for engine in &population.engines {
             self.numbers
                 .extend(self.catalog.key(&engine.id).map(|key| (key, engine.number)));
--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -4,7 +4,7 @@
 
 use garnetwall_subset::{
     Action, Catalog, ConnectOutcome, EngineFacts, ListedEngine, ListedState, RetryScope, Subset,
-    SubsetError, SubsetSettings,
+    SubsetError, SubsetSettings, UpdateScope,
 };
 use std::time::Instant;
 
@@ -75,12 +75,14 @@
         .map(|number| listed_engine(number, ListedState::Ready))
         .collect();
     let first = nanoseconds(FULL_LISTS, |_| {
-        drop(Catalog::default().apply(&listed_engines, true))
+        drop(Catalog::default().apply(&listed_engines, UpdateScope::FullList))
     });
     println!("catalog: a first list of {ENGINES}: {:.0} us", first / 1e3);
     let mut catalog = Catalog::default();
-    catalog.apply(&listed_engines, true);
-    let again = nanoseconds(FULL_LISTS, |_| drop(catalog.apply(&listed_engines, true)));
+    catalog.apply(&listed_engines, UpdateScope::FullList);
+    let again = nanoseconds(FULL_LISTS, |_| {
+        drop(catalog.apply(&listed_engines, UpdateScope::FullList))
+    });
     println!("catalog: the same list again: {:.0} us", again / 1e3);
     let scopes = [
         (RetryScope::Everywhere, 1.0),
@@ -116,7 +118,10 @@
         } else {
             ListedState::Ready
         };
-        let changes = catalog.apply(&[listed_engine(number / 2 * 7 % ENGINES, state)], false);
+        let changes = catalog.apply(
+            &[listed_engine(number / 2 * 7 % ENGINES, state)],
+            UpdateScope::ChangedEngines,
+        );
         now += 0.1;
         subset.changed(now, catalog, &changes);
         for action in subset.poll(now, catalog) {
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -6,6 +6,15 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
+/// Which engines an update of the list names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateScope {
+    /// All engines: those that it does not name leave the catalog.
+    FullList,
+    /// Only those that have changed.
+    ChangedEngines,
+}
+
 /// An engine of the catalog.
 #[derive(Clone, Debug)]
 struct Entry {
@@ -26,13 +35,12 @@
 }
 
 impl Catalog {
-    /// Applies the full list, or only the engines that have changed, and returns what that changed. Removed engines, and
-    /// those that a full list does not name, leave the catalog.
-    pub fn apply(&mut self, engines: &[ListedEngine], is_full_list: bool) -> Vec<Change> {
-        let mut changes = if is_full_list {
-            self.remove_unnamed(engines)
-        } else {
-            Vec::new()
+    /// Applies an update of the list, and returns what that changed. Removed engines, and those that a full list does not
+    /// name, leave the catalog.
+    pub fn apply(&mut self, engines: &[ListedEngine], scope: UpdateScope) -> Vec<Change> {
+        let mut changes = match scope {
+            UpdateScope::FullList => self.remove_unnamed(engines),
+            UpdateScope::ChangedEngines => Vec::new(),
         };
         changes.extend(
             engines
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -33,7 +33,7 @@
 mod size;
 mod subset;
 
-pub use catalog::Catalog;
+pub use catalog::{Catalog, UpdateScope};
 pub use engine::{Change, EngineFacts, EngineKey, ListedEngine, ListedState};
 pub use join_queue::ConnectOutcome;
 pub use score::{GatewayHash, Score};
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use garnetwall_subset::{
-    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
+    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings, UpdateScope,
 };
 use std::collections::BTreeSet;
 use world::{
@@ -26,10 +26,10 @@
 /// When engines were connected to as a list doubled.
 fn connect_times(injected: InjectedFault) -> Vec<f64> {
     let mut world = World::new(settings(40), injected);
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     world.advance(SETTLING_SECONDS);
     assert_eq!(world.connects_at, [0.0; 0]);
-    world.apply(&listed_engines(400, 5), true);
+    world.apply(&listed_engines(400, 5), UpdateScope::FullList);
     assert_eq!(world.members.len(), 40);
     world.settle();
     assert_eq!(world.faults, BTreeSet::new());
@@ -49,10 +49,10 @@
     let mut tenths = BTreeSet::new();
     for gateway in 0..300 {
         let mut world = World::named(&format!("gateway-{gateway}"), settings(8), injected);
-        world.apply(&listed_engines(30, 5), true);
+        world.apply(&listed_engines(30, 5), UpdateScope::FullList);
         world.advance(1.0);
         let listed = world.now;
-        world.apply(&[listed_engine(30, 5)], false);
+        world.apply(&[listed_engine(30, 5)], UpdateScope::ChangedEngines);
         world.advance(10.0);
         let at = world.connects_at.first().copied();
         let at = if injected == InjectedFault::InStep {
@@ -88,13 +88,13 @@
         },
         InjectedFault::None,
     );
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     world.advance(10.0);
     let left: Vec<ListedEngine> = listed_engines(200, 5)
         .into_iter()
         .filter(|listed| listed.facts.zone != 0)
         .collect();
-    world.apply(&left, true);
+    world.apply(&left, UpdateScope::FullList);
     let remaining = world.members.len();
     assert!((20..35).contains(&remaining), "{remaining} members remain");
     world.advance(0.1);
@@ -114,20 +114,20 @@
 #[test]
 fn under_the_floor_engines_join_at_once() {
     let mut world = World::new(settings(40), InjectedFault::None);
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     let members = world.member_ids();
     let left: Vec<ListedEngine> = listed_engines(200, 5)
         .into_iter()
         .filter(|listed| !members.contains(&listed.engine_id))
         .collect();
-    world.apply(&left, true);
+    world.apply(&left, UpdateScope::FullList);
     assert_eq!(world.members.len(), 40, "all members gone: a first fill");
     let few: BTreeSet<String> = world.member_ids().into_iter().take(35).collect();
     let left: Vec<ListedEngine> = left
         .into_iter()
         .filter(|listed| !few.contains(&listed.engine_id))
         .collect();
-    world.apply(&left, true);
+    world.apply(&left, UpdateScope::FullList);
     assert_eq!(world.members.len(), 20, "the floor");
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -135,22 +135,22 @@
 #[test]
 fn late_empty_half_and_repeated_lists() {
     let mut world = World::new(settings(40), InjectedFault::None);
-    world.apply(&[], true);
+    world.apply(&[], UpdateScope::FullList);
     assert_eq!(world.members.len(), 0);
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     let members = world.member_ids();
     let first = world.members.clone();
-    world.apply(&listed_engines(200, 5), true);
-    world.apply(&listed_engines(200, 5), false);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
+    world.apply(&listed_engines(200, 5), UpdateScope::ChangedEngines);
     assert_eq!(world.members, first, "a repeated list changes nothing");
-    world.apply(&listed_engines(100, 5), true);
+    world.apply(&listed_engines(100, 5), UpdateScope::FullList);
     assert!(world.members.len() >= 20);
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     world.settle();
     assert_eq!(world.member_ids(), members, "half and whole again");
-    world.apply(&[], true);
+    world.apply(&[], UpdateScope::FullList);
     assert_eq!(world.members.len(), 0);
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     assert_eq!(world.member_ids(), members);
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -164,7 +164,7 @@
         },
         InjectedFault::None,
     );
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     let failing: Vec<_> = world.members.keys().copied().take(5).collect();
     world.attempts(failing[0], true, 3);
     assert_eq!(
@@ -207,7 +207,7 @@
 #[test]
 fn an_unreached_engine_is_replaced_and_retried() {
     let mut world = World::new(settings(20), InjectedFault::None);
-    world.apply(&listed_engines(100, 5), true);
+    world.apply(&listed_engines(100, 5), UpdateScope::FullList);
     world.advance(10.0);
     let members = world.member_ids();
     let removed = members.first().expect("members").clone();
@@ -242,7 +242,7 @@
         },
         InjectedFault::None,
     );
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     // With one engine of these the member with the highest score is displaced; while it fails there is a place for one.
     let displaces = |world: &World, new_engine: &ListedEngine| {
         let mut list = world.list.clone();
@@ -260,7 +260,7 @@
     world.attempts(failing, true, 4);
     world.advance(5.0);
     assert_eq!((world.subset.widened_by(), world.members.len()), (1, 21));
-    world.apply(&new_engines, false);
+    world.apply(&new_engines, UpdateScope::ChangedEngines);
     world.settle();
     assert_eq!((world.subset.widened_by(), world.members.len()), (0, 20));
     assert_eq!(world.faults, BTreeSet::new());
@@ -292,7 +292,7 @@
             &(first..first + 8)
                 .map(|number| listed_engine(number, 5))
                 .collect::<Vec<_>>(),
-            false,
+            UpdateScope::ChangedEngines,
         );
     };
     world
@@ -315,9 +315,9 @@
         },
         InjectedFault::None,
     );
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     for number in 200..500 {
-        world.apply(&[listed_engine(number, 5)], false);
+        world.apply(&[listed_engine(number, 5)], UpdateScope::ChangedEngines);
         world.advance(1.0);
     }
     assert!(world.connects_at.len() > 10 && within_pace(&world.connects_at, 0.2));
@@ -335,7 +335,7 @@
             InjectedFault::None,
         );
         for number in 0..300 {
-            world.apply(&[listed_engine(number, 40)], false);
+            world.apply(&[listed_engine(number, 40)], UpdateScope::ChangedEngines);
             if number % 10 == 9 {
                 world.settle();
                 assert_eq!(
@@ -367,7 +367,7 @@
         },
         InjectedFault::None,
     );
-    world.apply(&listed_engines(30, 5), true);
+    world.apply(&listed_engines(30, 5), UpdateScope::FullList);
     let members: Vec<String> = world.member_ids().into_iter().collect();
     let others = world
         .list
@@ -390,7 +390,7 @@
 #[test]
 fn a_connection_without_a_result_counts_as_not_reached() {
     let mut world = World::new(settings(20), InjectedFault::None);
-    world.apply(&listed_engines(100, 5), true);
+    world.apply(&listed_engines(100, 5), UpdateScope::FullList);
     world.silent = true;
     let removed = world.member_ids().first().cloned().expect("members");
     world.set_state(&removed, ListedState::Removed);
@@ -415,7 +415,7 @@
         ..settings(20)
     };
     let mut world = World::new(slow, InjectedFault::None);
-    world.apply(&listed_engines(200, 5), true);
+    world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     let in_class = |world: &World| -> Vec<String> {
         world
             .member_ids()
@@ -434,7 +434,7 @@
 #[test]
 fn a_member_whose_facts_changed_is_updated_and_a_new_kind_is_counted() {
     let mut world = World::new(settings(20), InjectedFault::None);
-    world.apply(&listed_engines(400, 5), true);
+    world.apply(&listed_engines(400, 5), UpdateScope::FullList);
     let (engine, holders) = world
         .members
         .first_key_value()
@@ -457,7 +457,7 @@
                 engine_id: id.clone(),
                 facts,
             }],
-            false,
+            UpdateScope::ChangedEngines,
         );
         assert_eq!(world.updated, BTreeSet::from([engine]));
         assert!(
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -4,7 +4,7 @@
 
 use garnetwall_subset::{
     Action, Catalog, EngineFacts, EngineKey, GatewayHash, ListedEngine, ListedState,
-    PlacementClass, RetryScope, Subset, SubsetSettings,
+    PlacementClass, RetryScope, Subset, SubsetSettings, UpdateScope,
 };
 use std::collections::BTreeMap;
 use world::{listed_engines, settings, InjectedFault};
@@ -32,7 +32,7 @@
     name: impl Fn(usize) -> String,
 ) -> Fleet {
     let mut catalog = Catalog::default();
-    let changes = catalog.apply(&listed_engines(ENGINES, zones), true);
+    let changes = catalog.apply(&listed_engines(ENGINES, zones), UpdateScope::FullList);
     let (mut counted, mut estimated) = (BTreeMap::new(), BTreeMap::new());
     for gateway in 0..GATEWAYS {
         let zone = settings.zone.map(|_| gateway as u32 % zones);
@@ -152,7 +152,7 @@
     assert!(least >= 1.0);
 
     let mut catalog = Catalog::default();
-    catalog.apply(&listed_engines(20, ZONES), true);
+    catalog.apply(&listed_engines(20, ZONES), UpdateScope::FullList);
     let mut subset = Subset::new("g", settings(20)).expect("good settings");
     let joined = subset.poll(1.0, &catalog);
     assert_eq!(joined.len(), 20);
@@ -208,14 +208,20 @@
 #[test]
 fn a_changed_engine_does_not_update_all_members() {
     let mut world = world::World::new(settings(40), InjectedFault::None);
-    world.apply(&listed_engines(ENGINES, ZONES), true);
+    world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
     let estimated = world.members.clone();
     // More changes than a table stays fresh for, and fewer than are worth an update.
-    world.apply(&listed_engines(ENGINES + 8, ZONES), false);
+    world.apply(
+        &listed_engines(ENGINES + 8, ZONES),
+        UpdateScope::ChangedEngines,
+    );
     assert!(estimated
         .iter()
         .all(|(engine, holders)| world.members.get(engine).is_none_or(|now| now == holders)));
-    world.apply(&listed_engines(ENGINES * 2, ZONES), false);
+    world.apply(
+        &listed_engines(ENGINES * 2, ZONES),
+        UpdateScope::ChangedEngines,
+    );
     world.settle();
     let halved = |engine: &EngineKey| world.members[engine] < estimated[engine] * 0.7;
     assert!(estimated
@@ -254,7 +260,7 @@
                 },
                 listed,
             ],
-            false,
+            UpdateScope::ChangedEngines,
         );
     }
     let gone = EngineFacts {
@@ -270,14 +276,14 @@
             engine_id: "engine-9999".into(),
             facts: drains,
         }],
-        false,
+        UpdateScope::ChangedEngines,
     );
     one_by_one.apply(
         &[ListedEngine {
             engine_id: "engine-3".into(),
             facts: gone,
         }],
-        false,
+        UpdateScope::ChangedEngines,
     );
     let mut whole = Catalog::default();
     whole.apply(
@@ -285,7 +291,7 @@
             .into_iter()
             .filter(|listed| listed.engine_id != "engine-3")
             .collect::<Vec<_>>(),
-        true,
+        UpdateScope::FullList,
     );
     for (name, settings, _) in cases() {
         let at_once = members_of_a_new_subset(&whole, &settings);
@@ -321,10 +327,10 @@
     };
     let mut world = world::World::new(near, InjectedFault::None);
     for _ in 0..3 {
-        world.apply(&odd, true);
+        world.apply(&odd, UpdateScope::FullList);
         world.advance(30.0);
-        world.apply(&odd[..20], false);
-        world.apply(&odd[30..], true);
+        world.apply(&odd[..20], UpdateScope::ChangedEngines);
+        world.apply(&odd[30..], UpdateScope::FullList);
         world.advance(30.0);
     }
     assert!(world.members.len() >= 10);
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use garnetwall_subset::{
-    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings,
+    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings, UpdateScope,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -130,7 +130,7 @@
             };
             world.apply(
                 &(first..first + count).map(with_state).collect::<Vec<_>>(),
-                false,
+                UpdateScope::ChangedEngines,
             );
         }
         Step::Rezone { engine, zone } => {
@@ -143,10 +143,13 @@
                     },
                     ..listed
                 }],
-                false,
+                UpdateScope::ChangedEngines,
             );
         }
-        Step::WholeList { part } => world.apply(&listed_engines(ENGINES / part, ZONES), true),
+        Step::WholeList { part } => world.apply(
+            &listed_engines(ENGINES / part, ZONES),
+            UpdateScope::FullList,
+        ),
         Step::LoseZone(zone) => {
             let lost = world.list.iter().filter(|(_, facts)| facts.zone == zone);
             let gone = |facts: &EngineFacts| EngineFacts {
@@ -159,7 +162,7 @@
                     facts: gone(facts),
                 })
                 .collect();
-            world.apply(&lost, false);
+            world.apply(&lost, UpdateScope::ChangedEngines);
         }
         Step::Unreachable { first, count } => {
             world.unreachable.extend(
@@ -198,13 +201,13 @@
     #[test]
     fn one_engine_moves_the_least(settings in any_settings(), engine in 0..ENGINES) {
         let mut world = World::new(settings.clone(), InjectedFault::None);
-        world.apply(&listed_engines(ENGINES, ZONES), true);
+        world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
         let whole = world.member_ids();
         world.set_state(&listed_engine(engine, ZONES).engine_id, ListedState::Removed);
         world.settle();
         let without = world.member_ids();
         prop_assert!(moves_the_least(&settings, &whole, &without));
-        world.apply(&listed_engines(ENGINES, ZONES), true);
+        world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
         world.settle();
         prop_assert_eq!(&world.member_ids(), &whole);
         prop_assert_eq!(&world.faults, &BTreeSet::new());
@@ -257,7 +260,7 @@
         ..settings(12)
     };
     let mut world = World::new(settings, injected);
-    world.apply(&listed_engines(ENGINES, ZONES), true);
+    world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
     world.advance(10.0);
     let members = world.member_ids();
     members
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use garnetwall_subset::{
-    Catalog, PlacementClass, SizeReason, Subset, SubsetError, SubsetSettings, MAX_CLASSES,
-    MAX_NEAR_WEIGHT,
+    Catalog, PlacementClass, SizeReason, Subset, SubsetError, SubsetSettings, UpdateScope,
+    MAX_CLASSES, MAX_NEAR_WEIGHT,
 };
 use world::{listed_engines, settings};
 
@@ -90,7 +90,7 @@
     };
     let mut catalog = Catalog::default();
     let mut subset = Subset::new("g", widest).expect("a subset of everything");
-    let changes = catalog.apply(&listed_engines(50, 5), true);
+    let changes = catalog.apply(&listed_engines(50, 5), UpdateScope::FullList);
     subset.changed(1.0, &catalog, &changes);
     assert_eq!(subset.poll(1.0, &catalog).len(), 50);
     assert!(subset.wake().is_none_or(f64::is_finite));
@@ -100,7 +100,7 @@
 fn the_size_follows_from_settings_gateways_and_list() {
     let size = |size: usize, gateways: f64, engines: u32| {
         let mut catalog = Catalog::default();
-        catalog.apply(&listed_engines(engines, 5), true);
+        catalog.apply(&listed_engines(engines, 5), UpdateScope::FullList);
         let subset = Subset::new(
             "g",
             SubsetSettings {
@@ -139,7 +139,7 @@
     )
     .expect("good settings");
     let mut catalog = Catalog::default();
-    catalog.apply(&listed_engines(40, 5), true);
+    catalog.apply(&listed_engines(40, 5), UpdateScope::FullList);
     assert_eq!(
         subset.unserved_classes(&catalog).collect::<Vec<_>>(),
         [&nowhere]
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -4,7 +4,7 @@
 
 use garnetwall_subset::{
     Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, GatewayHash,
-    ListedEngine, ListedState, PlacementClass, RetryScope, Subset, SubsetSettings,
+    ListedEngine, ListedState, PlacementClass, RetryScope, Subset, SubsetSettings, UpdateScope,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -115,8 +115,8 @@
         }
     }
 
-    pub fn apply(&mut self, engines: &[ListedEngine], whole: bool) {
-        if whole {
+    pub fn apply(&mut self, engines: &[ListedEngine], scope: UpdateScope) {
+        if scope == UpdateScope::FullList {
             self.list.clear();
         }
         for listed in engines {
@@ -125,7 +125,7 @@
                 _ => drop(self.list.insert(listed.engine_id.clone(), listed.facts)),
             }
         }
-        let changes = self.catalog.apply(engines, whole);
+        let changes = self.catalog.apply(engines, scope);
         self.subset.changed(self.now, &self.catalog, &changes);
         self.poll();
     }
@@ -137,7 +137,7 @@
                     engine_id: id.into(),
                     facts: EngineFacts { state, ..facts },
                 }],
-                false,
+                UpdateScope::ChangedEngines,
             );
         }
     }
