--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -265,8 +265,11 @@
     /// Records what the end of an attempt says of the engine of this name.
     pub(super) fn attempt_ended(&mut self, now: f64, name: &str, health: EngineHealth) {
         if let Some(engine) = self.catalog.key(name) {
-            self.subset
-                .attempt_ended(now, engine, health == EngineHealth::Failing);
+            let outcome = match health {
+                EngineHealth::Healthy => subset::EngineOutcome::Healthy,
+                EngineHealth::Failing => subset::EngineOutcome::Failed,
+            };
+            self.subset.attempt_ended(now, engine, outcome);
         }
     }
 
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -2,8 +2,8 @@
 
 use super::experiment::Experiment;
 use garnetwall_subset::{
-    Action, Catalog, Change, ConnectOutcome, EngineKey, ListedState, PlacementClass, RetryScope,
-    Subset, SubsetError, SubsetSettings,
+    Action, Catalog, Change, ConnectOutcome, EngineKey, EngineOutcome, ListedState, PlacementClass,
+    RetryScope, Subset, SubsetError, SubsetSettings,
 };
 use std::collections::BTreeSet;
 
@@ -61,7 +61,12 @@
 
     pub fn attempted(&mut self, now: f64, engine: EngineKey, failed: bool) {
         if let Membership::Subset(subset) = self {
-            subset.attempt_ended(now, engine, failed);
+            let outcome = if failed {
+                EngineOutcome::Failed
+            } else {
+                EngineOutcome::Healthy
+            };
+            subset.attempt_ended(now, engine, outcome);
         }
     }
 
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -18,6 +18,15 @@
 /// The time between two steps back to the size without failures.
 const NARROW_SECONDS: f64 = 5.0;
 
+/// What the end of an attempt says of its engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EngineOutcome {
+    /// The engine did its part, whatever became of the query.
+    Healthy,
+    /// The engine is at fault, and not the query.
+    Failed,
+}
+
 /// The outcomes of attempts at one member; older ones count less.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptHistory {
@@ -27,10 +36,14 @@
 }
 
 impl AttemptHistory {
-    fn record(&mut self, now: f64, failed: bool) {
+    fn record(&mut self, now: f64, outcome: EngineOutcome) {
         let remaining = (-(now - self.decayed_at).max(0.0) / HALVING_SECONDS).exp2();
         self.attempts = self.attempts * remaining + 1.0;
-        self.failures = self.failures * remaining + f64::from(u8::from(failed));
+        let failures = match outcome {
+            EngineOutcome::Healthy => 0.0,
+            EngineOutcome::Failed => 1.0,
+        };
+        self.failures = self.failures * remaining + failures;
         self.decayed_at = now;
     }
 
@@ -51,11 +64,11 @@
 
 impl MemberHealth {
     /// Records how an attempt at a member ended; whether that made the member unhealthy.
-    pub fn record(&mut self, now: f64, member: EngineKey, failed: bool) -> bool {
+    pub fn record(&mut self, now: f64, member: EngineKey, outcome: EngineOutcome) -> bool {
         let history = self.histories.entry(member).or_default();
-        history.record(now, failed);
+        history.record(now, outcome);
         let is_unhealthy = history.is_unhealthy() || self.unhealthy.contains_key(&member);
-        if !failed || !is_unhealthy {
+        if outcome == EngineOutcome::Healthy || !is_unhealthy {
             return false;
         }
         let before = self.unhealthy.insert(member, now + HOLD_DOWN_SECONDS);
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -35,6 +35,7 @@
 
 pub use catalog::{Catalog, UpdateScope};
 pub use engine::{Change, EngineFacts, EngineKey, ListedEngine, ListedState};
+pub use health::EngineOutcome;
 pub use join_queue::ConnectOutcome;
 pub use score::{GatewayHash, Score};
 pub use settings::{
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -13,7 +13,7 @@
 
 use crate::catalog::Catalog;
 use crate::engine::{Change, EngineKey, ListedState};
-use crate::health::MemberHealth;
+use crate::health::{EngineOutcome, MemberHealth};
 use crate::holders::{HoldersParameters, HoldersTable};
 use crate::join_queue::{ConnectOutcome, JoinQueue};
 use crate::ready::RetryDomain;
@@ -148,9 +148,9 @@
         }
     }
 
-    /// Records how an attempt at a member ended; `failed` where the engine is at fault, and not the query.
-    pub fn attempt_ended(&mut self, now: f64, engine: EngineKey, failed: bool) {
-        if self.members.contains_key(&engine) && self.health.record(now, engine, failed) {
+    /// Records what the end of an attempt says of its engine, where that is a member.
+    pub fn attempt_ended(&mut self, now: f64, engine: EngineKey, outcome: EngineOutcome) {
+        if self.members.contains_key(&engine) && self.health.record(now, engine, outcome) {
             self.last_call = now;
             self.invalidate(Outdated::Target);
         }
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -3,7 +3,8 @@
 mod world;
 
 use garnetwall_subset::{
-    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings, UpdateScope,
+    EngineFacts, EngineOutcome, ListedEngine, ListedState, PlacementClass, RetryScope,
+    SubsetSettings, UpdateScope,
 };
 use std::collections::BTreeSet;
 use world::{
@@ -166,18 +167,18 @@
     );
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     let failing: Vec<_> = world.members.keys().copied().take(5).collect();
-    world.attempts(failing[0], true, 3);
+    world.attempts(failing[0], EngineOutcome::Failed, 3);
     assert_eq!(
         world.subset.widened_by(),
         0,
         "three attempts are no evidence"
     );
-    world.attempts(failing[1], false, 100);
-    world.attempts(failing[1], true, 50);
+    world.attempts(failing[1], EngineOutcome::Healthy, 100);
+    world.attempts(failing[1], EngineOutcome::Failed, 50);
     assert_eq!(world.subset.widened_by(), 0, "less than half failed");
     failing
         .iter()
-        .for_each(|engine| world.attempts(*engine, true, 150));
+        .for_each(|engine| world.attempts(*engine, EngineOutcome::Failed, 150));
     assert_eq!(
         (world.subset.unhealthy_members(), world.subset.widened_by()),
         (5, 3)
@@ -257,7 +258,7 @@
         .collect();
     let last = displaces(&world, &new_engines[0]).expect("it displaces a member");
     let failing = world.catalog.key(&last).expect("listed");
-    world.attempts(failing, true, 4);
+    world.attempts(failing, EngineOutcome::Failed, 4);
     world.advance(5.0);
     assert_eq!((world.subset.widened_by(), world.members.len()), (1, 21));
     world.apply(&new_engines, UpdateScope::ChangedEngines);
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -3,7 +3,8 @@
 mod world;
 
 use garnetwall_subset::{
-    EngineFacts, ListedEngine, ListedState, PlacementClass, RetryScope, SubsetSettings, UpdateScope,
+    EngineFacts, EngineOutcome, ListedEngine, ListedState, PlacementClass, RetryScope,
+    SubsetSettings, UpdateScope,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -178,7 +179,7 @@
                 .copied();
             engine
                 .into_iter()
-                .for_each(|engine| world.attempts(engine, true, attempts));
+                .for_each(|engine| world.attempts(engine, EngineOutcome::Failed, attempts));
         }
         Step::Wait(seconds) => world.advance(seconds),
     }
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -3,8 +3,9 @@
 #![allow(dead_code)]
 
 use garnetwall_subset::{
-    Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, GatewayHash,
-    ListedEngine, ListedState, PlacementClass, RetryScope, Subset, SubsetSettings, UpdateScope,
+    Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, EngineOutcome,
+    GatewayHash, ListedEngine, ListedState, PlacementClass, RetryScope, Subset, SubsetSettings,
+    UpdateScope,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -142,8 +143,8 @@
         }
     }
 
-    pub fn attempts(&mut self, engine: EngineKey, failed: bool, count: usize) {
-        (0..count).for_each(|_| self.subset.attempt_ended(self.now, engine, failed));
+    pub fn attempts(&mut self, engine: EngineKey, outcome: EngineOutcome, count: usize) {
+        (0..count).for_each(|_| self.subset.attempt_ended(self.now, engine, outcome));
         self.poll();
     }
 
