--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -12,15 +12,15 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Connections that are warmed up at once: few beside those that queries need.
-const MAX_CONCURRENT_WARM_UPS: usize = 8;
+/// Candidates that are connected to at once: few beside those that queries need.
+const MAX_CONCURRENT_CONNECTS: usize = 8;
 /// The subset's own timer polls it no more often than this.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Receives changes of the list, one after another.
 pub type Deliver = Box<dyn FnMut(&ListChange) + Send>;
 
-/// How a health check, or the warm-up of a connection, ended.
+/// How a health check, or connecting to a candidate, ended.
 pub struct HealthCheckOutcome {
     /// Its end.
     pub end: AttemptEnd,
@@ -64,32 +64,32 @@
         change.updates
     }
 
-    /// Maintains the subset for as long as the future is polled. `warm_up` opens a connection to a candidate; `joined` is
+    /// Maintains the subset for as long as the future is polled. `connect` opens a connection to a candidate; `joined` is
     /// called with the outcome for each engine that becomes a member by it.
     pub async fn maintain_subset<W, F>(
         &self,
-        warm_up: W,
+        connect: W,
         joined: impl Fn(EngineId, HealthCheckOutcome),
     ) where
         W: Fn(SocketAddr) -> F,
         F: Future<Output = HealthCheckOutcome> + Send + 'static,
     {
-        let mut warming = JoinSet::new();
+        let mut connecting = JoinSet::new();
         loop {
             self.poll_subset();
-            while warming.len() < MAX_CONCURRENT_WARM_UPS {
+            while connecting.len() < MAX_CONCURRENT_CONNECTS {
                 let Some(candidate) = self.list.next_candidate() else {
                     break;
                 };
-                let outcome = warm_up(candidate.address);
-                warming.spawn(async move { (candidate, outcome.await) });
+                let outcome = connect(candidate.address);
+                connecting.spawn(async move { (candidate, outcome.await) });
             }
             tokio::select! {
                 () = self.list.subset_changed() => {}
                 () = self.subset_poll_due() => {}
-                Some(ended) = warming.join_next() => {
+                Some(ended) = connecting.join_next() => {
                     if let Ok((candidate, outcome)) = ended {
-                        self.candidate_warmed(candidate, outcome, &joined);
+                        self.candidate_connect_ended(candidate, outcome, &joined);
                     }
                 }
             }
@@ -104,14 +104,14 @@
         }
     }
 
-    fn candidate_warmed(
+    fn candidate_connect_ended(
         &self,
         candidate: Candidate,
         outcome: HealthCheckOutcome,
         joined: &impl Fn(EngineId, HealthCheckOutcome),
     ) {
         let reachability = reachability(outcome.end);
-        let name = self.list.candidate_warmed(candidate, reachability);
+        let name = self.list.candidate_connect_ended(candidate, reachability);
         let updates = self.poll_subset();
         if reachability == Reachability::Unreachable {
             return;
@@ -125,7 +125,7 @@
     }
 }
 
-/// What a warm-up says of its engine. One that answers at all was reached.
+/// What connecting to an engine says of it. One that answers at all was reached.
 fn reachability(end: AttemptEnd) -> Reachability {
     match end {
         AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected => {
--- a/crates/gateway/src/discovery/engine_health.rs
+++ b/crates/gateway/src/discovery/engine_health.rs
@@ -1,4 +1,4 @@
-//! What attempts, health checks and warm-ups say of an engine.
+//! What attempts, health checks and connecting say of an engine.
 
 /// Whether an engine could be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -109,7 +109,7 @@
         Some(clamped_duration(next_poll - self.clock.now()))
     }
 
-    /// The next engine that a connection is to be warmed up to.
+    /// The next engine that is to be connected to.
     pub(super) fn next_candidate(&self) -> Option<Candidate> {
         let mut state = self.state();
         let selection = state.selection.as_mut()?;
@@ -117,14 +117,14 @@
     }
 
     /// Records whether a candidate could be reached; returns the engine's name where it is still in the list.
-    pub(super) fn candidate_warmed(
+    pub(super) fn candidate_connect_ended(
         &self,
         candidate: Candidate,
         reachability: Reachability,
     ) -> Option<String> {
         let mut state = self.state();
         let selection = state.selection.as_mut()?;
-        selection.warmed(self.clock.now(), candidate.engine, reachability);
+        selection.connect_ended(self.clock.now(), candidate.engine, reachability);
         selection.name(candidate.engine).map(String::from)
     }
 
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// An engine that a connection is to be warmed up to before it may become a member.
+/// An engine that is to be connected to before it may become a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Candidate {
     pub(super) engine: EngineKey,
@@ -75,7 +75,7 @@
     /// Engines that wait for a connection to be started, each once.
     candidates: VecDeque<EngineKey>,
     /// The candidates, and the engines to which a connection was started.
-    warming: HashSet<EngineKey>,
+    connecting: HashSet<EngineKey>,
     kind_cores: Vec<Option<f64>>,
 }
 
@@ -96,7 +96,7 @@
             subset: Subset::new(gateway, settings)?,
             members: HashMap::new(),
             candidates: VecDeque::new(),
-            warming: HashSet::new(),
+            connecting: HashSet::new(),
             kind_cores,
         })
     }
@@ -214,7 +214,7 @@
         for action in self.subset.poll(now, &self.catalog) {
             match action {
                 Action::Connect(engine) => {
-                    if self.warming.insert(engine) {
+                    if self.connecting.insert(engine) {
                         self.candidates.push_back(engine);
                     }
                 }
@@ -236,7 +236,7 @@
         self.subset.wake()
     }
 
-    /// The next engine to warm up a connection to. One that is not in the list any more counts as not reached.
+    /// The next engine to connect to. One that is not in the list any more counts as not reached.
     pub(super) fn next_candidate(&mut self, now: f64) -> Option<Candidate> {
         while let Some(engine) = self.candidates.pop_front() {
             match self.details.get(&engine) {
@@ -246,19 +246,24 @@
                         address: details.address,
                     })
                 }
-                None => self.warmed(now, engine, Reachability::Unreachable),
+                None => self.connect_ended(now, engine, Reachability::Unreachable),
             }
         }
         None
     }
 
     /// Records whether a candidate could be reached.
-    pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reachability: Reachability) {
+    pub(super) fn connect_ended(
+        &mut self,
+        now: f64,
+        engine: EngineKey,
+        reachability: Reachability,
+    ) {
         let outcome = match reachability {
             Reachability::Reachable => ConnectOutcome::Reached,
             Reachability::Unreachable => ConnectOutcome::NotReached,
         };
-        self.warming.remove(&engine);
+        self.connecting.remove(&engine);
         self.subset.connect_ended(now, engine, outcome);
     }
 
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -87,7 +87,7 @@
                 prop_assert!(module.ready().count() >= ready.min(1), "at {} of {}", step, now);
                 prop_assert_eq!(module.ready().count(), selection.status().members);
                 while let Some(candidate) = selection.next_candidate(now) {
-                    selection.warmed(now, candidate.engine, reachability);
+                    selection.connect_ended(now, candidate.engine, reachability);
                 }
                 now += 0.5;
                 module.update(selection.poll(now));
@@ -195,7 +195,7 @@
         assert!(module.ready().count() == 8, "not before it was reached");
         module.update(selection.poll(now));
         while let Some(candidate) = selection.next_candidate(now) {
-            selection.warmed(now, candidate.engine, Reachability::Reachable);
+            selection.connect_ended(now, candidate.engine, Reachability::Reachable);
         }
         now += 0.25;
     }
--- a/crates/gateway/src/engines/health_check.rs
+++ b/crates/gateway/src/engines/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of engines, warming up of new ones, and the log of engines that become unreachable.
+//! Health checks of engines, connecting to new ones, and the log of engines that become unreachable.
 
 use super::attempt::EngineSession;
 use super::request::request;
@@ -27,7 +27,7 @@
     }
 
     /// Checks the health of an engine that the decision module does not know yet.
-    pub async fn warm_by_health_check(&self, address: SocketAddr) -> HealthCheckOutcome {
+    pub async fn connect_by_health_check(&self, address: SocketAddr) -> HealthCheckOutcome {
         let target = Target {
             engine: UNLISTED_ENGINE,
             address,
@@ -36,7 +36,7 @@
     }
 
     /// Connects to an engine that the decision module does not know yet, without a request.
-    pub async fn warm_by_connecting(&self, address: SocketAddr) -> HealthCheckOutcome {
+    pub async fn connect_without_request(&self, address: SocketAddr) -> HealthCheckOutcome {
         let end = match self.connect(address, None).await {
             Ok(_) => AttemptEnd::Succeeded,
             Err(CallError::LocalResources) => AttemptEnd::NotSent,
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -79,25 +79,25 @@
     }
 }
 
-/// Maintains the engine subset: warms up connections to candidates and reports those that joined.
+/// Maintains the engine subset: connects to candidates and reports those that joined.
 async fn maintain_subset(
     discovery: Arc<Discovery>,
     engines: Arc<Engines>,
     scheduler: Arc<Scheduler>,
     health_checks_allowed: bool,
 ) {
-    let warm_up = |address| {
+    let connect = |address| {
         let engines = engines.clone();
         async move {
             match health_checks_allowed {
-                true => engines.warm_by_health_check(address).await,
-                false => engines.warm_by_connecting(address).await,
+                true => engines.connect_by_health_check(address).await,
+                false => engines.connect_without_request(address).await,
             }
         }
     };
     discovery
-        .maintain_subset(warm_up, |engine, warmed| {
-            scheduler.health_check_ended(engine, warmed.end, warmed.report)
+        .maintain_subset(connect, |engine, connected| {
+            scheduler.health_check_ended(engine, connected.end, connected.report)
         })
         .await;
 }
