--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -43,7 +43,7 @@
     }
 
     /// Records that hyper has taken `byte_count` bytes.
-    fn record_taken(&mut self, byte_count: usize) {
+    fn record_consumed(&mut self, byte_count: usize) {
         self.remaining_bytes = self
             .remaining_bytes
             .map(|remaining| remaining.saturating_sub(byte_count as u64));
@@ -69,7 +69,7 @@
             _ => None,
         };
         let byte_count = data.map_or(0, Bytes::len);
-        self.record_taken(byte_count);
+        self.record_consumed(byte_count);
         if frame.is_none() || self.is_consumed() {
             if let Some(gate) = &self.gate {
                 gate.body_consumed();
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -42,7 +42,7 @@
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     /// It is past the load limit with the query, or the data set is locked there.
-    comes_last: bool,
+    is_last_resort: bool,
     /// Our threads a core, with the engine's failure rate on top.
     threads_per_core: f64,
     kind_work_per_core: f64,
@@ -129,7 +129,7 @@
                 self.load_with_query(query, needed_memory, candidate, engine_load, kind.load);
             let threads_per_core = candidate.threads_per_core.unwrap_or(mean_threads_per_core);
             let rank = Rank {
-                comes_last: locked.contains(&candidate.engine) || load >= 1.0,
+                is_last_resort: locked.contains(&candidate.engine) || load >= 1.0,
                 threads_per_core: threads_per_core + engine.health.failure_rate(now),
                 kind_work_per_core: kind.work_per_core,
                 load_with_jitter: engine_load + LOAD_JITTER * self.rng.uniform(),
