--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -13,26 +13,35 @@
 /// Why a body can't be read to its end.
 #[derive(Debug)]
 pub enum ReadError {
-    /// What is to be read is not stored any more.
+    /// The bytes at the reader's position were discarded.
     Discarded,
     /// The writer stopped before the end of the body.
     Truncated,
-    /// The spool file failed, or a piece in it is damaged.
+    /// The spool file could not be read, or a piece in it is damaged.
     Spool(SpoolError),
 }
 
 impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ReadError::Discarded => f.write_str("the body is not stored any more"),
-            ReadError::Truncated => f.write_str("the body was cut off"),
-            ReadError::Spool(error) => write!(f, "{error}"),
+            ReadError::Discarded => f.write_str("the body was discarded"),
+            ReadError::Truncated => f.write_str("the body was truncated"),
+            ReadError::Spool(error) => write!(f, "spool file: {error}"),
         }
     }
 }
 
 impl std::error::Error for ReadError {}
 
+/// Which attempt of its query reads a body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadBy {
+    /// The first attempt.
+    FirstAttempt,
+    /// A later one: its read counts as [`retry_reads`](crate::Counts::retry_reads).
+    Retry,
+}
+
 /// The position of one attempt in the body that it sends.
 pub struct Reader {
     body: Arc<Body>,
@@ -47,12 +56,12 @@
 }
 
 impl Body {
-    /// Opens a reader at its start. `is_retry` is set for attempts after the first, which are counted.
+    /// Opens a reader at its start.
     ///
     /// # Errors
     ///
     /// [`ReadError::Discarded`] where its start is not stored any more.
-    pub fn reader(self: &Arc<Self>, is_retry: bool) -> Result<Reader, ReadError> {
+    pub fn reader(self: &Arc<Self>, read_by: ReadBy) -> Result<Reader, ReadError> {
         if !self.rewind() {
             self.resources
                 .count(self.class, Storage::NotStored, |counts| {
@@ -60,7 +69,7 @@
                 });
             return Err(ReadError::Discarded);
         }
-        if is_retry {
+        if read_by == ReadBy::Retry {
             self.resources.count(self.class, self.storage(), |counts| {
                 counts.retry_reads += 1;
             });
--- a/crates/scale/src/slopes/roles/module/engines.rs
+++ b/crates/scale/src/slopes/roles/module/engines.rs
@@ -5,7 +5,7 @@
 use crate::slopes::roles::pool::{self, PoolEngine};
 use crate::slopes::roles::subset::{changed, SettledSubset};
 use garnetwall::api::{Endpoint, EndpointState, EngineId, ListScope};
-use garnetwall_subset::{Action, EngineKey};
+use garnetwall_subset::{Action, EngineKey, UpdateScope};
 use std::collections::HashMap;
 
 /// Translates the list into endpoints for the module.
@@ -64,9 +64,10 @@
                 scope: ListScope::Full,
             },
             Some(members) => {
-                let actions = members
-                    .chosen
-                    .apply(&super::super::subset::listed_engines(self.engines), true);
+                let actions = members.chosen.apply(
+                    &super::super::subset::listed_engines(self.engines),
+                    UpdateScope::FullList,
+                );
                 EndpointUpdates {
                     endpoints: members.carry_out(&actions),
                     scope: ListScope::Delta,
@@ -81,7 +82,9 @@
         match self.subset.as_mut() {
             None => vec![endpoint_of_listed(&changed_engine)],
             Some(members) => {
-                let actions = members.chosen.apply(&[changed_engine], false);
+                let actions = members
+                    .chosen
+                    .apply(&[changed_engine], UpdateScope::ChangedEngines);
                 members.carry_out(&actions)
             }
         }
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -3,8 +3,9 @@
 #![allow(dead_code)]
 
 use garnetwall_subset::{
-    Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, GatewayHash,
-    ListedEngine, ListedState, PlacementClass, RetryScope, Subset, SubsetSettings,
+    Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, EngineOutcome,
+    GatewayHash, ListedEngine, ListedState, PlacementClass, RetryScope, Subset, SubsetSettings,
+    UpdateScope,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -115,8 +116,8 @@
         }
     }
 
-    pub fn apply(&mut self, engines: &[ListedEngine], whole: bool) {
-        if whole {
+    pub fn apply(&mut self, engines: &[ListedEngine], scope: UpdateScope) {
+        if scope == UpdateScope::FullList {
             self.list.clear();
         }
         for listed in engines {
@@ -125,7 +126,7 @@
                 _ => drop(self.list.insert(listed.engine_id.clone(), listed.facts)),
             }
         }
-        let changes = self.catalog.apply(engines, whole);
+        let changes = self.catalog.apply(engines, scope);
         self.subset.changed(self.now, &self.catalog, &changes);
         self.poll();
     }
@@ -137,13 +138,13 @@
                     engine_id: id.into(),
                     facts: EngineFacts { state, ..facts },
                 }],
-                false,
+                UpdateScope::ChangedEngines,
             );
         }
     }
 
-    pub fn attempts(&mut self, engine: EngineKey, failed: bool, count: usize) {
-        (0..count).for_each(|_| self.subset.attempt_ended(self.now, engine, failed));
+    pub fn attempts(&mut self, engine: EngineKey, outcome: EngineOutcome, count: usize) {
+        (0..count).for_each(|_| self.subset.attempt_ended(self.now, engine, outcome));
         self.poll();
     }
 
