--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -250,7 +250,7 @@
         self.enter(Phase::Draining);
         let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
         let answers_due = self.scheduler.clock().at(schedule.answers_due);
-        self.scheduler.shut_down_at(answers_due);
+        self.scheduler.cap_deadlines(answers_due);
         // It ends by the timeout alone: accepting has no end before it is stopped.
         let _ = timeout_at(schedule.accept_until.into(), accepting.as_mut()).await;
         // Connections that the system has accepted by now are served, too.
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -178,7 +178,7 @@
 async fn response_deadline(scheduler: Arc<Scheduler>, deadline: Instant) {
     tokio::select! {
         () = sleep_until(deadline.into()) => {}
-        () = scheduler.until_shutdown() => {}
+        () = scheduler.until_answers_due() => {}
     }
 }
 
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -44,7 +44,8 @@
     earlier_wakeup: Notify,
     health_checks: UnboundedSender<EngineId>,
     open_count: watch::Sender<usize>,
-    shutdown_at: watch::Sender<Option<f64>>,
+    /// When all answers are due, once the gateway shuts down.
+    answers_due: watch::Sender<Option<f64>>,
     /// Seconds for which the key of a finished query is remembered.
     finished_retention: f64,
     /// Hashes calls into fingerprints, with a seed of this process.
@@ -70,7 +71,7 @@
             earlier_wakeup: Notify::new(),
             health_checks,
             open_count: watch::Sender::new(0),
-            shutdown_at: watch::Sender::new(None),
+            answers_due: watch::Sender::new(None),
             finished_retention,
             fingerprint_hasher: RandomState::new(),
         };
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -173,7 +173,8 @@
         })
     }
 
-    /// A new query as the admission controller takes it. It has until its deadline, or until the gateway shuts down.
+    /// A new query as the admission controller takes it. It has until its deadline or, while the gateway
+    /// shuts down, until all answers are due.
     fn controller_query(
         &self,
         now: f64,
@@ -181,8 +182,8 @@
         arriving: &ArrivingQuery,
         terms: &AdmissionTerms,
     ) -> Query {
-        let answer_due = match *self.shutdown_at.borrow() {
-            Some(shutdown_at) => terms.deadline.min(shutdown_at),
+        let deadline = match *self.answers_due.borrow() {
+            Some(answers_due) => terms.deadline.min(answers_due),
             None => terms.deadline,
         };
         let plan_admission = terms.plan_admission.as_ref();
@@ -191,7 +192,7 @@
             class: terms.class,
             tenant: arriving.tenant,
             ordering_key: arriving.ordering_key,
-            remaining_time: answer_due - now,
+            remaining_time: deadline - now,
             estimated_work: arriving.estimated_work,
             estimated_memory: arriving.estimated_memory,
             data_set: arriving.data_set,
--- a/crates/gateway/src/scheduling/scheduler/shutdown.rs
+++ b/crates/gateway/src/scheduling/scheduler/shutdown.rs
@@ -4,15 +4,16 @@
 use tokio::time::{sleep_until, Instant};
 
 impl Scheduler {
-    /// Announces when the gateway shuts down, in seconds on its clock: every query is to be answered before that.
-    pub fn shut_down_at(&self, at: f64) {
-        self.handle_event(|state, _| state.controller.shut_down_at(at));
-        self.shutdown_at.send_replace(Some(at));
+    /// Announces when all answers are due because the gateway shuts down, in seconds on its clock: no query has a later
+    /// deadline.
+    pub fn cap_deadlines(&self, answers_due: f64) {
+        self.handle_event(|state, _| state.controller.cap_deadlines(answers_due));
+        self.answers_due.send_replace(Some(answers_due));
     }
 
-    /// Waits until the announced shutdown; for ever where none is announced.
-    pub async fn until_shutdown(&self) {
-        let mut announcements = self.shutdown_at.subscribe();
+    /// Waits until all answers are due; for ever while no shutdown is announced.
+    pub async fn until_answers_due(&self) {
+        let mut announcements = self.answers_due.subscribe();
         // It fails only without the sender, which this scheduler owns.
         let announced = announcements.wait_for(Option::is_some).await;
         let at = announced.ok().and_then(|at| *at).unwrap_or_default();
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -100,14 +100,14 @@
         }
     }
 
-    /// This gateway ends at a time in seconds: no query that is open now has a later deadline.
-    pub fn shut_down_at(&mut self, at: f64) {
+    /// The gateway shuts down, and all answers are due at a time in seconds: no query that is open now has a later deadline.
+    pub fn cap_deadlines(&mut self, answers_due: f64) {
         for state in self.queries.values_mut() {
-            state.deadline = state.deadline.min(at);
+            state.deadline = state.deadline.min(answers_due);
         }
         for id in self.queries.keys() {
             self.timers
-                .schedule(at - TIME_MARGIN_SECONDS, Timer::Deadline(*id));
+                .schedule(answers_due - TIME_MARGIN_SECONDS, Timer::Deadline(*id));
         }
     }
 }
