--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -123,20 +123,20 @@
         self.start_background_tasks(reloads);
         let router = http::router(Arc::new(self.server_state(journal, store.clone())));
         let clients = ClientConnections::new(self.budget.client_connections.clone());
-        let (shut_idle, idle_shut) = watch::channel(false);
-        let (stop_accepting, accepting_stops) = watch::channel(false);
+        let stop_accepting = watch::Sender::new(false);
+        let close_connections = watch::Sender::new(false);
         // One future for all phases: it holds a connection that waits for its slot.
         let mut accepting = Box::pin(http::accept(
             &listener,
             &router,
             &clients,
-            &idle_shut,
-            accepting_stops,
+            stop_accepting.subscribe(),
+            close_connections.subscribe(),
         ));
 
         self.serve(accepting.as_mut(), stop).await;
         let schedule = self
-            .drain(accepting.as_mut(), &stop_accepting, &shut_idle)
+            .drain(accepting.as_mut(), &stop_accepting, &close_connections)
             .await;
         drop(accepting);
         drop(listener);
@@ -240,12 +240,13 @@
         }
     }
 
-    /// Caps all deadlines, accepts connections for as long as clients may go on connecting, then shuts idle ones.
+    /// Caps all deadlines, accepts connections for as long as clients may go on connecting, then has every connection
+    /// closed once it has no request open.
     async fn drain(
         &self,
         mut accepting: Pin<&mut impl Future<Output = ()>>,
         stop_accepting: &watch::Sender<bool>,
-        shut_idle: &watch::Sender<bool>,
+        close_connections: &watch::Sender<bool>,
     ) -> ShutdownSchedule {
         self.enter(Phase::Draining);
         let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
@@ -255,7 +256,7 @@
         let _ = timeout_at(schedule.accept_until.into(), accepting.as_mut()).await;
         // Connections that the system has accepted by now are served, too.
         stop_accepting.send_replace(true);
-        shut_idle.send_replace(true);
+        close_connections.send_replace(true);
         let _ = timeout_at(schedule.exit_at.into(), accepting).await;
         schedule
     }
--- a/crates/gateway/src/http/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -21,18 +21,18 @@
 /// After repeated errors that the next accept would meet as well: descriptors come free as connections close.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Accepts connections for as long as it is polled or, once `closing` is set, until none waits to be accepted. Each is served
-/// in a task of its own; `shutdown` asks those tasks to close their connections.
+/// Accepts connections for as long as it is polled or, once `stop_accepting` is set, until none waits to be accepted. Each is
+/// served in a task of its own; `close_connections` asks those tasks to close their connections once no request is open.
 pub async fn accept(
     listener: &TcpListener,
     router: &Router,
     connections: &Arc<ClientConnections>,
-    shutdown: &watch::Receiver<bool>,
-    mut closing: watch::Receiver<bool>,
+    mut stop_accepting: watch::Receiver<bool>,
+    close_connections: watch::Receiver<bool>,
 ) {
     let mut has_failed = false;
     for number in 0.. {
-        let Some(accepted) = next_connection(listener, &mut closing).await else {
+        let Some(accepted) = next_connection(listener, &mut stop_accepting).await else {
             return;
         };
         match accepted {
@@ -47,7 +47,7 @@
                     client,
                     router.clone(),
                     connection,
-                    shutdown.clone(),
+                    close_connections.clone(),
                 );
                 spawn_polled(server.run()).await;
             }
@@ -61,13 +61,13 @@
     }
 }
 
-/// The next connection, or the error of accepting it; none if `closing` is set and none waits.
+/// The next connection, or the error of accepting it; none if `stop_accepting` is set and none waits.
 async fn next_connection(
     listener: &TcpListener,
-    closing: &mut watch::Receiver<bool>,
+    stop_accepting: &mut watch::Receiver<bool>,
 ) -> Option<io::Result<(TcpStream, SocketAddr)>> {
     loop {
-        if *closing.borrow_and_update() {
+        if *stop_accepting.borrow_and_update() {
             yield_now().await;
             return tokio::select! {
                 biased;
@@ -79,7 +79,7 @@
         tokio::select! {
             biased;
             accepted = listener.accept() => return Some(accepted),
-            Ok(()) = closing.changed() => {}
+            Ok(()) = stop_accepting.changed() => {}
         }
     }
 }
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -41,24 +41,24 @@
     client: ClientAddress,
     router: Router,
     connection: Arc<ClientConnection>,
-    shutdown: watch::Receiver<bool>,
+    close_connections: watch::Receiver<bool>,
 }
 
 impl ConnectionServer {
-    /// Serves an accepted connection through `router`; `shutdown` asks to close it after the open request.
+    /// Serves an accepted connection through `router`; `close_connections` asks to close it after the open request.
     pub fn new(
         stream: StreamHandle,
         client: ClientAddress,
         router: Router,
         connection: ClientConnection,
-        shutdown: watch::Receiver<bool>,
+        close_connections: watch::Receiver<bool>,
     ) -> Self {
         ConnectionServer {
             stream,
             client,
             router,
             connection: Arc::new(connection),
-            shutdown,
+            close_connections,
         }
     }
 
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -146,7 +146,7 @@
         let ConnectionServer {
             stream,
             connection,
-            shutdown,
+            close_connections,
             ..
         } = &mut *self.server;
         let http = &mut self.http;
@@ -160,7 +160,7 @@
             () = stream.closed_by_client(|| connection.has_request()) => Event::ClientClosed,
             () = connection.eviction.notified() => Event::EvictionRequested,
             () = first_request_timeout, if awaits_first_request => Event::FirstRequestTimeout,
-            Ok(_) = shutdown.wait_for(|shutdown| *shutdown), if !is_shutdown_handled => {
+            Ok(_) = close_connections.wait_for(|close| *close), if !is_shutdown_handled => {
                 Event::ShutdownRequested
             }
         }
