--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -10,8 +10,9 @@
 const MAX_COUNTED_DEADLINE_SECONDS: f64 = 3.0;
 /// All answers are due this long before the earliest SIGKILL.
 const ANSWERS_DUE_BEFORE_KILL: Duration = Duration::from_millis(200);
-/// Idle connections of clients are closed this long before it; a client sends again elsewhere what crosses the close.
-const IDLE_CLOSED_BEFORE_KILL: Duration = Duration::from_millis(150);
+/// Idle connections of clients are closed at the end of `ACCEPT_PERIOD`, at the latest this long before the earliest SIGKILL,
+/// which counts only with short deadlines; a client sends again elsewhere what crosses the close.
+const LATEST_IDLE_CLOSE_BEFORE_KILL: Duration = Duration::from_millis(150);
 /// The process exits this long before it.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(100);
 
@@ -20,7 +21,7 @@
 pub(super) struct ShutdownSchedule {
     /// The latest deadline of any query.
     pub(super) answers_due: Instant,
-    /// Connections are accepted until then.
+    /// Connections are accepted until then, and closed once they have no request open from then on.
     pub(super) accept_until: Instant,
     /// The process exits then, whatever is still open.
     pub(super) exit_at: Instant,
@@ -32,7 +33,7 @@
         let counted_deadline =
             clamped_duration(longest_deadline_seconds.min(MAX_COUNTED_DEADLINE_SECONDS));
         let earliest_kill = ACCEPT_PERIOD + counted_deadline;
-        let accept_period = ACCEPT_PERIOD.min(earliest_kill - IDLE_CLOSED_BEFORE_KILL);
+        let accept_period = ACCEPT_PERIOD.min(earliest_kill - LATEST_IDLE_CLOSE_BEFORE_KILL);
         ShutdownSchedule {
             answers_due: requested_at + (earliest_kill - ANSWERS_DUE_BEFORE_KILL),
             accept_until: requested_at + accept_period,
