--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -45,9 +45,11 @@
 
 pub use accept::accept;
 
-/// Protocol: the connection of a client that can't be served closes within 3 s. The head of a first request must arrive within
-/// this time, and its statement within as long again.
-const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long each of these is waited for: the head of a connection's first request, the rest of the head of its last request,
+/// the whole body of any request that is read whole, and each chunk of a streamed body before its query is admitted.
+///
+/// Protocol: the connection of a client that can't be served closes within 3 s.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What all request handlers share.
 pub struct ServerState {
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -2,7 +2,7 @@
 
 mod request_loop;
 
-use super::{ClientAddress, FIRST_REQUEST_TIMEOUT};
+use super::{ClientAddress, REQUEST_READ_TIMEOUT};
 use crate::http::client_connections::ClientConnection;
 use crate::http::client_stream::StreamHandle;
 use axum::Router;
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -1,6 +1,6 @@
 //! Connection stage: reads requests from one connection until no further one is to be read, and says why.
 
-use super::{ClientAddress, ConnectionServer, FIRST_REQUEST_TIMEOUT};
+use super::{ClientAddress, ConnectionServer, REQUEST_READ_TIMEOUT};
 use crate::http::client_connections::ClientConnection;
 use crate::http::client_stream::{ClientStream, StreamHandle};
 use axum::response::Response;
@@ -55,7 +55,7 @@
     fn head_timeout(self) -> Duration {
         match self {
             RequestsWanted::Any => IDLE_TIMEOUT,
-            RequestsWanted::OneMore => FIRST_REQUEST_TIMEOUT,
+            RequestsWanted::OneMore => REQUEST_READ_TIMEOUT,
         }
     }
 }
@@ -115,7 +115,7 @@
         RequestLoop {
             server,
             http,
-            first_request_timeout: Box::pin(sleep(FIRST_REQUEST_TIMEOUT)),
+            first_request_timeout: Box::pin(sleep(REQUEST_READ_TIMEOUT)),
             grace_granted: false,
             shutdown: ShutdownProgress::NotRequested,
             close_reason: CloseReason::LastResponse,
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -5,7 +5,7 @@
 use super::request_head::{RequestError, RequestHead, Submission, SubmittedQuery};
 use super::responses::{answer_response, close_after};
 use super::submission_error::SubmissionError;
-use super::{ServerState, FIRST_REQUEST_TIMEOUT};
+use super::{ServerState, REQUEST_READ_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::statement::data_set;
 use crate::scheduling::scheduler::Waiter;
@@ -113,7 +113,7 @@
 async fn receive_prefix(body: &mut Body, stored: &StoredBody) -> Result<Vec<u8>, SubmissionError> {
     let mut prefix = Vec::new();
     while prefix.len() < PREFIX_BYTES {
-        let chunk = timeout(FIRST_REQUEST_TIMEOUT, next_chunk(body))
+        let chunk = timeout(REQUEST_READ_TIMEOUT, next_chunk(body))
             .await
             .map_err(|_| SubmissionError::BodyTooSlow)??;
         let Some(bytes) = chunk else {
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -5,7 +5,7 @@
 use super::responses::error_response;
 use super::streamed_body::submit_streamed;
 use super::submission_error::SubmissionError;
-use super::{ClientAddress, ServerState, FIRST_REQUEST_TIMEOUT};
+use super::{ClientAddress, ServerState, REQUEST_READ_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::client_stream::StreamHandle;
 use crate::http::statement::data_set;
@@ -90,7 +90,7 @@
 
 async fn read_statement(body: Body) -> Result<Bytes, SubmissionError> {
     let read = to_bytes(body, MAX_STATEMENT_BYTES as usize);
-    timeout(FIRST_REQUEST_TIMEOUT, read)
+    timeout(REQUEST_READ_TIMEOUT, read)
         .await
         .map_err(|_| SubmissionError::BodyTooSlow)?
         .map_err(|_| SubmissionError::BodyCutOff)
