--- a/crates/gateway/src/http/client_connections.rs
+++ b/crates/gateway/src/http/client_connections.rs
@@ -17,11 +17,11 @@
     Closing,
     /// Older than [`NEW_CONNECTION_GRACE`] without a complete request head.
     Silent,
-    /// Has had responses and has no request open.
+    /// Has no request open: the response to the last is ready, though perhaps not written yet.
     Idle,
     /// Just accepted, no complete request head yet; not evicted.
     New,
-    /// Has a request open, until its response is written; not evicted.
+    /// Has a request open, from its complete head until its response is ready; not evicted.
     Active,
 }
 
@@ -184,7 +184,7 @@
             .is_some_and(|entry| entry.state == state)
     }
 
-    /// A complete request head was read: the connection is not evicted until its response is written.
+    /// A complete request head was read: the connection is not evicted until its response is ready.
     pub fn request_started(&self) {
         self.set_state(ConnectionState::Active);
         self.keep_open();
@@ -198,8 +198,8 @@
         self.connections.eviction_possible.notify_one();
     }
 
-    /// The response to the open request is ready.
-    pub fn became_idle(&self) {
+    /// The response to the open request is ready, and about to be written: the connection may be evicted after that response.
+    pub fn response_ready(&self) {
         self.set_state(ConnectionState::Idle);
     }
 
--- a/crates/gateway/src/http/client_connections/tests.rs
+++ b/crates/gateway/src/http/client_connections/tests.rs
@@ -10,7 +10,7 @@
     );
     active.request_started();
     idle.request_started();
-    idle.became_idle();
+    idle.response_ready();
     connections.entries().get_mut(&3).unwrap().state_since -= NEW_CONNECTION_GRACE * 2;
     let acquiring = tokio::spawn({
         let connections = connections.clone();
@@ -35,7 +35,7 @@
             .all(|entry| entry.eviction_requested_at.is_none()),
         "all are active"
     );
-    fourth.became_idle();
+    fourth.response_ready();
     fourth.eviction.notified().await;
     drop(fourth);
     assert!(last.await.unwrap().awaits_first_request());
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -266,7 +266,7 @@
         connection.request_started();
         Box::pin(async move {
             let response = response.await;
-            connection.became_idle();
+            connection.response_ready();
             response
         })
     }
