--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -181,7 +181,7 @@
         let Some(journal) = plan.and_then(|plan| plan.journal.as_ref()) else {
             return Ok(QueryJournal::default());
         };
-        self.scheduler.await_recovery();
+        self.scheduler.set_recovery_pending();
         let scheduler = self.scheduler.clone();
         let longest_unpolled_run = self.engines.longest_unpolled_run();
         let recovered = move |open: Vec<_>| scheduler.recovered(&open, longest_unpolled_run);
--- a/crates/gateway/src/http/send_time.rs
+++ b/crates/gateway/src/http/send_time.rs
@@ -37,7 +37,7 @@
 
 /// The arrivals of one ordering key, as far as they show the queue at its clients. Times in seconds.
 #[derive(Clone, Copy, Debug)]
-struct KeyArrivals {
+struct OrderingKeyArrivals {
     last_arrival: f64,
     /// Since when each arrival has followed the one before within [`BURST_GAP_SECONDS`].
     burst_start: f64,
@@ -51,9 +51,9 @@
     is_interrupted: bool,
 }
 
-impl KeyArrivals {
+impl OrderingKeyArrivals {
     fn new(arrival: f64, burst_start: f64) -> Self {
-        KeyArrivals {
+        OrderingKeyArrivals {
             last_arrival: arrival,
             burst_start,
             queue_start: arrival,
@@ -83,7 +83,7 @@
             BURST_GAP_SECONDS
         };
         if gap < max_gap && is_protocol_gap(gap) {
-            return KeyArrivals {
+            return OrderingKeyArrivals {
                 last_arrival: arrival,
                 burst_start,
                 queue_gaps: self.queue_gaps + 1,
@@ -93,14 +93,14 @@
             };
         }
         if gap < max_gap && self.is_queue_full() && !self.is_interrupted {
-            return KeyArrivals {
+            return OrderingKeyArrivals {
                 last_arrival: arrival,
                 burst_start,
                 is_interrupted: true,
                 ..self
             };
         }
-        KeyArrivals::new(arrival, burst_start)
+        OrderingKeyArrivals::new(arrival, burst_start)
     }
 
     /// Longest time, in seconds, that a query which arrives now may have been held back behind others in a burst.
@@ -131,7 +131,7 @@
 /// Estimates when clients sent their queries; see the module's documentation.
 #[derive(Debug)]
 pub struct SendTimeEstimator {
-    keys: HashMap<u64, KeyArrivals>,
+    keys: HashMap<u64, OrderingKeyArrivals>,
     /// Queries that clients' connections can carry at once.
     connection_capacity: usize,
     /// Time in seconds that a client waits for a connection.
@@ -176,14 +176,14 @@
         }
     }
 
-    fn record_arrival(&mut self, key: u64, arrival: f64) -> KeyArrivals {
+    fn record_arrival(&mut self, key: u64, arrival: f64) -> OrderingKeyArrivals {
         if self.keys.len() > KEY_PRUNE_COUNT {
             self.keys
                 .retain(|_, arrivals| arrivals.is_relevant(arrival, self.max_queue_age));
         }
         let arrivals = match self.keys.get(&key) {
             Some(earlier) => earlier.with_arrival(arrival, self.max_queue_age),
-            None => KeyArrivals::new(arrival, arrival),
+            None => OrderingKeyArrivals::new(arrival, arrival),
         };
         self.keys.insert(key, arrivals);
         arrivals
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -2,7 +2,7 @@
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
 use super::open_query::OpenQuery;
-use super::query_index::KeyState;
+use super::query_index::QueryKeyState;
 use super::state::SchedulerState;
 use super::{Admission, ArrivingQuery, Command, OpenedQuery, Scheduler, Waiter};
 use crate::engines::{ClientPresence, ForwardedQuery, Statement};
@@ -56,9 +56,13 @@
         self.handle_event(|state, now| {
             state.discard_expired(now);
             match state.queries.state(query_key) {
-                Some(KeyState::Open(id)) => self.join(state, now, id, &arriving, &forwarded_query),
-                Some(KeyState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
-                Some(KeyState::Recovered) => Admission::MayHaveRun,
+                Some(QueryKeyState::Open(id)) => {
+                    self.join(state, now, id, &arriving, &forwarded_query)
+                }
+                Some(QueryKeyState::Finished) => {
+                    state.repeat_of_finished(now, query_key, fingerprint)
+                }
+                Some(QueryKeyState::Recovered) => Admission::MayHaveRun,
                 None => {
                     let new = NewQuery {
                         arriving,
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -1,6 +1,6 @@
 //! The end of a query: it is answered, cancelled by its client, or released.
 
-use super::query_index::KeyState;
+use super::query_index::QueryKeyState;
 use super::{CancelOutcome, QueryAnswer, Scheduler};
 use crate::scheduling::log_millis;
 use garnetwall::api::QueryId;
@@ -41,11 +41,13 @@
     /// The client cancels the query of a key.
     pub fn cancel(&self, query_key: u64) -> CancelOutcome {
         self.handle_event(|state, now| match state.queries.state(query_key) {
-            Some(KeyState::Open(id)) => {
+            Some(QueryKeyState::Open(id)) => {
                 state.client_left(now, id);
                 CancelOutcome::Cancelled
             }
-            Some(KeyState::Finished | KeyState::Recovered) | None => CancelOutcome::NotOpen,
+            Some(QueryKeyState::Finished | QueryKeyState::Recovered) | None => {
+                CancelOutcome::NotOpen
+            }
         })
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/query_index.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_index.rs
@@ -5,7 +5,7 @@
 
 /// What is known of the query of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum KeyState {
+pub(super) enum QueryKeyState {
     /// It is open in this process.
     Open(QueryId),
     /// It has finished in this process, and its key is remembered.
@@ -44,15 +44,15 @@
 
 impl QueryIndex {
     /// The state of a key's query; `None` for a key that is not known.
-    pub(super) fn state(&self, query_key: u64) -> Option<KeyState> {
+    pub(super) fn state(&self, query_key: u64) -> Option<QueryKeyState> {
         if let Some(id) = self.open.get(&query_key) {
-            return Some(KeyState::Open(*id));
+            return Some(QueryKeyState::Open(*id));
         }
         if self.finished.contains(&query_key) {
-            return Some(KeyState::Finished);
+            return Some(QueryKeyState::Finished);
         }
         let is_recovered = self.recovered.contains_key(&query_key);
-        is_recovered.then_some(KeyState::Recovered)
+        is_recovered.then_some(QueryKeyState::Recovered)
     }
 
     /// A query has been admitted under a key.
@@ -76,7 +76,7 @@
     }
 
     /// The queries that an earlier process sent are not known yet.
-    pub(super) fn await_recovery(&mut self) {
+    pub(super) fn set_recovery_pending(&mut self) {
         self.recovery = Recovery::Pending;
     }
 
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -7,8 +7,8 @@
 
 impl Scheduler {
     /// A journal is being read: until [`recovered`](Scheduler::recovered), a non-idempotent query that arrives may have run.
-    pub fn await_recovery(&self) {
-        self.state().queries.await_recovery();
+    pub fn set_recovery_pending(&self) {
+        self.state().queries.set_recovery_pending();
     }
 
     /// The journal has been read: none of these queries is sent again.
