--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -56,16 +56,16 @@
         let send_deadline = self.send_deadline;
         let send_gate = self.send_gate.clone();
         let send_gate = send_gate.as_deref();
+        let start_request;
         let response = {
             let response = self.call(call, time_limit);
             tokio::pin!(response);
-            tokio::select! {
+            start_request = tokio::select! {
                 biased;
                 response = &mut response => return CallOutcome::Responded(response),
-                () = until_unwanted(cancellation, send_deadline, send_gate) => {}
-            }
+                outcome = stop_once_unwanted(cancellation, send_deadline, send_gate) => outcome,
+            };
             let cancellation = *cancellation.borrow();
-            let start_request = stop_start_request(send_gate);
             match last_wait(kind, start_request, cancellation) {
                 LastWait::None => None,
                 LastWait::LongPollLimit => timeout(LONG_POLL_LIMIT, response).await.ok(),
@@ -74,7 +74,7 @@
         match response {
             Some(response) => CallOutcome::Responded(response),
             None => {
-                self.abandon_connection(stop_start_request(send_gate));
+                self.abandon_connection(start_request);
                 CallOutcome::Interrupted
             }
         }
@@ -91,24 +91,24 @@
     }
 }
 
-/// Waits until the response is no longer wanted: the request that starts the attempt was stopped before it was sent
-/// completely, or the attempt is not to be polled any more.
-async fn until_unwanted(
+/// Waits for a cancellation or the send deadline, then stops the request that starts the attempt. Where that had been sent
+/// before, its response stays wanted: waits on until the attempt is not to be polled any more.
+async fn stop_once_unwanted(
     cancellation: &mut watch::Receiver<CancellationState>,
     send_deadline: Option<Instant>,
     send_gate: Option<&SendGate>,
-) {
+) -> StopOutcome {
     // The waits for a state fail only once the sender is dropped, by the task that waits for this call.
     tokio::select! {
         _ = cancellation.wait_for(|state| *state != CancellationState::NotRequested) => {}
         () = until_deadline(send_deadline) => {}
     }
-    match stop_start_request(send_gate) {
-        StopOutcome::Stopped => {}
-        StopOutcome::AlreadySent => {
-            let _ = cancellation.wait_for(|state| !state.allows_polling()).await;
-        }
+    // Without a gate there is no request to stop.
+    let outcome = send_gate.map_or(StopOutcome::AlreadySent, SendGate::stop_unless_sent);
+    if outcome == StopOutcome::AlreadySent {
+        let _ = cancellation.wait_for(|state| !state.allows_polling()).await;
     }
+    outcome
 }
 
 async fn until_deadline(deadline: Option<Instant>) {
@@ -118,11 +118,6 @@
     }
 }
 
-/// Stops the request that starts the attempt unless it has been sent completely. Without a gate there is none to stop.
-fn stop_start_request(send_gate: Option<&SendGate>) -> StopOutcome {
-    send_gate.map_or(StopOutcome::AlreadySent, SendGate::stop_unless_sent)
-}
-
 /// How long an unwanted call still waits for its response.
 fn last_wait(
     kind: CallKind,
