--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -63,7 +63,7 @@
     /// Aborts the connection that is up, or was last.
     abort_flag: AbortFlag,
     /// The number of the connection that is up, or was last.
-    connection: Connection,
+    connection_number: Connection,
     /// The gate of the request that starts the attempt; none for a health check.
     send_gate: Option<Arc<SendGate>>,
     /// By when the request has been sent completely or is not sent; none where that is the response deadline.
@@ -72,8 +72,8 @@
     response_deadline: Instant,
     /// The engine may have received the request completely.
     request_may_have_arrived: bool,
-    /// The request's body could not be read to its end.
-    body_unreadable: bool,
+    /// The body store could not give back the request's body to its end; not set where the client cut the body off.
+    stored_body_lost: bool,
     call_timeout: CallTimeout,
 }
 
@@ -106,12 +106,12 @@
             ledger_id: None,
             sender: None,
             abort_flag: AbortFlag::default(),
-            connection: 0,
+            connection_number: 0,
             send_gate: None,
             send_deadline: None,
             response_deadline: now,
             request_may_have_arrived: false,
-            body_unreadable: false,
+            stored_body_lost: false,
             call_timeout: CallTimeout::new(engines.connect_timeout, now),
         }
     }
@@ -189,7 +189,7 @@
     fn drop_connection_if_invalid(&mut self, response: Result<(), CallError>) {
         if response == Err(CallError::InvalidResponse) {
             self.sender = None;
-            self.record(Evidence::ConnectionUnusable(self.connection));
+            self.record(Evidence::ConnectionUnusable(self.connection_number));
         }
     }
 }
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -44,7 +44,7 @@
         let time_limit = remaining.min(self.engines.connect_timeout * 2);
         match self.call(EngineCall::other(delete), time_limit).await {
             Ok(reply) if confirms_cancel(reply.status) => {
-                self.record(Evidence::Cancelled(self.connection));
+                self.record(Evidence::Cancelled(self.connection_number));
             }
             Ok(_) => {
                 self.drop_connection_if_invalid(Err(CallError::InvalidResponse));
@@ -70,9 +70,9 @@
         let time_limit = self.poll_timeout();
         let reply = self.call(poll, time_limit).await?;
         let evidence = match attempt_status(&reply) {
-            AttemptStatus::Running(_) => Evidence::Running(self.connection),
+            AttemptStatus::Running(_) => Evidence::Running(self.connection_number),
             AttemptStatus::Succeeded { .. } => Evidence::Ended,
-            AttemptStatus::Ended(_) => Evidence::ReportedFailed(self.connection),
+            AttemptStatus::Ended(_) => Evidence::ReportedFailed(self.connection_number),
             AttemptStatus::Invalid => {
                 self.drop_connection_if_invalid(Err(CallError::InvalidResponse));
                 return Err(CallError::InvalidResponse);
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -84,7 +84,7 @@
     fn abandon_connection(&mut self, start_request: StopOutcome) {
         self.abort_flag.abort();
         self.sender = None;
-        self.record(Evidence::ConnectionUnusable(self.connection));
+        self.record(Evidence::ConnectionUnusable(self.connection_number));
         if start_request == StopOutcome::Stopped {
             self.record(Evidence::NeverReached);
         }
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -46,10 +46,12 @@
         }
         match error {
             CallError::ConnectionRefused => self.record(Evidence::ConnectionRefused),
-            CallError::ConnectionLost => self.record(Evidence::ConnectionLost(self.connection)),
+            CallError::ConnectionLost => {
+                self.record(Evidence::ConnectionLost(self.connection_number))
+            }
             CallError::TimedOut | CallError::InvalidResponse => {
                 self.abort_flag.abort();
-                self.record(Evidence::ConnectionUnusable(self.connection));
+                self.record(Evidence::ConnectionUnusable(self.connection_number));
             }
             CallError::ConnectFailed | CallError::LocalResources => {}
         }
@@ -91,10 +93,10 @@
     async fn ready_connection(&mut self, kind: CallKind) -> Result<Sender, CallError> {
         match self.sender.take() {
             Some(sender) if !sender.is_closed() => return Ok(sender),
-            Some(_) => self.record(Evidence::ConnectionLost(self.connection)),
+            Some(_) => self.record(Evidence::ConnectionLost(self.connection_number)),
             None => {}
         }
-        self.connection += 1;
+        self.connection_number += 1;
         let gate = self.send_gate.clone().filter(|_| kind == CallKind::Start);
         let EngineConnection { sender, abort_flag } =
             self.engines.connect(self.target.address, gate).await?;
@@ -138,7 +140,7 @@
         time_limit: Duration,
     ) -> Result<Reply, CallError> {
         if kind != CallKind::Other {
-            self.record_request_written();
+            self.record_request_sending();
         }
         let receiving = receive_reply(sender, request);
         self.await_response(time_limit, receiving).await
@@ -162,7 +164,8 @@
         };
         if let Err(error) = body_result {
             tracing::debug!(%error, "request body could not be sent");
-            self.body_unreadable = !matches!(error, ReadError::Truncated);
+            // A body that its client cut off is none that the store lost.
+            self.stored_body_lost = !matches!(error, ReadError::Truncated);
             return Err(CallError::ConnectionLost);
         }
         self.await_response(time_limit, receiving).await
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -122,7 +122,7 @@
         response: &Result<Reply, CallError>,
         cancellation: CancellationState,
     ) -> Option<AttemptEnd> {
-        if self.body_unreadable {
+        if self.stored_body_lost {
             // The body is lost for any further attempt too.
             return Some(AttemptEnd::Failed);
         }
@@ -175,7 +175,7 @@
                 ControlFlow::Break(self.process_reported_end(&reply, end, response_to))
             }
             AttemptStatus::Running(progress) => {
-                self.record(Evidence::Running(self.connection));
+                self.record(Evidence::Running(self.connection_number));
                 if progress.is_some() {
                     events.progress.send_replace(progress);
                 }
@@ -196,7 +196,7 @@
         let answers_start = response_to == ResponseTo::Start;
         let evidence = match response_to {
             ResponseTo::Start => Evidence::Ended,
-            ResponseTo::Poll => Evidence::ReportedFailed(self.connection),
+            ResponseTo::Poll => Evidence::ReportedFailed(self.connection_number),
         };
         self.record(evidence);
         let reported_end = ReportedEnd {
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -81,8 +81,9 @@
             .insert(request_header::REMAINING_MS, value);
     }
 
-    /// Records that the last byte of a call which keeps the attempt running is being sent.
-    pub(super) fn record_request_written(&mut self) {
+    /// Records that the last byte of a request that starts the attempt, or of a poll, is about to be sent: it may arrive from
+    /// now on.
+    pub(super) fn record_request_sending(&mut self) {
         self.request_may_have_arrived = true;
         self.record(Evidence::RequestSent);
     }
@@ -102,7 +103,7 @@
             let chunk = match reader.next().await {
                 Ok(Some(chunk)) => chunk,
                 Ok(None) => {
-                    self.record_request_written();
+                    self.record_request_sending();
                     return Ok(());
                 }
                 Err(error) => {
@@ -113,7 +114,7 @@
             // An engine runs an attempt only once it has received the whole body.
             let is_last = length == Some(reader.position());
             if is_last {
-                self.record_request_written();
+                self.record_request_sending();
             }
             if sender.send_data(chunk).await.is_err() {
                 // The connection is lost or the engine has responded: the caller, which waits for both, ends this.
