--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -198,10 +198,9 @@
 fn end_after_cancel(proof: Proof, cancellation: CancellationState) -> AttemptEnd {
     match (proof, cancellation) {
         // The query was over before the attempt could start: that says nothing of the engine.
-        (
-            Proof::NeverReached,
-            CancellationState::QueryFinished | CancellationState::IfNotStarted,
-        ) => AttemptEnd::NotNeeded,
+        (Proof::NeverReached, CancellationState::QueryFinished | CancellationState::UnlessSent) => {
+            AttemptEnd::NotNeeded
+        }
         (Proof::NeverReached, _) => AttemptEnd::ConnectFailed,
         _ => AttemptEnd::Cancelled,
     }
--- a/crates/gateway/src/engines/messages.rs
+++ b/crates/gateway/src/engines/messages.rs
@@ -88,7 +88,7 @@
     NotRequested,
     /// The response is wanted if the request has been sent completely, otherwise nothing is sent any more: the client has
     /// left.
-    IfNotStarted,
+    UnlessSent,
     /// The attempt is cancelled unless its response comes first.
     Requested,
     /// The attempt is cancelled: its query has been answered.
@@ -99,7 +99,7 @@
     /// Whether the attempt may still be polled for its response.
     pub(super) fn allows_polling(self) -> bool {
         match self {
-            CancellationState::NotRequested | CancellationState::IfNotStarted => true,
+            CancellationState::NotRequested | CancellationState::UnlessSent => true,
             CancellationState::Requested | CancellationState::QueryFinished => false,
         }
     }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -140,7 +140,7 @@
 
     fn client_left(&mut self) {
         self.query_status = QueryStatus::Finished;
-        self.request_cancellation(CancellationState::IfNotStarted, |state| {
+        self.request_cancellation(CancellationState::UnlessSent, |state| {
             state == CancellationState::NotRequested
         });
     }
@@ -153,7 +153,7 @@
         self.request_cancellation(requested, |state| {
             matches!(
                 state,
-                CancellationState::NotRequested | CancellationState::IfNotStarted
+                CancellationState::NotRequested | CancellationState::UnlessSent
             )
         });
     }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
@@ -5,7 +5,7 @@
 async fn an_attempt_cancelled_before_its_journal_write_sends_nothing() {
     let ends = [
         (CancellationState::QueryFinished, AttemptEnd::NotNeeded),
-        (CancellationState::IfNotStarted, AttemptEnd::NotNeeded),
+        (CancellationState::UnlessSent, AttemptEnd::NotNeeded),
         (CancellationState::Requested, AttemptEnd::ConnectFailed),
     ];
     for (last, end) in ends {
