--- a/crates/gateway/src/engines/client_presence.rs
+++ b/crates/gateway/src/engines/client_presence.rs
@@ -23,8 +23,8 @@
         self.is_waiting.store(true, Ordering::Relaxed);
     }
 
-    /// No client waits any more.
-    pub fn last_client_left(&self) {
+    /// The last client that waited has disconnected; one may still join.
+    pub fn client_disconnected(&self) {
         self.is_waiting.store(false, Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -158,7 +158,7 @@
     let client_presence = start.client_presence.clone();
     let leave = async {
         sleep(Duration::from_millis(30)).await;
-        client_presence.last_client_left();
+        client_presence.client_disconnected();
         drop(permits);
     };
     let (result, ()) = tokio::join!(silent.run_attempt(start, cancellation), leave);
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: an arriving query is opened, joins the open query of its key, or is not admitted.
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
-use super::open_query::OpenQuery;
+use super::open_query::{OpenQuery, WaiterGeneration};
 use super::query_index::QueryKeyState;
 use super::state::SchedulerState;
 use super::{Admission, ArrivingQuery, Command, OpenedQuery, Scheduler, Waiter};
@@ -118,7 +118,7 @@
             query_id: id,
             answer: query.answer.subscribe(),
         };
-        state.controller.set_client_waiting(now, id, true);
+        state.controller.client_joined(now, id);
         Admission::Joined(waiter)
     }
 
@@ -221,7 +221,7 @@
             commands,
             answer: watch::Sender::new(None),
             waiters: 1,
-            waiters_ever: 1,
+            waiter_generation: WaiterGeneration::default(),
             client_presence: ClientPresence::default(),
             deadline: terms.deadline,
             plan_admission: terms.plan_admission,
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -8,6 +8,16 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
+/// Counts the clients that have joined a query: equal generations mean that nobody has joined in between.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct WaiterGeneration(u64);
+
+impl WaiterGeneration {
+    fn advance(&mut self) {
+        self.0 += 1;
+    }
+}
+
 /// A query from its admission until it is finished and every attempt has ended.
 pub(super) struct OpenQuery {
     pub(super) query_key: u64,
@@ -22,8 +32,8 @@
     pub(super) answer: watch::Sender<Option<QueryAnswer>>,
     /// Clients that wait for it now.
     pub(super) waiters: usize,
-    /// Clients that have waited for it so far. One who returns raises it, so that who left before is known to be back.
-    pub(super) waiters_ever: u64,
+    /// Moves on with each client that joins.
+    pub(super) waiter_generation: WaiterGeneration,
     pub(super) client_presence: ClientPresence,
     /// When its client gives up, in seconds on the gateway's clock.
     pub(super) deadline: f64,
@@ -34,7 +44,8 @@
 impl OpenQuery {
     /// Sends a command to its task.
     pub(super) fn send_command(&self, command: Command) {
-        // It fails only where the task has ended, and then no attempt is in flight and no answer is owed.
+        // It fails only where the task has ended: after the answer and the last attempt, or by a panic, which leaves its query
+        // open and without an answer until its client disconnects.
         let _ = self.commands.send(command);
     }
 
@@ -46,7 +57,7 @@
     /// Adds a client that waits for it.
     pub(super) fn add_waiter(&mut self) {
         self.waiters += 1;
-        self.waiters_ever += 1;
+        self.waiter_generation.advance();
         self.client_presence.client_joined();
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -1,5 +1,6 @@
 //! The clients that wait for a query's answer, and what follows once none does.
 
+use super::open_query::{OpenQuery, WaiterGeneration};
 use super::{QueryAnswer, Scheduler};
 use garnetwall::api::QueryId;
 use std::sync::Arc;
@@ -32,43 +33,46 @@
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        let Some(waiters_ever) = self.scheduler.waiter_left(self.query_id) else {
+        let Some(generation) = self.scheduler.client_disconnected(self.query_id) else {
             return;
         };
         let id = self.query_id;
         let scheduler = self.scheduler.clone();
         let Ok(runtime) = Handle::try_current() else {
-            scheduler.client_did_not_return(id, waiters_ever);
+            scheduler.client_left(id, generation);
             return;
         };
         runtime.spawn(async move {
             sleep(RECONNECT_WINDOW).await;
-            scheduler.client_did_not_return(id, waiters_ever);
+            scheduler.client_left(id, generation);
         });
     }
 }
 
 impl Scheduler {
-    /// A waiter has left. Where nobody waits any more, no attempt begins; returns how many have waited for the query by then.
-    fn waiter_left(&self, id: QueryId) -> Option<u64> {
+    /// A waiter's connection is lost; its client may return within the reconnect window. Where nobody waits any more, no
+    /// attempt begins; returns the generation of the last waiter then.
+    fn client_disconnected(&self, id: QueryId) -> Option<WaiterGeneration> {
         self.handle_event(|state, now| {
             let query = state.open_queries.get_mut(&id)?;
             query.waiters -= 1;
             if query.waiters > 0 || query.is_finished() {
                 return None;
             }
-            query.client_presence.last_client_left();
-            let waiters_ever = query.waiters_ever;
-            state.controller.set_client_waiting(now, id, false);
-            Some(waiters_ever)
+            query.client_presence.client_disconnected();
+            let generation = query.waiter_generation;
+            state.controller.client_disconnected(now, id);
+            Some(generation)
         })
     }
 
-    /// The reconnect window is over: the client has left, unless somebody has joined the query since.
-    fn client_did_not_return(&self, id: QueryId, waiters_ever: u64) {
+    /// The reconnect window is over: the client has left for good, unless somebody has joined the query since `generation`.
+    fn client_left(&self, id: QueryId, generation: WaiterGeneration) {
         self.handle_event(|state, now| {
             let query = state.open_queries.get(&id);
-            if query.is_some_and(|query| query.waiters == 0 && query.waiters_ever == waiters_ever) {
+            let has_left =
+                |query: &OpenQuery| query.waiters == 0 && query.waiter_generation == generation;
+            if query.is_some_and(has_left) {
                 state.client_left(now, id);
             }
         });
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A query's client has left: no answer is owed, and an attempt in flight is cancelled where the settings allow it.
+    /// A query's client has left for good: no answer is owed, and an attempt in flight is cancelled where the settings allow it.
     pub fn client_left(&mut self, now: f64, id: QueryId) {
         self.observe_time(now);
         if let Some(state) = self.queries.get(&id) {
@@ -72,24 +72,33 @@
         self.finish(now, id);
     }
 
-    /// Whether a client waits for the query now. One whose connection is lost may come back at once; until then its
-    /// query is not sent.
-    pub fn set_client_waiting(&mut self, now: f64, id: QueryId, is_waiting: bool) {
+    /// A client waits for the query from now on, for the first time or again.
+    pub fn client_joined(&mut self, now: f64, id: QueryId) {
+        self.set_client_absent(now, id, false);
+    }
+
+    /// The connection of the query's last client is lost. The client may come back at once; until then its query is not
+    /// sent.
+    pub fn client_disconnected(&mut self, now: f64, id: QueryId) {
+        self.set_client_absent(now, id, true);
+    }
+
+    fn set_client_absent(&mut self, now: f64, id: QueryId, is_absent: bool) {
         self.observe_time(now);
         let Some(state) = self.queries.get_mut(&id) else {
             return;
         };
-        if state.client_absent != is_waiting {
+        if state.client_absent == is_absent {
             return;
         }
-        state.client_absent = !is_waiting;
+        state.client_absent = is_absent;
         if state.phase != QueryPhase::Queued {
             return;
         }
-        if is_waiting {
-            self.enqueue(id);
-        } else {
+        if is_absent {
             self.dequeue(id);
+        } else {
+            self.enqueue(id);
         }
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -926,7 +926,7 @@
 fn queries_without_a_client_wait_until_it_is_back() {
     let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
     let id = world.admit(0, 0, None, 4.0);
-    world.controller.set_client_waiting(world.now, id, false);
+    world.controller.client_disconnected(world.now, id);
     world.pass(0.05);
     assert!(world.engines_tried(id).is_empty());
     let other = world.admit(0, 0, None, 4.0);
@@ -936,10 +936,10 @@
         1,
         "others of its line are not held"
     );
-    world.controller.set_client_waiting(world.now, id, true);
+    world.controller.client_joined(world.now, id);
     world.pass(0.05);
     assert_eq!(world.engines_tried(id).len(), 1);
-    world.controller.set_client_waiting(world.now, id, false);
+    world.controller.client_disconnected(world.now, id);
     world.end_attempt(id, AttemptEnd::ConnectionLost);
     world.pass(0.2);
     assert_eq!(
@@ -966,9 +966,7 @@
         world.admit(0, 0, Some(1), 4.0),
     );
     world.pass(0.1);
-    world
-        .controller
-        .set_client_waiting(world.now, second, false);
+    world.controller.client_disconnected(world.now, second);
     world.end_attempt(first, AttemptEnd::Succeeded);
     world.pass(0.3);
     assert!(
