--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -2,14 +2,13 @@
 
 use crate::configuration::plan_commands;
 use crate::configuration::{self, Config, ConfigError, Files};
-use crate::gateway::Gateway;
+use crate::gateway::{Gateway, StartError};
 use crate::system::log::{print_error, Log};
 use crate::system::os_error::retry_blocking;
 use crate::system::signals::{SignalEvents, Signals};
 use pico_args::Arguments;
 use std::ffi::OsString;
 use std::io;
-use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
 use thiserror::Error;
@@ -19,7 +18,7 @@
 use tokio::task::JoinError;
 
 const HELP: &str = "\
-garnetwall: admission control for batches on a pool of engines
+garnetwall: admission control for queries on a pool of engines
 
 Usage: garnetwall COMMAND [--config FILE] [--plan FILE]
 
@@ -61,13 +60,8 @@
     Log(#[source] io::Error),
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The gateway could not start on its address.
-    #[error("{listen}: {error}")]
-    Gateway {
-        listen: SocketAddr,
-        #[source]
-        error: io::Error,
-    },
+    #[error(transparent)]
+    Start(#[from] StartError),
 }
 
 /// Runs the command that the arguments name; the exit code of a failure is 1, or 2 for a wrong call of a plan command.
@@ -146,13 +140,10 @@
         () = &mut stopped => return Ok(()),
         config = read_config_in_thread(files.clone()) => config?,
     };
-    let listen = config.listen;
     let (reload, reloads) = unbounded_channel();
     tokio::spawn(reload_on_hangup(files, hangup, reload));
-    Gateway::new(config)
-        .run(stopped, reloads)
-        .await
-        .map_err(|error| CommandError::Gateway { listen, error })
+    Gateway::new(config).run(stopped, reloads).await?;
+    Ok(())
 }
 
 /// Reads the files again at each SIGHUP; a faulty configuration is logged and ignored.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -3,6 +3,7 @@
 mod background;
 mod reload;
 mod shutdown;
+mod start_error;
 
 use crate::configuration::Config;
 use crate::discovery::EngineList;
@@ -33,6 +34,8 @@
 use tokio::sync::watch;
 use tokio::time::timeout_at;
 
+pub use start_error::StartError;
+
 /// Connections that wait to be accepted, at most.
 const LISTEN_BACKLOG: u32 = 1024;
 
@@ -108,7 +111,7 @@
         mut self,
         stop: impl Future<Output = ()>,
         reloads: UnboundedReceiver<Config>,
-    ) -> io::Result<()> {
+    ) -> Result<(), StartError> {
         tokio::pin!(stop);
         let Some(resources) = self.start(stop.as_mut()).await? else {
             // Nothing was admitted yet.
@@ -154,7 +157,7 @@
     async fn start(
         &self,
         stop: Pin<&mut impl Future<Output = ()>>,
-    ) -> io::Result<Option<StartResources>> {
+    ) -> Result<Option<StartResources>, StartError> {
         self.enter(Phase::Starting);
         tokio::select! {
             biased;
@@ -164,12 +167,17 @@
     }
 
     /// Acquires what the start needs of the system, with retries where that fails for the moment.
-    async fn acquire_resources(&self) -> io::Result<StartResources> {
-        let journal = Arc::new(self.open_journal()?);
-        let store = retry("store of bodies", || self.open_body_store()).await?;
-        let listener = retry("listener", || listen(self.config.listen)).await?;
+    async fn acquire_resources(&self) -> Result<StartResources, StartError> {
+        let journal = self.open_journal().map_err(StartError::Journal)?;
+        let store = retry("store of bodies", || self.open_body_store())
+            .await
+            .map_err(StartError::BodyStore)?;
+        let address = self.config.listen;
+        let listener = retry("listener", || listen(address))
+            .await
+            .map_err(|error| StartError::Listener { address, error })?;
         Ok(StartResources {
-            journal,
+            journal: Arc::new(journal),
             store,
             listener,
         })
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -653,7 +653,7 @@
 }
 
 const HELP: &str = "\
-garnetwall: admission control for batches on a pool of engines
+garnetwall: admission control for queries on a pool of engines
 
 Usage: garnetwall COMMAND [--config FILE] [--plan FILE]
 
