--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -1,8 +1,9 @@
 //! The scheduler: the admission controller behind one lock, its timer, and the open queries. It hands events to the controller and
-//! carries out what the controller decides. Of its own it answers only what needs no attempt: a repeat of a query that is open or
-//! over, and a query that an earlier process may have run.
+//! carries out what the controller decides. Of its own it decides only what needs no attempt: a repeat of a query that is open or
+//! over, a query that an earlier process may have run, and a query whose client has left, which it answers as failed.
 //!
-//! This file holds the lock, the timer and the way of every event. `admission` opens queries, `query_end` answers and releases
+//! This file holds the lock, the timer and `handle_event`, the way of all that the controller has to hear of. Final answers and
+//! the release of a query change only what the scheduler itself keeps, and take the lock directly. `admission` opens queries, `query_end` answers and releases
 //! them, `waiter` tracks the clients that wait; `query_index` knows which query keys were seen, `answer_cache` keeps the
 //! answers of finished queries; `open_query` and `state` are what the lock guards. `attempts`, `updates`, `recovery` and
 //! `shutdown` take the other events; `messages` has the values that go in and out.
@@ -48,7 +49,7 @@
     answers_due: watch::Sender<Option<f64>>,
     /// Seconds for which the key of a finished query is remembered.
     finished_retention: f64,
-    /// Hashes calls into fingerprints, with a seed of this process.
+    /// Hashes requests into fingerprints, with a seed of this process.
     fingerprint_hasher: RandomState,
 }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The earliest time at which a call that was read at this instant can have arrived.
+    /// The earliest time at which a request that was read at this instant can have arrived.
     pub fn arrival_time(&self, read_at: std::time::Instant) -> f64 {
         let now = self.clock.now();
         let read_at = self.clock.at(read_at);
