--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -75,7 +75,7 @@
         })
     }
 
-    /// A hash of what makes two calls the same; `None` where the statement is not in memory.
+    /// A hash of what makes two requests the same; `None` where the statement is not in memory.
     fn fingerprint(
         &self,
         arriving: &ArrivingQuery,
@@ -94,7 +94,7 @@
         ))))
     }
 
-    /// Adds a waiter to the open query of the same key, where the call is the same.
+    /// Adds a waiter to the open query of the same key, where the request is the same.
     fn join(
         self: &Arc<Self>,
         state: &mut SchedulerState,
@@ -106,10 +106,10 @@
         let Some(query) = state.open_queries.get_mut(&id) else {
             return Admission::AnswerNotCached;
         };
-        let is_same_call = query.tenant == arriving.tenant
+        let is_same_request = query.tenant == arriving.tenant
             && query.ordering_key == arriving.ordering_key
             && *query.forwarded_query == *forwarded_query;
-        if !is_same_call {
+        if !is_same_request {
             return Admission::Conflict;
         }
         query.add_waiter();
@@ -236,7 +236,7 @@
         id
     }
 
-    /// What a call gets whose query has finished: it does not run again.
+    /// What a request gets whose query has finished: it does not run again.
     fn repeat_of_finished(
         &self,
         now: f64,
@@ -248,7 +248,7 @@
         };
         match self.answer_cache.get(now, query_key, fingerprint) {
             CachedAnswer::Answer(answer) => Admission::Answered(answer),
-            CachedAnswer::OtherCall => Admission::Conflict,
+            CachedAnswer::OtherRequest => Admission::Conflict,
             CachedAnswer::Missing => Admission::AnswerNotCached,
         }
     }
--- a/crates/gateway/src/scheduling/scheduler/answer_cache.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache.rs
@@ -1,5 +1,5 @@
-//! Final answers of finished queries, for clients whose connection was lost before they had theirs: a repeat of the call gets the
-//! same answer, and nothing runs again. Bounded in bytes, and by each query's deadline.
+//! Final answers of finished queries, for clients whose connection was lost before they had theirs: a repeat of the request
+//! gets the same answer, and nothing runs again. Bounded in bytes, and by each query's deadline.
 
 use super::QueryAnswer;
 use std::collections::{BTreeMap, HashMap};
@@ -7,17 +7,17 @@
 /// What an entry takes beside its rows.
 const ENTRY_BYTES: usize = 256;
 
-/// A hash of all that makes two calls the same, except for the time that they allow.
+/// A hash of all that makes two requests the same, except for the time that they allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fingerprint(pub(super) u64);
 
-/// What is cached for a call.
+/// What is cached for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum CachedAnswer {
     /// Its answer.
     Answer(QueryAnswer),
-    /// Another call has its key.
-    OtherCall,
+    /// Another request has its key.
+    OtherRequest,
     /// Nothing.
     Missing,
 }
@@ -86,10 +86,10 @@
         self.evict(now);
     }
 
-    /// What is cached for a call.
+    /// What is cached for a request.
     pub(super) fn get(&self, now: f64, query_key: u64, fingerprint: Fingerprint) -> CachedAnswer {
         match self.entries.get(&query_key) {
-            Some(entry) if entry.fingerprint != fingerprint => CachedAnswer::OtherCall,
+            Some(entry) if entry.fingerprint != fingerprint => CachedAnswer::OtherRequest,
             Some(entry) if entry.deadline > now => CachedAnswer::Answer(entry.answer.clone()),
             _ => CachedAnswer::Missing,
         }
--- a/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
@@ -13,7 +13,10 @@
     let mut cache = AnswerCache::new(10_000);
     cache.insert(1.0, 1, CALL, answer(10), 2.0);
     assert_eq!(cache.get(1.9, 1, CALL), CachedAnswer::Answer(answer(10)));
-    assert_eq!(cache.get(1.9, 1, Fingerprint(8)), CachedAnswer::OtherCall);
+    assert_eq!(
+        cache.get(1.9, 1, Fingerprint(8)),
+        CachedAnswer::OtherRequest
+    );
     assert_eq!(cache.get(1.9, 2, CALL), CachedAnswer::Missing);
     assert_eq!(cache.get(2.0, 1, CALL), CachedAnswer::Missing);
 }
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -78,7 +78,7 @@
 /// A query as it arrives, before it has a number.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivingQuery {
-    /// The key that its client chose; a repeated call carries the same.
+    /// The key that its client chose; a repeated request carries the same.
     pub query_key: u64,
     /// Its class, as an index into the settings.
     pub class: usize,
@@ -136,13 +136,13 @@
 pub enum Admission {
     /// It is opened.
     New(OpenedQuery),
-    /// The same call is open already, and has one more waiter.
+    /// The same query is open already, and has one more waiter.
     Joined(Waiter),
-    /// Another call has this key.
+    /// Another query has this key.
     Conflict,
-    /// The same call has finished with this answer.
+    /// The same query has finished with this answer.
     Answered(QueryAnswer),
-    /// A call of this key has finished, and its answer is not cached.
+    /// A query of this key has finished, and its answer is not cached.
     AnswerNotCached,
     /// An earlier process may have sent it, and it may have run.
     MayHaveRun,
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -24,7 +24,7 @@
     pub(super) tenant: usize,
     pub(super) ordering_key: Option<u64>,
     pub(super) forwarded_query: Arc<ForwardedQuery>,
-    /// `None` where its call can't be compared with another.
+    /// `None` where its request can't be compared with another.
     pub(super) fingerprint: Option<Fingerprint>,
     /// The commands to its task.
     pub(super) commands: UnboundedSender<Command>,
--- a/crates/gateway/src/scheduling/scheduler/query_index.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_index.rs
@@ -1,4 +1,4 @@
-//! What is known of each query key, so that no query runs again because its client repeats the call.
+//! What is known of each query key, so that no query runs again because its client repeats the request.
 
 use garnetwall::api::QueryId;
 use std::collections::{HashMap, HashSet, VecDeque};
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Protocol: a client whose connection is lost repeats its call on a new one within this time.
+/// Protocol: a client whose connection is lost repeats its request on a new one within this time.
 const RECONNECT_WINDOW: Duration = Duration::from_millis(50);
 
 /// A client that waits for a query. Dropped before the answer, it counts as having left, unless another waiter joins the query
