--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -8,7 +8,7 @@
 use crate::engines::Engines;
 use crate::scheduling::scheduler::Scheduler;
 use crate::system::clock::clamped_duration;
-use garnetwall::api::{AttemptEnd, EngineId, QueryClass};
+use garnetwall::api::{AttemptEnd, EngineId, QueryClass, Settings};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -36,7 +36,7 @@
                 discovery,
                 self.engines.clone(),
                 self.scheduler.clone(),
-                self.config.decoded.settings.health_checks_allowed,
+                WarmUp::from_settings(&self.config.decoded.settings),
             ));
         }
         if let Some(requests) = self.health_check_requests.take() {
@@ -79,24 +79,41 @@
     }
 }
 
+/// How a connection to a candidate of the engine subset is warmed up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WarmUp {
+    HealthCheck,
+    /// The settings allow no health checks.
+    ConnectOnly,
+}
+
+impl WarmUp {
+    fn from_settings(settings: &Settings) -> Self {
+        match settings.health_checks_allowed {
+            true => WarmUp::HealthCheck,
+            false => WarmUp::ConnectOnly,
+        }
+    }
+}
+
 /// Maintains the engine subset: warms up connections to candidates and reports those that joined.
 async fn maintain_subset(
     discovery: Arc<Discovery>,
     engines: Arc<Engines>,
     scheduler: Arc<Scheduler>,
-    health_checks_allowed: bool,
+    warm_up: WarmUp,
 ) {
-    let warm_up = |address| {
+    let warm_up_engine = |address| {
         let engines = engines.clone();
         async move {
-            match health_checks_allowed {
-                true => engines.warm_by_health_check(address).await,
-                false => engines.warm_by_connecting(address).await,
+            match warm_up {
+                WarmUp::HealthCheck => engines.warm_by_health_check(address).await,
+                WarmUp::ConnectOnly => engines.warm_by_connecting(address).await,
             }
         }
     };
     discovery
-        .maintain_subset(warm_up, |engine, warmed| {
+        .maintain_subset(warm_up_engine, |engine, warmed| {
             scheduler.health_check_ended(engine, warmed.end, warmed.report)
         })
         .await;
