--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -280,7 +280,7 @@
     }
 
     fn with_engines(&self, lines: &[Value]) -> Value {
-        self.with("known.results", json!([list_event(0, true, lines)]))
+        self.with("known.results", json!([full_list_event(0, lines)]))
     }
 }
 
@@ -542,7 +542,13 @@
     let events = |numbers: &[u64]| {
         numbers
             .iter()
-            .map(|n| list_event(*n, *n == numbers[0], &[surroundings.endpoint("s-1")]))
+            .map(|n| {
+                let endpoints = [surroundings.endpoint("s-1")];
+                match *n == numbers[0] {
+                    true => full_list_event(*n, &endpoints),
+                    false => list_change_event(*n, &endpoints),
+                }
+            })
             .collect::<Vec<_>>()
     };
     for (numbers, last, fault) in [
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -41,7 +41,7 @@
 fn service_with_engine(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
     Service::start_with(|config| {
         config["known"]["results"] =
-            json!([list_event(0, true, &[endpoint("s-0", engine, "SERVING")])]);
+            json!([full_list_event(0, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
     })
@@ -336,7 +336,7 @@
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "SERVING"))
         .collect();
     let service = Service::start_with(|config| {
-        config["known"] = json!({"seq": 0, "results": [list_event(0, true, &lines)]});
+        config["known"] = json!({"seq": 0, "results": [full_list_event(0, &lines)]});
         config["settings"]["balancers"] = json!(900);
         config["peers"] = json!((0..900)
             .map(|n| format!("10.3.{}.{}:7946", n / 250, n % 250))
@@ -350,7 +350,7 @@
         .collect();
     for number in 1..10 {
         let state = if number % 2 == 1 { &drained } else { &lines };
-        service.log.publish(list_event(number, false, state));
+        service.log.publish(list_change_event(number, state));
     }
     wait_until("all drain", || {
         service
@@ -370,7 +370,7 @@
         before,
         "no attempt at draining engines"
     );
-    service.log.publish(list_event(10, false, &lines));
+    service.log.publish(list_change_event(10, &lines));
     wait_until("all serve again", || {
         service.query("report", "SELECT 1").succeeded()
     });
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -20,7 +20,7 @@
         .map(|n| endpoint(&format!("s-{first}{n:07x}"), address(n), "DRAINING"))
         .collect();
     lines.push(endpoint(&format!("s-{first}last"), last_address, "SERVING"));
-    list_event(number, true, &lines)
+    full_list_event(number, &lines)
 }
 
 /// Resident memory of a process in kilobytes.
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -17,7 +17,7 @@
 fn service(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
     Service::start_with(|config| {
         config["known"]["results"] =
-            json!([list_event(0, true, &[endpoint("s-0", engine, "SERVING")])]);
+            json!([full_list_event(0, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         config["limits"] = json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS});
         change_more(config);
--- a/crates/gateway/tests/full_start.rs
+++ b/crates/gateway/tests/full_start.rs
@@ -25,7 +25,7 @@
         config["changelog"] = json!(address.to_string());
         // Keeps the clients within their third of the sockets.
         config["limits"]["sockets"] = json!(CLIENTS * 4);
-        config["known"] = json!({"seq": 41, "results": [list_event(41, true, &endpoints)]});
+        config["known"] = json!({"seq": 41, "results": [full_list_event(41, &endpoints)]});
     });
     service.signal("KILL");
     service.child.wait().unwrap();
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -334,8 +334,14 @@
         "weight": 1, "started_ms": 0})
 }
 
-pub fn list_event(number: u64, is_complete: bool, servers: &[Value]) -> Value {
-    json!({"seq": number, "fleet": {"version": number, "full": is_complete, "servers": servers}})
+/// An event with the whole engine list.
+pub fn full_list_event(number: u64, servers: &[Value]) -> Value {
+    json!({"seq": number, "fleet": {"version": number, "full": true, "servers": servers}})
+}
+
+/// An event with the endpoints that have changed.
+pub fn list_change_event(number: u64, servers: &[Value]) -> Value {
+    json!({"seq": number, "fleet": {"version": number, "full": false, "servers": servers}})
 }
 
 /// The gateway program with its stand-in engine and change log; killed when dropped.
@@ -374,7 +380,7 @@
 pub fn config(engine: SocketAddr, log: SocketAddr) -> Value {
     json!({"name": "n0", "listen": free_address().to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "changelog": log.to_string(),
-        "known": {"seq": 0, "results": [list_event(0, true, &[endpoint("s-1", engine, "SERVING")])]},
+        "known": {"seq": 0, "results": [full_list_event(0, &[endpoint("s-1", engine, "SERVING")])]},
         "settings": {
             "allowed": {"dial-timeout": 250.0, "idle-close": 30000.0, "cancelling": true, "max-attempts": 2,
                 "retry-after": true, "max-retry-after": 1000.0, "may-probe": true, "open-cap": 20000},
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -87,7 +87,7 @@
             .enumerate()
             .map(|(n, at)| endpoint(&format!("s-{n}"), *at, "SERVING"))
             .collect();
-        config["known"]["results"] = json!([list_event(0, true, &lines)]);
+        config["known"]["results"] = json!([full_list_event(0, &lines)]);
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
@@ -188,7 +188,7 @@
     let service = Service::start_with_launcher(
         |config| {
             config["known"]["results"] =
-                json!([list_event(0, true, &[endpoint("s-0", at, "SERVING")])]);
+                json!([full_list_event(0, &[endpoint("s-0", at, "SERVING")])]);
             config["settings"]["allowed"]["may-probe"] = json!(false);
         },
         |config| {
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -14,9 +14,8 @@
 
 fn service(engine: &EngineProcess, change_more: impl Fn(&mut Value)) -> Service {
     Service::start_with(|config| {
-        config["known"]["results"] = json!([list_event(
+        config["known"]["results"] = json!([full_list_event(
             0,
-            true,
             &[endpoint("s-0", engine.address, "SERVING")]
         )]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -169,9 +169,8 @@
     for code in [110, 113] {
         let (engine, faults) = (EngineProcess::start(), Faults::new());
         let one_engine = |config: &mut Value| {
-            config["known"]["results"] = json!([list_event(
+            config["known"]["results"] = json!([full_list_event(
                 0,
-                true,
                 &[endpoint("s-0", engine.address, "SERVING")]
             )]);
         };
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -65,7 +65,7 @@
             self.line("DRAINING"),
             endpoint("s-2", self.second.address, "SERVING"),
         ];
-        self.service.log.publish(list_event(1, false, &lines));
+        self.service.log.publish(list_change_event(1, &lines));
     }
 
     fn line(&self, state: &str) -> Value {
@@ -174,9 +174,8 @@
         engines.line("DELETED"),
         endpoint("s-2", engines.second.address, "SERVING"),
     ];
-    engines.service.log.publish(list_event(
+    engines.service.log.publish(list_change_event(
         1,
-        false,
         &[&lines[..], &[endpoint("s-3", other.address, "DRAINING")]].concat(),
     ));
     let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
@@ -257,9 +256,8 @@
     let engines = TwoEngines::with_long_deadline();
     let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */");
     engines.wait_until_sent();
-    engines.service.log.publish(list_event(
+    engines.service.log.publish(list_change_event(
         1,
-        false,
         &[endpoint("s-2", engines.second.address, "SERVING")],
     ));
     sleep(POLL_HOLD_TIME + ms(50));
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -139,9 +139,8 @@
         (5, 10),
         "loads prefer the first"
     );
-    service.log.publish(list_event(
+    service.log.publish(list_change_event(
         1,
-        false,
         &[endpoint("s-1", service.engine.address, "DRAINING")],
     ));
     wait_until("the drain", || {
@@ -154,14 +153,12 @@
         before,
         "the second preference, as the first has none left"
     );
-    service.log.publish(list_event(
+    service.log.publish(list_change_event(
         2,
-        false,
         &[endpoint("s-2", gateway.second.address, "DELETED")],
     ));
-    service.log.publish(list_event(
+    service.log.publish(list_change_event(
         3,
-        false,
         &[endpoint("s-3", service.engine.address, "SERVING")],
     ));
     sleep(Duration::from_millis(200));
--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -39,7 +39,7 @@
     };
     servers
         .extend((0..others).map(|n| endpoint(&format!("s-00c4{n:04x}"), address(n), "DRAINING")));
-    list_event(1, true, &servers)
+    full_list_event(1, &servers)
 }
 
 /// Starts a gateway without a list and a log that follows the script; asserts that the list applies in time.
@@ -265,8 +265,8 @@
             endpoint("s-1", other.address, "SERVING"),
         ]
     };
-    let first_event = event_text(&list_event(1, true, &endpoints("SERVING")));
-    let drain_event = event_text(&list_event(2, false, &endpoints("DRAINING")[..1]));
+    let first_event = event_text(&full_list_event(1, &endpoints("SERVING")));
+    let drain_event = event_text(&list_change_event(2, &endpoints("DRAINING")[..1]));
     let published_at: Arc<OnceLock<Instant>> = Arc::default();
     let publish_time = published_at.clone();
     let log = ScriptedLog::start(move |connection| {
--- a/crates/gateway/tests/slow_engines.rs
+++ b/crates/gateway/tests/slow_engines.rs
@@ -56,7 +56,7 @@
         config["settings"]["allowed"]["may-probe"] = json!(false);
         config["settings"]["categories"][0]["give-up"] = json!(10_000.0);
         config["known"]["results"] =
-            json!([list_event(0, true, &[endpoint("s-1", link, "SERVING")])]);
+            json!([full_list_event(0, &[endpoint("s-1", link, "SERVING")])]);
     });
     let began = Instant::now();
     let answer = service.query_with_id(&new_id(), "report", 9000, "SELECT 1 /* pages */");
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -280,7 +280,7 @@
         .unwrap();
     let mut restarted = endpoint("s-1", service.engine.address, "SERVING");
     restarted["started_ms"] = json!(unix.as_millis() as u64);
-    service.log.publish(list_event(1, false, &[restarted]));
+    service.log.publish(list_change_event(1, &[restarted]));
     let answer = Answer::of(read_message(&mut BufReader::new(stream)).unwrap());
     assert_eq!(answer.status, 503);
     assert!(
@@ -499,9 +499,8 @@
     service.log.publish(
         json!({"seq": 1, "fleet": {"full": false, "servers": [{"id": "s-2", "state": "ODD"}]}}),
     );
-    service.log.publish(list_event(
+    service.log.publish(list_change_event(
         2,
-        false,
         &[
             endpoint("s-1", service.engine.address, "DRAINING"),
             endpoint("s-2", other.address, "SERVING"),
@@ -530,9 +529,8 @@
     wait_until("the third connection", || {
         service.log.last_event_ids.lock().unwrap().last() == Some(&2)
     });
-    service.log.publish(list_event(
+    service.log.publish(full_list_event(
         3,
-        true,
         &[endpoint("s-3", service.engine.address, "SERVING")],
     ));
     wait_until("the full list", || {
@@ -571,9 +569,8 @@
             .start_line
     };
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
-    service.log.publish(list_event(
+    service.log.publish(full_list_event(
         1,
-        true,
         &[endpoint("s-1", service.engine.address, "SERVING")],
     ));
     service.wait_until_healthy();
@@ -642,7 +639,7 @@
             serve_from(&path, Stdio::piped())
         },
     );
-    service.log.publish(list_event(1, false, &[]));
+    service.log.publish(list_change_event(1, &[]));
     wait_until("the first log", || {
         service.log.last_event_ids.lock().unwrap().as_slice() == [0]
     });
@@ -664,9 +661,8 @@
         .unwrap()
         .iter()
         .for_each(|e| new.events.lock().unwrap().push(e.clone()));
-    new.publish(list_event(
+    new.publish(full_list_event(
         2,
-        true,
         &[endpoint("s-2", other.address, "SERVING")],
     ));
     service.config["changelog"] = json!(new.address.to_string());
@@ -676,9 +672,8 @@
     wait_until("the new log from the last number", || {
         new.last_event_ids.lock().unwrap().as_slice() == [1]
     });
-    service.log.publish(list_event(
+    service.log.publish(full_list_event(
         2,
-        true,
         &[endpoint("s-3", free_address(), "SERVING")],
     ));
     wait_until("the new engine", || {
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -59,7 +59,7 @@
         let log_text = Mutex::new(PathBuf::new());
         let service = Service::start_with_launcher(
             |config| {
-                config["known"]["results"][0] = list_event(0, true, &lines);
+                config["known"]["results"][0] = full_list_event(0, &lines);
                 config["settings"]["zones"] = (0..ZONES).map(zone).collect();
                 config["settings"]["balancers"] = json!(GATEWAYS);
                 config["settings"]["domain"]["kind-cores"] = json!([CORES_PER_ENGINE]);
@@ -97,7 +97,11 @@
     /// Publishes an event and waits until the gateway has applied it.
     fn publish(&self, full: bool, lines: &[Value]) {
         let number = self.number.fetch_add(1, Ordering::Relaxed) + 1;
-        self.service.log.publish(list_event(number, full, lines));
+        let event = match full {
+            true => full_list_event(number, lines),
+            false => list_change_event(number, lines),
+        };
+        self.service.log.publish(event);
         wait_until("the change is applied", || {
             self.log_text()
                 .contains(&format!("engine list updated event={number} "))
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -150,9 +150,8 @@
 
 /// A full endpoint list with this engine alone.
 fn list_of_one(number: u64, engine: &Engine) -> Value {
-    list_event(
+    full_list_event(
         number,
-        true,
         &[endpoint(&format!("s-{number}x"), engine.address, "SERVING")],
     )
 }
@@ -183,7 +182,7 @@
     };
     let service = service_watching(log.address, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
-        config["known"]["results"] = json!([list_event(0, true, &lines("SERVING"))]);
+        config["known"]["results"] = json!([full_list_event(0, &lines("SERVING"))]);
     });
     let first = log.accept_and_answer();
     let address = log.address;
@@ -219,7 +218,7 @@
     watch.write(HEAD);
     let mut endpoints = lines("DRAINING");
     endpoints.push(endpoint("s-other", other.address, "SERVING"));
-    watch.send_event(&list_event(1, false, &endpoints));
+    watch.send_event(&list_change_event(1, &endpoints));
     let _keepalives = watch.send_keepalives();
     for stream in streams {
         read_message(&mut BufReader::new(stream)).expect("an answer");
@@ -586,7 +585,7 @@
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
     });
     let watch = old.accept_and_answer();
-    watch.send_event(&list_event(1, false, &[]));
+    watch.send_event(&list_change_event(1, &[]));
     drop(watch);
     drop(old.accept_and_answer());
     let paused = Instant::now();
@@ -697,9 +696,8 @@
     let (log, newer, older) = (ScriptedLog::start(), Engine::start(), Engine::start());
     let service = service_watching(log.address, |_| {});
     let watch = log.accept_and_answer();
-    watch.send_event(&list_event(
+    watch.send_event(&list_change_event(
         1,
-        false,
         &[endpoint("s-a", older.address, "SERVING")],
     ));
     watch.send_event(&list_of_one(2, &newer));
@@ -707,10 +705,10 @@
     let before = older.requests("POST");
     // Late, repeated, and a full list with a lower number; then as the first events of another connection.
     let late = [
-        list_event(1, false, &[endpoint("s-a", older.address, "SERVING")]),
-        list_event(2, true, &[endpoint("s-a", older.address, "SERVING")]),
-        list_event(0, true, &[endpoint("s-a", older.address, "SERVING")]),
-        list_event(1, true, &[endpoint("s-a", older.address, "SERVING")]),
+        list_change_event(1, &[endpoint("s-a", older.address, "SERVING")]),
+        full_list_event(2, &[endpoint("s-a", older.address, "SERVING")]),
+        full_list_event(0, &[endpoint("s-a", older.address, "SERVING")]),
+        full_list_event(1, &[endpoint("s-a", older.address, "SERVING")]),
     ];
     late.iter().for_each(|event| watch.send_event(event));
     for _ in 0..10 {
@@ -806,7 +804,7 @@
     let began = Instant::now();
     let address = log.address;
     let listener = log.listener;
-    let list = list_event(1, true, &[endpoint("s-1", engine.address, "SERVING")]);
+    let list = full_list_event(1, &[endpoint("s-1", engine.address, "SERVING")]);
     spawn(move || loop {
         let Ok((stream, _)) = listener.accept() else {
             sleep(ms(2));
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -407,7 +407,7 @@
             .enumerate()
             .map(|(i, address)| endpoint(&format!("s-{i}"), *address, "SERVING"))
             .collect();
-        config["known"]["results"] = json!([list_event(0, true, &lines)]);
+        config["known"]["results"] = json!([full_list_event(0, &lines)]);
         let mut keyed = query_class("keyed", "dedup", 3000.0);
         keyed["key-scope"] = json!("all");
         keyed["dedup-window"] = json!(5000.0);
@@ -502,7 +502,7 @@
     });
     // An engine is checked before it joins a subset.
     let listed = endpoint("s-2", newcomer.address, "SERVING");
-    s.log.publish(list_event(1, false, &[listed]));
+    s.log.publish(list_change_event(1, &[listed]));
     let host = format!("host: {}\r\n", newcomer.address);
     assert_eq!(
         newcomer.wait_for_first("GET"),
@@ -565,7 +565,7 @@
         endpoint("s-2", idle.address, "SERVING"),
     ];
     let s = Service::start_with(|config| {
-        config["known"]["results"] = json!([list_event(0, true, &lines)]);
+        config["known"]["results"] = json!([full_list_event(0, &lines)]);
         config["settings"]["telemetry"]["how"] = json!("inline");
     });
     for _ in 0..40 {
