--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use crate::fields::Address;
 use garnetwall::api::{Endpoint, EngineId, FinalAnswer, QueryId};
 use garnetwall::controller::AdmissionController;
-use garnetwall_settings::{decode, DecodedSettings, FlatSettings, SettingsError};
+use garnetwall_settings::{decode, FlatSettings, PlatformSettings, SettingsError};
 use std::collections::BTreeMap;
 
 /// A query until it is finished and every attempt has its outcome.
@@ -50,7 +50,7 @@
     /// The settings cannot be decoded.
     pub fn new(seed: u64, settings: &str, clock: f64) -> Result<Self, SettingsError> {
         let flat = FlatSettings::from_text(settings)?;
-        let DecodedSettings {
+        let PlatformSettings {
             settings,
             report_fields,
             ..
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -18,7 +18,7 @@
 use crate::scheduling::plan_routing;
 use error::{unusable, wrong_type, Checked};
 use garnetwall_plan::{InvalidPlan, Plan};
-use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
+use garnetwall_settings::{decode, FlatSettings, PlatformSettings};
 use garnetwall_subset::SubsetSettings;
 use initial_list::InitialList;
 use serde_json::Value;
@@ -66,7 +66,7 @@
     /// The events known at the start, in ascending order.
     pub initial_events: Vec<Event>,
     /// The settings of the platform.
-    pub decoded: DecodedSettings,
+    pub platform: PlatformSettings,
     /// The engine subset that the gateway works with; the whole list where it is none.
     pub subset: Option<SubsetSettings>,
     /// The plan, checked against the settings.
@@ -111,7 +111,7 @@
 
 /// Compiles the plan, and checks it against the rest of the configuration.
 fn add_plan(config: &mut Config, file: String) -> Checked<()> {
-    let settings = plan_routing::plan_settings(&config.decoded);
+    let settings = plan_routing::plan_settings(&config.platform);
     let compiled = garnetwall_plan::compile(&files::Disk, &file, Some(&settings));
     let compiled = compiled.map_err(|invalid: InvalidPlan| ConfigError::Plan {
         file: file.clone(),
@@ -124,7 +124,7 @@
         return Err(ConfigError::Bodies { file, bodies, most });
     }
     if let Some(settings) = &mut config.subset {
-        let added = subset::add_pools(settings, &plan, &config.decoded.names);
+        let added = subset::add_pools(settings, &plan, &config.platform.names);
         added.map_err(|pool| ConfigError::SubsetPool { file, pool: pool.0 })?;
     }
     config.plan = Some(Arc::new(plan));
@@ -136,9 +136,9 @@
     check_is_object(&source)?;
     let listen = listen(&source, variable(LISTEN_VARIABLE))?;
     let seed = seed(&source)?;
-    let decoded = settings(&source)?;
+    let platform = settings(&source)?;
     let initial_list = match fields::optional(&source, "known") {
-        Some(known) => InitialList::read(known, &decoded.names)?,
+        Some(known) => InitialList::read(known, &platform.names)?,
         None => InitialList::default(),
     };
     let limits = limits(&source)?;
@@ -146,7 +146,7 @@
         Some(name) => name,
         None => fields::text(&source, "name")?.to_string(),
     };
-    let subset = subset::read(source.get("subset"), &name, &decoded)?;
+    let subset = subset::read(source.get("subset"), &name, &platform)?;
     let descriptors =
         fields::whole_number(limits, "limits", "sockets", MIN_DESCRIPTORS..=MAX_LIMIT)?;
     let memory_mb = fields::whole_number(limits, "limits", "memory_mb", MIN_MEMORY_MB..=MAX_LIMIT)?;
@@ -164,7 +164,7 @@
         change_log,
         last_initial_event: initial_list.last_event,
         initial_events: initial_list.events,
-        decoded,
+        platform,
         subset,
         plan: None,
         source,
@@ -201,7 +201,7 @@
     })
 }
 
-fn settings(source: &Value) -> Checked<DecodedSettings> {
+fn settings(source: &Value) -> Checked<PlatformSettings> {
     let settings = source.get("settings").ok_or_else(|| {
         wrong_type(
             "settings",
@@ -210,9 +210,9 @@
             "write {...} with the settings of the platform",
         )
     })?;
-    let decoded = decode(&FlatSettings::from_json(settings)?)?;
-    decoded.validate()?;
-    Ok(decoded)
+    let platform = decode(&FlatSettings::from_json(settings)?)?;
+    platform.validate()?;
+    Ok(platform)
 }
 
 /// The block `limits`, `null` where there is none.
--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -2,7 +2,7 @@
 
 use super::error::{Checked, ConfigError};
 use garnetwall_plan::source::{resolve_relative, LoadError, Loader};
-use garnetwall_settings::{decode, DecodedSettings, FlatSettings};
+use garnetwall_settings::{decode, FlatSettings, PlatformSettings};
 use serde_json::Value;
 use std::path::Path;
 
@@ -47,7 +47,7 @@
 }
 
 /// Reads the settings out of a gateway's configuration file, or out of a file that holds nothing else.
-pub(super) fn read_settings(file: &str) -> Checked<DecodedSettings> {
+pub(super) fn read_settings(file: &str) -> Checked<PlatformSettings> {
     let json = read_json(file)?;
     let settings = json.get("settings").unwrap_or(&json);
     let decoded = FlatSettings::from_json(settings).and_then(|flat| decode(&flat));
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -169,8 +169,8 @@
     let Some(file) = option(arguments, "--settings")? else {
         return Ok(None);
     };
-    let decoded = read_settings(&file)?;
-    Ok(Some(plan_routing::plan_settings(&decoded)))
+    let platform = read_settings(&file)?;
+    Ok(Some(plan_routing::plan_settings(&platform)))
 }
 
 fn read(file: &str, settings: Option<&Settings>) -> Result<Compiled, PlanCommandError> {
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -5,7 +5,7 @@
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass};
 use garnetwall_plan::model::Pool;
 use garnetwall_plan::Plan;
-use garnetwall_settings::{DecodedSettings, Names, SettingsError, SettingsErrorCause};
+use garnetwall_settings::{Names, PlatformSettings, SettingsError, SettingsErrorCause};
 use garnetwall_subset::{PlacementClass, RetryScope, Subset, SubsetSettings, MAX_NEAR_WEIGHT};
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
 pub(super) fn read(
     json: Option<&Value>,
     gateway: &str,
-    decoded: &DecodedSettings,
+    platform: &PlatformSettings,
 ) -> Checked<Option<SubsetSettings>> {
     let block = match json {
         None | Some(Value::Null) => return Ok(None),
@@ -34,11 +34,11 @@
         return Err(wrong_type(BLOCK, "an object", json, remedy));
     }
     let size = size(block)?;
-    let defaults = SubsetSettings::with_size(size, decoded.settings.gateways);
+    let defaults = SubsetSettings::with_size(size, platform.settings.gateways);
     let class_floor = engines(block, "class_floor", 0)?;
     let reserve = engines(block, "reserve", 0)?;
     let joins_per_second = joins_per_second(block)?;
-    let zone = zone(block, &decoded.names)?;
+    let zone = zone(block, &platform.names)?;
     let near_weight = near_weight(block)?;
     let settings = SubsetSettings {
         class_floor: class_floor.unwrap_or(defaults.class_floor),
@@ -46,8 +46,8 @@
         joins_per_second: joins_per_second.unwrap_or(defaults.joins_per_second),
         zone,
         near_weight: near_weight.unwrap_or(defaults.near_weight),
-        classes: placement_classes(&decoded.settings.classes),
-        retry_scope: retry_scope(&decoded.settings.classes),
+        classes: placement_classes(&platform.settings.classes),
+        retry_scope: retry_scope(&platform.settings.classes),
         ..defaults
     };
     // It checks how the settings fit one another.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -82,8 +82,8 @@
             background::engine_selection(&config, &classes),
         ));
         let engines = Engines::new(
-            config.decoded.network,
-            config.decoded.settings.progress_interval,
+            config.platform.network,
+            config.platform.settings.progress_interval,
             &budget,
             longest_deadline_seconds,
             list.clone(),
@@ -208,7 +208,7 @@
         let Some(bodies) = plan.and_then(|plan| plan.bodies.as_ref()) else {
             return Ok(None);
         };
-        let names = &self.config.decoded.names.classes;
+        let names = &self.config.platform.names.classes;
         body_store::body_store(bodies, names, &self.config.name).map(Some)
     }
 
@@ -218,12 +218,12 @@
             engines: self.engines.clone(),
             journal,
             body_store: store,
-            decoded: self.config.decoded.clone(),
+            platform: self.config.platform.clone(),
             phase: self.phase.subscribe(),
             statement_bytes: self.budget.statement_bytes.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
-                self.config.decoded.network.connect_timeout,
+                self.config.platform.network.connect_timeout,
                 self.longest_deadline_seconds,
             )),
         }
@@ -283,7 +283,7 @@
 
     fn stopped(&self, store: Option<&Store>) {
         if let Some(store) = store {
-            body_store::log_body_store(store, &self.config.decoded.names.classes);
+            body_store::log_body_store(store, &self.config.platform.names.classes);
         }
         self.enter(Phase::Stopped);
     }
@@ -300,7 +300,7 @@
 
 /// The longest deadline that the settings give to any query class.
 fn longest_deadline_seconds(config: &Config) -> f64 {
-    let classes = &config.decoded.settings.classes;
+    let classes = &config.platform.settings.classes;
     classes
         .iter()
         .map(|class| class.deadline)
@@ -309,9 +309,9 @@
 
 /// The query classes of the settings, as far as the plan narrows them.
 fn query_classes(config: &Config) -> Vec<QueryClass> {
-    let classes = &config.decoded.settings.classes;
+    let classes = &config.platform.settings.classes;
     match &config.plan {
-        Some(plan) => plan_routing::narrowed_classes(classes, &config.decoded.names.classes, plan),
+        Some(plan) => plan_routing::narrowed_classes(classes, &config.platform.names.classes, plan),
         None => classes.clone(),
     }
 }
@@ -322,7 +322,7 @@
     classes: &[QueryClass],
     budget: &ResourceBudget,
 ) -> Settings {
-    let settings = &config.decoded.settings;
+    let settings = &config.platform.settings;
     let capacity = settings.capacity.unwrap_or(f64::INFINITY);
     Settings {
         capacity: Some(capacity.min(budget.query_capacity as f64)),
@@ -339,7 +339,7 @@
         "plan in force"
     );
     Some(PlanRouter::new(
-        &config.decoded,
+        &config.platform,
         plan,
         budget.query_capacity as f64,
     ))
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -36,7 +36,7 @@
                 discovery,
                 self.engines.clone(),
                 self.scheduler.clone(),
-                WarmUp::from_settings(&self.config.decoded.settings),
+                WarmUp::from_settings(&self.config.platform.settings),
             ));
         }
         if let Some(requests) = self.health_check_requests.take() {
@@ -56,10 +56,10 @@
     }
 
     fn watch_change_log(&self, discovery: Arc<Discovery>, change_log: watch::Receiver<SocketAddr>) {
-        let names = NameIndex::new(&self.config.decoded.names);
+        let names = NameIndex::new(&self.config.platform.names);
         let apply = Box::new(move |event| discovery.apply(event));
         let watch = Watch::new(change_log, self.config.last_initial_event, names, apply);
-        let connect_timeout = clamped_duration(self.config.decoded.network.connect_timeout);
+        let connect_timeout = clamped_duration(self.config.platform.network.connect_timeout);
         tokio::spawn(watch.follow(Reconnect::new(connect_timeout, self.config.seed)));
     }
 }
@@ -69,7 +69,7 @@
     let mut settings = config.subset.clone()?;
     // A plan may narrow where a query is retried.
     settings.retry_scope = settings.retry_scope.max(subset::retry_scope(classes));
-    let kind_cores = config.decoded.settings.kind_cores.clone();
+    let kind_cores = config.platform.settings.kind_cores.clone();
     match Selection::new(&config.name, settings, kind_cores) {
         Ok(selection) => Some(selection),
         Err(error) => {
--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -30,8 +30,8 @@
 }
 
 fn update_plan(started: &Config, scheduler: &Scheduler, plan: &Arc<Plan>) {
-    let names = &started.decoded.names.classes;
-    let classes = plan_routing::narrowed_classes(&started.decoded.settings.classes, names, plan);
+    let names = &started.platform.names.classes;
+    let classes = plan_routing::narrowed_classes(&started.platform.settings.classes, names, plan);
     match scheduler.update_plan(plan.clone(), &classes) {
         PlanUpdate::NeedsRestart => log_restart_needed("plan"),
         PlanUpdate::InForce => tracing::info!(
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -34,7 +34,7 @@
 use axum::routing::{get, post};
 use axum::Router;
 use garnetwall_bodies::Store;
-use garnetwall_settings::DecodedSettings;
+use garnetwall_settings::PlatformSettings;
 use responses::error_response;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -58,7 +58,7 @@
     /// Runs the attempts of queries.
     pub engines: Arc<Engines>,
     /// The settings of query classes, and the names of classes and tenants.
-    pub decoded: DecodedSettings,
+    pub platform: PlatformSettings,
     /// Whether the gateway is serving, for the health check.
     pub phase: watch::Receiver<Phase>,
     /// Records non-idempotent queries before they are sent.
--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -61,7 +61,7 @@
         Admission::AnswerNotCached => Err(SubmissionError::AnswerNotCached),
         Admission::MayHaveRun => Err(SubmissionError::MayHaveRun),
         Admission::DeniedByPlan(denial) => {
-            Err(SubmissionError::denied_by_plan(denial, &state.decoded))
+            Err(SubmissionError::denied_by_plan(denial, &state.platform))
         }
     }
 }
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -5,7 +5,7 @@
 use crate::scheduling::scheduler::ArrivingQuery;
 use crate::system::clock::MILLIS_PER_SECOND;
 use axum::http::header::{HeaderMap, HeaderValue};
-use garnetwall_settings::DecodedSettings;
+use garnetwall_settings::PlatformSettings;
 use std::net::IpAddr;
 use std::sync::Arc;
 use thiserror::Error;
@@ -111,7 +111,7 @@
     ///
     /// The first part of the request that is wrong.
     pub fn parse(
-        decoded: &DecodedSettings,
+        platform: &PlatformSettings,
         submission: &Submission,
         statement: Option<&[u8]>,
     ) -> Result<Self, RequestError> {
@@ -121,15 +121,15 @@
             ..
         } = submission;
         let unknown_class = || RequestError::UnknownClass(class_name.clone());
-        let class = position(&decoded.names.classes, class_name).ok_or_else(unknown_class)?;
-        let class_settings = &decoded.settings.classes[class];
+        let class = position(&platform.names.classes, class_name).ok_or_else(unknown_class)?;
+        let class_settings = &platform.settings.classes[class];
         let query_key_text = header(headers, QUERY_KEY_HEADER)?;
         let query_key = parse_key(QUERY_KEY_HEADER, query_key_text)?;
         let allowed_seconds = parse_allowed_seconds(headers, class_settings.deadline)?;
         if statement.is_some_and(<[u8]>::is_empty) {
             return Err(RequestError::NoStatement);
         }
-        let tenant = parse_tenant(headers, &decoded.names.tenants)?;
+        let tenant = parse_tenant(headers, &platform.names.tenants)?;
         let ordering_key = optional_header(headers, ORDERING_KEY_HEADER)?
             .map(|key| parse_key(ORDERING_KEY_HEADER, key))
             .transpose()?;
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -44,7 +44,7 @@
     let arrived_at = state
         .scheduler
         .arrival_time(submission.stream.last_read_at());
-    let head = RequestHead::parse(&state.decoded, &submission, None)?;
+    let head = RequestHead::parse(&state.platform, &submission, None)?;
     let retention = if state.scheduler.is_non_idempotent(head.class) {
         Retention::UntilRead
     } else {
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -62,7 +62,7 @@
     let arrived_at = state
         .scheduler
         .arrival_time(submission.stream.last_read_at());
-    let head = RequestHead::parse(&state.decoded, &submission, Some(&statement))
+    let head = RequestHead::parse(&state.platform, &submission, Some(&statement))
         .inspect_err(|error| tracing::debug!(%error, "request rejected"))?;
     let query = SubmittedQuery {
         head,
--- a/crates/gateway/src/http/submission_error.rs
+++ b/crates/gateway/src/http/submission_error.rs
@@ -6,7 +6,7 @@
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use garnetwall_bodies::AdmissionError;
-use garnetwall_settings::DecodedSettings;
+use garnetwall_settings::PlatformSettings;
 use thiserror::Error;
 
 /// Why a query is not admitted. The text is the client's response, so it keeps the words of the protocol.
@@ -64,7 +64,7 @@
 
 impl SubmissionError {
     /// A denial by the plan. The settings say whether its response gives a time to retry after, and the longest.
-    pub fn denied_by_plan(denial: PlanDenial, decoded: &DecodedSettings) -> Self {
+    pub fn denied_by_plan(denial: PlanDenial, platform: &PlatformSettings) -> Self {
         match denial {
             PlanDenial::StatementTooLong { max_bytes } => {
                 SubmissionError::StatementOverPlan { max_bytes }
@@ -75,7 +75,7 @@
             } => {
                 let retry_after_ms = retry_after.map(|span| span.as_millis());
                 tracing::debug!(reason, retry_after_ms, "query rejected by plan");
-                let settings = &decoded.settings;
+                let settings = &platform.settings;
                 let retry_after_seconds = retry_after
                     .filter(|_| settings.retry_after_allowed)
                     .map(|span| span.as_secs_f64().min(settings.max_retry_after));
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -10,7 +10,7 @@
     LimitExceeded, LimitKind, LimitPermit, Limits, Names, PoolMembers, RouteDecision, RoutedQuery,
     Routing,
 };
-use garnetwall_settings::DecodedSettings;
+use garnetwall_settings::PlatformSettings;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -158,18 +158,18 @@
 
 impl PlanRouter {
     /// A router for a gateway that can hold `capacity` queries at once.
-    pub fn new(decoded: &DecodedSettings, plan: Arc<Plan>, capacity: f64) -> Self {
+    pub fn new(platform: &PlatformSettings, plan: Arc<Plan>, capacity: f64) -> Self {
         let names = Names {
-            classes: decoded.names.classes.clone(),
-            tenants: decoded.names.tenants.clone(),
+            classes: platform.names.classes.clone(),
+            tenants: platform.names.tenants.clone(),
         };
         let routing = Routing::new(plan, names.clone());
         let limits = Limits::new(&routing, capacity);
         let in_force = RoutedPlan::new(routing, 0);
         PlanRouter {
             names,
-            zone_names: decoded.names.zones.clone(),
-            kind_names: decoded.names.kinds.clone(),
+            zone_names: platform.names.zones.clone(),
+            kind_names: platform.names.kinds.clone(),
             capacity,
             limits,
             next_subset: in_force.plan.subset_count() as u32,
--- a/crates/gateway/src/scheduling/plan_routing/class_settings.rs
+++ b/crates/gateway/src/scheduling/plan_routing/class_settings.rs
@@ -4,15 +4,15 @@
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass, RetryBudget};
 use garnetwall_plan::model::{self, ClassRules, Plan, RETRY_FLOOR, RETRY_WINDOW_SECONDS};
 use garnetwall_plan::{Settings, SettingsClass};
-use garnetwall_settings::DecodedSettings;
+use garnetwall_settings::PlatformSettings;
 
 /// The platform's settings in the form that a plan is checked against.
-pub fn plan_settings(decoded: &DecodedSettings) -> Settings {
-    let names = &decoded.names;
+pub fn plan_settings(platform: &PlatformSettings) -> Settings {
+    let names = &platform.names;
     let classes = names
         .classes
         .iter()
-        .zip(&decoded.settings.classes)
+        .zip(&platform.settings.classes)
         .map(|(name, class)| SettingsClass {
             name: name.clone(),
             latency_objective: clamped_duration(class.latency_objective),
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,8 +1,8 @@
 //! Decodes settings key by key. The module doc of the package lists the keys and their fields.
 
-use crate::decoded::{DecodedSettings, Names, NetworkTimeouts};
 use crate::error::{SettingsError, SettingsErrorCause};
 use crate::flat::{place_of, FlatSettings};
+use crate::platform_settings::{Names, NetworkTimeouts, PlatformSettings};
 use garnetwall::api::{
     DeduplicationScope, Idempotency, LoadReporting, QueryClass, RetryBudget, Settings, SlowStart,
 };
@@ -15,18 +15,18 @@
 /// The threads that a query of a class uses where the settings name no possible number.
 const DEFAULT_THREADS: f64 = 1.0;
 
-/// Decodes settings. Each key is decoded by itself; [`DecodedSettings::validate`] checks that they fit together.
+/// Decodes settings. Each key is decoded by itself; [`PlatformSettings::validate`] checks that they fit together.
 ///
 /// # Errors
 ///
 /// A value can't be read as what its key holds.
-pub fn decode(flat: &FlatSettings) -> Result<DecodedSettings, SettingsError> {
+pub fn decode(flat: &FlatSettings) -> Result<PlatformSettings, SettingsError> {
     let names = decode_names(flat)?;
     let classes = (0..flat.item_count("categories")?)
         .map(|index| decode_class(flat, index, &names))
         .collect::<Result<Vec<_>, _>>()?;
     let settings = decode_settings(flat, classes)?;
-    Ok(DecodedSettings {
+    Ok(PlatformSettings {
         settings,
         names,
         network: decode_timeouts(flat)?,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -40,7 +40,7 @@
 //! | `rules.fall`, `fall-multiple` | [`SlowStart::window`], [`SlowStart::overload_multiple`] |
 //! | `rules.extra-floor`, `extra-per-request`, `extra-window` | [`RetryBudget::floor`], [`RetryBudget::per_query`], [`RetryBudget::window`] |
 //! | `rules.order-pause` | [`Settings::key_pause`] |
-//! | `telemetry.fields` | [`DecodedSettings::report_fields`] |
+//! | `telemetry.fields` | [`PlatformSettings::report_fields`] |
 //! | `telemetry.how` | [`Settings::load_reporting`] |
 //! | `tenants` | [`Settings::tenants`], names in [`Names::tenants`] |
 //! | `zones` | [`Names::zones`] |
@@ -84,18 +84,18 @@
 //! [`SlowStart::window`]: garnetwall::api::SlowStart::window
 
 mod decode;
-mod decoded;
 mod error;
 mod flat;
 mod load_report;
+mod platform_settings;
 mod schema;
 mod validate;
 
 pub use decode::decode;
-pub use decoded::{DecodedSettings, Names, NetworkTimeouts};
 pub use error::{abbreviate, SettingsError, SettingsErrorCause};
 pub use flat::FlatSettings;
 pub use load_report::decode_load_report;
+pub use platform_settings::{Names, NetworkTimeouts, PlatformSettings};
 
 #[cfg(test)]
 mod tests;
--- a/crates/settings/src/decoded.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -2,9 +2,9 @@
 
 use garnetwall::api::Settings;
 
-/// Decoded settings, whose parts may still contradict one another until [`DecodedSettings::validate`].
+/// The settings that the platform gives a gateway, decoded. Their parts may still contradict one another until [`PlatformSettings::validate`].
 #[derive(Clone, Debug)]
-pub struct DecodedSettings {
+pub struct PlatformSettings {
     /// The settings of the decision module.
     pub settings: Settings,
     /// The names behind the indices in `settings`.
--- a/crates/settings/src/validate.rs
+++ b/crates/settings/src/validate.rs
@@ -1,10 +1,10 @@
 //! Checks that decoded settings fit together.
 
-use crate::decoded::DecodedSettings;
 use crate::error::{SettingsError, SettingsErrorCause};
+use crate::platform_settings::PlatformSettings;
 use garnetwall::api::QueryClass;
 
-impl DecodedSettings {
+impl PlatformSettings {
     /// Checks that a gateway can serve under these settings: there is at least one query class, each has a name and a
     /// deadline, no name stands for two things, and the zones and kinds that a class allows exist.
     ///
