--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -24,7 +24,7 @@
   plan fmt [--check] FILE             write a file of a plan in its one form; with --check only say whether it is
   plan diff OLD NEW [--json]          what the second does otherwise
   plan explain FILE --group G [--tenant T] [--client ADDRESS] [--key K] [--data-set N] [--at HH:MM] [--settings JSON]
-                                      which route, pools and limits apply to a batch, and why
+                                      which route, pools and limits apply to a query, and why
   plan show FILE [--settings JSON]    a plan as it was understood, as JSON
 ";
 
@@ -34,9 +34,9 @@
     /// The command line is wrong.
     #[error(transparent)]
     Usage(#[from] UsageError),
-    /// The plan is faulty; the text shows each fault with its place.
+    /// The plan does not compile; the text shows each error with its place.
     #[error("{0}")]
-    FaultyPlan(String),
+    InvalidPlan(String),
     /// A file of settings cannot be used.
     #[error("garnetwall: {0}\n")]
     Settings(#[from] ConfigError),
@@ -75,7 +75,7 @@
 
 impl From<InvalidPlan> for PlanCommandError {
     fn from(invalid: InvalidPlan) -> Self {
-        PlanCommandError::FaultyPlan(invalid.to_string())
+        PlanCommandError::InvalidPlan(invalid.to_string())
     }
 }
 
@@ -183,7 +183,7 @@
     expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
     Ok(Output::success(format!(
-        "{file} is good: {} routes, {} pools, {} limits, rules of {} groups and {} tenants\n",
+        "{file} is good: {} routes, {} pools, {} limits, rules of {} query classes and {} tenants\n",
         plan.routes.len(),
         plan.pools.len(),
         plan.limits.len(),
@@ -200,7 +200,7 @@
     let Ok(formatted) = format::format(&text) else {
         // Reading the plan as a whole finds the errors with their places.
         let source = garnetwall_plan::source::read(&Disk, &file);
-        return Err(PlanCommandError::FaultyPlan(diagnostic::render(
+        return Err(PlanCommandError::InvalidPlan(diagnostic::render(
             &source.files,
             &source.diagnostics,
         )));
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -8,7 +8,7 @@
 use super::selection::{Candidate, Selection};
 use crate::system::clock::{clamped_duration, Clock};
 use engine_table::{EngineTable, StateCounts};
-use garnetwall::api::{Endpoint, EndpointState, EngineId};
+use garnetwall::api::{Endpoint, EndpointState, EngineId, ListScope};
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -40,8 +40,8 @@
 pub struct ListChange {
     /// Engines that are new or changed.
     pub updates: Vec<EngineUpdate>,
-    /// Whether the updates are the full list, so that all other engines are removed.
-    pub is_complete: bool,
+    /// Whether the updates are the full list.
+    pub scope: ListScope,
 }
 
 /// The list of engines, shared by all that read it: the full list, or the gateway's subset of it.
@@ -84,7 +84,7 @@
     /// Applies an event, and returns what it changes for the decision module.
     pub fn apply(&self, event: Event) -> ListChange {
         let mut state = self.state();
-        let has_list = event.is_complete || !event.entries.is_empty();
+        let has_list = event.scope == ListScope::Full || !event.entries.is_empty();
         let change = state.apply(event, self.clock.now());
         if has_list {
             self.is_known.send_replace(true);
@@ -109,7 +109,7 @@
         Some(clamped_duration(next_poll - self.clock.now()))
     }
 
-    /// The next engine that a connection is to be warmed up to.
+    /// The next engine that is to be connected to.
     pub(super) fn next_candidate(&self) -> Option<Candidate> {
         let mut state = self.state();
         let selection = state.selection.as_mut()?;
@@ -117,14 +117,14 @@
     }
 
     /// Records whether a candidate could be reached; returns the engine's name where it is still in the list.
-    pub(super) fn candidate_warmed(
+    pub(super) fn candidate_connect_ended(
         &self,
         candidate: Candidate,
         reachability: Reachability,
     ) -> Option<String> {
         let mut state = self.state();
         let selection = state.selection.as_mut()?;
-        selection.warmed(self.clock.now(), candidate.engine, reachability);
+        selection.connect_ended(self.clock.now(), candidate.engine, reachability);
         selection.name(candidate.engine).map(String::from)
     }
 
@@ -187,20 +187,17 @@
     fn apply(&mut self, event: Event, now: f64) -> ListChange {
         let Event {
             number,
-            is_complete,
+            scope,
             entries,
         } = event;
         self.table.record_starts(now, &entries);
         let Some(selection) = &mut self.selection else {
-            let updates = self.table.apply(entries, is_complete, Instant::now());
+            let updates = self.table.apply(entries, scope, Instant::now());
             let StateCounts { ready, draining } = self.table.counts();
             tracing::info!(event = number, ready, draining, "engine list updated");
-            return ListChange {
-                updates,
-                is_complete,
-            };
+            return ListChange { updates, scope };
         };
-        let selected = selection.apply(now, entries, is_complete);
+        let selected = selection.apply(now, entries, scope);
         let status = selection.status();
         let updates = self.table.apply_selected(selected);
         tracing::info!(
@@ -212,7 +209,7 @@
         self.subset_log.log(status);
         ListChange {
             updates,
-            is_complete: false,
+            scope: ListScope::Delta,
         }
     }
 
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -4,7 +4,7 @@
 
 use super::engine_health::{EngineHealth, Reachability};
 use super::event::EngineEntry;
-use garnetwall::api::EndpointState;
+use garnetwall::api::{EndpointState, ListScope};
 use garnetwall_subset as subset;
 use garnetwall_subset::{
     Action, Catalog, ConnectOutcome, EffectiveSize, EngineFacts, EngineKey, SizeReason, Subset,
@@ -31,7 +31,7 @@
     }
 }
 
-/// An engine that a connection is to be warmed up to before it may become a member.
+/// An engine that is to be connected to before it may become a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Candidate {
     pub(super) engine: EngineKey,
@@ -75,7 +75,7 @@
     /// Engines that wait for a connection to be started, each once.
     candidates: VecDeque<EngineKey>,
     /// The candidates, and the engines to which a connection was started.
-    warming: HashSet<EngineKey>,
+    connecting: HashSet<EngineKey>,
     kind_cores: Vec<Option<f64>>,
 }
 
@@ -96,17 +96,17 @@
             subset: Subset::new(gateway, settings)?,
             members: HashMap::new(),
             candidates: VecDeque::new(),
-            warming: HashSet::new(),
+            connecting: HashSet::new(),
             kind_cores,
         })
     }
 
-    /// Applies entries, the full list or only what changed, and returns what that changes for the members.
+    /// Applies entries, and returns what that changes for the members.
     pub(super) fn apply(
         &mut self,
         now: f64,
         entries: Vec<EngineEntry>,
-        is_complete: bool,
+        scope: ListScope,
     ) -> Vec<Selected> {
         let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
@@ -115,7 +115,11 @@
                 facts: self.facts(entry),
             })
             .collect();
-        let changes = self.catalog.apply(&catalog_entries, is_complete);
+        let scope = match scope {
+            ListScope::Full => subset::UpdateScope::FullList,
+            ListScope::Delta => subset::UpdateScope::ChangedEngines,
+        };
+        let changes = self.catalog.apply(&catalog_entries, scope);
         for change in changes.iter().filter(|change| change.after.is_none()) {
             self.details.remove(&change.engine);
         }
@@ -209,7 +213,7 @@
         for action in self.subset.poll(now, &self.catalog) {
             match action {
                 Action::Connect(engine) => {
-                    if self.warming.insert(engine) {
+                    if self.connecting.insert(engine) {
                         self.candidates.push_back(engine);
                     }
                 }
@@ -231,7 +235,7 @@
         self.subset.wake()
     }
 
-    /// The next engine to warm up a connection to. One that is not in the list any more counts as not reached.
+    /// The next engine to connect to. One that is not in the list any more counts as not reached.
     pub(super) fn next_candidate(&mut self, now: f64) -> Option<Candidate> {
         while let Some(engine) = self.candidates.pop_front() {
             match self.details.get(&engine) {
@@ -241,27 +245,35 @@
                         address: details.address,
                     })
                 }
-                None => self.warmed(now, engine, Reachability::Unreachable),
+                None => self.connect_ended(now, engine, Reachability::Unreachable),
             }
         }
         None
     }
 
     /// Records whether a candidate could be reached.
-    pub(super) fn warmed(&mut self, now: f64, engine: EngineKey, reachability: Reachability) {
+    pub(super) fn connect_ended(
+        &mut self,
+        now: f64,
+        engine: EngineKey,
+        reachability: Reachability,
+    ) {
         let outcome = match reachability {
             Reachability::Reachable => ConnectOutcome::Reached,
             Reachability::Unreachable => ConnectOutcome::NotReached,
         };
-        self.warming.remove(&engine);
+        self.connecting.remove(&engine);
         self.subset.connect_ended(now, engine, outcome);
     }
 
     /// Records what the end of an attempt says of the engine of this name.
     pub(super) fn attempt_ended(&mut self, now: f64, name: &str, health: EngineHealth) {
         if let Some(engine) = self.catalog.key(name) {
-            self.subset
-                .attempt_ended(now, engine, health == EngineHealth::Failing);
+            let outcome = match health {
+                EngineHealth::Healthy => subset::EngineOutcome::Healthy,
+                EngineHealth::Failing => subset::EngineOutcome::Failed,
+            };
+            self.subset.attempt_ended(now, engine, outcome);
         }
     }
 
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -46,12 +46,10 @@
         }
         match error {
             CallError::ConnectionRefused => self.record(Evidence::ConnectionRefused),
-            CallError::ConnectionLost => {
-                self.record(Evidence::ConnectionLost(self.connection_number))
-            }
+            CallError::ConnectionLost => self.record(Evidence::ConnectionLost(self.connection_id)),
             CallError::TimedOut | CallError::InvalidResponse => {
                 self.abort_flag.abort();
-                self.record(Evidence::ConnectionUnusable(self.connection_number));
+                self.record(Evidence::ConnectionUnusable(self.connection_id));
             }
             CallError::ConnectFailed | CallError::LocalResources => {}
         }
@@ -93,10 +91,10 @@
     async fn ready_connection(&mut self, kind: CallKind) -> Result<Sender, CallError> {
         match self.sender.take() {
             Some(sender) if !sender.is_closed() => return Ok(sender),
-            Some(_) => self.record(Evidence::ConnectionLost(self.connection_number)),
+            Some(_) => self.record(Evidence::ConnectionLost(self.connection_id)),
             None => {}
         }
-        self.connection_number += 1;
+        self.connection_id = self.connection_id.next();
         let gate = self.send_gate.clone().filter(|_| kind == CallKind::Start);
         let EngineConnection { sender, abort_flag } =
             self.engines.connect(self.target.address, gate).await?;
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -175,7 +175,7 @@
                 ControlFlow::Break(self.process_reported_end(&reply, end, response_to))
             }
             AttemptStatus::Running(progress) => {
-                self.record(Evidence::Running(self.connection_number));
+                self.record(Evidence::Running(self.connection_id));
                 if progress.is_some() {
                     events.progress.send_replace(progress);
                 }
@@ -196,7 +196,7 @@
         let answers_start = response_to == ResponseTo::Start;
         let evidence = match response_to {
             ResponseTo::Start => Evidence::Ended,
-            ResponseTo::Poll => Evidence::ReportedFailed(self.connection_number),
+            ResponseTo::Poll => Evidence::ReportedFailed(self.connection_id),
         };
         self.record(evidence);
         let reported_end = ReportedEnd {
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -36,7 +36,7 @@
                 discovery,
                 self.engines.clone(),
                 self.scheduler.clone(),
-                WarmUp::from_settings(&self.config.platform.settings),
+                ConnectMethod::from_settings(&self.config.platform.settings),
             ));
         }
         if let Some(requests) = self.health_check_requests.take() {
@@ -79,42 +79,42 @@
     }
 }
 
-/// How a connection to a candidate of the engine subset is warmed up.
+/// How a candidate of the engine subset is connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WarmUp {
+enum ConnectMethod {
     HealthCheck,
     /// The settings allow no health checks.
-    ConnectOnly,
+    WithoutRequest,
 }
 
-impl WarmUp {
+impl ConnectMethod {
     fn from_settings(settings: &Settings) -> Self {
         match settings.health_checks_allowed {
-            true => WarmUp::HealthCheck,
-            false => WarmUp::ConnectOnly,
+            true => ConnectMethod::HealthCheck,
+            false => ConnectMethod::WithoutRequest,
         }
     }
 }
 
-/// Maintains the engine subset: warms up connections to candidates and reports those that joined.
+/// Maintains the engine subset: connects to candidates and reports those that joined.
 async fn maintain_subset(
     discovery: Arc<Discovery>,
     engines: Arc<Engines>,
     scheduler: Arc<Scheduler>,
-    warm_up: WarmUp,
+    method: ConnectMethod,
 ) {
-    let warm_up_engine = |address| {
+    let connect = |address| {
         let engines = engines.clone();
         async move {
-            match warm_up {
-                WarmUp::HealthCheck => engines.warm_by_health_check(address).await,
-                WarmUp::ConnectOnly => engines.warm_by_connecting(address).await,
+            match method {
+                ConnectMethod::HealthCheck => engines.connect_by_health_check(address).await,
+                ConnectMethod::WithoutRequest => engines.connect_without_request(address).await,
             }
         }
     };
     discovery
-        .maintain_subset(warm_up_engine, |engine, warmed| {
-            scheduler.health_check_ended(engine, warmed.end, warmed.report)
+        .maintain_subset(connect, |engine, connected| {
+            scheduler.health_check_ended(engine, connected.end, connected.report)
         })
         .await;
 }
--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -1,7 +1,7 @@
 //! What is known of one attempt, and what can be done to end it.
 
-use super::bounds::Bounds;
-use super::evidence::{Connection, Evidence, Proof};
+use super::evidence::{ConnectionId, Evidence, Proof};
+use super::protocol_limits::{ProgressEvents, ProtocolLimits};
 use std::time::Duration;
 
 /// Where progress events keep attempts running: how often the process at an engine's address is asked whether it has an
@@ -36,7 +36,7 @@
     /// The next request that is sent asks so.
     identifying: bool,
     /// A connection to the process that has the attempt, while it can be used.
-    identified_connection: Option<Connection>,
+    identified_connection: Option<ConnectionId>,
     /// A connection was refused, or a process that may be another answered a cancellation: without an identified connection
     /// no further cancellation can achieve more.
     cancellation_exhausted: bool,
@@ -48,11 +48,12 @@
 
 impl OpenAttempt {
     /// An attempt of which nothing was sent yet. `progress_expiry` is as in [`Ledger::open`](super::Ledger::open).
-    pub(super) fn new(now: Duration, bounds: &Bounds, progress_expiry: Duration) -> Self {
-        let (expiry, identifications_left) = if bounds.progress_events {
-            (bounds.poll_expiry.max(progress_expiry), MAX_IDENTIFICATIONS)
-        } else {
-            (bounds.poll_expiry, 0)
+    pub(super) fn new(now: Duration, limits: &ProtocolLimits, progress_expiry: Duration) -> Self {
+        let (expiry, identifications_left) = match limits.progress_events {
+            ProgressEvents::NotSent => (limits.poll_expiry, 0),
+            ProgressEvents::KeepRunning => {
+                (limits.poll_expiry.max(progress_expiry), MAX_IDENTIFICATIONS)
+            }
         };
         OpenAttempt {
             may_have_reached: false,
@@ -73,12 +74,12 @@
     }
 
     /// Records what was observed; after a proof nothing counts any more.
-    pub(super) fn record(&mut self, now: Duration, bounds: &Bounds, evidence: Evidence) {
+    pub(super) fn record(&mut self, now: Duration, limits: &ProtocolLimits, evidence: Evidence) {
         if self.proof.is_some() {
             return;
         }
         match evidence {
-            Evidence::RequestSent => self.record_request(now, bounds.long_poll),
+            Evidence::RequestSent => self.record_request(now, limits.long_poll),
             Evidence::Running(connection) => self.record_running(now, connection),
             Evidence::Ended => self.proof = Some(Proof::Ended),
             Evidence::NeverReached => self.proof = Some(Proof::NeverReached),
@@ -121,7 +122,7 @@
         }
     }
 
-    fn is_identified(&self, connection: Connection) -> bool {
+    fn is_identified(&self, connection: ConnectionId) -> bool {
         self.identified_connection == Some(connection)
     }
 
@@ -133,7 +134,7 @@
         self.last_contact = self.last_contact.max(now + long_poll);
     }
 
-    fn record_running(&mut self, now: Duration, connection: Connection) {
+    fn record_running(&mut self, now: Duration, connection: ConnectionId) {
         self.last_contact = self.last_contact.max(now);
         self.identified_connection = Some(connection);
         self.cancellation_exhausted = false;
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -3,7 +3,7 @@
 use super::constants::Constants;
 use super::values::ValueReader;
 use super::{CheckedBlock, CheckedEntry, Spanned};
-use crate::diagnostic::{shown, Diagnostic};
+use crate::diagnostic::{truncated, Diagnostic};
 use crate::files::Span;
 use crate::quantity::{self, ValueKind};
 use crate::schema::{self, BlockKind, EntryKind};
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid ones have no values.
+    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid
+    /// ones have no values.
     pub(super) fn check_block(&mut self, block: &Block) -> Option<CheckedBlock> {
         let mut checked = match self.check_head(block) {
             Ok(checked) => checked,
@@ -55,7 +56,11 @@
         })
     }
 
-    /// Notes the name of a block; an earlier block of the kind that has it is an error.
+    /// Records the name of a block.
+    ///
+    /// # Errors
+    ///
+    /// Where an earlier block of the kind has this name.
     fn define(&mut self, kind: &BlockKind, name: &Word) -> Result<(), Diagnostic> {
         let key = (kind.name, name.text.clone());
         if let Some(first) = self.defined.get(&key) {
@@ -70,7 +75,11 @@
     fn check_entry(&mut self, block: &mut CheckedBlock, entry: &Entry) {
         let name = &entry.name;
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.is_quoted) else {
-            let text = format!("a {} has no entry `{}`", block.kind.name, shown(&name.text));
+            let text = format!(
+                "a {} has no entry `{}`",
+                block.kind.name,
+                truncated(&name.text)
+            );
             let names = block.kind.entries.iter().map(|e| e.name);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
             self.diagnostics
@@ -119,7 +128,7 @@
 fn block_kind(block: &Block) -> Result<&'static BlockKind, Diagnostic> {
     let word = &block.kind;
     schema::block(&word.text).ok_or_else(|| {
-        let text = format!("there is no block of the kind `{}`", shown(&word.text));
+        let text = format!("there is no block of the kind `{}`", truncated(&word.text));
         let names = schema::BLOCKS.iter().map(|kind| kind.name);
         Diagnostic::new(word.span.clone(), text).suggest_nearest(&word.text, names)
     })
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -34,8 +34,8 @@
 /// Where one limit counts a query.
 #[derive(Debug)]
 struct Counted {
-    /// The number of the limit's state.
-    limit: u64,
+    /// The id of the limit's state.
+    state_id: u64,
     slot: Slot,
 }
 
@@ -43,27 +43,28 @@
 #[derive(Debug)]
 pub struct Limits {
     rules: Vec<LimitRule>,
-    next_number: u64,
+    next_state_id: u64,
     max_exact_keys: usize,
 }
 
 impl Limits {
-    /// The limits of a plan; `capacity` is the number of queries that this gateway can hold, of which tenants have shares.
+    /// The limits of a plan; `capacity` is the number of queries that this gateway can have in flight, of which tenants have
+    /// shares.
     pub fn new(routing: &Routing, capacity: f64) -> Self {
         Limits::with_keys(routing, capacity, MAX_EXACT_KEYS)
     }
 
-    /// With another number of keys that are counted exactly.
+    /// As [`Limits::new`], with another number of keys for each limit that are counted exactly.
     pub fn with_keys(routing: &Routing, capacity: f64, max_exact_keys: usize) -> Self {
         let mut limits = Limits {
             rules: Vec::new(),
-            next_number: 0,
+            next_state_id: 0,
             max_exact_keys,
         };
         limits.rules = limit_rules(routing, capacity);
         for rule in &mut limits.rules {
-            rule.state.number = limits.next_number;
-            limits.next_number += 1;
+            rule.state.id = limits.next_state_id;
+            limits.next_state_id += 1;
         }
         limits
     }
@@ -80,8 +81,8 @@
             match same.map(|at| old.swap_remove(at)) {
                 Some(old) => rule.state = old.state,
                 None => {
-                    rule.state.number = self.next_number;
-                    self.next_number += 1;
+                    rule.state.id = self.next_state_id;
+                    self.next_state_id += 1;
                 }
             }
         }
@@ -98,12 +99,7 @@
         now: Duration,
         query: &RoutedQuery,
     ) -> Result<LimitPermit, LimitExceeded> {
-        let address_sets = routing.value_classes.clients();
-        let sets_of_client = address_sets.members(address_sets.class(query.client));
-        let is_client_in = |set| sets_of_client.contains(set);
-        let counting: Vec<usize> = (0..self.rules.len())
-            .filter(|index| self.rules[*index].counts(query, is_client_in))
-            .collect();
+        let counting = self.counting_rules(routing, query);
         let exceeded = counting
             .iter()
             .filter_map(|index| self.rules[*index].exceeded(now, query));
@@ -117,7 +113,7 @@
         let counted = counting.into_iter().map(|index| {
             let rule = &mut self.rules[index];
             Counted {
-                limit: rule.state.number,
+                state_id: rule.state.id,
                 slot: rule.count(now, query, max_exact_keys),
             }
         });
@@ -127,15 +123,23 @@
         })
     }
 
+    /// The indices of the rules that count a query.
+    fn counting_rules(&self, routing: &Routing, query: &RoutedQuery) -> Vec<usize> {
+        let address_sets = routing.value_classes.clients();
+        let sets_of_client = address_sets.members(address_sets.class(query.client));
+        let is_client_in = |set| sets_of_client.contains(set);
+        let indices = 0..self.rules.len();
+        indices
+            .filter(|index| self.rules[*index].counts(query, is_client_in))
+            .collect()
+    }
+
     /// An admitted query has ended.
     pub fn release(&mut self, now: Duration, permit: LimitPermit) {
         let time_in_flight = now.saturating_sub(permit.admitted_at);
-        for Counted { limit, slot } in permit.counted {
+        for Counted { state_id, slot } in permit.counted {
             // A removed limit counts nothing.
-            let rule = self
-                .rules
-                .iter_mut()
-                .find(|rule| rule.state.number == limit);
+            let rule = self.rules.iter_mut().find(|rule| rule.state.id == state_id);
             if let Some(rule) = rule {
                 rule.release(slot, time_in_flight);
             }
--- a/crates/scale/src/real_processes/hollow_gateway.rs
+++ b/crates/scale/src/real_processes/hollow_gateway.rs
@@ -1,11 +1,11 @@
 //! One hollow gateway: the decision module alone, at the rate and with the list of a real one.
 
 use garnetwall::api::{
-    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, LoadReport, NextAction,
-    Placement, Query, Settings,
+    AttemptEnd, AttemptOutcome, Endpoint, EndpointState, FollowUp, ListScope, LoadReport,
+    NextAction, Placement, Query, Settings,
 };
 use garnetwall::controller::AdmissionController;
-use garnetwall_subset::{Catalog, ListedEngine};
+use garnetwall_subset::{Catalog, ListedEngine, UpdateScope};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -54,10 +54,10 @@
         seed: u64,
     ) -> GatewayMemory {
         let mut module = AdmissionController::new(settings.clone(), seed, 0.0);
-        module.update_endpoints(endpoints, true);
+        module.update_endpoints(endpoints, ListScope::Full);
         let _catalog = whole_list.map(|whole_list| {
             let mut catalog = Catalog::default();
-            catalog.apply(whole_list, true);
+            catalog.apply(whole_list, UpdateScope::FullList);
             catalog
         });
         GatewayMemory { module, _catalog }
