--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -45,11 +45,7 @@
         .scheduler
         .arrival_time(submission.stream.last_read_at());
     let head = RequestHead::parse(&state.platform, &submission, None)?;
-    let retention = if state.scheduler.is_non_idempotent(head.class) {
-        Retention::UntilRead
-    } else {
-        Retention::UntilQueryEnds
-    };
+    let retention = retention(state, head.class);
     let stored = store.admit(head.tenant, head.class, length, retention)?;
     let _cut_off = CutOffOnDrop(stored.clone());
     let prefix = receive_prefix(&mut body, &stored).await?;
@@ -77,6 +73,15 @@
     }
 }
 
+/// How long a body is stored: one whose query is not sent again is needed only until it was read.
+fn retention(state: &ServerState, class: usize) -> Retention {
+    if state.scheduler.is_non_idempotent(class) {
+        Retention::UntilRead
+    } else {
+        Retention::UntilQueryEnds
+    }
+}
+
 /// Waits for the answer while the rest of the body arrives. With the answer, what is still to arrive is not wanted; without
 /// the rest of the body, the query is cancelled.
 async fn answer_while_receiving(
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -2,7 +2,8 @@
 
 use garnetwall::api::Settings;
 
-/// The settings that the platform gives a gateway, decoded. Their parts may still contradict one another until [`PlatformSettings::validate`].
+/// The settings that the platform gives a gateway, decoded. Their parts may still contradict one another until
+/// [`PlatformSettings::validate`].
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// The settings of the decision module.
