--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -3,6 +3,7 @@
 mod background;
 mod reload;
 mod shutdown;
+mod start_error;
 
 use crate::configuration::Config;
 use crate::discovery::EngineList;
@@ -33,6 +34,8 @@
 use tokio::sync::watch;
 use tokio::time::timeout_at;
 
+pub use start_error::StartError;
+
 /// Connections that wait to be accepted, at most.
 const LISTEN_BACKLOG: u32 = 1024;
 
@@ -79,8 +82,8 @@
             background::engine_selection(&config, &classes),
         ));
         let engines = Engines::new(
-            config.decoded.network,
-            config.decoded.settings.progress_interval,
+            config.platform.network,
+            config.platform.settings.progress_interval,
             &budget,
             longest_deadline_seconds,
             list.clone(),
@@ -108,7 +111,7 @@
         mut self,
         stop: impl Future<Output = ()>,
         reloads: UnboundedReceiver<Config>,
-    ) -> io::Result<()> {
+    ) -> Result<(), StartError> {
         tokio::pin!(stop);
         let Some(resources) = self.start(stop.as_mut()).await? else {
             // Nothing was admitted yet.
@@ -123,20 +126,20 @@
         self.start_background_tasks(reloads);
         let router = http::router(Arc::new(self.server_state(journal, store.clone())));
         let clients = ClientConnections::new(self.budget.client_connections.clone());
-        let (shut_idle, idle_shut) = watch::channel(false);
-        let (stop_accepting, accepting_stops) = watch::channel(false);
+        let stop_accepting = watch::Sender::new(false);
+        let close_connections = watch::Sender::new(false);
         // One future for all phases: it holds a connection that waits for its slot.
         let mut accepting = Box::pin(http::accept(
             &listener,
             &router,
             &clients,
-            &idle_shut,
-            accepting_stops,
+            stop_accepting.subscribe(),
+            close_connections.subscribe(),
         ));
 
         self.serve(accepting.as_mut(), stop).await;
         let schedule = self
-            .drain(accepting.as_mut(), &stop_accepting, &shut_idle)
+            .drain(accepting.as_mut(), &stop_accepting, &close_connections)
             .await;
         drop(accepting);
         drop(listener);
@@ -154,7 +157,7 @@
     async fn start(
         &self,
         stop: Pin<&mut impl Future<Output = ()>>,
-    ) -> io::Result<Option<StartResources>> {
+    ) -> Result<Option<StartResources>, StartError> {
         self.enter(Phase::Starting);
         tokio::select! {
             biased;
@@ -164,12 +167,17 @@
     }
 
     /// Acquires what the start needs of the system, with retries where that fails for the moment.
-    async fn acquire_resources(&self) -> io::Result<StartResources> {
-        let journal = Arc::new(self.open_journal()?);
-        let store = retry("store of bodies", || self.open_body_store()).await?;
-        let listener = retry("listener", || listen(self.config.listen)).await?;
+    async fn acquire_resources(&self) -> Result<StartResources, StartError> {
+        let journal = self.open_journal().map_err(StartError::Journal)?;
+        let store = retry("store of bodies", || self.open_body_store())
+            .await
+            .map_err(StartError::BodyStore)?;
+        let address = self.config.listen;
+        let listener = retry("listener", || listen(address))
+            .await
+            .map_err(|error| StartError::Listener { address, error })?;
         Ok(StartResources {
-            journal,
+            journal: Arc::new(journal),
             store,
             listener,
         })
@@ -181,7 +189,7 @@
         let Some(journal) = plan.and_then(|plan| plan.journal.as_ref()) else {
             return Ok(QueryJournal::default());
         };
-        self.scheduler.await_recovery();
+        self.scheduler.set_recovery_pending();
         let scheduler = self.scheduler.clone();
         let longest_unpolled_run = self.engines.longest_unpolled_run();
         let recovered = move |open: Vec<_>| scheduler.recovered(&open, longest_unpolled_run);
@@ -200,7 +208,7 @@
         let Some(bodies) = plan.and_then(|plan| plan.bodies.as_ref()) else {
             return Ok(None);
         };
-        let names = &self.config.decoded.names.classes;
+        let names = &self.config.platform.names.classes;
         body_store::body_store(bodies, names, &self.config.name).map(Some)
     }
 
@@ -210,12 +218,12 @@
             engines: self.engines.clone(),
             journal,
             body_store: store,
-            decoded: self.config.decoded.clone(),
+            platform: self.config.platform.clone(),
             phase: self.phase.subscribe(),
             statement_bytes: self.budget.statement_bytes.clone(),
             send_times: Mutex::new(SendTimeEstimator::new(
                 self.budget.query_capacity,
-                self.config.decoded.network.connect_timeout,
+                self.config.platform.network.connect_timeout,
                 self.longest_deadline_seconds,
             )),
         }
@@ -240,22 +248,23 @@
         }
     }
 
-    /// Caps all deadlines, accepts connections for as long as clients may go on connecting, then shuts idle ones.
+    /// Caps all deadlines, accepts connections for as long as clients may go on connecting, then has every connection
+    /// closed once it has no request open.
     async fn drain(
         &self,
         mut accepting: Pin<&mut impl Future<Output = ()>>,
         stop_accepting: &watch::Sender<bool>,
-        shut_idle: &watch::Sender<bool>,
+        close_connections: &watch::Sender<bool>,
     ) -> ShutdownSchedule {
         self.enter(Phase::Draining);
         let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
         let answers_due = self.scheduler.clock().at(schedule.answers_due);
-        self.scheduler.shut_down_at(answers_due);
+        self.scheduler.cap_deadlines(answers_due);
         // It ends by the timeout alone: accepting has no end before it is stopped.
         let _ = timeout_at(schedule.accept_until.into(), accepting.as_mut()).await;
         // Connections that the system has accepted by now are served, too.
         stop_accepting.send_replace(true);
-        shut_idle.send_replace(true);
+        close_connections.send_replace(true);
         let _ = timeout_at(schedule.exit_at.into(), accepting).await;
         schedule
     }
@@ -274,7 +283,7 @@
 
     fn stopped(&self, store: Option<&Store>) {
         if let Some(store) = store {
-            body_store::log_body_store(store, &self.config.decoded.names.classes);
+            body_store::log_body_store(store, &self.config.platform.names.classes);
         }
         self.enter(Phase::Stopped);
     }
@@ -291,7 +300,7 @@
 
 /// The longest deadline that the settings give to any query class.
 fn longest_deadline_seconds(config: &Config) -> f64 {
-    let classes = &config.decoded.settings.classes;
+    let classes = &config.platform.settings.classes;
     classes
         .iter()
         .map(|class| class.deadline)
@@ -300,9 +309,9 @@
 
 /// The query classes of the settings, as far as the plan narrows them.
 fn query_classes(config: &Config) -> Vec<QueryClass> {
-    let classes = &config.decoded.settings.classes;
+    let classes = &config.platform.settings.classes;
     match &config.plan {
-        Some(plan) => plan_routing::narrowed_classes(classes, &config.decoded.names.classes, plan),
+        Some(plan) => plan_routing::narrowed_classes(classes, &config.platform.names.classes, plan),
         None => classes.clone(),
     }
 }
@@ -313,7 +322,7 @@
     classes: &[QueryClass],
     budget: &ResourceBudget,
 ) -> Settings {
-    let settings = &config.decoded.settings;
+    let settings = &config.platform.settings;
     let capacity = settings.capacity.unwrap_or(f64::INFINITY);
     Settings {
         capacity: Some(capacity.min(budget.query_capacity as f64)),
@@ -330,7 +339,7 @@
         "plan in force"
     );
     Some(PlanRouter::new(
-        &config.decoded,
+        &config.platform,
         plan,
         budget.query_capacity as f64,
     ))
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -8,7 +8,7 @@
 use crate::engines::Engines;
 use crate::scheduling::scheduler::Scheduler;
 use crate::system::clock::clamped_duration;
-use garnetwall::api::{AttemptEnd, EngineId, QueryClass};
+use garnetwall::api::{AttemptEnd, EngineId, QueryClass, Settings};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -36,7 +36,7 @@
                 discovery,
                 self.engines.clone(),
                 self.scheduler.clone(),
-                self.config.decoded.settings.health_checks_allowed,
+                ConnectMethod::from_settings(&self.config.platform.settings),
             ));
         }
         if let Some(requests) = self.health_check_requests.take() {
@@ -56,10 +56,10 @@
     }
 
     fn watch_change_log(&self, discovery: Arc<Discovery>, change_log: watch::Receiver<SocketAddr>) {
-        let names = NameIndex::new(&self.config.decoded.names);
+        let names = NameIndex::new(&self.config.platform.names);
         let apply = Box::new(move |event| discovery.apply(event));
         let watch = Watch::new(change_log, self.config.last_initial_event, names, apply);
-        let connect_timeout = clamped_duration(self.config.decoded.network.connect_timeout);
+        let connect_timeout = clamped_duration(self.config.platform.network.connect_timeout);
         tokio::spawn(watch.follow(Reconnect::new(connect_timeout, self.config.seed)));
     }
 }
@@ -69,7 +69,7 @@
     let mut settings = config.subset.clone()?;
     // A plan may narrow where a query is retried.
     settings.retry_scope = settings.retry_scope.max(subset::retry_scope(classes));
-    let kind_cores = config.decoded.settings.kind_cores.clone();
+    let kind_cores = config.platform.settings.kind_cores.clone();
     match Selection::new(&config.name, settings, kind_cores) {
         Ok(selection) => Some(selection),
         Err(error) => {
@@ -79,19 +79,36 @@
     }
 }
 
+/// How a candidate of the engine subset is connected to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectMethod {
+    HealthCheck,
+    /// The settings allow no health checks.
+    WithoutRequest,
+}
+
+impl ConnectMethod {
+    fn from_settings(settings: &Settings) -> Self {
+        match settings.health_checks_allowed {
+            true => ConnectMethod::HealthCheck,
+            false => ConnectMethod::WithoutRequest,
+        }
+    }
+}
+
 /// Maintains the engine subset: connects to candidates and reports those that joined.
 async fn maintain_subset(
     discovery: Arc<Discovery>,
     engines: Arc<Engines>,
     scheduler: Arc<Scheduler>,
-    health_checks_allowed: bool,
+    method: ConnectMethod,
 ) {
     let connect = |address| {
         let engines = engines.clone();
         async move {
-            match health_checks_allowed {
-                true => engines.connect_by_health_check(address).await,
-                false => engines.connect_without_request(address).await,
+            match method {
+                ConnectMethod::HealthCheck => engines.connect_by_health_check(address).await,
+                ConnectMethod::WithoutRequest => engines.connect_without_request(address).await,
             }
         }
     };
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -34,7 +34,7 @@
 use axum::routing::{get, post};
 use axum::Router;
 use garnetwall_bodies::Store;
-use garnetwall_settings::DecodedSettings;
+use garnetwall_settings::PlatformSettings;
 use responses::error_response;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -45,9 +45,11 @@
 
 pub use accept::accept;
 
-/// Protocol: the connection of a client that can't be served closes within 3 s. The head of a first request must arrive within
-/// this time, and its statement within as long again.
-const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long each of these is waited for: the head of a connection's first request, the rest of the head of its last request,
+/// the whole body of any request that is read whole, and each chunk of a streamed body before its query is admitted.
+///
+/// Protocol: the connection of a client that can't be served closes within 3 s.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What all request handlers share.
 pub struct ServerState {
@@ -56,7 +58,7 @@
     /// Runs the attempts of queries.
     pub engines: Arc<Engines>,
     /// The settings of query classes, and the names of classes and tenants.
-    pub decoded: DecodedSettings,
+    pub platform: PlatformSettings,
     /// Whether the gateway is serving, for the health check.
     pub phase: watch::Receiver<Phase>,
     /// Records non-idempotent queries before they are sent.
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -1,6 +1,6 @@
 //! Connection stage: reads requests from one connection until no further one is to be read, and says why.
 
-use super::{ClientAddress, ConnectionServer, FIRST_REQUEST_TIMEOUT};
+use super::{ClientAddress, ConnectionServer, REQUEST_READ_TIMEOUT};
 use crate::http::client_connections::ClientConnection;
 use crate::http::client_stream::{ClientStream, StreamHandle};
 use axum::response::Response;
@@ -55,7 +55,7 @@
     fn head_timeout(self) -> Duration {
         match self {
             RequestsWanted::Any => IDLE_TIMEOUT,
-            RequestsWanted::OneMore => FIRST_REQUEST_TIMEOUT,
+            RequestsWanted::OneMore => REQUEST_READ_TIMEOUT,
         }
     }
 }
@@ -115,7 +115,7 @@
         RequestLoop {
             server,
             http,
-            first_request_timeout: Box::pin(sleep(FIRST_REQUEST_TIMEOUT)),
+            first_request_timeout: Box::pin(sleep(REQUEST_READ_TIMEOUT)),
             grace_granted: false,
             shutdown: ShutdownProgress::NotRequested,
             close_reason: CloseReason::LastResponse,
@@ -146,7 +146,7 @@
         let ConnectionServer {
             stream,
             connection,
-            shutdown,
+            close_connections,
             ..
         } = &mut *self.server;
         let http = &mut self.http;
@@ -160,7 +160,7 @@
             () = stream.closed_by_client(|| connection.has_request()) => Event::ClientClosed,
             () = connection.eviction.notified() => Event::EvictionRequested,
             () = first_request_timeout, if awaits_first_request => Event::FirstRequestTimeout,
-            Ok(_) = shutdown.wait_for(|shutdown| *shutdown), if !is_shutdown_handled => {
+            Ok(_) = close_connections.wait_for(|close| *close), if !is_shutdown_handled => {
                 Event::ShutdownRequested
             }
         }
@@ -266,7 +266,7 @@
         connection.request_started();
         Box::pin(async move {
             let response = response.await;
-            connection.became_idle();
+            connection.response_ready();
             response
         })
     }
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -5,7 +5,7 @@
 use super::request_head::{RequestError, RequestHead, Submission, SubmittedQuery};
 use super::responses::{answer_response, close_after};
 use super::submission_error::SubmissionError;
-use super::{ServerState, FIRST_REQUEST_TIMEOUT};
+use super::{ServerState, REQUEST_READ_TIMEOUT};
 use crate::engines::Statement;
 use crate::http::statement::data_set;
 use crate::scheduling::scheduler::Waiter;
@@ -44,12 +44,8 @@
     let arrived_at = state
         .scheduler
         .arrival_time(submission.stream.last_read_at());
-    let head = RequestHead::parse(&state.decoded, &submission, None)?;
-    let retention = if state.scheduler.is_non_idempotent(head.class) {
-        Retention::UntilRead
-    } else {
-        Retention::UntilQueryEnds
-    };
+    let head = RequestHead::parse(&state.platform, &submission, None)?;
+    let retention = retention(state, head.class);
     let stored = store.admit(head.tenant, head.class, length, retention)?;
     let _cut_off = CutOffOnDrop(stored.clone());
     let prefix = receive_prefix(&mut body, &stored).await?;
@@ -77,6 +73,15 @@
     }
 }
 
+/// How long a body is stored: one whose query is not sent again is needed only until it was read.
+fn retention(state: &ServerState, class: usize) -> Retention {
+    if state.scheduler.is_non_idempotent(class) {
+        Retention::UntilRead
+    } else {
+        Retention::UntilQueryEnds
+    }
+}
+
 /// Waits for the answer while the rest of the body arrives. With the answer, what is still to arrive is not wanted; without
 /// the rest of the body, the query is cancelled.
 async fn answer_while_receiving(
@@ -113,7 +118,7 @@
 async fn receive_prefix(body: &mut Body, stored: &StoredBody) -> Result<Vec<u8>, SubmissionError> {
     let mut prefix = Vec::new();
     while prefix.len() < PREFIX_BYTES {
-        let chunk = timeout(FIRST_REQUEST_TIMEOUT, next_chunk(body))
+        let chunk = timeout(REQUEST_READ_TIMEOUT, next_chunk(body))
             .await
             .map_err(|_| SubmissionError::BodyTooSlow)??;
         let Some(bytes) = chunk else {
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: an arriving query is opened, joins the open query of its key, or is not admitted.
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
-use super::open_query::OpenQuery;
-use super::query_index::KeyState;
+use super::open_query::{OpenQuery, WaiterGeneration};
+use super::query_index::QueryKeyState;
 use super::state::SchedulerState;
 use super::{Admission, ArrivingQuery, Command, OpenedQuery, Scheduler, Waiter};
 use crate::engines::{ClientPresence, ForwardedQuery, Statement};
@@ -56,9 +56,13 @@
         self.handle_event(|state, now| {
             state.discard_expired(now);
             match state.queries.state(query_key) {
-                Some(KeyState::Open(id)) => self.join(state, now, id, &arriving, &forwarded_query),
-                Some(KeyState::Finished) => state.repeat_of_finished(now, query_key, fingerprint),
-                Some(KeyState::Recovered) => Admission::MayHaveRun,
+                Some(QueryKeyState::Open(id)) => {
+                    self.join(state, now, id, &arriving, &forwarded_query)
+                }
+                Some(QueryKeyState::Finished) => {
+                    state.repeat_of_finished(now, query_key, fingerprint)
+                }
+                Some(QueryKeyState::Recovered) => Admission::MayHaveRun,
                 None => {
                     let new = NewQuery {
                         arriving,
@@ -71,7 +75,7 @@
         })
     }
 
-    /// A hash of what makes two calls the same; `None` where the statement is not in memory.
+    /// A hash of what makes two requests the same; `None` where the statement is not in memory.
     fn fingerprint(
         &self,
         arriving: &ArrivingQuery,
@@ -90,7 +94,7 @@
         ))))
     }
 
-    /// Adds a waiter to the open query of the same key, where the call is the same.
+    /// Adds a waiter to the open query of the same key, where the request is the same.
     fn join(
         self: &Arc<Self>,
         state: &mut SchedulerState,
@@ -102,10 +106,10 @@
         let Some(query) = state.open_queries.get_mut(&id) else {
             return Admission::AnswerNotCached;
         };
-        let is_same_call = query.tenant == arriving.tenant
+        let is_same_request = query.tenant == arriving.tenant
             && query.ordering_key == arriving.ordering_key
             && *query.forwarded_query == *forwarded_query;
-        if !is_same_call {
+        if !is_same_request {
             return Admission::Conflict;
         }
         query.add_waiter();
@@ -114,7 +118,7 @@
             query_id: id,
             answer: query.answer.subscribe(),
         };
-        state.controller.set_client_waiting(now, id, true);
+        state.controller.client_joined(now, id);
         Admission::Joined(waiter)
     }
 
@@ -173,7 +177,8 @@
         })
     }
 
-    /// A new query as the admission controller takes it. It has until its deadline, or until the gateway shuts down.
+    /// A new query as the admission controller takes it. It has until its deadline or, while the gateway
+    /// shuts down, until all answers are due.
     fn controller_query(
         &self,
         now: f64,
@@ -181,8 +186,8 @@
         arriving: &ArrivingQuery,
         terms: &AdmissionTerms,
     ) -> Query {
-        let answer_due = match *self.shutdown_at.borrow() {
-            Some(shutdown_at) => terms.deadline.min(shutdown_at),
+        let deadline = match *self.answers_due.borrow() {
+            Some(answers_due) => terms.deadline.min(answers_due),
             None => terms.deadline,
         };
         let plan_admission = terms.plan_admission.as_ref();
@@ -191,7 +196,7 @@
             class: terms.class,
             tenant: arriving.tenant,
             ordering_key: arriving.ordering_key,
-            remaining_time: answer_due - now,
+            remaining_time: deadline - now,
             estimated_work: arriving.estimated_work,
             estimated_memory: arriving.estimated_memory,
             data_set: arriving.data_set,
@@ -216,7 +221,7 @@
             commands,
             answer: watch::Sender::new(None),
             waiters: 1,
-            waiters_ever: 1,
+            waiter_generation: WaiterGeneration::default(),
             client_presence: ClientPresence::default(),
             deadline: terms.deadline,
             plan_admission: terms.plan_admission,
@@ -231,7 +236,7 @@
         id
     }
 
-    /// What a call gets whose query has finished: it does not run again.
+    /// What a request gets whose query has finished: it does not run again.
     fn repeat_of_finished(
         &self,
         now: f64,
@@ -243,7 +248,7 @@
         };
         match self.answer_cache.get(now, query_key, fingerprint) {
             CachedAnswer::Answer(answer) => Admission::Answered(answer),
-            CachedAnswer::OtherCall => Admission::Conflict,
+            CachedAnswer::OtherRequest => Admission::Conflict,
             CachedAnswer::Missing => Admission::AnswerNotCached,
         }
     }
