--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -104,7 +104,7 @@
         () = until_deadline(send_deadline) => {}
     }
     // Without a gate there is no request to stop.
-    let outcome = send_gate.map_or(StopOutcome::AlreadySent, SendGate::stop_unless_sent);
+    let outcome = send_gate.map_or(StopOutcome::AlreadySent, SendGate::stop_unless_complete);
     if outcome == StopOutcome::AlreadySent {
         let _ = cancellation.wait_for(|state| !state.allows_polling()).await;
     }
--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -45,11 +45,11 @@
     stream: &StreamHandle,
 ) -> Result<AdmittedQuery, SubmissionError> {
     check_client_connected(stream, query.head.query_key)?;
-    let sent_at = state.earliest_send_time(query.head.ordering_key, arrived_at);
+    let send_time = state.earliest_send_time(query.head.ordering_key, arrived_at);
     let TimedQuery {
         arriving,
         forwarded_query,
-    } = query.sent_at(sent_at);
+    } = query.with_send_time(send_time);
     match state.scheduler.admit(arriving, forwarded_query.clone()) {
         Admission::New(opened) => {
             let waiter = spawn_query_task(state, opened, forwarded_query, statement_memory);
--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -154,14 +154,14 @@
 
 impl SubmittedQuery {
     /// The query with the deadline that follows from when its client sent it, in seconds on the scheduler's clock.
-    pub fn sent_at(self, sent_at: f64) -> TimedQuery {
+    pub fn with_send_time(self, send_time: f64) -> TimedQuery {
         let head = self.head;
         let arriving = ArrivingQuery {
             query_key: head.query_key,
             class: head.class,
             tenant: head.tenant,
             ordering_key: head.ordering_key,
-            deadline: head.allowed_seconds + sent_at,
+            deadline: head.allowed_seconds + send_time,
             estimated_work: head.estimated_work,
             estimated_memory: head.estimated_memory,
             data_set: self.data_set,
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -12,7 +12,7 @@
 //! | `Buffered` | `flushed` | `Sent` |
 //! | `NotStarted`, `Sending`, `Buffered` | [`later_call_begins`](SendGate::later_call_begins) | `Sent` |
 //! | `NotStarted`, `Sending`, `Buffered` | `allow_write_or_stop`, where a write is not allowed | `Stopped` |
-//! | `NotStarted`, `Sending`, `Buffered` | [`stop_unless_sent`](SendGate::stop_unless_sent) | `Stopped` |
+//! | `NotStarted`, `Sending`, `Buffered` | [`stop_unless_complete`](SendGate::stop_unless_complete) | `Stopped` |
 //! | `Sent` | nothing: every write is allowed from then on | |
 //! | `Stopped` | nothing: no write is allowed any more | |
 
@@ -163,7 +163,7 @@
     }
 
     /// Stops the request unless it was written to the socket completely.
-    pub fn stop_unless_sent(&self) -> StopOutcome {
+    pub fn stop_unless_complete(&self) -> StopOutcome {
         if self.state.get() != SendState::Sent {
             self.state.set(SendState::Stopped);
         }
