--- a/crates/fleet/src/lease_holder/recent_requests.rs
+++ b/crates/fleet/src/lease_holder/recent_requests.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-/// Requests whose replies are accepted; more than are sent in the duration of a lease.
+/// Rounds of requests whose replies are accepted. Four are due in a lease; `want` and `release` start further ones. Where more than
+/// this many start within one round trip, replies are dropped and leases may lapse.
 const RECENT_REQUESTS: usize = 6;
 
 /// A round of requests, one or more to each issuer.
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -12,7 +12,7 @@
 mod runtime;
 
 pub use event::{MembershipEvent, PeerState, PeerStatus};
-pub use facts::{Fact, MAX_FACT_KINDS};
+pub use facts::{Fact, FACT_KINDS};
 pub use peer::Peer;
 
 use crate::wire::{Datagram, DatagramCodec, DropReason, Message};
@@ -142,7 +142,8 @@
         !self.is_unconfirmed && now.saturating_sub(self.last_call) <= PAUSE_THRESHOLD
     }
 
-    /// Publishes a fact about this gateway to all peers. `kind` is under [`MAX_FACT_KINDS`].
+    /// Publishes a fact about this gateway to all peers. `kind` is from 1 to
+    /// [`FACT_KINDS`] - 1; 0 announces that this gateway leaves.
     pub fn publish(&mut self, kind: u8, value: u64) {
         self.last_fact_version += 1;
         self.own_facts.insert(kind, value);
--- a/crates/fleet/src/membership/event.rs
+++ b/crates/fleet/src/membership/event.rs
@@ -11,7 +11,8 @@
     Down(Peer),
     /// It left on purpose.
     Left(Peer),
-    /// This gateway was declared down and is back as another incarnation: its leases have ended.
+    /// This gateway was declared down and is back as another incarnation of its peer. Its leases are not touched:
+    /// [`LeaseHolder::holds`](crate::LeaseHolder::holds) alone says whether they last.
     Rejoined,
     /// No other peer is alive.
     Alone,
--- a/crates/fleet/src/membership/facts.rs
+++ b/crates/fleet/src/membership/facts.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Kinds of facts that a peer may publish about itself.
-pub const MAX_FACT_KINDS: u8 = 8;
+pub const FACT_KINDS: u8 = 8;
 /// The kind of fact by which a peer announces that it leaves on purpose.
 pub(super) const LEAVING_FACT_KIND: u8 = 0;
 
@@ -17,7 +17,7 @@
 pub struct Fact {
     /// The peer.
     pub publisher: Peer,
-    /// Under [`MAX_FACT_KINDS`]; 0 is the membership's own.
+    /// Under [`FACT_KINDS`]; 0 is the membership's own.
     pub kind: u8,
     /// Grows with each fact of the publisher.
     pub version: u64,
@@ -90,7 +90,7 @@
     /// Stores an encoded fact; returns its key where it is to be passed on, as it was not known.
     fn accept(&mut self, bytes: &[u8]) -> Result<Option<BroadcastKey>, FactError> {
         let fact: Fact = postcard::from_bytes(bytes)?;
-        if fact.kind >= MAX_FACT_KINDS {
+        if fact.kind >= FACT_KINDS {
             return Err(FactError::UnknownKind(fact.kind));
         }
         let key = fact.key();
--- a/crates/routing/src/routing.rs
+++ b/crates/routing/src/routing.rs
@@ -61,9 +61,9 @@
     names: Names,
     pub(crate) value_classes: ValueClasses,
     /// The value classes of the settings' query classes and tenants, and of the minutes of a day.
-    query_class_rows: Vec<usize>,
-    tenant_rows: Vec<usize>,
-    minute_rows: Vec<u16>,
+    value_class_of_query_class: Vec<usize>,
+    value_class_of_tenant: Vec<usize>,
+    value_class_of_minute: Vec<u16>,
     /// Words in a row, which has a bit for each route.
     words_per_row: usize,
     /// For each dimension a row for each value class: the routes that match it.
@@ -80,17 +80,17 @@
         let words_per_row = plan.routes.len().div_ceil(WORD_BITS).max(1);
         let matching_routes = matching_routes(&plan, &value_classes, words_per_row);
         let mut routing = Routing {
-            query_class_rows: names
+            value_class_of_query_class: names
                 .classes
                 .iter()
                 .map(|name| value_classes.query_class(name))
                 .collect(),
-            tenant_rows: names
+            value_class_of_tenant: names
                 .tenants
                 .iter()
                 .map(|name| value_classes.tenant(name))
                 .collect(),
-            minute_rows: (0..MINUTES_PER_DAY)
+            value_class_of_minute: (0..MINUTES_PER_DAY)
                 .map(|minute| value_classes.minute_of_day(minute) as u16)
                 .collect(),
             words_per_row,
@@ -177,12 +177,12 @@
         let value_class =
             |known: &[usize], index: usize| known.get(index).copied().unwrap_or_default();
         let point = [
-            value_class(&self.query_class_rows, query.class),
-            value_class(&self.tenant_rows, query.tenant),
+            value_class(&self.value_class_of_query_class, query.class),
+            value_class(&self.value_class_of_tenant, query.tenant),
             self.value_classes.clients().class(query.client),
             usize::from(query.has_key),
             self.value_classes.data_set(query.data_set),
-            usize::from(self.minute_rows[(query.minute % MINUTES_PER_DAY) as usize]),
+            usize::from(self.value_class_of_minute[(query.minute % MINUTES_PER_DAY) as usize]),
         ];
         let row = |dimension: usize| {
             let start = point[dimension] * self.words_per_row;
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -3,7 +3,7 @@
 use super::shares::SPILL_FROM_FRACTION;
 use super::sharing::PANIC_FRACTION;
 use super::tolerance::MIN_DIVISOR;
-use super::zone::{MAX_HOLD_DOWN_SECONDS, OUTCOME_DECAY_SECONDS, TRIALS_TO_RECOVER};
+use super::zone::{MAX_HOLD_DOWN_SECONDS, OUTCOME_DECAY_SECONDS, SUCCESSES_TO_RECOVER};
 use super::*;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -342,7 +342,7 @@
             "one trial at a time"
         );
         now += 6.0 * OUTCOME_DECAY_SECONDS;
-        for _ in 0..TRIALS_TO_RECOVER {
+        for _ in 0..SUCCESSES_TO_RECOVER {
             zones.attempt_ended(
                 now,
                 0,
--- a/crates/routing/src/zones/zone.rs
+++ b/crates/routing/src/zones/zone.rs
@@ -9,8 +9,8 @@
 const RECOVERY_MAX_FAILURE_RATE: f64 = 0.3;
 /// The least number of outcomes, decayed, from which a failure rate counts.
 const MIN_OUTCOMES: f64 = 5.0;
-/// Successful trials in a row after which a lost zone begins to recover.
-pub(super) const TRIALS_TO_RECOVER: u32 = 3;
+/// Successes in a row after which a lost zone begins to recover.
+pub(super) const SUCCESSES_TO_RECOVER: u32 = 3;
 /// Seconds between trials of a lost zone.
 const TRIAL_INTERVAL_SECONDS: f64 = 0.5;
 /// Fraction of its capacity with which a zone begins to recover, and the least to which it backs off.
@@ -75,8 +75,8 @@
     successes: f64,
     failures: f64,
     decayed_at: f64,
-    /// Successful trials in a row.
-    trials: u32,
+    /// Successes in a row since the last failure or loss; while it is lost, of trials and of attempts begun before.
+    consecutive_successes: u32,
     /// When the next trial may begin.
     next_trial_at: f64,
     /// Work that ended well in this round of its recovery.
@@ -101,7 +101,7 @@
             successes: 0.0,
             failures: 0.0,
             decayed_at: 0.0,
-            trials: 0,
+            consecutive_successes: 0,
             next_trial_at: 0.0,
             carried_work: 0.0,
             round_started_at: 0.0,
@@ -118,7 +118,7 @@
             self.record_loss(now);
         } else if before <= 0.0 && matches!(self.health, Health::Lost { .. }) {
             // Listed again: it is tried at once, if it has not been lost too often.
-            self.trials = 0;
+            self.consecutive_successes = 0;
             self.successes = 0.0;
             self.failures = 0.0;
         }
@@ -154,12 +154,12 @@
         match outcome {
             ZoneOutcome::Succeeded { work, slowdown } => {
                 self.successes += 1.0;
-                self.trials += 1;
+                self.consecutive_successes += 1;
                 self.record_success(now, work, slowdown);
             }
             ZoneOutcome::Failed => {
                 self.failures += 1.0;
-                self.trials = 0;
+                self.consecutive_successes = 0;
                 self.record_failure(now);
             }
         }
@@ -194,7 +194,7 @@
         self.health = Health::Lost {
             until: now + hold_down,
         };
-        self.trials = 0;
+        self.consecutive_successes = 0;
         self.carried_work = 0.0;
     }
 
@@ -202,7 +202,7 @@
         match self.health {
             Health::Healthy => {}
             Health::Lost { until } => {
-                if now >= until && self.trials >= TRIALS_TO_RECOVER {
+                if now >= until && self.consecutive_successes >= SUCCESSES_TO_RECOVER {
                     self.health = Health::Recovering {
                         fraction: INITIAL_FRACTION,
                     };
--- a/crates/scale/src/slopes/metric.rs
+++ b/crates/scale/src/slopes/metric.rs
@@ -8,7 +8,7 @@
 pub enum Metric {
     /// Processor microseconds of the decisions on one query.
     Query,
-    /// Share of a core that the decisions take at the rate of the point, in hundredths.
+    /// Share of a core that the decisions take at the rate of the point, in percent.
     CoreShare,
     /// Placement decisions of the module for each query.
     Draws,
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -121,6 +121,7 @@
     names: &Names,
 ) -> Result<QueryClass, SettingsError> {
     let path = |key: &str| format!("categories.{index}.{key}");
+    // Items other than `true` count as false, also 1.
     let is_listed_true = |list: &str| flat.list_item(list, index) == Some("true");
     let idempotency = decode_idempotency(flat, index)?;
     let deadline = flat.seconds_or(&path("give-up"), 0.0)?;
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -15,7 +15,7 @@
 }
 
 impl FlatSettings {
-    /// Reads `path=value` lines. Empty lines are ignored.
+    /// Reads `path=value` lines. Empty lines are ignored. Unlike [`from_json`](Self::from_json) it does not check types and ranges.
     ///
     /// # Errors
     ///
@@ -217,7 +217,8 @@
     )
 }
 
-/// A plain value as the text form has it, with spaces and commas as underscores.
+/// A plain value as the text form has it, with spaces and commas as underscores: commas separate items there, and names have no
+/// spaces, so that a JSON name `a b` is known as `a_b`.
 fn text_form(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.replace([' ', ','], "_")),
--- a/crates/settings/src/schema/keys.rs
+++ b/crates/settings/src/schema/keys.rs
@@ -32,7 +32,7 @@
     unit: "",
 });
 
-/// The schema of all settings that are read.
+/// The schema of all settings that are checked; the package's documentation lists those that are used.
 pub(crate) const SETTINGS_SCHEMA: Schema = Schema::Object(&[
     (
         "allowed",
@@ -104,6 +104,7 @@
         "tenants",
         Schema::ListOfObjects(&[
             ("name", Schema::Text),
+            // Checked, not used: shares and limits of tenants come from a plan's `tenant` blocks.
             ("portion", AMOUNT),
             ("quota-per-s", AMOUNT),
         ]),
--- a/crates/subset/src/holders/estimate.rs
+++ b/crates/subset/src/holders/estimate.rs
@@ -36,7 +36,8 @@
     };
 }
 
-/// The members whose scores lie under a threshold, and the companions that retries ask for.
+/// Estimates the number of holders of each shape of engine: the members whose scores lie under a threshold, and the companions that
+/// retries ask for.
 pub(super) struct Estimate<'a> {
     parameters: &'a HoldersParameters,
     domains: Vec<(RetryDomain, &'a ShapeCounts)>,
--- a/crates/subset/src/holders/parameters.rs
+++ b/crates/subset/src/holders/parameters.rs
@@ -8,6 +8,7 @@
 /// What the number of holders depends on, beside the list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HoldersParameters {
+    /// Engines held now: the effective size and what failing members add; the configured size until the first poll.
     pub size: usize,
     pub class_floor: usize,
     pub classes: Arc<[PlacementClass]>,
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -64,7 +64,8 @@
     /// Engines in the subset while none fails. A floor follows from the numbers of gateways and engines, so that
     /// no engine is left without gateways.
     pub size: usize,
-    /// The least number of engines of each placement class, or all of a class that has fewer.
+    /// Engines of each placement class that the subset aims for, or all of a class that has fewer. Under half of it engines join
+    /// at once, without a connection.
     pub class_floor: usize,
     /// The most engines that are added while members fail.
     pub reserve: usize,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -77,16 +77,17 @@
 const TIME_MARGIN_SECONDS: f64 = 0.02;
 /// Least seconds, cores or work that is divided by, against odd settings.
 const MIN_DIVISOR: f64 = 1e-3;
-/// Seconds in which work sent to a kind, and the usual work of a query, decay.
+/// Time constant, in seconds, with which work sent to a kind and the usual work of a query decay.
 const WORK_DECAY_SECONDS: f64 = 20.0;
 /// Fraction of cores that a pool keeps busy under load.
 const SUSTAINABLE_UTILISATION: f64 = 0.85;
-/// Seconds in which the observed load and the failure rate of an engine decay; answers from one engine are rare.
+/// Time constant, in seconds, with which the observed load and the failure rate of an engine decay; answers from one engine are
+/// rare.
 const HEALTH_DECAY_SECONDS: f64 = 8.0;
 /// Seconds until a query is placed again whose random start was not granted, or for which no engine may be used; evenly distributed
 /// between these.
-const MIN_REDRAW_DELAY_SECONDS: f64 = 0.02;
-const MAX_REDRAW_DELAY_SECONDS: f64 = 0.06;
+const MIN_PLACEMENT_RETRY_DELAY_SECONDS: f64 = 0.02;
+const MAX_PLACEMENT_RETRY_DELAY_SECONDS: f64 = 0.06;
 /// Seconds between two calls from which this process counts as having been stalled; ticks come far sooner.
 const STALL_THRESHOLD_SECONDS: f64 = 0.3;
 
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -1,5 +1,5 @@
-//! Which engine a query's attempt goes to: the one with the fewest of our threads a core, of those that would begin it
-//! at once; where there is none, the least loaded of all, by chance.
+//! Which engine a query's attempt goes to: the one with the fewest of our threads a core, of those under the load limit if there
+//! are any. Past the limit the query begins there by chance only (`start_probability`).
 
 use super::candidate::Candidate;
 use super::load::engine_load;
@@ -8,7 +8,8 @@
 use super::sampling::sample;
 use super::start_probability::start_probability;
 use super::{
-    AdmissionController, MAX_REDRAW_DELAY_SECONDS, MIN_REDRAW_DELAY_SECONDS, WORK_DECAY_SECONDS,
+    AdmissionController, MAX_PLACEMENT_RETRY_DELAY_SECONDS, MIN_PLACEMENT_RETRY_DELAY_SECONDS,
+    WORK_DECAY_SECONDS,
 };
 use crate::api::{EngineId, Placement, Query, QueryId};
 
@@ -38,7 +39,8 @@
     work_per_core: f64,
 }
 
-/// What candidates are compared by, the most important first; the lowest is chosen.
+/// What candidates are compared by, the most important first; the lowest is chosen. Few attempts are in flight, so threads a core
+/// often tie exactly; the later fields break ties.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     /// It is past the load limit with the query, or the data set is locked there.
@@ -68,7 +70,7 @@
         match state.phase {
             QueryPhase::Queued if !self.is_hopeless(now, state) => match self.choose(now, id) {
                 Some(engine) => self.begin_attempt(now, id, engine),
-                None => self.redraw_later(now, id),
+                None => self.retry_placement_later(now, id),
             },
             QueryPhase::Queued | QueryPhase::Abandoned => {
                 Placement::Answer(self.final_answer(now, id))
@@ -79,10 +81,10 @@
         }
     }
 
-    fn redraw_later(&mut self, now: f64, id: QueryId) -> Placement {
-        let spread = MAX_REDRAW_DELAY_SECONDS - MIN_REDRAW_DELAY_SECONDS;
-        let at = now + MIN_REDRAW_DELAY_SECONDS + self.rng.uniform() * spread;
-        self.hold_head(id, at);
+    fn retry_placement_later(&mut self, now: f64, id: QueryId) -> Placement {
+        let spread = MAX_PLACEMENT_RETRY_DELAY_SECONDS - MIN_PLACEMENT_RETRY_DELAY_SECONDS;
+        let at = now + MIN_PLACEMENT_RETRY_DELAY_SECONDS + self.rng.uniform() * spread;
+        self.hold_class_until(id, at);
         Placement::Wait
     }
 
@@ -94,7 +96,7 @@
         let locked = self.engines_with_locked_data(&query);
         let choice = self.best_candidate(now, &query, &candidates, &kinds, &locked)?;
         // Where data is locked the query would stand still, which costs capacity.
-        if locked.contains(&choice.engine) && self.spare_capacity() < 0.0 {
+        if locked.contains(&choice.engine) && self.open_queries_left() < 0.0 {
             return None;
         }
         let kind_cores = kind_of(&kinds, choice.kind).effective_cores;
--- a/src/controller/fair_queue.rs
+++ b/src/controller/fair_queue.rs
@@ -115,10 +115,10 @@
     }
 
     /// Holds a query's class back in its tenant's queue until a time in seconds.
-    pub(super) fn hold_head(&mut self, id: QueryId, until: f64) {
+    pub(super) fn hold_class_until(&mut self, id: QueryId, until: f64) {
         let query = &self.queries[&id].query;
         self.tenant_queues[query.tenant].classes[query.class].held_until = until;
-        self.timers.schedule(until, Timer::Redraw);
+        self.timers.schedule(until, Timer::PlacementRetry);
     }
 
     /// Charges a tenant's queue with an attempt that begins.
--- a/src/controller/load.rs
+++ b/src/controller/load.rs
@@ -25,5 +25,5 @@
 pub(super) const SLOWDOWN_AT_LOAD_LIMIT: f64 = 2.0;
 /// Load that one answer, rejection or overdue attempt counts as at most.
 pub(super) const MAX_OBSERVED_LOAD: f64 = 2.0;
-/// Seconds in which the observed load of a kind decays.
+/// Time constant, in seconds, with which the observed load of a kind decays.
 const KIND_LOAD_DECAY_SECONDS: f64 = 2.0;
--- a/src/controller/load/engine_load.rs
+++ b/src/controller/load/engine_load.rs
@@ -6,8 +6,9 @@
 use crate::controller::engine_state::EngineState;
 use crate::controller::{AdmissionController, HEALTH_DECAY_SECONDS};
 
-/// Load by our own threads that counts whatever is reported: cores are idle while all wait for disks.
-const OWN_THREADS_PRESSURE: f64 = 2.0;
+/// Multiple of our share of an engine's threads past which our own threads count whatever is observed: cores are idle while all
+/// wait for disks.
+const MAX_OWN_SHARE_USED: f64 = 2.0;
 
 impl AdmissionController {
     /// How full an engine would be with the query, in units of the load limit: by threads or by memory, whichever is
@@ -25,8 +26,8 @@
         by_threads.max(memory_share_used(engine, needed_memory))
     }
 
-    /// The observed load, or how full our share of the engine's threads is with the query: where the engine is past
-    /// the load limit, or we alone would take it past.
+    /// The observed load. Where that is at the limit, or we use over [`MAX_OWN_SHARE_USED`] of our share of the engine's threads
+    /// with the query, the greater of it and of the share used.
     fn load_by_threads(
         &self,
         query: &Query,
@@ -43,7 +44,7 @@
         } else {
             engine_load
         };
-        if observed < 1.0 && share_used <= OWN_THREADS_PRESSURE {
+        if observed < 1.0 && share_used <= MAX_OWN_SHARE_USED {
             observed
         } else {
             observed.max(share_used)
@@ -60,7 +61,8 @@
     })
 }
 
-/// The load at which an engine is assumed to run: as observed last, decaying to the load of its kind.
+/// The load at which an engine is assumed to run: as observed last, with the threads begun since its last report, decaying to the
+/// load of its kind.
 pub(in crate::controller) fn engine_load(now: f64, kind_load: f64, engine: &EngineState) -> f64 {
     let elapsed = (now - engine.load.observed_at).max(0.0);
     let above_kind = engine.load.load + load_since_report(engine) - kind_load;
--- a/src/controller/load/inference.rs
+++ b/src/controller/load/inference.rs
@@ -6,6 +6,8 @@
 use crate::controller::engine_state::EngineState;
 use crate::controller::AdmissionController;
 
+/// Seconds for which a load report is recent: inference does not close its engine.
+const RECENT_REPORT_SECONDS: f64 = 2.0;
 /// A load that ranks an engine behind others and does not close it.
 const JUST_BELOW_LOAD_LIMIT: f64 = 1.0 - 1e-3;
 
@@ -36,7 +38,7 @@
 /// The load up to which inference may raise an engine. While a load report is recent that is just under the limit: what
 /// is inferred then ranks the engine and does not close it.
 fn max_inferred_load(now: f64, engine: &EngineState, known_load: f64) -> f64 {
-    let report_is_recent = now - engine.load.reported_at < KIND_LOAD_DECAY_SECONDS;
+    let report_is_recent = now - engine.load.reported_at < RECENT_REPORT_SECONDS;
     if report_is_recent {
         known_load.max(JUST_BELOW_LOAD_LIMIT)
     } else {
--- a/src/controller/load/kind_load.rs
+++ b/src/controller/load/kind_load.rs
@@ -11,7 +11,7 @@
 const IDLE_WEIGHT: f64 = 0.5;
 
 impl AdmissionController {
-    /// The load at which engines of a kind run, by reports or by how slow answers are. Where no utilisation of
+    /// The load at which engines of a kind run, by reports, or by slow answers, rejections and overdue attempts. Where no utilisation of
     /// cores is reported, reports count under pressure only.
     pub(in crate::controller) fn kind_load(&self, now: f64, kind: usize) -> f64 {
         let Some(kind_state) = self.kinds.get(&kind) else {
@@ -31,8 +31,9 @@
         reported.max(inferred)
     }
 
-    /// The load of a whole kind with the query: how full this gateway's share of the kind's memory is; under pressure the
-    /// mean of the kind's load and of the fuller of its shares of threads and memory.
+    /// The load of a whole kind with the query. Below the load limit: how much of this gateway's share of the kind's memory is used,
+    /// over [`MEMORY_SHARE_TOLERANCE`]. From the limit on (under pressure): the mean of the kind's load and of the fuller of this
+    /// gateway's shares of threads and memory.
     ///
     /// A share of one engine is under one query, so that without this many gateways would each begin few queries and too
     /// many together.
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -13,8 +13,9 @@
 const MAX_SERVICE_FRACTION: f64 = 0.9;
 /// Factor by which the usual work of a class may miss a query's own: the mean lies above most queries.
 const UNCERTAINTY_WITHOUT_ESTIMATE: f64 = 1.5;
-/// Part of the gateway's capacity that waiting queries may fill; the rest is for bursts.
-const WAITING_CAPACITY_FRACTION: f64 = 0.5;
+/// Part of the gateway's capacity that open queries, waiting and in flight, may fill before waiting ones are shed; the rest is for
+/// bursts.
+const OPEN_QUERIES_CAPACITY_FRACTION: f64 = 0.5;
 /// Seconds that a query past its objective may wait for more valuable ones.
 const LATE_QUERY_SLACK_SECONDS: f64 = 0.2;
 
@@ -97,7 +98,7 @@
             density_of(b).total_cmp(&density_of(a))
         });
         let work_rate = self.sustainable_work_rate(now);
-        let mut capacity = self.spare_capacity() + waiting.len() as f64;
+        let mut capacity = self.open_queries_left() + waiting.len() as f64;
         let mut work_ahead = 0.0;
         let mut shortest_wait = f64::INFINITY;
         for WaitingQuery {
@@ -170,10 +171,10 @@
         }
     }
 
-    /// Queries that may still be admitted before waiting costs capacity; below 0 there are too many.
-    pub(super) fn spare_capacity(&self) -> f64 {
+    /// Queries that may still be open before waiting ones are shed; below 0 there are too many.
+    pub(super) fn open_queries_left(&self) -> f64 {
         self.settings.capacity.map_or(f64::INFINITY, |capacity| {
-            capacity * WAITING_CAPACITY_FRACTION - self.queries.len() as f64
+            capacity * OPEN_QUERIES_CAPACITY_FRACTION - self.queries.len() as f64
         })
     }
 }
--- a/src/controller/next_action.rs
+++ b/src/controller/next_action.rs
@@ -48,7 +48,7 @@
             match timer {
                 Timer::Tick => self.tick(now),
                 // The held queue counts again by its own time.
-                Timer::Redraw => {}
+                Timer::PlacementRetry => {}
                 Timer::KeyPauseEnd(key) => self.release_key(now, key),
                 Timer::Deadline(id) => self.abandon(id),
             }
--- a/src/controller/outlier_ejection.rs
+++ b/src/controller/outlier_ejection.rs
@@ -2,7 +2,7 @@
 //! failure rate is above the threshold, it then takes one query at a time.
 
 use super::engine_state::EngineState;
-use super::{AdmissionController, MAX_REDRAW_DELAY_SECONDS};
+use super::{AdmissionController, MAX_PLACEMENT_RETRY_DELAY_SECONDS};
 use crate::api::EngineId;
 
 /// Weight of a failed attempt in the failure rate; a success has half of it. With [`HEALTH_DECAY_SECONDS`](super::HEALTH_DECAY_SECONDS) it takes 4 failures at
@@ -32,10 +32,12 @@
         health.undecayed_failure_rate *= 1.0 - FAILURE_WEIGHT / 2.0;
     }
 
-    /// The engine had no capacity: it is not used for [`MAX_REDRAW_DELAY_SECONDS`], so that others are tried first.
+    /// The engine had no capacity: it is not used for [`MAX_PLACEMENT_RETRY_DELAY_SECONDS`], so that others are tried first.
     pub(super) fn record_rejection(&mut self, now: f64, engine: EngineId) {
         let health = &mut self.engines[engine].health;
-        health.avoided_until = health.avoided_until.max(now + MAX_REDRAW_DELAY_SECONDS);
+        health.avoided_until = health
+            .avoided_until
+            .max(now + MAX_PLACEMENT_RETRY_DELAY_SECONDS);
     }
 
     /// An attempt or a health check at the engine has failed: it is ejected where it fails far more than the pool.
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -69,7 +69,8 @@
         };
         let budget = &mut self.engines[engine].work_budget;
         budget.spent = balance.spent + work;
-        // What is left holds no such query: the next quantum comes sooner for it.
+        // What is due and not spent does not cover another query of this work: the next quantum is counted from here, and not
+        // from the end of the present one.
         if balance.due - budget.spent < work {
             budget.quantum_from = budget.spent;
         }
@@ -125,7 +126,7 @@
 }
 
 impl BudgetSchedule<'_> {
-    /// Work that is due at a time in seconds, counted from the notification of the start.
+    /// Work that has become due between the notification of the start and `at`, a time in seconds on the caller's clock.
     fn due_at(&self, at: f64) -> f64 {
         let earned = self.rate * (at - self.budget.known_since).max(0.0);
         let earned_in_quantum = earned - self.budget.quantum_from;
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -9,7 +9,7 @@
     /// The periodic look at what waits and what is in flight.
     Tick,
     /// A queue's head is placed again: its random start was not granted, or no engine may be used.
-    Redraw,
+    PlacementRetry,
     /// A query's deadline.
     Deadline(QueryId),
     /// The pause of an ordering key ends.
