--- a/src/api.rs
+++ b/src/api.rs
@@ -1,98 +1,98 @@
-//! The interface of the decision module: plain values in, plain values out, no behaviour.
+//! Defines the values that are passed to and returned by the controller.
 //!
-//! Times and spans are seconds with fractions on the caller's monotonic clock; work is seconds on one thread;
-//! memory is in megabytes; fractions are from 0 to 1. Queries, engines, classes, tenants, zones and kinds are
-//! small indices that the caller hands out. What is unknown is `None`.
+//! Times are seconds with fractions on the caller's monotonic clock, and durations are seconds with fractions. Work is
+//! in seconds on one thread, memory in megabytes, and fractions range from 0 to 1. Queries, engines, classes, tenants,
+//! zones and kinds are identified by small indices assigned by the caller. Unknown values are `None`.
 
-/// A query's number. Numbers rise with admission: the lower of two was admitted first.
+/// Query number. Numbers increase in the order of admission.
 pub type QueryId = u32;
 
-/// An engine's index. The caller may give it to another engine once no open query can know the first.
+/// Engine index. The caller may reuse an index for another engine once no open query refers to the previous one.
 pub type EngineId = usize;
 
-/// Which engines recognise a repeated idempotency key, counted from the engine of the first attempt that may have run.
+/// Engines that recognise a repeated idempotency key, relative to the engine of the first attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All engines.
     Everywhere,
-    /// The engines of the same zone.
+    /// Engines in the zone of the first attempt.
     Zone,
-    /// The engines of the same cell.
+    /// Engines in the cell of the first attempt.
     Cell,
 }
 
-/// Whether a query that may have run may be attempted again.
+/// Condition under which a query that may have run can be attempted again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Running it twice has the effect of running it once.
+    /// Running the query twice has the same effect as running it once.
     Idempotent,
-    /// Engines drop a repeat that reaches them in `scope` within `window` seconds.
+    /// Engines within `scope` discard a repeat that reaches them within `window` seconds.
     IdempotentByKey {
-        /// Which engines drop a repeat.
+        /// Engines that discard a repeat.
         scope: DeduplicationScope,
-        /// Seconds from the beginning of the first attempt that may have run.
+        /// Length of the deduplication window, in seconds from the start of the first attempt that may have run.
         window: f64,
     },
     /// A second run would have a second effect.
     NonIdempotent,
 }
 
-/// What the settings say of one class of queries.
+/// Settings of one query class.
 #[derive(Clone, Debug)]
 pub struct QueryClass {
     /// Fixed part of the latency objective, in seconds.
     pub latency_objective: f64,
-    /// Further part of the latency objective, as a multiple of a query's work over its threads.
+    /// Variable part of the latency objective, as a multiple of the query's work divided by its threads.
     pub latency_objective_stretch: f64,
-    /// Longest time that a client of this class waits, in seconds from its call.
+    /// Longest time that a client of this class waits for its answer, in seconds from its request.
     pub deadline: f64,
-    /// Value of an answer within the objective.
+    /// Value of an answer within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer after the objective is still worth.
+    /// Fraction of `priority_weight` that an answer after the latency objective is worth.
     pub late_value_share: f64,
-    /// Whether a query that may have run may be attempted again.
+    /// Condition under which a query that may have run can be attempted again.
     pub idempotency: Idempotency,
-    /// Queries of one ordering key run one at a time, in the order admitted.
+    /// Queries with the same ordering key run one at a time, in the order of admission.
     pub in_order: bool,
-    /// Zones whose engines may run it; all where it is `None`.
+    /// Zones whose engines may run the class; `None` allows all zones.
     pub zones: Option<Vec<u32>>,
-    /// Kinds of engine that may run it; all where it is `None`.
+    /// Kinds of engine that may run the class; `None` allows all kinds.
     pub kinds: Option<Vec<u32>>,
-    /// Threads that one query uses on its engine.
+    /// Number of threads that one query uses on its engine.
     pub threads: f64,
-    /// Its queries load a data set, which is locked meanwhile.
+    /// Queries of the class load a data set, which is locked on the engine meanwhile.
     pub loads_data: bool,
-    /// Its queries stand still on an engine that loads their data set.
+    /// Queries of the class stall on an engine that is loading their data set.
     pub waits_for_data_loads: bool,
-    /// A retry budget of the class, beside the gateway's.
+    /// Retry budget of the class, applied in addition to the gateway's.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// How many attempts beyond a query's first may begin within a sliding window.
+/// Limit on retries (attempts after a query's first) that start within a sliding window.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries that are always allowed.
+    /// Number of retries that are allowed in a window however few queries are admitted.
     pub floor: f64,
-    /// Retries for each query admitted in the window.
+    /// Additional retries for each query admitted in the window.
     pub per_query: f64,
     /// Length of the window, in seconds.
     pub window: f64,
 }
 
-/// How an engine that has just started warms up, and what overloads it meanwhile.
+/// Warm-up of a newly started engine, and the amount of work that overloads it during that time.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Fraction of its cores that it can use at its start; the fraction rises evenly to 1.
+    /// Fraction of its cores that an engine can use at its start; it rises linearly to 1 within `duration`.
     pub initial_fraction: f64,
-    /// Seconds from its start until it can use all its cores.
+    /// Seconds from the engine's start until it can use all its cores.
     pub duration: f64,
-    /// It is overloaded by more than this multiple of the work that its effective cores do in the window.
+    /// The engine is overloaded by more than this multiple of the work that its effective cores do in `window`.
     pub overload_multiple: f64,
-    /// The span over which its work is counted, in seconds.
+    /// Length of the sliding window over which the engine's work is counted, in seconds.
     pub window: f64,
 }
 
-/// When engines report their load.
+/// Messages with which engines report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReporting {
     /// With each answer to a query.
@@ -100,82 +100,82 @@
     /// With each answer to a health check.
     WithHealthChecks,
     #[default]
-    /// Engines tell nothing of their load.
+    /// Engines do not report their load.
     Never,
 }
 
-/// The settings of a deployment, as far as decisions need them.
+/// Settings of a deployment that the controller uses.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// The query classes; a class's number is its place here.
+    /// Query classes; the number of a class is its index here.
     pub classes: Vec<QueryClass>,
-    /// Number of tenants, each with a queue of its own.
+    /// Number of tenants; each has its own queue.
     pub tenants: usize,
-    /// Number of gateways before the same engines, this one included.
+    /// Number of gateways that share the engines, including this one.
     pub gateways: f64,
-    /// Cores of an engine, by its kind.
+    /// Number of cores of an engine, by kind.
     pub kind_cores: Vec<Option<f64>>,
-    /// Memory of an engine in megabytes, by its kind.
+    /// Memory of an engine in megabytes, by kind.
     pub kind_memory: Vec<Option<f64>>,
     /// Largest memory grant of one query, as a fraction of its engine's memory.
     pub max_grant_fraction: f64,
-    /// Attempts carry a memory grant.
+    /// Attempts carry a memory grant where the query has an estimate of its memory.
     pub memory_grants: bool,
-    /// When engines report their load.
+    /// Messages with which engines report their load.
     pub load_reporting: LoadReporting,
-    /// Queries that the gateway can hold at once; unbounded where it is `None`.
+    /// Number of queries that the gateway can hold at once; `None` for no limit.
     pub capacity: Option<f64>,
-    /// Engines may be sent health checks.
+    /// The gateway may send health checks to engines.
     pub health_checks_allowed: bool,
-    /// Attempts in flight may be cancelled at their engine.
+    /// The gateway may cancel attempts in flight.
     pub cancellation_allowed: bool,
-    /// A rejection may carry a Retry-After.
+    /// Rejections carry a Retry-After time.
     pub retry_after_allowed: bool,
-    /// Longest Retry-After, in seconds.
+    /// Upper limit of the Retry-After time, in seconds.
     pub max_retry_after: f64,
-    /// Attempts of one query at most, the first included.
+    /// Maximum number of attempts of one query, including the first.
     pub max_attempts: u32,
-    /// The endpoint list comes only to subscribers.
+    /// The endpoint list is sent to subscribers only.
     pub subscription_required: bool,
-    /// The retry budget of the gateway.
+    /// Retry budget of the gateway, across all classes.
     pub retry_budget: Option<RetryBudget>,
-    /// How started engines warm up; `None` where they are at full speed at once.
+    /// Warm-up of newly started engines; `None` if they run at full speed at once.
     pub slow_start: Option<SlowStart>,
-    /// Seconds that an ordering key pauses after an attempt that timed out, was cut off or was cancelled.
+    /// Pause of an ordering key, in seconds, after an attempt that timed out, was cancelled or lost its connection.
     pub key_pause: f64,
-    /// Seconds between an engine's progress events for an attempt; 0 where it sends none.
+    /// Seconds between the progress events of an attempt; 0 if engines send none.
     pub progress_interval: f64,
 }
 
-/// A query as it is admitted.
+/// Description of a query at its admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Query {
-    /// The query's number, higher than that of all admitted before.
+    /// Query number; higher than that of every query admitted earlier.
     pub id: QueryId,
-    /// Its class, as an index into [`Settings::classes`].
+    /// Query class, as an index into [`Settings::classes`].
     pub class: usize,
-    /// The tenant in whose queue it waits, below [`Settings::tenants`].
+    /// Tenant whose queue the query waits in; below [`Settings::tenants`].
     pub tenant: usize,
-    /// The key within which queries of an ordered class run one at a time.
+    /// Queries of ordered classes with the same ordering key run one at a time; `None` for no order.
     pub ordering_key: Option<u64>,
-    /// Seconds until its client gives up.
+    /// Seconds until the client stops waiting for the answer.
     pub remaining_time: f64,
     /// Estimated work, in seconds on one thread.
     pub estimated_work: Option<f64>,
     /// Estimated memory, in megabytes.
     pub estimated_memory: Option<f64>,
-    /// The data set that it reads or loads.
+    /// Data set that the query reads or loads.
     pub data_set: u32,
-    /// The endpoint subset that it is confined to; every engine where it is `None`.
+    /// Endpoint subset that the query is restricted to; `None` allows every engine.
     pub endpoint_subset: Option<u32>,
 }
 
-/// A set of engines by their index, in words of 64, lowest first.
+/// Set of engines, as a bit set over engine indices in words of 64 bits, lowest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineSet(pub Vec<u64>);
 
 impl EngineSet {
-    /// Whether the engine is in the set.
+    /// Returns whether the engine is in the set.
     pub fn contains(&self, engine: EngineId) -> bool {
         self.0
             .get(engine / 64)
@@ -183,175 +183,176 @@
     }
 }
 
-/// What the endpoint list says of an engine's availability.
+/// Availability of an engine according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes queries.
+    /// The engine accepts queries.
     Ready,
-    /// It finishes what it runs and takes nothing new.
+    /// The engine finishes its running queries and accepts no new ones.
     Draining,
-    /// It is not in the list any more.
+    /// The engine is no longer listed.
     Removed,
 }
 
-/// Which endpoints a list names.
+/// Whether a list names all endpoints or only changed ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All there are: an engine that it does not name is removed.
+    /// All endpoints; engines that are not listed are removed.
     Full,
-    /// Those that are new or have changed.
+    /// New and changed endpoints only.
     Delta,
 }
 
-/// An engine as the endpoint list describes it.
+/// Entry of the endpoint list: one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// The engine's index.
+    /// Engine index.
     pub engine: EngineId,
-    /// The zone that it stands in.
+    /// Zone in which the engine runs.
     pub zone: u32,
-    /// Its kind, as an index into [`Settings::kind_cores`].
+    /// Kind of engine, as an index into [`Settings::kind_cores`].
     pub kind: usize,
-    /// The cell of its zone that it belongs to.
+    /// Cell of the zone to which the engine belongs.
     pub cell: u32,
-    /// When its process started, on the caller's clock; `None` for one that is not in slow start.
+    /// Start time of the engine's process, on the caller's clock; `None` if the engine is not in slow start.
     pub started_at: Option<f64>,
-    /// Whether it takes queries.
+    /// Whether the engine accepts queries.
     pub state: EndpointState,
-    /// Gateways that work with this engine, this one included; [`Settings::gateways`] where it is `None`.
+    /// Number of gateways that use this engine, including this one; `None` stands for [`Settings::gateways`].
     pub gateways: Option<f64>,
 }
 
-/// What an engine reports of its own load.
+/// Load that an engine reports about itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Fraction of its cores that are busy.
+    /// Fraction of the engine's cores that are busy.
     pub cpu_utilisation: Option<f64>,
-    /// Queries that wait for memory.
+    /// Number of queries waiting for memory on the engine.
     pub waiting_for_memory: Option<f64>,
-    /// Queries that it has in flight, from all gateways.
+    /// Number of queries in flight on the engine, from all gateways.
     pub in_flight: Option<f64>,
-    /// Fraction of its memory in use.
+    /// Fraction of the engine's memory in use.
     pub memory_utilisation: Option<f64>,
-    /// Fraction of its disks' time in use.
+    /// Fraction of time for which the engine's disks are busy.
     pub disk_utilisation: Option<f64>,
 }
 
-/// How an attempt ended.
+/// Manner in which an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The engine has answered with the whole result.
+    /// The engine returned the complete result.
     Succeeded,
-    /// The engine answered with an error.
+    /// The engine returned an error.
     Failed,
-    /// The engine had no capacity and did not run it; its query is not rejected by that.
+    /// The engine had no capacity and did not run the attempt. The query itself is not rejected.
     Rejected,
-    /// No answer came within the response timeout.
+    /// The engine did not answer within the response timeout.
     TimedOut,
-    /// Nothing of it reached the engine: no connection came up, the engine had left the list, or it was stopped before it
-    /// was sent. It never ran, and the query may be tried elsewhere.
+    /// No part of the attempt reached the engine: no connection could be made, the engine was no longer listed, or the
+    /// attempt was stopped before it was sent. It never ran, and the query may be tried on another engine.
     ConnectFailed,
-    /// Connections to its engine were lost, or what came over them can't be read, until polls could not tell its outcome
-    /// any more. One broken connection does not end an attempt. It may have run.
+    /// Connections to the engine were lost, or the data received on them was unreadable, until polling could no longer
+    /// determine the outcome. One broken connection does not end an attempt. The attempt may have run.
     ConnectionLost,
-    /// It was cancelled at the engine.
+    /// The attempt was cancelled at the engine.
     Cancelled,
-    /// It was dropped before it reached the engine, because its query was over or could not be recorded in the journal. It
-    /// never ran, and there is no further attempt.
+    /// The attempt was dropped before it reached the engine, because its query was over or could not be recorded in the
+    /// journal. It never ran, and no further attempt follows.
     NotNeeded,
-    /// This gateway's own machine could not send it: it never ran, and says nothing of its engine.
+    /// The gateway's own machine could not send the attempt. It never ran, and the failure says nothing about the
+    /// engine.
     NotSent,
 }
 
-/// The end of an attempt with what is known of it.
+/// Outcome of an attempt, with its measurements.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOutcome {
-    /// Where the attempt was.
+    /// Engine to which the attempt was sent.
     pub engine: EngineId,
     /// The attempt's number within its query, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Manner in which the attempt ended.
     pub end: AttemptEnd,
-    /// Seconds from the attempt's beginning to its end.
+    /// Seconds from the start of the attempt to its end.
     pub latency: f64,
-    /// The query is over for its client, by this outcome or earlier.
+    /// Whether the query is over for its client, by this outcome or earlier.
     pub query_finished: bool,
-    /// Work that the engine measured, in seconds on one thread.
+    /// Work measured by the engine, in seconds on one thread.
     pub work: Option<f64>,
-    /// Memory that the engine measured, in megabytes.
+    /// Memory measured by the engine, in megabytes.
     pub memory: Option<f64>,
 }
 
-/// A progress event of an attempt in flight.
+/// Progress event of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// Fraction of the work that is done.
+    /// Fraction of the work that is done, from 0 to 1.
     Completed(f64),
-    /// It spills to disk, so many megabytes.
+    /// The attempt spills to disk; the value is the amount in megabytes.
     Spilling(f64),
-    /// It stands still until its engine has memory for it.
+    /// The attempt is blocked until its engine has memory for it.
     WaitingForMemory,
-    /// It stands still until its data set is loaded.
+    /// The attempt is blocked until its data set is loaded.
     WaitingForDataLoad,
 }
 
-/// What happens to a query now.
+/// Decision about a query whose placement was requested.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    /// Begin an attempt.
+    /// Start an attempt.
     Attempt {
-        /// Where it goes.
+        /// Engine that receives the attempt.
         engine: EngineId,
-        /// Seconds after which nobody waits for the attempt.
+        /// Seconds after which no client waits for the attempt any more.
         response_timeout: f64,
-        /// Seconds within which the whole request has to have reached the engine; later it must not be sent.
+        /// Seconds within which the whole request must reach the engine; after that it must not be sent.
         send_timeout: f64,
-        /// Memory granted to it, in megabytes.
+        /// Memory granted to the attempt, in megabytes; `None` for no grant.
         memory_grant: Option<f64>,
     },
-    /// Nothing now; the module asks for its placement again.
+    /// Do nothing now; [`NextAction::Place`] is returned again for this query where it is still waiting.
     Wait,
-    /// Answer its client.
+    /// Send the final answer to the client.
     Answer(FinalAnswer),
 }
 
-/// What follows the end of an attempt.
+/// Consequence of the end of an attempt for its query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FollowUp {
-    /// Nothing is owed, or the query waits for another attempt.
+    /// No answer is due: the query is over, is queued for another attempt, or still has an attempt in flight.
     Nothing,
-    /// Answer its client.
+    /// Send the final answer to the client.
     Answer(FinalAnswer),
 }
 
-/// A final answer other than a success.
+/// Final answer to a query that did not succeed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// It did not run, or may safely be sent again, after `retry_after` seconds where that is told.
+    /// The query did not run, or can safely be sent again.
     Rejected {
-        /// Seconds; `None` where the settings allow none.
+        /// Seconds after which the client should retry; `None` if the settings disable Retry-After.
         retry_after: Option<f64>,
     },
-    /// It may have run and must not be sent again.
+    /// The query may have run and must not be sent again.
     Failed,
 }
 
-/// What the caller has to do next.
+/// Next action for the caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextAction {
-    /// Ask for this query's placement.
+    /// Call [`place`](crate::controller::AdmissionController::place) for this query.
     Place(QueryId),
-    /// Send this engine a health check.
+    /// Send a health check to this engine.
     HealthCheck(EngineId),
     /// Subscribe to the endpoint list.
     Subscribe,
-    /// Cancel an attempt of a query, by its number from 0.
+    /// Cancel an attempt of a query.
     Cancel {
-        /// The query whose attempt it is.
+        /// Query to which the attempt belongs.
         query: QueryId,
         /// The attempt's number within the query, from 0.
         attempt: u32,
     },
-    /// Nothing for so many seconds, unless an event comes first.
+    /// Wait for this many seconds or until the next event, whichever is first.
     Wait(f64),
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,32 +1,34 @@
-//! The decision module: whether, when and where each query runs. One [`AdmissionController`] serves one gateway.
+//! Decides whether, when and on which engine each query runs. Each gateway has one [`AdmissionController`].
 //!
-//! It has no I/O and no clock. The caller hands in events with the time, then asks [`AdmissionController::next_action`]
-//! until that says to wait; [`crate::api`] has the values that go in and out.
+//! The controller does no I/O and reads no clock. The caller reports each event together with the current time, then
+//! calls [`AdmissionController::next_action`] and carries out each returned action until the action is to wait.
+//! [`crate::api`] defines the values that are passed in and returned.
 //!
-//! The rules, and where each is decided:
+//! The rules, and the modules that enforce them:
 //!
-//! | rule | where |
+//! | rule | module |
 //! |---|---|
-//! | one whole answer in time | `final_answer`; `load_shedding` and the deadline timers of `next_action` bring queries there |
-//! | no second effect | `eligibility` (idempotency, window, scope), by what `attempt` knows to have run; `final_answer` for the client's own retry |
-//! | no attempt at a draining or removed engine | `eligibility`, by `endpoint_list` |
+//! | exactly one answer, before the deadline | `final_answer`; `load_shedding` and `next_action` abandon queries |
+//! | no repeated effect by retries of this gateway | `eligibility`, from the attempts that may have run (`attempt`) |
+//! | no repeated effect by retries of the client | `final_answer` |
+//! | no attempt at a draining or removed engine | `eligibility`, from the state kept by `endpoint_list` |
 //! | slow start | `slow_start` |
-//! | order by key | `key_order` |
+//! | order within an ordering key | `key_order` |
 //! | placement | `eligibility` |
 //! | retry budget | `retry_budget` |
 //!
 //! The other decisions:
 //!
-//! | decision | where |
+//! | decision | module |
 //! |---|---|
 //! | which query is next | `fair_queue` |
-//! | which engine | `engine_choice`, in long lists by `sampling`, with `data_set_locks` |
-//! | whether it begins past the load limit | `start_probability` |
-//! | how loaded engines and kinds are | `load` |
+//! | which engine | `engine_choice`, with `data_set_locks`, and `sampling` for long lists |
+//! | whether a query starts above the load limit | `start_probability` |
+//! | load of engines and kinds | `load` |
 //! | which engines are avoided | `outlier_ejection` |
-//! | which attempts are cancelled as lost | `stalled_attempts` |
+//! | which lost attempts are cancelled | `stalled_attempts` |
 //! | which engines get a health check | `health_checks` |
-//! | expected work, memory, grants | `class_statistics`, learned by `attempt_outcome` |
+//! | expected work, expected memory, memory grants | `class_statistics`, updated by `attempt_outcome` |
 
 mod admission;
 mod attempt;
@@ -73,32 +75,32 @@
 use std::collections::{BTreeMap, VecDeque};
 use timers::{Timer, TimerQueue};
 
-/// Seconds kept clear of deadlines, windows and pauses, for travel and the caller's timer.
+/// Safety margin in seconds for deadlines, windows and pauses; covers network delay and the caller's timer resolution.
 const TIME_MARGIN_SECONDS: f64 = 0.02;
-/// Least seconds, cores or work that is divided by, against odd settings.
+/// Lower bound for divisors (seconds, cores or work), so that zero or tiny values in the settings do no harm.
 const MIN_DIVISOR: f64 = 1e-3;
-/// Time constant, in seconds, with which work sent to a kind and the usual work of a query decay.
+/// Decay time constant, in seconds, of the work sent to a kind and of the mean work of admitted queries.
 const WORK_DECAY_SECONDS: f64 = 20.0;
-/// Fraction of cores that a pool keeps busy under load.
+/// Fraction of its cores that a pool can keep busy under sustained load.
 const SUSTAINABLE_UTILISATION: f64 = 0.85;
-/// Time constant, in seconds, with which the observed load and the failure rate of an engine decay; answers from one engine are
-/// rare.
+/// Decay time constant, in seconds, of an engine's observed load and failure rate. Long, because one engine answers a
+/// single gateway rarely.
 const HEALTH_DECAY_SECONDS: f64 = 8.0;
-/// Seconds until a query is placed again whose random start was not granted, or for which no engine may be used; evenly distributed
-/// between these.
+/// Range, in seconds, of the uniformly distributed delay before placement is retried for a query that was refused a
+/// start above the load limit or had no usable engine.
 const MIN_PLACEMENT_RETRY_DELAY_SECONDS: f64 = 0.02;
 const MAX_PLACEMENT_RETRY_DELAY_SECONDS: f64 = 0.06;
-/// Seconds between two calls from which this process counts as having been stalled; ticks come far sooner.
+/// Gap between two calls, in seconds, above which this process counts as stalled. Ticks are far more frequent.
 const STALL_THRESHOLD_SECONDS: f64 = 0.3;
 
-/// An attempt of a query, by its number from 0.
+/// Identifies an attempt by its query and its number within the query, from 0.
 #[derive(Clone, Copy)]
 struct AttemptRef {
     query: QueryId,
     attempt: u32,
 }
 
-/// The decisions of one gateway, with all that they remember. Nothing of it outlives the process.
+/// Admission control of one gateway, with all its state. The state is in memory only and is lost with the process.
 ///
 /// ```
 /// use garnetwall::api::*;
@@ -151,7 +153,7 @@
 /// controller.admit(0.0, query);
 /// assert_eq!(controller.next_action(0.0), NextAction::Place(0));
 /// let Placement::Attempt { engine, .. } = controller.place(0.0, 0) else {
-///     panic!("an idle engine takes it at once");
+///     panic!("an idle engine accepts the query at once");
 /// };
 /// let outcome = AttemptOutcome {
 ///     engine,
@@ -169,9 +171,9 @@
 pub struct AdmissionController {
     settings: Settings,
     rng: Rng,
-    /// When the last event came that moves the virtual clock, in seconds.
+    /// Latest time passed to a call that advances the virtual clock, in seconds.
     last_event_at: f64,
-    /// When this process was last found to go on after a stall, in seconds.
+    /// Time at which the end of the last stall of this process was detected, in seconds.
     resumed_at: f64,
     timers: TimerQueue,
 
@@ -180,40 +182,40 @@
     key_queues: BTreeMap<u64, KeyQueue>,
     tenant_queues: Vec<TenantQueue>,
     fair_clock: FairClock,
-    /// Seconds that an attempt is charged with until its end is known: the longest deadline of a class.
+    /// Service time charged for an attempt until it ends, in seconds: the longest deadline of all classes.
     assumed_service_seconds: f64,
 
     engines: Vec<EngineState>,
-    /// The engines that are ready, by index.
+    /// Indices of the engines in state `Ready`, ascending.
     ready: Vec<EngineId>,
     pool_capacity: PoolCapacity,
     kinds: BTreeMap<usize, KindState>,
-    /// By number, each as engines by priority level.
+    /// Engine sets of each endpoint subset in priority order, by subset number.
     endpoint_subsets: BTreeMap<u32, Vec<EngineSet>>,
 
     class_statistics: Vec<ClassStatistics>,
-    /// Work of the queries admitted lately.
+    /// Decaying mean of the expected work of admitted queries, in seconds on one thread.
     usual_work: DecayingAverage,
     last_admitted: Option<Query>,
     in_flight_time: InFlightTime,
     retry_window: RetryWindow,
-    /// The last load report told the utilisation of cores.
+    /// Whether the latest load report of any engine included its CPU utilisation.
     cpu_reported: bool,
-    /// Health checks that admitted queries have paid for.
+    /// Number of health checks that may be sent; grows with each admitted query.
     health_check_budget: f64,
 
     subscription_due: bool,
-    /// What waits is looked over for shedding once nothing more can begin.
+    /// Whether to run load shedding as soon as no waiting query can be placed.
     shedding_due: bool,
     pending_cancellations: VecDeque<AttemptRef>,
     pending_health_checks: VecDeque<EngineId>,
-    /// Queries that were given up and wait for their answer.
+    /// Queries to be answered without another attempt, in the order in which they were abandoned.
     abandoned: VecDeque<QueryId>,
 }
 
 impl AdmissionController {
-    /// A gateway's decisions from `now` on, in seconds. Gateways need seeds of their own, or they
-    /// choose alike; the lowest bit of a seed does not count.
+    /// Creates a controller whose clock starts at `now`, in seconds. Each gateway needs its own seed, or all gateways
+    /// choose the same engines; the lowest bit of the seed is ignored.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         let classes = &settings.classes;
         let mut timers = TimerQueue::default();
@@ -227,7 +229,7 @@
                 .collect(),
             class_statistics: classes.iter().map(ClassStatistics::new).collect(),
             timers,
-            // One attempt of each class, until there are others.
+            // Initial value: one attempt of each class, each in flight for one second.
             in_flight_time: InFlightTime {
                 thread_seconds: classes.iter().map(|c| c.threads).sum(),
                 seconds: classes.len() as f64,
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Takes note of the time of an event: detects a stall of this process and advances the virtual clock.
+    /// Processes the time of an event: detects a stall of this process and advances the virtual clock.
     fn observe_time(&mut self, now: f64) {
         let elapsed = now - self.last_event_at;
         if elapsed > STALL_THRESHOLD_SECONDS {
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -1,4 +1,4 @@
-//! Queries come in, and their clients leave.
+//! Admits queries, and handles clients that disconnect, return or leave.
 
 use super::query_state::{QueryPhase, QueryState};
 use super::timers::Timer;
@@ -6,8 +6,9 @@
 use crate::api::{Query, QueryClass, QueryId};
 
 impl AdmissionController {
-    /// Admits a query that has been read. Its answer follows by [`Self::place`], [`Self::outcome_unknown`] or
-    /// [`Self::attempt_ended`], unless its client leaves. A tenant that the settings do not have counts as the last one.
+    /// Admits a query that has been read completely. Unless its client leaves, the final answer is returned by
+    /// [`Self::place`], [`Self::outcome_unknown`] or [`Self::attempt_ended`], or an attempt succeeds. A tenant number
+    /// beyond the settings counts as the last tenant.
     pub fn admit(&mut self, now: f64, query: Query) {
         self.observe_time(now);
         let query = Query {
@@ -38,7 +39,8 @@
         let work = self.expected_work(query);
         self.usual_work.add(now, WORK_DECAY_SECONDS, work);
         self.last_admitted = Some(*query);
-        // Queries bound to kinds count for these at once: a kind must not look idle because its queries are shed.
+        // The work of queries restricted to kinds counts at admission: a kind must not look idle because its queries
+        // are shed.
         let kinds = &self.settings.classes[query.class].kinds;
         for kind in kinds.iter().flatten() {
             let kind = self.kinds.entry(*kind as usize).or_default();
@@ -46,8 +48,9 @@
         }
     }
 
-    /// Takes over changed classes, in the order of the settings. Whether they keep order stays as it was. Threads and kinds have
-    /// to stay the same while attempts are in flight, which are counted by them.
+    /// Replaces the settings of the classes, in the order of [`crate::api::Settings::classes`]. `in_order` keeps its
+    /// old value. Threads and kinds must not change while attempts are in flight, because totals are updated with their
+    /// values at the start and at the end of each attempt.
     pub fn update_classes(&mut self, classes: &[QueryClass]) {
         for (old, new) in self.settings.classes.iter_mut().zip(classes) {
             *old = QueryClass {
@@ -57,7 +60,8 @@
         }
     }
 
-    /// A query's client has left for good: no answer is owed, and an attempt in flight is cancelled where the settings allow it.
+    /// Reports that the client of a query has left permanently. The query gets no answer, and an attempt in flight is
+    /// cancelled if the settings allow it.
     pub fn client_left(&mut self, now: f64, id: QueryId) {
         self.observe_time(now);
         if let Some(state) = self.queries.get(&id) {
@@ -72,13 +76,13 @@
         self.finish(now, id);
     }
 
-    /// A client waits for the query from now on, for the first time or again.
+    /// Reports that a client waits for the query, for the first time or again. The query may now be sent.
     pub fn client_joined(&mut self, now: f64, id: QueryId) {
         self.set_client_absent(now, id, false);
     }
 
-    /// The connection of the query's last client is lost. The client may come back at once; until then its query is not
-    /// sent.
+    /// Reports that the connection of the query's last client is lost. The client may reconnect; until then no attempt
+    /// of the query starts.
     pub fn client_disconnected(&mut self, now: f64, id: QueryId) {
         self.set_client_absent(now, id, true);
     }
@@ -102,14 +106,15 @@
         }
     }
 
-    /// The body of a query is not stored any more: no further attempt of it begins.
+    /// Reports that the body of a query is no longer stored. The query is not retried.
     pub fn body_discarded(&mut self, id: QueryId) {
         if let Some(state) = self.queries.get_mut(&id) {
             state.body_discarded = true;
         }
     }
 
-    /// The gateway shuts down, and all answers are due at a time in seconds: no query that is open now has a later deadline.
+    /// Limits the deadlines of all open queries to `answers_due`, in seconds. The caller does this when the gateway
+    /// shuts down.
     pub fn cap_deadlines(&mut self, answers_due: f64) {
         for state in self.queries.values_mut() {
             state.deadline = state.deadline.min(answers_due);
--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -1,11 +1,11 @@
-//! The life of an attempt: its beginning, an unknown outcome, and its end.
+//! Handles the start of an attempt, an unknown outcome, and the end of an attempt.
 //!
-//! | state | how it is left |
+//! | state | transition out of the state |
 //! |---|---|
-//! | in flight | by [`AdmissionController::attempt_ended`], always and once |
-//! | in flight, outcome unknown | the same; until then the query's client may already have its answer, and the key stays held |
+//! | in flight | [`AdmissionController::attempt_ended`], exactly once |
+//! | in flight, outcome unknown | the same; the client may have its answer earlier, but the ordering key stays held |
 //!
-//! Rule: a query whose attempt may have run counts as such until every one of its attempts is proved not to have run.
+//! Rule: a query counts as one that may have run until each of its attempts is proved not to have run.
 
 use super::attempt_state::Attempt;
 use super::query_state::{QueryPhase, QueryState};
@@ -13,7 +13,7 @@
 use crate::api::{AttemptEnd, AttemptOutcome, EngineId, FollowUp, Placement, Query, QueryId};
 
 impl AdmissionController {
-    /// Begins an attempt of a queued query at an engine that was chosen for it.
+    /// Starts an attempt of a queued query at the chosen engine.
     pub(super) fn begin_attempt(&mut self, now: f64, id: QueryId, engine: EngineId) -> Placement {
         self.dequeue(id);
         let query = self.queries[&id].query;
@@ -21,7 +21,7 @@
         if self.queries[&id].attempts > 0 {
             self.count_retry(now, query.class);
         }
-        let state = self.queries.get_mut(&id).expect("it was queued");
+        let state = self.queries.get_mut(&id).expect("a query being placed has a state");
         state.phase = QueryPhase::InFlight;
         state.attempts += 1;
         state.in_flight = Some(Attempt::new(engine, now, memory));
@@ -31,7 +31,7 @@
         self.charge_attempt(query.tenant, threads);
         self.spend_slow_start_budget(now, engine, work);
         self.add_in_flight(now, engine, &query, memory);
-        // What the deduplication window does not cover on its arrival must not be sent: its connection may be slow.
+        // A retry must reach the engine within the deduplication window, even if the connection is slow.
         let deduplication_time_left = self.deduplication_time_left(now, &self.queries[&id]);
         Placement::Attempt {
             engine,
@@ -44,7 +44,7 @@
     fn add_in_flight(&mut self, now: f64, engine: EngineId, query: &Query, memory: f64) {
         let class = &self.settings.classes[query.class];
         let threads = class.threads;
-        // Queries that are bound to kinds have counted at their admission.
+        // The work of queries that are restricted to kinds was counted at admission.
         let newly_counted_work = match class.kinds {
             None => self.expected_work(query),
             Some(_) => 0.0,
@@ -66,8 +66,9 @@
         kind.memory_in_flight -= attempt.memory;
     }
 
-    /// The end of an attempt is not known and may not be in time. Returns what is answered now. The attempt stays in
-    /// flight and its query's ordering key held until [`Self::attempt_ended`].
+    /// Reports that the outcome of an attempt is unknown and may not become known before the deadline. Returns the
+    /// final answer if no retry is possible. The attempt stays in flight, and its query keeps its ordering key, until
+    /// [`Self::attempt_ended`] is called.
     pub fn outcome_unknown(&mut self, now: f64, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
         self.observe_time(now);
         let Some(state) = self.queries.get_mut(&id) else {
@@ -94,8 +95,8 @@
         FollowUp::Answer(self.final_answer(now, id))
     }
 
-    /// An attempt has ended: it is not in flight any more, and either has run or never will. To be called once for each
-    /// attempt. Returns what follows for its query.
+    /// Reports that an attempt has ended: it has run, or it never will. The caller must do this exactly once for each
+    /// attempt. Returns the consequence for its query.
     pub fn attempt_ended(&mut self, now: f64, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
         self.observe_time(now);
         let Some(state) = self.queries.get_mut(&id) else {
@@ -127,7 +128,7 @@
     }
 }
 
-/// Whether an attempt that ended so provably never ran.
+/// Returns whether an attempt that ended like this provably never ran.
 fn never_ran(end: AttemptEnd) -> bool {
     match end {
         AttemptEnd::Rejected
--- a/src/controller/attempt_outcome.rs
+++ b/src/controller/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt shows of its engine and of its query's class.
+//! Updates the statistics of an engine and of a query class from the outcome of an attempt.
 
 use super::attempt_state::Attempt;
 use super::load::{MAX_OBSERVED_LOAD, SLOWDOWN_AT_LOAD_LIMIT};
@@ -6,7 +6,8 @@
 use crate::api::{AttemptEnd, AttemptOutcome, Query};
 
 impl AdmissionController {
-    /// Records an outcome, once for each attempt: how long it was in flight, load, failure rate and class statistics.
+    /// Records an outcome: time in flight, inferred load, failure rate and class statistics. This happens once for each
+    /// attempt.
     pub(super) fn record_outcome(
         &mut self,
         now: f64,
@@ -32,7 +33,8 @@
                 self.record_rejection(now, attempt.engine);
                 self.infer_load(now, attempt.engine, MAX_OBSERVED_LOAD);
             }
-            // An engine that has answered others since the attempt began works; the attempt was slow, or nobody waited for it.
+            // The engine works, since it has answered another attempt after this one started. This attempt was only
+            // slow, or it was cancelled because no client waited for it.
             AttemptEnd::TimedOut | AttemptEnd::Cancelled if self.has_succeeded_since(attempt) => {}
             AttemptEnd::NotNeeded | AttemptEnd::NotSent => {}
             AttemptEnd::Failed
@@ -43,8 +45,9 @@
         }
     }
 
-    /// Latency over bare work. An attempt that was in flight while this process was stalled counts as one without delay: its
-    /// answer may have waited here.
+    /// Returns the slowdown of an attempt: the ratio of its latency to its uncontended run time (work divided by
+    /// threads). Returns 0 for an attempt that was in flight while this process was stalled, because its answer may
+    /// have waited in this process.
     fn slowdown(&self, query: &Query, attempt: &Attempt, outcome: &AttemptOutcome) -> f64 {
         let was_stalled = attempt.begun_at < self.resumed_at;
         let latency = if was_stalled { 0.0 } else { outcome.latency };
--- a/src/controller/attempt_state.rs
+++ b/src/controller/attempt_state.rs
@@ -1,22 +1,23 @@
-//! What is kept of an attempt while it is in flight.
+//! Holds the state of an attempt while it is in flight.
 
 use crate::api::EngineId;
 
-/// An attempt in flight.
+/// State of an attempt in flight.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) engine: EngineId,
-    /// When it began, in seconds.
+    /// Start time of the attempt, in seconds.
     pub(crate) begun_at: f64,
-    /// When it began, or its last progress event came.
+    /// Time of the last progress event, or of the start if there was none, in seconds.
     pub(crate) last_progress_at: f64,
-    /// Expected memory in megabytes.
+    /// Expected memory of the attempt, in megabytes.
     pub(super) memory: f64,
-    /// It has counted as load for taking too long.
+    /// Whether the attempt was already counted as load because it is overdue.
     pub(crate) counted_overdue: bool,
-    /// Its outcome was recorded while its end was unknown.
+    /// Whether the outcome was already recorded when it was reported as unknown.
     pub(super) outcome_recorded: bool,
-    /// Its query counts as one that may have run because of this attempt alone, whose outcome is not known yet.
+    /// Whether this attempt, whose outcome is unknown, is the only reason why its query counts as one that may have
+    /// run.
     pub(super) sole_cause_of_may_have_run: bool,
 }
 
--- a/src/controller/averages.rs
+++ b/src/controller/averages.rs
@@ -1,8 +1,8 @@
-//! Averages that decay, estimates that learn, and counts over a sliding window.
+//! Provides decaying averages, an estimator that corrects estimates by measurements, and sliding-window counts.
 
 use std::collections::VecDeque;
 
-/// A sum and mean of samples whose weight decays exponentially with their age.
+/// Sum and mean of samples whose weights decay exponentially with their age.
 #[derive(Default)]
 pub(crate) struct DecayingAverage {
     sum: f64,
@@ -11,7 +11,7 @@
 }
 
 impl DecayingAverage {
-    /// The share of its weight that a sample of the last update still has.
+    /// Returns the factor by which the weights have decayed since the last update.
     fn decay(&self, now: f64, decay_seconds: f64) -> f64 {
         (-(now - self.updated_at).max(0.0) / decay_seconds).exp()
     }
@@ -24,31 +24,32 @@
         self.updated_at = now;
     }
 
-    /// The decayed sum of all samples.
+    /// Returns the decayed sum of all samples.
     pub(crate) fn sum(&self, now: f64, decay_seconds: f64) -> f64 {
         self.sum * self.decay(now, decay_seconds)
     }
 
-    /// The decayed mean, with `zero_weight` samples of 0 mixed in: few old samples then count little.
+    /// Returns the decayed mean. `zero_weight` is the weight of an additional sample of 0 that does not decay, so that
+    /// the mean falls towards 0 as the samples age.
     pub(crate) fn mean(&self, now: f64, decay_seconds: f64, zero_weight: f64) -> f64 {
         let decay = self.decay(now, decay_seconds);
         self.sum * decay / (self.weight * decay + zero_weight)
     }
 }
 
-/// Corrects the callers' estimates of a quantity by what was measured, or stands in for them.
+/// Corrects estimates of a quantity by earlier measurements, and provides a mean for cases without an estimate.
 #[derive(Default)]
 pub(crate) struct Estimator {
-    /// Mean of all measurements.
+    /// Moving average of all measurements.
     pub(crate) mean_measured: f64,
-    /// Mean of the estimates that came with a query.
+    /// Moving average of the estimates that came with queries.
     mean_estimate: f64,
-    /// Mean of the measurements of these queries.
+    /// Moving average of the measurements of the queries that came with an estimate.
     mean_measured_of_estimated: f64,
 }
 
 impl Estimator {
-    /// An estimator that says `initial` until something is measured.
+    /// Creates an estimator whose mean is `initial` until the first measurement.
     pub(crate) fn starting_at(initial: f64) -> Self {
         Estimator {
             mean_measured: initial,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes in a measurement, which counts with `weight` from 0 to 1, and the estimate that came before it.
+    /// Adds a measurement with a weight from 0 to 1, and the estimate that preceded it, if any.
     pub(crate) fn learn(&mut self, weight: f64, measured: f64, estimate: Option<f64>) {
         self.mean_measured += weight * (measured - self.mean_measured);
         if let Some(estimate) = estimate {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// The expected measurement: the estimate scaled by how estimates erred, or the mean without one.
+    /// Returns the expected measurement: the estimate, scaled by the ratio of measurements to estimates so far, or the
+    /// mean of all measurements if there is no estimate.
     pub(crate) fn expected(&self, estimate: Option<f64>) -> f64 {
         match estimate {
             Some(estimate) if self.mean_estimate > 0.0 => {
@@ -78,7 +80,8 @@
     }
 }
 
-/// Events by their times, in seconds, counted over a sliding window. Times must not run backwards.
+/// Times of events in seconds, for counting events in a sliding window. Events must be added in the order of their
+/// times.
 #[derive(Default)]
 pub(crate) struct SlidingWindow(VecDeque<f64>);
 
@@ -87,12 +90,12 @@
         self.0.push_back(at);
     }
 
-    /// How many events there were at `from` or later.
+    /// Returns the number of events at or after `from`, in seconds.
     pub(crate) fn count_since(&self, from: f64) -> f64 {
         (self.0.len() - self.0.partition_point(|at| *at < from)) as f64
     }
 
-    /// Drops the events before a time.
+    /// Removes the events before the time `before`, in seconds.
     pub(crate) fn expire_before(&mut self, before: f64) {
         while self.0.front().is_some_and(|at| *at < before) {
             self.0.pop_front();
--- a/src/controller/candidate.rs
+++ b/src/controller/candidate.rs
@@ -1,15 +1,15 @@
-//! What a choice knows of one engine.
+//! Defines the candidates among which an engine is chosen for a query.
 
 use super::engine_state::EngineState;
 use crate::api::EngineId;
 
-/// An engine that a query may go to.
+/// Engine that may run the query.
 pub(crate) struct Candidate {
     pub(crate) engine: EngineId,
     pub(crate) kind: usize,
-    /// Cores that it can use now.
+    /// Number of cores that the engine can use now.
     pub(crate) effective_cores: f64,
-    /// Our threads for each of these; `None` of an engine that was not contacted yet.
+    /// This gateway's threads in flight per effective core; `None` if the engine has not been contacted yet.
     pub(crate) threads_per_core: Option<f64>,
 }
 
--- a/src/controller/class_statistics.rs
+++ b/src/controller/class_statistics.rs
@@ -1,36 +1,37 @@
-//! Work, memory and slowdown of a query class, learned from answers; they give expected work and memory grants.
+//! Learns the work, memory and slowdown of each query class from answers, and derives expected work and memory grants.
 
 use super::averages::Estimator;
 use super::retry_budget::RetryWindow;
 use super::{AdmissionController, MIN_DIVISOR};
 use crate::api::{AttemptOutcome, EngineId, Query, QueryClass};
 
-/// Weight of one answer in the averages, once there are enough answers.
+/// Minimum weight of one answer in the averages. The first answers have larger weights.
 const ANSWER_WEIGHT: f64 = 0.02;
-/// Slowdown that one answer counts as at most.
+/// Upper limit of the slowdown of one answer.
 const MAX_SLOWDOWN: f64 = 20.0;
-/// Share of the class's queries whose memory need a grant covers.
+/// Fraction of a class's queries whose memory should be covered by their grant.
 const GRANT_COVERAGE: f64 = 0.85;
-/// Part of the grant factor by which one answer moves it.
+/// Step size for adjusting the grant factor after each answer, as a fraction of the factor.
 const GRANT_STEP: f64 = 0.05;
-/// Grant over the estimate until answers tell.
+/// Ratio of grant to estimate until the first measurement.
 const INITIAL_GRANT_FACTOR: f64 = 2.0;
-/// Share of the class's deadline that is taken as its work until answers tell.
+/// Initial expected work of a class, as a fraction of its deadline.
 const INITIAL_WORK_DEADLINE_FRACTION: f64 = 0.1;
 
-/// What the answers of a query class have shown.
+/// Statistics of a query class, learned from successful answers.
 #[derive(Default)]
 pub(crate) struct ClassStatistics {
+    /// Number of successful answers.
     pub(crate) answers: u32,
     /// Work in seconds on one thread.
     work: Estimator,
     /// Memory in megabytes.
     memory: Estimator,
-    /// Grant over the estimate.
+    /// Ratio of the memory grant to the memory estimate.
     grant_factor: f64,
-    /// Latency over bare work, 1 at least.
+    /// Mean ratio of latency to uncontended run time (work divided by threads); at least 1.
     pub(crate) slowdown: f64,
-    /// Used where the class has a retry budget of its own.
+    /// Admissions and retries of the class; recorded only if the class has its own retry budget.
     pub(crate) retry_window: RetryWindow,
 }
 
@@ -46,7 +47,8 @@
 }
 
 impl AdmissionController {
-    /// Takes in a successful answer; `slowdown` is its latency over its bare work.
+    /// Updates the statistics from a successful answer. `slowdown` is the ratio of its latency to its uncontended run
+    /// time.
     pub(super) fn learn_from_answer(
         &mut self,
         query: &Query,
@@ -71,19 +73,20 @@
         statistics.slowdown += weight * (slowdown - statistics.slowdown);
     }
 
-    /// Expected work of a query, in seconds on one thread.
+    /// Returns the expected work of a query, in seconds on one thread.
     pub(super) fn expected_work(&self, query: &Query) -> f64 {
         let statistics = &self.class_statistics[query.class];
         statistics.work.expected(query.estimated_work)
     }
 
-    /// Expected memory of a query in megabytes; 0 where nothing tells.
+    /// Returns the expected memory of a query in megabytes; 0 without an estimate or a measurement.
     pub(super) fn expected_memory(&self, query: &Query) -> f64 {
         let statistics = &self.class_statistics[query.class];
         statistics.memory.expected(query.estimated_memory)
     }
 
-    /// The memory grant of a query at an engine, in megabytes, where the settings have grants and it has an estimate.
+    /// Returns the memory grant of a query at an engine, in megabytes; `None` if grants are disabled or the query has
+    /// no estimate of its memory.
     pub(super) fn memory_grant(&self, query: &Query, engine: EngineId) -> Option<f64> {
         let estimate = query
             .estimated_memory
--- a/src/controller/data_set_locks.rs
+++ b/src/controller/data_set_locks.rs
@@ -1,11 +1,13 @@
-//! Engines on which a data set is locked: a query that loads it runs there, and readers would stand still.
+//! Finds the engines on which a data set is locked because a query that loads it is running there. Other queries for
+//! the data set would block on these engines.
 
 use super::query_state::QueryState;
 use super::AdmissionController;
 use crate::api::{EngineId, Query};
 
 impl AdmissionController {
-    /// Engines where a query of ours that loads data locks the data set. None where the class neither loads data nor waits for it.
+    /// Returns the engines on which a query of this gateway locks the query's data set. The list is empty if the
+    /// query's class neither loads data nor waits for loads.
     pub(super) fn engines_with_locked_data(&self, query: &Query) -> Vec<EngineId> {
         let class = &self.settings.classes[query.class];
         if !class.loads_data && !class.waits_for_data_loads {
--- a/src/controller/eligibility.rs
+++ b/src/controller/eligibility.rs
@@ -1,10 +1,18 @@
-//! Whether the rules let an attempt of a query begin now, and at which engines.
+//! Checks whether the rules allow an attempt of a query to start now, and at which engines.
 //!
-//! Rules: at most one attempt of a query in flight; no attempt after the deadline or without a client; no second
-//! effect (idempotency, its window and scope); no attempt at a draining or removed engine; placement by zone, kind and
-//! endpoint subset; the retry budget; the work budget of an engine in slow start. Every attempt passes
-//! [`AdmissionController::may_begin_attempt`] and [`AdmissionController::engine_eligible`]. Whether an eligible engine is
-//! avoided, full or simply not the best is decided in `outlier_ejection`, `load` and `engine_choice`.
+//! Rules:
+//!
+//! - A query has at most one attempt in flight.
+//! - No attempt starts after the deadline or while the client is absent.
+//! - No attempt repeats an effect (idempotency, deduplication window and scope).
+//! - No attempt goes to a draining or removed engine.
+//! - The zone, the kind and the endpoint subset restrict the placement.
+//! - Retries stay within the retry budget.
+//! - Work for an engine in slow start stays within its work budget.
+//!
+//! Each attempt is checked by [`AdmissionController::may_begin_attempt`] and [`AdmissionController::engine_eligible`].
+//! The modules `outlier_ejection`, `load` and `engine_choice` decide which of the eligible engines to avoid and which
+//! to use.
 
 use super::candidate::Candidate;
 use super::query_state::{QueryPhase, QueryState};
@@ -12,7 +20,7 @@
 use crate::api::{DeduplicationScope, EndpointState, EngineId, Idempotency};
 
 impl AdmissionController {
-    /// Whether the rules let an attempt of this query begin now, whichever the engine.
+    /// Returns whether the rules allow an attempt of this query to start now, regardless of the engine.
     pub(super) fn may_begin_attempt(&self, now: f64, state: &QueryState) -> bool {
         state.phase == QueryPhase::Queued
             && !state.client_absent
@@ -21,7 +29,7 @@
             && (state.attempts == 0 || self.may_retry(now, state))
     }
 
-    /// Whether the rules let a query have another attempt at any engine.
+    /// Returns whether the rules allow another attempt of the query, regardless of the engine.
     pub(super) fn may_retry(&self, now: f64, state: &QueryState) -> bool {
         self.deduplication_time_left(now, state) > 0.0
             && !state.body_discarded
@@ -30,8 +38,8 @@
             && self.retry_budget_left(now, state.query.class)
     }
 
-    /// Whether the rules let an attempt of a query that may begin one go to this engine. `work` is the query's
-    /// expected work in seconds on one thread.
+    /// Returns whether the rules allow an attempt of the query at this engine. The caller has already checked
+    /// [`Self::may_begin_attempt`]. `work` is the query's expected work in seconds on one thread.
     pub(super) fn engine_eligible(
         &self,
         now: f64,
@@ -54,7 +62,8 @@
             && self.within_slow_start_budget(now, candidate, work)
     }
 
-    /// Seconds for which another attempt can still reach an engine without a second effect.
+    /// Returns the time left for another attempt to reach an engine without repeating the effect, in seconds: infinite
+    /// if no attempt may have run or the query is idempotent; zero or negative if no further attempt is allowed.
     pub(super) fn deduplication_time_left(&self, now: f64, state: &QueryState) -> f64 {
         let Some(first) = state.may_have_run else {
             return f64::INFINITY;
@@ -77,7 +86,7 @@
             .any(|level| level.contains(engine))
     }
 
-    /// Whether the engine would recognise a repeat of the first attempt that may have run.
+    /// Returns whether the engine would recognise a repeat of the first attempt that may have run, or need not.
     fn in_deduplication_scope(&self, state: &QueryState, engine: EngineId) -> bool {
         let class = &self.settings.classes[state.query.class];
         let (Idempotency::IdempotentByKey { scope, .. }, Some(first)) =
@@ -95,7 +104,7 @@
     }
 }
 
-/// Whether the deadline is far enough off for an attempt to begin.
+/// Returns whether the time until the deadline exceeds [`TIME_MARGIN_SECONDS`].
 fn has_time_left(now: f64, state: &QueryState) -> bool {
     now < state.deadline - TIME_MARGIN_SECONDS
 }
--- a/src/controller/endpoint_list.rs
+++ b/src/controller/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as the module knows it: which engines are ready, their capacity, and the endpoint subsets that
-//! queries may be confined to.
+//! Keeps the endpoint list: the ready engines, their total capacity, and the endpoint subsets to which queries may be
+//! restricted.
 
 use super::engine_state::WorkBudget;
 use super::slow_start::gateways_of;
@@ -7,16 +7,16 @@
 use crate::api::{Endpoint, EndpointState, EngineId, EngineSet, ListScope};
 use std::collections::BTreeSet;
 
-/// Cores of an engine whose kind the settings do not know.
+/// Number of cores of an engine whose kind is not in the settings.
 const CORES_OF_UNKNOWN_KIND: f64 = 1.0;
 
-/// Sums over engines that are ready.
+/// Sums over ready engines.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PoolCapacity {
     pub(crate) cores: f64,
-    /// Megabytes, of the engines whose memory is known.
+    /// Memory of the engines whose memory is known, in megabytes.
     pub(crate) memory: f64,
-    /// Gateways that do not work with an engine, times its cores.
+    /// Sum over the engines of the number of gateways that do not use the engine, multiplied by its cores.
     absent_gateway_cores: f64,
 }
 
@@ -27,7 +27,7 @@
         self.absent_gateway_cores += (all_gateways - engine.gateways) * engine.cores;
     }
 
-    /// Gateways that work with one of the engines, in the mean over cores.
+    /// Returns the mean number of gateways that use an engine, weighted by cores.
     pub(crate) fn gateways(&self, all_gateways: f64) -> f64 {
         if self.absent_gateway_cores > 0.0 {
             all_gateways - self.absent_gateway_cores / self.cores
@@ -38,7 +38,7 @@
 }
 
 impl AdmissionController {
-    /// Takes in endpoints. Engines that a full list does not name are removed.
+    /// Updates the endpoint list. With [`ListScope::Full`], engines that are not in `endpoints` are removed.
     pub fn update_endpoints(&mut self, endpoints: &[Endpoint], scope: ListScope) {
         if scope == ListScope::Full {
             self.remove_unlisted(endpoints);
@@ -49,13 +49,15 @@
         self.recount_capacity();
     }
 
-    /// The endpoint list could not be had: it is subscribed to again where it comes to subscribers only.
+    /// Reports that the endpoint list could not be received. If the list is sent to subscribers only, the next action
+    /// is to subscribe again.
     pub fn endpoint_list_failed(&mut self) {
         self.subscription_due = self.settings.subscription_required;
     }
 
-    /// Sets the engines of an endpoint subset by priority level, or removes the subset. It narrows what the rules allow:
-    /// an engine of a later level is used only where no earlier one has any that may be.
+    /// Sets the engines of an endpoint subset in priority order, or removes the subset if `levels` is `None`. A subset
+    /// only restricts the engines that the other rules allow. An engine of a lower priority level is used only if no
+    /// engine of the higher levels is usable.
     pub fn update_endpoint_subset(&mut self, subset: u32, levels: Option<Vec<EngineSet>>) {
         match levels {
             Some(levels) => {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// The engines of an endpoint subset by priority level; none of one that is not known.
+    /// Returns the engines of an endpoint subset in priority order; no levels for an unknown subset.
     pub(super) fn priority_levels(&self, subset: u32) -> &[EngineSet] {
         self.endpoint_subsets
             .get(&subset)
@@ -104,7 +106,7 @@
         self.update_ready(endpoint.engine);
     }
 
-    /// Keeps the list of ready engines, which is ordered by index.
+    /// Adds an engine to or removes it from the list of ready engines, which is sorted by index.
     fn update_ready(&mut self, id: EngineId) {
         match (self.engines[id].is_ready(), self.ready.binary_search(&id)) {
             (true, Err(position)) => self.ready.insert(position, id),
@@ -115,7 +117,8 @@
         }
     }
 
-    /// Sums up the ready engines, always by index, so that the sums depend on the list alone and not on its history.
+    /// Recomputes the sums over the ready engines in index order, so that rounding does not depend on the history of
+    /// changes.
     fn recount_capacity(&mut self) {
         let all_gateways = self.settings.gateways;
         self.pool_capacity = PoolCapacity::default();
@@ -130,8 +133,8 @@
     }
 }
 
-/// Whether an endpoint is another process than the one known there: it started at another time, or, where no start is
-/// known, has come back after it was removed.
+/// Returns whether an endpoint is a different process from the one known at its index: its start time differs or, if
+/// the start time is unknown, it is listed again after its removal.
 fn is_new_process(known: Option<&Endpoint>, endpoint: &Endpoint) -> bool {
     let Some(known) = known else {
         return true;
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -1,5 +1,5 @@
-//! Which engine a query's attempt goes to: the one with the fewest of our threads a core, of those under the load limit if there
-//! are any. Past the limit the query begins there by chance only (`start_probability`).
+//! Chooses the engine for an attempt: the one with the fewest threads of this gateway per core, if possible among those
+//! below the load limit. Above the limit, the query starts only with a certain probability (`start_probability`).
 
 use super::candidate::Candidate;
 use super::load::engine_load;
@@ -13,55 +13,56 @@
 };
 use crate::api::{EngineId, Placement, Query, QueryId};
 
-/// Engines that a choice looks at in a list of over twice as many.
+/// Size of the sample of engines that is examined if the list is more than twice as long.
 const SAMPLE_SIZE: usize = 256;
-/// Candidates of a sample below which the whole list is looked through.
+/// Number of candidates in a sample below which the whole list is examined.
 const MIN_SAMPLED_CANDIDATES: usize = 32;
-/// Random part of an engine's load in a choice, in units of the load limit: gateways that know the same must not all
-/// choose the same.
+/// Upper limit of the random addition to an engine's load, in units of the load limit. Keeps gateways with the same
+/// information from all choosing the same engine.
 const LOAD_JITTER: f64 = 0.3;
 
-/// The engines that a query may go to now.
+/// Engines that a query may use now.
 struct Candidates {
     engines: Vec<Candidate>,
-    /// The share of the ready engines that was looked at.
+    /// Fraction of the ready engines that was examined.
     sampled_share: f64,
 }
 
-/// What is alike for all candidates of a kind.
+/// Values shared by all candidates of a kind.
 struct KindSummary {
     kind: usize,
-    /// Sum over the engines of the kind that are open to the query.
+    /// Effective cores of all engines of the kind that the query may use; extrapolated if a sample was examined.
     effective_cores: f64,
-    /// Load at which engines of the kind run, in units of the load limit.
+    /// Load of the kind, in units of the load limit.
     load: f64,
-    /// Our recent work for each of these cores.
+    /// Recent work of this gateway for the kind, in seconds on one thread per effective core.
     work_per_core: f64,
 }
 
-/// What candidates are compared by, the most important first; the lowest is chosen. Few attempts are in flight, so threads a core
-/// often tie exactly; the later fields break ties.
+/// Sort key of candidates, most important field first; the candidate with the lowest rank is chosen. With few attempts
+/// in flight, the threads per core are often exactly equal, and the later fields break the tie.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
-    /// It is past the load limit with the query, or the data set is locked there.
+    /// Whether the engine, with the query, is at or above the load limit, or the data set is locked there.
     is_last_resort: bool,
-    /// Our threads a core, with the engine's failure rate on top.
+    /// This gateway's threads per core plus the engine's failure rate.
     threads_per_core: f64,
     kind_work_per_core: f64,
     load_with_jitter: f64,
 }
 
-/// The best candidate.
+/// Candidate with the lowest rank.
 struct Choice {
     rank: Rank,
     engine: EngineId,
     kind: usize,
-    /// Its load with the query, in units of the load limit.
+    /// Load of the engine with the query, in units of the load limit.
     load: f64,
 }
 
 impl AdmissionController {
-    /// What happens to a query now. To be called for each [`crate::api::NextAction::Place`].
+    /// Decides what happens to a query now: an attempt, a wait or a final answer. The caller does this for each
+    /// [`crate::api::NextAction::Place`].
     pub fn place(&mut self, now: f64, id: QueryId) -> Placement {
         self.observe_time(now);
         let Some(state) = self.queries.get(&id) else {
@@ -88,14 +89,14 @@
         Placement::Wait
     }
 
-    /// The engine at which an attempt of the query begins now, if any.
+    /// Returns the engine at which an attempt of the query starts now; `None` if no attempt starts.
     fn choose(&mut self, now: f64, id: QueryId) -> Option<EngineId> {
         let candidates = self.candidates(now, id);
         let query = self.queries[&id].query;
         let kinds = self.summarize_kinds(now, &candidates);
         let locked = self.engines_with_locked_data(&query);
         let choice = self.best_candidate(now, &query, &candidates, &kinds, &locked)?;
-        // Where data is locked the query would stand still, which costs capacity.
+        // On an engine where its data set is locked, the query would block and use up the gateway's capacity.
         if locked.contains(&choice.engine) && self.open_queries_left() < 0.0 {
             return None;
         }
@@ -148,7 +149,8 @@
         best
     }
 
-    /// The engines that a query may go to now, by index; of a long list those of a random sample.
+    /// Returns the engines that a query may use now. If the list is long and the query has no endpoint subset, only a
+    /// random sample is examined, unless it contains too few candidates.
     fn candidates(&mut self, now: f64, id: QueryId) -> Candidates {
         let state = &self.queries[&id];
         if !self.may_begin_attempt(now, state) {
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Of some engines those that a query may go to now; in an endpoint subset those of the first priority level that
-    /// has any.
+    /// Returns those of `engines` that a query may use now. If the query has an endpoint subset, these are the engines
+    /// of the first priority level that contains any.
     fn eligible_of(&self, now: f64, id: QueryId, engines: &[EngineId]) -> Vec<Candidate> {
         let state = &self.queries[&id];
         let work = self.expected_work(&state.query);
@@ -211,7 +213,7 @@
             .then_some(candidate)
     }
 
-    /// What is alike for the candidates of each kind, by kind.
+    /// Returns the summaries of the candidates' kinds, sorted by kind.
     fn summarize_kinds(&self, now: f64, candidates: &Candidates) -> Vec<KindSummary> {
         let mut kinds: Vec<KindSummary> = Vec::new();
         for candidate in &candidates.engines {
@@ -239,13 +241,14 @@
     }
 }
 
-/// The summary of a candidate's kind; there is one for each.
+/// Returns the summary of a kind, which must be the kind of one of the candidates.
 fn kind_of(kinds: &[KindSummary], kind: usize) -> &KindSummary {
     let position = kinds.partition_point(|summary| summary.kind < kind);
     &kinds[position]
 }
 
-/// Our threads a core in the mean over the engines that were contacted.
+/// Returns the mean of this gateway's threads per core over the candidates that have been contacted; 0 if there are
+/// none.
 fn mean_threads_per_core(candidates: &[Candidate]) -> f64 {
     let mut count = 0;
     let mut sum = 0.0;
--- a/src/controller/engine_state.rs
+++ b/src/controller/engine_state.rs
@@ -1,20 +1,21 @@
-//! What is known of an engine, and what this gateway has in flight there.
+//! Holds the state of an engine and the totals of this gateway's attempts in flight there.
 
 use super::HEALTH_DECAY_SECONDS;
 use crate::api::{Endpoint, EndpointState, Query};
 
-/// An engine that the endpoint list has named.
+/// State of an engine, by the endpoint list and by this gateway's observations.
 #[derive(Default)]
 pub(crate) struct EngineState {
     pub(crate) endpoint: Option<Endpoint>,
     pub(crate) cores: f64,
-    /// Megabytes; `None` where the settings do not say.
+    /// Memory in megabytes; `None` if the settings do not give it for the engine's kind.
     pub(crate) memory: Option<f64>,
-    /// Gateways that work with it, this one included.
+    /// Number of gateways that use the engine, including this one.
     pub(crate) gateways: f64,
-    /// An attempt or a health check there has ended, in whatever way, or a load report has come, since its start.
+    /// Whether an attempt or a health check has ended (with any result) or a load report has arrived since the engine's
+    /// start.
     pub(crate) contacted: bool,
-    /// A random number from 0 to 1, drawn at its start, that keeps gateways out of step.
+    /// Random number from 0 to 1, drawn at the engine's start, that keeps gateways from acting at the same time.
     pub(crate) jitter: f64,
     pub(crate) in_flight: InFlightTotals,
     pub(crate) load: ObservedLoad,
@@ -23,7 +24,7 @@
     pub(crate) work_budget: WorkBudget,
 }
 
-/// This gateway's attempts in flight at an engine.
+/// Totals over this gateway's attempts in flight at an engine.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct InFlightTotals {
     pub(crate) threads: f64,
@@ -47,7 +48,7 @@
 }
 
 impl EngineState {
-    /// An engine of which nothing has been received yet.
+    /// Creates the state of an engine for which no endpoint has been received yet.
     pub(crate) fn new(cores: f64, memory: Option<f64>) -> Self {
         EngineState {
             cores,
@@ -65,8 +66,8 @@
             .is_some_and(|endpoint| endpoint.state == EndpointState::Ready)
     }
 
-    /// Forgets what was learned of the process before: another one has started in its place. What is in flight
-    /// there stays.
+    /// Resets everything learned about the previous process, since a new process has started at this index. Attempts in
+    /// flight are kept.
     pub(crate) fn reset_for_new_process(&mut self) {
         *self = EngineState {
             endpoint: self.endpoint,
@@ -76,31 +77,32 @@
     }
 }
 
-/// The load of an engine as observed last.
+/// Latest observed load of an engine.
 #[derive(Default)]
 pub(crate) struct ObservedLoad {
-    /// In units of the load limit.
+    /// Load in units of the load limit, without the threads started since the last report.
     pub(super) load: f64,
     pub(super) observed_at: f64,
     pub(super) reported_at: f64,
-    /// This gateway's threads in flight at the last report; those begun since are added to the load.
+    /// This gateway's threads in flight at the time of the last report. Threads started since then are added to `load`.
     pub(super) threads_at_report: f64,
 }
 
-/// What the ends of attempts have shown of an engine.
+/// Health of an engine, from the ends of attempts and health checks.
 #[derive(Default)]
 pub(crate) struct EngineHealth {
-    /// The failure rate without its decay since `failed_at`, from 0 to 1.
+    /// Failure rate from 0 to 1, without the decay since `failed_at`.
     pub(super) undecayed_failure_rate: f64,
-    /// When an attempt or a health check failed last, in seconds.
+    /// Time of the last failed attempt or health check, in seconds.
     pub(super) failed_at: f64,
     pub(crate) last_success_at: f64,
-    /// Not used before, in seconds: it is ejected, or has just had no capacity.
+    /// Time before which the engine is not used, in seconds, because it is ejected or recently had no capacity.
     pub(super) avoided_until: f64,
 }
 
 impl EngineHealth {
-    /// The failure rate now. It decays, so that an engine from which few answers come is not avoided for good.
+    /// Returns the current failure rate, from 0 to 1. The rate decays, so that an engine with few answers is not
+    /// avoided forever.
     pub(crate) fn failure_rate(&self, now: f64) -> f64 {
         if self.undecayed_failure_rate == 0.0 {
             return 0.0;
@@ -110,23 +112,23 @@
     }
 }
 
-/// When an engine had its health check.
+/// Schedule of an engine's health checks.
 #[derive(Default)]
 pub(crate) struct HealthCheckState {
-    /// No health check before, in seconds.
+    /// Earliest time of the next health check, in seconds.
     pub(super) next_at: f64,
 }
 
-/// The part of an engine's slow-start budget that this gateway has used.
+/// This gateway's use of an engine's slow-start budget.
 #[derive(Default)]
 pub(crate) struct WorkBudget {
-    /// When this gateway was notified of the start, in seconds.
+    /// Time at which this gateway was notified of the engine's start, in seconds.
     pub(super) known_since: f64,
-    /// A query admitted before: the budget becomes due in quanta of its work.
+    /// Last query admitted before the start; the budget becomes due in quanta of its expected work.
     pub(super) sample_query: Option<Query>,
-    /// Work sent or lapsed since, in seconds on one thread.
+    /// Work sent or expired since the notification, in seconds on one thread.
     pub(super) spent: f64,
-    /// The work at which the present quantum begins.
+    /// Amount of work from which the quanta are counted, in seconds on one thread.
     pub(super) quantum_from: f64,
 }
 
--- a/src/controller/fair_queue.rs
+++ b/src/controller/fair_queue.rs
@@ -1,7 +1,8 @@
-//! Fair queuing: a queue for each tenant on a virtual clock; the query with the smallest virtual finish time goes next.
+//! Implements fair queuing: each tenant has a queue, and the query with the smallest virtual finish time is next.
 //!
-//! The virtual clock runs at this gateway's running threads over its busy queues. Beginning an attempt charges its
-//! queue with the assumed service time times the query's threads; its end corrects the charge to the true latency.
+//! The rate of the virtual clock is the number of this gateway's running threads divided by the number of busy queues.
+//! The start of an attempt charges the tenant's queue with the assumed service time multiplied by the query's threads.
+//! The end of the attempt corrects the charge to the actual latency.
 
 use super::query_state::QueryPhase;
 use super::timers::{microseconds, Timer};
@@ -9,30 +10,31 @@
 use crate::api::QueryId;
 use std::collections::VecDeque;
 
-/// The virtual clock of all queues.
+/// Virtual clock of all queues.
 #[derive(Default)]
 pub(crate) struct FairClock {
-    /// Virtual time, in thread-seconds.
+    /// Current virtual time, in thread-seconds.
     virtual_time: f64,
     /// Threads of this gateway's attempts in flight.
     running_threads: f64,
 }
 
-/// A tenant's queue.
+/// Queue of a tenant.
 #[derive(Default)]
 pub(crate) struct TenantQueue {
-    /// Virtual time at which its next query starts.
+    /// Virtual start time of the next query, in thread-seconds.
     virtual_start: f64,
-    /// By query class, so that a class whose engines are full does not hold up the others.
+    /// One queue per query class, so that a class whose engines are full does not block the others.
     classes: Vec<ClassQueue>,
     attempts_in_flight: u32,
 }
 
-/// The queries of a tenant's class that wait, the oldest first.
+/// Waiting queries of one tenant and class, oldest first.
 #[derive(Clone, Default)]
 struct ClassQueue {
     queries: VecDeque<QueryId>,
-    /// Its head is not placed before, in seconds: its random start was not granted, or no engine may be used.
+    /// Time before which the head is not placed again, in seconds, because it was refused a start above the load limit
+    /// or had no usable engine.
     held_until: f64,
 }
 
@@ -57,12 +59,12 @@
         }
     }
 
-    /// Whether anything of it waits or is in flight.
+    /// Returns whether any query of the tenant is queued or has an attempt in flight.
     fn is_busy(&self) -> bool {
         self.attempts_in_flight > 0 || self.classes.iter().any(|class| !class.queries.is_empty())
     }
 
-    /// The oldest query of the classes whose head is not held back.
+    /// Returns the oldest query among the classes that are not held back.
     fn head(&self, now: f64) -> Option<QueryId> {
         self.classes
             .iter()
@@ -73,14 +75,15 @@
 }
 
 impl AdmissionController {
-    /// Advances the virtual clock by the seconds since the last event.
+    /// Advances the virtual clock; `elapsed` is the time since the last event in seconds.
     pub(super) fn advance_fair_clock(&mut self, elapsed: f64) {
         let busy_queues = self.tenant_queues.iter().filter(|q| q.is_busy()).count();
         let clock = &mut self.fair_clock;
         clock.virtual_time += elapsed.max(0.0) * clock.running_threads / busy_queues.max(1) as f64;
     }
 
-    /// Queues a query in the order admitted. A queue that was idle starts at the clock.
+    /// Adds a query to its tenant's queue in the order of admission, unless its client is absent. An idle queue starts
+    /// at the current virtual time.
     pub(super) fn enqueue(&mut self, id: QueryId) {
         let Some(state) = self.queries.get_mut(&id) else {
             return;
@@ -96,13 +99,13 @@
         tenant_queue.insert(state.query.class, id);
     }
 
-    /// Takes a query out of its queue, if it is in one.
+    /// Removes a query from its tenant's queue, if it is queued.
     pub(super) fn dequeue(&mut self, id: QueryId) {
         let query = &self.queries[&id].query;
         self.tenant_queues[query.tenant].remove(query.class, id);
     }
 
-    /// The head with the smallest virtual finish time.
+    /// Returns the head of a queue with the smallest virtual finish time; `None` if all queues are empty or held back.
     pub(super) fn next_in_queue(&self, now: f64) -> Option<QueryId> {
         let heads = self.tenant_queues.iter().filter_map(|tenant_queue| {
             let id = tenant_queue.head(now)?;
@@ -114,14 +117,14 @@
         Some(id)
     }
 
-    /// Holds a query's class back in its tenant's queue until a time in seconds.
+    /// Holds back the query's class in its tenant's queue until the time `until`, in seconds.
     pub(super) fn hold_class_until(&mut self, id: QueryId, until: f64) {
         let query = &self.queries[&id].query;
         self.tenant_queues[query.tenant].classes[query.class].held_until = until;
         self.timers.schedule(until, Timer::PlacementRetry);
     }
 
-    /// Charges a tenant's queue with an attempt that begins.
+    /// Charges a tenant's queue for an attempt that starts.
     pub(super) fn charge_attempt(&mut self, tenant: usize, threads: f64) {
         self.fair_clock.running_threads += threads;
         let tenant_queue = &mut self.tenant_queues[tenant];
@@ -129,7 +132,7 @@
         tenant_queue.virtual_start += self.assumed_service_seconds * threads;
     }
 
-    /// Corrects the charge to the seconds that the attempt took.
+    /// Corrects the charge for an attempt that has ended to its actual latency, in seconds.
     pub(super) fn settle_attempt(&mut self, tenant: usize, threads: f64, latency: f64) {
         self.fair_clock.running_threads -= threads;
         let tenant_queue = &mut self.tenant_queues[tenant];
--- a/src/controller/final_answer.rs
+++ b/src/controller/final_answer.rs
@@ -1,18 +1,19 @@
-//! The final answer of a query that did not succeed, and the end of its state.
+//! Determines the final answer of a query that did not succeed, and removes the state of finished queries.
 //!
-//! Rule: a query is rejected, which invites its client to send it again, only where a repeat does no harm: it provably
-//! never ran, it is idempotent, or all engines recognise its key. Else it is answered as failed.
+//! Rule: a query is rejected, which invites its client to send it again, only if a repeat does no harm: the query
+//! provably never ran, it is idempotent, or all engines recognise its idempotency key. Otherwise the answer is that it
+//! failed.
 
 use super::query_state::QueryPhase;
 use super::timers::Timer;
 use super::{AdmissionController, TIME_MARGIN_SECONDS};
 use crate::api::{DeduplicationScope, FinalAnswer, Idempotency, QueryId};
 
-/// Part of the latency objective that a Retry-After names; an answer is then still worth something.
+/// Retry-After time as a fraction of the latency objective, so that the answer to the retry still has some value.
 const RETRY_AFTER_OBJECTIVE_FRACTION: f64 = 0.4;
 
 impl AdmissionController {
-    /// Ends a query with the answer that the rules allow.
+    /// Finishes a query that did not succeed, and returns the answer that the rules allow.
     pub(super) fn final_answer(&mut self, now: f64, id: QueryId) -> FinalAnswer {
         let answer = if self.is_safe_to_repeat(id) {
             FinalAnswer::Rejected {
@@ -25,7 +26,7 @@
         answer
     }
 
-    /// Whether a client may send the query again, to any gateway and engine.
+    /// Returns whether the client may safely send the query again, to any gateway and engine.
     fn is_safe_to_repeat(&self, id: QueryId) -> bool {
         let state = &self.queries[&id];
         if state.may_have_run.is_none() {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The Retry-After of a rejection in seconds, where the settings allow one.
+    /// Returns the Retry-After time of a rejection in seconds; `None` if the settings disable it.
     fn retry_after(&self, id: QueryId) -> Option<f64> {
         if !self.settings.retry_after_allowed {
             return None;
@@ -48,7 +49,8 @@
         Some(self.settings.max_retry_after.min(retry_after))
     }
 
-    /// A query is over for its client. Its state stays while an attempt is in flight; then its ordering key is free.
+    /// Marks a query as over for its client. If an attempt is in flight, the query's state and ordering key are kept
+    /// until the attempt ends; otherwise they are released now.
     pub(super) fn finish(&mut self, now: f64, id: QueryId) {
         if !self.queries.contains_key(&id) {
             return;
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Gives up a query that waits: it is placed once more, and answered then.
+    /// Abandons a waiting query. The next [`Self::place`] for it returns the final answer.
     pub(super) fn abandon(&mut self, id: QueryId) {
         let Some(state) = self.queries.get_mut(&id) else {
             return;
--- a/src/controller/health_checks.rs
+++ b/src/controller/health_checks.rs
@@ -1,17 +1,18 @@
-//! Which engines get a health check, and how often.
+//! Selects the engines that get a health check, and limits the number of checks.
 
 use super::timers::microseconds;
 use super::{AdmissionController, EngineState};
 use crate::api::{AttemptEnd, EngineId, LoadReporting};
 
-/// Seconds between health checks of an engine.
+/// Minimum time between two health checks of an engine, in seconds.
 const HEALTH_CHECK_INTERVAL_SECONDS: f64 = 1.5;
-/// Health checks that one admitted query pays for, so that their cost follows the traffic, not gateways x engines.
+/// Number of health checks allowed per admitted query, so that their cost grows with the traffic and not with the
+/// product of gateways and engines.
 const HEALTH_CHECKS_PER_QUERY: f64 = 0.05;
 
 impl AdmissionController {
-    /// A health check has ended, or a connection was made to the engine ahead of its use. A load report that came with it goes
-    /// to [`Self::load_reported`].
+    /// Reports the end of a health check or of an attempt to connect to the engine in advance. The caller passes a load
+    /// report that came with it to [`Self::load_reported`]. Results for unknown engines are ignored.
     pub fn health_check_ended(&mut self, now: f64, engine: EngineId, end: AttemptEnd) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
@@ -22,14 +23,14 @@
         }
     }
 
-    /// A query was admitted: it pays for a part of a health check.
+    /// Adds the share of a health check that an admitted query allows, up to one health check per known engine.
     pub(super) fn earn_health_check(&mut self) {
         let earned = self.health_check_budget + HEALTH_CHECKS_PER_QUERY;
         self.health_check_budget = earned.min(self.engines.len() as f64);
     }
 
-    /// Queues health checks as far as queries have paid for them, of the engines whose last one is longest ago: those
-    /// that have not been contacted, and all where load reports come with health checks only.
+    /// Queues health checks up to the accumulated budget, starting with the engines that have been due longest. Engines
+    /// that have already been contacted are checked only if load reports come with health checks.
     pub(super) fn queue_health_checks(&mut self, now: f64) {
         while self.settings.health_checks_allowed && self.health_check_budget >= 1.0 {
             let Some(engine) = self.next_health_check(now) else {
@@ -54,7 +55,8 @@
     }
 }
 
-/// The order of health checks: by time, then by jitter, so that gateways do not all contact the same engines first.
+/// Returns the sort key for the order of health checks: first the due time, then the engine's jitter, so that gateways
+/// do not all contact the same engines first.
 fn turn(engine: &EngineState) -> (u64, u64) {
     (
         microseconds(engine.health_check.next_at),
--- a/src/controller/key_order.rs
+++ b/src/controller/key_order.rs
@@ -1,5 +1,5 @@
-//! The order of an ordering key: one query at a time, in the order admitted, with a pause after an attempt whose end
-//! is uncertain.
+//! Keeps the order within an ordering key: queries run one at a time in the order of admission, with a pause after an
+//! attempt that may still be running.
 
 use super::query_state::QueryPhase;
 use super::timers::{microseconds, Timer};
@@ -7,17 +7,18 @@
 use crate::api::{AttemptEnd, Query, QueryId};
 use std::collections::VecDeque;
 
-/// The queries of an ordering key that are not over, the oldest first.
+/// Unfinished queries of an ordering key, oldest first.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub(crate) queries: VecDeque<QueryId>,
-    /// No query of the key may begin before, in seconds.
+    /// Time before which no query of the key may start, in seconds.
     paused_until: f64,
 }
 
 impl AdmissionController {
-    /// Holds back all queries of an ordering key until a time in seconds: an attempt that an earlier process began may
-    /// still run. To be called at the start, before queries of the key are admitted; the longest pause counts.
+    /// Pauses an ordering key until the time `until`, in seconds, because an attempt started by an earlier process may
+    /// still be running. The caller must do this at start-up, before queries of the key are admitted. If a key is
+    /// paused more than once, the latest end applies.
     pub fn pause_key(&mut self, key: u64, until: f64) {
         let key_queue = self.key_queues.entry(key).or_default();
         key_queue.paused_until = key_queue.paused_until.max(until);
@@ -25,20 +26,20 @@
         self.timers.schedule(paused_until, Timer::KeyPauseEnd(key));
     }
 
-    /// The key whose order the query has to keep.
+    /// Returns the query's ordering key; `None` if its class is not ordered.
     pub(super) fn ordering_key(&self, query: &Query) -> Option<u64> {
         let in_order = self.settings.classes[query.class].in_order;
         query.ordering_key.filter(|_| in_order)
     }
 
-    /// Queues a query behind those of its key.
+    /// Appends a query to the queue of its key.
     pub(super) fn append_to_key(&mut self, now: f64, key: u64, id: QueryId) {
         let key_queue = self.key_queues.entry(key).or_default();
         key_queue.queries.push_back(id);
         self.release_key(now, key);
     }
 
-    /// A query of the key is over: the next one may go.
+    /// Removes a finished query from the queue of its key and releases the next one.
     pub(super) fn remove_from_key(&mut self, now: f64, key: u64, id: QueryId) {
         if let Some(key_queue) = self.key_queues.get_mut(&key) {
             key_queue.queries.retain(|other| *other != id);
@@ -46,8 +47,8 @@
         self.release_key(now, key);
     }
 
-    /// Pauses the key of an attempt that may still run although it has ended for this gateway. It replaces a pause that was
-    /// set before.
+    /// Pauses the query's key if its attempt may still be running although it has ended for this gateway. The new pause
+    /// replaces an earlier one.
     pub(super) fn pause_after(&mut self, now: f64, query: &Query, end: AttemptEnd) {
         let uncertain = matches!(
             end,
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Lets the first query of a key go once the one before it is over and the key's pause has ended.
+    /// Queues the first query of a key for placement, or schedules a timer if the key is still paused. Forgets a key
+    /// that has no queries.
     pub(super) fn release_key(&mut self, now: f64, key: u64) {
         let Some(key_queue) = self.key_queues.get(&key) else {
             return;
--- a/src/controller/kind_state.rs
+++ b/src/controller/kind_state.rs
@@ -1,21 +1,22 @@
-//! What is known of a whole kind of engine.
+//! Holds the state of all engines of one kind.
 
 use super::averages::DecayingAverage;
 use super::endpoint_list::PoolCapacity;
 
-/// A kind of engine: its load by reports and by answers, and what this gateway sent there.
+/// State of a kind of engine: its reported and inferred load, and the work that this gateway has sent to it.
 #[derive(Default)]
 pub(crate) struct KindState {
-    /// Load by reports, in units of the load limit.
+    /// Load according to load reports, in units of the load limit.
     pub(crate) reported_load: DecayingAverage,
-    /// Load inferred from how answers came, in units of the load limit.
+    /// Load inferred from ended and overdue attempts, in units of the load limit.
     pub(crate) inferred_load: DecayingAverage,
-    /// Work sent by this gateway.
+    /// Expected work of this gateway's queries for the kind, in seconds on one thread. Queries restricted to kinds
+    /// count at admission, others at the start of an attempt.
     pub(crate) recent_work: DecayingAverage,
-    /// The engines that are ready.
+    /// Capacity of the ready engines of the kind.
     pub(crate) ready: PoolCapacity,
     /// Threads of this gateway's attempts in flight.
     pub(crate) threads_in_flight: f64,
-    /// Expected memory of these attempts, in megabytes.
+    /// Expected memory of this gateway's attempts in flight, in megabytes.
     pub(crate) memory_in_flight: f64,
 }
--- a/src/controller/load.rs
+++ b/src/controller/load.rs
@@ -1,13 +1,13 @@
-//! How loaded engines and whole kinds are.
+//! Determines the load of engines and of whole kinds.
 //!
-//! Loads are in units of the load limit: at 1 an engine runs [`LOAD_LIMIT_THREADS_PER_CORE`] threads a core.
+//! Loads are in units of the load limit: an engine with load 1 runs [`LOAD_LIMIT_THREADS_PER_CORE`] threads per core.
 //!
-//! | question | where |
+//! | quantity | module |
 //! |---|---|
-//! | what a load report says | `reports` |
-//! | what the end of an attempt, or its absence, says | `inference` |
-//! | how loaded an engine is, and would be with a query | `engine_load` |
-//! | how loaded a kind is, and would be with a query | `kind_load` |
+//! | load according to load reports | `reports` |
+//! | load inferred from ended and overdue attempts | `inference` |
+//! | load of an engine, without and with a query | `engine_load` |
+//! | load of a kind, without and with a query | `kind_load` |
 
 mod engine_load;
 mod inference;
@@ -17,13 +17,14 @@
 pub(super) use engine_load::engine_load;
 pub(crate) use reports::InFlightTime;
 
-/// Threads a core that an engine is filled to.
+/// Number of threads per core up to which engines are used.
 const LOAD_LIMIT_THREADS_PER_CORE: f64 = 1.5;
-/// Fraction of memory in use that stands for the load limit.
+/// Fraction of an engine's memory in use that corresponds to the load limit.
 const MEMORY_FRACTION_AT_LOAD_LIMIT: f64 = 0.7;
-/// Latency over bare work that stands for the load limit; threads share cores and wait for disks.
+/// Slowdown (ratio of latency to uncontended run time) that corresponds to the load limit. Greater than 1, because
+/// threads share cores and wait for disks.
 pub(super) const SLOWDOWN_AT_LOAD_LIMIT: f64 = 2.0;
-/// Load that one answer, rejection or overdue attempt counts as at most.
+/// Upper limit of the load that is inferred from one answer, rejection or overdue attempt, in units of the load limit.
 pub(super) const MAX_OBSERVED_LOAD: f64 = 2.0;
-/// Time constant, in seconds, with which the observed load of a kind decays.
+/// Decay time constant of the observed load of a kind, in seconds.
 const KIND_LOAD_DECAY_SECONDS: f64 = 2.0;
--- a/src/controller/load/engine_load.rs
+++ b/src/controller/load/engine_load.rs
@@ -1,4 +1,4 @@
-//! The load of one engine, and this gateway's share of it.
+//! Computes the load of one engine, and how much of its share of the engine this gateway uses.
 
 use super::{LOAD_LIMIT_THREADS_PER_CORE, MEMORY_FRACTION_AT_LOAD_LIMIT};
 use crate::api::Query;
@@ -6,13 +6,13 @@
 use crate::controller::engine_state::EngineState;
 use crate::controller::{AdmissionController, HEALTH_DECAY_SECONDS};
 
-/// Multiple of our share of an engine's threads past which our own threads count whatever is observed: cores are idle while all
-/// wait for disks.
+/// Multiple of this gateway's share of an engine's threads above which its own threads count even if the observed load
+/// is low: cores look idle while all threads wait for disks.
 const MAX_OWN_SHARE_USED: f64 = 2.0;
 
 impl AdmissionController {
-    /// How full an engine would be with the query, in units of the load limit: by threads or by memory, whichever is
-    /// fuller. `needed_memory` is the query's, in megabytes.
+    /// Returns the load that an engine would have with the query, in units of the load limit: the higher of the loads
+    /// by threads and by memory. `needed_memory` is the query's expected memory in megabytes.
     pub(in crate::controller) fn load_with_query(
         &self,
         query: &Query,
@@ -26,8 +26,10 @@
         by_threads.max(memory_share_used(engine, needed_memory))
     }
 
-    /// The observed load. Where that is at the limit, or we use over [`MAX_OWN_SHARE_USED`] of our share of the engine's threads
-    /// with the query, the greater of it and of the share used.
+    /// Returns the observed load if it is below the limit and this gateway, with the query, uses at most
+    /// [`MAX_OWN_SHARE_USED`] times its share of the engine's threads; otherwise the higher of the observed load and
+    /// the share used. Without reports of CPU utilisation, the observed load is ignored while the kind is below the
+    /// limit.
     fn load_by_threads(
         &self,
         query: &Query,
@@ -52,8 +54,9 @@
     }
 }
 
-/// How much of our share of an engine's memory our queries use with this one, which keeps it from spilling and paging;
-/// 0 where its memory is not known.
+/// Returns the fraction of this gateway's share of an engine's memory that its queries use, including a query that
+/// needs `needed` megabytes; 0 if the engine's memory is unknown. Staying within the share keeps the engine from
+/// spilling and paging.
 fn memory_share_used(engine: &EngineState, needed: f64) -> f64 {
     engine.memory.map_or(0.0, |memory| {
         let share = memory * MEMORY_FRACTION_AT_LOAD_LIMIT / engine.gateways;
@@ -61,15 +64,16 @@
     })
 }
 
-/// The load at which an engine is assumed to run: as observed last, with the threads begun since its last report, decaying to the
-/// load of its kind.
+/// Returns the assumed load of an engine, in units of the load limit: the latest observed load plus the threads started
+/// since the last report, decaying towards the load of its kind.
 pub(in crate::controller) fn engine_load(now: f64, kind_load: f64, engine: &EngineState) -> f64 {
     let elapsed = (now - engine.load.observed_at).max(0.0);
     let above_kind = engine.load.load + load_since_report(engine) - kind_load;
     kind_load + above_kind * (-elapsed / HEALTH_DECAY_SECONDS).exp()
 }
 
-/// Load of the threads that this gateway has begun there since the last report, less those that ended.
+/// Returns the load of the threads that this gateway has started at the engine since the last report, minus those that
+/// ended.
 pub(super) fn load_since_report(engine: &EngineState) -> f64 {
     let threads = engine.in_flight.threads - engine.load.threads_at_report;
     threads / (engine.cores * LOAD_LIMIT_THREADS_PER_CORE)
--- a/src/controller/load/inference.rs
+++ b/src/controller/load/inference.rs
@@ -1,4 +1,4 @@
-//! The load that is inferred from how attempts end, or do not end.
+//! Infers the load of engines and kinds from the ends of attempts and from overdue attempts.
 
 use super::engine_load::{engine_load, load_since_report};
 use super::{KIND_LOAD_DECAY_SECONDS, MAX_OBSERVED_LOAD};
@@ -6,14 +6,15 @@
 use crate::controller::engine_state::EngineState;
 use crate::controller::AdmissionController;
 
-/// Seconds for which a load report is recent: inference does not close its engine.
+/// Age in seconds up to which a load report counts as recent. An engine with a recent report is not closed by inferred
+/// load alone.
 const RECENT_REPORT_SECONDS: f64 = 2.0;
-/// A load that ranks an engine behind others and does not close it.
+/// Load that ranks an engine behind less loaded ones without closing it.
 const JUST_BELOW_LOAD_LIMIT: f64 = 1.0 - 1e-3;
 
 impl AdmissionController {
-    /// Takes in a load that the end of an attempt, or its absence, shows. It can raise the engine's observed load, not
-    /// lower it.
+    /// Records the load that an ended or overdue attempt indicates, in units of the load limit. The engine's observed
+    /// load can only rise by this; the load of its kind can also fall.
     pub(in crate::controller) fn infer_load(&mut self, now: f64, engine: EngineId, load: f64) {
         let kind = self.engines[engine].kind();
         let kind_state = self.kinds.entry(kind).or_default();
@@ -29,14 +30,15 @@
         }
         let raised_load =
             ((known_load + load) / 2.0).min(max_inferred_load(now, state, known_load));
-        // Readers of the observed load add the threads begun since the report themselves.
+        // `engine_load` adds the threads started since the last report, so they are subtracted here.
         state.load.load = raised_load - load_since_report(state);
         state.load.observed_at = now;
     }
 }
 
-/// The load up to which inference may raise an engine. While a load report is recent that is just under the limit: what
-/// is inferred then ranks the engine and does not close it.
+/// Returns the load up to which inference may raise an engine's load. After a recent load report it is just below the
+/// limit, unless the engine is already above it, so that inferred load only affects the engine's rank and does not
+/// close it.
 fn max_inferred_load(now: f64, engine: &EngineState, known_load: f64) -> f64 {
     let report_is_recent = now - engine.load.reported_at < RECENT_REPORT_SECONDS;
     if report_is_recent {
--- a/src/controller/load/kind_load.rs
+++ b/src/controller/load/kind_load.rs
@@ -1,18 +1,19 @@
-//! The load of a whole kind of engine, and this gateway's share of it.
+//! Computes the load of all engines of a kind, and how much of its share of them this gateway uses.
 
 use super::{KIND_LOAD_DECAY_SECONDS, LOAD_LIMIT_THREADS_PER_CORE, MEMORY_FRACTION_AT_LOAD_LIMIT};
 use crate::api::Query;
 use crate::controller::kind_state::KindState;
 use crate::controller::{AdmissionController, MIN_DIVISOR};
 
-/// Times the gateway's share of a kind's memory that it may fill while the kind is not under pressure.
+/// Multiple of its share of a kind's memory that this gateway may use while the kind is below the load limit.
 const MEMORY_SHARE_TOLERANCE: f64 = 1.2;
-/// Weight of the assumption that a kind is idle, in observations just made.
+/// Weight of the assumption that a kind is idle, relative to one new observation.
 const IDLE_WEIGHT: f64 = 0.5;
 
 impl AdmissionController {
-    /// The load at which engines of a kind run, by reports, or by slow answers, rejections and overdue attempts. Where no utilisation of
-    /// cores is reported, reports count under pressure only.
+    /// Returns the load of a kind, in units of the load limit: the higher of the reported load and the load inferred
+    /// from slow answers, rejections and overdue attempts. If engines do not report CPU utilisation, reports count only
+    /// while the inferred load is at or above the limit.
     pub(in crate::controller) fn kind_load(&self, now: f64, kind: usize) -> f64 {
         let Some(kind_state) = self.kinds.get(&kind) else {
             return 0.0;
@@ -31,14 +32,15 @@
         reported.max(inferred)
     }
 
-    /// The load of a whole kind with the query. Below the load limit: how much of this gateway's share of the kind's memory is used,
-    /// over [`MEMORY_SHARE_TOLERANCE`]. From the limit on (under pressure): the mean of the kind's load and of the fuller of this
-    /// gateway's shares of threads and memory.
+    /// Returns the load of a whole kind including the query, in units of the load limit. While the kind is below the
+    /// limit, this is the used fraction of this gateway's share of the kind's memory, divided by
+    /// [`MEMORY_SHARE_TOLERANCE`]. At or above the limit, it is the mean of the kind's load and the higher of the used
+    /// fractions of this gateway's shares of threads and memory.
     ///
-    /// A share of one engine is under one query, so that without this many gateways would each begin few queries and too
-    /// many together.
+    /// With many gateways, the share of a single engine is less than one query. Without the limit for the whole kind,
+    /// each gateway would start few queries, and all gateways together too many.
     ///
-    /// `effective_cores` is the sum over the engines of the kind that are open to the query.
+    /// `effective_cores` is the sum over the engines of the kind that the query may use.
     pub(in crate::controller) fn kind_load_with_query(
         &self,
         now: f64,
@@ -58,7 +60,8 @@
         (kind_load + by_threads.max(by_memory)) / 2.0
     }
 
-    /// How much of its share of a kind's threads this gateway uses with the query; 1 is all of it.
+    /// Returns the fraction of its share of a kind's threads that this gateway uses, including the query; 1 is the
+    /// whole share.
     fn thread_share_used(&self, kind: &KindState, effective_cores: f64, query: &Query) -> f64 {
         let gateways = kind.ready.gateways(self.settings.gateways);
         let threads = self.settings.classes[query.class].threads;
@@ -66,8 +69,8 @@
         (kind.threads_in_flight + threads) / share.max(threads)
     }
 
-    /// How much of its share of a kind's memory this gateway uses with the query; 1 is all of it, 0 where the memory is not
-    /// known.
+    /// Returns the fraction of its share of a kind's memory that this gateway uses, including the query; 1 is the whole
+    /// share. Returns 0 if the memory of the kind is unknown.
     fn memory_share_used(&self, kind: &KindState, effective_cores: f64, query: &Query) -> f64 {
         if kind.ready.memory <= 0.0 {
             return 0.0;
--- a/src/controller/load/reports.rs
+++ b/src/controller/load/reports.rs
@@ -1,20 +1,21 @@
-//! The load that an engine's load report shows.
+//! Derives the observed load of an engine from its load reports.
 
 use super::engine_load::engine_load;
 use super::{KIND_LOAD_DECAY_SECONDS, LOAD_LIMIT_THREADS_PER_CORE};
 use crate::api::{AttemptOutcome, EngineId, LoadReport, Query};
 use crate::controller::{AdmissionController, MIN_DIVISOR};
 
-/// Fraction of busy cores that stands for the load limit; threads also read and write.
+/// Fraction of busy cores that corresponds to the load limit. Less than 1, because threads also wait for reads and
+/// writes.
 const CPU_FRACTION_AT_LOAD_LIMIT: f64 = 0.9;
-/// Fraction of busy disks that stands for the load limit.
+/// Fraction of disk time in use that corresponds to the load limit.
 const DISK_FRACTION_AT_LOAD_LIMIT: f64 = 0.95;
-/// Queries a core waiting for memory that stand for the load limit.
+/// Number of queries waiting for memory, per core, that corresponds to the load limit.
 const MEMORY_WAITERS_PER_CORE_AT_LOAD_LIMIT: f64 = 0.1;
-/// Load that queries waiting for memory count as at most.
+/// Upper limit of the load derived from queries waiting for memory, in units of the load limit.
 const MAX_LOAD_BY_MEMORY_WAITERS: f64 = 2.0;
 
-/// Thread-seconds and seconds that this gateway's attempts were in flight, for their mean number of threads.
+/// Total time in flight of this gateway's attempts, from which their mean number of threads is derived.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct InFlightTime {
     pub(crate) thread_seconds: f64,
@@ -22,7 +23,8 @@
 }
 
 impl AdmissionController {
-    /// Takes in an engine's load report. To be called for each report, before the outcome that came with it.
+    /// Records an engine's load report. If the report arrived with the outcome of an attempt, the caller must pass the
+    /// report first. Reports of unknown engines are ignored.
     pub fn load_reported(&mut self, now: f64, engine: EngineId, report: LoadReport) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
@@ -40,13 +42,13 @@
         let kind_load = self.kind_load(now, kind);
         let engine_load = engine_load(now, kind_load, &self.engines[engine]);
         let observed = &mut self.engines[engine].load;
-        // A report of less load counts half: an engine whose queries stand still looks idle.
+        // A lower load counts only half, because an engine whose queries are blocked looks idle.
         observed.load = reported_load.max((reported_load + engine_load) / 2.0);
         observed.observed_at = now;
         observed.reported_at = now;
     }
 
-    /// The highest of the loads that a report shows: cores, disks, queries waiting for memory, queries in flight.
+    /// Returns the highest of the loads derived from cores, disks, queries waiting for memory and queries in flight.
     fn reported_load(&self, engine: EngineId, report: &LoadReport) -> f64 {
         let cores = self.engines[engine].cores;
         let by_memory_waiters = report.waiting_for_memory.map_or(0.0, |waiting| {
@@ -71,7 +73,7 @@
             .max(threads / (cores * LOAD_LIMIT_THREADS_PER_CORE))
     }
 
-    /// Counts how long an attempt was in flight.
+    /// Adds the time for which an attempt was in flight.
     pub(in crate::controller) fn count_in_flight_time(
         &mut self,
         query: &Query,
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: of the queries that wait, those are given up for which there is no time or no capacity, the least
-//! valuable for their work first. Their clients are answered at once.
+//! Sheds load: abandons waiting queries for which time or capacity does not suffice, starting with those of the lowest
+//! value per second of work. Their clients are answered at once.
 
 use super::key_order::KeyQueue;
 use super::outlier_ejection::is_available;
@@ -7,39 +7,43 @@
 use super::{AdmissionController, MIN_DIVISOR, SUSTAINABLE_UTILISATION};
 use crate::api::{Query, QueryId};
 
-/// Part of the time until it has to begin that the work ahead of a query may take; both are estimates.
+/// Fraction of the time until its latest start that a query may spend behind other work. Less than 1, because both are
+/// estimates.
 const MAX_WAIT_FRACTION: f64 = 0.4;
-/// Part of its objective and deadline that a query is assumed to need at most; no class may shut itself out.
+/// Upper limit of the expected service time, as a fraction of the latency objective and of the deadline. Without the
+/// limit, a class whose estimates are too high would shed all its own queries.
 const MAX_SERVICE_FRACTION: f64 = 0.9;
-/// Factor by which the usual work of a class may miss a query's own: the mean lies above most queries.
+/// Uncertainty factor of the expected work of a query that came without an estimate. The mean work of a class is higher
+/// than that of most of its queries.
 const UNCERTAINTY_WITHOUT_ESTIMATE: f64 = 1.5;
-/// Part of the gateway's capacity that open queries, waiting and in flight, may fill before waiting ones are shed; the rest is for
-/// bursts.
+/// Fraction of the gateway's capacity that open queries (waiting or in flight) may use before waiting ones are shed.
+/// The rest is reserved for bursts.
 const OPEN_QUERIES_CAPACITY_FRACTION: f64 = 0.5;
-/// Seconds that a query past its objective may wait for more valuable ones.
+/// Time in seconds for which a query past its latency objective may wait behind more valuable ones.
 const LATE_QUERY_SLACK_SECONDS: f64 = 0.2;
 
-/// What can still be expected of a query that waits.
+/// Value and maximum wait of a waiting query.
 struct Prospect {
-    /// Value of its answer for each second of work.
+    /// Value of the answer per second of work on one thread.
     value_density: f64,
-    /// Seconds that work ahead of it may take; below 0 it is too late for it.
+    /// Seconds for which the query may wait behind other work; negative if it is too late for an answer in time.
     max_wait: f64,
 }
 
 impl Prospect {
-    /// Whether no answer of any value can come in time.
+    /// Returns whether an answer in time is impossible or would have no value.
     fn is_too_late(&self) -> bool {
         self.value_density <= 0.0 || self.max_wait < 0.0
     }
 }
 
-/// A query that waits, with what shedding compares.
+/// Waiting query with the quantities that load shedding compares.
 struct WaitingQuery {
     id: QueryId,
     prospect: Prospect,
     /// Expected work in seconds on one thread.
     work: f64,
+    /// Fixed part of the latency objective of the query's class, in seconds.
     latency_objective: f64,
 }
 
@@ -50,8 +54,8 @@
         let service = self.expected_service(&state.query);
         let uncertainty = estimate_uncertainty(&state.query);
         let objective = class.latency_objective + class.latency_objective_stretch * bare_service;
-        // For the objective an uncertain service counts as longer, so that a query is not begun in vain; for the deadline as
-        // shorter, so that none is given up that may still be answered.
+        // An uncertain service time counts as longer for the latency objective, so that no query is started in vain,
+        // and as shorter for the deadline, so that no query is abandoned that could still be answered.
         let service_in_objective = (uncertainty * service).min(objective * MAX_SERVICE_FRACTION);
         let until_objective = state.admitted_at + objective - service_in_objective - now;
         let until_deadline = state.deadline - service / uncertainty - now;
@@ -69,11 +73,12 @@
         }
     }
 
-    /// Seconds that an attempt of the query is likely to be in flight.
+    /// Returns the expected time in flight of an attempt of the query, in seconds.
     fn expected_service(&self, query: &Query) -> f64 {
         let class = &self.settings.classes[query.class];
         let statistics = &self.class_statistics[query.class];
-        // The first guess comes from a deadline that may be hours: it must shut out no query.
+        // Before the first answer, the expected work is a fraction of the class's deadline, which can be hours. It must
+        // not lead to the rejection of queries that have only seconds.
         let longest = if statistics.answers == 0 {
             class.deadline.min(query.remaining_time)
         } else {
@@ -83,13 +88,15 @@
         service.min(longest * MAX_SERVICE_FRACTION)
     }
 
-    /// Whether no answer of any value can come in time, or the rules now forbid the retry that the query waits for.
+    /// Returns whether a queued query is pointless: an answer in time is impossible or would have no value, or the
+    /// rules no longer allow the retry for which it waits.
     pub(super) fn is_hopeless(&self, now: f64, state: &QueryState) -> bool {
         let prospect = self.prospect(now, state);
         prospect.is_too_late() || (state.attempts > 0 && !self.may_retry(now, state))
     }
 
-    /// Gives up the queries that cannot be answered in time behind the more valuable ones that wait too.
+    /// Abandons the waiting queries that cannot be answered in time after the more valuable waiting queries, and those
+    /// that exceed the capacity for open queries.
     pub(super) fn shed_load(&mut self, now: f64) {
         self.shed_behind_keys(now);
         let mut waiting = self.waiting_queries(now);
@@ -115,7 +122,7 @@
                 continue;
             }
             work_ahead += work;
-            // Queues run by age, so a less valuable query that is kept may hold up this one.
+            // Queues run in the order of admission, so a less valuable query that is kept can delay this one.
             shortest_wait = shortest_wait.min(latency_objective * MAX_WAIT_FRACTION);
         }
     }
@@ -135,7 +142,8 @@
             .collect()
     }
 
-    /// Work that the available engines do a second for this gateway.
+    /// Returns the rate of work that the available engines can do for this gateway, in seconds of work on one thread
+    /// per second.
     fn sustainable_work_rate(&self, now: f64) -> f64 {
         let ready = self.ready.iter().map(|id| &self.engines[*id]);
         let available = ready.filter(|engine| is_available(engine, now));
@@ -146,7 +154,8 @@
         (cores * SUSTAINABLE_UTILISATION / gateways).max(MIN_DIVISOR)
     }
 
-    /// Gives up the queries of each ordering key for which those ahead leave no time: no engine helps a hot key.
+    /// Abandons the queries of each ordering key that cannot be answered in time after the earlier queries of the key.
+    /// More engines do not help, since the queries of a key run one at a time.
     fn shed_behind_keys(&mut self, now: f64) {
         let mut too_late = Vec::new();
         for key_queue in self.key_queues.values() {
@@ -171,7 +180,8 @@
         }
     }
 
-    /// Queries that may still be open before waiting ones are shed; below 0 there are too many.
+    /// Returns the number of queries that can still be admitted before waiting ones are shed; negative if there are too
+    /// many open queries.
     pub(super) fn open_queries_left(&self) -> f64 {
         self.settings.capacity.map_or(f64::INFINITY, |capacity| {
             capacity * OPEN_QUERIES_CAPACITY_FRACTION - self.queries.len() as f64
@@ -179,7 +189,7 @@
     }
 }
 
-/// Factor by which a query's work may miss what is expected.
+/// Returns the factor by which the true work of a query may differ from the expected work.
 pub(super) fn estimate_uncertainty(query: &Query) -> f64 {
     match query.estimated_work {
         Some(_) => 1.0,
--- a/src/controller/next_action.rs
+++ b/src/controller/next_action.rs
@@ -1,17 +1,17 @@
-//! What the caller has to do next, and the periodic work.
+//! Determines the next action of the caller, and runs the periodic checks.
 
 use super::timers::Timer;
 use super::AdmissionController;
 use crate::api::NextAction;
 
-/// Seconds between periodic looks at what waits and what is in flight.
+/// Interval of the periodic checks of waiting queries and of attempts in flight, in seconds.
 const TICK_INTERVAL_SECONDS: f64 = 0.1;
-/// Shortest wait asked of the caller, in seconds.
+/// Shortest wait that is returned to the caller, in seconds.
 const MIN_WAIT_SECONDS: f64 = 1e-3;
 
 impl AdmissionController {
-    /// What to do next. To be called after every event, again after each action, until it says to wait, and once more
-    /// when that time is over.
+    /// Returns the next action of the caller. The caller asks after every event and after each action, until the action
+    /// is to wait, and again when the wait is over.
     pub fn next_action(&mut self, now: f64) -> NextAction {
         self.observe_time(now);
         self.run_due_timers(now);
@@ -47,7 +47,7 @@
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Tick => self.tick(now),
-                // The held queue counts again by its own time.
+                // `ClassQueue::held_until` makes the queue available again; the timer only wakes the caller.
                 Timer::PlacementRetry => {}
                 Timer::KeyPauseEnd(key) => self.release_key(now, key),
                 Timer::Deadline(id) => self.abandon(id),
--- a/src/controller/outlier_ejection.rs
+++ b/src/controller/outlier_ejection.rs
@@ -1,23 +1,26 @@
-//! Outlier ejection: an engine whose attempts fail far more often than those of the pool is not used for a while. While its
-//! failure rate is above the threshold, it then takes one query at a time.
+//! Implements outlier ejection: an engine whose attempts fail far more often than the mean of the pool is not used for
+//! a while. After that, it runs one query at a time until its failure rate is below the threshold.
 
 use super::engine_state::EngineState;
 use super::{AdmissionController, MAX_PLACEMENT_RETRY_DELAY_SECONDS};
 use crate::api::EngineId;
 
-/// Weight of a failed attempt in the failure rate; a success has half of it. With [`HEALTH_DECAY_SECONDS`](super::HEALTH_DECAY_SECONDS) it takes 4 failures at
-/// once to pass [`EJECTION_FAILURE_RATE`], 7 at one a second, and failures over 1.2 s apart never do.
+/// Weight of a failed attempt in the failure rate; a success has half the weight. With
+/// [`HEALTH_DECAY_SECONDS`](super::HEALTH_DECAY_SECONDS), 4 failures at once exceed [`EJECTION_FAILURE_RATE`], as do 7
+/// failures at one per second; failures more than 1.2 s apart never exceed it.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Failure rate above which an engine is ejected. One that fails in part still serves.
+/// Failure rate above which an engine can be ejected. An engine that fails only some of its attempts stays in use.
 const EJECTION_FAILURE_RATE: f64 = 0.75;
-/// Times the pool's mean failure rate that an outlier has; where all fail alike, ejection would lose more.
+/// Ratio to the pool's mean failure rate above which an engine is an outlier. If all engines fail alike, ejection would
+/// cost more than it gains.
 const OUTLIER_RATIO: f64 = 2.0;
-/// Seconds that an engine stays ejected. Under [`HEALTH_DECAY_SECONDS`](super::HEALTH_DECAY_SECONDS) x ln(1 / [`EJECTION_FAILURE_RATE`]) = 2.3 s: after that no
-/// engine would be above the threshold any more, and none would take one query at a time.
+/// Duration of an ejection, in seconds. Shorter than [`HEALTH_DECAY_SECONDS`](super::HEALTH_DECAY_SECONDS) x
+/// ln(1 / [`EJECTION_FAILURE_RATE`]) = 2.3 s: after that time, the failure rate of every engine has decayed below the
+/// threshold, and no engine would be limited to one query at a time.
 const EJECTION_SECONDS: f64 = 2.0;
 
-/// Whether an engine may be used: it is not avoided for now, and above the threshold it takes a single query at a time. An
-/// attempt of unknown outcome counts until the proof of its end.
+/// Returns whether an engine may be used: it is not being avoided, and its failure rate is below the threshold or it
+/// has no attempt in flight. An attempt with an unknown outcome counts as in flight until its end is proved.
 pub(super) fn is_available(engine: &EngineState, now: f64) -> bool {
     engine.health.avoided_until <= now
         && (engine.health.failure_rate(now) <= EJECTION_FAILURE_RATE
@@ -25,14 +28,15 @@
 }
 
 impl AdmissionController {
-    /// An attempt at the engine has succeeded.
+    /// Records a successful attempt at the engine.
     pub(super) fn record_success(&mut self, now: f64, engine: EngineId) {
         let health = &mut self.engines[engine].health;
         health.last_success_at = now;
         health.undecayed_failure_rate *= 1.0 - FAILURE_WEIGHT / 2.0;
     }
 
-    /// The engine had no capacity: it is not used for [`MAX_PLACEMENT_RETRY_DELAY_SECONDS`], so that others are tried first.
+    /// Records that the engine had no capacity. It is not used for [`MAX_PLACEMENT_RETRY_DELAY_SECONDS`], so that other
+    /// engines are tried first.
     pub(super) fn record_rejection(&mut self, now: f64, engine: EngineId) {
         let health = &mut self.engines[engine].health;
         health.avoided_until = health
@@ -40,7 +44,8 @@
             .max(now + MAX_PLACEMENT_RETRY_DELAY_SECONDS);
     }
 
-    /// An attempt or a health check at the engine has failed: it is ejected where it fails far more than the pool.
+    /// Records a failed attempt or health check at the engine, and ejects the engine if its failure rate is above the
+    /// threshold and far above the pool's mean.
     pub(super) fn record_failure(&mut self, now: f64, engine: EngineId) {
         let failure_rates = self.ready.iter().map(|id| &self.engines[*id].health);
         let sum: f64 = failure_rates.map(|health| health.failure_rate(now)).sum();
--- a/src/controller/query_state.rs
+++ b/src/controller/query_state.rs
@@ -1,39 +1,39 @@
-//! What is kept of a query from its admission until it is over and no attempt of it is in flight.
+//! Holds the state of a query from its admission until it is over and has no attempt in flight.
 
 use super::attempt_state::Attempt;
 use crate::api::{Query, QueryId};
 
-/// Where a query stands.
+/// Phase of a query.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum QueryPhase {
-    /// Behind an earlier query of its ordering key, or the key pauses.
+    /// The query waits for an earlier query of its ordering key or for the end of the key's pause.
     WaitingForKey,
-    /// Ready for an attempt: in its tenant's queue, unless its client is absent.
+    /// The query is ready for an attempt. It is in its tenant's queue, unless its client is absent.
     Queued,
-    /// To be answered without another attempt.
+    /// The query will be answered without another attempt.
     Abandoned,
     /// An attempt is in flight.
     InFlight,
-    /// Over for its client; an attempt is still in flight.
+    /// The query is over for its client, but an attempt is still in flight.
     ClosedInFlight,
 }
 
-/// A query that is not over, or of which an attempt is in flight.
+/// State of a query that is not over or has an attempt in flight.
 pub(crate) struct QueryState {
     pub(crate) query: Query,
-    /// When it was admitted, in seconds.
+    /// Time of admission, in seconds.
     pub(crate) admitted_at: f64,
-    /// When its client gives up, in seconds.
+    /// Time at which the client stops waiting for the answer, in seconds.
     pub(crate) deadline: f64,
     pub(crate) phase: QueryPhase,
-    /// Attempts that were begun.
+    /// Number of attempts started.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<Attempt>,
-    /// The first attempt that may have run.
+    /// First attempt that may have run; `None` if provably no attempt has run.
     pub(crate) may_have_run: Option<Attempt>,
-    /// Its body is not stored any more, so it cannot be sent again.
+    /// Whether the query's body is no longer stored, so that the query cannot be sent again.
     pub(crate) body_discarded: bool,
-    /// Its client has lost its connection and may come back.
+    /// Whether the client has lost its connection and may reconnect.
     pub(crate) client_absent: bool,
 }
 
@@ -56,7 +56,7 @@
         self.query.id
     }
 
-    /// The number of the attempt that was begun last, from 0.
+    /// Returns the number of the latest attempt, from 0. At least one attempt must have been started.
     pub(crate) fn last_attempt(&self) -> u32 {
         self.attempts - 1
     }
--- a/src/controller/retry_budget.rs
+++ b/src/controller/retry_budget.rs
@@ -1,16 +1,16 @@
-//! The budget of attempts beyond a query's first, of the gateway and of a query class.
+//! Enforces the retry budgets of the gateway and of the query classes.
 //!
-//! Rule: in any window of [`RetryBudget::window`] seconds the retries stay within `floor` + `per_query` for each query
-//! admitted in it.
+//! Rule: in each window of [`RetryBudget::window`] seconds, the number of retries is at most `floor` plus `per_query`
+//! times the number of queries admitted in the window.
 
 use super::averages::SlidingWindow;
 use super::{AdmissionController, TIME_MARGIN_SECONDS};
 use crate::api::RetryBudget;
 
-/// Seconds beyond a budget's window for which its events are stored.
+/// Additional time, in seconds, for which events are stored after they have left the window.
 const WINDOW_RETENTION_SECONDS: f64 = 1.0;
 
-/// Admissions and retries, of the gateway or of a class.
+/// Recent admissions and retries of the gateway or of a class.
 #[derive(Default)]
 pub(crate) struct RetryWindow {
     admissions: SlidingWindow,
@@ -26,7 +26,8 @@
         self.retries.add(now);
     }
 
-    /// Whether one more retry is within the budget. The margin is on the side of fewer retries.
+    /// Returns whether one more retry is within the budget. The time margin shortens the window for admissions and
+    /// extends it for retries, so that the budget is never exceeded.
     fn allows_retry(&self, now: f64, budget: RetryBudget) -> bool {
         let window_start = now - budget.window;
         let admitted = self
@@ -36,7 +37,7 @@
         retries + 1.0 <= budget.floor + budget.per_query * admitted
     }
 
-    /// Drops what no budget of this window looks at any more.
+    /// Removes the events that are too old to count for the budget.
     fn expire(&mut self, now: f64, budget: Option<RetryBudget>) {
         let window = budget.map_or(0.0, |budget| budget.window) + WINDOW_RETENTION_SECONDS;
         self.admissions.expire_before(now - window);
@@ -45,7 +46,7 @@
 }
 
 impl AdmissionController {
-    /// Whether the budgets of the gateway and of the class leave room for one more retry.
+    /// Returns whether the budgets of the gateway and of the class both allow one more retry.
     pub(super) fn retry_budget_left(&self, now: f64, class: usize) -> bool {
         let class_window = &self.class_statistics[class].retry_window;
         let within = |budget: Option<RetryBudget>, window: &RetryWindow| {
@@ -55,7 +56,7 @@
             && within(self.settings.classes[class].retry_budget, class_window)
     }
 
-    /// Counts a query that was admitted.
+    /// Counts an admitted query for the budgets of the gateway and of its class.
     pub(super) fn count_admission(&mut self, now: f64, class: usize) {
         self.retry_window.record_admission(now);
         if self.settings.classes[class].retry_budget.is_some() {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Counts an attempt that is not its query's first.
+    /// Counts a retry for the budgets of the gateway and of its query's class.
     pub(super) fn count_retry(&mut self, now: f64, class: usize) {
         self.retry_window.record_retry(now);
         if self.settings.classes[class].retry_budget.is_some() {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Forgets admissions and retries that have left their windows.
+    /// Removes the admissions and retries that are too old to count for any budget.
     pub(super) fn expire_retry_windows(&mut self, now: f64) {
         self.retry_window.expire(now, self.settings.retry_budget);
         for (class, statistics) in self.settings.classes.iter().zip(&mut self.class_statistics) {
--- a/src/controller/sampling.rs
+++ b/src/controller/sampling.rs
@@ -1,10 +1,10 @@
-//! Random samples of long lists, so that a choice does not walk the whole list of engines.
+//! Draws random samples of long engine lists, so that the choice of an engine need not scan the whole list.
 
 use super::rng::Rng;
 use crate::api::EngineId;
 
-/// `count` different engines of a list, drawn evenly: it walks the list in steps of a random length that shares no
-/// divisor with the list's.
+/// Draws `count` distinct engines of a list, each with equal probability. The engines are taken from a random position
+/// on in steps of a random size that is coprime with the length of the list. `count` must not exceed that length.
 pub(super) fn sample(rng: &mut Rng, list: &[EngineId], count: usize) -> Vec<EngineId> {
     let length = list.len();
     let mut draw = || (rng.uniform() * length as f64) as usize % length;
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -1,37 +1,41 @@
-//! Slow start: an engine that has just started counts with the part of its cores that it can use, and has a work
+//! Implements slow start: a newly started engine counts only with the cores that it can already use, and has a work
 //! budget that all gateways share.
 //!
-//! Rule: the sum of what all gateways send an engine in slow start stays under
-//! [`SlowStart::overload_multiple`](crate::api::SlowStart::overload_multiple) x window x effective cores. No gateway
-//! knows what others send, so each keeps to its share.
+//! Rule: the work that all gateways together send to an engine in slow start within a window stays below
+//! [`SlowStart::overload_multiple`](crate::api::SlowStart::overload_multiple) x window x effective cores. A gateway
+//! does not know what the others send, so each keeps to its own share.
 
 use super::candidate::Candidate;
 use super::engine_state::{EngineState, WorkBudget};
 use super::{AdmissionController, MIN_DIVISOR, SUSTAINABLE_UTILISATION, WORK_DECAY_SECONDS};
 use crate::api::{Endpoint, EngineId, SlowStart};
 
-/// Share of an engine's budget that gateways use together; the rest is for chance and uneven traffic.
+/// Fraction of an engine's budget that all gateways together plan to use. The rest absorbs random variation and uneven
+/// traffic.
 const BUDGET_SHARE: f64 = 0.6;
-/// Share of an engine's budget in one window that one query may take.
+/// Fraction of an engine's budget in one window that a single query may use.
 const MAX_QUERY_SHARE: f64 = 0.1;
-/// Cores below all of its own at which an engine still counts as at full speed, for rounding.
+/// Number of cores by which the effective cores may be below all cores for the engine to count as fully warmed up;
+/// allows for rounding.
 const CORES_TOLERANCE: f64 = 1e-3;
-/// Seconds of work by which the budget may be exceeded, for rounding.
+/// Seconds of work by which the budget may be exceeded; allows for rounding.
 const BUDGET_TOLERANCE_SECONDS: f64 = 1e-3;
-/// Windows for which unused budget stays available. More would add up where all gateways send in step.
+/// Time for which unused budget stays available, in windows. A longer time would let the unused budgets add up to an
+/// overload when all gateways send at the same time.
 const MAX_SAVED_WINDOWS: f64 = 0.6;
 
-/// A gateway's share of a budget at one moment, in seconds of work on one thread.
+/// State of this gateway's share of a budget at one time, in seconds of work on one thread.
 #[derive(Default)]
 struct BudgetBalance {
-    /// What has become due since the start.
+    /// Work that has become due since this gateway was notified of the start.
     due: f64,
-    /// What of it was sent or has lapsed.
+    /// Part of the due work that was sent or has expired.
     spent: f64,
 }
 
 impl AdmissionController {
-    /// Cores that an engine can use: from the initial fraction at its start, evenly up to all of them.
+    /// Returns the number of cores that an engine can use: the initial fraction at its start, rising linearly to all
+    /// cores.
     pub(super) fn effective_cores(&self, now: f64, engine: &EngineState) -> f64 {
         let started_at = engine.endpoint.and_then(|endpoint| endpoint.started_at);
         let (Some(started_at), Some(slow_start)) = (started_at, self.settings.slow_start) else {
@@ -42,7 +46,8 @@
         (engine.cores * (initial + (1.0 - initial) * warmed)).max(MIN_DIVISOR)
     }
 
-    /// Whether work for an engine is within this gateway's share of its slow-start budget.
+    /// Returns whether `work`, in seconds on one thread, fits into this gateway's share of the engine's slow-start
+    /// budget.
     pub(super) fn within_slow_start_budget(
         &self,
         now: f64,
@@ -61,7 +66,7 @@
             && balance.spent + work <= balance.due + BUDGET_TOLERANCE_SECONDS
     }
 
-    /// Takes the work of an attempt that begins out of the engine's budget.
+    /// Deducts the expected work of a starting attempt from this gateway's share of the engine's budget.
     pub(super) fn spend_slow_start_budget(&mut self, now: f64, engine: EngineId, work: f64) {
         let balance = match self.settings.slow_start {
             Some(slow_start) => self.budget_balance(now, &self.engines[engine], &slow_start),
@@ -69,14 +74,14 @@
         };
         let budget = &mut self.engines[engine].work_budget;
         budget.spent = balance.spent + work;
-        // What is due and not spent does not cover another query of this work: the next quantum is counted from here, and not
-        // from the end of the present one.
+        // If the remaining due work does not cover another query of this size, the next quantum is counted from the
+        // work spent so far instead of from the end of the current quantum.
         if balance.due - budget.spent < work {
             budget.quantum_from = budget.spent;
         }
     }
 
-    /// This gateway's share of an engine's budget since it was notified of the start.
+    /// Returns the due and spent parts of this gateway's share of an engine's budget.
     fn budget_balance(
         &self,
         now: f64,
@@ -96,7 +101,8 @@
         }
     }
 
-    /// The work that becomes due at once: that of a usual query, in seconds on one thread.
+    /// Returns the work that becomes due at once, in seconds on one thread: the expected work of the sample query, or
+    /// the mean work of admitted queries.
     fn budget_quantum(&self, now: f64, engine: &EngineState, slow_start: &SlowStart) -> f64 {
         let work = match &engine.work_budget.sample_query {
             Some(query) => self.expected_work(query),
@@ -107,26 +113,28 @@
     }
 }
 
-/// When this gateway's share of a budget becomes due.
+/// Times at which this gateway's share of an engine's budget becomes due.
 ///
-/// The share in one window can be less than one query, so it becomes due in quanta of a query, with a random offset for each
-/// start: the sum over gateways stays the same, and chance adds little. What is not sent in time lapses, since the
-/// savings of all gateways sent in step would overload the engine.
+/// The share for one window can be less than one query. Therefore the share becomes due in quanta of one query each,
+/// with a random offset for each start of an engine. The sum over all gateways stays the same and varies little. Work
+/// that is not sent in time expires, because the unused budgets of all gateways, sent at the same time, would overload
+/// the engine.
 ///
-/// For example, with a rate of 0.5 s of work a second and a quantum of 1 s, a gateway whose jitter is 0.25 has 1 s due from
-/// 0.5 s after it was notified of the start, and another 1 s every 2 s from then on.
+/// For example, with a rate of 0.5 s of work per second, a quantum of 1 s and a jitter of 0.25, a gateway has 1 s of
+/// work due 0.5 s after it was notified of the start, and another 1 s every 2 s after that.
 struct BudgetSchedule<'a> {
-    /// Seconds of work on one thread that become due a second.
+    /// Work that becomes due per second, in seconds on one thread.
     rate: f64,
-    /// Seconds of work on one thread that become due at once.
+    /// Work that becomes due at once, in seconds on one thread.
     quantum: f64,
-    /// The offset of the first quantum, as a share of it.
+    /// Offset of the first quantum, as a fraction of a quantum.
     jitter: f64,
     budget: &'a WorkBudget,
 }
 
 impl BudgetSchedule<'_> {
-    /// Work that has become due between the notification of the start and `at`, a time in seconds on the caller's clock.
+    /// Returns the work that becomes due between the notification of the start and the time `at`, in seconds on one
+    /// thread.
     fn due_at(&self, at: f64) -> f64 {
         let earned = self.rate * (at - self.budget.known_since).max(0.0);
         let earned_in_quantum = earned - self.budget.quantum_from;
@@ -135,8 +143,8 @@
     }
 }
 
-/// Seconds of work on one thread that this gateway may send an engine in slow start each second. It stays the same until the
-/// slow start is over; work of an attempt that never ran is not given back.
+/// Returns the work that this gateway may send per second to an engine in slow start, in seconds on one thread. The
+/// rate is constant during slow start. The work of an attempt that never ran is not returned to the budget.
 fn budget_rate(engine: &EngineState, slow_start: &SlowStart) -> f64 {
     slow_start.overload_multiple
         * slow_start.initial_fraction
@@ -146,12 +154,13 @@
         / engine.gateways
 }
 
-/// Work that one query may bring to an engine in slow start.
+/// Returns the largest work of a single query that may be sent to an engine in slow start, in seconds on one thread.
 fn max_query_work(slow_start: &SlowStart, effective_cores: f64) -> f64 {
     MAX_QUERY_SHARE * slow_start.overload_multiple * slow_start.window * effective_cores
 }
 
-/// Gateways that work with an engine: this one at least and all at most; what is no number counts as all.
+/// Returns the number of gateways that use an engine, limited to the range from 1 (this gateway) to `all`. NaN and a
+/// missing value count as `all`.
 pub(super) fn gateways_of(endpoint: &Endpoint, all: f64) -> f64 {
     endpoint
         .gateways
--- a/src/controller/stalled_attempts.rs
+++ b/src/controller/stalled_attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts that make no progress: those that take far longer than usual count as load, and those that are lost are
-//! cancelled, so that their query can run elsewhere.
+//! Detects attempts without progress: counts overdue attempts as load, and cancels lost attempts so that their queries
+//! can run on another engine.
 
 use super::load::{MAX_OBSERVED_LOAD, SLOWDOWN_AT_LOAD_LIMIT};
 use super::load_shedding::estimate_uncertainty;
@@ -7,15 +7,18 @@
 use super::{AdmissionController, AttemptRef};
 use crate::api::{Idempotency, Progress, QueryId};
 
-/// Latency over bare work from which an attempt in flight counts as overdue, where the work is known well.
+/// Slowdown (ratio of latency to uncontended run time) above which an attempt in flight counts as overdue if its query
+/// has a work estimate.
 const OVERDUE_SLOWDOWN: f64 = MAX_OBSERVED_LOAD * SLOWDOWN_AT_LOAD_LIMIT;
-/// Power of the estimate's uncertainty by which overdue comes later.
+/// Exponent of the uncertainty factor by which the overdue time is extended for a query without a work estimate.
 const UNCERTAINTY_EXPONENT: i32 = 4;
-/// Progress events that may be missing before an attempt counts as lost. One may be late, two hardly.
+/// Number of progress intervals without an event after which an attempt counts as lost. One late event is common, two
+/// are rare.
 const LOST_AFTER_PROGRESS_INTERVALS: f64 = 2.5;
 
 impl AdmissionController {
-    /// An engine has sent a progress event. `attempt` is its number within the query, from 0.
+    /// Reports a progress event from an engine. `attempt` is the number of the attempt within the query, from 0. Events
+    /// of any but the latest attempt are ignored.
     pub fn attempt_progressed(&mut self, now: f64, id: QueryId, attempt: u32, progress: Progress) {
         let Some(state) = self.queries.get_mut(&id) else {
             return;
@@ -32,8 +35,8 @@
         }
     }
 
-    /// Looks at all attempts in flight: counts the overdue ones as load once, and cancels those that are lost, because
-    /// the engine's process has restarted or has stopped sending progress events.
+    /// Checks all attempts in flight: counts each overdue attempt as load once, and cancels the lost ones, whose engine
+    /// process has restarted or has stopped sending progress events.
     pub(super) fn check_in_flight(&mut self, now: f64) {
         let in_flight: Vec<QueryId> = self
             .queries
@@ -86,8 +89,8 @@
         silent || started_at.is_some_and(|started_at| started_at > attempt.begun_at)
     }
 
-    /// Cancels an attempt that makes no progress, where its query may run again elsewhere. Only idempotent queries: the
-    /// others, also those with a key, wait for their outcome.
+    /// Cancels an attempt without progress if its query may run on another engine. This applies to idempotent queries
+    /// only; others, including those that are idempotent by key, wait for their outcome.
     fn cancel_stalled(&mut self, now: f64, id: QueryId) {
         let state = &self.queries[&id];
         let class = &self.settings.classes[state.query.class];
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,7 @@
-//! garnetwall decides where and when queries go to a pool of engines. [`controller`] decides; [`api`] holds the plain
-//! values it is asked with and answers in. Protocols live in crates of their own.
+//! Admission control for queries on a pool of engines: decides when and on which engine each query runs.
+//!
+//! [`controller`] makes the decisions; [`api`] defines its input and output values. Network protocols are in separate
+//! crates.
 
 pub mod api;
 pub mod controller;
