--- a/src/controller.rs
+++ b/src/controller.rs
@@ -195,7 +195,7 @@
 
     class_statistics: Vec<ClassStatistics>,
     /// Decaying mean of the expected work of admitted queries, in seconds on one thread.
-    usual_work: DecayingAverage,
+    mean_query_work: DecayingAverage,
     last_admitted: Option<Query>,
     in_flight_time: InFlightTime,
     retry_window: RetryWindow,
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -37,7 +37,7 @@
 
     fn count_expected_work(&mut self, now: f64, query: &Query) {
         let work = self.expected_work(query);
-        self.usual_work.add(now, WORK_DECAY_SECONDS, work);
+        self.mean_query_work.add(now, WORK_DECAY_SECONDS, work);
         self.last_admitted = Some(*query);
         // The work of queries restricted to kinds counts at admission: a kind must not look idle because its queries
         // are shed.
--- a/src/controller/attempt.rs
+++ b/src/controller/attempt.rs
@@ -21,7 +21,10 @@
         if self.queries[&id].attempts > 0 {
             self.count_retry(now, query.class);
         }
-        let state = self.queries.get_mut(&id).expect("a query being placed has a state");
+        let state = self
+            .queries
+            .get_mut(&id)
+            .expect("a query being placed has a state");
         state.phase = QueryPhase::InFlight;
         state.attempts += 1;
         state.in_flight = Some(Attempt::new(engine, now, memory));
--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -109,8 +109,8 @@
     }
 
     fn probability_to_begin(&self, now: f64, query: &Query, load: f64) -> f64 {
-        let usual_work = self.usual_work.mean(now, WORK_DECAY_SECONDS, 0.0);
-        start_probability(load, self.expected_work(query), usual_work)
+        let mean_query_work = self.mean_query_work.mean(now, WORK_DECAY_SECONDS, 0.0);
+        start_probability(load, self.expected_work(query), mean_query_work)
     }
 
     fn best_candidate(
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -106,7 +106,7 @@
     fn budget_quantum(&self, now: f64, engine: &EngineState, slow_start: &SlowStart) -> f64 {
         let work = match &engine.work_budget.sample_query {
             Some(query) => self.expected_work(query),
-            None => self.usual_work.mean(now, WORK_DECAY_SECONDS, 0.0),
+            None => self.mean_query_work.mean(now, WORK_DECAY_SECONDS, 0.0),
         };
         let max_work = max_query_work(slow_start, self.effective_cores(now, engine));
         work.min(max_work).max(MIN_DIVISOR)
--- a/src/controller/start_probability.rs
+++ b/src/controller/start_probability.rs
@@ -6,14 +6,14 @@
 /// Load, in units of the load limit, at and above which no query starts.
 const ZERO_PROBABILITY_LOAD: f64 = 2.0;
 /// Exponent of the probability curve for a query of mean work; heavier queries get a larger exponent.
-const USUAL_WORK_EXPONENT: f64 = 8.0;
+const MEAN_WORK_EXPONENT: f64 = 8.0;
 /// Upper limit of a query's work relative to the mean; the exponent grows no further above it.
 const MAX_RELATIVE_WORK: f64 = 3.0;
 
 /// Returns the probability that a query starts at an engine whose load including the query is `load`, in units of the
-/// load limit. `work` and `usual_work` are in seconds on one thread.
-pub(super) fn start_probability(load: f64, work: f64, usual_work: f64) -> f64 {
-    let relative_work = (work / usual_work.max(MIN_DIVISOR)).min(MAX_RELATIVE_WORK);
-    let below_max = (ZERO_PROBABILITY_LOAD - load).clamp(0.0, 1.0);
-    below_max.powf(USUAL_WORK_EXPONENT * relative_work)
+/// load limit. `work` and `mean_query_work` are in seconds on one thread.
+pub(super) fn start_probability(load: f64, work: f64, mean_query_work: f64) -> f64 {
+    let relative_work = (work / mean_query_work.max(MIN_DIVISOR)).min(MAX_RELATIVE_WORK);
+    let distance_to_zero = (ZERO_PROBABILITY_LOAD - load).clamp(0.0, 1.0);
+    distance_to_zero.powf(MEAN_WORK_EXPONENT * relative_work)
 }
