--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -69,7 +69,7 @@
             return Placement::Wait;
         };
         match state.phase {
-            QueryPhase::Queued if !self.is_hopeless(now, state) => match self.choose(now, id) {
+            QueryPhase::Queued if !self.should_abandon(now, state) => match self.choose(now, id) {
                 Some(engine) => self.begin_attempt(now, id, engine),
                 None => self.retry_placement_later(now, id),
             },
--- a/src/controller/load_shedding.rs
+++ b/src/controller/load_shedding.rs
@@ -23,14 +23,14 @@
 const LATE_QUERY_SLACK_SECONDS: f64 = 0.2;
 
 /// Value and maximum wait of a waiting query.
-struct Prospect {
+struct SheddingEstimate {
     /// Value of the answer per second of work on one thread.
     value_density: f64,
     /// Seconds for which the query may wait behind other work; negative if it is too late for an answer in time.
     max_wait: f64,
 }
 
-impl Prospect {
+impl SheddingEstimate {
     /// Returns whether an answer in time is impossible or would have no value.
     fn is_too_late(&self) -> bool {
         self.value_density <= 0.0 || self.max_wait < 0.0
@@ -40,7 +40,7 @@
 /// Waiting query with the quantities that load shedding compares.
 struct WaitingQuery {
     id: QueryId,
-    prospect: Prospect,
+    shedding_estimate: SheddingEstimate,
     /// Expected work in seconds on one thread.
     work: f64,
     /// Fixed part of the latency objective of the query's class, in seconds.
@@ -48,12 +48,13 @@
 }
 
 impl AdmissionController {
-    fn prospect(&self, now: f64, state: &QueryState) -> Prospect {
+    fn shedding_estimate(&self, now: f64, state: &QueryState) -> SheddingEstimate {
         let class = &self.settings.classes[state.query.class];
-        let bare_service = self.expected_work(&state.query) / class.threads;
+        let uncontended_service = self.expected_work(&state.query) / class.threads;
         let service = self.expected_service(&state.query);
         let uncertainty = estimate_uncertainty(&state.query);
-        let objective = class.latency_objective + class.latency_objective_stretch * bare_service;
+        let objective =
+            class.latency_objective + class.latency_objective_stretch * uncontended_service;
         // An uncertain service time counts as longer for the latency objective, so that no query is started in vain,
         // and as shorter for the deadline, so that no query is abandoned that could still be answered.
         let service_in_objective = (uncertainty * service).min(objective * MAX_SERVICE_FRACTION);
@@ -66,9 +67,9 @@
         } else {
             until_objective
         };
-        Prospect {
+        SheddingEstimate {
             value_density: class.priority_weight * value_share
-                / (bare_service * class.threads).max(MIN_DIVISOR),
+                / (uncontended_service * class.threads).max(MIN_DIVISOR),
             max_wait: slack.min(until_deadline) * MAX_WAIT_FRACTION,
         }
     }
@@ -90,18 +91,18 @@
 
     /// Returns whether a queued query is pointless: an answer in time is impossible or would have no value, or the
     /// rules no longer allow the retry for which it waits.
-    pub(super) fn is_hopeless(&self, now: f64, state: &QueryState) -> bool {
-        let prospect = self.prospect(now, state);
-        prospect.is_too_late() || (state.attempts > 0 && !self.may_retry(now, state))
+    pub(super) fn should_abandon(&self, now: f64, state: &QueryState) -> bool {
+        let shedding_estimate = self.shedding_estimate(now, state);
+        shedding_estimate.is_too_late() || (state.attempts > 0 && !self.may_retry(now, state))
     }
 
     /// Abandons the waiting queries that cannot be answered in time after the more valuable waiting queries, and those
     /// that exceed the capacity for open queries.
     pub(super) fn shed_load(&mut self, now: f64) {
-        self.shed_behind_keys(now);
+        self.shed_key_queues(now);
         let mut waiting = self.waiting_queries(now);
         waiting.sort_by(|a, b| {
-            let density_of = |waiting: &WaitingQuery| waiting.prospect.value_density;
+            let density_of = |waiting: &WaitingQuery| waiting.shedding_estimate.value_density;
             density_of(b).total_cmp(&density_of(a))
         });
         let work_rate = self.sustainable_work_rate(now);
@@ -110,14 +111,17 @@
         let mut shortest_wait = f64::INFINITY;
         for WaitingQuery {
             id,
-            prospect,
+            shedding_estimate,
             work,
             latency_objective,
         } in waiting
         {
             capacity -= 1.0;
-            let max_wait = prospect.max_wait.min(shortest_wait);
-            if prospect.is_too_late() || capacity < 0.0 || work_ahead / work_rate > max_wait {
+            let max_wait = shedding_estimate.max_wait.min(shortest_wait);
+            if shedding_estimate.is_too_late()
+                || capacity < 0.0
+                || work_ahead / work_rate > max_wait
+            {
                 self.abandon(id);
                 continue;
             }
@@ -135,7 +139,7 @@
         queued
             .map(|state| WaitingQuery {
                 id: state.id(),
-                prospect: self.prospect(now, state),
+                shedding_estimate: self.shedding_estimate(now, state),
                 work: self.expected_work(&state.query),
                 latency_objective: self.settings.classes[state.query.class].latency_objective,
             })
@@ -156,7 +160,7 @@
 
     /// Abandons the queries of each ordering key that cannot be answered in time after the earlier queries of the key.
     /// More engines do not help, since the queries of a key run one at a time.
-    fn shed_behind_keys(&mut self, now: f64) {
+    fn shed_key_queues(&mut self, now: f64) {
         let mut too_late = Vec::new();
         for key_queue in self.key_queues.values() {
             self.collect_too_late(now, key_queue, &mut too_late);
