--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -17,7 +17,7 @@
         };
         self.count_admission(now, query.class);
         self.count_expected_work(now, &query);
-        self.earn_health_check();
+        self.add_health_check_budget();
         self.shedding_due |= self.open_queries_left() < 0.0;
         let key = self.ordering_key(&query);
         let phase = match key {
--- a/src/controller/health_checks.rs
+++ b/src/controller/health_checks.rs
@@ -24,7 +24,7 @@
     }
 
     /// Adds the share of a health check that an admitted query allows, up to one health check per known engine.
-    pub(super) fn earn_health_check(&mut self) {
+    pub(super) fn add_health_check_budget(&mut self) {
         let earned = self.health_check_budget + HEALTH_CHECKS_PER_QUERY;
         self.health_check_budget = earned.min(self.engines.len() as f64);
     }
@@ -51,13 +51,13 @@
                 let engine = &self.engines[*id];
                 engine.health_check.next_at <= now && (all_engines || !engine.contacted)
             })
-            .min_by_key(|id| turn(&self.engines[*id]))
+            .min_by_key(|id| health_check_order(&self.engines[*id]))
     }
 }
 
 /// Returns the sort key for the order of health checks: first the due time, then the engine's jitter, so that gateways
 /// do not all contact the same engines first.
-fn turn(engine: &EngineState) -> (u64, u64) {
+fn health_check_order(engine: &EngineState) -> (u64, u64) {
     (
         microseconds(engine.health_check.next_at),
         microseconds(engine.jitter),
