--- a/src/controller/engine_state.rs
+++ b/src/controller/engine_state.rs
@@ -123,19 +123,19 @@
 #[derive(Default)]
 pub(crate) struct WorkBudget {
     /// Time at which this gateway was notified of the engine's start, in seconds.
-    pub(super) known_since: f64,
+    pub(super) notified_at: f64,
     /// Last query admitted before the start; the budget becomes due in quanta of its expected work.
     pub(super) sample_query: Option<Query>,
     /// Work sent or expired since the notification, in seconds on one thread.
     pub(super) spent: f64,
     /// Amount of work from which the quanta are counted, in seconds on one thread.
-    pub(super) quantum_from: f64,
+    pub(super) quantum_start: f64,
 }
 
 impl WorkBudget {
     pub(crate) fn starting_at(now: f64, sample_query: Option<Query>) -> Self {
         WorkBudget {
-            known_since: now,
+            notified_at: now,
             sample_query,
             ..WorkBudget::default()
         }
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -77,7 +77,7 @@
         // If the remaining due work does not cover another query of this size, the next quantum is counted from the
         // work spent so far instead of from the end of the current quantum.
         if balance.due - budget.spent < work {
-            budget.quantum_from = budget.spent;
+            budget.quantum_start = budget.spent;
         }
     }
 
@@ -136,10 +136,10 @@
     /// Returns the work that becomes due between the notification of the start and the time `at`, in seconds on one
     /// thread.
     fn due_at(&self, at: f64) -> f64 {
-        let earned = self.rate * (at - self.budget.known_since).max(0.0);
-        let earned_in_quantum = earned - self.budget.quantum_from;
+        let earned = self.rate * (at - self.budget.notified_at).max(0.0);
+        let earned_in_quantum = earned - self.budget.quantum_start;
         let quanta = earned_in_quantum / self.quantum + 1.0 - self.jitter;
-        self.budget.quantum_from + self.quantum * quanta.floor().max(0.0)
+        self.budget.quantum_start + self.quantum * quanta.floor().max(0.0)
     }
 }
 
