--- a/src/controller/engine_choice.rs
+++ b/src/controller/engine_choice.rs
@@ -100,12 +100,12 @@
         if locked.contains(&choice.engine) && self.open_queries_left() < 0.0 {
             return None;
         }
-        let kind_cores = kind_of(&kinds, choice.kind).effective_cores;
+        let kind_cores = summary_of(&kinds, choice.kind).effective_cores;
         let kind_load_with_query = self.kind_load_with_query(now, choice.kind, kind_cores, &query);
         let load = choice.load.max(kind_load_with_query);
-        let begins =
+        let starts =
             load < 1.0 || self.rng.uniform() < self.probability_to_begin(now, &query, load);
-        begins.then_some(choice.engine)
+        starts.then_some(choice.engine)
     }
 
     fn probability_to_begin(&self, now: f64, query: &Query, load: f64) -> f64 {
@@ -126,7 +126,7 @@
         let mut best: Option<Choice> = None;
         for candidate in &candidates.engines {
             let engine = &self.engines[candidate.engine];
-            let kind = kind_of(kinds, candidate.kind);
+            let kind = summary_of(kinds, candidate.kind);
             let engine_load = engine_load(now, kind.load, engine);
             let load =
                 self.load_with_query(query, needed_memory, candidate, engine_load, kind.load);
@@ -162,7 +162,7 @@
         let is_long_list = self.ready.len() > 2 * SAMPLE_SIZE;
         if is_long_list && state.query.endpoint_subset.is_none() {
             let sample = sample(&mut self.rng, &self.ready, SAMPLE_SIZE);
-            let engines = self.eligible_of(now, id, &sample);
+            let engines = self.eligible_engines(now, id, &sample);
             if engines.len() >= MIN_SAMPLED_CANDIDATES {
                 return Candidates {
                     engines,
@@ -171,14 +171,14 @@
             }
         }
         Candidates {
-            engines: self.eligible_of(now, id, &self.ready),
+            engines: self.eligible_engines(now, id, &self.ready),
             sampled_share: 1.0,
         }
     }
 
     /// Returns those of `engines` that a query may use now. If the query has an endpoint subset, these are the engines
     /// of the first priority level that contains any.
-    fn eligible_of(&self, now: f64, id: QueryId, engines: &[EngineId]) -> Vec<Candidate> {
+    fn eligible_engines(&self, now: f64, id: QueryId, engines: &[EngineId]) -> Vec<Candidate> {
         let state = &self.queries[&id];
         let work = self.expected_work(&state.query);
         let eligible = |id: &EngineId| self.eligible_candidate(now, state, work, *id);
@@ -242,7 +242,7 @@
 }
 
 /// Returns the summary of a kind, which must be the kind of one of the candidates.
-fn kind_of(kinds: &[KindSummary], kind: usize) -> &KindSummary {
+fn summary_of(kinds: &[KindSummary], kind: usize) -> &KindSummary {
     let position = kinds.partition_point(|summary| summary.kind < kind);
     &kinds[position]
 }
