--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use garnetwall::api::{EngineId, Idempotency, Settings};
-use helper::{query_class, settings, World};
+use helper::{query_class, settings, Simulation};
 
 const GATEWAYS: u64 = 60;
 const ENGINES: usize = 60;
@@ -12,32 +12,32 @@
 const QUERIES: usize = 60;
 
 /// The engines that a gateway probes first.
-fn probed_first(seed: u64) -> Vec<EngineId> {
-    let notified = Settings {
+fn checked_first(seed: u64) -> Vec<EngineId> {
+    let test_settings = Settings {
         health_checks_allowed: true,
         ..settings(vec![query_class(Idempotency::Idempotent)])
     };
-    let mut world = World::seeded(notified, ENGINES, seed);
+    let mut sim = Simulation::seeded(test_settings, ENGINES, seed);
     for _ in 0..QUERIES {
-        world.admit(0, 0, None, 4.0);
-        world.pass(0.01);
+        sim.admit(0, 0, None, 4.0);
+        sim.advance(0.01);
     }
-    world.pass(0.2);
-    world.health_checks.truncate(2);
-    world.health_checks
+    sim.advance(0.2);
+    sim.health_checks.truncate(2);
+    sim.health_checks
 }
 
 #[test]
 fn gateways_check_engines_in_different_orders() {
-    let mut gateways_of = [0; ENGINES];
+    let mut gateways_by_engine = [0; ENGINES];
     for seed in 0..GATEWAYS {
-        let probed = probed_first(seed * 7919 + 11);
-        assert_eq!(probed.len(), 2, "gateway {seed}");
-        probed
+        let checked = checked_first(seed * 7919 + 11);
+        assert_eq!(checked.len(), 2, "gateway {seed}");
+        checked
             .into_iter()
-            .for_each(|engine| gateways_of[engine] += 1);
+            .for_each(|engine| gateways_by_engine[engine] += 1);
     }
     // Two in the mean; of one order for all, 60.
-    let most = gateways_of.iter().max();
-    assert!(most < Some(&9), "{gateways_of:?}");
+    let most = gateways_by_engine.iter().max();
+    assert!(most < Some(&9), "{gateways_by_engine:?}");
 }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -24,24 +24,26 @@
 
 impl QueryRecord {
     fn may_have_run(&self) -> Option<&AttemptRecord> {
-        let ran = |d: &&AttemptRecord| {
+        let may_have_run = |attempt: &&AttemptRecord| {
             !matches!(
-                d.outcome,
+                attempt.outcome,
                 Some((
                     AttemptEnd::Rejected | AttemptEnd::ConnectFailed | AttemptEnd::NotNeeded,
                     _
                 ))
             )
         };
-        self.attempts.iter().find(ran)
+        self.attempts.iter().find(may_have_run)
     }
 
     pub fn in_flight(&self) -> Option<usize> {
-        self.attempts.iter().position(|d| d.outcome.is_none())
+        self.attempts
+            .iter()
+            .position(|attempt| attempt.outcome.is_none())
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub controller: AdmissionController,
     pub settings: Settings,
     pub now: f64,
@@ -61,14 +63,14 @@
     admissions: Vec<f64>,
 }
 
-pub fn query_class(effect: Idempotency) -> QueryClass {
+pub fn query_class(class_idempotency: Idempotency) -> QueryClass {
     QueryClass {
         latency_objective: 1.0,
         latency_objective_stretch: 2.0,
         deadline: 4.0,
         priority_weight: 1.0,
         late_value_share: 0.3,
-        idempotency: effect,
+        idempotency: class_idempotency,
         in_order: false,
         zones: None,
         kinds: None,
@@ -79,9 +81,9 @@
     }
 }
 
-pub fn settings(groups: Vec<QueryClass>) -> Settings {
+pub fn settings(query_classes: Vec<QueryClass>) -> Settings {
     Settings {
-        classes: groups,
+        classes: query_classes,
         tenants: 2,
         gateways: 1.0,
         kind_cores: vec![Some(8.0), None],
@@ -96,11 +98,11 @@
 }
 
 pub fn endpoint(engine: EngineId) -> Endpoint {
-    let odd = (engine % 2) as u32;
+    let parity = (engine % 2) as u32;
     Endpoint {
         engine,
-        zone: odd,
-        kind: odd as usize,
+        zone: parity,
+        kind: parity as usize,
         cell: engine as u32,
         started_at: None,
         state: EndpointState::Ready,
@@ -108,22 +110,26 @@
     }
 }
 
-impl World {
-    pub fn new(s: Settings, engines: usize) -> World {
-        World::seeded(s, engines, 7)
+impl Simulation {
+    pub fn new(s: Settings, engines: usize) -> Simulation {
+        Simulation::seeded(s, engines, 7)
     }
 
-    pub fn seeded(s: Settings, engines: usize, seed: u64) -> World {
-        World::of(s, (0..engines).map(endpoint).collect(), seed)
+    pub fn seeded(s: Settings, engines: usize, seed: u64) -> Simulation {
+        Simulation::of(s, (0..engines).map(endpoint).collect(), seed)
     }
 
-    /// A world of engines that are notified to be held by so many gateways.
-    pub fn with_gateways(holders: Option<f64>, s: Settings, engines: usize) -> World {
-        World::of(
+    /// A simulation of engines that are notified to be held by so many gateways.
+    pub fn with_gateways(
+        gateways_per_engine: Option<f64>,
+        s: Settings,
+        engines: usize,
+    ) -> Simulation {
+        Simulation::of(
             s,
             (0..engines)
                 .map(|engine| Endpoint {
-                    gateways: holders,
+                    gateways: gateways_per_engine,
                     ..endpoint(engine)
                 })
                 .collect(),
@@ -131,27 +137,26 @@
         )
     }
 
-    fn of(s: Settings, lines: Vec<Endpoint>, seed: u64) -> World {
-        let notified = vec![1000.0; lines.len()];
-        let mut world = World {
+    fn of(s: Settings, endpoint_list: Vec<Endpoint>, seed: u64) -> Simulation {
+        let start_times = vec![1000.0; endpoint_list.len()];
+        let mut sim = Simulation {
             controller: AdmissionController::new(s.clone(), seed, 1000.0),
             settings: s,
             now: 1000.0,
             records: Vec::new(),
-            endpoints: lines,
+            endpoints: endpoint_list,
             placed: Vec::new(),
             health_checks: Vec::new(),
             endpoint_subsets: Vec::new(),
             send_timeouts: Vec::new(),
             waits: Vec::new(),
-            notified_at: notified,
+            notified_at: start_times,
             retries: Vec::new(),
             admissions: Vec::new(),
         };
-        world
-            .controller
-            .update_endpoints(&world.endpoints, ListScope::Full);
-        world
+        sim.controller
+            .update_endpoints(&sim.endpoints, ListScope::Full);
+        sim
     }
 
     /// A subset of these engines, by preference.
@@ -164,8 +169,14 @@
         number
     }
 
-    pub fn admit(&mut self, class: usize, tenant: usize, key: Option<u64>, left: f64) -> QueryId {
-        self.admit_in_subset(None, class, tenant, key, left)
+    pub fn admit(
+        &mut self,
+        class: usize,
+        tenant: usize,
+        key: Option<u64>,
+        remaining_seconds: f64,
+    ) -> QueryId {
+        self.admit_in_subset(None, class, tenant, key, remaining_seconds)
     }
 
     pub fn admit_in_subset(
@@ -174,45 +185,45 @@
         class: usize,
         tenant: usize,
         key: Option<u64>,
-        left: f64,
+        remaining_seconds: f64,
     ) -> QueryId {
         let id = self.records.len() as QueryId;
-        let b = Query {
+        let new_query = Query {
             id,
             class,
             tenant,
             ordering_key: key,
-            remaining_time: left,
+            remaining_time: remaining_seconds,
             estimated_work: None,
             estimated_memory: None,
             data_set: id % 3,
             endpoint_subset: subset,
         };
-        let limit = self.now + left;
-        let taken = self.now;
+        let expires_at = self.now + remaining_seconds;
+        let now = self.now;
         self.records.push(QueryRecord {
-            query: b,
-            admitted_at: taken,
-            deadline: limit,
+            query: new_query,
+            admitted_at: now,
+            deadline: expires_at,
             finished: false,
             rejected: false,
             attempts: Vec::new(),
         });
         self.admissions.push(self.now);
-        self.controller.admit(self.now, b);
+        self.controller.admit(self.now, new_query);
         id
     }
 
     pub fn update_endpoint(
         &mut self,
         engine: EngineId,
-        condition: EndpointState,
+        new_state: EndpointState,
         started_at: Option<f64>,
     ) {
         if self.endpoints[engine].started_at != started_at {
             self.notified_at[engine] = self.now;
         }
-        self.endpoints[engine].state = condition;
+        self.endpoints[engine].state = new_state;
         self.endpoints[engine].started_at = started_at;
         self.controller
             .update_endpoints(&[self.endpoints[engine]], ListScope::Delta);
@@ -220,38 +231,39 @@
 
     /// Feeds the outcome of the attempt in flight, and checks what the module makes of it.
     pub fn end_attempt(&mut self, id: QueryId, end: AttemptEnd) {
-        let r = &mut self.records[id as usize];
-        let Some(n) = r.in_flight() else { return };
-        let d = &mut r.attempts[n];
-        d.outcome = Some((end, self.now));
-        let (engine, latency) = (d.engine, self.now - d.at);
-        r.finished |= end == AttemptEnd::Succeeded;
+        let record = &mut self.records[id as usize];
+        let Some(n) = record.in_flight() else { return };
+        let attempt = &mut record.attempts[n];
+        attempt.outcome = Some((end, self.now));
+        let (engine, latency) = (attempt.engine, self.now - attempt.at);
+        record.finished |= end == AttemptEnd::Succeeded;
         let work = Some(WORK).filter(|_| end == AttemptEnd::Succeeded);
-        let o = AttemptOutcome {
+        let attempt_outcome = AttemptOutcome {
             engine,
             attempt: n as u32,
             end,
             latency,
-            query_finished: r.finished,
+            query_finished: record.finished,
             work,
             memory: None,
         };
-        match self.controller.attempt_ended(self.now, id, o) {
+        match self.controller.attempt_ended(self.now, id, attempt_outcome) {
             FollowUp::Nothing => {}
-            FollowUp::Answer(FinalAnswer::Rejected { .. }) => self.answered(id, true),
-            FollowUp::Answer(FinalAnswer::Failed) => self.answered(id, false),
+            FollowUp::Answer(FinalAnswer::Rejected { .. }) => self.record_answer(id, true),
+            FollowUp::Answer(FinalAnswer::Failed) => self.record_answer(id, false),
         }
     }
 
     /// The end of the attempt in flight is not known: what the module has answered now.
-    pub fn lose_track(&mut self, id: QueryId, end: AttemptEnd) {
-        let r = &self.records[id as usize];
-        let Some(n) = r.in_flight().filter(|_| self.now <= r.deadline) else {
+    pub fn report_unknown_outcome(&mut self, id: QueryId, end: AttemptEnd) {
+        let record = &self.records[id as usize];
+        let Some(n) = record.in_flight().filter(|_| self.now <= record.deadline) else {
             return;
         };
-        let d = &r.attempts[n];
-        let (engine, latency, was_over) = (d.engine, self.now - d.at, r.finished);
-        let o = AttemptOutcome {
+        let attempt = &record.attempts[n];
+        let (engine, latency, was_finished) =
+            (attempt.engine, self.now - attempt.at, record.finished);
+        let attempt_outcome = AttemptOutcome {
             engine,
             attempt: n as u32,
             end,
@@ -260,11 +272,14 @@
             work: None,
             memory: None,
         };
-        match self.controller.outcome_unknown(self.now, id, o) {
+        match self
+            .controller
+            .outcome_unknown(self.now, id, attempt_outcome)
+        {
             FollowUp::Nothing => {}
-            FollowUp::Answer(_) if was_over => panic!("query {id} answered twice"),
-            FollowUp::Answer(FinalAnswer::Rejected { .. }) => self.answered(id, true),
-            FollowUp::Answer(FinalAnswer::Failed) => self.answered(id, false),
+            FollowUp::Answer(_) if was_finished => panic!("query {id} answered twice"),
+            FollowUp::Answer(FinalAnswer::Rejected { .. }) => self.record_answer(id, true),
+            FollowUp::Answer(FinalAnswer::Failed) => self.record_answer(id, false),
         }
     }
 
@@ -275,14 +290,17 @@
         }
     }
 
-    fn answered(&mut self, id: QueryId, rejected: bool) {
-        let r = &mut self.records[id as usize];
-        assert!(!r.finished, "query {id} answered twice");
-        assert!(self.now <= r.deadline + 0.001, "query {id} answered late");
-        (r.finished, r.rejected) = (true, rejected);
-        let may = match (
-            self.settings.classes[r.query.class].idempotency,
-            r.may_have_run(),
+    fn record_answer(&mut self, id: QueryId, rejected: bool) {
+        let record = &mut self.records[id as usize];
+        assert!(!record.finished, "query {id} answered twice");
+        assert!(
+            self.now <= record.deadline + 0.001,
+            "query {id} answered late"
+        );
+        (record.finished, record.rejected) = (true, rejected);
+        let expect_rejection = match (
+            self.settings.classes[record.query.class].idempotency,
+            record.may_have_run(),
         ) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::IdempotentByKey { scope, .. }, _) => {
@@ -291,44 +309,48 @@
             (Idempotency::NonIdempotent, _) => false,
         };
         assert_eq!(
-            rejected, may,
+            rejected, expect_rejection,
             "query {id}: model and module differ on the rejection"
         );
     }
 
     /// Every rule on a attempt, from the whole record.
     fn check_attempt(&self, id: QueryId, engine: EngineId) {
-        let r = &self.records[id as usize];
-        let (g, l, now) = (
-            &self.settings.classes[r.query.class],
+        let record = &self.records[id as usize];
+        let (class, endpoint, now) = (
+            &self.settings.classes[record.query.class],
             &self.endpoints[engine],
             self.now,
         );
         assert!(
-            !r.finished && now < r.deadline,
+            !record.finished && now < record.deadline,
             "query {id} sent after its end"
         );
         assert!(
-            r.in_flight().is_none(),
+            record.in_flight().is_none(),
             "query {id} has two attempts in flight"
         );
-        assert!((r.attempts.len() as u32) < self.settings.max_attempts);
+        assert!((record.attempts.len() as u32) < self.settings.max_attempts);
         assert_eq!(
-            l.state,
+            endpoint.state,
             EndpointState::Ready,
             "sent to an engine notified as draining or removed"
         );
         assert!(
-            g.zones.as_ref().is_none_or(|z| z.contains(&l.zone)),
+            class
+                .zones
+                .as_ref()
+                .is_none_or(|zones| zones.contains(&endpoint.zone)),
             "placement by zone"
         );
         assert!(
-            g.kinds
+            class
+                .kinds
                 .as_ref()
-                .is_none_or(|k| k.contains(&(l.kind as u32))),
+                .is_none_or(|kinds| kinds.contains(&(endpoint.kind as u32))),
             "placement by kind"
         );
-        if let Some(subset) = r.query.endpoint_subset {
+        if let Some(subset) = record.query.endpoint_subset {
             assert!(
                 self.endpoint_subsets[subset as usize]
                     .iter()
@@ -336,78 +358,94 @@
                 "placement by endpoint subset"
             );
         }
-        match (g.idempotency, r.may_have_run()) {
+        match (class.idempotency, record.may_have_run()) {
             (Idempotency::Idempotent, _) | (_, None) => {}
             (Idempotency::NonIdempotent, _) => panic!("non-idempotent query {id} sent again"),
-            (Idempotency::IdempotentByKey { scope, window }, Some(d)) => {
-                let a = &self.endpoints[d.engine];
-                let comes_by = now + self.send_timeouts.last().copied().unwrap_or_default();
+            (Idempotency::IdempotentByKey { scope, window }, Some(attempt)) => {
+                let first_endpoint = &self.endpoints[attempt.engine];
+                let arrives_by = now + self.send_timeouts.last().copied().unwrap_or_default();
                 assert!(
-                    comes_by <= d.at + window,
+                    arrives_by <= attempt.at + window,
                     "idempotent-by-key query {id} sent after its window"
                 );
-                assert!(scope == DeduplicationScope::Everywhere || a.zone == l.zone);
-                assert!(scope != DeduplicationScope::Cell || a.cell == l.cell);
+                assert!(
+                    scope == DeduplicationScope::Everywhere || first_endpoint.zone == endpoint.zone
+                );
+                assert!(scope != DeduplicationScope::Cell || first_endpoint.cell == endpoint.cell);
             }
         }
-        if g.in_order && r.query.ordering_key.is_some() {
+        if class.in_order && record.query.ordering_key.is_some() {
             for earlier in self
                 .records
                 .iter()
                 .take(id as usize)
-                .filter(|e| e.query.ordering_key == r.query.ordering_key)
+                .filter(|other| other.query.ordering_key == record.query.ordering_key)
             {
                 if self.settings.classes[earlier.query.class].in_order {
                     self.check_order(earlier);
                 }
             }
         }
-        if let Some(f) = self
+        if let Some(budget) = self
             .settings
             .retry_budget
-            .filter(|_| !r.attempts.is_empty())
+            .filter(|_| !record.attempts.is_empty())
         {
-            let made = self.retries.iter().filter(|t| **t > now - f.window).count() + 1;
-            let taken = self
+            let retries = self
+                .retries
+                .iter()
+                .filter(|t| **t > now - budget.window)
+                .count()
+                + 1;
+            let admitted = self
                 .admissions
                 .iter()
-                .filter(|t| **t > now - f.window)
+                .filter(|t| **t > now - budget.window)
                 .count();
             assert!(
-                made as f64 <= f.floor + f.per_query * taken as f64,
+                retries as f64 <= budget.floor + budget.per_query * admitted as f64,
                 "retry budget"
             );
         }
-        if let Some(f) = g.retry_budget.filter(|_| !r.attempts.is_empty()) {
-            let own = || {
+        if let Some(budget) = class.retry_budget.filter(|_| !record.attempts.is_empty()) {
+            let class_records = || {
                 self.records
                     .iter()
-                    .filter(|o| o.query.class == r.query.class)
+                    .filter(|other| other.query.class == record.query.class)
             };
-            let late = |at: f64| at > now - f.window;
-            let further = own()
-                .flat_map(|o| o.attempts.iter().skip(1))
-                .filter(|d| late(d.at))
+            let in_window = |at: f64| at > now - budget.window;
+            let retries = class_records()
+                .flat_map(|other| other.attempts.iter().skip(1))
+                .filter(|attempt| in_window(attempt.at))
                 .count()
                 + 1;
-            let taken = own().filter(|o| late(o.admitted_at)).count();
+            let admitted = class_records()
+                .filter(|other| in_window(other.admitted_at))
+                .count();
             assert!(
-                further as f64 <= f.floor + f.per_query * taken as f64,
+                retries as f64 <= budget.floor + budget.per_query * admitted as f64,
                 "retry budget of a class"
             );
         }
-        if let (Some(c), Some(up)) = (self.settings.slow_start, l.started_at) {
-            if now < up + c.duration {
-                let all = self.records.iter().flat_map(|r| &r.attempts);
-                let from = self.notified_at[engine].max(now - c.window);
-                let sent = all.filter(|d| d.engine == engine && d.at >= from).count() + 1;
-                let able =
-                    c.initial_fraction + (1.0 - c.initial_fraction) * ((now - up) / c.duration);
-                let whole = c.overload_multiple * able * 8.0 * c.window;
+        if let (Some(slow_start), Some(started_at)) =
+            (self.settings.slow_start, endpoint.started_at)
+        {
+            if now < started_at + slow_start.duration {
+                let all = self.records.iter().flat_map(|record| &record.attempts);
+                let from = self.notified_at[engine].max(now - slow_start.window);
+                let sent = all
+                    .filter(|attempt| attempt.engine == engine && attempt.at >= from)
+                    .count()
+                    + 1;
+                let effective_fraction = slow_start.initial_fraction
+                    + (1.0 - slow_start.initial_fraction)
+                        * ((now - started_at) / slow_start.duration);
+                let total_budget =
+                    slow_start.overload_multiple * effective_fraction * 8.0 * slow_start.window;
                 // Its part or, by lot, a tenth of the whole; the sum over gateways has a test of its own.
-                let most = (whole / self.settings.gateways).max(whole / 10.0);
+                let max_work = (total_budget / self.settings.gateways).max(total_budget / 10.0);
                 assert!(
-                    sent as f64 * WORK <= most,
+                    sent as f64 * WORK <= max_work,
                     "engine overloaded in slow start"
                 );
             }
@@ -416,23 +454,23 @@
 
     fn check_order(&self, earlier: &QueryRecord) {
         assert!(earlier.finished, "an earlier query of the key is not over");
-        for d in &earlier.attempts {
-            let (end, at) = d
+        for attempt in &earlier.attempts {
+            let (end, at) = attempt
                 .outcome
                 .expect("an earlier attempt of the key has no outcome");
-            let rests = matches!(
+            let pauses_key = matches!(
                 end,
                 AttemptEnd::TimedOut | AttemptEnd::ConnectionLost | AttemptEnd::Cancelled
             );
             assert!(
-                !rests || self.now >= at + self.settings.key_pause,
+                !pauses_key || self.now >= at + self.settings.key_pause,
                 "the key does not pause"
             );
         }
     }
 
     /// Asks the module until it waits; cancels and probes are answered at once.
-    pub fn pump(&mut self) -> f64 {
+    pub fn run_actions(&mut self) -> f64 {
         for _ in 0..10_000 {
             match self.controller.next_action(self.now) {
                 NextAction::Wait(span) => {
@@ -467,8 +505,8 @@
     fn place(&mut self, id: QueryId) {
         match self.controller.place(self.now, id) {
             Placement::Wait => {}
-            Placement::Answer(FinalAnswer::Rejected { .. }) => self.answered(id, true),
-            Placement::Answer(FinalAnswer::Failed) => self.answered(id, false),
+            Placement::Answer(FinalAnswer::Rejected { .. }) => self.record_answer(id, true),
+            Placement::Answer(FinalAnswer::Failed) => self.record_answer(id, false),
             Placement::Attempt {
                 engine,
                 response_timeout,
@@ -481,15 +519,15 @@
                 );
                 self.send_timeouts.push(send_timeout);
                 self.check_attempt(id, engine);
-                let r = &mut self.records[id as usize];
+                let record = &mut self.records[id as usize];
                 assert!(
-                    self.now + response_timeout <= r.deadline + 1e-6,
+                    self.now + response_timeout <= record.deadline + 1e-6,
                     "response timeout past the deadline"
                 );
-                if !r.attempts.is_empty() {
+                if !record.attempts.is_empty() {
                     self.retries.push(self.now);
                 }
-                r.attempts.push(AttemptRecord {
+                record.attempts.push(AttemptRecord {
                     engine,
                     at: self.now,
                     outcome: None,
@@ -499,28 +537,29 @@
     }
 
     /// Lets time pass; attempts still in flight at their deadline time out there.
-    pub fn pass(&mut self, span: f64) {
-        let until = self.now + span;
+    pub fn advance(&mut self, seconds: f64) {
+        let until = self.now + seconds;
         loop {
-            let wait = self.pump();
+            let wait = self.run_actions();
             let limits = self
                 .records
                 .iter()
-                .filter(|r| r.in_flight().is_some())
-                .map(|r| r.deadline.max(self.now));
+                .filter(|record| record.in_flight().is_some())
+                .map(|record| record.deadline.max(self.now));
             let next = limits.fold(self.now + wait, f64::min).min(until);
             self.now = next;
-            let due = |r: &&QueryRecord| r.in_flight().is_some() && r.deadline <= next;
+            let due =
+                |record: &&QueryRecord| record.in_flight().is_some() && record.deadline <= next;
             let late: Vec<QueryId> = self
                 .records
                 .iter()
                 .filter(due)
-                .map(|r| r.query.id)
+                .map(|record| record.query.id)
                 .collect();
             late.into_iter()
                 .for_each(|id| self.end_attempt(id, AttemptEnd::TimedOut));
             if next >= until {
-                self.pump();
+                self.run_actions();
                 return;
             }
         }
@@ -530,7 +569,7 @@
         self.records[id as usize]
             .attempts
             .iter()
-            .map(|d| d.engine)
+            .map(|attempt| attempt.engine)
             .collect()
     }
 }
--- a/tests/long_lists.rs
+++ b/tests/long_lists.rs
@@ -4,62 +4,62 @@
 mod helper;
 
 use garnetwall::api::{AttemptEnd, EndpointState, Idempotency};
-use helper::{query_class, settings, World};
+use helper::{query_class, settings, Simulation};
 use std::collections::HashSet;
 
 const ENGINES: usize = 3200;
 
 #[test]
 fn a_rare_kind_is_found() {
-    let mut bound = query_class(Idempotency::Idempotent);
-    bound.kinds = Some(vec![1]);
-    let mut world = World::new(settings(vec![bound]), ENGINES);
-    world.pump();
-    let kept = [101, 1501, 3101];
+    let mut restricted = query_class(Idempotency::Idempotent);
+    restricted.kinds = Some(vec![1]);
+    let mut sim = Simulation::new(settings(vec![restricted]), ENGINES);
+    sim.run_actions();
+    let remaining = [101, 1501, 3101];
     for engine in (1..ENGINES)
         .step_by(2)
-        .filter(|engine| !kept.contains(engine))
+        .filter(|engine| !remaining.contains(engine))
     {
-        world.update_endpoint(engine, EndpointState::Removed, None);
+        sim.update_endpoint(engine, EndpointState::Removed, None);
     }
     for _ in 0..6 {
-        let id = world.admit(0, 0, None, 4.0);
-        world.pass(0.3);
-        let sent = world.engines_tried(id);
-        assert!(sent.len() == 1 && kept.contains(&sent[0]), "{sent:?}");
-        world.end_attempt(id, AttemptEnd::Succeeded);
+        let id = sim.admit(0, 0, None, 4.0);
+        sim.advance(0.3);
+        let sent = sim.engines_tried(id);
+        assert!(sent.len() == 1 && remaining.contains(&sent[0]), "{sent:?}");
+        sim.end_attempt(id, AttemptEnd::Succeeded);
     }
 }
 
 #[test]
 fn the_last_engine_that_serves_is_found() {
-    let mut world = World::new(
+    let mut sim = Simulation::new(
         settings(vec![query_class(Idempotency::Idempotent)]),
         ENGINES,
     );
-    world.pump();
+    sim.run_actions();
     for engine in (0..ENGINES).filter(|engine| *engine != 2718) {
-        world.update_endpoint(engine, EndpointState::Draining, None);
+        sim.update_endpoint(engine, EndpointState::Draining, None);
     }
-    let id = world.admit(0, 0, None, 4.0);
-    world.pass(0.1);
-    assert_eq!(world.engines_tried(id), [2718]);
+    let id = sim.admit(0, 0, None, 4.0);
+    sim.advance(0.1);
+    assert_eq!(sim.engines_tried(id), [2718]);
 }
 
 /// Both zones and kinds, and no part of the list more than its share.
 #[test]
 fn all_parts_of_the_list_are_used_evenly() {
-    let mut world = World::new(
+    let mut sim = Simulation::new(
         settings(vec![query_class(Idempotency::Idempotent)]),
         ENGINES,
     );
-    world.pump();
+    sim.run_actions();
     let mut used = Vec::new();
     for _ in 0..800 {
-        let id = world.admit(0, 0, None, 4.0);
-        world.pass(0.01);
-        used.extend(world.engines_tried(id));
-        world.end_attempt(id, AttemptEnd::Succeeded);
+        let id = sim.admit(0, 0, None, 4.0);
+        sim.advance(0.01);
+        used.extend(sim.engines_tried(id));
+        sim.end_attempt(id, AttemptEnd::Succeeded);
     }
     assert_eq!(used.len(), 800);
     // Engines of the odd kind have one core, the others eight: a ninth of the queries is theirs.
@@ -75,6 +75,6 @@
         eighths.iter().all(|part| (50..=160).contains(part)),
         "{eighths:?}"
     );
-    let different = used.iter().collect::<HashSet<_>>().len();
-    assert!(different > 200, "{different} different engines");
+    let distinct = used.iter().collect::<HashSet<_>>().len();
+    assert!(distinct > 200, "{distinct} distinct engines");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 mod helper;
 
 use garnetwall::api::*;
-use helper::{query_class, settings, QueryRecord, World};
+use helper::{query_class, settings, QueryRecord, Simulation};
 use proptest::prelude::*;
 
 const ENDS: [AttemptEnd; 8] = [
@@ -17,7 +17,7 @@
     AttemptEnd::Succeeded,
 ];
 
-fn effect(n: u8) -> Idempotency {
+fn idempotency_from(n: u8) -> Idempotency {
     let scope = [
         DeduplicationScope::Everywhere,
         DeduplicationScope::Zone,
@@ -30,9 +30,9 @@
     }
 }
 
-fn some_settings(n: u32) -> Settings {
+fn settings_from_bits(n: u32) -> Settings {
     let bit = |i: u32| n >> i & 1 == 1;
-    let groups = (0..3).map(|i| QueryClass {
+    let classes = (0..3).map(|i| QueryClass {
         in_order: bit(i),
         zones: bit(i + 3).then(|| vec![1]),
         kinds: (bit(i + 6) && bit(i + 9)).then(|| vec![0, 1]),
@@ -44,40 +44,40 @@
             per_query: 0.1,
             window: 2.0,
         }),
-        ..query_class(effect((n >> (13 + 3 * i) & 7) as u8))
+        ..query_class(idempotency_from((n >> (13 + 3 * i) & 7) as u8))
     });
-    let further = RetryBudget {
+    let gateway_budget = RetryBudget {
         floor: 1.0,
         per_query: 0.2,
         window: 3.0,
     };
-    let cold = SlowStart {
+    let warm_up = SlowStart {
         initial_fraction: 0.3,
         duration: 10.0,
         overload_multiple: 0.25,
         window: 2.0,
     };
     Settings {
-        retry_budget: bit(22).then_some(further),
-        slow_start: Some(cold),
+        retry_budget: bit(22).then_some(gateway_budget),
+        slow_start: Some(warm_up),
         cancellation_allowed: bit(23),
         gateways: if bit(24) { 2.0 } else { 1.0 },
         health_checks_allowed: bit(25),
         capacity: bit(27).then_some(6.0),
         subscription_required: bit(26),
-        ..settings(groups.collect())
+        ..settings(classes.collect())
     }
 }
 
-fn step(world: &mut World, op: u8, arg: u16) {
+fn apply_operation(sim: &mut Simulation, op: u8, arg: u16) {
     let n = usize::from(arg);
-    let id = (n % world.records.len().max(1)) as QueryId;
+    let id = (n % sim.records.len().max(1)) as QueryId;
     match op {
         0..=4 => {
             let key = (n % 4 != 0).then_some(n as u64 % 3 + 1);
-            let subset = (n % 5 == 0 && !world.endpoint_subsets.is_empty())
-                .then(|| (n / 5 % world.endpoint_subsets.len()) as u32);
-            world.admit_in_subset(
+            let subset = (n % 5 == 0 && !sim.endpoint_subsets.is_empty())
+                .then(|| (n / 5 % sim.endpoint_subsets.len()) as u32);
+            sim.admit_in_subset(
                 subset,
                 n % 3,
                 n / 3 % 3,
@@ -85,34 +85,34 @@
                 if n % 7 == 0 { 0.3 } else { 4.0 },
             );
         }
-        5 if !world.records.is_empty() && n % 4 == 0 => world.lose_track(
+        5 if !sim.records.is_empty() && n % 4 == 0 => sim.report_unknown_outcome(
             id,
             [AttemptEnd::TimedOut, AttemptEnd::ConnectionLost][n / 4 % 2],
         ),
-        5 | 6 if !world.records.is_empty() => world.end_attempt(id, ENDS[n / 8 % ENDS.len()]),
-        7 if !world.records.is_empty() && n % 3 == 0 => world.client_left(id),
+        5 | 6 if !sim.records.is_empty() => sim.end_attempt(id, ENDS[n / 8 % ENDS.len()]),
+        7 if !sim.records.is_empty() && n % 3 == 0 => sim.client_left(id),
         8 => {
-            let condition = [
+            let new_state = [
                 EndpointState::Ready,
                 EndpointState::Draining,
                 EndpointState::Removed,
             ][n / 5 % 3];
             let started_at = if n % 2 == 0 {
-                Some(world.now - 1.0)
+                Some(sim.now - 1.0)
             } else {
-                world.endpoints[n % 5].started_at
+                sim.endpoints[n % 5].started_at
             };
-            world.update_endpoint(n % 5, condition, started_at);
+            sim.update_endpoint(n % 5, new_state, started_at);
         }
         _ => {
-            let odd = [f64::NAN, -1.0, 0.0, 0.5, 2.0][n % 5];
+            let utilisation = [f64::NAN, -1.0, 0.0, 0.5, 2.0][n % 5];
             let report = LoadReport {
-                cpu_utilisation: Some(odd).filter(|v| *v >= 0.0),
+                cpu_utilisation: Some(utilisation).filter(|v| *v >= 0.0),
                 ..LoadReport::default()
             };
-            world.controller.load_reported(world.now, n % 7, report);
-            world.controller.attempt_progressed(
-                world.now,
+            sim.controller.load_reported(sim.now, n % 7, report);
+            sim.controller.attempt_progressed(
+                sim.now,
                 id,
                 0,
                 if n % 2 == 0 {
@@ -130,38 +130,39 @@
 
     #[test]
     fn model_and_module_agree(n in any::<u32>(), steps in prop::collection::vec((0u8..10, any::<u16>(), 0.0..0.3f64), 1..150)) {
-        let mut world = World::new(some_settings(n), 5);
-        world.add_subset(&[&[0, 1], &[2, 3, 4]]);
-        world.add_subset(&[&[3]]);
+        let mut sim = Simulation::new(settings_from_bits(n), 5);
+        sim.add_subset(&[&[0, 1], &[2, 3, 4]]);
+        sim.add_subset(&[&[3]]);
         for (op, arg, span) in steps {
-            step(&mut world, op, arg);
-            world.pass(span);
+            apply_operation(&mut sim, op, arg);
+            sim.advance(span);
         }
-        world.pass(20.0);
-        let open: Vec<_> = world.records.iter().filter(|r| !r.finished).map(|r| r.query.id).collect();
+        sim.advance(20.0);
+        let open: Vec<_> = sim.records.iter().filter(|record| !record.finished).map(|record| record.query.id).collect();
         prop_assert!(open.is_empty(), "never answered: {:?}", open);
     }
 }
 
-/// All that a world's decisions led to, so that two worlds can be held against each other.
-fn history(world: &World) -> impl PartialEq + std::fmt::Debug {
-    let attempts = |r: &QueryRecord| {
-        r.attempts
+/// All that a simulation's decisions led to, so that two simulations can be held against each other.
+fn history(sim: &Simulation) -> impl PartialEq + std::fmt::Debug {
+    let attempts = |record: &QueryRecord| {
+        record
+            .attempts
             .iter()
-            .map(|d| (d.engine, d.at))
+            .map(|attempt| (attempt.engine, attempt.at))
             .collect::<Vec<_>>()
     };
-    let queries: Vec<_> = world
+    let queries: Vec<_> = sim
         .records
         .iter()
-        .map(|r| (attempts(r), r.finished, r.rejected))
+        .map(|record| (attempts(record), record.finished, record.rejected))
         .collect();
     (
         queries,
-        world.placed.clone(),
-        world.health_checks.clone(),
-        world.send_timeouts.clone(),
-        world.waits.clone(),
+        sim.placed.clone(),
+        sim.health_checks.clone(),
+        sim.send_timeouts.clone(),
+        sim.waits.clone(),
     )
 }
 
@@ -175,22 +176,22 @@
         n in any::<u32>(),
         steps in prop::collection::vec((0u8..10, any::<u16>(), 0.0..0.3f64), 1..100),
     ) {
-        let s = some_settings(n);
-        let alone = s.gateways == 1.0;
-        let alike = [Some(s.gateways), Some(f64::INFINITY), Some(f64::NAN), Some(0.0).filter(|_| alone)];
-        let play = |holders: Option<f64>| {
-            let mut world = World::with_gateways(holders, s.clone(), 5);
-            world.add_subset(&[&[0, 1], &[2, 3, 4]]);
-            world.add_subset(&[&[3]]);
+        let s = settings_from_bits(n);
+        let single_gateway = s.gateways == 1.0;
+        let equivalent_counts = [Some(s.gateways), Some(f64::INFINITY), Some(f64::NAN), Some(0.0).filter(|_| single_gateway)];
+        let run = |gateways_per_engine: Option<f64>| {
+            let mut sim = Simulation::with_gateways(gateways_per_engine, s.clone(), 5);
+            sim.add_subset(&[&[0, 1], &[2, 3, 4]]);
+            sim.add_subset(&[&[3]]);
             for (op, arg, span) in &steps {
-                step(&mut world, *op, *arg);
-                world.pass(*span);
+                apply_operation(&mut sim, *op, *arg);
+                sim.advance(*span);
             }
-            world
+            sim
         };
-        let plain = play(None);
-        for holders in alike.into_iter().flatten() {
-            prop_assert_eq!(history(&play(Some(holders))), history(&plain), "held by {}", holders);
+        let without_counts = run(None);
+        for gateways_per_engine in equivalent_counts.into_iter().flatten() {
+            prop_assert_eq!(history(&run(Some(gateways_per_engine))), history(&without_counts), "held by {}", gateways_per_engine);
         }
     }
 }
@@ -203,20 +204,20 @@
         threads: 3.0,
         ..query_class(Idempotency::Idempotent)
     };
-    let mut world = World::new(
+    let mut sim = Simulation::new(
         settings(vec![query_class(Idempotency::Idempotent), heavy]),
         4,
     );
-    let first = world.admit(0, 0, None, 4.0);
-    let second = world.admit(0, 0, None, 4.0);
-    let other = world.admit(0, 1, None, 4.0);
-    world.pump();
-    assert_eq!(world.placed, [first, other, second]);
-    let mut world = World::new(settings(world.settings.classes.clone()), 4);
-    let heavy = world.admit(1, 0, None, 4.0);
-    let light = world.admit(0, 1, None, 4.0);
-    world.pump();
-    assert_eq!(world.placed, [light, heavy]);
+    let first = sim.admit(0, 0, None, 4.0);
+    let second = sim.admit(0, 0, None, 4.0);
+    let other = sim.admit(0, 1, None, 4.0);
+    sim.run_actions();
+    assert_eq!(sim.placed, [first, other, second]);
+    let mut sim = Simulation::new(settings(sim.settings.classes.clone()), 4);
+    let heavy = sim.admit(1, 0, None, 4.0);
+    let light = sim.admit(0, 1, None, 4.0);
+    sim.run_actions();
+    assert_eq!(sim.placed, [light, heavy]);
 }
 
 /// Worked by hand: each tenant has two queries out, so both starts stand at 8. One of tenant 1's is closed by its
@@ -224,16 +225,16 @@
 /// Uncorrected they would end at 12 and 16, corrected twice at 6 and 10.
 #[test]
 fn an_outcome_corrects_the_charge_once() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
-    let out: Vec<QueryId> = (0..4).map(|n| world.admit(0, n % 2, None, 4.0)).collect();
-    world.pass(1.0);
-    world.client_left(out[1]);
-    world.pump();
-    world.placed.clear();
-    let zero = world.admit(0, 0, None, 4.0);
-    let (one, another) = (world.admit(0, 1, None, 4.0), world.admit(0, 1, None, 4.0));
-    world.pump();
-    assert_eq!(world.placed, [one, zero, another]);
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
+    let in_flight: Vec<QueryId> = (0..4).map(|n| sim.admit(0, n % 2, None, 4.0)).collect();
+    sim.advance(1.0);
+    sim.client_left(in_flight[1]);
+    sim.run_actions();
+    sim.placed.clear();
+    let zero = sim.admit(0, 0, None, 4.0);
+    let (one, another) = (sim.admit(0, 1, None, 4.0), sim.admit(0, 1, None, 4.0));
+    sim.run_actions();
+    assert_eq!(sim.placed, [one, zero, another]);
 }
 
 /// Found by the first score: a key's rest that ended within a microsecond kept the module from ever waiting.
@@ -243,69 +244,69 @@
         in_order: true,
         ..query_class(Idempotency::Idempotent)
     };
-    let mut world = World::new(settings(vec![ordered]), 2);
-    world.now += 1.0 / 3.0;
-    let first = world.admit(0, 0, Some(9), 4.0);
-    world.pump();
-    world.end_attempt(first, AttemptEnd::ConnectionLost);
-    world.client_left(first);
-    let next = world.admit(0, 0, Some(9), 4.0);
-    world.pass(0.519_999_9);
-    world.pass(0.2);
-    assert_eq!(world.engines_tried(next).len(), 1);
+    let mut sim = Simulation::new(settings(vec![ordered]), 2);
+    sim.now += 1.0 / 3.0;
+    let first = sim.admit(0, 0, Some(9), 4.0);
+    sim.run_actions();
+    sim.end_attempt(first, AttemptEnd::ConnectionLost);
+    sim.client_left(first);
+    let next = sim.admit(0, 0, Some(9), 4.0);
+    sim.advance(0.519_999_9);
+    sim.advance(0.2);
+    assert_eq!(sim.engines_tried(next).len(), 1);
 }
 
 /// Found on an incident: engines that took queries and answered nothing got work until the limit.
 #[test]
 fn a_silent_engine_is_ejected_and_its_queries_go_elsewhere() {
-    let noted = Settings {
+    let test_settings = Settings {
         progress_interval: 0.5,
         ..settings(vec![query_class(Idempotency::Idempotent)])
     };
-    let mut world = World::new(noted, 2);
+    let mut sim = Simulation::new(test_settings, 2);
     for _ in 0..100 {
-        let id = world.admit(0, 0, None, 4.0);
-        world.pass(0.1);
-        if world.engines_tried(id).last() == Some(&1) {
-            world.end_attempt(id, AttemptEnd::Succeeded);
+        let id = sim.admit(0, 0, None, 4.0);
+        sim.advance(0.1);
+        if sim.engines_tried(id).last() == Some(&1) {
+            sim.end_attempt(id, AttemptEnd::Succeeded);
         }
     }
-    let on_silent = world
+    let on_silent = sim
         .records
         .iter()
-        .filter(|r| world.engines_tried(r.query.id).first() == Some(&0))
+        .filter(|record| sim.engines_tried(record.query.id).first() == Some(&0))
         .count();
     assert!(
         on_silent < 40,
         "{on_silent} of 100 went to the silent engine"
     );
-    assert!(world
+    assert!(sim
         .records
         .iter()
-        .any(|r| world.engines_tried(r.query.id).starts_with(&[0, 1])));
+        .any(|record| sim.engines_tried(record.query.id).starts_with(&[0, 1])));
 }
 
 /// Found on standard days: a flood was held until all of it came late.
 #[test]
 fn a_flood_is_rejected_at_once_as_far_as_it_cannot_be_answered() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 1);
-    world.controller.load_reported(
-        world.now,
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 1);
+    sim.controller.load_reported(
+        sim.now,
         0,
         LoadReport {
             in_flight: Some(100.0),
             ..LoadReport::default()
         },
     );
-    let ids: Vec<QueryId> = (0..100).map(|_| world.admit(0, 0, None, 4.0)).collect();
-    world.pass(0.15);
+    let ids: Vec<QueryId> = (0..100).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+    sim.advance(0.15);
     let rejected = ids
         .iter()
-        .filter(|id| world.records[**id as usize].rejected)
+        .filter(|id| sim.records[**id as usize].rejected)
         .count();
     let sent = ids
         .iter()
-        .filter(|id| !world.engines_tried(**id).is_empty())
+        .filter(|id| !sim.engines_tried(**id).is_empty())
         .count();
     assert!(
         rejected > 50 && sent >= 8,
@@ -317,30 +318,30 @@
 /// clients that had held them back themselves. Those that can't have their turn are rejected at once.
 #[test]
 fn behind_a_hot_key_only_queries_with_time_left_wait() {
-    let load = QueryClass {
+    let ordered = QueryClass {
         in_order: true,
         ..query_class(Idempotency::NonIdempotent)
     };
-    let mut world = World::new(settings(vec![load]), 2);
-    let ids: Vec<QueryId> = (0..100).map(|_| world.admit(0, 0, Some(9), 4.0)).collect();
-    let other = world.admit(0, 0, Some(8), 4.0);
-    world.pass(0.15);
+    let mut sim = Simulation::new(settings(vec![ordered]), 2);
+    let ids: Vec<QueryId> = (0..100).map(|_| sim.admit(0, 0, Some(9), 4.0)).collect();
+    let other = sim.admit(0, 0, Some(8), 4.0);
+    sim.advance(0.15);
     let rejected = ids
         .iter()
-        .filter(|id| world.records[**id as usize].rejected)
+        .filter(|id| sim.records[**id as usize].rejected)
         .count();
     assert!((80..95).contains(&rejected), "{rejected} rejected");
     assert!(
         ids[..6]
             .iter()
-            .all(|id| !world.records[*id as usize].finished),
+            .all(|id| !sim.records[*id as usize].finished),
         "the first wait for their turn"
     );
     assert_eq!(
         (
-            world.engines_tried(ids[0]).len(),
-            world.engines_tried(ids[1]).len(),
-            world.engines_tried(other).len()
+            sim.engines_tried(ids[0]).len(),
+            sim.engines_tried(ids[1]).len(),
+            sim.engines_tried(other).len()
         ),
         (1, 0, 1)
     );
@@ -349,25 +350,25 @@
 /// Found on sockets: loads stood still behind our own loads of their data set, and clients' connections ran out.
 #[test]
 fn without_capacity_a_load_does_not_wait_at_our_own_lock() {
-    for room in [None, Some(4.0)] {
-        let load = QueryClass {
+    for capacity_limit in [None, Some(4.0)] {
+        let loading = QueryClass {
             loads_data: true,
             ..query_class(Idempotency::NonIdempotent)
         };
-        let mut world = World::new(
+        let mut sim = Simulation::new(
             Settings {
-                capacity: room,
-                ..settings(vec![load])
+                capacity: capacity_limit,
+                ..settings(vec![loading])
             },
             1,
         );
-        // Between two ticks: room is looked at with each query. Batches 0 and 3 have the same data set.
-        world.pass(0.05);
-        let ids = [0; 4].map(|tenant| world.admit(0, tenant, None, 4.0));
-        world.pump();
-        assert!(ids[..2].iter().all(|id| world.engines_tried(*id) == [0]));
-        assert_eq!(world.engines_tried(3).is_empty(), room.is_some());
-        assert_eq!(world.records[3].rejected, room.is_some());
+        // Between two ticks: capacity is looked at with each query. Batches 0 and 3 have the same data set.
+        sim.advance(0.05);
+        let ids = [0; 4].map(|tenant| sim.admit(0, tenant, None, 4.0));
+        sim.run_actions();
+        assert!(ids[..2].iter().all(|id| sim.engines_tried(*id) == [0]));
+        assert_eq!(sim.engines_tried(3).is_empty(), capacity_limit.is_some());
+        assert_eq!(sim.records[3].rejected, capacity_limit.is_some());
     }
 }
 
@@ -378,36 +379,35 @@
         waits_for_data_loads: true,
         ..query_class(Idempotency::Idempotent)
     };
-    let mut world = World::new(settings(vec![reader]), 2);
-    let id = world.admit(0, 0, None, 4.0);
-    world.pump();
-    let first = world.engines_tried(id)[0];
-    world
-        .controller
-        .attempt_progressed(world.now, id, 0, Progress::WaitingForDataLoad);
-    world.pump();
-    assert_eq!(world.engines_tried(id), [first, 1 - first]);
+    let mut sim = Simulation::new(settings(vec![reader]), 2);
+    let id = sim.admit(0, 0, None, 4.0);
+    sim.run_actions();
+    let first = sim.engines_tried(id)[0];
+    sim.controller
+        .attempt_progressed(sim.now, id, 0, Progress::WaitingForDataLoad);
+    sim.run_actions();
+    assert_eq!(sim.engines_tried(id), [first, 1 - first]);
 }
 
 #[test]
 fn an_engine_failing_quickly_is_ejected() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 3);
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 3);
     for _ in 0..60 {
-        let id = world.admit(0, 0, None, 4.0);
-        world.pump();
-        let end = if world.engines_tried(id) == [0] {
+        let id = sim.admit(0, 0, None, 4.0);
+        sim.run_actions();
+        let end = if sim.engines_tried(id) == [0] {
             AttemptEnd::Failed
         } else {
             AttemptEnd::Succeeded
         };
-        world.pass(0.02);
-        world.end_attempt(id, end);
+        sim.advance(0.02);
+        sim.end_attempt(id, end);
     }
-    let failed = world
+    let failed = sim
         .records
         .iter()
-        .flat_map(|r| &r.attempts)
-        .filter(|d| d.engine == 0)
+        .flat_map(|record| &record.attempts)
+        .filter(|attempt| attempt.engine == 0)
         .count();
     assert!(failed < 8, "{failed} attempts to the failing engine");
 }
@@ -415,76 +415,73 @@
 /// An index is another engine's once its own is removed: that one's ejection is not the new one's.
 #[test]
 fn an_engine_at_the_index_of_a_removed_one_inherits_nothing() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 2);
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 2);
     for _ in 0..30 {
-        let id = world.admit(0, 0, None, 4.0);
-        world.pump();
-        let end = if world.engines_tried(id) == [0] {
+        let id = sim.admit(0, 0, None, 4.0);
+        sim.run_actions();
+        let end = if sim.engines_tried(id) == [0] {
             AttemptEnd::Failed
         } else {
             AttemptEnd::Succeeded
         };
-        world.end_attempt(id, end);
+        sim.end_attempt(id, end);
     }
-    world.update_endpoint(0, EndpointState::Removed, None);
-    world.update_endpoint(0, EndpointState::Ready, None);
-    world.update_endpoint(1, EndpointState::Draining, None);
-    let id = world.admit(0, 0, None, 4.0);
-    world.pump();
-    assert_eq!(world.engines_tried(id), [0]);
+    sim.update_endpoint(0, EndpointState::Removed, None);
+    sim.update_endpoint(0, EndpointState::Ready, None);
+    sim.update_endpoint(1, EndpointState::Draining, None);
+    let id = sim.admit(0, 0, None, 4.0);
+    sim.run_actions();
+    assert_eq!(sim.engines_tried(id), [0]);
 }
 
 /// A whole list in any order, then one that names only part of it, then the rest in lines of their own; an engine's
 /// index may lie far from the others.
 #[test]
 fn engines_missing_from_a_complete_list_get_nothing_until_listed_again() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 0);
-    let names = [700, 4, 64];
-    world.endpoints = (0..=700).map(helper::endpoint).collect();
-    let lines = names.map(helper::endpoint);
-    let sent = |world: &mut World| -> Vec<EngineId> {
-        let ids: Vec<QueryId> = (0..4).map(|_| world.admit(0, 0, None, 4.0)).collect();
-        world.pump();
-        let mut engines: Vec<EngineId> =
-            ids.iter().flat_map(|id| world.engines_tried(*id)).collect();
-        world.pass(0.1);
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 0);
+    let indices = [700, 4, 64];
+    sim.endpoints = (0..=700).map(helper::endpoint).collect();
+    let listed = indices.map(helper::endpoint);
+    let sent = |sim: &mut Simulation| -> Vec<EngineId> {
+        let ids: Vec<QueryId> = (0..4).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+        sim.run_actions();
+        let mut engines: Vec<EngineId> = ids.iter().flat_map(|id| sim.engines_tried(*id)).collect();
+        sim.advance(0.1);
         for id in ids {
-            world.end_attempt(id, AttemptEnd::Succeeded);
-            world.client_left(id);
+            sim.end_attempt(id, AttemptEnd::Succeeded);
+            sim.client_left(id);
         }
-        world.pass(0.1);
+        sim.advance(0.1);
         engines.sort_unstable();
         engines.dedup();
         engines
     };
-    world.controller.update_endpoints(&lines, ListScope::Full);
-    assert_eq!(sent(&mut world), [4, 64, 700]);
-    world
-        .controller
-        .update_endpoints(&lines[1..2], ListScope::Full);
-    assert_eq!(sent(&mut world), [4]);
-    world
-        .controller
-        .update_endpoints(&lines[..1], ListScope::Delta);
-    assert_eq!(sent(&mut world), [4, 700]);
-    world.update_endpoint(4, EndpointState::Draining, None);
-    world.update_endpoint(64, EndpointState::Ready, None);
-    assert_eq!(sent(&mut world), [64, 700]);
-    world.controller.update_endpoints(&[], ListScope::Full);
-    assert!(sent(&mut world).is_empty());
+    sim.controller.update_endpoints(&listed, ListScope::Full);
+    assert_eq!(sent(&mut sim), [4, 64, 700]);
+    sim.controller
+        .update_endpoints(&listed[1..2], ListScope::Full);
+    assert_eq!(sent(&mut sim), [4]);
+    sim.controller
+        .update_endpoints(&listed[..1], ListScope::Delta);
+    assert_eq!(sent(&mut sim), [4, 700]);
+    sim.update_endpoint(4, EndpointState::Draining, None);
+    sim.update_endpoint(64, EndpointState::Ready, None);
+    assert_eq!(sent(&mut sim), [64, 700]);
+    sim.controller.update_endpoints(&[], ListScope::Full);
+    assert!(sent(&mut sim).is_empty());
 }
 
 /// Found on an incident: clients with little time left were served past it, which wasted the work.
 #[test]
 fn queries_that_do_not_fit_their_deadline_are_rejected() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 1);
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 1);
     for _ in 0..20 {
-        let id = world.admit(0, 0, None, 4.0);
-        world.pass(0.2);
-        world.end_attempt(id, AttemptEnd::Succeeded);
+        let id = sim.admit(0, 0, None, 4.0);
+        sim.advance(0.2);
+        sim.end_attempt(id, AttemptEnd::Succeeded);
     }
-    world.controller.load_reported(
-        world.now,
+    sim.controller.load_reported(
+        sim.now,
         0,
         LoadReport {
             disk_utilisation: Some(1.0),
@@ -492,69 +489,66 @@
         },
     );
     for _ in 0..100 {
-        world.admit(0, 0, None, 4.0);
+        sim.admit(0, 0, None, 4.0);
     }
-    let hurried = world.admit(0, 0, None, 0.25);
-    world.pass(0.15);
-    assert!(world.records[hurried as usize].rejected);
+    let short_query = sim.admit(0, 0, None, 0.25);
+    sim.advance(0.15);
+    assert!(sim.records[short_query as usize].rejected);
 }
 
 /// Found by reading: the first list took back the wish to subscribe.
 #[test]
 fn a_list_on_request_is_subscribed_to_after_the_first_list_and_after_a_failure() {
-    let asked = Settings {
+    let test_settings = Settings {
         subscription_required: true,
         ..settings(vec![query_class(Idempotency::Idempotent)])
     };
-    let mut world = World::new(asked, 1);
+    let mut sim = Simulation::new(test_settings, 1);
     assert!(
-        world.controller.next_action(world.now) == NextAction::Subscribe
-            && world.controller.next_action(world.now) != NextAction::Subscribe
-    );
-    world.controller.endpoint_list_failed();
-    assert_eq!(
-        world.controller.next_action(world.now),
-        NextAction::Subscribe
+        sim.controller.next_action(sim.now) == NextAction::Subscribe
+            && sim.controller.next_action(sim.now) != NextAction::Subscribe
     );
+    sim.controller.endpoint_list_failed();
+    assert_eq!(sim.controller.next_action(sim.now), NextAction::Subscribe);
 }
 
 /// Found by reading: an idempotent-by-key query whose window ran out while it waited was held to its limit.
 #[test]
 fn a_query_that_may_not_be_retried_is_answered_at_once() {
-    let referenced = Idempotency::IdempotentByKey {
+    let by_key = Idempotency::IdempotentByKey {
         scope: DeduplicationScope::Everywhere,
         window: 1.0,
     };
-    let mut world = World::new(settings(vec![query_class(referenced)]), 1);
-    let id = world.admit(0, 0, None, 4.0);
-    world.pump();
-    world.update_endpoint(0, EndpointState::Draining, None);
-    world.end_attempt(id, AttemptEnd::Failed);
-    world.pass(0.8);
-    assert!(!world.records[id as usize].finished);
-    world.pass(0.4);
-    assert!(world.records[id as usize].rejected);
+    let mut sim = Simulation::new(settings(vec![query_class(by_key)]), 1);
+    let id = sim.admit(0, 0, None, 4.0);
+    sim.run_actions();
+    sim.update_endpoint(0, EndpointState::Draining, None);
+    sim.end_attempt(id, AttemptEnd::Failed);
+    sim.advance(0.8);
+    assert!(!sim.records[id as usize].finished);
+    sim.advance(0.4);
+    assert!(sim.records[id as usize].rejected);
 }
 
 /// Found on an incident: after a jam the remembered slowdown had a whole class rejected, and as nothing of
 /// it was answered any more nothing corrected it.
 #[test]
 fn past_overload_decays() {
-    let prompt = QueryClass {
+    let no_late_value = QueryClass {
         late_value_share: 0.0,
         ..query_class(Idempotency::Idempotent)
     };
-    let mut world = World::new(settings(vec![prompt]), 4);
-    let slow: Vec<QueryId> = (0..40).map(|_| world.admit(0, 0, None, 4.0)).collect();
-    world.pass(3.0);
+    let mut sim = Simulation::new(settings(vec![no_late_value]), 4);
+    let slow: Vec<QueryId> = (0..40).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+    sim.advance(3.0);
     slow.into_iter()
-        .for_each(|id| world.end_attempt(id, AttemptEnd::Succeeded));
-    let at_once = world.admit(0, 0, None, 4.0);
-    world.pass(20.0);
-    let later = world.admit(0, 0, None, 4.0);
-    world.pump();
-    assert!(world.records[at_once as usize].rejected);
-    assert_eq!(world.engines_tried(later).len(), 1);
+        .for_each(|id| sim.end_attempt(id, AttemptEnd::Succeeded));
+    let at_once = sim.admit(0, 0, None, 4.0);
+    sim.advance(20.0);
+    let later = sim.admit(0, 0, None, 4.0);
+    sim.run_actions();
+    assert!(sim.records[at_once as usize].rejected);
+    assert_eq!(sim.engines_tried(later).len(), 1);
 }
 
 /// Worked by hand for 100 gateways: a part is 2 x 0.5 x 8 cores x 0.85 x 0.6 / 100 = 0.041 s of work a second, in
@@ -562,31 +556,36 @@
 /// 3.2 s, so 14 gateways send up to 16 queries each; in 2 s not over 2 x 8 x 2 times the share able.
 #[test]
 fn slow_start_shares_under_one_query_neither_starve_nor_overload() {
-    let cold = Some(SlowStart {
+    let warm_up = Some(SlowStart {
         initial_fraction: 0.5,
         duration: 10.0,
         overload_multiple: 2.0,
         window: 2.0,
     });
-    let prompt = QueryClass {
+    let short_deadline = QueryClass {
         deadline: 2.0,
         ..query_class(Idempotency::Idempotent)
     };
     let mut sent: Vec<f64> = Vec::new();
     for seed in 0..100 {
         let s = Settings {
-            slow_start: cold,
+            slow_start: warm_up,
             gateways: 100.0,
-            ..settings(vec![prompt.clone()])
+            ..settings(vec![short_deadline.clone()])
         };
-        let mut world = World::seeded(s, 1, seed);
-        world.update_endpoint(0, EndpointState::Ready, Some(world.now));
+        let mut sim = Simulation::seeded(s, 1, seed);
+        sim.update_endpoint(0, EndpointState::Ready, Some(sim.now));
         for _ in 0..98 {
-            let id = world.admit(0, 0, None, 2.0);
-            world.pass(0.1);
-            world.end_attempt(id, AttemptEnd::Succeeded);
+            let id = sim.admit(0, 0, None, 2.0);
+            sim.advance(0.1);
+            sim.end_attempt(id, AttemptEnd::Succeeded);
         }
-        sent.extend(world.records.iter().flat_map(|r| &r.attempts).map(|d| d.at));
+        sent.extend(
+            sim.records
+                .iter()
+                .flat_map(|record| &record.attempts)
+                .map(|attempt| attempt.at),
+        );
     }
     assert!(sent.len() > 140 && sent.len() < 290, "{} sent", sent.len());
     for from in &sent {
@@ -594,9 +593,9 @@
             .iter()
             .filter(|at| (0.0..2.0).contains(&(*at - from)))
             .count();
-        let able = 0.5 + 0.05 * (from - 1000.0);
+        let effective_fraction = 0.5 + 0.05 * (from - 1000.0);
         assert!(
-            within as f64 * helper::WORK <= 32.0 * able,
+            within as f64 * helper::WORK <= 32.0 * effective_fraction,
             "{within} within 2 s from {from}"
         );
     }
@@ -605,34 +604,35 @@
 /// Found on an incident: after a gateway had stood still for 2 s, all that had been answered meanwhile looked slow.
 #[test]
 fn attempts_in_flight_during_a_stall_do_not_count_as_load() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 8);
-    let out: Vec<QueryId> = (0..16).map(|_| world.admit(0, 0, None, 4.0)).collect();
-    world.pump();
-    world.now += 2.0;
-    out.into_iter()
-        .for_each(|id| world.end_attempt(id, AttemptEnd::Succeeded));
-    let next: Vec<QueryId> = (0..8).map(|_| world.admit(0, 0, None, 4.0)).collect();
-    world.pump();
-    assert!(next.iter().all(|id| world.engines_tried(*id).len() == 1));
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 8);
+    let in_flight: Vec<QueryId> = (0..16).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+    sim.run_actions();
+    sim.now += 2.0;
+    in_flight
+        .into_iter()
+        .for_each(|id| sim.end_attempt(id, AttemptEnd::Succeeded));
+    let next: Vec<QueryId> = (0..8).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+    sim.run_actions();
+    assert!(next.iter().all(|id| sim.engines_tried(*id).len() == 1));
 }
 
 /// Found at full size: each gateway started little, all together far too much. Worked by hand: 10 engines of 8
 /// cores x 1.5 / 100 gateways are 1.2 threads, so under pressure a second query beside the first is at 1.7 marks.
 #[test]
 fn under_pressure_a_gateway_keeps_to_its_share_of_the_whole_pool() {
-    let many = Settings {
+    let test_settings = Settings {
         gateways: 100.0,
         kind_cores: vec![Some(8.0); 2],
         ..settings(vec![query_class(Idempotency::Idempotent)])
     };
-    let mut world = World::new(many, 20);
-    let slow: Vec<QueryId> = (0..10).map(|_| world.admit(0, 0, None, 4.0)).collect();
-    world.pass(2.0);
+    let mut sim = Simulation::new(test_settings, 20);
+    let slow: Vec<QueryId> = (0..10).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+    sim.advance(2.0);
     slow.into_iter()
-        .for_each(|id| world.end_attempt(id, AttemptEnd::Succeeded));
+        .for_each(|id| sim.end_attempt(id, AttemptEnd::Succeeded));
     (0..20).for_each(|e| {
-        world.controller.load_reported(
-            world.now,
+        sim.controller.load_reported(
+            sim.now,
             e,
             LoadReport {
                 cpu_utilisation: Some(0.1),
@@ -640,11 +640,11 @@
             },
         )
     });
-    let next: Vec<QueryId> = (0..10).map(|_| world.admit(0, 0, None, 4.0)).collect();
-    world.pump();
+    let next: Vec<QueryId> = (0..10).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+    sim.run_actions();
     let sent = next
         .iter()
-        .filter(|id| !world.engines_tried(**id).is_empty())
+        .filter(|id| !sim.engines_tried(**id).is_empty())
         .count();
     assert!(sent < 5, "{sent} of 10 sent");
 }
@@ -654,21 +654,21 @@
 /// 12 of each of 10, 120 of one alone: the first query stands at 1.4, 1.0 and 0.96 marks, the tenth at 1.4 of ten.
 #[test]
 fn under_pressure_a_share_is_by_the_gateways_of_the_engines() {
-    let sent = [None, Some(100.0), Some(10.0), Some(1.0)].map(|holders| {
+    let sent = [None, Some(100.0), Some(10.0), Some(1.0)].map(|gateways_per_engine| {
         let kind_cores = vec![Some(8.0); 2];
-        let many = Settings {
+        let test_settings = Settings {
             gateways: 100.0,
             kind_cores,
             ..settings(vec![query_class(Idempotency::Idempotent)])
         };
-        let mut world = World::with_gateways(holders, many, 20);
-        let slow: Vec<QueryId> = (0..10).map(|_| world.admit(0, 0, None, 4.0)).collect();
-        world.pass(2.0);
+        let mut sim = Simulation::with_gateways(gateways_per_engine, test_settings, 20);
+        let slow: Vec<QueryId> = (0..10).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+        sim.advance(2.0);
         slow.into_iter()
-            .for_each(|id| world.end_attempt(id, AttemptEnd::Succeeded));
+            .for_each(|id| sim.end_attempt(id, AttemptEnd::Succeeded));
         (0..20).for_each(|e| {
-            world.controller.load_reported(
-                world.now,
+            sim.controller.load_reported(
+                sim.now,
                 e,
                 LoadReport {
                     cpu_utilisation: Some(0.1),
@@ -676,10 +676,10 @@
                 },
             )
         });
-        let next: Vec<QueryId> = (0..10).map(|_| world.admit(0, 0, None, 4.0)).collect();
-        world.pump();
+        let next: Vec<QueryId> = (0..10).map(|_| sim.admit(0, 0, None, 4.0)).collect();
+        sim.run_actions();
         next.iter()
-            .filter(|id| !world.engines_tried(**id).is_empty())
+            .filter(|id| !sim.engines_tried(**id).is_empty())
             .count()
     });
     assert!(
@@ -691,76 +691,76 @@
 /// Found at full size: every gateway probed every engine. 60 queries pay for 3 probes, each of another engine.
 #[test]
 fn health_checks_are_paid_for_by_queries_and_go_round() {
-    let groups = vec![query_class(Idempotency::Idempotent)];
-    let asked = Settings {
+    let classes = vec![query_class(Idempotency::Idempotent)];
+    let test_settings = Settings {
         load_reporting: LoadReporting::WithHealthChecks,
         health_checks_allowed: true,
-        ..settings(groups)
+        ..settings(classes)
     };
-    let mut world = World::new(asked, 20);
+    let mut sim = Simulation::new(test_settings, 20);
     for _ in 0..61 {
-        world.admit(0, 0, None, 4.0);
-        world.pass(0.1);
+        sim.admit(0, 0, None, 4.0);
+        sim.advance(0.1);
     }
     assert!(
-        world.health_checks.len() == 3
-            && world.health_checks[0] != world.health_checks[1]
-            && world.health_checks[1] != world.health_checks[2]
+        sim.health_checks.len() == 3
+            && sim.health_checks[0] != sim.health_checks[1]
+            && sim.health_checks[1] != sim.health_checks[2]
     );
 }
 
 /// Found at full size: queries that may go anywhere filled the kind of engine that others are bound to.
 #[test]
 fn queries_without_a_kind_avoid_the_kind_that_others_fill() {
-    let bound = QueryClass {
+    let restricted = QueryClass {
         kinds: Some(vec![0]),
         ..query_class(Idempotency::Idempotent)
     };
-    let groups = vec![bound, query_class(Idempotency::Idempotent)];
-    let mut world = World::new(
+    let classes = vec![restricted, query_class(Idempotency::Idempotent)];
+    let mut sim = Simulation::new(
         Settings {
             kind_cores: vec![Some(8.0); 2],
-            ..settings(groups)
+            ..settings(classes)
         },
         10,
     );
     for n in 0..6 {
-        let id = world.admit(n / 3, 0, None, 4.0);
-        world.pump();
-        assert_eq!(world.engines_tried(id)[0] % 2, n / 3);
-        world.pass(0.01);
-        world.end_attempt(id, AttemptEnd::Succeeded);
+        let id = sim.admit(n / 3, 0, None, 4.0);
+        sim.run_actions();
+        assert_eq!(sim.engines_tried(id)[0] % 2, n / 3);
+        sim.advance(0.01);
+        sim.end_attempt(id, AttemptEnd::Succeeded);
     }
 }
 
 /// A subset narrows: a later preference is used only where no engine of an earlier one may be, and nothing else is.
 #[test]
 fn an_endpoint_subset_is_used_by_priority_and_never_left() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 6);
-    let subset = world.add_subset(&[&[0, 1], &[2]]);
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 6);
+    let subset = sim.add_subset(&[&[0, 1], &[2]]);
     let first: Vec<_> = (0..4)
-        .map(|_| world.admit_in_subset(Some(subset), 0, 0, None, 4.0))
+        .map(|_| sim.admit_in_subset(Some(subset), 0, 0, None, 4.0))
         .collect();
-    world.pump();
+    sim.run_actions();
     assert!(
         first
             .iter()
-            .flat_map(|id| world.engines_tried(*id))
+            .flat_map(|id| sim.engines_tried(*id))
             .all(|e| e < 2),
         "the first preference has room"
     );
-    world.update_endpoint(0, EndpointState::Draining, None);
-    world.update_endpoint(1, EndpointState::Removed, None);
-    let second = world.admit_in_subset(Some(subset), 0, 0, None, 4.0);
-    world.pump();
-    assert_eq!(world.engines_tried(second), [2]);
-    world.update_endpoint(2, EndpointState::Removed, None);
-    let third = world.admit_in_subset(Some(subset), 0, 0, None, 4.0);
-    let unknown = world.admit_in_subset(Some(7), 0, 0, None, 4.0);
-    world.pass(5.0);
+    sim.update_endpoint(0, EndpointState::Draining, None);
+    sim.update_endpoint(1, EndpointState::Removed, None);
+    let second = sim.admit_in_subset(Some(subset), 0, 0, None, 4.0);
+    sim.run_actions();
+    assert_eq!(sim.engines_tried(second), [2]);
+    sim.update_endpoint(2, EndpointState::Removed, None);
+    let third = sim.admit_in_subset(Some(subset), 0, 0, None, 4.0);
+    let unknown = sim.admit_in_subset(Some(7), 0, 0, None, 4.0);
+    sim.advance(5.0);
     for id in [third, unknown] {
         assert!(
-            world.engines_tried(id).is_empty() && world.records[id as usize].rejected,
+            sim.engines_tried(id).is_empty() && sim.records[id as usize].rejected,
             "no engine is left to it"
         );
     }
@@ -769,59 +769,52 @@
 /// A attempt whose end is not known: the answer comes at once, the key waits for the outcome and its rest.
 #[test]
 fn an_unknown_outcome_is_answered_at_once_and_holds_its_key() {
-    let once = QueryClass {
+    let non_idempotent = QueryClass {
         in_order: true,
         ..query_class(Idempotency::NonIdempotent)
     };
-    let mut world = World::new(
-        settings(vec![once, query_class(Idempotency::Idempotent)]),
+    let mut sim = Simulation::new(
+        settings(vec![non_idempotent, query_class(Idempotency::Idempotent)]),
         2,
     );
-    let (first, second) = (
-        world.admit(0, 0, Some(1), 4.0),
-        world.admit(0, 0, Some(1), 4.0),
-    );
-    world.pump();
-    world.lose_track(first, AttemptEnd::ConnectionLost);
+    let (first, second) = (sim.admit(0, 0, Some(1), 4.0), sim.admit(0, 0, Some(1), 4.0));
+    sim.run_actions();
+    sim.report_unknown_outcome(first, AttemptEnd::ConnectionLost);
     assert!(
-        world.records[0].finished && !world.records[0].rejected,
+        sim.records[0].finished && !sim.records[0].rejected,
         "once-only: errored"
     );
-    world.pass(1.0);
-    assert!(world.engines_tried(second).is_empty(), "it may still run");
-    world.end_attempt(first, AttemptEnd::ConnectionLost);
-    world.pass(0.4);
-    assert!(world.engines_tried(second).is_empty(), "the key rests");
-    world.pass(0.2);
-    assert_eq!(world.engines_tried(second).len(), 1);
+    sim.advance(1.0);
+    assert!(sim.engines_tried(second).is_empty(), "it may still run");
+    sim.end_attempt(first, AttemptEnd::ConnectionLost);
+    sim.advance(0.4);
+    assert!(sim.engines_tried(second).is_empty(), "the key rests");
+    sim.advance(0.2);
+    assert_eq!(sim.engines_tried(second).len(), 1);
     // One that may be sent again is not answered, and not sent while the other may be out.
-    let third = world.admit(1, 0, None, 3.0);
-    world.pump();
-    world.lose_track(third, AttemptEnd::ConnectionLost);
-    world.pass(1.0);
+    let third = sim.admit(1, 0, None, 3.0);
+    sim.run_actions();
+    sim.report_unknown_outcome(third, AttemptEnd::ConnectionLost);
+    sim.advance(1.0);
     assert_eq!(
-        (world.engines_tried(third).len(), world.records[2].finished),
+        (sim.engines_tried(third).len(), sim.records[2].finished),
         (1, false)
     );
-    world.end_attempt(third, AttemptEnd::ConnectionLost);
-    world.pump();
-    assert_eq!(world.engines_tried(third).len(), 2);
+    sim.end_attempt(third, AttemptEnd::ConnectionLost);
+    sim.run_actions();
+    assert_eq!(sim.engines_tried(third).len(), 2);
 }
 
 /// A query whose body is gone has no further attempt; the answer says the truth of what ran.
 #[test]
 fn queries_without_a_body_are_not_retried() {
-    let referenced = Idempotency::IdempotentByKey {
+    let by_key = Idempotency::IdempotentByKey {
         scope: DeduplicationScope::Zone,
         window: 1.0,
     };
-    let groups = [
-        Idempotency::Idempotent,
-        Idempotency::NonIdempotent,
-        referenced,
-    ]
-    .map(query_class)
-    .to_vec();
+    let classes = [Idempotency::Idempotent, Idempotency::NonIdempotent, by_key]
+        .map(query_class)
+        .to_vec();
     for (class, end, rejected) in [
         (0, AttemptEnd::Rejected, true),
         (0, AttemptEnd::Failed, true),
@@ -830,15 +823,15 @@
         (2, AttemptEnd::ConnectFailed, true),
         (2, AttemptEnd::Failed, false),
     ] {
-        let mut world = World::new(settings(groups.clone()), 4);
-        let id = world.admit(class, 0, None, 4.0);
-        world.pump();
-        world.controller.body_discarded(id);
-        world.end_attempt(id, end);
-        world.pass(1.0);
-        let r = &world.records[id as usize];
+        let mut sim = Simulation::new(settings(classes.clone()), 4);
+        let id = sim.admit(class, 0, None, 4.0);
+        sim.run_actions();
+        sim.controller.body_discarded(id);
+        sim.end_attempt(id, end);
+        sim.advance(1.0);
+        let record = &sim.records[id as usize];
         assert_eq!(
-            (r.finished, r.rejected, r.attempts.len()),
+            (record.finished, record.rejected, record.attempts.len()),
             (true, rejected, 1),
             "{class} {end:?}"
         );
@@ -848,54 +841,48 @@
 /// What an earlier process may have left running holds its key from the start on.
 #[test]
 fn a_key_pauses_for_attempts_of_an_earlier_process() {
-    let once = QueryClass {
+    let non_idempotent = QueryClass {
         in_order: true,
         ..query_class(Idempotency::NonIdempotent)
     };
-    let mut world = World::new(settings(vec![once]), 2);
-    world.controller.pause_key(1, world.now + 2.25);
-    let (held, free) = (
-        world.admit(0, 0, Some(1), 4.0),
-        world.admit(0, 0, Some(2), 4.0),
-    );
-    world.pass(2.2);
+    let mut sim = Simulation::new(settings(vec![non_idempotent]), 2);
+    sim.controller.pause_key(1, sim.now + 2.25);
+    let (held, free) = (sim.admit(0, 0, Some(1), 4.0), sim.admit(0, 0, Some(2), 4.0));
+    sim.advance(2.2);
     assert_eq!(
-        (
-            world.engines_tried(held).len(),
-            world.engines_tried(free).len()
-        ),
+        (sim.engines_tried(held).len(), sim.engines_tried(free).len()),
         (0, 1)
     );
-    world.pass(0.2);
-    assert_eq!(world.engines_tried(held).len(), 1);
+    sim.advance(0.2);
+    assert_eq!(sim.engines_tried(held).len(), 1);
 }
 
 /// In doubt, then proved never to have run: the doubt is forgotten, and only that.
 #[test]
 fn an_unknown_outcome_that_is_disproved_counts_no_more() {
-    let referenced = Idempotency::IdempotentByKey {
+    let by_key = Idempotency::IdempotentByKey {
         scope: DeduplicationScope::Zone,
         window: 3.0,
     };
-    let mut world = World::new(
+    let mut sim = Simulation::new(
         Settings {
             max_attempts: 3,
-            ..settings(vec![query_class(referenced)])
+            ..settings(vec![query_class(by_key)])
         },
         4,
     );
-    let id = world.admit(0, 0, None, 4.0);
-    world.pump();
-    world.lose_track(id, AttemptEnd::ConnectionLost);
-    world.end_attempt(id, AttemptEnd::ConnectFailed);
-    world.pass(0.1);
-    world.end_attempt(id, AttemptEnd::Failed);
-    world.pass(0.1);
-    world.lose_track(id, AttemptEnd::ConnectionLost);
-    world.end_attempt(id, AttemptEnd::Rejected);
-    let r = &world.records[id as usize];
+    let id = sim.admit(0, 0, None, 4.0);
+    sim.run_actions();
+    sim.report_unknown_outcome(id, AttemptEnd::ConnectionLost);
+    sim.end_attempt(id, AttemptEnd::ConnectFailed);
+    sim.advance(0.1);
+    sim.end_attempt(id, AttemptEnd::Failed);
+    sim.advance(0.1);
+    sim.report_unknown_outcome(id, AttemptEnd::ConnectionLost);
+    sim.end_attempt(id, AttemptEnd::Rejected);
+    let record = &sim.records[id as usize];
     assert_eq!(
-        (r.attempts.len(), r.finished, r.rejected),
+        (record.attempts.len(), record.finished, record.rejected),
         (3, true, false),
         "the second may have run"
     );
@@ -904,23 +891,23 @@
 /// A repeat of an idempotent-by-key query has to come to its engine inside the window, however late its connection comes up.
 #[test]
 fn a_retry_has_to_be_sent_within_its_deduplication_window() {
-    let effect = Idempotency::IdempotentByKey {
+    let by_key = Idempotency::IdempotentByKey {
         scope: DeduplicationScope::Everywhere,
         window: 1.0,
     };
-    let mut world = World::new(settings(vec![query_class(effect)]), 4);
-    let id = world.admit(0, 0, None, 4.0);
-    world.pass(0.1);
-    let sent = world.records[0].attempts[0].at;
-    assert!(world.send_timeouts[0] > 3.9, "the first has its whole time");
-    world.pass(0.5);
-    world.end_attempt(id, AttemptEnd::ConnectionLost);
-    world.pass(0.1);
-    let again = world.records[0].attempts[1].at;
+    let mut sim = Simulation::new(settings(vec![query_class(by_key)]), 4);
+    let id = sim.admit(0, 0, None, 4.0);
+    sim.advance(0.1);
+    let sent = sim.records[0].attempts[0].at;
+    assert!(sim.send_timeouts[0] > 3.9, "the first has its whole time");
+    sim.advance(0.5);
+    sim.end_attempt(id, AttemptEnd::ConnectionLost);
+    sim.advance(0.1);
+    let again = sim.records[0].attempts[1].at;
     assert!(
-        again + world.send_timeouts[1] < sent + 1.0,
+        again + sim.send_timeouts[1] < sent + 1.0,
         "{} s after {}",
-        world.send_timeouts[1],
+        sim.send_timeouts[1],
         again - sent
     );
 }
@@ -928,80 +915,76 @@
 /// Nobody waits for a query for a moment: it is not sent, neither at first nor again, and goes in its turn once somebody does.
 #[test]
 fn queries_without_a_client_wait_until_it_is_back() {
-    let mut world = World::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
-    let id = world.admit(0, 0, None, 4.0);
-    world.controller.client_disconnected(world.now, id);
-    world.pass(0.05);
-    assert!(world.engines_tried(id).is_empty());
-    let other = world.admit(0, 0, None, 4.0);
-    world.pass(0.05);
+    let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
+    let id = sim.admit(0, 0, None, 4.0);
+    sim.controller.client_disconnected(sim.now, id);
+    sim.advance(0.05);
+    assert!(sim.engines_tried(id).is_empty());
+    let other = sim.admit(0, 0, None, 4.0);
+    sim.advance(0.05);
     assert_eq!(
-        world.engines_tried(other).len(),
+        sim.engines_tried(other).len(),
         1,
         "others of its line are not held"
     );
-    world.controller.client_joined(world.now, id);
-    world.pass(0.05);
-    assert_eq!(world.engines_tried(id).len(), 1);
-    world.controller.client_disconnected(world.now, id);
-    world.end_attempt(id, AttemptEnd::ConnectionLost);
-    world.pass(0.2);
-    assert_eq!(
-        world.engines_tried(id).len(),
-        1,
-        "no further attempt either"
-    );
-    world.client_left(id);
-    world.pass(5.0);
-    assert_eq!(world.engines_tried(id).len(), 1);
+    sim.controller.client_joined(sim.now, id);
+    sim.advance(0.05);
+    assert_eq!(sim.engines_tried(id).len(), 1);
+    sim.controller.client_disconnected(sim.now, id);
+    sim.end_attempt(id, AttemptEnd::ConnectionLost);
+    sim.advance(0.2);
+    assert_eq!(sim.engines_tried(id).len(), 1, "no further attempt either");
+    sim.client_left(id);
+    sim.advance(5.0);
+    assert_eq!(sim.engines_tried(id).len(), 1);
 }
 
 /// The same for a query that comes to its turn behind another of its key, and for one that its time ends.
 #[test]
 fn queries_without_a_client_keep_their_place_and_deadline() {
-    let keyed = QueryClass {
+    let ordered = QueryClass {
         in_order: true,
         ..query_class(Idempotency::NonIdempotent)
     };
-    let mut world = World::new(settings(vec![keyed]), 4);
+    let mut sim = Simulation::new(settings(vec![ordered]), 4);
     let (first, second, third) = (
-        world.admit(0, 0, Some(1), 4.0),
-        world.admit(0, 0, Some(1), 1.0),
-        world.admit(0, 0, Some(1), 4.0),
+        sim.admit(0, 0, Some(1), 4.0),
+        sim.admit(0, 0, Some(1), 1.0),
+        sim.admit(0, 0, Some(1), 4.0),
     );
-    world.pass(0.1);
-    world.controller.client_disconnected(world.now, second);
-    world.end_attempt(first, AttemptEnd::Succeeded);
-    world.pass(0.3);
+    sim.advance(0.1);
+    sim.controller.client_disconnected(sim.now, second);
+    sim.end_attempt(first, AttemptEnd::Succeeded);
+    sim.advance(0.3);
     assert!(
-        world.engines_tried(second).is_empty() && world.engines_tried(third).is_empty(),
+        sim.engines_tried(second).is_empty() && sim.engines_tried(third).is_empty(),
         "it keeps its place"
     );
-    world.pass(1.0);
+    sim.advance(1.0);
     assert!(
-        world.records[second as usize].finished,
+        sim.records[second as usize].finished,
         "answered in its time"
     );
-    assert_eq!(world.engines_tried(third).len(), 1);
+    assert_eq!(sim.engines_tried(third).len(), 1);
 }
 
 /// A class whose limit is a day, of which nothing is known yet, and a query that has seconds.
 #[test]
 fn a_deadline_of_hours_shuts_out_no_query() {
-    for (goal, limit) in [(1.0, 86_400.0), (43_200.0, 86_400.0), (10.0, 3600.0)] {
-        let day = QueryClass {
-            latency_objective: goal,
-            deadline: limit,
+    for (objective, deadline_seconds) in [(1.0, 86_400.0), (43_200.0, 86_400.0), (10.0, 3600.0)] {
+        let long_deadline = QueryClass {
+            latency_objective: objective,
+            deadline: deadline_seconds,
             ..query_class(Idempotency::Idempotent)
         };
-        let mut world = World::new(settings(vec![day]), 4);
-        let id = world.admit(0, 0, None, 1.5);
-        world.pass(0.3);
+        let mut sim = Simulation::new(settings(vec![long_deadline]), 4);
+        let id = sim.admit(0, 0, None, 1.5);
+        sim.advance(0.3);
         assert_eq!(
-            world.engines_tried(id).len(),
+            sim.engines_tried(id).len(),
             1,
-            "goal {goal}, limit {limit}"
+            "objective {objective}, deadline {deadline_seconds}"
         );
-        world.end_attempt(id, AttemptEnd::Succeeded);
+        sim.end_attempt(id, AttemptEnd::Succeeded);
     }
 }
