--- a/tests/long_lists.rs
+++ b/tests/long_lists.rs
@@ -10,7 +10,7 @@
 const ENGINES: usize = 3200;
 
 #[test]
-fn a_rare_kind_is_found() {
+fn engines_of_a_rare_kind_are_found_in_a_long_list() {
     let mut restricted = query_class(Idempotency::Idempotent);
     restricted.kinds = Some(vec![1]);
     let mut sim = Simulation::new(settings(vec![restricted]), ENGINES);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_last_engine_that_serves_is_found() {
+fn only_ready_engine_of_a_long_list_is_found() {
     let mut sim = Simulation::new(
         settings(vec![query_class(Idempotency::Idempotent)]),
         ENGINES,
@@ -48,7 +48,7 @@
 
 /// Both zones and kinds, and no part of the list more than its share.
 #[test]
-fn all_parts_of_the_list_are_used_evenly() {
+fn all_parts_of_a_long_list_are_used_evenly() {
     let mut sim = Simulation::new(
         settings(vec![query_class(Idempotency::Idempotent)]),
         ENGINES,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -129,7 +129,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn model_and_module_agree(n in any::<u32>(), steps in prop::collection::vec((0u8..10, any::<u16>(), 0.0..0.3f64), 1..150)) {
+    fn controller_agrees_with_the_model(n in any::<u32>(), steps in prop::collection::vec((0u8..10, any::<u16>(), 0.0..0.3f64), 1..150)) {
         let mut sim = Simulation::new(settings_from_bits(n), 5);
         sim.add_subset(&[&[0, 1], &[2, 3, 4]]);
         sim.add_subset(&[&[3]]);
@@ -172,7 +172,7 @@
     /// Told that each engine is held by all gateways, the module decides as it does when notified nothing of it. What
     /// is no number, and more than all, counts as all; less than this one gateway counts as this one.
     #[test]
-    fn engines_of_all_gateways_are_as_without_subsets(
+    fn gateway_count_of_all_gateways_changes_no_decision(
         n in any::<u32>(),
         steps in prop::collection::vec((0u8..10, any::<u16>(), 0.0..0.3f64), 1..100),
     ) {
@@ -224,7 +224,7 @@
 /// client and ends after 1 s, which takes (4 - 1) x 1 off: 5. Its next queries end at 9 and 13, tenant 0's at 12.
 /// Uncorrected they would end at 12 and 16, corrected twice at 6 and 10.
 #[test]
-fn an_outcome_corrects_the_charge_once() {
+fn end_of_an_attempt_corrects_the_charge_once() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
     let in_flight: Vec<QueryId> = (0..4).map(|n| sim.admit(0, n % 2, None, 4.0)).collect();
     sim.advance(1.0);
@@ -239,7 +239,7 @@
 
 /// Found by the first score: a key's rest that ended within a microsecond kept the module from ever waiting.
 #[test]
-fn a_key_pause_ending_between_microseconds_is_waited_for() {
+fn key_pause_ending_between_microseconds_does_not_prevent_waiting() {
     let ordered = QueryClass {
         in_order: true,
         ..query_class(Idempotency::Idempotent)
@@ -288,7 +288,7 @@
 
 /// Found on standard days: a flood was held until all of it came late.
 #[test]
-fn a_flood_is_rejected_at_once_as_far_as_it_cannot_be_answered() {
+fn queries_beyond_the_capacity_are_rejected_at_once() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 1);
     sim.controller.load_reported(
         sim.now,
@@ -317,7 +317,7 @@
 /// Found on the fleet's join+mass, seed 2: behind a hot key queries were held until their limit passed, later for
 /// clients that had held them back themselves. Those that can't have their turn are rejected at once.
 #[test]
-fn behind_a_hot_key_only_queries_with_time_left_wait() {
+fn queries_behind_a_hot_key_wait_only_if_time_is_left() {
     let ordered = QueryClass {
         in_order: true,
         ..query_class(Idempotency::NonIdempotent)
@@ -349,7 +349,7 @@
 
 /// Found on sockets: loads stood still behind our own loads of their data set, and clients' connections ran out.
 #[test]
-fn without_capacity_a_load_does_not_wait_at_our_own_lock() {
+fn data_load_does_not_wait_at_a_locked_data_set_without_capacity() {
     for capacity_limit in [None, Some(4.0)] {
         let loading = QueryClass {
             loads_data: true,
@@ -414,7 +414,7 @@
 
 /// An index is another engine's once its own is removed: that one's ejection is not the new one's.
 #[test]
-fn an_engine_at_the_index_of_a_removed_one_inherits_nothing() {
+fn engine_at_the_index_of_a_removed_one_starts_with_a_clean_state() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 2);
     for _ in 0..30 {
         let id = sim.admit(0, 0, None, 4.0);
@@ -437,7 +437,7 @@
 /// A whole list in any order, then one that names only part of it, then the rest in lines of their own; an engine's
 /// index may lie far from the others.
 #[test]
-fn engines_missing_from_a_complete_list_get_nothing_until_listed_again() {
+fn engines_missing_from_a_full_list_get_no_queries_until_listed_again() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 0);
     let indices = [700, 4, 64];
     sim.endpoints = (0..=700).map(helper::endpoint).collect();
@@ -498,7 +498,7 @@
 
 /// Found by reading: the first list took back the wish to subscribe.
 #[test]
-fn a_list_on_request_is_subscribed_to_after_the_first_list_and_after_a_failure() {
+fn subscription_is_requested_after_the_first_list_and_after_a_failure() {
     let test_settings = Settings {
         subscription_required: true,
         ..settings(vec![query_class(Idempotency::Idempotent)])
@@ -533,7 +533,7 @@
 /// Found on an incident: after a jam the remembered slowdown had a whole class rejected, and as nothing of
 /// it was answered any more nothing corrected it.
 #[test]
-fn past_overload_decays() {
+fn slowdown_learned_during_overload_does_not_reject_later_queries() {
     let no_late_value = QueryClass {
         late_value_share: 0.0,
         ..query_class(Idempotency::Idempotent)
@@ -619,7 +619,7 @@
 /// Found at full size: each gateway started little, all together far too much. Worked by hand: 10 engines of 8
 /// cores x 1.5 / 100 gateways are 1.2 threads, so under pressure a second query beside the first is at 1.7 marks.
 #[test]
-fn under_pressure_a_gateway_keeps_to_its_share_of_the_whole_pool() {
+fn overloaded_kind_limits_each_gateway_to_its_share_of_the_pool() {
     let test_settings = Settings {
         gateways: 100.0,
         kind_cores: vec![Some(8.0); 2],
@@ -653,7 +653,7 @@
 /// leave a kind at 2 x 10 / 10.5, 1.9 marks. Its 10 engines of 8 cores x 1.5 hold 1.2 threads of each of 100 gateways,
 /// 12 of each of 10, 120 of one alone: the first query stands at 1.4, 1.0 and 0.96 marks, the tenth at 1.4 of ten.
 #[test]
-fn under_pressure_a_share_is_by_the_gateways_of_the_engines() {
+fn share_of_an_overloaded_kind_depends_on_the_gateways_of_its_engines() {
     let sent = [None, Some(100.0), Some(10.0), Some(1.0)].map(|gateways_per_engine| {
         let kind_cores = vec![Some(8.0); 2];
         let test_settings = Settings {
@@ -690,7 +690,7 @@
 
 /// Found at full size: every gateway probed every engine. 60 queries pay for 3 probes, each of another engine.
 #[test]
-fn health_checks_are_paid_for_by_queries_and_go_round() {
+fn health_checks_are_limited_by_queries_and_alternate_between_engines() {
     let classes = vec![query_class(Idempotency::Idempotent)];
     let test_settings = Settings {
         load_reporting: LoadReporting::WithHealthChecks,
@@ -711,7 +711,7 @@
 
 /// Found at full size: queries that may go anywhere filled the kind of engine that others are bound to.
 #[test]
-fn queries_without_a_kind_avoid_the_kind_that_others_fill() {
+fn unrestricted_queries_avoid_the_kind_used_by_restricted_queries() {
     let restricted = QueryClass {
         kinds: Some(vec![0]),
         ..query_class(Idempotency::Idempotent)
@@ -735,7 +735,7 @@
 
 /// A subset narrows: a later preference is used only where no engine of an earlier one may be, and nothing else is.
 #[test]
-fn an_endpoint_subset_is_used_by_priority_and_never_left() {
+fn endpoint_subset_restricts_engines_and_sets_their_priority() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 6);
     let subset = sim.add_subset(&[&[0, 1], &[2]]);
     let first: Vec<_> = (0..4)
@@ -768,7 +768,7 @@
 
 /// A attempt whose end is not known: the answer comes at once, the key waits for the outcome and its rest.
 #[test]
-fn an_unknown_outcome_is_answered_at_once_and_holds_its_key() {
+fn unknown_outcome_is_answered_at_once_and_keeps_its_ordering_key() {
     let non_idempotent = QueryClass {
         in_order: true,
         ..query_class(Idempotency::NonIdempotent)
@@ -859,7 +859,7 @@
 
 /// In doubt, then proved never to have run: the doubt is forgotten, and only that.
 #[test]
-fn an_unknown_outcome_that_is_disproved_counts_no_more() {
+fn attempt_proved_not_to_have_run_no_longer_counts_as_one_that_may_have_run() {
     let by_key = Idempotency::IdempotentByKey {
         scope: DeduplicationScope::Zone,
         window: 3.0,
@@ -890,7 +890,7 @@
 
 /// A repeat of an idempotent-by-key query has to come to its engine inside the window, however late its connection comes up.
 #[test]
-fn a_retry_has_to_be_sent_within_its_deduplication_window() {
+fn retry_is_sent_within_the_deduplication_window() {
     let by_key = Idempotency::IdempotentByKey {
         scope: DeduplicationScope::Everywhere,
         window: 1.0,
@@ -914,7 +914,7 @@
 
 /// Nobody waits for a query for a moment: it is not sent, neither at first nor again, and goes in its turn once somebody does.
 #[test]
-fn queries_without_a_client_wait_until_it_is_back() {
+fn queries_of_an_absent_client_are_not_sent() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
     let id = sim.admit(0, 0, None, 4.0);
     sim.controller.client_disconnected(sim.now, id);
@@ -941,7 +941,7 @@
 
 /// The same for a query that comes to its turn behind another of its key, and for one that its time ends.
 #[test]
-fn queries_without_a_client_keep_their_place_and_deadline() {
+fn queries_of_an_absent_client_keep_their_order_and_deadline() {
     let ordered = QueryClass {
         in_order: true,
         ..query_class(Idempotency::NonIdempotent)
@@ -970,7 +970,7 @@
 
 /// A class whose limit is a day, of which nothing is known yet, and a query that has seconds.
 #[test]
-fn a_deadline_of_hours_shuts_out_no_query() {
+fn class_deadline_of_hours_rejects_no_query_with_seconds_left() {
     for (objective, deadline_seconds) in [(1.0, 86_400.0), (43_200.0, 86_400.0), (10.0, 3600.0)] {
         let long_deadline = QueryClass {
             latency_objective: objective,
--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -777,7 +777,7 @@
 
 /// A subset's gateways that count as alone with an engine: the judge finds them on each day.
 #[test]
-fn gateways_that_wrongly_count_as_alone_are_found() {
+fn check_detects_gateways_that_each_assume_to_be_alone_in_a_subset() {
     for (name, change) in [
         ("one alone", DAYS[0].1),
         ("many", DAYS[3].1),
@@ -794,7 +794,7 @@
 }
 
 #[test]
-fn gateways_that_each_take_the_whole_budget_are_found() {
+fn check_detects_gateways_that_each_use_the_whole_budget() {
     for (name, change) in DAYS
         .into_iter()
         .filter(|(name, _)| ["one of five", "many", "quiet"].contains(name))
