--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -1,4 +1,5 @@
-//! Gateways that decide alone and receive the same list must not all come to know the same engines first: all would favour them.
+//! Tests that gateways with the same endpoint list do not all check the same engines first. Otherwise all gateways
+//! would prefer these engines.
 
 #[allow(dead_code)]
 mod helper;
@@ -8,10 +9,10 @@
 
 const GATEWAYS: u64 = 60;
 const ENGINES: usize = 60;
-/// They pay for three probes.
+/// Number of queries, which allows three health checks.
 const QUERIES: usize = 60;
 
-/// The engines that a gateway probes first.
+/// Returns the first two engines that a gateway checks.
 fn checked_first(seed: u64) -> Vec<EngineId> {
     let test_settings = Settings {
         health_checks_allowed: true,
@@ -32,12 +33,15 @@
     let mut gateways_by_engine = [0; ENGINES];
     for seed in 0..GATEWAYS {
         let checked = checked_first(seed * 7919 + 11);
-        assert_eq!(checked.len(), 2, "gateway {seed}");
+        assert_eq!(checked.len(), 2, "health checks of gateway {seed}");
         checked
             .into_iter()
             .for_each(|engine| gateways_by_engine[engine] += 1);
     }
-    // Two in the mean; of one order for all, 60.
+    // The mean is two gateways per engine. With the same order on all gateways, two engines would have 60 each.
     let most = gateways_by_engine.iter().max();
-    assert!(most < Some(&9), "{gateways_by_engine:?}");
+    assert!(
+        most < Some(&9),
+        "gateways by engine: {gateways_by_engine:?}"
+    );
 }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -1,10 +1,11 @@
-//! A gateway's surroundings for tests, with a slow, plain model of the rules that checks each answer.
+//! Simulates the clients and engines of one gateway for tests, and checks each decision of the controller against a
+//! simple, slow model of the rules.
 
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
 
-/// Seconds of true work of every query; below the module's first guess, so that its slow-start budget is the safe
-/// side.
+/// True work of each query, in seconds. It is below the controller's initial expected work, so that the controller uses
+/// less of the slow-start budget than it assumes.
 pub const WORK: f64 = 0.2;
 
 pub struct AttemptRecord {
@@ -51,13 +52,13 @@
     pub endpoints: Vec<Endpoint>,
     pub placed: Vec<QueryId>,
     pub health_checks: Vec<EngineId>,
-    /// By number, each as priority levels.
+    /// Priority levels of each endpoint subset, by subset number.
     pub endpoint_subsets: Vec<Vec<EngineSet>>,
-    /// How long each attempt had to come to its engine.
+    /// Send timeout of each attempt, in seconds.
     pub send_timeouts: Vec<f64>,
-    /// How long the module waited, each time that it did.
+    /// Waits returned by the controller, in seconds.
     pub waits: Vec<f64>,
-    /// When an engine's present start was notified.
+    /// Time at which the gateway was notified of each engine's latest start, in seconds.
     notified_at: Vec<f64>,
     retries: Vec<f64>,
     admissions: Vec<f64>,
@@ -119,7 +120,7 @@
         Simulation::of(s, (0..engines).map(endpoint).collect(), seed)
     }
 
-    /// A simulation of engines that are notified to be held by so many gateways.
+    /// Creates a simulation whose endpoints give `gateways_per_engine` as the number of gateways that use them.
     pub fn with_gateways(
         gateways_per_engine: Option<f64>,
         s: Settings,
@@ -159,7 +160,7 @@
         sim
     }
 
-    /// A subset of these engines, by preference.
+    /// Adds an endpoint subset with these engines in priority order, and returns its number.
     pub fn add_subset(&mut self, levels: &[&[EngineId]]) -> u32 {
         let set = |level: &&[EngineId]| EngineSet(vec![level.iter().map(|e| 1 << e).sum()]);
         self.endpoint_subsets.push(levels.iter().map(set).collect());
@@ -229,7 +230,7 @@
             .update_endpoints(&[self.endpoints[engine]], ListScope::Delta);
     }
 
-    /// Feeds the outcome of the attempt in flight, and checks what the module makes of it.
+    /// Reports the end of the query's attempt in flight, and checks the controller's response.
     pub fn end_attempt(&mut self, id: QueryId, end: AttemptEnd) {
         let record = &mut self.records[id as usize];
         let Some(n) = record.in_flight() else { return };
@@ -254,7 +255,7 @@
         }
     }
 
-    /// The end of the attempt in flight is not known: what the module has answered now.
+    /// Reports that the outcome of the query's attempt in flight is unknown, and checks the controller's response.
     pub fn report_unknown_outcome(&mut self, id: QueryId, end: AttemptEnd) {
         let record = &self.records[id as usize];
         let Some(n) = record.in_flight().filter(|_| self.now <= record.deadline) else {
@@ -277,7 +278,7 @@
             .outcome_unknown(self.now, id, attempt_outcome)
         {
             FollowUp::Nothing => {}
-            FollowUp::Answer(_) if was_finished => panic!("query {id} answered twice"),
+            FollowUp::Answer(_) if was_finished => panic!("query {id} was answered twice"),
             FollowUp::Answer(FinalAnswer::Rejected { .. }) => self.record_answer(id, true),
             FollowUp::Answer(FinalAnswer::Failed) => self.record_answer(id, false),
         }
@@ -292,10 +293,10 @@
 
     fn record_answer(&mut self, id: QueryId, rejected: bool) {
         let record = &mut self.records[id as usize];
-        assert!(!record.finished, "query {id} answered twice");
+        assert!(!record.finished, "query {id} was answered twice");
         assert!(
             self.now <= record.deadline + 0.001,
-            "query {id} answered late"
+            "query {id} was answered after its deadline"
         );
         (record.finished, record.rejected) = (true, rejected);
         let expect_rejection = match (
@@ -310,11 +311,11 @@
         };
         assert_eq!(
             rejected, expect_rejection,
-            "query {id}: model and module differ on the rejection"
+            "query {id}: the controller and the model differ on whether to reject"
         );
     }
 
-    /// Every rule on a attempt, from the whole record.
+    /// Checks an attempt that starts now against all rules, from the complete records.
     fn check_attempt(&self, id: QueryId, engine: EngineId) {
         let record = &self.records[id as usize];
         let (class, endpoint, now) = (
@@ -324,7 +325,7 @@
         );
         assert!(
             !record.finished && now < record.deadline,
-            "query {id} sent after its end"
+            "query {id} was sent after its end"
         );
         assert!(
             record.in_flight().is_none(),
@@ -334,39 +335,39 @@
         assert_eq!(
             endpoint.state,
             EndpointState::Ready,
-            "sent to an engine notified as draining or removed"
+            "query was sent to an engine that is draining or removed"
         );
         assert!(
             class
                 .zones
                 .as_ref()
                 .is_none_or(|zones| zones.contains(&endpoint.zone)),
-            "placement by zone"
+            "query was sent to a zone that its class does not allow"
         );
         assert!(
             class
                 .kinds
                 .as_ref()
                 .is_none_or(|kinds| kinds.contains(&(endpoint.kind as u32))),
-            "placement by kind"
+            "query was sent to a kind of engine that its class does not allow"
         );
         if let Some(subset) = record.query.endpoint_subset {
             assert!(
                 self.endpoint_subsets[subset as usize]
                     .iter()
                     .any(|level| level.contains(engine)),
-                "placement by endpoint subset"
+                "query was sent to an engine outside its endpoint subset"
             );
         }
         match (class.idempotency, record.may_have_run()) {
             (Idempotency::Idempotent, _) | (_, None) => {}
-            (Idempotency::NonIdempotent, _) => panic!("non-idempotent query {id} sent again"),
+            (Idempotency::NonIdempotent, _) => panic!("non-idempotent query {id} was sent again"),
             (Idempotency::IdempotentByKey { scope, window }, Some(attempt)) => {
                 let first_endpoint = &self.endpoints[attempt.engine];
                 let arrives_by = now + self.send_timeouts.last().copied().unwrap_or_default();
                 assert!(
                     arrives_by <= attempt.at + window,
-                    "idempotent-by-key query {id} sent after its window"
+                    "query {id} can reach an engine after its deduplication window"
                 );
                 assert!(
                     scope == DeduplicationScope::Everywhere || first_endpoint.zone == endpoint.zone
@@ -404,7 +405,7 @@
                 .count();
             assert!(
                 retries as f64 <= budget.floor + budget.per_query * admitted as f64,
-                "retry budget"
+                "retry exceeds the retry budget of the gateway"
             );
         }
         if let Some(budget) = class.retry_budget.filter(|_| !record.attempts.is_empty()) {
@@ -424,7 +425,7 @@
                 .count();
             assert!(
                 retries as f64 <= budget.floor + budget.per_query * admitted as f64,
-                "retry budget of a class"
+                "retry exceeds the retry budget of the query's class"
             );
         }
         if let (Some(slow_start), Some(started_at)) =
@@ -442,34 +443,39 @@
                         * ((now - started_at) / slow_start.duration);
                 let total_budget =
                     slow_start.overload_multiple * effective_fraction * 8.0 * slow_start.window;
-                // Its part or, by lot, a tenth of the whole; the sum over gateways has a test of its own.
+                // A gateway may use its share of the budget or, if that is less, send a query of up to a tenth of the
+                // whole budget. `slow_start_sum` tests the sum over all gateways.
                 let max_work = (total_budget / self.settings.gateways).max(total_budget / 10.0);
                 assert!(
                     sent as f64 * WORK <= max_work,
-                    "engine overloaded in slow start"
+                    "attempt overloads an engine in slow start"
                 );
             }
         }
     }
 
     fn check_order(&self, earlier: &QueryRecord) {
-        assert!(earlier.finished, "an earlier query of the key is not over");
+        assert!(
+            earlier.finished,
+            "an earlier query of the ordering key is not over"
+        );
         for attempt in &earlier.attempts {
             let (end, at) = attempt
                 .outcome
-                .expect("an earlier attempt of the key has no outcome");
+                .expect("earlier attempts of the ordering key have an outcome");
             let pauses_key = matches!(
                 end,
                 AttemptEnd::TimedOut | AttemptEnd::ConnectionLost | AttemptEnd::Cancelled
             );
             assert!(
                 !pauses_key || self.now >= at + self.settings.key_pause,
-                "the key does not pause"
+                "an attempt starts during the pause of its ordering key"
             );
         }
     }
 
-    /// Asks the module until it waits; cancels and probes are answered at once.
+    /// Carries out the controller's actions until it waits, and returns the wait in seconds. Cancellations and health
+    /// checks finish at once.
     pub fn run_actions(&mut self) -> f64 {
         for _ in 0..10_000 {
             match self.controller.next_action(self.now) {
@@ -499,7 +505,7 @@
                 }
             }
         }
-        panic!("the module never waits");
+        panic!("the controller returned 10,000 actions without a wait");
     }
 
     fn place(&mut self, id: QueryId) {
@@ -515,14 +521,14 @@
             } => {
                 assert!(
                     send_timeout <= response_timeout,
-                    "more than its response timeout"
+                    "send timeout of the attempt exceeds its response timeout"
                 );
                 self.send_timeouts.push(send_timeout);
                 self.check_attempt(id, engine);
                 let record = &mut self.records[id as usize];
                 assert!(
                     self.now + response_timeout <= record.deadline + 1e-6,
-                    "response timeout past the deadline"
+                    "response timeout of the attempt exceeds the deadline of its query"
                 );
                 if !record.attempts.is_empty() {
                     self.retries.push(self.now);
@@ -536,7 +542,7 @@
         }
     }
 
-    /// Lets time pass; attempts still in flight at their deadline time out there.
+    /// Advances the time by `seconds`. Attempts that are in flight at their deadline time out.
     pub fn advance(&mut self, seconds: f64) {
         let until = self.now + seconds;
         loop {
--- a/tests/long_lists.rs
+++ b/tests/long_lists.rs
@@ -1,4 +1,5 @@
-//! Lists of thousands of engines: a choice looks at a sample, and at the whole list where the sample holds few that may be used.
+//! Tests the choice of an engine from a list of thousands, which examines a sample, or the whole list if the sample
+//! contains too few usable engines.
 
 #[allow(dead_code)]
 mod helper;
@@ -26,7 +27,10 @@
         let id = sim.admit(0, 0, None, 4.0);
         sim.advance(0.3);
         let sent = sim.engines_tried(id);
-        assert!(sent.len() == 1 && remaining.contains(&sent[0]), "{sent:?}");
+        assert!(
+            sent.len() == 1 && remaining.contains(&sent[0]),
+            "engines tried: {sent:?}"
+        );
         sim.end_attempt(id, AttemptEnd::Succeeded);
     }
 }
@@ -46,7 +50,7 @@
     assert_eq!(sim.engines_tried(id), [2718]);
 }
 
-/// Both zones and kinds, and no part of the list more than its share.
+/// The engines of both kinds, and all parts of the list, get their share of the queries.
 #[test]
 fn all_parts_of_a_long_list_are_used_evenly() {
     let mut sim = Simulation::new(
@@ -62,19 +66,19 @@
         sim.end_attempt(id, AttemptEnd::Succeeded);
     }
     assert_eq!(used.len(), 800);
-    // Engines of the odd kind have one core, the others eight: a ninth of the queries is theirs.
+    // Engines with odd indices have one core, the others eight, so a ninth of the queries should go to the odd ones.
     let odd = used.iter().filter(|engine| *engine % 2 == 1).count();
     assert!(
         (60..=120).contains(&odd),
-        "{odd} of 800 to the kind with a ninth of the cores"
+        "{odd} of 800 queries went to the kind with a ninth of the cores"
     );
     let mut eighths = [0; 8];
     used.iter()
         .for_each(|engine| eighths[engine * 8 / ENGINES] += 1);
     assert!(
         eighths.iter().all(|part| (50..=160).contains(part)),
-        "{eighths:?}"
+        "queries by eighth of the list: {eighths:?}"
     );
     let distinct = used.iter().collect::<HashSet<_>>().len();
-    assert!(distinct > 200, "{distinct} distinct engines");
+    assert!(distinct > 200, "only {distinct} distinct engines were used");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The module beside the model on generated inputs, and one small test a failure found.
+//! Compares the controller with the model of `helper` on generated inputs, and tests single failures.
 
 mod helper;
 
@@ -139,11 +139,11 @@
         }
         sim.advance(20.0);
         let open: Vec<_> = sim.records.iter().filter(|record| !record.finished).map(|record| record.query.id).collect();
-        prop_assert!(open.is_empty(), "never answered: {:?}", open);
+        prop_assert!(open.is_empty(), "queries without an answer: {:?}", open);
     }
 }
 
-/// All that a simulation's decisions led to, so that two simulations can be held against each other.
+/// Returns all effects of the controller's decisions, for comparing two simulations.
 fn history(sim: &Simulation) -> impl PartialEq + std::fmt::Debug {
     let attempts = |record: &QueryRecord| {
         record
@@ -169,8 +169,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Told that each engine is held by all gateways, the module decides as it does when notified nothing of it. What
-    /// is no number, and more than all, counts as all; less than this one gateway counts as this one.
+    /// With a gateway count per engine that equals the number of all gateways, the controller makes the same decisions
+    /// as without a count. Counts above the number of all gateways, and NaN, count as all gateways; counts below 1
+    /// count as this gateway alone.
     #[test]
     fn gateway_count_of_all_gateways_changes_no_decision(
         n in any::<u32>(),
@@ -191,13 +192,14 @@
         };
         let without_counts = run(None);
         for gateways_per_engine in equivalent_counts.into_iter().flatten() {
-            prop_assert_eq!(history(&run(Some(gateways_per_engine))), history(&without_counts), "held by {}", gateways_per_engine);
+            prop_assert_eq!(history(&run(Some(gateways_per_engine))), history(&without_counts), "gateways per engine: {}", gateways_per_engine);
         }
     }
 }
 
-/// Worked by hand: G is 4. Tenant 0's first query is charged 4 x 1 thread on leaving, so tenant 1's head, at
-/// 0 + 4, goes before tenant 0's second, at 4 + 4. At equal starts one thread (4) goes before three (12).
+/// Calculation: the assumed service time is 4 s. The start of tenant 0's first query is charged with 4 x 1 thread, so
+/// the head of tenant 1 (virtual finish time 0 + 4) goes before tenant 0's second query (4 + 4). At equal virtual start
+/// times, a query with one thread (4) goes before a query with three threads (12).
 #[test]
 fn smallest_virtual_finish_time_goes_first() {
     let heavy = QueryClass {
@@ -220,9 +222,10 @@
     assert_eq!(sim.placed, [light, heavy]);
 }
 
-/// Worked by hand: each tenant has two queries out, so both starts stand at 8. One of tenant 1's is closed by its
-/// client and ends after 1 s, which takes (4 - 1) x 1 off: 5. Its next queries end at 9 and 13, tenant 0's at 12.
-/// Uncorrected they would end at 12 and 16, corrected twice at 6 and 10.
+/// Calculation: each tenant has two queries in flight, so both virtual start times are 8. The client of one query of
+/// tenant 1 leaves, and the attempt ends after 1 s, which corrects the charge by (4 - 1) x 1 to 5. The next queries of
+/// tenant 1 have virtual finish times 9 and 13, that of tenant 0 has 12. Without the correction, tenant 1's would be 12
+/// and 16; with two corrections, 6 and 10.
 #[test]
 fn end_of_an_attempt_corrects_the_charge_once() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
@@ -237,7 +240,8 @@
     assert_eq!(sim.placed, [one, zero, another]);
 }
 
-/// Found by the first score: a key's rest that ended within a microsecond kept the module from ever waiting.
+/// Guards against an endless loop: a key pause that ended between two whole microseconds kept the controller from ever
+/// returning a wait.
 #[test]
 fn key_pause_ending_between_microseconds_does_not_prevent_waiting() {
     let ordered = QueryClass {
@@ -256,7 +260,7 @@
     assert_eq!(sim.engines_tried(next).len(), 1);
 }
 
-/// Found on an incident: engines that took queries and answered nothing got work until the limit.
+/// Guards against sending queries to an engine that accepts them and never answers, until each deadline has passed.
 #[test]
 fn a_silent_engine_is_ejected_and_its_queries_go_elsewhere() {
     let test_settings = Settings {
@@ -278,7 +282,7 @@
         .count();
     assert!(
         on_silent < 40,
-        "{on_silent} of 100 went to the silent engine"
+        "{on_silent} of 100 queries went to the silent engine"
     );
     assert!(sim
         .records
@@ -286,7 +290,7 @@
         .any(|record| sim.engines_tried(record.query.id).starts_with(&[0, 1])));
 }
 
-/// Found on standard days: a flood was held until all of it came late.
+/// Guards against holding a burst of queries until all answers are late.
 #[test]
 fn queries_beyond_the_capacity_are_rejected_at_once() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 1);
@@ -310,12 +314,12 @@
         .count();
     assert!(
         rejected > 50 && sent >= 8,
-        "{rejected} rejected, {sent} sent"
+        "{rejected} queries rejected, {sent} queries sent"
     );
 }
 
-/// Found on the fleet's join+mass, seed 2: behind a hot key queries were held until their limit passed, later for
-/// clients that had held them back themselves. Those that can't have their turn are rejected at once.
+/// Guards against holding queries of a hot key until their deadlines pass: queries that cannot run in time after the
+/// earlier ones of the key are rejected at once.
 #[test]
 fn queries_behind_a_hot_key_wait_only_if_time_is_left() {
     let ordered = QueryClass {
@@ -330,12 +334,12 @@
         .iter()
         .filter(|id| sim.records[**id as usize].rejected)
         .count();
-    assert!((80..95).contains(&rejected), "{rejected} rejected");
+    assert!((80..95).contains(&rejected), "{rejected} queries rejected");
     assert!(
         ids[..6]
             .iter()
             .all(|id| !sim.records[*id as usize].finished),
-        "the first wait for their turn"
+        "the first queries of the key wait instead of being rejected"
     );
     assert_eq!(
         (
@@ -347,7 +351,8 @@
     );
 }
 
-/// Found on sockets: loads stood still behind our own loads of their data set, and clients' connections ran out.
+/// Guards against using up the gateway's client connections: data loads blocked behind other loads of the same data set
+/// that the gateway itself had sent.
 #[test]
 fn data_load_does_not_wait_at_a_locked_data_set_without_capacity() {
     for capacity_limit in [None, Some(4.0)] {
@@ -362,7 +367,8 @@
             },
             1,
         );
-        // Between two ticks: capacity is looked at with each query. Batches 0 and 3 have the same data set.
+        // The queries arrive between two ticks, so the capacity check at each admission is tested. Queries 0 and 3 have
+        // the same data set.
         sim.advance(0.05);
         let ids = [0; 4].map(|tenant| sim.admit(0, tenant, None, 4.0));
         sim.run_actions();
@@ -372,7 +378,7 @@
     }
 }
 
-/// Found on an incident: readers were sent where a load held what they read.
+/// Guards against sending readers to an engine on which their data set is locked by a load.
 #[test]
 fn readers_avoid_a_reported_lock() {
     let reader = QueryClass {
@@ -412,7 +418,8 @@
     assert!(failed < 8, "{failed} attempts to the failing engine");
 }
 
-/// An index is another engine's once its own is removed: that one's ejection is not the new one's.
+/// After an engine is removed, its index can be reused for another engine. The ejection of the removed engine must not
+/// apply to the new one.
 #[test]
 fn engine_at_the_index_of_a_removed_one_starts_with_a_clean_state() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 2);
@@ -434,8 +441,8 @@
     assert_eq!(sim.engines_tried(id), [0]);
 }
 
-/// A whole list in any order, then one that names only part of it, then the rest in lines of their own; an engine's
-/// index may lie far from the others.
+/// The test sends a full list in arbitrary order, then a full list with only some of the engines, and then the others
+/// as single changes. Engine indices may be far apart.
 #[test]
 fn engines_missing_from_a_full_list_get_no_queries_until_listed_again() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 0);
@@ -471,7 +478,7 @@
     assert!(sent(&mut sim).is_empty());
 }
 
-/// Found on an incident: clients with little time left were served past it, which wasted the work.
+/// Guards against wasted work: queries of clients with little time left were run past their deadlines.
 #[test]
 fn queries_that_do_not_fit_their_deadline_are_rejected() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 1);
@@ -496,7 +503,7 @@
     assert!(sim.records[short_query as usize].rejected);
 }
 
-/// Found by reading: the first list took back the wish to subscribe.
+/// Guards against a missing subscription: the first endpoint list cleared the request to subscribe.
 #[test]
 fn subscription_is_requested_after_the_first_list_and_after_a_failure() {
     let test_settings = Settings {
@@ -512,7 +519,7 @@
     assert_eq!(sim.controller.next_action(sim.now), NextAction::Subscribe);
 }
 
-/// Found by reading: an idempotent-by-key query whose window ran out while it waited was held to its limit.
+/// Guards against holding a query until its deadline if its deduplication window ends while it waits for a retry.
 #[test]
 fn a_query_that_may_not_be_retried_is_answered_at_once() {
     let by_key = Idempotency::IdempotentByKey {
@@ -530,8 +537,8 @@
     assert!(sim.records[id as usize].rejected);
 }
 
-/// Found on an incident: after a jam the remembered slowdown had a whole class rejected, and as nothing of
-/// it was answered any more nothing corrected it.
+/// Guards against rejecting a class forever: after an overload, the learned slowdown led to the rejection of all
+/// queries of the class, and without answers the slowdown was never corrected.
 #[test]
 fn slowdown_learned_during_overload_does_not_reject_later_queries() {
     let no_late_value = QueryClass {
@@ -551,9 +558,10 @@
     assert_eq!(sim.engines_tried(later).len(), 1);
 }
 
-/// Worked by hand for 100 gateways: a part is 2 x 0.5 x 8 cores x 0.85 x 0.6 / 100 = 0.041 s of work a second, in
-/// 9.8 s and half a window 0.44 s, 44 s for all: 220 queries of 0.2 s. The largest query is 0.1 of 2 x 2 x 8,
-/// 3.2 s, so 14 gateways send up to 16 queries each; in 2 s not over 2 x 8 x 2 times the share able.
+/// Calculation for 100 gateways: the share of one gateway is 2 x 0.5 x 8 cores x 0.85 x 0.6 / 100 = 0.041 s of work per
+/// second. In 9.8 s plus half a window, this is 0.44 s per gateway and 44 s for all gateways, or 220 queries of 0.2 s.
+/// The largest query is 0.1 x 2 x 2 x 8 = 3.2 s, so 14 gateways send up to 16 queries each. In any 2 s, the work must
+/// not exceed 2 x 8 x 2 = 32 s times the effective fraction of cores.
 #[test]
 fn slow_start_shares_under_one_query_neither_starve_nor_overload() {
     let warm_up = Some(SlowStart {
@@ -587,7 +595,11 @@
                 .map(|attempt| attempt.at),
         );
     }
-    assert!(sent.len() > 140 && sent.len() < 290, "{} sent", sent.len());
+    assert!(
+        sent.len() > 140 && sent.len() < 290,
+        "{} queries sent",
+        sent.len()
+    );
     for from in &sent {
         let within = sent
             .iter()
@@ -596,12 +608,13 @@
         let effective_fraction = 0.5 + 0.05 * (from - 1000.0);
         assert!(
             within as f64 * helper::WORK <= 32.0 * effective_fraction,
-            "{within} within 2 s from {from}"
+            "{within} queries sent within 2 s from {from}"
         );
     }
 }
 
-/// Found on an incident: after a gateway had stood still for 2 s, all that had been answered meanwhile looked slow.
+/// Guards against inferring load from a stall of the gateway itself: after a stall of 2 s, all answers that had arrived
+/// meanwhile looked slow.
 #[test]
 fn attempts_in_flight_during_a_stall_do_not_count_as_load() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 8);
@@ -616,8 +629,9 @@
     assert!(next.iter().all(|id| sim.engines_tried(*id).len() == 1));
 }
 
-/// Found at full size: each gateway started little, all together far too much. Worked by hand: 10 engines of 8
-/// cores x 1.5 / 100 gateways are 1.2 threads, so under pressure a second query beside the first is at 1.7 marks.
+/// Guards against an overload by many gateways of which each starts few queries. Calculation: the share of one gateway
+/// in 10 engines is 10 x 8 cores x 1.5 / 100 = 1.2 threads, so a second query in flight brings its use of the share
+/// to 1.7.
 #[test]
 fn overloaded_kind_limits_each_gateway_to_its_share_of_the_pool() {
     let test_settings = Settings {
@@ -646,12 +660,13 @@
         .iter()
         .filter(|id| !sim.engines_tried(**id).is_empty())
         .count();
-    assert!(sent < 5, "{sent} of 10 sent");
+    assert!(sent < 5, "{sent} of 10 queries sent");
 }
 
-/// The slice is what those that hold the engines leave to this gateway. Worked by hand: ten answers at two marks
-/// leave a kind at 2 x 10 / 10.5, 1.9 marks. Its 10 engines of 8 cores x 1.5 hold 1.2 threads of each of 100 gateways,
-/// 12 of each of 10, 120 of one alone: the first query stands at 1.4, 1.0 and 0.96 marks, the tenth at 1.4 of ten.
+/// A gateway's share of an engine depends on the number of gateways that use the engine. Calculation: ten answers with
+/// load 2 give the kind a load of 2 x 10 / 10.5 = 1.9. Its 10 engines with 8 cores x 1.5 threads give each of 100
+/// gateways 1.2 threads, each of 10 gateways 12 threads, and a single gateway 120 threads. The load with the first
+/// query is then 1.4, 1.0 and 0.96; with the tenth query and 10 gateways it is 1.4.
 #[test]
 fn share_of_an_overloaded_kind_depends_on_the_gateways_of_its_engines() {
     let sent = [None, Some(100.0), Some(10.0), Some(1.0)].map(|gateways_per_engine| {
@@ -684,11 +699,12 @@
     });
     assert!(
         sent[0] == sent[1] && sent[1] < sent[2] && sent[2] < sent[3] && sent[3] >= 8,
-        "{sent:?}"
+        "queries sent by number of gateways per engine: {sent:?}"
     );
 }
 
-/// Found at full size: every gateway probed every engine. 60 queries pay for 3 probes, each of another engine.
+/// Guards against health checks from every gateway to every engine. 60 queries allow 3 health checks, and successive
+/// checks go to different engines.
 #[test]
 fn health_checks_are_limited_by_queries_and_alternate_between_engines() {
     let classes = vec![query_class(Idempotency::Idempotent)];
@@ -709,7 +725,7 @@
     );
 }
 
-/// Found at full size: queries that may go anywhere filled the kind of engine that others are bound to.
+/// Guards against unrestricted queries using up the kind of engine to which other queries are restricted.
 #[test]
 fn unrestricted_queries_avoid_the_kind_used_by_restricted_queries() {
     let restricted = QueryClass {
@@ -733,7 +749,8 @@
     }
 }
 
-/// A subset narrows: a later preference is used only where no engine of an earlier one may be, and nothing else is.
+/// Engines of a lower priority level are used only if no engine of the higher levels is usable, and engines outside the
+/// subset are never used.
 #[test]
 fn endpoint_subset_restricts_engines_and_sets_their_priority() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 6);
@@ -747,7 +764,7 @@
             .iter()
             .flat_map(|id| sim.engines_tried(*id))
             .all(|e| e < 2),
-        "the first preference has room"
+        "the first priority level still has capacity"
     );
     sim.update_endpoint(0, EndpointState::Draining, None);
     sim.update_endpoint(1, EndpointState::Removed, None);
@@ -761,12 +778,13 @@
     for id in [third, unknown] {
         assert!(
             sim.engines_tried(id).is_empty() && sim.records[id as usize].rejected,
-            "no engine is left to it"
+            "a query without a usable engine must be rejected"
         );
     }
 }
 
-/// A attempt whose end is not known: the answer comes at once, the key waits for the outcome and its rest.
+/// If the outcome of an attempt is unknown and the query must not be retried, the answer is sent at once. The ordering
+/// key stays held until the attempt has ended and the key's pause is over.
 #[test]
 fn unknown_outcome_is_answered_at_once_and_keeps_its_ordering_key() {
     let non_idempotent = QueryClass {
@@ -782,16 +800,22 @@
     sim.report_unknown_outcome(first, AttemptEnd::ConnectionLost);
     assert!(
         sim.records[0].finished && !sim.records[0].rejected,
-        "once-only: errored"
+        "a non-idempotent query is answered as failed"
     );
     sim.advance(1.0);
-    assert!(sim.engines_tried(second).is_empty(), "it may still run");
+    assert!(
+        sim.engines_tried(second).is_empty(),
+        "the first attempt may still be running"
+    );
     sim.end_attempt(first, AttemptEnd::ConnectionLost);
     sim.advance(0.4);
-    assert!(sim.engines_tried(second).is_empty(), "the key rests");
+    assert!(
+        sim.engines_tried(second).is_empty(),
+        "the key is still paused"
+    );
     sim.advance(0.2);
     assert_eq!(sim.engines_tried(second).len(), 1);
-    // One that may be sent again is not answered, and not sent while the other may be out.
+    // A query that may be retried is not answered, and is not sent again while its first attempt may be in flight.
     let third = sim.admit(1, 0, None, 3.0);
     sim.run_actions();
     sim.report_unknown_outcome(third, AttemptEnd::ConnectionLost);
@@ -805,7 +829,7 @@
     assert_eq!(sim.engines_tried(third).len(), 2);
 }
 
-/// A query whose body is gone has no further attempt; the answer says the truth of what ran.
+/// A query whose body is no longer stored is not retried. The answer depends on whether the query may have run.
 #[test]
 fn queries_without_a_body_are_not_retried() {
     let by_key = Idempotency::IdempotentByKey {
@@ -838,7 +862,7 @@
     }
 }
 
-/// What an earlier process may have left running holds its key from the start on.
+/// An ordering key can be paused at start-up because an attempt of an earlier process may still be running.
 #[test]
 fn a_key_pauses_for_attempts_of_an_earlier_process() {
     let non_idempotent = QueryClass {
@@ -857,7 +881,8 @@
     assert_eq!(sim.engines_tried(held).len(), 1);
 }
 
-/// In doubt, then proved never to have run: the doubt is forgotten, and only that.
+/// A query counts as one that may have run while the outcome of an attempt is unknown. If the attempt is then proved
+/// not to have run, only that attempt stops counting.
 #[test]
 fn attempt_proved_not_to_have_run_no_longer_counts_as_one_that_may_have_run() {
     let by_key = Idempotency::IdempotentByKey {
@@ -884,11 +909,12 @@
     assert_eq!(
         (record.attempts.len(), record.finished, record.rejected),
         (3, true, false),
-        "the second may have run"
+        "the second attempt may have run, so the query fails"
     );
 }
 
-/// A repeat of an idempotent-by-key query has to come to its engine inside the window, however late its connection comes up.
+/// A retry of a query that is idempotent by key must reach its engine within the deduplication window, however slowly
+/// the connection is made.
 #[test]
 fn retry_is_sent_within_the_deduplication_window() {
     let by_key = Idempotency::IdempotentByKey {
@@ -899,20 +925,24 @@
     let id = sim.admit(0, 0, None, 4.0);
     sim.advance(0.1);
     let sent = sim.records[0].attempts[0].at;
-    assert!(sim.send_timeouts[0] > 3.9, "the first has its whole time");
+    assert!(
+        sim.send_timeouts[0] > 3.9,
+        "the first attempt may be sent until the deadline"
+    );
     sim.advance(0.5);
     sim.end_attempt(id, AttemptEnd::ConnectionLost);
     sim.advance(0.1);
     let again = sim.records[0].attempts[1].at;
     assert!(
         again + sim.send_timeouts[1] < sent + 1.0,
-        "{} s after {}",
+        "the retry may be sent within {} s, {} s after the first attempt",
         sim.send_timeouts[1],
         again - sent
     );
 }
 
-/// Nobody waits for a query for a moment: it is not sent, neither at first nor again, and goes in its turn once somebody does.
+/// While a query has no client, neither its first attempt nor a retry is sent. The query is placed again once a client
+/// has returned.
 #[test]
 fn queries_of_an_absent_client_are_not_sent() {
     let mut sim = Simulation::new(settings(vec![query_class(Idempotency::Idempotent)]), 4);
@@ -925,7 +955,7 @@
     assert_eq!(
         sim.engines_tried(other).len(),
         1,
-        "others of its line are not held"
+        "other queries of the same queue are not held back"
     );
     sim.controller.client_joined(sim.now, id);
     sim.advance(0.05);
@@ -933,13 +963,17 @@
     sim.controller.client_disconnected(sim.now, id);
     sim.end_attempt(id, AttemptEnd::ConnectionLost);
     sim.advance(0.2);
-    assert_eq!(sim.engines_tried(id).len(), 1, "no further attempt either");
+    assert_eq!(
+        sim.engines_tried(id).len(),
+        1,
+        "the query is not retried without a client"
+    );
     sim.client_left(id);
     sim.advance(5.0);
     assert_eq!(sim.engines_tried(id).len(), 1);
 }
 
-/// The same for a query that comes to its turn behind another of its key, and for one that its time ends.
+/// A query without a client stays ahead of later queries of its ordering key until its deadline.
 #[test]
 fn queries_of_an_absent_client_keep_their_order_and_deadline() {
     let ordered = QueryClass {
@@ -958,17 +992,18 @@
     sim.advance(0.3);
     assert!(
         sim.engines_tried(second).is_empty() && sim.engines_tried(third).is_empty(),
-        "it keeps its place"
+        "the second query keeps its place ahead of the third"
     );
     sim.advance(1.0);
     assert!(
         sim.records[second as usize].finished,
-        "answered in its time"
+        "the second query is answered by its deadline"
     );
     assert_eq!(sim.engines_tried(third).len(), 1);
 }
 
-/// A class whose limit is a day, of which nothing is known yet, and a query that has seconds.
+/// Guards against rejecting a query that has seconds left because the initial expected work of its class is a fraction
+/// of a deadline of hours.
 #[test]
 fn class_deadline_of_hours_rejects_no_query_with_seconds_left() {
     for (objective, deadline_seconds) in [(1.0, 86_400.0), (43_200.0, 86_400.0), (10.0, 3600.0)] {
@@ -983,7 +1018,7 @@
         assert_eq!(
             sim.engines_tried(id).len(),
             1,
-            "objective {objective}, deadline {deadline_seconds}"
+            "no attempt with objective {objective} s and deadline {deadline_seconds} s"
         );
         sim.end_attempt(id, AttemptEnd::Succeeded);
     }
