--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -1,13 +1,13 @@
-//! What all gateways together send a engine in slow start, each of them deciding alone: a plain world that plays many
+//! What all gateways together send a engine in slow start, each of them deciding alone: a plain simulation that plays many
 //! instances of the module and judges the sum by the rule on engines in slow start.
 
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
 use std::collections::BTreeSet;
 
-/// Seconds between two moments of the world: all that falls into one is done in step.
+/// Seconds between two moments of the simulation: all that falls into one is done in step.
 const STEP: f64 = 0.05;
-const COLD: SlowStart = SlowStart {
+const SLOW_START: SlowStart = SlowStart {
     initial_fraction: 0.35,
     duration: 10.0,
     overload_multiple: 3.0,
@@ -19,7 +19,7 @@
 struct TestRng(u64);
 
 impl TestRng {
-    fn even(&mut self) -> f64 {
+    fn uniform(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ self.0 >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let z = (z ^ z >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -27,97 +27,97 @@
     }
 
     /// Between two arrivals, in means.
-    fn gap(&mut self) -> f64 {
-        -(1.0 - self.even()).ln()
+    fn exponential(&mut self) -> f64 {
+        -(1.0 - self.uniform()).ln()
     }
 }
 
-/// A query class's share of the queries, its mean work in seconds and the limit.
+/// A query class's share of the queries, its mean work in seconds and the deadline.
 #[derive(Clone, Copy)]
 struct Class {
     share: f64,
     work: f64,
-    limit: f64,
+    deadline: f64,
 }
 
 const LIGHT: [Class; 2] = [
     Class {
         share: 0.75,
         work: 0.1,
-        limit: 2.0,
+        deadline: 2.0,
     },
     Class {
         share: 0.25,
         work: 0.5,
-        limit: 8.0,
+        deadline: 8.0,
     },
 ];
 const HEAVY: [Class; 2] = [
     Class {
         share: 0.8,
         work: 0.5,
-        limit: 6.0,
+        deadline: 6.0,
     },
     Class {
         share: 0.2,
         work: 1.5,
-        limit: 20.0,
+        deadline: 20.0,
     },
 ];
 
 #[derive(Clone)]
-struct Day {
+struct Scenario {
     gateways: usize,
     /// Gateways that the settings tell of.
-    known_gateways: f64,
+    configured_gateways: f64,
     classes: [Class; 2],
     /// When engines start, and their kind; and how many warm ones of each kind there are.
     starts: Vec<(f64, usize)>,
-    warm: usize,
+    warm_per_kind: usize,
     /// Seconds until gateways are notified of a start, and those within which they all are.
-    blind: f64,
-    late: f64,
+    notify_delay: f64,
+    notify_spread: f64,
     /// The engines were there before they started, so that gateways not notified still send to them.
-    known: bool,
+    preexisting: bool,
     /// No query comes before.
-    quiet: f64,
-    /// At these times these parts of the gateways end and start anew, under names of their own where `renamed`.
+    first_query_at: f64,
+    /// At these times these parts of the gateways end and start anew, under names of their own where that is set.
     restarts: Vec<(f64, f64)>,
-    renamed: bool,
+    new_members_on_restart: bool,
     /// Engines that each gateway works with; all where it is none.
-    subset: Option<usize>,
+    subset_size: Option<usize>,
     /// Gateways that hold an engine, as a subset's gateways are notified; worked out where it is none.
-    holders: Option<f64>,
+    gateways_per_engine: Option<f64>,
     /// Traffic of the busiest tenth of the gateways, over that of a usual one.
-    busiest: f64,
+    busiest_weight: f64,
     /// Work that comes, in what all engines could do once warm.
     demand: f64,
     /// Engines answer as though each query had them alone: only the budget holds gateways back.
-    quick: bool,
+    uncontended: bool,
     /// Estimates come with the queries.
     estimates: bool,
     seed: u64,
 }
 
-impl Day {
-    fn new(gateways: usize, seed: u64) -> Day {
-        Day {
+impl Scenario {
+    fn new(gateways: usize, seed: u64) -> Scenario {
+        Scenario {
             gateways,
-            known_gateways: gateways as f64,
+            configured_gateways: gateways as f64,
             classes: LIGHT,
             starts: vec![(1.0, 0)],
-            warm: 0,
-            blind: 0.0,
-            late: 0.0,
-            known: false,
-            quiet: 0.0,
+            warm_per_kind: 0,
+            notify_delay: 0.0,
+            notify_spread: 0.0,
+            preexisting: false,
+            first_query_at: 0.0,
             restarts: Vec::new(),
-            renamed: false,
-            subset: None,
-            holders: None,
-            busiest: 5.0,
+            new_members_on_restart: false,
+            subset_size: None,
+            gateways_per_engine: None,
+            busiest_weight: 5.0,
             demand: 2.0,
-            quick: true,
+            uncontended: true,
             estimates: false,
             seed,
         }
@@ -129,9 +129,9 @@
 
     fn settings(&self) -> Settings {
         let class = |c: &Class| QueryClass {
-            latency_objective: c.limit / 3.0,
+            latency_objective: c.deadline / 3.0,
             latency_objective_stretch: 2.0,
-            deadline: c.limit,
+            deadline: c.deadline,
             priority_weight: c.work,
             late_value_share: 0.3,
             idempotency: Idempotency::Idempotent,
@@ -146,28 +146,28 @@
         Settings {
             classes: self.classes.iter().map(class).collect(),
             tenants: 1,
-            gateways: self.known_gateways,
+            gateways: self.configured_gateways,
             kind_cores: CORES.iter().copied().map(Some).collect(),
             load_reporting: LoadReporting::WithAnswers,
             cancellation_allowed: true,
             retry_after_allowed: true,
             max_retry_after: 1.0,
             max_attempts: 4,
-            slow_start: Some(COLD),
+            slow_start: Some(SLOW_START),
             ..Settings::default()
         }
     }
 
-    fn line(&self, engine: EngineId, started: bool) -> Endpoint {
+    fn endpoint(&self, engine: EngineId, started: bool) -> Endpoint {
         let kind = self.kind(engine);
         let started_at = self
             .starts
             .get(engine)
             .filter(|_| started)
-            .map(|(up, _)| *up);
-        let holders = self.subset.map(|size| {
-            self.holders
-                .unwrap_or_else(|| self.gateways_with(size, kind))
+            .map(|(start, _)| *start);
+        let engine_gateways = self.subset_size.map(|size| {
+            self.gateways_per_engine
+                .unwrap_or_else(|| self.expected_gateways_per_engine(size, kind))
         });
         Endpoint {
             engine,
@@ -176,12 +176,12 @@
             cell: 0,
             started_at,
             state: EndpointState::Ready,
-            gateways: holders,
+            gateways: engine_gateways,
         }
     }
 
     fn engines(&self) -> usize {
-        self.starts.len() + 2 * self.warm
+        self.starts.len() + 2 * self.warm_per_kind
     }
 
     fn kind(&self, engine: EngineId) -> usize {
@@ -194,22 +194,22 @@
     fn members(&self, name: u64) -> BTreeSet<EngineId> {
         let mut rng = TestRng(name);
         let mut scores: Vec<(f64, EngineId)> = (0..self.engines())
-            .map(|e| (rng.gap() / CORES[self.kind(e)], e))
+            .map(|e| (rng.exponential() / CORES[self.kind(e)], e))
             .collect();
         scores.sort_by(|a, b| a.0.total_cmp(&b.0));
         scores
             .into_iter()
-            .take(self.subset.unwrap_or(usize::MAX))
+            .take(self.subset_size.unwrap_or(usize::MAX))
             .map(|(_, e)| e)
             .collect()
     }
 
     /// The gateways that hold an engine of a kind in the mean, and two roots more, as the rule of subsets has it.
-    fn gateways_with(&self, size: usize, kind: usize) -> f64 {
-        let held = |t: f64, kind: usize| 1.0 - (-t * CORES[kind]).exp();
+    fn expected_gateways_per_engine(&self, size: usize, kind: usize) -> f64 {
+        let hold_probability = |t: f64, kind: usize| 1.0 - (-t * CORES[kind]).exp();
         let sum = |t: f64| {
             (0..self.engines())
-                .map(|e| held(t, self.kind(e)))
+                .map(|e| hold_probability(t, self.kind(e)))
                 .sum::<f64>()
         };
         let (mut low, mut high) = (0.0, 100.0);
@@ -221,41 +221,42 @@
                 high = t;
             }
         }
-        let mean = self.gateways as f64 * held(high, kind);
+        let mean = self.gateways as f64 * hold_probability(high, kind);
         (mean + 2.0 * mean.sqrt()).min(self.gateways as f64)
     }
 
     /// Cores that an engine can use.
-    fn able(&self, now: f64, engine: EngineId) -> f64 {
-        let up = self
+    fn effective_cores(&self, now: f64, engine: EngineId) -> f64 {
+        let start = self
             .starts
             .get(engine)
-            .map_or(f64::NEG_INFINITY, |(up, _)| *up);
-        let warmed = ((now - up) / COLD.duration).clamp(0.0, 1.0);
-        CORES[self.kind(engine)] * (COLD.initial_fraction + (1.0 - COLD.initial_fraction) * warmed)
+            .map_or(f64::NEG_INFINITY, |(start, _)| *start);
+        let warmed = ((now - start) / SLOW_START.duration).clamp(0.0, 1.0);
+        CORES[self.kind(engine)]
+            * (SLOW_START.initial_fraction + (1.0 - SLOW_START.initial_fraction) * warmed)
     }
 
-    fn play(&self) -> Vec<Vec<Sent>> {
+    fn run(&self) -> Vec<Vec<Sent>> {
         let mut rng = TestRng(self.seed);
         let engines = self.engines();
         let work = self.demand * (0..engines).map(|e| CORES[self.kind(e)]).sum::<f64>();
         let weights: Vec<f64> = (0..self.gateways)
             .map(|_| {
-                if rng.even() < 0.1 {
-                    self.busiest
+                if rng.uniform() < 0.1 {
+                    self.busiest_weight
                 } else {
-                    0.5 + rng.even()
+                    0.5 + rng.uniform()
                 }
             })
             .collect();
         let rate = work / self.mean_work() / weights.iter().sum::<f64>();
         let mut gateways: Vec<Gateway> = Vec::new();
         for weight in weights {
-            let seed = (rng.even() * 1e15) as u64;
+            let seed = (rng.uniform() * 1e15) as u64;
             let notified = self
                 .starts
                 .iter()
-                .map(|(up, _)| up + self.blind + self.late * rng.even())
+                .map(|(start, _)| start + self.notify_delay + self.notify_spread * rng.uniform())
                 .collect();
             let members = self.members(seed);
             gateways.push(Gateway::new(
@@ -267,14 +268,14 @@
                 members,
             ));
         }
-        let mut world = World {
+        let mut traffic = Traffic {
             sent: self.starts.iter().map(|_| Vec::new()).collect(),
-            held: vec![0.0; engines],
+            running: vec![0.0; engines],
         };
         let end = self
             .starts
             .iter()
-            .map(|(up, _)| up + COLD.duration)
+            .map(|(start, _)| start + SLOW_START.duration)
             .fold(0.0, f64::max);
         let mut restarts = self.restarts.clone();
         for now in (0..)
@@ -284,17 +285,20 @@
             if let Some((_, part)) = restarts.first().copied().filter(|(at, _)| *at <= now) {
                 restarts.remove(0);
                 for g in &mut gateways {
-                    if rng.even() < part {
-                        let seed = (rng.even() * 1e15) as u64;
-                        let notified = self.starts.iter().zip(&g.notified).map(|((up, _), t)| {
-                            if *up <= now {
-                                now
-                            } else {
-                                *t
-                            }
-                        });
-                        g.out.iter().for_each(|o| world.held[o.engine] -= 1.0);
-                        let members = if self.renamed {
+                    if rng.uniform() < part {
+                        let seed = (rng.uniform() * 1e15) as u64;
+                        let notified =
+                            self.starts.iter().zip(&g.notified).map(|((start, _), t)| {
+                                if *start <= now {
+                                    now
+                                } else {
+                                    *t
+                                }
+                            });
+                        g.in_flight
+                            .iter()
+                            .for_each(|pending| traffic.running[pending.engine] -= 1.0);
+                        let members = if self.new_members_on_restart {
                             self.members(seed)
                         } else {
                             g.members.clone()
@@ -305,9 +309,9 @@
             }
             gateways
                 .iter_mut()
-                .for_each(|g| g.step(self, now, &mut rng, &mut world));
+                .for_each(|g| g.run_step(self, now, &mut rng, &mut traffic));
         }
-        world.sent
+        traffic.sent
     }
 }
 
@@ -318,13 +322,13 @@
     notified: bool,
 }
 
-struct World {
+struct Traffic {
     sent: Vec<Vec<Sent>>,
     /// Batches that run on each engine; they share its cores.
-    held: Vec<f64>,
+    running: Vec<f64>,
 }
 
-struct Out {
+struct InFlight {
     ends: f64,
     latency: f64,
     id: QueryId,
@@ -333,83 +337,95 @@
 }
 
 struct Gateway {
-    c: AdmissionController,
+    controller: AdmissionController,
     rate: f64,
-    next: f64,
-    wake: f64,
+    next_arrival_at: f64,
+    wake_at: f64,
     notified: Vec<f64>,
     listed: Vec<bool>,
     members: BTreeSet<EngineId>,
     /// Group, true work and attempts of each query.
     queries: Vec<(usize, f64, u32)>,
-    out: Vec<Out>,
+    in_flight: Vec<InFlight>,
 }
 
 impl Gateway {
     fn new(
-        day: &Day,
+        scenario: &Scenario,
         now: f64,
         seed: u64,
         rate: f64,
         notified: Vec<f64>,
         members: BTreeSet<EngineId>,
     ) -> Gateway {
-        let mut c = AdmissionController::new(day.settings(), seed, now);
+        let mut controller = AdmissionController::new(scenario.settings(), seed, now);
         let listed: Vec<bool> = notified.iter().map(|t| *t <= now).collect();
-        let there = |e: &EngineId| listed.get(*e).is_none_or(|l| *l || day.known);
+        let is_listed = |e: &EngineId| listed.get(*e).is_none_or(|l| *l || scenario.preexisting);
         let started = |e: EngineId| listed.get(e).copied().unwrap_or_default();
-        let lines: Vec<Endpoint> = members
+        let endpoints: Vec<Endpoint> = members
             .iter()
             .copied()
-            .filter(there)
-            .map(|e| day.line(e, started(e)))
+            .filter(is_listed)
+            .map(|e| scenario.endpoint(e, started(e)))
             .collect();
-        c.update_endpoints(&lines, ListScope::Full);
+        controller.update_endpoints(&endpoints, ListScope::Full);
         Gateway {
-            c,
+            controller,
             rate,
-            next: now,
-            wake: now,
+            next_arrival_at: now,
+            wake_at: now,
             notified,
             listed,
             members,
             queries: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    fn step(&mut self, day: &Day, now: f64, rng: &mut TestRng, world: &mut World) {
-        let mut due = self.wake <= now;
+    fn run_step(
+        &mut self,
+        scenario: &Scenario,
+        now: f64,
+        rng: &mut TestRng,
+        traffic: &mut Traffic,
+    ) {
+        let mut due = self.wake_at <= now;
         for e in 0..self.listed.len() {
             if !self.listed[e] && self.notified[e] <= now {
                 self.listed[e] = true;
                 if self.members.contains(&e) {
-                    self.c
-                        .update_endpoints(&[day.line(e, true)], ListScope::Delta);
+                    self.controller
+                        .update_endpoints(&[scenario.endpoint(e, true)], ListScope::Delta);
                     due = true;
                 }
             }
         }
-        while let Some(n) = self.out.iter().position(|o| o.ends <= now) {
-            let o = self.out.remove(n);
-            world.held[o.engine] -= 1.0;
-            let work = Some(self.queries[o.id as usize].1);
-            self.over(now, o, AttemptEnd::Succeeded, work);
+        while let Some(n) = self
+            .in_flight
+            .iter()
+            .position(|pending| pending.ends <= now)
+        {
+            let pending = self.in_flight.remove(n);
+            traffic.running[pending.engine] -= 1.0;
+            let work = Some(self.queries[pending.id as usize].1);
+            self.end_attempt(now, pending, AttemptEnd::Succeeded, work);
             due = true;
         }
-        while self.next <= now {
-            self.next += rng.gap() / self.rate;
-            let class_index = usize::from(rng.even() > day.classes[0].share);
-            let class = day.classes[class_index];
-            let work = class.work * (0.3 + 0.7 * rng.gap());
-            if now < day.quiet {
+        while self.next_arrival_at <= now {
+            self.next_arrival_at += rng.exponential() / self.rate;
+            let class_index = usize::from(rng.uniform() > scenario.classes[0].share);
+            let class = scenario.classes[class_index];
+            let work = class.work * (0.3 + 0.7 * rng.exponential());
+            if now < scenario.first_query_at {
                 continue;
             }
             let id = self.queries.len() as QueryId;
-            let estimated_work = day.estimates.then(|| work * (0.6 + 0.8 * rng.even()));
+            let estimated_work = scenario
+                .estimates
+                .then(|| work * (0.6 + 0.8 * rng.uniform()));
             self.queries.push((class_index, work, 0));
-            let remaining_time = class.limit;
-            let b = Query {
+            let remaining_time = class.deadline;
+            let query = Query {
                 id,
                 class: class_index,
                 tenant: 0,
@@ -420,24 +436,24 @@
                 data_set: 0,
                 endpoint_subset: None,
             };
-            self.c.admit(now, b);
+            self.controller.admit(now, query);
             due = true;
         }
         if due {
-            self.pump(day, now, rng, world);
+            self.run_actions(scenario, now, rng, traffic);
         }
     }
 
-    fn over(&mut self, now: f64, o: Out, end: AttemptEnd, work: Option<f64>) {
-        let Out {
+    fn end_attempt(&mut self, now: f64, pending: InFlight, end: AttemptEnd, work: Option<f64>) {
+        let InFlight {
             latency,
             id,
             engine,
             attempt,
             ..
-        } = o;
+        } = pending;
         let closed = end == AttemptEnd::Succeeded;
-        self.c.attempt_ended(
+        self.controller.attempt_ended(
             now,
             id,
             AttemptOutcome {
@@ -452,27 +468,33 @@
         );
     }
 
-    fn pump(&mut self, day: &Day, now: f64, rng: &mut TestRng, world: &mut World) {
+    fn run_actions(
+        &mut self,
+        scenario: &Scenario,
+        now: f64,
+        rng: &mut TestRng,
+        traffic: &mut Traffic,
+    ) {
         loop {
-            match self.c.next_action(now) {
+            match self.controller.next_action(now) {
                 NextAction::Wait(span) => {
-                    self.wake = now + span;
+                    self.wake_at = now + span;
                     return;
                 }
                 NextAction::Subscribe => {}
                 NextAction::HealthCheck(engine) => {
-                    self.c
+                    self.controller
                         .health_check_ended(now, engine, AttemptEnd::Succeeded)
                 }
                 NextAction::Cancel { query: id, attempt } => {
                     if let Some(n) = self
-                        .out
+                        .in_flight
                         .iter()
-                        .position(|o| (o.id, o.attempt) == (id, attempt))
+                        .position(|pending| (pending.id, pending.attempt) == (id, attempt))
                     {
-                        let o = self.out.remove(n);
-                        world.held[o.engine] -= 1.0;
-                        self.over(now, o, AttemptEnd::Cancelled, None);
+                        let pending = self.in_flight.remove(n);
+                        traffic.running[pending.engine] -= 1.0;
+                        self.end_attempt(now, pending, AttemptEnd::Cancelled, None);
                     }
                 }
                 NextAction::Place(id) => {
@@ -480,30 +502,31 @@
                         engine,
                         response_timeout,
                         ..
-                    } = self.c.place(now, id)
+                    } = self.controller.place(now, id)
                     else {
                         continue;
                     };
                     let (_, work, attempts) = &mut self.queries[id as usize];
-                    world.held[engine] += 1.0;
-                    let shared = world.held[engine] / day.able(now, engine);
+                    traffic.running[engine] += 1.0;
+                    let contention =
+                        traffic.running[engine] / scenario.effective_cores(now, engine);
                     let latency = (*work
-                        * if day.quick {
+                        * if scenario.uncontended {
                             0.2
                         } else {
-                            shared.max(1.0) * (1.0 + rng.even())
+                            contention.max(1.0) * (1.0 + rng.uniform())
                         })
                     .min(response_timeout);
                     let attempt = *attempts;
                     *attempts += 1;
-                    if let Some(sent) = world.sent.get_mut(engine) {
+                    if let Some(sent) = traffic.sent.get_mut(engine) {
                         sent.push(Sent {
                             at: now,
                             work: *work,
                             notified: self.listed[engine],
                         });
                     }
-                    self.out.push(Out {
+                    self.in_flight.push(InFlight {
                         ends: now + latency,
                         latency,
                         id,
@@ -516,44 +539,48 @@
     }
 }
 
-/// What the judge saw of one engine or, by `worst`, of many.
+/// What the judge saw of one engine or, by `combine`, of many.
 #[derive(Clone, Copy, Debug, Default)]
-struct Verdict {
+struct BudgetUse {
     /// Windows in which it fell and over two thirds came from gateways notified of the start.
-    broken: usize,
+    violations: usize,
     /// At most in any window: what gateways notified of the start sent over the budget, and its excess in roots.
-    filled: f64,
-    excess: f64,
+    peak_use: f64,
+    peak_excess: f64,
     /// At most in any window: the part of budget and chance that was filled.
-    near: f64,
+    peak_limit_use: f64,
     /// Work from gateways notified of the start, in budgets over the slow start; and of how many engines.
-    got: f64,
+    budgets_received: f64,
     engines: f64,
 }
 
-impl Verdict {
-    fn worst(self, o: Verdict) -> Verdict {
-        Verdict {
-            broken: self.broken + o.broken,
-            filled: self.filled.max(o.filled),
-            excess: self.excess.max(o.excess),
-            near: self.near.max(o.near),
-            got: self.got + o.got,
-            engines: self.engines + o.engines,
+impl BudgetUse {
+    fn combine(self, other: BudgetUse) -> BudgetUse {
+        BudgetUse {
+            violations: self.violations + other.violations,
+            peak_use: self.peak_use.max(other.peak_use),
+            peak_excess: self.peak_excess.max(other.peak_excess),
+            peak_limit_use: self.peak_limit_use.max(other.peak_limit_use),
+            budgets_received: self.budgets_received + other.budgets_received,
+            engines: self.engines + other.engines,
         }
     }
 }
 
 /// Judges every window that ends at an attempt while the engine is cold. Its capacity counts as the notified
 /// share until it is warm: that is all that is notified, and how it rises to the whole is not.
-fn judge(sent: &[Sent], up: f64, cores: f64, mean_work: f64) -> Verdict {
-    let mut v = Verdict {
+fn measure(sent: &[Sent], start: f64, cores: f64, mean_work: f64) -> BudgetUse {
+    let mut usage = BudgetUse {
         engines: 1.0,
-        ..Verdict::default()
+        ..BudgetUse::default()
     };
     let (mut first, mut all, mut notified) = (0, 0.0, 0.0);
     for s in sent.iter().filter(|s| s.notified) {
-        v.got += s.work / (COLD.overload_multiple * COLD.initial_fraction * cores * COLD.duration);
+        usage.budgets_received += s.work
+            / (SLOW_START.overload_multiple
+                * SLOW_START.initial_fraction
+                * cores
+                * SLOW_START.duration);
     }
     for (n, s) in sent.iter().enumerate() {
         let part = |s: &Sent| {
@@ -563,7 +590,7 @@
             )
         };
         (all, notified) = (all + part(s).0, notified + part(s).1);
-        while sent[first].at <= s.at - COLD.window || sent[first].at < up {
+        while sent[first].at <= s.at - SLOW_START.window || sent[first].at < start {
             let gone = part(&sent[first]);
             (all, notified) = (all - gone.0, notified - gone.1);
             first += 1;
@@ -571,239 +598,257 @@
                 break;
             }
         }
-        if s.at < up || s.at >= up + COLD.duration {
+        if s.at < start || s.at >= start + SLOW_START.duration {
             continue;
         }
         let budget =
-            COLD.overload_multiple * COLD.window * COLD.initial_fraction * cores / mean_work;
-        let most = budget + 2.0 * budget.sqrt() + 2.0;
-        v.broken += usize::from(all > most && notified > all * 2.0 / 3.0);
-        v.filled = v.filled.max(notified / budget);
-        v.excess = v.excess.max((notified - budget) / budget.sqrt());
-        v.near = v.near.max(notified / most);
+            SLOW_START.overload_multiple * SLOW_START.window * SLOW_START.initial_fraction * cores
+                / mean_work;
+        let limit = budget + 2.0 * budget.sqrt() + 2.0;
+        usage.violations += usize::from(all > limit && notified > all * 2.0 / 3.0);
+        usage.peak_use = usage.peak_use.max(notified / budget);
+        usage.peak_excess = usage.peak_excess.max((notified - budget) / budget.sqrt());
+        usage.peak_limit_use = usage.peak_limit_use.max(notified / limit);
     }
-    v
+    usage
 }
 
-fn judged(day: &Day) -> Verdict {
-    let sent = day.play();
-    let one = |(sent, (up, kind)): (&Vec<Sent>, &(f64, usize))| {
-        judge(sent, *up, CORES[*kind], day.mean_work())
+fn measure_scenario(scenario: &Scenario) -> BudgetUse {
+    let sent = scenario.run();
+    let one = |(sent, (start, kind)): (&Vec<Sent>, &(f64, usize))| {
+        measure(sent, *start, CORES[*kind], scenario.mean_work())
     };
     sent.iter()
-        .zip(&day.starts)
+        .zip(&scenario.starts)
         .map(one)
-        .reduce(Verdict::worst)
+        .reduce(BudgetUse::combine)
         .expect("a engine in slow start")
 }
 
-fn over_seeds(seeds: u64, day: impl Fn(u64) -> Day) -> Verdict {
+fn run_seeds(seeds: u64, scenario: impl Fn(u64) -> Scenario) -> BudgetUse {
     (0..seeds)
-        .map(|seed| judged(&day(seed * 7919 + 11)))
-        .reduce(Verdict::worst)
+        .map(|seed| measure_scenario(&scenario(seed * 7919 + 11)))
+        .reduce(BudgetUse::combine)
         .expect("a seed")
 }
 
-fn at_once(kinds: &[usize]) -> Vec<(f64, usize)> {
+fn simultaneous_starts(kinds: &[usize]) -> Vec<(f64, usize)> {
     kinds.iter().map(|kind| (1.0, *kind)).collect()
 }
 
-type Change = fn(Day) -> Day;
-const DAYS: [(&str, Change); 10] = [
-    ("one alone", |d| d),
-    ("one of five", |d| Day { warm: 2, ..d }),
-    ("heavy", |d| Day {
+type ScenarioChange = fn(Scenario) -> Scenario;
+const SCENARIOS: [(&str, ScenarioChange); 10] = [
+    ("one alone", |base| base),
+    ("one of five", |base| Scenario {
+        warm_per_kind: 2,
+        ..base
+    }),
+    ("heavy", |base| Scenario {
         classes: HEAVY,
-        warm: 1,
-        ..d
+        warm_per_kind: 1,
+        ..base
     }),
-    ("many", |d| Day {
-        starts: at_once(&[0, 1, 0, 1]),
-        warm: 1,
-        late: 1.0,
-        ..d
+    ("many", |base| Scenario {
+        starts: simultaneous_starts(&[0, 1, 0, 1]),
+        warm_per_kind: 1,
+        notify_spread: 1.0,
+        ..base
     }),
-    ("staggered", |d| Day {
+    ("staggered", |base| Scenario {
         starts: (0..4)
             .map(|n| (1.0 + 0.7 * f64::from(n), n as usize % 2))
             .collect(),
-        warm: 1,
-        late: 1.0,
-        known: true,
-        ..d
+        warm_per_kind: 1,
+        notify_spread: 1.0,
+        preexisting: true,
+        ..base
     }),
-    ("notified late", |d| Day {
-        warm: 1,
-        blind: 3.0,
-        ..d
+    ("notified late", |base| Scenario {
+        warm_per_kind: 1,
+        notify_delay: 3.0,
+        ..base
     }),
-    ("quiet", |d| Day {
-        warm: 1,
-        quiet: 5.0,
-        ..d
+    ("quiet", |base| Scenario {
+        warm_per_kind: 1,
+        first_query_at: 5.0,
+        ..base
     }),
-    ("restarts", |d| Day {
-        warm: 1,
+    ("restarts", |base| Scenario {
+        warm_per_kind: 1,
         restarts: (0..8).map(|n| (1.5 + 0.5 * f64::from(n), 0.2)).collect(),
-        ..d
+        ..base
     }),
-    ("all restart", |d| Day {
-        warm: 1,
+    ("all restart", |base| Scenario {
+        warm_per_kind: 1,
         restarts: vec![(2.5, 1.0)],
-        ..d
+        ..base
     }),
-    ("estimates", |d| Day {
-        warm: 1,
+    ("estimates", |base| Scenario {
+        warm_per_kind: 1,
         estimates: true,
         classes: HEAVY,
-        ..d
+        ..base
     }),
 ];
 
-/// Engines that a gateway holds on days with subsets, and warm ones of each kind: a third to a half of all.
+/// Engines that a gateway holds in scenarios with subsets, and warm ones of each kind: a third to a half of all.
 const SUBSET_SIZE: usize = 4;
 const SUBSET_WARM: usize = 4;
-/// Only on days with subsets.
-const SUBSET_DAYS: [(&str, Change); 2] = [
-    ("replaced", |d| Day {
+/// Only in scenarios with subsets.
+const SUBSET_SCENARIOS: [(&str, ScenarioChange); 2] = [
+    ("replaced", |base| Scenario {
         restarts: (0..8).map(|n| (1.5 + 0.5 * f64::from(n), 0.2)).collect(),
-        renamed: true,
-        ..d
+        new_members_on_restart: true,
+        ..base
     }),
-    ("uneven", |d| Day {
-        starts: at_once(&[0, 1]),
-        busiest: 20.0,
-        ..d
+    ("uneven", |base| Scenario {
+        starts: simultaneous_starts(&[0, 1]),
+        busiest_weight: 20.0,
+        ..base
     }),
 ];
 
-fn with_subsets(day: Day) -> Day {
-    Day {
-        subset: Some(SUBSET_SIZE),
-        warm: SUBSET_WARM,
-        ..day
+fn with_subsets(scenario: Scenario) -> Scenario {
+    Scenario {
+        subset_size: Some(SUBSET_SIZE),
+        warm_per_kind: SUBSET_WARM,
+        ..scenario
     }
 }
 
 /// Under demand that the engines can't meet, and where only the budget holds gateways back.
 const LOADS: [(bool, f64); 3] = [(false, 2.0), (true, 2.0), (true, 5.0)];
 
-/// The sum over seeds of one day under one load.
-fn sum_of(
+/// The sum over seeds of one scenario under one load.
+fn run_seeds_under_load(
     name: &str,
-    (quick, demand): (bool, f64),
+    (uncontended, demand): (bool, f64),
     seeds: u64,
-    day: impl Fn(u64) -> Day,
-) -> Verdict {
-    let v = over_seeds(seeds, |seed| Day {
-        quick,
+    scenario: impl Fn(u64) -> Scenario,
+) -> BudgetUse {
+    let usage = run_seeds(seeds, |seed| Scenario {
+        uncontended,
         demand,
-        ..day(seed)
+        ..scenario(seed)
     });
-    let got = v.got / v.engines;
+    let received = usage.budgets_received / usage.engines;
     println!(
-        "{name:12} quick {quick:5} demand {demand:.1}: broken {:3}, {:.2} N, excess {:5.2} roots, \
-         {:.2} of budget and chance, got {got:.2}",
-        v.broken, v.filled, v.excess, v.near
+        "{name:12} uncontended {uncontended:5} demand {demand:.1}: broken {:3}, {:.2} N, excess {:5.2} roots, \
+         {:.2} of budget and chance, got {received:.2}",
+        usage.violations, usage.peak_use, usage.peak_excess, usage.peak_limit_use
     );
-    v
+    usage
 }
 
-fn check(verdicts: impl Iterator<Item = Verdict>, least: f64) {
-    let v = verdicts.reduce(Verdict::worst).expect("a day");
-    assert!(v.broken == 0 && v.near <= 1.0, "{v:?}");
-    let got = v.got / v.engines;
-    println!("got {got:.3} of the budget");
-    assert!(got >= least, "starved: {got:.3} of the budget");
+fn assert_within_budget(measurements: impl Iterator<Item = BudgetUse>, min_received: f64) {
+    let usage = measurements.reduce(BudgetUse::combine).expect("a scenario");
+    assert!(
+        usage.violations == 0 && usage.peak_limit_use <= 1.0,
+        "{usage:?}"
+    );
+    let received = usage.budgets_received / usage.engines;
+    println!("got {received:.3} of the budget");
+    assert!(
+        received >= min_received,
+        "starved: {received:.3} of the budget"
+    );
 }
 
-fn keeps(gateways: usize, seeds: u64, least: f64) {
-    let days = DAYS
+fn check_budget(gateways: usize, seeds: u64, min_received: f64) {
+    let scenarios = SCENARIOS
         .into_iter()
-        .flat_map(|day| LOADS.map(|load| (day, load)));
-    let sum = |((name, change), load): ((&str, Change), _)| {
-        sum_of(name, load, seeds, |seed| change(Day::new(gateways, seed)))
+        .flat_map(|scenario| LOADS.map(|load| (scenario, load)));
+    let run = |((name, change), load): ((&str, ScenarioChange), _)| {
+        run_seeds_under_load(name, load, seeds, |seed| {
+            change(Scenario::new(gateways, seed))
+        })
     };
-    check(days.map(sum), least);
+    assert_within_budget(scenarios.map(run), min_received);
 }
 
-fn keeps_with_subsets(gateways: usize, least: f64) {
-    let days = DAYS
+fn check_budget_with_subsets(gateways: usize, min_received: f64) {
+    let scenarios = SCENARIOS
         .into_iter()
-        .chain(SUBSET_DAYS)
-        .flat_map(|day| [LOADS[0], LOADS[2]].map(|load| (day, load)));
-    let sum = |((name, change), load): ((&str, Change), _)| {
-        sum_of(name, load, 1, |seed| {
-            with_subsets(change(Day::new(gateways, seed)))
+        .chain(SUBSET_SCENARIOS)
+        .flat_map(|scenario| [LOADS[0], LOADS[2]].map(|load| (scenario, load)));
+    let run = |((name, change), load): ((&str, ScenarioChange), _)| {
+        run_seeds_under_load(name, load, 1, |seed| {
+            with_subsets(change(Scenario::new(gateways, seed)))
         })
     };
-    check(days.map(sum), least);
+    assert_within_budget(scenarios.map(run), min_received);
 }
 
 #[test]
 fn three_gateways_keep_the_budget_and_use_it() {
-    keeps(3, 2, 0.4);
+    check_budget(3, 2, 0.4);
 }
 
 #[test]
 fn twenty_gateways_keep_the_budget_and_use_it() {
-    keeps(20, 2, 0.4);
+    check_budget(20, 2, 0.4);
 }
 
 #[test]
 fn thirty_gateways_keep_the_budget_and_use_it() {
-    keeps(30, 2, 0.4);
+    check_budget(30, 2, 0.4);
 }
 
 #[test]
 fn three_hundred_gateways_keep_the_budget_and_use_it() {
-    keeps(300, 1, 0.25);
+    check_budget(300, 1, 0.25);
 }
 
 #[test]
 fn nine_hundred_gateways_keep_the_budget() {
-    keeps(900, 1, 0.2);
+    check_budget(900, 1, 0.2);
 }
 
 #[test]
 fn thirty_gateways_with_subsets_keep_the_budget_and_use_it() {
-    keeps_with_subsets(30, 0.25);
+    check_budget_with_subsets(30, 0.25);
 }
 
 #[test]
 fn three_hundred_gateways_with_subsets_keep_the_budget_and_use_it() {
-    keeps_with_subsets(300, 0.3);
+    check_budget_with_subsets(300, 0.3);
 }
 
-/// A subset's gateways that count as alone with an engine: the judge finds them on each day.
+/// A subset's gateways that count as alone with an engine: the judge finds them in each scenario.
 #[test]
 fn check_detects_gateways_that_each_assume_to_be_alone_in_a_subset() {
     for (name, change) in [
-        ("one alone", DAYS[0].1),
-        ("many", DAYS[3].1),
-        ("quiet", DAYS[6].1),
+        ("one alone", SCENARIOS[0].1),
+        ("many", SCENARIOS[3].1),
+        ("quiet", SCENARIOS[6].1),
     ] {
-        let slip = |d: Day| Day {
-            holders: Some(1.0),
+        let one_gateway = |base: Scenario| Scenario {
+            gateways_per_engine: Some(1.0),
             demand: 5.0,
-            ..with_subsets(d)
+            ..with_subsets(base)
         };
-        let v = over_seeds(1, |seed| slip(change(Day::new(30, seed))));
-        assert!(v.broken > 0 && v.near > 1.0, "{name}: {v:?}");
+        let usage = run_seeds(1, |seed| one_gateway(change(Scenario::new(30, seed))));
+        assert!(
+            usage.violations > 0 && usage.peak_limit_use > 1.0,
+            "{name}: {usage:?}"
+        );
     }
 }
 
 #[test]
 fn check_detects_gateways_that_each_use_the_whole_budget() {
-    for (name, change) in DAYS
+    for (name, change) in SCENARIOS
         .into_iter()
         .filter(|(name, _)| ["one of five", "many", "quiet"].contains(name))
     {
-        let v = over_seeds(1, |seed| Day {
-            known_gateways: 1.0,
+        let usage = run_seeds(1, |seed| Scenario {
+            configured_gateways: 1.0,
             demand: 5.0,
-            ..change(Day::new(20, seed))
+            ..change(Scenario::new(20, seed))
         });
-        assert!(v.broken > 0 && v.near > 1.0, "{name}: {v:?}");
+        assert!(
+            usage.violations > 0 && usage.peak_limit_use > 1.0,
+            "{name}: {usage:?}"
+        );
     }
 }
