--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -720,7 +720,7 @@
 const LOADS: [(bool, f64); 3] = [(false, 2.0), (true, 2.0), (true, 5.0)];
 
 /// The sum over seeds of one scenario under one load.
-fn run_seeds_under_load(
+fn run_scenario(
     name: &str,
     (uncontended, demand): (bool, f64),
     seeds: u64,
@@ -759,7 +759,7 @@
         .into_iter()
         .flat_map(|scenario| LOADS.map(|load| (scenario, load)));
     let run = |((name, change), load): ((&str, ScenarioChange), _)| {
-        run_seeds_under_load(name, load, seeds, |seed| {
+        run_scenario(name, load, seeds, |seed| {
             change(Scenario::new(gateways, seed))
         })
     };
@@ -772,7 +772,7 @@
         .chain(SUBSET_SCENARIOS)
         .flat_map(|scenario| [LOADS[0], LOADS[2]].map(|load| (scenario, load)));
     let run = |((name, change), load): ((&str, ScenarioChange), _)| {
-        run_seeds_under_load(name, load, 1, |seed| {
+        run_scenario(name, load, 1, |seed| {
             with_subsets(change(Scenario::new(gateways, seed)))
         })
     };
