--- a/tests/slow_start_sum.rs
+++ b/tests/slow_start_sum.rs
@@ -1,11 +1,11 @@
-//! What all gateways together send a engine in slow start, each of them deciding alone: a plain simulation that plays many
-//! instances of the module and judges the sum by the rule on engines in slow start.
+//! Tests that all gateways together keep the slow-start budget of an engine although each decides on its own. A
+//! simulation runs many controllers and checks the sum of the work that they send to engines in slow start.
 
 use garnetwall::api::*;
 use garnetwall::controller::AdmissionController;
 use std::collections::BTreeSet;
 
-/// Seconds between two moments of the simulation: all that falls into one is done in step.
+/// Time step of the simulation, in seconds. All events of a step happen at the same time.
 const STEP: f64 = 0.05;
 const SLOW_START: SlowStart = SlowStart {
     initial_fraction: 0.35,
@@ -15,7 +15,7 @@
 };
 const CORES: [f64; 2] = [8.0, 16.0];
 
-/// SplitMix64.
+/// SplitMix64 generator.
 struct TestRng(u64);
 
 impl TestRng {
@@ -26,13 +26,13 @@
         ((z ^ z >> 31) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Between two arrivals, in means.
+    /// Returns an exponentially distributed number with mean 1, for the time between two arrivals.
     fn exponential(&mut self) -> f64 {
         -(1.0 - self.uniform()).ln()
     }
 }
 
-/// A query class's share of the queries, its mean work in seconds and the deadline.
+/// Query class: its share of the queries, its mean work and its deadline, both in seconds.
 #[derive(Clone, Copy)]
 struct Class {
     share: f64,
@@ -68,33 +68,36 @@
 #[derive(Clone)]
 struct Scenario {
     gateways: usize,
-    /// Gateways that the settings tell of.
+    /// Number of gateways in the settings.
     configured_gateways: f64,
     classes: [Class; 2],
-    /// When engines start, and their kind; and how many warm ones of each kind there are.
+    /// Start time, in seconds, and kind of each engine that goes through slow start.
     starts: Vec<(f64, usize)>,
+    /// Number of engines of each kind that have finished slow start.
     warm_per_kind: usize,
-    /// Seconds until gateways are notified of a start, and those within which they all are.
+    /// Seconds from a start until the first gateway is notified of it.
     notify_delay: f64,
+    /// Seconds from the first to the last notification of a start.
     notify_spread: f64,
-    /// The engines were there before they started, so that gateways not notified still send to them.
+    /// Whether the engines were listed before their start, so that gateways send to them before they are notified.
     preexisting: bool,
-    /// No query comes before.
+    /// Time before which no query arrives, in seconds.
     first_query_at: f64,
-    /// At these times these parts of the gateways end and start anew, under names of their own where that is set.
+    /// Times, in seconds, at which gateways restart, and the fraction of the gateways that does.
     restarts: Vec<(f64, f64)>,
+    /// Whether restarted gateways choose their engines anew.
     new_members_on_restart: bool,
-    /// Engines that each gateway works with; all where it is none.
+    /// Number of engines that each gateway uses; `None` for all.
     subset_size: Option<usize>,
-    /// Gateways that hold an engine, as a subset's gateways are notified; worked out where it is none.
+    /// Number of gateways per engine that the endpoints give if there are subsets; `None` for the expected number.
     gateways_per_engine: Option<f64>,
-    /// Traffic of the busiest tenth of the gateways, over that of a usual one.
+    /// Traffic of each gateway in the busiest tenth, relative to the mean of the others.
     busiest_weight: f64,
-    /// Work that comes, in what all engines could do once warm.
+    /// Arriving work, as a multiple of the capacity of all engines after slow start.
     demand: f64,
-    /// Engines answer as though each query had them alone: only the budget holds gateways back.
+    /// Whether engines answer as fast as with a single query, so that only the slow-start budget limits the gateways.
     uncontended: bool,
-    /// Estimates come with the queries.
+    /// Whether queries come with work estimates.
     estimates: bool,
     seed: u64,
 }
@@ -190,7 +193,7 @@
             .map_or(engine % 2, |(_, kind)| *kind)
     }
 
-    /// A gateway's engines, as rendezvous hashing weighted by cores draws them for its name.
+    /// Returns a gateway's engines, chosen by rendezvous hashing weighted by cores. `name` seeds the hash.
     fn members(&self, name: u64) -> BTreeSet<EngineId> {
         let mut rng = TestRng(name);
         let mut scores: Vec<(f64, EngineId)> = (0..self.engines())
@@ -204,7 +207,8 @@
             .collect()
     }
 
-    /// The gateways that hold an engine of a kind in the mean, and two roots more, as the rule of subsets has it.
+    /// Returns the number of gateways that use an engine of a kind: the mean plus two standard deviations, as in the
+    /// calculation for endpoint subsets.
     fn expected_gateways_per_engine(&self, size: usize, kind: usize) -> f64 {
         let hold_probability = |t: f64, kind: usize| 1.0 - (-t * CORES[kind]).exp();
         let sum = |t: f64| {
@@ -225,7 +229,7 @@
         (mean + 2.0 * mean.sqrt()).min(self.gateways as f64)
     }
 
-    /// Cores that an engine can use.
+    /// Returns the number of cores that an engine can use.
     fn effective_cores(&self, now: f64, engine: EngineId) -> f64 {
         let start = self
             .starts
@@ -315,7 +319,7 @@
     }
 }
 
-/// Work that a gateway sent to a engine in slow start, and whether it had been notified of the start.
+/// Work sent to an engine in slow start, and whether its gateway had been notified of the start.
 struct Sent {
     at: f64,
     work: f64,
@@ -324,7 +328,7 @@
 
 struct Traffic {
     sent: Vec<Vec<Sent>>,
-    /// Batches that run on each engine; they share its cores.
+    /// Number of queries that run on each engine and share its cores.
     running: Vec<f64>,
 }
 
@@ -344,7 +348,7 @@
     notified: Vec<f64>,
     listed: Vec<bool>,
     members: BTreeSet<EngineId>,
-    /// Group, true work and attempts of each query.
+    /// Class, true work in seconds and number of attempts of each query.
     queries: Vec<(usize, f64, u32)>,
     in_flight: Vec<InFlight>,
 }
@@ -539,17 +543,21 @@
     }
 }
 
-/// What the judge saw of one engine or, by `combine`, of many.
+/// Use of the slow-start budget of one engine or, after `combine`, of several.
 #[derive(Clone, Copy, Debug, Default)]
 struct BudgetUse {
-    /// Windows in which it fell and over two thirds came from gateways notified of the start.
+    /// Number of windows in which the work exceeded the limit and over two thirds of it came from gateways that had
+    /// been notified of the start.
     violations: usize,
-    /// At most in any window: what gateways notified of the start sent over the budget, and its excess in roots.
+    /// Highest ratio, in any window, of the work from notified gateways to the budget.
     peak_use: f64,
+    /// Highest excess, in any window, of that work over the budget, in square roots of the budget (standard
+    /// deviations).
     peak_excess: f64,
-    /// At most in any window: the part of budget and chance that was filled.
+    /// Highest ratio, in any window, of the work from notified gateways to the limit (the budget plus an allowance for
+    /// random variation).
     peak_limit_use: f64,
-    /// Work from gateways notified of the start, in budgets over the slow start; and of how many engines.
+    /// Work from notified gateways during slow start, as a multiple of the budget, summed over the engines.
     budgets_received: f64,
     engines: f64,
 }
@@ -567,8 +575,8 @@
     }
 }
 
-/// Judges every window that ends at an attempt while the engine is cold. Its capacity counts as the notified
-/// share until it is warm: that is all that is notified, and how it rises to the whole is not.
+/// Measures each window that ends at an attempt during slow start. The budget is computed with the initial fraction of
+/// cores for the whole of slow start, because the settings give this fraction but not how it rises.
 fn measure(sent: &[Sent], start: f64, cores: f64, mean_work: f64) -> BudgetUse {
     let mut usage = BudgetUse {
         engines: 1.0,
@@ -622,14 +630,14 @@
         .zip(&scenario.starts)
         .map(one)
         .reduce(BudgetUse::combine)
-        .expect("a engine in slow start")
+        .expect("the scenario has an engine in slow start")
 }
 
 fn run_seeds(seeds: u64, scenario: impl Fn(u64) -> Scenario) -> BudgetUse {
     (0..seeds)
         .map(|seed| measure_scenario(&scenario(seed * 7919 + 11)))
         .reduce(BudgetUse::combine)
-        .expect("a seed")
+        .expect("the number of seeds is at least 1")
 }
 
 fn simultaneous_starts(kinds: &[usize]) -> Vec<(f64, usize)> {
@@ -691,10 +699,10 @@
     }),
 ];
 
-/// Engines that a gateway holds in scenarios with subsets, and warm ones of each kind: a third to a half of all.
+/// Number of engines that a gateway uses in scenarios with subsets: a third to a half of all engines.
 const SUBSET_SIZE: usize = 4;
 const SUBSET_WARM: usize = 4;
-/// Only in scenarios with subsets.
+/// Scenarios that make sense with subsets only.
 const SUBSET_SCENARIOS: [(&str, ScenarioChange); 2] = [
     ("replaced", |base| Scenario {
         restarts: (0..8).map(|n| (1.5 + 0.5 * f64::from(n), 0.2)).collect(),
@@ -716,10 +724,11 @@
     }
 }
 
-/// Under demand that the engines can't meet, and where only the budget holds gateways back.
+/// Values of `uncontended` and `demand`: more work than contended engines can do, and two loads at which only the
+/// slow-start budget limits the gateways.
 const LOADS: [(bool, f64); 3] = [(false, 2.0), (true, 2.0), (true, 5.0)];
 
-/// The sum over seeds of one scenario under one load.
+/// Runs a scenario under one load with several seeds, and prints and returns the combined budget use.
 fn run_scenario(
     name: &str,
     (uncontended, demand): (bool, f64),
@@ -733,35 +742,35 @@
     });
     let received = usage.budgets_received / usage.engines;
     println!(
-        "{name:12} uncontended {uncontended:5} demand {demand:.1}: broken {:3}, {:.2} N, excess {:5.2} roots, \
-         {:.2} of budget and chance, got {received:.2}",
+        "{name:12} uncontended {uncontended:5} demand {demand:.1}: violations {:3}, peak {:.2} budgets, \
+        excess {:5.2} standard deviations, {:.2} of the limit, received {received:.2} budgets",
         usage.violations, usage.peak_use, usage.peak_excess, usage.peak_limit_use
     );
     usage
 }
 
 fn assert_within_budget(measurements: impl Iterator<Item = BudgetUse>, min_received: f64) {
-    let usage = measurements.reduce(BudgetUse::combine).expect("a scenario");
+    let usage = measurements
+        .reduce(BudgetUse::combine)
+        .expect("there is at least one scenario");
     assert!(
         usage.violations == 0 && usage.peak_limit_use <= 1.0,
         "{usage:?}"
     );
     let received = usage.budgets_received / usage.engines;
-    println!("got {received:.3} of the budget");
+    println!("engines in slow start received {received:.3} of the budget");
     assert!(
         received >= min_received,
-        "starved: {received:.3} of the budget"
+        "engines in slow start received only {received:.3} of the budget"
     );
 }
 
-fn check_budget(gateways: usize, seeds: u64, min_received: f64) {
+fn check_budget(gateways: usize, runs: u64, min_received: f64) {
     let scenarios = SCENARIOS
         .into_iter()
         .flat_map(|scenario| LOADS.map(|load| (scenario, load)));
-    let run = |((name, change), load): ((&str, ScenarioChange), _)| {
-        run_scenario(name, load, seeds, |seed| {
-            change(Scenario::new(gateways, seed))
-        })
+    let run = |((name, vary), load): ((&str, ScenarioChange), _)| {
+        run_scenario(name, load, runs, |seed| vary(Scenario::new(gateways, seed)))
     };
     assert_within_budget(scenarios.map(run), min_received);
 }
@@ -771,9 +780,9 @@
         .into_iter()
         .chain(SUBSET_SCENARIOS)
         .flat_map(|scenario| [LOADS[0], LOADS[2]].map(|load| (scenario, load)));
-    let run = |((name, change), load): ((&str, ScenarioChange), _)| {
+    let run = |((name, vary), load): ((&str, ScenarioChange), _)| {
         run_scenario(name, load, 1, |seed| {
-            with_subsets(change(Scenario::new(gateways, seed)))
+            with_subsets(vary(Scenario::new(gateways, seed)))
         })
     };
     assert_within_budget(scenarios.map(run), min_received);
@@ -814,10 +823,11 @@
     check_budget_with_subsets(300, 0.3);
 }
 
-/// A subset's gateways that count as alone with an engine: the judge finds them in each scenario.
+/// The check must detect, in each of these scenarios, that each gateway of a subset assumes to be the only one that
+/// uses an engine.
 #[test]
 fn check_detects_gateways_that_each_assume_to_be_alone_in_a_subset() {
-    for (name, change) in [
+    for (name, vary) in [
         ("one alone", SCENARIOS[0].1),
         ("many", SCENARIOS[3].1),
         ("quiet", SCENARIOS[6].1),
@@ -827,7 +837,7 @@
             demand: 5.0,
             ..with_subsets(base)
         };
-        let usage = run_seeds(1, |seed| one_gateway(change(Scenario::new(30, seed))));
+        let usage = run_seeds(1, |seed| one_gateway(vary(Scenario::new(30, seed))));
         assert!(
             usage.violations > 0 && usage.peak_limit_use > 1.0,
             "{name}: {usage:?}"
@@ -837,14 +847,14 @@
 
 #[test]
 fn check_detects_gateways_that_each_use_the_whole_budget() {
-    for (name, change) in SCENARIOS
+    for (name, vary) in SCENARIOS
         .into_iter()
         .filter(|(name, _)| ["one of five", "many", "quiet"].contains(name))
     {
         let usage = run_seeds(1, |seed| Scenario {
             configured_gateways: 1.0,
             demand: 5.0,
-            ..change(Scenario::new(20, seed))
+            ..vary(Scenario::new(20, seed))
         });
         assert!(
             usage.violations > 0 && usage.peak_limit_use > 1.0,
