--- a/src/api.rs
+++ b/src/api.rs
@@ -54,9 +54,9 @@
     pub idempotency: Idempotency,
     /// Queries with the same ordering key run one at a time, in the order of admission.
     pub in_order: bool,
-    /// Zones whose engines may run the class; `None` allows all zones.
+    /// Zones whose engines may run queries of the class; `None` allows all zones.
     pub zones: Option<Vec<u32>>,
-    /// Kinds of engine that may run the class; `None` allows all kinds.
+    /// Kinds of engine that may run queries of the class; `None` allows all kinds.
     pub kinds: Option<Vec<u32>>,
     /// Number of threads that one query uses on its engine.
     pub threads: f64,
@@ -310,7 +310,7 @@
         /// Memory granted to the attempt, in megabytes; `None` for no grant.
         memory_grant: Option<f64>,
     },
-    /// Do nothing now; [`NextAction::Place`] is returned again for this query where it is still waiting.
+    /// Do nothing now. If the query is still waiting, [`NextAction::Place`] is returned for it again later.
     Wait,
     /// Send the final answer to the client.
     Answer(FinalAnswer),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -83,8 +83,8 @@
 const WORK_DECAY_SECONDS: f64 = 20.0;
 /// Fraction of its cores that a pool can keep busy under sustained load.
 const SUSTAINABLE_UTILISATION: f64 = 0.85;
-/// Decay time constant, in seconds, of an engine's observed load and failure rate. Long, because one engine answers a
-/// single gateway rarely.
+/// Decay time constant, in seconds, of an engine's observed load and failure rate. Longer than that of a kind, because
+/// a gateway gets few answers from a single engine.
 const HEALTH_DECAY_SECONDS: f64 = 8.0;
 /// Range, in seconds, of the uniformly distributed delay before placement is retried for a query that was refused a
 /// start above the load limit or had no usable engine.
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -6,9 +6,9 @@
 use crate::api::{Query, QueryClass, QueryId};
 
 impl AdmissionController {
-    /// Admits a query that has been read completely. Unless its client leaves, the final answer is returned by
-    /// [`Self::place`], [`Self::outcome_unknown`] or [`Self::attempt_ended`], or an attempt succeeds. A tenant number
-    /// beyond the settings counts as the last tenant.
+    /// Admits a query that has been read completely. The query ends when an attempt succeeds, when [`Self::place`],
+    /// [`Self::outcome_unknown`] or [`Self::attempt_ended`] returns a final answer, or when its client leaves. A tenant
+    /// number beyond the settings counts as the last tenant.
     pub fn admit(&mut self, now: f64, query: Query) {
         self.observe_time(now);
         let query = Query {
--- a/src/controller/eligibility.rs
+++ b/src/controller/eligibility.rs
@@ -86,7 +86,8 @@
             .any(|level| level.contains(engine))
     }
 
-    /// Returns whether the engine would recognise a repeat of the first attempt that may have run, or need not.
+    /// Returns whether the engine would recognise a retry as a repeat of the first attempt that may have run. Also true
+    /// if no attempt may have run or the class is not idempotent by key.
     fn in_deduplication_scope(&self, state: &QueryState, engine: EngineId) -> bool {
         let class = &self.settings.classes[state.query.class];
         let (Idempotency::IdempotentByKey { scope, .. }, Some(first)) =
