--- a/crates/gateway/src/http/send_time.rs
+++ b/crates/gateway/src/http/send_time.rs
@@ -8,15 +8,15 @@
 //! arrivals with the same key. All times and spans are in seconds, on the scheduler's clock.
 //!
 //! Bounds: the estimate lies before the arrival by the longest of these:
-//! - `MIN_HOLD_SECONDS`, always;
+//! - `MIN_DELAY_SECONDS`, always;
 //! - the connect timeout, where clients may lack connections;
-//! - the age of the burst, up to `MAX_BURST_HOLD_SECONDS`, for a key whose queries arrive close together;
+//! - the age of the burst, up to `MAX_BURST_DELAY_SECONDS`, for a key whose queries arrive close together;
 //! - the age of the client's queue, for a key whose gaps show that its queue is full.
 
 use std::collections::HashMap;
 
 /// Every query is taken to have been held back this long at least.
-const MIN_HOLD_SECONDS: f64 = 0.03;
+const MIN_DELAY_SECONDS: f64 = 0.03;
 /// With this many connections free or fewer, a client may wait for one.
 const SPARE_CONNECTIONS: usize = 16;
 /// Protocol: least time between the first query of a key on a new connection and the next of that key.
@@ -27,13 +27,13 @@
 /// Queries of a key that arrive closer than this may have queued at their client.
 const BURST_GAP_SECONDS: f64 = 0.5;
 /// Longest time that a burst is taken to have held a query back.
-const MAX_BURST_HOLD_SECONDS: f64 = 2.0;
+const MAX_BURST_DELAY_SECONDS: f64 = 2.0;
 /// A gap is one of the protocol's gaps within this: a few round trips to the client.
 const GAP_TOLERANCE_SECONDS: f64 = 0.004;
 /// Consecutive gaps of the protocol that show a full queue; a random gap is one with a probability of about 1/5.
-const FULL_QUEUE_GAPS: u32 = 5;
+const MIN_BACKLOG_GAPS: u32 = 5;
 /// Keys remembered before those that no longer matter are removed.
-const KEY_PRUNE_COUNT: usize = 1024;
+const KEY_PRUNE_THRESHOLD: usize = 1024;
 
 /// The arrivals of one ordering key, as far as they show the queue at its clients. Times in seconds.
 #[derive(Clone, Copy, Debug)]
@@ -42,9 +42,9 @@
     /// Since when each arrival has followed the one before within [`BURST_GAP_SECONDS`].
     burst_start: f64,
     /// Since when queued arrivals have had the protocol's gaps.
-    queue_start: f64,
+    backlog_start: f64,
     /// Consecutive gaps of the protocol between queued arrivals.
-    queue_gaps: u32,
+    protocol_gap_count: u32,
     last_queued_arrival: f64,
     /// An arrival at another gap followed the last queued one. One alone does not end the queue: a faulty client may use the
     /// key, too.
@@ -56,16 +56,16 @@
         OrderingKeyArrivals {
             last_arrival: arrival,
             burst_start,
-            queue_start: arrival,
-            queue_gaps: 0,
+            backlog_start: arrival,
+            protocol_gap_count: 0,
             last_queued_arrival: arrival,
             is_interrupted: false,
         }
     }
 
     /// Whether the gaps show that the clients always have a query of this key to send.
-    fn is_queue_full(&self) -> bool {
-        self.queue_gaps >= FULL_QUEUE_GAPS
+    fn is_backlogged(&self) -> bool {
+        self.protocol_gap_count >= MIN_BACKLOG_GAPS
     }
 
     /// The arrivals with another one. Queued queries that expired unseen make long gaps; these count only in a queue that is
@@ -77,7 +77,7 @@
             arrival
         };
         let gap = arrival - self.last_queued_arrival;
-        let max_gap = if self.is_queue_full() {
+        let max_gap = if self.is_backlogged() {
             max_queue_age
         } else {
             BURST_GAP_SECONDS
@@ -86,13 +86,13 @@
             return OrderingKeyArrivals {
                 last_arrival: arrival,
                 burst_start,
-                queue_gaps: self.queue_gaps + 1,
+                protocol_gap_count: self.protocol_gap_count + 1,
                 last_queued_arrival: arrival,
                 is_interrupted: false,
                 ..self
             };
         }
-        if gap < max_gap && self.is_queue_full() && !self.is_interrupted {
+        if gap < max_gap && self.is_backlogged() && !self.is_interrupted {
             return OrderingKeyArrivals {
                 last_arrival: arrival,
                 burst_start,
@@ -104,14 +104,14 @@
     }
 
     /// Longest time, in seconds, that a query which arrives now may have been held back behind others in a burst.
-    fn burst_hold(&self, now: f64) -> f64 {
-        (now - self.burst_start + NEW_CONNECTION_GAP_SECONDS).min(MAX_BURST_HOLD_SECONDS)
+    fn burst_delay(&self, now: f64) -> f64 {
+        (now - self.burst_start + NEW_CONNECTION_GAP_SECONDS).min(MAX_BURST_DELAY_SECONDS)
     }
 
     /// Longest time, in seconds, that a query which arrives now may have been in a full queue.
-    fn queue_hold(&self, now: f64) -> f64 {
-        if self.is_queue_full() && !self.is_interrupted {
-            now - self.queue_start
+    fn backlog_delay(&self, now: f64) -> f64 {
+        if self.is_backlogged() && !self.is_interrupted {
+            now - self.backlog_start
         } else {
             0.0
         }
@@ -119,7 +119,7 @@
 
     /// Whether a query that arrives now may still have queued behind these arrivals.
     fn is_relevant(&self, now: f64, max_queue_age: f64) -> bool {
-        let max_age = if self.is_queue_full() {
+        let max_age = if self.is_backlogged() {
             max_queue_age
         } else {
             BURST_GAP_SECONDS
@@ -156,28 +156,28 @@
     /// The earliest time, in seconds, at which the client may have sent a query that arrived at `arrival`, while
     /// `open_queries` others held connections. Remembers the arrival for later queries of the key.
     pub fn estimate(&mut self, key: Option<u64>, arrival: f64, open_queries: usize) -> f64 {
-        let connection_hold = self.connection_hold(open_queries);
+        let connection_delay = self.connection_delay(open_queries);
         let Some(key) = key else {
-            return arrival - connection_hold;
+            return arrival - connection_delay;
         };
         let arrivals = self.record_arrival(key, arrival);
-        let hold = connection_hold
-            .max(arrivals.burst_hold(arrival))
-            .max(arrivals.queue_hold(arrival));
-        arrival - hold
+        let delay = connection_delay
+            .max(arrivals.burst_delay(arrival))
+            .max(arrivals.backlog_delay(arrival));
+        arrival - delay
     }
 
     /// Longest time, in seconds, that a client may have waited for a connection.
-    fn connection_hold(&self, open_queries: usize) -> f64 {
+    fn connection_delay(&self, open_queries: usize) -> f64 {
         if open_queries + SPARE_CONNECTIONS < self.connection_capacity {
-            MIN_HOLD_SECONDS
+            MIN_DELAY_SECONDS
         } else {
-            MIN_HOLD_SECONDS.max(self.connect_timeout)
+            MIN_DELAY_SECONDS.max(self.connect_timeout)
         }
     }
 
     fn record_arrival(&mut self, key: u64, arrival: f64) -> OrderingKeyArrivals {
-        if self.keys.len() > KEY_PRUNE_COUNT {
+        if self.keys.len() > KEY_PRUNE_THRESHOLD {
             self.keys
                 .retain(|_, arrivals| arrivals.is_relevant(arrival, self.max_queue_age));
         }
--- a/crates/gateway/src/http/send_time/tests.rs
+++ b/crates/gateway/src/http/send_time/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn the_estimate_covers_what_the_client_may_have_held_back() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
-    assert_eq!(estimator.estimate(None, 10.0, 0), 10.0 - MIN_HOLD_SECONDS);
+    assert_eq!(estimator.estimate(None, 10.0, 0), 10.0 - MIN_DELAY_SECONDS);
     assert_eq!(
         estimator.estimate(None, 10.0, 95),
         9.75,
@@ -27,7 +27,7 @@
         .last();
     assert_eq!(
         last,
-        Some(13.43 - MAX_BURST_HOLD_SECONDS),
+        Some(13.43 - MAX_BURST_DELAY_SECONDS),
         "close together, but at no gap of the protocol"
     );
 }
@@ -48,7 +48,7 @@
         assert!(estimator.estimate(Some(7), arrival, 0) <= 10.0, "{arrival}");
         if gap == 0.6 {
             assert!(
-                estimator.estimate(Some(7), arrival + 0.03, 0) > arrival - MAX_BURST_HOLD_SECONDS,
+                estimator.estimate(Some(7), arrival + 0.03, 0) > arrival - MAX_BURST_DELAY_SECONDS,
                 "one out of step"
             );
         }
@@ -58,7 +58,7 @@
     estimator.estimate(Some(7), arrival, 0);
     arrival += 0.05;
     assert!(
-        estimator.estimate(Some(7), arrival, 0) >= arrival - MAX_BURST_HOLD_SECONDS,
+        estimator.estimate(Some(7), arrival, 0) >= arrival - MAX_BURST_DELAY_SECONDS,
         "two out of step end the queue"
     );
     assert_eq!(
@@ -80,7 +80,7 @@
             .wrapping_add(1_442_695_040_888_963_407);
         arrival += 0.02 + 0.6 * (random >> 11) as f64 / (1_u64 << 53) as f64;
         estimator.estimate(Some(7), arrival, 0)
-            < arrival - MAX_BURST_HOLD_SECONDS - GAP_TOLERANCE_SECONDS
+            < arrival - MAX_BURST_DELAY_SECONDS - GAP_TOLERANCE_SECONDS
     });
     let early = early.count();
     assert!(
