--- a/crates/gateway/src/http/client_connections.rs
+++ b/crates/gateway/src/http/client_connections.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    fn is_in(&self, state: ConnectionState) -> bool {
+    fn is_in_state(&self, state: ConnectionState) -> bool {
         self.connections
             .entries()
             .get(&self.number)
@@ -187,11 +187,11 @@
     /// A complete request head was read: the connection is not evicted until its response is ready.
     pub fn request_started(&self) {
         self.set_state(ConnectionState::Active);
-        self.keep_open();
+        self.cancel_eviction();
     }
 
     /// Withdraws a request to close for another connection; another one is evicted instead.
-    pub fn keep_open(&self) {
+    pub fn cancel_eviction(&self) {
         if let Some(entry) = self.connections.entries().get_mut(&self.number) {
             entry.eviction_requested_at = None;
         }
@@ -210,12 +210,12 @@
 
     /// Whether a request is open.
     pub fn has_request(&self) -> bool {
-        self.is_in(ConnectionState::Active)
+        self.is_in_state(ConnectionState::Active)
     }
 
     /// Whether no complete request head has been read since the connection was accepted.
     pub fn awaits_first_request(&self) -> bool {
-        self.is_in(ConnectionState::New)
+        self.is_in_state(ConnectionState::New)
     }
 }
 
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -7,7 +7,7 @@
 use crate::http::client_stream::StreamHandle;
 use axum::Router;
 use hyper_util::rt::TokioIo;
-use request_loop::{CloseReason, RequestLoop, RequestsWanted};
+use request_loop::{CloseReason, RemainingRequests, RequestLoop};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -64,9 +64,9 @@
 
     /// Serves until the client closes the connection, is silent for too long, or the gateway closes it.
     pub async fn run(mut self) {
-        let mut requests_wanted = RequestsWanted::Any;
+        let mut remaining_requests = RemainingRequests::Unlimited;
         let mode = loop {
-            let mode = match RequestLoop::new(&mut self, requests_wanted).run().await {
+            let mode = match RequestLoop::new(&mut self, remaining_requests).run().await {
                 CloseReason::ClientClosed => return,
                 CloseReason::Silent => return self.close_unserved(CloseMode::Linger).await,
                 CloseReason::EvictedUnserved => {
@@ -76,12 +76,12 @@
                 CloseReason::Shutdown => CloseMode::Linger,
                 CloseReason::Evicted => CloseMode::Immediate,
             };
-            let was_last = requests_wanted == RequestsWanted::OneMore;
+            let was_last = remaining_requests == RemainingRequests::One;
             if was_last || !self.stream.has_unparsed_bytes() {
                 break mode;
             }
             // A request whose first bytes arrived before the close is still served, as the last.
-            requests_wanted = RequestsWanted::OneMore;
+            remaining_requests = RemainingRequests::One;
         };
         self.close(mode).await;
     }
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -43,19 +43,19 @@
 
 /// How many requests a connection may still carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RequestsWanted {
+pub(super) enum RemainingRequests {
     /// Any number, with idle times between them.
-    Any,
+    Unlimited,
     /// The one that has begun to arrive.
-    OneMore,
+    One,
 }
 
-impl RequestsWanted {
+impl RemainingRequests {
     /// How long the head of the next request is waited for.
     fn head_timeout(self) -> Duration {
         match self {
-            RequestsWanted::Any => IDLE_TIMEOUT,
-            RequestsWanted::OneMore => REQUEST_READ_TIMEOUT,
+            RemainingRequests::Unlimited => IDLE_TIMEOUT,
+            RemainingRequests::One => REQUEST_READ_TIMEOUT,
         }
     }
 }
@@ -66,7 +66,7 @@
     /// It was not asked to.
     NotRequested,
     /// Bytes were found that the parser has not seen, and it is polled once more.
-    UnparsedLeftToParser,
+    ParsingReceived,
     /// The HTTP protocol was asked to end.
     Handled,
 }
@@ -105,12 +105,12 @@
 
 impl<'a> RequestLoop<'a> {
     /// A loop over the requests of a connection, for as many as are wanted.
-    pub fn new(server: &'a mut ConnectionServer, requests_wanted: RequestsWanted) -> Self {
+    pub fn new(server: &'a mut ConnectionServer, remaining_requests: RemainingRequests) -> Self {
         let http = http1::Builder::new()
             .timer(TokioTimer::new())
             .max_buf_size(MAX_HEAD_BYTES)
-            .keep_alive(requests_wanted == RequestsWanted::Any)
-            .header_read_timeout(requests_wanted.head_timeout())
+            .keep_alive(remaining_requests == RemainingRequests::Unlimited)
+            .header_read_timeout(remaining_requests.head_timeout())
             .serve_connection(server.stream.stream(), RequestService::new(server));
         RequestLoop {
             server,
@@ -187,7 +187,7 @@
     fn eviction_requested(&self) -> Step {
         let connection = &self.server.connection;
         if connection.has_request() || self.server.stream.has_unparsed_bytes() {
-            connection.keep_open();
+            connection.cancel_eviction();
             return Step::Continue;
         }
         tracing::debug!(client = %self.client(), "client connection evicted");
@@ -218,7 +218,7 @@
             && !has_request
             && self.server.stream.has_unparsed_bytes()
         {
-            self.shutdown = ShutdownProgress::UnparsedLeftToParser;
+            self.shutdown = ShutdownProgress::ParsingReceived;
             return Step::Continue;
         }
         self.shutdown = ShutdownProgress::Handled;
