--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -44,7 +44,7 @@
     DeadlineOutOfRange { max_ms: f64 },
     /// The statement is empty.
     #[error("no statement")]
-    NoStatement,
+    EmptyStatement,
     /// The tenant is not a configured one.
     #[error("{TENANT_HEADER}: unknown")]
     UnknownTenant,
@@ -127,7 +127,7 @@
         let query_key = parse_key(QUERY_KEY_HEADER, query_key_text)?;
         let allowed_seconds = parse_allowed_seconds(headers, class_settings.deadline)?;
         if statement.is_some_and(<[u8]>::is_empty) {
-            return Err(RequestError::NoStatement);
+            return Err(RequestError::EmptyStatement);
         }
         let tenant = parse_tenant(headers, &platform.names.tenants)?;
         let ordering_key = optional_header(headers, ORDERING_KEY_HEADER)?
--- a/crates/gateway/src/http/request_head/tests.rs
+++ b/crates/gateway/src/http/request_head/tests.rs
@@ -25,7 +25,7 @@
             RequestError::DeadlineOutOfRange { max_ms: 2500.0 },
             "x-allow-ms: more than 0 and 2500 at most expected",
         ),
-        (RequestError::NoStatement, "no statement"),
+        (RequestError::EmptyStatement, "no statement"),
         (RequestError::UnknownTenant, "x-team: unknown"),
         (
             RequestError::InvalidEstimate(ESTIMATED_WORK_HEADER),
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -47,10 +47,10 @@
     let head = RequestHead::parse(&state.platform, &submission, None)?;
     let retention = retention(state, head.class);
     let stored = store.admit(head.tenant, head.class, length, retention)?;
-    let _cut_off = CutOffOnDrop(stored.clone());
+    let _abort_guard = AbortOnDrop(stored.clone());
     let prefix = receive_prefix(&mut body, &stored).await?;
     if prefix.is_empty() {
-        return Err(RequestError::NoStatement.into());
+        return Err(RequestError::EmptyStatement.into());
     }
     let statement_bytes = length.unwrap_or(prefix.len() as u64);
     let data_set = data_set(&prefix).unwrap_or(0);
@@ -106,9 +106,9 @@
 }
 
 /// Marks a stored body as cut off when its request handler ends, for whatever reason; a complete body stays complete.
-struct CutOffOnDrop(Arc<StoredBody>);
+struct AbortOnDrop(Arc<StoredBody>);
 
-impl Drop for CutOffOnDrop {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -120,7 +120,7 @@
     while prefix.len() < PREFIX_BYTES {
         let chunk = timeout(REQUEST_READ_TIMEOUT, next_chunk(body))
             .await
-            .map_err(|_| SubmissionError::BodyTooSlow)??;
+            .map_err(|_| SubmissionError::BodyReadTimeout)??;
         let Some(bytes) = chunk else {
             break;
         };
@@ -148,7 +148,7 @@
 /// The next bytes of a body; none at its end. Trailers carry nothing here.
 async fn next_chunk(body: &mut Body) -> Result<Option<Bytes>, SubmissionError> {
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| SubmissionError::BodyCutOff)?;
+        let frame = frame.map_err(|_| SubmissionError::BodyTruncated)?;
         if let Ok(bytes) = frame.into_data() {
             return Ok(Some(bytes));
         }
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -92,8 +92,8 @@
     let read = to_bytes(body, MAX_STATEMENT_BYTES as usize);
     timeout(REQUEST_READ_TIMEOUT, read)
         .await
-        .map_err(|_| SubmissionError::BodyTooSlow)?
-        .map_err(|_| SubmissionError::BodyCutOff)
+        .map_err(|_| SubmissionError::BodyReadTimeout)?
+        .map_err(|_| SubmissionError::BodyTruncated)
 }
 
 /// Handles a request that cancels a query.
--- a/crates/gateway/src/http/submission_error.rs
+++ b/crates/gateway/src/http/submission_error.rs
@@ -35,10 +35,10 @@
     BodyStoreFull,
     /// The connection ended within the body.
     #[error("statement cut off")]
-    BodyCutOff,
+    BodyTruncated,
     /// The statement did not arrive in time.
     #[error("statement came too slowly")]
-    BodyTooSlow,
+    BodyReadTimeout,
     /// The body store refused a part of a body whose query was admitted.
     #[error("the body can't be kept, or is longer than it may be")]
     BodyNotStored,
@@ -90,10 +90,10 @@
     fn status(&self) -> StatusCode {
         match self {
             SubmissionError::InvalidHead(_)
-            | SubmissionError::BodyCutOff
+            | SubmissionError::BodyTruncated
             | SubmissionError::BodyNotStored
             | SubmissionError::ClientClosed => StatusCode::BAD_REQUEST,
-            SubmissionError::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
+            SubmissionError::BodyReadTimeout => StatusCode::REQUEST_TIMEOUT,
             SubmissionError::QueryKeyConflict | SubmissionError::AnswerNotCached => {
                 StatusCode::CONFLICT
             }
@@ -123,8 +123,8 @@
             | SubmissionError::BodyTooLong { .. }
             | SubmissionError::StatementMemoryFull
             | SubmissionError::BodyStoreFull
-            | SubmissionError::BodyCutOff
-            | SubmissionError::BodyTooSlow
+            | SubmissionError::BodyTruncated
+            | SubmissionError::BodyReadTimeout
             | SubmissionError::BodyNotStored
             | SubmissionError::ClientClosed => true,
         }
--- a/crates/gateway/src/http/submission_error/tests.rs
+++ b/crates/gateway/src/http/submission_error/tests.rs
@@ -14,7 +14,7 @@
 async fn a_submission_error_has_its_status_and_text_and_closes_where_the_body_may_be_unread() {
     let cases = [
         (
-            RequestError::NoStatement.into(),
+            RequestError::EmptyStatement.into(),
             400,
             r#"{"error":"no statement"}"#,
             false,
@@ -56,13 +56,13 @@
             true,
         ),
         (
-            SubmissionError::BodyCutOff,
+            SubmissionError::BodyTruncated,
             400,
             r#"{"error":"statement cut off"}"#,
             true,
         ),
         (
-            SubmissionError::BodyTooSlow,
+            SubmissionError::BodyReadTimeout,
             408,
             r#"{"error":"statement came too slowly"}"#,
             true,
