--- a/crates/gateway/src/http/statement.rs
+++ b/crates/gateway/src/http/statement.rs
@@ -111,8 +111,8 @@
                 }
                 Token::Punctuation(_) => self.scope().expects_table = false,
                 Token::Name(parts) => match parts.as_slice() {
-                    [word] => self.word(&word.to_ascii_lowercase()),
-                    parts => self.qualified_name(parts),
+                    [word] => self.handle_word(&word.to_ascii_lowercase()),
+                    parts => self.handle_qualified_name(parts),
                 },
             }
         }
@@ -147,7 +147,7 @@
     }
 
     /// A keyword, or a name without a schema.
-    fn word(&mut self, word: &str) {
+    fn handle_word(&mut self, word: &str) {
         let follows_distinct = std::mem::replace(&mut self.after_distinct, word == "distinct");
         let scope = self.scope();
         if TABLE_KEYWORDS.contains(&word) {
@@ -162,7 +162,7 @@
         }
     }
 
-    fn qualified_name(&mut self, parts: &'a [String]) {
+    fn handle_qualified_name(&mut self, parts: &'a [String]) {
         if std::mem::take(&mut self.scope().expects_table) {
             self.found.push(parts);
         }
