--- a/crates/gateway/src/http/client_connections/tests.rs
+++ b/crates/gateway/src/http/client_connections/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test]
-async fn silent_then_idle_connections_are_evicted_and_active_ones_never() {
+async fn silent_connections_are_evicted_before_idle_ones_and_active_ones_never() {
     let connections = ClientConnections::new(Arc::new(Semaphore::new(3)));
     let (active, idle, silent) = (
         connections.acquire(1).await,
--- a/crates/gateway/src/http/request_head/tests.rs
+++ b/crates/gateway/src/http/request_head/tests.rs
@@ -2,7 +2,7 @@
 
 /// The texts are answered to clients.
 #[test]
-fn errors_name_the_header_and_what_is_wrong_with_it() {
+fn error_texts_name_the_header_and_the_fault() {
     let cases = [
         (
             RequestError::UnknownClass("x".into()),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_header_has_one_value_of_its_form() {
+fn missing_repeated_and_malformed_query_keys_are_rejected() {
     let mut headers = HeaderMap::new();
     assert_eq!(
         query_key(&headers),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_estimate_of_0_is_none() {
+fn zero_estimate_is_none_and_invalid_estimates_are_rejected() {
     let estimate = |value| {
         let mut headers = HeaderMap::new();
         headers.insert(ESTIMATED_MEMORY_HEADER, HeaderValue::from_static(value));
--- a/crates/gateway/src/http/send_time/tests.rs
+++ b/crates/gateway/src/http/send_time/tests.rs
@@ -2,7 +2,7 @@
 
 /// Clients that had held queries back closed their connections before the gateway answered.
 #[test]
-fn the_estimate_covers_what_the_client_may_have_held_back() {
+fn estimate_covers_possible_client_delays() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
     assert_eq!(estimator.estimate(None, 10.0, 0), 10.0 - MIN_DELAY_SECONDS);
     assert_eq!(
@@ -35,7 +35,7 @@
 /// Clients may queue for a busy key for several seconds: queued queries that expire are never seen, and faulty clients use the
 /// key in between.
 #[test]
-fn a_full_queue_holds_back_for_as_long_as_it_has_been_full() {
+fn backlogged_key_may_be_delayed_by_the_age_of_its_backlog() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
     let mut arrival = 10.0;
     estimator.estimate(Some(7), arrival, 0);
@@ -70,7 +70,7 @@
 
 /// A key with steady arrivals at random gaps is not taken for a queue as old as the first of them.
 #[test]
-fn a_steady_key_at_random_gaps_is_no_full_queue() {
+fn random_arrival_gaps_are_rarely_taken_for_a_backlog() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
     let mut random = 1_u64;
     let mut arrival = 10.0;
--- a/crates/gateway/src/http/statement/tests.rs
+++ b/crates/gateway/src/http/statement/tests.rs
@@ -1,7 +1,7 @@
 use super::data_set;
 
 #[test]
-fn the_data_set_is_the_number_of_the_schema_read_or_written() {
+fn data_set_is_the_schema_number_of_the_table_read_or_written() {
     let cases: [(&str, Option<u32>); 16] = [
         (
             "SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day",
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn no_bytes_make_it_panic() {
+fn malformed_statements_do_not_panic() {
     for bytes in [
         &b"\xff\xfe from s_3.t"[..],
         b"$",
--- a/crates/gateway/src/http/submission_error/tests.rs
+++ b/crates/gateway/src/http/submission_error/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test]
-async fn a_submission_error_has_its_status_and_text_and_closes_where_the_body_may_be_unread() {
+async fn submission_errors_have_fixed_status_and_text_and_close_if_body_may_be_unread() {
     let cases = [
         (
             RequestError::EmptyStatement.into(),
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn a_denial_by_the_plan_gives_its_reason_and_when_to_retry() {
+async fn plan_denial_has_its_reason_and_retry_time() {
     let error = |retry_after_seconds| SubmissionError::DeniedByPlan {
         reason: "over the limit".into(),
         retry_after_seconds,
