--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -1,14 +1,15 @@
-//! The HTTP server for clients: requests become queries, final answers become responses.
+//! Serves HTTP to clients: turns requests into queries, and final answers into responses.
 //!
-//! The stages of a request, each in a module:
-//! 1. Connection: [`accept`](accept()) accepts it, [`client_connections`] has a slot for it, `connection` serves it and
-//!    [`client_stream`] is its byte stream.
-//! 2. Handler: `submission` takes a request that submits or cancels a query, `streamed_body` one with a long body.
-//! 3. Parse: `request_head` checks the head, [`statement`] finds the data set.
-//! 4. Admission: [`send_time`] estimates when the client sent the query, `admission` hands it to the scheduler.
-//! 5. Response: `responses` has final answers, `submission_error` says why a query is not admitted.
+//! A request passes through these stages:
+//! 1. Connection: [`accept`](accept()) accepts the connection, [`client_connections`] limits how many are open,
+//!    `connection` serves it, and [`client_stream`] reads and writes its bytes.
+//! 2. Handler: `submission` handles requests that submit or cancel a query, and passes long bodies to `streamed_body`.
+//! 3. Parse: `request_head` checks the request head, and [`statement`] finds the data set in the SQL statement.
+//! 4. Admission: [`send_time`] estimates when the client sent the query, and `admission` passes it to the scheduler.
+//! 5. Response: `responses` builds the responses, and `submission_error` maps each reason for not admitting a query to
+//!    one.
 //!
-//! The protocol's names of headers and paths stand in `request_head`, `responses` and [`router`] only.
+//! Header names and paths of the client protocol are defined only in `request_head`, `responses` and [`router`].
 
 mod accept;
 mod admission;
@@ -45,39 +46,40 @@
 
 pub use accept::accept;
 
-/// How long each of these is waited for: the head of a connection's first request, the rest of the head of its last request,
-/// the whole body of any request that is read whole, and each chunk of a streamed body before its query is admitted.
+/// Limit on the time to read each of: the head of a connection's first request, the rest of the head of its last
+/// request, a body that is read whole, and each chunk of a streamed body before its query is admitted.
 ///
-/// Protocol: the connection of a client that can't be served closes within 3 s.
+/// The protocol requires that the connection of a client that cannot be served is closed within 3 s.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What all request handlers share.
+/// State shared by all request handlers.
 pub struct ServerState {
     /// Admits and cancels queries.
     pub scheduler: Arc<Scheduler>,
     /// Runs the attempts of queries.
     pub engines: Arc<Engines>,
-    /// The settings of query classes, and the names of classes and tenants.
+    /// Settings of the query classes, and the configured names of classes and tenants.
     pub platform: PlatformSettings,
-    /// Whether the gateway is serving, for the health check.
+    /// Current phase of the gateway; the health check reports whether it is serving.
     pub phase: watch::Receiver<Phase>,
     /// Records non-idempotent queries before they are sent.
     pub journal: Arc<QueryJournal>,
-    /// Stores bodies longer than the longest statement that is read whole; without it they are rejected.
+    /// Stores bodies longer than the longest statement that is read whole. `None` if bodies are not stored; such bodies
+    /// are then rejected.
     pub body_store: Option<Arc<Store>>,
     /// Estimates when clients sent their queries.
     pub send_times: Mutex<SendTimeEstimator>,
-    /// One permit for each byte of the statements that may be in memory at once.
+    /// Memory budget for statements: one permit per byte.
     pub statement_bytes: Arc<Semaphore>,
 }
 
-/// The address that a request came from.
+/// IP address of the client that sent a request.
 #[derive(Clone, Copy, Debug)]
 struct ClientAddress(IpAddr);
 
 impl ServerState {
-    /// The earliest time, in seconds of the scheduler's clock, at which a query that arrived at `arrived_at` may have been
-    /// sent.
+    /// Returns the earliest time at which the client may have sent a query that arrived at `arrived_at`. Both times are
+    /// in seconds on the scheduler's clock.
     fn earliest_send_time(&self, ordering_key: Option<u64>, arrived_at: f64) -> f64 {
         let open_queries = self.scheduler.open_queries();
         let mut send_times = self
@@ -87,7 +89,7 @@
         send_times.estimate(ordering_key, arrived_at, open_queries)
     }
 
-    /// Reserves memory for a statement of so many bytes.
+    /// Reserves `bytes` of the memory budget for statements until the permit is dropped.
     fn reserve_statement_bytes(&self, bytes: u32) -> Result<OwnedSemaphorePermit, SubmissionError> {
         self.statement_bytes
             .clone()
@@ -96,7 +98,7 @@
     }
 }
 
-/// Routes requests to their handlers.
+/// Returns the router that maps the paths and methods of the client protocol to their handlers.
 pub fn router(state: Arc<ServerState>) -> Router {
     Router::new()
         .route("/healthz", get(health))
--- a/crates/gateway/src/http/accept.rs
+++ b/crates/gateway/src/http/accept.rs
@@ -1,4 +1,4 @@
-//! Connection stage: accepts clients' connections, and starts a task that serves each.
+//! Connection stage: accepts client connections, and starts a task for each that serves it.
 
 use super::connection::ConnectionServer;
 use super::ClientAddress;
@@ -18,11 +18,12 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// After repeated errors that the next accept would meet as well: descriptors come free as connections close.
+/// Pause after a repeated accept error for lack of resources, since the next accept would fail as well. Descriptors
+/// become free as connections close.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Accepts connections for as long as it is polled or, once `stop_accepting` is set, until none waits to be accepted. Each is
-/// served in a task of its own; `close_connections` asks those tasks to close their connections once no request is open.
+/// Accepts connections, and serves each in a task of its own. Returns once `stop_accepting` is set and no connection
+/// waits to be accepted. When `close_connections` is set, the tasks close their connections after any open request.
 pub async fn accept(
     listener: &TcpListener,
     router: &Router,
@@ -53,7 +54,7 @@
             }
             Err(error) if !has_failed => {
                 has_failed = true;
-                tracing::warn!(%error, "accept failed");
+                tracing::warn!(%error, "accepting a client connection failed; repeats are not logged until one succeeds");
             }
             Err(error) if os_error::needs_pause(&error) => sleep(ACCEPT_RETRY_PAUSE).await,
             Err(_) => {}
@@ -61,7 +62,8 @@
     }
 }
 
-/// The next connection, or the error of accepting it; none if `stop_accepting` is set and none waits.
+/// Waits for the next connection, and returns it or the accept error. Returns `None` if `stop_accepting` is set and no
+/// connection waits to be accepted.
 async fn next_connection(
     listener: &TcpListener,
     stop_accepting: &mut watch::Receiver<bool>,
@@ -71,7 +73,7 @@
             yield_now().await;
             return tokio::select! {
                 biased;
-                // With its cooperative budget used up, the listener would look as if no connection waited.
+                // A listener whose cooperative budget is used up reports no connection even if one waits.
                 accepted = unconstrained(listener.accept()) => Some(accepted),
                 () = std::future::ready(()) => None,
             };
@@ -86,9 +88,10 @@
 
 /// Polls a task once before it is spawned.
 ///
-/// Queries of one ordering key count in the order in which they arrived, also those that arrived while this process had no
-/// processor time. So the request on a new connection is read before later ones on older connections, whose tasks are queued
-/// already; a spawned task would be queued behind them.
+/// Queries of one ordering key must be admitted in the order in which they arrived, even if they arrived while this
+/// process had no processor time. The tasks of older connections may already be in the run queue, and a task that is
+/// only spawned would run after them. The first poll here reads the request on the new connection before their later
+/// requests.
 async fn spawn_polled(task: impl Future<Output = ()> + Send + 'static) {
     let mut task = Box::pin(task);
     let first_poll = poll_fn(|cx| Poll::Ready(task.as_mut().poll(cx))).await;
--- a/crates/gateway/src/http/client_connections.rs
+++ b/crates/gateway/src/http/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connection stage: the open connections of clients, the state of each, and which one is evicted when all slots are taken.
+//! Connection stage: tracks the state of each open client connection, and selects one to evict when no slot is free.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,39 +6,39 @@
 use tokio::sync::{watch, Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
 
-/// Protocol: a request follows its connection at once; a connection this old without one is silent. An evicted connection
-/// has as long to close before another is evicted.
+/// Age at which a connection without a request counts as silent: by the protocol, a client sends a request at once
+/// after it connects. Also the time that an evicted connection has to close before another one is evicted.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
 
-/// What a connection is doing, in the order of eviction: the first variant is evicted first.
+/// State of a connection. The variants are in the order of eviction: connections in the first state are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ConnectionState {
-    /// Has had its last response; what the client still sends is not parsed as a request.
+    /// The last response is written; further bytes from the client are not parsed as a request.
     Closing,
-    /// Older than [`NEW_CONNECTION_GRACE`] without a complete request head.
+    /// No complete request head has arrived within [`NEW_CONNECTION_GRACE`].
     Silent,
-    /// Has no request open: the response to the last is ready, though perhaps not written yet.
+    /// No request is open: the response to the last one is ready, but may not be written yet.
     Idle,
-    /// Just accepted, no complete request head yet; not evicted.
+    /// Accepted less than [`NEW_CONNECTION_GRACE`] ago, and no complete request head has arrived; not evicted.
     New,
-    /// Has a request open, from its complete head until its response is ready; not evicted.
+    /// A request is open: its head is complete, and its response is not ready; not evicted.
     Active,
 }
 
 impl ConnectionState {
-    /// Whether a connection in this state may be closed in favour of a new one.
+    /// Whether a connection in this state may be closed to free its slot for a new one.
     fn is_evictable(self) -> bool {
         self < ConnectionState::New
     }
 }
 
-/// What is remembered of one open connection.
+/// Eviction data of one open connection.
 struct ConnectionEntry {
     state: ConnectionState,
     /// When `state` was entered.
     state_since: Instant,
     eviction: Arc<Notify>,
-    /// When the connection was asked to close for another.
+    /// When the connection was asked to close. `None` if it was not, or if its eviction was cancelled.
     eviction_requested_at: Option<Instant>,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The state by now: a new connection turns silent with time.
+    /// Returns the state, with `New` replaced by `Silent` once the grace period is over.
     fn current_state(&self) -> ConnectionState {
         match self.state {
             ConnectionState::New if self.state_since.elapsed() > NEW_CONNECTION_GRACE => {
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Whether the connection was asked to close so recently that its slot may still come free.
+    /// Whether the connection was asked to close less than [`NEW_CONNECTION_GRACE`] ago, so that its slot may soon be
+    /// free.
     fn is_being_evicted(&self) -> bool {
         self.eviction_requested_at
             .is_some_and(|at| at.elapsed() < NEW_CONNECTION_GRACE)
@@ -73,7 +74,7 @@
     }
 }
 
-/// All open connections of clients, at most one for each slot of the descriptor budget.
+/// The open client connections, limited to the slots of the descriptor budget.
 pub struct ClientConnections {
     slots: Arc<Semaphore>,
     entries: Mutex<HashMap<u64, ConnectionEntry>>,
@@ -83,7 +84,7 @@
 }
 
 impl ClientConnections {
-    /// No connections yet; `slots` has one permit for each that may be open.
+    /// Returns an empty set of connections; `slots` has one permit for each connection that may be open.
     pub fn new(slots: Arc<Semaphore>) -> Arc<ClientConnections> {
         Arc::new(ClientConnections {
             slots,
@@ -97,8 +98,8 @@
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Registers an accepted connection under a number of its own. Waits for a slot, and evicts a connection without a
-    /// request where none is free.
+    /// Registers an accepted connection under `number`, which must be unique. Waits for a slot; while none is free,
+    /// evicts connections that have no open request.
     pub async fn acquire(self: &Arc<Self>, number: u64) -> ClientConnection {
         let slot = self.acquire_slot().await;
         let eviction = Arc::new(Notify::new());
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A free slot; none only where the semaphore was closed.
+    /// Waits for a free slot. Returns `None` only if the semaphore is closed.
     async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
         loop {
             if let Ok(slot) = self.slots.clone().try_acquire_owned() {
@@ -124,13 +125,14 @@
                 biased;
                 slot = self.slots.clone().acquire_owned() => return slot.ok(),
                 () = self.eviction_possible.notified() => {}
-                // By then a new connection is silent or active.
+                // A connection that is new now will be silent, and so evictable, or active by then.
                 () = sleep(NEW_CONNECTION_GRACE) => {}
             }
         }
     }
 
-    /// Asks the first connection in the order of eviction to close, unless one that was asked is still closing.
+    /// Asks the first connection in the order of eviction to close, unless one was asked less than
+    /// [`NEW_CONNECTION_GRACE`] ago and is still open.
     fn evict_one(&self) {
         let mut entries = self.entries();
         if entries.values().any(ConnectionEntry::is_being_evicted) {
@@ -148,7 +150,7 @@
 
     /// Completes when no connection is open.
     pub async fn all_closed(&self) {
-        // An error means that the sender was dropped, and `self` holds it.
+        // `wait_for` fails only if the sender is dropped, and `self` owns the sender.
         let _ = self
             .open_count
             .subscribe()
@@ -157,11 +159,11 @@
     }
 }
 
-/// One open connection; its slot is free again when this is dropped.
+/// A registered connection. Dropping it removes the connection and frees its slot.
 pub struct ClientConnection {
     connections: Arc<ClientConnections>,
     number: u64,
-    /// Notified when the connection is to close for another.
+    /// Notified when the connection must close to free its slot for another one.
     pub eviction: Arc<Notify>,
     _slot: Option<OwnedSemaphorePermit>,
 }
@@ -184,13 +186,13 @@
             .is_some_and(|entry| entry.state == state)
     }
 
-    /// A complete request head was read: the connection is not evicted until its response is ready.
+    /// Marks the connection active once a complete request head is read: it is not evicted until the response is ready.
     pub fn request_started(&self) {
         self.set_state(ConnectionState::Active);
         self.cancel_eviction();
     }
 
-    /// Withdraws a request to close for another connection; another one is evicted instead.
+    /// Cancels a pending eviction of this connection, so that another connection is evicted instead.
     pub fn cancel_eviction(&self) {
         if let Some(entry) = self.connections.entries().get_mut(&self.number) {
             entry.eviction_requested_at = None;
@@ -198,12 +200,13 @@
         self.connections.eviction_possible.notify_one();
     }
 
-    /// The response to the open request is ready, and about to be written: the connection may be evicted after that response.
+    /// Marks the connection idle once the response to its open request is ready to be written: an eviction closes it
+    /// after that response.
     pub fn response_ready(&self) {
         self.set_state(ConnectionState::Idle);
     }
 
-    /// No further request is read from the connection.
+    /// Marks the connection as closing: no further request is read from it.
     pub fn started_closing(&self) {
         self.set_state(ConnectionState::Closing);
     }
--- a/crates/gateway/src/http/client_connections/tests.rs
+++ b/crates/gateway/src/http/client_connections/tests.rs
@@ -33,7 +33,7 @@
             .entries()
             .values()
             .all(|entry| entry.eviction_requested_at.is_none()),
-        "all are active"
+        "no active connection is asked to close"
     );
     fourth.response_ready();
     fourth.eviction.notified().await;
--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -1,5 +1,7 @@
-//! Connection stage: a client's byte stream, read ahead of the HTTP parser. So a closed connection is noticed behind bytes
-//! that nobody has parsed yet, and what has arrived is known before the connection is closed.
+//! Connection stage: reads a client's byte stream ahead of the HTTP parser.
+//!
+//! The read-ahead detects that the client has closed the connection even if unparsed bytes precede the close. It also
+//! shows whether unparsed bytes have arrived before the gateway closes the connection.
 
 use crate::system::socket::Socket;
 use crate::system::write_timeout::WriteTimeout;
@@ -15,55 +17,55 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Sleep};
 
-/// Read ahead at most: a head and a statement of the usual length.
+/// Size of the read-ahead buffer in bytes: enough for a request head and a statement of the usual length.
 const READ_AHEAD_BYTES: usize = 8 << 10;
-/// Between two checks for a close behind more bytes than are read ahead. Protocol: a closed connection is noticed within
-/// 100 ms.
+/// Interval between checks for a close by the client while the read-ahead buffer is full. The protocol requires that a
+/// closed connection is detected within 100 ms.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Discarded at most when a connection closes; more than a kernel buffers unread for one connection.
+/// Most bytes that are discarded when a connection closes; more than the kernel buffers for one connection.
 const MAX_DISCARDED_BYTES: usize = 8 << 20;
 
 /// How a client ended its side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamEnd {
-    /// In order.
+    /// The client closed its write side.
     Closed,
-    /// By an error of this kind.
+    /// Reading failed with an error of this kind.
     Failed(io::ErrorKind),
 }
 
-/// What a read from a connection brought.
+/// Result of one read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadOutcome {
-    /// Bytes.
+    /// Bytes were read.
     Received,
-    /// None: nothing has arrived, or the client has ended its side.
+    /// No bytes were read: none have arrived, or the client has ended its side.
     Nothing,
 }
 
 struct StreamState {
     io: TokioIo<Socket>,
-    /// Read, but not yet taken by the parser.
+    /// Bytes that were read from the socket and that the parser has not taken.
     read_ahead: BytesMut,
-    /// How the client ended its side, once it has.
+    /// Set once the client has ended its side.
     end: Option<StreamEnd>,
-    /// Bytes were read ahead since the connection's task was last woken to parse.
+    /// Whether bytes were read ahead since the connection's task was last woken to parse.
     parser_needs_wake: bool,
     last_read_at: Instant,
-    /// Until the next check of a connection that can't be read further ahead.
+    /// Timer until the next check for a close by the client; set while the read-ahead buffer is full.
     close_check: Option<Pin<Box<Sleep>>>,
     write_timeout: WriteTimeout,
 }
 
-/// A shared handle to a client's stream, to look at it from outside the HTTP parser.
+/// Shared handle to a client's stream, for use outside the HTTP parser.
 #[derive(Clone)]
 pub struct StreamHandle(Arc<Mutex<StreamState>>);
 
-/// A client's stream as the HTTP parser reads and writes it.
+/// Client's stream as the HTTP parser reads and writes it.
 pub struct ClientStream(StreamHandle);
 
 impl StreamHandle {
-    /// Takes over an accepted connection.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> StreamHandle {
         StreamHandle(Arc::new(Mutex::new(StreamState {
             io: TokioIo::new(Socket::new(stream)),
@@ -76,7 +78,7 @@
         })))
     }
 
-    /// The stream for a parser; one parser at a time may use it.
+    /// Returns the stream for an HTTP parser. Only one parser may use the stream at a time.
     pub fn stream(&self) -> ClientStream {
         ClientStream(self.clone())
     }
@@ -85,33 +87,34 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When bytes were last read from the connection.
+    /// Returns when bytes were last read from the connection; at first, when the handle was created.
     pub fn last_read_at(&self) -> Instant {
         self.state().last_read_at
     }
 
-    /// Reads what the kernel has, as far as the read-ahead buffer has space. It does not wait for the runtime to report
-    /// readiness: for a connection that was just accepted that report is one turn late, after later bytes on other
-    /// connections were read.
+    /// Reads the bytes that the kernel holds, as far as the read-ahead buffer has space. It does not wait until the
+    /// runtime reports the socket readable: for a connection just accepted, that report comes one turn of the event
+    /// loop later, when later bytes on other connections may already have been read.
     pub fn read_available(&self) {
         self.state().read_available();
     }
 
-    /// Whether bytes have arrived that nobody has parsed.
+    /// Whether bytes have arrived that the parser has not taken. Reads from the socket first.
     pub fn has_unparsed_bytes(&self) -> bool {
         let mut state = self.state();
         state.read_available();
         !state.read_ahead.is_empty()
     }
 
-    /// Whether the client has closed its side by now.
+    /// Whether the client has ended its side of the connection. Reads from the socket first.
     pub fn is_closed_by_client(&self) -> bool {
         let mut state = self.state();
         state.read_available();
         state.is_closed_by_client()
     }
 
-    /// Completes when the client has closed its side; checked only while `is_watched` holds.
+    /// Completes when the client has ended its side of the connection. The stream is checked only in polls in which
+    /// `is_watched` returns true.
     pub async fn closed_by_client(&self, is_watched: impl Fn() -> bool) {
         poll_fn(|cx| {
             if is_watched() {
@@ -123,7 +126,7 @@
         .await
     }
 
-    /// Puts bytes that the parser took but did not parse back before those read ahead.
+    /// Puts bytes that the parser took but did not parse back in front of the read-ahead buffer.
     pub fn unread(&self, bytes: &Bytes) {
         let mut state = self.state();
         let later = std::mem::take(&mut state.read_ahead);
@@ -131,13 +134,13 @@
         state.read_ahead.extend_from_slice(&later);
     }
 
-    /// Closes our side, after all that was written.
+    /// Shuts down the gateway's write side of the connection; bytes already written are still sent.
     pub fn shut_down_write(&self) {
         self.state().io.inner().shut_down_write();
     }
 
-    /// Discards what has arrived: the kernel resets a connection that is closed over unread bytes, and the client loses the
-    /// response that it has not read yet.
+    /// Reads and discards all bytes that have arrived. The kernel resets a connection that is closed while bytes are
+    /// unread, and the client would lose a response that it has not read yet.
     pub fn discard_received(&self) {
         let mut state = self.state();
         let mut remaining = MAX_DISCARDED_BYTES;
@@ -154,7 +157,7 @@
 }
 
 impl StreamState {
-    /// Takes in the result of a read into `buffer`.
+    /// Updates the state with the result of a read into `buffer`.
     fn record_read(&mut self, result: io::Result<usize>, buffer: &[u8]) -> ReadOutcome {
         match result {
             Ok(0) => self.end = Some(StreamEnd::Closed),
@@ -174,7 +177,7 @@
         self.read_ahead.len() >= READ_AHEAD_BYTES
     }
 
-    /// Reads what the kernel has, until it would block or the read-ahead buffer is full.
+    /// Reads the bytes that the kernel holds, until a read would block or the read-ahead buffer is full.
     fn read_available(&mut self) {
         let mut buffer = [0; READ_AHEAD_BYTES];
         while self.end.is_none() && !self.is_read_ahead_full() {
@@ -187,7 +190,8 @@
     }
 
     fn is_closed_by_client(&self) -> bool {
-        // Behind more bytes than are read ahead only the kernel's readiness shows a close.
+        // While the read-ahead buffer is full, reads cannot reach the end of the stream; only the kernel reports the
+        // close.
         self.end.is_some() || self.is_read_ahead_full() && self.io.inner().is_read_closed()
     }
 
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Ready when the next check for a close is due.
+    /// Becomes ready when the next check for a close by the client is due.
     fn poll_close_check(&mut self, cx: &mut Context) -> Poll<()> {
         let close_check = self
             .close_check
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! Connection stage: serves one client connection, and closes it so that the client can read its last response.
+//! Connection stage: serves one client connection, and closes it in a way that lets the client read its last response.
 
 mod request_loop;
 
@@ -14,28 +14,28 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Time that a client has after its last response to read it and to close.
+/// Time after the last response for the client to read it and to close the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause between two reads of what a client still sends after its last response.
+/// Pause between reads of the bytes that a client sends after its last response.
 const LINGER_READ_PAUSE: Duration = Duration::from_millis(20);
-/// Bytes of one such read.
+/// Buffer size of one such read, in bytes.
 const LINGER_READ_BYTES: usize = 4096;
 
-/// The response to a request of which only a part of the head arrived in time.
+/// Response to a request whose head did not arrive completely in time.
 const PARTIAL_HEAD_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nContent-Type: application/json\r\nConnection: close\r\n\
     Content-Length: 36\r\n\r\n{\"error\":\"the call came too slowly\"}";
 
-/// How a connection is closed after what was written last.
+/// How a connection is closed after the last bytes were written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseMode {
-    /// Its client has time to read that and to close.
+    /// Waits up to [`LINGER_TIMEOUT`] for the client to read them and to close.
     Linger,
-    /// At once: another connection needs its slot.
+    /// Closes at once, since another connection needs the slot.
     Immediate,
 }
 
-/// One client connection while it is served.
+/// Serves one client connection.
 pub(super) struct ConnectionServer {
     stream: StreamHandle,
     client: ClientAddress,
@@ -45,7 +45,8 @@
 }
 
 impl ConnectionServer {
-    /// Serves an accepted connection through `router`; `close_connections` asks to close it after the open request.
+    /// Returns a server that passes the requests of an accepted connection to `router`. When `close_connections` is
+    /// set, the server closes the connection after any open request.
     pub fn new(
         stream: StreamHandle,
         client: ClientAddress,
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Serves until the client closes the connection, is silent for too long, or the gateway closes it.
+    /// Serves the connection until the client closes it, no request arrives in time, it is evicted, or the gateway
+    /// shuts down.
     pub async fn run(mut self) {
         let mut remaining_requests = RemainingRequests::Unlimited;
         let mode = loop {
@@ -80,13 +82,13 @@
             if was_last || !self.stream.has_unparsed_bytes() {
                 break mode;
             }
-            // A request whose first bytes arrived before the close is still served, as the last.
+            // A request whose first bytes arrived before the close is still served, as the last one.
             remaining_requests = RemainingRequests::One;
         };
         self.close(mode).await;
     }
 
-    /// Closes the connection after its last response.
+    /// Closes the connection after its last response. An eviction ends the wait for the client.
     async fn close(&self, mode: CloseMode) {
         self.stream.shut_down_write();
         if mode == CloseMode::Linger {
@@ -99,14 +101,14 @@
         self.stream.discard_received();
     }
 
-    /// Closes a connection that had no request. A client that writes slowly is answered that its request was not read: its
-    /// remaining bytes may cross our close.
+    /// Closes a connection on which no request was served. If a part of a request head has arrived, first responds with
+    /// status 408, since the client may be sending the rest while the gateway closes.
     async fn close_unserved(&self, mode: CloseMode) {
         if !self.stream.has_unparsed_bytes() {
             return;
         }
         let mut stream = TokioIo::new(self.stream.stream());
-        // A client that does not read the response sees the close.
+        // A failed or late write needs no handling: the connection is closed in any case.
         let _ = timeout(LINGER_TIMEOUT, stream.write_all(PARTIAL_HEAD_RESPONSE)).await;
         self.stream.shut_down_write();
         if mode == CloseMode::Linger {
@@ -116,8 +118,9 @@
     }
 }
 
-/// Lets a client that is still sending read its response: closed with bytes unread, the connection would be reset and the
-/// response lost. A client that goes on sending is cut off.
+/// Reads and discards what the client sends until it closes, or until [`LINGER_TIMEOUT`]. The kernel resets a
+/// connection that is closed while bytes are unread, and a client that is still sending would lose its response. A
+/// client that sends for longer is disconnected.
 async fn linger(stream: &StreamHandle) {
     let mut stream = TokioIo::new(stream.stream());
     let mut discarded = [0; LINGER_READ_BYTES];
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -1,4 +1,4 @@
-//! Connection stage: reads requests from one connection until no further one is to be read, and says why.
+//! Connection stage: serves the requests on one connection, and returns the reason why it reads no further one.
 
 use super::{ClientAddress, ConnectionServer, REQUEST_READ_TIMEOUT};
 use crate::http::client_connections::ClientConnection;
@@ -17,41 +17,42 @@
 use tokio::time::{sleep, Instant, Sleep};
 use tower_service::Service;
 
-/// Protocol: clients close idle connections after 4 s. Far above that, so that no request crosses our close.
+/// Time after which the gateway closes an idle connection. By the protocol, clients close idle connections after 4 s;
+/// this is far above, so that no request is sent while the gateway closes.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Extra time for a first request head of which bytes had arrived when its time was over.
+/// Extra time for a first request head of which unparsed bytes had arrived when [`REQUEST_READ_TIMEOUT`] expired.
 const UNPARSED_HEAD_GRACE: Duration = Duration::from_millis(20);
-/// The parser's buffer; more than any request head.
+/// Size of the HTTP parser's buffer in bytes; larger than any valid request head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Why no further request is read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The client closed it: no response is owed.
+    /// The client closed the connection; no response is written.
     ClientClosed,
-    /// No complete first request head arrived in time.
+    /// The first request head did not arrive completely in time.
     Silent,
-    /// Evicted before a complete first request head arrived.
+    /// The connection was evicted before its first request head arrived completely.
     EvictedUnserved,
-    /// The last response announced it, or what the client sent is no HTTP.
+    /// The last response announced the close, or the HTTP protocol failed, for example because of an invalid request.
     LastResponse,
-    /// The gateway closes its connections, and no request was open.
+    /// The gateway is closing its connections, and no request was open.
     Shutdown,
-    /// Evicted while idle.
+    /// The connection was evicted while idle.
     Evicted,
 }
 
 /// How many requests a connection may still carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RemainingRequests {
-    /// Any number, with idle times between them.
+    /// Any number, with idle time in between of up to [`IDLE_TIMEOUT`].
     Unlimited,
-    /// The one that has begun to arrive.
+    /// Only the request whose first bytes have already arrived.
     One,
 }
 
 impl RemainingRequests {
-    /// How long the head of the next request is waited for.
+    /// Returns the longest time to wait for the complete head of the next request.
     fn head_timeout(self) -> Duration {
         match self {
             RemainingRequests::Unlimited => IDLE_TIMEOUT,
@@ -60,20 +61,20 @@
     }
 }
 
-/// How far a connection has come in closing for the gateway's shutdown.
+/// Progress of closing a connection for the shutdown of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ShutdownProgress {
-    /// It was not asked to.
+    /// No shutdown was requested.
     NotRequested,
-    /// Bytes were found that the parser has not seen, and it is polled once more.
+    /// The shutdown was requested while unparsed bytes were present; the parser is polled once more for them.
     ParsingReceived,
-    /// The HTTP protocol was asked to end.
+    /// The HTTP connection was told to shut down after any open request.
     Handled,
 }
 
-/// What happened on a connection that is being served.
+/// Event on a connection that is being served.
 enum Event {
-    /// The HTTP protocol ended: by an error, or after the last response.
+    /// HTTP processing ended with an error or after the last response.
     HttpEnded(hyper::Result<()>),
     ClientClosed,
     EvictionRequested,
@@ -81,30 +82,30 @@
     ShutdownRequested,
 }
 
-/// What follows an [`Event`].
+/// Action after an [`Event`].
 enum Step {
-    /// Go on serving.
+    /// Continue serving.
     Continue,
-    /// Close without a further response.
+    /// Stop serving without a further response.
     Close(CloseReason),
-    /// Close after the response to the open request.
+    /// Stop serving after the response to the open request, if there is one.
     CloseAfterResponse(CloseReason),
 }
 
-/// Runs the HTTP protocol on a connection, and handles what happens beside it.
+/// Runs HTTP on a connection, and handles closes by the client, evictions, time-outs and the shutdown of the gateway.
 pub(super) struct RequestLoop<'a> {
     server: &'a mut ConnectionServer,
     http: http1::Connection<ClientStream, RequestService>,
     first_request_timeout: Pin<Box<Sleep>>,
-    /// The extra time for a first request head was granted.
+    /// Whether [`UNPARSED_HEAD_GRACE`] was added to the time for the first request head.
     grace_granted: bool,
     shutdown: ShutdownProgress,
-    /// Holds once the HTTP protocol has ended without an error.
+    /// Reason to return when HTTP processing ends without an error.
     close_reason: CloseReason,
 }
 
 impl<'a> RequestLoop<'a> {
-    /// A loop over the requests of a connection, for as many as are wanted.
+    /// Returns a loop that serves up to `remaining_requests` on the connection of `server`.
     pub fn new(server: &'a mut ConnectionServer, remaining_requests: RemainingRequests) -> Self {
         let http = http1::Builder::new()
             .timer(TokioTimer::new())
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Serves requests until no further one is read; bytes that were not parsed are put back into the stream.
+    /// Serves requests until no further one is to be read, and returns the reason. Unparsed bytes are put back into the
+    /// stream, unless the client closed the connection.
     pub async fn run(mut self) -> CloseReason {
         let reason = loop {
             let event = self.next_event().await;
@@ -170,11 +172,11 @@
         match event {
             Event::HttpEnded(Ok(())) => Step::Close(self.close_reason),
             Event::HttpEnded(Err(error)) => {
-                tracing::debug!(client = %self.client(), %error, "client connection failed");
+                tracing::debug!(client = %self.client(), %error, "HTTP processing on a client connection failed");
                 Step::Close(CloseReason::LastResponse)
             }
             Event::ClientClosed => {
-                tracing::debug!(client = %self.client(), "client closed its connection with a request open");
+                tracing::debug!(client = %self.client(), "client closed its connection before its response was ready");
                 Step::Close(CloseReason::ClientClosed)
             }
             Event::EvictionRequested => self.eviction_requested(),
@@ -183,25 +185,28 @@
         }
     }
 
-    /// What has arrived by now is answered first; another connection is evicted instead.
+    /// Cancels the eviction if a request is open or unparsed bytes have arrived, since these are served first; another
+    /// connection is evicted instead.
     fn eviction_requested(&self) -> Step {
         let connection = &self.server.connection;
         if connection.has_request() || self.server.stream.has_unparsed_bytes() {
             connection.cancel_eviction();
             return Step::Continue;
         }
-        tracing::debug!(client = %self.client(), "client connection evicted");
+        tracing::debug!(client = %self.client(), "client connection without an open request evicted to free its slot");
         if connection.awaits_first_request() {
             return Step::Close(CloseReason::EvictedUnserved);
         }
         Step::CloseAfterResponse(CloseReason::Evicted)
     }
 
-    /// Bytes that arrived while this process had no processor time are still parsed; the extra time for it is granted once.
+    /// Closes the connection, unless bytes have arrived that the parser has not taken. For these, grants
+    /// [`UNPARSED_HEAD_GRACE`] once, since they may have arrived while this process had no processor time to parse
+    /// them.
     fn first_request_timed_out(&mut self) -> Step {
         let has_no_request = self.server.connection.awaits_first_request();
         if has_no_request && (self.grace_granted || !self.server.stream.has_unparsed_bytes()) {
-            tracing::debug!(client = %self.client(), "silent client connection closed");
+            tracing::debug!(client = %self.client(), "client connection closed: the first request head did not arrive in time");
             return Step::Close(CloseReason::Silent);
         }
         self.grace_granted = true;
@@ -211,7 +216,8 @@
         Step::Continue
     }
 
-    /// A request that arrived before the shutdown is parsed first: the parser is polled once more.
+    /// Shuts down the HTTP connection. If unparsed bytes have arrived and no request is open, first lets the parser be
+    /// polled once more, so that a request that arrived before the shutdown is still served.
     fn shutdown_requested(&mut self) -> Step {
         let has_request = self.server.connection.has_request();
         if self.shutdown == ShutdownProgress::NotRequested
@@ -234,7 +240,7 @@
     }
 }
 
-/// Hands the requests of one connection to the router, and marks the connection active while one is open.
+/// Passes the requests of one connection to the router, and marks the connection active while a request is open.
 struct RequestService {
     stream: StreamHandle,
     client: ClientAddress,
