--- a/crates/gateway/src/http/request_head.rs
+++ b/crates/gateway/src/http/request_head.rs
@@ -1,4 +1,5 @@
-//! Parse stage: checks the head of a request that submits a query, and takes out of it what decisions need.
+//! Parse stage: checks the head of a request that submits a query, and extracts the fields that admission and routing
+//! use.
 
 use crate::engines::{ForwardedQuery, Statement};
 use crate::http::client_stream::StreamHandle;
@@ -10,7 +11,7 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Protocol: names of the headers.
+/// Header with the query key; this and the following header names are defined by the protocol.
 const QUERY_KEY_HEADER: &str = "x-job-id";
 const DEADLINE_HEADER: &str = "x-allow-ms";
 const TENANT_HEADER: &str = "x-team";
@@ -18,98 +19,101 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "x-unique";
 const ESTIMATED_WORK_HEADER: &str = "x-size-ms";
 const ESTIMATED_MEMORY_HEADER: &str = "x-memory";
-/// Protocol: hex digits of a query key and of an ordering key.
+/// Number of hex digits of a query key and of an ordering key, by the protocol.
 const KEY_DIGITS: usize = 16;
 
-/// What is wrong with the head of a request. The text is the client's response, so it keeps the words of the protocol.
+/// Fault in the head of a request, or an empty statement. The text is sent to the client and follows the protocol's
+/// wording.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub(super) enum RequestError {
-    /// The path names no query class.
+    /// The path names no configured query class.
     #[error("unknown service group '{0}'")]
     UnknownClass(String),
-    /// A header that must be there is not.
+    /// A required header is missing.
     #[error("{0}: missing")]
     MissingHeader(&'static str),
-    /// A header has several values.
+    /// A header occurs more than once.
     #[error("{0}: repeated")]
     RepeatedHeader(&'static str),
-    /// A query key or an ordering key is not written as such.
+    /// A query key or an ordering key is not [`KEY_DIGITS`] hex digits.
     #[error("{0}: {KEY_DIGITS} hex digits expected")]
     InvalidKey(&'static str),
-    /// The deadline is not a number.
+    /// The time allowed by the client is not a number.
     #[error("{DEADLINE_HEADER}: no number")]
     InvalidDeadline,
-    /// The deadline is not within what the query class allows, in milliseconds.
+    /// The time allowed by the client is not positive, or exceeds the limit `max_ms` of the query class, in
+    /// milliseconds.
     #[error("{DEADLINE_HEADER}: more than 0 and {max_ms} at most expected")]
     DeadlineOutOfRange { max_ms: f64 },
     /// The statement is empty.
     #[error("no statement")]
     EmptyStatement,
-    /// The tenant is not a configured one.
+    /// The tenant is not configured.
     #[error("{TENANT_HEADER}: unknown")]
     UnknownTenant,
-    /// An estimate is not a number, or is negative.
+    /// An estimate of work or memory is not a finite number, or is negative.
     #[error("{0}: a number of 0 or more expected")]
     InvalidEstimate(&'static str),
 }
 
-/// A request that submits a query, without its body.
+/// Request that submits a query, without its body.
 pub(super) struct Submission {
-    /// The query class that the path names.
+    /// Name of the query class, from the path.
     pub class_name: String,
     pub headers: HeaderMap,
     pub client: IpAddr,
-    /// The connection that the request arrived on.
+    /// Connection on which the request arrived.
     pub stream: StreamHandle,
 }
 
-/// A query to be admitted, of which it is still to be estimated when its client sent it.
+/// Query from a checked request, before its send time is estimated.
 #[derive(Debug)]
 pub(super) struct SubmittedQuery {
     pub head: RequestHead,
     pub client: IpAddr,
     pub statement: Statement,
-    /// The length of the statement, in bytes; what has arrived of it where the client declares none.
+    /// Length of the statement in bytes. If the client declares none, the number of bytes that have arrived.
     pub statement_bytes: u64,
-    /// The data set that the statement reads or loads.
+    /// Number of the data set that the statement reads or writes; 0 if it names none.
     pub data_set: u32,
 }
 
-/// A query that can be admitted: what decisions need, and what is sent to the engine unchanged.
+/// Query with its deadline, ready for admission: the fields that the scheduler uses, and the query as sent to the
+/// engine.
 #[derive(Debug)]
 pub(super) struct TimedQuery {
     pub arriving: ArrivingQuery,
     pub forwarded_query: Arc<ForwardedQuery>,
 }
 
-/// The checked head of a request that submits a query.
+/// Checked head of a request that submits a query.
 #[derive(Debug)]
 pub(super) struct RequestHead {
     /// Index of the query class.
     pub class: usize,
-    /// Index of the tenant; 0 where none are configured.
+    /// Index of the tenant; 0 if no tenants are configured.
     pub tenant: usize,
     pub query_key: u64,
     pub ordering_key: Option<u64>,
-    /// The query key as the client wrote it.
+    /// Query key as the client wrote it, sent to the engine unchanged.
     query_key_text: HeaderValue,
     class_name: HeaderValue,
     idempotency_key: Option<HeaderValue>,
     in_order: bool,
-    /// Time that the client allows, from when it sent the query.
+    /// Time that the client allows for the query, in seconds since the client sent it.
     allowed_seconds: f64,
-    /// Seconds of work.
+    /// Work estimated by the client, in seconds.
     estimated_work: Option<f64>,
-    /// MB of memory.
+    /// Memory estimated by the client, in MB.
     estimated_memory: Option<f64>,
 }
 
 impl RequestHead {
-    /// Checks the head of a request. `statement` is its statement, or none where that is still to arrive.
+    /// Checks the head of a request. `statement` is the statement if it has arrived whole, or `None` if it is streamed.
     ///
     /// # Errors
     ///
-    /// The first part of the request that is wrong.
+    /// Returns the first fault found in the head, or [`RequestError::EmptyStatement`].
     pub fn parse(
         platform: &PlatformSettings,
         submission: &Submission,
@@ -153,7 +157,8 @@
 }
 
 impl SubmittedQuery {
-    /// The query with the deadline that follows from when its client sent it, in seconds on the scheduler's clock.
+    /// Computes the deadline from `send_time`, the time at which the client sent the query, in seconds on the
+    /// scheduler's clock.
     pub fn with_send_time(self, send_time: f64) -> TimedQuery {
         let head = self.head;
         let arriving = ArrivingQuery {
@@ -182,11 +187,11 @@
     }
 }
 
-/// The key of the query that a request names in its head.
+/// Returns the query key in the head of a request.
 ///
 /// # Errors
 ///
-/// The header is missing or repeated, or its value is not a query key.
+/// Fails if the header is missing or repeated, or if its value is not a query key.
 pub(super) fn query_key(headers: &HeaderMap) -> Result<u64, RequestError> {
     parse_key(QUERY_KEY_HEADER, header(headers, QUERY_KEY_HEADER)?)
 }
@@ -195,7 +200,7 @@
     names.iter().position(|known| known == name)
 }
 
-/// The time that the client allows, in seconds; the class allows `max_seconds`.
+/// Returns the time that the client allows for the query, in seconds; `max_seconds` is the limit of the query class.
 fn parse_allowed_seconds(headers: &HeaderMap, max_seconds: f64) -> Result<f64, RequestError> {
     let value = header(headers, DEADLINE_HEADER)?;
     let allowed_ms = parse_number(value).ok_or(RequestError::InvalidDeadline)?;
@@ -207,7 +212,7 @@
     }
 }
 
-/// The tenant's index. A request must name a tenant where any are configured, and none where none are.
+/// Returns the index of the tenant. If tenants are configured, a request must name one; otherwise it must not name any.
 fn parse_tenant(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
     if tenants.is_empty() && !headers.contains_key(TENANT_HEADER) {
         return Ok(0);
@@ -217,7 +222,7 @@
     position(tenants, name).ok_or(RequestError::UnknownTenant)
 }
 
-/// An estimate that a client may give; 0 is none.
+/// Returns an optional estimate by the client; 0 means no estimate.
 fn parse_estimate(headers: &HeaderMap, name: &'static str) -> Result<Option<f64>, RequestError> {
     let Some(value) = optional_header(headers, name)? else {
         return Ok(None);
@@ -232,7 +237,7 @@
     value.to_str().ok()?.trim().parse().ok()
 }
 
-/// A query key or an ordering key.
+/// Parses a query key or an ordering key; `name` is its header.
 fn parse_key(name: &'static str, value: &HeaderValue) -> Result<u64, RequestError> {
     let text = value.to_str().unwrap_or_default();
     if text.len() != KEY_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -241,12 +246,12 @@
     u64::from_str_radix(text, 16).map_err(|_| RequestError::InvalidKey(name))
 }
 
-/// The one value of a header.
+/// Returns the value of a header that must occur exactly once.
 fn header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a HeaderValue, RequestError> {
     optional_header(headers, name)?.ok_or(RequestError::MissingHeader(name))
 }
 
-/// The one value of a header that may be missing.
+/// Returns the value of a header that may occur at most once.
 fn optional_header<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
--- a/crates/gateway/src/http/request_head/tests.rs
+++ b/crates/gateway/src/http/request_head/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The texts are answered to clients.
+/// The texts are part of the responses to clients.
 #[test]
 fn error_texts_name_the_header_and_the_fault() {
     let cases = [
--- a/crates/gateway/src/http/statement.rs
+++ b/crates/gateway/src/http/statement.rs
@@ -1,18 +1,20 @@
-//! Parse stage: finds the data set of a query in its SQL statement. It is the number after the last underscore in the name of
-//! the schema that the statement reads or writes. Strings, comments and the schema `staging` do not count.
+//! Parse stage: finds the data set of a query in its SQL statement.
+//!
+//! The number of the data set follows the last underscore in the name of the schema that the statement reads or writes,
+//! as 17 in `sales_17.orders`. Strings, comments and the schema `staging` are ignored.
 
 mod tokens;
 
 use tokens::{tokenize, Token};
 
-/// The schema that holds no data set.
+/// Schema that belongs to no data set.
 const STAGING_SCHEMA: &str = "staging";
 
-/// Keywords after which a table is named.
+/// Keywords after which a table name may follow.
 const TABLE_KEYWORDS: [&str; 9] = [
     "from", "join", "into", "update", "table", "using", "only", "copy", "truncate",
 ];
-/// Keywords that end the list of tables after `FROM`.
+/// Keywords after which no table name is expected, neither directly nor after a comma.
 const CLAUSE_KEYWORDS: [&str; 14] = [
     "where",
     "group",
@@ -30,8 +32,9 @@
     "returning",
 ];
 
-/// The data set that a statement reads or writes: that of the first table that is named as one and has a number, else of the
-/// first qualified name that has one. None where no schema has a number.
+/// Returns the number of the data set that a statement reads or writes. It comes from the first table name whose schema
+/// has a number, else from the first other qualified name whose schema has one. Returns `None` if no schema has a
+/// number.
 pub fn data_set(statement: &[u8]) -> Option<u32> {
     let text = String::from_utf8_lossy(statement);
     let tokens = tokenize(&text);
@@ -47,7 +50,7 @@
     })
 }
 
-/// The number of a qualified name's schema, which is the part before the last.
+/// Returns the number in the schema of a qualified name. The schema is the part before the last.
 fn schema_number(name: &[String]) -> Option<u32> {
     let [.., schema, _] = name else {
         return None;
@@ -62,23 +65,23 @@
     digits.parse().ok()
 }
 
-/// The text between a pair of parentheses, or the statement itself.
+/// Parser state for the text between a pair of parentheses, or for the whole statement.
 #[derive(Clone, Copy)]
 struct Scope {
-    /// Whether keywords of clauses count: `FROM` as in `trim(a FROM b)` names no table.
+    /// Whether table keywords introduce a table name here. False in function arguments such as `trim(a FROM b)`.
     has_clauses: bool,
-    /// The next name is that of a table.
+    /// Whether the next name is a table name.
     expects_table: bool,
-    /// A table follows the next comma.
+    /// Whether a table name follows the next comma.
     in_table_list: bool,
 }
 
-/// Finds the qualified names that stand where a table is named.
+/// Collects the qualified names in positions where SQL expects a table.
 struct TableFinder<'a> {
     tokens: &'a [Token],
-    /// The open scopes, the innermost last; the statement itself is never closed.
+    /// Open scopes, the innermost last. The first is the whole statement and is never closed.
     scopes: Vec<Scope>,
-    /// The last name was `DISTINCT`: the `FROM` of `IS DISTINCT FROM` names no table.
+    /// Whether the last name was `DISTINCT`, since no table name follows the `FROM` of `IS DISTINCT FROM`.
     after_distinct: bool,
     found: Vec<&'a [String]>,
 }
@@ -98,7 +101,7 @@
         }
     }
 
-    /// The names of tables, in the order of the statement.
+    /// Returns the qualified table names, in the order of the statement.
     fn tables(mut self) -> Vec<&'a [String]> {
         let tokens = self.tokens;
         for (index, token) in tokens.iter().enumerate() {
@@ -122,7 +125,7 @@
     fn scope(&mut self) -> &mut Scope {
         self.scopes
             .last_mut()
-            .expect("the scope of the statement is never closed")
+            .expect("the scope of the whole statement is never closed")
     }
 
     fn open_scope(&mut self, next: Option<&Token>) {
@@ -146,7 +149,7 @@
         self.after_distinct = false;
     }
 
-    /// A keyword, or a name without a schema.
+    /// Handles a keyword or a name without a schema; `word` is in lower case.
     fn handle_word(&mut self, word: &str) {
         let follows_distinct = std::mem::replace(&mut self.after_distinct, word == "distinct");
         let scope = self.scope();
@@ -170,7 +173,7 @@
     }
 }
 
-/// Whether the first part of a name is one of these keywords.
+/// Whether the token is a name whose first part is one of `keywords`.
 fn starts_with_keyword(token: &Token, keywords: &[&str]) -> bool {
     match token {
         Token::Name(parts) => parts
--- a/crates/gateway/src/http/statement/tokens.rs
+++ b/crates/gateway/src/http/statement/tokens.rs
@@ -1,15 +1,16 @@
-//! Parse stage: splits an SQL statement into names and punctuation, without strings, comments and numbers.
+//! Parse stage: splits an SQL statement into names and punctuation, and skips strings, comments and numbers.
 
-/// A part of a statement.
+/// Token of an SQL statement.
 #[derive(Debug, PartialEq)]
 pub(super) enum Token {
-    /// A name with its parts, as in `sales_17.orders`, or a keyword; quoted parts keep their case.
+    /// Name split at its dots, such as `sales_17.orders`, or a keyword. All parts keep their case, and quoted ones lose
+    /// their quotes.
     Name(Vec<String>),
-    /// One character that is no part of a name.
+    /// Any other character that is not white space.
     Punctuation(char),
 }
 
-/// The tokens of a statement. It never fails: what is not closed reaches to the end.
+/// Returns the tokens of a statement. Never fails: an unclosed string or comment extends to the end of the statement.
 pub(super) fn tokenize(statement: &str) -> Vec<Token> {
     let mut tokens = Vec::new();
     let mut remaining = statement;
@@ -52,7 +53,7 @@
     is_quote(character) || starts_unquoted(character)
 }
 
-/// A name with all parts that dots join, and what follows it.
+/// Returns the parts of a dotted name at the start of `text`, and the text after it.
 fn parse_name(text: &str) -> (Vec<String>, &str) {
     let mut parts = Vec::new();
     let mut remaining = text;
@@ -73,7 +74,7 @@
     }
 }
 
-/// One part of a name, and what follows it; none where no name starts.
+/// Returns one part of a name at the start of `text`, and the text after it. Returns `None` if `text` starts no name.
 fn parse_name_part(text: &str) -> Option<(String, &str)> {
     let first = text.chars().next()?;
     if is_quote(first) {
@@ -91,12 +92,12 @@
     Some((text[..end].to_string(), &text[end..]))
 }
 
-/// Numbers are skipped whole: `1e5` holds no name.
+/// Returns the text after a number. Letters in it are skipped too, so that the `e5` of `1e5` is not taken for a name.
 fn skip_number(text: &str) -> &str {
     text.trim_start_matches(|character| continues_unquoted(character) || character == '.')
 }
 
-/// The text after a quoted one; a doubled quote is a part of it.
+/// Returns the text after a quoted string or name. A doubled quote is an escaped one and does not end it.
 fn skip_quoted(text: &str, quote: char) -> &str {
     let mut remaining = &text[1..];
     while let Some(end) = remaining.find(quote) {
@@ -113,7 +114,7 @@
     text.find('\n').map_or("", |end| &text[end..])
 }
 
-/// The text after a block comment; these nest.
+/// Returns the text after a block comment. Block comments may be nested.
 fn skip_block_comment(text: &str) -> &str {
     let mut depth = 0;
     let mut remaining = text;
@@ -134,7 +135,8 @@
     ""
 }
 
-/// The text after a dollar-quoted one as in `$tag$ text $tag$`, or the dollar sign alone.
+/// Returns the text after a dollar-quoted string such as `$tag$ text $tag$`, or after the dollar sign if none starts
+/// here.
 fn skip_dollar_quoted(text: &str) -> &str {
     let after_dollar = &text[1..];
     let Some(tag) = dollar_tag(text) else {
@@ -145,7 +147,7 @@
         .map_or("", |(_, after)| after)
 }
 
-/// The tag that a text starts with, with both its dollar signs.
+/// Returns the tag that starts a dollar-quoted string, such as `$tag$`. `text` must start with a dollar sign.
 fn dollar_tag(text: &str) -> Option<&str> {
     let name_length =
         text[1..].find(|character| !continues_unquoted(character) || character == '$')?;
--- a/crates/gateway/src/http/streamed_body.rs
+++ b/crates/gateway/src/http/streamed_body.rs
@@ -1,5 +1,7 @@
-//! Handler stage: a body too long to be read whole before its query is admitted. The query runs while its body arrives, and
-//! the body store holds what has arrived, for retries.
+//! Handler stage: submits queries whose bodies are too long, or of unknown length, to be read whole before admission.
+//!
+//! The query runs while its body arrives. The body store keeps the bytes that have arrived, so that a retry can send
+//! them again.
 
 use super::admission::{admit, AdmittedQuery};
 use super::request_head::{RequestError, RequestHead, Submission, SubmittedQuery};
@@ -18,11 +20,11 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// Bytes of a body that are read before its query is admitted, to find its data set.
+/// Number of body bytes that are read before admission, to find the data set of the query.
 const PREFIX_BYTES: usize = 64 << 10;
 
-/// Admits a query while its body arrives, and waits for its answer. Every error closes the connection, since unread
-/// parts of the body may follow.
+/// Admits a query while its body arrives, and returns the response with its final answer or the reason why it has none.
+/// After an error the connection is closed, since parts of the body may be unread.
 pub(super) async fn submit_streamed(
     state: &ServerState,
     store: &Arc<Store>,
@@ -62,7 +64,7 @@
         statement_bytes,
         data_set,
     };
-    // The store has a budget of its own.
+    // The body store has its own memory budget, so nothing is reserved for the statement here.
     let memory = state.reserve_statement_bytes(0)?;
     let query_key = query.head.query_key;
     match admit(state, query, arrived_at, memory, &submission.stream)? {
@@ -73,7 +75,8 @@
     }
 }
 
-/// How long a body is stored: one whose query is not sent again is needed only until it was read.
+/// Returns how long a body of this query class is stored. A non-idempotent query is not sent again, so its body is
+/// needed only until it has been read.
 fn retention(state: &ServerState, class: usize) -> Retention {
     if state.scheduler.is_non_idempotent(class) {
         Retention::UntilRead
@@ -82,8 +85,8 @@
     }
 }
 
-/// Waits for the answer while the rest of the body arrives. With the answer, what is still to arrive is not wanted; without
-/// the rest of the body, the query is cancelled.
+/// Receives the rest of the body while the query runs, and waits for the final answer. If the answer comes first, the
+/// rest of the body is not read and the connection is closed. If receiving the body fails, the query is cancelled.
 async fn answer_while_receiving(
     state: &ServerState,
     waiter: Waiter,
@@ -105,7 +108,7 @@
     Ok(answer_response(answer.await))
 }
 
-/// Marks a stored body as cut off when its request handler ends, for whatever reason; a complete body stays complete.
+/// Marks a stored body as truncated when its request handler ends or is dropped. A complete body stays complete.
 struct AbortOnDrop(Arc<StoredBody>);
 
 impl Drop for AbortOnDrop {
@@ -114,7 +117,7 @@
     }
 }
 
-/// Receives the first [`PREFIX_BYTES`] of a body, or all of a shorter one.
+/// Receives and stores at least the first [`PREFIX_BYTES`] of a body, or all of a shorter one.
 async fn receive_prefix(body: &mut Body, stored: &StoredBody) -> Result<Vec<u8>, SubmissionError> {
     let mut prefix = Vec::new();
     while prefix.len() < PREFIX_BYTES {
@@ -133,7 +136,8 @@
     Ok(prefix)
 }
 
-/// Receives what is left of a body. It ends at the latest with its query, whose deadline bounds it.
+/// Receives and stores the rest of a body. No time-out is needed here: the caller stops when the query ends, at its
+/// deadline at the latest.
 async fn receive_remaining(body: &mut Body, stored: &StoredBody) -> Result<(), SubmissionError> {
     while let Some(bytes) = next_chunk(body).await? {
         stored
@@ -145,7 +149,7 @@
     Ok(())
 }
 
-/// The next bytes of a body; none at its end. Trailers carry nothing here.
+/// Returns the next bytes of a body, or `None` at its end. Trailers are ignored.
 async fn next_chunk(body: &mut Body) -> Result<Option<Bytes>, SubmissionError> {
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| SubmissionError::BodyTruncated)?;
--- a/crates/gateway/src/http/submission.rs
+++ b/crates/gateway/src/http/submission.rs
@@ -1,4 +1,4 @@
-//! Handler stage: a request that submits a query, or cancels one.
+//! Handler stage: handles requests that submit or cancel a query.
 
 use super::admission::admit;
 use super::request_head::{query_key, RequestHead, Submission, SubmittedQuery};
@@ -21,10 +21,12 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// A longer statement is streamed through the body store, or rejected where there is none.
+/// Longest statement that is read whole, in bytes. A longer one is streamed through the body store, or rejected if
+/// there is no body store.
 const MAX_STATEMENT_BYTES: u64 = 1 << 18;
 
-/// Handles a request that submits a query: its response is the query's final answer, or says why it is not admitted.
+/// Handles a request that submits a query. The response carries the final answer or the reason why the query is not
+/// admitted.
 pub(super) async fn submit(
     State(state): State<Arc<ServerState>>,
     Path(class_name): Path<String>,
@@ -50,7 +52,7 @@
     }
 }
 
-/// Reads the whole statement, then admits the query and waits for its answer.
+/// Reads the whole statement, admits the query, and waits for its final answer.
 async fn submit_whole(
     state: &ServerState,
     submission: Submission,
@@ -63,7 +65,7 @@
         .scheduler
         .arrival_time(submission.stream.last_read_at());
     let head = RequestHead::parse(&state.platform, &submission, Some(&statement))
-        .inspect_err(|error| tracing::debug!(%error, "request rejected"))?;
+        .inspect_err(|error| tracing::debug!(%error, "request rejected as invalid"))?;
     let query = SubmittedQuery {
         head,
         client: submission.client,
@@ -75,8 +77,8 @@
     Ok(admitted.response().await)
 }
 
-/// The length of a statement in bytes. Only `Content-Length` counts: with a length given in two ways, the body may hide
-/// another request.
+/// Returns the length of a statement in bytes, from `Content-Length`. Rejects a request with `Transfer-Encoding`: if
+/// both are given, the body may conceal a second request (request smuggling).
 fn statement_length(headers: &HeaderMap, body: &Body) -> Result<u32, SubmissionError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(SubmissionError::LengthRequired);
@@ -96,7 +98,7 @@
         .map_err(|_| SubmissionError::BodyTruncated)
 }
 
-/// Handles a request that cancels a query.
+/// Handles a request that cancels an open query.
 pub(super) async fn cancel(State(state): State<Arc<ServerState>>, headers: HeaderMap) -> Response {
     let query_key = match query_key(&headers) {
         Ok(query_key) => query_key,
