--- a/crates/gateway/src/http/admission.rs
+++ b/crates/gateway/src/http/admission.rs
@@ -1,5 +1,6 @@
-//! Admission stage: hands a submitted query to the scheduler, and starts the task of a new one. Shared by statements that are
-//! read whole and bodies that are streamed.
+//! Admission stage: passes a submitted query to the scheduler, and starts a task for a new query.
+//!
+//! Used for both statements that are read whole and bodies that are streamed.
 
 use super::request_head::{SubmittedQuery, TimedQuery};
 use super::responses::answer_response;
@@ -13,16 +14,16 @@
 use std::sync::Arc;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// A query that gets an answer.
+/// Admitted query, which has a final answer or will get one.
 pub(super) enum AdmittedQuery {
-    /// It is open: new, or joined by this request.
+    /// The query is open: this request opened it, or waits for one that was already open.
     Open(Waiter),
-    /// It ended before, with this answer.
+    /// The query ended earlier, with this cached answer.
     Answered(QueryAnswer),
 }
 
 impl AdmittedQuery {
-    /// The response to the query, once it is answered.
+    /// Waits for the final answer and returns the response that carries it.
     pub async fn response(self) -> Response {
         match self {
             AdmittedQuery::Open(waiter) => answer_response(waiter.answer().await),
@@ -31,12 +32,12 @@
     }
 }
 
-/// Admits a query, or joins the open one of the same key. `arrived_at` is the scheduler's time in seconds at which the request
-/// arrived, and `statement_memory` is held until the query's task ends.
+/// Admits a query, or joins an open query with the same key. `arrived_at` is when the request arrived, in seconds on
+/// the scheduler's clock. If the query is new, `statement_memory` stays reserved until its task ends.
 ///
 /// # Errors
 ///
-/// The client has closed its connection, the query key can't be used again, or the plan denies the query.
+/// Fails if the client has closed its connection, the query key cannot be used again, or the plan denies the query.
 pub(super) fn admit(
     state: &ServerState,
     query: SubmittedQuery,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Starts the task of a new query, and returns its first waiter.
+/// Starts the task of a new query, and returns the query's first waiter.
 fn spawn_query_task(
     state: &ServerState,
     opened: OpenedQuery,
@@ -88,12 +89,13 @@
     opened.waiter
 }
 
-/// Nothing is sent for a client that closed its connection while its request was still to be parsed or admitted.
+/// Fails if the client has closed its connection, so that no query is sent to an engine for a client that left before
+/// admission.
 fn check_client_connected(stream: &StreamHandle, query_key: u64) -> Result<(), SubmissionError> {
     if !stream.is_closed_by_client() {
         return Ok(());
     }
     let query_key = format_args!("{query_key:016x}");
-    tracing::debug!(%query_key, "client closed its connection before admission");
+    tracing::debug!(%query_key, "client closed its connection before its query was admitted");
     Err(SubmissionError::ClientClosed)
 }
--- a/crates/gateway/src/http/responses.rs
+++ b/crates/gateway/src/http/responses.rs
@@ -1,4 +1,4 @@
-//! Response stage: the forms that all responses to queries have.
+//! Response stage: builds the responses to requests.
 
 use crate::scheduling::scheduler::QueryAnswer;
 use crate::system::clock::MILLIS_PER_SECOND;
@@ -8,10 +8,10 @@
 use axum::response::{IntoResponse, Response};
 use serde_json::json;
 
-/// Protocol: the header with the milliseconds after which a rejected query may be sent again.
+/// Header with the time in milliseconds after which a client may send a rejected query again; defined by the protocol.
 const RETRY_AFTER_HEADER: HeaderName = HeaderName::from_static("x-wait-ms");
 
-/// The response that carries a query's final answer.
+/// Returns the response that carries the final answer of a query.
 pub(super) fn answer_response(answer: QueryAnswer) -> Response {
     match answer {
         QueryAnswer::Succeeded(body) => json_response(StatusCode::OK, body),
@@ -20,7 +20,8 @@
     }
 }
 
-/// The query may be sent again, after so many seconds where these are given: it has not run, or a second run does no harm.
+/// Returns a response that lets the client send the query again, after `retry_after_seconds` if given. Used only if the
+/// query has not run, or if running it again does no harm.
 pub(super) fn busy_response(reason: Option<&str>, retry_after_seconds: Option<f64>) -> Response {
     let body = match reason {
         Some(reason) => json!({"error": "Busy", "reason": reason}),
@@ -36,7 +37,7 @@
     response
 }
 
-/// A short response that says what is wrong.
+/// Returns a response with a JSON body that carries `text` as its error.
 pub(super) fn error_response(status: StatusCode, text: &str) -> Response {
     json_response(status, json!({"error": text}).to_string())
 }
@@ -46,7 +47,7 @@
     (status, [content_type], body.into()).into_response()
 }
 
-/// Makes a response the last on its connection: what may follow is not parsed as a request.
+/// Marks a response as the last on its connection, so that bytes that follow are not parsed as a request.
 pub(super) fn close_after(mut response: Response) -> Response {
     response
         .headers_mut()
--- a/crates/gateway/src/http/send_time.rs
+++ b/crates/gateway/src/http/send_time.rs
@@ -1,53 +1,57 @@
-//! Admission stage: estimates when a client sent a query, from where its deadline counts.
+//! Admission stage: estimates when a client sent a query. The deadline of the query counts from that time.
 //!
-//! The time that a client allows starts when it wants to send the query, but it may hold the query back before it writes it:
-//! while it waits for a free connection, or while an earlier query of the same ordering key is ahead. The gateway sees only
-//! when the request arrived. [`SendTimeEstimator::estimate`] gives the earliest time at which the client may have sent it.
+//! A client counts the allowed time from when it wants to send the query, but it may delay the request: until a
+//! connection is free, or until an earlier query of the same ordering key is sent. The gateway knows only when the
+//! request arrived. [`SendTimeEstimator::estimate`] returns the earliest time at which the client may have sent the
+//! query.
 //!
-//! Inputs: the arrival time, the ordering key, the number of open queries (whether clients may lack connections), and earlier
-//! arrivals with the same key. All times and spans are in seconds, on the scheduler's clock.
+//! The estimate depends on the arrival time, the ordering key, the number of open queries (which shows whether clients
+//! may lack connections), and earlier arrivals with the same key. All times and spans are in seconds on the scheduler's
+//! clock.
 //!
-//! Bounds: the estimate lies before the arrival by the longest of these:
+//! The estimate precedes the arrival by the longest of these delays:
 //! - `MIN_DELAY_SECONDS`, always;
-//! - the connect timeout, where clients may lack connections;
-//! - the age of the burst, up to `MAX_BURST_DELAY_SECONDS`, for a key whose queries arrive close together;
-//! - the age of the client's queue, for a key whose gaps show that its queue is full.
+//! - the connect timeout, if clients may lack connections;
+//! - the age of the burst plus `NEW_CONNECTION_GAP_SECONDS`, up to `MAX_BURST_DELAY_SECONDS`, for any query with a key;
+//! - the age of the backlog, for a key whose arrival gaps show that its clients always have a query to send.
 
 use std::collections::HashMap;
 
-/// Every query is taken to have been held back this long at least.
+/// Least client-side delay that is assumed for every query.
 const MIN_DELAY_SECONDS: f64 = 0.03;
-/// With this many connections free or fewer, a client may wait for one.
+/// A client may have to wait for a connection if this many connections or fewer are free.
 const SPARE_CONNECTIONS: usize = 16;
-/// Protocol: least time between the first query of a key on a new connection and the next of that key.
+/// Least time, by the protocol, between the first query of a key on a new connection and the next query of that key.
 const NEW_CONNECTION_GAP_SECONDS: f64 = 0.25;
-/// Protocol: least time between other queries of a key. A queued query that expires at its client takes as long, and is never
-/// seen here.
+/// Least time, by the protocol, between other queries of a key. A queued query that expires at the client takes the
+/// same time and never arrives.
 const QUEUE_GAP_SECONDS: f64 = 0.06;
-/// Queries of a key that arrive closer than this may have queued at their client.
+/// Queries of a key that arrive less than this apart belong to one burst, and may have queued at the client.
 const BURST_GAP_SECONDS: f64 = 0.5;
-/// Longest time that a burst is taken to have held a query back.
+/// Longest client-side delay that is assumed because of a burst.
 const MAX_BURST_DELAY_SECONDS: f64 = 2.0;
-/// A gap is one of the protocol's gaps within this: a few round trips to the client.
+/// Largest deviation of an arrival gap from a gap of the protocol; a few round trips to the client.
 const GAP_TOLERANCE_SECONDS: f64 = 0.004;
-/// Consecutive gaps of the protocol that show a full queue; a random gap is one with a probability of about 1/5.
+/// Number of consecutive protocol gaps that shows a backlog. A random gap matches a protocol gap with a probability of
+/// about 1/5.
 const MIN_BACKLOG_GAPS: u32 = 5;
-/// Keys remembered before those that no longer matter are removed.
+/// Number of stored keys above which keys that no longer affect estimates are removed.
 const KEY_PRUNE_THRESHOLD: usize = 1024;
 
-/// The arrivals of one ordering key, as far as they show the queue at its clients. Times in seconds.
+/// Arrival history of one ordering key, from which the backlog at its clients is inferred. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 struct OrderingKeyArrivals {
     last_arrival: f64,
-    /// Since when each arrival has followed the one before within [`BURST_GAP_SECONDS`].
+    /// First arrival of the current burst: each later one followed within [`BURST_GAP_SECONDS`] of the one before.
     burst_start: f64,
-    /// Since when queued arrivals have had the protocol's gaps.
+    /// First arrival of the current series of arrivals at protocol gaps.
     backlog_start: f64,
-    /// Consecutive gaps of the protocol between queued arrivals.
+    /// Number of protocol gaps in this series.
     protocol_gap_count: u32,
+    /// Last arrival of this series.
     last_queued_arrival: f64,
-    /// An arrival at another gap followed the last queued one. One alone does not end the queue: a faulty client may use the
-    /// key, too.
+    /// Whether an arrival at another gap followed the last one of the series. A single such arrival does not end the
+    /// series, since it may come from a faulty client that uses the same key.
     is_interrupted: bool,
 }
 
@@ -63,13 +67,13 @@
         }
     }
 
-    /// Whether the gaps show that the clients always have a query of this key to send.
+    /// Whether the arrival gaps show that the clients always have a query of this key to send.
     fn is_backlogged(&self) -> bool {
         self.protocol_gap_count >= MIN_BACKLOG_GAPS
     }
 
-    /// The arrivals with another one. Queued queries that expired unseen make long gaps; these count only in a queue that is
-    /// known to be full, up to `max_queue_age` seconds.
+    /// Returns the history with one more arrival. Queued queries that expire at the client make long gaps; such gaps,
+    /// up to `max_queue_age` seconds, continue the series only if the key is known to be backlogged.
     fn with_arrival(self, arrival: f64, max_queue_age: f64) -> Self {
         let burst_start = if arrival - self.last_arrival < BURST_GAP_SECONDS {
             self.burst_start
@@ -103,12 +107,13 @@
         OrderingKeyArrivals::new(arrival, burst_start)
     }
 
-    /// Longest time, in seconds, that a query which arrives now may have been held back behind others in a burst.
+    /// Longest time in seconds that a query which arrives at `now` may have waited at its client behind others of the
+    /// burst.
     fn burst_delay(&self, now: f64) -> f64 {
         (now - self.burst_start + NEW_CONNECTION_GAP_SECONDS).min(MAX_BURST_DELAY_SECONDS)
     }
 
-    /// Longest time, in seconds, that a query which arrives now may have been in a full queue.
+    /// Longest time in seconds that a query which arrives at `now` may have waited in the backlog; 0 if there is none.
     fn backlog_delay(&self, now: f64) -> f64 {
         if self.is_backlogged() && !self.is_interrupted {
             now - self.backlog_start
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Whether a query that arrives now may still have queued behind these arrivals.
+    /// Whether a query that arrives at `now` may have queued behind these arrivals at its client.
     fn is_relevant(&self, now: f64, max_queue_age: f64) -> bool {
         let max_age = if self.is_backlogged() {
             max_queue_age
@@ -128,22 +133,23 @@
     }
 }
 
-/// Estimates when clients sent their queries; see the module's documentation.
+/// Estimates when clients sent their queries, as described in the module documentation.
 #[derive(Debug)]
 pub struct SendTimeEstimator {
     keys: HashMap<u64, OrderingKeyArrivals>,
-    /// Queries that clients' connections can carry at once.
+    /// Number of queries that client connections can carry at once.
     connection_capacity: usize,
-    /// Time in seconds that a client waits for a connection.
+    /// Longest time that a client waits for a connection, in seconds.
     connect_timeout: f64,
-    /// Twice the longest deadline, in seconds: a queue whose last query was that old when it was last seen, and all of which
-    /// then expired, has had no query that can still arrive.
+    /// Twice the longest deadline, in seconds: one deadline for the age that the last query of a queue may have when it
+    /// arrives, and one in which all queries queued behind it expire. After that, none of them can still arrive.
     max_queue_age: f64,
 }
 
 impl SendTimeEstimator {
-    /// For clients whose connections can carry `connection_capacity` queries at once, who wait `connect_timeout` seconds for a
-    /// connection and allow `longest_deadline` seconds at most.
+    /// Returns an estimator without arrivals. Client connections can carry `connection_capacity` queries at once;
+    /// clients wait up to `connect_timeout` seconds for a connection, and allow up to `longest_deadline` seconds for a
+    /// query.
     pub fn new(connection_capacity: usize, connect_timeout: f64, longest_deadline: f64) -> Self {
         SendTimeEstimator {
             keys: HashMap::new(),
@@ -153,8 +159,8 @@
         }
     }
 
-    /// The earliest time, in seconds, at which the client may have sent a query that arrived at `arrival`, while
-    /// `open_queries` others held connections. Remembers the arrival for later queries of the key.
+    /// Returns the earliest time in seconds at which the client may have sent a query that arrived at `arrival` while
+    /// `open_queries` others used connections. Records the arrival for later estimates of the same key.
     pub fn estimate(&mut self, key: Option<u64>, arrival: f64, open_queries: usize) -> f64 {
         let connection_delay = self.connection_delay(open_queries);
         let Some(key) = key else {
@@ -167,7 +173,7 @@
         arrival - delay
     }
 
-    /// Longest time, in seconds, that a client may have waited for a connection.
+    /// Longest time in seconds that a client may have waited for a connection; at least [`MIN_DELAY_SECONDS`].
     fn connection_delay(&self, open_queries: usize) -> f64 {
         if open_queries + SPARE_CONNECTIONS < self.connection_capacity {
             MIN_DELAY_SECONDS
@@ -190,8 +196,8 @@
     }
 }
 
-/// Whether two queries of a key arrived as far apart as they do out of a full queue: by one of the protocol's two gaps, and
-/// one more [`QUEUE_GAP_SECONDS`] for each query between them that expired unseen.
+/// Whether two queries of a backlogged key may arrive `gap` seconds apart: one of the two gaps of the protocol, plus
+/// [`QUEUE_GAP_SECONDS`] for each query between them that expired at the client.
 fn is_protocol_gap(gap: f64) -> bool {
     let deviation = |base: f64| {
         let expired = ((gap - base) / QUEUE_GAP_SECONDS).round().max(0.0);
--- a/crates/gateway/src/http/send_time/tests.rs
+++ b/crates/gateway/src/http/send_time/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Clients that had held queries back closed their connections before the gateway answered.
+/// Guards against responses that come after the client's deadline: clients that had delayed a query before sending it
+/// closed their connections before the gateway answered.
 #[test]
 fn estimate_covers_possible_client_delays() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
@@ -8,14 +9,18 @@
     assert_eq!(
         estimator.estimate(None, 10.0, 95),
         9.75,
-        "all connections were in use"
+        "all connections are in use, so the client may have waited for one"
     );
     assert_eq!(
         estimator.estimate(Some(7), 10.0, 0),
         9.75,
-        "an unseen one may have been sent before it"
+        "an earlier query of the key may not have arrived"
+    );
+    assert_eq!(
+        estimator.estimate(Some(7), 10.125, 0),
+        9.75,
+        "the arrival belongs to the burst"
     );
-    assert_eq!(estimator.estimate(Some(7), 10.125, 0), 9.75, "in a burst");
     assert_eq!(estimator.estimate(Some(8), 10.125, 0), 9.875);
     assert_eq!(
         estimator.estimate(Some(7), 11.0, 0),
@@ -28,12 +33,12 @@
     assert_eq!(
         last,
         Some(13.43 - MAX_BURST_DELAY_SECONDS),
-        "close together, but at no gap of the protocol"
+        "arrivals close together, but not at gaps of the protocol"
     );
 }
 
-/// Clients may queue for a busy key for several seconds: queued queries that expire are never seen, and faulty clients use the
-/// key in between.
+/// Clients may queue queries of a busy key for several seconds. Queued queries that expire never arrive, and faulty
+/// clients may send queries of the same key in between; neither ends the backlog.
 #[test]
 fn backlogged_key_may_be_delayed_by_the_age_of_its_backlog() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
@@ -49,7 +54,7 @@
         if gap == 0.6 {
             assert!(
                 estimator.estimate(Some(7), arrival + 0.03, 0) > arrival - MAX_BURST_DELAY_SECONDS,
-                "one out of step"
+                "a single arrival at another gap adds no delay for the backlog"
             );
         }
     }
@@ -59,16 +64,16 @@
     arrival += 0.05;
     assert!(
         estimator.estimate(Some(7), arrival, 0) >= arrival - MAX_BURST_DELAY_SECONDS,
-        "two out of step end the queue"
+        "two arrivals in a row at other gaps end the backlog"
     );
     assert_eq!(
         estimator.estimate(Some(7), arrival + 4.0, 0),
         arrival + 4.0 - NEW_CONNECTION_GAP_SECONDS,
-        "a gap that only a full queue may have"
+        "a gap that counts only for a backlogged key"
     );
 }
 
-/// A key with steady arrivals at random gaps is not taken for a queue as old as the first of them.
+/// Guards against estimates as early as the first arrival of a key whose queries arrive steadily at random gaps.
 #[test]
 fn random_arrival_gaps_are_rarely_taken_for_a_backlog() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
@@ -85,6 +90,6 @@
     let early = early.count();
     assert!(
         early < 200,
-        "{early} of 10000 are estimated to have been held back for longer"
+        "{early} of 10000 queries are estimated to have been delayed for longer than a burst allows"
     );
 }
--- a/crates/gateway/src/http/submission_error.rs
+++ b/crates/gateway/src/http/submission_error.rs
@@ -1,4 +1,4 @@
-//! Response stage: why a request is answered without its query being admitted, and what the client is answered.
+//! Response stage: maps each reason why a submitted query gets no final answer to the response to its client.
 
 use super::request_head::RequestError;
 use super::responses::{busy_response, close_after, error_response};
@@ -9,52 +9,55 @@
 use garnetwall_settings::PlatformSettings;
 use thiserror::Error;
 
-/// Why a query is not admitted. The text is the client's response, so it keeps the words of the protocol.
+/// Reason why a query is not admitted, or why its body could not be received after admission. The text is sent to the
+/// client and follows the protocol's wording.
 #[derive(Debug, Error, PartialEq)]
 pub(super) enum SubmissionError {
-    /// The head of the request is wrong.
+    /// The head of the request is invalid, or the statement is empty.
     #[error(transparent)]
     InvalidHead(#[from] RequestError),
-    /// The length of the statement is not given by `Content-Length`.
+    /// The request must give the length of the statement by `Content-Length`, and only by it.
     #[error("a statement comes with its Content-Length")]
     LengthRequired,
-    /// The statement is longer than any that is read whole.
+    /// The statement is longer than the longest that is read whole, and there is no body store.
     #[error("statement too long")]
     StatementTooLong,
-    /// The statement is longer than the plan allows for its class, in bytes.
+    /// The statement is longer than the plan allows; `max_bytes` is the longest allowed.
     #[error("the plan allows statements of {max_bytes} bytes")]
     StatementOverPlan { max_bytes: u64 },
-    /// The body is longer than any that is stored, in bytes.
+    /// The body is longer than the body store accepts; `max_bytes` is the longest accepted.
     #[error("a body has {max_bytes} bytes at most")]
     BodyTooLong { max_bytes: u64 },
-    /// The memory for statements is in use. Not a busy answer: the id may be that of an open query.
+    /// The memory budget for statements is used up. Not answered as `Busy`, since the query key may be that of an open
+    /// query.
     #[error("too many statements in hand")]
     StatementMemoryFull,
-    /// The class requires its bodies to be stored, and there is no space.
+    /// The query class requires that its bodies are stored, and the body store has no space.
     #[error("no room for the body")]
     BodyStoreFull,
-    /// The connection ended within the body.
+    /// The connection ended before the body was complete.
     #[error("statement cut off")]
     BodyTruncated,
-    /// The statement did not arrive in time.
+    /// The statement, or the next chunk of a streamed body, did not arrive in time.
     #[error("statement came too slowly")]
     BodyReadTimeout,
-    /// The body store refused a part of a body whose query was admitted.
+    /// After the query was admitted, the body store refused a part of its body.
     #[error("the body can't be kept, or is longer than it may be")]
     BodyNotStored,
-    /// The client closed its connection before its query was admitted: nobody reads the answer.
+    /// The client closed its connection before its query was admitted, so this response is not read.
     #[error("the client has left")]
     ClientClosed,
-    /// A different query has the same id.
+    /// A different query has the same query key.
     #[error("this id is that of another batch")]
     QueryKeyConflict,
-    /// The query ended before, and its answer is not cached.
+    /// A query with this key ended earlier, and its answer is not cached.
     #[error("this id has had its answer")]
     AnswerNotCached,
-    /// An earlier process sent the query to an engine, which may have run it.
+    /// An earlier gateway process may have sent the query to an engine, which may have run it.
     #[error("Failed")]
     MayHaveRun,
-    /// A rule or a limit of the plan denies the query; it may be sent again after `retry_after_seconds`.
+    /// A rule or limit of the plan denies the query. The client may send it again after `retry_after_seconds`; `None`
+    /// if the response gives no time.
     #[error("{reason}")]
     DeniedByPlan {
         reason: String,
@@ -63,7 +66,8 @@
 }
 
 impl SubmissionError {
-    /// A denial by the plan. The settings say whether its response gives a time to retry after, and the longest.
+    /// Returns the error for a denial by the plan. The settings decide whether the response gives a time to retry
+    /// after, and limit that time.
     pub fn denied_by_plan(denial: PlanDenial, platform: &PlatformSettings) -> Self {
         match denial {
             PlanDenial::StatementTooLong { max_bytes } => {
@@ -74,7 +78,11 @@
                 retry_after,
             } => {
                 let retry_after_ms = retry_after.map(|span| span.as_millis());
-                tracing::debug!(reason, retry_after_ms, "query rejected by plan");
+                tracing::debug!(
+                    reason,
+                    retry_after_ms,
+                    "query rejected by a rule or limit of the plan"
+                );
                 let settings = &platform.settings;
                 let retry_after_seconds = retry_after
                     .filter(|_| settings.retry_after_allowed)
@@ -109,7 +117,8 @@
         }
     }
 
-    /// Whether a part of the request may be unread, so that what follows can't be parsed as a request.
+    /// Whether the response closes the connection, because unread parts of the request could be parsed as the next
+    /// request.
     fn closes_connection(&self) -> bool {
         match self {
             SubmissionError::InvalidHead(_)
--- a/crates/gateway/src/http/submission_error/tests.rs
+++ b/crates/gateway/src/http/submission_error/tests.rs
@@ -2,7 +2,7 @@
 use axum::body::to_bytes;
 use axum::http::header::{HeaderMap, CONNECTION};
 
-/// The status, headers and body of the response to an error.
+/// Returns the status, headers and body of the response to `error`.
 async fn response_parts(error: SubmissionError) -> (u16, HeaderMap, String) {
     let (head, body) = error.into_response().into_parts();
     let body = to_bytes(body, 1 << 10).await.unwrap();
