--- a/crates/gateway/src/http/client_stream.rs
+++ b/crates/gateway/src/http/client_stream.rs
@@ -25,7 +25,7 @@
 /// Most bytes that are discarded when a connection closes; more than the kernel buffers for one connection.
 const MAX_DISCARDED_BYTES: usize = 8 << 20;
 
-/// How a client ended its side of a connection.
+/// End of the client's side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamEnd {
     /// The client closed its write side.
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -26,7 +26,7 @@
     b"HTTP/1.1 408 Request Timeout\r\nContent-Type: application/json\r\nConnection: close\r\n\
     Content-Length: 36\r\n\r\n{\"error\":\"the call came too slowly\"}";
 
-/// How a connection is closed after the last bytes were written.
+/// Way to close a connection after the last bytes were written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseMode {
     /// Waits up to [`LINGER_TIMEOUT`] for the client to read them and to close.
--- a/crates/gateway/src/http/connection/request_loop.rs
+++ b/crates/gateway/src/http/connection/request_loop.rs
@@ -25,7 +25,7 @@
 /// Size of the HTTP parser's buffer in bytes; larger than any valid request head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Why no further request is read from a connection.
+/// Reason why no further request is read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
     /// The client closed the connection; no response is written.
@@ -42,7 +42,7 @@
     Evicted,
 }
 
-/// How many requests a connection may still carry.
+/// Limit on the number of requests that are still read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RemainingRequests {
     /// Any number, with idle time in between of up to [`IDLE_TIMEOUT`].
