--- a/crates/gateway/src/http/send_time/tests.rs
+++ b/crates/gateway/src/http/send_time/tests.rs
@@ -1,21 +1,26 @@
 use super::*;
 
-/// Clients that had held queries back closed their connections before the gateway answered.
+/// Guards against responses that come after the client's deadline: clients that had delayed a query before sending it
+/// closed their connections before the gateway answered.
 #[test]
-fn the_estimate_covers_what_the_client_may_have_held_back() {
+fn estimate_covers_possible_client_delays() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
-    assert_eq!(estimator.estimate(None, 10.0, 0), 10.0 - MIN_HOLD_SECONDS);
+    assert_eq!(estimator.estimate(None, 10.0, 0), 10.0 - MIN_DELAY_SECONDS);
     assert_eq!(
         estimator.estimate(None, 10.0, 95),
         9.75,
-        "all connections were in use"
+        "all connections are in use, so the client may have waited for one"
     );
     assert_eq!(
         estimator.estimate(Some(7), 10.0, 0),
         9.75,
-        "an unseen one may have been sent before it"
+        "an earlier query of the key may not have arrived"
+    );
+    assert_eq!(
+        estimator.estimate(Some(7), 10.125, 0),
+        9.75,
+        "the arrival belongs to the burst"
     );
-    assert_eq!(estimator.estimate(Some(7), 10.125, 0), 9.75, "in a burst");
     assert_eq!(estimator.estimate(Some(8), 10.125, 0), 9.875);
     assert_eq!(
         estimator.estimate(Some(7), 11.0, 0),
@@ -27,15 +32,15 @@
         .last();
     assert_eq!(
         last,
-        Some(13.43 - MAX_BURST_HOLD_SECONDS),
-        "close together, but at no gap of the protocol"
+        Some(13.43 - MAX_BURST_DELAY_SECONDS),
+        "arrivals close together, but not at gaps of the protocol"
     );
 }
 
-/// Clients may queue for a busy key for several seconds: queued queries that expire are never seen, and faulty clients use the
-/// key in between.
+/// Clients may queue queries of a busy key for several seconds. Queued queries that expire never arrive, and faulty
+/// clients may send queries of the same key in between; neither ends the backlog.
 #[test]
-fn a_full_queue_holds_back_for_as_long_as_it_has_been_full() {
+fn backlogged_key_may_be_delayed_by_the_age_of_its_backlog() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
     let mut arrival = 10.0;
     estimator.estimate(Some(7), arrival, 0);
@@ -48,8 +53,8 @@
         assert!(estimator.estimate(Some(7), arrival, 0) <= 10.0, "{arrival}");
         if gap == 0.6 {
             assert!(
-                estimator.estimate(Some(7), arrival + 0.03, 0) > arrival - MAX_BURST_HOLD_SECONDS,
-                "one out of step"
+                estimator.estimate(Some(7), arrival + 0.03, 0) > arrival - MAX_BURST_DELAY_SECONDS,
+                "a single arrival at another gap adds no delay for the backlog"
             );
         }
     }
@@ -58,19 +63,19 @@
     estimator.estimate(Some(7), arrival, 0);
     arrival += 0.05;
     assert!(
-        estimator.estimate(Some(7), arrival, 0) >= arrival - MAX_BURST_HOLD_SECONDS,
-        "two out of step end the queue"
+        estimator.estimate(Some(7), arrival, 0) >= arrival - MAX_BURST_DELAY_SECONDS,
+        "two arrivals in a row at other gaps end the backlog"
     );
     assert_eq!(
         estimator.estimate(Some(7), arrival + 4.0, 0),
         arrival + 4.0 - NEW_CONNECTION_GAP_SECONDS,
-        "a gap that only a full queue may have"
+        "a gap that counts only for a backlogged key"
     );
 }
 
-/// A key with steady arrivals at random gaps is not taken for a queue as old as the first of them.
+/// Guards against estimates as early as the first arrival of a key whose queries arrive steadily at random gaps.
 #[test]
-fn a_steady_key_at_random_gaps_is_no_full_queue() {
+fn random_arrival_gaps_are_rarely_taken_for_a_backlog() {
     let mut estimator = SendTimeEstimator::new(100, 0.25, 20.0);
     let mut random = 1_u64;
     let mut arrival = 10.0;
@@ -80,11 +85,11 @@
             .wrapping_add(1_442_695_040_888_963_407);
         arrival += 0.02 + 0.6 * (random >> 11) as f64 / (1_u64 << 53) as f64;
         estimator.estimate(Some(7), arrival, 0)
-            < arrival - MAX_BURST_HOLD_SECONDS - GAP_TOLERANCE_SECONDS
+            < arrival - MAX_BURST_DELAY_SECONDS - GAP_TOLERANCE_SECONDS
     });
     let early = early.count();
     assert!(
         early < 200,
-        "{early} of 10000 are estimated to have been held back for longer"
+        "{early} of 10000 queries are estimated to have been delayed for longer than a burst allows"
     );
 }
--- a/crates/gateway/src/http/submission_error/tests.rs
+++ b/crates/gateway/src/http/submission_error/tests.rs
@@ -2,7 +2,7 @@
 use axum::body::to_bytes;
 use axum::http::header::{HeaderMap, CONNECTION};
 
-/// The status, headers and body of the response to an error.
+/// Returns the status, headers and body of the response to `error`.
 async fn response_parts(error: SubmissionError) -> (u16, HeaderMap, String) {
     let (head, body) = error.into_response().into_parts();
     let body = to_bytes(body, 1 << 10).await.unwrap();
@@ -11,10 +11,10 @@
 }
 
 #[tokio::test]
-async fn a_submission_error_has_its_status_and_text_and_closes_where_the_body_may_be_unread() {
+async fn submission_errors_have_fixed_status_and_text_and_close_if_body_may_be_unread() {
     let cases = [
         (
-            RequestError::NoStatement.into(),
+            RequestError::EmptyStatement.into(),
             400,
             r#"{"error":"no statement"}"#,
             false,
@@ -56,13 +56,13 @@
             true,
         ),
         (
-            SubmissionError::BodyCutOff,
+            SubmissionError::BodyTruncated,
             400,
             r#"{"error":"statement cut off"}"#,
             true,
         ),
         (
-            SubmissionError::BodyTooSlow,
+            SubmissionError::BodyReadTimeout,
             408,
             r#"{"error":"statement came too slowly"}"#,
             true,
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn a_denial_by_the_plan_gives_its_reason_and_when_to_retry() {
+async fn plan_denial_has_its_reason_and_retry_time() {
     let error = |retry_after_seconds| SubmissionError::DeniedByPlan {
         reason: "over the limit".into(),
         retry_after_seconds,
