--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -1,5 +1,6 @@
-//! Routes queries by the plan: compiles it with the engines of its pools, applies its limits, and numbers the endpoint subsets
-//! that the admission controller knows. Which route, engines and limits apply is decided in `garnetwall_routing`.
+//! Routes queries by the plan: compiles the plan, tracks the engines of its pools, applies its limits, and numbers the
+//! endpoint subsets that the admission controller uses. `garnetwall_routing` decides the route, the engines and the
+//! limits of a query.
 
 mod class_settings;
 
@@ -20,46 +21,46 @@
 /// A change of an endpoint subset, for the admission controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetUpdate {
-    /// The number of the subset.
+    /// The number by which the admission controller knows the subset.
     pub endpoint_subset: u32,
-    /// Its engines by priority level, the preferred ones first; `None` for a subset that is removed.
+    /// The subset's engines by priority level, most preferred first; `None` if the subset is removed.
     pub priority_levels: Option<Vec<EngineSet>>,
 }
 
-/// What the plan sets for a query that it admits. It counts against the plan's limits until it is given to
-/// [`PlanRouter::release`].
+/// The plan's terms for a query that it has admitted. The query counts against the plan's limits until this value is
+/// passed to [`PlanRouter::release`].
 pub struct PlanAdmission {
     permit: LimitPermit,
-    /// Keeps the plan, and with it the query's endpoint subset, for as long as the query is open.
+    /// Keeps the plan, and with it the query's endpoint subset, while the query is open.
     _plan: Arc<CompiledPlan>,
-    /// The endpoint subset that the query is confined to; every engine where it is `None`.
+    /// The endpoint subset that the query is confined to; `None` if it may run at every engine.
     pub endpoint_subset: Option<u32>,
-    /// The class that the query is treated as.
+    /// Index of the class that the query is treated as; a route may change the requested class.
     pub class: usize,
-    /// The plan's own deadline, counted from the admission.
+    /// The plan's own time limit for the query, counted from its admission.
     pub deadline: Option<Duration>,
 }
 
-/// Why the plan denies a query.
+/// The reason why the plan does not admit a query.
 #[derive(Debug, PartialEq)]
 pub enum PlanDenial {
-    /// A route refuses it, or it is over a limit.
+    /// A route refuses the query, or the query is over a limit.
     RouteOrLimit {
-        /// The reason, for the client.
+        /// The reason, in the words that are sent to the client.
         reason: String,
-        /// When the limit is expected to admit the query; `None` where a route refuses it.
+        /// The time after which the limit is expected to admit the query; `None` if a route refuses it.
         retry_after: Option<Duration>,
     },
-    /// Its statement is longer than its class allows.
+    /// The statement is longer than the query's class allows.
     StatementTooLong {
-        /// The longest statement of its class, in bytes.
+        /// The longest statement that the class allows, in bytes.
         max_bytes: u64,
     },
 }
 
 impl From<LimitExceeded> for PlanDenial {
     fn from(exceeded: LimitExceeded) -> Self {
-        // Wire: clients are sent these words.
+        // Wire format: these words are sent to clients.
         let quantity = match exceeded.kind {
             LimitKind::InFlight => "InHand",
             LimitKind::Rate => "Rate",
@@ -75,7 +76,8 @@
 /// A plan compiled for routing.
 struct CompiledPlan {
     routing: Routing,
-    /// The number that the admission controller knows its first endpoint subset by; those of the others follow.
+    /// The number by which the admission controller knows this plan's first endpoint subset. The numbers of the others
+    /// follow consecutively.
     first_subset: u32,
 }
 
@@ -90,7 +92,7 @@
     }
 }
 
-/// A plan with the engines of its pools.
+/// A compiled plan with the engines that belong to its pools.
 struct RoutedPlan {
     plan: Arc<CompiledPlan>,
     pool_members: PoolMembers,
@@ -106,12 +108,12 @@
         RoutedPlan { plan, pool_members }
     }
 
-    /// Whether an open query was admitted under it.
+    /// Whether an open query was admitted under this plan.
     fn is_in_use(&self) -> bool {
         Arc::strong_count(&self.plan) > 1
     }
 
-    /// Its endpoint subsets, except those that leave every engine open.
+    /// The plan's endpoint subsets as updates, except for those that allow every engine.
     fn subset_updates(&self) -> impl Iterator<Item = SubsetUpdate> + '_ {
         let routing = &self.plan.routing;
         let is_restricted = |index: &usize| !routing.endpoint_subsets()[*index].is_unrestricted();
@@ -139,25 +141,26 @@
     }
 }
 
-/// Routes queries by the plan in force and applies its limits. Open queries keep the plan that they were admitted under.
+/// Routes queries by the plan in force and applies its limits. Open queries keep the plan that they were admitted
+/// under.
 pub struct PlanRouter {
     names: Names,
     zone_names: Vec<String>,
     kind_names: Vec<String>,
-    /// Queries that this gateway can hold at once.
+    /// Number of queries that this gateway can hold at once.
     capacity: f64,
     limits: Limits,
     in_force: RoutedPlan,
-    /// Earlier plans that open queries were admitted under, the oldest first.
+    /// Earlier plans that open queries were admitted under, oldest first.
     superseded: Vec<RoutedPlan>,
     /// The number of the next plan's first endpoint subset.
     next_subset: u32,
-    /// The endpoint list, by engine.
+    /// The endpoint list, indexed by engine; `None` for an engine that is not in the list.
     endpoints: Vec<Option<EngineUpdate>>,
 }
 
 impl PlanRouter {
-    /// A router for a gateway that can hold `capacity` queries at once.
+    /// Creates a router for a gateway that can hold `capacity` queries at once.
     pub fn new(platform: &PlatformSettings, plan: Arc<Plan>, capacity: f64) -> Self {
         let names = Names {
             classes: platform.names.classes.clone(),
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Puts another plan in force. Returns the changes of endpoint subsets.
+    /// Puts another plan in force. Returns the resulting changes of endpoint subsets.
     pub fn update_plan(&mut self, plan: Arc<Plan>) -> Vec<SubsetUpdate> {
         let routing = Routing::new(plan, self.names.clone());
         self.limits.update_plan(&routing, self.capacity);
@@ -195,8 +198,8 @@
         updates
     }
 
-    /// Applies a change of the endpoint list; a full one removes the engines that it does not name. Returns the changes of
-    /// endpoint subsets.
+    /// Applies a change of the endpoint list. A full list removes the engines that it does not name. Returns the
+    /// resulting changes of endpoint subsets.
     pub fn update_endpoints(&mut self, change: &ListChange) -> Vec<SubsetUpdate> {
         if change.scope == ListScope::Full {
             self.remove_unnamed_endpoints(&change.updates);
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Applies what the endpoint list says of an engine to the pools of every plan.
+    /// Applies the endpoint list's entry for an engine, or its absence, to the pools of every plan.
     fn update_pools(&mut self, engine: usize) {
         let update = self.endpoints.get(engine).and_then(Option::as_ref);
         let facts = update.map(|update| EngineFacts {
@@ -242,7 +245,8 @@
         }
     }
 
-    /// Removes the superseded plans that no open query was admitted under.
+    /// Removes the superseded plans that no open query was admitted under. Returns the removals of their endpoint
+    /// subsets.
     fn remove_unused_plans(&mut self) -> Vec<SubsetUpdate> {
         let mut removals = Vec::new();
         self.superseded.retain(|routed| {
@@ -260,11 +264,11 @@
         plans.flat_map(RoutedPlan::subset_updates)
     }
 
-    /// Admits a query under the plan in force; `now` is in seconds on the gateway's clock.
+    /// Admits a query under the plan in force. `now` is in seconds on the gateway's clock.
     ///
     /// # Errors
     ///
-    /// A route refuses the query, its statement is too long, or it is over a limit.
+    /// [`PlanDenial`] if a route refuses the query, its statement is too long, or it is over a limit.
     pub fn admit(&mut self, now: f64, query: &RoutedQuery) -> Result<PlanAdmission, PlanDenial> {
         let plan = &self.in_force.plan;
         let routing = &plan.routing;
@@ -293,7 +297,7 @@
         })
     }
 
-    /// Returns what an admitted query holds of the plan's limits, once the query has ended.
+    /// Returns an admitted query's share of the plan's limits, once the query has ended.
     pub fn release(&mut self, now: f64, admission: PlanAdmission) {
         self.limits.release(unix_time(now), admission.permit);
     }
@@ -307,7 +311,7 @@
     }
 }
 
-/// The name at an index; empty where the settings have none.
+/// The name at an index; empty if the settings have none.
 fn name_at(names: &[String], index: usize) -> &str {
     names.get(index).map_or("", String::as_str)
 }
--- a/crates/gateway/src/scheduling/plan_routing/class_settings.rs
+++ b/crates/gateway/src/scheduling/plan_routing/class_settings.rs
@@ -1,4 +1,4 @@
-//! Conversion between the platform's settings and what a plan says of query classes.
+//! Conversion between the platform's settings of query classes and the rules of a plan.
 
 use crate::system::clock::clamped_duration;
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass, RetryBudget};
@@ -6,7 +6,7 @@
 use garnetwall_plan::{Settings, SettingsClass};
 use garnetwall_settings::PlatformSettings;
 
-/// The platform's settings in the form that a plan is checked against.
+/// The platform's settings in the form against which a plan is checked.
 pub fn plan_settings(platform: &PlatformSettings) -> Settings {
     let names = &platform.names;
     let classes = names
@@ -30,15 +30,16 @@
     }
 }
 
-/// The names of a selection of indices; `None` where everything is selected.
+/// The names of the selected indices; `None` if there is no selection, which means everything.
 fn selected_names(selected: Option<&[u32]>, names: &[String]) -> Option<Vec<String>> {
     let name = |index: &u32| names.get(*index as usize).cloned();
     selected.map(|indices| indices.iter().filter_map(name).collect())
 }
 
-/// The query classes with the rules of a plan applied; `names` are the names of the classes.
+/// Returns the query classes with the rules of a plan applied. `names` are the names of the classes, in the same order.
 ///
-/// The deadline of a class stays as it is: [`PlanRouter::admit`](super::PlanRouter::admit) gives each query the plan's.
+/// The deadlines of the classes stay unchanged, because [`PlanRouter::admit`](super::PlanRouter::admit) applies the
+/// plan's deadline to each query.
 pub fn narrowed_classes(classes: &[QueryClass], names: &[String], plan: &Plan) -> Vec<QueryClass> {
     let narrowed = |(class, name): (&QueryClass, &String)| match plan.class(name) {
         Some(rules) => narrowed_class(class, rules),
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -1,4 +1,5 @@
-//! The task of one query: carries out the scheduler's commands, from the first attempt to the end of the last.
+//! The task of one query. It carries out the scheduler's commands until the query is finished and its last attempt has
+//! ended.
 
 mod attempt_in_flight;
 
@@ -18,42 +19,42 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// One admitted query and what its attempts need.
+/// An admitted query with everything that its attempts need.
 pub struct QueryTask {
-    /// Where ends are reported and answers are given.
+    /// Receives the ends of attempts and the final answer.
     pub scheduler: Arc<Scheduler>,
-    /// Where attempts are sent.
+    /// The client that sends attempts to engines.
     pub engines: Arc<Engines>,
-    /// The query's number.
+    /// The query's number, assigned by the scheduler.
     pub query_id: QueryId,
-    /// What is sent to engines.
+    /// The query as it is sent to engines.
     pub forwarded_query: Arc<ForwardedQuery>,
-    /// What the scheduler wants done.
+    /// The scheduler's commands.
     pub commands: UnboundedReceiver<Command>,
-    /// Where a non-idempotent query is recorded.
+    /// The journal that records a non-idempotent query before it is sent.
     pub journal: Arc<QueryJournal>,
-    /// The record to be written before an attempt is sent; `None` for a query that may be sent again.
+    /// The record to be written to the journal before an attempt is sent; `None` for a query that may be sent again.
     pub journal_entry: Option<StartedQuery>,
-    /// Whether a client waits for the answer.
+    /// Flag that tells whether a client waits for the answer.
     pub client_presence: ClientPresence,
     /// The statement's part of the memory budget, held until the task ends.
     pub _memory: OwnedSemaphorePermit,
 }
 
-/// Whether a query is still owed an answer.
+/// Whether a query still needs an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueryStatus {
-    /// No answer has been given.
+    /// The query has not been answered.
     Open,
-    /// It has been answered, or its client has left.
+    /// The query has been answered, or its client has left.
     Finished,
 }
 
-/// What an attempt is reported with to the scheduler, which chose its engine.
+/// Identifies an attempt in reports to the scheduler, which chose its engine.
 #[derive(Clone, Copy, Debug)]
 struct ScheduledAttempt {
     engine: EngineId,
-    /// Its number within the query, from 0.
+    /// The attempt's number within the query, counted from 0.
     number: u32,
     started_at: Instant,
 }
@@ -73,20 +74,21 @@
     }
 }
 
-/// The end of an attempt, with the status that its query had by then.
+/// The result of an attempt and the status of its query at that time.
 struct EndedAttempt {
     result: AttemptResult,
     query_status: QueryStatus,
 }
 
-/// A result with its rows, where it succeeded and they are well-formed.
+/// The result of an attempt after its rows were checked. `rows` is set if the attempt succeeded and all rows are
+/// well-formed.
 struct CheckedResult {
     result: AttemptResult,
     rows: Option<Bytes>,
 }
 
 impl QueryTask {
-    /// Runs until the query is finished and every attempt has ended; this outlives the client's connection.
+    /// Runs until the query is finished and every attempt has ended. The task may outlive the client's connection.
     pub async fn run(mut self) {
         let mut attempts_begun = 0;
         let mut status = QueryStatus::Open;
@@ -119,14 +121,15 @@
                     QueryStatus::Finished
                 }
                 Command::ClientLeft => QueryStatus::Finished,
-                // The attempt ended before the command came.
+                // The attempt ended before the command arrived.
                 Command::CancelAttempt { .. } => QueryStatus::Open,
             };
         }
         self.release(attempts_begun);
     }
 
-    /// Lets the query go; every attempt has provably ended.
+    /// Records the end of the query in the journal and releases the query. By then every attempt is proved to have
+    /// ended.
     fn release(self, attempts_begun: u32) {
         if let Some(entry) = self.journal_entry.filter(|_| attempts_begun > 0) {
             self.journal.record_end(entry.query_key);
@@ -134,7 +137,8 @@
         self.scheduler.release(self.query_id);
     }
 
-    /// Runs one attempt until it has ended, which may be later than the query's answer.
+    /// Runs one attempt until it has ended, which may be after the query was answered. An engine that has left the
+    /// endpoint list counts as a failed connection.
     async fn run_attempt(&mut self, attempt: ScheduledAttempt, start: AttemptStart) -> QueryStatus {
         let ended = match self.engines.target(attempt.engine) {
             Some(target) => AttemptInFlight::run(self, attempt, target, start).await,
@@ -146,7 +150,7 @@
         self.attempt_ended(attempt, ended)
     }
 
-    /// Reports that the outcome of an attempt is unknown for now, and answers the query where that follows.
+    /// Reports that the outcome of an attempt is unknown for now, and answers the query if the scheduler decides so.
     fn outcome_unknown(&self, attempt: ScheduledAttempt, end: AttemptEnd) -> QueryStatus {
         self.report_discarded_body();
         let outcome = attempt.outcome(&AttemptResult::of(end), QueryStatus::Open);
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Reports the end of an attempt, and answers the query where that follows.
+    /// Reports the end of an attempt. Answers the query if the attempt succeeded or the scheduler decides so.
     fn attempt_ended(&self, attempt: ScheduledAttempt, ended: EndedAttempt) -> QueryStatus {
         let CheckedResult { result, rows } = self.check_rows(attempt, ended.result);
         self.engines.record_attempt_end(attempt.engine, result.end);
@@ -185,7 +189,8 @@
         QueryStatus::Finished
     }
 
-    /// Decodes the rows of a success; one with malformed rows counts as a failure of its engine.
+    /// Converts the rows of a successful attempt to JSON. An attempt with malformed rows counts as a failure of its
+    /// engine.
     fn check_rows(&self, attempt: ScheduledAttempt, result: AttemptResult) -> CheckedResult {
         if result.end != AttemptEnd::Succeeded {
             return CheckedResult { result, rows: None };
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Reports that the statement can't be sent again, where its body has been discarded.
+    /// Tells the scheduler if the streamed body of the statement has been discarded, so that it can't be sent again.
     fn report_discarded_body(&self) {
         if matches!(&self.forwarded_query.statement, Statement::Streamed(body) if !body.is_readable_from_start())
         {
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -1,4 +1,5 @@
-//! One attempt while it is in flight: its exchange with the engine beside its deadline, its events and the scheduler's commands.
+//! An attempt in flight. Its exchange with the engine runs concurrently with its response deadline, its events and the
+//! scheduler's commands.
 
 use super::{EndedAttempt, QueryStatus, QueryTask, ScheduledAttempt};
 use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, Target};
@@ -11,18 +12,19 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// How far the response deadline of an attempt has come.
+/// The state of an attempt's response deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseDeadline {
-    /// It is still ahead.
+    /// The deadline has not passed.
     Ahead,
-    /// It has passed and cancelled the exchange, which is polled once more before its outcome counts as unknown.
+    /// The deadline has passed and the exchange is being cancelled. The exchange is polled once more before the outcome
+    /// counts as unknown.
     Passed,
-    /// It has passed, and the scheduler knows that the outcome is unknown.
+    /// The deadline has passed, and the scheduler has been told that the outcome is unknown.
     Reported,
 }
 
-/// An attempt in flight, with what has been asked of it and what it has reported.
+/// An attempt in flight, with its cancellation state and the events that it has reported.
 pub(super) struct AttemptInFlight<'a> {
     task: &'a mut QueryTask,
     attempt: ScheduledAttempt,
@@ -73,7 +75,8 @@
                 biased;
                 result = &mut exchange => return self.ended(result),
                 () = &mut deadline, if self.deadline == ResponseDeadline::Ahead => self.deadline_passed(),
-                // An attempt that had not started has ended by now, and its outcome is known.
+                // If the attempt had not started, the cancelled exchange has ended by now with a known outcome, and
+                // this branch is not reached.
                 () = ready(()), if self.deadline == ResponseDeadline::Passed => self.report_timeout(),
                 Ok(()) = self.unknown_outcome.changed() => self.outcome_unknown(),
                 Ok(()) = self.progress.changed() => self.progressed(),
@@ -95,7 +98,7 @@
         }
     }
 
-    /// The query's answer is due: cancels what may still run at the engine.
+    /// Cancels the attempt, which may still run at the engine, because the query's answer is due.
     fn deadline_passed(&mut self) {
         self.deadline = ResponseDeadline::Passed;
         self.cancellation
@@ -133,7 +136,7 @@
         match command {
             Command::ClientLeft => self.client_left(),
             Command::CancelAttempt { attempt } if attempt == self.attempt.number => self.cancel(),
-            // A query has one attempt in flight at most, and the scheduler gives no answer beside it.
+            // A query has at most one attempt in flight, and the scheduler sends no answer while it is.
             Command::CancelAttempt { .. } | Command::BeginAttempt { .. } | Command::Answer(_) => {}
         }
     }
@@ -158,7 +161,7 @@
         });
     }
 
-    /// Requests a cancellation, unless the one requested before goes as far.
+    /// Requests a cancellation, unless one that goes at least as far has already been requested.
     fn request_cancellation(
         &self,
         requested: CancellationState,
@@ -174,7 +177,8 @@
     }
 }
 
-/// Waits until the query's answer is due: its response deadline has passed, or the gateway shuts down.
+/// Waits until the query's answer is due: when its response deadline passes or, during a shutdown, when all answers are
+/// due.
 async fn response_deadline(scheduler: Arc<Scheduler>, deadline: Instant) {
     tokio::select! {
         () = sleep_until(deadline.into()) => {}
@@ -182,7 +186,7 @@
     }
 }
 
-/// The exchange with the engine; a non-idempotent query is recorded in the journal first.
+/// Runs the exchange with the engine. A non-idempotent query is recorded in the journal first.
 fn exchange(
     task: &QueryTask,
     attempt: ScheduledAttempt,
@@ -215,11 +219,12 @@
     }
 }
 
-/// Waits until the journal allows an attempt, for as long as the attempt is not cancelled: the disk may take longer than the query.
+/// Waits until the journal permits sending the attempt, or until the attempt is cancelled, since the disk may take
+/// longer than the query's deadline allows.
 ///
 /// # Errors
 ///
-/// How the attempt ends where it must not be sent.
+/// The end of the attempt if it must not be sent.
 async fn recorded_or_cancelled(
     record: impl Future<Output = SendPermission>,
     mut cancellation: watch::Receiver<CancellationState>,
@@ -227,12 +232,12 @@
     let cancelled = cancellation.wait_for(|state| *state != CancellationState::NotRequested);
     tokio::select! {
         biased;
-        // It fails only without a sender, and the sender's owner awaits this.
+        // Waiting fails only if the sender is dropped, and the sender's owner awaits this future.
         state = cancelled => match state.map(|state| *state) {
             Ok(CancellationState::Requested) => Err(AttemptEnd::ConnectFailed),
             _ => Err(AttemptEnd::NotNeeded),
         },
-        // A failed write is not the engine's fault: nothing was sent.
+        // The engine is not at fault if the journal write fails, since nothing was sent.
         permission = record => match permission {
             SendPermission::Granted => Ok(()),
             SendPermission::Denied => Err(AttemptEnd::NotNeeded),
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The disk takes longer than the query: nothing is sent after the cancellation, which also ends the wait.
+/// A journal write that takes longer than the query: the cancellation ends the wait, and nothing is sent afterwards.
 #[tokio::test]
 async fn an_attempt_cancelled_before_its_journal_write_sends_nothing() {
     let ends = [
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -1,12 +1,19 @@
-//! The scheduler: the admission controller behind one lock, its timer, and the open queries. It hands events to the controller and
-//! carries out what the controller decides. Of its own it decides only what needs no attempt: a repeat of a query that is open or
-//! over, a query that an earlier process may have run, and a query whose client has left, which it answers as failed.
+//! The scheduler drives the admission controller: it passes events to the controller, carries out the controller's
+//! decisions, wakes it when its timer is due, and keeps the open queries.
 //!
-//! This file holds the lock, the timer and `handle_event`, the way of all that the controller has to hear of. Final answers and
-//! the release of a query change only what the scheduler itself keeps, and take the lock directly. `admission` opens queries, `query_end` answers and releases
-//! them, `waiter` tracks the clients that wait; `query_index` knows which query keys were seen, `answer_cache` keeps the
-//! answers of finished queries; `open_query` and `state` are what the lock guards. `attempts`, `updates`, `recovery` and
-//! `shutdown` take the other events; `messages` has the values that go in and out.
+//! The scheduler decides by itself only about queries that need no attempt: a repeated request for a query that is open
+//! or has finished, a query that an earlier process may have run, and a query whose client has left, which it answers
+//! as failed.
+//!
+//! This file holds the lock, the timer and `handle_event`, through which every event reaches the controller. Giving a
+//! final answer and releasing a query change only the scheduler's own state; they take the lock without `handle_event`.
+//!
+//! - `admission` opens queries; `query_end` answers and releases them; `waiter` tracks the clients that wait for an
+//! answer.
+//! - `query_index` records which query keys have been seen; `answer_cache` keeps the answers of finished queries.
+//! - `open_query` and `state` define the state that the lock guards.
+//! - `attempts`, `updates`, `recovery` and `shutdown` handle the remaining events.
+//! - `messages` defines the scheduler's inputs and outputs.
 
 mod admission;
 mod answer_cache;
@@ -37,26 +44,28 @@
 };
 pub use waiter::Waiter;
 
-/// The admission controller with its timer and the open queries. Times are seconds on the gateway's [`Clock`].
+/// The admission controller with its timer and the open queries. Times are in seconds on the gateway's [`Clock`].
 pub struct Scheduler {
     clock: Clock,
     state: Mutex<SchedulerState>,
-    /// Notified where the controller is due earlier than the timer is set for.
+    /// Wakes [`Scheduler::run_timer`] when the controller becomes due earlier than the timer is set for.
     earlier_wakeup: Notify,
     health_checks: UnboundedSender<EngineId>,
     open_count: watch::Sender<usize>,
-    /// When all answers are due, once the gateway shuts down.
+    /// The time by which all answers are due, in seconds on the gateway's clock; `None` until a shutdown is announced.
     answers_due: watch::Sender<Option<f64>>,
-    /// Seconds for which the key of a finished query is remembered.
+    /// The time for which the key of a finished query is remembered, in seconds.
     finished_retention: f64,
-    /// Hashes requests into fingerprints, with a seed of this process.
+    /// Hashes requests into fingerprints. Its random seed differs between processes, so fingerprints are valid only in
+    /// this process.
     fingerprint_hasher: RandomState,
 }
 
 impl Scheduler {
-    /// Creates a scheduler, and the stream of engines that the controller wants a health check of.
+    /// Creates a scheduler and the channel on which it requests health checks of engines.
     ///
-    /// Keys of finished queries are remembered for `finished_retention` seconds; their answers are cached in `answer_cache_bytes`.
+    /// Keys of finished queries are remembered for `finished_retention` seconds. Their answers are cached in at most
+    /// `answer_cache_bytes` bytes.
     pub fn new(
         controller: AdmissionController,
         plan_router: Option<PlanRouter>,
@@ -79,7 +88,7 @@
         (scheduler, health_check_requests)
     }
 
-    /// The clock that all times of the scheduler are on.
+    /// The clock on which all times of the scheduler are measured.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -88,7 +97,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies an event, then carries out all that the controller wants done now.
+    /// Applies an event to the state, then carries out all actions of the controller that are due.
     fn handle_event<T>(&self, event: impl FnOnce(&mut SchedulerState, f64) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.state();
@@ -107,10 +116,10 @@
             match state.controller.next_action(now) {
                 NextAction::Place(id) => state.place(&self.clock, now, id),
                 NextAction::HealthCheck(engine) => {
-                    // It fails only while the gateway stops.
+                    // Sending fails only while the gateway stops, when the receiver has been dropped.
                     let _ = self.health_checks.send(engine);
                 }
-                // The gateway follows the endpoint list at all times.
+                // The gateway is always subscribed to the endpoint list, so there is nothing to do.
                 NextAction::Subscribe => {}
                 NextAction::Cancel { query: id, attempt } => {
                     state.send_command(id, Command::CancelAttempt { attempt });
@@ -123,7 +132,7 @@
         }
     }
 
-    /// Wakes the controller when it is due, for as long as the gateway runs.
+    /// Wakes the controller whenever it is due. Never returns; the gateway runs this in the background.
     pub async fn run_timer(&self) {
         loop {
             let wakes_at = Instant::from_std(self.clock.instant(self.state().wakes_at));
@@ -134,7 +143,8 @@
         }
     }
 
-    /// The earliest time at which a request that was read at this instant can have arrived.
+    /// The earliest time, in seconds on the gateway's clock, at which a request that was read at `read_at` can have
+    /// arrived. The request may have waited unread while this process was stalled.
     pub fn arrival_time(&self, read_at: std::time::Instant) -> f64 {
         let now = self.clock.now();
         let read_at = self.clock.at(read_at);
--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: an arriving query is opened, joins the open query of its key, or is not admitted.
+//! Admission of arriving queries. Each one is opened as a new query, joins the open query of the same key, or is not
+//! admitted.
 
 use super::answer_cache::{CachedAnswer, Fingerprint};
 use super::open_query::{OpenQuery, WaiterGeneration};
@@ -18,7 +19,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::watch;
 
-/// A key as clients write it, for the log.
+/// A query key or ordering key in the log, as 16 hexadecimal digits: the form in which clients send it.
 struct Hex(u64);
 
 impl fmt::Debug for Hex {
@@ -27,25 +28,25 @@
     }
 }
 
-/// An arriving query whose key is not known.
+/// An arriving query whose key is unknown, so that it may be opened.
 struct NewQuery {
     arriving: ArrivingQuery,
     forwarded_query: Arc<ForwardedQuery>,
     fingerprint: Option<Fingerprint>,
 }
 
-/// What the class and the plan settle for a new query.
+/// The terms on which a new query is admitted, set by its class and by the plan.
 struct AdmissionTerms {
-    /// The class that it is treated as.
+    /// Index of the class that the query is treated as; the plan may assign another class than the client requested.
     class: usize,
     is_non_idempotent: bool,
     plan_admission: Option<PlanAdmission>,
-    /// When it has to be answered, in seconds on the gateway's clock.
+    /// The time by which the query must be answered, in seconds on the gateway's clock.
     deadline: f64,
 }
 
 impl Scheduler {
-    /// Opens an arriving query, or finds what is known of the query of its key.
+    /// Admits an arriving query as a new one, or returns the state of the query with the same key.
     pub fn admit(
         self: &Arc<Self>,
         arriving: ArrivingQuery,
@@ -75,7 +76,7 @@
         })
     }
 
-    /// A hash of what makes two requests the same; `None` where the statement is not in memory.
+    /// A hash of everything that identifies a request; `None` for a streamed statement, which is not in memory.
     fn fingerprint(
         &self,
         arriving: &ArrivingQuery,
@@ -94,7 +95,8 @@
         ))))
     }
 
-    /// Adds a waiter to the open query of the same key, where the request is the same.
+    /// Adds a waiter to the open query of the same key. A request that differs from that of the open query is a
+    /// conflict.
     fn join(
         self: &Arc<Self>,
         state: &mut SchedulerState,
@@ -122,7 +124,8 @@
         Admission::Joined(waiter)
     }
 
-    /// Opens a query of an unknown key, where the plan admits it and an earlier process can't have sent it.
+    /// Opens a query of an unknown key if the plan admits it. While the journal is still being read, a non-idempotent
+    /// query is not opened, since an earlier process may have sent it.
     fn admit_new(
         self: &Arc<Self>,
         state: &mut SchedulerState,
@@ -177,8 +180,8 @@
         })
     }
 
-    /// A new query as the admission controller takes it. It has until its deadline or, while the gateway
-    /// shuts down, until all answers are due.
+    /// Describes a new query to the admission controller. Its time ends at its deadline or, while the gateway shuts
+    /// down, when all answers are due, whichever is earlier.
     fn controller_query(
         &self,
         now: f64,
@@ -206,7 +209,7 @@
 }
 
 impl NewQuery {
-    /// The query as the scheduler keeps it, with one client that waits.
+    /// Converts to the scheduler's record of an open query, with one client waiting.
     fn into_open_query(
         self,
         terms: AdmissionTerms,
@@ -236,7 +239,7 @@
         id
     }
 
-    /// What a request gets whose query has finished: it does not run again.
+    /// The response to a request whose query has finished. The query does not run again.
     fn repeat_of_finished(
         &self,
         now: f64,
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Admits a query under the plan; `None` without a plan.
+    /// Admits a query under the plan. Returns `None` if the gateway has no plan.
     fn admit_by_plan(
         &mut self,
         now: f64,
@@ -296,7 +299,7 @@
     }
 }
 
-/// The journal's record of a query, which may run until a margin after its deadline.
+/// The journal's record of a query. The query may run for up to [`RUN_MARGIN`] after its deadline.
 fn journal_entry(arriving: &ArrivingQuery, deadline: f64) -> StartedQuery {
     StartedQuery {
         query_key: arriving.query_key,
--- a/crates/gateway/src/scheduling/scheduler/answer_cache.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache.rs
@@ -1,33 +1,35 @@
-//! Final answers of finished queries, for clients whose connection was lost before they had theirs: a repeat of the request
-//! gets the same answer, and nothing runs again. Bounded in bytes, and by each query's deadline.
+//! Cache of the final answers of finished queries.
+//!
+//! A client whose connection was lost before it received its answer repeats the request and gets the same answer,
+//! without another run of the query. The cache is bounded in bytes, and each entry expires at its query's deadline.
 
 use super::QueryAnswer;
 use std::collections::{BTreeMap, HashMap};
 
-/// What an entry takes beside its rows.
+/// Estimated memory of an entry besides its rows, in bytes.
 const ENTRY_BYTES: usize = 256;
 
-/// A hash of all that makes two requests the same, except for the time that they allow.
+/// A hash of everything that identifies a request, except for the time that the client allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fingerprint(pub(super) u64);
 
-/// What is cached for a request.
+/// The result of a cache lookup for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum CachedAnswer {
-    /// Its answer.
+    /// The cached answer of the request's query.
     Answer(QueryAnswer),
-    /// Another request has its key.
+    /// The cached answer under this key belongs to a different request.
     OtherRequest,
-    /// Nothing.
+    /// There is no unexpired answer.
     Missing,
 }
 
 struct Entry {
     fingerprint: Fingerprint,
     answer: QueryAnswer,
-    /// The query's deadline, in seconds on the gateway's clock.
+    /// The query's deadline, in seconds on the gateway's clock. The entry expires then.
     deadline: f64,
-    /// Its place in the order of insertion.
+    /// Position in the order of insertion; the key in `keys_by_sequence`.
     sequence: u64,
 }
 
@@ -37,10 +39,10 @@
     }
 }
 
-/// Cached answers by query key. Times are seconds on the gateway's clock.
+/// Cached answers by query key. Times are in seconds on the gateway's clock.
 pub(super) struct AnswerCache {
     entries: HashMap<u64, Entry>,
-    /// Query keys in the order of insertion.
+    /// Query keys in the order of insertion, which is the order of eviction.
     keys_by_sequence: BTreeMap<u64, u64>,
     next_sequence: u64,
     bytes: usize,
@@ -48,7 +50,7 @@
 }
 
 impl AnswerCache {
-    /// Creates a cache of at most `max_bytes`.
+    /// Creates a cache that holds at most `max_bytes` bytes.
     pub(super) fn new(max_bytes: usize) -> Self {
         AnswerCache {
             entries: HashMap::new(),
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Caches the answer of a query until its deadline, or until newer answers need the space.
+    /// Caches the answer of a query until its deadline, or until newer answers need the space. An answer that is larger
+    /// than the whole cache, or whose deadline has passed, is not cached.
     pub(super) fn insert(
         &mut self,
         now: f64,
@@ -86,7 +89,7 @@
         self.evict(now);
     }
 
-    /// What is cached for a request.
+    /// Looks up the answer to a request.
     pub(super) fn get(&self, now: f64, query_key: u64, fingerprint: Fingerprint) -> CachedAnswer {
         match self.entries.get(&query_key) {
             Some(entry) if entry.fingerprint != fingerprint => CachedAnswer::OtherRequest,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Evicts the oldest entries while they are past their deadlines, or the cache is over its bound.
+    /// Evicts entries, oldest first, until the oldest has not expired and the cache is within its size limit.
     pub(super) fn evict(&mut self, now: f64) {
         while let Some((&sequence, &oldest)) = self.keys_by_sequence.first_key_value() {
             let entry = self.entries.get(&oldest);
--- a/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
@@ -31,7 +31,8 @@
 }
 
 proptest! {
-    /// However many answers come: the bound holds, the newest are cached, and the count of bytes is that of the entries.
+    /// For any sequence of answers, the cache stays within its bound, the newest answer is cached, and the byte count
+    /// equals the sum over the entries.
     #[test]
     fn the_newest_answers_stay_cached_within_the_bound(
         answers in prop::collection::vec((0..20u64, 0..3000usize, 0..50u32), 1..60),
--- a/crates/gateway/src/scheduling/scheduler/attempts.rs
+++ b/crates/gateway/src/scheduling/scheduler/attempts.rs
@@ -1,4 +1,4 @@
-//! Events of attempts and health checks.
+//! Handlers for events of attempts and health checks.
 
 use super::open_query::OpenQuery;
 use super::Scheduler;
@@ -7,7 +7,7 @@
 };
 
 impl Scheduler {
-    /// A health check has ended, perhaps with a load report.
+    /// Handles the end of a health check, with the engine's load report if the response carried one.
     pub fn health_check_ended(
         &self,
         engine: EngineId,
@@ -22,7 +22,8 @@
         });
     }
 
-    /// An attempt has ended, perhaps with a load report. Returns what follows for its query.
+    /// Handles the end of an attempt, with the engine's load report if the response carried one. Returns the follow-up
+    /// for the query: its final answer, or nothing.
     pub fn attempt_ended(
         &self,
         id: QueryId,
@@ -43,7 +44,7 @@
         })
     }
 
-    /// An engine has reported progress of an attempt in flight.
+    /// Handles a progress event that an engine sent for an attempt in flight.
     pub fn attempt_progressed(&self, id: QueryId, attempt: u32, progress: Progress) {
         self.handle_event(|state, now| {
             let controller = &mut state.controller;
@@ -51,13 +52,13 @@
         });
     }
 
-    /// The outcome of an attempt is unknown; it stays in flight until [`attempt_ended`](Scheduler::attempt_ended). Returns what
-    /// follows for its query.
+    /// Handles an attempt whose outcome is unknown. The attempt stays in flight until
+    /// [`attempt_ended`](Scheduler::attempt_ended). Returns the follow-up for the query: its final answer, or nothing.
     pub fn outcome_unknown(&self, id: QueryId, outcome: AttemptOutcome) -> FollowUp {
         self.handle_event(|state, now| state.controller.outcome_unknown(now, id, outcome))
     }
 
-    /// The body of a query has been discarded, so that it can't be attempted again.
+    /// Records that the body of a query has been discarded, so that no further attempt can send it.
     pub fn body_discarded(&self, id: QueryId) {
         self.handle_event(|state, _| state.controller.body_discarded(id));
     }
--- a/crates/gateway/src/scheduling/scheduler/messages.rs
+++ b/crates/gateway/src/scheduling/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! The values that go into the scheduler and come out of it.
+//! Inputs and outputs of the scheduler.
 
 use super::Waiter;
 use crate::engines::ClientPresence;
@@ -10,45 +10,45 @@
 use std::time::Instant;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// What a query's task has to do next.
+/// A command to the task of a query.
 #[derive(Debug)]
 pub enum Command {
-    /// Begin an attempt.
+    /// Begin an attempt at an engine.
     BeginAttempt {
-        /// The engine to attempt it on.
+        /// The engine that the controller chose.
         engine: EngineId,
-        /// Nobody waits for the response after that.
+        /// The time after which nobody waits for the engine's response.
         response_deadline: Instant,
-        /// The whole request has to have reached the engine by then; later it must not be sent.
+        /// The time by which the whole request must have reached the engine. After it the request must not be sent.
         send_deadline: Instant,
     },
-    /// Cancel an attempt in flight.
+    /// Cancel the attempt in flight, if it has this number.
     CancelAttempt {
-        /// Its number within the query, from 0.
+        /// The attempt's number within the query, counted from 0.
         attempt: u32,
     },
-    /// Give the client this answer.
+    /// Give the query this final answer.
     Answer(FinalAnswer),
-    /// The client has left: no answer is owed, and no further attempt begins.
+    /// The client has left: no answer is due, and no further attempt begins.
     ClientLeft,
 }
 
-/// The one final answer of a query.
+/// The final answer of a query. Each query has exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryAnswer {
-    /// Its rows, as they are sent to the client.
+    /// The query succeeded. Holds the body of the response to the client: the rows as JSON.
     Succeeded(Bytes),
-    /// It did not run, or may safely be sent again.
+    /// The query did not run, or may safely be sent again.
     Rejected {
-        /// After how many seconds the client may send it again.
+        /// The time after which the client may send the query again, in seconds; `None` if unknown.
         retry_after: Option<f64>,
     },
-    /// It may have run and must not be sent again.
+    /// The query may have run and must not be sent again.
     Failed,
 }
 
 impl QueryAnswer {
-    /// The kind of answer, for the log.
+    /// The name of the answer's kind in the log.
     pub(super) fn name(&self) -> &'static str {
         match self {
             QueryAnswer::Succeeded(_) => "succeeded",
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The length of its rows, in bytes.
+    /// The length of the rows in bytes; 0 for an answer without rows.
     pub(super) fn row_bytes(&self) -> usize {
         match self {
             QueryAnswer::Succeeded(rows) => rows.len(),
@@ -75,77 +75,77 @@
     }
 }
 
-/// A query as it arrives, before it has a number.
+/// A query as it arrives from a client, before the scheduler assigns it a number.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivingQuery {
-    /// The key that its client chose; a repeated request carries the same.
+    /// The query key, chosen by the client. A repeated request carries the same key.
     pub query_key: u64,
-    /// Its class, as an index into the settings.
+    /// Index of the requested class in the settings.
     pub class: usize,
-    /// Its tenant, as an index into the settings.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// Queries of one ordering key run in the order admitted, where their class demands it.
+    /// The ordering key. Queries with the same ordering key run in order of admission if their class is in order.
     pub ordering_key: Option<u64>,
-    /// When its client gives up, in seconds on the gateway's clock.
+    /// The client's deadline, in seconds on the gateway's clock.
     pub deadline: f64,
-    /// The client's estimate of its work, in seconds on one thread.
+    /// The client's estimate of the work, in seconds on one thread.
     pub estimated_work: Option<f64>,
-    /// The client's estimate of its memory, in megabytes.
+    /// The client's estimate of the memory, in megabytes.
     pub estimated_memory: Option<f64>,
-    /// The data set that it reads or loads.
+    /// The data set that the query reads or loads.
     pub data_set: u32,
-    /// The address of its client.
+    /// The client's address.
     pub client: IpAddr,
-    /// The length of its statement, in bytes.
+    /// The length of the statement, in bytes.
     pub statement_bytes: u64,
 }
 
-/// What became of another plan.
+/// The result of a change to another plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanUpdate {
-    /// It is in force.
+    /// The new plan is in force.
     InForce,
-    /// Nothing is changed: the gateway started without a plan.
+    /// The plan was not applied because the gateway was started without a plan.
     NeedsRestart,
 }
 
-/// What became of a client's request to cancel the query of a key.
+/// The result of a client's request to cancel the query of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// The query was open, and no attempt of it begins any more.
+    /// The query was open; no further attempt of it begins.
     Cancelled,
     /// No query of this key is open.
     NotOpen,
 }
 
-/// A query that has just been opened, for the task that carries it out.
+/// A query that has just been opened, with everything that its task needs from the scheduler.
 pub struct OpenedQuery {
-    /// Its number.
+    /// The query's number, assigned by the scheduler.
     pub query_id: QueryId,
-    /// The commands that its task carries out.
+    /// The scheduler's commands to the query's task.
     pub commands: UnboundedReceiver<Command>,
-    /// Its first waiter.
+    /// The waiter for the client that sent the query.
     pub waiter: Waiter,
-    /// The record to be written before it is sent, where it is non-idempotent.
+    /// The journal record that must be written before the query is sent; set for a non-idempotent query.
     pub journal_entry: Option<StartedQuery>,
-    /// Whether a client waits for it.
+    /// Flag that tells whether a client waits for the query.
     pub client_presence: ClientPresence,
 }
 
-/// What became of an arriving query.
+/// The scheduler's decision about an arriving query.
 pub enum Admission {
-    /// It is opened.
+    /// The query is new and has been opened.
     New(OpenedQuery),
-    /// The same query is open already, and has one more waiter.
+    /// The same query is already open; this request now waits for its answer too.
     Joined(Waiter),
-    /// Another query has this key.
+    /// A different query has this key.
     Conflict,
-    /// The same query has finished with this answer.
+    /// The same query has already finished, with this answer.
     Answered(QueryAnswer),
     /// A query of this key has finished, and its answer is not cached.
     AnswerNotCached,
-    /// An earlier process may have sent it, and it may have run.
+    /// An earlier process of this gateway may have sent the query, and the query may have run.
     MayHaveRun,
-    /// The plan denies it.
+    /// The plan does not admit the query.
     DeniedByPlan(PlanDenial),
 }
--- a/crates/gateway/src/scheduling/scheduler/open_query.rs
+++ b/crates/gateway/src/scheduling/scheduler/open_query.rs
@@ -1,4 +1,4 @@
-//! An open query, as the scheduler keeps it.
+//! The scheduler's record of an open query.
 
 use super::answer_cache::Fingerprint;
 use super::{Command, QueryAnswer};
@@ -8,7 +8,8 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// Counts the clients that have joined a query: equal generations mean that nobody has joined in between.
+/// Number of clients that have joined a query after its first client. Equal generations mean that no client has joined
+/// in between.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct WaiterGeneration(u64);
 
@@ -18,43 +19,44 @@
     }
 }
 
-/// A query from its admission until it is finished and every attempt has ended.
+/// A query from its admission until it is finished and each of its attempts has ended.
 pub(super) struct OpenQuery {
     pub(super) query_key: u64,
     pub(super) tenant: usize,
     pub(super) ordering_key: Option<u64>,
     pub(super) forwarded_query: Arc<ForwardedQuery>,
-    /// `None` where its request can't be compared with another.
+    /// Hash of the request; `None` if the statement is streamed, so that the request can't be compared with a later
+    /// one.
     pub(super) fingerprint: Option<Fingerprint>,
-    /// The commands to its task.
+    /// Sends commands to the query's task.
     pub(super) commands: UnboundedSender<Command>,
-    /// Its final answer, once it is finished.
+    /// The final answer; `None` until the query is finished.
     pub(super) answer: watch::Sender<Option<QueryAnswer>>,
-    /// Clients that wait for it now.
+    /// Number of clients that currently wait for the answer.
     pub(super) waiters: usize,
-    /// Moves on with each client that joins.
+    /// Advances with each client that joins.
     pub(super) waiter_generation: WaiterGeneration,
     pub(super) client_presence: ClientPresence,
-    /// When its client gives up, in seconds on the gateway's clock.
+    /// The query's deadline, in seconds on the gateway's clock.
     pub(super) deadline: f64,
-    /// What the plan admitted it with.
+    /// The plan's terms and the limits that the query holds; `None` if the gateway has no plan.
     pub(super) plan_admission: Option<PlanAdmission>,
 }
 
 impl OpenQuery {
-    /// Sends a command to its task.
+    /// Sends a command to the query's task.
     pub(super) fn send_command(&self, command: Command) {
-        // It fails only where the task has ended: after the answer and the last attempt, or by a panic, which leaves its query
-        // open and without an answer until its client disconnects.
+        // Sending fails only if the task has ended. That happens after the answer and the last attempt, or by a panic,
+        // which leaves the query open without an answer until its client disconnects.
         let _ = self.commands.send(command);
     }
 
-    /// Whether it has its final answer.
+    /// Whether the query has its final answer.
     pub(super) fn is_finished(&self) -> bool {
         self.answer.borrow().is_some()
     }
 
-    /// Adds a client that waits for it.
+    /// Adds a client that waits for the answer.
     pub(super) fn add_waiter(&mut self) {
         self.waiters += 1;
         self.waiter_generation.advance();
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -1,4 +1,4 @@
-//! The end of a query: it is answered, cancelled by its client, or released.
+//! The end of a query: its final answer, its cancellation by the client, and its release.
 
 use super::query_index::QueryKeyState;
 use super::{CancelOutcome, QueryAnswer, Scheduler};
@@ -6,7 +6,7 @@
 use garnetwall::api::QueryId;
 
 impl Scheduler {
-    /// Gives a query its final answer; only the first counts.
+    /// Gives a query its final answer. Only the first answer takes effect; later ones are ignored.
     pub fn answer(&self, id: QueryId, answer: QueryAnswer) {
         let state = self.state();
         let query = state.open_queries.get(&id);
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Releases a query that is finished and whose attempts have all ended; its key and its answer are remembered.
+    /// Releases a query that is finished and whose attempts have all ended. Its key stays known for the retention time,
+    /// and its answer is cached.
     pub fn release(&self, id: QueryId) {
         let mut state = self.state();
         if let Some(query) = state.open_queries.remove(&id) {
@@ -38,7 +39,7 @@
         self.open_count.send_replace(state.open_queries.len());
     }
 
-    /// The client cancels the query of a key.
+    /// Cancels the open query of a key at the request of its client.
     pub fn cancel(&self, query_key: u64) -> CancelOutcome {
         self.handle_event(|state, now| match state.queries.state(query_key) {
             Some(QueryKeyState::Open(id)) => {
--- a/crates/gateway/src/scheduling/scheduler/query_index/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_index/tests.rs
@@ -25,7 +25,8 @@
     assert_eq!(queries.state(KEY), None);
 }
 
-/// A key that is open here when the journal turns out to hold it counts as recovered once it is forgotten here.
+/// A key can be open in this process when the journal turns out to contain it. Once this process has forgotten the key,
+/// it counts as recovered.
 #[test]
 fn a_query_of_this_process_goes_before_a_recovered_one() {
     let mut queries = QueryIndex::default();
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the non-idempotent queries that an earlier process sent.
+//! Recovery of the non-idempotent queries that an earlier process of this gateway sent.
 
 use super::Scheduler;
 use crate::storage::query_journal::RecoveredQuery;
@@ -6,15 +6,16 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// A journal is being read: until [`recovered`](Scheduler::recovered), a non-idempotent query that arrives may have run.
+    /// Announces that the journal is being read. Until [`recovered`](Scheduler::recovered) is called, every
+    /// non-idempotent query that arrives is treated as one that may have run.
     pub fn set_recovery_pending(&self) {
         self.state().queries.set_recovery_pending();
     }
 
-    /// The journal has been read: none of these queries is sent again.
+    /// Records the queries found in the journal, none of which is sent again.
     ///
-    /// The ordering keys of those that may still run pause for `longest_unpolled_run`, the longest that an attempt runs without
-    /// being polled.
+    /// Ordering keys of queries that may still run are paused for `longest_unpolled_run`, the longest time for which an
+    /// attempt runs without being polled.
     pub fn recovered(&self, queries: &[RecoveredQuery], longest_unpolled_run: Duration) {
         self.handle_event(|state, now| {
             let resumes_at = now + longest_unpolled_run.as_secs_f64();
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -1,4 +1,4 @@
-//! What the scheduler's lock guards: the admission controller, the plan router and the open queries.
+//! The state that the scheduler's lock guards: the admission controller, the plan router and the open queries.
 
 use super::answer_cache::AnswerCache;
 use super::open_query::OpenQuery;
@@ -12,18 +12,18 @@
 use garnetwall::controller::AdmissionController;
 use std::collections::HashMap;
 
-/// The state of the scheduler. Times are seconds on the gateway's clock.
+/// The scheduler's state. Times are in seconds on the gateway's clock.
 pub(super) struct SchedulerState {
     pub(super) controller: AdmissionController,
     pub(super) plan_router: Option<PlanRouter>,
     pub(super) next_query_id: QueryId,
-    /// What is known of each query key.
+    /// The query keys known to this process.
     pub(super) queries: QueryIndex,
     pub(super) open_queries: HashMap<QueryId, OpenQuery>,
     pub(super) answer_cache: AnswerCache,
-    /// Whether queries of a class are non-idempotent, by class.
+    /// Whether queries of a class are non-idempotent, by class index.
     pub(super) non_idempotent_classes: Vec<bool>,
-    /// When the controller is due next.
+    /// The time at which the controller is due next.
     pub(super) wakes_at: f64,
     pub(super) stall_detector: StallDetector,
 }
@@ -67,21 +67,21 @@
         }
     }
 
-    /// Returns what a query holds of the plan's limits.
+    /// Returns a query's share of the plan's limits.
     pub(super) fn release_plan_admission(&mut self, now: f64, admission: Option<PlanAdmission>) {
         if let Some((plan_router, admission)) = self.plan_router.as_mut().zip(admission) {
             plan_router.release(now, admission);
         }
     }
 
-    /// Sends a command to the task of a query, where that is open.
+    /// Sends a command to the task of a query, if the query is open.
     pub(super) fn send_command(&self, id: QueryId, command: Command) {
         if let Some(query) = self.open_queries.get(&id) {
             query.send_command(command);
         }
     }
 
-    /// Carries out the controller's placement of a query.
+    /// Asks the controller to place a query and sends the result to the query's task.
     pub(super) fn place(&mut self, clock: &Clock, now: f64, id: QueryId) {
         match self.controller.place(now, id) {
             Placement::Wait => {}
@@ -102,7 +102,8 @@
         }
     }
 
-    /// The client of a query has left: no attempt begins any more, and whoever still waits for it is answered that it failed.
+    /// Ends a query whose client has left. No further attempt begins, and any other client that still waits for the
+    /// query is answered that it failed.
     pub(super) fn client_left(&mut self, now: f64, id: QueryId) {
         let query = self.open_queries.get(&id);
         let Some(query) = query.filter(|query| !query.is_finished()) else {
@@ -115,7 +116,7 @@
         self.controller.client_left(now, id);
     }
 
-    /// Forgets query keys and cached answers that have expired.
+    /// Removes expired query keys and cached answers.
     pub(super) fn discard_expired(&mut self, now: f64) {
         self.queries.discard_expired(now);
         self.answer_cache.evict(now);
--- a/crates/gateway/src/scheduling/scheduler/updates.rs
+++ b/crates/gateway/src/scheduling/scheduler/updates.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// Applies a change of the endpoint list; a full one removes the engines that it does not name.
+    /// Applies a change of the endpoint list. A full list removes the engines that it does not name.
     pub fn update_endpoints(&self, change: &ListChange) {
         let updates = change.updates.iter();
         let endpoints: Vec<_> = updates.map(|update| update.endpoint).collect();
@@ -26,12 +26,12 @@
         self.handle_event(|state, _| state.set_classes(classes));
     }
 
-    /// Whether queries of a class are non-idempotent.
+    /// Whether queries of a class are non-idempotent. `false` for an unknown class.
     pub fn is_non_idempotent(&self, class: usize) -> bool {
         self.state().is_non_idempotent(class)
     }
 
-    /// Puts another plan in force, with the classes as it narrows them.
+    /// Puts another plan in force. `classes` are the query classes with the rules of that plan applied.
     pub fn update_plan(&self, plan: Arc<Plan>, classes: &[QueryClass]) -> PlanUpdate {
         self.handle_event(|state, _| {
             let Some(plan_router) = state.plan_router.as_mut() else {
--- a/crates/gateway/src/scheduling/scheduler/waiter.rs
+++ b/crates/gateway/src/scheduling/scheduler/waiter.rs
@@ -1,4 +1,4 @@
-//! The clients that wait for a query's answer, and what follows once none does.
+//! Clients that wait for a query's answer, and the end of a query once no client waits any more.
 
 use super::open_query::{OpenQuery, WaiterGeneration};
 use super::{QueryAnswer, Scheduler};
@@ -9,11 +9,11 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Protocol: a client whose connection is lost repeats its request on a new one within this time.
+/// Protocol: a client whose connection is lost repeats its request on a new connection within this time.
 const RECONNECT_WINDOW: Duration = Duration::from_millis(50);
 
-/// A client that waits for a query. Dropped before the answer, it counts as having left, unless another waiter joins the query
-/// within the reconnect window.
+/// A client that waits for the answer of a query. If it is dropped before the answer and no other waiter joins the
+/// query within the reconnect window, the client counts as having left.
 pub struct Waiter {
     pub(super) scheduler: Arc<Scheduler>,
     pub(super) query_id: QueryId,
@@ -21,7 +21,7 @@
 }
 
 impl Waiter {
-    /// Waits for the query's final answer.
+    /// Waits for the query's final answer. Returns [`QueryAnswer::Failed`] if the query ends without one.
     pub async fn answer(mut self) -> QueryAnswer {
         let answer = self.answer.wait_for(Option::is_some).await;
         answer
@@ -50,8 +50,8 @@
 }
 
 impl Scheduler {
-    /// A waiter's connection is lost; its client may return within the reconnect window. Where nobody waits any more, no
-    /// attempt begins; returns the generation of the last waiter then.
+    /// Records that a waiter's connection is lost. Its client may return within the reconnect window. If no client
+    /// waits any more, no further attempt begins, and the generation of the last waiter is returned.
     fn client_disconnected(&self, id: QueryId) -> Option<WaiterGeneration> {
         self.handle_event(|state, now| {
             let query = state.open_queries.get_mut(&id)?;
@@ -66,7 +66,7 @@
         })
     }
 
-    /// The reconnect window is over: the client has left for good, unless somebody has joined the query since `generation`.
+    /// Ends the query when the reconnect window is over, unless a client has joined the query since `generation`.
     fn client_left(&self, id: QueryId, generation: WaiterGeneration) {
         self.handle_event(|state, now| {
             let query = state.open_queries.get(&id);
