--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,7 +1,8 @@
-//! HTTP client of the engines: connections within the budget, attempts, health checks.
+//! HTTP client of the engines: opens connections within the connection budget, runs attempts and checks health.
 //!
-//! [`Engines`] owns the connection budget, the endpoint list and the ledger of attempts that may still run. `attempt`
-//! holds the lifecycle of one attempt, `protocol` all names on the wire and time limits.
+//! [`Engines`] owns the connection budget, the endpoint list and the ledger of attempts that may still run. The
+//! submodule `attempt` holds the lifecycle of one attempt; `protocol` defines all names and time limits of the engine
+//! protocol.
 
 mod attempt;
 mod client_presence;
@@ -34,13 +35,13 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{watch, Semaphore};
 
-/// For how long queries may refer to an engine after it has left the endpoint list, where `longest_deadline` is the
+/// The time for which queries may refer to an engine after it has left the endpoint list. `longest_deadline` is the
 /// longest deadline of any query class, in seconds.
 pub fn endpoint_retention(longest_deadline: f64) -> Duration {
     clamped_duration(longest_deadline) + POLL_EXPIRY
 }
 
-/// Client of all engines in the endpoint list.
+/// HTTP client of all engines in the endpoint list.
 pub struct Engines {
     connection_permits: Arc<Semaphore>,
     connect_timeout: Duration,
@@ -55,9 +56,9 @@
 }
 
 impl Engines {
-    /// A client within the engines' part of `budget`. `progress_interval` is the time between two progress events of an
-    /// attempt (0 where engines send none), `longest_deadline` the longest deadline of any query class; both in
-    /// seconds.
+    /// Creates a client whose connections stay within the engines' part of `budget`. `progress_interval` is the time
+    /// between two progress events of an attempt (0 if engines send none), and `longest_deadline` is the longest
+    /// deadline of any query class; both are in seconds.
     pub fn new(
         network: NetworkTimeouts,
         progress_interval: f64,
@@ -87,12 +88,13 @@
         }
     }
 
-    /// For how long an attempt can run that nobody polls, from when an earlier process may last have polled it.
+    /// The longest time for which an attempt can run without being polled. Counted from the moment at which an earlier
+    /// process may last have polled it.
     pub fn longest_unpolled_run(&self) -> Duration {
         MAX_UNPOLLED_RUN
     }
 
-    /// The time on the ledger's clock.
+    /// The current time on the ledger's clock.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
@@ -105,14 +107,15 @@
         &self.list
     }
 
-    /// Where attempts at an engine go; none where the engine is not in the endpoint list.
+    /// The address to which attempts at an engine are sent; `None` if the engine is not in the endpoint list.
     pub fn target(&self, engine: EngineId) -> Option<Target> {
         self.list.target(engine)
     }
 
-    /// Starts an attempt and polls it until it has ended or can't be running any more. Where its outcome stays unknown or it
-    /// is cancelled, it returns once the ledger has a proof that the attempt does not run, within the ledger's bound; what
-    /// becomes known before that goes to `events`.
+    /// Starts an attempt and polls it until it has ended or can't be running any more.
+    ///
+    /// If the outcome stays unknown or the attempt is cancelled, this returns once the ledger has a proof that the
+    /// attempt does not run, within the ledger's time bound. Facts that become known earlier are sent to `events`.
     pub async fn run_attempt(
         &self,
         target: Target,
@@ -129,8 +132,9 @@
         result
     }
 
-    /// For how long an attempt counts as running where only progress events keep it running. The protocol names no end of
-    /// that, so that a query that must not overlap the next of its key takes the longest deadline.
+    /// The time for which an attempt is assumed to run while only progress events keep it running. The protocol sets no
+    /// limit on that. A query that must not overlap the next one of its ordering key therefore uses the longest
+    /// deadline.
     fn assumed_run_time(&self, query: &ForwardedQuery) -> Duration {
         if query.in_order {
             self.longest_deadline
@@ -139,8 +143,8 @@
         }
     }
 
-    /// The gate of the request that starts an attempt. Only its first byte needs an engine that takes new attempts: a
-    /// request that is being sent may complete while the engine drains.
+    /// Creates the gate for the request that starts an attempt. The engine must accept new attempts when the first byte
+    /// is sent; a request that is already being sent may complete while the engine drains.
     fn send_gate(
         &self,
         target: Target,
@@ -159,7 +163,7 @@
         SendGate::new(may_start, is_wanted)
     }
 
-    /// Reports to the endpoint list how an attempt ended, where that says something of the engine.
+    /// Reports the engine's health to the endpoint list, if the end of the attempt says anything about it.
     pub fn record_attempt_end(&self, engine: EngineId, end: AttemptEnd) {
         let health = match end {
             AttemptEnd::Succeeded | AttemptEnd::Rejected => EngineHealth::Healthy,
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -1,28 +1,28 @@
-//! The lifecycle of one attempt at an engine: request, polls, pages of the result, cancellation.
+//! The lifecycle of one attempt at an engine: its request, polls, result pages and cancellation.
 //!
-//! | state | where | next state |
+//! | state | code | next state |
 //! |---|---|---|
-//! | connecting | `exchange::ready_connection` | request being sent; ended `ConnectFailed` or `NotSent` where no connection comes up |
-//! | request being sent | `exchange::send_streamed`, `start`, the [`SendGate`] | running; ended `NotNeeded` or `ConnectFailed` where the gate stops it, `Failed` where its body can't be read |
-//! | running, polled | `polling::poll_until_end` | fetching pages; ended as the engine reports, or `Cancelled` where its query was answered before its result came; cancelling where cancellation is requested or polls can't tell the outcome |
-//! | fetching pages | `pages::fetch_pages` | ended `Succeeded`, `Failed` where the engine has lost a page, `ConnectionLost` where polls can't tell |
-//! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: `Cancelled`, `NotNeeded`, `ConnectFailed`, or `ConnectionLost` after an unknown outcome |
+//! | connecting | `exchange::ready_connection` | request being sent; ended as `ConnectFailed` or `NotSent` if no connection is established |
+//! | request being sent | `exchange::send_streamed`, `start`, the [`SendGate`] | running; ended as `NotNeeded` or `ConnectFailed` if the gate stops it, or as `Failed` if its body can't be read |
+//! | running, polled | `polling::poll_until_end` | fetching pages; ended as the engine reports, or as `Cancelled` if its query was answered before its result arrived; cancelling if cancellation is requested or polls can't determine the outcome |
+//! | fetching pages | `pages::fetch_pages` | ended as `Succeeded`, as `Failed` if the engine has lost a page, or as `ConnectionLost` if polls can't determine that |
+//! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: as `Cancelled`, `NotNeeded`, `ConnectFailed`, or as `ConnectionLost` after an unknown outcome |
 //! | ended | [`AttemptResult`] | |
 //!
-//! Five types stand for one attempt, each for what its owner has to know:
+//! Five types represent one attempt, each with the facts that its owner needs:
 //!
-//! | type | owner | what it is for | created | dropped |
+//! | type | owner | purpose | created | dropped |
 //! |---|---|---|---|---|
-//! | `Attempt` in `src/controller/attempt_state.rs` | decision module, in the state of the query | the load that the engine counts for it, and when it is overdue | as the engine is chosen | as `attempt_ended` reports its end |
-//! | `ScheduledAttempt` in `scheduling/query_task.rs` | task of the query | engine, number and start, with which its outcome is reported | on `Command::BeginAttempt` | once its end is reported |
-//! | `AttemptInFlight` in `scheduling/query_task/attempt_in_flight.rs` | task of the query | response deadline, commands and events beside the exchange with the engine | once the engine's address is known | as the exchange ends |
-//! | `AttemptId`, and `OpenAttempt` behind it, in `crates/ledger` | [`Engines`] | the proof that it does not run any more | before the session, once the journal allows the attempt | after the session |
-//! | [`EngineSession`] | `Engines::run_attempt` | connection, calls, deadlines | with its ledger entry | once it has ended, or can't be running any more |
+//! | `Attempt` in `src/controller/attempt_state.rs` | admission controller, in the state of the query | the load that the attempt adds to its engine, and when it is overdue | when the engine is chosen | when `attempt_ended` reports its end |
+//! | `ScheduledAttempt` in `scheduling/query_task.rs` | task of the query | engine, number and start time, with which its outcome is reported | on `Command::BeginAttempt` | after its end is reported |
+//! | `AttemptInFlight` in `scheduling/query_task/attempt_in_flight.rs` | task of the query | response deadline, commands and events during the exchange with the engine | once the engine's address is known | when the exchange ends |
+//! | `AttemptId`, with `OpenAttempt` behind it, in `crates/ledger` | [`Engines`] | the proof that the attempt does not run any more | before the session, once the journal permits the attempt | after the session |
+//! | [`EngineSession`] | `Engines::run_attempt` | connection, calls, deadlines | with its ledger entry | once the attempt has ended, or can't be running any more |
 //!
-//! Two deadlines bound an attempt. From its *response deadline* on nobody waits for its response; the engine is told the
-//! time that remains until then. By its *send deadline* its request has been sent completely or is not sent: engines
-//! detect a repeated query only within a limited time. [`CancellationState`] says what is still wanted of it; all facts
-//! that say whether it may still run go to the ledger as [`Evidence`].
+//! Two deadlines bound an attempt. After its *response deadline* nobody waits for its response; the engine is told the
+//! time that remains until then. After its *send deadline* its request must not be sent any more, because engines
+//! detect a repeated query only for a limited time. [`CancellationState`] tells whether the response is still wanted.
+//! Every fact about whether the attempt may still run is recorded in the ledger as [`Evidence`].
 
 mod call_timeout;
 mod cancel;
@@ -51,34 +51,34 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// The calls of one attempt, or of one health check, to its engine. It has one connection at a time, which no other session
-/// uses and which is replaced once it is lost or has carried what can't be read.
+/// A session with an engine, which makes the calls of one attempt or of one health check. It uses one connection at a
+/// time, which no other session shares. The connection is replaced if it is lost or has carried an unreadable response.
 pub(super) struct EngineSession<'a> {
     engines: &'a Engines,
     target: Target,
-    /// None for a health check.
+    /// The attempt's ledger entry; `None` for a health check.
     ledger_id: Option<AttemptId>,
-    /// The connection that is up and has no call in flight.
+    /// The open connection, if it has no call in flight.
     sender: Option<Sender>,
-    /// Aborts the connection that is up, or was last.
+    /// Aborts the current connection, or the last one if none is open.
     abort_flag: AbortFlag,
-    /// The number of the connection that is up, or was last.
+    /// The number of the current connection, or of the last one if none is open.
     connection_id: ConnectionId,
-    /// The gate of the request that starts the attempt; none for a health check.
+    /// The gate of the request that starts the attempt; `None` for a health check.
     send_gate: Option<Arc<SendGate>>,
-    /// By when the request has been sent completely or is not sent; none where that is the response deadline.
+    /// The time by which the request must have been sent completely; `None` if that is the response deadline.
     send_deadline: Option<Instant>,
-    /// From when on nobody waits for the response.
+    /// The time after which nobody waits for the response.
     response_deadline: Instant,
-    /// The engine may have received the request completely.
+    /// Whether the engine may have received the whole request.
     request_may_have_arrived: bool,
-    /// The body store could not give back the request's body to its end; not set where the client cut the body off.
+    /// Whether the body store failed to return the whole request body. `false` if the client cut the body off.
     stored_body_lost: bool,
     call_timeout: CallTimeout,
 }
 
 impl<'a> EngineSession<'a> {
-    /// The session of an attempt of a query.
+    /// Creates the session of an attempt of a query.
     pub(super) fn for_attempt(
         engines: &'a Engines,
         target: Target,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The session of a health check, which is in no ledger and has no deadline of its own.
+    /// Creates the session of a health check, which has no ledger entry and no deadline of its own.
     pub(super) fn for_health_check(engines: &'a Engines, target: Target) -> Self {
         let now = Instant::now();
         EngineSession {
@@ -152,13 +152,13 @@
         AttemptResult::of(end)
     }
 
-    /// A poll of the attempt, or of a page of its result.
+    /// Creates a poll of the attempt, or of a page of its result.
     fn poll_call(&self, query: &ForwardedQuery, page: usize) -> EngineCall {
         let path = page_path(query, page);
         EngineCall::poll(request(Method::GET, self.target.address, &path))
     }
 
-    /// How long the response to a poll is waited for, once a connection is up.
+    /// The timeout of the response to a poll, counted from when the connection is established.
     fn poll_timeout(&self) -> Duration {
         self.call_timeout.timeout(Instant::now())
     }
@@ -179,13 +179,13 @@
         self.engines.ledger().record(now, id, evidence);
     }
 
-    /// Whether the ledger lacks a proof that the attempt does not run any more.
+    /// Whether the attempt may still run, that is, the ledger has no proof that it does not.
     fn may_run(&self) -> bool {
         self.ledger_id
             .is_some_and(|id| self.engines.ledger().may_run_until(id).is_some())
     }
 
-    /// Gives up a connection that carried an invalid response.
+    /// Drops the connection if it carried an invalid response.
     fn drop_connection_if_invalid(&mut self, response: Result<(), CallError>) {
         if response == Err(CallError::InvalidResponse) {
             self.sender = None;
@@ -194,10 +194,10 @@
     }
 }
 
-/// How a cancelled attempt ended, by the proof that it does not run.
+/// The end of a cancelled attempt, derived from the proof that it does not run.
 fn end_after_cancel(proof: Proof, cancellation: CancellationState) -> AttemptEnd {
     match (proof, cancellation) {
-        // The query was over before the attempt could start: that says nothing of the engine.
+        // The query finished before the attempt could start, which says nothing about the engine.
         (Proof::NeverReached, CancellationState::QueryFinished | CancellationState::UnlessSent) => {
             AttemptEnd::NotNeeded
         }
--- a/crates/gateway/src/engines/attempt/call_timeout.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout.rs
@@ -1,28 +1,28 @@
-//! How long the response to a call of an attempt is waited for.
+//! Adaptive timeout of the responses to the calls of one attempt.
 //!
-//! An engine, or the network to it, may always be slower than any fixed timeout. So the timeout grows with each call in a
-//! row that timed out, and a response that was slow lets the next ones take longer too. It never exceeds the time for
-//! which the attempt is known to run on without a poll.
+//! An engine, or the network to it, can be slower than any fixed timeout. The timeout therefore grows with each
+//! consecutive call that times out, and after a slow response later calls may take longer too. A timeout never exceeds
+//! the time for which the attempt is known to run without being polled.
 
 use crate::engines::protocol::{LONG_POLL_LIMIT, MAX_UNPOLLED_RUN, SOCKET_TIMEOUT_SLACK};
 use std::time::{Duration, Instant};
 
-/// A response may take this many times as long as the slowest one before it.
+/// A response may take this many times as long as the slowest response before it.
 const SLOW_RESPONSE_FACTOR: f64 = 1.5;
 
-/// The timeout where no response was slow.
+/// The timeout while no response has been slow.
 const USUAL_RESPONSE_TIMEOUT: Duration = LONG_POLL_LIMIT.saturating_add(SOCKET_TIMEOUT_SLACK);
 
 /// The response timeout of one attempt, adapted to the responses so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallTimeout {
-    /// The platform's time limit for a connection to come up.
+    /// The platform's time limit for opening a connection.
     connect_timeout: Duration,
-    /// Calls in a row that timed out.
+    /// Number of consecutive calls that timed out.
     consecutive_timeouts: u32,
-    /// The longest time that a response took, of those that took longer than usual.
+    /// The longest response time so far, of responses slower than the base timeout; zero if there was none.
     slowest_response: Duration,
-    /// When the last response came, or the first call began.
+    /// The time of the last response; at first, the time at which the session was created.
     last_response_at: Instant,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A response came, `elapsed` after its request.
+    /// Records a response that arrived at `now`, `elapsed` after its request.
     pub(super) fn answered(&mut self, now: Instant, elapsed: Duration) {
         self.consecutive_timeouts = 0;
         self.last_response_at = now;
@@ -45,22 +45,22 @@
         }
     }
 
-    /// A call timed out.
+    /// Records that a call timed out.
     pub(super) fn timed_out(&mut self) {
         self.consecutive_timeouts += 1;
     }
 
-    /// A call failed otherwise, which says nothing of how long responses take.
+    /// Records that a call failed for another reason, which says nothing about how long responses take.
     pub(super) fn failed(&mut self) {
         self.consecutive_timeouts = 0;
     }
 
-    /// How long the response to the next call may take, once its connection is up.
+    /// The timeout of the response to the next call, counted from when its connection is established.
     pub(super) fn timeout(&self, now: Instant) -> Duration {
         let since_response = now.saturating_duration_since(self.last_response_at);
         let known_to_run = MAX_UNPOLLED_RUN.saturating_sub(since_response);
         if known_to_run.is_zero() && self.consecutive_timeouts > 0 {
-            // Polling has stopped by then; this bounds the calls that cancel the attempt.
+            // Polling has stopped by this time; the timeout bounds the calls that cancel the attempt.
             return self.second_call_timeout();
         }
         let longest = known_to_run.max(USUAL_RESPONSE_TIMEOUT);
--- a/crates/gateway/src/engines/attempt/call_timeout/tests.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout/tests.rs
@@ -7,7 +7,8 @@
     Duration::from_millis(n)
 }
 
-/// When the first response is received from an engine that always takes this long; none where none is.
+/// The time until the first response is received from an engine that always takes `takes` to respond; `None` if no
+/// response is received.
 fn first_response_after(connect_timeout: Duration, takes: Duration) -> Option<Duration> {
     let began = Instant::now();
     let mut call_timeout = CallTimeout::new(connect_timeout, began);
@@ -46,7 +47,8 @@
     assert_eq!(first_response_after(CONNECT_TIMEOUT, ms(1300)), None);
 }
 
-/// Whatever the connect timeout, no call waits beyond the time for which an attempt runs on without a poll.
+/// Whatever the connect timeout, two to four timed-out calls cover the time for which an attempt runs without being
+/// polled, and the last one ends at most one base timeout after it.
 #[test]
 fn timeouts_end_with_the_unpolled_run() {
     for connect_timeout in [ms(50), CONNECT_TIMEOUT, ms(1500)] {
@@ -67,7 +69,7 @@
     }
 }
 
-/// A response that is held back for as long as the protocol allows is not slow.
+/// A response that an engine holds back for as long as the protocol allows does not count as slow.
 #[test]
 fn a_usual_response_does_not_lengthen_the_timeout() {
     let mut call_timeout = CallTimeout::new(CONNECT_TIMEOUT, Instant::now());
@@ -78,7 +80,8 @@
     );
 }
 
-/// A slow engine can still be asked whether it has the attempt that is being cancelled.
+/// The timeout after the unpolled run must be long enough to ask a slow engine whether it has the attempt that is being
+/// cancelled.
 #[test]
 fn calls_after_the_unpolled_run_get_the_second_call_timeout() {
     let mut call_timeout = CallTimeout::new(CONNECT_TIMEOUT, Instant::now());
--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels an attempt at its engine, until it is proved that it does not run any more.
+//! Cancels an attempt at its engine and waits for a proof that it does not run any more.
 
 use super::engine_call::EngineCall;
 use super::EngineSession;
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 impl EngineSession<'_> {
-    /// Does what the ledger asks for, step by step, until it has a proof that the attempt does not run.
+    /// Carries out the ledger's cancellation steps until the ledger has a proof that the attempt does not run.
     pub(super) async fn cancel(&mut self, query: &ForwardedQuery) -> Proof {
         let Some(id) = self.ledger_id else {
             return Proof::NeverReached;
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Sends a cancellation, preferably on the connection that the attempt was polled on. The attempt expires by itself
-    /// after `remaining`.
+    /// Sends a cancellation, on the connection that polled the attempt if it is still open. The attempt expires by
+    /// itself after `remaining`.
     async fn send_cancel(&mut self, query: &ForwardedQuery, remaining: Duration) {
         let delete = request(Method::DELETE, self.target.address, &attempt_path(query));
         let time_limit = remaining.min(self.engines.connect_timeout * 2);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Polls the attempt to learn whether the process that listens at the engine's address has it.
+    /// Polls the attempt to find out whether the process that listens at the engine's address knows it.
     async fn identify_process(&mut self, query: &ForwardedQuery) {
         if let Err(error) = self.poll_for_evidence(query).await {
             self.record_cancel_failed(error);
@@ -82,7 +82,8 @@
         Ok(())
     }
 
-    /// A refused connection is evidence of its own, which `call` has recorded.
+    /// Records that a cancellation failed. A refused connection is separate evidence, which `call` has already
+    /// recorded.
     fn record_cancel_failed(&self, error: CallError) {
         if error != CallError::ConnectionRefused {
             self.record(Evidence::CancelFailed);
@@ -90,7 +91,7 @@
     }
 }
 
-/// Whether the engine says that it has cancelled the attempt, or that it does not know it.
+/// Whether the engine's response says that it has cancelled the attempt, or that it does not know the attempt.
 fn confirms_cancel(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -1,20 +1,20 @@
-//! Calls that end early once nobody waits for their response any more.
+//! Calls that end early when their response is no longer wanted.
 //!
 //! # States of a call
 //!
 //! | state | waits for | next state |
 //! |---|---|---|
 //! | wanted | the response | responded |
-//! | | a cancellation of any kind, or the send deadline | the gate is told to stop the request that starts the attempt: unwanted where it is [`Stopped`](StopOutcome::Stopped), sent where it was [`AlreadySent`](StopOutcome::AlreadySent) |
+//! | | a cancellation of any kind, or the send deadline | the gate is told to stop the request that starts the attempt: unwanted if the request is [`Stopped`](StopOutcome::Stopped), sent if it was [`AlreadySent`](StopOutcome::AlreadySent) |
 //! | sent | the response | responded |
 //! | | a cancellation that forbids polling | unwanted |
-//! | unwanted | nothing | interrupted where the request was stopped, or where the call starts the attempt and its query has finished; otherwise last wait |
-//! | last wait | the response | responded |
-//! | | [`LONG_POLL_LIMIT`], the longest that an engine holds a poll back | interrupted |
+//! | unwanted | nothing | interrupted if the request was stopped, or if the call starts the attempt and its query has finished; otherwise grace period |
+//! | grace period | the response | responded |
+//! | | the end of [`LONG_POLL_LIMIT`], the longest time for which an engine holds a poll back | interrupted |
 //! | interrupted | nothing: its connection is aborted | |
-//! | responded | nothing: the response goes to the caller | |
+//! | responded | nothing: the response is returned to the caller | |
 //!
-//! A response that has come goes before all else.
+//! A response that has arrived takes precedence over every other event.
 
 use super::engine_call::{CallKind, EngineCall};
 use super::EngineSession;
@@ -28,24 +28,24 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout};
 
-/// How a call ended that a cancellation or a deadline may interrupt.
+/// The end of a call that a cancellation or a deadline may interrupt.
 pub(super) enum CallOutcome {
     /// The call ended by itself, with a response or an error.
     Responded(Result<Reply, CallError>),
-    /// It was interrupted, and its connection is aborted.
+    /// The call was interrupted, and its connection is aborted.
     Interrupted,
 }
 
-/// How long the response is waited for once it is no longer wanted.
+/// The time for which a call still waits for a response that is no longer wanted.
 enum LastWait {
-    /// The call is interrupted at once.
+    /// No time: the call is interrupted at once.
     None,
-    /// As long as an engine may hold a poll back: what it says tells whether the attempt runs.
+    /// [`LONG_POLL_LIMIT`], for which an engine may hold a poll back. The response tells whether the attempt runs.
     LongPollLimit,
 }
 
 impl EngineSession<'_> {
-    /// Starts or polls the attempt, until nobody waits for the response any more.
+    /// Makes a call that starts or polls the attempt, and interrupts it once the response is no longer wanted.
     pub(super) async fn call_until_cancelled(
         &mut self,
         call: EngineCall,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives up the connection of an interrupted call: its response would be taken for that of the next call.
+    /// Aborts the connection of an interrupted call, whose response would otherwise be taken for that of the next call.
     fn abandon_connection(&mut self, start_request: StopOutcome) {
         self.abort_flag.abort();
         self.sender = None;
@@ -91,14 +91,14 @@
     }
 }
 
-/// Waits for a cancellation or the send deadline, then stops the request that starts the attempt. Where that had been sent
-/// before, its response stays wanted: waits on until the attempt is not to be polled any more.
+/// Waits for a cancellation or the send deadline, then stops the request that starts the attempt. If that request has
+/// already been sent, its response is still wanted, so this waits until the attempt must not be polled any more.
 async fn stop_once_unwanted(
     cancellation: &mut watch::Receiver<CancellationState>,
     send_deadline: Option<Instant>,
     send_gate: Option<&SendGate>,
 ) -> StopOutcome {
-    // The waits for a state fail only once the sender is dropped, by the task that waits for this call.
+    // Waiting for a state fails only if the sender is dropped, and the task that owns the sender waits for this call.
     tokio::select! {
         _ = cancellation.wait_for(|state| *state != CancellationState::NotRequested) => {}
         () = until_deadline(send_deadline) => {}
@@ -118,7 +118,7 @@
     }
 }
 
-/// How long an unwanted call still waits for its response.
+/// Chooses the grace period of a call whose response is no longer wanted.
 fn last_wait(
     kind: CallKind,
     start_request: StopOutcome,
@@ -127,7 +127,7 @@
     if start_request == StopOutcome::Stopped {
         return LastWait::None;
     }
-    // What of the request is still on its way would arrive after the query's answer.
+    // The part of the request that has not arrived yet would reach the engine after the query's answer.
     if kind == CallKind::Start && cancellation == CancellationState::QueryFinished {
         return LastWait::None;
     }
--- a/crates/gateway/src/engines/attempt/engine_call.rs
+++ b/crates/gateway/src/engines/attempt/engine_call.rs
@@ -1,4 +1,4 @@
-//! A call to an engine as it is handed to the session: a request, and what it does to the attempt.
+//! A call to an engine: the request, and its effect on the attempt.
 
 use crate::engines::request::RequestBody;
 use bytes::Bytes;
@@ -6,21 +6,21 @@
 use http::Request;
 use http_body_util::channel::Sender as BodySender;
 
-/// What a call does to the attempt at its engine.
+/// The effect of a call on the attempt at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallKind {
-    /// Starts the attempt. Goes out through the send gate.
+    /// Starts the attempt. The request is sent through the send gate.
     Start,
-    /// Polls the attempt or fetches a page, which also renews its poll expiry.
+    /// Polls the attempt or fetches a page, which also renews the attempt's poll expiry.
     Poll,
-    /// Neither: cancels the attempt, or checks the engine's health.
+    /// Neither starts the attempt nor keeps it running: cancels it, or checks the engine's health.
     Other,
 }
 
-/// A body that is sent while it is still being received from the client.
+/// A request body that is sent while it is still being received from the client.
 pub(super) struct StreamedBody {
     pub(super) reader: Reader,
-    /// Its length in bytes, where the client declared it.
+    /// The length in bytes, if the client declared it.
     pub(super) length: Option<u64>,
     pub(super) sender: BodySender<Bytes, ReadError>,
 }
@@ -29,12 +29,13 @@
 pub(super) struct EngineCall {
     pub(super) kind: CallKind,
     pub(super) request: Request<RequestBody>,
-    /// Its body, where that is still being received from the client; otherwise the request holds all of it.
+    /// The request's body, if it is still being received from the client; otherwise the request contains the whole
+    /// body.
     pub(super) streamed_body: Option<StreamedBody>,
 }
 
 impl EngineCall {
-    /// Starts the attempt.
+    /// Creates a call that starts the attempt.
     pub(super) fn start(
         request: Request<RequestBody>,
         streamed_body: Option<StreamedBody>,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Polls the attempt, or fetches a page.
+    /// Creates a call that polls the attempt or fetches a page.
     pub(super) fn poll(request: Request<RequestBody>) -> Self {
         EngineCall {
             kind: CallKind::Poll,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Neither starts the attempt nor keeps it running.
+    /// Creates a call that neither starts the attempt nor keeps it running.
     pub(super) fn other(request: Request<RequestBody>) -> Self {
         EngineCall {
             kind: CallKind::Other,
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -1,5 +1,5 @@
-//! One call to an engine: opens a connection where none is up, sends the request, waits for the response and records
-//! what the call proves.
+//! A single call to an engine. It opens a connection if none is open, sends the request, waits for the response and
+//! records the evidence that the call gives about the attempt.
 
 use super::engine_call::{CallKind, EngineCall, StreamedBody};
 use super::EngineSession;
@@ -23,8 +23,8 @@
         self.call(EngineCall::other(request), time_limit).await
     }
 
-    /// One call, on the connection that is up or on a new one. `time_limit` bounds the wait for the response, once a
-    /// connection is up and the request has been sent.
+    /// Makes one call, on the open connection or on a new one. `time_limit` bounds the wait for the response;
+    /// connecting and sending a streamed body do not count towards it.
     pub(super) async fn call(
         &mut self,
         call: EngineCall,
@@ -81,13 +81,13 @@
                     .await
             }
         };
-        // A connection on which a request was not sent to its end can't carry another.
+        // A connection can't carry another request if this one was not sent completely.
         let is_request_complete = !is_streamed || self.request_may_have_arrived;
         self.sender = (response.is_ok() && is_request_complete).then_some(sender);
         response
     }
 
-    /// The connection that is up, or a new one.
+    /// Returns the open connection, or opens a new one.
     async fn ready_connection(&mut self, kind: CallKind) -> Result<Sender, CallError> {
         match self.sender.take() {
             Some(sender) if !sender.is_closed() => return Ok(sender),
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Waits for a response for at most `time_limit`, and adapts the timeout of the next calls to how long it took.
+    /// Waits for a response for at most `time_limit`. The time that the response took adapts the timeouts of later
+    /// calls.
     async fn await_response(
         &mut self,
         time_limit: Duration,
@@ -129,7 +130,7 @@
         response
     }
 
-    /// Sends a request that has its whole body, or none.
+    /// Sends a request whose body is complete or empty.
     async fn send_complete(
         &mut self,
         kind: CallKind,
@@ -144,8 +145,8 @@
         self.await_response(time_limit, receiving).await
     }
 
-    /// Sends a request whose body is still being received from the client. That takes as long as the body, which the
-    /// query's deadline bounds; the response may come before the body has been sent.
+    /// Sends a request whose body is still being received from the client. Sending takes as long as receiving the body,
+    /// which the query's deadline bounds. The engine may respond before the body has been sent.
     async fn send_streamed(
         &mut self,
         sender: &mut Sender,
@@ -162,7 +163,7 @@
         };
         if let Err(error) = body_result {
             tracing::debug!(%error, "request body could not be sent");
-            // A body that its client cut off is none that the store lost.
+            // If the client cut its body off, the store did not lose it.
             self.stored_body_lost = !matches!(error, ReadError::Truncated);
             return Err(CallError::ConnectionLost);
         }
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -12,7 +12,8 @@
 use http::StatusCode;
 
 impl EngineSession<'_> {
-    /// Fetches all pages after the first. Where one can't be had, the result still tells how the attempt ended.
+    /// Fetches all pages after the first. If a page can't be fetched, returns the pages so far with the end of the
+    /// attempt that follows from it.
     pub(super) async fn fetch_pages(
         &mut self,
         query: &ForwardedQuery,
@@ -30,11 +31,11 @@
         result
     }
 
-    /// Fetches one page, as often as the schedule allows.
+    /// Fetches one page, with as many calls as the schedule allows.
     ///
     /// # Errors
     ///
-    /// How the attempt ends where the page can't be had: [`AttemptEnd::Failed`] where the engine has lost it, otherwise
+    /// The end of the attempt if the page can't be fetched: [`AttemptEnd::Failed`] if the engine has lost it, otherwise
     /// [`AttemptEnd::ConnectionLost`].
     async fn fetch_page(
         &mut self,
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -1,4 +1,4 @@
-//! Polls an attempt until its end is known, polls can't tell it any more, or its cancellation is requested.
+//! Polls an attempt until its end is known, further polls can't determine it, or its cancellation is requested.
 
 use super::cancellable_call::CallOutcome;
 use super::EngineSession;
@@ -12,19 +12,19 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How polling an attempt ends.
+/// The result of polling an attempt.
 pub(super) enum PollOutcome {
-    /// The attempt has a result.
+    /// The attempt has succeeded and has a result.
     Succeeded {
-        /// The response that says so, with the first page.
+        /// The response that reports the success. Its body is the first page.
         first_page: Reply,
         page_count: usize,
     },
     /// The attempt has ended without a result.
     Ended(AttemptResult),
-    /// Further polls can't tell the outcome.
+    /// Further polls can't determine the outcome.
     Unknown,
-    /// Nobody waits for the response any more.
+    /// The response is no longer wanted, and the attempt has to be cancelled.
     CancelRequested,
 }
 
@@ -37,13 +37,13 @@
 /// Whether an attempt is polled again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextPoll {
-    /// Its time has come.
+    /// The next poll is due now.
     Due,
-    /// Further polls can't tell the outcome.
+    /// Further polls can't determine the outcome.
     Useless,
 }
 
-/// Whether a response answers the request that starts the attempt, or a later poll.
+/// The kind of request that a response answers: the one that starts the attempt, or a later poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseTo {
     Start,
@@ -51,8 +51,8 @@
 }
 
 impl EngineSession<'_> {
-    /// Sends the request and polls the attempt. A request that was not answered may have arrived all the same, so that the
-    /// outcome is polled for; an engine repeats the response of an attempt that succeeded.
+    /// Sends the request and polls the attempt. A request that got no response may still have arrived, so its outcome
+    /// is polled for. An engine repeats the response of an attempt that succeeded.
     pub(super) async fn poll_until_end(
         &mut self,
         query: &ForwardedQuery,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Sends the request that starts the attempt: breaks with the outcome where it has not arrived, otherwise continues with
-    /// the response.
+    /// Sends the request that starts the attempt. Breaks with the outcome if the request has not arrived or the call
+    /// was interrupted, otherwise continues with the response.
     async fn send_start(
         &mut self,
         query: &ForwardedQuery,
@@ -116,14 +116,14 @@
         PollOutcome::ended(end)
     }
 
-    /// How the attempt has ended where its request has not arrived completely; none where it may have.
+    /// The end of an attempt whose request has not arrived completely; `None` if the request may have arrived.
     fn end_before_arrival(
         &self,
         response: &Result<Reply, CallError>,
         cancellation: CancellationState,
     ) -> Option<AttemptEnd> {
         if self.stored_body_lost {
-            // The body is lost for any further attempt too.
+            // The body is lost for any further attempt, too.
             return Some(AttemptEnd::Failed);
         }
         let error = response.as_ref().err()?;
@@ -140,8 +140,9 @@
         }
     }
 
-    /// The gate stopped the request before the task noticed why. The query is tried at another engine where it is still
-    /// wanted, that is where only this attempt was cancelled or the engine does not take new attempts.
+    /// The end of an attempt whose request was stopped by the gate before the task noticed the cause. The query is
+    /// tried at another engine if it is still wanted, that is, if only this attempt was cancelled or the engine does
+    /// not accept new attempts.
     fn end_after_stopped_request(&self, cancellation: CancellationState) -> AttemptEnd {
         let is_query_wanted = cancellation == CancellationState::Requested
             || !self.engines.list().accepts_attempts(self.target);
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Records what a response proves: breaks with the outcome, or continues with whether the response was valid.
+    /// Records the evidence that a response gives. Breaks with the outcome if the response ends the attempt, otherwise
+    /// continues with whether the response was valid.
     fn process_response(
         &mut self,
         response: Result<Reply, CallError>,
@@ -185,8 +187,8 @@
         }
     }
 
-    /// What follows where an engine reports that the attempt has ended without a result. Whoever answers a poll may be
-    /// another process than the one that runs the attempt.
+    /// Handles an engine's report that the attempt has ended without a result. The process that answers a poll may not
+    /// be the one that runs the attempt, so its report alone does not prove the end.
     fn process_reported_end(
         &self,
         reply: &Reply,
@@ -214,7 +216,7 @@
         })
     }
 
-    /// Waits after a call until the next poll is due.
+    /// Waits after a call until the next poll is due. `response` is the result of that call.
     pub(super) async fn wait_for_next_poll(
         &mut self,
         schedule: &mut PollSchedule,
--- a/crates/gateway/src/engines/attempt/start.rs
+++ b/crates/gateway/src/engines/attempt/start.rs
@@ -1,4 +1,4 @@
-//! The request that starts an attempt, and its body on the way to the engine.
+//! The request that starts an attempt, and the transfer of its body to the engine.
 
 use super::engine_call::{EngineCall, StreamedBody};
 use super::EngineSession;
@@ -15,11 +15,11 @@
 use std::future::pending;
 use std::time::Instant;
 
-/// Chunks of a streamed body that may wait for the connection.
+/// Number of chunks of a streamed body that may be queued for the connection.
 const BODY_CHANNEL_CAPACITY: usize = 1;
 
 impl EngineSession<'_> {
-    /// The call that starts the attempt; none where its body is not stored any more.
+    /// Creates the call that starts the attempt; `None` if its body is no longer stored.
     pub(super) fn start_call(
         &self,
         query: &ForwardedQuery,
@@ -73,8 +73,8 @@
         EngineCall::start(request, Some(streamed_body))
     }
 
-    /// Tells the engine the milliseconds until the response deadline. Set right before the request is sent, since
-    /// connecting takes time.
+    /// Sets the header that tells the engine the milliseconds until the response deadline. Called right before the
+    /// request is sent, because connecting takes time.
     pub(super) fn set_remaining_time(&self, request: &mut Request<RequestBody>) {
         let remaining = self
             .response_deadline
@@ -86,18 +86,18 @@
             .insert(request_header::REMAINING_MS, value);
     }
 
-    /// Records that the last byte of a request that starts the attempt, or of a poll, is about to be sent: it may arrive from
-    /// now on.
+    /// Records that the last byte of a poll, or of the request that starts the attempt, is about to be sent. From then
+    /// on the request may arrive.
     pub(super) fn record_request_sending(&mut self) {
         self.request_may_have_arrived = true;
         self.record(Evidence::RequestSent);
     }
 
-    /// Sends a streamed body as it is received.
+    /// Sends a streamed body while it is being received.
     ///
     /// # Errors
     ///
-    /// Why the body can't be read to its end; the connection is aborted then.
+    /// [`ReadError`] if the body can't be read to its end. The connection is aborted in this case.
     pub(super) async fn send_body(&mut self, body: StreamedBody) -> Result<(), ReadError> {
         let StreamedBody {
             mut reader,
@@ -116,13 +116,15 @@
                     return Err(error);
                 }
             };
-            // An engine runs an attempt only once it has received the whole body.
+            // An engine runs an attempt only after it has received the whole body, so the request counts as sent with
+            // the last chunk.
             let is_last = length == Some(reader.position());
             if is_last {
                 self.record_request_sending();
             }
             if sender.send_data(chunk).await.is_err() {
-                // The connection is lost or the engine has responded: the caller, which waits for both, ends this.
+                // The connection is lost or the engine has responded. The caller waits for the response as well and
+                // drops this future.
                 pending::<()>().await;
             }
         }
--- a/crates/gateway/src/engines/client_presence.rs
+++ b/crates/gateway/src/engines/client_presence.rs
@@ -1,9 +1,10 @@
-//! Whether a client waits for a query right now: set by the scheduler, read before a byte of the query is sent to an engine.
+//! Shared flag that tells whether a client currently waits for a query. The scheduler sets it; the send gate reads it
+//! before any byte of the query is sent to an engine.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A flag that the scheduler and the attempts of one query share. It starts with a client waiting.
+/// Flag that the scheduler and the attempts of one query share. At first, a client is waiting.
 #[derive(Clone, Debug)]
 pub struct ClientPresence {
     is_waiting: Arc<AtomicBool>,
@@ -18,17 +19,17 @@
 }
 
 impl ClientPresence {
-    /// A client waits from now on.
+    /// Records that a client waits.
     pub fn client_joined(&self) {
         self.is_waiting.store(true, Ordering::Relaxed);
     }
 
-    /// The last client that waited has disconnected; one may still join.
+    /// Records that the last waiting client has disconnected. Another client may still join.
     pub fn client_disconnected(&self) {
         self.is_waiting.store(false, Ordering::Relaxed);
     }
 
-    /// Whether a client waits.
+    /// Whether a client waits for the query.
     pub fn is_waiting(&self) -> bool {
         self.is_waiting.load(Ordering::Relaxed)
     }
--- a/crates/gateway/src/engines/connect.rs
+++ b/crates/gateway/src/engines/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections to engines, within the connection budget and the connect timeout.
+//! Opens connections to engines within the connection budget and the connect timeout.
 
 use super::request::Sender;
 use super::response::CallError;
@@ -12,26 +12,26 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// A connection that is up, and the flag that aborts it.
+/// An open connection, with the flag that aborts it.
 pub(super) struct EngineConnection {
     pub(super) sender: Sender,
     pub(super) abort_flag: AbortFlag,
 }
 
 impl Engines {
-    /// Opens a connection within the budget and the connect timeout. The request that starts an attempt goes out through
+    /// Opens a connection within the budget and the connect timeout. The request that starts an attempt is sent through
     /// `send_gate`.
     ///
     /// # Errors
     ///
-    /// [`CallError::ConnectionRefused`], [`CallError::LocalResources`] where the time went by on this machine, otherwise
-    /// [`CallError::ConnectFailed`].
+    /// [`CallError::ConnectionRefused`] if the engine's machine refused the connection, [`CallError::LocalResources`]
+    /// if the time ran out on this machine, otherwise [`CallError::ConnectFailed`].
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
         send_gate: Option<Arc<SendGate>>,
     ) -> Result<EngineConnection, CallError> {
-        // Until the budget has a permit, the wait is not the engine's fault.
+        // The wait for a permit of the budget is not the engine's fault.
         let wait = ConnectWait::for_this_machine();
         let connecting = self.open_connection(address, send_gate, &wait);
         match timeout(self.connect_timeout, connecting).await {
@@ -64,7 +64,7 @@
             .handshake(stream)
             .await
             .map_err(io::Error::other)?;
-        // Its error reaches the caller through the sender.
+        // The caller gets errors of the connection through the sender.
         tokio::spawn(async move { drop(connection.await) });
         Ok(EngineConnection { sender, abort_flag })
     }
--- a/crates/gateway/src/engines/health_check.rs
+++ b/crates/gateway/src/engines/health_check.rs
@@ -1,4 +1,5 @@
-//! Health checks of engines, connecting to new ones, and the log of engines that become unreachable.
+//! Health checks of engines, connections to engines that are not in the list yet, and the log of changes in
+//! reachability.
 
 use super::attempt::EngineSession;
 use super::request::request;
@@ -9,13 +10,13 @@
 use http::{Method, StatusCode};
 use std::net::SocketAddr;
 
-/// Stands for an engine that the decision module has no index for yet.
+/// Placeholder for an engine that has no index in the admission controller yet.
 const UNLISTED_ENGINE: EngineId = EngineId::MAX;
 
 const HEALTH_CHECK_PATH: &str = "/stats";
 
 impl Engines {
-    /// Checks an engine's health.
+    /// Checks the health of an engine. An engine that is not in the endpoint list counts as a failed connection.
     pub async fn health_check(&self, engine: EngineId) -> HealthCheckOutcome {
         match self.target(engine) {
             Some(target) => self.check_target(target).await,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Checks the health of an engine that the decision module does not know yet.
+    /// Checks the health of an engine that the admission controller does not know yet.
     pub async fn connect_by_health_check(&self, address: SocketAddr) -> HealthCheckOutcome {
         let target = Target {
             engine: UNLISTED_ENGINE,
@@ -35,7 +36,7 @@
         self.check_target(target).await
     }
 
-    /// Connects to an engine that the decision module does not know yet, without a request.
+    /// Connects to an engine that the admission controller does not know yet, without sending a request.
     pub async fn connect_without_request(&self, address: SocketAddr) -> HealthCheckOutcome {
         let end = match self.connect(address, None).await {
             Ok(_) => AttemptEnd::Succeeded,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Logs an engine that becomes unreachable or reachable again, once each.
+    /// Logs when an engine becomes unreachable and when it becomes reachable again, once for each change.
     pub(super) fn log_reachability(&self, target: Target, error: Option<&CallError>) {
         let Target { engine, address } = target;
         let reachability = match error {
@@ -66,7 +67,8 @@
             Some(CallError::ConnectionRefused | CallError::ConnectFailed) => {
                 Reachability::Unreachable
             }
-            // The engine accepted the connection, or none was tried; an engine that is cut off shows at the next connect.
+            // Either the engine accepted the connection or no connection was tried. If the engine was cut off in the
+            // meantime, the next connection attempt shows it.
             Some(
                 CallError::LocalResources
                 | CallError::TimedOut
--- a/crates/gateway/src/engines/messages.rs
+++ b/crates/gateway/src/engines/messages.rs
@@ -1,4 +1,4 @@
-//! What is sent to an engine and what comes back, as plain values.
+//! Values that are sent to an engine and that come back from it.
 
 use super::client_presence::ClientPresence;
 use bytes::Bytes;
@@ -13,24 +13,24 @@
 /// A query as it is forwarded to engines, unchanged.
 #[derive(Debug, PartialEq)]
 pub struct ForwardedQuery {
-    /// The client's key of the query, as it sent it.
+    /// The query key, as the client sent it.
     pub query_key: HeaderValue,
     /// The name of the query's class.
     pub class: HeaderValue,
-    /// The key by which engines detect a repeated query; set where the query is idempotent by key.
+    /// The key by which engines detect a repeated query; set if the query is idempotent by key.
     pub idempotency_key: Option<HeaderValue>,
-    /// It must not overlap others: it has a key, in a class that keeps order.
+    /// Whether the query must not overlap others of its ordering key: it has one, and its class is in order.
     pub in_order: bool,
     /// The query's text.
     pub statement: Statement,
 }
 
-/// A statement that was received completely, or the body that it is still being received as.
+/// A statement, either received completely or still being received from the client.
 #[derive(Clone)]
 pub enum Statement {
-    /// Received completely.
+    /// The statement, received completely.
     Complete(Bytes),
-    /// Still being received.
+    /// The body from which the statement is still being received.
     Streamed(Arc<Body>),
 }
 
@@ -53,23 +53,23 @@
     }
 }
 
-/// How an attempt ended, and what its engine reported with it.
+/// The end of an attempt and the values that its engine reported with it.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// The way in which the attempt ended.
     pub end: AttemptEnd,
-    /// The pages of the result that were fetched.
+    /// The pages of the result that were fetched, in order.
     pub pages: Vec<Bytes>,
-    /// Work done, in seconds.
+    /// Work done, in seconds; `None` if the engine reported none.
     pub work: Option<f64>,
-    /// Memory used, in megabytes.
+    /// Memory used, in megabytes; `None` if the engine reported none.
     pub memory: Option<f64>,
-    /// The engine's load report.
+    /// The engine's load report, if one came with the response.
     pub report: Option<LoadReport>,
 }
 
 impl AttemptResult {
-    /// An end without a result or a report.
+    /// An attempt that ended without a result or a load report.
     pub fn of(end: AttemptEnd) -> Self {
         AttemptResult {
             end,
@@ -81,17 +81,18 @@
     }
 }
 
-/// Whether an attempt is to be cancelled, and how far. Only ever moves on in this order.
+/// Whether an attempt is to be cancelled, and under which conditions. The state only ever advances, in the order of the
+/// variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancellationState {
     /// The response is wanted.
     NotRequested,
-    /// The response is wanted if the request has been sent completely, otherwise nothing is sent any more: the client has
-    /// left.
+    /// The client has left. The response is wanted if the request has been sent completely; otherwise nothing more of
+    /// it is sent.
     UnlessSent,
-    /// The attempt is cancelled unless its response comes first.
+    /// The attempt is cancelled unless its response arrives first.
     Requested,
-    /// The attempt is cancelled: its query has been answered.
+    /// The attempt is cancelled because its query has been answered.
     QueryFinished,
 }
 
@@ -105,23 +106,23 @@
     }
 }
 
-/// Where an attempt in flight reports to the task that waits for its end.
+/// Channels on which an attempt in flight reports to the task that waits for its end.
 pub struct AttemptEvents {
-    /// How the attempt appears to have ended, once its outcome is unknown.
+    /// The apparent end of the attempt; set when its outcome becomes unknown.
     pub unknown_outcome: watch::Sender<Option<AttemptEnd>>,
     /// The latest progress event.
     pub progress: watch::Sender<Option<Progress>>,
 }
 
-/// How an attempt is started.
+/// Parameters of the start of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptStart {
-    /// It is not the first attempt of its query.
+    /// Whether an earlier attempt of the query was begun.
     pub is_retry: bool,
-    /// From when on nobody waits for the response. The engine is told the time that remains until then.
+    /// The time after which nobody waits for the response. The engine is told the time that remains until then.
     pub response_deadline: Instant,
-    /// By when the request has been sent completely; it is not sent otherwise.
+    /// The time by which the request must have been sent completely. It is not sent after that.
     pub send_deadline: Instant,
-    /// Whether a client waits for the query; nothing is sent while none does.
+    /// Flag that tells whether a client waits for the query. The request is not sent while none does.
     pub client_presence: ClientPresence,
 }
--- a/crates/gateway/src/engines/request.rs
+++ b/crates/gateway/src/engines/request.rs
@@ -1,4 +1,4 @@
-//! Requests to engines. The body of a request that starts an attempt goes out through its send gate.
+//! Requests to engines. The body of a request that starts an attempt passes through its send gate.
 
 use super::messages::ForwardedQuery;
 use crate::system::send_gate::SendGate;
@@ -21,15 +21,15 @@
 /// Sends requests over one connection.
 pub(super) type Sender = http1::SendRequest<RequestBody>;
 
-/// A body that is complete, or that is still being received from the client.
+/// A request body that is complete, or one that is still being received from the client.
 pub(super) type BodySource = Either<Full<Bytes>, Channel<Bytes, ReadError>>;
 
 /// The body of a request.
 pub(super) struct RequestBody {
     pub(super) source: BodySource,
-    /// Bytes that `source` has still to give; none where the length is not known.
+    /// Number of bytes that `source` has yet to yield; `None` if the length is unknown.
     pub(super) remaining_bytes: Option<u64>,
-    /// Set where the request starts an attempt.
+    /// The send gate; set if the request starts an attempt.
     pub(super) gate: Option<Arc<SendGate>>,
 }
 
@@ -49,7 +49,7 @@
             .map(|remaining| remaining.saturating_sub(byte_count as u64));
     }
 
-    /// Whether hyper has taken the last byte, even if it has not asked for the end yet.
+    /// Whether hyper has taken the last byte, even if it has not polled for the end of the body yet.
     fn is_consumed(&self) -> bool {
         self.remaining_bytes == Some(0) || self.source.is_end_stream()
     }
@@ -93,12 +93,12 @@
     format!("{START_PATH}/{query_key}")
 }
 
-/// The path of a page of an attempt's result; page 0 also polls the attempt.
+/// The path of a page of an attempt's result. A request for page 0 also polls the attempt.
 pub(super) fn page_path(query: &ForwardedQuery, page: usize) -> String {
     format!("{}/{page}", attempt_path(query))
 }
 
-/// A request without a body.
+/// Creates a request without a body.
 pub(super) fn request(method: Method, address: SocketAddr, path: &str) -> Request<RequestBody> {
     let mut request = Request::new(RequestBody::empty());
     *request.method_mut() = method;
--- a/crates/gateway/src/engines/response.rs
+++ b/crates/gateway/src/engines/response.rs
@@ -1,4 +1,4 @@
-//! An engine's responses: how one is received, what it says of an attempt, and why a call failed.
+//! Responses of engines: receiving them, reading the state of an attempt from them, and the errors of calls.
 
 use super::messages::AttemptResult;
 use super::protocol::{progress_kind, response_header};
@@ -11,19 +11,19 @@
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 
-/// Why a call to an engine failed.
+/// The reason why a call to an engine failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallError {
-    /// The engine's machine refused the connection: no process listens there.
+    /// The engine's machine refused the connection: no process listens at the address.
     ConnectionRefused,
-    /// No connection came up, or it closed before a byte was written.
+    /// No connection was established, or it closed before a byte was written.
     ConnectFailed,
-    /// No connection could be tried: this machine lacked a descriptor, a port or a route, or the connection budget was
-    /// used up.
+    /// No connection could be tried, because this machine lacked a descriptor, a port or a route, or the connection
+    /// budget was used up.
     LocalResources,
     /// The connection was lost after bytes were written.
     ConnectionLost,
-    /// No response within the time limit.
+    /// No response arrived within the time limit.
     TimedOut,
     /// The response does not follow the protocol.
     InvalidResponse,
@@ -44,7 +44,7 @@
 
 impl From<hyper::Error> for CallError {
     fn from(error: hyper::Error) -> Self {
-        // hyper calls a request cancelled only before any of it was written.
+        // hyper reports a request as cancelled only if none of it was written.
         if error.is_canceled() {
             CallError::ConnectFailed
         } else if error.is_parse() {
@@ -63,14 +63,14 @@
 }
 
 impl Reply {
-    /// The value of a header; none where it is no finite number from 0 up.
+    /// The value of a numeric header; `None` unless it is a finite number of 0 or more.
     pub(super) fn number(&self, header: &str) -> Option<f64> {
         let text = self.text(header)?;
         let value = text.trim().parse::<f64>().ok()?;
         Some(value).filter(|value| value.is_finite() && *value >= 0.0)
     }
 
-    /// The engine's load report, where one came with the response.
+    /// The engine's load report, if one came with the response.
     pub(super) fn load_report(&self) -> Option<LoadReport> {
         let text = self.text(response_header::LOAD_REPORT)?;
         let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A progress event, where one came. One that can't be read counts as none.
+    /// The progress event in the response; `None` if there is none or it can't be read.
     fn progress(&self) -> Option<Progress> {
         let amount = self.number(response_header::PROGRESS_VALUE)?;
         match self.text(response_header::PROGRESS_KIND)?.trim() {
@@ -123,22 +123,22 @@
     }
 }
 
-/// What a response says of an attempt.
+/// The state of an attempt, as told by a response.
 pub(super) enum AttemptStatus {
-    /// Not over yet, with a progress event where one came.
+    /// The attempt is running; holds a progress event if the response carried one.
     Running(Option<Progress>),
-    /// Over without a result.
+    /// The attempt has ended without a result.
     Ended(AttemptEnd),
-    /// Over with a result, whose first page the response holds.
+    /// The attempt has ended with a result, whose first page is the body of the response.
     Succeeded {
-        /// Number of pages of the result, the first included.
+        /// Number of pages of the result, including the first.
         page_count: usize,
     },
     /// The response does not follow the protocol and proves nothing.
     Invalid,
 }
 
-/// What a response says of an attempt, by its status and headers.
+/// Reads the state of an attempt from the status, the headers and the body of a response.
 pub(super) fn attempt_status(reply: &Reply) -> AttemptStatus {
     match (reply.status, reply.never_ran(), reply.page_count()) {
         (StatusCode::OK, _, Some(page_count)) if result_rows::is_complete_page(&reply.body) => {
@@ -152,11 +152,12 @@
     }
 }
 
-/// Sends a request over a connection and receives the response completely.
+/// Sends a request over a connection and receives the whole response.
 ///
 /// # Errors
 ///
-/// [`CallError::InvalidResponse`] also where the body is longer than a page may be.
+/// [`CallError`] if the request can't be sent or the response can't be received. A body longer than a page may be
+/// counts as [`CallError::InvalidResponse`].
 pub(super) async fn receive_reply(
     sender: &mut Sender,
     request: Request<RequestBody>,
--- a/crates/gateway/src/engines/result_rows.rs
+++ b/crates/gateway/src/engines/result_rows.rs
@@ -1,35 +1,36 @@
-//! Converts the pages of a result into one JSON document, with rows unchanged and in order.
+//! Converts the pages of a result into one JSON document, with the rows unchanged and in order.
 
 use bytes::Bytes;
 use thiserror::Error;
 
-/// Protocol: columns of every row.
+/// Protocol: the number of columns of each row.
 const COLUMN_COUNT: usize = 3;
 const COLUMN_SEPARATOR: char = '\t';
 const ROW_END: char = '\n';
 
-/// Protocol: the largest page, in bytes.
+/// Protocol: the maximum length of a page, in bytes.
 pub const MAX_PAGE_BYTES: usize = 6_000;
-/// Protocol: the largest result, in bytes.
+/// Protocol: the maximum length of a result, in bytes.
 pub const MAX_RESULT_BYTES: usize = 48_000;
-/// The most pages of a result. A page ends with a row, so that it may be shorter than the largest.
+/// The maximum number of pages of a result. Twice the number of pages of maximum length, because each page ends with a
+/// row and may therefore be shorter.
 pub const MAX_PAGES: usize = MAX_RESULT_BYTES / MAX_PAGE_BYTES * 2;
 
-/// Why a result does not follow the protocol. Pages and rows count from 0.
+/// Violation of the protocol by a result. Pages and rows are counted from 0.
 #[derive(Debug, Error)]
 pub enum ResultError {
-    /// The pages together are longer than [`MAX_RESULT_BYTES`].
+    /// All pages together are longer than [`MAX_RESULT_BYTES`].
     #[error("{bytes} bytes of result")]
     TooLong {
-        /// Length of all pages.
+        /// Length of all pages, in bytes.
         bytes: usize,
     },
-    /// A page is not text.
+    /// A page is not valid UTF-8.
     #[error("a page is not UTF-8")]
     NotUtf8 {
         /// Index of the page.
         page: usize,
-        /// Where in the page.
+        /// The decoding error, with its position in the page.
         source: std::str::Utf8Error,
     },
     /// A page does not end with the end of a row.
@@ -38,14 +39,14 @@
         /// Index of the page.
         page: usize,
     },
-    /// A row has more or fewer columns than the protocol has.
+    /// A row has more or fewer columns than the protocol requires.
     #[error("a row of {columns} columns")]
     ColumnCount {
         /// Index of the page.
         page: usize,
         /// Index of the row in its page.
         row: usize,
-        /// The row's columns.
+        /// Number of columns of the row.
         columns: usize,
     },
     /// A column could not be written as JSON.
@@ -53,16 +54,16 @@
     Json {
         /// Index of the page.
         page: usize,
-        /// What the writer says.
+        /// The error of the JSON writer.
         source: serde_json::Error,
     },
 }
 
-/// The JSON document of a whole result: `{"data":[[...],...]}`.
+/// Converts all pages of a result into the JSON document `{"data":[[...],...]}`.
 ///
 /// # Errors
 ///
-/// The page that does not hold complete rows, or that the result is too long.
+/// [`ResultError`] if the result is too long or a page does not consist of complete rows.
 pub fn to_json(pages: &[Bytes]) -> Result<Bytes, ResultError> {
     let bytes: usize = pages.iter().map(Bytes::len).sum();
     if bytes > MAX_RESULT_BYTES {
@@ -75,7 +76,7 @@
     Ok(writer.finish())
 }
 
-/// Whether a page holds complete rows. A page that was corrupted or cut off on its way rarely does.
+/// Whether a page consists of complete rows. A page that was corrupted or truncated on its way rarely does.
 pub fn is_complete_page(page: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(page) else {
         return false;
@@ -87,7 +88,7 @@
             .all(|row| row.split(COLUMN_SEPARATOR).count() == COLUMN_COUNT)
 }
 
-/// An estimate of the document's length: a quarter more than the rows for quotes and brackets.
+/// Estimates the document's length in bytes. Quotes and brackets take about a quarter of the length of the rows.
 fn json_capacity(bytes: usize) -> usize {
     bytes + bytes / 4 + 64
 }
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Takes the whole budget of connections to engines.
+    /// Takes all permits of the budget for connections to engines.
     async fn take_all_permits(&self) -> tokio::sync::OwnedSemaphorePermit {
         let all = self.budget.engine_connections.available_permits() as u32;
         self.budget
@@ -109,7 +109,7 @@
             .await
     }
 
-    /// Bytes that arrive on the first connection, if one comes up.
+    /// Number of bytes that arrive on the first connection; 0 if none is opened within 100 ms.
     async fn received_bytes(&self) -> usize {
         let Ok(Ok((mut stream, _))) =
             timeout(Duration::from_millis(100), self.listener.accept()).await
@@ -132,7 +132,7 @@
     }
 }
 
-/// A retry waits for a connection permit and gets it after its query was answered.
+/// A retry waits for a connection permit and gets it only after its query was answered.
 #[tokio::test]
 async fn a_request_that_waited_for_its_connection_until_after_the_answer_is_not_sent() {
     let silent = SilentEngine::start().await;
@@ -148,7 +148,7 @@
     assert_eq!(silent.received_bytes().await, 0);
 }
 
-/// The client has left and may reconnect, so that the query is not over: nothing is sent meanwhile.
+/// The client has disconnected but may reconnect, so the query has not ended. Nothing is sent meanwhile.
 #[tokio::test]
 async fn a_request_that_waited_for_its_connection_until_its_client_left_is_not_sent() {
     let silent = SilentEngine::start().await;
@@ -170,7 +170,7 @@
     assert_eq!(silent.received_bytes().await, 0);
 }
 
-/// The send deadline passes while the connection is still to come up.
+/// The send deadline passes before a connection is established.
 #[tokio::test]
 async fn a_request_that_can_t_be_sent_by_its_send_deadline_is_not_sent() {
     let silent = SilentEngine::start().await;
@@ -190,7 +190,7 @@
     assert_eq!(silent.received_bytes().await, 0);
 }
 
-/// The engine starts to drain, or leaves the list, while the connection is still to come up.
+/// The engine starts to drain, or leaves the endpoint list, before a connection is established.
 #[tokio::test]
 async fn a_request_whose_engine_drains_before_its_first_byte_is_not_sent() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
