--- a/crates/gateway/src/engines/attempt/call_timeout.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout.rs
@@ -11,7 +11,7 @@
 const SLOW_RESPONSE_FACTOR: f64 = 1.5;
 
 /// The timeout while no response has been slow.
-const USUAL_RESPONSE_TIMEOUT: Duration = LONG_POLL_LIMIT.saturating_add(SOCKET_TIMEOUT_SLACK);
+const BASE_RESPONSE_TIMEOUT: Duration = LONG_POLL_LIMIT.saturating_add(SOCKET_TIMEOUT_SLACK);
 
 /// The response timeout of one attempt, adapted to the responses so far.
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
     pub(super) fn answered(&mut self, now: Instant, elapsed: Duration) {
         self.consecutive_timeouts = 0;
         self.last_response_at = now;
-        if elapsed > USUAL_RESPONSE_TIMEOUT {
+        if elapsed > BASE_RESPONSE_TIMEOUT {
             self.slowest_response = self.slowest_response.max(elapsed);
         }
     }
@@ -58,23 +58,24 @@
     /// The timeout of the response to the next call, counted from when its connection is established.
     pub(super) fn timeout(&self, now: Instant) -> Duration {
         let since_response = now.saturating_duration_since(self.last_response_at);
-        let known_to_run = MAX_UNPOLLED_RUN.saturating_sub(since_response);
-        if known_to_run.is_zero() && self.consecutive_timeouts > 0 {
+        let guaranteed_run_time = MAX_UNPOLLED_RUN.saturating_sub(since_response);
+        if guaranteed_run_time.is_zero() && self.consecutive_timeouts > 0 {
             // Polling has stopped by this time; the timeout bounds the calls that cancel the attempt.
-            return self.second_call_timeout();
+            return self.extended_timeout();
         }
-        let longest = known_to_run.max(USUAL_RESPONSE_TIMEOUT);
+        let max_timeout = guaranteed_run_time.max(BASE_RESPONSE_TIMEOUT);
         let after_timeouts = match self.consecutive_timeouts {
-            0 => USUAL_RESPONSE_TIMEOUT,
-            1 => self.second_call_timeout(),
-            _ => longest,
+            0 => BASE_RESPONSE_TIMEOUT,
+            1 => self.extended_timeout(),
+            _ => max_timeout,
         };
         let after_slow_response = self.slowest_response.mul_f64(SLOW_RESPONSE_FACTOR);
-        after_timeouts.max(after_slow_response).min(longest)
+        after_timeouts.max(after_slow_response).min(max_timeout)
     }
 
-    /// The timeout of the first call after one that timed out.
-    fn second_call_timeout(&self) -> Duration {
+    /// The timeout of the first call after one that timed out, and of the calls that cancel the attempt after its unpolled
+    /// run.
+    fn extended_timeout(&self) -> Duration {
         LONG_POLL_LIMIT + self.connect_timeout * 2
     }
 }
--- a/crates/gateway/src/engines/attempt/call_timeout/tests.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout/tests.rs
@@ -76,7 +76,7 @@
     call_timeout.answered(call_timeout.last_response_at, LONG_POLL_LIMIT + ms(20));
     assert_eq!(
         call_timeout.timeout(call_timeout.last_response_at),
-        USUAL_RESPONSE_TIMEOUT
+        BASE_RESPONSE_TIMEOUT
     );
 }
 
--- a/crates/gateway/src/engines/attempt/cancellable_call.rs
+++ b/crates/gateway/src/engines/attempt/cancellable_call.rs
@@ -37,7 +37,7 @@
 }
 
 /// The time for which a call still waits for a response that is no longer wanted.
-enum LastWait {
+enum GracePeriod {
     /// No time: the call is interrupted at once.
     None,
     /// [`LONG_POLL_LIMIT`], for which an engine may hold a poll back. The response tells whether the attempt runs.
@@ -66,9 +66,9 @@
                 outcome = stop_once_unwanted(cancellation, send_deadline, send_gate) => outcome,
             };
             let cancellation = *cancellation.borrow();
-            match last_wait(kind, start_request, cancellation) {
-                LastWait::None => None,
-                LastWait::LongPollLimit => timeout(LONG_POLL_LIMIT, response).await.ok(),
+            match grace_period(kind, start_request, cancellation) {
+                GracePeriod::None => None,
+                GracePeriod::LongPollLimit => timeout(LONG_POLL_LIMIT, response).await.ok(),
             }
         };
         match response {
@@ -119,17 +119,17 @@
 }
 
 /// Chooses the grace period of a call whose response is no longer wanted.
-fn last_wait(
+fn grace_period(
     kind: CallKind,
     start_request: StopOutcome,
     cancellation: CancellationState,
-) -> LastWait {
+) -> GracePeriod {
     if start_request == StopOutcome::Stopped {
-        return LastWait::None;
+        return GracePeriod::None;
     }
     // The part of the request that has not arrived yet would reach the engine after the query's answer.
     if kind == CallKind::Start && cancellation == CancellationState::QueryFinished {
-        return LastWait::None;
+        return GracePeriod::None;
     }
-    LastWait::LongPollLimit
+    GracePeriod::LongPollLimit
 }
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -40,7 +40,7 @@
     /// The next poll is due now.
     Due,
     /// Further polls can't determine the outcome.
-    Useless,
+    Stop,
 }
 
 /// The kind of request that a response answers: the one that starts the attempt, or a later poll.
@@ -76,7 +76,7 @@
                 return PollOutcome::CancelRequested;
             }
             let next_poll = self.wait_for_next_poll(&mut schedule, checked).await;
-            if next_poll == NextPoll::Useless {
+            if next_poll == NextPoll::Stop {
                 return PollOutcome::Unknown;
             }
             let poll = self.poll_call(query, 0);
@@ -229,7 +229,7 @@
         };
         self.drop_connection_if_invalid(response);
         let PollStep::PollAgain(pause) = step else {
-            return NextPoll::Useless;
+            return NextPoll::Stop;
         };
         // A call that timed out has taken at least as long as the pause.
         let has_waited = response == Err(CallError::TimedOut);
