--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -149,7 +149,7 @@
                 end_after_cancel(proof, *cancellation.borrow())
             }
         };
-        AttemptResult::of(end)
+        AttemptResult::from_end(end)
     }
 
     /// Creates a poll of the attempt, or of a page of its result.
--- a/crates/gateway/src/engines/attempt/polling.rs
+++ b/crates/gateway/src/engines/attempt/polling.rs
@@ -30,7 +30,7 @@
 
 impl PollOutcome {
     fn ended(end: AttemptEnd) -> Self {
-        PollOutcome::Ended(AttemptResult::of(end))
+        PollOutcome::Ended(AttemptResult::from_end(end))
     }
 }
 
@@ -212,7 +212,7 @@
         };
         PollOutcome::Ended(AttemptResult {
             report: reply.load_report(),
-            ..AttemptResult::of(end)
+            ..AttemptResult::from_end(end)
         })
     }
 
--- a/crates/gateway/src/engines/messages.rs
+++ b/crates/gateway/src/engines/messages.rs
@@ -70,7 +70,7 @@
 
 impl AttemptResult {
     /// An attempt that ended without a result or a load report.
-    pub fn of(end: AttemptEnd) -> Self {
+    pub fn from_end(end: AttemptEnd) -> Self {
         AttemptResult {
             end,
             pages: Vec::new(),
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -143,7 +143,7 @@
         let ended = match self.engines.target(attempt.engine) {
             Some(target) => AttemptInFlight::run(self, attempt, target, start).await,
             None => EndedAttempt {
-                result: AttemptResult::of(AttemptEnd::ConnectFailed),
+                result: AttemptResult::from_end(AttemptEnd::ConnectFailed),
                 query_status: QueryStatus::Open,
             },
         };
@@ -153,7 +153,7 @@
     /// Reports that the outcome of an attempt is unknown for now, and answers the query if the scheduler decides so.
     fn outcome_unknown(&self, attempt: ScheduledAttempt, end: AttemptEnd) -> QueryStatus {
         self.report_discarded_body();
-        let outcome = attempt.outcome(&AttemptResult::of(end), QueryStatus::Open);
+        let outcome = attempt.outcome(&AttemptResult::from_end(end), QueryStatus::Open);
         match self.scheduler.outcome_unknown(self.query_id, outcome) {
             FollowUp::Nothing => QueryStatus::Open,
             FollowUp::Answer(answer) => {
@@ -204,7 +204,7 @@
                 tracing::warn!(engine = attempt.engine, %error, "engine sent a malformed result");
                 let failure = AttemptResult {
                     report: result.report,
-                    ..AttemptResult::of(AttemptEnd::Failed)
+                    ..AttemptResult::from_end(AttemptEnd::Failed)
                 };
                 CheckedResult {
                     result: failure,
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseDeadline {
     /// The deadline has not passed.
-    Ahead,
+    Pending,
     /// The deadline has passed and the exchange is being cancelled. The exchange is polled once more before the outcome
     /// counts as unknown.
     Passed,
@@ -50,7 +50,7 @@
             unknown_outcome: unknown_outcome_events,
             progress: progress_events,
         };
-        let deadline = response_deadline(task.scheduler.clone(), start.response_deadline);
+        let deadline = until_answer_due(task.scheduler.clone(), start.response_deadline);
         let exchange = exchange(task, attempt, target, start, cancellation_requests, events);
         let in_flight = AttemptInFlight {
             task,
@@ -58,13 +58,13 @@
             cancellation,
             unknown_outcome,
             progress,
-            deadline: ResponseDeadline::Ahead,
+            deadline: ResponseDeadline::Pending,
             query_status: QueryStatus::Open,
         };
-        in_flight.until_ended(exchange, deadline).await
+        in_flight.run_until_ended(exchange, deadline).await
     }
 
-    async fn until_ended(
+    async fn run_until_ended(
         mut self,
         exchange: impl Future<Output = AttemptResult>,
         deadline: impl Future<Output = ()>,
@@ -73,8 +73,8 @@
         loop {
             tokio::select! {
                 biased;
-                result = &mut exchange => return self.ended(result),
-                () = &mut deadline, if self.deadline == ResponseDeadline::Ahead => self.deadline_passed(),
+                result = &mut exchange => return self.into_ended_attempt(result),
+                () = &mut deadline, if self.deadline == ResponseDeadline::Pending => self.deadline_passed(),
                 // If the attempt had not started, the cancelled exchange has ended by now with a known outcome, and
                 // this branch is not reached.
                 () = ready(()), if self.deadline == ResponseDeadline::Passed => self.report_timeout(),
@@ -85,9 +85,9 @@
         }
     }
 
-    fn ended(self, result: AttemptResult) -> EndedAttempt {
+    fn into_ended_attempt(self, result: AttemptResult) -> EndedAttempt {
         let has_timed_out =
-            self.deadline != ResponseDeadline::Ahead && result.end != AttemptEnd::NotNeeded;
+            self.deadline != ResponseDeadline::Pending && result.end != AttemptEnd::NotNeeded;
         let end = match has_timed_out {
             true => AttemptEnd::TimedOut,
             false => result.end,
@@ -179,7 +179,7 @@
 
 /// Waits until the query's answer is due: when its response deadline passes or, during a shutdown, when all answers are
 /// due.
-async fn response_deadline(scheduler: Arc<Scheduler>, deadline: Instant) {
+async fn until_answer_due(scheduler: Arc<Scheduler>, deadline: Instant) {
     tokio::select! {
         () = sleep_until(deadline.into()) => {}
         () = scheduler.until_answers_due() => {}
@@ -203,8 +203,8 @@
     async move {
         if let Some(entry) = journal_entry {
             let record = journal.record_before_send(entry);
-            if let Err(end) = recorded_or_cancelled(record, cancellation.clone()).await {
-                return AttemptResult::of(end);
+            if let Err(end) = wait_for_send_permission(record, cancellation.clone()).await {
+                return AttemptResult::from_end(end);
             }
         }
         tracing::debug!(
@@ -225,7 +225,7 @@
 /// # Errors
 ///
 /// The end of the attempt if it must not be sent.
-async fn recorded_or_cancelled(
+async fn wait_for_send_permission(
     record: impl Future<Output = SendPermission>,
     mut cancellation: watch::Receiver<CancellationState>,
 ) -> Result<(), AttemptEnd> {
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
@@ -10,18 +10,18 @@
     ];
     for (last, end) in ends {
         let (cancellation, requests) = watch::channel(CancellationState::NotRequested);
-        let waiting = recorded_or_cancelled(std::future::pending(), requests.clone());
+        let waiting = wait_for_send_permission(std::future::pending(), requests.clone());
         cancellation.send_replace(last);
         assert_eq!(waiting.await, Err(end));
         assert_eq!(
-            recorded_or_cancelled(std::future::ready(SendPermission::Granted), requests).await,
+            wait_for_send_permission(std::future::ready(SendPermission::Granted), requests).await,
             Err(end),
             "both at once"
         );
     }
     let (_cancellation, requests) = watch::channel(CancellationState::NotRequested);
     assert_eq!(
-        recorded_or_cancelled(
+        wait_for_send_permission(
             std::future::ready(SendPermission::Granted),
             requests.clone()
         )
@@ -29,7 +29,7 @@
         Ok(())
     );
     assert_eq!(
-        recorded_or_cancelled(std::future::ready(SendPermission::Denied), requests).await,
+        wait_for_send_permission(std::future::ready(SendPermission::Denied), requests).await,
         Err(AttemptEnd::NotNeeded),
         "no engine is at fault"
     );
