--- a/crates/gateway/src/scheduling/scheduler/admission.rs
+++ b/crates/gateway/src/scheduling/scheduler/admission.rs
@@ -20,9 +20,9 @@
 use tokio::sync::watch;
 
 /// A query key or ordering key in the log, as 16 hexadecimal digits: the form in which clients send it.
-struct Hex(u64);
+struct HexKey(u64);
 
-impl fmt::Debug for Hex {
+impl fmt::Debug for HexKey {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -56,7 +56,7 @@
         let fingerprint = self.fingerprint(&arriving, &forwarded_query);
         self.handle_event(|state, now| {
             state.discard_expired(now);
-            match state.queries.state(query_key) {
+            match state.query_index.state(query_key) {
                 Some(QueryKeyState::Open(id)) => {
                     self.join(state, now, id, &arriving, &forwarded_query)
                 }
@@ -136,8 +136,8 @@
             Ok(plan_admission) => plan_admission,
             Err(denial) => return Admission::DeniedByPlan(denial),
         };
-        let terms = state.terms(now, &new.arriving, plan_admission);
-        if terms.is_non_idempotent && state.queries.is_recovery_pending() {
+        let terms = state.admission_terms(now, &new.arriving, plan_admission);
+        if terms.is_non_idempotent && state.query_index.is_recovery_pending() {
             state.release_plan_admission(now, terms.plan_admission);
             return Admission::MayHaveRun;
         }
@@ -161,7 +161,7 @@
         let open_query = new.into_open_query(terms, command_sender);
         let client_presence = open_query.client_presence.clone();
         let answer = open_query.answer.subscribe();
-        state.queries.open(query_key, id);
+        state.query_index.open(query_key, id);
         state.open_queries.insert(id, open_query);
         self.open_count.send_replace(state.open_queries.len());
         log_admission(&query, query_key);
@@ -277,7 +277,7 @@
         plan_router.admit(now, &query).map(Some)
     }
 
-    fn terms(
+    fn admission_terms(
         &self,
         now: f64,
         arriving: &ArrivingQuery,
@@ -311,9 +311,9 @@
 fn log_admission(query: &Query, query_key: u64) {
     tracing::debug!(
         query_id = query.id,
-        query_key = ?Hex(query_key),
+        query_key = ?HexKey(query_key),
         class = query.class,
-        ordering_key = ?query.ordering_key.map(Hex),
+        ordering_key = ?query.ordering_key.map(HexKey),
         remaining_ms = log_millis(query.remaining_time),
         "query admitted"
     );
--- a/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
@@ -2,7 +2,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 
-const CALL: Fingerprint = Fingerprint(7);
+const FINGERPRINT: Fingerprint = Fingerprint(7);
 
 fn answer(bytes: usize) -> QueryAnswer {
     QueryAnswer::Succeeded(Bytes::from(vec![b'x'; bytes]))
@@ -11,23 +11,29 @@
 #[test]
 fn a_repeat_of_the_call_gets_the_cached_answer_until_its_deadline() {
     let mut cache = AnswerCache::new(10_000);
-    cache.insert(1.0, 1, CALL, answer(10), 2.0);
-    assert_eq!(cache.get(1.9, 1, CALL), CachedAnswer::Answer(answer(10)));
+    cache.insert(1.0, 1, FINGERPRINT, answer(10), 2.0);
+    assert_eq!(
+        cache.get(1.9, 1, FINGERPRINT),
+        CachedAnswer::Answer(answer(10))
+    );
     assert_eq!(
         cache.get(1.9, 1, Fingerprint(8)),
         CachedAnswer::OtherRequest
     );
-    assert_eq!(cache.get(1.9, 2, CALL), CachedAnswer::Missing);
-    assert_eq!(cache.get(2.0, 1, CALL), CachedAnswer::Missing);
+    assert_eq!(cache.get(1.9, 2, FINGERPRINT), CachedAnswer::Missing);
+    assert_eq!(cache.get(2.0, 1, FINGERPRINT), CachedAnswer::Missing);
 }
 
 #[test]
 fn an_answer_over_the_bound_evicts_no_others() {
     let mut cache = AnswerCache::new(1000);
-    cache.insert(1.0, 1, CALL, answer(10), 9.0);
-    cache.insert(1.0, 2, CALL, answer(1000), 9.0);
-    assert_eq!(cache.get(1.0, 1, CALL), CachedAnswer::Answer(answer(10)));
-    assert_eq!(cache.get(1.0, 2, CALL), CachedAnswer::Missing);
+    cache.insert(1.0, 1, FINGERPRINT, answer(10), 9.0);
+    cache.insert(1.0, 2, FINGERPRINT, answer(1000), 9.0);
+    assert_eq!(
+        cache.get(1.0, 1, FINGERPRINT),
+        CachedAnswer::Answer(answer(10))
+    );
+    assert_eq!(cache.get(1.0, 2, FINGERPRINT), CachedAnswer::Missing);
 }
 
 proptest! {
@@ -41,13 +47,13 @@
         let mut now = 0.0;
         for (query_key, bytes, lifetime) in answers {
             now += 1.0;
-            cache.insert(now, query_key, CALL, answer(bytes), now + f64::from(lifetime));
+            cache.insert(now, query_key, FINGERPRINT, answer(bytes), now + f64::from(lifetime));
             let cached_bytes: usize = cache.entries.values().map(Entry::bytes).sum();
             prop_assert_eq!(cache.bytes, cached_bytes);
             prop_assert!(cache.bytes <= 10_000);
             prop_assert_eq!(cache.keys_by_sequence.len(), cache.entries.len());
             if lifetime > 0 {
-                prop_assert_eq!(cache.get(now, query_key, CALL), CachedAnswer::Answer(answer(bytes)));
+                prop_assert_eq!(cache.get(now, query_key, FINGERPRINT), CachedAnswer::Answer(answer(bytes)));
             }
         }
         cache.evict(now + 50.0);
--- a/crates/gateway/src/scheduling/scheduler/query_end.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_end.rs
@@ -33,7 +33,7 @@
                 cache.insert(now, query.query_key, fingerprint, answer, query.deadline);
             }
             let expires_at = now + self.finished_retention;
-            state.queries.finish(query.query_key, expires_at);
+            state.query_index.finish(query.query_key, expires_at);
             state.release_plan_admission(now, query.plan_admission);
         }
         self.open_count.send_replace(state.open_queries.len());
@@ -41,7 +41,7 @@
 
     /// Cancels the open query of a key at the request of its client.
     pub fn cancel(&self, query_key: u64) -> CancelOutcome {
-        self.handle_event(|state, now| match state.queries.state(query_key) {
+        self.handle_event(|state, now| match state.query_index.state(query_key) {
             Some(QueryKeyState::Open(id)) => {
                 state.client_left(now, id);
                 CancelOutcome::Cancelled
--- a/crates/gateway/src/scheduling/scheduler/query_index.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_index.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records that all queries that an earlier process sent are known.
-    pub(super) fn recovery_complete(&mut self) {
+    pub(super) fn set_recovery_complete(&mut self) {
         self.recovery = Recovery::Complete;
     }
 
--- a/crates/gateway/src/scheduling/scheduler/recovery.rs
+++ b/crates/gateway/src/scheduling/scheduler/recovery.rs
@@ -9,7 +9,7 @@
     /// Announces that the journal is being read. Until [`recovered`](Scheduler::recovered) is called, every
     /// non-idempotent query that arrives is treated as one that may have run.
     pub fn set_recovery_pending(&self) {
-        self.state().queries.set_recovery_pending();
+        self.state().query_index.set_recovery_pending();
     }
 
     /// Records the queries found in the journal, none of which is sent again.
@@ -21,12 +21,12 @@
             let resumes_at = now + longest_unpolled_run.as_secs_f64();
             for RecoveredQuery { record, finished } in queries {
                 let expires_at = record.may_run_until_ms as f64 / MILLIS_PER_SECOND;
-                state.queries.recover(record.query_key, expires_at);
+                state.query_index.recover(record.query_key, expires_at);
                 if let Some(key) = record.ordering_key.filter(|_| !finished) {
                     state.controller.pause_key(key, resumes_at);
                 }
             }
-            state.queries.recovery_complete();
+            state.query_index.set_recovery_complete();
         });
     }
 }
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -18,7 +18,7 @@
     pub(super) plan_router: Option<PlanRouter>,
     pub(super) next_query_id: QueryId,
     /// The query keys known to this process.
-    pub(super) queries: QueryIndex,
+    pub(super) query_index: QueryIndex,
     pub(super) open_queries: HashMap<QueryId, OpenQuery>,
     pub(super) answer_cache: AnswerCache,
     /// Whether queries of a class are non-idempotent, by class index.
@@ -39,7 +39,7 @@
             controller,
             plan_router,
             next_query_id: 0,
-            queries: QueryIndex::default(),
+            query_index: QueryIndex::default(),
             open_queries: HashMap::new(),
             answer_cache: AnswerCache::new(answer_cache_bytes),
             non_idempotent_classes: Vec::new(),
@@ -118,7 +118,7 @@
 
     /// Removes expired query keys and cached answers.
     pub(super) fn discard_expired(&mut self, now: f64) {
-        self.queries.discard_expired(now);
+        self.query_index.discard_expired(now);
         self.answer_cache.evict(now);
     }
 }
