--- a/crates/gateway/src/engines/attempt/call_timeout/tests.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout/tests.rs
@@ -7,31 +7,31 @@
     Duration::from_millis(n)
 }
 
-/// The time until the first response is received from an engine that always takes `takes` to respond; `None` if no
+/// The time until the first response is received from an engine that always responds after `response_time`; `None` if no
 /// response is received.
-fn first_response_after(connect_timeout: Duration, takes: Duration) -> Option<Duration> {
+fn first_response_after(connect_timeout: Duration, response_time: Duration) -> Option<Duration> {
     let began = Instant::now();
     let mut call_timeout = CallTimeout::new(connect_timeout, began);
     let mut now = began;
     while now - began <= LONG_POLL_LIMIT + POLL_EXPIRY {
-        let within = call_timeout.timeout(now);
-        if takes <= within {
-            call_timeout.answered(now + takes, takes);
+        let timeout = call_timeout.timeout(now);
+        if response_time <= timeout {
+            call_timeout.answered(now + response_time, response_time);
             assert!(
-                call_timeout.timeout(now + takes) >= takes,
-                "the first call after it waits long enough"
+                call_timeout.timeout(now + response_time) >= response_time,
+                "the next timeout is at least the response time"
             );
-            return Some(now + takes - began);
+            return Some(now + response_time - began);
         }
-        now += within;
+        now += timeout;
         call_timeout.timed_out();
     }
     None
 }
 
 #[test]
-fn an_engine_that_is_always_slow_is_received_by_a_later_call() {
-    for (takes, after) in [
+fn later_call_receives_the_response_of_a_slow_engine() {
+    for (response_time, expected) in [
         (100, 100),
         (300, 300),
         (600, 900),
@@ -39,9 +39,9 @@
         (1200, 2250),
     ] {
         assert_eq!(
-            first_response_after(CONNECT_TIMEOUT, ms(takes)),
-            Some(ms(after)),
-            "{takes} ms"
+            first_response_after(CONNECT_TIMEOUT, ms(response_time)),
+            Some(ms(expected)),
+            "{response_time} ms"
         );
     }
     assert_eq!(first_response_after(CONNECT_TIMEOUT, ms(1300)), None);
@@ -71,7 +71,7 @@
 
 /// A response that an engine holds back for as long as the protocol allows does not count as slow.
 #[test]
-fn a_usual_response_does_not_lengthen_the_timeout() {
+fn response_within_the_base_timeout_does_not_lengthen_the_timeout() {
     let mut call_timeout = CallTimeout::new(CONNECT_TIMEOUT, Instant::now());
     call_timeout.answered(call_timeout.last_response_at, LONG_POLL_LIMIT + ms(20));
     assert_eq!(
@@ -83,7 +83,7 @@
 /// The timeout after the unpolled run must be long enough to ask a slow engine whether it has the attempt that is being
 /// cancelled.
 #[test]
-fn calls_after_the_unpolled_run_get_the_second_call_timeout() {
+fn calls_after_the_unpolled_run_get_the_extended_timeout() {
     let mut call_timeout = CallTimeout::new(CONNECT_TIMEOUT, Instant::now());
     call_timeout.timed_out();
     assert_eq!(
--- a/crates/gateway/src/engines/result_rows/tests.rs
+++ b/crates/gateway/src/engines/result_rows/tests.rs
@@ -5,12 +5,12 @@
         .iter()
         .map(|p| Bytes::copy_from_slice(p.as_bytes()))
         .collect();
-    let json: serde_json::Value = serde_json::from_slice(&to_json(&pages)?).expect("JSON");
-    Ok(serde_json::from_value(json["data"].clone()).expect("rows of texts"))
+    let json: serde_json::Value = serde_json::from_slice(&to_json(&pages)?).expect("valid JSON");
+    Ok(serde_json::from_value(json["data"].clone()).expect("rows of strings"))
 }
 
 #[test]
-fn rows_come_out_unchanged_and_in_order() {
+fn rows_are_converted_unchanged_and_in_order() {
     assert_eq!(rows(&[""]).unwrap(), Vec::<Vec<String>>::new());
     let odd = ["quote\"", "back\\slash", "\u{1}\r\u{7f} é 漢"];
     let page = format!("a\t\t\n{}\n", odd.join("\t"));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_no_whole_row_is_an_error_never_a_row() {
+fn incomplete_or_malformed_row_is_an_error() {
     for page in ["a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "\n"] {
         assert!(
             rows(&[page]).is_err() && !is_complete_page(page.as_bytes()),
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -134,7 +134,7 @@
 
 /// A retry waits for a connection permit and gets it only after its query was answered.
 #[tokio::test]
-async fn a_request_that_waited_for_its_connection_until_after_the_answer_is_not_sent() {
+async fn request_is_not_sent_if_its_query_is_answered_before_it_gets_a_connection() {
     let silent = SilentEngine::start().await;
     let permits = silent.take_all_permits().await;
     let (cancel, cancellation) = watch::channel(CancellationState::NotRequested);
@@ -150,7 +150,7 @@
 
 /// The client has disconnected but may reconnect, so the query has not ended. Nothing is sent meanwhile.
 #[tokio::test]
-async fn a_request_that_waited_for_its_connection_until_its_client_left_is_not_sent() {
+async fn request_is_not_sent_if_its_client_disconnects_before_it_gets_a_connection() {
     let silent = SilentEngine::start().await;
     let permits = silent.take_all_permits().await;
     let (_cancel, cancellation) = watch::channel(CancellationState::NotRequested);
@@ -165,14 +165,14 @@
     assert_eq!(
         result.end,
         AttemptEnd::NotNeeded,
-        "which says nothing of the engine"
+        "a disconnected client says nothing about the engine"
     );
     assert_eq!(silent.received_bytes().await, 0);
 }
 
 /// The send deadline passes before a connection is established.
 #[tokio::test]
-async fn a_request_that_can_t_be_sent_by_its_send_deadline_is_not_sent() {
+async fn request_is_not_sent_after_its_send_deadline() {
     let silent = SilentEngine::start().await;
     let permits = silent.take_all_permits().await;
     let (_cancel, cancellation) = watch::channel(CancellationState::NotRequested);
@@ -192,7 +192,7 @@
 
 /// The engine starts to drain, or leaves the endpoint list, before a connection is established.
 #[tokio::test]
-async fn a_request_whose_engine_drains_before_its_first_byte_is_not_sent() {
+async fn request_is_not_sent_to_an_engine_that_drains_or_leaves_before_its_first_byte() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let silent = SilentEngine::start().await;
         let permits = silent.take_all_permits().await;
@@ -206,7 +206,7 @@
         assert_eq!(
             result.end,
             AttemptEnd::ConnectFailed,
-            "another engine is tried"
+            "the query is tried at another engine"
         );
         assert_eq!(silent.received_bytes().await, 0);
     }
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
@@ -2,7 +2,7 @@
 
 /// A journal write that takes longer than the query: the cancellation ends the wait, and nothing is sent afterwards.
 #[tokio::test]
-async fn an_attempt_cancelled_before_its_journal_write_sends_nothing() {
+async fn attempt_is_sent_only_if_the_journal_permits_it_and_it_is_not_cancelled() {
     let ends = [
         (CancellationState::QueryFinished, AttemptEnd::NotNeeded),
         (CancellationState::UnlessSent, AttemptEnd::NotNeeded),
@@ -16,7 +16,7 @@
         assert_eq!(
             wait_for_send_permission(std::future::ready(SendPermission::Granted), requests).await,
             Err(end),
-            "both at once"
+            "permission granted and cancellation requested together"
         );
     }
     let (_cancellation, requests) = watch::channel(CancellationState::NotRequested);
@@ -31,6 +31,6 @@
     assert_eq!(
         wait_for_send_permission(std::future::ready(SendPermission::Denied), requests).await,
         Err(AttemptEnd::NotNeeded),
-        "no engine is at fault"
+        "a failed journal write is not counted against the engine"
     );
 }
--- a/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/answer_cache/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_repeat_of_the_call_gets_the_cached_answer_until_its_deadline() {
+fn repeated_request_gets_the_cached_answer_until_its_deadline() {
     let mut cache = AnswerCache::new(10_000);
     cache.insert(1.0, 1, FINGERPRINT, answer(10), 2.0);
     assert_eq!(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_answer_over_the_bound_evicts_no_others() {
+fn answer_larger_than_the_cache_evicts_no_others() {
     let mut cache = AnswerCache::new(1000);
     cache.insert(1.0, 1, FINGERPRINT, answer(10), 9.0);
     cache.insert(1.0, 2, FINGERPRINT, answer(1000), 9.0);
--- a/crates/gateway/src/scheduling/scheduler/query_index/tests.rs
+++ b/crates/gateway/src/scheduling/scheduler/query_index/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_recovered_query_counts_until_it_expires() {
+fn recovered_key_is_remembered_until_it_expires() {
     let mut query_index = QueryIndex::default();
     query_index.recover(KEY, 10.0);
     query_index.discard_expired(9.9);
@@ -28,7 +28,7 @@
 /// A key can be open in this process when the journal turns out to contain it. Once this process has forgotten the key,
 /// it counts as recovered.
 #[test]
-fn a_query_of_this_process_goes_before_a_recovered_one() {
+fn query_of_this_process_takes_precedence_over_a_recovered_one() {
     let mut query_index = QueryIndex::default();
     query_index.open(KEY, 3);
     query_index.recover(KEY, 20.0);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn recovery_is_pending_only_between_its_begin_and_its_end() {
+fn recovery_is_pending_only_between_its_start_and_its_end() {
     let mut query_index = QueryIndex::default();
     assert!(!query_index.is_recovery_pending());
     query_index.set_recovery_pending();
