--- a/crates/gateway/src/engines/attempt/cancel.rs
+++ b/crates/gateway/src/engines/attempt/cancel.rs
@@ -26,7 +26,7 @@
                         engine,
                         path = attempt_path(query),
                         ?proof,
-                        "attempt cancelled"
+                        "attempt cancelled and proved not to run"
                     );
                     return proof;
                 }
@@ -52,7 +52,12 @@
             }
             Err(error) => {
                 let engine = self.target.engine;
-                tracing::debug!(engine, path = attempt_path(query), ?error, "cancel failed");
+                tracing::debug!(
+                    engine,
+                    path = attempt_path(query),
+                    ?error,
+                    "request to cancel the attempt failed"
+                );
                 self.record_cancel_failed(error);
             }
         }
--- a/crates/gateway/src/engines/attempt/exchange.rs
+++ b/crates/gateway/src/engines/attempt/exchange.rs
@@ -162,7 +162,7 @@
             result = self.send_body(body) => result,
         };
         if let Err(error) = body_result {
-            tracing::debug!(%error, "request body could not be sent");
+            tracing::debug!(%error, "request body could not be read to its end; connection aborted");
             // If the client cut its body off, the store did not lose it.
             self.stored_body_lost = !matches!(error, ReadError::Truncated);
             return Err(CallError::ConnectionLost);
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -50,7 +50,11 @@
             previous = match self.call(call, time_limit).await {
                 Ok(reply) if reply.status == StatusCode::INTERNAL_SERVER_ERROR => {
                     let engine = self.target.engine;
-                    tracing::debug!(engine, page, "result page lost");
+                    tracing::debug!(
+                        engine,
+                        page,
+                        "engine has lost a result page; the attempt failed"
+                    );
                     return Err(AttemptEnd::Failed);
                 }
                 Ok(reply) if holds_page(&reply, page) => return Ok(reply.body),
--- a/crates/gateway/src/engines/messages.rs
+++ b/crates/gateway/src/engines/messages.rs
@@ -48,7 +48,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Statement::Complete(bytes) => write!(f, "{} bytes", bytes.len()),
-            Statement::Streamed(body) => write!(f, "a body of {:?} bytes", body.length()),
+            Statement::Streamed(body) => write!(f, "streamed body of {:?} bytes", body.length()),
         }
     }
 }
--- a/crates/gateway/src/engines/result_rows.rs
+++ b/crates/gateway/src/engines/result_rows.rs
@@ -20,13 +20,13 @@
 #[derive(Debug, Error)]
 pub enum ResultError {
     /// All pages together are longer than [`MAX_RESULT_BYTES`].
-    #[error("{bytes} bytes of result")]
+    #[error("result is too long: {bytes} bytes")]
     TooLong {
         /// Length of all pages, in bytes.
         bytes: usize,
     },
     /// A page is not valid UTF-8.
-    #[error("a page is not UTF-8")]
+    #[error("result page is not valid UTF-8")]
     NotUtf8 {
         /// Index of the page.
         page: usize,
@@ -34,13 +34,13 @@
         source: std::str::Utf8Error,
     },
     /// A page does not end with the end of a row.
-    #[error("a page ends within a row")]
+    #[error("result page ends with an incomplete row")]
     IncompleteRow {
         /// Index of the page.
         page: usize,
     },
     /// A row has more or fewer columns than the protocol requires.
-    #[error("a row of {columns} columns")]
+    #[error("result row has the wrong number of columns: {columns}")]
     ColumnCount {
         /// Index of the page.
         page: usize,
@@ -50,7 +50,7 @@
         columns: usize,
     },
     /// A column could not be written as JSON.
-    #[error("{source}")]
+    #[error("result row can't be written as JSON: {source}")]
     Json {
         /// Index of the page.
         page: usize,
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -110,7 +110,11 @@
             return;
         };
         let remaining_ms = log_millis(query.deadline - now);
-        tracing::debug!(query_id = id, remaining_ms, "client left");
+        tracing::debug!(
+            query_id = id,
+            remaining_ms,
+            "client left or cancelled the query; answered as failed"
+        );
         query.answer.send_replace(Some(QueryAnswer::Failed));
         query.send_command(Command::ClientLeft);
         self.controller.client_left(now, id);
