--- a/crates/gateway/src/engines/attempt/call_timeout.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout.rs
@@ -73,8 +73,8 @@
         after_timeouts.max(after_slow_response).min(max_timeout)
     }
 
-    /// The timeout of the first call after one that timed out, and of the calls that cancel the attempt after its unpolled
-    /// run.
+    /// The timeout of the first call after one that timed out. It also bounds the calls that cancel an attempt once the
+    /// attempt is no longer known to run.
     fn extended_timeout(&self) -> Duration {
         LONG_POLL_LIMIT + self.connect_timeout * 2
     }
--- a/crates/gateway/src/engines/attempt/call_timeout/tests.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout/tests.rs
@@ -7,8 +7,8 @@
     Duration::from_millis(n)
 }
 
-/// The time until the first response is received from an engine that always responds after `response_time`; `None` if no
-/// response is received.
+/// The time until the first response is received from an engine that always responds after `response_time`; `None` if
+/// no response is received.
 fn first_response_after(connect_timeout: Duration, response_time: Duration) -> Option<Duration> {
     let began = Instant::now();
     let mut call_timeout = CallTimeout::new(connect_timeout, began);
--- a/crates/gateway/src/scheduling/query_task.rs
+++ b/crates/gateway/src/scheduling/query_task.rs
@@ -201,7 +201,11 @@
                 rows: Some(rows),
             },
             Err(error) => {
-                tracing::warn!(engine = attempt.engine, %error, "engine sent a malformed result; the attempt counts as failed");
+                tracing::warn!(
+                    engine = attempt.engine,
+                    %error,
+                    "engine sent a malformed result; the attempt counts as failed"
+                );
                 let failure = AttemptResult {
                     report: result.report,
                     ..AttemptResult::from_end(AttemptEnd::Failed)
--- a/crates/gateway/src/scheduling/scheduler.rs
+++ b/crates/gateway/src/scheduling/scheduler.rs
@@ -8,8 +8,7 @@
 //! This file holds the lock, the timer and `handle_event`, through which every event reaches the controller. Giving a
 //! final answer and releasing a query change only the scheduler's own state; they take the lock without `handle_event`.
 //!
-//! - `admission` opens queries; `query_end` answers and releases them; `waiter` tracks the clients that wait for an
-//! answer.
+//! - `admission` opens queries; `query_end` answers and releases them; `waiter` tracks the waiting clients.
 //! - `query_index` records which query keys have been seen; `answer_cache` keeps the answers of finished queries.
 //! - `open_query` and `state` define the state that the lock guards.
 //! - `attempts`, `updates`, `recovery` and `shutdown` handle the remaining events.
