--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The longest time for which an attempt can run without being polled. Counted from the moment at which an earlier
+    /// The longest time for which an attempt can run without being polled, counted from the moment at which an earlier
     /// process may last have polled it.
     pub fn longest_unpolled_run(&self) -> Duration {
         MAX_UNPOLLED_RUN
--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -5,7 +5,7 @@
 //! | connecting | `exchange::ready_connection` | request being sent; ended as `ConnectFailed` or `NotSent` if no connection is established |
 //! | request being sent | `exchange::send_streamed`, `start`, the [`SendGate`] | running; ended as `NotNeeded` or `ConnectFailed` if the gate stops it, or as `Failed` if its body can't be read |
 //! | running, polled | `polling::poll_until_end` | fetching pages; ended as the engine reports, or as `Cancelled` if its query was answered before its result arrived; cancelling if cancellation is requested or polls can't determine the outcome |
-//! | fetching pages | `pages::fetch_pages` | ended as `Succeeded`, as `Failed` if the engine has lost a page, or as `ConnectionLost` if polls can't determine that |
+//! | fetching pages | `pages::fetch_pages` | ended as `Succeeded`, as `Failed` if the engine has lost a page, or as `ConnectionLost` if a page can't be fetched for another reason |
 //! | cancelling | `cancel::cancel` | ended once the ledger has a proof that the attempt does not run: as `Cancelled`, `NotNeeded`, `ConnectFailed`, or as `ConnectionLost` after an unknown outcome |
 //! | ended | [`AttemptResult`] | |
 //!
--- a/crates/gateway/src/engines/attempt/call_timeout.rs
+++ b/crates/gateway/src/engines/attempt/call_timeout.rs
@@ -1,8 +1,9 @@
 //! Adaptive timeout of the responses to the calls of one attempt.
 //!
 //! An engine, or the network to it, can be slower than any fixed timeout. The timeout therefore grows with each
-//! consecutive call that times out, and after a slow response later calls may take longer too. A timeout never exceeds
-//! the time for which the attempt is known to run without being polled.
+//! consecutive call that times out, and after a slow response later calls may take longer too. Except for the base
+//! timeout and for calls that cancel the attempt, a timeout never exceeds the time for which the attempt is known to
+//! run without being polled.
 
 use crate::engines::protocol::{LONG_POLL_LIMIT, MAX_UNPOLLED_RUN, SOCKET_TIMEOUT_SLACK};
 use std::time::{Duration, Instant};
--- a/crates/gateway/src/engines/attempt/pages.rs
+++ b/crates/gateway/src/engines/attempt/pages.rs
@@ -12,8 +12,8 @@
 use http::StatusCode;
 
 impl EngineSession<'_> {
-    /// Fetches all pages after the first. If a page can't be fetched, returns the pages so far with the end of the
-    /// attempt that follows from it.
+    /// Fetches all pages after the first. If a page can't be fetched, the result holds the pages fetched so far, and
+    /// its `end` tells the cause.
     pub(super) async fn fetch_pages(
         &mut self,
         query: &ForwardedQuery,
--- a/crates/gateway/src/scheduling/plan_routing.rs
+++ b/crates/gateway/src/scheduling/plan_routing.rs
@@ -297,7 +297,7 @@
         })
     }
 
-    /// Returns an admitted query's share of the plan's limits, once the query has ended.
+    /// Gives an admitted query's share of the plan's limits back, once the query has ended.
     pub fn release(&mut self, now: f64, admission: PlanAdmission) {
         self.limits.release(unix_time(now), admission.permit);
     }
--- a/crates/gateway/src/scheduling/scheduler/state.rs
+++ b/crates/gateway/src/scheduling/scheduler/state.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns a query's share of the plan's limits.
+    /// Gives a query's share of the plan's limits back.
     pub(super) fn release_plan_admission(&mut self, now: f64, admission: Option<PlanAdmission>) {
         if let Some((plan_router, admission)) = self.plan_router.as_mut().zip(admission) {
             plan_router.release(now, admission);
