--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight.rs
@@ -1,4 +1,5 @@
-//! One attempt while it is in flight: its exchange with the engine beside its deadline, its events and the scheduler's commands.
+//! An attempt in flight. Its exchange with the engine runs concurrently with its response deadline, its events and the
+//! scheduler's commands.
 
 use super::{EndedAttempt, QueryStatus, QueryTask, ScheduledAttempt};
 use crate::engines::{AttemptEvents, AttemptResult, AttemptStart, CancellationState, Target};
@@ -11,18 +12,19 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// How far the response deadline of an attempt has come.
+/// The state of an attempt's response deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseDeadline {
-    /// It is still ahead.
-    Ahead,
-    /// It has passed and cancelled the exchange, which is polled once more before its outcome counts as unknown.
+    /// The deadline has not passed.
+    Pending,
+    /// The deadline has passed and the exchange is being cancelled. The exchange is polled once more before the outcome
+    /// counts as unknown.
     Passed,
-    /// It has passed, and the scheduler knows that the outcome is unknown.
+    /// The deadline has passed, and the scheduler has been told that the outcome is unknown.
     Reported,
 }
 
-/// An attempt in flight, with what has been asked of it and what it has reported.
+/// An attempt in flight, with its cancellation state and the events that it has reported.
 pub(super) struct AttemptInFlight<'a> {
     task: &'a mut QueryTask,
     attempt: ScheduledAttempt,
@@ -48,7 +50,7 @@
             unknown_outcome: unknown_outcome_events,
             progress: progress_events,
         };
-        let deadline = response_deadline(task.scheduler.clone(), start.response_deadline);
+        let deadline = until_answer_due(task.scheduler.clone(), start.response_deadline);
         let exchange = exchange(task, attempt, target, start, cancellation_requests, events);
         let in_flight = AttemptInFlight {
             task,
@@ -56,13 +58,13 @@
             cancellation,
             unknown_outcome,
             progress,
-            deadline: ResponseDeadline::Ahead,
+            deadline: ResponseDeadline::Pending,
             query_status: QueryStatus::Open,
         };
-        in_flight.until_ended(exchange, deadline).await
+        in_flight.run_until_ended(exchange, deadline).await
     }
 
-    async fn until_ended(
+    async fn run_until_ended(
         mut self,
         exchange: impl Future<Output = AttemptResult>,
         deadline: impl Future<Output = ()>,
@@ -71,9 +73,10 @@
         loop {
             tokio::select! {
                 biased;
-                result = &mut exchange => return self.ended(result),
-                () = &mut deadline, if self.deadline == ResponseDeadline::Ahead => self.deadline_passed(),
-                // An attempt that had not started has ended by now, and its outcome is known.
+                result = &mut exchange => return self.into_ended_attempt(result),
+                () = &mut deadline, if self.deadline == ResponseDeadline::Pending => self.deadline_passed(),
+                // If the attempt had not started, the cancelled exchange has ended by now with a known outcome, and
+                // this branch is not reached.
                 () = ready(()), if self.deadline == ResponseDeadline::Passed => self.report_timeout(),
                 Ok(()) = self.unknown_outcome.changed() => self.outcome_unknown(),
                 Ok(()) = self.progress.changed() => self.progressed(),
@@ -82,9 +85,9 @@
         }
     }
 
-    fn ended(self, result: AttemptResult) -> EndedAttempt {
+    fn into_ended_attempt(self, result: AttemptResult) -> EndedAttempt {
         let has_timed_out =
-            self.deadline != ResponseDeadline::Ahead && result.end != AttemptEnd::NotNeeded;
+            self.deadline != ResponseDeadline::Pending && result.end != AttemptEnd::NotNeeded;
         let end = match has_timed_out {
             true => AttemptEnd::TimedOut,
             false => result.end,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// The query's answer is due: cancels what may still run at the engine.
+    /// Cancels the attempt, which may still run at the engine, because the query's answer is due.
     fn deadline_passed(&mut self) {
         self.deadline = ResponseDeadline::Passed;
         self.cancellation
@@ -133,7 +136,7 @@
         match command {
             Command::ClientLeft => self.client_left(),
             Command::CancelAttempt { attempt } if attempt == self.attempt.number => self.cancel(),
-            // A query has one attempt in flight at most, and the scheduler gives no answer beside it.
+            // A query has at most one attempt in flight, and the scheduler sends no answer while it is.
             Command::CancelAttempt { .. } | Command::BeginAttempt { .. } | Command::Answer(_) => {}
         }
     }
@@ -158,7 +161,7 @@
         });
     }
 
-    /// Requests a cancellation, unless the one requested before goes as far.
+    /// Requests a cancellation, unless one that goes at least as far has already been requested.
     fn request_cancellation(
         &self,
         requested: CancellationState,
@@ -174,15 +177,16 @@
     }
 }
 
-/// Waits until the query's answer is due: its response deadline has passed, or the gateway shuts down.
-async fn response_deadline(scheduler: Arc<Scheduler>, deadline: Instant) {
+/// Waits until the query's answer is due: when its response deadline passes or, during a shutdown, when all answers are
+/// due.
+async fn until_answer_due(scheduler: Arc<Scheduler>, deadline: Instant) {
     tokio::select! {
         () = sleep_until(deadline.into()) => {}
         () = scheduler.until_answers_due() => {}
     }
 }
 
-/// The exchange with the engine; a non-idempotent query is recorded in the journal first.
+/// Runs the exchange with the engine. A non-idempotent query is recorded in the journal first.
 fn exchange(
     task: &QueryTask,
     attempt: ScheduledAttempt,
@@ -199,8 +203,8 @@
     async move {
         if let Some(entry) = journal_entry {
             let record = journal.record_before_send(entry);
-            if let Err(end) = recorded_or_cancelled(record, cancellation.clone()).await {
-                return AttemptResult::of(end);
+            if let Err(end) = wait_for_send_permission(record, cancellation.clone()).await {
+                return AttemptResult::from_end(end);
             }
         }
         tracing::debug!(
@@ -215,24 +219,25 @@
     }
 }
 
-/// Waits until the journal allows an attempt, for as long as the attempt is not cancelled: the disk may take longer than the query.
+/// Waits until the journal permits sending the attempt, or until the attempt is cancelled, since the disk may take
+/// longer than the query's deadline allows.
 ///
 /// # Errors
 ///
-/// How the attempt ends where it must not be sent.
-async fn recorded_or_cancelled(
+/// The end of the attempt if it must not be sent.
+async fn wait_for_send_permission(
     record: impl Future<Output = SendPermission>,
     mut cancellation: watch::Receiver<CancellationState>,
 ) -> Result<(), AttemptEnd> {
     let cancelled = cancellation.wait_for(|state| *state != CancellationState::NotRequested);
     tokio::select! {
         biased;
-        // It fails only without a sender, and the sender's owner awaits this.
+        // Waiting fails only if the sender is dropped, and the sender's owner awaits this future.
         state = cancelled => match state.map(|state| *state) {
             Ok(CancellationState::Requested) => Err(AttemptEnd::ConnectFailed),
             _ => Err(AttemptEnd::NotNeeded),
         },
-        // A failed write is not the engine's fault: nothing was sent.
+        // The engine is not at fault if the journal write fails, since nothing was sent.
         permission = record => match permission {
             SendPermission::Granted => Ok(()),
             SendPermission::Denied => Err(AttemptEnd::NotNeeded),
--- a/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
+++ b/crates/gateway/src/scheduling/query_task/attempt_in_flight/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// The disk takes longer than the query: nothing is sent after the cancellation, which also ends the wait.
+/// A journal write that takes longer than the query: the cancellation ends the wait, and nothing is sent afterwards.
 #[tokio::test]
-async fn an_attempt_cancelled_before_its_journal_write_sends_nothing() {
+async fn attempt_is_sent_only_if_the_journal_permits_it_and_it_is_not_cancelled() {
     let ends = [
         (CancellationState::QueryFinished, AttemptEnd::NotNeeded),
         (CancellationState::UnlessSent, AttemptEnd::NotNeeded),
@@ -10,18 +10,18 @@
     ];
     for (last, end) in ends {
         let (cancellation, requests) = watch::channel(CancellationState::NotRequested);
-        let waiting = recorded_or_cancelled(std::future::pending(), requests.clone());
+        let waiting = wait_for_send_permission(std::future::pending(), requests.clone());
         cancellation.send_replace(last);
         assert_eq!(waiting.await, Err(end));
         assert_eq!(
-            recorded_or_cancelled(std::future::ready(SendPermission::Granted), requests).await,
+            wait_for_send_permission(std::future::ready(SendPermission::Granted), requests).await,
             Err(end),
-            "both at once"
+            "permission granted and cancellation requested together"
         );
     }
     let (_cancellation, requests) = watch::channel(CancellationState::NotRequested);
     assert_eq!(
-        recorded_or_cancelled(
+        wait_for_send_permission(
             std::future::ready(SendPermission::Granted),
             requests.clone()
         )
@@ -29,8 +29,8 @@
         Ok(())
     );
     assert_eq!(
-        recorded_or_cancelled(std::future::ready(SendPermission::Denied), requests).await,
+        wait_for_send_permission(std::future::ready(SendPermission::Denied), requests).await,
         Err(AttemptEnd::NotNeeded),
-        "no engine is at fault"
+        "a failed journal write is not counted against the engine"
     );
 }
