--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -153,10 +153,10 @@
     }
 
     /// When it is closed, unless it delivers something first.
-    fn closed_at(&self) -> Duration {
-        let trickles_at = (self.last_field_at + MAX_FIELD_DURATION)
+    fn close_due_at(&self) -> Duration {
+        let trickle_deadline = (self.last_field_at + MAX_FIELD_DURATION)
             .max(self.last_progress_at + NOTIFICATION_DEADLINE);
-        trickles_at.min(self.last_byte_at + NOTIFICATION_DEADLINE)
+        trickle_deadline.min(self.last_byte_at + NOTIFICATION_DEADLINE)
     }
 
     /// When a fresh one may take its place, unless it delivers something first.
@@ -239,23 +239,23 @@
             return Some(Action::Close(id, LogCloseReason::Redundant));
         }
         let mut open = self.open.iter();
-        if let Some(index) = open.position(|connection| connection.closed_at() <= now) {
+        if let Some(index) = open.position(|connection| connection.close_due_at() <= now) {
             return Some(self.close(index, LogCloseReason::Silent));
         }
-        if self.open_at() > now {
+        if self.next_open_at() > now {
             return None;
         }
         if self.open.len() < MAX_OPEN {
             return Some(Action::Open(self.open(now)));
         }
-        let index = self.replaceable(now)?;
+        let index = self.index_to_replace(now)?;
         Some(self.close(index, LogCloseReason::Replaced))
     }
 
     /// When to poll next, unless something is received first.
     pub(super) fn next_poll_at(&self) -> Duration {
-        let closes = self.open.iter().map(TrackedConnection::closed_at);
-        closes.fold(self.open_at(), Duration::min)
+        let closes = self.open.iter().map(TrackedConnection::close_due_at);
+        closes.fold(self.next_open_at(), Duration::min)
     }
 
     fn index(&self, id: ConnectionId) -> Option<usize> {
@@ -291,7 +291,7 @@
     }
 
     /// When the next connection is due: after the backoff, and not while an open one makes progress.
-    fn open_at(&self) -> Duration {
+    fn next_open_at(&self) -> Duration {
         let field_timeout = match self.open.len() {
             1 => LONE_FIELD_TIMEOUT,
             _ => MAX_FIELD_DURATION,
@@ -331,12 +331,12 @@
     }
 
     /// The index of the one that is replaced.
-    fn replaceable(&self, now: Duration) -> Option<usize> {
-        let had_its_time = self
+    fn index_to_replace(&self, now: Duration) -> Option<usize> {
+        let replaceable = self
             .open
             .iter()
             .position(|connection| connection.replaceable_at() <= now);
-        had_its_time.or(self.open.len().checked_sub(1))
+        replaceable.or(self.open.len().checked_sub(1))
     }
 }
 
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -18,7 +18,7 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Receives changes of the list, one after another.
-pub type Deliver = Box<dyn FnMut(&ListChange) + Send>;
+pub type ListChangeHandler = Box<dyn FnMut(&ListChange) + Send>;
 
 /// How a health check, or connecting to a candidate, ended.
 pub struct HealthCheckOutcome {
@@ -32,12 +32,12 @@
 pub struct Discovery {
     list: Arc<EngineList>,
     /// Locked while a change is applied and delivered, so that changes are delivered in order.
-    deliver: Mutex<Deliver>,
+    deliver: Mutex<ListChangeHandler>,
 }
 
 impl Discovery {
     /// Discovery that passes the updates of `list` to `deliver`.
-    pub fn new(list: Arc<EngineList>, deliver: Deliver) -> Self {
+    pub fn new(list: Arc<EngineList>, deliver: ListChangeHandler) -> Self {
         Discovery {
             list,
             deliver: Mutex::new(deliver),
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -1,7 +1,7 @@
 //! Decodes events of the change log, with the log's own names of the keys.
 
 use super::{EngineEntry, Event, EventError, EventErrorCause, NameIndex};
-use crate::discovery::lenient::{Field, Parts, ReadInto};
+use crate::discovery::lenient::{Field, LenientTarget, ReadInto};
 use crate::system::clock::MILLIS_PER_SECOND;
 use garnetwall::api::{EndpointState, ListScope};
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, SeqAccess};
@@ -116,8 +116,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawEvent<'de, '_> {
-    fn key<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawEvent<'de, '_> {
+    fn read_value<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
         match key {
             "seq" => self.seq = map.next_value()?,
             "fleet" => {
@@ -132,8 +132,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawFleet<'de, '_> {
-    fn key<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawFleet<'de, '_> {
+    fn read_value<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
         match key {
             "full" => self.full = map.next_value()?,
             "servers" => {
@@ -148,8 +148,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawEntries<'_> {
-    fn items<A: SeqAccess<'de>>(&mut self, mut items: A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawEntries<'_> {
+    fn read_items<A: SeqAccess<'de>>(&mut self, mut items: A) -> Result<(), A::Error> {
         let mut entries = Vec::new();
         while let Some(raw) = items.next_element_seed(ReadInto(RawEntry::default()))? {
             match raw.check(self.names) {
@@ -167,8 +167,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawEntry<'de> {
-    fn key<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawEntry<'de> {
+    fn read_value<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
         let field = match key {
             "id" => &mut self.id,
             "addr" => &mut self.addr,
@@ -189,13 +189,13 @@
 
 impl RawEntry<'_> {
     fn check(&self, names: &NameIndex) -> Result<EngineEntry, EventError> {
-        let state = state(&self.state)?;
-        let name = text("id", &self.id)?.to_string();
-        let address = text("addr", &self.addr)?
+        let state = parse_state(&self.state)?;
+        let name = required_text("id", &self.id)?.to_string();
+        let address = required_text("addr", &self.addr)?
             .parse()
             .map_err(|_| EventError::expected("addr", "an address with its port"))?;
-        let zone = index("zone", &self.zone, &names.zones)? as u32;
-        let kind = index("kind", &self.kind, &names.kinds)?;
+        let zone = index_or_zero("zone", &self.zone, &names.zones)? as u32;
+        let kind = index_or_zero("kind", &self.kind, &names.kinds)?;
         let cell = u32::try_from(number_or_zero("cell", &self.cell)?)
             .map_err(|_| EventError::new("cell", EventErrorCause::TooLarge))?;
         let started_at_unix = match number_or_zero("started_ms", &self.started_ms)? {
@@ -214,8 +214,8 @@
     }
 }
 
-fn state(field: &Field) -> Result<EndpointState, EventError> {
-    match text("state", field)? {
+fn parse_state(field: &Field) -> Result<EndpointState, EventError> {
+    match required_text("state", field)? {
         "SERVING" => Ok(EndpointState::Ready),
         "DRAINING" => Ok(EndpointState::Draining),
         "DELETED" => Ok(EndpointState::Removed),
@@ -226,7 +226,7 @@
     }
 }
 
-fn text<'a>(place: &str, field: &'a Field) -> Result<&'a str, EventError> {
+fn required_text<'a>(place: &str, field: &'a Field) -> Result<&'a str, EventError> {
     field
         .text()
         .ok_or_else(|| EventError::expected(place, "a text"))
@@ -243,7 +243,11 @@
 }
 
 /// The index of a name, 0 where the log has none. The settings write spaces and commas as `_`.
-fn index(place: &str, field: &Field, names: &HashMap<String, usize>) -> Result<usize, EventError> {
+fn index_or_zero(
+    place: &str,
+    field: &Field,
+    names: &HashMap<String, usize>,
+) -> Result<usize, EventError> {
     if field.is_empty() {
         return Ok(0);
     }
--- a/crates/gateway/src/discovery/lenient.rs
+++ b/crates/gateway/src/discovery/lenient.rs
@@ -115,15 +115,15 @@
 }
 
 /// A value that is read key by key, or item by item.
-pub(super) trait Parts<'de>: Sized {
+pub(super) trait LenientTarget<'de>: Sized {
     /// Reads the value of a key.
-    fn key<A: MapAccess<'de>>(&mut self, _key: &str, map: &mut A) -> Result<(), A::Error> {
+    fn read_value<A: MapAccess<'de>>(&mut self, _key: &str, map: &mut A) -> Result<(), A::Error> {
         map.next_value::<IgnoredAny>()?;
         Ok(())
     }
 
     /// Reads the items of a list.
-    fn items<A: SeqAccess<'de>>(&mut self, mut items: A) -> Result<(), A::Error> {
+    fn read_items<A: SeqAccess<'de>>(&mut self, mut items: A) -> Result<(), A::Error> {
         while items.next_element::<IgnoredAny>()?.is_some() {}
         Ok(())
     }
@@ -132,7 +132,7 @@
 /// Reads a value into `T`, which stays unchanged where the value is neither an object nor a list.
 pub(super) struct ReadInto<T>(pub(super) T);
 
-impl<'de, T: Parts<'de>> DeserializeSeed<'de> for ReadInto<T> {
+impl<'de, T: LenientTarget<'de>> DeserializeSeed<'de> for ReadInto<T> {
     type Value = T;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<T, D::Error> {
@@ -140,7 +140,7 @@
     }
 }
 
-impl<'de, T: Parts<'de>> Visitor<'de> for ReadInto<T> {
+impl<'de, T: LenientTarget<'de>> Visitor<'de> for ReadInto<T> {
     type Value = T;
 
     fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
@@ -172,13 +172,14 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(mut self, items: A) -> Result<T, A::Error> {
-        self.0.items(items)?;
+        self.0.read_items(items)?;
         Ok(self.0)
     }
 
     fn visit_map<A: MapAccess<'de>>(mut self, mut map: A) -> Result<T, A::Error> {
         while let Some(key) = map.next_key::<Field>()? {
-            self.0.key(key.text().unwrap_or_default(), &mut map)?;
+            self.0
+                .read_value(key.text().unwrap_or_default(), &mut map)?;
         }
         Ok(self.0)
     }
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -6,8 +6,8 @@
 use super::EngineUpdate;
 use crate::discovery::engine_health::{Reachability, ReachabilityChange};
 use crate::discovery::event::EngineEntry;
-use crate::discovery::selection::Selected;
-use crate::discovery::start_times::StartTimes;
+use crate::discovery::selection::SelectedEngine;
+use crate::discovery::start_times::StartTimeConverter;
 use garnetwall::api::{Endpoint, EndpointState, EngineId, ListScope};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     counts: StateCounts,
     /// Changes of the list that were applied.
     change_count: u64,
-    start_times: StartTimes,
+    start_times: StartTimeConverter,
     /// How long a removed engine keeps its index.
     retention: Duration,
     /// Removed engines that keep their index, by the time of their removal.
@@ -82,7 +82,7 @@
             engines: Vec::new(),
             counts: StateCounts::default(),
             change_count: 0,
-            start_times: StartTimes::new(),
+            start_times: StartTimeConverter::new(),
             retention,
             removed: BTreeSet::new(),
             free_indices: BTreeSet::new(),
@@ -129,7 +129,7 @@
     }
 
     /// Applies entries of the subset.
-    pub(super) fn apply_selected(&mut self, selected: Vec<Selected>) -> Vec<EngineUpdate> {
+    pub(super) fn apply_selected(&mut self, selected: Vec<SelectedEngine>) -> Vec<EngineUpdate> {
         let now = Instant::now();
         selected
             .into_iter()
@@ -151,13 +151,13 @@
             .filter_map(|entry| self.update(entry, None, now))
             .collect();
         if scope == ListScope::Full {
-            self.remove_unnamed(now);
+            self.remove_unlisted(now);
         }
         updates
     }
 
     /// Removes the engines that the current change has not named.
-    fn remove_unnamed(&mut self, now: Instant) {
+    fn remove_unlisted(&mut self, now: Instant) {
         for engine in 0..self.engines.len() {
             if self.engines[engine].last_change != self.change_count {
                 self.set_state(engine, EndpointState::Removed, now);
@@ -206,7 +206,7 @@
         known
             .filter(|known| known.entry.started_at_unix == entry.started_at_unix)
             .and_then(|known| known.started_at)
-            .or_else(|| Some(self.start_times.latest(entry.started_at_unix?)))
+            .or_else(|| Some(self.start_times.latest_start(entry.started_at_unix?)))
     }
 
     /// Adds an engine as a removed one, under the lowest free index.
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -18,13 +18,13 @@
 
 /// The entry of a member, or of an engine that was one.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Selected {
+pub(super) struct SelectedEngine {
     pub(super) entry: EngineEntry,
     /// About how many gateways work with it.
     pub(super) holders: f64,
 }
 
-impl Selected {
+impl SelectedEngine {
     fn into_removed(mut self) -> Self {
         self.entry.state = EndpointState::Removed;
         self
@@ -71,7 +71,7 @@
     details: HashMap<EngineKey, Details>,
     subset: Subset,
     /// Members as they were selected last.
-    members: HashMap<EngineKey, Selected>,
+    members: HashMap<EngineKey, SelectedEngine>,
     /// Engines that wait for a connection to be started, each once.
     candidates: VecDeque<EngineKey>,
     /// The candidates, and the engines to which a connection was started.
@@ -107,7 +107,7 @@
         now: f64,
         entries: Vec<EngineEntry>,
         scope: ListScope,
-    ) -> Vec<Selected> {
+    ) -> Vec<SelectedEngine> {
         let catalog_entries: Vec<subset::ListedEngine> = entries
             .iter()
             .map(|entry| subset::ListedEngine {
@@ -171,14 +171,14 @@
     }
 
     /// A member of which the list reports a detail that the choice does not depend on.
-    fn select_again(&mut self, engine: EngineKey) -> Option<Selected> {
+    fn select_again(&mut self, engine: EngineKey) -> Option<SelectedEngine> {
         let holders = self.members.get(&engine)?.holders;
         self.select(engine, holders)
     }
 
     /// A member as the list has it now, unless it was selected so before.
-    fn select(&mut self, engine: EngineKey, holders: f64) -> Option<Selected> {
-        let selected = Selected {
+    fn select(&mut self, engine: EngineKey, holders: f64) -> Option<SelectedEngine> {
+        let selected = SelectedEngine {
             entry: self.entry(engine)?,
             holders,
         };
@@ -208,7 +208,7 @@
     }
 
     /// What is due: members that join, change or leave. One that leaves is selected as removed.
-    pub(super) fn poll(&mut self, now: f64) -> Vec<Selected> {
+    pub(super) fn poll(&mut self, now: f64) -> Vec<SelectedEngine> {
         let mut selected = Vec::new();
         for action in self.subset.poll(now, &self.catalog) {
             match action {
@@ -223,7 +223,11 @@
                 }
                 Action::Update { .. } => {}
                 Action::Leave(engine) => {
-                    selected.extend(self.members.remove(&engine).map(Selected::into_removed));
+                    selected.extend(
+                        self.members
+                            .remove(&engine)
+                            .map(SelectedEngine::into_removed),
+                    );
                 }
             }
         }
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -39,7 +39,7 @@
 struct Module(BTreeMap<String, EngineEntry>);
 
 impl Module {
-    fn update(&mut self, selected: Vec<Selected>) {
+    fn update(&mut self, selected: Vec<SelectedEngine>) {
         self.0.extend(
             selected
                 .into_iter()
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -56,12 +56,12 @@
     /// # Errors
     ///
     /// It is malformed for the first time, or others are missing before it.
-    pub(super) fn accept(&mut self, sent: &SseEvent) -> Result<EventOutcome, SequenceError> {
+    pub(super) fn accept(&mut self, sse_event: &SseEvent) -> Result<EventOutcome, SequenceError> {
         let expected = self.last.saturating_add(1);
-        let event = event_of_text(&sent.data, &self.names);
+        let event = event_of_text(&sse_event.data, &self.names);
         let number = match &event {
             Ok(event) => event.number,
-            Err(_) => sent.number.unwrap_or(expected),
+            Err(_) => sse_event.number.unwrap_or(expected),
         };
         if number < expected {
             return Ok(EventOutcome::Duplicate);
--- a/crates/gateway/src/discovery/start_times.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -11,17 +11,17 @@
 
 /// Converts start times of the change log's clock to this process's clock.
 #[derive(Clone, Copy, Debug)]
-pub struct StartTimes {
+pub struct StartTimeConverter {
     /// The least time between a start and the report of it, in seconds; the start by the log's clock, the report by ours.
     min_lag_seconds: f64,
     /// When starts were last reported, in seconds of our clock.
     last_report: f64,
 }
 
-impl StartTimes {
+impl StartTimeConverter {
     /// A converter that knows no start yet.
-    pub fn new() -> StartTimes {
-        StartTimes {
+    pub fn new() -> StartTimeConverter {
+        StartTimeConverter {
             min_lag_seconds: f64::INFINITY,
             last_report: 0.0,
         }
@@ -36,7 +36,7 @@
 
     /// The latest time, in seconds of our clock, that a start can have had which was recorded before; `start` is in Unix
     /// seconds of the log's clock.
-    pub fn latest(&self, start: f64) -> f64 {
+    pub fn latest_start(&self, start: f64) -> f64 {
         (start + self.min_lag_seconds)
             .max(start)
             .min(self.last_report)
--- a/crates/gateway/src/discovery/stream.rs
+++ b/crates/gateway/src/discovery/stream.rs
@@ -21,7 +21,7 @@
 
 /// A parser of server-sent events. Its input may be cut at any byte.
 #[derive(Default)]
-pub struct EventStream {
+pub struct SseParser {
     /// Bytes of a field whose line feed has not arrived.
     unparsed: Vec<u8>,
     /// This many of them are known to hold no line feed.
@@ -31,7 +31,7 @@
     pub completed_fields: u64,
 }
 
-impl EventStream {
+impl SseParser {
     /// Parses further bytes, and returns the events that they complete.
     ///
     /// # Errors
--- a/crates/gateway/src/discovery/stream/tests.rs
+++ b/crates/gateway/src/discovery/stream/tests.rs
@@ -1,15 +1,15 @@
-use super::{EventStream, SseEvent};
+use super::{SseEvent, SseParser};
 
 #[test]
 fn events_are_complete_wherever_their_bytes_are_cut() {
     let text =
         ": hello\r\n\nid: 4\ndata: {\"a\":\ndata:1}\n\n:\n\ndata: x\r\n\r\ndata: unfinished\n";
     for size in 1..text.len() {
-        let mut stream = EventStream::default();
+        let mut parser = SseParser::default();
         let fed = text
             .as_bytes()
             .chunks(size)
-            .flat_map(|part| stream.feed(part).unwrap());
+            .flat_map(|part| parser.feed(part).unwrap());
         let first = SseEvent {
             number: Some(4),
             data: b"{\"a\":\n1}".to_vec(),
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -6,7 +6,7 @@
 use super::connection_set::{Action, ConnectionId, ConnectionSet, LogCloseReason, Received};
 use super::event::{Event, NameIndex};
 use super::sequence::{EventOutcome, EventSequence, SequenceError};
-use super::stream::{EventStream, EventTooLong};
+use super::stream::{EventTooLong, SseParser};
 use crate::discovery::reconnect::Reconnect;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -79,7 +79,7 @@
 struct LogConnection {
     id: ConnectionId,
     state: LogConnectionState,
-    stream: EventStream,
+    parser: SseParser,
     next_step: Pin<Box<dyn Future<Output = LogStep> + Send>>,
 }
 
@@ -88,7 +88,7 @@
         LogConnection {
             id,
             state: LogConnectionState::Connecting,
-            stream: EventStream::default(),
+            parser: SseParser::default(),
             next_step: Box::pin(open(log, last_event)),
         }
     }
@@ -261,13 +261,13 @@
         now: Duration,
         bytes: &[u8],
     ) -> Result<(), WatchError> {
-        let LogConnection { id, stream, .. } = &mut self.connections[index];
-        let fields_before = stream.completed_fields;
-        let events = stream.feed(bytes)?;
+        let LogConnection { id, parser, .. } = &mut self.connections[index];
+        let fields_before = parser.completed_fields;
+        let events = parser.feed(bytes)?;
         let received = Received {
             bytes: bytes.len(),
-            completed_fields: stream.completed_fields - fields_before,
-            unfinished: stream.is_unfinished(),
+            completed_fields: parser.completed_fields - fields_before,
+            unfinished: parser.is_unfinished(),
         };
         set.received(*id, now, received);
         for event in events {
