--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -28,7 +28,12 @@
 }
 
 /// An event of the lines of these engines, as the change log writes it.
-fn text(number: u64, whole: bool, engines: impl Iterator<Item = usize>, started: u64) -> Vec<u8> {
+fn event_text(
+    number: u64,
+    whole: bool,
+    engines: impl Iterator<Item = usize>,
+    started: u64,
+) -> Vec<u8> {
     let mut out =
         format!(r#"{{"seq":{number},"fleet":{{"version":{number},"full":{whole},"servers":["#);
     for (n, engine) in engines.enumerate() {
@@ -47,10 +52,10 @@
 }
 
 fn whole_text() -> Vec<u8> {
-    text(1, true, 0..ENGINES, 0)
+    event_text(1, true, 0..ENGINES, 0)
 }
 
-fn decoded(text: &[u8]) -> Event {
+fn decode(text: &[u8]) -> Event {
     event_of_text(text, &names()).expect("a good event")
 }
 
@@ -85,13 +90,13 @@
 
 #[divan::bench]
 fn decode_changed_line(bencher: Bencher) {
-    let (text, names) = (text(2, false, 3000..3001, 5), names());
+    let (text, names) = (event_text(2, false, 3000..3001, 5), names());
     bencher.bench_local(|| event_of_text(black_box(&text), &names));
 }
 
 #[divan::bench(args = [false, true])]
 fn apply_first_list(bencher: Bencher, subset: bool) {
-    let event = decoded(&whole_text());
+    let event = decode(&whole_text());
     bencher
         .with_inputs(|| (list(subset), event.clone()))
         .bench_local_values(|(list, event)| {
@@ -102,7 +107,7 @@
 
 #[divan::bench(args = [false, true])]
 fn apply_whole_list_again(bencher: Bencher, subset: bool) {
-    let (event, list) = (decoded(&whole_text()), list(subset));
+    let (event, list) = (decode(&whole_text()), list(subset));
     list.apply(event.clone());
     bencher
         .with_inputs(|| event.clone())
@@ -113,13 +118,13 @@
 #[divan::bench(args = [false, true])]
 fn apply_changed_line(bencher: Bencher, subset: bool) {
     let list = list(subset);
-    list.apply(decoded(&whole_text()));
+    list.apply(decode(&whole_text()));
     let mut number = 0;
     bencher
         .with_inputs(|| {
             number += 1;
             let engine = number * 7919 % ENGINES;
-            decoded(&text(2, false, engine..engine + 1, number as u64))
+            decode(&event_text(2, false, engine..engine + 1, number as u64))
         })
         .bench_local_values(|event| list.apply(event));
 }
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -4,22 +4,22 @@
 use proptest::prelude::*;
 
 /// Milliseconds of one simulated step.
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 /// Bytes of a list of 3,200 engines.
 const LONG_LIST: usize = 440_000;
 /// Pauses of the reconnect that settings may ask for, in milliseconds; longer ones are cut to 500.
-const PAUSES: [u64; 3] = [50, 250, 3000];
+const RECONNECT_PAUSES_MS: [u64; 3] = [50, 250, 3000];
 
 /// Connections to one log at once, by docs/CAPACITY.md.
-const BOUND: usize = 3;
+const DOCUMENTED_MAX_OPEN: usize = 3;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// How one connection is served; times are milliseconds since it was opened.
+/// How one connection behaves; times are milliseconds since it was opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Served {
+enum Behaviour {
     Ends {
         after: u64,
     },
@@ -40,19 +40,19 @@
     },
 }
 
-impl Served {
+impl Behaviour {
     /// When its event is complete, if it ever is.
     fn event_after(self) -> Option<u64> {
         match self {
-            Served::Ends { .. } | Served::Silent | Served::Trickles => None,
-            Served::Late { event } | Served::Comments { event } => Some(event),
-            Served::LongList { rate } => Some((LONG_LIST as u64 * 1000).div_ceil(rate as u64)),
+            Behaviour::Ends { .. } | Behaviour::Silent | Behaviour::Trickles => None,
+            Behaviour::Late { event } | Behaviour::Comments { event } => Some(event),
+            Behaviour::LongList { rate } => Some((LONG_LIST as u64 * 1000).div_ceil(rate as u64)),
         }
     }
 
     /// What is received in the step that ends at this age.
     fn received(self, age: u64) -> Option<Received> {
-        let comments = |from: u64| age >= from && (age - from) % 1000 < STEP;
+        let comments = |from: u64| age >= from && (age - from) % 1000 < STEP_MS;
         let complete = Received {
             bytes: 3,
             completed_fields: 2,
@@ -65,31 +65,31 @@
         };
         let event_due = self
             .event_after()
-            .is_some_and(|event_due| (event_due..event_due + STEP).contains(&age));
+            .is_some_and(|event_due| (event_due..event_due + STEP_MS).contains(&age));
         match self {
             _ if event_due => Some(complete),
-            Served::Ends { .. } | Served::Silent => None,
-            Served::Late { event } => comments(event).then_some(complete),
-            Served::Comments { .. } => comments(0).then_some(complete),
-            Served::Trickles => (age % 200 < STEP).then_some(part(1)),
-            Served::LongList { rate } if age < LONG_LIST as u64 * 1000 / rate as u64 => {
-                Some(part(rate * STEP as usize / 1000))
+            Behaviour::Ends { .. } | Behaviour::Silent => None,
+            Behaviour::Late { event } => comments(event).then_some(complete),
+            Behaviour::Comments { .. } => comments(0).then_some(complete),
+            Behaviour::Trickles => (age % 200 < STEP_MS).then_some(part(1)),
+            Behaviour::LongList { rate } if age < LONG_LIST as u64 * 1000 / rate as u64 => {
+                Some(part(rate * STEP_MS as usize / 1000))
             }
-            Served::LongList { .. } => comments(0).then_some(complete),
+            Behaviour::LongList { .. } => comments(0).then_some(complete),
         }
     }
 }
 
-struct Open {
+struct OpenConnection {
     id: ConnectionId,
-    served: Served,
-    opened: u64,
-    last_byte: u64,
+    behaviour: Behaviour,
+    opened_at: u64,
+    last_byte_at: u64,
 }
 
 /// What a simulated log has seen.
 #[derive(Debug, Default)]
-struct Played {
+struct LogObservations {
     delivered_at: Option<u64>,
     /// When each connection was opened, in milliseconds.
     opened: Vec<u64>,
@@ -99,78 +99,82 @@
 }
 
 /// The connection set, driven against connections that behave as drawn.
-struct World<'a, F> {
+struct Simulation<'a, F> {
     set: &'a mut ConnectionSet,
-    served: F,
-    open: Vec<Open>,
-    played: Played,
+    behaviour: F,
+    open: Vec<OpenConnection>,
+    observed: LogObservations,
 }
 
-impl<F: Fn(usize) -> Served> World<'_, F> {
+impl<F: Fn(usize) -> Behaviour> Simulation<'_, F> {
     /// Delivers what a connection receives in the step that ends now; whether that is anything.
     fn step(&mut self, id: ConnectionId, now: u64) -> bool {
-        let Some(place) = self.open.iter().position(|open| open.id == id) else {
+        let Some(index) = self.open.iter().position(|open| open.id == id) else {
             return false;
         };
-        let Open { served, opened, .. } = self.open[place];
-        let age = now - opened;
-        if matches!(served, Served::Ends { after } if age >= after) {
+        let OpenConnection {
+            behaviour,
+            opened_at,
+            ..
+        } = self.open[index];
+        let age = now - opened_at;
+        if matches!(behaviour, Behaviour::Ends { after } if age >= after) {
             self.set.ended(id, ms(now));
-            self.open.remove(place);
+            self.open.remove(index);
             return true;
         }
-        let Some(received) = served.received(age) else {
+        let Some(received) = behaviour.received(age) else {
             return false;
         };
         self.set.received(id, ms(now), received);
-        self.played.bytes += received.bytes;
-        self.open[place].last_byte = now;
-        let event_due = served
+        self.observed.bytes += received.bytes;
+        self.open[index].last_byte_at = now;
+        let event_due = behaviour
             .event_after()
-            .is_some_and(|event_due| (event_due..event_due + STEP).contains(&age));
-        if event_due && self.played.delivered_at.is_none() {
+            .is_some_and(|event_due| (event_due..event_due + STEP_MS).contains(&age));
+        if event_due && self.observed.delivered_at.is_none() {
             self.set.event_received(id);
-            self.played.delivered_at = Some(now);
+            self.observed.delivered_at = Some(now);
         }
         true
     }
 
     /// Does the actions that are due, as the driver does after each step.
-    fn act(&mut self, now: u64) -> usize {
+    fn run_actions(&mut self, now: u64) -> usize {
         let mut actions = 0;
         while let Some(action) = self.set.poll(ms(now)) {
             actions += 1;
             assert!(actions <= 2 * MAX_OPEN, "no end of actions at {now} ms");
             match action {
                 Action::Open(id) => {
-                    let served = (self.served)(self.played.opened.len());
-                    self.played.opened.push(now);
-                    self.open.push(Open {
+                    let behaviour = (self.behaviour)(self.observed.opened.len());
+                    self.observed.opened.push(now);
+                    self.open.push(OpenConnection {
                         id,
-                        served,
-                        opened: now,
-                        last_byte: now,
+                        behaviour,
+                        opened_at: now,
+                        last_byte_at: now,
                     });
                 }
                 Action::Close(id, reason) => {
-                    let place = self
+                    let index = self
                         .open
                         .iter()
                         .position(|open| open.id == id)
                         .expect("it is open");
                     check_close(
-                        &self.open[place],
-                        place,
+                        &self.open[index],
+                        index,
                         now,
                         reason,
-                        self.played.delivered_at.is_some(),
+                        self.observed.delivered_at.is_some(),
                     );
-                    self.open.remove(place);
+                    self.open.remove(index);
                 }
             }
         }
         assert!(
-            self.open.len() <= BOUND,
+            self.open.len() <= DOCUMENTED_MAX_OPEN,
             "{} open at {now} ms",
             self.open.len()
         );
@@ -179,54 +183,64 @@
 }
 
 /// Simulates a log for so many milliseconds, and checks each step.
-fn play(set: &mut ConnectionSet, served: impl Fn(usize) -> Served, long: u64) -> Played {
-    let mut world = World {
+fn simulate(
+    set: &mut ConnectionSet,
+    behaviour: impl Fn(usize) -> Behaviour,
+    duration_ms: u64,
+) -> LogObservations {
+    let mut simulation = Simulation {
         set,
-        served,
+        behaviour,
         open: Vec::new(),
-        played: Played::default(),
+        observed: LogObservations::default(),
     };
     let mut next_poll = Duration::ZERO;
-    for now in (0..long).step_by(STEP as usize) {
-        let ids: Vec<ConnectionId> = world.open.iter().map(|open| open.id).collect();
+    for now in (0..duration_ms).step_by(STEP_MS as usize) {
+        let ids: Vec<ConnectionId> = simulation.open.iter().map(|open| open.id).collect();
         let mut has_received = false;
         for id in ids {
-            if world.step(id, now) {
+            if simulation.step(id, now) {
                 has_received = true;
-                world.act(now);
+                simulation.run_actions(now);
             }
         }
-        let actions = world.act(now);
+        let actions = simulation.run_actions(now);
         assert!(
             has_received || actions == 0 || next_poll <= ms(now),
             "acts at {now} ms, next poll was due at {next_poll:?}"
         );
-        next_poll = world.set.next_poll_at();
+        next_poll = simulation.set.next_poll_at();
         assert!(next_poll > ms(now), "due again at once at {now} ms");
     }
-    Played {
-        open: world.open.len(),
-        ..world.played
+    LogObservations {
+        open: simulation.open.len(),
+        ..simulation.observed
     }
 }
 
 /// A connection is closed only where it may be.
-fn check_close(open: &Open, place: usize, now: u64, reason: LogCloseReason, delivered: bool) {
-    let (age, quiet) = (ms(now - open.opened), ms(now - open.last_byte));
+fn check_close(
+    open: &OpenConnection,
+    index: usize,
+    now: u64,
+    reason: LogCloseReason,
+    delivered: bool,
+) {
+    let (age, silent_for) = (ms(now - open.opened_at), ms(now - open.last_byte_at));
     match reason {
         LogCloseReason::Silent => assert!(
-            quiet >= NOTIFICATION_DEADLINE || age >= MAX_FIELD_DURATION,
-            "{age:?} old, {quiet:?} quiet"
+            silent_for >= NOTIFICATION_DEADLINE || age >= MAX_FIELD_DURATION,
+            "{age:?} old, {silent_for:?} quiet"
         ),
         LogCloseReason::Redundant => assert!(
             delivered || age >= NOTIFICATION_DEADLINE,
             "{age:?} old and nothing delivered"
         ),
         LogCloseReason::Replaced => {
-            let newest = place == MAX_OPEN - 1 && age >= PROGRESS_TIMEOUT;
+            let newest = index == MAX_OPEN - 1 && age >= PROGRESS_TIMEOUT;
             assert!(
-                age >= NOTIFICATION_DEADLINE && quiet >= PROGRESS_TIMEOUT || newest,
-                "{age:?} old, {quiet:?} quiet, place {place}"
+                age >= NOTIFICATION_DEADLINE && silent_for >= PROGRESS_TIMEOUT || newest,
+                "{age:?} old, {silent_for:?} quiet, index {index}"
             );
         }
     }
@@ -236,14 +250,14 @@
     ConnectionSet::new(Reconnect::new(ms(pause), seed))
 }
 
-fn any_served() -> impl Strategy<Value = Served> {
+fn any_behaviour() -> impl Strategy<Value = Behaviour> {
     prop_oneof![
-        (0..3000u64).prop_map(|after| Served::Ends { after }),
-        Just(Served::Silent),
-        (STEP..9000).prop_map(|event| Served::Late { event }),
-        (STEP..9000).prop_map(|event| Served::Comments { event }),
-        Just(Served::Trickles),
-        (20_000..2_000_000usize).prop_map(|rate| Served::LongList { rate }),
+        (0..3000u64).prop_map(|after| Behaviour::Ends { after }),
+        Just(Behaviour::Silent),
+        (STEP_MS..9000).prop_map(|event| Behaviour::Late { event }),
+        (STEP_MS..9000).prop_map(|event| Behaviour::Comments { event }),
+        Just(Behaviour::Trickles),
+        (20_000..2_000_000usize).prop_map(|rate| Behaviour::LongList { rate }),
     ]
 }
 
@@ -251,101 +265,101 @@
     /// Whatever the connections do: few are open, none is closed before its time, nothing spins, and what one of the first two
     /// connections delivers in its time arrives.
     #[test]
-    fn any_log_is_followed_within_bounds(
+    fn any_log_is_followed_within_the_bounds_on_connections(
         seed: u64,
-        pause in prop::sample::select(PAUSES.to_vec()),
-        served in prop::collection::vec(any_served(), 1..12),
+        pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()),
+        behaviours in prop::collection::vec(any_behaviour(), 1..12),
     ) {
-        let played = play(&mut set(seed, pause), |n| served[n % served.len()], 30_000);
-        for (number, opened) in played.opened.iter().take(MAX_OPEN - 1).enumerate() {
-            let event_due = served[number % served.len()].event_after().map(|event_due| opened + event_due);
+        let observed = simulate(&mut set(seed, pause), |n| behaviours[n % behaviours.len()], 30_000);
+        for (number, opened) in observed.opened.iter().take(MAX_OPEN - 1).enumerate() {
+            let event_due = behaviours[number % behaviours.len()].event_after().map(|event_due| opened + event_due);
             if let Some(event_due) = event_due.filter(|event_due| *event_due < opened + 7000) {
-                let delivered_at = played.delivered_at.expect("delivered");
-                prop_assert!(delivered_at <= event_due + STEP, "connection {number} due at {event_due} ms, delivered at {delivered_at} ms");
+                let delivered_at = observed.delivered_at.expect("delivered");
+                prop_assert!(delivered_at <= event_due + STEP_MS, "connection {number} due at {event_due} ms, delivered at {delivered_at} ms");
             }
         }
     }
 
     /// A log that is late on each connection alike delivers on the first.
     #[test]
-    fn a_log_that_is_always_late_delivers_in_time(
+    fn log_that_is_late_on_each_connection_delivers_in_time(
         seed: u64,
-        pause in prop::sample::select(PAUSES.to_vec()),
-        late in STEP..6900,
+        pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()),
+        late in STEP_MS..6900,
         comments: bool,
     ) {
-        let served = match comments {
-            true => Served::Comments { event: late },
-            false => Served::Late { event: late },
+        let behaviour = match comments {
+            true => Behaviour::Comments { event: late },
+            false => Behaviour::Late { event: late },
         };
-        let played = play(&mut set(seed, pause), |_| served, 10_000);
-        prop_assert!(played.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{played:?}");
-        prop_assert_eq!(played.open, 1, "the others are closed");
+        let observed = simulate(&mut set(seed, pause), |_| behaviour, 10_000);
+        prop_assert!(observed.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{observed:?}");
+        prop_assert_eq!(observed.open, 1, "the others are closed");
     }
 
     /// Behind three connections that are silent, trickle or end, the fourth is opened in time.
     #[test]
-    fn a_list_behind_three_failing_connections_is_delivered(
+    fn list_behind_three_failing_connections_is_delivered(
         seed: u64,
-        pause in prop::sample::select(PAUSES.to_vec()),
-        bad in prop::collection::vec(
-            prop_oneof![Just(Served::Silent), Just(Served::Trickles), (0..500u64).prop_map(|after| Served::Ends { after })],
+        pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()),
+        failing in prop::collection::vec(
+            prop_oneof![Just(Behaviour::Silent), Just(Behaviour::Trickles), (0..500u64).prop_map(|after| Behaviour::Ends { after })],
             0..=3,
         ),
     ) {
-        let served = |n: usize| bad.get(n).copied().unwrap_or(Served::Late { event: 200 });
-        let played = play(&mut set(seed, pause), served, 10_000);
-        prop_assert!(played.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{played:?}");
+        let behaviour = |n: usize| failing.get(n).copied().unwrap_or(Behaviour::Late { event: 200 });
+        let observed = simulate(&mut set(seed, pause), behaviour, 10_000);
+        prop_assert!(observed.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{observed:?}");
     }
 
     /// Nor is a late log missed behind two silent connections.
     #[test]
-    fn a_late_list_behind_two_silent_connections_is_delivered(
+    fn late_list_behind_two_silent_connections_is_delivered(
         seed: u64,
-        pause in prop::sample::select(PAUSES.to_vec()),
-        late in STEP..2200,
+        pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()),
+        late in STEP_MS..2200,
     ) {
-        let served = |n: usize| if n < 2 { Served::Silent } else { Served::Late { event: late } };
-        let played = play(&mut set(seed, pause), served, 10_000);
-        prop_assert!(played.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{played:?}");
+        let behaviour = |n: usize| if n < 2 { Behaviour::Silent } else { Behaviour::Late { event: late } };
+        let observed = simulate(&mut set(seed, pause), behaviour, 10_000);
+        prop_assert!(observed.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{observed:?}");
     }
 
     /// A long list over a slow link is delivered on the first connection, and at most twice its bytes are requested.
     #[test]
-    fn a_long_list_is_requested_twice_at_most(
+    fn long_list_is_sent_twice_at_most(
         seed: u64,
-        pause in prop::sample::select(PAUSES.to_vec()),
+        pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()),
         rate in 25_000..2_000_000usize,
     ) {
-        let served = Served::LongList { rate };
-        let played = play(&mut set(seed, pause), |_| served, 30_000);
-        prop_assert_eq!(played.delivered_at.map(|delivered_at| delivered_at / STEP), served.event_after().map(|event_due| event_due.div_ceil(STEP)));
+        let behaviour = Behaviour::LongList { rate };
+        let observed = simulate(&mut set(seed, pause), |_| behaviour, 30_000);
+        prop_assert_eq!(observed.delivered_at.map(|delivered_at| delivered_at / STEP_MS), behaviour.event_after().map(|event_due| event_due.div_ceil(STEP_MS)));
         let comments = 30 * 3;
-        prop_assert!(played.bytes <= 2 * LONG_LIST + comments, "{} bytes, {:?}", played.bytes, played.opened);
+        prop_assert!(observed.bytes <= 2 * LONG_LIST + comments, "{} bytes, {:?}", observed.bytes, observed.opened);
     }
 
     /// A connection that ends at once is opened again after the backoff.
     #[test]
-    fn connections_that_end_keep_the_backoff(seed: u64, pause in prop::sample::select(PAUSES.to_vec()), after in 0..200u64) {
-        let played = play(&mut set(seed, pause), |_| Served::Ends { after }, 10_000);
-        for pair in played.opened.windows(2) {
-            prop_assert!(pair[1] - pair[0] + STEP >= pause.min(500), "{:?}", played.opened);
+    fn connections_that_end_are_reopened_after_the_backoff(seed: u64, pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()), after in 0..200u64) {
+        let observed = simulate(&mut set(seed, pause), |_| Behaviour::Ends { after }, 10_000);
+        for pair in observed.opened.windows(2) {
+            prop_assert!(pair[1] - pair[0] + STEP_MS >= pause.min(500), "{:?}", observed.opened);
         }
     }
 }
 
 #[test]
-fn a_healthy_log_has_one_connection() {
-    let played = play(
+fn healthy_log_has_one_connection() {
+    let observed = simulate(
         &mut set(1, 250),
-        |_| Served::Comments { event: 100 },
+        |_| Behaviour::Comments { event: 100 },
         60_000,
     );
-    assert_eq!(played.opened, [0]);
+    assert_eq!(observed.opened, [0]);
 }
 
 #[test]
-fn a_comment_late_by_a_second_opens_no_connection() {
+fn comment_late_by_a_second_opens_no_connection() {
     let mut set = set(1, 250);
     let Some(Action::Open(id)) = set.poll(Duration::ZERO) else {
         panic!("the first is opened at once")
@@ -362,7 +376,7 @@
 }
 
 #[test]
-fn a_log_at_a_new_address_is_connected_to_at_once() {
+fn log_at_a_new_address_is_connected_to_at_once() {
     let mut set = set(1, 500);
     while set.poll(ms(0)).is_some() {}
     while set.poll(ms(2600)).is_some() {}
@@ -373,7 +387,7 @@
 
 /// Of two live connections, the one that was silent before is closed once the newer is proven.
 #[test]
-fn of_two_live_connections_the_older_is_closed() {
+fn older_of_two_live_connections_is_closed() {
     let mut set = set(1, 250);
     let mut open = Vec::new();
     let complete = Received {
@@ -404,14 +418,14 @@
 
 /// Beside a live connection, one that only trickles stays open for a time, and no longer.
 #[test]
-fn a_trickling_connection_is_closed() {
-    let served = |n: usize| {
+fn trickling_connection_is_closed_beside_a_live_one() {
+    let behaviour = |n: usize| {
         if n == 0 {
-            Served::Trickles
+            Behaviour::Trickles
         } else {
-            Served::Comments { event: 60_000 }
+            Behaviour::Comments { event: 60_000 }
         }
     };
-    assert_eq!(play(&mut set(1, 250), served, 19_900).open, 2);
-    assert_eq!(play(&mut set(1, 250), served, 20_500).open, 1);
+    assert_eq!(simulate(&mut set(1, 250), behaviour, 19_900).open, 2);
+    assert_eq!(simulate(&mut set(1, 250), behaviour, 20_500).open, 1);
 }
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_full_list_is_decoded() {
+fn full_list_and_event_without_list_are_decoded() {
     let event = decoded(&event_with(entry())).unwrap();
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     let (name, started_at_unix) = ("e\u{e9}\"1".to_string(), Some(1.5));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_error_of_an_entry_names_its_place() {
+fn error_in_an_entry_names_the_path_of_the_key() {
     for (key, value, error) in [
         ("state", json!("ODD"), "state: 'ODD' is unknown"),
         ("state", json!(null), "state: a text expected"),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_first_error_of_an_event_is_reported() {
+fn first_error_of_an_event_is_reported() {
     for (event, error) in [
         (json!([1]), "seq: a number expected"),
         (json!(null), "seq: a number expected"),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn of_repeated_keys_the_last_and_of_repeated_names_the_first_counts() {
+fn last_of_repeated_keys_and_first_of_repeated_names_apply() {
     let text = br#"{"seq": 1, "fleet": 3, "seq": 2, "fleet": {"full": null, "full": false, "servers": 3,
         "servers": [{"id": "a", "id": "b", "addr": "127.0.0.1:1", "zone": "east", "state": "DRAINING"}]}}"#;
     let event = event_of_text(text, &names()).unwrap();
--- a/crates/gateway/src/discovery/list/engine_table/tests.rs
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -17,44 +17,47 @@
 
 /// Engines under ever new ids do not let the table grow without end.
 #[test]
-fn an_index_is_reused_only_after_the_retention_time() {
+fn index_is_reused_only_after_the_retention_time() {
     let mut table = EngineTable::new(Duration::from_secs(20));
     let mut now = Instant::now();
-    let mut take = |name: &str, state, wait: u64| {
+    let mut apply_entry = |name: &str, state, wait: u64| {
         now += Duration::from_secs(wait);
         let engine = table
             .update(entry(name, state), None, now)
             .map(|update| update.endpoint.engine);
         (engine, table.engines.len(), table.indices.len())
     };
-    assert_eq!(take("a", EndpointState::Ready, 0), (Some(0), 1, 1));
-    assert_eq!(take("a", EndpointState::Removed, 1), (Some(0), 1, 1));
-    assert_eq!(take("never known", EndpointState::Removed, 1), (None, 1, 1));
+    assert_eq!(apply_entry("a", EndpointState::Ready, 0), (Some(0), 1, 1));
+    assert_eq!(apply_entry("a", EndpointState::Removed, 1), (Some(0), 1, 1));
     assert_eq!(
-        take("b", EndpointState::Ready, 10),
+        apply_entry("never known", EndpointState::Removed, 1),
+        (None, 1, 1)
+    );
+    assert_eq!(
+        apply_entry("b", EndpointState::Ready, 10),
         (Some(1), 2, 2),
         "queries may still know a"
     );
     assert_eq!(
-        take("a", EndpointState::Removed, 5),
+        apply_entry("a", EndpointState::Removed, 5),
         (Some(0), 2, 2),
         "removed twice"
     );
-    assert_eq!(take("c", EndpointState::Ready, 10), (Some(0), 2, 2));
+    assert_eq!(apply_entry("c", EndpointState::Ready, 10), (Some(0), 2, 2));
     for n in 0..100 {
-        take(&format!("d{n}"), EndpointState::Ready, 1);
-        assert!(take(&format!("d{n}"), EndpointState::Removed, 30).1 <= 4);
+        apply_entry(&format!("d{n}"), EndpointState::Ready, 1);
+        assert!(apply_entry(&format!("d{n}"), EndpointState::Removed, 30).1 <= 4);
     }
 }
 
 /// A plain model of the table, without counts and free indices: it searches all engines.
 #[derive(Default)]
-struct PlainTable {
+struct ReferenceTable {
     known: Vec<(EngineEntry, Option<Instant>)>,
     retention: Duration,
 }
 
-impl PlainTable {
+impl ReferenceTable {
     fn apply(
         &mut self,
         entries: &[EngineEntry],
@@ -69,11 +72,15 @@
         }
         entries
             .iter()
-            .filter_map(|entry| self.take(entry, now))
+            .filter_map(|entry| self.apply_entry(entry, now))
             .collect()
     }
 
-    fn take(&mut self, entry: &EngineEntry, now: Instant) -> Option<(EngineId, EndpointState)> {
+    fn apply_entry(
+        &mut self,
+        entry: &EngineEntry,
+        now: Instant,
+    ) -> Option<(EngineId, EndpointState)> {
         let engine = match self
             .known
             .iter()
@@ -117,12 +124,12 @@
 
     /// Whatever the log reports, indices, their order and the counts are those of the plain table.
     #[test]
-    fn the_table_equals_the_plain_one(
+    fn table_equals_the_reference_model(
         events in proptest::collection::vec(
             (any::<bool>(), proptest::collection::vec((0_u8..12, 0_u8..3), 0..8), 0_u64..9), 1..40)
     ) {
         let retention = Duration::from_secs(10);
-        let (mut table, mut plain) = (EngineTable::new(retention), PlainTable { retention, ..PlainTable::default() });
+        let (mut table, mut reference) = (EngineTable::new(retention), ReferenceTable { retention, ..ReferenceTable::default() });
         let mut now = Instant::now();
         for (is_full, entries, wait) in events {
             let scope = if is_full { ListScope::Full } else { ListScope::Delta };
@@ -130,13 +137,13 @@
             let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
             let entries: Vec<EngineEntry> =
                 entries.iter().map(|(name, state)| entry(&name.to_string(), states[*state as usize])).collect();
-            let expected = plain.apply(&entries, scope, now);
+            let expected = reference.apply(&entries, scope, now);
             let updates = table.apply(entries, scope, now);
             let updates: Vec<_> = updates.iter().map(|update| (update.endpoint.engine, update.endpoint.state)).collect();
             prop_assert_eq!(updates, expected);
-            prop_assert_eq!(table.counts, plain.counts());
-            prop_assert_eq!(table.engines.len(), plain.known.len());
-            for (known, (entry, removed_at)) in table.engines.iter().zip(&plain.known) {
+            prop_assert_eq!(table.counts, reference.counts());
+            prop_assert_eq!(table.engines.len(), reference.known.len());
+            for (known, (entry, removed_at)) in table.engines.iter().zip(&reference.known) {
                 prop_assert_eq!((&known.entry, &known.removed_at), (entry, removed_at));
             }
             prop_assert!(table.removed.len() + table.free_indices.len() <= table.engines.len());
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -16,7 +16,7 @@
 
 /// Without a subset the updates are the entries of the log in the same order, and as full as those.
 #[test]
-fn without_a_subset_updates_are_what_the_log_reported() {
+fn updates_without_a_subset_equal_the_entries_of_the_log() {
     let list = EngineList::new(Duration::from_secs(20), Clock::start(), None);
     let ready = |name: &str| entry(name, EndpointState::Ready);
     let removed = |name: &str| entry(name, EndpointState::Removed);
@@ -77,13 +77,13 @@
 /// The log reports starts on another machine's clock, which may differ from ours by seconds or an hour: an engine that may
 /// just have started counts as cold from the report on, none as started in the future, and reported ages hold.
 #[test]
-fn a_start_on_another_clock_counts_as_late_as_it_can_be() {
-    for off in [-3600.0, -7.0, 0.0, 7.0, 3600.0] {
+fn start_on_another_clock_is_converted_to_its_latest_possible_time() {
+    for clock_offset in [-3600.0, -7.0, 0.0, 7.0, 3600.0] {
         let clock = Clock::start();
         let list = EngineList::new(Duration::from_secs(20), clock, None);
         let now = clock.now();
         let started = |name: &str, ago: f64| EngineEntry {
-            started_at_unix: Some(now + off - ago),
+            started_at_unix: Some(now + clock_offset - ago),
             ..entry(name, EndpointState::Ready)
         };
         let entries = vec![
@@ -100,11 +100,11 @@
         let ages: Vec<_> = first.updates.iter().map(age).collect();
         assert!(
             ages[0].is_some_and(|age| (-0.5..0.5).contains(&age)),
-            "{off}: {ages:?}"
+            "{clock_offset}: {ages:?}"
         );
         assert!(
             ages[1].is_some_and(|age| (-0.5..600.5).contains(&age)),
-            "{off}: {ages:?}"
+            "{clock_offset}: {ages:?}"
         );
         assert_eq!(ages[2], None);
         // Reported again, also when more is known by then, it is the same start.
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -36,9 +36,9 @@
 
 /// The last update of each engine that the decision module received.
 #[derive(Default)]
-struct Module(BTreeMap<String, EngineEntry>);
+struct ModuleView(BTreeMap<String, EngineEntry>);
 
-impl Module {
+impl ModuleView {
     fn update(&mut self, selected: Vec<SelectedEngine>) {
         self.0.extend(
             selected
@@ -60,12 +60,12 @@
     /// What the module may choose from are engines that the list has as ready, as the list has them; at once after a change
     /// nothing is left that drains or was removed; and there is something while the list has something.
     #[test]
-    fn members_are_ready_and_as_listed(
+    fn members_are_ready_and_equal_their_list_entries(
         events in proptest::collection::vec(
             (any::<bool>(), proptest::collection::vec((0..ENGINES, 0_u8..6, 0_u8..3), 0..40), any::<bool>()), 1..20)
     ) {
         let mut selection = Selection::new("g0", settings(8), vec![Some(16.0)]).unwrap();
-        let (mut module, mut list, mut now) = (Module::default(), BTreeMap::new(), 100.0);
+        let (mut module, mut list, mut now) = (ModuleView::default(), BTreeMap::new(), 100.0);
         for (is_full, entries, is_reached) in events {
             let scope = if is_full { ListScope::Full } else { ListScope::Delta };
             let reachability = match is_reached {
@@ -99,7 +99,7 @@
 
 /// A member that leaves is selected as removed once, with its zone and cell, which say where its queries may be retried.
 #[test]
-fn a_member_that_leaves_is_removed_as_it_was_listed() {
+fn leaving_member_is_removed_once_with_its_listed_entry() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     let entries = (0..4).map(|n| entry(n, EndpointState::Ready, 1)).collect();
     assert_eq!(selection.apply(0.0, entries, ListScope::Full).len(), 4);
@@ -127,7 +127,7 @@
 
 /// What the choice does not depend on reaches the module for members.
 #[test]
-fn a_member_that_moved_or_restarted_is_selected_again() {
+fn restarted_member_is_returned_again() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
     assert_eq!(
         selection
@@ -164,7 +164,7 @@
 
 /// With too few gateways for so small a subset the size is a floor, and the status says so.
 #[test]
-fn a_size_under_the_floor_is_raised_and_reported() {
+fn size_under_the_minimum_is_raised_and_reported() {
     let of = |gateways| SubsetSettings {
         gateways,
         ..settings(8)
@@ -195,9 +195,9 @@
 
 /// A member whose attempts fail widens the subset; the newcomer is selected once it was reached.
 #[test]
-fn failing_attempts_widen_the_subset_by_engines_that_were_reached() {
+fn failing_attempts_widen_the_subset_by_reached_engines() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
-    let mut module = Module::default();
+    let mut module = ModuleView::default();
     module.update(
         selection.apply(
             0.0,
--- a/crates/gateway/src/discovery/sequence/tests.rs
+++ b/crates/gateway/src/discovery/sequence/tests.rs
@@ -27,7 +27,7 @@
 
 /// Two connections deliver the same events, in any order and with another text the second time: each is accepted once.
 #[test]
-fn an_event_on_two_connections_is_accepted_once() {
+fn event_on_two_connections_is_accepted_once() {
     let mut sequence = sequence(4);
     assert!(is_due(sequence.accept(&event(5, false))));
     assert_eq!(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_gap_is_an_error_unless_a_full_list_follows() {
+fn gap_is_an_error_unless_a_full_list_follows() {
     let mut sequence = sequence(4);
     assert_eq!(
         sequence.accept(&event(7, false)),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_malformed_event_is_skipped_the_second_time() {
+fn malformed_event_is_skipped_the_second_time() {
     let mut sequence = sequence(4);
     assert!(matches!(
         sequence.accept(&malformed(5)),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_malformed_event_with_too_high_a_number_is_never_skipped() {
+fn malformed_event_after_a_gap_is_never_skipped() {
     let mut sequence = sequence(4);
     for _ in 0..3 {
         assert!(matches!(
--- a/crates/gateway/src/discovery/stream/tests.rs
+++ b/crates/gateway/src/discovery/stream/tests.rs
@@ -1,7 +1,7 @@
 use super::{SseEvent, SseParser};
 
 #[test]
-fn events_are_complete_wherever_their_bytes_are_cut() {
+fn events_are_parsed_wherever_their_bytes_are_split() {
     let text =
         ": hello\r\n\nid: 4\ndata: {\"a\":\ndata:1}\n\n:\n\ndata: x\r\n\r\ndata: unfinished\n";
     for size in 1..text.len() {
