--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -18,7 +18,7 @@
 mod stream;
 mod watch;
 
-pub use driver::{Discovery, HealthCheckOutcome, ListChangeHandler};
+pub use driver::{ChangeHandler, Discovery, HealthCheckOutcome};
 pub use engine_health::{EngineHealth, Reachability, ReachabilityChange};
 pub use event::{event, event_of_text, EngineEntry, Event, EventError, EventErrorCause, NameIndex};
 pub use list::{EngineList, EngineUpdate, ListChange, Target};
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -18,7 +18,7 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Receives changes of the list, one after another.
-pub type ListChangeHandler = Box<dyn FnMut(&ListChange) + Send>;
+pub type ChangeHandler = Box<dyn FnMut(&ListChange) + Send>;
 
 /// How a health check, or connecting to a candidate, ended.
 pub struct HealthCheckOutcome {
@@ -32,12 +32,12 @@
 pub struct Discovery {
     list: Arc<EngineList>,
     /// Locked while a change is applied and delivered, so that changes are delivered in order.
-    deliver: Mutex<ListChangeHandler>,
+    deliver: Mutex<ChangeHandler>,
 }
 
 impl Discovery {
     /// Discovery that passes the updates of `list` to `deliver`.
-    pub fn new(list: Arc<EngineList>, deliver: ListChangeHandler) -> Self {
+    pub fn new(list: Arc<EngineList>, deliver: ChangeHandler) -> Self {
         Discovery {
             list,
             deliver: Mutex::new(deliver),
--- a/crates/gateway/src/discovery/stream.rs
+++ b/crates/gateway/src/discovery/stream.rs
@@ -21,7 +21,7 @@
 
 /// A parser of server-sent events. Its input may be cut at any byte.
 #[derive(Default)]
-pub struct SseParser {
+pub struct EventParser {
     /// Bytes of a field whose line feed has not arrived.
     unparsed: Vec<u8>,
     /// This many of them are known to hold no line feed.
@@ -31,7 +31,7 @@
     pub completed_fields: u64,
 }
 
-impl SseParser {
+impl EventParser {
     /// Parses further bytes, and returns the events that they complete.
     ///
     /// # Errors
--- a/crates/gateway/src/discovery/stream/tests.rs
+++ b/crates/gateway/src/discovery/stream/tests.rs
@@ -1,11 +1,11 @@
-use super::{SseEvent, SseParser};
+use super::{EventParser, SseEvent};
 
 #[test]
 fn events_are_parsed_wherever_their_bytes_are_split() {
     let text =
         ": hello\r\n\nid: 4\ndata: {\"a\":\ndata:1}\n\n:\n\ndata: x\r\n\r\ndata: unfinished\n";
     for size in 1..text.len() {
-        let mut parser = SseParser::default();
+        let mut parser = EventParser::default();
         let fed = text
             .as_bytes()
             .chunks(size)
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -6,7 +6,7 @@
 use super::connection_set::{Action, ConnectionId, ConnectionSet, LogCloseReason, Received};
 use super::event::{Event, NameIndex};
 use super::sequence::{EventOutcome, EventSequence, SequenceError};
-use super::stream::{EventTooLong, SseParser};
+use super::stream::{EventParser, EventTooLong};
 use crate::discovery::reconnect::Reconnect;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -79,7 +79,7 @@
 struct LogConnection {
     id: ConnectionId,
     state: LogConnectionState,
-    parser: SseParser,
+    parser: EventParser,
     next_step: Pin<Box<dyn Future<Output = LogStep> + Send>>,
 }
 
@@ -88,7 +88,7 @@
         LogConnection {
             id,
             state: LogConnectionState::Connecting,
-            parser: SseParser::default(),
+            parser: EventParser::default(),
             next_step: Box::pin(open(log, last_event)),
         }
     }
