--- a/crates/gateway/src/discovery/connection.rs
+++ b/crates/gateway/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! Opens a connection to the change log.
+//! Opens connections to the change log.
 
 use crate::system::budgeted_stream::{BudgetedStream, MAX_RESPONSE_HEAD_BYTES};
 use crate::system::socket::{ConnectWait, Socket};
@@ -12,33 +12,35 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Protocol: the path of the log.
+/// Protocol: the path of the event stream.
 const PATH: &str = "/changes";
-/// Protocol: the header that names the last event that was received.
+/// Protocol: the request header with the number of the last event received. The log resumes after it.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// Why the change log could not be opened.
+/// The reason that no event stream could be opened.
 #[derive(Debug, Error)]
 pub(super) enum OpenError {
-    /// No connection.
-    #[error("not connected: {0}")]
+    /// The TCP connection could not be established.
+    #[error("cannot connect to the change log: {0}")]
     Connect(#[from] io::Error),
-    /// No HTTP response.
-    #[error("not answered: {0}")]
+    /// The connection failed before the head of an HTTP response arrived.
+    #[error("no HTTP response from the change log: {0}")]
     Http(#[from] hyper::Error),
-    /// A response that does not open the stream.
-    #[error("answered with status {0}")]
+    /// The response has a status other than 200.
+    #[error("change log answered with status {0} instead of 200")]
     Status(StatusCode),
 }
 
-/// Opens the stream of events after `last_event`; the caller bounds how long that may take.
+/// Opens the stream of the events after `last_event` and returns the response body.
 ///
-/// The connection does not count against the engines' budget, which reserves a descriptor for it: engines that use up
-/// their budget must not keep changes of the engine list out.
+/// There is no timeout; the caller drops the future when it takes too long.
+///
+/// The connection does not count against the socket budget of the engines, which sets aside a file descriptor for it.
+/// Otherwise engine connections that exhaust the budget would block updates of the engine list.
 ///
 /// # Errors
 ///
-/// The log cannot be reached, or does not answer with a stream.
+/// Returns an error if the log cannot be reached, the connection fails, or the status is not 200.
 pub(super) async fn open(log: SocketAddr, last_event: u64) -> Result<Incoming, OpenError> {
     let socket = Socket::connect(log, &ConnectWait::for_other_end()).await?;
     let stream = BudgetedStream::new(socket, None);
@@ -48,7 +50,7 @@
         .handshake(stream)
         .await?;
     tokio::spawn(async move {
-        // An error of the connection is reported where its body is read.
+        // Ignored here, because reading the response or its body returns the same error.
         let _ = connection.await;
     });
     let response = sender.send_request(request(log, last_event)).await?;
--- a/crates/gateway/src/discovery/connection_set.rs
+++ b/crates/gateway/src/discovery/connection_set.rs
@@ -1,89 +1,98 @@
-//! Decides which connections to the change log are open: when another is opened beside those without progress, and which
-//! are closed.
+//! Decides when connections to the change log are opened and closed.
 //!
-//! Decisions without I/O or a clock: the driver passes in times and what was received, and gets back actions.
+//! The decisions need neither I/O nor a clock: the driver, [`super::watch`], passes in the current time and what was
+//! received, and gets back actions. Times are durations since a fixed moment that the driver chooses.
 //!
-//! A connection is never closed only because it is slow: a log may deliver its first bytes, or the end of a long event, a
-//! little after any fixed timeout, each time. So another connection is opened beside it, and all stay until one of them
-//! delivers the next event, is silent, which is without a byte for [`NOTIFICATION_DEADLINE`], or trickles for
-//! [`MAX_FIELD_DURATION`]. Times are durations since a fixed moment.
+//! A connection is never closed only because it is slow. A log may deliver its first bytes, or the end of a long event,
+//! slightly later than any fixed timeout on every connection, and closing it there would mean that the event never
+//! arrives. Instead, backup connections are opened beside a slow one, and the first that delivers the next event stays.
+//! Each connection is classified by these criteria, and may meet several of them. A field is one line of the stream,
+//! which may also be a comment or blank. Progress means a complete field, or [`PROGRESS_BYTES`] of an unfinished one.
 //!
-//! | a connection is | when | what follows |
-//! |---|---|---|
-//! | live | it makes progress: a complete field, or [`PROGRESS_BYTES`] of one | no other is opened |
-//! | overdue | it makes no progress for [`PROGRESS_TIMEOUT`], an unproven backup for [`BACKUP_PROGRESS_TIMEOUT`], or it is the only one and its field is unfinished for [`LONE_FIELD_TIMEOUT`] | once all are overdue, a backup is opened, up to [`MAX_OPEN`] |
-//! | proven | it has delivered complete fields for [`NOTIFICATION_DEADLINE`] | older ones between events are closed |
-//! | replaceable | it was open for [`NOTIFICATION_DEADLINE`] and delivered no byte for [`PROGRESS_TIMEOUT`]; or it is the newest and makes no progress for that long | where all [`MAX_OPEN`] are overdue, it is closed for a fresh one |
-//! | silent | it delivered no byte for [`NOTIFICATION_DEADLINE`] | it is closed, as [`LogCloseReason::Silent`] |
-//! | trickling | it delivers bytes, but completed no field for [`MAX_FIELD_DURATION`] and made no progress for [`NOTIFICATION_DEADLINE`] | as where it is silent |
+//! - **Overdue**: it has made no progress for [`PROGRESS_TIMEOUT`] ([`BACKUP_PROGRESS_TIMEOUT`] for a backup that is
+//!   not proven), or it has completed no field for [`MAX_FIELD_DURATION`] ([`LONE_FIELD_TIMEOUT`] if it is the only
+//!   connection). Once all connections are overdue, a backup is opened, up to [`MAX_OPEN`] connections.
+//! - **Proven**: it has completed a field [`NOTIFICATION_DEADLINE`] or later after it was opened. Older connections on
+//!   which no event has begun are closed as [`LogCloseReason::Redundant`].
+//! - **Replaceable**: it was opened at least [`NOTIFICATION_DEADLINE`] ago and has delivered no byte for
+//!   [`PROGRESS_TIMEOUT`], or it is the newest connection and has made no progress for that long. If [`MAX_OPEN`]
+//!   connections are open and all are overdue, a replaceable one is closed as [`LogCloseReason::Replaced`] and a new
+//!   one opened.
+//! - **Silent**: it has delivered no byte for [`NOTIFICATION_DEADLINE`]. It is closed as [`LogCloseReason::Silent`].
+//! - **Trickling**: it delivers bytes, but has completed no field for [`MAX_FIELD_DURATION`] and made no progress for
+//!   [`NOTIFICATION_DEADLINE`]. It is closed as [`LogCloseReason::Silent`].
 
 use crate::discovery::reconnect::Reconnect;
 use std::time::Duration;
 
-/// Connections to one log at once, at most.
+/// The maximum number of concurrent connections to one log.
 pub(super) const MAX_OPEN: usize = 3;
-/// Protocol: a change counts as notified this long after the log has it. A connection has at least as long for its next byte.
+/// Protocol: a change counts as notified once this time has passed since the log received it. A connection is given at
+/// least this long to deliver its next byte.
 pub(super) const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(7);
-/// A connection is overdue after this long without progress: two of the comments that the protocol sends each second are
-/// missing.
+/// The time without progress after which a connection is overdue: two of the comments that the log sends each second
+/// are missing then.
 pub(super) const PROGRESS_TIMEOUT: Duration = Duration::from_millis(2200);
-/// The same for a backup connection that is not proven yet: one comment is missing.
+/// The time without progress after which a backup connection that is not proven yet is overdue: one comment is missing
+/// then.
 pub(super) const BACKUP_PROGRESS_TIMEOUT: Duration = Duration::from_millis(1400);
-/// This much of an unfinished field counts as progress, as a complete one does.
+/// The number of bytes of an unfinished field that count as progress, as a complete field does.
 pub(super) const PROGRESS_BYTES: usize = 16 << 10;
-/// A field may be unfinished for this long on the only connection: a backup may still deliver the event in time.
+/// The time without a complete field after which the only open connection is overdue. It is shorter than
+/// [`NOTIFICATION_DEADLINE`], so that a backup connection may still deliver the event in time.
 pub(super) const LONE_FIELD_TIMEOUT: Duration = Duration::from_millis(6000);
-/// A connection that delivers bytes, but neither a complete field nor [`PROGRESS_BYTES`] of one, is closed after this. Beside two
-/// connections with unfinished fields, a third is opened after this.
+/// The time without a complete field after which a connection that also makes no other progress is closed, and after
+/// which a connection that is not the only one is overdue.
 pub(super) const MAX_FIELD_DURATION: Duration = Duration::from_secs(20);
 
-/// Identifies a connection; never reused.
+/// Identifies a connection. Values are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionId(u64);
 
-/// Why a connection is closed.
+/// The reason for closing a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LogCloseReason {
-    /// It delivered no byte for [`NOTIFICATION_DEADLINE`], or trickled for [`MAX_FIELD_DURATION`]; the log names both so.
+    /// The connection is silent or trickling; both are reported to the operator as the same error.
     Silent,
-    /// Another one has delivered the next event, or is alive and newer.
+    /// Another connection has delivered the next event, or a newer one is proven.
     Redundant,
-    /// All connections are overdue and no more may be open: a fresh one takes its place.
+    /// All [`MAX_OPEN`] connections are overdue, and a new connection replaces this one.
     Replaced,
 }
 
-/// What the driver has to do.
+/// An action that the driver has to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Action {
     Open(ConnectionId),
     Close(ConnectionId, LogCloseReason),
 }
 
-/// What a connection has delivered; all zero for the head of its response.
+/// Data that a connection has delivered. The default value stands for the head of the response, which has no body
+/// bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Received {
     pub(super) bytes: usize,
-    /// Fields that are now complete.
+    /// The number of fields that these bytes complete, including comments and blank lines.
     pub(super) completed_fields: u64,
-    /// An event or a field has begun and is not complete.
+    /// Whether an event or a field has begun and is not complete.
     pub(super) unfinished: bool,
 }
 
-/// What a connection is to the set.
+/// The role of a connection, which selects its progress timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionRole {
-    /// It is the one that is followed: it was opened while no other was, or has delivered the next event.
+    /// Opened while no other connection was open, or has delivered an event.
     Primary,
-    /// It was opened beside overdue ones, and has delivered no event yet.
+    /// Opened while other connections were overdue, and has delivered no event yet.
     Backup,
 }
 
-/// Whether an event has begun on a connection.
+/// Whether a connection is between events or in the middle of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
-    /// All that was received is complete.
+    /// All events and fields received so far are complete.
     BetweenEvents,
-    /// An event or a field has begun.
+    /// An event or a field has begun and is not complete.
     WithinEvent,
 }
 
@@ -94,9 +103,9 @@
     read_state: ReadState,
     opened_at: Duration,
     last_byte_at: Duration,
-    /// The last complete field.
+    /// When the last field was completed.
     last_field_at: Duration,
-    /// The last complete field, or the last time that `PROGRESS_BYTES` of one had arrived.
+    /// When the connection last made progress: it completed a field, or another `PROGRESS_BYTES` of one had arrived.
     last_progress_at: Duration,
     bytes_since_progress: usize,
 }
@@ -132,12 +141,12 @@
         }
     }
 
-    /// Whether it has delivered complete fields for as long as any connection is given.
+    /// Whether the connection completed a field at an age of [`NOTIFICATION_DEADLINE`] or more.
     fn is_proven(&self) -> bool {
         self.last_field_at >= self.opened_at + NOTIFICATION_DEADLINE
     }
 
-    /// How long it may make no progress.
+    /// The time without progress after which the connection is overdue.
     fn progress_timeout(&self) -> Duration {
         match self.role {
             ConnectionRole::Backup if !self.is_proven() => BACKUP_PROGRESS_TIMEOUT,
@@ -145,44 +154,44 @@
         }
     }
 
-    /// When another is to be opened beside it, unless it delivers something first; its field may be unfinished for
-    /// `field_timeout`.
+    /// The time at which the connection becomes overdue unless it delivers something first. `field_timeout` is the
+    /// longest time that it may take to complete a field.
     fn overdue_at(&self, field_timeout: Duration) -> Duration {
         let progress_due_at = self.last_progress_at + self.progress_timeout();
         progress_due_at.min(self.last_field_at + field_timeout)
     }
 
-    /// When it is closed, unless it delivers something first.
+    /// The time at which the connection is closed as silent or trickling unless it delivers something first.
     fn close_due_at(&self) -> Duration {
         let trickle_deadline = (self.last_field_at + MAX_FIELD_DURATION)
             .max(self.last_progress_at + NOTIFICATION_DEADLINE);
         trickle_deadline.min(self.last_byte_at + NOTIFICATION_DEADLINE)
     }
 
-    /// When a fresh one may take its place, unless it delivers something first.
+    /// The time from which a new connection may replace this one unless it delivers something first.
     fn replaceable_at(&self) -> Duration {
         (self.opened_at + NOTIFICATION_DEADLINE).max(self.last_byte_at + PROGRESS_TIMEOUT)
     }
 }
 
-/// The connections to one log.
+/// The open connections to one change log.
 #[derive(Debug)]
 pub(super) struct ConnectionSet {
     reconnect: Reconnect,
-    /// In the order in which they were opened.
+    /// The open connections, oldest first.
     open: Vec<TrackedConnection>,
     opened_count: u64,
     last_opened_at: Duration,
-    /// No connection is opened earlier: the backoff after one that ended.
+    /// The earliest time at which a connection may be opened: the end of the backoff after a connection that ended.
     not_before: Duration,
-    /// How much later than it could be the next backup is opened, so that a fleet is not in step.
+    /// Random delay of the next backup connection, so that the gateways of a fleet do not open theirs simultaneously.
     jitter: Duration,
-    /// Connections to close because of what another one delivered.
+    /// Connections that the driver still has to close because another one made them redundant.
     redundant: Vec<ConnectionId>,
 }
 
 impl ConnectionSet {
-    /// No connection yet; the first is opened at once.
+    /// Creates a set without connections. The first [`poll`](Self::poll) opens one.
     pub(super) fn new(reconnect: Reconnect) -> Self {
         ConnectionSet {
             reconnect,
@@ -195,21 +204,22 @@
         }
     }
 
-    /// The log has another address: the driver has closed all connections, and the next is opened at once.
+    /// Forgets all connections, which the driver has closed because the address of the log changed. The next connection
+    /// is opened without backoff.
     pub(super) fn address_changed(&mut self, now: Duration) {
         self.open.clear();
         self.redundant.clear();
         self.not_before = now;
     }
 
-    /// A connection has delivered something.
+    /// Records data that a connection delivered, and marks older connections as redundant once this one is proven.
     pub(super) fn received(&mut self, id: ConnectionId, now: Duration, received: Received) {
         let Some(index) = self.index(id) else { return };
         self.open[index].received(now, received);
         if !self.open[index].is_proven() {
             return;
         }
-        // An older one is not needed beside it, unless an event has begun on that.
+        // Older connections are redundant, except those that are in the middle of an event.
         let older: Vec<ConnectionId> = self.open[..index]
             .iter()
             .filter(|connection| connection.read_state == ReadState::BetweenEvents)
@@ -218,14 +228,14 @@
         self.remove_redundant(|id| older.contains(&id));
     }
 
-    /// A connection has delivered the next event: it is followed, and the others are closed.
+    /// Records that a connection delivered the next event. It becomes the primary, and all others are closed.
     pub(super) fn event_received(&mut self, id: ConnectionId) {
         let Some(index) = self.index(id) else { return };
         self.open[index].role = ConnectionRole::Primary;
         self.remove_redundant(|other| other != id);
     }
 
-    /// A connection has ended.
+    /// Records that a connection ended, and starts the backoff before the next one is opened.
     pub(super) fn ended(&mut self, id: ConnectionId, now: Duration) {
         let Some(index) = self.index(id) else { return };
         self.open.remove(index);
@@ -233,7 +243,7 @@
         self.not_before = now + self.reconnect.next_pause(since_last_opened);
     }
 
-    /// The next action that is due; to be polled until there is none.
+    /// Returns the next action that is due at `now`. The driver calls it until it returns `None`.
     pub(super) fn poll(&mut self, now: Duration) -> Option<Action> {
         if let Some(id) = self.redundant.pop() {
             return Some(Action::Close(id, LogCloseReason::Redundant));
@@ -252,7 +262,7 @@
         Some(self.close(index, LogCloseReason::Replaced))
     }
 
-    /// When to poll next, unless something is received first.
+    /// The time of the next [`poll`](Self::poll) unless something is received or a connection ends first.
     pub(super) fn next_poll_at(&self) -> Duration {
         let closes = self.open.iter().map(TrackedConnection::close_due_at);
         closes.fold(self.next_open_at(), Duration::min)
@@ -290,7 +300,8 @@
         id
     }
 
-    /// When the next connection is due: after the backoff, and not while an open one makes progress.
+    /// The time at which the next connection is to be opened, or one to be replaced: after the backoff, and once all
+    /// open connections are overdue.
     fn next_open_at(&self) -> Duration {
         let field_timeout = match self.open.len() {
             1 => LONE_FIELD_TIMEOUT,
@@ -311,8 +322,9 @@
         }
     }
 
-    /// When an open one may be replaced: any that has had its time, or else the newest once it makes no progress. The older ones
-    /// stay until they have had their time, so that a log that is slow on each connection is still read.
+    /// The earliest time at which an open connection may be replaced: when any becomes replaceable by its age, or when
+    /// the newest has made no progress for [`PROGRESS_TIMEOUT`]. Older connections are kept for at least
+    /// [`NOTIFICATION_DEADLINE`], so that a log that is slow on every connection can still deliver.
     fn replacement_at(&self) -> Duration {
         let replaceable = self
             .open
@@ -330,7 +342,7 @@
             .unwrap_or_default()
     }
 
-    /// The index of the one that is replaced.
+    /// The index of the connection to replace: the oldest that is replaceable by its age, otherwise the newest.
     fn index_to_replace(&self, now: Duration) -> Option<usize> {
         let replaceable = self
             .open
--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -1,47 +1,44 @@
-//! The connection set with simulated logs: each connection behaves as drawn, time advances in steps, and each step is checked.
+//! Property tests of [`ConnectionSet`] against a simulated change log.
+//!
+//! Each connection follows a generated [`Behaviour`]. Simulated time advances in steps of [`STEP_MS`], and the
+//! invariants are checked in each step.
 
 use super::*;
 use proptest::prelude::*;
 
-/// Milliseconds of one simulated step.
+/// Length of one simulated step, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Bytes of a list of 3,200 engines.
+/// Size of an event with a list of 3,200 engines.
 const LONG_LIST: usize = 440_000;
-/// Pauses of the reconnect that settings may ask for, in milliseconds; longer ones are cut to 500.
+/// Reconnect pauses as the settings may have them, in milliseconds; [`Reconnect`] shortens those over 500 ms to 500 ms.
 const RECONNECT_PAUSES_MS: [u64; 3] = [50, 250, 3000];
 
-/// Connections to one log at once, by docs/CAPACITY.md.
+/// The limit of concurrent connections to one log that docs/CAPACITY.md states; independent of [`MAX_OPEN`].
 const DOCUMENTED_MAX_OPEN: usize = 3;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// How one connection behaves; times are milliseconds since it was opened.
+/// What the log sends on one connection. `after` and `event` are in milliseconds since the connection was opened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behaviour {
-    Ends {
-        after: u64,
-    },
+    /// Nothing is sent, and the connection ends.
+    Ends { after: u64 },
+    /// Nothing is sent, and the connection stays open.
     Silent,
-    /// Its first line, which ends the event that is due, comes so late; then comments.
-    Late {
-        event: u64,
-    },
-    /// Comments each second from its start, the event so late.
-    Comments {
-        event: u64,
-    },
-    /// Bytes that never end a line.
+    /// Nothing is sent before the due event, which is followed by a comment each second.
+    Late { event: u64 },
+    /// A comment is sent each second from the start, and the due event at `event`.
+    Comments { event: u64 },
+    /// One byte is sent every 200 ms, and never a line feed.
     Trickles,
-    /// A list of `LONG_LIST` bytes in one line, at so many bytes a second.
-    LongList {
-        rate: usize,
-    },
+    /// One line of `LONG_LIST` is sent at `rate` bytes per second, followed by a comment each second.
+    LongList { rate: usize },
 }
 
 impl Behaviour {
-    /// When its event is complete, if it ever is.
+    /// The age of the connection at which its event is complete, in milliseconds; `None` if the event is never sent.
     fn event_after(self) -> Option<u64> {
         match self {
             Behaviour::Ends { .. } | Behaviour::Silent | Behaviour::Trickles => None,
@@ -50,7 +47,7 @@
         }
     }
 
-    /// What is received in the step that ends at this age.
+    /// The data received in the step that ends at this age of the connection, in milliseconds.
     fn received(self, age: u64) -> Option<Received> {
         let comments = |from: u64| age >= from && (age - from) % 1000 < STEP_MS;
         let complete = Received {
@@ -80,6 +77,7 @@
     }
 }
 
+/// An open connection; times are in milliseconds of simulated time.
 struct OpenConnection {
     id: ConnectionId,
     behaviour: Behaviour,
@@ -87,18 +85,20 @@
     last_byte_at: u64,
 }
 
-/// What a simulated log has seen.
+/// The observations of one simulated log.
 #[derive(Debug, Default)]
 struct LogObservations {
+    /// When the event was delivered first, in milliseconds of simulated time.
     delivered_at: Option<u64>,
-    /// When each connection was opened, in milliseconds.
+    /// When each connection was opened, in milliseconds of simulated time.
     opened: Vec<u64>,
+    /// Bytes sent on all connections.
     bytes: usize,
-    /// Connections that are open at the end.
+    /// The number of connections open at the end.
     open: usize,
 }
 
-/// The connection set, driven against connections that behave as drawn.
+/// A connection set and the simulated connections that it has opened.
 struct Simulation<'a, F> {
     set: &'a mut ConnectionSet,
     behaviour: F,
@@ -107,7 +107,8 @@
 }
 
 impl<F: Fn(usize) -> Behaviour> Simulation<'_, F> {
-    /// Delivers what a connection receives in the step that ends now; whether that is anything.
+    /// Passes the data that a connection receives in the step ending at `now` to the set. Returns whether the
+    /// connection received data or ended.
     fn step(&mut self, id: ConnectionId, now: u64) -> bool {
         let Some(index) = self.open.iter().position(|open| open.id == id) else {
             return false;
@@ -139,12 +140,12 @@
         true
     }
 
-    /// Does the actions that are due, as the driver does after each step.
+    /// Runs the due actions, as the driver does after each step, and returns their number.
     fn run_actions(&mut self, now: u64) -> usize {
         let mut actions = 0;
         while let Some(action) = self.set.poll(ms(now)) {
             actions += 1;
-            assert!(actions <= 2 * MAX_OPEN, "no end of actions at {now} ms");
+            assert!(actions <= 2 * MAX_OPEN, "too many actions at {now} ms");
             match action {
                 Action::Open(id) => {
                     let behaviour = (self.behaviour)(self.observed.opened.len());
@@ -161,7 +162,7 @@
                         .open
                         .iter()
                         .position(|open| open.id == id)
-                        .expect("it is open");
+                        .expect("the closed connection is open");
                     check_close(
                         &self.open[index],
                         index,
@@ -182,7 +183,7 @@
     }
 }
 
-/// Simulates a log for so many milliseconds, and checks each step.
+/// Simulates a log for `duration_ms`, and checks the invariants in each step.
 fn simulate(
     set: &mut ConnectionSet,
     behaviour: impl Fn(usize) -> Behaviour,
@@ -207,10 +208,13 @@
         let actions = simulation.run_actions(now);
         assert!(
             has_received || actions == 0 || next_poll <= ms(now),
-            "acts at {now} ms, next poll was due at {next_poll:?}"
+            "action at {now} ms, before the next poll due at {next_poll:?}"
         );
         next_poll = simulation.set.next_poll_at();
-        assert!(next_poll > ms(now), "due again at once at {now} ms");
+        assert!(
+            next_poll > ms(now),
+            "next poll is due immediately at {now} ms"
+        );
     }
     LogObservations {
         open: simulation.open.len(),
@@ -218,7 +222,8 @@
     }
 }
 
-/// A connection is closed only where it may be.
+/// Checks that the connection at `index` may be closed for this reason. `delivered` tells whether the event has
+/// arrived.
 fn check_close(
     open: &OpenConnection,
     index: usize,
@@ -230,17 +235,17 @@
     match reason {
         LogCloseReason::Silent => assert!(
             silent_for >= NOTIFICATION_DEADLINE || age >= MAX_FIELD_DURATION,
-            "{age:?} old, {silent_for:?} quiet"
+            "connection {age:?} old, last byte {silent_for:?} ago"
         ),
         LogCloseReason::Redundant => assert!(
             delivered || age >= NOTIFICATION_DEADLINE,
-            "{age:?} old and nothing delivered"
+            "connection {age:?} old, event not delivered"
         ),
         LogCloseReason::Replaced => {
             let newest = index == MAX_OPEN - 1 && age >= PROGRESS_TIMEOUT;
             assert!(
                 age >= NOTIFICATION_DEADLINE && silent_for >= PROGRESS_TIMEOUT || newest,
-                "{age:?} old, {silent_for:?} quiet, index {index}"
+                "connection {index}, {age:?} old, last byte {silent_for:?} ago"
             );
         }
     }
@@ -262,8 +267,8 @@
 }
 
 proptest! {
-    /// Whatever the connections do: few are open, none is closed before its time, nothing spins, and what one of the first two
-    /// connections delivers in its time arrives.
+    /// For any behaviour of the connections, the number of open ones is bounded, none is closed early, and no step is
+    /// polled without end. An event that one of the first two connections sends within 7 s is delivered.
     #[test]
     fn any_log_is_followed_within_the_bounds_on_connections(
         seed: u64,
@@ -274,13 +279,14 @@
         for (number, opened) in observed.opened.iter().take(MAX_OPEN - 1).enumerate() {
             let event_due = behaviours[number % behaviours.len()].event_after().map(|event_due| opened + event_due);
             if let Some(event_due) = event_due.filter(|event_due| *event_due < opened + 7000) {
-                let delivered_at = observed.delivered_at.expect("delivered");
+                let delivered_at = observed.delivered_at.expect("the event was delivered");
                 prop_assert!(delivered_at <= event_due + STEP_MS, "connection {number} due at {event_due} ms, delivered at {delivered_at} ms");
             }
         }
     }
 
-    /// A log that is late on each connection alike delivers on the first.
+    /// A log that answers each connection equally late delivers the event on the first, before 7 s have passed. Closing
+    /// a late connection in favour of a fresh one would delay the event again each time.
     #[test]
     fn log_that_is_late_on_each_connection_delivers_in_time(
         seed: u64,
@@ -294,10 +300,11 @@
         };
         let observed = simulate(&mut set(seed, pause), |_| behaviour, 10_000);
         prop_assert!(observed.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{observed:?}");
-        prop_assert_eq!(observed.open, 1, "the others are closed");
+        prop_assert_eq!(observed.open, 1, "the other connections are closed");
     }
 
-    /// Behind three connections that are silent, trickle or end, the fourth is opened in time.
+    /// Where up to three connections are silent, trickle or end, the next one is opened early enough to deliver within
+    /// 7 s.
     #[test]
     fn list_behind_three_failing_connections_is_delivered(
         seed: u64,
@@ -312,7 +319,7 @@
         prop_assert!(observed.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{observed:?}");
     }
 
-    /// Nor is a late log missed behind two silent connections.
+    /// An event that is late on the third connection arrives within 7 s though the first two are silent.
     #[test]
     fn late_list_behind_two_silent_connections_is_delivered(
         seed: u64,
@@ -324,7 +331,8 @@
         prop_assert!(observed.delivered_at.is_some_and(|delivered_at| delivered_at < 7000), "{observed:?}");
     }
 
-    /// A long list over a slow link is delivered on the first connection, and at most twice its bytes are requested.
+    /// A long list over a slow link is delivered on the first connection, and the log sends at most twice its bytes in
+    /// all.
     #[test]
     fn long_list_is_sent_twice_at_most(
         seed: u64,
@@ -338,7 +346,7 @@
         prop_assert!(observed.bytes <= 2 * LONG_LIST + comments, "{} bytes, {:?}", observed.bytes, observed.opened);
     }
 
-    /// A connection that ends at once is opened again after the backoff.
+    /// Connections that end at once are reopened no faster than the reconnect pause, which is 500 ms at most.
     #[test]
     fn connections_that_end_are_reopened_after_the_backoff(seed: u64, pause in prop::sample::select(RECONNECT_PAUSES_MS.to_vec()), after in 0..200u64) {
         let observed = simulate(&mut set(seed, pause), |_| Behaviour::Ends { after }, 10_000);
@@ -362,7 +370,7 @@
 fn comment_late_by_a_second_opens_no_connection() {
     let mut set = set(1, 250);
     let Some(Action::Open(id)) = set.poll(Duration::ZERO) else {
-        panic!("the first is opened at once")
+        panic!("the first connection is not opened at once")
     };
     let complete = Received {
         bytes: 3,
@@ -382,10 +390,14 @@
     while set.poll(ms(2600)).is_some() {}
     set.address_changed(ms(2700));
     assert!(matches!(set.poll(ms(2700)), Some(Action::Open(_))));
-    assert_eq!(set.poll(ms(2700)), None, "and no other beside it");
+    assert_eq!(
+        set.poll(ms(2700)),
+        None,
+        "a second connection is opened as well"
+    );
 }
 
-/// Of two live connections, the one that was silent before is closed once the newer is proven.
+/// After a silent first connection has revived, it is closed once the newer one is proven.
 #[test]
 fn older_of_two_live_connections_is_closed() {
     let mut set = set(1, 250);
@@ -406,7 +418,7 @@
                 }
             }
         }
-        // The first says nothing in its first three seconds.
+        // The first connection receives nothing in its first 3 s.
         for (number, id) in open.iter().enumerate() {
             if now % 1000 == 0 && (number > 0 || now >= 3000) {
                 set.received(*id, ms(now), complete);
@@ -416,7 +428,7 @@
     assert_eq!(open.len(), 1);
 }
 
-/// Beside a live connection, one that only trickles stays open for a time, and no longer.
+/// A connection that only trickles is closed after `MAX_FIELD_DURATION`, here 20 s, even where another one is live.
 #[test]
 fn trickling_connection_is_closed_beside_a_live_one() {
     let behaviour = |n: usize| {
--- a/crates/gateway/src/discovery/engine_health.rs
+++ b/crates/gateway/src/discovery/engine_health.rs
@@ -1,28 +1,28 @@
-//! What attempts, health checks and connecting say of an engine.
+//! The condition of an engine as observed by attempts, health checks and connection attempts.
 
-/// Whether an engine could be reached.
+/// Whether a connection to an engine could be established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It accepted a connection.
+    /// The engine accepted a connection.
     Reachable,
-    /// It did not.
+    /// The engine accepted no connection, or did not answer.
     Unreachable,
 }
 
-/// Whether the reachability of an engine differs from what was recorded before.
+/// Whether recording the reachability of an engine changed the recorded value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReachabilityChange {
-    /// It differs.
+    /// The recorded value was different before.
     Changed,
-    /// It is the same, or the engine is not in the list at this address.
+    /// The recorded value was the same, or the engine is not in the list at this address.
     Unchanged,
 }
 
-/// What the end of an attempt says of its engine.
+/// The health of an engine, as inferred from how an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineHealth {
-    /// It did its work, or said that it has no capacity.
+    /// The engine processed the query, or rejected it for lack of capacity.
     Healthy,
-    /// It failed.
+    /// The attempt failed or timed out, or its connection could not be established or was lost.
     Failing,
 }
