--- a/crates/gateway/src/discovery/event.rs
+++ b/crates/gateway/src/discovery/event.rs
@@ -1,4 +1,4 @@
-//! Events of the change log.
+//! The events of the change log, and the errors of decoding them.
 
 mod decode;
 
@@ -10,62 +10,63 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// One numbered change of the engine list.
+/// A numbered update of the engine list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// Its number; those of successive events are successive.
+    /// The sequence number. Successive events of a log have consecutive numbers.
     pub number: u64,
-    /// Whether the entries are the full list, or only those that changed.
+    /// Whether `entries` is the full list or only the entries that changed.
     pub scope: ListScope,
-    /// Engines in the order in which the log has them.
+    /// The entries, in the order of the event.
     pub entries: Vec<EngineEntry>,
 }
 
-/// An engine as the change log has it.
+/// The entry of an engine in an event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEntry {
-    /// The engine's name in the log, which calls it its id.
+    /// The engine's name, which is the key `id` of the entry.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the engine listens.
     pub address: SocketAddr,
-    /// The index of its zone in the settings.
+    /// The index of the engine's zone in the settings; 0 if the log has none.
     pub zone: u32,
-    /// The index of its kind in the settings.
+    /// The index of the engine's kind in the settings; 0 if the log has none.
     pub kind: usize,
-    /// The number of its cell.
+    /// The number of the engine's cell; 0 if the log has none.
     pub cell: u32,
-    /// When it started, in Unix seconds of another machine's clock.
+    /// When the engine started, in Unix seconds of the change log's clock, which may differ from the clock of this
+    /// machine. `None` if the log does not know.
     pub started_at_unix: Option<f64>,
-    /// Whether it accepts attempts, drains or was removed.
+    /// Whether the engine accepts attempts, is draining or was removed.
     pub state: EndpointState,
 }
 
-/// Why an event cannot be decoded; the text is `place: cause`.
+/// The error of an event that cannot be decoded, displayed as `place: cause`.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{place}: {cause}")]
 pub struct EventError {
-    /// The path of the key in the event's JSON, such as `fleet.servers.0.state`.
+    /// The path of the faulty key in the event's JSON, such as `fleet.servers.0.state`.
     pub place: String,
-    /// What is wrong there.
+    /// The fault of the value at `place`.
     pub cause: EventErrorCause,
 }
 
-/// What is wrong with the value at a key of an event.
+/// The fault of a value in an event.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum EventErrorCause {
-    /// The value is missing, has the wrong type or does not parse; says what belongs there.
+    /// The value is missing, has the wrong type or cannot be parsed. Contains a description of a valid value.
     #[error("{0} expected")]
     Expected(&'static str),
-    /// The number is over the limit of its type.
-    #[error("too large")]
+    /// The number does not fit into a `u32`.
+    #[error("more than 4294967295")]
     TooLarge,
-    /// No state of an engine has this name.
+    /// The text is not the name of an engine state.
     #[error("'{0}' is unknown")]
     UnknownState(String),
-    /// The value, here as JSON, is not a text.
-    #[error("{0} is no name")]
+    /// The name of a zone or kind is not a JSON string. Contains the value as JSON.
+    #[error("a name expected, not {0}")]
     NotAName(String),
-    /// The settings have no zone or kind of this name.
+    /// The settings define no zone or kind of this name.
     #[error("'{0}' is not in the settings")]
     NotInSettings(String),
 }
@@ -82,7 +83,7 @@
         EventError::new(place, EventErrorCause::Expected(expected))
     }
 
-    /// The same error, for a value that lies under `parent`.
+    /// Prefixes the place with the path of the parent key.
     fn under(self, parent: &str) -> Self {
         EventError {
             place: format!("{parent}.{}", self.place),
@@ -91,7 +92,7 @@
     }
 }
 
-/// The indices of the zones and kinds of the settings, by their names.
+/// The indices of the zones and kinds in the settings, by name.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
     zones: HashMap<String, usize>,
@@ -99,7 +100,7 @@
 }
 
 impl NameIndex {
-    /// Indexes the names of the settings; of a name that occurs twice the first counts.
+    /// Indexes the names in the settings. A name that occurs more than once gets its first index.
     pub fn new(names: &Names) -> Self {
         NameIndex {
             zones: index_by_name(&names.zones),
@@ -112,7 +113,7 @@
     names
         .iter()
         .enumerate()
-        // The first of equal names is inserted last, and stays.
+        // In reverse, so that the first of equal names is inserted last and overwrites the others.
         .rev()
         .map(|(index, name)| (name.clone(), index))
         .collect()
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes events of the change log, with the log's own names of the keys.
+//! Decodes events of the change log from JSON.
 
 use super::{EngineEntry, Event, EventError, EventErrorCause, NameIndex};
 use crate::discovery::lenient::{Field, LenientTarget, ReadInto};
@@ -8,11 +8,11 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Decodes an event.
+/// Decodes an event from parsed JSON, as in the configuration. `names` resolves the names of zones and kinds.
 ///
 /// # Errors
 ///
-/// The first value that is missing or unusable.
+/// Returns the error of the first value that is missing or invalid.
 pub fn event(json: &Value, names: &NameIndex) -> Result<Event, EventError> {
     ReadInto(RawEvent::new(names))
         .deserialize(json)
@@ -20,11 +20,12 @@
         .check()
 }
 
-/// Decodes an event from its text. Text that is not JSON counts as an event without any keys.
+/// Decodes an event from JSON text, as the change log sends it. `names` resolves the names of zones and kinds.
 ///
 /// # Errors
 ///
-/// The first value that is missing or unusable.
+/// Returns the error of the first value that is missing or invalid. Text that is not valid JSON is treated as an event
+/// without any keys, and gives the error of the missing sequence number.
 pub fn event_of_text(text: &[u8], names: &NameIndex) -> Result<Event, EventError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let raw = ReadInto(RawEvent::new(names))
@@ -33,7 +34,7 @@
     raw.unwrap_or(RawEvent::new(names)).check()
 }
 
-/// An event whose values may have any type.
+/// An event whose values are not validated yet and may have any type.
 struct RawEvent<'a, 'n> {
     names: &'n NameIndex,
     seq: Field<'a>,
@@ -45,10 +46,10 @@
     servers: RawEntries<'n>,
 }
 
-/// Entries are checked as they are read; after the first error the rest is skipped.
+/// The entries of an event. They are validated as they are read; after the first error the rest is skipped.
 struct RawEntries<'n> {
     names: &'n NameIndex,
-    /// `None` until a list was read.
+    /// `None` until a JSON list was read.
     entries: Option<Result<Vec<EngineEntry>, EventError>>,
 }
 
@@ -232,7 +233,7 @@
         .ok_or_else(|| EventError::expected(place, "a text"))
 }
 
-/// A number, 0 where the log has none.
+/// Returns the number in `field`, or 0 if the key is absent or null.
 fn number_or_zero(place: &str, field: &Field) -> Result<u64, EventError> {
     if field.is_empty() {
         return Ok(0);
@@ -242,7 +243,8 @@
         .ok_or_else(|| EventError::expected(place, "a number"))
 }
 
-/// The index of a name, 0 where the log has none. The settings write spaces and commas as `_`.
+/// Returns the index of the name in `field`, or 0 if the key is absent or null. The name is looked up with spaces and
+/// commas replaced by `_`, which is how the settings write them.
 fn index_or_zero(
     place: &str,
     field: &Field,
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -20,12 +20,12 @@
     json!({"seq": 4, "more": [], "fleet": {"version": 1, "full": true, "servers": [self::entry(), entry]}})
 }
 
-/// The same result with the error's text.
+/// Converts an error to its text.
 fn error_text(decoded: Result<Event, EventError>) -> Result<Event, String> {
     decoded.map_err(|error| error.to_string())
 }
 
-/// Decodes both ways, which have the same end.
+/// Decodes an event from text and from parsed JSON, and checks that both results are equal.
 fn decoded(json: &Value) -> Result<Event, EventError> {
     let of_text = event_of_text(json.to_string().as_bytes(), &names());
     assert_eq!(of_text, event(json, &names()), "{json}");
@@ -81,16 +81,16 @@
             json!("far,north"),
             "zone: 'far,north' is not in the settings",
         ),
-        ("zone", json!(1), "zone: 1 is no name"),
+        ("zone", json!(1), "zone: a name expected, not 1"),
         (
             "kind",
             json!({"a": ["b", -1.5]}),
-            "kind: {\"a\":[\"b\",-1.5]} is no name",
+            "kind: a name expected, not {\"a\":[\"b\",-1.5]}",
         ),
-        ("kind", json!(true), "kind: true is no name"),
+        ("kind", json!(true), "kind: a name expected, not true"),
         ("cell", json!(-1), "cell: a number expected"),
         ("cell", json!(5.0), "cell: a number expected"),
-        ("cell", json!(1_u64 << 32), "cell: too large"),
+        ("cell", json!(1_u64 << 32), "cell: more than 4294967295"),
         ("started_ms", json!(1e308), "started_ms: a number expected"),
     ] {
         let mut entry = entry();
--- a/crates/gateway/src/discovery/lenient.rs
+++ b/crates/gateway/src/discovery/lenient.rs
@@ -1,6 +1,7 @@
-//! Reads JSON without building a tree, and without failing on values of the wrong type.
+//! Reads JSON without building a tree and without failing on values of the wrong type.
 //!
-//! Such a value is stored as it is, and reported by whoever needs the key. Of a repeated key the last counts.
+//! A value of the wrong type is kept as it is; the code that needs the key reports the error. If a key is repeated, its
+//! last value applies. Only text that is not valid JSON is an error here.
 
 use serde::de::value::{MapAccessDeserializer, SeqAccessDeserializer};
 use serde::de::{
@@ -10,7 +11,7 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// The value of a key.
+/// The value of a key, which may have any type. Numbers other than non-negative integers are [`Field::Other`].
 #[derive(Debug, Default)]
 pub(super) enum Field<'a> {
     #[default]
@@ -44,12 +45,13 @@
         }
     }
 
+    /// Whether the key is absent or its value is null.
     pub(super) fn is_empty(&self) -> bool {
         matches!(self, Field::Absent | Field::Null)
     }
 }
 
-/// Writes the value as JSON.
+/// Formats the value as JSON.
 impl fmt::Display for Field<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -74,7 +76,7 @@
     type Value = Field<'de>;
 
     fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        formatter.write_str("any JSON")
+        formatter.write_str("any JSON value")
     }
 
     fn visit_unit<E>(self) -> Result<Field<'de>, E> {
@@ -114,22 +116,23 @@
     }
 }
 
-/// A value that is read key by key, or item by item.
+/// A value that is filled from a JSON object key by key, or from a JSON list item by item, by [`ReadInto`]. The default
+/// implementations skip the contents.
 pub(super) trait LenientTarget<'de>: Sized {
-    /// Reads the value of a key.
+    /// Reads the value of a key from `map`, which must be consumed even if it is ignored.
     fn read_value<A: MapAccess<'de>>(&mut self, _key: &str, map: &mut A) -> Result<(), A::Error> {
         map.next_value::<IgnoredAny>()?;
         Ok(())
     }
 
-    /// Reads the items of a list.
+    /// Reads all items of a list.
     fn read_items<A: SeqAccess<'de>>(&mut self, mut items: A) -> Result<(), A::Error> {
         while items.next_element::<IgnoredAny>()?.is_some() {}
         Ok(())
     }
 }
 
-/// Reads a value into `T`, which stays unchanged where the value is neither an object nor a list.
+/// Deserializes a JSON value into an existing `T`. A value that is neither an object nor a list leaves it unchanged.
 pub(super) struct ReadInto<T>(pub(super) T);
 
 impl<'de, T: LenientTarget<'de>> DeserializeSeed<'de> for ReadInto<T> {
@@ -144,7 +147,7 @@
     type Value = T;
 
     fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        formatter.write_str("any JSON")
+        formatter.write_str("any JSON value")
     }
 
     fn visit_unit<E>(self) -> Result<T, E> {
--- a/crates/gateway/src/discovery/sequence.rs
+++ b/crates/gateway/src/discovery/sequence.rs
@@ -1,43 +1,44 @@
-//! Orders the events of the change log: each is accepted once, whichever connection delivers it.
+//! Accepts each event of the change log once and in order, regardless of which connection delivers it.
 
 use super::event::{event_of_text, Event, EventError, NameIndex};
 use super::stream::SseEvent;
 use garnetwall::api::ListScope;
 use thiserror::Error;
 
-/// Why an event ends the connection that delivered it.
+/// An error that ends the connection that delivered the event.
 #[derive(Debug, Error, PartialEq)]
 pub(super) enum SequenceError {
-    /// Events are missing before it.
-    #[error("event {number} came where {expected} was due: those between would be lost")]
+    /// Events before this one are missing, and it is not a full list.
+    #[error("received event {number} before event {expected}: accepting it would lose the missing events")]
     Gap { number: u64, expected: u64 },
-    /// It cannot be decoded.
+    /// The event cannot be decoded.
     #[error("event {number} is malformed: {error}")]
     Malformed { number: u64, error: EventError },
 }
 
-/// What follows from an event that does not end its connection.
+/// The outcome of an event that does not end its connection.
 #[derive(Debug, PartialEq)]
 pub(super) enum EventOutcome {
-    /// It is the next one, and is to be applied.
+    /// The event is accepted and has to be applied.
     Due(Event),
-    /// It is the next one, but malformed for the second time in a row, and is left out.
+    /// The next event was malformed twice in a row and is skipped.
     Skipped,
-    /// It was accepted before.
+    /// The event was accepted or skipped before.
     Duplicate,
 }
 
-/// How far the events have been accepted.
+/// The position in the sequence of events up to which all are accepted or skipped.
 #[derive(Debug)]
 pub(super) struct EventSequence {
+    /// The number of the last event that was accepted or skipped.
     last: u64,
     names: NameIndex,
-    /// The number of the last malformed event: it is skipped when it is delivered again.
+    /// The number of the last malformed event, which is skipped if it is malformed again.
     last_malformed: Option<u64>,
 }
 
 impl EventSequence {
-    /// The sequence after an event that was applied already.
+    /// Creates a sequence whose last applied event has the number `last`.
     pub(super) fn new(last: u64, names: NameIndex) -> Self {
         EventSequence {
             last,
@@ -46,16 +47,18 @@
         }
     }
 
-    /// The number of the last event that was accepted or skipped.
+    /// Returns the number of the last event that was accepted or skipped.
     pub(super) fn last(&self) -> u64 {
         self.last
     }
 
-    /// Decodes an event and accepts it if it is due. A full list may follow a gap.
+    /// Decodes an event and accepts it if it is the next one, or a full list with a higher number. A full list needs no
+    /// events before it.
     ///
     /// # Errors
     ///
-    /// It is malformed for the first time, or others are missing before it.
+    /// Returns an error if events before it are missing, or if it is malformed, unless the same event was malformed
+    /// before and is the next one.
     pub(super) fn accept(&mut self, sse_event: &SseEvent) -> Result<EventOutcome, SequenceError> {
         let expected = self.last.saturating_add(1);
         let event = event_of_text(&sse_event.data, &self.names);
@@ -74,9 +77,9 @@
                 self.last = number;
                 Ok(EventOutcome::Due(event))
             }
-            // A malformed event with a higher number must not skip those that are due before it.
+            // Only the next event may be skipped: skipping a later one would also skip the events before it.
             Err(error) if self.last_malformed == Some(number) && number == expected => {
-                tracing::warn!(event = number, %error, "malformed event skipped");
+                tracing::warn!(event = number, %error, "change log event skipped because it was malformed twice in a row");
                 self.last = number;
                 Ok(EventOutcome::Skipped)
             }
--- a/crates/gateway/src/discovery/sequence/tests.rs
+++ b/crates/gateway/src/discovery/sequence/tests.rs
@@ -25,7 +25,8 @@
     matches!(outcome, Ok(EventOutcome::Due(_)))
 }
 
-/// Two connections deliver the same events, in any order and with another text the second time: each is accepted once.
+/// Two connections deliver the same events, out of order and with a different text the second time. Each is accepted
+/// once.
 #[test]
 fn event_on_two_connections_is_accepted_once() {
     let mut sequence = sequence(4);
--- a/crates/gateway/src/discovery/start_times.rs
+++ b/crates/gateway/src/discovery/start_times.rs
@@ -1,25 +1,29 @@
-//! Start times of engines on this process's own clock.
+//! Converts the start times of engines to the clock of this process.
 //!
-//! The change log reports starts in Unix seconds of another machine's wall clock, which may differ from ours by seconds or
-//! by an hour. Two readings of the log's clock are compared with each other, to learn how far apart two starts lie. A
-//! reading of the log's clock is never taken as a time of ours, and no decision follows from the difference of the clocks
-//! alone. What is certain is that a start lies before the moment at which it is reported.
+//! The change log reports start times in Unix seconds of another machine's wall clock, which may differ from the clock
+//! of this process by seconds or by an hour. No decision therefore relies on the difference between the two clocks
+//! alone. The certain facts are that a start precedes its report, and how far apart two starts lie on the log's clock.
 //!
-//! So the newest start reported so far counts as just now, and the others as long before it as the log has them. This is
-//! the latest that they can be, so that a cold engine never counts as warm. Where our own clock puts a start later than
-//! that, the later time counts: a log that is wrong about one start then ages no other.
+//! Each start is converted to the latest time that it can have had. Of all reported starts, the one with the smallest
+//! difference between report and start is assumed to coincide with its report. The others precede or follow it as on
+//! the log's clock. An engine that started recently, and is still cold, thus never counts as warm.
+//!
+//! If a reported start, read as a time of this process, is later than the converted one, the later time applies, but at
+//! most the time of the last report. Otherwise one start that the log reports too late would make all other engines
+//! look older than the log reports them.
 
-/// Converts start times of the change log's clock to this process's clock.
+/// Converts start times from the change log's clock to the clock of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct StartTimeConverter {
-    /// The least time between a start and the report of it, in seconds; the start by the log's clock, the report by ours.
+    /// The least difference seen between the time of a report, by the clock of this process, and a start reported then,
+    /// by the log's clock; in seconds. Infinite before the first report.
     min_lag_seconds: f64,
-    /// When starts were last reported, in seconds of our clock.
+    /// The time of the last report, in seconds of the clock of this process.
     last_report: f64,
 }
 
 impl StartTimeConverter {
-    /// A converter that knows no start yet.
+    /// Creates a converter to which no start has been reported.
     pub fn new() -> StartTimeConverter {
         StartTimeConverter {
             min_lag_seconds: f64::INFINITY,
@@ -27,15 +31,16 @@
         }
     }
 
-    /// Records starts, in Unix seconds of the log's clock, that are reported at `now`, in seconds of our clock.
+    /// Records `starts`, in Unix seconds of the log's clock, that are reported at `now`, in seconds of the clock of
+    /// this process.
     pub fn record(&mut self, now: f64, starts: impl Iterator<Item = f64>) {
         self.last_report = now;
         let lags = starts.map(|start| now - start);
         self.min_lag_seconds = lags.fold(self.min_lag_seconds, f64::min);
     }
 
-    /// The latest time, in seconds of our clock, that a start can have had which was recorded before; `start` is in Unix
-    /// seconds of the log's clock.
+    /// Returns the latest time that a recorded start can have had, in seconds of the clock of this process. `start` is
+    /// in Unix seconds of the log's clock.
     pub fn latest_start(&self, start: f64) -> f64 {
         (start + self.min_lag_seconds)
             .max(start)
--- a/crates/gateway/src/discovery/stream.rs
+++ b/crates/gateway/src/discovery/stream.rs
@@ -1,42 +1,43 @@
-//! Parses server-sent events from the bytes of a stream.
+//! Parses server-sent events from a byte stream.
 
 use thiserror::Error;
 
-/// More than any engine list in one event needs.
+/// The maximum size of one event, in bytes. It is larger than an event with any engine list needs.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// An event that is longer than any valid one.
+/// The error of an event that exceeds the maximum size.
 #[derive(Debug, Error, PartialEq)]
-#[error("an event of over {MAX_EVENT_BYTES} bytes")]
+#[error("change log event exceeds the limit of {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
 /// One server-sent event.
 #[derive(Debug, Default, PartialEq)]
 pub struct SseEvent {
-    /// The number in its `id` field.
+    /// The number in the `id` field; `None` if the field is missing or not a number.
     pub number: Option<u64>,
-    /// Its `data` fields, joined by line feeds.
+    /// The values of the `data` fields, joined by line feeds.
     pub data: Vec<u8>,
 }
 
-/// A parser of server-sent events. Its input may be cut at any byte.
+/// An incremental parser of server-sent events. The input may be split at any byte.
 #[derive(Default)]
 pub struct EventParser {
-    /// Bytes of a field whose line feed has not arrived.
+    /// The bytes of a field whose line feed has not arrived yet.
     unparsed: Vec<u8>,
-    /// This many of them are known to hold no line feed.
+    /// The number of leading bytes of `unparsed` that are known to contain no line feed.
     searched: usize,
+    /// The event that has begun.
     event: SseEvent,
-    /// Fields, comments and blanks between events that have arrived up to their line feed.
+    /// The number of lines that have arrived up to their line feed: fields, comments and blank lines.
     pub completed_fields: u64,
 }
 
 impl EventParser {
-    /// Parses further bytes, and returns the events that they complete.
+    /// Parses further bytes and returns the events that they complete. An event without data is dropped.
     ///
     /// # Errors
     ///
-    /// The event that has begun is too long.
+    /// Returns an error if the event that has begun exceeds the maximum size.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<SseEvent>, EventTooLong> {
         self.unparsed.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -55,18 +56,20 @@
         Ok(events)
     }
 
-    /// Whether a field or an event has begun and is not complete.
+    /// Whether an event or a line of one has begun and is not complete.
     pub fn is_unfinished(&self) -> bool {
         !self.unparsed.is_empty() || self.event != SseEvent::default()
     }
 
+    /// Returns the offset of the next line feed in `unparsed`.
     fn next_newline(&self) -> Option<usize> {
         let unsearched = &self.unparsed[self.searched..];
         let offset = unsearched.iter().position(|byte| *byte == b'\n')?;
         Some(self.searched + offset)
     }
 
-    /// Adds a field to the event; a blank one completes it.
+    /// Adds a field to the event that has begun. A blank line completes the event, which is returned unless it has no
+    /// data.
     fn parse_field(&mut self, field: &[u8]) -> Option<SseEvent> {
         if field.is_empty() {
             return Some(std::mem::take(&mut self.event)).filter(|event| !event.data.is_empty());
@@ -84,7 +87,7 @@
     }
 }
 
-/// The value of a field of this name, without the one space that may follow its colon.
+/// Returns the value of a field if it has this name, without the single space that may follow the colon.
 fn field_value<'a>(field: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = field.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/crates/gateway/src/discovery/stream/tests.rs
+++ b/crates/gateway/src/discovery/stream/tests.rs
@@ -21,7 +21,7 @@
         assert_eq!(
             fed.collect::<Vec<_>>(),
             [first, second],
-            "in parts of {size}"
+            "in chunks of {size} bytes"
         );
     }
 }
