--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/list.rs
@@ -1,4 +1,7 @@
-//! The list of engines, under the indices that the decision module knows them by.
+//! The engine list of this gateway: the engines it may use, by the decision module's indices.
+//!
+//! Without an engine subset the list holds all engines of the change log, otherwise the members of the subset.
+//! Scheduling and the engine connections read it while [`super::driver`] applies updates to it.
 
 mod engine_table;
 mod subset_log;
@@ -15,54 +18,55 @@
 use subset_log::SubsetLog;
 use tokio::sync::{watch, Notify};
 
-/// Where an attempt goes; it does not change with the list.
+/// The destination of an attempt. Later changes of the list do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    /// The module's index of the engine.
+    /// The decision module's index of the engine.
     pub engine: EngineId,
-    /// Where the engine listened when the target was chosen.
+    /// The address at which the engine listened when the target was created.
     pub address: SocketAddr,
 }
 
-/// An engine of the list as the decision module knows it, with what only a plan needs.
+/// The new state of an engine: the endpoint for the decision module, and the name and address, which only plans need.
 #[derive(Clone, Debug)]
 pub struct EngineUpdate {
-    /// The engine for the decision module.
+    /// The engine as passed to the decision module.
     pub endpoint: Endpoint,
     /// The engine's name in the change log.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the engine listens.
     pub address: SocketAddr,
 }
 
-/// What an event changes for the decision module.
+/// A change of the engine list for the decision module, caused by an event or by a poll of the engine subset.
 #[derive(Debug)]
 pub struct ListChange {
-    /// Engines that are new or changed.
+    /// The new, changed and removed engines. Engines that a full list leaves out have no update.
     pub updates: Vec<EngineUpdate>,
-    /// Whether the updates are the full list.
+    /// Whether `updates` is the full list, so that all other engines are removed.
     pub scope: ListScope,
 }
 
-/// The list of engines, shared by all that read it: the full list, or the gateway's subset of it.
+/// The engine list, shared by all its readers: the full list of the change log, or the gateway's subset of it.
 pub struct EngineList {
     state: Mutex<ListState>,
     clock: Clock,
-    /// Whether a list was received.
+    /// Whether a full list, or at least one entry, was received.
     is_known: watch::Sender<bool>,
-    /// The subset may have to be polled earlier, or have other candidates.
+    /// Notified when the subset may have to be polled earlier than before, or may have new candidates.
     subset_changed: Notify,
 }
 
 struct ListState {
     table: EngineTable,
-    /// `None` where the gateway works with the full list.
+    /// `None` if no engine subset is configured, and the gateway uses the full list.
     selection: Option<Selection>,
     subset_log: SubsetLog,
 }
 
 impl EngineList {
-    /// An empty list. `retention` is how long queries may know an engine after its removal.
+    /// Creates an empty list. `retention` is the longest time for which queries may refer to an engine after its
+    /// removal. `selection` chooses the engine subset; `None` means the full list.
     pub fn new(retention: Duration, clock: Clock, selection: Option<Selection>) -> Self {
         let state = ListState {
             table: EngineTable::new(retention),
@@ -81,7 +85,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies an event, and returns what it changes for the decision module.
+    /// Applies an event of the change log and returns the resulting change for the decision module.
     pub fn apply(&self, event: Event) -> ListChange {
         let mut state = self.state();
         let has_list = event.scope == ListScope::Full || !event.entries.is_empty();
@@ -93,30 +97,30 @@
         change
     }
 
-    /// Applies the changes of the subset that are due.
+    /// Applies the changes of the engine subset that are due, and returns the updates. Empty without a subset.
     pub(super) fn poll_subset(&self) -> Vec<EngineUpdate> {
         self.state().poll_subset(self.clock.now())
     }
 
-    /// Waits until the subset may have something to do that was not due before.
+    /// Waits until the subset may have to be polled earlier than before, or may have new candidates.
     pub(super) async fn subset_changed(&self) {
         self.subset_changed.notified().await;
     }
 
-    /// How long until the subset is to be polled.
+    /// The time until the subset has to be polled next; `None` without a subset or if no poll is due.
     pub(super) fn time_to_subset_poll(&self) -> Option<Duration> {
         let next_poll = self.state().selection.as_ref()?.next_poll_at()?;
         Some(clamped_duration(next_poll - self.clock.now()))
     }
 
-    /// The next engine that is to be connected to.
+    /// Takes the next engine to which a connection is to be opened; `None` if there is none or no subset.
     pub(super) fn next_candidate(&self) -> Option<Candidate> {
         let mut state = self.state();
         let selection = state.selection.as_mut()?;
         selection.next_candidate(self.clock.now())
     }
 
-    /// Records whether a candidate could be reached; returns the engine's name where it is still in the list.
+    /// Records whether a candidate could be reached. Returns the engine's name if it is still in the change log's list.
     pub(super) fn candidate_connect_ended(
         &self,
         candidate: Candidate,
@@ -128,7 +132,8 @@
         selection.name(candidate.engine).map(String::from)
     }
 
-    /// Reports to the subset what the end of an attempt says of its engine.
+    /// Reports the health of an engine, as seen at the end of an attempt, to the subset. Without a subset, or for an
+    /// unknown engine, nothing happens.
     pub fn attempt_ended(&self, engine: EngineId, health: EngineHealth) {
         let mut state = self.state();
         let ListState {
@@ -149,26 +154,26 @@
         }
     }
 
-    /// Waits until a list of engines is known.
+    /// Waits until a full list, or at least one entry, has been received.
     pub async fn wait_until_known(&self) {
-        // It fails only without the sender, which this list owns.
+        // Fails only when the sender is dropped, but this list owns it.
         let _ = self.is_known.subscribe().wait_for(|known| *known).await;
     }
 
-    /// Where attempts at an engine go.
+    /// Returns the target of attempts at an engine; `None` if no engine has this index.
     pub fn target(&self, engine: EngineId) -> Option<Target> {
         let address = self.state().table.address(engine)?;
         Some(Target { engine, address })
     }
 
-    /// Whether the target's engine is listed as ready for attempts, at this address.
+    /// Whether the target's engine is ready for attempts and still has the target's address.
     pub fn accepts_attempts(&self, target: Target) -> bool {
         let table = &self.state().table;
         table.state(target.engine) == Some(EndpointState::Ready)
             && table.address(target.engine) == Some(target.address)
     }
 
-    /// Records whether an engine could be reached at this address.
+    /// Records whether the target's engine could be reached, if it still has the target's address.
     pub fn record_reachability(
         &self,
         target: Target,
@@ -183,7 +188,7 @@
 }
 
 impl ListState {
-    /// Applies an event at `now`, in seconds of this process's clock.
+    /// Applies an event at `now`, in seconds of the process clock.
     fn apply(&mut self, event: Event, now: f64) -> ListChange {
         let Event {
             number,
--- a/crates/gateway/src/discovery/list/engine_table.rs
+++ b/crates/gateway/src/discovery/list/engine_table.rs
@@ -1,7 +1,8 @@
-//! The engines that are known, by the index that the decision module has for each.
+//! The table of known engines, by the decision module's indices.
 //!
-//! An engine keeps its index while any query may know it, which is for the retention time after its removal. Then a new
-//! engine gets the index, so that the table does not grow with every engine that ever was.
+//! An engine keeps its index as long as any query may refer to it, which ends when the retention time has passed after
+//! its removal. Then a new engine may reuse the index, so that the table does not grow with each engine that ever
+//! existed.
 
 use super::EngineUpdate;
 use crate::discovery::engine_health::{Reachability, ReachabilityChange};
@@ -13,43 +14,44 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// All engines that any query may know.
+/// The listed engines, and the removed ones whose index has not been reused yet.
 pub(super) struct EngineTable {
+    /// Indices by engine name.
     indices: HashMap<String, EngineId>,
-    /// By the module's index.
+    /// Engines by the decision module's index.
     engines: Vec<KnownEngine>,
     counts: StateCounts,
-    /// Changes of the list that were applied.
+    /// The number of changes applied by [`EngineTable::apply`].
     change_count: u64,
     start_times: StartTimeConverter,
-    /// How long a removed engine keeps its index.
+    /// The time for which a removed engine keeps its index.
     retention: Duration,
-    /// Removed engines that keep their index, by the time of their removal.
+    /// Removed engines that still keep their index, oldest removal first.
     removed: BTreeSet<Removal>,
-    /// Indices whose engines were removed longer ago than the retention time.
+    /// Indices that may be reused: their engines were removed longer ago than the retention time.
     free_indices: BTreeSet<EngineId>,
 }
 
-/// The removal of an engine; ordered by time.
+/// The removal of an engine. Ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Removal {
     removed_at: Instant,
     engine: EngineId,
 }
 
-/// An engine that any query may know.
+/// The latest state of an engine in the table.
 struct KnownEngine {
     entry: EngineEntry,
-    /// When it started, in seconds of this process's clock.
+    /// When the engine started, in seconds of the process clock; `None` if the log does not know.
     started_at: Option<f64>,
     removed_at: Option<Instant>,
-    /// Whether its last attempt could reach it.
+    /// Whether the engine could be reached when this was last recorded.
     reachability: Reachability,
-    /// The number of the last change that named it.
+    /// The value of `change_count` when the engine last had an entry.
     last_change: u64,
 }
 
-/// Engines of the list by their states.
+/// The number of listed engines in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct StateCounts {
     pub(super) ready: usize,
@@ -75,7 +77,8 @@
 }
 
 impl EngineTable {
-    /// An empty table. `retention` is how long queries may know an engine after its removal.
+    /// Creates an empty table. `retention` is the longest time for which queries may refer to an engine after its
+    /// removal.
     pub(super) fn new(retention: Duration) -> Self {
         EngineTable {
             indices: HashMap::new(),
@@ -105,7 +108,7 @@
         Some(self.engines.get(engine)?.entry.state)
     }
 
-    /// Records whether an engine could be reached.
+    /// Records whether an engine could be reached. An unknown index is ignored.
     pub(super) fn record_reachability(
         &mut self,
         engine: EngineId,
@@ -122,13 +125,13 @@
         }
     }
 
-    /// Records the start times of entries that are received at `now`, in seconds of this process's clock.
+    /// Records the start times in entries that are received at `now`, in seconds of the process clock.
     pub(super) fn record_starts(&mut self, now: f64, entries: &[EngineEntry]) {
         let starts = entries.iter().filter_map(|entry| entry.started_at_unix);
         self.start_times.record(now, starts);
     }
 
-    /// Applies entries of the subset.
+    /// Applies changed entries of the engine subset and returns the updates.
     pub(super) fn apply_selected(&mut self, selected: Vec<SelectedEngine>) -> Vec<EngineUpdate> {
         let now = Instant::now();
         selected
@@ -137,8 +140,8 @@
             .collect()
     }
 
-    /// Applies entries of the log. Engines that a full list does not name are removed; the update for those is that the
-    /// list is full.
+    /// Applies entries of the change log and returns the updates. A full list removes the engines that it does not
+    /// contain. These get no update, as the decision module infers their removal from the scope of the change.
     pub(super) fn apply(
         &mut self,
         entries: Vec<EngineEntry>,
@@ -156,7 +159,7 @@
         updates
     }
 
-    /// Removes the engines that the current change has not named.
+    /// Removes the engines that have no entry in the current change.
     fn remove_unlisted(&mut self, now: Instant) {
         for engine in 0..self.engines.len() {
             if self.engines[engine].last_change != self.change_count {
@@ -165,8 +168,8 @@
         }
     }
 
-    /// Applies an entry; the removal of an engine that is not known changes nothing. `holders` is about how many
-    /// gateways work with the engine, where the subset knows.
+    /// Applies an entry. Returns `None` if it removes an unknown engine, which changes nothing. `holders` is the
+    /// estimated number of gateways that have the engine in their subset; `None` without a subset.
     fn update(
         &mut self,
         entry: EngineEntry,
@@ -200,7 +203,8 @@
         Some(update)
     }
 
-    /// When an engine started, by this entry. A start that was converted before keeps its time.
+    /// Returns when the engine started, in seconds of the process clock. A start that was converted before keeps its
+    /// converted time.
     fn start_time(&self, engine: EngineId, entry: &EngineEntry) -> Option<f64> {
         let known = self.engines.get(engine);
         known
@@ -209,7 +213,8 @@
             .or_else(|| Some(self.start_times.latest_start(entry.started_at_unix?)))
     }
 
-    /// Adds an engine as a removed one, under the lowest free index.
+    /// Adds an engine in the state `Removed`, under the lowest free index or a new one. [`Self::update`] then sets its
+    /// state.
     fn add(&mut self, entry: &EngineEntry, now: Instant) -> EngineId {
         self.free_expired_indices(now);
         let engine = self.free_indices.pop_first().unwrap_or(self.engines.len());
@@ -234,7 +239,8 @@
         engine
     }
 
-    /// Frees the indices of engines that were removed longer ago than the retention time.
+    /// Frees the indices of engines that were removed longer ago than the retention time. An engine stays in the table
+    /// until its index is reused.
     fn free_expired_indices(&mut self, now: Instant) {
         while let Some(Removal { removed_at, engine }) = self.removed.first().copied() {
             if now - removed_at <= self.retention {
@@ -245,7 +251,7 @@
         }
     }
 
-    /// Sets an engine's state; a removed one that is removed again keeps the time of its removal.
+    /// Sets an engine's state. Removing a removed engine again does not change the time of its removal.
     fn set_state(&mut self, engine: EngineId, state: EndpointState, now: Instant) {
         let Some(known) = self.engines.get_mut(engine) else {
             return;
--- a/crates/gateway/src/discovery/list/engine_table/tests.rs
+++ b/crates/gateway/src/discovery/list/engine_table/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Engines under ever new ids do not let the table grow without end.
+/// The table does not grow without bound when engines keep appearing under new names.
 #[test]
 fn index_is_reused_only_after_the_retention_time() {
     let mut table = EngineTable::new(Duration::from_secs(20));
@@ -36,12 +36,12 @@
     assert_eq!(
         apply_entry("b", EndpointState::Ready, 10),
         (Some(1), 2, 2),
-        "queries may still know a"
+        "queries may still refer to a"
     );
     assert_eq!(
         apply_entry("a", EndpointState::Removed, 5),
         (Some(0), 2, 2),
-        "removed twice"
+        "a is removed twice"
     );
     assert_eq!(apply_entry("c", EndpointState::Ready, 10), (Some(0), 2, 2));
     for n in 0..100 {
@@ -50,7 +50,7 @@
     }
 }
 
-/// A plain model of the table, without counts and free indices: it searches all engines.
+/// Reference model of the table. It searches all engines instead of keeping counts and free indices.
 #[derive(Default)]
 struct ReferenceTable {
     known: Vec<(EngineEntry, Option<Instant>)>,
@@ -122,7 +122,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(37), ..ProptestConfig::default() })]
 
-    /// Whatever the log reports, indices, their order and the counts are those of the plain table.
+    /// For any events, the updates, their order, the counts and the known engines equal those of the reference model.
     #[test]
     fn table_equals_the_reference_model(
         events in proptest::collection::vec(
--- a/crates/gateway/src/discovery/list/subset_log.rs
+++ b/crates/gateway/src/discovery/list/subset_log.rs
@@ -1,12 +1,13 @@
-//! Logs the engine subset.
+//! Log messages about the engine subset.
 
 use crate::discovery::selection::SubsetStatus;
 use garnetwall_subset::SizeReason;
 
-/// Logs the subset after each event of the change log and when its members change, with a warning where it begins to differ
-/// from what the settings ask for.
+/// Logs the status of the engine subset after each event of the change log and when its members change. Warns when the
+/// subset size begins to exceed the configured size, and when more placement classes than before have no engine.
 #[derive(Debug, Default)]
 pub(super) struct SubsetLog {
+    /// The status logged last.
     last: Option<SubsetStatus>,
 }
 
@@ -20,18 +21,21 @@
             widened_by = status.widened_by,
             failed = status.failed,
             unreached = status.unreached,
-            "engine subset"
+            "engine subset status"
         );
         let was_raised = before.is_some_and(|before| before.reason == SizeReason::MinHolders);
         if status.reason == SizeReason::MinHolders && !was_raised {
             let size = status.size;
-            tracing::warn!(size, "subset size raised: too small for so few gateways");
+            tracing::warn!(
+                size,
+                "engine subset size raised: the configured size would leave engines with too few gateways"
+            );
         }
         let unserved_before = before.map_or(0, |before| before.unserved_classes);
         if status.unserved_classes > unserved_before {
             tracing::warn!(
                 unserved_classes = status.unserved_classes,
-                "no engine in the list for a placement class"
+                "some placement classes have no ready engine in the list"
             );
         }
     }
--- a/crates/gateway/src/discovery/list/tests.rs
+++ b/crates/gateway/src/discovery/list/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Without a subset the updates are the entries of the log in the same order, and as full as those.
+/// Without a subset, the updates are the log's entries in the same order, and have the same scope.
 #[test]
 fn updates_without_a_subset_equal_the_entries_of_the_log() {
     let list = EngineList::new(Duration::from_secs(20), Clock::start(), None);
@@ -74,8 +74,9 @@
     }
 }
 
-/// The log reports starts on another machine's clock, which may differ from ours by seconds or an hour: an engine that may
-/// just have started counts as cold from the report on, none as started in the future, and reported ages hold.
+/// The log's clock may differ from the process clock by seconds or an hour. Regardless of that, the engine reported as
+/// started last counts as started at the report, no engine counts as started in the future, and none as older than the
+/// log reports.
 #[test]
 fn start_on_another_clock_is_converted_to_its_latest_possible_time() {
     for clock_offset in [-3600.0, -7.0, 0.0, 7.0, 3600.0] {
@@ -107,7 +108,7 @@
             "{clock_offset}: {ages:?}"
         );
         assert_eq!(ages[2], None);
-        // Reported again, also when more is known by then, it is the same start.
+        // The start keeps its converted time when it is reported again, even with a newer start in the same event.
         let later = list.apply(Event {
             number: 2,
             scope: ListScope::Delta,
--- a/crates/gateway/src/discovery/selection.rs
+++ b/crates/gateway/src/discovery/selection.rs
@@ -1,6 +1,7 @@
-//! The engine subset: the engines that this gateway works with, chosen from the full list by `garnetwall_subset`.
+//! The engine subset: the engines that this gateway uses, chosen from the full list by `garnetwall_subset`.
 //!
-//! Of all other engines only the catalog's facts and a few details are stored.
+//! Complete entries are kept for the members only. For all other engines, the catalog's facts, the address and the
+//! start time are kept, from which an entry can be assembled. Times named `now` are seconds of the gateway's clock.
 
 use super::engine_health::{EngineHealth, Reachability};
 use super::event::EngineEntry;
@@ -13,78 +14,83 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Cores of a kind for which the settings have no number of cores.
+/// The number of cores assumed for an engine whose kind has no valid number in the settings.
 const DEFAULT_CORES: f64 = 1.0;
 
-/// The entry of a member, or of an engine that was one.
+/// A new or changed member of the subset, or a former member whose entry has the state `Removed`.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct SelectedEngine {
     pub(super) entry: EngineEntry,
-    /// About how many gateways work with it.
+    /// The estimated number of gateways that have the engine in their subset.
     pub(super) holders: f64,
 }
 
 impl SelectedEngine {
+    /// Changes the entry's state to `Removed`, as for an engine that left the subset.
     fn into_removed(mut self) -> Self {
         self.entry.state = EndpointState::Removed;
         self
     }
 }
 
-/// An engine that is to be connected to before it may become a member.
+/// An engine that has to be reached by a connection before it may become a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Candidate {
     pub(super) engine: EngineKey,
     pub(super) address: SocketAddr,
 }
 
-/// What the choice of members does not depend on.
+/// The fields of an entry that do not influence the choice of members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Details {
     address: SocketAddr,
-    /// In seconds of the change log's clock.
+    /// When the engine started, in Unix seconds of the change log's clock.
     started_at_unix: Option<f64>,
 }
 
-/// How large the subset is, and why.
+/// The size of the subset and the reasons for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SubsetStatus {
-    /// Engines in the full list.
+    /// The number of engines in the full list.
     pub(super) listed: usize,
+    /// The number of current members.
     pub(super) members: usize,
-    /// The members that it is to have while none has failed.
+    /// The number of members that the subset should have while none fails.
     pub(super) size: usize,
+    /// The reason for `size`.
     pub(super) reason: SizeReason,
-    /// Members that were added in place of failed ones.
+    /// The number of members beyond `size` that the subset should have because members fail.
     pub(super) widened_by: usize,
-    /// Members whose attempts fail.
+    /// The number of members whose attempts fail.
     pub(super) failed: usize,
-    /// Engines that could not be reached, and to which connecting is retried.
+    /// The number of engines that could not be reached and will be tried again.
     pub(super) unreached: usize,
-    /// Placement classes that no engine of the list serves.
+    /// The number of placement classes for which the list has no ready engine.
     pub(super) unserved_classes: usize,
 }
 
-/// The full list and the subset of this gateway.
+/// The full engine list and this gateway's subset of it.
 pub struct Selection {
     catalog: Catalog,
     details: HashMap<EngineKey, Details>,
     subset: Subset,
-    /// Members as they were selected last.
+    /// The members, as last returned to the caller.
     members: HashMap<EngineKey, SelectedEngine>,
-    /// Engines that wait for a connection to be started, each once.
+    /// Engines to which a connection has still to be opened, without duplicates.
     candidates: VecDeque<EngineKey>,
-    /// The candidates, and the engines to which a connection was started.
+    /// The candidates, and the engines to which a connection is being opened.
     connecting: HashSet<EngineKey>,
+    /// The number of cores by the index of the kind; `None` if the settings have none.
     kind_cores: Vec<Option<f64>>,
 }
 
 impl Selection {
-    /// An empty selection for the gateway of this name. `kind_cores` has the cores of each kind where they are known.
+    /// Creates an empty selection for the gateway of this name. `kind_cores` has the number of cores by the index of
+    /// the kind, `None` if unknown.
     ///
     /// # Errors
     ///
-    /// The settings do not fit one another, or the gateway has no name.
+    /// Returns an error if the settings contradict one another or the gateway's name is empty.
     pub fn new(
         gateway: &str,
         settings: SubsetSettings,
@@ -101,7 +107,7 @@
         })
     }
 
-    /// Applies entries, and returns what that changes for the members.
+    /// Applies the entries of an event and returns the members that it adds, changes or removes.
     pub(super) fn apply(
         &mut self,
         now: f64,
@@ -134,7 +140,7 @@
         selected
     }
 
-    /// Records the details of engines that the catalog has, and returns these.
+    /// Records the details of the entries whose engines are in the catalog, and returns the keys of these engines.
     fn record_details(&mut self, entries: &[EngineEntry]) -> Vec<EngineKey> {
         let mut engines = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -151,6 +157,7 @@
         engines
     }
 
+    /// Returns the facts of an entry on which the choice of members depends.
     fn facts(&self, entry: &EngineEntry) -> EngineFacts {
         let cores = self.kind_cores.get(entry.kind).copied().flatten();
         let state = match entry.state {
@@ -170,13 +177,14 @@
         }
     }
 
-    /// A member of which the list reports a detail that the choice does not depend on.
+    /// Returns a member again if its details changed, which the choice of members does not report. `None` for engines
+    /// that are not members.
     fn select_again(&mut self, engine: EngineKey) -> Option<SelectedEngine> {
         let holders = self.members.get(&engine)?.holders;
         self.select(engine, holders)
     }
 
-    /// A member as the list has it now, unless it was selected so before.
+    /// Records a member with its current entry, and returns it unless it equals the one recorded before.
     fn select(&mut self, engine: EngineKey, holders: f64) -> Option<SelectedEngine> {
         let selected = SelectedEngine {
             entry: self.entry(engine)?,
@@ -186,7 +194,7 @@
         (before.as_ref() != Some(&selected)).then_some(selected)
     }
 
-    /// An engine's entry, put together from the catalog and the details.
+    /// Assembles the current entry of an engine from the catalog and the details.
     fn entry(&self, engine: EngineKey) -> Option<EngineEntry> {
         let name = self.catalog.id(engine)?;
         let facts = self.catalog.facts(engine)?;
@@ -207,7 +215,8 @@
         })
     }
 
-    /// What is due: members that join, change or leave. One that leaves is selected as removed.
+    /// Runs the actions of the subset that are due, and returns the members that join, change or leave. A leaving
+    /// member is returned with the state `Removed`.
     pub(super) fn poll(&mut self, now: f64) -> Vec<SelectedEngine> {
         let mut selected = Vec::new();
         for action in self.subset.poll(now, &self.catalog) {
@@ -234,12 +243,13 @@
         selected
     }
 
-    /// When to poll next, in seconds of the gateway's clock, unless something changes first.
+    /// The time of the next [`poll`](Self::poll) unless something changes first, in seconds of the gateway's clock.
     pub(super) fn next_poll_at(&self) -> Option<f64> {
         self.subset.wake()
     }
 
-    /// The next engine to connect to. One that is not in the list any more counts as not reached.
+    /// Takes the next engine to which a connection is to be opened. A candidate that is no longer in the list is
+    /// recorded as unreachable and skipped.
     pub(super) fn next_candidate(&mut self, now: f64) -> Option<Candidate> {
         while let Some(engine) = self.candidates.pop_front() {
             match self.details.get(&engine) {
@@ -270,7 +280,7 @@
         self.subset.connect_ended(now, engine, outcome);
     }
 
-    /// Records what the end of an attempt says of the engine of this name.
+    /// Records the health that the end of an attempt shows for the engine of this name. Unknown names are ignored.
     pub(super) fn attempt_ended(&mut self, now: f64, name: &str, health: EngineHealth) {
         if let Some(engine) = self.catalog.key(name) {
             let outcome = match health {
@@ -281,11 +291,12 @@
         }
     }
 
+    /// Returns the name of an engine that is in the list.
     pub(super) fn name(&self, engine: EngineKey) -> Option<&str> {
         self.catalog.id(engine)
     }
 
-    /// How large the subset is, and why.
+    /// Returns the size of the subset and the reasons for it.
     pub(super) fn status(&self) -> SubsetStatus {
         let EffectiveSize { size, reason } = self.subset.effective_size(&self.catalog);
         SubsetStatus {
--- a/crates/gateway/src/discovery/selection/tests.rs
+++ b/crates/gateway/src/discovery/selection/tests.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The last update of each engine that the decision module received.
+/// The decision module's view: the last update of each engine that it received.
 #[derive(Default)]
 struct ModuleView(BTreeMap<String, EngineEntry>);
 
@@ -57,8 +57,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(37), ..ProptestConfig::default() })]
 
-    /// What the module may choose from are engines that the list has as ready, as the list has them; at once after a change
-    /// nothing is left that drains or was removed; and there is something while the list has something.
+    /// The engines that are ready for the decision module are ready in the list with the same entry, so none that
+    /// drains or was removed remains after an event. At least one is ready if any is ready in the list.
     #[test]
     fn members_are_ready_and_equal_their_list_entries(
         events in proptest::collection::vec(
@@ -97,7 +97,8 @@
     }
 }
 
-/// A member that leaves is selected as removed once, with its zone and cell, which say where its queries may be retried.
+/// A leaving member is returned as removed exactly once. It keeps its zone and cell, which determine where its queries
+/// may be retried.
 #[test]
 fn leaving_member_is_removed_once_with_its_listed_entry() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
@@ -125,7 +126,7 @@
     );
 }
 
-/// What the choice does not depend on reaches the module for members.
+/// Changed details of a member reach the decision module though the choice of members does not depend on them.
 #[test]
 fn restarted_member_is_returned_again() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
@@ -146,7 +147,7 @@
             ListScope::Full
         ),
         [],
-        "nothing is new"
+        "the entry is unchanged"
     );
     let selected = selection.apply(
         2.0,
@@ -162,7 +163,8 @@
     );
 }
 
-/// With too few gateways for so small a subset the size is a floor, and the status says so.
+/// Where the configured size would leave engines with too few gateways, the subset is larger and the status gives the
+/// reason.
 #[test]
 fn size_under_the_minimum_is_raised_and_reported() {
     let of = |gateways| SubsetSettings {
@@ -193,7 +195,7 @@
     }
 }
 
-/// A member whose attempts fail widens the subset; the newcomer is selected once it was reached.
+/// A member whose attempts fail widens the subset by one engine, which becomes a member only after it has been reached.
 #[test]
 fn failing_attempts_widen_the_subset_by_reached_engines() {
     let mut selection = Selection::new("g0", settings(8), Vec::new()).unwrap();
@@ -213,7 +215,10 @@
     }
     let mut now = 2.0;
     while selection.status().members == 8 && now < 20.0 {
-        assert!(module.ready().count() == 8, "not before it was reached");
+        assert!(
+            module.ready().count() == 8,
+            "a member joined before it was reached"
+        );
         module.update(selection.poll(now));
         while let Some(candidate) = selection.next_candidate(now) {
             selection.connect_ended(now, candidate.engine, Reachability::Reachable);
@@ -225,7 +230,7 @@
     assert_eq!(
         (status.members, status.widened_by, status.failed),
         (9, 1, 1),
-        "by {now}"
+        "at {now} s"
     );
     assert_eq!(module.ready().count(), 9);
 }
