--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -1,5 +1,7 @@
-//! Figures of docs/results-scale.md: a whole list of engines and a changed line, decoded and applied, with and without a
+//! Benchmarks of decoding and applying a full engine list and a single changed entry, with and without an engine
 //! subset.
+//!
+//! The results are published in docs/results-scale.md.
 
 use divan::{black_box, Bencher};
 use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
@@ -27,7 +29,8 @@
     })
 }
 
-/// An event of the lines of these engines, as the change log writes it.
+/// Returns the JSON text of an event with entries for these engines, as the change log sends it. `whole` marks a full
+/// list, and `started` is the start time of all engines, in Unix milliseconds.
 fn event_text(
     number: u64,
     whole: bool,
@@ -56,7 +59,7 @@
 }
 
 fn decode(text: &[u8]) -> Event {
-    event_of_text(text, &names()).expect("a good event")
+    event_of_text(text, &names()).expect("the event is valid")
 }
 
 fn selection() -> Selection {
@@ -71,7 +74,7 @@
         classes: Vec::new(),
         retry_scope: RetryScope::Everywhere,
     };
-    Selection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("good settings")
+    Selection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("the settings are valid")
 }
 
 fn list(subset: bool) -> EngineList {
@@ -114,7 +117,7 @@
         .bench_local_values(|event| list.apply(event));
 }
 
-/// Each time another engine has started anew.
+/// Each iteration applies the restart of a different engine.
 #[divan::bench(args = [false, true])]
 fn apply_changed_line(bencher: Bencher, subset: bool) {
     let list = list(subset);
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,8 +1,9 @@
-//! Service discovery: the list of engines, from the events of the change log.
+//! Service discovery: maintains the engine list from the events of the change log.
 //!
-//! Events are decoded and applied once and in order, under the decision module's indices; where an engine subset is
-//! configured, only its members are. This module knows neither the scheduler nor the connections to engines: it delivers
-//! plain values.
+//! [`Watch`] follows the change log and decodes each event once and in order. [`Discovery`] applies the events to the
+//! [`EngineList`], which assigns the decision module's indices to engines. With an engine subset, [`Selection`] chooses
+//! its members, and only those are in the list. This module depends neither on the scheduler nor on the connections to
+//! engines; it delivers plain values.
 
 mod connection;
 mod connection_set;
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -1,4 +1,5 @@
-//! Applies events of the change log and changes of the subset, and delivers the updates of the engine list in order.
+//! Applies events of the change log and changes of the engine subset to the engine list, and delivers the resulting
+//! updates in order.
 
 use super::engine_health::Reachability;
 use super::event::Event;
@@ -12,23 +13,25 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Candidates that are connected to at once: few beside those that queries need.
+/// The maximum number of concurrent connection attempts to candidates. It is small compared with the number of
+/// connections that queries need.
 const MAX_CONCURRENT_CONNECTS: usize = 8;
-/// The subset's own timer polls it no more often than this.
+/// The minimum time between two polls of the subset by its own timer.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Receives changes of the list, one after another.
+/// The handler of changes of the engine list. It is called with one change at a time, in the order in which they are
+/// applied.
 pub type ChangeHandler = Box<dyn FnMut(&ListChange) + Send>;
 
-/// How a health check, or connecting to a candidate, ended.
+/// The outcome of a health check or of connecting to a candidate.
 pub struct HealthCheckOutcome {
-    /// Its end.
+    /// How the health check ended, in the terms of an attempt.
     pub end: AttemptEnd,
-    /// The engine's load report, where it sent one.
+    /// The engine's load report, if it sent one.
     pub report: Option<LoadReport>,
 }
 
-/// Drives the engine list.
+/// Applies changes to the engine list and delivers the updates to a handler.
 pub struct Discovery {
     list: Arc<EngineList>,
     /// Locked while a change is applied and delivered, so that changes are delivered in order.
@@ -36,7 +39,7 @@
 }
 
 impl Discovery {
-    /// Discovery that passes the updates of `list` to `deliver`.
+    /// Creates a driver that applies changes to `list` and passes them to `deliver`.
     pub fn new(list: Arc<EngineList>, deliver: ChangeHandler) -> Self {
         Discovery {
             list,
@@ -44,14 +47,14 @@
         }
     }
 
-    /// Applies an event of the change log.
+    /// Applies an event of the change log and delivers the change, even if it contains no updates.
     pub fn apply(&self, event: Event) {
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
         let change = self.list.apply(event);
         deliver(&change);
     }
 
-    /// Applies the changes of the subset that are due, and returns the engines that they concern.
+    /// Applies the changes of the subset that are due, delivers them if there are any, and returns the updates.
     fn poll_subset(&self) -> Vec<EngineUpdate> {
         let mut deliver = self.deliver.lock().unwrap_or_else(PoisonError::into_inner);
         let change = ListChange {
@@ -64,8 +67,10 @@
         change.updates
     }
 
-    /// Maintains the subset for as long as the future is polled. `connect` opens a connection to a candidate; `joined` is
-    /// called with the outcome for each engine that becomes a member by it.
+    /// Maintains the subset until the future is dropped; it never completes.
+    ///
+    /// `connect` opens a connection to a candidate. `joined` is called with the outcome for each engine that becomes a
+    /// member when its candidate connection ends. At most 8 connections are opened at a time.
     pub async fn maintain_subset<W, F>(
         &self,
         connect: W,
@@ -96,7 +101,7 @@
         }
     }
 
-    /// Waits until the subset is to be polled.
+    /// Waits until the next poll of the subset is due; forever if none is due.
     async fn subset_poll_due(&self) {
         match self.list.time_to_subset_poll() {
             Some(pause) => sleep(pause.max(MIN_POLL_INTERVAL)).await,
@@ -104,6 +109,8 @@
         }
     }
 
+    /// Records the outcome of connecting to a candidate, polls the subset, and calls `joined` if the candidate was
+    /// reached and is now a member.
     fn candidate_connect_ended(
         &self,
         candidate: Candidate,
@@ -125,7 +132,8 @@
     }
 }
 
-/// What connecting to an engine says of it. One that answers at all was reached.
+/// Derives the reachability of an engine from how connecting to it ended. Any answer, even an error, means that it was
+/// reached.
 fn reachability(end: AttemptEnd) -> Reachability {
     match end {
         AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Rejected => {
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,6 +1,8 @@
-//! Watches the change log: follows its numbered events, and applies each to the engine list once and in order.
+//! Watches the change log and passes each numbered event on once and in order.
 //!
-//! [`ConnectionSet`] decides which connections are open, [`EventSequence`] what follows from an event; this drives both.
+//! [`ConnectionSet`] decides which connections to open and close, and [`EventSequence`] whether an event is applied.
+//! This module performs the I/O for both. Errors of connections are logged and lead to further connections; the watch
+//! itself never fails.
 
 use super::connection::{self, OpenError};
 use super::connection_set::{Action, ConnectionId, ConnectionSet, LogCloseReason, Received};
@@ -20,37 +22,38 @@
 use tokio::sync::watch::{self, error::RecvError};
 use tokio::time::{sleep_until, Instant};
 
-/// Why a connection ended, unless the log closed it in good order.
+/// The error that ended a connection.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error(transparent)]
     Open(#[from] OpenError),
-    #[error("broken: {0}")]
+    #[error("reading from the change log failed: {0}")]
     Read(#[from] hyper::Error),
     #[error(transparent)]
     TooLong(#[from] EventTooLong),
     #[error(transparent)]
     Sequence(#[from] SequenceError),
-    #[error("silent")]
+    #[error("the change log connection delivered no complete line in time")]
     Silent,
 }
 
-/// What happens next on a connection.
+/// A step in the life of a connection.
 enum LogStep {
-    /// The log answered, with this body.
+    /// The log answered with status 200. Contains the body to read events from.
     Opened(Incoming),
-    /// Bytes of the body arrived.
+    /// Bytes of the body arrived. Contains the rest of the body and these bytes.
     Received(Incoming, Bytes),
-    /// The connection ended, in good order or by an error.
+    /// The connection ended: `Ok` if the log closed the stream regularly, otherwise with the error.
     Ended(Result<(), WatchError>),
 }
 
-/// The next step of one of the connections.
+/// A step of the connection with this identifier.
 struct ConnectionStep {
     id: ConnectionId,
     step: LogStep,
 }
 
+/// Opens a connection to the log.
 async fn open(log: SocketAddr, last_event: u64) -> LogStep {
     match connection::open(log, last_event).await {
         Ok(body) => LogStep::Opened(body),
@@ -58,6 +61,7 @@
     }
 }
 
+/// Reads the next bytes of a body.
 async fn read(mut body: Incoming) -> LogStep {
     match body.frame().await {
         None => LogStep::Ended(Ok(())),
@@ -66,20 +70,21 @@
     }
 }
 
-/// How far a connection has got.
+/// The state of a connection to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LogConnectionState {
-    /// The log has not answered yet.
+    /// The connection is being opened; the log has not answered yet.
     Connecting,
-    /// The log has answered; its events are read.
+    /// The log has answered, and events are being read.
     Streaming,
 }
 
-/// An open connection; it closes when it is dropped.
+/// A connection that is open or being opened. Dropping it closes it.
 struct LogConnection {
     id: ConnectionId,
     state: LogConnectionState,
     parser: EventParser,
+    /// The pending I/O of the connection.
     next_step: Pin<Box<dyn Future<Output = LogStep> + Send>>,
 }
 
@@ -94,7 +99,7 @@
     }
 }
 
-/// Waits for the next step of any of the connections; forever where there is none.
+/// Waits for the next step of any connection; forever if there is no connection.
 async fn next_step(connections: &mut [LogConnection]) -> ConnectionStep {
     poll_fn(|context| {
         for connection in connections.iter_mut() {
@@ -108,7 +113,11 @@
     .await
 }
 
-/// Waits until the log is at another address than this.
+/// Waits until the address of the log differs from `current`.
+///
+/// # Errors
+///
+/// Returns an error if the sender of the address was dropped before.
 async fn address_change(
     log: &mut watch::Receiver<SocketAddr>,
     current: SocketAddr,
@@ -119,21 +128,21 @@
 
 /// A watch on the change log.
 pub struct Watch {
-    /// The log's address; a reload may change it.
+    /// The address of the log, which a configuration reload may change.
     log: watch::Receiver<SocketAddr>,
     sequence: EventSequence,
-    /// Applies each event that is due.
+    /// Called with each accepted event.
     apply: Box<dyn FnMut(Event) + Send>,
     connections: Vec<LogConnection>,
-    /// Whether the log is lost, and that was logged.
+    /// Whether the loss of the log has been logged and no connection established since.
     is_lost: bool,
-    /// The moment that the connection set's times count from.
+    /// The moment from which the times passed to the connection set are counted.
     started: Instant,
 }
 
 impl Watch {
-    /// A watch on the log at the address that `log` holds. The events up to `last_event` were applied already; each later
-    /// one is passed to `apply`.
+    /// Creates a watch on the log at the current address in `log`. `last_event` is the number of the last event that
+    /// was applied before; each later one is passed to `apply`. `names` resolves the names of zones and kinds.
     pub fn new(
         log: watch::Receiver<SocketAddr>,
         last_event: u64,
@@ -150,8 +159,8 @@
         }
     }
 
-    /// Follows the log for as long as the future is polled. Successive errors without a connection between them are logged
-    /// once.
+    /// Follows the log until the future is dropped; it never completes. Only the first of successive errors is logged
+    /// as a warning, until a connection is established again.
     pub async fn follow(mut self, reconnect: Reconnect) {
         let mut addresses = self.log.clone();
         let mut set = ConnectionSet::new(reconnect);
@@ -161,7 +170,8 @@
             let next_poll = self.started + set.next_poll_at();
             tokio::select! {
                 biased;
-                // The log at a new address continues the numbers of the old one, which is not read any more.
+                // The log at the new address continues the event numbers of the old one, so the sequence is kept. The
+                // old log is no longer read.
                 Ok(()) = address_change(&mut addresses, address) => {
                     address = *addresses.borrow_and_update();
                     self.connections.clear();
@@ -175,11 +185,12 @@
         }
     }
 
+    /// Returns the current time for the connection set.
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Opens and closes the connections that are due.
+    /// Runs the actions of the connection set that are due.
     fn run_actions(&mut self, set: &mut ConnectionSet, log: SocketAddr) {
         while let Some(action) = set.poll(self.now()) {
             match action {
@@ -196,7 +207,7 @@
             tracing::info!(
                 open_connections,
                 last_event,
-                "change log slow, opening another connection"
+                "all open change log connections are overdue; opening another one"
             );
         }
         self.connections
@@ -211,7 +222,7 @@
         }
     }
 
-    /// Handles the next step of a connection.
+    /// Handles a step of a connection. A step of a connection that is no longer open is ignored.
     fn handle_step(&mut self, set: &mut ConnectionSet, next: ConnectionStep) {
         let ConnectionStep { id, step } = next;
         let mut connections = self.connections.iter();
@@ -238,14 +249,17 @@
         match result {
             Ok(()) => {
                 let last_event = self.sequence.last();
-                tracing::info!(last_event, "change log stream ended");
+                tracing::info!(last_event, "the change log ended the event stream");
             }
             Err(error) => self.log_failure(&error),
         }
     }
 
     fn opened(&mut self, set: &mut ConnectionSet, index: usize, now: Duration, body: Incoming) {
-        tracing::info!(last_event = self.sequence.last(), "change log connected");
+        tracing::info!(
+            last_event = self.sequence.last(),
+            "connected to the change log"
+        );
         self.is_lost = false;
         let connection = &mut self.connections[index];
         connection.state = LogConnectionState::Streaming;
@@ -253,7 +267,11 @@
         set.received(connection.id, now, Received::default());
     }
 
-    /// Parses bytes of a connection, and applies the events that they complete.
+    /// Parses bytes that a connection received, and applies the events that they complete.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that ends the connection: an event is too long, malformed or follows a gap.
     fn received(
         &mut self,
         set: &mut ConnectionSet,
@@ -281,17 +299,18 @@
         Ok(())
     }
 
-    /// Logs that a connection failed: that the log is lost, once, unless another connection is up.
+    /// Logs the error of a connection. It is a warning that the log is lost if no other connection is streaming and the
+    /// loss has not been logged yet, otherwise a debug message.
     fn log_failure(&mut self, error: &WatchError) {
         let last_event = self.sequence.last();
         let is_streaming =
             |connection: &LogConnection| connection.state == LogConnectionState::Streaming;
         if self.connections.iter().any(is_streaming) {
-            tracing::debug!(%error, last_event, "change log connection failed, others are open");
+            tracing::debug!(%error, last_event, "change log connection failed; another one is still streaming");
             return;
         }
         if self.is_lost {
-            tracing::debug!(%error, last_event, "change log still lost");
+            tracing::debug!(%error, last_event, "another change log connection failed; the change log is still lost");
             return;
         }
         tracing::warn!(%error, last_event, "change log lost");
