--- a/crates/gateway/src/discovery/connection_set/tests.rs
+++ b/crates/gateway/src/discovery/connection_set/tests.rs
@@ -8,7 +8,7 @@
 
 /// Length of one simulated step, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Size of an event with a list of 3,200 engines.
+/// Size of an event with a list of 3,200 engines, in bytes.
 const LONG_LIST: usize = 440_000;
 /// Reconnect pauses as the settings may have them, in milliseconds; [`Reconnect`] shortens those over 500 ms to 500 ms.
 const RECONNECT_PAUSES_MS: [u64; 3] = [50, 250, 3000];
@@ -33,7 +33,7 @@
     Comments { event: u64 },
     /// One byte is sent every 200 ms, and never a line feed.
     Trickles,
-    /// One line of `LONG_LIST` is sent at `rate` bytes per second, followed by a comment each second.
+    /// One line of `LONG_LIST` bytes is sent at `rate` bytes per second, followed by a comment each second.
     LongList { rate: usize },
 }
 
--- a/crates/gateway/src/discovery/driver.rs
+++ b/crates/gateway/src/discovery/driver.rs
@@ -25,7 +25,7 @@
 
 /// The outcome of a health check or of connecting to a candidate.
 pub struct HealthCheckOutcome {
-    /// How the health check ended, in the terms of an attempt.
+    /// How the health check, or connecting to the candidate, ended, in the terms of an attempt.
     pub end: AttemptEnd,
     /// The engine's load report, if it sent one.
     pub report: Option<LoadReport>,
