--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -1,5 +1,7 @@
-//! Figures of docs/results-scale.md: a whole list of engines and a changed line, decoded and applied, with and without a
+//! Benchmarks of decoding and applying a full engine list and a single changed entry, with and without an engine
 //! subset.
+//!
+//! The results are published in docs/results-scale.md.
 
 use divan::{black_box, Bencher};
 use garnetwall_gateway::discovery::{event_of_text, EngineList, Event, NameIndex, Selection};
@@ -27,8 +29,14 @@
     })
 }
 
-/// An event of the lines of these engines, as the change log writes it.
-fn text(number: u64, whole: bool, engines: impl Iterator<Item = usize>, started: u64) -> Vec<u8> {
+/// Returns the JSON text of an event with entries for these engines, as the change log sends it. `whole` marks a full
+/// list, and `started` is the start time of all engines, in Unix milliseconds.
+fn event_text(
+    number: u64,
+    whole: bool,
+    engines: impl Iterator<Item = usize>,
+    started: u64,
+) -> Vec<u8> {
     let mut out =
         format!(r#"{{"seq":{number},"fleet":{{"version":{number},"full":{whole},"servers":["#);
     for (n, engine) in engines.enumerate() {
@@ -47,11 +55,11 @@
 }
 
 fn whole_text() -> Vec<u8> {
-    text(1, true, 0..ENGINES, 0)
+    event_text(1, true, 0..ENGINES, 0)
 }
 
-fn decoded(text: &[u8]) -> Event {
-    event_of_text(text, &names()).expect("a good event")
+fn decode(text: &[u8]) -> Event {
+    event_of_text(text, &names()).expect("the event is valid")
 }
 
 fn selection() -> Selection {
@@ -66,7 +74,7 @@
         classes: Vec::new(),
         retry_scope: RetryScope::Everywhere,
     };
-    Selection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("good settings")
+    Selection::new("g-17", settings, vec![Some(64.0); KINDS]).expect("the settings are valid")
 }
 
 fn list(subset: bool) -> EngineList {
@@ -85,13 +93,13 @@
 
 #[divan::bench]
 fn decode_changed_line(bencher: Bencher) {
-    let (text, names) = (text(2, false, 3000..3001, 5), names());
+    let (text, names) = (event_text(2, false, 3000..3001, 5), names());
     bencher.bench_local(|| event_of_text(black_box(&text), &names));
 }
 
 #[divan::bench(args = [false, true])]
 fn apply_first_list(bencher: Bencher, subset: bool) {
-    let event = decoded(&whole_text());
+    let event = decode(&whole_text());
     bencher
         .with_inputs(|| (list(subset), event.clone()))
         .bench_local_values(|(list, event)| {
@@ -102,24 +110,24 @@
 
 #[divan::bench(args = [false, true])]
 fn apply_whole_list_again(bencher: Bencher, subset: bool) {
-    let (event, list) = (decoded(&whole_text()), list(subset));
+    let (event, list) = (decode(&whole_text()), list(subset));
     list.apply(event.clone());
     bencher
         .with_inputs(|| event.clone())
         .bench_local_values(|event| list.apply(event));
 }
 
-/// Each time another engine has started anew.
+/// Each iteration applies the restart of a different engine.
 #[divan::bench(args = [false, true])]
 fn apply_changed_line(bencher: Bencher, subset: bool) {
     let list = list(subset);
-    list.apply(decoded(&whole_text()));
+    list.apply(decode(&whole_text()));
     let mut number = 0;
     bencher
         .with_inputs(|| {
             number += 1;
             let engine = number * 7919 % ENGINES;
-            decoded(&text(2, false, engine..engine + 1, number as u64))
+            decode(&event_text(2, false, engine..engine + 1, number as u64))
         })
         .bench_local_values(|event| list.apply(event));
 }
--- a/crates/gateway/src/discovery/event/decode.rs
+++ b/crates/gateway/src/discovery/event/decode.rs
@@ -1,18 +1,18 @@
-//! Decodes events of the change log, with the log's own names of the keys.
+//! Decodes events of the change log from JSON.
 
 use super::{EngineEntry, Event, EventError, EventErrorCause, NameIndex};
-use crate::discovery::lenient::{Field, Parts, ReadInto};
+use crate::discovery::lenient::{Field, LenientTarget, ReadInto};
 use crate::system::clock::MILLIS_PER_SECOND;
 use garnetwall::api::{EndpointState, ListScope};
 use serde::de::{DeserializeSeed, IgnoredAny, MapAccess, SeqAccess};
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Decodes an event.
+/// Decodes an event from parsed JSON, as in the configuration. `names` resolves the names of zones and kinds.
 ///
 /// # Errors
 ///
-/// The first value that is missing or unusable.
+/// Returns the error of the first value that is missing or invalid.
 pub fn event(json: &Value, names: &NameIndex) -> Result<Event, EventError> {
     ReadInto(RawEvent::new(names))
         .deserialize(json)
@@ -20,11 +20,12 @@
         .check()
 }
 
-/// Decodes an event from its text. Text that is not JSON counts as an event without any keys.
+/// Decodes an event from JSON text, as the change log sends it. `names` resolves the names of zones and kinds.
 ///
 /// # Errors
 ///
-/// The first value that is missing or unusable.
+/// Returns the error of the first value that is missing or invalid. Text that is not valid JSON is treated as an event
+/// without any keys, and gives the error of the missing sequence number.
 pub fn event_of_text(text: &[u8], names: &NameIndex) -> Result<Event, EventError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let raw = ReadInto(RawEvent::new(names))
@@ -33,7 +34,7 @@
     raw.unwrap_or(RawEvent::new(names)).check()
 }
 
-/// An event whose values may have any type.
+/// An event whose values are not validated yet and may have any type.
 struct RawEvent<'a, 'n> {
     names: &'n NameIndex,
     seq: Field<'a>,
@@ -45,10 +46,10 @@
     servers: RawEntries<'n>,
 }
 
-/// Entries are checked as they are read; after the first error the rest is skipped.
+/// The entries of an event. They are validated as they are read; after the first error the rest is skipped.
 struct RawEntries<'n> {
     names: &'n NameIndex,
-    /// `None` until a list was read.
+    /// `None` until a JSON list was read.
     entries: Option<Result<Vec<EngineEntry>, EventError>>,
 }
 
@@ -116,8 +117,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawEvent<'de, '_> {
-    fn key<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawEvent<'de, '_> {
+    fn read_value<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
         match key {
             "seq" => self.seq = map.next_value()?,
             "fleet" => {
@@ -132,8 +133,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawFleet<'de, '_> {
-    fn key<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawFleet<'de, '_> {
+    fn read_value<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
         match key {
             "full" => self.full = map.next_value()?,
             "servers" => {
@@ -148,8 +149,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawEntries<'_> {
-    fn items<A: SeqAccess<'de>>(&mut self, mut items: A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawEntries<'_> {
+    fn read_items<A: SeqAccess<'de>>(&mut self, mut items: A) -> Result<(), A::Error> {
         let mut entries = Vec::new();
         while let Some(raw) = items.next_element_seed(ReadInto(RawEntry::default()))? {
             match raw.check(self.names) {
@@ -167,8 +168,8 @@
     }
 }
 
-impl<'de> Parts<'de> for RawEntry<'de> {
-    fn key<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
+impl<'de> LenientTarget<'de> for RawEntry<'de> {
+    fn read_value<A: MapAccess<'de>>(&mut self, key: &str, map: &mut A) -> Result<(), A::Error> {
         let field = match key {
             "id" => &mut self.id,
             "addr" => &mut self.addr,
@@ -189,13 +190,13 @@
 
 impl RawEntry<'_> {
     fn check(&self, names: &NameIndex) -> Result<EngineEntry, EventError> {
-        let state = state(&self.state)?;
-        let name = text("id", &self.id)?.to_string();
-        let address = text("addr", &self.addr)?
+        let state = parse_state(&self.state)?;
+        let name = required_text("id", &self.id)?.to_string();
+        let address = required_text("addr", &self.addr)?
             .parse()
             .map_err(|_| EventError::expected("addr", "an address with its port"))?;
-        let zone = index("zone", &self.zone, &names.zones)? as u32;
-        let kind = index("kind", &self.kind, &names.kinds)?;
+        let zone = index_or_zero("zone", &self.zone, &names.zones)? as u32;
+        let kind = index_or_zero("kind", &self.kind, &names.kinds)?;
         let cell = u32::try_from(number_or_zero("cell", &self.cell)?)
             .map_err(|_| EventError::new("cell", EventErrorCause::TooLarge))?;
         let started_at_unix = match number_or_zero("started_ms", &self.started_ms)? {
@@ -214,8 +215,8 @@
     }
 }
 
-fn state(field: &Field) -> Result<EndpointState, EventError> {
-    match text("state", field)? {
+fn parse_state(field: &Field) -> Result<EndpointState, EventError> {
+    match required_text("state", field)? {
         "SERVING" => Ok(EndpointState::Ready),
         "DRAINING" => Ok(EndpointState::Draining),
         "DELETED" => Ok(EndpointState::Removed),
@@ -226,13 +227,13 @@
     }
 }
 
-fn text<'a>(place: &str, field: &'a Field) -> Result<&'a str, EventError> {
+fn required_text<'a>(place: &str, field: &'a Field) -> Result<&'a str, EventError> {
     field
         .text()
         .ok_or_else(|| EventError::expected(place, "a text"))
 }
 
-/// A number, 0 where the log has none.
+/// Returns the number in `field`, or 0 if the key is absent or null.
 fn number_or_zero(place: &str, field: &Field) -> Result<u64, EventError> {
     if field.is_empty() {
         return Ok(0);
@@ -242,8 +243,13 @@
         .ok_or_else(|| EventError::expected(place, "a number"))
 }
 
-/// The index of a name, 0 where the log has none. The settings write spaces and commas as `_`.
-fn index(place: &str, field: &Field, names: &HashMap<String, usize>) -> Result<usize, EventError> {
+/// Returns the index of the name in `field`, or 0 if the key is absent or null. The name is looked up with spaces and
+/// commas replaced by `_`, which is how the settings write them.
+fn index_or_zero(
+    place: &str,
+    field: &Field,
+    names: &HashMap<String, usize>,
+) -> Result<usize, EventError> {
     if field.is_empty() {
         return Ok(0);
     }
--- a/crates/gateway/src/discovery/event/tests.rs
+++ b/crates/gateway/src/discovery/event/tests.rs
@@ -20,12 +20,12 @@
     json!({"seq": 4, "more": [], "fleet": {"version": 1, "full": true, "servers": [self::entry(), entry]}})
 }
 
-/// The same result with the error's text.
+/// Converts an error to its text.
 fn error_text(decoded: Result<Event, EventError>) -> Result<Event, String> {
     decoded.map_err(|error| error.to_string())
 }
 
-/// Decodes both ways, which have the same end.
+/// Decodes an event from text and from parsed JSON, and checks that both results are equal.
 fn decoded(json: &Value) -> Result<Event, EventError> {
     let of_text = event_of_text(json.to_string().as_bytes(), &names());
     assert_eq!(of_text, event(json, &names()), "{json}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_full_list_is_decoded() {
+fn full_list_and_event_without_list_are_decoded() {
     let event = decoded(&event_with(entry())).unwrap();
     let address = SocketAddr::from(([127, 0, 0, 1], 4100));
     let (name, started_at_unix) = ("e\u{e9}\"1".to_string(), Some(1.5));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_error_of_an_entry_names_its_place() {
+fn error_in_an_entry_names_the_path_of_the_key() {
     for (key, value, error) in [
         ("state", json!("ODD"), "state: 'ODD' is unknown"),
         ("state", json!(null), "state: a text expected"),
@@ -81,16 +81,16 @@
             json!("far,north"),
             "zone: 'far,north' is not in the settings",
         ),
-        ("zone", json!(1), "zone: 1 is no name"),
+        ("zone", json!(1), "zone: a name expected, not 1"),
         (
             "kind",
             json!({"a": ["b", -1.5]}),
-            "kind: {\"a\":[\"b\",-1.5]} is no name",
+            "kind: a name expected, not {\"a\":[\"b\",-1.5]}",
         ),
-        ("kind", json!(true), "kind: true is no name"),
+        ("kind", json!(true), "kind: a name expected, not true"),
         ("cell", json!(-1), "cell: a number expected"),
         ("cell", json!(5.0), "cell: a number expected"),
-        ("cell", json!(1_u64 << 32), "cell: too large"),
+        ("cell", json!(1_u64 << 32), "cell: more than 4294967295"),
         ("started_ms", json!(1e308), "started_ms: a number expected"),
     ] {
         let mut entry = entry();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_first_error_of_an_event_is_reported() {
+fn first_error_of_an_event_is_reported() {
     for (event, error) in [
         (json!([1]), "seq: a number expected"),
         (json!(null), "seq: a number expected"),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn of_repeated_keys_the_last_and_of_repeated_names_the_first_counts() {
+fn last_of_repeated_keys_and_first_of_repeated_names_apply() {
     let text = br#"{"seq": 1, "fleet": 3, "seq": 2, "fleet": {"full": null, "full": false, "servers": 3,
         "servers": [{"id": "a", "id": "b", "addr": "127.0.0.1:1", "zone": "east", "state": "DRAINING"}]}}"#;
     let event = event_of_text(text, &names()).unwrap();
