--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway: its phases from start to exit, and what runs in each.
+//! Runs a gateway process from start to exit through the phases starting, serving, draining and stopped.
 
 mod background;
 mod reload;
@@ -36,10 +36,10 @@
 
 pub use start_error::StartError;
 
-/// Connections that wait to be accepted, at most.
+/// Maximum number of connections that the system queues until they are accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// One gateway.
+/// A gateway with its configuration and the components that exist for its whole run.
 pub struct Gateway {
     config: Config,
     phase: watch::Sender<Phase>,
@@ -47,13 +47,13 @@
     list: Arc<EngineList>,
     engines: Arc<Engines>,
     scheduler: Arc<Scheduler>,
-    /// Engines whose health is to be checked; taken by the task that does so.
+    /// Receives the engines to health check. [`Gateway::start_background_tasks`] takes it.
     health_check_requests: Option<UnboundedReceiver<EngineId>>,
-    /// The longest deadline of any query class.
+    /// The longest deadline of any query class, in seconds.
     longest_deadline_seconds: f64,
 }
 
-/// What a gateway acquires from the system when it starts.
+/// The resources that a gateway acquires from the operating system when it starts.
 struct StartResources {
     journal: Arc<QueryJournal>,
     store: Option<Arc<Store>>,
@@ -61,7 +61,7 @@
 }
 
 impl Gateway {
-    /// A gateway that has not been started.
+    /// Creates a gateway in the phase [`Phase::Starting`]; [`Gateway::run`] starts it.
     pub fn new(config: Config) -> Self {
         let clock = Clock::start();
         let budget = resource_budget(&config);
@@ -100,13 +100,14 @@
         }
     }
 
-    /// Runs from start to exit: starts, serves until `stop` completes, drains, and stops. `reloads` delivers the
-    /// configurations that were read again meanwhile.
+    /// Runs the gateway until it exits: starts it, serves until `stop` completes, then drains and stops.
+    ///
+    /// `reloads` delivers each configuration that is read again while the gateway runs.
     ///
     /// # Errors
     ///
-    /// The journal, the body store or the listening socket cannot be had, or not within
-    /// [`START_TIMEOUT`](crate::system::os_error::START_TIMEOUT).
+    /// The journal, the body store or the listening socket cannot be opened. Transient failures of the body store and
+    /// of the socket are retried for [`START_TIMEOUT`](crate::system::os_error::START_TIMEOUT) before they count.
     pub async fn run(
         mut self,
         stop: impl Future<Output = ()>,
@@ -114,7 +115,7 @@
     ) -> Result<(), StartError> {
         tokio::pin!(stop);
         let Some(resources) = self.start(stop.as_mut()).await? else {
-            // Nothing was admitted yet.
+            // No query was admitted yet, so there is nothing to drain.
             self.enter(Phase::Stopped);
             return Ok(());
         };
@@ -128,7 +129,7 @@
         let clients = ClientConnections::new(self.budget.client_connections.clone());
         let stop_accepting = watch::Sender::new(false);
         let close_connections = watch::Sender::new(false);
-        // One future for all phases: it holds a connection that waits for its slot.
+        // Serving and draining poll the same future, since it may hold an accepted connection that waits for a permit.
         let mut accepting = Box::pin(http::accept(
             &listener,
             &router,
@@ -149,11 +150,11 @@
     }
 
     fn enter(&self, phase: Phase) {
-        tracing::info!(gateway = self.config.name, ?phase, "phase");
+        tracing::info!(gateway = self.config.name, ?phase, "gateway phase changed");
         self.phase.send_replace(phase);
     }
 
-    /// Acquires what the start needs; `None` where the gateway is asked to stop before it has that.
+    /// Acquires the resources to serve with; returns `None` if `stop` completes first.
     async fn start(
         &self,
         stop: Pin<&mut impl Future<Output = ()>>,
@@ -166,10 +167,10 @@
         }
     }
 
-    /// Acquires what the start needs of the system, with retries where that fails for the moment.
+    /// Opens the journal, the body store and the listening socket, retrying transient failures of the last two.
     async fn acquire_resources(&self) -> Result<StartResources, StartError> {
         let journal = self.open_journal().map_err(StartError::Journal)?;
-        let store = retry("store of bodies", || self.open_body_store())
+        let store = retry("body store", || self.open_body_store())
             .await
             .map_err(StartError::BodyStore)?;
         let address = self.config.listen;
@@ -183,7 +184,8 @@
         })
     }
 
-    /// Opens the journal that the plan names, with the attempts that an earlier process may have left running.
+    /// Opens the journal that the plan names, or one that records nothing. The scheduler is told of the queries that an
+    /// earlier process recorded, since attempts of those may still run.
     fn open_journal(&self) -> io::Result<QueryJournal> {
         let plan = self.config.plan.as_ref();
         let Some(journal) = plan.and_then(|plan| plan.journal.as_ref()) else {
@@ -202,7 +204,7 @@
         )
     }
 
-    /// Opens the store for bodies that the plan asks for.
+    /// Creates the body store if the plan configures one.
     fn open_body_store(&self) -> io::Result<Option<Arc<Store>>> {
         let plan = self.config.plan.as_ref();
         let Some(bodies) = plan.and_then(|plan| plan.bodies.as_ref()) else {
@@ -229,8 +231,8 @@
         }
     }
 
-    /// Accepts connections until the gateway is asked to stop. It is healthy once it knows an engine list; queries are
-    /// admitted before that, too.
+    /// Accepts connections until `stop` completes. Queries are admitted at once; the phase becomes [`Phase::Serving`]
+    /// when the first engine list is known.
     async fn serve(
         &self,
         accepting: Pin<&mut impl Future<Output = ()>>,
@@ -248,8 +250,8 @@
         }
     }
 
-    /// Caps all deadlines, accepts connections for as long as clients may go on connecting, then has every connection
-    /// closed once it has no request open.
+    /// Caps all deadlines, goes on accepting connections until [`ShutdownSchedule::accept_until`], then closes each
+    /// connection as soon as it has no open request.
     async fn drain(
         &self,
         mut accepting: Pin<&mut impl Future<Output = ()>>,
@@ -260,24 +262,24 @@
         let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
         let answers_due = self.scheduler.clock().at(schedule.answers_due);
         self.scheduler.cap_deadlines(answers_due);
-        // It ends by the timeout alone: accepting has no end before it is stopped.
+        // This always ends by the timeout, since `accepting` completes only after `stop_accepting` is set.
         let _ = timeout_at(schedule.accept_until.into(), accepting.as_mut()).await;
-        // Connections that the system has accepted by now are served, too.
+        // Connections that the system has queued by now are still accepted and served.
         stop_accepting.send_replace(true);
         close_connections.send_replace(true);
         let _ = timeout_at(schedule.exit_at.into(), accepting).await;
         schedule
     }
 
-    /// Waits for all answers, until the exit is due: neither a client that does not read its answer nor an engine that
-    /// does not answer DELETE delays it.
+    /// Waits until all connections are closed and no query is open, but no longer than [`ShutdownSchedule::exit_at`]:
+    /// the exit is not delayed by a client that does not read its answer or an engine that does not answer DELETE.
     async fn finish_requests(&self, clients: &Arc<ClientConnections>, schedule: &ShutdownSchedule) {
         let finished = async {
             clients.all_closed().await;
             self.scheduler.until_idle().await;
         };
         if timeout_at(schedule.exit_at.into(), finished).await.is_err() {
-            tracing::warn!("stopped with requests still open");
+            tracing::warn!("exit time reached, stopping with requests still open");
         }
     }
 
@@ -289,7 +291,7 @@
     }
 }
 
-/// The parts of the configured limits that may be in use at once.
+/// Splits the configured limits on descriptors and memory into budgets.
 fn resource_budget(config: &Config) -> ResourceBudget {
     ResourceBudget::of(ResourceLimits {
         descriptors: config.descriptors,
@@ -298,7 +300,7 @@
     })
 }
 
-/// The longest deadline that the settings give to any query class.
+/// The longest deadline of any query class in the settings, in seconds; 0 without classes.
 fn longest_deadline_seconds(config: &Config) -> f64 {
     let classes = &config.platform.settings.classes;
     classes
@@ -307,7 +309,7 @@
         .fold(0.0, f64::max)
 }
 
-/// The query classes of the settings, as far as the plan narrows them.
+/// The query classes of the settings, narrowed by the plan if there is one.
 fn query_classes(config: &Config) -> Vec<QueryClass> {
     let classes = &config.platform.settings.classes;
     match &config.plan {
@@ -316,7 +318,7 @@
     }
 }
 
-/// The settings of the decision module: the capacity is at most what the gateway's own resources allow.
+/// The settings of the admission controller, with the capacity capped by the gateway's own resources.
 fn admission_settings(
     config: &Config,
     classes: &[QueryClass],
@@ -350,7 +352,7 @@
         SocketAddr::V4(_) => TcpSocket::new_v4(),
         SocketAddr::V6(_) => TcpSocket::new_v6(),
     }?;
-    // A gateway that was killed can start again under its address at once.
+    // Lets a gateway that was killed bind its address again at once, while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -1,4 +1,5 @@
-//! The tasks that run beside the HTTP front for as long as the gateway does.
+//! Starts the tasks that run beside the HTTP server until the gateway exits: the watch of the change log, reloads, the
+//! scheduler's timer, maintenance of the engine subset, and health checks.
 
 use super::reload::apply_reloads;
 use super::Gateway;
@@ -15,7 +16,7 @@
 use tokio::sync::watch;
 
 impl Gateway {
-    /// Applies the engine list that is known at the start, and starts the tasks.
+    /// Applies the configured initial engine list, then starts the background tasks.
     pub(super) fn start_background_tasks(&mut self, reloads: UnboundedReceiver<Config>) {
         let discovery = Arc::new(self.discovery());
         for event in std::mem::take(&mut self.config.initial_events) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Discovery that delivers changes of the engine list to the scheduler.
+    /// Creates the discovery, which passes each change of the engine list to the scheduler.
     fn discovery(&self) -> Discovery {
         let scheduler = self.scheduler.clone();
         let deliver = move |change: &ListChange| scheduler.update_endpoints(change);
@@ -64,26 +65,28 @@
     }
 }
 
-/// The engine subset that the configuration asks for; without one the gateway works with the whole list.
+/// Creates the engine subset that the configuration asks for. `None` means that the gateway uses the whole engine list:
+/// no subset is configured, or its settings are rejected.
 pub(super) fn engine_selection(config: &Config, classes: &[QueryClass]) -> Option<Selection> {
     let mut settings = config.subset.clone()?;
-    // A plan may narrow where a query is retried.
+    // A plan may narrow the retry scope of a class; a greater scope is a narrower one.
     settings.retry_scope = settings.retry_scope.max(subset::retry_scope(classes));
     let kind_cores = config.platform.settings.kind_cores.clone();
     match Selection::new(&config.name, settings, kind_cores) {
         Ok(selection) => Some(selection),
         Err(error) => {
-            tracing::error!(%error, "engine subset not usable, using the whole engine list");
+            tracing::error!(%error, "engine subset settings rejected, using the whole engine list");
             None
         }
     }
 }
 
-/// How a candidate of the engine subset is connected to.
+/// The method of connecting to a candidate for the engine subset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectMethod {
+    /// Connect and send a health check.
     HealthCheck,
-    /// The settings allow no health checks.
+    /// Connect without sending a request, because the settings do not allow health checks.
     WithoutRequest,
 }
 
@@ -96,7 +99,7 @@
     }
 }
 
-/// Maintains the engine subset: connects to candidates and reports those that joined.
+/// Keeps the engine subset filled: connects to candidates and reports each engine that joins to the scheduler.
 async fn maintain_subset(
     discovery: Arc<Discovery>,
     engines: Arc<Engines>,
@@ -119,7 +122,7 @@
         .await;
 }
 
-/// Checks the health of the engines that the decision module asks about, each in a task of its own.
+/// Runs the health checks that the admission controller requests, each in its own task.
 async fn check_health(
     mut requests: UnboundedReceiver<EngineId>,
     engines: Arc<Engines>,
@@ -130,7 +133,8 @@
         let scheduler = scheduler.clone();
         tokio::spawn(async move {
             let HealthCheckOutcome { end, report } = engines.health_check(engine).await;
-            // Reaching an engine does not prove that queries end well there, so only a failure counts.
+            // A successful health check does not prove that queries succeed on the engine, so only failures are
+            // recorded.
             if end != AttemptEnd::Succeeded {
                 engines.record_attempt_end(engine, end);
             }
--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -1,4 +1,6 @@
-//! Reloads the configuration of a running gateway: the change log's address and the plan take effect.
+//! Applies a reloaded configuration to a running gateway.
+//!
+//! The address of the change log and the plan take effect at once. Other changes are logged as needing a restart.
 
 use crate::configuration::Config;
 use crate::scheduling::plan_routing;
@@ -9,8 +11,8 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 
-/// Applies configurations that are read again, for as long as the gateway runs. `started` is the one that it was started
-/// with: what needs a restart is compared with that.
+/// Applies each configuration from `reloads` until the gateway exits. `started` is the configuration that the gateway
+/// was started with; a key needs a restart if its value differs from the one there.
 pub(super) async fn apply_reloads(
     started: Config,
     scheduler: Arc<Scheduler>,
--- a/crates/gateway/src/gateway/shutdown.rs
+++ b/crates/gateway/src/gateway/shutdown.rs
@@ -1,34 +1,35 @@
-//! The times of a graceful shutdown, counted back from the earliest SIGKILL.
+//! Computes when the steps of a graceful shutdown are due, counted back from the earliest SIGKILL.
 
 use crate::system::clock::clamped_duration;
 use std::time::{Duration, Instant};
 
-/// Protocol: after SIGTERM clients go on connecting for this long.
+/// Protocol: clients may open new connections for this long after SIGTERM.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Protocol: SIGKILL follows SIGTERM no sooner than after `ACCEPT_PERIOD` and the longest deadline, of which at most this
-/// much counts.
+/// Protocol: SIGKILL follows SIGTERM after `ACCEPT_PERIOD` plus the longest deadline at the earliest. The deadline
+/// counts up to this many seconds.
 const MAX_COUNTED_DEADLINE_SECONDS: f64 = 3.0;
-/// All answers are due this long before the earliest SIGKILL.
+/// Time from the latest deadline of any query to the earliest SIGKILL.
 const ANSWERS_DUE_BEFORE_KILL: Duration = Duration::from_millis(200);
-/// Idle connections of clients are closed at the end of `ACCEPT_PERIOD`, at the latest this long before the earliest SIGKILL,
-/// which counts only with short deadlines; a client sends again elsewhere what crosses the close.
+/// Minimum time from the close of idle client connections to the earliest SIGKILL. Idle connections close at the end of
+/// `ACCEPT_PERIOD`, so that this bound applies only if the longest deadline is shorter than it. A client resends a
+/// request that crosses the close to another gateway.
 const LATEST_IDLE_CLOSE_BEFORE_KILL: Duration = Duration::from_millis(150);
-/// The process exits this long before it.
+/// Time from the exit of the process to the earliest SIGKILL.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(100);
 
-/// When the steps of a graceful shutdown are due.
+/// The due times of the steps of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShutdownSchedule {
-    /// The latest deadline of any query.
+    /// The latest deadline of any query; later deadlines are cut to it.
     pub(super) answers_due: Instant,
-    /// Connections are accepted until then, and closed once they have no request open from then on.
+    /// The end of accepting connections. From then on, a connection is closed as soon as it has no open request.
     pub(super) accept_until: Instant,
-    /// The process exits then, whatever is still open.
+    /// The time at which the process exits even if requests are still open.
     pub(super) exit_at: Instant,
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a shutdown that was requested at `requested_at`.
+    /// Computes the schedule of a shutdown that is requested at `requested_at`, usually by SIGTERM.
     pub(super) fn new(requested_at: Instant, longest_deadline_seconds: f64) -> Self {
         let counted_deadline =
             clamped_duration(longest_deadline_seconds.min(MAX_COUNTED_DEADLINE_SECONDS));
