--- a/crates/gateway/src/system.rs
+++ b/crates/gateway/src/system.rs
@@ -1,4 +1,4 @@
-//! What the gateway uses of its machine: clocks, signals, sockets and their budget, the log, and error codes of the system.
+//! Wraps operating system facilities: clocks, signals, sockets, resource budgets, the log and error codes.
 
 pub mod boot_clock;
 pub mod budgeted_stream;
--- a/crates/gateway/src/system/boot_clock.rs
+++ b/crates/gateway/src/system/boot_clock.rs
@@ -1,26 +1,26 @@
-//! The machine's clock since it was booted, and the identity of that boot.
+//! Reads the machine's clock since boot and the identity of the boot.
 //!
-//! The clock is monotonic and never set, so times that two processes of one boot have written can be compared. Those of
-//! the wall clock cannot: it may be stepped between them.
+//! The clock is monotonic and never set, so that times written by two processes during the same boot can be compared.
+//! Wall clock times cannot, because the wall clock may be stepped in between.
 
 use nix::time::{clock_gettime, ClockId};
 use std::time::Instant;
 
-/// Linux: a UUID that is new at each boot.
+/// Linux: a file that holds a UUID, which is new at each boot.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
-/// Hex digits of the UUID that are used: as many as a `u64` holds.
+/// Number of hex digits of the UUID that make up the boot ID: as many as fit in a `u64`.
 const BOOT_ID_DIGITS: usize = 16;
 
-/// The clock of a boot of the machine.
+/// A clock of the time since the machine was booted. It tells times of different boots apart by the boot ID.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
-    /// Identifies the boot; 0 where it is unknown, and times cannot be compared.
+    /// Identifies the boot. 0 means unknown; times must not be compared with those of another process then.
     pub boot_id: u64,
     started: Instant,
 }
 
 impl BootClock {
-    /// The clock of the current boot.
+    /// Creates the clock of the current boot.
     pub fn start() -> BootClock {
         let boot_id = match boot_millis() {
             Some(_) => read_boot_id().unwrap_or(0),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Milliseconds since the boot; since this clock was started, where the system does not say.
+    /// Milliseconds since the boot, or since the start of this clock if the system does not provide the boot time.
     pub fn millis(&self) -> u64 {
         boot_millis().unwrap_or_else(|| {
             let elapsed = self.started.elapsed();
--- a/crates/gateway/src/system/budgeted_stream.rs
+++ b/crates/gateway/src/system/budgeted_stream.rs
@@ -1,4 +1,7 @@
-//! A TCP stream that holds its part of the connection budget for as long as it is open.
+//! Provides a TCP stream that holds a permit of the connection budget while it is open.
+//!
+//! Connections to engines and to the change log use it. Writes go through the [`SendGate`] of the current attempt and
+//! fail if the peer stops reading.
 
 use crate::system::send_gate::{SendGate, WriteDecision};
 use crate::system::socket::Socket;
@@ -12,17 +15,18 @@
 use std::task::{Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// The longest head of a response that is read, in bytes; hyper requires 8 KiB at least.
+/// Maximum size of a response head, in bytes; hyper requires at least 8 KiB.
 pub const MAX_RESPONSE_HEAD_BYTES: usize = 16 << 10;
 
-/// Aborts a connection: nothing more is written, and what the system has not sent yet is discarded when the connection
-/// closes. Otherwise the system goes on to send for minutes, and a request that was written while the engine was cut off
-/// would arrive, and run, long after its attempt was cancelled.
+/// Aborts a connection: later writes fail, and the system discards unsent data when the connection closes.
+///
+/// Without the discard, the system would retransmit for minutes. A request written while the engine was unreachable
+/// would then arrive and run long after its attempt was cancelled.
 #[derive(Clone, Debug, Default)]
 pub struct AbortFlag(Arc<AtomicBool>);
 
 impl AbortFlag {
-    /// Aborts the connection, if it is still open.
+    /// Aborts the connection. This has no effect on a closed one.
     pub fn abort(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
@@ -32,20 +36,20 @@
     }
 }
 
-/// A TCP stream to an engine or the change log, with its part of the connection budget.
+/// A TCP stream to an engine or to the change log, with its permit of the connection budget.
 #[derive(Debug)]
 pub struct BudgetedStream {
     io: TokioIo<Socket>,
     abort_flag: AbortFlag,
-    /// The gate of the request that starts an attempt on this connection.
+    /// The gate of the request that starts an attempt on this connection; `None` if writes are not gated.
     send_gate: Option<Arc<SendGate>>,
     write_timeout: WriteTimeout,
-    /// Returned to the budget when the stream is dropped.
+    /// Goes back to the budget when the stream is dropped.
     _permit: Option<OwnedSemaphorePermit>,
 }
 
 impl BudgetedStream {
-    /// A stream over a connected socket; `permit` is none where the connection is in no budget.
+    /// Wraps a connected socket. `permit` is `None` for connections outside the budget, such as that to the change log.
     pub fn new(socket: Socket, permit: Option<OwnedSemaphorePermit>) -> Self {
         BudgetedStream {
             io: TokioIo::new(socket),
@@ -56,22 +60,23 @@
         }
     }
 
-    /// The flag that aborts this connection.
+    /// Returns a handle that aborts this connection.
     pub fn abort_flag(&self) -> AbortFlag {
         self.abort_flag.clone()
     }
 
-    /// Writes only what the gate allows, from now on.
+    /// Makes each later write subject to the gate; with `None`, writes are not gated.
     pub fn gated(mut self, send_gate: Option<Arc<SendGate>>) -> Self {
         self.send_gate = send_gate;
         self
     }
 
-    /// Allows a write, or stops the request that it belongs to.
+    /// Checks before a write that the connection is not aborted and that the gate allows the write. The gate stops its
+    /// request if it does not.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::ConnectionAborted`] where nothing may be written.
+    /// [`io::ErrorKind::ConnectionAborted`] if the connection is aborted or the request is stopped.
     fn allow_write_or_stop(&self) -> io::Result<()> {
         if self.abort_flag.is_aborted() {
             return Err(io::ErrorKind::ConnectionAborted.into());
--- a/crates/gateway/src/system/clock.rs
+++ b/crates/gateway/src/system/clock.rs
@@ -1,16 +1,16 @@
-//! The gateway's one clock: monotonic, in seconds, anchored to Unix time when it is started.
+//! Provides the gateway's monotonic clock, in seconds, anchored to Unix time at the start.
 //!
-//! The wall clock is read once, at the start. A later step of it changes nothing, and no decision compares this clock with
-//! that of another machine.
+//! The wall clock is read once, at the start, so that later steps of it have no effect. No decision compares this clock
+//! with the clock of another machine.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Decisions take seconds; the wire, the journal and the log have milliseconds.
+/// Milliseconds per second. The admission controller uses seconds; the wire, the journal and the log use milliseconds.
 pub const MILLIS_PER_SECOND: f64 = 1000.0;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 const MINUTES_PER_DAY: u64 = 24 * 60;
 
-/// A monotonic clock whose times are seconds since the Unix epoch, as the wall clock had it at the start.
+/// A monotonic clock in seconds since the Unix epoch, which it takes from the wall clock at the start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     anchor: Instant,
@@ -18,7 +18,7 @@
 }
 
 impl Clock {
-    /// A clock that is anchored to the wall clock now.
+    /// Creates a clock that is anchored to the wall clock's current time.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -29,30 +29,30 @@
         }
     }
 
-    /// The time now, in seconds.
+    /// The current time, in Unix seconds.
     pub fn now(&self) -> f64 {
         self.at(Instant::now())
     }
 
-    /// The time of an instant, in seconds; one before the start counts as the start.
+    /// Converts an instant to Unix seconds. An instant before the start of the clock counts as the start.
     pub fn at(&self, instant: Instant) -> f64 {
         let since_start = instant.saturating_duration_since(self.anchor);
         self.anchor_unix_seconds + since_start.as_secs_f64()
     }
 
-    /// The instant of a time in seconds, for timers; at most a day after the start.
+    /// Converts Unix seconds to an instant for timers, clamped to the range from the start of the clock to a day later.
     pub fn instant(&self, time: f64) -> Instant {
         self.anchor + clamped_duration(time - self.anchor_unix_seconds)
     }
 }
 
-/// A duration from seconds, clamped to the range from zero to a day; zero for NaN.
+/// Converts seconds to a duration, clamped to the range from zero to one day; NaN becomes zero.
 pub fn clamped_duration(seconds: f64) -> Duration {
     const DAY_SECONDS: f64 = 86_400.0;
     Duration::try_from_secs_f64(seconds.clamp(0.0, DAY_SECONDS)).unwrap_or_default()
 }
 
-/// The minute of the day, in UTC, of a time in Unix seconds.
+/// The minute of the day in UTC, from 0 to 1439, of a time in Unix seconds.
 pub fn minute_of_day(now: f64) -> u32 {
     let minute = (now / SECONDS_PER_MINUTE).max(0.0) as u64;
     (minute % MINUTES_PER_DAY) as u32
--- a/crates/gateway/src/system/log.rs
+++ b/crates/gateway/src/system/log.rs
@@ -1,8 +1,8 @@
-//! The log on standard error.
+//! Writes the log to standard error without blocking the threads that log.
 //!
-//! Entries go through a bounded queue to a thread that writes them, so that nothing that serves waits for the log's reader.
-//! Entries that find the queue full are dropped, and their number is logged once entries flow again. An entry that cannot
-//! be written, for example because the reader has exited, is dropped as well.
+//! Entries pass through a bounded queue to a writer thread, so that serving does not wait for the reader of the log.
+//! Entries that do not fit in the queue are dropped, and their number is logged after the next entry that is written.
+//! An entry that cannot be written, for example because the reader has exited, is dropped as well.
 
 use std::fmt::Display;
 use std::fs::File;
@@ -15,43 +15,46 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Entries that wait to be written: some minutes of the usual level, a megabyte at most.
+/// Maximum number of entries that wait to be written: some minutes of entries at the usual level, at most a megabyte.
 const QUEUE_CAPACITY: usize = 4096;
-/// How long the exit waits for queued entries: SIGKILL may follow the last answer closely.
+/// Maximum time for which the exit waits for queued entries. It is short because SIGKILL may follow closely on the last
+/// answer.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Pause of the writing thread while the reader accepts nothing.
+/// Pause of the writer thread before it retries a write that would block.
 const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// How long the exit waits for the reason of a failure to be written.
+/// Maximum time for which a failing program waits for its error message to be written.
 const PRINT_ERROR_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Counts of entries, to know when all are written.
+/// Counts of queued and written entries, which tell when all entries are written.
 #[derive(Clone, Default)]
 struct Counts {
     queued: Arc<AtomicUsize>,
     written: Arc<AtomicUsize>,
 }
 
-/// The running log.
+/// The handle of the running log.
 pub struct Log {
     counts: Counts,
     dropped: ErrorCounter,
-    /// Never dropped: its drop may print to standard output, and would wait for the reader of that.
+    /// Never dropped, because its drop may print to standard output and block on the reader there.
     _worker: std::mem::ManuallyDrop<WorkerGuard>,
 }
 
 impl Log {
-    /// Starts the log at the level that `GARNETWALL_LOG` names, `info` without it.
+    /// Starts the log, and routes panics to it. The filter is taken from `GARNETWALL_LOG`, or is `info` if the variable
+    /// is unset or invalid.
     ///
     /// # Errors
     ///
-    /// The system has no descriptor left for it.
+    /// The descriptor of standard error cannot be duplicated.
     pub fn start() -> io::Result<Log> {
         let filter =
             EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
         let counts = Counts::default();
         let dropped = Arc::new(OnceLock::new());
-        // A descriptor of its own: the standard library's lock would be held for as long as the reader stalls.
+        // Writes use a duplicated descriptor, since the standard library's lock on standard error would be held while
+        // the reader stalls.
         let stderr = File::from(io::stderr().as_fd().try_clone_to_owned()?);
         let output = Output {
             stderr,
@@ -64,7 +67,7 @@
             .buffered_lines_limit(QUEUE_CAPACITY);
         let (queue, worker) = builder.thread_name("log").finish(output);
         let counter = queue.error_counter();
-        // It is set here only.
+        // The cell is set only here, so this cannot fail.
         let _ = dropped.set(counter.clone());
         let queued = counts.queued.clone();
         let writer = move || CountingQueue {
@@ -77,8 +80,8 @@
             .with_ansi(false)
             .log_internal_errors(false)
             .init();
-        // The default hook writes to standard error itself, and would wait for its reader.
-        std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "panic")));
+        // The default hook would write to standard error directly and block on its reader.
+        std::panic::set_hook(Box::new(|panic| tracing::error!(%panic, "thread panicked")));
         Ok(Log {
             counts,
             dropped: counter,
@@ -86,7 +89,7 @@
         })
     }
 
-    /// Waits until all entries are written, for 50 ms at most.
+    /// Waits until all entries are written, but at most 50 ms.
     pub fn flush(&self) {
         let started = Instant::now();
         while !self.is_flushed() && started.elapsed() < FLUSH_TIMEOUT {
@@ -100,7 +103,7 @@
     }
 }
 
-/// Puts entries into the queue, and counts them.
+/// Puts entries into the queue and counts them.
 struct CountingQueue {
     queue: NonBlocking,
     queued: Arc<AtomicUsize>,
@@ -117,17 +120,18 @@
     }
 }
 
-/// Writes entries to standard error, in the thread that may wait for the reader.
+/// Writes entries to standard error. It runs in the writer thread, the only one that may block on the reader of the
+/// log.
 struct Output {
     stderr: File,
     written: Arc<AtomicUsize>,
     dropped: Arc<OnceLock<ErrorCounter>>,
-    /// Dropped entries that were reported in the log.
+    /// Number of dropped entries that the log has reported so far.
     dropped_reported: usize,
 }
 
 impl Output {
-    /// Writes an entry; one that cannot be written is dropped.
+    /// Writes an entry completely, or drops the rest of it if the write fails.
     fn write_entry(&mut self, entry: &[u8]) {
         let mut unwritten = entry;
         while !unwritten.is_empty() {
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Writes how many entries were dropped since the last such report, if any were.
+    /// Logs the number of entries dropped since the last report, if there are any.
     fn report_dropped(&mut self) {
         let dropped = self.dropped.get().map_or(0, ErrorCounter::dropped_lines);
         if dropped <= self.dropped_reported {
@@ -171,12 +175,12 @@
     }
 }
 
-/// Writes the reason why the program ends to standard error; waits for 500 ms at most.
+/// Prints the error that ends the program to standard error; returns after at most 500 ms even if the reader stalls.
 pub fn print_error(error: &impl Display) {
     let text = format!("garnetwall: {error}\n");
     let (done, written) = mpsc::channel();
     thread::spawn(move || {
-        // The reader may have exited.
+        // This fails if the reader has exited; the message is lost then.
         let _ = io::stderr().write_all(text.as_bytes());
         let _ = done.send(());
     });
--- a/crates/gateway/src/system/os_error.rs
+++ b/crates/gateway/src/system/os_error.rs
@@ -1,25 +1,26 @@
-//! Classifies error codes of the operating system: whether the cause is local to this machine, and whether it is transient.
+//! Classifies error codes of the operating system as local to this machine or not and as transient or not, and retries
+//! calls that fail with transient errors.
 //!
-//! After Linux's manual pages of accept(2), bind(2), connect(2) and socket(2).
+//! The classes follow Linux's manual pages of accept(2), bind(2), connect(2) and socket(2).
 
 use nix::errno::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Pause between attempts at a call that failed with a transient error.
+/// Pause before a call that failed with a transient error is retried.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How long a step of the start is retried: a gateway that is not ready within 30 s has failed, and the rest of the start
-/// needs time as well.
+/// Time for which a step of the start is retried. A gateway that is not ready within 30 s counts as failed, and the
+/// other steps of the start take part of that time.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn code(error: &io::Error) -> Option<Errno> {
     error.raw_os_error().map(Errno::from_raw)
 }
 
-/// Whether the cause is on this machine; such an error says nothing of the other end.
+/// Whether the cause of the error is on this machine, so that the error does not indicate a fault of the peer.
 pub fn is_local(error: &io::Error) -> bool {
     match code(error) {
-        // The table of ports or routes is full.
+        // connect(2): no ephemeral port or no entry in the routing cache is free.
         Some(Errno::EAGAIN) => true,
         Some(code) => {
             is_short_of_resources(code) || is_network_unreachable(code) || code == Errno::EINTR
@@ -28,7 +29,7 @@
     }
 }
 
-/// Whether the error is transient: the same call may succeed soon.
+/// Whether the error is transient, so that the same call may succeed soon.
 pub fn is_transient(error: &io::Error) -> bool {
     is_local(error)
         || matches!(
@@ -43,7 +44,8 @@
         )
 }
 
-/// Whether an accept failed for lack of resources, so that the next one would fail at once as well.
+/// Whether an accept failed for lack of resources or without an error code. The next accept would fail at once too, so
+/// the caller pauses before it.
 pub fn needs_pause(error: &io::Error) -> bool {
     code(error).is_none_or(is_short_of_resources)
 }
@@ -62,11 +64,12 @@
     )
 }
 
-/// Retries a call until it succeeds, fails with a lasting error, or has failed for [`START_TIMEOUT`]. Blocks the thread.
+/// Retries a call until it succeeds, fails with an error that is not transient, or has failed for [`START_TIMEOUT`].
+/// Blocks the thread.
 ///
 /// # Errors
 ///
-/// The error of the last attempt.
+/// The error of the last call.
 pub fn retry_blocking<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let started = Instant::now();
     loop {
@@ -79,11 +82,12 @@
     }
 }
 
-/// The same as [`retry_blocking`] without blocking the thread; `step` names in the log what is retried.
+/// Like [`retry_blocking`], but does not block the thread, and logs the first failure. `step` is the name of the start
+/// step in the log.
 ///
 /// # Errors
 ///
-/// The error of the last attempt.
+/// The error of the last call.
 pub async fn retry<T>(step: &str, mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let started = Instant::now();
     let mut is_logged = false;
--- a/crates/gateway/src/system/resource_budget.rs
+++ b/crates/gateway/src/system/resource_budget.rs
@@ -1,61 +1,65 @@
-//! Splits the limits on descriptors and memory into the parts that may be in use at once.
+//! Splits the gateway's limits on file descriptors and memory into budgets for connections, statements, results and
+//! cached answers.
 
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Descriptors that are no connection of the budget: standard streams, the listener, the runtime, the change log.
+/// File descriptors outside the connection budgets: standard streams, the listener, the runtime, the change log.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Protocol: one in this many descriptors is for clients.
+/// Protocol: clients get one in this many descriptors.
 const CLIENT_DIVISOR: usize = 3;
 
-/// One in this many descriptors is for clients' connections that close while new ones come up.
+/// One in this many descriptors is for client connections that are still closing while new ones open.
 const CLOSING_CLIENT_DIVISOR: usize = 16;
 
-/// One in this many bytes of memory is for statements. What the divisors leave is for the program, the buffers of
-/// connections and the allocator's overhead.
+/// One in this many bytes of memory is for statements. The memory that this and the other divisors leave is for the
+/// program itself, the buffers of connections and the allocator's overhead.
 const STATEMENT_MEMORY_DIVISOR: usize = 8;
 
 /// One in this many bytes of memory is for results.
 const RESULT_MEMORY_DIVISOR: usize = 4;
 
-/// One in this many bytes of memory is for the answers that clients may ask for again.
+/// One in this many bytes of memory is for cached answers, which clients may request again.
 const ANSWER_CACHE_MEMORY_DIVISOR: usize = 64;
 
-/// A result is in memory twice: as its pages, and as the answer made of them.
+/// A result is held in memory twice: as the pages from the engine, and as the answer assembled from them.
 const COPIES_PER_RESULT: usize = 2;
 
 const BYTES_PER_MB: usize = 1 << 20;
 
-/// The limits that a gateway runs within.
+/// The configured limits of a gateway, and the protocol's limit on results.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub descriptors: usize,
-    /// Memory, in MiB.
+    /// Maximum memory, in MiB.
     pub memory_mb: usize,
-    /// Protocol: the largest result of a query, in bytes.
+    /// Protocol: maximum size of a query's result, in bytes.
     pub max_result_bytes: usize,
 }
 
-/// The parts of the limits that may be in use at once.
+/// Budgets that the gateway's components take their connections and memory from.
 #[derive(Clone, Debug)]
 pub struct ResourceBudget {
-    /// A permit for each connection of a client.
+    /// One permit for each client connection.
     pub client_connections: Arc<Semaphore>,
-    /// A permit for each connection to an engine.
+    /// One permit for each connection to an engine.
     pub engine_connections: Arc<Semaphore>,
-    /// Queries that the descriptors and the memory can hold at once.
+    /// Maximum number of concurrent queries that the descriptors and the memory allow; at least 1.
     pub query_capacity: usize,
-    /// A permit for each byte of a statement in flight.
+    /// One permit for each byte of the statements in flight.
     pub statement_bytes: Arc<Semaphore>,
-    /// Bytes of answers that are cached for clients whose connection ended before they had theirs.
+    /// Size of the cache of answers, in bytes. It serves clients whose connection ended before they received their
+    /// answer.
     pub answer_cache_bytes: usize,
 }
 
 impl ResourceBudget {
-    /// Splits the limits. Clients have their part of the descriptors and a surplus for connections that are closing: the
-    /// system accepts connections whether or not the gateway does, and each is owed an answer. Engines have what remains.
+    /// Splits the limits.
+    ///
+    /// Clients get their share of the descriptors, plus a surplus for connections that are closing: the system accepts
+    /// connections whether or not the gateway has room, and each of them must be answered. Engines get the rest.
     pub fn of(limits: ResourceLimits) -> Self {
         let ResourceLimits {
             descriptors,
--- a/crates/gateway/src/system/resource_budget/tests.rs
+++ b/crates/gateway/src/system/resource_budget/tests.rs
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn query_capacity_is_what_both_descriptors_and_memory_can_hold() {
+fn query_capacity_is_limited_by_descriptors_and_by_memory() {
     assert_eq!(budget(256, 192).query_capacity, 85);
     let small = budget(1024, 32);
     assert_eq!(
         small.query_capacity, 87,
-        "of 341 that the descriptors could hold"
+        "memory is the limit; the descriptors allow 341"
     );
     let in_use =
         small.query_capacity * 2 * MAX_RESULT_BYTES + small.statement_bytes.available_permits();
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -1,41 +1,42 @@
-//! Stops the request that starts an attempt, up to its last byte, once nobody waits for the attempt any more.
+//! Stops sending the request that starts an attempt once the attempt is no longer wanted.
 //!
-//! A query may be answered while the connection of an attempt is still coming up, or while a long request is being
-//! written. An engine that received the rest would run a query that is over.
+//! A query may get its final answer while the connection of another attempt is being set up, or while a long request is
+//! being written. An engine that received the rest of the request would run a query that is already answered. The
+//! request can be stopped until its last byte is written to the socket.
 //!
 //! # States of the request
 //!
-//! | state | left by | next state |
+//! | state | event | next state |
 //! |---|---|---|
 //! | `NotStarted` | [`sending_started`](SendGate::sending_started) | `Sending` |
 //! | `Sending` | [`body_consumed`](SendGate::body_consumed) | `Buffered` |
 //! | `Buffered` | `flushed` | `Sent` |
 //! | `NotStarted`, `Sending`, `Buffered` | [`later_call_begins`](SendGate::later_call_begins) | `Sent` |
-//! | `NotStarted`, `Sending`, `Buffered` | `allow_write_or_stop`, where a write is not allowed | `Stopped` |
+//! | `NotStarted`, `Sending`, `Buffered` | `allow_write_or_stop`, if the write is not allowed | `Stopped` |
 //! | `NotStarted`, `Sending`, `Buffered` | [`stop_unless_complete`](SendGate::stop_unless_complete) | `Stopped` |
-//! | `Sent` | nothing: every write is allowed from then on | |
-//! | `Stopped` | nothing: no write is allowed any more | |
+//! | `Sent` | none: final, every later write is allowed | |
+//! | `Stopped` | none: final, no later write is allowed | |
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 
-/// How far the request behind a gate has been sent.
+/// Progress of sending the request behind a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum SendState {
-    /// Not handed to the connection yet.
+    /// The request is not handed to the connection yet.
     NotStarted,
-    /// Being written to the connection.
+    /// The request is being handed to the connection.
     Sending,
-    /// Handed to the connection up to its last byte, which may still be in its buffer.
+    /// The last byte was handed to the connection, whose buffer may still hold part of the request.
     Buffered,
-    /// Written to the socket completely, or followed by a later call of its attempt. Final.
+    /// The request was written to the socket completely, or a later call of its attempt has begun. Final.
     Sent,
-    /// Stopped before it was written completely. Final.
+    /// The request was stopped before it was written completely. Final.
     Stopped,
 }
 
-/// A [`SendState`] that the tasks of the attempt and of its connection share.
+/// A [`SendState`] that is shared between the task of the attempt and the task of its connection.
 struct SharedState(AtomicU8);
 
 impl SharedState {
@@ -58,34 +59,34 @@
         self.0.store(state as u8, Ordering::Relaxed);
     }
 
-    /// Moves on to `to`; nothing happens where the state is not `from`.
+    /// Changes the state from `from` to `to`, or leaves it if it is not `from`.
     fn advance(&self, from: SendState, to: SendState) {
-        // Any other state is further on already, or final.
+        // The exchange fails only if the state is already past `from`, or final.
         let _ = self
             .0
             .compare_exchange(from as u8, to as u8, Ordering::Relaxed, Ordering::Relaxed);
     }
 }
 
-/// What a request to stop has achieved. Final: asking again gives the same.
+/// The result of [`SendGate::stop_unless_complete`]. It is final: a repeated call returns the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// The request is stopped, by now or before: its engine never receives it completely.
+    /// The request was stopped by this call or before it; its engine never receives it completely.
     Stopped,
-    /// The request had been sent before it could be stopped: its engine may run it.
+    /// The request was sent completely before it could be stopped; its engine may run it.
     AlreadySent,
 }
 
 /// Whether bytes may be written to the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteDecision {
-    /// They may be written.
+    /// The bytes may be written.
     Allowed,
-    /// They may not, and the request is stopped.
+    /// The bytes must not be written; the request is stopped.
     Stopped,
 }
 
-/// Decides right before each write whether the request that starts an attempt may still be sent.
+/// Decides right before each write to the connection whether the request that starts an attempt may still be sent.
 pub struct SendGate {
     may_start: Box<dyn Fn() -> bool + Send + Sync>,
     is_wanted: Box<dyn Fn() -> bool + Send + Sync>,
@@ -102,8 +103,10 @@
 }
 
 impl SendGate {
-    /// A gate for one request. `may_start` says whether the engine takes new attempts and counts for the first write only;
-    /// `is_wanted` says whether somebody waits for the attempt and counts for each write.
+    /// Creates a gate for one request.
+    ///
+    /// `may_start` returns whether the engine takes new attempts; it is checked until the first write is allowed.
+    /// `is_wanted` returns whether the attempt is still wanted; it is checked before each write.
     pub fn new(
         may_start: impl Fn() -> bool + Send + Sync + 'static,
         is_wanted: impl Fn() -> bool + Send + Sync + 'static,
@@ -116,31 +119,31 @@
         }
     }
 
-    /// The request is handed to the connection from now on.
+    /// Records that the request is about to be handed to the connection.
     pub fn sending_started(&self) {
         self.state
             .advance(SendState::NotStarted, SendState::Sending);
     }
 
-    /// The last byte of the request was handed to the connection.
+    /// Records that the last byte of the request was handed to the connection.
     pub fn body_consumed(&self) {
         self.state.advance(SendState::Sending, SendState::Buffered);
     }
 
-    /// All that was handed to the connection was written to the socket.
+    /// Records that all bytes handed to the connection were written to the socket.
     pub(super) fn flushed(&self) {
         self.state.advance(SendState::Buffered, SendState::Sent);
     }
 
-    /// A later call of the attempt begins, perhaps on the same connection. It is let through, whatever became of the
-    /// request, unless that was stopped.
+    /// Records that a later call of the attempt begins, perhaps on the same connection. The gate allows all of its
+    /// writes, unless the request was stopped.
     pub fn later_call_begins(&self) {
         if !self.is_stopped() {
             self.state.set(SendState::Sent);
         }
     }
 
-    /// Allows a write, or stops the request for good.
+    /// Decides about a write. The request is stopped for good if the write is not allowed.
     pub(super) fn allow_write_or_stop(&self) -> WriteDecision {
         match self.state.get() {
             SendState::Sent => WriteDecision::Allowed,
@@ -162,7 +165,7 @@
         WriteDecision::Allowed
     }
 
-    /// Stops the request unless it was written to the socket completely.
+    /// Stops the request unless it was already written to the socket completely.
     pub fn stop_unless_complete(&self) -> StopOutcome {
         if self.state.get() != SendState::Sent {
             self.state.set(SendState::Stopped);
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Whether the request was stopped, so that its engine never receives it completely.
+    /// Whether the request was stopped; if so, its engine never receives it completely.
     pub fn is_stopped(&self) -> bool {
         self.state.get() == SendState::Stopped
     }
--- a/crates/gateway/src/system/send_gate/tests.rs
+++ b/crates/gateway/src/system/send_gate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::sync::Arc;
 
-/// A gate whose two conditions the test sets.
+/// A gate together with the two flags that its conditions read.
 struct TestGate {
     gate: SendGate,
     may_start: Arc<AtomicBool>,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_request_whose_engine_takes_no_new_attempts_does_not_start() {
+fn request_is_stopped_at_its_first_write_if_the_engine_takes_no_new_attempts() {
     let test = TestGate::new();
     test.may_start.store(false, Ordering::Relaxed);
     test.gate.sending_started();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_request_that_has_started_may_end_while_its_engine_drains() {
+fn started_request_may_be_completed_while_its_engine_drains() {
     let test = TestGate::new();
     test.gate.sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_waits_for_is_stopped_for_good() {
+fn unwanted_request_is_stopped_for_good() {
     let test = TestGate::new();
     test.gate.sending_started();
     assert_eq!(test.gate.allow_write_or_stop(), WriteDecision::Allowed);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_flush_before_the_last_byte_does_not_count_as_sent() {
+fn flush_before_the_last_byte_does_not_count_as_sent() {
     let test = TestGate::new();
     test.gate.sending_started();
     test.gate.flushed();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_request_that_was_sent_completely_can_t_be_stopped() {
+fn completely_sent_request_cannot_be_stopped() {
     let test = TestGate::new();
     test.gate.sending_started();
     test.gate.body_consumed();
--- a/crates/gateway/src/system/signals.rs
+++ b/crates/gateway/src/system/signals.rs
@@ -1,8 +1,8 @@
-//! The signals that a gateway handles: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration.
+//! Handles the gateway's signals: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration.
 //!
-//! Handlers are installed first of all, so that a signal during the start is neither lost nor ends the process. A handler
-//! sets a flag, which cannot fail, and writes to a pipe that wakes the gateway. The flags are polled as well, so that a lost
-//! wake-up only delays a signal.
+//! The handlers are installed before anything else, so that a signal during the start is not lost and does not kill the
+//! process. A handler sets a flag, which cannot fail, and writes to a pipe that wakes the listening task. The flags are
+//! also polled, so that a lost wake-up only delays a signal.
 
 use crate::system::socket::uninterrupted;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -17,22 +17,23 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::sleep;
 
-/// How often the flags are polled. Less than the time that a stop keeps clear of the earliest SIGKILL.
+/// Interval at which the flags are polled. It is less than the time between the exit of a stopped gateway and the
+/// earliest SIGKILL, so that a delayed signal still leaves time to exit.
 const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The installed handlers of SIGTERM, SIGINT and SIGHUP.
 pub struct Signals {
     stop: Arc<AtomicBool>,
     hangup: Arc<AtomicBool>,
-    /// The end of the pipe that handlers write to; none where the system had no descriptors for it.
+    /// The read end of the pipe that the handlers write to; `None` if the pipe could not be opened.
     wake_pipe: Option<Pipe>,
 }
 
-/// Signals as they arrive.
+/// Delivers signals to the program as they arrive.
 pub struct SignalEvents {
-    /// Becomes true with the first SIGTERM or SIGINT.
+    /// Becomes `true` at the first SIGTERM or SIGINT and stays so.
     pub stop: watch::Receiver<bool>,
-    /// Notified of SIGHUP; several before one is handled count as one.
+    /// Notified at each SIGHUP. Signals that arrive before an earlier one is handled are merged into one notification.
     pub hangup: Arc<Notify>,
 }
 
@@ -41,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// The system refuses a handler, which it does for none of these signals.
+    /// The system refuses a handler, which does not happen for these signals.
     pub fn install() -> io::Result<Signals> {
         let stop = Arc::new(AtomicBool::new(false));
         let hangup = Arc::new(AtomicBool::new(false));
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Listens for signals in a task of the current runtime, for as long as that runs.
+    /// Starts a task that turns the flags into events. The task runs until the current runtime ends.
     pub fn listen(self) -> SignalEvents {
         let (stop, stopped) = watch::channel(false);
         let hangup = Arc::new(Notify::new());
@@ -84,7 +85,7 @@
     }
 }
 
-/// Opens a pipe that each handler writes to; the end that is read.
+/// Opens a pipe, registers its write end with each handler, and returns its read end.
 fn open_wake_pipe() -> io::Result<Pipe> {
     let (read, write) = Pipe::pair()?;
     read.set_nonblocking(true)?;
@@ -94,14 +95,14 @@
     Ok(read)
 }
 
-/// Waits until a handler has written, and empties the pipe.
+/// Waits until a handler has written to the pipe, then drains the pipe. Without a pipe, waits forever.
 async fn wait_for_wake(pipe: Option<&UnixStream>) {
     let Some(pipe) = pipe else {
         return std::future::pending().await;
     };
     let mut bytes = [0; 64];
     if pipe.readable().await.is_ok() {
-        // Bytes that stay in the pipe wake again at once.
+        // Bytes that remain in the pipe cause another wake-up at once, which is harmless.
         let _ = uninterrupted(|| pipe.try_read(&mut bytes));
     }
 }
--- a/crates/gateway/src/system/socket.rs
+++ b/crates/gateway/src/system/socket.rs
@@ -1,7 +1,7 @@
-//! A TCP connection that is read and written until the system says that the call would block.
+//! Provides a TCP connection whose reads and writes wait for readiness only after the system returned `EWOULDBLOCK`.
 //!
-//! A call may be cut short or interrupted at any time. The runtime's own reads and writes take a short one as the sign that
-//! the socket is drained or full, and then wait for a readiness event that may never arrive.
+//! A system call may be interrupted or return early at any time. The runtime's own reads and writes take a short count
+//! as the sign that the socket is drained or full, and would then wait for a readiness event that may never arrive.
 
 use crate::system::os_error;
 use socket2::SockRef;
@@ -16,14 +16,14 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Pause between attempts at a connection that this machine could not begin.
+/// Pause before a connect that failed for a local reason is retried.
 const LOCAL_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Repeats a call for as long as the system interrupts it.
+/// Repeats a call until it returns a result other than `Interrupted`.
 ///
 /// # Errors
 ///
-/// Any error of the call but `Interrupted`.
+/// Any error of the call except `Interrupted`.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -33,28 +33,29 @@
     }
 }
 
-/// What a connection that is coming up waits for. Its caller reads it when it stops waiting.
+/// Whether a pending connect waits for a local resource or for the peer. The caller reads it when the connect fails or
+/// times out, to attribute the failure.
 #[derive(Debug)]
 pub struct ConnectWait {
     is_local: AtomicBool,
 }
 
 impl ConnectWait {
-    /// A wait that begins with something that this machine lacks.
+    /// A wait that starts with a local resource, such as a permit of the connection budget.
     pub fn for_this_machine() -> Self {
         ConnectWait {
             is_local: AtomicBool::new(true),
         }
     }
 
-    /// A wait that begins with the other end.
+    /// A wait that starts with the peer.
     pub fn for_other_end() -> Self {
         ConnectWait {
             is_local: AtomicBool::new(false),
         }
     }
 
-    /// Whether it waits for something that this machine lacks, which is not the other end's fault.
+    /// Whether the connect waits for a local resource, which is not the peer's fault.
     pub fn is_local(&self) -> bool {
         self.is_local.load(Ordering::Relaxed)
     }
@@ -68,32 +69,32 @@
     }
 }
 
-/// A TCP connection with Nagle's algorithm off.
+/// A TCP connection with Nagle's algorithm disabled.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
 impl Socket {
-    /// Wraps a stream, and switches Nagle's algorithm off.
+    /// Wraps a stream and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> Socket {
         if let Err(error) = stream.set_nodelay(true) {
-            tracing::debug!(%error, "TCP_NODELAY not set");
+            tracing::debug!(%error, "could not set TCP_NODELAY");
         }
         Socket(stream)
     }
 
-    /// Connects. Where this machine lacks something for the moment (a descriptor, a port, a route), it retries: the caller
-    /// bounds how long, and `wait` says whether this is the reason for the wait.
+    /// Connects to an address. A local failure, such as a lack of descriptors, ports or routes, is retried without
+    /// limit: the caller sets a timeout, and `wait` tells it whether the connect was waiting for a local resource.
     ///
     /// # Errors
     ///
-    /// The error of the other end, or of the network on the way to it.
+    /// An error of the peer, or of the network between this machine and the peer.
     pub async fn connect(address: SocketAddr, wait: &ConnectWait) -> io::Result<Socket> {
         loop {
             wait.other_end_is_tried();
             match TcpStream::connect(address).await {
                 Err(error) if os_error::is_local(&error) => {
                     wait.this_machine_lacks_something();
-                    tracing::debug!(%error, %address, "local failure to connect, retrying");
+                    tracing::debug!(%error, %address, "connect failed for a local reason, retrying");
                     sleep(LOCAL_RETRY_PAUSE).await;
                 }
                 result => return result.map(Socket::new),
@@ -101,16 +102,17 @@
         }
     }
 
-    /// Reads what has arrived by now. It asks the system, since the runtime learns of new bytes only when it polls next.
+    /// Reads the bytes that have arrived so far. It calls the system directly, because the runtime learns of new bytes
+    /// only at its next poll.
     ///
     /// # Errors
     ///
-    /// `WouldBlock` where nothing has arrived, or the error of the connection.
+    /// `WouldBlock` if nothing has arrived, or the error of the connection.
     pub fn read_now(&self, bytes: &mut [u8]) -> io::Result<usize> {
         uninterrupted(|| (&*SockRef::from(&self.0)).read(bytes))
     }
 
-    /// Reads what has arrived, or registers the task to be woken once something does.
+    /// Reads the bytes that have arrived, or registers the task to be woken when some arrive.
     pub fn poll_read_bytes(
         &self,
         context: &mut Context,
@@ -118,7 +120,7 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_read_ready(context))?;
-            // Only `WouldBlock` clears the readiness that the runtime keeps.
+            // `try_read` clears the runtime's readiness state on `WouldBlock` only, not after a short read.
             match uninterrupted(|| self.0.try_read(bytes)) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 result => return Poll::Ready(result),
@@ -140,22 +142,22 @@
         }
     }
 
-    /// Whether the other end has closed its side, even if bytes before that are still unread.
+    /// Whether the peer has closed its write side, even if bytes that it sent before are still unread.
     pub fn is_read_closed(&self) -> bool {
         let mut context = Context::from_waker(std::task::Waker::noop());
         let ready = std::pin::pin!(self.0.ready(Interest::READABLE)).poll(&mut context);
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Shuts down the write side, after everything that was written.
+    /// Shuts down the write side; the system still sends the data that was written before.
     pub fn shut_down_write(&self) {
-        // It fails only where the connection has ended already.
+        // This fails only if the connection has already ended.
         let _ = SockRef::from(&self.0).shutdown(Shutdown::Write);
     }
 
-    /// Makes the close discard what is not sent yet, and reset the connection.
+    /// Makes the close of the connection discard unsent data and send a reset.
     pub fn discard_on_close(&self) {
-        // Where the option cannot be set, the connection closes in the usual way.
+        // If the option cannot be set, the connection closes normally.
         let _ = SockRef::from(&self.0).set_linger(Some(Duration::ZERO));
     }
 }
--- a/crates/gateway/src/system/stall_detector.rs
+++ b/crates/gateway/src/system/stall_detector.rs
@@ -1,38 +1,39 @@
-//! Detects when this process had no processor time.
+//! Detects stalls, in which this process had no processor time.
 //!
-//! What is read right after such a stall may have arrived at any time since the process last ran, and its client has
-//! waited since then.
+//! A request that is read right after a stall may have arrived at any time since the process last ran, and its client
+//! may have waited since then.
 
-/// The scheduler runs at least this often, for an event or its timer, however late that is.
+/// Maximum interval between two runs of the scheduler, for an event or its timer, in a process that is not stalled. It
+/// allows for a late timer.
 const MAX_RUN_INTERVAL_SECONDS: f64 = 0.12;
-/// After a stall, what arrived during it is read within this time.
+/// Time after a stall within which all data that arrived during the stall is read.
 const CATCH_UP_SECONDS: f64 = 0.05;
 
-/// Detects stalls from the times at which the process runs; all times are seconds of the gateway's clock.
+/// Detects stalls from the times at which the process runs. All times are in seconds of the gateway's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
     last_run: f64,
     last_stall: Option<Stall>,
 }
 
-/// A time in which the process did not run.
+/// A period in which the process did not run.
 #[derive(Clone, Copy, Debug)]
 struct Stall {
-    /// When the process ran before it.
+    /// The last run of the process before the stall.
     began: f64,
-    /// When the process ran again.
+    /// The first run of the process after the stall.
     ended: f64,
 }
 
 impl Stall {
-    /// Whether what was read at this time may have arrived during the stall.
+    /// Whether data that was read at this time may have arrived during the stall.
     fn covers(&self, read: f64) -> bool {
         read >= self.began && read < self.ended + CATCH_UP_SECONDS
     }
 }
 
 impl StallDetector {
-    /// A detector for a process that runs now.
+    /// Creates a detector, with `now` as the first run of the process.
     pub fn new(now: f64) -> StallDetector {
         StallDetector {
             last_run: now,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Records that the process runs now.
+    /// Records that the process runs at `now`, after a stall if the last run is more than 0.12 s ago.
     pub fn record_run(&mut self, now: f64) {
         if now - self.last_run > MAX_RUN_INTERVAL_SECONDS {
             self.last_stall = Some(Stall {
@@ -51,8 +52,8 @@
         self.last_run = self.last_run.max(now);
     }
 
-    /// The earliest time at which what was read at `read` can have arrived. A stall of less than
-    /// 0.12 s is not seen.
+    /// The earliest time at which data that was read at `read` can have arrived. Stalls of up to 0.12 s are not
+    /// detected.
     pub fn arrival_time(&mut self, now: f64, read: f64) -> f64 {
         self.record_run(now);
         match self.last_stall {
--- a/crates/gateway/src/system/write_timeout.rs
+++ b/crates/gateway/src/system/write_timeout.rs
@@ -1,4 +1,4 @@
-//! Ends a connection whose peer has stopped reading.
+//! Fails writes on a connection whose peer has stopped reading.
 
 use std::future::Future;
 use std::io;
@@ -7,16 +7,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, Sleep};
 
-/// How long a write may wait for its peer to read.
+/// Maximum time for which a write may be pending because the peer does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The timeout of a connection's write; it runs while a write is pending.
+/// The write timeout of one connection. The timer runs while a write is pending and restarts with the next pending
+/// write.
 #[derive(Debug, Default)]
 pub struct WriteTimeout(Option<Pin<Box<Sleep>>>);
 
 impl WriteTimeout {
-    /// Passes on the result of polling a write; a write that stays pending too long fails with
-    /// [`io::ErrorKind::TimedOut`].
+    /// Returns the result of polling a write, or an error of the kind [`io::ErrorKind::TimedOut`] once the write has been
+    /// pending for 10 s.
     pub fn bounded(
         &mut self,
         cx: &mut Context,
