--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,8 @@
-//! The garnetwall gateway: admits queries over HTTP, asks the decision module, and runs them on engines.
+//! The garnetwall gateway: receives queries over HTTP, lets the admission controller decide on them, and runs them on
+//! engines.
 //!
-//! Embed it with [`configuration::Config`] and [`gateway::Gateway`]; `src/main.rs` does no more.
+//! To embed a gateway, read a [`configuration::Config`] and run a [`gateway::Gateway`] with it, as [`cli::main`] does
+//! for the command `serve`.
 
 pub mod cli;
 pub mod configuration;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; all of it is in the library.
+//! Entry point of the program `garnetwall`, which is implemented in the library.
 
 fn main() -> std::process::ExitCode {
     garnetwall_gateway::cli::main()
--- a/crates/gateway/src/phase.rs
+++ b/crates/gateway/src/phase.rs
@@ -1,14 +1,14 @@
-//! The phases of a gateway, from its start to its exit.
+//! Defines the phases of a gateway from its start to its exit.
 
-/// What a gateway does at the moment; its health check succeeds in [`Phase::Serving`] only.
+/// The phase of a gateway. `GET /healthz` succeeds only in [`Phase::Serving`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is not bound to its address yet, or knows no engine list.
+    /// The gateway does not listen on its address yet, or has no engine list yet.
     Starting,
-    /// It admits queries and has an engine list.
+    /// The gateway admits queries and has an engine list.
     Serving,
-    /// It was asked to stop: it admits what still arrives for a while, then answers everything in flight.
+    /// The gateway was asked to stop. It admits queries that still arrive for a while, then answers all open queries.
     Draining,
-    /// Everything that could be answered in time is answered.
+    /// The gateway has answered all queries that it could in time, and is about to exit.
     Stopped,
 }
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -1,4 +1,4 @@
-//! Builds the store of request bodies that a plan configures, and logs its counts.
+//! Creates the store of request bodies that a plan configures, and logs its counts at the exit.
 
 use garnetwall_bodies::EvictionPolicy;
 use garnetwall_bodies::{Limits, Spool, SpoolFile, Store};
@@ -7,13 +7,14 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Builds the store of request bodies that a plan asks for, with a spool file where the plan names a directory.
+/// Creates the store of request bodies from the plan's settings, with a spool file if the plan names a directory.
 ///
-/// `class_names` are the names of the query classes by their index.
+/// `class_names` holds the names of the query classes by class index. `gateway` is the gateway's name, which the file
+/// name of the spool contains.
 ///
 /// # Errors
 ///
-/// The spool file can't be created; the text names its path.
+/// The spool file cannot be created. The error text contains its path.
 pub fn body_store(
     bodies: &Bodies,
     class_names: &[String],
@@ -41,7 +42,8 @@
     Ok(Store::new(limits, EvictionPolicy::Largest, spool))
 }
 
-/// Logs, for each query class and kind of storage, the bodies received and the retries that read one again or found it missing.
+/// Logs counts for each query class and kind of storage: bodies received, retries that read their body again, and retries
+/// that found it missing.
 pub fn log_body_store(store: &Store, class_names: &[String]) {
     for ((class, storage), counts) in store.counts() {
         tracing::info!(
@@ -50,7 +52,7 @@
             bodies = counts.bodies,
             retry_reads = counts.retry_reads,
             missing = counts.missing,
-            "request bodies"
+            "request body counts"
         );
     }
 }
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -1,5 +1,8 @@
-//! The journal of non-idempotent queries: each is recorded on disk before its first attempt is sent, so that a later process
-//! does not send it again. `garnetwall_ledger` decides what the records mean.
+//! Records non-idempotent queries on disk before their first attempt is sent, so that a later process of the gateway
+//! does not send them again.
+//!
+//! The crate `garnetwall_ledger` reads, writes and interprets the records. This module converts their times between the
+//! gateway's clock and the clock of the boot, which both processes share.
 
 use crate::system::boot_clock::BootClock;
 use crate::system::clock::{Clock, MILLIS_PER_SECOND};
@@ -12,25 +15,26 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A write that takes longer is logged.
+/// Duration above which a write is logged as slow.
 const SLOW_WRITE: Duration = Duration::from_millis(500);
 
-/// Whether a query may be sent to an engine.
+/// Whether a query may be sent to an engine, as [`QueryJournal::record_before_send`] decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendPermission {
-    /// It is recorded, or needs no record.
+    /// The query is recorded, or the plan names no journal.
     Granted,
-    /// It could not be recorded: a later process would not know of it.
+    /// The query could not be recorded, so that a later process would not know that it may have run.
     Denied,
 }
 
-/// The journal of a gateway. The default one records nothing, for plans that name no journal.
+/// The query journal of a gateway. The default value is for plans without a journal: it records nothing and permits
+/// every send.
 #[derive(Default)]
 pub struct QueryJournal {
     open: Option<OpenJournal>,
 }
 
-/// A journal with the clocks that its times are converted between.
+/// An open journal, with the two clocks between which the times of its records are converted.
 struct OpenJournal {
     journal: Journal,
     clock: Clock,
@@ -38,7 +42,7 @@
 }
 
 impl OpenJournal {
-    /// Converts the end of a record from the gateway's clock to the clock of this boot.
+    /// Converts `may_run_until_ms` of a record from the gateway's clock to the clock of this boot.
     fn to_boot_clock(&self, record: StartedQuery) -> StartedQuery {
         let remaining_ms = record
             .may_run_until_ms
@@ -49,11 +53,11 @@
         }
     }
 
-    /// Waits until the record is on the disk.
+    /// Writes a record and waits until it is on the disk.
     async fn write_record(&self, record: StartedQuery) -> Result<(), JournalError> {
         let (done, written) = oneshot::channel();
         let on_written = move |result| {
-            // The receiver is gone where the caller stopped waiting, and then nothing is sent.
+            // The send fails if the caller has stopped waiting. It does not send the query then.
             let _ = done.send(result);
         };
         self.journal
@@ -63,16 +67,17 @@
 }
 
 impl QueryJournal {
-    /// Opens the journal of a gateway in a directory.
+    /// Opens the journal of the gateway named `gateway` in a directory.
     ///
-    /// `longest_deadline` is the longest deadline of any query class, in seconds. `recovered` is called once the journal has been
-    /// read. Where the disk fails for now, the journal goes on trying; until it succeeds, [`record_before_send`] allows nothing.
+    /// `longest_deadline` is the longest deadline of any query class, in seconds. `recovered` is called once the
+    /// journal has been read, with the queries that an earlier process recorded. A transient failure of the disk is no
+    /// error: the journal keeps retrying, and [`record_before_send`] permits no query until it succeeds.
     ///
     /// [`record_before_send`]: QueryJournal::record_before_send
     ///
     /// # Errors
     ///
-    /// The journal can't be written, and a later try would fail too; the text names its path.
+    /// The journal cannot be opened, for a reason that is not transient. The error text contains its path.
     pub fn open(
         directory: &str,
         gateway: &str,
@@ -108,9 +113,10 @@
         })
     }
 
-    /// Records that a non-idempotent query is about to be sent.
+    /// Records on disk that a non-idempotent query is about to be sent.
     ///
-    /// It takes as long as the disk does: the caller bounds it by the query's deadline. A caller that stops waiting must not send.
+    /// The write has no timeout of its own, so the caller bounds the wait by the query's deadline. A caller that stops
+    /// waiting must not send the query.
     pub async fn record_before_send(&self, record: StartedQuery) -> SendPermission {
         let Some(open) = &self.open else {
             return SendPermission::Granted;
@@ -122,19 +128,19 @@
             let elapsed_ms = elapsed.as_millis() as u64;
             tracing::warn!(
                 elapsed_ms,
-                "query journal is slow: non-idempotent queries wait for it"
+                "slow write to the query journal, non-idempotent queries are delayed"
             );
         }
         match result {
             Ok(()) => SendPermission::Granted,
             Err(error) => {
-                tracing::error!(%error, "query journal not written: non-idempotent query not sent");
+                tracing::error!(%error, "query journal write failed, non-idempotent query not sent");
                 SendPermission::Denied
             }
         }
     }
 
-    /// Records that every attempt of a query has provably ended.
+    /// Records that all attempts of a query have provably ended.
     pub fn record_end(&self, query_key: u64) {
         if let Some(open) = &self.open {
             open.journal.record_finished(query_key);
@@ -142,20 +148,21 @@
     }
 }
 
-/// Passes on the failure of a start, unless a later try may succeed.
+/// Returns the error of opening the journal, with the path in its text. A transient error is only logged, since the
+/// journal retries.
 fn check_start(path: &Path, started: io::Result<()>) -> io::Result<()> {
     let path = path.display();
     match started {
         Ok(()) => Ok(()),
         Err(error) if is_transient(&error) => {
-            tracing::error!(%path, %error, "query journal not writable yet: no non-idempotent query is sent");
+            tracing::error!(%path, %error, "query journal not open yet, non-idempotent queries are not sent until it is");
             Ok(())
         }
         Err(error) => Err(io::Error::new(error.kind(), format!("{path}: {error}"))),
     }
 }
 
-/// Converts the records of an earlier process from the clock of this boot to the gateway's clock.
+/// Converts `may_run_until_ms` of recovered records from the clock of this boot to the gateway's clock.
 fn recovered_queries(
     found: Vec<RecoveredQuery>,
     clock: Clock,
@@ -184,7 +191,7 @@
     );
 }
 
-/// Converts seconds to whole milliseconds; what is negative becomes 0.
+/// Converts seconds to whole milliseconds, rounded down; negative values become 0.
 pub fn millis(seconds: f64) -> u64 {
     (seconds.max(0.0) * MILLIS_PER_SECOND) as u64
 }
