--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Implements the command line of the program `garnetwall`.
 
 use crate::configuration::plan_commands;
 use crate::configuration::{self, Config, ConfigError, Files};
@@ -23,22 +23,22 @@
 Usage: garnetwall COMMAND [--config FILE] [--plan FILE]
 
 Commands:
-  serve         run a gateway until SIGTERM or SIGINT; SIGHUP reads the configuration again
-  check-config  read and check the configuration, and say what is wrong
+  serve         run a gateway until SIGTERM or SIGINT; SIGHUP reloads the configuration
+  check-config  check the configuration and report errors
   version       print the version
   help          print this text
 
 Commands on plans (docs/plan.md):
 {PLAN}
 Options:
-  --config FILE  the configuration; otherwise the file that PROXY_CONFIG names
-  --plan FILE    the plan; otherwise the file that GARNETWALL_PLAN names; without either there is none
+  --config FILE  the configuration file; PROXY_CONFIG names it if this option is absent
+  --plan FILE    the plan file; GARNETWALL_PLAN names it if this option is absent; without both there is no plan
 
-Environment: PROXY_NAME and PROXY_LISTEN go before the file's name and listen;
-GARNETWALL_LOG sets the level of the log on standard error (info).
+Environment: PROXY_NAME and PROXY_LISTEN override name and listen in the configuration file;
+GARNETWALL_LOG sets the level of the log on standard error (default: info).
 ";
 
-/// Why a command failed.
+/// An error that ends a command other than those on plans.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error("{0}")]
@@ -47,24 +47,25 @@
     UnknownArgument(OsString),
     #[error("unknown command '{0}'; see garnetwall help")]
     UnknownCommand(String),
-    #[error("a command expected; see garnetwall help")]
+    #[error("no command given; see garnetwall help")]
     NoCommand,
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The thread that reads the configuration has panicked.
-    #[error("the configuration could not be read: {0}")]
+    /// The thread that reads the configuration files has panicked.
+    #[error("could not read the configuration: {0}")]
     ReadPanicked(#[from] JoinError),
-    #[error("signals: {0}")]
+    #[error("could not install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    #[error("log: {0}")]
+    #[error("could not start the log: {0}")]
     Log(#[source] io::Error),
-    #[error("runtime: {0}")]
+    #[error("could not start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// Runs the command that the arguments name; the exit code of a failure is 1, or 2 for a wrong call of a plan command.
+/// Runs the command that the program's arguments name. Returns exit code 1 for a failure or a difference between plans,
+/// and 2 for a usage error of a plan command.
 pub fn main() -> ExitCode {
     let mut arguments = Arguments::from_env();
     if plan_commands::is_plan_command(&mut arguments) {
@@ -109,7 +110,7 @@
 
 fn check_config(files: Files) -> Result<(), ConfigError> {
     let Config { name, listen, .. } = read_config(files)?;
-    println!("configuration of {name} is good: {name} listens on {listen}");
+    println!("configuration of {name} is valid: {name} listens on {listen}");
     Ok(())
 }
 
@@ -123,7 +124,7 @@
     let runtime = retry_blocking(|| Builder::new_current_thread().enable_all().build());
     let runtime = runtime.map_err(CommandError::Runtime)?;
     let result = runtime.block_on(serve_until_stopped(files, signals));
-    // A thread that still reads a file is not waited for.
+    // A thread that is still reading a file must not delay the exit.
     runtime.shutdown_background();
     log.flush();
     result
@@ -132,7 +133,7 @@
 async fn serve_until_stopped(files: Files, signals: Signals) -> Result<(), CommandError> {
     let SignalEvents { mut stop, hangup } = signals.listen();
     let mut stopped = Box::pin(async move {
-        // It fails only once the task that listens for signals has ended, which ends with the runtime.
+        // This fails only after the task that listens for signals has ended, and that task ends with the runtime.
         let _ = stop.wait_for(|stop| *stop).await;
     });
     let config = tokio::select! {
@@ -146,25 +147,30 @@
     Ok(())
 }
 
-/// Reads the files again at each SIGHUP; a faulty configuration is logged and ignored.
+/// Reads the files again at each SIGHUP and sends the configuration to the gateway. An invalid configuration is logged
+/// and ignored.
 async fn reload_on_hangup(files: Files, hangup: Arc<Notify>, reload: UnboundedSender<Config>) {
     loop {
         hangup.notified().await;
         match read_config_in_thread(files.clone()).await {
-            // It fails only where the gateway has stopped.
+            // The send fails only if the gateway has stopped.
             Ok(config) => {
                 let _ = reload.send(config);
             }
             Err(error) => {
-                // As a quoted field: the text of an invalid plan has several lines.
+                // A string field is logged in quotes with escaped line breaks; the text of an invalid plan has several
+                // lines.
                 let error = error.to_string();
-                tracing::error!(error, "configuration not reloaded, the old one stays");
+                tracing::error!(
+                    error,
+                    "configuration not reloaded, the previous one stays in force"
+                );
             }
         }
     }
 }
 
-/// Reads the files in a thread of its own: nothing that serves waits for a file.
+/// Reads the files in a separate thread, so that serving does not wait for the file system.
 async fn read_config_in_thread(files: Files) -> Result<Config, CommandError> {
     let config = tokio::task::spawn_blocking(move || read_config(files)).await?;
     Ok(config?)
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -1,7 +1,7 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and checks the configuration of a gateway and fills in the defaults.
 //!
-//! Every error names the key that it is about. A configuration is read in whole or not at all: a faulty one changes
-//! nothing of a running gateway.
+//! Each error names the key or file that is at fault. A configuration is accepted as a whole or rejected: an invalid
+//! one does not change a running gateway.
 
 mod error;
 mod fields;
@@ -29,54 +29,57 @@
 const NAME_VARIABLE: &str = "PROXY_NAME";
 const LISTEN_VARIABLE: &str = "PROXY_LISTEN";
 
-/// The usual limit of a process.
+/// Default of `limits.sockets`: the usual limit on file descriptors of a process.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// A gateway with fewer descriptors could not serve one query.
+/// Minimum of `limits.sockets`: with fewer file descriptors, a gateway could not serve a single query.
 const MIN_DESCRIPTORS: u64 = 64;
 const DEFAULT_MEMORY_MB: usize = 512;
-/// What the program itself needs.
+/// Minimum of `limits.memory_mb`: the memory that the program itself needs.
 const MIN_MEMORY_MB: u64 = 16;
-/// More descriptors, and more megabytes, than any machine has.
+/// Maximum of both limits: more descriptors, and more megabytes, than any machine has.
 const MAX_LIMIT: u64 = 1 << 30;
 
-/// Bodies may have this part of the memory: statements have an eighth and results a quarter.
+/// The plan may give bodies at most one in this many bytes of memory. Statements have an eighth of it and results a
+/// quarter.
 const BODIES_MEMORY_DIVISOR: u64 = 4;
 const BYTES_PER_MB: u64 = 1 << 20;
 
-/// Keys whose change is not logged as needing a restart: `changelog` takes effect at a reload, the others matter at a start only.
+/// Keys whose change is not logged as needing a restart. `changelog` takes effect at a reload; `known` and `seed` are
+/// used only at a start.
 const KEYS_WITHOUT_RESTART_WARNING: [&str; 3] = ["changelog", "known", "seed"];
 
-/// A gateway's configuration, checked and with defaults filled in.
+/// The checked configuration of a gateway, with defaults filled in.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The gateway's name, unique in its fleet.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address on which the gateway listens for clients.
     pub listen: SocketAddr,
-    /// The seed of its random numbers.
+    /// The seed of the gateway's random numbers.
     pub seed: u64,
-    /// File descriptors that it may use.
+    /// Maximum number of file descriptors that the gateway may use.
     pub descriptors: usize,
-    /// Memory that it may use, in megabytes.
+    /// Maximum memory that the gateway may use, in MiB.
     pub memory_mb: usize,
-    /// Where the change log is.
+    /// The address of the change log.
     pub change_log: SocketAddr,
-    /// The number of the last event known at the start.
+    /// The number of the last change log event that the block `known` contains; 0 without the block.
     pub last_initial_event: u64,
-    /// The events known at the start, in ascending order.
+    /// The change log events of the block `known`, in ascending order of their numbers.
     pub initial_events: Vec<Event>,
-    /// The settings of the platform.
+    /// The settings of the platform, from the block `settings`.
     pub platform: PlatformSettings,
-    /// The engine subset that the gateway works with; the whole list where it is none.
+    /// The settings of the engine subset; `None` if the gateway works with the whole engine list.
     pub subset: Option<SubsetSettings>,
-    /// The plan, checked against the settings.
+    /// The plan, checked against the settings; `None` if no plan file is named.
     pub plan: Option<Arc<Plan>>,
-    /// The file as it was read, without `known`, to find what a later one changes.
+    /// The JSON of the configuration file without `known`. [`Config::keys_needing_restart`] compares it with a later
+    /// one.
     pub source: Value,
 }
 
 impl Config {
-    /// Keys that differ in a later configuration and need a restart to take effect.
+    /// Returns the top-level keys whose values differ in a later configuration and take effect only after a restart.
     pub fn keys_needing_restart(&self, later: &Config) -> Vec<String> {
         let (Some(old), Some(new)) = (self.source.as_object(), later.source.as_object()) else {
             return Vec::new();
@@ -90,11 +93,13 @@
     }
 }
 
-/// Reads the files that the command line or the environment names; `variable` looks up an environment variable.
+/// Reads and checks the configuration file and the plan file that the command line or the environment names.
+///
+/// `variable` looks up an environment variable.
 ///
 /// # Errors
 ///
-/// No file is named, a file cannot be read, or what it holds cannot be used.
+/// No configuration file is named, a file cannot be read, or its content is invalid.
 pub fn read(
     files: Files,
     variable: impl Fn(&str) -> Option<String>,
@@ -109,7 +114,8 @@
     Ok(config)
 }
 
-/// Compiles the plan, and checks it against the rest of the configuration.
+/// Compiles the plan file and adds the plan to the configuration, after checking it against the settings, the memory
+/// limit and the engine subset.
 fn add_plan(config: &mut Config, file: String) -> Checked<()> {
     let settings = plan_routing::plan_settings(&config.platform);
     let compiled = garnetwall_plan::compile(&files::Disk, &file, Some(&settings));
@@ -131,7 +137,8 @@
     Ok(())
 }
 
-/// Checks the configuration file; environment variables override the name and the address.
+/// Checks the JSON of the configuration file. The environment variables `PROXY_NAME` and `PROXY_LISTEN` override `name`
+/// and `listen`.
 fn check(mut source: Value, variable: impl Fn(&str) -> Option<String>) -> Checked<Config> {
     check_is_object(&source)?;
     let listen = listen(&source, variable(LISTEN_VARIABLE))?;
@@ -151,7 +158,7 @@
         fields::whole_number(limits, "limits", "sockets", MIN_DESCRIPTORS..=MAX_LIMIT)?;
     let memory_mb = fields::whole_number(limits, "limits", "memory_mb", MIN_MEMORY_MB..=MAX_LIMIT)?;
     let change_log = fields::address("changelog", fields::text(&source, "changelog")?)?;
-    // It grows with the fleet, and is not compared with a later one.
+    // `known` grows with the fleet and is not compared at a reload, so it is not kept.
     if let Some(keys) = source.as_object_mut() {
         keys.remove("known");
     }
@@ -179,7 +186,7 @@
         "file",
         "an object",
         Some(source),
-        "write {...} with the keys of a gateway",
+        "write {...} with the keys of a gateway's configuration",
     ))
 }
 
@@ -195,8 +202,8 @@
     u64::from_str_radix(text, 16).map_err(|_| {
         unusable(
             "seed",
-            format!("'{text}' is no seed"),
-            "write up to 16 hex digits, new at each start",
+            format!("'{text}' is not a seed"),
+            "write up to 16 hex digits, chosen anew for each start",
         )
     })
 }
@@ -215,7 +222,7 @@
     Ok(platform)
 }
 
-/// The block `limits`, `null` where there is none.
+/// Returns the block `limits`, or `null` if it is absent.
 fn limits(source: &Value) -> Checked<&Value> {
     match fields::optional(source, "limits") {
         None => Ok(&Value::Null),
--- a/crates/gateway/src/configuration/error.rs
+++ b/crates/gateway/src/configuration/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration: the place, the cause and the remedy.
+//! Defines the errors of reading a configuration or a plan. Their texts name the place, the cause and the remedy.
 
 use garnetwall_settings::{SettingsError, SettingsErrorCause};
 use garnetwall_subset::SubsetError;
@@ -8,81 +8,79 @@
 /// The environment variable that names the configuration file.
 pub const FILE_VARIABLE: &str = "PROXY_CONFIG";
 
-/// Why a configuration or a plan cannot be used; its text names the place, the cause and the remedy.
+/// An invalid or unreadable configuration or plan. The error text names the place, the cause and the remedy.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
     /// Neither the command line nor the environment names a configuration file.
-    #[error(
-        "{FILE_VARIABLE}: not set; name the file of the configuration there, or with --config"
-    )]
+    #[error("{FILE_VARIABLE}: not set; name the configuration file there or with --config")]
     NoFile,
     /// The file cannot be read.
-    #[error("{file}: {cause}; name a file that can be read")]
+    #[error("{file}: cannot be read: {cause}; name a file that can be read")]
     Unreadable {
-        /// The file as it was named.
+        /// The path of the file as it was given.
         file: String,
-        /// What the operating system answered.
+        /// The text of the operating system's error.
         cause: String,
     },
     /// The file is not JSON.
-    #[error("{file}: not JSON: {cause}; mend it there")]
+    #[error("{file}: not JSON: {cause}; correct the file there")]
     NotJson {
-        /// The file as it was named.
+        /// The path of the file as it was given.
         file: String,
-        /// What the parser found, with line and column.
+        /// The parser's error text, with line and column.
         cause: String,
     },
-    /// A key of the configuration has an unusable value, or is missing.
+    /// A key of the configuration is missing or has an invalid value.
     #[error("configuration {0}")]
     Key(#[from] SettingsError),
-    /// The keys of the subset do not fit one another.
+    /// The keys of the block `subset` contradict one another.
     #[error("configuration {0}")]
     Subset(#[from] SubsetError),
-    /// A key of settings that stand alone in their file has an unusable value, or is missing.
+    /// A key of the settings that `--settings` names is missing or has an invalid value.
     #[error("{file}: {fault}")]
     Settings {
-        /// The file as it was named.
+        /// The path of the file as it was given.
         file: String,
-        /// What is wrong with the key.
+        /// The error of the key.
         fault: SettingsError,
     },
     /// The plan does not compile.
     #[error("invalid plan {file}\n{what}")]
     Plan {
-        /// The file as it was named.
+        /// The path of the plan file as it was given.
         file: String,
-        /// Every error with its place, as `plan check` prints it.
+        /// All errors with their places, as `plan check` prints them.
         what: String,
     },
-    /// The plan gives bodies more memory than the gateway may use for them.
+    /// The plan gives bodies more memory than `limits.memory_mb` allows.
     #[error(
-        "plan {file}: memory of bodies: {bodies} bytes, {most} at most by limits.memory_mb; give them less"
+        "plan {file}: bodies have {bodies} bytes of memory, but limits.memory_mb allows at most {most}; give them less"
     )]
     Bodies {
-        /// The file as it was named.
+        /// The path of the plan file as it was given.
         file: String,
-        /// What the plan asks for, in bytes.
+        /// The memory that the plan gives bodies, in bytes.
         bodies: u64,
-        /// What is allowed, in bytes.
+        /// The memory that bodies may have, in bytes.
         most: u64,
     },
-    /// A pool of the plan selects engines in a way that an engine subset cannot guarantee.
+    /// A pool of the plan selects engines by id, address or exception, which an engine subset does not support.
     #[error(
-        "plan {file}: pool {pool}: names engines by id, address or exception, which may be in no subset; name zones \
-         and kinds there, or leave subset out of the configuration"
+        "plan {file}: pool {pool}: selects engines by id, address or exception, which the subset may not contain; \
+         name zones and kinds instead, or remove subset from the configuration"
     )]
     SubsetPool {
-        /// The file as it was named.
+        /// The path of the plan file as it was given.
         file: String,
-        /// The pool's name.
+        /// The name of the pool.
         pool: String,
     },
 }
 
-/// The result of reading a part of the configuration.
+/// The result of reading and checking a part of the configuration.
 pub(super) type Checked<T> = Result<T, ConfigError>;
 
-/// The error of a key that is missing, or holds something that is not `expected`.
+/// Creates the error of a key that is missing or whose value has another type than `expected`.
 pub(super) fn wrong_type(
     place: &str,
     expected: &'static str,
@@ -96,7 +94,7 @@
     .into()
 }
 
-/// The error of a key whose value has the right type but cannot be used.
+/// Creates the error of a key whose value has the right type but is invalid.
 pub(super) fn unusable(place: &str, cause: String, remedy: impl Into<String>) -> ConfigError {
     SettingsError::new(place, SettingsErrorCause::Unusable(cause), remedy).into()
 }
--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -1,4 +1,4 @@
-//! Keys of the configuration's JSON, read as texts, addresses and numbers.
+//! Reads single keys of the configuration's JSON as texts, addresses and numbers.
 
 use super::error::{unusable, wrong_type, Checked, ConfigError};
 use garnetwall_settings::{abbreviate, SettingsError, SettingsErrorCause};
@@ -6,34 +6,39 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The value of an optional key; `null` counts as absent.
+/// Returns the value of an optional key. `null` counts as absent.
 pub(super) fn optional<'a>(json: &'a Value, key: &str) -> Option<&'a Value> {
     json.get(key).filter(|value| !value.is_null())
 }
 
-/// A text that is not empty.
+/// Returns the text of a required key, which must not be empty.
 pub(super) fn text<'a>(json: &'a Value, key: &str) -> Checked<&'a str> {
     match json.get(key) {
         Some(Value::String(text)) if text.is_empty() => {
-            Err(SettingsError::new(key, SettingsErrorCause::Empty, "write a text there").into())
+            Err(SettingsError::new(key, SettingsErrorCause::Empty, "write a non-empty text").into())
         }
         Some(Value::String(text)) => Ok(text),
         other => Err(wrong_type(key, "a text", other, "write it in quotes")),
     }
 }
 
-/// Parses an address with a port other than 0; `place` is the key or variable that holds it.
+/// Parses an address with a port other than 0. `place` names the key or variable in errors.
 pub(super) fn address(place: &str, text: &str) -> Checked<SocketAddr> {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.port() != 0 => Ok(address),
         _ => {
-            let cause = format!("'{text}' is no address with a port");
-            Err(unusable(place, cause, "write one, as 10.0.0.4:4100"))
+            let cause = format!("'{text}' is not an address with a port");
+            Err(unusable(
+                place,
+                cause,
+                "write an address and a port above 0, such as 10.0.0.4:4100",
+            ))
         }
     }
 }
 
-/// An optional whole number in `range`, the key `key` of the object that stands at `block`.
+/// Returns the optional whole number at `key` in the object `json`, which must be in `range`. `block` is the path of
+/// the object in errors.
 pub(super) fn whole_number(
     json: &Value,
     block: &str,
@@ -62,7 +67,7 @@
     }
 }
 
-/// The error of a number that is out of its range; `expected` says which range that is.
+/// Creates the error of a number outside its range. `expected` describes the violation, such as `not from 1 to 5`.
 pub(super) fn out_of_range(
     place: String,
     found: &Value,
--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -1,4 +1,4 @@
-//! The files that a gateway is configured by, and how they are read from the disk.
+//! Reads the files of a gateway from disk: the configuration, the settings and the plan.
 
 use super::error::{Checked, ConfigError};
 use garnetwall_plan::source::{resolve_relative, LoadError, Loader};
@@ -6,19 +6,20 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The environment variable that names the plan file; a gateway may run without a plan.
+/// The environment variable that names the plan file. A gateway runs without a plan if none is named.
 pub const PLAN_VARIABLE: &str = "GARNETWALL_PLAN";
 
-/// The files that the command line names; where it names none, the environment does.
+/// The paths of the files that the command line names. [`read`](super::read) falls back to the environment for absent
+/// ones.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
-    /// The configuration file, otherwise that of [`FILE_VARIABLE`](super::FILE_VARIABLE).
+    /// The configuration file; if `None`, [`FILE_VARIABLE`](super::FILE_VARIABLE) names it.
     pub config: Option<String>,
-    /// The plan file, otherwise that of [`PLAN_VARIABLE`].
+    /// The plan file; if `None`, [`PLAN_VARIABLE`] names it.
     pub plan: Option<String>,
 }
 
-/// Loads the files of a plan from the disk.
+/// Loads plan files, and the files that they include, from the disk.
 pub struct Disk;
 
 impl Loader for Disk {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Reads a JSON file.
+/// Reads and parses a JSON file.
 pub(super) fn read_json(file: &str) -> Checked<Value> {
     let text = std::fs::read(file).map_err(|error| ConfigError::Unreadable {
         file: file.into(),
@@ -46,7 +47,8 @@
     })
 }
 
-/// Reads the settings out of a gateway's configuration file, or out of a file that holds nothing else.
+/// Reads the platform settings from the block `settings` of a configuration file, or from a file that contains only the
+/// settings.
 pub(super) fn read_settings(file: &str) -> Checked<PlatformSettings> {
     let json = read_json(file)?;
     let settings = json.get("settings").unwrap_or(&json);
--- a/crates/gateway/src/configuration/initial_list.rs
+++ b/crates/gateway/src/configuration/initial_list.rs
@@ -1,16 +1,16 @@
-//! The block `known`: the change log's events that are in force at the start.
+//! Reads the block `known` of the configuration: the change log's events that the gateway applies at its start.
 
 use super::error::{unusable, wrong_type, Checked, ConfigError};
 use crate::discovery::{self, Event, EventError, NameIndex};
 use garnetwall_settings::Names;
 use serde_json::Value;
 
-/// What a gateway knows of the change log before it connects to it.
+/// The events of the change log that a gateway knows before it connects to the log.
 #[derive(Debug, Default)]
 pub(super) struct InitialList {
-    /// The number of the last event that is known.
+    /// The number of the last known event; the watch of the change log continues after it.
     pub(super) last_event: u64,
-    /// The events up to it, in ascending order.
+    /// The events up to `last_event`, in ascending order of their numbers.
     pub(super) events: Vec<Event>,
 }
 
@@ -48,7 +48,7 @@
             "known.seq",
             "the number of a change",
             json.get("seq"),
-            "write that of the last of the results",
+            "write the seq of the last event in known.results",
         )
     })
 }
@@ -65,7 +65,7 @@
     })
 }
 
-/// Checks that event numbers ascend and do not pass the last one.
+/// Checks that the number of an event is greater than the previous one and not greater than `last_event`.
 fn check_order(place: &str, number: u64, previous: Option<u64>, last_event: u64) -> Checked<()> {
     let ascends = previous.is_none_or(|previous| number > previous);
     if ascends && number <= last_event {
@@ -77,8 +77,8 @@
     };
     Err(unusable(
         &format!("{place}.seq"),
-        format!("{number} goes back or past known.seq, which is {last_event}"),
-        format!("number the events {after} to known.seq"),
+        format!("{number} does not ascend or is above known.seq, which is {last_event}"),
+        format!("number the events in ascending order {after} to known.seq"),
     ))
 }
 
@@ -86,6 +86,6 @@
     unusable(
         &format!("{event}.{}", error.place),
         error.cause.to_string(),
-        "write the event as the change log tells it, with the names of the settings",
+        "write the event as the change log sends it, with names of zones and kinds from the settings",
     )
 }
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -1,6 +1,6 @@
-//! The commands on plans: check, fmt, diff, explain, show.
+//! Implements the commands on plans: `plan check`, `fmt`, `diff`, `explain` and `show`.
 //!
-//! They end with exit code 0, with 1 for a fault or a difference, and with 2 where the call itself is wrong.
+//! The exit code is 0 for success, 1 for an error or a difference, and 2 for a usage error.
 
 use super::files::{read_settings, Disk};
 use super::ConfigError;
@@ -18,52 +18,52 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// What the `plan` commands take, for the help text.
+/// The lines on the `plan` commands in the help text.
 pub const HELP: &str = "\
-  plan check FILE [--settings JSON]   read and check a plan, against a gateway's configuration where one is named
-  plan fmt [--check] FILE             write a file of a plan in its one form; with --check only say whether it is
-  plan diff OLD NEW [--json]          what the second does otherwise
+  plan check FILE [--settings JSON]   check a plan, with --settings also against a gateway's configuration
+  plan fmt [--check] FILE             format a plan file; with --check only report whether it is formatted
+  plan diff OLD NEW [--json]          print how the new plan behaves differently
   plan explain FILE --group G [--tenant T] [--client ADDRESS] [--key K] [--data-set N] [--at HH:MM] [--settings JSON]
-                                      which route, pools and limits apply to a query, and why
-  plan show FILE [--settings JSON]    a plan as it was understood, as JSON
+                                      print which route, pools and limits apply to a query, and why
+  plan show FILE [--settings JSON]    print the compiled plan as JSON
 ";
 
-/// Why a command on plans did not succeed.
+/// An error that ends a command on plans.
 #[derive(Debug, Error)]
 enum PlanCommandError {
     /// The command line is wrong.
     #[error(transparent)]
     Usage(#[from] UsageError),
-    /// The plan does not compile; the text shows each error with its place.
+    /// The plan does not compile. The text contains each error with its place.
     #[error("{0}")]
     InvalidPlan(String),
-    /// A file of settings cannot be used.
+    /// The settings file cannot be read or is invalid.
     #[error("garnetwall: {0}\n")]
     Settings(#[from] ConfigError),
     /// A plan file cannot be read or written.
     #[error("garnetwall: {file}: {cause}\n")]
     File { file: String, cause: String },
-    /// `fmt --check` found a file in another form.
-    #[error("{file} is not in its one form; `garnetwall plan fmt {file}` writes it so\n")]
+    /// `plan fmt --check` found a file that is not formatted.
+    #[error("{file} is not formatted; format it with `garnetwall plan fmt {file}`\n")]
     NotFormatted { file: String },
 }
 
-/// What is wrong with the command line.
+/// A usage error: the command line of a plan command is wrong.
 #[derive(Debug, Error)]
 enum UsageError {
     #[error("{0}")]
     Arguments(#[from] pico_args::Error),
     #[error("unknown command 'plan {0}'")]
     UnknownCommand(String),
-    #[error("{0} expected")]
+    #[error("missing argument: {0}")]
     Missing(&'static str),
     #[error("unknown argument {0:?}")]
     UnknownArgument(std::ffi::OsString),
-    #[error("--client {0}: no address")]
+    #[error("--client {0}: not an IP address")]
     Client(String),
-    #[error("--data-set {0}: no number")]
+    #[error("--data-set {0}: not a whole number from 0 to 4294967295")]
     DataSet(String),
-    #[error("--at {0}: HH:MM expected")]
+    #[error("--at {0}: not a time from 00:00 to 23:59 in the form HH:MM")]
     Time(String),
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// What a command prints on standard output, and the exit code that it ends with.
+/// The text that a command prints on standard output, and its exit code.
 struct Output {
     text: String,
     exit_code: ExitCode,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Text that shows a difference.
+    /// The output of a command that found a difference; the exit code is 1.
     fn difference(text: String) -> Self {
         Output {
             text,
@@ -104,13 +104,13 @@
 
 type CommandResult = Result<Output, PlanCommandError>;
 
-/// Whether the first argument is `plan`; then it is removed.
+/// Returns whether the first argument is `plan`, and removes it if so.
 pub fn is_plan_command(arguments: &mut Arguments) -> bool {
     let first = std::env::args().nth(1);
     first.as_deref() == Some("plan") && arguments.subcommand().is_ok()
 }
 
-/// Runs the command that the arguments name, and prints its result.
+/// Runs the plan command that the arguments name, without the leading `plan`, and prints its result or error.
 pub fn run(arguments: Arguments) -> ExitCode {
     match run_command(arguments) {
         Ok(output) => {
@@ -137,7 +137,7 @@
         Some("explain") => explain_route(arguments),
         Some("show") => show(arguments),
         Some(other) => Err(UsageError::UnknownCommand(other.into()).into()),
-        None => Err(UsageError::Missing("a command on plans").into()),
+        None => Err(UsageError::Missing("a plan command").into()),
     }
 }
 
@@ -148,7 +148,7 @@
     Ok(arguments.opt_value_from_str(name)?)
 }
 
-/// The next argument that is no option; `expected` describes it.
+/// Returns the next argument that is not an option. `expected` describes the argument in the error.
 fn file(arguments: &mut Arguments, expected: &'static str) -> Result<String, PlanCommandError> {
     let file: Option<String> = arguments.opt_free_from_str()?;
     match file.filter(|file| !file.starts_with('-')) {
@@ -164,7 +164,7 @@
     }
 }
 
-/// The settings that `--settings` names, as a plan is checked against them.
+/// Reads the settings file that `--settings` names, to check a plan against it; `None` without the option.
 fn settings(arguments: &mut Arguments) -> Result<Option<Settings>, PlanCommandError> {
     let Some(file) = option(arguments, "--settings")? else {
         return Ok(None);
@@ -179,11 +179,11 @@
 
 fn check(mut arguments: Arguments) -> CommandResult {
     let settings = settings(&mut arguments)?;
-    let file = file(&mut arguments, "the file of a plan")?;
+    let file = file(&mut arguments, "a plan file")?;
     expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
     Ok(Output::success(format!(
-        "{file} is good: {} routes, {} pools, {} limits, rules of {} query classes and {} tenants\n",
+        "{file} is valid: {} routes, {} pools, {} limits, rules of {} query classes and {} tenants\n",
         plan.routes.len(),
         plan.pools.len(),
         plan.limits.len(),
@@ -194,11 +194,11 @@
 
 fn fmt(mut arguments: Arguments) -> CommandResult {
     let only_check = arguments.contains("--check");
-    let file = file(&mut arguments, "the file of a plan")?;
+    let file = file(&mut arguments, "a plan file")?;
     expect_no_more(arguments)?;
     let text = read_text(&file)?;
     let Ok(formatted) = format::format(&text) else {
-        // Reading the plan as a whole finds the errors with their places.
+        // Reading the plan as a whole reports the errors with their places.
         let source = garnetwall_plan::source::read(&Disk, &file);
         return Err(PlanCommandError::InvalidPlan(diagnostic::render(
             &source.files,
@@ -227,7 +227,8 @@
     String::from_utf8(bytes).map_err(|error| file_error(file, error))
 }
 
-/// Replaces a file at once, so that a full disk does not cost what it holds.
+/// Replaces a file atomically: the text is written to `{file}.new`, which is then renamed. The old content survives a
+/// full disk.
 fn replace(file: &str, text: &str) -> Result<(), PlanCommandError> {
     let new_file = format!("{file}.new");
     std::fs::write(&new_file, text)
@@ -237,8 +238,8 @@
 
 fn show_diff(mut arguments: Arguments) -> CommandResult {
     let json = arguments.contains("--json");
-    let old = file(&mut arguments, "the old plan and the new one")?;
-    let new = file(&mut arguments, "the new plan")?;
+    let old = file(&mut arguments, "the files of the old and the new plan")?;
+    let new = file(&mut arguments, "the file of the new plan")?;
     expect_no_more(arguments)?;
     let changes = diff::diff(&read(&old, None)?.plan, &read(&new, None)?.plan);
     if changes.is_empty() && !json {
@@ -298,7 +299,7 @@
 
 fn explain_route(mut arguments: Arguments) -> CommandResult {
     let options = ExplainOptions::read(&mut arguments)?;
-    let file = file(&mut arguments, "the file of a plan")?;
+    let file = file(&mut arguments, "a plan file")?;
     expect_no_more(arguments)?;
     let compiled = read(&file, options.settings.as_ref())?;
     let facts = QueryFacts {
@@ -312,7 +313,7 @@
     Ok(Output::success(explain::explain(&compiled, &facts)))
 }
 
-/// The minute of the day by the wall clock, in UTC.
+/// The current minute of the day in UTC, by the wall clock.
 fn current_minute_of_day() -> u32 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -320,7 +321,7 @@
     minute_of_day(since_epoch.as_secs() as f64)
 }
 
-/// Parses HH:MM.
+/// Parses a time of the form HH:MM to the minute of the day.
 fn parse_minute_of_day(text: &str) -> Option<u32> {
     let (hour, minute) = text.split_once(':')?;
     let (hour, minute): (u32, u32) = (hour.parse().ok()?, minute.parse().ok()?);
@@ -329,7 +330,7 @@
 
 fn show(mut arguments: Arguments) -> CommandResult {
     let settings = settings(&mut arguments)?;
-    let file = file(&mut arguments, "the file of a plan")?;
+    let file = file(&mut arguments, "a plan file")?;
     expect_no_more(arguments)?;
     let plan = read(&file, settings.as_ref())?.plan;
     let json = serde_json::to_string_pretty(&plan).unwrap_or_default();
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -1,4 +1,4 @@
-//! The block `subset`: how large a part of the engines a gateway works with.
+//! Reads the block `subset` of the configuration: the size and the rules of the gateway's engine subset.
 
 use super::error::{wrong_type, Checked};
 use super::fields;
@@ -10,16 +10,16 @@
 use serde_json::Value;
 
 const BLOCK: &str = "subset";
-/// More engines than any list has.
+/// Maximum of each number of engines: more engines than any list has.
 const MAX_ENGINES: u64 = 1 << 20;
-/// More than can be of use.
+/// Maximum of `subset.joins_per_second`: more than can be of use.
 const MAX_JOINS_PER_SECOND: f64 = 1e6;
 
-/// A pool that an engine subset cannot serve: it selects engines by id, address or exception. Holds its name.
+/// The name of a pool that selects engines by id, address or exception, which an engine subset does not support.
 #[derive(Debug)]
 pub(super) struct UnsupportedPool(pub(super) String);
 
-/// Reads the block; without one there is no subset.
+/// Reads and checks the block `subset`. Returns `None` if it is absent, so that the gateway uses the whole engine list.
 pub(super) fn read(
     json: Option<&Value>,
     gateway: &str,
@@ -30,7 +30,7 @@
         Some(block) => block,
     };
     if !block.is_object() {
-        let remedy = "write {\"size\": ...}, or leave it out";
+        let remedy = "write {\"size\": ...}, or remove the key";
         return Err(wrong_type(BLOCK, "an object", json, remedy));
     }
     let size = size(block)?;
@@ -50,18 +50,18 @@
         retry_scope: retry_scope(&platform.settings.classes),
         ..defaults
     };
-    // It checks how the settings fit one another.
+    // The constructor checks that the settings are consistent with one another.
     Subset::new(gateway, settings.clone())?;
     Ok(Some(settings))
 }
 
 fn size(block: &Value) -> Checked<usize> {
-    let remedy = "write how many engines the gateway is to work with";
+    let remedy = "write the number of engines that the gateway works with";
     let size = engines(block, "size", 1)?;
     size.ok_or_else(|| wrong_type("subset.size", "a number", None, remedy))
 }
 
-/// An optional number of engines, `min` at least.
+/// Returns the optional number of engines at `key`, which must be at least `min`.
 fn engines(block: &Value, key: &str, min: u64) -> Checked<Option<usize>> {
     fields::whole_number(block, BLOCK, key, min..=MAX_ENGINES)
 }
@@ -71,7 +71,7 @@
         block,
         "joins_per_second",
         |number| (f64::MIN_POSITIVE..=MAX_JOINS_PER_SECOND).contains(&number),
-        &format!("give a number more than 0, {MAX_JOINS_PER_SECOND} at most"),
+        &format!("give a number above 0 and at most {MAX_JOINS_PER_SECOND}"),
         &format!("not more than 0, or more than {MAX_JOINS_PER_SECOND}"),
     )
 }
@@ -81,12 +81,12 @@
         block,
         "near_weight",
         |number| (1.0..=MAX_NEAR_WEIGHT).contains(&number),
-        &format!("give a number from 1, {MAX_NEAR_WEIGHT} at most"),
+        &format!("give a number from 1 to {MAX_NEAR_WEIGHT}"),
         &format!("not from 1 to {MAX_NEAR_WEIGHT}"),
     )
 }
 
-/// An optional number; `expected` says what is wrong with one that is not allowed.
+/// Returns the optional number at `key`. `expected` describes the violation of a number that is not allowed.
 fn number(
     block: &Value,
     key: &str,
@@ -112,15 +112,15 @@
     Ok(Some(number))
 }
 
-/// The gateway's own zone, by its name in the settings.
+/// Returns the index in the settings of the gateway's own zone, which the block names.
 fn zone(block: &Value, names: &Names) -> Checked<Option<u32>> {
-    const REMEDY: &str = "write a name of settings.zones";
+    const REMEDY: &str = "write a name from settings.zones";
     let name = match fields::optional(block, "zone") {
         None => return Ok(None),
         Some(Value::String(name)) => name,
         other => return Err(wrong_type("subset.zone", "a text", other, REMEDY)),
     };
-    // The settings write spaces and commas as `_`.
+    // The names in the settings have `_` in place of spaces and commas.
     let name = name.replace([' ', ','], "_");
     match names.zones.iter().position(|zone| *zone == name) {
         Some(zone) => Ok(Some(zone as u32)),
@@ -130,7 +130,7 @@
     }
 }
 
-/// The placement classes of the query classes that may not go everywhere, sorted and without repeats.
+/// Returns the placement classes of those query classes that are restricted to zones or kinds, sorted and deduplicated.
 fn placement_classes(classes: &[QueryClass]) -> Vec<PlacementClass> {
     let placement = |class: &QueryClass| PlacementClass {
         zones: class.zones.clone(),
@@ -146,7 +146,7 @@
     placements
 }
 
-/// The narrowest scope in which queries of any of these classes may be retried.
+/// Returns the narrowest retry scope of these query classes, or [`RetryScope::Everywhere`] without classes.
 pub fn retry_scope(classes: &[QueryClass]) -> RetryScope {
     let scope = |class: &QueryClass| match class.idempotency {
         Idempotency::IdempotentByKey {
@@ -166,7 +166,11 @@
         .unwrap_or(RetryScope::Everywhere)
 }
 
-/// Adds the placement classes of a plan's pools.
+/// Adds the placement classes of a plan's pools to the settings of the subset.
+///
+/// # Errors
+///
+/// A pool selects engines by id, address or exception.
 pub(super) fn add_pools(
     settings: &mut SubsetSettings,
     plan: &Plan,
@@ -180,7 +184,7 @@
             zones: indices(&pool.zones, &names.zones),
             kinds: indices(&pool.kinds, &names.kinds),
         };
-        // A pool that only unites others has engines where they have.
+        // A pool that is only a union of other pools needs no placement class, since those pools add theirs.
         if pool.selects() && class != PlacementClass::default() {
             settings.classes.push(class);
         }
@@ -190,12 +194,12 @@
     Ok(())
 }
 
-/// Whether a pool selects engines by zone and kind alone.
+/// Whether a pool selects engines only by zone and kind.
 fn selects_by_placement(pool: &Pool) -> bool {
     pool.ids.is_empty() && pool.addresses.is_empty() && pool.except.is_empty()
 }
 
-/// The indices of the selected names; `None` where nothing is selected.
+/// Returns the indices of the selected names in `names`, or `None` if no name is selected.
 fn indices(selected: &[String], names: &[String]) -> Option<Vec<u32>> {
     let index = |selected: &String| names.iter().position(|name| name == selected);
     let indices = selected.iter().filter_map(index).map(|index| index as u32);
