--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -116,7 +116,7 @@
         tokio::pin!(stop);
         let Some(resources) = self.start(stop.as_mut()).await? else {
             // No query was admitted yet, so there is nothing to drain.
-            self.enter(Phase::Stopped);
+            self.set_phase(Phase::Stopped);
             return Ok(());
         };
         let StartResources {
@@ -145,11 +145,11 @@
         drop(accepting);
         drop(listener);
         self.finish_requests(&clients, &schedule).await;
-        self.stopped(store.as_deref());
+        self.finish_shutdown(store.as_deref());
         Ok(())
     }
 
-    fn enter(&self, phase: Phase) {
+    fn set_phase(&self, phase: Phase) {
         tracing::info!(gateway = self.config.name, ?phase, "gateway phase changed");
         self.phase.send_replace(phase);
     }
@@ -159,7 +159,7 @@
         &self,
         stop: Pin<&mut impl Future<Output = ()>>,
     ) -> Result<Option<StartResources>, StartError> {
-        self.enter(Phase::Starting);
+        self.set_phase(Phase::Starting);
         tokio::select! {
             biased;
             () = stop => Ok(None),
@@ -240,7 +240,7 @@
     ) {
         let become_healthy = async {
             self.list.wait_until_known().await;
-            self.enter(Phase::Serving);
+            self.set_phase(Phase::Serving);
             std::future::pending::<()>().await;
         };
         tokio::select! {
@@ -258,7 +258,7 @@
         stop_accepting: &watch::Sender<bool>,
         close_connections: &watch::Sender<bool>,
     ) -> ShutdownSchedule {
-        self.enter(Phase::Draining);
+        self.set_phase(Phase::Draining);
         let schedule = ShutdownSchedule::new(Instant::now(), self.longest_deadline_seconds);
         let answers_due = self.scheduler.clock().at(schedule.answers_due);
         self.scheduler.cap_deadlines(answers_due);
@@ -283,11 +283,11 @@
         }
     }
 
-    fn stopped(&self, store: Option<&Store>) {
+    fn finish_shutdown(&self, store: Option<&Store>) {
         if let Some(store) = store {
             body_store::log_body_store(store, &self.config.platform.names.classes);
         }
-        self.enter(Phase::Stopped);
+        self.set_phase(Phase::Stopped);
     }
 }
 
--- a/crates/gateway/src/gateway/background.rs
+++ b/crates/gateway/src/gateway/background.rs
@@ -116,8 +116,8 @@
         }
     };
     discovery
-        .maintain_subset(connect, |engine, connected| {
-            scheduler.health_check_ended(engine, connected.end, connected.report)
+        .maintain_subset(connect, |engine, outcome| {
+            scheduler.health_check_ended(engine, outcome.end, outcome.report)
         })
         .await;
 }
--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -11,29 +11,30 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 
-/// Applies each configuration from `reloads` until the gateway exits. `started` is the configuration that the gateway
-/// was started with; a key needs a restart if its value differs from the one there.
+/// Applies each configuration from `reloads` until the gateway exits. A key needs a restart if its value differs from the
+/// one in `initial_config`, with which the gateway was started.
 pub(super) async fn apply_reloads(
-    started: Config,
+    initial_config: Config,
     scheduler: Arc<Scheduler>,
     mut reloads: UnboundedReceiver<Config>,
     change_log: watch::Sender<SocketAddr>,
 ) {
     while let Some(config) = reloads.recv().await {
-        for key in started.keys_needing_restart(&config) {
+        for key in initial_config.keys_needing_restart(&config) {
             log_restart_needed(&key);
         }
         if let Some(plan) = &config.plan {
-            update_plan(&started, &scheduler, plan);
+            update_plan(&initial_config, &scheduler, plan);
         }
         tracing::info!(changelog = %config.change_log, "configuration reloaded");
         change_log.send_replace(config.change_log);
     }
 }
 
-fn update_plan(started: &Config, scheduler: &Scheduler, plan: &Arc<Plan>) {
-    let names = &started.platform.names.classes;
-    let classes = plan_routing::narrowed_classes(&started.platform.settings.classes, names, plan);
+fn update_plan(initial_config: &Config, scheduler: &Scheduler, plan: &Arc<Plan>) {
+    let names = &initial_config.platform.names.classes;
+    let classes =
+        plan_routing::narrowed_classes(&initial_config.platform.settings.classes, names, plan);
     match scheduler.update_plan(plan.clone(), &classes) {
         PlanUpdate::NeedsRestart => log_restart_needed("plan"),
         PlanUpdate::InForce => tracing::info!(
