--- a/crates/gateway/src/system/log.rs
+++ b/crates/gateway/src/system/log.rs
@@ -28,14 +28,14 @@
 
 /// Counts of queued and written entries, which tell when all entries are written.
 #[derive(Clone, Default)]
-struct Counts {
+struct EntryCounts {
     queued: Arc<AtomicUsize>,
     written: Arc<AtomicUsize>,
 }
 
 /// The handle of the running log.
 pub struct Log {
-    counts: Counts,
+    counts: EntryCounts,
     dropped: ErrorCounter,
     /// Never dropped, because its drop may print to standard output and block on the reader there.
     _worker: std::mem::ManuallyDrop<WorkerGuard>,
@@ -51,12 +51,12 @@
     pub fn start() -> io::Result<Log> {
         let filter =
             EnvFilter::try_from_env("GARNETWALL_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
-        let counts = Counts::default();
+        let counts = EntryCounts::default();
         let dropped = Arc::new(OnceLock::new());
         // Writes use a duplicated descriptor, since the standard library's lock on standard error would be held while
         // the reader stalls.
         let stderr = File::from(io::stderr().as_fd().try_clone_to_owned()?);
-        let output = Output {
+        let log_writer = LogWriter {
             stderr,
             written: counts.written.clone(),
             dropped: dropped.clone(),
@@ -65,7 +65,7 @@
         let builder = NonBlockingBuilder::default()
             .lossy(true)
             .buffered_lines_limit(QUEUE_CAPACITY);
-        let (queue, worker) = builder.thread_name("log").finish(output);
+        let (queue, worker) = builder.thread_name("log").finish(log_writer);
         let counter = queue.error_counter();
         // The cell is set only here, so this cannot fail.
         let _ = dropped.set(counter.clone());
@@ -122,7 +122,7 @@
 
 /// Writes entries to standard error. It runs in the writer thread, the only one that may block on the reader of the
 /// log.
-struct Output {
+struct LogWriter {
     stderr: File,
     written: Arc<AtomicUsize>,
     dropped: Arc<OnceLock<ErrorCounter>>,
@@ -130,7 +130,7 @@
     dropped_reported: usize,
 }
 
-impl Output {
+impl LogWriter {
     /// Writes an entry completely, or drops the rest of it if the write fails.
     fn write_entry(&mut self, entry: &[u8]) {
         let mut unwritten = entry;
@@ -162,7 +162,7 @@
     }
 }
 
-impl Write for Output {
+impl Write for LogWriter {
     fn write(&mut self, entry: &[u8]) -> io::Result<usize> {
         self.write_entry(entry);
         self.report_dropped();
--- a/crates/gateway/src/system/os_error.rs
+++ b/crates/gateway/src/system/os_error.rs
@@ -23,7 +23,7 @@
         // connect(2): no ephemeral port or no entry in the routing cache is free.
         Some(Errno::EAGAIN) => true,
         Some(code) => {
-            is_short_of_resources(code) || is_network_unreachable(code) || code == Errno::EINTR
+            is_resource_exhaustion(code) || is_network_unreachable(code) || code == Errno::EINTR
         }
         None => false,
     }
@@ -47,10 +47,10 @@
 /// Whether an accept failed for lack of resources or without an error code. The next accept would fail at once too, so
 /// the caller pauses before it.
 pub fn needs_pause(error: &io::Error) -> bool {
-    code(error).is_none_or(is_short_of_resources)
+    code(error).is_none_or(is_resource_exhaustion)
 }
 
-fn is_short_of_resources(code: Errno) -> bool {
+fn is_resource_exhaustion(code: Errno) -> bool {
     matches!(
         code,
         Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM
--- a/crates/gateway/src/system/send_gate.rs
+++ b/crates/gateway/src/system/send_gate.rs
@@ -155,8 +155,8 @@
     }
 
     fn stop_unless_wanted(&self) -> WriteDecision {
-        let is_begun = self.first_write_allowed.load(Ordering::Relaxed);
-        let is_allowed = (self.is_wanted)() && (is_begun || (self.may_start)());
+        let has_started = self.first_write_allowed.load(Ordering::Relaxed);
+        let is_allowed = (self.is_wanted)() && (has_started || (self.may_start)());
         if !is_allowed {
             self.state.set(SendState::Stopped);
             return WriteDecision::Stopped;
--- a/crates/gateway/src/system/send_gate/tests.rs
+++ b/crates/gateway/src/system/send_gate/tests.rs
@@ -12,7 +12,7 @@
     fn new() -> Self {
         let may_start = Arc::new(AtomicBool::new(true));
         let is_wanted = Arc::new(AtomicBool::new(true));
-        let gate = SendGate::new(read(&may_start), read(&is_wanted));
+        let gate = SendGate::new(flag_reader(&may_start), flag_reader(&is_wanted));
         TestGate {
             gate,
             may_start,
@@ -21,7 +21,7 @@
     }
 }
 
-fn read(flag: &Arc<AtomicBool>) -> impl Fn() -> bool + Send + Sync + 'static {
+fn flag_reader(flag: &Arc<AtomicBool>) -> impl Fn() -> bool + Send + Sync + 'static {
     let flag = flag.clone();
     move || flag.load(Ordering::Relaxed)
 }
--- a/crates/gateway/src/system/socket.rs
+++ b/crates/gateway/src/system/socket.rs
@@ -60,11 +60,11 @@
         self.is_local.load(Ordering::Relaxed)
     }
 
-    fn other_end_is_tried(&self) {
+    fn set_remote(&self) {
         self.is_local.store(false, Ordering::Relaxed);
     }
 
-    fn this_machine_lacks_something(&self) {
+    fn set_local(&self) {
         self.is_local.store(true, Ordering::Relaxed);
     }
 }
@@ -90,10 +90,10 @@
     /// An error of the peer, or of the network between this machine and the peer.
     pub async fn connect(address: SocketAddr, wait: &ConnectWait) -> io::Result<Socket> {
         loop {
-            wait.other_end_is_tried();
+            wait.set_remote();
             match TcpStream::connect(address).await {
                 Err(error) if os_error::is_local(&error) => {
-                    wait.this_machine_lacks_something();
+                    wait.set_local();
                     tracing::debug!(%error, %address, "connect failed for a local reason, retrying");
                     sleep(LOCAL_RETRY_PAUSE).await;
                 }
--- a/crates/gateway/src/system/stall_detector.rs
+++ b/crates/gateway/src/system/stall_detector.rs
@@ -26,9 +26,9 @@
 }
 
 impl Stall {
-    /// Whether data that was read at this time may have arrived during the stall.
-    fn covers(&self, read: f64) -> bool {
-        read >= self.began && read < self.ended + CATCH_UP_SECONDS
+    /// Whether data that was read at `read_at` may have arrived during the stall.
+    fn covers(&self, read_at: f64) -> bool {
+        read_at >= self.began && read_at < self.ended + CATCH_UP_SECONDS
     }
 }
 
@@ -52,13 +52,13 @@
         self.last_run = self.last_run.max(now);
     }
 
-    /// The earliest time at which data that was read at `read` can have arrived. Stalls of up to 0.12 s are not
+    /// The earliest time at which data that was read at `read_at` can have arrived. Stalls of up to 0.12 s are not
     /// detected.
-    pub fn arrival_time(&mut self, now: f64, read: f64) -> f64 {
+    pub fn arrival_time(&mut self, now: f64, read_at: f64) -> f64 {
         self.record_run(now);
         match self.last_stall {
-            Some(stall) if stall.covers(read) => stall.began,
-            _ => read,
+            Some(stall) if stall.covers(read_at) => stall.began,
+            _ => read_at,
         }
     }
 }
