--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -194,13 +194,14 @@
         self.scheduler.set_recovery_pending();
         let scheduler = self.scheduler.clone();
         let longest_unpolled_run = self.engines.longest_unpolled_run();
-        let recovered = move |open: Vec<_>| scheduler.recovered(&open, longest_unpolled_run);
+        let on_recovered =
+            move |queries: Vec<_>| scheduler.recovered(&queries, longest_unpolled_run);
         QueryJournal::open(
             &journal.directory,
             &self.config.name,
             self.scheduler.clock(),
             self.longest_deadline_seconds,
-            recovered,
+            on_recovered,
         )
     }
 
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -69,7 +69,7 @@
 impl QueryJournal {
     /// Opens the journal of the gateway named `gateway` in a directory.
     ///
-    /// `longest_deadline` is the longest deadline of any query class, in seconds. `recovered` is called once the
+    /// `longest_deadline` is the longest deadline of any query class, in seconds. `on_recovered` is called once the
     /// journal has been read, with the queries that an earlier process recorded. A transient failure of the disk is no
     /// error: the journal keeps retrying, and [`record_before_send`] permits no query until it succeeds.
     ///
@@ -83,15 +83,15 @@
         gateway: &str,
         clock: Clock,
         longest_deadline: f64,
-        recovered: impl FnOnce(Vec<RecoveredQuery>) + Send + 'static,
+        on_recovered: impl FnOnce(Vec<RecoveredQuery>) + Send + 'static,
     ) -> io::Result<QueryJournal> {
         let path = Path::new(directory).join(format!("{gateway}.once-only"));
         let shown_path = path.display().to_string();
         let boot_clock = BootClock::start();
-        let on_recovery = move |found: Vec<RecoveredQuery>| {
-            let queries = recovered_queries(found, clock, boot_clock);
+        let on_journal_read = move |records: Vec<RecoveredQuery>| {
+            let queries = recovered_queries(records, clock, boot_clock);
             log_recovered(&shown_path, &queries);
-            recovered(queries);
+            on_recovered(queries);
         };
         let boot = Boot {
             boot_id: boot_clock.boot_id,
@@ -101,9 +101,9 @@
             FileStorage::new(&path),
             boot,
             move || boot_clock.millis(),
-            Box::new(on_recovery),
+            Box::new(on_journal_read),
         );
-        check_start(&path, restored)?;
+        check_opened(&path, restored)?;
         Ok(QueryJournal {
             open: Some(OpenJournal {
                 journal,
@@ -150,9 +150,9 @@
 
 /// Returns the error of opening the journal, with the path in its text. A transient error is only logged, since the
 /// journal retries.
-fn check_start(path: &Path, started: io::Result<()>) -> io::Result<()> {
+fn check_opened(path: &Path, opened: io::Result<()>) -> io::Result<()> {
     let path = path.display();
-    match started {
+    match opened {
         Ok(()) => Ok(()),
         Err(error) if is_transient(&error) => {
             tracing::error!(%path, %error, "query journal not open yet, non-idempotent queries are not sent until it is");
@@ -164,7 +164,7 @@
 
 /// Converts `may_run_until_ms` of recovered records from the clock of this boot to the gateway's clock.
 fn recovered_queries(
-    found: Vec<RecoveredQuery>,
+    records: Vec<RecoveredQuery>,
     clock: Clock,
     boot_clock: BootClock,
 ) -> Vec<RecoveredQuery> {
@@ -178,7 +178,7 @@
         };
         RecoveredQuery { record, finished }
     };
-    found.into_iter().map(convert).collect()
+    records.into_iter().map(convert).collect()
 }
 
 fn log_recovered(path: &str, queries: &[RecoveredQuery]) {
