--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -11,12 +11,12 @@
 pub mod subset;
 
 pub use error::ConfigError;
-pub use error::FILE_VARIABLE;
+pub use error::CONFIG_VARIABLE;
 pub use files::{Files, PLAN_VARIABLE};
 
 use crate::discovery::Event;
 use crate::scheduling::plan_routing;
-use error::{unusable, wrong_type, Checked};
+use error::{unusable, wrong_type, ConfigResult};
 use garnetwall_plan::{InvalidPlan, Plan};
 use garnetwall_settings::{decode, FlatSettings, PlatformSettings};
 use garnetwall_subset::SubsetSettings;
@@ -105,8 +105,8 @@
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<Config, ConfigError> {
     let plan_file = files.plan.or_else(|| variable(PLAN_VARIABLE));
-    let config_file = files.config.or_else(|| variable(FILE_VARIABLE));
-    let source = files::read_json(&config_file.ok_or(ConfigError::NoFile)?)?;
+    let config_file = files.config.or_else(|| variable(CONFIG_VARIABLE));
+    let source = files::read_json(&config_file.ok_or(ConfigError::NoConfigFile)?)?;
     let mut config = check(source, variable)?;
     if let Some(file) = plan_file {
         add_plan(&mut config, file)?;
@@ -116,18 +116,22 @@
 
 /// Compiles the plan file and adds the plan to the configuration, after checking it against the settings, the memory
 /// limit and the engine subset.
-fn add_plan(config: &mut Config, file: String) -> Checked<()> {
+fn add_plan(config: &mut Config, file: String) -> ConfigResult<()> {
     let settings = plan_routing::plan_settings(&config.platform);
-    let compiled = garnetwall_plan::compile(&files::Disk, &file, Some(&settings));
+    let compiled = garnetwall_plan::compile(&files::DiskLoader, &file, Some(&settings));
     let compiled = compiled.map_err(|invalid: InvalidPlan| ConfigError::Plan {
         file: file.clone(),
-        what: invalid.to_string(),
+        diagnostics: invalid.to_string(),
     })?;
     let plan = compiled.plan;
     let bodies = plan.bodies.as_ref().map_or(0, |bodies| bodies.memory_bytes);
-    let most = config.memory_mb as u64 * BYTES_PER_MB / BODIES_MEMORY_DIVISOR;
-    if bodies > most {
-        return Err(ConfigError::Bodies { file, bodies, most });
+    let max_bytes = config.memory_mb as u64 * BYTES_PER_MB / BODIES_MEMORY_DIVISOR;
+    if bodies > max_bytes {
+        return Err(ConfigError::BodyMemoryAboveLimit {
+            file,
+            bodies,
+            max_bytes,
+        });
     }
     if let Some(settings) = &mut config.subset {
         let added = subset::add_pools(settings, &plan, &config.platform.names);
@@ -139,7 +143,7 @@
 
 /// Checks the JSON of the configuration file. The environment variables `PROXY_NAME` and `PROXY_LISTEN` override `name`
 /// and `listen`.
-fn check(mut source: Value, variable: impl Fn(&str) -> Option<String>) -> Checked<Config> {
+fn check(mut source: Value, variable: impl Fn(&str) -> Option<String>) -> ConfigResult<Config> {
     check_is_object(&source)?;
     let listen = listen(&source, variable(LISTEN_VARIABLE))?;
     let seed = seed(&source)?;
@@ -178,7 +182,7 @@
     })
 }
 
-fn check_is_object(source: &Value) -> Checked<()> {
+fn check_is_object(source: &Value) -> ConfigResult<()> {
     if source.is_object() {
         return Ok(());
     }
@@ -190,14 +194,14 @@
     ))
 }
 
-fn listen(source: &Value, variable: Option<String>) -> Checked<SocketAddr> {
+fn listen(source: &Value, variable: Option<String>) -> ConfigResult<SocketAddr> {
     match variable {
         Some(text) => fields::address(LISTEN_VARIABLE, &text),
         None => fields::address("listen", fields::text(source, "listen")?),
     }
 }
 
-fn seed(source: &Value) -> Checked<u64> {
+fn seed(source: &Value) -> ConfigResult<u64> {
     let text = fields::text(source, "seed")?;
     u64::from_str_radix(text, 16).map_err(|_| {
         unusable(
@@ -208,7 +212,7 @@
     })
 }
 
-fn settings(source: &Value) -> Checked<PlatformSettings> {
+fn settings(source: &Value) -> ConfigResult<PlatformSettings> {
     let settings = source.get("settings").ok_or_else(|| {
         wrong_type(
             "settings",
@@ -223,7 +227,7 @@
 }
 
 /// Returns the block `limits`, or `null` if it is absent.
-fn limits(source: &Value) -> Checked<&Value> {
+fn limits(source: &Value) -> ConfigResult<&Value> {
     match fields::optional(source, "limits") {
         None => Ok(&Value::Null),
         Some(limits) if limits.is_object() => Ok(limits),
--- a/crates/gateway/src/configuration/error.rs
+++ b/crates/gateway/src/configuration/error.rs
@@ -6,14 +6,14 @@
 use thiserror::Error;
 
 /// The environment variable that names the configuration file.
-pub const FILE_VARIABLE: &str = "PROXY_CONFIG";
+pub const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
 
 /// An invalid or unreadable configuration or plan. The error text names the place, the cause and the remedy.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
     /// Neither the command line nor the environment names a configuration file.
-    #[error("{FILE_VARIABLE}: not set; name the configuration file there or with --config")]
-    NoFile,
+    #[error("{CONFIG_VARIABLE}: not set; name the configuration file there or with --config")]
+    NoConfigFile,
     /// The file cannot be read.
     #[error("{file}: cannot be read: {cause}; name a file that can be read")]
     Unreadable {
@@ -37,32 +37,33 @@
     #[error("configuration {0}")]
     Subset(#[from] SubsetError),
     /// A key of the settings that `--settings` names is missing or has an invalid value.
-    #[error("{file}: {fault}")]
+    #[error("{file}: {error}")]
     Settings {
         /// The path of the file as it was given.
         file: String,
         /// The error of the key.
-        fault: SettingsError,
+        error: SettingsError,
     },
     /// The plan does not compile.
-    #[error("invalid plan {file}\n{what}")]
+    #[error("invalid plan {file}\n{diagnostics}")]
     Plan {
         /// The path of the plan file as it was given.
         file: String,
         /// All errors with their places, as `plan check` prints them.
-        what: String,
+        diagnostics: String,
     },
     /// The plan gives bodies more memory than `limits.memory_mb` allows.
     #[error(
-        "plan {file}: bodies have {bodies} bytes of memory, but limits.memory_mb allows at most {most}; give them less"
+        "plan {file}: bodies have {bodies} bytes of memory, but limits.memory_mb allows at most {max_bytes}; \
+         give them less"
     )]
-    Bodies {
+    BodyMemoryAboveLimit {
         /// The path of the plan file as it was given.
         file: String,
         /// The memory that the plan gives bodies, in bytes.
         bodies: u64,
         /// The memory that bodies may have, in bytes.
-        most: u64,
+        max_bytes: u64,
     },
     /// A pool of the plan selects engines by id, address or exception, which an engine subset does not support.
     #[error(
@@ -78,7 +79,7 @@
 }
 
 /// The result of reading and checking a part of the configuration.
-pub(super) type Checked<T> = Result<T, ConfigError>;
+pub(super) type ConfigResult<T> = Result<T, ConfigError>;
 
 /// Creates the error of a key that is missing or whose value has another type than `expected`.
 pub(super) fn wrong_type(
--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -1,6 +1,6 @@
 //! Reads single keys of the configuration's JSON as texts, addresses and numbers.
 
-use super::error::{unusable, wrong_type, Checked, ConfigError};
+use super::error::{unusable, wrong_type, ConfigError, ConfigResult};
 use garnetwall_settings::{abbreviate, SettingsError, SettingsErrorCause};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 }
 
 /// Returns the text of a required key, which must not be empty.
-pub(super) fn text<'a>(json: &'a Value, key: &str) -> Checked<&'a str> {
+pub(super) fn text<'a>(json: &'a Value, key: &str) -> ConfigResult<&'a str> {
     match json.get(key) {
         Some(Value::String(text)) if text.is_empty() => {
             Err(SettingsError::new(key, SettingsErrorCause::Empty, "write a non-empty text").into())
@@ -23,7 +23,7 @@
 }
 
 /// Parses an address with a port other than 0. `place` names the key or variable in errors.
-pub(super) fn address(place: &str, text: &str) -> Checked<SocketAddr> {
+pub(super) fn address(place: &str, text: &str) -> ConfigResult<SocketAddr> {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.port() != 0 => Ok(address),
         _ => {
@@ -44,7 +44,7 @@
     block: &str,
     key: &str,
     range: RangeInclusive<u64>,
-) -> Checked<Option<usize>> {
+) -> ConfigResult<Option<usize>> {
     let Some(value) = optional(json, key) else {
         return Ok(None);
     };
--- a/crates/gateway/src/configuration/files.rs
+++ b/crates/gateway/src/configuration/files.rs
@@ -1,6 +1,6 @@
 //! Reads the files of a gateway from disk: the configuration, the settings and the plan.
 
-use super::error::{Checked, ConfigError};
+use super::error::{ConfigError, ConfigResult};
 use garnetwall_plan::source::{resolve_relative, LoadError, Loader};
 use garnetwall_settings::{decode, FlatSettings, PlatformSettings};
 use serde_json::Value;
@@ -13,16 +13,16 @@
 /// ones.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
-    /// The configuration file; if `None`, [`FILE_VARIABLE`](super::FILE_VARIABLE) names it.
+    /// The configuration file; if `None`, [`CONFIG_VARIABLE`](super::CONFIG_VARIABLE) names it.
     pub config: Option<String>,
     /// The plan file; if `None`, [`PLAN_VARIABLE`] names it.
     pub plan: Option<String>,
 }
 
 /// Loads plan files, and the files that they include, from the disk.
-pub struct Disk;
+pub struct DiskLoader;
 
-impl Loader for Disk {
+impl Loader for DiskLoader {
     fn load(&self, name: &str) -> Result<Vec<u8>, LoadError> {
         if Path::new(name).is_dir() {
             return Err(LoadError::IsDirectory);
@@ -36,7 +36,7 @@
 }
 
 /// Reads and parses a JSON file.
-pub(super) fn read_json(file: &str) -> Checked<Value> {
+pub(super) fn read_json(file: &str) -> ConfigResult<Value> {
     let text = std::fs::read(file).map_err(|error| ConfigError::Unreadable {
         file: file.into(),
         cause: error.to_string(),
@@ -49,12 +49,12 @@
 
 /// Reads the platform settings from the block `settings` of a configuration file, or from a file that contains only the
 /// settings.
-pub(super) fn read_settings(file: &str) -> Checked<PlatformSettings> {
+pub(super) fn read_settings(file: &str) -> ConfigResult<PlatformSettings> {
     let json = read_json(file)?;
     let settings = json.get("settings").unwrap_or(&json);
     let decoded = FlatSettings::from_json(settings).and_then(|flat| decode(&flat));
-    decoded.map_err(|fault| ConfigError::Settings {
+    decoded.map_err(|error| ConfigError::Settings {
         file: file.into(),
-        fault,
+        error,
     })
 }
--- a/crates/gateway/src/configuration/initial_list.rs
+++ b/crates/gateway/src/configuration/initial_list.rs
@@ -1,6 +1,6 @@
 //! Reads the block `known` of the configuration: the change log's events that the gateway applies at its start.
 
-use super::error::{unusable, wrong_type, Checked, ConfigError};
+use super::error::{unusable, wrong_type, ConfigError, ConfigResult};
 use crate::discovery::{self, Event, EventError, NameIndex};
 use garnetwall_settings::Names;
 use serde_json::Value;
@@ -16,7 +16,7 @@
 
 impl InitialList {
     /// Reads and checks the block.
-    pub(super) fn read(json: &Value, names: &Names) -> Checked<InitialList> {
+    pub(super) fn read(json: &Value, names: &Names) -> ConfigResult<InitialList> {
         if !json.is_object() {
             return Err(wrong_type(
                 "known",
@@ -41,7 +41,7 @@
     }
 }
 
-fn last_event(json: &Value) -> Checked<u64> {
+fn last_event(json: &Value) -> ConfigResult<u64> {
     let number = json.get("seq").and_then(Value::as_u64);
     number.ok_or_else(|| {
         wrong_type(
@@ -53,7 +53,7 @@
     })
 }
 
-fn results(json: &Value) -> Checked<&Vec<Value>> {
+fn results(json: &Value) -> ConfigResult<&Vec<Value>> {
     let results = json.get("results").and_then(Value::as_array);
     results.ok_or_else(|| {
         wrong_type(
@@ -66,7 +66,12 @@
 }
 
 /// Checks that the number of an event is greater than the previous one and not greater than `last_event`.
-fn check_order(place: &str, number: u64, previous: Option<u64>, last_event: u64) -> Checked<()> {
+fn check_order(
+    place: &str,
+    number: u64,
+    previous: Option<u64>,
+    last_event: u64,
+) -> ConfigResult<()> {
     let ascends = previous.is_none_or(|previous| number > previous);
     if ascends && number <= last_event {
         return Ok(());
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -2,7 +2,7 @@
 //!
 //! The exit code is 0 for success, 1 for an error or a difference, and 2 for a usage error.
 
-use super::files::{read_settings, Disk};
+use super::files::{read_settings, DiskLoader};
 use super::ConfigError;
 use crate::scheduling::plan_routing;
 use crate::system::clock::minute_of_day;
@@ -174,7 +174,7 @@
 }
 
 fn read(file: &str, settings: Option<&Settings>) -> Result<Compiled, PlanCommandError> {
-    Ok(compile(&Disk, file, settings)?)
+    Ok(compile(&DiskLoader, file, settings)?)
 }
 
 fn check(mut arguments: Arguments) -> CommandResult {
@@ -199,7 +199,7 @@
     let text = read_text(&file)?;
     let Ok(formatted) = format::format(&text) else {
         // Reading the plan as a whole reports the errors with their places.
-        let source = garnetwall_plan::source::read(&Disk, &file);
+        let source = garnetwall_plan::source::read(&DiskLoader, &file);
         return Err(PlanCommandError::InvalidPlan(diagnostic::render(
             &source.files,
             &source.diagnostics,
@@ -223,7 +223,9 @@
 }
 
 fn read_text(file: &str) -> Result<String, PlanCommandError> {
-    let bytes = Disk.load(file).map_err(|error| file_error(file, error))?;
+    let bytes = DiskLoader
+        .load(file)
+        .map_err(|error| file_error(file, error))?;
     String::from_utf8(bytes).map_err(|error| file_error(file, error))
 }
 
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -1,6 +1,6 @@
 //! Reads the block `subset` of the configuration: the size and the rules of the gateway's engine subset.
 
-use super::error::{wrong_type, Checked};
+use super::error::{wrong_type, ConfigResult};
 use super::fields;
 use garnetwall::api::{DeduplicationScope, Idempotency, QueryClass};
 use garnetwall_plan::model::Pool;
@@ -24,7 +24,7 @@
     json: Option<&Value>,
     gateway: &str,
     platform: &PlatformSettings,
-) -> Checked<Option<SubsetSettings>> {
+) -> ConfigResult<Option<SubsetSettings>> {
     let block = match json {
         None | Some(Value::Null) => return Ok(None),
         Some(block) => block,
@@ -55,18 +55,18 @@
     Ok(Some(settings))
 }
 
-fn size(block: &Value) -> Checked<usize> {
+fn size(block: &Value) -> ConfigResult<usize> {
     let remedy = "write the number of engines that the gateway works with";
     let size = engines(block, "size", 1)?;
     size.ok_or_else(|| wrong_type("subset.size", "a number", None, remedy))
 }
 
 /// Returns the optional number of engines at `key`, which must be at least `min`.
-fn engines(block: &Value, key: &str, min: u64) -> Checked<Option<usize>> {
+fn engines(block: &Value, key: &str, min: u64) -> ConfigResult<Option<usize>> {
     fields::whole_number(block, BLOCK, key, min..=MAX_ENGINES)
 }
 
-fn joins_per_second(block: &Value) -> Checked<Option<f64>> {
+fn joins_per_second(block: &Value) -> ConfigResult<Option<f64>> {
     number(
         block,
         "joins_per_second",
@@ -76,7 +76,7 @@
     )
 }
 
-fn near_weight(block: &Value) -> Checked<Option<f64>> {
+fn near_weight(block: &Value) -> ConfigResult<Option<f64>> {
     number(
         block,
         "near_weight",
@@ -93,7 +93,7 @@
     is_allowed: impl Fn(f64) -> bool,
     remedy: &str,
     expected: &str,
-) -> Checked<Option<f64>> {
+) -> ConfigResult<Option<f64>> {
     let Some(value) = fields::optional(block, key) else {
         return Ok(None);
     };
@@ -113,7 +113,7 @@
 }
 
 /// Returns the index in the settings of the gateway's own zone, which the block names.
-fn zone(block: &Value, names: &Names) -> Checked<Option<u32>> {
+fn zone(block: &Value, names: &Names) -> ConfigResult<Option<u32>> {
     const REMEDY: &str = "write a name from settings.zones";
     let name = match fields::optional(block, "zone") {
         None => return Ok(None),
