--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -61,22 +61,22 @@
     match number {
         Some(number) => Ok(Some(number)),
         None => {
-            let expected = format!("not from {min} to {max}");
-            Err(out_of_range(place, value, expected, remedy))
+            let violation = format!("not from {min} to {max}");
+            Err(out_of_range(place, value, violation, remedy))
         }
     }
 }
 
-/// Creates the error of a number outside its range. `expected` describes the violation, such as `not from 1 to 5`.
+/// Creates the error of a number outside its range. `range_violation` completes "the number is", such as `not from 1 to 5`.
 pub(super) fn out_of_range(
     place: String,
     found: &Value,
-    expected: String,
+    range_violation: String,
     remedy: String,
 ) -> ConfigError {
     let cause = SettingsErrorCause::OutOfRange {
         found: abbreviate(found),
-        violation: expected,
+        violation: range_violation,
     };
     SettingsError::new(place, cause, remedy).into()
 }
--- a/crates/gateway/src/configuration/plan_commands.rs
+++ b/crates/gateway/src/configuration/plan_commands.rs
@@ -149,7 +149,10 @@
 }
 
 /// Returns the next argument that is not an option. `expected` describes the argument in the error.
-fn file(arguments: &mut Arguments, expected: &'static str) -> Result<String, PlanCommandError> {
+fn file_argument(
+    arguments: &mut Arguments,
+    expected: &'static str,
+) -> Result<String, PlanCommandError> {
     let file: Option<String> = arguments.opt_free_from_str()?;
     match file.filter(|file| !file.starts_with('-')) {
         Some(file) => Ok(file),
@@ -157,7 +160,7 @@
     }
 }
 
-fn expect_no_more(arguments: Arguments) -> Result<(), PlanCommandError> {
+fn expect_no_more_arguments(arguments: Arguments) -> Result<(), PlanCommandError> {
     match arguments.finish().into_iter().next() {
         Some(argument) => Err(UsageError::UnknownArgument(argument).into()),
         None => Ok(()),
@@ -165,7 +168,7 @@
 }
 
 /// Reads the settings file that `--settings` names, to check a plan against it; `None` without the option.
-fn settings(arguments: &mut Arguments) -> Result<Option<Settings>, PlanCommandError> {
+fn settings_argument(arguments: &mut Arguments) -> Result<Option<Settings>, PlanCommandError> {
     let Some(file) = option(arguments, "--settings")? else {
         return Ok(None);
     };
@@ -173,15 +176,15 @@
     Ok(Some(plan_routing::plan_settings(&platform)))
 }
 
-fn read(file: &str, settings: Option<&Settings>) -> Result<Compiled, PlanCommandError> {
+fn compile_plan(file: &str, settings: Option<&Settings>) -> Result<Compiled, PlanCommandError> {
     Ok(compile(&DiskLoader, file, settings)?)
 }
 
 fn check(mut arguments: Arguments) -> CommandResult {
-    let settings = settings(&mut arguments)?;
-    let file = file(&mut arguments, "a plan file")?;
-    expect_no_more(arguments)?;
-    let plan = read(&file, settings.as_ref())?.plan;
+    let settings = settings_argument(&mut arguments)?;
+    let file = file_argument(&mut arguments, "a plan file")?;
+    expect_no_more_arguments(arguments)?;
+    let plan = compile_plan(&file, settings.as_ref())?.plan;
     Ok(Output::success(format!(
         "{file} is valid: {} routes, {} pools, {} limits, rules of {} query classes and {} tenants\n",
         plan.routes.len(),
@@ -193,9 +196,9 @@
 }
 
 fn fmt(mut arguments: Arguments) -> CommandResult {
-    let only_check = arguments.contains("--check");
-    let file = file(&mut arguments, "a plan file")?;
-    expect_no_more(arguments)?;
+    let check_only = arguments.contains("--check");
+    let file = file_argument(&mut arguments, "a plan file")?;
+    expect_no_more_arguments(arguments)?;
     let text = read_text(&file)?;
     let Ok(formatted) = format::format(&text) else {
         // Reading the plan as a whole reports the errors with their places.
@@ -208,10 +211,10 @@
     if formatted == text {
         return Ok(Output::success(String::new()));
     }
-    if only_check {
+    if check_only {
         return Err(PlanCommandError::NotFormatted { file });
     }
-    replace(&file, &formatted)?;
+    replace_file(&file, &formatted)?;
     Ok(Output::success(String::new()))
 }
 
@@ -231,7 +234,7 @@
 
 /// Replaces a file atomically: the text is written to `{file}.new`, which is then renamed. The old content survives a
 /// full disk.
-fn replace(file: &str, text: &str) -> Result<(), PlanCommandError> {
+fn replace_file(file: &str, text: &str) -> Result<(), PlanCommandError> {
     let new_file = format!("{file}.new");
     std::fs::write(&new_file, text)
         .and_then(|()| std::fs::rename(&new_file, file))
@@ -240,10 +243,13 @@
 
 fn show_diff(mut arguments: Arguments) -> CommandResult {
     let json = arguments.contains("--json");
-    let old = file(&mut arguments, "the files of the old and the new plan")?;
-    let new = file(&mut arguments, "the file of the new plan")?;
-    expect_no_more(arguments)?;
-    let changes = diff::diff(&read(&old, None)?.plan, &read(&new, None)?.plan);
+    let old = file_argument(&mut arguments, "the files of the old and the new plan")?;
+    let new = file_argument(&mut arguments, "the file of the new plan")?;
+    expect_no_more_arguments(arguments)?;
+    let changes = diff::diff(
+        &compile_plan(&old, None)?.plan,
+        &compile_plan(&new, None)?.plan,
+    );
     if changes.is_empty() && !json {
         return Ok(Output::success(String::new()));
     }
@@ -273,7 +279,7 @@
 
 impl ExplainOptions {
     fn read(arguments: &mut Arguments) -> Result<ExplainOptions, PlanCommandError> {
-        let settings = settings(arguments)?;
+        let settings = settings_argument(arguments)?;
         let group = option(arguments, "--group")?.ok_or(UsageError::Missing("--group"))?;
         let tenant = option(arguments, "--tenant")?.unwrap_or_default();
         let client = option(arguments, "--client")?.unwrap_or_else(|| "::".into());
@@ -301,9 +307,9 @@
 
 fn explain_route(mut arguments: Arguments) -> CommandResult {
     let options = ExplainOptions::read(&mut arguments)?;
-    let file = file(&mut arguments, "a plan file")?;
-    expect_no_more(arguments)?;
-    let compiled = read(&file, options.settings.as_ref())?;
+    let file = file_argument(&mut arguments, "a plan file")?;
+    expect_no_more_arguments(arguments)?;
+    let compiled = compile_plan(&file, options.settings.as_ref())?;
     let facts = QueryFacts {
         class: &options.group,
         tenant: &options.tenant,
@@ -331,10 +337,10 @@
 }
 
 fn show(mut arguments: Arguments) -> CommandResult {
-    let settings = settings(&mut arguments)?;
-    let file = file(&mut arguments, "a plan file")?;
-    expect_no_more(arguments)?;
-    let plan = read(&file, settings.as_ref())?.plan;
+    let settings = settings_argument(&mut arguments)?;
+    let file = file_argument(&mut arguments, "a plan file")?;
+    expect_no_more_arguments(arguments)?;
+    let plan = compile_plan(&file, settings.as_ref())?.plan;
     let json = serde_json::to_string_pretty(&plan).unwrap_or_default();
     Ok(Output::success(json + "\n"))
 }
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -35,8 +35,8 @@
     }
     let size = size(block)?;
     let defaults = SubsetSettings::with_size(size, platform.settings.gateways);
-    let class_floor = engines(block, "class_floor", 0)?;
-    let reserve = engines(block, "reserve", 0)?;
+    let class_floor = engine_count(block, "class_floor", 0)?;
+    let reserve = engine_count(block, "reserve", 0)?;
     let joins_per_second = joins_per_second(block)?;
     let zone = zone(block, &platform.names)?;
     let near_weight = near_weight(block)?;
@@ -57,12 +57,12 @@
 
 fn size(block: &Value) -> ConfigResult<usize> {
     let remedy = "write the number of engines that the gateway works with";
-    let size = engines(block, "size", 1)?;
+    let size = engine_count(block, "size", 1)?;
     size.ok_or_else(|| wrong_type("subset.size", "a number", None, remedy))
 }
 
 /// Returns the optional number of engines at `key`, which must be at least `min`.
-fn engines(block: &Value, key: &str, min: u64) -> ConfigResult<Option<usize>> {
+fn engine_count(block: &Value, key: &str, min: u64) -> ConfigResult<Option<usize>> {
     fields::whole_number(block, BLOCK, key, min..=MAX_ENGINES)
 }
 
@@ -86,13 +86,13 @@
     )
 }
 
-/// Returns the optional number at `key`. `expected` describes the violation of a number that is not allowed.
+/// Returns the optional number at `key`. `violation` completes "the number is" in the error of one that is not allowed.
 fn number(
     block: &Value,
     key: &str,
     is_allowed: impl Fn(f64) -> bool,
     remedy: &str,
-    expected: &str,
+    violation: &str,
 ) -> ConfigResult<Option<f64>> {
     let Some(value) = fields::optional(block, key) else {
         return Ok(None);
@@ -105,7 +105,7 @@
         return Err(fields::out_of_range(
             place,
             value,
-            expected.into(),
+            violation.into(),
             remedy.into(),
         ));
     }
