--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// Creates the error of a number outside its range. `range_violation` completes "the number is", such as `not from 1 to 5`.
+/// Creates the error of a number outside its range. `range_violation` follows "is" in the error text, for example
+/// `not from 1 to 5`.
 pub(super) fn out_of_range(
     place: String,
     found: &Value,
--- a/crates/gateway/src/configuration/subset.rs
+++ b/crates/gateway/src/configuration/subset.rs
@@ -86,7 +86,7 @@
     )
 }
 
-/// Returns the optional number at `key`. `violation` completes "the number is" in the error of one that is not allowed.
+/// Returns the optional number at `key`. `violation` follows "is" in the error text of a number that is not allowed.
 fn number(
     block: &Value,
     key: &str,
--- a/crates/gateway/src/gateway/reload.rs
+++ b/crates/gateway/src/gateway/reload.rs
@@ -11,8 +11,8 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 
-/// Applies each configuration from `reloads` until the gateway exits. A key needs a restart if its value differs from the
-/// one in `initial_config`, with which the gateway was started.
+/// Applies each configuration from `reloads` until the gateway exits. A key needs a restart if its value differs from
+/// the one in `initial_config`, with which the gateway was started.
 pub(super) async fn apply_reloads(
     initial_config: Config,
     scheduler: Arc<Scheduler>,
--- a/crates/gateway/src/storage/body_store.rs
+++ b/crates/gateway/src/storage/body_store.rs
@@ -42,8 +42,8 @@
     Ok(Store::new(limits, EvictionPolicy::Largest, spool))
 }
 
-/// Logs counts for each query class and kind of storage: bodies received, retries that read their body again, and retries
-/// that found it missing.
+/// Logs counts for each query class and kind of storage: bodies received, retries that read their body again, and
+/// retries that found it missing.
 pub fn log_body_store(store: &Store, class_names: &[String]) {
     for ((class, storage), counts) in store.counts() {
         tracing::info!(
--- a/crates/gateway/src/storage/query_journal.rs
+++ b/crates/gateway/src/storage/query_journal.rs
@@ -155,7 +155,7 @@
     match opened {
         Ok(()) => Ok(()),
         Err(error) if is_transient(&error) => {
-            tracing::error!(%path, %error, "query journal not open yet, non-idempotent queries are not sent until it is");
+            tracing::error!(%path, %error, "query journal not open yet, no non-idempotent query is sent until it is");
             Ok(())
         }
         Err(error) => Err(io::Error::new(error.kind(), format!("{path}: {error}"))),
--- a/crates/gateway/src/system/write_timeout.rs
+++ b/crates/gateway/src/system/write_timeout.rs
@@ -16,8 +16,8 @@
 pub struct WriteTimeout(Option<Pin<Box<Sleep>>>);
 
 impl WriteTimeout {
-    /// Returns the result of polling a write, or an error of the kind [`io::ErrorKind::TimedOut`] once the write has been
-    /// pending for 10 s.
+    /// Returns the result of polling a write, or an error of the kind [`io::ErrorKind::TimedOut`] once the write has
+    /// been pending for 10 s.
     pub fn bounded(
         &mut self,
         cx: &mut Context,
