--- a/crates/ledger/src/attempts.rs
+++ b/crates/ledger/src/attempts.rs
@@ -1,4 +1,5 @@
-//! The ledger of open attempts: finds the attempt that evidence is of, and holds it until its outcome has been reported.
+//! Implements the ledger of open attempts, which keeps the evidence of each attempt until its outcome has been
+//! reported.
 
 mod evidence;
 mod open_attempt;
@@ -12,11 +13,11 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// An attempt in the ledger.
+/// Identifies an attempt in a ledger; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(u64);
 
-/// All attempts that were opened and not closed, with an entry for each.
+/// Ledger of all attempts that were opened and not yet closed.
 #[derive(Debug)]
 pub struct Ledger {
     limits: ProtocolLimits,
@@ -25,7 +26,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger whose attempts are all subject to `limits`.
     pub fn new(limits: ProtocolLimits) -> Self {
         Ledger {
             limits,
@@ -34,10 +35,10 @@
         }
     }
 
-    /// Opens an attempt that is about to be sent; it stays in the ledger until [`close`](Ledger::close).
+    /// Adds an attempt that is about to be sent. The attempt stays in the ledger until [`close`](Ledger::close).
     ///
-    /// Where engines send progress events the attempt may run for `progress_expiry` after it was last polled, if that is
-    /// longer than [`ProtocolLimits::poll_expiry`].
+    /// `progress_expiry` matters only if engines send progress events: the attempt may then run for `progress_expiry`
+    /// after the last poll if that is longer than [`ProtocolLimits::poll_expiry`].
     pub fn open(&mut self, now: Duration, progress_expiry: Duration) -> AttemptId {
         let id = AttemptId(self.next_id);
         self.next_id += 1;
@@ -46,7 +47,7 @@
         id
     }
 
-    /// Records what was observed of an attempt. Evidence after a proof, or after the attempt was closed, changes nothing.
+    /// Records an observation of an attempt. Evidence is ignored after a proof, and after the attempt was closed.
     pub fn record(&mut self, now: Duration, id: AttemptId, evidence: Evidence) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -54,7 +55,8 @@
         attempt.record(now, &self.limits, evidence);
     }
 
-    /// The next step towards the end of an attempt that nobody waits for any more. One that is not in the ledger has ended.
+    /// Returns the next step towards ending an attempt whose result is no longer wanted. An attempt that is not in the
+    /// ledger counts as ended.
     pub fn next_cancel_step(&mut self, now: Duration, id: AttemptId) -> CancelStep {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return CancelStep::Finished(Proof::Ended);
@@ -62,7 +64,8 @@
         attempt.next_cancel_step(now, self.limits.cancel_pause)
     }
 
-    /// The latest time at which an attempt may still run; `None` once it is proved that it does not.
+    /// Returns the latest time at which an attempt may still run. Returns `None` if it is proved that the attempt no
+    /// longer runs, or the attempt is not in the ledger.
     pub fn may_run_until(&self, id: AttemptId) -> Option<Duration> {
         self.attempts.get(&id)?.may_run_until()
     }
@@ -72,12 +75,12 @@
         self.attempts.remove(&id);
     }
 
-    /// The number of attempts in the ledger.
+    /// Returns the number of attempts in the ledger.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether no attempt is in the ledger.
+    /// Returns whether the ledger contains no attempts.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
--- a/crates/ledger/src/attempts/evidence.rs
+++ b/crates/ledger/src/attempts/evidence.rs
@@ -1,53 +1,57 @@
-//! What can be observed of an attempt, and what proves that it does not run any more.
+//! Defines the evidence that can be observed of an attempt, and the proofs that the attempt no longer runs.
 
-/// A connection to the engine of one attempt, by its number in the order in which they are made. The default is the number
-/// before the first connection.
+/// Number of a connection that was made for one attempt, in the order in which the connections are made. The default is
+/// the number before the first connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionId(pub u32);
 
 impl ConnectionId {
-    /// The connection that is made next.
+    /// Returns the number of the next connection.
     #[must_use]
     pub fn next(self) -> Self {
         ConnectionId(self.0 + 1)
     }
 }
 
-/// An observation of an attempt. The table in the crate's documentation says what each proves.
+/// An observation of an attempt. The table in the crate documentation lists the conclusion from each observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// The request that starts the attempt, or a poll, is being written: from now on it may have reached the engine.
+    /// Writing of the request that starts the attempt, or of a poll, begins. From now on the request may have reached
+    /// the engine.
     RequestSent,
-    /// The process at the end of this connection has shown that it has the attempt, which still runs.
+    /// The process at the far end of this connection has shown that it has the attempt, and that the attempt still
+    /// runs.
     Running(ConnectionId),
-    /// The engine has reported how the attempt ended, or that it never ran.
+    /// The engine reported the outcome of the attempt, or that the attempt never ran.
     Ended,
-    /// Polled on this connection, a process reported that the attempt failed, or that it does not know it.
+    /// A process that was polled on this connection reported that the attempt failed, or that it does not know the
+    /// attempt.
     ReportedFailed(ConnectionId),
-    /// No connection was made for the request: nothing can have reached the engine.
+    /// No connection could be made for the request, so the attempt cannot have reached the engine.
     NeverReached,
-    /// A cancellation was answered on this connection.
+    /// A process answered a cancellation on this connection.
     Cancelled(ConnectionId),
     /// This connection was reset or closed.
     ConnectionLost(ConnectionId),
-    /// This connection carried what can't be read, or nothing in time: it is of no further use.
+    /// An answer on this connection could not be decoded or did not arrive in time, so the connection is not used
+    /// again.
     ConnectionUnusable(ConnectionId),
-    /// A new connection was refused.
+    /// The engine's address refused a new connection.
     ConnectionRefused,
-    /// A cancellation failed.
+    /// A cancellation could not be sent, or its answer was not usable.
     CancelFailed,
 }
 
-/// Why an attempt is known not to run any more.
+/// Reason why an attempt certainly no longer runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// The engine reported its end, or that it never ran.
+    /// The engine reported the end of the attempt, or that the attempt never ran.
     Ended,
-    /// It can't have reached the engine.
+    /// The attempt cannot have reached the engine.
     NeverReached,
-    /// The process that ran it has answered a cancellation.
+    /// The process that ran the attempt answered a cancellation.
     Cancelled,
-    /// Nobody has polled it for so long that the engine has dropped it or, where progress events keep it running, the time
-    /// for which it may run is over.
+    /// The attempt was not polled for so long that the engine has dropped it. If progress events keep attempts running,
+    /// the longest time for which the attempt may run is over.
     Expired,
 }
--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -1,53 +1,54 @@
-//! What is known of one attempt, and what can be done to end it.
+//! Implements the state of one open attempt, and chooses the next step towards ending it.
 
 use super::evidence::{ConnectionId, Evidence, Proof};
 use super::protocol_limits::{ProgressEvents, ProtocolLimits};
 use std::time::Duration;
 
-/// Where progress events keep attempts running: how often the process at an engine's address is asked whether it has an
-/// attempt that is to be cancelled. Asking keeps the attempt running too.
+/// Maximum number of polls that are sent to find the process that has an attempt to be cancelled. Used only if progress
+/// events keep attempts running. Limited because each such poll keeps the attempt running, too.
 const MAX_IDENTIFICATIONS: u32 = 3;
 
-/// The next step towards the end of an attempt that nobody waits for any more.
+/// Next step towards ending an attempt whose result is no longer wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelStep {
-    /// The attempt does not run any more.
+    /// The attempt no longer runs; nothing is left to do.
     Finished(Proof),
-    /// Poll the attempt on a new connection, now, and ask for the next step again: only a process that shows that it has the
-    /// attempt cancels it for certain.
+    /// Poll the attempt on a new connection now, then ask for the next step again. A cancellation is certain to take
+    /// effect only at a process that has shown that it has the attempt.
     IdentifyProcess,
-    /// Send a cancellation, now. After this time the attempt does not run any more.
+    /// Send a cancellation now. The attempt expires after this time even if the cancellation fails.
     Cancel(Duration),
-    /// Nothing can be done before this time has passed; ask again then.
+    /// Do nothing for this time, then ask for the next step again.
     Wait(Duration),
 }
 
-/// What is known of an attempt.
+/// State of one attempt in the ledger.
 #[derive(Debug)]
 pub(super) struct OpenAttempt {
-    /// The request may have reached the engine.
+    /// Whether a request of the attempt may have reached the engine.
     may_have_reached: bool,
-    /// The latest time at which something may have reached the engine that keeps the attempt running.
+    /// Latest time at which a request that keeps the attempt running may have reached the engine.
     last_contact: Duration,
-    /// How long the attempt may run after `last_contact`.
+    /// Longest time for which the attempt may run after `last_contact`.
     expiry: Duration,
-    /// How often the process at the engine's address may still be asked whether it has the attempt.
+    /// Number of polls that may still be sent to find the process that has the attempt.
     identifications_left: u32,
-    /// The next request that is sent asks so.
+    /// Whether the next request to be recorded is such a poll.
     identifying: bool,
-    /// A connection to the process that has the attempt, while it can be used.
+    /// Usable connection to the process that has the attempt; `None` while there is none.
     identified_connection: Option<ConnectionId>,
-    /// A connection was refused, or a process that may be another answered a cancellation: without an identified connection
-    /// no further cancellation can achieve more.
+    /// Whether further cancellations are useless without an identified connection: a connection was refused, or a
+    /// process that may not have the attempt answered a cancellation.
     cancellation_exhausted: bool,
-    /// When a cancellation failed last.
+    /// Time of the last failed cancellation.
     cancel_failed_at: Option<Duration>,
-    /// Set once it is proved that the attempt does not run any more.
+    /// Proof that the attempt no longer runs; never changes once it is set.
     proof: Option<Proof>,
 }
 
 impl OpenAttempt {
-    /// An attempt of which nothing was sent yet. `progress_expiry` is as in [`Ledger::open`](super::Ledger::open).
+    /// Creates an attempt for which no request was sent yet. `progress_expiry` is as in
+    /// [`Ledger::open`](super::Ledger::open).
     pub(super) fn new(now: Duration, limits: &ProtocolLimits, progress_expiry: Duration) -> Self {
         let (expiry, identifications_left) = match limits.progress_events {
             ProgressEvents::NotSent => (limits.poll_expiry, 0),
@@ -68,12 +69,12 @@
         }
     }
 
-    /// The latest time at which the attempt may still run, unless there is a proof.
+    /// Returns the latest time at which the attempt may still run, ignoring any proof.
     fn expires_at(&self) -> Duration {
         self.last_contact + self.expiry
     }
 
-    /// Records what was observed; after a proof nothing counts any more.
+    /// Records an observation at time `now`. Evidence after a proof is ignored.
     pub(super) fn record(&mut self, now: Duration, limits: &ProtocolLimits, evidence: Evidence) {
         if self.proof.is_some() {
             return;
@@ -105,7 +106,8 @@
         }
     }
 
-    /// The next step towards its end.
+    /// Returns the next step towards ending the attempt. Stores the proof if the time alone proves that the attempt no
+    /// longer runs.
     pub(super) fn next_cancel_step(&mut self, now: Duration, cancel_pause: Duration) -> CancelStep {
         self.proof = self.proof.or_else(|| self.proof_by_time(now));
         match self.proof {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The latest time at which the attempt may still run; `None` once it is proved that it does not.
+    /// Returns the latest time at which the attempt may still run; `None` once there is a proof that it no longer runs.
     pub(super) fn may_run_until(&self) -> Option<Duration> {
         match self.proof {
             Some(_) => None,
@@ -140,7 +142,7 @@
         self.cancellation_exhausted = false;
     }
 
-    /// What the time alone proves.
+    /// Returns the proof that follows from the time alone, if there is one.
     fn proof_by_time(&self, now: Duration) -> Option<Proof> {
         if !self.may_have_reached {
             return Some(Proof::NeverReached);
@@ -148,7 +150,7 @@
         (now >= self.expires_at()).then_some(Proof::Expired)
     }
 
-    /// What can be done before [`Self::expires_at`], which has not passed.
+    /// Returns the next step of an attempt without a proof, before [`Self::expires_at`] has passed.
     fn cancel_step(&mut self, now: Duration, cancel_pause: Duration) -> CancelStep {
         let remaining = self.expires_at() - now;
         let has_connection = self.identified_connection.is_some();
@@ -166,7 +168,7 @@
         CancelStep::Cancel(remaining)
     }
 
-    /// The rest of the pause after a failed cancellation.
+    /// Returns the rest of the pause after the last failed cancellation; zero if there is none.
     fn remaining_pause(&self, now: Duration, cancel_pause: Duration) -> Duration {
         match self.cancel_failed_at {
             Some(failed_at) => (failed_at + cancel_pause).saturating_sub(now),
--- a/crates/ledger/src/attempts/protocol_limits.rs
+++ b/crates/ledger/src/attempts/protocol_limits.rs
@@ -1,25 +1,26 @@
-//! The time limits of the engine protocol.
+//! Defines the time limits of the engine protocol.
 
 use std::time::Duration;
 
-/// The protocol's time limits, and the pause between two cancellations.
+/// Time limits of the engine protocol, and the gateway's pause after a failed cancellation.
 #[derive(Clone, Copy, Debug)]
 pub struct ProtocolLimits {
-    /// An engine answers a poll after this time at most.
+    /// Longest time that an engine takes to answer a poll.
     pub long_poll: Duration,
-    /// Whether engines send progress events.
+    /// Whether engines send progress events, which keep attempts running.
     pub progress_events: ProgressEvents,
-    /// An engine drops an attempt that nobody has polled for this time.
+    /// Time without a poll after which an engine drops an attempt.
     pub poll_expiry: Duration,
-    /// The pause between a cancellation that failed and the next one.
+    /// Pause between a failed cancellation and the next one.
     pub cancel_pause: Duration,
 }
 
-/// Whether engines send progress events, and what that means for an attempt that nobody polls.
+/// Whether engines send progress events, which decides how long an attempt runs without being polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgressEvents {
-    /// Engines send none: an attempt ends once nobody has polled it for [`ProtocolLimits::poll_expiry`].
+    /// Engines send no progress events: an attempt ends if it is not polled for [`ProtocolLimits::poll_expiry`].
     NotSent,
-    /// Each event keeps its attempt running as a poll does, received or not: that nobody polls an attempt does not end it.
+    /// Each progress event keeps its attempt running as a poll does, whether or not the event is received. So an
+    /// attempt does not end for lack of polls.
     KeepRunning,
 }
--- a/crates/ledger/src/attempts/tests.rs
+++ b/crates/ledger/src/attempts/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the ledger of open attempts, by approach.
+//! Tests of the ledger of open attempts: scenarios, a comparison with a reference model, and a simulation.
 
 use super::*;
 
--- a/crates/ledger/src/attempts/tests/plain_model.rs
+++ b/crates/ledger/src/attempts/tests/plain_model.rs
@@ -1,4 +1,4 @@
-//! The ledger against a plain model that reads the whole history each time.
+//! Compares the ledger with a reference model that recomputes its state from the whole history at each step.
 
 use super::*;
 use proptest::collection::vec;
@@ -38,7 +38,7 @@
     vec((prop_oneof![4 => 0u64..60, 1 => 0u64..1500], event), 0..120)
 }
 
-/// Everything that was recorded of one attempt, with the times, in order.
+/// Complete history of one attempt: all recorded evidence with its times, in order.
 #[derive(Clone)]
 struct History {
     opened: Duration,
@@ -48,7 +48,7 @@
 }
 
 impl History {
-    /// What was recorded since the attempt was last seen running, that included.
+    /// Returns the evidence from the last [`Evidence::Running`] on, including it.
     fn since_last_running(&self) -> Option<&[(Duration, Evidence)]> {
         let last = self
             .recorded
@@ -57,7 +57,7 @@
         Some(&self.recorded[last..])
     }
 
-    /// The connection on which the attempt was last seen running, if nothing happened to that since.
+    /// Returns the connection on which the attempt was last seen running, unless that connection has failed since.
     fn identified_connection(&self) -> Option<ConnectionId> {
         let since = self.since_last_running()?;
         let Evidence::Running(connection) = since[0].1 else {
@@ -71,7 +71,8 @@
         (!is_lost).then_some(connection)
     }
 
-    /// Whether a cancellation could only reach a process that may be another.
+    /// Returns whether, without an identified connection, further cancellations are useless: since the attempt was last
+    /// seen running, a connection was refused or a cancellation was answered.
     fn cancellation_exhausted(&self) -> bool {
         let since = self.since_last_running().unwrap_or(&self.recorded);
         since.iter().any(|(_, evidence)| {
@@ -106,7 +107,7 @@
     }
 }
 
-/// All attempts ever opened; nothing is forgotten, everything is worked out anew.
+/// Reference model of the ledger: keeps the history of all attempts ever opened.
 #[derive(Default)]
 struct PlainModel(Vec<History>);
 
@@ -158,7 +159,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(600))]
 
-    /// Any order of events: the ledger says what the plain model says, and a proof stands.
+    /// For any sequence of events the ledger returns the same steps as the reference model, and a proof never changes.
     #[test]
     fn ledger_agrees_with_the_plain_model(events in events()) {
         let (mut ledger, mut model, mut ids) = (Ledger::new(PROTOCOL_LIMITS), PlainModel::default(), Vec::new());
--- a/crates/ledger/src/attempts/tests/scenarios.rs
+++ b/crates/ledger/src/attempts/tests/scenarios.rs
@@ -1,8 +1,9 @@
-//! Sequences of evidence, step by step: incidents, and what each piece of evidence proves.
+//! Checks the ledger's conclusions for fixed sequences of evidence, some of which are taken from incidents.
 
 use super::*;
 
-/// Incident rc98ea0: the deadline passes while the engine drains and refuses new connections.
+/// Incident rc98ea0: the deadline passed while the engine was draining and refused new connections. A refused
+/// connection must not count as proof that the attempt ended.
 #[test]
 fn a_refused_connection_proves_nothing_and_the_identified_one_does() {
     let mut ledger = Ledger::new(PROTOCOL_LIMITS);
@@ -15,7 +16,7 @@
     assert_eq!(
         ledger.next_cancel_step(ms(400), a),
         CancelStep::Cancel(ms(2100)),
-        "on the identified connection"
+        "the cancellation is sent on the identified connection"
     );
     ledger.record(ms(410), a, Evidence::Cancelled(ConnectionId(0)));
     assert_eq!(
@@ -50,13 +51,13 @@
     assert_eq!(
         ledger.next_cancel_step(ms(200), a),
         CancelStep::Cancel(ms(2050)),
-        "it may still arrive there, and be cancelled"
+        "the request may still arrive, so a cancellation is sent"
     );
     ledger.record(ms(210), a, Evidence::Cancelled(ConnectionId(1)));
     assert_eq!(
         ledger.next_cancel_step(ms(210), a),
         CancelStep::Wait(ms(2040)),
-        "sent once, not every 50 ms"
+        "the cancellation is sent once, not every 50 ms"
     );
     ledger.record(ms(200), b, Evidence::Running(ConnectionId(1)));
     ledger.record(ms(210), b, Evidence::ReportedFailed(ConnectionId(1)));
@@ -66,7 +67,7 @@
     );
 }
 
-/// Incident fleet-notes: engines that send progress events run on what nobody polls.
+/// Incident fleet-notes: engines that send progress events continued to run attempts that were no longer polled.
 #[test]
 fn progress_events_keep_an_attempt_running_for_the_given_time() {
     let mut ledger = Ledger::new(ProtocolLimits {
@@ -82,7 +83,7 @@
         assert_eq!(
             ledger.next_cancel_step(ms(at), id),
             CancelStep::IdentifyProcess,
-            "not polled for over 2 s, and running"
+            "the attempt was not polled for over 2 s and may still run"
         );
     }
     ledger.record(ms(2900), id, Evidence::RequestSent);
@@ -90,14 +91,14 @@
     assert_eq!(
         ledger.next_cancel_step(ms(2950), id),
         CancelStep::IdentifyProcess,
-        "another process proves nothing"
+        "an answer of another process proves nothing"
     );
     ledger.record(ms(3000), id, Evidence::RequestSent);
     ledger.record(ms(3050), id, Evidence::Running(ConnectionId(3)));
     assert_eq!(
         ledger.next_cancel_step(ms(3050), id),
         CancelStep::Cancel(ms(4200)),
-        "identified again"
+        "the process is identified again"
     );
     ledger.record(ms(3060), id, Evidence::ConnectionLost(ConnectionId(3)));
     assert_eq!(
@@ -108,7 +109,7 @@
     assert_eq!(
         ledger.next_cancel_step(ms(3150), id),
         CancelStep::Cancel(ms(4200)),
-        "polled often enough"
+        "the polls that identify the process are used up"
     );
     assert_eq!(
         ledger.next_cancel_step(ms(7350), id),
--- a/crates/ledger/src/attempts/tests/simulation.rs
+++ b/crates/ledger/src/attempts/tests/simulation.rs
@@ -1,25 +1,26 @@
-//! The ledger in a simulation whose engine drains, dies, is replaced and loses connections, where the truth is known.
+//! Checks the ledger in a simulation in which the engine drains, crashes, is replaced and loses connections. The actual
+//! state of each attempt is known and compared with the ledger's conclusions.
 
 use super::*;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// What happens to the engine and the connections of a simulation, and when (milliseconds).
+/// Generated input of one simulation: the events at the engine and on the connections. Times are in milliseconds.
 #[derive(Clone, Debug)]
 struct World {
-    /// From then on the engine refuses new connections.
+    /// Time from which the engine refuses new connections.
     drains_at: u64,
-    /// Then its process ends, and resets all its connections.
+    /// Time at which the engine's process ends, which resets all its connections.
     dies_at: u64,
-    /// Then another process listens at its address.
+    /// Time from which another process listens at the engine's address.
     replaced_at: u64,
-    /// When the network resets the connection of each attempt.
+    /// Time at which the network resets the connection of each attempt.
     resets_at: Vec<u64>,
-    /// How long each attempt runs.
+    /// Time for which each attempt runs.
     run_ms: Vec<u64>,
-    /// When the gateway stops to wait for each.
+    /// Time at which the gateway stops waiting for each attempt and cancels it.
     cancelled_at: Vec<u64>,
-    /// Whether cancellations are lost, in turn.
+    /// Whether a cancellation is lost, for successive cancellations of an attempt.
     lost_cancellations: Vec<bool>,
 }
 
@@ -47,23 +48,23 @@
         )
 }
 
-/// The connection of a simulated attempt.
+/// Open connection of a simulated attempt.
 #[derive(Clone, Copy)]
 struct Open {
     number: ConnectionId,
-    /// It reaches the process that has the attempt.
+    /// Whether the connection leads to the process that has the attempt, not to its replacement.
     to_first_process: bool,
 }
 
-/// One attempt of a simulation: the gateway's side and the truth.
+/// One attempt of a simulation: the gateway's view and the actual state.
 struct Simulated {
     id: AttemptId,
     connection: Option<Open>,
     next_connection: ConnectionId,
     polled_at: u64,
-    /// The truth.
+    /// Time at which the attempt actually ended.
     ended_at: Option<u64>,
-    /// What the ledger says.
+    /// Whether the ledger has reported that the attempt finished.
     finished: bool,
     cancelling: bool,
     cancellations: usize,
@@ -72,7 +73,8 @@
 const STEP_MS: usize = 10;
 const POLL_MS: u64 = 250;
 
-/// Runs a simulation by steps of 10 ms; each time the ledger says that an attempt has finished, it has.
+/// Runs a simulation in steps of 10 ms. Checks that an attempt has ended whenever the ledger reports it as finished,
+/// and that all attempts finish within 12 s.
 fn simulate(world: &World) -> Result<(), TestCaseError> {
     let mut ledger = Ledger::new(PROTOCOL_LIMITS);
     let mut attempts: Vec<Simulated> = (0..3)
@@ -96,7 +98,11 @@
         }
     }
     let finished = attempts.iter().filter(|attempt| attempt.finished).count();
-    prop_assert_eq!(finished, 3, "every attempt has finished by the bound");
+    prop_assert_eq!(
+        finished,
+        3,
+        "every attempt finishes within the simulated time"
+    );
     Ok(())
 }
 
@@ -117,7 +123,8 @@
         }
     }
 
-    /// The attempt ends by itself, with its process, or as nobody polls it; its connection may break.
+    /// Updates the actual state: the attempt ends when it completes, its process ends or it is not polled for 2250 ms.
+    /// Its connection may be reset.
     fn advance_truth(&mut self, t: u64, n: usize, world: &World, ledger: &mut Ledger) {
         let dead = t >= world.dies_at;
         let unpolled = t.saturating_sub(self.polled_at) >= 2250;
@@ -132,7 +139,7 @@
         }
     }
 
-    /// Polls every 250 ms on a connection that reaches the process, until the gateway stops to wait.
+    /// Polls the attempt every 250 ms on a connection to its process, until the gateway stops waiting.
     fn poll(&mut self, t: u64, n: usize, world: &World, ledger: &mut Ledger) {
         self.cancelling = t >= world.cancelled_at[n];
         let Some(open) = self.connection else {
@@ -160,11 +167,13 @@
         ledger: &mut Ledger,
     ) -> Result<(), TestCaseError> {
         match ledger.next_cancel_step(ms(t), self.id) {
-            CancelStep::IdentifyProcess => unreachable!("no progress events here"),
+            CancelStep::IdentifyProcess => {
+                unreachable!("the simulated engine sends no progress events")
+            }
             CancelStep::Finished(proof) => {
                 prop_assert!(
                     self.ended_at.is_some_and(|at| at <= t),
-                    "attempt {n} runs at {t}, but {proof:?}: {world:?}"
+                    "attempt {n} still runs at {t} ms, but the ledger has the proof {proof:?}: {world:?}"
                 );
                 self.finished = true;
             }
@@ -197,7 +206,7 @@
         ledger.record(ms(t), self.id, Evidence::Cancelled(open.number));
     }
 
-    /// A new connection, if any process accepts it.
+    /// Opens a new connection, if any process accepts it.
     fn connect(&mut self, t: u64, world: &World) -> Option<Open> {
         let replaced = t >= world.replaced_at;
         let first_accepts = t < world.drains_at && t < world.dies_at;
@@ -216,8 +225,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    /// The engine drains without notice, the network resets its connections, another process takes its address while it runs
-    /// on: no attempt ever counts as finished while it runs.
+    /// The ledger never reports a running attempt as finished, even if the engine drains without notice, the network
+    /// resets its connections, or another process takes over its address while the engine still runs.
     #[test]
     fn no_running_attempt_counts_as_finished_whatever_the_endpoint_list_says(world in world()) {
         simulate(&world)?;
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -1,10 +1,11 @@
-//! Stores non-idempotent queries on a disk before they are sent, so that no later process sends them again.
+//! Stores non-idempotent queries on disk before they are sent, so that no later process sends them again.
 //!
-//! A thread of its own writes the records. All that waits when a write begins is stored with one sync (group commit).
+//! A dedicated thread writes the records. All records that are waiting when a write begins are stored with one sync
+//! (group commit).
 //!
-//! After a failed write or sync it is unknown what the disk holds: no query may be sent until a complete journal has replaced
-//! the stored one. That is tried at an interval for as long as it fails. Until the journal was read for the first
-//! time it is unknown, too, what earlier processes sent.
+//! After a failed write or sync the content of the disk is unknown, so no non-idempotent query may be sent until a
+//! complete journal has replaced the stored one. The replacement is retried periodically until it succeeds. The same
+//! applies at start: until the journal has been read, the queries that earlier processes sent are unknown.
 
 mod error;
 mod state;
@@ -22,23 +23,27 @@
 use std::thread::JoinHandle;
 use writer::{Command, Writer};
 
-/// The journal of a running gateway. Dropping it waits until all records are written.
+/// Handle to the journal of a running gateway. Dropping it waits until all records are written and the writing thread
+/// has ended.
 pub struct Journal {
     commands: Sender<Command>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// A journal that was started, and whether its storage could be used at once.
+/// Result of [`Journal::start`]: the journal, and whether its storage is usable yet.
 pub struct StartedJournal {
-    /// The journal, which runs either way.
+    /// The running journal, whether or not its storage is usable.
     pub journal: Journal,
-    /// Whether the journal was read and replaced at once. Where that failed it is tried again, and until it succeeds no
-    /// query may be sent.
+    /// Whether the stored journal could be read and replaced at the start. After an error the journal retries
+    /// periodically, and rejects each started query until that succeeds.
     pub restored: io::Result<()>,
 }
 
 impl Journal {
-    /// Opens the journal in `storage` in a boot whose clock `clock_ms` gives in milliseconds.
+    /// Reads the journal in `storage`, replaces it by a compacted one and starts the writing thread.
+    ///
+    /// `boot` is the present boot, and `clock_ms` returns the time of its clock in milliseconds. `recovery` is called
+    /// once, on this thread or the writing thread, as soon as the journal has been read.
     pub fn start(
         storage: impl JournalStorage + 'static,
         boot: Boot,
@@ -56,7 +61,8 @@
         StartedJournal { journal, restored }
     }
 
-    /// Records that a non-idempotent query is about to be sent. It may be sent once `on_written` was called with `Ok`.
+    /// Records that a non-idempotent query is about to be sent. The query may be sent once `on_written` was called with
+    /// `Ok`; after an error it must not be sent.
     pub fn record_started(&self, query: StartedQuery, on_written: WriteCallback) {
         let command = Command::Write(Record::Started(query), Some(on_written));
         let Err(unsent) = self.commands.send(command) else {
@@ -67,11 +73,11 @@
         }
     }
 
-    /// Records that no attempt of a query runs any more. Nobody waits for it: if it is lost, a later process pauses the
-    /// query's key and answers its id as failed, which is safe.
+    /// Records that no attempt of a query runs any more. No caller waits for this record: if it is lost, a later
+    /// process pauses the query's ordering key and answers its id as failed, which is safe.
     pub fn record_finished(&self, query_key: u64) {
         let command = Command::Write(Record::Finished { query_key }, None);
-        // A journal that has stopped keeps the query as one that may run.
+        // If the journal has stopped, the query stays recorded as one that may still run, which is safe.
         let _ = self.commands.send(command);
     }
 }
--- a/crates/ledger/src/journal/state.rs
+++ b/crates/ledger/src/journal/state.rs
@@ -1,53 +1,54 @@
-//! What the records of a journal add up to.
+//! Computes the state of a journal from its records, and decides when the journal is compacted.
 
 use crate::records::{Boot, Record, StartedQuery, RECORD_BYTES};
 use std::collections::HashMap;
 
-/// A journal with fewer records is never compacted.
+/// Number of records below which a journal is never compacted.
 const MIN_RECORDS_TO_COMPACT: usize = 1024;
-/// A journal with more records for each query that may run is compacted.
+/// Number of records per unexpired query above which a journal is compacted.
 const MAX_RECORDS_PER_QUERY: usize = 4;
-/// By how much a journal that is not compacted grows before it is looked through again.
+/// Factor by which the number of records grows between two checks for compaction.
 const RECHECK_GROWTH: usize = 2;
 
-/// In place of a time that can't be compared with the clock of this process.
+/// Marks a time of an earlier boot, which is not comparable with the present clock.
 const NOT_COMPARABLE_MS: u64 = u64::MAX;
 
-/// A query that a journal holds.
+/// A query in a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveredQuery {
-    /// As it was recorded before it was sent.
+    /// The query as recorded before it was sent, with the latest time of all its started records.
     pub record: StartedQuery,
-    /// No attempt of it runs any more.
+    /// Whether the journal says that no attempt of the query runs any more.
     pub finished: bool,
 }
 
-/// A journal as it was read.
+/// Result of reading a stored journal.
 #[derive(Clone, Debug, Default)]
 pub struct Replay {
-    /// What its records add up to.
+    /// State after all valid records.
     pub state: JournalState,
-    /// The bytes up to the end of its last valid record: a crash has interrupted what follows.
+    /// Length in bytes up to the end of the last valid record. Anything after it is an incomplete write that a crash
+    /// interrupted.
     pub valid_bytes: usize,
-    /// Records before that which are damaged.
+    /// Number of damaged records before the last valid one.
     pub damaged_records: usize,
 }
 
-/// The queries of a journal.
+/// The queries of a journal, and the number of records that they take.
 #[derive(Clone, Debug, Default)]
 pub struct JournalState {
     queries: HashMap<u64, RecoveredQuery>,
-    /// The boot whose clock the times are of.
+    /// Boot to whose clock the times belong; `None` until a boot is recorded.
     boot: Option<Boot>,
-    /// Records since the last compaction.
+    /// Number of records in the journal, including those that the last compaction wrote.
     record_count: usize,
-    /// How many records there are when it is next checked whether they need compaction.
+    /// Number of records at which the next check for compaction is made.
     next_compaction_check: usize,
 }
 
 impl JournalState {
-    /// Reads a journal up to its last valid record, wherever a crash has interrupted it. Damaged records before that are
-    /// passed over.
+    /// Reads a stored journal up to its last valid record, which may be followed by an incomplete write. Damaged
+    /// records before it are skipped and counted.
     pub fn replay(bytes: &[u8]) -> Replay {
         let mut replay = Replay::default();
         let mut damaged_since_valid = 0;
@@ -64,7 +65,7 @@
         replay
     }
 
-    /// Applies a record.
+    /// Updates the state with the next record of the journal.
     pub fn apply(&mut self, record: &Record) {
         self.record_count += 1;
         match record {
@@ -78,7 +79,8 @@
         }
     }
 
-    /// A further attempt of a query keeps the later time.
+    /// Adds the query, or updates it if it is already known: the later of both times counts, and the query is no longer
+    /// finished.
     fn apply_started(&mut self, started: &StartedQuery) {
         let query = self
             .queries
@@ -91,6 +93,7 @@
         query.finished = false;
     }
 
+    /// Sets the present boot. The times of queries from another boot become not comparable.
     fn apply_boot(&mut self, boot: Boot) {
         if self
             .boot
@@ -103,8 +106,8 @@
         self.boot = Some(boot);
     }
 
-    /// Continues in a boot whose clock says `now_ms`. A query that was, or may have been, recorded in another boot may run for
-    /// the longest time of both from now on.
+    /// Continues the journal in `boot`, whose clock shows `now_ms`. A query that was, or may have been, recorded in
+    /// another boot counts as possibly running for the longest query run of either boot from now on.
     pub fn resume(&mut self, boot: Boot, now_ms: u64) {
         let same_boot = boot.boot_id != 0
             && self
@@ -123,7 +126,7 @@
         });
     }
 
-    /// The queries whose time is not over, ordered by query key.
+    /// Returns the queries that may still run at `now_ms`, finished or not, ordered by query key.
     pub fn unexpired(&self, now_ms: u64) -> Vec<RecoveredQuery> {
         let unexpired = self
             .queries
@@ -134,8 +137,10 @@
         queries
     }
 
-    /// Forgets the queries whose time is over, and returns whether most records are of no use any more. The more records there are
-    /// the rarer it looks through them, so that each record costs little.
+    /// Returns whether the journal should be compacted because most of its records are of no use any more. Expired
+    /// queries are removed first.
+    ///
+    /// The interval between two checks grows with the number of records, so that the cost per record stays low.
     pub fn forget_expired_and_check_compaction(&mut self, now_ms: u64) -> bool {
         if self.record_count < self.next_compaction_check.max(MIN_RECORDS_TO_COMPACT) {
             return false;
@@ -145,7 +150,7 @@
         self.record_count > MAX_RECORDS_PER_QUERY * self.queries.len()
     }
 
-    /// Forgets the queries whose time is over, and returns the bytes of a journal that holds the others.
+    /// Removes the expired queries, and returns the bytes of a journal that holds only the others.
     pub fn compacted(&mut self, now_ms: u64) -> Vec<u8> {
         self.remove_expired(now_ms);
         let mut records: Vec<Record> = self.boot.map(Record::Boot).into_iter().collect();
--- a/crates/ledger/src/journal/storage.rs
+++ b/crates/ledger/src/journal/storage.rs
@@ -1,50 +1,50 @@
-//! Where the journal is stored: a file that is replaced as a whole.
+//! Stores the bytes of the journal in a file, which is appended to and from time to time replaced as a whole.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Stores the bytes of a journal.
+/// Storage for the bytes of one journal. All methods block, and are called from one thread at a time.
 pub trait JournalStorage: Send {
-    /// All that is stored; nothing where there is no journal yet.
+    /// Returns all stored bytes; empty if there is no journal yet.
     ///
     /// # Errors
     ///
-    /// It can't be read.
+    /// The stored bytes cannot be read.
     fn read(&mut self) -> io::Result<Vec<u8>>;
 
-    /// Adds bytes at the end.
+    /// Appends bytes at the end. They are durable only after [`sync`](JournalStorage::sync).
     ///
     /// # Errors
     ///
-    /// They may be stored in part.
+    /// The write failed; part of the bytes may be stored.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Waits until all that was appended lasts.
+    /// Waits until all appended bytes are durable.
     ///
     /// # Errors
     ///
-    /// What was appended may be lost.
+    /// The sync failed; bytes appended since the last sync may be lost.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Replaces all that is stored, and waits until it lasts.
+    /// Replaces all stored bytes, and waits until the replacement is durable.
     ///
     /// # Errors
     ///
-    /// All is stored as it was before, or as it was to be.
+    /// The replacement failed; the storage holds either all the old bytes or all the new ones.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// A journal in a file. A replacement is written beside it and renamed.
+/// Journal in a file. A replacement is written to a new file beside it and then renamed over it.
 #[derive(Debug)]
 pub struct FileStorage {
     path: PathBuf,
-    /// The file that this process has put there.
+    /// The file that this process wrote with [`JournalStorage::replace`]; `None` before that and while it fails.
     file: Option<File>,
 }
 
 impl FileStorage {
-    /// A journal at a path, where there may be one already.
+    /// Creates a storage for the journal at `path`, where a journal may already exist. Does not access the disk.
     pub fn new(path: &Path) -> FileStorage {
         FileStorage {
             path: path.to_path_buf(),
@@ -67,7 +67,7 @@
             Ok(mut file) => {
                 file.read_to_end(&mut bytes)?;
             }
-            // No journal was written yet, if its directory is there.
+            // No journal was written yet, unless the directory is missing too, which is an error.
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 std::fs::metadata(self.directory())?;
             }
@@ -89,7 +89,7 @@
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.file = None;
         let replacement = self.path.with_extension("new");
-        // Always a new file: what a failed sync left of an earlier one is unknown.
+        // Always create a new file: after a failed sync the content of an earlier replacement file is unknown.
         match std::fs::remove_file(&replacement) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
             _ => {}
@@ -101,7 +101,7 @@
         file.write_all(bytes)?;
         file.sync_data()?;
         std::fs::rename(&replacement, &self.path)?;
-        // The new name lasts once its directory does.
+        // The rename is durable only after the directory is synced.
         File::open(self.directory())?.sync_all()?;
         self.file = Some(file);
         Ok(())
--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the journal.
+//! Implements the thread that writes the journal.
 
 use super::error::JournalError;
 use super::state::{JournalState, RecoveredQuery};
@@ -10,43 +10,46 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Records that are written with one sync at most.
+/// Maximum number of commands that are carried out with one sync.
 const MAX_RECORDS_PER_SYNC: usize = 4096;
-/// The time between two tries to replace a journal whose storage fails.
+/// Time between two attempts to restore a journal whose storage fails.
 const RESTORE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Called once a record is stored, or can't be.
+/// Callback for one record, called when the record is stored or could not be stored.
 pub type WriteCallback = Box<dyn FnOnce(Result<(), JournalError>) + Send>;
 
-/// Called with the queries of earlier processes whose time is not over, once the journal has been read.
+/// Callback for the unexpired queries of earlier processes, called once when the journal has been read.
 pub type RecoveryCallback = Box<dyn FnOnce(Vec<RecoveredQuery>) + Send>;
 
-/// A message to the writer.
+/// Message to the writing thread.
 pub(super) enum Command {
-    /// Write a record; whoever waits for it has a callback.
+    /// Write a record. The callback is `None` if no caller waits for the record.
     Write(Record, Option<WriteCallback>),
-    /// Write what came before, and stop.
+    /// Write and sync all records sent before, then stop.
     Stop,
 }
 
-/// Commands that are carried out with one sync.
+/// Commands that are carried out with one sync (group commit).
 #[derive(Default)]
 struct CommitGroup {
+    /// Encoded records.
     bytes: Vec<u8>,
     callbacks: Vec<WriteCallback>,
     stop: bool,
 }
 
-/// Writes the journal of one process. `C` is the clock of the boot, in milliseconds.
+/// Writes the journal of one process. `C` returns the time of the boot's clock in milliseconds.
 pub(super) struct Writer<S, C> {
     storage: S,
     boot: Boot,
     clock_ms: C,
-    /// Until the journal of earlier processes has been read.
+    /// Callback for the queries of earlier processes; `None` once the stored journal has been read.
     recovery: Option<RecoveryCallback>,
     state: JournalState,
-    /// All that was confirmed to callbacks is stored, and records can be appended to it.
+    /// Whether the storage holds all confirmed records and accepts further ones. False until the first restore succeeds
+    /// and after each failure.
     can_append: bool,
+    /// Time of the last restore attempt, or of the last failed write if that is later.
     last_restore: Instant,
 }
 
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Carries out commands until it is told to stop, or nobody can send any more.
+    /// Carries out commands until [`Command::Stop`] is received or all senders are gone. While the storage fails,
+    /// restores it every [`RESTORE_INTERVAL`].
     pub(super) fn run(mut self, commands: &Receiver<Command>) {
         loop {
             let received = if self.can_append {
@@ -80,13 +84,14 @@
                 return;
             }
             if !self.can_append && self.last_restore.elapsed() >= RESTORE_INTERVAL {
-                // After a failure it is tried again.
+                // A failed restore is retried after the next interval.
                 let _ = self.restore();
             }
         }
     }
 
-    /// Carries out a command and those that wait behind it, and breaks where one of them is to stop.
+    /// Carries out `first` and the commands waiting after it, with one sync. Breaks if one of them is
+    /// [`Command::Stop`].
     fn commit(&mut self, first: Command, commands: &Receiver<Command>) -> ControlFlow<()> {
         let waiting = std::iter::from_fn(|| commands.try_recv().ok());
         let mut group = CommitGroup::default();
@@ -110,7 +115,7 @@
 
     fn add_to_group(&mut self, command: Command, group: &mut CommitGroup) {
         match command {
-            // A query whose record is not confirmed is not sent, and needs none.
+            // The query is not sent without a confirmed record, so it needs no record.
             Command::Write(Record::Started(_), Some(callback)) if !self.can_append => {
                 callback(Err(JournalError::EarlierWriteFailed));
             }
@@ -123,7 +128,8 @@
         }
     }
 
-    /// Appends a group, and syncs it unless nobody waits for it: then it lasts with the next that somebody waits for.
+    /// Appends a group and calls its callbacks. Records without a callback are not synced by themselves: they become
+    /// durable with the next group that has one.
     fn append(&mut self, group: CommitGroup) {
         let must_sync = !group.callbacks.is_empty() || group.stop;
         let mut written = self.storage.append(&group.bytes);
@@ -140,15 +146,16 @@
         }
     }
 
+    /// Replaces the journal by a compacted one if most of its records are of no use any more.
     fn compact_if_needed(&mut self) {
         let now_ms = (self.clock_ms)();
         if self.can_append && self.state.forget_expired_and_check_compaction(now_ms) {
-            // After a failure it is tried again each RESTORE_INTERVAL; until then no non-idempotent query is sent.
+            // A failed restore is retried every RESTORE_INTERVAL; until one succeeds, no non-idempotent query is sent.
             let _ = self.restore();
         }
     }
 
-    /// Reads what earlier processes have stored, and hands it to the recovery callback.
+    /// Reads the journal of earlier processes, and passes its unexpired queries to the recovery callback.
     fn recover(&mut self, now_ms: u64) -> io::Result<()> {
         let mut state = JournalState::replay(&self.storage.read()?).state;
         state.resume(self.boot, now_ms);
@@ -159,7 +166,7 @@
         Ok(())
     }
 
-    /// Reads the journal if that has not succeeded yet, and replaces it by a complete one.
+    /// Reads the stored journal unless that has already succeeded, and replaces it by a complete, compacted one.
     pub(super) fn restore(&mut self) -> io::Result<()> {
         self.can_append = false;
         self.last_restore = Instant::now();
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,37 +1,40 @@
-//! Remembers what is known of attempts and of non-idempotent queries until they provably run no more.
+//! Tracks attempts and non-idempotent queries until it is proved that they no longer run.
 //!
-//! [`Ledger`] holds every attempt that was sent to an engine and is not finished: callers record what they observe as
-//! [`Evidence`] and ask what follows. It does no I/O. [`PollSchedule`] says when an attempt is polled again,
-//! [`ReportedEnd`] what an engine's report of an end is worth.
-//! [`journal`] stores non-idempotent queries on a disk, so that a later process does not send them again;
-//! [`records`] has the bytes of its file.
+//! - [`Ledger`] holds every attempt that was sent to an engine and has not finished. Callers record observations as
+//!   [`Evidence`] and ask for the next step towards the attempt's end. The ledger does no I/O.
+//! - [`PollSchedule`] decides when an attempt is polled again.
+//! - [`ReportedEnd`] decides whether an engine's report of an attempt's end is trusted.
+//! - [`journal`] stores non-idempotent queries on disk, so that a later process does not send them again.
+//! - [`records`] encodes the records of the journal file.
 //!
-//! An attempt belongs to no connection. It runs at its engine until it ends, is cancelled, its process ends, or nobody has
-//! polled it for [`ProtocolLimits::poll_expiry`]. That the gateway no longer waits for it ends nothing. No proof rests on the
-//! list of endpoints or on who listens at an address: a list may be late, and a draining engine may refuse new
-//! connections and run on.
+//! An attempt is not bound to a connection. It runs at its engine until it completes, it is cancelled, the engine
+//! process ends, or no poll has arrived for [`ProtocolLimits::poll_expiry`]. It keeps running when the gateway stops
+//! waiting for it. No proof relies on the endpoint list or on the process that listens at an address: the list may be
+//! out of date, and a draining engine may refuse new connections while it still runs attempts.
 //!
-//! # What each piece of evidence proves
+//! # Conclusions from evidence
 //!
-//! A connection is *identified* while [`Evidence::Running`] was the last that is known of it: the process at its end has
-//! the attempt. Nothing undoes a proof.
+//! A connection is *identified* if the process at its far end has shown that it has the attempt
+//! ([`Evidence::Running`]) and the connection has not failed since. At most one connection of an attempt is identified.
+//! Once there is a proof, later evidence does not change it.
 //!
-//! | evidence | on the identified connection | on any other, or on none |
+//! | evidence | on the identified connection | on another connection, or without one |
 //! |---|---|---|
-//! | [`RequestSent`](Evidence::RequestSent) | the attempt may run for [`ProtocolLimits::poll_expiry`], from [`ProtocolLimits::long_poll`] later on | the same |
-//! | [`Running`](Evidence::Running) | it runs; may run for [`ProtocolLimits::poll_expiry`] from now | the same, and this connection is identified |
+//! | [`RequestSent`](Evidence::RequestSent) | the attempt may run until [`ProtocolLimits::long_poll`] plus [`ProtocolLimits::poll_expiry`] from now | the same |
+//! | [`Running`](Evidence::Running) | the attempt runs, and may run until [`ProtocolLimits::poll_expiry`] from now | the same, and this connection is now the identified one |
 //! | [`Ended`](Evidence::Ended) | [`Proof::Ended`] | [`Proof::Ended`] |
 //! | [`NeverReached`](Evidence::NeverReached) | [`Proof::NeverReached`] | [`Proof::NeverReached`] |
-//! | [`ReportedFailed`](Evidence::ReportedFailed) | [`Proof::Ended`] | nothing: another process may have reported it, or the request is on its way |
-//! | [`Cancelled`](Evidence::Cancelled) | [`Proof::Cancelled`] | nothing: another process may have answered; it is not cancelled again until a connection is identified |
-//! | [`ConnectionLost`](Evidence::ConnectionLost), [`ConnectionUnusable`](Evidence::ConnectionUnusable) | nothing; no connection is identified any more | nothing |
-//! | [`ConnectionRefused`](Evidence::ConnectionRefused) | nothing | nothing; it is not cancelled until a connection is identified |
-//! | [`CancelFailed`](Evidence::CancelFailed) | nothing; the next cancellation waits [`ProtocolLimits::cancel_pause`] | the same |
-//! | the time until which it may run passes | [`Proof::Expired`]; [`Proof::NeverReached`] at once where no request was sent | the same |
+//! | [`ReportedFailed`](Evidence::ReportedFailed) | [`Proof::Ended`] | nothing: another process may have reported it, or the request may not have arrived yet |
+//! | [`Cancelled`](Evidence::Cancelled) | [`Proof::Cancelled`] | nothing: another process may have answered; no further cancellation is sent until a connection is identified |
+//! | [`ConnectionLost`](Evidence::ConnectionLost), [`ConnectionUnusable`](Evidence::ConnectionUnusable) | nothing; no connection is identified from now on | nothing |
+//! | [`ConnectionRefused`](Evidence::ConnectionRefused) | nothing | nothing; no cancellation is sent until a connection is identified |
+//! | [`CancelFailed`](Evidence::CancelFailed) | nothing; the next cancellation is sent after [`ProtocolLimits::cancel_pause`] at the earliest | the same |
+//! | none until the latest time at which the attempt may run | [`Proof::Expired`]; [`Proof::NeverReached`] at any time if no request was sent | the same |
 //!
-//! docs/ledger.md weighs the options and names the assumption behind each proof.
+//! docs/ledger.md compares the alternatives and states the assumption behind each proof.
 //!
-//! Times are durations since one fixed point, the same for all calls, and never run backwards.
+//! Times are durations since a fixed start time, which is the same for all calls. They must not decrease from call to
+//! call.
 
 mod attempts;
 pub mod journal;
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -1,29 +1,30 @@
-//! Encodes the records of the journal: which non-idempotent queries were started, and which of them have finished.
+//! Encodes and decodes the records of the journal, which list the non-idempotent queries that were started and
+//! finished.
 //!
-//! Times are milliseconds of a clock that runs evenly while the machine is up and is never set (on Linux `CLOCK_BOOTTIME`).
-//! Two processes can compare theirs where both ran in one boot of the machine.
+//! Times are milliseconds of a monotonic clock that starts with the machine and cannot be set (`CLOCK_BOOTTIME` on
+//! Linux). Times of two processes are comparable only if both processes ran in the same boot of the machine.
 //!
-//! A record has [`RECORD_BYTES`] bytes, numbers with the lowest byte first:
+//! A record has [`RECORD_BYTES`] bytes; numbers are little-endian:
 //!
 //! | bytes | content |
 //! |---|---|
 //! | 0 | `G` |
 //! | 1 | 1 for [`Record::Started`], 2 for [`Record::Finished`], 3 for [`Record::Boot`] |
-//! | 2 | 1 where there is an ordering key, else 0 |
+//! | 2 | 1 if the query has an ordering key, else 0 |
 //! | 3 | 0 |
-//! | 4 to 7 | CRC-32 of all other bytes |
-//! | 8 to 15 | id of the query, or of the boot |
-//! | 16 to 23 | ordering key, or 0 |
-//! | 24 to 31 | [`StartedQuery::may_run_until_ms`], [`Boot::longest_query_run_ms`], or 0 |
+//! | 4 to 7 | CRC-32 of all other bytes of the record |
+//! | 8 to 15 | query key, or boot id in [`Record::Boot`] |
+//! | 16 to 23 | ordering key; 0 if there is none |
+//! | 24 to 31 | [`StartedQuery::may_run_until_ms`], [`Boot::longest_query_run_ms`], or 0 in [`Record::Finished`] |
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// How long after its deadline a non-idempotent query may run: more than the time after which engines drop what nobody
-/// polls.
+/// Time after its deadline for which a non-idempotent query counts as possibly running. Longer than the time after
+/// which engines drop an attempt that is not polled.
 pub const RUN_MARGIN: Duration = Duration::from_secs(5);
 
-/// The size of a record.
+/// Size of an encoded record, in bytes.
 pub const RECORD_BYTES: usize = 32;
 
 const MAGIC: u8 = b'G';
@@ -36,43 +37,43 @@
 const ORDERING_KEY: Range<usize> = 16..24;
 const TIME_MS: Range<usize> = 24..32;
 
-/// The time from one start of the machine to its end, during which times can be compared.
+/// One boot of the machine. Times are comparable only within the same boot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Boot {
-    /// Tells it from other boots; 0 where that is not known.
+    /// Identifies the boot; 0 if the id could not be read.
     pub boot_id: u64,
-    /// How long a query may run at most after it was sent, in milliseconds.
+    /// Longest time for which a query may run after it was sent, in milliseconds.
     pub longest_query_run_ms: u64,
 }
 
-/// A non-idempotent query that may have run.
+/// A non-idempotent query that was recorded before it was sent, and so may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedQuery {
-    /// The client's id of the query.
+    /// Id that the client gave the query.
     pub query_key: u64,
-    /// Queries of one key run one after the other.
+    /// Key whose queries run one after the other; `None` if the query may run beside any other.
     pub ordering_key: Option<u64>,
-    /// The time after which nobody polls the query and nothing of it runs, in milliseconds.
+    /// Time from which no attempt of the query is polled or runs, in milliseconds of the boot's clock.
     pub may_run_until_ms: u64,
 }
 
 /// A record of the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// The query is about to be sent.
+    /// The query is about to be sent to an engine.
     Started(StartedQuery),
-    /// No attempt of the query runs any more, and its client has its answer. Its id counts until its time is over, as a
-    /// client may send it again.
+    /// No attempt of the query runs any more, and the client has its answer. The journal keeps the query until
+    /// [`StartedQuery::may_run_until_ms`], because the client may send the same id again.
     Finished {
-        /// The client's id of the query.
+        /// Id that the client gave the query.
         query_key: u64,
     },
-    /// The times of all records that follow are of this boot.
+    /// The times of all following records, up to the next record of this kind, belong to this boot.
     Boot(Boot),
 }
 
 impl Record {
-    /// The bytes of the record.
+    /// Encodes the record in the layout given in the module documentation.
     pub fn encode(&self) -> [u8; RECORD_BYTES] {
         let (kind, id, ordering_key, time_ms) = match self {
             Record::Started(query) => (
@@ -96,7 +97,8 @@
         bytes
     }
 
-    /// Reads a record; `None` where the bytes are not one.
+    /// Decodes a record. Returns `None` if `bytes` has another length than [`RECORD_BYTES`], the checksum does not
+    /// match, or the kind is unknown.
     pub fn decode(bytes: &[u8]) -> Option<Record> {
         let bytes: [u8; RECORD_BYTES] = bytes.try_into().ok()?;
         let stored_checksum = u32::from_le_bytes(bytes[CHECKSUM].try_into().ok()?);
--- a/crates/ledger/src/reported_end.rs
+++ b/crates/ledger/src/reported_end.rs
@@ -1,34 +1,37 @@
-//! Weighs an engine's report that an attempt has ended.
+//! Decides whether an engine's report that an attempt has ended is trusted.
 
-/// What an engine's report that an attempt has ended counts for.
+/// Conclusion from an engine's report that an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportVerdict {
     /// The attempt ended as reported.
     Accepted,
-    /// The attempt has ended and may have been interrupted: its ordering key pauses.
+    /// The attempt has ended, but may have been interrupted, so its ordering key is paused.
     Interrupted,
-    /// Nothing: another process may have reported it, or the request may still be on its way.
+    /// The report is ignored: another process may have sent it, or the request that starts the attempt may not have
+    /// arrived yet.
     Inconclusive,
 }
 
 /// An engine's report that an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedEnd {
-    /// It answers the request that started the attempt, not a poll.
+    /// Whether the report answers the request that started the attempt, not a poll.
     pub answers_start: bool,
-    /// It says that the attempt failed or is unknown, not that it never ran.
+    /// Whether the report says that the attempt failed or is unknown to the engine; false if it says that the attempt
+    /// never ran.
     pub is_failure: bool,
 }
 
 impl ReportedEnd {
-    /// What the report counts for. `is_proved`: the ledger has a proof that the attempt does not run any more.
+    /// Returns the conclusion from the report. `is_proved` is true if the ledger has a proof that the attempt no longer
+    /// runs.
     pub fn weigh(self, is_proved: bool) -> ReportVerdict {
         if self.answers_start {
             return ReportVerdict::Accepted;
         }
         match (is_proved, self.is_failure) {
             (true, false) => ReportVerdict::Accepted,
-            // It failed, or was dropped while this gateway had no time to poll.
+            // The attempt failed, or the engine dropped it because this gateway polled too late.
             (true, true) => ReportVerdict::Interrupted,
             (false, _) => ReportVerdict::Inconclusive,
         }
