--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -1,5 +1,5 @@
-//! Commits per second of the journal, and their latency, with one writer waiting at a time and with many (group commit), on
-//! the disk of the temporary directory.
+//! Measures the commits per second of the journal and their latency, with one waiting writer and with many (group
+//! commit). The journal file is in the temporary directory.
 
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalError, StartedJournal};
 use garnetwall_ledger::records::{Boot, StartedQuery};
--- a/crates/ledger/src/attempts/evidence.rs
+++ b/crates/ledger/src/attempts/evidence.rs
@@ -38,7 +38,9 @@
     ConnectionUnusable(ConnectionId),
     /// The engine's address refused a new connection.
     ConnectionRefused,
-    /// A cancellation could not be sent, or its answer was not usable.
+    /// A cancellation got no usable answer. A refused connection is recorded as [`ConnectionRefused`] instead.
+    ///
+    /// [`ConnectionRefused`]: Evidence::ConnectionRefused
     CancelFailed,
 }
 
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -1,5 +1,5 @@
-//! The journal: against a plain model, interrupted at every byte, on storage that fails, and in a process that is killed
-//! at random while it writes, over and over.
+//! Tests the journal: compares it with a reference model, cuts it off at every byte, runs it on storage that fails, and
+//! kills a process repeatedly at random times while it writes.
 
 use garnetwall_ledger::journal::{
     FileStorage, Journal, JournalError, JournalState, JournalStorage, RecoveredQuery,
@@ -33,7 +33,7 @@
     ]
 }
 
-/// The unexpired queries after these records, found by searching all of them for each id.
+/// Reference model: returns the unexpired queries after `records`, found by a search through all records for each id.
 fn plain_model(records: &[Record], now_ms: u64) -> Vec<RecoveredQuery> {
     let mut queries = Vec::new();
     for id in 0..20 {
@@ -74,7 +74,7 @@
         prop_assert_eq!(compacted.state.unexpired(now), plain_model(&records, now), "after compaction");
     }
 
-    /// Interrupted at every byte: all complete records before it count, nothing else.
+    /// A journal that ends at any byte yields exactly the complete records before that byte.
     #[test]
     fn an_interrupted_tail_is_ignored(records in vec(record(), 1..8)) {
         let bytes: Vec<u8> = records.iter().flat_map(|r| r.encode()).collect();
@@ -95,7 +95,7 @@
         let others: Vec<Record> =
             records.iter().enumerate().filter(|(n, _)| *n != damaged).map(|(_, r)| *r).collect();
         let replay = JournalState::replay(&bytes);
-        // The checksum covers the flag of the key, too.
+        // The checksum also covers the byte that says whether there is an ordering key.
         prop_assert_eq!(replay.state.unexpired(0), plain_model(&others, 0));
         let is_last = damaged == records.len() - 1;
         prop_assert_eq!(replay.damaged_records, usize::from(!is_last));
@@ -107,22 +107,25 @@
     longest_query_run_ms: 5000,
 };
 
-/// For tests that need no recovered queries.
+/// Recovery callback for tests that do not check the recovered queries.
 fn ignore_recovery() -> RecoveryCallback {
     Box::new(drop)
 }
 
-/// Storage some of whose operations fail.
+/// In-memory storage in which a given range of operations fails. A failing append stores half of its bytes.
 #[derive(Clone, Default)]
 struct FailingStorage {
     bytes: Arc<Mutex<Vec<u8>>>,
     operations: Arc<Mutex<Operations>>,
 }
 
+/// Count of storage operations, and the range of those that fail. Operations are numbered from 1.
 #[derive(Default)]
 struct Operations {
     done: usize,
+    /// Number of the first operation that fails.
     first_failure: usize,
+    /// Number of operations in a row that fail.
     failures: usize,
 }
 
@@ -175,8 +178,8 @@
     written.recv().unwrap()
 }
 
-/// Whichever operations fail: what was confirmed is stored at all times, nothing is confirmed while they fail, and all is
-/// confirmed again within two seconds of the last failure.
+/// Whichever storage operations fail, every confirmed query is stored at all times, so none is confirmed while they
+/// fail. Two seconds after the start at the latest, queries are confirmed again.
 #[test]
 fn after_a_failed_step_nothing_is_confirmed_until_a_complete_journal_is_stored() {
     let cases = (1..=12).flat_map(|first| [1, 3].map(|count| (first, count)));
@@ -187,7 +190,7 @@
 }
 
 fn fails_at(first_failure: usize, failures: usize) {
-    let case = format!("{failures} from {first_failure}");
+    let case = format!("{failures} failures from operation {first_failure} on");
     let storage = FailingStorage::default();
     *storage.operations.lock().unwrap() = Operations {
         done: 0,
@@ -199,7 +202,7 @@
     assert_eq!(
         restored.is_ok(),
         first_failure > 2,
-        "reading and the first replacement are operations 1 and 2"
+        "operations 1 and 2 are the first read and the first replacement"
     );
     let mut confirmed = Vec::new();
     let started_at = std::time::Instant::now();
@@ -216,7 +219,10 @@
                 record: query(*id),
                 finished: false,
             };
-            assert!(stored.contains(&query), "{case}: {id} was confirmed");
+            assert!(
+                stored.contains(&query),
+                "{case}: query {id} was confirmed but is not stored"
+            );
         }
         let passed = storage.operations.lock().unwrap().done >= first_failure + failures;
         if passed && confirmed.last() == Some(&id) && confirmed.len() > 6 {
@@ -224,15 +230,15 @@
         }
         assert!(
             started_at.elapsed() < Duration::from_secs(2),
-            "{case}: nothing is confirmed again"
+            "{case}: no query was confirmed within 2 s"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(rejected > 0, "{case}: nothing failed");
+    assert!(rejected > 0, "{case}: no query was rejected");
 }
 
-/// In another boot, or in one that is not known, each query may run for its longest time from then on; in the same boot for
-/// what is left of it.
+/// In the same boot a query may run for the rest of its time. In another or an unknown boot it may run for the longest
+/// query run from then on, because times of different boots are not comparable.
 #[test]
 fn times_count_only_in_the_boot_they_were_recorded_in() {
     let mut state = JournalState::default();
@@ -262,7 +268,7 @@
         Some(5000)
     );
     assert_eq!(remaining_ms(unknown, 1_003_000), Some(9000));
-    // Before boots were recorded, times were Unix milliseconds.
+    // Journals written before boots were recorded hold Unix times in milliseconds.
     let old: Vec<u8> = Record::Started(StartedQuery {
         may_run_until_ms: 1_700_000_000_000,
         ..query(2)
@@ -277,7 +283,7 @@
 #[test]
 fn expired_queries_are_removed_and_the_file_stays_small() {
     let path = std::env::temp_dir().join(format!("garnetwall-compact-{}", std::process::id()));
-    // The time of all but the last is over.
+    // All queries but the last ten have expired by this time.
     let StartedJournal { journal, restored } = Journal::start(
         FileStorage::new(&path),
         BOOT,
@@ -310,7 +316,8 @@
     std::fs::remove_file(path).unwrap();
 }
 
-/// The process that is killed: it records ids without end and prints each one that is confirmed or finished.
+/// Runs in the child process until it is killed: records queries, and prints the id of each that is confirmed or
+/// finished.
 fn write_until_killed(path: &Path, first_id: u64) {
     let StartedJournal { journal, restored } =
         Journal::start(FileStorage::new(path), BOOT, || 0, ignore_recovery());
@@ -326,7 +333,8 @@
     }
 }
 
-/// The word and the id of a line that the killed process printed; the test runner may have put something before it.
+/// Parses a line that the child process printed, and returns its word and its id. The test runner may have printed text
+/// before the word on the same line.
 fn printed(line: &str) -> Option<(&'static str, u64)> {
     ["started", "finished"].into_iter().find_map(|word| {
         let (_, id) = line.split_once(&format!("{word} "))?;
@@ -334,8 +342,8 @@
     })
 }
 
-/// Killed at random, 30 times over one file: every id that was confirmed and not printed as finished is stored, and an id
-/// that was never written is not.
+/// Kills a writing process 30 times at random moments, each time on the same file. Every query that was confirmed and
+/// not printed as finished must be stored, and no query that was never written.
 #[test]
 fn killed_in_a_loop_no_confirmed_record_is_lost() {
     const PATH: &str = "GARNETWALL_JOURNAL_TEST";
@@ -359,16 +367,16 @@
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
-        // Not before it writes; then somewhere in the middle.
+        // Wait until the process writes, so that it is killed in the middle of writing.
         let first = lines
             .by_ref()
             .map(|line| line.unwrap())
             .find(|line| printed(line).is_some())
-            .expect("it writes");
+            .expect("the child process confirms a query");
         std::thread::sleep(Duration::from_micros(200 + round * 731 % 5000));
         child.kill().unwrap();
         child.wait().unwrap();
-        // The last line may be interrupted, too: an id that is cut short can only be one that was printed before.
+        // The last line may be cut off too. An id that is cut short equals one that was printed before.
         for line in std::iter::once(first).chain(lines.map_while(Result::ok)) {
             if let Some((word, id)) = printed(&line) {
                 last_printed.insert(id, word);
@@ -380,16 +388,20 @@
         for (id, word) in last_printed.iter().filter(|(_, word)| **word == "started") {
             assert!(
                 stored.contains(id),
-                "round {round}: {id} was {word} and is lost"
+                "round {round}: query {id} was {word} but is not stored"
             );
         }
         let highest = last_printed.keys().max().copied().unwrap_or(0);
         assert!(
             stored.iter().all(|id| *id <= highest + 1),
-            "round {round}: never written"
+            "round {round}: a query is stored that was never written"
         );
         first_id = highest + 2;
     }
-    assert!(last_printed.len() > 60, "{} ids in all", last_printed.len());
+    assert!(
+        last_printed.len() > 60,
+        "only {} ids were printed in all rounds",
+        last_printed.len()
+    );
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -1,11 +1,13 @@
-//! A journal that the program wrote before its code was renamed is read, and what is written is the same to the byte.
+//! Checks that the journal format is unchanged: a stored file from an earlier version is read correctly, and the same
+//! records are written as the same bytes.
 //!
-//! fixtures/interrupted.once-only was written by `garnetwall serve` built from commit 2d094ab, with a plan that names
-//! a journal directory, between a stand-in engine and a stand-in change log on loopback. Its clients sent four
-//! queries of a `fragile` category, of at most 60 s: two got their answers, two were out when the process was
-//! killed. The boot identity that it read was a made-up one. The file had 224 bytes; its last 19 were cut off, as a crash in the middle of the last record leaves it.
-//! How a journal is torn, damaged or fails in other places is tested in journal.rs; that a gateway refuses what its
-//! journal holds, in crates/gateway/tests/recovery.rs and wire.rs.
+//! fixtures/interrupted.once-only was written by `garnetwall serve` built from commit 2d094ab, with a plan that names a
+//! journal directory, a fake engine and a fake change log on loopback, and a made-up boot id. Clients sent four queries
+//! of a `fragile` category with deadlines of at most 60 s. Two were answered, and two were in flight when the process
+//! was killed. The file had 224 bytes. Its last 19 bytes were cut off, as by a crash in the middle of the last record.
+//!
+//! Other truncated, damaged and failing journals are tested in journal.rs. crates/gateway/tests/recovery.rs and wire.rs
+//! test that a gateway refuses queries that its journal contains.
 
 use garnetwall_ledger::journal::{
     FileStorage, Journal, JournalState, RecoveredQuery, StartedJournal,
@@ -16,7 +18,7 @@
 
 const STORED: &[u8] = include_bytes!("fixtures/interrupted.once-only");
 
-/// The boot in which it was written, and the time that its queries may run at most.
+/// Boot record of the file, which holds the boot id and the longest time for which its queries may run.
 const BOOT: Boot = Boot {
     boot_id: 0x2b7e_1516_28ae_4d2a,
     longest_query_run_ms: 65_000,
@@ -37,7 +39,7 @@
     may_run_until_ms: 1_138_171,
 };
 
-/// Each record as it stands in the file.
+/// Expected bytes of each record in the file, in hexadecimal, and the record that they encode.
 const RECORDS: [(&str, Record); 6] = [
     (
         "47030000 2d3709d8 2a4dae2816157e2b 0000000000000000 e8fd000000000000",
@@ -69,6 +71,7 @@
     ),
 ];
 
+/// Decodes hexadecimal digits; other characters are ignored.
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u32> = hex.chars().filter_map(|c| c.to_digit(16)).collect();
     digits.chunks(2).map(|d| (d[0] * 16 + d[1]) as u8).collect()
@@ -76,7 +79,7 @@
 
 #[test]
 fn records_are_read_and_written_as_they_are_stored() {
-    assert_eq!(STORED.len(), 205, "six records, and 13 bytes of a seventh");
+    assert_eq!(STORED.len(), 205, "six records and 13 bytes of a seventh");
     for ((hex, record), stored) in RECORDS.iter().zip(STORED.chunks(32)) {
         assert_eq!(bytes(hex), stored);
         assert_eq!(Record::decode(stored), Some(*record));
@@ -117,7 +120,8 @@
     assert_eq!(state.unexpired(5_000), all);
 }
 
-/// A journal that goes on from the stored file: what is recovered, and the bytes that then stand in its place.
+/// A journal that is started on the stored file passes on its queries, and replaces the file by the same valid records
+/// followed by the new one.
 #[test]
 fn a_journal_resumes_from_the_stored_file() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
