--- a/crates/ledger/src/attempts/open_attempt.rs
+++ b/crates/ledger/src/attempts/open_attempt.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct OpenAttempt {
     /// Whether a request of the attempt may have reached the engine.
-    may_have_reached: bool,
+    may_have_reached_engine: bool,
     /// Latest time at which a request that keeps the attempt running may have reached the engine.
     last_contact: Duration,
     /// Longest time for which the attempt may run after `last_contact`.
@@ -34,7 +34,7 @@
     /// Number of polls that may still be sent to find the process that has the attempt.
     identifications_left: u32,
     /// Whether the next request to be recorded is such a poll.
-    identifying: bool,
+    identification_pending: bool,
     /// Usable connection to the process that has the attempt; `None` while there is none.
     identified_connection: Option<ConnectionId>,
     /// Whether further cancellations are useless without an identified connection: a connection was refused, or a
@@ -57,11 +57,11 @@
             }
         };
         OpenAttempt {
-            may_have_reached: false,
+            may_have_reached_engine: false,
             last_contact: now,
             expiry,
             identifications_left,
-            identifying: false,
+            identification_pending: false,
             identified_connection: None,
             cancellation_exhausted: false,
             cancel_failed_at: None,
@@ -129,10 +129,10 @@
     }
 
     fn record_request(&mut self, now: Duration, long_poll: Duration) {
-        if std::mem::take(&mut self.identifying) {
+        if std::mem::take(&mut self.identification_pending) {
             self.identifications_left -= 1;
         }
-        self.may_have_reached = true;
+        self.may_have_reached_engine = true;
         self.last_contact = self.last_contact.max(now + long_poll);
     }
 
@@ -144,7 +144,7 @@
 
     /// Returns the proof that follows from the time alone, if there is one.
     fn proof_by_time(&self, now: Duration) -> Option<Proof> {
-        if !self.may_have_reached {
+        if !self.may_have_reached_engine {
             return Some(Proof::NeverReached);
         }
         (now >= self.expires_at()).then_some(Proof::Expired)
@@ -162,7 +162,7 @@
             return CancelStep::Wait(pause.min(remaining));
         }
         if !has_connection && self.identifications_left > 0 {
-            self.identifying = true;
+            self.identification_pending = true;
             return CancelStep::IdentifyProcess;
         }
         CancelStep::Cancel(remaining)
--- a/crates/ledger/src/journal/state.rs
+++ b/crates/ledger/src/journal/state.rs
@@ -8,7 +8,7 @@
 /// Number of records per unexpired query above which a journal is compacted.
 const MAX_RECORDS_PER_QUERY: usize = 4;
 /// Factor by which the number of records grows between two checks for compaction.
-const RECHECK_GROWTH: usize = 2;
+const RECHECK_GROWTH_FACTOR: usize = 2;
 
 /// Marks a time of an earlier boot, which is not comparable with the present clock.
 const NOT_COMPARABLE_MS: u64 = u64::MAX;
@@ -146,7 +146,7 @@
             return false;
         }
         self.remove_expired(now_ms);
-        self.next_compaction_check = RECHECK_GROWTH * self.record_count;
+        self.next_compaction_check = RECHECK_GROWTH_FACTOR * self.record_count;
         self.record_count > MAX_RECORDS_PER_QUERY * self.queries.len()
     }
 
@@ -163,7 +163,7 @@
             }
         }
         self.record_count = records.len();
-        self.next_compaction_check = RECHECK_GROWTH * records.len();
+        self.next_compaction_check = RECHECK_GROWTH_FACTOR * records.len();
         records.iter().flat_map(Record::encode).collect()
     }
 
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -105,12 +105,12 @@
         if bytes[0] != MAGIC || stored_checksum != checksum(&bytes) {
             return None;
         }
-        let id = number(&bytes, ID);
-        let time_ms = number(&bytes, TIME_MS);
+        let id = read_u64(&bytes, ID);
+        let time_ms = read_u64(&bytes, TIME_MS);
         match bytes[1] {
             KIND_STARTED => Some(Record::Started(StartedQuery {
                 query_key: id,
-                ordering_key: (bytes[2] == 1).then(|| number(&bytes, ORDERING_KEY)),
+                ordering_key: (bytes[2] == 1).then(|| read_u64(&bytes, ORDERING_KEY)),
                 may_run_until_ms: time_ms,
             })),
             KIND_FINISHED => Some(Record::Finished { query_key: id }),
@@ -123,9 +123,9 @@
     }
 }
 
-fn number(bytes: &[u8; RECORD_BYTES], place: Range<usize>) -> u64 {
+fn read_u64(bytes: &[u8; RECORD_BYTES], range: Range<usize>) -> u64 {
     let mut number = [0; 8];
-    number.copy_from_slice(&bytes[place]);
+    number.copy_from_slice(&bytes[range]);
     u64::from_le_bytes(number)
 }
 
