--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -51,8 +51,13 @@
         }
         let rate = COMMITS as f64 / started_at.elapsed().as_secs_f64();
         latencies.sort_unstable();
-        let at = |part: f64| latencies[(latencies.len() as f64 * part) as usize].as_micros();
-        println!("{writers:>15} {rate:>11.0} {:>20} {:>5}", at(0.5), at(0.99));
+        let quantile =
+            |fraction: f64| latencies[(latencies.len() as f64 * fraction) as usize].as_micros();
+        println!(
+            "{writers:>15} {rate:>11.0} {:>20} {:>5}",
+            quantile(0.5),
+            quantile(0.99)
+        );
         drop(journal);
         let _ = std::fs::remove_file(&path);
     }
--- a/crates/ledger/src/attempts/tests/plain_model.rs
+++ b/crates/ledger/src/attempts/tests/plain_model.rs
@@ -109,9 +109,9 @@
 
 /// Reference model of the ledger: keeps the history of all attempts ever opened.
 #[derive(Default)]
-struct PlainModel(Vec<History>);
+struct ReferenceModel(Vec<History>);
 
-impl PlainModel {
+impl ReferenceModel {
     fn record(&mut self, now: Duration, n: usize, evidence: Evidence) {
         let history = &mut self.0[n];
         if history.proof.is_some() || history.closed {
@@ -161,8 +161,8 @@
 
     /// For any sequence of events the ledger returns the same steps as the reference model, and a proof never changes.
     #[test]
-    fn ledger_agrees_with_the_plain_model(events in events()) {
-        let (mut ledger, mut model, mut ids) = (Ledger::new(PROTOCOL_LIMITS), PlainModel::default(), Vec::new());
+    fn ledger_agrees_with_the_reference_model(events in events()) {
+        let (mut ledger, mut model, mut ids) = (Ledger::new(PROTOCOL_LIMITS), ReferenceModel::default(), Vec::new());
         let mut now = Duration::ZERO;
         for (later, event) in events {
             now += ms(later);
--- a/crates/ledger/src/attempts/tests/simulation.rs
+++ b/crates/ledger/src/attempts/tests/simulation.rs
@@ -7,11 +7,11 @@
 
 /// Generated input of one simulation: the events at the engine and on the connections. Times are in milliseconds.
 #[derive(Clone, Debug)]
-struct World {
+struct Scenario {
     /// Time from which the engine refuses new connections.
     drains_at: u64,
     /// Time at which the engine's process ends, which resets all its connections.
-    dies_at: u64,
+    process_ends_at: u64,
     /// Time from which another process listens at the engine's address.
     replaced_at: u64,
     /// Time at which the network resets the connection of each attempt.
@@ -24,7 +24,7 @@
     lost_cancellations: Vec<bool>,
 }
 
-fn world() -> impl Strategy<Value = World> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     let at = 200u64..6000;
     (
         at.clone(),
@@ -36,9 +36,9 @@
         vec(any::<bool>(), 8),
     )
         .prop_map(
-            |(drains_at, dies_at, replaced_at, resets_at, run_ms, cancelled_at, lost)| World {
+            |(drains_at, ends_at, replaced_at, resets_at, run_ms, cancelled_at, lost)| Scenario {
                 drains_at,
-                dies_at: dies_at.max(drains_at),
+                process_ends_at: ends_at.max(drains_at),
                 replaced_at: replaced_at.max(drains_at),
                 resets_at,
                 run_ms,
@@ -50,16 +50,16 @@
 
 /// Open connection of a simulated attempt.
 #[derive(Clone, Copy)]
-struct Open {
+struct OpenConnection {
     number: ConnectionId,
     /// Whether the connection leads to the process that has the attempt, not to its replacement.
     to_first_process: bool,
 }
 
 /// One attempt of a simulation: the gateway's view and the actual state.
-struct Simulated {
+struct SimulatedAttempt {
     id: AttemptId,
-    connection: Option<Open>,
+    connection: Option<OpenConnection>,
     next_connection: ConnectionId,
     polled_at: u64,
     /// Time at which the attempt actually ended.
@@ -75,25 +75,25 @@
 
 /// Runs a simulation in steps of 10 ms. Checks that an attempt has ended whenever the ledger reports it as finished,
 /// and that all attempts finish within 12 s.
-fn simulate(world: &World) -> Result<(), TestCaseError> {
+fn simulate(scenario: &Scenario) -> Result<(), TestCaseError> {
     let mut ledger = Ledger::new(PROTOCOL_LIMITS);
-    let mut attempts: Vec<Simulated> = (0..3)
+    let mut attempts: Vec<SimulatedAttempt> = (0..3)
         .map(|_| {
             let id = ledger.open(ms(0), ms(900));
             ledger.record(ms(0), id, Evidence::RequestSent);
-            Simulated::new(id)
+            SimulatedAttempt::new(id)
         })
         .collect();
     for t in (0..12_000).step_by(STEP_MS) {
         for (n, attempt) in attempts.iter_mut().enumerate() {
-            attempt.advance_truth(t, n, world, &mut ledger);
+            attempt.update_actual_state(t, n, scenario, &mut ledger);
             if attempt.finished {
                 continue;
             }
             if attempt.cancelling {
-                attempt.cancel(t, n, world, &mut ledger)?;
+                attempt.cancel(t, n, scenario, &mut ledger)?;
             } else {
-                attempt.poll(t, n, world, &mut ledger);
+                attempt.poll(t, n, scenario, &mut ledger);
             }
         }
     }
@@ -106,11 +106,11 @@
     Ok(())
 }
 
-impl Simulated {
-    fn new(id: AttemptId) -> Simulated {
-        Simulated {
+impl SimulatedAttempt {
+    fn new(id: AttemptId) -> SimulatedAttempt {
+        SimulatedAttempt {
             id,
-            connection: Some(Open {
+            connection: Some(OpenConnection {
                 number: ConnectionId(0),
                 to_first_process: true,
             }),
@@ -125,14 +125,14 @@
 
     /// Updates the actual state: the attempt ends when it completes, its process ends or it is not polled for 2250 ms.
     /// Its connection may be reset.
-    fn advance_truth(&mut self, t: u64, n: usize, world: &World, ledger: &mut Ledger) {
-        let dead = t >= world.dies_at;
+    fn update_actual_state(&mut self, t: u64, n: usize, scenario: &Scenario, ledger: &mut Ledger) {
+        let ended = t >= scenario.process_ends_at;
         let unpolled = t.saturating_sub(self.polled_at) >= 2250;
-        if self.ended_at.is_none() && (t >= world.run_ms[n] || dead || unpolled) {
+        if self.ended_at.is_none() && (t >= scenario.run_ms[n] || ended || unpolled) {
             self.ended_at = Some(t);
         }
-        let reset = t == world.resets_at[n] / 10 * 10;
-        let broken = |open: &Open| reset || (dead && open.to_first_process);
+        let reset = t == scenario.resets_at[n] / 10 * 10;
+        let broken = |open: &OpenConnection| reset || (ended && open.to_first_process);
         if let Some(open) = self.connection.filter(broken) {
             ledger.record(ms(t), self.id, Evidence::ConnectionLost(open.number));
             self.connection = None;
@@ -140,8 +140,8 @@
     }
 
     /// Polls the attempt every 250 ms on a connection to its process, until the gateway stops waiting.
-    fn poll(&mut self, t: u64, n: usize, world: &World, ledger: &mut Ledger) {
-        self.cancelling = t >= world.cancelled_at[n];
+    fn poll(&mut self, t: u64, n: usize, scenario: &Scenario, ledger: &mut Ledger) {
+        self.cancelling = t >= scenario.cancelled_at[n];
         let Some(open) = self.connection else {
             self.cancelling = true;
             return;
@@ -163,33 +163,32 @@
         &mut self,
         t: u64,
         n: usize,
-        world: &World,
+        scenario: &Scenario,
         ledger: &mut Ledger,
     ) -> Result<(), TestCaseError> {
         match ledger.next_cancel_step(ms(t), self.id) {
-            CancelStep::IdentifyProcess => {
-                unreachable!("the simulated engine sends no progress events")
-            }
+            CancelStep::IdentifyProcess => unreachable!("no progress events"),
             CancelStep::Finished(proof) => {
                 prop_assert!(
                     self.ended_at.is_some_and(|at| at <= t),
-                    "attempt {n} still runs at {t} ms, but the ledger has the proof {proof:?}: {world:?}"
+                    "attempt {n} still runs at {t} ms, but the ledger has the proof {proof:?}: {scenario:?}"
                 );
                 self.finished = true;
             }
             CancelStep::Wait(time) => prop_assert!(!time.is_zero()),
             CancelStep::Cancel(remaining) => {
                 prop_assert!(!remaining.is_zero());
-                self.send_cancellation(t, world, ledger);
+                self.send_cancellation(t, scenario, ledger);
             }
         }
         Ok(())
     }
 
-    fn send_cancellation(&mut self, t: u64, world: &World, ledger: &mut Ledger) {
+    fn send_cancellation(&mut self, t: u64, scenario: &Scenario, ledger: &mut Ledger) {
         self.cancellations += 1;
-        let lost = world.lost_cancellations[self.cancellations % world.lost_cancellations.len()];
-        let Some(open) = self.connection.or_else(|| self.connect(t, world)) else {
+        let lost =
+            scenario.lost_cancellations[self.cancellations % scenario.lost_cancellations.len()];
+        let Some(open) = self.connection.or_else(|| self.connect(t, scenario)) else {
             ledger.record(ms(t), self.id, Evidence::ConnectionRefused);
             return;
         };
@@ -207,15 +206,15 @@
     }
 
     /// Opens a new connection, if any process accepts it.
-    fn connect(&mut self, t: u64, world: &World) -> Option<Open> {
-        let replaced = t >= world.replaced_at;
-        let first_accepts = t < world.drains_at && t < world.dies_at;
-        if !first_accepts && !replaced {
+    fn connect(&mut self, t: u64, scenario: &Scenario) -> Option<OpenConnection> {
+        let replaced = t >= scenario.replaced_at;
+        let first_process_accepts = t < scenario.drains_at && t < scenario.process_ends_at;
+        if !first_process_accepts && !replaced {
             return None;
         }
         let number = self.next_connection;
         self.next_connection = number.next();
-        Some(Open {
+        Some(OpenConnection {
             number,
             to_first_process: !replaced,
         })
@@ -228,7 +227,7 @@
     /// The ledger never reports a running attempt as finished, even if the engine drains without notice, the network
     /// resets its connections, or another process takes over its address while the engine still runs.
     #[test]
-    fn no_running_attempt_counts_as_finished_whatever_the_endpoint_list_says(world in world()) {
-        simulate(&world)?;
+    fn no_running_attempt_is_reported_as_finished(scenario in scenario()) {
+        simulate(&scenario)?;
     }
 }
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -34,7 +34,7 @@
 }
 
 /// Reference model: returns the unexpired queries after `records`, found by a search through all records for each id.
-fn plain_model(records: &[Record], now_ms: u64) -> Vec<RecoveredQuery> {
+fn reference_model(records: &[Record], now_ms: u64) -> Vec<RecoveredQuery> {
     let mut queries = Vec::new();
     for id in 0..20 {
         let is_of_query = |record: &&Record| {
@@ -65,13 +65,13 @@
 
 proptest! {
     #[test]
-    fn state_agrees_with_the_plain_model(records in vec(record(), 0..200), now in 0u64..3000) {
+    fn state_agrees_with_the_reference_model(records in vec(record(), 0..200), now in 0u64..3000) {
         let bytes: Vec<u8> = records.iter().flat_map(|r| r.encode()).collect();
         let mut replay = JournalState::replay(&bytes);
         prop_assert_eq!((replay.valid_bytes, replay.damaged_records), (bytes.len(), 0));
-        prop_assert_eq!(replay.state.unexpired(now), plain_model(&records, now));
+        prop_assert_eq!(replay.state.unexpired(now), reference_model(&records, now));
         let compacted = JournalState::replay(&replay.state.compacted(now));
-        prop_assert_eq!(compacted.state.unexpired(now), plain_model(&records, now), "after compaction");
+        prop_assert_eq!(compacted.state.unexpired(now), reference_model(&records, now), "after compaction");
     }
 
     /// A journal that ends at any byte yields exactly the complete records before that byte.
@@ -82,7 +82,7 @@
             let replay = JournalState::replay(&bytes[..end]);
             let complete = end / RECORD_BYTES;
             prop_assert_eq!(replay.valid_bytes, complete * RECORD_BYTES);
-            prop_assert_eq!(replay.state.unexpired(0), plain_model(&records[..complete], 0));
+            prop_assert_eq!(replay.state.unexpired(0), reference_model(&records[..complete], 0));
         }
     }
 
@@ -96,7 +96,7 @@
             records.iter().enumerate().filter(|(n, _)| *n != damaged).map(|(_, r)| *r).collect();
         let replay = JournalState::replay(&bytes);
         // The checksum also covers the byte that says whether there is an ordering key.
-        prop_assert_eq!(replay.state.unexpired(0), plain_model(&others, 0));
+        prop_assert_eq!(replay.state.unexpired(0), reference_model(&others, 0));
         let is_last = damaged == records.len() - 1;
         prop_assert_eq!(replay.damaged_records, usize::from(!is_last));
     }
@@ -130,7 +130,7 @@
 }
 
 impl FailingStorage {
-    fn operate(&self) -> io::Result<()> {
+    fn next_result(&self) -> io::Result<()> {
         let mut operations = self.operations.lock().unwrap();
         operations.done += 1;
         let failing = operations.first_failure..operations.first_failure + operations.failures;
@@ -143,12 +143,12 @@
 
 impl JournalStorage for FailingStorage {
     fn read(&mut self) -> io::Result<Vec<u8>> {
-        self.operate()?;
+        self.next_result()?;
         Ok(self.bytes.lock().unwrap().clone())
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let written = self.operate();
+        let written = self.next_result();
         let half = if written.is_ok() {
             bytes.len()
         } else {
@@ -159,11 +159,11 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.operate()
+        self.next_result()
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.operate()?;
+        self.next_result()?;
         *self.bytes.lock().unwrap() = bytes.to_vec();
         Ok(())
     }
@@ -181,15 +181,15 @@
 /// Whichever storage operations fail, every confirmed query is stored at all times, so none is confirmed while they
 /// fail. Two seconds after the start at the latest, queries are confirmed again.
 #[test]
-fn after_a_failed_step_nothing_is_confirmed_until_a_complete_journal_is_stored() {
+fn after_a_storage_failure_no_query_is_confirmed_until_a_complete_journal_is_stored() {
     let cases = (1..=12).flat_map(|first| [1, 3].map(|count| (first, count)));
     let threads: Vec<_> = cases
-        .map(|(first, count)| std::thread::spawn(move || fails_at(first, count)))
+        .map(|(first, count)| std::thread::spawn(move || check_storage_failures(first, count)))
         .collect();
     threads.into_iter().for_each(|case| case.join().unwrap());
 }
 
-fn fails_at(first_failure: usize, failures: usize) {
+fn check_storage_failures(first_failure: usize, failures: usize) {
     let case = format!("{failures} failures from operation {first_failure} on");
     let storage = FailingStorage::default();
     *storage.operations.lock().unwrap() = Operations {
@@ -224,8 +224,8 @@
                 "{case}: query {id} was confirmed but is not stored"
             );
         }
-        let passed = storage.operations.lock().unwrap().done >= first_failure + failures;
-        if passed && confirmed.last() == Some(&id) && confirmed.len() > 6 {
+        let failures_are_over = storage.operations.lock().unwrap().done >= first_failure + failures;
+        if failures_are_over && confirmed.last() == Some(&id) && confirmed.len() > 6 {
             break;
         }
         assert!(
@@ -293,8 +293,8 @@
     restored.unwrap();
     for id in 0..20_000u64 {
         let may_run_until_ms = if id < 19_990 { 1 } else { u64::MAX };
-        let waits = id.is_multiple_of(100);
-        if waits {
+        let waits_for_commit = id.is_multiple_of(100);
+        if waits_for_commit {
             commit(&journal, id).unwrap();
         } else {
             let query = StartedQuery {
@@ -335,7 +335,7 @@
 
 /// Parses a line that the child process printed, and returns its word and its id. The test runner may have printed text
 /// before the word on the same line.
-fn printed(line: &str) -> Option<(&'static str, u64)> {
+fn parse_printed_line(line: &str) -> Option<(&'static str, u64)> {
     ["started", "finished"].into_iter().find_map(|word| {
         let (_, id) = line.split_once(&format!("{word} "))?;
         Some((word, id.parse().ok()?))
@@ -345,7 +345,7 @@
 /// Kills a writing process 30 times at random moments, each time on the same file. Every query that was confirmed and
 /// not printed as finished must be stored, and no query that was never written.
 #[test]
-fn killed_in_a_loop_no_confirmed_record_is_lost() {
+fn no_confirmed_record_is_lost_when_the_process_is_killed_repeatedly() {
     const PATH: &str = "GARNETWALL_JOURNAL_TEST";
     if let Ok(path) = std::env::var(PATH) {
         let (path, first_id) = path.rsplit_once('=').unwrap();
@@ -358,7 +358,7 @@
         let mut child = Command::new(std::env::current_exe().unwrap())
             .args([
                 "--exact",
-                "killed_in_a_loop_no_confirmed_record_is_lost",
+                "no_confirmed_record_is_lost_when_the_process_is_killed_repeatedly",
                 "--nocapture",
             ])
             .env(PATH, format!("{}={first_id}", path.display()))
@@ -371,14 +371,14 @@
         let first = lines
             .by_ref()
             .map(|line| line.unwrap())
-            .find(|line| printed(line).is_some())
+            .find(|line| parse_printed_line(line).is_some())
             .expect("the child process confirms a query");
         std::thread::sleep(Duration::from_micros(200 + round * 731 % 5000));
         child.kill().unwrap();
         child.wait().unwrap();
         // The last line may be cut off too. An id that is cut short equals one that was printed before.
         for line in std::iter::once(first).chain(lines.map_while(Result::ok)) {
-            if let Some((word, id)) = printed(&line) {
+            if let Some((word, id)) = parse_printed_line(&line) {
                 last_printed.insert(id, word);
             }
         }
--- a/crates/ledger/tests/stored_records.rs
+++ b/crates/ledger/tests/stored_records.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_interrupted_journal_says_what_was_sent_and_what_is_finished() {
+fn an_interrupted_journal_yields_the_started_and_finished_queries() {
     let replay = JournalState::replay(STORED);
     assert_eq!((replay.valid_bytes, replay.damaged_records), (192, 0));
     assert_eq!(replay.state.unexpired(0), all_recovered());
