--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -1,4 +1,5 @@
-//! One body in flight: what of it is stored, and where. Its writer and its reader are in modules of their own.
+//! Implements a body in flight: its pieces, their storage and their release. The `writer` and `reader` modules add the
+//! methods to write and read it.
 
 use crate::capacity::{BodyId, Capacity, Storage, Usage};
 use crate::content::{Content, ReceiveState};
@@ -12,34 +13,37 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_blocking;
 
-/// Until when the bytes of a body are stored.
+/// Time until which the bytes of a body are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retention {
-    /// Until its query ends, so that a retry can read them again.
+    /// Until the query ends, so that a retry can read the body again.
     UntilQueryEnds,
-    /// Until a reader has read some of them: the body of a non-idempotent query must not be sent twice.
+    /// Until a reader has read the first bytes, because the body of a non-idempotent query must not be sent twice.
     UntilRead,
 }
 
-/// The outcome of writing a piece to the spool file.
+/// Outcome of writing a piece to the spool file.
 pub(crate) enum PieceWrite {
     /// The piece is in a slot of the file.
     Written(PieceData),
-    /// The piece is not in the file: the file is full, the disk failed, or the blocking task did not end.
+    /// The piece is not in the file: the file is full, an I/O error occurred, or the blocking task panicked or was
+    /// cancelled.
     Failed,
 }
 
-/// One body in flight. Its reservation is released when it is dropped.
+/// A body in flight. Its reservation and its slots are released when it is dropped.
 pub struct Body {
     pub(crate) resources: Arc<Resources>,
-    /// Where eviction finds the bodies; this one removes itself when it is dropped.
+    /// Registry of all bodies in flight, in which eviction finds them. The body removes itself when it is dropped.
     pub(crate) registry: Arc<Registry<Body>>,
     pub(crate) body_id: BodyId,
+    /// Index of the query class.
     pub(crate) class: usize,
+    /// Announced length in bytes; `None` if it is unknown.
     pub(crate) length: Option<u64>,
     pub(crate) retention: Retention,
     content: Mutex<Content>,
-    /// Notified when bytes arrive, are read, or the state changes.
+    /// Notified when bytes arrive, bytes are read, or the receive state changes.
     pub(crate) changed: Notify,
 }
 
@@ -76,47 +80,48 @@
         self.resources.spool.as_deref()
     }
 
-    /// The length that was announced, in bytes; none where it is unknown.
+    /// Returns the announced length in bytes; `None` if it is unknown.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// The index of its query class.
+    /// Returns the index of the query class.
     pub fn class(&self) -> usize {
         self.class
     }
 
-    /// Where its next bytes go.
+    /// Returns where the next bytes of the body go.
     pub fn storage(&self) -> Storage {
         self.capacity().storage(self.body_id)
     }
 
-    /// Whether it can be read from its start, now and later.
+    /// Returns whether the body is stored from its start, so that a retry can read it now and later.
     pub fn is_stored(&self) -> bool {
         self.is_readable_from_start() && self.storage() != Storage::NotStored
     }
 
-    /// Whether it can be read from its start now, stored or not.
+    /// Returns whether a reader can be opened at the start now, even if the body is not stored.
     pub fn is_readable_from_start(&self) -> bool {
         self.content().has_start
     }
 
-    /// Whether all of it has arrived.
+    /// Returns whether the whole body has arrived.
     pub fn is_complete(&self) -> bool {
         self.content().state == ReceiveState::Complete
     }
 
-    /// Stops storing it, and discards what was read and what will be.
+    /// Stops storing the body, and discards the pieces that were read. Further pieces are discarded once they are read.
     pub fn discard(&self) {
         self.stop_storing();
         self.discard_read();
     }
 
+    /// Marks the body as not stored. Pieces are discarded only once they are read.
     pub(crate) fn stop_storing(&self) {
         self.capacity().stop_storing(self.body_id);
     }
 
-    /// Discards the pieces that were read.
+    /// Discards the pieces that were read completely, and releases their reservation.
     pub(crate) fn discard_read(&self) {
         let mut released = Usage::default();
         let mut content = self.content();
@@ -130,7 +135,7 @@
         }
     }
 
-    /// Writes a piece to the spool file, on a thread for blocking work.
+    /// Writes a piece to the spool file, on a thread of the runtime's pool for blocking tasks.
     pub(crate) async fn write_piece(&self, spool: &Arc<Spool>, piece: Bytes) -> PieceWrite {
         let number = self.next_piece_number();
         let length = piece.len();
--- a/crates/bodies/src/capacity.rs
+++ b/crates/bodies/src/capacity.rs
@@ -1,7 +1,7 @@
-//! Decides where request bodies are stored, within budgets of memory and of the spool file. It does no I/O.
+//! Decides where request bodies are stored, within a memory budget and a spool file budget. Does no I/O.
 //!
-//! Bytes are reserved before they arrive. The reservations of all bodies stay within both budgets at every moment,
-//! and those of one tenant within its share of each.
+//! Bytes are reserved before they are stored. The reservations of all bodies never exceed either budget, and those of
+//! one tenant never exceed the tenant's share of either.
 
 mod error;
 mod eviction;
@@ -15,22 +15,23 @@
 use reservation::{round_up_to_pieces, Reservation};
 use std::collections::BTreeMap;
 
-/// The budgets of memory and of the spool file, and the reservations of all bodies in flight.
+/// Memory budget, spool file budget, and the reservations of all bodies in flight.
 #[derive(Debug)]
 pub struct Capacity {
     limits: Limits,
     policy: EvictionPolicy,
     next_id: u64,
-    /// Memory ran short, and bodies are evicted to the spool file until enough of it is free again.
+    /// Whether memory ran short and bodies are being evicted until the lower threshold is reached.
     memory_pressure: bool,
     reservations: BTreeMap<BodyId, Reservation>,
+    /// Sum of all reservations.
     total: Usage,
-    /// The usage of each tenant that has any.
+    /// Sum of the reservations of each tenant; tenants without reserved bytes have no entry.
     by_tenant: BTreeMap<usize, Usage>,
 }
 
 impl Capacity {
-    /// Budgets without any body.
+    /// Creates budgets without any reservation.
     pub fn new(limits: Limits, policy: EvictionPolicy) -> Self {
         Capacity {
             limits,
@@ -43,17 +44,18 @@
         }
     }
 
-    /// The limits that hold.
+    /// Returns the configured limits.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Reserves capacity for a body of `length` bytes before they arrive. With an unknown length the reservation grows
-    /// by [`Capacity::receive`].
+    /// Reserves capacity for a body before its bytes arrive, and chooses its storage: memory if possible, else the
+    /// spool file, else none. `length` is the announced length in bytes. If it is `None`, [`Capacity::receive`] extends
+    /// the reservation as bytes arrive.
     ///
     /// # Errors
     ///
-    /// The body is too large, its length must be known, or the budgets have no capacity for it.
+    /// The body is too large, its length is unknown but must be known, or the budgets have no capacity for it.
     pub fn admit(
         &mut self,
         tenant: usize,
@@ -82,7 +84,7 @@
         Ok(id)
     }
 
-    /// Adds `bytes` that arrive to a body, and says where they go.
+    /// Records that `bytes` more bytes of a body arrive, and returns where they go.
     ///
     /// # Errors
     ///
@@ -99,7 +101,7 @@
         if reservation.length_known || reservation.storage == Storage::NotStored {
             return Ok(reservation.storage);
         }
-        // Whole pieces are reserved, so that a few bytes rarely need a new reservation.
+        // Reserve whole pieces, so that small chunks rarely need a further reservation.
         let needed =
             round_up_to_pieces(reservation.received_bytes).min(round_up_to_pieces(max_bytes));
         if needed <= reservation.stored_bytes() {
@@ -109,8 +111,8 @@
         self.grow(id, &reservation, needed)
     }
 
-    /// Stops storing a body: it was discarded, or its spool file failed. What is still to be read stays reserved until
-    /// [`Capacity::release_read`].
+    /// Stops storing a body, because it was discarded or the spool file failed. Its reservation stays until
+    /// [`Capacity::release_read`] or [`Capacity::remove`].
     pub fn stop_storing(&mut self, id: BodyId) {
         self.set_storage(id, Storage::NotStored);
     }
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Releases what was read of a body that is not stored any more.
+    /// Releases the bytes `read` of a body that is no longer stored, except for its window. Does nothing while the body
+    /// is stored or being evicted.
     pub fn release_read(&mut self, id: BodyId, read: Usage) {
         let Some(reservation) = self.reservations.get(&id) else {
             return;
@@ -139,7 +142,7 @@
         self.release(id, released);
     }
 
-    /// Releases all of a body whose query has ended.
+    /// Removes a body whose query has ended, and releases its whole reservation.
     pub fn remove(&mut self, id: BodyId) {
         let Some(reservation) = self.reservations.get(&id) else {
             return;
@@ -148,24 +151,24 @@
         self.reservations.remove(&id);
     }
 
-    /// Where the next bytes of a body go.
+    /// Returns where the next bytes of a body go; [`Storage::NotStored`] for an unknown id.
     pub fn storage(&self, id: BodyId) -> Storage {
         self.reservations
             .get(&id)
             .map_or(Storage::NotStored, |reservation| reservation.storage)
     }
 
-    /// What is reserved for all bodies.
+    /// Returns the bytes that are reserved for all bodies.
     pub fn usage(&self) -> Usage {
         self.total
     }
 
-    /// The number of bodies.
+    /// Returns the number of bodies in flight.
     pub fn len(&self) -> usize {
         self.reservations.len()
     }
 
-    /// Whether there is no body.
+    /// Returns whether no body is in flight.
     pub fn is_empty(&self) -> bool {
         self.reservations.is_empty()
     }
@@ -179,6 +182,7 @@
         }
     }
 
+    /// Returns whether a new body may be admitted with this storage.
     fn can_admit(
         &self,
         storage: Storage,
@@ -194,12 +198,13 @@
         allowed && self.fits(tenant, self.initial_usage(storage, length))
     }
 
-    /// The bytes of a body that are reserved when it is admitted.
+    /// Returns the bytes of a body that are reserved when it is admitted: its length or, if that is unknown, one piece.
     fn initial_bytes(&self, length: Option<u64>) -> u64 {
         length.unwrap_or(PIECE_BYTES.min(self.limits.max_body_bytes))
     }
 
-    /// The first reservation of a body, with the window between writer and reader where the body may need one.
+    /// Returns the initial reservation of a body. It includes the window between writer and reader, unless the body has
+    /// a known length and is stored in memory.
     fn initial_usage(&self, storage: Storage, length: Option<u64>) -> Usage {
         let mut usage = Usage::stored(storage, self.initial_bytes(length));
         let stays_in_memory = storage == Storage::Memory && length.is_some();
@@ -209,6 +214,7 @@
         usage
     }
 
+    /// Returns whether bodies of a query class must be stored, or else rejected.
     fn must_store(&self, class: usize) -> bool {
         self.limits
             .storage_required
@@ -217,7 +223,8 @@
             .unwrap_or_default()
     }
 
-    /// Extends the reservation of a body of unknown length to `needed` bytes.
+    /// Extends the reservation of a body of unknown length to `needed` bytes, and moves its next bytes to other storage
+    /// if necessary.
     fn grow(
         &mut self,
         id: BodyId,
@@ -238,7 +245,8 @@
         Ok(Storage::NotStored)
     }
 
-    /// Where `more` bytes of a body go that has `needed` bytes with them. A body in the spool file stays there.
+    /// Returns the storage for `more` further bytes of a body that then needs `needed` bytes in total. A body in the
+    /// spool file does not return to memory.
     fn storage_for(&self, reservation: &Reservation, more: u64, needed: u64) -> Storage {
         let fits = |storage| self.fits(reservation.tenant, Usage::stored(storage, more));
         let may_be_in_memory =
@@ -252,7 +260,7 @@
         }
     }
 
-    /// Whether both budgets, and the tenant's share of each, have capacity for `more`.
+    /// Returns whether both budgets, and the tenant's share of each, have capacity for `more`.
     fn fits(&self, tenant: usize, more: Usage) -> bool {
         let tenant_usage = self.by_tenant.get(&tenant).copied().unwrap_or_default();
         let memory_fits = self.fits_budget(
@@ -270,8 +278,8 @@
         memory_fits && file_fits
     }
 
-    /// Whether `more` bytes fit into one budget, of which all bodies use `used` bytes and those of the tenant
-    /// `used_by_tenant`. No bytes always fit, also where a budget is full.
+    /// Returns whether `more` bytes fit into one budget. All bodies use `used` bytes of it, and the tenant's bodies
+    /// `used_by_tenant`. Zero bytes always fit, even into a full budget.
     fn fits_budget(&self, budget: u64, used: u64, used_by_tenant: u64, more: u64) -> bool {
         more == 0
             || used + more <= budget && used_by_tenant + more <= self.limits.tenant_budget(budget)
--- a/crates/bodies/src/capacity/eviction.rs
+++ b/crates/bodies/src/capacity/eviction.rs
@@ -1,16 +1,20 @@
-//! Chooses the bodies that are evicted from memory to the spool file.
+//! Chooses the bodies to evict from memory to the spool file.
 
 use super::reservation::Reservation;
 use super::{BodyId, Capacity, EvictionOutcome, EvictionPolicy, Storage, Usage};
 use std::cmp::Reverse;
 
-/// The part of the memory budget at which eviction starts, and the part at which it stops.
+/// Fraction of the memory budget above which eviction starts.
 const EVICTION_START_FRACTION: f64 = 0.75;
+/// Fraction of the memory budget down to which eviction continues once it has started.
 const EVICTION_STOP_FRACTION: f64 = 0.5;
 
 impl Capacity {
-    /// Chooses the next body to evict and reserves space for it in the spool file; none while memory is not short.
-    /// Tenants that use more than a fair share of the used memory are evicted first.
+    /// Chooses the next body to evict, and reserves space for it in the spool file. Returns `None` if memory is not
+    /// short or no body can be evicted. Bodies of tenants that use at least a fair share of the used memory are evicted
+    /// first.
+    ///
+    /// The caller writes the body and then calls [`Capacity::finish_eviction`].
     pub fn start_eviction(&mut self) -> Option<BodyId> {
         if self.policy == EvictionPolicy::Never || self.limits.file_bytes == 0 {
             return None;
@@ -28,8 +32,8 @@
         Some(id)
     }
 
-    /// Ends the eviction of a body. Where all of it is in the spool file its memory is released, otherwise its space in
-    /// the file.
+    /// Ends the eviction of a body. Releases the body's memory if the body was written to the spool file, else its
+    /// space in the file. Does nothing if the body was removed or is not being evicted.
     pub fn finish_eviction(&mut self, id: BodyId, outcome: EvictionOutcome) {
         let Some(reservation) = self.reservations.get_mut(&id) else {
             return;
@@ -49,7 +53,8 @@
         self.release(id, Usage::stored(Storage::Memory, memory_bytes));
     }
 
-    /// Whether memory that is not being evicted already passes the fraction that holds now.
+    /// Returns whether the used memory, without bodies that are already being evicted, exceeds the current threshold:
+    /// the stop fraction while eviction is under way, else the start fraction.
     fn is_memory_short(&self) -> bool {
         let evicting_bytes: u64 = self
             .reservations
@@ -66,6 +71,8 @@
         remaining_bytes > self.limits.memory_bytes as f64 * fraction
     }
 
+    /// Returns the body to evict next: first by whether the tenant uses at least its fair share of the used memory,
+    /// then by the eviction policy, then the oldest.
     fn eviction_candidate(&self) -> Option<BodyId> {
         let fair_share_bytes = self.total.memory_bytes / self.by_tenant.len().max(1) as u64;
         let candidates = self
@@ -86,7 +93,7 @@
         candidates.max_by_key(priority).map(|(id, _)| *id)
     }
 
-    /// Whether a body has a known length, is in memory, and fits into the spool file.
+    /// Returns whether a body may be evicted: its length is known, it is in memory, and it fits into the spool file.
     fn can_evict(&self, reservation: &Reservation) -> bool {
         let memory_bytes = reservation.usage.memory_bytes;
         let in_file = Usage::stored(Storage::File, memory_bytes);
--- a/crates/bodies/src/content.rs
+++ b/crates/bodies/src/content.rs
@@ -1,4 +1,4 @@
-//! The pieces of one body, as its writer and its reader share them.
+//! Holds the state of one body that its writer and its reader share: the pieces, the positions and the end.
 
 use crate::piece::{Piece, PieceData};
 use bytes::BytesMut;
@@ -10,26 +10,26 @@
 pub(crate) enum ReceiveState {
     /// More bytes may arrive.
     Receiving,
-    /// All of it has arrived.
+    /// The whole body has arrived.
     Complete,
-    /// Its writer stopped before its end.
+    /// The writer stopped before the end of the body.
     Truncated,
 }
 
-/// What the writer and the reader of a body share.
+/// State that the writer and the reader of a body share.
 pub(crate) struct Content {
-    /// The pieces in order, without a gap between them.
+    /// Pieces that are not discarded, in order and without gaps.
     pub(crate) pieces: VecDeque<Piece>,
-    /// Bytes that can be read or have been.
+    /// Number of bytes added as pieces so far, including discarded ones. Pending bytes are not included.
     pub(crate) readable_bytes: u64,
-    /// Bytes that the present reader has read.
+    /// Number of bytes that the current reader has read.
     pub(crate) read_bytes: u64,
-    /// The number of the last piece written to the spool file.
+    /// Number of the last piece written to the spool file; 0 before the first.
     pub(crate) last_piece_number: u32,
     pub(crate) state: ReceiveState,
-    /// No piece was discarded yet, so it can be read from its start.
+    /// Whether the body can still be read from its start because no piece was discarded yet.
     pub(crate) has_start: bool,
-    /// Bytes received that are too few for a piece.
+    /// Received bytes that are too few for a piece so far.
     pub(crate) pending: BytesMut,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Removes the next piece that was read completely.
+    /// Removes and returns the first piece if it was read completely; `None` otherwise.
     pub(crate) fn pop_read_piece(&mut self) -> Option<Arc<PieceData>> {
         let first = self.pieces.front()?;
         if first.end() > self.read_bytes {
--- a/crates/bodies/src/eviction.rs
+++ b/crates/bodies/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Moves bodies from memory to the spool file while memory is short.
+//! Moves bodies from memory to the spool file while memory is short. Runs whenever a body is complete.
 
 use crate::body::{Body, PieceWrite};
 use crate::capacity::EvictionOutcome;
@@ -9,7 +9,8 @@
 use crate::spool::Spool;
 use std::sync::Arc;
 
-/// Evicts bodies from memory to the spool file until memory is not short any more, or a write fails.
+/// Evicts bodies from memory to the spool file until memory is no longer short, no body can be evicted, or an eviction
+/// fails.
 pub(crate) async fn evict(resources: &Resources, registry: &Registry<Body>) {
     let Some(spool) = &resources.spool else {
         return;
@@ -28,7 +29,7 @@
 }
 
 impl Body {
-    /// Writes all pieces in memory to the spool file. Where one can't be written all stay in memory.
+    /// Writes all pieces in memory to the spool file. If one cannot be written, all of them stay in memory.
     async fn write_to_spool(&self, spool: &Arc<Spool>) -> EvictionOutcome {
         let pieces: Vec<Piece> = self.content().pieces.iter().cloned().collect();
         let mut written = Vec::new();
@@ -52,7 +53,7 @@
         EvictionOutcome::Written
     }
 
-    /// Puts the written pieces in the place of those in memory. One that was discarded in the meantime is freed.
+    /// Replaces the pieces in memory by the written ones. Frees the slot of a piece that was discarded in the meantime.
     fn replace_pieces(&self, written: Vec<Piece>, spool: &Spool) {
         let mut content = self.content();
         for replacement in written {
--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -1,20 +1,22 @@
-//! Stores request bodies for retries: in memory up to a size, then in a spool file up to a budget, then not at all.
+//! Stores request bodies for retries: in memory up to a size limit, then in a spool file up to a budget, then not at
+//! all.
 //!
-//! A body is written by one writer while one reader at a time follows it; each byte is stored once.
+//! One writer fills a body while one reader at a time reads it, possibly before it is complete. Each byte is stored
+//! once.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! |---|---|
-//! | [`capacity`] | decides where a body is stored, what is evicted and what is rejected; no I/O |
-//! | [`spool`] | the slots of the spool file, each with a checksum; the file is behind a trait |
-//! | `piece`, `content` | a piece and where it is stored; the pieces of a body that its writer and reader share |
-//! | `resources`, `registry` | what all bodies share; where bodies in flight are found by id |
-//! | [`body`] | one body in flight, and what of it is stored |
+//! | [`capacity`] | decides where each body is stored, and which bodies are evicted or rejected; does no I/O |
+//! | [`spool`] | manages the slots of the spool file, each with a checksum; accesses the file through a trait |
+//! | `piece`, `content` | hold one piece of a body, and the list of pieces that the writer and the reader share |
+//! | `resources`, `registry` | hold the resources that all bodies share, and find bodies in flight by id |
+//! | [`body`] | represents one body in flight and its stored pieces |
 //! | `eviction` | moves bodies from memory to the spool file |
-//! | [`writer`] | receives a body, and stores it in pieces |
-//! | [`reader`] | reads a body from its start while it still arrives |
-//! | [`store`] | admits bodies to one capacity |
+//! | [`writer`] | receives a body and stores it in pieces |
+//! | [`reader`] | reads a body from its start, while it may still be arriving |
+//! | [`store`] | admits bodies within the budgets of one store |
 //!
-//! Each module knows only those above it in this table.
+//! Each module depends only on modules above it in this table.
 //!
 //! docs/bodies.md explains the design.
 
--- a/crates/bodies/src/piece.rs
+++ b/crates/bodies/src/piece.rs
@@ -1,24 +1,24 @@
-//! A piece of a body, where it is stored.
+//! Defines a piece of a body, which is held in memory or in a slot of the spool file.
 
 use crate::capacity::{Usage, PIECE_BYTES};
 use crate::spool::{Slot, Spool};
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// The bytes of a piece, or the slot that holds them.
+/// Bytes of a piece, or the slot that holds them.
 pub(crate) enum PieceData {
     Memory(Bytes),
     File {
         slot: Slot,
-        /// The number of the piece within its body, which the slot repeats.
+        /// Number of the piece, which is also stored in the slot's header and checked when the slot is read.
         number: u32,
-        /// Bytes of the piece.
+        /// Length of the piece in bytes.
         length: usize,
     },
 }
 
 impl PieceData {
-    /// The length in bytes.
+    /// Returns the length in bytes.
     pub(crate) fn len(&self) -> u64 {
         match self {
             PieceData::Memory(bytes) => bytes.len() as u64,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// What it takes of the budgets.
+    /// Returns the bytes that the piece takes of each budget. A slot counts as a whole piece.
     pub(crate) fn usage(&self) -> Usage {
         let mut usage = Usage::default();
         match self {
@@ -36,7 +36,8 @@
         usage
     }
 
-    /// Frees the slot of a piece that nothing else uses. While a reader still uses it, the reader frees it.
+    /// Drops a reference to a piece, and frees its slot if it was the last one. While a reader still uses the piece,
+    /// the reader frees the slot.
     pub(crate) fn free(data: Arc<PieceData>, spool: Option<&Spool>) {
         if let (Some(PieceData::File { slot, .. }), Some(spool)) = (Arc::into_inner(data), spool) {
             spool.free(slot);
@@ -44,16 +45,16 @@
     }
 }
 
-/// A piece at its place in a body.
+/// A piece and its position in the body.
 #[derive(Clone)]
 pub(crate) struct Piece {
-    /// The offset of its first byte in the body.
+    /// Offset of the piece's first byte in the body.
     pub(crate) offset: u64,
     pub(crate) data: Arc<PieceData>,
 }
 
 impl Piece {
-    /// The offset of the first byte after it.
+    /// Returns the offset of the first byte after the piece.
     pub(crate) fn end(&self) -> u64 {
         self.offset + self.data.len()
     }
--- a/crates/bodies/src/reader.rs
+++ b/crates/bodies/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a body from its start to its end, while it still arrives.
+//! Reads a body from its start to its end, while it may still be arriving.
 
 use crate::body::{Body, Retention};
 use crate::capacity::Storage;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use tokio::task::spawn_blocking;
 
-/// Why a body can't be read to its end.
+/// Reason why a body could not be read to its end.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The bytes at the reader's position were discarded.
+    /// The bytes at the reader's position were discarded, or the task that reads the spool file failed.
     Discarded,
     /// The writer stopped before the end of the body.
     Truncated,
@@ -24,43 +24,45 @@
 impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ReadError::Discarded => f.write_str("the body was discarded"),
-            ReadError::Truncated => f.write_str("the body was truncated"),
-            ReadError::Spool(error) => write!(f, "spool file: {error}"),
+            ReadError::Discarded => f.write_str("the next bytes of the body were discarded"),
+            ReadError::Truncated => f.write_str("the body is incomplete: its writer stopped"),
+            ReadError::Spool(error) => write!(f, "reading a stored body failed: {error}"),
         }
     }
 }
 
 impl std::error::Error for ReadError {}
 
-/// Which attempt of its query reads a body.
+/// Attempt that reads a body: the first one of the query or a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadBy {
     /// The first attempt.
     FirstAttempt,
-    /// A later one: its read counts as [`retry_reads`](crate::Counts::retry_reads).
+    /// A later attempt. Its read is counted in [`retry_reads`](crate::Counts::retry_reads).
     Retry,
 }
 
-/// The position of one attempt in the body that it sends.
+/// Reads a body for one attempt, and holds the position of that attempt.
 pub struct Reader {
     body: Arc<Body>,
+    /// Offset in bytes of the next byte to read.
     position: u64,
 }
 
-/// What a reader finds at its position.
+/// Result of looking up the piece at a reader's position.
 enum Lookup {
     Found(Piece),
+    /// The position is at the end of a complete body.
     End,
     NotYetReceived,
 }
 
 impl Body {
-    /// Opens a reader at its start.
+    /// Opens a reader at the start of the body. Only one reader at a time may read a body.
     ///
     /// # Errors
     ///
-    /// [`ReadError::Discarded`] where its start is not stored any more.
+    /// [`ReadError::Discarded`] if the start of the body was discarded.
     pub fn reader(self: &Arc<Self>, read_by: ReadBy) -> Result<Reader, ReadError> {
         if !self.rewind() {
             self.resources
@@ -80,7 +82,7 @@
         })
     }
 
-    /// Lets the next reader begin at the start; false where that was discarded.
+    /// Resets the read position for a new reader. Returns false if the start of the body was discarded.
     fn rewind(&self) -> bool {
         let mut content = self.content();
         if content.has_start {
@@ -91,11 +93,11 @@
 }
 
 impl Reader {
-    /// The next bytes, once they have arrived; none at the end of the body.
+    /// Waits for the next bytes and returns them; `None` at the end of the body.
     ///
     /// # Errors
     ///
-    /// The body is truncated, discarded or damaged: what was read is not all of it.
+    /// The body is truncated, discarded or damaged, so the bytes read so far are not the whole body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         let Some(Piece { offset, data }) = self.wait_for_piece().await? else {
             return Ok(None);
@@ -104,25 +106,26 @@
             PieceData::Memory(bytes) => bytes.clone(),
             PieceData::File { .. } => self.read_from_spool(data.clone()).await?,
         };
-        // Released before its piece may be discarded, which frees the slot only of a piece that nothing else uses.
+        // Drop this reference first: `advance` may discard the piece, which frees its slot only if no other reference
+        // exists.
         drop(data);
         let bytes = piece.slice((self.position - offset) as usize..);
         self.advance(bytes.len() as u64);
         Ok(Some(bytes))
     }
 
-    /// Bytes read so far.
+    /// Returns the number of bytes read so far.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Whether the body is complete and all of it has been read.
+    /// Returns whether the body is complete and was read to its end.
     pub fn is_at_end(&self) -> bool {
         let content = self.body.content();
         content.state == ReceiveState::Complete && self.position == content.readable_bytes
     }
 
-    /// Waits until there is a piece at the position; none at the end of the body.
+    /// Waits for the piece at the position and returns it; `None` at the end of the body.
     async fn wait_for_piece(&self) -> Result<Option<Piece>, ReadError> {
         loop {
             let changed = self.body.changed.notified();
@@ -136,6 +139,7 @@
         }
     }
 
+    /// Finds the piece at the position, without waiting.
     fn look_up(&self) -> Result<Lookup, ReadError> {
         let content = self.body.content();
         let following = content
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Reads a piece from the spool file, on a thread for blocking work.
+    /// Reads a piece from the spool file, on a thread of the runtime's pool for blocking tasks.
     async fn read_from_spool(&self, data: Arc<PieceData>) -> Result<Bytes, ReadError> {
         let Some(spool) = self.body.resources.spool.clone() else {
             return Err(ReadError::Discarded);
@@ -173,7 +177,7 @@
                 } => spool.read(slot, body, *number, *length),
                 PieceData::Memory(bytes) => Ok(bytes.to_vec()),
             };
-            // The body may have discarded the piece while it was read.
+            // Free the slot if the body discarded the piece during the read.
             PieceData::free(data, Some(&spool));
             read
         });
@@ -181,7 +185,8 @@
         read.map(Bytes::from).map_err(ReadError::Spool)
     }
 
-    /// Moves the position on, and discards what was read of a body that is not stored.
+    /// Advances the position by `bytes`. Stops storing a body that is kept only until it is read, and discards the read
+    /// pieces of a body that is not stored.
     fn advance(&mut self, bytes: u64) {
         self.position += bytes;
         self.body.content().read_bytes = self.position;
--- a/crates/bodies/src/registry.rs
+++ b/crates/bodies/src/registry.rs
@@ -1,11 +1,12 @@
-//! Finds bodies in flight by their id, without keeping them alive.
+//! Finds bodies in flight by their id. Holds weak references, so that it does not keep a body alive.
 
 use crate::capacity::BodyId;
 use crate::mutex::lock;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, Weak};
 
-/// The bodies in flight. A body removes itself when it is dropped, so the registry is generic: it does not know the type.
+/// Registry of the bodies in flight, from which a body removes itself when it is dropped. The body type refers to the
+/// registry, so the registry is generic to avoid a cyclic dependency of the modules.
 pub(crate) struct Registry<B> {
     bodies: Mutex<HashMap<BodyId, Weak<B>>>,
 }
@@ -21,7 +22,7 @@
         lock(&self.bodies).insert(id, Arc::downgrade(body));
     }
 
-    /// The body, if it is still in flight.
+    /// Returns the body if it is still in flight.
     pub(crate) fn get(&self, id: BodyId) -> Option<Arc<B>> {
         lock(&self.bodies).get(&id).and_then(Weak::upgrade)
     }
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -1,17 +1,18 @@
-//! The spool file: one file for all bodies, in slots of one piece each.
+//! Stores pieces of bodies in the spool file, which is divided into slots of one piece each.
 //!
-//! The file is unlinked as soon as it is open, so that a killed process leaves nothing that takes space on the disk, and
-//! it costs one descriptor however many bodies it holds. Each slot names its body and piece and has a checksum: a damaged
-//! or mistaken one is an error, never a wrong statement.
+//! All bodies share one file, so that the number of open descriptors does not grow with the number of bodies. The file
+//! is unlinked as soon as it is open, so that a killed process leaves no file on the disk. Each slot contains the ids
+//! of its body and piece and a checksum: a damaged or mixed-up slot is reported as an error and never yields wrong
+//! data.
 //!
 //! A slot begins with a header of 32 bytes; numbers are little-endian:
 //!
 //! | bytes | content |
 //! |---|---|
 //! | 0..8 | id of the body |
-//! | 8..12 | number of the piece in the body |
+//! | 8..12 | number of the piece, from 1 for each body in the order of writing |
 //! | 12..16 | length of the piece in bytes |
-//! | 16..20 | CRC-32 of the 16 bytes before and of the piece |
+//! | 16..20 | CRC-32 of bytes 0..16 and of the piece |
 //! | 20..32 | zero |
 
 mod file;
@@ -24,35 +25,36 @@
 use std::io;
 use std::sync::Mutex;
 
+/// Size of a slot's header.
 const HEADER_BYTES: usize = 32;
-/// The part of the header that the checksum covers.
+/// Number of bytes at the start of the header that the checksum covers.
 const CHECKED_HEADER_BYTES: usize = 16;
 const SLOT_BYTES: u64 = HEADER_BYTES as u64 + PIECE_BYTES;
 
-/// Why a piece can't be written or read.
+/// Reason why a piece could not be written or read.
 #[derive(Debug)]
 pub enum SpoolError {
     /// All slots are in use, or the piece is longer than a slot.
     Full,
     /// The file system reported an error.
     Io(io::Error),
-    /// The slot does not hold what was written.
+    /// The slot does not hold the expected piece: it is damaged, truncated, or belongs to another piece.
     Damaged,
 }
 
 impl fmt::Display for SpoolError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            SpoolError::Full => f.write_str("the spool is full"),
-            SpoolError::Io(error) => write!(f, "{error}"),
-            SpoolError::Damaged => f.write_str("a piece of the spool is damaged"),
+            SpoolError::Full => f.write_str("the spool file has no free slot for the piece"),
+            SpoolError::Io(error) => write!(f, "I/O error on the spool file: {error}"),
+            SpoolError::Damaged => f.write_str("a slot of the spool file holds unexpected data"),
         }
     }
 }
 
 impl std::error::Error for SpoolError {}
 
-/// A slot that holds a piece.
+/// An allocated slot of the spool file, by its index. Returned to the spool with [`Spool::free`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct Slot(u32);
 
@@ -62,17 +64,18 @@
     }
 }
 
-/// Which slots are in use.
+/// Tracks the slots that are in use.
 struct SlotAllocator {
-    /// Slots that were used before and are free.
+    /// Slots that were used before and are free again.
     free: Vec<u32>,
-    /// The first slot that was never used.
+    /// First slot that was never used; all slots from here on are free.
     next_unused: u32,
-    /// The number of slots.
+    /// Total number of slots.
     capacity: u32,
 }
 
 impl SlotAllocator {
+    /// Returns a free slot, preferably one that was used before; `None` if all slots are in use.
     fn allocate(&mut self) -> Option<Slot> {
         if let Some(index) = self.free.pop() {
             return Some(Slot(index));
@@ -86,14 +89,14 @@
     }
 }
 
-/// The slots of a spool file.
+/// A spool file and the allocation of its slots.
 pub struct Spool {
     file: Box<dyn RandomAccessFile>,
     slots: Mutex<SlotAllocator>,
 }
 
 impl Spool {
-    /// A spool for `bytes` of bodies, in whole pieces.
+    /// Creates a spool on an empty file, with as many slots as whole pieces fit into `bytes`.
     pub fn new(file: impl RandomAccessFile + 'static, bytes: u64) -> Self {
         let capacity = u32::try_from(bytes / PIECE_BYTES).unwrap_or(u32::MAX);
         Spool {
@@ -106,11 +109,12 @@
         }
     }
 
-    /// Writes a piece of at most [`PIECE_BYTES`] to a free slot. It blocks.
+    /// Writes a piece of at most [`PIECE_BYTES`] to a free slot. Blocks the calling thread.
     ///
     /// # Errors
     ///
-    /// There is no free slot, or the disk failed; the slot is free again then.
+    /// [`SpoolError::Full`] if no slot is free or the piece is too long; [`SpoolError::Io`] if the write failed, in
+    /// which case the slot is free again.
     pub fn write(&self, body: u64, number: u32, bytes: &[u8]) -> Result<Slot, SpoolError> {
         if bytes.len() as u64 > PIECE_BYTES {
             return Err(SpoolError::Full);
@@ -125,11 +129,12 @@
         Ok(slot)
     }
 
-    /// Reads the piece of `length` bytes in a slot, and checks that it is piece `number` of `body`. It blocks.
+    /// Reads a piece of `length` bytes from a slot, and checks that it is piece `number` of `body`. Blocks the calling
+    /// thread.
     ///
     /// # Errors
     ///
-    /// The disk failed, or the slot does not hold this piece.
+    /// [`SpoolError::Io`] if the read failed; [`SpoolError::Damaged`] if the slot does not hold this piece.
     pub fn read(
         &self,
         slot: &Slot,
@@ -151,18 +156,19 @@
         Ok(bytes)
     }
 
-    /// Frees a slot for another piece.
+    /// Releases a slot, so that it can be allocated for another piece.
     pub fn free(&self, slot: Slot) {
         lock(&self.slots).free.push(slot.0);
     }
 
-    /// The number of slots in use.
+    /// Returns the number of slots in use.
     pub fn used_slots(&self) -> usize {
         let slots = lock(&self.slots);
         slots.next_unused as usize - slots.free.len()
     }
 }
 
+/// Returns the header of a slot that holds the piece `bytes`.
 fn header(body: u64, number: u32, bytes: &[u8]) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..8].copy_from_slice(&body.to_le_bytes());
--- a/crates/bodies/src/spool/file.rs
+++ b/crates/bodies/src/spool/file.rs
@@ -1,4 +1,4 @@
-//! Where the slots of a spool are stored: behind a trait, and on a disk a file that is unlinked as soon as it is open.
+//! Defines the file interface of a spool, and implements it with a disk file that is unlinked as soon as it is open.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -6,37 +6,38 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The end of a spool file's name while it has one, between its creation and its unlinking.
+/// Suffix of the name that a spool file has between its creation and its unlinking.
 const FILE_SUFFIX: &str = ".garnetwall-spool";
 
-/// Where the slots of a spool are stored.
+/// File with random access that holds the slots of a spool.
 pub trait RandomAccessFile: Send + Sync {
-    /// Writes all of `bytes` at `offset`. It blocks.
+    /// Writes all of `bytes` at `offset`. Blocks the calling thread.
     ///
     /// # Errors
     ///
-    /// Not all bytes could be written.
+    /// The write failed; part of the bytes may have been written.
     fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
 
-    /// Fills `buffer` from `offset` on. It blocks.
+    /// Fills `buffer` with the bytes from `offset` on. Blocks the calling thread.
     ///
     /// # Errors
     ///
-    /// Not all bytes could be read; [`io::ErrorKind::UnexpectedEof`] where they are beyond the end.
+    /// The buffer could not be filled; [`io::ErrorKind::UnexpectedEof`] if the file ends before.
     fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()>;
 }
 
-/// An open spool file that has no name any more, so that it vanishes with its process.
+/// Open spool file that is already unlinked, so that the system removes it when the process ends.
 #[derive(Debug)]
 pub struct SpoolFile(pub(super) File);
 
 impl SpoolFile {
-    /// Creates a spool file in `directory` and unlinks it, after removing what a killed process of this gateway left
-    /// there.
+    /// Creates a spool file in `directory` and unlinks it. Before that, removes spool files that a killed process of
+    /// this gateway left there.
     ///
     /// # Errors
     ///
-    /// The directory can't be read, or the file not created or unlinked; the text names the path.
+    /// The directory cannot be read, a leftover file cannot be removed, or the new file cannot be created or unlinked.
+    /// The error text contains the path.
     pub fn create(directory: &Path, gateway: &str) -> io::Result<SpoolFile> {
         remove_leftover_files(directory, gateway).map_err(|error| with_path(directory, &error))?;
         let path = directory.join(file_name(gateway));
@@ -61,12 +62,12 @@
     }
 }
 
-/// Removes spool files that a process of this gateway left when it was killed between creating and unlinking them, and
-/// no others. Returns how many were removed.
+/// Removes the spool files that killed processes of this gateway left in `directory`. A file is left over if the
+/// process was killed between creating and unlinking it. Returns the number of removed files.
 ///
 /// # Errors
 ///
-/// The directory can't be read, or a file not be removed.
+/// The directory cannot be read, or a file cannot be removed.
 pub fn remove_leftover_files(directory: &Path, gateway: &str) -> io::Result<usize> {
     let mut removed = 0;
     for entry in std::fs::read_dir(directory)? {
@@ -83,7 +84,8 @@
     Ok(removed)
 }
 
-/// A name that no other process uses: gateway, process id, and nanoseconds since 1970.
+/// Returns a file name that no other process uses, made of the gateway's name, the process id and the nanoseconds since
+/// 1970.
 fn file_name(gateway: &str) -> String {
     let nanoseconds = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -95,7 +97,7 @@
     )
 }
 
-/// Whether [`file_name`] makes such a name for this gateway.
+/// Returns whether `name` is of the form that [`file_name`] returns for this gateway.
 fn is_spool_file_of(gateway: &str, name: &str) -> bool {
     let numbers = name
         .strip_prefix(gateway)
@@ -112,6 +114,7 @@
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
+/// Adds the path to the text of an error, and keeps its kind.
 fn with_path(path: &Path, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
--- a/crates/bodies/src/store.rs
+++ b/crates/bodies/src/store.rs
@@ -1,4 +1,4 @@
-//! Admits bodies to one capacity, and tells what became of those of each query class.
+//! Admits bodies within the budgets of one store, and counts the bodies of each query class.
 
 use crate::body::{Body, Retention};
 use crate::capacity::{AdmissionError, Capacity, EvictionPolicy, Limits, Storage, Usage};
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// All bodies in flight, within one capacity.
+/// Store of all bodies in flight, which share one set of budgets and one spool file.
 pub struct Store {
     pub(crate) resources: Arc<Resources>,
     registry: Arc<Registry<Body>>,
 }
 
 impl Store {
-    /// An empty store. Without a spool nothing is stored in files, whatever the limits allow.
+    /// Creates an empty store. Without a spool, nothing is stored in a file, whatever `limits` allows.
     pub fn new(limits: Limits, policy: EvictionPolicy, spool: Option<Spool>) -> Arc<Self> {
         let file_bytes = if spool.is_some() {
             limits.file_bytes
@@ -33,21 +33,22 @@
         })
     }
 
-    /// The counts so far, by query class and kind of storage.
+    /// Returns the counts since the start, by query class and kind of storage.
     pub fn counts(&self) -> BTreeMap<(usize, Storage), Counts> {
         self.resources.counts()
     }
 
-    /// What is reserved for all bodies.
+    /// Returns the bytes that are reserved for all bodies.
     pub fn usage(&self) -> Usage {
         lock(&self.resources.capacity).usage()
     }
 
-    /// Admits a body of `length` bytes, where that is known, and reserves capacity for it.
+    /// Admits a body and reserves capacity for it. `length` is the announced length in bytes, `None` if it is unknown;
+    /// `tenant` and `class` are indices.
     ///
     /// # Errors
     ///
-    /// The body is too large, its length must be known, or there is no capacity for it.
+    /// The body is too large, its length is unknown but must be known, or the budgets have no capacity for it.
     pub fn admit(
         &self,
         tenant: usize,
--- a/crates/bodies/src/writer.rs
+++ b/crates/bodies/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer's side of a body: bytes are collected into pieces and stored.
+//! Receives the bytes of a body, collects them into pieces and stores the pieces.
 
 use crate::body::{Body, PieceWrite};
 use crate::capacity::{AdmissionError, Storage, PIECE_BYTES, WINDOW_BYTES};
@@ -9,15 +9,16 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Smaller chunks are joined, so that a client that sends byte by byte costs no more than its bytes.
+/// Minimum size of a piece outside the spool file, in bytes, except for the last piece of a body. Smaller chunks are
+/// joined, so that a client that sends single bytes does not cause the overhead of one piece per byte.
 const MIN_CHUNK_BYTES: usize = 16 << 10;
 
-/// Why a body takes no more bytes.
+/// Reason why a body accepts no more bytes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PushError {
     /// The body is longer than the limit, or can no longer be stored though its query class requires it.
     Rejected(AdmissionError),
-    /// More bytes arrived than its length announced.
+    /// More bytes arrived than the announced length.
     TooManyBytes,
 }
 
@@ -25,7 +26,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             PushError::Rejected(error) => write!(f, "{error}"),
-            PushError::TooManyBytes => f.write_str("the body is longer than announced"),
+            PushError::TooManyBytes => f.write_str("the body is longer than its announced length"),
         }
     }
 }
@@ -33,7 +34,7 @@
 impl std::error::Error for PushError {}
 
 impl Body {
-    /// Takes in more bytes. It waits for the spool file or, where the body is not stored, for the reader.
+    /// Adds bytes to the body. Waits for the spool file or, if the body is not stored, for the reader.
     ///
     /// # Errors
     ///
@@ -60,7 +61,8 @@
         Ok(())
     }
 
-    /// Ends the body. The reader learns whether it is complete, or shorter than announced.
+    /// Ends the body, and wakes the reader. The body is complete, or truncated if it is shorter than its announced
+    /// length. A complete body is counted, and may cause evictions.
     pub async fn finish(&self) {
         let remaining = self.content().pending.split().freeze();
         if !remaining.is_empty() {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Marks a body that is still arriving as truncated: its writer stopped before its end.
+    /// Marks the body as truncated if it is still arriving, and wakes the reader. Called when the writer stops early.
     pub fn abort(&self) {
         let mut content = self.content();
         if content.state == ReceiveState::Receiving {
@@ -86,13 +88,15 @@
         self.changed.notify_waiters();
     }
 
+    /// Returns whether `more` further bytes would exceed the announced length.
     fn exceeds_length(&self, more: usize) -> bool {
         let content = self.content();
         let received = content.readable_bytes + (content.pending.len() + more) as u64;
         self.length.is_some_and(|length| received > length)
     }
 
-    /// Puts `bytes` behind those that are pending, and takes all of them once there are `min_bytes`.
+    /// Appends `bytes` to the pending ones. Returns all of them if there are at least `min_bytes`; otherwise they stay
+    /// pending.
     fn join_pending(&self, bytes: Bytes, min_bytes: usize) -> Option<Bytes> {
         let mut content = self.content();
         if content.pending.is_empty() && bytes.len() >= min_bytes {
@@ -105,7 +109,8 @@
         Some(content.pending.split().freeze())
     }
 
-    /// Sets the state of a body whose writer has ended.
+    /// Sets and returns the final state: complete if the length is unknown or matches the received bytes, else
+    /// truncated.
     fn end(&self) -> ReceiveState {
         let mut content = self.content();
         let is_complete = self
@@ -119,14 +124,14 @@
         content.state
     }
 
-    /// Stores a piece wherever the body is stored now, or passes it through to the reader.
+    /// Stores a piece in the body's current storage, or passes it through to the reader.
     async fn store_piece(&self, piece: Bytes) {
         match (self.storage(), &self.resources.spool) {
             (Storage::Memory, _) => self.append(PieceData::Memory(piece)),
             (Storage::File, Some(spool)) => match self.write_piece(spool, piece.clone()).await {
                 PieceWrite::Written(data) => self.append(data),
-                // The body goes on unstored: the attempt in flight can still send it, and only a retry would need the
-                // stored copy. A failure of the disk is treated like a full file.
+                // Continue without storing the body: the attempt in flight can still send it, and only a retry would
+                // need the stored copy. An I/O error is treated like a full file.
                 PieceWrite::Failed => {
                     self.stop_storing();
                     self.pass_through(piece).await;
@@ -136,6 +141,7 @@
         }
     }
 
+    /// Adds a piece at the end of the body, and wakes the reader.
     fn append(&self, data: PieceData) {
         let mut content = self.content();
         let offset = content.readable_bytes;
@@ -148,7 +154,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits until the reader is near enough, then passes bytes on to it.
+    /// Waits until the unread bytes are fewer than the window or the body is truncated, then appends a piece in memory.
     async fn pass_through(&self, bytes: Bytes) {
         loop {
             let changed = self.changed.notified();
@@ -162,6 +168,7 @@
         self.append(PieceData::Memory(bytes));
     }
 
+    /// Returns whether the writer may append a piece without waiting for the reader.
     fn is_window_open(&self) -> bool {
         let content = self.content();
         let unread_bytes = content.readable_bytes - content.read_bytes;
