--- a/crates/bodies/benches/bodies/eviction.rs
+++ b/crates/bodies/benches/bodies/eviction.rs
@@ -90,7 +90,7 @@
         let times_in_flight = Exp::new(1.0 / MEAN_TIME_IN_FLIGHT_SECONDS).ok()?;
         for number in 0..BODIES {
             let now_us = number * ARRIVAL_INTERVAL_US;
-            self.end_until(now_us);
+            self.remove_ended(now_us);
             let bytes = (sizes.sample(&mut rng) as u64).clamp(100, 200 * MIB);
             let tenant = rng.random_range(0..TENANTS);
             let Some(id) = self.admit(tenant, bytes) else {
@@ -104,7 +104,7 @@
         Some(self.totals)
     }
 
-    fn end_until(&mut self, now_us: u64) {
+    fn remove_ended(&mut self, now_us: u64) {
         while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > now_us {
                 return;
--- a/crates/bodies/benches/bodies/peak_memory.rs
+++ b/crates/bodies/benches/bodies/peak_memory.rs
@@ -52,10 +52,10 @@
         return true;
     };
     match kind {
-        "plain_vec" => through_vec(size),
-        "plain_file" => through_file(size),
-        "memory" => runtime().block_on(through_store(256 * MIB, size)),
-        _ => runtime().block_on(through_store(0, size)),
+        "plain_vec" => fill_vec(size),
+        "plain_file" => write_file(size),
+        "memory" => runtime().block_on(write_and_read_body(256 * MIB, size)),
+        _ => runtime().block_on(write_and_read_body(0, size)),
     }
     println!("{:.1}", peak_mebibytes());
     true
@@ -69,13 +69,13 @@
         .map(move |offset| chunk.slice(..CHUNK_BYTES.min((size - offset) as usize)))
 }
 
-fn through_vec(size: u64) {
+fn fill_vec(size: u64) {
     let mut all = Vec::new();
     chunks(size).for_each(|chunk| all.extend_from_slice(&chunk));
     black_box(all.len());
 }
 
-fn through_file(size: u64) {
+fn write_file(size: u64) {
     let path = std::env::temp_dir().join(format!("garnetwall-peak-{}", std::process::id()));
     if let Ok(mut file) = std::fs::File::create(&path) {
         for chunk in chunks(size) {
@@ -85,7 +85,7 @@
     let _ = std::fs::remove_file(path);
 }
 
-async fn through_store(memory: u64, size: u64) {
+async fn write_and_read_body(memory: u64, size: u64) {
     let Ok(body) = store(memory).admit(0, 0, Some(size), Retention::UntilQueryEnds) else {
         return;
     };
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -13,37 +13,37 @@
 
 /// File in memory that fails after a number of writes, or returns damaged bytes.
 #[derive(Clone, Default)]
-struct Fake {
+struct FakeFile {
     bytes: Arc<Mutex<Vec<u8>>>,
     /// Number of further writes that succeed; unlimited if negative.
-    left: Arc<AtomicI64>,
+    writes_left: Arc<AtomicI64>,
     /// Each read flips one bit if this is not 0.
     damaged: Arc<AtomicUsize>,
 }
 
-impl RandomAccessFile for Fake {
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        if self.left.fetch_sub(1, Ordering::Relaxed) == 0 {
+impl RandomAccessFile for FakeFile {
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        if self.writes_left.fetch_sub(1, Ordering::Relaxed) == 0 {
             // Half of the bytes are written before the error.
             lock(&self.bytes).extend_from_slice(&bytes[..bytes.len() / 2]);
-            self.left.store(0, Ordering::Relaxed);
+            self.writes_left.store(0, Ordering::Relaxed);
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let (at, mut disk) = (at as usize, lock(&self.bytes));
-        let end = disk.len().max(at + bytes.len());
+        let (offset, mut disk) = (offset as usize, lock(&self.bytes));
+        let end = disk.len().max(offset + bytes.len());
         disk.resize(end, 0);
-        disk[at..at + bytes.len()].copy_from_slice(bytes);
+        disk[offset..offset + bytes.len()].copy_from_slice(bytes);
         Ok(())
     }
 
-    fn read_at(&self, out: &mut [u8], at: u64) -> io::Result<()> {
-        let (at, disk) = (at as usize, lock(&self.bytes));
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()> {
+        let (offset, disk) = (offset as usize, lock(&self.bytes));
         let stored = disk
-            .get(at..at + out.len())
+            .get(offset..offset + buffer.len())
             .ok_or(io::ErrorKind::UnexpectedEof)?;
-        out.copy_from_slice(stored);
+        buffer.copy_from_slice(stored);
         if self.damaged.load(Ordering::Relaxed) > 0 {
-            out[40] ^= 1;
+            buffer[40] ^= 1;
         }
         Ok(())
     }
@@ -63,9 +63,9 @@
     }
 }
 
-fn store(left: i64) -> (Arc<Store>, Fake) {
-    let fake = Fake::default();
-    fake.left.store(left, Ordering::Relaxed);
+fn store(writes_left: i64) -> (Arc<Store>, FakeFile) {
+    let fake = FakeFile::default();
+    fake.writes_left.store(writes_left, Ordering::Relaxed);
     let spool = Spool::new(fake.clone(), 64 * MIB);
     (
         Store::new(limits(), EvictionPolicy::Largest, Some(spool)),
@@ -204,7 +204,7 @@
             "a retry cannot read the body"
         );
         assert_eq!(store.counts()[&(0, Storage::NotStored)].missing, 1);
-        fake.left.store(-1, Ordering::Relaxed);
+        fake.writes_left.store(-1, Ordering::Relaxed);
         drop(body);
         assert_eq!(
             (
@@ -217,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn a_damaged_piece_is_an_error_at_its_place() {
+async fn a_damaged_piece_is_a_read_error() {
     let (store, fake) = store(-1);
     let body = store
         .admit(0, 0, Some(2 * MIB), Retention::UntilQueryEnds)
@@ -233,7 +233,7 @@
 /// The writer of a body that is not stored waits for the reader, so that no more than the window and one piece are in
 /// memory.
 #[tokio::test]
-async fn a_slow_reader_holds_the_writer_back() {
+async fn the_writer_of_an_unstored_body_waits_for_a_slow_reader() {
     let store = Store::new(
         Limits {
             memory_bytes: MIB,
--- a/crates/bodies/src/capacity/tests.rs
+++ b/crates/bodies/src/capacity/tests.rs
@@ -81,7 +81,7 @@
 
 proptest! {
     #[test]
-    fn budgets_hold_at_every_moment_and_totals_match_the_reservations(
+    fn budgets_are_never_exceeded_and_totals_match_the_reservations(
         events in events(),
         policy in prop_oneof![Just(EvictionPolicy::Never), Just(EvictionPolicy::Largest), Just(EvictionPolicy::Oldest)],
     ) {
@@ -96,26 +96,31 @@
                     match capacity.admit(tenant, class, length) {
                         Ok(id) => {
                             ids.push(id);
-                            prop_assert!(class == 0 || capacity.storage(id) != Storage::NotStored, "a body of class 1 must be stored");
+                            prop_assert!(
+                                class == 0 || capacity.storage(id) != Storage::NotStored,
+                                "a body of class 1 must be stored"
+                            );
                             prop_assert!(length.is_none_or(|l| l <= limits.max_body_bytes));
                         }
                         Err(AdmissionError::TooLarge { max_bytes }) => prop_assert!(length.is_some_and(|l| l > max_bytes)),
                         Err(AdmissionError::UnknownLength) => prop_assert!(false, "unknown lengths are allowed"),
-                        // By the recomputed sums, the window does not fit, or the body must be stored and does not fit
-                        // into the file.
+                        // The sums before show that the window does not fit into memory, or that the body must be stored
+                        // and does not fit into the file.
                         Err(AdmissionError::NoCapacity) => {
-                            let ((memory, file), (own, own_file)) = before;
+                            let ((memory, file), (tenant_memory, tenant_file)) = before;
                             let share = |budget: u64| (budget as f64 * limits.tenant_share) as u64;
-                            let window = memory + WINDOW_BYTES > limits.memory_bytes || own + WINDOW_BYTES > share(limits.memory_bytes);
-                            let first = length.unwrap_or(PIECE_BYTES);
-                            let slots = first.div_ceil(PIECE_BYTES) * PIECE_BYTES;
-                            let files = file + slots > limits.file_bytes || own_file + slots > share(limits.file_bytes);
-                            prop_assert!(window || (class == 1 && files), "{before:?} {length:?}");
+                            let window_exceeds_memory = memory + WINDOW_BYTES > limits.memory_bytes
+                                || tenant_memory + WINDOW_BYTES > share(limits.memory_bytes);
+                            let first_bytes = length.unwrap_or(PIECE_BYTES);
+                            let slot_bytes = first_bytes.div_ceil(PIECE_BYTES) * PIECE_BYTES;
+                            let body_exceeds_file = file + slot_bytes > limits.file_bytes
+                                || tenant_file + slot_bytes > share(limits.file_bytes);
+                            prop_assert!(window_exceeds_memory || (class == 1 && body_exceeds_file), "{before:?} {length:?}");
                         }
                     }
                 }
                 Event::Receive(n, bytes) => if let Some(id) = pick(&ids, n) {
-                    let length_known = capacity.reservations.get(&id).is_some_and(|h| h.length_known);
+                    let length_known = capacity.reservations.get(&id).is_some_and(|reservation| reservation.length_known);
                     match capacity.receive(id, bytes) {
                         Ok(storage) => prop_assert_eq!(storage, capacity.storage(id)),
                         Err(error) => {
@@ -125,19 +130,31 @@
                             ids.retain(|i| *i != id);
                         }
                     }
-                    if let Some(h) = capacity.reservations.get(&id).filter(|h| !h.length_known && h.storage != Storage::NotStored) {
-                        prop_assert!(h.usage.memory_bytes - WINDOW_BYTES + h.usage.file_bytes >= h.received_bytes, "the reservation covers all received bytes");
+                    if let Some(reservation) = capacity.reservations.get(&id)
+                        .filter(|reservation| !reservation.length_known && reservation.storage != Storage::NotStored)
+                    {
+                        prop_assert!(
+                            reservation.usage.memory_bytes - WINDOW_BYTES + reservation.usage.file_bytes
+                                >= reservation.received_bytes,
+                            "the reservation covers all received bytes"
+                        );
                     }
                 },
                 Event::StartEviction => if let Some(id) = capacity.start_eviction() {
-                    let h = &capacity.reservations[&id];
-                    prop_assert!(h.evicting && h.storage == Storage::Memory && h.usage.file_bytes >= h.usage.memory_bytes);
+                    let reservation = &capacity.reservations[&id];
+                    prop_assert!(
+                        reservation.evicting
+                            && reservation.storage == Storage::Memory
+                            && reservation.usage.file_bytes >= reservation.usage.memory_bytes
+                    );
                 },
                 Event::FinishEviction(n, outcome) => if let Some(id) = pick(&ids, n) {
                     let before = capacity.reservations.get(&id).cloned();
                     capacity.finish_eviction(id, outcome);
-                    if let Some(h) = before.filter(|h| h.evicting && outcome == EvictionOutcome::Written) {
-                        prop_assert_eq!(capacity.reservations[&id].usage.memory_bytes, 0, "{:?}", h);
+                    if let Some(reservation) = before
+                        .filter(|reservation| reservation.evicting && outcome == EvictionOutcome::Written)
+                    {
+                        prop_assert_eq!(capacity.reservations[&id].usage.memory_bytes, 0, "{:?}", reservation);
                     }
                 },
                 Event::StopStoring(n) => if let Some(id) = pick(&ids, n) {
@@ -156,10 +173,10 @@
             let (memory, file) = usage(&capacity);
             prop_assert!(memory <= limits.memory_bytes && file <= limits.file_bytes);
             for tenant in 0..3 {
-                let own = sums(&capacity, Some(tenant));
-                prop_assert!(own.0 <= (limits.memory_bytes as f64 * limits.tenant_share) as u64);
+                let tenant_usage = sums(&capacity, Some(tenant));
+                prop_assert!(tenant_usage.0 <= (limits.memory_bytes as f64 * limits.tenant_share) as u64);
                 let reserved = capacity.by_tenant.get(&tenant).copied().unwrap_or_default();
-                prop_assert_eq!((reserved.memory_bytes, reserved.file_bytes), own);
+                prop_assert_eq!((reserved.memory_bytes, reserved.file_bytes), tenant_usage);
             }
             prop_assert_eq!(capacity.len(), ids.len());
         }
@@ -195,10 +212,10 @@
     let others: Vec<_> = (0..3)
         .map(|_| capacity.admit(1, 0, Some(1024 * KIB)).expect("capacity"))
         .collect();
-    let through = capacity
+    let passed_through = capacity
         .admit(0, 0, Some(1024 * KIB))
         .expect("it passes through");
-    assert_eq!(capacity.storage(through), Storage::NotStored);
+    assert_eq!(capacity.storage(passed_through), Storage::NotStored);
     assert_eq!(
         capacity.admit(0, 1, Some(1024 * KIB)),
         Err(AdmissionError::NoCapacity),
--- a/crates/bodies/src/spool/tests.rs
+++ b/crates/bodies/src/spool/tests.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn every_flipped_byte_of_a_slot_is_damage() {
+fn each_damaged_byte_of_a_slot_is_detected() {
     let folder = folder("damaged");
     let disk = SpoolFile::create(&folder, "n0").expect("a file");
     let file = disk.0.try_clone().expect("a second handle");
@@ -91,7 +91,7 @@
         remove_leftover_files(&folder, "n0").expect("the folder is readable"),
         2
     );
-    let mut left: Vec<_> = std::fs::read_dir(&folder)
+    let mut remaining: Vec<_> = std::fs::read_dir(&folder)
         .expect("a folder")
         .map(|e| {
             e.expect("an entry")
@@ -100,10 +100,10 @@
                 .expect("a name")
         })
         .collect();
-    left.sort();
+    remaining.sort();
     let mut others = others.map(String::from).to_vec();
     others.sort();
-    assert_eq!(left, others);
+    assert_eq!(remaining, others);
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
--- a/crates/bodies/tests/stored_spool.rs
+++ b/crates/bodies/tests/stored_spool.rs
@@ -28,30 +28,30 @@
 
 /// Spool file in memory.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct MemoryFile(Arc<Mutex<Vec<u8>>>);
 
-impl RandomAccessFile for Memory {
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        let (mut all, at) = (self.0.lock().unwrap(), at as usize);
-        let end = at + bytes.len();
+impl RandomAccessFile for MemoryFile {
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        let (mut all, offset) = (self.0.lock().unwrap(), offset as usize);
+        let end = offset + bytes.len();
         if all.len() < end {
             all.resize(end, 0);
         }
-        all[at..end].copy_from_slice(bytes);
+        all[offset..end].copy_from_slice(bytes);
         Ok(())
     }
 
-    fn read_at(&self, bytes: &mut [u8], at: u64) -> io::Result<()> {
-        let (all, at) = (self.0.lock().unwrap(), at as usize);
-        let stored = all.get(at..at + bytes.len());
+    fn read_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()> {
+        let (all, offset) = (self.0.lock().unwrap(), offset as usize);
+        let stored = all.get(offset..offset + bytes.len());
         bytes.copy_from_slice(stored.ok_or(io::ErrorKind::UnexpectedEof)?);
         Ok(())
     }
 }
 
 #[test]
-fn a_piece_is_written_as_it_was_stored() {
-    let memory = Memory::default();
+fn a_piece_is_written_in_the_stored_format() {
+    let memory = MemoryFile::default();
     let spool = Spool::new(memory.clone(), 1 << 20);
     let _slot = spool.write(0, 6, PIECE).unwrap();
     assert_eq!(*memory.0.lock().unwrap(), STORED);
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_stored_piece_is_read_and_verified() {
-    let memory = Memory::default();
+    let memory = MemoryFile::default();
     let spool = Spool::new(memory.clone(), 1 << 20);
     let slot = spool.write(0, 6, &vec![0; PIECE.len()]).unwrap();
     *memory.0.lock().unwrap() = STORED.to_vec();
@@ -78,7 +78,7 @@
 /// Slots of a header and 64 KiB each follow one another without a gap.
 #[test]
 fn slots_follow_each_other() {
-    let memory = Memory::default();
+    let memory = MemoryFile::default();
     let spool = Spool::new(memory.clone(), 1 << 20);
     let _first = spool.write(0, 1, &[7; 65_536]).unwrap();
     let _second = spool.write(0, 6, PIECE).unwrap();
