--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -117,7 +117,7 @@
                 let (store, _) = store(-1);
                 let body = store
                     .admit(0, 0, announced, Retention::UntilQueryEnds)
-                    .expect("capacity");
+                    .expect("the body is admitted");
                 let all = bytes(length);
                 fill(&body, all.clone(), step).await;
                 for read_by in [ReadBy::FirstAttempt, ReadBy::Retry, ReadBy::Retry] {
@@ -159,20 +159,26 @@
     let (store, _) = store(-1);
     let body = store
         .admit(0, 0, Some(8 * MIB), Retention::UntilQueryEnds)
-        .expect("capacity");
+        .expect("the body is admitted");
     let all = bytes(8 * MIB);
     let writer = {
         let (body, all) = (body.clone(), all.clone());
         tokio::spawn(async move { fill(&body, all, 100_000).await })
     };
-    let mut reader = body.reader(ReadBy::FirstAttempt).expect("its start");
-    let first = reader.next().await.expect("bytes").expect("not the end");
+    let mut reader = body
+        .reader(ReadBy::FirstAttempt)
+        .expect("the body is readable from its start");
+    let first = reader
+        .next()
+        .await
+        .expect("the body is readable")
+        .expect("the body has more bytes");
     assert!(!first.is_empty() && !body.is_complete());
     let mut out = first.to_vec();
-    while let Some(more) = reader.next().await.expect("bytes") {
+    while let Some(more) = reader.next().await.expect("the body is readable") {
         out.extend_from_slice(&more);
     }
-    writer.await.expect("written");
+    writer.await.expect("the writing task does not panic");
     assert!(out == all);
 }
 
@@ -184,7 +190,7 @@
         let (store, fake) = store(writes);
         let body = store
             .admit(0, 0, Some(4 * MIB), Retention::UntilQueryEnds)
-            .expect("capacity");
+            .expect("the body is admitted");
         let all = bytes(4 * MIB);
         let writer = {
             let (body, all) = (body.clone(), all.clone());
@@ -193,11 +199,11 @@
         assert!(
             read(&body, ReadBy::FirstAttempt)
                 .await
-                .expect("it passes through")
+                .expect("the body is passed through")
                 == all,
             "after {writes} writes"
         );
-        writer.await.expect("written");
+        writer.await.expect("the writing task does not panic");
         assert!(!body.is_stored());
         assert!(
             matches!(body.reader(ReadBy::Retry), Err(ReadError::Discarded)),
@@ -221,7 +227,7 @@
     let (store, fake) = store(-1);
     let body = store
         .admit(0, 0, Some(2 * MIB), Retention::UntilQueryEnds)
-        .expect("capacity");
+        .expect("the body is admitted");
     fill(&body, bytes(2 * MIB), 1 << 20).await;
     fake.damaged.store(1, Ordering::Relaxed);
     assert!(matches!(
@@ -246,7 +252,7 @@
     );
     let body = store
         .admit(0, 0, Some(8 * MIB), Retention::UntilQueryEnds)
-        .expect("it passes through");
+        .expect("the body is passed through");
     let all = bytes(8 * MIB);
     let writer = {
         let (body, all) = (body.clone(), all.clone());
@@ -262,10 +268,10 @@
     assert!(
         read(&body, ReadBy::FirstAttempt)
             .await
-            .expect("it passes through")
+            .expect("the body is passed through")
             == all
     );
-    writer.await.expect("written");
+    writer.await.expect("the writing task does not panic");
     assert!(!body.is_readable_from_start() && store.usage().memory_bytes <= WINDOW_BYTES);
 }
 
@@ -275,8 +281,10 @@
     for cut in ["stops", "short"] {
         let body = store
             .admit(0, 0, Some(MIB), Retention::UntilQueryEnds)
-            .expect("capacity");
-        body.push(bytes(300_000)).await.expect("admitted");
+            .expect("the body is admitted");
+        body.push(bytes(300_000))
+            .await
+            .expect("the bytes are accepted");
         let reading = {
             let body = body.clone();
             tokio::spawn(async move { read(&body, ReadBy::FirstAttempt).await })
@@ -289,12 +297,12 @@
         let result = timeout(Duration::from_secs(1), reading)
             .await
             .expect("the reader ends within 1 s")
-            .expect("no panic");
+            .expect("the reading task does not panic");
         assert!(matches!(result, Err(ReadError::Truncated)), "{cut}");
     }
     let body = store
         .admit(0, 0, Some(10), Retention::UntilQueryEnds)
-        .expect("capacity");
+        .expect("the body is admitted");
     assert_eq!(body.push(bytes(11)).await, Err(PushError::TooManyBytes));
 }
 
@@ -306,19 +314,21 @@
     for length in [MIB, 4 * MIB] {
         let body = store
             .admit(0, 0, Some(length), Retention::UntilQueryEnds)
-            .expect("capacity");
+            .expect("the body is admitted");
         let all = bytes(length);
         fill(&body, all.clone(), 1 << 20).await;
-        let mut reader = body.reader(ReadBy::FirstAttempt).expect("its start");
+        let mut reader = body
+            .reader(ReadBy::FirstAttempt)
+            .expect("the body is readable from its start");
         let mut out = reader
             .next()
             .await
-            .expect("bytes")
-            .expect("not the end")
+            .expect("the body is readable")
+            .expect("the body has more bytes")
             .to_vec();
         body.discard();
         assert!(!body.is_stored());
-        while let Some(more) = reader.next().await.expect("bytes") {
+        while let Some(more) = reader.next().await.expect("the body is readable") {
             out.extend_from_slice(&more);
         }
         assert!(out == all, "the reader receives the whole body");
@@ -345,7 +355,7 @@
     for size in sizes {
         let body = store
             .admit(0, 0, Some(size << 10), Retention::UntilQueryEnds)
-            .expect("capacity");
+            .expect("the body is admitted");
         fill(&body, bytes(size << 10), 1 << 20).await;
         all.push((size << 10, body));
     }
@@ -360,7 +370,12 @@
         "eviction starts at three quarters of the memory and stops at half"
     );
     for (size, body) in &all {
-        assert!(read(body, ReadBy::FirstAttempt).await.expect("stored") == bytes(*size));
+        assert!(
+            read(body, ReadBy::FirstAttempt)
+                .await
+                .expect("the body is stored")
+                == bytes(*size)
+        );
     }
     drop(all);
     assert_eq!(
--- a/crates/bodies/src/capacity/tests.rs
+++ b/crates/bodies/src/capacity/tests.rs
@@ -197,8 +197,12 @@
         },
         EvictionPolicy::Largest,
     );
-    let small = capacity.admit(0, 0, Some(100 * KIB)).expect("capacity");
-    let large = capacity.admit(0, 0, Some(1024 * KIB)).expect("capacity");
+    let small = capacity
+        .admit(0, 0, Some(100 * KIB))
+        .expect("the body is admitted");
+    let large = capacity
+        .admit(0, 0, Some(1024 * KIB))
+        .expect("the body is admitted");
     assert_eq!(
         (capacity.storage(small), capacity.storage(large)),
         (Storage::Memory, Storage::File)
@@ -210,11 +214,11 @@
         })
     );
     let others: Vec<_> = (0..3)
-        .map(|_| capacity.admit(1, 0, Some(1024 * KIB)).expect("capacity"))
+        .map(|_| capacity.admit(1, 0, Some(1024 * KIB)).expect("admitted"))
         .collect();
     let passed_through = capacity
         .admit(0, 0, Some(1024 * KIB))
-        .expect("it passes through");
+        .expect("the body is admitted without storage");
     assert_eq!(capacity.storage(passed_through), Storage::NotStored);
     assert_eq!(
         capacity.admit(0, 1, Some(1024 * KIB)),
@@ -234,10 +238,12 @@
         ..LIMITS
     };
     let mut capacity = Capacity::new(limits, EvictionPolicy::Largest);
-    let id = capacity.admit(0, 0, None).expect("capacity");
+    let id = capacity.admit(0, 0, None).expect("the body is admitted");
     let mut storages = Vec::new();
     for _ in 0..20 {
-        let storage = capacity.receive(id, 64 * KIB).expect("it may pass through");
+        let storage = capacity
+            .receive(id, 64 * KIB)
+            .expect("the body need not be stored");
         if storages.last() != Some(&storage) {
             storages.push(storage);
         }
