--- a/crates/bodies/benches/bodies/eviction.rs
+++ b/crates/bodies/benches/bodies/eviction.rs
@@ -1,8 +1,8 @@
 //! Simulates each eviction policy, and measures the bytes written to the spool file, the small bodies stored there and
 //! the bodies that are not stored.
 //!
-//! The simulated traffic is 200 bodies per second for 10 minutes, with 64 MiB of memory. Body sizes have a median of 20
-//! KiB and a heavy tail; each body is in flight for 2 s on average.
+//! The simulated traffic is 200 bodies per second for 10 minutes, with 64 MiB of memory. The body sizes have a heavy
+//! tail and a median of 20 KiB. Each body is in flight for 2 s on average.
 
 use crate::{limits, KIB, MIB};
 use garnetwall_bodies::{BodyId, Capacity, EvictionOutcome, EvictionPolicy, Limits, Storage};
--- a/crates/bodies/src/body.rs
+++ b/crates/bodies/src/body.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_blocking;
 
-/// Time until which the bytes of a body are stored.
+/// Retention period of the bytes of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retention {
     /// Until the query ends, so that a retry can read the body again.
--- a/crates/bodies/src/capacity/limits.rs
+++ b/crates/bodies/src/capacity/limits.rs
@@ -1,10 +1,10 @@
 //! Defines the limits and the eviction settings of the body store.
 
-/// Maximum size of a piece, the unit in which a body is stored and discarded. Also the bytes of a body that one slot of
-/// the spool file holds.
+/// Maximum size in bytes of a piece, the unit in which a body is stored and discarded. One slot of the spool file holds
+/// one piece.
 pub const PIECE_BYTES: u64 = 64 << 10;
-/// Memory that is reserved as a window between the writer and the reader of a body that is in the spool file, is not
-/// stored or has an unknown length, in bytes.
+/// Bytes of memory that are reserved as a window between the writer and the reader of a body, unless the body has a
+/// known length and is admitted to memory.
 pub const WINDOW_BYTES: u64 = 2 * PIECE_BYTES;
 
 /// Budgets of the store and limits of a single body.
--- a/crates/bodies/src/capacity/tests.rs
+++ b/crates/bodies/src/capacity/tests.rs
@@ -104,8 +104,8 @@
                         }
                         Err(AdmissionError::TooLarge { max_bytes }) => prop_assert!(length.is_some_and(|l| l > max_bytes)),
                         Err(AdmissionError::UnknownLength) => prop_assert!(false, "unknown lengths are allowed"),
-                        // The sums before show that the window does not fit into memory, or that the body must be stored
-                        // and does not fit into the file.
+                        // By the sums before the admission, the window does not fit into memory, or the body must be
+                        // stored and does not fit into the file.
                         Err(AdmissionError::NoCapacity) => {
                             let ((memory, file), (tenant_memory, tenant_file)) = before;
                             let share = |budget: u64| (budget as f64 * limits.tenant_share) as u64;
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -1,9 +1,9 @@
 //! Stores pieces of bodies in the spool file, which is divided into slots of one piece each.
 //!
 //! All bodies share one file, so that the number of open descriptors does not grow with the number of bodies. The file
-//! is unlinked as soon as it is open, so that a killed process leaves no file on the disk. Each slot contains the ids
-//! of its body and piece and a checksum: a damaged or mixed-up slot is reported as an error and never yields wrong
-//! data.
+//! is unlinked as soon as it is open, so that a killed process leaves no file on the disk. Each slot contains the id
+//! of its body, the number of its piece and a checksum, so that a damaged or mixed-up slot is reported as an error and
+//! never yields wrong data.
 //!
 //! A slot begins with a header of 32 bytes; numbers are little-endian:
 //!
@@ -54,7 +54,7 @@
 
 impl std::error::Error for SpoolError {}
 
-/// An allocated slot of the spool file, by its index. Returned to the spool with [`Spool::free`].
+/// Index of an allocated slot of the spool file. The slot stays allocated until it is passed to [`Spool::free`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct Slot(u32);
 
--- a/crates/bodies/src/spool/file.rs
+++ b/crates/bodies/src/spool/file.rs
@@ -22,7 +22,8 @@
     ///
     /// # Errors
     ///
-    /// The buffer could not be filled; [`io::ErrorKind::UnexpectedEof`] if the file ends before.
+    /// The buffer could not be filled; [`io::ErrorKind::UnexpectedEof`] if the file ends before the
+    /// buffer is full.
     fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()>;
 }
 
--- a/crates/ledger/src/attempts.rs
+++ b/crates/ledger/src/attempts.rs
@@ -1,5 +1,5 @@
-//! Implements the ledger of open attempts, which keeps the evidence of each attempt until its outcome has been
-//! reported.
+//! Implements the ledger of open attempts, which applies evidence to the attempts and holds each of them until its
+//! outcome has been reported.
 
 mod evidence;
 mod open_attempt;
--- a/crates/ledger/src/attempts/tests/scenarios.rs
+++ b/crates/ledger/src/attempts/tests/scenarios.rs
@@ -68,6 +68,7 @@
 }
 
 /// Incident fleet-notes: engines that send progress events continued to run attempts that were no longer polled.
+/// The ledger must count such an attempt as running for the given time after the last contact.
 #[test]
 fn progress_events_keep_an_attempt_running_for_the_given_time() {
     let mut ledger = Ledger::new(ProtocolLimits {
--- a/crates/ledger/src/journal/storage.rs
+++ b/crates/ledger/src/journal/storage.rs
@@ -39,7 +39,8 @@
 #[derive(Debug)]
 pub struct FileStorage {
     path: PathBuf,
-    /// The file that this process wrote with [`JournalStorage::replace`]; `None` before that and while it fails.
+    /// The file that this process wrote with [`JournalStorage::replace`]; `None` before the first
+    /// replacement and after a failed one.
     file: Option<File>,
 }
 
@@ -67,7 +68,7 @@
             Ok(mut file) => {
                 file.read_to_end(&mut bytes)?;
             }
-            // No journal was written yet, unless the directory is missing too, which is an error.
+            // A missing file means that no journal was written yet. A missing directory is an error.
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 std::fs::metadata(self.directory())?;
             }
--- a/crates/ledger/src/journal/writer.rs
+++ b/crates/ledger/src/journal/writer.rs
@@ -67,7 +67,7 @@
     }
 
     /// Carries out commands until [`Command::Stop`] is received or all senders are gone. While the storage fails,
-    /// restores it every [`RESTORE_INTERVAL`].
+    /// tries to restore it every [`RESTORE_INTERVAL`].
     pub(super) fn run(mut self, commands: &Receiver<Command>) {
         loop {
             let received = if self.can_append {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -20,8 +20,8 @@
 //!
 //! | evidence | on the identified connection | on another connection, or without one |
 //! |---|---|---|
-//! | [`RequestSent`](Evidence::RequestSent) | the attempt may run until [`ProtocolLimits::long_poll`] plus [`ProtocolLimits::poll_expiry`] from now | the same |
-//! | [`Running`](Evidence::Running) | the attempt runs, and may run until [`ProtocolLimits::poll_expiry`] from now | the same, and this connection is now the identified one |
+//! | [`RequestSent`](Evidence::RequestSent) | the attempt may run for [`ProtocolLimits::long_poll`] plus [`ProtocolLimits::poll_expiry`] from now on | the same |
+//! | [`Running`](Evidence::Running) | the attempt runs, and may run for [`ProtocolLimits::poll_expiry`] from now on | the same, and this connection is now the identified one |
 //! | [`Ended`](Evidence::Ended) | [`Proof::Ended`] | [`Proof::Ended`] |
 //! | [`NeverReached`](Evidence::NeverReached) | [`Proof::NeverReached`] | [`Proof::NeverReached`] |
 //! | [`ReportedFailed`](Evidence::ReportedFailed) | [`Proof::Ended`] | nothing: another process may have reported it, or the request may not have arrived yet |
@@ -31,6 +31,9 @@
 //! | [`CancelFailed`](Evidence::CancelFailed) | nothing; the next cancellation is sent after [`ProtocolLimits::cancel_pause`] at the earliest | the same |
 //! | none until the latest time at which the attempt may run | [`Proof::Expired`]; [`Proof::NeverReached`] at any time if no request was sent | the same |
 //!
+//! If progress events keep attempts running, the time passed to [`Ledger::open`] replaces
+//! [`ProtocolLimits::poll_expiry`] in this table if it is longer.
+//!
 //! docs/ledger.md compares the alternatives and states the assumption behind each proof.
 //!
 //! Times are durations since a fixed start time, which is the same for all calls. They must not decrease from call to
--- a/crates/ledger/tests/journal.rs
+++ b/crates/ledger/tests/journal.rs
@@ -179,7 +179,7 @@
 }
 
 /// Whichever storage operations fail, every confirmed query is stored at all times, so none is confirmed while they
-/// fail. Two seconds after the start at the latest, queries are confirmed again.
+/// fail. Queries are confirmed again within two seconds of the start.
 #[test]
 fn after_a_storage_failure_no_query_is_confirmed_until_a_complete_journal_is_stored() {
     let cases = (1..=12).flat_map(|first| [1, 3].map(|count| (first, count)));
@@ -343,7 +343,7 @@
 }
 
 /// Kills a writing process 30 times at random moments, each time on the same file. Every query that was confirmed and
-/// not printed as finished must be stored, and no query that was never written.
+/// not printed as finished must be stored. A query that was never written must not be stored.
 #[test]
 fn no_confirmed_record_is_lost_when_the_process_is_killed_repeatedly() {
     const PATH: &str = "GARNETWALL_JOURNAL_TEST";
