--- a/crates/ledger/src/attempts/tests/scenarios.rs
+++ b/crates/ledger/src/attempts/tests/scenarios.rs
@@ -5,7 +5,7 @@
 /// Incident rc98ea0: the deadline passed while the engine was draining and refused new connections. A refused
 /// connection must not count as proof that the attempt ended.
 #[test]
-fn only_the_identified_connection_proves_that_an_attempt_ended() {
+fn a_lost_or_refused_connection_does_not_prove_that_an_attempt_ended() {
     let mut ledger = Ledger::new(PROTOCOL_LIMITS);
     let (a, b) = (ledger.open(ms(0), ms(900)), ledger.open(ms(0), ms(900)));
     for id in [a, b] {
