--- a/crates/bodies/benches/bodies/peak_memory.rs
+++ b/crates/bodies/benches/bodies/peak_memory.rs
@@ -1,4 +1,5 @@
-//! The peak memory of a process that takes one body through. Each measurement runs this program as a child process.
+//! Measures the peak memory of a process that stores one body and reads it once. Each measurement runs this program as
+//! a child process.
 
 use crate::{runtime, store, CHUNK_BYTES, MIB, SIZES};
 use bytes::Bytes;
@@ -8,11 +9,11 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Tells a child process what to measure, as `KIND:BYTES`.
+/// Environment variable that tells a child process the measurement to take, as `KIND:BYTES`.
 const MEASUREMENT_VARIABLE: &str = "GARNETWALL_PEAK";
 const KINDS: [&str; 4] = ["memory", "spool", "plain_vec", "plain_file"];
 
-/// Prints a table of all kinds and sizes.
+/// Measures all kinds of storage and all sizes, and prints a table.
 pub fn print_all() {
     println!(
         "peak memory MiB  {:>10} {:>10} {:>10} {:>10}",
@@ -39,7 +40,7 @@
         .unwrap_or_default()
 }
 
-/// Takes the measurement that this process was started for; false where it is not such a child.
+/// Takes the measurement for which this process was started. Returns false if this process is not such a child process.
 pub fn run_child() -> bool {
     let Ok(measurement) = std::env::var(MEASUREMENT_VARIABLE) else {
         return false;
@@ -51,16 +52,16 @@
         return true;
     };
     match kind {
-        "plain_vec" => through_vec(size),
-        "plain_file" => through_file(size),
-        "memory" => runtime().block_on(through_store(256 * MIB, size)),
-        _ => runtime().block_on(through_store(0, size)),
+        "plain_vec" => fill_vec(size),
+        "plain_file" => write_file(size),
+        "memory" => runtime().block_on(write_and_read_body(256 * MIB, size)),
+        _ => runtime().block_on(write_and_read_body(0, size)),
     }
     println!("{:.1}", peak_mebibytes());
     true
 }
 
-/// A body in chunks that share one allocation, so that only what stores it counts.
+/// Returns the chunks of a body, which share one allocation, so that the peak memory measures only the storage.
 fn chunks(size: u64) -> impl Iterator<Item = Bytes> {
     let chunk = Bytes::from(vec![7u8; CHUNK_BYTES]);
     (0..size)
@@ -68,13 +69,13 @@
         .map(move |offset| chunk.slice(..CHUNK_BYTES.min((size - offset) as usize)))
 }
 
-fn through_vec(size: u64) {
+fn fill_vec(size: u64) {
     let mut all = Vec::new();
     chunks(size).for_each(|chunk| all.extend_from_slice(&chunk));
     black_box(all.len());
 }
 
-fn through_file(size: u64) {
+fn write_file(size: u64) {
     let path = std::env::temp_dir().join(format!("garnetwall-peak-{}", std::process::id()));
     if let Ok(mut file) = std::fs::File::create(&path) {
         for chunk in chunks(size) {
@@ -84,12 +85,12 @@
     let _ = std::fs::remove_file(path);
 }
 
-async fn through_store(memory: u64, size: u64) {
+async fn write_and_read_body(memory: u64, size: u64) {
     let Ok(body) = store(memory).admit(0, 0, Some(size), Retention::UntilQueryEnds) else {
         return;
     };
     for chunk in chunks(size) {
-        // Each has its own allocation, as chunks from a socket have.
+        // Each chunk has its own allocation, like chunks from a socket.
         let _ = body.push(Bytes::copy_from_slice(&chunk)).await;
     }
     body.finish().await;
@@ -101,6 +102,7 @@
     }
 }
 
+/// Returns the peak resident memory of this process in MiB; 0 if it cannot be read.
 fn peak_mebibytes() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let kibibytes = status
--- a/crates/bodies/src/body/tests.rs
+++ b/crates/bodies/src/body/tests.rs
@@ -1,4 +1,4 @@
-//! Bodies on media that fail on request: what is read is what was written, or an error, never a part of it.
+//! Tests bodies on a fake file that fails on request: a reader gets exactly the written bytes or an error.
 
 use crate::capacity::{EvictionPolicy, Limits, Storage, Usage, PIECE_BYTES, WINDOW_BYTES};
 use crate::mutex::lock;
@@ -11,38 +11,39 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A disk in memory that fails after a number of writes, or damages what it stores.
+/// File in memory that fails after a number of writes, or returns damaged bytes.
 #[derive(Clone, Default)]
-struct Fake {
+struct FakeFile {
     bytes: Arc<Mutex<Vec<u8>>>,
-    /// Writes until the disk is full; never where negative.
-    left: Arc<AtomicI64>,
+    /// Number of further writes that succeed; unlimited if negative.
+    writes_left: Arc<AtomicI64>,
+    /// Each read flips one bit if this is not 0.
     damaged: Arc<AtomicUsize>,
 }
 
-impl RandomAccessFile for Fake {
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        if self.left.fetch_sub(1, Ordering::Relaxed) == 0 {
-            // Half of it reaches the disk.
+impl RandomAccessFile for FakeFile {
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        if self.writes_left.fetch_sub(1, Ordering::Relaxed) == 0 {
+            // Half of the bytes are written before the error.
             lock(&self.bytes).extend_from_slice(&bytes[..bytes.len() / 2]);
-            self.left.store(0, Ordering::Relaxed);
+            self.writes_left.store(0, Ordering::Relaxed);
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let (at, mut disk) = (at as usize, lock(&self.bytes));
-        let end = disk.len().max(at + bytes.len());
+        let (offset, mut disk) = (offset as usize, lock(&self.bytes));
+        let end = disk.len().max(offset + bytes.len());
         disk.resize(end, 0);
-        disk[at..at + bytes.len()].copy_from_slice(bytes);
+        disk[offset..offset + bytes.len()].copy_from_slice(bytes);
         Ok(())
     }
 
-    fn read_at(&self, out: &mut [u8], at: u64) -> io::Result<()> {
-        let (at, disk) = (at as usize, lock(&self.bytes));
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()> {
+        let (offset, disk) = (offset as usize, lock(&self.bytes));
         let stored = disk
-            .get(at..at + out.len())
+            .get(offset..offset + buffer.len())
             .ok_or(io::ErrorKind::UnexpectedEof)?;
-        out.copy_from_slice(stored);
+        buffer.copy_from_slice(stored);
         if self.damaged.load(Ordering::Relaxed) > 0 {
-            out[40] ^= 1;
+            buffer[40] ^= 1;
         }
         Ok(())
     }
@@ -62,9 +63,9 @@
     }
 }
 
-fn store(left: i64) -> (Arc<Store>, Fake) {
-    let fake = Fake::default();
-    fake.left.store(left, Ordering::Relaxed);
+fn store(writes_left: i64) -> (Arc<Store>, FakeFile) {
+    let fake = FakeFile::default();
+    fake.writes_left.store(writes_left, Ordering::Relaxed);
     let spool = Spool::new(fake.clone(), 64 * MIB);
     (
         Store::new(limits(), EvictionPolicy::Largest, Some(spool)),
@@ -82,7 +83,7 @@
 async fn fill(body: &Body, mut all: Bytes, step: usize) {
     while !all.is_empty() {
         let next = all.split_to(step.min(all.len()));
-        body.push(next).await.expect("it is admitted");
+        body.push(next).await.expect("the bytes are accepted");
     }
     body.finish().await;
 }
@@ -116,12 +117,12 @@
                 let (store, _) = store(-1);
                 let body = store
                     .admit(0, 0, announced, Retention::UntilQueryEnds)
-                    .expect("capacity");
+                    .expect("the body is admitted");
                 let all = bytes(length);
                 fill(&body, all.clone(), step).await;
                 for read_by in [ReadBy::FirstAttempt, ReadBy::Retry, ReadBy::Retry] {
                     assert!(
-                        read(&body, read_by).await.expect("it is stored") == all,
+                        read(&body, read_by).await.expect("the body is stored") == all,
                         "{length} {announced:?} {step}"
                     );
                 }
@@ -152,37 +153,44 @@
     }
 }
 
-/// The reader has the first bytes before the last ones have arrived.
+/// The reader receives the first bytes before the last ones have arrived.
 #[tokio::test]
 async fn a_reader_follows_the_writer() {
     let (store, _) = store(-1);
     let body = store
         .admit(0, 0, Some(8 * MIB), Retention::UntilQueryEnds)
-        .expect("capacity");
+        .expect("the body is admitted");
     let all = bytes(8 * MIB);
     let writer = {
         let (body, all) = (body.clone(), all.clone());
         tokio::spawn(async move { fill(&body, all, 100_000).await })
     };
-    let mut reader = body.reader(ReadBy::FirstAttempt).expect("its start");
-    let first = reader.next().await.expect("bytes").expect("not the end");
+    let mut reader = body
+        .reader(ReadBy::FirstAttempt)
+        .expect("the body is readable from its start");
+    let first = reader
+        .next()
+        .await
+        .expect("the body is readable")
+        .expect("the body has more bytes");
     assert!(!first.is_empty() && !body.is_complete());
     let mut out = first.to_vec();
-    while let Some(more) = reader.next().await.expect("bytes") {
+    while let Some(more) = reader.next().await.expect("the body is readable") {
         out.extend_from_slice(&more);
     }
-    writer.await.expect("written");
+    writer.await.expect("the writing task does not panic");
     assert!(out == all);
 }
 
-/// The disk fills in the middle: the body passes through completely, and is not stored from then on.
+/// If the disk becomes full while a body arrives, the reader still receives the whole body, but the body is no longer
+/// stored for a retry.
 #[tokio::test]
 async fn a_disk_that_fills_never_yields_a_partial_body() {
     for writes in [0, 1, 5, 63] {
         let (store, fake) = store(writes);
         let body = store
             .admit(0, 0, Some(4 * MIB), Retention::UntilQueryEnds)
-            .expect("capacity");
+            .expect("the body is admitted");
         let all = bytes(4 * MIB);
         let writer = {
             let (body, all) = (body.clone(), all.clone());
@@ -191,18 +199,18 @@
         assert!(
             read(&body, ReadBy::FirstAttempt)
                 .await
-                .expect("it passes through")
+                .expect("the body is passed through")
                 == all,
             "after {writes} writes"
         );
-        writer.await.expect("written");
+        writer.await.expect("the writing task does not panic");
         assert!(!body.is_stored());
         assert!(
             matches!(body.reader(ReadBy::Retry), Err(ReadError::Discarded)),
-            "not again"
+            "a retry cannot read the body"
         );
         assert_eq!(store.counts()[&(0, Storage::NotStored)].missing, 1);
-        fake.left.store(-1, Ordering::Relaxed);
+        fake.writes_left.store(-1, Ordering::Relaxed);
         drop(body);
         assert_eq!(
             (
@@ -215,11 +223,11 @@
 }
 
 #[tokio::test]
-async fn a_damaged_piece_is_an_error_at_its_place() {
+async fn a_damaged_piece_is_a_read_error() {
     let (store, fake) = store(-1);
     let body = store
         .admit(0, 0, Some(2 * MIB), Retention::UntilQueryEnds)
-        .expect("capacity");
+        .expect("the body is admitted");
     fill(&body, bytes(2 * MIB), 1 << 20).await;
     fake.damaged.store(1, Ordering::Relaxed);
     assert!(matches!(
@@ -228,9 +236,10 @@
     ));
 }
 
-/// What is not stored holds its writer back: no more than the window is in memory.
+/// The writer of a body that is not stored waits for the reader, so that no more than the window and one piece are in
+/// memory.
 #[tokio::test]
-async fn a_slow_reader_holds_the_writer_back() {
+async fn the_writer_of_an_unstored_body_waits_for_a_slow_reader() {
     let store = Store::new(
         Limits {
             memory_bytes: MIB,
@@ -243,7 +252,7 @@
     );
     let body = store
         .admit(0, 0, Some(8 * MIB), Retention::UntilQueryEnds)
-        .expect("it passes through");
+        .expect("the body is passed through");
     let all = bytes(8 * MIB);
     let writer = {
         let (body, all) = (body.clone(), all.clone());
@@ -259,10 +268,10 @@
     assert!(
         read(&body, ReadBy::FirstAttempt)
             .await
-            .expect("it passes through")
+            .expect("the body is passed through")
             == all
     );
-    writer.await.expect("written");
+    writer.await.expect("the writing task does not panic");
     assert!(!body.is_readable_from_start() && store.usage().memory_bytes <= WINDOW_BYTES);
 }
 
@@ -272,8 +281,10 @@
     for cut in ["stops", "short"] {
         let body = store
             .admit(0, 0, Some(MIB), Retention::UntilQueryEnds)
-            .expect("capacity");
-        body.push(bytes(300_000)).await.expect("admitted");
+            .expect("the body is admitted");
+        body.push(bytes(300_000))
+            .await
+            .expect("the bytes are accepted");
         let reading = {
             let body = body.clone();
             tokio::spawn(async move { read(&body, ReadBy::FirstAttempt).await })
@@ -285,39 +296,42 @@
         }
         let result = timeout(Duration::from_secs(1), reading)
             .await
-            .expect("it ends")
-            .expect("no panic");
+            .expect("the reader ends within 1 s")
+            .expect("the reading task does not panic");
         assert!(matches!(result, Err(ReadError::Truncated)), "{cut}");
     }
     let body = store
         .admit(0, 0, Some(10), Retention::UntilQueryEnds)
-        .expect("capacity");
+        .expect("the body is admitted");
     assert_eq!(body.push(bytes(11)).await, Err(PushError::TooManyBytes));
 }
 
-/// Bodies of non-idempotent queries are discarded while they are sent.
+/// A body can be discarded while its one reader sends it, as for non-idempotent queries: the reader receives the rest,
+/// and the reservation of the read bytes is released.
 #[tokio::test]
 async fn a_discarded_body_releases_what_was_read() {
     let (store, _) = store(-1);
     for length in [MIB, 4 * MIB] {
         let body = store
             .admit(0, 0, Some(length), Retention::UntilQueryEnds)
-            .expect("capacity");
+            .expect("the body is admitted");
         let all = bytes(length);
         fill(&body, all.clone(), 1 << 20).await;
-        let mut reader = body.reader(ReadBy::FirstAttempt).expect("its start");
+        let mut reader = body
+            .reader(ReadBy::FirstAttempt)
+            .expect("the body is readable from its start");
         let mut out = reader
             .next()
             .await
-            .expect("bytes")
-            .expect("not the end")
+            .expect("the body is readable")
+            .expect("the body has more bytes")
             .to_vec();
         body.discard();
         assert!(!body.is_stored());
-        while let Some(more) = reader.next().await.expect("bytes") {
+        while let Some(more) = reader.next().await.expect("the body is readable") {
             out.extend_from_slice(&more);
         }
-        assert!(out == all, "its one reader has all of it");
+        assert!(out == all, "the reader receives the whole body");
         drop(reader);
         assert!(matches!(
             body.reader(ReadBy::Retry),
@@ -332,7 +346,7 @@
     }
 }
 
-/// The largest bodies move to the spool file and are read from there.
+/// When memory is short, the largest bodies are moved to the spool file, and are read from there.
 #[tokio::test]
 async fn the_largest_bodies_are_evicted_when_memory_is_short() {
     let (store, _) = store(-1);
@@ -341,7 +355,7 @@
     for size in sizes {
         let body = store
             .admit(0, 0, Some(size << 10), Retention::UntilQueryEnds)
-            .expect("capacity");
+            .expect("the body is admitted");
         fill(&body, bytes(size << 10), 1 << 20).await;
         all.push((size << 10, body));
     }
@@ -353,10 +367,15 @@
     assert_eq!(
         moved,
         [900, 800],
-        "from three quarters of the memory down to a half"
+        "eviction starts at three quarters of the memory and stops at half"
     );
     for (size, body) in &all {
-        assert!(read(body, ReadBy::FirstAttempt).await.expect("stored") == bytes(*size));
+        assert!(
+            read(body, ReadBy::FirstAttempt)
+                .await
+                .expect("the body is stored")
+                == bytes(*size)
+        );
     }
     drop(all);
     assert_eq!(
--- a/crates/ledger/benches/journal.rs
+++ b/crates/ledger/benches/journal.rs
@@ -1,5 +1,5 @@
-//! Commits per second of the journal, and their latency, with one writer waiting at a time and with many (group commit), on
-//! the disk of the temporary directory.
+//! Measures the commits per second of the journal and their latency, with one waiting writer and with many (group
+//! commit). The journal file is in the temporary directory.
 
 use garnetwall_ledger::journal::{FileStorage, Journal, JournalError, StartedJournal};
 use garnetwall_ledger::records::{Boot, StartedQuery};
@@ -51,8 +51,13 @@
         }
         let rate = COMMITS as f64 / started_at.elapsed().as_secs_f64();
         latencies.sort_unstable();
-        let at = |part: f64| latencies[(latencies.len() as f64 * part) as usize].as_micros();
-        println!("{writers:>15} {rate:>11.0} {:>20} {:>5}", at(0.5), at(0.99));
+        let quantile =
+            |fraction: f64| latencies[(latencies.len() as f64 * fraction) as usize].as_micros();
+        println!(
+            "{writers:>15} {rate:>11.0} {:>20} {:>5}",
+            quantile(0.5),
+            quantile(0.99)
+        );
         drop(journal);
         let _ = std::fs::remove_file(&path);
     }
