--- a/crates/routing/src/endpoint_subset.rs
+++ b/crates/routing/src/endpoint_subset.rs
@@ -1,16 +1,18 @@
-//! The engines that a query is confined to, by the pools of a plan.
+//! Describes the engines that a plan allows a query to use, in terms of the plan's pools.
 
-/// Pools by preference, within the pools that the query's classes are bound to.
+/// The pools that a query may use. Pools are indices into the plan's list of pools.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSubset {
-    /// Pools by preference; every engine where it is empty.
+    /// The pools that the matching route names, most preferred first. Empty if the route names none; every engine
+    /// within `required_pools` is then allowed.
     pub pools: Vec<usize>,
-    /// For each class with such a rule, the pools that its queries never leave.
+    /// One list for each query class that restricts its queries to certain pools. An engine is allowed only if it is in
+    /// at least one pool of every list.
     pub required_pools: Vec<Vec<usize>>,
 }
 
 impl EndpointSubset {
-    /// Whether it leaves every engine open.
+    /// Returns whether every engine is allowed.
     pub fn is_unrestricted(&self) -> bool {
         self.pools.is_empty() && self.required_pools.is_empty()
     }
--- a/crates/routing/src/engine_set.rs
+++ b/crates/routing/src/engine_set.rs
@@ -1,21 +1,21 @@
-//! Sets of engines as bits.
+//! Stores sets of engines as bitmaps.
 
-/// Engines in one word of a set.
+/// Number of engines that one word of a set covers.
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// A set of engines by their index.
+/// A set of engine indices.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineSet(Vec<u64>);
 
 impl EngineSet {
-    /// Whether the engine is in the set.
+    /// Returns whether the engine is in the set.
     pub fn contains(&self, engine: usize) -> bool {
         self.0
             .get(engine / WORD_BITS)
             .is_some_and(|word| word >> (engine % WORD_BITS) & 1 == 1)
     }
 
-    /// Adds an engine to the set, or removes it where it is no member.
+    /// Adds an engine to the set if `is_member` is true, otherwise removes it.
     pub fn set(&mut self, engine: usize, is_member: bool) {
         let word = engine / WORD_BITS;
         if self.0.len() <= word {
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Whether no engine is in the set.
+    /// Returns whether the set has no engines.
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|word| *word == 0)
     }
 
-    /// The engines in it, lowest first.
+    /// Iterates over the indices of the engines in the set, in ascending order.
     pub fn engines(&self) -> impl Iterator<Item = usize> + '_ {
         let bits = |(n, word): (usize, &u64)| {
             let word = *word;
@@ -45,7 +45,7 @@
         self.0.iter().enumerate().flat_map(bits)
     }
 
-    /// Words of 64 engines each, lowest first.
+    /// Returns the bitmap in words of 64 engines. Bit 0 of the first word is engine 0.
     pub fn words(&self) -> &[u64] {
         &self.0
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,11 +1,12 @@
-//! Routes queries by a compiled plan: the route that matches a query, the engines that it may use by priority level, and
-//! the limits that count it. No I/O; callers hand in events and times. It narrows what the decision module may choose.
+//! Routes queries by a compiled plan: finds the route that matches a query, the engines that the query may use at each
+//! priority level, and the limits that apply to it. The decision module then chooses only among these engines.
 //!
-//! [`Routing`] decides on routes, [`PoolMembers`] knows the engines of every pool, [`Limits`] counts queries in flight
-//! and rates. docs/routing.md weighs the structures and has their figures.
+//! The crate does no I/O and reads no clock; callers pass in events and times. [`Routing`] finds routes,
+//! [`PoolMembers`] tracks the engines of every pool, and [`Limits`] counts queries in flight and enforces rates.
+//! docs/routing.md compares the data structures and has measurements of them.
 //!
-//! An [`EndpointSubset`] is what the plan leaves to a query. It is not the engine subset of `garnetwall-subset`, which is
-//! what this gateway works with for all queries.
+//! An [`EndpointSubset`] holds the engines that the plan allows for one query. The engine subset of `garnetwall-subset`
+//! is a different set: the engines that this gateway uses for all queries.
 
 mod endpoint_subset;
 mod engine_set;
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,7 +1,10 @@
-//! Limits on admission: queries in flight, queries and bytes over time, for each tenant, query class, client or any
-//! combination. Rates follow the generic cell rate algorithm (ITU-T I.371), with one arrival time for each key. Memory is
-//! bounded however many clients there are: keys in use are in a table, idle ones are evicted, and where all are in use
-//! further ones share a sketch, which may limit a key to less than its own, and never allows it more.
+//! Enforces the limits of a plan on admission: queries in flight, queries per second and statement bytes per second,
+//! for each tenant, query class, client or combination of them.
+//!
+//! Rates use the generic cell rate algorithm (ITU-T I.371), which stores one arrival time for each key. Memory is
+//! bounded for any number of clients: keys in use have entries in a table, and a new key replaces an idle one. While no
+//! idle entry is found, further keys share a count-min sketch, which may admit less for a key than its limit but never
+//! more.
 
 mod cell_rate;
 mod compile;
@@ -19,27 +22,27 @@
 use state::Slot;
 use std::time::Duration;
 
-/// Keys of one limit that are counted exactly.
+/// Maximum number of keys that one limit counts exactly.
 pub const MAX_EXACT_KEYS: usize = 16_384;
-/// Least Retry-After of a rejection.
+/// Lower bound of the Retry-After of a rejection.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// The right of an admitted query to count in its limits, until it is released.
+/// Records where an admitted query is counted. Callers pass it to [`Limits::release`] when the query ends.
 #[derive(Debug)]
 pub struct LimitPermit {
     admitted_at: Duration,
     counted: Vec<Counted>,
 }
 
-/// Where one limit counts a query.
+/// The place in one limit's state where a query is counted.
 #[derive(Debug)]
 struct Counted {
-    /// The id of the limit's state.
+    /// The [`LimitState::id`](state::LimitState::id) of the limit.
     state_id: u64,
     slot: Slot,
 }
 
-/// All limits of a plan, with what they have counted.
+/// All limits of a plan, with their current counts.
 #[derive(Debug)]
 pub struct Limits {
     rules: Vec<LimitRule>,
@@ -48,13 +51,13 @@
 }
 
 impl Limits {
-    /// The limits of a plan; `capacity` is the number of queries that this gateway can have in flight, of which tenants have
-    /// shares.
+    /// Creates the limits of a plan, with no queries counted. `capacity` is the maximum number of queries in flight at
+    /// this gateway; the shares of tenants are fractions of it.
     pub fn new(routing: &Routing, capacity: f64) -> Self {
         Limits::with_keys(routing, capacity, MAX_EXACT_KEYS)
     }
 
-    /// As [`Limits::new`], with another number of keys for each limit that are counted exactly.
+    /// Like [`Limits::new`], but each limit counts at most `max_exact_keys` keys exactly instead of [`MAX_EXACT_KEYS`].
     pub fn with_keys(routing: &Routing, capacity: f64, max_exact_keys: usize) -> Self {
         let mut limits = Limits {
             rules: Vec::new(),
@@ -69,8 +72,8 @@
         limits
     }
 
-    /// Takes over another plan. A limit whose name and scope stay keeps its counts; queries in flight under a
-    /// removed limit count nowhere.
+    /// Replaces the plan. A limit keeps its counts if its name and scope are unchanged. Queries in flight under a
+    /// removed limit are no longer counted.
     pub fn update_plan(&mut self, routing: &Routing, capacity: f64) {
         let mut old = std::mem::take(&mut self.rules);
         self.rules = limit_rules(routing, capacity);
@@ -88,11 +91,12 @@
         }
     }
 
-    /// Admits a query within all limits that count it, or says which it exceeds; then it counts in none.
+    /// Admits a query if it is within all limits that apply to it, and counts it in each of them until it is released.
     ///
     /// # Errors
     ///
-    /// Of the limits that it exceeds, the one with the longest Retry-After.
+    /// If the query exceeds any limit, it is counted in none, and the error names the exceeded limit with the longest
+    /// Retry-After.
     pub fn admit(
         &mut self,
         routing: &Routing,
@@ -123,7 +127,7 @@
         })
     }
 
-    /// The indices of the rules that count a query.
+    /// Returns the indices of the rules that count a query.
     fn counting_rules(&self, routing: &Routing, query: &RoutedQuery) -> Vec<usize> {
         let address_sets = routing.value_classes.clients();
         let sets_of_client = address_sets.members(address_sets.class(query.client));
@@ -134,11 +138,11 @@
             .collect()
     }
 
-    /// An admitted query has ended.
+    /// Ends the counting of an admitted query. Callers call this once, when the query has ended.
     pub fn release(&mut self, now: Duration, permit: LimitPermit) {
         let time_in_flight = now.saturating_sub(permit.admitted_at);
         for Counted { state_id, slot } in permit.counted {
-            // A removed limit counts nothing.
+            // No rule is found if a new plan has removed the limit.
             let rule = self.rules.iter_mut().find(|rule| rule.state.id == state_id);
             if let Some(rule) = rule {
                 rule.release(slot, time_in_flight);
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Keys that are counted exactly, over all limits.
+    /// Returns the number of keys that are counted exactly, summed over all limits.
     pub fn exact_keys(&self) -> usize {
         self.rules.iter().map(|rule| rule.state.exact_keys()).sum()
     }
--- a/crates/routing/src/limits/cell_rate.rs
+++ b/crates/routing/src/limits/cell_rate.rs
@@ -1,11 +1,12 @@
-//! The generic cell rate algorithm (ITU-T I.371): a rate limit that keeps one time for each key, its theoretical arrival
-//! time, at which all queries so far would have arrived had they arrived evenly at the rate.
+//! Implements the generic cell rate algorithm (ITU-T I.371). The rate limit stores one time for each key, its
+//! theoretical arrival time: the time up to which the queries so far use up the rate, if they are spaced evenly at the
+//! rate.
 
 use garnetwall_plan::model::Bucket;
 use std::time::Duration;
 
-/// The theoretical arrival time of a key once a query of this cost is added. A cost over the burst counts as one burst, as
-/// it could never conform otherwise.
+/// Returns the theoretical arrival time of a key after a query of this cost is added. A cost above the burst counts as
+/// one burst, because such a query could otherwise never conform.
 pub(super) fn arrival_time_after(
     bucket: &Bucket,
     arrival_time: Duration,
@@ -16,7 +17,7 @@
         + Duration::from_secs_f64(cost.min(bucket.max_tokens) / bucket.tokens_per_second)
 }
 
-/// How long a query of this cost has to wait until it conforms; none where it conforms now.
+/// Returns the time until a query of this cost conforms to the rate, or `None` if it conforms now.
 pub(super) fn wait_until_conforming(
     bucket: &Bucket,
     arrival_time: Duration,
--- a/crates/routing/src/limits/compile.rs
+++ b/crates/routing/src/limits/compile.rs
@@ -1,12 +1,12 @@
-//! Compiles the limits of a plan and the shares of its tenants to rules.
+//! Compiles the limits of a plan and the shares and limits of its tenants into rules.
 
 use super::rule::{LimitRule, RuleScope};
 use super::state::LimitState;
 use crate::routing::Routing;
 use garnetwall_plan::model::{Limit, Tenant};
 
-/// The limits of a plan, then the shares and limits of its tenants. `capacity` is the number of queries that this gateway
-/// can have in flight.
+/// Returns one rule for each limit of a plan, then one for each tenant. `capacity` is the maximum number of queries in
+/// flight at this gateway.
 pub(super) fn limit_rules(routing: &Routing, capacity: f64) -> Vec<LimitRule> {
     let plan = routing.plan();
     let limits = plan
@@ -60,7 +60,7 @@
     }
 }
 
-/// The indices of some names among all; unknown names are left out.
+/// Returns the index in `all` of each of `names`. Names that are not in `all` are skipped.
 fn indices(all: &[String], names: &[String]) -> Vec<usize> {
     names
         .iter()
--- a/crates/routing/src/limits/exceeded.rs
+++ b/crates/routing/src/limits/exceeded.rs
@@ -1,25 +1,26 @@
-//! Which limit a query exceeds.
+//! Describes the limit that a rejected query exceeds.
 
 use std::time::Duration;
 
-/// Which quantity of a limit is exceeded.
+/// The quantity that a limit bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
-    /// Queries in flight.
+    /// The number of queries in flight.
     InFlight,
-    /// Queries over time.
+    /// The number of queries per second.
     Rate,
-    /// Bytes of statements over time.
+    /// The number of statement bytes per second.
     Bytes,
 }
 
-/// A query is over a limit.
+/// The limit that a query exceeds, and when to retry the query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
-    /// The limit's name.
+    /// Name of the limit in the plan, or of the tenant if its share or limits are exceeded.
     pub limit: String,
-    /// Which of its quantities is exceeded.
+    /// The quantity of the limit that is exceeded.
     pub kind: LimitKind,
-    /// The time after which to retry: a rate admits the query then; of queries in flight, one has usually ended.
+    /// The time after which to retry. For a rate, the query conforms then unless others are counted first; for queries
+    /// in flight, it is an estimate of when the next of them ends. At least 10 ms.
     pub retry_after: Duration,
 }
--- a/crates/routing/src/limits/rule.rs
+++ b/crates/routing/src/limits/rule.rs
@@ -1,4 +1,4 @@
-//! One limit of a plan, or the quota of a tenant: whether it counts a query, and whether it admits one more.
+//! Applies one limit of a plan, or the share and limits of one tenant, to queries.
 
 use super::cell_rate::{arrival_time_after, wait_until_conforming};
 use super::exceeded::{LimitExceeded, LimitKind};
@@ -8,29 +8,31 @@
 use garnetwall_plan::model::{Bucket, LimitScope, Per};
 use std::time::Duration;
 
-/// Weight of one query in the mean time in flight.
+/// Weight of the latest query in the exponentially weighted mean of the time in flight.
 const TIME_IN_FLIGHT_WEIGHT: f64 = 0.05;
 
-/// Which queries a rule counts, so that it can be found again in another plan.
+/// The queries that a rule counts. Together with the name it identifies the rule when the plan is replaced.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum RuleScope {
-    /// Those that a limit of the plan counts.
+    /// The queries that a limit of the plan counts.
     Limit(LimitScope),
-    /// Those of the tenant that has the rule's name.
+    /// The queries of the tenant whose name is the rule's name.
     Tenant,
 }
 
-/// One limit: which queries it counts, how many it admits, and what it has counted.
+/// One limit: the queries that it counts, its bounds, and its current counts.
 #[derive(Debug)]
 pub(super) struct LimitRule {
     pub(super) name: String,
-    /// What it counts: where name and scope stay in another plan, so does the state.
+    /// The state is kept when the plan is replaced, if the name and the scope are unchanged.
     pub(super) scope: RuleScope,
+    /// The properties of a query that form its key; queries with different keys are counted separately.
     pub(super) per: Vec<Per>,
-    /// By the settings' index; all where empty.
+    /// Query classes that the rule applies to, by their index in the settings. Empty for all.
     pub(super) classes: Vec<usize>,
+    /// Tenants that the rule applies to, by their index in the settings. Empty for all.
     pub(super) tenants: Vec<usize>,
-    /// Its plan's address sets.
+    /// Address sets of the plan; the rule applies to clients in any of them. Empty for all clients.
     pub(super) clients: Vec<usize>,
     pub(super) max_in_flight: Option<u32>,
     pub(super) rate: Option<Bucket>,
@@ -39,7 +41,8 @@
 }
 
 impl LimitRule {
-    /// Whether it counts a query. `is_client_in` says whether an address set of the plan holds its client.
+    /// Returns whether the rule counts a query. `is_client_in` returns whether the query's client is in an address set
+    /// of the plan, given by its index.
     pub(super) fn counts(&self, query: &RoutedQuery, is_client_in: impl Fn(usize) -> bool) -> bool {
         let concerns = |list: &[usize], index: usize| list.is_empty() || list.contains(&index);
         concerns(&self.classes, query.class)
@@ -59,7 +62,8 @@
         key
     }
 
-    /// Which quantity one more query would exceed, and when it would no longer.
+    /// Returns the quantity that one more query would exceed and when to retry, or `None` if the query is within the
+    /// limit.
     pub(super) fn exceeded(&self, now: Duration, query: &RoutedQuery) -> Option<LimitExceeded> {
         let usage = self.state.usage_of_key(&self.key(query));
         let (kind, retry_after) = self
@@ -80,7 +84,8 @@
         })
     }
 
-    /// Where the most queries are in flight, about when the next of them ends.
+    /// Returns `None` while fewer than the maximum number of queries are in flight. Otherwise the duration estimates
+    /// when the next of them ends: the mean time in flight divided by the number in flight.
     fn in_flight_exceeded(&self, usage: &Usage) -> Option<(LimitKind, Duration)> {
         let max_in_flight = self.max_in_flight?;
         if usage.in_flight < max_in_flight {
@@ -90,7 +95,7 @@
         Some((LimitKind::InFlight, Duration::from_secs_f64(seconds)))
     }
 
-    /// Counts an admitted query; returns where, until it is released.
+    /// Counts an admitted query. Returns the slot to pass to [`release`](Self::release) when the query ends.
     pub(super) fn count(
         &mut self,
         now: Duration,
@@ -116,7 +121,7 @@
         slot
     }
 
-    /// A query that was counted in a slot has ended after this time.
+    /// Stops counting a query that has ended, and adds its time in flight to the mean.
     pub(super) fn release(&mut self, slot: Slot, time_in_flight: Duration) {
         self.state.release(slot);
         let mean = &mut self.state.mean_seconds_in_flight;
@@ -124,7 +129,7 @@
     }
 }
 
-/// The wait of a query of this cost for a rate, if there is one.
+/// Returns the time until a query of this cost conforms to the rate, or `None` if it conforms now or there is no rate.
 fn wait_for(
     rate: Option<Bucket>,
     arrival_time: Duration,
--- a/crates/routing/src/limits/sketch.rs
+++ b/crates/routing/src/limits/sketch.rs
@@ -1,33 +1,33 @@
-//! A count-min sketch of the usage of keys of which there are too many to count each exactly. Several keys share a cell,
-//! so a key may be limited to less than its own, and is never allowed more.
+//! Implements a count-min sketch for the usage of keys that are too many to count exactly. Several keys share a cell,
+//! so the sketch may overestimate the usage of a key and admit less than its limit; it never admits more.
 
 use std::hash::{BuildHasher, RandomState};
 use std::time::Duration;
 
-/// Rows; a key is limited to less than its own only where others share its cell in each row.
+/// Number of rows. The usage of a key is overestimated only if its cell in every row is shared with other keys.
 const ROWS: usize = 4;
-/// Cells of a row.
+/// Number of cells in a row.
 const COLUMNS: usize = 4096;
 
-/// What was counted of a key, or of a cell.
+/// The usage of a key, or the combined usage of the keys in a cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Queries in flight.
+    /// Number of queries in flight.
     pub in_flight: u32,
-    /// The theoretical arrival time of the limit on queries.
+    /// Theoretical arrival time for the rate of queries.
     pub queries_arrival_time: Duration,
-    /// The same of the limit on bytes.
+    /// Theoretical arrival time for the rate of statement bytes.
     pub bytes_arrival_time: Duration,
 }
 
 impl Usage {
-    /// Whether it is as if nothing had been counted.
+    /// Returns whether forgetting this usage would not change any decision from `now` on.
     pub fn is_idle(&self, now: Duration) -> bool {
         self.in_flight == 0 && self.queries_arrival_time <= now && self.bytes_arrival_time <= now
     }
 }
 
-/// The sketch; created with the first key that can't be counted exactly.
+/// A count-min sketch. A limit creates one when it first has a key that cannot be counted exactly.
 #[derive(Debug)]
 pub struct CountMinSketch {
     cells: Vec<Usage>,
@@ -52,7 +52,7 @@
         })
     }
 
-    /// What a key is limited by: the least of its cells, which is at least its own usage.
+    /// Returns an upper bound of the usage of a key: the minimum over its cells.
     pub fn usage(&self, cells: &Cells) -> Usage {
         let all = || cells.iter().map(|cell| &self.cells[*cell as usize]);
         Usage {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Counts one more query in flight, and moves the theoretical arrival times on to these.
+    /// Counts one more query in flight, and raises the theoretical arrival times of the cells to at least these.
     pub fn add(
         &mut self,
         cells: &Cells,
--- a/crates/routing/src/limits/state.rs
+++ b/crates/routing/src/limits/state.rs
@@ -1,14 +1,14 @@
-//! What one limit has counted, by key: exactly for a bounded number of keys, in a sketch for the rest.
+//! Stores the counts of one limit by key: exactly for a bounded number of keys, in a sketch for the rest.
 
 use super::sketch::{Cells, CountMinSketch, Usage};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Entries looked at for an idle key to evict.
+/// Maximum number of entries that are examined to find an idle key to evict.
 const EVICTION_PROBES: usize = 8;
 
-/// What a limit counts separately.
+/// The properties of a query by which a limit counts separately; `None` for those that it does not distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub(super) struct LimitKey {
     pub(super) class: Option<u32>,
@@ -16,39 +16,39 @@
     pub(super) client: Option<IpAddr>,
 }
 
-/// Where a key is counted.
+/// The place where a key is counted.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Slot {
-    /// At this index, by itself.
+    /// The index of the key's own entry.
     Exact(u32),
-    /// In these cells of the sketch, with other keys.
+    /// Cells of the sketch, which the key may share with other keys.
     Shared(Cells),
 }
 
-/// A key that is counted exactly.
+/// The usage of a key that is counted exactly.
 #[derive(Debug)]
 struct ExactEntry {
     key: LimitKey,
     usage: Usage,
 }
 
-/// The state of a limit.
+/// The counts of one limit.
 #[derive(Debug, Default)]
 pub(super) struct LimitState {
-    /// Tells it from the states of other limits, also across changes of the plan.
+    /// Identifies this state; unique among all limits and kept when the plan is replaced.
     pub(super) id: u64,
     /// The index of each key's entry.
     indices: HashMap<LimitKey, u32>,
     entries: Vec<ExactEntry>,
-    /// The entry that was last looked at for one to evict, as by a clock algorithm.
+    /// Index of the entry that was last examined for eviction (the hand of the clock algorithm).
     eviction_hand: usize,
     sketch: Option<CountMinSketch>,
-    /// How long queries were in flight, as an exponentially weighted mean in seconds.
+    /// Exponentially weighted mean, in seconds, of the time that queries were in flight.
     pub(super) mean_seconds_in_flight: f64,
 }
 
 impl LimitState {
-    /// The number of keys that are counted exactly.
+    /// Returns the number of keys that are counted exactly.
     pub(super) fn exact_keys(&self) -> usize {
         self.entries.len()
     }
@@ -69,12 +69,13 @@
         }
     }
 
-    /// The slot of a key: its own, a new one, that of an idle key, or cells that it shares.
+    /// Returns the slot of a key. A key without an entry gets a new one, or replaces an idle key, or else shares cells
+    /// of the sketch.
     pub(super) fn slot_for(&mut self, now: Duration, key: LimitKey, max_exact_keys: usize) -> Slot {
         if let Some(index) = self.indices.get(&key) {
             return Slot::Exact(*index);
         }
-        // What the sketch has counted of it must not be forgotten.
+        // A key that still has usage in the sketch stays there: a new entry would start from zero usage.
         if let Some(sketch) = &self.sketch {
             let cells = sketch.cells(&key);
             if !sketch.usage(&cells).is_idle(now) {
@@ -101,7 +102,7 @@
         Slot::Exact(index)
     }
 
-    /// Gives the key the entry of an idle one, if one is found soon.
+    /// Replaces an idle key by this one. Returns `None` if none of the next [`EVICTION_PROBES`] entries is idle.
     fn replace_idle_entry(&mut self, now: Duration, key: LimitKey) -> Option<Slot> {
         for _ in 0..EVICTION_PROBES.min(self.entries.len()) {
             self.eviction_hand = (self.eviction_hand + 1) % self.entries.len();
@@ -120,7 +121,7 @@
         None
     }
 
-    /// Counts one more query in flight, and sets the theoretical arrival times.
+    /// Counts one more query in flight and stores the new theoretical arrival times.
     pub(super) fn add(
         &mut self,
         slot: &Slot,
--- a/crates/routing/src/pool_members.rs
+++ b/crates/routing/src/pool_members.rs
@@ -1,10 +1,10 @@
-//! The engines of every pool of a plan, updated as engines are added, change and are removed.
+//! Tracks which engines are in each pool of a plan, as engines are added, changed and removed.
 
 use crate::engine_set::EngineSet;
 use crate::routing::Routing;
 use garnetwall_plan::model::EngineFacts;
 
-/// The engines that are listed, by the pools of one plan.
+/// The engines of the endpoint list, grouped by the pools of one plan.
 #[derive(Clone, Debug, Default)]
 pub struct PoolMembers {
     all: EngineSet,
@@ -12,7 +12,7 @@
 }
 
 impl PoolMembers {
-    /// The pools of a plan, without engines yet.
+    /// Creates the pools of a plan, without engines.
     pub fn new(routing: &Routing) -> Self {
         PoolMembers {
             all: EngineSet::default(),
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Adds or changes an engine; without facts it is removed.
+    /// Adds or updates an engine, or removes it if `facts` is `None`.
     pub fn update(&mut self, routing: &Routing, engine: usize, facts: Option<&EngineFacts>) {
         let member_of = facts.map(|facts| routing.plan().pools_of(facts));
         self.all.set(engine, facts.is_some());
@@ -29,13 +29,13 @@
         }
     }
 
-    /// The engines of a pool.
+    /// Returns the engines of a pool, given by its index in the plan. Panics if the plan has no such pool.
     pub fn pool(&self, pool: usize) -> &EngineSet {
         &self.pools[pool]
     }
 
-    /// For each priority level of an endpoint subset the engines that it leaves open. `endpoint_subset` is an index into
-    /// [`Routing::endpoint_subsets`].
+    /// Returns the engines that an endpoint subset allows at each priority level, highest priority first.
+    /// `endpoint_subset` is an index into [`Routing::endpoint_subsets`].
     pub fn priority_levels(&self, routing: &Routing, endpoint_subset: usize) -> Vec<EngineSet> {
         let subset = &routing.endpoint_subsets()[endpoint_subset];
         let mut allowed = self.all.clone();
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -1,22 +1,22 @@
-//! What routing knows of a query.
+//! Defines the properties of a query that routing and limits depend on.
 
 use std::net::IpAddr;
 
-/// A query as routing sees it; classes and tenants are the settings' indices.
+/// The properties of a query that routing and limits depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutedQuery {
-    /// Index of its query class.
+    /// Index of the query class in the settings.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// Address of its client.
+    /// Address of the client.
     pub client: IpAddr,
-    /// Whether it has an ordering key.
+    /// Whether the query has an ordering key.
     pub has_key: bool,
-    /// The data set that its statement reads or loads; 0 for none.
+    /// The data set that the statement reads or loads; 0 for none.
     pub data_set: u32,
-    /// Minute of the day, UTC.
+    /// Minute of the day in UTC, from 0 to 1439.
     pub minute: u32,
-    /// Length of its statement in bytes.
+    /// Length of the statement in bytes.
     pub statement_bytes: u64,
 }
--- a/crates/routing/src/routing.rs
+++ b/crates/routing/src/routing.rs
@@ -1,7 +1,8 @@
-//! A plan compiled for the names of the settings: which route matches a query, and what follows from it.
+//! Compiles a plan into bitmaps, and finds the route and the endpoint subset of a query with them.
 //!
-//! Each dimension of a route's conditions is divided into value classes. For each value class of each dimension a row of bits
-//! says which routes match it; the first bit that is set in all of a query's rows is its route.
+//! Each dimension of a route's conditions is divided into value classes. Each value class has a bitmap row with one bit
+//! for each route, which is set if the route matches the value class. The route of a query is the lowest bit that is
+//! set in the query's rows of all dimensions.
 
 use crate::endpoint_subset::EndpointSubset;
 use crate::query::RoutedQuery;
@@ -10,71 +11,74 @@
 use garnetwall_plan::region::{ValueClasses, DIMENSION_COUNT};
 use std::sync::Arc;
 
-/// Routes in one word of a row.
+/// Number of routes that one word of a row covers.
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// Names of the settings, by index.
+/// The names that the settings give to query classes and tenants, by index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Names of the query classes.
+    /// Query class names, indexed as [`RoutedQuery::class`].
     pub classes: Vec<String>,
-    /// Names of the tenants.
+    /// Tenant names, indexed as [`RoutedQuery::tenant`].
     pub tenants: Vec<String>,
 }
 
-/// What a plan decides on a query, before limits are applied.
+/// The decision of a plan on a query, before limits are applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// Rejected by this route, whose `reject_reason` says why.
+    /// The matching route rejects the query.
     Rejected {
-        /// Index of the route.
+        /// Index of the route in the plan; its `reject_reason` is set.
         route: usize,
     },
-    /// Its statement is longer than the rules of its class allow.
+    /// The statement is longer than the rules of the query class allow.
     StatementTooLong {
-        /// The longest statement of its class, in bytes.
+        /// The maximum length of a statement of the query class, in bytes.
         max_bytes: u64,
     },
-    /// It may run, unless a limit rejects it.
+    /// The query may run, unless a limit rejects it.
     Admitted {
-        /// Index of the route that matches it, if any.
+        /// Index of the matching route in the plan, or `None` if no route matches.
         route: Option<usize>,
-        /// The query class that it is treated as.
+        /// The query class whose rules apply; differs from the query's own if the route names another.
         class: usize,
         /// Index into [`Routing::endpoint_subsets`].
         endpoint_subset: usize,
     },
 }
 
-/// What follows for queries of one class that one route matches, or none.
+/// The result of routing for queries of one class that match one route, or no route.
 #[derive(Clone, Copy, Debug)]
 struct RouteResult {
-    /// The class that they are treated as.
+    /// The query class whose rules apply.
     class: usize,
     endpoint_subset: usize,
 }
 
-/// A plan, compiled for the names of the settings.
+/// A plan, compiled for the query classes and tenants of the settings.
 #[derive(Debug)]
 pub struct Routing {
     plan: Arc<Plan>,
     names: Names,
     pub(crate) value_classes: ValueClasses,
-    /// The value classes of the settings' query classes and tenants, and of the minutes of a day.
+    /// Indexed by query class of the settings.
     value_class_of_query_class: Vec<usize>,
+    /// Indexed by tenant of the settings.
     value_class_of_tenant: Vec<usize>,
+    /// Indexed by minute of the day.
     value_class_of_minute: Vec<u16>,
-    /// Words in a row, which has a bit for each route.
+    /// A row has one bit for each route.
     words_per_row: usize,
-    /// For each dimension a row for each value class: the routes that match it.
+    /// For each dimension, the rows of its value classes one after another.
     matching_routes: [Vec<u64>; DIMENSION_COUNT],
+    /// The distinct endpoint subsets that `results` refers to.
     endpoint_subsets: Vec<EndpointSubset>,
-    /// By route (the last row is for queries that no route matches) and query class.
+    /// One entry for each route and query class, in this order, then one for each query class without a matching route.
     results: Vec<RouteResult>,
 }
 
 impl Routing {
-    /// Compiles a plan that was checked with the settings of these names.
+    /// Compiles a plan. `names` are the names of the settings that the plan was checked against.
     pub fn new(plan: Arc<Plan>, names: Names) -> Self {
         let value_classes = ValueClasses::of(&[&plan], &names.classes, &names.tenants);
         let words_per_row = plan.routes.len().div_ceil(WORD_BITS).max(1);
@@ -105,7 +109,7 @@
         routing
     }
 
-    /// Precomputes the result of each route, and of no route, for each query class.
+    /// Computes the results of each route, and of no route, for each query class.
     fn compile_results(&mut self) {
         let plan = self.plan.clone();
         for route in plan.routes.iter().map(Some).chain([None]) {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// The index of an equal subset, or of this one, which is added.
+    /// Returns the index of an equal subset, after adding this one if there is none.
     fn endpoint_subset_index(&mut self, subset: EndpointSubset) -> usize {
         let known = self
             .endpoint_subsets
@@ -152,27 +156,28 @@
         })
     }
 
-    /// The plan that was compiled.
+    /// Returns the plan that was compiled.
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
     }
 
-    /// The names of the settings that it was compiled for.
+    /// Returns the names of the settings that the plan was compiled for.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// The plan's rules of a query class of the settings.
+    /// Returns the plan's rules for a query class, given by its index in the settings. `None` if the index is out of
+    /// range or the plan has no rules for the class.
     pub fn class_rules(&self, class: usize) -> Option<&ClassRules> {
         self.plan.class(self.names.classes.get(class)?)
     }
 
-    /// All endpoint subsets that a query may be confined to.
+    /// Returns the distinct endpoint subsets that queries may be restricted to.
     pub fn endpoint_subsets(&self) -> &[EndpointSubset] {
         &self.endpoint_subsets
     }
 
-    /// The index of the first route that matches a query.
+    /// Returns the index of the first route that matches a query, or `None` if no route matches.
     pub fn route(&self, query: &RoutedQuery) -> Option<usize> {
         let value_class =
             |known: &[usize], index: usize| known.get(index).copied().unwrap_or_default();
@@ -198,7 +203,7 @@
         None
     }
 
-    /// What the plan decides on a query, before limits are applied.
+    /// Returns the decision of the plan on a query, before limits are applied.
     pub fn decide(&self, query: &RoutedQuery) -> RouteDecision {
         let route = self.route(query);
         if let Some(route) = route.filter(|route| self.plan.routes[*route].reject_reason.is_some())
@@ -226,7 +231,8 @@
         self.results[row * class_count + class.min(class_count - 1)]
     }
 
-    /// A query in the words of the plan, for the plain model in tests and for logs.
+    /// Converts a query to the names that the plan uses, for logs and for the plan's own evaluation, which tests
+    /// compare with.
     pub fn facts(&self, query: &RoutedQuery) -> QueryFacts<'_> {
         QueryFacts {
             class: self
@@ -247,7 +253,7 @@
     }
 }
 
-/// For each dimension a row for each value class, with the bits of the routes that match it.
+/// Computes, for each dimension, one row for each value class with the bits of the routes that match it.
 fn matching_routes(
     plan: &Plan,
     value_classes: &ValueClasses,
--- a/crates/routing/src/zones.rs
+++ b/crates/routing/src/zones.rs
@@ -1,9 +1,11 @@
-//! Zone-aware load sharing: how healthy each zone looks from here, how much it may carry, and what share of the load goes
-//! where. Near zones come first; what they cannot carry spills to the next priority level by degrees; what fits nowhere
-//! is rejected. A zone that recovers gets its share by what it has shown it can carry, not by the clock. No I/O. Used by no
-//! gateway yet.
+//! Distributes load over zones: judges the health of each zone, derives the capacity that may be used in it, and
+//! computes the share of the load that each zone gets. No gateway uses this module yet.
 //!
-//! Loads and capacities are in cores. docs/zones.md has the states and the reasons.
+//! The nearest zones are filled first. Load that they cannot carry spills gradually to the next priority level, and
+//! load that no zone can carry is rejected. A recovering zone gets more load as it completes work, not as time passes.
+//!
+//! The module does no I/O. Loads and capacities are in cores, times are in seconds. docs/zones.md describes the states
+//! of a zone and the reasons for the design.
 
 mod load_shedding;
 mod shares;
@@ -17,7 +19,7 @@
 
 use zone::Zone;
 
-/// All zones as this gateway sees them.
+/// The state of all zones, as this gateway observes it.
 #[derive(Clone, Debug)]
 pub struct Zones {
     zones: Vec<Zone>,
@@ -25,7 +27,7 @@
 }
 
 impl Zones {
-    /// Zones by their priority level, 0 the nearest.
+    /// Creates healthy zones without capacity, one for each given priority level. Level 0 is the nearest.
     pub fn new(priority_levels: &[usize]) -> Self {
         let level_count = priority_levels
             .iter()
@@ -40,36 +42,36 @@
         }
     }
 
-    /// The health of a zone.
+    /// Returns the health of a zone.
     pub fn health(&self, zone: usize) -> Health {
         self.zones[zone].health
     }
 
-    /// Sets a zone's capacity by the endpoint list, in effective cores of ready engines, and the load in cores that others
-    /// are known to send there.
+    /// Sets the capacity of a zone, in effective cores of the engines that the endpoint list shows as ready, and the
+    /// load, in cores, that other gateways are known to send to the zone. A zone without capacity counts as lost.
     pub fn update_capacity(&mut self, now: f64, zone: usize, capacity: f64, load_of_others: f64) {
         self.zones[zone].update_capacity(now, capacity, load_of_others);
     }
 
-    /// An attempt of so much work, in core seconds, was sent to a zone. The work in flight has no influence on shares; only
-    /// `Debug` shows it.
+    /// Records that an attempt was sent to a zone; `work` is its estimated work in core seconds. The work in flight
+    /// does not affect the shares and appears only in `Debug` output.
     pub fn attempt_begun(&mut self, zone: usize, work: f64) {
         self.zones[zone].attempt_begun(work);
     }
 
-    /// An attempt ended there. `work` is what [`attempt_begun`](Zones::attempt_begun) was given; `outcome` decides on the
-    /// zone's health.
+    /// Records that an attempt in a zone ended, and updates the zone's health by its outcome. `work` is the value that
+    /// was passed to [`attempt_begun`](Zones::attempt_begun).
     pub fn attempt_ended(&mut self, now: f64, zone: usize, work: f64, outcome: ZoneOutcome) {
         self.zones[zone].attempt_ended(now, work, outcome);
     }
 
-    /// Whether a lost zone is to have a trial now: one idempotent query, to see whether it is back. The next trial is due an
-    /// interval later.
+    /// Returns whether a trial of a lost zone is due. If it is, the caller sends one idempotent query to the zone to
+    /// find out whether it has recovered, and the next trial is due 0.5 s later.
     pub fn start_trial(&mut self, now: f64, zone: usize) -> bool {
         self.zones[zone].start_trial(now)
     }
 
-    /// Capacity that a zone may be given now, in cores.
+    /// Returns the capacity of a zone that may be used now, in cores.
     pub fn allowed_cores(&self, zone: usize) -> f64 {
         self.zones[zone].allowed_cores()
     }
--- a/crates/routing/src/zones/load_shedding.rs
+++ b/crates/routing/src/zones/load_shedding.rs
@@ -1,19 +1,20 @@
-//! What is admitted where the capacity of all zones does not suffice, and when the rest may be retried.
+//! Decides which load to admit when the capacity of all zones is insufficient, and when rejected queries may be
+//! retried.
 
 use super::tolerance::MIN_DIVISOR;
 use std::time::Duration;
 
-/// Queries that are alike in their value for the work that they need.
+/// Queries with the same value per unit of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadGroup {
-    /// Value for each core second of work, by the priority weights of its queries.
+    /// Value per core second of work, derived from the priority weights of the queries.
     pub value_per_work: f64,
-    /// The load that is offered, in cores.
+    /// The offered load in cores.
     pub load: f64,
 }
 
-/// Which fraction of each group is admitted where the capacity, in cores, does not suffice for all: those with the most
-/// value for their work first. The result is in the order of the groups.
+/// Returns the fraction of each group's load to admit, in the order of `groups`. Groups with the highest value per unit
+/// of work are admitted first, until the capacity, in cores, is used up.
 pub fn admit_by_value(groups: &[LoadGroup], capacity: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..groups.len()).collect();
     order.sort_by(|a, b| {
@@ -35,8 +36,8 @@
     fractions
 }
 
-/// The Retry-After of a rejected query: about `wait`, with jitter by a number drawn from 0 to 1, so that clients do not
-/// return in step.
+/// Returns the Retry-After of a rejected query: `wait` times a factor from 0.5 to 1.5. `draw` is a random number from 0
+/// to 1; the jitter prevents clients from retrying at the same time.
 pub fn retry_after(wait: Duration, draw: f64) -> Duration {
     wait.mul_f64(0.5 + draw.clamp(0.0, 1.0))
 }
--- a/crates/routing/src/zones/shares.rs
+++ b/crates/routing/src/zones/shares.rs
@@ -1,27 +1,30 @@
-//! The shares of a load by zone, and how much a priority level carries before it spills.
+//! Defines the share of the load that each zone gets, and the load that a priority level carries before it spills.
 
 use super::tolerance::MIN_DIVISOR;
 
-/// Fraction of a priority level's capacity up to which all load stays there; from there on it spills by degrees.
+/// Fraction of a priority level's capacity up to which the level carries all load. Above it, a growing part of the load
+/// spills to the next level.
 pub(super) const SPILL_FROM_FRACTION: f64 = 0.7;
-/// Which fraction of the offered load goes where; what is missing to 1 is rejected.
+/// The fractions of the offered load that go to each zone and priority level. The rest, up to 1, is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shares {
-    /// By zone.
+    /// Fraction of the load for each zone, from 0 to 1.
     pub zones: Vec<f64>,
-    /// By priority level.
+    /// Fraction of the load for each priority level, summed over its zones.
     pub priority_levels: Vec<f64>,
-    /// Too much looks unhealthy to be believed: the load goes to all that is listed as ready.
+    /// Whether the load is distributed by listed capacity and health is ignored, because so many zones look unhealthy
+    /// that the fault may be in this gateway's own observations.
     pub panic: bool,
 }
 
 impl Shares {
-    /// The fraction that fits nowhere.
+    /// Returns the fraction of the load that is rejected because no zone has capacity for it.
     pub fn rejected_share(&self) -> f64 {
         (1.0 - self.zones.iter().sum::<f64>()).max(0.0)
     }
 
-    /// The zone of one query by a number drawn from 0 to 1; none where it is rejected.
+    /// Picks the zone of one query in proportion to the shares, or `None` if the query is rejected. `draw` is a random
+    /// number from 0 to 1.
     pub fn pick(&self, draw: f64) -> Option<usize> {
         let mut left = draw;
         self.zones.iter().position(|share| {
@@ -36,9 +39,11 @@
     }
 }
 
-/// What a priority level carries of a load before the rest spills to the next: all of it up to 0.7 of
-/// its capacity, then less and less of what is added, never more than its capacity. The curve has no edge, so that a load
-/// that varies does not jump between priority levels. Both are in cores.
+/// Returns the part of a load that a priority level carries; the rest spills to the next level. Load, capacity and
+/// result are in cores.
+///
+/// The level carries all load up to 0.7 of its capacity, then a decreasing part of each further core of load, and never
+/// more than its capacity. The curve is smooth, so that a load that varies does not jump between priority levels.
 pub fn carried_before_spilling(load: f64, capacity: f64) -> f64 {
     if capacity <= MIN_DIVISOR {
         return 0.0;
--- a/crates/routing/src/zones/sharing.rs
+++ b/crates/routing/src/zones/sharing.rs
@@ -1,21 +1,24 @@
-//! Decides which fraction of the load goes to which zone: the nearest first, spilling to the next priority level by degrees.
+//! Computes the share of the load that each zone gets: the nearest zones first, with a gradual spill to the next
+//! priority level.
 
 use super::shares::{carried_before_spilling, Shares};
 use super::tolerance::MIN_DIVISOR;
 use super::Zones;
 
-/// Fraction of the capacity listed as ready under which the healthy part is too small to be believed.
+/// If the allowed capacity is below this fraction of the capacity listed as ready and cannot carry the load, the
+/// observed health is not trusted.
 pub(super) const PANIC_FRACTION: f64 = 0.5;
 
 impl Zones {
-    /// Which fraction of a load, in cores, goes where. `eligible` says by zone whether it may run there.
+    /// Returns the share of each zone of a load in cores. `eligible` has an entry for each zone and says whether the
+    /// load may run there; missing entries count as false.
     pub fn shares(&self, load: f64, eligible: &[bool]) -> Shares {
         let eligible: Vec<usize> = (0..self.zones.len())
             .filter(|zone| eligible.get(*zone).copied().unwrap_or_default())
             .collect();
         let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
         let allowed: f64 = eligible.iter().map(|zone| self.allowed_cores(*zone)).sum();
-        // Too few look healthy, and they would not carry it: the fault that makes the others look unhealthy may be here.
+        // If too few zones look healthy to carry the load, the fault may be in this gateway and not in the zones.
         let panic = allowed < PANIC_FRACTION * listed && allowed < load;
         let mut shares = Shares {
             zones: vec![0.0; self.zones.len()],
@@ -32,7 +35,7 @@
         shares
     }
 
-    /// Cores of a zone that are not used by others.
+    /// Returns the allowed cores of a zone that other gateways do not use; all of its listed cores in panic mode.
     fn free_cores(&self, zone: usize, panic: bool) -> f64 {
         if panic {
             return self.zones[zone].capacity;
@@ -40,7 +43,8 @@
         (self.allowed_cores(zone) - self.zones[zone].load_of_others).max(0.0)
     }
 
-    /// Nothing is offered yet: the first query goes to the nearest priority level that has any capacity.
+    /// Sends all load to the nearest priority level with free cores. Used while no load is offered, for the first
+    /// query.
     fn share_nearest(&self, shares: &mut Shares, eligible: &[usize]) {
         let panic = shares.panic;
         let has_cores = |zone: &&usize| self.free_cores(**zone, panic) > 0.0;
@@ -61,7 +65,8 @@
         }
     }
 
-    /// By capacity over all zones that are listed: none gets more for its cores than the healthy few would get.
+    /// Distributes the load over all eligible zones in proportion to their listed capacity. Each zone then gets less
+    /// load per core than the few healthy zones would get on their own.
     fn share_by_capacity(&self, shares: &mut Shares, eligible: &[usize], load: f64) {
         let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
         let carried = load.min(listed);
@@ -72,7 +77,7 @@
         }
     }
 
-    /// By priority level, the nearest first, each spilling to the next.
+    /// Distributes the load over the priority levels, nearest first; each level spills to the next.
     fn share_by_level(&self, shares: &mut Shares, eligible: &[usize], load: f64) {
         let free_cores = |zone: usize| self.free_cores(zone, false);
         let level_of = |zone: usize| self.zones[zone].priority_level;
@@ -100,7 +105,8 @@
         self.share_remaining(shares, eligible, load, remaining);
     }
 
-    /// What spilled and found no capacity at the next levels, in cores, goes back to where there is some.
+    /// Distributes load that spilled and found no capacity at the next levels over the cores that are still free.
+    /// `remaining` is in cores.
     fn share_remaining(
         &self,
         shares: &mut Shares,
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Panic only where the healthy part is under half of what is listed and would not carry the load; then no zone gets
-    /// more for its capacity than the healthy few would have got.
+    /// Panic only where the healthy part is under half of what is listed and would not carry the load; then no zone
+    /// gets more for its capacity than the healthy few would have got.
     #[test]
     fn panic_gives_no_zone_more_for_its_cores_than_the_healthy_few_would_get(d in cases()) {
         let zones = zones_of(&d);
@@ -167,9 +167,9 @@
     rejected_share: f64,
 }
 
-/// Three zones of 100 cores, the nearest with 65 cores of load, lost at 20 s, listed again at 40 s; its
-/// slow start takes `slow_start_seconds`, from 0.3 of its cores. Work is in units of 0.2 core seconds; a zone whose work in
-/// flight is three times what it can do for half a second fails for 2 s.
+/// Three zones of 100 cores, the nearest with 65 cores of load, lost at 20 s, listed again at 40 s; its slow start
+/// takes `slow_start_seconds`, from 0.3 of its cores. Work is in units of 0.2 core seconds; a zone whose work in flight
+/// is three times what it can do for half a second fails for 2 s.
 fn simulate_outage(recovery: Recovery, slow_start_seconds: f64, flaps: bool) -> Outcome {
     let mut zones = Zones::new(&[0, 1, 2]);
     (0..3).for_each(|n| zones.update_capacity(0.0, n, 100.0, if n == 0 { 0.0 } else { 40.0 }));
--- a/crates/routing/src/zones/zone.rs
+++ b/crates/routing/src/zones/zone.rs
@@ -1,97 +1,104 @@
-//! The health of one zone: lost, tried, recovering by what it has shown it can carry, healthy.
+//! Tracks the health of one zone: healthy, lost (and tested by trials), or recovering at a growing fraction of its
+//! capacity.
 
 use super::tolerance::MIN_DIVISOR;
 
-/// The time constant, in seconds, with which what was observed of a zone decays.
+/// Time constant of the exponential decay of the counts of successes and failures.
 pub(super) const OUTCOME_DECAY_SECONDS: f64 = 5.0;
-/// Failure rate from which a zone counts as lost, and up to which it may recover; apart, so that it does not flap.
+/// Failure rate from which a zone counts as lost.
 const LOST_FAILURE_RATE: f64 = 0.7;
+/// Failure rate up to which the fraction of a recovering zone may grow. Well below [`LOST_FAILURE_RATE`], so that the
+/// zone does not flap.
 const RECOVERY_MAX_FAILURE_RATE: f64 = 0.3;
-/// The least number of outcomes, decayed, from which a failure rate counts.
+/// Minimum decayed number of outcomes from which a failure rate can make a zone lost.
 const MIN_OUTCOMES: f64 = 5.0;
-/// Successes in a row after which a lost zone begins to recover.
+/// Number of consecutive successes after which a lost zone begins to recover.
 pub(super) const SUCCESSES_TO_RECOVER: u32 = 3;
-/// Seconds between trials of a lost zone.
+/// Time between trials of a lost zone.
 const TRIAL_INTERVAL_SECONDS: f64 = 0.5;
-/// Fraction of its capacity with which a zone begins to recover, and the least to which it backs off.
+/// Fraction of its capacity at which a zone begins to recover; also the lower bound when it backs off.
 const INITIAL_FRACTION: f64 = 0.05;
-/// Factors of its fraction once it has carried it, and where it has not.
+/// Factor by which the fraction of a recovering zone grows after a round of work that ended well.
 const GROWTH_FACTOR: f64 = 1.5;
+/// Factor by which the fraction of a recovering zone shrinks after a failure or a slow answer.
 const BACKOFF_FACTOR: f64 = 0.5;
-/// Latency over its usual one from which it does not carry its fraction.
+/// Ratio of latency to usual latency above which a recovering zone backs off.
 const MAX_SLOWDOWN: f64 = 2.0;
-/// Seconds of work at its fraction that a zone must have done well before the fraction grows.
+/// Work that a recovering zone must complete before its fraction grows, in seconds of its current fraction of capacity.
 const MIN_CARRIED_SECONDS: f64 = 1.0;
-/// The least part of its fraction that it must have been given meanwhile: capacity that was not used shows nothing.
+/// Minimum part of its fraction of capacity that a recovering zone must have used during a round for the fraction to
+/// grow: unused capacity does not show that the zone can carry more.
 const MIN_DEMAND_FRACTION: f64 = 0.7;
-/// Seconds without trials after a zone was lost again while it recovered; doubled each time.
+/// Time without trials after the second recent loss of a zone; about doubles with each further loss.
 const INITIAL_HOLD_DOWN_SECONDS: f64 = 2.0;
 pub(super) const MAX_HOLD_DOWN_SECONDS: f64 = 60.0;
-/// Seconds in which the number of a zone's losses is halved.
+/// Half-life of the count of a zone's losses.
 const LOSS_HALVING_SECONDS: f64 = 60.0;
 
-/// The health of a zone by the outcomes of this gateway's own attempts.
+/// The health of a zone, judged by the outcomes of this gateway's own attempts and by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// It gets its share of the load.
+    /// All of the zone's capacity may be used.
     Healthy,
-    /// It gets no load, and trials only from a time on.
+    /// The zone gets no load except trials, which begin when the hold-down time ends.
     Lost {
-        /// When trials may begin, in seconds.
+        /// End of the hold-down time, in seconds on the caller's clock.
         until: f64,
     },
-    /// It gets a fraction of its capacity.
+    /// Only a fraction of the zone's capacity may be used.
     Recovering {
-        /// Above 0, and at most 1.
+        /// The usable fraction, above 0 and at most 1.
         fraction: f64,
     },
 }
 
-/// How a query ended in a zone.
+/// The outcome of an attempt in a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ZoneOutcome {
-    /// Work in core seconds, and latency over the usual one of its like.
+    /// The attempt returned an answer.
     Succeeded {
-        /// In core seconds.
+        /// Work done, in core seconds.
         work: f64,
-        /// Latency over the usual one of its class.
+        /// Ratio of the latency to the usual latency of the query class.
         slowdown: f64,
     },
-    /// It failed, timed out or was lost.
+    /// The attempt failed, timed out or was lost.
     Failed,
 }
 
-/// One zone, as this gateway sees it. Loads and capacities are in cores, work is in core seconds.
+/// The state of one zone, as this gateway observes it. Loads and capacities are in cores, work is in core seconds,
+/// times are in seconds.
 #[derive(Clone, Debug)]
 pub(super) struct Zone {
     /// 0 for the nearest zones.
     pub(super) priority_level: usize,
-    /// Effective cores of its engines that are listed as ready: those in slow start count in part.
+    /// Effective cores of the engines that are listed as ready. Engines in slow start count in part.
     pub(super) capacity: f64,
-    /// The load that others are known to send there.
+    /// The load that other gateways are known to send to the zone.
     pub(super) load_of_others: f64,
     pub(super) health: Health,
-    /// Successes and failures, older ones counting less.
+    /// Exponentially decayed counts, as of `decayed_at`.
     successes: f64,
     failures: f64,
     decayed_at: f64,
-    /// Successes in a row since the last failure or loss; while it is lost, of trials and of attempts begun before.
+    /// Successes since the last failure or loss. While the zone is lost, these are the trials and the attempts that
+    /// began before the loss.
     consecutive_successes: u32,
-    /// When the next trial may begin.
+    /// Earliest time of the next trial.
     next_trial_at: f64,
-    /// Work that ended well in this round of its recovery.
+    /// Work completed in the current round of the recovery.
     carried_work: f64,
     round_started_at: f64,
-    /// Work of our attempts in flight there, in core seconds, as callers report it. No decision reads it: only `Debug`
-    /// shows it.
+    /// Estimated work of this gateway's attempts in flight, as callers report it. Appears only in `Debug` output; no
+    /// decision depends on it.
     work_in_flight: f64,
-    /// How often it was lost, older losses counting less.
+    /// Exponentially decayed number of losses, as of `lost_at`.
     recent_losses: f64,
     lost_at: f64,
 }
 
 impl Zone {
-    /// A healthy zone without capacity yet.
+    /// Creates a healthy zone without capacity.
     pub(super) fn new(priority_level: usize) -> Self {
         Zone {
             priority_level,
@@ -117,14 +124,14 @@
         if capacity <= 0.0 {
             self.record_loss(now);
         } else if before <= 0.0 && matches!(self.health, Health::Lost { .. }) {
-            // Listed again: it is tried at once, if it has not been lost too often.
+            // The zone is listed again. Trials may begin at once unless earlier losses set a hold-down time.
             self.consecutive_successes = 0;
             self.successes = 0.0;
             self.failures = 0.0;
         }
     }
 
-    /// Capacity that it may be given now, in cores.
+    /// Returns the capacity that may be used now, in cores.
     pub(super) fn allowed_cores(&self) -> f64 {
         match self.health {
             Health::Healthy => self.capacity,
@@ -133,7 +140,7 @@
         }
     }
 
-    /// Whether a trial of a lost zone is due; then the next one is due an interval later.
+    /// Returns whether a trial is due, which is so only for a lost zone. If it is, schedules the next trial.
     pub(super) fn start_trial(&mut self, now: f64) -> bool {
         let is_due = matches!(self.health, Health::Lost { until } if now >= until)
             && now >= self.next_trial_at
@@ -182,7 +189,7 @@
         }
         self.recent_losses *=
             (-(now - self.lost_at).max(0.0) / LOSS_HALVING_SECONDS * std::f64::consts::LN_2).exp();
-        // The first loss in a long time costs no wait: it is tried as soon as it is listed again.
+        // The first loss in a long time sets no hold-down time: trials begin as soon as the zone is listed again.
         let hold_down = if self.recent_losses < 0.5 {
             0.0
         } else {
@@ -221,8 +228,8 @@
         self.round_started_at = now;
     }
 
-    /// A recovering zone has done some work well. With enough of it the round ends, and the fraction grows if the zone was
-    /// given most of it meanwhile.
+    /// Records work that a recovering zone completed at a normal latency. Enough of it ends the round; the fraction
+    /// then grows if the zone used most of its fraction of the capacity during the round.
     fn record_carried(&mut self, now: f64, work: f64, fraction: f64) {
         self.carried_work += work;
         if self.carried_work < MIN_CARRIED_SECONDS * fraction * self.capacity
@@ -246,7 +253,7 @@
     }
 
     fn back_off(&mut self, now: f64, fraction: f64) {
-        // Once for each round of work, not for each query of it.
+        // Backs off at most once per round, and not once for each failed or slow query of it.
         if self.carried_work > 0.0 {
             self.health = Health::Recovering {
                 fraction: (fraction * BACKOFF_FACTOR).max(INITIAL_FRACTION),
