--- a/crates/routing/src/limits/rule.rs
+++ b/crates/routing/src/limits/rule.rs
@@ -44,9 +44,9 @@
     /// Returns whether the rule counts a query. `is_client_in` returns whether the query's client is in an address set
     /// of the plan, given by its index.
     pub(super) fn counts(&self, query: &RoutedQuery, is_client_in: impl Fn(usize) -> bool) -> bool {
-        let concerns = |list: &[usize], index: usize| list.is_empty() || list.contains(&index);
-        concerns(&self.classes, query.class)
-            && concerns(&self.tenants, query.tenant)
+        let matches = |list: &[usize], index: usize| list.is_empty() || list.contains(&index);
+        matches(&self.classes, query.class)
+            && matches(&self.tenants, query.tenant)
             && (self.clients.is_empty() || self.clients.iter().any(|set| is_client_in(*set)))
     }
 
