--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -1,5 +1,5 @@
-//! Figures of docs/results.md: reading and checking a plan of 10,000 lines; a decision with 1,000 routes, 10,000
-//! networks and 500 engines, beside the plan's own plain evaluation; limits.
+//! Measures the figures of docs/results.md: compiling a plan of 10,000 lines; routing decisions with 1,000 routes,
+//! 10,000 networks and 500 engines, compared with the plan's own evaluation; admission and release by limits.
 
 use divan::{black_box, Bencher};
 use garnetwall_plan::compile;
@@ -28,7 +28,7 @@
     }
 }
 
-/// 1,000 routes over 10,000 networks in 100 sets, and 50 pools.
+/// Returns a plan with 1,000 routes, 10,000 networks in 100 address sets, and 50 pools.
 fn large() -> String {
     let mut rng = StdRng::seed_from_u64(17);
     let mut out = String::new();
@@ -51,7 +51,7 @@
         );
     }
     for route in 0..1000 {
-        // Each asks for a tenant and a set of its own, so that none shadows another.
+        // Each route has a combination of tenant and address set that no other has, so that none shadows another.
         let (tenant, set) = (
             route % TENANTS,
             route / TENANTS * 20 + rng.random_range(0..20),
@@ -71,7 +71,7 @@
     out
 }
 
-/// 10,000 lines as operators write them.
+/// Returns a plan of about 10,000 lines in the style of operators: comments, empty lines and many small blocks.
 fn lines() -> String {
     let mut out = String::new();
     let mut n = 0;
@@ -193,7 +193,8 @@
     }
 }
 
-/// Route and engines of a query, as at each attempt: the endpoint subset's sets are at hand.
+/// Finds the route of a query and counts its engines, as for each attempt. The engine sets of the endpoint subsets are
+/// computed beforehand.
 #[divan::bench]
 fn place_compiled_500_engines(bencher: Bencher) {
     let (routing, queries, all) = (routing(&large()), queries(), engines());
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Limits against a plain model, and the bound of their state under a flood of addresses.
+//! Compares the limits with a reference model, and checks that their state stays bounded under a flood of addresses.
 
 use super::*;
 use crate::Names;
@@ -41,12 +41,13 @@
     limit houses {\n client houses\n per tenant, group\n bytes 1KiB/s burst 2KiB\n}\n\
     limit loads {\n group load\n in-hand 3\n}\n";
 
-/// Every query admitted so far with the time, and whether it is still in flight: limits by their definition.
+/// Reference model: every query admitted so far with its time of admission and whether it is still in flight. Usage is
+/// computed from this list, by the definition of the limits.
 #[derive(Default)]
 struct Plain(Vec<(Duration, RoutedQuery, bool)>);
 
 impl Plain {
-    /// The fill of a leaky bucket after all that came, by running through it.
+    /// Returns the level of a leaky bucket at `now`, replayed over the admitted queries that `counts` selects.
     fn fill(
         &self,
         now: Duration,
@@ -70,12 +71,14 @@
             .count()
     }
 
+    /// Returns whether the limits of [`PLAN`] admit a query, or `None` if a rate is so close to its limit that rounding
+    /// may decide.
     fn fits(&self, now: Duration, b: &RoutedQuery) -> Option<bool> {
         let is_in_houses =
             |b: &RoutedQuery| matches!(b.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
         let one = |_: &RoutedQuery| 1.0;
         let mut fits = Vec::new();
-        // How far from the edge a rate is; at the edge the two may round otherwise.
+        // Room left in each bucket after this query; negative if the query exceeds the rate.
         let mut rate = |fill: f64, cost: f64, burst: f64| fits.push(burst - fill - cost.min(burst));
         let same = |o: &RoutedQuery| o.client == b.client;
         rate(self.fill(now, (10.0, 2.0), same, one), 1.0, 2.0);
@@ -122,7 +125,7 @@
             let fits = plain.fits(now, &b);
             let admitted = limits.admit(&routing, now, &b);
             if let Some(fits) = fits {
-                prop_assert_eq!(admitted.is_ok(), fits, "{:?} at {:?}: {:?}", b, now, admitted);
+                prop_assert_eq!(admitted.is_ok(), fits, "{:?} admitted at {:?}: {:?}", b, now, admitted);
             }
             if let Ok(permit) = admitted {
                 permits.push((plain.0.len(), permit));
@@ -131,8 +134,9 @@
         }
     }
 
-    /// With few exact keys and many clients nothing is admitted that a client's own limit forbids, and a client that
-    /// comes back after its Retry-After is admitted where nobody else shares its cells.
+    /// With few exact keys and many clients, most keys share cells of the sketch. A client must still get no more than
+    /// its own limit, a Retry-After must not exceed the time of one query at the rate, and the number of exact keys
+    /// must stay bounded.
     #[test]
     fn a_sketch_never_admits_more_than_the_limit_of_a_client(
         events in vec((0u64..20, 0u32..300), 1..400),
@@ -146,7 +150,7 @@
             let fill = plain.fill(now, (10.0, 2.0), |o| o.client == b.client, |_| 1.0);
             match limits.admit(&routing, now, &b) {
                 Ok(permit) => {
-                    prop_assert!(fill + 1.0 <= 2.0 + 1e-6, "fill {fill}");
+                    prop_assert!(fill + 1.0 <= 2.0 + 1e-6, "bucket level {fill} before admission");
                     plain.0.push((now, b, true));
                     limits.release(now, permit);
                 }
@@ -163,7 +167,7 @@
     let mut limits = Limits::new(&routing, 10.0);
     let mut rejected = 0;
     for n in 0..1_000_000u32 {
-        // Ten million clients a second: none is idle when the next comes.
+        // At ten million clients per second, no key is idle again before the next client arrives.
         let now = Duration::from_nanos(u64::from(n) * 100);
         match limits.admit(&routing, now, &query(0, 0, n, 1)) {
             Ok(permit) => limits.release(now, permit),
@@ -171,8 +175,11 @@
         }
     }
     assert_eq!(limits.exact_keys(), MAX_EXACT_KEYS);
-    assert!(rejected > 0, "a flood that fills every cell is limited");
-    // A second later all is idle again: entries and cells are free for any key.
+    assert!(
+        rejected > 0,
+        "a flood that fills every cell must be limited"
+    );
+    // One second later all keys are idle, so any key finds a free entry or cell.
     let now = Duration::from_secs(2);
     assert!(limits.admit(&routing, now, &query(0, 0, 77, 1)).is_ok());
 }
@@ -184,15 +191,20 @@
     let b = query(0, 0, 9, 1);
     let mut now = Duration::from_secs(5);
     for _ in 0..2 {
-        let permit = limits.admit(&routing, now, &b).expect("a burst of two");
+        let permit = limits
+            .admit(&routing, now, &b)
+            .expect("within the burst of two");
         limits.release(now, permit);
     }
     let over = limits
         .admit(&routing, now, &b)
-        .expect_err("a third at once");
+        .expect_err("the third query exceeds the burst of two");
     assert_eq!((over.limit.as_str(), over.kind), ("each", LimitKind::Rate));
     now += over.retry_after - Duration::from_millis(1);
-    assert!(limits.admit(&routing, now, &b).is_err(), "not before");
+    assert!(
+        limits.admit(&routing, now, &b).is_err(),
+        "must be rejected before its Retry-After"
+    );
     now += Duration::from_millis(1);
     assert!(limits.admit(&routing, now, &b).is_ok());
 }
@@ -206,11 +218,11 @@
         .map(|n| {
             limits
                 .admit(&first, Duration::ZERO, &load(100 + n))
-                .expect("capacity for three")
+                .expect("within the limit of three")
         })
         .collect();
     assert!(limits.admit(&first, Duration::ZERO, &load(200)).is_err());
-    // A new figure, moved behind another block: still the same limit.
+    // The second plan raises the maximum of `loads` and renames another limit; `loads` must keep its counts.
     let second = routing(
         &PLAN
             .replace("in-hand 3", "in-hand 4")
@@ -219,11 +231,11 @@
     limits.update_plan(&second, 10.0);
     let fourth = limits
         .admit(&second, Duration::ZERO, &load(200))
-        .expect("a fourth");
+        .expect("within the raised limit of four");
     assert_eq!(
         limits
             .admit(&second, Duration::ZERO, &load(201))
-            .expect_err("no fifth")
+            .expect_err("the fifth query exceeds the limit of four")
             .limit,
         "loads"
     );
@@ -231,7 +243,7 @@
     limits.update_plan(&third, 10.0);
     assert!(
         limits.admit(&third, Duration::ZERO, &load(202)).is_ok(),
-        "another limit, which has counted nothing yet"
+        "the renamed limit starts without counts"
     );
     for permit in held.into_iter().chain([fourth]) {
         limits.release(Duration::from_secs(1), permit);
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -1,4 +1,5 @@
-//! Properties of shares, and a simulated outage: three zones, of which one is lost and returns in slow start.
+//! Checks the properties of shares, and simulates an outage in which one of three zones is lost and returns in slow
+//! start.
 
 use super::shares::SPILL_FROM_FRACTION;
 use super::sharing::PANIC_FRACTION;
@@ -14,7 +15,7 @@
     capacity: Vec<f64>,
     load_of_others: Vec<f64>,
     eligible: Vec<bool>,
-    /// Zones that are lost, by failures.
+    /// Zones that count as lost because their attempts failed.
     lost: Vec<bool>,
     load: f64,
 }
@@ -69,20 +70,20 @@
         let listed: f64 = n().map(|n| d.capacity[n]).sum();
         let free_cores = |n: usize| (zones.allowed_cores(n) - d.load_of_others[n]).max(0.0);
         for (n, share) in shares.zones.iter().enumerate() {
-            prop_assert!(d.eligible[n] || *share == 0.0, "placement");
+            prop_assert!(d.eligible[n] || *share == 0.0, "an ineligible zone gets load");
             if shares.panic {
                 prop_assert!(share * d.load <= d.capacity[n] + 1e-6);
             } else if d.load > MIN_DIVISOR {
-                prop_assert!(share * d.load <= free_cores(n) + 1e-6, "the next zone is not overloaded");
+                prop_assert!(share * d.load <= free_cores(n) + 1e-6, "a zone gets more load than its free cores");
                 prop_assert!(zones.allowed_cores(n) > 0.0 || *share == 0.0);
             }
         }
         let carried = d.load * all;
         let carriable: f64 = if shares.panic { listed } else { n().map(free_cores).sum() };
         if d.load > MIN_DIVISOR {
-            prop_assert!((carried - d.load.min(carriable)).abs() < 1e-6, "{carried} carried of {}, capacity for {carriable}", d.load);
+            prop_assert!((carried - d.load.min(carriable)).abs() < 1e-6, "carried {carried} of {} cores, could carry {carriable}", d.load);
         }
-        // The nearest priority level has it all while that is well within its free cores.
+        // The nearest priority level carries the whole load up to SPILL_FROM_FRACTION of its free cores.
         let first = n().filter(|n| free_cores(*n) > 0.0).map(|n| d.priority_levels[n]).min();
         let near: f64 = n().filter(|n| Some(d.priority_levels[*n]) == first).map(free_cores).sum();
         if let Some(first) = first.filter(|_| !shares.panic && d.load > MIN_DIVISOR && d.load <= SPILL_FROM_FRACTION * near) {
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Panic only where the healthy part is under half of what is listed and would not carry the load; then no zone
-    /// gets more for its capacity than the healthy few would have got.
+    /// Shares ignore health only if the healthy capacity is under half of the listed capacity and cannot carry the
+    /// load. No zone then gets more load per core than the healthy zones would have got.
     #[test]
     fn panic_gives_no_zone_more_for_its_cores_than_the_healthy_few_would_get(d in cases()) {
         let zones = zones_of(&d);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// By degrees: a little more load moves little, and a priority level never carries less of more.
+    /// A small increase of the load changes the carried load by at most as much, and never reduces it.
     #[test]
     fn a_priority_level_spills_without_an_edge(capacity in 1.0..500.0f64, load in 0.0..2000.0f64) {
         let step = capacity / 100.0;
@@ -139,31 +140,33 @@
         prop_assert!((admitted - all.min(capacity)).abs() < 1e-6);
         for (a, pa) in groups.iter().zip(&fractions) {
             for (b, pb) in groups.iter().zip(&fractions) {
-                prop_assert!(a.value_per_work <= b.value_per_work || b.load <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "less dense before denser");
+                prop_assert!(a.value_per_work <= b.value_per_work || b.load <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "admitted a group of lower value per work first");
             }
         }
     }
 }
 
-/// How a zone that returns gets its load.
+/// The rule by which a returning zone gets its load back.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Recovery {
+    /// By the work that the zone has completed, as [`Zones`] does.
     Evidence,
-    /// Evenly over so many seconds since it was listed again.
+    /// In proportion to the time since the zone was listed again, up to this number of seconds.
     Clock(f64),
 }
 
 /// The result of a simulated outage.
 #[derive(Debug)]
 struct Outcome {
-    /// How often the returning zone was overloaded until it failed.
+    /// Number of times that overload made the returning zone fail.
     overloads: usize,
-    /// Most of its load over what it could do then.
+    /// Maximum ratio of the returning zone's queued work to a quarter second of its capacity.
     worst: f64,
-    /// Seconds from being listed again until it has nine tenths of its share.
+    /// Seconds from being listed again until the zone gets nine tenths of the load.
     back_after: f64,
-    /// Fractions of all work that spilled while it was lost, and that were rejected.
+    /// Fraction of the work during the outage that went to other zones.
     spilled: f64,
+    /// Fraction of the work during the outage that was rejected.
     rejected_share: f64,
 }
 
@@ -203,7 +206,7 @@
             0 => 100.0,
             _ => 60.0,
         };
-        // What comes in this step, unit by unit, each in the zone that is drawn for it.
+        // Sends the work that arrives in this step, unit by unit, to the zone that is drawn for it.
         debt += load * step / unit;
         while debt >= 1.0 {
             debt -= 1.0;
@@ -211,7 +214,7 @@
             let shares = zones.shares(load, &[true; 3]);
             let by_clock = match recovery {
                 Recovery::Clock(over) if up_at > 0.0 && !down => {
-                    // By the clock: the first priority_level has its part, the rest goes on.
+                    // The nearest zone gets its part by the clock; the other zones share the rest.
                     let fraction = ((now - up_at) / over).clamp(0.05, 1.0);
                     let first = (fraction * 100.0 / load).min(1.0);
                     Some(if draw < first {
@@ -247,7 +250,8 @@
         }
         for n in 0..3 {
             let can = capable_cores(n, fallen);
-            // Work in flight for a second of what it can do is its usual; beyond that all get slower.
+            // Queued work up to a quarter second of the zone's capacity is normal; beyond that, latency grows in
+            // proportion.
             let slowdown = (queue[n] / (can * 0.25).max(MIN_DIVISOR)).max(1.0);
             if n == 0 && up_at > 0.0 && !down {
                 if can > 0.0 {
@@ -293,8 +297,8 @@
     }
 }
 
-/// By evidence a returning zone is never overloaded, however long its slow start takes, and one that is quick is back
-/// sooner than by a careful clock; a clock that is right for one is wrong for the other.
+/// A zone that recovers by completed work is not overloaded, whatever the duration of its slow start. A fixed ramp that
+/// suits a short slow start overloads a zone with a long one.
 #[test]
 fn a_zone_recovers_by_what_it_has_carried() {
     for slow_start_seconds in [2.0, 10.0, 60.0] {
@@ -314,13 +318,13 @@
             );
             assert!(
                 evidence.spilled > 0.99 && evidence.rejected_share < 0.01,
-                "all that fits goes on: {evidence:?}"
+                "all load must spill while the other zones have capacity: {evidence:?}"
             );
         }
     }
     assert!(
         simulate_outage(Recovery::Clock(2.0), 60.0, false).overloads > 0,
-        "the clock that is right for a quick one"
+        "a 2 s ramp must overload a zone with a slow start of 60 s"
     );
 }
 
@@ -332,14 +336,14 @@
     for _ in 0..5 {
         (0..30).for_each(|_| zones.attempt_ended(now, 0, 0.0, ZoneOutcome::Failed));
         let Health::Lost { until } = zones.health(0) else {
-            panic!("lost")
+            panic!("zone 0 is lost after 30 failures")
         };
         waits.push(until - now);
-        // It does well as soon as it may be tried.
+        // All trials succeed from the end of the hold-down time on.
         now = until;
         assert!(
             zones.start_trial(now, 0) && !zones.start_trial(now, 0),
-            "one trial at a time"
+            "one trial per interval"
         );
         now += 6.0 * OUTCOME_DECAY_SECONDS;
         for _ in 0..SUCCESSES_TO_RECOVER {
@@ -355,7 +359,7 @@
         }
         assert!(matches!(zones.health(0), Health::Recovering { .. }));
     }
-    assert_eq!(waits[0], 0.0, "the first costs nothing");
+    assert_eq!(waits[0], 0.0, "the first loss sets no hold-down time");
     assert!(
         waits.windows(2).skip(1).all(|w| w[1] > w[0])
             && waits.iter().all(|w| *w <= MAX_HOLD_DOWN_SECONDS),
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -1,4 +1,4 @@
-//! Compiled routing beside the plan's own plain evaluation, over random plans.
+//! Compares compiled routing with the plan's own evaluation, over random plans.
 
 #[path = "../../plan/tests/generate/mod.rs"]
 mod generate;
@@ -35,7 +35,7 @@
     ) {
         let plan = Arc::new(plan_of(&blocks).plan);
         let routing = Routing::new(plan.clone(), names());
-        // Engines come under indices in any order; some go.
+        // Engines are added in random order, then some are removed.
         let all = engines();
         let mut here: Vec<Option<EngineFacts>> = Vec::new();
         let mut members = PoolMembers::new(&routing);
@@ -49,7 +49,7 @@
             members.update(&routing, engine, None);
             here[engine] = None;
         }
-        let at = |names: &[String], name: &str| names.iter().position(|n| n == name).expect("a name");
+        let at = |names: &[String], name: &str| names.iter().position(|n| n == name).expect("a name of the settings");
         for facts in queries().iter().step_by(7) {
             let query = RoutedQuery {
                 class: at(&routing.names().classes, facts.class),
@@ -64,7 +64,7 @@
             prop_assert_eq!(routing.route(&query), plain, "{:?}", facts);
             match routing.decide(&query) {
                 RouteDecision::Rejected { route } => prop_assert!(plan.routes[route].reject_reason.is_some()),
-                RouteDecision::StatementTooLong { .. } => prop_assert!(false, "no plan limits statements here"),
+                RouteDecision::StatementTooLong { .. } => prop_assert!(false, "no generated plan limits the length of statements"),
                 RouteDecision::Admitted { route, class, endpoint_subset } => {
                     prop_assert_eq!(route, plain);
                     let treated = plain.and_then(|r| plan.routes[r].as_class.clone());
