--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -108,7 +108,7 @@
 
 proptest! {
     #[test]
-    fn limits_admit_what_the_plain_model_admits(
+    fn limits_agree_with_the_reference_model(
         events in vec((0u64..120, 0usize..2, 0usize..2, 0u32..6, 1u64..1500, any::<bool>()), 1..200),
     ) {
         let routing = routing(PLAN);
@@ -138,7 +138,7 @@
     /// its own limit, a Retry-After must not exceed the time of one query at the rate, and the number of exact keys
     /// must stay bounded.
     #[test]
-    fn a_sketch_never_admits_more_than_the_limit_of_a_client(
+    fn sketch_never_admits_more_than_the_limit_of_a_client(
         events in vec((0u64..20, 0u32..300), 1..400),
     ) {
         let routing = routing("limit each {\n per client\n rate 10/s burst 2\n}\n");
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn state_does_not_grow_with_the_addresses_seen() {
+fn number_of_exact_keys_stays_bounded_under_a_flood_of_addresses() {
     let routing = routing("limit each {\n per client\n in-hand 2\n rate 10/s burst 2\n}\n");
     let mut limits = Limits::new(&routing, 10.0);
     let mut rejected = 0;
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_query_fits_after_its_retry_after_and_not_before() {
+fn query_is_admitted_after_its_retry_after_and_not_before() {
     let routing = routing(PLAN);
     let mut limits = Limits::new(&routing, 10.0);
     let b = query(0, 0, 9, 1);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn limits_whose_name_and_scope_stay_keep_their_counts_in_another_plan() {
+fn limits_with_unchanged_name_and_scope_keep_their_counts_when_the_plan_is_replaced() {
     let first = routing(PLAN);
     let mut limits = Limits::new(&first, 10.0);
     let load = |client| query(1, 0, client, 1);
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -58,7 +58,7 @@
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
     #[test]
-    fn shares_carry_what_fits_and_only_in_eligible_zones(d in cases()) {
+    fn shares_carry_all_load_that_eligible_zones_can_carry(d in cases()) {
         let zones = zones_of(&d);
         let shares = zones.shares(d.load, &d.eligible);
         let all: f64 = shares.zones.iter().sum();
@@ -94,7 +94,7 @@
     /// Shares ignore health only if the healthy capacity is under half of the listed capacity and cannot carry the
     /// load. No zone then gets more load per core than the healthy zones would have got.
     #[test]
-    fn panic_gives_no_zone_more_for_its_cores_than_the_healthy_few_would_get(d in cases()) {
+    fn panic_mode_gives_no_zone_more_load_per_core_than_the_healthy_zones_would_get(d in cases()) {
         let zones = zones_of(&d);
         let shares = zones.shares(d.load, &d.eligible);
         let open = || (0..d.priority_levels.len()).filter(|n| d.eligible[*n]);
@@ -111,14 +111,14 @@
 
     /// A small increase of the load changes the carried load by at most as much, and never reduces it.
     #[test]
-    fn a_priority_level_spills_without_an_edge(capacity in 1.0..500.0f64, load in 0.0..2000.0f64) {
+    fn carried_load_changes_gradually_with_the_offered_load(capacity in 1.0..500.0f64, load in 0.0..2000.0f64) {
         let step = capacity / 100.0;
         let (a, b) = (carried_before_spilling(load, capacity), carried_before_spilling(load + step, capacity));
         prop_assert!(a <= load.min(capacity) && b >= a - 1e-9 && b - a <= step + 1e-9);
     }
 
     #[test]
-    fn a_pick_follows_the_shares(d in cases(), draws in vec(0.0..1.0f64, 10)) {
+    fn picked_zones_have_a_share(d in cases(), draws in vec(0.0..1.0f64, 10)) {
         let shares = zones_of(&d).shares(d.load, &d.eligible);
         for draw in draws {
             match shares.pick(draw) {
@@ -129,7 +129,7 @@
     }
 
     #[test]
-    fn groups_of_most_value_for_their_work_are_admitted_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), capacity in 0.0..120.0f64) {
+    fn groups_with_the_highest_value_per_work_are_admitted_first(groups in vec((0.1..9.0f64, 0.0..50.0f64), 1..6), capacity in 0.0..120.0f64) {
         let groups: Vec<LoadGroup> = groups
             .into_iter()
             .map(|(value_per_work, load)| LoadGroup { value_per_work, load })
@@ -300,7 +300,7 @@
 /// A zone that recovers by completed work is not overloaded, whatever the duration of its slow start. A fixed ramp that
 /// suits a short slow start overloads a zone with a long one.
 #[test]
-fn a_zone_recovers_by_what_it_has_carried() {
+fn recovery_by_completed_work_does_not_overload_a_zone() {
     for slow_start_seconds in [2.0, 10.0, 60.0] {
         for flaps in [false, true] {
             let by = |recovery| simulate_outage(recovery, slow_start_seconds, flaps);
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_zone_that_flaps_is_held_down_longer_each_time() {
+fn flapping_zone_is_held_down_longer_each_time() {
     let mut zones = Zones::new(&[0, 1]);
     (0..2).for_each(|n| zones.update_capacity(0.0, n, 100.0, 0.0));
     let (mut now, mut waits) = (0.0, Vec::new());
--- a/crates/routing/tests/model.rs
+++ b/crates/routing/tests/model.rs
@@ -28,7 +28,7 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
-    fn every_query_is_routed_as_by_the_plain_plan(
+    fn compiled_routing_agrees_with_the_plan_evaluation(
         blocks in blocks(),
         listed in vec(any::<prop::sample::Index>(), 1..40),
         gone in vec(any::<prop::sample::Index>(), 0..10),
