--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns a plan with 1,000 routes, 10,000 networks in 100 address sets, and 50 pools.
-fn large() -> String {
+fn large_plan() -> String {
     let mut rng = StdRng::seed_from_u64(17);
     let mut out = String::new();
     for set in 0..SETS {
@@ -72,7 +72,7 @@
 }
 
 /// Returns a plan of about 10,000 lines in the style of operators: comments, empty lines and many small blocks.
-fn lines() -> String {
+fn long_plan() -> String {
     let mut out = String::new();
     let mut n = 0;
     while out.lines().count() < 9_990 {
@@ -129,7 +129,7 @@
 
 #[divan::bench]
 fn check_10_000_lines(bencher: Bencher) {
-    let loader = InMemory::one(lines());
+    let loader = InMemory::one(long_plan());
     bencher.bench(|| {
         compile(&loader, "main.plan", None)
             .map(|c| c.plan.routes.len())
@@ -139,7 +139,7 @@
 
 #[divan::bench]
 fn check_1_000_routes_10_000_networks(bencher: Bencher) {
-    let loader = InMemory::one(large());
+    let loader = InMemory::one(large_plan());
     bencher.bench(|| {
         compile(&loader, "main.plan", None)
             .map(|c| c.plan.routes.len())
@@ -149,7 +149,7 @@
 
 #[divan::bench]
 fn decide_compiled(bencher: Bencher) {
-    let (routing, queries) = (routing(&large()), queries());
+    let (routing, queries) = (routing(&large_plan()), queries());
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % queries.len();
@@ -159,7 +159,7 @@
 
 #[divan::bench]
 fn decide_plain_list(bencher: Bencher) {
-    let (routing, queries) = (routing(&large()), queries());
+    let (routing, queries) = (routing(&large_plan()), queries());
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % queries.len();
@@ -197,7 +197,7 @@
 /// computed beforehand.
 #[divan::bench]
 fn place_compiled_500_engines(bencher: Bencher) {
-    let (routing, queries, all) = (routing(&large()), queries(), engines());
+    let (routing, queries, all) = (routing(&large_plan()), queries(), engines());
     let mut engines = PoolMembers::new(&routing);
     all.iter()
         .enumerate()
@@ -222,7 +222,7 @@
 
 #[divan::bench(sample_count = 20)]
 fn place_plain_500_engines(bencher: Bencher) {
-    let (routing, queries, all) = (routing(&large()), queries(), engines());
+    let (routing, queries, all) = (routing(&large_plan()), queries(), engines());
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % queries.len();
@@ -240,7 +240,7 @@
 
 #[divan::bench]
 fn one_engine_changes(bencher: Bencher) {
-    let (routing, all) = (routing(&large()), engines());
+    let (routing, all) = (routing(&large_plan()), engines());
     let mut engines = PoolMembers::new(&routing);
     let mut at = 0;
     bencher.bench_local(|| {
@@ -268,8 +268,8 @@
             minute: 0,
             statement_bytes: 200,
         };
-        if let Ok(ticket) = limits.admit(&routing, now, &query) {
-            limits.release(now, ticket);
+        if let Ok(permit) = limits.admit(&routing, now, &query) {
+            limits.release(now, permit);
         }
     });
 }
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -44,9 +44,9 @@
 /// Reference model: every query admitted so far with its time of admission and whether it is still in flight. Usage is
 /// computed from this list, by the definition of the limits.
 #[derive(Default)]
-struct Plain(Vec<(Duration, RoutedQuery, bool)>);
+struct ReferenceModel(Vec<(Duration, RoutedQuery, bool)>);
 
-impl Plain {
+impl ReferenceModel {
     /// Returns the level of a leaky bucket at `now`, replayed over the admitted queries that `counts` selects.
     fn fill(
         &self,
@@ -57,8 +57,8 @@
     ) -> f64 {
         let (rate, burst) = bucket;
         let (mut fill, mut at) = (0.0f64, Duration::ZERO);
-        for (when, b, _) in self.0.iter().filter(|(_, b, _)| counts(b)) {
-            fill = (fill - (*when - at).as_secs_f64() * rate).max(0.0) + cost(b).min(burst);
+        for (when, query, _) in self.0.iter().filter(|(_, query, _)| counts(query)) {
+            fill = (fill - (*when - at).as_secs_f64() * rate).max(0.0) + cost(query).min(burst);
             at = *when;
         }
         (fill - (now - at).as_secs_f64() * rate).max(0.0)
@@ -67,42 +67,42 @@
     fn in_flight(&self, counts: impl Fn(&RoutedQuery) -> bool) -> usize {
         self.0
             .iter()
-            .filter(|(_, b, held)| *held && counts(b))
+            .filter(|(_, query, held)| *held && counts(query))
             .count()
     }
 
     /// Returns whether the limits of [`PLAN`] admit a query, or `None` if a rate is so close to its limit that rounding
     /// may decide.
-    fn fits(&self, now: Duration, b: &RoutedQuery) -> Option<bool> {
+    fn admits(&self, now: Duration, new: &RoutedQuery) -> Option<bool> {
         let is_in_houses =
-            |b: &RoutedQuery| matches!(b.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
+            |q: &RoutedQuery| matches!(q.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
         let one = |_: &RoutedQuery| 1.0;
-        let mut fits = Vec::new();
+        let mut room = Vec::new();
         // Room left in each bucket after this query; negative if the query exceeds the rate.
-        let mut rate = |fill: f64, cost: f64, burst: f64| fits.push(burst - fill - cost.min(burst));
-        let same = |o: &RoutedQuery| o.client == b.client;
+        let mut rate = |fill: f64, cost: f64, burst: f64| room.push(burst - fill - cost.min(burst));
+        let same = |o: &RoutedQuery| o.client == new.client;
         rate(self.fill(now, (10.0, 2.0), same, one), 1.0, 2.0);
-        if b.tenant == 1 {
+        if new.tenant == 1 {
             rate(
                 self.fill(now, (20.0, 3.0), |o| o.tenant == 1, one),
                 1.0,
                 3.0,
             );
         }
-        if is_in_houses(b) {
+        if is_in_houses(new) {
             let counts =
-                |o: &RoutedQuery| is_in_houses(o) && (o.tenant, o.class) == (b.tenant, b.class);
+                |o: &RoutedQuery| is_in_houses(o) && (o.tenant, o.class) == (new.tenant, new.class);
             rate(
-                self.fill(now, (1024.0, 2048.0), counts, |b| b.statement_bytes as f64),
-                b.statement_bytes as f64,
+                self.fill(now, (1024.0, 2048.0), counts, |q| q.statement_bytes as f64),
+                new.statement_bytes as f64,
                 2048.0,
             );
         }
         let counted = self.in_flight(same) < 2
-            && (b.tenant != 1 || self.in_flight(|o| o.tenant == 1) < 3)
-            && (b.class != 1 || self.in_flight(|o| o.class == 1) < 3);
-        let edge = fits.iter().any(|left| left.abs() < 1e-3);
-        (!edge).then(|| counted && fits.iter().all(|left| *left >= 0.0))
+            && (new.tenant != 1 || self.in_flight(|o| o.tenant == 1) < 3)
+            && (new.class != 1 || self.in_flight(|o| o.class == 1) < 3);
+        let edge = room.iter().any(|left| left.abs() < 1e-3);
+        (!edge).then(|| counted && room.iter().all(|left| *left >= 0.0))
     }
 }
 
@@ -113,23 +113,23 @@
     ) {
         let routing = routing(PLAN);
         let mut limits = Limits::new(&routing, 10.0);
-        let (mut plain, mut permits, mut now) = (Plain::default(), Vec::new(), Duration::ZERO);
+        let (mut model, mut permits, mut now) = (ReferenceModel::default(), Vec::new(), Duration::ZERO);
         for (later, class, tenant, client, bytes, ends) in events {
             now += Duration::from_millis(later);
             if ends && !permits.is_empty() {
                 let (n, permit): (usize, LimitPermit) = permits.remove(0);
                 limits.release(now, permit);
-                plain.0[n].2 = false;
+                model.0[n].2 = false;
             }
-            let b = query(class, tenant, client, bytes);
-            let fits = plain.fits(now, &b);
-            let admitted = limits.admit(&routing, now, &b);
-            if let Some(fits) = fits {
-                prop_assert_eq!(admitted.is_ok(), fits, "{:?} admitted at {:?}: {:?}", b, now, admitted);
+            let query = query(class, tenant, client, bytes);
+            let admits = model.admits(now, &query);
+            let admitted = limits.admit(&routing, now, &query);
+            if let Some(admits) = admits {
+                prop_assert_eq!(admitted.is_ok(), admits, "{:?} admitted at {:?}: {:?}", query, now, admitted);
             }
             if let Ok(permit) = admitted {
-                permits.push((plain.0.len(), permit));
-                plain.0.push((now, b, true));
+                permits.push((model.0.len(), permit));
+                model.0.push((now, query, true));
             }
         }
     }
@@ -143,18 +143,18 @@
     ) {
         let routing = routing("limit each {\n per client\n rate 10/s burst 2\n}\n");
         let mut limits = Limits::with_keys(&routing, 10.0, 16);
-        let (mut plain, mut now) = (Plain::default(), Duration::ZERO);
+        let (mut model, mut now) = (ReferenceModel::default(), Duration::ZERO);
         for (later, client) in events {
             now += Duration::from_millis(later);
-            let b = query(0, 0, client, 1);
-            let fill = plain.fill(now, (10.0, 2.0), |o| o.client == b.client, |_| 1.0);
-            match limits.admit(&routing, now, &b) {
+            let query = query(0, 0, client, 1);
+            let fill = model.fill(now, (10.0, 2.0), |o| o.client == query.client, |_| 1.0);
+            match limits.admit(&routing, now, &query) {
                 Ok(permit) => {
                     prop_assert!(fill + 1.0 <= 2.0 + 1e-6, "bucket level {fill} before admission");
-                    plain.0.push((now, b, true));
+                    model.0.push((now, query, true));
                     limits.release(now, permit);
                 }
-                Err(over) => prop_assert!(over.retry_after <= Duration::from_millis(100 + 1), "{over:?}"),
+                Err(exceeded) => prop_assert!(exceeded.retry_after <= Duration::from_millis(100 + 1), "{exceeded:?}"),
             }
             prop_assert!(limits.exact_keys() <= 16);
         }
@@ -188,25 +188,28 @@
 fn query_is_admitted_after_its_retry_after_and_not_before() {
     let routing = routing(PLAN);
     let mut limits = Limits::new(&routing, 10.0);
-    let b = query(0, 0, 9, 1);
+    let query = query(0, 0, 9, 1);
     let mut now = Duration::from_secs(5);
     for _ in 0..2 {
         let permit = limits
-            .admit(&routing, now, &b)
+            .admit(&routing, now, &query)
             .expect("within the burst of two");
         limits.release(now, permit);
     }
-    let over = limits
-        .admit(&routing, now, &b)
+    let exceeded = limits
+        .admit(&routing, now, &query)
         .expect_err("the third query exceeds the burst of two");
-    assert_eq!((over.limit.as_str(), over.kind), ("each", LimitKind::Rate));
-    now += over.retry_after - Duration::from_millis(1);
+    assert_eq!(
+        (exceeded.limit.as_str(), exceeded.kind),
+        ("each", LimitKind::Rate)
+    );
+    now += exceeded.retry_after - Duration::from_millis(1);
     assert!(
-        limits.admit(&routing, now, &b).is_err(),
+        limits.admit(&routing, now, &query).is_err(),
         "must be rejected before its Retry-After"
     );
     now += Duration::from_millis(1);
-    assert!(limits.admit(&routing, now, &b).is_ok());
+    assert!(limits.admit(&routing, now, &query).is_ok());
 }
 
 #[test]
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -43,11 +43,11 @@
     })
 }
 
-fn zones_of(d: &Case) -> Zones {
-    let mut zones = Zones::new(&d.priority_levels);
-    for n in 0..d.priority_levels.len() {
-        zones.update_capacity(0.0, n, d.capacity[n], d.load_of_others[n]);
-        for _ in 0..if d.lost[n] { 20 } else { 0 } {
+fn zones_of(case: &Case) -> Zones {
+    let mut zones = Zones::new(&case.priority_levels);
+    for n in 0..case.priority_levels.len() {
+        zones.update_capacity(0.0, n, case.capacity[n], case.load_of_others[n]);
+        for _ in 0..if case.lost[n] { 20 } else { 0 } {
             zones.attempt_ended(0.0, n, 0.0, ZoneOutcome::Failed);
         }
     }
@@ -58,35 +58,35 @@
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
     #[test]
-    fn shares_carry_all_load_that_eligible_zones_can_carry(d in cases()) {
-        let zones = zones_of(&d);
-        let shares = zones.shares(d.load, &d.eligible);
+    fn shares_carry_all_load_that_eligible_zones_can_carry(case in cases()) {
+        let zones = zones_of(&case);
+        let shares = zones.shares(case.load, &case.eligible);
         let all: f64 = shares.zones.iter().sum();
         prop_assert!(all <= 1.0 + 1e-9 && shares.zones.iter().all(|s| *s >= 0.0));
         let by_level: f64 = shares.priority_levels.iter().sum();
         prop_assert!((by_level - all).abs() < 1e-9);
-        let open = |n: &usize| d.eligible[*n];
-        let n = || (0..d.priority_levels.len()).filter(open);
-        let listed: f64 = n().map(|n| d.capacity[n]).sum();
-        let free_cores = |n: usize| (zones.allowed_cores(n) - d.load_of_others[n]).max(0.0);
+        let open = |n: &usize| case.eligible[*n];
+        let n = || (0..case.priority_levels.len()).filter(open);
+        let listed: f64 = n().map(|n| case.capacity[n]).sum();
+        let free_cores = |n: usize| (zones.allowed_cores(n) - case.load_of_others[n]).max(0.0);
         for (n, share) in shares.zones.iter().enumerate() {
-            prop_assert!(d.eligible[n] || *share == 0.0, "an ineligible zone gets load");
+            prop_assert!(case.eligible[n] || *share == 0.0, "an ineligible zone gets load");
             if shares.panic {
-                prop_assert!(share * d.load <= d.capacity[n] + 1e-6);
-            } else if d.load > MIN_DIVISOR {
-                prop_assert!(share * d.load <= free_cores(n) + 1e-6, "a zone gets more load than its free cores");
+                prop_assert!(share * case.load <= case.capacity[n] + 1e-6);
+            } else if case.load > MIN_DIVISOR {
+                prop_assert!(share * case.load <= free_cores(n) + 1e-6, "a zone gets more load than its free cores");
                 prop_assert!(zones.allowed_cores(n) > 0.0 || *share == 0.0);
             }
         }
-        let carried = d.load * all;
+        let carried = case.load * all;
         let carriable: f64 = if shares.panic { listed } else { n().map(free_cores).sum() };
-        if d.load > MIN_DIVISOR {
-            prop_assert!((carried - d.load.min(carriable)).abs() < 1e-6, "carried {carried} of {} cores, could carry {carriable}", d.load);
+        if case.load > MIN_DIVISOR {
+            prop_assert!((carried - case.load.min(carriable)).abs() < 1e-6, "carried {carried} of {} cores, could carry {carriable}", case.load);
         }
         // The nearest priority level carries the whole load up to SPILL_FROM_FRACTION of its free cores.
-        let first = n().filter(|n| free_cores(*n) > 0.0).map(|n| d.priority_levels[n]).min();
-        let near: f64 = n().filter(|n| Some(d.priority_levels[*n]) == first).map(free_cores).sum();
-        if let Some(first) = first.filter(|_| !shares.panic && d.load > MIN_DIVISOR && d.load <= SPILL_FROM_FRACTION * near) {
+        let first = n().filter(|n| free_cores(*n) > 0.0).map(|n| case.priority_levels[n]).min();
+        let near: f64 = n().filter(|n| Some(case.priority_levels[*n]) == first).map(free_cores).sum();
+        if let Some(first) = first.filter(|_| !shares.panic && case.load > MIN_DIVISOR && case.load <= SPILL_FROM_FRACTION * near) {
             prop_assert!((shares.priority_levels[first] - 1.0).abs() < 1e-9, "{shares:?}");
         }
     }
@@ -94,17 +94,17 @@
     /// Shares ignore health only if the healthy capacity is under half of the listed capacity and cannot carry the
     /// load. No zone then gets more load per core than the healthy zones would have got.
     #[test]
-    fn panic_mode_gives_no_zone_more_load_per_core_than_the_healthy_zones_would_get(d in cases()) {
-        let zones = zones_of(&d);
-        let shares = zones.shares(d.load, &d.eligible);
-        let open = || (0..d.priority_levels.len()).filter(|n| d.eligible[*n]);
-        let listed: f64 = open().map(|n| d.capacity[n]).sum();
+    fn panic_mode_gives_no_zone_more_load_per_core_than_the_healthy_zones_would_get(case in cases()) {
+        let zones = zones_of(&case);
+        let shares = zones.shares(case.load, &case.eligible);
+        let open = || (0..case.priority_levels.len()).filter(|n| case.eligible[*n]);
+        let listed: f64 = open().map(|n| case.capacity[n]).sum();
         let healthy: f64 = open().map(|n| zones.allowed_cores(n)).sum();
-        prop_assert_eq!(shares.panic, healthy < PANIC_FRACTION * listed && healthy < d.load);
+        prop_assert_eq!(shares.panic, healthy < PANIC_FRACTION * listed && healthy < case.load);
         if shares.panic && healthy > 0.0 {
-            for n in open().filter(|n| d.capacity[*n] > 0.0) {
-                let density = shares.zones[n] * d.load / d.capacity[n];
-                prop_assert!(density <= d.load / healthy + 1e-9);
+            for n in open().filter(|n| case.capacity[*n] > 0.0) {
+                let density = shares.zones[n] * case.load / case.capacity[n];
+                prop_assert!(density <= case.load / healthy + 1e-9);
             }
         }
     }
@@ -118,8 +118,8 @@
     }
 
     #[test]
-    fn picked_zones_have_a_share(d in cases(), draws in vec(0.0..1.0f64, 10)) {
-        let shares = zones_of(&d).shares(d.load, &d.eligible);
+    fn picked_zones_have_a_share(case in cases(), draws in vec(0.0..1.0f64, 10)) {
+        let shares = zones_of(&case).shares(case.load, &case.eligible);
         for draw in draws {
             match shares.pick(draw) {
                 Some(zone) => prop_assert!(shares.zones[zone] > 0.0),
@@ -138,9 +138,9 @@
         let admitted: f64 = groups.iter().zip(&fractions).map(|(group, fraction)| group.load * fraction).sum();
         let all: f64 = groups.iter().map(|group| group.load).sum();
         prop_assert!((admitted - all.min(capacity)).abs() < 1e-6);
-        for (a, pa) in groups.iter().zip(&fractions) {
-            for (b, pb) in groups.iter().zip(&fractions) {
-                prop_assert!(a.value_per_work <= b.value_per_work || b.load <= MIN_DIVISOR || *pb <= 0.0 || *pa >= 1.0 - 1e-9, "admitted a group of lower value per work first");
+        for (a, fraction_a) in groups.iter().zip(&fractions) {
+            for (b, fraction_b) in groups.iter().zip(&fractions) {
+                prop_assert!(a.value_per_work <= b.value_per_work || b.load <= MIN_DIVISOR || *fraction_b <= 0.0 || *fraction_a >= 1.0 - 1e-9, "admitted a group of lower value per work first");
             }
         }
     }
@@ -161,7 +161,7 @@
     /// Number of times that overload made the returning zone fail.
     overloads: usize,
     /// Maximum ratio of the returning zone's queued work to a quarter second of its capacity.
-    worst: f64,
+    max_queue_ratio: f64,
     /// Seconds from being listed again until the zone gets nine tenths of the load.
     back_after: f64,
     /// Fraction of the work during the outage that went to other zones.
@@ -180,10 +180,11 @@
     let mut queue = [0.0f64; 3];
     let mut done = [0.0f64; 3];
     let mut up_at = 0.0f64;
-    let (mut pressed, mut fallen, mut overloads, mut worst) = (0.0, -1.0f64, 0, 0.0f64);
+    let (mut overloaded_seconds, mut failed_until, mut overloads, mut max_queue_ratio) =
+        (0.0, -1.0f64, 0, 0.0f64);
     let (mut spilled, mut rejected, mut outage) = (0.0, 0.0, 0.0);
     let mut back_after = f64::NAN;
-    let mut debt = 0.0;
+    let mut pending_units = 0.0;
     let mut draw = 0.5f64;
     for tick in 0..20_000 {
         let now = f64::from(tick) * step;
@@ -197,19 +198,19 @@
             queue[0] = 0.0;
             zones.update_capacity(now, 0, 0.0, 0.0);
         } else if was_down {
-            (up_at, fallen) = (now, -1.0);
+            (up_at, failed_until) = (now, -1.0);
             zones.update_capacity(now, 0, 100.0, 0.0);
         }
-        let capable_cores = |n: usize, fallen: f64| match n {
-            0 if down || now < fallen => 0.0,
+        let capable_cores = |n: usize, failed_until: f64| match n {
+            0 if down || now < failed_until => 0.0,
             0 if up_at > 0.0 => 100.0 * (0.3 + 0.7 * ((now - up_at) / slow_start_seconds).min(1.0)),
             0 => 100.0,
             _ => 60.0,
         };
         // Sends the work that arrives in this step, unit by unit, to the zone that is drawn for it.
-        debt += load * step / unit;
-        while debt >= 1.0 {
-            debt -= 1.0;
+        pending_units += load * step / unit;
+        while pending_units >= 1.0 {
+            pending_units -= 1.0;
             draw = (draw + 0.618_033_988_75).fract();
             let shares = zones.shares(load, &[true; 3]);
             let by_clock = match recovery {
@@ -249,22 +250,22 @@
             }
         }
         for n in 0..3 {
-            let can = capable_cores(n, fallen);
+            let available_cores = capable_cores(n, failed_until);
             // Queued work up to a quarter second of the zone's capacity is normal; beyond that, latency grows in
             // proportion.
-            let slowdown = (queue[n] / (can * 0.25).max(MIN_DIVISOR)).max(1.0);
+            let slowdown = (queue[n] / (available_cores * 0.25).max(MIN_DIVISOR)).max(1.0);
             if n == 0 && up_at > 0.0 && !down {
-                if can > 0.0 {
-                    worst = worst.max(queue[0] / (can * 0.25));
+                if available_cores > 0.0 {
+                    max_queue_ratio = max_queue_ratio.max(queue[0] / (available_cores * 0.25));
                 }
-                pressed = if can > 0.0 && slowdown > 3.0 {
-                    pressed + step
+                overloaded_seconds = if available_cores > 0.0 && slowdown > 3.0 {
+                    overloaded_seconds + step
                 } else {
                     0.0
                 };
-                if pressed > 0.5 {
+                if overloaded_seconds > 0.5 {
                     overloads += 1;
-                    (fallen, pressed) = (now + 2.0, 0.0);
+                    (failed_until, overloaded_seconds) = (now + 2.0, 0.0);
                     while queue[0] > 0.0 {
                         queue[0] -= unit;
                         zones.attempt_ended(now, 0, unit, ZoneOutcome::Failed);
@@ -272,7 +273,7 @@
                     queue[0] = 0.0;
                 }
             }
-            done[n] += (can * step).min(queue[n]);
+            done[n] += (available_cores * step).min(queue[n]);
             while done[n] >= unit {
                 done[n] -= unit;
                 queue[n] = (queue[n] - unit).max(0.0);
@@ -290,7 +291,7 @@
     }
     Outcome {
         overloads,
-        worst,
+        max_queue_ratio,
         back_after,
         spilled: spilled / outage,
         rejected_share: rejected / outage,
@@ -313,7 +314,7 @@
             }
             assert_eq!(evidence.overloads, 0, "{evidence:?}");
             assert!(
-                evidence.worst < 3.0 && evidence.back_after < 60.0,
+                evidence.max_queue_ratio < 3.0 && evidence.back_after < 60.0,
                 "{evidence:?}"
             );
             assert!(
