--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -125,7 +125,7 @@
             let admits = model.admits(now, &query);
             let admitted = limits.admit(&routing, now, &query);
             if let Some(admits) = admits {
-                prop_assert_eq!(admitted.is_ok(), admits, "{:?} admitted at {:?}: {:?}", query, now, admitted);
+                prop_assert_eq!(admitted.is_ok(), admits, "{:?} at {:?} gave {:?}", query, now, admitted);
             }
             if let Ok(permit) = admitted {
                 permits.push((model.0.len(), permit));
--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -337,7 +337,7 @@
     for _ in 0..5 {
         (0..30).for_each(|_| zones.attempt_ended(now, 0, 0.0, ZoneOutcome::Failed));
         let Health::Lost { until } = zones.health(0) else {
-            panic!("zone 0 is lost after 30 failures")
+            panic!("zone 0 is not lost after 30 failures")
         };
         waits.push(until - now);
         // All trials succeed from the end of the hold-down time on.
