--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -57,7 +57,7 @@
         Limits::with_keys(routing, capacity, MAX_EXACT_KEYS)
     }
 
-    /// Like [`Limits::new`], but each limit counts at most `max_exact_keys` keys exactly instead of [`MAX_EXACT_KEYS`].
+    /// Like [`Limits::new`], but each limit counts at most `max_exact_keys` keys exactly instead of 16,384.
     pub fn with_keys(routing: &Routing, capacity: f64, max_exact_keys: usize) -> Self {
         let mut limits = Limits {
             rules: Vec::new(),
--- a/crates/subset/src/candidates.rs
+++ b/crates/subset/src/candidates.rs
@@ -1,26 +1,27 @@
-//! Keeps the engines with the lowest scores: all below a limit, and none above it.
+//! Keeps the engines with the lowest scores: all engines below a limit, and none above it.
 
 use crate::engine::EngineKey;
 use crate::score::Score;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Spare candidates as a fraction of those that are wanted: so many may leave before the list is read again.
+/// Number of spare candidates as a fraction of the wanted ones. This many may leave before the list must be scanned
+/// again.
 const SPARE_FRACTION: f64 = 0.5;
 
-/// The least number of spare candidates.
+/// Minimum number of spare candidates.
 const MIN_SPARE: usize = 8;
 
-/// Engines of a list in order of score, as far as they may be wanted soon.
+/// The engines of a list with the lowest scores, in order of score.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidates {
     by_score: BTreeSet<(Score, EngineKey)>,
     scores: BTreeMap<EngineKey, Score>,
-    /// All engines with a lower score are candidates; `None` where all engines are.
+    /// All engines with a score below the limit are candidates; `None` if all engines are candidates.
     limit: Option<Score>,
 }
 
 impl Candidates {
-    /// The lowest scores of a list: those wanted and some spare ones.
+    /// Collects the engines with the lowest scores: `wanted` engines and some spare ones.
     pub fn collect(engines: impl Iterator<Item = (Score, EngineKey)>, wanted: usize) -> Self {
         let capacity = with_spare(wanted);
         let mut lowest: BinaryHeap<(Score, EngineKey)> = BinaryHeap::new();
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Adds an engine if its score is low enough; whether it is a candidate.
+    /// Adds an engine if its score is below the limit. Returns whether the engine is a candidate now.
     pub fn offer(&mut self, engine: EngineKey, score: Score, wanted: usize) -> bool {
         if self.limit.is_some_and(|limit| score >= limit) {
             return false;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Removes an engine; whether it was a candidate.
+    /// Removes an engine. Returns whether it was a candidate.
     pub fn withdraw(&mut self, engine: EngineKey) -> bool {
         let Some(score) = self.scores.remove(&engine) else {
             return false;
@@ -75,12 +76,12 @@
         self.by_score.remove(&(score, engine))
     }
 
-    /// Whether there are fewer candidates than wanted though the list has more engines.
+    /// Returns whether there are fewer candidates than wanted although the list has more engines.
     pub fn falls_short(&self, wanted: usize) -> bool {
         self.limit.is_some() && self.by_score.len() < wanted
     }
 
-    /// The candidates, lowest score first.
+    /// Iterates over the candidates, lowest score first.
     pub fn in_order(&self) -> impl Iterator<Item = EngineKey> + '_ {
         self.by_score.iter().map(|(_, engine)| *engine)
     }
--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Holds the whole list of engines once, for all subsets that choose from it.
+//! Stores the whole list of engines, shared by all subsets that choose from it.
 
 use crate::engine::{Change, EngineFacts, EngineKey, ListedEngine, ListedState};
 use crate::holders::{HoldersCache, HoldersParameters, HoldersTable};
@@ -6,37 +6,37 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// Which engines an update of the list names.
+/// The engines that an update of the list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// All engines: those that it does not name leave the catalog.
+    /// All engines. Engines that the update does not contain are removed from the catalog.
     FullList,
-    /// Only those that have changed.
+    /// Only engines that have changed.
     ChangedEngines,
 }
 
-/// An engine of the catalog.
+/// The id and facts of an engine in the catalog.
 #[derive(Clone, Debug)]
 struct Entry {
     id: Box<str>,
     facts: EngineFacts,
 }
 
-/// The whole list of engines by their ids. To apply a change of one engine costs O(log n).
+/// The whole list of engines. Applying a change of one engine takes O(log n) time.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     by_id: HashMap<Box<str>, EngineKey>,
     entries: BTreeMap<EngineKey, Entry>,
     next_key: u64,
     ready: ReadyEngines,
-    /// Changes since the start.
+    /// Number of changes since the catalog was created.
     change_count: u64,
     holders: HoldersCache,
 }
 
 impl Catalog {
-    /// Applies an update of the list, and returns what that changed. Removed engines, and those that a full list does not
-    /// name, leave the catalog.
+    /// Applies an update of the list and returns the changes. Removes engines in the state [`ListedState::Removed`],
+    /// and those that a full list does not contain.
     pub fn apply(&mut self, engines: &[ListedEngine], scope: UpdateScope) -> Vec<Change> {
         let mut changes = match scope {
             UpdateScope::FullList => self.remove_unnamed(engines),
@@ -50,7 +50,7 @@
         changes
     }
 
-    /// Removes the engines that a full list does not name.
+    /// Removes the engines that a full list does not contain.
     fn remove_unnamed(&mut self, engines: &[ListedEngine]) -> Vec<Change> {
         let named: HashSet<&str> = engines
             .iter()
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Brings the counts up to date with a change.
+    /// Updates the index of ready engines and the change count. Returns the change unaltered.
     fn record(&mut self, change: Change) -> Change {
         if let Some(before) = ready(change.before) {
             self.ready.remove(change.engine, &before);
@@ -115,39 +115,39 @@
         }))
     }
 
-    /// The number of engines, draining ones included.
+    /// Returns the number of engines, including draining ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no engines.
+    /// Returns whether the catalog has no engines.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The key of the engine with this id.
+    /// Returns the key of the engine with this id, or `None` if the list does not contain it.
     pub fn key(&self, id: &str) -> Option<EngineKey> {
         self.by_id.get(id).copied()
     }
 
-    /// The id of an engine.
+    /// Returns the id of an engine, or `None` if the engine was removed.
     pub fn id(&self, engine: EngineKey) -> Option<&str> {
         self.entries.get(&engine).map(|entry| &*entry.id)
     }
 
-    /// What is known of an engine.
+    /// Returns the facts of an engine, or `None` if the engine was removed.
     pub fn facts(&self, engine: EngineKey) -> Option<EngineFacts> {
         self.entries.get(&engine).map(|entry| entry.facts)
     }
 
-    /// All engines, by key.
+    /// Iterates over the key, id and facts of all engines, in ascending order of keys.
     pub fn engines(&self) -> impl Iterator<Item = (EngineKey, &str, EngineFacts)> {
         self.entries
             .iter()
             .map(|(key, entry)| (*key, &*entry.id, entry.facts))
     }
 
-    /// The number of engines that take new work.
+    /// Returns the number of ready engines.
     pub fn ready_count(&self) -> usize {
         self.ready.count()
     }
@@ -156,15 +156,15 @@
         &self.ready
     }
 
-    /// How many gateways hold each engine with these parameters. Subsets with the same parameters share one table, which is worked
-    /// out again when a small fraction of the list has changed.
+    /// Returns the estimated number of gateways that hold each engine, for these parameters. Subsets with the same
+    /// parameters share one table, which is computed again after a small fraction of the list has changed.
     pub(crate) fn holders(&self, parameters: &HoldersParameters) -> Arc<HoldersTable> {
         self.holders
             .table(parameters, &self.ready, self.change_count)
     }
 }
 
-/// The facts of an engine that takes new work.
+/// Returns the facts if the engine is ready.
 fn ready(facts: Option<EngineFacts>) -> Option<EngineFacts> {
     facts.filter(|facts| facts.state == ListedState::Ready)
 }
--- a/crates/subset/src/class_shortage.rs
+++ b/crates/subset/src/class_shortage.rs
@@ -1,4 +1,4 @@
-//! Counts how many members each placement class lacks.
+//! Counts the members that each placement class lacks.
 
 use crate::engine::EngineFacts;
 use crate::settings::PlacementClass;
@@ -9,7 +9,8 @@
 }
 
 impl<'a> ClassShortage<'a> {
-    /// `needed` returns how many members a class needs, if the target has as many of it.
+    /// `needed` returns the number of members that a class needs. The number is capped by the engines of the class in
+    /// the target.
     pub fn new(
         classes: &'a [PlacementClass],
         target: &[EngineFacts],
@@ -31,19 +32,19 @@
         }
     }
 
-    /// Whether a class that this engine may serve lacks members.
+    /// Returns whether a class that this engine may serve lacks members.
     pub fn concerns(&self, facts: &EngineFacts) -> bool {
         self.lacking
             .iter()
             .any(|(class, lacking)| *lacking > 0 && class.admits_engine(facts))
     }
 
-    /// An engine becomes a member.
+    /// Counts an engine as an added member.
     pub fn add(&mut self, facts: &EngineFacts) {
         self.shift(facts, -1);
     }
 
-    /// A member leaves.
+    /// Counts an engine as a removed member.
     pub fn remove(&mut self, facts: &EngineFacts) {
         self.shift(facts, 1);
     }
--- a/crates/subset/src/engine.rs
+++ b/crates/subset/src/engine.rs
@@ -1,51 +1,52 @@
-//! An engine as the list has it, and how it changes.
+//! Defines listed engines and changes of the list.
 
-/// An engine of a catalog. A key is never used again for another engine.
+/// The key of an engine in a catalog. Keys are not reused after an engine is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineKey(pub u64);
 
-/// Whether an engine takes new work.
+/// The state of an engine according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes new work.
+    /// The engine takes new work.
     Ready,
-    /// It takes no new work, and finishes what it has.
+    /// The engine takes no new work and finishes its attempts in flight.
     Draining,
-    /// It is not in the list any more.
+    /// The engine is no longer in the list.
     Removed,
 }
 
-/// What the choice of subsets depends on.
+/// The properties of an engine that the choice of subsets depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineFacts {
-    /// The number of its zone.
+    /// Index of the zone.
     pub zone: u32,
-    /// The number of its kind.
+    /// Index of the kind of engine.
     pub kind: u32,
-    /// The number of its cell in its zone.
+    /// Index of the cell within the zone.
     pub cell: u32,
-    /// Processor cores, more than 0. Gateways are taken to be spread over zones as cores are.
+    /// Number of processor cores, greater than 0. Gateways are assumed to be distributed over zones in proportion to
+    /// cores.
     pub cores: f64,
-    /// Whether it takes new work.
+    /// State of the engine according to the list.
     pub state: ListedState,
 }
 
-/// An engine as the list has it.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
-    /// Its id in the list.
+    /// Id of the engine; unique within the list.
     pub engine_id: String,
-    /// What the choice depends on.
+    /// Properties of the engine that the choice depends on.
     pub facts: EngineFacts,
 }
 
-/// A change of the catalog.
+/// A change of one engine in the catalog.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
     /// The engine that changed.
     pub engine: EngineKey,
-    /// None for an engine that was not in the catalog.
+    /// Facts before the change; `None` if the engine was not in the catalog.
     pub before: Option<EngineFacts>,
-    /// None for an engine that is not in the catalog any more.
+    /// Facts after the change; `None` if the engine is no longer in the catalog.
     pub after: Option<EngineFacts>,
 }
--- a/crates/subset/src/health.rs
+++ b/crates/subset/src/health.rs
@@ -1,33 +1,35 @@
-//! Judges which members fail by the outcomes of the gateway's own attempts, and widens the subset for them.
+//! Detects unhealthy members by the outcomes of the gateway's own attempts, and widens the subset to compensate for
+//! them.
 
 use crate::engine::EngineKey;
 use std::collections::BTreeMap;
 
-/// The time after which an attempt counts half.
+/// Half-life of the weight of an attempt.
 const HALVING_SECONDS: f64 = 10.0;
 
-/// The least number of attempts for a judgement.
+/// Minimum weighted number of attempts from which a member can be unhealthy.
 const MIN_ATTEMPTS: f64 = 4.0;
 
-/// A member is unhealthy when this fraction of its attempts failed.
+/// A member is unhealthy if at least this fraction of its attempts failed.
 const UNHEALTHY_FAILURE_RATE: f64 = 0.5;
 
-/// How long a member counts as unhealthy after its last failure, so that one that recovers and fails again moves nothing.
+/// Time for which a member stays unhealthy after its last failure, so that a member that recovers and fails again does
+/// not change the subset each time.
 const HOLD_DOWN_SECONDS: f64 = 30.0;
 
-/// The time between two steps back to the size without failures.
+/// Time between the removals of two engines while the subset narrows.
 const NARROW_SECONDS: f64 = 5.0;
 
-/// What the end of an attempt says of its engine.
+/// The health of an engine as shown by the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineOutcome {
-    /// The engine did its part, whatever became of the query.
+    /// The engine responded properly, whether or not the query succeeded.
     Healthy,
-    /// The engine is at fault, and not the query.
+    /// The attempt failed because of the engine, not because of the query.
     Failed,
 }
 
-/// The outcomes of attempts at one member; older ones count less.
+/// Exponentially decayed counts of the attempts and failures at one member, as of `decayed_at`.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptHistory {
     attempts: f64,
@@ -52,18 +54,19 @@
     }
 }
 
-/// The health of a subset's members.
+/// The health of the members of a subset.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberHealth {
     histories: BTreeMap<EngineKey, AttemptHistory>,
-    /// Unhealthy members, and until when they count as such.
+    /// Unhealthy members, each with the time until which it stays unhealthy.
     unhealthy: BTreeMap<EngineKey, f64>,
     widened_by: usize,
+    /// Time of the next narrowing step; `None` while the subset does not narrow.
     narrow_at: Option<f64>,
 }
 
 impl MemberHealth {
-    /// Records how an attempt at a member ended; whether that made the member unhealthy.
+    /// Records the outcome of an attempt at a member. Returns whether the outcome made the member unhealthy.
     pub fn record(&mut self, now: f64, member: EngineKey, outcome: EngineOutcome) -> bool {
         let history = self.histories.entry(member).or_default();
         history.record(now, outcome);
@@ -75,7 +78,7 @@
         before.is_none()
     }
 
-    /// Forgets an engine that is no member any more. If it was unhealthy, the subset begins to narrow.
+    /// Forgets an engine that is no longer a member. If it was unhealthy, the subset may start to narrow.
     pub fn forget(&mut self, now: f64, engine: EngineKey) {
         self.histories.remove(&engine);
         if self.unhealthy.remove(&engine).is_some() && self.unhealthy.len() < self.widened_by {
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Widens or narrows the subset as far as is due; whether it changed.
+    /// Widens the subset for unhealthy members, up to `reserve`, or narrows it by one if a step is due. Returns whether
+    /// the size changed.
     pub fn advance(&mut self, now: f64, reserve: usize) -> bool {
         self.unhealthy
             .retain(|_, unhealthy_until| *unhealthy_until > now);
@@ -103,17 +107,17 @@
         true
     }
 
-    /// The number of engines to hold beyond the size.
+    /// Returns the number of engines to hold beyond the effective size.
     pub fn widened_by(&self) -> usize {
         self.widened_by
     }
 
-    /// The number of unhealthy members.
+    /// Returns the number of unhealthy members.
     pub fn unhealthy_members(&self) -> usize {
         self.unhealthy.len()
     }
 
-    /// When [`MemberHealth::advance`] may change something next.
+    /// Returns the time at which [`MemberHealth::advance`] may next change the size, or `None` if no change is due.
     pub fn wake(&self) -> Option<f64> {
         let recovers_at = self.unhealthy.values().copied().reduce(f64::min);
         recovers_at
--- a/crates/subset/src/holders.rs
+++ b/crates/subset/src/holders.rs
@@ -1,9 +1,10 @@
-//! Estimates how many gateways hold an engine.
+//! Estimates the number of gateways that hold an engine, its holders.
 //!
-//! Scores are exponential variates, so a gateway holds an engine of weight `w` when its score is under the gateway's
-//! threshold `t`: with probability `1 - exp(-w t)`. The threshold is the one at which the expected number of members is
-//! the configured size. Thresholds of placement classes are found in the same way, each gateway's own zone counts by its
-//! weight, and gateways are taken to be spread over zones as cores are.
+//! A gateway holds an engine of weight `w` if its score is below the gateway's threshold `t`. Scores are exponential
+//! variates, so the probability of this is `1 - exp(-w t)`. The threshold is the value at which the expected number of
+//! members equals the size of the subset. Thresholds of placement classes are found in the same way. Engines in a
+//! gateway's own zone count with the near weight, and gateways are assumed to be distributed over zones in proportion
+//! to cores.
 
 mod estimate;
 mod parameters;
@@ -18,24 +19,27 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Tables that are cached for subsets with different parameters, at most.
+/// Maximum number of tables in the cache. Subsets with different parameters need different tables.
 const MAX_CACHED_TABLES: usize = 64;
 
-/// A table is stale once this fraction of the engines has changed: far less than the margin makes up for.
+/// A table is stale once the number of changes exceeds this fraction of the engines. The error until then is far
+/// smaller than the margin of the estimate.
 const STALE_FRACTION: f64 = 0.01;
 
-/// The number of holders of each engine of a list.
+/// The estimated number of holders of each engine of a list.
 #[derive(Debug)]
 pub(crate) struct HoldersTable {
     parameters: HoldersParameters,
-    /// The catalog's count of changes, and of shapes that came into a domain, when it was worked out.
+    /// The catalog's change count when the table was computed.
     change_count: u64,
+    /// [`ReadyEngines::added_shapes`] when the table was computed.
     added_shapes: u64,
     holders: BTreeMap<Group, f64>,
 }
 
 impl HoldersTable {
-    /// The number of holders of an engine. One that is unlike all of the list counts as held by all gateways.
+    /// Returns the estimated number of holders of an engine. An engine of a group that is not in the table counts as
+    /// held by all gateways.
     pub fn holders(&self, facts: &EngineFacts) -> f64 {
         self.holders
             .get(&self.parameters.group(facts))
@@ -44,13 +48,13 @@
     }
 }
 
-/// Tables that the subsets of one catalog share.
+/// Caches the tables that the subsets of one catalog share.
 #[derive(Debug, Default)]
 pub(crate) struct HoldersCache {
     tables: Mutex<Vec<Arc<HoldersTable>>>,
 }
 
-/// A copied catalog works out its own tables.
+/// Returns an empty cache: a cloned catalog computes its own tables.
 impl Clone for HoldersCache {
     fn clone(&self) -> Self {
         HoldersCache::default()
@@ -58,7 +62,7 @@
 }
 
 impl HoldersCache {
-    /// The table with these parameters; worked out if there is none that is fresh.
+    /// Returns the table for these parameters. Computes it if the cache has no fresh one.
     pub fn table(
         &self,
         parameters: &HoldersParameters,
--- a/crates/subset/src/holders/estimate.rs
+++ b/crates/subset/src/holders/estimate.rs
@@ -1,4 +1,4 @@
-//! Works out the number of holders of each group of engines.
+//! Estimates the number of holders of each group of engines.
 
 use super::parameters::{Group, HoldersParameters};
 use super::selection_model::SelectionModel;
@@ -7,37 +7,38 @@
 use crate::settings::RetryScope;
 use std::collections::BTreeMap;
 
-/// Standard deviations by which the expected number of holders is raised: it divides what all of them may do together.
+/// Number of standard deviations by which the expected number of holders is raised. Each holder may use the capacity of
+/// an engine divided by this number, so an estimate that is too low would overload the engine.
 const MARGIN_DEVIATIONS: f64 = 2.0;
 
-/// Halvings of the interval in which a threshold lies: more than a float's mantissa has bits.
+/// Number of bisection steps for a threshold; more than the bits in the mantissa of an `f64`.
 const HALVINGS: usize = 60;
 
-/// A threshold of scores, and its standard deviation over the gateways.
+/// The mean of a score threshold and its standard deviation over the gateways.
 #[derive(Clone, Copy)]
 struct Threshold {
     mean: f64,
     deviation: f64,
 }
 
-/// A zone of gateways.
+/// The gateways of one zone.
 struct GatewayZone {
-    /// None where gateways do not know their zones.
+    /// `None` if the gateways' zones are not configured or do not matter.
     zone: Option<u32>,
-    /// The fraction of the gateways that is in it.
+    /// Fraction of all gateways that are in the zone.
     fraction: f64,
 }
 
 impl GatewayZone {
-    /// All gateways, where their zones do not matter.
+    /// All gateways, for settings in which their zones do not matter.
     const UNKNOWN: GatewayZone = GatewayZone {
         zone: None,
         fraction: 1.0,
     };
 }
 
-/// Estimates the number of holders of each shape of engine: the members whose scores lie under a threshold, and the companions that
-/// retries ask for.
+/// Estimates the number of holders of each group of engines. A gateway holds the engines whose scores are below a
+/// threshold, and the companions that retries need.
 pub(super) struct Estimate<'a> {
     parameters: &'a HoldersParameters,
     domains: Vec<(RetryDomain, &'a ShapeCounts)>,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The number of holders of each group, raised by a margin.
+    /// Returns the number of holders of each group, raised by a margin.
     pub(super) fn holders(&self) -> BTreeMap<Group, f64> {
         let mut fractions: BTreeMap<Group, f64> = BTreeMap::new();
         for GatewayZone { zone, fraction } in &self.gateway_zones {
@@ -104,12 +105,12 @@
         (expected + MARGIN_DEVIATIONS * expected.sqrt()).clamp(1.0, self.parameters.gateways)
     }
 
-    /// Whether a retry needs a second engine in the domain of the first.
+    /// Returns whether a retry needs a second engine in the retry domain of the first.
     fn needs_companions(&self) -> bool {
         self.parameters.retry_scope != RetryScope::Everywhere
     }
 
-    /// How many times its weight an engine of this zone counts for a gateway.
+    /// Returns the factor by which the weight of an engine in `zone` is multiplied for a gateway in `gateway_zone`.
     fn near_weight(&self, gateway_zone: Option<u32>, zone: u32) -> f64 {
         if gateway_zone == Some(zone) {
             self.parameters.near_weight
@@ -118,7 +119,8 @@
         }
     }
 
-    /// The threshold at which a gateway of this zone expects the model's quota of members.
+    /// Returns the threshold at which the expected number of members of a gateway in this zone equals the model's
+    /// quota.
     fn threshold(&self, model: &SelectionModel, gateway_zone: Option<u32>) -> Threshold {
         if model.quota >= model.engines {
             return Threshold {
@@ -154,7 +156,7 @@
         }
     }
 
-    /// An upper estimate of the probability that a gateway of this zone holds an engine.
+    /// Returns an upper estimate of the probability that a gateway in `gateway_zone` holds an engine.
     fn probability(
         &self,
         gateway_zone: Option<u32>,
@@ -184,7 +186,8 @@
     }
 }
 
-/// The retry domains of the engines that take new work, with the shapes in each. By zone where retries may go everywhere.
+/// Returns the retry domains of the ready engines with the shapes in each. If retries may go to any engine, returns one
+/// entry for each zone.
 fn retry_domains(ready: &ReadyEngines, scope: RetryScope) -> Vec<(RetryDomain, &ShapeCounts)> {
     match scope {
         RetryScope::Cell => ready
@@ -198,7 +201,7 @@
     }
 }
 
-/// The zones of the gateways, which are taken to be spread over zones as cores are.
+/// Returns the zones of the gateways, which are assumed to be distributed over zones in proportion to cores.
 fn gateway_zones(ready: &ReadyEngines) -> Vec<GatewayZone> {
     let cores = |shapes: &ShapeCounts| -> f64 {
         shapes
@@ -220,8 +223,9 @@
         .collect()
 }
 
-/// An upper bound of the mean of the highest of several thresholds, whatever their distributions: the mean of what one
-/// exceeds another by is at most half of the difference and its root mean square together.
+/// Returns an upper bound of the mean of the highest of several thresholds, for any distributions. The bound holds
+/// because the mean excess of one threshold over another is at most half the sum of the mean difference and the root
+/// mean square of the difference.
 fn highest(mut thresholds: impl Iterator<Item = Threshold>) -> f64 {
     let Some(first) = thresholds.next() else {
         return 0.0;
--- a/crates/subset/src/holders/parameters.rs
+++ b/crates/subset/src/holders/parameters.rs
@@ -1,19 +1,20 @@
-//! What the number of holders of an engine depends on.
+//! Defines the parameters of the estimate of holders, and the groups of engines with equal estimates.
 
 use crate::engine::EngineFacts;
 use crate::ready::{EngineShape, RetryDomain};
 use crate::settings::{PlacementClass, RetryScope, SubsetSettings};
 use std::sync::Arc;
 
-/// What the number of holders depends on, beside the list.
+/// The parameters, other than the list, that the number of holders depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HoldersParameters {
-    /// Engines held now: the effective size and what failing members add; the configured size until the first poll.
+    /// Number of engines to hold: the effective size and the engines added for unhealthy members. The configured size
+    /// until the first poll.
     pub size: usize,
     pub class_floor: usize,
     pub classes: Arc<[PlacementClass]>,
     pub retry_scope: RetryScope,
-    /// 1 where gateways do not know their zones.
+    /// 1 if the gateway's own zone is not configured.
     pub near_weight: f64,
     pub gateways: f64,
 }
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The group that an engine belongs to.
+    /// Returns the group of an engine.
     pub(super) fn group(&self, facts: &EngineFacts) -> Group {
         let in_cells = self.retry_scope == RetryScope::Cell;
         let cell = in_cells.then_some(facts.cell);
@@ -48,7 +49,7 @@
     }
 }
 
-/// Engines with the same number of holders.
+/// Identifies engines with the same estimated number of holders: those of one retry domain and shape.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Group {
     pub(super) domain: RetryDomain,
--- a/crates/subset/src/holders/selection_model.rs
+++ b/crates/subset/src/holders/selection_model.rs
@@ -1,12 +1,13 @@
-//! How many engines a threshold of scores is expected to select, counted by weight so that the list need not be walked for
-//! each threshold.
+//! Computes the number of engines that a score threshold is expected to select. Engines are counted by weight, so that
+//! the list is not scanned for each threshold.
 
 use crate::ready::{EngineShape, RetryDomain, ShapeCounts};
 use crate::score::base_weight;
 use crate::settings::{PlacementClass, RetryScope};
 use std::collections::BTreeMap;
 
-/// The weight of an engine, by its bits, so that weights can be ordered.
+/// The bit pattern of the weight of an engine. Weights are positive, so the order of the patterns is that of the
+/// weights.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Weight(u64);
 
@@ -20,19 +21,19 @@
     }
 }
 
-/// Engines of a retry domain by their weights.
+/// Number of engines of a retry domain by their weights.
 type WeightCounts = BTreeMap<Weight, usize>;
 
-/// Retry domains that are alike, and how many there are.
+/// Number of retry domains by the weights of their engines.
 type DomainCounts = BTreeMap<WeightCounts, usize>;
 
-/// A model of a [`Selection`](crate::selection::Selection): the engines that one threshold selects from, the whole list or
-/// those of one placement class.
+/// A model of a [`Selection`](crate::selection::Selection) by one threshold, from the whole list or from one placement
+/// class.
 pub(super) struct SelectionModel<'a> {
     class: Option<&'a PlacementClass>,
-    /// The members that are asked for.
+    /// Number of engines to select.
     pub(super) quota: usize,
-    /// The engines that can be chosen.
+    /// Number of engines that can be selected.
     pub(super) engines: usize,
     everywhere: DomainCounts,
     by_zone: BTreeMap<u32, DomainCounts>,
@@ -74,7 +75,7 @@
         model
     }
 
-    /// Without companions only the weights count, not what domain they are in.
+    /// Merges the domains of all zones into one. Used if no companions are needed, since only the weights matter then.
     fn merge(&mut self, zones: BTreeMap<u32, WeightCounts>) {
         let mut all = WeightCounts::new();
         for (zone, weights) in zones {
@@ -86,13 +87,13 @@
         self.everywhere.insert(all, 1);
     }
 
-    /// Whether an engine of this zone and shape can be chosen.
+    /// Returns whether an engine of this zone and shape can be selected.
     pub(super) fn admits(&self, zone: u32, shape: EngineShape) -> bool {
         self.class
             .is_none_or(|class| class.admits(zone, shape.kind))
     }
 
-    /// The weights of the engines of a domain that can be selected.
+    /// Returns the weights of the engines of a domain that can be selected.
     fn weights(&self, zone: u32, shapes: &ShapeCounts) -> WeightCounts {
         weight_counts(
             shapes
@@ -101,7 +102,7 @@
         )
     }
 
-    /// The number of members that a gateway of this zone expects under a threshold.
+    /// Returns the expected number of members that a gateway in this zone selects with a threshold.
     pub(super) fn expected(
         &self,
         threshold: f64,
@@ -124,8 +125,8 @@
         }
     }
 
-    /// The probability that an engine is selected only as the companion of the one engine of its domain under the threshold,
-    /// the lead.
+    /// Returns the probability that an engine is selected only as a companion, because one other engine of its domain,
+    /// the lead, is the only one below the threshold.
     pub(super) fn companion_probability(
         &self,
         zone: u32,
@@ -141,7 +142,8 @@
             let leads = (*count as f64 - f64::from(is_itself)).max(0.0);
             let lead = lead.value();
             let alone = alone_probability(lead, total(&selectable), threshold);
-            // A companion is selected among the selectable engines, or among all where the lead is the only one of them.
+            // The companion is one of the other selectable engines, or any other engine if the lead is the only
+            // selectable one.
             let selectable_others = total(&selectable) - lead;
             let has_selectable_others = selectable_others > lead * f64::EPSILON;
             let others = if has_selectable_others {
@@ -177,7 +179,7 @@
         .sum()
 }
 
-/// The probability that an engine is the only one of its domain under a threshold.
+/// Returns the probability that an engine is the only one of its domain below a threshold.
 fn alone_probability(weight: f64, total: f64, threshold: f64) -> f64 {
     if threshold.is_infinite() {
         let has_others = total - weight > weight * f64::EPSILON;
@@ -186,7 +188,8 @@
     (1.0 - (-weight * threshold).exp()) * (-(total - weight).max(0.0) * threshold).exp()
 }
 
-/// The expected number of members of a domain: those under the threshold, and a companion for one that is alone.
+/// Returns the expected number of members of a domain: the engines below the threshold, and a companion for an engine
+/// that would be the only one.
 fn expected_in_domain(weights: &WeightCounts, threshold: f64, companions: bool) -> f64 {
     let under = |(weight, count): (&Weight, &usize)| {
         *count as f64 * (1.0 - (-weight.value() * threshold).exp())
--- a/crates/subset/src/join_queue.rs
+++ b/crates/subset/src/join_queue.rs
@@ -1,76 +1,78 @@
-//! Engines on their way into the subset: connections are made at a pace, and engines that could not be reached are retried
+//! Tracks the engines that are about to join the subset: limits the pace of connections, and retries unreached engines
 //! with a backoff.
 
 use crate::engine::EngineKey;
 use crate::score::GatewayHash;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most connections that are made at the same time.
+/// Maximum number of connections in progress at the same time.
 const MAX_CONNECTING: usize = 64;
 
-/// An engine whose connection is not made within this time counts as not reached.
+/// An engine counts as not reached if no outcome of its connection is reported within this time.
 const CONNECT_TIMEOUT_SECONDS: f64 = 10.0;
 
-/// The longest jitter before the first engine that joins at the pace, so that gateways do not act in step.
+/// Maximum jitter before the first engine that joins at the pace. The jitter prevents gateways from connecting to the
+/// same engine at the same time.
 const MAX_JITTER_SECONDS: f64 = 2.0;
 
-/// The first backoff of an engine that was not reached; it doubles with each failure.
+/// Initial backoff before the retry of an unreached engine; doubles with each failure.
 const BACKOFF_SECONDS: f64 = 5.0;
 
-/// The longest backoff.
+/// Upper bound of the backoff before jitter.
 const MAX_BACKOFF_SECONDS: f64 = 60.0;
 
-/// The most unreached engines that are remembered; the one that would be retried next is forgotten first.
+/// Maximum number of unreached engines that are remembered. Above it, the engine with the earliest retry is forgotten.
 const MAX_UNREACHED: usize = 1_024;
 
-/// Whether the connection to an engine was made.
+/// The outcome of a connection to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectOutcome {
-    /// It was made: the engine may join.
+    /// The connection was established; the engine may join.
     Reached,
-    /// It was not: another engine takes the place, and this one is retried later.
+    /// The connection failed. Another engine takes the place, and this engine is retried later.
     NotReached,
 }
 
-/// Why a connection may be made now.
+/// The reason for which a connection was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StartReason {
-    /// The engine fills a vacated place, which does not wait for the pace.
+    /// The engine fills a vacated place or is urgent, so that it does not wait for the pace.
     Refill,
-    /// The engine was due at the pace, or its retry was.
+    /// The engine was due according to the pace, or its retry was due.
     Due,
 }
 
-/// A connection that is being made.
+/// A connection in progress.
 #[derive(Clone, Copy, Debug)]
 struct Connecting {
     deadline: f64,
     reason: StartReason,
 }
 
-/// An engine that was not reached.
+/// The retry of an engine that could not be reached.
 #[derive(Clone, Copy, Debug)]
 struct Unreached {
     retry_at: f64,
     failures: i32,
 }
 
-/// Engines that are to join the subset, until they do.
+/// The engines that should join the subset, until they join or leave the list.
 #[derive(Clone, Debug)]
 pub(crate) struct JoinQueue {
     gateway: GatewayHash,
-    /// Seconds between two engines that start to join at the pace.
+    /// Seconds between the connections to two engines that join at the pace.
     interval: f64,
     connecting: BTreeMap<EngineKey, Connecting>,
-    /// Engines whose connection was made, and which wait to join.
+    /// Engines whose connection was established and that wait to join.
     reached: BTreeSet<EngineKey>,
     unreached: BTreeMap<EngineKey, Unreached>,
-    /// Vacated places that may be filled without waiting for the pace.
+    /// Number of vacated places that may be refilled without waiting for the pace.
     refills: usize,
-    /// When the next engine may start to join at the pace, while one waits.
+    /// Earliest time of the next connection according to the pace; `None` while no engine waits for the pace.
     next_start_at: Option<f64>,
-    /// When the last one was.
+    /// Time of the last connection that was started according to the pace.
     last_start_at: Option<f64>,
+    /// Number of jitter values drawn so far.
     jitter_draws: u64,
 }
 
@@ -94,29 +96,30 @@
         self.gateway.jitter(self.jitter_draws)
     }
 
-    /// A member's place was vacated.
+    /// Allows one more refill, up to `reserve` in total. Called when a member drains or leaves the list.
     pub fn add_refill(&mut self, reserve: usize) {
         self.refills = (self.refills + 1).min(reserve);
     }
 
-    /// No engine is missing: no vacated place is left to refill.
+    /// Cancels all refills. Called when no engine is missing.
     pub fn clear_refills(&mut self) {
         self.refills = 0;
     }
 
-    /// No engine waits for the pace.
+    /// Cancels the wait for the pace. Called when no engine waits for it.
     pub fn clear_pace_wait(&mut self) {
         self.next_start_at = None;
     }
 
-    /// Forgets an engine that has joined or that has left the list.
+    /// Forgets an engine that has joined or has left the list.
     pub fn forget(&mut self, engine: EngineKey) {
         self.connecting.remove(&engine);
         self.reached.remove(&engine);
         self.unreached.remove(&engine);
     }
 
-    /// Records whether a connection was made; returns whether the engine was waited for.
+    /// Records the outcome of a connection. Returns false if no connection to the engine was in progress; the outcome
+    /// is then ignored.
     pub fn connect_ended(&mut self, now: f64, engine: EngineKey, outcome: ConnectOutcome) -> bool {
         let Some(connecting) = self.connecting.remove(&engine) else {
             return false;
@@ -133,7 +136,7 @@
         true
     }
 
-    /// An engine that was not reached is retried after a backoff with jitter.
+    /// Schedules the retry of an unreached engine after a backoff of 0.5 to 1.5 times its nominal length.
     fn add_unreached(&mut self, now: f64, engine: EngineKey) {
         let failures = self
             .unreached
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Counts connections that were not made in time as not reached; whether there were any.
+    /// Records connections whose deadline has passed as not reached. Returns whether there were any.
     pub fn expire_connecting(&mut self, now: f64) -> bool {
         let is_expired = |(engine, connecting): (&EngineKey, &Connecting)| {
             (connecting.deadline <= now).then_some(*engine)
@@ -169,7 +172,7 @@
         !expired.is_empty()
     }
 
-    /// Starts the retries that are due; the engines that are to be connected to.
+    /// Starts the retries that are due, and returns the engines to connect to.
     pub fn start_retries(&mut self, now: f64) -> Vec<EngineKey> {
         let free_slots = MAX_CONNECTING.saturating_sub(self.connecting.len());
         let is_due = |(engine, unreached): (&EngineKey, &Unreached)| {
@@ -189,7 +192,8 @@
             .insert(engine, Connecting { deadline, reason });
     }
 
-    /// Starts to connect to a missing engine, if the pace, a refill or its urgency allows; whether it did.
+    /// Starts a connection to a missing engine if the engine is urgent, a refill is left, or the pace allows it.
+    /// Returns whether the connection was started.
     pub fn try_connect(&mut self, now: f64, engine: EngineKey, is_urgent: bool) -> bool {
         if self.connecting.len() >= MAX_CONNECTING {
             return false;
@@ -222,37 +226,37 @@
         true
     }
 
-    /// Whether a connection to the engine is being made.
+    /// Returns whether a connection to the engine is in progress.
     pub fn is_connecting(&self, engine: EngineKey) -> bool {
         self.connecting.contains_key(&engine)
     }
 
-    /// Whether the connection was made, and the engine waits to join.
+    /// Returns whether the connection to the engine was established and the engine waits to join.
     pub fn is_reached(&self, engine: EngineKey) -> bool {
         self.reached.contains(&engine)
     }
 
-    /// Forgets reached engines that are not to join after all.
+    /// Forgets the reached engines that are no longer needed.
     pub fn clear_reached(&mut self) {
         self.reached.clear();
     }
 
-    /// Engines that are passed over until they are reached.
+    /// Returns the engines that could not be reached. They are passed over until they are reached.
     pub fn unreached(&self) -> BTreeSet<EngineKey> {
         self.unreached.keys().copied().collect()
     }
 
-    /// How many engines were not reached.
+    /// Returns the number of engines that could not be reached.
     pub fn unreached_count(&self) -> usize {
         self.unreached.len()
     }
 
-    /// Forgets that engines were not reached.
+    /// Forgets all unreached engines, so that they may be chosen again.
     pub fn clear_unreached(&mut self) {
         self.unreached.clear();
     }
 
-    /// When something is due, if nothing is reported until then.
+    /// Returns the time of the next deadline, retry or connection, or `None` if nothing is pending.
     pub fn wake(&self) -> Option<f64> {
         let deadlines = self
             .connecting
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,23 +1,27 @@
-//! Chooses which engines of the list a gateway works with: its subset.
+//! Chooses the subset of the listed engines that a gateway uses.
 //!
-//! Each gateway chooses for itself, from its name, the number of gateways, and the list of engines; gateways do not talk to
-//! each other. The crate has no I/O and no clock: callers pass times, in seconds on a clock of theirs.
+//! Each gateway chooses independently, from its name, the number of gateways and the list of engines; gateways do not
+//! communicate with each other. The crate does no I/O and reads no clock: callers pass times, in seconds on their own
+//! clock.
 //!
-//! An engine's score for a gateway is an exponential variate drawn from a hash of both names. A gateway holds the engines
-//! with the lowest scores: so many of the whole list, and so many of each placement class. What follows an event:
+//! The score of an engine for a gateway is an exponential variate drawn from a hash of both names. A gateway holds the
+//! engines with the lowest scores: a number of engines of the whole list, and a number of engines of each placement
+//! class. `joins_per_second` limits the pace at which new engines join. The members change as follows:
 //!
-//! | event | what follows |
+//! | event | effect |
 //! |---|---|
-//! | the first list, or no member left | all engines to hold join at once |
-//! | a member drains or leaves the list | it leaves at once; up to `reserve` vacated places are refilled at once, others at the pace |
-//! | under the floor (half of the size, or of a class's floor) | engines join at once, without a connection |
-//! | an engine with a lower score than a member | it is connected to at the pace and joins; then the member leaves |
-//! | an engine is not reached | the next candidate takes its place; it is retried with a backoff |
-//! | a member fails by the outcomes of the gateway's own attempts | the subset widens by one, up to `reserve`, and narrows slowly |
+//! | the first list arrives, or no member is left | all engines to hold join immediately |
+//! | a member drains or leaves the list | it leaves; up to `reserve` vacated places do not wait for the pace |
+//! | the members fall below the floor | engines join immediately, without a connection test |
+//! | an engine has a lower score than a member | it is connected to at the pace and joins; then the member leaves |
+//! | an engine cannot be reached | the next candidate takes its place; the engine is retried with a backoff |
+//! | a member is unhealthy | the subset widens by one, up to `reserve`, and narrows slowly |
 //!
-//! A [`Catalog`] keeps the whole list once; many subsets may read one catalog. A [`Subset`] keeps only its members and
-//! a short reserve, and answers each change with [`Action`]s. A subset narrows what the decision module may choose
-//! from and never widens it. docs/subsets.md weighs the options.
+//! The floor is half of the size of the subset, and half of the floor of each placement class.
+//!
+//! A [`Catalog`] stores the whole list; many subsets may share one catalog. A [`Subset`] stores only its members and a
+//! limited number of candidates, and returns [`Action`]s for its caller. The decision module chooses only among the
+//! members. docs/subsets.md compares the design options.
 
 mod candidates;
 mod catalog;
--- a/crates/subset/src/ready.rs
+++ b/crates/subset/src/ready.rs
@@ -1,17 +1,17 @@
-//! Indexes and counts the engines that take new work, by zone, cell and shape.
+//! Indexes and counts the ready engines by zone, cell and shape.
 
 use crate::engine::{EngineFacts, EngineKey};
 use crate::settings::{PlacementClass, RetryScope};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A cell of a zone.
+/// Identifies a cell of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Cell {
     pub zone: u32,
     pub cell: u32,
 }
 
-/// The engines among which a query may be retried: those of a zone, or of one cell of it.
+/// The engines among which a query may be retried: those of a zone, or those of one cell if `cell` is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RetryDomain {
     pub zone: u32,
@@ -28,7 +28,7 @@
 }
 
 impl RetryDomain {
-    /// The domain of an engine; none where retries may go everywhere.
+    /// Returns the retry domain of an engine, or `None` if retries may go to any engine.
     pub fn of(facts: &EngineFacts, scope: RetryScope) -> Option<Self> {
         match scope {
             RetryScope::Everywhere => None,
@@ -44,11 +44,12 @@
     }
 }
 
-/// Engines of one shape are alike for the choice.
+/// The kind and the number of cores of an engine. Engines of the same zone, cell and shape are equivalent for the
+/// choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EngineShape {
     pub kind: u32,
-    /// The bits of the number of cores, so that shapes can be ordered.
+    /// Bit pattern of the number of cores, so that shapes can be ordered.
     cores: u64,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// How many engines of each shape there are.
+/// Number of engines of each shape.
 pub(crate) type ShapeCounts = BTreeMap<EngineShape, usize>;
 
 #[derive(Clone, Debug, Default)]
@@ -74,14 +75,15 @@
     shapes: ShapeCounts,
 }
 
-/// The engines that take new work, by zone and cell.
+/// The ready engines, by zone and cell.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReadyEngines {
     count: usize,
     cells: BTreeMap<Cell, CellEngines>,
     zones: BTreeMap<u32, ShapeCounts>,
-    /// How often a shape was added to a zone, and to a cell, that had none of it.
+    /// Number of times that a shape was added to a zone that had no engine of it.
     added_to_zones: u64,
+    /// Number of times that a shape was added to a cell that had no engine of it.
     added_to_cells: u64,
 }
 
@@ -132,7 +134,7 @@
         self.count
     }
 
-    /// Grows when a shape is added to a retry domain that had none of it.
+    /// Returns a counter that grows whenever a shape is added to a retry domain that had no engine of it.
     pub fn added_shapes(&self, scope: RetryScope) -> u64 {
         match scope {
             RetryScope::Cell => self.added_to_cells,
@@ -140,19 +142,19 @@
         }
     }
 
-    /// The shapes of each zone.
+    /// Iterates over the zones with the number of engines of each shape.
     pub fn zones(&self) -> impl Iterator<Item = (u32, &ShapeCounts)> {
         self.zones.iter().map(|(zone, shapes)| (*zone, shapes))
     }
 
-    /// The shapes of each cell.
+    /// Iterates over the cells with the number of engines of each shape.
     pub fn cells(&self) -> impl Iterator<Item = (Cell, &ShapeCounts)> {
         self.cells
             .iter()
             .map(|(cell, contents)| (*cell, &contents.shapes))
     }
 
-    /// The number of engines that may serve a class.
+    /// Returns the number of ready engines that may serve a class.
     pub fn count_in_class(&self, class: &PlacementClass) -> usize {
         let in_zone = |(zone, shapes): (u32, &ShapeCounts)| -> usize {
             shapes
@@ -164,7 +166,7 @@
         self.zones().map(in_zone).sum()
     }
 
-    /// The engines of a retry domain.
+    /// Iterates over the ready engines of a retry domain.
     pub fn in_domain(&self, domain: RetryDomain) -> impl Iterator<Item = EngineKey> + '_ {
         let first = domain.cell.unwrap_or(u32::MIN);
         let last = domain.cell.unwrap_or(u32::MAX);
@@ -181,7 +183,7 @@
     }
 }
 
-/// Counts one more engine of a shape; whether it is the first.
+/// Counts one more engine of a shape. Returns whether it is the first of its shape.
 fn add(shapes: &mut ShapeCounts, shape: EngineShape) -> bool {
     let count = shapes.entry(shape).or_default();
     *count += 1;
--- a/crates/subset/src/selection.rs
+++ b/crates/subset/src/selection.rs
@@ -1,4 +1,5 @@
-//! Selects the engines that one gateway is to hold: the lowest scores of the list, and of each placement class.
+//! Selects the engines that one gateway should hold: those with the lowest scores in the list and in each placement
+//! class.
 
 use crate::candidates::Candidates;
 use crate::catalog::Catalog;
@@ -17,26 +18,27 @@
 }
 
 impl Scorer<'_> {
-    /// The score of an engine of the list that takes new work.
+    /// Returns the score of an engine, or `None` if the list does not show it as ready.
     pub fn score(&self, engine: EngineKey) -> Option<Score> {
         let facts = self.ready_facts(engine)?;
         let id = self.catalog.id(engine)?;
         Some(self.gateway.score(id, self.settings.weight(&facts)))
     }
 
-    /// What is known of an engine that takes new work.
+    /// Returns the facts of an engine, or `None` if the list does not show it as ready.
     pub fn ready_facts(&self, engine: EngineKey) -> Option<EngineFacts> {
         self.catalog
             .facts(engine)
             .filter(|facts| facts.state == ListedState::Ready)
     }
 
-    /// The retry domain of an engine that takes new work.
+    /// Returns the retry domain of a ready engine, or `None` if the engine is not ready or retries may go to any
+    /// engine.
     pub fn domain(&self, engine: EngineKey) -> Option<RetryDomain> {
         RetryDomain::of(&self.ready_facts(engine)?, self.settings.retry_scope)
     }
 
-    /// The scores of all engines that take new work.
+    /// Iterates over all ready engines with their scores.
     fn scores(&self) -> impl Iterator<Item = (Score, EngineKey, EngineFacts)> + '_ {
         let ready = self
             .catalog
@@ -52,23 +54,24 @@
     }
 }
 
-/// The engines to hold, and the retry domains in which a change may alter them.
+/// The engines to hold, and the retry domains in which a change of any listed engine may change them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Target {
     pub engines: BTreeSet<EngineKey>,
-    /// Domains in which a companion was looked for among all engines of the list.
+    /// Retry domains in which a companion was searched for among all listed engines.
     pub searched: BTreeSet<RetryDomain>,
 }
 
-/// The candidates of the whole list, or of one placement class.
+/// Selects engines from the whole list, or from one placement class.
 #[derive(Clone, Debug)]
 pub(crate) struct Selection {
+    /// `None` for the whole list.
     class: Option<PlacementClass>,
     candidates: Candidates,
 }
 
 impl Selection {
-    /// A selection without candidates, until it reads the list.
+    /// Creates a selection without candidates. [`rescan`](Self::rescan) collects them from the list.
     pub fn new(class: Option<PlacementClass>) -> Self {
         Selection {
             class,
@@ -82,14 +85,14 @@
             .is_none_or(|class| class.admits_engine(facts))
     }
 
-    /// Reads the whole list.
+    /// Replaces the candidates by the engines with the lowest scores of the whole list: `wanted` and some spare ones.
     pub fn rescan(&mut self, scorer: &Scorer, wanted: usize) {
         let admitted = scorer.scores().filter(|(_, _, facts)| self.admits(facts));
         self.candidates =
             Candidates::collect(admitted.map(|(score, engine, _)| (score, engine)), wanted);
     }
 
-    /// Adds an engine that takes new work, or updates it; whether that may change what is selected.
+    /// Adds or updates a ready engine. Returns whether this may change the selected engines.
     pub fn offer(
         &mut self,
         engine: EngineKey,
@@ -102,18 +105,20 @@
         was_candidate || is_candidate
     }
 
-    /// Removes an engine; whether that may change what is selected.
+    /// Removes an engine. Returns whether this may change the selected engines.
     pub fn withdraw(&mut self, engine: EngineKey) -> bool {
         self.candidates.withdraw(engine)
     }
 
-    /// Whether the list must be read again before this number can be selected.
+    /// Returns whether the list must be scanned again before `wanted` engines can be selected.
     pub fn falls_short(&self, wanted: usize) -> bool {
         self.candidates.falls_short(wanted)
     }
 
-    /// Adds the first engines to the target: `quota` of them, and one more where the last needs a companion. Engines
-    /// that could not be reached are passed over.
+    /// Adds the candidates with the lowest scores to the target, except those in `passed_over`. Adds `quota` engines
+    /// including companions, and one more if the last engine needs a companion.
+    ///
+    /// A companion is a second engine of the same retry domain, to which a query can be retried.
     pub fn select(
         &self,
         scorer: &Scorer,
@@ -137,7 +142,7 @@
             }
             selected.insert(*engine);
             let Some(domain) = domain else { continue };
-            // The first of its domain brings its companion.
+            // The engine with the lowest score of its domain brings a companion.
             let Some(companion) = companions.remove(domain) else {
                 continue;
             };
@@ -150,7 +155,8 @@
         target.engines.extend(selected);
     }
 
-    /// The engine with the lowest score among the others of a domain, of this class where there is one.
+    /// Returns the engine with the lowest score among the other engines of a domain. Engines that this selection admits
+    /// are preferred.
     fn companion(
         &self,
         scorer: &Scorer,
@@ -170,7 +176,7 @@
     }
 }
 
-/// The second engine of each domain in order of score, or none if it has just one.
+/// Returns the second engine of each domain in the order of `first`, or `None` for a domain with only one engine.
 fn runners_up(
     first: &[(EngineKey, Option<RetryDomain>)],
 ) -> BTreeMap<RetryDomain, Option<EngineKey>> {
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -1,37 +1,40 @@
-//! The settings of a subset, and their validation.
+//! Defines the settings of a subset and validates them.
 
 use crate::engine::EngineFacts;
 use thiserror::Error;
 
-/// The most placement classes; each costs a gateway memory and a comparison for each changed engine.
+/// Maximum number of placement classes. Each class takes memory and a comparison for each changed engine.
 pub const MAX_CLASSES: usize = 1_024;
 
-/// The highest near weight: beyond it a gateway works with its own zone alone, whatever the exact number.
+/// Maximum near weight. Above it, a gateway would use only engines of its own zone, whatever the exact value.
 pub const MAX_NEAR_WEIGHT: f64 = 1e6;
 
-/// The usual floor of each placement class: one engine may drain and one fail while two share the work.
+/// Default floor of each placement class. With four engines, one may drain and one fail while the other two share the
+/// work.
 const DEFAULT_CLASS_FLOOR: usize = 4;
 
-/// The size over the usual reserve: a lost zone of four can be replaced.
+/// Ratio of the size to the default reserve. With a reserve of a quarter, the members in one of four zones can be
+/// replaced when the zone is lost.
 const DEFAULT_SIZE_PER_RESERVE: usize = 4;
 
-/// The usual pace at which engines join: a subset of 80 is all new in 80 s, longer than the slow start of an engine.
+/// Default pace at which engines join. At this pace, replacing a subset of 80 engines takes 80 s, longer than the slow
+/// start of an engine.
 const DEFAULT_JOINS_PER_SECOND: f64 = 1.0;
 
-/// The usual near weight: no engine is preferred.
+/// Default near weight, with which no engine is preferred.
 const DEFAULT_NEAR_WEIGHT: f64 = 1.0;
 
-/// Where attempts of a query class may go; `None` allows all.
+/// The engines that may serve a query class, by zone and kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacementClass {
-    /// The zones that are allowed.
+    /// Allowed zones; `None` allows all.
     pub zones: Option<Vec<u32>>,
-    /// The kinds of engine that are allowed.
+    /// Allowed kinds of engine; `None` allows all.
     pub kinds: Option<Vec<u32>>,
 }
 
 impl PlacementClass {
-    /// Whether an engine of this zone and kind may serve it.
+    /// Returns whether an engine of this zone and kind may serve the class.
     pub fn admits(&self, zone: u32, kind: u32) -> bool {
         let allows = |allowed: &Option<Vec<u32>>, value| {
             allowed
@@ -41,50 +44,51 @@
         allows(&self.zones, zone) && allows(&self.kinds, kind)
     }
 
-    /// Whether this engine may serve it.
+    /// Returns whether this engine may serve the class.
     pub fn admits_engine(&self, facts: &EngineFacts) -> bool {
         self.admits(facts.zone, facts.kind)
     }
 }
 
-/// Where a query that is idempotent by key may be retried after an attempt that may have run.
+/// The engines at which a query that is idempotent by key may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryScope {
     /// Any engine.
     Everywhere,
-    /// The zone of the first attempt.
+    /// Engines of the zone of the first attempt.
     Zone,
-    /// The cell of the first attempt, in its zone.
+    /// Engines of the cell of the first attempt.
     Cell,
 }
 
-/// How large a gateway's subset is and how it changes.
+/// Settings for the size of a gateway's subset and the way it changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubsetSettings {
-    /// Engines in the subset while none fails. A floor follows from the numbers of gateways and engines, so that
-    /// no engine is left without gateways.
+    /// Number of engines in the subset while no member is unhealthy; 1 or more. The effective size may be larger, so
+    /// that on average at least [`MIN_HOLDERS`](crate::MIN_HOLDERS) gateways hold each engine.
     pub size: usize,
-    /// Engines of each placement class that the subset aims for, or all of a class that has fewer. Under half of it engines join
-    /// at once, without a connection.
+    /// Number of engines of each placement class that the subset holds, or all of a class that has fewer; at most
+    /// `size`. Below half of this number, engines of the class join immediately, without a connection test.
     pub class_floor: usize,
-    /// The most engines that are added while members fail.
+    /// Maximum number of engines that are added while members are unhealthy, and of vacated places that are refilled
+    /// without waiting for the pace.
     pub reserve: usize,
-    /// Engines that join per second, while the subset is above its floor.
+    /// Pace at which engines join while the subset is above its floor; greater than 0.
     pub joins_per_second: f64,
-    /// The gateway's own zone, if it is configured; its engines are preferred.
+    /// The gateway's own zone, whose engines are preferred; `None` if not configured.
     pub zone: Option<u32>,
-    /// How many times its weight an engine of the gateway's own zone counts; 1 or more.
+    /// Factor by which the weight of engines in the gateway's own zone is multiplied; from 1 to [`MAX_NEAR_WEIGHT`].
     pub near_weight: f64,
-    /// Gateways that serve the same engines, this one included.
+    /// Number of gateways that use the same engines, including this one; 1 or more.
     pub gateways: f64,
-    /// The placement classes of the query classes, without repeats.
+    /// The distinct placement classes of the query classes; at most [`MAX_CLASSES`].
     pub classes: Vec<PlacementClass>,
-    /// The narrowest scope in which any query class may be retried.
+    /// The narrowest retry scope of any query class.
     pub retry_scope: RetryScope,
 }
 
 impl SubsetSettings {
-    /// The usual settings of a subset of this size, for one of this number of gateways, without placement classes.
+    /// Returns the default settings for a subset of this size at one of `gateways` gateways, without placement classes.
     pub fn with_size(size: usize, gateways: f64) -> Self {
         SubsetSettings {
             size,
@@ -99,11 +103,12 @@
         }
     }
 
-    /// Checks that a subset can be chosen by these settings.
+    /// Checks that all settings are in range.
     ///
     /// # Errors
     ///
-    /// The first setting that is out of range, with what to do.
+    /// Returns an error for the first setting that is out of range. Its text names the setting and says how to correct
+    /// it.
     pub fn validate(&self) -> Result<(), SubsetError> {
         if self.size == 0 {
             return Err(SubsetError::EmptySize);
@@ -131,8 +136,8 @@
         Err(SubsetError::OutOfRange {
             place: "subset.joins_per_second",
             found: self.joins_per_second,
-            expected: "a number over 0",
-            remedy: "name how many engines may be added a second, such as 2",
+            expected: "a number greater than 0",
+            remedy: "set the number of engines that may join per second, such as 2",
         })
     }
 
@@ -145,7 +150,7 @@
             found: self.near_weight,
             expected: "a number from 1 to 1000000",
             remedy:
-                "name 1 for no preference, or how many times more often a near engine is chosen",
+                "set 1 for no preference, or the factor by which engines in the gateway's own zone are preferred",
         })
     }
 
@@ -156,22 +161,22 @@
         Err(SubsetError::OutOfRange {
             place: "subset.gateways",
             found: self.gateways,
-            expected: "a number of 1 or more",
-            remedy: "tell the number of gateways before these engines, this one included",
+            expected: "a number of at least 1",
+            remedy: "set the number of gateways that use these engines, including this one",
         })
     }
 }
 
-/// Settings that no subset can be chosen by; the text says where, why, and what to do.
+/// Reports invalid settings of a subset. The text names the setting, the cause, and how to correct it.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SubsetError {
     /// The size is 0.
-    #[error("subset.size: 0 engines; name at least 1, or leave the block out to work with the whole list")]
+    #[error("subset.size: 0 is not allowed; set at least 1, or omit the subset block to use the whole list")]
     EmptySize,
-    /// The floor of each class is larger than the subset.
+    /// The floor of each placement class is greater than the size of the subset.
     #[error(
         "subset.class_floor: {class_floor} engines of each class are more than the subset.size of {size}; \
-         lower class_floor, or raise size"
+         lower class_floor or raise size"
     )]
     ClassFloorOverSize {
         /// The configured floor.
@@ -180,24 +185,30 @@
         size: usize,
     },
     /// There are more placement classes than [`MAX_CLASSES`].
-    #[error("subset.classes: {found} placement classes are more than {MAX_CLASSES}; let service groups share theirs")]
+    #[error(
+        "subset.classes: {found} placement classes exceed the maximum of {MAX_CLASSES}; \
+         allow the same zones and kinds for several service groups"
+    )]
     TooManyClasses {
         /// The number of classes.
         found: usize,
     },
     /// The gateway has no name.
-    #[error("gateway name: empty, so that all such gateways would choose the same engines; give each its own name")]
+    #[error(
+        "gateway name: empty, so all gateways without a name would choose the same engines; \
+         give each gateway its own name"
+    )]
     UnnamedGateway,
     /// A number is out of range.
     #[error("{place}: {found} is not {expected}; {remedy}")]
     OutOfRange {
-        /// The path of the setting.
+        /// Path of the setting.
         place: &'static str,
         /// The configured number.
         found: f64,
-        /// The numbers that are allowed.
+        /// Description of the allowed numbers.
         expected: &'static str,
-        /// What to do.
+        /// Instruction how to correct the setting.
         remedy: &'static str,
     },
 }
--- a/crates/subset/src/size.rs
+++ b/crates/subset/src/size.rs
@@ -1,36 +1,36 @@
-//! Decides how many engines a gateway holds.
+//! Computes the number of engines that a gateway holds.
 
 use crate::settings::SubsetSettings;
 
-/// The least number of gateways that hold an engine on average. The probability that none holds it is then `exp(-24)`, and
-/// the engines of one gateway carry 24 times a gateway's mean traffic.
+/// Minimum average number of gateways that hold an engine. With 24, the probability that no gateway holds an engine is
+/// about `exp(-24)`, and the engines of one gateway together carry 24 times a gateway's mean traffic.
 pub const MIN_HOLDERS: f64 = 24.0;
 
-/// The subset's floor as a fraction of its size: below it engines join at once, untried.
+/// Floor of the subset as a fraction of its size. Below the floor, engines join immediately without a connection test.
 const FLOOR_FRACTION: f64 = 0.5;
 
-/// Why a subset has its size.
+/// The reason for the size of a subset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SizeReason {
-    /// It is the configured one.
+    /// The size is the configured one.
     Configured,
-    /// Fewer would leave engines with less than [`MIN_HOLDERS`] gateways.
+    /// With the configured size, fewer than [`MIN_HOLDERS`] gateways would hold an engine on average.
     MinHolders,
-    /// The list has no more engines.
+    /// The subset contains all ready engines of the list.
     WholeList,
 }
 
-/// How many engines a gateway holds while none fails, and why.
+/// The number of engines that a gateway holds while no member is unhealthy, and the reason for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectiveSize {
-    /// The number of engines.
+    /// Number of engines.
     pub size: usize,
-    /// Why it is this number.
+    /// The rule that determined `size`.
     pub reason: SizeReason,
 }
 
 impl EffectiveSize {
-    /// The size by the settings, for a list with this number of engines that take new work.
+    /// Computes the size for a list with `engines` ready engines.
     pub fn new(settings: &SubsetSettings, engines: usize) -> Self {
         let least = (MIN_HOLDERS * engines as f64 / settings.gateways).ceil() as usize;
         let size = settings.size.max(least);
@@ -52,13 +52,13 @@
         }
     }
 
-    /// The number of members under which a subset does not fall while the list has them.
+    /// Returns the minimum number of members that a subset keeps while the list has enough ready engines.
     pub fn floor(self) -> usize {
         floor_of(self.size)
     }
 }
 
-/// The floor of a subset, or of a placement class, of this size.
+/// Returns the floor of a subset or of a placement class of this size.
 pub(crate) fn floor_of(size: usize) -> usize {
     (size as f64 * FLOOR_FRACTION).ceil() as usize
 }
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -1,7 +1,8 @@
-//! One gateway's subset: it is told changes of the list and the outcomes of attempts, and answers with [`Action`]s.
+//! Maintains the subset of one gateway: takes changes of the list and outcomes of connections and attempts, and returns
+//! [`Action`]s.
 //!
-//! `target` chooses the engines to hold, `transition` moves the members towards that target, and `membership` adds and
-//! removes members and reports what changed of them.
+//! `target` chooses the engines to hold, `transition` moves the members towards this target, and `membership` adds and
+//! removes members and reports changes of their facts and numbers of holders.
 
 mod action;
 mod member;
@@ -25,34 +26,35 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the next poll has to work out again.
+/// The parts of the choice that the next poll must compute again. Each variant includes the ones before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Outdated {
     Nothing,
-    /// The engines to hold.
+    /// The engines to hold, from the present candidates.
     Target,
-    /// The candidates too: the list is to be read again.
+    /// The candidates, which requires a scan of the whole list.
     Candidates,
 }
 
-/// The engines that one gateway works with.
+/// The engines that one gateway uses.
 ///
-/// Call [`Subset::poll`] after every other call that takes `&mut self`, and by the time that [`Subset::wake`] returns. After
-/// [`Subset::attempt_ended`] that is needed only when [`Subset::wake`] returns a time that has come.
+/// Callers must call [`Subset::poll`] after every other call that takes `&mut self`, and no later than the time that
+/// [`Subset::wake`] returns. After [`Subset::attempt_ended`], a poll is needed only if [`Subset::wake`] returns a time
+/// that has been reached.
 ///
-/// Times are seconds on one clock that does not run backwards. All calls take the same catalog. A new subset fills itself
-/// from the catalog by its first poll, so a gateway that starts later needs no earlier changes.
+/// Times are seconds on one monotonic clock. All calls must pass the same catalog. The first poll fills the subset from
+/// the catalog, so a gateway that starts late does not need earlier changes.
 pub struct Subset {
     gateway: GatewayHash,
     settings: SubsetSettings,
-    /// Of the whole list first, then of each placement class.
+    /// The selection from the whole list, then one for each placement class.
     selections: Vec<Selection>,
     target: Target,
     outdated: Outdated,
-    /// The members are the target.
+    /// Whether the members equal the target.
     settled: bool,
     members: BTreeMap<EngineKey, Member>,
-    /// There are members whose facts changed.
+    /// Whether any member has `facts_changed` set.
     facts_changed: bool,
     join_queue: JoinQueue,
     health: MemberHealth,
@@ -63,11 +65,11 @@
 }
 
 impl Subset {
-    /// An empty subset of the gateway of this name. It fills by the first poll with a catalog that has engines.
+    /// Creates an empty subset for the gateway with this name. The first poll with a catalog that has engines fills it.
     ///
     /// # Errors
     ///
-    /// The name is empty, or no subset can be chosen by the settings.
+    /// Returns an error if the name is empty or [`SubsetSettings::validate`] rejects the settings.
     pub fn new(gateway: &str, settings: SubsetSettings) -> Result<Self, SubsetError> {
         if gateway.is_empty() {
             return Err(SubsetError::UnnamedGateway);
@@ -94,10 +96,10 @@
         })
     }
 
-    /// Applies changes of the catalog, which has them already.
+    /// Processes changes that [`Catalog::apply`] returned. `catalog` must already contain them.
     pub fn changed(&mut self, now: f64, catalog: &Catalog, changes: &[Change]) {
         self.last_call = now;
-        // To read the list once is cheaper than to take in a great part of it one by one.
+        // Scanning the list once is cheaper than processing many changes one by one.
         if changes.len() > self.candidates_wanted(catalog) {
             self.invalidate(Outdated::Candidates);
         }
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Whether the engine is, or was, in a domain whose engines of the whole list matter to the target.
+    /// Returns whether the engine is or was in a retry domain in which a companion was searched for among all listed
+    /// engines. The target may then depend on it even if it is no candidate.
     fn concerns_searched_domain(&self, change: &Change) -> bool {
         [change.before, change.after]
             .into_iter()
@@ -140,7 +143,7 @@
         self.settled = false;
     }
 
-    /// Records whether the connection that [`Action::Connect`] asked for was made.
+    /// Records the outcome of a connection that [`Action::Connect`] requested.
     pub fn connect_ended(&mut self, now: f64, engine: EngineKey, outcome: ConnectOutcome) {
         self.last_call = now;
         if self.join_queue.connect_ended(now, engine, outcome) {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Records what the end of an attempt says of its engine, where that is a member.
+    /// Records the outcome of an attempt at an engine. Outcomes of engines that are no members are ignored.
     pub fn attempt_ended(&mut self, now: f64, engine: EngineKey, outcome: EngineOutcome) {
         if self.members.contains_key(&engine) && self.health.record(now, engine, outcome) {
             self.last_call = now;
@@ -156,7 +159,7 @@
         }
     }
 
-    /// What is to be done by now.
+    /// Updates the subset and returns the actions that the caller must perform now.
     pub fn poll(&mut self, now: f64, catalog: &Catalog) -> Vec<Action> {
         self.last_call = now;
         let expired = self.join_queue.expire_connecting(now);
@@ -175,7 +178,7 @@
         std::mem::take(&mut self.pending_actions)
     }
 
-    /// When to poll next, if nothing changes until then.
+    /// Returns when to poll next if nothing is reported until then, or `None` if no poll is needed.
     pub fn wake(&self) -> Option<f64> {
         if self.outdated != Outdated::Nothing || !self.pending_actions.is_empty() {
             return Some(self.last_call);
@@ -186,23 +189,23 @@
             .into_iter()
             .chain(self.health.wake())
             .reduce(f64::min);
-        // A pace near 0 puts the next joining engine off for ever.
+        // With a very low pace, the time of the next join is infinite.
         wake.filter(|at| at.is_finite())
     }
 
-    /// The members, and about how many gateways hold each.
+    /// Iterates over the members with the estimated number of gateways that hold each.
     pub fn members(&self) -> impl Iterator<Item = (EngineKey, f64)> + '_ {
         self.members
             .iter()
             .map(|(engine, member)| (*engine, member.holders))
     }
 
-    /// How many engines the subset holds while no member fails, and why.
+    /// Returns the number of engines that the subset holds while no member is unhealthy, and the reason for the number.
     pub fn effective_size(&self, catalog: &Catalog) -> EffectiveSize {
         EffectiveSize::new(&self.settings, catalog.ready_count())
     }
 
-    /// The placement classes that no engine of the list can serve now.
+    /// Iterates over the placement classes that no ready engine of the list can serve.
     pub fn unserved_classes<'a>(
         &'a self,
         catalog: &'a Catalog,
@@ -213,17 +216,17 @@
             .filter(|class| catalog.ready().count_in_class(class) == 0)
     }
 
-    /// The number of engines that the subset holds beyond its size, as members fail.
+    /// Returns the number of engines that the subset currently holds beyond its size because of unhealthy members.
     pub fn widened_by(&self) -> usize {
         self.health.widened_by()
     }
 
-    /// The number of members that fail by the outcomes of the gateway's own attempts.
+    /// Returns the number of members that are unhealthy by the outcomes of the gateway's own attempts.
     pub fn unhealthy_members(&self) -> usize {
         self.health.unhealthy_members()
     }
 
-    /// The number of engines that could not be reached and are tried again.
+    /// Returns the number of engines that could not be reached and will be retried.
     pub fn unreached(&self) -> usize {
         self.join_queue.unreached_count()
     }
--- a/crates/subset/src/subset/action.rs
+++ b/crates/subset/src/subset/action.rs
@@ -1,26 +1,27 @@
-//! What a subset asks its caller to do.
+//! Defines the actions that a subset requests from its caller.
 
 use crate::engine::EngineKey;
 
-/// What the caller is to do about an engine.
+/// An action that the caller must perform for an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Make a connection, and report by [`Subset::connect_ended`](super::Subset::connect_ended) whether it was made. The engine takes no work yet.
+    /// Connect to the engine and report the outcome with [`Subset::connect_ended`](super::Subset::connect_ended). Do
+    /// not send queries to the engine yet.
     Connect(EngineKey),
-    /// The engine takes work from now on.
+    /// Start to send queries to the engine.
     Join {
         /// The new member.
         engine: EngineKey,
-        /// About how many gateways hold it: its capacity is shared by so many.
+        /// Estimated number of gateways that hold the engine and share its capacity, including this one; 1 or more.
         holders: f64,
     },
-    /// A member's facts or number of holders changed.
+    /// Update the facts and the number of holders of a member.
     Update {
         /// The member.
         engine: EngineKey,
-        /// About how many gateways hold it now.
+        /// Estimated number of gateways that hold the engine, including this one; 1 or more.
         holders: f64,
     },
-    /// Nothing new goes to the engine. It stays known until none of its attempts is in flight.
+    /// Send no new queries to the engine. Its attempts in flight continue.
     Leave(EngineKey),
 }
--- a/crates/subset/src/subset/membership.rs
+++ b/crates/subset/src/subset/membership.rs
@@ -1,4 +1,4 @@
-//! Adds and removes members, and reports what changed of them.
+//! Adds and removes members, and reports changes of their facts and numbers of holders.
 
 use super::member::Member;
 use super::{Action, Outdated, Subset};
@@ -6,8 +6,8 @@
 use crate::engine::{EngineFacts, EngineKey};
 use std::sync::Arc;
 
-/// A member's number of holders is reported again when it has changed by more than this fraction: each change of the list
-/// moves the numbers of all members a little.
+/// The number of holders of a member is reported again when it has changed by more than this fraction. Each change of
+/// the list changes the numbers of all members slightly, and reporting every change would update all members each time.
 const HOLDERS_UPDATE_FRACTION: f64 = 0.05;
 
 impl Subset {
@@ -25,7 +25,7 @@
         self.pending_actions.push(Action::Join { engine, holders });
     }
 
-    /// An engine of the list takes no new work any more.
+    /// Removes an engine that takes no new work any more, and allows one refill if the engine was a member.
     pub(super) fn leave_list(&mut self, engine: EngineKey) {
         self.join_queue.forget(engine);
         if self.remove_member(engine) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Removes a member; whether it was one.
+    /// Removes an engine from the members. Returns whether it was a member.
     pub(super) fn remove_member(&mut self, engine: EngineKey) -> bool {
         self.health.forget(self.last_call, engine);
         let was_member = self.members.remove(&engine).is_some();
@@ -44,7 +44,7 @@
         was_member
     }
 
-    /// Reports members whose facts or number of holders have changed.
+    /// Adds an [`Action::Update`] for each member whose facts or number of holders have changed.
     pub(super) fn refresh_holders(&mut self, catalog: &Catalog) {
         let table = catalog.holders(&self.parameters);
         let is_same_table = self
--- a/crates/subset/src/subset/target.rs
+++ b/crates/subset/src/subset/target.rs
@@ -1,4 +1,4 @@
-//! Chooses the engines that a subset is to hold.
+//! Chooses the engines that a subset should hold, its target.
 
 use super::{Outdated, Subset};
 use crate::catalog::Catalog;
@@ -10,7 +10,8 @@
 use std::collections::BTreeSet;
 
 impl Subset {
-    /// Works out which engines to hold.
+    /// Computes the target from the list. Engines that could not be reached are passed over unless the target would
+    /// then be below a floor.
     pub(super) fn select(&mut self, catalog: &Catalog) {
         self.remove_unready_members(catalog);
         self.refill_candidates(catalog);
@@ -23,7 +24,7 @@
         self.outdated = Outdated::Nothing;
     }
 
-    /// Removes the members that the list does not have as ready, also where the caller reported no change.
+    /// Removes the members that the list does not show as ready, even if the caller did not report the change.
     fn remove_unready_members(&mut self, catalog: &Catalog) {
         let scorer = self.scorer(catalog);
         let is_unready = |engine: &EngineKey| scorer.ready_facts(*engine).is_none();
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the engines that can be reached are too few for the subset or for a class.
+    /// Returns whether the target has fewer engines than the floor of the subset or of a class.
     fn target_under_floor(&self, catalog: &Catalog) -> bool {
         let engines = self.target.engines.iter();
         let facts: Vec<EngineFacts> = engines
@@ -47,13 +48,13 @@
             || self.settings.classes.iter().any(is_under_floor)
     }
 
-    /// The number of members of a class under which the subset does not fall while the list has them.
+    /// Returns the minimum number of members that the subset keeps of a class, if the list has enough ready engines.
     pub(super) fn floor_of_class(&self, catalog: &Catalog, class: &PlacementClass) -> usize {
         let available = catalog.ready().count_in_class(class);
         floor_of(self.settings.class_floor.min(available))
     }
 
-    /// Reads the list again for the selections that may lack candidates.
+    /// Scans the list again for the selections whose candidates are outdated or too few.
     fn refill_candidates(&mut self, catalog: &Catalog) {
         let scorer = Scorer {
             gateway: self.gateway,
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Updates the candidates; whether the engine is or was one.
+    /// Applies a change of an engine to the candidates. Returns whether the engine is or was a candidate.
     pub(super) fn update_candidates(&mut self, catalog: &Catalog, change: &Change) -> bool {
         let scorer = Scorer {
             gateway: self.gateway,
             settings: &self.settings,
             catalog,
         };
-        // The catalog may have a later state than this change.
+        // Reads the state from the catalog, which may already contain later changes of the engine.
         let current = scorer
             .ready_facts(change.engine)
             .zip(scorer.score(change.engine));
@@ -101,7 +102,7 @@
         target
     }
 
-    /// How many candidates the selection of the whole list should have.
+    /// Returns the number of candidates that the selection from the whole list should have.
     pub(super) fn candidates_wanted(&self, catalog: &Catalog) -> usize {
         candidates_wanted(&self.settings, &self.join_queue, catalog)
             .next()
@@ -109,7 +110,8 @@
     }
 }
 
-/// How many candidates each selection should have: what may be held, and as many as are passed over.
+/// Iterates over the numbers of candidates that the selections should have: the engines that may be held, and one more
+/// for each engine that is passed over. The whole list comes first, then the placement classes without end.
 fn candidates_wanted<'a>(
     settings: &'a SubsetSettings,
     join_queue: &JoinQueue,
--- a/crates/subset/src/subset/transition.rs
+++ b/crates/subset/src/subset/transition.rs
@@ -1,4 +1,4 @@
-//! Moves the members towards the target: which engines are connected to, join and leave.
+//! Moves the members towards the target: connects to missing engines, and lets engines join and leave.
 
 use super::{Action, Subset};
 use crate::catalog::Catalog;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 impl Subset {
-    /// Brings the members nearer to the target, as far as floor, reserve and pace allow.
+    /// Moves the members towards the target, as far as the floor, the reserve and the pace allow.
     pub(super) fn settle(&mut self, now: f64, catalog: &Catalog) {
         let missing = self.missing(catalog);
         let waiting = self.join(catalog, missing);
@@ -23,7 +23,7 @@
         self.settled = waiting.is_empty();
     }
 
-    /// The engines of the target that are no members yet, lowest score first.
+    /// Returns the engines of the target that are not members yet, lowest score first.
     fn missing(&self, catalog: &Catalog) -> Vec<EngineKey> {
         let scorer = self.scorer(catalog);
         let engines = self.target.engines.iter();
@@ -35,8 +35,8 @@
         missing.into_iter().map(|(_, engine)| engine).collect()
     }
 
-    /// Joins the engines that have been reached, and those without which the subset or a class is under its floor.
-    /// Returns the others.
+    /// Adds the missing engines that have been reached or that the subset or a class needs to stay at its floor.
+    /// Returns the other engines, which wait for a connection.
     fn join(&mut self, catalog: &Catalog, missing: Vec<EngineKey>) -> Vec<EngineKey> {
         let remaining = self.join_reached_and_urgent(catalog, missing);
         let subset_floor = self.effective_size(catalog).floor();
@@ -52,13 +52,13 @@
         waiting
     }
 
-    /// Joins the engines that have been reached, and those that a class under its floor needs. Returns the others.
+    /// Adds the missing engines that have been reached or that a class below its floor needs. Returns the others.
     fn join_reached_and_urgent(
         &mut self,
         catalog: &Catalog,
         missing: Vec<EngineKey>,
     ) -> Vec<(EngineKey, EngineFacts)> {
-        // A subset without members serves nobody, so its first members join untried.
+        // A subset without members can serve no query, so its first members join without a connection test.
         let is_first_fill = self.members.is_empty();
         let classes = self.settings.classes.clone();
         let mut shortage = self.class_shortage(catalog, &classes, |class| {
@@ -92,7 +92,7 @@
         ClassShortage::new(classes, &target, &members, needed)
     }
 
-    /// Has connections made to the engines that wait, as the pace allows.
+    /// Requests connections to the waiting engines, as far as the pace allows.
     fn connect(&mut self, now: f64, catalog: &Catalog, waiting: &[EngineKey]) {
         let classes = self.settings.classes.clone();
         let mut shortage = self.class_shortage(catalog, &classes, |_| self.settings.class_floor);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Has connections made again to engines that were not reached.
+    /// Requests connections to the unreached engines whose backoff has ended.
     pub(super) fn retry_unreached(&mut self, now: f64, catalog: &Catalog) {
         for engine in self.join_queue.start_retries(now) {
             match catalog.facts(engine) {
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Removes members that are not in the target: all of them once the target is complete, as all of it are members.
+    /// Removes members that are not in the target. All of them leave if `is_complete`, that is, once all engines of the
+    /// target are members; until then only the dispensable ones leave.
     fn remove_surplus(&mut self, catalog: &Catalog, is_complete: bool) {
         let surplus = self.surplus(catalog);
         let leaving = if is_complete {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// The members that are not in the target, highest score first.
+    /// Returns the members that are not in the target, highest score first.
     fn surplus(&self, catalog: &Catalog) -> Vec<EngineKey> {
         let scorer = self.scorer(catalog);
         let members = self.members.keys();
@@ -152,8 +153,9 @@
         surplus.into_iter().map(|(_, engine)| engine).collect()
     }
 
-    /// The surplus members that the subset can do without while engines of its target are missing: as many as have joined in
-    /// their stead, unless a class would fall under its floor or a member lose its only companion.
+    /// Returns the surplus members that may leave while engines of the target are missing: as many as the subset has
+    /// members beyond the size of the target. A member stays if a class would lack members without it, or if it is the
+    /// only companion of another member in its retry domain.
     fn dispensable(&self, catalog: &Catalog, surplus: &[EngineKey]) -> Vec<EngineKey> {
         let mut excess = self.members.len().saturating_sub(self.target.engines.len());
         let mut shortage = self.class_shortage(catalog, &self.settings.classes, |_| {
