--- a/crates/subset/src/catalog.rs
+++ b/crates/subset/src/catalog.rs
@@ -39,7 +39,7 @@
     /// and those that a full list does not contain.
     pub fn apply(&mut self, engines: &[ListedEngine], scope: UpdateScope) -> Vec<Change> {
         let mut changes = match scope {
-            UpdateScope::FullList => self.remove_unnamed(engines),
+            UpdateScope::FullList => self.remove_unlisted(engines),
             UpdateScope::ChangedEngines => Vec::new(),
         };
         changes.extend(
@@ -51,15 +51,15 @@
     }
 
     /// Removes the engines that a full list does not contain.
-    fn remove_unnamed(&mut self, engines: &[ListedEngine]) -> Vec<Change> {
+    fn remove_unlisted(&mut self, engines: &[ListedEngine]) -> Vec<Change> {
         let named: HashSet<&str> = engines
             .iter()
             .map(|listed| listed.engine_id.as_str())
             .collect();
-        let unnamed =
+        let unlisted =
             |(key, entry): (&EngineKey, &Entry)| (!named.contains(&*entry.id)).then_some(*key);
-        let unnamed: Vec<EngineKey> = self.entries.iter().filter_map(unnamed).collect();
-        unnamed
+        let unlisted: Vec<EngineKey> = self.entries.iter().filter_map(unlisted).collect();
+        unlisted
             .into_iter()
             .filter_map(|key| self.remove(key))
             .collect()
--- a/crates/subset/src/class_shortage.rs
+++ b/crates/subset/src/class_shortage.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns whether a class that this engine may serve lacks members.
-    pub fn concerns(&self, facts: &EngineFacts) -> bool {
+    pub fn applies_to(&self, facts: &EngineFacts) -> bool {
         self.lacking
             .iter()
             .any(|(class, lacking)| *lacking > 0 && class.admits_engine(facts))
--- a/crates/subset/src/holders/estimate.rs
+++ b/crates/subset/src/holders/estimate.rs
@@ -169,7 +169,7 @@
         let admitting = |model: &&(&SelectionModel, &Threshold)| model.0.admits(domain.zone, shape);
         let models: Vec<(&SelectionModel, &Threshold)> =
             self.models.iter().zip(thresholds).collect();
-        let threshold = highest(
+        let threshold = max_threshold_bound(
             models
                 .iter()
                 .filter(admitting)
@@ -226,7 +226,7 @@
 /// Returns an upper bound of the mean of the highest of several thresholds, for any distributions. The bound holds
 /// because the mean excess of one threshold over another is at most half the sum of the mean difference and the root
 /// mean square of the difference.
-fn highest(mut thresholds: impl Iterator<Item = Threshold>) -> f64 {
+fn max_threshold_bound(mut thresholds: impl Iterator<Item = Threshold>) -> f64 {
     let Some(first) = thresholds.next() else {
         return 0.0;
     };
--- a/crates/subset/src/selection.rs
+++ b/crates/subset/src/selection.rs
@@ -115,7 +115,7 @@
         self.candidates.falls_short(wanted)
     }
 
-    /// Adds the candidates with the lowest scores to the target, except those in `passed_over`. Adds `quota` engines
+    /// Adds the candidates with the lowest scores to the target, except those in `excluded`. Adds `quota` engines
     /// including companions, and one more if the last engine needs a companion.
     ///
     /// A companion is a second engine of the same retry domain, to which a query can be retried.
@@ -123,10 +123,10 @@
         &self,
         scorer: &Scorer,
         quota: usize,
-        passed_over: &BTreeSet<EngineKey>,
+        excluded: &BTreeSet<EngineKey>,
         target: &mut Target,
     ) {
-        let eligible = |engine: &EngineKey| !passed_over.contains(engine);
+        let eligible = |engine: &EngineKey| !excluded.contains(engine);
         let first: Vec<(EngineKey, Option<RetryDomain>)> = self
             .candidates
             .in_order()
@@ -148,7 +148,7 @@
             };
             let companion = companion.or_else(|| {
                 target.searched.insert(*domain);
-                self.companion(scorer, *engine, *domain, passed_over)
+                self.companion(scorer, *engine, *domain, excluded)
             });
             selected.extend(companion);
         }
@@ -162,10 +162,10 @@
         scorer: &Scorer,
         engine: EngineKey,
         domain: RetryDomain,
-        passed_over: &BTreeSet<EngineKey>,
+        excluded: &BTreeSet<EngineKey>,
     ) -> Option<EngineKey> {
         let others = scorer.catalog.ready().in_domain(domain);
-        let eligible = others.filter(|other| *other != engine && !passed_over.contains(other));
+        let eligible = others.filter(|other| *other != engine && !excluded.contains(other));
         let rank = |other: EngineKey| {
             let outside = !scorer
                 .ready_facts(other)
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -113,7 +113,7 @@
             .after
             .is_some_and(|facts| facts.state == ListedState::Ready);
         if !is_ready {
-            self.leave_list(change.engine);
+            self.remove_unready(change.engine);
         } else if let Some(member) = self.members.get_mut(&change.engine) {
             member.facts_changed = true;
             self.facts_changed = true;
@@ -123,14 +123,14 @@
         }
         let was_candidate = self.update_candidates(catalog, change);
         let size = self.effective_size(catalog).size + self.health.widened_by();
-        if was_candidate || size != self.parameters.size || self.concerns_searched_domain(change) {
+        if was_candidate || size != self.parameters.size || self.is_in_searched_domain(change) {
             self.invalidate(Outdated::Target);
         }
     }
 
     /// Returns whether the engine is or was in a retry domain in which a companion was searched for among all listed
     /// engines. The target may then depend on it even if it is no candidate.
-    fn concerns_searched_domain(&self, change: &Change) -> bool {
+    fn is_in_searched_domain(&self, change: &Change) -> bool {
         [change.before, change.after]
             .into_iter()
             .flatten()
--- a/crates/subset/src/subset/membership.rs
+++ b/crates/subset/src/subset/membership.rs
@@ -26,7 +26,7 @@
     }
 
     /// Removes an engine that takes no new work any more, and allows one refill if the engine was a member.
-    pub(super) fn leave_list(&mut self, engine: EngineKey) {
+    pub(super) fn remove_unready(&mut self, engine: EngineKey) {
         self.join_queue.forget(engine);
         if self.remove_member(engine) {
             self.join_queue.add_refill(self.settings.reserve);
--- a/crates/subset/src/subset/target.rs
+++ b/crates/subset/src/subset/target.rs
@@ -30,7 +30,7 @@
         let is_unready = |engine: &EngineKey| scorer.ready_facts(*engine).is_none();
         let unready: Vec<EngineKey> = self.members.keys().copied().filter(is_unready).collect();
         for engine in unready {
-            self.leave_list(engine);
+            self.remove_unready(engine);
         }
     }
 
@@ -81,23 +81,23 @@
             .ready_facts(change.engine)
             .zip(scorer.score(change.engine));
         let wanted = candidates_wanted(&self.settings, &self.join_queue, catalog);
-        let mut concerned = false;
+        let mut affected = false;
         for (selection, wanted) in self.selections.iter_mut().zip(wanted) {
-            concerned |= match current {
+            affected |= match current {
                 Some((facts, score)) => selection.offer(change.engine, &facts, score, wanted),
                 None => selection.withdraw(change.engine),
             };
         }
-        concerned
+        affected
     }
 
-    fn choose(&self, catalog: &Catalog, passed_over: &BTreeSet<EngineKey>) -> Target {
+    fn choose(&self, catalog: &Catalog, excluded: &BTreeSet<EngineKey>) -> Target {
         let scorer = self.scorer(catalog);
         let class_quotas = std::iter::repeat(self.settings.class_floor);
         let quotas = std::iter::once(self.parameters.size).chain(class_quotas);
         let mut target = Target::default();
         for (selection, quota) in self.selections.iter().zip(quotas) {
-            selection.select(&scorer, quota, passed_over, &mut target);
+            selection.select(&scorer, quota, excluded, &mut target);
         }
         target
     }
@@ -117,11 +117,11 @@
     join_queue: &JoinQueue,
     catalog: &Catalog,
 ) -> impl Iterator<Item = usize> + 'a {
-    let passed_over = join_queue.unreached_count();
+    let excluded = join_queue.unreached_count();
     let size = EffectiveSize::new(settings, catalog.ready_count()).size;
     let whole_list = size
         .saturating_add(settings.reserve)
-        .saturating_add(passed_over);
-    let class = settings.class_floor.saturating_add(passed_over);
+        .saturating_add(excluded);
+    let class = settings.class_floor.saturating_add(excluded);
     std::iter::once(whole_list).chain(std::iter::repeat(class))
 }
--- a/crates/subset/src/subset/transition.rs
+++ b/crates/subset/src/subset/transition.rs
@@ -70,7 +70,7 @@
                 continue;
             };
             let is_reached = self.join_queue.is_reached(engine);
-            if is_first_fill || is_reached || shortage.concerns(&facts) {
+            if is_first_fill || is_reached || shortage.applies_to(&facts) {
                 shortage.add(&facts);
                 self.add_member(engine, &facts);
             } else {
@@ -101,7 +101,7 @@
             let Some(facts) = catalog.facts(*engine) else {
                 continue;
             };
-            let is_urgent = shortage.concerns(&facts);
+            let is_urgent = shortage.applies_to(&facts);
             shortage.add(&facts);
             if self.join_queue.is_connecting(*engine) {
                 continue;
@@ -174,7 +174,7 @@
             let in_domain = domain.and_then(|domain| members_by_domain.get_mut(&domain));
             shortage.remove(&facts);
             let leaves_one_alone = in_domain.as_deref() == Some(&2);
-            if shortage.concerns(&facts) || leaves_one_alone {
+            if shortage.applies_to(&facts) || leaves_one_alone {
                 shortage.add(&facts);
                 continue;
             }
