--- a/crates/subset/examples/cost.rs
+++ b/crates/subset/examples/cost.rs
@@ -1,4 +1,5 @@
-//! Prints what a subset costs: a whole list, a changed entry, and the memory of many subsets of one catalog.
+//! Measures the costs of subsets: the time to process a full list and a changed entry, and the memory of many subsets
+//! that share one catalog.
 //!
 //! `cargo run --release -p garnetwall-subset --example cost`
 
@@ -43,8 +44,8 @@
     }
 }
 
-/// Time on a processor since the process began, which other processes' load does not lengthen; the wall's where the
-/// system does not tell it.
+/// Returns the processor time of this process in nanoseconds, which the load of other processes does not increase.
+/// Falls back to the time elapsed since `started_at` if the system does not report processor time.
 fn processor_nanoseconds(started_at: Instant) -> f64 {
     let run_time = std::fs::read_to_string("/proc/self/schedstat").ok();
     let run_time = run_time.and_then(|line| line.split_whitespace().next()?.parse().ok());
@@ -58,7 +59,7 @@
     (processor_nanoseconds(started_at) - before) / f64::from(times)
 }
 
-/// Resident memory in KiB, where the system tells it.
+/// Returns the resident memory of this process in KiB, or `None` if the system does not report it.
 fn resident_kib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     status
@@ -77,7 +78,10 @@
     let first = nanoseconds(FULL_LISTS, |_| {
         drop(Catalog::default().apply(&listed_engines, UpdateScope::FullList))
     });
-    println!("catalog: a first list of {ENGINES}: {:.0} us", first / 1e3);
+    println!(
+        "catalog: the first list of {ENGINES} engines: {:.0} us",
+        first / 1e3
+    );
     let mut catalog = Catalog::default();
     catalog.apply(&listed_engines, UpdateScope::FullList);
     let again = nanoseconds(FULL_LISTS, |_| {
@@ -107,7 +111,7 @@
         }
     });
     failed.map_or(Ok(()), Err)?;
-    println!("{what}: a first fill: {:.0} us", fill / 1e3);
+    println!("{what}: the first fill: {:.0} us", fill / 1e3);
     let mut subset = Subset::new("gateway-0", settings)?;
     subset.poll(0.0, catalog);
     let mut now = 0.0;
@@ -132,7 +136,7 @@
         }
     });
     println!(
-        "{what}: a changed line, catalog and poll included: {changed:.0} ns, {actions} actions"
+        "{what}: a changed entry, including catalog and poll: {changed:.0} ns, {actions} actions"
     );
     Ok(())
 }
@@ -157,7 +161,7 @@
             subsets.len(),
             grown as f64 / GATEWAYS as f64
         ),
-        None => println!("resident memory is not known here"),
+        None => println!("this system does not report resident memory"),
     }
     Ok(())
 }
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -1,4 +1,4 @@
-//! How a subset changes: pace, refill, widening, and gateways that do not act in step.
+//! Tests the changes of a subset over time: the pace, refills, widening for unhealthy members, and jitter.
 
 mod world;
 
@@ -12,7 +12,8 @@
     SETTLING_SECONDS,
 };
 
-/// Whether engines were connected to no faster than the pace, one at once allowed.
+/// Returns whether the connections at these times kept to the pace. One connection more than the pace allows is
+/// tolerated.
 fn within_pace(times: &[f64], joins_per_second: f64) -> bool {
     let interval_respected = |(index, start): (usize, &f64)| {
         let allowed = |end: &f64| 1.0 + joins_per_second * (end - start) + 1e-6;
@@ -24,7 +25,7 @@
     times.iter().enumerate().all(interval_respected)
 }
 
-/// When engines were connected to as a list doubled.
+/// Doubles the list of a settled subset and returns the times of the connections that follow.
 fn connect_times(injected: InjectedFault) -> Vec<f64> {
     let mut world = World::new(settings(40), injected);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
@@ -40,12 +41,13 @@
 #[test]
 fn engines_join_at_the_pace() {
     let times = connect_times(InjectedFault::None);
-    assert!(times.len() > 10, "{} engines", times.len());
+    assert!(times.len() > 10, "{} connections", times.len());
     assert!(within_pace(&times, 2.0));
     assert!(!within_pace(&connect_times(InjectedFault::TooFast), 2.0));
 }
 
-/// Gateways that connect to one new engine, by tenths of a second since it was listed.
+/// Lists one new engine at 300 gateways. Returns the distinct times, in tenths of a second since the listing, at which
+/// gateways connect to it.
 fn tenths(injected: InjectedFault) -> BTreeSet<i64> {
     let mut tenths = BTreeSet::new();
     for gateway in 0..300 {
@@ -122,14 +124,18 @@
         .filter(|listed| !members.contains(&listed.engine_id))
         .collect();
     world.apply(&left, UpdateScope::FullList);
-    assert_eq!(world.members.len(), 40, "all members gone: a first fill");
+    assert_eq!(
+        world.members.len(),
+        40,
+        "a subset without members is filled at once"
+    );
     let few: BTreeSet<String> = world.member_ids().into_iter().take(35).collect();
     let left: Vec<ListedEngine> = left
         .into_iter()
         .filter(|listed| !few.contains(&listed.engine_id))
         .collect();
     world.apply(&left, UpdateScope::FullList);
-    assert_eq!(world.members.len(), 20, "the floor");
+    assert_eq!(world.members.len(), 20, "filled up to the floor");
     assert_eq!(world.faults, BTreeSet::new());
 }
 
@@ -148,7 +154,11 @@
     assert!(world.members.len() >= 20);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     world.settle();
-    assert_eq!(world.member_ids(), members, "half and whole again");
+    assert_eq!(
+        world.member_ids(),
+        members,
+        "same members after a temporary half list"
+    );
     world.apply(&[], UpdateScope::FullList);
     assert_eq!(world.members.len(), 0);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
@@ -171,7 +181,7 @@
     assert_eq!(
         world.subset.widened_by(),
         0,
-        "three attempts are no evidence"
+        "three attempts are too few for a judgement"
     );
     world.attempts(failing[1], EngineOutcome::Healthy, 100);
     world.attempts(failing[1], EngineOutcome::Failed, 50);
@@ -186,7 +196,7 @@
     world.advance(5.0);
     assert_eq!(world.members.len(), 23);
     world.advance(24.0);
-    assert_eq!(world.members.len(), 23, "held down");
+    assert_eq!(world.members.len(), 23, "no narrowing while held down");
     let mut sizes = Vec::new();
     for _ in 0..20 {
         world.advance(1.0);
@@ -217,7 +227,7 @@
     let next = expected
         .difference(&members)
         .next()
-        .expect("a successor")
+        .expect("an engine that replaces the removed one")
         .clone();
     world.unreachable.insert(next.clone());
     world.advance(1.0);
@@ -226,11 +236,15 @@
     world.advance(300.0);
     assert!(
         (4..=16).contains(&world.connects_at.len()),
-        "{} tries, ever more seldom",
+        "{} connections, which the backoff must limit",
         world.connects_at.len()
     );
     world.settle();
-    assert_eq!(world.member_ids(), expected, "reached in the end");
+    assert_eq!(
+        world.member_ids(),
+        expected,
+        "the engine joins once it is reachable"
+    );
     assert_eq!(world.faults, BTreeSet::new());
 }
 
@@ -244,7 +258,8 @@
         InjectedFault::None,
     );
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
-    // With one engine of these the member with the highest score is displaced; while it fails there is a place for one.
+    // The id of the member that a new engine displaces from the target. That member has the highest score; while it is
+    // unhealthy, the subset is one engine larger.
     let displaces = |world: &World, new_engine: &ListedEngine| {
         let mut list = world.list.clone();
         list.insert(new_engine.engine_id.clone(), new_engine.facts);
@@ -256,7 +271,7 @@
         .filter(|listed| displaces(&world, listed).is_some())
         .take(2)
         .collect();
-    let last = displaces(&world, &new_engines[0]).expect("it displaces a member");
+    let last = displaces(&world, &new_engines[0]).expect("the engine displaces a member");
     let failing = world.catalog.key(&last).expect("listed");
     world.attempts(failing, EngineOutcome::Failed, 4);
     world.advance(5.0);
@@ -267,7 +282,8 @@
     assert_eq!(world.faults, BTreeSet::new());
 }
 
-/// The floor of a class is a fraction of what is listed of it, not of what was reached.
+/// The floor of a class is derived from its listed engines. If it were derived from the reached ones, a class with
+/// unreachable engines would fall below its floor.
 #[test]
 fn the_floor_of_a_class_counts_engines_that_could_not_be_reached() {
     let by_zone = PlacementClass {
@@ -324,7 +340,8 @@
     assert!(world.connects_at.len() > 10 && within_pace(&world.connects_at, 0.2));
 }
 
-/// Candidates are added, dropped and read again while a list grows and shrinks by single engines.
+/// Growing and shrinking a list by single engines makes a subset add and drop candidates and scan the list again. The
+/// members must agree with the reference model throughout.
 #[test]
 fn a_list_that_grows_and_shrinks_engine_by_engine() {
     for retry_scope in [RetryScope::Everywhere, RetryScope::Cell] {
@@ -384,7 +401,11 @@
     members[6..13]
         .iter()
         .for_each(|id| world.set_state(id, ListedState::Removed));
-    assert_eq!(world.members.len(), 9, "the floor of 17");
+    assert_eq!(
+        world.members.len(),
+        9,
+        "unreached engines join up to the floor for 17 engines"
+    );
     assert_eq!(world.faults, BTreeSet::new());
 }
 
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -1,4 +1,4 @@
-//! How many gateways hold an engine: the estimate against a count over a fleet of names.
+//! Compares the estimated number of gateways that hold an engine with the number in a fleet of 800 gateways.
 
 mod world;
 
@@ -13,9 +13,11 @@
 const ENGINES: u32 = 400;
 const ZONES: u32 = 5;
 
-/// How many gateways hold each engine, and the highest estimate among them.
+/// The holders of each engine in a fleet of gateways.
 struct Fleet {
+    /// Number of gateways that hold the engine.
     counted: BTreeMap<EngineKey, f64>,
+    /// Estimate of one of these gateways.
     estimated: BTreeMap<EngineKey, f64>,
 }
 
@@ -45,7 +47,7 @@
         subset.changed(1.0, &catalog, &changes);
         for action in subset.poll(1.0, &catalog) {
             let Action::Join { engine, holders } = action else {
-                panic!("{action:?} in a first fill")
+                panic!("unexpected {action:?} in the first poll")
             };
             let holders = if injected == InjectedFault::HoldersHalved {
                 holders / 2.0
@@ -59,7 +61,8 @@
     Fleet { counted, estimated }
 }
 
-/// The fraction of the engines held by more gateways than estimated, and the estimate over the count.
+/// Returns the fraction of the engines that more gateways hold than estimated, and the mean ratio of the estimate to
+/// the count.
 fn compare(fleet: &Fleet) -> (f64, f64) {
     let understated = fleet
         .counted
@@ -76,7 +79,7 @@
     )
 }
 
-/// Settings, and the zones of the list; 4 cells each.
+/// Returns test cases: a name, settings, and the number of zones in the list. Each zone has up to four cells.
 fn cases() -> Vec<(&'static str, SubsetSettings, u32)> {
     let plain = settings(25);
     let zone = PlacementClass {
@@ -122,7 +125,7 @@
     for (name, settings, zones) in cases() {
         let (understated, ratio) = compare(&fleet(&settings, zones, InjectedFault::None));
         println!(
-            "{name}: understated for {:.1}% of the engines, estimated {ratio:.2} of the count",
+            "{name}: estimate too low for {:.1}% of the engines, mean ratio of estimate to count {ratio:.2}",
             understated * 100.0
         );
         assert!(understated <= 0.05, "{name}: {understated}");
@@ -130,14 +133,14 @@
         let (understated, _) = compare(&fleet(&settings, zones, InjectedFault::HoldersHalved));
         assert!(
             understated > 0.5,
-            "{name}: halved holders must be found, {understated}"
+            "{name}: the comparison must detect halved holders, {understated}"
         );
     }
 }
 
 #[test]
 fn no_engine_is_without_holders_and_all_gateways_hold_a_short_list() {
-    // 12 engines each, and so 24 gateways an engine, by the floor.
+    // The effective size is 12, so that 24 gateways hold each engine on average.
     let fleet = fleet(&settings(1), ZONES, InjectedFault::None);
     assert_eq!(fleet.counted.len(), ENGINES as usize);
     let same_names = fleet_of(&settings(1), ZONES, InjectedFault::None, |gateway| {
@@ -145,10 +148,10 @@
     });
     assert!(
         same_names.counted.len() < ENGINES as usize,
-        "gateways of few names leave engines without holders"
+        "gateways that share 20 names leave engines without holders"
     );
     let least = fleet.counted.values().copied().fold(f64::MAX, f64::min);
-    println!("least gateways that hold an engine: {least}");
+    println!("minimum number of gateways that hold an engine: {least}");
     assert!(least >= 1.0);
 
     let mut catalog = Catalog::default();
@@ -161,7 +164,8 @@
         .all(|action| matches!(action, Action::Join { holders, .. } if *holders == 1_000.0)));
 }
 
-/// Work per core of each engine, by its cores, when every gateway spreads the same traffic over its subset by cores.
+/// Returns the work per core, relative to the mean, of engines with each number of cores. Every gateway chooses 25
+/// engines with these weights, and distributes the same amount of work over them in proportion to cores.
 fn work_per_core_by_cores(weight: impl Fn(&EngineFacts) -> f64) -> BTreeMap<u64, f64> {
     let engines = listed_engines(ENGINES, ZONES);
     let mut work: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
@@ -200,7 +204,7 @@
     let chosen = work_per_core_by_cores(|facts| settings(25).weight(facts));
     let weighted = work_per_core_by_cores(|facts| facts.cores);
     println!(
-        "work per core over the mean, by cores: {chosen:?}; if cores weighed in the choice: {weighted:?}"
+        "work per core relative to the mean, by cores: {chosen:?}; with weights proportional to cores: {weighted:?}"
     );
     assert!(is_even(&chosen) && !is_even(&weighted));
 }
@@ -210,7 +214,7 @@
     let mut world = world::World::new(settings(40), InjectedFault::None);
     world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
     let estimated = world.members.clone();
-    // More changes than a table stays fresh for, and fewer than are worth an update.
+    // Enough changes to make the table stale, but too few to change the numbers of holders by the update threshold.
     world.apply(
         &listed_engines(ENGINES + 8, ZONES),
         UpdateScope::ChangedEngines,
@@ -231,7 +235,7 @@
     assert_eq!(world.faults, Default::default());
 }
 
-/// The members of a new subset by id, with their estimated holders.
+/// Returns the members of a new subset by id, with their estimated numbers of holders.
 fn members_of_a_new_subset(catalog: &Catalog, settings: &SubsetSettings) -> BTreeMap<String, f64> {
     let mut subset = Subset::new("g", settings.clone()).expect("good settings");
     subset.poll(1.0, catalog);
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -1,4 +1,4 @@
-//! The subset against a slow plain model, over lists that change at random.
+//! Compares the subset with a slow reference model, over lists that change at random.
 
 mod world;
 
@@ -215,21 +215,22 @@
     }
 }
 
-/// Whether the loss of an engine moved at most the members that take its place, with their companions.
+/// Returns whether the loss of one engine changed no more members than necessary: the lost engine, its replacements,
+/// and the companions of both.
 fn moves_the_least(
     settings: &SubsetSettings,
     before: &BTreeSet<String>,
     after: &BTreeSet<String>,
 ) -> bool {
     let choices = 1 + settings.classes.len();
-    // Where companions are needed, its companion may leave with it, and the last of two that take their places may bring a
-    // companion of its own.
+    // If companions are needed, the companion of the lost engine may leave too. Two engines then replace them, and the
+    // second may bring a companion of its own.
     let (leaving, joining) = if settings.retry_scope == RetryScope::Everywhere {
         (1, 1)
     } else {
         (2, 3)
     };
-    // A size that follows the list may shrink by one.
+    // A size that depends on the length of the list may shrink by one.
     before.difference(after).count() <= 1 + choices * leaving
         && after.difference(before).count() <= choices * joining
 }
@@ -249,7 +250,7 @@
     ));
 }
 
-/// The faults that the checker finds in a run in which everything that it checks happens.
+/// Returns the faults that the checker finds in a run that exercises all of its checks, with a fault injected.
 fn faults_found_with(injected: InjectedFault) -> BTreeSet<String> {
     let by_zone = PlacementClass {
         zones: Some(vec![1]),
@@ -276,13 +277,16 @@
 #[test]
 fn the_checker_finds_each_injected_fault() {
     let injected_faults = [
-        (InjectedFault::KeepsUnready, "a member takes no new work"),
-        (InjectedFault::JoinsUntried, "joins untried over the floor"),
-        (InjectedFault::UnderFloor, "under the floor"),
-        (InjectedFault::UnderClassFloor, "a class under its floor"),
+        (InjectedFault::KeepsUnready, "a member is not ready"),
+        (
+            InjectedFault::JoinsUntried,
+            "an engine joins without a connection test above the floor",
+        ),
+        (InjectedFault::UnderFloor, "the subset is below its floor"),
+        (InjectedFault::UnderClassFloor, "a class is below its floor"),
         (
             InjectedFault::WrongEngine,
-            "settled members are not those of the plain model",
+            "settled members differ from the reference model",
         ),
     ];
     assert_eq!(faults_found_with(InjectedFault::None), BTreeSet::new());
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that no subset can be chosen by, and what the size follows from.
+//! Tests the validation of settings and the computation of the effective size.
 
 mod world;
 
@@ -12,7 +12,7 @@
     Subset::new("g", settings).err()
 }
 
-/// The place of the error, if its text has a cause and a remedy too.
+/// Returns the setting that the error names, or `None` if the text lacks a cause or a remedy.
 fn place(settings: SubsetSettings) -> Option<String> {
     let text = fault(settings)?.to_string();
     let (place, rest) = text.split_once(": ")?;
@@ -89,7 +89,7 @@
         ..settings(1)
     };
     let mut catalog = Catalog::default();
-    let mut subset = Subset::new("g", widest).expect("a subset of everything");
+    let mut subset = Subset::new("g", widest).expect("the settings are valid");
     let changes = catalog.apply(&listed_engines(50, 5), UpdateScope::FullList);
     subset.changed(1.0, &catalog, &changes);
     assert_eq!(subset.poll(1.0, &catalog).len(), 50);
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway's subset in simulated time, a slow plain model of what it should hold, and a checker of its actions.
+//! Simulates the subset of a gateway over time, checks its actions, and computes its expected members with a slow
+//! reference model.
 
 #![allow(dead_code)]
 
@@ -11,13 +12,14 @@
 
 pub const GATEWAY: &str = "gateway-7";
 
-/// Time after which nothing is pending: members are healthy again, and backoffs have passed.
+/// Time after which all members are healthy again, no backoff is running and no engine waits to join.
 pub const SETTLING_SECONDS: f64 = 600.0;
 
-/// A connection is made, or has failed, after this time.
+/// Time until the outcome of a connection is reported.
 const CONNECT_SECONDS: f64 = 0.01;
 
-/// Polls in one step of the simulated time; more mean that the subset wants to be polled for nothing.
+/// Maximum number of polls in one call of [`World::advance`]. More polls mean that the subset requests polls without
+/// end.
 const MAX_POLLS: usize = 20_000;
 
 pub fn settings(size: usize) -> SubsetSettings {
@@ -56,7 +58,7 @@
         .collect()
 }
 
-/// A deliberate fault between the subset and its checker.
+/// A fault that the simulation injects into the actions of the subset, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     None,
@@ -70,23 +72,31 @@
     HoldersHalved,
 }
 
+/// One gateway's subset with its catalog, in simulated time.
 pub struct World {
+    /// Seconds.
     pub now: f64,
     pub catalog: Catalog,
     pub subset: Subset,
     pub settings: SubsetSettings,
+    /// The listed engines by id, without removed ones.
     pub list: BTreeMap<String, EngineFacts>,
+    /// Ids of the engines to which connections fail.
     pub unreachable: BTreeSet<String>,
-    /// The members by the actions so far.
+    /// The members and their numbers of holders, according to the actions so far.
     pub members: BTreeMap<EngineKey, f64>,
+    /// Times of all connections that the subset requested.
     pub connects_at: Vec<f64>,
+    /// Engines for which the subset requested an update.
     pub updated: BTreeSet<EngineKey>,
-    /// The outcomes of connections are not reported.
+    /// Whether the outcomes of connections are dropped instead of reported.
     pub silent: bool,
+    /// Violations that the checks found.
     pub faults: BTreeSet<String>,
     injected: InjectedFault,
-    /// There were no members before the actions at hand.
+    /// Whether the present poll began without members.
     filling: bool,
+    /// Connections in progress, with the times at which their outcomes are reported.
     pending: Vec<(f64, EngineKey)>,
     reached: BTreeSet<EngineKey>,
 }
@@ -161,7 +171,7 @@
             self.deliver();
             self.poll();
         }
-        self.faults.insert("asks to be polled without end".into());
+        self.faults.insert("requests polls without end".into());
     }
 
     fn deliver(&mut self) {
@@ -212,7 +222,7 @@
                     .find(|(engine, ..)| !self.members.contains_key(engine));
                 let engine = other
                     .map(|(engine, ..)| engine)
-                    .expect("the list is longer than the subset");
+                    .expect("the list has an engine that is not a member");
                 self.members.insert(engine, holders);
             }
             (InjectedFault::TooFast, Action::Connect(_)) => {
@@ -245,7 +255,8 @@
                 let needed =
                     self.filling || self.members.len() < self.floor() || self.class_needs(engine);
                 if untried && !needed {
-                    self.faults.insert("joins untried over the floor".into());
+                    self.faults
+                        .insert("an engine joins without a connection test above the floor".into());
                 }
                 self.members.insert(engine, holders);
             }
@@ -253,13 +264,13 @@
                 Some(known) => *known = holders,
                 None => drop(
                     self.faults
-                        .insert("updates an engine that is no member".into()),
+                        .insert("an engine is updated that is not a member".into()),
                 ),
             },
             Action::Leave(engine) => {
                 if self.members.remove(&engine).is_none() {
                     self.faults
-                        .insert("an engine leaves that is no member".into());
+                        .insert("an engine leaves that is not a member".into());
                 }
             }
         }
@@ -329,10 +340,10 @@
                 .is_none_or(|id| !ready.contains(id))
         };
         if self.members.keys().any(unready) {
-            faults.push("a member takes no new work");
+            faults.push("a member is not ready");
         }
         if self.members.len() < self.floor().min(ready.len()) {
-            faults.push("under the floor");
+            faults.push("the subset is below its floor");
         }
         if self
             .settings
@@ -340,7 +351,7 @@
             .iter()
             .any(|class| self.class_under_floor(class))
         {
-            faults.push("a class under its floor");
+            faults.push("a class is below its floor");
         }
         if !self
             .members
@@ -354,7 +365,7 @@
             .iter()
             .map(|(engine, holders)| (*engine, *holders)))
         {
-            faults.push("the actions are not the members");
+            faults.push("the members differ from those according to the actions");
         }
         self.faults.extend(faults.into_iter().map(String::from));
     }
@@ -367,18 +378,19 @@
             .collect()
     }
 
-    /// Lets everything pending finish, and compares with the plain model.
+    /// Makes all engines reachable, waits until the subset is stable, and compares its members with the reference
+    /// model.
     pub fn settle(&mut self) {
         self.unreachable.clear();
         self.advance(SETTLING_SECONDS);
         if self.member_ids() != plain_target(GATEWAY, &self.settings, &self.list) {
             self.faults
-                .insert("settled members are not those of the plain model".into());
+                .insert("settled members differ from the reference model".into());
         }
     }
 }
 
-/// What a gateway should hold, worked out from the whole list.
+/// Computes the ids of the engines that a gateway should hold, from the whole list.
 pub fn plain_target(
     gateway: &str,
     settings: &SubsetSettings,
@@ -411,7 +423,8 @@
     target
 }
 
-/// The first engines of a class, as many as make the quota when each has a companion in its retry domain.
+/// Selects engines of a class, lowest score first, each with a companion in its retry domain, until the quota is
+/// reached.
 fn plain_choice(
     ready: &[(f64, &str, EngineFacts)],
     class: &PlacementClass,
