--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn engines_join_at_the_pace() {
+fn joins_do_not_exceed_the_configured_pace() {
     let times = connect_times(InjectedFault::None);
     assert!(times.len() > 10, "{} connections", times.len());
     assert!(within_pace(&times, 2.0));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn gateways_do_not_connect_to_a_new_engine_in_step() {
+fn jitter_spreads_the_connections_of_gateways_to_a_new_engine() {
     assert!(
         out_of_step(&tenths(InjectedFault::None)),
         "{:?}",
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_lost_zone_is_refilled_at_once_up_to_the_reserve_and_then_at_the_pace() {
+fn lost_zone_is_refilled_up_to_the_reserve_immediately_and_then_at_the_pace() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 4,
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn under_the_floor_engines_join_at_once() {
+fn engines_join_immediately_below_the_floor() {
     let mut world = World::new(settings(40), InjectedFault::None);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     let members = world.member_ids();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn late_empty_half_and_repeated_lists() {
+fn members_follow_late_empty_partial_and_repeated_lists() {
     let mut world = World::new(settings(40), InjectedFault::None);
     world.apply(&[], UpdateScope::FullList);
     assert_eq!(world.members.len(), 0);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn failing_members_widen_the_subset_and_narrowing_is_slow() {
+fn unhealthy_members_widen_the_subset_which_then_narrows_slowly() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 3,
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn an_unreached_engine_is_replaced_and_retried() {
+fn unreached_engine_is_replaced_and_retried() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(100, 5), UpdateScope::FullList);
     world.advance(10.0);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn the_subset_narrows_also_when_a_failing_member_was_displaced() {
+fn subset_narrows_after_an_unhealthy_member_was_displaced() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 3,
@@ -285,7 +285,7 @@
 /// The floor of a class is derived from its listed engines. If it were derived from the reached ones, a class with
 /// unreachable engines would fall below its floor.
 #[test]
-fn the_floor_of_a_class_counts_engines_that_could_not_be_reached() {
+fn floor_of_a_class_counts_unreached_engines() {
     let by_zone = PlacementClass {
         zones: Some(vec![0, 3]),
         kinds: None,
@@ -343,7 +343,7 @@
 /// Growing and shrinking a list by single engines makes a subset add and drop candidates and scan the list again. The
 /// members must agree with the reference model throughout.
 #[test]
-fn a_list_that_grows_and_shrinks_engine_by_engine() {
+fn members_follow_a_list_that_grows_and_shrinks_by_single_engines() {
     for retry_scope in [RetryScope::Everywhere, RetryScope::Cell] {
         let mut world = World::new(
             SubsetSettings {
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn unreached_engines_serve_when_no_others_are_left() {
+fn unreached_engines_join_when_no_others_are_left() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 10,
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn a_connection_without_a_result_counts_as_not_reached() {
+fn connection_without_an_outcome_counts_as_not_reached() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(100, 5), UpdateScope::FullList);
     world.silent = true;
@@ -423,7 +423,7 @@
 }
 
 #[test]
-fn a_class_under_its_quota_is_refilled_without_waiting_for_the_pace() {
+fn class_below_its_quota_is_refilled_without_waiting_for_the_pace() {
     let class = PlacementClass {
         zones: Some(vec![1]),
         kinds: None,
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn a_member_whose_facts_changed_is_updated_and_a_new_kind_is_counted() {
+fn member_with_changed_facts_is_updated() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(400, 5), UpdateScope::FullList);
     let (engine, holders) = world
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn estimated_holders_cover_the_count_and_waste_little() {
+fn estimated_holders_are_rarely_too_low_and_not_far_too_high() {
     for (name, settings, zones) in cases() {
         let (understated, ratio) = compare(&fleet(&settings, zones, InjectedFault::None));
         println!(
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn no_engine_is_without_holders_and_all_gateways_hold_a_short_list() {
+fn every_engine_has_holders_and_all_gateways_hold_a_short_list() {
     // The effective size is 12, so that 24 gateways hold each engine on average.
     let fleet = fleet(&settings(1), ZONES, InjectedFault::None);
     assert_eq!(fleet.counted.len(), ENGINES as usize);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn work_per_core_is_even_over_kinds() {
+fn work_per_core_does_not_depend_on_cores() {
     let chosen = work_per_core_by_cores(|facts| settings(25).weight(facts));
     let weighted = work_per_core_by_cores(|facts| facts.cores);
     println!(
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_changed_engine_does_not_update_all_members() {
+fn few_changes_do_not_update_all_members() {
     let mut world = world::World::new(settings(40), InjectedFault::None);
     world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
     let estimated = world.members.clone();
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_list_applied_engine_by_engine_is_the_same_list() {
+fn list_applied_by_single_engines_gives_the_same_subset() {
     let mut one_by_one = Catalog::default();
     for listed in listed_engines(ENGINES, ZONES).into_iter().rev() {
         let elsewhere = EngineFacts {
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn odd_cores_and_repeated_engines_are_tolerated() {
+fn invalid_cores_and_repeated_engines_are_tolerated() {
     let mut odd = listed_engines(60, ZONES);
     let cores = [
         f64::NAN,
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -189,7 +189,7 @@
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn converges_to_the_plain_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
+    fn subset_converges_to_the_reference_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
         let mut world = World::new(settings, InjectedFault::None);
         for step in &steps {
             play(&mut world, step);
@@ -200,7 +200,7 @@
     }
 
     #[test]
-    fn one_engine_moves_the_least(settings in any_settings(), engine in 0..ENGINES) {
+    fn loss_of_one_engine_changes_few_members(settings in any_settings(), engine in 0..ENGINES) {
         let mut world = World::new(settings.clone(), InjectedFault::None);
         world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
         let whole = world.member_ids();
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_random_selection_moves_too_much() {
+fn check_of_changed_members_rejects_an_independent_selection() {
     let settings = settings(20);
     let list = listed_engines(ENGINES, ZONES)
         .into_iter()
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn the_checker_finds_each_injected_fault() {
+fn checker_finds_each_injected_fault() {
     let injected_faults = [
         (InjectedFault::KeepsUnready, "a member is not ready"),
         (
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_error_has_place_cause_and_remedy() {
+fn errors_name_the_setting_the_cause_and_the_remedy() {
     let good = settings(8);
     assert_eq!(fault(good.clone()), None);
     assert_eq!(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_size_follows_from_settings_gateways_and_list() {
+fn effective_size_depends_on_settings_gateways_and_list() {
     let size = |size: usize, gateways: f64, engines: u32| {
         let mut catalog = Catalog::default();
         catalog.apply(&listed_engines(engines, 5), UpdateScope::FullList);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_class_that_no_engine_can_serve_is_visible() {
+fn unserved_classes_are_reported() {
     let nowhere = PlacementClass {
         zones: Some(vec![7]),
         kinds: None,
