--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeSet;
 use world::{
-    listed_engine, listed_engines, plain_target, settings, InjectedFault, World, GATEWAY,
+    listed_engine, listed_engines, reference_target, settings, InjectedFault, World, GATEWAY,
     SETTLING_SECONDS,
 };
 
@@ -43,12 +43,15 @@
     let times = connect_times(InjectedFault::None);
     assert!(times.len() > 10, "{} connections", times.len());
     assert!(within_pace(&times, 2.0));
-    assert!(!within_pace(&connect_times(InjectedFault::TooFast), 2.0));
+    assert!(!within_pace(
+        &connect_times(InjectedFault::ConnectsTwice),
+        2.0
+    ));
 }
 
 /// Lists one new engine at 300 gateways. Returns the distinct times, in tenths of a second since the listing, at which
 /// gateways connect to it.
-fn tenths(injected: InjectedFault) -> BTreeSet<i64> {
+fn connect_tenths(injected: InjectedFault) -> BTreeSet<i64> {
     let mut tenths = BTreeSet::new();
     for gateway in 0..300 {
         let mut world = World::named(&format!("gateway-{gateway}"), settings(8), injected);
@@ -58,7 +61,7 @@
         world.apply(&[listed_engine(30, 5)], UpdateScope::ChangedEngines);
         world.advance(10.0);
         let at = world.connects_at.first().copied();
-        let at = if injected == InjectedFault::InStep {
+        let at = if injected == InjectedFault::Synchronized {
             at.and(Some(listed))
         } else {
             at
@@ -68,18 +71,20 @@
     tenths
 }
 
-fn out_of_step(tenths: &BTreeSet<i64>) -> bool {
+fn are_spread_out(tenths: &BTreeSet<i64>) -> bool {
     tenths.len() >= 15 && tenths.iter().all(|tenth| *tenth <= 20)
 }
 
 #[test]
 fn jitter_spreads_the_connections_of_gateways_to_a_new_engine() {
     assert!(
-        out_of_step(&tenths(InjectedFault::None)),
+        are_spread_out(&connect_tenths(InjectedFault::None)),
         "{:?}",
-        tenths(InjectedFault::None)
+        connect_tenths(InjectedFault::None)
     );
-    assert!(!out_of_step(&tenths(InjectedFault::InStep)));
+    assert!(!are_spread_out(&connect_tenths(
+        InjectedFault::Synchronized
+    )));
 }
 
 #[test]
@@ -109,7 +114,7 @@
     world.advance(40.0);
     assert_eq!(
         world.member_ids(),
-        plain_target(GATEWAY, &world.settings, &world.list)
+        reference_target(GATEWAY, &world.settings, &world.list)
     );
     assert_eq!(world.faults, BTreeSet::new());
 }
@@ -223,7 +228,7 @@
     let members = world.member_ids();
     let removed = members.first().expect("members").clone();
     world.set_state(&removed, ListedState::Removed);
-    let expected = plain_target(GATEWAY, &world.settings, &world.list);
+    let expected = reference_target(GATEWAY, &world.settings, &world.list);
     let next = expected
         .difference(&members)
         .next()
@@ -263,7 +268,7 @@
     let displaces = |world: &World, new_engine: &ListedEngine| {
         let mut list = world.list.clone();
         list.insert(new_engine.engine_id.clone(), new_engine.facts);
-        let target = plain_target(GATEWAY, &world.settings, &list);
+        let target = reference_target(GATEWAY, &world.settings, &list);
         world.member_ids().difference(&target).next().cloned()
     };
     let new_engines: Vec<ListedEngine> = (200..400)
@@ -413,7 +418,7 @@
 fn connection_without_an_outcome_counts_as_not_reached() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(100, 5), UpdateScope::FullList);
-    world.silent = true;
+    world.drops_outcomes = true;
     let removed = world.member_ids().first().cloned().expect("members");
     world.set_state(&removed, ListedState::Removed);
     world.advance(9.0);
@@ -454,7 +459,7 @@
 }
 
 #[test]
-fn member_with_changed_facts_is_updated() {
+fn member_with_changed_facts_is_updated_and_a_new_shape_is_counted() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(400, 5), UpdateScope::FullList);
     let (engine, holders) = world
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -81,7 +81,7 @@
 
 /// Returns test cases: a name, settings, and the number of zones in the list. Each zone has up to four cells.
 fn cases() -> Vec<(&'static str, SubsetSettings, u32)> {
-    let plain = settings(25);
+    let base = settings(25);
     let zone = PlacementClass {
         zones: Some(vec![1]),
         kinds: None,
@@ -93,16 +93,16 @@
     let classes = SubsetSettings {
         class_floor: 8,
         classes: vec![zone, kind],
-        ..plain.clone()
+        ..base.clone()
     };
     let near = SubsetSettings {
         zone: Some(0),
         near_weight: 4.0,
-        ..plain.clone()
+        ..base.clone()
     };
     let cells = SubsetSettings {
         retry_scope: RetryScope::Cell,
-        ..plain.clone()
+        ..base.clone()
     };
     let all = SubsetSettings {
         retry_scope: RetryScope::Cell,
@@ -111,7 +111,7 @@
         ..classes.clone()
     };
     vec![
-        ("plain", plain, ZONES),
+        ("plain", base, ZONES),
         ("classes", classes, ZONES),
         ("near zone", near, ZONES),
         ("cells", cells.clone(), ZONES),
@@ -267,13 +267,13 @@
             UpdateScope::ChangedEngines,
         );
     }
-    let gone = EngineFacts {
+    let removed = EngineFacts {
         state: ListedState::Removed,
         ..listed_engines(1, ZONES)[0].facts
     };
     let drains = EngineFacts {
         state: ListedState::Draining,
-        ..gone
+        ..removed
     };
     one_by_one.apply(
         &[ListedEngine {
@@ -285,7 +285,7 @@
     one_by_one.apply(
         &[ListedEngine {
             engine_id: "engine-3".into(),
-            facts: gone,
+            facts: removed,
         }],
         UpdateScope::ChangedEngines,
     );
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -8,7 +8,9 @@
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
-use world::{listed_engine, listed_engines, plain_target, settings, InjectedFault, World, GATEWAY};
+use world::{
+    listed_engine, listed_engines, reference_target, settings, InjectedFault, World, GATEWAY,
+};
 
 const ZONES: u32 = 5;
 const ENGINES: u32 = 120;
@@ -89,7 +91,7 @@
                     zones: Some(vec![2]),
                     kinds: Some(vec![1]),
                 };
-                let nowhere = PlacementClass {
+                let unserved = PlacementClass {
                     zones: None,
                     kinds: Some(vec![9]),
                 };
@@ -101,7 +103,7 @@
                     near_weight: 4.0,
                     gateways,
                     classes: if classes {
-                        vec![by_zone, by_kind, nowhere]
+                        vec![by_zone, by_kind, unserved]
                     } else {
                         Vec::new()
                     },
@@ -112,7 +114,7 @@
         )
 }
 
-fn play(world: &mut World, step: &Step) {
+fn apply_step(world: &mut World, step: &Step) {
     match *step {
         Step::Apply {
             first,
@@ -153,14 +155,14 @@
         ),
         Step::LoseZone(zone) => {
             let lost = world.list.iter().filter(|(_, facts)| facts.zone == zone);
-            let gone = |facts: &EngineFacts| EngineFacts {
+            let removed = |facts: &EngineFacts| EngineFacts {
                 state: ListedState::Removed,
                 ..*facts
             };
             let lost: Vec<ListedEngine> = lost
                 .map(|(id, facts)| ListedEngine {
                     engine_id: id.clone(),
-                    facts: gone(facts),
+                    facts: removed(facts),
                 })
                 .collect();
             world.apply(&lost, UpdateScope::ChangedEngines);
@@ -192,7 +194,7 @@
     fn subset_converges_to_the_reference_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
         let mut world = World::new(settings, InjectedFault::None);
         for step in &steps {
-            play(&mut world, step);
+            apply_step(&mut world, step);
             prop_assert_eq!(&world.faults, &BTreeSet::new(), "after {:?}", step);
         }
         world.settle();
@@ -207,7 +209,7 @@
         world.set_state(&listed_engine(engine, ZONES).engine_id, ListedState::Removed);
         world.settle();
         let without = world.member_ids();
-        prop_assert!(moves_the_least(&settings, &whole, &without));
+        prop_assert!(changes_few_members(&settings, &whole, &without));
         world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
         world.settle();
         prop_assert_eq!(&world.member_ids(), &whole);
@@ -217,7 +219,7 @@
 
 /// Returns whether the loss of one engine changed no more members than necessary: the lost engine, its replacements,
 /// and the companions of both.
-fn moves_the_least(
+fn changes_few_members(
     settings: &SubsetSettings,
     before: &BTreeSet<String>,
     after: &BTreeSet<String>,
@@ -242,11 +244,11 @@
         .into_iter()
         .map(|listed| (listed.engine_id, listed.facts))
         .collect();
-    let before = plain_target(GATEWAY, &settings, &list);
-    assert!(!moves_the_least(
+    let before = reference_target(GATEWAY, &settings, &list);
+    assert!(!changes_few_members(
         &settings,
         &before,
-        &plain_target("drawn anew", &settings, &list)
+        &reference_target("drawn anew", &settings, &list)
     ));
 }
 
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -120,15 +120,15 @@
 
 #[test]
 fn unserved_classes_are_reported() {
-    let nowhere = PlacementClass {
+    let unserved = PlacementClass {
         zones: Some(vec![7]),
         kinds: None,
     };
-    let somewhere = PlacementClass {
+    let served = PlacementClass {
         zones: Some(vec![1]),
         kinds: None,
     };
-    let classes = vec![somewhere, nowhere.clone()];
+    let classes = vec![served, unserved.clone()];
     let subset = Subset::new(
         "g",
         SubsetSettings {
@@ -142,6 +142,6 @@
     catalog.apply(&listed_engines(40, 5), UpdateScope::FullList);
     assert_eq!(
         subset.unserved_classes(&catalog).collect::<Vec<_>>(),
-        [&nowhere]
+        [&unserved]
     );
 }
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -67,8 +67,8 @@
     UnderFloor,
     UnderClassFloor,
     WrongEngine,
-    TooFast,
-    InStep,
+    ConnectsTwice,
+    Synchronized,
     HoldersHalved,
 }
 
@@ -90,7 +90,7 @@
     /// Engines for which the subset requested an update.
     pub updated: BTreeSet<EngineKey>,
     /// Whether the outcomes of connections are dropped instead of reported.
-    pub silent: bool,
+    pub drops_outcomes: bool,
     /// Violations that the checks found.
     pub faults: BTreeSet<String>,
     injected: InjectedFault,
@@ -117,7 +117,7 @@
             members: BTreeMap::new(),
             connects_at: Vec::new(),
             updated: BTreeSet::new(),
-            silent: false,
+            drops_outcomes: false,
             faults: BTreeSet::new(),
             injected,
             filling: false,
@@ -178,7 +178,7 @@
         let due = |(at, _): &(f64, EngineKey)| *at <= self.now;
         let (due, later): (Vec<_>, Vec<_>) = self.pending.iter().copied().partition(due);
         self.pending = later;
-        for (_, engine) in due.into_iter().filter(|_| !self.silent) {
+        for (_, engine) in due.into_iter().filter(|_| !self.drops_outcomes) {
             let reached = self
                 .catalog
                 .id(engine)
@@ -199,12 +199,12 @@
         let actions = self.subset.poll(self.now, &self.catalog);
         self.filling = false;
         for action in actions {
-            self.inject(action);
+            self.perform_with_fault(action);
         }
         self.check();
     }
 
-    fn inject(&mut self, action: Action) {
+    fn perform_with_fault(&mut self, action: Action) {
         match (self.injected, action) {
             (InjectedFault::KeepsUnready, Action::Leave(_)) => {}
             (InjectedFault::JoinsUntried, Action::Connect(engine)) => self.perform(Action::Join {
@@ -214,7 +214,7 @@
             (InjectedFault::UnderFloor, Action::Join { .. })
                 if self.members.len() >= self.floor().max(1) - 1 => {}
             (InjectedFault::UnderClassFloor, Action::Join { engine, .. })
-                if self.of_a_class(engine) => {}
+                if self.may_serve_a_class(engine) => {}
             (InjectedFault::WrongEngine, Action::Join { holders, .. }) => {
                 let other = self
                     .catalog
@@ -225,7 +225,7 @@
                     .expect("the list has an engine that is not a member");
                 self.members.insert(engine, holders);
             }
-            (InjectedFault::TooFast, Action::Connect(_)) => {
+            (InjectedFault::ConnectsTwice, Action::Connect(_)) => {
                 self.perform(action);
                 self.perform(action);
             }
@@ -316,7 +316,7 @@
         members < ready.min(self.settings.class_floor).div_ceil(2)
     }
 
-    fn of_a_class(&self, engine: EngineKey) -> bool {
+    fn may_serve_a_class(&self, engine: EngineKey) -> bool {
         let facts = self.catalog.facts(engine).expect("joins are in the list");
         self.settings
             .classes
@@ -383,7 +383,7 @@
     pub fn settle(&mut self) {
         self.unreachable.clear();
         self.advance(SETTLING_SECONDS);
-        if self.member_ids() != plain_target(GATEWAY, &self.settings, &self.list) {
+        if self.member_ids() != reference_target(GATEWAY, &self.settings, &self.list) {
             self.faults
                 .insert("settled members differ from the reference model".into());
         }
@@ -391,7 +391,7 @@
 }
 
 /// Computes the ids of the engines that a gateway should hold, from the whole list.
-pub fn plain_target(
+pub fn reference_target(
     gateway: &str,
     settings: &SubsetSettings,
     list: &BTreeMap<String, EngineFacts>,
@@ -411,9 +411,9 @@
     ready.sort_by(|a, b| a.0.total_cmp(&b.0));
     let size = EffectiveSize::new(settings, ready.len()).size;
     let everything = PlacementClass::default();
-    let mut target = plain_choice(&ready, &everything, size, settings.retry_scope);
+    let mut target = reference_choice(&ready, &everything, size, settings.retry_scope);
     for class in &settings.classes {
-        target.extend(plain_choice(
+        target.extend(reference_choice(
             &ready,
             class,
             settings.class_floor,
@@ -425,7 +425,7 @@
 
 /// Selects engines of a class, lowest score first, each with a companion in its retry domain, until the quota is
 /// reached.
-fn plain_choice(
+fn reference_choice(
     ready: &[(f64, &str, EngineFacts)],
     class: &PlacementClass,
     quota: usize,
