--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -327,7 +327,7 @@
         (
             "settings.categories.1.name",
             json!("report"),
-            "'report' is there twice",
+            "'report' is used more than once",
         ),
         ("settings.categories.0.give-up", json!(0), "not more than 0"),
         ("settings.categories.0.give-up", json!(-1), "less than 0"),
@@ -377,7 +377,7 @@
         (
             "settings.tenants.1.name",
             json!("acme"),
-            "'acme' is there twice",
+            "'acme' is used more than once",
         ),
         ("settings.allowed", json!("all"), "an object expected"),
         ("settings.allowed.dial-timeout", json!(0), "not more than 0"),
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes settings key by key. The module doc of the package lists the keys and their fields.
+//! Decodes settings key by key. The documentation of the package lists the keys and their fields.
 
 use crate::error::{SettingsError, SettingsErrorCause};
 use crate::flat::{place_of, FlatSettings};
@@ -7,19 +7,20 @@
     DeduplicationScope, Idempotency, LoadReporting, QueryClass, RetryBudget, Settings, SlowStart,
 };
 
-/// The timeouts where the settings name none, in seconds.
+/// Timeouts that are used if the settings have none.
 const DEFAULT_TIMEOUTS: NetworkTimeouts = NetworkTimeouts {
     connect_timeout: 0.25,
     idle_timeout: 15.0,
 };
-/// The threads that a query of a class uses where the settings name no possible number.
+/// Threads that a query uses if the settings have no valid number for its class.
 const DEFAULT_THREADS: f64 = 1.0;
 
-/// Decodes settings. Each key is decoded by itself; [`PlatformSettings::validate`] checks that they fit together.
+/// Decodes settings. Each key is decoded separately; [`PlatformSettings::validate`] checks that the values are
+/// consistent.
 ///
 /// # Errors
 ///
-/// A value can't be read as what its key holds.
+/// Returns an error if a value cannot be decoded as the type of its key.
 pub fn decode(flat: &FlatSettings) -> Result<PlatformSettings, SettingsError> {
     let names = decode_names(flat)?;
     let classes = (0..flat.item_count("categories")?)
@@ -114,14 +115,14 @@
     })
 }
 
-/// Decodes the query class of an index, with what `domain` lists for each class.
+/// Decodes the query class with this index, including its items in the lists of `domain`.
 fn decode_class(
     flat: &FlatSettings,
     index: usize,
     names: &Names,
 ) -> Result<QueryClass, SettingsError> {
     let path = |key: &str| format!("categories.{index}.{key}");
-    // Items other than `true` count as false, also 1.
+    // Items other than `true` count as false, including `1`.
     let is_listed_true = |list: &str| flat.list_item(list, index) == Some("true");
     let idempotency = decode_idempotency(flat, index)?;
     let deadline = flat.seconds_or(&path("give-up"), 0.0)?;
@@ -151,7 +152,7 @@
         Some(other) => SettingsErrorCause::Unknown(other.into()),
         None => SettingsErrorCause::Missing,
     };
-    let remedy = "write retryable, dedup or fragile";
+    let remedy = "set retryable, dedup or fragile";
     Err(SettingsError::new(place_of(&semantics), cause, remedy))
 }
 
@@ -168,7 +169,8 @@
     Ok(Idempotency::IdempotentByKey { scope, window })
 }
 
-/// The threads that a query of a class uses, as far as they are a number from 1.
+/// Returns the number of threads that a query of a class uses, or [`DEFAULT_THREADS`] if the settings have no number of
+/// at least 1.
 fn decode_threads(flat: &FlatSettings, class: usize) -> f64 {
     flat.list_item("domain.parallelism", class)
         .and_then(|word| word.parse::<f64>().ok())
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,24 +1,25 @@
-//! Why a key can't be used, as one line: its place, the cause, and what to do.
+//! Defines the errors of settings. Each is shown as one line with the path of the key, the cause, and how to correct
+//! it.
 
 use serde_json::Value;
 use thiserror::Error;
 
-/// The longest text of a value that a message repeats, in characters.
+/// Maximum number of characters of a value that an error message repeats.
 const MAX_VALUE_CHARACTERS: usize = 60;
 
-/// A key whose value can't be used.
+/// An error in the value of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{place}: {cause}; {remedy}")]
 pub struct SettingsError {
-    /// The path of the key, as `settings.categories.0.give-up`.
+    /// Path of the key, such as `settings.categories.0.give-up`.
     pub place: String,
-    /// What is wrong with its value.
+    /// The problem with the value of the key.
     pub cause: SettingsErrorCause,
-    /// What to do.
+    /// Instruction how to correct the value.
     pub remedy: String,
 }
 
-/// What is wrong with the value of a key.
+/// The problem with the value of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsErrorCause {
     /// The key is absent.
@@ -27,35 +28,35 @@
     /// The value has no items or characters.
     #[error("empty")]
     Empty,
-    /// The value has another type than the key.
+    /// The type of the value is not the type of the key.
     #[error("{expected} expected, not {found}")]
     WrongType {
-        /// The type of the key, with its article.
+        /// Type of the key as a noun with its article, such as `a number`.
         expected: &'static str,
-        /// The value, abbreviated.
+        /// The value as JSON, abbreviated.
         found: String,
     },
-    /// The number is beyond the range of the key.
+    /// The number is out of the range of the key.
     #[error("{found} is {violation}")]
     OutOfRange {
-        /// The value, abbreviated.
+        /// The value as JSON, abbreviated.
         found: String,
-        /// The bound that it passes, as `more than 5`.
+        /// The bound that the number violates, such as `more than 5`.
         violation: String,
     },
-    /// The word or index names nothing.
+    /// The word or index does not refer to any known item.
     #[error("'{0}' is unknown")]
     Unknown(String),
-    /// The name stands for two things.
-    #[error("'{0}' is there twice")]
+    /// The name is used for more than one item.
+    #[error("'{0}' is used more than once")]
     Duplicate(String),
-    /// Any other cause, in its own words.
+    /// Any other cause, described by its text.
     #[error("{0}")]
     Unusable(String),
 }
 
 impl SettingsError {
-    /// An error at `place`; `remedy` says what to do.
+    /// Creates an error for the key at the path `place`. `remedy` tells the reader how to correct the value.
     pub fn new(
         place: impl Into<String>,
         cause: SettingsErrorCause,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// An error for a value that has another type than `expected`, which is a noun with its article.
+    /// Creates an error for a value of the wrong type. `expected` is a noun with its article, such as `a number`.
     pub fn wrong_type(place: &str, expected: &'static str, found: &Value, remedy: &str) -> Self {
         let cause = SettingsErrorCause::WrongType {
             expected,
@@ -78,7 +79,7 @@
     }
 }
 
-/// A value as JSON, cut to the length that messages repeat.
+/// Returns a value as JSON, truncated to the length that error messages repeat.
 pub fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
     match text.char_indices().nth(MAX_VALUE_CHARACTERS) {
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -1,4 +1,4 @@
-//! Settings as a map from path to word, whichever form they came in.
+//! Stores settings from either input form as a map from path to value.
 
 use crate::error::{SettingsError, SettingsErrorCause};
 use crate::schema::SETTINGS_SCHEMA;
@@ -7,19 +7,21 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Settings by their paths, as `categories.0.name`. The length of a list of objects is under its path and `.count`.
+/// Settings by path, such as `categories.0.name`. The length of a list of objects is stored under its path followed by
+/// `.count`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FlatSettings {
-    /// The value of each path as the text form has it; the items of a list have commas between.
+    /// The value of each path as in the text form. The items of a list are separated by commas.
     words: BTreeMap<String, String>,
 }
 
 impl FlatSettings {
-    /// Reads `path=value` lines. Empty lines are ignored. Unlike [`from_json`](Self::from_json) it does not check types and ranges.
+    /// Parses `path=value` lines and ignores empty ones. Unlike [`from_json`](Self::from_json), this function does not
+    /// check types and ranges.
     ///
     /// # Errors
     ///
-    /// A line has no `=`.
+    /// Returns an error if a line has no `=`.
     pub fn from_text(text: &str) -> Result<Self, SettingsError> {
         let mut words = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
@@ -28,18 +30,18 @@
             }
             let Some((path, word)) = line.split_once('=') else {
                 let place = format!("settings line {}", index + 1);
-                return Err(unusable(&place, "no '='".into(), "write path=value"));
+                return Err(unusable(&place, "missing '='".into(), "write path=value"));
             };
             words.insert(path.trim().to_string(), word.trim().to_string());
         }
         Ok(FlatSettings { words })
     }
 
-    /// Reads nested JSON under the same names. Unknown keys are ignored.
+    /// Converts nested JSON with the same keys. Unknown keys are ignored.
     ///
     /// # Errors
     ///
-    /// The value of a known key has the wrong type or is out of range.
+    /// Returns an error if the value of a known key has the wrong type or is out of range.
     pub fn from_json(settings: &Value) -> Result<Self, SettingsError> {
         SETTINGS_SCHEMA.check("settings", settings)?;
         let mut flat = FlatSettings::default();
@@ -47,7 +49,8 @@
         Ok(flat)
     }
 
-    /// Inserts a value with all that is under it. A value without a text form is under an unknown key, and is ignored.
+    /// Inserts a value and all values nested in it. Values without a text form are ignored; only unknown keys have
+    /// them.
     fn insert(&mut self, path: &str, value: &Value) {
         match value {
             Value::Object(fields) => {
@@ -74,13 +77,13 @@
         }
     }
 
-    /// The word at a path; none where it is absent or empty.
+    /// Returns the value at a path as text, or `None` if it is absent or empty.
     pub(crate) fn word(&self, path: &str) -> Option<&str> {
         let word = self.words.get(path)?;
         Some(word.as_str()).filter(|word| !word.is_empty())
     }
 
-    /// The finite number at a path.
+    /// Returns the finite number at a path, or `None` if it is absent.
     pub(crate) fn number(&self, path: &str) -> Result<Option<f64>, SettingsError> {
         let Some(word) = self.word(path) else {
             return Ok(None);
@@ -89,53 +92,53 @@
             Ok(number) if number.is_finite() => Ok(Some(number)),
             _ => {
                 let cause = format!("'{word}' is not a number");
-                Err(unusable(&place_of(path), cause, "write a number"))
+                Err(unusable(&place_of(path), cause, "set a number"))
             }
         }
     }
 
-    /// The number at a path, or `default` where it is absent.
+    /// Returns the number at a path, or `default` if it is absent.
     pub(crate) fn number_or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         Ok(self.number(path)?.unwrap_or(default))
     }
 
-    /// The milliseconds at a path, in seconds.
+    /// Returns the duration at a path, converted from milliseconds to seconds, or `None` if it is absent.
     pub(crate) fn seconds(&self, path: &str) -> Result<Option<f64>, SettingsError> {
         Ok(self
             .number(path)?
             .map(|milliseconds| milliseconds / MILLISECONDS_PER_SECOND))
     }
 
-    /// The milliseconds at a path in seconds, or `default` seconds where they are absent.
+    /// Returns the duration at a path, converted from milliseconds to seconds, or `default` seconds if it is absent.
     pub(crate) fn seconds_or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         Ok(self.seconds(path)?.unwrap_or(default))
     }
 
-    /// Whether the flag at a path is set.
+    /// Returns the flag at a path; false if it is absent.
     pub(crate) fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.word(path) {
             None | Some("false") | Some("0") => Ok(false),
             Some("true") | Some("1") => Ok(true),
             Some(other) => {
                 let cause = format!("'{other}' is neither true nor false");
-                Err(unusable(&place_of(path), cause, "write one of them"))
+                Err(unusable(&place_of(path), cause, "set true or false"))
             }
         }
     }
 
-    /// The words of the list at a path.
+    /// Returns the items of the list at a path; empty if it is absent.
     pub(crate) fn list(&self, path: &str) -> Vec<&str> {
         self.word(path)
             .map(|words| words.split(',').collect())
             .unwrap_or_default()
     }
 
-    /// One word of the list at a path.
+    /// Returns one item of the list at a path, or `None` if the list is shorter.
     pub(crate) fn list_item(&self, path: &str, index: usize) -> Option<&str> {
         self.word(path)?.split(',').nth(index)
     }
 
-    /// The numbers of the list at a path; `None` for each item that is not a positive number.
+    /// Returns the numbers of the list at a path, with `None` for each item that is not a positive finite number.
     pub(crate) fn positive_numbers(&self, path: &str) -> Vec<Option<f64>> {
         let positive_number = |word: &str| {
             let number = word.parse::<f64>().ok()?;
@@ -144,7 +147,7 @@
         self.list(path).into_iter().map(positive_number).collect()
     }
 
-    /// The indices in the list at a path, which holds indices or the names that they stand for.
+    /// Returns the indices of the list at a path, or `None` if it is absent. An item is an index or a name in `names`.
     pub(crate) fn indices(
         &self,
         path: &str,
@@ -160,20 +163,20 @@
             .map(Some)
     }
 
-    /// The length of the list of objects at a path. A length that these settings can't hold is an error, so that it
-    /// reserves no memory.
+    /// Returns the length of the list of objects at a path, as stated by its count. A count greater than the total
+    /// number of values is an error, so that an invalid count does not allocate memory.
     pub(crate) fn item_count(&self, path: &str) -> Result<usize, SettingsError> {
         let path = format!("{path}.count");
         let count = self.number_or(&path, 0.0)?;
         if count < 0.0 || count.fract() != 0.0 || count > self.words.len() as f64 {
             let cause = format!("{count} is not a possible count");
-            let remedy = "write how many items follow";
+            let remedy = "set it to the number of items";
             return Err(unusable(&place_of(&path), cause, remedy));
         }
         Ok(count as usize)
     }
 
-    /// The names of the list of objects at a path; empty where one has none.
+    /// Returns the names of the objects in the list at a path. The name of an object without one is empty.
     pub(crate) fn item_names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
         let name = |index| {
             let word = self.word(&format!("{path}.{index}.name"));
@@ -183,7 +186,7 @@
     }
 }
 
-/// The place of a path in messages.
+/// Returns the path of a setting as error messages show it.
 pub(crate) fn place_of(path: &str) -> String {
     format!("settings.{path}")
 }
@@ -196,7 +199,10 @@
     }
 }
 
-/// The index that a word stands for. An index is taken as it is; whether the list has it is validated later.
+/// Returns the index that a word stands for: the index itself or the index of a name. [`PlatformSettings::validate`]
+/// checks later whether an index is in range.
+///
+/// [`PlatformSettings::validate`]: crate::PlatformSettings::validate
 fn index_of(word: &str, names: &[String]) -> Option<u32> {
     if let Ok(index) = word.parse() {
         return Some(index);
@@ -213,12 +219,12 @@
     SettingsError::new(
         place_of(path),
         SettingsErrorCause::Unknown(word.into()),
-        "write a name of the settings' list, or its place from 0",
+        "set a name of the settings' list, or its index from 0",
     )
 }
 
-/// A plain value as the text form has it, with spaces and commas as underscores: commas separate items there, and names have no
-/// spaces, so that a JSON name `a b` is known as `a_b`.
+/// Converts a plain value to its text form. Spaces and commas become underscores, because the text form separates items
+/// by commas and has no spaces in names. The JSON name `a b` thus becomes `a_b`.
 fn text_form(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.replace([' ', ','], "_")),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decodes the named settings of a gateway, given as text (`path=value` lines) or as nested JSON under the same names,
-//! into the values of the decision module, and the named values of an engine's load report.
+//! Decodes the settings of a gateway, and the load report of an engine, into the values of the decision module.
 //!
-//! Every error names the key, the cause, and what to do.
+//! Settings are given as text (`path=value` lines) or as nested JSON with the same keys. Every error names the key, the
+//! cause and how to correct it.
 //!
-//! The keys are part of the interface and keep their names. They are mapped to the terms of the code in this package
-//! and nowhere else. Times are milliseconds in the settings, seconds in the fields.
+//! The keys are an external interface and must not change. Only this package maps them to the terms of the code. Times
+//! are in milliseconds in the settings and in seconds in the fields.
 //!
 //! | key | field |
 //! |---|---|
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,9 +1,9 @@
-//! Decodes the load that an engine reports of itself.
+//! Decodes the load reports of engines.
 
 use garnetwall::api::LoadReport;
 
-/// Decodes the named values of a load report; `None` where there is no value. Unknown names are ignored, and values that
-/// are negative or not finite count as absent.
+/// Decodes the named values of a load report, or returns `None` if there are none. Unknown names are ignored. Values
+/// that are negative or not finite count as absent.
 ///
 /// | name | field |
 /// |---|---|
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -1,39 +1,38 @@
-//! What a set of settings says, in the terms of the code.
+//! Defines the decoded settings of a gateway.
 
 use garnetwall::api::Settings;
 
-/// The settings that the platform gives a gateway, decoded. Their parts may still contradict one another until
-/// [`PlatformSettings::validate`].
+/// The decoded settings of a gateway. They may be inconsistent until [`PlatformSettings::validate`] has accepted them.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names behind the indices in `settings`.
+    /// Names of the items that `settings` refers to by index.
     pub names: Names,
     /// Timeouts of connections to engines.
     pub network: NetworkTimeouts,
-    /// The names of the values of a load report, in wire order.
+    /// Names of the values in a load report, in the order in which engines send them.
     pub report_fields: Vec<String>,
 }
 
-/// Names by the index that the decision module uses.
+/// The names of the settings, by the index that the decision module uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Names of the query classes.
+    /// Query class names, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Names of the tenants.
+    /// Tenant names; empty for a tenant without one.
     pub tenants: Vec<String>,
-    /// Names of the zones.
+    /// Zone names; [`QueryClass::zones`](garnetwall::api::QueryClass::zones) holds indices into them.
     pub zones: Vec<String>,
-    /// Names of the kinds of engine.
+    /// Names of the kinds of engine; [`QueryClass::kinds`](garnetwall::api::QueryClass::kinds) holds indices into them.
     pub kinds: Vec<String>,
 }
 
 /// Timeouts of connections to engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkTimeouts {
-    /// Seconds until a connection that is not established counts as failed.
+    /// Time in seconds after which a connection that is not established counts as failed.
     pub connect_timeout: f64,
-    /// Seconds after which engines close an idle connection.
+    /// Time in seconds after which engines close an idle connection.
     pub idle_timeout: f64,
 }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,5 +1,5 @@
-//! Checks the type and range of settings in JSON. Unknown keys are ignored, whatever they hold, since sites bring new ones.
-//! An absent key and null are the same.
+//! Checks the types and ranges of settings in JSON. Unknown keys are ignored, because sites may add keys of their own.
+//! A null value is treated like an absent key.
 
 mod keys;
 
@@ -8,34 +8,34 @@
 use crate::error::{abbreviate, SettingsError, SettingsErrorCause};
 use serde_json::Value;
 
-/// The keys of an object, with the schema of each value.
+/// The known keys of an object, with the schema of each value.
 type Keys = &'static [(&'static str, Schema)];
 
-/// What a value may be.
+/// The type and range of a value.
 pub(crate) enum Schema {
     Object(Keys),
     ListOfObjects(Keys),
-    /// A list, or one item alone.
+    /// A list of items, or a single item without a list.
     List(&'static Schema),
     Text,
     Flag,
     Number(Range),
-    /// An index or a name.
+    /// The index of an item in a list of the settings, or its name.
     Index,
 }
 
 /// The numbers from `min` to `max`.
 pub(crate) struct Range {
     min: f64,
-    /// `min` itself is out of range.
+    /// Whether `min` itself is out of range.
     excludes_min: bool,
     max: f64,
-    /// Follows the bounds in messages.
+    /// Text that follows the bounds in error messages.
     unit: &'static str,
 }
 
 impl Schema {
-    /// Checks the value at a place, with all that is under it.
+    /// Checks a value and all values nested in it. `place` is the path of the value, for errors.
     pub(crate) fn check(&self, place: &str, value: &Value) -> Result<(), SettingsError> {
         match self {
             Schema::Object(keys) => check_object(keys, place, value),
@@ -44,10 +44,10 @@
             Schema::Text if value.is_string() => Ok(()),
             Schema::Text => wrong_type(place, "a text", value, "write it in quotes"),
             Schema::Flag if is_flag(value) => Ok(()),
-            Schema::Flag => wrong_type(place, "true or false", value, "write one of them"),
+            Schema::Flag => wrong_type(place, "true or false", value, "set true or false"),
             Schema::Index if value.is_string() || value.is_u64() => Ok(()),
             Schema::Index => {
-                let remedy = "write a name of the list, or its place from 0";
+                let remedy = "set a name of the list, or its index from 0";
                 wrong_type(place, "a name or an index", value, remedy)
             }
             Schema::Number(range) => range.check(place, value),
@@ -70,7 +70,7 @@
 
 fn check_objects(keys: Keys, place: &str, value: &Value) -> Result<(), SettingsError> {
     let Value::Array(items) = value else {
-        let remedy = "write [{...}] with one object an item";
+        let remedy = "write [{...}] with one object per item";
         return wrong_type(place, "a list of objects", value, remedy);
     };
     for (index, item) in items.iter().enumerate() {
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Whether a value is a flag, also as the text form has it.
+/// Returns whether a value is a flag: a boolean, 0 or 1, or one of their text forms. An empty text counts as absent.
 fn is_flag(value: &Value) -> bool {
     match value {
         Value::Bool(_) => true,
@@ -112,7 +112,7 @@
     fn check(&self, place: &str, value: &Value) -> Result<(), SettingsError> {
         let number = match value {
             Value::Number(number) => number.as_f64(),
-            // Numbers may be given as text, where an empty one counts as absent.
+            // Numbers may be given as text; an empty text counts as absent.
             Value::String(text) if text.is_empty() => return Ok(()),
             Value::String(text) => text.parse().ok(),
             _ => None,
@@ -131,7 +131,7 @@
         Err(SettingsError::new(place, cause, self.remedy()))
     }
 
-    /// The bound that a number passes.
+    /// Returns a description of the bound that a number violates, or `None` if the number is in range.
     fn violation(&self, number: f64) -> Option<String> {
         let Range { min, max, .. } = self;
         if number < *min {
--- a/crates/settings/src/schema/keys.rs
+++ b/crates/settings/src/schema/keys.rs
@@ -1,10 +1,10 @@
-//! The keys that are read, with the form of their values.
+//! Lists the known keys of the settings, with the types and ranges of their values.
 
 use super::{Range, Schema};
 
-/// A bound on all numbers, under which their sums and products stay finite.
+/// Upper bound of all numbers, so that their sums and products stay finite.
 const MAX_NUMBER: f64 = 1e12;
-/// No timer is set further than a day.
+/// Upper bound of timeouts: one day, the longest time for which timers are set.
 const MAX_TIMEOUT_MS: f64 = 86_400_000.0;
 
 const DURATION: Schema = Schema::Number(Range {
@@ -32,7 +32,7 @@
     unit: "",
 });
 
-/// The schema of all settings that are checked; the package's documentation lists those that are used.
+/// The schema of all settings that are checked. The documentation of the package lists the settings that are used.
 pub(crate) const SETTINGS_SCHEMA: Schema = Schema::Object(&[
     (
         "allowed",
@@ -104,7 +104,8 @@
         "tenants",
         Schema::ListOfObjects(&[
             ("name", Schema::Text),
-            // Checked, not used: shares and limits of tenants come from a plan's `tenant` blocks.
+            // `portion` and `quota-per-s` are checked but not used: the shares and limits of tenants come from the
+            // `tenant` blocks of a plan.
             ("portion", AMOUNT),
             ("quota-per-s", AMOUNT),
         ]),
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,4 @@
-//! Both forms of the same settings, the errors of wrong ones, and load reports.
+//! Tests that text and JSON decode to the same settings, that errors name the key, and that load reports are decoded.
 
 use crate::{decode, decode_load_report, FlatSettings};
 use serde_json::json;
--- a/crates/settings/src/validate.rs
+++ b/crates/settings/src/validate.rs
@@ -1,23 +1,24 @@
-//! Checks that decoded settings fit together.
+//! Checks that decoded settings are consistent.
 
 use crate::error::{SettingsError, SettingsErrorCause};
 use crate::platform_settings::PlatformSettings;
 use garnetwall::api::QueryClass;
 
 impl PlatformSettings {
-    /// Checks that a gateway can serve under these settings: there is at least one query class, each has a name and a
-    /// deadline, no name stands for two things, and the zones and kinds that a class allows exist.
+    /// Checks that a gateway can serve queries with these settings: there is at least one query class, each query class
+    /// has a name and a deadline, each tenant has a name, names are unique, and the zones and kinds that a class allows
+    /// exist.
     ///
     /// # Errors
     ///
-    /// The first key that fails one of these checks.
+    /// Returns an error for the first key that fails one of these checks.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let classes = &self.settings.classes;
         if classes.is_empty() {
             return Err(SettingsError::new(
                 "settings.categories",
                 SettingsErrorCause::Empty,
-                "name at least one service group",
+                "define at least one service group",
             ));
         }
         check_names("settings.categories", &self.names.classes)?;
@@ -31,7 +32,7 @@
     fn check_class(&self, index: usize, class: &QueryClass) -> Result<(), SettingsError> {
         let place = |key: &str| format!("settings.categories.{index}.{key}");
         if class.deadline <= 0.0 {
-            let remedy = "write how long its clients wait, in milliseconds";
+            let remedy = "set how long its clients wait, in milliseconds";
             let cause = SettingsErrorCause::Missing;
             return Err(SettingsError::new(place("give-up"), cause, remedy));
         }
@@ -52,27 +53,31 @@
     }
 }
 
-/// Checks that every item of a list has a name, and one of its own.
+/// Checks that every item of a list has a name, and that the names are unique.
 fn check_names(list: &str, names: &[String]) -> Result<(), SettingsError> {
     for (index, name) in names.iter().enumerate() {
         let place = format!("{list}.{index}.name");
         if name.is_empty() {
             let cause = SettingsErrorCause::Missing;
-            return Err(SettingsError::new(place, cause, "name it, as calls do"));
+            return Err(SettingsError::new(
+                place,
+                cause,
+                "set the name that clients use",
+            ));
         }
         if names[..index].contains(name) {
             let cause = SettingsErrorCause::Duplicate(name.clone());
             return Err(SettingsError::new(
                 place,
                 cause,
-                "give each a name of its own",
+                "give each item a unique name",
             ));
         }
     }
     Ok(())
 }
 
-/// Checks that every index is that of a name. Where the settings name none, there is one item without a name.
+/// Checks that every index is in range. If the settings name no items, there is one item without a name, at index 0.
 fn check_indices(
     place: &str,
     indices: &[u32],
@@ -84,6 +89,6 @@
         return Ok(());
     };
     let cause = SettingsErrorCause::Unknown(index.to_string());
-    let remedy = format!("write a name of {list}, or its place there from 0");
+    let remedy = format!("set a name of {list}, or its index there from 0");
     Err(SettingsError::new(place, cause, remedy))
 }
--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -1,14 +1,15 @@
-//! The names and forms of all settings, written out literally: a key that is renamed by accident fails here.
+//! Guards the names and types of all settings: the keys are written out literally, so that renaming a key by accident
+//! fails a test.
 //!
-//! Every key of `ALL` is shown to be read in both forms (another value gives another result), and to be rejected by
-//! its whole path where its value has the wrong form. The keys of the gateway's own configuration file and of
-//! `subset` are pinned by crates/gateway/tests/bad_input.rs; how settings must fit together by that and by
-//! src/tests.rs.
+//! The tests show that every key of `ALL` is decoded from JSON and from text, since another value gives another result,
+//! and that a value of the wrong type is rejected with the full path of its key. crates/gateway/tests/bad_input.rs
+//! checks the keys of the gateway's own configuration file and of `subset`. That file and src/tests.rs check the
+//! consistency of settings.
 
 use garnetwall_settings::{decode, decode_load_report, FlatSettings};
 use serde_json::{json, Value};
 
-/// Every key that is read, with a value other than that which holds where it is absent.
+/// Settings with every known key. Each value differs from the default of its key.
 const ALL: &str = r#"{
     "allowed": {
         "cancelling": true, "dial-timeout": 300, "idle-close": 9000, "max-attempts": 3,
@@ -38,14 +39,14 @@
     "zones": ["east", "west"]
 }"#;
 
-/// A key that is read.
+/// Test case for a key whose value is used.
 struct KeyCase {
-    /// Another good value.
+    /// A valid value other than that in `ALL`.
     other_value: &'static str,
     form: FormCase,
 }
 
-/// A key with a value of the wrong form, and the error that is expected for it.
+/// Test case for a key with a value of the wrong type, and the expected error.
 struct FormCase {
     path: &'static str,
     wrong_value: &'static str,
@@ -128,16 +129,16 @@
     key("zones", "[\"east\", \"west\", \"north\"]", "7", TEXT),
 ];
 
-/// Keys whose form is checked and whose value is not used.
+/// Keys whose values are checked but not used.
 const FORM_ONLY: &[FormCase] = &[
     form("tenants.0.portion", "true", AMOUNT),
     form("tenants.0.quota-per-s", "true", AMOUNT),
 ];
 
-const FLAG: &str = "true or false expected, not \"perhaps\"; write one of them";
+const FLAG: &str = "true or false expected, not \"perhaps\"; set true or false";
 const TEXT: &str = "a text expected, not 7; write it in quotes";
 const INDEX: &str =
-    "a name or an index expected, not true; write a name of the list, or its place from 0";
+    "a name or an index expected, not true; set a name of the list, or its index from 0";
 const DAY: &str =
     "a number expected, not true; give a number of more than 0 and at most 86400000 milliseconds";
 const TIME: &str =
@@ -151,12 +152,12 @@
     serde_json::from_str(json).unwrap()
 }
 
-/// All settings with another value at a path.
+/// Returns the settings of `ALL` with another value at a path.
 fn with(path: &str, value: &str) -> Value {
     let mut settings = parsed(ALL);
     let place = settings
         .pointer_mut(&format!("/{}", path.replace('.', "/")))
-        .unwrap_or_else(|| panic!("{path} is in ALL"));
+        .unwrap_or_else(|| panic!("ALL has no {path}"));
     *place = parsed(value);
     settings
 }
@@ -169,7 +170,7 @@
     )
 }
 
-/// The paths of all values that a key names: lists of plain values count as one.
+/// Appends the paths of all values to `into`. A list of plain values counts as one value.
 fn paths(value: &Value, at: &str, into: &mut Vec<String>) {
     let under = |key: &str| match at {
         "" => key.to_string(),
@@ -182,7 +183,7 @@
     }
 }
 
-/// The flat form of the same settings.
+/// Returns the text form of the same settings.
 fn text(settings: &Value) -> String {
     let mut lines = vec![
         "categories.count=2".to_string(),
@@ -234,7 +235,7 @@
     assert_eq!(
         decoded_text(&text(&parsed(ALL))),
         base,
-        "both forms have the same meaning"
+        "both forms decode to the same settings"
     );
     for key in KEYS {
         let (path, other) = (key.form.path, key.other_value);
@@ -270,12 +271,12 @@
     }
     for list in ["categories", "tenants"] {
         let error = FlatSettings::from_json(&with(list, "{}")).expect_err(list);
-        let expected = "a list of objects expected, not {}; write [{...}] with one object an item";
+        let expected = "a list of objects expected, not {}; write [{...}] with one object per item";
         assert_eq!(error.to_string(), format!("settings.{list}: {expected}"));
     }
 }
 
-/// Words that stand for a choice: each gives something of its own.
+/// Keys with a fixed set of words: each word must be decoded to a different value.
 #[test]
 fn every_word_of_a_choice_is_decoded_differently() {
     let choices: [(&str, &[&str]); 4] = [
@@ -305,11 +306,11 @@
     let flat = FlatSettings::from_json(&with("categories.0.semantics", "\"odd\"")).unwrap();
     assert_eq!(
         decode(&flat).unwrap_err().to_string(),
-        "settings.categories.0.semantics: 'odd' is unknown; write retryable, dedup or fragile"
+        "settings.categories.0.semantics: 'odd' is unknown; set retryable, dedup or fragile"
     );
 }
 
-/// Names in an engine's load report; two of them have two.
+/// Every name of a value in a load report is decoded. Three of the values have two names.
 #[test]
 fn every_name_of_a_load_report_is_read() {
     let of = |name: &str| format!("{:?}", decode_load_report([(name, 0.5)]).unwrap());
@@ -319,7 +320,11 @@
     all.push(unread);
     all.sort();
     all.dedup();
-    assert_eq!(all.len(), 6, "each is read into a place of its own");
+    assert_eq!(
+        all.len(),
+        6,
+        "each name must be decoded into a separate field"
+    );
     assert_eq!(["util", "queue", "inflight"].map(of), five[..3]);
 }
 
@@ -332,35 +337,35 @@
     assert_eq!(decoded(&more), base);
 }
 
-/// What settings must be to one another is rejected by the path, too.
+/// Inconsistent settings are rejected with the full path of the key.
 #[test]
 fn settings_that_no_gateway_can_serve_are_rejected_by_their_key() {
     let cases = [
-        ("categories", "[]", "categories: empty; name at least one service group"),
+        ("categories", "[]", "categories: empty; define at least one service group"),
         (
             "categories.0.name",
             "\"load\"",
-            "categories.1.name: 'load' is there twice; give each a name of its own",
+            "categories.1.name: 'load' is used more than once; give each item a unique name",
         ),
         (
             "tenants.0.name",
             "\"\"",
-            "tenants.0.name: missing; name it, as calls do",
+            "tenants.0.name: missing; set the name that clients use",
         ),
         (
             "categories.0.give-up",
             "null",
-            "categories.0.give-up: missing; write how long its clients wait, in milliseconds",
+            "categories.0.give-up: missing; set how long its clients wait, in milliseconds",
         ),
         (
             "categories.0.zones-only",
             "[7]",
-            "categories.0.zones-only: '7' is unknown; write a name of settings.zones, or its place there from 0",
+            "categories.0.zones-only: '7' is unknown; set a name of settings.zones, or its index there from 0",
         ),
         (
             "categories.0.allowed-on",
             "[7]",
-            "categories.0.allowed-on: '7' is unknown; write a name of settings.kinds, or its place there from 0",
+            "categories.0.allowed-on: '7' is unknown; set a name of settings.kinds, or its index there from 0",
         ),
     ];
     for (path, value, expected) in cases {
