--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -11,7 +11,7 @@
     telemetry.fields=depth,load_share\ntelemetry.how=on_probe\ntenants.count=1\ntenants.0.name=acme\n";
 
 #[test]
-fn text_and_json_give_equal_values() {
+fn text_and_json_decode_to_the_same_settings() {
     let json = json!({
         "allowed": {"dial-timeout": 250.0, "max-attempts": 4, "cancelling": true},
         "categories": [
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_load_report_has_the_named_values_without_impossible_ones() {
+fn load_report_ignores_invalid_values_and_unknown_names() {
     let report = decode_load_report([("queue", 3.0), ("util", f64::NAN), ("other", 1.0)]).unwrap();
     assert_eq!(
         (
--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn the_lists_have_every_key_of_the_document() {
+fn test_cases_cover_every_key() {
     let mut all = Vec::new();
     paths(&parsed(ALL), "", &mut all);
     let mut named: Vec<String> = KEYS.iter().map(|key| key.form.path.to_string()).collect();
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn every_key_has_an_effect_in_json_and_in_text() {
+fn every_key_is_decoded_from_json_and_from_text() {
     let base = decoded(&parsed(ALL));
     assert_eq!(
         decoded_text(&text(&parsed(ALL))),
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_value_of_the_wrong_form_is_rejected_by_its_key() {
+fn value_of_the_wrong_type_is_rejected_with_the_path_of_its_key() {
     let forms = KEYS.iter().map(|key| &key.form);
     for form in forms.chain(FORM_ONLY) {
         let FormCase {
@@ -312,7 +312,7 @@
 
 /// Every name of a value in a load report is decoded. Three of the values have two names.
 #[test]
-fn every_name_of_a_load_report_is_read() {
+fn every_name_of_a_load_report_is_decoded() {
     let of = |name: &str| format!("{:?}", decode_load_report([(name, 0.5)]).unwrap());
     let unread = of("other");
     let five = ["load_share", "depth", "concurrent", "x0", "x1"].map(of);
@@ -339,7 +339,7 @@
 
 /// Inconsistent settings are rejected with the full path of the key.
 #[test]
-fn settings_that_no_gateway_can_serve_are_rejected_by_their_key() {
+fn inconsistent_settings_are_rejected_with_the_path_of_their_key() {
     let cases = [
         ("categories", "[]", "categories: empty; define at least one service group"),
         (
