--- a/crates/settings/tests/keys.rs
+++ b/crates/settings/tests/keys.rs
@@ -43,11 +43,11 @@
 struct KeyCase {
     /// A valid value other than that in `ALL`.
     other_value: &'static str,
-    form: FormCase,
+    wrong_type: WrongTypeCase,
 }
 
 /// Test case for a key with a value of the wrong type, and the expected error.
-struct FormCase {
+struct WrongTypeCase {
     path: &'static str,
     wrong_value: &'static str,
     expected_error: &'static str,
@@ -61,16 +61,16 @@
 ) -> KeyCase {
     KeyCase {
         other_value,
-        form: form(path, wrong_value, expected_error),
+        wrong_type: wrong_type(path, wrong_value, expected_error),
     }
 }
 
-const fn form(
+const fn wrong_type(
     path: &'static str,
     wrong_value: &'static str,
     expected_error: &'static str,
-) -> FormCase {
-    FormCase {
+) -> WrongTypeCase {
+    WrongTypeCase {
         path,
         wrong_value,
         expected_error,
@@ -130,9 +130,9 @@
 ];
 
 /// Keys whose values are checked but not used.
-const FORM_ONLY: &[FormCase] = &[
-    form("tenants.0.portion", "true", AMOUNT),
-    form("tenants.0.quota-per-s", "true", AMOUNT),
+const UNUSED_KEYS: &[WrongTypeCase] = &[
+    wrong_type("tenants.0.portion", "true", AMOUNT),
+    wrong_type("tenants.0.quota-per-s", "true", AMOUNT),
 ];
 
 const FLAG: &str = "true or false expected, not \"perhaps\"; set true or false";
@@ -222,8 +222,15 @@
 fn test_cases_cover_every_key() {
     let mut all = Vec::new();
     paths(&parsed(ALL), "", &mut all);
-    let mut named: Vec<String> = KEYS.iter().map(|key| key.form.path.to_string()).collect();
-    named.extend(FORM_ONLY.iter().map(|form| form.path.to_string()));
+    let mut named: Vec<String> = KEYS
+        .iter()
+        .map(|key| key.wrong_type.path.to_string())
+        .collect();
+    named.extend(
+        UNUSED_KEYS
+            .iter()
+            .map(|wrong_type| wrong_type.path.to_string()),
+    );
     all.sort();
     named.sort();
     assert_eq!(all, named);
@@ -238,7 +245,7 @@
         "both forms decode to the same settings"
     );
     for key in KEYS {
-        let (path, other) = (key.form.path, key.other_value);
+        let (path, other) = (key.wrong_type.path, key.other_value);
         let changed = with(path, other);
         assert_ne!(decoded(&changed), base, "{path}={other}");
         assert_ne!(
@@ -251,13 +258,13 @@
 
 #[test]
 fn value_of_the_wrong_type_is_rejected_with_the_path_of_its_key() {
-    let forms = KEYS.iter().map(|key| &key.form);
-    for form in forms.chain(FORM_ONLY) {
-        let FormCase {
+    let cases = KEYS.iter().map(|key| &key.wrong_type);
+    for wrong_type in cases.chain(UNUSED_KEYS) {
+        let WrongTypeCase {
             path,
             wrong_value,
             expected_error,
-        } = form;
+        } = wrong_type;
         let error = FlatSettings::from_json(&with(path, wrong_value)).expect_err(path);
         assert_eq!(
             error.to_string(),
