--- a/crates/routing/src/limits/cell_rate.rs
+++ b/crates/routing/src/limits/cell_rate.rs
@@ -1,6 +1,5 @@
 //! Implements the generic cell rate algorithm (ITU-T I.371). The rate limit stores one time for each key, its
-//! theoretical arrival time: the time up to which the queries so far use up the rate, if they are spaced evenly at the
-//! rate.
+//! theoretical arrival time: the time at which the next query is expected if queries arrive evenly at the rate.
 
 use garnetwall_plan::model::Bucket;
 use std::time::Duration;
--- a/crates/routing/src/zones/sharing.rs
+++ b/crates/routing/src/zones/sharing.rs
@@ -18,7 +18,8 @@
             .collect();
         let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
         let allowed: f64 = eligible.iter().map(|zone| self.allowed_cores(*zone)).sum();
-        // If too few zones look healthy to carry the load, the fault may be in this gateway and not in the zones.
+        // If few zones look healthy and these cannot carry the load, the fault that makes the other zones look
+        // unhealthy may be in this gateway.
         let panic = allowed < PANIC_FRACTION * listed && allowed < load;
         let mut shares = Shares {
             zones: vec![0.0; self.zones.len()],
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Distributes the load over all eligible zones in proportion to their listed capacity. Each zone then gets less
-    /// load per core than the few healthy zones would get on their own.
+    /// Distributes the load over all eligible zones in proportion to their listed capacity. No zone then gets more load
+    /// per core than the few healthy zones would get on their own.
     fn share_by_capacity(&self, shares: &mut Shares, eligible: &[usize], load: f64) {
         let listed: f64 = eligible.iter().map(|zone| self.zones[*zone].capacity).sum();
         let carried = load.min(listed);
--- a/crates/routing/src/zones/zone.rs
+++ b/crates/routing/src/zones/zone.rs
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Returns whether a trial is due, which is so only for a lost zone. If it is, schedules the next trial.
+    /// Returns whether a trial is due: the zone is lost, its hold-down time has ended, it has capacity, and the
+    /// interval since the last trial has passed. If a trial is due, schedules the next one.
     pub(super) fn start_trial(&mut self, now: f64) -> bool {
         let is_due = matches!(self.health, Health::Lost { until } if now >= until)
             && now >= self.next_trial_at
@@ -253,7 +254,7 @@
     }
 
     fn back_off(&mut self, now: f64, fraction: f64) {
-        // Backs off at most once per round, and not once for each failed or slow query of it.
+        // Backs off at most once per round of work, not once for each failed or slow query.
         if self.carried_work > 0.0 {
             self.health = Health::Recovering {
                 fraction: (fraction * BACKOFF_FACTOR).max(INITIAL_FRACTION),
--- a/crates/settings/src/flat.rs
+++ b/crates/settings/src/flat.rs
@@ -49,8 +49,8 @@
         Ok(flat)
     }
 
-    /// Inserts a value and all values nested in it. Values without a text form are ignored; only unknown keys have
-    /// them.
+    /// Inserts a value and all values nested in it. Values without a text form are ignored; only unknown keys hold such
+    /// values.
     fn insert(&mut self, path: &str, value: &Value) {
         match value {
             Value::Object(fields) => {
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -15,9 +15,9 @@
 //! | the members fall below the floor | engines join immediately, without a connection test |
 //! | an engine has a lower score than a member | it is connected to at the pace and joins; then the member leaves |
 //! | an engine cannot be reached | the next candidate takes its place; the engine is retried with a backoff |
-//! | a member is unhealthy | the subset widens by one, up to `reserve`, and narrows slowly |
+//! | attempts at a member fail repeatedly | the subset widens by one, up to `reserve`, and narrows slowly |
 //!
-//! The floor is half of the size of the subset, and half of the floor of each placement class.
+//! The floor is half of the effective size for the whole subset, and half of `class_floor` for each placement class.
 //!
 //! A [`Catalog`] stores the whole list; many subsets may share one catalog. A [`Subset`] stores only its members and a
 //! limited number of candidates, and returns [`Action`]s for its caller. The decision module chooses only among the
--- a/crates/subset/src/subset.rs
+++ b/crates/subset/src/subset.rs
@@ -129,7 +129,7 @@
     }
 
     /// Returns whether the engine is or was in a retry domain in which a companion was searched for among all listed
-    /// engines. The target may then depend on it even if it is no candidate.
+    /// engines. The target may then depend on the engine even if it is not a candidate.
     fn is_in_searched_domain(&self, change: &Change) -> bool {
         [change.before, change.after]
             .into_iter()
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Records the outcome of an attempt at an engine. Outcomes of engines that are no members are ignored.
+    /// Records the outcome of an attempt at an engine. Outcomes of engines that are not members are ignored.
     pub fn attempt_ended(&mut self, now: f64, engine: EngineKey, outcome: EngineOutcome) {
         if self.members.contains_key(&engine) && self.health.record(now, engine, outcome) {
             self.last_call = now;
