--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -8,13 +8,13 @@
 };
 use world::{listed_engines, settings};
 
-fn fault(settings: SubsetSettings) -> Option<SubsetError> {
+fn validation_error(settings: SubsetSettings) -> Option<SubsetError> {
     Subset::new("g", settings).err()
 }
 
 /// Returns the setting that the error names, or `None` if the text lacks a cause or a remedy.
-fn place(settings: SubsetSettings) -> Option<String> {
-    let text = fault(settings)?.to_string();
+fn named_setting(settings: SubsetSettings) -> Option<String> {
+    let text = validation_error(settings)?.to_string();
     let (place, rest) = text.split_once(": ")?;
     let (cause, remedy) = rest.split_once("; ")?;
     (!cause.is_empty() && !remedy.is_empty()).then(|| place.to_string())
@@ -23,9 +23,9 @@
 #[test]
 fn errors_name_the_setting_the_cause_and_the_remedy() {
     let good = settings(8);
-    assert_eq!(fault(good.clone()), None);
+    assert_eq!(validation_error(good.clone()), None);
     assert_eq!(
-        place(SubsetSettings {
+        named_setting(SubsetSettings {
             size: 0,
             ..good.clone()
         })
@@ -33,7 +33,7 @@
         Some("subset.size")
     );
     assert_eq!(
-        place(SubsetSettings {
+        named_setting(SubsetSettings {
             class_floor: 9,
             ..good.clone()
         })
@@ -42,7 +42,7 @@
     );
     let classes = vec![PlacementClass::default(); MAX_CLASSES + 1];
     assert_eq!(
-        place(SubsetSettings {
+        named_setting(SubsetSettings {
             classes,
             ..good.clone()
         })
@@ -54,21 +54,24 @@
             joins_per_second,
             ..good.clone()
         };
-        assert_eq!(place(faulty).as_deref(), Some("subset.joins_per_second"));
+        assert_eq!(
+            named_setting(faulty).as_deref(),
+            Some("subset.joins_per_second")
+        );
     }
     for near_weight in [0.0, 0.99, MAX_NEAR_WEIGHT * 2.0, f64::NAN, f64::INFINITY] {
         let faulty = SubsetSettings {
             near_weight,
             ..good.clone()
         };
-        assert_eq!(place(faulty).as_deref(), Some("subset.near_weight"));
+        assert_eq!(named_setting(faulty).as_deref(), Some("subset.near_weight"));
     }
     for gateways in [0.0, 0.5, -3.0, f64::NAN, f64::INFINITY] {
         let faulty = SubsetSettings {
             gateways,
             ..good.clone()
         };
-        assert_eq!(place(faulty).as_deref(), Some("subset.gateways"));
+        assert_eq!(named_setting(faulty).as_deref(), Some("subset.gateways"));
     }
     let unnamed = Subset::new("", good).err().expect("a gateway needs a name");
     assert_eq!(unnamed, SubsetError::UnnamedGateway);
