--- a/crates/routing/src/zones/tests.rs
+++ b/crates/routing/src/zones/tests.rs
@@ -298,8 +298,9 @@
     }
 }
 
-/// A zone that recovers by completed work is not overloaded, whatever the duration of its slow start. A fixed ramp that
-/// suits a short slow start overloads a zone with a long one.
+/// A zone that recovers by completed work is not overloaded, whatever the duration of its slow start. A fixed ramp
+/// suits only one duration: a short ramp overloads a zone with a long slow start, and a long ramp delays the recovery
+/// of a zone with a short one.
 #[test]
 fn recovery_by_completed_work_does_not_overload_a_zone() {
     for slow_start_seconds in [2.0, 10.0, 60.0] {
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -17,7 +17,7 @@
 struct Fleet {
     /// Number of gateways that hold the engine.
     counted: BTreeMap<EngineKey, f64>,
-    /// Estimate of one of these gateways.
+    /// Number of these gateways, as estimated by the last of them.
     estimated: BTreeMap<EngineKey, f64>,
 }
 
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -74,7 +74,7 @@
 
 /// One gateway's subset with its catalog, in simulated time.
 pub struct World {
-    /// Seconds.
+    /// Simulated time in seconds.
     pub now: f64,
     pub catalog: Catalog,
     pub subset: Subset,
