--- a/crates/routing/benches/routing.rs
+++ b/crates/routing/benches/routing.rs
@@ -1,5 +1,5 @@
-//! Figures of docs/results.md: reading and checking a plan of 10,000 lines; a decision with 1,000 routes, 10,000
-//! networks and 500 engines, beside the plan's own plain evaluation; limits.
+//! Measures the figures of docs/results.md: compiling a plan of 10,000 lines; routing decisions with 1,000 routes,
+//! 10,000 networks and 500 engines, compared with the plan's own evaluation; admission and release by limits.
 
 use divan::{black_box, Bencher};
 use garnetwall_plan::compile;
@@ -28,8 +28,8 @@
     }
 }
 
-/// 1,000 routes over 10,000 networks in 100 sets, and 50 pools.
-fn large() -> String {
+/// Returns a plan with 1,000 routes, 10,000 networks in 100 address sets, and 50 pools.
+fn large_plan() -> String {
     let mut rng = StdRng::seed_from_u64(17);
     let mut out = String::new();
     for set in 0..SETS {
@@ -51,7 +51,7 @@
         );
     }
     for route in 0..1000 {
-        // Each asks for a tenant and a set of its own, so that none shadows another.
+        // Each route has a combination of tenant and address set that no other has, so that none shadows another.
         let (tenant, set) = (
             route % TENANTS,
             route / TENANTS * 20 + rng.random_range(0..20),
@@ -71,8 +71,8 @@
     out
 }
 
-/// 10,000 lines as operators write them.
-fn lines() -> String {
+/// Returns a plan of about 10,000 lines in the style of operators: comments, empty lines and many small blocks.
+fn long_plan() -> String {
     let mut out = String::new();
     let mut n = 0;
     while out.lines().count() < 9_990 {
@@ -129,7 +129,7 @@
 
 #[divan::bench]
 fn check_10_000_lines(bencher: Bencher) {
-    let loader = InMemory::one(lines());
+    let loader = InMemory::one(long_plan());
     bencher.bench(|| {
         compile(&loader, "main.plan", None)
             .map(|c| c.plan.routes.len())
@@ -139,7 +139,7 @@
 
 #[divan::bench]
 fn check_1_000_routes_10_000_networks(bencher: Bencher) {
-    let loader = InMemory::one(large());
+    let loader = InMemory::one(large_plan());
     bencher.bench(|| {
         compile(&loader, "main.plan", None)
             .map(|c| c.plan.routes.len())
@@ -149,7 +149,7 @@
 
 #[divan::bench]
 fn decide_compiled(bencher: Bencher) {
-    let (routing, queries) = (routing(&large()), queries());
+    let (routing, queries) = (routing(&large_plan()), queries());
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % queries.len();
@@ -159,7 +159,7 @@
 
 #[divan::bench]
 fn decide_plain_list(bencher: Bencher) {
-    let (routing, queries) = (routing(&large()), queries());
+    let (routing, queries) = (routing(&large_plan()), queries());
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % queries.len();
@@ -193,10 +193,11 @@
     }
 }
 
-/// Route and engines of a query, as at each attempt: the endpoint subset's sets are at hand.
+/// Finds the route of a query and counts its engines, as for each attempt. The engine sets of the endpoint subsets are
+/// computed beforehand.
 #[divan::bench]
 fn place_compiled_500_engines(bencher: Bencher) {
-    let (routing, queries, all) = (routing(&large()), queries(), engines());
+    let (routing, queries, all) = (routing(&large_plan()), queries(), engines());
     let mut engines = PoolMembers::new(&routing);
     all.iter()
         .enumerate()
@@ -221,7 +222,7 @@
 
 #[divan::bench(sample_count = 20)]
 fn place_plain_500_engines(bencher: Bencher) {
-    let (routing, queries, all) = (routing(&large()), queries(), engines());
+    let (routing, queries, all) = (routing(&large_plan()), queries(), engines());
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 1) % queries.len();
@@ -239,7 +240,7 @@
 
 #[divan::bench]
 fn one_engine_changes(bencher: Bencher) {
-    let (routing, all) = (routing(&large()), engines());
+    let (routing, all) = (routing(&large_plan()), engines());
     let mut engines = PoolMembers::new(&routing);
     let mut at = 0;
     bencher.bench_local(|| {
@@ -267,8 +268,8 @@
             minute: 0,
             statement_bytes: 200,
         };
-        if let Ok(ticket) = limits.admit(&routing, now, &query) {
-            limits.release(now, ticket);
+        if let Ok(permit) = limits.admit(&routing, now, &query) {
+            limits.release(now, permit);
         }
     });
 }
--- a/crates/routing/src/limits/tests.rs
+++ b/crates/routing/src/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Limits against a plain model, and the bound of their state under a flood of addresses.
+//! Compares the limits with a reference model, and checks that their state stays bounded under a flood of addresses.
 
 use super::*;
 use crate::Names;
@@ -41,12 +41,13 @@
     limit houses {\n client houses\n per tenant, group\n bytes 1KiB/s burst 2KiB\n}\n\
     limit loads {\n group load\n in-hand 3\n}\n";
 
-/// Every query admitted so far with the time, and whether it is still in flight: limits by their definition.
+/// Reference model: every query admitted so far with its time of admission and whether it is still in flight. Usage is
+/// computed from this list, by the definition of the limits.
 #[derive(Default)]
-struct Plain(Vec<(Duration, RoutedQuery, bool)>);
+struct ReferenceModel(Vec<(Duration, RoutedQuery, bool)>);
 
-impl Plain {
-    /// The fill of a leaky bucket after all that came, by running through it.
+impl ReferenceModel {
+    /// Returns the level of a leaky bucket at `now`, replayed over the admitted queries that `counts` selects.
     fn fill(
         &self,
         now: Duration,
@@ -56,8 +57,8 @@
     ) -> f64 {
         let (rate, burst) = bucket;
         let (mut fill, mut at) = (0.0f64, Duration::ZERO);
-        for (when, b, _) in self.0.iter().filter(|(_, b, _)| counts(b)) {
-            fill = (fill - (*when - at).as_secs_f64() * rate).max(0.0) + cost(b).min(burst);
+        for (when, query, _) in self.0.iter().filter(|(_, query, _)| counts(query)) {
+            fill = (fill - (*when - at).as_secs_f64() * rate).max(0.0) + cost(query).min(burst);
             at = *when;
         }
         (fill - (now - at).as_secs_f64() * rate).max(0.0)
@@ -66,91 +67,94 @@
     fn in_flight(&self, counts: impl Fn(&RoutedQuery) -> bool) -> usize {
         self.0
             .iter()
-            .filter(|(_, b, held)| *held && counts(b))
+            .filter(|(_, query, held)| *held && counts(query))
             .count()
     }
 
-    fn fits(&self, now: Duration, b: &RoutedQuery) -> Option<bool> {
+    /// Returns whether the limits of [`PLAN`] admit a query, or `None` if a rate is so close to its limit that rounding
+    /// may decide.
+    fn admits(&self, now: Duration, new: &RoutedQuery) -> Option<bool> {
         let is_in_houses =
-            |b: &RoutedQuery| matches!(b.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
+            |q: &RoutedQuery| matches!(q.client, IpAddr::V4(a) if u32::from(a) < 0x0a00_0004);
         let one = |_: &RoutedQuery| 1.0;
-        let mut fits = Vec::new();
-        // How far from the edge a rate is; at the edge the two may round otherwise.
-        let mut rate = |fill: f64, cost: f64, burst: f64| fits.push(burst - fill - cost.min(burst));
-        let same = |o: &RoutedQuery| o.client == b.client;
+        let mut room = Vec::new();
+        // Room left in each bucket after this query; negative if the query exceeds the rate.
+        let mut rate = |fill: f64, cost: f64, burst: f64| room.push(burst - fill - cost.min(burst));
+        let same = |o: &RoutedQuery| o.client == new.client;
         rate(self.fill(now, (10.0, 2.0), same, one), 1.0, 2.0);
-        if b.tenant == 1 {
+        if new.tenant == 1 {
             rate(
                 self.fill(now, (20.0, 3.0), |o| o.tenant == 1, one),
                 1.0,
                 3.0,
             );
         }
-        if is_in_houses(b) {
+        if is_in_houses(new) {
             let counts =
-                |o: &RoutedQuery| is_in_houses(o) && (o.tenant, o.class) == (b.tenant, b.class);
+                |o: &RoutedQuery| is_in_houses(o) && (o.tenant, o.class) == (new.tenant, new.class);
             rate(
-                self.fill(now, (1024.0, 2048.0), counts, |b| b.statement_bytes as f64),
-                b.statement_bytes as f64,
+                self.fill(now, (1024.0, 2048.0), counts, |q| q.statement_bytes as f64),
+                new.statement_bytes as f64,
                 2048.0,
             );
         }
         let counted = self.in_flight(same) < 2
-            && (b.tenant != 1 || self.in_flight(|o| o.tenant == 1) < 3)
-            && (b.class != 1 || self.in_flight(|o| o.class == 1) < 3);
-        let edge = fits.iter().any(|left| left.abs() < 1e-3);
-        (!edge).then(|| counted && fits.iter().all(|left| *left >= 0.0))
+            && (new.tenant != 1 || self.in_flight(|o| o.tenant == 1) < 3)
+            && (new.class != 1 || self.in_flight(|o| o.class == 1) < 3);
+        let edge = room.iter().any(|left| left.abs() < 1e-3);
+        (!edge).then(|| counted && room.iter().all(|left| *left >= 0.0))
     }
 }
 
 proptest! {
     #[test]
-    fn limits_admit_what_the_plain_model_admits(
+    fn limits_agree_with_the_reference_model(
         events in vec((0u64..120, 0usize..2, 0usize..2, 0u32..6, 1u64..1500, any::<bool>()), 1..200),
     ) {
         let routing = routing(PLAN);
         let mut limits = Limits::new(&routing, 10.0);
-        let (mut plain, mut permits, mut now) = (Plain::default(), Vec::new(), Duration::ZERO);
+        let (mut model, mut permits, mut now) = (ReferenceModel::default(), Vec::new(), Duration::ZERO);
         for (later, class, tenant, client, bytes, ends) in events {
             now += Duration::from_millis(later);
             if ends && !permits.is_empty() {
                 let (n, permit): (usize, LimitPermit) = permits.remove(0);
                 limits.release(now, permit);
-                plain.0[n].2 = false;
+                model.0[n].2 = false;
             }
-            let b = query(class, tenant, client, bytes);
-            let fits = plain.fits(now, &b);
-            let admitted = limits.admit(&routing, now, &b);
-            if let Some(fits) = fits {
-                prop_assert_eq!(admitted.is_ok(), fits, "{:?} at {:?}: {:?}", b, now, admitted);
+            let query = query(class, tenant, client, bytes);
+            let admits = model.admits(now, &query);
+            let admitted = limits.admit(&routing, now, &query);
+            if let Some(admits) = admits {
+                prop_assert_eq!(admitted.is_ok(), admits, "{:?} at {:?} gave {:?}", query, now, admitted);
             }
             if let Ok(permit) = admitted {
-                permits.push((plain.0.len(), permit));
-                plain.0.push((now, b, true));
+                permits.push((model.0.len(), permit));
+                model.0.push((now, query, true));
             }
         }
     }
 
-    /// With few exact keys and many clients nothing is admitted that a client's own limit forbids, and a client that
-    /// comes back after its Retry-After is admitted where nobody else shares its cells.
+    /// With few exact keys and many clients, most keys share cells of the sketch. A client must still get no more than
+    /// its own limit, a Retry-After must not exceed the time of one query at the rate, and the number of exact keys
+    /// must stay bounded.
     #[test]
-    fn a_sketch_never_admits_more_than_the_limit_of_a_client(
+    fn sketch_never_admits_more_than_the_limit_of_a_client(
         events in vec((0u64..20, 0u32..300), 1..400),
     ) {
         let routing = routing("limit each {\n per client\n rate 10/s burst 2\n}\n");
         let mut limits = Limits::with_keys(&routing, 10.0, 16);
-        let (mut plain, mut now) = (Plain::default(), Duration::ZERO);
+        let (mut model, mut now) = (ReferenceModel::default(), Duration::ZERO);
         for (later, client) in events {
             now += Duration::from_millis(later);
-            let b = query(0, 0, client, 1);
-            let fill = plain.fill(now, (10.0, 2.0), |o| o.client == b.client, |_| 1.0);
-            match limits.admit(&routing, now, &b) {
+            let query = query(0, 0, client, 1);
+            let fill = model.fill(now, (10.0, 2.0), |o| o.client == query.client, |_| 1.0);
+            match limits.admit(&routing, now, &query) {
                 Ok(permit) => {
-                    prop_assert!(fill + 1.0 <= 2.0 + 1e-6, "fill {fill}");
-                    plain.0.push((now, b, true));
+                    prop_assert!(fill + 1.0 <= 2.0 + 1e-6, "bucket level {fill} before admission");
+                    model.0.push((now, query, true));
                     limits.release(now, permit);
                 }
-                Err(over) => prop_assert!(over.retry_after <= Duration::from_millis(100 + 1), "{over:?}"),
+                Err(exceeded) => prop_assert!(exceeded.retry_after <= Duration::from_millis(100 + 1), "{exceeded:?}"),
             }
             prop_assert!(limits.exact_keys() <= 16);
         }
@@ -158,12 +162,12 @@
 }
 
 #[test]
-fn state_does_not_grow_with_the_addresses_seen() {
+fn number_of_exact_keys_stays_bounded_under_a_flood_of_addresses() {
     let routing = routing("limit each {\n per client\n in-hand 2\n rate 10/s burst 2\n}\n");
     let mut limits = Limits::new(&routing, 10.0);
     let mut rejected = 0;
     for n in 0..1_000_000u32 {
-        // Ten million clients a second: none is idle when the next comes.
+        // At ten million clients per second, no key is idle again before the next client arrives.
         let now = Duration::from_nanos(u64::from(n) * 100);
         match limits.admit(&routing, now, &query(0, 0, n, 1)) {
             Ok(permit) => limits.release(now, permit),
@@ -171,34 +175,45 @@
         }
     }
     assert_eq!(limits.exact_keys(), MAX_EXACT_KEYS);
-    assert!(rejected > 0, "a flood that fills every cell is limited");
-    // A second later all is idle again: entries and cells are free for any key.
+    assert!(
+        rejected > 0,
+        "a flood that fills every cell must be limited"
+    );
+    // One second later all keys are idle, so any key finds a free entry or cell.
     let now = Duration::from_secs(2);
     assert!(limits.admit(&routing, now, &query(0, 0, 77, 1)).is_ok());
 }
 
 #[test]
-fn a_query_fits_after_its_retry_after_and_not_before() {
+fn query_is_admitted_after_its_retry_after_and_not_before() {
     let routing = routing(PLAN);
     let mut limits = Limits::new(&routing, 10.0);
-    let b = query(0, 0, 9, 1);
+    let query = query(0, 0, 9, 1);
     let mut now = Duration::from_secs(5);
     for _ in 0..2 {
-        let permit = limits.admit(&routing, now, &b).expect("a burst of two");
+        let permit = limits
+            .admit(&routing, now, &query)
+            .expect("within the burst of two");
         limits.release(now, permit);
     }
-    let over = limits
-        .admit(&routing, now, &b)
-        .expect_err("a third at once");
-    assert_eq!((over.limit.as_str(), over.kind), ("each", LimitKind::Rate));
-    now += over.retry_after - Duration::from_millis(1);
-    assert!(limits.admit(&routing, now, &b).is_err(), "not before");
+    let exceeded = limits
+        .admit(&routing, now, &query)
+        .expect_err("the third query exceeds the burst of two");
+    assert_eq!(
+        (exceeded.limit.as_str(), exceeded.kind),
+        ("each", LimitKind::Rate)
+    );
+    now += exceeded.retry_after - Duration::from_millis(1);
+    assert!(
+        limits.admit(&routing, now, &query).is_err(),
+        "must be rejected before its Retry-After"
+    );
     now += Duration::from_millis(1);
-    assert!(limits.admit(&routing, now, &b).is_ok());
+    assert!(limits.admit(&routing, now, &query).is_ok());
 }
 
 #[test]
-fn limits_whose_name_and_scope_stay_keep_their_counts_in_another_plan() {
+fn limits_with_unchanged_name_and_scope_keep_their_counts_when_the_plan_is_replaced() {
     let first = routing(PLAN);
     let mut limits = Limits::new(&first, 10.0);
     let load = |client| query(1, 0, client, 1);
@@ -206,11 +221,11 @@
         .map(|n| {
             limits
                 .admit(&first, Duration::ZERO, &load(100 + n))
-                .expect("capacity for three")
+                .expect("within the limit of three")
         })
         .collect();
     assert!(limits.admit(&first, Duration::ZERO, &load(200)).is_err());
-    // A new figure, moved behind another block: still the same limit.
+    // The second plan raises the maximum of `loads` and renames another limit; `loads` must keep its counts.
     let second = routing(
         &PLAN
             .replace("in-hand 3", "in-hand 4")
@@ -219,11 +234,11 @@
     limits.update_plan(&second, 10.0);
     let fourth = limits
         .admit(&second, Duration::ZERO, &load(200))
-        .expect("a fourth");
+        .expect("within the raised limit of four");
     assert_eq!(
         limits
             .admit(&second, Duration::ZERO, &load(201))
-            .expect_err("no fifth")
+            .expect_err("the fifth query exceeds the limit of four")
             .limit,
         "loads"
     );
@@ -231,7 +246,7 @@
     limits.update_plan(&third, 10.0);
     assert!(
         limits.admit(&third, Duration::ZERO, &load(202)).is_ok(),
-        "another limit, which has counted nothing yet"
+        "the renamed limit starts without counts"
     );
     for permit in held.into_iter().chain([fourth]) {
         limits.release(Duration::from_secs(1), permit);
--- a/crates/subset/tests/change.rs
+++ b/crates/subset/tests/change.rs
@@ -1,4 +1,4 @@
-//! How a subset changes: pace, refill, widening, and gateways that do not act in step.
+//! Tests the changes of a subset over time: the pace, refills, widening for unhealthy members, and jitter.
 
 mod world;
 
@@ -8,11 +8,12 @@
 };
 use std::collections::BTreeSet;
 use world::{
-    listed_engine, listed_engines, plain_target, settings, InjectedFault, World, GATEWAY,
+    listed_engine, listed_engines, reference_target, settings, InjectedFault, World, GATEWAY,
     SETTLING_SECONDS,
 };
 
-/// Whether engines were connected to no faster than the pace, one at once allowed.
+/// Returns whether the connections at these times kept to the pace. One connection more than the pace allows is
+/// tolerated.
 fn within_pace(times: &[f64], joins_per_second: f64) -> bool {
     let interval_respected = |(index, start): (usize, &f64)| {
         let allowed = |end: &f64| 1.0 + joins_per_second * (end - start) + 1e-6;
@@ -24,7 +25,7 @@
     times.iter().enumerate().all(interval_respected)
 }
 
-/// When engines were connected to as a list doubled.
+/// Doubles the list of a settled subset and returns the times of the connections that follow.
 fn connect_times(injected: InjectedFault) -> Vec<f64> {
     let mut world = World::new(settings(40), injected);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
@@ -38,15 +39,19 @@
 }
 
 #[test]
-fn engines_join_at_the_pace() {
+fn joins_do_not_exceed_the_configured_pace() {
     let times = connect_times(InjectedFault::None);
-    assert!(times.len() > 10, "{} engines", times.len());
+    assert!(times.len() > 10, "{} connections", times.len());
     assert!(within_pace(&times, 2.0));
-    assert!(!within_pace(&connect_times(InjectedFault::TooFast), 2.0));
+    assert!(!within_pace(
+        &connect_times(InjectedFault::ConnectsTwice),
+        2.0
+    ));
 }
 
-/// Gateways that connect to one new engine, by tenths of a second since it was listed.
-fn tenths(injected: InjectedFault) -> BTreeSet<i64> {
+/// Lists one new engine at 300 gateways. Returns the distinct times, in tenths of a second since the listing, at which
+/// gateways connect to it.
+fn connect_tenths(injected: InjectedFault) -> BTreeSet<i64> {
     let mut tenths = BTreeSet::new();
     for gateway in 0..300 {
         let mut world = World::named(&format!("gateway-{gateway}"), settings(8), injected);
@@ -56,7 +61,7 @@
         world.apply(&[listed_engine(30, 5)], UpdateScope::ChangedEngines);
         world.advance(10.0);
         let at = world.connects_at.first().copied();
-        let at = if injected == InjectedFault::InStep {
+        let at = if injected == InjectedFault::Synchronized {
             at.and(Some(listed))
         } else {
             at
@@ -66,22 +71,24 @@
     tenths
 }
 
-fn out_of_step(tenths: &BTreeSet<i64>) -> bool {
+fn are_spread_out(tenths: &BTreeSet<i64>) -> bool {
     tenths.len() >= 15 && tenths.iter().all(|tenth| *tenth <= 20)
 }
 
 #[test]
-fn gateways_do_not_connect_to_a_new_engine_in_step() {
+fn jitter_spreads_the_connections_of_gateways_to_a_new_engine() {
     assert!(
-        out_of_step(&tenths(InjectedFault::None)),
+        are_spread_out(&connect_tenths(InjectedFault::None)),
         "{:?}",
-        tenths(InjectedFault::None)
+        connect_tenths(InjectedFault::None)
     );
-    assert!(!out_of_step(&tenths(InjectedFault::InStep)));
+    assert!(!are_spread_out(&connect_tenths(
+        InjectedFault::Synchronized
+    )));
 }
 
 #[test]
-fn a_lost_zone_is_refilled_at_once_up_to_the_reserve_and_then_at_the_pace() {
+fn lost_zone_is_refilled_up_to_the_reserve_immediately_and_then_at_the_pace() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 4,
@@ -107,13 +114,13 @@
     world.advance(40.0);
     assert_eq!(
         world.member_ids(),
-        plain_target(GATEWAY, &world.settings, &world.list)
+        reference_target(GATEWAY, &world.settings, &world.list)
     );
     assert_eq!(world.faults, BTreeSet::new());
 }
 
 #[test]
-fn under_the_floor_engines_join_at_once() {
+fn engines_join_immediately_below_the_floor() {
     let mut world = World::new(settings(40), InjectedFault::None);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     let members = world.member_ids();
@@ -122,19 +129,23 @@
         .filter(|listed| !members.contains(&listed.engine_id))
         .collect();
     world.apply(&left, UpdateScope::FullList);
-    assert_eq!(world.members.len(), 40, "all members gone: a first fill");
+    assert_eq!(
+        world.members.len(),
+        40,
+        "a subset without members is filled at once"
+    );
     let few: BTreeSet<String> = world.member_ids().into_iter().take(35).collect();
     let left: Vec<ListedEngine> = left
         .into_iter()
         .filter(|listed| !few.contains(&listed.engine_id))
         .collect();
     world.apply(&left, UpdateScope::FullList);
-    assert_eq!(world.members.len(), 20, "the floor");
+    assert_eq!(world.members.len(), 20, "filled up to the floor");
     assert_eq!(world.faults, BTreeSet::new());
 }
 
 #[test]
-fn late_empty_half_and_repeated_lists() {
+fn members_follow_late_empty_partial_and_repeated_lists() {
     let mut world = World::new(settings(40), InjectedFault::None);
     world.apply(&[], UpdateScope::FullList);
     assert_eq!(world.members.len(), 0);
@@ -148,7 +159,11 @@
     assert!(world.members.len() >= 20);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
     world.settle();
-    assert_eq!(world.member_ids(), members, "half and whole again");
+    assert_eq!(
+        world.member_ids(),
+        members,
+        "same members after a temporary half list"
+    );
     world.apply(&[], UpdateScope::FullList);
     assert_eq!(world.members.len(), 0);
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
@@ -157,7 +172,7 @@
 }
 
 #[test]
-fn failing_members_widen_the_subset_and_narrowing_is_slow() {
+fn unhealthy_members_widen_the_subset_which_then_narrows_slowly() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 3,
@@ -171,7 +186,7 @@
     assert_eq!(
         world.subset.widened_by(),
         0,
-        "three attempts are no evidence"
+        "three attempts are too few for a judgement"
     );
     world.attempts(failing[1], EngineOutcome::Healthy, 100);
     world.attempts(failing[1], EngineOutcome::Failed, 50);
@@ -186,7 +201,7 @@
     world.advance(5.0);
     assert_eq!(world.members.len(), 23);
     world.advance(24.0);
-    assert_eq!(world.members.len(), 23, "held down");
+    assert_eq!(world.members.len(), 23, "no narrowing while held down");
     let mut sizes = Vec::new();
     for _ in 0..20 {
         world.advance(1.0);
@@ -206,18 +221,18 @@
 }
 
 #[test]
-fn an_unreached_engine_is_replaced_and_retried() {
+fn unreached_engine_is_replaced_and_retried() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(100, 5), UpdateScope::FullList);
     world.advance(10.0);
     let members = world.member_ids();
     let removed = members.first().expect("members").clone();
     world.set_state(&removed, ListedState::Removed);
-    let expected = plain_target(GATEWAY, &world.settings, &world.list);
+    let expected = reference_target(GATEWAY, &world.settings, &world.list);
     let next = expected
         .difference(&members)
         .next()
-        .expect("a successor")
+        .expect("an engine that replaces the removed one")
         .clone();
     world.unreachable.insert(next.clone());
     world.advance(1.0);
@@ -226,16 +241,20 @@
     world.advance(300.0);
     assert!(
         (4..=16).contains(&world.connects_at.len()),
-        "{} tries, ever more seldom",
+        "{} connections, which the backoff must limit",
         world.connects_at.len()
     );
     world.settle();
-    assert_eq!(world.member_ids(), expected, "reached in the end");
+    assert_eq!(
+        world.member_ids(),
+        expected,
+        "the engine joins once it is reachable"
+    );
     assert_eq!(world.faults, BTreeSet::new());
 }
 
 #[test]
-fn the_subset_narrows_also_when_a_failing_member_was_displaced() {
+fn subset_narrows_after_an_unhealthy_member_was_displaced() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 3,
@@ -244,11 +263,12 @@
         InjectedFault::None,
     );
     world.apply(&listed_engines(200, 5), UpdateScope::FullList);
-    // With one engine of these the member with the highest score is displaced; while it fails there is a place for one.
+    // The id of the member that a new engine displaces from the target. That member has the highest score; while it is
+    // unhealthy, the subset is one engine larger.
     let displaces = |world: &World, new_engine: &ListedEngine| {
         let mut list = world.list.clone();
         list.insert(new_engine.engine_id.clone(), new_engine.facts);
-        let target = plain_target(GATEWAY, &world.settings, &list);
+        let target = reference_target(GATEWAY, &world.settings, &list);
         world.member_ids().difference(&target).next().cloned()
     };
     let new_engines: Vec<ListedEngine> = (200..400)
@@ -256,7 +276,7 @@
         .filter(|listed| displaces(&world, listed).is_some())
         .take(2)
         .collect();
-    let last = displaces(&world, &new_engines[0]).expect("it displaces a member");
+    let last = displaces(&world, &new_engines[0]).expect("the engine displaces a member");
     let failing = world.catalog.key(&last).expect("listed");
     world.attempts(failing, EngineOutcome::Failed, 4);
     world.advance(5.0);
@@ -267,9 +287,10 @@
     assert_eq!(world.faults, BTreeSet::new());
 }
 
-/// The floor of a class is a fraction of what is listed of it, not of what was reached.
+/// The floor of a class is derived from its listed engines. If it were derived from the reached ones, a class with
+/// unreachable engines would fall below its floor.
 #[test]
-fn the_floor_of_a_class_counts_engines_that_could_not_be_reached() {
+fn floor_of_a_class_counts_unreached_engines() {
     let by_zone = PlacementClass {
         zones: Some(vec![0, 3]),
         kinds: None,
@@ -324,9 +345,10 @@
     assert!(world.connects_at.len() > 10 && within_pace(&world.connects_at, 0.2));
 }
 
-/// Candidates are added, dropped and read again while a list grows and shrinks by single engines.
+/// Growing and shrinking a list by single engines makes a subset add and drop candidates and scan the list again. The
+/// members must agree with the reference model throughout.
 #[test]
-fn a_list_that_grows_and_shrinks_engine_by_engine() {
+fn members_follow_a_list_that_grows_and_shrinks_by_single_engines() {
     for retry_scope in [RetryScope::Everywhere, RetryScope::Cell] {
         let mut world = World::new(
             SubsetSettings {
@@ -360,7 +382,7 @@
 }
 
 #[test]
-fn unreached_engines_serve_when_no_others_are_left() {
+fn unreached_engines_join_when_no_others_are_left() {
     let mut world = World::new(
         SubsetSettings {
             reserve: 10,
@@ -384,15 +406,19 @@
     members[6..13]
         .iter()
         .for_each(|id| world.set_state(id, ListedState::Removed));
-    assert_eq!(world.members.len(), 9, "the floor of 17");
+    assert_eq!(
+        world.members.len(),
+        9,
+        "unreached engines join up to the floor for 17 engines"
+    );
     assert_eq!(world.faults, BTreeSet::new());
 }
 
 #[test]
-fn a_connection_without_a_result_counts_as_not_reached() {
+fn connection_without_an_outcome_counts_as_not_reached() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(100, 5), UpdateScope::FullList);
-    world.silent = true;
+    world.drops_outcomes = true;
     let removed = world.member_ids().first().cloned().expect("members");
     world.set_state(&removed, ListedState::Removed);
     world.advance(9.0);
@@ -402,7 +428,7 @@
 }
 
 #[test]
-fn a_class_under_its_quota_is_refilled_without_waiting_for_the_pace() {
+fn class_below_its_quota_is_refilled_without_waiting_for_the_pace() {
     let class = PlacementClass {
         zones: Some(vec![1]),
         kinds: None,
@@ -433,7 +459,7 @@
 }
 
 #[test]
-fn a_member_whose_facts_changed_is_updated_and_a_new_kind_is_counted() {
+fn member_with_changed_facts_is_updated_and_a_new_shape_is_counted() {
     let mut world = World::new(settings(20), InjectedFault::None);
     world.apply(&listed_engines(400, 5), UpdateScope::FullList);
     let (engine, holders) = world
--- a/crates/subset/tests/holders.rs
+++ b/crates/subset/tests/holders.rs
@@ -1,4 +1,4 @@
-//! How many gateways hold an engine: the estimate against a count over a fleet of names.
+//! Compares the estimated number of gateways that hold an engine with the number in a fleet of 800 gateways.
 
 mod world;
 
@@ -13,9 +13,11 @@
 const ENGINES: u32 = 400;
 const ZONES: u32 = 5;
 
-/// How many gateways hold each engine, and the highest estimate among them.
+/// The holders of each engine in a fleet of gateways.
 struct Fleet {
+    /// Number of gateways that hold the engine.
     counted: BTreeMap<EngineKey, f64>,
+    /// Number of these gateways, as estimated by the last of them.
     estimated: BTreeMap<EngineKey, f64>,
 }
 
@@ -45,7 +47,7 @@
         subset.changed(1.0, &catalog, &changes);
         for action in subset.poll(1.0, &catalog) {
             let Action::Join { engine, holders } = action else {
-                panic!("{action:?} in a first fill")
+                panic!("unexpected {action:?} in the first poll")
             };
             let holders = if injected == InjectedFault::HoldersHalved {
                 holders / 2.0
@@ -59,7 +61,8 @@
     Fleet { counted, estimated }
 }
 
-/// The fraction of the engines held by more gateways than estimated, and the estimate over the count.
+/// Returns the fraction of the engines that more gateways hold than estimated, and the mean ratio of the estimate to
+/// the count.
 fn compare(fleet: &Fleet) -> (f64, f64) {
     let understated = fleet
         .counted
@@ -76,9 +79,9 @@
     )
 }
 
-/// Settings, and the zones of the list; 4 cells each.
+/// Returns test cases: a name, settings, and the number of zones in the list. Each zone has up to four cells.
 fn cases() -> Vec<(&'static str, SubsetSettings, u32)> {
-    let plain = settings(25);
+    let base = settings(25);
     let zone = PlacementClass {
         zones: Some(vec![1]),
         kinds: None,
@@ -90,16 +93,16 @@
     let classes = SubsetSettings {
         class_floor: 8,
         classes: vec![zone, kind],
-        ..plain.clone()
+        ..base.clone()
     };
     let near = SubsetSettings {
         zone: Some(0),
         near_weight: 4.0,
-        ..plain.clone()
+        ..base.clone()
     };
     let cells = SubsetSettings {
         retry_scope: RetryScope::Cell,
-        ..plain.clone()
+        ..base.clone()
     };
     let all = SubsetSettings {
         retry_scope: RetryScope::Cell,
@@ -108,7 +111,7 @@
         ..classes.clone()
     };
     vec![
-        ("plain", plain, ZONES),
+        ("plain", base, ZONES),
         ("classes", classes, ZONES),
         ("near zone", near, ZONES),
         ("cells", cells.clone(), ZONES),
@@ -118,11 +121,11 @@
 }
 
 #[test]
-fn estimated_holders_cover_the_count_and_waste_little() {
+fn estimated_holders_are_rarely_too_low_and_not_far_too_high() {
     for (name, settings, zones) in cases() {
         let (understated, ratio) = compare(&fleet(&settings, zones, InjectedFault::None));
         println!(
-            "{name}: understated for {:.1}% of the engines, estimated {ratio:.2} of the count",
+            "{name}: estimate too low for {:.1}% of the engines, mean ratio of estimate to count {ratio:.2}",
             understated * 100.0
         );
         assert!(understated <= 0.05, "{name}: {understated}");
@@ -130,14 +133,14 @@
         let (understated, _) = compare(&fleet(&settings, zones, InjectedFault::HoldersHalved));
         assert!(
             understated > 0.5,
-            "{name}: halved holders must be found, {understated}"
+            "{name}: the comparison must detect halved holders, {understated}"
         );
     }
 }
 
 #[test]
-fn no_engine_is_without_holders_and_all_gateways_hold_a_short_list() {
-    // 12 engines each, and so 24 gateways an engine, by the floor.
+fn every_engine_has_holders_and_all_gateways_hold_a_short_list() {
+    // The effective size is 12, so that 24 gateways hold each engine on average.
     let fleet = fleet(&settings(1), ZONES, InjectedFault::None);
     assert_eq!(fleet.counted.len(), ENGINES as usize);
     let same_names = fleet_of(&settings(1), ZONES, InjectedFault::None, |gateway| {
@@ -145,10 +148,10 @@
     });
     assert!(
         same_names.counted.len() < ENGINES as usize,
-        "gateways of few names leave engines without holders"
+        "gateways that share 20 names leave engines without holders"
     );
     let least = fleet.counted.values().copied().fold(f64::MAX, f64::min);
-    println!("least gateways that hold an engine: {least}");
+    println!("minimum number of gateways that hold an engine: {least}");
     assert!(least >= 1.0);
 
     let mut catalog = Catalog::default();
@@ -161,7 +164,8 @@
         .all(|action| matches!(action, Action::Join { holders, .. } if *holders == 1_000.0)));
 }
 
-/// Work per core of each engine, by its cores, when every gateway spreads the same traffic over its subset by cores.
+/// Returns the work per core, relative to the mean, of engines with each number of cores. Every gateway chooses 25
+/// engines with these weights, and distributes the same amount of work over them in proportion to cores.
 fn work_per_core_by_cores(weight: impl Fn(&EngineFacts) -> f64) -> BTreeMap<u64, f64> {
     let engines = listed_engines(ENGINES, ZONES);
     let mut work: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
@@ -196,21 +200,21 @@
 }
 
 #[test]
-fn work_per_core_is_even_over_kinds() {
+fn work_per_core_does_not_depend_on_cores() {
     let chosen = work_per_core_by_cores(|facts| settings(25).weight(facts));
     let weighted = work_per_core_by_cores(|facts| facts.cores);
     println!(
-        "work per core over the mean, by cores: {chosen:?}; if cores weighed in the choice: {weighted:?}"
+        "work per core relative to the mean, by cores: {chosen:?}; with weights proportional to cores: {weighted:?}"
     );
     assert!(is_even(&chosen) && !is_even(&weighted));
 }
 
 #[test]
-fn a_changed_engine_does_not_update_all_members() {
+fn few_changes_do_not_update_all_members() {
     let mut world = world::World::new(settings(40), InjectedFault::None);
     world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
     let estimated = world.members.clone();
-    // More changes than a table stays fresh for, and fewer than are worth an update.
+    // Enough changes to make the table stale, but too few to change the numbers of holders by the update threshold.
     world.apply(
         &listed_engines(ENGINES + 8, ZONES),
         UpdateScope::ChangedEngines,
@@ -231,7 +235,7 @@
     assert_eq!(world.faults, Default::default());
 }
 
-/// The members of a new subset by id, with their estimated holders.
+/// Returns the members of a new subset by id, with their estimated numbers of holders.
 fn members_of_a_new_subset(catalog: &Catalog, settings: &SubsetSettings) -> BTreeMap<String, f64> {
     let mut subset = Subset::new("g", settings.clone()).expect("good settings");
     subset.poll(1.0, catalog);
@@ -243,7 +247,7 @@
 }
 
 #[test]
-fn a_list_applied_engine_by_engine_is_the_same_list() {
+fn list_applied_by_single_engines_gives_the_same_subset() {
     let mut one_by_one = Catalog::default();
     for listed in listed_engines(ENGINES, ZONES).into_iter().rev() {
         let elsewhere = EngineFacts {
@@ -263,13 +267,13 @@
             UpdateScope::ChangedEngines,
         );
     }
-    let gone = EngineFacts {
+    let removed = EngineFacts {
         state: ListedState::Removed,
         ..listed_engines(1, ZONES)[0].facts
     };
     let drains = EngineFacts {
         state: ListedState::Draining,
-        ..gone
+        ..removed
     };
     one_by_one.apply(
         &[ListedEngine {
@@ -281,7 +285,7 @@
     one_by_one.apply(
         &[ListedEngine {
             engine_id: "engine-3".into(),
-            facts: gone,
+            facts: removed,
         }],
         UpdateScope::ChangedEngines,
     );
@@ -304,7 +308,7 @@
 }
 
 #[test]
-fn odd_cores_and_repeated_engines_are_tolerated() {
+fn invalid_cores_and_repeated_engines_are_tolerated() {
     let mut odd = listed_engines(60, ZONES);
     let cores = [
         f64::NAN,
--- a/crates/subset/tests/model.rs
+++ b/crates/subset/tests/model.rs
@@ -1,4 +1,4 @@
-//! The subset against a slow plain model, over lists that change at random.
+//! Compares the subset with a slow reference model, over lists that change at random.
 
 mod world;
 
@@ -8,7 +8,9 @@
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
-use world::{listed_engine, listed_engines, plain_target, settings, InjectedFault, World, GATEWAY};
+use world::{
+    listed_engine, listed_engines, reference_target, settings, InjectedFault, World, GATEWAY,
+};
 
 const ZONES: u32 = 5;
 const ENGINES: u32 = 120;
@@ -89,7 +91,7 @@
                     zones: Some(vec![2]),
                     kinds: Some(vec![1]),
                 };
-                let nowhere = PlacementClass {
+                let unserved = PlacementClass {
                     zones: None,
                     kinds: Some(vec![9]),
                 };
@@ -101,7 +103,7 @@
                     near_weight: 4.0,
                     gateways,
                     classes: if classes {
-                        vec![by_zone, by_kind, nowhere]
+                        vec![by_zone, by_kind, unserved]
                     } else {
                         Vec::new()
                     },
@@ -112,7 +114,7 @@
         )
 }
 
-fn play(world: &mut World, step: &Step) {
+fn apply_step(world: &mut World, step: &Step) {
     match *step {
         Step::Apply {
             first,
@@ -153,14 +155,14 @@
         ),
         Step::LoseZone(zone) => {
             let lost = world.list.iter().filter(|(_, facts)| facts.zone == zone);
-            let gone = |facts: &EngineFacts| EngineFacts {
+            let removed = |facts: &EngineFacts| EngineFacts {
                 state: ListedState::Removed,
                 ..*facts
             };
             let lost: Vec<ListedEngine> = lost
                 .map(|(id, facts)| ListedEngine {
                     engine_id: id.clone(),
-                    facts: gone(facts),
+                    facts: removed(facts),
                 })
                 .collect();
             world.apply(&lost, UpdateScope::ChangedEngines);
@@ -189,10 +191,10 @@
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn converges_to_the_plain_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
+    fn subset_converges_to_the_reference_model(settings in any_settings(), steps in proptest::collection::vec(step(), 1..24)) {
         let mut world = World::new(settings, InjectedFault::None);
         for step in &steps {
-            play(&mut world, step);
+            apply_step(&mut world, step);
             prop_assert_eq!(&world.faults, &BTreeSet::new(), "after {:?}", step);
         }
         world.settle();
@@ -200,14 +202,14 @@
     }
 
     #[test]
-    fn one_engine_moves_the_least(settings in any_settings(), engine in 0..ENGINES) {
+    fn loss_of_one_engine_changes_few_members(settings in any_settings(), engine in 0..ENGINES) {
         let mut world = World::new(settings.clone(), InjectedFault::None);
         world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
         let whole = world.member_ids();
         world.set_state(&listed_engine(engine, ZONES).engine_id, ListedState::Removed);
         world.settle();
         let without = world.member_ids();
-        prop_assert!(moves_the_least(&settings, &whole, &without));
+        prop_assert!(changes_few_members(&settings, &whole, &without));
         world.apply(&listed_engines(ENGINES, ZONES), UpdateScope::FullList);
         world.settle();
         prop_assert_eq!(&world.member_ids(), &whole);
@@ -215,41 +217,42 @@
     }
 }
 
-/// Whether the loss of an engine moved at most the members that take its place, with their companions.
-fn moves_the_least(
+/// Returns whether the loss of one engine changed no more members than necessary: the lost engine, its replacements,
+/// and the companions of both.
+fn changes_few_members(
     settings: &SubsetSettings,
     before: &BTreeSet<String>,
     after: &BTreeSet<String>,
 ) -> bool {
     let choices = 1 + settings.classes.len();
-    // Where companions are needed, its companion may leave with it, and the last of two that take their places may bring a
-    // companion of its own.
+    // If companions are needed, the companion of the lost engine may leave too. Two engines then replace them, and the
+    // second may bring a companion of its own.
     let (leaving, joining) = if settings.retry_scope == RetryScope::Everywhere {
         (1, 1)
     } else {
         (2, 3)
     };
-    // A size that follows the list may shrink by one.
+    // A size that depends on the length of the list may shrink by one.
     before.difference(after).count() <= 1 + choices * leaving
         && after.difference(before).count() <= choices * joining
 }
 
 #[test]
-fn a_random_selection_moves_too_much() {
+fn check_of_changed_members_rejects_an_independent_selection() {
     let settings = settings(20);
     let list = listed_engines(ENGINES, ZONES)
         .into_iter()
         .map(|listed| (listed.engine_id, listed.facts))
         .collect();
-    let before = plain_target(GATEWAY, &settings, &list);
-    assert!(!moves_the_least(
+    let before = reference_target(GATEWAY, &settings, &list);
+    assert!(!changes_few_members(
         &settings,
         &before,
-        &plain_target("drawn anew", &settings, &list)
+        &reference_target("drawn anew", &settings, &list)
     ));
 }
 
-/// The faults that the checker finds in a run in which everything that it checks happens.
+/// Returns the faults that the checker finds in a run that exercises all of its checks, with a fault injected.
 fn faults_found_with(injected: InjectedFault) -> BTreeSet<String> {
     let by_zone = PlacementClass {
         zones: Some(vec![1]),
@@ -274,15 +277,18 @@
 }
 
 #[test]
-fn the_checker_finds_each_injected_fault() {
+fn checker_finds_each_injected_fault() {
     let injected_faults = [
-        (InjectedFault::KeepsUnready, "a member takes no new work"),
-        (InjectedFault::JoinsUntried, "joins untried over the floor"),
-        (InjectedFault::UnderFloor, "under the floor"),
-        (InjectedFault::UnderClassFloor, "a class under its floor"),
+        (InjectedFault::KeepsUnready, "a member is not ready"),
+        (
+            InjectedFault::JoinsUntried,
+            "an engine joins without a connection test above the floor",
+        ),
+        (InjectedFault::UnderFloor, "the subset is below its floor"),
+        (InjectedFault::UnderClassFloor, "a class is below its floor"),
         (
             InjectedFault::WrongEngine,
-            "settled members are not those of the plain model",
+            "settled members differ from the reference model",
         ),
     ];
     assert_eq!(faults_found_with(InjectedFault::None), BTreeSet::new());
--- a/crates/subset/tests/settings.rs
+++ b/crates/subset/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that no subset can be chosen by, and what the size follows from.
+//! Tests the validation of settings and the computation of the effective size.
 
 mod world;
 
@@ -8,24 +8,24 @@
 };
 use world::{listed_engines, settings};
 
-fn fault(settings: SubsetSettings) -> Option<SubsetError> {
+fn validation_error(settings: SubsetSettings) -> Option<SubsetError> {
     Subset::new("g", settings).err()
 }
 
-/// The place of the error, if its text has a cause and a remedy too.
-fn place(settings: SubsetSettings) -> Option<String> {
-    let text = fault(settings)?.to_string();
+/// Returns the setting that the error names, or `None` if the text lacks a cause or a remedy.
+fn named_setting(settings: SubsetSettings) -> Option<String> {
+    let text = validation_error(settings)?.to_string();
     let (place, rest) = text.split_once(": ")?;
     let (cause, remedy) = rest.split_once("; ")?;
     (!cause.is_empty() && !remedy.is_empty()).then(|| place.to_string())
 }
 
 #[test]
-fn each_error_has_place_cause_and_remedy() {
+fn errors_name_the_setting_the_cause_and_the_remedy() {
     let good = settings(8);
-    assert_eq!(fault(good.clone()), None);
+    assert_eq!(validation_error(good.clone()), None);
     assert_eq!(
-        place(SubsetSettings {
+        named_setting(SubsetSettings {
             size: 0,
             ..good.clone()
         })
@@ -33,7 +33,7 @@
         Some("subset.size")
     );
     assert_eq!(
-        place(SubsetSettings {
+        named_setting(SubsetSettings {
             class_floor: 9,
             ..good.clone()
         })
@@ -42,7 +42,7 @@
     );
     let classes = vec![PlacementClass::default(); MAX_CLASSES + 1];
     assert_eq!(
-        place(SubsetSettings {
+        named_setting(SubsetSettings {
             classes,
             ..good.clone()
         })
@@ -54,21 +54,24 @@
             joins_per_second,
             ..good.clone()
         };
-        assert_eq!(place(faulty).as_deref(), Some("subset.joins_per_second"));
+        assert_eq!(
+            named_setting(faulty).as_deref(),
+            Some("subset.joins_per_second")
+        );
     }
     for near_weight in [0.0, 0.99, MAX_NEAR_WEIGHT * 2.0, f64::NAN, f64::INFINITY] {
         let faulty = SubsetSettings {
             near_weight,
             ..good.clone()
         };
-        assert_eq!(place(faulty).as_deref(), Some("subset.near_weight"));
+        assert_eq!(named_setting(faulty).as_deref(), Some("subset.near_weight"));
     }
     for gateways in [0.0, 0.5, -3.0, f64::NAN, f64::INFINITY] {
         let faulty = SubsetSettings {
             gateways,
             ..good.clone()
         };
-        assert_eq!(place(faulty).as_deref(), Some("subset.gateways"));
+        assert_eq!(named_setting(faulty).as_deref(), Some("subset.gateways"));
     }
     let unnamed = Subset::new("", good).err().expect("a gateway needs a name");
     assert_eq!(unnamed, SubsetError::UnnamedGateway);
@@ -89,7 +92,7 @@
         ..settings(1)
     };
     let mut catalog = Catalog::default();
-    let mut subset = Subset::new("g", widest).expect("a subset of everything");
+    let mut subset = Subset::new("g", widest).expect("the settings are valid");
     let changes = catalog.apply(&listed_engines(50, 5), UpdateScope::FullList);
     subset.changed(1.0, &catalog, &changes);
     assert_eq!(subset.poll(1.0, &catalog).len(), 50);
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn the_size_follows_from_settings_gateways_and_list() {
+fn effective_size_depends_on_settings_gateways_and_list() {
     let size = |size: usize, gateways: f64, engines: u32| {
         let mut catalog = Catalog::default();
         catalog.apply(&listed_engines(engines, 5), UpdateScope::FullList);
@@ -119,16 +122,16 @@
 }
 
 #[test]
-fn a_class_that_no_engine_can_serve_is_visible() {
-    let nowhere = PlacementClass {
+fn unserved_classes_are_reported() {
+    let unserved = PlacementClass {
         zones: Some(vec![7]),
         kinds: None,
     };
-    let somewhere = PlacementClass {
+    let served = PlacementClass {
         zones: Some(vec![1]),
         kinds: None,
     };
-    let classes = vec![somewhere, nowhere.clone()];
+    let classes = vec![served, unserved.clone()];
     let subset = Subset::new(
         "g",
         SubsetSettings {
@@ -142,6 +145,6 @@
     catalog.apply(&listed_engines(40, 5), UpdateScope::FullList);
     assert_eq!(
         subset.unserved_classes(&catalog).collect::<Vec<_>>(),
-        [&nowhere]
+        [&unserved]
     );
 }
--- a/crates/subset/tests/world/mod.rs
+++ b/crates/subset/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway's subset in simulated time, a slow plain model of what it should hold, and a checker of its actions.
+//! Simulates the subset of a gateway over time, checks its actions, and computes its expected members with a slow
+//! reference model.
 
 #![allow(dead_code)]
 
@@ -11,13 +12,14 @@
 
 pub const GATEWAY: &str = "gateway-7";
 
-/// Time after which nothing is pending: members are healthy again, and backoffs have passed.
+/// Time after which all members are healthy again, no backoff is running and no engine waits to join.
 pub const SETTLING_SECONDS: f64 = 600.0;
 
-/// A connection is made, or has failed, after this time.
+/// Time until the outcome of a connection is reported.
 const CONNECT_SECONDS: f64 = 0.01;
 
-/// Polls in one step of the simulated time; more mean that the subset wants to be polled for nothing.
+/// Maximum number of polls in one call of [`World::advance`]. More polls mean that the subset requests polls without
+/// end.
 const MAX_POLLS: usize = 20_000;
 
 pub fn settings(size: usize) -> SubsetSettings {
@@ -56,7 +58,7 @@
         .collect()
 }
 
-/// A deliberate fault between the subset and its checker.
+/// A fault that the simulation injects into the actions of the subset, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     None,
@@ -65,28 +67,36 @@
     UnderFloor,
     UnderClassFloor,
     WrongEngine,
-    TooFast,
-    InStep,
+    ConnectsTwice,
+    Synchronized,
     HoldersHalved,
 }
 
+/// One gateway's subset with its catalog, in simulated time.
 pub struct World {
+    /// Simulated time in seconds.
     pub now: f64,
     pub catalog: Catalog,
     pub subset: Subset,
     pub settings: SubsetSettings,
+    /// The listed engines by id, without removed ones.
     pub list: BTreeMap<String, EngineFacts>,
+    /// Ids of the engines to which connections fail.
     pub unreachable: BTreeSet<String>,
-    /// The members by the actions so far.
+    /// The members and their numbers of holders, according to the actions so far.
     pub members: BTreeMap<EngineKey, f64>,
+    /// Times of all connections that the subset requested.
     pub connects_at: Vec<f64>,
+    /// Engines for which the subset requested an update.
     pub updated: BTreeSet<EngineKey>,
-    /// The outcomes of connections are not reported.
-    pub silent: bool,
+    /// Whether the outcomes of connections are dropped instead of reported.
+    pub drops_outcomes: bool,
+    /// Violations that the checks found.
     pub faults: BTreeSet<String>,
     injected: InjectedFault,
-    /// There were no members before the actions at hand.
+    /// Whether the present poll began without members.
     filling: bool,
+    /// Connections in progress, with the times at which their outcomes are reported.
     pending: Vec<(f64, EngineKey)>,
     reached: BTreeSet<EngineKey>,
 }
@@ -107,7 +117,7 @@
             members: BTreeMap::new(),
             connects_at: Vec::new(),
             updated: BTreeSet::new(),
-            silent: false,
+            drops_outcomes: false,
             faults: BTreeSet::new(),
             injected,
             filling: false,
@@ -161,14 +171,14 @@
             self.deliver();
             self.poll();
         }
-        self.faults.insert("asks to be polled without end".into());
+        self.faults.insert("requests polls without end".into());
     }
 
     fn deliver(&mut self) {
         let due = |(at, _): &(f64, EngineKey)| *at <= self.now;
         let (due, later): (Vec<_>, Vec<_>) = self.pending.iter().copied().partition(due);
         self.pending = later;
-        for (_, engine) in due.into_iter().filter(|_| !self.silent) {
+        for (_, engine) in due.into_iter().filter(|_| !self.drops_outcomes) {
             let reached = self
                 .catalog
                 .id(engine)
@@ -189,12 +199,12 @@
         let actions = self.subset.poll(self.now, &self.catalog);
         self.filling = false;
         for action in actions {
-            self.inject(action);
+            self.perform_with_fault(action);
         }
         self.check();
     }
 
-    fn inject(&mut self, action: Action) {
+    fn perform_with_fault(&mut self, action: Action) {
         match (self.injected, action) {
             (InjectedFault::KeepsUnready, Action::Leave(_)) => {}
             (InjectedFault::JoinsUntried, Action::Connect(engine)) => self.perform(Action::Join {
@@ -204,7 +214,7 @@
             (InjectedFault::UnderFloor, Action::Join { .. })
                 if self.members.len() >= self.floor().max(1) - 1 => {}
             (InjectedFault::UnderClassFloor, Action::Join { engine, .. })
-                if self.of_a_class(engine) => {}
+                if self.may_serve_a_class(engine) => {}
             (InjectedFault::WrongEngine, Action::Join { holders, .. }) => {
                 let other = self
                     .catalog
@@ -212,10 +222,10 @@
                     .find(|(engine, ..)| !self.members.contains_key(engine));
                 let engine = other
                     .map(|(engine, ..)| engine)
-                    .expect("the list is longer than the subset");
+                    .expect("the list has an engine that is not a member");
                 self.members.insert(engine, holders);
             }
-            (InjectedFault::TooFast, Action::Connect(_)) => {
+            (InjectedFault::ConnectsTwice, Action::Connect(_)) => {
                 self.perform(action);
                 self.perform(action);
             }
@@ -245,7 +255,8 @@
                 let needed =
                     self.filling || self.members.len() < self.floor() || self.class_needs(engine);
                 if untried && !needed {
-                    self.faults.insert("joins untried over the floor".into());
+                    self.faults
+                        .insert("an engine joins without a connection test above the floor".into());
                 }
                 self.members.insert(engine, holders);
             }
@@ -253,13 +264,13 @@
                 Some(known) => *known = holders,
                 None => drop(
                     self.faults
-                        .insert("updates an engine that is no member".into()),
+                        .insert("an engine is updated that is not a member".into()),
                 ),
             },
             Action::Leave(engine) => {
                 if self.members.remove(&engine).is_none() {
                     self.faults
-                        .insert("an engine leaves that is no member".into());
+                        .insert("an engine leaves that is not a member".into());
                 }
             }
         }
@@ -305,7 +316,7 @@
         members < ready.min(self.settings.class_floor).div_ceil(2)
     }
 
-    fn of_a_class(&self, engine: EngineKey) -> bool {
+    fn may_serve_a_class(&self, engine: EngineKey) -> bool {
         let facts = self.catalog.facts(engine).expect("joins are in the list");
         self.settings
             .classes
@@ -329,10 +340,10 @@
                 .is_none_or(|id| !ready.contains(id))
         };
         if self.members.keys().any(unready) {
-            faults.push("a member takes no new work");
+            faults.push("a member is not ready");
         }
         if self.members.len() < self.floor().min(ready.len()) {
-            faults.push("under the floor");
+            faults.push("the subset is below its floor");
         }
         if self
             .settings
@@ -340,7 +351,7 @@
             .iter()
             .any(|class| self.class_under_floor(class))
         {
-            faults.push("a class under its floor");
+            faults.push("a class is below its floor");
         }
         if !self
             .members
@@ -354,7 +365,7 @@
             .iter()
             .map(|(engine, holders)| (*engine, *holders)))
         {
-            faults.push("the actions are not the members");
+            faults.push("the members differ from those according to the actions");
         }
         self.faults.extend(faults.into_iter().map(String::from));
     }
@@ -367,19 +378,20 @@
             .collect()
     }
 
-    /// Lets everything pending finish, and compares with the plain model.
+    /// Makes all engines reachable, waits until the subset is stable, and compares its members with the reference
+    /// model.
     pub fn settle(&mut self) {
         self.unreachable.clear();
         self.advance(SETTLING_SECONDS);
-        if self.member_ids() != plain_target(GATEWAY, &self.settings, &self.list) {
+        if self.member_ids() != reference_target(GATEWAY, &self.settings, &self.list) {
             self.faults
-                .insert("settled members are not those of the plain model".into());
+                .insert("settled members differ from the reference model".into());
         }
     }
 }
 
-/// What a gateway should hold, worked out from the whole list.
-pub fn plain_target(
+/// Computes the ids of the engines that a gateway should hold, from the whole list.
+pub fn reference_target(
     gateway: &str,
     settings: &SubsetSettings,
     list: &BTreeMap<String, EngineFacts>,
@@ -399,9 +411,9 @@
     ready.sort_by(|a, b| a.0.total_cmp(&b.0));
     let size = EffectiveSize::new(settings, ready.len()).size;
     let everything = PlacementClass::default();
-    let mut target = plain_choice(&ready, &everything, size, settings.retry_scope);
+    let mut target = reference_choice(&ready, &everything, size, settings.retry_scope);
     for class in &settings.classes {
-        target.extend(plain_choice(
+        target.extend(reference_choice(
             &ready,
             class,
             settings.class_floor,
@@ -411,8 +423,9 @@
     target
 }
 
-/// The first engines of a class, as many as make the quota when each has a companion in its retry domain.
-fn plain_choice(
+/// Selects engines of a class, lowest score first, each with a companion in its retry domain, until the quota is
+/// reached.
+fn reference_choice(
     ready: &[(f64, &str, EngineFacts)],
     class: &PlacementClass,
     quota: usize,
