--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -199,7 +199,8 @@
         "{load}"
     );
     assert!(
-        load.contains("does not match: route `night-watch`") && load.contains("by its `key`"),
+        load.contains("does not match: route `night-watch`")
+            && load.contains("because of its entry `key`"),
         "{load}"
     );
     assert!(explain(&["--group", "load", "--key", "1"])
@@ -302,7 +303,7 @@
         gateway.reload(&ROUTES.replace("  to two\n", "  to two, one\n"));
         let log = gateway.wait_until_logged("the old one stays");
         assert!(
-            log.contains("the route `reports` may send `report` to `one`, out of `two`"),
+            log.contains("route `reports` may send queries of `report` to pool `one`, but their class is bound to `two`"),
             "{log}"
         );
         assert!(log.contains("a.plan:21:3"), "{log}");
@@ -347,7 +348,7 @@
     assert_eq!(output.status.code(), Some(1));
     let error_text = output_text(&output);
     assert!(
-        error_text.contains("a pool has no entry `knid`")
+        error_text.contains("unknown entry `knid` in block `pool`")
             && error_text.contains("did you mean `kind`?"),
         "{error_text}"
     );
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -42,11 +42,11 @@
             if !cells.is_clear() {
                 continue;
             }
-            let text = format!("no engine can be in the pool `{}`", pool.name);
+            let text = format!("pool `{}` can never contain an engine", pool.name);
             let diagnostic = Diagnostic::new(pool.span.clone(), text);
             let except = pool.except.first().map(|except| &self.plan.pools[*except]);
             self.diagnostics.push(match except {
-                Some(except) => diagnostic.related(except.span.clone(), "what it has is excepted"),
+                Some(except) => diagnostic.related(except.span.clone(), "`except` names this pool"),
                 None => diagnostic,
             });
         }
--- a/crates/plan/src/build/consistency/classes.rs
+++ b/crates/plan/src/build/consistency/classes.rs
@@ -17,14 +17,17 @@
                 .zip(deadline)
                 .is_some_and(|(objective, deadline)| objective > deadline);
             if is_too_long {
-                let text = format!("the goal of `{}` is longer than its time limit", class.name);
+                let text = format!(
+                    "goal of group `{}` is longer than its time limit",
+                    class.name
+                );
                 self.diagnostics
                     .push(Diagnostic::new(class.span.clone(), text));
             }
             let wider = allowed.map(|allowed| wider_rules(class, allowed));
             for what in wider.unwrap_or_default() {
                 let text = format!(
-                    "a plan narrows what the settings allow; this {what} of `{}` is wider",
+                    "{what} of group `{}` allows more than the settings; a plan can only narrow what they allow",
                     class.name
                 );
                 self.diagnostics
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -30,12 +30,12 @@
             return;
         }
         let text = format!(
-            "the limits `{}` and `{}` limit the same",
+            "limits `{}` and `{}` limit the same quantity of the same queries",
             first.name, second.name
         );
         let diagnostic = Diagnostic::new(second.span.clone(), text);
         self.diagnostics
-            .push(diagnostic.related(first.span.clone(), "the other one"));
+            .push(diagnostic.related(first.span.clone(), "the other limit is defined here"));
     }
 
     /// A limit that can never be reached, as a wider one lets fewer queries be in flight.
@@ -48,12 +48,12 @@
             return;
         }
         let text = format!(
-            "the limit `{}` of {more} in flight can never bind: `{}` holds all of them to {fewer}",
+            "limit `{}` of {more} queries in flight can never be reached: limit `{}` allows only {fewer}",
             narrow.name, wide.name
         );
         let diagnostic = Diagnostic::new(narrow.span.clone(), text);
         self.diagnostics
-            .push(diagnostic.related(wide.span.clone(), "this one"));
+            .push(diagnostic.related(wide.span.clone(), "the lower limit is defined here"));
     }
 
     /// A tenant's own limit of queries in flight that is above a general one.
@@ -65,12 +65,12 @@
             return;
         }
         let text = format!(
-            "`{}` may have {own} queries in flight, but the limit `{}` holds it to {most}",
+            "tenant `{}` may have {own} queries in flight, but limit `{}` allows only {most}",
             tenant.name, limit.name
         );
         let diagnostic = Diagnostic::new(tenant.span.clone(), text);
         self.diagnostics
-            .push(diagnostic.related(limit.span.clone(), "this one"));
+            .push(diagnostic.related(limit.span.clone(), "the lower limit is defined here"));
     }
 }
 
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -90,17 +90,17 @@
         let bound: Vec<&str> = class.pools.iter().map(pool_name).collect();
         let pool = pool_name(&pool);
         let text = format!(
-            "the route `{}` may send `{}` to `{pool}`, out of `{}`",
+            "route `{}` may send queries of `{}` to pool `{pool}`, but their class is bound to `{}`",
             placed.route.name,
             class.name,
             bound.join("`, `")
         );
         let binding = class.pools_span.as_ref().unwrap_or(&class.span);
         Diagnostic::new(placed.pools_span.clone(), text)
-            .label("this leaves the binding")
+            .label("names a pool outside the binding")
             .related(binding.clone(), format!("`{}` is bound here", class.name))
             .help(format!(
-                "match `{}` by an earlier route, or leave `{pool}` out",
+                "match queries of `{}` in an earlier route, or remove `{pool}` from this one",
                 class.name
             ))
     }
@@ -163,15 +163,15 @@
     pool: &str,
 ) -> Diagnostic {
     let text = format!(
-        "the route `{}` may send `{}` to {place}, by the pool `{pool}`",
+        "route `{}` may send queries of `{}` to {place} through pool `{pool}`, which the settings do not allow",
         placed.route.name, class.name
     );
     let bound = class.kinds.iter().chain(&class.zones);
     let bound: Vec<String> = bound.map(|names| names.join(", ")).collect();
     Diagnostic::new(placed.pools_span.clone(), text)
-        .label("this leaves the binding")
+        .label("names a pool outside the binding")
         .help(format!(
-            "the settings bind `{}` to {}; match it by an earlier route",
+            "the settings bind `{}` to {}; match its queries in an earlier route",
             class.name,
             bound.join(" and ")
         ))
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -31,13 +31,13 @@
                 continue;
             }
             let covers = |earlier: &Region| region::difference(&regions[index], earlier).is_empty();
-            let text = format!("the route `{}` can never match", route.name);
+            let text = format!("unreachable route `{}`", route.name);
             let diagnostic = Diagnostic::new(route.span.clone(), text);
             self.diagnostics
                 .push(match regions[..index].iter().position(covers) {
                     Some(earlier) => diagnostic.related(
                         self.plan.routes[earlier].span.clone(),
-                        "this one matches all its queries",
+                        "this route matches all its queries",
                     ),
                     None => diagnostic.label("earlier routes together match all its queries"),
                 });
@@ -63,7 +63,7 @@
                     continue;
                 };
                 let text = format!(
-                    "queries of `{}` can't be treated as `{name}`: they would {violation}",
+                    "queries of `{}` cannot be treated as `{name}`: they would {violation}",
                     class.name
                 );
                 self.diagnostics.push(Diagnostic::new(span.clone(), text));
@@ -75,12 +75,12 @@
 /// The first rule of a class that its queries would break if they were treated as another class.
 fn violation(class: &SettingsClass, treated_as: &SettingsClass) -> Option<&'static str> {
     if !treated_as.idempotency.narrows(&class.idempotency) {
-        return Some("run again where they may not");
+        return Some("run again where the settings do not allow it");
     }
     if class.in_order && !treated_as.in_order {
-        return Some("lose their order");
+        return Some("no longer run in order");
     }
     let stays_inside =
         is_subset(&treated_as.kinds, &class.kinds) && is_subset(&treated_as.zones, &class.zones);
-    (!stays_inside).then_some("run where they may not")
+    (!stays_inside).then_some("run on engines that the settings do not allow")
 }
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -12,8 +12,8 @@
         for block in self.blocks_of_kind("limit") {
             let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
             if !block.has_any(&["in-hand", "rate", "bytes"]) {
-                let text = format!("the limit `{}` limits nothing", block.name);
-                let help = "say how much: `in-hand`, `rate` or `bytes`";
+                let text = format!("limit `{}` limits no quantity", block.name);
+                let help = "add `in-hand`, `rate` or `bytes`";
                 let diagnostic = Diagnostic::new(block.name_span.clone(), text);
                 self.report_incomplete(block, diagnostic.help(help));
             }
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -72,7 +72,10 @@
     ) {
         let names = settings.names(namespace);
         if !names.contains(&name) {
-            let text = format!("the settings know no {} `{name}`", namespace.description());
+            let text = format!(
+                "unknown {} `{name}`: the settings do not define it",
+                namespace.description()
+            );
             let diagnostic = Diagnostic::new(span.clone(), text);
             self.diagnostics
                 .push(diagnostic.suggest_nearest(name, names));
@@ -92,7 +95,7 @@
             };
             match self.block_index(kind, name, &value.span) {
                 Ok(index) if found.contains(&index) => {
-                    let text = format!("`{name}` stands twice in this list");
+                    let text = format!("duplicate name `{name}` in list");
                     let diagnostic = Diagnostic::new(value.span.clone(), text);
                     self.diagnostics.push(diagnostic);
                 }
@@ -112,7 +115,7 @@
         if let Some(index) = indices.get(name) {
             return Ok(*index);
         }
-        let text = format!("there is no {} `{name}`", kind.description());
+        let text = format!("unknown {} `{name}`", kind.description());
         let diagnostic = Diagnostic::new(span.clone(), text);
         Err(diagnostic.suggest_nearest(name, indices.keys().copied()))
     }
@@ -191,6 +194,10 @@
     let first = blocks[cycle[0]];
     let names = cycle.iter().map(|index| blocks[*index].name.as_str());
     let names: Vec<&str> = names.chain([first.name.as_str()]).collect();
-    let text = format!("`{}` refers to itself: {}", first.name, names.join(" -> "));
+    let text = format!(
+        "`{}` refers to itself in a cycle: {}",
+        first.name,
+        names.join(" -> ")
+    );
     Diagnostic::new(first.name_span.clone(), text)
 }
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -36,11 +36,14 @@
 
     fn check_addresses(&mut self, block: &CheckedBlock, ranges: &AddressRanges) {
         if !block.has_any(&["net", "of"]) {
-            let text = format!("the address set `{}` says nothing", block.name);
+            let text = format!("address set `{}` has neither `net` nor `of`", block.name);
             let diagnostic = Diagnostic::new(block.name_span.clone(), text);
-            self.report_incomplete(block, diagnostic.help("net 10.1.0.0/16"));
+            self.report_incomplete(block, diagnostic.help("for example: `net 10.1.0.0/16`"));
         } else if ranges.is_empty() && !block.values("net").is_empty() {
-            let text = format!("the address set `{}` holds no address", block.name);
+            let text = format!(
+                "address set `{}` is empty: `except` removes every address",
+                block.name
+            );
             self.diagnostics
                 .push(Diagnostic::new(block.name_span.clone(), text));
         }
@@ -71,8 +74,8 @@
         if block.has_any(&["all", "zone", "kind", "id", "address", "union"]) {
             return;
         }
-        let text = format!("the pool `{}` holds no engine", block.name);
-        let help = "say which it holds: `all`, `zone`, `kind`, `id`, `address` or `union`";
+        let text = format!("pool `{}` selects no engine", block.name);
+        let help = "add `all`, `zone`, `kind`, `id`, `address` or `union`";
         let diagnostic = Diagnostic::new(block.name_span.clone(), text);
         self.report_incomplete(block, diagnostic.help(help));
     }
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -36,8 +36,8 @@
     /// A route either names a destination or rejects its queries.
     fn check_outcome(&mut self, block: &CheckedBlock) {
         if !block.has_any(&["to", "as", "refuse"]) {
-            let text = format!("the route `{}` says nothing", block.name);
-            let help = "say what becomes of its queries: `to`, `as` or `refuse`";
+            let text = format!("route `{}` has no effect", block.name);
+            let help = "add `to`, `as` or `refuse`";
             let diagnostic = Diagnostic::new(block.name_span.clone(), text);
             self.report_incomplete(block, diagnostic.help(help));
         }
@@ -45,9 +45,9 @@
         if let (Some(refuse), Some(destination)) = (block.entry("refuse"), destination) {
             let diagnostic = Diagnostic::new(
                 refuse.span.clone(),
-                "a route that rejects queries has no destination",
+                "a route with `refuse` cannot have `to` or `as`",
             );
-            let text = "this names a destination";
+            let text = "conflicts with this entry";
             self.diagnostics
                 .push(diagnostic.related(destination.span.clone(), text));
         }
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -19,10 +19,10 @@
         let all = blocks_of_kind(self.blocks, kind);
         let (first, others) = all.split_first()?;
         for other in others {
-            let text = format!("a plan has one block `{kind}` at most");
+            let text = format!("duplicate block `{kind}`: a plan can have only one");
             let diagnostic = Diagnostic::new(other.name_span.clone(), text);
             self.diagnostics
-                .push(diagnostic.related(first.name_span.clone(), "the first"));
+                .push(diagnostic.related(first.name_span.clone(), "first defined here"));
         }
         Some(first)
     }
@@ -56,12 +56,12 @@
             self.diagnostics.push(Diagnostic::new(span.clone(), text));
         };
         if bodies.max_body_memory_bytes > bodies.memory_bytes {
-            let text = "one body may have more memory than all together";
+            let text = "`batch-memory` is larger than `memory`, the memory for all bodies together";
             report("batch-memory", text);
         }
         match (&bodies.directory, bodies.file_bytes > 0) {
-            (None, true) => report("files", "files need a `directory`"),
-            (Some(_), false) => report("directory", "nothing goes there without `files`"),
+            (None, true) => report("files", "`files` requires a `directory`"),
+            (Some(_), false) => report("directory", "`directory` has no effect without `files`"),
             _ => {}
         }
     }
@@ -74,7 +74,7 @@
             Some(directory) => self.plan.journal = Some(Journal { directory }),
             None => {
                 let diagnostic =
-                    Diagnostic::new(block.name_span.clone(), "the journal has no `directory`");
+                    Diagnostic::new(block.name_span.clone(), "`journal` has no `directory`");
                 self.report_incomplete(block, diagnostic.help("directory \"/var/lib/garnetwall\""));
             }
         }
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -64,9 +64,9 @@
     fn define(&mut self, kind: &BlockKind, name: &Word) -> Result<(), Diagnostic> {
         let key = (kind.name, name.text.clone());
         if let Some(first) = self.defined.get(&key) {
-            let text = format!("the {} `{}` is there already", kind.name, name.text);
+            let text = format!("duplicate {} `{}`", kind.name, name.text);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
-            return Err(diagnostic.related(first.clone(), "first here"));
+            return Err(diagnostic.related(first.clone(), "first defined here"));
         }
         self.defined.insert(key, name.span.clone());
         Ok(())
@@ -76,7 +76,7 @@
         let name = &entry.name;
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.is_quoted) else {
             let text = format!(
-                "a {} has no entry `{}`",
+                "unknown entry `{1}` in block `{0}`",
                 block.kind.name,
                 truncated(&name.text)
             );
@@ -116,10 +116,13 @@
             }
             Some(first) if kind.shape.is_list() => first.values.extend(values),
             Some(first) => {
-                let text = format!("`{}` stands twice in this {}", kind.name, block.kind.name);
+                let text = format!(
+                    "duplicate entry `{}` in block `{}`",
+                    kind.name, block.kind.name
+                );
                 let diagnostic = Diagnostic::new(span, text);
                 self.diagnostics
-                    .push(diagnostic.related(first.span.clone(), "first here"));
+                    .push(diagnostic.related(first.span.clone(), "first given here"));
             }
         }
     }
@@ -128,7 +131,7 @@
 fn block_kind(block: &Block) -> Result<&'static BlockKind, Diagnostic> {
     let word = &block.kind;
     schema::block(&word.text).ok_or_else(|| {
-        let text = format!("there is no block of the kind `{}`", truncated(&word.text));
+        let text = format!("unknown block kind `{}`", truncated(&word.text));
         let names = schema::BLOCKS.iter().map(|kind| kind.name);
         Diagnostic::new(word.span.clone(), text).suggest_nearest(&word.text, names)
     })
@@ -136,9 +139,9 @@
 
 fn block_name<'a>(kind: &BlockKind, block: &'a Block) -> Result<&'a Word, Diagnostic> {
     let Some(name) = &block.name else {
-        let text = format!("this {} has no name", kind.name);
+        let text = format!("block `{}` has no name", kind.name);
         let diagnostic = Diagnostic::new(block.kind.span.clone(), text);
-        return Err(diagnostic.help(format!("{} some-name {{", kind.name)));
+        return Err(diagnostic.help(format!("add a name: `{} some-name {{`", kind.name)));
     };
     match quantity::read(ValueKind::Name, name) {
         Ok(_) => Ok(name),
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -44,18 +44,18 @@
         span: &Span,
     ) -> Result<(), Diagnostic> {
         if !quantity::is_name(&name.text) || name.is_quoted {
-            let text = format!("`{}` is no name for a constant", truncated(&name.text));
+            let text = format!("invalid constant name `{}`", truncated(&name.text));
             return Err(Diagnostic::new(name.span.clone(), text));
         }
         let [values] = parts else {
-            let text = "a constant is one value, or a list with commas";
+            let text = "a constant must be one value or a comma-separated list";
             let diagnostic = Diagnostic::new(span.clone(), text);
-            return Err(diagnostic.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
+            return Err(diagnostic.help("for example: `let houses = 10.1.0.0/16, 10.2.0.0/16`"));
         };
         if let Some(first) = self.by_name.get(&name.text) {
-            let text = format!("the constant `{}` is there already", name.text);
+            let text = format!("duplicate constant `{}`", name.text);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
-            return Err(diagnostic.related(first.span.clone(), "first here"));
+            return Err(diagnostic.related(first.span.clone(), "first defined here"));
         }
         let constant = Constant {
             values: values.clone(),
@@ -107,23 +107,23 @@
     fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
         let constants = &self.constants.by_name;
         let Some(constant) = constants.get(name) else {
-            let text = format!("there is no constant `{}`", truncated(name));
+            let text = format!("unknown constant `{}`", truncated(name));
             let diagnostic = Diagnostic::new(used.span.clone(), text);
             return Err(diagnostic.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
         let error = |text: String| {
             let diagnostic = Diagnostic::new(used.span.clone(), text);
-            Err(diagnostic.related(constant.span.clone(), "the constant"))
+            Err(diagnostic.related(constant.span.clone(), "the constant is defined here"))
         };
         if depth >= MAX_DEPTH {
             let name = truncated(name);
             return error(format!(
-                "the constant `{name}` needs itself, or {MAX_DEPTH} others"
+                "cannot expand constant `{name}`: constants refer to one another in a cycle or more than {MAX_DEPTH} deep"
             ));
         }
         if self.words.len() > MAX_VALUES {
             return error(format!(
-                "with constants put in, this has more than {MAX_VALUES} values"
+                "entry has more than {MAX_VALUES} values after its constants are expanded"
             ));
         }
         Ok(constant)
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -76,13 +76,13 @@
     /// Reports an error in a word that may come from a constant.
     fn fail_in<T>(&mut self, word: &ExpandedWord, diagnostic: Diagnostic) -> Option<T> {
         self.fail(match &word.defined_at {
-            Some(defined_at) => diagnostic.related(defined_at.clone(), "from this constant"),
+            Some(defined_at) => diagnostic.related(defined_at.clone(), "value from this constant"),
             None => diagnostic,
         })
     }
 
     fn fail_missing<T>(&mut self) -> Option<T> {
-        let text = format!("`{}` says nothing", self.entry.name);
+        let text = format!("entry `{}` has no value", self.entry.name);
         let diagnostic = Diagnostic::new(self.name.span.clone(), text);
         self.fail(diagnostic.help(self.example()))
     }
@@ -93,7 +93,7 @@
 
     /// The entry as it might be written.
     fn example(&self) -> String {
-        format!("{} {}", self.entry.name, self.entry.example)
+        format!("for example: `{} {}`", self.entry.name, self.entry.example)
     }
 
     fn read_value(&mut self, kind: ValueKind, expanded: &ExpandedWord) -> Option<Spanned> {
@@ -120,7 +120,7 @@
             });
         }
         let text = format!(
-            "`{}` is none of {} for `{}`",
+            "invalid value `{}`: expected one of {} for entry `{}`",
             truncated(&word.text),
             choices.join(", "),
             self.entry.name
@@ -137,8 +137,8 @@
         let name = self.entry.name;
         let word = truncated(&first.word.text);
         let text = match self.entry.example {
-            "" => format!("`{name}` stands alone; `{word}` is too much"),
-            example => format!("`{word}` is too much; `{name}` is as in `{name} {example}`"),
+            "" => format!("entry `{name}` takes no value, found `{word}`"),
+            example => format!("expected `{name} {example}`, found `{word}`"),
         };
         self.fail_at(first, text)
     }
@@ -155,7 +155,7 @@
             [word] => Some(vec![read(self, word)?]),
             [_, second, ..] => {
                 let text = format!(
-                    "`{}` has one value; `{}` is too much",
+                    "entry `{}` takes one value, found extra value `{}`",
                     self.entry.name,
                     truncated(&second.word.text)
                 );
@@ -174,7 +174,7 @@
             return self.fail_missing();
         };
         if let Some(next) = more.iter().flatten().next() {
-            let text = format!("a comma is missing before `{}`", truncated(&next.word.text));
+            let text = format!("expected a comma before `{}`", truncated(&next.word.text));
             return self.fail_at(next, text);
         }
         let values: Vec<Option<Spanned>> = list.iter().map(|word| read(self, word)).collect();
@@ -203,7 +203,7 @@
             }
             _ => {
                 let text = format!(
-                    "`{}` is a rate, and perhaps `burst` with an amount",
+                    "entry `{}` takes a rate, optionally followed by `burst` and an amount",
                     self.entry.name
                 );
                 let diagnostic = Diagnostic::new(self.name.span.clone(), text);
@@ -226,13 +226,14 @@
                 Some(vec![effect, scope?, window?])
             }
             ("referenced", _) => {
-                let text = "`referenced` needs a scope and how long repeats are dropped";
+                let text = "`referenced` takes a scope and a deduplication window";
                 let diagnostic = Diagnostic::new(self.name.span.clone(), text);
-                self.fail(diagnostic.help("effect referenced zone 30s"))
+                self.fail(diagnostic.help("for example: `effect referenced zone 30s`"))
             }
             (word, [next, ..]) => {
                 let next_word = truncated(&next.word.text);
-                let text = format!("`{next_word}` is too much; `{word}` stands alone");
+                let text =
+                    format!("unexpected value `{next_word}`: `{word}` takes no further value");
                 self.fail_at(next, text)
             }
             (_, []) => Some(vec![effect]),
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -17,7 +17,7 @@
             (Some(limit), None) => format!("`{name}` is gone: {}", limit_in_words(limit)),
             (None, Some(limit)) => format!("`{name}` is new: {}", limit_in_words(limit)),
             (Some(before), Some(after)) if scope(old, before) != scope(new, after) => {
-                format!("`{name}` counts other queries now")
+                format!("`{name}` now counts other queries")
             }
             (Some(before), Some(after)) => {
                 let before = limit_in_words(before);
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -35,7 +35,7 @@
     if format!("{:?}", old.routes) == format!("{:?}", new.routes) {
         return Vec::new();
     }
-    let text = "the routes of the two are too many and too entangled to be compared";
+    let text = "cannot compare the routes: they divide queries into too many regions";
     vec![Change {
         subject: "routing",
         text: text.to_string(),
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -44,7 +44,7 @@
         match route.map(|index| &plan.routes[index]) {
             None => writeln!(
                 self.out,
-                "no route matches: any engine may run it that the rules of its query class allow"
+                "no route matches: the query may run on any engine that the rules of its class allow"
             )?,
             Some(route) => {
                 self.write_route(route)?;
@@ -88,7 +88,7 @@
             let name = &route.name;
             writeln!(
                 self.out,
-                "  does not match: route `{name}` ({place}), by its `{unmet}`"
+                "  does not match: route `{name}` ({place}), because of its entry `{unmet}`"
             )?;
         }
         match routes.len().saturating_sub(MAX_PRINTED_MISMATCHES) {
@@ -102,10 +102,10 @@
         let place = self.location(&route.span);
         writeln!(self.out, "route `{}` ({place}) matches", route.name)?;
         if let Some(reason) = &route.reject_reason {
-            return writeln!(self.out, "it is rejected: {reason}");
+            return writeln!(self.out, "the query is rejected: {reason}");
         }
         if let Some(class) = &route.as_class {
-            writeln!(self.out, "it is treated as `{class}`")?;
+            writeln!(self.out, "the query is treated as `{class}`")?;
         }
         for (index, pool) in route.pools.iter().enumerate() {
             let pool = &plan.pools[*pool];
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -57,18 +57,18 @@
     /// What a message asks for where a value of this kind belongs, with an example.
     pub fn expected(self) -> &'static str {
         match self {
-            ValueKind::Time => "a time such as 250ms, 1.5s or 2min",
-            ValueKind::Size => "a size such as 512B, 64KiB or 10MiB",
-            ValueKind::Rate => "a rate such as 50/s or 3000/min",
-            ValueKind::ByteRate => "bytes over time such as 10MiB/s",
-            ValueKind::Share => "a share such as 30%",
-            ValueKind::Count => "a whole number such as 300",
-            ValueKind::TimesOfDay => "hours of the day such as 06:00..20:00",
-            ValueKind::Network => "a network such as 10.1.0.0/16 or 2001:db8::/32",
-            ValueKind::Numbers => "a number or a range such as 17 or 20..30",
+            ValueKind::Time => "a time (for example 250ms, 1.5s or 2min)",
+            ValueKind::Size => "a size (for example 512B, 64KiB or 10MiB)",
+            ValueKind::Rate => "a rate (for example 50/s or 3000/min)",
+            ValueKind::ByteRate => "a byte rate (for example 10MiB/s)",
+            ValueKind::Share => "a share (for example 30%)",
+            ValueKind::Count => "a whole number (for example 300)",
+            ValueKind::TimesOfDay => "hours of the day (for example 06:00..20:00)",
+            ValueKind::Network => "a network (for example 10.1.0.0/16 or 2001:db8::/32)",
+            ValueKind::Numbers => "a number or a range (for example 17 or 20..30)",
             ValueKind::Name => "a name",
-            ValueKind::Pattern => "a name, with `*` for any characters",
-            ValueKind::Text => "a text in quotes",
+            ValueKind::Pattern => "a name pattern, in which `*` stands for any characters",
+            ValueKind::Text => "a quoted text",
         }
     }
 
@@ -78,7 +78,7 @@
             ValueKind::Time => "a time",
             ValueKind::Size => "a size",
             ValueKind::Rate => "a rate",
-            ValueKind::ByteRate => "bytes over time",
+            ValueKind::ByteRate => "a byte rate",
             ValueKind::Share => "a share",
             ValueKind::Count => "a number without a unit",
             ValueKind::TimesOfDay => "hours of the day",
@@ -140,7 +140,7 @@
     /// The word is something else than a value of a kind.
     fn not(word: &str, description: &str, kind: ValueKind) -> Self {
         ValueError::new(format!(
-            "`{}` {description}; here {} is wanted",
+            "expected {1}, {description} `{0}`",
             truncated(word),
             kind.expected()
         ))
@@ -168,8 +168,8 @@
 pub fn read(kind: ValueKind, word: &Word) -> Result<Value, ValueError> {
     let text = word.text.as_str();
     match (word.is_quoted, kind == ValueKind::Text) {
-        (true, false) => return Err(ValueError::not(text, "is in quotes", kind)),
-        (false, true) => return Err(ValueError::not(text, "is not in quotes", kind)),
+        (true, false) => return Err(ValueError::not(text, "found the quoted text", kind)),
+        (false, true) => return Err(ValueError::not(text, "found the unquoted word", kind)),
         _ => {}
     }
     match kind {
@@ -200,8 +200,8 @@
     if is_name(word) {
         return Ok(Value::Name(word.to_string()));
     }
-    let help = "a name has letters, digits, `-`, `_` and `.`, 64 at most, and begins with a letter or digit";
-    Err(ValueError::new(format!("`{}` is no name", truncated(word))).help(help))
+    let help = "a name starts with a letter or digit, contains only letters, digits, `-`, `_` and `.`, and has at most 64 characters";
+    Err(ValueError::new(format!("invalid name `{}`", truncated(word))).help(help))
 }
 
 fn pattern(word: &str) -> Result<Value, ValueError> {
@@ -209,18 +209,21 @@
     if wildcards <= MAX_WILDCARDS && is_name(&word.replace('*', "0")) {
         return Ok(Value::Pattern(word.to_string()));
     }
-    let help = "a pattern has letters, digits, `-`, `_`, `.` and four `*` at most, 64 in all";
-    Err(ValueError::new(format!("`{}` is no name", truncated(word))).help(help))
+    let help = "a pattern contains only letters, digits, `-`, `_`, `.` and at most four `*`, and has at most 64 characters";
+    Err(ValueError::new(format!("invalid pattern `{}`", truncated(word))).help(help))
 }
 
 fn times_of_day(word: &str) -> Result<Value, ValueError> {
-    let no_range = || ValueError::not(word, "is no span of hours", ValueKind::TimesOfDay);
+    let no_range = || ValueError::not(word, "found invalid hours", ValueKind::TimesOfDay);
     let (from, until) = word.split_once("..").ok_or_else(no_range)?;
     let from = minute_of_day(from).ok_or_else(no_range)?;
     let until = minute_of_day(until).ok_or_else(no_range)?;
     if from % MINUTES_PER_DAY == until % MINUTES_PER_DAY {
-        let text = format!("`{}` is no time at all, or a whole day", truncated(word));
-        return Err(ValueError::new(text).help("leave the entry out for the whole day"));
+        let text = format!(
+            "start and end of `{}` are the same time of day",
+            truncated(word)
+        );
+        return Err(ValueError::new(text).help("omit the entry to match the whole day"));
     }
     let from = from % MINUTES_PER_DAY;
     Ok(Value::TimesOfDay(MinuteRange { from, until }))
@@ -253,13 +256,13 @@
     }
     let network: IpNet = word
         .parse()
-        .map_err(|_| ValueError::not(word, "is no network", ValueKind::Network))?;
+        .map_err(|_| ValueError::not(word, "found invalid network", ValueKind::Network))?;
     if network.trunc() == network {
         return Ok(Value::Network(network));
     }
-    let text = format!("`{}` has bits set behind its prefix", truncated(word));
+    let text = format!("network `{}` has host bits set", truncated(word));
     Err(ValueError::new(text).help(format!(
-        "did you mean `{}`, or the one address `{}`?",
+        "did you mean the network `{}` or the single address `{}`?",
         network.trunc(),
         network.addr()
     )))
@@ -267,12 +270,15 @@
 
 fn numbers(word: &str) -> Result<Value, ValueError> {
     let (first, last) = word.split_once("..").unwrap_or((word, word));
-    let no_number = |_| ValueError::not(word, "is no number", ValueKind::Numbers);
+    let no_number = |_| ValueError::not(word, "found invalid number", ValueKind::Numbers);
     let first: u32 = first.parse().map_err(no_number)?;
     let last: u32 = last.parse().map_err(no_number)?;
     if first <= last {
         return Ok(Value::Numbers(NumberRange { first, last }));
     }
-    let text = format!("`{}` runs backwards", truncated(word));
+    let text = format!(
+        "start of range `{}` is greater than its end",
+        truncated(word)
+    );
     Err(ValueError::new(text).help(format!("did you mean `{last}..{first}`?")))
 }
--- a/crates/plan/src/quantity/units.rs
+++ b/crates/plan/src/quantity/units.rs
@@ -52,13 +52,13 @@
     let (digits, unit) = word.split_at(digits);
     let number = digits.parse::<f64>().ok().filter(|n| n.is_finite());
     let Some(number) = number else {
-        return Err(ValueError::not(word, "is no number", kind));
+        return Err(ValueError::not(word, "found invalid number", kind));
     };
     match kind_of_unit(unit) {
         Some(found) if found == kind => bounded_value(kind, word, number * base_units(unit)),
-        Some(ValueKind::Count) => Err(ValueError::not(word, "has no unit", kind)),
+        Some(ValueKind::Count) => Err(ValueError::not(word, "found a number without a unit", kind)),
         Some(found) => {
-            let description = format!("is {}", found.description());
+            let description = format!("found {}", found.description());
             Err(ValueError::not(word, &description, kind))
         }
         None => Err(unknown_unit(kind, digits, unit)),
@@ -71,7 +71,7 @@
         .iter()
         .find(|(alias, unit_here)| *alias == unit && units.contains(unit_here))
         .map(|(_, unit_here)| *unit_here);
-    let error = ValueError::not(unit, "is no unit", kind);
+    let error = ValueError::not(unit, "found unknown unit", kind);
     match alias.or_else(|| nearest(unit, units.iter().copied())) {
         Some(near) => error.help(format!("did you mean `{digits}{near}`?")),
         None => error,
@@ -82,20 +82,20 @@
 fn bounded_value(kind: ValueKind, word: &str, number: f64) -> Result<Value, ValueError> {
     let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", truncated(word))));
     match kind {
-        ValueKind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than a week"),
-        ValueKind::Time if number <= 0.0 => out_of_bounds("is no time; it must be above 0"),
+        ValueKind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than 7 days"),
+        ValueKind::Time if number <= 0.0 => out_of_bounds("is zero; a time must be greater than 0"),
         // Rounded, so that 1s equals 1000ms.
         ValueKind::Time => Ok(Value::Time(Duration::from_micros(
             (number * MICROSECONDS_PER_SECOND).round().max(1.0) as u64,
         ))),
         ValueKind::Share if number > 1.0 => {
-            out_of_bounds("is more than all; a share is 100% at most")
+            out_of_bounds("is greater than the maximum share of 100%")
         }
         ValueKind::Share => Ok(Value::Share(number)),
-        _ if number <= 0.0 => out_of_bounds("is nothing; it must be above 0"),
+        _ if number <= 0.0 => out_of_bounds("is zero; the value must be greater than 0"),
         _ if number > MAX_NUMBER => out_of_bounds("is too large"),
         ValueKind::Size | ValueKind::Count if number.fract() != 0.0 => {
-            out_of_bounds("is no whole number")
+            out_of_bounds("is not a whole number")
         }
         ValueKind::Size => Ok(Value::Size(number as u64)),
         ValueKind::Count => Ok(Value::Count(number as u64)),
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -19,13 +19,13 @@
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// No file has this name.
-    #[error("there is no such file")]
+    #[error("no such file")]
     NotFound,
     /// The name is that of a directory.
-    #[error("it is a directory")]
+    #[error("is a directory")]
     IsDirectory,
     /// The file is longer than [`MAX_FILE_BYTES`].
-    #[error("it has {bytes} bytes, a file of a plan {MAX_FILE_BYTES} at most")]
+    #[error("the file has {bytes} bytes, more than the maximum of {MAX_FILE_BYTES}")]
     TooLarge {
         /// The size of the file.
         bytes: usize,
@@ -160,7 +160,7 @@
         let name = self.loader.resolve(from, path);
         if let Some(cycle) = self.include_cycle(&name) {
             let text = format!("`{name}` includes itself: {cycle}");
-            let diagnostic = Diagnostic::new(span, text).label("here the loop closes");
+            let diagnostic = Diagnostic::new(span, text).label("this include closes the cycle");
             self.source.diagnostics.push(diagnostic);
             return;
         }
@@ -187,11 +187,12 @@
     fn exceeded_limit(&self, name: &str) -> Option<String> {
         if self.open_files.len() >= MAX_INCLUDE_DEPTH {
             let text =
-                format!("`{name}` is included {MAX_INCLUDE_DEPTH} files deep, which is the most");
+                format!("cannot include `{name}`: includes are nested more than {MAX_INCLUDE_DEPTH} files deep");
             return Some(text);
         }
         let is_full = self.source.files.all().len() >= MAX_FILES;
-        is_full.then(|| format!("a plan has {MAX_FILES} files at most; `{name}` is one more"))
+        is_full
+            .then(|| format!("cannot include `{name}`: a plan can have at most {MAX_FILES} files"))
     }
 
     /// Reports a file that cannot be loaded at its include; the main file at the start of an empty file of its name.
@@ -200,7 +201,7 @@
             let file = self.source.files.add(name, String::new(), None);
             Span::start_of(file)
         });
-        let text = format!("`{name}` can't be read: {error}");
+        let text = format!("cannot read `{name}`: {error}");
         self.source.diagnostics.push(Diagnostic::new(span, text));
     }
 
@@ -214,7 +215,7 @@
             end: start + '\u{fffd}'.len_utf8(),
         };
         let diagnostic =
-            Diagnostic::new(span, "this is not UTF-8").label("the first byte that is no text");
+            Diagnostic::new(span, "file is not valid UTF-8").label("first invalid byte");
         self.source.diagnostics.push(diagnostic);
     }
 }
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -136,7 +136,7 @@
         }
         // The grammar accepts any text; this is for a grammar that no longer does.
         Err(error) => {
-            let text = format!("can't be read: {}", error.variant.message());
+            let text = format!("cannot parse file: {}", error.variant.message());
             reader.push_diagnostic(Diagnostic::new(Span::start_of(file), text));
         }
     }
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -120,8 +120,8 @@
         let mut words = head.statement.words.into_iter();
         let Some(kind) = words.next() else { return };
         if !parts.is_closed {
-            let diagnostic = Diagnostic::new(head.span.clone(), "this block is not closed");
-            self.push_diagnostic(diagnostic.help("add a line with `}` at its end"));
+            let diagnostic = Diagnostic::new(head.span.clone(), "unclosed block");
+            self.push_diagnostic(diagnostic.help("add a line with `}` at the end of the block"));
         }
         self.tree.items.push(Item::Block(Block {
             kind,
--- a/crates/plan/src/syntax/unreadable.rs
+++ b/crates/plan/src/syntax/unreadable.rs
@@ -33,7 +33,7 @@
     let is_forbidden = |c: char| c.is_control() && !matches!(c, '\n' | '\r' | '\t');
     let (offset, character) = text.char_indices().find(|(_, c)| is_forbidden(*c))?;
     let text = format!(
-        "a control character (U+{:04X}) can't stand in a plan",
+        "control character U+{:04X} is not allowed in a plan",
         u32::from(character)
     );
     let place = within(span, offset, character.len_utf8());
@@ -43,44 +43,45 @@
 fn bad_string(span: &Span, text: &str) -> Option<Diagnostic> {
     if let Some(offset) = unclosed_quote(text) {
         let place = within(span, offset, text.trim_end().len() - offset);
-        let help = "a string ends with `\"` on its own line; within it write `\\\"` and `\\\\`";
-        return Some(Diagnostic::new(place, "this string is not closed").help(help));
+        let help = "close the string with `\"` on the same line; inside it, write `\\\"` for `\"` and `\\\\` for `\\`";
+        return Some(Diagnostic::new(place, "unclosed string").help(help));
     }
     let offset = bad_escape(text)?;
-    let text = "in a string `\\` stands before `\"` or another `\\` only";
+    let text = "invalid escape in string: `\\` can only precede `\"` or `\\`";
     Some(Diagnostic::new(within(span, offset, 2), text))
 }
 
 /// The diagnostic of a line whose characters and strings are valid. The first case that fits decides.
 fn misplaced(span: Span, line: &str, context: Context) -> Diagnostic {
-    const ENTRY_HELP: &str = "an entry is its name and its values: `limit 20s`";
-    const FILE_HELP: &str =
-        "a plan has includes, constants and blocks: `include \"...\"`, `let a = ...`, `pool big {`";
+    const ENTRY_HELP: &str = "an entry is a name followed by its values, for example `limit 20s`";
+    const FILE_HELP: &str = "for example: `include \"...\"`, `let a = ...` or `pool big {`";
     let in_block = context == Context::Block;
     let has_bad_comma = line.contains(",,") || line.ends_with(',') || line.starts_with(',');
     let diagnostic = |text: &str| Diagnostic::new(span, text);
     if line == "}" {
-        diagnostic("this `}` closes no block")
+        diagnostic("unmatched `}`")
     } else if line.starts_with('}') {
-        diagnostic("nothing can follow the `}` of a block on its line")
+        diagnostic("unexpected text after the `}` of a block")
     } else if line.starts_with("include") {
-        diagnostic("an include names one file in quotes").help("include \"pools.plan\"")
+        diagnostic("expected one quoted file name after `include`")
+            .help("for example: `include \"pools.plan\"`")
     } else if line.starts_with("let ") || line == "let" {
-        diagnostic("a constant has a name, `=` and a value").help("let far = 40ms")
+        diagnostic("expected a name, `=` and a value after `let`")
+            .help("for example: `let far = 40ms`")
     } else if line.contains('{') && line.contains('}') {
-        diagnostic("a block's entries stand on lines of their own")
+        diagnostic("each entry of a block must be on its own line")
     } else if line.starts_with('{') {
-        diagnostic("a block begins with its kind").help("pool big {")
+        diagnostic("expected a block kind before `{`").help("for example: `pool big {`")
     } else if line.contains('{') && !in_block {
-        diagnostic("a block's head is its kind, its name and `{`").help("pool big {")
+        diagnostic("expected a block kind, a name and `{`").help("for example: `pool big {`")
     } else if has_bad_comma {
-        diagnostic("a comma stands between two values")
+        diagnostic("expected a value before and after each comma")
     } else if line.contains('=') {
-        diagnostic("`=` stands in constants only").help(ENTRY_HELP)
+        diagnostic("unexpected `=` outside a constant").help(ENTRY_HELP)
     } else if in_block {
-        diagnostic("this is no entry").help(ENTRY_HELP)
+        diagnostic("expected an entry").help(ENTRY_HELP)
     } else {
-        diagnostic("this stands in no block").help(FILE_HELP)
+        diagnostic("expected an include, a constant or a block").help(FILE_HELP)
     }
 }
 
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -189,11 +189,11 @@
         Err(faulty) => faulty.to_string(),
     };
     let deep = "pool a {\n".repeat(10_000);
-    assert!(message(deep.into_bytes()).contains("this block is not closed"));
-    assert!(message("{".repeat(10_000).into_bytes()).contains("a block begins with its kind"));
+    assert!(message(deep.into_bytes()).contains("unclosed block"));
+    assert!(message("{".repeat(10_000).into_bytes()).contains("expected a block kind before `{`"));
     let long = message(format!("pool {} {{\n all\n}}\n", "x".repeat(1 << 20)).into_bytes());
     assert!(
-        long.contains("is no name") && long.len() < 1000,
+        long.contains("invalid name `") && long.len() < 1000,
         "{} bytes",
         long.len()
     );
@@ -208,8 +208,8 @@
     assert!(message(
         format!("let c0 = 1\n{bombs}route r {{\n data-set $c60\n refuse \"x\"\n}}\n").into_bytes()
     )
-    .contains("the constant"));
-    assert!(message(vec![b'a'; 17 << 20]).contains("16777216 at most"));
+    .contains("cannot expand constant `"));
+    assert!(message(vec![b'a'; 17 << 20]).contains("more than the maximum of 16777216"));
     let includes: String = (0..300)
         .map(|n| format!("include \"{n}.plan\"\n"))
         .collect();
@@ -221,7 +221,7 @@
         .expect_err("too many files")
         .to_string();
     assert!(
-        report.contains("a plan has 256 files at most; `255.plan` is one more"),
+        report.contains("cannot include `255.plan`: a plan can have at most 256 files"),
         "{report}"
     );
     let many: String = (0..5000).map(|n| format!("nonsense {n}\n")).collect();
