--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -1,23 +1,24 @@
-//! Sets of IP addresses as ranges of numbers, and the search for all sets that an address is in.
+//! Represents sets of IP addresses as sorted ranges of integers and finds all sets that contain an address.
 //!
-//! An IPv4 address and the IPv6 address that maps it are the same.
+//! IPv4 addresses are stored in their IPv4-mapped IPv6 form (`::ffff:a.b.c.d`), so an IPv4 address and its mapped IPv6
+//! address are treated as equal.
 
 use fixedbitset::FixedBitSet;
 use ipnet::IpNet;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Consecutive addresses, as the numbers of their IPv6 form.
+/// An inclusive range of IP addresses, as integer values of their IPv6 form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AddressRange {
-    /// The lowest address.
+    /// Lowest address of the range.
     pub first: u128,
-    /// The highest address, which is in the range.
+    /// Highest address of the range, inclusive.
     pub last: u128,
 }
 
 impl AddressRange {
-    /// The addresses of a network.
+    /// Returns the range of all addresses of a network.
     pub fn of(network: &IpNet) -> Self {
         AddressRange {
             first: number(network.network()),
@@ -25,16 +26,16 @@
         }
     }
 
-    /// Whether an address, as a number, is in the range.
+    /// Returns whether the range contains `address`, given as by [`number`].
     pub fn contains(&self, address: u128) -> bool {
         (self.first..=self.last).contains(&address)
     }
 }
 
-/// Ranges of addresses, sorted and disjoint.
+/// Address ranges in ascending order, without overlaps.
 pub type AddressRanges = Vec<AddressRange>;
 
-/// An address as the number of its IPv6 form.
+/// Returns the integer value of an address; an IPv4 address is first mapped to IPv6.
 pub fn number(address: IpAddr) -> u128 {
     u128::from(match address {
         IpAddr::V4(address) => address.to_ipv6_mapped(),
@@ -42,7 +43,7 @@
     })
 }
 
-/// The addresses in any of some ranges, which need not be sorted or disjoint.
+/// Returns the union of `ranges`, which may be unsorted and overlapping. Adjacent ranges are merged.
 pub fn union(mut ranges: Vec<AddressRange>) -> AddressRanges {
     ranges.sort_unstable();
     let mut merged: AddressRanges = Vec::with_capacity(ranges.len());
@@ -57,7 +58,7 @@
     merged
 }
 
-/// The addresses that are in the first ranges and not in the second.
+/// Returns the addresses that `a` contains and `b` does not.
 pub fn difference(a: &AddressRanges, b: &AddressRanges) -> AddressRanges {
     let mut difference = Vec::with_capacity(a.len());
     let mut skipped = 0;
@@ -67,7 +68,7 @@
         }
         let cuts = b[skipped..].iter();
         let cuts = cuts.take_while(|cut| cut.first <= range.last);
-        // The first address that no cut has covered; `None` behind the highest one.
+        // Lowest address of the range that no earlier cut has removed; `None` once the whole range is processed.
         let mut next = Some(range.first);
         for cut in cuts {
             let Some(first) = next else { break };
@@ -85,30 +86,33 @@
     difference
 }
 
-/// The address classes of a list of sets: two addresses of a class are in the same sets.
+/// Partition of all addresses into classes, built from a list of address sets: two addresses are in the same class if
+/// they are members of the same sets.
 #[derive(Clone, Debug)]
 pub struct AddressClasses {
-    /// Where each range of IPv4 addresses starts, ascending. IPv4, which most clients have, has shorter numbers.
+    /// First address of each IPv4 range, ascending. IPv4 has its own table because most clients use it and comparing 32
+    /// bits is cheaper than comparing 128.
     v4_starts: Vec<u32>,
     v4_classes: Vec<u32>,
-    /// Where each range of all addresses starts, ascending.
+    /// First address of each range over the whole IPv6 space, including the mapped IPv4 addresses, ascending.
     v6_starts: Vec<u128>,
     v6_classes: Vec<u32>,
-    /// The sets that the addresses of each class are in.
+    /// For each class, the indices of the sets that contain its addresses.
     members: Vec<FixedBitSet>,
 }
 
-/// An address from which on a set has the addresses, or no longer has them.
+/// An address at which a range of a set starts, or the first address after such a range.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Boundary {
     at: u128,
     set: usize,
-    /// Sorts a start behind an end, so that adjoining ranges of a set are one.
+    /// `false` sorts first: at the same address, the end of one range is applied before the start of the adjacent one,
+    /// and the address remains a member of the set.
     is_start: bool,
 }
 
 impl AddressClasses {
-    /// The classes of some sets.
+    /// Computes the classes that `sets` distinguish.
     pub fn new(sets: &[AddressRanges]) -> Self {
         let mut classes = AddressClasses {
             v4_starts: Vec::new(),
@@ -163,7 +167,7 @@
         }
     }
 
-    /// The class of an address, below [`AddressClasses::count`].
+    /// Returns the class of an address, an index less than [`AddressClasses::count`].
     pub fn class(&self, address: IpAddr) -> usize {
         match address {
             IpAddr::V4(address) => {
@@ -179,18 +183,18 @@
         }
     }
 
-    /// The sets that the addresses of a class are in, by index.
+    /// Returns the indices of the sets that contain the addresses of a class.
     pub fn members(&self, class: usize) -> &FixedBitSet {
         &self.members[class]
     }
 
-    /// How many classes there are.
+    /// Returns the number of classes, at least 1.
     pub fn count(&self) -> usize {
         self.members.len()
     }
 }
 
-/// The boundaries of all ranges, in order.
+/// Returns the boundaries of all ranges of all sets, in ascending order of address.
 fn boundaries(sets: &[AddressRanges]) -> Vec<Boundary> {
     let mut boundaries = Vec::new();
     for (set, ranges) in sets.iter().enumerate() {
--- a/crates/plan/src/address/tests.rs
+++ b/crates/plan/src/address/tests.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 
 fn network() -> impl Strategy<Value = IpNet> {
-    // Few bits, so that networks overlap, nest and adjoin.
+    // Only a few bits vary, so that the generated networks overlap, nest and are adjacent to one another.
     let v4 = (0u8..4, 0u8..=255, 0u8..=32).prop_map(|(a, b, len)| {
         IpNet::new(IpAddr::from([10, a, 0, b]), len)
             .expect("a prefix")
--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -1,7 +1,7 @@
-//! Builds a plan from checked blocks: names are resolved, and contradictions are errors.
+//! Builds a [`Plan`] from checked blocks, resolving names and reporting contradictions as errors.
 //!
-//! The [`Builder`] turns the blocks of each kind into their part of the [`Plan`]; where that brought no error, the
-//! [`ConsistencyCheck`] compares the parts with one another and with the settings.
+//! The [`Builder`] converts the blocks of each kind into the corresponding part of the plan. If the plan has no errors
+//! up to that point, the [`ConsistencyCheck`] compares these parts with one another and with the settings.
 
 mod classes;
 mod consistency;
@@ -22,7 +22,9 @@
 
 pub use settings::{Settings, SettingsClass};
 
-/// Builds a plan from checked blocks. Where there are errors the plan is not to be used.
+/// Builds a plan from checked blocks, and checks it against `settings` if they are given.
+///
+/// Errors are appended to `diagnostics`. If it is not empty afterwards, the caller must discard the returned plan.
 pub fn build(
     blocks: &[CheckedBlock],
     settings: Option<&Settings>,
@@ -51,13 +53,13 @@
     plan
 }
 
-/// The blocks of a kind, in their order.
+/// Returns the blocks of a kind in source order.
 fn blocks_of_kind<'a>(blocks: &'a [CheckedBlock], kind: &str) -> Vec<&'a CheckedBlock> {
     let of_kind = |block: &&CheckedBlock| block.kind.name == kind;
     blocks.iter().filter(of_kind).collect()
 }
 
-/// The indices of the blocks of a kind among themselves, by name.
+/// Returns, by block name, the index of each block among the blocks of its kind.
 fn indices_by_name(blocks: &[CheckedBlock], kind: Referenced) -> HashMap<&str, usize> {
     let blocks = blocks_of_kind(blocks, kind.keyword())
         .into_iter()
@@ -67,12 +69,12 @@
         .collect()
 }
 
-/// The part of a plan that is built so far, with what it is built from.
+/// State of the conversion from blocks to a plan: the inputs, the errors, and the part of the plan built so far.
 struct Builder<'a> {
     blocks: &'a [CheckedBlock],
-    /// By name.
+    /// Indices of the `addresses` blocks by name.
     address_set_indices: HashMap<&'a str, usize>,
-    /// By name.
+    /// Indices of the `pool` blocks by name.
     pool_indices: HashMap<&'a str, usize>,
     settings: Option<&'a Settings>,
     diagnostics: &'a mut Vec<Diagnostic>,
@@ -96,7 +98,8 @@
         blocks_of_kind(self.blocks, kind)
     }
 
-    /// Reports that a block lacks an entry, unless an invalid line in it may be the one that is missing.
+    /// Reports a missing entry of a block, unless the block already has an error: the invalid line may be the entry
+    /// that seems to be missing.
     fn report_incomplete(&mut self, block: &CheckedBlock, diagnostic: Diagnostic) {
         let is_inside = |diagnostic: &Diagnostic| {
             diagnostic.span.file == block.whole_span.file
--- a/crates/plan/src/build/classes.rs
+++ b/crates/plan/src/build/classes.rs
@@ -1,4 +1,4 @@
-//! Builds the rules of query classes, and the limits of tenants.
+//! Builds the rules of query classes from `group` blocks and the limits of tenants from `tenant` blocks.
 
 use super::entries::{bucket, count, first_text, number, texts, time};
 use super::names::Referenced;
@@ -40,7 +40,7 @@
     }
 }
 
-/// The idempotency that the values of an `effect` stand for; `None` where it is not given.
+/// Returns the idempotency that the values of an `effect` entry specify; `None` if the entry is absent or invalid.
 fn idempotency(values: &[Spanned]) -> Option<Idempotency> {
     let words = texts(values);
     let effect = words.first()?;
--- a/crates/plan/src/build/consistency.rs
+++ b/crates/plan/src/build/consistency.rs
@@ -1,4 +1,4 @@
-//! Checks whether a plan whose names are all resolved contradicts itself, the settings or a rule.
+//! Checks a plan with resolved names for contradictions within itself and with the settings.
 
 mod classes;
 mod limits;
@@ -10,7 +10,7 @@
 use crate::diagnostic::Diagnostic;
 use crate::model::Plan;
 
-/// Checks a plan whose names are all resolved.
+/// Checks a plan with resolved names; errors are appended to `diagnostics`.
 pub(super) struct ConsistencyCheck<'a> {
     pub(super) plan: &'a Plan,
     pub(super) settings: Option<&'a Settings>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A pool in which no engine can be.
+    /// Reports pools that can never contain an engine.
     fn check_pools(&mut self) {
         let Some(cells) = Cells::of(&[self.plan], self.configured_names()) else {
             return;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whether the wide selection has every name that the narrow one has; `None` has every name.
+/// Returns whether `wide` contains every name of `narrow`; `None` stands for all names.
 fn is_subset(narrow: &Option<Vec<String>>, wide: &Option<Vec<String>>) -> bool {
     match (narrow, wide) {
         (_, None) => true,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Whether the settings bind a class to some kinds or zones.
+/// Returns whether the settings restrict a class to certain kinds or zones.
 fn is_bound(class: &SettingsClass) -> bool {
     class.kinds.is_some() || class.zones.is_some()
 }
--- a/crates/plan/src/build/consistency/classes.rs
+++ b/crates/plan/src/build/consistency/classes.rs
@@ -1,4 +1,4 @@
-//! Rules of classes that allow more than the settings.
+//! Reports rules of query classes that allow more than the settings, and latency objectives longer than the deadline.
 
 use super::ConsistencyCheck;
 use crate::build::SettingsClass;
@@ -37,7 +37,7 @@
     }
 }
 
-/// The rules of a class that allow more than the settings, by what messages call them.
+/// Returns the rules of a class that allow more than the settings, by their names in error messages.
 fn wider_rules(class: &ClassRules, allowed: &SettingsClass) -> Vec<&'static str> {
     let later = class
         .deadline
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that contradict one another.
+//! Reports limits that contradict one another or can never take effect.
 
 use super::ConsistencyCheck;
 use crate::diagnostic::Diagnostic;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Two limits that set the same figure for the same queries.
+    /// Reports two limits that set the same quantity (queries in flight, rate or bytes) for the same queries.
     fn report_duplicate(&mut self, first: &Limit, second: &Limit) {
         let shares_figure = (first.max_in_flight.is_some() && second.max_in_flight.is_some())
             || (first.rate.is_some() && second.rate.is_some())
@@ -38,7 +38,8 @@
             .push(diagnostic.related(first.span.clone(), "the other limit is defined here"));
     }
 
-    /// A limit that can never be reached, as a wider one lets fewer queries be in flight.
+    /// Reports `narrow` if it can never be reached, because `wide` counts at least the same queries and allows fewer of
+    /// them in flight.
     fn report_never_binding(&mut self, wide: &Limit, narrow: &Limit) {
         let (Some(fewer), Some(more)) = (wide.max_in_flight, narrow.max_in_flight) else {
             return;
@@ -56,7 +57,7 @@
             .push(diagnostic.related(wide.span.clone(), "the lower limit is defined here"));
     }
 
-    /// A tenant's own limit of queries in flight that is above a general one.
+    /// Reports a tenant's own limit on queries in flight that is above `limit`, which counts all its queries too.
     fn report_tenant_over_limit(&mut self, tenant: &Tenant, limit: &Limit) {
         let (Some(own), Some(most)) = (tenant.max_in_flight, limit.max_in_flight) else {
             return;
@@ -74,14 +75,15 @@
     }
 }
 
-/// Whether a limit counts every query of a tenant, alone or with those of others.
+/// Returns whether a limit counts every query of a tenant, with or without the queries of other tenants.
 fn covers(limit: &Limit, tenant: &Tenant) -> bool {
     let counts_tenants = limit.per.iter().all(|per| *per == Per::Tenant);
     let is_tenant = limit.tenants.is_empty() || limit.tenants == [tenant.name.clone()];
     counts_tenants && limit.classes.is_empty() && limit.clients.is_empty() && is_tenant
 }
 
-/// Whether a limit counts every query that another one counts, as far as their lists show.
+/// Returns whether `wide` counts every query that `narrow` counts. The comparison uses only the lists of names and is
+/// therefore conservative: `false` may also mean unknown.
 fn contains(wide: &Limit, narrow: &Limit) -> bool {
     let within = |narrow: &[String], wide: &[String]| {
         wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|name| wide.contains(name)))
@@ -91,7 +93,7 @@
         && (wide.clients.is_empty() || wide.clients == narrow.clients)
 }
 
-/// Whether two limits count the same queries by the same things.
+/// Returns whether two limits count the same queries by the same keys, whatever the order of their lists.
 fn have_same_scope(a: &Limit, b: &Limit) -> bool {
     fn sorted<Item: Ord>(items: &[Item]) -> Vec<&Item> {
         let mut sorted: Vec<&Item> = items.iter().collect();
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -1,4 +1,4 @@
-//! Checks that routes keep to the pools, kinds and zones that a class is bound to.
+//! Reports routes that may send queries to engines outside the pools, kinds or zones that their class is bound to.
 
 use super::{is_bound, ConsistencyCheck};
 use crate::build::SettingsClass;
@@ -9,18 +9,19 @@
 use crate::region::{Dimension, Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 
-/// A route that names pools, with the classes whose queries it may match.
+/// A route that names pools, with the regions of queries that reach it.
 struct PlacedRoute<'a> {
     route: &'a Route,
-    /// The place of the entry that names the pools.
+    /// Span of the entry that names the pools.
     pools_span: &'a Span,
     value_classes: &'a ValueClasses,
-    /// The regions that it decides on; `None` where they are too many.
+    /// Regions of queries for which this is the first matching route; `None` if there are too many to compute.
     pieces: Option<&'a [Region]>,
 }
 
 impl PlacedRoute<'_> {
-    /// Whether queries of a class may match the route, or be treated as that class by it.
+    /// Returns whether the route may match queries of `class`, or treats the queries that it matches as `class`.
+    /// Unknown regions count as a match.
     fn concerns(&self, class: &str) -> bool {
         let value_class = self.value_classes.query_class(class);
         let has_class = |piece: &Region| piece[Dimension::QueryClass.index()].contains(value_class);
@@ -31,7 +32,7 @@
     }
 }
 
-/// The cells that a plan tells apart, with those of each of its pools.
+/// The cells that a plan distinguishes, and the cells of each of its pools by index.
 struct PoolCells {
     cells: Cells,
     of_pools: Vec<FixedBitSet>,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The pools that the plan's own rules bind a class to.
+    /// Reports the pools of a route that are not within the pools that the plan binds a class to.
     fn check_plan_bindings(&mut self, placed: &PlacedRoute, pool_cells: Option<&PoolCells>) {
         let bound = self.plan.classes.iter();
         let bound = bound.filter(|class| !class.pools.is_empty());
@@ -105,7 +106,7 @@
             ))
     }
 
-    /// The kinds and zones that the settings bind a class to.
+    /// Reports the pools of a route that contain engines outside the kinds and zones that the settings bind a class to.
     fn check_settings_bindings(&mut self, placed: &PlacedRoute, pool_cells: &PoolCells) {
         let Some(settings) = self.settings else {
             return;
@@ -127,7 +128,8 @@
     }
 }
 
-/// Whether every engine of a pool is in one of the pools that a class is bound to.
+/// Returns whether every engine of a pool is in one of the `bound` pools. Without cells, only the pool itself being
+/// listed counts.
 fn is_inside(pool: usize, bound: &[usize], pool_cells: Option<&PoolCells>) -> bool {
     let Some(PoolCells { of_pools, .. }) = pool_cells else {
         return bound.contains(&pool);
@@ -139,7 +141,7 @@
     outside.is_clear()
 }
 
-/// Whether the settings let a class run at a place.
+/// Returns whether the settings allow a class to run in this zone and on this kind of engine.
 fn is_allowed(class: &SettingsClass, place: Place) -> bool {
     let among = |allowed: &Option<Vec<String>>, name: Option<&str>| {
         let Some(allowed) = allowed else { return true };
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -1,4 +1,4 @@
-//! Routes that never match, or that treat a class as one of weaker rules.
+//! Reports routes that can never match and routes that treat queries as a class with weaker rules.
 
 use super::{is_subset, ConsistencyCheck};
 use crate::build::SettingsClass;
@@ -21,7 +21,7 @@
         self.check_placement(&value_classes, &reach);
     }
 
-    /// Routes that can never match, as earlier ones match all their queries.
+    /// Reports routes that can never match, because earlier routes match all their queries.
     fn report_never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
         for (index, route) in self.plan.routes.iter().enumerate() {
             let may_match = reach[index]
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Routes that treat queries as a class which allows what the settings do not allow for their own class.
+    /// Reports routes that treat queries as another class which allows more than the settings allow for the queries'
+    /// own class.
     fn check_treated_as(&mut self) {
         let Some(settings) = self.settings else {
             return;
@@ -72,7 +73,8 @@
     }
 }
 
-/// The first rule of a class that its queries would break if they were treated as another class.
+/// Returns the first rule of `class` that its queries would violate if they were treated as `treated_as`, in the words
+/// of the error message.
 fn violation(class: &SettingsClass, treated_as: &SettingsClass) -> Option<&'static str> {
     if !treated_as.idempotency.narrows(&class.idempotency) {
         return Some("run again where the settings do not allow it");
--- a/crates/plan/src/build/entries.rs
+++ b/crates/plan/src/build/entries.rs
@@ -1,11 +1,13 @@
-//! Values of checked entries as plain numbers, times and names.
+//! Converts the values of checked entries to numbers, durations and strings.
+//!
+//! Values of an unexpected kind are skipped: the checker has already reported them.
 
 use crate::check::{CheckedEntry, Spanned};
 use crate::model::Bucket;
 use crate::quantity::{MinuteRange, NumberRange, Value};
 use std::time::Duration;
 
-/// The values that are names, patterns or texts.
+/// Returns the text of all values that are names, patterns or quoted texts.
 pub(super) fn texts(values: &[Spanned]) -> Vec<String> {
     let name = |value: &Spanned| match &value.value {
         Value::Name(name) | Value::Pattern(name) | Value::Text(name) => Some(name.clone()),
@@ -14,7 +16,7 @@
     values.iter().filter_map(name).collect()
 }
 
-/// The first value that is a name, pattern or text.
+/// Returns the first text that [`texts`] would return.
 pub(super) fn first_text(values: &[Spanned]) -> Option<String> {
     texts(values).into_iter().next()
 }
@@ -26,7 +28,7 @@
     }
 }
 
-/// A size, count, rate or share in base units.
+/// Returns a size, count, rate or share in base units: bytes, queries or bytes per second, fractions of 1.
 pub(super) fn number(value: Option<&Spanned>) -> Option<f64> {
     match value?.value {
         Value::Size(whole) | Value::Count(whole) => Some(whole as f64),
@@ -35,7 +37,7 @@
     }
 }
 
-/// A size in bytes, or a count.
+/// Returns a count, or a size in bytes.
 pub(super) fn count(value: Option<&Spanned>) -> Option<u64> {
     match value?.value {
         Value::Size(whole) | Value::Count(whole) => Some(whole),
@@ -43,7 +45,7 @@
     }
 }
 
-/// The values that are ranges of whole numbers.
+/// Returns the values that are ranges of whole numbers.
 pub(super) fn number_ranges(values: &[Spanned]) -> Vec<NumberRange> {
     let range = |value: &Spanned| match value.value {
         Value::Numbers(range) => Some(range),
@@ -52,7 +54,7 @@
     values.iter().filter_map(range).collect()
 }
 
-/// The values that are ranges of times of day.
+/// Returns the values that are ranges of times of day.
 pub(super) fn minute_ranges(values: &[Spanned]) -> Vec<MinuteRange> {
     let range = |value: &Spanned| match value.value {
         Value::TimesOfDay(range) => Some(range),
@@ -61,7 +63,8 @@
     values.iter().filter_map(range).collect()
 }
 
-/// A rate with its burst; where none is given, the burst is what the rate adds in a second, at least 1.
+/// Returns the token bucket of an entry. Without an explicit burst, the capacity is the number of tokens that the rate
+/// adds in one second, but at least 1.
 pub(super) fn bucket(entry: Option<&CheckedEntry>) -> Option<Bucket> {
     let values = &entry?.values;
     let rate = number(values.first())?;
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -1,4 +1,4 @@
-//! Builds limits.
+//! Builds admission limits from `limit` blocks.
 
 use super::entries::{bucket, count, texts};
 use super::names::Referenced;
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a limit is counted by, in order, each once.
+/// Returns the keys of a `per` entry, sorted and without duplicates.
 fn per(values: &[Spanned]) -> Vec<Per> {
     let words = texts(values);
     let mut per: Vec<Per> = words
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -1,4 +1,4 @@
-//! Resolves names: those that the settings know, and those of other blocks.
+//! Resolves the names that a plan uses: names that the settings define, and names of other blocks.
 
 use super::{Builder, Settings};
 use crate::check::{CheckedBlock, CheckedEntry, Spanned};
@@ -7,7 +7,7 @@
 use crate::quantity::Value;
 use crate::schema::Namespace;
 
-/// A kind of block that entries of other blocks name.
+/// A kind of block that entries of other blocks can refer to by name.
 #[derive(Clone, Copy)]
 pub(super) enum Referenced {
     AddressSet,
@@ -15,7 +15,7 @@
 }
 
 impl Referenced {
-    /// The word that begins such a block.
+    /// Returns the keyword of the plan language that opens a block of this kind.
     pub(super) fn keyword(self) -> &'static str {
         match self {
             Referenced::AddressSet => "addresses",
@@ -23,7 +23,7 @@
         }
     }
 
-    /// What messages call such a block.
+    /// Returns the term for such a block in error messages.
     fn description(self) -> &'static str {
         match self {
             Referenced::AddressSet => "address set",
@@ -33,7 +33,8 @@
 }
 
 impl Builder<'_> {
-    /// Checks names of classes, tenants, kinds and zones, where the settings are at hand.
+    /// Reports names of classes, tenants, kinds and zones that the settings do not define. Without settings, every name
+    /// is accepted.
     pub(super) fn check_settings_names(&mut self) {
         let Some(settings) = self.settings else {
             return;
@@ -82,7 +83,8 @@
         }
     }
 
-    /// The indices of the blocks of a kind that an entry names.
+    /// Returns the indices of the blocks of a kind that an entry names; unknown and duplicate names are reported and
+    /// omitted.
     pub(super) fn block_indices(
         &mut self,
         kind: Referenced,
@@ -106,7 +108,7 @@
         found
     }
 
-    /// The index of the block of a kind that has this name.
+    /// Returns the index of the block of a kind with this name, or the diagnostic for an unknown name at `span`.
     fn block_index(&self, kind: Referenced, name: &str, span: &Span) -> Result<usize, Diagnostic> {
         let indices = match kind {
             Referenced::AddressSet => &self.address_set_indices,
@@ -120,7 +122,8 @@
         Err(diagnostic.suggest_nearest(name, indices.keys().copied()))
     }
 
-    /// An order in which each block of a kind comes after those that it refers to; a cycle is an error.
+    /// Returns the indices of all blocks of a kind in topological order: each block comes after those it refers to.
+    /// Cycles are reported; `references` lists the referenced blocks for each block.
     pub(super) fn reference_order(
         &mut self,
         kind: Referenced,
@@ -141,18 +144,19 @@
     }
 }
 
-/// A depth-first search over references; it keeps its own stack, so that no plan makes it recurse deeply.
+/// Depth-first search over the references between blocks. It uses an explicit stack, because recursion could overflow
+/// the call stack on a plan with a long chain of references.
 struct ReferenceSearch<'a> {
     references: &'a [Vec<usize>],
     is_done: Vec<bool>,
-    /// The blocks that are done, those that others refer to first.
+    /// Blocks whose references have all been visited, in topological order.
     order: Vec<usize>,
 }
 
-/// A block whose references are being followed.
+/// A stack frame of the search: a block whose references are being visited.
 struct Visit {
     block: usize,
-    /// How many of its references were followed.
+    /// Number of its references that have been visited so far.
     followed: usize,
 }
 
@@ -163,7 +167,8 @@
 }
 
 impl ReferenceSearch<'_> {
-    /// Visits a block and all that it refers to, and returns the cycles that were found.
+    /// Visits a block and all blocks reachable from it, and returns the cycles found. Each cycle lists its blocks in
+    /// the order of reference.
     fn visit(&mut self, start: usize) -> Vec<Vec<usize>> {
         let mut cycles = Vec::new();
         let mut path = Vec::new();
@@ -189,7 +194,7 @@
     }
 }
 
-/// The diagnostic of blocks each of which refers to the next, and the last to the first.
+/// Returns the diagnostic for a cycle in which each block refers to the next and the last one to the first.
 fn cycle_diagnostic(blocks: &[&CheckedBlock], cycle: &[usize]) -> Diagnostic {
     let first = blocks[cycle[0]];
     let names = cycle.iter().map(|index| blocks[*index].name.as_str());
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -1,4 +1,4 @@
-//! Builds address sets and pools.
+//! Builds address sets from `addresses` blocks and pools from `pool` blocks.
 
 use super::entries::texts;
 use super::names::Referenced;
@@ -81,7 +81,7 @@
     }
 }
 
-/// The addresses of some networks.
+/// Returns the union of the values that are networks.
 fn network_ranges(networks: &[Spanned]) -> AddressRanges {
     let ranges = networks.iter().filter_map(|value| match &value.value {
         Value::Network(network) => Some(AddressRange::of(network)),
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -1,4 +1,4 @@
-//! Builds routes.
+//! Builds routes from `route` blocks.
 
 use super::entries::{first_text, minute_ranges, number_ranges, texts};
 use super::names::Referenced;
@@ -33,7 +33,8 @@
         }
     }
 
-    /// A route either names a destination or rejects its queries.
+    /// Reports a route that neither has a destination (`to` or `as`) nor rejects its queries (`refuse`), or that does
+    /// both.
     fn check_outcome(&mut self, block: &CheckedBlock) {
         if !block.has_any(&["to", "as", "refuse"]) {
             let text = format!("route `{}` has no effect", block.name);
--- a/crates/plan/src/build/settings.rs
+++ b/crates/plan/src/build/settings.rs
@@ -1,38 +1,39 @@
-//! The platform's settings, as far as a plan must fit them.
+//! Defines the subset of the platform's settings that plans are checked against.
 
 use crate::model::Idempotency;
 use crate::schema::Namespace;
 use std::time::Duration;
 
-/// What the platform's settings say, as far as a plan must fit them.
+/// The platform's settings that a plan must be consistent with: it may use only these names and must not allow more
+/// than the classes allow.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// The query classes.
+    /// All query classes, with the rules that a plan may narrow.
     pub classes: Vec<SettingsClass>,
-    /// The names of the tenants.
+    /// Names of all tenants.
     pub tenants: Vec<String>,
-    /// The names of the kinds of engines.
+    /// Names of all engine kinds.
     pub kinds: Vec<String>,
-    /// The names of the zones.
+    /// Names of all zones.
     pub zones: Vec<String>,
 }
 
-/// A query class of the settings.
+/// A query class as defined by the settings.
 #[derive(Clone, Debug)]
 pub struct SettingsClass {
-    /// Its name.
+    /// Unique name of the class.
     pub name: String,
-    /// The response time to aim for.
+    /// Target response time.
     pub latency_objective: Duration,
-    /// The time after which a query is of no use.
+    /// Time after which the response to a query is no longer useful.
     pub deadline: Duration,
-    /// Whether queries of one key run one at a time, in order.
+    /// Whether queries with the same ordering key run one at a time, in order.
     pub in_order: bool,
-    /// Whether a query that may have run may run again.
+    /// Whether a query that may already have run may run again.
     pub idempotency: Idempotency,
-    /// The kinds of engines on which its queries may run; `None` is any.
+    /// Engine kinds on which queries of the class may run; `None` allows any kind.
     pub kinds: Option<Vec<String>>,
-    /// The zones in which its queries may run; `None` is any.
+    /// Zones in which queries of the class may run; `None` allows any zone.
     pub zones: Option<Vec<String>>,
 }
 
@@ -41,7 +42,7 @@
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// All names of a namespace.
+    /// Returns all names that the settings define in a namespace.
     pub(super) fn names(&self, namespace: Namespace) -> Vec<&str> {
         let class_names = self.classes.iter().map(|class| &class.name);
         let names: Vec<&String> = match namespace {
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -1,4 +1,5 @@
-//! Builds the storage of bodies and of the query journal: blocks of which a plan has one at most.
+//! Builds the storage of bodies and of the query journal from the `bodies` and `journal` blocks, of which a plan can
+//! have at most one each.
 
 use super::entries::{count, first_text, number, texts};
 use super::{blocks_of_kind, Builder};
@@ -6,15 +7,15 @@
 use crate::diagnostic::Diagnostic;
 use crate::model::{Bodies, Journal};
 
-/// The memory for bodies where none is given.
+/// Memory for all bodies, used if the plan has no `memory` entry.
 const DEFAULT_MEMORY_BYTES: u64 = 32 << 20;
-/// The part of the memory that one body may use where none is given.
+/// Fraction of the memory, as a divisor, that a single body may use if the plan has no `batch-memory` entry.
 const DEFAULT_BODY_MEMORY_DIVISOR: u64 = 8;
-/// The longest body where none is given.
+/// Size of the longest accepted body, used if the plan has no `batch` entry.
 const DEFAULT_MAX_BODY_BYTES: u64 = 200 << 20;
 
 impl<'a> Builder<'a> {
-    /// The block of a kind of which there is one at most.
+    /// Returns the only block of a kind, or the first one if there are several, which is reported as an error.
     fn single(&mut self, kind: &'static str) -> Option<&'a CheckedBlock> {
         let all = blocks_of_kind(self.blocks, kind);
         let (first, others) = all.split_first()?;
--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -1,6 +1,7 @@
-//! The engines that pools tell apart: a cell for each zone, kind, set of fitting id patterns, and address class.
+//! Partitions all possible engines into cells, so that pools can be compared without a list of engines.
 //!
-//! A pool is a set of cells, so that pools can be compared without a list of engines.
+//! There is a cell for each combination of zone, kind, set of matching id patterns and address class. Pools select
+//! whole cells, so a pool is represented by the set of its cells.
 
 mod patterns;
 
@@ -8,42 +9,44 @@
 use crate::model::{Plan, Pool};
 use fixedbitset::FixedBitSet;
 
-/// Plans whose pools tell more cells apart are not compared by engines.
+/// Maximum number of cells. For plans that need more, no cells are computed, and pools are compared without regard to
+/// their engines.
 const MAX_CELLS: usize = 200_000;
 
-/// All cells that some plans tell apart.
+/// All cells that one or several plans distinguish.
 #[derive(Debug)]
 pub struct Cells {
-    /// The zones; `None` for all that no plan names, absent where the settings define all names.
+    /// Zone names; a final `None` stands for all zones that no plan names. It is absent if the settings define all
+    /// names.
     zones: Vec<Option<String>>,
-    /// The kinds, in the same way.
+    /// Names of engine kinds, with a final `None` as for `zones`.
     kinds: Vec<Option<String>>,
-    /// The patterns of ids, in alphabetic order.
+    /// Patterns of engine ids in alphabetical order.
     patterns: Vec<String>,
-    /// The sets of patterns that one id can fit.
+    /// Sets of patterns that a single id can match at once.
     pattern_sets: Vec<FixedBitSet>,
     addresses: AddressClasses,
 }
 
-/// Names that the settings define; `None` where no settings are at hand, so that there may be any.
+/// Names that the settings define; `None` if the settings are not known, so that any name is possible.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfiguredNames<'a> {
-    /// The names of all zones.
+    /// Names of all zones.
     pub zones: Option<&'a [String]>,
-    /// The names of all kinds.
+    /// Names of all engine kinds.
     pub kinds: Option<&'a [String]>,
 }
 
-/// The zone and the kind of some engines; `None` stands for names that no plan has.
+/// Zone and kind shared by the engines of a cell; `None` stands for any name that no plan uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place<'a> {
-    /// The name of the zone.
+    /// Name of the zone.
     pub zone: Option<&'a str>,
-    /// The name of the kind.
+    /// Name of the engine kind.
     pub kind: Option<&'a str>,
 }
 
-/// The coordinates of a cell, as indices into the fields of [`Cells`].
+/// Coordinates of a cell, as indices into the fields of [`Cells`].
 struct Coordinates {
     zone: usize,
     kind: usize,
@@ -52,7 +55,7 @@
 }
 
 impl Cells {
-    /// The cells that these plans tell apart; `None` where they are too many.
+    /// Computes the cells that `plans` distinguish; `None` if there are too many.
     pub fn of(plans: &[&Plan], configured: ConfiguredNames) -> Option<Self> {
         let pools = || plans.iter().flat_map(|plan| &plan.pools);
         let patterns = sorted(pools().flat_map(|pool| &pool.ids));
@@ -67,7 +70,7 @@
         (cells.count() <= MAX_CELLS).then_some(cells)
     }
 
-    /// How many cells there are.
+    /// Returns the number of cells.
     pub fn count(&self) -> usize {
         let zones_and_kinds = self.zones.len().saturating_mul(self.kinds.len());
         zones_and_kinds
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Zone and kind of a cell.
+    /// Returns the zone and the kind of the engines of a cell.
     pub fn place(&self, cell: usize) -> Place<'_> {
         let Coordinates { zone, kind, .. } = self.coordinates(cell);
         Place {
@@ -96,7 +99,8 @@
         }
     }
 
-    /// The cells of each pool of a plan; `first_set` is the index of its first address set among those of all plans.
+    /// Returns the cells of each pool of a plan. `first_set` is the index of the plan's first address set among the
+    /// address sets of all plans that were given to [`Cells::of`].
     pub fn of_pools(&self, plan: &Plan, first_set: usize) -> Vec<FixedBitSet> {
         let mut cells = vec![FixedBitSet::with_capacity(self.count()); plan.pools.len()];
         for cell in 0..self.count() {
@@ -109,7 +113,7 @@
         cells
     }
 
-    /// Whether a pool itself selects the engines of a cell.
+    /// Returns whether the pool's own entries select the engines of a cell, without `union` and `except`.
     fn fits(&self, pool: &Pool, cell: &Coordinates, first_set: usize) -> bool {
         let zone = self.zones[cell.zone].as_deref();
         let kind = self.kinds[cell.kind].as_deref();
@@ -127,7 +131,7 @@
         )
     }
 
-    /// All cells.
+    /// Returns the set of all cells.
     pub fn all(&self) -> FixedBitSet {
         let mut all = FixedBitSet::with_capacity(self.count());
         all.insert_range(..);
@@ -135,7 +139,7 @@
     }
 }
 
-/// The names in alphabetic order, each once.
+/// Returns the names in alphabetical order without duplicates.
 fn sorted<'a>(names: impl Iterator<Item = &'a String>) -> Vec<String> {
     let mut sorted: Vec<String> = names.cloned().collect();
     sorted.sort_unstable();
@@ -143,7 +147,8 @@
     sorted
 }
 
-/// The names that plans use with those of the settings, or with `None` for all others.
+/// Returns the names that plans use, together with those of the settings if known, else with a final `None` for all
+/// other names.
 fn names<'a>(
     used: impl Iterator<Item = &'a String>,
     configured: Option<&'a [String]>,
@@ -153,7 +158,7 @@
     named.into_iter().map(Some).chain(others).collect()
 }
 
-/// The address sets of a plan; those that no pool uses are treated as empty.
+/// Returns the address sets of a plan, with those that no pool uses replaced by empty ones, which add no cells.
 fn used_sets(plan: &Plan) -> Vec<AddressRanges> {
     let is_used = |set: usize| plan.pools.iter().any(|pool| pool.addresses.contains(&set));
     let sets = plan.addresses.iter().enumerate();
--- a/crates/plan/src/cells/patterns.rs
+++ b/crates/plan/src/cells/patterns.rs
@@ -1,13 +1,15 @@
-//! Which patterns one id can fit at once.
+//! Computes the sets of patterns that a single engine id can match at once.
 
 use crate::model::fits_pattern;
 use fixedbitset::FixedBitSet;
 
-/// Plans whose patterns allow more sets are not compared by engines.
+/// Maximum number of such sets. For plans that need more, no cells are computed.
 const MAX_SETS: usize = 4096;
 
-/// The sets of patterns that one id can fit, as far as the patterns show: no set has two that exclude one another, or
-/// one without another that contains it. `None` where there are too many.
+/// Returns the sets of patterns that a single id may match, or `None` if there are too many.
+///
+/// A set never contains two patterns that exclude each other, and with a pattern it always contains every more general
+/// one. Both tests are conservative, so some of the returned sets may not match any id.
 pub(super) fn sets(patterns: &[String]) -> Option<Vec<FixedBitSet>> {
     let mut sets = vec![FixedBitSet::with_capacity(patterns.len())];
     for added in 0..patterns.len() {
@@ -20,7 +22,7 @@
     Some(sets)
 }
 
-/// A set over the patterns before `added`, without that pattern and with it, as far as each is possible.
+/// Extends a set over the patterns before index `added`: returns it without and with that pattern, if possible.
 fn extensions(set: &FixedBitSet, patterns: &[String], added: usize) -> Vec<FixedBitSet> {
     let pattern = patterns[added].as_str();
     let earlier = || patterns[..added].iter().enumerate();
@@ -42,13 +44,14 @@
     extensions
 }
 
-/// Whether every text that fits the first pattern fits the second. A `*` of the first is treated as a character that
-/// only a `*` matches.
+/// Returns whether every text that matches `narrow` also matches `wide`. A `*` in `narrow` is treated as a literal
+/// character, which only a `*` in `wide` matches.
 fn is_within(narrow: &str, wide: &str) -> bool {
     fits_pattern(wide, narrow)
 }
 
-/// Whether no text fits both patterns, as far as their beginnings and ends show.
+/// Returns whether no text can match both patterns, judging only by their literal prefixes and suffixes and, for a
+/// pattern without `*`, by the name itself.
 fn are_disjoint(a: &str, b: &str) -> bool {
     let prefix = |pattern: &str| pattern.split('*').next().unwrap_or_default().to_string();
     let suffix = |pattern: &str| pattern.rsplit('*').next().unwrap_or_default().to_string();
--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks parsed items against the table of block kinds: constants are replaced, names and shapes of entries checked.
+//! Checks parsed items against the table of block kinds: expands constants and checks the names and values of entries.
 
 mod blocks;
 mod constants;
@@ -13,63 +13,64 @@
 use constants::Constants;
 use std::collections::HashMap;
 
-/// A value with its place.
+/// A value with its location in the plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spanned {
-    /// The value.
+    /// Value in base units.
     pub value: Value,
-    /// Where it is.
+    /// Location of the word; for a value from a constant, the location where the constant is used.
     pub span: Span,
 }
 
-/// An entry whose values have the shape that its kind requires.
+/// An entry whose values have the shape that its kind requires, see [`crate::schema::Shape`].
 #[derive(Clone, Debug)]
 pub struct CheckedEntry {
-    /// The place of the entry.
+    /// Span of the name and the values; of the first occurrence if a list entry is given several times.
     pub span: Span,
-    /// By shape: none for a flag; the rate and perhaps the burst for a bucket; for an effect its word and, where it
-    /// is `referenced`, scope and window.
+    /// Values, depending on the shape: none for a flag; the rate and optionally the burst for a bucket; the keyword
+    /// and, after `referenced`, the scope and the window for an effect. Empty also if the entry is invalid.
     pub values: Vec<Spanned>,
 }
 
-/// A block all of whose entries belong to its kind.
+/// A block with only those entries that its kind allows.
 #[derive(Clone, Debug)]
 pub struct CheckedBlock {
-    /// Its kind.
+    /// Description of the block kind from the table.
     pub kind: &'static BlockKind,
-    /// Its name.
+    /// Name of the block, unique among the blocks of its kind.
     pub name: String,
-    /// The place of the name.
+    /// Span of the name.
     pub name_span: Span,
-    /// The place of the whole block.
+    /// Span from the head to the closing brace.
     pub whole_span: Span,
-    /// Its entries by name.
+    /// Entries by name.
     pub entries: HashMap<&'static str, CheckedEntry>,
 }
 
 impl CheckedBlock {
-    /// An entry by its name.
+    /// Returns the entry with this name.
     pub fn entry(&self, entry: &str) -> Option<&CheckedEntry> {
         self.entries.get(entry)
     }
 
-    /// Whether the block has one of some entries.
+    /// Returns whether the block has at least one of these entries.
     pub fn has_any(&self, entries: &[&str]) -> bool {
         entries.iter().any(|entry| self.entry(entry).is_some())
     }
 
-    /// The values of an entry; empty where the block does not have it.
+    /// Returns the values of an entry; empty if the block does not have the entry.
     pub fn values(&self, entry: &str) -> &[Spanned] {
         self.entry(entry).map_or(&[], |entry| &entry.values)
     }
 
-    /// The first value of an entry.
+    /// Returns the first value of an entry.
     pub fn first_value(&self, entry: &str) -> Option<&Spanned> {
         self.values(entry).first()
     }
 }
 
-/// Checks all items; invalid ones are reported and left out. Constants may be used before they are defined.
+/// Checks all items and returns the valid blocks; invalid items are reported and omitted. Constants are collected
+/// first, so that they may be used before they are defined.
 pub fn check(items: &[Item], diagnostics: &mut Vec<Diagnostic>) -> Vec<CheckedBlock> {
     let mut constants = Constants::default();
     for item in items {
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -1,4 +1,4 @@
-//! Checks blocks: their kinds and names, and which entries they have.
+//! Checks the kind and the name of each block, and that it has only entries of its kind.
 
 use super::constants::Constants;
 use super::values::ValueReader;
@@ -13,7 +13,7 @@
 pub(super) struct BlockChecker<'a> {
     constants: &'a Constants,
     diagnostics: &'a mut Vec<Diagnostic>,
-    /// The places of the blocks so far, by kind and name.
+    /// Spans of the names of the blocks checked so far, by kind and name.
     defined: HashMap<(&'static str, String), Span>,
 }
 
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid
-    /// ones have no values.
+    /// Checks a block; `None` if its kind or name is invalid. Unknown entries are omitted, invalid entries are kept
+    /// without values.
     pub(super) fn check_block(&mut self, block: &Block) -> Option<CheckedBlock> {
         let mut checked = match self.check_head(block) {
             Ok(checked) => checked,
@@ -42,7 +42,7 @@
         Some(checked)
     }
 
-    /// Checks kind and name of a block, and returns it without entries.
+    /// Checks the kind and the name of a block and returns the block without entries.
     fn check_head(&mut self, block: &Block) -> Result<CheckedBlock, Diagnostic> {
         let kind = block_kind(block)?;
         let name = block_name(kind, block)?;
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Where an earlier block of the kind has this name.
+    /// Fails if an earlier block of the same kind has this name.
     fn define(&mut self, kind: &BlockKind, name: &Word) -> Result<(), Diagnostic> {
         let key = (kind.name, name.text.clone());
         if let Some(first) = self.defined.get(&key) {
@@ -90,7 +90,7 @@
         match reader.read(&entry.parts) {
             Some(values) => self.add_entry(block, kind, entry, values),
             None => {
-                // An invalid entry counts as given, so that it is not reported as missing too.
+                // An invalid entry counts as present, so that it is not reported as missing as well.
                 block.entries.entry(kind.name).or_insert(CheckedEntry {
                     span: entry.span.clone(),
                     values: Vec::new(),
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Adds an entry to its block. A list may be given several times, everything else once.
+    /// Adds an entry to its block. List entries may be repeated and are concatenated; any other repeated entry is
+    /// reported.
     fn add_entry(
         &mut self,
         block: &mut CheckedBlock,
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -1,4 +1,4 @@
-//! Constants of a plan, and their replacement by values.
+//! Collects the constants of a plan and expands references to them.
 
 use crate::diagnostic::{truncated, Diagnostic};
 use crate::files::Span;
@@ -6,12 +6,13 @@
 use crate::syntax::{Part, Word};
 use std::collections::HashMap;
 
-/// Constants that may refer to one another in a chain.
+/// Maximum length of a chain of constants that refer to one another. The limit also ends the expansion of cycles.
 const MAX_DEPTH: usize = 32;
-/// Values that one entry may have once constants are replaced.
+/// Maximum number of values of one entry after expansion. The limit stops constants that multiply one another, for
+/// example ten constants of ten references each.
 const MAX_VALUES: usize = 100_000;
 
-/// The constants of a plan by name.
+/// The constants of a plan.
 #[derive(Default)]
 pub(super) struct Constants {
     by_name: HashMap<String, Constant>,
@@ -19,15 +20,15 @@
 
 struct Constant {
     values: Part,
-    /// The place of the name.
+    /// Span of the name in the definition.
     span: Span,
 }
 
-/// A word after constants are replaced: its place is that of the entry's word.
+/// A word after expansion of constants. Its span is that of the word in the entry, not in the constant.
 #[derive(Clone)]
 pub(super) struct ExpandedWord {
     pub(super) word: Word,
-    /// Where the word stands in the constant that it comes from.
+    /// Span of the word in the constant it comes from; `None` if the entry contains the word itself.
     pub(super) defined_at: Option<Span>,
 }
 
@@ -36,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Where it is badly named, is not one value or list, or was defined before.
+    /// Fails if the name is invalid or already defined, or if the definition is not one value or one list.
     pub(super) fn define(
         &mut self,
         name: &Word,
@@ -65,7 +66,11 @@
         Ok(())
     }
 
-    /// Replaces the constants in a list of words.
+    /// Replaces each reference `$name` in a list of words by the values of the constant.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a constant is unknown or the expansion exceeds [`MAX_DEPTH`] or [`MAX_VALUES`].
     pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<ExpandedWord>, Diagnostic> {
         let mut expansion = Expansion {
             constants: self,
@@ -84,7 +89,8 @@
 }
 
 impl<'a> Expansion<'a> {
-    /// Adds a word, which `used` brings in over `depth` constants.
+    /// Appends a word, expanded if it is a reference. `used` is the word of the entry from which this word was reached
+    /// through `depth` constants.
     fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Diagnostic> {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.is_quoted) else {
             self.words.push(ExpandedWord {
@@ -103,7 +109,7 @@
         Ok(())
     }
 
-    /// The constant that a word uses at a depth of `depth` constants.
+    /// Looks up a constant that is referred to at nesting depth `depth`; errors are reported at the word `used`.
     fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
         let constants = &self.constants.by_name;
         let Some(constant) = constants.get(name) else {
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -1,4 +1,4 @@
-//! Reads the values of an entry in the shape that its kind requires.
+//! Parses the values of an entry according to the shape that its kind requires.
 
 use super::constants::{Constants, ExpandedWord};
 use super::Spanned;
@@ -9,7 +9,7 @@
 
 pub(super) struct ValueReader<'a> {
     entry: &'a EntryKind,
-    /// The entry's name where it stands in the plan.
+    /// Name of the entry as written in the plan, for the location of errors.
     name: &'a Word,
     constants: &'a Constants,
     diagnostics: &'a mut Vec<Diagnostic>,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The values of the entry; `None` where an error was found in them.
+    /// Returns the values of the entry, or `None` after an error, which is added to the diagnostics.
     pub(super) fn read(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
         let expanded = match self.expand(parts) {
             Ok(expanded) => expanded,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Replaces the constants in all parts; the first error ends it.
+    /// Expands the constants in all parts and stops at the first error.
     fn expand(&self, parts: &[Part]) -> Result<Vec<Vec<ExpandedWord>>, Diagnostic> {
         let expanded = parts.iter().map(|part| self.constants.expand(part));
         expanded.collect()
@@ -73,7 +73,7 @@
         None
     }
 
-    /// Reports an error in a word that may come from a constant.
+    /// Reports an error in a word. If the word comes from a constant, the diagnostic shows its place there too.
     fn fail_in<T>(&mut self, word: &ExpandedWord, diagnostic: Diagnostic) -> Option<T> {
         self.fail(match &word.defined_at {
             Some(defined_at) => diagnostic.related(defined_at.clone(), "value from this constant"),
@@ -91,7 +91,7 @@
         self.fail(Diagnostic::new(word.word.span.clone(), text))
     }
 
-    /// The entry as it might be written.
+    /// Returns an example of the entry as a help text.
     fn example(&self) -> String {
         format!("for example: `{} {}`", self.entry.name, self.entry.example)
     }
@@ -143,7 +143,7 @@
         self.fail_at(first, text)
     }
 
-    /// Exactly one value.
+    /// Parses exactly one value.
     fn read_one(
         &mut self,
         parts: &[Vec<ExpandedWord>],
@@ -164,7 +164,7 @@
         }
     }
 
-    /// One list of values; every value is read, so that all errors are reported at once.
+    /// Parses one list of values. Parsing continues after an invalid value, so that all errors are reported at once.
     fn read_list(
         &mut self,
         parts: &[Vec<ExpandedWord>],
@@ -181,7 +181,7 @@
         values.into_iter().collect()
     }
 
-    /// `RATE` or `RATE burst AMOUNT`.
+    /// Parses `RATE` or `RATE burst AMOUNT`.
     fn read_bucket(
         &mut self,
         rate_kind: ValueKind,
@@ -212,7 +212,7 @@
         }
     }
 
-    /// A word of [`schema::EFFECTS`]; `referenced` with its scope and window.
+    /// Parses a word of [`schema::EFFECTS`]; `referenced` is followed by a scope and a deduplication window.
     fn read_effect(&mut self, parts: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
         let words: Vec<&ExpandedWord> = parts.iter().flatten().collect();
         let Some((first, more)) = words.split_first() else {
--- a/crates/plan/src/diagnostic.rs
+++ b/crates/plan/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! Diagnostics of a plan, and how they are printed: place, cause, the line, a suggestion.
+//! Defines the diagnostics of a plan and prints them with location, message, source line and suggestion.
 
 mod render;
 
@@ -6,35 +6,35 @@
 
 pub use render::{render, MAX_RENDERED_DIAGNOSTICS};
 
-/// Characters of a word that a message shows; a longer one is cut.
+/// Maximum number of characters of a word that a message shows; longer words are truncated.
 const MAX_WORD_CHARS: usize = 48;
 
-/// An error in a plan, for those who write it.
+/// An error in a plan, addressed to the author of the plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where it is.
+    /// Location of the error, shown first.
     pub span: Span,
-    /// What is wrong.
+    /// Error message, one line without a period.
     pub text: String,
-    /// A short text beside the marked place.
+    /// Short text printed beside the marked span.
     pub label: Option<String>,
-    /// Other places that matter.
+    /// Further locations that help to understand the error, such as an earlier definition.
     pub related: Vec<RelatedPlace>,
-    /// What to do about it.
+    /// Suggestion for correcting the error, such as the nearest known name or an example.
     pub help: Option<String>,
 }
 
-/// A place that helps to understand a diagnostic.
+/// A secondary location of a diagnostic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelatedPlace {
-    /// Where it is.
+    /// Location that is marked.
     pub span: Span,
-    /// Why it matters.
+    /// Text printed beside it that states how it relates to the error.
     pub reason: String,
 }
 
 impl Diagnostic {
-    /// An error at a place.
+    /// Creates a diagnostic with only a location and a message.
     pub fn new(span: Span, text: impl Into<String>) -> Self {
         Diagnostic {
             span,
@@ -45,26 +45,26 @@
         }
     }
 
-    /// Sets the text beside the marked place.
+    /// Sets the text beside the marked span.
     pub fn label(mut self, text: impl Into<String>) -> Self {
         self.label = Some(text.into());
         self
     }
 
-    /// Adds another place, with the reason why it matters.
+    /// Adds a secondary location with the text to print beside it.
     pub fn related(mut self, span: Span, reason: impl Into<String>) -> Self {
         let reason = reason.into();
         self.related.push(RelatedPlace { span, reason });
         self
     }
 
-    /// Sets the suggestion.
+    /// Sets the suggestion for correcting the error.
     pub fn help(mut self, text: impl Into<String>) -> Self {
         self.help = Some(text.into());
         self
     }
 
-    /// Suggests the name nearest to a misspelt word, if one is near enough.
+    /// Suggests the known name that is most similar to a misspelt word, if there is one; see [`nearest`].
     pub fn suggest_nearest<'a>(self, word: &str, names: impl IntoIterator<Item = &'a str>) -> Self {
         match nearest(word, names) {
             Some(name) => self.help(format!("did you mean `{name}`?")),
@@ -73,18 +73,19 @@
     }
 }
 
-/// The name nearest to a word by edit distance, if it is near enough to be a misspelling.
+/// Returns the name with the smallest edit distance to `word`, if the distance is at most one plus a quarter of the
+/// name's length, so that `word` may be a misspelling of it.
 pub fn nearest<'a>(word: &str, names: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let word: String = word.chars().take(MAX_WORD_CHARS).collect();
     let distance = |name: &str| strsim::damerau_levenshtein(&word, name);
     let near = names
         .into_iter()
         .filter(|name| distance(name) <= 1 + name.chars().count() / 4);
-    // Of two equally near names the longer one: letters are left out more often than put in.
+    // At equal distance the longer name is preferred, because letters are omitted more often than added.
     near.min_by_key(|name| (distance(name), std::cmp::Reverse(name.len()), *name))
 }
 
-/// A word as messages show it, cut where it is very long.
+/// Returns a word as shown in messages, truncated after 48 characters.
 pub fn truncated(word: &str) -> String {
     match word.char_indices().nth(MAX_WORD_CHARS) {
         Some((end, _)) => format!("{}...", &word[..end]),
--- a/crates/plan/src/diagnostic/render.rs
+++ b/crates/plan/src/diagnostic/render.rs
@@ -1,4 +1,4 @@
-//! Prints errors with the lines of the plan that they are in.
+//! Renders diagnostics as text, with the affected lines of the plan.
 
 use super::Diagnostic;
 use crate::files::{File, Files, Position, Span};
@@ -7,14 +7,14 @@
 use codespan_reporting::term;
 use std::fmt::Write;
 
-/// Diagnostics that are printed in full; of further ones the number is printed.
+/// Maximum number of diagnostics that are printed; of the others only the number is printed.
 pub const MAX_RENDERED_DIAGNOSTICS: usize = 100;
-/// A longer line is not printed.
+/// Maximum length of a source line that is printed.
 const MAX_LINE_BYTES: usize = 300;
-/// A span over more line breaks is not printed.
+/// Maximum number of line breaks in a span whose source is printed.
 const MAX_LINE_BREAKS: usize = 3;
 
-/// All errors as text, in the order of their places.
+/// Renders all diagnostics, sorted by location.
 pub fn render(files: &Files, diagnostics: &[Diagnostic]) -> String {
     let mut sorted: Vec<&Diagnostic> = diagnostics.iter().collect();
     sorted.sort_by(|a, b| (&a.span, &a.text).cmp(&(&b.span, &b.text)));
@@ -27,7 +27,7 @@
         out += &render_one(files, &source_texts, diagnostic);
     }
     if sorted.len() > MAX_RENDERED_DIAGNOSTICS {
-        // Writing to a string does not fail.
+        // Writing to a `String` never fails.
         let _ = writeln!(out, "and {} more", sorted.len() - MAX_RENDERED_DIAGNOSTICS);
     }
     out
@@ -66,7 +66,7 @@
         .with_notes(notes)
 }
 
-/// The place of an error, then the related ones, each with its text.
+/// Returns the location of the error and then the related ones, each with the text beside it.
 fn places(diagnostic: &Diagnostic) -> impl Iterator<Item = (&Span, &str)> {
     let label = diagnostic.label.as_deref().unwrap_or_default();
     let related = diagnostic.related.iter();
@@ -74,7 +74,8 @@
         .chain(related.map(|place| (&place.span, place.reason.as_str())))
 }
 
-/// Whether the lines of a span are few and short, and would not disturb a terminal.
+/// Returns whether the source lines of a span can be printed: few and short enough, and without control characters,
+/// which could disturb a terminal.
 fn is_printable(files: &Files, span: &Span) -> bool {
     let Some(file) = files.get(span.file) else {
         return false;
@@ -106,7 +107,7 @@
     out
 }
 
-/// The suggestion, and the chain of includes where the place is in an included file.
+/// Returns the suggestion and, for an error in an included file, the chain of includes that leads to it.
 fn notes(files: &Files, diagnostic: &Diagnostic) -> Vec<String> {
     let help = diagnostic.help.iter().map(|help| format!("help: {help}"));
     let mut notes: Vec<String> = help.collect();
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -1,7 +1,8 @@
-//! Compares two plans by what they do, not by their text.
+//! Compares two plans by their behaviour instead of their text.
 //!
-//! Moved blocks, comments, renamed constants, pools, sets and routes, and 1s for 1000ms are no change. Routing is
-//! compared over the value classes of queries and the cells of engines that the two plans tell apart.
+//! Moved blocks, comments, different units for the same value, and renamed constants, pools, address sets and routes
+//! are not reported as changes. Routing is compared over the value classes of queries ([`crate::region`]) and the cells
+//! of engines ([`crate::cells`]) that the two plans distinguish.
 
 mod figures;
 mod limits;
@@ -12,17 +13,17 @@
 use crate::model::Plan;
 use serde::Serialize;
 
-/// A change in what a plan does.
+/// A difference in behaviour between two plans.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
 pub struct Change {
-    /// What has changed: `routing`, `placement`, `group`, `tenant`, `limit` or `store`.
+    /// Area of the change: `routing`, `placement`, `group`, `tenant`, `limit` or `store`.
     #[serde(rename = "of")]
     pub subject: &'static str,
-    /// The change, as it is printed.
+    /// Description of the change, for example ``limit of `lookup`: 1s -> 1.5s``.
     pub text: String,
 }
 
-/// All that the new plan does differently from the old one.
+/// Returns all differences in behaviour of the new plan from the old one; empty if both do the same.
 pub fn diff(old: &Plan, new: &Plan) -> Vec<Change> {
     let mut changes = routing::changes(old, new);
     changes.extend(figures::of_classes(old, new));
--- a/crates/plan/src/diff/figures.rs
+++ b/crates/plan/src/diff/figures.rs
@@ -1,14 +1,14 @@
-//! Changes of single figures: rules of classes, limits of tenants, storage.
+//! Reports changes of single properties: rules of query classes, limits of tenants, storage of bodies and the journal.
 
 use super::Change;
 use crate::explain::{bucket_in_words, bytes, idempotency_in_words, order, percent, seconds};
 use crate::model::{Bodies, Bucket, ClassRules, Plan, Tenant};
 use std::collections::BTreeSet;
 
-/// A figure of a kind of block.
+/// A property of a kind of block that is compared by its printed form.
 struct Figure<Block> {
     name: &'static str,
-    /// How it is printed; `None` where it is not given.
+    /// Returns the printed form of the value; `None` if the block does not set it.
     printed: fn(&Block) -> Option<String>,
 }
 
@@ -59,14 +59,14 @@
     bucket.as_ref().map(bucket_in_words)
 }
 
-/// The names in alphabetic order, each once.
+/// Returns the names in alphabetical order without duplicates, as one list.
 fn sorted(names: &[String]) -> String {
     let names: BTreeSet<&str> = names.iter().map(String::as_str).collect();
     let names: Vec<&str> = names.into_iter().collect();
     names.join(", ")
 }
 
-/// A change where a figure is not the same.
+/// Returns a change if the printed values differ.
 fn change(
     subject: &'static str,
     what: &str,
@@ -81,7 +81,7 @@
     Some(Change { subject, text })
 }
 
-/// The changes in the figures of a block that may be missing in either plan.
+/// Returns the changed properties of a block, which may be absent from either plan.
 fn figures<Block>(
     subject: &'static str,
     name: &str,
@@ -98,7 +98,7 @@
     changed.collect()
 }
 
-/// The changes in the rules of query classes.
+/// Returns the changes in the rules of query classes.
 pub(super) fn of_classes(old: &Plan, new: &Plan) -> Vec<Change> {
     let classes = old.classes.iter().chain(&new.classes);
     let names: BTreeSet<&str> = classes.map(|class| class.name.as_str()).collect();
@@ -115,7 +115,7 @@
     changes.collect()
 }
 
-/// The changes in the limits of tenants.
+/// Returns the changes in the limits of tenants.
 pub(super) fn of_tenants(old: &Plan, new: &Plan) -> Vec<Change> {
     let tenants = old.tenants.iter().chain(&new.tenants);
     let names: BTreeSet<&str> = tenants.map(|tenant| tenant.name.as_str()).collect();
@@ -132,7 +132,7 @@
     changes.collect()
 }
 
-/// The changes in the storage of bodies and of the journal.
+/// Returns the changes in the storage of bodies and of the journal.
 pub(super) fn of_storage(old: &Plan, new: &Plan) -> Vec<Change> {
     let mut changes = figures(
         "store",
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -1,11 +1,11 @@
-//! Changes in limits.
+//! Reports changes in admission limits, whatever their names and order.
 
 use super::Change;
 use crate::explain::limit_in_words;
 use crate::model::{Limit, LimitScope, Plan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The limits of one plan that the other does not have, paired by name.
+/// Returns the limits that only one of the plans has; limits with the same name are reported as one change.
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
     let removed = unmatched(old, &meanings(new));
     let added = unmatched(new, &meanings(old));
@@ -33,11 +33,11 @@
     changes
 }
 
-/// What a limit means, whatever it is called.
+/// The effect of a limit, regardless of its name. Limits with equal contents are interchangeable.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Meaning {
     scope: LimitScope,
-    /// What it allows, as it is printed.
+    /// Printed form of the allowed quantities.
     allowed: String,
 }
 
@@ -55,7 +55,7 @@
     limits.map(|limit| Meaning::of(plan, limit)).collect()
 }
 
-/// The limits of a plan that mean something else than those of the other plan, by name.
+/// Returns, by name, the limits of a plan whose contents are not among those of the other plan.
 fn unmatched<'a>(plan: &'a Plan, meanings: &BTreeSet<Meaning>) -> BTreeMap<&'a str, &'a Limit> {
     let is_unmatched = |limit: &&Limit| !meanings.contains(&Meaning::of(plan, limit));
     let unmatched = plan.limits.iter().filter(is_unmatched);
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -1,4 +1,4 @@
-//! Changes in the zones and kinds of engines that a class may use.
+//! Reports changes in the zones and kinds of engines that each query class may use.
 
 use super::side::{priority_levels, Side};
 use super::Change;
@@ -7,7 +7,7 @@
 use fixedbitset::FixedBitSet;
 use std::collections::BTreeSet;
 
-/// The places that a class may use in one of the plans only.
+/// Returns, for each class, the zones and kinds of engines that it may use in only one of the plans.
 pub(super) fn changes(
     class_names: &BTreeSet<String>,
     value_classes: &ValueClasses,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The places that a class may use in a plan, over all routes that its queries may match.
+/// Returns the zones and kinds of engines that a class may use in a plan through any route that its queries may match.
 fn places<'a>(
     side: &Side,
     class: &str,
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -1,4 +1,4 @@
-//! Changes in which engines queries may go to, and in which are rejected.
+//! Reports changes in the engines that queries are routed to and in the queries that are rejected.
 
 use super::side::{priority_levels, Side};
 use super::{placement, Change};
@@ -8,7 +8,7 @@
 use fixedbitset::FixedBitSet;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The changes in routing and placement.
+/// Returns the changes in routing and placement.
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
     let value_classes = ValueClasses::of(&[old, new], &[], &[]);
     let cells = Cells::of(&[old, new], ConfiguredNames::default());
@@ -30,7 +30,8 @@
     changes
 }
 
-/// What is reported where the routes of a plan fall into too many regions.
+/// Returns the change reported if the routes divide queries into too many regions to be compared; none if the routes of
+/// both plans are identical.
 fn not_comparable(old: &Plan, new: &Plan) -> Vec<Change> {
     if format!("{:?}", old.routes) == format!("{:?}", new.routes) {
         return Vec::new();
@@ -42,7 +43,7 @@
     }]
 }
 
-/// The classes that one of the plans names in its routes or rules.
+/// Returns the query classes that either plan names in its routes or rules.
 fn class_names(old: &Plan, new: &Plan) -> BTreeSet<String> {
     let routes = old.routes.iter().chain(&new.routes);
     let rules = old.classes.iter().chain(&new.classes);
@@ -58,21 +59,22 @@
     sets.map(|set| set.name.clone()).collect()
 }
 
-/// What a plan does with the queries of a region.
+/// Outcome of a plan for the queries of a region.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Decision {
     Rejected {
         reason: String,
     },
     Routed {
-        /// The class that the query is treated as.
+        /// Class that the query is treated as.
         class: String,
-        /// For each level of preference the number of its set of cells; of its pool where cells are not computed.
+        /// For each priority level, the number of its set of cells in [`CellSets`]; the index of its pool if the cells
+        /// are not computed.
         levels: Vec<usize>,
     },
 }
 
-/// Two decisions on the same queries that are not alike. Routes are given by index; past the last is no route.
+/// Two different decisions on the same queries. Routes are given by index; the number of routes stands for no route.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Difference {
     old_route: usize,
@@ -81,7 +83,7 @@
     new: Decision,
 }
 
-/// Sets of cells by number, in the order in which they were first seen.
+/// Assigns consecutive numbers to distinct sets of cells, so that decisions can be compared by number.
 #[derive(Default)]
 struct CellSets(BTreeMap<Vec<usize>, usize>);
 
@@ -92,7 +94,7 @@
     }
 }
 
-/// The two plans, over the value classes and cells that they tell apart.
+/// The two plans, with the value classes and cells that they distinguish together.
 struct Comparison<'a> {
     class_names: BTreeSet<String>,
     value_classes: &'a ValueClasses,
@@ -103,7 +105,7 @@
 }
 
 impl Comparison<'_> {
-    /// None where the cells are too many to be computed.
+    /// Returns no changes if there are too many cells to be computed.
     fn placement_changes(&self) -> Vec<Change> {
         let Some(cells) = self.cells else {
             return Vec::new();
@@ -125,7 +127,7 @@
         changes.collect()
     }
 
-    /// The regions on which the two plans decide differently, by what they decide.
+    /// Returns the regions of queries on which the two plans decide differently, grouped by both decisions.
     fn differences(&mut self) -> BTreeMap<Difference, Vec<Region>> {
         let mut differences: BTreeMap<Difference, Vec<Region>> = BTreeMap::new();
         for old_route in 0..self.old.reach.len() {
@@ -145,7 +147,7 @@
         differences
     }
 
-    /// The regions that the old plan decides by one route, and the new plan by another.
+    /// Returns the regions that `old_route` of the old plan and `new_route` of the new plan decide on.
     fn common_pieces(&self, old_route: usize, new_route: usize) -> Vec<Region> {
         let old_pieces = self.old.reach[old_route].iter();
         let new_pieces = &self.new.reach[new_route];
@@ -193,7 +195,7 @@
     }
 }
 
-/// The part of a region that has one value class of query classes.
+/// Restricts a region to one value class of the query class dimension.
 fn of_value_class(region: &Region, value_class: usize) -> Region {
     let mut part = region.clone();
     let query_classes = &mut part[Dimension::QueryClass.index()];
--- a/crates/plan/src/diff/side.rs
+++ b/crates/plan/src/diff/side.rs
@@ -1,22 +1,22 @@
-//! One of the two plans that are compared: the regions that its routes decide on, and the cells of its pools.
+//! Computes, for each of the two compared plans, the regions that its routes decide on and the cells of its pools.
 
 use crate::cells::Cells;
 use crate::model::{Plan, Route};
 use crate::region::{self, Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 
-/// One of the two plans with what its routes and pools have.
+/// One of the two compared plans, with the regions of its routes and the cells of its pools.
 pub(super) struct Side<'a> {
     pub(super) plan: &'a Plan,
-    /// The cells of each pool; `None` where there are too many cells.
+    /// Cells of each pool by index; `None` if there are too many cells to compute.
     pub(super) pools: Option<Vec<FixedBitSet>>,
-    /// The regions that each route decides on, and last those that no route matches.
+    /// Regions that each route decides on; the last item holds the regions that no route matches.
     pub(super) reach: Vec<Vec<Region>>,
 }
 
 impl<'a> Side<'a> {
-    /// `first_set` is the index of the plan's first address set among those of both plans. `None` where the routes
-    /// fall into too many regions.
+    /// Computes the regions and cells of a plan; `None` if its routes divide queries into too many regions. `first_set`
+    /// is the index of the plan's first address set among those of both plans.
     pub(super) fn of(
         plan: &'a Plan,
         first_set: usize,
@@ -36,7 +36,8 @@
     }
 }
 
-/// For each level of preference of a class on a route, the cells that no earlier level has; empty ones are left out.
+/// Returns the priority levels of a class on a route. Each level holds the cells that no earlier level has; empty
+/// levels are omitted.
 pub(super) fn priority_levels(
     side: &Side,
     route: Option<&Route>,
@@ -68,7 +69,7 @@
     levels
 }
 
-/// The cells that the rules of some classes allow; `pools` has the cells of each pool.
+/// Returns the cells on which the rules of all `classes` allow a query to run; `pools` holds the cells of each pool.
 fn allowed_cells(
     plan: &Plan,
     pools: &[FixedBitSet],
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explains what a plan does with one query, and by which blocks of which files.
+//! Explains what a plan does with one query and which blocks in which files decide it.
 
 mod words;
 
@@ -13,17 +13,18 @@
 };
 use words::{class_in_words, pool_in_words, tenant_in_words};
 
-/// Routes that do not match the query and are printed; of further ones the number is printed.
+/// Maximum number of non-matching routes that are printed; of the others only the number is printed.
 const MAX_PRINTED_MISMATCHES: usize = 20;
 
-/// Explains the route of a query, the routes before it that do not match, the pools, the rules and the limits.
+/// Returns a text with the route that matches the query, the earlier routes that do not match, and the pools, class
+/// rules and limits that apply.
 pub fn explain(compiled: &Compiled, query: &QueryFacts) -> String {
     let mut explanation = Explanation {
         compiled,
         query,
         out: String::new(),
     };
-    // Writing to a string does not fail.
+    // Writing to a `String` never fails.
     let _ = explanation.write();
     explanation.out
 }
@@ -77,7 +78,7 @@
         )
     }
 
-    /// The routes before the one that matches, each with the first entry that the query does not meet.
+    /// Writes the routes before the matching one, each with the first entry that the query does not match.
     fn write_mismatches(&mut self, routes: &[Route]) -> Result {
         let plan = &self.compiled.plan;
         for route in routes.iter().take(MAX_PRINTED_MISMATCHES) {
--- a/crates/plan/src/explain/words.rs
+++ b/crates/plan/src/explain/words.rs
@@ -1,11 +1,11 @@
-//! Prints blocks of a plan in the words of the plan language.
+//! Formats blocks of a plan and their values in the syntax of the plan language.
 
 use crate::model::{
     Bucket, ClassRules, DeduplicationScope, Idempotency, Limit, Per, Plan, Pool, Tenant,
 };
 use std::time::Duration;
 
-/// The entries that are given, or `nothing`.
+/// Joins the entries that are present; `nothing` if there are none.
 fn joined<const N: usize>(entries: [Option<String>; N]) -> String {
     let given: Vec<String> = entries.into_iter().flatten().collect();
     match given.is_empty() {
@@ -18,22 +18,22 @@
     (!values.is_empty()).then(|| format!("{entry} {}", values.join(", ")))
 }
 
-/// A time as the plan language writes it.
+/// Formats a duration in the syntax of the plan language, always in seconds.
 pub(crate) fn seconds(time: Duration) -> String {
     format!("{}s", time.as_secs_f64())
 }
 
-/// A fraction as the plan language writes it.
+/// Formats a fraction of 1 as a percentage in the syntax of the plan language.
 pub(crate) fn percent(fraction: f64) -> String {
     format!("{}%", fraction * 100.0)
 }
 
-/// A size as the plan language writes it.
+/// Formats a size in the syntax of the plan language, always in bytes.
 pub(crate) fn bytes(count: u64) -> String {
     format!("{count}B")
 }
 
-/// The word of `order`.
+/// Returns the value of an `order` entry.
 pub(crate) fn order(in_order: bool) -> &'static str {
     match in_order {
         true => "key",
--- a/crates/plan/src/files.rs
+++ b/crates/plan/src/files.rs
@@ -1,24 +1,24 @@
-//! The texts of a plan's files, and places in them.
+//! Holds the texts of a plan's files and converts byte offsets to lines and columns.
 
 use std::ops::Range;
 
-/// A file of a plan, by the order in which the files were read.
+/// Index of a file of a plan, in the order in which the files were read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FileId(pub usize);
 
-/// A place in a file, as byte offsets.
+/// A range of bytes in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Span {
-    /// The file.
+    /// File that contains the range.
     pub file: FileId,
-    /// The offset of the first byte.
+    /// Offset of the first byte.
     pub start: usize,
-    /// The offset after the last byte.
+    /// Offset after the last byte.
     pub end: usize,
 }
 
 impl Span {
-    /// An empty place at the start of a file.
+    /// Returns the empty span at the start of a file.
     pub fn start_of(file: FileId) -> Self {
         Span {
             file,
@@ -27,31 +27,31 @@
         }
     }
 
-    /// The byte offsets.
+    /// Returns the byte offsets as a range.
     pub fn range(&self) -> Range<usize> {
         self.start..self.end
     }
 }
 
-/// A place in a file, as its readers count.
+/// Line and column of a location in a file, as editors count them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// Column in characters, from 1.
     pub column: usize,
 }
 
-/// A file that was read.
+/// A file of a plan that was read.
 #[derive(Debug)]
 pub struct File {
-    /// The name under which it was loaded.
+    /// Name under which the file was loaded; includes are resolved relative to it.
     pub name: String,
-    /// Its text.
+    /// Content of the file; bytes that are not UTF-8 are replaced by U+FFFD.
     pub text: String,
-    /// Where it was first included; `None` for the main file.
+    /// Span of the first include of the file; `None` for the main file.
     pub included_at: Option<Span>,
-    /// The byte offset at which each line starts.
+    /// Byte offset of the start of each line.
     line_starts: Vec<usize>,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Line and column of a byte offset.
+    /// Returns the line and the column of a byte offset.
     pub fn position(&self, offset: usize) -> Position {
         let line = self
             .line_starts
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A line without its line break, by its number from 1.
+    /// Returns a line by its number from 1, without the line break; empty past the last line.
     pub fn line(&self, number: usize) -> &str {
         let start_of = |index: usize| {
             let start = self.line_starts.get(index).copied();
@@ -115,24 +115,24 @@
         self.0.iter().any(|file| file.name == name)
     }
 
-    /// A file by its id.
+    /// Returns a file by its id; `None` if no file has it.
     pub fn get(&self, id: FileId) -> Option<&File> {
         self.0.get(id.0)
     }
 
-    /// The files, in the order of their ids.
+    /// Returns all files in the order of their ids.
     pub fn all(&self) -> &[File] {
         &self.0
     }
 
-    /// The text of a span; empty where the span is in no file.
+    /// Returns the text of a span; empty if the span is not within a file.
     pub fn text(&self, span: &Span) -> &str {
         self.get(span.file)
             .and_then(|file| file.text.get(span.range()))
             .unwrap_or_default()
     }
 
-    /// `file:line` of a span's start; empty where the span is in no file.
+    /// Returns the start of a span as `file:line`; empty if no file has the span's id.
     pub fn location(&self, span: &Span) -> String {
         let Some(file) = self.get(span.file) else {
             return String::new();
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -1,21 +1,22 @@
-//! Prints a file in its canonical form.
+//! Formats a plan file in its canonical form.
 //!
-//! Two spaces of indentation, one between words, an empty line between blocks, long lists broken behind commas. Words
-//! and comments stay as they were written; only what is around them changes.
+//! Entries are indented by two spaces, words are separated by one space, blocks by one blank line, and long lists are
+//! wrapped after a comma. Only white space and line breaks change; words and comments are preserved. Comments inside a
+//! list move to the end of the entry.
 
 use crate::diagnostic::Diagnostic;
 use crate::files::FileId;
 use crate::syntax::{self, Block, BlockItem, Item, Part, Tree, Word};
 
-/// A longer line is broken where it can be.
+/// Maximum line width; longer lists are wrapped after a comma.
 const MAX_COLUMNS: usize = 100;
 const INDENT_COLUMNS: usize = 2;
 
-/// Prints a file in its canonical form.
+/// Returns the text of a file in its canonical form.
 ///
 /// # Errors
 ///
-/// The errors of the lines that cannot be read; such a file is not formatted.
+/// Returns the syntax errors of the file, if there are any; such a file is not formatted.
 pub fn format(text: &str) -> Result<String, Vec<Diagnostic>> {
     let Tree { items, diagnostics } = syntax::parse(text, FileId(0));
     if !diagnostics.is_empty() {
@@ -31,9 +32,9 @@
 #[derive(Default)]
 struct Formatter {
     text: String,
-    /// An empty line belongs before what comes next.
+    /// Whether a blank line is printed before the next line.
     needs_gap: bool,
-    /// The last line closes a block, which an empty line follows.
+    /// Whether the last printed line closes a block, so that a blank line must follow.
     is_after_block: bool,
 }
 
@@ -59,7 +60,7 @@
         self.needs_gap = !self.text.is_empty() && !self.text.ends_with("{\n");
     }
 
-    /// Prints one line.
+    /// Prints one line, preceded by a blank line if one is due.
     fn print_line(&mut self, indent: usize, code: &str, comment: &Option<String>) {
         let follows_block = self.is_after_block && indent == 0 && code != "}";
         if self.needs_gap || follows_block {
@@ -77,7 +78,7 @@
     }
 
     fn print_block(&mut self, block: &Block) {
-        // An empty line precedes a block, except where a comment is right above it.
+        // A blank line precedes each block, unless a comment is directly above it.
         let last_printed = self.text.lines().next_back();
         let follows_comment = last_printed.is_some_and(|last| last.starts_with('#'));
         self.needs_gap |= !self.text.is_empty() && !follows_comment;
@@ -102,7 +103,7 @@
         self.is_after_block = true;
     }
 
-    /// Prints a name with its values, broken behind commas where it is too long.
+    /// Prints a name with its values, wrapped after commas if the line is too long.
     fn print_wrapped(
         &mut self,
         indent: usize,
@@ -130,7 +131,7 @@
     }
 }
 
-/// A word with its quotes and escapes.
+/// Returns a word as in the source, with quotes and escapes if it is quoted.
 fn as_written(word: &Word) -> String {
     if !word.is_quoted {
         return word.text.clone();
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,13 +1,18 @@
-//! Parses, checks, formats and compares plans: files in which operators define pools, routes, limits and rules of
-//! query classes.
+//! Parses, checks, formats and compares plans: files in which operators define pools, routes, limits and rules of query
+//! classes.
 //!
-//! [`compile`] reads a plan with all that it includes and returns the [`Plan`] or all its errors. [`mod@format`] prints
-//! a file in its canonical form, [`diff`] compares what two plans do, [`explain`] shows what a plan does with one query. No
-//! module does I/O; files come by a [`source::Loader`]. docs/plan-language.md has the grammar and the table of blocks.
+//! [`compile`] reads a plan with all included files and returns the [`Plan`] or all its errors. [`mod@format`] prints a
+//! file in its canonical form, [`diff`] compares the behaviour of two plans, and [`explain`] shows what a plan does
+//! with one query. The crate does no I/O itself; files are loaded through a [`source::Loader`]. docs/plan-language.md
+//! describes the grammar and lists all blocks.
 //!
-//! A plan goes through these modules in order: [`source`] and `syntax` (text to items), `check` (items to entries of
-//! known kinds, by the table of [`schema`]), `build` (entries to a [`Plan`], with names resolved and contradictions
-//! reported). Words of the language that differ from the terms of the code are mapped in `build` and in the serde names
+//! A plan passes through these modules in order:
+//!
+//! - [`source`] and `syntax` turn text into items.
+//! - `check` turns items into entries of known kinds, according to the table in [`schema`].
+//! - `build` turns entries into a [`Plan`], resolves names and reports contradictions.
+//!
+//! Words of the plan language that differ from the terms used in the code are mapped in `build` and in the serde names
 //! of [`model`].
 
 pub mod address;
@@ -32,21 +37,22 @@
 pub use model::Plan;
 use source::{Loader, Source};
 
-/// A plan with the files it was read from.
+/// A valid plan with the files it was read from.
 #[derive(Debug)]
 pub struct Compiled {
-    /// The plan.
+    /// Plan with resolved names.
     pub plan: Plan,
-    /// Its files.
+    /// Files of the plan, to which its spans refer.
     pub files: Files,
 }
 
-/// The errors of a plan with the files they are in.
+/// The errors of an invalid plan with the files they refer to. The `Display` form shows each error with its source
+/// line.
 #[derive(Debug)]
 pub struct InvalidPlan {
-    /// The errors, at least one.
+    /// Errors in the order in which they were found, at least one.
     pub diagnostics: Vec<Diagnostic>,
-    /// The files that were read.
+    /// Files that were read, to which the spans of the errors refer.
     pub files: Files,
 }
 
@@ -58,12 +64,13 @@
 
 impl std::error::Error for InvalidPlan {}
 
-/// Reads the plan of the file `main` with all that it includes, and checks it; with `settings`, also against these.
+/// Reads and checks the plan in the file `main` with all included files. If `settings` are given, the plan is also
+/// checked against them.
 ///
 /// # Errors
 ///
-/// All errors that one run finds. Names are resolved only where every line could be read, and the plan is checked for
-/// contradictions only where every name is known.
+/// Returns all errors that can be found in one run. The plan is checked for contradictions only if there are no other
+/// errors.
 pub fn compile(
     loader: &dyn Loader,
     main: &str,
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -1,7 +1,8 @@
-//! A plan as values, with names resolved and places kept.
+//! Defines a compiled plan as data, with resolved names and the source locations of its blocks.
 //!
-//! Its own evaluation is plain and slow; `garnetwall-routing` compiles a plan for the path of a query. A field is
-//! serialized under the word of the plan language, which the printed form of a plan shows.
+//! The methods that evaluate a plan are straightforward and slow; for the processing of queries, `garnetwall-routing`
+//! compiles a plan into faster structures. Fields are serialized under the words of the plan language, as `plan show`
+//! prints them.
 
 mod classes;
 mod limits;
@@ -21,60 +22,60 @@
 /// The properties of a query that routes and limits match on.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryFacts<'a> {
-    /// The name of its class.
+    /// Name of the query class.
     pub class: &'a str,
-    /// The name of its tenant.
+    /// Name of the tenant.
     pub tenant: &'a str,
-    /// The address of the client.
+    /// IP address of the client.
     pub client: IpAddr,
-    /// Whether it has a key.
+    /// Whether the query has an ordering key.
     pub has_key: bool,
-    /// The number of its data set.
+    /// Number of the data set that the query reads or writes.
     pub data_set: u32,
-    /// When it arrived, in minutes of the day, UTC.
+    /// Time of arrival, in minutes since midnight UTC.
     pub minute_of_day: u32,
 }
 
 /// The properties of an engine that pools select by.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineFacts<'a> {
-    /// Its id.
+    /// Unique id of the engine, matched by the patterns of pools.
     pub id: &'a str,
-    /// The name of its zone.
+    /// Name of the engine's zone.
     pub zone: &'a str,
-    /// The name of its kind.
+    /// Name of the engine's kind.
     pub kind: &'a str,
-    /// Its address.
+    /// IP address of the engine.
     pub address: IpAddr,
 }
 
-/// A whole plan. Pools and address sets are referred to by their index.
+/// A complete plan. Pools and address sets are referred to by their index in [`Plan::pools`] and [`Plan::addresses`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Plan {
-    /// The sets of addresses.
+    /// Named sets of client or engine addresses.
     pub addresses: Vec<AddressSet>,
-    /// The sets of engines.
+    /// Named sets of engines.
     pub pools: Vec<Pool>,
-    /// The rules of query classes.
+    /// Rules of query classes, at most one item per class.
     #[serde(rename = "groups")]
     pub classes: Vec<ClassRules>,
-    /// The limits of tenants.
+    /// Limits of tenants, at most one item per tenant.
     pub tenants: Vec<Tenant>,
-    /// The routes; the first that matches a query decides.
+    /// Routes in source order; the first one that matches a query decides.
     pub routes: Vec<Route>,
-    /// The limits on admission.
+    /// Limits on admission; every limit that applies to a query must allow it.
     pub limits: Vec<Limit>,
-    /// Where bodies of queries are stored; `None` where the plan has no such block.
+    /// Storage of query bodies; `None` if the plan has no `bodies` block.
     pub bodies: Option<Bodies>,
-    /// Where the query journal is stored; `None` where the plan has no such block.
+    /// Storage of the query journal; `None` if the plan has no `journal` block.
     pub journal: Option<Journal>,
-    /// Pools in an order in which each comes after those that it refers to.
+    /// Indices of the pools in topological order: each pool comes after those it refers to.
     #[serde(skip)]
     pub pool_order: Vec<usize>,
 }
 
 impl Plan {
-    /// For each pool, by index, whether it has an engine.
+    /// Returns for each pool, by index, whether it contains the engine.
     pub fn pools_of(&self, engine: &EngineFacts) -> Vec<bool> {
         let in_set = |set: usize| {
             let set = self.addresses.get(set);
@@ -90,7 +91,8 @@
         })
     }
 
-    /// For each pool, by index, whether it has what `fits` selects for a pool itself, with `union` and `except` applied.
+    /// Returns for each pool, by index, whether it contains an engine. `fits` states whether a pool directly selects
+    /// the engine; `union` and `except` are then applied.
     pub fn pools_matching(&self, fits: impl Fn(&Pool) -> bool) -> Vec<bool> {
         let mut matching = vec![false; self.pools.len()];
         for index in &self.pool_order {
@@ -101,38 +103,39 @@
         matching
     }
 
-    /// The first route that matches a query.
+    /// Returns the first route that matches a query.
     pub fn route_of(&self, query: &QueryFacts) -> Option<&Route> {
         let index = self.route_index_of(query)?;
         self.routes.get(index)
     }
 
-    /// The index of the first route that matches a query.
+    /// Returns the index of the first route that matches a query.
     pub(crate) fn route_index_of(&self, query: &QueryFacts) -> Option<usize> {
         self.routes
             .iter()
             .position(|route| route.first_unmet_entry(query, &self.addresses).is_none())
     }
 
-    /// The rules of a query class.
+    /// Returns the rules of a query class; `None` if the plan has none.
     pub fn class(&self, name: &str) -> Option<&ClassRules> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// The limits of a tenant.
+    /// Returns the limits of a tenant; `None` if the plan has none.
     pub fn tenant(&self, name: &str) -> Option<&Tenant> {
         self.tenants.iter().find(|tenant| tenant.name == name)
     }
 
-    /// Whether the rules of some classes let a query run on an engine that is in the pools of `matching`, by index.
+    /// Returns whether the rules of all `classes` allow a query to run on an engine. `matching` states for each pool,
+    /// by index, whether it contains the engine.
     pub fn allows(&self, classes: &[&str], matching: &[bool]) -> bool {
         let rules = classes.iter().filter_map(|class| self.class(class));
         let mut bound = rules.filter(|class| !class.pools.is_empty());
         bound.all(|class| class.pools.iter().any(|pool| matching[*pool]))
     }
 
-    /// For each pool of a query's route, in order of preference, whether the query may run on an engine by way of it.
-    /// Where no pool is named, all engines are one level.
+    /// Returns for each pool of the query's route, in order of preference, whether the query may run on the engine as a
+    /// member of that pool. Without a route, or if the route names no pool, there is a single level with all engines.
     pub fn priority_levels(&self, query: &QueryFacts, engine: &EngineFacts) -> Vec<bool> {
         let matching = self.pools_of(engine);
         let route = self.route_of(query);
--- a/crates/plan/src/model/classes.rs
+++ b/crates/plan/src/model/classes.rs
@@ -1,80 +1,80 @@
-//! Rules of query classes.
+//! Defines the rules of query classes.
 
 use crate::files::Span;
 use serde::{Serialize, Serializer};
 use std::time::Duration;
 
-/// The window over which the retries of a class are counted, in seconds.
+/// Length in seconds of the window over which the retries of a class are counted.
 pub const RETRY_WINDOW_SECONDS: f64 = 60.0;
-/// Retries that a class may always make within the window.
+/// Number of retries that a class may always make within the window, regardless of its number of queries.
 pub const RETRY_FLOOR: f64 = 1.0;
 
-/// Rules of a query class; what is not given stays as the settings have it.
+/// Rules of a query class. For a rule that is `None`, the settings apply.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassRules {
-    /// The name of the class.
+    /// Name of the query class, as in the settings.
     pub name: String,
-    /// The place of the name.
+    /// Span of the name in the plan.
     #[serde(skip)]
     pub span: Span,
-    /// The response time to aim for.
+    /// Target response time.
     #[serde(rename = "goal", serialize_with = "maybe_seconds")]
     pub latency_objective: Option<Duration>,
-    /// The time after which a query is of no use.
+    /// Time after which the response to a query is no longer useful.
     #[serde(rename = "limit", serialize_with = "maybe_seconds")]
     pub deadline: Option<Duration>,
-    /// The only pools that its queries may run in; any where it is empty.
+    /// Indices of the pools that queries of the class are restricted to; empty for no restriction.
     pub pools: Vec<usize>,
-    /// The place of the entry that names the pools.
+    /// Span of the entry that names the pools.
     #[serde(skip)]
     pub pools_span: Option<Span>,
-    /// Whether queries of one key run one at a time, in order.
+    /// Whether queries with the same ordering key run one at a time, in order.
     pub in_order: Option<bool>,
-    /// Whether a query that may have run may run again.
+    /// Whether a query that may already have run may run again.
     #[serde(rename = "effect")]
     pub idempotency: Option<Idempotency>,
-    /// Retries within the window, as a fraction of the queries.
+    /// Retries allowed within [`RETRY_WINDOW_SECONDS`], as a fraction of the queries in it, 0 to 1.
     #[serde(rename = "further")]
     pub retries_per_query: Option<f64>,
-    /// The longest statement, in bytes.
+    /// Maximum length of a statement in bytes.
     #[serde(rename = "statement")]
     pub max_statement_bytes: Option<u64>,
 }
 
-/// Whether a query that may have run may run again.
+/// Whether a query that may already have run may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum Idempotency {
-    /// It may.
+    /// Repeating the query has no further effect, so it may always run again.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// It may where its repetition is recognized by its key.
+    /// The query may run again on engines that recognize the repetition by its idempotency key.
     #[serde(rename = "referenced")]
     IdempotentByKey {
-        /// Which engines recognize it.
+        /// Engines among which a repetition is recognized.
         scope: DeduplicationScope,
-        /// For how long they do.
+        /// Deduplication window: time for which a repetition is recognized.
         #[serde(serialize_with = "seconds")]
         window: Duration,
     },
-    /// It may not.
+    /// The query must not run again.
     #[serde(rename = "once-only")]
     NonIdempotent,
 }
 
-/// The engines among which a repeated query is recognized by its key, widest scope first.
+/// Engines among which a repeated query is recognized by its idempotency key, from the widest to the narrowest scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeduplicationScope {
-    /// All engines.
+    /// Any two engines.
     Everywhere,
-    /// The engines of one zone.
+    /// Engines of the same zone.
     Zone,
-    /// The engines of one cell.
+    /// Engines of the same cell.
     Cell,
 }
 
 impl Idempotency {
-    /// Whether the other one allows every repetition that this one allows.
+    /// Returns whether `other` allows every repetition that `self` allows.
     pub fn narrows(&self, other: &Idempotency) -> bool {
         use Idempotency::{Idempotent, IdempotentByKey, NonIdempotent};
         match (self, other) {
--- a/crates/plan/src/model/limits.rs
+++ b/crates/plan/src/model/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on what is admitted, of tenants and in general.
+//! Defines limits on the admission of queries: limits of tenants and general limits.
 
 use super::routes::{is_client, is_named};
 use super::{AddressSet, QueryFacts};
@@ -6,84 +6,84 @@
 use crate::files::Span;
 use serde::Serialize;
 
-/// The parameters of a token bucket.
+/// Parameters of a token bucket. A token is a query or a byte, depending on the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Bucket {
-    /// Tokens that are added in a second.
+    /// Tokens added per second.
     #[serde(rename = "rate")]
     pub tokens_per_second: f64,
-    /// The capacity of the bucket, in tokens.
+    /// Capacity of the bucket in tokens.
     #[serde(rename = "burst")]
     pub max_tokens: f64,
 }
 
-/// Limits of a tenant; `None` is no limit.
+/// Limits of a tenant; `None` means no limit.
 #[derive(Clone, Debug, Serialize)]
 pub struct Tenant {
-    /// The name of the tenant.
+    /// Name of the tenant, as in the settings.
     pub name: String,
-    /// The place of the name.
+    /// Span of the name in the plan.
     #[serde(skip)]
     pub span: Span,
-    /// The fraction of the gateway's capacity that it may use, 0 to 1.
+    /// Maximum fraction of the gateway's capacity for queries that the tenant may use, 0 to 1.
     pub share: Option<f64>,
-    /// Queries in flight.
+    /// Maximum number of queries in flight at one gateway.
     #[serde(rename = "in_hand")]
     pub max_in_flight: Option<u64>,
-    /// Queries over time.
+    /// Maximum rate of admitted queries.
     pub rate: Option<Bucket>,
-    /// Bytes of statements over time.
+    /// Maximum rate of statement bytes.
     pub bytes: Option<Bucket>,
 }
 
-/// What a limit is counted by.
+/// Key by which a limit counts queries separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Per {
-    /// Each query class by itself.
+    /// One count for each query class.
     #[serde(rename = "group")]
     Class,
-    /// Each tenant by itself.
+    /// One count for each tenant.
     Tenant,
-    /// Each client address by itself.
+    /// One count for each client address.
     Client,
 }
 
-/// A limit on the queries that fit its conditions; an empty list of conditions fits any query.
+/// A limit on the queries that match all its conditions; an empty list of conditions matches any query.
 #[derive(Clone, Debug, Serialize)]
 pub struct Limit {
-    /// Its name.
+    /// Unique name of the limit.
     pub name: String,
-    /// The place of the name.
+    /// Span of the name in the plan.
     #[serde(skip)]
     pub span: Span,
-    /// What it is counted by; one count for all where it is empty.
+    /// Keys by which queries are counted separately; empty for one count of all queries.
     pub per: Vec<Per>,
-    /// Counts queries of these classes.
+    /// Matches queries of these classes.
     #[serde(rename = "groups")]
     pub classes: Vec<String>,
-    /// Counts queries of these tenants.
+    /// Matches queries of these tenants.
     pub tenants: Vec<String>,
-    /// Counts queries from an address of these sets, by index.
+    /// Matches queries from clients in these address sets, by index.
     pub clients: Vec<usize>,
-    /// Queries in flight.
+    /// Maximum number of queries in flight at one gateway.
     #[serde(rename = "in_hand")]
     pub max_in_flight: Option<u64>,
-    /// Queries over time.
+    /// Maximum rate of admitted queries.
     pub rate: Option<Bucket>,
-    /// Bytes of statements over time.
+    /// Maximum rate of statement bytes.
     pub bytes: Option<Bucket>,
 }
 
 impl Limit {
-    /// Whether the limit counts a query. `sets` are the plan's address sets.
+    /// Returns whether the limit counts a query. `sets` are the plan's address sets.
     pub fn applies_to(&self, query: &QueryFacts, sets: &[AddressSet]) -> bool {
         is_named(&self.classes, query.class)
             && is_named(&self.tenants, query.tenant)
             && is_client(&self.clients, query, sets)
     }
 
-    /// Which queries the limit counts, and by what. `sets` are the plan's address sets.
+    /// Returns the queries that the limit counts and the keys it counts them by. `sets` are the plan's address sets.
     pub fn scope(&self, sets: &[AddressSet]) -> LimitScope {
         let sets = self.clients.iter().map(|set| &sets[*set]);
         let ranges = sets.flat_map(|set| set.ranges.iter().copied());
@@ -96,19 +96,21 @@
     }
 }
 
-/// Which queries a limit counts, and by what. It does not depend on the order of names in a plan, nor on the names of
-/// address sets, so that limits of two plans can be compared.
+/// The queries that a limit counts and the keys it counts them by.
+///
+/// The value does not depend on the order of names in a plan or on the names of address sets, so that limits of two
+/// plans can be compared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LimitScope {
     per: Vec<Per>,
-    /// In alphabetic order, as often as the plan lists them.
+    /// Names in alphabetical order, including repetitions.
     classes: Vec<String>,
     tenants: Vec<String>,
     clients: AddressRanges,
 }
 
 impl LimitScope {
-    /// The scope with each name once: a name that a plan repeats does not change which queries are counted.
+    /// Removes repeated names from the scope. A repeated name in a plan does not change which queries are counted.
     pub fn without_repeated_names(mut self) -> LimitScope {
         self.classes.dedup();
         self.tenants.dedup();
--- a/crates/plan/src/model/routes.rs
+++ b/crates/plan/src/model/routes.rs
@@ -1,16 +1,17 @@
-//! Routes: which queries they match, and where those go.
+//! Defines routes, which select queries by conditions and send them to pools.
 
 use super::{AddressSet, QueryFacts};
 use crate::files::Span;
 use crate::quantity::{MinuteRange, NumberRange, MINUTES_PER_DAY};
 use serde::Serialize;
 
-/// A rule on where queries go. An empty list of conditions matches any query.
+/// A rule that sends the queries matching all its conditions to pools, or rejects them. An empty list of conditions
+/// matches any query.
 #[derive(Clone, Debug, Serialize)]
 pub struct Route {
-    /// Its name.
+    /// Unique name of the route.
     pub name: String,
-    /// The place of the name.
+    /// Span of the name in the plan.
     #[serde(skip)]
     pub span: Span,
     /// Matches queries of these classes.
@@ -18,47 +19,47 @@
     pub classes: Vec<String>,
     /// Matches queries of these tenants.
     pub tenants: Vec<String>,
-    /// Matches clients at an address of these sets, by index.
+    /// Matches queries from clients in these address sets, by index.
     pub clients: Vec<usize>,
-    /// Matches queries with a key, or those without.
+    /// Matches queries with an ordering key (`true`) or without one (`false`); `None` matches both.
     #[serde(rename = "key")]
     pub has_key: Option<bool>,
-    /// Matches data sets by their number.
+    /// Matches queries on data sets with these numbers.
     pub data_sets: Vec<NumberRange>,
-    /// Matches queries that arrive at these times of day.
+    /// Matches queries that arrive at these times of day, UTC.
     #[serde(rename = "hours")]
     pub times_of_day: Vec<MinuteRange>,
-    /// The pools that the queries go to, by index, in order of preference; all engines where it is empty.
+    /// Indices of the pools that the queries are sent to, in order of preference; empty for all engines.
     #[serde(rename = "to")]
     pub pools: Vec<usize>,
-    /// The place of the entry that names the pools.
+    /// Span of the entry that names the pools.
     #[serde(skip)]
     pub pools_span: Option<Span>,
-    /// The class that the queries are treated as.
+    /// Query class that the queries are treated as; `None` for their own class.
     #[serde(rename = "as_group")]
     pub as_class: Option<String>,
-    /// The place of the entry that names this class.
+    /// Span of the entry that names this class.
     #[serde(skip)]
     pub as_span: Option<Span>,
-    /// The queries are rejected with this reason.
+    /// Reason with which the queries are rejected; `None` if they are not rejected.
     #[serde(rename = "refuse")]
     pub reject_reason: Option<String>,
 }
 
 impl Route {
-    /// Whether the route matches queries at a minute of the day.
+    /// Returns whether the route matches queries that arrive at this minute of the day, UTC.
     pub fn is_open_at(&self, minute: u32) -> bool {
         let mut ranges = self.times_of_day.iter();
         self.times_of_day.is_empty() || ranges.any(|range| range.contains(minute))
     }
 
-    /// Whether the route treats its queries as a class.
+    /// Returns whether the route treats its queries as the given class.
     pub(crate) fn treats_as(&self, class: &str) -> bool {
         self.as_class.as_deref() == Some(class)
     }
 
-    /// The name of the first entry that a query does not meet; `None` where the route matches it. `sets` are the
-    /// plan's address sets.
+    /// Returns the name of the first entry that a query does not match; `None` if the route matches the query. `sets`
+    /// are the plan's address sets.
     pub fn first_unmet_entry(
         &self,
         query: &QueryFacts,
@@ -83,12 +84,13 @@
     }
 }
 
-/// Whether a name is in a list; an empty list has every name.
+/// Returns whether a list contains a name; an empty list stands for all names.
 pub(super) fn is_named(names: &[String], name: &str) -> bool {
     names.is_empty() || names.iter().any(|other| other == name)
 }
 
-/// Whether a query's client is in one of some address sets, given by index; in any where none is given.
+/// Returns whether the client of a query is in one of the address sets with the indices `clients`; an empty list stands
+/// for all clients.
 pub(super) fn is_client(clients: &[usize], query: &QueryFacts, sets: &[AddressSet]) -> bool {
     let contains = |set: &usize| {
         let set = sets.get(*set);
--- a/crates/plan/src/model/sets.rs
+++ b/crates/plan/src/model/sets.rs
@@ -1,64 +1,67 @@
-//! Sets of addresses, and pools of engines.
+//! Defines address sets and pools of engines.
 
 use crate::address::{number, AddressRanges};
 use crate::files::Span;
 use serde::{Serialize, Serializer};
 use std::net::{IpAddr, Ipv6Addr};
 
-/// A set of addresses.
+/// A named set of IP addresses of clients or engines.
 #[derive(Clone, Debug, Serialize)]
 pub struct AddressSet {
-    /// Its name.
+    /// Unique name of the address set.
     pub name: String,
-    /// The place of the name.
+    /// Span of the name in the plan.
     #[serde(skip)]
     pub span: Span,
-    /// All its addresses, with those of included sets and without exceptions.
+    /// Addresses of the set, including those of referenced sets, without the excluded networks.
     #[serde(rename = "spans", serialize_with = "printed_ranges")]
     pub ranges: AddressRanges,
 }
 
 impl AddressSet {
-    /// Whether an address is in the set.
+    /// Returns whether the set contains an address.
     pub fn contains(&self, address: IpAddr) -> bool {
         let number = number(address);
         self.ranges.iter().any(|range| range.contains(number))
     }
 }
 
-/// A set of engines: those that fit the selection of `all` to `addresses`, and those of `union`, without `except`.
+/// A named set of engines.
+///
+/// A pool contains the engines that match all entries from `all` to `addresses`, and the engines of the pools in
+/// `union`, without the engines of the pools in `except`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Pool {
-    /// Its name.
+    /// Unique name of the pool.
     pub name: String,
-    /// The place of the name.
+    /// Span of the name in the plan.
     #[serde(skip)]
     pub span: Span,
-    /// Selects every engine.
+    /// Selects every engine that matches the other entries.
     pub all: bool,
-    /// Selects the engines in one of these zones; any where it is empty.
+    /// Selects the engines in one of these zones; empty for any zone.
     pub zones: Vec<String>,
-    /// Selects the engines of one of these kinds; any where it is empty.
+    /// Selects the engines of one of these kinds; empty for any kind.
     pub kinds: Vec<String>,
-    /// Selects the engines whose id fits one of these patterns; any where it is empty.
+    /// Selects the engines whose id matches one of these patterns; empty for any id.
     pub ids: Vec<String>,
-    /// Selects the engines at an address of one of these sets, by index; any where it is empty.
+    /// Selects the engines with an address in one of these address sets, by index; empty for any address.
     pub addresses: Vec<usize>,
-    /// Pools whose engines are in this one, by index.
+    /// Indices of pools whose engines are included.
     pub union: Vec<usize>,
-    /// Pools whose engines are not in this one, by index.
+    /// Indices of pools whose engines are excluded.
     pub except: Vec<usize>,
 }
 
 impl Pool {
-    /// Whether the pool selects engines itself, beside those of other pools.
+    /// Returns whether the pool has entries that select engines directly, apart from `union`.
     pub fn selects(&self) -> bool {
         let names = [&self.zones, &self.kinds, &self.ids];
         self.all || !self.addresses.is_empty() || names.iter().any(|names| !names.is_empty())
     }
 
-    /// Whether the pool itself selects an engine, given whether the engine fits a zone, a kind, a pattern of ids and
-    /// an address set.
+    /// Returns whether the pool directly selects an engine, without `union` and `except`. The arguments state whether
+    /// the engine matches a zone, a kind, an id pattern and an address set.
     pub fn fits(
         &self,
         zone: impl Fn(&str) -> bool,
@@ -78,7 +81,7 @@
     }
 }
 
-/// Whether a text fits a pattern in which `*` stands for any characters.
+/// Returns whether a text matches a pattern in which `*` stands for any number of characters.
 pub fn fits_pattern(pattern: &str, text: &str) -> bool {
     let Some((prefix, pattern)) = pattern.split_once('*') else {
         return pattern == text;
@@ -103,7 +106,7 @@
     serializer.collect_seq(ranges)
 }
 
-/// An address as it is printed: IPv4 where it maps one.
+/// Formats an address; an IPv4-mapped address is printed as IPv4.
 fn printed(address: u128) -> String {
     let address = Ipv6Addr::from(address);
     match address.to_ipv4_mapped() {
--- a/crates/plan/src/model/storage.rs
+++ b/crates/plan/src/model/storage.rs
@@ -1,38 +1,38 @@
-//! Where bodies of queries and the query journal are stored.
+//! Defines the storage of query bodies and of the query journal.
 
 use serde::Serialize;
 
-/// The storage of bodies that retries send again.
+/// Storage of query bodies, which are kept so that a retry can send them again.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Bodies {
-    /// Bytes in memory, in all.
+    /// Maximum number of bytes in memory, for all bodies together.
     #[serde(rename = "memory")]
     pub memory_bytes: u64,
-    /// Bytes in memory of one body; a longer one is stored in the spool file.
+    /// Maximum number of bytes in memory for one body; longer bodies are stored in the spool file.
     #[serde(rename = "batch_memory")]
     pub max_body_memory_bytes: u64,
-    /// Bytes in the spool file, in all.
+    /// Maximum number of bytes in the spool file, for all bodies together; 0 for no spool file.
     #[serde(rename = "files")]
     pub file_bytes: u64,
-    /// The directory of the spool file.
+    /// Directory of the spool file; always set if `file_bytes` is not 0.
     pub directory: Option<String>,
-    /// Bytes of the longest body; a longer one is rejected.
+    /// Maximum length of a body in bytes; longer bodies are rejected.
     #[serde(rename = "batch")]
     pub max_body_bytes: u64,
-    /// The fraction of the storage that one tenant may use, 0 to 1.
+    /// Maximum fraction of the memory and of the spool file that one tenant may use, 0 to 1.
     #[serde(rename = "share")]
     pub tenant_share: f64,
-    /// Whether bodies are accepted whose length is not announced.
+    /// Whether bodies without an announced length are accepted.
     #[serde(rename = "unknown_length")]
     pub unknown_length_allowed: bool,
-    /// Classes whose queries are rejected where their body cannot be stored.
+    /// Names of the query classes whose queries are rejected if their body cannot be stored.
     #[serde(rename = "must_keep")]
     pub storage_required: Vec<String>,
 }
 
-/// The storage of the journal of non-idempotent queries.
+/// Storage of the journal, which records non-idempotent queries so that none of them runs again after a restart.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Journal {
-    /// Its directory.
+    /// Directory of the journal file.
     pub directory: String,
 }
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -1,6 +1,7 @@
-//! Reads words as typed values: times, sizes, rates, shares, counts, times of day, networks, ranges of numbers, names.
+//! Parses words as typed values: times, sizes, rates, shares, counts, times of day, networks, ranges of numbers and
+//! names.
 //!
-//! A number without a unit where one is needed is an error, and so is a unit of another kind.
+//! A missing unit is an error, and so is a unit of another kind than the expected one.
 
 mod ranges;
 mod units;
@@ -16,45 +17,45 @@
 pub use ranges::{MinuteRange, NumberRange};
 
 const MINUTES_PER_HOUR: u32 = 60;
-/// Minutes of a day.
+/// Number of minutes in a day.
 pub const MINUTES_PER_DAY: u32 = 24 * MINUTES_PER_HOUR;
 
-/// Characters of a name or a pattern.
+/// Maximum number of characters of a name or a pattern.
 const MAX_NAME_CHARS: usize = 64;
-/// `*` in a pattern.
+/// Maximum number of `*` in a pattern.
 const MAX_WILDCARDS: usize = 4;
 
-/// What a value is.
+/// Kind of a value, which determines its syntax.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueKind {
-    /// `5ms`, `1.5s`, `2min`, `1h`.
+    /// A duration: `5ms`, `1.5s`, `2min`, `1h`.
     Time,
-    /// `512B`, `64KiB`, `10MiB`, `1GiB`.
+    /// An amount of data: `512B`, `64KiB`, `10MiB`, `1GiB`.
     Size,
-    /// `50/s`, `3000/min`.
+    /// A number of events per time: `50/s`, `3000/min`.
     Rate,
-    /// Bytes over time: `10MiB/s`.
+    /// An amount of data per time: `10MiB/s`.
     ByteRate,
-    /// `30%`, 0 to 100.
+    /// A percentage from 0 to 100: `30%`.
     Share,
-    /// A whole number from 1.
+    /// A whole number of at least 1, without a unit.
     Count,
-    /// A range of times of day: `06:00..20:00`; over midnight too.
+    /// A range of times of day: `06:00..20:00`. It may extend over midnight.
     TimesOfDay,
-    /// `10.1.0.0/16`, `2001:db8::/32`, or one address.
+    /// An IP network, `10.1.0.0/16` or `2001:db8::/32`, or a single address.
     Network,
-    /// A whole number or a range of such: `17`, `20..30`.
+    /// A whole number or an inclusive range: `17`, `20..30`.
     Numbers,
-    /// A name that refers to something.
+    /// A name of a block, a class, a tenant, a kind or a zone.
     Name,
-    /// A name with `*` for any characters.
+    /// A name in which `*` stands for any number of characters.
     Pattern,
-    /// Any text in quotes.
+    /// A quoted text.
     Text,
 }
 
 impl ValueKind {
-    /// What a message asks for where a value of this kind belongs, with an example.
+    /// Returns the description of an expected value of this kind for error messages, with examples.
     pub fn expected(self) -> &'static str {
         match self {
             ValueKind::Time => "a time (for example 250ms, 1.5s or 2min)",
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What a message calls a value of this kind where another one is expected.
+    /// Returns the description of a value of this kind that was found instead of another kind.
     fn description(self) -> &'static str {
         match self {
             ValueKind::Time => "a time",
@@ -90,42 +91,42 @@
     }
 }
 
-/// A value in base units.
+/// A parsed value, in base units.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A time, in whole microseconds.
+    /// A duration in whole microseconds, greater than 0 and at most 7 days.
     Time(Duration),
-    /// Bytes.
+    /// Number of bytes, at least 1.
     Size(u64),
-    /// Events a second.
+    /// Events per second, greater than 0.
     Rate(f64),
-    /// Bytes a second.
+    /// Bytes per second, greater than 0.
     ByteRate(f64),
-    /// A fraction, 0 to 1.
+    /// Fraction, 0 to 1.
     Share(f64),
-    /// A whole number.
+    /// Whole number, at least 1.
     Count(u64),
-    /// A range of times of day.
+    /// Range of minutes of the day.
     TimesOfDay(MinuteRange),
-    /// A network.
+    /// IP network without host bits; a single address has the full prefix length.
     Network(IpNet),
-    /// A range of whole numbers, or one.
+    /// Range of whole numbers; a single number is a range of one.
     Numbers(NumberRange),
-    /// A name.
+    /// Valid name, see [`is_name`].
     Name(String),
-    /// A name with `*` for any characters.
+    /// Name in which `*` stands for any number of characters.
     Pattern(String),
-    /// Any text.
+    /// Any text, without the quotes.
     Text(String),
 }
 
-/// Why a word is no value of a kind.
+/// Error for a word that is not a valid value of the expected kind.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{text}")]
 pub struct ValueError {
-    /// What is wrong.
+    /// Error message with the word and the expected kind of value.
     pub text: String,
-    /// What to write instead.
+    /// Suggested correction, if there is one.
     pub help: Option<String>,
 }
 
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The word is something else than a value of a kind.
+    /// Creates the error for a word that is not a value of `kind`. `description` states what was found: `found ...`.
     fn not(word: &str, description: &str, kind: ValueKind) -> Self {
         ValueError::new(format!(
             "expected {1}, {description} `{0}`",
@@ -151,7 +152,7 @@
         self
     }
 
-    /// The diagnostic of the word at a place.
+    /// Converts the error to a diagnostic at the location of the word.
     pub fn at(self, span: Span) -> Diagnostic {
         Diagnostic {
             help: self.help,
@@ -160,11 +161,11 @@
     }
 }
 
-/// Reads a word as a value of a kind.
+/// Parses a word as a value of a kind.
 ///
 /// # Errors
 ///
-/// Where the word, or its being in quotes or not, does not fit the kind.
+/// Fails if the word is not valid for the kind, or is quoted and should not be, or the reverse.
 pub fn read(kind: ValueKind, word: &Word) -> Result<Value, ValueError> {
     let text = word.text.as_str();
     match (word.is_quoted, kind == ValueKind::Text) {
@@ -188,7 +189,8 @@
     }
 }
 
-/// Whether a word can be a name: a letter or digit first, then also `-`, `_` and `.`.
+/// Returns whether a word is a valid name: at most 64 ASCII letters, digits, `-`, `_` and `.`, starting with a letter
+/// or digit.
 pub fn is_name(word: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     word.len() <= MAX_NAME_CHARS
@@ -229,14 +231,14 @@
     Ok(Value::TimesOfDay(MinuteRange { from, until }))
 }
 
-/// A minute of the day as `HH:MM`.
+/// Formats a minute of the day as `HH:MM`.
 pub(crate) fn time_of_day(minute_of_day: u32) -> String {
     let hour = minute_of_day / MINUTES_PER_HOUR;
     let minute = minute_of_day % MINUTES_PER_HOUR;
     format!("{hour:02}:{minute:02}")
 }
 
-/// The minute of the day of `HH:MM`, up to and with `24:00`.
+/// Parses `HH:MM`, up to and including `24:00`, as a minute of the day.
 fn minute_of_day(text: &str) -> Option<u32> {
     let (hour, minute) = text.split_once(':')?;
     let hour = two_digits(hour)?;
--- a/crates/plan/src/quantity/ranges.rs
+++ b/crates/plan/src/quantity/ranges.rs
@@ -1,19 +1,19 @@
-//! Ranges of whole numbers, and of times of day.
+//! Defines ranges of whole numbers and of times of day.
 
 use serde::Serialize;
 
-/// A range of whole numbers. It is serialized as a pair.
+/// An inclusive range of whole numbers, serialized as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u32, u32)")]
 pub struct NumberRange {
-    /// The lowest number.
+    /// Lowest number.
     pub first: u32,
-    /// The highest number, which is in the range.
+    /// Highest number, inclusive; at least `first`.
     pub last: u32,
 }
 
 impl NumberRange {
-    /// Whether a number is in the range.
+    /// Returns whether the range contains a number.
     pub fn contains(&self, number: u32) -> bool {
         (self.first..=self.last).contains(&number)
     }
@@ -25,19 +25,19 @@
     }
 }
 
-/// A range of times of day, in minutes since midnight, UTC; it goes over midnight where `until` is not above `from`.
-/// It is serialized as a pair.
+/// A range of times of day in minutes since midnight UTC, serialized as a pair. If `until` is not greater than `from`,
+/// the range extends over midnight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(u32, u32)")]
 pub struct MinuteRange {
-    /// The first minute.
+    /// First minute, inclusive, 0 to 1439.
     pub from: u32,
-    /// The first minute after the range.
+    /// End of the range, exclusive, 0 to 1440.
     pub until: u32,
 }
 
 impl MinuteRange {
-    /// Whether a minute of the day is in the range.
+    /// Returns whether the range contains a minute of the day.
     pub fn contains(&self, minute: u32) -> bool {
         match self.from < self.until {
             true => (self.from..self.until).contains(&minute),
--- a/crates/plan/src/quantity/units.rs
+++ b/crates/plan/src/quantity/units.rs
@@ -1,10 +1,10 @@
-//! Numbers with units, and counts, which have none.
+//! Parses numbers with units, and counts, which have no unit.
 
 use super::{Value, ValueError, ValueKind};
 use crate::diagnostic::{nearest, truncated};
 use std::time::Duration;
 
-/// Units of time, in seconds.
+/// Units of time with their length in seconds.
 const TIME_UNITS: [(&str, f64); 6] = [
     ("us", 1e-6),
     ("ms", 1e-3),
@@ -13,14 +13,14 @@
     ("h", 3600.0),
     ("d", 86_400.0),
 ];
-/// Units of size, in bytes.
+/// Units of size with their number of bytes.
 const SIZE_UNITS: [(&str, f64); 4] = [
     ("B", 1.0),
     ("KiB", 1024.0),
     ("MiB", 1_048_576.0),
     ("GiB", 1_073_741_824.0),
 ];
-/// Units as they are often written elsewhere, and the unit of this language.
+/// Common spellings of units that the plan language does not accept, with the unit to suggest instead.
 const UNIT_ALIASES: [(&str, &str); 17] = [
     ("sec", "s"),
     ("secs", "s"),
@@ -42,10 +42,10 @@
 ];
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 const MAX_TIME_SECONDS: f64 = 7.0 * 86_400.0;
-/// Keeps sums of values far from overflow.
+/// Maximum of sizes, counts and rates in base units, low enough that sums of values do not overflow.
 const MAX_NUMBER: f64 = 1.0e15;
 
-/// Reads a number with the unit of a kind.
+/// Parses a number with a unit of the given kind.
 pub(super) fn number_with_unit(kind: ValueKind, word: &str) -> Result<Value, ValueError> {
     let is_numeric = |c: char| c.is_ascii_digit() || c == '.';
     let digits = word.find(|c| !is_numeric(c)).unwrap_or(word.len());
@@ -78,13 +78,13 @@
     }
 }
 
-/// A number in base units as a value, within the bounds of its kind.
+/// Converts a number in base units to a value of a kind and checks the bounds of the kind. `word` is used in messages.
 fn bounded_value(kind: ValueKind, word: &str, number: f64) -> Result<Value, ValueError> {
     let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", truncated(word))));
     match kind {
         ValueKind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than 7 days"),
         ValueKind::Time if number <= 0.0 => out_of_bounds("is zero; a time must be greater than 0"),
-        // Rounded, so that 1s equals 1000ms.
+        // Rounding to microseconds makes equal times in different units, such as 1s and 1000ms, compare equal.
         ValueKind::Time => Ok(Value::Time(Duration::from_micros(
             (number * MICROSECONDS_PER_SECOND).round().max(1.0) as u64,
         ))),
@@ -104,7 +104,7 @@
     }
 }
 
-/// The units that messages suggest for a kind.
+/// Returns the units that messages suggest for a kind.
 fn units(kind: ValueKind) -> Vec<&'static str> {
     match kind {
         ValueKind::Time => TIME_UNITS.iter().map(|(unit, _)| *unit).collect(),
@@ -121,7 +121,7 @@
     found.map(|(_, factor)| *factor)
 }
 
-/// The kind that a unit belongs to; `None` where it is no unit.
+/// Returns the kind of values that have a unit; no unit means a count, and `None` means that the unit is unknown.
 fn kind_of_unit(unit: &str) -> Option<ValueKind> {
     let is_time = |unit: &str| in_table(&TIME_UNITS, unit).is_some();
     let is_size = |unit: &str| in_table(&SIZE_UNITS, unit).is_some();
@@ -136,7 +136,8 @@
     }
 }
 
-/// What a known unit is in base units: seconds, bytes, events or bytes a second, fractions.
+/// Returns the factor that converts a known unit to base units: seconds, bytes, events or bytes per second, or
+/// fractions.
 fn base_units(unit: &str) -> f64 {
     let size = |unit: &str| in_table(&SIZE_UNITS, unit).unwrap_or(1.0);
     let time = |unit: &str| in_table(&TIME_UNITS, unit).unwrap_or(1.0);
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -1,7 +1,8 @@
-//! Regions of queries: what a route matches, as sets of value classes, and the difference and intersection of such.
+//! Represents the sets of queries that routes match as regions, and computes their difference and intersection.
 //!
-//! The values of each dimension fall into classes which no route tells apart, so that a region is a set of classes
-//! for each dimension.
+//! The values of each dimension (query class, tenant, client and so on) are grouped into value classes that no route
+//! distinguishes. A region is a set of value classes for each dimension; it contains the queries whose values are in
+//! the set in every dimension.
 
 mod describe;
 mod value_classes;
@@ -16,17 +17,17 @@
     QueryClass,
     Tenant,
     Client,
-    /// Whether it has an ordering key.
+    /// Whether the query has an ordering key.
     Key,
     DataSet,
     MinuteOfDay,
 }
 
-/// How many dimensions there are.
+/// Number of dimensions.
 pub const DIMENSION_COUNT: usize = Dimension::ALL.len();
 
 impl Dimension {
-    /// All dimensions, in the order of their indices in a [`Region`] and a [`Point`].
+    /// All dimensions in the order of their indices in a [`Region`] and a [`Point`].
     pub(crate) const ALL: [Dimension; 6] = [
         Dimension::QueryClass,
         Dimension::Tenant,
@@ -36,18 +37,19 @@
         Dimension::MinuteOfDay,
     ];
 
-    /// Its index in a [`Region`] and a [`Point`].
+    /// Returns the index of the dimension in a [`Region`] and a [`Point`].
     pub(crate) const fn index(self) -> usize {
         self as usize
     }
 }
 
-/// Pieces into which the region of a route may fall; one of more pieces is not computed.
+/// Maximum number of pieces into which earlier routes may split the region of a route. If there are more, the
+/// computation is abandoned.
 const MAX_PIECES: usize = 2048;
 
-/// A set of value classes for each dimension, by its index.
+/// Set of value classes for each dimension, by the index of the dimension.
 pub type Region = [FixedBitSet; DIMENSION_COUNT];
-/// A value class for each dimension, by its index.
+/// Value class for each dimension, by the index of the dimension.
 pub type Point = [usize; DIMENSION_COUNT];
 
 fn all_of(count: usize) -> FixedBitSet {
@@ -56,7 +58,7 @@
     classes
 }
 
-/// The region of all queries.
+/// Returns the region of all queries.
 pub(crate) fn all_queries(value_classes: &ValueClasses) -> Region {
     value_classes.counts().map(all_of)
 }
@@ -65,12 +67,12 @@
     a.iter().zip(b).all(|(a, b)| !a.is_disjoint(b))
 }
 
-/// The region that two regions share; `None` where it is empty.
+/// Returns the intersection of two regions; `None` if it is empty.
 pub fn intersection(a: &Region, b: &Region) -> Option<Region> {
     overlaps(a, b).then(|| std::array::from_fn(|index| &a[index] & &b[index]))
 }
 
-/// The part of the first region that is not in the second, in disjoint pieces.
+/// Returns the part of `a` that is not in `b`, as disjoint pieces.
 pub fn difference(a: &Region, b: &Region) -> Vec<Region> {
     if !overlaps(a, b) {
         return vec![a.clone()];
@@ -90,8 +92,8 @@
     pieces
 }
 
-/// The part of each route's region that no earlier route matches, in disjoint pieces; `None` where there are too many.
-/// The last item is the part of `whole` that no route matches.
+/// Returns for each route the part of its region that no earlier route matches, as disjoint pieces; `None` if there are
+/// too many pieces. The last item is the part of `whole` that no route matches.
 pub fn reach(regions: &[Region], whole: &Region) -> Vec<Option<Vec<Region>>> {
     let routes = regions
         .iter()
@@ -101,7 +103,7 @@
     routes.chain(std::iter::once(unmatched)).collect()
 }
 
-/// A region without some others, in disjoint pieces; `None` where there are too many.
+/// Returns the part of a region that is in none of `others`, as disjoint pieces; `None` if there are too many pieces.
 fn without(region: &Region, others: &[Region]) -> Option<Vec<Region>> {
     let mut pieces = vec![region.clone()];
     for other in others.iter().filter(|other| overlaps(region, other)) {
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -1,4 +1,4 @@
-//! Prints regions in the words of the plan language.
+//! Describes regions of queries in the terms of the plan language.
 
 use super::value_classes::{NameClasses, WITH_KEY};
 use super::{Dimension, Region, ValueClasses};
@@ -6,14 +6,14 @@
 use fixedbitset::FixedBitSet;
 use std::ops::RangeInclusive;
 
-/// A list of up to so many names is printed in full.
+/// Maximum length of a list of names that is printed in full.
 const MAX_FULL_LIST: usize = 6;
-/// Names that are printed of a longer list.
+/// Number of names that are printed of a longer list.
 const NAMES_OF_LONG_LIST: usize = 5;
 
 impl ValueClasses {
-    /// A region in words, by the dimensions in which it does not hold everything. `set_names` are the names of the
-    /// address sets of all plans.
+    /// Describes a region by the dimensions in which it does not contain all values. `set_names` are the names of the
+    /// address sets of all plans, in order of index.
     pub fn in_words(&self, region: &Region, set_names: &[String]) -> String {
         let counts = self.counts();
         let describe = |dimension: Dimension| {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Each class of clients by the first set that it is in.
+    /// Describes each class of clients by the first address set that contains it.
     fn clients_in_words(&self, classes: &FixedBitSet, set_names: &[String]) -> String {
         let mut sets: Vec<&str> = Vec::new();
         for class in classes.ones() {
@@ -103,7 +103,7 @@
     )
 }
 
-/// The runs of neighbouring classes.
+/// Returns the runs of consecutive classes.
 fn runs(classes: &FixedBitSet) -> impl Iterator<Item = RangeInclusive<usize>> + '_ {
     let is_first = |class: &usize| *class == 0 || !classes.contains(*class - 1);
     let last_of = |first: usize| {
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -1,4 +1,4 @@
-//! Value classes: the values that some plans do not tell apart.
+//! Groups the values of each dimension into value classes that a set of plans does not distinguish.
 
 use super::{Dimension, Point, Region};
 use crate::address::AddressClasses;
@@ -7,12 +7,12 @@
 use fixedbitset::FixedBitSet;
 use std::collections::HashMap;
 
-/// Whether a query has a key is a dimension of two classes.
+/// Number of classes of the key dimension: with and without an ordering key.
 const KEY_CLASSES: usize = 2;
-/// The class of queries with a key; the other one is that of queries without.
+/// Value class of queries with an ordering key; queries without one are in class 0.
 pub(super) const WITH_KEY: usize = 1;
 
-/// Names by value class; all names that no plan has share the last class.
+/// Value classes of names. Each name that a plan uses has a class of its own; all other names share the last class.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NameClasses(HashMap<String, usize>);
 
@@ -40,21 +40,23 @@
     }
 }
 
-/// The value classes that some plans tell apart. They treat two queries alike that agree in every dimension.
+/// The value classes that one or several plans distinguish. The plans treat two queries alike if their value classes
+/// are equal in every dimension.
 #[derive(Clone, Debug)]
 pub struct ValueClasses {
     pub(super) query_classes: NameClasses,
     pub(super) tenants: NameClasses,
-    /// Over the address sets of all plans, one plan after the other.
+    /// Address classes over the address sets of all plans, in the order of the plans.
     pub(super) clients: AddressClasses,
-    /// The lowest number of each class of data sets, ascending from 0.
+    /// Lowest data set number of each class, ascending from 0.
     pub(super) data_sets: Vec<u32>,
-    /// The first minute of each class of minutes of the day, ascending from 0.
+    /// First minute of the day of each class, ascending from 0.
     pub(super) minutes_of_day: Vec<u32>,
 }
 
 impl ValueClasses {
-    /// The classes that these plans tell apart together; further names of query classes and tenants get their own.
+    /// Computes the value classes that `plans` distinguish together. The names in `query_classes` and `tenants` get
+    /// classes of their own, even if no plan uses them.
     pub fn of(plans: &[&Plan], query_classes: &[String], tenants: &[String]) -> Self {
         let sets = plans.iter().flat_map(|plan| &plan.addresses);
         let address_sets: Vec<_> = sets.map(|set| set.ranges.clone()).collect();
@@ -76,7 +78,7 @@
         }
     }
 
-    /// How many classes each dimension has.
+    /// Returns the number of value classes of each dimension.
     pub fn counts(&self) -> Point {
         [
             self.query_classes.count(),
@@ -88,32 +90,32 @@
         ]
     }
 
-    /// The value class of a query class.
+    /// Returns the value class of a query class.
     pub fn query_class(&self, name: &str) -> usize {
         self.query_classes.class(name)
     }
 
-    /// The value class of a tenant.
+    /// Returns the value class of a tenant.
     pub fn tenant(&self, name: &str) -> usize {
         self.tenants.class(name)
     }
 
-    /// The value classes of client addresses.
+    /// Returns the value classes of client addresses.
     pub fn clients(&self) -> &AddressClasses {
         &self.clients
     }
 
-    /// The value class of a data set.
+    /// Returns the value class of a data set number.
     pub fn data_set(&self, data_set: u32) -> usize {
         self.data_sets.partition_point(|from| *from <= data_set) - 1
     }
 
-    /// The value class of a minute of the day.
+    /// Returns the value class of a minute of the day.
     pub fn minute_of_day(&self, minute: u32) -> usize {
         self.minutes_of_day.partition_point(|from| *from <= minute) - 1
     }
 
-    /// The value classes of a query.
+    /// Returns the value classes of a query in all dimensions.
     pub fn point(&self, query: &QueryFacts) -> Point {
         [
             self.query_class(query.class),
@@ -125,7 +127,8 @@
         ]
     }
 
-    /// The region of a route; `first_set` is the index of its plan's first address set among those of all plans.
+    /// Returns the region of queries that match a route. `first_set` is the index of its plan's first address set among
+    /// the address sets of all plans.
     pub fn region(&self, route: &Route, first_set: usize) -> Region {
         let counts = self.counts();
         Dimension::ALL.map(|dimension| {
@@ -137,7 +140,7 @@
         })
     }
 
-    /// Whether a route matches the values of a class of one dimension.
+    /// Returns whether a route matches the values of one class of a dimension.
     fn matches(&self, route: &Route, first_set: usize, dimension: Dimension, class: usize) -> bool {
         match dimension {
             Dimension::QueryClass => is_listed(&self.query_classes, &route.classes, class),
@@ -166,12 +169,12 @@
     }
 }
 
-/// Whether a value class is that of one of the listed names; an empty list has every class.
+/// Returns whether a value class belongs to one of the listed names; an empty list stands for all names.
 fn is_listed(names: &NameClasses, listed: &[String], class: usize) -> bool {
     listed.is_empty() || listed.iter().any(|name| names.class(name) == class)
 }
 
-/// The query classes that plans name, routes first.
+/// Returns the query classes that plans name, those in routes first.
 fn class_names<'a>(plans: &'a [&Plan]) -> impl Iterator<Item = &'a String> {
     let routes = plans.iter().flat_map(|plan| &plan.routes);
     let limits = plans.iter().flat_map(|plan| &plan.limits);
@@ -182,7 +185,7 @@
         .chain(rules.map(|class| &class.name))
 }
 
-/// The tenants that plans name, routes first.
+/// Returns the tenants that plans name, those in routes first.
 fn tenant_names<'a>(plans: &'a [&Plan]) -> impl Iterator<Item = &'a String> {
     let routes = plans.iter().flat_map(|plan| &plan.routes);
     let limits = plans.iter().flat_map(|plan| &plan.limits);
@@ -193,7 +196,7 @@
         .chain(tenants.map(|tenant| &tenant.name))
 }
 
-/// Bounds in order, each once, with 0 as the first.
+/// Returns 0 and the bounds in ascending order without duplicates.
 fn sorted_from_0(bounds: impl Iterator<Item = u32>) -> Vec<u32> {
     let mut sorted: Vec<u32> = std::iter::once(0).chain(bounds).collect();
     sorted.sort_unstable();
--- a/crates/plan/src/schema.rs
+++ b/crates/plan/src/schema.rs
@@ -1,42 +1,43 @@
-//! The table of the kinds of blocks and their entries.
+//! Defines the table of all kinds of blocks and their entries.
 //!
-//! The checker, the builder and the table in docs/plan-language.md read it; a new kind of block is added here.
+//! The checker and the builder use the table, and the reference in docs/plan-language.md is generated from it. A new
+//! kind of block is added here.
 
 use crate::quantity::ValueKind;
 use std::fmt::Write;
 
-/// What stands behind the name of an entry.
+/// Syntax of the values that follow the name of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// Nothing.
+    /// No value.
     Flag,
-    /// One value.
+    /// Exactly one value.
     One(ValueKind),
-    /// One value or several with commas between; the entry may stand more than once.
+    /// One or several values, separated by commas. The entry may be repeated, as for all list shapes.
     List(ValueKind),
-    /// Names of blocks of this kind, as a list.
+    /// List of names of blocks of this kind.
     BlockNames(&'static str),
-    /// Names that the settings define, as a list.
+    /// List of names that the settings define.
     SettingsNames(Namespace),
     /// One name that the settings define.
     SettingsName(Namespace),
-    /// One of these words.
+    /// Exactly one of these words.
     Choice(&'static [&'static str]),
-    /// Some of these words, as a list.
+    /// List of some of these words.
     Words(&'static [&'static str]),
-    /// A rate of this kind and, behind `burst`, an amount of that kind.
+    /// A rate, optionally followed by `burst` and an amount: the parameters of a token bucket.
     Bucket {
-        /// The kind of the rate.
+        /// Kind of the rate.
         rate: ValueKind,
-        /// The kind of the amount.
+        /// Kind of the amount after `burst`.
         burst: ValueKind,
     },
-    /// `repeatable`, `once-only`, or `referenced` with a scope and a time.
+    /// `repeatable`, `once-only`, or `referenced` with a scope and a deduplication window.
     Effect,
 }
 
 impl Shape {
-    /// Whether an entry of this shape may be given more than once, its values being joined.
+    /// Returns whether an entry of this shape may be repeated; the values of all occurrences are concatenated.
     pub fn is_list(self) -> bool {
         matches!(
             self,
@@ -44,7 +45,7 @@
         )
     }
 
-    /// Where the settings define its values, the namespace of these.
+    /// Returns the namespace of the values if the settings define them.
     pub fn namespace(self) -> Option<Namespace> {
         match self {
             Shape::SettingsNames(namespace) | Shape::SettingsName(namespace) => Some(namespace),
@@ -53,21 +54,21 @@
     }
 }
 
-/// A group of names that the platform's settings define.
+/// A category of names that the platform's settings define.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Namespace {
-    /// Query classes.
+    /// Names of query classes.
     QueryClass,
-    /// Tenants.
+    /// Names of tenants.
     Tenant,
-    /// Kinds of engines.
+    /// Names of engine kinds.
     EngineKind,
-    /// Zones.
+    /// Names of zones.
     Zone,
 }
 
 impl Namespace {
-    /// What messages call such a name.
+    /// Returns the term for such a name in error messages.
     pub fn description(self) -> &'static str {
         match self {
             Namespace::QueryClass => "query class",
@@ -78,34 +79,34 @@
     }
 }
 
-/// A kind of entry.
+/// Definition of an entry that a kind of block may have.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EntryKind {
-    /// Its name.
+    /// Keyword that begins the entry.
     pub name: &'static str,
-    /// What stands behind the name.
+    /// Syntax of the values.
     pub shape: Shape,
-    /// What it means, for the docs.
+    /// Meaning of the entry, for the documentation.
     pub about: &'static str,
-    /// What may stand behind the name, for the docs and for messages.
+    /// Example of the values without the name, for the documentation and for help texts; empty for a flag.
     pub example: &'static str,
 }
 
-/// A kind of block.
+/// Definition of a kind of block.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BlockKind {
-    /// The word that begins such a block.
+    /// Keyword that begins the block.
     pub name: &'static str,
-    /// What it means, for the docs.
+    /// Meaning of the block, for the documentation.
     pub about: &'static str,
-    /// Where its name is defined by the settings; `None` where it is the plan's own.
+    /// Namespace of the block's name if the settings define it; `None` if the plan chooses the name.
     pub namespace: Option<Namespace>,
-    /// The entries that it may have.
+    /// Entries that the block may have.
     pub entries: &'static [EntryKind],
 }
 
 impl BlockKind {
-    /// A kind of entry by its name.
+    /// Returns the definition of an entry by its name.
     pub fn entry(&self, name: &str) -> Option<&'static EntryKind> {
         self.entries.iter().find(|entry| entry.name == name)
     }
@@ -125,29 +126,29 @@
     }
 }
 
-/// Words of `per`.
+/// Values of a `per` entry.
 pub const LIMIT_SCOPES: &[&str] = &["group", "tenant", "client"];
-/// Words of `order`.
+/// Values of an `order` entry.
 pub const ORDERS: &[&str] = &["key", "none"];
-/// Words of `key` in a route.
+/// Values of a `key` entry in a route.
 pub const KEY_CONDITIONS: &[&str] = &["given", "none"];
-/// Words of `effect`.
+/// First words of an `effect` entry.
 pub const EFFECTS: &[&str] = &["repeatable", "referenced", "once-only"];
-/// Scopes of `effect referenced`.
+/// Deduplication scopes, the second word of `effect referenced`.
 pub const EFFECT_SCOPES: &[&str] = &["everywhere", "zone", "cell"];
 
-/// Queries over time.
+/// Token bucket of queries.
 const QUERY_BUCKET: Shape = Shape::Bucket {
     rate: ValueKind::Rate,
     burst: ValueKind::Count,
 };
-/// Bytes over time.
+/// Token bucket of bytes.
 const BYTE_BUCKET: Shape = Shape::Bucket {
     rate: ValueKind::ByteRate,
     burst: ValueKind::Size,
 };
 
-/// All kinds of blocks.
+/// All kinds of blocks of the plan language, in the order of the documentation.
 pub const BLOCKS: &[BlockKind] = &[
     BlockKind {
         name: "addresses",
@@ -253,19 +254,19 @@
     },
 ];
 
-/// A kind of block by its name.
+/// Returns the definition of a kind of block by its keyword.
 pub fn block(name: &str) -> Option<&'static BlockKind> {
     BLOCKS.iter().find(|block| block.name == name)
 }
 
-/// The table as Markdown, as docs/plan-language.md has it.
+/// Returns the table as Markdown, in the form included in docs/plan-language.md.
 pub fn as_markdown() -> String {
     BLOCKS.iter().map(block_as_markdown).collect()
 }
 
 fn block_as_markdown(block: &BlockKind) -> String {
     let mut out = String::new();
-    // Writing to a string does not fail.
+    // Writing to a `String` never fails.
     let _ = writeln!(out, "### `{}`\n\n{}\n", block.name, block.about);
     out += "| entry | example | meaning |\n|---|---|---|\n";
     for EntryKind {
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -1,4 +1,4 @@
-//! Reads a plan with all the files that it includes.
+//! Reads the files of a plan, following includes, and parses them.
 
 use crate::diagnostic::Diagnostic;
 use crate::files::{FileId, Files, Span};
@@ -8,29 +8,29 @@
 use std::string::FromUtf8Error;
 use thiserror::Error;
 
-/// Bytes that one file may have.
+/// Maximum size of a file in bytes.
 pub const MAX_FILE_BYTES: usize = 16 << 20;
-/// Files that a plan may consist of.
+/// Maximum number of files of a plan.
 pub const MAX_FILES: usize = 256;
-/// Files that may include one another in a chain.
+/// Maximum number of files in a chain of includes, including the main file.
 pub const MAX_INCLUDE_DEPTH: usize = 16;
 
-/// Why a file of a plan cannot be loaded.
+/// Error of loading a file of a plan.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// No file has this name.
+    /// There is no file with this name.
     #[error("no such file")]
     NotFound,
-    /// The name is that of a directory.
+    /// The name refers to a directory.
     #[error("is a directory")]
     IsDirectory,
     /// The file is longer than [`MAX_FILE_BYTES`].
     #[error("the file has {bytes} bytes, more than the maximum of {MAX_FILE_BYTES}")]
     TooLarge {
-        /// The size of the file.
+        /// Size of the file in bytes.
         bytes: usize,
     },
-    /// The operating system does not let it be read.
+    /// The operating system reported another error, which is displayed as is.
     #[error(transparent)]
     Io(io::Error),
 }
@@ -44,25 +44,26 @@
     }
 }
 
-/// Loads the files of a plan; the only access of this package to the outside.
+/// Loads the files of a plan. All I/O of this crate goes through an implementation of this trait.
 pub trait Loader {
-    /// The bytes of a file.
+    /// Returns the content of a file, by a name that [`Loader::resolve`] returned or the name of the main file.
     ///
     /// # Errors
     ///
-    /// Where there is no such file, or where it cannot be read.
+    /// Fails if the file does not exist or cannot be read.
     fn load(&self, name: &str) -> Result<Vec<u8>, LoadError>;
 
-    /// The name of the file that the file `from` includes by `included`. Files with equal names are one.
+    /// Returns the name of the file that the file `from` includes as `included`. Files with equal names are considered
+    /// the same file.
     fn resolve(&self, from: &str, included: &str) -> String;
 }
 
-/// A plan in memory: the bytes of its files by name. Includes are resolved relative to the including file.
+/// A plan in memory: the contents of its files by name. Includes are resolved relative to the including file.
 #[derive(Clone, Debug, Default)]
 pub struct InMemory(pub BTreeMap<String, Vec<u8>>);
 
 impl InMemory {
-    /// A plan of one file, `main.plan`.
+    /// Creates a plan that consists of the single file `main.plan`.
     pub fn one(text: impl Into<Vec<u8>>) -> Self {
         InMemory(BTreeMap::from([("main.plan".to_string(), text.into())]))
     }
@@ -78,7 +79,8 @@
     }
 }
 
-/// A path relative to the folder of another file, normalized as far as `.` and `..` allow; an absolute path stays.
+/// Resolves a path relative to the directory of the file `from` and removes `.` and `..` components where possible. An
+/// absolute path is returned unchanged.
 pub fn resolve_relative(from: &str, included: &str) -> String {
     if included.starts_with('/') {
         return included.to_string();
@@ -102,18 +104,18 @@
         .filter(|part| !part.is_empty() && *part != ".")
 }
 
-/// What was read of a plan.
+/// The files of a plan and the items parsed from them.
 #[derive(Debug, Default)]
 pub struct Source {
-    /// Its files.
+    /// Files that were read, in the order of reading.
     pub files: Files,
-    /// Their items in the order of reading, those of an included file in place of the include.
+    /// Items of all files; the items of an included file take the place of its first include.
     pub items: Vec<Item>,
-    /// What could not be read.
+    /// Errors of loading and parsing.
     pub diagnostics: Vec<Diagnostic>,
 }
 
-/// Reads a plan with all that it includes; a file that is included more than once is read once.
+/// Reads and parses the file `main` and all included files. A file that is included several times is read only once.
 pub fn read(loader: &dyn Loader, main: &str) -> Source {
     let mut reader = Reader {
         loader,
@@ -127,12 +129,12 @@
 struct Reader<'a> {
     loader: &'a dyn Loader,
     source: Source,
-    /// The names of the files that are being read, outermost first.
+    /// Names of the files that are being read: the main file first, then each file included by the one before it.
     open_files: Vec<String>,
 }
 
 impl Reader<'_> {
-    /// Reads one file; the recursion over includes is bounded by [`MAX_INCLUDE_DEPTH`].
+    /// Reads one file and, recursively, its includes. The recursion is bounded by [`MAX_INCLUDE_DEPTH`].
     fn read_file(&mut self, name: &str, included_at: Option<Span>) {
         let bytes = match self.loader.load(name).and_then(checked_size) {
             Ok(bytes) => bytes,
@@ -165,7 +167,7 @@
             return;
         }
         if self.source.files.contains(&name) {
-            // It was included elsewhere; its blocks count once.
+            // The file has already been included elsewhere. Its blocks must not be defined twice.
             return;
         }
         match self.exceeded_limit(&name) {
@@ -174,7 +176,7 @@
         }
     }
 
-    /// The chain of includes from a file to itself, where it is being read.
+    /// Returns the chain of includes from a file to itself if the file is currently being read.
     fn include_cycle(&self, name: &str) -> Option<String> {
         let first = self.open_files.iter().position(|open| *open == name)?;
         let open_files = self.open_files[first..].iter();
@@ -183,7 +185,7 @@
         Some(cycle.join(" -> "))
     }
 
-    /// The text of the error where one more file is too deep, or too many.
+    /// Returns the error message if including one more file would exceed the maximum depth or number of files.
     fn exceeded_limit(&self, name: &str) -> Option<String> {
         if self.open_files.len() >= MAX_INCLUDE_DEPTH {
             let text =
@@ -195,7 +197,8 @@
             .then(|| format!("cannot include `{name}`: a plan can have at most {MAX_FILES} files"))
     }
 
-    /// Reports a file that cannot be loaded at its include; the main file at the start of an empty file of its name.
+    /// Reports a file that cannot be loaded. The error is located at the include; for the main file, an empty file of
+    /// its name is added as the location.
     fn report_unreadable(&mut self, name: &str, included_at: Option<Span>, error: &LoadError) {
         let span = included_at.unwrap_or_else(|| {
             let file = self.source.files.add(name, String::new(), None);
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -1,4 +1,6 @@
-//! Parses the text of one file into includes, constants and blocks, with comments, so that it can be printed again.
+//! Parses the text of one file into includes, constants and blocks.
+//!
+//! Comments and blank lines are kept, so that the formatter can print the file again.
 
 mod reader;
 mod unreadable;
@@ -10,75 +12,75 @@
 
 use reader::Reader;
 
-// The derive makes `Rule`, whose variants are the grammar's names.
+// The derive macro generates the enum `Rule` with a variant for each rule of the grammar.
 #[derive(pest_derive::Parser)]
 #[grammar = "plan.pest"]
 struct Grammar;
 
-/// A word or a string, with its place.
+/// A word or a quoted string with its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// The text without quotes and escapes.
+    /// Text without quotes and with escapes resolved.
     pub text: String,
-    /// Whether it is written in quotes.
+    /// Whether the source has the text in quotes.
     pub is_quoted: bool,
-    /// Where it is.
+    /// Span in the source, including the quotes.
     pub span: Span,
 }
 
 impl Word {
-    /// Whether this is the given word, not in quotes.
+    /// Returns whether this is the given word without quotes.
     pub fn is_keyword(&self, keyword: &str) -> bool {
         !self.is_quoted && self.text == keyword
     }
 }
 
-/// One value, or several with commas between.
+/// One value, or several values separated by commas.
 pub type Part = Vec<Word>;
 
-/// A name with the values that follow it.
+/// An entry of a block: a name followed by values.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The name.
+    /// Name at the start of the entry.
     pub name: Word,
-    /// The values.
+    /// Values, grouped into parts that are separated by white space only.
     pub parts: Vec<Part>,
-    /// The place of name and values.
+    /// Span of the name and the values.
     pub span: Span,
-    /// The comment behind the values.
+    /// Comment after the values and within the list of values.
     pub comment: Option<String>,
 }
 
-/// What a block consists of.
+/// A line or entry inside a block.
 #[derive(Clone, Debug)]
 pub enum BlockItem {
-    /// An entry.
+    /// Name with values, possibly over several lines.
     Entry(Entry),
-    /// A comment that stands alone, or an empty line.
+    /// A comment on its own line, or an empty line for `None`.
     Blank(Option<String>),
 }
 
-/// A block of entries.
+/// A block of entries, for example a pool or a route.
 #[derive(Clone, Debug)]
 pub struct Block {
-    /// The word that names its kind.
+    /// Keyword for the kind of block; not checked by the parser.
     pub kind: Word,
-    /// Its name, where one is written.
+    /// Name of the block; `None` if the head has none.
     pub name: Option<Word>,
-    /// Its entries, comments and empty lines.
+    /// Entries, comments and empty lines in source order.
     pub items: Vec<BlockItem>,
-    /// The place of its head.
+    /// Span of the line that opens the block, without a comment.
     pub head_span: Span,
-    /// The place of the whole block.
+    /// Span from the head to the closing brace.
     pub whole_span: Span,
-    /// The comment behind the head.
+    /// Comment after the head.
     pub comment: Option<String>,
-    /// The comment behind the closing brace.
+    /// Comment after the closing brace.
     pub close_comment: Option<String>,
 }
 
 impl Block {
-    /// Its entries, in order.
+    /// Returns the entries in source order.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.items.iter().filter_map(|item| match item {
             BlockItem::Entry(entry) => Some(entry),
@@ -87,45 +89,45 @@
     }
 }
 
-/// What a file consists of.
+/// A top-level item of a file.
 #[derive(Clone, Debug)]
 pub enum Item {
-    /// A comment that stands alone, or an empty line.
+    /// A comment on its own line, or an empty line for `None`.
     Blank(Option<String>),
-    /// The content of another file.
+    /// An include of another file.
     Include {
-        /// The path as it is written.
+        /// Path as written in the source.
         path: Word,
-        /// The place of the include.
+        /// Span of the include without the comment.
         span: Span,
-        /// The comment behind it.
+        /// Comment after the path.
         comment: Option<String>,
     },
-    /// A named value.
+    /// A definition of a named value or list of values.
     Constant {
-        /// The name.
+        /// Name without the `$` of its references.
         name: Word,
-        /// The value, or its list of values.
+        /// Values; the checker requires exactly one part.
         parts: Vec<Part>,
-        /// The place of the definition.
+        /// Span of the definition without the comment.
         span: Span,
-        /// The comment behind it.
+        /// Comment after the values.
         comment: Option<String>,
     },
-    /// A block.
+    /// A block with its entries.
     Block(Block),
 }
 
-/// The items of a file, and the diagnostics of what could not be read as one.
+/// The result of parsing a file.
 #[derive(Debug, Default)]
 pub struct Tree {
-    /// What could be read.
+    /// Valid items in source order.
     pub items: Vec<Item>,
-    /// What could not.
+    /// Errors of the lines that could not be parsed.
     pub diagnostics: Vec<Diagnostic>,
 }
 
-/// Parses a text. A line that fits nothing is an error, and parsing goes on behind it.
+/// Parses the text of a file. A line that matches no rule of the grammar is reported, and parsing continues after it.
 pub fn parse(text: &str, file: FileId) -> Tree {
     let mut reader = Reader::new(file);
     match Grammar::parse(Rule::file, text) {
@@ -134,7 +136,7 @@
                 reader.read_item(pair);
             }
         }
-        // The grammar accepts any text; this is for a grammar that no longer does.
+        // The grammar accepts any text. The error is reported in case a change to the grammar breaks this property.
         Err(error) => {
             let text = format!("cannot parse file: {}", error.variant.message());
             reader.push_diagnostic(Diagnostic::new(Span::start_of(file), text));
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -1,4 +1,4 @@
-//! Turns the parser's pairs into items with places and comments.
+//! Converts the parse tree of pest into items with spans and comments.
 
 use super::unreadable::{self, Context};
 use super::{Block, BlockItem, Entry, Item, Part, Rule, Tree, Word};
@@ -11,17 +11,17 @@
     tree: Tree,
 }
 
-/// The words, values and comments of one statement.
+/// The words, values and comments of an include, a constant, a block head or an entry.
 #[derive(Default)]
 struct Statement {
-    /// Words and strings that stand outside of values.
+    /// Words and strings that are not values, such as a name or a path.
     words: Vec<Word>,
     parts: Vec<Part>,
     comment: Option<String>,
 }
 
 impl Statement {
-    /// Comments within a list move behind the statement, as its lines are joined.
+    /// Appends a comment. Comments within a list are moved to the end, because the lines of the list are joined.
     fn add_comment(&mut self, more: String) {
         self.comment = Some(match self.comment.take() {
             Some(first) => format!("{first} {more}"),
@@ -36,7 +36,7 @@
     statement: Statement,
 }
 
-/// What was read of a block; the grammar accepts one without a closing brace, so that its lines are checked too.
+/// The parts of a block. The grammar accepts a block without a closing brace, so that its lines are checked as well.
 #[derive(Default)]
 struct BlockParts {
     head: Option<BlockHead>,
@@ -100,7 +100,7 @@
         });
     }
 
-    /// A block whose head fits nothing: the head and what is wrong inside are reported, not each entry.
+    /// Reports a block with an invalid head: the head and the invalid lines inside, but not the valid entries.
     fn report_headless_block(&mut self, pair: Pair<Rule>) {
         for part in pair.into_inner() {
             match part.as_rule() {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The place of a pair, without the white space and the comment at its end.
+    /// Returns the span of a pair without trailing white space and comment.
     fn span(&self, pair: &Pair<Rule>) -> Span {
         let text = pair.as_str();
         let code = match pair.as_rule() {
@@ -229,7 +229,8 @@
     }
 }
 
-/// A statement up to its comment. Where a quote comes before the `#`, it may be part of a string and nothing is cut.
+/// Returns the text before the comment. If there is a quote before the first `#`, the `#` may be part of a string, and
+/// the whole text is returned.
 fn without_comment(text: &str) -> &str {
     match text.split_once('#') {
         Some((code, _)) if !code.contains('"') => code,
@@ -248,7 +249,7 @@
     pair.as_str().trim_end().to_string()
 }
 
-/// The text of a string without its quotes and escapes.
+/// Returns the text of a quoted string without quotes and with escapes resolved.
 fn unescaped(string: &str) -> String {
     let inner = string.get(1..string.len() - 1).unwrap_or_default();
     let mut text = String::with_capacity(inner.len());
--- a/crates/plan/src/syntax/unreadable.rs
+++ b/crates/plan/src/syntax/unreadable.rs
@@ -1,25 +1,25 @@
-//! Diagnostics of lines that no rule of the grammar accepts.
+//! Finds the most likely cause of an error in a line that matches no rule of the grammar.
 
 use crate::diagnostic::Diagnostic;
 use crate::files::Span;
 
-/// Where an unreadable line stands.
+/// Location of an invalid line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Context {
-    /// Outside of blocks.
+    /// Outside all blocks.
     File,
-    /// In a block.
+    /// Inside a block.
     Block,
 }
 
-/// The diagnostic of an unreadable line, whose text `span` holds.
+/// Returns the diagnostic for an invalid line with the given span and text.
 pub(super) fn diagnostic(span: Span, text: &str, context: Context) -> Diagnostic {
     bad_character(&span, text)
         .or_else(|| bad_string(&span, text))
         .unwrap_or_else(|| misplaced(span, text.trim(), context))
 }
 
-/// A part of a span, from an offset in it.
+/// Returns the part of a span that starts at an offset relative to its start.
 fn within(span: &Span, offset: usize, length: usize) -> Span {
     let start = span.start + offset;
     Span {
@@ -51,7 +51,7 @@
     Some(Diagnostic::new(within(span, offset, 2), text))
 }
 
-/// The diagnostic of a line whose characters and strings are valid. The first case that fits decides.
+/// Returns the diagnostic for an invalid line whose characters and strings are valid. The first matching case decides.
 fn misplaced(span: Span, line: &str, context: Context) -> Diagnostic {
     const ENTRY_HELP: &str = "an entry is a name followed by its values, for example `limit 20s`";
     const FILE_HELP: &str = "for example: `include \"...\"`, `let a = ...` or `pool big {`";
@@ -85,7 +85,7 @@
     }
 }
 
-/// The offset of a quote that opens a string which does not end on its line.
+/// Returns the offset of the quote that opens an unclosed string.
 fn unclosed_quote(text: &str) -> Option<usize> {
     let mut opened_at = None;
     let mut is_escaped = false;
@@ -101,7 +101,7 @@
     opened_at
 }
 
-/// The offset of a backslash in a string that stands before something else than a quote or a backslash.
+/// Returns the offset of the first backslash in a string that is not followed by a quote or a backslash.
 fn bad_escape(text: &str) -> Option<usize> {
     let mut in_string = false;
     let mut escape_at = None;
