--- a/crates/plan/src/address/tests.rs
+++ b/crates/plan/src/address/tests.rs
@@ -6,12 +6,12 @@
     // Only a few bits vary, so that the generated networks overlap, nest and are adjacent to one another.
     let v4 = (0u8..4, 0u8..=255, 0u8..=32).prop_map(|(a, b, len)| {
         IpNet::new(IpAddr::from([10, a, 0, b]), len)
-            .expect("a prefix")
+            .expect("the prefix length is valid")
             .trunc()
     });
     let v6 = (0u16..4, 0u16..4, 0u8..=128).prop_map(|(a, b, len)| {
         IpNet::new(IpAddr::from([0x2001, 0xdb8, a, 0, 0, 0, 0, b]), len)
-            .expect("a prefix")
+            .expect("the prefix length is valid")
             .trunc()
     });
     let ends = prop_oneof![
@@ -20,7 +20,7 @@
         Just("255.255.255.255/32"),
         Just("::ffff:0:0/96")
     ];
-    prop_oneof![4 => v4, 4 => v6, 1 => ends.prop_map(|n| n.parse().expect("a network"))]
+    prop_oneof![4 => v4, 4 => v6, 1 => ends.prop_map(|n| n.parse().expect("the network is valid"))]
 }
 
 fn address() -> impl Strategy<Value = IpAddr> {
--- a/crates/plan/tests/broken.rs
+++ b/crates/plan/tests/broken.rs
@@ -1,5 +1,6 @@
-//! Broken plans, each beside the message that the checker prints for it, word for word. `BLESS=1 cargo test -p
-//! garnetwall-plan --test broken` writes the messages anew; read them before they are committed.
+//! Compares the diagnostics of the invalid plans in `tests/broken` with the expected output beside each plan.
+//!
+//! `BLESS=1 cargo test -p garnetwall-plan --test broken` overwrites the expected output; review it before committing.
 
 use garnetwall_plan::compile;
 use garnetwall_plan::model::{DeduplicationScope, Idempotency};
@@ -25,7 +26,7 @@
     }
 }
 
-/// The settings that plans of a name with `settings` are checked against.
+/// Returns the settings used for the plans whose file name starts with `settings`.
 fn settings() -> Settings {
     let class = |name: &str, idempotency, in_order, kinds: Option<&str>| SettingsClass {
         name: name.into(),
@@ -64,31 +65,35 @@
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/broken");
     let bless = std::env::var_os("BLESS").is_some();
     let mut plans: Vec<PathBuf> = std::fs::read_dir(&folder)
-        .expect("the folder of broken plans")
-        .map(|entry| entry.expect("an entry").path())
+        .expect("the directory of invalid plans is readable")
+        .map(|entry| entry.expect("the directory entry is readable").path())
         .filter(|path| path.extension().is_some_and(|e| e == "plan"))
         .collect();
     plans.sort();
-    assert!(plans.len() >= 60, "{} broken plans", plans.len());
+    assert!(
+        plans.len() >= 60,
+        "only {} invalid plans found",
+        plans.len()
+    );
     let mut wrong = Vec::new();
     let mut messages = BTreeSet::new();
     for path in plans {
         let name = path
             .file_name()
             .and_then(|n| n.to_str())
-            .expect("a name")
+            .expect("the file name is UTF-8")
             .to_string();
         let settings = name.starts_with("settings").then(settings);
         let message = match compile(&Folder(folder.clone()), &name, settings.as_ref()) {
-            Ok(_) => "no fault\n".to_string(),
+            Ok(_) => "no errors\n".to_string(),
             Err(faulty) => faulty.to_string(),
         };
         let expected = path.with_extension("txt");
         if bless {
-            std::fs::write(&expected, &message).expect("the message is written");
+            std::fs::write(&expected, &message).expect("the expected output is written");
         }
         messages.insert(message.lines().next().unwrap_or_default().to_string());
-        if message.starts_with("no fault")
+        if message.starts_with("no errors")
             || std::fs::read_to_string(&expected).ok().as_deref() != Some(&message)
         {
             wrong.push(format!("{name}:\n{message}"));
@@ -97,28 +102,30 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
     assert!(
         messages.len() >= 60,
-        "{} messages that differ",
+        "only {} distinct messages",
         messages.len()
     );
 }
 
-/// The page for readers has the table that the checker reads.
+/// The block reference in docs/plan-language.md must match the table that the checker uses.
 #[test]
 fn the_language_page_has_the_table_of_blocks() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/plan-language.md");
-    let text = std::fs::read_to_string(&page).expect("the page of the language");
+    let text = std::fs::read_to_string(&page).expect("docs/plan-language.md is readable");
     let begin = "<!-- blocks: made from the table; a test compares -->\n";
-    let (before, tail) = text.split_once(begin).expect("where the table begins");
+    let (before, tail) = text
+        .split_once(begin)
+        .expect("the page has the start marker of the table");
     let (table, after) = tail
         .split_once("<!-- end of blocks -->")
-        .expect("where it ends");
+        .expect("the page has the end marker of the table");
     let made = garnetwall_plan::schema::as_markdown();
     if std::env::var_os("BLESS").is_some() {
         std::fs::write(
             &page,
             format!("{before}{begin}{made}<!-- end of blocks -->{after}"),
         )
-        .expect("written");
+        .expect("the page is written");
     } else {
         assert_eq!(table, made);
     }
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -1,6 +1,7 @@
-//! Random plans that the checker accepts, over a small world, so that blocks meet, overlap and shadow one another.
+//! Generates random valid plans over a small set of names and addresses, so that their blocks often overlap and refer
+//! to one another.
 
-#![allow(dead_code)] // Each test program uses a part.
+#![allow(dead_code)] // Each test binary uses only some of the functions.
 
 use garnetwall_plan::model::{EngineFacts, Plan, QueryFacts};
 use garnetwall_plan::source::InMemory;
@@ -26,7 +27,8 @@
 const NUMBERS: [&str; 4] = ["5", "10..20", "15..30", "0..4"];
 const HOURS: [&str; 3] = ["06:00..20:00", "22:00..04:00", "12:00..13:00"];
 
-/// Clients, data sets and minutes of which one at least is in every class that the words above can make.
+/// Sample clients, data sets and minutes: at least one of each is in every value class that the constants above can
+/// produce.
 pub const CLIENTS: [&str; 7] = [
     "10.9.0.1",
     "10.1.9.1",
@@ -44,7 +46,7 @@
     subsequence(words, 1..=most).prop_map(|words| words.join(", "))
 }
 
-/// An entry that is there half the time.
+/// Generates an entry that is present in half of the cases.
 fn maybe(
     name: &'static str,
     values: impl Strategy<Value = String>,
@@ -81,7 +83,7 @@
 }
 
 fn addresses(name: String) -> impl Strategy<Value = String> {
-    // Sets refer to those of lower numbers, so that there are no loops.
+    // Sets refer only to sets with lower numbers, so that there are no cycles.
     let below = name[1..].parse::<usize>().unwrap_or(0);
     let of = if below == 0 {
         Just(String::new()).boxed()
@@ -152,7 +154,7 @@
     )
 }
 
-/// A block of any kind.
+/// Generates a block of a random kind.
 pub fn any_block() -> impl Strategy<Value = String> {
     let tenant = block(
         "tenant",
@@ -186,16 +188,17 @@
     ]
 }
 
-/// Blocks that together are a good plan: each that would make it faulty is left out.
+/// Returns the blocks that together form a valid plan, omitting each block that would make it invalid.
 pub fn accepted_blocks(blocks: &[String]) -> Vec<String> {
     let good =
         |blocks: &[String]| compile(&InMemory::one(blocks.concat()), "main.plan", None).is_ok();
     let mut accepted: Vec<String> = Vec::new();
-    // What refers to a block that comes later is tried again.
+    // The second pass retries blocks that refer to a block which came later in the first pass.
     for _ in 0..2 {
         for block in blocks {
             if !accepted.contains(block) {
-                // Before what may refer to it; routes keep their order.
+                // Sets and pools are inserted at the start, before the blocks that may refer to them. Routes keep
+                // their order.
                 let first = block.starts_with("addresses") || block.starts_with("pool");
                 accepted.insert(if first { 0 } else { accepted.len() }, block.clone());
                 if !good(&accepted) {
@@ -212,7 +215,7 @@
         .unwrap_or_else(|faulty| panic!("{faulty}"))
 }
 
-/// Blocks of a good plan: all sets and pools first, then what is made of them.
+/// Generates the blocks of a valid plan: all sets and pools first, then the blocks that refer to them.
 pub fn blocks() -> impl Strategy<Value = Vec<String>> {
     let sets: Vec<_> = (0..4).map(|n| addresses(format!("a{n}"))).collect();
     let pools: Vec<_> = (0..5).map(|n| pool(format!("p{n}"))).collect();
@@ -228,7 +231,7 @@
         })
 }
 
-/// A query of every value class that the small world has.
+/// Returns a query for each combination of the sample values, including a class and a tenant that no plan names.
 pub fn queries() -> Vec<QueryFacts<'static>> {
     let mut all = Vec::new();
     for class in CLASSES.into_iter().chain(["other"]) {
@@ -237,7 +240,7 @@
                 for key in [false, true] {
                     for data_set in DATA_SETS {
                         for minute in MINUTES {
-                            let client: IpAddr = client.parse().expect("an address");
+                            let client: IpAddr = client.parse().expect("the address is valid");
                             all.push(QueryFacts {
                                 class,
                                 tenant,
@@ -255,7 +258,7 @@
     all
 }
 
-/// An engine of every cell that the small world has.
+/// Returns an engine for each combination of the sample values, including a zone and a kind that no plan names.
 pub fn engines() -> Vec<EngineFacts<'static>> {
     let mut all = Vec::new();
     for zone in ZONES.into_iter().chain(["other"]) {
@@ -266,7 +269,7 @@
                         id,
                         zone,
                         kind,
-                        address: address.parse().expect("an address"),
+                        address: address.parse().expect("the address is valid"),
                     });
                 }
             }
@@ -275,15 +278,15 @@
     all
 }
 
-/// What a plan does with a query, computed the slow way: rejected, or the class and for each priority level the engines
-/// that no earlier level has.
+/// Outcome of a plan for a query, computed by brute force: rejected with a reason, or routed as a class with the
+/// engines of each priority level that no earlier level has.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     Rejected(String),
     Routed(String, Vec<Vec<usize>>),
 }
 
-/// What a plan does, by route (the last is none) and class.
+/// Returns the outcomes of a plan by route and class; the last row is that of queries that no route matches.
 pub fn outcomes(plan: &Plan, engines: &[EngineFacts]) -> Vec<Vec<Outcome>> {
     let pools_of: Vec<Vec<bool>> = engines.iter().map(|e| plan.pools_of(e)).collect();
     let all_classes: Vec<&str> = CLASSES.into_iter().chain(["other"]).collect();
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -1,5 +1,5 @@
-//! Properties of plans: the printed form keeps the meaning, a diff is empty exactly where two plans do the same, and no
-//! input makes the checker panic.
+//! Property tests of plans: formatting preserves the meaning, a diff reports routing changes if and only if routing
+//! differs, and no input makes the checker panic.
 
 mod generate;
 
@@ -12,7 +12,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// Whether two plans route every query of the small world alike.
+/// Returns whether two plans have the same outcome for every generated query.
 fn route_alike(a: &Plan, b: &Plan) -> bool {
     let engines = engines();
     let (outcomes_a, outcomes_b) = (outcomes(a, &engines), outcomes(b, &engines));
@@ -23,7 +23,7 @@
             .unwrap_or(CLASSES.len())
     };
     queries().iter().all(|query| {
-        // The index past the last route stands for none.
+        // The number of routes stands for no matching route.
         let route_index = |plan: &Plan| {
             plan.routes
                 .iter()
@@ -40,7 +40,7 @@
 
     #[test]
     fn the_printed_form_is_stable_and_means_the_same(blocks in blocks(), noise in vec(0usize..6, 60)) {
-        // Written carelessly: other spaces, empty lines and comments.
+        // Adds extra spaces, blank lines, comments and tabs between the lines.
         let mut noise = noise.into_iter().cycle();
         let careless: String = blocks.concat().lines().map(|line| match noise.next().unwrap_or_default() {
             0 => format!("{}  # why\n", line.replace(' ', "   ")),
@@ -48,11 +48,11 @@
             2 => format!("# said before\n\t{line}  \n"),
             _ => format!("{line}\n"),
         }).collect();
-        let printed = format(&careless).expect("it can be read");
-        prop_assert_eq!(&format(&printed).expect("it can be read"), &printed, "twice is the same as once");
+        let printed = format(&careless).expect("the text can be parsed");
+        prop_assert_eq!(&format(&printed).expect("the text can be parsed"), &printed, "formatting is idempotent");
         let comments = |text: &str| text.matches('#').count();
         prop_assert_eq!(comments(&printed), comments(&careless));
-        let read = |text: &str| compile(&InMemory::one(text), "main.plan", None).expect("a good plan").plan;
+        let read = |text: &str| compile(&InMemory::one(text), "main.plan", None).expect("the plan is valid").plan;
         let (a, b) = (read(&careless), read(&printed));
         prop_assert_eq!(diff(&a, &b), vec![]);
         let plain = plan_of(&blocks).plan;
@@ -74,7 +74,7 @@
                 0 => drop(other.remove(at)),
                 1 => other[at] = new.clone(),
                 2 => other.push(new.clone()),
-                // An entry less: a route that takes more, or sends to less.
+                // Removes an entry, so that for example a route matches more queries or has fewer pools.
                 3..=6 => {
                     let lines: Vec<&str> = other[at].lines().collect();
                     let cut = (how + lines.len()) % lines.len().max(1);
@@ -126,12 +126,13 @@
             Ok(good) => prop_assert_eq!(diff(&good.plan, &good.plan), vec![]),
         }
         if let Ok(printed) = format(&text) {
-            prop_assert_eq!(&format(&printed).expect("it can be read"), &printed);
+            prop_assert_eq!(&format(&printed).expect("the text can be parsed"), &printed);
         }
     }
 }
 
-/// What stands where matters only for routes: blocks moved, constants renamed and units changed are no change.
+/// Moved blocks, renamed constants, pools and routes, and other units for equal values must not be reported as changes;
+/// changes of values and pools must be. A pool that adds no engines to the earlier ones is no change.
 #[test]
 fn equivalent_text_is_no_change() {
     let old =
@@ -170,7 +171,7 @@
     assert_eq!(
         texts(&part, &part.replace("to a, b", "to a")),
         [""; 0],
-        "the second holds nothing that the first has not"
+        "pool `b` has no engine that is not in pool `a`"
     );
     assert_eq!(
         texts(reports, &reports.replace("to a, b", "to a")),
@@ -181,7 +182,8 @@
     );
 }
 
-/// Sizes at which a careless parser fails: a message in good time, no panic and no overflow.
+/// Very large, deeply nested or self-multiplying input must yield diagnostics or a plan, without a panic, a stack
+/// overflow or an exponential amount of work.
 #[test]
 fn huge_and_deep_files_are_reported() {
     let message = |bytes: Vec<u8>| match compile(&InMemory::one(bytes), "main.plan", None) {
@@ -218,7 +220,7 @@
         .0
         .extend((0..300).map(|n| (format!("{n}.plan"), Vec::new())));
     let report = compile(&files, "main.plan", None)
-        .expect_err("too many files")
+        .expect_err("the plan has too many files")
         .to_string();
     assert!(
         report.contains("cannot include `255.plan`: a plan can have at most 256 files"),
@@ -226,7 +228,7 @@
     );
     let many: String = (0..5000).map(|n| format!("nonsense {n}\n")).collect();
     assert!(message(many.into_bytes()).contains("and 4900 more"));
-    // A chain of pools as long as the file.
+    // Each pool refers to the next one: a recursive search would overflow the stack.
     let chain: String = (0..10_000)
         .map(|n| format!("pool p{n} {{\n  union p{}\n}}\n", n + 1))
         .collect();
