--- a/crates/plan/tests/broken.rs
+++ b/crates/plan/tests/broken.rs
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-struct Folder(PathBuf);
+struct Directory(PathBuf);
 
-impl Loader for Folder {
+impl Loader for Directory {
     fn load(&self, name: &str) -> Result<Vec<u8>, LoadError> {
         let path = self.0.join(name);
         match path.is_dir() {
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn every_broken_plan_has_its_message() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/broken");
+fn invalid_plans_yield_the_expected_diagnostics() {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/broken");
     let bless = std::env::var_os("BLESS").is_some();
-    let mut plans: Vec<PathBuf> = std::fs::read_dir(&folder)
+    let mut plans: Vec<PathBuf> = std::fs::read_dir(&directory)
         .expect("the directory of invalid plans is readable")
         .map(|entry| entry.expect("the directory entry is readable").path())
         .filter(|path| path.extension().is_some_and(|e| e == "plan"))
@@ -75,7 +75,7 @@
         "only {} invalid plans found",
         plans.len()
     );
-    let mut wrong = Vec::new();
+    let mut mismatches = Vec::new();
     let mut messages = BTreeSet::new();
     for path in plans {
         let name = path
@@ -84,9 +84,9 @@
             .expect("the file name is UTF-8")
             .to_string();
         let settings = name.starts_with("settings").then(settings);
-        let message = match compile(&Folder(folder.clone()), &name, settings.as_ref()) {
+        let message = match compile(&Directory(directory.clone()), &name, settings.as_ref()) {
             Ok(_) => "no errors\n".to_string(),
-            Err(faulty) => faulty.to_string(),
+            Err(invalid) => invalid.to_string(),
         };
         let expected = path.with_extension("txt");
         if bless {
@@ -96,10 +96,10 @@
         if message.starts_with("no errors")
             || std::fs::read_to_string(&expected).ok().as_deref() != Some(&message)
         {
-            wrong.push(format!("{name}:\n{message}"));
+            mismatches.push(format!("{name}:\n{message}"));
         }
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(mismatches.is_empty(), "{}", mismatches.join("\n"));
     assert!(
         messages.len() >= 60,
         "only {} distinct messages",
@@ -109,7 +109,7 @@
 
 /// The block reference in docs/plan-language.md must match the table that the checker uses.
 #[test]
-fn the_language_page_has_the_table_of_blocks() {
+fn language_page_matches_the_table_of_blocks() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/plan-language.md");
     let text = std::fs::read_to_string(&page).expect("docs/plan-language.md is readable");
     let begin = "<!-- blocks: made from the table; a test compares -->\n";
--- a/crates/plan/tests/generate/mod.rs
+++ b/crates/plan/tests/generate/mod.rs
@@ -42,12 +42,12 @@
 pub const MINUTES: [u32; 7] = [0, 240, 360, 720, 780, 1200, 1320];
 const IDS: [&str; 6] = ["e-0-a", "e-0-b", "e-1-a", "e-1-b", "q-a", "q-b"];
 
-fn some(words: &'static [&'static str], most: usize) -> impl Strategy<Value = String> {
-    subsequence(words, 1..=most).prop_map(|words| words.join(", "))
+fn subset(words: &'static [&'static str], max_count: usize) -> impl Strategy<Value = String> {
+    subsequence(words, 1..=max_count).prop_map(|words| words.join(", "))
 }
 
 /// Generates an entry that is present in half of the cases.
-fn maybe(
+fn optional(
     name: &'static str,
     values: impl Strategy<Value = String>,
 ) -> impl Strategy<Value = String> {
@@ -64,12 +64,12 @@
         .prop_map(move |(name, entries)| format!("{kind} {name} {{\n{}}}\n", entries.concat()))
 }
 
-fn numbered(letter: &'static str, most: usize) -> impl Strategy<Value = String> {
-    (0..most).prop_map(move |n| format!("{letter}{n}"))
+fn numbered(letter: &'static str, count: usize) -> impl Strategy<Value = String> {
+    (0..count).prop_map(move |n| format!("{letter}{n}"))
 }
 
-fn refs(letter: &'static str, most: usize) -> impl Strategy<Value = String> {
-    vec(0..most, 1..3).prop_map(move |mut list| {
+fn references(letter: &'static str, count: usize) -> impl Strategy<Value = String> {
+    vec(0..count, 1..3).prop_map(move |mut list| {
         list.dedup();
         list.iter()
             .map(|n| format!("{letter}{n}"))
@@ -88,9 +88,9 @@
     let of = if below == 0 {
         Just(String::new()).boxed()
     } else {
-        maybe("of", refs("a", below)).boxed()
+        optional("of", references("a", below)).boxed()
     };
-    let entries = (some(&NETS, 3), of, maybe("except", some(&NETS, 2)))
+    let entries = (subset(&NETS, 3), of, optional("except", subset(&NETS, 2)))
         .prop_map(|(net, of, except)| vec![format!("  net {net}\n"), of, except]);
     block("addresses", Just(name), entries)
 }
@@ -101,14 +101,14 @@
         if below == 0 {
             Just(String::new()).boxed()
         } else {
-            maybe(entry, refs("p", below)).boxed()
+            optional(entry, references("p", below)).boxed()
         }
     };
     let entries = (
-        maybe("zone", some(&ZONES, 2)),
-        maybe("kind", some(&KINDS, 2)),
-        maybe("id", some(&PATTERNS, 2)),
-        prop_oneof![3 => Just(String::new()).boxed(), 1 => refs("a", 4).prop_map(|a| format!("  address {a}\n")).boxed()],
+        optional("zone", subset(&ZONES, 2)),
+        optional("kind", subset(&KINDS, 2)),
+        optional("id", subset(&PATTERNS, 2)),
+        prop_oneof![3 => Just(String::new()).boxed(), 1 => references("a", 4).prop_map(|a| format!("  address {a}\n")).boxed()],
         of("union"),
         of("except"),
     )
@@ -121,8 +121,8 @@
         "group",
         select(&CLASSES[..]).prop_map(str::to_string),
         (
-            maybe("pools", refs("p", 5)),
-            maybe("limit", (1u32..9).prop_map(|n| format!("{n}s"))),
+            optional("pools", references("p", 5)),
+            optional("limit", (1u32..9).prop_map(|n| format!("{n}s"))),
         )
             .prop_map(|(pools, limit)| vec![pools, limit, "  further 10%\n".to_string()]),
     )
@@ -130,24 +130,24 @@
 
 fn route() -> impl Strategy<Value = String> {
     let outcome = prop_oneof![
-        4 => refs("p", 5).prop_map(|to| format!("  to {to}\n")),
+        4 => references("p", 5).prop_map(|to| format!("  to {to}\n")),
         1 => select(&CLASSES[..]).prop_map(|g| format!("  as {g}\n")),
-        1 => (refs("p", 5), select(&CLASSES[..])).prop_map(|(to, g)| format!("  to {to}\n  as {g}\n")),
+        1 => (references("p", 5), select(&CLASSES[..])).prop_map(|(to, g)| format!("  to {to}\n  as {g}\n")),
         1 => Just("  refuse \"closed\"\n".to_string()),
     ];
     block(
         "route",
         numbered("r", 12),
         (
-            maybe("group", some(&CLASSES, 3)),
-            maybe("tenant", some(&TENANTS, 2)),
-            maybe("client", refs("a", 4)),
-            maybe(
+            optional("group", subset(&CLASSES, 3)),
+            optional("tenant", subset(&TENANTS, 2)),
+            optional("client", references("a", 4)),
+            optional(
                 "key",
                 select(&["given", "none"][..]).prop_map(str::to_string),
             ),
-            maybe("data-set", some(&NUMBERS, 2)),
-            maybe("hours", some(&HOURS, 2)),
+            optional("data-set", subset(&NUMBERS, 2)),
+            optional("hours", subset(&HOURS, 2)),
             outcome,
         )
             .prop_map(|(a, b, c, d, e, f, g)| vec![a, b, c, d, e, f, g]),
@@ -160,8 +160,8 @@
         "tenant",
         select(&TENANTS[..]).prop_map(str::to_string),
         (
-            maybe("in-hand", (1u32..20).prop_map(|n| n.to_string())),
-            maybe("rate", bucket()),
+            optional("in-hand", (1u32..20).prop_map(|n| n.to_string())),
+            optional("rate", bucket()),
         )
             .prop_map(|(in_hand, rate)| vec![in_hand, rate]),
     );
@@ -169,11 +169,11 @@
         "limit",
         numbered("l", 4),
         (
-            maybe("per", some(&["group", "tenant", "client"], 3)),
-            maybe("group", some(&CLASSES, 2)),
-            maybe("tenant", some(&TENANTS, 2)),
-            maybe("client", refs("a", 4)),
-            maybe("in-hand", (1u32..20).prop_map(|n| n.to_string())),
+            optional("per", subset(&["group", "tenant", "client"], 3)),
+            optional("group", subset(&CLASSES, 2)),
+            optional("tenant", subset(&TENANTS, 2)),
+            optional("client", references("a", 4)),
+            optional("in-hand", (1u32..20).prop_map(|n| n.to_string())),
             bucket().prop_map(|b| format!("  rate {b}\n")),
         )
             .prop_map(|(a, b, c, d, e, f)| vec![a, b, c, d, e, f]),
@@ -190,7 +190,7 @@
 
 /// Returns the blocks that together form a valid plan, omitting each block that would make it invalid.
 pub fn accepted_blocks(blocks: &[String]) -> Vec<String> {
-    let good =
+    let is_valid =
         |blocks: &[String]| compile(&InMemory::one(blocks.concat()), "main.plan", None).is_ok();
     let mut accepted: Vec<String> = Vec::new();
     // The second pass retries blocks that refer to a block which came later in the first pass.
@@ -199,10 +199,10 @@
             if !accepted.contains(block) {
                 // Sets and pools are inserted at the start, before the blocks that may refer to them. Routes keep
                 // their order.
-                let first = block.starts_with("addresses") || block.starts_with("pool");
-                accepted.insert(if first { 0 } else { accepted.len() }, block.clone());
-                if !good(&accepted) {
-                    accepted.remove(if first { 0 } else { accepted.len() - 1 });
+                let is_target = block.starts_with("addresses") || block.starts_with("pool");
+                accepted.insert(if is_target { 0 } else { accepted.len() }, block.clone());
+                if !is_valid(&accepted) {
+                    accepted.remove(if is_target { 0 } else { accepted.len() - 1 });
                 }
             }
         }
@@ -212,7 +212,7 @@
 
 pub fn plan_of(blocks: &[String]) -> Compiled {
     compile(&InMemory::one(blocks.concat()), "main.plan", None)
-        .unwrap_or_else(|faulty| panic!("{faulty}"))
+        .unwrap_or_else(|invalid| panic!("{invalid}"))
 }
 
 /// Generates the blocks of a valid plan: all sets and pools first, then the blocks that refer to them.
@@ -290,7 +290,7 @@
 pub fn outcomes(plan: &Plan, engines: &[EngineFacts]) -> Vec<Vec<Outcome>> {
     let pools_of: Vec<Vec<bool>> = engines.iter().map(|e| plan.pools_of(e)).collect();
     let all_classes: Vec<&str> = CLASSES.into_iter().chain(["other"]).collect();
-    let one = |route: Option<&garnetwall_plan::model::Route>, class: &str| {
+    let eval = |route: Option<&garnetwall_plan::model::Route>, class: &str| {
         if let Some(reason) = route.and_then(|r| r.reject_reason.clone()) {
             return Outcome::Rejected(reason);
         }
@@ -299,13 +299,13 @@
         let mut used = vec![false; engines.len()];
         let mut levels = Vec::new();
         for n in 0..to.len().max(1) {
-            let open = |e: &usize| {
+            let is_usable = |e: &usize| {
                 to.get(n).is_none_or(|pool| pools_of[*e][*pool])
                     && plan.allows(&[class, treated_as], &pools_of[*e])
             };
             let level: Vec<usize> = (0..engines.len())
                 .filter(|e| !used[*e])
-                .filter(open)
+                .filter(is_usable)
                 .collect();
             level.iter().for_each(|e| used[*e] = true);
             if !level.is_empty() {
@@ -316,6 +316,6 @@
     };
     let routes = plan.routes.iter().map(Some).chain([None]);
     routes
-        .map(|route| all_classes.iter().map(|class| one(route, class)).collect())
+        .map(|route| all_classes.iter().map(|class| eval(route, class)).collect())
         .collect()
 }
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -13,7 +13,7 @@
 use proptest::prelude::*;
 
 /// Returns whether two plans have the same outcome for every generated query.
-fn route_alike(a: &Plan, b: &Plan) -> bool {
+fn have_equal_routing(a: &Plan, b: &Plan) -> bool {
     let engines = engines();
     let (outcomes_a, outcomes_b) = (outcomes(a, &engines), outcomes(b, &engines));
     let class_index = |name: &str| {
@@ -39,28 +39,28 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn the_printed_form_is_stable_and_means_the_same(blocks in blocks(), noise in vec(0usize..6, 60)) {
+    fn formatting_is_idempotent_and_preserves_meaning(blocks in blocks(), variations in vec(0usize..6, 60)) {
         // Adds extra spaces, blank lines, comments and tabs between the lines.
-        let mut noise = noise.into_iter().cycle();
-        let careless: String = blocks.concat().lines().map(|line| match noise.next().unwrap_or_default() {
+        let mut variations = variations.into_iter().cycle();
+        let unformatted: String = blocks.concat().lines().map(|line| match variations.next().unwrap_or_default() {
             0 => format!("{}  # why\n", line.replace(' ', "   ")),
             1 => format!("\n\n\n{line}\n"),
             2 => format!("# said before\n\t{line}  \n"),
             _ => format!("{line}\n"),
         }).collect();
-        let printed = format(&careless).expect("the text can be parsed");
+        let printed = format(&unformatted).expect("the text can be parsed");
         prop_assert_eq!(&format(&printed).expect("the text can be parsed"), &printed, "formatting is idempotent");
         let comments = |text: &str| text.matches('#').count();
-        prop_assert_eq!(comments(&printed), comments(&careless));
+        prop_assert_eq!(comments(&printed), comments(&unformatted));
         let read = |text: &str| compile(&InMemory::one(text), "main.plan", None).expect("the plan is valid").plan;
-        let (a, b) = (read(&careless), read(&printed));
+        let (a, b) = (read(&unformatted), read(&printed));
         prop_assert_eq!(diff(&a, &b), vec![]);
         let plain = plan_of(&blocks).plan;
         prop_assert_eq!(diff(&plain, &b), vec![]);
     }
 
     #[test]
-    fn a_diff_is_empty_exactly_where_routing_is_alike(
+    fn diff_reports_routing_exactly_when_routing_differs(
         blocks in blocks(),
         changed in vec((any::<prop::sample::Index>(), 0usize..8, any_block()), 0..3),
     ) {
@@ -93,7 +93,7 @@
         prop_assert_eq!(diff(&a, &a), vec![]);
         let changes = diff(&a, &b);
         let routing = changes.iter().any(|c| c.subject == "routing");
-        prop_assert_eq!(!routing, route_alike(&a, &b), "{:?}\n--- {}\n+++ {}", changes, blocks.concat(), other.concat());
+        prop_assert_eq!(!routing, have_equal_routing(&a, &b), "{:?}\n--- {}\n+++ {}", changes, blocks.concat(), other.concat());
     }
 }
 
@@ -101,14 +101,14 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn random_bytes_are_accepted_or_reported_and_never_panic(bytes in vec(any::<u8>(), 0..400)) {
-        if let Err(faulty) = compile(&InMemory::one(bytes), "main.plan", None) {
-            prop_assert!(!faulty.to_string().is_empty());
+    fn random_bytes_compile_or_yield_diagnostics(bytes in vec(any::<u8>(), 0..400)) {
+        if let Err(invalid) = compile(&InMemory::one(bytes), "main.plan", None) {
+            prop_assert!(!invalid.to_string().is_empty());
         }
     }
 
     #[test]
-    fn a_plan_with_some_bytes_changed_never_panics(
+    fn modified_plans_never_panic(
         blocks in blocks(),
         cuts in vec((any::<prop::sample::Index>(), prop_oneof![
             Just("{"), Just("}"), Just("\""), Just("#"), Just("\n"), Just("="), Just("$"), Just(","), Just("\0"), Just("..")
@@ -122,8 +122,8 @@
             }
         }
         match compile(&InMemory::one(text.clone()), "main.plan", None) {
-            Err(faulty) => prop_assert!(faulty.to_string().contains("main.plan")),
-            Ok(good) => prop_assert_eq!(diff(&good.plan, &good.plan), vec![]),
+            Err(invalid) => prop_assert!(invalid.to_string().contains("main.plan")),
+            Ok(valid) => prop_assert_eq!(diff(&valid.plan, &valid.plan), vec![]),
         }
         if let Ok(printed) = format(&text) {
             prop_assert_eq!(&format(&printed).expect("the text can be parsed"), &printed);
@@ -134,7 +134,7 @@
 /// Moved blocks, renamed constants, pools and routes, and other units for equal values must not be reported as changes;
 /// changes of values and pools must be. A pool that adds no engines to the earlier ones is no change.
 #[test]
-fn equivalent_text_is_no_change() {
+fn equivalent_plans_have_no_diff() {
     let old =
         "let far = 1s\npool a {\n zone maribor\n}\ngroup lookup {\n limit $far\n pools a\n}\n\
         route x {\n group lookup\n to a\n}\nlimit l {\n rate 60/min\n}\n";
@@ -185,10 +185,10 @@
 /// Very large, deeply nested or self-multiplying input must yield diagnostics or a plan, without a panic, a stack
 /// overflow or an exponential amount of work.
 #[test]
-fn huge_and_deep_files_are_reported() {
+fn huge_and_deeply_nested_files_are_handled() {
     let message = |bytes: Vec<u8>| match compile(&InMemory::one(bytes), "main.plan", None) {
         Ok(_) => String::new(),
-        Err(faulty) => faulty.to_string(),
+        Err(invalid) => invalid.to_string(),
     };
     let deep = "pool a {\n".repeat(10_000);
     assert!(message(deep.into_bytes()).contains("unclosed block"));
@@ -204,11 +204,12 @@
         .collect();
     assert_eq!(lines.lines().count(), 100_000);
     assert_eq!(message(lines.into_bytes()), "");
-    let bombs: String = (0..60)
+    let doubling_constants: String = (0..60)
         .map(|n| format!("let c{} = $c{n}, $c{n}\n", n + 1))
         .collect();
     assert!(message(
-        format!("let c0 = 1\n{bombs}route r {{\n data-set $c60\n refuse \"x\"\n}}\n").into_bytes()
+        format!("let c0 = 1\n{doubling_constants}route r {{\n data-set $c60\n refuse \"x\"\n}}\n")
+            .into_bytes()
     )
     .contains("cannot expand constant `"));
     assert!(message(vec![b'a'; 17 << 20]).contains("more than the maximum of 16777216"));
