--- a/crates/plan/src/build.rs
+++ b/crates/plan/src/build.rs
@@ -17,7 +17,7 @@
 use crate::diagnostic::Diagnostic;
 use crate::model::Plan;
 use consistency::ConsistencyCheck;
-use names::Referenced;
+use names::RefKind;
 use std::collections::HashMap;
 
 pub use settings::{Settings, SettingsClass};
@@ -32,8 +32,8 @@
 ) -> Plan {
     let mut builder = Builder {
         blocks,
-        address_set_indices: indices_by_name(blocks, Referenced::AddressSet),
-        pool_indices: indices_by_name(blocks, Referenced::Pool),
+        address_set_indices: indices_by_name(blocks, RefKind::AddressSet),
+        pool_indices: indices_by_name(blocks, RefKind::Pool),
         settings,
         diagnostics,
         plan: Plan::default(),
@@ -60,7 +60,7 @@
 }
 
 /// Returns, by block name, the index of each block among the blocks of its kind.
-fn indices_by_name(blocks: &[CheckedBlock], kind: Referenced) -> HashMap<&str, usize> {
+fn indices_by_name(blocks: &[CheckedBlock], kind: RefKind) -> HashMap<&str, usize> {
     let blocks = blocks_of_kind(blocks, kind.keyword())
         .into_iter()
         .enumerate();
--- a/crates/plan/src/build/classes.rs
+++ b/crates/plan/src/build/classes.rs
@@ -1,7 +1,7 @@
 //! Builds the rules of query classes from `group` blocks and the limits of tenants from `tenant` blocks.
 
 use super::entries::{bucket, count, first_text, number, texts, time};
-use super::names::Referenced;
+use super::names::RefKind;
 use super::Builder;
 use crate::check::Spanned;
 use crate::model::{ClassRules, DeduplicationScope, Idempotency, Tenant};
@@ -15,7 +15,7 @@
                 span: block.name_span.clone(),
                 latency_objective: time(block.first_value("goal")),
                 deadline: time(block.first_value("limit")),
-                pools: self.block_indices(Referenced::Pool, block.entry("pools")),
+                pools: self.block_indices(RefKind::Pool, block.entry("pools")),
                 pools_span: block.entry("pools").map(|entry| entry.span.clone()),
                 in_order: order.map(|word| word == "key"),
                 idempotency: idempotency(block.values("effect")),
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -1,7 +1,7 @@
 //! Builds admission limits from `limit` blocks.
 
 use super::entries::{bucket, count, texts};
-use super::names::Referenced;
+use super::names::RefKind;
 use super::Builder;
 use crate::check::Spanned;
 use crate::diagnostic::Diagnostic;
@@ -10,7 +10,7 @@
 impl Builder<'_> {
     pub(super) fn build_limits(&mut self) {
         for block in self.blocks_of_kind("limit") {
-            let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
+            let clients = self.block_indices(RefKind::AddressSet, block.entry("client"));
             if !block.has_any(&["in-hand", "rate", "bytes"]) {
                 let text = format!("limit `{}` limits no quantity", block.name);
                 let help = "add `in-hand`, `rate` or `bytes`";
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -7,27 +7,27 @@
 use crate::quantity::Value;
 use crate::schema::Namespace;
 
-/// A kind of block that entries of other blocks can refer to by name.
+/// Kind of a block that entries of other blocks can refer to by name.
 #[derive(Clone, Copy)]
-pub(super) enum Referenced {
+pub(super) enum RefKind {
     AddressSet,
     Pool,
 }
 
-impl Referenced {
+impl RefKind {
     /// Returns the keyword of the plan language that opens a block of this kind.
     pub(super) fn keyword(self) -> &'static str {
         match self {
-            Referenced::AddressSet => "addresses",
-            Referenced::Pool => "pool",
+            RefKind::AddressSet => "addresses",
+            RefKind::Pool => "pool",
         }
     }
 
     /// Returns the term for such a block in error messages.
     fn description(self) -> &'static str {
         match self {
-            Referenced::AddressSet => "address set",
-            Referenced::Pool => "pool",
+            RefKind::AddressSet => "address set",
+            RefKind::Pool => "pool",
         }
     }
 }
@@ -87,7 +87,7 @@
     /// omitted.
     pub(super) fn block_indices(
         &mut self,
-        kind: Referenced,
+        kind: RefKind,
         entry: Option<&CheckedEntry>,
     ) -> Vec<usize> {
         let mut found = Vec::new();
@@ -109,10 +109,10 @@
     }
 
     /// Returns the index of the block of a kind with this name, or the diagnostic for an unknown name at `span`.
-    fn block_index(&self, kind: Referenced, name: &str, span: &Span) -> Result<usize, Diagnostic> {
+    fn block_index(&self, kind: RefKind, name: &str, span: &Span) -> Result<usize, Diagnostic> {
         let indices = match kind {
-            Referenced::AddressSet => &self.address_set_indices,
-            Referenced::Pool => &self.pool_indices,
+            RefKind::AddressSet => &self.address_set_indices,
+            RefKind::Pool => &self.pool_indices,
         };
         if let Some(index) = indices.get(name) {
             return Ok(*index);
@@ -126,7 +126,7 @@
     /// Cycles are reported; `references` lists the referenced blocks for each block.
     pub(super) fn reference_order(
         &mut self,
-        kind: Referenced,
+        kind: RefKind,
         references: &[Vec<usize>],
     ) -> Vec<usize> {
         let blocks = self.blocks_of_kind(kind.keyword());
--- a/crates/plan/src/build/pools.rs
+++ b/crates/plan/src/build/pools.rs
@@ -1,7 +1,7 @@
 //! Builds address sets from `addresses` blocks and pools from `pool` blocks.
 
 use super::entries::texts;
-use super::names::Referenced;
+use super::names::RefKind;
 use super::Builder;
 use crate::address::{difference, union, AddressRange, AddressRanges};
 use crate::check::{CheckedBlock, Spanned};
@@ -14,10 +14,10 @@
         let blocks = self.blocks_of_kind("addresses");
         let included: Vec<Vec<usize>> = blocks
             .iter()
-            .map(|block| self.block_indices(Referenced::AddressSet, block.entry("of")))
+            .map(|block| self.block_indices(RefKind::AddressSet, block.entry("of")))
             .collect();
         let mut ranges_of: Vec<AddressRanges> = vec![AddressRanges::new(); blocks.len()];
-        for index in self.reference_order(Referenced::AddressSet, &included) {
+        for index in self.reference_order(RefKind::AddressSet, &included) {
             let others = included[index].iter();
             let mut ranges = network_ranges(blocks[index].values("net"));
             ranges.extend(others.flat_map(|other| ranges_of[*other].iter().copied()));
@@ -58,16 +58,16 @@
                 zones: texts(block.values("zone")),
                 kinds: texts(block.values("kind")),
                 ids: texts(block.values("id")),
-                addresses: self.block_indices(Referenced::AddressSet, block.entry("address")),
-                union: self.block_indices(Referenced::Pool, block.entry("union")),
-                except: self.block_indices(Referenced::Pool, block.entry("except")),
+                addresses: self.block_indices(RefKind::AddressSet, block.entry("address")),
+                union: self.block_indices(RefKind::Pool, block.entry("union")),
+                except: self.block_indices(RefKind::Pool, block.entry("except")),
             };
             self.plan.pools.push(pool);
             self.check_pool(block);
         }
         let references = |pool: &Pool| pool.union.iter().chain(&pool.except).copied().collect();
         let references: Vec<Vec<usize>> = self.plan.pools.iter().map(references).collect();
-        self.plan.pool_order = self.reference_order(Referenced::Pool, &references);
+        self.plan.pool_order = self.reference_order(RefKind::Pool, &references);
     }
 
     fn check_pool(&mut self, block: &CheckedBlock) {
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -1,7 +1,7 @@
 //! Builds routes from `route` blocks.
 
 use super::entries::{first_text, minute_ranges, number_ranges, texts};
-use super::names::Referenced;
+use super::names::RefKind;
 use super::Builder;
 use crate::check::CheckedBlock;
 use crate::diagnostic::Diagnostic;
@@ -10,8 +10,8 @@
 impl Builder<'_> {
     pub(super) fn build_routes(&mut self) {
         for block in self.blocks_of_kind("route") {
-            let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
-            let pools = self.block_indices(Referenced::Pool, block.entry("to"));
+            let clients = self.block_indices(RefKind::AddressSet, block.entry("client"));
+            let pools = self.block_indices(RefKind::Pool, block.entry("to"));
             self.check_outcome(block);
             let key = first_text(block.values("key"));
             let place = |entry: &str| block.entry(entry).map(|entry| entry.span.clone());
--- a/crates/plan/src/diff.rs
+++ b/crates/plan/src/diff.rs
@@ -26,9 +26,9 @@
 /// Returns all differences in behaviour of the new plan from the old one; empty if both do the same.
 pub fn diff(old: &Plan, new: &Plan) -> Vec<Change> {
     let mut changes = routing::changes(old, new);
-    changes.extend(figures::of_classes(old, new));
-    changes.extend(figures::of_tenants(old, new));
+    changes.extend(figures::class_changes(old, new));
+    changes.extend(figures::tenant_changes(old, new));
     changes.extend(limits::changes(old, new));
-    changes.extend(figures::of_storage(old, new));
+    changes.extend(figures::storage_changes(old, new));
     changes
 }
--- a/crates/plan/src/diff/figures.rs
+++ b/crates/plan/src/diff/figures.rs
@@ -6,53 +6,53 @@
 use std::collections::BTreeSet;
 
 /// A property of a kind of block that is compared by its printed form.
-struct Figure<Block> {
+struct Property<Block> {
     name: &'static str,
     /// Returns the printed form of the value; `None` if the block does not set it.
-    printed: fn(&Block) -> Option<String>,
+    get: fn(&Block) -> Option<String>,
 }
 
-const fn figure<Block>(name: &'static str, printed: fn(&Block) -> Option<String>) -> Figure<Block> {
-    Figure { name, printed }
+const fn property<Block>(name: &'static str, get: fn(&Block) -> Option<String>) -> Property<Block> {
+    Property { name, get }
 }
 
-const CLASS_FIGURES: [Figure<ClassRules>; 6] = [
-    figure("goal", |class| class.latency_objective.map(seconds)),
-    figure("limit", |class| class.deadline.map(seconds)),
-    figure("order", |class| {
+const CLASS_PROPERTIES: [Property<ClassRules>; 6] = [
+    property("goal", |class| class.latency_objective.map(seconds)),
+    property("limit", |class| class.deadline.map(seconds)),
+    property("order", |class| {
         class.in_order.map(|in_order| order(in_order).to_string())
     }),
-    figure("effect", |class| {
+    property("effect", |class| {
         class.idempotency.as_ref().map(idempotency_in_words)
     }),
-    figure("further", |class| class.retries_per_query.map(percent)),
-    figure("statement", |class| class.max_statement_bytes.map(bytes)),
+    property("further", |class| class.retries_per_query.map(percent)),
+    property("statement", |class| class.max_statement_bytes.map(bytes)),
 ];
 
-const TENANT_FIGURES: [Figure<Tenant>; 4] = [
-    figure("share", |tenant| tenant.share.map(percent)),
-    figure("in-hand limit", |tenant| {
+const TENANT_PROPERTIES: [Property<Tenant>; 4] = [
+    property("share", |tenant| tenant.share.map(percent)),
+    property("in-hand limit", |tenant| {
         tenant.max_in_flight.map(|count| count.to_string())
     }),
-    figure("rate", |tenant| bucket(tenant.rate)),
-    figure("bytes", |tenant| bucket(tenant.bytes)),
+    property("rate", |tenant| bucket(tenant.rate)),
+    property("bytes", |tenant| bucket(tenant.bytes)),
 ];
 
-const BODIES_FIGURES: [Figure<Bodies>; 8] = [
-    figure("memory", |bodies| Some(bytes(bodies.memory_bytes))),
-    figure("batch-memory", |bodies| {
+const BODIES_PROPERTIES: [Property<Bodies>; 8] = [
+    property("memory", |bodies| Some(bytes(bodies.memory_bytes))),
+    property("batch-memory", |bodies| {
         Some(bytes(bodies.max_body_memory_bytes))
     }),
-    figure("files", |bodies| Some(bytes(bodies.file_bytes))),
-    figure("directory", |bodies| {
+    property("files", |bodies| Some(bytes(bodies.file_bytes))),
+    property("directory", |bodies| {
         Some(bodies.directory.clone().unwrap_or_default())
     }),
-    figure("batch", |bodies| Some(bytes(bodies.max_body_bytes))),
-    figure("share", |bodies| Some(percent(bodies.tenant_share))),
-    figure("unknown-length", |bodies| {
+    property("batch", |bodies| Some(bytes(bodies.max_body_bytes))),
+    property("share", |bodies| Some(percent(bodies.tenant_share))),
+    property("unknown-length", |bodies| {
         Some(bodies.unknown_length_allowed.to_string())
     }),
-    figure("must-keep", |bodies| Some(sorted(&bodies.storage_required))),
+    property("must-keep", |bodies| Some(sorted(&bodies.storage_required))),
 ];
 
 fn bucket(bucket: Option<Bucket>) -> Option<String> {
@@ -76,38 +76,38 @@
     if old == new {
         return None;
     }
-    let printed = |figure: Option<String>| figure.unwrap_or_else(|| "none".to_string());
+    let printed = |value: Option<String>| value.unwrap_or_else(|| "none".to_string());
     let text = format!("{what}: {} -> {}", printed(old), printed(new));
     Some(Change { subject, text })
 }
 
 /// Returns the changed properties of a block, which may be absent from either plan.
-fn figures<Block>(
+fn property_changes<Block>(
     subject: &'static str,
     name: &str,
-    figures: &[Figure<Block>],
+    properties: &[Property<Block>],
     old: Option<&Block>,
     new: Option<&Block>,
 ) -> Vec<Change> {
-    let changed = figures.iter().filter_map(|figure| {
-        let what = format!("{} of {name}", figure.name);
-        let old = old.and_then(figure.printed);
-        let new = new.and_then(figure.printed);
+    let changed = properties.iter().filter_map(|property| {
+        let what = format!("{} of {name}", property.name);
+        let old = old.and_then(property.get);
+        let new = new.and_then(property.get);
         change(subject, &what, old, new)
     });
     changed.collect()
 }
 
 /// Returns the changes in the rules of query classes.
-pub(super) fn of_classes(old: &Plan, new: &Plan) -> Vec<Change> {
+pub(super) fn class_changes(old: &Plan, new: &Plan) -> Vec<Change> {
     let classes = old.classes.iter().chain(&new.classes);
     let names: BTreeSet<&str> = classes.map(|class| class.name.as_str()).collect();
     let changes = names.into_iter().flat_map(|name| {
         let quoted = format!("`{name}`");
-        figures(
+        property_changes(
             "group",
             &quoted,
-            &CLASS_FIGURES,
+            &CLASS_PROPERTIES,
             old.class(name),
             new.class(name),
         )
@@ -116,15 +116,15 @@
 }
 
 /// Returns the changes in the limits of tenants.
-pub(super) fn of_tenants(old: &Plan, new: &Plan) -> Vec<Change> {
+pub(super) fn tenant_changes(old: &Plan, new: &Plan) -> Vec<Change> {
     let tenants = old.tenants.iter().chain(&new.tenants);
     let names: BTreeSet<&str> = tenants.map(|tenant| tenant.name.as_str()).collect();
     let changes = names.into_iter().flat_map(|name| {
         let quoted = format!("`{name}`");
-        figures(
+        property_changes(
             "tenant",
             &quoted,
-            &TENANT_FIGURES,
+            &TENANT_PROPERTIES,
             old.tenant(name),
             new.tenant(name),
         )
@@ -133,11 +133,11 @@
 }
 
 /// Returns the changes in the storage of bodies and of the journal.
-pub(super) fn of_storage(old: &Plan, new: &Plan) -> Vec<Change> {
-    let mut changes = figures(
+pub(super) fn storage_changes(old: &Plan, new: &Plan) -> Vec<Change> {
+    let mut changes = property_changes(
         "store",
         "bodies",
-        &BODIES_FIGURES,
+        &BODIES_PROPERTIES,
         old.bodies.as_ref(),
         new.bodies.as_ref(),
     );
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -7,8 +7,8 @@
 
 /// Returns the limits that only one of the plans has; limits with the same name are reported as one change.
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
-    let removed = unmatched(old, &meanings(new));
-    let added = unmatched(new, &meanings(old));
+    let removed = unmatched(old, &contents(new));
+    let added = unmatched(new, &contents(old));
     let names: BTreeSet<&str> = removed.keys().chain(added.keys()).copied().collect();
     let mut changes = Vec::new();
     for name in names {
@@ -35,29 +35,29 @@
 
 /// The effect of a limit, regardless of its name. Limits with equal contents are interchangeable.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Meaning {
+struct Content {
     scope: LimitScope,
     /// Printed form of the allowed quantities.
     allowed: String,
 }
 
-impl Meaning {
-    fn of(plan: &Plan, limit: &Limit) -> Meaning {
-        Meaning {
+impl Content {
+    fn of(plan: &Plan, limit: &Limit) -> Content {
+        Content {
             scope: scope(plan, limit),
             allowed: limit_in_words(limit),
         }
     }
 }
 
-fn meanings(plan: &Plan) -> BTreeSet<Meaning> {
+fn contents(plan: &Plan) -> BTreeSet<Content> {
     let limits = plan.limits.iter();
-    limits.map(|limit| Meaning::of(plan, limit)).collect()
+    limits.map(|limit| Content::of(plan, limit)).collect()
 }
 
 /// Returns, by name, the limits of a plan whose contents are not among those of the other plan.
-fn unmatched<'a>(plan: &'a Plan, meanings: &BTreeSet<Meaning>) -> BTreeMap<&'a str, &'a Limit> {
-    let is_unmatched = |limit: &&Limit| !meanings.contains(&Meaning::of(plan, limit));
+fn unmatched<'a>(plan: &'a Plan, contents: &BTreeSet<Content>) -> BTreeMap<&'a str, &'a Limit> {
+    let is_unmatched = |limit: &&Limit| !contents.contains(&Content::of(plan, limit));
     let unmatched = plan.limits.iter().filter(is_unmatched);
     unmatched
         .map(|limit| (limit.name.as_str(), limit))
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -1,6 +1,6 @@
 //! Reports changes in the zones and kinds of engines that each query class may use.
 
-use super::side::{priority_levels, Side};
+use super::side::{priority_levels, ComparedPlan};
 use super::Change;
 use crate::cells::{Cells, Place};
 use crate::region::{Dimension, ValueClasses};
@@ -12,8 +12,8 @@
     class_names: &BTreeSet<String>,
     value_classes: &ValueClasses,
     cells: &Cells,
-    old_side: &Side,
-    new_side: &Side,
+    old_side: &ComparedPlan,
+    new_side: &ComparedPlan,
 ) -> Vec<Change> {
     let mut changes = Vec::new();
     for class in class_names {
@@ -39,7 +39,7 @@
 
 /// Returns the zones and kinds of engines that a class may use in a plan through any route that its queries may match.
 fn places<'a>(
-    side: &Side,
+    side: &ComparedPlan,
     class: &str,
     value_class: usize,
     cells: &'a Cells,
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -1,6 +1,6 @@
 //! Reports changes in the engines that queries are routed to and in the queries that are rejected.
 
-use super::side::{priority_levels, Side};
+use super::side::{priority_levels, ComparedPlan};
 use super::{placement, Change};
 use crate::cells::{Cells, ConfiguredNames};
 use crate::model::Plan;
@@ -12,8 +12,8 @@
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
     let value_classes = ValueClasses::of(&[old, new], &[], &[]);
     let cells = Cells::of(&[old, new], ConfiguredNames::default());
-    let old_side = Side::of(old, 0, &value_classes, cells.as_ref());
-    let new_side = Side::of(new, old.addresses.len(), &value_classes, cells.as_ref());
+    let old_side = ComparedPlan::of(old, 0, &value_classes, cells.as_ref());
+    let new_side = ComparedPlan::of(new, old.addresses.len(), &value_classes, cells.as_ref());
     let (Some(old_side), Some(new_side)) = (old_side, new_side) else {
         return not_comparable(old, new);
     };
@@ -99,8 +99,8 @@
     class_names: BTreeSet<String>,
     value_classes: &'a ValueClasses,
     cells: Option<&'a Cells>,
-    old: Side<'a>,
-    new: Side<'a>,
+    old: ComparedPlan<'a>,
+    new: ComparedPlan<'a>,
     cell_sets: CellSets,
 }
 
@@ -205,7 +205,7 @@
 }
 
 fn decision(
-    side: &Side,
+    side: &ComparedPlan,
     route: usize,
     class: &str,
     cells: Option<&Cells>,
--- a/crates/plan/src/diff/side.rs
+++ b/crates/plan/src/diff/side.rs
@@ -6,7 +6,7 @@
 use fixedbitset::FixedBitSet;
 
 /// One of the two compared plans, with the regions of its routes and the cells of its pools.
-pub(super) struct Side<'a> {
+pub(super) struct ComparedPlan<'a> {
     pub(super) plan: &'a Plan,
     /// Cells of each pool by index; `None` if there are too many cells to compute.
     pub(super) pools: Option<Vec<FixedBitSet>>,
@@ -14,7 +14,7 @@
     pub(super) reach: Vec<Vec<Region>>,
 }
 
-impl<'a> Side<'a> {
+impl<'a> ComparedPlan<'a> {
     /// Computes the regions and cells of a plan; `None` if its routes divide queries into too many regions. `first_set`
     /// is the index of the plan's first address set among those of both plans.
     pub(super) fn of(
@@ -28,7 +28,7 @@
             .map(|route| value_classes.region(route, first_set))
             .collect();
         let reach = region::reach(&regions, &region::all_queries(value_classes));
-        Some(Side {
+        Some(ComparedPlan {
             plan,
             pools: cells.map(|cells| cells.of_pools(plan, first_set)),
             reach: reach.into_iter().collect::<Option<_>>()?,
@@ -39,7 +39,7 @@
 /// Returns the priority levels of a class on a route. Each level holds the cells that no earlier level has; empty
 /// levels are omitted.
 pub(super) fn priority_levels(
-    side: &Side,
+    side: &ComparedPlan,
     route: Option<&Route>,
     class: &str,
     cells: &Cells,
