--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -118,7 +118,7 @@
                 let places = &pool_cells.cells;
                 let outside = cells.find(|cell| !is_allowed(class, places.place(*cell)));
                 if let Some(cell) = outside {
-                    let place = place_in_words(places.place(cell));
+                    let place = describe_place(places.place(cell));
                     let pool = &self.plan.pools[*pool].name;
                     let diagnostic = out_of_places_diagnostic(placed, class, &place, pool);
                     self.diagnostics.push(diagnostic);
@@ -150,7 +150,7 @@
     among(&class.zones, place.zone) && among(&class.kinds, place.kind)
 }
 
-fn place_in_words(place: Place) -> String {
+fn describe_place(place: Place) -> String {
     match (place.zone, place.kind) {
         (Some(zone), Some(kind)) => format!("{kind} in {zone}"),
         (_, Some(kind)) => kind.to_string(),
--- a/crates/plan/src/diff/figures.rs
+++ b/crates/plan/src/diff/figures.rs
@@ -1,7 +1,7 @@
 //! Reports changes of single properties: rules of query classes, limits of tenants, storage of bodies and the journal.
 
 use super::Change;
-use crate::explain::{bucket_in_words, bytes, idempotency_in_words, order, percent, seconds};
+use crate::explain::{bytes, describe_bucket, describe_idempotency, order, percent, seconds};
 use crate::model::{Bodies, Bucket, ClassRules, Plan, Tenant};
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
         class.in_order.map(|in_order| order(in_order).to_string())
     }),
     property("effect", |class| {
-        class.idempotency.as_ref().map(idempotency_in_words)
+        class.idempotency.as_ref().map(describe_idempotency)
     }),
     property("further", |class| class.retries_per_query.map(percent)),
     property("statement", |class| class.max_statement_bytes.map(bytes)),
@@ -56,7 +56,7 @@
 ];
 
 fn bucket(bucket: Option<Bucket>) -> Option<String> {
-    bucket.as_ref().map(bucket_in_words)
+    bucket.as_ref().map(describe_bucket)
 }
 
 /// Returns the names in alphabetical order without duplicates, as one list.
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -1,7 +1,7 @@
 //! Reports changes in admission limits, whatever their names and order.
 
 use super::Change;
-use crate::explain::limit_in_words;
+use crate::explain::describe_limit;
 use crate::model::{Limit, LimitScope, Plan};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,14 +14,14 @@
     for name in names {
         let text = match (removed.get(name), added.get(name)) {
             (None, None) => continue,
-            (Some(limit), None) => format!("`{name}` is gone: {}", limit_in_words(limit)),
-            (None, Some(limit)) => format!("`{name}` is new: {}", limit_in_words(limit)),
+            (Some(limit), None) => format!("`{name}` is gone: {}", describe_limit(limit)),
+            (None, Some(limit)) => format!("`{name}` is new: {}", describe_limit(limit)),
             (Some(before), Some(after)) if scope(old, before) != scope(new, after) => {
                 format!("`{name}` now counts other queries")
             }
             (Some(before), Some(after)) => {
-                let before = limit_in_words(before);
-                let after = limit_in_words(after);
+                let before = describe_limit(before);
+                let after = describe_limit(after);
                 format!("`{name}`: {before} -> {after}")
             }
         };
@@ -45,7 +45,7 @@
     fn of(plan: &Plan, limit: &Limit) -> Content {
         Content {
             scope: scope(plan, limit),
-            allowed: limit_in_words(limit),
+            allowed: describe_limit(limit),
         }
     }
 }
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -178,13 +178,13 @@
     }
 
     fn change(&self, difference: &Difference, regions: &[Region], set_names: &[String]) -> Change {
-        let first = self.value_classes.in_words(&regions[0], set_names);
+        let first = self.value_classes.describe(&regions[0], set_names);
         let more = match regions.len() {
             1 => String::new(),
             count => format!(" (and {} more)", count - 1),
         };
-        let old = in_words(self.old.plan, difference.old_route, &difference.old);
-        let mut new = in_words(self.new.plan, difference.new_route, &difference.new);
+        let old = describe(self.old.plan, difference.old_route, &difference.old);
+        let mut new = describe(self.new.plan, difference.new_route, &difference.new);
         if old == new {
             new += ", with other engines";
         }
@@ -229,7 +229,7 @@
     }
 }
 
-fn in_words(plan: &Plan, route: usize, decision: &Decision) -> String {
+fn describe(plan: &Plan, route: usize, decision: &Decision) -> String {
     let class = match decision {
         Decision::Rejected { reason } => return format!("rejected, \"{reason}\""),
         Decision::Routed { class, .. } => class,
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -9,9 +9,9 @@
 use std::fmt::{Result, Write};
 
 pub(crate) use words::{
-    bucket_in_words, bytes, idempotency_in_words, limit_in_words, order, percent, seconds,
+    bytes, describe_bucket, describe_idempotency, describe_limit, order, percent, seconds,
 };
-use words::{class_in_words, pool_in_words, tenant_in_words};
+use words::{describe_class, describe_pool, describe_tenant};
 
 /// Maximum number of non-matching routes that are printed; of the others only the number is printed.
 const MAX_PRINTED_MISMATCHES: usize = 20;
@@ -111,7 +111,7 @@
         for (index, pool) in route.pools.iter().enumerate() {
             let pool = &plan.pools[*pool];
             let place = self.location(&pool.span);
-            let words = pool_in_words(plan, pool);
+            let words = describe_pool(plan, pool);
             let number = index + 1;
             writeln!(
                 self.out,
@@ -126,7 +126,7 @@
         let plan = &self.compiled.plan;
         for class in names.iter().filter_map(|name| plan.class(name)) {
             let place = self.location(&class.span);
-            let words = class_in_words(plan, class);
+            let words = describe_class(plan, class);
             writeln!(self.out, "group `{}` ({place}): {words}", class.name)?;
         }
         Ok(())
@@ -137,7 +137,7 @@
             return Ok(());
         };
         let place = self.location(&tenant.span);
-        let words = tenant_in_words(tenant);
+        let words = describe_tenant(tenant);
         writeln!(self.out, "tenant `{}` ({place}): {words}", tenant.name)
     }
 
@@ -148,7 +148,7 @@
                 continue;
             }
             let place = self.location(&limit.span);
-            let words = limit_in_words(limit);
+            let words = describe_limit(limit);
             writeln!(self.out, "limit `{}` ({place}): {words}", limit.name)?;
         }
         Ok(())
--- a/crates/plan/src/explain/words.rs
+++ b/crates/plan/src/explain/words.rs
@@ -46,7 +46,7 @@
     pools.iter().map(name).collect()
 }
 
-pub(super) fn pool_in_words(plan: &Plan, pool: &Pool) -> String {
+pub(super) fn describe_pool(plan: &Plan, pool: &Pool) -> String {
     let set_name = |set: &usize| plan.addresses[*set].name.clone();
     let sets: Vec<String> = pool.addresses.iter().map(set_name).collect();
     joined([
@@ -60,8 +60,8 @@
     ])
 }
 
-pub(super) fn class_in_words(plan: &Plan, class: &ClassRules) -> String {
-    let effect = |idempotency| format!("effect {}", idempotency_in_words(&idempotency));
+pub(super) fn describe_class(plan: &Plan, class: &ClassRules) -> String {
+    let effect = |idempotency| format!("effect {}", describe_idempotency(&idempotency));
     joined([
         class
             .latency_objective
@@ -83,7 +83,7 @@
     ])
 }
 
-pub(crate) fn idempotency_in_words(idempotency: &Idempotency) -> String {
+pub(crate) fn describe_idempotency(idempotency: &Idempotency) -> String {
     let (scope, window) = match idempotency {
         Idempotency::Idempotent => return "repeatable".to_string(),
         Idempotency::NonIdempotent => return "once-only".to_string(),
@@ -97,7 +97,7 @@
     format!("referenced {scope} {}", seconds(*window))
 }
 
-pub(super) fn tenant_in_words(tenant: &Tenant) -> String {
+pub(super) fn describe_tenant(tenant: &Tenant) -> String {
     joined([
         tenant
             .share
@@ -108,7 +108,7 @@
     ])
 }
 
-pub(crate) fn limit_in_words(limit: &Limit) -> String {
+pub(crate) fn describe_limit(limit: &Limit) -> String {
     let per = limit.per.iter().map(|per| match per {
         Per::Class => "group".to_string(),
         Per::Tenant => "tenant".to_string(),
@@ -123,9 +123,9 @@
 }
 
 fn bucket(entry: &str, bucket: Option<Bucket>) -> Option<String> {
-    bucket.map(|bucket| format!("{entry} {}", bucket_in_words(&bucket)))
+    bucket.map(|bucket| format!("{entry} {}", describe_bucket(&bucket)))
 }
 
-pub(crate) fn bucket_in_words(bucket: &Bucket) -> String {
+pub(crate) fn describe_bucket(bucket: &Bucket) -> String {
     format!("{}/s burst {}", bucket.tokens_per_second, bucket.max_tokens)
 }
--- a/crates/plan/src/region/describe.rs
+++ b/crates/plan/src/region/describe.rs
@@ -14,18 +14,18 @@
 impl ValueClasses {
     /// Describes a region by the dimensions in which it does not contain all values. `set_names` are the names of the
     /// address sets of all plans, in order of index.
-    pub fn in_words(&self, region: &Region, set_names: &[String]) -> String {
+    pub fn describe(&self, region: &Region, set_names: &[String]) -> String {
         let counts = self.counts();
         let describe = |dimension: Dimension| {
             let classes = &region[dimension.index()];
             match dimension {
-                Dimension::QueryClass => names("group", &self.query_classes, classes),
-                Dimension::Tenant => names("tenant", &self.tenants, classes),
-                Dimension::Client => self.clients_in_words(classes, set_names),
+                Dimension::QueryClass => describe_names("group", &self.query_classes, classes),
+                Dimension::Tenant => describe_names("tenant", &self.tenants, classes),
+                Dimension::Client => self.describe_clients(classes, set_names),
                 Dimension::Key if classes.contains(WITH_KEY) => "with a key".to_string(),
                 Dimension::Key => "without a key".to_string(),
-                Dimension::DataSet => self.data_sets_in_words(classes),
-                Dimension::MinuteOfDay => self.hours_in_words(classes),
+                Dimension::DataSet => self.describe_data_sets(classes),
+                Dimension::MinuteOfDay => self.describe_hours(classes),
             }
         };
         let is_partial = |dimension: &Dimension| {
@@ -41,7 +41,7 @@
     }
 
     /// Describes each class of clients by the first address set that contains it.
-    fn clients_in_words(&self, classes: &FixedBitSet, set_names: &[String]) -> String {
+    fn describe_clients(&self, classes: &FixedBitSet, set_names: &[String]) -> String {
         let mut sets: Vec<&str> = Vec::new();
         for class in classes.ones() {
             let members = self.clients.members(class);
@@ -54,7 +54,7 @@
         format!("client {}", list(&sets))
     }
 
-    fn data_sets_in_words(&self, classes: &FixedBitSet) -> String {
+    fn describe_data_sets(&self, classes: &FixedBitSet) -> String {
         let range = |run: RangeInclusive<usize>| {
             let from = self.data_sets[*run.start()];
             match self.data_sets.get(run.end() + 1).map(|next| next - 1) {
@@ -67,7 +67,7 @@
         format!("data-set {}", list(&ranges))
     }
 
-    fn hours_in_words(&self, classes: &FixedBitSet) -> String {
+    fn describe_hours(&self, classes: &FixedBitSet) -> String {
         let range = |run: RangeInclusive<usize>| {
             let end = self.minutes_of_day.get(run.end() + 1).copied();
             let until = end.unwrap_or(MINUTES_PER_DAY);
@@ -82,10 +82,10 @@
     }
 }
 
-fn names(what: &str, names: &NameClasses, classes: &FixedBitSet) -> String {
+fn describe_names(keyword: &str, names: &NameClasses, classes: &FixedBitSet) -> String {
     let name = |class| names.name(class).unwrap_or("others");
     let all: Vec<&str> = classes.ones().map(name).collect();
-    format!("{what} {}", list(&all))
+    format!("{keyword} {}", list(&all))
 }
 
 fn list<Name: AsRef<str>>(names: &[Name]) -> String {
