--- a/crates/plan/src/cells.rs
+++ b/crates/plan/src/cells.rs
@@ -63,7 +63,7 @@
         let cells = Cells {
             zones: names(pools().flat_map(|pool| &pool.zones), configured.zones),
             kinds: names(pools().flat_map(|pool| &pool.kinds), configured.kinds),
-            pattern_sets: patterns::sets(&patterns)?,
+            pattern_sets: patterns::matchable_sets(&patterns)?,
             patterns,
             addresses: AddressClasses::new(&address_sets),
         };
@@ -104,8 +104,8 @@
     pub fn of_pools(&self, plan: &Plan, first_set: usize) -> Vec<FixedBitSet> {
         let mut cells = vec![FixedBitSet::with_capacity(self.count()); plan.pools.len()];
         for cell in 0..self.count() {
-            let at = self.coordinates(cell);
-            let matching = plan.pools_matching(|pool| self.fits(pool, &at, first_set));
+            let coordinates = self.coordinates(cell);
+            let matching = plan.pools_matching(|pool| self.matches(pool, &coordinates, first_set));
             for (pool, matches) in matching.into_iter().enumerate() {
                 cells[pool].set(cell, matches);
             }
@@ -114,19 +114,19 @@
     }
 
     /// Returns whether the pool's own entries select the engines of a cell, without `union` and `except`.
-    fn fits(&self, pool: &Pool, cell: &Coordinates, first_set: usize) -> bool {
+    fn matches(&self, pool: &Pool, cell: &Coordinates, first_set: usize) -> bool {
         let zone = self.zones[cell.zone].as_deref();
         let kind = self.kinds[cell.kind].as_deref();
         let patterns = &self.pattern_sets[cell.pattern_set];
         let sets = self.addresses.members(cell.address);
-        let fits_id = |pattern: &str| {
+        let matches_id = |pattern: &str| {
             let index = self.patterns.binary_search_by(|p| p.as_str().cmp(pattern));
             index.is_ok_and(|index| patterns.contains(index))
         };
-        pool.fits(
+        pool.matches(
             |name| zone == Some(name),
             |name| kind == Some(name),
-            fits_id,
+            matches_id,
             |set| sets.contains(first_set + set),
         )
     }
--- a/crates/plan/src/cells/patterns.rs
+++ b/crates/plan/src/cells/patterns.rs
@@ -1,6 +1,6 @@
 //! Computes the sets of patterns that a single engine id can match at once.
 
-use crate::model::fits_pattern;
+use crate::model::matches_pattern;
 use fixedbitset::FixedBitSet;
 
 /// Maximum number of such sets. For plans that need more, no cells are computed.
@@ -10,7 +10,7 @@
 ///
 /// A set never contains two patterns that exclude each other, and with a pattern it always contains every more general
 /// one. Both tests are conservative, so some of the returned sets may not match any id.
-pub(super) fn sets(patterns: &[String]) -> Option<Vec<FixedBitSet>> {
+pub(super) fn matchable_sets(patterns: &[String]) -> Option<Vec<FixedBitSet>> {
     let mut sets = vec![FixedBitSet::with_capacity(patterns.len())];
     for added in 0..patterns.len() {
         let extended = sets.iter().flat_map(|set| extensions(set, patterns, added));
@@ -47,7 +47,7 @@
 /// Returns whether every text that matches `narrow` also matches `wide`. A `*` in `narrow` is treated as a literal
 /// character, which only a `*` in `wide` matches.
 fn is_within(narrow: &str, wide: &str) -> bool {
-    fits_pattern(wide, narrow)
+    matches_pattern(wide, narrow)
 }
 
 /// Returns whether no text can match both patterns, judging only by their literal prefixes and suffixes and, for a
@@ -55,7 +55,7 @@
 fn are_disjoint(a: &str, b: &str) -> bool {
     let prefix = |pattern: &str| pattern.split('*').next().unwrap_or_default().to_string();
     let suffix = |pattern: &str| pattern.rsplit('*').next().unwrap_or_default().to_string();
-    let is_excluded = |word: &str, by: &str| !word.contains('*') && !fits_pattern(by, word);
+    let is_excluded = |word: &str, by: &str| !word.contains('*') && !matches_pattern(by, word);
     let prefixes_agree = prefix(a).starts_with(&prefix(b)) || prefix(b).starts_with(&prefix(a));
     let suffixes_agree = suffix(a).ends_with(&suffix(b)) || suffix(b).ends_with(&suffix(a));
     !prefixes_agree || !suffixes_agree || is_excluded(a, b) || is_excluded(b, a)
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -16,7 +16,7 @@
 pub use classes::{ClassRules, DeduplicationScope, Idempotency, RETRY_FLOOR, RETRY_WINDOW_SECONDS};
 pub use limits::{Bucket, Limit, LimitScope, Per, Tenant};
 pub use routes::Route;
-pub use sets::{fits_pattern, AddressSet, Pool};
+pub use sets::{matches_pattern, AddressSet, Pool};
 pub use storage::{Bodies, Journal};
 
 /// The properties of a query that routes and limits match on.
@@ -82,23 +82,23 @@
             set.is_some_and(|set| set.contains(engine.address))
         };
         self.pools_matching(|pool| {
-            pool.fits(
+            pool.matches(
                 |zone| zone == engine.zone,
                 |kind| kind == engine.kind,
-                |pattern| fits_pattern(pattern, engine.id),
+                |pattern| matches_pattern(pattern, engine.id),
                 in_set,
             )
         })
     }
 
-    /// Returns for each pool, by index, whether it contains an engine. `fits` states whether a pool directly selects
+    /// Returns for each pool, by index, whether it contains an engine. `matches` states whether a pool directly selects
     /// the engine; `union` and `except` are then applied.
-    pub fn pools_matching(&self, fits: impl Fn(&Pool) -> bool) -> Vec<bool> {
+    pub fn pools_matching(&self, matches: impl Fn(&Pool) -> bool) -> Vec<bool> {
         let mut matching = vec![false; self.pools.len()];
         for index in &self.pool_order {
             let pool = &self.pools[*index];
             let in_any = |pools: &[usize]| pools.iter().any(|other| matching[*other]);
-            matching[*index] = (fits(pool) || in_any(&pool.union)) && !in_any(&pool.except);
+            matching[*index] = (matches(pool) || in_any(&pool.union)) && !in_any(&pool.except);
         }
         matching
     }
--- a/crates/plan/src/model/routes.rs
+++ b/crates/plan/src/model/routes.rs
@@ -48,7 +48,7 @@
 
 impl Route {
     /// Returns whether the route matches queries that arrive at this minute of the day, UTC.
-    pub fn is_open_at(&self, minute: u32) -> bool {
+    pub fn matches_minute(&self, minute: u32) -> bool {
         let mut ranges = self.times_of_day.iter();
         self.times_of_day.is_empty() || ranges.any(|range| range.contains(minute))
     }
@@ -76,7 +76,7 @@
             Some("key")
         } else if !self.data_sets.is_empty() && !self.data_sets.iter().any(has_data_set) {
             Some("data-set")
-        } else if !self.is_open_at(query.minute_of_day % MINUTES_PER_DAY) {
+        } else if !self.matches_minute(query.minute_of_day % MINUTES_PER_DAY) {
             Some("hours")
         } else {
             None
--- a/crates/plan/src/model/sets.rs
+++ b/crates/plan/src/model/sets.rs
@@ -62,15 +62,15 @@
 
     /// Returns whether the pool directly selects an engine, without `union` and `except`. The arguments state whether
     /// the engine matches a zone, a kind, an id pattern and an address set.
-    pub fn fits(
+    pub fn matches(
         &self,
         zone: impl Fn(&str) -> bool,
         kind: impl Fn(&str) -> bool,
         id: impl Fn(&str) -> bool,
         address: impl Fn(usize) -> bool,
     ) -> bool {
-        let any = |names: &[String], fits: &dyn Fn(&str) -> bool| {
-            names.is_empty() || names.iter().any(|name| fits(name))
+        let any = |names: &[String], matches: &dyn Fn(&str) -> bool| {
+            names.is_empty() || names.iter().any(|name| matches(name))
         };
         let in_sets = self.addresses.is_empty() || self.addresses.iter().any(|set| address(*set));
         self.selects()
@@ -82,7 +82,7 @@
 }
 
 /// Returns whether a text matches a pattern in which `*` stands for any number of characters.
-pub fn fits_pattern(pattern: &str, text: &str) -> bool {
+pub fn matches_pattern(pattern: &str, text: &str) -> bool {
     let Some((prefix, pattern)) = pattern.split_once('*') else {
         return pattern == text;
     };
--- a/crates/plan/src/region/value_classes.rs
+++ b/crates/plan/src/region/value_classes.rs
@@ -152,7 +152,7 @@
                 .has_key
                 .is_none_or(|has_key| has_key == (class == WITH_KEY)),
             Dimension::DataSet => route.data_sets.is_empty() || self.is_data_set(route, class),
-            Dimension::MinuteOfDay => route.is_open_at(self.minutes_of_day[class]),
+            Dimension::MinuteOfDay => route.matches_minute(self.minutes_of_day[class]),
         }
     }
 
