--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -9,7 +9,7 @@
 use crate::region::{Dimension, Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 
-/// A route that names pools, with the regions of queries that reach it.
+/// A route that names pools, with the regions of queries that it decides on.
 struct PlacedRoute<'a> {
     route: &'a Route,
     /// Span of the entry that names the pools.
@@ -43,14 +43,14 @@
     pub(super) fn check_placement(
         &mut self,
         value_classes: &ValueClasses,
-        reach: &[Option<Vec<Region>>],
+        effective: &[Option<Vec<Region>>],
     ) {
         let cells = Cells::of(&[self.plan], self.configured_names());
         let pool_cells = cells.map(|cells| PoolCells {
             of_pools: cells.of_pools(self.plan, 0),
             cells,
         });
-        for (route, pieces) in self.plan.routes.iter().zip(reach) {
+        for (route, pieces) in self.plan.routes.iter().zip(effective) {
             let Some(pools_span) = &route.pools_span else {
                 continue;
             };
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -15,16 +15,16 @@
         let value_classes = ValueClasses::of(&[self.plan], &class_names, tenants);
         let routes = self.plan.routes.iter();
         let regions: Vec<Region> = routes.map(|route| value_classes.region(route, 0)).collect();
-        let reach = region::reach(&regions, &region::all_queries(&value_classes));
-        self.report_never_matching(&regions, &reach);
+        let effective = region::effective_regions(&regions, &region::all_queries(&value_classes));
+        self.report_never_matching(&regions, &effective);
         self.check_treated_as();
-        self.check_placement(&value_classes, &reach);
+        self.check_placement(&value_classes, &effective);
     }
 
     /// Reports routes that can never match, because earlier routes match all their queries.
-    fn report_never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
+    fn report_never_matching(&mut self, regions: &[Region], effective: &[Option<Vec<Region>>]) {
         for (index, route) in self.plan.routes.iter().enumerate() {
-            let may_match = reach[index]
+            let may_match = effective[index]
                 .as_ref()
                 .is_none_or(|pieces| !pieces.is_empty());
             if may_match {
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -45,7 +45,7 @@
     cells: &'a Cells,
 ) -> BTreeSet<Place<'a>> {
     let mut usable = FixedBitSet::with_capacity(cells.count());
-    for (index, pieces) in side.reach.iter().enumerate() {
+    for (index, pieces) in side.effective.iter().enumerate() {
         let route = side.plan.routes.get(index);
         let is_rejected = route.is_some_and(|route| route.reject_reason.is_some());
         let is_matched = pieces
--- a/crates/plan/src/diff/routing.rs
+++ b/crates/plan/src/diff/routing.rs
@@ -130,8 +130,8 @@
     /// Returns the regions of queries on which the two plans decide differently, grouped by both decisions.
     fn differences(&mut self) -> BTreeMap<Difference, Vec<Region>> {
         let mut differences: BTreeMap<Difference, Vec<Region>> = BTreeMap::new();
-        for old_route in 0..self.old.reach.len() {
-            for new_route in 0..self.new.reach.len() {
+        for old_route in 0..self.old.effective.len() {
+            for new_route in 0..self.new.effective.len() {
                 for piece in self.common_pieces(old_route, new_route) {
                     for value_class in piece[Dimension::QueryClass.index()].ones() {
                         let Some(difference) = self.difference(old_route, new_route, value_class)
@@ -149,8 +149,8 @@
 
     /// Returns the regions that `old_route` of the old plan and `new_route` of the new plan decide on.
     fn common_pieces(&self, old_route: usize, new_route: usize) -> Vec<Region> {
-        let old_pieces = self.old.reach[old_route].iter();
-        let new_pieces = &self.new.reach[new_route];
+        let old_pieces = self.old.effective[old_route].iter();
+        let new_pieces = &self.new.effective[new_route];
         let common = old_pieces.flat_map(|old| {
             let with_old = |new| region::intersection(old, new);
             new_pieces.iter().filter_map(with_old)
--- a/crates/plan/src/diff/side.rs
+++ b/crates/plan/src/diff/side.rs
@@ -11,7 +11,7 @@
     /// Cells of each pool by index; `None` if there are too many cells to compute.
     pub(super) pools: Option<Vec<FixedBitSet>>,
     /// Regions that each route decides on; the last item holds the regions that no route matches.
-    pub(super) reach: Vec<Vec<Region>>,
+    pub(super) effective: Vec<Vec<Region>>,
 }
 
 impl<'a> ComparedPlan<'a> {
@@ -27,11 +27,11 @@
         let regions: Vec<Region> = regions
             .map(|route| value_classes.region(route, first_set))
             .collect();
-        let reach = region::reach(&regions, &region::all_queries(value_classes));
+        let effective = region::effective_regions(&regions, &region::all_queries(value_classes));
         Some(ComparedPlan {
             plan,
             pools: cells.map(|cells| cells.of_pools(plan, first_set)),
-            reach: reach.into_iter().collect::<Option<_>>()?,
+            effective: effective.into_iter().collect::<Option<_>>()?,
         })
     }
 }
--- a/crates/plan/src/region.rs
+++ b/crates/plan/src/region.rs
@@ -94,17 +94,17 @@
 
 /// Returns for each route the part of its region that no earlier route matches, as disjoint pieces; `None` if there are
 /// too many pieces. The last item is the part of `whole` that no route matches.
-pub fn reach(regions: &[Region], whole: &Region) -> Vec<Option<Vec<Region>>> {
+pub fn effective_regions(regions: &[Region], whole: &Region) -> Vec<Option<Vec<Region>>> {
     let routes = regions
         .iter()
         .enumerate()
-        .map(|(index, region)| without(region, &regions[..index]));
-    let unmatched = without(whole, regions);
+        .map(|(index, region)| subtract_all(region, &regions[..index]));
+    let unmatched = subtract_all(whole, regions);
     routes.chain(std::iter::once(unmatched)).collect()
 }
 
 /// Returns the part of a region that is in none of `others`, as disjoint pieces; `None` if there are too many pieces.
-fn without(region: &Region, others: &[Region]) -> Option<Vec<Region>> {
+fn subtract_all(region: &Region, others: &[Region]) -> Option<Vec<Region>> {
     let mut pieces = vec![region.clone()];
     for other in others.iter().filter(|other| overlaps(region, other)) {
         if pieces.is_empty() || pieces.len() > MAX_PIECES {
