--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -21,12 +21,12 @@
     /// Returns the range of all addresses of a network.
     pub fn of(network: &IpNet) -> Self {
         AddressRange {
-            first: number(network.network()),
-            last: number(network.broadcast()),
+            first: to_integer(network.network()),
+            last: to_integer(network.broadcast()),
         }
     }
 
-    /// Returns whether the range contains `address`, given as by [`number`].
+    /// Returns whether the range contains `address`, an integer from [`to_integer`].
     pub fn contains(&self, address: u128) -> bool {
         (self.first..=self.last).contains(&address)
     }
@@ -36,7 +36,7 @@
 pub type AddressRanges = Vec<AddressRange>;
 
 /// Returns the integer value of an address; an IPv4 address is first mapped to IPv6.
-pub fn number(address: IpAddr) -> u128 {
+pub fn to_integer(address: IpAddr) -> u128 {
     u128::from(match address {
         IpAddr::V4(address) => address.to_ipv6_mapped(),
         IpAddr::V6(address) => address,
@@ -156,8 +156,8 @@
     }
 
     fn fill_v4(&mut self) {
-        let first = number(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
-        let last = number(IpAddr::V4(Ipv4Addr::BROADCAST));
+        let first = to_integer(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
+        let last = to_integer(IpAddr::V4(Ipv4Addr::BROADCAST));
         let begin = self.v6_starts.partition_point(|start| *start <= first) - 1;
         let starts = self.v6_starts[begin..].iter();
         let ranges = starts.zip(&self.v6_classes[begin..]);
--- a/crates/plan/src/address/tests.rs
+++ b/crates/plan/src/address/tests.rs
@@ -36,7 +36,7 @@
     networks
         .iter()
         .map(AddressRange::of)
-        .any(|range| (range.first..=range.last).contains(&number(address)))
+        .any(|range| (range.first..=range.last).contains(&to_integer(address)))
 }
 
 proptest! {
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -144,8 +144,8 @@
         let diagnostic = Diagnostic::new(block.kind.span.clone(), text);
         return Err(diagnostic.help(format!("add a name: `{} some-name {{`", kind.name)));
     };
-    match quantity::read(ValueKind::Name, name) {
+    match quantity::parse(ValueKind::Name, name) {
         Ok(_) => Ok(name),
-        Err(error) => Err(error.at(name.span.clone())),
+        Err(error) => Err(error.into_diagnostic(name.span.clone())),
     }
 }
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -89,36 +89,36 @@
 }
 
 impl<'a> Expansion<'a> {
-    /// Appends a word, expanded if it is a reference. `used` is the word of the entry from which this word was reached
+    /// Appends a word, expanded if it is a reference. `site` is the word of the entry from which this word was reached
     /// through `depth` constants.
-    fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Diagnostic> {
+    fn add(&mut self, word: &Word, site: &Word, depth: usize) -> Result<(), Diagnostic> {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.is_quoted) else {
             self.words.push(ExpandedWord {
                 word: Word {
-                    span: used.span.clone(),
+                    span: site.span.clone(),
                     ..word.clone()
                 },
                 defined_at: (depth > 0).then(|| word.span.clone()),
             });
             return Ok(());
         };
-        let constant = self.constant(name, used, depth)?;
+        let constant = self.constant(name, site, depth)?;
         for inner in &constant.values {
-            self.add(inner, used, depth + 1)?;
+            self.add(inner, site, depth + 1)?;
         }
         Ok(())
     }
 
-    /// Looks up a constant that is referred to at nesting depth `depth`; errors are reported at the word `used`.
-    fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
+    /// Looks up a constant that is referred to at nesting depth `depth`; errors are reported at the word `site`.
+    fn constant(&self, name: &str, site: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
         let constants = &self.constants.by_name;
         let Some(constant) = constants.get(name) else {
             let text = format!("unknown constant `{}`", truncated(name));
-            let diagnostic = Diagnostic::new(used.span.clone(), text);
+            let diagnostic = Diagnostic::new(site.span.clone(), text);
             return Err(diagnostic.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
         let error = |text: String| {
-            let diagnostic = Diagnostic::new(used.span.clone(), text);
+            let diagnostic = Diagnostic::new(site.span.clone(), text);
             Err(diagnostic.related(constant.span.clone(), "the constant is defined here"))
         };
         if depth >= MAX_DEPTH {
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -98,12 +98,12 @@
 
     fn read_value(&mut self, kind: ValueKind, expanded: &ExpandedWord) -> Option<Spanned> {
         let word = &expanded.word;
-        match quantity::read(kind, word) {
+        match quantity::parse(kind, word) {
             Ok(value) => Some(Spanned {
                 value,
                 span: word.span.clone(),
             }),
-            Err(error) => self.fail_in(expanded, error.at(word.span.clone())),
+            Err(error) => self.fail_in(expanded, error.into_diagnostic(word.span.clone())),
         }
     }
 
--- a/crates/plan/src/diagnostic.rs
+++ b/crates/plan/src/diagnostic.rs
@@ -19,18 +19,18 @@
     /// Short text printed beside the marked span.
     pub label: Option<String>,
     /// Further locations that help to understand the error, such as an earlier definition.
-    pub related: Vec<RelatedPlace>,
+    pub related: Vec<RelatedSpan>,
     /// Suggestion for correcting the error, such as the nearest known name or an example.
     pub help: Option<String>,
 }
 
 /// A secondary location of a diagnostic.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RelatedPlace {
+pub struct RelatedSpan {
     /// Location that is marked.
     pub span: Span,
     /// Text printed beside it that states how it relates to the error.
-    pub reason: String,
+    pub label: String,
 }
 
 impl Diagnostic {
@@ -52,9 +52,9 @@
     }
 
     /// Adds a secondary location with the text to print beside it.
-    pub fn related(mut self, span: Span, reason: impl Into<String>) -> Self {
-        let reason = reason.into();
-        self.related.push(RelatedPlace { span, reason });
+    pub fn related(mut self, span: Span, label: impl Into<String>) -> Self {
+        let label = label.into();
+        self.related.push(RelatedSpan { span, label });
         self
     }
 
--- a/crates/plan/src/diagnostic/render.rs
+++ b/crates/plan/src/diagnostic/render.rs
@@ -71,7 +71,7 @@
     let label = diagnostic.label.as_deref().unwrap_or_default();
     let related = diagnostic.related.iter();
     std::iter::once((&diagnostic.span, label))
-        .chain(related.map(|place| (&place.span, place.reason.as_str())))
+        .chain(related.map(|place| (&place.span, place.label.as_str())))
 }
 
 /// Returns whether the source lines of a span can be printed: few and short enough, and without control characters,
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -33,7 +33,7 @@
 struct Formatter {
     text: String,
     /// Whether a blank line is printed before the next line.
-    needs_gap: bool,
+    needs_blank_line: bool,
     /// Whether the last printed line closes a block, so that a blank line must follow.
     is_after_block: bool,
 }
@@ -41,10 +41,10 @@
 impl Formatter {
     fn print_item(&mut self, item: &Item) {
         match item {
-            Item::Blank(None) => self.request_gap(),
+            Item::Blank(None) => self.request_blank_line(),
             Item::Blank(Some(comment)) => self.print_line(0, comment, &None),
             Item::Include { path, comment, .. } => {
-                self.print_line(0, &format!("include {}", as_written(path)), comment)
+                self.print_line(0, &format!("include {}", source_text(path)), comment)
             }
             Item::Constant {
                 name,
@@ -56,17 +56,17 @@
         }
     }
 
-    fn request_gap(&mut self) {
-        self.needs_gap = !self.text.is_empty() && !self.text.ends_with("{\n");
+    fn request_blank_line(&mut self) {
+        self.needs_blank_line = !self.text.is_empty() && !self.text.ends_with("{\n");
     }
 
     /// Prints one line, preceded by a blank line if one is due.
     fn print_line(&mut self, indent: usize, code: &str, comment: &Option<String>) {
         let follows_block = self.is_after_block && indent == 0 && code != "}";
-        if self.needs_gap || follows_block {
+        if self.needs_blank_line || follows_block {
             self.text.push('\n');
         }
-        self.needs_gap = false;
+        self.needs_blank_line = false;
         self.is_after_block = false;
         self.text += &" ".repeat(indent);
         self.text += code;
@@ -81,24 +81,24 @@
         // A blank line precedes each block, unless a comment is directly above it.
         let last_printed = self.text.lines().next_back();
         let follows_comment = last_printed.is_some_and(|last| last.starts_with('#'));
-        self.needs_gap |= !self.text.is_empty() && !follows_comment;
+        self.needs_blank_line |= !self.text.is_empty() && !follows_comment;
         let kind = &block.kind.text;
         let head = match &block.name {
-            Some(name) => format!("{kind} {} {{", as_written(name)),
+            Some(name) => format!("{kind} {} {{", source_text(name)),
             None => format!("{kind} {{"),
         };
         self.print_line(0, &head, &block.comment);
         for item in &block.items {
             match item {
-                BlockItem::Blank(None) => self.request_gap(),
+                BlockItem::Blank(None) => self.request_blank_line(),
                 BlockItem::Blank(Some(comment)) => self.print_line(INDENT_COLUMNS, comment, &None),
                 BlockItem::Entry(entry) => {
-                    let name = as_written(&entry.name);
+                    let name = source_text(&entry.name);
                     self.print_wrapped(INDENT_COLUMNS, &name, &entry.parts, &entry.comment)
                 }
             }
         }
-        self.needs_gap = false;
+        self.needs_blank_line = false;
         self.print_line(0, "}", &block.close_comment);
         self.is_after_block = true;
     }
@@ -116,7 +116,7 @@
         for part in parts {
             for (index, word) in part.iter().enumerate() {
                 let comma = if index + 1 < part.len() { "," } else { "" };
-                let next = format!("{}{comma}", as_written(word));
+                let next = format!("{}{comma}", source_text(word));
                 let columns = code_indent + code.chars().count() + 1 + next.chars().count();
                 if index > 0 && columns > MAX_COLUMNS {
                     self.print_line(code_indent, &code, &None);
@@ -132,7 +132,7 @@
 }
 
 /// Returns a word as in the source, with quotes and escapes if it is quoted.
-fn as_written(word: &Word) -> String {
+fn source_text(word: &Word) -> String {
     if !word.is_quoted {
         return word.text.clone();
     }
--- a/crates/plan/src/model/sets.rs
+++ b/crates/plan/src/model/sets.rs
@@ -1,6 +1,6 @@
 //! Defines address sets and pools of engines.
 
-use crate::address::{number, AddressRanges};
+use crate::address::{to_integer, AddressRanges};
 use crate::files::Span;
 use serde::{Serialize, Serializer};
 use std::net::{IpAddr, Ipv6Addr};
@@ -21,7 +21,7 @@
 impl AddressSet {
     /// Returns whether the set contains an address.
     pub fn contains(&self, address: IpAddr) -> bool {
-        let number = number(address);
+        let number = to_integer(address);
         self.ranges.iter().any(|range| range.contains(number))
     }
 }
--- a/crates/plan/src/quantity.rs
+++ b/crates/plan/src/quantity.rs
@@ -153,7 +153,7 @@
     }
 
     /// Converts the error to a diagnostic at the location of the word.
-    pub fn at(self, span: Span) -> Diagnostic {
+    pub fn into_diagnostic(self, span: Span) -> Diagnostic {
         Diagnostic {
             help: self.help,
             ..Diagnostic::new(span, self.text)
@@ -166,7 +166,7 @@
 /// # Errors
 ///
 /// Fails if the word is not valid for the kind, or is quoted and should not be, or the reverse.
-pub fn read(kind: ValueKind, word: &Word) -> Result<Value, ValueError> {
+pub fn parse(kind: ValueKind, word: &Word) -> Result<Value, ValueError> {
     let text = word.text.as_str();
     match (word.is_quoted, kind == ValueKind::Text) {
         (true, false) => return Err(ValueError::not(text, "found the quoted text", kind)),
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -104,7 +104,7 @@
     fn report_headless_block(&mut self, pair: Pair<Rule>) {
         for part in pair.into_inner() {
             match part.as_rule() {
-                Rule::bad_head => self.report_unreadable(&part, Context::File),
+                Rule::invalid_head => self.report_unreadable(&part, Context::File),
                 Rule::unreadable => self.report_unreadable(&part, Context::Block),
                 _ => {}
             }
--- a/crates/plan/src/syntax/unreadable.rs
+++ b/crates/plan/src/syntax/unreadable.rs
@@ -14,9 +14,9 @@
 
 /// Returns the diagnostic for an invalid line with the given span and text.
 pub(super) fn diagnostic(span: Span, text: &str, context: Context) -> Diagnostic {
-    bad_character(&span, text)
-        .or_else(|| bad_string(&span, text))
-        .unwrap_or_else(|| misplaced(span, text.trim(), context))
+    invalid_character(&span, text)
+        .or_else(|| invalid_string(&span, text))
+        .unwrap_or_else(|| unexpected_text(span, text.trim(), context))
 }
 
 /// Returns the part of a span that starts at an offset relative to its start.
@@ -29,7 +29,7 @@
     }
 }
 
-fn bad_character(span: &Span, text: &str) -> Option<Diagnostic> {
+fn invalid_character(span: &Span, text: &str) -> Option<Diagnostic> {
     let is_forbidden = |c: char| c.is_control() && !matches!(c, '\n' | '\r' | '\t');
     let (offset, character) = text.char_indices().find(|(_, c)| is_forbidden(*c))?;
     let text = format!(
@@ -40,23 +40,23 @@
     Some(Diagnostic::new(place, text))
 }
 
-fn bad_string(span: &Span, text: &str) -> Option<Diagnostic> {
+fn invalid_string(span: &Span, text: &str) -> Option<Diagnostic> {
     if let Some(offset) = unclosed_quote(text) {
         let place = within(span, offset, text.trim_end().len() - offset);
         let help = "close the string with `\"` on the same line; inside it, write `\\\"` for `\"` and `\\\\` for `\\`";
         return Some(Diagnostic::new(place, "unclosed string").help(help));
     }
-    let offset = bad_escape(text)?;
+    let offset = invalid_escape(text)?;
     let text = "invalid escape in string: `\\` can only precede `\"` or `\\`";
     Some(Diagnostic::new(within(span, offset, 2), text))
 }
 
 /// Returns the diagnostic for an invalid line whose characters and strings are valid. The first matching case decides.
-fn misplaced(span: Span, line: &str, context: Context) -> Diagnostic {
+fn unexpected_text(span: Span, line: &str, context: Context) -> Diagnostic {
     const ENTRY_HELP: &str = "an entry is a name followed by its values, for example `limit 20s`";
     const FILE_HELP: &str = "for example: `include \"...\"`, `let a = ...` or `pool big {`";
     let in_block = context == Context::Block;
-    let has_bad_comma = line.contains(",,") || line.ends_with(',') || line.starts_with(',');
+    let has_extra_comma = line.contains(",,") || line.ends_with(',') || line.starts_with(',');
     let diagnostic = |text: &str| Diagnostic::new(span, text);
     if line == "}" {
         diagnostic("unmatched `}`")
@@ -74,7 +74,7 @@
         diagnostic("expected a block kind before `{`").help("for example: `pool big {`")
     } else if line.contains('{') && !in_block {
         diagnostic("expected a block kind, a name and `{`").help("for example: `pool big {`")
-    } else if has_bad_comma {
+    } else if has_extra_comma {
         diagnostic("expected a value before and after each comma")
     } else if line.contains('=') {
         diagnostic("unexpected `=` outside a constant").help(ENTRY_HELP)
@@ -102,7 +102,7 @@
 }
 
 /// Returns the offset of the first backslash in a string that is not followed by a quote or a backslash.
-fn bad_escape(text: &str) -> Option<usize> {
+fn invalid_escape(text: &str) -> Option<usize> {
     let mut in_string = false;
     let mut escape_at = None;
     for (offset, c) in text.char_indices() {
