--- a/crates/plan/src/check.rs
+++ b/crates/plan/src/check.rs
@@ -75,10 +75,10 @@
     let mut constants = Constants::default();
     for item in items {
         if let Item::Constant {
-            name, parts, span, ..
+            name, lists, span, ..
         } = item
         {
-            let defined = constants.define(name, parts, span);
+            let defined = constants.define(name, lists, span);
             diagnostics.extend(defined.err());
         }
     }
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -87,7 +87,7 @@
             return;
         };
         let mut reader = ValueReader::new(kind, name, self.constants, self.diagnostics);
-        match reader.read(&entry.parts) {
+        match reader.read(&entry.lists) {
             Some(values) => self.add_entry(block, kind, entry, values),
             None => {
                 // An invalid entry counts as present, so that it is not reported as missing as well.
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -3,7 +3,7 @@
 use crate::diagnostic::{truncated, Diagnostic};
 use crate::files::Span;
 use crate::quantity;
-use crate::syntax::{Part, Word};
+use crate::syntax::{List, Word};
 use std::collections::HashMap;
 
 /// Maximum length of a chain of constants that refer to one another. The limit also ends the expansion of cycles.
@@ -19,7 +19,7 @@
 }
 
 struct Constant {
-    values: Part,
+    values: List,
     /// Span of the name in the definition.
     span: Span,
 }
@@ -41,14 +41,14 @@
     pub(super) fn define(
         &mut self,
         name: &Word,
-        parts: &[Part],
+        lists: &[List],
         span: &Span,
     ) -> Result<(), Diagnostic> {
         if !quantity::is_name(&name.text) || name.is_quoted {
             let text = format!("invalid constant name `{}`", truncated(&name.text));
             return Err(Diagnostic::new(name.span.clone(), text));
         }
-        let [values] = parts else {
+        let [values] = lists else {
             let text = "a constant must be one value or a comma-separated list";
             let diagnostic = Diagnostic::new(span.clone(), text);
             return Err(diagnostic.help("for example: `let houses = 10.1.0.0/16, 10.2.0.0/16`"));
@@ -71,12 +71,12 @@
     /// # Errors
     ///
     /// Fails if a constant is unknown or the expansion exceeds [`MAX_DEPTH`] or [`MAX_VALUES`].
-    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<ExpandedWord>, Diagnostic> {
+    pub(super) fn expand(&self, list: &[Word]) -> Result<Vec<ExpandedWord>, Diagnostic> {
         let mut expansion = Expansion {
             constants: self,
             words: Vec::new(),
         };
-        for word in part {
+        for word in list {
             expansion.add(word, word, 0)?;
         }
         Ok(expansion.words)
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -5,7 +5,7 @@
 use crate::diagnostic::{truncated, Diagnostic};
 use crate::quantity::{self, Value, ValueKind};
 use crate::schema::{self, EntryKind, Shape};
-use crate::syntax::{Part, Word};
+use crate::syntax::{List, Word};
 
 pub(super) struct ValueReader<'a> {
     entry: &'a EntryKind,
@@ -31,8 +31,8 @@
     }
 
     /// Returns the values of the entry, or `None` after an error, which is added to the diagnostics.
-    pub(super) fn read(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
-        let expanded = match self.expand(parts) {
+    pub(super) fn read(&mut self, lists: &[List]) -> Option<Vec<Spanned>> {
+        let expanded = match self.expand(lists) {
             Ok(expanded) => expanded,
             Err(diagnostic) => return self.fail(diagnostic),
         };
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Expands the constants in all parts and stops at the first error.
-    fn expand(&self, parts: &[Part]) -> Result<Vec<Vec<ExpandedWord>>, Diagnostic> {
-        let expanded = parts.iter().map(|part| self.constants.expand(part));
+    /// Expands the constants in all lists and stops at the first error.
+    fn expand(&self, lists: &[List]) -> Result<Vec<Vec<ExpandedWord>>, Diagnostic> {
+        let expanded = lists.iter().map(|list| self.constants.expand(list));
         expanded.collect()
     }
 
@@ -130,8 +130,8 @@
         self.fail_in(expanded, diagnostic)
     }
 
-    fn read_flag(&mut self, parts: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
-        let Some(first) = parts.iter().flatten().next() else {
+    fn read_flag(&mut self, lists: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
+        let Some(first) = lists.iter().flatten().next() else {
             return Some(Vec::new());
         };
         let name = self.entry.name;
@@ -146,10 +146,10 @@
     /// Parses exactly one value.
     fn read_one(
         &mut self,
-        parts: &[Vec<ExpandedWord>],
+        lists: &[Vec<ExpandedWord>],
         read: impl Fn(&mut Self, &ExpandedWord) -> Option<Spanned>,
     ) -> Option<Vec<Spanned>> {
-        let words: Vec<&ExpandedWord> = parts.iter().flatten().collect();
+        let words: Vec<&ExpandedWord> = lists.iter().flatten().collect();
         match words.as_slice() {
             [] => self.fail_missing(),
             [word] => Some(vec![read(self, word)?]),
@@ -167,10 +167,10 @@
     /// Parses one list of values. Parsing continues after an invalid value, so that all errors are reported at once.
     fn read_list(
         &mut self,
-        parts: &[Vec<ExpandedWord>],
+        lists: &[Vec<ExpandedWord>],
         read: impl Fn(&mut Self, &ExpandedWord) -> Option<Spanned>,
     ) -> Option<Vec<Spanned>> {
-        let Some((list, more)) = parts.split_first() else {
+        let Some((list, more)) = lists.split_first() else {
             return self.fail_missing();
         };
         if let Some(next) = more.iter().flatten().next() {
@@ -186,13 +186,13 @@
         &mut self,
         rate_kind: ValueKind,
         burst_kind: ValueKind,
-        parts: &[Vec<ExpandedWord>],
+        lists: &[Vec<ExpandedWord>],
     ) -> Option<Vec<Spanned>> {
-        let single = |part: &Vec<ExpandedWord>| match part.as_slice() {
+        let single = |list: &Vec<ExpandedWord>| match list.as_slice() {
             [word] => Some(word.clone()),
             _ => None,
         };
-        let words: Option<Vec<ExpandedWord>> = parts.iter().map(single).collect();
+        let words: Option<Vec<ExpandedWord>> = lists.iter().map(single).collect();
         match words.as_deref() {
             Some([]) => self.fail_missing(),
             Some([rate]) => Some(vec![self.read_value(rate_kind, rate)?]),
@@ -213,8 +213,8 @@
     }
 
     /// Parses a word of [`schema::EFFECTS`]; `referenced` is followed by a scope and a deduplication window.
-    fn read_effect(&mut self, parts: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
-        let words: Vec<&ExpandedWord> = parts.iter().flatten().collect();
+    fn read_effect(&mut self, lists: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
+        let words: Vec<&ExpandedWord> = lists.iter().flatten().collect();
         let Some((first, more)) = words.split_first() else {
             return self.fail_missing();
         };
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -6,7 +6,7 @@
 
 use crate::diagnostic::Diagnostic;
 use crate::files::FileId;
-use crate::syntax::{self, Block, BlockItem, Item, Part, Tree, Word};
+use crate::syntax::{self, Block, BlockItem, Item, List, Tree, Word};
 
 /// Maximum line width; longer lists are wrapped after a comma.
 const MAX_COLUMNS: usize = 100;
@@ -48,10 +48,10 @@
             }
             Item::Constant {
                 name,
-                parts,
+                lists,
                 comment,
                 ..
-            } => self.print_wrapped(0, &format!("let {} =", name.text), parts, comment),
+            } => self.print_wrapped(0, &format!("let {} =", name.text), lists, comment),
             Item::Block(block) => self.print_block(block),
         }
     }
@@ -94,7 +94,7 @@
                 BlockItem::Blank(Some(comment)) => self.print_line(INDENT_COLUMNS, comment, &None),
                 BlockItem::Entry(entry) => {
                     let name = source_text(&entry.name);
-                    self.print_wrapped(INDENT_COLUMNS, &name, &entry.parts, &entry.comment)
+                    self.print_wrapped(INDENT_COLUMNS, &name, &entry.lists, &entry.comment)
                 }
             }
         }
@@ -108,14 +108,14 @@
         &mut self,
         indent: usize,
         name: &str,
-        parts: &[Part],
+        lists: &[List],
         comment: &Option<String>,
     ) {
         let mut code = name.to_string();
         let mut code_indent = indent;
-        for part in parts {
-            for (index, word) in part.iter().enumerate() {
-                let comma = if index + 1 < part.len() { "," } else { "" };
+        for list in lists {
+            for (index, word) in list.iter().enumerate() {
+                let comma = if index + 1 < list.len() { "," } else { "" };
                 let next = format!("{}{comma}", source_text(word));
                 let columns = code_indent + code.chars().count() + 1 + next.chars().count();
                 if index > 0 && columns > MAX_COLUMNS {
--- a/crates/plan/src/syntax.rs
+++ b/crates/plan/src/syntax.rs
@@ -36,15 +36,15 @@
 }
 
 /// One value, or several values separated by commas.
-pub type Part = Vec<Word>;
+pub type List = Vec<Word>;
 
 /// An entry of a block: a name followed by values.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Name at the start of the entry.
     pub name: Word,
-    /// Values, grouped into parts that are separated by white space only.
-    pub parts: Vec<Part>,
+    /// Values: lists that are separated from one another by white space only.
+    pub lists: Vec<List>,
     /// Span of the name and the values.
     pub span: Span,
     /// Comment after the values and within the list of values.
@@ -107,8 +107,8 @@
     Constant {
         /// Name without the `$` of its references.
         name: Word,
-        /// Values; the checker requires exactly one part.
-        parts: Vec<Part>,
+        /// Values; the checker requires exactly one list.
+        lists: Vec<List>,
         /// Span of the definition without the comment.
         span: Span,
         /// Comment after the values.
--- a/crates/plan/src/syntax/reader.rs
+++ b/crates/plan/src/syntax/reader.rs
@@ -1,7 +1,7 @@
 //! Converts the parse tree of pest into items with spans and comments.
 
 use super::unreadable::{self, Context};
-use super::{Block, BlockItem, Entry, Item, Part, Rule, Tree, Word};
+use super::{Block, BlockItem, Entry, Item, List, Rule, Tree, Word};
 use crate::diagnostic::Diagnostic;
 use crate::files::{FileId, Span};
 use pest::iterators::Pair;
@@ -16,7 +16,7 @@
 struct Statement {
     /// Words and strings that are not values, such as a name or a path.
     words: Vec<Word>,
-    parts: Vec<Part>,
+    lists: Vec<List>,
     comment: Option<String>,
 }
 
@@ -94,7 +94,7 @@
         };
         self.tree.items.push(Item::Constant {
             name,
-            parts: statement.parts,
+            lists: statement.lists,
             span,
             comment: statement.comment,
         });
@@ -164,7 +164,7 @@
         let mut statement = self.read_statement(pair);
         Some(Entry {
             name: statement.words.pop()?,
-            parts: statement.parts,
+            lists: statement.lists,
             span,
             comment: statement.comment,
         })
@@ -175,7 +175,7 @@
         for piece in pair.into_inner() {
             match piece.as_rule() {
                 Rule::word | Rule::string => statement.words.push(self.read_word(&piece)),
-                Rule::part => self.read_part(piece, &mut statement),
+                Rule::list => self.read_list(piece, &mut statement),
                 Rule::comment => statement.add_comment(text_of(&piece)),
                 _ => {}
             }
@@ -183,15 +183,15 @@
         statement
     }
 
-    fn read_part(&self, pair: Pair<Rule>, statement: &mut Statement) {
-        let mut part = Part::new();
+    fn read_list(&self, pair: Pair<Rule>, statement: &mut Statement) {
+        let mut list = List::new();
         for piece in pair.into_inner() {
             match piece.as_rule() {
                 Rule::comment => statement.add_comment(text_of(&piece)),
-                _ => part.push(self.read_word(&piece)),
+                _ => list.push(self.read_word(&piece)),
             }
         }
-        statement.parts.push(part);
+        statement.lists.push(list);
     }
 
     fn read_word(&self, pair: &Pair<Rule>) -> Word {
