--- a/crates/plan/src/build/consistency/classes.rs
+++ b/crates/plan/src/build/consistency/classes.rs
@@ -25,9 +25,9 @@
                     .push(Diagnostic::new(class.span.clone(), text));
             }
             let wider = allowed.map(|allowed| wider_rules(class, allowed));
-            for what in wider.unwrap_or_default() {
+            for rule in wider.unwrap_or_default() {
                 let text = format!(
-                    "{what} of group `{}` allows more than the settings; a plan can only narrow what they allow",
+                    "{rule} of group `{}` allows more than the settings; a plan can only narrow what they allow",
                     class.name
                 );
                 self.diagnostics
--- a/crates/plan/src/diff/figures.rs
+++ b/crates/plan/src/diff/figures.rs
@@ -69,7 +69,7 @@
 /// Returns a change if the printed values differ.
 fn change(
     subject: &'static str,
-    what: &str,
+    label: &str,
     old: Option<String>,
     new: Option<String>,
 ) -> Option<Change> {
@@ -77,7 +77,7 @@
         return None;
     }
     let printed = |value: Option<String>| value.unwrap_or_else(|| "none".to_string());
-    let text = format!("{what}: {} -> {}", printed(old), printed(new));
+    let text = format!("{label}: {} -> {}", printed(old), printed(new));
     Some(Change { subject, text })
 }
 
@@ -90,10 +90,10 @@
     new: Option<&Block>,
 ) -> Vec<Change> {
     let changed = properties.iter().filter_map(|property| {
-        let what = format!("{} of {name}", property.name);
+        let label = format!("{} of {name}", property.name);
         let old = old.and_then(property.get);
         let new = new.and_then(property.get);
-        change(subject, &what, old, new)
+        change(subject, &label, old, new)
     });
     changed.collect()
 }
@@ -145,7 +145,7 @@
         let journal = plan.journal.as_ref();
         journal.map(|journal| journal.directory.clone())
     };
-    let what = "directory of the journal";
-    changes.extend(change("store", what, directory(old), directory(new)));
+    let label = "directory of the journal";
+    changes.extend(change("store", label, directory(old), directory(new)));
     changes
 }
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -28,12 +28,12 @@
     changes
 }
 
-fn change(class: &str, how: &str, place: &Place) -> Change {
+fn change(class: &str, permission: &str, place: &Place) -> Change {
     let kind = place.kind.unwrap_or("engines of other kinds");
     let zone = place.zone.unwrap_or("other zones");
     Change {
         subject: "placement",
-        text: format!("`{class}` {how} use {kind} in {zone}"),
+        text: format!("`{class}` {permission} use {kind} in {zone}"),
     }
 }
 
--- a/crates/plan/src/quantity/units.rs
+++ b/crates/plan/src/quantity/units.rs
@@ -69,8 +69,8 @@
     let units = units(kind);
     let alias = UNIT_ALIASES
         .iter()
-        .find(|(alias, unit_here)| *alias == unit && units.contains(unit_here))
-        .map(|(_, unit_here)| *unit_here);
+        .find(|(alias, plan_unit)| *alias == unit && units.contains(plan_unit))
+        .map(|(_, plan_unit)| *plan_unit);
     let error = ValueError::not(unit, "found unknown unit", kind);
     match alias.or_else(|| nearest(unit, units.iter().copied())) {
         Some(near) => error.help(format!("did you mean `{digits}{near}`?")),
@@ -80,7 +80,8 @@
 
 /// Converts a number in base units to a value of a kind and checks the bounds of the kind. `word` is used in messages.
 fn bounded_value(kind: ValueKind, word: &str, number: f64) -> Result<Value, ValueError> {
-    let out_of_bounds = |what: &str| Err(ValueError::new(format!("`{}` {what}", truncated(word))));
+    let out_of_bounds =
+        |problem: &str| Err(ValueError::new(format!("`{}` {problem}", truncated(word))));
     match kind {
         ValueKind::Time if number > MAX_TIME_SECONDS => out_of_bounds("is longer than 7 days"),
         ValueKind::Time if number <= 0.0 => out_of_bounds("is zero; a time must be greater than 0"),
