--- a/crates/plan/src/address.rs
+++ b/crates/plan/src/address.rs
@@ -68,7 +68,7 @@
         }
         let cuts = b[skipped..].iter();
         let cuts = cuts.take_while(|cut| cut.first <= range.last);
-        // Lowest address of the range that no earlier cut has removed; `None` once the whole range is processed.
+        // First address of the range after the cuts processed so far; `None` if no address follows them.
         let mut next = Some(range.first);
         for cut in cuts {
             let Some(first) = next else { break };
--- a/crates/plan/src/build/consistency/limits.rs
+++ b/crates/plan/src/build/consistency/limits.rs
@@ -93,7 +93,7 @@
         && (wide.clients.is_empty() || wide.clients == narrow.clients)
 }
 
-/// Returns whether two limits count the same queries by the same keys, whatever the order of their lists.
+/// Returns whether two limits count the same queries by the same attributes, whatever the order of their lists.
 fn have_same_scope(a: &Limit, b: &Limit) -> bool {
     fn sorted<Item: Ord>(items: &[Item]) -> Vec<&Item> {
         let mut sorted: Vec<&Item> = items.iter().collect();
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// Returns whether every engine of a pool is in one of the `bound` pools. Without cells, only the pool itself being
-/// listed counts.
+/// Returns whether every engine of a pool is in one of the `bound` pools. If the cells are not known, the pool must
+/// itself be one of them.
 fn is_inside(pool: usize, bound: &[usize], pool_cells: Option<&PoolCells>) -> bool {
     let Some(PoolCells { of_pools, .. }) = pool_cells else {
         return bound.contains(&pool);
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns the keys of a `per` entry, sorted and without duplicates.
+/// Returns the attributes that a `per` entry names, sorted and without duplicates.
 fn per(values: &[Spanned]) -> Vec<Per> {
     let words = texts(values);
     let mut per: Vec<Per> = words
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -73,7 +73,7 @@
         None
     }
 
-    /// Reports an error in a word. If the word comes from a constant, the diagnostic shows its place there too.
+    /// Reports an error in a word. If the word comes from a constant, the diagnostic also marks it in the definition.
     fn fail_in<T>(&mut self, word: &ExpandedWord, diagnostic: Diagnostic) -> Option<T> {
         self.fail(match &word.defined_at {
             Some(defined_at) => diagnostic.related(defined_at.clone(), "value from this constant"),
--- a/crates/plan/src/diagnostic.rs
+++ b/crates/plan/src/diagnostic.rs
@@ -14,7 +14,7 @@
 pub struct Diagnostic {
     /// Location of the error, shown first.
     pub span: Span,
-    /// Error message, one line without a period.
+    /// Error message, one line.
     pub text: String,
     /// Short text printed beside the marked span.
     pub label: Option<String>,
--- a/crates/plan/src/diagnostic/render.rs
+++ b/crates/plan/src/diagnostic/render.rs
@@ -9,9 +9,9 @@
 
 /// Maximum number of diagnostics that are printed; of the others only the number is printed.
 pub const MAX_RENDERED_DIAGNOSTICS: usize = 100;
-/// Maximum length of a source line that is printed.
+/// Maximum length in bytes of a source line that is printed. Diagnostics with longer lines show no source.
 const MAX_LINE_BYTES: usize = 300;
-/// Maximum number of line breaks in a span whose source is printed.
+/// Maximum number of line breaks in a span. Diagnostics with longer spans show no source.
 const MAX_LINE_BREAKS: usize = 3;
 
 /// Renders all diagnostics, sorted by location.
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -33,7 +33,7 @@
     changes
 }
 
-/// The effect of a limit, regardless of its name. Limits with equal contents are interchangeable.
+/// The effect of a limit, regardless of its name. Limits with equal content are interchangeable.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Content {
     scope: LimitScope,
@@ -55,7 +55,7 @@
     limits.map(|limit| Content::of(plan, limit)).collect()
 }
 
-/// Returns, by name, the limits of a plan whose contents are not among those of the other plan.
+/// Returns, by name, the limits of a plan whose content differs from that of each limit of the other plan.
 fn unmatched<'a>(plan: &'a Plan, contents: &BTreeSet<Content>) -> BTreeMap<&'a str, &'a Limit> {
     let is_unmatched = |limit: &&Limit| !contents.contains(&Content::of(plan, limit));
     let unmatched = plan.limits.iter().filter(is_unmatched);
--- a/crates/plan/src/model/limits.rs
+++ b/crates/plan/src/model/limits.rs
@@ -36,7 +36,7 @@
     pub bytes: Option<Bucket>,
 }
 
-/// Key by which a limit counts queries separately.
+/// Attribute of queries by which a limit counts them separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Per {
@@ -57,7 +57,7 @@
     /// Span of the name in the plan.
     #[serde(skip)]
     pub span: Span,
-    /// Keys by which queries are counted separately; empty for one count of all queries.
+    /// Attributes by which queries are counted separately; empty for one count of all queries.
     pub per: Vec<Per>,
     /// Matches queries of these classes.
     #[serde(rename = "groups")]
@@ -83,7 +83,8 @@
             && is_client(&self.clients, query, sets)
     }
 
-    /// Returns the queries that the limit counts and the keys it counts them by. `sets` are the plan's address sets.
+    /// Returns the queries that the limit counts and the attributes it counts them by. `sets` are the plan's address
+    /// sets.
     pub fn scope(&self, sets: &[AddressSet]) -> LimitScope {
         let sets = self.clients.iter().map(|set| &sets[*set]);
         let ranges = sets.flat_map(|set| set.ranges.iter().copied());
@@ -96,7 +97,7 @@
     }
 }
 
-/// The queries that a limit counts and the keys it counts them by.
+/// The queries that a limit counts and the attributes it counts them by.
 ///
 /// The value does not depend on the order of names in a plan or on the names of address sets, so that limits of two
 /// plans can be compared.
