--- a/crates/plan/src/build/consistency/classes.rs
+++ b/crates/plan/src/build/consistency/classes.rs
@@ -1,4 +1,4 @@
-//! Rules of classes that allow more than the settings.
+//! Reports rules of query classes that allow more than the settings, and latency objectives longer than the deadline.
 
 use super::ConsistencyCheck;
 use crate::build::SettingsClass;
@@ -17,14 +17,17 @@
                 .zip(deadline)
                 .is_some_and(|(objective, deadline)| objective > deadline);
             if is_too_long {
-                let text = format!("the goal of `{}` is longer than its time limit", class.name);
+                let text = format!(
+                    "goal of group `{}` is longer than its time limit",
+                    class.name
+                );
                 self.diagnostics
                     .push(Diagnostic::new(class.span.clone(), text));
             }
             let wider = allowed.map(|allowed| wider_rules(class, allowed));
-            for what in wider.unwrap_or_default() {
+            for rule in wider.unwrap_or_default() {
                 let text = format!(
-                    "a plan narrows what the settings allow; this {what} of `{}` is wider",
+                    "{rule} of group `{}` allows more than the settings; a plan can only narrow what they allow",
                     class.name
                 );
                 self.diagnostics
@@ -34,7 +37,7 @@
     }
 }
 
-/// The rules of a class that allow more than the settings, by what messages call them.
+/// Returns the rules of a class that allow more than the settings, by their names in error messages.
 fn wider_rules(class: &ClassRules, allowed: &SettingsClass) -> Vec<&'static str> {
     let later = class
         .deadline
--- a/crates/plan/src/build/consistency/placement.rs
+++ b/crates/plan/src/build/consistency/placement.rs
@@ -1,4 +1,4 @@
-//! Checks that routes keep to the pools, kinds and zones that a class is bound to.
+//! Reports routes that may send queries to engines outside the pools, kinds or zones that their class is bound to.
 
 use super::{is_bound, ConsistencyCheck};
 use crate::build::SettingsClass;
@@ -9,18 +9,19 @@
 use crate::region::{Dimension, Region, ValueClasses};
 use fixedbitset::FixedBitSet;
 
-/// A route that names pools, with the classes whose queries it may match.
+/// A route that names pools, with the regions of queries that it decides on.
 struct PlacedRoute<'a> {
     route: &'a Route,
-    /// The place of the entry that names the pools.
+    /// Span of the entry that names the pools.
     pools_span: &'a Span,
     value_classes: &'a ValueClasses,
-    /// The regions that it decides on; `None` where they are too many.
+    /// Regions of queries for which this is the first matching route; `None` if there are too many to compute.
     pieces: Option<&'a [Region]>,
 }
 
 impl PlacedRoute<'_> {
-    /// Whether queries of a class may match the route, or be treated as that class by it.
+    /// Returns whether the route may match queries of `class`, or treats the queries that it matches as `class`.
+    /// Unknown regions count as a match.
     fn concerns(&self, class: &str) -> bool {
         let value_class = self.value_classes.query_class(class);
         let has_class = |piece: &Region| piece[Dimension::QueryClass.index()].contains(value_class);
@@ -31,7 +32,7 @@
     }
 }
 
-/// The cells that a plan tells apart, with those of each of its pools.
+/// The cells that a plan distinguishes, and the cells of each of its pools by index.
 struct PoolCells {
     cells: Cells,
     of_pools: Vec<FixedBitSet>,
@@ -42,14 +43,14 @@
     pub(super) fn check_placement(
         &mut self,
         value_classes: &ValueClasses,
-        reach: &[Option<Vec<Region>>],
+        effective: &[Option<Vec<Region>>],
     ) {
         let cells = Cells::of(&[self.plan], self.configured_names());
         let pool_cells = cells.map(|cells| PoolCells {
             of_pools: cells.of_pools(self.plan, 0),
             cells,
         });
-        for (route, pieces) in self.plan.routes.iter().zip(reach) {
+        for (route, pieces) in self.plan.routes.iter().zip(effective) {
             let Some(pools_span) = &route.pools_span else {
                 continue;
             };
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The pools that the plan's own rules bind a class to.
+    /// Reports the pools of a route that are not within the pools that the plan binds a class to.
     fn check_plan_bindings(&mut self, placed: &PlacedRoute, pool_cells: Option<&PoolCells>) {
         let bound = self.plan.classes.iter();
         let bound = bound.filter(|class| !class.pools.is_empty());
@@ -90,22 +91,22 @@
         let bound: Vec<&str> = class.pools.iter().map(pool_name).collect();
         let pool = pool_name(&pool);
         let text = format!(
-            "the route `{}` may send `{}` to `{pool}`, out of `{}`",
+            "route `{}` may send queries of `{}` to pool `{pool}`, but their class is bound to `{}`",
             placed.route.name,
             class.name,
             bound.join("`, `")
         );
         let binding = class.pools_span.as_ref().unwrap_or(&class.span);
         Diagnostic::new(placed.pools_span.clone(), text)
-            .label("this leaves the binding")
+            .label("names a pool outside the binding")
             .related(binding.clone(), format!("`{}` is bound here", class.name))
             .help(format!(
-                "match `{}` by an earlier route, or leave `{pool}` out",
+                "match queries of `{}` in an earlier route, or remove `{pool}` from this one",
                 class.name
             ))
     }
 
-    /// The kinds and zones that the settings bind a class to.
+    /// Reports the pools of a route that contain engines outside the kinds and zones that the settings bind a class to.
     fn check_settings_bindings(&mut self, placed: &PlacedRoute, pool_cells: &PoolCells) {
         let Some(settings) = self.settings else {
             return;
@@ -117,7 +118,7 @@
                 let places = &pool_cells.cells;
                 let outside = cells.find(|cell| !is_allowed(class, places.place(*cell)));
                 if let Some(cell) = outside {
-                    let place = place_in_words(places.place(cell));
+                    let place = describe_place(places.place(cell));
                     let pool = &self.plan.pools[*pool].name;
                     let diagnostic = out_of_places_diagnostic(placed, class, &place, pool);
                     self.diagnostics.push(diagnostic);
@@ -127,7 +128,8 @@
     }
 }
 
-/// Whether every engine of a pool is in one of the pools that a class is bound to.
+/// Returns whether every engine of a pool is in one of the `bound` pools. If the cells are not known, the pool must
+/// itself be one of them.
 fn is_inside(pool: usize, bound: &[usize], pool_cells: Option<&PoolCells>) -> bool {
     let Some(PoolCells { of_pools, .. }) = pool_cells else {
         return bound.contains(&pool);
@@ -139,7 +141,7 @@
     outside.is_clear()
 }
 
-/// Whether the settings let a class run at a place.
+/// Returns whether the settings allow a class to run in this zone and on this kind of engine.
 fn is_allowed(class: &SettingsClass, place: Place) -> bool {
     let among = |allowed: &Option<Vec<String>>, name: Option<&str>| {
         let Some(allowed) = allowed else { return true };
@@ -148,7 +150,7 @@
     among(&class.zones, place.zone) && among(&class.kinds, place.kind)
 }
 
-fn place_in_words(place: Place) -> String {
+fn describe_place(place: Place) -> String {
     match (place.zone, place.kind) {
         (Some(zone), Some(kind)) => format!("{kind} in {zone}"),
         (_, Some(kind)) => kind.to_string(),
@@ -163,15 +165,15 @@
     pool: &str,
 ) -> Diagnostic {
     let text = format!(
-        "the route `{}` may send `{}` to {place}, by the pool `{pool}`",
+        "route `{}` may send queries of `{}` to {place} through pool `{pool}`, which the settings do not allow",
         placed.route.name, class.name
     );
     let bound = class.kinds.iter().chain(&class.zones);
     let bound: Vec<String> = bound.map(|names| names.join(", ")).collect();
     Diagnostic::new(placed.pools_span.clone(), text)
-        .label("this leaves the binding")
+        .label("names a pool outside the binding")
         .help(format!(
-            "the settings bind `{}` to {}; match it by an earlier route",
+            "the settings bind `{}` to {}; match its queries in an earlier route",
             class.name,
             bound.join(" and ")
         ))
--- a/crates/plan/src/build/consistency/routes.rs
+++ b/crates/plan/src/build/consistency/routes.rs
@@ -1,4 +1,4 @@
-//! Routes that never match, or that treat a class as one of weaker rules.
+//! Reports routes that can never match and routes that treat queries as a class with weaker rules.
 
 use super::{is_subset, ConsistencyCheck};
 use crate::build::SettingsClass;
@@ -15,36 +15,37 @@
         let value_classes = ValueClasses::of(&[self.plan], &class_names, tenants);
         let routes = self.plan.routes.iter();
         let regions: Vec<Region> = routes.map(|route| value_classes.region(route, 0)).collect();
-        let reach = region::reach(&regions, &region::all_queries(&value_classes));
-        self.report_never_matching(&regions, &reach);
+        let effective = region::effective_regions(&regions, &region::all_queries(&value_classes));
+        self.report_never_matching(&regions, &effective);
         self.check_treated_as();
-        self.check_placement(&value_classes, &reach);
+        self.check_placement(&value_classes, &effective);
     }
 
-    /// Routes that can never match, as earlier ones match all their queries.
-    fn report_never_matching(&mut self, regions: &[Region], reach: &[Option<Vec<Region>>]) {
+    /// Reports routes that can never match, because earlier routes match all their queries.
+    fn report_never_matching(&mut self, regions: &[Region], effective: &[Option<Vec<Region>>]) {
         for (index, route) in self.plan.routes.iter().enumerate() {
-            let may_match = reach[index]
+            let may_match = effective[index]
                 .as_ref()
                 .is_none_or(|pieces| !pieces.is_empty());
             if may_match {
                 continue;
             }
             let covers = |earlier: &Region| region::difference(&regions[index], earlier).is_empty();
-            let text = format!("the route `{}` can never match", route.name);
+            let text = format!("unreachable route `{}`", route.name);
             let diagnostic = Diagnostic::new(route.span.clone(), text);
             self.diagnostics
                 .push(match regions[..index].iter().position(covers) {
                     Some(earlier) => diagnostic.related(
                         self.plan.routes[earlier].span.clone(),
-                        "this one matches all its queries",
+                        "this route matches all its queries",
                     ),
                     None => diagnostic.label("earlier routes together match all its queries"),
                 });
         }
     }
 
-    /// Routes that treat queries as a class which allows what the settings do not allow for their own class.
+    /// Reports routes that treat queries as another class which allows more than the settings allow for the queries'
+    /// own class.
     fn check_treated_as(&mut self) {
         let Some(settings) = self.settings else {
             return;
@@ -63,7 +64,7 @@
                     continue;
                 };
                 let text = format!(
-                    "queries of `{}` can't be treated as `{name}`: they would {violation}",
+                    "queries of `{}` cannot be treated as `{name}`: they would {violation}",
                     class.name
                 );
                 self.diagnostics.push(Diagnostic::new(span.clone(), text));
@@ -72,15 +73,16 @@
     }
 }
 
-/// The first rule of a class that its queries would break if they were treated as another class.
+/// Returns the first rule of `class` that its queries would violate if they were treated as `treated_as`, in the words
+/// of the error message.
 fn violation(class: &SettingsClass, treated_as: &SettingsClass) -> Option<&'static str> {
     if !treated_as.idempotency.narrows(&class.idempotency) {
-        return Some("run again where they may not");
+        return Some("run again where the settings do not allow it");
     }
     if class.in_order && !treated_as.in_order {
-        return Some("lose their order");
+        return Some("no longer run in order");
     }
     let stays_inside =
         is_subset(&treated_as.kinds, &class.kinds) && is_subset(&treated_as.zones, &class.zones);
-    (!stays_inside).then_some("run where they may not")
+    (!stays_inside).then_some("run on engines that the settings do not allow")
 }
--- a/crates/plan/src/build/limits.rs
+++ b/crates/plan/src/build/limits.rs
@@ -1,7 +1,7 @@
-//! Builds limits.
+//! Builds admission limits from `limit` blocks.
 
 use super::entries::{bucket, count, texts};
-use super::names::Referenced;
+use super::names::RefKind;
 use super::Builder;
 use crate::check::Spanned;
 use crate::diagnostic::Diagnostic;
@@ -10,10 +10,10 @@
 impl Builder<'_> {
     pub(super) fn build_limits(&mut self) {
         for block in self.blocks_of_kind("limit") {
-            let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
+            let clients = self.block_indices(RefKind::AddressSet, block.entry("client"));
             if !block.has_any(&["in-hand", "rate", "bytes"]) {
-                let text = format!("the limit `{}` limits nothing", block.name);
-                let help = "say how much: `in-hand`, `rate` or `bytes`";
+                let text = format!("limit `{}` limits no quantity", block.name);
+                let help = "add `in-hand`, `rate` or `bytes`";
                 let diagnostic = Diagnostic::new(block.name_span.clone(), text);
                 self.report_incomplete(block, diagnostic.help(help));
             }
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a limit is counted by, in order, each once.
+/// Returns the attributes that a `per` entry names, sorted and without duplicates.
 fn per(values: &[Spanned]) -> Vec<Per> {
     let words = texts(values);
     let mut per: Vec<Per> = words
--- a/crates/plan/src/build/names.rs
+++ b/crates/plan/src/build/names.rs
@@ -1,4 +1,4 @@
-//! Resolves names: those that the settings know, and those of other blocks.
+//! Resolves the names that a plan uses: names that the settings define, and names of other blocks.
 
 use super::{Builder, Settings};
 use crate::check::{CheckedBlock, CheckedEntry, Spanned};
@@ -7,33 +7,34 @@
 use crate::quantity::Value;
 use crate::schema::Namespace;
 
-/// A kind of block that entries of other blocks name.
+/// Kind of a block that entries of other blocks can refer to by name.
 #[derive(Clone, Copy)]
-pub(super) enum Referenced {
+pub(super) enum RefKind {
     AddressSet,
     Pool,
 }
 
-impl Referenced {
-    /// The word that begins such a block.
+impl RefKind {
+    /// Returns the keyword of the plan language that opens a block of this kind.
     pub(super) fn keyword(self) -> &'static str {
         match self {
-            Referenced::AddressSet => "addresses",
-            Referenced::Pool => "pool",
+            RefKind::AddressSet => "addresses",
+            RefKind::Pool => "pool",
         }
     }
 
-    /// What messages call such a block.
+    /// Returns the term for such a block in error messages.
     fn description(self) -> &'static str {
         match self {
-            Referenced::AddressSet => "address set",
-            Referenced::Pool => "pool",
+            RefKind::AddressSet => "address set",
+            RefKind::Pool => "pool",
         }
     }
 }
 
 impl Builder<'_> {
-    /// Checks names of classes, tenants, kinds and zones, where the settings are at hand.
+    /// Reports names of classes, tenants, kinds and zones that the settings do not define. Without settings, every name
+    /// is accepted.
     pub(super) fn check_settings_names(&mut self) {
         let Some(settings) = self.settings else {
             return;
@@ -72,17 +73,21 @@
     ) {
         let names = settings.names(namespace);
         if !names.contains(&name) {
-            let text = format!("the settings know no {} `{name}`", namespace.description());
+            let text = format!(
+                "unknown {} `{name}`: the settings do not define it",
+                namespace.description()
+            );
             let diagnostic = Diagnostic::new(span.clone(), text);
             self.diagnostics
                 .push(diagnostic.suggest_nearest(name, names));
         }
     }
 
-    /// The indices of the blocks of a kind that an entry names.
+    /// Returns the indices of the blocks of a kind that an entry names; unknown and duplicate names are reported and
+    /// omitted.
     pub(super) fn block_indices(
         &mut self,
-        kind: Referenced,
+        kind: RefKind,
         entry: Option<&CheckedEntry>,
     ) -> Vec<usize> {
         let mut found = Vec::new();
@@ -92,7 +97,7 @@
             };
             match self.block_index(kind, name, &value.span) {
                 Ok(index) if found.contains(&index) => {
-                    let text = format!("`{name}` stands twice in this list");
+                    let text = format!("duplicate name `{name}` in list");
                     let diagnostic = Diagnostic::new(value.span.clone(), text);
                     self.diagnostics.push(diagnostic);
                 }
@@ -103,24 +108,25 @@
         found
     }
 
-    /// The index of the block of a kind that has this name.
-    fn block_index(&self, kind: Referenced, name: &str, span: &Span) -> Result<usize, Diagnostic> {
+    /// Returns the index of the block of a kind with this name, or the diagnostic for an unknown name at `span`.
+    fn block_index(&self, kind: RefKind, name: &str, span: &Span) -> Result<usize, Diagnostic> {
         let indices = match kind {
-            Referenced::AddressSet => &self.address_set_indices,
-            Referenced::Pool => &self.pool_indices,
+            RefKind::AddressSet => &self.address_set_indices,
+            RefKind::Pool => &self.pool_indices,
         };
         if let Some(index) = indices.get(name) {
             return Ok(*index);
         }
-        let text = format!("there is no {} `{name}`", kind.description());
+        let text = format!("unknown {} `{name}`", kind.description());
         let diagnostic = Diagnostic::new(span.clone(), text);
         Err(diagnostic.suggest_nearest(name, indices.keys().copied()))
     }
 
-    /// An order in which each block of a kind comes after those that it refers to; a cycle is an error.
+    /// Returns the indices of all blocks of a kind in topological order: each block comes after those it refers to.
+    /// Cycles are reported; `references` lists the referenced blocks for each block.
     pub(super) fn reference_order(
         &mut self,
-        kind: Referenced,
+        kind: RefKind,
         references: &[Vec<usize>],
     ) -> Vec<usize> {
         let blocks = self.blocks_of_kind(kind.keyword());
@@ -138,18 +144,19 @@
     }
 }
 
-/// A depth-first search over references; it keeps its own stack, so that no plan makes it recurse deeply.
+/// Depth-first search over the references between blocks. It uses an explicit stack, because recursion could overflow
+/// the call stack on a plan with a long chain of references.
 struct ReferenceSearch<'a> {
     references: &'a [Vec<usize>],
     is_done: Vec<bool>,
-    /// The blocks that are done, those that others refer to first.
+    /// Blocks whose references have all been visited, in topological order.
     order: Vec<usize>,
 }
 
-/// A block whose references are being followed.
+/// A stack frame of the search: a block whose references are being visited.
 struct Visit {
     block: usize,
-    /// How many of its references were followed.
+    /// Number of its references that have been visited so far.
     followed: usize,
 }
 
@@ -160,7 +167,8 @@
 }
 
 impl ReferenceSearch<'_> {
-    /// Visits a block and all that it refers to, and returns the cycles that were found.
+    /// Visits a block and all blocks reachable from it, and returns the cycles found. Each cycle lists its blocks in
+    /// the order of reference.
     fn visit(&mut self, start: usize) -> Vec<Vec<usize>> {
         let mut cycles = Vec::new();
         let mut path = Vec::new();
@@ -186,11 +194,15 @@
     }
 }
 
-/// The diagnostic of blocks each of which refers to the next, and the last to the first.
+/// Returns the diagnostic for a cycle in which each block refers to the next and the last one to the first.
 fn cycle_diagnostic(blocks: &[&CheckedBlock], cycle: &[usize]) -> Diagnostic {
     let first = blocks[cycle[0]];
     let names = cycle.iter().map(|index| blocks[*index].name.as_str());
     let names: Vec<&str> = names.chain([first.name.as_str()]).collect();
-    let text = format!("`{}` refers to itself: {}", first.name, names.join(" -> "));
+    let text = format!(
+        "`{}` refers to itself in a cycle: {}",
+        first.name,
+        names.join(" -> ")
+    );
     Diagnostic::new(first.name_span.clone(), text)
 }
--- a/crates/plan/src/build/routes.rs
+++ b/crates/plan/src/build/routes.rs
@@ -1,7 +1,7 @@
-//! Builds routes.
+//! Builds routes from `route` blocks.
 
 use super::entries::{first_text, minute_ranges, number_ranges, texts};
-use super::names::Referenced;
+use super::names::RefKind;
 use super::Builder;
 use crate::check::CheckedBlock;
 use crate::diagnostic::Diagnostic;
@@ -10,8 +10,8 @@
 impl Builder<'_> {
     pub(super) fn build_routes(&mut self) {
         for block in self.blocks_of_kind("route") {
-            let clients = self.block_indices(Referenced::AddressSet, block.entry("client"));
-            let pools = self.block_indices(Referenced::Pool, block.entry("to"));
+            let clients = self.block_indices(RefKind::AddressSet, block.entry("client"));
+            let pools = self.block_indices(RefKind::Pool, block.entry("to"));
             self.check_outcome(block);
             let key = first_text(block.values("key"));
             let place = |entry: &str| block.entry(entry).map(|entry| entry.span.clone());
@@ -33,11 +33,12 @@
         }
     }
 
-    /// A route either names a destination or rejects its queries.
+    /// Reports a route that neither has a destination (`to` or `as`) nor rejects its queries (`refuse`), or that does
+    /// both.
     fn check_outcome(&mut self, block: &CheckedBlock) {
         if !block.has_any(&["to", "as", "refuse"]) {
-            let text = format!("the route `{}` says nothing", block.name);
-            let help = "say what becomes of its queries: `to`, `as` or `refuse`";
+            let text = format!("route `{}` has no effect", block.name);
+            let help = "add `to`, `as` or `refuse`";
             let diagnostic = Diagnostic::new(block.name_span.clone(), text);
             self.report_incomplete(block, diagnostic.help(help));
         }
@@ -45,9 +46,9 @@
         if let (Some(refuse), Some(destination)) = (block.entry("refuse"), destination) {
             let diagnostic = Diagnostic::new(
                 refuse.span.clone(),
-                "a route that rejects queries has no destination",
+                "a route with `refuse` cannot have `to` or `as`",
             );
-            let text = "this names a destination";
+            let text = "conflicts with this entry";
             self.diagnostics
                 .push(diagnostic.related(destination.span.clone(), text));
         }
--- a/crates/plan/src/build/storage.rs
+++ b/crates/plan/src/build/storage.rs
@@ -1,4 +1,5 @@
-//! Builds the storage of bodies and of the query journal: blocks of which a plan has one at most.
+//! Builds the storage of bodies and of the query journal from the `bodies` and `journal` blocks, of which a plan can
+//! have at most one each.
 
 use super::entries::{count, first_text, number, texts};
 use super::{blocks_of_kind, Builder};
@@ -6,23 +7,23 @@
 use crate::diagnostic::Diagnostic;
 use crate::model::{Bodies, Journal};
 
-/// The memory for bodies where none is given.
+/// Memory for all bodies, used if the plan has no `memory` entry.
 const DEFAULT_MEMORY_BYTES: u64 = 32 << 20;
-/// The part of the memory that one body may use where none is given.
+/// Fraction of the memory, as a divisor, that a single body may use if the plan has no `batch-memory` entry.
 const DEFAULT_BODY_MEMORY_DIVISOR: u64 = 8;
-/// The longest body where none is given.
+/// Size of the longest accepted body, used if the plan has no `batch` entry.
 const DEFAULT_MAX_BODY_BYTES: u64 = 200 << 20;
 
 impl<'a> Builder<'a> {
-    /// The block of a kind of which there is one at most.
+    /// Returns the only block of a kind, or the first one if there are several, which is reported as an error.
     fn single(&mut self, kind: &'static str) -> Option<&'a CheckedBlock> {
         let all = blocks_of_kind(self.blocks, kind);
         let (first, others) = all.split_first()?;
         for other in others {
-            let text = format!("a plan has one block `{kind}` at most");
+            let text = format!("duplicate block `{kind}`: a plan can have only one");
             let diagnostic = Diagnostic::new(other.name_span.clone(), text);
             self.diagnostics
-                .push(diagnostic.related(first.name_span.clone(), "the first"));
+                .push(diagnostic.related(first.name_span.clone(), "first defined here"));
         }
         Some(first)
     }
@@ -56,12 +57,12 @@
             self.diagnostics.push(Diagnostic::new(span.clone(), text));
         };
         if bodies.max_body_memory_bytes > bodies.memory_bytes {
-            let text = "one body may have more memory than all together";
+            let text = "`batch-memory` is larger than `memory`, the memory for all bodies together";
             report("batch-memory", text);
         }
         match (&bodies.directory, bodies.file_bytes > 0) {
-            (None, true) => report("files", "files need a `directory`"),
-            (Some(_), false) => report("directory", "nothing goes there without `files`"),
+            (None, true) => report("files", "`files` requires a `directory`"),
+            (Some(_), false) => report("directory", "`directory` has no effect without `files`"),
             _ => {}
         }
     }
@@ -74,7 +75,7 @@
             Some(directory) => self.plan.journal = Some(Journal { directory }),
             None => {
                 let diagnostic =
-                    Diagnostic::new(block.name_span.clone(), "the journal has no `directory`");
+                    Diagnostic::new(block.name_span.clone(), "`journal` has no `directory`");
                 self.report_incomplete(block, diagnostic.help("directory \"/var/lib/garnetwall\""));
             }
         }
--- a/crates/plan/src/check/blocks.rs
+++ b/crates/plan/src/check/blocks.rs
@@ -1,4 +1,4 @@
-//! Checks blocks: their kinds and names, and which entries they have.
+//! Checks the kind and the name of each block, and that it has only entries of its kind.
 
 use super::constants::Constants;
 use super::values::ValueReader;
@@ -13,7 +13,7 @@
 pub(super) struct BlockChecker<'a> {
     constants: &'a Constants,
     diagnostics: &'a mut Vec<Diagnostic>,
-    /// The places of the blocks so far, by kind and name.
+    /// Spans of the names of the blocks checked so far, by kind and name.
     defined: HashMap<(&'static str, String), Span>,
 }
 
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Checks a block; `None` where its kind or name is invalid. Of the entries, unknown ones are left out and invalid
-    /// ones have no values.
+    /// Checks a block; `None` if its kind or name is invalid. Unknown entries are omitted, invalid entries are kept
+    /// without values.
     pub(super) fn check_block(&mut self, block: &Block) -> Option<CheckedBlock> {
         let mut checked = match self.check_head(block) {
             Ok(checked) => checked,
@@ -42,7 +42,7 @@
         Some(checked)
     }
 
-    /// Checks kind and name of a block, and returns it without entries.
+    /// Checks the kind and the name of a block and returns the block without entries.
     fn check_head(&mut self, block: &Block) -> Result<CheckedBlock, Diagnostic> {
         let kind = block_kind(block)?;
         let name = block_name(kind, block)?;
@@ -60,13 +60,13 @@
     ///
     /// # Errors
     ///
-    /// Where an earlier block of the kind has this name.
+    /// Fails if an earlier block of the same kind has this name.
     fn define(&mut self, kind: &BlockKind, name: &Word) -> Result<(), Diagnostic> {
         let key = (kind.name, name.text.clone());
         if let Some(first) = self.defined.get(&key) {
-            let text = format!("the {} `{}` is there already", kind.name, name.text);
+            let text = format!("duplicate {} `{}`", kind.name, name.text);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
-            return Err(diagnostic.related(first.clone(), "first here"));
+            return Err(diagnostic.related(first.clone(), "first defined here"));
         }
         self.defined.insert(key, name.span.clone());
         Ok(())
@@ -76,7 +76,7 @@
         let name = &entry.name;
         let Some(kind) = block.kind.entry(&name.text).filter(|_| !name.is_quoted) else {
             let text = format!(
-                "a {} has no entry `{}`",
+                "unknown entry `{1}` in block `{0}`",
                 block.kind.name,
                 truncated(&name.text)
             );
@@ -87,10 +87,10 @@
             return;
         };
         let mut reader = ValueReader::new(kind, name, self.constants, self.diagnostics);
-        match reader.read(&entry.parts) {
+        match reader.read(&entry.lists) {
             Some(values) => self.add_entry(block, kind, entry, values),
             None => {
-                // An invalid entry counts as given, so that it is not reported as missing too.
+                // An invalid entry counts as present, so that it is not reported as missing as well.
                 block.entries.entry(kind.name).or_insert(CheckedEntry {
                     span: entry.span.clone(),
                     values: Vec::new(),
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Adds an entry to its block. A list may be given several times, everything else once.
+    /// Adds an entry to its block. List entries may be repeated and are concatenated; any other repeated entry is
+    /// reported.
     fn add_entry(
         &mut self,
         block: &mut CheckedBlock,
@@ -116,10 +117,13 @@
             }
             Some(first) if kind.shape.is_list() => first.values.extend(values),
             Some(first) => {
-                let text = format!("`{}` stands twice in this {}", kind.name, block.kind.name);
+                let text = format!(
+                    "duplicate entry `{}` in block `{}`",
+                    kind.name, block.kind.name
+                );
                 let diagnostic = Diagnostic::new(span, text);
                 self.diagnostics
-                    .push(diagnostic.related(first.span.clone(), "first here"));
+                    .push(diagnostic.related(first.span.clone(), "first given here"));
             }
         }
     }
@@ -128,7 +132,7 @@
 fn block_kind(block: &Block) -> Result<&'static BlockKind, Diagnostic> {
     let word = &block.kind;
     schema::block(&word.text).ok_or_else(|| {
-        let text = format!("there is no block of the kind `{}`", truncated(&word.text));
+        let text = format!("unknown block kind `{}`", truncated(&word.text));
         let names = schema::BLOCKS.iter().map(|kind| kind.name);
         Diagnostic::new(word.span.clone(), text).suggest_nearest(&word.text, names)
     })
@@ -136,12 +140,12 @@
 
 fn block_name<'a>(kind: &BlockKind, block: &'a Block) -> Result<&'a Word, Diagnostic> {
     let Some(name) = &block.name else {
-        let text = format!("this {} has no name", kind.name);
+        let text = format!("block `{}` has no name", kind.name);
         let diagnostic = Diagnostic::new(block.kind.span.clone(), text);
-        return Err(diagnostic.help(format!("{} some-name {{", kind.name)));
+        return Err(diagnostic.help(format!("add a name: `{} some-name {{`", kind.name)));
     };
-    match quantity::read(ValueKind::Name, name) {
+    match quantity::parse(ValueKind::Name, name) {
         Ok(_) => Ok(name),
-        Err(error) => Err(error.at(name.span.clone())),
+        Err(error) => Err(error.into_diagnostic(name.span.clone())),
     }
 }
--- a/crates/plan/src/check/constants.rs
+++ b/crates/plan/src/check/constants.rs
@@ -1,33 +1,34 @@
-//! Constants of a plan, and their replacement by values.
+//! Collects the constants of a plan and expands references to them.
 
 use crate::diagnostic::{truncated, Diagnostic};
 use crate::files::Span;
 use crate::quantity;
-use crate::syntax::{Part, Word};
+use crate::syntax::{List, Word};
 use std::collections::HashMap;
 
-/// Constants that may refer to one another in a chain.
+/// Maximum length of a chain of constants that refer to one another. The limit also ends the expansion of cycles.
 const MAX_DEPTH: usize = 32;
-/// Values that one entry may have once constants are replaced.
+/// Maximum number of values of one entry after expansion. The limit stops constants that multiply one another, for
+/// example ten constants of ten references each.
 const MAX_VALUES: usize = 100_000;
 
-/// The constants of a plan by name.
+/// The constants of a plan.
 #[derive(Default)]
 pub(super) struct Constants {
     by_name: HashMap<String, Constant>,
 }
 
 struct Constant {
-    values: Part,
-    /// The place of the name.
+    values: List,
+    /// Span of the name in the definition.
     span: Span,
 }
 
-/// A word after constants are replaced: its place is that of the entry's word.
+/// A word after expansion of constants. Its span is that of the word in the entry, not in the constant.
 #[derive(Clone)]
 pub(super) struct ExpandedWord {
     pub(super) word: Word,
-    /// Where the word stands in the constant that it comes from.
+    /// Span of the word in the constant it comes from; `None` if the entry contains the word itself.
     pub(super) defined_at: Option<Span>,
 }
 
@@ -36,26 +37,26 @@
     ///
     /// # Errors
     ///
-    /// Where it is badly named, is not one value or list, or was defined before.
+    /// Fails if the name is invalid or already defined, or if the definition is not one value or one list.
     pub(super) fn define(
         &mut self,
         name: &Word,
-        parts: &[Part],
+        lists: &[List],
         span: &Span,
     ) -> Result<(), Diagnostic> {
         if !quantity::is_name(&name.text) || name.is_quoted {
-            let text = format!("`{}` is no name for a constant", truncated(&name.text));
+            let text = format!("invalid constant name `{}`", truncated(&name.text));
             return Err(Diagnostic::new(name.span.clone(), text));
         }
-        let [values] = parts else {
-            let text = "a constant is one value, or a list with commas";
+        let [values] = lists else {
+            let text = "a constant must be one value or a comma-separated list";
             let diagnostic = Diagnostic::new(span.clone(), text);
-            return Err(diagnostic.help("let houses = 10.1.0.0/16, 10.2.0.0/16"));
+            return Err(diagnostic.help("for example: `let houses = 10.1.0.0/16, 10.2.0.0/16`"));
         };
         if let Some(first) = self.by_name.get(&name.text) {
-            let text = format!("the constant `{}` is there already", name.text);
+            let text = format!("duplicate constant `{}`", name.text);
             let diagnostic = Diagnostic::new(name.span.clone(), text);
-            return Err(diagnostic.related(first.span.clone(), "first here"));
+            return Err(diagnostic.related(first.span.clone(), "first defined here"));
         }
         let constant = Constant {
             values: values.clone(),
@@ -65,13 +66,17 @@
         Ok(())
     }
 
-    /// Replaces the constants in a list of words.
-    pub(super) fn expand(&self, part: &[Word]) -> Result<Vec<ExpandedWord>, Diagnostic> {
+    /// Replaces each reference `$name` in a list of words by the values of the constant.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a constant is unknown or the expansion exceeds [`MAX_DEPTH`] or [`MAX_VALUES`].
+    pub(super) fn expand(&self, list: &[Word]) -> Result<Vec<ExpandedWord>, Diagnostic> {
         let mut expansion = Expansion {
             constants: self,
             words: Vec::new(),
         };
-        for word in part {
+        for word in list {
             expansion.add(word, word, 0)?;
         }
         Ok(expansion.words)
@@ -84,46 +89,47 @@
 }
 
 impl<'a> Expansion<'a> {
-    /// Adds a word, which `used` brings in over `depth` constants.
-    fn add(&mut self, word: &Word, used: &Word, depth: usize) -> Result<(), Diagnostic> {
+    /// Appends a word, expanded if it is a reference. `site` is the word of the entry from which this word was reached
+    /// through `depth` constants.
+    fn add(&mut self, word: &Word, site: &Word, depth: usize) -> Result<(), Diagnostic> {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.is_quoted) else {
             self.words.push(ExpandedWord {
                 word: Word {
-                    span: used.span.clone(),
+                    span: site.span.clone(),
                     ..word.clone()
                 },
                 defined_at: (depth > 0).then(|| word.span.clone()),
             });
             return Ok(());
         };
-        let constant = self.constant(name, used, depth)?;
+        let constant = self.constant(name, site, depth)?;
         for inner in &constant.values {
-            self.add(inner, used, depth + 1)?;
+            self.add(inner, site, depth + 1)?;
         }
         Ok(())
     }
 
-    /// The constant that a word uses at a depth of `depth` constants.
-    fn constant(&self, name: &str, used: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
+    /// Looks up a constant that is referred to at nesting depth `depth`; errors are reported at the word `site`.
+    fn constant(&self, name: &str, site: &Word, depth: usize) -> Result<&'a Constant, Diagnostic> {
         let constants = &self.constants.by_name;
         let Some(constant) = constants.get(name) else {
-            let text = format!("there is no constant `{}`", truncated(name));
-            let diagnostic = Diagnostic::new(used.span.clone(), text);
+            let text = format!("unknown constant `{}`", truncated(name));
+            let diagnostic = Diagnostic::new(site.span.clone(), text);
             return Err(diagnostic.suggest_nearest(name, constants.keys().map(String::as_str)));
         };
         let error = |text: String| {
-            let diagnostic = Diagnostic::new(used.span.clone(), text);
-            Err(diagnostic.related(constant.span.clone(), "the constant"))
+            let diagnostic = Diagnostic::new(site.span.clone(), text);
+            Err(diagnostic.related(constant.span.clone(), "the constant is defined here"))
         };
         if depth >= MAX_DEPTH {
             let name = truncated(name);
             return error(format!(
-                "the constant `{name}` needs itself, or {MAX_DEPTH} others"
+                "cannot expand constant `{name}`: constants refer to one another in a cycle or more than {MAX_DEPTH} deep"
             ));
         }
         if self.words.len() > MAX_VALUES {
             return error(format!(
-                "with constants put in, this has more than {MAX_VALUES} values"
+                "entry has more than {MAX_VALUES} values after its constants are expanded"
             ));
         }
         Ok(constant)
--- a/crates/plan/src/check/values.rs
+++ b/crates/plan/src/check/values.rs
@@ -1,15 +1,15 @@
-//! Reads the values of an entry in the shape that its kind requires.
+//! Parses the values of an entry according to the shape that its kind requires.
 
 use super::constants::{Constants, ExpandedWord};
 use super::Spanned;
 use crate::diagnostic::{truncated, Diagnostic};
 use crate::quantity::{self, Value, ValueKind};
 use crate::schema::{self, EntryKind, Shape};
-use crate::syntax::{Part, Word};
+use crate::syntax::{List, Word};
 
 pub(super) struct ValueReader<'a> {
     entry: &'a EntryKind,
-    /// The entry's name where it stands in the plan.
+    /// Name of the entry as written in the plan, for the location of errors.
     name: &'a Word,
     constants: &'a Constants,
     diagnostics: &'a mut Vec<Diagnostic>,
@@ -30,9 +30,9 @@
         }
     }
 
-    /// The values of the entry; `None` where an error was found in them.
-    pub(super) fn read(&mut self, parts: &[Part]) -> Option<Vec<Spanned>> {
-        let expanded = match self.expand(parts) {
+    /// Returns the values of the entry, or `None` after an error, which is added to the diagnostics.
+    pub(super) fn read(&mut self, lists: &[List]) -> Option<Vec<Spanned>> {
+        let expanded = match self.expand(lists) {
             Ok(expanded) => expanded,
             Err(diagnostic) => return self.fail(diagnostic),
         };
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Replaces the constants in all parts; the first error ends it.
-    fn expand(&self, parts: &[Part]) -> Result<Vec<Vec<ExpandedWord>>, Diagnostic> {
-        let expanded = parts.iter().map(|part| self.constants.expand(part));
+    /// Expands the constants in all lists and stops at the first error.
+    fn expand(&self, lists: &[List]) -> Result<Vec<Vec<ExpandedWord>>, Diagnostic> {
+        let expanded = lists.iter().map(|list| self.constants.expand(list));
         expanded.collect()
     }
 
@@ -73,16 +73,16 @@
         None
     }
 
-    /// Reports an error in a word that may come from a constant.
+    /// Reports an error in a word. If the word comes from a constant, the diagnostic also marks it in the definition.
     fn fail_in<T>(&mut self, word: &ExpandedWord, diagnostic: Diagnostic) -> Option<T> {
         self.fail(match &word.defined_at {
-            Some(defined_at) => diagnostic.related(defined_at.clone(), "from this constant"),
+            Some(defined_at) => diagnostic.related(defined_at.clone(), "value from this constant"),
             None => diagnostic,
         })
     }
 
     fn fail_missing<T>(&mut self) -> Option<T> {
-        let text = format!("`{}` says nothing", self.entry.name);
+        let text = format!("entry `{}` has no value", self.entry.name);
         let diagnostic = Diagnostic::new(self.name.span.clone(), text);
         self.fail(diagnostic.help(self.example()))
     }
@@ -91,19 +91,19 @@
         self.fail(Diagnostic::new(word.word.span.clone(), text))
     }
 
-    /// The entry as it might be written.
+    /// Returns an example of the entry as a help text.
     fn example(&self) -> String {
-        format!("{} {}", self.entry.name, self.entry.example)
+        format!("for example: `{} {}`", self.entry.name, self.entry.example)
     }
 
     fn read_value(&mut self, kind: ValueKind, expanded: &ExpandedWord) -> Option<Spanned> {
         let word = &expanded.word;
-        match quantity::read(kind, word) {
+        match quantity::parse(kind, word) {
             Ok(value) => Some(Spanned {
                 value,
                 span: word.span.clone(),
             }),
-            Err(error) => self.fail_in(expanded, error.at(word.span.clone())),
+            Err(error) => self.fail_in(expanded, error.into_diagnostic(word.span.clone())),
         }
     }
 
@@ -120,7 +120,7 @@
             });
         }
         let text = format!(
-            "`{}` is none of {} for `{}`",
+            "invalid value `{}`: expected one of {} for entry `{}`",
             truncated(&word.text),
             choices.join(", "),
             self.entry.name
@@ -130,32 +130,32 @@
         self.fail_in(expanded, diagnostic)
     }
 
-    fn read_flag(&mut self, parts: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
-        let Some(first) = parts.iter().flatten().next() else {
+    fn read_flag(&mut self, lists: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
+        let Some(first) = lists.iter().flatten().next() else {
             return Some(Vec::new());
         };
         let name = self.entry.name;
         let word = truncated(&first.word.text);
         let text = match self.entry.example {
-            "" => format!("`{name}` stands alone; `{word}` is too much"),
-            example => format!("`{word}` is too much; `{name}` is as in `{name} {example}`"),
+            "" => format!("entry `{name}` takes no value, found `{word}`"),
+            example => format!("expected `{name} {example}`, found `{word}`"),
         };
         self.fail_at(first, text)
     }
 
-    /// Exactly one value.
+    /// Parses exactly one value.
     fn read_one(
         &mut self,
-        parts: &[Vec<ExpandedWord>],
+        lists: &[Vec<ExpandedWord>],
         read: impl Fn(&mut Self, &ExpandedWord) -> Option<Spanned>,
     ) -> Option<Vec<Spanned>> {
-        let words: Vec<&ExpandedWord> = parts.iter().flatten().collect();
+        let words: Vec<&ExpandedWord> = lists.iter().flatten().collect();
         match words.as_slice() {
             [] => self.fail_missing(),
             [word] => Some(vec![read(self, word)?]),
             [_, second, ..] => {
                 let text = format!(
-                    "`{}` has one value; `{}` is too much",
+                    "entry `{}` takes one value, found extra value `{}`",
                     self.entry.name,
                     truncated(&second.word.text)
                 );
@@ -164,35 +164,35 @@
         }
     }
 
-    /// One list of values; every value is read, so that all errors are reported at once.
+    /// Parses one list of values. Parsing continues after an invalid value, so that all errors are reported at once.
     fn read_list(
         &mut self,
-        parts: &[Vec<ExpandedWord>],
+        lists: &[Vec<ExpandedWord>],
         read: impl Fn(&mut Self, &ExpandedWord) -> Option<Spanned>,
     ) -> Option<Vec<Spanned>> {
-        let Some((list, more)) = parts.split_first() else {
+        let Some((list, more)) = lists.split_first() else {
             return self.fail_missing();
         };
         if let Some(next) = more.iter().flatten().next() {
-            let text = format!("a comma is missing before `{}`", truncated(&next.word.text));
+            let text = format!("expected a comma before `{}`", truncated(&next.word.text));
             return self.fail_at(next, text);
         }
         let values: Vec<Option<Spanned>> = list.iter().map(|word| read(self, word)).collect();
         values.into_iter().collect()
     }
 
-    /// `RATE` or `RATE burst AMOUNT`.
+    /// Parses `RATE` or `RATE burst AMOUNT`.
     fn read_bucket(
         &mut self,
         rate_kind: ValueKind,
         burst_kind: ValueKind,
-        parts: &[Vec<ExpandedWord>],
+        lists: &[Vec<ExpandedWord>],
     ) -> Option<Vec<Spanned>> {
-        let single = |part: &Vec<ExpandedWord>| match part.as_slice() {
+        let single = |list: &Vec<ExpandedWord>| match list.as_slice() {
             [word] => Some(word.clone()),
             _ => None,
         };
-        let words: Option<Vec<ExpandedWord>> = parts.iter().map(single).collect();
+        let words: Option<Vec<ExpandedWord>> = lists.iter().map(single).collect();
         match words.as_deref() {
             Some([]) => self.fail_missing(),
             Some([rate]) => Some(vec![self.read_value(rate_kind, rate)?]),
@@ -203,7 +203,7 @@
             }
             _ => {
                 let text = format!(
-                    "`{}` is a rate, and perhaps `burst` with an amount",
+                    "entry `{}` takes a rate, optionally followed by `burst` and an amount",
                     self.entry.name
                 );
                 let diagnostic = Diagnostic::new(self.name.span.clone(), text);
@@ -212,9 +212,9 @@
         }
     }
 
-    /// A word of [`schema::EFFECTS`]; `referenced` with its scope and window.
-    fn read_effect(&mut self, parts: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
-        let words: Vec<&ExpandedWord> = parts.iter().flatten().collect();
+    /// Parses a word of [`schema::EFFECTS`]; `referenced` is followed by a scope and a deduplication window.
+    fn read_effect(&mut self, lists: &[Vec<ExpandedWord>]) -> Option<Vec<Spanned>> {
+        let words: Vec<&ExpandedWord> = lists.iter().flatten().collect();
         let Some((first, more)) = words.split_first() else {
             return self.fail_missing();
         };
@@ -226,13 +226,14 @@
                 Some(vec![effect, scope?, window?])
             }
             ("referenced", _) => {
-                let text = "`referenced` needs a scope and how long repeats are dropped";
+                let text = "`referenced` takes a scope and a deduplication window";
                 let diagnostic = Diagnostic::new(self.name.span.clone(), text);
-                self.fail(diagnostic.help("effect referenced zone 30s"))
+                self.fail(diagnostic.help("for example: `effect referenced zone 30s`"))
             }
             (word, [next, ..]) => {
                 let next_word = truncated(&next.word.text);
-                let text = format!("`{next_word}` is too much; `{word}` stands alone");
+                let text =
+                    format!("unexpected value `{next_word}`: `{word}` takes no further value");
                 self.fail_at(next, text)
             }
             (_, []) => Some(vec![effect]),
--- a/crates/plan/src/diff/limits.rs
+++ b/crates/plan/src/diff/limits.rs
@@ -1,27 +1,27 @@
-//! Changes in limits.
+//! Reports changes in admission limits, whatever their names and order.
 
 use super::Change;
-use crate::explain::limit_in_words;
+use crate::explain::describe_limit;
 use crate::model::{Limit, LimitScope, Plan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The limits of one plan that the other does not have, paired by name.
+/// Returns the limits that only one of the plans has; limits with the same name are reported as one change.
 pub(super) fn changes(old: &Plan, new: &Plan) -> Vec<Change> {
-    let removed = unmatched(old, &meanings(new));
-    let added = unmatched(new, &meanings(old));
+    let removed = unmatched(old, &contents(new));
+    let added = unmatched(new, &contents(old));
     let names: BTreeSet<&str> = removed.keys().chain(added.keys()).copied().collect();
     let mut changes = Vec::new();
     for name in names {
         let text = match (removed.get(name), added.get(name)) {
             (None, None) => continue,
-            (Some(limit), None) => format!("`{name}` is gone: {}", limit_in_words(limit)),
-            (None, Some(limit)) => format!("`{name}` is new: {}", limit_in_words(limit)),
+            (Some(limit), None) => format!("`{name}` is gone: {}", describe_limit(limit)),
+            (None, Some(limit)) => format!("`{name}` is new: {}", describe_limit(limit)),
             (Some(before), Some(after)) if scope(old, before) != scope(new, after) => {
-                format!("`{name}` counts other queries now")
+                format!("`{name}` now counts other queries")
             }
             (Some(before), Some(after)) => {
-                let before = limit_in_words(before);
-                let after = limit_in_words(after);
+                let before = describe_limit(before);
+                let after = describe_limit(after);
                 format!("`{name}`: {before} -> {after}")
             }
         };
@@ -33,31 +33,31 @@
     changes
 }
 
-/// What a limit means, whatever it is called.
+/// The effect of a limit, regardless of its name. Limits with equal content are interchangeable.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Meaning {
+struct Content {
     scope: LimitScope,
-    /// What it allows, as it is printed.
+    /// Printed form of the allowed quantities.
     allowed: String,
 }
 
-impl Meaning {
-    fn of(plan: &Plan, limit: &Limit) -> Meaning {
-        Meaning {
+impl Content {
+    fn of(plan: &Plan, limit: &Limit) -> Content {
+        Content {
             scope: scope(plan, limit),
-            allowed: limit_in_words(limit),
+            allowed: describe_limit(limit),
         }
     }
 }
 
-fn meanings(plan: &Plan) -> BTreeSet<Meaning> {
+fn contents(plan: &Plan) -> BTreeSet<Content> {
     let limits = plan.limits.iter();
-    limits.map(|limit| Meaning::of(plan, limit)).collect()
+    limits.map(|limit| Content::of(plan, limit)).collect()
 }
 
-/// The limits of a plan that mean something else than those of the other plan, by name.
-fn unmatched<'a>(plan: &'a Plan, meanings: &BTreeSet<Meaning>) -> BTreeMap<&'a str, &'a Limit> {
-    let is_unmatched = |limit: &&Limit| !meanings.contains(&Meaning::of(plan, limit));
+/// Returns, by name, the limits of a plan whose content differs from that of each limit of the other plan.
+fn unmatched<'a>(plan: &'a Plan, contents: &BTreeSet<Content>) -> BTreeMap<&'a str, &'a Limit> {
+    let is_unmatched = |limit: &&Limit| !contents.contains(&Content::of(plan, limit));
     let unmatched = plan.limits.iter().filter(is_unmatched);
     unmatched
         .map(|limit| (limit.name.as_str(), limit))
--- a/crates/plan/src/diff/placement.rs
+++ b/crates/plan/src/diff/placement.rs
@@ -1,19 +1,19 @@
-//! Changes in the zones and kinds of engines that a class may use.
+//! Reports changes in the zones and kinds of engines that each query class may use.
 
-use super::side::{priority_levels, Side};
+use super::side::{priority_levels, ComparedPlan};
 use super::Change;
 use crate::cells::{Cells, Place};
 use crate::region::{Dimension, ValueClasses};
 use fixedbitset::FixedBitSet;
 use std::collections::BTreeSet;
 
-/// The places that a class may use in one of the plans only.
+/// Returns, for each class, the zones and kinds of engines that it may use in only one of the plans.
 pub(super) fn changes(
     class_names: &BTreeSet<String>,
     value_classes: &ValueClasses,
     cells: &Cells,
-    old_side: &Side,
-    new_side: &Side,
+    old_side: &ComparedPlan,
+    new_side: &ComparedPlan,
 ) -> Vec<Change> {
     let mut changes = Vec::new();
     for class in class_names {
@@ -28,24 +28,24 @@
     changes
 }
 
-fn change(class: &str, how: &str, place: &Place) -> Change {
+fn change(class: &str, permission: &str, place: &Place) -> Change {
     let kind = place.kind.unwrap_or("engines of other kinds");
     let zone = place.zone.unwrap_or("other zones");
     Change {
         subject: "placement",
-        text: format!("`{class}` {how} use {kind} in {zone}"),
+        text: format!("`{class}` {permission} use {kind} in {zone}"),
     }
 }
 
-/// The places that a class may use in a plan, over all routes that its queries may match.
+/// Returns the zones and kinds of engines that a class may use in a plan through any route that its queries may match.
 fn places<'a>(
-    side: &Side,
+    side: &ComparedPlan,
     class: &str,
     value_class: usize,
     cells: &'a Cells,
 ) -> BTreeSet<Place<'a>> {
     let mut usable = FixedBitSet::with_capacity(cells.count());
-    for (index, pieces) in side.reach.iter().enumerate() {
+    for (index, pieces) in side.effective.iter().enumerate() {
         let route = side.plan.routes.get(index);
         let is_rejected = route.is_some_and(|route| route.reject_reason.is_some());
         let is_matched = pieces
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explains what a plan does with one query, and by which blocks of which files.
+//! Explains what a plan does with one query and which blocks in which files decide it.
 
 mod words;
 
@@ -9,21 +9,22 @@
 use std::fmt::{Result, Write};
 
 pub(crate) use words::{
-    bucket_in_words, bytes, idempotency_in_words, limit_in_words, order, percent, seconds,
+    bytes, describe_bucket, describe_idempotency, describe_limit, order, percent, seconds,
 };
-use words::{class_in_words, pool_in_words, tenant_in_words};
+use words::{describe_class, describe_pool, describe_tenant};
 
-/// Routes that do not match the query and are printed; of further ones the number is printed.
+/// Maximum number of non-matching routes that are printed; of the others only the number is printed.
 const MAX_PRINTED_MISMATCHES: usize = 20;
 
-/// Explains the route of a query, the routes before it that do not match, the pools, the rules and the limits.
+/// Returns a text with the route that matches the query, the earlier routes that do not match, and the pools, class
+/// rules and limits that apply.
 pub fn explain(compiled: &Compiled, query: &QueryFacts) -> String {
     let mut explanation = Explanation {
         compiled,
         query,
         out: String::new(),
     };
-    // Writing to a string does not fail.
+    // Writing to a `String` never fails.
     let _ = explanation.write();
     explanation.out
 }
@@ -44,7 +45,7 @@
         match route.map(|index| &plan.routes[index]) {
             None => writeln!(
                 self.out,
-                "no route matches: any engine may run it that the rules of its query class allow"
+                "no route matches: the query may run on any engine that the rules of its class allow"
             )?,
             Some(route) => {
                 self.write_route(route)?;
@@ -77,7 +78,7 @@
         )
     }
 
-    /// The routes before the one that matches, each with the first entry that the query does not meet.
+    /// Writes the routes before the matching one, each with the first entry that the query does not match.
     fn write_mismatches(&mut self, routes: &[Route]) -> Result {
         let plan = &self.compiled.plan;
         for route in routes.iter().take(MAX_PRINTED_MISMATCHES) {
@@ -88,7 +89,7 @@
             let name = &route.name;
             writeln!(
                 self.out,
-                "  does not match: route `{name}` ({place}), by its `{unmet}`"
+                "  does not match: route `{name}` ({place}), because of its entry `{unmet}`"
             )?;
         }
         match routes.len().saturating_sub(MAX_PRINTED_MISMATCHES) {
@@ -102,15 +103,15 @@
         let place = self.location(&route.span);
         writeln!(self.out, "route `{}` ({place}) matches", route.name)?;
         if let Some(reason) = &route.reject_reason {
-            return writeln!(self.out, "it is rejected: {reason}");
+            return writeln!(self.out, "the query is rejected: {reason}");
         }
         if let Some(class) = &route.as_class {
-            writeln!(self.out, "it is treated as `{class}`")?;
+            writeln!(self.out, "the query is treated as `{class}`")?;
         }
         for (index, pool) in route.pools.iter().enumerate() {
             let pool = &plan.pools[*pool];
             let place = self.location(&pool.span);
-            let words = pool_in_words(plan, pool);
+            let words = describe_pool(plan, pool);
             let number = index + 1;
             writeln!(
                 self.out,
@@ -125,7 +126,7 @@
         let plan = &self.compiled.plan;
         for class in names.iter().filter_map(|name| plan.class(name)) {
             let place = self.location(&class.span);
-            let words = class_in_words(plan, class);
+            let words = describe_class(plan, class);
             writeln!(self.out, "group `{}` ({place}): {words}", class.name)?;
         }
         Ok(())
@@ -136,7 +137,7 @@
             return Ok(());
         };
         let place = self.location(&tenant.span);
-        let words = tenant_in_words(tenant);
+        let words = describe_tenant(tenant);
         writeln!(self.out, "tenant `{}` ({place}): {words}", tenant.name)
     }
 
@@ -147,7 +148,7 @@
                 continue;
             }
             let place = self.location(&limit.span);
-            let words = limit_in_words(limit);
+            let words = describe_limit(limit);
             writeln!(self.out, "limit `{}` ({place}): {words}", limit.name)?;
         }
         Ok(())
--- a/crates/plan/src/format.rs
+++ b/crates/plan/src/format.rs
@@ -1,21 +1,22 @@
-//! Prints a file in its canonical form.
+//! Formats a plan file in its canonical form.
 //!
-//! Two spaces of indentation, one between words, an empty line between blocks, long lists broken behind commas. Words
-//! and comments stay as they were written; only what is around them changes.
+//! Entries are indented by two spaces, words are separated by one space, blocks by one blank line, and long lists are
+//! wrapped after a comma. Only white space and line breaks change; words and comments are preserved. Comments inside a
+//! list move to the end of the entry.
 
 use crate::diagnostic::Diagnostic;
 use crate::files::FileId;
-use crate::syntax::{self, Block, BlockItem, Item, Part, Tree, Word};
+use crate::syntax::{self, Block, BlockItem, Item, List, Tree, Word};
 
-/// A longer line is broken where it can be.
+/// Maximum line width; longer lists are wrapped after a comma.
 const MAX_COLUMNS: usize = 100;
 const INDENT_COLUMNS: usize = 2;
 
-/// Prints a file in its canonical form.
+/// Returns the text of a file in its canonical form.
 ///
 /// # Errors
 ///
-/// The errors of the lines that cannot be read; such a file is not formatted.
+/// Returns the syntax errors of the file, if there are any; such a file is not formatted.
 pub fn format(text: &str) -> Result<String, Vec<Diagnostic>> {
     let Tree { items, diagnostics } = syntax::parse(text, FileId(0));
     if !diagnostics.is_empty() {
@@ -31,41 +32,41 @@
 #[derive(Default)]
 struct Formatter {
     text: String,
-    /// An empty line belongs before what comes next.
-    needs_gap: bool,
-    /// The last line closes a block, which an empty line follows.
+    /// Whether a blank line is printed before the next line.
+    needs_blank_line: bool,
+    /// Whether the last printed line closes a block, so that a blank line must follow.
     is_after_block: bool,
 }
 
 impl Formatter {
     fn print_item(&mut self, item: &Item) {
         match item {
-            Item::Blank(None) => self.request_gap(),
+            Item::Blank(None) => self.request_blank_line(),
             Item::Blank(Some(comment)) => self.print_line(0, comment, &None),
             Item::Include { path, comment, .. } => {
-                self.print_line(0, &format!("include {}", as_written(path)), comment)
+                self.print_line(0, &format!("include {}", source_text(path)), comment)
             }
             Item::Constant {
                 name,
-                parts,
+                lists,
                 comment,
                 ..
-            } => self.print_wrapped(0, &format!("let {} =", name.text), parts, comment),
+            } => self.print_wrapped(0, &format!("let {} =", name.text), lists, comment),
             Item::Block(block) => self.print_block(block),
         }
     }
 
-    fn request_gap(&mut self) {
-        self.needs_gap = !self.text.is_empty() && !self.text.ends_with("{\n");
+    fn request_blank_line(&mut self) {
+        self.needs_blank_line = !self.text.is_empty() && !self.text.ends_with("{\n");
     }
 
-    /// Prints one line.
+    /// Prints one line, preceded by a blank line if one is due.
     fn print_line(&mut self, indent: usize, code: &str, comment: &Option<String>) {
         let follows_block = self.is_after_block && indent == 0 && code != "}";
-        if self.needs_gap || follows_block {
+        if self.needs_blank_line || follows_block {
             self.text.push('\n');
         }
-        self.needs_gap = false;
+        self.needs_blank_line = false;
         self.is_after_block = false;
         self.text += &" ".repeat(indent);
         self.text += code;
@@ -77,45 +78,45 @@
     }
 
     fn print_block(&mut self, block: &Block) {
-        // An empty line precedes a block, except where a comment is right above it.
+        // A blank line precedes each block, unless a comment is directly above it.
         let last_printed = self.text.lines().next_back();
         let follows_comment = last_printed.is_some_and(|last| last.starts_with('#'));
-        self.needs_gap |= !self.text.is_empty() && !follows_comment;
+        self.needs_blank_line |= !self.text.is_empty() && !follows_comment;
         let kind = &block.kind.text;
         let head = match &block.name {
-            Some(name) => format!("{kind} {} {{", as_written(name)),
+            Some(name) => format!("{kind} {} {{", source_text(name)),
             None => format!("{kind} {{"),
         };
         self.print_line(0, &head, &block.comment);
         for item in &block.items {
             match item {
-                BlockItem::Blank(None) => self.request_gap(),
+                BlockItem::Blank(None) => self.request_blank_line(),
                 BlockItem::Blank(Some(comment)) => self.print_line(INDENT_COLUMNS, comment, &None),
                 BlockItem::Entry(entry) => {
-                    let name = as_written(&entry.name);
-                    self.print_wrapped(INDENT_COLUMNS, &name, &entry.parts, &entry.comment)
+                    let name = source_text(&entry.name);
+                    self.print_wrapped(INDENT_COLUMNS, &name, &entry.lists, &entry.comment)
                 }
             }
         }
-        self.needs_gap = false;
+        self.needs_blank_line = false;
         self.print_line(0, "}", &block.close_comment);
         self.is_after_block = true;
     }
 
-    /// Prints a name with its values, broken behind commas where it is too long.
+    /// Prints a name with its values, wrapped after commas if the line is too long.
     fn print_wrapped(
         &mut self,
         indent: usize,
         name: &str,
-        parts: &[Part],
+        lists: &[List],
         comment: &Option<String>,
     ) {
         let mut code = name.to_string();
         let mut code_indent = indent;
-        for part in parts {
-            for (index, word) in part.iter().enumerate() {
-                let comma = if index + 1 < part.len() { "," } else { "" };
-                let next = format!("{}{comma}", as_written(word));
+        for list in lists {
+            for (index, word) in list.iter().enumerate() {
+                let comma = if index + 1 < list.len() { "," } else { "" };
+                let next = format!("{}{comma}", source_text(word));
                 let columns = code_indent + code.chars().count() + 1 + next.chars().count();
                 if index > 0 && columns > MAX_COLUMNS {
                     self.print_line(code_indent, &code, &None);
@@ -130,8 +131,8 @@
     }
 }
 
-/// A word with its quotes and escapes.
-fn as_written(word: &Word) -> String {
+/// Returns a word as in the source, with quotes and escapes if it is quoted.
+fn source_text(word: &Word) -> String {
     if !word.is_quoted {
         return word.text.clone();
     }
--- a/crates/plan/tests/meaning.rs
+++ b/crates/plan/tests/meaning.rs
@@ -1,5 +1,5 @@
-//! Properties of plans: the printed form keeps the meaning, a diff is empty exactly where two plans do the same, and no
-//! input makes the checker panic.
+//! Property tests of plans: formatting preserves the meaning, a diff reports routing changes if and only if routing
+//! differs, and no input makes the checker panic.
 
 mod generate;
 
@@ -12,8 +12,8 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// Whether two plans route every query of the small world alike.
-fn route_alike(a: &Plan, b: &Plan) -> bool {
+/// Returns whether two plans have the same outcome for every generated query.
+fn have_equal_routing(a: &Plan, b: &Plan) -> bool {
     let engines = engines();
     let (outcomes_a, outcomes_b) = (outcomes(a, &engines), outcomes(b, &engines));
     let class_index = |name: &str| {
@@ -23,7 +23,7 @@
             .unwrap_or(CLASSES.len())
     };
     queries().iter().all(|query| {
-        // The index past the last route stands for none.
+        // The number of routes stands for no matching route.
         let route_index = |plan: &Plan| {
             plan.routes
                 .iter()
@@ -39,28 +39,28 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn the_printed_form_is_stable_and_means_the_same(blocks in blocks(), noise in vec(0usize..6, 60)) {
-        // Written carelessly: other spaces, empty lines and comments.
-        let mut noise = noise.into_iter().cycle();
-        let careless: String = blocks.concat().lines().map(|line| match noise.next().unwrap_or_default() {
+    fn formatting_is_idempotent_and_preserves_meaning(blocks in blocks(), variations in vec(0usize..6, 60)) {
+        // Adds extra spaces, blank lines, comments and tabs between the lines.
+        let mut variations = variations.into_iter().cycle();
+        let unformatted: String = blocks.concat().lines().map(|line| match variations.next().unwrap_or_default() {
             0 => format!("{}  # why\n", line.replace(' ', "   ")),
             1 => format!("\n\n\n{line}\n"),
             2 => format!("# said before\n\t{line}  \n"),
             _ => format!("{line}\n"),
         }).collect();
-        let printed = format(&careless).expect("it can be read");
-        prop_assert_eq!(&format(&printed).expect("it can be read"), &printed, "twice is the same as once");
+        let printed = format(&unformatted).expect("the text can be parsed");
+        prop_assert_eq!(&format(&printed).expect("the text can be parsed"), &printed, "formatting is idempotent");
         let comments = |text: &str| text.matches('#').count();
-        prop_assert_eq!(comments(&printed), comments(&careless));
-        let read = |text: &str| compile(&InMemory::one(text), "main.plan", None).expect("a good plan").plan;
-        let (a, b) = (read(&careless), read(&printed));
+        prop_assert_eq!(comments(&printed), comments(&unformatted));
+        let read = |text: &str| compile(&InMemory::one(text), "main.plan", None).expect("the plan is valid").plan;
+        let (a, b) = (read(&unformatted), read(&printed));
         prop_assert_eq!(diff(&a, &b), vec![]);
         let plain = plan_of(&blocks).plan;
         prop_assert_eq!(diff(&plain, &b), vec![]);
     }
 
     #[test]
-    fn a_diff_is_empty_exactly_where_routing_is_alike(
+    fn diff_reports_routing_exactly_when_routing_differs(
         blocks in blocks(),
         changed in vec((any::<prop::sample::Index>(), 0usize..8, any_block()), 0..3),
     ) {
@@ -74,7 +74,7 @@
                 0 => drop(other.remove(at)),
                 1 => other[at] = new.clone(),
                 2 => other.push(new.clone()),
-                // An entry less: a route that takes more, or sends to less.
+                // Removes an entry, so that for example a route matches more queries or has fewer pools.
                 3..=6 => {
                     let lines: Vec<&str> = other[at].lines().collect();
                     let cut = (how + lines.len()) % lines.len().max(1);
@@ -93,7 +93,7 @@
         prop_assert_eq!(diff(&a, &a), vec![]);
         let changes = diff(&a, &b);
         let routing = changes.iter().any(|c| c.subject == "routing");
-        prop_assert_eq!(!routing, route_alike(&a, &b), "{:?}\n--- {}\n+++ {}", changes, blocks.concat(), other.concat());
+        prop_assert_eq!(!routing, have_equal_routing(&a, &b), "{:?}\n--- {}\n+++ {}", changes, blocks.concat(), other.concat());
     }
 }
 
@@ -101,14 +101,14 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn random_bytes_are_accepted_or_reported_and_never_panic(bytes in vec(any::<u8>(), 0..400)) {
-        if let Err(faulty) = compile(&InMemory::one(bytes), "main.plan", None) {
-            prop_assert!(!faulty.to_string().is_empty());
+    fn random_bytes_compile_or_yield_diagnostics(bytes in vec(any::<u8>(), 0..400)) {
+        if let Err(invalid) = compile(&InMemory::one(bytes), "main.plan", None) {
+            prop_assert!(!invalid.to_string().is_empty());
         }
     }
 
     #[test]
-    fn a_plan_with_some_bytes_changed_never_panics(
+    fn modified_plans_never_panic(
         blocks in blocks(),
         cuts in vec((any::<prop::sample::Index>(), prop_oneof![
             Just("{"), Just("}"), Just("\""), Just("#"), Just("\n"), Just("="), Just("$"), Just(","), Just("\0"), Just("..")
@@ -122,18 +122,19 @@
             }
         }
         match compile(&InMemory::one(text.clone()), "main.plan", None) {
-            Err(faulty) => prop_assert!(faulty.to_string().contains("main.plan")),
-            Ok(good) => prop_assert_eq!(diff(&good.plan, &good.plan), vec![]),
+            Err(invalid) => prop_assert!(invalid.to_string().contains("main.plan")),
+            Ok(valid) => prop_assert_eq!(diff(&valid.plan, &valid.plan), vec![]),
         }
         if let Ok(printed) = format(&text) {
-            prop_assert_eq!(&format(&printed).expect("it can be read"), &printed);
+            prop_assert_eq!(&format(&printed).expect("the text can be parsed"), &printed);
         }
     }
 }
 
-/// What stands where matters only for routes: blocks moved, constants renamed and units changed are no change.
+/// Moved blocks, renamed constants, pools and routes, and other units for equal values must not be reported as changes;
+/// changes of values and pools must be. A pool that adds no engines to the earlier ones is no change.
 #[test]
-fn equivalent_text_is_no_change() {
+fn equivalent_plans_have_no_diff() {
     let old =
         "let far = 1s\npool a {\n zone maribor\n}\ngroup lookup {\n limit $far\n pools a\n}\n\
         route x {\n group lookup\n to a\n}\nlimit l {\n rate 60/min\n}\n";
@@ -170,7 +171,7 @@
     assert_eq!(
         texts(&part, &part.replace("to a, b", "to a")),
         [""; 0],
-        "the second holds nothing that the first has not"
+        "pool `b` has no engine that is not in pool `a`"
     );
     assert_eq!(
         texts(reports, &reports.replace("to a, b", "to a")),
@@ -181,19 +182,20 @@
     );
 }
 
-/// Sizes at which a careless parser fails: a message in good time, no panic and no overflow.
+/// Very large, deeply nested or self-multiplying input must yield diagnostics or a plan, without a panic, a stack
+/// overflow or an exponential amount of work.
 #[test]
-fn huge_and_deep_files_are_reported() {
+fn huge_and_deeply_nested_files_are_handled() {
     let message = |bytes: Vec<u8>| match compile(&InMemory::one(bytes), "main.plan", None) {
         Ok(_) => String::new(),
-        Err(faulty) => faulty.to_string(),
+        Err(invalid) => invalid.to_string(),
     };
     let deep = "pool a {\n".repeat(10_000);
-    assert!(message(deep.into_bytes()).contains("this block is not closed"));
-    assert!(message("{".repeat(10_000).into_bytes()).contains("a block begins with its kind"));
+    assert!(message(deep.into_bytes()).contains("unclosed block"));
+    assert!(message("{".repeat(10_000).into_bytes()).contains("expected a block kind before `{`"));
     let long = message(format!("pool {} {{\n all\n}}\n", "x".repeat(1 << 20)).into_bytes());
     assert!(
-        long.contains("is no name") && long.len() < 1000,
+        long.contains("invalid name `") && long.len() < 1000,
         "{} bytes",
         long.len()
     );
@@ -202,14 +204,15 @@
         .collect();
     assert_eq!(lines.lines().count(), 100_000);
     assert_eq!(message(lines.into_bytes()), "");
-    let bombs: String = (0..60)
+    let doubling_constants: String = (0..60)
         .map(|n| format!("let c{} = $c{n}, $c{n}\n", n + 1))
         .collect();
     assert!(message(
-        format!("let c0 = 1\n{bombs}route r {{\n data-set $c60\n refuse \"x\"\n}}\n").into_bytes()
+        format!("let c0 = 1\n{doubling_constants}route r {{\n data-set $c60\n refuse \"x\"\n}}\n")
+            .into_bytes()
     )
-    .contains("the constant"));
-    assert!(message(vec![b'a'; 17 << 20]).contains("16777216 at most"));
+    .contains("cannot expand constant `"));
+    assert!(message(vec![b'a'; 17 << 20]).contains("more than the maximum of 16777216"));
     let includes: String = (0..300)
         .map(|n| format!("include \"{n}.plan\"\n"))
         .collect();
@@ -218,15 +221,15 @@
         .0
         .extend((0..300).map(|n| (format!("{n}.plan"), Vec::new())));
     let report = compile(&files, "main.plan", None)
-        .expect_err("too many files")
+        .expect_err("the plan has too many files")
         .to_string();
     assert!(
-        report.contains("a plan has 256 files at most; `255.plan` is one more"),
+        report.contains("cannot include `255.plan`: a plan can have at most 256 files"),
         "{report}"
     );
     let many: String = (0..5000).map(|n| format!("nonsense {n}\n")).collect();
     assert!(message(many.into_bytes()).contains("and 4900 more"));
-    // A chain of pools as long as the file.
+    // Each pool refers to the next one: a recursive search would overflow the stack.
     let chain: String = (0..10_000)
         .map(|n| format!("pool p{n} {{\n  union p{}\n}}\n", n + 1))
         .collect();
