--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -1,4 +1,5 @@
-//! The lease holder: which leases a gateway has from a majority of issuers. One request renews all leases of an issuer.
+//! The lease holder: claims, renews and releases leases for one gateway. A resource is held while a majority of issuers
+//! grants it. One request renews all leases that an issuer has granted.
 
 mod issuer_session;
 mod issuer_set;
@@ -21,49 +22,50 @@
 use std::time::Duration;
 use wanted_lease::WantedLease;
 
-/// A claim that no majority has granted after this many request intervals is backed off.
+/// The number of request intervals after which a refused claim without a majority is released and retried after a
+/// backoff.
 const STUCK_AFTER_REQUEST_INTERVALS: u32 = 2;
 /// The shortest backoff, in request intervals.
 const MIN_BACKOFF_REQUEST_INTERVALS: f64 = 1.0;
-/// A backoff is longer than the shortest by up to this, at random, in request intervals.
+/// The upper bound of the random time that is added to the shortest backoff, in request intervals.
 const BACKOFF_JITTER_REQUEST_INTERVALS: f64 = 3.0;
 
-/// A request and the issuer that it goes to.
+/// A request and the issuer to which the caller must send it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedRequest {
-    /// The index of the issuer.
+    /// The index of the issuer in the configured list, from 0.
     pub issuer: usize,
-    /// The request.
+    /// The request to send.
     pub request: LeaseRequest,
 }
 
-/// How much a holder stores.
+/// The size of a holder's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderSize {
-    /// Resources that are wanted.
+    /// The number of resources that the holder wants, whether it holds them or not.
     pub wanted: usize,
-    /// Releases that not all issuers know of.
+    /// The number of releases that at least one issuer has not acknowledged.
     pub pending_releases: usize,
 }
 
-/// The leases of one gateway.
+/// The leases of one incarnation of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseHolder {
     id: HolderId,
     terms: LeaseTerms,
-    /// By issuer.
+    /// The sessions with the issuers, by index of the issuer.
     sessions: [IssuerSession; MAX_ISSUERS],
     wanted: BTreeMap<Resource, WantedLease>,
     releases: PendingReleases,
     recent_requests: RecentRequests,
     next_request_at: Duration,
-    /// No epoch up to this is claimed again.
+    /// The highest epoch that this holder has used or been told of. New claims use higher ones.
     last_epoch: Epoch,
     jitter: Jitter,
 }
 
 impl LeaseHolder {
-    /// A holder without leases. `seed` is for the jitter of backoffs.
+    /// Returns a holder without leases. `seed` is the seed of the random part of backoffs.
     pub fn new(id: HolderId, terms: LeaseTerms, seed: u64) -> LeaseHolder {
         LeaseHolder {
             id,
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Claims a resource from now on, under the next epoch that this gateway has not used.
+    /// Starts to claim a resource, under a new epoch, until it is released. The next requests are due at once. Has no
+    /// effect if the resource is wanted already.
     pub fn want(&mut self, now: Duration, resource: Resource) {
         if self.wanted.contains_key(&resource) {
             return;
@@ -88,7 +91,8 @@
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// Releases a resource: it is not held from this call on, and free for others as soon as the issuers know.
+    /// Stops claiming a resource. From this call on it is not held; other holders can get it as soon as the issuers
+    /// have received the release. The next requests are due at once. Has no effect if the resource is not wanted.
     pub fn release(&mut self, now: Duration, resource: Resource) {
         let Some(wanted) = self.wanted.remove(&resource) else {
             return;
@@ -97,7 +101,8 @@
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// The epoch under which a resource is held now; to be checked right before each act that needs the lease.
+    /// Returns the epoch under which the resource is held at `now`, or `None` if it is not held. Callers must check
+    /// this directly before each operation that needs the lease.
     pub fn holds(&self, now: Duration, resource: Resource) -> Option<Epoch> {
         let wanted = self.wanted.get(&resource)?;
         self.is_held(now, wanted).then_some(wanted.epoch())
@@ -107,12 +112,13 @@
         wanted.current_grants(now, &self.sessions) >= self.terms.majority()
     }
 
-    /// When the next requests are due.
+    /// Returns the time, by the holder's clock, at which the next requests are due.
     pub fn next_request_at(&self) -> Duration {
         self.next_request_at
     }
 
-    /// The requests that are due; none before [`LeaseHolder::next_request_at`].
+    /// Returns the requests to send at `now`; empty before [`LeaseHolder::next_request_at`], and if nothing is wanted
+    /// or to be released.
     pub fn requests(&mut self, now: Duration) -> Vec<AddressedRequest> {
         if now < self.next_request_at {
             return Vec::new();
@@ -129,7 +135,8 @@
             .collect()
     }
 
-    /// The requests to one issuer: the releases that it does not know of, and the claims that it has not granted.
+    /// Returns the requests to one issuer, with the releases that it has not acknowledged and the claims that it has
+    /// not granted in its current session.
     fn requests_to(&self, issuer: usize, number: u32, now: Duration) -> Vec<AddressedRequest> {
         let session = &self.sessions[issuer];
         let claims = self
@@ -144,8 +151,9 @@
             .collect()
     }
 
-    /// Releases what no majority granted for some time, and claims it again after a backoff: another holder that claims the
-    /// same may have the other issuers, and two that claim at once could keep each other from a majority for ever.
+    /// Releases the claims that are stuck with a minority, and claims the resources again after a random backoff.
+    /// Without the release, two holders that claim the same resource at once, each granted by some issuers, could keep
+    /// each other from a majority for ever.
     fn back_off_stuck_claims(&mut self, now: Duration) {
         let stuck: Vec<Claim> = self
             .wanted
@@ -161,7 +169,8 @@
         }
     }
 
-    /// Whether a minority has granted a claim for some time and others refuse it.
+    /// Returns true if [`STUCK_AFTER_REQUEST_INTERVALS`] have passed since the first claim, some issuers but no
+    /// majority have granted it, and at least one has refused it.
     fn is_stuck(&self, now: Duration, wanted: &WantedLease) -> bool {
         let stuck_at =
             wanted.claimed_from() + self.terms.request_interval() * STUCK_AFTER_REQUEST_INTERVALS;
@@ -178,7 +187,7 @@
             .mul_f64(MIN_BACKOFF_REQUEST_INTERVALS + jitter)
     }
 
-    /// Notes an epoch that others use: further claims use later ones.
+    /// Records an epoch that was used elsewhere, so that new claims use higher ones.
     pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.last_epoch = self.last_epoch.max(epoch);
     }
@@ -188,7 +197,8 @@
         self.last_epoch
     }
 
-    /// Handles a reply of an issuer, given by index.
+    /// Handles a reply of the issuer with this index. Ignores a reply to another holder, to a request that is no longer
+    /// among the recent ones, or of an earlier session.
     pub fn handle_reply(&mut self, issuer: usize, reply: &LeaseReply) {
         if issuer >= self.terms.issuer_count() || reply.holder != self.id {
             return;
@@ -196,7 +206,8 @@
         let Some(sent_at) = self.recent_requests.sent_at(reply.number) else {
             return;
         };
-        // The issuer's lease counts from when it received the request, which is later.
+        // The lease is counted from the sending of the request. The issuer counts it from the receipt, which is later,
+        // so that the lease ends here first.
         let expires_at = sent_at + self.terms.holder_duration();
         if !self.sessions[issuer].renew(reply.session, expires_at) {
             return;
@@ -223,19 +234,20 @@
             Verdict::Granted => wanted.grant(issuer, session),
             Verdict::HeldByOther(other) => {
                 wanted.refuse(issuer);
-                // Later claims use a higher epoch, so that the first one after the other holder's end is granted.
+                // Claim under a higher epoch from now on, so that the first claim after the other holder's lease has
+                // ended is granted.
                 self.raise_epoch(resource, other, 1);
             }
             Verdict::AtCapacity => wanted.refuse(issuer),
-            // A majority that grants it already does not need this issuer.
+            // If a majority has granted the resource under the current epoch, this issuer's grant is not needed.
             Verdict::StaleEpoch(latest) => {
                 self.raise_epoch(resource, latest, self.terms.majority());
             }
         }
     }
 
-    /// Claims a resource under an epoch above `over`, unless its epoch is above that already or `enough_grants` issuers have
-    /// granted it.
+    /// Changes the epoch of a claim to one above `over`, unless it is above already or at least `enough_grants` issuers
+    /// have granted the claim.
     fn raise_epoch(&mut self, resource: Resource, over: Epoch, enough_grants: usize) {
         let Some(wanted) = self.wanted.get(&resource) else {
             return;
@@ -250,7 +262,8 @@
         }
     }
 
-    /// Drops releases that only issuers without a reply for a lease do not know of: the leases have ended there.
+    /// Drops the releases that are unacknowledged only by issuers whose session expired more than one lease duration
+    /// ago, since those issuers have ended the leases by themselves.
     fn drop_expired_releases(&mut self, now: Duration) {
         let (sessions, terms) = (&self.sessions, &self.terms);
         let has_expired =
@@ -259,7 +272,7 @@
             .drop_settled(terms.issuer_count(), has_expired);
     }
 
-    /// How much it stores.
+    /// Returns the size of the stored state.
     pub fn size(&self) -> HolderSize {
         HolderSize {
             wanted: self.wanted.len(),
--- a/crates/fleet/src/lease_holder/issuer_session.rs
+++ b/crates/fleet/src/lease_holder/issuer_session.rs
@@ -1,24 +1,26 @@
-//! The session of a lease holder with one issuer.
+//! The session of a lease holder with one issuer, as the holder sees it.
 
 use std::time::Duration;
 
-/// The session with one issuer, which lasts as long as it is renewed. Leases of earlier sessions have ended.
+/// The latest session with one issuer. It lasts until `expires_at`, which each accepted reply extends. Leases of
+/// earlier sessions have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct IssuerSession {
-    /// The current or last session; 0 where there was none yet.
+    /// The number that the issuer gave the session; 0 before the first reply.
     pub(super) number: u64,
-    /// When the leases of this session end, by the holder's clock.
+    /// The time, by the holder's clock, at which the session and its leases end.
     pub(super) expires_at: Duration,
 }
 
 impl IssuerSession {
-    /// Renews the session by a reply, or begins the next one; returns false where the reply is outdated.
+    /// Applies the session number of a reply: extends the session, or begins a new one. Returns false, without a
+    /// change, if the reply belongs to an earlier session.
     pub(super) fn renew(&mut self, number: u64, expires_at: Duration) -> bool {
         if self.number == number {
             self.expires_at = self.expires_at.max(expires_at);
             return true;
         }
-        // A late reply of an earlier session must not restore its leases.
+        // A delayed reply of an earlier session must not make its leases valid again.
         let is_later = self.number == 0 || expires_at > self.expires_at;
         if is_later {
             *self = IssuerSession { number, expires_at };
--- a/crates/fleet/src/lease_holder/jitter.rs
+++ b/crates/fleet/src/lease_holder/jitter.rs
@@ -1,6 +1,6 @@
-//! Random numbers for the jitter of backoffs.
+//! A pseudorandom number generator for the random part of backoffs.
 
-/// Knuth's linear congruential generator, modulo 2^64.
+/// A linear congruential generator modulo 2^64, with Knuth's constants. Its output is reproducible from the seed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Jitter {
     state: u64,
@@ -9,15 +9,15 @@
 impl Jitter {
     const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
     const INCREMENT: u64 = 1_442_695_040_888_963_407;
-    /// The high bits of the state that make a fraction; the low bits have short periods.
+    /// The number of high bits of the state that form a fraction. The low bits are not used, since their periods are
+    /// short.
     const FRACTION_BITS: u32 = 24;
 
-    /// A generator with this seed.
     pub(super) fn new(seed: u64) -> Jitter {
         Jitter { state: seed | 1 }
     }
 
-    /// A random number of 0 up to, but not including, 1.
+    /// Returns a random number in the range from 0 (inclusive) to 1 (exclusive).
     pub(super) fn fraction(&mut self) -> f64 {
         self.state = self
             .state
--- a/crates/fleet/src/lease_holder/pending_releases.rs
+++ b/crates/fleet/src/lease_holder/pending_releases.rs
@@ -1,29 +1,29 @@
-//! Released claims of which not all issuers know yet.
+//! Released claims that at least one issuer has not acknowledged.
 
 use super::issuer_set::IssuerSet;
 use crate::lease_message::Claim;
 use std::collections::BTreeMap;
 
-/// Released claims, each with the issuers that have acknowledged the release.
+/// Released claims, each with the set of issuers that have acknowledged the release.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct PendingReleases {
     acknowledged_by: BTreeMap<Claim, IssuerSet>,
 }
 
 impl PendingReleases {
-    /// Adds a release that no issuer knows of.
+    /// Adds a release that no issuer has acknowledged.
     pub(super) fn insert(&mut self, claim: Claim) {
         self.acknowledged_by.insert(claim, IssuerSet::default());
     }
 
-    /// Notes that an issuer has carried out a release.
+    /// Records that an issuer has carried out a release.
     pub(super) fn acknowledge(&mut self, claim: &Claim, issuer: usize) {
         if let Some(issuers) = self.acknowledged_by.get_mut(claim) {
             issuers.insert(issuer);
         }
     }
 
-    /// The releases that an issuer has not acknowledged.
+    /// Returns the releases that an issuer has not acknowledged.
     pub(super) fn unacknowledged_by(&self, issuer: usize) -> impl Iterator<Item = Claim> + '_ {
         self.acknowledged_by
             .iter()
@@ -31,7 +31,8 @@
             .map(|(claim, _)| *claim)
     }
 
-    /// Drops the releases that each issuer has acknowledged or that have no meaning for it any more.
+    /// Drops the releases for which every issuer has either acknowledged the release or, by `is_meaningless`, ended the
+    /// lease by itself.
     pub(super) fn drop_settled(
         &mut self,
         issuer_count: usize,
@@ -43,12 +44,10 @@
         });
     }
 
-    /// Whether there are none.
     pub(super) fn is_empty(&self) -> bool {
         self.acknowledged_by.is_empty()
     }
 
-    /// How many there are.
     pub(super) fn len(&self) -> usize {
         self.acknowledged_by.len()
     }
--- a/crates/fleet/src/lease_holder/request_packing.rs
+++ b/crates/fleet/src/lease_holder/request_packing.rs
@@ -1,19 +1,21 @@
-//! How claims and releases are spread over the requests to one issuer.
+//! Distributes claims and releases over the requests to one issuer.
 
 use crate::lease_message::{Claim, HolderId, LeaseRequest, MAX_CLAIMS_PER_MESSAGE};
 
-/// Requests that go to an issuer at once, each with up to [`MAX_CLAIMS_PER_MESSAGE`] claims and releases.
+/// The largest number of requests to one issuer in one round, each with up to [`MAX_CLAIMS_PER_MESSAGE`] claims and
+/// releases.
 const MAX_REQUESTS_PER_ISSUER: usize = 16;
 
-/// What a request asks of an issuer beside the renewal.
+/// A change that a request asks for in addition to the renewal of the leases.
 #[derive(Clone, Copy)]
 enum Change {
     Release(Claim),
     Claim(Claim),
 }
 
-/// Packs releases first, then claims, as many as go out at once. One request renews all leases, so that there is one even
-/// without a change; there are more only for changes that do not fit into one.
+/// Returns the requests of one round to one issuer: the releases come first, then the claims, up to the limit of the
+/// round. Each request renews all leases, so that there is at least one request, even without claims and releases;
+/// there are more only if these do not fit into one.
 pub(super) fn pack_requests(
     holder: HolderId,
     number: u32,
--- a/crates/fleet/src/lease_holder/wanted_lease.rs
+++ b/crates/fleet/src/lease_holder/wanted_lease.rs
@@ -1,4 +1,4 @@
-//! The claim of one resource, and which issuers have granted it.
+//! The claim of one resource, with the grants and refusals of the issuers.
 
 use super::issuer_session::IssuerSession;
 use super::issuer_set::IssuerSet;
@@ -6,18 +6,20 @@
 use crate::lease_terms::MAX_ISSUERS;
 use std::time::Duration;
 
-/// What is known of a wanted resource.
+/// The state of the claim of one resource.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct WantedLease {
     epoch: Epoch,
-    /// The session in which each issuer granted the resource under this epoch.
+    /// By index of the issuer: the number of the session in which it granted the resource under `epoch`.
     granted_in: [Option<u64>; MAX_ISSUERS],
+    /// The issuers that have refused a claim and have not granted one since.
     refused_by: IssuerSet,
+    /// The time, by the holder's clock, before which the claim is not sent.
     claimed_from: Duration,
 }
 
 impl WantedLease {
-    /// A claim under this epoch, which is sent from `claimed_from` on.
+    /// Returns a claim under this epoch that no issuer has granted. It is not sent before `claimed_from`.
     pub(super) fn new(epoch: Epoch, claimed_from: Duration) -> WantedLease {
         WantedLease {
             epoch,
@@ -27,12 +29,11 @@
         }
     }
 
-    /// The epoch under which the resource is claimed.
     pub(super) fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The claim that is sent for the resource.
+    /// Returns the claim to send for this resource.
     pub(super) fn claim(&self, resource: Resource) -> Claim {
         Claim {
             resource,
@@ -40,34 +41,35 @@
         }
     }
 
-    /// When claims are sent for the first time: after the backoff, where there is one.
+    /// Returns the time before which the claim is not sent. It is in the future during a backoff.
     pub(super) fn claimed_from(&self) -> Duration {
         self.claimed_from
     }
 
-    /// Claims the resource under another epoch, for which no issuer has granted it yet.
+    /// Changes the epoch of the claim and drops all grants, which were for the earlier epoch.
     pub(super) fn change_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
         self.granted_in = [None; MAX_ISSUERS];
     }
 
-    /// Notes that an issuer granted it in this session.
+    /// Records that an issuer granted the resource in this session.
     pub(super) fn grant(&mut self, issuer: usize, session: u64) {
         self.granted_in[issuer] = Some(session);
         self.refused_by.remove(issuer);
     }
 
-    /// Notes that an issuer did not grant it, as another holder has it or the issuer is at its capacity.
+    /// Records that an issuer refused the claim, since another holder has the resource or the issuer is at its limit.
     pub(super) fn refuse(&mut self, issuer: usize) {
         self.refused_by.insert(issuer);
     }
 
-    /// Whether any issuer did not grant it.
+    /// Returns true if at least one issuer has refused the claim and has not granted it since.
     pub(super) fn is_refused(&self) -> bool {
         !self.refused_by.is_empty()
     }
 
-    /// Whether an issuer is to be sent a claim now, given the session with it.
+    /// Returns true if the claim is to be sent to an issuer at `now`: the backoff is over, and the issuer has not
+    /// granted the resource in `session`, its current one.
     pub(super) fn is_claim_due(
         &self,
         now: Duration,
@@ -77,19 +79,19 @@
         self.claimed_from <= now && self.granted_in[issuer] != Some(session.number)
     }
 
-    /// How many issuers granted it in their current sessions, whether these last or not.
+    /// Returns the number of issuers that granted the resource in their latest sessions, including expired ones.
     pub(super) fn grants(&self, sessions: &[IssuerSession]) -> usize {
         self.granting_sessions(sessions).count()
     }
 
-    /// How many issuers grant it now, in sessions that last.
+    /// Returns the number of issuers that granted the resource in sessions that have not expired at `now`.
     pub(super) fn current_grants(&self, now: Duration, sessions: &[IssuerSession]) -> usize {
         self.granting_sessions(sessions)
             .filter(|session| now < session.expires_at)
             .count()
     }
 
-    /// The current sessions, by issuer, in which the resource was granted.
+    /// Returns those of the latest sessions, one for each issuer, in which the resource was granted.
     fn granting_sessions<'a>(
         &'a self,
         sessions: &'a [IssuerSession],
--- a/crates/fleet/src/lease_issuer.rs
+++ b/crates/fleet/src/lease_issuer.rs
@@ -1,7 +1,7 @@
-//! The lease issuer: which resource is granted to whom, until when.
+//! The lease issuer: grants resources to holders, each resource to one holder at a time.
 //!
-//! It stores nothing on a disk. A restarted issuer sends no reply for the duration of a lease, after which no lease that it
-//! granted before can still be held.
+//! An issuer keeps its state in memory only. After a restart it sends no reply for the duration of one lease; by then
+//! every lease that it granted before the restart has expired.
 
 use crate::lease_message::{
     Claim, ClaimVerdict, Epoch, HolderId, LeaseReply, LeaseRequest, NoReply, Resource, Verdict,
@@ -10,34 +10,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How much an issuer may store.
+/// Upper limits on the state of an issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct IssuerLimits {
-    /// Holders with a session.
+    /// The largest number of holders with a session. Requests of further holders get no reply.
     pub max_holders: usize,
-    /// Resources, held ones and those that are free but remembered.
+    /// The largest number of stored resources: the held ones, and the free ones whose last epoch is stored.
     pub max_resources: usize,
 }
 
-/// How much an issuer stores.
+/// The size of an issuer's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IssuerSize {
-    /// Resources, held ones and those that are free but remembered.
+    /// The number of stored resources: the held ones, and the free ones whose last epoch is stored.
     pub resources: usize,
-    /// Sessions with holders.
+    /// The number of sessions, one for each holder. Expired sessions count until the next request is handled.
     pub sessions: usize,
 }
 
-/// The time over which a holder has renewed its leases without a gap.
+/// The period over which a holder has renewed its leases without a gap. A grant lasts as long as the session in which
+/// it was made, unless the holder releases it earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Session {
     number: u64,
     expires_at: Duration,
-    /// Claims of older requests are out of date.
+    /// The highest request number received in this session. Claims of requests with lower numbers are ignored.
     latest_request: u32,
 }
 
-/// Who was granted a resource, in which of its sessions.
+/// The holder that a resource was granted to, and the session in which that happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Grantee {
     holder: HolderId,
@@ -48,30 +49,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Grant {
     epoch: Epoch,
-    /// `None` once it was released.
+    /// `None` after the holder has released the resource.
     grantee: Option<Grantee>,
 }
 
-/// A lease issuer.
+/// One incarnation of a lease issuer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseIssuer {
     lease_duration: Duration,
     silent_until: Duration,
-    /// Sessions are numbered from the incarnation on, so that two incarnations never use the same numbers.
+    /// The number of the next session. The first one is the issuer's incarnation, which is random, so that a session
+    /// number of an earlier incarnation is not used again.
     next_session: u64,
     limits: IssuerLimits,
     sessions: BTreeMap<HolderId, Session>,
     grants: BTreeMap<Resource, Grant>,
-    /// No epoch up to this is granted for a resource that is not stored: it may have been evicted.
+    /// Epochs up to this one are refused for a resource that is not stored, since it may have been granted under one of
+    /// them and evicted afterwards.
     epoch_floor: Epoch,
 }
 
 impl LeaseIssuer {
-    /// An issuer that starts now, at `unix_ms` by its wall clock, in milliseconds. `incarnation` is drawn anew with each
-    /// start.
+    /// Returns an issuer that starts now. `unix_ms` is the wall-clock time of the start, in milliseconds since the Unix
+    /// epoch. `incarnation` is a random number that the caller draws for each start.
     ///
-    /// It remembers no epoch that was granted before. All of those are below its wall clock plus one lease, as long as the
-    /// issuers' wall clocks are no more than a lease apart: it grants none up to there.
+    /// The issuer does not know the epochs that were granted before its start. As long as the wall clocks of the
+    /// issuers differ by no more than the duration of a lease, all of those are below its own wall clock plus that
+    /// duration, so that it refuses the epochs up to there.
     pub fn start(
         now: Duration,
         unix_ms: u64,
@@ -91,7 +95,8 @@
         }
     }
 
-    /// An issuer that replies at once though it remembers nothing, for tests that show what that breaks.
+    /// Returns an issuer that replies from its start on, although it does not know the leases that it granted before.
+    /// Only for tests, which show that two gateways can then hold the same resource.
     pub fn start_without_silence(
         now: Duration,
         unix_ms: u64,
@@ -105,11 +110,12 @@
         }
     }
 
-    /// Handles a request that was received at `now`.
+    /// Handles a request that was received at `now`: renews the holder's session, carries out the releases, then
+    /// decides on the claims. Returns the reply to send.
     ///
     /// # Errors
     ///
-    /// Why no reply is sent, for the log.
+    /// The reason why no reply is to be sent: the issuer started less than one lease ago, or has too many sessions.
     pub fn handle_request(
         &mut self,
         now: Duration,
@@ -132,7 +138,7 @@
         })
     }
 
-    /// Starts or extends the session of the holder that sent a request.
+    /// Extends the session of the holder that sent a request, or starts one, and returns it.
     fn renew_session(&mut self, now: Duration, request: &LeaseRequest) -> Result<Session, NoReply> {
         let expires_at = now + self.lease_duration;
         if let Some(session) = self.sessions.get_mut(&request.holder) {
@@ -154,7 +160,7 @@
     }
 
     fn decide_claims(&mut self, request: &LeaseRequest, session: &Session) -> Vec<ClaimVerdict> {
-        // What an older request claims may have been released since.
+        // A request that arrives after a later one may claim a resource that the later one has released.
         if request.number != session.latest_request {
             return Vec::new();
         }
@@ -173,7 +179,7 @@
         verdicts
     }
 
-    /// Decides on a claim, and grants the resource where it can.
+    /// Decides on a claim and, if the resource is granted, stores the grant.
     fn decide(&mut self, claim: &Claim, grantee: Grantee) -> Verdict {
         let verdict = match self.grants.get(&claim.resource).copied() {
             Some(latest) => self.verdict_on_known(claim.epoch, grantee.holder, &latest),
@@ -189,18 +195,19 @@
         verdict
     }
 
-    /// Decides on a claim of a resource whose latest grant is remembered.
+    /// Decides on a claim of a resource whose latest grant is stored.
     fn verdict_on_known(&self, epoch: Epoch, claimant: HolderId, latest: &Grant) -> Verdict {
         match self.current_holder(latest) {
             Some(holder) if holder != claimant => Verdict::HeldByOther(latest.epoch),
-            // Its holder may claim it under the same epoch again.
+            // The current holder may claim the resource again under the same epoch.
             Some(_) if epoch < latest.epoch => Verdict::StaleEpoch(latest.epoch),
             None if epoch <= latest.epoch => Verdict::StaleEpoch(latest.epoch),
             Some(_) | None => Verdict::Granted,
         }
     }
 
-    /// Decides on a claim of a resource that was never granted, or evicted since; makes room for it.
+    /// Decides on a claim of a resource that is not stored: it was never granted, or it was evicted. Evicts another
+    /// resource if the issuer is at its limit.
     fn verdict_on_unknown(&mut self, epoch: Epoch) -> Verdict {
         if epoch <= self.epoch_floor {
             return Verdict::StaleEpoch(self.epoch_floor);
@@ -212,15 +219,16 @@
         Verdict::Granted
     }
 
-    /// The holder of a grant, while the session lasts in which it was granted.
+    /// Returns the holder of a grant, or `None` if the grant was released or the session in which it was made has
+    /// ended.
     fn current_holder(&self, grant: &Grant) -> Option<HolderId> {
         let grantee = grant.grantee?;
         let session = self.sessions.get(&grantee.holder)?;
         (session.number == grantee.session).then_some(grantee.holder)
     }
 
-    /// Evicts the resource without a holder that has the lowest epoch, and raises the floor to that epoch; returns false
-    /// where all resources are held.
+    /// Evicts, among the resources without a holder, the one with the lowest epoch, and raises `epoch_floor` to that
+    /// epoch. Returns false if all resources are held.
     fn evict_free_resource(&mut self) -> bool {
         let lowest = self
             .grants
@@ -236,7 +244,7 @@
         true
     }
 
-    /// Frees what a holder releases, if it has it under this epoch.
+    /// Frees a resource, if this holder was granted it under the epoch of the claim.
     fn release(&mut self, holder: HolderId, claim: &Claim) {
         let Some(grant) = self.grants.get_mut(&claim.resource) else {
             return;
@@ -249,7 +257,7 @@
         }
     }
 
-    /// How much it stores.
+    /// Returns the size of the stored state.
     pub fn size(&self) -> IssuerSize {
         IssuerSize {
             resources: self.grants.len(),
@@ -257,7 +265,7 @@
         }
     }
 
-    /// When it starts or started to reply.
+    /// Returns the time, by the issuer's clock, at which it starts to reply: one lease after its start.
     pub fn silent_until(&self) -> Duration {
         self.silent_until
     }
--- a/crates/fleet/src/lease_message.rs
+++ b/crates/fleet/src/lease_message.rs
@@ -1,22 +1,23 @@
-//! Messages between lease holders and issuers.
+//! The messages between lease holders and issuers, and the types that they carry.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Claims and releases together that one message carries; further ones go into the next message.
+/// The largest number of claims and releases, counted together, in one message. Further ones go into another message.
 pub const MAX_CLAIMS_PER_MESSAGE: usize = 6;
 
-/// Something that has at most one holder, by the hash of its name.
+/// A resource that at most one holder may have at a time, identified by the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Resource(pub u64);
 
-/// A fencing token: it grows with each holder of a resource and goes with every act of the holder.
+/// A fencing token. It increases with each new holder of a resource, and the holder sends it with every operation on
+/// the resource, so that operations of earlier holders can be rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// One incarnation of a gateway as lease issuers know it; a restarted gateway is another holder.
+/// The identity of one incarnation of a gateway towards lease issuers. A restarted gateway is another holder.
 ///
-/// The membership knows the same gateway by its address, as a [`Peer`](crate::membership::Peer).
+/// The membership identifies the same gateway by its address, as a [`Peer`](crate::membership::Peer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HolderId {
     /// The hash of the gateway's name.
@@ -25,25 +26,26 @@
     pub incarnation: u64,
 }
 
-/// A resource under an epoch.
+/// A resource and the epoch under which it is claimed or released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Claim {
-    /// The resource.
+    /// The claimed or released resource.
     pub resource: Resource,
-    /// The epoch.
+    /// The fencing token of the claim, chosen by the holder.
     pub epoch: Epoch,
 }
 
-/// Renews all leases that a holder has from an issuer, claims further ones, and releases some.
+/// A request that renews all leases that a holder has from one issuer, and may claim and release resources.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The holder that sends it.
     pub holder: HolderId,
-    /// The sequence number among the holder's requests, which the reply repeats.
+    /// The number of the holder's round of requests, from 1. The reply repeats it. The requests of one round have the
+    /// same number.
     pub number: u32,
-    /// What is claimed.
+    /// The resources that the holder claims.
     pub claims: Vec<Claim>,
-    /// What is released.
+    /// The claims that the holder gives up, granted or not.
     pub releases: Vec<Claim>,
 }
 
@@ -52,20 +54,20 @@
 pub enum Verdict {
     /// Granted, for as long as the holder's session with this issuer lasts.
     Granted,
-    /// Another holder has it, under this epoch.
+    /// Refused: another holder has the resource, under this epoch.
     HeldByOther(Epoch),
-    /// The issuer has seen this epoch or a later one: claim a later one than that.
+    /// Refused: the claimed epoch is too low. The holder must claim the resource under an epoch above this one.
     StaleEpoch(Epoch),
-    /// The issuer can store no further resource.
+    /// Refused: the issuer is at its limit of resources, and all of them are held.
     AtCapacity,
 }
 
-/// A claim with the decision on it.
+/// A claim and the issuer's decision on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimVerdict {
-    /// The claim.
+    /// The claim, as in the request.
     pub claim: Claim,
-    /// The decision.
+    /// The issuer's decision.
     pub verdict: Verdict,
 }
 
@@ -74,25 +76,26 @@
 pub struct LeaseReply {
     /// The holder that sent the request.
     pub holder: HolderId,
-    /// The number of the request.
+    /// The number of the request that this replies to.
     pub number: u32,
-    /// The holder's session with this incarnation of the issuer. Leases of an earlier session have ended.
+    /// The number of the holder's session with this incarnation of the issuer. Leases of an earlier session have ended.
     pub session: u64,
-    /// The decisions on the claims.
+    /// The decisions on the claims of the request. Empty if the issuer has received a request with a higher number.
     pub verdicts: Vec<ClaimVerdict>,
-    /// The releases that were carried out.
+    /// The releases of the request, all of which were carried out.
     pub released: Vec<Claim>,
 }
 
-/// Why an issuer does not reply to a request.
+/// The reason why an issuer does not reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum NoReply {
-    /// It started less than a lease ago, and may have granted what it does not remember; the time until it replies.
-    #[error("issuer started less than the longest lease ago: it grants nothing for another {0:?}; nothing is to be done")]
+    /// The issuer started less than one lease ago, so that leases from before its start may still be held. The value is
+    /// the time until it replies.
+    #[error("lease issuer started less than one lease ago: it grants nothing for another {0:?}; nothing is to be done")]
     Starting(Duration),
-    /// It has sessions with as many holders as it may have; their number.
+    /// The issuer has sessions with the largest number of holders that it may have. The value is that number.
     #[error(
-        "issuer has sessions with {0} lease holders, as many as it may have: raise the fleet's limit of members"
+        "lease issuer has sessions with {0} lease holders, which is its limit: raise the fleet's limit of members"
     )]
     TooManyHolders(usize),
 }
--- a/crates/fleet/src/lease_terms.rs
+++ b/crates/fleet/src/lease_terms.rs
@@ -1,46 +1,46 @@
-//! The durations of leases, checked against clock drift and round-trip time.
+//! The durations of leases by the clocks of issuers and holders, checked against clock drift and round-trip time.
 
 use std::time::Duration;
 
-/// Lease issuers of a fleet; of nine, four may fail.
+/// The largest number of lease issuers of a fleet. Nine issuers tolerate the failure of four.
 pub const MAX_ISSUERS: usize = 9;
-/// Renewals within the duration of a lease, so that two may be lost.
+/// The number of renewal requests that a holder sends within the duration of a lease, so that two of them may be lost.
 const REQUESTS_PER_LEASE: u32 = 4;
 
-/// A drift of this or more, in parts in a million, is refused: half a clock.
+/// The lowest clock drift that is rejected, in parts per million: 50 %.
 const DRIFT_LIMIT_PPM: u32 = 500_000;
 const PARTS_PER_MILLION: f64 = 1e6;
 
-/// Why the settings of a fleet cannot be used, and what to do about it.
+/// The error for lease settings that cannot be used. The message says what to change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseTermsError {
     /// The number of issuers is even or above [`MAX_ISSUERS`].
-    #[error("{0} issuers are named: name an odd number from 1 to 9, since an even one bears no more failures than one less")]
+    #[error("{0} lease issuers are configured: configure an odd number from 1 to 9, since an even number tolerates no more failures than the odd number below it")]
     IssuerCount(usize),
-    /// An issuer, by index, is named twice.
-    #[error("issuer {0} is named twice: give each issuer a gateway of its own, or two could be one vote counted double")]
+    /// The issuer at this index, from 0, is also listed at a lower index.
+    #[error("lease issuer at index {0} is configured twice: give each issuer a gateway of its own, or one gateway would count as two votes")]
     DuplicateIssuer(usize),
-    /// The lease leaves its holder too little time to renew it.
+    /// The holder's part of the lease is shorter than the round trips of its renewals.
     #[error(
-        "a lease of {issuer_duration:?} is too short for a drift of {drift_ppm} parts in a million and {round_trip:?} on the way: \
-         its holder would be left {holder_duration:?}; take a longer lease or a smaller drift"
+        "lease of {issuer_duration:?} is too short for a clock drift of {drift_ppm} ppm and a round-trip time of {round_trip:?}: \
+         its holder could use it for only {holder_duration:?}; take a longer lease or a smaller drift"
     )]
     LeaseTooShort {
-        /// The duration by the issuer's clock.
+        /// The duration of a lease by the issuer's clock.
         issuer_duration: Duration,
-        /// The clock drift, in parts in a million.
+        /// The bound on clock drift, in parts per million.
         drift_ppm: u32,
-        /// The round-trip time.
+        /// The bound on the round-trip time of a message.
         round_trip: Duration,
-        /// The duration that is left to the holder.
+        /// The duration of a lease by the holder's clock, which is the issuer's less the drift of both clocks.
         holder_duration: Duration,
     },
-    /// The clock drift, in parts in a million, is half a clock or more.
-    #[error("a drift of {0} parts in a million is half a clock or more: measure the machines' clocks, usual is under 500")]
+    /// The bound on clock drift, in parts per million, is 50 % or more.
+    #[error("clock drift of {0} ppm is 50 % or more: measure the drift of the machines' clocks, which is usually below 500 ppm")]
     DriftTooLarge(u32),
 }
 
-/// How long leases last for issuers and holders.
+/// The durations of a lease by the clocks of issuers and holders, and the number of issuers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseTerms {
     issuer_duration: Duration,
@@ -49,13 +49,16 @@
 }
 
 impl LeaseTerms {
-    /// Terms for these gateways as issuers. `issuer_duration` is the duration of a lease by the issuer's clock. `drift_ppm`
-    /// bounds how fast or slow any clock may run, in parts in a million. `round_trip` bounds the round-trip time of a message
-    /// while the network is healthy.
+    /// Returns the terms for a fleet with these issuers; each number identifies a gateway.
+    ///
+    /// `issuer_duration` is the duration of a lease by the issuer's clock. `drift_ppm` bounds by how much any clock may
+    /// run too fast or too slow, in parts per million. `round_trip` bounds the round-trip time of a message while the
+    /// network is healthy.
     ///
     /// # Errors
     ///
-    /// Names the setting that cannot be used, and what to do.
+    /// The number of issuers is even or too large, an issuer is listed twice, the drift is too large, or the lease is
+    /// too short for the drift and the round-trip time.
     pub fn new(
         issuer_duration: Duration,
         drift_ppm: u32,
@@ -72,7 +75,8 @@
         if drift_ppm >= DRIFT_LIMIT_PPM {
             return Err(LeaseTermsError::DriftTooLarge(drift_ppm));
         }
-        // At the slowest holder a lease ends no later than at the fastest issuer: (1 - d) / (1 + d) is never under 1 - 2d.
+        // A lease must end at the holder with the slowest clock no later than at the issuer with the fastest one. With
+        // a drift of d the holder's part may be (1 - d) / (1 + d) of the duration, which is never less than 1 - 2d.
         let drift_of_both = 2.0 * f64::from(drift_ppm) / PARTS_PER_MILLION;
         let margin = issuer_duration.mul_f64(drift_of_both) + Duration::from_nanos(1);
         let holder_duration = issuer_duration.saturating_sub(margin);
@@ -91,7 +95,8 @@
         })
     }
 
-    /// Terms without checks, for tests that show what wrong ones break.
+    /// Returns terms without any check, for measurements and for tests. The tests show that two gateways can hold the same
+    /// resource if the holder's duration leaves no margin for drift.
     pub fn unchecked(
         issuer_duration: Duration,
         holder_duration: Duration,
@@ -104,27 +109,27 @@
         }
     }
 
-    /// The duration of a lease by the issuer's clock.
+    /// Returns the duration of a lease by the issuer's clock, from the receipt of the request.
     pub fn issuer_duration(&self) -> Duration {
         self.issuer_duration
     }
 
-    /// The duration of a lease by the holder's clock, from when it sent its request.
+    /// Returns the duration of a lease by the holder's clock, from the time at which it sent the request.
     pub fn holder_duration(&self) -> Duration {
         self.holder_duration
     }
 
-    /// The time between two requests of a holder.
+    /// Returns the time between two renewal requests of a holder: a quarter of the holder's duration.
     pub fn request_interval(&self) -> Duration {
         self.holder_duration / REQUESTS_PER_LEASE
     }
 
-    /// How many issuers there are.
+    /// Returns the number of issuers of the fleet.
     pub fn issuer_count(&self) -> usize {
         self.issuer_count
     }
 
-    /// How many issuers are a majority.
+    /// Returns the number of issuers that form a majority.
     pub fn majority(&self) -> usize {
         self.issuer_count / 2 + 1
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,23 +1,27 @@
-//! Membership and leases of a fleet of gateways, correct over partitions, kills, pauses and restarts.
+//! Group membership and leases for a fleet of gateways, correct across network partitions and across kills, pauses and
+//! restarts of gateways.
 //!
-//! It does no I/O and reads no clock: callers pass time and messages in and carry out the results. docs/fleet.md has the
-//! guarantees and the design.
+//! The crate does no I/O and reads no clock: callers pass in the time and the received messages, and send the messages
+//! that they get back. docs/fleet.md describes the guarantees and the design.
 //!
-//! * [`lease_terms`]: the duration of leases for issuers and holders.
-//! * [`lease_issuer`]: which resource an issuer has granted, to whom, until when.
-//! * [`lease_holder`]: which leases a gateway has from a majority of issuers.
-//! * [`quota`]: a quota of the whole fleet in leased units.
-//! * [`membership`]: membership by SWIM, with facts that peers publish about themselves.
-//! * [`lease_message`]: messages between holders and issuers.
-//! * [`wire`]: messages as datagrams: bounded, of one fleet, with a keyed hash where there is a key.
+//! * [`lease_terms`]: the duration of leases, by the clocks of issuers and of holders.
+//! * [`lease_issuer`]: the state of an issuer: the resources that it has granted, their holders and expiry.
+//! * [`lease_holder`]: the state of a holder: the leases that a majority of issuers has granted to it.
+//! * [`quota`]: a quota of the whole fleet, divided into leased units.
+//! * [`membership`]: group membership by SWIM, with facts that peers publish about themselves.
+//! * [`lease_message`]: the messages between holders and issuers.
+//! * [`wire`]: the encoding of messages as datagrams of bounded length, marked with their fleet and, where a key is
+//!   configured, authenticated by a keyed hash.
 //!
-//! A gateway has an identity in each half, both for one incarnation of it: a restarted gateway is another one.
+//! A gateway has one identity in the membership and another one in leases. Both name a single incarnation: a restarted
+//! gateway has new identities.
 //!
-//! * [`membership::Peer`]: by its address and the time of its start, which orders incarnations.
-//! * [`HolderId`]: by the hash of its name and a random number, in leases.
+//! * [`membership::Peer`]: the gateway's address and its start time; the start time orders incarnations.
+//! * [`HolderId`]: the hash of the gateway's name and a random number.
 //!
-//! Times are spans since any fixed point of the caller's own, on a clock that never runs backwards and runs on through a
-//! pause of the process. No two parties need agree on them.
+//! A time is a [`Duration`](std::time::Duration) since a fixed point that each gateway chooses for itself, by a
+//! monotonic clock that also counts while the process is paused. These clocks need not be
+//! synchronized; only the wall clocks of issuers must be close, see [`LeaseIssuer::start`].
 
 pub mod lease_holder;
 pub mod lease_issuer;
--- a/crates/fleet/src/quota.rs
+++ b/crates/fleet/src/quota.rs
@@ -1,17 +1,18 @@
-//! A quota of the whole fleet, shared out as leased units.
+//! Divides a quota of the whole fleet into units, which gateways lease.
 //!
-//! Each unit is a resource with one holder, so that the sum of the held units never exceeds the quota, over any partition
-//! or restart. Rendezvous hashing decides which gateway claims which unit: gateways that see the same fleet agree, and a
-//! gateway that joins or leaves moves its own part only.
+//! Each unit is a resource with at most one holder, so that the sum of the held units never exceeds the quota, even
+//! during partitions and restarts. Rendezvous hashing assigns units to gateways: gateways that see the same members
+//! compute the same assignment, and when a gateway joins or leaves only the units assigned to it move.
 
 use crate::lease_holder::LeaseHolder;
 use crate::lease_message::Resource;
 use std::time::Duration;
 
-/// More units make finer shares and more to claim; a fleet of more gateways than units has some with none.
+/// The largest number of units of a quota. More units give finer shares but need more claims; if a fleet has more
+/// gateways than units, some gateways get none.
 pub const MAX_UNITS: u32 = 1024;
 
-/// A quota of the fleet in equal units.
+/// A quota of the fleet, divided into units of equal size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetQuota {
     name_hash: u64,
@@ -19,7 +20,7 @@
 }
 
 impl FleetQuota {
-    /// A quota by its name, in so many units, [`MAX_UNITS`] at most.
+    /// Returns the quota with this name. `unit_count` is limited to the range from 1 to [`MAX_UNITS`].
     pub fn new(name: &str, unit_count: u32) -> FleetQuota {
         let hash = blake3::hash(name.as_bytes());
         let mut name_hash = [0; size_of::<u64>()];
@@ -30,7 +31,7 @@
         }
     }
 
-    /// How many units there are.
+    /// Returns the number of units of the quota, from 1 to [`MAX_UNITS`].
     pub fn unit_count(&self) -> u32 {
         self.unit_count
     }
@@ -43,7 +44,7 @@
         (0..self.unit_count).map(|n| self.unit(n))
     }
 
-    /// The units that a gateway should want, given the gateways that it sees, itself included.
+    /// Returns the units that are assigned to `gateway` when the fleet consists of `gateways`, which includes it.
     pub fn desired_units<'a>(
         &'a self,
         gateway: u64,
@@ -57,7 +58,8 @@
         })
     }
 
-    /// Makes a holder claim the units that it should want and release all others.
+    /// Makes the holder claim the units that are assigned to `gateway` and release all others. To be called again
+    /// whenever `gateways` changes.
     pub fn rebalance(
         &self,
         holder: &mut LeaseHolder,
@@ -74,7 +76,8 @@
         }
     }
 
-    /// How many units are held now; to be checked right before they are used.
+    /// Returns the number of units that are held at `now`. Callers must check it directly before they use the units,
+    /// since a lease can expire at any time.
     pub fn held_units(&self, holder: &LeaseHolder, now: Duration) -> u32 {
         self.resources()
             .filter(|unit| holder.holds(now, *unit).is_some())
@@ -82,7 +85,7 @@
     }
 }
 
-/// Spreads two numbers over all: the finisher of splitmix64.
+/// Hashes two numbers into one, with the finalizer of SplitMix64.
 fn mix(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
