--- a/crates/fleet/src/lease_holder.rs
+++ b/crates/fleet/src/lease_holder.rs
@@ -231,14 +231,14 @@
             return;
         }
         match decided.verdict {
-            Verdict::Granted => wanted.grant(issuer, session),
+            Verdict::Granted => wanted.record_grant(issuer, session),
             Verdict::HeldByOther(other) => {
-                wanted.refuse(issuer);
+                wanted.record_refusal(issuer);
                 // Claim under a higher epoch from now on, so that the first claim after the other holder's lease has
                 // ended is granted.
                 self.raise_epoch(resource, other, 1);
             }
-            Verdict::AtCapacity => wanted.refuse(issuer),
+            Verdict::AtCapacity => wanted.record_refusal(issuer),
             // If a majority has granted the resource under the current epoch, this issuer's grant is not needed.
             Verdict::StaleEpoch(latest) => {
                 self.raise_epoch(resource, latest, self.terms.majority());
--- a/crates/fleet/src/lease_holder/pending_releases.rs
+++ b/crates/fleet/src/lease_holder/pending_releases.rs
@@ -31,16 +31,15 @@
             .map(|(claim, _)| *claim)
     }
 
-    /// Drops the releases for which every issuer has either acknowledged the release or, by `is_meaningless`, ended the
-    /// lease by itself.
+    /// Drops the releases that every issuer has acknowledged, apart from issuers for which `has_expired` returns true,
+    /// since those have ended the lease by themselves.
     pub(super) fn drop_settled(
         &mut self,
         issuer_count: usize,
-        is_meaningless: impl Fn(usize) -> bool,
+        has_expired: impl Fn(usize) -> bool,
     ) {
         self.acknowledged_by.retain(|_, acknowledged| {
-            (0..issuer_count)
-                .any(|issuer| !acknowledged.contains(issuer) && !is_meaningless(issuer))
+            (0..issuer_count).any(|issuer| !acknowledged.contains(issuer) && !has_expired(issuer))
         });
     }
 
--- a/crates/fleet/src/lease_holder/recent_requests.rs
+++ b/crates/fleet/src/lease_holder/recent_requests.rs
@@ -9,7 +9,7 @@
 
 /// A round of requests that were sent at the same time, one or more to each issuer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct SentRequest {
+struct RequestRound {
     /// The number of the round, from 1; 0 if this entry is unused.
     number: u32,
     sent_at: Duration,
@@ -18,7 +18,7 @@
 /// The last [`RECENT_REQUESTS`] rounds of requests, in a ring buffer indexed by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct RecentRequests {
-    sent: [SentRequest; RECENT_REQUESTS],
+    sent: [RequestRound; RECENT_REQUESTS],
     last_number: u32,
 }
 
@@ -27,7 +27,7 @@
     pub(super) fn record(&mut self, sent_at: Duration) -> u32 {
         self.last_number += 1;
         let number = self.last_number;
-        self.sent[slot(number)] = SentRequest { number, sent_at };
+        self.sent[slot(number)] = RequestRound { number, sent_at };
         number
     }
 
--- a/crates/fleet/src/lease_holder/wanted_lease.rs
+++ b/crates/fleet/src/lease_holder/wanted_lease.rs
@@ -53,13 +53,13 @@
     }
 
     /// Records that an issuer granted the resource in this session.
-    pub(super) fn grant(&mut self, issuer: usize, session: u64) {
+    pub(super) fn record_grant(&mut self, issuer: usize, session: u64) {
         self.granted_in[issuer] = Some(session);
         self.refused_by.remove(issuer);
     }
 
     /// Records that an issuer refused the claim, since another holder has the resource or the issuer is at its limit.
-    pub(super) fn refuse(&mut self, issuer: usize) {
+    pub(super) fn record_refusal(&mut self, issuer: usize) {
         self.refused_by.insert(issuer);
     }
 
--- a/crates/fleet/src/lease_issuer.rs
+++ b/crates/fleet/src/lease_issuer.rs
@@ -249,10 +249,10 @@
         let Some(grant) = self.grants.get_mut(&claim.resource) else {
             return;
         };
-        let is_theirs = grant
+        let is_grantee = grant
             .grantee
             .is_some_and(|grantee| grantee.holder == holder);
-        if grant.epoch == claim.epoch && is_theirs {
+        if grant.epoch == claim.epoch && is_grantee {
             grant.grantee = None;
         }
     }
