--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,8 +1,10 @@
-//! Membership: which gateways are alive, suspected or down, and which have left on purpose.
+//! Group membership of the gateways: tracks the peers that are alive, suspected or down, and those that have left on
+//! purpose.
 //!
-//! The protocol is SWIM with suspicion, by foca, which does no I/O either. Beside it peers publish facts about themselves,
-//! merged so that order, repetition and loss do not matter. A gateway whose process was paused uses nothing that it knows
-//! until a peer has sent it a message.
+//! The protocol is SWIM with suspicion, implemented by the foca crate, which does no I/O either. Peers also publish
+//! facts about themselves; these are merged so that reordering, duplication and loss of messages do not matter. After a
+//! pause of the process the gateway's view may be out of date, so that [`Membership::is_current`] returns false until a
+//! peer has sent a message.
 
 mod codec;
 mod config;
@@ -27,10 +29,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A longer gap between two calls means that the process was paused: peers may have declared it down meanwhile.
+/// A gap between two calls that is longer than this is taken for a pause of the process. It is the suspicion timeout,
+/// since peers may have declared this gateway down after that time.
 const PAUSE_THRESHOLD: Duration = SUSPICION_TIMEOUT;
 
-/// The membership as one gateway sees it.
+/// The membership as one gateway sees it. The caller passes in received messages and the time, and sends the datagrams
+/// of [`Membership::take_outgoing`].
 pub struct Membership {
     foca: Foca<Peer, PeerCodec, SmallRng, SharedFactStore>,
     codec: PeerCodec,
@@ -38,16 +42,16 @@
     output: ProtocolOutput,
     datagrams: DatagramCodec,
     last_call: Duration,
-    /// No peer has sent a message since the process was paused.
+    /// Set when a pause of the process is detected, cleared when a peer's message is received.
     is_unconfirmed: bool,
     last_fact_version: u64,
-    /// The facts that this gateway publishes, by kind.
+    /// The latest value of each fact that this gateway has published, by kind.
     own_facts: BTreeMap<u8, u64>,
 }
 
 impl Membership {
-    /// A gateway that knows no other one. `peer_addresses` are those of all gateways of the fleet; `seed` is for the random
-    /// choice of peers to check and to gossip with.
+    /// Returns the membership of a gateway that knows no other peer yet. `peer_addresses` are the addresses of all
+    /// gateways of the fleet. `seed` is the seed for the random choice of the peers to check and to gossip with.
     pub fn new(
         now: Duration,
         local_peer: Peer,
@@ -79,22 +83,24 @@
         }
     }
 
-    /// Announces this gateway to the peers at these addresses. Their incarnations are not known: any at the address replies.
+    /// Announces this gateway to the peers at these addresses, except its own. The peers' incarnations need not be
+    /// known: whichever incarnation runs at an address replies.
     pub fn join(&mut self, now: Duration, addresses: &[SocketAddrV4]) {
         self.observe_time(now);
         let own_address = self.local_peer().address();
         for address in addresses.iter().filter(|address| **address != own_address) {
             let any_incarnation = Peer::new(*address, 0);
-            // It fails only where a message is too long, which an announcement is not.
+            // The call fails only if the message is too long. An announcement is always short enough.
             let _ = self.foca.announce(any_incarnation, &mut self.output);
         }
     }
 
-    /// Handles a SWIM message.
+    /// Handles a SWIM message that was received at `now`.
     ///
     /// # Errors
     ///
-    /// Where it is to be dropped.
+    /// [`DropReason::Malformed`] if the message cannot be decoded, names a peer whose address is not configured, or is
+    /// rejected by the protocol.
     pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Result<(), DropReason> {
         self.observe_time(now);
         self.foca
@@ -105,17 +111,18 @@
         Ok(())
     }
 
-    /// Runs the timers that are due.
+    /// Runs the timers that are due at `now`. To be called at [`Membership::next_tick_at`].
     pub fn tick(&mut self, now: Duration) {
         self.observe_time(now);
         while let Some(timer) = self.output.pop_due_timer() {
-            // Timers of what is over by now say so by an error, which changes nothing.
+            // A timer of an operation that has ended returns an error and has no other effect.
             let _ = self.foca.handle_timer(timer, &mut self.output);
         }
         self.republish_facts();
     }
 
-    /// Publishes the facts again where this gateway became another incarnation: those of the earlier one no longer count.
+    /// Publishes all facts again if this gateway has become a new incarnation, since peers ignore the facts of an
+    /// earlier incarnation.
     fn republish_facts(&mut self) {
         if self.output.take_was_renewed() {
             for (kind, value) in self.own_facts.clone() {
@@ -124,7 +131,7 @@
         }
     }
 
-    /// Notices a pause of the process by the time of this call and the last one.
+    /// Records the time of a call. Detects a pause of the process by the time since the previous call.
     fn observe_time(&mut self, now: Duration) {
         let was_paused = now.saturating_sub(self.last_call) > PAUSE_THRESHOLD;
         self.is_unconfirmed |= was_paused && self.foca.num_members() > 0;
@@ -132,18 +139,19 @@
         self.output.set_now(now);
     }
 
-    /// When [`Membership::tick`] is to be called next.
+    /// Returns the time at which [`Membership::tick`] is to be called next, or `None` if no timer is set.
     pub fn next_tick_at(&self) -> Option<Duration> {
         self.output.next_timer_at()
     }
 
-    /// Whether what is known may be used: not after a pause of the process, until a peer has sent a message.
+    /// Returns true if the view of the membership may be used at `now`. Returns false after a pause of the process, until
+    /// a peer's message is received. A gateway that knows no other peer does not wait for a message.
     pub fn is_current(&self, now: Duration) -> bool {
         !self.is_unconfirmed && now.saturating_sub(self.last_call) <= PAUSE_THRESHOLD
     }
 
-    /// Publishes a fact about this gateway to all peers. `kind` is from 1 to
-    /// [`FACT_KINDS`] - 1; 0 announces that this gateway leaves.
+    /// Publishes a fact about this gateway to all peers, in place of its earlier one of the same kind. `kind` is from 1
+    /// to [`FACT_KINDS`] - 1; kind 0 is used by [`Membership::leave`]. A fact of any other kind is not published.
     pub fn publish(&mut self, kind: u8, value: u64) {
         self.last_fact_version += 1;
         self.own_facts.insert(kind, value);
@@ -154,25 +162,27 @@
             value,
         };
         if let Ok(bytes) = postcard::to_allocvec(&fact) {
-            // It fails only where the fact can't be read back.
+            // The call fails only if the fact cannot be decoded or has an unknown kind or publisher.
             let _ = self.foca.add_broadcast(&bytes);
         }
     }
 
-    /// Leaves on purpose.
+    /// Announces to the peers that this gateway leaves on purpose, so that they report [`MembershipEvent::Left`]
+    /// instead of [`MembershipEvent::Down`].
     pub fn leave(&mut self, now: Duration) {
         self.observe_time(now);
         self.publish(LEAVING_FACT_KIND, 1);
-        // It fails only where a message is too long, which gossip is not.
+        // The call fails only if a message is too long. A gossip message is always short enough.
         let _ = self.foca.leave_cluster(&mut self.output);
     }
 
-    /// The datagrams to be sent since the last call.
+    /// Returns and removes the datagrams to be sent, which have accumulated since the last call.
     pub fn take_outgoing(&mut self) -> Vec<Datagram> {
         let messages = self.output.take_outgoing();
         messages
             .into_iter()
-            // A forged message may name a peer at any address: nothing is sent there.
+            // A forged message may have named a peer at any address. Nothing is sent to addresses that are not
+            // configured.
             .filter(|message| self.codec.check_known(&message.to).is_ok())
             .filter_map(|message| self.datagram(message))
             .collect()
@@ -185,7 +195,7 @@
         })
     }
 
-    /// The changes since the last call.
+    /// Returns and removes the membership events since the last call, in their order.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         let events = self.output.take_events();
         let left_or_down = |event| match event {
@@ -200,17 +210,17 @@
             .is_some_and(|fact| fact.value == 1)
     }
 
-    /// The latest fact of a kind that this incarnation of a peer published.
+    /// Returns the latest fact of a kind that this incarnation of a peer has published, or `None` if none is known.
     pub fn fact(&self, peer: &Peer, kind: u8) -> Option<Fact> {
         self.facts.latest(peer, kind)
     }
 
-    /// This gateway as its peers know it.
+    /// Returns this gateway's own address and current incarnation.
     pub fn local_peer(&self) -> Peer {
         *self.foca.identity()
     }
 
-    /// The other peers that are not down, with their states.
+    /// Returns the other peers that are not declared down, with their states.
     pub fn peers(&self) -> Vec<PeerStatus> {
         let state = |state| match state {
             State::Suspect => PeerState::Suspected,
--- a/crates/fleet/src/membership/codec.rs
+++ b/crates/fleet/src/membership/codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of SWIM's messages, which rejects peers at addresses that are not configured.
+//! Encodes and decodes SWIM messages, and rejects messages that name a peer whose address is not configured.
 
 use super::peer::Peer;
 use bytes::{Buf, BufMut};
@@ -6,30 +6,31 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// Encodes SWIM's messages. It rejects peers at other addresses than these, whose number bounds what is stored.
+/// The encoding of SWIM messages, by postcard. Decoding fails for peers at other addresses than the configured ones, so
+/// that the number of stored peers is bounded.
 #[derive(Clone, Debug)]
 pub(super) struct PeerCodec {
     peer_addresses: BTreeSet<SocketAddrV4>,
 }
 
-/// Why a SWIM message is not encoded or decoded.
+/// The error for a SWIM message that cannot be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CodecError {
-    #[error("SWIM's message can't be read: {0}; compare the gateways' builds")]
+    #[error("cannot encode or decode a SWIM message: {0}; compare the gateways' builds")]
     Coding(#[from] postcard::Error),
     #[error(
-        "a message of {0}, which is not among the peers: bring the peers of all configurations to one list"
+        "SWIM message names peer {0}, which is not configured: configure the same list of peers on all gateways"
     )]
     UnknownPeer(SocketAddrV4),
 }
 
 impl PeerCodec {
-    /// A codec for the gateways at these addresses.
+    /// Returns a codec that accepts the peers at these addresses.
     pub(super) fn new(peer_addresses: BTreeSet<SocketAddrV4>) -> PeerCodec {
         PeerCodec { peer_addresses }
     }
 
-    /// Fails where the peer's address is not configured.
+    /// Returns [`CodecError::UnknownPeer`] if the peer's address is not configured.
     pub(super) fn check_known(&self, peer: &Peer) -> Result<(), CodecError> {
         let address = peer.address();
         match self.peer_addresses.contains(&address) {
--- a/crates/fleet/src/membership/config.rs
+++ b/crates/fleet/src/membership/config.rs
@@ -1,39 +1,43 @@
-//! The timing of the SWIM protocol: a health check each half second; a failure is known to all peers within some seconds.
+//! The timing of the SWIM protocol. Each gateway checks one peer every 500 ms, and all peers know of a failure within a
+//! few seconds.
 
 use crate::wire::MAX_SWIM_BYTES;
 use foca::{Config, PeriodicParams};
 use std::num::{NonZeroU32, NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// A suspected peer that does not refute the suspicion for this long is declared down.
+/// The time after which a suspected peer that has not refuted the suspicion is declared down.
 pub(super) const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Between two health checks; each checks one peer.
+/// The time between two health checks of a gateway, each of which checks one peer.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A peer that has not replied for this long is checked through others.
+/// The time after which a peer that has not replied to a health check is checked through other peers.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
-/// Peers through which one that has not replied is checked.
+/// The number of peers through which a peer that has not replied is checked.
 const INDIRECT_HEALTH_CHECKS: usize = 3;
-/// A change of the membership is sent at least so often.
+/// The least number of times that a gateway sends a change of the membership.
 const MIN_TRANSMISSIONS: u8 = 6;
-/// How long a peer that is down is remembered.
+/// The time for which a peer that is down is still stored.
 const DOWN_PEER_RETENTION: Duration = Duration::from_secs(60);
-/// Between two announcements to peers that are alive, or to peers that are down: it heals partitions.
+/// The time between two announcements to peers that are alive, and between two to peers that are down. The
+/// announcements merge the parts of the fleet again after a network partition.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
-/// Peers that are alive which one announcement goes to.
+/// The number of peers that are alive to which each announcement is sent.
 const ANNOUNCEMENTS_TO_ALIVE_PEERS: usize = 1;
-/// Peers that are down which one announcement goes to.
+/// The number of peers that are down to which each announcement is sent.
 const ANNOUNCEMENTS_TO_DOWN_PEERS: usize = 2;
-/// Between two rounds of gossip.
+/// The time between two rounds of gossip.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
-/// Peers that a round of gossip goes to.
+/// The number of peers to which a round of gossip is sent.
 const GOSSIP_FANOUT: usize = 3;
 
-/// The configuration for a fleet of so many gateways.
+/// Returns foca's configuration for a fleet of `gateways` gateways.
 pub(super) fn swim_config(gateways: usize) -> Config {
-    let cluster_size = NonZeroU32::new(gateways.max(2) as u32).expect("at least two");
+    let cluster_size =
+        NonZeroU32::new(gateways.max(2) as u32).expect("cluster size is at least two");
     let defaults = Config::new_lan(cluster_size);
-    let min_transmissions = NonZeroU8::new(MIN_TRANSMISSIONS).expect("not zero");
+    let min_transmissions =
+        NonZeroU8::new(MIN_TRANSMISSIONS).expect("minimum of transmissions is not zero");
     Config {
         probe_period: HEALTH_CHECK_INTERVAL,
         probe_rtt: HEALTH_CHECK_TIMEOUT,
@@ -57,5 +61,5 @@
 }
 
 fn non_zero(number: usize) -> NonZeroUsize {
-    NonZeroUsize::new(number).expect("not zero")
+    NonZeroUsize::new(number).expect("SWIM setting is not zero")
 }
--- a/crates/fleet/src/membership/facts.rs
+++ b/crates/fleet/src/membership/facts.rs
@@ -1,4 +1,5 @@
-//! Facts that peers publish about themselves, merged so that order, repetition and loss do not matter.
+//! Facts that peers publish about themselves. Only the latest fact of each peer and kind is kept, so that reordering,
+//! duplication and loss of messages do not matter.
 
 use super::peer::Peer;
 use foca::{BroadcastHandler, Invalidates};
@@ -7,21 +8,21 @@
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Kinds of facts that a peer may publish about itself.
+/// The number of kinds of facts. Valid kinds are those below this number.
 pub const FACT_KINDS: u8 = 8;
 /// The kind of fact by which a peer announces that it leaves on purpose.
 pub(super) const LEAVING_FACT_KIND: u8 = 0;
 
-/// A fact that a peer publishes about itself. Only the latest of a kind counts.
+/// A fact that a peer publishes about itself. A later fact replaces the earlier one of the same kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fact {
-    /// The peer.
+    /// The incarnation of the peer that published the fact.
     pub publisher: Peer,
-    /// Under [`FACT_KINDS`]; 0 is the membership's own.
+    /// The kind, below [`FACT_KINDS`]. Kind 0 is reserved for the membership itself: the peer leaves.
     pub kind: u8,
-    /// Grows with each fact of the publisher.
+    /// Increases with each fact that the peer publishes, of any kind.
     pub version: u64,
-    /// The content, by kind.
+    /// The content. Its meaning depends on the kind.
     pub value: u64,
 }
 
@@ -41,21 +42,22 @@
     }
 }
 
-/// Facts of the same key replace each other.
+/// The key of a fact. A later fact replaces the earlier one with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct FactKey {
     address: SocketAddrV4,
     kind: u8,
 }
 
-/// Orders the facts of one key: a later incarnation goes before any version of an earlier one.
+/// The order of the facts with one key: a later incarnation is more recent than every version of an earlier
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct FactRecency {
     incarnation: u64,
     version: u64,
 }
 
-/// By this foca knows which facts that it still passes on are replaced by a later one.
+/// The key by which foca finds the facts in its queue of broadcasts that a later fact replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct BroadcastKey {
     key: FactKey,
@@ -68,18 +70,18 @@
     }
 }
 
-/// Why a fact is not stored.
+/// The reason why a received fact is not stored.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FactError {
-    #[error("a fact that can't be read: {0}; compare the gateways' builds")]
+    #[error("cannot decode a fact: {0}; compare the gateways' builds")]
     Malformed(#[from] postcard::Error),
-    #[error("a fact of kind {0}, which this gateway does not know; compare the gateways' builds")]
+    #[error("fact has unknown kind {0}; compare the gateways' builds")]
     UnknownKind(u8),
-    #[error("a fact of {0}, which is not among the peers: bring the peers of all configurations to one list")]
+    #[error("fact names peer {0}, which is not configured: configure the same list of peers on all gateways")]
     UnknownPeer(SocketAddrV4),
 }
 
-/// The latest fact of each peer and kind; the number of peers bounds it.
+/// The latest fact of each peer and kind. Its size is bounded by the number of configured peers times [`FACT_KINDS`].
 #[derive(Debug)]
 struct FactStore {
     peer_addresses: BTreeSet<SocketAddrV4>,
@@ -87,7 +89,8 @@
 }
 
 impl FactStore {
-    /// Stores an encoded fact; returns its key where it is to be passed on, as it was not known.
+    /// Decodes a fact and stores it if it is more recent than the stored one. Returns the key under which it is to be
+    /// forwarded to other peers, or `None` if it is not new.
     fn accept(&mut self, bytes: &[u8]) -> Result<Option<BroadcastKey>, FactError> {
         let fact: Fact = postcard::from_bytes(bytes)?;
         if fact.kind >= FACT_KINDS {
@@ -107,12 +110,12 @@
     }
 }
 
-/// The stored facts, shared with foca, which gives no access to the handler that it owns.
+/// A fact store that the membership shares with foca: foca owns its broadcast handler and gives no access to it.
 #[derive(Clone)]
 pub(super) struct SharedFactStore(Arc<Mutex<FactStore>>);
 
 impl SharedFactStore {
-    /// An empty store for facts of the gateways at these addresses.
+    /// Returns an empty store that accepts the facts of the gateways at these addresses.
     pub(super) fn new(peer_addresses: BTreeSet<SocketAddrV4>) -> SharedFactStore {
         SharedFactStore(Arc::new(Mutex::new(FactStore {
             peer_addresses,
@@ -120,7 +123,7 @@
         })))
     }
 
-    /// The latest fact of a kind that this incarnation published.
+    /// Returns the latest fact of a kind, if this incarnation of the peer published it.
     pub(super) fn latest(&self, publisher: &Peer, kind: u8) -> Option<Fact> {
         let key = FactKey {
             address: publisher.address(),
--- a/crates/fleet/src/membership/peer.rs
+++ b/crates/fleet/src/membership/peer.rs
@@ -1,19 +1,21 @@
-//! A peer: one incarnation of a gateway at its address.
+//! The identity of a gateway in the membership: its address and incarnation.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// One incarnation of a gateway as the membership knows it; a restarted gateway is another peer at the same address.
+/// The identity of one incarnation of a gateway in the membership. A restarted gateway is another peer at the same
+/// address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
     address: SocketAddrV4,
-    /// The larger is the later one: Unix milliseconds of its start, plus one each time that it was declared down.
+    /// Orders the incarnations at one address; the largest is the latest. The value is the start time in milliseconds
+    /// since the Unix epoch, plus one for each time that the peer was declared down.
     pub incarnation: u64,
 }
 
 impl Peer {
-    /// An incarnation at an address.
+    /// Returns the identity of an incarnation of the gateway at an address.
     pub fn new(address: SocketAddrV4, incarnation: u64) -> Peer {
         Peer {
             address,
@@ -21,7 +23,7 @@
         }
     }
 
-    /// Its address.
+    /// Returns the address of the gateway, which all its incarnations share.
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
--- a/crates/fleet/src/membership/runtime.rs
+++ b/crates/fleet/src/membership/runtime.rs
@@ -1,4 +1,4 @@
-//! What the SWIM protocol asks of its caller: timers, messages to send, and events.
+//! Collects the output of the SWIM protocol: timers, messages to send, and events.
 
 use super::event::MembershipEvent;
 use super::peer::Peer;
@@ -6,20 +6,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When a timer is due; the number keeps timers of the same time in their order.
+/// The key of a timer, which orders timers by due time. The number keeps timers that are due at the same time in the
+/// order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due: Duration,
     number: u64,
 }
 
-/// A SWIM message to be sent.
+/// A SWIM message to be sent to a peer.
 pub(super) struct OutgoingMessage {
     pub(super) to: Peer,
     pub(super) bytes: Vec<u8>,
 }
 
-/// Collects what the protocol asks for, until the membership carries it out or hands it on.
+/// The output of the protocol that the membership has not processed yet.
 pub(super) struct ProtocolOutput {
     now: Duration,
     last_timer_number: u64,
@@ -30,7 +31,7 @@
 }
 
 impl ProtocolOutput {
-    /// Nothing asked for yet.
+    /// Returns an output without timers, messages and events.
     pub(super) fn new(now: Duration) -> ProtocolOutput {
         ProtocolOutput {
             now,
@@ -42,33 +43,33 @@
         }
     }
 
-    /// Sets the time from which further timers count.
+    /// Sets the current time: the delays of new timers are counted from it.
     pub(super) fn set_now(&mut self, now: Duration) {
         self.now = now;
     }
 
-    /// When the next timer is due.
+    /// Returns the time at which the next timer is due, or `None` if no timer is set.
     pub(super) fn next_timer_at(&self) -> Option<Duration> {
         self.timers.keys().next().map(|key| key.due)
     }
 
-    /// Removes the next timer that is due.
+    /// Removes and returns the earliest timer, or returns `None` if none is due.
     pub(super) fn pop_due_timer(&mut self) -> Option<Timer<Peer>> {
         let entry = self.timers.first_entry()?;
         (entry.key().due <= self.now).then(|| entry.remove())
     }
 
-    /// The messages since the last call.
+    /// Returns and removes the messages to be sent.
     pub(super) fn take_outgoing(&mut self) -> Vec<OutgoingMessage> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// The events since the last call.
+    /// Returns and removes the events.
     pub(super) fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether this gateway became another incarnation since the last call.
+    /// Returns true if this gateway has become a new incarnation since the last call.
     pub(super) fn take_was_renewed(&mut self) -> bool {
         std::mem::take(&mut self.was_renewed)
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,12 +1,14 @@
-//! Encodes messages as datagrams: version, fleet, message, and a keyed hash where there is a key.
+//! Encodes and decodes the datagrams between gateways. A datagram consists of the format version, the fleet id, the
+//! message and, if the fleet has a key, a keyed hash.
 //!
-//! Callers drop datagrams of other fleets or versions and forged or malformed ones, count them by cause, and never reply.
+//! Decoding fails for datagrams of other fleets or versions, and for forged or malformed ones. Callers must drop these
+//! and count them by [`DropReason`], and must not reply to them.
 
 use crate::lease_message::{LeaseReply, LeaseRequest, MAX_CLAIMS_PER_MESSAGE};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The version of the format.
+/// The version of the datagram format, sent as the first byte of each datagram.
 pub const FORMAT_VERSION: u8 = 1;
 /// The longest datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
@@ -15,26 +17,26 @@
 const HEAD_BYTES: usize = VERSION_BYTES + FLEET_ID_BYTES;
 const HASH_BYTES: usize = 16;
 const KEY_BYTES: usize = 32;
-/// The kind of a message, and the length of a SWIM message, by postcard.
+/// The bytes that postcard writes before a SWIM message: one for the kind of the message, two for its length.
 const SWIM_PREFIX_BYTES: usize = 1 + 2;
-/// The longest SWIM message, in bytes: what a datagram with a hash has left for it.
+/// The longest SWIM message, in bytes: the room in a datagram next to the header, the hash and postcard's prefix.
 pub const MAX_SWIM_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD_BYTES - HASH_BYTES - SWIM_PREFIX_BYTES;
-/// Separates the key of datagrams from other uses of the same key file.
+/// The context string of the key derivation, which keeps the datagram key apart from other uses of the same key file.
 const KEY_CONTEXT: &str = "garnetwall fleet datagrams v1";
 
 /// A message between gateways of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
-    /// From a lease holder.
+    /// A lease request, from a holder to an issuer.
     Request(LeaseRequest),
-    /// From an issuer.
+    /// A reply to a lease request, from an issuer to a holder.
     Reply(LeaseReply),
-    /// Of the membership, in its own encoding.
+    /// A message of the membership protocol, as encoded by [`Membership`](crate::membership::Membership).
     Swim(Vec<u8>),
 }
 
 impl Message {
-    /// How many claims and releases it carries.
+    /// Returns the number of claims and releases, or of the decisions on them, in the message.
     fn claims_and_releases(&self) -> usize {
         match self {
             Message::Request(request) => request.claims.len() + request.releases.len(),
@@ -44,41 +46,43 @@
     }
 }
 
-/// An encoded message and where it is to be sent.
+/// An encoded message and the address to which the caller must send it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Datagram {
-    /// The address of the gateway that it goes to.
+    /// The address of the receiving gateway.
     pub to: SocketAddrV4,
-    /// The encoded message.
+    /// The encoded datagram, at most [`MAX_DATAGRAM_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
-/// Why a datagram was dropped.
+/// The reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DropReason {
-    /// It is longer than [`MAX_DATAGRAM_BYTES`]; its length in bytes.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`]. The value is its length in bytes.
     #[error(
-        "datagram of {0} bytes: the longest here is {max}; look for who else sends to the peers' addresses",
+        "datagram of {0} bytes exceeds the longest allowed, {max} bytes: find out what else sends to the gateways' addresses",
         max = MAX_DATAGRAM_BYTES
     )]
     TooLong(usize),
-    /// It is too short; its length in bytes.
-    #[error("datagram of {0} bytes is too short to be one of a gateway; look for who else sends to the peers' addresses")]
+    /// The datagram is too short to hold a header, a message and the hash. The value is its length in bytes.
+    #[error("datagram of {0} bytes is too short for a message of a gateway: find out what else sends to the gateways' addresses")]
     TooShort(usize),
-    /// It has this other version.
+    /// The datagram has another format version than [`FORMAT_VERSION`]. The value is its version.
     #[error(
-        "datagram of version {0}, this gateway speaks {own}: bring all gateways of the fleet to one version",
+        "datagram has format version {0}, this gateway uses {own}: bring all gateways of the fleet to one version",
         own = FORMAT_VERSION
     )]
     OtherVersion(u8),
-    /// It is of another fleet.
-    #[error("datagram of another fleet: give each fleet a name and peers of its own")]
+    /// The fleet id of the datagram is that of another fleet.
+    #[error("datagram belongs to another fleet: give each fleet a name and peers of its own")]
     OtherFleet,
-    /// Its keyed hash is wrong.
-    #[error("datagram whose keyed hash is wrong: compare the fleet's key files, and suspect who sends it")]
+    /// The keyed hash does not match: the sender has another key or none, or the datagram was altered or forged.
+    #[error(
+        "datagram has a wrong keyed hash: compare the gateways' key files, and check who sends it"
+    )]
     WrongHash,
-    /// Its message cannot be decoded.
-    #[error("datagram that can't be read though its head is right; compare the gateways' builds")]
+    /// The message cannot be decoded.
+    #[error("datagram has a valid header, but its message cannot be decoded: compare the gateways' builds")]
     Malformed,
 }
 
@@ -91,7 +95,7 @@
 
 impl std::fmt::Debug for DatagramCodec {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        // The key stays out of logs.
+        // The key itself must not appear in logs.
         f.debug_struct("DatagramCodec")
             .field("keyed", &self.key.is_some())
             .finish_non_exhaustive()
@@ -99,7 +103,8 @@
 }
 
 impl DatagramCodec {
-    /// A codec for a fleet by its name, with the bytes of its key file where one is named.
+    /// Returns a codec for the fleet with this name. `key_file` is the content of the fleet's key file, or `None` if no
+    /// key is configured; datagrams then carry no hash.
     pub fn new(fleet_name: &str, key_file: Option<&[u8]>) -> DatagramCodec {
         let name_hash = blake3::hash(fleet_name.as_bytes());
         let mut fleet_id = [0; FLEET_ID_BYTES];
@@ -110,8 +115,8 @@
         }
     }
 
-    /// A message as a datagram; `None` where it carries more than [`MAX_CLAIMS_PER_MESSAGE`] claims and releases, or is longer
-    /// than [`MAX_DATAGRAM_BYTES`].
+    /// Returns the datagram for a message, or `None` if the message carries more than [`MAX_CLAIMS_PER_MESSAGE`] claims
+    /// and releases, or if the datagram would be longer than [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
         if message.claims_and_releases() > MAX_CLAIMS_PER_MESSAGE {
             return None;
@@ -125,11 +130,11 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Decodes a datagram.
+    /// Decodes a received datagram. Checks its length, version and fleet, then its hash if the fleet has a key.
     ///
     /// # Errors
     ///
-    /// Why it is to be dropped.
+    /// The reason why the datagram is to be dropped.
     pub fn decode(&self, datagram: &[u8]) -> Result<Message, DropReason> {
         let hash_bytes = if self.key.is_some() { HASH_BYTES } else { 0 };
         self.check_head(datagram, hash_bytes)?;
@@ -143,7 +148,8 @@
         }
     }
 
-    /// Checks the length, the version and the fleet.
+    /// Checks the length, the format version and the fleet id of a datagram. `hash_bytes` is the length of the hash,
+    /// which is 0 for a fleet without a key.
     fn check_head(&self, datagram: &[u8], hash_bytes: usize) -> Result<(), DropReason> {
         if datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(DropReason::TooLong(datagram.len()));
@@ -161,12 +167,13 @@
         Ok(())
     }
 
-    /// Whether the hash is that of the bytes under the fleet's key; true where there is no key.
+    /// Returns true if `hash` is the keyed hash of `hashed`, or if the fleet has no key.
     fn is_authentic(&self, hashed: &[u8], hash: &[u8]) -> bool {
         let Some(expected) = self.keyed_hash(hashed) else {
             return true;
         };
-        // Compared in constant time, as blake3's hashes are: the hash must not be guessed byte by byte.
+        // The comparison takes constant time, like that of blake3's own hash type, so that a sender cannot guess the
+        // hash byte by byte from the time that it takes.
         let difference = expected
             .iter()
             .zip(hash)
@@ -174,7 +181,7 @@
         difference == 0
     }
 
-    /// The truncated keyed hash; `None` where there is no key.
+    /// Returns the keyed hash, truncated to [`HASH_BYTES`], or `None` if the fleet has no key.
     fn keyed_hash(&self, bytes: &[u8]) -> Option<[u8; HASH_BYTES]> {
         let whole = blake3::keyed_hash(&self.key?, bytes);
         let mut truncated = [0; HASH_BYTES];
