--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -43,7 +43,7 @@
     datagrams: DatagramCodec,
     last_call: Duration,
     /// Set when a pause of the process is detected, cleared when a peer's message is received.
-    is_unconfirmed: bool,
+    is_stale: bool,
     last_fact_version: u64,
     /// The latest value of each fact that this gateway has published, by kind.
     own_facts: BTreeMap<u8, u64>,
@@ -77,7 +77,7 @@
             output: ProtocolOutput::new(now),
             datagrams,
             last_call: now,
-            is_unconfirmed: false,
+            is_stale: false,
             last_fact_version: 0,
             own_facts: BTreeMap::new(),
         }
@@ -106,7 +106,7 @@
         self.foca
             .handle_data(bytes, &mut self.output)
             .map_err(|_| DropReason::Malformed)?;
-        self.is_unconfirmed = false;
+        self.is_stale = false;
         self.republish_facts();
         Ok(())
     }
@@ -134,7 +134,7 @@
     /// Records the time of a call. Detects a pause of the process by the time since the previous call.
     fn observe_time(&mut self, now: Duration) {
         let was_paused = now.saturating_sub(self.last_call) > PAUSE_THRESHOLD;
-        self.is_unconfirmed |= was_paused && self.foca.num_members() > 0;
+        self.is_stale |= was_paused && self.foca.num_members() > 0;
         self.last_call = now;
         self.output.set_now(now);
     }
@@ -147,7 +147,7 @@
     /// Returns true if the view of the membership may be used at `now`. Returns false after a pause of the process, until
     /// a peer's message is received. A gateway that knows no other peer does not wait for a message.
     pub fn is_current(&self, now: Duration) -> bool {
-        !self.is_unconfirmed && now.saturating_sub(self.last_call) <= PAUSE_THRESHOLD
+        !self.is_stale && now.saturating_sub(self.last_call) <= PAUSE_THRESHOLD
     }
 
     /// Publishes a fact about this gateway to all peers, in place of its earlier one of the same kind. `kind` is from 1
