--- a/crates/bench-adapter/src/actions.rs
+++ b/crates/bench-adapter/src/actions.rs
@@ -1,19 +1,22 @@
-//! What an instance's decision module wants done, as records of the reply.
+//! Encodes the actions of an instance's controller as records of the reply.
 
 use crate::fields::{ReplyWriter, MILLISECONDS_PER_SECOND};
 use crate::instance::Instance;
 use crate::protocol::outgoing;
 use garnetwall::api::{EngineId, FinalAnswer, NextAction, Placement, QueryId};
 
-/// The wire has a priority with every grant; the module sets none, and this one holds where none is set.
+/// The priority in each memory grant record. The protocol requires one, but the controller sets none; this is the
+/// protocol's default.
 const DEFAULT_PRIORITY: u8 = 1;
-/// The one timer of an instance.
+/// The id of an instance's only timer.
 const TIMER_ID: u64 = 0;
-/// Actions of one frame, after which the rest waits for the next; the module never comes near it.
+/// The largest number of actions in one reply; further actions wait for the next frame. In practice the controller
+/// stays far below it.
 const MAX_ACTIONS_PER_FRAME: usize = 1_000_000;
 
 impl Instance {
-    /// Asks the module until it wants to wait, then sets the one timer that wakes it. `number` is that of the instance.
+    /// Writes the pending answers and then the controller's actions to the reply, until the controller has nothing to
+    /// do; then sets the timer for its next call. `number` is the instance's number on the wire, `clock` is in seconds.
     pub fn write_actions(&mut self, number: u16, clock: f64, reply: &mut ReplyWriter) {
         for pending in std::mem::take(&mut self.pending_answers) {
             self.answer(number, pending.query, pending.answer, reply);
@@ -42,7 +45,7 @@
         }
     }
 
-    /// Sets the timer, unless it goes off earlier already.
+    /// Sets the timer to expire in `seconds`, unless it is set to expire no later than that.
     fn set_timer(&mut self, number: u16, clock: f64, seconds: f64, reply: &mut ReplyWriter) {
         let at = clock + seconds;
         if self.timer_at.is_some_and(|timer_at| timer_at <= at) {
--- a/crates/bench-adapter/src/apply.rs
+++ b/crates/bench-adapter/src/apply.rs
@@ -1,4 +1,4 @@
-//! Applies events of the wire to an instance's decision module.
+//! Applies decoded events to an instance and its controller.
 
 use crate::events::{Event, WireOutcome};
 use crate::fields::Address;
@@ -6,20 +6,20 @@
 use garnetwall::api::{AttemptEnd, AttemptOutcome, FollowUp, LoadReport, Progress, Query};
 use std::fmt;
 
-/// Why an event does not fit what came before it.
+/// The error for an event that contradicts the settings or earlier events.
 #[derive(Debug)]
 pub enum EventError {
-    /// The settings have no query class of this index.
+    /// The settings have no query class with this index.
     UnknownClass(usize),
-    /// An open query has this id.
+    /// A query arrived with the wire id of an open query.
     QueryIdInUse(u32),
 }
 
 impl fmt::Display for EventError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EventError::UnknownClass(class) => write!(f, "unknown service group {class}"),
-            EventError::QueryIdInUse(wire_id) => write!(f, "batch id {wire_id} used again"),
+            EventError::UnknownClass(class) => write!(f, "unknown query class {class}"),
+            EventError::QueryIdInUse(wire_id) => write!(f, "query id {wire_id} is already open"),
         }
     }
 }
@@ -27,11 +27,11 @@
 impl std::error::Error for EventError {}
 
 impl Instance {
-    /// Applies one event at a time of the bench's clock, in seconds.
+    /// Applies one event at the time `clock`, in seconds on the simulator's clock.
     ///
     /// # Errors
     ///
-    /// A query is of an unknown class, or has the id of an open query.
+    /// A query has an unknown class, or the wire id of an open query.
     pub fn apply(&mut self, event: Event, clock: f64) -> Result<(), EventError> {
         match event {
             Event::QueryArrived { wire_id, query } => {
--- a/crates/bench-adapter/src/fields.rs
+++ b/crates/bench-adapter/src/fields.rs
@@ -1,18 +1,19 @@
-//! Reading and writing the wire's big-endian fields.
+//! Reads and writes the big-endian fields of the protocol.
 
 use crate::protocol::outgoing;
 use std::fmt;
 
-/// Times are milliseconds on the wire, and seconds here.
+/// Converts between times on the wire, in milliseconds, and times in the adapter, in seconds.
 pub const MILLISECONDS_PER_SECOND: f64 = 1000.0;
-/// Bytes of a reply before its records: how many these are, and their bytes.
+/// The length of a reply's header, in bytes: the number of its records and their length, 4 bytes each.
 const REPLY_HEADER_BYTES: usize = 8;
 
-/// What was wrong with the input, and at which byte of its frame.
+/// The error for malformed input: a description and the position where it was found.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed {
     pub what: String,
-    /// Byte of the frame's body.
+    /// The offset, in bytes, of the first byte that was not read yet. It counts from the start of the frame's body, or
+    /// of the frame's header or a list's entries if the error is there.
     pub offset: usize,
 }
 
@@ -22,13 +23,15 @@
     }
 }
 
-/// A field or record that was read.
+/// The result of reading a field or record.
 pub type ReadResult<T> = Result<T, Malformed>;
 
-/// Four bytes of address and a port, given back as they came.
+/// The address of an engine: four bytes of IPv4 address and two of port, which the adapter copies without decoding
+/// them.
 pub type Address = [u8; 6];
 
-/// Reads fields one after another; each is named for error messages.
+/// Reads fields one after another. Each method takes the name of the field for error messages, and fails if fewer bytes
+/// are left than the field needs.
 pub struct FieldReader<'a> {
     bytes: &'a [u8],
     offset: usize,
@@ -43,7 +46,7 @@
         self.offset == self.bytes.len()
     }
 
-    /// Says that what was just read is wrong.
+    /// Returns an error at the current position, for a value that was just read.
     pub fn malformed<T>(&self, what: impl Into<String>) -> ReadResult<T> {
         Err(Malformed {
             what: what.into(),
@@ -55,7 +58,7 @@
         let remaining = &self.bytes[self.offset..];
         if remaining.len() < count {
             return self.malformed(format!(
-                "{name}: {count} bytes expected, {} left",
+                "{name}: {count} bytes expected, {} bytes left",
                 remaining.len()
             ));
         }
@@ -93,11 +96,11 @@
         Ok(f64::from_be_bytes(self.array(name)?))
     }
 
-    /// A time in seconds; one that is not finite is malformed.
+    /// Reads a time in milliseconds and returns it in seconds. A value that is not finite is an error.
     pub fn time(&mut self, name: &str) -> ReadResult<f64> {
         let milliseconds = self.f64(name)?;
         if !milliseconds.is_finite() {
-            return self.malformed(format!("{name}: not a finite time"));
+            return self.malformed(format!("{name}: time is not finite"));
         }
         Ok(milliseconds / MILLISECONDS_PER_SECOND)
     }
@@ -107,17 +110,17 @@
     }
 }
 
-/// One reply: its records, and which instance they are for.
+/// Encodes one reply: its records, each preceded by a record that selects another instance where the instance changes.
 #[derive(Default)]
 pub struct ReplyWriter {
     records: u32,
     body: Vec<u8>,
-    /// The instance of the records that follow.
+    /// The instance of the last record; `None` before the first record.
     selected: Option<u16>,
 }
 
 impl ReplyWriter {
-    /// Begins a record of an instance; the caller adds its fields to what is returned.
+    /// Begins a record of an instance and returns the buffer, to which the caller appends the fields of the record.
     pub fn begin_record(&mut self, instance: u16, code: u8) -> &mut Vec<u8> {
         if self.selected != Some(instance) {
             self.selected = Some(instance);
@@ -130,7 +133,7 @@
         &mut self.body
     }
 
-    /// The reply with its header.
+    /// Returns the encoded reply: the header, then the records.
     pub fn to_frame(&self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.body.len());
         frame.extend(self.records.to_be_bytes());
--- a/crates/bench-adapter/src/frame.rs
+++ b/crates/bench-adapter/src/frame.rs
@@ -1,37 +1,39 @@
-//! Frames: a header of 16 bytes, then records.
+//! Reads frames: a header of 16 bytes with the length of the body, the number of records and the time, then the body.
 
 use crate::fields::{FieldReader, Malformed};
 use std::fmt;
 use std::io::{self, ErrorKind, Read};
 
 const HEADER_BYTES: usize = 16;
-/// Bytes read at a time, so that a length field alone never makes the adapter allocate.
+/// The largest number of bytes that are allocated and read at a time, so that a large value in the length field alone
+/// does not make the adapter allocate that much memory.
 const CHUNK_BYTES: usize = 1 << 20;
 
-/// A frame as it was read.
+/// A frame whose records are not decoded yet.
 #[derive(Debug)]
 pub struct Frame {
-    /// Number of records that the header announces.
+    /// The number of records, as announced in the header.
     pub records: u32,
-    /// The bench's clock, in seconds.
+    /// The time on the simulator's clock, in seconds.
     pub clock: f64,
+    /// The encoded records.
     pub body: Vec<u8>,
 }
 
-/// Why the adapter stops.
+/// The error that ends the adapter.
 #[derive(Debug)]
 pub enum AdapterError {
-    /// A field or record is not as the wire has it.
+    /// A field or record does not follow the protocol.
     Malformed(Malformed),
-    /// The input ended within a header.
+    /// The input ended within a header, after `read` bytes of it.
     ShortHeader { read: usize },
-    /// The input ended within a body.
+    /// The input ended within a body, after `read` of its `announced` bytes.
     ShortBody { announced: usize, read: usize },
     /// The input could not be read.
     Input(io::Error),
     /// The reply could not be written.
     Reply(io::Error),
-    /// What was wrong with a frame, by its number from 0.
+    /// An error in reading or processing the frame with this number, from 0.
     InFrame(u64, Box<AdapterError>),
 }
 
@@ -54,17 +56,17 @@
             AdapterError::ShortHeader { read } => {
                 write!(
                     f,
-                    "header: {HEADER_BYTES} bytes expected, input ends after {read}"
+                    "header truncated: {HEADER_BYTES} bytes expected, input ends after {read}"
                 )
             }
             AdapterError::ShortBody { announced, read } => {
                 write!(
                     f,
-                    "body: {announced} bytes announced, input ends after {read}"
+                    "body truncated: {announced} bytes announced, input ends after {read}"
                 )
             }
-            AdapterError::Input(error) => write!(f, "input: {error}"),
-            AdapterError::Reply(error) => write!(f, "reply: {error}"),
+            AdapterError::Input(error) => write!(f, "cannot read the input: {error}"),
+            AdapterError::Reply(error) => write!(f, "cannot write the reply: {error}"),
             AdapterError::InFrame(number, error) => write!(f, "frame {number}: {error}"),
         }
     }
@@ -72,7 +74,7 @@
 
 impl std::error::Error for AdapterError {}
 
-/// One frame, or `None` where the input ends between two frames.
+/// Reads one frame. Returns `None` if the input ends before its first byte.
 ///
 /// # Errors
 ///
@@ -87,7 +89,7 @@
         return Err(AdapterError::ShortHeader { read });
     }
     let mut fields = FieldReader::new(&header);
-    let length = fields.u32("length")? as usize;
+    let length = fields.u32("body length")? as usize;
     let records = fields.u32("record count")?;
     let clock = fields.time("clock")?;
     Ok(Some(Frame {
--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! One gateway on the wire: its indices, its open queries, and the decision module that decides for it.
+//! The state of one simulated gateway: its controller, its open queries, and the mapping from ids and addresses on the
+//! wire to the controller's indices.
 
 use crate::endpoints::EndpointEntry;
 use crate::fields::Address;
@@ -7,43 +8,44 @@
 use garnetwall_settings::{decode, FlatSettings, PlatformSettings, SettingsError};
 use std::collections::BTreeMap;
 
-/// A query until it is finished and every attempt has its outcome.
+/// A query that is not finished, or that still has an attempt in flight.
 pub(crate) struct OpenQuery {
-    /// Its id on the wire.
     pub(crate) wire_id: u32,
+    /// The number of attempts that have started and not ended.
     pub(crate) attempts_in_flight: u32,
-    /// Its client has its answer, or has left.
+    /// True if the client has received its final answer or has left.
     pub(crate) finished: bool,
 }
 
-/// An answer that an outcome of this frame has brought.
+/// A final answer that the end of an attempt in this frame has caused. It is written with the reply to the frame.
 pub(crate) struct PendingAnswer {
     pub(crate) query: QueryId,
     pub(crate) answer: FinalAnswer,
 }
 
-/// A gateway of the bench, with its decision module.
+/// A simulated gateway with its admission controller.
 pub struct Instance {
     pub(crate) controller: AdmissionController,
-    /// Names of a load report's values, in wire order.
+    /// The names of a load report's values, in the order on the wire.
     pub(crate) report_fields: Vec<String>,
-    /// Query classes that the settings have.
+    /// The number of query classes in the settings.
     pub(crate) class_count: usize,
     engine_ids: BTreeMap<Address, EngineId>,
-    /// By the index of the engine.
+    /// The addresses of the engines, by engine id.
     pub(crate) addresses: Vec<Address>,
-    /// Open queries by their id on the wire.
+    /// The controller's ids of the open queries, by their id on the wire.
     pub(crate) query_ids: BTreeMap<u32, QueryId>,
     pub(crate) open_queries: BTreeMap<QueryId, OpenQuery>,
     next_query_id: QueryId,
-    /// When the timer that is set goes off, in seconds.
+    /// The time at which the timer expires, in seconds on the simulator's clock; `None` if it is not set.
     pub(crate) timer_at: Option<f64>,
-    /// In the order of their outcomes.
+    /// The answers that the next reply begins with, in the order of the ends of attempts that caused them.
     pub(crate) pending_answers: Vec<PendingAnswer>,
 }
 
 impl Instance {
-    /// An instance under the settings in their flat text form.
+    /// Returns an instance with these settings, one `key=value` a line. `seed` is the seed of the controller's random
+    /// choices; `clock` is the current time in seconds.
     ///
     /// # Errors
     ///
@@ -69,7 +71,7 @@
         })
     }
 
-    /// The engine of an address, which gets the next index where it is new.
+    /// Returns the engine id for an address. A new address gets the next unused id.
     pub(crate) fn engine_id(&mut self, address: Address) -> EngineId {
         let next = self.addresses.len();
         let engine = *self.engine_ids.entry(address).or_insert(next);
@@ -79,7 +81,7 @@
         engine
     }
 
-    /// Hands the decision module endpoints.
+    /// Passes the entries of an endpoint list to the controller.
     pub fn update_endpoints(&mut self, list: &[EndpointEntry], scope: ListScope) {
         let endpoints: Vec<Endpoint> = list
             .iter()
@@ -96,12 +98,12 @@
         self.controller.update_endpoints(&endpoints, scope);
     }
 
-    /// The endpoint list could not be read.
+    /// Informs the controller that the endpoint list could not be read.
     pub fn endpoint_list_failed(&mut self) {
         self.controller.endpoint_list_failed();
     }
 
-    /// Gives a query that has arrived its id in the decision module.
+    /// Adds a query that has arrived to the open ones and returns the id that it has in the controller.
     pub(crate) fn open_query(&mut self, wire_id: u32) -> QueryId {
         let id = self.next_query_id;
         self.next_query_id += 1;
@@ -115,7 +117,7 @@
         id
     }
 
-    /// Takes an attempt of a query off those in flight.
+    /// Counts an attempt of a query as ended. `query_finished` marks the query as finished, too.
     pub(crate) fn count_ended_attempt(&mut self, id: QueryId, query_finished: bool) {
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.attempts_in_flight = query.attempts_in_flight.saturating_sub(1);
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Marks a query as over for its client.
+    /// Marks a query as finished, and removes it if no attempt is in flight.
     pub(crate) fn finish_query(&mut self, id: QueryId) {
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.finished = true;
@@ -131,7 +133,7 @@
         self.forget_if_over(id);
     }
 
-    /// Forgets a query that is over for its client and has no attempt in flight.
+    /// Removes a query if it is finished and has no attempt in flight.
     pub(crate) fn forget_if_over(&mut self, id: QueryId) {
         let Some(query) = self.open_queries.get(&id) else {
             return;
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,5 +1,9 @@
-//! The bench's adapter: decodes frames from standard input into calls on the decision module, and encodes on standard
-//! output what it returns. It has the framing, the timers and the open queries, and decides nothing.
+//! Runs the gateway's admission controller for a benchmark simulator, in the simulator's time.
+//!
+//! The adapter reads frames from standard input, decodes their records into calls on the controller, and writes the
+//! controller's actions as reply frames to standard output. It handles framing, timers and the ids of open queries; all
+//! decisions are made by the controller. It exits with code 0 at the end of the input, and with 1 and a message on
+//! standard error if the input is malformed or cut off, or cannot be read, or if a reply cannot be written.
 
 mod actions;
 mod apply;
@@ -26,7 +30,7 @@
     }
 }
 
-/// Answers each frame with a reply, until the input ends between two frames.
+/// Writes one reply to each frame, until the input ends between two frames. Frames are numbered from 0 in errors.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     let mut number = 0;
--- a/crates/bench-adapter/src/protocol.rs
+++ b/crates/bench-adapter/src/protocol.rs
@@ -1,8 +1,9 @@
-//! Numbers of the wire: codes of records in both directions, and of outcomes.
+//! The numeric codes of the protocol between the simulator and the adapter: records in both directions, endpoint lists,
+//! progress events and the ends of attempts.
 
 use garnetwall::api::AttemptEnd;
 
-/// Records that the bench sends.
+/// Codes of the records that the simulator sends.
 pub mod incoming {
     pub const CLIENT_LEFT: u8 = 1;
     pub const DETACH_INSTANCE: u8 = 2;
@@ -19,7 +20,7 @@
     pub const PROGRESS: u8 = 13;
 }
 
-/// Records that the adapter sends.
+/// Codes of the records that the adapter sends.
 pub mod outgoing {
     pub const ATTEMPT: u8 = 1;
     pub const REJECT: u8 = 2;
@@ -32,22 +33,24 @@
     pub const SELECT_INSTANCE: u8 = 14;
 }
 
-/// Kinds of a change of the endpoint list.
+/// Kinds of endpoint list updates. The kinds between [`CHANGES`](list_kind::CHANGES) and [`FAILED`](list_kind::FAILED)
+/// are full lists.
 pub mod list_kind {
     pub const CHANGES: u8 = 0;
     pub const FAILED: u8 = 3;
 }
 
-/// Kinds of a progress event.
+/// Kinds of progress events.
 pub mod progress {
     pub const COMPLETED: u8 = 1;
     pub const SPILLING: u8 = 2;
     pub const WAITING: u8 = 3;
-    /// The amount that marks a waiting event as waiting for a load of its data set.
+    /// The amount in a `WAITING` event of an attempt that waits until its data set is loaded. With any other amount the
+    /// attempt waits for memory.
     pub const WAITING_FOR_LOAD_AMOUNT: f64 = 2.0;
 }
 
-/// The end of an attempt by its code; `None` for one that the wire does not have.
+/// Returns the end of an attempt for its code, or `None` for a code that the protocol does not define.
 pub fn attempt_end(code: u8) -> Option<AttemptEnd> {
     match code {
         0 => Some(AttemptEnd::Succeeded),
--- a/crates/bench-adapter/src/session.rs
+++ b/crates/bench-adapter/src/session.rs
@@ -1,4 +1,5 @@
-//! One process on the wire: the numbered endpoint lists, and the records of a frame handed to their instances.
+//! The state of the adapter across frames: keeps the instances and endpoint lists, and dispatches the records of each
+//! frame.
 
 use crate::endpoints::{read_list, EndpointEntry};
 use crate::events::read_event;
@@ -9,12 +10,12 @@
 use garnetwall::api::ListScope;
 use std::collections::BTreeMap;
 
-/// The instances that the records of a frame are for.
+/// The instances that a frame selects.
 #[derive(Default)]
 struct Selection {
-    /// The instance of the records that follow.
+    /// The instance that the next records are for; `None` before the first selection.
     current: Option<u16>,
-    /// Each instance once, in the order in which they were first selected.
+    /// The instances that were selected, each once, in the order of their first selection.
     instances: Vec<u16>,
 }
 
@@ -27,38 +28,41 @@
     }
 }
 
-/// The state that frames leave behind.
+/// The attached instances and the endpoint lists that the simulator has sent.
 #[derive(Default)]
 pub struct Session {
-    /// By their number on the wire.
+    /// The attached instances, by their number on the wire.
     instances: BTreeMap<u16, Instance>,
-    /// By their number on the wire.
+    /// The endpoint lists, by their number on the wire.
     endpoint_lists: BTreeMap<u32, Vec<EndpointEntry>>,
 }
 
 impl Session {
-    /// Hands the records of a frame to their instances and lets these act. Returns the reply.
+    /// Applies the records of a frame in their order, then collects the actions of the selected instances. Returns the
+    /// encoded reply.
     ///
     /// # Errors
     ///
-    /// A record is malformed, or there are fewer or more than announced.
+    /// A record is malformed, or the body has fewer or more records than the header announces.
     pub fn process(&mut self, frame: &Frame) -> ReadResult<Vec<u8>> {
         let mut fields = FieldReader::new(&frame.body);
         let mut selection = Selection::default();
         for found in 0..frame.records {
             if fields.is_empty() {
                 let announced = frame.records;
-                return fields.malformed(format!("{announced} records announced, {found} found"));
+                return fields.malformed(format!(
+                    "{announced} records announced in the header, {found} found"
+                ));
             }
             self.process_record(&mut selection, frame.clock, &mut fields)?;
         }
         if !fields.is_empty() {
-            return fields.malformed("bytes after the last record");
+            return fields.malformed("unexpected bytes after the last record");
         }
         Ok(self.reply_of(&selection.instances, frame.clock))
     }
 
-    /// What some instances want done, as the frame of the reply.
+    /// Returns the encoded reply with the actions of these instances, except those that are not attached.
     fn reply_of(&mut self, instances: &[u16], clock: f64) -> Vec<u8> {
         let mut reply = ReplyWriter::default();
         for number in instances {
@@ -88,7 +92,9 @@
             }
             code => match selection.current {
                 Some(instance) => self.process_instance_record(instance, code, clock, fields),
-                None => fields.malformed(format!("record {code} before any instance was named")),
+                None => fields.malformed(format!(
+                    "record with code {code} comes before any instance is selected"
+                )),
             },
         }
     }
@@ -111,7 +117,7 @@
         }
     }
 
-    /// Decodes an event, and applies it unless its instance is not attached.
+    /// Decodes an event and applies it to the instance. Ignores it if the instance is not attached.
     fn process_event(
         &mut self,
         number: u16,
@@ -134,7 +140,7 @@
         let length = fields.u32("settings length")? as usize;
         let bytes = fields.bytes(length, "settings")?;
         let Ok(text) = std::str::from_utf8(bytes) else {
-            return fields.malformed("settings: not UTF-8");
+            return fields.malformed("settings: not valid UTF-8");
         };
         match Instance::new(seed, text, clock) {
             Ok(instance) => {
@@ -160,7 +166,7 @@
             return Ok(());
         }
         let Some(list) = self.endpoint_lists.get(&list_number) else {
-            return fields.malformed(format!("list number {list_number} was never declared"));
+            return fields.malformed(format!("endpoint list {list_number} has not been sent"));
         };
         if let Some(instance) = instance {
             let scope = match kind {
--- a/crates/bench-adapter/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -224,7 +224,7 @@
     assert_eq!(cut_off.status.code(), Some(1));
     let message = String::from_utf8(cut_off.stderr).unwrap();
     assert!(
-        message.ends_with(": frame 0: header: 16 bytes expected, input ends after 7\n"),
+        message.ends_with(": frame 0: header truncated: 16 bytes expected, input ends after 7\n"),
         "{message}"
     );
     assert!(cut_off.stdout.is_empty());
