--- a/crates/bench-adapter/src/apply.rs
+++ b/crates/bench-adapter/src/apply.rs
@@ -95,7 +95,7 @@
         let follow_up = self.controller.attempt_ended(clock, id, outcome);
         self.count_ended_attempt(id, query_finished);
         match follow_up {
-            FollowUp::Nothing => self.forget_if_over(id),
+            FollowUp::Nothing => self.remove_if_done(id),
             FollowUp::Answer(answer) => {
                 let pending = PendingAnswer { query: id, answer };
                 self.pending_answers.push(pending);
--- a/crates/bench-adapter/src/endpoints.rs
+++ b/crates/bench-adapter/src/endpoints.rs
@@ -23,7 +23,7 @@
 pub fn read_list(fields: &mut FieldReader) -> ReadResult<Vec<EndpointEntry>> {
     let entries = fields.u32("list length")? as usize;
     let bytes = entries.checked_mul(ENTRY_BYTES).ok_or(Malformed {
-        what: "list length: too many entries".into(),
+        description: "list length: too many entries".into(),
         offset: 0,
     })?;
     let mut entry_fields = FieldReader::new(fields.bytes(bytes, "list entries")?);
--- a/crates/bench-adapter/src/fields.rs
+++ b/crates/bench-adapter/src/fields.rs
@@ -11,7 +11,7 @@
 /// The error for malformed input: a description and the position where it was found.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed {
-    pub what: String,
+    pub description: String,
     /// The offset, in bytes, of the first byte that was not read yet. It counts from the start of the frame's body, or
     /// of the frame's header or a list's entries if the error is there.
     pub offset: usize,
@@ -19,7 +19,11 @@
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at byte {} of the frame", self.what, self.offset)
+        write!(
+            f,
+            "{} at byte {} of the frame",
+            self.description, self.offset
+        )
     }
 }
 
@@ -47,9 +51,9 @@
     }
 
     /// Returns an error at the current position, for a value that was just read.
-    pub fn malformed<T>(&self, what: impl Into<String>) -> ReadResult<T> {
+    pub fn malformed<T>(&self, description: impl Into<String>) -> ReadResult<T> {
         Err(Malformed {
-            what: what.into(),
+            description: description.into(),
             offset: self.offset,
         })
     }
--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -130,11 +130,11 @@
         if let Some(query) = self.open_queries.get_mut(&id) {
             query.finished = true;
         }
-        self.forget_if_over(id);
+        self.remove_if_done(id);
     }
 
     /// Removes a query if it is finished and has no attempt in flight.
-    pub(crate) fn forget_if_over(&mut self, id: QueryId) {
+    pub(crate) fn remove_if_done(&mut self, id: QueryId) {
         let Some(query) = self.open_queries.get(&id) else {
             return;
         };
--- a/crates/bench-adapter/src/session.rs
+++ b/crates/bench-adapter/src/session.rs
@@ -59,11 +59,11 @@
         if !fields.is_empty() {
             return fields.malformed("unexpected bytes after the last record");
         }
-        Ok(self.reply_of(&selection.instances, frame.clock))
+        Ok(self.build_reply(&selection.instances, frame.clock))
     }
 
     /// Returns the encoded reply with the actions of these instances, except those that are not attached.
-    fn reply_of(&mut self, instances: &[u16], clock: f64) -> Vec<u8> {
+    fn build_reply(&mut self, instances: &[u16], clock: f64) -> Vec<u8> {
         let mut reply = ReplyWriter::default();
         for number in instances {
             if let Some(instance) = self.instances.get_mut(number) {
