--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! Shared by the simulations.
+//! The random number generator that the simulations share.
 
-/// A random number generator that is the same on all platforms: Knuth's linear congruential one, modulo 2^64.
+/// A linear congruential generator modulo 2^64, with Knuth's constants. It gives the same numbers on all platforms, so
+/// that a seed reproduces a run.
 pub struct Rng(pub u64);
 
 impl Rng {
-    /// A random number below `bound`.
+    /// Returns a random number below `bound`, or 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
--- a/crates/fleet/tests/fleet_model/mod.rs
+++ b/crates/fleet/tests/fleet_model/mod.rs
@@ -1,4 +1,5 @@
-//! A small fleet as a state machine: three issuers and two gateways that want one resource.
+//! A model of a small fleet as a state machine, for the exhaustive search: three issuers and two holders that want one
+//! resource.
 
 use garnetwall_fleet::{
     Epoch, HolderId, IssuerLimits, LeaseHolder, LeaseIssuer, LeaseReply, LeaseRequest, LeaseTerms,
@@ -12,7 +13,8 @@
 const ISSUERS: usize = 3;
 const HOLDERS: usize = 2;
 const RESOURCE: Resource = Resource(7);
-/// A step of 10 ms of real time, by clocks that drift by a tenth.
+/// The time that passes in a step of 10 ms by the clocks of issuers, which are 10 % fast, and of holders, which are 10
+/// % slow.
 const ISSUER_STEP: Duration = Duration::from_millis(11);
 const HOLDER_STEP: Duration = Duration::from_millis(9);
 const DRIFT_PPM: u32 = 100_000;
@@ -22,16 +24,17 @@
 };
 const LEASE_DURATION: Duration = Duration::from_millis(22);
 
+/// A bug that the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     None,
-    /// The holder counts its lease as long as its issuers do.
+    /// The duration of a lease is the same for holders as for issuers, without a margin for clock drift.
     NoDriftMargin,
-    /// A restarted issuer replies at once.
+    /// A restarted issuer replies at once, instead of after the duration of a lease.
     NoStartupSilence,
 }
 
-/// A message in flight between a holder and an issuer, by index.
+/// A message in flight between a holder and an issuer, which are given by their indices.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub enum Message {
     Request {
@@ -46,18 +49,18 @@
     },
 }
 
-/// How many events of each kind may still happen: the search ends where all are used up.
+/// The number of events of each kind that may still happen, which bounds the search.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct EventBudget {
     pub steps: u8,
-    /// By holder.
+    /// The rounds of requests of each holder.
     pub requests: [u8; HOLDERS],
     pub restarts: u8,
     pub duplicates: u8,
     pub releases: u8,
 }
 
-/// One request of each holder, and nothing else.
+/// One round of requests of each holder and no other events.
 pub const ONE_REQUEST_EACH: EventBudget = EventBudget {
     steps: 0,
     requests: [1; HOLDERS],
@@ -66,7 +69,7 @@
     releases: 0,
 };
 
-/// A gateway that holds the resource.
+/// A holder of the resource, with the epoch under which it holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Holding {
     holder: usize,
@@ -94,7 +97,7 @@
     in_flight: BTreeSet<Message>,
     last_incarnation: u64,
     budget: EventBudget,
-    /// The last to hold the resource.
+    /// The last holding of the resource, which may have ended.
     pub last_holding: Option<Holding>,
 }
 
@@ -103,7 +106,7 @@
     Step,
     SendRequests(usize),
     Deliver(Message),
-    /// The message is delivered, and once more later.
+    /// Delivers the message and leaves a copy of it in flight.
     DeliverDuplicate(Message),
     RestartIssuer(usize),
     RestartHolder(usize),
@@ -122,7 +125,7 @@
     }
 }
 
-/// An issuer that was started long ago.
+/// Returns an issuer that replies at once, as one that started long ago.
 fn running_issuer(index: usize, terms: &LeaseTerms) -> Issuer {
     let clock = Duration::ZERO;
     let incarnation = 1000 * (index as u64 + 1);
@@ -132,7 +135,7 @@
     }
 }
 
-/// A holder that wants the resource.
+/// Returns a holder that wants the resource.
 fn claiming_holder(index: usize, incarnation: u64, clock: Duration, terms: LeaseTerms) -> Holder {
     let id = HolderId {
         gateway: index as u64,
@@ -170,7 +173,7 @@
         }
     }
 
-    /// The events that may happen next.
+    /// Returns the events that may happen next within the budget.
     pub fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for message in &self.in_flight {
@@ -292,7 +295,7 @@
         holder.state.want(holder.clock, RESOURCE);
     }
 
-    /// The invariant that this state violates.
+    /// Returns a description of the invariant that this state violates, or `None`. Records the current holding.
     pub fn violation(&mut self) -> Option<String> {
         let holding = |(index, holder): (usize, &Holder)| {
             Some(Holding {
@@ -313,7 +316,7 @@
         let this = *holdings.first()?;
         if let Some(last) = self.last_holding {
             if last != this && last.epoch >= this.epoch {
-                return Some(format!("epoch does not grow: {last:?}, then {this:?}"));
+                return Some(format!("epoch does not increase: {last:?}, then {this:?}"));
             }
         }
         self.last_holding = Some(this);
--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -1,5 +1,5 @@
-//! Bad input: every kind has its own error that says what to do; no bytes of a datagram cause a panic. And the bounds of
-//! issuers, holders and quotas.
+//! Tests of invalid settings and datagrams, and of the limits of issuers, holders and quotas. Each kind of invalid
+//! input has its own error, whose message says what to do, and no bytes of a datagram cause a panic.
 
 use garnetwall_fleet::lease_issuer::IssuerSize;
 use garnetwall_fleet::lease_message::{NoReply, MAX_CLAIMS_PER_MESSAGE};
@@ -143,10 +143,10 @@
         assert!(error.to_string().contains(advice), "{error}");
         seen.insert(std::mem::discriminant(&error));
     }
-    assert_eq!(seen.len(), 6, "every kind of error");
+    assert_eq!(seen.len(), 6, "a drop reason is not covered");
     assert!(
         !format!("{keyed:?}").contains("107"),
-        "the key is in no log"
+        "the debug output shows the key"
     );
 }
 
@@ -205,7 +205,8 @@
         );
     }
     assert_eq!(verdict(&mut issuer, 2000, 4, 3), Verdict::AtCapacity);
-    // Its session is over: its resources are evicted, and what was evicted is not granted under an old epoch.
+    // The holder's session has expired, so that its resources are evicted to make room. An evicted resource is not
+    // granted under an epoch up to that of its last grant.
     assert_eq!(verdict(&mut issuer, 9000, 5, 3), Verdict::Granted);
     assert_eq!(
         verdict(&mut issuer, 9000, 6, 20),
@@ -268,7 +269,8 @@
     assert_eq!(held, 10_000);
 }
 
-/// Gateways join, leave and see different fleets: all together never hold more units than the quota has.
+/// Gateways join and leave, and see different parts of the fleet. The sum of their held units must never exceed the
+/// quota, and must reach it while all see the same fleet.
 #[test]
 fn held_units_never_exceed_the_quota_and_converge_to_all_of_it() {
     let terms = terms();
@@ -290,7 +292,8 @@
         .collect();
     let mut now = ms(2000);
     for step in 0..400 {
-        // The fifth joins in the middle; for a while some see only a part of the fleet; the first is down at the end.
+        // Gateway 5 joins at step 100. From step 100 to 199 gateways with an odd number see only those with an odd
+        // number. Gateway 0 is down from step 300 on.
         let visible_gateways = |n: u64| {
             (0..6)
                 .filter(|m| match step {
@@ -330,7 +333,7 @@
     }
 }
 
-/// Prints the time of a lookup among ten thousand leases.
+/// Measures and prints the time of a lookup among ten thousand wanted resources.
 #[test]
 fn a_lease_lookup_takes_under_20_microseconds() {
     let terms = terms();
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -1,14 +1,16 @@
-//! Every order of events of a small fleet, by exhaustive search: three issuers, two gateways, one resource, with loss,
-//! duplicates, reordering, pause and restart of each at every step, and clocks that drift at the bound: issuers' fast,
-//! holders' slow. Checked in every state: never two holders at once, and epochs grow. An injected bug must be found, with
-//! its trace.
+//! Checks leases in every order of events of a small fleet, by exhaustive search.
+//!
+//! The fleet has three issuers, two holders and one resource. Messages may be lost, duplicated and reordered, gateways
+//! may pause and restart at every step, and clocks drift at the bound: the issuers' clocks are fast, the holders' slow.
+//! In every state there may be at most one holder, and each new holding must have a higher epoch. The search must find
+//! bugs that are injected on purpose, with a trace of the events.
 
 mod fleet_model;
 
 use fleet_model::{Event, EventBudget, FleetState, InjectedBug, ONE_REQUEST_EACH};
 use std::collections::HashSet;
 
-/// A violated invariant, and the events that led there.
+/// A violated invariant and the events that led to the violation.
 #[derive(Debug)]
 struct Violation {
     invariant: String,
@@ -16,20 +18,22 @@
 }
 
 struct SearchResult {
+    /// The number of different states that were visited.
     states: usize,
-    /// Events after which the resource was held or had been.
+    /// The number of events after which the resource was held or had been held before.
     holdings: usize,
     violation: Option<Violation>,
 }
 
-/// A state on the path of the search, the events that are still to be tried there, and the one that led there.
+/// A state on the current path of the search, the events that are still to be tried from it, and the event that led to
+/// it.
 struct PathEntry {
     state: FleetState,
     untried: Vec<Event>,
     led_by: Option<Event>,
 }
 
-/// Searches all states depth first.
+/// Searches all states depth first, until an invariant is violated or all events of the budget are used up.
 fn search(bug: InjectedBug, budget: EventBudget) -> SearchResult {
     let start = FleetState::new(bug, budget);
     let mut visited = HashSet::from([start.fingerprint()]);
@@ -74,7 +78,8 @@
 
 #[test]
 fn never_two_holders_and_epochs_grow_in_every_order_of_events() {
-    // Each explores another corner; all at once are too many states for a test of seconds.
+    // Each budget allows another kind of event. With all kinds in one budget there are too many states to search in a
+    // test.
     let steps = EventBudget {
         steps: 2,
         ..ONE_REQUEST_EACH
@@ -112,7 +117,7 @@
         );
         assert!(
             result.holdings > 0,
-            "{name}: no gateway ever held it, so nothing was checked"
+            "{name}: no gateway held the resource, so that nothing was checked"
         );
     }
 }
@@ -133,12 +138,12 @@
     ] {
         let Violation { invariant, trace } = search(bug, budget)
             .violation
-            .unwrap_or_else(|| panic!("{bug:?} was not found"));
+            .unwrap_or_else(|| panic!("the search did not find {bug:?}"));
         println!("{bug:?}: {invariant} after {trace:#?}");
         assert!(invariant.contains("two holders"), "{invariant}");
         assert!(
             search(InjectedBug::None, budget).violation.is_none(),
-            "without the bug nothing is wrong"
+            "an invariant is violated without the bug"
         );
     }
 }
--- a/crates/fleet/tests/lease_simulation.rs
+++ b/crates/fleet/tests/lease_simulation.rs
@@ -1,7 +1,10 @@
-//! Lease issuers and holders in a simulated fleet without I/O, by random seed: loss, duplicates, delays that reorder,
-//! partitions one way and both, gateways that are paused and resumed, killed and restarted, clocks that drift within the
-//! bound. Checked as an engine would see it: at each moment at most one gateway acts on a resource, and epochs never fall.
-//! After the faults, each resource must have a holder again. An injected bug against each assumption must be detected.
+//! Tests lease issuers and holders in a simulated fleet without I/O; each run is determined by its random seed.
+//!
+//! The faults are loss, duplication and reordering of messages, one-way and two-way partitions, and gateways that are
+//! paused, killed and restarted, while clocks drift within the configured bound. At each moment at most one gateway may
+//! act on a resource, and each new holder must act under a higher epoch, as an engine would see it. After the faults
+//! end, each resource must have a holder again. Bugs that are injected on purpose, each against one assumption of the
+//! leases, must be detected.
 
 mod common;
 mod simulated_fleet;
@@ -17,7 +20,7 @@
         let outcome = Simulation::new(seed, InjectedBug::None).run();
         prop_assert!(outcome.violations.is_empty(), "{:#?}", &outcome.violations[..outcome.violations.len().min(5)]);
         prop_assert!(outcome.acts > 0);
-        prop_assert!(outcome.without_holder.is_empty(), "no gateway holds {:?}", outcome.without_holder);
+        prop_assert!(outcome.without_holder.is_empty(), "resources without a holder after recovery: {:?}", outcome.without_holder);
     }
 }
 
@@ -30,11 +33,11 @@
     ] {
         let seed = (0..3000).find(|seed| !Simulation::new(*seed, bug).run().violations.is_empty());
         println!("{bug:?} with seed {seed:?}");
-        assert!(seed.is_some(), "{bug:?} violates nothing");
+        assert!(seed.is_some(), "no seed shows a violation with {bug:?}");
     }
 }
 
-/// Prints how long resources had no holder after theirs was killed, without other faults.
+/// Kills holders, without other faults, and prints how long their resources had no holder.
 #[test]
 fn killed_holders_resource_has_another_holder_after_about_a_lease() {
     let takeover_times_ms = |seed| {
@@ -54,12 +57,12 @@
     );
     assert!(
         takeover_times_ms.len() > 100,
-        "{} are too few to judge",
+        "{} kills are too few for the quantiles",
         takeover_times_ms.len()
     );
     assert!(
         quantile(0.5) < 2 * LEASE_MS && quantile(0.99) < 4 * LEASE_MS,
-        "{} ms, {} ms",
+        "takeover took p50 {} ms, p99 {} ms",
         quantile(0.5),
         quantile(0.99)
     );
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,5 +1,6 @@
-//! Membership in a simulated network by random seed: loss, delay, partitions, gateways that are killed, paused and resumed,
-//! that leave and that restart. Checked against what the simulation did to them, not against what they report.
+//! Tests of the membership in a simulated network with loss, delay and partitions, and with gateways that are killed,
+//! paused, restarted and that leave. Each run is determined by its random seed. Expected results come from the faults
+//! that the simulation injected, not from what the gateways report about themselves.
 
 mod common;
 
@@ -17,18 +18,18 @@
     loss_percent: u64,
     rng: Rng,
     datagrams: DatagramCodec,
-    /// By gateway: its view of the membership.
+    /// The view of the membership of each gateway.
     members: Vec<Membership>,
-    /// Neither sends nor receives until then, in ms: paused or killed.
+    /// The time in ms until which each gateway is paused or killed; it neither sends nor receives before.
     down_until: Vec<u64>,
-    /// By gateway: the partition that it is in.
+    /// The partition of each gateway. Gateways in different partitions do not reach each other.
     partition_of: Vec<u8>,
-    /// Due in ms, to, bytes.
+    /// The datagrams in flight: time of delivery in ms, receiving gateway, bytes.
     in_flight: Vec<(u64, usize, Vec<u8>)>,
     index_by_address: HashMap<SocketAddrV4, usize>,
-    /// Sent by all gateways.
+    /// The bytes that all gateways have sent.
     bytes: u64,
-    /// When, in ms, at which gateway, what.
+    /// The membership events so far: time in ms, reporting gateway, event.
     events: Vec<(u64, usize, MembershipEvent)>,
 }
 
@@ -128,14 +129,14 @@
         }
     }
 
-    /// How many of the running gateways have so many peers.
+    /// Returns the number of running gateways that see exactly `others` peers.
     fn count_seeing(&self, others: usize) -> usize {
         (0..self.members.len())
             .filter(|n| self.is_running(*n) && self.members[*n].peers().len() == others)
             .count()
     }
 
-    /// How long after `from` each gateway had such an event for the first time, in ms, sorted.
+    /// Returns the time in ms from `from` to the first matching event of each gateway that had one, in ascending order.
     fn detection_times(&self, from: u64, matches: impl Fn(&MembershipEvent) -> bool) -> Vec<u64> {
         let mut first: HashMap<usize, u64> = HashMap::new();
         for (at, n, event) in self.events.iter().filter(|(at, ..)| *at >= from) {
@@ -153,17 +154,25 @@
 fn all_discover_all_and_detect_a_killed_peer_within_seconds() {
     let mut network = SimulatedNetwork::start(20, 10, 1);
     network.advance(10_000);
-    assert_eq!(network.count_seeing(19), 20, "all are peers of all");
+    assert_eq!(
+        network.count_seeing(19),
+        20,
+        "not every gateway sees all others"
+    );
     let (killed, from) = (5, network.now);
     let killed_peer = network.members[killed].local_peer();
     network.down_until[killed] = u64::MAX;
     network.advance(10_000);
     let detection_times =
         network.detection_times(from, |event| *event == MembershipEvent::Down(killed_peer));
-    assert_eq!(detection_times.len(), 19, "all detected it");
+    assert_eq!(
+        detection_times.len(),
+        19,
+        "not every gateway detected the kill"
+    );
     assert!(
         detection_times[18] < 8_000,
-        "the last after {} ms",
+        "the last detection took {} ms",
         detection_times[18]
     );
     assert!(
@@ -173,7 +182,7 @@
                 |event| matches!(event, MembershipEvent::Down(peer) if *peer != killed_peer)
             )
             .is_empty(),
-        "a false positive"
+        "a running peer was declared down"
     );
 }
 
@@ -191,15 +200,16 @@
     let down = network.detection_times(from, |event| *event == MembershipEvent::Down(leaving_peer));
     assert!(
         left.len() >= 8,
-        "{} saw that it left, {} took it for down",
+        "{} gateways reported that the peer left, {} that it is down",
         left.len(),
         down.len()
     );
-    assert!(left[0] < 1_000, "{} ms", left[0]);
+    assert!(left[0] < 1_000, "the first report took {} ms", left[0]);
     assert_eq!(network.count_seeing(8), 9);
 }
 
-/// Paused for half a minute, it is declared down; when it resumes it acts on nothing until it has found that out.
+/// A gateway that is paused for 30 s is declared down by its peers. After the pause its view must not count as current
+/// until a peer has sent it a message, since it does not know before that it was declared down.
 #[test]
 fn a_paused_gateway_is_not_current_until_a_peer_sends_a_message() {
     let mut network = SimulatedNetwork::start(10, 0, 3);
@@ -212,12 +222,12 @@
     let now = Duration::from_millis(network.now);
     assert!(
         !network.members[paused].is_current(now),
-        "by its clock alone"
+        "the gateway does not detect the pause by its clock"
     );
     network.members[paused].tick(now);
     assert!(
         !network.members[paused].is_current(now),
-        "no peer has sent it a message yet"
+        "the view counts as current before a message of a peer"
     );
     network.advance(6_000);
     assert!(network.members[paused].is_current(Duration::from_millis(network.now)));
@@ -227,10 +237,14 @@
         .any(|(_, n, event)| *n == paused && *event == MembershipEvent::Rejoined));
     assert!(
         network.members[paused].local_peer().incarnation > before.incarnation,
-        "another incarnation"
+        "the incarnation did not increase"
     );
     network.advance(6_000);
-    assert_eq!(network.count_seeing(9), 10, "it is a peer of all again");
+    assert_eq!(
+        network.count_seeing(9),
+        10,
+        "not every gateway sees all others after the pause"
+    );
 }
 
 #[test]
@@ -250,10 +264,18 @@
     assert_eq!(with_new_incarnation(&network), 1);
     (0..6).for_each(|n| network.partition_of[n] = 1);
     network.advance(12_000);
-    assert_eq!(network.count_seeing(5), 12, "each half sees itself alone");
+    assert_eq!(
+        network.count_seeing(5),
+        12,
+        "not every gateway sees exactly its own partition"
+    );
     (0..6).for_each(|n| network.partition_of[n] = 0);
     network.advance(30_000);
-    assert_eq!(network.count_seeing(11), 12, "all are peers of all again");
+    assert_eq!(
+        network.count_seeing(11),
+        12,
+        "not every gateway sees all others after the partition"
+    );
     let is_alive = |status: &PeerStatus| status.state == PeerState::Alive;
     assert!(network
         .members
@@ -282,7 +304,8 @@
     assert_eq!(knowing, 15);
 }
 
-/// SWIM messages with altered bytes, as without a key: dropped or handled, never a panic, and nothing grows with them.
+/// Passes SWIM messages with altered bytes to a gateway, as a fleet without a key may receive them. They must not cause
+/// a panic, and must not add peers.
 #[test]
 fn altered_messages_never_panic_and_add_no_peers() {
     let mut network = SimulatedNetwork::start(6, 0, 6);
@@ -326,7 +349,8 @@
     );
 }
 
-/// Prints the table of docs/fleet.md; by hand, as it takes minutes: cargo test --release -p garnetwall-fleet -- --ignored --nocapture
+/// Prints the table of docs/fleet.md. Ignored by default, since it takes minutes. Run it by
+/// `cargo test --release -p garnetwall-fleet -- --ignored --nocapture`.
 #[test]
 #[ignore]
 fn detection_time_false_positives_and_traffic_by_size_and_loss() {
--- a/crates/fleet/tests/simulated_fleet/faults.rs
+++ b/crates/fleet/tests/simulated_fleet/faults.rs
@@ -1,13 +1,13 @@
-//! The faults of a simulation, at random.
+//! Injects random faults into a simulation.
 
 use super::{resources, HeldLease, Partition, Simulation, FAULT_PHASE_MS, GATEWAYS, RESOURCES};
 use garnetwall_fleet::Resource;
 
-/// Between two kills where nothing but holders fails.
+/// The time between two kills if the only fault is that holders are killed.
 const HOLDER_KILL_INTERVAL_MS: u64 = 4000;
 
 impl Simulation {
-    /// Injects the faults of one step, while the phase of faults lasts.
+    /// Injects the faults of one step. Does nothing after the phase of faults.
     pub(super) fn inject_faults(&mut self) {
         if self.now_ms >= FAULT_PHASE_MS {
             return;
@@ -34,7 +34,7 @@
         self.rng.below(GATEWAYS as u64) as usize
     }
 
-    /// One way, or both.
+    /// Interrupts the connection between two gateways for up to 6 s, in one direction or in both.
     fn partition_two_gateways(&mut self) {
         let (from, to) = (self.random_gateway(), self.random_gateway());
         let until_ms = self.now_ms + self.rng.below(6000);
--- a/crates/fleet/tests/simulated_fleet/invariants.rs
+++ b/crates/fleet/tests/simulated_fleet/invariants.rs
@@ -1,9 +1,10 @@
-//! What holds at each moment of a simulation, as an engine sees it that gateways act on.
+//! Checks the invariants of leases at each moment of a simulation, as an engine on which the gateways act would see
+//! them.
 
 use super::RESOURCES;
 use garnetwall_fleet::{Epoch, Resource};
 
-/// A gateway that acts on a resource.
+/// A gateway that acts on a resource, and the epoch that it acts under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Actor {
     pub gateway: usize,
@@ -11,35 +12,36 @@
     pub epoch: Epoch,
 }
 
-/// What a simulation has shown.
+/// The result of a simulation.
 #[derive(Default)]
 pub struct Outcome {
-    /// Violated invariants.
+    /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
+    /// The number of checked acts of gateways on resources.
     pub acts: usize,
-    /// Resources without a holder at the end.
+    /// The resources without a holder at the end.
     pub without_holder: Vec<Resource>,
-    /// How long resources had no holder after theirs was killed, in ms.
+    /// The times in ms from the kill of a resource's holder to the first act of the next holder.
     pub takeover_times_ms: Vec<u64>,
 }
 
-/// Checks that at most one gateway acts on a resource at a time, and that epochs grow.
+/// Checks that at most one gateway acts on a resource at a time, and that each new actor has a higher epoch.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// By resource.
+    /// The last actor on each resource.
     last_actor: [Option<Actor>; RESOURCES],
-    /// By resource: when its holder was killed, in ms, while it has no other.
+    /// For each resource, the time in ms at which its holder was killed, until a gateway acts on it again.
     holder_killed_at: [Option<u64>; RESOURCES],
     pub outcome: Outcome,
 }
 
 impl InvariantChecker {
-    /// Notes that the holder of a resource was killed.
+    /// Records that the holder of a resource was killed.
     pub fn holder_killed(&mut self, now_ms: u64, resource: usize) {
         self.holder_killed_at[resource] = Some(now_ms);
     }
 
-    /// Notes who acts on a resource at this moment.
+    /// Checks and records the gateways that act on a resource at this moment.
     pub fn act(&mut self, now_ms: u64, resource: usize, mut actors: Vec<Actor>) {
         actors.dedup();
         if actors.len() > 1 {
@@ -60,7 +62,6 @@
         }
     }
 
-    /// Notes a violation.
     pub fn violated(&mut self, violation: String) {
         self.outcome.violations.push(violation);
     }
--- a/crates/fleet/tests/simulated_fleet/mod.rs
+++ b/crates/fleet/tests/simulated_fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of lease issuers and holders without I/O, in simulated time, by random seed.
+//! A simulation of a fleet of lease issuers and holders, without I/O and in simulated time. The seed determines the
+//! run.
 
 mod faults;
 mod invariants;
@@ -14,7 +15,7 @@
 const GATEWAYS: usize = 4;
 const RESOURCES: usize = 5;
 const FAULT_PHASE_MS: u64 = 20_000;
-/// After the phase of faults nothing fails any more.
+/// The time after the faults end in which the fleet must recover.
 const RECOVERY_PHASE_MS: u64 = 8_000;
 pub const LEASE_MS: u64 = 2_000;
 const DRIFT_PPM: u32 = 50_000;
@@ -24,12 +25,15 @@
     max_resources: 64,
 };
 
+/// A bug that the simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     None,
+    /// The duration of a lease is the same for holders as for issuers, without a margin for clock drift.
     NoDriftMargin,
+    /// A restarted issuer replies at once, instead of after the duration of a lease.
     NoStartupSilence,
-    /// A gateway that was paused acts on its leases before it looks at its clock.
+    /// A gateway acts after a pause on the leases that it held before, without checking whether they have expired.
     ActsOnExpiredLease,
 }
 
@@ -40,12 +44,12 @@
 }
 
 struct Gateway {
-    /// Its clock is ahead of real time by this.
+    /// The time by which the gateway's clock is ahead of simulated time at the start.
     clock_offset_ms: u64,
-    /// Its clock gains this part of real time.
+    /// The fraction by which the clock is faster than simulated time; negative for a slow clock.
     clock_drift: f64,
     paused_until_ms: u64,
-    /// Until then it is killed.
+    /// The time at which a killed gateway restarts; `None` if it is not killed.
     down_until_ms: Option<u64>,
     incarnation: u64,
     holder: LeaseHolder,
@@ -60,7 +64,7 @@
     bytes: Vec<u8>,
 }
 
-/// Datagrams from one gateway to another one are lost.
+/// A one-way partition: datagrams from one gateway to another are lost until `until_ms`.
 struct Partition {
     from: usize,
     to: usize,
@@ -72,12 +76,12 @@
     rng: Rng,
     now_ms: u64,
     terms: LeaseTerms,
-    /// The first gateways are issuers, so many.
+    /// The number of issuers. The gateways with an index below it are issuers, too.
     issuers: usize,
     gateways: Vec<Gateway>,
     datagrams: DatagramCodec,
     in_flight: Vec<InFlight>,
-    /// Nothing fails but gateways that are no issuers: holders are killed, one after another.
+    /// If set, the only fault is that holders that are not issuers are killed, one after another.
     pub kills_only_holders: bool,
     partitions: Vec<Partition>,
     pub loss_percent: u64,
@@ -117,7 +121,7 @@
 
     fn add_gateway(&mut self, index: usize) {
         let clock_offset_ms = self.rng.below(1 << 20);
-        // At the bound or near it, fast or slow: issuers and holders alike.
+        // The drift of each clock is 80 % to 100 % of the bound, fast or slow.
         let part_of_bound = 1.0 - self.rng.below(3) as f64 / 10.0;
         let sign = if self.one_in(2) { 1.0 } else { -1.0 };
         let clock_drift = sign * part_of_bound * f64::from(DRIFT_PPM) / 1e6;
@@ -134,7 +138,7 @@
         });
     }
 
-    /// Starts a gateway as another incarnation that wants all resources.
+    /// Starts a gateway as a new incarnation that wants all resources.
     fn start_gateway(&mut self, index: usize) {
         let now = self.clock(index);
         let incarnation = self.rng.below(1 << 62);
@@ -150,7 +154,7 @@
     }
 
     fn start_issuer(&self, index: usize, now: Duration, incarnation: u64) -> LeaseIssuer {
-        // Wall clocks are up to half a lease apart.
+        // The wall clocks of issuers differ by up to half the duration of a lease.
         let clock_offset_ms = self.gateways[index].clock_offset_ms % (LEASE_MS / 2);
         let unix_ms = 1_000_000 + self.now_ms + clock_offset_ms;
         let is_restart = self.now_ms > 0;
@@ -162,12 +166,12 @@
         }
     }
 
-    /// True once in so many times, at random.
+    /// Returns true with a probability of 1 in `times`.
     fn one_in(&mut self, times: u64) -> bool {
         self.rng.below(times) == 0
     }
 
-    /// The time by a gateway's own clock.
+    /// Returns the time by a gateway's own clock.
     fn clock(&self, index: usize) -> Duration {
         let gateway = &self.gateways[index];
         let passed_ms = self.now_ms as f64 * (1.0 + gateway.clock_drift);
@@ -191,10 +195,10 @@
             .collect()
     }
 
-    /// Sends a message, which may be lost, duplicated, delayed or altered.
+    /// Sends a message. While faults are injected, the message may be lost, duplicated, delayed or altered.
     fn send(&mut self, from: usize, to: usize, message: &Message) {
         let Some(datagram) = self.datagrams.encode(message) else {
-            let violation = format!("too long for a datagram: {message:?}");
+            let violation = format!("message does not fit into a datagram: {message:?}");
             return self.checker.violated(violation);
         };
         let is_fault_phase = self.now_ms < FAULT_PHASE_MS;
@@ -225,7 +229,7 @@
 
     fn alter(&mut self, bytes: &mut [u8]) {
         let index = self.rng.below(bytes.len() as u64) as usize;
-        // Without a key, an altered byte can only be detected in the head.
+        // A fleet without a key detects altered bytes only in the header, so that only header bytes are altered.
         let index = if self.loss_percent == 0 {
             index.min(8)
         } else {
@@ -257,7 +261,7 @@
         }
     }
 
-    /// Checks what an engine sees at this moment.
+    /// Checks the invariants at this moment, with every running gateway acting on all leases that it holds.
     fn check_invariants(&mut self) {
         let mut actors: [Vec<Actor>; RESOURCES] = Default::default();
         for index in 0..GATEWAYS {
@@ -295,8 +299,8 @@
         }
     }
 
-    /// Removes the datagrams that are delivered now. A paused gateway gets its datagrams once it resumes; those to one that is
-    /// down are lost.
+    /// Removes and returns the datagrams to be delivered now. Datagrams to a paused gateway are delivered when it
+    /// resumes, and those to a killed gateway are lost.
     fn take_due_datagrams(&mut self) -> Vec<InFlight> {
         let mut due = Vec::new();
         for datagram in std::mem::take(&mut self.in_flight) {
@@ -323,7 +327,7 @@
         }
     }
 
-    /// Runs it to its end.
+    /// Runs the simulation to its end and returns the outcome.
     pub fn run(mut self) -> Outcome {
         while self.now_ms < FAULT_PHASE_MS + RECOVERY_PHASE_MS {
             self.inject_faults();
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -1,4 +1,5 @@
-//! The bytes on the wire, as literal hex: gateways of different builds must read each other.
+//! Compares datagrams with recorded bytes, since gateways of different builds must be able to read each other's
+//! datagrams.
 
 use garnetwall_fleet::membership::{Fact, Membership, Peer};
 use garnetwall_fleet::wire::{DatagramCodec, Message};
@@ -13,7 +14,7 @@
     incarnation: 300,
 };
 
-/// Version, fleet, kind of message, and the message.
+/// Expected datagrams in hex: format version, fleet id, kind of the message, content.
 const REQUEST_HEX: &str =
     "0106efdf38dde16e9c00888e98a8c0e0808101ac02f0a204020102ffffffffffffffffff01c801010304";
 const REPLY_HEX: &str =
@@ -77,7 +78,7 @@
         .collect()
 }
 
-/// A datagram is written as these bytes, and read from them.
+/// Asserts that the message is encoded as the expected bytes, and that these are decoded as the message.
 fn assert_datagram(codec: &DatagramCodec, message: &Message, expected: &str) {
     assert_eq!(hex(&codec.encode(message).unwrap()), expected);
     assert_eq!(codec.decode(&unhex(expected)).as_ref(), Ok(message));
@@ -125,7 +126,7 @@
     assert_eq!(postcard::from_bytes(&unhex(expected)), Ok(fact));
 }
 
-/// An announcement is the header of SWIM's messages alone: source, its incarnation, target, kind of message.
+/// An announcement consists only of the header of a SWIM message: source, its incarnation, target, kind of message.
 #[test]
 fn an_announcement_to_a_peer_has_these_bytes() {
     let peers = [address(3), address(4)];
