--- a/crates/fleet/tests/input.rs
+++ b/crates/fleet/tests/input.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn every_wrong_setting_has_an_error_that_says_what_to_do() {
+fn every_invalid_lease_setting_has_an_error_that_says_what_to_do() {
     let short = LeaseTerms::new(ms(300), 500, ms(100), &[1, 2, 3]).unwrap_err();
     let errors = [
         (
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn every_bad_datagram_is_dropped_with_its_own_reason() {
+fn every_invalid_datagram_is_dropped_with_its_own_reason() {
     let (unkeyed, keyed) = (
         DatagramCodec::new("sale", None),
         DatagramCodec::new("sale", Some(b"key")),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_issuer_is_silent_for_a_lease_after_its_start_and_bounds_what_it_stores() {
+fn issuer_sends_no_reply_for_a_lease_after_its_start_and_limits_its_state() {
     let mut issuer = LeaseIssuer::start(ms(0), 0, 1, &terms(), limits(2, 3));
     let error = issuer
         .handle_request(ms(1999), &request(1, vec![claim(0)]))
@@ -361,7 +361,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_of_a_datagram_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300), keyed in any::<bool>()) {
         let codec = DatagramCodec::new("sale", keyed.then_some(b"key"));
         let _ = codec.decode(&bytes);
         let mut datagram = codec.encode(&Message::Request(request(1, Vec::new()))).unwrap();
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -30,7 +30,7 @@
 struct PathEntry {
     state: FleetState,
     untried: Vec<Event>,
-    led_by: Option<Event>,
+    last_event: Option<Event>,
 }
 
 /// Searches all states depth first, until an invariant is violated or all events of the budget are used up.
@@ -41,7 +41,7 @@
     let mut path = vec![PathEntry {
         untried: start.events(),
         state: start,
-        led_by: None,
+        last_event: None,
     }];
     while let Some(entry) = path.last_mut() {
         let Some(event) = entry.untried.pop() else {
@@ -53,7 +53,7 @@
         let violation = next.violation();
         holdings += usize::from(next.last_holding.is_some());
         if let Some(invariant) = violation {
-            let earlier = path.iter().filter_map(|entry| entry.led_by.clone());
+            let earlier = path.iter().filter_map(|entry| entry.last_event.clone());
             let trace = earlier.chain([event]).collect();
             return SearchResult {
                 states: visited.len(),
@@ -65,7 +65,7 @@
             path.push(PathEntry {
                 untried: next.events(),
                 state: next,
-                led_by: Some(event),
+                last_event: Some(event),
             });
         }
     }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn all_discover_all_and_detect_a_killed_peer_within_seconds() {
+fn all_gateways_discover_each_other_and_detect_a_killed_peer_within_seconds() {
     let mut network = SimulatedNetwork::start(20, 10, 1);
     network.advance(10_000);
     assert_eq!(
--- a/crates/fleet/tests/simulated_fleet/faults.rs
+++ b/crates/fleet/tests/simulated_fleet/faults.rs
@@ -13,7 +13,7 @@
             return;
         }
         if self.kills_only_holders {
-            return self.kill_a_holder_that_is_no_issuer();
+            return self.kill_non_issuer_holder();
         }
         if self.one_in(400) {
             self.partition_two_gateways();
@@ -71,7 +71,8 @@
 
     fn kill(&mut self, index: usize) {
         for HeldLease { resource, .. } in self.held_leases(index) {
-            self.checker.holder_killed(self.now_ms, resource.0 as usize);
+            self.checker
+                .record_holder_kill(self.now_ms, resource.0 as usize);
         }
         let gateway = &mut self.gateways[index];
         gateway.down_until_ms = Some(self.now_ms + 10 + self.rng.below(3000));
@@ -79,7 +80,7 @@
         gateway.issuer = None;
     }
 
-    fn kill_a_holder_that_is_no_issuer(&mut self) {
+    fn kill_non_issuer_holder(&mut self) {
         if !self.now_ms.is_multiple_of(HOLDER_KILL_INTERVAL_MS) {
             return;
         }
--- a/crates/fleet/tests/simulated_fleet/invariants.rs
+++ b/crates/fleet/tests/simulated_fleet/invariants.rs
@@ -37,15 +37,15 @@
 
 impl InvariantChecker {
     /// Records that the holder of a resource was killed.
-    pub fn holder_killed(&mut self, now_ms: u64, resource: usize) {
+    pub fn record_holder_kill(&mut self, now_ms: u64, resource: usize) {
         self.holder_killed_at[resource] = Some(now_ms);
     }
 
     /// Checks and records the gateways that act on a resource at this moment.
-    pub fn act(&mut self, now_ms: u64, resource: usize, mut actors: Vec<Actor>) {
+    pub fn record_actors(&mut self, now_ms: u64, resource: usize, mut actors: Vec<Actor>) {
         actors.dedup();
         if actors.len() > 1 {
-            self.violated(format!(
+            self.record_violation(format!(
                 "at {now_ms} ms {actors:?} act on resource {resource}"
             ));
         }
@@ -56,13 +56,13 @@
             }
             if let Some(last) = self.last_actor[resource].replace(actor) {
                 if last != actor && last.epoch >= actor.epoch {
-                    self.violated(format!("at {now_ms} ms {actor:?} acts after {last:?}"));
+                    self.record_violation(format!("at {now_ms} ms {actor:?} acts after {last:?}"));
                 }
             }
         }
     }
 
-    pub fn violated(&mut self, violation: String) {
+    pub fn record_violation(&mut self, violation: String) {
         self.outcome.violations.push(violation);
     }
 }
--- a/crates/fleet/tests/simulated_fleet/mod.rs
+++ b/crates/fleet/tests/simulated_fleet/mod.rs
@@ -199,7 +199,7 @@
     fn send(&mut self, from: usize, to: usize, message: &Message) {
         let Some(datagram) = self.datagrams.encode(message) else {
             let violation = format!("message does not fit into a datagram: {message:?}");
-            return self.checker.violated(violation);
+            return self.checker.record_violation(violation);
         };
         let is_fault_phase = self.now_ms < FAULT_PHASE_MS;
         if is_fault_phase && self.rng.below(100) < self.loss_percent {
@@ -282,7 +282,7 @@
             }
         }
         for (resource, actors) in actors.into_iter().enumerate() {
-            self.checker.act(self.now_ms, resource, actors);
+            self.checker.record_actors(self.now_ms, resource, actors);
         }
     }
 
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn datagrams_without_a_key_have_these_bytes() {
+fn datagrams_without_a_key_match_the_recorded_bytes() {
     let codec = DatagramCodec::new("sale", None);
     assert_datagram(&codec, &request(), REQUEST_HEX);
     assert_datagram(&codec, &reply(), REPLY_HEX);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn datagrams_with_a_key_end_with_these_hashes() {
+fn datagrams_with_a_key_end_with_the_recorded_hashes() {
     let codec = DatagramCodec::new("sale", Some(b"key"));
     let keyed = |plain: &str, hash: &str| format!("{plain}{hash}");
     assert_datagram(
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_published_fact_has_these_bytes() {
+fn published_fact_matches_the_recorded_bytes() {
     let fact = Fact {
         publisher: Peer::new(address(3), 1_700_000_000_123),
         kind: 5,
@@ -128,7 +128,7 @@
 
 /// An announcement consists only of the header of a SWIM message: source, its incarnation, target, kind of message.
 #[test]
-fn an_announcement_to_a_peer_has_these_bytes() {
+fn announcement_to_a_peer_matches_the_recorded_bytes() {
     let peers = [address(3), address(4)];
     let local_peer = Peer::new(peers[0], 1_700_000_000_123);
     let codec = DatagramCodec::new("sale", None);
