--- a/crates/bench-adapter/src/tests.rs
+++ b/crates/bench-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! The example frames of the protocol, and malformed ones.
+//! Tests of the adapter on example frames of the protocol, and of its errors on malformed input.
 
 use crate::frame::{read_frame, Frame};
 use crate::serve;
@@ -113,7 +113,10 @@
         let (end, out) = run(&input);
         let error = end.expect_err(name);
         assert!(error.contains(expected), "{name}: {error}");
-        assert!(out.is_empty(), "{name}: a reply was written");
+        assert!(
+            out.is_empty(),
+            "{name}: a reply was written for malformed input"
+        );
     }
 }
 
@@ -138,7 +141,7 @@
         clock: 1.0,
         body,
     };
-    let reply = session.process(&frame).expect("well formed");
+    let reply = session.process(&frame).expect("the frame is well formed");
     assert!(reply.windows(6).any(|w| w == bytes("0a124a07138b")));
     assert!(!reply.windows(6).any(|w| w == bytes("0a124a08138b")));
 }
--- a/crates/bench-adapter/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -1,8 +1,9 @@
-//! A whole exchange with the bench, byte for byte: every record code in both directions, and the exit codes.
+//! Compares a complete exchange with the simulator byte by byte, with every record code in both directions, and checks
+//! the exit codes.
 //!
-//! The replies are those of the adapter built from commit 2d094ab, so they pin the decisions behind them, too: a
-//! renamed record, a moved field or a random draw out of its order fails here. Malformed frames, and the errors for
-//! them, are pinned in src/tests.rs.
+//! The expected replies were recorded with the adapter built from commit 2d094ab, so that they also cover the
+//! controller's decisions: the test fails if a record code changes, a field moves or a random number is drawn out of
+//! order. The errors for malformed frames are tested in src/tests.rs.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -30,13 +31,15 @@
 telemetry.how=inline
 ";
 
-/// Frames by their time in milliseconds and their records, and the replies: each its count of records, its length and
-/// its records. Records of the bench: 0a instance, 0b list of engines, 0c settings, 07 list in force, 09 query, 0d
-/// progress, 06 outcome, 01 client gone, 05 timer, 08 health check ended, 03 message, 04 stream, 02 instance ends.
-/// Of the adapter: 0e instance, 0b subscription, 05 timer, 0d memory grant, 01 attempt, 04 cancellation, 03 failed,
-/// 02 rejected, 06 health check.
+/// The frames and their replies. A frame is given by its time in milliseconds and its records in hex; `SITE` stands for
+/// the length and text of the settings. A reply has the number of its records, their length in bytes, and the records.
+///
+/// Records of the simulator: 0a select instance, 0b endpoint list, 0c attach instance, 07 update endpoints, 09 query,
+/// 0d progress, 06 end of an attempt, 01 client left, 05 timer, 08 health check ended, 03 peer message, 04 stream head,
+/// 02 detach instance. Records of the adapter: 0e select instance, 0b subscribe, 05 set timer, 0d memory grant,
+/// 01 attempt, 04 cancel, 03 fail, 02 reject, 06 health check.
 const EXCHANGE: [(f64, &[&str], &str); 11] = [
-    // attach, list
+    // Attach an instance, send and apply an endpoint list.
     (
         1000.0,
         &[
@@ -47,7 +50,7 @@
         ],
         "0000000300000016 0e00030b010500000000000000004059000000000006",
     ),
-    // queries
+    // Three queries arrive.
     (
         1010.0,
         &[
@@ -58,7 +61,7 @@
         ],
         "000000070000005a 0e00030d00000001430000000101000000010a124a07138b40a38800000000000d00000002430000000101000000020a124a07138b40a38800000000000d00000003430000000101000000030a124a07138b409f3fffffffffff",
     ),
-    // notes, success, client gone
+    // Progress events, a successful attempt, a client leaves.
     (
         1020.0,
         &[
@@ -71,7 +74,7 @@
         ],
         "000000020000000a 0e000304000000030000",
     ),
-    // cancelled, failed
+    // An attempt was cancelled, another one has failed.
     (
         1030.0,
         &[
@@ -81,7 +84,7 @@
         ],
         "0000000200000008 0e00030300000002",
     ),
-    // second instance
+    // Attach a second instance, to which a query arrives.
     (
         1040.0,
         &[
@@ -92,7 +95,7 @@
         ],
         "0000000500000033 0e00040b010d00000005430000000101000000050a124a07138b408c1fffffffffff05000000000000000040590010624dd2f2",
     ),
-    // declined
+    // The attempt is rejected; the adapter sets a timer for the next one.
     (
         1050.0,
         &[
@@ -101,7 +104,7 @@
         ],
         "0000000200000014 0e0004050000000000000000403536872b020c35",
     ),
-    // timer
+    // The timer expires; the adapter starts the next attempt.
     (
         1150.0,
         &[
@@ -110,7 +113,7 @@
         ],
         "0000000400000031 0e00040d00000005430000000101000000050a124a07138b4088b000000000000500000000000000004059000000000006",
     ),
-    // declined again
+    // The second attempt is rejected; the adapter rejects the query.
     (
         1160.0,
         &[
@@ -119,7 +122,7 @@
         ],
         "0000000200000010 0e000402000000054079000000000000",
     ),
-    // others
+    // A health check ended, a peer message, a stream head.
     (
         1170.0,
         &[
@@ -130,7 +133,7 @@
         ],
         "0000000000000000 ",
     ),
-    // list failed, detach
+    // The endpoint list could not be read; detach the instance.
     (
         1180.0,
         &[
@@ -140,7 +143,7 @@
         ],
         "0000000000000000 ",
     ),
-    // after detach
+    // A query for the detached instance is ignored.
     (
         1190.0,
         &[
@@ -193,12 +196,19 @@
         input.extend(frame(clock, records, SITE));
         replies.extend(bytes(reply));
         let ended = run(&input);
-        assert_eq!(ended.status.code(), Some(0), "the frame at {clock}");
-        assert_eq!(ended.stdout, replies, "the frame at {clock}");
+        assert_eq!(
+            ended.status.code(),
+            Some(0),
+            "exit code after the frame at {clock} ms"
+        );
+        assert_eq!(
+            ended.stdout, replies,
+            "replies up to the frame at {clock} ms"
+        );
     }
 }
 
-/// Where load reports come with health checks alone, one is asked for after a number of queries.
+/// If load reports come only with health checks, the adapter requests a health check after some queries, here after 21.
 #[test]
 fn a_health_check_is_asked_for() {
     let site = SITE.replace("telemetry.how=inline", "telemetry.how=on_probe");
