--- a/crates/bench-adapter/src/tests.rs
+++ b/crates/bench-adapter/src/tests.rs
@@ -24,7 +24,7 @@
     out
 }
 
-const SITE: &str =
+const SETTINGS: &str =
     "categories.count=1\ncategories.0.semantics=retryable\ncategories.0.give-up=4000.0\n\
     categories.0.goal-time=1000.0\nallowed.max-attempts=3\nunknown.key=1\n";
 
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn an_empty_frame_has_an_empty_reply() {
+fn empty_frame_gets_an_empty_reply() {
     let (end, out) = run(&bytes("00000000 00000000 40c06e2000000000"));
     assert_eq!((end, out), (Ok(()), bytes("00000000 00000000")));
 }
 
 #[test]
-fn a_documented_query_is_attempted_at_the_listed_engine() {
-    let mut body = attach(SITE);
+fn query_is_attempted_at_the_listed_engine() {
+    let mut body = attach(SETTINGS);
     body.extend(bytes(LIST));
     body.extend(bytes(
         "09 5d3a91c4 00 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 43c00000 41300000 01",
@@ -58,7 +58,7 @@
 
 #[test]
 fn an_outcome_of_an_unknown_query_is_ignored() {
-    let mut body = attach(SITE);
+    let mut body = attach(SETTINGS);
     body.extend(bytes(LIST));
     body.extend(bytes(
         "06 5d3a91c4 0000 0a124a07 138b 00 4032800000000000 01 00011060 03 40e000003fa000003ecccccd",
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn lists_are_resolved_in_event_order() {
+fn endpoint_list_sent_again_after_its_use_does_not_change_the_attempt() {
     let mut session = Session::default();
-    let mut body = attach(SITE);
+    let mut body = attach(SETTINGS);
     body.extend(bytes(LIST));
     body.extend(bytes(
         "0b 00000000 00000001 3f800000 0a124a08 138b 0000 0000000000000000 0000 0000 01",
--- a/crates/bench-adapter/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const SITE: &str = "\
+const SETTINGS: &str = "\
 allowed.cancelling=true
 allowed.max-attempts=2
 allowed.may-probe=true
@@ -31,8 +31,9 @@
 telemetry.how=inline
 ";
 
-/// The frames and their replies. A frame is given by its time in milliseconds and its records in hex; `SITE` stands for
-/// the length and text of the settings. A reply has the number of its records, their length in bytes, and the records.
+/// The frames and their replies. A frame is given by its time in milliseconds and its records in hex; `SETTINGS` stands
+/// for the length and text of the settings. A reply has the number of its records, their length in bytes, and the
+/// records.
 ///
 /// Records of the simulator: 0a select instance, 0b endpoint list, 0c attach instance, 07 update endpoints, 09 query,
 /// 0d progress, 06 end of an attempt, 01 client left, 05 timer, 08 health check ended, 03 peer message, 04 stream head,
@@ -44,7 +45,7 @@
         1000.0,
         &[
             "0a 0003",
-            "0c 0000000000000007 SITE",
+            "0c 0000000000000007 SETTINGS",
             "0b 00000000000000013f8000000a124a07138b000000000000000000000000000001",
             "07 000000000100000000",
         ],
@@ -89,7 +90,7 @@
         1040.0,
         &[
             "0a 0004",
-            "0c 0000000000000007 SITE",
+            "0c 0000000000000007 SETTINGS",
             "07 000000000100000000",
             "09 0000000500000000000000000000000000408c200000000000405e000000000000428000000000000001",
         ],
@@ -159,14 +160,14 @@
     digits.chunks(2).map(|d| (d[0] * 16 + d[1]) as u8).collect()
 }
 
-fn frame(clock_ms: f64, records: &[&str], site: &str) -> Vec<u8> {
+fn frame(clock_ms: f64, records: &[&str], settings: &str) -> Vec<u8> {
     let mut body = Vec::new();
     for record in records {
-        match record.strip_suffix(" SITE") {
+        match record.strip_suffix(" SETTINGS") {
             Some(head) => {
                 body.extend(bytes(head));
-                body.extend((site.len() as u32).to_be_bytes());
-                body.extend(site.as_bytes());
+                body.extend((settings.len() as u32).to_be_bytes());
+                body.extend(settings.as_bytes());
             }
             None => body.extend(bytes(record)),
         }
@@ -190,10 +191,10 @@
 }
 
 #[test]
-fn every_frame_has_its_reply() {
+fn every_frame_gets_the_recorded_reply() {
     let (mut input, mut replies) = (Vec::new(), Vec::new());
     for (clock, records, reply) in EXCHANGE {
-        input.extend(frame(clock, records, SITE));
+        input.extend(frame(clock, records, SETTINGS));
         replies.extend(bytes(reply));
         let ended = run(&input);
         assert_eq!(
@@ -210,17 +211,17 @@
 
 /// If load reports come only with health checks, the adapter requests a health check after some queries, here after 21.
 #[test]
-fn a_health_check_is_asked_for() {
-    let site = SITE.replace("telemetry.how=inline", "telemetry.how=on_probe");
+fn health_check_is_requested_if_reports_come_only_with_health_checks() {
+    let settings = SETTINGS.replace("telemetry.how=inline", "telemetry.how=on_probe");
     let (instance, list) = (EXCHANGE[0].1[0], &EXCHANGE[0].1[1..]);
-    let mut input = frame(1000.0, &[&[instance], list].concat(), &site);
+    let mut input = frame(1000.0, &[&[instance], list].concat(), &settings);
     for n in 0..21 {
         let id = format!("{n:08x}");
         let query = format!("09 {id} 00 00000000 0000000000000000 40a3880000000000 405e000000000000 42800000 00000000 01");
         let outcome = format!("06 {id} 0000 0a124a07138b 00 4024000000000000 01 00000000 00");
         let at = 1010.0 + 20.0 * f64::from(n);
-        input.extend(frame(at, &[instance, &query], &site));
-        input.extend(frame(at + 10.0, &[instance, &outcome], &site));
+        input.extend(frame(at, &[instance, &query], &settings));
+        input.extend(frame(at + 10.0, &[instance, &outcome], &settings));
     }
     let replies = run(&input).stdout;
     let check = bytes("00000002 0000000a 0e0003 06 0a124a07138b");
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn exit_codes() {
+fn exit_code_is_0_after_empty_input_and_1_after_a_truncated_header() {
     assert_eq!(run(&[]).status.code(), Some(0));
     let cut_off = run(&[0; 7]);
     assert_eq!(cut_off.status.code(), Some(1));
