--- a/crates/bench-adapter/src/actions.rs
+++ b/crates/bench-adapter/src/actions.rs
@@ -5,8 +5,8 @@
 use crate::protocol::outgoing;
 use garnetwall::api::{EngineId, FinalAnswer, NextAction, Placement, QueryId};
 
-/// The priority in each memory grant record. The protocol requires one, but the controller sets none; this is the
-/// protocol's default.
+/// The priority in each memory grant record. The protocol requires one, but the controller sets none; this value
+/// applies to grants without a priority.
 const DEFAULT_PRIORITY: u8 = 1;
 /// The id of an instance's only timer.
 const TIMER_ID: u64 = 0;
--- a/crates/fleet/src/lease_issuer.rs
+++ b/crates/fleet/src/lease_issuer.rs
@@ -64,8 +64,8 @@
     limits: IssuerLimits,
     sessions: BTreeMap<HolderId, Session>,
     grants: BTreeMap<Resource, Grant>,
-    /// Epochs up to this one are refused for a resource that is not stored, since it may have been granted under one of
-    /// them and evicted afterwards.
+    /// Epochs up to and including this one are refused for a resource that is not stored, since it may have been
+    /// granted under one of them and evicted afterwards.
     epoch_floor: Epoch,
 }
 
@@ -75,7 +75,7 @@
     ///
     /// The issuer does not know the epochs that were granted before its start. As long as the wall clocks of the
     /// issuers differ by no more than the duration of a lease, all of those are below its own wall clock plus that
-    /// duration, so that it refuses the epochs up to there.
+    /// duration. It therefore refuses epochs up to that sum, in milliseconds.
     pub fn start(
         now: Duration,
         unix_ms: u64,
--- a/crates/fleet/src/lease_terms.rs
+++ b/crates/fleet/src/lease_terms.rs
@@ -95,8 +95,8 @@
         })
     }
 
-    /// Returns terms without any check, for measurements and for tests. The tests show that two gateways can hold the same
-    /// resource if the holder's duration leaves no margin for drift.
+    /// Returns terms without any check, for measurements and for tests. The tests show that two gateways can hold the
+    /// same resource if the holder's duration leaves no margin for drift.
     pub fn unchecked(
         issuer_duration: Duration,
         holder_duration: Duration,
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -144,8 +144,8 @@
         self.output.next_timer_at()
     }
 
-    /// Returns true if the view of the membership may be used at `now`. Returns false after a pause of the process, until
-    /// a peer's message is received. A gateway that knows no other peer does not wait for a message.
+    /// Returns true if the view of the membership may be used at `now`. Returns false after a pause of the process,
+    /// until a peer's message is received. A gateway that knows no other peer does not wait for a message.
     pub fn is_current(&self, now: Duration) -> bool {
         !self.is_stale && now.saturating_sub(self.last_call) <= PAUSE_THRESHOLD
     }
--- a/crates/fleet/tests/fleet_model/mod.rs
+++ b/crates/fleet/tests/fleet_model/mod.rs
@@ -13,8 +13,8 @@
 const ISSUERS: usize = 3;
 const HOLDERS: usize = 2;
 const RESOURCE: Resource = Resource(7);
-/// The time that passes in a step of 10 ms by the clocks of issuers, which are 10 % fast, and of holders, which are 10
-/// % slow.
+/// The time that passes in a step of 10 ms by the clocks of issuers, which are fast by a tenth, and of holders, which
+/// are slow by a tenth.
 const ISSUER_STEP: Duration = Duration::from_millis(11);
 const HOLDER_STEP: Duration = Duration::from_millis(9);
 const DRIFT_PPM: u32 = 100_000;
