--- a/crates/bench-adapter/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -1,13 +1,14 @@
-//! A whole exchange with the bench, byte for byte: every record code in both directions, and the exit codes.
+//! Compares a complete exchange with the simulator byte by byte, with every record code in both directions, and checks
+//! the exit codes.
 //!
-//! The replies are those of the adapter built from commit 2d094ab, so they pin the decisions behind them, too: a
-//! renamed record, a moved field or a random draw out of its order fails here. Malformed frames, and the errors for
-//! them, are pinned in src/tests.rs.
+//! The expected replies were recorded with the adapter built from commit 2d094ab, so that they also cover the
+//! controller's decisions: the test fails if a record code changes, a field moves or a random number is drawn out of
+//! order. The errors for malformed frames are tested in src/tests.rs.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const SITE: &str = "\
+const SETTINGS: &str = "\
 allowed.cancelling=true
 allowed.max-attempts=2
 allowed.may-probe=true
@@ -30,24 +31,27 @@
 telemetry.how=inline
 ";
 
-/// Frames by their time in milliseconds and their records, and the replies: each its count of records, its length and
-/// its records. Records of the bench: 0a instance, 0b list of engines, 0c settings, 07 list in force, 09 query, 0d
-/// progress, 06 outcome, 01 client gone, 05 timer, 08 health check ended, 03 message, 04 stream, 02 instance ends.
-/// Of the adapter: 0e instance, 0b subscription, 05 timer, 0d memory grant, 01 attempt, 04 cancellation, 03 failed,
-/// 02 rejected, 06 health check.
+/// The frames and their replies. A frame is given by its time in milliseconds and its records in hex; `SETTINGS` stands
+/// for the length and text of the settings. A reply has the number of its records, their length in bytes, and the
+/// records.
+///
+/// Records of the simulator: 0a select instance, 0b endpoint list, 0c attach instance, 07 update endpoints, 09 query,
+/// 0d progress, 06 end of an attempt, 01 client left, 05 timer, 08 health check ended, 03 peer message, 04 stream head,
+/// 02 detach instance. Records of the adapter: 0e select instance, 0b subscribe, 05 set timer, 0d memory grant,
+/// 01 attempt, 04 cancel, 03 fail, 02 reject, 06 health check.
 const EXCHANGE: [(f64, &[&str], &str); 11] = [
-    // attach, list
+    // Attach an instance, send and apply an endpoint list.
     (
         1000.0,
         &[
             "0a 0003",
-            "0c 0000000000000007 SITE",
+            "0c 0000000000000007 SETTINGS",
             "0b 00000000000000013f8000000a124a07138b000000000000000000000000000001",
             "07 000000000100000000",
         ],
         "0000000300000016 0e00030b010500000000000000004059000000000006",
     ),
-    // queries
+    // Three queries arrive.
     (
         1010.0,
         &[
@@ -58,7 +62,7 @@
         ],
         "000000070000005a 0e00030d00000001430000000101000000010a124a07138b40a38800000000000d00000002430000000101000000020a124a07138b40a38800000000000d00000003430000000101000000030a124a07138b409f3fffffffffff",
     ),
-    // notes, success, client gone
+    // Progress events, a successful attempt, a client leaves.
     (
         1020.0,
         &[
@@ -71,7 +75,7 @@
         ],
         "000000020000000a 0e000304000000030000",
     ),
-    // cancelled, failed
+    // An attempt was cancelled, another one has failed.
     (
         1030.0,
         &[
@@ -81,18 +85,18 @@
         ],
         "0000000200000008 0e00030300000002",
     ),
-    // second instance
+    // Attach a second instance, to which a query arrives.
     (
         1040.0,
         &[
             "0a 0004",
-            "0c 0000000000000007 SITE",
+            "0c 0000000000000007 SETTINGS",
             "07 000000000100000000",
             "09 0000000500000000000000000000000000408c200000000000405e000000000000428000000000000001",
         ],
         "0000000500000033 0e00040b010d00000005430000000101000000050a124a07138b408c1fffffffffff05000000000000000040590010624dd2f2",
     ),
-    // declined
+    // The attempt is rejected; the adapter sets a timer for the next one.
     (
         1050.0,
         &[
@@ -101,7 +105,7 @@
         ],
         "0000000200000014 0e0004050000000000000000403536872b020c35",
     ),
-    // timer
+    // The timer expires; the adapter starts the next attempt.
     (
         1150.0,
         &[
@@ -110,7 +114,7 @@
         ],
         "0000000400000031 0e00040d00000005430000000101000000050a124a07138b4088b000000000000500000000000000004059000000000006",
     ),
-    // declined again
+    // The second attempt is rejected; the adapter rejects the query.
     (
         1160.0,
         &[
@@ -119,7 +123,7 @@
         ],
         "0000000200000010 0e000402000000054079000000000000",
     ),
-    // others
+    // A health check ended, a peer message, a stream head.
     (
         1170.0,
         &[
@@ -130,7 +134,7 @@
         ],
         "0000000000000000 ",
     ),
-    // list failed, detach
+    // The endpoint list could not be read; detach the instance.
     (
         1180.0,
         &[
@@ -140,7 +144,7 @@
         ],
         "0000000000000000 ",
     ),
-    // after detach
+    // A query for the detached instance is ignored.
     (
         1190.0,
         &[
@@ -156,14 +160,14 @@
     digits.chunks(2).map(|d| (d[0] * 16 + d[1]) as u8).collect()
 }
 
-fn frame(clock_ms: f64, records: &[&str], site: &str) -> Vec<u8> {
+fn frame(clock_ms: f64, records: &[&str], settings: &str) -> Vec<u8> {
     let mut body = Vec::new();
     for record in records {
-        match record.strip_suffix(" SITE") {
+        match record.strip_suffix(" SETTINGS") {
             Some(head) => {
                 body.extend(bytes(head));
-                body.extend((site.len() as u32).to_be_bytes());
-                body.extend(site.as_bytes());
+                body.extend((settings.len() as u32).to_be_bytes());
+                body.extend(settings.as_bytes());
             }
             None => body.extend(bytes(record)),
         }
@@ -187,30 +191,37 @@
 }
 
 #[test]
-fn every_frame_has_its_reply() {
+fn every_frame_gets_the_recorded_reply() {
     let (mut input, mut replies) = (Vec::new(), Vec::new());
     for (clock, records, reply) in EXCHANGE {
-        input.extend(frame(clock, records, SITE));
+        input.extend(frame(clock, records, SETTINGS));
         replies.extend(bytes(reply));
         let ended = run(&input);
-        assert_eq!(ended.status.code(), Some(0), "the frame at {clock}");
-        assert_eq!(ended.stdout, replies, "the frame at {clock}");
+        assert_eq!(
+            ended.status.code(),
+            Some(0),
+            "exit code after the frame at {clock} ms"
+        );
+        assert_eq!(
+            ended.stdout, replies,
+            "replies up to the frame at {clock} ms"
+        );
     }
 }
 
-/// Where load reports come with health checks alone, one is asked for after a number of queries.
+/// If load reports come only with health checks, the adapter requests a health check after some queries, here after 21.
 #[test]
-fn a_health_check_is_asked_for() {
-    let site = SITE.replace("telemetry.how=inline", "telemetry.how=on_probe");
+fn health_check_is_requested_if_reports_come_only_with_health_checks() {
+    let settings = SETTINGS.replace("telemetry.how=inline", "telemetry.how=on_probe");
     let (instance, list) = (EXCHANGE[0].1[0], &EXCHANGE[0].1[1..]);
-    let mut input = frame(1000.0, &[&[instance], list].concat(), &site);
+    let mut input = frame(1000.0, &[&[instance], list].concat(), &settings);
     for n in 0..21 {
         let id = format!("{n:08x}");
         let query = format!("09 {id} 00 00000000 0000000000000000 40a3880000000000 405e000000000000 42800000 00000000 01");
         let outcome = format!("06 {id} 0000 0a124a07138b 00 4024000000000000 01 00000000 00");
         let at = 1010.0 + 20.0 * f64::from(n);
-        input.extend(frame(at, &[instance, &query], &site));
-        input.extend(frame(at + 10.0, &[instance, &outcome], &site));
+        input.extend(frame(at, &[instance, &query], &settings));
+        input.extend(frame(at + 10.0, &[instance, &outcome], &settings));
     }
     let replies = run(&input).stdout;
     let check = bytes("00000002 0000000a 0e0003 06 0a124a07138b");
@@ -218,13 +229,13 @@
 }
 
 #[test]
-fn exit_codes() {
+fn exit_code_is_0_after_empty_input_and_1_after_a_truncated_header() {
     assert_eq!(run(&[]).status.code(), Some(0));
     let cut_off = run(&[0; 7]);
     assert_eq!(cut_off.status.code(), Some(1));
     let message = String::from_utf8(cut_off.stderr).unwrap();
     assert!(
-        message.ends_with(": frame 0: header: 16 bytes expected, input ends after 7\n"),
+        message.ends_with(": frame 0: header truncated: 16 bytes expected, input ends after 7\n"),
         "{message}"
     );
     assert!(cut_off.stdout.is_empty());
--- a/crates/fleet/tests/simulated_fleet/faults.rs
+++ b/crates/fleet/tests/simulated_fleet/faults.rs
@@ -1,19 +1,19 @@
-//! The faults of a simulation, at random.
+//! Injects random faults into a simulation.
 
 use super::{resources, HeldLease, Partition, Simulation, FAULT_PHASE_MS, GATEWAYS, RESOURCES};
 use garnetwall_fleet::Resource;
 
-/// Between two kills where nothing but holders fails.
+/// The time between two kills if the only fault is that holders are killed.
 const HOLDER_KILL_INTERVAL_MS: u64 = 4000;
 
 impl Simulation {
-    /// Injects the faults of one step, while the phase of faults lasts.
+    /// Injects the faults of one step. Does nothing after the phase of faults.
     pub(super) fn inject_faults(&mut self) {
         if self.now_ms >= FAULT_PHASE_MS {
             return;
         }
         if self.kills_only_holders {
-            return self.kill_a_holder_that_is_no_issuer();
+            return self.kill_non_issuer_holder();
         }
         if self.one_in(400) {
             self.partition_two_gateways();
@@ -34,7 +34,7 @@
         self.rng.below(GATEWAYS as u64) as usize
     }
 
-    /// One way, or both.
+    /// Interrupts the connection between two gateways for up to 6 s, in one direction or in both.
     fn partition_two_gateways(&mut self) {
         let (from, to) = (self.random_gateway(), self.random_gateway());
         let until_ms = self.now_ms + self.rng.below(6000);
@@ -71,7 +71,8 @@
 
     fn kill(&mut self, index: usize) {
         for HeldLease { resource, .. } in self.held_leases(index) {
-            self.checker.holder_killed(self.now_ms, resource.0 as usize);
+            self.checker
+                .record_holder_kill(self.now_ms, resource.0 as usize);
         }
         let gateway = &mut self.gateways[index];
         gateway.down_until_ms = Some(self.now_ms + 10 + self.rng.below(3000));
@@ -79,7 +80,7 @@
         gateway.issuer = None;
     }
 
-    fn kill_a_holder_that_is_no_issuer(&mut self) {
+    fn kill_non_issuer_holder(&mut self) {
         if !self.now_ms.is_multiple_of(HOLDER_KILL_INTERVAL_MS) {
             return;
         }
--- a/crates/fleet/tests/wire_bytes.rs
+++ b/crates/fleet/tests/wire_bytes.rs
@@ -1,4 +1,5 @@
-//! The bytes on the wire, as literal hex: gateways of different builds must read each other.
+//! Compares datagrams with recorded bytes, since gateways of different builds must be able to read each other's
+//! datagrams.
 
 use garnetwall_fleet::membership::{Fact, Membership, Peer};
 use garnetwall_fleet::wire::{DatagramCodec, Message};
@@ -13,7 +14,7 @@
     incarnation: 300,
 };
 
-/// Version, fleet, kind of message, and the message.
+/// Expected datagrams in hex: format version, fleet id, kind of the message, content.
 const REQUEST_HEX: &str =
     "0106efdf38dde16e9c00888e98a8c0e0808101ac02f0a204020102ffffffffffffffffff01c801010304";
 const REPLY_HEX: &str =
@@ -77,14 +78,14 @@
         .collect()
 }
 
-/// A datagram is written as these bytes, and read from them.
+/// Asserts that the message is encoded as the expected bytes, and that these are decoded as the message.
 fn assert_datagram(codec: &DatagramCodec, message: &Message, expected: &str) {
     assert_eq!(hex(&codec.encode(message).unwrap()), expected);
     assert_eq!(codec.decode(&unhex(expected)).as_ref(), Ok(message));
 }
 
 #[test]
-fn datagrams_without_a_key_have_these_bytes() {
+fn datagrams_without_a_key_match_the_recorded_bytes() {
     let codec = DatagramCodec::new("sale", None);
     assert_datagram(&codec, &request(), REQUEST_HEX);
     assert_datagram(&codec, &reply(), REPLY_HEX);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn datagrams_with_a_key_end_with_these_hashes() {
+fn datagrams_with_a_key_end_with_the_recorded_hashes() {
     let codec = DatagramCodec::new("sale", Some(b"key"));
     let keyed = |plain: &str, hash: &str| format!("{plain}{hash}");
     assert_datagram(
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_published_fact_has_these_bytes() {
+fn published_fact_matches_the_recorded_bytes() {
     let fact = Fact {
         publisher: Peer::new(address(3), 1_700_000_000_123),
         kind: 5,
@@ -125,9 +126,9 @@
     assert_eq!(postcard::from_bytes(&unhex(expected)), Ok(fact));
 }
 
-/// An announcement is the header of SWIM's messages alone: source, its incarnation, target, kind of message.
+/// An announcement consists only of the header of a SWIM message: source, its incarnation, target, kind of message.
 #[test]
-fn an_announcement_to_a_peer_has_these_bytes() {
+fn announcement_to_a_peer_matches_the_recorded_bytes() {
     let peers = [address(3), address(4)];
     let local_peer = Peer::new(peers[0], 1_700_000_000_123);
     let codec = DatagramCodec::new("sale", None);
