--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -1,28 +1,31 @@
-//! Experiments: TOML files that describe a run. Every error names the file, the place in it and what to do.
+//! Reads experiments, the TOML files that describe a run, and checks their values.
+//!
+//! Every error names the file, the key or line at fault and the remedy.
 
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What is wrong with an experiment.
+/// An experiment that could not be read, parsed or accepted.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
-    #[error("{file}: {cause}; name an experiment that can be read", file = file.display())]
+    #[error("{file}: cannot read the experiment: {cause}; name a file that can be read", file = file.display())]
     Unreadable {
         file: PathBuf,
         cause: std::io::Error,
     },
-    /// The cause shows line, column and the keys that are expected there.
-    #[error("{file}: {cause}; docs/scale.md lists the keys", file = file.display())]
+    /// The text is not TOML or does not match the experiment's structure. The cause names the line, the column and
+    /// the keys that are expected there.
+    #[error("{file}: cannot parse the experiment: {cause}; docs/scale.md lists the keys", file = file.display())]
     Malformed {
         file: PathBuf,
         cause: Box<toml::de::Error>,
     },
-    #[error("{file}: {value}", file = file.display())]
+    #[error("{file}: invalid value: {value}", file = file.display())]
     Invalid { file: PathBuf, value: InvalidValue },
 }
 
-/// A key whose value is of the right type and can't be used, and why.
+/// A value that has the right type but is out of range or inconsistent with other values.
 #[derive(Debug, Error)]
 #[error("{key}: {found} is not {expected}; {remedy}")]
 pub struct InvalidValue {
@@ -48,11 +51,11 @@
     }
 }
 
-/// Checks that a number lies in a range, both ends included.
+/// Checks that the number of a key lies between two bounds, both included.
 ///
 /// # Errors
 ///
-/// Where it does not, or is not a number.
+/// Returns an error if the number is out of range or NaN.
 pub fn check_range(
     key: &str,
     found: f64,
@@ -67,11 +70,11 @@
     Err(InvalidValue::new(key, found, expected, remedy))
 }
 
-/// Reads an experiment and checks its values.
+/// Reads an experiment and checks its values with `check`.
 ///
 /// # Errors
 ///
-/// Where the file can't be read, is no experiment of this kind, or has a value that can't be used.
+/// Returns an error if the file cannot be read, does not parse as `T`, or has a value that `check` rejects.
 pub fn read<T: DeserializeOwned>(
     file: &Path,
     check: impl FnOnce(&T) -> Result<(), InvalidValue>,
--- a/crates/scale/src/least_squares.rs
+++ b/crates/scale/src/least_squares.rs
@@ -1,16 +1,16 @@
-//! Linear least-squares fits.
+//! Fits a straight line through points by least squares.
 
-/// A straight line through points.
+/// A fitted line `y = intercept + slope * x`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LeastSquares {
     pub slope: f64,
     pub intercept: f64,
-    /// The largest distance of a point from the line, along y.
+    /// The largest absolute difference in `y` between a point and the line.
     pub largest_residual: f64,
 }
 
 impl LeastSquares {
-    /// The fit through points `(x, y)`; `None` for fewer than two different `x`.
+    /// Fits a line through points `(x, y)`; returns `None` for fewer than two distinct values of `x`.
     pub fn through(points: &[(f64, f64)]) -> Option<LeastSquares> {
         let squares = squares_of_x(points);
         if points.len() < 2 || squares <= 0.0 {
@@ -33,12 +33,12 @@
         Some(fitted)
     }
 
-    /// The line's value at `x`.
+    /// Returns the `y` of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 
-    /// The standard error of the slope, by the points that the line was fitted through.
+    /// Returns the standard error of the slope. `points` must be the points that the line was fitted through.
     pub fn slope_error(&self, points: &[(f64, f64)]) -> f64 {
         let residuals: f64 = points.iter().map(|(x, y)| (y - self.at(*x)).powi(2)).sum();
         let degrees_of_freedom = points.len().saturating_sub(2).max(1) as f64;
@@ -46,7 +46,7 @@
     }
 }
 
-/// The sum of the squared distances of all `x` from their mean.
+/// Returns the sum of the squared deviations of all `x` from their mean.
 fn squares_of_x(points: &[(f64, f64)]) -> f64 {
     let mean = mean(points.iter().map(|(x, _)| *x));
     points.iter().map(|(x, _)| (x - mean).powi(2)).sum()
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,6 @@
-//! `garnetwall-scale`: what the program costs at a size that no machine holds.
+//! `garnetwall-scale` measures and simulates garnetwall at deployment sizes that do not fit on one machine.
+//!
+//! The exit status is 0 if all judged figures passed, 1 if one failed, and 2 if the run could not be carried out.
 
 mod experiment;
 mod fleet;
@@ -16,7 +18,7 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// Scale runs of garnetwall. Experiments are TOML files; docs/scale.md describes them.
+/// Measures and simulates garnetwall at scale. Experiments are TOML files; docs/scale.md describes them.
 #[derive(Parser)]
 #[command(name = "garnetwall-scale", version)]
 struct Arguments {
@@ -26,16 +28,16 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measures what one role costs as one quantity grows, and fits a slope.
+    /// Measures the cost of one role as one quantity grows, and fits a line through the measurements.
     Slopes(RunArguments),
-    /// Measures one point of a slope, read and written as JSON. `slopes` runs it; not for use by hand.
+    /// Measures one point of a slope, reading and writing JSON. Run by `slopes`; not for use by hand.
     #[command(hide = true)]
     SlopePoint,
-    /// Runs thousands of hollow gateways in simulated time, and judges them.
+    /// Simulates thousands of hollow gateways, and judges their behaviour.
     Fleet(RunArguments),
-    /// Runs real gateways on loopback, and compares them with what hollow ones predict.
+    /// Runs real gateways on loopback, and compares them with the prediction from hollow gateways.
     Beside(real_processes::RealProcessesArguments),
-    /// Compares ways to choose subsets: spread over engines, moves on a change.
+    /// Compares strategies of subset selection by their spread over the engines and the moves after a change.
     Spread(RunArguments),
 }
 
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,13 +1,14 @@
-//! What this process has used, by its own clock and its own pages.
+//! Processor time and resident memory of this process.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::io;
 use std::time::Duration;
 
-/// The field of `/proc/self/statm` that holds the resident pages.
+/// Index of the field of `/proc/self/statm` that holds the number of resident pages.
 const RESIDENT_FIELD: usize = 1;
 
-/// Processor time of all threads of this process since its start. Other load of the machine hardly shows in it.
+/// Returns the processor time of all threads of this process since its start. Other load on the machine hardly
+/// affects it, unlike wall-clock time.
 pub fn processor_time() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
@@ -15,11 +16,11 @@
     Duration::new(seconds, nanoseconds)
 }
 
-/// Bytes of memory that are resident now.
+/// Returns the resident memory of this process in bytes.
 ///
 /// # Errors
 ///
-/// Where the system does not report it.
+/// Returns an error if `/proc/self/statm` cannot be read or parsed.
 pub fn resident_bytes() -> io::Result<u64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text
@@ -27,6 +28,6 @@
         .nth(RESIDENT_FIELD)
         .and_then(|word| word.parse::<u64>().ok());
     let pages =
-        pages.ok_or_else(|| io::Error::other("/proc/self/statm: a number of pages expected"))?;
+        pages.ok_or_else(|| io::Error::other("/proc/self/statm: no number of resident pages"))?;
     Ok(pages * rustix::param::page_size() as u64)
 }
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,4 +1,4 @@
-//! Results: flat rows as JSON lines, and the same rows beside them as CSV.
+//! Writes the results of a run as JSON lines, and the same rows as CSV to a second file.
 
 use serde::Serialize;
 use std::fs::File;
@@ -6,15 +6,15 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Results that could not be written.
+/// A results file that could not be created or written.
 #[derive(Debug, Error)]
-#[error("{file}: results: {cause}; name a file in a directory that can be written", file = file.display())]
+#[error("{file}: cannot write results: {cause}; name a file in a writable directory", file = file.display())]
 pub struct ResultsError {
     file: PathBuf,
     cause: io::Error,
 }
 
-/// Writes rows to two files, or to none where none was named.
+/// Writes rows to a JSON and a CSV file, or discards them if no file was named.
 pub struct Results {
     files: Option<Files>,
 }
@@ -26,11 +26,11 @@
 }
 
 impl Results {
-    /// Opens `path` for JSON lines, and a file of the same name that ends in `.csv`.
+    /// Creates `path` for JSON lines, and a file of the same name with the extension `.csv`.
     ///
     /// # Errors
     ///
-    /// Where one of them can't be written.
+    /// Returns an error if one of the files cannot be created.
     pub fn create(path: Option<&Path>) -> Result<Self, ResultsError> {
         let Some(path) = path else {
             return Ok(Results { files: None });
@@ -47,11 +47,11 @@
         })
     }
 
-    /// Adds a row, whose fields are plain values.
+    /// Writes a row, and flushes both files. The fields of a row must be scalars, because CSV has no nested values.
     ///
     /// # Errors
     ///
-    /// Where it can't be written.
+    /// Returns an error if the row cannot be serialized or written.
     pub fn add(&mut self, row: &impl Serialize) -> Result<(), ResultsError> {
         let Some(files) = self.files.as_mut() else {
             return Ok(());
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,19 +1,19 @@
-//! What all subcommands share: their arguments, and their verdict.
+//! Command-line arguments and the result type that the subcommands share.
 
 use std::path::PathBuf;
 
-/// The arguments of a run: its experiment, and where its results go.
+/// Arguments of a run: the experiment, the results file and the seed.
 #[derive(clap::Args)]
 pub struct RunArguments {
-    /// The experiment's file.
+    /// Experiment file (TOML).
     pub experiment: PathBuf,
-    /// Writes results here as JSON lines, and beside it as CSV and SVG.
+    /// Results file, written as JSON lines; `slopes` and `spread` also write CSV and SVG files beside it.
     #[arg(long)]
     pub results: Option<PathBuf>,
-    /// Overrides the experiment's seed.
+    /// Seed that overrides the one of the experiment.
     #[arg(long)]
     pub seed: Option<u64>,
 }
 
-/// Whether everything that was judged passed.
+/// The result of a run: whether all judged figures passed, or the error that ended it.
 pub type Verdict = Result<bool, Box<dyn std::error::Error>>;
--- a/crates/scale/src/statistics.rs
+++ b/crates/scale/src/statistics.rs
@@ -1,13 +1,14 @@
-//! Quantiles of values that are sorted in ascending order.
+//! Quantiles of values in ascending order.
 
-/// The smallest value that so large a share of the values does not exceed (nearest rank); 0 if there are none.
+/// Returns the nearest-rank quantile: the smallest value such that at least `share` (0 to 1) of all values are less
+/// than or equal to it; 0 if there are no values.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     let rank = (share * sorted.len() as f64).ceil() as usize;
     let index = rank.saturating_sub(1).min(sorted.len().saturating_sub(1));
     sorted.get(index).copied().unwrap_or(0.0)
 }
 
-/// The middle value, or the mean of the two middle ones; 0 if there are none.
+/// Returns the median, which is the mean of the two middle values if their number is even; 0 if there are no values.
 pub fn median(sorted: &[f64]) -> f64 {
     let middle = sorted.len() / 2;
     match sorted.len() {
--- a/crates/scale/src/statistics/tests.rs
+++ b/crates/scale/src/statistics/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_median_of_an_even_number_of_values_lies_between_the_middle_ones() {
+fn the_median_of_an_even_number_of_values_is_the_mean_of_the_middle_two() {
     assert_eq!(median(&[1.0, 2.0, 9.0]), 2.0);
     assert_eq!(median(&[1.0, 4.0]), 2.5);
     assert_eq!(median(&[]), 0.0);
