--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -1,4 +1,4 @@
-//! A hollow engine: attempts share its cores; a cold one is slow, and crashes when it is overloaded.
+//! Simulates an engine: its attempts share its cores, and a cold engine is slower and crashes when overloaded.
 
 use super::cold_engine::{self, ColdWindow, ColdWork};
 use super::experiment::Cold;
@@ -6,60 +6,63 @@
 use super::time::SimTime;
 use std::collections::BTreeSet;
 
-/// While it warms up its speed is computed again at this interval.
+/// Interval at which the speed of an engine is recomputed while it warms up.
 const WARMUP_STEP_SECONDS: f64 = 0.25;
-/// Progress is compared in units of a nanosecond on one core.
+/// Progress is compared in whole units of a nanosecond on one core.
 const PROGRESS_UNITS_PER_CORE_SECOND: f64 = 1e9;
-/// Attempts that lack less than this many units are done; a tenth of a microsecond's rounding.
+/// An attempt that lacks at most this many units of progress (2 µs on one core) is done. The tolerance covers rounding
+/// errors of about a tenth of a microsecond.
 const COMPLETION_TOLERANCE_UNITS: u64 = 2_000;
 
 /// Whether an engine's process runs and answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
     Up,
-    /// It takes attempts and answers none.
+    /// The engine accepts attempts but makes no progress and does not answer.
     Silent,
     Down,
-    /// It has been replaced and is not started again.
+    /// The engine was replaced and will not start again.
     Retired,
 }
 
-/// An engine's place and hardware.
+/// The location and hardware of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
     pub zone: usize,
+    /// Number of the rack, counted over all zones.
     pub rack: usize,
     pub kind: usize,
     pub cores: f64,
 }
 
-/// Whether an engine that received an attempt still runs.
+/// Whether an engine is still running after it received an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
     Runs,
-    /// The attempt overloaded it: its process ends, with all attempts.
+    /// The attempt overloaded the cold engine; the caller has to end its process and all its attempts.
     Crashed,
 }
 
-/// An attempt that runs; those that are done first come first.
+/// A running attempt, ordered by when it is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RunningAttempt {
-    /// The progress at which it is done, in [`PROGRESS_UNITS_PER_CORE_SECOND`].
+    /// The engine's progress at which the attempt is done, in units of 1 / [`PROGRESS_UNITS_PER_CORE_SECOND`] seconds.
     done_at: u64,
     key: AttemptKey,
 }
 
-/// A hollow engine.
+/// A simulated engine.
 pub struct Engine {
     pub site: Site,
     pub state: EngineState,
-    /// When its process started; `None` for one that was warm when the simulation began.
+    /// When the process started; `None` for an engine that was warm when the simulation began.
     pub started: Option<SimTime>,
     running: BTreeSet<RunningAttempt>,
-    /// Seconds on one core that each attempt present all the time would have had.
+    /// Core seconds that an attempt running since the creation of the engine would have received.
     progress: f64,
+    /// When `progress` was last updated.
     updated: SimTime,
-    /// When the next event of this engine is due.
+    /// When the engine's next scheduled event is due.
     pub due: Option<SimTime>,
     window: ColdWindow,
 }
@@ -78,27 +81,31 @@
         }
     }
 
+    /// Returns whether connections to the engine succeed.
     pub fn reachable(&self) -> bool {
         matches!(self.state, EngineState::Up | EngineState::Silent)
     }
 
+    /// Returns the seconds since the start of a cold engine; `None` if the engine is warm.
     fn cold_age(&self, cold: &Cold, now: SimTime) -> Option<f64> {
         self.started
             .map(|started| now.since(started))
             .filter(|age| *age < cold.warm_after)
     }
 
+    /// Returns the number of cores that the engine can use now, which is reduced while it is cold.
     pub fn effective_cores(&self, cold: &Cold, now: SimTime) -> f64 {
         let age = self.cold_age(cold, now).unwrap_or(cold.warm_after);
         cold_engine::effective_cores(cold, self.site.cores, age)
     }
 
-    /// Share of its usable cores that attempts keep busy.
+    /// Returns the share (0 to 1) of the usable cores that are busy. Each attempt uses at most one core.
     pub fn utilisation(&self, cold: &Cold, now: SimTime) -> f64 {
         (self.running.len() as f64 / self.effective_cores(cold, now)).min(1.0)
     }
 
-    /// Seconds on one core that each attempt gets in a second.
+    /// Returns the core seconds that each attempt receives per second, at most 1; 0 unless the engine is up and has
+    /// attempts.
     fn speed(&self, cold: &Cold, now: SimTime) -> f64 {
         if self.state != EngineState::Up || self.running.is_empty() {
             return 0.0;
@@ -106,13 +113,14 @@
         (self.effective_cores(cold, now) / self.running.len() as f64).min(1.0)
     }
 
-    /// Brings the progress up to now.
+    /// Updates the progress to the time `now`.
     fn advance(&mut self, cold: &Cold, now: SimTime) {
         self.progress += now.since(self.updated) * self.speed(cold, self.updated);
         self.updated = now;
     }
 
-    /// Takes an attempt; returns the progress at which it is done, by which it can be withdrawn.
+    /// Starts an attempt of `work` core seconds. Returns the progress at which the attempt is done, which
+    /// [`Engine::withdraw`] needs, and whether the engine survives.
     pub fn receive(
         &mut self,
         cold: &Cold,
@@ -146,13 +154,13 @@
         (done_at, received)
     }
 
-    /// Takes an attempt back; whether it still ran.
+    /// Removes an attempt; returns whether it was still running.
     pub fn withdraw(&mut self, cold: &Cold, now: SimTime, done_at: u64, key: AttemptKey) -> bool {
         self.advance(cold, now);
         self.running.remove(&RunningAttempt { done_at, key })
     }
 
-    /// The attempts that are done by now.
+    /// Removes and returns the attempts that are done.
     pub fn finished(&mut self, cold: &Cold, now: SimTime) -> Vec<AttemptKey> {
         self.advance(cold, now);
         let done =
@@ -168,7 +176,8 @@
         finished
     }
 
-    /// When its next event is due: the end of an attempt, or sooner while it warms up.
+    /// Returns when the next event is due: when the next attempt is done, but while the engine is cold at most
+    /// [`WARMUP_STEP_SECONDS`] from now. Returns `None` if no attempt makes progress.
     pub fn next_due(&self, cold: &Cold, now: SimTime) -> Option<SimTime> {
         let speed = self.speed(cold, now);
         let first = self.running.first().filter(|_| speed > 0.0)?;
@@ -182,7 +191,7 @@
         Some(now.after(left.min(limit)))
     }
 
-    /// Ends the process, with all that ran on it.
+    /// Ends the process, sets `state`, and returns the attempts that were running.
     pub fn stop(&mut self, cold: &Cold, now: SimTime, state: EngineState) -> Vec<AttemptKey> {
         self.advance(cold, now);
         self.state = state;
@@ -192,7 +201,7 @@
             .collect()
     }
 
-    /// Starts a new process, which is cold.
+    /// Starts a new, cold process.
     pub fn start(&mut self, now: SimTime) {
         self.state = EngineState::Up;
         self.started = Some(now);
@@ -200,7 +209,7 @@
         self.window.clear();
     }
 
-    /// Stops or resumes answering; attempts make no progress while it is silent.
+    /// Makes a running engine silent, or a silent one answer again. Attempts make no progress while it is silent.
     pub fn silence(&mut self, cold: &Cold, now: SimTime, silent: bool) {
         self.advance(cold, now);
         self.state = match (self.state, silent) {
--- a/crates/scale/src/fleet/engine/tests.rs
+++ b/crates/scale/src/fleet/engine/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn attempts_share_the_cores() {
+fn attempts_share_the_cores_equally() {
     let mut engine = Engine::new(SITE, None);
     for query in 0..4 {
         receive(&mut engine, 0.0, query, 1.0);
@@ -57,8 +57,9 @@
 }
 
 #[test]
-fn a_cold_engine_falls_when_its_window_is_over_budget_and_chance() {
-    // The budget is 3 x 2 s x half of two cores = 6 queries, and 2 roots and 2 queries on top.
+fn a_cold_engine_crashes_when_a_window_exceeds_budget_and_tolerance() {
+    // The budget is 3 x 2 s x half of two cores = 6 queries. The tolerance adds two standard deviations (the square
+    // root of the budget each) and 2 queries.
     let most = 6.0 + 2.0 * 6.0_f64.sqrt() + 2.0;
     let mut engine = Engine::new(SITE, Some(at(0.0)));
     let mut sent = 0;
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_silent_engine_takes_attempts_and_finishes_none() {
+fn a_silent_engine_accepts_attempts_and_finishes_none() {
     let mut engine = Engine::new(SITE, None);
     engine.silence(&COLD, at(0.0), true);
     receive(&mut engine, 0.0, 0, 1.0);
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_stopped_engine_breaks_all_and_starts_cold() {
+fn a_stopped_engine_ends_all_attempts_and_starts_cold() {
     let mut engine = Engine::new(SITE, None);
     receive(&mut engine, 0.0, 0, 9.0);
     assert_eq!(engine.stop(&COLD, at(1.0), EngineState::Down), vec![key(0)]);
--- a/crates/scale/src/fleet/gateway/attempts.rs
+++ b/crates/scale/src/fleet/gateway/attempts.rs
@@ -1,4 +1,5 @@
-//! The lifecycle of an attempt: placed, sent, and ended by its engine, the network, a timeout or the module.
+//! The lifecycle of attempts: placement, sending, and the end by the engine, the network, a timeout or the decision
+//! module.
 
 use super::process::OpenAttempt;
 use super::Gateway;
@@ -11,7 +12,7 @@
 use garnetwall::api::{AttemptEnd, AttemptOutcome, FollowUp, Placement, QueryId};
 
 impl Gateway {
-    /// An engine or the network ended an attempt.
+    /// Handles the end of an attempt that its engine or the network reports; ignores attempts of an earlier process.
     pub fn attempt_ended(
         &mut self,
         now: SimTime,
@@ -30,7 +31,7 @@
         self.run_decisions(now, environment);
     }
 
-    /// Ends the attempts whose response timeout has passed.
+    /// Ends all attempts whose response timeout has passed.
     pub(super) fn expire_attempts(&mut self, now: SimTime, environment: &mut Environment) {
         while let Some(process) = &mut self.process {
             let Some((deadline, id)) = process.deadlines.first().copied() else {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Has the module choose an engine, or answer without one.
+    /// Asks the decision module to place a query, and sends the attempt or gives the final answer accordingly.
     pub(super) fn place(&mut self, now: SimTime, id: QueryId, environment: &mut Environment) {
         let Some(process) = &mut self.process else {
             return;
@@ -79,7 +80,7 @@
                 gateway = self.number,
                 query = id,
                 slot,
-                "no such member or query"
+                "the decision module placed a query that is not open, or on an unused slot"
             );
             return;
         };
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Records an attempt as in flight; returns its engine and its number within the query.
+    /// Records a new attempt as in flight; returns its engine and its number within the query, or `None` if the slot is
+    /// unused or the query is not open.
     fn open_attempt(
         &mut self,
         now: SimTime,
@@ -132,7 +134,7 @@
         Some((open.engine, open.number))
     }
 
-    /// Ends an attempt, whoever ended it, and does what the module says next.
+    /// Closes an attempt, reports its end to the decision module, and gives the query's final answer if there is one.
     pub(super) fn end_attempt(
         &mut self,
         now: SimTime,
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Removes an attempt that is in flight, and withdraws it from its engine if that was reached.
+    /// Removes an attempt from the attempts in flight, and withdraws it from its engine if the engine was reached.
+    /// Returns `None` if the attempt is not in flight.
     fn close_attempt(
         &mut self,
         now: SimTime,
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -1,4 +1,4 @@
-//! From the change log to the engines that the module may use: reads entries, and carries out the subset's actions.
+//! Reads change log entries, carries out the subset's actions, and updates the decision module's endpoints.
 
 use super::fault_injection::join_skipped;
 use super::process::{OpenAttempt, Process};
@@ -11,11 +11,11 @@
 use garnetwall_subset::{Action, Change, EngineKey};
 use std::rc::Rc;
 
-/// Rounds of warming and joining at one moment.
+/// Maximum number of times that the subset is polled at one moment; a completed connection can cause further actions.
 const MAX_MEMBERSHIP_ROUNDS: usize = 64;
 
 impl Gateway {
-    /// Reads the change log up to an entry.
+    /// Reads the change log up to the entry `sequence`, and puts the changes in force.
     pub fn deliver(&mut self, now: SimTime, sequence: usize, environment: &mut Environment) {
         if self.has_fault(InjectedFault::Deaf, environment) {
             return;
@@ -65,7 +65,7 @@
         self.apply_membership(now, environment);
     }
 
-    /// Carries out the subset's actions until there are none.
+    /// Polls the subset and carries out its actions until none are due.
     pub(super) fn apply_membership(&mut self, now: SimTime, environment: &mut Environment) {
         let Some(process) = &mut self.process else {
             return;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Updates the module on members whose process was started again.
+    /// Passes the new start times of restarted members to the decision module.
     fn update_restarted(&mut self, restarted: &[EngineKey]) {
         let Some(process) = &mut self.process else {
             return;
@@ -106,7 +106,8 @@
         }
     }
 
-    /// The endpoint by which the module knows a member.
+    /// Builds and stores the endpoint that describes a member to the decision module. Returns `None` if the engine is
+    /// not listed or has not joined.
     fn endpoint_of(&mut self, key: EngineKey) -> Option<Endpoint> {
         let facts = self.list.catalog.facts(key)?;
         let (slot, member) = self.slots.joined(key)?;
@@ -123,7 +124,8 @@
         Some(endpoint)
     }
 
-    /// Carries out one action of the subset; returns the endpoint to update the module with.
+    /// Carries out one action of the subset. Returns the endpoint that the decision module has to be updated with, if
+    /// any.
     fn apply(
         &mut self,
         now: SimTime,
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Connects to an engine before it is joined.
+    /// Connects to an engine that has not joined yet, and reports the outcome to the subset.
     fn warm(&mut self, now: SimTime, key: EngineKey, gateway: u32, environment: &mut Environment) {
         let Some(engine) = self.list.engine(key) else {
             return;
@@ -182,7 +184,7 @@
         self.endpoint_of(key)
     }
 
-    /// Removes a member, or drains it while attempts at it are in flight.
+    /// Removes a member, or marks it as draining while attempts at it are in flight.
     fn leave(
         &mut self,
         key: EngineKey,
@@ -190,7 +192,10 @@
         environment: &mut Environment,
     ) -> Option<Endpoint> {
         if environment.injects(InjectedFault::SendToDraining) {
-            tracing::debug!(engine = key.0, "an injected fault keeps the engine");
+            tracing::debug!(
+                engine = key.0,
+                "an injected fault keeps an engine that left the subset"
+            );
             return None;
         }
         let left = self.slots.leave(key)?;
@@ -204,7 +209,8 @@
         })
     }
 
-    /// Reports an attempt's end to the subset, and removes a member that left once nothing at it is in flight.
+    /// Reports the end of an attempt to the subset, and removes the member if it has left and this was its last attempt
+    /// in flight.
     pub(super) fn release(
         &mut self,
         now: SimTime,
@@ -231,7 +237,8 @@
     }
 }
 
-/// The endpoint of an unused slot. Without a start time the module forgets what it knew of the slot's last engine.
+/// Returns the endpoint that marks a slot as unused. It has no start time, so that the decision module discards its
+/// state for the slot's previous engine.
 fn removed_endpoint(slot: usize) -> Endpoint {
     Endpoint {
         engine: slot,
--- a/crates/scale/src/fleet/gateway/fault_injection.rs
+++ b/crates/scale/src/fleet/gateway/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults that an experiment injects into a gateway, so that the judge has something to find.
+//! Faults that an experiment injects into a gateway, to test that the judge detects them.
 
 use super::process::OpenQuery;
 use super::Gateway;
@@ -8,20 +8,20 @@
 use crate::fleet::judge::{QueryName, SeenAttempt};
 use crate::fleet::time::SimTime;
 
-/// One in so many gateways is faulty, where a fault affects some of them.
+/// A fault that affects only some gateways affects those whose number is a multiple of this.
 pub(super) const FAULTY_GATEWAY_INTERVAL: u32 = 10;
-/// One in so many queries is affected, where a fault affects some of them.
+/// A fault that affects only some queries affects those whose number is a multiple of this.
 pub(super) const FAULTY_QUERY_INTERVAL: u32 = 100;
-/// Time past the deadline at which a late answer is given.
+/// Time from a query's deadline to an answer that a fault delays.
 pub(super) const FAULTY_LATENESS_SECONDS: f64 = 1.0;
 
 impl Gateway {
-    /// Whether this gateway is one of those that the experiment's fault affects.
+    /// Returns whether the experiment injects `fault` and this gateway is one of the affected ones.
     pub(super) fn has_fault(&self, fault: InjectedFault, environment: &Environment) -> bool {
         environment.injects(fault) && self.number.is_multiple_of(FAULTY_GATEWAY_INTERVAL)
     }
 
-    /// Sends one more attempt after the final answer, which nobody waits for.
+    /// Sends an attempt of a query that already has its final answer. The gateway does not track this attempt.
     pub(super) fn send_after_answer(
         &mut self,
         now: SimTime,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether an injected fault keeps the gateway from joining this engine.
+/// Returns whether an injected fault prevents gateways from connecting to and joining this engine.
 pub(super) fn join_skipped(now: SimTime, engine: usize, environment: &Environment) -> bool {
     let settled = now.seconds() >= environment.experiment.settle;
     let half_joined = environment.injects(InjectedFault::HalfJoined) && engine % 2 == 1;
--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! A hollow gateway: the real decision module and the real subset, with neither sockets nor bodies.
+//! Implements the hollow gateway: the real decision module and the real subset selection, without sockets and bodies.
 
 mod attempts;
 mod endpoints;
@@ -17,17 +17,17 @@
 use garnetwall_subset::SubsetError;
 use process::Process;
 
-/// Decisions at one moment after which a gateway counts as caught in an endless loop.
+/// Maximum number of decisions at one moment. A gateway that reaches it is taken to be in an endless loop.
 const MAX_DECISIONS_PER_MOMENT: usize = 1_000_000;
 
-/// One gateway; its process may end and be started again.
+/// A hollow gateway, whose process can end and start again during a run.
 pub struct Gateway {
     pub number: u32,
     pub zone: usize,
-    /// Counts its processes, so that events of an earlier one are ignored.
+    /// Number of processes started so far. Events carry it, so that those of an earlier process are ignored.
     pub incarnation: u32,
     pub running: bool,
-    /// Whether the change log does not reach it.
+    /// Whether the gateway is cut off from the change log.
     pub disconnected_from_log: bool,
     pub clients: Clients,
     next_query: QueryId,
@@ -51,7 +51,8 @@
     /// Starts a process, which reads the change log up to its latest entry.
     ///
     /// # Errors
-    /// The experiment's subset settings cannot be used.
+    ///
+    /// Returns an error if the experiment's subset settings cannot be used.
     pub fn start(
         &mut self,
         now: SimTime,
@@ -76,7 +77,7 @@
         Ok(())
     }
 
-    /// Ends the process and withdraws its open attempts.
+    /// Ends the process, and withdraws its attempts in flight from their engines.
     pub fn end(&mut self, now: SimTime, environment: &mut Environment) {
         let Some(process) = self.process.take() else {
             return;
@@ -92,7 +93,7 @@
         environment.judge.gateway_ended(now, self.number);
     }
 
-    /// Whether the wake-up at this time is still wanted.
+    /// Consumes the wake-up scheduled for `now`; returns `false` if it was superseded by an earlier one.
     pub fn wakes(&mut self, now: SimTime) -> bool {
         let Some(process) = &mut self.process else {
             return false;
@@ -104,7 +105,8 @@
         true
     }
 
-    /// Carries out the module's decisions until it has nothing more to do now.
+    /// Ends attempts that timed out, applies due membership changes, and carries out the decision module's actions
+    /// until it waits; then schedules the next wake-up.
     pub fn run_decisions(&mut self, now: SimTime, environment: &mut Environment) {
         self.expire_attempts(now, environment);
         if self.membership_due(now) {
@@ -129,7 +131,7 @@
         }
         tracing::error!(
             gateway = self.number,
-            "the module asked for {MAX_DECISIONS_PER_MOMENT} decisions at once"
+            "the decision module requested {MAX_DECISIONS_PER_MOMENT} actions at one moment; stopped handling them"
         );
     }
 
@@ -141,7 +143,8 @@
         wake.is_some_and(|at| SimTime::from_seconds(at) <= now)
     }
 
-    /// Schedules a wake-up for whatever is due first: the module, a deadline or the subset.
+    /// Schedules a wake-up for the earliest of: the module's wait of `seconds`, the first response timeout, and the
+    /// subset's next action.
     fn schedule_wake(&mut self, now: SimTime, seconds: f64, environment: &mut Environment) {
         let Some(process) = &mut self.process else {
             return;
--- a/crates/scale/src/fleet/gateway/process.rs
+++ b/crates/scale/src/fleet/gateway/process.rs
@@ -1,4 +1,4 @@
-//! What a gateway's process holds in memory, and loses when it ends.
+//! The in-memory state of a gateway's process, which is lost when the process ends.
 
 use crate::fleet::change_log::ListState;
 use crate::fleet::clients::Query;
@@ -20,8 +20,9 @@
     pub slot: usize,
     pub engine: usize,
     pub started_at: SimTime,
+    /// When the response timeout expires.
     pub deadline: SimTime,
-    /// The progress at which the engine finishes it; `None` if the engine was not reached.
+    /// The engine's progress at which the attempt is done; `None` if the engine was not reached.
     pub done_at: Option<u64>,
 }
 
@@ -29,21 +30,25 @@
 pub(super) struct OpenQuery {
     pub query: Query,
     pub deadline: SimTime,
+    /// Number of attempts sent so far.
     pub attempts: u32,
+    /// The attempt in flight, if any.
     pub open: Option<OpenAttempt>,
 }
 
-/// One process of a gateway.
+/// A running process of a gateway.
 pub(super) struct Process {
     pub controller: AdmissionController,
     pub membership: Membership,
-    /// The endpoint list after the last entry of the change log that was read.
+    /// The endpoint list as of the log entry `read`.
     pub list: Rc<ListState>,
-    /// The number of that entry.
+    /// Number of the last change log entry that was read.
     pub read: usize,
     pub slots: Slots,
     pub queries: BTreeMap<QueryId, OpenQuery>,
+    /// Response timeouts of the attempts in flight, earliest first.
     pub deadlines: BTreeSet<(SimTime, QueryId)>,
+    /// When the next wake-up is scheduled.
     pub wake_at: Option<SimTime>,
 }
 
@@ -69,12 +74,12 @@
         })
     }
 
-    /// The number of the query's attempt in flight.
+    /// Returns the number of the query's attempt in flight, if there is one.
     pub fn open_attempt(&self, id: QueryId) -> Option<u32> {
         self.queries.get(&id)?.open.map(|open| open.number)
     }
 
-    /// Passes on the load that the engine reports with its answer.
+    /// Reports the engine's current utilisation to the decision module, as engines do with each answer.
     pub fn report_load(&mut self, now: SimTime, open: &OpenAttempt, environment: &Environment) {
         let engine = &environment.engines[open.engine];
         let report = LoadReport {
--- a/crates/scale/src/fleet/gateway/queries.rs
+++ b/crates/scale/src/fleet/gateway/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of a gateway's clients, from their arrival to the final answer.
+//! Handles the queries of a gateway's clients, from their arrival to the final answer.
 
 use super::fault_injection::{FAULTY_LATENESS_SECONDS, FAULTY_QUERY_INTERVAL};
 use super::process::OpenQuery;
@@ -21,7 +21,7 @@
             .push(self.clients.next_arrival(now), arrival);
     }
 
-    /// A client's query arrives.
+    /// Handles the arrival of a query, and schedules the arrival of the next one.
     pub fn arrival(&mut self, now: SimTime, environment: &mut Environment) {
         self.schedule_arrival(now, environment);
         let query = self.clients.query(&environment.demand);
@@ -71,7 +71,7 @@
         self.finish(now, id, answer, environment);
     }
 
-    /// Gives the client its final answer.
+    /// Gives the final answer to a query that is still open, with the effects of injected faults.
     pub(super) fn finish(
         &mut self,
         now: SimTime,
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! The engines that a gateway works with: its subset, or the whole list.
+//! Selects the engines that a gateway uses: its subset, or the whole endpoint list if subsets are off.
 
 use super::experiment::Experiment;
 use garnetwall_subset::{
@@ -7,13 +7,20 @@
 };
 use std::collections::BTreeSet;
 
-/// The engines that a gateway may use.
+/// The selection of a gateway's engines.
 pub enum Membership {
+    /// The real subset selection.
     Subset(Box<Subset>),
+    /// All ready engines, for experiments without subset settings.
     Whole(WholeList),
 }
 
 impl Membership {
+    /// Creates the selection for a gateway in a zone.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the experiment's subset settings cannot be used.
     pub fn new(
         experiment: &Experiment,
         gateway: usize,
@@ -41,6 +48,7 @@
         Ok(Membership::Subset(Box::new(subset)))
     }
 
+    /// Applies changes that the catalog already contains.
     pub fn changed(&mut self, now: f64, catalog: &Catalog, changes: &[Change]) {
         match self {
             Membership::Subset(subset) => subset.changed(now, catalog, changes),
@@ -48,6 +56,7 @@
         }
     }
 
+    /// Reports whether the connection requested by [`Action::Connect`] was made.
     pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
         if let Membership::Subset(subset) = self {
             let outcome = if reached {
@@ -59,6 +68,7 @@
         }
     }
 
+    /// Reports whether an attempt at an engine failed.
     pub fn attempted(&mut self, now: f64, engine: EngineKey, failed: bool) {
         if let Membership::Subset(subset) = self {
             let outcome = if failed {
@@ -70,6 +80,7 @@
         }
     }
 
+    /// Returns the actions that are due.
     pub fn poll(&mut self, now: f64, catalog: &Catalog) -> Vec<Action> {
         match self {
             Membership::Subset(subset) => subset.poll(now, catalog),
@@ -77,6 +88,7 @@
         }
     }
 
+    /// Returns the time in seconds of the next poll, if nothing changes before.
     pub fn wake(&self) -> Option<f64> {
         match self {
             Membership::Subset(subset) => subset.wake(),
@@ -85,6 +97,7 @@
     }
 }
 
+/// Returns the distinct placement constraints of the experiment's query classes.
 fn placement_classes(experiment: &Experiment) -> Vec<PlacementClass> {
     let class = |class: &super::experiment::QueryClass| PlacementClass {
         zones: class.zones.clone(),
@@ -94,11 +107,13 @@
     distinct.into_iter().collect()
 }
 
-/// Every engine that is ready, as without subsets.
+/// Selects every ready engine of the endpoint list.
 #[derive(Default)]
 pub struct WholeList {
+    /// Number of gateways, all of which hold each engine.
     gateways: f64,
     members: BTreeSet<EngineKey>,
+    /// Actions for the next poll.
     due: Vec<Action>,
 }
 
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -1,5 +1,6 @@
-//! The dense indices under which a decision module knows the members of its subset. An index is used again only
-//! when nothing of its last engine is open.
+//! Assigns the dense engine indices (slots) that a decision module uses for the members of its subset.
+//!
+//! A slot is reused only when no attempt at its previous engine is in flight.
 
 use garnetwall::api::{Endpoint, EngineId};
 use garnetwall_subset::EngineKey;
@@ -8,17 +9,19 @@
 /// An engine that has a slot.
 pub struct Member {
     pub key: EngineKey,
+    /// The engine's number in the simulation.
     pub engine: usize,
+    /// Approximate number of gateways that hold the engine.
     pub holders: f64,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub open: u32,
-    /// Whether it takes new ones.
+    /// Whether the engine takes new attempts; `false` while a member that left finishes its attempts in flight.
     pub joined: bool,
-    /// The endpoint by which the module knows it.
+    /// The endpoint that was last passed to the decision module; `None` until the first update.
     pub endpoint: Option<Endpoint>,
 }
 
-/// The members by slot and by key.
+/// Members indexed by slot and by key.
 #[derive(Default)]
 pub struct Slots {
     members: Vec<Option<Member>>,
@@ -26,18 +29,19 @@
     free: Vec<EngineId>,
 }
 
-/// A member that takes nothing new any more.
+/// The outcome of [`Slots::leave`].
 pub struct Left {
     pub slot: EngineId,
     pub engine: usize,
-    /// Nothing at it is in flight: its index may be used again.
+    /// Whether no attempt was in flight, so that the slot is free again.
     pub freed: bool,
     pub endpoint: Option<Endpoint>,
 }
 
-/// A member of which an attempt is over.
+/// The outcome of [`Slots::attempt_ended`].
 pub struct Settled {
     pub key: EngineKey,
+    /// Whether this was the last attempt in flight at a member that left, so that the slot is free again.
     pub freed: bool,
 }
 
@@ -50,7 +54,7 @@
         self.members.get_mut(slot)?.as_mut()
     }
 
-    /// A member that takes new attempts, with its index.
+    /// Returns the slot and the member of an engine that takes new attempts.
     pub fn joined(&mut self, key: EngineKey) -> Option<(EngineId, &mut Member)> {
         let slot = *self.by_key.get(&key)?;
         let member = self
@@ -61,6 +65,7 @@
         Some((slot, member))
     }
 
+    /// Returns the engine in the lowest used slot.
     pub fn first_engine(&self) -> Option<usize> {
         self.members
             .iter()
@@ -69,6 +74,7 @@
             .map(|member| member.engine)
     }
 
+    /// Adds an engine in a free or new slot. An engine that left but still has attempts in flight keeps its slot.
     pub fn join(&mut self, key: EngineKey, engine: usize, holders: f64) {
         if let Some(member) = self
             .by_key
@@ -94,12 +100,15 @@
         self.by_key.insert(key, slot);
     }
 
+    /// Sets the number of holders of an engine that takes new attempts.
     pub fn update(&mut self, key: EngineKey, holders: f64) {
         if let Some((_, member)) = self.joined(key) {
             member.holders = holders;
         }
     }
 
+    /// Stops new attempts at an engine, and frees its slot if no attempt is in flight. Returns `None` if the engine has
+    /// not joined.
     pub fn leave(&mut self, key: EngineKey) -> Option<Left> {
         let (slot, member) = self.joined(key)?;
         member.joined = false;
@@ -115,7 +124,8 @@
         })
     }
 
-    /// One attempt of this index is over.
+    /// Counts an attempt at a slot as ended, and frees the slot if its member has left and this was the last attempt.
+    /// Returns `None` if the slot is unused.
     pub fn attempt_ended(&mut self, slot: EngineId) -> Option<Settled> {
         let member = self.get_mut(slot)?;
         member.open -= 1;
