--- a/crates/scale/src/fleet/judge/attempt.rs
+++ b/crates/scale/src/fleet/judge/attempt.rs
@@ -1,6 +1,6 @@
-//! Queries and attempts as clients and engines see them.
+//! Queries and attempts as clients and engines observe them.
 
-/// Names a query: gateways never use a number again, also not after a restart.
+/// Identifies a query. A gateway never reuses a query number, not even after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct QueryName {
     pub gateway: u32,
@@ -12,7 +12,9 @@
 pub struct SeenAttempt {
     pub name: QueryName,
     pub class: usize,
+    /// Ordering key of the query.
     pub key: Option<u64>,
     pub engine: usize,
+    /// Work in core seconds.
     pub work: f64,
 }
--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -1,4 +1,4 @@
-//! How long after its publication each gateway knows of an entry of the change log, and has it in force.
+//! Judges how long gateways take to read a change log entry after its publication, and to put it in force.
 
 use super::finding::Finding;
 use crate::fleet::experiment::Experiment;
@@ -6,34 +6,42 @@
 use hdrhistogram::Histogram;
 use std::rc::Rc;
 
+/// Upper bound of the histograms, one hour.
 const MAX_RECORDED_MICROS: u64 = 3_600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROS_PER_SECOND: f64 = 1e6;
 
+/// A gateway's progress in reading the change log.
 #[derive(Clone, Default)]
 struct Reader {
-    /// When its process started; `None` while it is down.
+    /// When the gateway's process started; `None` while it is down.
     up_since: Option<SimTime>,
-    /// Entries up to these are known, and in force.
+    /// Number of the last entry that the gateway has read.
     known: usize,
+    /// Number of the last entry that the gateway has put in force.
     in_force: usize,
+    /// Whether the gateway is cut off from the change log.
     disconnected: bool,
+    /// When the gateway was last connected to the change log again.
     reconnected_at: Option<SimTime>,
 }
 
-/// Measures the delivery of change log entries.
+/// Measures the time from the publication of each change log entry until each gateway has read and applied it.
 pub struct Changes {
     experiment: Rc<Experiment>,
-    /// Of each entry; entry 0 is the list at the start.
+    /// Publication time of each entry; entry 0 is the initial endpoint list.
     published: Vec<SimTime>,
     readers: Vec<Reader>,
+    /// Microseconds from publication until read, except for entries in `after_reconnect`.
     known: Histogram<u64>,
+    /// Microseconds from publication until in force.
     in_force: Histogram<u64>,
+    /// Microseconds from a gateway's reconnection until it has read an entry published before the reconnection.
     after_reconnect: Histogram<u64>,
     missing: Missing,
 }
 
-/// Deliveries that were overdue when their gateway ended, or at the end of the run.
+/// Deliveries that were overdue when their gateway's process or the run ended.
 #[derive(Clone, Copy, Default)]
 struct Missing {
     unknown: u64,
@@ -117,7 +125,8 @@
         reader.in_force = reader.in_force.max(sequence);
     }
 
-    /// Counts what a gateway lacks for longer than the limits, with the time that it has lacked it.
+    /// Counts the entries that a gateway has lacked for longer than the limits, and records the time since their
+    /// publication, or since the gateway's reconnection if that is later. Skips gateways that are down or cut off.
     fn count_missing(&mut self, now: SimTime, gateway: usize) {
         let reader = &self.readers[gateway];
         if reader.up_since.is_none() || reader.disconnected {
@@ -170,6 +179,7 @@
     }
 }
 
+/// Returns the publication times of the entries after `from`, up to and including `to`.
 fn entries(published: &[SimTime], from: usize, to: usize) -> impl Iterator<Item = SimTime> + '_ {
     published.iter().take(to + 1).skip(from + 1).copied()
 }
@@ -183,6 +193,7 @@
     histogram.saturating_record((seconds * MICROS_PER_SECOND) as u64);
 }
 
+/// Creates a finding that passes if the 99th percentile is at most `most` seconds and no delivery is missing.
 fn time_finding(name: &'static str, times: &Histogram<u64>, missing: u64, most: f64) -> Finding {
     let at = |share: f64| times.value_at_quantile(share) as f64 / MICROS_PER_SECOND;
     let (median, p99, max) = (at(0.5), at(0.99), at(1.0));
--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -1,4 +1,4 @@
-//! Rule 4: what all gateways together send a cold engine keeps to its budget, and does not starve it.
+//! Judges rule 4: the gateways together keep to the slow-start budget of a cold engine, and use enough of it.
 
 use super::attempt::SeenAttempt;
 use super::endpoint_history::KnownEndpoint;
@@ -12,42 +12,52 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A window over the budget counts against the gateways if more than this share came from notified gateways.
+/// A window over its limit breaks the rule if more than this share of its work came from gateways that had been
+/// notified of the engine's start.
 const NOTIFIED_SHARE_LIMIT: f64 = 2.0 / 3.0;
-/// The log has to announce a start within this time.
+/// Time within which the change log has to announce the start of an engine.
 const START_ANNOUNCEMENT_LIMIT_SECONDS: f64 = 2.0;
 
+/// An engine that is still cold.
 struct Start {
     at: SimTime,
     window: ColdWindow,
-    /// Work in core seconds from notified gateways, and from all.
+    /// Work in core seconds received from notified gateways since the start.
     notified_work: f64,
+    /// Work in core seconds received from all gateways since the start.
     all_work: f64,
 }
 
-/// One engine's cold time that ran to its end.
+/// An engine that stayed up until it was warm. Both shares are relative to its budget for the whole cold time.
 struct Warmed {
     notified_share: f64,
     all_share: f64,
 }
 
-/// Sums the work at each cold engine in windows, and over its cold time.
+/// Sums the work that each cold engine receives, per window and over its whole cold time.
 pub struct ColdStarts {
     experiment: Rc<Experiment>,
     mean_work: f64,
     sites: Vec<Site>,
     cold_since: BTreeMap<usize, Start>,
     warmed: Vec<Warmed>,
+    /// Starts that the change log has not announced yet, by engine.
     unannounced_starts: BTreeMap<usize, SimTime>,
     starts: u64,
+    /// Starts announced after [`START_ANNOUNCEMENT_LIMIT_SECONDS`].
     announced_late: u64,
+    /// Announced starts of engines that are still cold.
     announced_cold: BTreeSet<(SimTime, usize)>,
+    /// Largest number of entries in `announced_cold` so far.
     max_announced_cold: usize,
     crashes: u64,
+    /// Attempts with which a window exceeded its limit.
     over: u64,
+    /// Those of them where notified gateways sent more than [`NOTIFIED_SHARE_LIMIT`] of the window's work.
     over_by_notified: u64,
-    /// The largest share of a window's limit that notified gateways filled, and that all gateways filled.
+    /// Largest work of notified gateways in a window, relative to the window's limit.
     max_notified_fill: f64,
+    /// Largest work of all gateways in a window, relative to the window's limit.
     max_total_fill: f64,
 }
 
@@ -89,7 +99,7 @@
         self.starts += 1;
     }
 
-    /// Drops a cold time that did not run to its end: it says nothing of the share.
+    /// Drops the cold start of an engine that stopped before it was warm. Its share of the budget would be incomplete.
     pub fn stopped(&mut self, engine: usize) {
         self.cold_since.remove(&engine);
         self.unannounced_starts.remove(&engine);
@@ -161,6 +171,7 @@
         self.max_total_fill = self.max_total_fill.max(sum.all / limit);
     }
 
+    /// Moves an engine that has become warm to `warmed`, with the shares of its budget that it received.
     fn warm_up(&mut self, engine: usize) {
         let Some(start) = self.cold_since.remove(&engine) else {
             return;
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -1,4 +1,5 @@
-//! How many gateways connect to each engine, and how long after a zone's loss gateways have full subsets again.
+//! Judges how many gateways connect to each engine, and how long gateways take to refill their subsets after the loss
+//! of a zone.
 
 use super::finding::Finding;
 use super::gateway_set::GatewaySet;
@@ -7,22 +8,26 @@
 use crate::statistics::quantile;
 use std::rc::Rc;
 
+/// The gateways connected to one engine.
 #[derive(Default)]
 struct EngineSide {
-    /// Whether its process runs.
+    /// Whether the engine's process is running.
     running: bool,
-    /// Gateways connected now.
+    /// Gateways that are connected now.
     gateways: GatewaySet,
+    /// Number of gateways that are connected now.
     connected: u32,
+    /// Largest number of gateways connected at once.
     peak: u32,
 }
 
+/// The engines that one gateway is connected to.
 #[derive(Clone, Default)]
 struct GatewaySide {
     up: bool,
-    /// Connected engines that are alive.
+    /// Number of connected engines whose process is running.
     live_engines: usize,
-    /// When it lost engines of its subset with a zone, until it has as many again.
+    /// When a zone's loss left the subset incomplete; `None` once it is full again.
     refilling_since: Option<SimTime>,
 }
 
@@ -31,9 +36,12 @@
     experiment: Rc<Experiment>,
     engines: Vec<EngineSide>,
     gateways: Vec<GatewaySide>,
+    /// Number of engines whose process is running.
     alive_engines: usize,
+    /// Number of zone losses so far.
     lost_zones: u64,
-    /// Seconds until each gateway was full again, 0 for those that stayed full.
+    /// Seconds from a zone's loss until a gateway's subset was full again; 0 if it stayed full, infinite if it was not
+    /// refilled in time.
     refills: Vec<f64>,
 }
 
@@ -50,7 +58,7 @@
         }
     }
 
-    /// Engines in a full subset.
+    /// Returns the number of engines in a full subset: the subset size, but at most the number of running engines.
     fn full(&self) -> usize {
         let size = self
             .experiment
@@ -73,7 +81,8 @@
         self.gateways[gateway as usize].up = true;
     }
 
-    /// A gateway that ends while it waits counts as never full again, unless it still had time.
+    /// Records the end of a gateway's process. A subset that is still incomplete counts as never refilled if the limit
+    /// has passed, and is not judged otherwise.
     pub fn gateway_ended(&mut self, now: SimTime, gateway: u32) {
         let waited = self.gateways[gateway as usize]
             .refilling_since
@@ -162,6 +171,7 @@
         }
     }
 
+    /// Records the refill time of a gateway whose subset is full again.
     fn check_if_full(&mut self, now: SimTime, gateway: usize) {
         let full = self.full();
         let side = &mut self.gateways[gateway];
--- a/crates/scale/src/fleet/judge/endpoint_history.rs
+++ b/crates/scale/src/fleet/judge/endpoint_history.rs
@@ -1,19 +1,21 @@
-//! What each gateway knows of each engine: the published endpoint updates, and how far each gateway has read them.
+//! Tracks what each gateway knows of each engine, from the published endpoint updates and the last entry that each
+//! gateway has read.
 
 use crate::fleet::change_log::EndpointUpdate;
 use crate::fleet::time::SimTime;
 use garnetwall_subset::ListedState;
 
-/// The latest update on an engine that a gateway has read.
+/// The state of an engine according to the latest update that a gateway has read.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownEndpoint {
     pub state: ListedState,
+    /// Published start of the engine's process, if known.
     pub started: Option<SimTime>,
 }
 
-/// All published updates, and the entry up to which each gateway has read.
+/// All published endpoint updates, and the number of the last entry that each gateway has read.
 pub struct EndpointHistory {
-    /// Updates of each engine, with the number of the log entry that held them.
+    /// Updates of each engine in order of publication, with the numbers of their log entries.
     published: Vec<Vec<(usize, KnownEndpoint)>>,
     read_up_to: Vec<usize>,
 }
@@ -42,7 +44,7 @@
         self.read_up_to[gateway as usize] = sequence;
     }
 
-    /// What the gateway knows of the engine; `None` if it has read no update on it.
+    /// Returns the gateway's knowledge of an engine; `None` if it has read no update of that engine.
     pub fn known(&self, gateway: u32, engine: usize) -> Option<KnownEndpoint> {
         let read_up_to = self.read_up_to[gateway as usize];
         self.published
--- a/crates/scale/src/fleet/judge/finding.rs
+++ b/crates/scale/src/fleet/judge/finding.rs
@@ -1,15 +1,17 @@
-//! One thing that the judge saw: its figure, and whether it passed.
+//! The result of one check of the judge: its figures, and whether they passed.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// One judged figure.
+/// The result of one check, as printed and as written to the results file.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
     pub name: &'static str,
-    /// `None` for a figure that this experiment does not judge.
+    /// `None` if the experiment sets no limit for the check.
     pub passed: Option<bool>,
+    /// The figures as text.
     pub figure: String,
+    /// The figures by name, for programs that read the results.
     pub values: BTreeMap<&'static str, f64>,
 }
 
@@ -28,7 +30,7 @@
         }
     }
 
-    /// A figure that is not judged.
+    /// Creates a finding that neither passes nor fails.
     pub fn unjudged(name: &'static str, figure: String, values: &[(&'static str, f64)]) -> Finding {
         Finding {
             name,
--- a/crates/scale/src/fleet/judge/gateway_set.rs
+++ b/crates/scale/src/fleet/judge/gateway_set.rs
@@ -1,15 +1,16 @@
-//! A set of gateways by their numbers, one bit each: a run has millions of pairs of a gateway and an engine.
+//! A compact set of gateway numbers. It takes one bit per gateway, because a run has millions of pairs of a gateway and
+//! an engine.
 
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// A set of gateways.
+/// A set of gateway numbers below a fixed bound.
 #[derive(Clone, Debug, Default)]
 pub struct GatewaySet {
     words: Vec<u64>,
 }
 
 impl GatewaySet {
-    /// An empty set of gateways with numbers under `gateways`.
+    /// Creates an empty set for the gateway numbers below `gateways`.
     pub fn new(gateways: usize) -> GatewaySet {
         GatewaySet {
             words: vec![0; gateways.div_ceil(WORD_BITS)],
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -1,5 +1,6 @@
-//! The judge. It is fed with what clients, engines and the change log see, and with no state of a gateway,
-//! save which entry of the log it has put in force.
+//! Judges a run by rules, from the events that clients, engines and the change log observe.
+//!
+//! The only state of a gateway that the judge receives is the number of the log entry that it has put in force.
 
 mod attempt;
 mod changes;
@@ -24,7 +25,7 @@
 use super::time::SimTime;
 use std::rc::Rc;
 
-/// All rules of the judge, each in a module of its own.
+/// Passes each observed event to the rules that it concerns, and collects their findings.
 pub struct Judge {
     endpoint_history: endpoint_history::EndpointHistory,
     queries: queries::Queries,
@@ -53,7 +54,7 @@
         }
     }
 
-    // ---- what clients see ----
+    // ---- events that clients observe ----
 
     pub fn query_arrived(&mut self, now: SimTime, name: QueryName, class: usize, key: Option<u64>) {
         self.queries.arrived(now, name, class);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// A gateway's process ended: its clients' connections broke.
+    /// Records the end of a gateway's process, which breaks the connections of its clients.
     pub fn gateway_ended(&mut self, now: SimTime, gateway: u32) {
         self.queries.gateway_ended(gateway);
         self.order.gateway_ended(gateway);
@@ -85,14 +86,14 @@
         self.changes.gateway_ended(now, gateway);
     }
 
-    /// A gateway's process started, and read the log up to this entry.
+    /// Records the start of a gateway's process, which has read the change log up to the entry `sequence`.
     pub fn gateway_started(&mut self, now: SimTime, gateway: u32, sequence: usize) {
         self.endpoint_history.read_up_to(gateway, sequence);
         self.changes.gateway_started(now, gateway, sequence);
         self.connections.gateway_started(gateway);
     }
 
-    // ---- what engines see ----
+    // ---- events that engines observe ----
 
     pub fn engine_added(&mut self, site: Site) {
         self.spread.engine_added(site);
@@ -117,7 +118,7 @@
         self.cold_starts.crashed();
     }
 
-    /// The engine drains or is silent by the script: its share of work says nothing.
+    /// Excludes an engine from the spread of work, because the script drains or silences it.
     pub fn engine_disturbed(&mut self, engine: usize) {
         self.spread.disturbed(engine);
     }
@@ -152,12 +153,12 @@
         self.connections.disconnected(gateway, engine);
     }
 
-    /// A zone is lost; the end of its gateways and engines is reported before.
+    /// Records the loss of a zone. The caller must have reported the end of its gateways and engines before.
     pub fn zone_lost(&mut self, now: SimTime) {
         self.connections.zone_lost(now);
     }
 
-    // ---- what the change log sees ----
+    // ---- events that the change log observes ----
 
     pub fn published(&mut self, now: SimTime, sequence: usize, updates: &[EndpointUpdate]) {
         self.endpoint_history.published(sequence, updates);
@@ -182,7 +183,7 @@
         self.changes.log_reconnected(now, gateway);
     }
 
-    /// The findings of all rules.
+    /// Returns the findings of all rules for a run that ends at `now`.
     pub fn findings(&mut self, now: SimTime) -> Vec<Finding> {
         let mut findings = self.queries.findings(now);
         findings.push(self.placement.announcement_finding());
--- a/crates/scale/src/fleet/judge/order.rs
+++ b/crates/scale/src/fleet/judge/order.rs
@@ -1,24 +1,28 @@
-//! Rule 5: queries of a key run in the order in which they arrived, one at a time.
+//! Judges rule 5: queries with the same ordering key run one at a time, in the order in which they arrived.
 
 use super::attempt::QueryName;
 use super::finding::Finding;
 use std::collections::{BTreeMap, VecDeque};
 
+/// The open queries of an ordering key.
 #[derive(Default)]
 struct KeyRecord {
     /// Queries without a final answer, in the order of their arrival.
     unanswered: VecDeque<QueryName>,
+    /// The query of each running attempt.
     running: Vec<QueryName>,
 }
 
-/// Tracks the queries of each key.
+/// Tracks the open queries and running attempts of each ordering key.
 #[derive(Default)]
 pub struct Order {
     keys: BTreeMap<u64, KeyRecord>,
     attempts: u64,
-    /// Keys on which a second query waited while one was open.
+    /// Queries that arrived while another query of their key was open.
     contended: u64,
+    /// Attempts of a query that was not the oldest open one of its key.
     overtaken: u64,
+    /// Attempts that began while an attempt of another query of the key was running.
     overlapping: u64,
 }
 
@@ -64,6 +68,7 @@
         });
     }
 
+    /// Changes the record of a key, and drops the record once it is empty.
     fn update(&mut self, key: u64, change: impl FnOnce(&mut KeyRecord)) {
         let Some(record) = self.keys.get_mut(&key) else {
             return;
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -1,4 +1,5 @@
-//! Rules 3 and 6: no attempts to an engine known as draining or removed, and only to zones and kinds of the class.
+//! Judges rules 3 and 6: a gateway sends no attempt to an engine that it knows to be draining or removed, and only to
+//! engines in the zones and of the kinds that the query's class allows.
 
 use super::attempt::SeenAttempt;
 use super::endpoint_history::KnownEndpoint;
@@ -8,14 +9,17 @@
 use garnetwall_subset::ListedState;
 use std::rc::Rc;
 
-/// Counts attempts at engines that should not get them.
+/// Counts attempts at engines that should not have received them.
 pub struct Placement {
     experiment: Rc<Experiment>,
     sites: Vec<Site>,
     attempts: u64,
+    /// Attempts of classes that are restricted to zones or kinds.
     bound: u64,
     to_draining: u64,
+    /// Attempts at engines that the gateway knew to be removed, or did not know at all.
     to_removed: u64,
+    /// Attempts at engines in a zone or of a kind that the class does not allow.
     misplaced: u64,
 }
 
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -1,4 +1,5 @@
-//! Rule 1: every query gets one whole final answer within its deadline, and nothing of it is sent after that.
+//! Judges rule 1: every query gets exactly one whole final answer within its deadline, and no attempt is sent after the
+//! answer. Also judges the share of queries that succeed.
 
 use super::attempt::QueryName;
 use super::finding::Finding;
@@ -7,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Seconds over the deadline that pass; clients measure to the millisecond.
+/// Tolerated time past the deadline, because clients measure in milliseconds.
 const DEADLINE_TOLERANCE_SECONDS: f64 = 0.001;
 
 /// The final answer to a query.
@@ -18,6 +19,7 @@
     Failed,
 }
 
+/// A query without a final answer.
 struct OpenQuery {
     arrived_at: SimTime,
     class: usize,
@@ -32,9 +34,11 @@
     succeeded: u64,
     rejected: u64,
     failed: u64,
-    /// Their gateway ended before it answered.
+    /// Queries whose gateway ended before it answered them.
     broken: u64,
+    /// Answers after the deadline.
     late: u64,
+    /// Answers to queries that are no longer open.
     repeated: u64,
     attempts_after_answer: u64,
 }
@@ -80,7 +84,8 @@
         }
     }
 
-    /// Takes in an attempt; returns how many engines had seen one of this query before.
+    /// Counts an attempt that an engine received; returns the number of earlier attempts of the same query, or 0 if the
+    /// query is not open.
     pub fn attempt_began(&mut self, name: QueryName) -> u32 {
         let Some(query) = self.open.get_mut(&name) else {
             self.attempts_after_answer += 1;
--- a/crates/scale/src/fleet/judge/retries.rs
+++ b/crates/scale/src/fleet/judge/retries.rs
@@ -1,4 +1,4 @@
-//! Rule 7: a gateway's retries in a window keep to the budget that its queries in the same window allow.
+//! Judges rule 7: the retries of a gateway in a window keep to the budget that its queries in the same window allow.
 
 use super::finding::Finding;
 use crate::fleet::experiment::Experiment;
@@ -6,19 +6,21 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
+/// Times of a gateway's queries and retries in the current window.
 #[derive(Default)]
 struct Window {
     queries: VecDeque<SimTime>,
     retries: VecDeque<SimTime>,
 }
 
-/// Counts queries and retries of each gateway in the budget's window.
+/// Counts the queries and retries of each gateway in a sliding window of the budget's length.
 pub struct Retries {
     experiment: Rc<Experiment>,
     windows: Vec<Window>,
     retries: u64,
+    /// Retries beyond the budget.
     over: u64,
-    /// The largest part of a budget that was used.
+    /// Largest share of a budget that was used; over 1 if a budget was exceeded.
     fullest: f64,
 }
 
@@ -56,7 +58,7 @@
         self.fullest = self.fullest.max(used / most);
     }
 
-    /// The gateway's next process has a budget of its own.
+    /// Clears the window of a gateway that ended, because its next process has a budget of its own.
     pub fn gateway_ended(&mut self, gateway: u32) {
         self.windows[gateway as usize] = Window::default();
     }
@@ -78,6 +80,7 @@
     }
 }
 
+/// Removes the times that have left a window of `span` seconds that ends at `now`.
 fn forget(times: &mut VecDeque<SimTime>, now: SimTime, span: f64) {
     while times.front().is_some_and(|first| now.since(*first) >= span) {
         times.pop_front();
--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -1,4 +1,4 @@
-//! How evenly the work is spread over the engines that no fault disturbed, weighted by their cores.
+//! Judges how evenly the work per core is spread over the engines that ran undisturbed during the whole run.
 
 use super::attempt::SeenAttempt;
 use super::finding::Finding;
@@ -8,15 +8,19 @@
 use crate::statistics::quantile;
 use std::rc::Rc;
 
+/// The work that one engine received.
 struct Share {
     cores: f64,
+    /// Work in core seconds since the end of the settling time.
     work: f64,
+    /// Whether the engine was neither started, stopped, drained nor silent during the run.
     undisturbed: bool,
 }
 
-/// Sums the work of each engine.
+/// Sums the work that each engine receives after the settling time.
 pub struct Spread {
     experiment: Rc<Experiment>,
+    /// End of the settling time.
     settled: SimTime,
     engines: Vec<Share>,
 }
