--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -1,34 +1,35 @@
-//! The change log: numbered entries, and the endpoint list after each.
+//! The simulated change log: numbered entries, each with the endpoint list that results from it.
 
 use super::time::SimTime;
 use garnetwall_subset::{Catalog, Change, EngineFacts, EngineKey, ListedEngine, UpdateScope};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// One engine's entry in the endpoint list, as published.
+/// A published update of one engine in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdate {
     pub engine: usize,
     pub facts: EngineFacts,
+    /// Published start of the engine's process, if known.
     pub started: Option<SimTime>,
 }
 
-/// The list after an entry; shared by all gateways that have read up to it.
+/// The endpoint list as of an entry, shared by all gateways that have read up to that entry.
 #[derive(Clone, Default)]
 pub struct ListState {
     pub catalog: Catalog,
-    /// Published start of each engine's process, by the engine's number.
+    /// Published start of each engine's process, indexed by the engine's number.
     pub started: Vec<Option<SimTime>>,
     engine_of_key: HashMap<EngineKey, usize>,
 }
 
 impl ListState {
-    /// The number of an engine that this list knows or knew.
+    /// Returns the number of an engine that is or was in the list.
     pub fn engine(&self, key: EngineKey) -> Option<usize> {
         self.engine_of_key.get(&key).copied()
     }
 
-    /// The whole list, as changes to a list that was empty.
+    /// Returns the whole list as changes to an empty list.
     pub fn as_changes(&self) -> Vec<Change> {
         let change = |(engine, _, facts): (EngineKey, &str, EngineFacts)| Change {
             engine,
@@ -65,33 +66,33 @@
     }
 }
 
-/// What updates change in the list.
+/// The effect of a set of updates on the list.
 struct ListChange {
     changes: Vec<Change>,
-    /// Engines that were in the list and whose process was started again.
+    /// Engines already in the list whose published start changed.
     restarted: Vec<EngineKey>,
 }
 
-/// The id of an engine in the endpoint list.
+/// Returns the id of an engine in the endpoint list.
 pub fn engine_id(engine: usize) -> String {
     format!("engine-{engine:05}")
 }
 
-/// One entry of the log.
+/// An entry of the change log.
 #[derive(Clone)]
 pub struct Entry {
     pub changes: Vec<Change>,
-    /// Engines that were in the list and whose process was started again.
+    /// Engines already in the list whose published start changed.
     pub restarted: Vec<EngineKey>,
     pub list: Rc<ListState>,
-    /// The version of the configuration from here on.
+    /// Version of the configuration as of this entry.
     pub configuration: u64,
 }
 
-/// All entries so far; entry 0 is the list at the start.
+/// The entries published so far. Entry 0 holds the initial endpoint list.
 pub struct ChangeLog {
     entries: Vec<Entry>,
-    /// Updates for the next entry, by engine.
+    /// The latest update of each engine for the next entry.
     pending: BTreeMap<usize, EndpointUpdate>,
 }
 
@@ -111,6 +112,7 @@
         }
     }
 
+    /// Returns the number of the latest entry.
     pub fn latest(&self) -> usize {
         self.entries.len() - 1
     }
@@ -119,14 +121,15 @@
         &self.entries[sequence]
     }
 
-    /// Adds an update to the next entry; returns whether it is the first one there.
+    /// Adds an update to the next entry, replacing an earlier one of the same engine. Returns whether it is the entry's
+    /// first update.
     pub fn stage(&mut self, update: EndpointUpdate) -> bool {
         let first = self.pending.is_empty();
         self.pending.insert(update.engine, update);
         first
     }
 
-    /// Writes the staged updates as an entry, and returns them.
+    /// Publishes the staged updates as an entry, and returns them in the order of the engine numbers.
     pub fn publish_updates(&mut self) -> Vec<EndpointUpdate> {
         let updates: Vec<EndpointUpdate> =
             std::mem::take(&mut self.pending).into_values().collect();
@@ -142,7 +145,7 @@
         updates
     }
 
-    /// Writes an entry with a new version of the configuration, and no updates.
+    /// Publishes an entry with a new configuration version and no endpoint updates.
     pub fn publish_configuration(&mut self) {
         let before = &self.entries[self.latest()];
         let entry = Entry {
--- a/crates/scale/src/fleet/clients.rs
+++ b/crates/scale/src/fleet/clients.rs
@@ -1,4 +1,4 @@
-//! What clients send: one seeded stream of queries for each gateway.
+//! Generates the queries of clients, as one seeded random stream per gateway.
 
 use super::experiment::Experiment;
 use super::time::SimTime;
@@ -6,16 +6,18 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1};
 
-/// The part of a query's work that is the same for all of its class; the rest is exponential.
+/// Share of a class's mean work that every query of the class has. The rest is exponentially distributed.
 const FIXED_WORK_SHARE: f64 = 0.3;
+/// Size of each gateway's own range of ordering keys, so that gateways share no key.
 const KEYS_PER_GATEWAY: u64 = 1 << 20;
 
-/// One query, as its client knows it.
+/// A query as its client sends it.
 #[derive(Clone, Copy, Debug)]
 pub struct Query {
     pub class: usize,
-    /// Seconds on one core.
+    /// Work in core seconds.
     pub work: f64,
+    /// Ordering key; `None` for classes without keys.
     pub key: Option<u64>,
 }
 
@@ -23,21 +25,24 @@
 pub struct Clients {
     random: SmallRng,
     gateway: u64,
+    /// Mean queries per second.
     rate: f64,
 }
 
-/// What all clients share.
+/// Query classes and their work, shared by the clients of all gateways.
 pub struct Demand {
-    /// Cumulative shares of the classes.
+    /// Cumulative shares of the classes in the queries, ending at 1.
     shares: Vec<f64>,
-    /// Mean work of each class in seconds.
+    /// Mean work of each class in core seconds.
     work: Vec<f64>,
+    /// Number of ordering keys of each class per gateway; 0 for none.
     keys: Vec<u64>,
-    /// Mean work of all queries.
+    /// Mean work of all queries in core seconds.
     pub mean_work: f64,
 }
 
 impl Demand {
+    /// Scales the work of the classes so that all queries together use the experiment's `utilisation` of all cores.
     pub fn new(experiment: &Experiment, total_cores: f64) -> Demand {
         let gateways = &experiment.gateways;
         let queries_per_second = gateways.rate * gateways.count as f64;
@@ -75,12 +80,13 @@
         }
     }
 
-    /// When the next query arrives.
+    /// Draws the time of the next arrival; intervals are exponentially distributed.
     pub fn next_arrival(&mut self, now: SimTime) -> SimTime {
         let gap: f64 = Exp1.sample(&mut self.random);
         now.after(gap / self.rate)
     }
 
+    /// Draws a query: its class, work and ordering key.
     pub fn query(&mut self, demand: &Demand) -> Query {
         let drawn: f64 = self.random.random();
         let class = demand
@@ -97,7 +103,8 @@
     }
 }
 
-/// Rates of all gateways: a share of them gets several times what the others get.
+/// Draws the query rates of all gateways in queries per second. Each gateway is, with probability `busy_share`, a busy
+/// one that gets `busy_times` the rate of the others; the mean over all gateways is `rate`.
 pub fn rates(experiment: &Experiment, random: &mut SmallRng) -> Vec<f64> {
     let gateways = &experiment.gateways;
     let weight = |_| {
--- a/crates/scale/src/fleet/cold_engine.rs
+++ b/crates/scale/src/fleet/cold_engine.rs
@@ -1,32 +1,36 @@
-//! How much work a cold engine can take before it crashes.
+//! Computes how much work a cold engine can receive before it crashes.
 
 use super::experiment::Cold;
 use super::time::SimTime;
 use std::collections::VecDeque;
 
-/// Random arrivals may exceed the budget by so many standard deviations, and so many queries.
+/// Number of standard deviations by which random arrivals may exceed the budget.
 const TOLERANCE_STANDARD_DEVIATIONS: f64 = 2.0;
+/// Number of queries by which arrivals may exceed the budget, in addition to the standard deviations.
 const TOLERANCE_QUERIES: f64 = 2.0;
 
-/// Work of one attempt at a cold engine.
+/// An attempt that a cold engine received.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdWork {
     pub received_at: SimTime,
+    /// Work in core seconds.
     pub work: f64,
-    /// Whether the gateway had been notified of the start.
+    /// Whether the sending gateway had been notified of the engine's start.
     pub notified: bool,
 }
 
-/// Attempts at a cold engine in the window that ends now.
+/// Attempts at a cold engine in the sliding window that ends with the latest attempt.
 #[derive(Debug, Default)]
 pub struct ColdWindow {
     attempts: VecDeque<ColdWork>,
 }
 
-/// Sums over a window, in queries of mean work.
+/// Work within a window, in multiples of the mean work of a query.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowSum {
+    /// Work from all gateways.
     pub all: f64,
+    /// Work from gateways that had been notified of the engine's start.
     pub notified: f64,
 }
 
@@ -35,7 +39,7 @@
         self.attempts.clear();
     }
 
-    /// Takes in one attempt, and sums the window that ends with it.
+    /// Adds an attempt, drops those that have left the window, and returns the sums over the window.
     pub fn add(&mut self, cold: &Cold, mean_work: f64, attempt: ColdWork) -> WindowSum {
         while self
             .attempts
@@ -59,17 +63,18 @@
     }
 }
 
-/// The budget of a window in queries of mean work, by the capacity of a cold engine.
+/// Returns the budget of a cold engine for one window, in multiples of the mean work of a query.
 pub fn budget(cold: &Cold, cores: f64, mean_work: f64) -> f64 {
     cold.multiple * cold.window * cold.starts_at * cores / mean_work
 }
 
-/// The limit of a window in queries of mean work, tolerance included.
+/// Returns the limit for one window: the budget plus the tolerance for random arrivals. Both are in multiples of the
+/// mean work of a query.
 pub fn limit_queries(budget: f64) -> f64 {
     budget + TOLERANCE_STANDARD_DEVIATIONS * budget.sqrt() + TOLERANCE_QUERIES
 }
 
-/// Cores that an engine can use so long after its start.
+/// Returns the number of cores that an engine can use `age` seconds after its start.
 pub fn effective_cores(cold: &Cold, cores: f64, age: f64) -> f64 {
     let warmed = (age / cold.warm_after).clamp(0.0, 1.0);
     cores * (cold.starts_at + (1.0 - cold.starts_at) * warmed)
--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -1,4 +1,4 @@
-//! What surrounds the gateways: engines, the change log, clients, the event queue and the judge.
+//! The state that all gateways share: engines, the change log, client demand, the event queue and the judge.
 
 use super::change_log::{ChangeLog, EndpointUpdate};
 use super::clients::Demand;
@@ -16,10 +16,10 @@
 use rand::Rng;
 use std::rc::Rc;
 
-/// Updates within this time are published as one entry of the log.
+/// Endpoint updates are collected for this time and then published as one entry of the change log.
 const PUBLISH_INTERVAL_SECONDS: f64 = 0.1;
 
-/// All that gateways share: engines, change log, clients, event queue and judge.
+/// The surroundings of the gateways in a simulation.
 pub struct Environment {
     pub experiment: Rc<Experiment>,
     pub engines: Vec<Engine>,
@@ -58,13 +58,16 @@
         }
     }
 
+    /// Returns whether the experiment injects this fault.
     pub fn injects(&self, injected_fault: InjectedFault) -> bool {
         self.experiment.injected_fault == Some(injected_fault)
     }
 
     // ---- attempts ----
 
-    /// Sends an attempt to an engine. Returns the progress by which it can be withdrawn, if the engine was reached.
+    /// Sends an attempt to an engine. Returns the progress at which the engine finishes it, which
+    /// [`Environment::withdraw`] needs. If the engine cannot be reached, schedules a connect failure and returns
+    /// `None`.
     pub fn send(&mut self, now: SimTime, key: AttemptKey, attempt: SeenAttempt) -> Option<u64> {
         let engine = &mut self.engines[attempt.engine];
         if !engine.reachable() {
@@ -90,14 +93,15 @@
         Some(done_at)
     }
 
-    /// The gateway closes the connection of an attempt that may still run.
+    /// Removes an attempt from its engine because the gateway closes the connection. Attempts that are no longer
+    /// running are ignored.
     pub fn withdraw(&mut self, now: SimTime, key: AttemptKey, engine: usize, done_at: u64) {
         if self.engines[engine].withdraw(&self.experiment.cold, now, done_at, key) {
             self.schedule_engine(now, engine);
         }
     }
 
-    /// Schedules the engine's next event.
+    /// Schedules the engine's next event, unless an earlier one is scheduled already.
     pub fn schedule_engine(&mut self, now: SimTime, engine: usize) {
         let hollow = &mut self.engines[engine];
         let Some(next) = hollow.next_due(&self.experiment.cold, now) else {
@@ -114,21 +118,21 @@
         }
     }
 
-    // ---- engines' processes ----
+    // ---- engine processes ----
 
     fn crash_engine(&mut self, now: SimTime, engine: usize) {
         self.judge.engine_crashed();
         self.restart_engine(now, engine);
     }
 
-    /// Ends a process with its connections, and schedules the next start.
+    /// Ends an engine's process and its attempts, and schedules the next start.
     pub fn restart_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         let up_at = now.after(self.experiment.engines.restart);
         self.plan(up_at, engine, EngineStep::Start);
     }
 
-    /// Ends an engine; gateways notice it after `detection` seconds.
+    /// Ends an engine's process. Gateways learn of the lost attempts after `detection` seconds.
     pub fn stop_engine(&mut self, now: SimTime, engine: usize, detection: f64) {
         if !self.engines[engine].reachable() {
             return;
@@ -147,6 +151,7 @@
         }
     }
 
+    /// Starts a new process of an engine that is down, and publishes it as ready.
     pub fn start_engine(&mut self, now: SimTime, engine: usize) {
         if self.engines[engine].state != EngineState::Down {
             return;
@@ -156,7 +161,7 @@
         self.stage_update(now, engine, ListedState::Ready);
     }
 
-    /// A new engine at the same place.
+    /// Retires an engine, and adds a new, cold one at the same site.
     pub fn replace_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         self.engines[engine].state = EngineState::Retired;
@@ -169,12 +174,14 @@
         self.stage_update(now, new, ListedState::Ready);
     }
 
+    /// Makes an engine silent, or lets it answer again.
     pub fn silence_engine(&mut self, now: SimTime, engine: usize, silent: bool) {
         self.judge.engine_disturbed(engine);
         self.engines[engine].silence(&self.experiment.cold, now, silent);
         self.schedule_engine(now, engine);
     }
 
+    /// Schedules a step of an engine.
     pub fn plan(&mut self, at: SimTime, engine: usize, step: EngineStep) {
         self.queue.push(
             at,
@@ -187,7 +194,8 @@
 
     // ---- the change log ----
 
-    /// Stages an update on an engine as it is now.
+    /// Adds the current state of an engine to the next entry of the change log, and schedules its publication if it is
+    /// the entry's first update.
     pub fn stage_update(&mut self, now: SimTime, engine: usize, state: ListedState) {
         let mut update = endpoint_update(engine, &self.engines[engine], state);
         if self.injects(InjectedFault::StartsUntold) {
@@ -199,7 +207,7 @@
         }
     }
 
-    /// Seconds that one delivery takes.
+    /// Draws the time in seconds from the publication of an entry to its delivery to one gateway.
     pub fn delivery_delay(&mut self) -> f64 {
         let log = &self.experiment.log;
         let drawn: f64 = self.random.random();
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! What can happen in the simulation.
+//! Events of the simulation.
 
 use super::identifiers::{AttemptKey, ProcessId};
 use garnetwall::api::AttemptEnd;
@@ -6,23 +6,23 @@
 /// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A client's query arrives at a gateway's process.
+    /// A query of a client arrives at a gateway's process.
     Arrival {
         gateway: u32,
         incarnation: u32,
     },
-    /// A timer of a gateway's process is due.
+    /// The wake-up timer of a gateway's process fires.
     Wake {
         gateway: u32,
         incarnation: u32,
     },
-    /// An entry of the change log reaches a gateway's process.
+    /// A gateway's process reads the change log up to the entry `sequence`.
     Deliver {
         gateway: u32,
         incarnation: u32,
         sequence: u32,
     },
-    /// A gateway's process ends, and is started again `down_for` seconds later.
+    /// A gateway's process ends. The next one starts `down_for` seconds later.
     GatewayEnds {
         gateway: u32,
         down_for: f32,
@@ -30,7 +30,7 @@
     GatewayStarts {
         gateway: u32,
     },
-    /// An engine may have finished attempts.
+    /// An engine may have finished attempts, or has to recompute its speed while it warms up.
     EngineDue {
         engine: u32,
     },
@@ -38,24 +38,27 @@
         engine: u32,
         step: EngineStep,
     },
-    /// A gateway learns that an attempt has failed.
+    /// A gateway learns that an attempt failed because of its connection.
     AttemptFails {
         key: AttemptKey,
         end: AttemptEnd,
     },
-    /// The staged updates are published as one entry of the change log.
+    /// The change log publishes the staged endpoint updates as one entry.
     PublishUpdates,
+    /// The change log publishes a new configuration version.
     PublishConfiguration,
+    /// The gateways of a region are connected to the change log again.
     RegionReconnected {
         region: u32,
     },
+    /// A step of the experiment's script is due.
     Script {
         step: u32,
     },
 }
 
 impl Event {
-    /// The process that the event is for; `None` for events of no single process.
+    /// Returns the gateway process that the event concerns; `None` if the event is not specific to a process.
     pub fn process(&self) -> Option<ProcessId> {
         match *self {
             Event::Arrival {
@@ -80,19 +83,19 @@
     }
 }
 
-/// A planned change of one engine.
+/// A scheduled change of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineStep {
-    /// The log reports it as removed.
+    /// The change log reports the engine as removed.
     ReportRemoved,
     /// A new process starts, cold.
     Start,
-    /// It drains, and is replaced later.
+    /// The engine drains. Its replacement is scheduled.
     Drain,
-    /// It ends, and a new engine takes its place.
+    /// The engine ends, and a new engine takes its place.
     Replace,
-    /// Its process ends; a new one starts later.
+    /// The process ends. The start of a new one is scheduled.
     Restart,
-    /// It answers again after a silence.
+    /// The engine answers again after it was silent.
     Respond,
 }
--- a/crates/scale/src/fleet/event_queue.rs
+++ b/crates/scale/src/fleet/event_queue.rs
@@ -1,10 +1,10 @@
-//! The one queue of events: by time, and in the order pushed where times are equal.
+//! An event queue ordered by time; events at the same time keep the order in which they were pushed.
 
 use super::time::SimTime;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A queue of events in the order of their times.
+/// A queue that returns events in the order of their times.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
     next_sequence: u64,
@@ -40,7 +40,7 @@
             .map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 
-    /// Events pushed so far.
+    /// Returns the number of events pushed so far.
     pub fn scheduled_total(&self) -> u64 {
         self.next_sequence
     }
--- a/crates/scale/src/fleet/event_queue/tests.rs
+++ b/crates/scale/src/fleet/event_queue/tests.rs
@@ -2,7 +2,7 @@
 use crate::fleet::time::SimTime;
 
 #[test]
-fn events_are_popped_by_time_and_then_in_the_order_pushed() {
+fn events_are_popped_in_time_order_and_then_in_push_order() {
     let mut queue = EventQueue::new();
     for (seconds, name) in [(2.0, 'c'), (1.0, 'a'), (2.0, 'd'), (1.0, 'b')] {
         queue.push(SimTime::from_seconds(seconds), name);
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -1,4 +1,4 @@
-//! The file of an experiment with the hollow fleet, and its checks.
+//! The experiment file of a fleet simulation, and the checks of its values.
 
 use super::injected_fault::InjectedFault;
 use crate::experiment::{self, check_range, ExperimentError, InvalidValue};
@@ -8,23 +8,23 @@
 const MAX_GATEWAYS: usize = 20_000;
 const MAX_ENGINES: usize = 50_000;
 const MAX_SECONDS: f64 = 3_600.0;
-/// Of the lists of classes and kinds.
+/// Maximum length of the lists of classes and kinds.
 const MAX_ENTRIES: f64 = 64.0;
 
-/// One run of the hollow fleet.
+/// The settings of a fleet simulation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub name: String,
     pub seed: u64,
-    /// Simulated seconds.
+    /// Simulated time in seconds.
     pub seconds: f64,
-    /// Seconds at the start that do not count for the spread of work.
+    /// Seconds at the start during which work does not count towards the spread.
     pub settle: f64,
     pub gateways: Gateways,
     pub engines: Engines,
     pub topology: Topology,
-    /// Without it each gateway works with the whole list.
+    /// Subset settings; without them each gateway uses every engine of the endpoint list.
     pub subset: Option<SubsetTable>,
     pub cold: Cold,
     pub retries: Retries,
@@ -33,43 +33,43 @@
     #[serde(default)]
     pub script: Vec<ScriptStep>,
     pub limits: Limits,
-    /// A fault put between module and engines on purpose, which the judge has to find.
+    /// A fault to inject, to test that the judge detects it.
     #[serde(rename = "slip")]
     pub injected_fault: Option<InjectedFault>,
 }
 
-/// The gateways and their load.
+/// Gateways and their query rates.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
     pub count: usize,
-    /// Queries a second that one gateway receives, in the mean.
+    /// Mean queries per second that a gateway receives in the simulation.
     pub rate: f64,
-    /// Queries a second of the real gateway that it stands for.
+    /// Queries per second of the real gateway that a simulated one represents; at least `rate`.
     pub real_rate: f64,
-    /// This share of the gateways gets `busy_times` what the others get.
+    /// Share of the gateways that receive `busy_times` the queries of the others.
     pub busy_share: f64,
     pub busy_times: f64,
 }
 
-/// The engines, and how they fail.
+/// Engines, their hardware and the timing of their failures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engines {
     pub count: usize,
-    /// Share of all cores that the queries need; it sets the work of a query.
+    /// Share of all cores that the queries use. It determines the mean work of a query; over 1 is overload.
     pub utilisation: f64,
-    /// Cores of each kind; kinds are equally frequent.
+    /// Cores of an engine of each kind. Each kind is equally likely.
     pub kind_cores: Vec<f64>,
-    /// Seconds until an attempt at an engine that is down is known to have no connection.
+    /// Seconds until an attempt at an engine that is down fails to connect.
     pub connect_timeout: f64,
-    /// Seconds until an attempt is known to be broken when its engine's rack or zone is lost.
+    /// Seconds from the loss of a rack or zone until gateways detect that their attempts there are lost.
     pub loss_detection: f64,
-    /// Seconds that an engine which crashed or was restarted is down.
+    /// Seconds of downtime after a crash or restart of an engine.
     pub restart: f64,
 }
 
-/// How gateways and engines are spread over regions, zones and racks.
+/// Numbers of regions, zones and racks. Gateways and engines are assigned to them in turn.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
@@ -78,7 +78,7 @@
     pub racks_per_zone: usize,
 }
 
-/// Settings of the gateways' subsets.
+/// Settings of the gateways' engine subsets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubsetTable {
@@ -89,7 +89,9 @@
     pub near_weight: f64,
 }
 
-/// Slow start: the fraction of its cores that a started engine can use, for how many seconds, and its budget.
+/// Slow start of an engine: the fraction `starts_at` of its cores is usable at its start, rising to all cores after
+/// `warm_after` seconds. The budget for any `window` of seconds is `multiple` times the work that the initially usable
+/// cores can do in that time. A cold engine that receives more, beyond a tolerance, crashes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cold {
@@ -99,7 +101,7 @@
     pub window: f64,
 }
 
-/// The retry budget: a floor and a share of the queries, in a window of seconds.
+/// The retry budget of a gateway: `floor` plus `per_query` for each query, in any `window` of seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
@@ -108,101 +110,118 @@
     pub window: f64,
 }
 
-/// How the change log reaches the gateways.
+/// Timing of the delivery of change log entries to the gateways.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
-    /// Seconds that each delivery takes at least, and the mean of an exponentially distributed addition.
+    /// Minimum delay of a delivery in seconds.
     pub least_delay: f64,
+    /// Mean, in seconds, of the exponentially distributed delay on top of the minimum.
     pub mean_delay: f64,
-    /// Seconds until the log reports the loss of a rack or zone.
+    /// Seconds until the log reports the engines of a lost rack or zone as removed.
     #[serde(rename = "loss_told")]
     pub loss_report_delay: f64,
-    /// A region that is connected again catches up spread over so many seconds.
+    /// Seconds over which the gateways of a reconnected region spread their catching up.
     pub resume: f64,
 }
 
-/// A class of queries.
+/// A query class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryClass {
     pub name: String,
+    /// Share of the queries, relative to the sum over all classes.
     pub share: f64,
-    /// Mean work, in means of all queries before scaling.
+    /// Mean work relative to the other classes. It is scaled so that the engines reach `utilisation`.
     pub work: f64,
-    /// Seconds until the client cancels.
+    /// Seconds from the arrival of a query to its response deadline.
     pub deadline: f64,
-    /// Keys a gateway; their queries run in order, one at a time. 0: no keys.
+    /// Number of ordering keys per gateway; queries with the same key run in order, one at a time. 0 for none.
     #[serde(default)]
     pub keys: u64,
+    /// Zones whose engines may run queries of the class; all if unset.
     pub zones: Option<Vec<u32>>,
+    /// Kinds of engine that may run queries of the class; all if unset.
     pub kinds: Option<Vec<u32>>,
 }
 
-/// One action of the script; docs/scale.md lists the fields that each action reads.
+/// A step of the script. docs/scale.md lists the fields that each action reads.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScriptStep {
+    /// Seconds since the beginning of the simulation.
     #[serde(rename = "at")]
     pub at_seconds: f64,
     #[serde(rename = "what")]
     pub action: Action,
-    /// Number of the zone, rack or region.
+    /// Number of the zone, rack or region that the action affects.
     #[serde(rename = "which", default)]
     pub index: usize,
-    /// Engines or changes.
+    /// Number of engines or of configuration changes.
     #[serde(default)]
     pub count: usize,
-    /// Seconds that it lasts, or over which it is spread.
+    /// Seconds that the outage lasts, or over which the individual changes are spread.
     #[serde(rename = "lasts", default)]
     pub duration_seconds: f64,
-    /// Share of the gateways at a time.
+    /// Share of the gateways that a rolling restart ends at a time.
     #[serde(default)]
     pub share: f64,
 }
 
-/// What an action of the script does.
+/// A failure or change that a script step causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
+    /// The engines of a rack fail without notice, and start again later.
     RackLost,
+    /// The gateways and engines of a zone fail without notice, and start again later.
     ZoneLost,
+    /// The gateways of a region are cut off from the change log for some time.
     RegionCut,
+    /// All gateways restart, a share of them at a time.
     RollingRestart,
+    /// All gateways restart, at random times.
     MassRestart,
+    /// The change log publishes configuration changes at regular intervals.
     ConfigurationBurst,
+    /// Randomly chosen engines drain and are replaced by new ones.
     EnginesReplaced,
+    /// Processes of randomly chosen engines end and start again.
     EnginesRestarted,
+    /// Randomly chosen engines accept attempts but do not answer for some time.
     EnginesSilent,
 }
 
-/// What the judge holds the figures against.
+/// Limits that the judge compares the measured figures with.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Work a core of an engine over the mean.
+    /// Maximum work per core of an engine, relative to the mean over all engines: 99th percentile and maximum.
     pub spread_p99: f64,
     pub spread_max: f64,
-    /// Gateways connected to an engine at once, over what subsets of equal spread would give.
+    /// Maximum number of gateways connected to an engine at once, relative to an even spread of the subsets.
     pub meets_max: f64,
-    /// Seconds until a change is known, and in force, at 99 in 100 gateways.
+    /// Maximum seconds from the publication of a log entry until a gateway has read it, in 99% of the deliveries.
     pub known_p99: f64,
+    /// Maximum seconds from the publication of a log entry until a gateway has put it in force, in 99% of the
+    /// deliveries.
     pub in_force_p99: f64,
-    /// Seconds after a zone's loss in which 99 in 100 gateways have full subsets again.
+    /// Maximum seconds from the loss of a zone until 99% of the gateways have full subsets again.
     pub refill_p99: f64,
-    /// Share of its cold budget that a started engine gets from notified gateways, in the median. Left out where
-    /// so small a fraction of the queries is simulated that gateways have nothing to send it: then it is not judged.
+    /// Minimum share of its slow-start budget that a started engine receives from notified gateways, as the median over
+    /// all starts. Not judged if unset: with a very small fraction of the queries simulated, gateways may have nothing
+    /// to send to the engine.
     pub cold_share_p50: Option<f64>,
-    /// Share of the queries that succeed.
+    /// Minimum share of the answered queries that succeed.
     pub succeeded: f64,
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads an experiment from a file and checks its values.
     ///
     /// # Errors
     ///
-    /// Where it can't be read, is no such experiment, or has a value that can't be used.
+    /// Returns an error if the file cannot be read, is not a fleet experiment, or has a value out of range.
     pub fn read(file: &Path) -> Result<Experiment, ExperimentError> {
         experiment::read(file, Experiment::check)
     }
@@ -312,7 +331,7 @@
         }
     }
 
-    /// Mean of the classes' work by share, before scaling.
+    /// Returns the mean work of all queries before scaling: the classes' work weighted by their shares.
     pub fn unscaled_mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
         self.classes
@@ -333,6 +352,6 @@
 }
 
 fn within(place: &str, found: f64, least: f64, most: f64) -> Result<(), InvalidValue> {
-    let remedy = "see docs/scale.md, section fleet, for what each field may be";
+    let remedy = "see docs/scale.md, section fleet, for the range of each field";
     check_range(place, found, least, most, remedy)
 }
--- a/crates/scale/src/fleet/identifiers.rs
+++ b/crates/scale/src/fleet/identifiers.rs
@@ -1,10 +1,10 @@
-//! Names of processes and attempts that are never used again in a run.
+//! Identifiers of gateway processes and attempts, unique within a run.
 
-/// One process of a gateway.
+/// Identifies a process of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessId {
     pub gateway: u32,
-    /// Counts the gateway's processes.
+    /// Number of the process among those of the gateway, from 1.
     pub incarnation: u32,
 }
 
@@ -18,7 +18,7 @@
 }
 
 impl AttemptKey {
-    /// The process that sent the attempt.
+    /// Returns the process that sent the attempt.
     pub fn process(&self) -> ProcessId {
         ProcessId {
             gateway: self.gateway,
--- a/crates/scale/src/fleet/injected_fault.rs
+++ b/crates/scale/src/fleet/injected_fault.rs
@@ -1,41 +1,41 @@
-//! Faults injected between module and engines: the judge must find each of them.
+//! Faults that an experiment can inject into gateways and the change log. The judge must detect each of them.
 
 use serde::Deserialize;
 
-/// A fault that an experiment names under `slip`.
+/// A fault, selected by the experiment's key `slip`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedFault {
     /// One answer in a hundred is given twice.
     AnswerTwice,
-    /// One answer in a hundred is given a second after the deadline.
+    /// One answer in a hundred is given one second after the deadline.
     AnswerLate,
-    /// A query is sent once more after its answer.
+    /// One query in a hundred is sent to an engine once more after its answer.
     SendAfterAnswer,
-    /// The module is not notified that an engine drains or was removed.
+    /// The decision module is not notified that an engine is draining or was removed.
     SendToDraining,
-    /// The module takes its gateway for the only one that holds each engine.
+    /// The decision module assumes that there is only one gateway, and so takes too much of a cold engine's budget.
     HoldersForgotten,
-    /// The module's slow-start budget is a hundred times too small.
+    /// The decision module's slow-start budget is a hundred times too small.
     ColdShunned,
-    /// The module does not know that queries of a key keep their order.
+    /// The decision module does not run the queries of an ordering key in order.
     OrderForgotten,
-    /// The module does not know to which zones and kinds a class is bound.
+    /// The decision module ignores the zones and kinds that a class is restricted to.
     PlacementForgotten,
-    /// The module does not know of the retry budget.
+    /// The decision module has no retry budget.
     BudgetForgotten,
-    /// Half of the engines are never joined.
+    /// Engines with odd numbers, half of all, are never joined.
     HalfJoined,
-    /// Every engine is connected to by all gateways.
+    /// Each gateway connects to all engines when it starts.
     AllConnected,
-    /// One gateway in ten reads nothing of the change log after its start.
+    /// One gateway in ten reads no entries of the change log after its start.
     Deaf,
-    /// One gateway in ten knows of changes but does not put them in force.
+    /// One gateway in ten reads entries of the change log but never reports them as in force.
     NeverInForce,
-    /// No engine is joined after the settling time.
+    /// No gateway joins an engine after the settling time.
     NoRefill,
-    /// The change log does not report when engines started.
+    /// The change log omits the start times of engines.
     StartsUntold,
-    /// Half of the answers that engines give are turned into failures.
+    /// Gateways treat successful answers to queries with even numbers, half of all, as failures.
     AnswersLost,
 }
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Fleet: thousands of hollow gateways before hollow engines, in simulated time, in one process.
+//! Simulates thousands of hollow gateways and hollow engines in one process, and judges the gateways.
 //!
-//! A gateway has the real decision module and the real subset, and neither sockets nor bodies. One seeded queue of
-//! events drives all: the same seed gives the same run. The judge is fed with what clients, engines and the change log see.
+//! A hollow gateway runs the real decision module and the real subset selection, without sockets and bodies. A single
+//! seeded event queue drives the simulation, so the same seed gives the same run. The judge receives only events that
+//! clients, engines and the change log observe, and when gateways have put log entries in force.
 
 mod change_log;
 mod clients;
@@ -28,7 +29,12 @@
 use simulation::Simulation;
 use std::time::Instant;
 
-/// Runs one experiment.
+/// Runs the experiment, prints its findings and, if requested, writes them to the results file.
+///
+/// # Errors
+///
+/// Returns an error if the experiment cannot be read or has unusable subset settings, or if the results cannot be
+/// written.
 pub fn run(arguments: &RunArguments) -> Verdict {
     let experiment = Experiment::read(&arguments.experiment)?;
     let seed = arguments.seed.unwrap_or(experiment.seed);
@@ -36,7 +42,7 @@
     let outcome = Simulation::new(experiment.clone(), seed).run()?;
     let wall = began.elapsed();
     eprintln!(
-        "{} events in {:.1} s, {} MB at most",
+        "simulated {} events in {:.1} s; peak memory {} MB",
         outcome.events,
         wall.as_secs_f64(),
         report::peak_memory_kb().unwrap_or(0) / 1024
--- a/crates/scale/src/fleet/module_settings.rs
+++ b/crates/scale/src/fleet/module_settings.rs
@@ -1,19 +1,19 @@
-//! The settings that a gateway's decision module works by, from an experiment.
+//! Derives the settings of the gateways' decision modules from an experiment.
 
 use super::experiment::{Experiment, QueryClass};
 use super::injected_fault::InjectedFault;
 use garnetwall::api::{self, Idempotency, LoadReporting, RetryBudget, Settings, SlowStart};
 
-/// Latency objective as a share of the deadline.
+/// Latency objective of a class as a share of its deadline.
 const LATENCY_OBJECTIVE_SHARE: f64 = 1.0 / 3.0;
 const LATENCY_OBJECTIVE_STRETCH: f64 = 2.0;
 const LATE_VALUE_SHARE: f64 = 0.3;
-/// Share of the slow-start budget that an injected fault leaves.
+/// Fraction of the slow-start budget that remains under the fault [`InjectedFault::ColdShunned`].
 const FAULTY_OVERLOAD_FRACTION: f64 = 0.01;
 const MAX_ATTEMPTS: u32 = 4;
 const MAX_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// The decision module's settings, changed by the injected fault.
+/// Returns the decision module's settings, altered by the experiment's injected fault, if any.
 pub fn module_settings(experiment: &Experiment) -> Settings {
     let injected_fault = experiment.injected_fault;
     let class = |class| query_class(class, injected_fault);
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What a run prints and writes.
+//! Prints the findings of a run, and writes them to the results file.
 
 use super::experiment::Experiment;
 use super::judge::Finding;
@@ -9,6 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 
+/// The first line of a results file.
 #[derive(Serialize)]
 struct Header<'a> {
     experiment: &'a str,
@@ -24,12 +25,12 @@
     peak_memory_kb: Option<u64>,
 }
 
-/// Prints the findings, the number passed and failed last; whether all passed.
+/// Prints the findings, followed by the numbers that passed and failed; returns whether none failed.
 pub fn print(experiment: &Experiment, seed: u64, outcome: &Outcome) -> bool {
     let gateways = &experiment.gateways;
     println!(
-        "{}: {} gateways before {} engines, seed {seed}, {} s played; {:.2}% of {} queries a second a gateway, \
-         {:.3} s of mean work each",
+        "{}: {} gateways and {} engines, seed {seed}, {} s simulated; {:.2}% of {} queries per second per gateway, \
+         mean work {:.3} s per query",
         experiment.name,
         gateways.count,
         experiment.engines.count,
@@ -58,7 +59,11 @@
     failed == 0
 }
 
-/// Writes the same as JSON lines: a header, then one record a finding.
+/// Writes a results file as JSON lines: a header, then one line per finding.
+///
+/// # Errors
+///
+/// Returns an error if the file cannot be created or written.
 pub fn write(
     path: &Path,
     experiment: &Experiment,
@@ -93,7 +98,7 @@
     file.write_all(b"\n")
 }
 
-/// The most memory that this process has had resident, where the system reports it.
+/// Returns the peak resident memory of this process in KiB, if the system reports it.
 pub fn peak_memory_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let peak = status.lines().find(|entry| entry.starts_with("VmHWM:"))?;
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -1,4 +1,4 @@
-//! The failures and changes of an experiment's script.
+//! Carries out the failures and changes of an experiment's script.
 
 use super::event::{EngineStep, Event};
 use super::experiment::{Action, ScriptStep};
@@ -7,15 +7,15 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// Seconds that a gateway's process is down when it is restarted.
+/// Downtime of a gateway's process during a restart.
 const GATEWAY_RESTART_SECONDS: f64 = 1.0;
-/// Seconds over which the gateways of a zone that is back start.
+/// Time over which the starts of a zone's gateways are spread when the zone is back.
 const ZONE_START_SPREAD_SECONDS: f64 = 1.0;
 
 impl Simulation {
     pub(super) fn run_script_step(&mut self, now: SimTime, step: usize) {
         let step = self.experiment.script[step].clone();
-        tracing::info!(at_seconds = now.seconds(), action = ?step.action, "script");
+        tracing::info!(at_seconds = now.seconds(), action = ?step.action, "script step started");
         match step.action {
             Action::RackLost => self.lose_rack(now, &step),
             Action::ZoneLost => self.lose_zone(now, &step),
@@ -47,7 +47,8 @@
         self.environment.judge.zone_lost(now);
     }
 
-    /// Engines fail without notice, and start again cold.
+    /// Stops engines without notice. They start again, cold, after `duration_seconds`, but not before the change log
+    /// has reported their loss.
     fn lose_engines(&mut self, now: SimTime, engines: &[usize], duration_seconds: f64) {
         let detection = self.experiment.engines.loss_detection;
         let reported_at = now.after(self.experiment.log.loss_report_delay);
@@ -76,6 +77,7 @@
             .push(now.after(step.duration_seconds), reconnected);
     }
 
+    /// Restarts all gateways in random order, the step's share of them at a time.
     fn restart_rolling(&mut self, now: SimTime, step: &ScriptStep) {
         let mut order: Vec<u32> = (0..self.gateways.len() as u32).collect();
         order.shuffle(&mut self.environment.random);
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Restarts all gateways, each at a random time within the step's duration.
     fn restart_all(&mut self, now: SimTime, step: &ScriptStep) {
         for gateway in 0..self.gateways.len() as u32 {
             let at = now.after(self.environment.random.random::<f64>() * step.duration_seconds);
@@ -110,6 +113,7 @@
         }
     }
 
+    /// Schedules a step for randomly chosen engines, at regular intervals within the script step's duration.
     fn schedule_engines(&mut self, now: SimTime, step: &ScriptStep, engine_step: EngineStep) {
         for (place, engine) in self.draw_engines(step.count).into_iter().enumerate() {
             let at = now.after(step.duration_seconds * place as f64 / step.count as f64);
@@ -128,12 +132,14 @@
         }
     }
 
+    /// Returns the numbers of the reachable engines at the wanted sites.
     fn engines_up(&self, wanted: impl Fn(&super::engine::Site) -> bool) -> Vec<usize> {
         let engines = self.environment.engines.iter().enumerate();
         let up = engines.filter(|(_, engine)| engine.reachable() && wanted(&engine.site));
         up.map(|(number, _)| number).collect()
     }
 
+    /// Returns up to `count` reachable engines, chosen at random.
     fn draw_engines(&mut self, count: usize) -> Vec<usize> {
         let mut engines = self.engines_up(|_| true);
         engines.shuffle(&mut self.environment.random);
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! The event loop: gateways and their environment, event by event.
+//! Runs the event loop of the simulation, and dispatches each event to the gateways and their environment.
 
 use super::clients::{self, Clients};
 use super::environment::Environment;
@@ -14,12 +14,12 @@
 use rand::{Rng, SeedableRng};
 use std::rc::Rc;
 
-/// All gateways start within this time at the beginning.
+/// The first starts of the gateways are spread over this time.
 const INITIAL_START_SPREAD_SECONDS: f64 = 0.5;
-/// From the notice to drain until an engine is replaced.
+/// Time from the start of an engine's drain to its replacement.
 const DRAIN_DEADLINE_SECONDS: f64 = 3.0;
 
-/// Gateways and their environment in simulated time.
+/// The state of a simulation.
 pub struct Simulation {
     pub(super) experiment: Rc<Experiment>,
     pub(super) gateways: Vec<Gateway>,
@@ -29,7 +29,9 @@
 /// The outcome of a run.
 pub struct Outcome {
     pub findings: Vec<Finding>,
+    /// Number of events that were scheduled.
     pub events: u64,
+    /// Mean work of a query in core seconds.
     pub mean_work: f64,
 }
 
@@ -56,6 +58,10 @@
     }
 
     /// Runs the experiment to its end.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the experiment's subset settings cannot be used.
     pub fn run(mut self) -> Result<Outcome, SubsetError> {
         let end = SimTime::from_seconds(self.experiment.seconds);
         self.schedule_beginning();
@@ -117,7 +123,7 @@
         Ok(())
     }
 
-    /// Handles an event of one process of a gateway, unless that process has ended.
+    /// Handles an event of a single gateway process; ignores it if that process has ended.
     fn handle_in_process(&mut self, now: SimTime, event: Event) {
         let Some(process) = event.process() else {
             return;
@@ -196,7 +202,7 @@
 
     // ---- the change log ----
 
-    /// Sends the latest entry to all gateways that the log reaches.
+    /// Schedules the delivery of the latest log entry to all running gateways that are connected to the log.
     fn announce(&mut self, now: SimTime, updates: &[super::change_log::EndpointUpdate]) {
         let sequence = self.environment.log.latest();
         self.environment.judge.published(now, sequence, updates);
@@ -218,7 +224,8 @@
         }
     }
 
-    /// The gateways of a region catch up, spread over the experiment's `resume` time.
+    /// Connects the gateways of a region to the log again. Each reads up to the latest entry after a random wait of at
+    /// most the experiment's `resume` time plus a delivery delay.
     fn region_reconnected(&mut self, now: SimTime, region: usize) {
         let resume = self.experiment.log.resume;
         let sequence = self.environment.log.latest() as u32;
@@ -247,7 +254,7 @@
     }
 }
 
-/// The gateway of a process, if that process still runs.
+/// Returns the gateway of a process if that process still runs.
 fn running_gateway(gateways: &mut [Gateway], process: ProcessId) -> Option<&mut Gateway> {
     gateways
         .get_mut(process.gateway as usize)
--- a/crates/scale/src/fleet/time.rs
+++ b/crates/scale/src/fleet/time.rs
@@ -1,8 +1,8 @@
-//! Simulated time in whole microseconds, so that the order of events never depends on rounding.
+//! Simulated time in whole microseconds, so that the order of events does not depend on rounding errors.
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A moment of the simulation.
+/// A point in simulated time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SimTime(u64);
 
@@ -18,12 +18,12 @@
         self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// The first moment at which `seconds` have passed; at least one microsecond later.
+    /// Returns the first point at which `seconds` have passed, at least one microsecond later than this one.
     pub fn after(self, seconds: f64) -> SimTime {
         SimTime(self.0 + ((seconds * MICROS_PER_SECOND).ceil() as u64).max(1))
     }
 
-    /// Seconds since an earlier moment; 0 if that is later.
+    /// Returns the seconds since `earlier`, or 0 if `earlier` is later than this point.
     pub fn since(self, earlier: SimTime) -> f64 {
         self.0.saturating_sub(earlier.0) as f64 / MICROS_PER_SECOND
     }
