--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The hollow fleet in small: it passes, the same seed gives the same run, and each injected fault is found where it belongs.
+//! Tests of the fleet simulation with small experiments: all findings pass, the seed determines the run, and each
+//! injected fault fails the finding that covers it.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -19,21 +20,22 @@
         .arg(experiment)
         .args(more)
         .output()
-        .expect("the program starts")
+        .expect("garnetwall-scale starts")
 }
 
 fn text(output: &Output) -> String {
-    String::from_utf8(output.stdout.clone()).expect("text")
+    String::from_utf8(output.stdout.clone()).expect("standard output is UTF-8")
 }
 
-/// An experiment with the text changed, as a file of this name.
+/// Writes a changed copy of an experiment to a temporary file; returns its path.
 fn changed(from: &str, name: &str, change: impl Fn(String) -> String) -> PathBuf {
-    let text = std::fs::read_to_string(experiment(from)).expect("the experiment");
+    let text = std::fs::read_to_string(experiment(from)).expect("the experiment is readable");
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-{name}.toml"));
-    std::fs::write(&path, change(text)).expect("a writable directory");
+    std::fs::write(&path, change(text)).expect("the temporary directory is writable");
     path
 }
 
+/// Asserts that a run with an injected fault fails the given finding.
 fn assert_found(from: &str, fault: &str, finding: &str) {
     let path = changed(from, fault, |text| format!("slip = \"{fault}\"\n{text}"));
     let output = play(&path, &[]);
@@ -41,7 +43,7 @@
     assert_eq!(output.status.code(), Some(1), "{fault}: {shown}");
     assert!(
         shown.contains(&format!("FAIL {finding}:")),
-        "{fault} is not found:\n{shown}"
+        "injected fault {fault} did not fail the expected finding:\n{shown}"
     );
 }
 
@@ -54,17 +56,17 @@
 }
 
 #[test]
-fn the_small_fleet_passes_and_says_so_last() {
+fn small_fleet_passes_and_the_summary_comes_last() {
     passes(SMALL);
 }
 
 #[test]
-fn cold_engines_under_more_demand_than_all_can_meet_pass() {
+fn small_fleet_with_cold_engines_passes_when_demand_exceeds_capacity() {
     passes(COLD);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run_and_another_does_not() {
+fn the_seed_determines_the_run() {
     let seeded = |seed| text(&play(&experiment(SMALL), &["--seed", seed]));
     let first = seeded("11");
     assert_eq!(first, seeded("11"));
@@ -72,14 +74,14 @@
 }
 
 #[test]
-fn results_are_json_lines_with_every_finding() {
+fn results_file_has_a_header_and_one_json_line_per_finding() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("fleet-results.jsonl");
     let output = play(
         &experiment(SMALL),
-        &["--results", path.to_str().expect("a path of text")],
+        &["--results", path.to_str().expect("the path is UTF-8")],
     );
-    let lines = std::fs::read_to_string(&path).expect("results");
-    let parse = |line| serde_json::from_str::<serde_json::Value>(line).expect("a JSON line");
+    let lines = std::fs::read_to_string(&path).expect("the results file is readable");
+    let parse = |line| serde_json::from_str::<serde_json::Value>(line).expect("the line is JSON");
     let values: Vec<serde_json::Value> = lines.lines().map(parse).collect();
     let shown = text(&output);
     let judged = shown
@@ -94,7 +96,7 @@
 }
 
 #[test]
-fn a_bad_experiment_is_reported_with_its_place() {
+fn an_invalid_experiment_is_rejected_with_the_key_at_fault() {
     for (name, from, to, place) in [
         ("no-engines", "count = 60", "count = 0", "engines.count"),
         ("no-such-zone", "which = 2", "which = 4", "script.which"),
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn injected_faults_against_one_answer_in_time_are_found() {
+fn repeated_answers_late_answers_and_attempts_after_the_answer_fail_rule_1() {
     assert_found(SMALL, "answer-twice", "rule 1, one final answer in time");
     assert_found(SMALL, "answer-late", "rule 1, one final answer in time");
     assert_found(
@@ -119,12 +121,12 @@
 }
 
 #[test]
-fn an_injected_fault_that_loses_answers_is_found() {
+fn lost_answers_fail_the_share_of_successful_queries() {
     assert_found(SMALL, "answers-lost", "queries that succeed");
 }
 
 #[test]
-fn an_injected_fault_that_sends_to_draining_engines_is_found() {
+fn attempts_at_draining_engines_fail_rule_3() {
     assert_found(
         SMALL,
         "send-to-draining",
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn injected_faults_against_cold_engines_are_found() {
+fn faults_in_slow_start_fail_the_findings_for_cold_engines() {
     assert_found(
         COLD,
         "holders-forgotten",
@@ -144,29 +146,29 @@
 }
 
 #[test]
-fn an_injected_fault_against_the_order_of_keys_is_found() {
+fn queries_of_a_key_out_of_order_fail_rule_5() {
     assert_found(SMALL, "order-forgotten", "rule 5, order of a key");
 }
 
 #[test]
-fn an_injected_fault_against_placement_is_found() {
+fn attempts_outside_the_zones_and_kinds_of_a_class_fail_rule_6() {
     assert_found(SMALL, "placement-forgotten", "rule 6, placement");
 }
 
 #[test]
-fn an_injected_fault_against_the_retry_budget_is_found() {
+fn retries_over_the_budget_fail_rule_7() {
     assert_found(SMALL, "budget-forgotten", "rule 7, retry budget");
 }
 
 #[test]
-fn injected_faults_against_subsets_are_found() {
+fn faults_in_subsets_fail_the_findings_for_spread_connections_and_refill() {
     assert_found(SMALL, "half-joined", "spread of work");
     assert_found(SMALL, "all-connected", "gateways an engine meets");
     assert_found(SMALL, "no-refill", "full subsets after a zone's loss");
 }
 
 #[test]
-fn injected_faults_against_the_change_log_are_found() {
+fn gateways_that_ignore_change_log_entries_fail_the_delivery_times() {
     assert_found(SMALL, "deaf", "time until known");
     assert_found(SMALL, "never-in-force", "time until in force");
 }
