--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -198,12 +198,12 @@
             );
             return None;
         }
-        let left = self.slots.leave(key)?;
-        if left.freed {
-            environment.judge.disconnected(gateway, left.engine);
-            return Some(removed_endpoint(left.slot));
+        let outcome = self.slots.leave(key)?;
+        if outcome.freed {
+            environment.judge.disconnected(gateway, outcome.engine);
+            return Some(removed_endpoint(outcome.slot));
         }
-        left.endpoint.map(|endpoint| Endpoint {
+        outcome.endpoint.map(|endpoint| Endpoint {
             state: EndpointState::Draining,
             ..endpoint
         })
@@ -219,7 +219,7 @@
         gateway: u32,
         environment: &mut Environment,
     ) {
-        let Some(settled) = self.slots.attempt_ended(open.slot) else {
+        let Some(outcome) = self.slots.attempt_ended(open.slot) else {
             return;
         };
         let failed = matches!(
@@ -228,9 +228,9 @@
         );
         if failed || end == AttemptEnd::Succeeded {
             self.membership
-                .attempted(now.seconds(), settled.key, failed);
+                .attempted(now.seconds(), outcome.key, failed);
         }
-        if settled.freed {
+        if outcome.freed {
             self.update_endpoints(&[removed_endpoint(open.slot)]);
             environment.judge.disconnected(gateway, open.engine);
         }
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -30,7 +30,7 @@
 }
 
 /// The outcome of [`Slots::leave`].
-pub struct Left {
+pub struct LeaveOutcome {
     pub slot: EngineId,
     pub engine: usize,
     /// Whether no attempt was in flight, so that the slot is free again.
@@ -39,7 +39,7 @@
 }
 
 /// The outcome of [`Slots::attempt_ended`].
-pub struct Settled {
+pub struct AttemptEndOutcome {
     pub key: EngineKey,
     /// Whether this was the last attempt in flight at a member that left, so that the slot is free again.
     pub freed: bool,
@@ -109,14 +109,14 @@
 
     /// Stops new attempts at an engine, and frees its slot if no attempt is in flight. Returns `None` if the engine has
     /// not joined.
-    pub fn leave(&mut self, key: EngineKey) -> Option<Left> {
+    pub fn leave(&mut self, key: EngineKey) -> Option<LeaveOutcome> {
         let (slot, member) = self.joined(key)?;
         member.joined = false;
         let (engine, freed, endpoint) = (member.engine, member.open == 0, member.endpoint);
         if freed {
             self.free_slot(slot);
         }
-        Some(Left {
+        Some(LeaveOutcome {
             slot,
             engine,
             freed,
@@ -126,14 +126,14 @@
 
     /// Counts an attempt at a slot as ended, and frees the slot if its member has left and this was the last attempt.
     /// Returns `None` if the slot is unused.
-    pub fn attempt_ended(&mut self, slot: EngineId) -> Option<Settled> {
+    pub fn attempt_ended(&mut self, slot: EngineId) -> Option<AttemptEndOutcome> {
         let member = self.get_mut(slot)?;
         member.open -= 1;
         let (key, freed) = (member.key, member.open == 0 && !member.joined);
         if freed {
             self.free_slot(slot);
         }
-        Some(Settled { key, freed })
+        Some(AttemptEndOutcome { key, freed })
     }
 
     fn free_slot(&mut self, slot: EngineId) {
