--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -135,7 +135,7 @@
     ) -> Option<Endpoint> {
         match action {
             Action::Connect(key) => {
-                self.warm(now, key, gateway, environment);
+                self.connect(now, key, gateway, environment);
                 None
             }
             Action::Join {
@@ -154,7 +154,13 @@
     }
 
     /// Connects to an engine that has not joined yet, and reports the outcome to the subset.
-    fn warm(&mut self, now: SimTime, key: EngineKey, gateway: u32, environment: &mut Environment) {
+    fn connect(
+        &mut self,
+        now: SimTime,
+        key: EngineKey,
+        gateway: u32,
+        environment: &mut Environment,
+    ) {
         let Some(engine) = self.list.engine(key) else {
             return;
         };
@@ -162,7 +168,7 @@
         if reached && !join_skipped(now, engine, environment) {
             environment.judge.connected(now, gateway, engine);
         }
-        self.membership.warmed(now.seconds(), key, reached);
+        self.membership.connect_ended(now.seconds(), key, reached);
     }
 
     fn join(
@@ -228,7 +234,7 @@
         );
         if failed || end == AttemptEnd::Succeeded {
             self.membership
-                .attempted(now.seconds(), outcome.key, failed);
+                .attempt_ended(now.seconds(), outcome.key, failed);
         }
         if outcome.freed {
             self.update_endpoints(&[removed_endpoint(open.slot)]);
--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -57,7 +57,7 @@
     }
 
     /// Reports whether the connection requested by [`Action::Connect`] was made.
-    pub fn warmed(&mut self, now: f64, engine: EngineKey, reached: bool) {
+    pub fn connect_ended(&mut self, now: f64, engine: EngineKey, reached: bool) {
         if let Membership::Subset(subset) = self {
             let outcome = if reached {
                 ConnectOutcome::Reached
@@ -69,7 +69,7 @@
     }
 
     /// Reports whether an attempt at an engine failed.
-    pub fn attempted(&mut self, now: f64, engine: EngineKey, failed: bool) {
+    pub fn attempt_ended(&mut self, now: f64, engine: EngineKey, failed: bool) {
         if let Membership::Subset(subset) = self {
             let outcome = if failed {
                 EngineOutcome::Failed
