--- a/crates/scale/src/fleet/membership.rs
+++ b/crates/scale/src/fleet/membership.rs
@@ -84,7 +84,7 @@
     pub fn poll(&mut self, now: f64, catalog: &Catalog) -> Vec<Action> {
         match self {
             Membership::Subset(subset) => subset.poll(now, catalog),
-            Membership::Whole(list) => std::mem::take(&mut list.due),
+            Membership::Whole(list) => std::mem::take(&mut list.pending),
         }
     }
 
@@ -114,7 +114,7 @@
     gateways: f64,
     members: BTreeSet<EngineKey>,
     /// Actions for the next poll.
-    due: Vec<Action>,
+    pending: Vec<Action>,
 }
 
 impl WholeList {
@@ -131,9 +131,9 @@
                 } else {
                     Action::Update { engine, holders }
                 };
-                self.due.push(action);
+                self.pending.push(action);
             } else if self.members.remove(&engine) {
-                self.due.push(Action::Leave(engine));
+                self.pending.push(Action::Leave(engine));
             }
         }
     }
