--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -37,8 +37,8 @@
 
 /// Whether an engine is still running after it received an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Received {
-    Runs,
+pub enum ReceiveOutcome {
+    Running,
     /// The attempt overloaded the cold engine; the caller has to end its process and all its attempts.
     Crashed,
 }
@@ -128,12 +128,12 @@
         now: SimTime,
         key: AttemptKey,
         work: f64,
-    ) -> (u64, Received) {
+    ) -> (u64, ReceiveOutcome) {
         self.advance(cold, now);
         let done_at = ((self.progress + work) * PROGRESS_UNITS_PER_CORE_SECOND) as u64;
         self.running.insert(RunningAttempt { done_at, key });
         if self.cold_age(cold, now).is_none() {
-            return (done_at, Received::Runs);
+            return (done_at, ReceiveOutcome::Running);
         }
         let sum = self.window.add(
             cold,
@@ -147,9 +147,9 @@
         let limit =
             cold_engine::limit_queries(cold_engine::budget(cold, self.site.cores, mean_work));
         let received = if sum.all > limit {
-            Received::Crashed
+            ReceiveOutcome::Crashed
         } else {
-            Received::Runs
+            ReceiveOutcome::Running
         };
         (done_at, received)
     }
--- a/crates/scale/src/fleet/engine/tests.rs
+++ b/crates/scale/src/fleet/engine/tests.rs
@@ -1,4 +1,4 @@
-use super::{AttemptKey, Engine, EngineState, Received, Site};
+use super::{AttemptKey, Engine, EngineState, ReceiveOutcome, Site};
 use crate::fleet::experiment::Cold;
 use crate::fleet::time::SimTime;
 
@@ -29,7 +29,7 @@
     SimTime::from_seconds(seconds)
 }
 
-fn receive(engine: &mut Engine, now: f64, query: u32, work: f64) -> (u64, Received) {
+fn receive(engine: &mut Engine, now: f64, query: u32, work: f64) -> (u64, ReceiveOutcome) {
     engine.receive(&COLD, MEAN_WORK, at(now), key(query), work)
 }
 
@@ -63,12 +63,12 @@
     let most = 6.0 + 2.0 * 6.0_f64.sqrt() + 2.0;
     let mut engine = Engine::new(SITE, Some(at(0.0)));
     let mut sent = 0;
-    while receive(&mut engine, 1.0, sent, 1.0).1 == Received::Runs {
+    while receive(&mut engine, 1.0, sent, 1.0).1 == ReceiveOutcome::Running {
         sent += 1;
     }
     assert_eq!(sent, most as u32);
     let mut warm = Engine::new(SITE, None);
-    assert!((0..100).all(|query| receive(&mut warm, 1.0, query, 1.0).1 == Received::Runs));
+    assert!((0..100).all(|query| receive(&mut warm, 1.0, query, 1.0).1 == ReceiveOutcome::Running));
 }
 
 #[test]
--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -2,7 +2,7 @@
 
 use super::change_log::{ChangeLog, EndpointUpdate};
 use super::clients::Demand;
-use super::engine::{Engine, EngineState, Received, Site};
+use super::engine::{Engine, EngineState, ReceiveOutcome, Site};
 use super::event::{EngineStep, Event};
 use super::event_queue::EventQueue;
 use super::experiment::Experiment;
@@ -87,8 +87,8 @@
             .connected(now, attempt.name.gateway, attempt.engine);
         self.judge.attempt_began(now, attempt);
         match received {
-            Received::Runs => self.schedule_engine(now, attempt.engine),
-            Received::Crashed => self.crash_engine(now, attempt.engine),
+            ReceiveOutcome::Running => self.schedule_engine(now, attempt.engine),
+            ReceiveOutcome::Crashed => self.crash_engine(now, attempt.engine),
         }
         Some(done_at)
     }
