--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -210,7 +210,7 @@
     }
 
     /// Makes a running engine silent, or a silent one answer again. Attempts make no progress while it is silent.
-    pub fn silence(&mut self, cold: &Cold, now: SimTime, silent: bool) {
+    pub fn set_silent(&mut self, cold: &Cold, now: SimTime, silent: bool) {
         self.advance(cold, now);
         self.state = match (self.state, silent) {
             (EngineState::Up, true) => EngineState::Silent,
--- a/crates/scale/src/fleet/engine/tests.rs
+++ b/crates/scale/src/fleet/engine/tests.rs
@@ -74,10 +74,10 @@
 #[test]
 fn a_silent_engine_accepts_attempts_and_finishes_none() {
     let mut engine = Engine::new(SITE, None);
-    engine.silence(&COLD, at(0.0), true);
+    engine.set_silent(&COLD, at(0.0), true);
     receive(&mut engine, 0.0, 0, 1.0);
     assert!(engine.reachable() && engine.finished(&COLD, at(50.0)).is_empty());
-    engine.silence(&COLD, at(50.0), false);
+    engine.set_silent(&COLD, at(50.0), false);
     assert_eq!(engine.finished(&COLD, at(51.0)), vec![key(0)]);
 }
 
--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -175,9 +175,9 @@
     }
 
     /// Makes an engine silent, or lets it answer again.
-    pub fn silence_engine(&mut self, now: SimTime, engine: usize, silent: bool) {
+    pub fn set_engine_silent(&mut self, now: SimTime, engine: usize, silent: bool) {
         self.judge.engine_disturbed(engine);
-        self.engines[engine].silence(&self.experiment.cold, now, silent);
+        self.engines[engine].set_silent(&self.experiment.cold, now, silent);
         self.schedule_engine(now, engine);
     }
 
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -123,7 +123,7 @@
 
     fn silence_engines(&mut self, now: SimTime, step: &ScriptStep) {
         for engine in self.draw_engines(step.count) {
-            self.environment.silence_engine(now, engine, true);
+            self.environment.set_engine_silent(now, engine, true);
             self.environment.plan(
                 now.after(step.duration_seconds),
                 engine,
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -168,7 +168,7 @@
             }
             EngineStep::Start => environment.start_engine(now, engine),
             EngineStep::Restart => environment.restart_engine(now, engine),
-            EngineStep::Respond => environment.silence_engine(now, engine, false),
+            EngineStep::Respond => environment.set_engine_silent(now, engine, false),
             EngineStep::Drain => {
                 environment.judge.engine_disturbed(engine);
                 environment.stage_update(now, engine, ListedState::Draining);
