--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -129,7 +129,7 @@
     pub fn restart_engine(&mut self, now: SimTime, engine: usize) {
         self.stop_engine(now, engine, 0.0);
         let up_at = now.after(self.experiment.engines.restart);
-        self.plan(up_at, engine, EngineStep::Start);
+        self.schedule_step(up_at, engine, EngineStep::Start);
     }
 
     /// Ends an engine's process. Gateways learn of the lost attempts after `detection` seconds.
@@ -182,7 +182,7 @@
     }
 
     /// Schedules a step of an engine.
-    pub fn plan(&mut self, at: SimTime, engine: usize, step: EngineStep) {
+    pub fn schedule_step(&mut self, at: SimTime, engine: usize, step: EngineStep) {
         self.queue.push(
             at,
             Event::EngineStep {
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -55,8 +55,8 @@
         for engine in engines {
             self.environment.stop_engine(now, *engine, detection);
             self.environment
-                .plan(reported_at, *engine, EngineStep::ReportRemoved);
-            self.environment.plan(
+                .schedule_step(reported_at, *engine, EngineStep::ReportRemoved);
+            self.environment.schedule_step(
                 now.after(duration_seconds).max(reported_at),
                 *engine,
                 EngineStep::Start,
@@ -87,7 +87,7 @@
             let at = now.after(step.duration_seconds * round as f64 / rounds as f64);
             gateways
                 .iter()
-                .for_each(|gateway| self.plan_restart(at, *gateway));
+                .for_each(|gateway| self.schedule_restart(at, *gateway));
         }
     }
 
@@ -95,11 +95,11 @@
     fn restart_all(&mut self, now: SimTime, step: &ScriptStep) {
         for gateway in 0..self.gateways.len() as u32 {
             let at = now.after(self.environment.random.random::<f64>() * step.duration_seconds);
-            self.plan_restart(at, gateway);
+            self.schedule_restart(at, gateway);
         }
     }
 
-    fn plan_restart(&mut self, at: SimTime, gateway: u32) {
+    fn schedule_restart(&mut self, at: SimTime, gateway: u32) {
         let down_for = GATEWAY_RESTART_SECONDS as f32;
         self.environment
             .queue
@@ -117,14 +117,14 @@
     fn schedule_engines(&mut self, now: SimTime, step: &ScriptStep, engine_step: EngineStep) {
         for (place, engine) in self.draw_engines(step.count).into_iter().enumerate() {
             let at = now.after(step.duration_seconds * place as f64 / step.count as f64);
-            self.environment.plan(at, engine, engine_step);
+            self.environment.schedule_step(at, engine, engine_step);
         }
     }
 
     fn silence_engines(&mut self, now: SimTime, step: &ScriptStep) {
         for engine in self.draw_engines(step.count) {
             self.environment.set_engine_silent(now, engine, true);
-            self.environment.plan(
+            self.environment.schedule_step(
                 now.after(step.duration_seconds),
                 engine,
                 EngineStep::Respond,
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -172,7 +172,7 @@
             EngineStep::Drain => {
                 environment.judge.engine_disturbed(engine);
                 environment.stage_update(now, engine, ListedState::Draining);
-                environment.plan(
+                environment.schedule_step(
                     now.after(DRAIN_DEADLINE_SECONDS),
                     engine,
                     EngineStep::Replace,
