--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -94,7 +94,7 @@
     }
 
     /// Consumes the wake-up scheduled for `now`; returns `false` if it was superseded by an earlier one.
-    pub fn wakes(&mut self, now: SimTime) -> bool {
+    pub fn wake_due(&mut self, now: SimTime) -> bool {
         let Some(process) = &mut self.process else {
             return false;
         };
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -30,7 +30,7 @@
     }
 
     fn lose_rack(&mut self, now: SimTime, step: &ScriptStep) {
-        let engines: Vec<usize> = self.engines_up(|site| site.rack == step.index);
+        let engines: Vec<usize> = self.reachable_engines(|site| site.rack == step.index);
         self.lose_engines(now, &engines, step.duration_seconds);
     }
 
@@ -42,7 +42,7 @@
                 + self.environment.random.random::<f64>() * ZONE_START_SPREAD_SECONDS;
             self.gateway_ends(now, gateway, down_for);
         }
-        let engines = self.engines_up(|site| site.zone == step.index);
+        let engines = self.reachable_engines(|site| site.zone == step.index);
         self.lose_engines(now, &engines, step.duration_seconds);
         self.environment.judge.zone_lost(now);
     }
@@ -133,7 +133,7 @@
     }
 
     /// Returns the numbers of the reachable engines at the wanted sites.
-    fn engines_up(&self, wanted: impl Fn(&super::engine::Site) -> bool) -> Vec<usize> {
+    fn reachable_engines(&self, wanted: impl Fn(&super::engine::Site) -> bool) -> Vec<usize> {
         let engines = self.environment.engines.iter().enumerate();
         let up = engines.filter(|(_, engine)| engine.reachable() && wanted(&engine.site));
         up.map(|(number, _)| number).collect()
@@ -141,7 +141,7 @@
 
     /// Returns up to `count` reachable engines, chosen at random.
     fn draw_engines(&mut self, count: usize) -> Vec<usize> {
-        let mut engines = self.engines_up(|_| true);
+        let mut engines = self.reachable_engines(|_| true);
         engines.shuffle(&mut self.environment.random);
         engines.truncate(count);
         engines
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -64,7 +64,7 @@
     /// Returns an error if the experiment's subset settings cannot be used.
     pub fn run(mut self) -> Result<Outcome, SubsetError> {
         let end = SimTime::from_seconds(self.experiment.seconds);
-        self.schedule_beginning();
+        self.schedule_initial_events();
         while let Some((now, event)) = self.environment.queue.pop() {
             if now > end {
                 break;
@@ -78,7 +78,7 @@
         })
     }
 
-    fn schedule_beginning(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for gateway in 0..self.gateways.len() as u32 {
             let at = SimTime::START.after(
                 self.environment
@@ -134,7 +134,7 @@
         let environment = &mut self.environment;
         match event {
             Event::Arrival { .. } => gateway.arrival(now, environment),
-            Event::Wake { .. } if gateway.wakes(now) => gateway.run_decisions(now, environment),
+            Event::Wake { .. } if gateway.wake_due(now) => gateway.run_decisions(now, environment),
             Event::Deliver { sequence, .. } if !gateway.disconnected_from_log => {
                 gateway.deliver(now, sequence as usize, environment)
             }
