--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -10,7 +10,7 @@
 
 /// The gateways connected to one engine.
 #[derive(Default)]
-struct EngineSide {
+struct EngineConnections {
     /// Whether the engine's process is running.
     running: bool,
     /// Gateways that are connected now.
@@ -23,7 +23,7 @@
 
 /// The engines that one gateway is connected to.
 #[derive(Clone, Default)]
-struct GatewaySide {
+struct GatewayConnections {
     up: bool,
     /// Number of connected engines whose process is running.
     live_engines: usize,
@@ -34,8 +34,8 @@
 /// Tracks which gateways are connected to which engines.
 pub struct Connections {
     experiment: Rc<Experiment>,
-    engines: Vec<EngineSide>,
-    gateways: Vec<GatewaySide>,
+    engines: Vec<EngineConnections>,
+    gateways: Vec<GatewayConnections>,
     /// Number of engines whose process is running.
     alive_engines: usize,
     /// Number of zone losses so far.
@@ -47,7 +47,7 @@
 
 impl Connections {
     pub fn new(experiment: Rc<Experiment>) -> Connections {
-        let gateways = vec![GatewaySide::default(); experiment.gateways.count];
+        let gateways = vec![GatewayConnections::default(); experiment.gateways.count];
         Connections {
             experiment,
             engines: Vec::new(),
@@ -59,7 +59,7 @@
     }
 
     /// Returns the number of engines in a full subset: the subset size, but at most the number of running engines.
-    fn full(&self) -> usize {
+    fn full_subset_size(&self) -> usize {
         let size = self
             .experiment
             .subset
@@ -69,10 +69,10 @@
     }
 
     pub fn engine_added(&mut self) {
-        self.engines.push(EngineSide {
+        self.engines.push(EngineConnections {
             running: true,
             gateways: GatewaySet::new(self.gateways.len()),
-            ..EngineSide::default()
+            ..EngineConnections::default()
         });
         self.alive_engines += 1;
     }
@@ -95,7 +95,7 @@
         connected
             .into_iter()
             .for_each(|engine| self.disconnected(gateway, engine));
-        self.gateways[gateway as usize] = GatewaySide::default();
+        self.gateways[gateway as usize] = GatewayConnections::default();
     }
 
     pub fn engine_stopped(&mut self, engine: usize) {
@@ -133,11 +133,11 @@
         if self.is_connected(gateway, engine) {
             return;
         }
-        let side = &mut self.engines[engine];
-        side.gateways.insert(gateway as usize);
-        side.connected += 1;
-        side.peak = side.peak.max(side.connected);
-        if side.running {
+        let connections = &mut self.engines[engine];
+        connections.gateways.insert(gateway as usize);
+        connections.connected += 1;
+        connections.peak = connections.peak.max(connections.connected);
+        if connections.running {
             self.gateways[gateway as usize].live_engines += 1;
             self.check_if_full(now, gateway as usize);
         }
@@ -147,24 +147,24 @@
         if !self.is_connected(gateway, engine) {
             return;
         }
-        let side = &mut self.engines[engine];
-        side.gateways.remove(gateway as usize);
-        side.connected -= 1;
-        if side.running {
+        let connections = &mut self.engines[engine];
+        connections.gateways.remove(gateway as usize);
+        connections.connected -= 1;
+        if connections.running {
             self.gateways[gateway as usize].live_engines -= 1;
         }
     }
 
     pub fn zone_lost(&mut self, now: SimTime) {
         self.lost_zones += 1;
-        let full = self.full();
-        for side in self
+        let full = self.full_subset_size();
+        for connections in self
             .gateways
             .iter_mut()
-            .filter(|side| side.up && side.refilling_since.is_none())
+            .filter(|connections| connections.up && connections.refilling_since.is_none())
         {
-            if side.live_engines < full {
-                side.refilling_since = Some(now);
+            if connections.live_engines < full {
+                connections.refilling_since = Some(now);
             } else {
                 self.refills.push(0.0);
             }
@@ -173,31 +173,31 @@
 
     /// Records the refill time of a gateway whose subset is full again.
     fn check_if_full(&mut self, now: SimTime, gateway: usize) {
-        let full = self.full();
-        let side = &mut self.gateways[gateway];
-        if side.live_engines < full {
+        let full = self.full_subset_size();
+        let connections = &mut self.gateways[gateway];
+        if connections.live_engines < full {
             return;
         }
-        if let Some(since) = side.refilling_since.take() {
+        if let Some(since) = connections.refilling_since.take() {
             self.refills.push(now.since(since));
         }
     }
 
     pub fn findings(&self, now: SimTime) -> Vec<Finding> {
-        vec![self.meets_finding(), self.refill_finding(now)]
+        vec![self.connections_finding(), self.refill_finding(now)]
     }
 
-    fn meets_finding(&self) -> Finding {
+    fn connections_finding(&self) -> Finding {
         let mut peaks: Vec<f64> = self
             .engines
             .iter()
             .map(|engine| f64::from(engine.peak))
             .collect();
         peaks.sort_by(f64::total_cmp);
-        let even =
-            self.gateways.len() as f64 * self.full() as f64 / self.alive_engines.max(1) as f64;
+        let even = self.gateways.len() as f64 * self.full_subset_size() as f64
+            / self.alive_engines.max(1) as f64;
         let max = quantile(&peaks, 1.0);
-        let unmet = self
+        let unconnected = self
             .engines
             .iter()
             .filter(|engine| engine.running && engine.connected == 0)
@@ -205,9 +205,9 @@
         let most = self.experiment.limits.meets_max;
         Finding::new(
             "gateways an engine meets",
-            max <= even * most && unmet == 0,
+            max <= even * most && unconnected == 0,
             format!(
-                "p50 {}, p99 {}, max {max} at once, {even:.0} if even; {unmet} engines meet none at the end; at most \
+                "p50 {}, p99 {}, max {max} at once, {even:.0} if even; {unconnected} engines meet none at the end; at most \
                  {most:.2} times even",
                 quantile(&peaks, 0.5),
                 quantile(&peaks, 0.99)
@@ -217,13 +217,16 @@
                 ("p99", quantile(&peaks, 0.99)),
                 ("max", max),
                 ("even", even),
-                ("unmet", unmet as f64),
+                ("unmet", unconnected as f64),
             ],
         )
     }
 
     fn refill_finding(&self, now: SimTime) -> Finding {
-        let waiting = self.gateways.iter().filter_map(|side| side.refilling_since);
+        let waiting = self
+            .gateways
+            .iter()
+            .filter_map(|connections| connections.refilling_since);
         let unfilled = waiting.map(|_| f64::INFINITY);
         let mut refills: Vec<f64> = self.refills.iter().copied().chain(unfilled).collect();
         refills.sort_by(f64::total_cmp);
