--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 /// The work that one engine received.
-struct Share {
+struct EngineWork {
     cores: f64,
     /// Work in core seconds since the end of the settling time.
     work: f64,
@@ -22,7 +22,7 @@
     experiment: Rc<Experiment>,
     /// End of the settling time.
     settled: SimTime,
-    engines: Vec<Share>,
+    engines: Vec<EngineWork>,
 }
 
 impl Spread {
@@ -36,7 +36,7 @@
     }
 
     pub fn engine_added(&mut self, site: Site) {
-        self.engines.push(Share {
+        self.engines.push(EngineWork {
             cores: site.cores,
             work: 0.0,
             undisturbed: true,
@@ -54,17 +54,17 @@
     }
 
     pub fn findings(&self) -> Vec<Finding> {
-        let undisturbed: Vec<&Share> = self
+        let undisturbed: Vec<&EngineWork> = self
             .engines
             .iter()
-            .filter(|share| share.undisturbed)
+            .filter(|engine| engine.undisturbed)
             .collect();
-        let cores: f64 = undisturbed.iter().map(|share| share.cores).sum();
-        let work: f64 = undisturbed.iter().map(|share| share.work).sum();
+        let cores: f64 = undisturbed.iter().map(|engine| engine.cores).sum();
+        let work: f64 = undisturbed.iter().map(|engine| engine.work).sum();
         let mean = (work / cores.max(f64::MIN_POSITIVE)).max(f64::MIN_POSITIVE);
         let mut ratios: Vec<f64> = undisturbed
             .iter()
-            .map(|share| share.work / share.cores / mean)
+            .map(|engine| engine.work / engine.cores / mean)
             .collect();
         ratios.sort_by(f64::total_cmp);
         let (median, p99, max) = (
