--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -19,7 +19,7 @@
 const START_ANNOUNCEMENT_LIMIT_SECONDS: f64 = 2.0;
 
 /// An engine that is still cold.
-struct Start {
+struct ColdStart {
     at: SimTime,
     window: ColdWindow,
     /// Work in core seconds received from notified gateways since the start.
@@ -29,7 +29,7 @@
 }
 
 /// An engine that stayed up until it was warm. Both shares are relative to its budget for the whole cold time.
-struct Warmed {
+struct CompletedColdStart {
     notified_share: f64,
     all_share: f64,
 }
@@ -39,8 +39,8 @@
     experiment: Rc<Experiment>,
     mean_work: f64,
     sites: Vec<Site>,
-    cold_since: BTreeMap<usize, Start>,
-    warmed: Vec<Warmed>,
+    in_progress: BTreeMap<usize, ColdStart>,
+    completed: Vec<CompletedColdStart>,
     /// Starts that the change log has not announced yet, by engine.
     unannounced_starts: BTreeMap<usize, SimTime>,
     starts: u64,
@@ -52,9 +52,9 @@
     max_announced_cold: usize,
     crashes: u64,
     /// Attempts with which a window exceeded its limit.
-    over: u64,
+    windows_over_limit: u64,
     /// Those of them where notified gateways sent more than [`NOTIFIED_SHARE_LIMIT`] of the window's work.
-    over_by_notified: u64,
+    windows_over_limit_by_notified: u64,
     /// Largest work of notified gateways in a window, relative to the window's limit.
     max_notified_fill: f64,
     /// Largest work of all gateways in a window, relative to the window's limit.
@@ -67,16 +67,16 @@
             experiment,
             mean_work,
             sites: Vec::new(),
-            cold_since: BTreeMap::new(),
-            warmed: Vec::new(),
+            in_progress: BTreeMap::new(),
+            completed: Vec::new(),
             unannounced_starts: BTreeMap::new(),
             starts: 0,
             announced_late: 0,
             announced_cold: BTreeSet::new(),
             max_announced_cold: 0,
             crashes: 0,
-            over: 0,
-            over_by_notified: 0,
+            windows_over_limit: 0,
+            windows_over_limit_by_notified: 0,
             max_notified_fill: 0.0,
             max_total_fill: 0.0,
         }
@@ -88,20 +88,20 @@
 
     pub fn started(&mut self, now: SimTime, engine: usize) {
         self.stopped(engine);
-        let start = Start {
+        let start = ColdStart {
             at: now,
             window: ColdWindow::default(),
             notified_work: 0.0,
             all_work: 0.0,
         };
-        self.cold_since.insert(engine, start);
+        self.in_progress.insert(engine, start);
         self.unannounced_starts.insert(engine, now);
         self.starts += 1;
     }
 
     /// Drops the cold start of an engine that stopped before it was warm. Its share of the budget would be incomplete.
     pub fn stopped(&mut self, engine: usize) {
-        self.cold_since.remove(&engine);
+        self.in_progress.remove(&engine);
         self.unannounced_starts.remove(&engine);
     }
 
@@ -139,11 +139,11 @@
         known: Option<KnownEndpoint>,
     ) {
         let cold = &self.experiment.cold;
-        let Some(start) = self.cold_since.get_mut(&attempt.engine) else {
+        let Some(start) = self.in_progress.get_mut(&attempt.engine) else {
             return;
         };
         if now.since(start.at) >= cold.warm_after {
-            self.warm_up(attempt.engine);
+            self.complete(attempt.engine);
             return;
         }
         let notified = known.is_some_and(|endpoint| endpoint.started == Some(start.at));
@@ -164,22 +164,23 @@
             self.mean_work,
         ));
         if sum.all > limit {
-            self.over += 1;
-            self.over_by_notified += u64::from(sum.notified > sum.all * NOTIFIED_SHARE_LIMIT);
+            self.windows_over_limit += 1;
+            self.windows_over_limit_by_notified +=
+                u64::from(sum.notified > sum.all * NOTIFIED_SHARE_LIMIT);
         }
         self.max_notified_fill = self.max_notified_fill.max(sum.notified / limit);
         self.max_total_fill = self.max_total_fill.max(sum.all / limit);
     }
 
-    /// Moves an engine that has become warm to `warmed`, with the shares of its budget that it received.
-    fn warm_up(&mut self, engine: usize) {
-        let Some(start) = self.cold_since.remove(&engine) else {
+    /// Moves an engine that has become warm to `completed`, with the shares of its budget that it received.
+    fn complete(&mut self, engine: usize) {
+        let Some(start) = self.in_progress.remove(&engine) else {
             return;
         };
         let cold = &self.experiment.cold;
         let budget = cold.multiple * cold.starts_at * self.sites[engine].cores * cold.warm_after;
         let (notified_share, all_share) = (start.notified_work / budget, start.all_work / budget);
-        self.warmed.push(Warmed {
+        self.completed.push(CompletedColdStart {
             notified_share,
             all_share,
         });
@@ -187,11 +188,11 @@
 
     pub fn findings(&mut self, now: SimTime) -> Vec<Finding> {
         let warm_after = self.experiment.cold.warm_after;
-        let warm = |(engine, start): (&usize, &Start)| {
+        let warm = |(engine, start): (&usize, &ColdStart)| {
             (now.since(start.at) >= warm_after).then_some(*engine)
         };
-        let warm: Vec<usize> = self.cold_since.iter().filter_map(warm).collect();
-        warm.into_iter().for_each(|engine| self.warm_up(engine));
+        let warm: Vec<usize> = self.in_progress.iter().filter_map(warm).collect();
+        warm.into_iter().for_each(|engine| self.complete(engine));
         vec![
             self.sum_finding(),
             self.share_finding(),
@@ -202,46 +203,46 @@
     fn sum_finding(&self) -> Finding {
         Finding::new(
             "rule 4, cold engines under the sum",
-            self.over_by_notified == 0,
+            self.windows_over_limit_by_notified == 0,
             format!(
                 "{} starts, {} falls; windows over budget and chance: {}, {} of them by gateways that were told; \
                  fullest window {:.2} by those told, {:.2} by all",
-                self.starts, self.crashes, self.over, self.over_by_notified, self.max_notified_fill, self.max_total_fill
+                self.starts, self.crashes, self.windows_over_limit, self.windows_over_limit_by_notified, self.max_notified_fill, self.max_total_fill
             ),
             &[
                 ("starts", self.starts as f64),
                 ("falls", self.crashes as f64),
-                ("over", self.over as f64),
-                ("over_by_told", self.over_by_notified as f64),
+                ("over", self.windows_over_limit as f64),
+                ("over_by_told", self.windows_over_limit_by_notified as f64),
                 ("fullest_told", self.max_notified_fill),
                 ("fullest_all", self.max_total_fill),
             ],
         )
     }
 
-    fn sorted_shares(&self, share: fn(&Warmed) -> f64) -> Vec<f64> {
-        let mut shares: Vec<f64> = self.warmed.iter().map(share).collect();
+    fn sorted_shares(&self, share: fn(&CompletedColdStart) -> f64) -> Vec<f64> {
+        let mut shares: Vec<f64> = self.completed.iter().map(share).collect();
         shares.sort_by(f64::total_cmp);
         shares
     }
 
     fn share_finding(&self) -> Finding {
-        let notified = self.sorted_shares(|warmed| warmed.notified_share);
-        let all = self.sorted_shares(|warmed| warmed.all_share);
+        let notified = self.sorted_shares(|start| start.notified_share);
+        let all = self.sorted_shares(|start| start.all_share);
         let (least, median) = (quantile(&notified, 0.0), quantile(&notified, 0.5));
         let (tenth, most) = (quantile(&notified, 0.1), quantile(&notified, 1.0));
         let needed = self.experiment.limits.cold_share_p50;
-        let held_against = needed.map_or("not judged".into(), |least| {
+        let requirement = needed.map_or("not judged".into(), |least| {
             format!("at least {least:.2} in the median")
         });
         let figure = format!(
             "{} cold times whole: got {median:.2} of the budget from gateways told (least {least:.2}, \
-                 p10 {tenth:.2}, most {most:.2}), {:.2} from all; {held_against}",
-            self.warmed.len(),
+                 p10 {tenth:.2}, most {most:.2}), {:.2} from all; {requirement}",
+            self.completed.len(),
             quantile(&all, 0.5)
         );
         let values = [
-            ("cold_times", self.warmed.len() as f64),
+            ("cold_times", self.completed.len() as f64),
             ("told_p50", median),
             ("told_least", least),
             ("told_p10", tenth),
@@ -252,7 +253,7 @@
         match needed {
             Some(needed) => Finding::new(
                 name,
-                !self.warmed.is_empty() && median >= needed,
+                !self.completed.is_empty() && median >= needed,
                 figure,
                 &values,
             ),
