--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -98,7 +98,7 @@
 
     pub fn delivered(&mut self, now: SimTime, gateway: u32, sequence: usize) {
         let reader = &mut self.readers[gateway as usize];
-        for published in entries(&self.published, reader.known, sequence) {
+        for published in publication_times(&self.published, reader.known, sequence) {
             match reader
                 .reconnected_at
                 .filter(|reconnected_at| *reconnected_at > published)
@@ -114,7 +114,7 @@
 
     pub fn in_force(&mut self, now: SimTime, gateway: u32, sequence: usize) {
         let reader = &mut self.readers[gateway as usize];
-        for published in entries(&self.published, reader.in_force, sequence) {
+        for published in publication_times(&self.published, reader.in_force, sequence) {
             if reader
                 .reconnected_at
                 .is_none_or(|reconnected_at| reconnected_at <= published)
@@ -180,7 +180,11 @@
 }
 
 /// Returns the publication times of the entries after `from`, up to and including `to`.
-fn entries(published: &[SimTime], from: usize, to: usize) -> impl Iterator<Item = SimTime> + '_ {
+fn publication_times(
+    published: &[SimTime],
+    from: usize,
+    to: usize,
+) -> impl Iterator<Item = SimTime> + '_ {
     published.iter().take(to + 1).skip(from + 1).copied()
 }
 
--- a/crates/scale/src/fleet/judge/mod.rs
+++ b/crates/scale/src/fleet/judge/mod.rs
@@ -127,8 +127,8 @@
         let known = self
             .endpoint_history
             .known(attempt.name.gateway, attempt.engine);
-        let seen_before = self.queries.attempt_began(attempt.name);
-        if seen_before > 0 {
+        let earlier_attempts = self.queries.attempt_began(attempt.name);
+        if earlier_attempts > 0 {
             self.retries.retried(now, attempt.name.gateway);
         }
         if let Some(key) = attempt.key {
--- a/crates/scale/src/fleet/judge/placement.rs
+++ b/crates/scale/src/fleet/judge/placement.rs
@@ -15,7 +15,7 @@
     sites: Vec<Site>,
     attempts: u64,
     /// Attempts of classes that are restricted to zones or kinds.
-    bound: u64,
+    restricted: u64,
     to_draining: u64,
     /// Attempts at engines that the gateway knew to be removed, or did not know at all.
     to_removed: u64,
@@ -29,7 +29,7 @@
             experiment,
             sites: Vec::new(),
             attempts: 0,
-            bound: 0,
+            restricted: 0,
             to_draining: 0,
             to_removed: 0,
             misplaced: 0,
@@ -49,14 +49,14 @@
         }
         let site = self.sites[attempt.engine];
         let class = &self.experiment.classes[attempt.class];
-        let open = |allowed: &Option<Vec<u32>>, found: usize| {
+        let allows = |allowed: &Option<Vec<u32>>, found: usize| {
             allowed
                 .as_ref()
                 .is_none_or(|list| list.contains(&(found as u32)))
         };
-        self.bound += u64::from(class.zones.is_some() || class.kinds.is_some());
+        self.restricted += u64::from(class.zones.is_some() || class.kinds.is_some());
         self.misplaced +=
-            u64::from(!open(&class.zones, site.zone) || !open(&class.kinds, site.kind));
+            u64::from(!allows(&class.zones, site.zone) || !allows(&class.kinds, site.kind));
     }
 
     pub fn announcement_finding(&self) -> Finding {
@@ -81,10 +81,10 @@
             self.misplaced == 0,
             format!(
                 "{} attempts of bound classes: {} misplaced",
-                self.bound, self.misplaced
+                self.restricted, self.misplaced
             ),
             &[
-                ("bound", self.bound as f64),
+                ("bound", self.restricted as f64),
                 ("misplaced", self.misplaced as f64),
             ],
         )
--- a/crates/scale/src/fleet/judge/queries.rs
+++ b/crates/scale/src/fleet/judge/queries.rs
@@ -35,7 +35,7 @@
     rejected: u64,
     failed: u64,
     /// Queries whose gateway ended before it answered them.
-    broken: u64,
+    interrupted: u64,
     /// Answers after the deadline.
     late: u64,
     /// Answers to queries that are no longer open.
@@ -52,7 +52,7 @@
             succeeded: 0,
             rejected: 0,
             failed: 0,
-            broken: 0,
+            interrupted: 0,
             late: 0,
             repeated: 0,
             attempts_after_answer: 0,
@@ -100,9 +100,9 @@
             gateway,
             query: u32::MAX,
         };
-        let broken: Vec<QueryName> = self.open.range(all).map(|(name, _)| *name).collect();
-        self.broken += broken.len() as u64;
-        for name in broken {
+        let interrupted: Vec<QueryName> = self.open.range(all).map(|(name, _)| *name).collect();
+        self.interrupted += interrupted.len() as u64;
+        for name in interrupted {
             self.open.remove(&name);
         }
     }
@@ -137,7 +137,7 @@
                 self.late,
                 self.repeated,
                 self.attempts_after_answer,
-                self.broken,
+                self.interrupted,
                 self.open.len()
             ),
             &[
@@ -146,7 +146,7 @@
                 ("late", self.late as f64),
                 ("repeated", self.repeated as f64),
                 ("sent_after", self.attempts_after_answer as f64),
-                ("broken", self.broken as f64),
+                ("broken", self.interrupted as f64),
             ],
         )
     }
--- a/crates/scale/src/fleet/judge/retries.rs
+++ b/crates/scale/src/fleet/judge/retries.rs
@@ -19,9 +19,9 @@
     windows: Vec<Window>,
     retries: u64,
     /// Retries beyond the budget.
-    over: u64,
+    over_budget: u64,
     /// Largest share of a budget that was used; over 1 if a budget was exceeded.
-    fullest: f64,
+    max_budget_share: f64,
 }
 
 impl Retries {
@@ -33,29 +33,29 @@
             experiment,
             windows,
             retries: 0,
-            over: 0,
-            fullest: 0.0,
+            over_budget: 0,
+            max_budget_share: 0.0,
         }
     }
 
     pub fn query_arrived(&mut self, now: SimTime, gateway: u32) {
         let span = self.experiment.retries.window;
         let queries = &mut self.windows[gateway as usize].queries;
-        forget(queries, now, span);
+        remove_expired(queries, now, span);
         queries.push_back(now);
     }
 
     pub fn retried(&mut self, now: SimTime, gateway: u32) {
         let budget = &self.experiment.retries;
         let window = &mut self.windows[gateway as usize];
-        forget(&mut window.queries, now, budget.window);
-        forget(&mut window.retries, now, budget.window);
+        remove_expired(&mut window.queries, now, budget.window);
+        remove_expired(&mut window.retries, now, budget.window);
         window.retries.push_back(now);
         let most = budget.floor + budget.per_query * window.queries.len() as f64;
         let used = window.retries.len() as f64;
         self.retries += 1;
-        self.over += u64::from(used > most);
-        self.fullest = self.fullest.max(used / most);
+        self.over_budget += u64::from(used > most);
+        self.max_budget_share = self.max_budget_share.max(used / most);
     }
 
     /// Clears the window of a gateway that ended, because its next process has a budget of its own.
@@ -66,22 +66,22 @@
     pub fn finding(&self) -> Finding {
         Finding::new(
             "rule 7, retry budget",
-            self.over == 0,
+            self.over_budget == 0,
             format!(
                 "{} retries, {} over the budget; at most {:.2} of a budget used",
-                self.retries, self.over, self.fullest
+                self.retries, self.over_budget, self.max_budget_share
             ),
             &[
                 ("retries", self.retries as f64),
-                ("over", self.over as f64),
-                ("fullest", self.fullest),
+                ("over", self.over_budget as f64),
+                ("fullest", self.max_budget_share),
             ],
         )
     }
 }
 
 /// Removes the times that have left a window of `span` seconds that ends at `now`.
-fn forget(times: &mut VecDeque<SimTime>, now: SimTime, span: f64) {
+fn remove_expired(times: &mut VecDeque<SimTime>, now: SimTime, span: f64) {
     while times.front().is_some_and(|first| now.since(*first) >= span) {
         times.pop_front();
     }
