--- a/crates/scale/src/fleet/change_log.rs
+++ b/crates/scale/src/fleet/change_log.rs
@@ -86,7 +86,7 @@
     pub restarted: Vec<EngineKey>,
     pub list: Rc<ListState>,
     /// Version of the configuration as of this entry.
-    pub configuration: u64,
+    pub configuration_version: u64,
 }
 
 /// The entries published so far. Entry 0 holds the initial endpoint list.
@@ -104,7 +104,7 @@
             changes: Vec::new(),
             restarted: Vec::new(),
             list: Rc::new(list),
-            configuration: 0,
+            configuration_version: 0,
         };
         ChangeLog {
             entries: vec![first],
@@ -134,13 +134,14 @@
         let updates: Vec<EndpointUpdate> =
             std::mem::take(&mut self.pending).into_values().collect();
         let before = &self.entries[self.latest()];
-        let (mut list, configuration) = (ListState::clone(&before.list), before.configuration);
+        let (mut list, configuration_version) =
+            (ListState::clone(&before.list), before.configuration_version);
         let ListChange { changes, restarted } = list.apply(&updates);
         self.entries.push(Entry {
             changes,
             restarted,
             list: Rc::new(list),
-            configuration,
+            configuration_version,
         });
         updates
     }
@@ -152,7 +153,7 @@
             changes: Vec::new(),
             restarted: Vec::new(),
             list: Rc::clone(&before.list),
-            configuration: before.configuration + 1,
+            configuration_version: before.configuration_version + 1,
         };
         self.entries.push(entry);
     }
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -23,21 +23,24 @@
         let Some(process) = &mut self.process else {
             return;
         };
-        if process.read >= sequence {
+        if process.read_up_to >= sequence {
             return;
         }
-        let configuration_before = environment.log.entry(process.read).configuration;
+        let previous_configuration_version = environment
+            .log
+            .entry(process.read_up_to)
+            .configuration_version;
         let mut changes: Vec<Change> = Vec::new();
         let mut restarted: Vec<EngineKey> = Vec::new();
-        for number in process.read + 1..=sequence {
+        for number in process.read_up_to + 1..=sequence {
             let entry = environment.log.entry(number);
             changes.extend(entry.changes.iter().cloned());
             restarted.extend(entry.restarted.iter().copied());
         }
         let latest = environment.log.entry(sequence);
-        process.read = sequence;
+        process.read_up_to = sequence;
         process.list = Rc::clone(&latest.list);
-        if latest.configuration != configuration_before {
+        if latest.configuration_version != previous_configuration_version {
             let settings = module_settings(&environment.experiment);
             process.controller.update_classes(&settings.classes);
         }
--- a/crates/scale/src/fleet/gateway/mod.rs
+++ b/crates/scale/src/fleet/gateway/mod.rs
@@ -60,12 +60,14 @@
         environment: &mut Environment,
     ) -> Result<(), SubsetError> {
         let process = Process::start(now, self.number, self.zone, seed, environment)?;
-        let read = process.read;
+        let read_up_to = process.read_up_to;
         let initial_changes = process.list.as_changes();
         self.process = Some(process);
         self.incarnation += 1;
         self.running = true;
-        environment.judge.gateway_started(now, self.number, read);
+        environment
+            .judge
+            .gateway_started(now, self.number, read_up_to);
         self.change_members(now, &initial_changes, environment);
         if environment.injects(InjectedFault::AllConnected) {
             for engine in 0..environment.engines.len() {
--- a/crates/scale/src/fleet/gateway/process.rs
+++ b/crates/scale/src/fleet/gateway/process.rs
@@ -40,10 +40,10 @@
 pub(super) struct Process {
     pub controller: AdmissionController,
     pub membership: Membership,
-    /// The endpoint list as of the log entry `read`.
+    /// The endpoint list as of the log entry `read_up_to`.
     pub list: Rc<ListState>,
     /// Number of the last change log entry that was read.
-    pub read: usize,
+    pub read_up_to: usize,
     pub slots: Slots,
     pub queries: BTreeMap<QueryId, OpenQuery>,
     /// Response timeouts of the attempts in flight, earliest first.
@@ -61,12 +61,12 @@
         environment: &Environment,
     ) -> Result<Process, SubsetError> {
         let experiment = &environment.experiment;
-        let read = environment.log.latest();
+        let read_up_to = environment.log.latest();
         Ok(Process {
             controller: AdmissionController::new(module_settings(experiment), seed, now.seconds()),
             membership: Membership::new(experiment, gateway as usize, zone)?,
-            list: Rc::clone(&environment.log.entry(read).list),
-            read,
+            list: Rc::clone(&environment.log.entry(read_up_to).list),
+            read_up_to,
             slots: Slots::default(),
             queries: BTreeMap::new(),
             deadlines: BTreeSet::new(),
