--- a/crates/scale/src/least_squares.rs
+++ b/crates/scale/src/least_squares.rs
@@ -12,8 +12,8 @@
 impl LeastSquares {
     /// Fits a line through points `(x, y)`; returns `None` for fewer than two distinct values of `x`.
     pub fn through(points: &[(f64, f64)]) -> Option<LeastSquares> {
-        let squares = squares_of_x(points);
-        if points.len() < 2 || squares <= 0.0 {
+        let squared_deviations = sum_of_squared_deviations(points);
+        if points.len() < 2 || squared_deviations <= 0.0 {
             return None;
         }
         let mean_x = mean(points.iter().map(|(x, _)| *x));
@@ -22,7 +22,7 @@
             .iter()
             .map(|(x, y)| (x - mean_x) * (y - mean_y))
             .sum();
-        let slope = covariance / squares;
+        let slope = covariance / squared_deviations;
         let mut fitted = LeastSquares {
             slope,
             intercept: mean_y - slope * mean_x,
@@ -42,12 +42,12 @@
     pub fn slope_error(&self, points: &[(f64, f64)]) -> f64 {
         let residuals: f64 = points.iter().map(|(x, y)| (y - self.at(*x)).powi(2)).sum();
         let degrees_of_freedom = points.len().saturating_sub(2).max(1) as f64;
-        (residuals / degrees_of_freedom / squares_of_x(points)).sqrt()
+        (residuals / degrees_of_freedom / sum_of_squared_deviations(points)).sqrt()
     }
 }
 
 /// Returns the sum of the squared deviations of all `x` from their mean.
-fn squares_of_x(points: &[(f64, f64)]) -> f64 {
+fn sum_of_squared_deviations(points: &[(f64, f64)]) -> f64 {
     let mean = mean(points.iter().map(|(x, _)| *x));
     points.iter().map(|(x, _)| (x - mean).powi(2)).sum()
 }
