--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -22,7 +22,7 @@
 struct Files {
     path: PathBuf,
     json: BufWriter<File>,
-    table: csv::Writer<File>,
+    csv: csv::Writer<File>,
 }
 
 impl Results {
@@ -35,14 +35,14 @@
         let Some(path) = path else {
             return Ok(Results { files: None });
         };
-        let table_path = path.with_extension("csv");
+        let csv_path = path.with_extension("csv");
         let json = BufWriter::new(create(path)?);
-        let table = csv::Writer::from_writer(create(&table_path)?);
+        let csv = csv::Writer::from_writer(create(&csv_path)?);
         Ok(Results {
             files: Some(Files {
                 path: path.into(),
                 json,
-                table,
+                csv,
             }),
         })
     }
@@ -68,8 +68,8 @@
         serde_json::to_writer(&mut self.json, row)?;
         self.json.write_all(b"\n")?;
         self.json.flush()?;
-        self.table.serialize(row).map_err(io::Error::other)?;
-        self.table.flush()
+        self.csv.serialize(row).map_err(io::Error::other)?;
+        self.csv.flush()
     }
 }
 
