--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -59,14 +59,14 @@
 pub fn check_range(
     key: &str,
     found: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     remedy: &'static str,
 ) -> Result<(), InvalidValue> {
-    if found >= least && found <= most {
+    if found >= min && found <= max {
         return Ok(());
     }
-    let expected = format!("from {least} to {most}");
+    let expected = format!("from {min} to {max}");
     Err(InvalidValue::new(key, found, expected, remedy))
 }
 
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -281,7 +281,7 @@
         ];
         durations
             .into_iter()
-            .try_for_each(|(place, seconds)| within(place, seconds, 0.0, MAX_SECONDS))
+            .try_for_each(|(key, seconds)| within(key, seconds, 0.0, MAX_SECONDS))
     }
 
     fn check_rules(&self) -> Result<(), InvalidValue> {
@@ -344,14 +344,14 @@
 
 impl QueryClass {
     fn check(&self) -> Result<(), InvalidValue> {
-        let place = |field| format!("classes, {}: {field}", self.name);
-        within(&place("share"), self.share, 1e-6, 1e6)?;
-        within(&place("work"), self.work, 1e-6, 1e6)?;
-        within(&place("deadline"), self.deadline, 0.1, MAX_SECONDS)
+        let key = |field| format!("classes, {}: {field}", self.name);
+        within(&key("share"), self.share, 1e-6, 1e6)?;
+        within(&key("work"), self.work, 1e-6, 1e6)?;
+        within(&key("deadline"), self.deadline, 0.1, MAX_SECONDS)
     }
 }
 
-fn within(place: &str, found: f64, least: f64, most: f64) -> Result<(), InvalidValue> {
+fn within(key: &str, found: f64, min: f64, max: f64) -> Result<(), InvalidValue> {
     let remedy = "see docs/scale.md, section fleet, for the range of each field";
-    check_range(place, found, least, most, remedy)
+    check_range(key, found, min, max, remedy)
 }
