--- a/crates/scale/src/fleet/cold_engine.rs
+++ b/crates/scale/src/fleet/cold_engine.rs
@@ -1,6 +1,6 @@
 //! Computes how much work a cold engine can receive before it crashes.
 
-use super::experiment::Cold;
+use super::experiment::SlowStartSettings;
 use super::time::SimTime;
 use std::collections::VecDeque;
 
@@ -40,7 +40,12 @@
     }
 
     /// Adds an attempt, drops those that have left the window, and returns the sums over the window.
-    pub fn add(&mut self, cold: &Cold, mean_work: f64, attempt: ColdWork) -> WindowSum {
+    pub fn add(
+        &mut self,
+        cold: &SlowStartSettings,
+        mean_work: f64,
+        attempt: ColdWork,
+    ) -> WindowSum {
         while self
             .attempts
             .front()
@@ -64,7 +69,7 @@
 }
 
 /// Returns the budget of a cold engine for one window, in multiples of the mean work of a query.
-pub fn budget(cold: &Cold, cores: f64, mean_work: f64) -> f64 {
+pub fn budget(cold: &SlowStartSettings, cores: f64, mean_work: f64) -> f64 {
     cold.multiple * cold.window * cold.starts_at * cores / mean_work
 }
 
@@ -75,7 +80,7 @@
 }
 
 /// Returns the number of cores that an engine can use `age` seconds after its start.
-pub fn effective_cores(cold: &Cold, cores: f64, age: f64) -> f64 {
+pub fn effective_cores(cold: &SlowStartSettings, cores: f64, age: f64) -> f64 {
     let warmed = (age / cold.warm_after).clamp(0.0, 1.0);
     cores * (cold.starts_at + (1.0 - cold.starts_at) * warmed)
 }
--- a/crates/scale/src/fleet/engine.rs
+++ b/crates/scale/src/fleet/engine.rs
@@ -1,7 +1,7 @@
 //! Simulates an engine: its attempts share its cores, and a cold engine is slower and crashes when overloaded.
 
 use super::cold_engine::{self, ColdWindow, ColdWork};
-use super::experiment::Cold;
+use super::experiment::SlowStartSettings;
 use super::identifiers::AttemptKey;
 use super::time::SimTime;
 use std::collections::BTreeSet;
@@ -87,26 +87,26 @@
     }
 
     /// Returns the seconds since the start of a cold engine; `None` if the engine is warm.
-    fn cold_age(&self, cold: &Cold, now: SimTime) -> Option<f64> {
+    fn cold_age(&self, cold: &SlowStartSettings, now: SimTime) -> Option<f64> {
         self.started
             .map(|started| now.since(started))
             .filter(|age| *age < cold.warm_after)
     }
 
     /// Returns the number of cores that the engine can use now, which is reduced while it is cold.
-    pub fn effective_cores(&self, cold: &Cold, now: SimTime) -> f64 {
+    pub fn effective_cores(&self, cold: &SlowStartSettings, now: SimTime) -> f64 {
         let age = self.cold_age(cold, now).unwrap_or(cold.warm_after);
         cold_engine::effective_cores(cold, self.site.cores, age)
     }
 
     /// Returns the share (0 to 1) of the usable cores that are busy. Each attempt uses at most one core.
-    pub fn utilisation(&self, cold: &Cold, now: SimTime) -> f64 {
+    pub fn utilisation(&self, cold: &SlowStartSettings, now: SimTime) -> f64 {
         (self.running.len() as f64 / self.effective_cores(cold, now)).min(1.0)
     }
 
     /// Returns the core seconds that each attempt receives per second, at most 1; 0 unless the engine is up and has
     /// attempts.
-    fn speed(&self, cold: &Cold, now: SimTime) -> f64 {
+    fn speed(&self, cold: &SlowStartSettings, now: SimTime) -> f64 {
         if self.state != EngineState::Up || self.running.is_empty() {
             return 0.0;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Updates the progress to the time `now`.
-    fn advance(&mut self, cold: &Cold, now: SimTime) {
+    fn advance(&mut self, cold: &SlowStartSettings, now: SimTime) {
         self.progress += now.since(self.updated) * self.speed(cold, self.updated);
         self.updated = now;
     }
@@ -123,7 +123,7 @@
     /// [`Engine::withdraw`] needs, and whether the engine survives.
     pub fn receive(
         &mut self,
-        cold: &Cold,
+        cold: &SlowStartSettings,
         mean_work: f64,
         now: SimTime,
         key: AttemptKey,
@@ -155,13 +155,19 @@
     }
 
     /// Removes an attempt; returns whether it was still running.
-    pub fn withdraw(&mut self, cold: &Cold, now: SimTime, done_at: u64, key: AttemptKey) -> bool {
+    pub fn withdraw(
+        &mut self,
+        cold: &SlowStartSettings,
+        now: SimTime,
+        done_at: u64,
+        key: AttemptKey,
+    ) -> bool {
         self.advance(cold, now);
         self.running.remove(&RunningAttempt { done_at, key })
     }
 
     /// Removes and returns the attempts that are done.
-    pub fn finished(&mut self, cold: &Cold, now: SimTime) -> Vec<AttemptKey> {
+    pub fn finished(&mut self, cold: &SlowStartSettings, now: SimTime) -> Vec<AttemptKey> {
         self.advance(cold, now);
         let done =
             (self.progress * PROGRESS_UNITS_PER_CORE_SECOND) as u64 + COMPLETION_TOLERANCE_UNITS;
@@ -178,7 +184,7 @@
 
     /// Returns when the next event is due: when the next attempt is done, but while the engine is cold at most
     /// [`WARMUP_STEP_SECONDS`] from now. Returns `None` if no attempt makes progress.
-    pub fn next_due(&self, cold: &Cold, now: SimTime) -> Option<SimTime> {
+    pub fn next_due(&self, cold: &SlowStartSettings, now: SimTime) -> Option<SimTime> {
         let speed = self.speed(cold, now);
         let first = self.running.first().filter(|_| speed > 0.0)?;
         let left = (first.done_at as f64 / PROGRESS_UNITS_PER_CORE_SECOND - self.progress).max(0.0)
@@ -192,7 +198,12 @@
     }
 
     /// Ends the process, sets `state`, and returns the attempts that were running.
-    pub fn stop(&mut self, cold: &Cold, now: SimTime, state: EngineState) -> Vec<AttemptKey> {
+    pub fn stop(
+        &mut self,
+        cold: &SlowStartSettings,
+        now: SimTime,
+        state: EngineState,
+    ) -> Vec<AttemptKey> {
         self.advance(cold, now);
         self.state = state;
         std::mem::take(&mut self.running)
@@ -210,7 +221,7 @@
     }
 
     /// Makes a running engine silent, or a silent one answer again. Attempts make no progress while it is silent.
-    pub fn set_silent(&mut self, cold: &Cold, now: SimTime, silent: bool) {
+    pub fn set_silent(&mut self, cold: &SlowStartSettings, now: SimTime, silent: bool) {
         self.advance(cold, now);
         self.state = match (self.state, silent) {
             (EngineState::Up, true) => EngineState::Silent,
--- a/crates/scale/src/fleet/engine/tests.rs
+++ b/crates/scale/src/fleet/engine/tests.rs
@@ -1,8 +1,8 @@
 use super::{AttemptKey, Engine, EngineState, ReceiveOutcome, Site};
-use crate::fleet::experiment::Cold;
+use crate::fleet::experiment::SlowStartSettings;
 use crate::fleet::time::SimTime;
 
-const COLD: Cold = Cold {
+const COLD: SlowStartSettings = SlowStartSettings {
     starts_at: 0.5,
     warm_after: 10.0,
     multiple: 3.0,
--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -26,7 +26,7 @@
     pub topology: Topology,
     /// Subset settings; without them each gateway uses every engine of the endpoint list.
     pub subset: Option<SubsetTable>,
-    pub cold: Cold,
+    pub cold: SlowStartSettings,
     pub retries: Retries,
     pub log: Log,
     pub classes: Vec<QueryClass>,
@@ -94,7 +94,7 @@
 /// cores can do in that time. A cold engine that receives more, beyond a tolerance, crashes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cold {
+pub struct SlowStartSettings {
     pub starts_at: f64,
     pub warm_after: f64,
     pub multiple: f64,
