--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -40,12 +40,12 @@
         outcome.mean_work
     );
     for finding in &outcome.findings {
-        let word = match finding.passed {
+        let status = match finding.passed {
             Some(true) => "ok  ",
             Some(false) => "FAIL",
             None => "--  ",
         };
-        println!("{word} {}: {}", finding.name, finding.figure);
+        println!("{status} {}: {}", finding.name, finding.figure);
     }
     let count = |verdict| {
         outcome
