--- a/crates/scale/src/fleet/environment.rs
+++ b/crates/scale/src/fleet/environment.rs
@@ -19,7 +19,7 @@
 /// Endpoint updates are collected for this time and then published as one entry of the change log.
 const PUBLISH_INTERVAL_SECONDS: f64 = 0.1;
 
-/// The surroundings of the gateways in a simulation.
+/// Everything in a simulation except the gateways.
 pub struct Environment {
     pub experiment: Rc<Experiment>,
     pub engines: Vec<Engine>,
--- a/crates/scale/src/fleet/gateway/attempts.rs
+++ b/crates/scale/src/fleet/gateway/attempts.rs
@@ -1,5 +1,4 @@
-//! The lifecycle of attempts: placement, sending, and the end by the engine, the network, a timeout or the decision
-//! module.
+//! Places, sends and ends attempts. An attempt is ended by its engine, the network, a timeout or the decision module.
 
 use super::process::OpenAttempt;
 use super::Gateway;
@@ -51,7 +50,8 @@
         }
     }
 
-    /// Asks the decision module to place a query, and sends the attempt or gives the final answer accordingly.
+    /// Asks the decision module to place a query. Depending on its decision, sends an attempt, gives the final answer
+    /// or leaves the query waiting.
     pub(super) fn place(&mut self, now: SimTime, id: QueryId, environment: &mut Environment) {
         let Some(process) = &mut self.process else {
             return;
--- a/crates/scale/src/fleet/gateway/fault_injection.rs
+++ b/crates/scale/src/fleet/gateway/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults that an experiment injects into a gateway, to test that the judge detects them.
+//! Implements faults that an experiment injects into gateways, to test that the judge detects them.
 
 use super::process::OpenQuery;
 use super::Gateway;
@@ -8,11 +8,11 @@
 use crate::fleet::judge::{QueryName, SeenAttempt};
 use crate::fleet::time::SimTime;
 
-/// A fault that affects only some gateways affects those whose number is a multiple of this.
+/// Faults limited to some gateways affect those whose number is a multiple of this.
 pub(super) const FAULTY_GATEWAY_INTERVAL: u32 = 10;
-/// A fault that affects only some queries affects those whose number is a multiple of this.
+/// Faults limited to some queries affect those whose number is a multiple of this.
 pub(super) const FAULTY_QUERY_INTERVAL: u32 = 100;
-/// Time from a query's deadline to an answer that a fault delays.
+/// How long after a query's deadline the fault `AnswerLate` gives the answer.
 pub(super) const FAULTY_LATENESS_SECONDS: f64 = 1.0;
 
 impl Gateway {
--- a/crates/scale/src/fleet/judge/changes.rs
+++ b/crates/scale/src/fleet/judge/changes.rs
@@ -32,9 +32,9 @@
     /// Publication time of each entry; entry 0 is the initial endpoint list.
     published: Vec<SimTime>,
     readers: Vec<Reader>,
-    /// Microseconds from publication until read, except for entries in `after_reconnect`.
+    /// Microseconds from publication until read, without the deliveries in `after_reconnect`.
     known: Histogram<u64>,
-    /// Microseconds from publication until in force.
+    /// Microseconds from publication until in force, without entries published before a gateway's reconnection.
     in_force: Histogram<u64>,
     /// Microseconds from a gateway's reconnection until it has read an entry published before the reconnection.
     after_reconnect: Histogram<u64>,
--- a/crates/scale/src/fleet/judge/cold_starts.rs
+++ b/crates/scale/src/fleet/judge/cold_starts.rs
@@ -53,7 +53,7 @@
     crashes: u64,
     /// Attempts with which a window exceeded its limit.
     windows_over_limit: u64,
-    /// Those of them where notified gateways sent more than [`NOTIFIED_SHARE_LIMIT`] of the window's work.
+    /// The part of `windows_over_limit` where notified gateways sent more than [`NOTIFIED_SHARE_LIMIT`] of the work.
     windows_over_limit_by_notified: u64,
     /// Largest work of notified gateways in a window, relative to the window's limit.
     max_notified_fill: f64,
@@ -207,7 +207,12 @@
             format!(
                 "{} starts, {} falls; windows over budget and chance: {}, {} of them by gateways that were told; \
                  fullest window {:.2} by those told, {:.2} by all",
-                self.starts, self.crashes, self.windows_over_limit, self.windows_over_limit_by_notified, self.max_notified_fill, self.max_total_fill
+                self.starts,
+                self.crashes,
+                self.windows_over_limit,
+                self.windows_over_limit_by_notified,
+                self.max_notified_fill,
+                self.max_total_fill
             ),
             &[
                 ("starts", self.starts as f64),
--- a/crates/scale/src/fleet/judge/connections.rs
+++ b/crates/scale/src/fleet/judge/connections.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Records the refill time of a gateway whose subset is full again.
+    /// Records the refill time of a gateway if its subset has become full again.
     fn check_if_full(&mut self, now: SimTime, gateway: usize) {
         let full = self.full_subset_size();
         let connections = &mut self.gateways[gateway];
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -42,7 +42,7 @@
     let outcome = Simulation::new(experiment.clone(), seed).run()?;
     let wall = began.elapsed();
     eprintln!(
-        "simulated {} events in {:.1} s; peak memory {} MB",
+        "scheduled {} events in {:.1} s; peak memory {} MB",
         outcome.events,
         wall.as_secs_f64(),
         report::peak_memory_kb().unwrap_or(0) / 1024
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -202,7 +202,8 @@
 
     // ---- the change log ----
 
-    /// Schedules the delivery of the latest log entry to all running gateways that are connected to the log.
+    /// Reports the publication of the latest log entry to the judge, and schedules its delivery to all running gateways
+    /// that are connected to the log.
     fn announce(&mut self, now: SimTime, updates: &[super::change_log::EndpointUpdate]) {
         let sequence = self.environment.log.latest();
         self.environment.judge.published(now, sequence, updates);
--- a/crates/scale/src/fleet/slots.rs
+++ b/crates/scale/src/fleet/slots.rs
@@ -6,7 +6,7 @@
 use garnetwall_subset::EngineKey;
 use std::collections::HashMap;
 
-/// An engine that has a slot.
+/// An engine that occupies a slot.
 pub struct Member {
     pub key: EngineKey,
     /// The engine's number in the simulation.
