--- a/crates/scale/src/fleet/experiment.rs
+++ b/crates/scale/src/fleet/experiment.rs
@@ -125,7 +125,7 @@
     pub resume: f64,
 }
 
-/// A query class.
+/// A query class, its share of the queries and its placement constraints.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryClass {
