--- a/crates/scale/src/fleet/engine/tests.rs
+++ b/crates/scale/src/fleet/engine/tests.rs
@@ -1,8 +1,8 @@
-use super::{AttemptKey, Engine, EngineState, Received, Site};
-use crate::fleet::experiment::Cold;
+use super::{AttemptKey, Engine, EngineState, ReceiveOutcome, Site};
+use crate::fleet::experiment::SlowStartSettings;
 use crate::fleet::time::SimTime;
 
-const COLD: Cold = Cold {
+const COLD: SlowStartSettings = SlowStartSettings {
     starts_at: 0.5,
     warm_after: 10.0,
     multiple: 3.0,
@@ -29,12 +29,12 @@
     SimTime::from_seconds(seconds)
 }
 
-fn receive(engine: &mut Engine, now: f64, query: u32, work: f64) -> (u64, Received) {
+fn receive(engine: &mut Engine, now: f64, query: u32, work: f64) -> (u64, ReceiveOutcome) {
     engine.receive(&COLD, MEAN_WORK, at(now), key(query), work)
 }
 
 #[test]
-fn attempts_share_the_cores() {
+fn attempts_share_the_cores_equally() {
     let mut engine = Engine::new(SITE, None);
     for query in 0..4 {
         receive(&mut engine, 0.0, query, 1.0);
@@ -57,31 +57,32 @@
 }
 
 #[test]
-fn a_cold_engine_falls_when_its_window_is_over_budget_and_chance() {
-    // The budget is 3 x 2 s x half of two cores = 6 queries, and 2 roots and 2 queries on top.
+fn a_cold_engine_crashes_when_a_window_exceeds_budget_and_tolerance() {
+    // The budget is 3 x 2 s x half of two cores = 6 queries. The tolerance adds two standard deviations (the square
+    // root of the budget each) and 2 queries.
     let most = 6.0 + 2.0 * 6.0_f64.sqrt() + 2.0;
     let mut engine = Engine::new(SITE, Some(at(0.0)));
     let mut sent = 0;
-    while receive(&mut engine, 1.0, sent, 1.0).1 == Received::Runs {
+    while receive(&mut engine, 1.0, sent, 1.0).1 == ReceiveOutcome::Running {
         sent += 1;
     }
     assert_eq!(sent, most as u32);
     let mut warm = Engine::new(SITE, None);
-    assert!((0..100).all(|query| receive(&mut warm, 1.0, query, 1.0).1 == Received::Runs));
+    assert!((0..100).all(|query| receive(&mut warm, 1.0, query, 1.0).1 == ReceiveOutcome::Running));
 }
 
 #[test]
-fn a_silent_engine_takes_attempts_and_finishes_none() {
+fn a_silent_engine_accepts_attempts_and_finishes_none() {
     let mut engine = Engine::new(SITE, None);
-    engine.silence(&COLD, at(0.0), true);
+    engine.set_silent(&COLD, at(0.0), true);
     receive(&mut engine, 0.0, 0, 1.0);
     assert!(engine.reachable() && engine.finished(&COLD, at(50.0)).is_empty());
-    engine.silence(&COLD, at(50.0), false);
+    engine.set_silent(&COLD, at(50.0), false);
     assert_eq!(engine.finished(&COLD, at(51.0)), vec![key(0)]);
 }
 
 #[test]
-fn a_stopped_engine_breaks_all_and_starts_cold() {
+fn a_stopped_engine_ends_all_attempts_and_starts_cold() {
     let mut engine = Engine::new(SITE, None);
     receive(&mut engine, 0.0, 0, 9.0);
     assert_eq!(engine.stop(&COLD, at(1.0), EngineState::Down), vec![key(0)]);
--- a/crates/scale/src/fleet/gateway/endpoints.rs
+++ b/crates/scale/src/fleet/gateway/endpoints.rs
@@ -1,4 +1,4 @@
-//! From the change log to the engines that the module may use: reads entries, and carries out the subset's actions.
+//! Reads change log entries, carries out the subset's actions, and updates the decision module's endpoints.
 
 use super::fault_injection::join_skipped;
 use super::process::{OpenAttempt, Process};
@@ -11,11 +11,11 @@
 use garnetwall_subset::{Action, Change, EngineKey};
 use std::rc::Rc;
 
-/// Rounds of warming and joining at one moment.
+/// Maximum number of times that the subset is polled at one moment; a completed connection can cause further actions.
 const MAX_MEMBERSHIP_ROUNDS: usize = 64;
 
 impl Gateway {
-    /// Reads the change log up to an entry.
+    /// Reads the change log up to the entry `sequence`, and puts the changes in force.
     pub fn deliver(&mut self, now: SimTime, sequence: usize, environment: &mut Environment) {
         if self.has_fault(InjectedFault::Deaf, environment) {
             return;
@@ -23,21 +23,24 @@
         let Some(process) = &mut self.process else {
             return;
         };
-        if process.read >= sequence {
+        if process.read_up_to >= sequence {
             return;
         }
-        let configuration_before = environment.log.entry(process.read).configuration;
+        let previous_configuration_version = environment
+            .log
+            .entry(process.read_up_to)
+            .configuration_version;
         let mut changes: Vec<Change> = Vec::new();
         let mut restarted: Vec<EngineKey> = Vec::new();
-        for number in process.read + 1..=sequence {
+        for number in process.read_up_to + 1..=sequence {
             let entry = environment.log.entry(number);
             changes.extend(entry.changes.iter().cloned());
             restarted.extend(entry.restarted.iter().copied());
         }
         let latest = environment.log.entry(sequence);
-        process.read = sequence;
+        process.read_up_to = sequence;
         process.list = Rc::clone(&latest.list);
-        if latest.configuration != configuration_before {
+        if latest.configuration_version != previous_configuration_version {
             let settings = module_settings(&environment.experiment);
             process.controller.update_classes(&settings.classes);
         }
@@ -65,7 +68,7 @@
         self.apply_membership(now, environment);
     }
 
-    /// Carries out the subset's actions until there are none.
+    /// Polls the subset and carries out its actions until none are due.
     pub(super) fn apply_membership(&mut self, now: SimTime, environment: &mut Environment) {
         let Some(process) = &mut self.process else {
             return;
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Updates the module on members whose process was started again.
+    /// Passes the new start times of restarted members to the decision module.
     fn update_restarted(&mut self, restarted: &[EngineKey]) {
         let Some(process) = &mut self.process else {
             return;
@@ -106,7 +109,8 @@
         }
     }
 
-    /// The endpoint by which the module knows a member.
+    /// Builds and stores the endpoint that describes a member to the decision module. Returns `None` if the engine is
+    /// not listed or has not joined.
     fn endpoint_of(&mut self, key: EngineKey) -> Option<Endpoint> {
         let facts = self.list.catalog.facts(key)?;
         let (slot, member) = self.slots.joined(key)?;
@@ -123,7 +127,8 @@
         Some(endpoint)
     }
 
-    /// Carries out one action of the subset; returns the endpoint to update the module with.
+    /// Carries out one action of the subset. Returns the endpoint that the decision module has to be updated with, if
+    /// any.
     fn apply(
         &mut self,
         now: SimTime,
@@ -133,7 +138,7 @@
     ) -> Option<Endpoint> {
         match action {
             Action::Connect(key) => {
-                self.warm(now, key, gateway, environment);
+                self.connect(now, key, gateway, environment);
                 None
             }
             Action::Join {
@@ -151,8 +156,14 @@
         }
     }
 
-    /// Connects to an engine before it is joined.
-    fn warm(&mut self, now: SimTime, key: EngineKey, gateway: u32, environment: &mut Environment) {
+    /// Connects to an engine that has not joined yet, and reports the outcome to the subset.
+    fn connect(
+        &mut self,
+        now: SimTime,
+        key: EngineKey,
+        gateway: u32,
+        environment: &mut Environment,
+    ) {
         let Some(engine) = self.list.engine(key) else {
             return;
         };
@@ -160,7 +171,7 @@
         if reached && !join_skipped(now, engine, environment) {
             environment.judge.connected(now, gateway, engine);
         }
-        self.membership.warmed(now.seconds(), key, reached);
+        self.membership.connect_ended(now.seconds(), key, reached);
     }
 
     fn join(
@@ -182,7 +193,7 @@
         self.endpoint_of(key)
     }
 
-    /// Removes a member, or drains it while attempts at it are in flight.
+    /// Removes a member, or marks it as draining while attempts at it are in flight.
     fn leave(
         &mut self,
         key: EngineKey,
@@ -190,21 +201,25 @@
         environment: &mut Environment,
     ) -> Option<Endpoint> {
         if environment.injects(InjectedFault::SendToDraining) {
-            tracing::debug!(engine = key.0, "an injected fault keeps the engine");
+            tracing::debug!(
+                engine = key.0,
+                "an injected fault keeps an engine that left the subset"
+            );
             return None;
         }
-        let left = self.slots.leave(key)?;
-        if left.freed {
-            environment.judge.disconnected(gateway, left.engine);
-            return Some(removed_endpoint(left.slot));
+        let outcome = self.slots.leave(key)?;
+        if outcome.freed {
+            environment.judge.disconnected(gateway, outcome.engine);
+            return Some(removed_endpoint(outcome.slot));
         }
-        left.endpoint.map(|endpoint| Endpoint {
+        outcome.endpoint.map(|endpoint| Endpoint {
             state: EndpointState::Draining,
             ..endpoint
         })
     }
 
-    /// Reports an attempt's end to the subset, and removes a member that left once nothing at it is in flight.
+    /// Reports the end of an attempt to the subset, and removes the member if it has left and this was its last attempt
+    /// in flight.
     pub(super) fn release(
         &mut self,
         now: SimTime,
@@ -213,7 +228,7 @@
         gateway: u32,
         environment: &mut Environment,
     ) {
-        let Some(settled) = self.slots.attempt_ended(open.slot) else {
+        let Some(outcome) = self.slots.attempt_ended(open.slot) else {
             return;
         };
         let failed = matches!(
@@ -222,16 +237,17 @@
         );
         if failed || end == AttemptEnd::Succeeded {
             self.membership
-                .attempted(now.seconds(), settled.key, failed);
+                .attempt_ended(now.seconds(), outcome.key, failed);
         }
-        if settled.freed {
+        if outcome.freed {
             self.update_endpoints(&[removed_endpoint(open.slot)]);
             environment.judge.disconnected(gateway, open.engine);
         }
     }
 }
 
-/// The endpoint of an unused slot. Without a start time the module forgets what it knew of the slot's last engine.
+/// Returns the endpoint that marks a slot as unused. It has no start time, so that the decision module discards its
+/// state for the slot's previous engine.
 fn removed_endpoint(slot: usize) -> Endpoint {
     Endpoint {
         engine: slot,
--- a/crates/scale/src/fleet/judge/spread.rs
+++ b/crates/scale/src/fleet/judge/spread.rs
@@ -1,4 +1,4 @@
-//! How evenly the work is spread over the engines that no fault disturbed, weighted by their cores.
+//! Judges how evenly the work per core is spread over the engines that ran undisturbed during the whole run.
 
 use super::attempt::SeenAttempt;
 use super::finding::Finding;
@@ -8,17 +8,21 @@
 use crate::statistics::quantile;
 use std::rc::Rc;
 
-struct Share {
+/// The work that one engine received.
+struct EngineWork {
     cores: f64,
+    /// Work in core seconds since the end of the settling time.
     work: f64,
+    /// Whether the engine was neither started, stopped, drained nor silent during the run.
     undisturbed: bool,
 }
 
-/// Sums the work of each engine.
+/// Sums the work that each engine receives after the settling time.
 pub struct Spread {
     experiment: Rc<Experiment>,
+    /// End of the settling time.
     settled: SimTime,
-    engines: Vec<Share>,
+    engines: Vec<EngineWork>,
 }
 
 impl Spread {
@@ -32,7 +36,7 @@
     }
 
     pub fn engine_added(&mut self, site: Site) {
-        self.engines.push(Share {
+        self.engines.push(EngineWork {
             cores: site.cores,
             work: 0.0,
             undisturbed: true,
@@ -50,17 +54,17 @@
     }
 
     pub fn findings(&self) -> Vec<Finding> {
-        let undisturbed: Vec<&Share> = self
+        let undisturbed: Vec<&EngineWork> = self
             .engines
             .iter()
-            .filter(|share| share.undisturbed)
+            .filter(|engine| engine.undisturbed)
             .collect();
-        let cores: f64 = undisturbed.iter().map(|share| share.cores).sum();
-        let work: f64 = undisturbed.iter().map(|share| share.work).sum();
+        let cores: f64 = undisturbed.iter().map(|engine| engine.cores).sum();
+        let work: f64 = undisturbed.iter().map(|engine| engine.work).sum();
         let mean = (work / cores.max(f64::MIN_POSITIVE)).max(f64::MIN_POSITIVE);
         let mut ratios: Vec<f64> = undisturbed
             .iter()
-            .map(|share| share.work / share.cores / mean)
+            .map(|engine| engine.work / engine.cores / mean)
             .collect();
         ratios.sort_by(f64::total_cmp);
         let (median, p99, max) = (
--- a/crates/scale/src/fleet/script.rs
+++ b/crates/scale/src/fleet/script.rs
@@ -1,4 +1,4 @@
-//! The failures and changes of an experiment's script.
+//! Carries out the failures and changes of an experiment's script.
 
 use super::event::{EngineStep, Event};
 use super::experiment::{Action, ScriptStep};
@@ -7,15 +7,15 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// Seconds that a gateway's process is down when it is restarted.
+/// Downtime of a gateway's process during a restart.
 const GATEWAY_RESTART_SECONDS: f64 = 1.0;
-/// Seconds over which the gateways of a zone that is back start.
+/// Time over which the starts of a zone's gateways are spread when the zone is back.
 const ZONE_START_SPREAD_SECONDS: f64 = 1.0;
 
 impl Simulation {
     pub(super) fn run_script_step(&mut self, now: SimTime, step: usize) {
         let step = self.experiment.script[step].clone();
-        tracing::info!(at_seconds = now.seconds(), action = ?step.action, "script");
+        tracing::info!(at_seconds = now.seconds(), action = ?step.action, "script step started");
         match step.action {
             Action::RackLost => self.lose_rack(now, &step),
             Action::ZoneLost => self.lose_zone(now, &step),
@@ -30,7 +30,7 @@
     }
 
     fn lose_rack(&mut self, now: SimTime, step: &ScriptStep) {
-        let engines: Vec<usize> = self.engines_up(|site| site.rack == step.index);
+        let engines: Vec<usize> = self.reachable_engines(|site| site.rack == step.index);
         self.lose_engines(now, &engines, step.duration_seconds);
     }
 
@@ -42,20 +42,21 @@
                 + self.environment.random.random::<f64>() * ZONE_START_SPREAD_SECONDS;
             self.gateway_ends(now, gateway, down_for);
         }
-        let engines = self.engines_up(|site| site.zone == step.index);
+        let engines = self.reachable_engines(|site| site.zone == step.index);
         self.lose_engines(now, &engines, step.duration_seconds);
         self.environment.judge.zone_lost(now);
     }
 
-    /// Engines fail without notice, and start again cold.
+    /// Stops engines without notice. They start again, cold, after `duration_seconds`, but not before the change log
+    /// has reported their loss.
     fn lose_engines(&mut self, now: SimTime, engines: &[usize], duration_seconds: f64) {
         let detection = self.experiment.engines.loss_detection;
         let reported_at = now.after(self.experiment.log.loss_report_delay);
         for engine in engines {
             self.environment.stop_engine(now, *engine, detection);
             self.environment
-                .plan(reported_at, *engine, EngineStep::ReportRemoved);
-            self.environment.plan(
+                .schedule_step(reported_at, *engine, EngineStep::ReportRemoved);
+            self.environment.schedule_step(
                 now.after(duration_seconds).max(reported_at),
                 *engine,
                 EngineStep::Start,
@@ -76,6 +77,7 @@
             .push(now.after(step.duration_seconds), reconnected);
     }
 
+    /// Restarts all gateways in random order, the step's share of them at a time.
     fn restart_rolling(&mut self, now: SimTime, step: &ScriptStep) {
         let mut order: Vec<u32> = (0..self.gateways.len() as u32).collect();
         order.shuffle(&mut self.environment.random);
@@ -85,18 +87,19 @@
             let at = now.after(step.duration_seconds * round as f64 / rounds as f64);
             gateways
                 .iter()
-                .for_each(|gateway| self.plan_restart(at, *gateway));
+                .for_each(|gateway| self.schedule_restart(at, *gateway));
         }
     }
 
+    /// Restarts all gateways, each at a random time within the step's duration.
     fn restart_all(&mut self, now: SimTime, step: &ScriptStep) {
         for gateway in 0..self.gateways.len() as u32 {
             let at = now.after(self.environment.random.random::<f64>() * step.duration_seconds);
-            self.plan_restart(at, gateway);
+            self.schedule_restart(at, gateway);
         }
     }
 
-    fn plan_restart(&mut self, at: SimTime, gateway: u32) {
+    fn schedule_restart(&mut self, at: SimTime, gateway: u32) {
         let down_for = GATEWAY_RESTART_SECONDS as f32;
         self.environment
             .queue
@@ -110,17 +113,18 @@
         }
     }
 
+    /// Schedules a step for randomly chosen engines, at regular intervals within the script step's duration.
     fn schedule_engines(&mut self, now: SimTime, step: &ScriptStep, engine_step: EngineStep) {
         for (place, engine) in self.draw_engines(step.count).into_iter().enumerate() {
             let at = now.after(step.duration_seconds * place as f64 / step.count as f64);
-            self.environment.plan(at, engine, engine_step);
+            self.environment.schedule_step(at, engine, engine_step);
         }
     }
 
     fn silence_engines(&mut self, now: SimTime, step: &ScriptStep) {
         for engine in self.draw_engines(step.count) {
-            self.environment.silence_engine(now, engine, true);
-            self.environment.plan(
+            self.environment.set_engine_silent(now, engine, true);
+            self.environment.schedule_step(
                 now.after(step.duration_seconds),
                 engine,
                 EngineStep::Respond,
@@ -128,14 +132,16 @@
         }
     }
 
-    fn engines_up(&self, wanted: impl Fn(&super::engine::Site) -> bool) -> Vec<usize> {
+    /// Returns the numbers of the reachable engines at the wanted sites.
+    fn reachable_engines(&self, wanted: impl Fn(&super::engine::Site) -> bool) -> Vec<usize> {
         let engines = self.environment.engines.iter().enumerate();
         let up = engines.filter(|(_, engine)| engine.reachable() && wanted(&engine.site));
         up.map(|(number, _)| number).collect()
     }
 
+    /// Returns up to `count` reachable engines, chosen at random.
     fn draw_engines(&mut self, count: usize) -> Vec<usize> {
-        let mut engines = self.engines_up(|_| true);
+        let mut engines = self.reachable_engines(|_| true);
         engines.shuffle(&mut self.environment.random);
         engines.truncate(count);
         engines
