--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -253,15 +253,15 @@
 }
 
 struct Surroundings {
-    engine: Engine,
-    log: ChangeLog,
+    engine: FakeEngine,
+    log: FakeChangeLog,
 }
 
 impl Surroundings {
     fn new() -> Surroundings {
         Surroundings {
-            engine: Engine::start(),
-            log: ChangeLog::start(),
+            engine: FakeEngine::start(),
+            log: FakeChangeLog::start(),
         }
     }
 
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -201,7 +201,7 @@
 
 /// A gateway with body storage.
 struct BodyStorageGateway {
-    service: Service,
+    test_bed: TestBed,
     engine: CountingEngine,
     log: PathBuf,
 }
@@ -220,7 +220,7 @@
         std::fs::write(&plan, format!("bodies store {{\n{entries}\n}}\n")).unwrap();
         let engine = CountingEngine::start();
         let at = engine.address;
-        let service = Service::start_with_launcher(
+        let test_bed = TestBed::start_with_launcher(
             |config| {
                 config["known"]["results"][0]["fleet"]["servers"][0]["addr"] =
                     json!(at.to_string());
@@ -244,14 +244,14 @@
             },
         );
         BodyStorageGateway {
-            service,
+            test_bed,
             engine,
             log,
         }
     }
 
     fn send(&self, class: &str, body: &[u8]) -> Answer {
-        let stream = self.service.open();
+        let stream = self.test_bed.open();
         let headers = request_headers(&new_id(), 60_000);
         let head = format!(
             "POST /v1/{class} HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {}\r\n\r\n",
@@ -269,7 +269,7 @@
     /// The gateway's peak resident memory in MiB.
     fn peak_memory_mib(&self) -> usize {
         let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.service.child.id())).unwrap();
+            std::fs::read_to_string(format!("/proc/{}/status", self.test_bed.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
         line.split_whitespace()
             .nth(1)
@@ -307,7 +307,7 @@
     let peak = gateway.peak_memory_mib();
     assert!(peak < 64, "{peak} MiB at the most, of 64");
     println!("{peak} MiB at the most");
-    gateway.service.signal("TERM");
+    gateway.test_bed.signal("TERM");
     wait_until("the counts", || {
         std::fs::read_to_string(&gateway.log)
             .unwrap()
@@ -438,7 +438,7 @@
     let gateway = BodyStorageGateway::start(FILES, "");
     for size in [600 * KIB, 5 * MIB] {
         let before = gateway.engine.received().len();
-        let stream = gateway.service.open();
+        let stream = gateway.test_bed.open();
         let headers = request_headers(&new_id(), 60_000);
         let head = format!(
             "POST /v1/load HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {}\r\n\r\n",
@@ -469,7 +469,7 @@
 #[test]
 fn client_disconnect_frees_the_engine_at_once() {
     let gateway = BodyStorageGateway::start(FILES, "");
-    let stream = gateway.service.open();
+    let stream = gateway.test_bed.open();
     let headers = request_headers(&new_id(), 60_000);
     let head = format!(
         "POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {}\r\n\r\n",
@@ -502,7 +502,7 @@
         );
         for (to, allowed) in [(&gateway, true), (&without_unknown_length, false)] {
             let before = to.engine.received().len();
-            let stream = to.service.open();
+            let stream = to.test_bed.open();
             let mut out = stream.try_clone().unwrap();
             let sent = out.write_all(text.as_bytes()).and_then(|()| {
                 body.chunks(30_000).try_for_each(|chunk| {
--- a/crates/gateway/tests/closing.rs
+++ b/crates/gateway/tests/closing.rs
@@ -24,8 +24,8 @@
 }
 
 /// Opens a connection and gets one answer on it.
-fn keep_alive_connection(service: &Service) -> TcpStream {
-    let stream = service.open();
+fn keep_alive_connection(test_bed: &TestBed) -> TcpStream {
+    let stream = test_bed.open();
     (&stream)
         .write_all(request_text(&new_id(), "SELECT 1").as_bytes())
         .unwrap();
@@ -41,14 +41,14 @@
 /// the kernel's accept queue, when accepting ends.
 #[test]
 fn connections_that_wait_for_a_slot_when_accepting_ends_are_answered() {
-    let service = Service::start_with(|config| config["limits"]["sockets"] = json!(64));
+    let test_bed = TestBed::start_with(|config| config["limits"]["sockets"] = json!(64));
     let calls: Vec<String> = (0..26)
         .map(|_| request_text(&new_id(), "SELECT 1 FROM sales_1.orders"))
         .collect();
     let partly_sent: Vec<TcpStream> = calls
         .iter()
         .map(|request| {
-            let stream = service.open();
+            let stream = test_bed.open();
             (&stream)
                 .write_all(&request.as_bytes()[..request.len() - 5])
                 .unwrap();
@@ -57,11 +57,11 @@
         .collect();
     // Each is read, so that none is evicted.
     sleep(ms(200));
-    service.signal("TERM");
+    test_bed.signal("TERM");
     let signalled_at = Instant::now();
     let waiting: Vec<TcpStream> = (0..4)
         .map(|_| {
-            let stream = service.open();
+            let stream = test_bed.open();
             (&stream)
                 .write_all(request_text(&new_id(), "SELECT 2").as_bytes())
                 .unwrap();
@@ -87,12 +87,12 @@
 fn request_received_on_a_keep_alive_connection_before_its_close_is_answered() {
     // A round in which a busy machine stopped the gateway too late proves nothing.
     let stopped_in_time = (0..5).any(|_| {
-        let mut service = Service::start();
+        let mut test_bed = TestBed::start();
         let keep_alive_connections: Vec<TcpStream> =
-            (0..12).map(|_| keep_alive_connection(&service)).collect();
-        service.signal("TERM");
+            (0..12).map(|_| keep_alive_connection(&test_bed)).collect();
+        test_bed.signal("TERM");
         let signalled_at = Instant::now();
-        service.pause();
+        test_bed.pause();
         if signalled_at.elapsed() > ms(500) {
             return false;
         }
@@ -103,14 +103,14 @@
                 .unwrap();
         }
         sleep_until(signalled_at + ms(900));
-        service.signal("CONT");
+        test_bed.signal("CONT");
         for (n, stream) in keep_alive_connections.iter().enumerate() {
             assert!(
                 read_answer(stream).is_some_and(|a| a.succeeded()),
                 "request {n} was not answered"
             );
         }
-        assert!(service.child.wait().unwrap().success());
+        assert!(test_bed.child.wait().unwrap().success());
         true
     });
     assert!(
@@ -122,11 +122,11 @@
 /// Part of a request arrives before its keep-alive connection is to be closed, the rest after.
 #[test]
 fn request_partly_received_before_its_connection_closes_is_answered() {
-    let service = Service::start();
-    let stream = keep_alive_connection(&service);
+    let test_bed = TestBed::start();
+    let stream = keep_alive_connection(&test_bed);
     let request = request_text(&new_id(), "SELECT 2");
     let (first, rest) = request.split_at(60);
-    service.signal("TERM");
+    test_bed.signal("TERM");
     let signalled_at = Instant::now();
     sleep_until(signalled_at + ms(200));
     (&stream).write_all(first.as_bytes()).unwrap();
@@ -139,9 +139,9 @@
 /// reset.
 #[test]
 fn request_written_after_its_connection_closed_is_not_forwarded() {
-    let service = Service::start();
-    let mut stream = keep_alive_connection(&service);
-    service.signal("TERM");
+    let test_bed = TestBed::start();
+    let mut stream = keep_alive_connection(&test_bed);
+    test_bed.signal("TERM");
     let mut nothing = [0; 1];
     stream
         .set_read_timeout(Some(Duration::from_secs(3)))
@@ -151,7 +151,7 @@
     let _ = stream.write_all(request_text(&id, "SELECT 2").as_bytes());
     sleep(ms(300));
     assert_eq!(
-        service.engine.requests("POST"),
+        test_bed.engine.requests("POST"),
         1,
         "only the first was forwarded"
     );
@@ -161,19 +161,19 @@
 /// needs a slot.
 #[test]
 fn idle_connection_with_an_unread_request_is_not_evicted() {
-    let service = Service::start_with(|config| config["limits"]["sockets"] = json!(64));
-    let idle: Vec<TcpStream> = (0..26).map(|_| keep_alive_connection(&service)).collect();
-    service.pause();
+    let test_bed = TestBed::start_with(|config| config["limits"]["sockets"] = json!(64));
+    let idle: Vec<TcpStream> = (0..26).map(|_| keep_alive_connection(&test_bed)).collect();
+    test_bed.pause();
     let mut oldest = &idle[0];
     oldest
         .write_all(request_text(&new_id(), "SELECT 2").as_bytes())
         .unwrap();
-    let new = service.open();
+    let new = test_bed.open();
     (&new)
         .write_all(request_text(&new_id(), "SELECT 3").as_bytes())
         .unwrap();
     sleep(ms(150));
-    service.signal("CONT");
+    test_bed.signal("CONT");
     assert!(
         read_answer(oldest).is_some_and(|a| a.succeeded()),
         "its request was lost"
@@ -187,14 +187,14 @@
 /// Part of a request has arrived on the connection that is to be evicted.
 #[test]
 fn request_partly_received_on_a_connection_to_be_evicted_is_answered() {
-    let service = Service::start_with(|config| config["limits"]["sockets"] = json!(64));
-    let idle: Vec<TcpStream> = (0..26).map(|_| keep_alive_connection(&service)).collect();
+    let test_bed = TestBed::start_with(|config| config["limits"]["sockets"] = json!(64));
+    let idle: Vec<TcpStream> = (0..26).map(|_| keep_alive_connection(&test_bed)).collect();
     let request = request_text(&new_id(), "SELECT 2");
     let (first, rest) = request.split_at(60);
     let mut oldest = &idle[0];
     oldest.write_all(first.as_bytes()).unwrap();
     sleep(ms(50));
-    let new = service.open();
+    let new = test_bed.open();
     (&new)
         .write_all(request_text(&new_id(), "SELECT 3").as_bytes())
         .unwrap();
@@ -212,9 +212,9 @@
 /// A client that sends surplus bytes after a request that ends its connection can still read its answer.
 #[test]
 fn surplus_bytes_behind_the_last_request_do_not_reset_its_response() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     for _ in 0..5 {
-        let stream = service.open();
+        let stream = test_bed.open();
         let mut request =
             b"POST /v1/report HTTP/1.1\r\nHost: g\r\nContent-Length: 999999999\r\n\r\n".to_vec();
         request.resize(2 << 20, b'x');
@@ -231,18 +231,18 @@
 /// The platform may send SIGHUP while it shuts the gateway down.
 #[test]
 fn sighup_after_sigterm_delays_nothing() {
-    let mut service = Service::start();
-    let stream = keep_alive_connection(&service);
-    service.signal("TERM");
+    let mut test_bed = TestBed::start();
+    let stream = keep_alive_connection(&test_bed);
+    test_bed.signal("TERM");
     let signalled_at = Instant::now();
     for _ in 0..5 {
-        service.signal("HUP");
+        test_bed.signal("HUP");
     }
     (&stream)
         .write_all(request_text(&new_id(), "SELECT 2").as_bytes())
         .unwrap();
     assert!(read_answer(&stream).expect("an answer").succeeded());
-    assert!(service.child.wait().unwrap().success());
+    assert!(test_bed.child.wait().unwrap().success());
     assert!(
         signalled_at.elapsed() < ms(3700),
         "ended after {:?}",
@@ -254,19 +254,19 @@
 #[test]
 fn shutdown_with_short_deadlines_ends_before_the_earliest_kill() {
     for deadline in [50, 100, 300, 1000] {
-        let mut service = Service::start_with(|config| {
+        let mut test_bed = TestBed::start_with(|config| {
             for n in 0..2 {
                 config["settings"]["categories"][n]["give-up"] = json!(f64::from(deadline));
             }
         });
-        let address = service.address;
+        let address = test_bed.address;
         let clients: Vec<_> = (0..8)
             .map(|_| std::thread::spawn(move || query_until_closed(address, deadline)))
             .collect();
         sleep(ms(100));
-        service.signal("TERM");
+        test_bed.signal("TERM");
         let signalled_at = Instant::now();
-        assert!(service.child.wait().unwrap().success());
+        assert!(test_bed.child.wait().unwrap().success());
         let (took, earliest_kill) = (signalled_at.elapsed(), ms(700 + u64::from(deadline)));
         assert!(
             took + ms(60) < earliest_kill,
@@ -309,8 +309,8 @@
 /// A request that arrives too slowly is answered before its connection is closed, as its last byte may cross the close.
 #[test]
 fn request_head_that_arrives_too_slowly_is_answered() {
-    let service = Service::start();
-    let stream = service.open();
+    let test_bed = TestBed::start();
+    let stream = test_bed.open();
     let request = request_text(&new_id(), "SELECT 1");
     (&stream).write_all(&request.as_bytes()[..40]).unwrap();
     let began = Instant::now();
--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -66,7 +66,11 @@
 }
 
 fn assert_sighup_during_startup_takes_effect() {
-    let (engine, log, second_log) = (Engine::start(), ChangeLog::start(), ChangeLog::start());
+    let (engine, log, second_log) = (
+        FakeEngine::start(),
+        FakeChangeLog::start(),
+        FakeChangeLog::start(),
+    );
     let starting = Starting::spawn();
     let mut pipe = starting.open_pipe();
     starting.signal("HUP");
--- a/crates/gateway/tests/extremes.rs
+++ b/crates/gateway/tests/extremes.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use helper::process::{ms, EngineProcess};
+use helper::process::{ms, FakeEngineProcess};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
@@ -38,8 +38,8 @@
 }
 
 /// A gateway with one engine.
-fn service_with_engine(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
-    Service::start_with(|config| {
+fn start_with_engine(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> TestBed {
+    TestBed::start_with(|config| {
         config["known"]["results"] =
             json!([full_list_event(0, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -79,8 +79,8 @@
 
 #[test]
 fn largest_result_is_returned_complete_and_in_order() {
-    let service = service_with_engine(engine_of_large_results(), |_| {});
-    let answer = service.query("report", "SELECT 1");
+    let test_bed = start_with_engine(engine_of_large_results(), |_| {});
+    let answer = test_bed.query("report", "SELECT 1");
     assert!(answer.succeeded());
     let rows = answer.json["data"].as_array().unwrap();
     let expected: String = (0..RESULT_BYTES / PAGE_BYTES).map(page).collect();
@@ -103,8 +103,8 @@
 /// An answer that the gateway began and cannot finish is recognizable as incomplete.
 #[test]
 fn answer_truncated_by_a_kill_is_recognizable() {
-    let mut service = service_with_engine(engine_of_large_results(), |_| {});
-    let stream = service.open();
+    let mut test_bed = start_with_engine(engine_of_large_results(), |_| {});
+    let stream = test_bed.open();
     socket2::SockRef::from(&stream)
         .set_recv_buffer_size(2048)
         .unwrap();
@@ -115,8 +115,8 @@
         "SELECT 1",
     );
     assert!(stream.peek(&mut [0; 1]).unwrap() > 0);
-    service.child.kill().unwrap();
-    service.child.wait().unwrap();
+    test_bed.child.kill().unwrap();
+    test_bed.child.wait().unwrap();
     let mut received = Vec::new();
     let _ = (&stream).read_to_end(&mut received);
     let text = String::from_utf8_lossy(&received);
@@ -140,7 +140,7 @@
 
 #[test]
 fn request_with_two_body_lengths_is_never_forwarded() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let hidden = "POST /v1/report HTTP/1.1\r\nHost: g\r\n\r\n";
     let lengths = [
         "Content-Length: 8",
@@ -164,7 +164,7 @@
                 format!("{length}\r\n{coding}\r\n{length}"),
                 format!("{coding}\r\n{length}\r\n{coding}"),
             ] {
-                let stream = service.open();
+                let stream = test_bed.open();
                 let head = request_headers(&new_id(), 3000);
                 let text = format!(
                     "POST /v1/report HTTP/1.1\r\nHost: g\r\n{head}{length_fields}\r\n\r\n0\r\n\r\n{hidden}"
@@ -177,17 +177,17 @@
             }
         }
     }
-    assert_eq!(service.engine.requests("POST"), 0);
+    assert_eq!(test_bed.engine.requests("POST"), 0);
 }
 
 /// A client cancels its query and closes its connection at the same moment.
 #[test]
 fn simultaneous_cancel_and_close_give_one_end() {
     for close_first in [true, false] {
-        let engine = EngineProcess::start();
-        let service = service_with_engine(engine.address, |_| {});
+        let engine = FakeEngineProcess::start();
+        let test_bed = start_with_engine(engine.address, |_| {});
         let id = new_id();
-        let stream = service.open();
+        let stream = test_bed.open();
         send_request(
             &stream,
             "POST /v1/report",
@@ -195,7 +195,7 @@
             "SELECT 1 /* runs 60000 */",
         );
         wait_until("the start", || engine.attempts().len() == 1);
-        let cancel = service.open();
+        let cancel = test_bed.open();
         let cancelled_at = Instant::now();
         if close_first {
             drop(stream);
@@ -234,11 +234,11 @@
 fn retry_after_of_a_rejection_follows_the_settings() {
     let wait = |allowed: Value| {
         let full = scripted_engine(|_| http_response("503 Full", "X-Declined: 1\r\n", ""));
-        let service = service_with_engine(full, |config| {
+        let test_bed = start_with_engine(full, |config| {
             let settings = config["settings"]["allowed"].as_object_mut().unwrap();
             settings.extend(allowed.as_object().unwrap().clone());
         });
-        let answer = service.query_with_id(&new_id(), "report", 400, "SELECT 1");
+        let answer = test_bed.query_with_id(&new_id(), "report", 400, "SELECT 1");
         assert_eq!(answer.status, 503, "{answer:?}");
         answer.retry_after_ms
     };
@@ -258,13 +258,13 @@
 /// Two hundred clients close while the gateway process is stopped, before their key's turn comes.
 #[test]
 fn hundreds_of_closes_in_one_iteration_start_no_attempt_afterwards() {
-    let engine = EngineProcess::start();
-    let service = service_with_engine(engine.address, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_with_engine(engine.address, |config| {
         config["limits"]["sockets"] = json!(1024);
         config["settings"]["rules"]["order-pause"] = json!(0.0);
     });
     let send_keyed = |statement: &str| {
-        let stream = service.open();
+        let stream = test_bed.open();
         let head = format!(
             "{}X-Item: 7f3a9c21e0b4d655\r\n",
             request_headers(&new_id(), 3000)
@@ -276,11 +276,11 @@
     wait_until("the first attempt", || engine.attempts().len() == 1);
     let disconnecting: Vec<TcpStream> = (0..200).map(|_| send_keyed("INSERT 2")).collect();
     sleep(ms(200));
-    service.pause();
+    test_bed.pause();
     drop(disconnecting);
     engine.state().attempts[0].run_time = ms(0);
     sleep(ms(150));
-    service.signal("CONT");
+    test_bed.signal("CONT");
     assert!(Answer::of(read_message(&mut BufReader::new(first)).unwrap()).succeeded());
     sleep(ms(400));
     assert_eq!(
@@ -310,9 +310,9 @@
         }
         http_response("200 OK", "Result-Pages: 1\r\n", ROWS)
     });
-    let service = service_with_engine(engine, |_| {});
+    let test_bed = start_with_engine(engine, |_| {});
     let began = Instant::now();
-    assert!(service
+    assert!(test_bed
         .query_with_id(&new_id(), "report", ALLOWED_MS as u32, "SELECT 1")
         .succeeded());
     let deadlines = deadlines.lock().unwrap();
@@ -331,11 +331,11 @@
 #[test]
 fn list_of_3200_engines_with_900_gateways_is_served() {
     const ENGINES: usize = 3200;
-    let engine = Engine::start();
+    let engine = FakeEngine::start();
     let lines: Vec<Value> = (0..ENGINES)
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "SERVING"))
         .collect();
-    let service = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["known"] = json!({"seq": 0, "results": [full_list_event(0, &lines)]});
         config["settings"]["balancers"] = json!(900);
         config["peers"] = json!((0..900)
@@ -343,24 +343,24 @@
             .collect::<Vec<_>>());
     });
     for _ in 0..20 {
-        assert!(service.query("report", "SELECT 1").succeeded());
+        assert!(test_bed.query("report", "SELECT 1").succeeded());
     }
     let drained: Vec<Value> = (0..ENGINES)
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "DRAINING"))
         .collect();
     for number in 1..10 {
         let state = if number % 2 == 1 { &drained } else { &lines };
-        service.log.publish(list_change_event(number, state));
+        test_bed.log.publish(list_change_event(number, state));
     }
     wait_until("all drain", || {
-        service
+        test_bed
             .query_with_id(&new_id(), "report", 300, "SELECT 1")
             .status
             == 503
     });
     let before = engine.requests("POST");
     assert_eq!(
-        service
+        test_bed
             .query_with_id(&new_id(), "report", 300, "SELECT 1")
             .status,
         503
@@ -370,8 +370,8 @@
         before,
         "no attempt at draining engines"
     );
-    service.log.publish(list_change_event(10, &lines));
+    test_bed.log.publish(list_change_event(10, &lines));
     wait_until("all serve again", || {
-        service.query("report", "SELECT 1").succeeded()
+        test_bed.query("report", "SELECT 1").succeeded()
     });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn lists_of_1024_gateways_and_1024_engines_are_applied_from_configuration_and_change_log() {
-    let service = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         let engine = config["known"]["results"][0]["fleet"]["servers"][0]["addr"]
             .as_str()
             .unwrap()
@@ -48,25 +48,25 @@
         config["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 256});
     });
     assert!(
-        service.query("report", "SELECT 1").succeeded(),
+        test_bed.query("report", "SELECT 1").succeeded(),
         "the last engine of the configuration's list"
     );
-    let other = Engine::start();
-    service.log.publish(full_list(1, "b", other.address));
+    let other = FakeEngine::start();
+    test_bed.log.publish(full_list(1, "b", other.address));
     wait_until("the last engine of the log's list", || {
-        service.query("report", "SELECT 2").succeeded() && other.requests("POST") > 0
+        test_bed.query("report", "SELECT 2").succeeded() && other.requests("POST") > 0
     });
     // Full lists with new names, one after another: indexes are kept for a while, and no limit is reached.
     for number in 2..6 {
-        let newest = Engine::start();
-        service
+        let newest = FakeEngine::start();
+        test_bed
             .log
             .publish(full_list(number, &format!("{number}c"), newest.address));
         wait_until("the newest list", || {
-            service.query("report", "SELECT 3").succeeded() && newest.requests("POST") > 0
+            test_bed.query("report", "SELECT 3").succeeded() && newest.requests("POST") > 0
         });
     }
-    let used = resident_kb(service.child.id());
+    let used = resident_kb(test_bed.child.id());
     assert!(used < 32 << 10, "{used} kB");
 }
 
@@ -89,18 +89,18 @@
 /// later, on one that was open before.
 #[test]
 fn order_of_a_key_is_kept_while_the_gateway_is_stopped() {
-    let service = Service::start();
-    let open = service.open();
+    let test_bed = TestBed::start();
+    let open = test_bed.open();
     assert!(round_trip(open.try_clone().unwrap(), "GET /healthz", "", "").is_some());
-    service.signal("STOP");
-    let new = service.open();
+    test_bed.signal("STOP");
+    let new = test_bed.open();
     send_load(&new, "INSERT 1");
     sleep(Duration::from_millis(250));
     send_load(&open, "INSERT 2");
     sleep(Duration::from_millis(50));
-    service.signal("CONT");
+    test_bed.signal("CONT");
     assert!(succeeded(new) && succeeded(open));
-    let calls = service.engine.requests.lock().unwrap().join("\n");
+    let calls = test_bed.engine.requests.lock().unwrap().join("\n");
     let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
     assert!(at(1) < at(2), "received first, sent last: {calls}");
 }
--- a/crates/gateway/tests/floods.rs
+++ b/crates/gateway/tests/floods.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use helper::process::{ms, EngineProcess};
+use helper::process::{ms, FakeEngineProcess};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
@@ -14,8 +14,8 @@
 const SOCKETS: usize = 128;
 const MEMORY_MB: usize = 48;
 
-fn service(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
-    Service::start_with(|config| {
+fn start_test_bed(engine: SocketAddr, change_more: impl Fn(&mut Value)) -> TestBed {
+    TestBed::start_with(|config| {
         config["known"]["results"] =
             json!([full_list_event(0, &[endpoint("s-0", engine, "SERVING")])]);
         config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -24,14 +24,14 @@
     })
 }
 
-fn descriptors(service: &Service) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", service.child.id()))
+fn descriptors(test_bed: &TestBed) -> usize {
+    std::fs::read_dir(format!("/proc/{}/fd", test_bed.child.id()))
         .unwrap()
         .count()
 }
 
-fn peak_memory_mb(service: &Service) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", service.child.id())).unwrap();
+fn peak_memory_mb(test_bed: &TestBed) -> usize {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", test_bed.child.id())).unwrap();
     let peak = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
     peak.split_whitespace()
         .nth(1)
@@ -41,8 +41,8 @@
         / 1024
 }
 
-fn assert_within_limits(service: &Service) {
-    let (descriptors, memory) = (descriptors(service), peak_memory_mb(service));
+fn assert_within_limits(test_bed: &TestBed) {
+    let (descriptors, memory) = (descriptors(test_bed), peak_memory_mb(test_bed));
     assert!(descriptors < SOCKETS, "{descriptors} descriptors");
     assert!(memory < MEMORY_MB, "{memory} MB");
 }
@@ -50,9 +50,9 @@
 /// Dozens of clients repeatedly write hundreds of kilobytes of requests at once, read nothing and disconnect.
 #[test]
 fn clients_that_send_in_bulk_and_disconnect_leave_capacity_for_others() {
-    let engine = EngineProcess::start();
-    let service = service(engine.address, |_| {});
-    let address = service.address;
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(engine.address, |_| {});
+    let address = test_bed.address;
     let senders: Vec<_> = (0..40)
         .map(|_| {
             spawn(move || {
@@ -72,10 +72,10 @@
         .collect();
     for _ in 0..20 {
         assert!(
-            service.query("report", "SELECT 2").succeeded(),
+            test_bed.query("report", "SELECT 2").succeeded(),
             "others are served meanwhile"
         );
-        assert_within_limits(&service);
+        assert_within_limits(&test_bed);
         sleep(ms(30));
     }
     senders.into_iter().for_each(|f| f.join().unwrap());
@@ -87,20 +87,20 @@
         before,
         "nothing is forwarded for disconnected clients"
     );
-    assert_within_limits(&service);
+    assert_within_limits(&test_bed);
 }
 
 /// Request heads and bodies sent byte by byte hold every slot.
 #[test]
 fn requests_sent_byte_by_byte_are_closed_in_time() {
-    let engine = EngineProcess::start();
-    let service = service(engine.address, |_| {});
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(engine.address, |_| {});
     let headers = request_headers(&new_id(), 2000);
     let body =
         format!("POST /v1/report HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: 5000\r\n\r\n");
     let slow: Vec<_> = (0..60)
         .map(|n| {
-            let (mut stream, started_at, head) = (service.open(), Instant::now(), n % 2 == 0);
+            let (mut stream, started_at, head) = (test_bed.open(), Instant::now(), n % 2 == 0);
             let first = if head {
                 "POST /v1/report HTTP/1.1\r\nX-Slow: "
             } else {
@@ -128,10 +128,10 @@
         .collect();
     for _ in 0..5 {
         assert!(
-            service.query("report", "SELECT 2").succeeded(),
+            test_bed.query("report", "SELECT 2").succeeded(),
             "others are served meanwhile"
         );
-        assert_within_limits(&service);
+        assert_within_limits(&test_bed);
     }
     let spans: Vec<_> = slow.into_iter().map(|s| s.join().unwrap()).collect();
     let longest = *spans.iter().max().unwrap();
@@ -173,16 +173,16 @@
             });
         }
     });
-    let service = service(address, |_| {});
+    let test_bed = start_test_bed(address, |_| {});
     let started_at = Instant::now();
-    let answer = service.query_with_id(&new_id(), "report", 1200, "SELECT 1 /* endless */");
+    let answer = test_bed.query_with_id(&new_id(), "report", 1200, "SELECT 1 /* endless */");
     assert!(
         !answer.succeeded() && started_at.elapsed() < ms(1300),
         "{answer:?} after {:?}",
         started_at.elapsed()
     );
     for _ in 0..5 {
-        let answer = service.query("report", "SELECT 2");
+        let answer = test_bed.query("report", "SELECT 2");
         assert_eq!(answer.json["data"], json!(ROWS_AS_JSON));
     }
 }
@@ -190,8 +190,8 @@
 /// Deadlines of 20 s and an engine that hangs for 16 s: the shutdown limit applies.
 #[test]
 fn sigterm_under_long_deadlines_answers_all_before_the_earliest_kill() {
-    let engine = EngineProcess::start();
-    let mut service = service(engine.address, |config| {
+    let engine = FakeEngineProcess::start();
+    let mut test_bed = start_test_bed(engine.address, |config| {
         config["settings"]["categories"] = json!([
             query_class("report", "retryable", 20_000.0),
             query_class("load", "fragile", 20_000.0)
@@ -200,7 +200,7 @@
     let calls: Vec<TcpStream> = ["report", "load"]
         .iter()
         .map(|class| {
-            let stream = service.open();
+            let stream = test_bed.open();
             let statement = "SELECT 1 /* runs 16000 */";
             send_request(
                 &stream,
@@ -212,7 +212,7 @@
         })
         .collect();
     wait_until("both attempts", || engine.attempts().len() == 2);
-    service.signal("TERM");
+    test_bed.signal("TERM");
     let signalled_at = Instant::now();
     for stream in calls {
         let answer = read_message(&mut BufReader::new(stream)).expect("an answer");
@@ -223,7 +223,7 @@
         "answered after {:?}",
         signalled_at.elapsed()
     );
-    assert!(service.child.wait().unwrap().success());
+    assert!(test_bed.child.wait().unwrap().success());
     assert!(
         signalled_at.elapsed() < ms(3900),
         "ended after {:?}",
--- a/crates/gateway/tests/full_start.rs
+++ b/crates/gateway/tests/full_start.rs
@@ -17,23 +17,23 @@
     let log = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = log.local_addr().unwrap();
     drop(log);
-    let engine = Engine::start();
+    let engine = FakeEngine::start();
     let endpoints: Vec<Value> = (0..ENGINES)
         .map(|n| endpoint(&format!("s-{n:08x}"), engine.address, "SERVING"))
         .collect();
-    let mut service = Service::start_with(|config| {
+    let mut test_bed = TestBed::start_with(|config| {
         config["changelog"] = json!(address.to_string());
         // Keeps the clients within their third of the sockets.
         config["limits"]["sockets"] = json!(CLIENTS * 4);
         config["known"] = json!({"seq": 41, "results": [full_list_event(41, &endpoints)]});
     });
-    service.signal("KILL");
-    service.child.wait().unwrap();
+    test_bed.signal("KILL");
+    test_bed.child.wait().unwrap();
     let began = Instant::now();
-    service.child = serve(&service.config);
-    wait_until("the port", || TcpStream::connect(service.address).is_ok());
+    test_bed.child = serve(&test_bed.config);
+    wait_until("the port", || TcpStream::connect(test_bed.address).is_ok());
     let send_query = |_| {
-        let stream = service.open();
+        let stream = test_bed.open();
         send_request(
             &stream,
             "POST /v1/report",
@@ -43,7 +43,7 @@
         stream
     };
     let streams: Vec<TcpStream> = (0..CLIENTS).map(send_query).collect();
-    service.wait_until_healthy();
+    test_bed.wait_until_healthy();
     let ready = began.elapsed();
     assert!(ready < ms(3000), "ready after {ready:?}");
     let answer = |stream| Answer::of(read_message(&mut BufReader::new(stream)).expect("an answer"));
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -70,18 +70,18 @@
 
 /// An engine that keeps to the protocol except where a directive in the statement says otherwise, as in `/* slow */`.
 #[derive(Clone)]
-pub struct Engine {
+pub struct FakeEngine {
     pub address: SocketAddr,
     /// Requests in the order received: method, path, and the statement of a start.
     pub requests: Arc<Mutex<Vec<String>>>,
     pub started: Arc<Mutex<HashMap<String, StartedAttempt>>>,
 }
 
-impl Engine {
-    pub fn start() -> Engine {
+impl FakeEngine {
+    pub fn start() -> FakeEngine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let engine = Engine {
+        let engine = FakeEngine {
             address,
             requests: Arc::default(),
             started: Arc::default(),
@@ -265,7 +265,7 @@
 
 /// A change log that sends its events to every reader and closes its streams on demand.
 #[derive(Clone)]
-pub struct ChangeLog {
+pub struct FakeChangeLog {
     pub address: SocketAddr,
     pub events: Arc<Mutex<Vec<String>>>,
     /// The `Last-Event-ID` of each reader, in the order of connection.
@@ -274,11 +274,11 @@
     pub paused: Arc<AtomicBool>,
 }
 
-impl ChangeLog {
-    pub fn start() -> ChangeLog {
+impl FakeChangeLog {
+    pub fn start() -> FakeChangeLog {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let log = ChangeLog {
+        let log = FakeChangeLog {
             address,
             events: Arc::default(),
             last_event_ids: Arc::default(),
@@ -345,9 +345,9 @@
 }
 
 /// The gateway program with its stand-in engine and change log; killed when dropped.
-pub struct Service {
-    pub engine: Engine,
-    pub log: ChangeLog,
+pub struct TestBed {
+    pub engine: FakeEngine,
+    pub log: FakeChangeLog,
     pub config: Value,
     pub address: SocketAddr,
     pub child: Child,
@@ -423,33 +423,33 @@
         .unwrap()
 }
 
-impl Service {
-    pub fn start() -> Service {
-        Service::start_with(|_| {})
+impl TestBed {
+    pub fn start() -> TestBed {
+        TestBed::start_with(|_| {})
     }
 
-    pub fn start_with(change: impl Fn(&mut Value)) -> Service {
-        Service::start_with_launcher(change, serve)
+    pub fn start_with(change: impl Fn(&mut Value)) -> TestBed {
+        TestBed::start_with_launcher(change, serve)
     }
 
     pub fn start_with_launcher(
         change: impl Fn(&mut Value),
         serve: impl Fn(&Value) -> Child,
-    ) -> Service {
-        let (engine, log) = (Engine::start(), ChangeLog::start());
+    ) -> TestBed {
+        let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
         let mut config = config(engine.address, log.address);
         change(&mut config);
         let address = config["listen"].as_str().unwrap().parse().unwrap();
         let child = serve(&config);
-        let service = Service {
+        let test_bed = TestBed {
             engine,
             log,
             config,
             address,
             child,
         };
-        service.wait_until_healthy();
-        service
+        test_bed.wait_until_healthy();
+        test_bed
     }
 
     pub fn wait_until_healthy(&self) {
@@ -497,7 +497,7 @@
     }
 }
 
-impl Service {
+impl TestBed {
     /// Stops the process with SIGSTOP until it gets SIGCONT.
     pub fn pause(&self) {
         self.signal("STOP");
@@ -508,7 +508,7 @@
     }
 }
 
-impl Drop for Service {
+impl Drop for TestBed {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/gateway/tests/helper/process.rs
+++ b/crates/gateway/tests/helper/process.rs
@@ -64,21 +64,21 @@
 /// An engine process that keeps to the protocol except where a directive in the statement's comment says otherwise. It can
 /// refuse new connections while it runs on, or be killed.
 #[derive(Clone)]
-pub struct EngineProcess {
+pub struct FakeEngineProcess {
     pub address: SocketAddr,
     pub state: Arc<Mutex<ProcessState>>,
 }
 
-impl EngineProcess {
-    pub fn start() -> EngineProcess {
-        EngineProcess::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+impl FakeEngineProcess {
+    pub fn start() -> FakeEngineProcess {
+        FakeEngineProcess::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    pub fn at(address: SocketAddr) -> EngineProcess {
+    pub fn at(address: SocketAddr) -> FakeEngineProcess {
         let listener = (0..100)
             .find_map(|_| TcpListener::bind(address).map_err(|_| sleep(ms(10))).ok())
             .expect("the address is free");
-        let process = EngineProcess {
+        let process = FakeEngineProcess {
             address: listener.local_addr().unwrap(),
             state: Arc::default(),
         };
--- a/crates/gateway/tests/helper/scripted_log.rs
+++ b/crates/gateway/tests/helper/scripted_log.rs
@@ -119,16 +119,16 @@
 }
 
 /// A listening change log.
-pub struct ScriptedLog {
+pub struct ScriptedChangeLog {
     pub address: SocketAddr,
     pub statistics: Arc<ReaderStatistics>,
 }
 
-impl ScriptedLog {
+impl ScriptedChangeLog {
     /// Runs the script for each connection on its own thread.
-    pub fn start(script: impl Fn(&Connection) + Send + Sync + 'static) -> ScriptedLog {
+    pub fn start(script: impl Fn(&Connection) + Send + Sync + 'static) -> ScriptedChangeLog {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let log = ScriptedLog {
+        let log = ScriptedChangeLog {
             address: listener.local_addr().unwrap(),
             statistics: Arc::default(),
         };
--- a/crates/gateway/tests/late_start.rs
+++ b/crates/gateway/tests/late_start.rs
@@ -80,8 +80,8 @@
     received
 }
 
-fn service(engines: &[SocketAddr], change_more: impl Fn(&mut Value)) -> Service {
-    Service::start_with(|config| {
+fn start_test_bed(engines: &[SocketAddr], change_more: impl Fn(&mut Value)) -> TestBed {
+    TestBed::start_with(|config| {
         let lines: Vec<Value> = engines
             .iter()
             .enumerate()
@@ -101,13 +101,13 @@
 #[test]
 fn connection_established_after_the_answer_carries_no_start() {
     let full_queue = FullAcceptQueue::start();
-    let service = service(&[full_queue.address], |_| {});
+    let test_bed = start_test_bed(&[full_queue.address], |_| {});
     let reading = spawn(move || {
         sleep(ms(800));
         full_queue.drain_and_read()
     });
     let began = Instant::now();
-    let answer = service.query_with_id(&new_id(), "report", 930, "SELECT 1");
+    let answer = test_bed.query_with_id(&new_id(), "report", 930, "SELECT 1");
     let took = began.elapsed();
     assert!(
         !answer.succeeded() && took > ms(800) && took < ms(980),
@@ -123,10 +123,10 @@
 #[test]
 fn connection_established_after_the_client_disconnected_carries_no_start() {
     let full_queue = FullAcceptQueue::start();
-    let service = service(&[full_queue.address], |config| {
+    let test_bed = start_test_bed(&[full_queue.address], |config| {
         config["settings"]["allowed"]["cancelling"] = json!(false)
     });
-    let stream = service.open();
+    let stream = test_bed.open();
     send_request(
         &stream,
         "POST /v1/load",
@@ -150,7 +150,7 @@
         .unwrap();
     slow.listen(16).unwrap();
     let slow: TcpListener = slow.into();
-    let service = service(&[slow.local_addr().unwrap()], |_| {});
+    let test_bed = start_test_bed(&[slow.local_addr().unwrap()], |_| {});
     // A first query shows that the engine is fast, so that one with little time left is sent, too.
     let first_query = spawn(move || {
         let stream = accept(&slow);
@@ -160,10 +160,10 @@
             .unwrap();
         slow
     });
-    assert!(service.query("report", "SELECT 1").succeeded());
+    assert!(test_bed.query("report", "SELECT 1").succeeded());
     let slow = first_query.join().unwrap();
     let statement = format!("SELECT 1 /* {} */", "x".repeat(200_000));
-    let answer = service.query_with_id(&new_id(), "report", 230, &statement);
+    let answer = test_bed.query_with_id(&new_id(), "report", 230, &statement);
     assert!(!answer.succeeded());
     let stream = accept(&slow);
     let received = read_for(stream, ms(600));
@@ -185,7 +185,7 @@
         "bodies store {\n  memory 8MiB\n  batch-memory 2MiB\n  batch 4MiB\n}\n",
     )
     .unwrap();
-    let service = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |config| {
             config["known"]["results"] =
                 json!([full_list_event(0, &[endpoint("s-0", at, "SERVING")])]);
@@ -200,7 +200,7 @@
         },
     );
     let body = vec![b'x'; 400_000];
-    let mut stream = service.open();
+    let mut stream = test_bed.open();
     let head = format!(
         "POST /v1/report HTTP/1.1\r\nHost: g\r\n{}Content-Length: {}\r\n\r\n",
         request_headers(&new_id(), 800),
@@ -242,12 +242,12 @@
 #[test]
 fn start_over_a_late_connection_forwards_the_remaining_time() {
     let full_queue = FullAcceptQueue::start();
-    let service = service(&[full_queue.address], |_| {});
+    let test_bed = start_test_bed(&[full_queue.address], |_| {});
     let reading = spawn(move || {
         sleep(ms(300));
         full_queue.drain_and_read()
     });
-    let _ = service.query_with_id(&new_id(), "report", 2500, "SELECT 1");
+    let _ = test_bed.query_with_id(&new_id(), "report", 2500, "SELECT 1");
     let deadline_ms = forwarded_deadline_ms(&reading.join().unwrap());
     // The SYN is retransmitted after one second.
     assert!(
@@ -261,10 +261,10 @@
 fn query_received_by_a_stopped_gateway_forwards_the_remaining_time() {
     for waited in [300, 700] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let service = service(&[listener.local_addr().unwrap()], |_| {});
-        let stream = service.open();
-        service.wait_until_healthy();
-        service.pause();
+        let test_bed = start_test_bed(&[listener.local_addr().unwrap()], |_| {});
+        let stream = test_bed.open();
+        test_bed.wait_until_healthy();
+        test_bed.pause();
         send_request(
             &stream,
             "POST /v1/report",
@@ -272,7 +272,7 @@
             "SELECT 1",
         );
         sleep(ms(waited));
-        service.signal("CONT");
+        test_bed.signal("CONT");
         let deadline_ms = forwarded_deadline_ms(&read_for(accept(&listener), ms(300)));
         assert!(
             deadline_ms <= 2000 - waited + DEADLINE_TOLERANCE_MS,
@@ -285,10 +285,10 @@
 #[test]
 fn query_with_one_millisecond_left_is_answered_at_once() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let service = service(&[listener.local_addr().unwrap()], |_| {});
+    let test_bed = start_test_bed(&[listener.local_addr().unwrap()], |_| {});
     for class in ["report", "load"] {
         let began = Instant::now();
-        let answer = service.query_with_id(&new_id(), class, 1, "SELECT 1");
+        let answer = test_bed.query_with_id(&new_id(), class, 1, "SELECT 1");
         assert!(
             !answer.succeeded() && began.elapsed() < ms(200),
             "{answer:?} after {:?}",
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 mod helper;
 
-use helper::process::{ms, EngineProcess, ReceivedAttempt};
+use helper::process::{ms, FakeEngineProcess, ReceivedAttempt};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -12,8 +12,8 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-fn service(engine: &EngineProcess, change_more: impl Fn(&mut Value)) -> Service {
-    Service::start_with(|config| {
+fn start_test_bed(engine: &FakeEngineProcess, change_more: impl Fn(&mut Value)) -> TestBed {
+    TestBed::start_with(|config| {
         config["known"]["results"] = json!([full_list_event(
             0,
             &[endpoint("s-0", engine.address, "SERVING")]
@@ -30,15 +30,15 @@
     format!("POST /v1/{group} HTTP/1.1\r\nHost: g\r\n{headers}Content-Length: {length}\r\n\r\n{statement}")
 }
 
-fn send_keyed(service: &Service, id: &str, statement: &str) -> TcpStream {
-    let mut stream = service.open();
+fn send_keyed(test_bed: &TestBed, id: &str, statement: &str) -> TcpStream {
+    let mut stream = test_bed.open();
     stream
         .write_all(request_text(id, "load", "X-Item: 7f3a9c21e0b4d655\r\n", statement).as_bytes())
         .unwrap();
     stream
 }
 
-fn attempt_of(engine: &EngineProcess, id: &str) -> Option<ReceivedAttempt> {
+fn attempt_of(engine: &FakeEngineProcess, id: &str) -> Option<ReceivedAttempt> {
     engine
         .attempts()
         .into_iter()
@@ -46,7 +46,7 @@
 }
 
 /// Lets a running attempt succeed now.
-fn finish_attempt(engine: &EngineProcess, id: &str) {
+fn finish_attempt(engine: &FakeEngineProcess, id: &str) {
     let mut state = engine.state();
     state
         .attempts
@@ -57,10 +57,10 @@
 
 /// Pipelines two requests on one connection, the second with `filling` bytes of comment, then disconnects by `disconnect`.
 fn assert_disconnect_behind_pipelined_request(filling: usize, disconnect: impl Fn(TcpStream)) {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |_| {});
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |_| {});
     let (first, second) = (new_id(), new_id());
-    let mut stream = service.open();
+    let mut stream = test_bed.open();
     let calls = request_text(&first, "report", "", "SELECT 1 /* runs 700 */")
         + &request_text(
             &second,
@@ -124,19 +124,19 @@
 /// The preceding query of the key ends within the time in which a disconnected client may reconnect.
 #[test]
 fn key_turn_just_after_the_client_disconnected_starts_no_attempt() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     let (first, second, third) = (new_id(), new_id(), new_id());
-    let _first = send_keyed(&service, &first, "INSERT 1 /* runs 2500 */");
+    let _first = send_keyed(&test_bed, &first, "INSERT 1 /* runs 2500 */");
     wait_until("the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
-    let disconnecting = send_keyed(&service, &second, "INSERT 2");
+    let disconnecting = send_keyed(&test_bed, &second, "INSERT 2");
     sleep(ms(50));
     drop(disconnecting);
-    let _third = send_keyed(&service, &third, "INSERT 3");
+    let _third = send_keyed(&test_bed, &third, "INSERT 3");
     sleep(ms(10));
     finish_attempt(&engine, &first);
     wait_until("the third attempt", || {
@@ -151,17 +151,17 @@
 /// A query whose client lost its connection is kept for a client that reconnects at once.
 #[test]
 fn client_that_reconnects_at_once_is_served() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     let (first, second) = (new_id(), new_id());
-    let _first = send_keyed(&service, &first, "INSERT 1 /* runs 300 */");
+    let _first = send_keyed(&test_bed, &first, "INSERT 1 /* runs 300 */");
     wait_until("the first attempt", || {
         attempt_of(&engine, &first).is_some()
     });
-    drop(send_keyed(&service, &second, "INSERT 2"));
-    let again = send_keyed(&service, &second, "INSERT 2");
+    drop(send_keyed(&test_bed, &second, "INSERT 2"));
+    let again = send_keyed(&test_bed, &second, "INSERT 2");
     let answer = read_message(&mut std::io::BufReader::new(again)).expect("an answer");
     assert!(Answer::of(answer).succeeded());
     assert_eq!(
@@ -177,17 +177,17 @@
 /// A request and its client's close both arrive while the gateway process is stopped.
 #[test]
 fn request_whose_client_disconnected_before_it_was_read_is_not_forwarded() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |_| {});
-    let kept = service.open();
-    service.pause();
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |_| {});
+    let kept = test_bed.open();
+    test_bed.pause();
     let ids: Vec<String> = (0..20).map(|_| new_id()).collect();
     for (n, id) in ids.iter().enumerate() {
         // One on an open connection, the others on new ones.
         let mut stream = if n == 0 {
             kept.try_clone().unwrap()
         } else {
-            service.open()
+            test_bed.open()
         };
         stream
             .write_all(request_text(id, "report", "", "SELECT 1").as_bytes())
@@ -196,8 +196,8 @@
     }
     drop(kept);
     sleep(ms(150));
-    service.signal("CONT");
-    assert!(service.query("report", "SELECT 9").succeeded());
+    test_bed.signal("CONT");
+    assert!(test_bed.query("report", "SELECT 9").succeeded());
     sleep(ms(300));
     let sent = ids
         .iter()
@@ -209,23 +209,23 @@
 /// A query's key turn comes and its client disconnects while the gateway process is stopped.
 #[test]
 fn simultaneous_key_turn_and_disconnect_start_no_attempt() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["settings"]["rules"]["order-pause"] = json!(0.0)
     });
     for _ in 0..5 {
         let (first, second) = (new_id(), new_id());
-        let first_call = send_keyed(&service, &first, "INSERT 1 /* runs 2500 */");
+        let first_call = send_keyed(&test_bed, &first, "INSERT 1 /* runs 2500 */");
         wait_until("the first attempt", || {
             attempt_of(&engine, &first).is_some()
         });
-        let disconnecting = send_keyed(&service, &second, "INSERT 2");
+        let disconnecting = send_keyed(&test_bed, &second, "INSERT 2");
         sleep(ms(50));
-        service.pause();
+        test_bed.pause();
         drop(disconnecting);
         finish_attempt(&engine, &first);
         sleep(ms(100));
-        service.signal("CONT");
+        test_bed.signal("CONT");
         assert!(
             Answer::of(read_message(&mut std::io::BufReader::new(first_call)).unwrap()).succeeded()
         );
@@ -240,15 +240,15 @@
 /// Hundreds of queries wait in one key queue; all their clients disconnect in one burst.
 #[test]
 fn hundreds_of_simultaneous_disconnects_start_no_attempt_afterwards() {
-    let engine = EngineProcess::start();
-    let service = service(&engine, |config| {
+    let engine = FakeEngineProcess::start();
+    let test_bed = start_test_bed(&engine, |config| {
         config["limits"]["sockets"] = json!(1024);
         config["settings"]["rules"]["order-pause"] = json!(0.0);
     });
     let ids: Vec<String> = (0..250).map(|_| new_id()).collect();
     let calls: Vec<TcpStream> = ids
         .iter()
-        .map(|id| send_keyed(&service, id, "INSERT 1 /* runs 20 */"))
+        .map(|id| send_keyed(&test_bed, id, "INSERT 1 /* runs 20 */"))
         .collect();
     wait_until("some attempts", || engine.attempts().len() > 3);
     let left = Instant::now();
@@ -266,7 +266,7 @@
         late.len()
     );
     assert!(
-        service.query("report", "SELECT 1").succeeded(),
+        test_bed.query("report", "SELECT 1").succeeded(),
         "other clients are served"
     );
 }
--- a/crates/gateway/tests/log.rs
+++ b/crates/gateway/tests/log.rs
@@ -24,10 +24,10 @@
 }
 
 /// Asserts that all queries succeed and that SIGTERM ends the gateway with 0 in time.
-fn assert_serves_and_exits(mut service: Service) {
+fn assert_serves_and_exits(mut test_bed: TestBed) {
     for n in 0..QUERIES {
         let began = Instant::now();
-        let stream = service.open();
+        let stream = test_bed.open();
         stream
             .set_read_timeout(Some(Duration::from_secs(3)))
             .unwrap();
@@ -43,11 +43,11 @@
             began.elapsed()
         );
     }
-    service.signal("TERM");
+    test_bed.signal("TERM");
     let signalled_at = Instant::now();
     let ended = std::iter::repeat_with(|| {
         std::thread::sleep(ms(20));
-        service.child.try_wait().unwrap()
+        test_bed.child.try_wait().unwrap()
     });
     let status = ended
         .take_while(|_| signalled_at.elapsed() < Duration::from_secs(5))
@@ -58,13 +58,13 @@
 
 #[test]
 fn stalled_log_reader_does_not_stop_the_gateway() {
-    let service = Service::start_with_launcher(|_| {}, serve_with_debug_log);
-    assert_serves_and_exits(service);
+    let test_bed = TestBed::start_with_launcher(|_| {}, serve_with_debug_log);
+    assert_serves_and_exits(test_bed);
 }
 
 #[test]
 fn closed_log_reader_does_not_end_the_gateway() {
-    let mut service = Service::start_with_launcher(|_| {}, serve_with_debug_log);
-    drop(service.child.stderr.take());
-    assert_serves_and_exits(service);
+    let mut test_bed = TestBed::start_with_launcher(|_| {}, serve_with_debug_log);
+    drop(test_bed.child.stderr.take());
+    assert_serves_and_exits(test_bed);
 }
--- a/crates/gateway/tests/machine_faults.rs
+++ b/crates/gateway/tests/machine_faults.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, EngineProcess};
+use helper::process::{ms, FakeEngineProcess};
 use helper::*;
 use serde_json::{json, Value};
 use std::process::{Child, Stdio};
@@ -22,12 +22,12 @@
 }
 
 /// Sends queries one after another on keep-alive and new connections, some with long statements, and asserts that all succeed.
-fn assert_all_succeed(service: &Service, queries: usize) {
+fn assert_all_succeed(test_bed: &TestBed, queries: usize) {
     let long = format!("SELECT '{}' FROM sales_1.orders", "x".repeat(60_000));
-    let mut keep_alive = service.open();
+    let mut keep_alive = test_bed.open();
     for n in 0..queries {
         if n % 5 == 0 {
-            keep_alive = service.open();
+            keep_alive = test_bed.open();
         }
         keep_alive
             .set_read_timeout(Some(Duration::from_secs(4)))
@@ -58,7 +58,7 @@
     let faults = Faults::new();
     faults.enable("short", "2");
     assert_all_succeed(
-        &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+        &TestBed::start_with_launcher(|_| {}, serve_with(&faults)),
         40,
     );
 }
@@ -69,7 +69,7 @@
     faults.enable("eintr", "2");
     faults.enable("waits", "3");
     assert_all_succeed(
-        &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+        &TestBed::start_with_launcher(|_| {}, serve_with(&faults)),
         40,
     );
 }
@@ -87,7 +87,7 @@
             later.disable("socket");
         });
         assert_all_succeed(
-            &Service::start_with_launcher(|_| {}, serve_with(&faults)),
+            &TestBed::start_with_launcher(|_| {}, serve_with(&faults)),
             1,
         );
     }
@@ -102,20 +102,20 @@
         occupied.lock().unwrap().take();
         child
     };
-    assert_all_succeed(&Service::start_with_launcher(occupy_address, serve), 1);
+    assert_all_succeed(&TestBed::start_with_launcher(occupy_address, serve), 1);
 }
 
 /// Failed accepts delay new clients only slightly.
 #[test]
 fn failed_accepts_delay_no_client() {
     let faults = Faults::new();
-    let service = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |config| config["limits"]["sockets"] = json!(1024),
         serve_with(&faults),
     );
     faults.enable("accept", "2");
     let began = Instant::now();
-    let open: Vec<_> = (0..200).map(|_| service.open()).collect();
+    let open: Vec<_> = (0..200).map(|_| test_bed.open()).collect();
     for stream in &open {
         send_request(
             stream,
@@ -144,17 +144,17 @@
 fn local_connect_faults_are_not_attributed_to_an_engine() {
     for code in [99, 105, 101] {
         let faults = Faults::new();
-        let service = Service::start_with_launcher(|_| {}, serve_with(&faults));
-        assert_all_succeed(&service, 3);
+        let test_bed = TestBed::start_with_launcher(|_| {}, serve_with(&faults));
+        assert_all_succeed(&test_bed, 3);
         faults.enable("connect", &format!("1 {code}"));
         let began = Instant::now();
         while began.elapsed() < ms(1000) {
-            let answer = service.query("load", "INSERT 1");
+            let answer = test_bed.query("load", "INSERT 1");
             assert_eq!(answer.status, 503, "{code}: {answer:?}");
         }
         faults.disable("connect");
         let recovered_at = Instant::now();
-        assert_all_succeed(&service, 1);
+        assert_all_succeed(&test_bed, 1);
         assert!(
             recovered_at.elapsed() < ms(300),
             "{code}: used again only after {:?}",
@@ -167,21 +167,21 @@
 #[test]
 fn connection_timeout_proves_nothing() {
     for code in [110, 113] {
-        let (engine, faults) = (EngineProcess::start(), Faults::new());
+        let (engine, faults) = (FakeEngineProcess::start(), Faults::new());
         let one_engine = |config: &mut Value| {
             config["known"]["results"] = json!([full_list_event(
                 0,
                 &[endpoint("s-0", engine.address, "SERVING")]
             )]);
         };
-        let service = Service::start_with_launcher(one_engine, serve_with(&faults));
+        let test_bed = TestBed::start_with_launcher(one_engine, serve_with(&faults));
         faults.enable("broken", &format!("12 {code}"));
         for _ in 0..60 {
             let id = new_id();
             let statement = format!("INSERT {id} /* runs 5 */");
             // The client's connection may break as well.
             let _ = round_trip(
-                service.open(),
+                test_bed.open(),
                 "POST /v1/load",
                 &request_headers(&id, 1000),
                 &statement,
@@ -207,7 +207,7 @@
     const DEADLINE: u64 = 500;
     for _ in 0..6 {
         let faults = Faults::new();
-        let mut service = Service::start_with_launcher(
+        let mut test_bed = TestBed::start_with_launcher(
             |config| {
                 for n in 0..2 {
                     config["settings"]["categories"][n]["give-up"] = json!(DEADLINE as f64);
@@ -217,7 +217,7 @@
         );
         faults.enable("wake", "1");
         // Each query of this client lasts until its deadline.
-        let address = service.address;
+        let address = test_bed.address;
         let client = std::thread::spawn(move || {
             while let Ok(stream) = std::net::TcpStream::connect(address) {
                 let slow = "SELECT 1 /* keeps delete */";
@@ -234,9 +234,9 @@
             }
         });
         std::thread::sleep(ms(20));
-        service.signal("TERM");
+        test_bed.signal("TERM");
         let signalled_at = Instant::now();
-        assert!(service.child.wait().unwrap().success());
+        assert!(test_bed.child.wait().unwrap().success());
         let took = signalled_at.elapsed();
         client.join().unwrap();
         assert!(
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -4,7 +4,7 @@
 
 mod helper;
 
-use helper::process::{ms, EngineProcess, POLL_HOLD_TIME};
+use helper::process::{ms, FakeEngineProcess, POLL_HOLD_TIME};
 use helper::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Read};
@@ -20,9 +20,9 @@
 
 /// A gateway with two engines: the first queries go to `first`, as `second` is listed only by `replace_first_engine`.
 struct TwoEngines {
-    service: Service,
-    first: EngineProcess,
-    second: EngineProcess,
+    test_bed: TestBed,
+    first: FakeEngineProcess,
+    second: FakeEngineProcess,
 }
 
 /// The answer to a query and the time that it took.
@@ -46,14 +46,14 @@
     }
 
     fn with(change: impl Fn(&mut Value)) -> TwoEngines {
-        let (first, second) = (EngineProcess::start(), EngineProcess::start());
+        let (first, second) = (FakeEngineProcess::start(), FakeEngineProcess::start());
         let at = first.address;
-        let service = Service::start_with(|config| {
+        let test_bed = TestBed::start_with(|config| {
             config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at.to_string());
             change(&mut config["settings"]);
         });
         TwoEngines {
-            service,
+            test_bed,
             first,
             second,
         }
@@ -65,7 +65,7 @@
             self.line("DRAINING"),
             endpoint("s-2", self.second.address, "SERVING"),
         ];
-        self.service.log.publish(list_change_event(1, &lines));
+        self.test_bed.log.publish(list_change_event(1, &lines));
     }
 
     fn line(&self, state: &str) -> Value {
@@ -78,7 +78,7 @@
         allowed: u32,
         statement: &str,
     ) -> (TcpStream, std::thread::JoinHandle<Answered>) {
-        let stream = self.service.open();
+        let stream = self.test_bed.open();
         let headers = format!("{}{KEY}", request_headers(&new_id(), allowed));
         let began = Instant::now();
         send_request(&stream, "POST /v1/load", &headers, statement);
@@ -169,12 +169,12 @@
     let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */ /* second news spoilt */");
     engines.wait_until_sent();
     engines.first.refuse_connections();
-    let other = EngineProcess::at(engines.first.address);
+    let other = FakeEngineProcess::at(engines.first.address);
     let lines = [
         engines.line("DELETED"),
         endpoint("s-2", engines.second.address, "SERVING"),
     ];
-    engines.service.log.publish(list_change_event(
+    engines.test_bed.log.publish(list_change_event(
         1,
         &[&lines[..], &[endpoint("s-3", other.address, "DRAINING")]].concat(),
     ));
@@ -207,7 +207,7 @@
     for early in [0, 5, 10, 20] {
         let engines = TwoEngines::start();
         let id = new_id();
-        let stream = engines.service.open();
+        let stream = engines.test_bed.open();
         send_request(
             &stream,
             "POST /v1/load",
@@ -220,7 +220,7 @@
         // The gateway assumes that a keyed query was sent up to 0.25 s before it was received.
         sleep((ms(350 - early)).saturating_sub(sent.elapsed()));
         let withdrawn = round_trip(
-            engines.service.open(),
+            engines.test_bed.open(),
             "DELETE /v1/load",
             &request_headers(&id, 600),
             "",
@@ -256,7 +256,7 @@
     let engines = TwoEngines::with_long_deadline();
     let (_a, first) = engines.load(3000, "INSERT 1 /* runs 8000 */");
     engines.wait_until_sent();
-    engines.service.log.publish(list_change_event(
+    engines.test_bed.log.publish(list_change_event(
         1,
         &[endpoint("s-2", engines.second.address, "SERVING")],
     ));
@@ -282,7 +282,7 @@
     engines.wait_until_sent();
     sleep(POLL_HOLD_TIME + ms(50));
     engines.first.refuse_connections();
-    engines.second = EngineProcess::at(engines.first.address);
+    engines.second = FakeEngineProcess::at(engines.first.address);
     engines.first.break_connections();
     let (_b, second) = engines.load(7000, "INSERT 2 /* runs 10 */");
     assert_eq!(answer_within(900, first).status, 500);
@@ -319,11 +319,11 @@
     cut_off.listen(16).unwrap();
     let cut_off: TcpListener = cut_off.into();
     let at = cut_off.local_addr().unwrap().to_string();
-    let service = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(at);
     });
     let statement = format!("INSERT 1 /* {} */", "x".repeat(200_000));
-    let answer = service.query_with_id(&new_id(), "load", 2000, &statement);
+    let answer = test_bed.query_with_id(&new_id(), "load", 2000, &statement);
     assert_eq!(answer.status, 500, "it may have run");
     sleep(ms(2600));
     cut_off.set_nonblocking(true).unwrap();
@@ -350,10 +350,10 @@
     engines.replace_first_engine();
     let (_b, second) = engines.load(3000, "INSERT 2 /* runs 10 */");
     let began = Instant::now();
-    engines.service.signal("TERM");
+    engines.test_bed.signal("TERM");
     assert_eq!(answer_within(900, first).status, 500);
     answer_within(3050, second);
-    assert!(engines.service.child.wait().unwrap().success());
+    assert!(engines.test_bed.child.wait().unwrap().success());
     assert!(began.elapsed() < ms(3700), "{:?}", began.elapsed());
 }
 
@@ -395,7 +395,7 @@
     let engines = with_progress();
     let statement = "SELECT 1 /* notes */ /* runs 3200 */";
     assert!(engines
-        .service
+        .test_bed
         .query_with_id(&new_id(), "report", 6000, statement)
         .succeeded());
     assert_eq!(engines.first.attempts().len(), 1);
@@ -416,7 +416,7 @@
             request_headers(&new_id(), 2900)
         );
         round_trip(
-            engines.service.open(),
+            engines.test_bed.open(),
             "POST /v1/load",
             &headers,
             "INSERT 1",
--- a/crates/gateway/tests/plan.rs
+++ b/crates/gateway/tests/plan.rs
@@ -25,8 +25,8 @@
 
 /// A gateway with a plan, two engines `s-1` (the helper's) and `s-2`, and its log.
 struct PlannedGateway {
-    service: Service,
-    second: Engine,
+    test_bed: TestBed,
+    second: FakeEngine,
     plan: PathBuf,
     log: PathBuf,
 }
@@ -36,10 +36,10 @@
         let (plan, log, second) = (
             write_file("a.plan", text),
             write_file("log", ""),
-            Engine::start(),
+            FakeEngine::start(),
         );
         let at = second.address;
-        let service = Service::start_with_launcher(
+        let test_bed = TestBed::start_with_launcher(
             |config| {
                 let servers = config["known"]["results"][0]["fleet"]["servers"]
                     .as_array_mut()
@@ -55,7 +55,7 @@
             },
         );
         PlannedGateway {
-            service,
+            test_bed,
             second,
             plan,
             log,
@@ -64,7 +64,7 @@
 
     fn reload(&self, text: &str) {
         std::fs::write(&self.plan, text).unwrap();
-        self.service.signal("HUP");
+        self.test_bed.signal("HUP");
     }
 
     fn wait_until_logged(&self, words: &str) -> String {
@@ -76,7 +76,7 @@
 
     fn attempts_per_engine(&self) -> (usize, usize) {
         (
-            self.service.engine.requests("POST"),
+            self.test_bed.engine.requests("POST"),
             self.second.requests("POST"),
         )
     }
@@ -122,9 +122,9 @@
 #[test]
 fn queries_are_routed_as_explain_says() {
     let gateway = PlannedGateway::start(ROUTES);
-    let service = &gateway.service;
+    let test_bed = &gateway.test_bed;
     for n in 0..10 {
-        assert!(service.query("report", &format!("SELECT {n}")).succeeded());
+        assert!(test_bed.query("report", &format!("SELECT {n}")).succeeded());
     }
     assert_eq!(
         gateway.attempts_per_engine(),
@@ -132,37 +132,37 @@
         "reports are bound to the second engine"
     );
     for n in 0..5 {
-        assert!(service.query("load", &format!("INSERT {n}")).succeeded());
+        assert!(test_bed.query("load", &format!("INSERT {n}")).succeeded());
     }
     assert_eq!(
         gateway.attempts_per_engine(),
         (5, 10),
         "loads prefer the first"
     );
-    service.log.publish(list_change_event(
+    test_bed.log.publish(list_change_event(
         1,
-        &[endpoint("s-1", service.engine.address, "DRAINING")],
+        &[endpoint("s-1", test_bed.engine.address, "DRAINING")],
     ));
     wait_until("the drain", || {
-        service.query("load", "INSERT").succeeded() && gateway.attempts_per_engine().1 > 10
+        test_bed.query("load", "INSERT").succeeded() && gateway.attempts_per_engine().1 > 10
     });
     let before = gateway.attempts_per_engine().0;
-    assert!(service.query("load", "INSERT").succeeded());
+    assert!(test_bed.query("load", "INSERT").succeeded());
     assert_eq!(
         gateway.attempts_per_engine().0,
         before,
         "the second preference, as the first has none left"
     );
-    service.log.publish(list_change_event(
+    test_bed.log.publish(list_change_event(
         2,
         &[endpoint("s-2", gateway.second.address, "DELETED")],
     ));
-    service.log.publish(list_change_event(
+    test_bed.log.publish(list_change_event(
         3,
-        &[endpoint("s-3", service.engine.address, "SERVING")],
+        &[endpoint("s-3", test_bed.engine.address, "SERVING")],
     ));
     sleep(Duration::from_millis(200));
-    let answer = service.query_with_id(&new_id(), "report", 400, "SELECT 1");
+    let answer = test_bed.query_with_id(&new_id(), "report", 400, "SELECT 1");
     assert_eq!(
         answer.status, 503,
         "bound to a removed engine, it is sent to no other: {answer:?}"
@@ -174,7 +174,7 @@
         request_headers(&new_id(), 3000)
     );
     let refused =
-        Answer::of(round_trip(service.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
+        Answer::of(round_trip(test_bed.open(), "POST /v1/load", &key, "INSERT 1").unwrap());
     assert_eq!(refused.status, 503);
     assert_eq!(
         refused.json,
@@ -213,12 +213,12 @@
          limit loads {\n  group load\n  in-hand 1\n}\n\
          group load {\n  statement 100B\n}\n",
     );
-    let service = &gateway.service;
+    let test_bed = &gateway.test_bed;
     for _ in 0..2 {
-        assert!(service.query("report", "SELECT 1").succeeded());
+        assert!(test_bed.query("report", "SELECT 1").succeeded());
     }
     let began = Instant::now();
-    let third = service.query("report", "SELECT 1");
+    let third = test_bed.query("report", "SELECT 1");
     assert!(
         began.elapsed() < Duration::from_millis(200),
         "at once: {:?}",
@@ -232,11 +232,11 @@
     assert!((10..=250).contains(&wait), "{wait}");
     sleep(Duration::from_millis(wait + 5));
     assert!(
-        service.query("report", "SELECT 1").succeeded(),
+        test_bed.query("report", "SELECT 1").succeeded(),
         "then there is capacity"
     );
 
-    let (slow, id) = (service.open(), new_id());
+    let (slow, id) = (test_bed.open(), new_id());
     send_request(
         &slow,
         "POST /v1/load",
@@ -247,27 +247,27 @@
         gateway.attempts_per_engine() != (3, 0)
             && gateway.attempts_per_engine().0 + gateway.attempts_per_engine().1 == 4
     });
-    let second = service.query("load", "INSERT");
+    let second = test_bed.query("load", "INSERT");
     assert_eq!(
         (second.status, &second.json["reason"]),
         (503, &json!("over the limit loads (InHand)"))
     );
     // A repeated request is not another query.
-    let repeated = service.query_with_id(&id, "load", 3000, "INSERT /* slow */");
+    let repeated = test_bed.query_with_id(&id, "load", 3000, "INSERT /* slow */");
     assert!(repeated.succeeded(), "{repeated:?}");
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
     assert!(
-        service.query("load", "INSERT").succeeded(),
+        test_bed.query("load", "INSERT").succeeded(),
         "capacity again"
     );
-    assert_eq!(service.query("load", &"x".repeat(101)).status, 413);
+    assert_eq!(test_bed.query("load", &"x".repeat(101)).status, 413);
 }
 
 #[test]
 fn time_limit_of_the_plan_applies_though_the_client_allows_more() {
     let gateway = PlannedGateway::start("group report {\n  limit 500ms\n}\n");
     let began = Instant::now();
-    let answer = gateway.service.query("report", "SELECT 1 /* very slow */");
+    let answer = gateway.test_bed.query("report", "SELECT 1 /* very slow */");
     assert_eq!(answer.status, 503);
     assert!(
         began.elapsed() < Duration::from_millis(600),
@@ -279,19 +279,19 @@
 #[test]
 fn plan_error_is_logged_with_line_and_cause_and_the_old_plan_stays_under_load() {
     let gateway = PlannedGateway::start(ROUTES);
-    let (service, stop) = (&gateway.service, AtomicBool::new(false));
+    let (test_bed, stop) = (&gateway.test_bed, AtomicBool::new(false));
     scope(|scope| {
         let load = scope.spawn(|| {
             let mut answers = 0;
             while !stop.load(Ordering::Relaxed) {
-                let answer = service.query("report", "SELECT 1");
+                let answer = test_bed.query("report", "SELECT 1");
                 assert!(answer.succeeded(), "{answer:?}");
                 answers += 1;
             }
             answers
         });
         // A query that is active while the plan changes keeps the plan that it was admitted under.
-        let (slow, reader) = (service.open(), service.open());
+        let (slow, reader) = (test_bed.open(), test_bed.open());
         send_request(
             &slow,
             "POST /v1/load",
@@ -322,7 +322,7 @@
             gateway.attempts_per_engine().0 > 3
         });
         let before = gateway.attempts_per_engine().1;
-        assert!(service.query("report", "SELECT 1").succeeded());
+        assert!(test_bed.query("report", "SELECT 1").succeeded());
         sleep(Duration::from_millis(100));
         assert!(
             gateway.attempts_per_engine().1 <= before + 1,
@@ -337,7 +337,7 @@
 
 #[test]
 fn gateway_with_a_faulty_plan_does_not_start() {
-    let (engine, log) = (Engine::start(), ChangeLog::start());
+    let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
     let plan = write_file("b.plan", "pool one {\n  id s-1\n  knid std\n}\n");
     let config = write_config(&config(engine.address, log.address));
     let output = gateway_command(&["serve", "--plan", plan.to_str().unwrap()])
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -4,7 +4,7 @@
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, EngineProcess};
+use helper::process::{ms, FakeEngineProcess};
 use helper::*;
 use serde_json::json;
 use std::collections::HashMap;
@@ -18,8 +18,8 @@
 
 /// A gateway that can be killed and restarted with the same address and journal.
 struct RestartableGateway {
-    engine: EngineProcess,
-    _log: ChangeLog,
+    engine: FakeEngineProcess,
+    _log: FakeChangeLog,
     config: PathBuf,
     plan: PathBuf,
     address: std::net::SocketAddr,
@@ -33,7 +33,7 @@
     }
 
     fn start_with(faults: Faults) -> RestartableGateway {
-        let (engine, log) = (EngineProcess::start(), ChangeLog::start());
+        let (engine, log) = (FakeEngineProcess::start(), FakeChangeLog::start());
         let mut settings_file = config(engine.address, log.address);
         settings_file["settings"]["categories"][1]["give-up"] = json!(8000.0);
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
@@ -381,7 +381,7 @@
 
 #[test]
 fn journal_that_cannot_be_opened_is_reported_with_its_path() {
-    let (engine, log) = (Engine::start(), ChangeLog::start());
+    let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
     let plan = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("no-journal-{}.plan", std::process::id()));
     std::fs::write(&plan, "journal j {\n  directory \"/no/such/folder\"\n}\n").unwrap();
--- a/crates/gateway/tests/repeated_calls.rs
+++ b/crates/gateway/tests/repeated_calls.rs
@@ -19,8 +19,8 @@
 const MAX_REPEATS: usize = 3;
 
 /// Sends a request and resets its connection once the answer has arrived and before it is read.
-fn lose_answer(service: &Service, id: &str, class: &str, statement: &str) {
-    let stream = service.open();
+fn lose_answer(test_bed: &TestBed, id: &str, class: &str, statement: &str) {
+    let stream = test_bed.open();
     send_request(
         &stream,
         &format!("POST /v1/{class}"),
@@ -42,18 +42,18 @@
 
 #[test]
 fn repeated_request_gets_its_lost_answer_and_runs_once() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     for class in ["report", "load"] {
-        let (id, before) = (new_id(), service.engine.requests("POST"));
-        lose_answer(&service, &id, class, "SELECT 1");
+        let (id, before) = (new_id(), test_bed.engine.requests("POST"));
+        lose_answer(&test_bed, &id, class, "SELECT 1");
         std::thread::sleep(ms(100));
         for _ in 0..MAX_REPEATS {
-            let answer = service.query_with_id(&id, class, 3000, "SELECT 1");
+            let answer = test_bed.query_with_id(&id, class, 3000, "SELECT 1");
             assert!(answer.succeeded(), "{class}: {answer:?}");
             assert_eq!(answer.json["data"], serde_json::json!(ROWS_AS_JSON));
         }
         assert_eq!(
-            service.engine.requests("POST") - before,
+            test_bed.engine.requests("POST") - before,
             1,
             "{class}: one attempt"
         );
@@ -62,17 +62,17 @@
 
 #[test]
 fn repeated_request_gets_its_lost_failure_again() {
-    let service = Service::start();
-    let (id, before) = (new_id(), service.engine.requests("POST"));
-    lose_answer(&service, &id, "load", "INSERT /* error */");
+    let test_bed = TestBed::start();
+    let (id, before) = (new_id(), test_bed.engine.requests("POST"));
+    lose_answer(&test_bed, &id, "load", "INSERT /* error */");
     std::thread::sleep(ms(100));
-    let answer = service.query_with_id(&id, "load", 3000, "INSERT /* error */");
+    let answer = test_bed.query_with_id(&id, "load", 3000, "INSERT /* error */");
     assert_eq!(
         (answer.status, &answer.json["error"]),
         (500, &serde_json::json!("Failed"))
     );
     assert_eq!(
-        service.engine.requests("POST") - before,
+        test_bed.engine.requests("POST") - before,
         1,
         "it may have run, and runs no second time"
     );
@@ -80,30 +80,30 @@
 
 #[test]
 fn id_with_another_request_gets_no_answer_of_the_first() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let id = new_id();
-    lose_answer(&service, &id, "report", "SELECT 1");
+    lose_answer(&test_bed, &id, "report", "SELECT 1");
     std::thread::sleep(ms(100));
     assert_eq!(
-        service
+        test_bed
             .query_with_id(&id, "report", 3000, "SELECT 2")
             .status,
         409
     );
     assert_eq!(
-        service.query_with_id(&id, "load", 3000, "SELECT 1").status,
+        test_bed.query_with_id(&id, "load", 3000, "SELECT 1").status,
         409
     );
-    assert_eq!(service.engine.requests("POST"), 1);
+    assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
 /// After its deadline only the id is remembered, so that the query never runs again.
 #[test]
 fn answer_is_cached_no_longer_than_its_deadline() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let id = new_id();
     let answer = round_trip(
-        service.open(),
+        test_bed.open(),
         "POST /v1/report",
         &request_headers(&id, 400),
         "SELECT 1",
@@ -111,8 +111,10 @@
     assert!(Answer::of(answer.unwrap()).succeeded());
     std::thread::sleep(ms(500));
     assert_eq!(
-        service.query_with_id(&id, "report", 400, "SELECT 1").status,
+        test_bed
+            .query_with_id(&id, "report", 400, "SELECT 1")
+            .status,
         409
     );
-    assert_eq!(service.engine.requests("POST"), 1);
+    assert_eq!(test_bed.engine.requests("POST"), 1);
 }
--- a/crates/gateway/tests/slow_discovery.rs
+++ b/crates/gateway/tests/slow_discovery.rs
@@ -14,7 +14,7 @@
 mod helper;
 
 use helper::process::ms;
-use helper::scripted_log::{event_text, Connection, ScriptedLog, COMMENT, HEAD};
+use helper::scripted_log::{event_text, Connection, ScriptedChangeLog, COMMENT, HEAD};
 use helper::*;
 use serde_json::{json, Value};
 use std::net::TcpStream;
@@ -30,7 +30,7 @@
 const MAX_OPEN_CONNECTIONS: usize = 3;
 
 /// An endpoint list with this engine and `others` draining ones at which nothing listens.
-fn list(engine: &Engine, others: usize) -> Value {
+fn list(engine: &FakeEngine, others: usize) -> Value {
     let mut servers = vec![endpoint("s-1", engine.address, "SERVING")];
     let address = |n: usize| {
         format!("10.{}.{}.9:4100", n / 256, n % 256)
@@ -48,22 +48,22 @@
     others: usize,
     script: impl Fn(&Connection, &str) + Send + Sync + 'static,
 ) {
-    let engine = Engine::start();
+    let engine = FakeEngine::start();
     let event = event_text(&list(&engine, others));
-    let log = ScriptedLog::start(move |connection| script(connection, &event));
+    let log = ScriptedChangeLog::start(move |connection| script(connection, &event));
     let mut config = config(free_address(), log.address);
     config["known"]["results"] = json!([]);
     let address = config["listen"].as_str().unwrap().parse().unwrap();
     let child = serve(&config);
-    let service = Service {
+    let test_bed = TestBed {
         engine,
-        log: ChangeLog::start(),
+        log: FakeChangeLog::start(),
         config,
         address,
         child,
     };
     let healthy = || {
-        let health_response = TcpStream::connect(service.address)
+        let health_response = TcpStream::connect(test_bed.address)
             .ok()
             .and_then(|s| round_trip(s, "GET /healthz", "", ""));
         health_response.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
@@ -258,7 +258,7 @@
 /// A serving gateway with two engines: its log falls silent as one of them begins to drain, and answers each later connection
 /// after `late`.
 fn assert_drained_engine_gets_no_attempt(late: Duration) {
-    let (drained, other) = (Engine::start(), Engine::start());
+    let (drained, other) = (FakeEngine::start(), FakeEngine::start());
     let endpoints = |state: &str| {
         [
             endpoint("s-0", drained.address, state),
@@ -269,7 +269,7 @@
     let drain_event = event_text(&list_change_event(2, &endpoints("DRAINING")[..1]));
     let published_at: Arc<OnceLock<Instant>> = Arc::default();
     let publish_time = published_at.clone();
-    let log = ScriptedLog::start(move |connection| {
+    let log = ScriptedChangeLog::start(move |connection| {
         if connection.number > 0 {
             sleep(late);
             connection.write(HEAD);
@@ -285,27 +285,27 @@
         publish_time.get_or_init(Instant::now);
         connection.wait_for_close();
     });
-    let service = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["changelog"] = json!(log.address.to_string());
         config["settings"]["allowed"]["may-probe"] = json!(false);
     });
     wait_until("both engines get attempts", || {
-        service.query("report", "SELECT 1");
+        test_bed.query("report", "SELECT 1");
         drained.requests("POST") > 0 && other.requests("POST") > 0
     });
     let published_at = loop {
         match published_at.get() {
             Some(published_at) => break *published_at,
-            None => assert!(service.query("report", "SELECT 1").succeeded()),
+            None => assert!(test_bed.query("report", "SELECT 1").succeeded()),
         }
     };
     while published_at.elapsed() < PUBLICATION_LIMIT + SOCKET_TOLERANCE {
-        assert!(service.query("report", "SELECT 1").succeeded());
+        assert!(test_bed.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
     let before = drained.requests("POST");
     while published_at.elapsed() < PUBLICATION_LIMIT + ms(5000) {
-        assert!(service.query("report", "SELECT 1").succeeded());
+        assert!(test_bed.query("report", "SELECT 1").succeeded());
         sleep(ms(10));
     }
     let after = drained.requests("POST") - before;
--- a/crates/gateway/tests/slow_engines.rs
+++ b/crates/gateway/tests/slow_engines.rs
@@ -50,16 +50,16 @@
 
 /// Sends one query of three pages over such a link; returns its answer, its duration and the number of attempts.
 fn query_over_slow_link(delay: u64) -> (Answer, Duration, usize) {
-    let engine = Engine::start();
+    let engine = FakeEngine::start();
     let link = slow_link(engine.address, ms(delay));
-    let service = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["settings"]["allowed"]["may-probe"] = json!(false);
         config["settings"]["categories"][0]["give-up"] = json!(10_000.0);
         config["known"]["results"] =
             json!([full_list_event(0, &[endpoint("s-1", link, "SERVING")])]);
     });
     let began = Instant::now();
-    let answer = service.query_with_id(&new_id(), "report", 9000, "SELECT 1 /* pages */");
+    let answer = test_bed.query_with_id(&new_id(), "report", 9000, "SELECT 1 /* pages */");
     (answer, began.elapsed(), engine.requests("POST"))
 }
 
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -5,7 +5,7 @@
 mod helper;
 
 use helper::faults::Faults;
-use helper::process::{ms, EngineProcess};
+use helper::process::{ms, FakeEngineProcess};
 use helper::*;
 use serde_json::json;
 use std::collections::HashMap;
@@ -117,7 +117,11 @@
 fn run_seed(seed: u64) {
     let mut random = Random(seed);
     let deadline = random.one_of(&[100, 200, 500, 1000, 3000]);
-    let (engine, log, faults) = (EngineProcess::start(), ChangeLog::start(), Faults::new());
+    let (engine, log, faults) = (
+        FakeEngineProcess::start(),
+        FakeChangeLog::start(),
+        Faults::new(),
+    );
     let mut settings_file = config(engine.address, log.address);
     for n in 0..2 {
         settings_file["settings"]["categories"][n]["give-up"] = json!(deadline as f64);
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -14,24 +14,24 @@
 
 #[test]
 fn query_is_forwarded_unchanged_and_its_rows_are_returned_complete() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let statement = "SELECT é FROM s_17.t /* pages */ WHERE a = 'x\\y'";
-    let answer = service.query("report", statement);
+    let answer = test_bed.query("report", statement);
     let mut rows: Vec<Value> = ROWS_AS_JSON.iter().map(|row| json!(row)).collect();
     rows.extend([json!(["p1", "", ""]), json!(["p2", "", ""])]);
     assert_eq!((answer.status, &answer.json), (200, &json!({"data": rows})));
-    assert!(service
+    assert!(test_bed
         .engine
         .requests
         .lock()
         .unwrap()
         .contains(&format!("POST /c {statement}")));
     assert_eq!(
-        service.query("report", "SELECT 1 /* empty */").json,
+        test_bed.query("report", "SELECT 1 /* empty */").json,
         json!({"data": []})
     );
     // Several requests on one connection.
-    let stream = service.open();
+    let stream = test_bed.open();
     for _ in 0..5 {
         let answer = round_trip(
             stream.try_clone().unwrap(),
@@ -48,7 +48,7 @@
 
 #[test]
 fn invalid_request_gets_a_short_4xx_and_no_attempt() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let good = request_headers(&new_id(), 3000);
     let cases = [
         ("POST /v1/other", good.clone(), 400),
@@ -91,44 +91,44 @@
     ];
     for (start, headers, status) in cases {
         let answer =
-            Answer::of(round_trip(service.open(), start, &headers, "SELECT 1").expect(start));
+            Answer::of(round_trip(test_bed.open(), start, &headers, "SELECT 1").expect(start));
         assert_eq!(answer.status, status, "{start} {headers:.200}");
         assert!(
             status == 431 || answer.json["error"].is_string(),
             "{start} {headers:.200}"
         );
     }
-    assert_eq!(service.query("report", "").status, 400);
+    assert_eq!(test_bed.query("report", "").status, 400);
     // Also read by a client that is still sending.
-    assert_eq!(service.query("report", &"x".repeat(3_000_000)).status, 413);
-    assert_eq!(service.engine.requests("POST"), 0);
+    assert_eq!(test_bed.query("report", &"x".repeat(3_000_000)).status, 413);
+    assert_eq!(test_bed.engine.requests("POST"), 0);
 }
 
 /// Each way in which an attempt can fail, and the query's answer then.
 #[test]
 fn every_failed_attempt_has_an_outcome_and_no_rows() {
-    let service = Service::start();
-    let retried = service.query("report", "SELECT 1 /* full once */");
+    let test_bed = TestBed::start();
+    let retried = test_bed.query("report", "SELECT 1 /* full once */");
     assert!(
         retried.succeeded(),
         "a rejected attempt never ran: {retried:?}"
     );
     for words in ["error", "lost page", "no count", "huge"] {
-        let before = service.engine.requests("POST");
-        let answer = service.query("load", &format!("INSERT /* {words} */"));
+        let before = test_bed.engine.requests("POST");
+        let answer = test_bed.query("load", &format!("INSERT /* {words} */"));
         assert_eq!(
-            (answer.status, service.engine.requests("POST") - before),
+            (answer.status, test_bed.engine.requests("POST") - before),
             (500, 1),
             "non-idempotent, {words}: {answer:?}"
         );
     }
-    let failed = service.query("report", "SELECT 1 /* error */");
+    let failed = test_bed.query("report", "SELECT 1 /* error */");
     assert_eq!(
         (failed.status, &failed.json, failed.retry_after_ms),
         (503, &json!({"error": "Busy"}), Some(600))
     );
     assert_eq!(
-        service.engine.requests("POST /c SELECT 1 /* error */"),
+        test_bed.engine.requests("POST /c SELECT 1 /* error */"),
         2,
         "two attempts are allowed"
     );
@@ -136,15 +136,15 @@
 
 #[test]
 fn attempt_is_polled_not_restarted_after_a_connection_reset() {
-    let service = Service::start();
-    assert!(service.query("load", "INSERT /* reset */").succeeded());
-    assert_eq!(service.engine.requests("POST"), 1);
+    let test_bed = TestBed::start();
+    assert!(test_bed.query("load", "INSERT /* reset */").succeeded());
+    assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
 /// Corrupted responses: the engine repeats a result when polled, and is polled before the query is abandoned.
 #[test]
 fn corrupted_response_is_polled_again_and_reaches_no_other_query() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let rows = |kind: &str| {
         let pages = [json!(["p1", "", ""]), json!(["p2", "", ""])];
         let first = ROWS_AS_JSON.iter().map(|row| json!(row));
@@ -163,7 +163,7 @@
         "surplus",
     ] {
         for kind in ["pages", "one"] {
-            let answer = service.query(
+            let answer = test_bed.query(
                 "load",
                 &format!("INSERT /* {kind} */ /* spoilt {corruption} */"),
             );
@@ -173,14 +173,14 @@
                 "{corruption}, {kind}"
             );
             assert_eq!(
-                service.query("report", "SELECT 1").json,
+                test_bed.query("report", "SELECT 1").json,
                 rows("one"),
                 "after {corruption}"
             );
         }
     }
     assert_eq!(
-        service.engine.requests("POST"),
+        test_bed.engine.requests("POST"),
         28,
         "no query was sent twice"
     );
@@ -189,35 +189,35 @@
 /// Responses that are late or missing: lookups waited 0.75 s for them and missed their latency objective.
 #[test]
 fn missing_response_is_polled_once_it_is_due() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let began = Instant::now();
-    assert!(service.query("load", "INSERT /* late */").succeeded());
+    assert!(test_bed.query("load", "INSERT /* late */").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(700),
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(service.engine.requests("POST"), 1);
+    assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
 /// Connection resets: an engine that had received a complete start ran it without polls while the key's next query was sent.
 #[test]
 fn attempt_of_unknown_outcome_is_cancelled_before_it_counts_as_ended() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     assert_eq!(
-        service
+        test_bed
             .query("load", "INSERT /* reset */ /* forgets */")
             .status,
         500
     );
     wait_until("the DELETE", || {
         (
-            service.engine.requests("POST"),
-            service.engine.requests("DELETE"),
+            test_bed.engine.requests("POST"),
+            test_bed.engine.requests("DELETE"),
         ) == (1, 1)
     });
     assert_eq!(
-        service
+        test_bed
             .query(
                 "load",
                 "INSERT /* reset */ /* forgets */ /* loses delete */"
@@ -227,19 +227,19 @@
     );
     wait_until("the DELETE is retried", || {
         (
-            service.engine.requests("POST"),
-            service.engine.requests("DELETE"),
+            test_bed.engine.requests("POST"),
+            test_bed.engine.requests("DELETE"),
         ) == (2, 3)
     });
 }
 
 #[test]
 fn refused_connection_proves_that_nothing_ran() {
-    let service = Service::start_with(|c| {
+    let test_bed = TestBed::start_with(|c| {
         let dead = free_address().to_string();
         c["known"]["results"][0]["fleet"]["servers"][0]["addr"] = json!(dead);
     });
-    let answer = service.query_with_id(&new_id(), "load", 3000, "INSERT 1");
+    let answer = test_bed.query_with_id(&new_id(), "load", 3000, "INSERT 1");
     assert_eq!(
         (answer.status, &answer.json["error"]),
         (503, &json!("Busy"))
@@ -248,9 +248,9 @@
 
 #[test]
 fn query_to_a_silent_engine_is_answered_in_time_and_its_attempt_cancelled() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let (id, began) = (new_id(), Instant::now());
-    let answer = service.query_with_id(&id, "load", 1000, "INSERT /* silent */");
+    let answer = test_bed.query_with_id(&id, "load", 1000, "INSERT /* silent */");
     assert_eq!(answer.status, 500);
     assert!(
         began.elapsed() < Duration::from_millis(1050),
@@ -258,15 +258,15 @@
         began.elapsed()
     );
     wait_until("the DELETE", || {
-        service.engine.requests(&format!("DELETE /c/{id}")) == 1
+        test_bed.engine.requests(&format!("DELETE /c/{id}")) == 1
     });
 }
 
 /// An attempt cancelled shortly before the deadline must not be awaited past it.
 #[test]
 fn attempt_cancelled_late_does_not_delay_the_answer() {
-    let service = Service::start();
-    let (stream, began) = (service.open(), Instant::now());
+    let test_bed = TestBed::start();
+    let (stream, began) = (test_bed.open(), Instant::now());
     send_request(
         &stream,
         "POST /v1/report",
@@ -278,9 +278,9 @@
     let unix = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
-    let mut restarted = endpoint("s-1", service.engine.address, "SERVING");
+    let mut restarted = endpoint("s-1", test_bed.engine.address, "SERVING");
     restarted["started_ms"] = json!(unix.as_millis() as u64);
-    service.log.publish(list_change_event(1, &[restarted]));
+    test_bed.log.publish(list_change_event(1, &[restarted]));
     let answer = Answer::of(read_message(&mut BufReader::new(stream)).unwrap());
     assert_eq!(answer.status, 503);
     assert!(
@@ -292,10 +292,10 @@
 
 #[test]
 fn client_disconnect_or_cancel_cancels_the_attempt() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     for way in ["closes", "deletes"] {
         let id = new_id();
-        let stream = service.open();
+        let stream = test_bed.open();
         send_request(
             &stream,
             "POST /v1/report",
@@ -303,11 +303,11 @@
             "SELECT 1 /* slow */",
         );
         wait_until("the start", || {
-            service.engine.started.lock().unwrap().contains_key(&id)
+            test_bed.engine.started.lock().unwrap().contains_key(&id)
         });
         if way == "deletes" {
             let answer = round_trip(
-                service.open(),
+                test_bed.open(),
                 "DELETE /v1/report",
                 &request_headers(&id, 3000),
                 "",
@@ -317,17 +317,17 @@
         }
         drop(stream);
         wait_until(way, || {
-            service.engine.requests(&format!("DELETE /c/{id}")) == 1
+            test_bed.engine.requests(&format!("DELETE /c/{id}")) == 1
         });
     }
 }
 
 #[test]
 fn repeated_id_joins_its_query_and_never_starts_a_second() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let id = new_id();
     let both = [(); 2].map(|()| {
-        let stream = service.open();
+        let stream = test_bed.open();
         send_request(
             &stream,
             "POST /v1/load",
@@ -340,18 +340,18 @@
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
     // A repeated request gets the same answer without a second attempt; with another statement it is refused.
-    assert!(service
+    assert!(test_bed
         .query_with_id(&id, "load", 3000, "INSERT /* slow */")
         .succeeded());
     assert_eq!(
-        service.query_with_id(&id, "load", 3000, "INSERT").status,
+        test_bed.query_with_id(&id, "load", 3000, "INSERT").status,
         409
     );
-    assert_eq!(service.engine.requests("POST"), 1);
+    assert_eq!(test_bed.engine.requests("POST"), 1);
     // A disconnected client has 50 ms to reconnect; a slow machine may take longer, hence several rounds.
     let joined = (0..10).any(|_| {
         let id = new_id();
-        let lost = service.open();
+        let lost = test_bed.open();
         send_request(
             &lost,
             "POST /v1/report",
@@ -359,10 +359,10 @@
             "SELECT 1 /* slow */",
         );
         wait_until("the start", || {
-            service.engine.started.lock().unwrap().contains_key(&id)
+            test_bed.engine.started.lock().unwrap().contains_key(&id)
         });
         drop(lost);
-        service
+        test_bed
             .query_with_id(&id, "report", 3000, "SELECT 1 /* slow */")
             .succeeded()
     });
@@ -372,38 +372,38 @@
 /// Misbehaving clients got an answer for the id of an active query and a statement of their own.
 #[test]
 fn active_id_with_another_request_is_refused_and_does_not_affect_the_query() {
-    let service = Service::start();
-    let (id, stream) = (new_id(), service.open());
+    let test_bed = TestBed::start();
+    let (id, stream) = (new_id(), test_bed.open());
     send_request(
         &stream,
         "POST /v1/report",
         &request_headers(&id, 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || service.engine.requests("POST") == 1);
+    wait_until("the start", || test_bed.engine.requests("POST") == 1);
     assert_eq!(
-        service
+        test_bed
             .query_with_id(&id, "report", 3000, "SELECT 2")
             .status,
         409
     );
     assert_eq!(
-        service
+        test_bed
             .query_with_id(&id, "load", 3000, "SELECT 1 /* slow */")
             .status,
         409
     );
     assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
-    assert_eq!(service.engine.requests("POST"), 1);
+    assert_eq!(test_bed.engine.requests("POST"), 1);
 }
 
 /// Keep-alive and silent connections held all slots, and new ones waited unread and out of order.
 #[test]
 fn silent_and_idle_connections_delay_no_query_and_are_closed() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let keep_alive: Vec<TcpStream> = (0..120)
         .map(|_| {
-            let stream = service.open();
+            let stream = test_bed.open();
             let answer = round_trip(
                 stream.try_clone().unwrap(),
                 "POST /v1/report",
@@ -414,23 +414,23 @@
             stream
         })
         .collect();
-    let silent: Vec<TcpStream> = (0..300).map(|_| service.open()).collect();
-    let partial_head = service.open();
+    let silent: Vec<TcpStream> = (0..300).map(|_| test_bed.open()).collect();
+    let partial_head = test_bed.open();
     (&partial_head)
         .write_all(b"POST /v1/report HTTP/1.1\r\nHost: o")
         .unwrap();
-    let partial_body = service.open();
+    let partial_body = test_bed.open();
     (&partial_body)
         .write_all(b"POST /v1/report HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\nSEL")
         .unwrap();
     let began = Instant::now();
-    assert!(service.query("report", "SELECT 1").succeeded());
+    assert!(test_bed.query("report", "SELECT 1").succeeded());
     assert!(
         began.elapsed() < Duration::from_millis(1500),
         "{:?}",
         began.elapsed()
     );
-    let busy = service.open();
+    let busy = test_bed.open();
     send_request(
         &busy,
         "POST /v1/report",
@@ -461,10 +461,10 @@
 
 #[test]
 fn queries_of_a_key_run_one_at_a_time_in_order_of_arrival() {
-    let service = Service::start();
+    let test_bed = TestBed::start();
     let streams: Vec<TcpStream> = (0..3)
         .map(|n| {
-            let stream = service.open();
+            let stream = test_bed.open();
             let headers = format!(
                 "{}X-Item: 7f3a9c21e0b4d655\r\n",
                 request_headers(&new_id(), 2900)
@@ -480,35 +480,35 @@
         })
         .collect();
     assert_eq!(
-        service.engine.requests("POST"),
+        test_bed.engine.requests("POST"),
         1,
         "the others wait for the first"
     );
     for stream in streams {
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
-    let calls = service.engine.requests.lock().unwrap().join("\n");
+    let calls = test_bed.engine.requests.lock().unwrap().join("\n");
     let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
     assert!(at(0) < at(1) && at(1) < at(2));
 }
 
 #[test]
 fn the_change_log_is_followed_over_faults_and_lost_connections() {
-    let service = Service::start();
-    let other = Engine::start();
-    service.log.publish(
+    let test_bed = TestBed::start();
+    let other = FakeEngine::start();
+    test_bed.log.publish(
         json!({"seq": 1, "fleet": {"full": false, "servers": [{"id": "s-2", "state": "ODD"}]}}),
     );
-    service.log.publish(list_change_event(
+    test_bed.log.publish(list_change_event(
         2,
         &[
-            endpoint("s-1", service.engine.address, "DRAINING"),
+            endpoint("s-1", test_bed.engine.address, "DRAINING"),
             endpoint("s-2", other.address, "SERVING"),
         ],
     ));
     // The malformed event is requested again once, then skipped.
     wait_until("the second connection", || {
-        service
+        test_bed
             .log
             .last_event_ids
             .lock()
@@ -516,46 +516,47 @@
             .starts_with(&[0, 0])
     });
     wait_until("the new engine", || {
-        service.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
+        test_bed.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
     });
-    let before = service.engine.requests("POST");
-    assert!(service.query("report", "SELECT 1").succeeded());
+    let before = test_bed.engine.requests("POST");
+    assert!(test_bed.query("report", "SELECT 1").succeeded());
     assert_eq!(
-        service.engine.requests("POST"),
+        test_bed.engine.requests("POST"),
         before,
         "no attempt at a draining engine"
     );
-    service.log.close_streams();
+    test_bed.log.close_streams();
     wait_until("the third connection", || {
-        service.log.last_event_ids.lock().unwrap().last() == Some(&2)
+        test_bed.log.last_event_ids.lock().unwrap().last() == Some(&2)
     });
-    service.log.publish(full_list_event(
+    test_bed.log.publish(full_list_event(
         3,
-        &[endpoint("s-3", service.engine.address, "SERVING")],
+        &[endpoint("s-3", test_bed.engine.address, "SERVING")],
     ));
     wait_until("the full list", || {
-        service.query("report", "SELECT 1").succeeded() && service.engine.requests("POST") > before
+        test_bed.query("report", "SELECT 1").succeeded()
+            && test_bed.engine.requests("POST") > before
     });
     let requests_before = other.requests("POST");
-    assert!(service.query("report", "SELECT 1").succeeded());
+    assert!(test_bed.query("report", "SELECT 1").succeeded());
     assert_eq!(
         other.requests("POST"),
         requests_before,
         "an engine that a full list does not name is removed"
     );
-    service.log.paused.store(true, Ordering::Relaxed);
+    test_bed.log.paused.store(true, Ordering::Relaxed);
     wait_until("a fresh connection in place of a silent one", || {
-        service.log.last_event_ids.lock().unwrap().last() == Some(&3)
+        test_bed.log.last_event_ids.lock().unwrap().last() == Some(&3)
     });
 }
 
 #[test]
 fn gateway_is_healthy_only_once_it_has_an_endpoint_list() {
-    let (engine, log) = (Engine::start(), ChangeLog::start());
+    let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
     let mut config = config(engine.address, log.address);
     config["known"] = json!({"seq": 0, "results": []});
     let address = config["listen"].as_str().unwrap().parse().unwrap();
-    let service = Service {
+    let test_bed = TestBed {
         child: serve(&config),
         engine,
         log,
@@ -564,63 +565,63 @@
     };
     wait_until("the port", || TcpStream::connect(address).is_ok());
     let health = || {
-        round_trip(service.open(), "GET /healthz", "", "")
+        round_trip(test_bed.open(), "GET /healthz", "", "")
             .unwrap()
             .start_line
     };
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
-    service.log.publish(full_list_event(
+    test_bed.log.publish(full_list_event(
         1,
-        &[endpoint("s-1", service.engine.address, "SERVING")],
+        &[endpoint("s-1", test_bed.engine.address, "SERVING")],
     ));
-    service.wait_until_healthy();
-    assert!(service.query("report", "SELECT 1").succeeded());
+    test_bed.wait_until_healthy();
+    assert!(test_bed.query("report", "SELECT 1").succeeded());
 }
 
 #[test]
 fn sigterm_admits_new_queries_answers_all_and_exits() {
-    let mut service = Service::start();
-    let slow = service.open();
+    let mut test_bed = TestBed::start();
+    let slow = test_bed.open();
     send_request(
         &slow,
         "POST /v1/report",
         &request_headers(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || service.engine.requests("POST") == 1);
+    wait_until("the start", || test_bed.engine.requests("POST") == 1);
     let began = Instant::now();
-    service.signal("TERM");
+    test_bed.signal("TERM");
     sleep(Duration::from_millis(300));
     assert!(
-        service.query("report", "SELECT 1").succeeded(),
+        test_bed.query("report", "SELECT 1").succeeded(),
         "connections are still accepted"
     );
     assert!(Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded());
-    assert!(service.child.wait().unwrap().success());
+    assert!(test_bed.child.wait().unwrap().success());
     assert!(began.elapsed() < Duration::from_millis(3700));
 }
 
 /// SIGKILL may come 3.7 s after SIGTERM, however long queries may take.
 #[test]
 fn sigterm_leaves_no_query_unanswered_at_the_earliest_kill() {
-    let mut service = Service::start_with(|config| {
+    let mut test_bed = TestBed::start_with(|config| {
         config["settings"]["categories"][1]["give-up"] = json!(20_000.0)
     });
-    let silent = service.open();
+    let silent = test_bed.open();
     send_request(
         &silent,
         "POST /v1/load",
         &request_headers(&new_id(), 20_000),
         "INSERT /* silent */",
     );
-    wait_until("the start", || service.engine.requests("POST") == 1);
+    wait_until("the start", || test_bed.engine.requests("POST") == 1);
     let began = Instant::now();
-    service.signal("TERM");
+    test_bed.signal("TERM");
     assert_eq!(
         Answer::of(read_message(&mut BufReader::new(silent)).unwrap()).status,
         500
     );
-    assert!(service.child.wait().unwrap().success());
+    assert!(test_bed.child.wait().unwrap().success());
     assert!(
         began.elapsed() < Duration::from_millis(3700),
         "{:?}",
@@ -632,18 +633,18 @@
 #[test]
 fn sighup_follows_the_new_change_log_and_keeps_the_old_configuration_if_the_new_one_is_faulty() {
     let path = write_config(&Value::Null);
-    let mut service = Service::start_with_launcher(
+    let mut test_bed = TestBed::start_with_launcher(
         |_| {},
         |config| {
             std::fs::write(&path, config.to_string()).unwrap();
             serve_from(&path, Stdio::piped())
         },
     );
-    service.log.publish(list_change_event(1, &[]));
+    test_bed.log.publish(list_change_event(1, &[]));
     wait_until("the first log", || {
-        service.log.last_event_ids.lock().unwrap().as_slice() == [0]
+        test_bed.log.last_event_ids.lock().unwrap().as_slice() == [0]
     });
-    let slow = service.open();
+    let slow = test_bed.open();
     send_request(
         &slow,
         "POST /v1/report",
@@ -651,10 +652,10 @@
         "SELECT 1 /* slow */",
     );
     std::fs::write(&path, "{").unwrap();
-    service.signal("HUP");
+    test_bed.signal("HUP");
     sleep(Duration::from_millis(100));
-    let (other, new) = (Engine::start(), ChangeLog::start());
-    service
+    let (other, new) = (FakeEngine::start(), FakeChangeLog::start());
+    test_bed
         .log
         .events
         .lock()
@@ -665,31 +666,31 @@
         2,
         &[endpoint("s-2", other.address, "SERVING")],
     ));
-    service.config["changelog"] = json!(new.address.to_string());
-    service.config["limits"]["sockets"] = json!(512);
-    std::fs::write(&path, service.config.to_string()).unwrap();
-    service.signal("HUP");
+    test_bed.config["changelog"] = json!(new.address.to_string());
+    test_bed.config["limits"]["sockets"] = json!(512);
+    std::fs::write(&path, test_bed.config.to_string()).unwrap();
+    test_bed.signal("HUP");
     wait_until("the new log from the last number", || {
         new.last_event_ids.lock().unwrap().as_slice() == [1]
     });
-    service.log.publish(full_list_event(
+    test_bed.log.publish(full_list_event(
         2,
         &[endpoint("s-3", free_address(), "SERVING")],
     ));
     wait_until("the new engine", || {
-        service.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
+        test_bed.query("report", "SELECT 1").succeeded() && other.requests("POST") > 0
     });
     assert!(
         Answer::of(read_message(&mut BufReader::new(slow)).unwrap()).succeeded(),
         "no query is affected"
     );
-    service.signal("TERM");
-    service.signal("HUP");
+    test_bed.signal("TERM");
+    test_bed.signal("HUP");
     assert!(
-        service.child.wait().unwrap().success(),
+        test_bed.child.wait().unwrap().success(),
         "SIGHUP does not end a draining gateway"
     );
-    let log_text = std::io::read_to_string(service.child.stderr.take().unwrap()).unwrap();
+    let log_text = std::io::read_to_string(test_bed.child.stderr.take().unwrap()).unwrap();
     for line in [
         "configuration not reloaded",
         "key=\"limits\"",
@@ -701,20 +702,20 @@
 
 #[test]
 fn gateway_restarts_at_its_address_after_sigkill() {
-    let mut service = Service::start();
-    let open = service.open();
+    let mut test_bed = TestBed::start();
+    let open = test_bed.open();
     send_request(
         &open,
         "POST /v1/report",
         &request_headers(&new_id(), 3000),
         "SELECT 1 /* slow */",
     );
-    wait_until("the start", || service.engine.requests("POST") == 1);
-    service.signal("KILL");
-    service.child.wait().unwrap();
-    service.child = serve(&service.config);
-    service.wait_until_healthy();
-    assert!(service.query("report", "SELECT 1").succeeded());
+    wait_until("the start", || test_bed.engine.requests("POST") == 1);
+    test_bed.signal("KILL");
+    test_bed.child.wait().unwrap();
+    test_bed.child = serve(&test_bed.config);
+    test_bed.wait_until_healthy();
+    assert!(test_bed.query("report", "SELECT 1").succeeded());
 }
 
 #[test]
@@ -731,11 +732,11 @@
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let service =
-        Service::start_with_launcher(|config| config["limits"]["sockets"] = json!(64), limited);
+    let test_bed =
+        TestBed::start_with_launcher(|config| config["limits"]["sockets"] = json!(64), limited);
     let streams: Vec<TcpStream> = (0..60)
         .map(|_| {
-            let stream = service.open();
+            let stream = test_bed.open();
             send_request(
                 &stream,
                 "POST /v1/report",
@@ -751,7 +752,7 @@
         assert!(answer.succeeded() || answer.status == 503, "{answer:?}");
     }
     assert!(
-        service.query("report", "SELECT 1").succeeded(),
+        test_bed.query("report", "SELECT 1").succeeded(),
         "it still serves"
     );
 }
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -3,7 +3,7 @@
 
 mod helper;
 
-use helper::process::{ms, EngineProcess, ReceivedAttempt};
+use helper::process::{ms, FakeEngineProcess, ReceivedAttempt};
 use helper::*;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -31,8 +31,8 @@
 
 /// A gateway with many engines of which it uses a subset.
 struct SubsetGateway {
-    engines: Vec<EngineProcess>,
-    service: Service,
+    engines: Vec<FakeEngineProcess>,
+    test_bed: TestBed,
     log_text: PathBuf,
     /// The number of the last published event.
     number: AtomicU64,
@@ -42,7 +42,7 @@
     format!("z{}", engine % ZONES)
 }
 
-fn endpoint_in_zone(id: &str, engine: usize, process: &EngineProcess, state: &str) -> Value {
+fn endpoint_in_zone(id: &str, engine: usize, process: &FakeEngineProcess, state: &str) -> Value {
     let mut entry = endpoint(id, process.address, state);
     entry["zone"] = json!(zone(engine));
     entry
@@ -50,14 +50,15 @@
 
 impl SubsetGateway {
     fn start() -> SubsetGateway {
-        let engines: Vec<EngineProcess> = (0..ENGINES).map(|_| EngineProcess::start()).collect();
+        let engines: Vec<FakeEngineProcess> =
+            (0..ENGINES).map(|_| FakeEngineProcess::start()).collect();
         let lines: Vec<Value> = engines
             .iter()
             .enumerate()
             .map(|(n, e)| endpoint_in_zone(&format!("s-{n}"), n, e, "SERVING"))
             .collect();
         let log_text = Mutex::new(PathBuf::new());
-        let service = Service::start_with_launcher(
+        let test_bed = TestBed::start_with_launcher(
             |config| {
                 config["known"]["results"][0] = full_list_event(0, &lines);
                 config["settings"]["zones"] = (0..ZONES).map(zone).collect();
@@ -80,7 +81,7 @@
         let log_text = log_text.into_inner().unwrap();
         SubsetGateway {
             engines,
-            service,
+            test_bed,
             log_text,
             number: AtomicU64::new(0),
         }
@@ -101,7 +102,7 @@
             true => full_list_event(number, lines),
             false => list_change_event(number, lines),
         };
-        self.service.log.publish(event);
+        self.test_bed.log.publish(event);
         wait_until("the change is applied", || {
             self.log_text()
                 .contains(&format!("engine list updated event={number} "))
@@ -116,7 +117,7 @@
                 let succeeded = &succeeded;
                 scope.spawn(move || {
                     let answer = self
-                        .service
+                        .test_bed
                         .query("report", &format!("SELECT {n} /* runs 250 */"));
                     succeeded.fetch_add(u64::from(answer.succeeded()), Ordering::Relaxed);
                 });
@@ -163,7 +164,7 @@
 
     /// The attempts whose statement contains a text, in the order received.
     fn attempts_with(&self, text: &str) -> Vec<ReceivedAttempt> {
-        let of = |e: &EngineProcess| {
+        let of = |e: &FakeEngineProcess| {
             e.attempts()
                 .into_iter()
                 .filter(|attempt| attempt.statement.contains(text))
@@ -181,7 +182,7 @@
     more_fields: &str,
     statement: &str,
 ) -> TcpStream {
-    let stream = gateway.service.open();
+    let stream = gateway.test_bed.open();
     send_request(
         &stream,
         &format!("POST /v1/{class}"),
@@ -307,7 +308,8 @@
         .iter()
         .map(|n| gateway.endpoint_of(*n, "DELETED"))
         .collect();
-    let newcomers: Vec<EngineProcess> = killed.iter().map(|_| EngineProcess::start()).collect();
+    let newcomers: Vec<FakeEngineProcess> =
+        killed.iter().map(|_| FakeEngineProcess::start()).collect();
     for (n, process) in killed.iter().zip(&newcomers) {
         lines.push(endpoint_in_zone(
             &format!("s-new-{n}"),
@@ -432,7 +434,7 @@
         all[..3].iter().copied().collect()
     );
     // The log is unavailable for a while, then sends all missed events at once.
-    gateway.service.log.close_streams();
+    gateway.test_bed.log.close_streams();
     gateway.publish(false, &lines(half));
     gateway.publish(true, &lines(&all));
     assert!(gateway.members().len() >= SUBSET_SIZE);
@@ -468,7 +470,7 @@
             &changed.map(|(n, state)| gateway.endpoint_of(n, state)),
         );
         if n == QUERIES_PER_KEY / 2 {
-            gateway.service.signal("HUP");
+            gateway.test_bed.signal("HUP");
         }
     }
     let succeeded = streams
@@ -506,12 +508,12 @@
 /// Engines named by id may be in no subset; zones, kinds and unions of them have a minimum number of members.
 #[test]
 fn plan_with_a_subset_has_pools_of_zones_and_kinds() {
-    let service = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["subset"] = json!({"size": SUBSET_SIZE});
         config["settings"]["kinds"] = json!(["std", "large"]);
     });
     let (config, plan) = (
-        write_config(&service.config),
+        write_config(&test_bed.config),
         write_config(&json!({})).with_extension("plan"),
     );
     let check = |text: &str| {
@@ -552,10 +554,10 @@
     let mut gateway = SubsetGateway::start();
     let members = gateway.members();
     let file = gateway.log_text.with_extension("json");
-    let mut config = gateway.service.config.clone();
+    let mut config = gateway.test_bed.config.clone();
     config["subset"]["size"] = json!(2 * SUBSET_SIZE);
     std::fs::write(&file, config.to_string()).unwrap();
-    gateway.service.signal("HUP");
+    gateway.test_bed.signal("HUP");
     wait_until("it is read again", || {
         gateway.log_text().contains("configuration reloaded")
     });
@@ -569,7 +571,7 @@
     assert_eq!(gateway.members(), members);
     config["subset"]["size"] = json!(0);
     std::fs::write(&file, config.to_string()).unwrap();
-    gateway.service.signal("HUP");
+    gateway.test_bed.signal("HUP");
     wait_until("it is refused", || {
         gateway.log_text().contains("configuration not reloaded")
     });
@@ -589,11 +591,11 @@
         })
         .collect();
     sleep(ms(100));
-    gateway.service.signal("TERM");
+    gateway.test_bed.signal("TERM");
     for stream in out {
         assert!(answer(stream).succeeded());
     }
-    let status = gateway.service.child.wait().unwrap();
+    let status = gateway.test_bed.child.wait().unwrap();
     assert!(status.success(), "{status}: {}", gateway.log_text());
     assert!(
         !gateway.log_text().contains("panicked"),
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -26,20 +26,20 @@
 const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
 
 /// A change log whose every byte the test writes.
-struct ScriptedLog {
+struct ScriptedChangeLog {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-impl ScriptedLog {
-    fn start() -> ScriptedLog {
-        ScriptedLog::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+impl ScriptedChangeLog {
+    fn start() -> ScriptedChangeLog {
+        ScriptedChangeLog::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    fn at(address: SocketAddr) -> ScriptedLog {
+    fn at(address: SocketAddr) -> ScriptedChangeLog {
         let listener = TcpListener::bind(address).unwrap();
         listener.set_nonblocking(true).unwrap();
-        ScriptedLog {
+        ScriptedChangeLog {
             address: listener.local_addr().unwrap(),
             listener,
         }
@@ -140,8 +140,8 @@
     }
 }
 
-fn service_watching(log: SocketAddr, change_more: impl Fn(&mut Value)) -> Service {
-    Service::start_with(|config| {
+fn start_watching(log: SocketAddr, change_more: impl Fn(&mut Value)) -> TestBed {
+    TestBed::start_with(|config| {
         config["changelog"] = json!(log.to_string());
         config["settings"]["allowed"]["may-probe"] = json!(false);
         change_more(config);
@@ -149,7 +149,7 @@
 }
 
 /// A full endpoint list with this engine alone.
-fn list_of_one(number: u64, engine: &Engine) -> Value {
+fn list_of_one(number: u64, engine: &FakeEngine) -> Value {
     full_list_event(
         number,
         &[endpoint(&format!("s-{number}x"), engine.address, "SERVING")],
@@ -157,14 +157,14 @@
 }
 
 /// Whether the next query reaches this engine.
-fn next_query_reaches(service: &Service, engine: &Engine) -> bool {
+fn next_query_reaches(test_bed: &TestBed, engine: &FakeEngine) -> bool {
     let before = engine.requests("POST");
-    service.query("report", "SELECT 1").succeeded() && engine.requests("POST") > before
+    test_bed.query("report", "SELECT 1").succeeded() && engine.requests("POST") > before
 }
 
-fn wait_until_in_force(service: &Service, engine: &Engine) {
+fn wait_until_in_force(test_bed: &TestBed, engine: &FakeEngine) {
     wait_until("the sent list is in force", || {
-        next_query_reaches(service, engine)
+        next_query_reaches(test_bed, engine)
     });
 }
 
@@ -174,13 +174,17 @@
 #[test]
 fn engines_that_use_all_their_descriptors_do_not_block_the_watch() {
     const SOCKETS: usize = 64;
-    let (log, hanging, other) = (ScriptedLog::start(), Engine::start(), Engine::start());
+    let (log, hanging, other) = (
+        ScriptedChangeLog::start(),
+        FakeEngine::start(),
+        FakeEngine::start(),
+    );
     let lines = |state: &str| -> Vec<Value> {
         (0..40)
             .map(|n| endpoint(&format!("s-{n}"), hanging.address, state))
             .collect()
     };
-    let service = service_watching(log.address, |config| {
+    let test_bed = start_watching(log.address, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["known"]["results"] = json!([full_list_event(0, &lines("SERVING"))]);
     });
@@ -197,7 +201,7 @@
         .available_permits();
     let began = Instant::now();
     let send_query = |_| {
-        let stream = service.open();
+        let stream = test_bed.open();
         send_request(
             &stream,
             "POST /v1/report",
@@ -211,7 +215,7 @@
         hanging.requests("POST") >= all
     });
     assert!(began.elapsed() < ms(1500), "the queries are still active");
-    let log = ScriptedLog::at(address);
+    let log = ScriptedChangeLog::at(address);
     let watch = log
         .accept_within(LONGEST_BACKOFF + TOLERANCE)
         .expect("the watch connects while engine connections use their whole budget");
@@ -224,7 +228,7 @@
         read_message(&mut BufReader::new(stream)).expect("an answer");
     }
     let before = hanging.requests("POST");
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
     assert_eq!(
         hanging.requests("POST"),
         before,
@@ -236,8 +240,8 @@
 #[test]
 fn idle_clients_that_use_all_descriptors_block_neither_queries_nor_the_watch() {
     const SOCKETS: usize = 64;
-    let log = ScriptedLog::start();
-    let (address, other) = (log.address, Engine::start());
+    let log = ScriptedChangeLog::start();
+    let (address, other) = (log.address, FakeEngine::start());
     drop(log);
     let limited = |config: &Value| {
         let start = format!(
@@ -251,7 +255,7 @@
             .env_remove("PROXY_LISTEN");
         command.stderr(Stdio::null()).spawn().unwrap()
     };
-    let service = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |config| {
             config["changelog"] = json!(address.to_string());
             config["limits"]["sockets"] = json!(SOCKETS);
@@ -261,7 +265,7 @@
     );
     let began = Instant::now();
     let idle = |n: usize| {
-        let stream = service.open();
+        let stream = test_bed.open();
         // Half of them are idle after an answer, half send nothing.
         if n < SOCKETS {
             send_request(&stream, "GET /healthz", "", "");
@@ -272,21 +276,21 @@
     let idle: Vec<TcpStream> = (0..SOCKETS * 2).map(idle).collect();
     for _ in 0..5 {
         assert!(
-            service.query("report", "SELECT 1").succeeded(),
+            test_bed.query("report", "SELECT 1").succeeded(),
             "new clients are served without the log"
         );
     }
     // Long before idle connections are closed.
     let served = began.elapsed();
     assert!(served < ms(1900), "served after {served:?}");
-    let log = ScriptedLog::at(address);
+    let log = ScriptedChangeLog::at(address);
     let watch = log
         .accept_within(LONGEST_BACKOFF + TOLERANCE)
         .expect("the watch connects beside idle clients");
     watch.write(HEAD);
     watch.send_event(&list_of_one(1, &other));
     let _keepalives = watch.send_keepalives();
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
     drop(idle);
 }
 
@@ -294,8 +298,8 @@
 
 #[test]
 fn bytes_without_a_complete_line_do_not_keep_a_stream_alive() {
-    let (log, other) = (ScriptedLog::start(), Engine::start());
-    let service = service_watching(log.address, |_| {});
+    let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
+    let test_bed = start_watching(log.address, |_| {});
     let first = log.accept_and_answer();
     let stream = first.stream.try_clone().unwrap();
     let (started_at, on) = (Instant::now(), Arc::new(AtomicBool::new(true)));
@@ -317,13 +321,13 @@
     second.write(HEAD);
     second.send_event(&list_of_one(1, &other));
     let _keepalives = second.send_keepalives();
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
 }
 
 #[test]
 fn response_head_does_not_keep_a_stream_alive() {
-    let (log, other) = (ScriptedLog::start(), Engine::start());
-    let service = service_watching(log.address, |_| {});
+    let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
+    let test_bed = start_watching(log.address, |_| {});
     let first = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
     sleep(ms(2000));
     first.write(HEAD);
@@ -334,15 +338,15 @@
     second.write(HEAD);
     second.send_event(&list_of_one(1, &other));
     let _keepalives = second.send_keepalives();
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
 }
 
 /// Each part may take nearly as long as the progress timeout; the event counts once it is complete.
 #[test]
 fn large_event_in_many_parts_is_received_complete() {
     const MEGABYTES: usize = 3;
-    let (log, other) = (ScriptedLog::start(), Engine::start());
-    let service = service_watching(log.address, |_| {});
+    let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
+    let test_bed = start_watching(log.address, |_| {});
     let watch = log.accept_and_answer();
     let mut event = list_of_one(1, &other);
     event["fleet"]["note"] = json!("x".repeat(MEGABYTES << 20));
@@ -354,7 +358,7 @@
     }
     let written = began.elapsed();
     let _keepalives = watch.send_keepalives();
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
     let took = began.elapsed();
     assert!(
         took < ms(2000),
@@ -370,8 +374,8 @@
 /// after its head. The `dial-timeout` is so long that the backoff cannot be the cause.
 #[test]
 fn list_is_applied_within_seven_seconds_despite_two_silent_connections() {
-    let (log, other) = (ScriptedLog::start(), Engine::start());
-    let service = service_watching(log.address, |config| {
+    let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
+    let test_bed = start_watching(log.address, |config| {
         config["settings"]["allowed"]["dial-timeout"] = json!(1500.0)
     });
     let first = log.accept_and_answer();
@@ -385,7 +389,7 @@
     second.write(HEAD);
     let third = log.accept_and_answer();
     third.send_event(&list_of_one(1, &other));
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
     let took = endpoints.elapsed();
     assert!(took < ms(7000), "applied {took:?} after it was published");
 }
@@ -393,9 +397,9 @@
 /// Each silent connection gets another beside it, none is closed for that, and all others are closed once one brings an event.
 #[test]
 fn each_silent_connection_gets_another_beside_it() {
-    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
     let began = Instant::now();
-    let service = service_watching(log.address, |_| {});
+    let test_bed = start_watching(log.address, |_| {});
     // Accepted and never answered, then answered by a head alone.
     let first = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
     let second = log
@@ -420,7 +424,7 @@
         second.is_closed(TOLERANCE),
         "a connection that is not needed is closed, though it is silent"
     );
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
     let took = began.elapsed();
     assert!(took < ms(7000), "applied {took:?} after the start");
     assert!(
@@ -432,8 +436,8 @@
 /// No silent connection is kept longer than the time within which a published list must apply.
 #[test]
 fn silent_connection_is_closed_after_seven_seconds() {
-    let log = ScriptedLog::start();
-    let _service = service_watching(log.address, |_| {});
+    let log = ScriptedChangeLog::start();
+    let _test_bed = start_watching(log.address, |_| {});
     let silent = log.accept_within(CONNECTION_TIMEOUT).expect("a connection");
     let second = log.accept_and_answer();
     let _keepalives = second.send_keepalives();
@@ -455,8 +459,8 @@
 
 #[test]
 fn log_that_closes_at_once_is_reconnected_to_at_most_once_per_backoff() {
-    let log = ScriptedLog::start();
-    let _service = service_watching(log.address, |_| {});
+    let log = ScriptedChangeLog::start();
+    let _test_bed = start_watching(log.address, |_| {});
     drop(log.accept_within(CONNECTION_TIMEOUT).expect("a connection"));
     let began = Instant::now();
     let mut connections = 0;
@@ -481,10 +485,10 @@
             .matches("change log lost")
             .count()
     };
-    let log = ScriptedLog::start();
+    let log = ScriptedChangeLog::start();
     let address = log.address;
     drop(log);
-    let _service = Service::start_with_launcher(
+    let _test_bed = TestBed::start_with_launcher(
         |config| config["changelog"] = json!(address.to_string()),
         |config| {
             serve_from(
@@ -494,7 +498,7 @@
         },
     );
     wait_until("lost at the start", || losses_logged() == 1);
-    let log = ScriptedLog::at(address);
+    let log = ScriptedChangeLog::at(address);
     let watch = log.accept_and_answer();
     drop(log);
     drop(watch);
@@ -507,7 +511,7 @@
 
 /// A gateway whose configuration file the test rewrites.
 struct Reloading {
-    service: Service,
+    test_bed: TestBed,
     path: PathBuf,
 }
 
@@ -518,7 +522,7 @@
             std::fs::write(&path, config.to_string()).unwrap();
             serve_from(&path, Stdio::null())
         };
-        let service = Service::start_with_launcher(
+        let test_bed = TestBed::start_with_launcher(
             |config| {
                 config["changelog"] = json!(log.to_string());
                 config["settings"]["allowed"]["may-probe"] = json!(false);
@@ -526,7 +530,7 @@
             },
             serve,
         );
-        Reloading { service, path }
+        Reloading { test_bed, path }
     }
 
     fn reload(&self, text: &str) {
@@ -535,11 +539,11 @@
         std::fs::write(new, text)
             .and_then(|()| std::fs::rename(new, &self.path))
             .unwrap();
-        self.service.signal("HUP");
+        self.test_bed.signal("HUP");
     }
 
-    fn change_log_to(&self, log: &ScriptedLog) {
-        let mut config = self.service.config.clone();
+    fn change_log_to(&self, log: &ScriptedChangeLog) {
+        let mut config = self.test_bed.config.clone();
         config["changelog"] = json!(log.address.to_string());
         self.reload(&config.to_string());
     }
@@ -547,16 +551,16 @@
     /// Asserts that a new log is followed at once, from the last number applied, and that its list is applied.
     fn assert_follows(
         &self,
-        log: &ScriptedLog,
+        log: &ScriptedChangeLog,
         last_event_id: u64,
-        expected: &Engine,
+        expected: &FakeEngine,
     ) -> WatchConnection {
         let watch = log.accept_within(TOLERANCE).expect("the new log at once");
         assert_eq!(watch.last_event_id, last_event_id, "the numbers continue");
         watch.write(HEAD);
         watch.send_event(&list_of_one(last_event_id + 1, expected));
         let keepalives = watch.send_keepalives();
-        wait_until_in_force(&self.service, expected);
+        wait_until_in_force(&self.test_bed, expected);
         drop(keepalives);
         watch
     }
@@ -564,7 +568,11 @@
 
 #[test]
 fn sighup_while_the_watch_connects_is_followed_at_once() {
-    let (old, new, other) = (ScriptedLog::start(), ScriptedLog::start(), Engine::start());
+    let (old, new, other) = (
+        ScriptedChangeLog::start(),
+        ScriptedChangeLog::start(),
+        FakeEngine::start(),
+    );
     let reloading = Reloading::start(old.address, |_| {});
     let connecting = old
         .accept_within(CONNECTION_TIMEOUT)
@@ -580,7 +588,11 @@
 /// The backoff is the longest possible, and the new log is followed within a part of it.
 #[test]
 fn sighup_during_backoff_is_followed_at_once() {
-    let (old, new, other) = (ScriptedLog::start(), ScriptedLog::start(), Engine::start());
+    let (old, new, other) = (
+        ScriptedChangeLog::start(),
+        ScriptedChangeLog::start(),
+        FakeEngine::start(),
+    );
     let reloading = Reloading::start(old.address, |config| {
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
     });
@@ -605,15 +617,15 @@
 #[test]
 fn sighup_on_a_silent_stream_is_followed_at_once_and_nothing_of_the_old_one_after() {
     let (old, new, other, stale) = (
-        ScriptedLog::start(),
-        ScriptedLog::start(),
-        Engine::start(),
-        Engine::start(),
+        ScriptedChangeLog::start(),
+        ScriptedChangeLog::start(),
+        FakeEngine::start(),
+        FakeEngine::start(),
     );
     let reloading = Reloading::start(old.address, |_| {});
     let watch = old.accept_and_answer();
     watch.send_event(&list_of_one(1, &other));
-    wait_until_in_force(&reloading.service, &other);
+    wait_until_in_force(&reloading.test_bed, &other);
     sleep(ms(1500));
     reloading.change_log_to(&new);
     let newest = new.accept_within(TOLERANCE).expect("the new log at once");
@@ -625,28 +637,32 @@
     let _keepalives = newest.send_keepalives();
     for _ in 0..5 {
         assert!(
-            next_query_reaches(&reloading.service, &other),
+            next_query_reaches(&reloading.test_bed, &other),
             "the last list stays in force"
         );
     }
-    let newer = Engine::start();
+    let newer = FakeEngine::start();
     newest.send_event(&list_of_one(2, &newer));
-    wait_until_in_force(&reloading.service, &newer);
+    wait_until_in_force(&reloading.test_bed, &newer);
     assert_eq!(stale.requests("POST"), 0, "nothing of the old stream");
 }
 
 #[test]
 fn last_of_two_sighups_applies_despite_a_faulty_file_between() {
     let (old, between, new) = (
-        ScriptedLog::start(),
-        ScriptedLog::start(),
-        ScriptedLog::start(),
+        ScriptedChangeLog::start(),
+        ScriptedChangeLog::start(),
+        ScriptedChangeLog::start(),
+    );
+    let (first, stale, other) = (
+        FakeEngine::start(),
+        FakeEngine::start(),
+        FakeEngine::start(),
     );
-    let (first, stale, other) = (Engine::start(), Engine::start(), Engine::start());
     let reloading = Reloading::start(old.address, |_| {});
     let watch = old.accept_and_answer();
     watch.send_event(&list_of_one(1, &first));
-    wait_until_in_force(&reloading.service, &first);
+    wait_until_in_force(&reloading.test_bed, &first);
     reloading.change_log_to(&between);
     reloading.reload("{");
     reloading.change_log_to(&new);
@@ -663,7 +679,7 @@
     }
     reloading.reload("{");
     assert!(
-        (0..5).all(|_| next_query_reaches(&reloading.service, &other)),
+        (0..5).all(|_| next_query_reaches(&reloading.test_bed, &other)),
         "a faulty file changes nothing"
     );
     assert!(
@@ -676,7 +692,7 @@
 /// A reload for another reason, such as a plan, opens no new connection to the log.
 #[test]
 fn sighup_with_the_same_log_address_keeps_the_stream() {
-    let (log, other) = (ScriptedLog::start(), Engine::start());
+    let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
     let reloading = Reloading::start(log.address, |_| {});
     let watch = log.accept_and_answer();
     let _keepalives = watch.send_keepalives();
@@ -686,22 +702,26 @@
         "no other connection"
     );
     watch.send_event(&list_of_one(1, &other));
-    wait_until_in_force(&reloading.service, &other);
+    wait_until_in_force(&reloading.test_bed, &other);
 }
 
 // Numbers.
 
 #[test]
 fn older_list_never_replaces_a_newer_one() {
-    let (log, newer, older) = (ScriptedLog::start(), Engine::start(), Engine::start());
-    let service = service_watching(log.address, |_| {});
+    let (log, newer, older) = (
+        ScriptedChangeLog::start(),
+        FakeEngine::start(),
+        FakeEngine::start(),
+    );
+    let test_bed = start_watching(log.address, |_| {});
     let watch = log.accept_and_answer();
     watch.send_event(&list_change_event(
         1,
         &[endpoint("s-a", older.address, "SERVING")],
     ));
     watch.send_event(&list_of_one(2, &newer));
-    wait_until_in_force(&service, &newer);
+    wait_until_in_force(&test_bed, &newer);
     let before = older.requests("POST");
     // Late, repeated, and a full list with a lower number; then as the first events of another connection.
     let late = [
@@ -713,7 +733,7 @@
     late.iter().for_each(|event| watch.send_event(event));
     for _ in 0..10 {
         assert!(
-            next_query_reaches(&service, &newer),
+            next_query_reaches(&test_bed, &newer),
             "the newest list stays in force"
         );
     }
@@ -724,7 +744,7 @@
     let _keepalives = watch.send_keepalives();
     for _ in 0..10 {
         assert!(
-            next_query_reaches(&service, &newer),
+            next_query_reaches(&test_bed, &newer),
             "the newest list stays in force"
         );
     }
@@ -734,14 +754,14 @@
         "no attempt at an engine that the newest list does not name"
     );
     watch.send_event(&list_of_one(3, &older));
-    wait_until_in_force(&service, &older);
+    wait_until_in_force(&test_bed, &older);
 }
 
 /// Accepting its number would lose the events before it: the log continues from the requested number.
 #[test]
 fn corrupted_event_with_too_high_a_number_skips_none() {
-    let (log, other) = (ScriptedLog::start(), Engine::start());
-    let service = service_watching(log.address, |_| {});
+    let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
+    let test_bed = start_watching(log.address, |_| {});
     for _ in 0..3 {
         let watch = log.accept_and_answer();
         assert_eq!(watch.last_event_id, 0, "nothing was applied");
@@ -752,17 +772,17 @@
     assert_eq!(watch.last_event_id, 0, "nothing was applied");
     watch.send_event(&list_of_one(1, &other));
     let _keepalives = watch.send_keepalives();
-    wait_until_in_force(&service, &other);
+    wait_until_in_force(&test_bed, &other);
 }
 
 #[test]
 fn event_without_a_list_makes_no_gateway_healthy() {
-    let log = ScriptedLog::start();
-    let (engine, unused) = (Engine::start(), ChangeLog::start());
+    let log = ScriptedChangeLog::start();
+    let (engine, unused) = (FakeEngine::start(), FakeChangeLog::start());
     let mut config = config(engine.address, log.address);
     config["known"] = json!({"seq": 0, "results": []});
     let address = config["listen"].as_str().unwrap().parse().unwrap();
-    let service = Service {
+    let test_bed = TestBed {
         child: serve(&config),
         engine,
         log: unused,
@@ -777,26 +797,26 @@
     let watch = log.accept_and_answer();
     assert_eq!(watch.last_event_id, 1);
     let health = || {
-        round_trip(service.open(), "GET /healthz", "", "")
+        round_trip(test_bed.open(), "GET /healthz", "", "")
             .unwrap()
             .start_line
     };
     assert_eq!(health(), "HTTP/1.1 503 Service Unavailable");
-    watch.send_event(&list_of_one(2, &service.engine));
+    watch.send_event(&list_of_one(2, &test_bed.engine));
     let _keepalives = watch.send_keepalives();
-    service.wait_until_healthy();
+    test_bed.wait_until_healthy();
 }
 
 /// A slow log: each connection gets its first line only after the progress timeout.
 #[test]
 fn list_from_a_slow_log_is_applied_within_seven_seconds() {
-    let (log, engine) = (ScriptedLog::start(), Engine::start());
+    let (log, engine) = (ScriptedChangeLog::start(), FakeEngine::start());
     let mut endpoints = config(free_address(), log.address);
     endpoints["known"]["results"] = json!([]);
     let child = serve(&endpoints);
-    let service = Service {
+    let test_bed = TestBed {
         engine: engine.clone(),
-        log: ChangeLog::start(),
+        log: FakeChangeLog::start(),
         address: endpoints["listen"].as_str().unwrap().parse().unwrap(),
         config: endpoints,
         child,
@@ -820,7 +840,7 @@
         });
     });
     let healthy = || {
-        let asked = TcpStream::connect(service.address)
+        let asked = TcpStream::connect(test_bed.address)
             .ok()
             .and_then(|s| round_trip(s, "GET /healthz", "", ""));
         asked.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn responses_to_requests_without_a_query() {
-    let s = Service::start();
+    let test_bed = TestBed::start();
     let good = || post(&new_id(), "report", "", "SELECT 1");
     let with = |more: &str| post(&new_id(), "report", more, "SELECT 1");
     let without = |line: &str| good().replace(line, "");
@@ -136,14 +136,14 @@
         ),
     ];
     for (call, expected) in cases {
-        assert_eq!(answer_to(s.address, &call), expected, "{call:.300}");
+        assert_eq!(answer_to(test_bed.address, &call), expected, "{call:.300}");
     }
-    assert_eq!(s.engine.requests("POST"), 0);
+    assert_eq!(test_bed.engine.requests("POST"), 0);
 }
 
 #[test]
 fn responses_to_queries() {
-    let s = Service::start();
+    let test_bed = TestBed::start();
     let id = new_id();
     let rows = r#"{"data":[["a","b\"\\","\u0001 é"],["c","","漢"]]}"#;
     let cases = [
@@ -181,32 +181,32 @@
         ),
     ];
     for (call, expected) in cases {
-        assert_eq!(answer_to(s.address, &call), expected, "{call}");
+        assert_eq!(answer_to(test_bed.address, &call), expected, "{call}");
     }
     let late = post(&new_id(), "report", "", "SELECT 1").replace("2500", "900");
     assert_eq!(
-        answer_to(s.address, &late),
+        answer_to(test_bed.address, &late),
         short_answer("200 OK", "", rows)
     );
     sleep(Duration::from_millis(1000));
     assert_eq!(
-        answer_to(s.address, &late),
+        answer_to(test_bed.address, &late),
         short_answer(
             "409 Conflict",
             "",
             r#"{"error":"this id has had its answer"}"#
         )
     );
-    let (id, stream) = (new_id(), s.open());
+    let (id, stream) = (new_id(), test_bed.open());
     (&stream)
         .write_all(post(&id, "report", "", "SELECT 1 /* slow */").as_bytes())
         .unwrap();
     wait_until("the start", || {
-        s.engine.started.lock().unwrap().contains_key(&id)
+        test_bed.engine.started.lock().unwrap().contains_key(&id)
     });
     let withdrawn = post(&id, "report", "", "").replace("POST", "DELETE");
     assert_eq!(
-        answer_to(s.address, &withdrawn),
+        answer_to(test_bed.address, &withdrawn),
         "HTTP/1.1 204 No Content\r\n\r\n"
     );
 }
@@ -235,13 +235,13 @@
 ";
 
 /// A gateway with a plan and a configuration.
-fn gateway_with_plan(folder: &str, text: &str) -> (Service, PathBuf) {
+fn gateway_with_plan(folder: &str, text: &str) -> (TestBed, PathBuf) {
     let name = format!("{folder}-{}", std::process::id());
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
     let plan = folder.join("a.plan");
     std::fs::write(&plan, text).unwrap();
-    let service = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |_| {},
         |config| {
             let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
@@ -249,15 +249,15 @@
             command.stderr(Stdio::null()).spawn().unwrap()
         },
     );
-    (service, folder)
+    (test_bed, folder)
 }
 
 #[test]
 fn responses_under_a_plan() {
-    let (s, folder) = gateway_with_plan("answers-plan", PLAN);
+    let (test_bed, folder) = gateway_with_plan("answers-plan", PLAN);
     let too_long = "x".repeat(101);
     assert_eq!(
-        answer_to(s.address, &post(&new_id(), "load", "", &too_long)),
+        answer_to(test_bed.address, &post(&new_id(), "load", "", &too_long)),
         short_answer(
             "413 Payload Too Large",
             "connection: close\r\n",
@@ -266,7 +266,7 @@
     );
     let huge =
         post(&new_id(), "report", "", "").replace("Content-Length: 0", "Content-Length: 1048577");
-    let answer = answer_to(s.address, &huge);
+    let answer = answer_to(test_bed.address, &huge);
     assert_eq!(
         answer,
         short_answer(
@@ -276,9 +276,9 @@
         )
     );
     for _ in 0..2 {
-        s.query("report", "SELECT 1");
+        test_bed.query("report", "SELECT 1");
     }
-    let limited = answer_to(s.address, &post(&new_id(), "report", "", "SELECT 1"));
+    let limited = answer_to(test_bed.address, &post(&new_id(), "report", "", "SELECT 1"));
     let (before, rest) = limited.split_once("x-wait-ms: ").expect("x-wait-ms");
     let (wait, after) = rest.split_once("\r\n").unwrap();
     assert!(
@@ -293,13 +293,13 @@
             r#"{"error":"Busy","reason":"over the limit each (Rate)"}"#,
         )
     );
-    let (slow, id) = (s.open(), new_id());
+    let (slow, id) = (test_bed.open(), new_id());
     (&slow)
         .write_all(post(&id, "load", "", "INSERT /* slow */").as_bytes())
         .unwrap();
-    wait_until("the start", || s.engine.requests("POST") == 3);
+    wait_until("the start", || test_bed.engine.requests("POST") == 3);
     assert_eq!(
-        answer_to(s.address, &post(&new_id(), "load", "", "INSERT")),
+        answer_to(test_bed.address, &post(&new_id(), "load", "", "INSERT")),
         short_answer(
             "503 Service Unavailable",
             "x-wait-ms: 10\r\n",
@@ -307,13 +307,13 @@
         )
     );
     assert!(answer_on(&slow).starts_with("HTTP/1.1 200 OK"));
-    drop(s);
+    drop(test_bed);
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
 fn gateway_without_engines_reports_that_it_does_not_serve() {
-    let (engine, log) = (Engine::start(), ChangeLog::start());
+    let (engine, log) = (FakeEngine::start(), FakeChangeLog::start());
     let mut config = config(engine.address, log.address);
     config["known"] = json!(null);
     let address = config["listen"].as_str().unwrap().parse().unwrap();
@@ -399,9 +399,9 @@
 }
 
 /// A gateway with these engines and a query class of each idempotency.
-fn gateway_with_engines(engines: &[&Recorder]) -> Service {
+fn gateway_with_engines(engines: &[&Recorder]) -> TestBed {
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
-    Service::start_with(|config| {
+    TestBed::start_with(|config| {
         let lines: Vec<_> = addresses
             .iter()
             .enumerate()
@@ -444,12 +444,12 @@
             _ => http_response("200 OK", "Result-Page: 1\r\n", "d\te\tf\n"),
         }
     });
-    let s = gateway_with_engines(&[&engine]);
+    let test_bed = gateway_with_engines(&[&engine]);
     let host = format!("host: {}\r\n", engine.address);
     let more = "X-Item: 7f3a9c21e0b4d655\r\nX-Unique: 00ab12ffee34cd56\r\nX-Size-Ms: 120\r\nX-Memory: 64\r\n";
     assert_eq!(
         answer_to(
-            s.address,
+            test_bed.address,
             &post("9b1f03aa5c7e2d01", "keyed", more, "INSERT 1")
         ),
         short_answer("200 OK", "", r#"{"data":[["a","b","c"],["d","e","f"]]}"#)
@@ -468,7 +468,7 @@
             format!("GET {path} HTTP/1.1\r\n{host}\r\n")
         );
     }
-    let stream = s.open();
+    let stream = test_bed.open();
     let call = post("9b1f03aa5c7e2d02", "report", "", "SELECT 1");
     (&stream).write_all(call.as_bytes()).unwrap();
     engine.wait_for_first("GET /c/9b1f03aa5c7e2d02/0 HTTP");
@@ -497,12 +497,12 @@
 #[test]
 fn health_check_of_an_engine() {
     let newcomer = scripted_engine("queue:0;util:0.1", |_| http_response("500 Oops", "", ""));
-    let s = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["subset"] = json!({"size": 4, "class_floor": 0, "reserve": 0});
     });
     // An engine is checked before it joins a subset.
     let listed = endpoint("s-2", newcomer.address, "SERVING");
-    s.log.publish(list_change_event(1, &[listed]));
+    test_bed.log.publish(list_change_event(1, &[listed]));
     let host = format!("host: {}\r\n", newcomer.address);
     assert_eq!(
         newcomer.wait_for_first("GET"),
@@ -524,7 +524,7 @@
             _ => http_response("500 Oops", "", ""),
         }
     });
-    let s = gateway_with_engines(&[&engine]);
+    let test_bed = gateway_with_engines(&[&engine]);
     let failed = short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
     let rows = short_answer("200 OK", "", r#"{"data":[["a","b","c"]]}"#);
     for (statement, starts, expected) in [
@@ -534,7 +534,7 @@
         ("full", 2, None),
     ] {
         let before = engine.count("POST");
-        let answer = answer_to(s.address, &post(&new_id(), "load", "", statement));
+        let answer = answer_to(test_bed.address, &post(&new_id(), "load", "", statement));
         match expected {
             Some(expected) => assert_eq!(answer, expected, "{statement}"),
             None => assert!(
@@ -564,12 +564,12 @@
         endpoint("s-1", full.address, "SERVING"),
         endpoint("s-2", idle.address, "SERVING"),
     ];
-    let s = Service::start_with(|config| {
+    let test_bed = TestBed::start_with(|config| {
         config["known"]["results"] = json!([full_list_event(0, &lines)]);
         config["settings"]["telemetry"]["how"] = json!("inline");
     });
     for _ in 0..40 {
-        answer_to(s.address, &post(&new_id(), "report", "", "SELECT 1"));
+        answer_to(test_bed.address, &post(&new_id(), "report", "", "SELECT 1"));
     }
     let (at_full, at_idle) = (full.count("POST"), idle.count("POST"));
     assert!(
@@ -582,13 +582,14 @@
 fn request_to_the_change_log() {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     let log = Recorder::start(move |_| Some(format!("{head}id: 8\ndata: {{\"seq\":8}}\n\n")));
-    let s = Service::start_with(|config| config["changelog"] = json!(log.address.to_string()));
+    let test_bed =
+        TestBed::start_with(|config| config["changelog"] = json!(log.address.to_string()));
     let host = format!("host: {}\r\n", log.address);
     assert_eq!(
         log.wait_for_first("GET"),
         format!("GET /changes HTTP/1.1\r\n{host}last-event-id: 0\r\n\r\n")
     );
-    drop(s);
+    drop(test_bed);
 }
 
 #[test]
@@ -746,7 +747,7 @@
         folder.to_str().unwrap()
     );
     std::fs::write(&plan, text).unwrap();
-    let s = Service::start_with_launcher(
+    let test_bed = TestBed::start_with_launcher(
         |_| {},
         |config| {
             let mut command = gateway_command(&["serve", "--plan", plan.to_str().unwrap()]);
@@ -756,16 +757,16 @@
     );
     let failed = short_answer("500 Internal Server Error", "", r#"{"error":"Failed"}"#);
     for id in ["9b1f03aa5c7e2d01", "9b1f03aa5c7e2d02", "9b1f03aa5c7e2d03"] {
-        let answer = answer_to(s.address, &post(id, "load", "", "INSERT 1"));
+        let answer = answer_to(test_bed.address, &post(id, "load", "", "INSERT 1"));
         assert_eq!(answer, failed, "{id}");
     }
-    assert_eq!(s.engine.requests("POST"), 0);
+    assert_eq!(test_bed.engine.requests("POST"), 0);
     // The interrupted record was never written completely: its query was not sent.
-    assert!(s
+    assert!(test_bed
         .query_with_id("9b1f03aa5c7e2d04", "load", 2500, "INSERT 1")
         .succeeded());
     let stored = std::fs::read(folder.join("n0.once-only")).unwrap();
     assert_eq!((stored.len() % 32, stored[0], stored[1]), (0, b'G', 3));
-    drop(s);
+    drop(test_bed);
     std::fs::remove_dir_all(folder).unwrap();
 }
