--- a/crates/gateway/tests/bad_input.rs
+++ b/crates/gateway/tests/bad_input.rs
@@ -126,14 +126,14 @@
 
 /// Runs a command on a file until it exits; returns whether it succeeded and its standard error.
 fn run(command: &str, file: &Path, case: &str) -> (bool, String) {
-    let stderr_text = file.with_extension("said");
+    let stderr_path = file.with_extension("said");
     let mut child = gateway_command(&[command, "--config", file.to_str().unwrap()])
         .stdout(Stdio::null())
-        .stderr(File::create(&stderr_text).unwrap())
+        .stderr(File::create(&stderr_path).unwrap())
         .spawn()
         .unwrap();
     let status = wait_for_exit(&mut child, case);
-    let stderr_text = std::fs::read_to_string(stderr_text).unwrap();
+    let stderr_text = std::fs::read_to_string(stderr_path).unwrap();
     assert_eq!(status.signal(), None, "{case}: {stderr_text}");
     assert!(!stderr_text.contains("panicked"), "{case}: {stderr_text}");
     assert!(
@@ -172,18 +172,18 @@
 /// A started gateway with the file of its standard error.
 struct StartedGateway {
     child: Child,
-    stderr_text: std::path::PathBuf,
+    stderr_path: std::path::PathBuf,
     address: SocketAddr,
 }
 
 impl StartedGateway {
     fn with_config(config: &Value) -> StartedGateway {
         let file = write_config(config);
-        let stderr_text = file.with_extension("said");
-        let child = serve_from(&file, File::create(&stderr_text).unwrap().into());
+        let stderr_path = file.with_extension("said");
+        let child = serve_from(&file, File::create(&stderr_path).unwrap().into());
         StartedGateway {
             child,
-            stderr_text,
+            stderr_path,
             address: config["listen"].as_str().unwrap().parse().unwrap(),
         }
     }
@@ -224,7 +224,7 @@
     }
 
     fn stderr_text(&self) -> String {
-        std::fs::read_to_string(&self.stderr_text).unwrap()
+        std::fs::read_to_string(&self.stderr_path).unwrap()
     }
 
     /// Stops it with SIGTERM; asserts that it exits successfully and has not panicked.
@@ -252,14 +252,14 @@
     }
 }
 
-struct Surroundings {
+struct Fixture {
     engine: FakeEngine,
     log: FakeChangeLog,
 }
 
-impl Surroundings {
-    fn new() -> Surroundings {
-        Surroundings {
+impl Fixture {
+    fn new() -> Fixture {
+        Fixture {
             engine: FakeEngine::start(),
             log: FakeChangeLog::start(),
         }
@@ -286,8 +286,8 @@
 
 #[test]
 fn base_configuration_is_served() {
-    let surroundings = Surroundings::new();
-    let mut gateway = StartedGateway::with_config(&surroundings.config());
+    let fixture = Fixture::new();
+    let mut gateway = StartedGateway::with_config(&fixture.config());
     gateway.wait_until_health_is(200, "the base");
     assert_eq!(
         gateway.query(&request_headers(&new_id(), 3000), "the base"),
@@ -298,7 +298,7 @@
 
 #[test]
 fn invalid_configuration_is_refused_with_place_cause_and_remedy() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     let day = 86_400_000.0;
     let engine = "known.results.0.fleet.servers.0";
     let at = |key: &str| format!("{engine}.{key}");
@@ -454,26 +454,21 @@
             "settings.categories.2.allowed-on" if value[0].is_object() => format!("{path}.0"),
             _ => path.to_string(),
         };
-        assert_refused(
-            &surroundings.with(path, value.clone()),
-            &place,
-            cause,
-            &case,
-        );
+        assert_refused(&fixture.with(path, value.clone()), &place, cause, &case);
     }
 }
 
 #[test]
 fn unsatisfiable_subset_is_refused() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     assert_refused(
-        &surroundings.with("subset", json!([])),
+        &fixture.with("subset", json!([])),
         "subset",
         "an object expected",
         "subset=[]",
     );
     assert_refused(
-        &surroundings.with("subset", json!({})),
+        &fixture.with("subset", json!({})),
         "subset.size",
         "missing",
         "subset={}",
@@ -507,7 +502,7 @@
         subset[key] = value.clone();
         let place = format!("subset.{key}");
         assert_refused(
-            &surroundings.with("subset", subset),
+            &fixture.with("subset", subset),
             &place,
             cause,
             &format!("{place}={value}"),
@@ -517,7 +512,7 @@
 
 #[test]
 fn missing_keys_are_refused() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     for key in [
         "name",
         "listen",
@@ -527,23 +522,23 @@
         "known.seq",
         "known.results",
     ] {
-        let mut config = surroundings.config();
+        let mut config = fixture.config();
         remove(&mut config, key);
         assert_refused(&config, key, "missing", key);
     }
-    let mut config = surroundings.config();
+    let mut config = fixture.config();
     remove(&mut config, "settings.categories");
     assert_refused(&config, "settings.categories", "empty", "no categories");
 }
 
 #[test]
 fn event_numbers_of_the_initial_list_increase() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     let events = |numbers: &[u64]| {
         numbers
             .iter()
             .map(|n| {
-                let endpoints = [surroundings.endpoint("s-1")];
+                let endpoints = [fixture.endpoint("s-1")];
                 match *n == numbers[0] {
                     true => full_list_event(*n, &endpoints),
                     false => list_change_event(*n, &endpoints),
@@ -557,7 +552,7 @@
         (&[1, 2, 4], 3, Some("known.results.2.seq")),
         (&[1, 3], 3, None),
     ] {
-        let config = surroundings.with("known", json!({"seq": last, "results": events(numbers)}));
+        let config = fixture.with("known", json!({"seq": last, "results": events(numbers)}));
         let case = format!("{numbers:?} up to {last}");
         match fault {
             Some(place) => assert_refused(
@@ -635,7 +630,7 @@
 
 #[test]
 fn unusual_but_valid_configuration_is_served() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     let many = |n: usize| {
         let address =
             |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, (i % 250) as u8 + 1], 4100));
@@ -646,79 +641,78 @@
     let peers: Vec<String> = (0..1024)
         .map(|i| format!("10.3.{}.{}:7946", i / 250, i % 250 + 1))
         .collect();
-    let cold =
-        json!({"id": "s-1", "addr": surroundings.engine.address.to_string(), "state": "SERVING"});
+    let cold = json!({"id": "s-1", "addr": fixture.engine.address.to_string(), "state": "SERVING"});
     // Whether a query succeeds; otherwise it has another answer.
     let served: &[(&str, Value, bool)] = &[
-        ("hours", surroundings.with("settings.categories.0.give-up", json!(86_400_000)), true),
-        ("goal of 0", surroundings.with("settings.categories.0.goal-time", json!(0)), true),
-        ("no worth", surroundings.with("settings.categories.0.worth", json!(0)), false),
-        ("no late share", surroundings.with("settings.categories.0.late-share", json!(0)), true),
-        ("portion of 0", surroundings.with("settings.tenants.0.portion", json!(0)), true),
-        ("quota of 0", surroundings.with("settings.tenants.0.quota-per-s", json!(0)), true),
-        ("no tenants named", surroundings.with("settings.tenants", json!(null)), true),
-        ("empty tenants", surroundings.with("settings.tenants", json!([])), true),
-        ("unknown way of reports", surroundings.with("settings.telemetry.how", json!("by post")), true),
-        ("unknown way of lists", surroundings.with("settings.registry-mode", json!("shouted")), true),
+        ("hours", fixture.with("settings.categories.0.give-up", json!(86_400_000)), true),
+        ("goal of 0", fixture.with("settings.categories.0.goal-time", json!(0)), true),
+        ("no worth", fixture.with("settings.categories.0.worth", json!(0)), false),
+        ("no late share", fixture.with("settings.categories.0.late-share", json!(0)), true),
+        ("portion of 0", fixture.with("settings.tenants.0.portion", json!(0)), true),
+        ("quota of 0", fixture.with("settings.tenants.0.quota-per-s", json!(0)), true),
+        ("no tenants named", fixture.with("settings.tenants", json!(null)), true),
+        ("empty tenants", fixture.with("settings.tenants", json!([])), true),
+        ("unknown way of reports", fixture.with("settings.telemetry.how", json!("by post")), true),
+        ("unknown way of lists", fixture.with("settings.registry-mode", json!("shouted")), true),
         (
             "unknown scope, taken for the narrowest",
-            surroundings.with("settings.categories.2.key-scope", json!("house")),
+            fixture.with("settings.categories.2.key-scope", json!("house")),
             true,
         ),
-        ("cores of 0 are not known", surroundings.with("settings.domain.kind-cores", json!([0])), true),
-        ("no room for a kind's memory", surroundings.with("settings.domain.kind-memory-mb", json!([])), true),
-        ("threads without a number", surroundings.with("settings.domain.parallelism", json!([])), true),
-        ("a budget of no time", surroundings.with("settings.rules.extra-window", json!(0)), true),
-        ("no rules", surroundings.with("settings.rules", json!(null)), true),
-        ("unknown key", surroundings.with("weather", json!({"x": [[null, {}], 1e308]})), true),
+        ("cores of 0 are not known", fixture.with("settings.domain.kind-cores", json!([0])), true),
+        ("no room for a kind's memory", fixture.with("settings.domain.kind-memory-mb", json!([])), true),
+        ("threads without a number", fixture.with("settings.domain.parallelism", json!([])), true),
+        ("a budget of no time", fixture.with("settings.rules.extra-window", json!(0)), true),
+        ("no rules", fixture.with("settings.rules", json!(null)), true),
+        ("unknown key", fixture.with("weather", json!({"x": [[null, {}], 1e308]})), true),
         (
             "unknown keys in settings",
-            surroundings.with("settings.more", json!({"x": [[1], null, {"y": [[]]}]})),
+            fixture.with("settings.more", json!({"x": [[1], null, {"y": [[]]}]})),
             true,
         ),
-        ("unknown key in a group", surroundings.with("settings.categories.0.more", json!([[1], [{}]])), true),
-        ("odd unread keys", surroundings.with("settings.prices", json!([null, {"a": 1}, 3])), true),
-        ("no limits", surroundings.with("limits", json!(null)), true),
-        ("subset of null", surroundings.with("subset", json!(null)), true),
-        ("subset of one", surroundings.with("subset", json!({"size": 1})), true),
-        ("subset over the list", surroundings.with("subset", json!({"size": 1 << 20})), true),
+        ("unknown key in a group", fixture.with("settings.categories.0.more", json!([[1], [{}]])), true),
+        ("odd unread keys", fixture.with("settings.prices", json!([null, {"a": 1}, 3])), true),
+        ("no limits", fixture.with("limits", json!(null)), true),
+        ("subset of null", fixture.with("subset", json!(null)), true),
+        ("subset of one", fixture.with("subset", json!({"size": 1})), true),
+        ("subset over the list", fixture.with("subset", json!({"size": 1 << 20})), true),
         (
             "subset with all that is read, and more",
-            surroundings.with(
+            fixture.with(
                 "subset",
                 json!({"size": 80, "class_floor": 0, "reserve": 0, "joins_per_second": 1e-3, "zone": "east",
                     "near_weight": 1, "weather": [null]}),
             ),
             true,
         ),
-        ("least limits", surroundings.with("limits", json!({"sockets": 64, "memory_mb": 16})), true),
-        ("most limits", surroundings.with("limits", json!({"sockets": 1 << 30, "memory_mb": 1 << 30})), true),
-        ("no peers", surroundings.with("peers", json!([])), true),
-        ("peers of null", surroundings.with("peers", json!(null)), true),
-        ("1024 peers", surroundings.with("peers", json!(peers)), true),
-        ("no engines", surroundings.with_engines(&[]), false),
-        ("an engine twice", surroundings.with_engines(&[surroundings.endpoint("s-1"), surroundings.endpoint("s-1")]), true),
-        ("an address of two engines", surroundings.with_engines(&[surroundings.endpoint("s-1"), surroundings.endpoint("s-2")]), true),
+        ("least limits", fixture.with("limits", json!({"sockets": 64, "memory_mb": 16})), true),
+        ("most limits", fixture.with("limits", json!({"sockets": 1 << 30, "memory_mb": 1 << 30})), true),
+        ("no peers", fixture.with("peers", json!([])), true),
+        ("peers of null", fixture.with("peers", json!(null)), true),
+        ("1024 peers", fixture.with("peers", json!(peers)), true),
+        ("no engines", fixture.with_engines(&[]), false),
+        ("an engine twice", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-1")]), true),
+        ("an address of two engines", fixture.with_engines(&[fixture.endpoint("s-1"), fixture.endpoint("s-2")]), true),
         (
             "an engine that has gone",
-            surroundings.with_engines(&[endpoint("s-1", surroundings.engine.address, "DELETED")]),
+            fixture.with_engines(&[endpoint("s-1", fixture.engine.address, "DELETED")]),
             false,
         ),
-        ("an engine with few fields", surroundings.with_engines(&[cold]), true),
-        ("1024 engines that nobody runs", surroundings.with_engines(&many(1024)), false),
+        ("an engine with few fields", fixture.with_engines(&[cold]), true),
+        ("1024 engines that nobody runs", fixture.with_engines(&many(1024)), false),
     ];
     // Stopping takes each 0.7 s.
     std::thread::scope(|scope| {
         for part in served.chunks(served.len().div_ceil(4)) {
             scope.spawn(|| {
                 part.iter()
-                    .for_each(|(case, config, returned)| assert_served(case, config, *returned))
+                    .for_each(|(case, config, succeeds)| assert_served(case, config, *succeeds))
             });
         }
     });
 }
 
-fn assert_served(case: &str, config: &Value, returned: bool) {
+fn assert_served(case: &str, config: &Value, succeeds: bool) {
     assert!(run("check-config", &write_config(config), case).0, "{case}");
     let mut config = config.clone();
     config["listen"] = json!(own_address().to_string());
@@ -728,10 +722,10 @@
     let allowed = config["settings"]["categories"][0]["give-up"]
         .as_f64()
         .unwrap();
-    let team = config["settings"]["tenants"][0].is_object();
+    let names_tenant = config["settings"]["tenants"][0].is_object();
     let mut send_query = || {
         let headers = request_headers(&new_id(), allowed as u32);
-        let headers = if team {
+        let headers = if names_tenant {
             headers
         } else {
             headers.replace("X-Team: acme\r\n", "")
@@ -741,10 +735,10 @@
     let started_at = Instant::now();
     let mut status = send_query();
     // On a busy machine a connection may be established too late; a rejected client retries.
-    while returned && status == 503 && started_at.elapsed() < RESPONSE_TIMEOUT {
+    while succeeds && status == 503 && started_at.elapsed() < RESPONSE_TIMEOUT {
         status = send_query();
     }
-    let accepted = if returned {
+    let accepted = if succeeds {
         status == 200
     } else {
         status == 503 || status == 500
@@ -756,14 +750,14 @@
 /// Without a list it starts, accepts requests, and reports that it does not serve yet.
 #[test]
 fn gateway_without_an_endpoint_list_waits_for_one() {
-    let surroundings = Surroundings::new();
+    let fixture = Fixture::new();
     for known in [
         json!(null),
         json!({"seq": 0, "results": []}),
         json!({"seq": 1, "results": [{"seq": 1}]}),
     ] {
         let case = format!("known {known}");
-        let mut config = surroundings.with("known", known);
+        let mut config = fixture.with("known", known);
         config["listen"] = json!(own_address().to_string());
         assert!(
             run("check-config", &write_config(&config), &case).0,
@@ -779,8 +773,8 @@
 /// is started, answers `/healthz`, and accepts a query.
 #[test]
 fn unexpected_value_at_every_path_is_served_or_refused() {
-    let surroundings = Surroundings::new();
-    let base = surroundings.config();
+    let fixture = Fixture::new();
+    let base = fixture.config();
     let mut all = Vec::new();
     collect_paths(&base, "", &mut all);
     assert!(all.len() > 100, "{}", all.len());
@@ -819,10 +813,10 @@
             assert!(stderr_text.is_empty(), "{case}: {stderr_text}");
             config["listen"] = json!(own_address().to_string());
             let mut gateway = StartedGateway::with_config(&config);
-            let starting = config["known"]["results"]
+            let without_list = config["known"]["results"]
                 .as_array()
                 .is_none_or(Vec::is_empty);
-            gateway.wait_until_health_is(if starting { 503 } else { 200 }, &case);
+            gateway.wait_until_health_is(if without_list { 503 } else { 200 }, &case);
             gateway.query(&request_headers(&new_id(), 200), &case);
             assert!(
                 !gateway.stderr_text().contains("panicked"),
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -56,7 +56,7 @@
         loop {
             let (first, headers) = head(&mut reader)?;
             let answer = match first.starts_with("POST") {
-                true => self.post(&mut reader, &stream, &headers)?,
+                true => self.receive_start(&mut reader, &stream, &headers)?,
                 false if first.contains("/stats") => {
                     http_response("200 OK", "X-Stats: queue:0;util:0.1\r\n", "")
                 }
@@ -68,7 +68,7 @@
     }
 
     /// Reads a body to its end, or up to the point where its directive makes it fail.
-    fn post(
+    fn receive_start(
         &self,
         reader: &mut impl BufRead,
         stream: &TcpStream,
@@ -152,7 +152,7 @@
     content_length: Option<usize>,
     mut piece: impl FnMut(&[u8]) -> bool,
 ) -> bool {
-    let mut some = |reader: &mut dyn BufRead, mut left: usize| {
+    let mut read_piecewise = |reader: &mut dyn BufRead, mut left: usize| {
         while left > 0 {
             let Ok(bytes) = reader.fill_buf() else {
                 return false;
@@ -167,7 +167,7 @@
         true
     };
     if let Some(content_length) = content_length {
-        return some(reader, content_length);
+        return read_piecewise(reader, content_length);
     }
     loop {
         let mut line = String::new();
@@ -177,7 +177,7 @@
         let Ok(length) = usize::from_str_radix(line.trim(), 16) else {
             return false;
         };
-        if !some(reader, length) || reader.read_line(&mut String::new()).is_err() {
+        if !read_piecewise(reader, length) || reader.read_line(&mut String::new()).is_err() {
             return false;
         }
         if length == 0 {
--- a/crates/gateway/tests/early_signals.rs
+++ b/crates/gateway/tests/early_signals.rs
@@ -11,13 +11,13 @@
 use std::time::{Duration, Instant};
 
 /// A gateway that waits for its configuration.
-struct Starting {
+struct StartingGateway {
     child: Child,
     pipe: PathBuf,
 }
 
-impl Starting {
-    fn spawn() -> Starting {
+impl StartingGateway {
+    fn spawn() -> StartingGateway {
         let pipe = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("pipe-{}", new_id()));
         let _ = std::fs::remove_file(&pipe);
         assert!(Command::new("mkfifo")
@@ -31,7 +31,7 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        Starting { child, pipe }
+        StartingGateway { child, pipe }
     }
 
     /// Waits until the gateway has opened the pipe, from which it then reads.
@@ -52,7 +52,7 @@
     }
 }
 
-impl Drop for Starting {
+impl Drop for StartingGateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -71,9 +71,9 @@
         FakeChangeLog::start(),
         FakeChangeLog::start(),
     );
-    let starting = Starting::spawn();
-    let mut pipe = starting.open_pipe();
-    starting.signal("HUP");
+    let gateway = StartingGateway::spawn();
+    let mut pipe = gateway.open_pipe();
+    gateway.signal("HUP");
     sleep(ms(50));
     let mut configuration = config(engine.address, log.address);
     pipe.write_all(configuration.to_string().as_bytes())
@@ -85,7 +85,7 @@
         std::net::TcpStream::connect(address).is_ok()
     });
     // It reloads its configuration, which names another change log.
-    let mut second_pipe = starting.open_pipe();
+    let mut second_pipe = gateway.open_pipe();
     configuration["changelog"] = second_log.address.to_string().into();
     second_pipe
         .write_all(configuration.to_string().as_bytes())
@@ -105,12 +105,12 @@
 }
 
 fn assert_sigterm_during_startup_exits_with_0() {
-    let mut starting = Starting::spawn();
-    let _pipe = starting.open_pipe();
-    starting.signal("TERM");
+    let mut gateway = StartingGateway::spawn();
+    let _pipe = gateway.open_pipe();
+    gateway.signal("TERM");
     let signalled_at = Instant::now();
     while signalled_at.elapsed() < Duration::from_secs(3) {
-        if let Some(status) = starting.child.try_wait().unwrap() {
+        if let Some(status) = gateway.child.try_wait().unwrap() {
             assert_eq!(status.code(), Some(0));
             return;
         }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -101,6 +101,9 @@
     test_bed.signal("CONT");
     assert!(succeeded(new) && succeeded(open));
     let calls = test_bed.engine.requests.lock().unwrap().join("\n");
-    let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
-    assert!(at(1) < at(2), "received first, sent last: {calls}");
+    let position = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
+    assert!(
+        position(1) < position(2),
+        "received first, sent last: {calls}"
+    );
 }
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -26,7 +26,7 @@
 }
 
 /// The answer to a query and the time that it took.
-struct Answered {
+struct TimedAnswer {
     after: Duration,
     answer: Option<Answer>,
 }
@@ -77,7 +77,7 @@
         &self,
         allowed: u32,
         statement: &str,
-    ) -> (TcpStream, std::thread::JoinHandle<Answered>) {
+    ) -> (TcpStream, std::thread::JoinHandle<TimedAnswer>) {
         let stream = self.test_bed.open();
         let headers = format!("{}{KEY}", request_headers(&new_id(), allowed));
         let began = Instant::now();
@@ -85,7 +85,7 @@
         let reading = stream.try_clone().unwrap();
         let answer = spawn(move || {
             let message = read_message(&mut BufReader::new(reading));
-            Answered {
+            TimedAnswer {
                 after: began.elapsed(),
                 answer: message.map(Answer::of),
             }
@@ -116,7 +116,7 @@
     }
 }
 
-fn answer_within(limit: u64, what: std::thread::JoinHandle<Answered>) -> Answer {
+fn answer_within(limit: u64, what: std::thread::JoinHandle<TimedAnswer>) -> Answer {
     let answered = what.join().unwrap();
     assert!(answered.after < ms(limit), "{:?}", answered.after);
     answered.answer.expect("an answer")
@@ -219,7 +219,7 @@
         let (_b, second) = engines.load(3000, "INSERT 2 /* runs 10 */");
         // The gateway assumes that a keyed query was sent up to 0.25 s before it was received.
         sleep((ms(350 - early)).saturating_sub(sent.elapsed()));
-        let withdrawn = round_trip(
+        let cancel_response = round_trip(
             engines.test_bed.open(),
             "DELETE /v1/load",
             &request_headers(&id, 600),
@@ -227,7 +227,7 @@
         )
         .unwrap();
         assert!(["HTTP/1.1 204 No Content", "HTTP/1.1 404 Not Found"]
-            .contains(&withdrawn.start_line.as_str()));
+            .contains(&cancel_response.start_line.as_str()));
         assert!(engines.assert_order_kept() < KEY_PAUSE + SLACK, "{early}");
         assert_eq!(engines.first.state().cancel_requests, 1, "one cancel call");
         assert!(answer_within(3050, second).succeeded());
@@ -330,12 +330,12 @@
     while let Ok((mut stream, _)) = cut_off.accept() {
         stream.set_nonblocking(false).unwrap();
         stream.set_read_timeout(Some(ms(500))).unwrap();
-        let mut came = Vec::new();
-        let _ = stream.read_to_end(&mut came);
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
         assert!(
-            came.len() < statement.len(),
+            received.len() < statement.len(),
             "a complete start arrived: {} bytes",
-            came.len()
+            received.len()
         );
     }
 }
@@ -410,7 +410,7 @@
         settings["categories"][1]["key-scope"] = json!("all");
         settings["categories"][1]["dedup-window"] = json!(6000.0);
     });
-    let say = |more: &str| {
+    let send_load_with = |more: &str| {
         let headers = format!(
             "{}{KEY}X-Unique: 00ab12ffee34cd56\r\n{more}",
             request_headers(&new_id(), 2900)
@@ -424,7 +424,7 @@
         .map(Answer::of)
         .unwrap()
     };
-    assert!(say("X-Size-Ms: 120\r\nX-Memory: 64\r\n").succeeded());
+    assert!(send_load_with("X-Size-Ms: 120\r\nX-Memory: 64\r\n").succeeded());
     assert_eq!(
         engines.first.attempts()[0].idempotency_key.as_deref(),
         Some("00ab12ffee34cd56")
@@ -434,7 +434,7 @@
         "X-Memory: much\r\n",
         "X-Unique: twice\r\n",
     ] {
-        assert!(!say(wrong).succeeded(), "{wrong}");
+        assert!(!send_load_with(wrong).succeeded(), "{wrong}");
     }
     assert_eq!(
         engines.first.attempts().len(),
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -54,7 +54,7 @@
         let config = write_config(&settings_file);
         let address = settings_file["listen"].as_str().unwrap().parse().unwrap();
         let child = RestartableGateway::serve(&config, &plan, &faults);
-        let lasting = RestartableGateway {
+        let gateway = RestartableGateway {
             engine,
             _log: log,
             config,
@@ -63,8 +63,8 @@
             faults,
             child,
         };
-        lasting.wait_until_healthy();
-        lasting
+        gateway.wait_until_healthy();
+        gateway
     }
 
     fn serve(config: &Path, plan: &Path, faults: &Faults) -> Child {
@@ -391,6 +391,9 @@
         .output()
         .unwrap();
     assert_eq!(out.status.code(), Some(1));
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(said.contains("/no/such/folder/n0.once-only"), "{said}");
+    let error_text = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(
+        error_text.contains("/no/such/folder/n0.once-only"),
+        "{error_text}"
+    );
 }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -40,8 +40,8 @@
         (z ^ (z >> 31)) % n
     }
 
-    fn one_of<T: Copy>(&mut self, of: &[T]) -> T {
-        of[self.below(of.len() as u64) as usize]
+    fn one_of<T: Copy>(&mut self, choices: &[T]) -> T {
+        choices[self.below(choices.len() as u64) as usize]
     }
 }
 
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -488,8 +488,8 @@
         assert!(Answer::of(read_message(&mut BufReader::new(stream)).unwrap()).succeeded());
     }
     let calls = test_bed.engine.requests.lock().unwrap().join("\n");
-    let at = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
-    assert!(at(0) < at(1) && at(1) < at(2));
+    let position = |n: usize| calls.find(&format!("POST /c INSERT {n}")).unwrap();
+    assert!(position(0) < position(1) && position(1) < position(2));
 }
 
 #[test]
--- a/crates/gateway/tests/subsets.rs
+++ b/crates/gateway/tests/subsets.rs
@@ -33,7 +33,7 @@
 struct SubsetGateway {
     engines: Vec<FakeEngineProcess>,
     test_bed: TestBed,
-    log_text: PathBuf,
+    log_path: PathBuf,
     /// The number of the last published event.
     number: AtomicU64,
 }
@@ -57,7 +57,7 @@
             .enumerate()
             .map(|(n, e)| endpoint_in_zone(&format!("s-{n}"), n, e, "SERVING"))
             .collect();
-        let log_text = Mutex::new(PathBuf::new());
+        let log_path = Mutex::new(PathBuf::new());
         let test_bed = TestBed::start_with_launcher(
             |config| {
                 config["known"]["results"][0] = full_list_event(0, &lines);
@@ -74,21 +74,21 @@
                 let file = write_config(config);
                 let path = file.with_extension("said");
                 let child = serve_from(&file, File::create(&path).unwrap().into());
-                *log_text.lock().unwrap() = path;
+                *log_path.lock().unwrap() = path;
                 child
             },
         );
-        let log_text = log_text.into_inner().unwrap();
+        let log_path = log_path.into_inner().unwrap();
         SubsetGateway {
             engines,
             test_bed,
-            log_text,
+            log_path,
             number: AtomicU64::new(0),
         }
     }
 
     fn log_text(&self) -> String {
-        std::fs::read_to_string(&self.log_text).unwrap()
+        std::fs::read_to_string(&self.log_path).unwrap()
     }
 
     fn endpoint_of(&self, engine: usize, state: &str) -> Value {
@@ -211,13 +211,16 @@
         first
     );
     // Other engines get no health check either.
-    let probed = gateway
+    let connected = gateway
         .engines
         .iter()
         .enumerate()
         .filter(|(_, e)| !e.state().connections.is_empty());
-    let probed: BTreeSet<usize> = probed.map(|(n, _)| n).collect();
-    assert!(probed.len() <= SUBSET_SIZE + RESERVE_SIZE, "{probed:?}");
+    let connected: BTreeSet<usize> = connected.map(|(n, _)| n).collect();
+    assert!(
+        connected.len() <= SUBSET_SIZE + RESERVE_SIZE,
+        "{connected:?}"
+    );
 }
 
 #[test]
@@ -553,7 +556,7 @@
 fn sighup_keeps_the_subset_and_sigterm_ends_well() {
     let mut gateway = SubsetGateway::start();
     let members = gateway.members();
-    let file = gateway.log_text.with_extension("json");
+    let file = gateway.log_path.with_extension("json");
     let mut config = gateway.test_bed.config.clone();
     config["subset"]["size"] = json!(2 * SUBSET_SIZE);
     std::fs::write(&file, config.to_string()).unwrap();
--- a/crates/gateway/tests/watch.rs
+++ b/crates/gateway/tests/watch.rs
@@ -510,13 +510,13 @@
 // SIGHUP at each step of the watch.
 
 /// A gateway whose configuration file the test rewrites.
-struct Reloading {
+struct ReloadableGateway {
     test_bed: TestBed,
     path: PathBuf,
 }
 
-impl Reloading {
-    fn start(log: SocketAddr, change_more: impl Fn(&mut Value)) -> Reloading {
+impl ReloadableGateway {
+    fn start(log: SocketAddr, change_more: impl Fn(&mut Value)) -> ReloadableGateway {
         let path = write_config(&Value::Null);
         let serve = |config: &Value| -> Child {
             std::fs::write(&path, config.to_string()).unwrap();
@@ -530,7 +530,7 @@
             },
             serve,
         );
-        Reloading { test_bed, path }
+        ReloadableGateway { test_bed, path }
     }
 
     fn reload(&self, text: &str) {
@@ -573,12 +573,12 @@
         ScriptedChangeLog::start(),
         FakeEngine::start(),
     );
-    let reloading = Reloading::start(old.address, |_| {});
+    let gateway = ReloadableGateway::start(old.address, |_| {});
     let connecting = old
         .accept_within(CONNECTION_TIMEOUT)
         .expect("a connection that is not answered");
-    reloading.change_log_to(&new);
-    reloading.assert_follows(&new, 0, &other);
+    gateway.change_log_to(&new);
+    gateway.assert_follows(&new, 0, &other);
     assert!(
         connecting.is_closed(TOLERANCE),
         "the connection to the old log is closed"
@@ -593,7 +593,7 @@
         ScriptedChangeLog::start(),
         FakeEngine::start(),
     );
-    let reloading = Reloading::start(old.address, |config| {
+    let gateway = ReloadableGateway::start(old.address, |config| {
         config["settings"]["allowed"]["dial-timeout"] = json!(3000.0);
     });
     let watch = old.accept_and_answer();
@@ -601,8 +601,8 @@
     drop(watch);
     drop(old.accept_and_answer());
     let paused = Instant::now();
-    reloading.change_log_to(&new);
-    let watch = reloading.assert_follows(&new, 1, &other);
+    gateway.change_log_to(&new);
+    let watch = gateway.assert_follows(&new, 1, &other);
     let after = watch.accepted_at - paused;
     assert!(
         after < ms(450),
@@ -622,12 +622,12 @@
         FakeEngine::start(),
         FakeEngine::start(),
     );
-    let reloading = Reloading::start(old.address, |_| {});
+    let gateway = ReloadableGateway::start(old.address, |_| {});
     let watch = old.accept_and_answer();
     watch.send_event(&list_of_one(1, &other));
-    wait_until_in_force(&reloading.test_bed, &other);
+    wait_until_in_force(&gateway.test_bed, &other);
     sleep(ms(1500));
-    reloading.change_log_to(&new);
+    gateway.change_log_to(&new);
     let newest = new.accept_within(TOLERANCE).expect("the new log at once");
     assert_eq!(newest.last_event_id, 1);
     newest.write(HEAD);
@@ -637,13 +637,13 @@
     let _keepalives = newest.send_keepalives();
     for _ in 0..5 {
         assert!(
-            next_query_reaches(&reloading.test_bed, &other),
+            next_query_reaches(&gateway.test_bed, &other),
             "the last list stays in force"
         );
     }
     let newer = FakeEngine::start();
     newest.send_event(&list_of_one(2, &newer));
-    wait_until_in_force(&reloading.test_bed, &newer);
+    wait_until_in_force(&gateway.test_bed, &newer);
     assert_eq!(stale.requests("POST"), 0, "nothing of the old stream");
 }
 
@@ -659,14 +659,14 @@
         FakeEngine::start(),
         FakeEngine::start(),
     );
-    let reloading = Reloading::start(old.address, |_| {});
+    let gateway = ReloadableGateway::start(old.address, |_| {});
     let watch = old.accept_and_answer();
     watch.send_event(&list_of_one(1, &first));
-    wait_until_in_force(&reloading.test_bed, &first);
-    reloading.change_log_to(&between);
-    reloading.reload("{");
-    reloading.change_log_to(&new);
-    let newest = reloading.assert_follows(&new, 1, &other);
+    wait_until_in_force(&gateway.test_bed, &first);
+    gateway.change_log_to(&between);
+    gateway.reload("{");
+    gateway.change_log_to(&new);
+    let newest = gateway.assert_follows(&new, 1, &other);
     let _keepalives = newest.send_keepalives();
     assert!(
         watch.is_closed(TOLERANCE),
@@ -677,9 +677,9 @@
         let _ = (&left.stream)
             .write_all(format!("{HEAD}id: 3\ndata: {}\n\n", list_of_one(3, &stale)).as_bytes());
     }
-    reloading.reload("{");
+    gateway.reload("{");
     assert!(
-        (0..5).all(|_| next_query_reaches(&reloading.test_bed, &other)),
+        (0..5).all(|_| next_query_reaches(&gateway.test_bed, &other)),
         "a faulty file changes nothing"
     );
     assert!(
@@ -693,16 +693,16 @@
 #[test]
 fn sighup_with_the_same_log_address_keeps_the_stream() {
     let (log, other) = (ScriptedChangeLog::start(), FakeEngine::start());
-    let reloading = Reloading::start(log.address, |_| {});
+    let gateway = ReloadableGateway::start(log.address, |_| {});
     let watch = log.accept_and_answer();
     let _keepalives = watch.send_keepalives();
-    reloading.change_log_to(&log);
+    gateway.change_log_to(&log);
     assert!(
         log.accept_within(TOLERANCE).is_none(),
         "no other connection"
     );
     watch.send_event(&list_of_one(1, &other));
-    wait_until_in_force(&reloading.test_bed, &other);
+    wait_until_in_force(&gateway.test_bed, &other);
 }
 
 // Numbers.
@@ -840,10 +840,10 @@
         });
     });
     let healthy = || {
-        let asked = TcpStream::connect(test_bed.address)
+        let health_response = TcpStream::connect(test_bed.address)
             .ok()
             .and_then(|s| round_trip(s, "GET /healthz", "", ""));
-        asked.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
+        health_response.is_some_and(|answer| answer.start_line == "HTTP/1.1 200 OK")
     };
     while !healthy() {
         assert!(
--- a/crates/gateway/tests/wire.rs
+++ b/crates/gateway/tests/wire.rs
@@ -204,9 +204,9 @@
     wait_until("the start", || {
         test_bed.engine.started.lock().unwrap().contains_key(&id)
     });
-    let withdrawn = post(&id, "report", "", "").replace("POST", "DELETE");
+    let cancel_request = post(&id, "report", "", "").replace("POST", "DELETE");
     assert_eq!(
-        answer_to(test_bed.address, &withdrawn),
+        answer_to(test_bed.address, &cancel_request),
         "HTTP/1.1 204 No Content\r\n\r\n"
     );
 }
@@ -687,8 +687,8 @@
     let good = write_config(&config(address, address));
     let ended = |command: &mut Command| {
         let ended = command.output().unwrap();
-        let said = [ended.stdout, ended.stderr].concat();
-        (ended.status.code(), String::from_utf8(said).unwrap())
+        let output = [ended.stdout, ended.stderr].concat();
+        (ended.status.code(), String::from_utf8(output).unwrap())
     };
     let check = || {
         let mut command = gateway_command(&["check-config"]);
@@ -702,13 +702,13 @@
             .env("PROXY_NAME", "n7")
             .env("PROXY_LISTEN", "127.0.0.1:4999"),
     );
-    let said = "configuration of n7 is valid: n7 listens on 127.0.0.1:4999\n";
-    assert_eq!(named, (Some(0), said.to_string()));
-    let (code, said) = ended(check().env("GARNETWALL_PLAN", "/nowhere/a.plan"));
+    let output = "configuration of n7 is valid: n7 listens on 127.0.0.1:4999\n";
+    assert_eq!(named, (Some(0), output.to_string()));
+    let (code, output) = ended(check().env("GARNETWALL_PLAN", "/nowhere/a.plan"));
     assert_eq!(code, Some(1));
     assert!(
-        said.starts_with("garnetwall: invalid plan /nowhere/a.plan\n"),
-        "{said}"
+        output.starts_with("garnetwall: invalid plan /nowhere/a.plan\n"),
+        "{output}"
     );
     let log = |level: &str| {
         let mut command = gateway_command(&["serve"]);
@@ -718,15 +718,15 @@
         let mut child = KillOnDrop(command.stderr(Stdio::piped()).spawn().unwrap());
         sleep(Duration::from_millis(400));
         child.0.kill().unwrap();
-        let mut said = String::new();
+        let mut output = String::new();
         child
             .0
             .stderr
             .take()
             .unwrap()
-            .read_to_string(&mut said)
+            .read_to_string(&mut output)
             .unwrap();
-        said
+        output
     };
     assert!(log("info").contains(" INFO "));
     assert!(!log("error").contains(" INFO "));
