--- a/crates/gateway/tests/world/day.rs
+++ b/crates/gateway/tests/world/day.rs
@@ -1,6 +1,6 @@
 //! The simulated day: queries arrive, clients disconnect, endpoint lists change, until all queries have ended.
 
-use super::figures::{DAY, STEP};
+use super::figures::{ARRIVAL_PERIOD, TIME_STEP};
 use super::gateway::QueryRecord;
 use super::{seconds, InjectedBug, Rule, Simulation};
 use garnetwall::api::{ListScope, Query, QueryId};
@@ -11,10 +11,10 @@
         waiting.push((class, (class != 0).then_some(key), self.now));
     }
 
-    fn admit(&mut self, position: usize, class: usize, key: Option<u64>, came: u64) {
+    fn admit(&mut self, position: usize, class: usize, key: Option<u64>, arrived_at: u64) {
         let id = self.queries.len() as QueryId;
-        let deadline = came + if self.rng.one_in(6) { 900 } else { 5000 };
-        let held = QueryRecord {
+        let deadline = arrived_at + if self.rng.one_in(6) { 900 } else { 5000 };
+        let record = QueryRecord {
             class,
             key,
             position,
@@ -23,28 +23,28 @@
             answered: None,
             attempts: Vec::new(),
         };
-        self.queries.push(held);
-        let left = deadline.saturating_sub(self.now) as f64 / 1000.0;
+        self.queries.push(record);
+        let remaining = deadline.saturating_sub(self.now) as f64 / 1000.0;
         let data_set = id % 3;
-        let b = Query {
+        let query = Query {
             id,
             class,
             tenant: 0,
             ordering_key: key,
-            remaining_time: left,
+            remaining_time: remaining,
             estimated_work: None,
             estimated_memory: None,
             data_set,
             endpoint_subset: None,
         };
-        self.controller.admit(seconds(self.now), b);
+        self.controller.admit(seconds(self.now), query);
     }
 
     fn client_disconnects(&mut self) {
         let n = self.rng.draw(self.queries.len() as u64) as usize;
-        let h = &mut self.queries[n];
-        if h.answered.is_none() && !h.client_left {
-            h.client_left = true;
+        let record = &mut self.queries[n];
+        if record.answered.is_none() && !record.client_left {
+            record.client_left = true;
             self.controller.client_left(seconds(self.now), n as QueryId);
         }
     }
@@ -53,17 +53,17 @@
         let mut waiting = Vec::new();
         let mut positions = 0;
         let mut applied_at = 0;
-        while self.now < DAY + 10_000 {
+        while self.now < ARRIVAL_PERIOD + 10_000 {
             self.advance_engines();
-            if self.now < DAY && self.rng.one_in(6) {
+            if self.now < ARRIVAL_PERIOD && self.rng.one_in(6) {
                 self.query_arrives(&mut waiting);
             }
             if !self.is_paused() {
                 for engine in 0..self.processes.len() {
-                    let before = self.endpoint_at(engine, applied_at).map(|l| l.state);
+                    let before = self.endpoint_at(engine, applied_at).map(|line| line.state);
                     let updated = self
                         .endpoint_at(engine, self.now)
-                        .filter(|l| before != Some(l.state));
+                        .filter(|line| before != Some(line.state));
                     self.controller
                         .update_endpoints(updated.as_slice(), ListScope::Delta);
                 }
@@ -82,12 +82,12 @@
                 }
                 self.advance_gateway();
             }
-            self.now += STEP;
+            self.now += TIME_STEP;
         }
         let open = self
             .queries
             .iter()
-            .filter(|b| b.answered.is_none() && !b.client_left)
+            .filter(|record| record.answered.is_none() && !record.client_left)
             .count();
         if open > 0 {
             self.record_violation(Rule::Answer, format!("{open} queries have no answer"));
--- a/crates/gateway/tests/world/engines.rs
+++ b/crates/gateway/tests/world/engines.rs
@@ -32,7 +32,7 @@
     pub(super) process: usize,
     pub(super) started_at: u64,
     pub(super) ends_at: u64,
-    pub(super) last_polled_at: u64,
+    pub(super) polled_at: u64,
     /// When it ends for lack of polls where progress reports keep it running.
     pub(super) progress_until: u64,
     /// Since when a poll is in flight.
@@ -44,19 +44,23 @@
 impl Simulation {
     /// Ends executions that complete, die with their process or are not polled.
     pub(super) fn advance_engines(&mut self) {
-        for r in self.executions.iter_mut().filter(|r| r.ended_at.is_none()) {
-            let p = &self.processes[r.process];
+        for run in self
+            .executions
+            .iter_mut()
+            .filter(|run| run.ended_at.is_none())
+        {
+            let process = &self.processes[run.process];
             // The poll is answered by then, whether or not the answer is received.
-            if let Some(since) = r.poll_since.filter(|since| self.now >= since + POLL_HOLD) {
-                (r.last_polled_at, r.poll_since) = (since + POLL_HOLD, None);
+            if let Some(since) = run.poll_since.filter(|since| self.now >= since + POLL_HOLD) {
+                (run.polled_at, run.poll_since) = (since + POLL_HOLD, None);
             }
             let unpolled = match self.reports_progress {
-                true => self.now >= r.progress_until,
-                false => r.poll_since.is_none() && self.now >= r.last_polled_at + UNPOLLED_LIFETIME,
+                true => self.now >= run.progress_until,
+                false => run.poll_since.is_none() && self.now >= run.polled_at + UNPOLLED_LIFETIME,
             };
-            r.succeeded = self.now >= r.ends_at && self.now < p.killed_at;
-            if self.now >= r.ends_at || self.now >= p.killed_at || unpolled {
-                r.ended_at = Some(self.now);
+            run.succeeded = self.now >= run.ends_at && self.now < process.killed_at;
+            if self.now >= run.ends_at || self.now >= process.killed_at || unpolled {
+                run.ended_at = Some(self.now);
             }
         }
         // Connections lost by a partition, a reset or a dead process.
@@ -65,20 +69,21 @@
             .collect();
         for n in broken_connections {
             let query = self.attempts[n].query;
-            let o = &mut self.attempts[n];
+            let attempt = &mut self.attempts[n];
             self.executions
                 .iter_mut()
-                .filter(|r| r.query == query && r.ended_at.is_none())
-                .for_each(|r| r.poll_since = None);
-            o.connected_to = None;
+                .filter(|run| run.query == query && run.ended_at.is_none())
+                .for_each(|run| run.poll_since = None);
+            attempt.connected_to = None;
         }
     }
 
-    fn connection_breaks(&self, o: &Attempt) -> bool {
-        o.connected_to.is_some_and(|p| {
-            let p = &self.processes[p];
-            self.now >= p.killed_at
-                || self.slots[p.slot].resets.contains(&self.now) && !self.is_partitioned(p.slot)
+    fn connection_breaks(&self, attempt: &Attempt) -> bool {
+        attempt.connected_to.is_some_and(|process| {
+            let process = &self.processes[process];
+            self.now >= process.killed_at
+                || self.slots[process.slot].resets.contains(&self.now)
+                    && !self.is_partitioned(process.slot)
         })
     }
 
@@ -97,13 +102,13 @@
                     } else {
                         self.rng.between(20, 900)
                     };
-                self.judge_start(query, process);
+                self.check_start(query, process);
                 let execution = Execution {
                     query,
                     process,
                     started_at: now,
                     ends_at,
-                    last_polled_at: now,
+                    polled_at: now,
                     progress_until: now + LONGEST_DEADLINE,
                     poll_since: Some(now),
                     ended_at: None,
@@ -112,13 +117,13 @@
                 self.executions.push(execution);
             }
             Call::Poll | Call::Cancel => {
-                let mine = |r: &&mut Execution| {
-                    r.query == query && r.process == process && r.ended_at.is_none()
+                let matches = |run: &&mut Execution| {
+                    run.query == query && run.process == process && run.ended_at.is_none()
                 };
-                if let Some(r) = self.executions.iter_mut().find(mine) {
+                if let Some(run) = self.executions.iter_mut().find(matches) {
                     match call {
-                        Call::Cancel => r.ended_at = Some(now),
-                        _ => (r.last_polled_at, r.poll_since) = (now, Some(now)),
+                        Call::Cancel => run.ended_at = Some(now),
+                        _ => (run.polled_at, run.poll_since) = (now, Some(now)),
                     }
                 }
             }
@@ -131,22 +136,22 @@
         if self.is_partitioned(self.processes[process].slot) {
             return None;
         }
-        let mine = |r: &&Execution| r.query == query && r.process == process;
+        let matches = |run: &&Execution| run.query == query && run.process == process;
         let sent = self.attempts[n].sent;
         let corrupted = self.rng.one_in(40);
         let reply = match self
             .executions
             .iter()
-            .rfind(mine)
-            .filter(|r| r.started_at >= sent)
+            .rfind(matches)
+            .filter(|run| run.started_at >= sent)
         {
             _ if call == Call::Cancel => Reply::Cancelled,
             None if call == Call::Start => Reply::Rejected,
             None => Reply::Unknown,
             // It was answered at its hold time, however late the gateway reads that.
-            Some(r) if r.ended_at.is_some_and(|to| to >= since + POLL_HOLD) => Reply::Running,
-            Some(r) if r.succeeded => Reply::Succeeded,
-            Some(r) if r.ended_at.is_some() => Reply::Unknown,
+            Some(run) if run.ended_at.is_some_and(|to| to >= since + POLL_HOLD) => Reply::Running,
+            Some(run) if run.succeeded => Reply::Succeeded,
+            Some(run) if run.ended_at.is_some() => Reply::Unknown,
             Some(_) if self.now >= since + POLL_HOLD => Reply::Running,
             Some(_) => return None,
         };
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -1,6 +1,6 @@
 //! The exchanges of one attempt: its connection, its start, its polls, its cancellation.
 
-use super::figures::{CONNECT_TIMEOUT, DEADLINE_TOLERANCE, POLL_HOLD, STEP};
+use super::figures::{CONNECT_TIMEOUT, DEADLINE_TOLERANCE, POLL_HOLD, TIME_STEP};
 use super::gateway::{AttemptPhase, Call, Reply};
 use super::{InjectedBug, Simulation};
 use garnetwall::api::AttemptEnd;
@@ -105,7 +105,7 @@
             };
             // Some connections are established late, and the query may be answered meanwhile.
             let delay = if self.rng.one_in(5) {
-                self.rng.between(STEP, CONNECT_TIMEOUT)
+                self.rng.between(TIME_STEP, CONNECT_TIMEOUT)
             } else {
                 0
             };
@@ -125,16 +125,16 @@
             self.record_evidence(n, Evidence::RequestSent);
         }
         // A partition swallows what is written; a reset may break the connection.
-        let lost = self.is_partitioned(slot) || self.rng.one_in(12);
-        if lost && !self.is_partitioned(slot) {
+        let is_lost = self.is_partitioned(slot) || self.rng.one_in(12);
+        if is_lost && !self.is_partitioned(slot) {
             self.attempts[n].connected_to = None;
         }
         self.attempts[n].phase = AttemptPhase::AwaitingReply {
             since: self.now,
             call: then,
-            reached: !lost,
+            reached: !is_lost,
         };
-        if !lost {
+        if !is_lost {
             self.request_arrives(n, then);
         }
     }
@@ -156,7 +156,7 @@
             }
             return;
         };
-        let on = self.attempts[n].connection;
+        let connection = self.attempts[n].connection;
         let now = self.ledger_now();
         match reply {
             Reply::Corrupted => {
@@ -184,29 +184,29 @@
                 self.end_attempt(n, AttemptEnd::Rejected);
             }
             Reply::Unknown => {
-                self.record_evidence(n, Evidence::ReportedFailed(on));
+                self.record_evidence(n, Evidence::ReportedFailed(connection));
                 if self.attempts[n].end.is_some() {
                     return self.attempts[n].phase = AttemptPhase::Cancelling;
                 }
                 let id = self.attempts[n].id;
-                let over = self.ledger.may_run_until(id).is_none()
+                let proven_ended = self.ledger.may_run_until(id).is_none()
                     || self.bug == InjectedBug::TrustsAddresses;
                 let reported_end = ReportedEnd {
                     answers_start: call == Call::Start,
                     is_failure: true,
                 };
-                match reported_end.weigh(over) {
+                match reported_end.weigh(proven_ended) {
                     ReportVerdict::Accepted => self.end_attempt(n, AttemptEnd::Failed),
                     ReportVerdict::Interrupted => self.end_attempt(n, AttemptEnd::ConnectionLost),
                     ReportVerdict::Inconclusive => self.abandon_with_unknown_outcome(n),
                 }
             }
             Reply::Cancelled => {
-                self.record_evidence(n, Evidence::Cancelled(on));
+                self.record_evidence(n, Evidence::Cancelled(connection));
                 self.attempts[n].phase = AttemptPhase::Cancelling;
             }
             Reply::Running => {
-                self.record_evidence(n, Evidence::Running(on));
+                self.record_evidence(n, Evidence::Running(connection));
                 self.attempts[n].poll_schedule.answered(now);
                 match self.attempts[n].cancel_requested {
                     _ if self.attempts[n].end.is_some() => {
@@ -227,17 +227,17 @@
     /// Closes a connection; the engine's machine notices it unless it is partitioned.
     fn close_connection(&mut self, n: usize) {
         self.record_evidence(n, Evidence::ConnectionUnusable(self.attempts[n].connection));
-        let (query, up) = (self.attempts[n].query, self.attempts[n].connected_to.take());
-        let held = self
+        let (query, process) = (self.attempts[n].query, self.attempts[n].connected_to.take());
+        let own_runs = self
             .executions
             .iter_mut()
-            .filter(|r| r.query == query && Some(r.process) == up);
-        held.for_each(|r| r.poll_since = None);
+            .filter(|run| run.query == query && Some(run.process) == process);
+        own_runs.for_each(|run| run.poll_since = None);
     }
 
-    fn call_failed(&mut self, n: usize, call: Call, how: CallFailure) {
+    fn call_failed(&mut self, n: usize, call: Call, failure: CallFailure) {
         if call == Call::Cancel || self.attempts[n].end.is_some() {
-            if how != CallFailure::Refused {
+            if failure != CallFailure::Refused {
                 self.record_evidence(n, Evidence::CancelFailed);
             }
             self.attempts[n].phase = AttemptPhase::Cancelling;
@@ -251,7 +251,7 @@
             return self.start_cancelling(n, AttemptEnd::Cancelled);
         }
         let now = self.ledger_now();
-        match self.attempts[n].poll_schedule.failed(now, how) {
+        match self.attempts[n].poll_schedule.failed(now, failure) {
             PollStep::PollAgain(after) => {
                 let until = self.now + after.as_millis() as u64;
                 self.attempts[n].phase = AttemptPhase::Backoff { until };
--- a/crates/gateway/tests/world/figures.rs
+++ b/crates/gateway/tests/world/figures.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 /// Time step of the simulation.
-pub(super) const STEP: u64 = 10;
+pub(super) const TIME_STEP: u64 = 10;
 /// How long queries arrive.
-pub(super) const DAY: u64 = 14_000;
+pub(super) const ARRIVAL_PERIOD: u64 = 14_000;
 /// Time limit for establishing a connection.
 pub(super) const CONNECT_TIMEOUT: u64 = 250;
 /// How long an engine holds a poll back for the end of its attempt.
@@ -17,7 +17,7 @@
 /// Longest time for which progress reports keep an attempt running.
 pub(super) const LONGEST_DEADLINE: u64 = 5000;
 /// The protocol's tolerance for each deadline, plus two time steps.
-pub(super) const DEADLINE_TOLERANCE: u64 = 50 + 2 * STEP;
+pub(super) const DEADLINE_TOLERANCE: u64 = 50 + 2 * TIME_STEP;
 /// How long a key is paused after an attempt that did not succeed.
 pub(super) const KEY_PAUSE: u64 = 500;
 pub(super) const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
@@ -26,7 +26,7 @@
     poll_expiry: Duration::from_millis(UNPOLLED_LIFETIME),
     cancel_pause: Duration::from_millis(50),
 };
-pub(super) const ENGINES: usize = 4;
+pub(super) const ENGINE_COUNT: usize = 4;
 /// The query class whose queries are not idempotent.
 pub(super) const NON_IDEMPOTENT: usize = 1;
 /// How long engines remember an idempotency key, in seconds.
@@ -38,7 +38,7 @@
     window: 2.0,
 };
 /// Of an engine.
-pub(super) const CORES: f64 = 2.0;
+pub(super) const CORES_PER_ENGINE: f64 = 2.0;
 pub(super) const RETRY_BUDGET: RetryBudget = RetryBudget {
     floor: 2.0,
     per_query: 0.2,
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway's side: the controller's actions, answers, and the attempts in flight.
 
 use super::figures::{
-    CONNECT_TIMEOUT, DEADLINE_TOLERANCE, LONGEST_DEADLINE, PROTOCOL_LIMITS, STEP,
+    CONNECT_TIMEOUT, DEADLINE_TOLERANCE, LONGEST_DEADLINE, PROTOCOL_LIMITS, TIME_STEP,
 };
 use super::{seconds, InjectedBug, Rule, Simulation};
 use garnetwall::api::*;
@@ -92,14 +92,14 @@
                 NextAction::Subscribe | NextAction::HealthCheck(_) => {}
                 NextAction::Cancel {
                     query: id,
-                    attempt: n,
+                    attempt: number,
                 } => {
-                    if let Some(o) = self
+                    if let Some(attempt) = self
                         .attempts
                         .iter_mut()
-                        .find(|o| o.query == id && o.number == n)
+                        .find(|attempt| attempt.query == id && attempt.number == number)
                     {
-                        o.cancel_requested = true;
+                        attempt.cancel_requested = true;
                     }
                 }
                 NextAction::Place(id) => match self.controller.place(seconds(self.now), id) {
@@ -125,28 +125,28 @@
 
     pub(super) fn answered(&mut self, id: QueryId, rejected: bool) {
         let (now, pause) = (self.now, self.pause);
-        let h = &mut self.queries[id as usize];
-        if h.client_left {
+        let record = &mut self.queries[id as usize];
+        if record.client_left {
             return;
         }
-        if h.answered.replace((now, rejected)).is_some() {
+        if record.answered.replace((now, rejected)).is_some() {
             self.record_violation(Rule::Answer, format!("query {id} has two answers"));
             return;
         }
         // A paused gateway answers as soon as it runs again.
-        let woke = if (pause.0..=pause.1 + STEP).contains(&h.deadline) {
-            pause.1 + STEP
+        let resumed_at = if (pause.0..=pause.1 + TIME_STEP).contains(&record.deadline) {
+            pause.1 + TIME_STEP
         } else {
             0
         };
-        if now > h.deadline.max(woke) + DEADLINE_TOLERANCE {
-            let deadline = h.deadline;
+        if now > record.deadline.max(resumed_at) + DEADLINE_TOLERANCE {
+            let deadline = record.deadline;
             self.record_violation(
                 Rule::Answer,
                 format!("query {id} answered after its deadline {deadline}"),
             );
         }
-        let ran = self.executions.iter().any(|r| r.query == id);
+        let ran = self.executions.iter().any(|run| run.query == id);
         if rejected && ran && self.queries[id as usize].class != 0 {
             self.record_violation(
                 Rule::Idempotency,
@@ -156,11 +156,11 @@
     }
 
     pub(super) fn send(&mut self, id: QueryId, engine: EngineId, response_timeout: f64) {
-        self.judge_send(id, engine);
+        self.check_send(id, engine);
         let now = self.now;
-        let h = &mut self.queries[id as usize];
-        let number = h.attempts.len() as u32;
-        h.attempts.push((now, engine));
+        let record = &mut self.queries[id as usize];
+        let number = record.attempts.len() as u32;
+        record.attempts.push((now, engine));
         self.attempts.push(Attempt {
             query: id,
             engine,
@@ -191,20 +191,20 @@
         });
     }
 
-    pub(super) fn record_evidence(&mut self, n: usize, fact: Evidence) {
+    pub(super) fn record_evidence(&mut self, n: usize, evidence: Evidence) {
         let now = self.ledger_now();
-        self.ledger.record(now, self.attempts[n].id, fact);
+        self.ledger.record(now, self.attempts[n].id, evidence);
     }
 
     fn outcome(&self, n: usize, end: AttemptEnd) -> AttemptOutcome {
-        let o = &self.attempts[n];
-        let closed = self.queries[o.query as usize].answered.is_some()
-            || self.queries[o.query as usize].client_left;
-        let latency = (self.now - o.sent) as f64 / 1000.0;
+        let attempt = &self.attempts[n];
+        let closed = self.queries[attempt.query as usize].answered.is_some()
+            || self.queries[attempt.query as usize].client_left;
+        let latency = (self.now - attempt.sent) as f64 / 1000.0;
         let work = (end == AttemptEnd::Succeeded).then_some(latency);
         AttemptOutcome {
-            engine: o.engine,
-            attempt: o.number,
+            engine: attempt.engine,
+            attempt: attempt.number,
             end,
             latency,
             query_finished: closed,
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -2,8 +2,8 @@
 
 use super::engines::{Process, Slot};
 use super::figures::{
-    CORES, DAY, ENGINES, IDEMPOTENCY_WINDOW, KEY_PAUSE, PROTOCOL_LIMITS, RETRY_BUDGET, SLOW_START,
-    STEP,
+    ARRIVAL_PERIOD, CORES_PER_ENGINE, ENGINE_COUNT, IDEMPOTENCY_WINDOW, KEY_PAUSE, PROTOCOL_LIMITS,
+    RETRY_BUDGET, SLOW_START, TIME_STEP,
 };
 use super::random::Rng;
 use super::{seconds, InjectedBug, Simulation};
@@ -16,12 +16,12 @@
         let mut rng = Rng(seed ^ 0x9e37_79b9_7f4a_7c15);
         rng.draw(2);
         let mut processes = Vec::new();
-        for slot in 0..ENGINES {
+        for slot in 0..ENGINE_COUNT {
             let refuses_from = rng.between(1000, 9000);
             let killed_at = refuses_from + rng.between(0, 5000);
             let draining_listed_at = refuses_from + rng.draw(3000);
-            let next = refuses_from + rng.between(20, 4000);
-            let never = 10 * DAY;
+            let successor_start = refuses_from + rng.between(20, 4000);
+            let never = 10 * ARRIVAL_PERIOD;
             let runs_on = slot == 0 || rng.one_in(3);
             let (refuses_from, killed_at, draining_listed_at) = if runs_on {
                 (never, never, never)
@@ -40,10 +40,10 @@
             });
             if !runs_on {
                 // It takes over the address, perhaps while the old process runs on.
-                let listed_at = next + rng.draw(1000);
+                let listed_at = successor_start + rng.draw(1000);
                 let successor = Process {
                     slot,
-                    started_at: next,
+                    started_at: successor_start,
                     refuses_from: never,
                     killed_at: never,
                     listed_at,
@@ -53,8 +53,8 @@
                 processes.push(successor);
             }
         }
-        let slots = (0..ENGINES).map(|_| {
-            let from = rng.between(500, DAY);
+        let slots = (0..ENGINE_COUNT).map(|_| {
+            let from = rng.between(500, ARRIVAL_PERIOD);
             let partition = if rng.one_in(3) {
                 (from, from + rng.between(500, 6000))
             } else {
@@ -63,7 +63,7 @@
             Slot {
                 partition,
                 resets: (0..rng.draw(5))
-                    .map(|_| rng.between(300, DAY) / STEP * STEP)
+                    .map(|_| rng.between(300, ARRIVAL_PERIOD) / TIME_STEP * TIME_STEP)
                     .collect(),
             }
         });
@@ -82,7 +82,7 @@
             classes,
             tenants: 1,
             gateways: 1.0,
-            kind_cores: vec![Some(CORES)],
+            kind_cores: vec![Some(CORES_PER_ENGINE)],
             cancellation_allowed: true,
             retry_after_allowed: true,
             max_retry_after: 1.0,
@@ -96,7 +96,7 @@
             slow_start: (bug != InjectedBug::IgnoresSlowStart).then_some(SLOW_START),
             ..Settings::default()
         };
-        let pause = rng.between(1000, DAY);
+        let pause = rng.between(1000, ARRIVAL_PERIOD);
         let pause = if rng.one_in(2) {
             (pause, pause + rng.between(100, 2500))
         } else {
@@ -112,7 +112,7 @@
             progress_events,
             ..PROTOCOL_LIMITS
         };
-        let mut world = Simulation {
+        let mut simulation = Simulation {
             bug,
             reports_progress,
             now: 0,
@@ -128,22 +128,24 @@
             violations: Vec::new(),
             rng,
         };
-        let lines: Vec<Endpoint> = (0..world.processes.len())
-            .filter_map(|e| world.endpoint_at(e, 0))
+        let endpoints: Vec<Endpoint> = (0..simulation.processes.len())
+            .filter_map(|e| simulation.endpoint_at(e, 0))
             .collect();
-        world.controller.update_endpoints(&lines, ListScope::Full);
-        world
+        simulation
+            .controller
+            .update_endpoints(&endpoints, ListScope::Full);
+        simulation
     }
 }
 
-fn class(effect: Idempotency, in_order: bool) -> QueryClass {
+fn class(semantics: Idempotency, in_order: bool) -> QueryClass {
     QueryClass {
         latency_objective: 2.0,
         latency_objective_stretch: 2.0,
         deadline: 5.0,
         priority_weight: 1.0,
         late_value_share: 0.5,
-        idempotency: effect,
+        idempotency: semantics,
         in_order,
         zones: None,
         kinds: None,
