--- a/crates/gateway/tests/faults/interpose.c
+++ b/crates/gateway/tests/faults/interpose.c
@@ -1,16 +1,18 @@
-// System calls of one gateway process made to fail, for tests: loaded with LD_PRELOAD, into that process alone.
+// Fault injection for tests: makes C library calls of one gateway process fail. Loaded into that process alone, with
+// LD_PRELOAD.
 //
-// A fault is on while a file of its name stands in the folder that GATEWAY_FAULTS names. The file holds one number, or two:
-//   short N       one in N reads and writes of a socket is cut short
+// A fault is enabled while a file of its name exists in the directory that GATEWAY_FAULTS names. The file holds one number
+// or two:
+//   short N       one in N reads and writes of a socket transfers only part of the data
 //   eintr N       one in N reads and writes of a socket, and one in N accepts, is interrupted (EINTR)
-//   wake N        one in N writes by which a signal's handler wakes the gateway is interrupted
+//   wake N        one in N writes by which a signal handler wakes the gateway is interrupted
 //   waits N       one in N waits for events is interrupted
 //   broken N E    one in N reads and writes of a socket fails with the error number E
-//   accept N      one in N accepts fails, with one error after another
+//   accept N      one in N accepts fails, with a different error each time
 //   socket N E    one in N calls of socket fails with E
 //   connect N E   one in N calls of connect fails with E
-//   realtime S    the wall clock is off by S seconds
-//   disk-slow MS  each sync of a regular file or a folder takes so many milliseconds longer
+//   realtime S    the wall clock is S seconds ahead; a negative S sets it back
+//   disk-slow MS  each sync of a regular file or a directory takes MS milliseconds longer
 //   disk-CALL N E one in N calls on a regular file fails with E; CALL is open, write, sync, truncate or rename
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -33,7 +35,7 @@
 
 struct fault { long one_in, number; };
 
-static unsigned long drawn(void) {
+static unsigned long next_random(void) {
     static _Atomic unsigned long state = 88172645463325252ul;
     unsigned long x = state;
     x ^= x << 13;
@@ -42,7 +44,7 @@
     return state = x;
 }
 
-// The fault of this name: one_in is 0 where it is off.
+// Reads the numbers of a fault; one_in is 0 where the fault is not enabled.
 static struct fault fault(const char *name) {
     struct fault found = {0, 0};
     const char *folder = getenv("GATEWAY_FAULTS");
@@ -60,77 +62,77 @@
     return found;
 }
 
-// Whether this call is to fail.
-static int strikes(struct fault f) { return f.one_in > 0 && drawn() % (unsigned long)f.one_in == 0; }
+// Returns whether the current call is to fail.
+static int should_fail(struct fault f) { return f.one_in > 0 && next_random() % (unsigned long)f.one_in == 0; }
 
-static int is_kind(int fd, mode_t kind) {
+static int has_file_type(int fd, mode_t type) {
     struct stat status;
-    return syscall(SYS_fstat, fd, &status) == 0 && (status.st_mode & S_IFMT) == kind;
+    return syscall(SYS_fstat, fd, &status) == 0 && (status.st_mode & S_IFMT) == type;
 }
 
-static ssize_t failed(int error) {
+static ssize_t fail_with(int error) {
     errno = error;
     return -1;
 }
 
-// The length that a call on a socket may have; 0 where it fails with errno.
-static size_t allowed(size_t length) {
+// Returns the number of bytes that a call on a socket may transfer, or 0 with errno set where the call is to fail.
+static size_t permitted_length(size_t length) {
     struct fault broken = fault("broken");
-    if (strikes(broken)) return failed((int)broken.number), 0;
-    if (strikes(fault("eintr"))) return failed(EINTR), 0;
-    if (length > 1 && strikes(fault("short"))) return 1 + drawn() % (length / 2);
+    if (should_fail(broken)) return fail_with((int)broken.number), 0;
+    if (should_fail(fault("eintr"))) return fail_with(EINTR), 0;
+    if (length > 1 && should_fail(fault("short"))) return 1 + next_random() % (length / 2);
     return length;
 }
 
 ssize_t recv(int fd, void *bytes, size_t length, int flags) {
     if (flags & MSG_PEEK || length == 0) return REAL(recv)(fd, bytes, length, flags);
-    size_t most = allowed(length);
-    return most ? REAL(recv)(fd, bytes, most, flags) : -1;
+    size_t permitted = permitted_length(length);
+    return permitted ? REAL(recv)(fd, bytes, permitted, flags) : -1;
 }
 
 ssize_t recvfrom(int fd, void *bytes, size_t length, int flags, struct sockaddr *from, socklen_t *size) {
     if (flags & MSG_PEEK || length == 0) return REAL(recvfrom)(fd, bytes, length, flags, from, size);
-    size_t most = allowed(length);
-    return most ? REAL(recvfrom)(fd, bytes, most, flags, from, size) : -1;
+    size_t permitted = permitted_length(length);
+    return permitted ? REAL(recvfrom)(fd, bytes, permitted, flags, from, size) : -1;
 }
 
 ssize_t send(int fd, const void *bytes, size_t length, int flags) {
-    // Of all that the gateway sends only its handlers' wakes are one byte that may not wait.
-    if (length == 1 && flags & MSG_DONTWAIT && strikes(fault("wake"))) return failed(EINTR);
-    size_t most = length ? allowed(length) : 0;
+    // Only the signal handlers' wake-ups are single bytes that the gateway sends without blocking.
+    if (length == 1 && flags & MSG_DONTWAIT && should_fail(fault("wake"))) return fail_with(EINTR);
+    size_t permitted = length ? permitted_length(length) : 0;
     if (!length) return REAL(send)(fd, bytes, length, flags);
-    return most ? REAL(send)(fd, bytes, most, flags) : -1;
+    return permitted ? REAL(send)(fd, bytes, permitted, flags) : -1;
 }
 
 ssize_t read(int fd, void *bytes, size_t length) {
-    if (length == 0 || !is_kind(fd, S_IFSOCK)) return syscall(SYS_read, fd, bytes, length);
-    size_t most = allowed(length);
-    return most ? syscall(SYS_read, fd, bytes, most) : -1;
+    if (length == 0 || !has_file_type(fd, S_IFSOCK)) return syscall(SYS_read, fd, bytes, length);
+    size_t permitted = permitted_length(length);
+    return permitted ? syscall(SYS_read, fd, bytes, permitted) : -1;
 }
 
 ssize_t write(int fd, const void *bytes, size_t length) {
-    if (length && is_kind(fd, S_IFSOCK)) {
-        size_t most = allowed(length);
-        return most ? syscall(SYS_write, fd, bytes, most) : -1;
+    if (length && has_file_type(fd, S_IFSOCK)) {
+        size_t permitted = permitted_length(length);
+        return permitted ? syscall(SYS_write, fd, bytes, permitted) : -1;
     }
-    if (length && is_kind(fd, S_IFREG)) {
+    if (length && has_file_type(fd, S_IFREG)) {
         struct fault disk = fault("disk-write");
-        if (strikes(disk)) {
-            // Half of it is on its way when the disk is full.
+        if (should_fail(disk)) {
+            // A disk that fills up has already stored part of the data.
             if (length > 1) (void)!syscall(SYS_write, fd, bytes, length / 2);
-            return failed((int)disk.number);
+            return fail_with((int)disk.number);
         }
     }
     return syscall(SYS_write, fd, bytes, length);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-    if (count > 0 && is_kind(fd, S_IFSOCK)) {
+    if (count > 0 && has_file_type(fd, S_IFSOCK)) {
         for (int i = 0; i < count; i++) {
             if (!parts[i].iov_len) continue;
-            size_t most = allowed(parts[i].iov_len);
-            if (!most) return -1;
-            if (most < parts[i].iov_len) return syscall(SYS_write, fd, parts[i].iov_base, most);
+            size_t permitted = permitted_length(parts[i].iov_len);
+            if (!permitted) return -1;
+            if (permitted < parts[i].iov_len) return syscall(SYS_write, fd, parts[i].iov_base, permitted);
             break;
         }
     }
@@ -140,26 +142,26 @@
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
     static const int codes[] = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EINTR};
     static _Atomic unsigned int next;
-    if (strikes(fault("accept"))) return (int)failed(codes[next++ % (sizeof codes / sizeof *codes)]);
-    if (strikes(fault("eintr"))) return (int)failed(EINTR);
+    if (should_fail(fault("accept"))) return (int)fail_with(codes[next++ % (sizeof codes / sizeof *codes)]);
+    if (should_fail(fault("eintr"))) return (int)fail_with(EINTR);
     return (int)syscall(SYS_accept4, fd, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     struct fault f = fault("socket");
-    if (strikes(f)) return (int)failed((int)f.number);
+    if (should_fail(f)) return (int)fail_with((int)f.number);
     return (int)syscall(SYS_socket, domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t size) {
     struct fault f = fault("connect");
-    if (strikes(f)) return (int)failed((int)f.number);
+    if (should_fail(f)) return (int)fail_with((int)f.number);
     return (int)syscall(SYS_connect, fd, address, size);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    if (strikes(fault("waits"))) return (int)failed(EINTR);
-    return REAL(epoll_wait)(fd, events, most, timeout);
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+    if (should_fail(fault("waits"))) return (int)fail_with(EINTR);
+    return REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
@@ -174,9 +176,9 @@
     return result;
 }
 
-static int disk(const char *name, int fd) {
+static int disk_error(const char *name, int fd) {
     struct fault f = fault(name);
-    return (fd < 0 || is_kind(fd, S_IFREG) || is_kind(fd, S_IFDIR)) && strikes(f) ? (int)f.number : 0;
+    return (fd < 0 || has_file_type(fd, S_IFREG) || has_file_type(fd, S_IFDIR)) && should_fail(f) ? (int)f.number : 0;
 }
 
 static void slow_sync(void) {
@@ -185,24 +187,24 @@
 
 int fsync(int fd) {
     slow_sync();
-    int error = disk("disk-sync", fd);
-    return error ? (int)failed(error) : (int)syscall(SYS_fsync, fd);
+    int error = disk_error("disk-sync", fd);
+    return error ? (int)fail_with(error) : (int)syscall(SYS_fsync, fd);
 }
 
 int fdatasync(int fd) {
     slow_sync();
-    int error = disk("disk-sync", fd);
-    return error ? (int)failed(error) : (int)syscall(SYS_fdatasync, fd);
+    int error = disk_error("disk-sync", fd);
+    return error ? (int)fail_with(error) : (int)syscall(SYS_fdatasync, fd);
 }
 
 int ftruncate64(int fd, off64_t length) {
-    int error = disk("disk-truncate", fd);
-    return error ? (int)failed(error) : (int)syscall(SYS_ftruncate, fd, length);
+    int error = disk_error("disk-truncate", fd);
+    return error ? (int)fail_with(error) : (int)syscall(SYS_ftruncate, fd, length);
 }
 
 int rename(const char *from, const char *to) {
-    int error = disk("disk-rename", -1);
-    return error ? (int)failed(error) : (int)syscall(SYS_renameat2, AT_FDCWD, from, AT_FDCWD, to, 0);
+    int error = disk_error("disk-rename", -1);
+    return error ? (int)fail_with(error) : (int)syscall(SYS_renameat2, AT_FDCWD, from, AT_FDCWD, to, 0);
 }
 
 int open64(const char *path, int flags, ...) {
@@ -212,8 +214,8 @@
         va_start(rest, flags);
         mode = va_arg(rest, mode_t);
         va_end(rest);
-        int error = disk("disk-open", -1);
-        if (error) return (int)failed(error);
+        int error = disk_error("disk-open", -1);
+        if (error) return (int)fail_with(error);
     }
     return (int)syscall(SYS_openat, AT_FDCWD, path, flags, mode);
 }
--- a/crates/gateway/tests/helper/faults.rs
+++ b/crates/gateway/tests/helper/faults.rs
@@ -9,7 +9,7 @@
 /// Environment variable with the faults that every gateway of a test program starts with, as in `short=2,eintr=20`.
 const DEFAULT_FAULTS_VARIABLE: &str = "GATEWAY_TEST_FAULTS";
 
-/// Returns the path of the library, which is built once for each test program.
+/// Returns the path of the library. The first call in a test program builds it.
 fn library() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -23,7 +23,7 @@
             .arg(&source)
             .arg("-ldl");
         assert!(
-            compiler.status().expect("a C compiler").success(),
+            compiler.status().expect("a C compiler named cc").success(),
             "{} does not compile",
             source.display()
         );
@@ -31,11 +31,12 @@
     })
 }
 
-/// The fault directory of one or more gateways.
+/// The fault directory of one or several gateways.
 #[derive(Clone, Debug)]
 pub struct Faults(PathBuf);
 
 impl Faults {
+    /// Creates an empty fault directory.
     pub fn new() -> Faults {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!(
             "faults-{}-{}",
@@ -46,7 +47,7 @@
         Faults(folder)
     }
 
-    /// Returns the faults that the environment names for all gateways, if any.
+    /// Returns the faults that `GATEWAY_TEST_FAULTS` asks for, or `None` where it is not set.
     pub fn from_environment() -> Option<Faults> {
         let named = std::env::var(DEFAULT_FAULTS_VARIABLE).ok()?;
         let faults = Faults::new();
@@ -63,14 +64,15 @@
             .env("GATEWAY_FAULTS", &self.0);
     }
 
-    /// Enables a fault with its parameters.
+    /// Enables a fault; `parameters` are the numbers that `interpose.c` describes for it.
     pub fn enable(&self, name: &str, parameters: &str) {
-        // Renamed into place, so that it is never read half written.
+        // The file is renamed into place, so that the process never reads it half written.
         let temporary = self.0.join(format!("{name}.new"));
         std::fs::write(&temporary, parameters).unwrap();
         std::fs::rename(temporary, self.0.join(name)).unwrap();
     }
 
+    /// Disables a fault that is enabled.
     pub fn disable(&self, name: &str) {
         std::fs::remove_file(self.0.join(name)).unwrap();
     }
--- a/crates/gateway/tests/helper/mod.rs
+++ b/crates/gateway/tests/helper/mod.rs
@@ -1,7 +1,8 @@
-//! Shared by the tests over sockets: raw clients, a stand-in engine, a stand-in change log, and the gateway program
-//! started between them. Directives in the comments of a statement control the engine's behaviour.
+//! Test bed of the socket tests: raw HTTP clients, a fake engine, a fake change log, and the gateway program started
+//! between them. A directive in a comment of a statement, such as `/* slow */`, tells the fake engine how to deviate
+//! from the protocol.
 
-#![allow(dead_code)] // Each test program uses a part.
+#![allow(dead_code)] // Each test program uses only some of the helpers.
 
 pub mod faults;
 pub mod process;
@@ -18,16 +19,21 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
+/// Result page of a fake engine: two rows of three tab-separated columns, with characters that JSON has to escape.
 pub const ROWS: &str = "a\tb\"\\\t\u{1} é\nc\t\t漢\n";
+/// The columns of [`ROWS`], as the gateway returns them in its JSON answer.
 pub const ROWS_AS_JSON: [[&str; 3]; 2] = [["a", "b\"\\", "\u{1} é"], ["c", "", "漢"]];
 
+/// An HTTP request or response.
 pub struct Message {
     pub start_line: String,
+    /// Header fields by their names in lower case.
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
-/// Reads one HTTP message; `None` where the connection ends first.
+/// Reads one HTTP message with the body that its `Content-Length` announces. Returns `None` where the connection ends
+/// before the message is complete.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
@@ -59,25 +65,34 @@
     })
 }
 
-/// An attempt that an engine was asked to start.
+/// An attempt that the fake engine has been asked to start.
 #[derive(Clone)]
 pub struct StartedAttempt {
     pub statement: String,
-    /// When it was last started.
+    /// Time of the latest start.
     pub started_at: Instant,
+    /// Number of starts received with the id of this attempt.
     pub starts: u32,
 }
 
-/// An engine that keeps to the protocol except where a directive in the statement says otherwise, as in `/* slow */`.
+/// An engine that follows the protocol unless a directive in the statement says otherwise.
+///
+/// `full once` rejects the first start. `error` fails each call. `reset` closes the connection of a start. `late`
+/// delays the response to a start by 2 s. `silent` answers no call. `slow` and `very slow` run for 0.9 s and 2.3 s.
+/// `forgets` answers polls as if the attempt were unknown. `keeps delete` never completes, and delays the response to a
+/// cancellation by 5 s. `loses delete` closes the connection of the first cancellation. `empty`, `huge`, `no count`,
+/// `pages` and `lost page` choose the result. `spoilt` and a word choose a corruption of the first response.
 #[derive(Clone)]
 pub struct FakeEngine {
     pub address: SocketAddr,
-    /// Requests in the order received: method, path, and the statement of a start.
+    /// Received requests in order, each as method, path and body.
     pub requests: Arc<Mutex<Vec<String>>>,
+    /// Started attempts by the id in `x-trace`.
     pub started: Arc<Mutex<HashMap<String, StartedAttempt>>>,
 }
 
 impl FakeEngine {
+    /// Starts an engine that listens on a free loopback port and serves each connection on its own thread.
     pub fn start() -> FakeEngine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -96,6 +111,7 @@
         engine
     }
 
+    /// Answers the requests of one connection until the connection ends or a directive closes it.
     pub fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(request) = read_message(&mut reader) {
@@ -146,6 +162,7 @@
         }
     }
 
+    /// Returns the number of received requests that begin with `start`, such as `POST` or `DELETE /c/ID`.
     pub fn requests(&self, start: &str) -> usize {
         self.requests
             .lock()
@@ -156,6 +173,7 @@
     }
 }
 
+/// Formats an HTTP response with a `Content-Length`; `headers` holds complete header lines with their line ends.
 pub fn http_response(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -163,7 +181,7 @@
     )
 }
 
-/// Corrupts a response as the statement's `spoilt` directive says.
+/// Corrupts a response as the statement's `/* spoilt ... */` directive says; returns it unchanged without one.
 pub fn corrupted(statement: &str, answer: String) -> String {
     let directive = statement
         .split_once("/* spoilt ")
@@ -185,7 +203,8 @@
     }
 }
 
-/// The engine's response; `None` closes the connection.
+/// Returns the fake engine's response to a request, or `None` to close the connection instead. `known` is the attempt
+/// that the request names, if it was started.
 pub fn engine_response(method: &str, path: &str, known: Option<StartedAttempt>) -> Option<String> {
     if path == "/stats" {
         return Some(http_response("200 OK", "X-Stats: queue:0;util:0.1\r\n", ""));
@@ -263,14 +282,17 @@
     })
 }
 
-/// A change log that sends its events to every reader and closes its streams on demand.
+/// A change log that sends its events to every reader and closes the streams on demand.
 #[derive(Clone)]
 pub struct FakeChangeLog {
     pub address: SocketAddr,
+    /// Published events as JSON texts; the first one has the number 1.
     pub events: Arc<Mutex<Vec<String>>>,
-    /// The `Last-Event-ID` of each reader, in the order of connection.
+    /// The `Last-Event-ID` of each connection, in the order in which the connections were accepted.
     pub last_event_ids: Arc<Mutex<Vec<usize>>>,
+    /// Connections that [`FakeChangeLog::close_streams`] shuts down.
     pub streams: Arc<Mutex<Vec<TcpStream>>>,
+    /// While set, no stream gets anything, not even keep-alive comments.
     pub paused: Arc<AtomicBool>,
 }
 
@@ -318,10 +340,12 @@
         }
     }
 
+    /// Sends an event to all current and future readers.
     pub fn publish(&self, event: Value) {
         self.events.lock().unwrap().push(event.to_string());
     }
 
+    /// Shuts down the connections of all readers.
     pub fn close_streams(&self) {
         for stream in self.streams.lock().unwrap().drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
@@ -329,38 +353,44 @@
     }
 }
 
+/// Returns an endpoint list entry; `state` is `SERVING`, `DRAINING` or `DELETED`.
 pub fn endpoint(id: &str, address: SocketAddr, state: &str) -> Value {
     json!({"id": id, "addr": address.to_string(), "zone": "east", "kind": "std", "cell": 0, "state": state,
         "weight": 1, "started_ms": 0})
 }
 
-/// An event with the whole engine list.
+/// Returns an event that replaces the whole endpoint list.
 pub fn full_list_event(number: u64, servers: &[Value]) -> Value {
     json!({"seq": number, "fleet": {"version": number, "full": true, "servers": servers}})
 }
 
-/// An event with the endpoints that have changed.
+/// Returns an event that adds or changes some endpoints.
 pub fn list_change_event(number: u64, servers: &[Value]) -> Value {
     json!({"seq": number, "fleet": {"version": number, "full": false, "servers": servers}})
 }
 
-/// The gateway program with its stand-in engine and change log; killed when dropped.
+/// A running gateway with a fake engine and a fake change log. The gateway is killed when the test bed is dropped.
 pub struct TestBed {
     pub engine: FakeEngine,
     pub log: FakeChangeLog,
+    /// The configuration that the gateway was started with.
     pub config: Value,
+    /// The address at which the gateway accepts clients.
     pub address: SocketAddr,
     pub child: Child,
 }
 
+/// Source of the ids, addresses and file names that are unique within this test process.
 pub static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
+/// Returns a query class of the settings; `limit` is its longest allowed time in milliseconds.
 pub fn query_class(name: &str, semantics: &str, limit: f64) -> Value {
     json!({"name": name, "semantics": semantics, "give-up": limit, "goal-time": limit / 2.0, "worth": 1.0,
         "late-share": 0.5, "one-at-a-time": name == "load"})
 }
 
-/// Returns an address that no other test or run uses, outside the ephemeral port range.
+/// Returns a loopback address and port, outside the ephemeral port range, that no other test and no concurrent run
+/// uses.
 pub fn free_address() -> SocketAddr {
     let (run, number) = (
         std::process::id(),
@@ -373,10 +403,12 @@
         number as u32 % 254 + 1,
     ]
     .map(|part| part as u8);
-    // After 254 addresses the next ones get another port.
+    // Every 254 addresses the port changes.
     SocketAddr::from((parts, 4100 + (number / 254 % 1000) as u16))
 }
 
+/// Returns the configuration of a gateway with one engine `s-1`, the tenant `acme`, and two query classes: `report`,
+/// which is idempotent, and `load`, which is not and runs one query of a key at a time.
 pub fn config(engine: SocketAddr, log: SocketAddr) -> Value {
     json!({"name": "n0", "listen": free_address().to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "changelog": log.to_string(),
@@ -391,6 +423,7 @@
             "tenants": [{"name": "acme"}]}})
 }
 
+/// Writes a configuration to a new file and returns its path.
 pub fn write_config(config: &Value) -> std::path::PathBuf {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
@@ -399,6 +432,8 @@
     path
 }
 
+/// Returns the command that runs the gateway program, without the `PROXY_*` variables of the environment and with the
+/// machine faults that `GATEWAY_TEST_FAULTS` asks for.
 pub fn gateway_command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_garnetwall"));
     command.args(arguments);
@@ -411,10 +446,12 @@
     command
 }
 
+/// Starts a gateway and discards its log.
 pub fn serve(config: &Value) -> Child {
     serve_from(&write_config(config), Stdio::null())
 }
 
+/// Starts a gateway with a configuration file and writes its log to `log`.
 pub fn serve_from(file: &std::path::Path, log: Stdio) -> Child {
     gateway_command(&["serve"])
         .env("PROXY_CONFIG", file)
@@ -428,10 +465,12 @@
         TestBed::start_with(|_| {})
     }
 
+    /// Starts a test bed with a configuration that `change` has altered, and waits until the gateway is healthy.
     pub fn start_with(change: impl Fn(&mut Value)) -> TestBed {
         TestBed::start_with_launcher(change, serve)
     }
 
+    /// Does the same as [`TestBed::start_with`], with a gateway process that `serve` starts.
     pub fn start_with_launcher(
         change: impl Fn(&mut Value),
         serve: impl Fn(&Value) -> Child,
@@ -452,6 +491,7 @@
         test_bed
     }
 
+    /// Waits until `/healthz` answers 200; panics after 500 tries at intervals of 10 ms.
     pub fn wait_until_healthy(&self) {
         for _ in 0..500 {
             if let Some(answer) = TcpStream::connect(self.address)
@@ -464,19 +504,21 @@
             }
             sleep(Duration::from_millis(10));
         }
-        panic!("the gateway did not become healthy");
+        panic!("/healthz did not answer 200 in 500 tries");
     }
 
+    /// Opens a client connection.
     pub fn open(&self) -> TcpStream {
         TcpStream::connect(self.address).unwrap()
     }
 
-    /// Sends one query on its own connection.
+    /// Sends one query with a new id and 3 s allowed on its own connection, and returns the answer.
     pub fn query(&self, class: &str, statement: &str) -> Answer {
         let id = new_id();
         self.query_with_id(&id, class, 3000, statement)
     }
 
+    /// Sends one query on its own connection and returns the answer.
     pub fn query_with_id(&self, id: &str, class: &str, allowed_ms: u32, statement: &str) -> Answer {
         let answer = round_trip(
             self.open(),
@@ -487,6 +529,7 @@
         Answer::of(answer.expect("an answer"))
     }
 
+    /// Sends a signal such as `TERM` to the gateway.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("sh")
@@ -498,11 +541,11 @@
 }
 
 impl TestBed {
-    /// Stops the process with SIGSTOP until it gets SIGCONT.
+    /// Stops the gateway process with SIGSTOP and waits until it is stopped. SIGCONT resumes it.
     pub fn pause(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        wait_until("the process is stopped", || {
+        wait_until("the gateway process is stopped", || {
             std::fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T "))
         });
     }
@@ -515,10 +558,13 @@
     }
 }
 
+/// The gateway's answer to a query.
 #[derive(Debug, PartialEq)]
 pub struct Answer {
     pub status: u16,
+    /// The body, or null where it is not JSON.
     pub json: Value,
+    /// Value of `x-wait-ms` in milliseconds, if the answer has this field.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -539,11 +585,13 @@
         }
     }
 
+    /// Returns whether the answer carries rows.
     pub fn succeeded(&self) -> bool {
         self.status == 200 && self.json.get("error").is_none()
     }
 }
 
+/// Returns a query id that is unique within this test process.
 pub fn new_id() -> String {
     format!(
         "{:016x}",
@@ -551,10 +599,12 @@
     )
 }
 
+/// Returns the headers of a query of the tenant `acme` with this id and allowed time.
 pub fn request_headers(id: &str, allowed_ms: u32) -> String {
     format!("X-Job-Id: {id}\r\nX-Allow-Ms: {allowed_ms}\r\nX-Team: acme\r\n")
 }
 
+/// Writes a request with its `Content-Length`.
 pub fn send_request(stream: &TcpStream, request_line: &str, headers: &str, body: &str) {
     let text = format!(
         "{request_line} HTTP/1.1\r\nHost: origin.svc\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -564,6 +614,7 @@
     stream.write_all(text.as_bytes()).unwrap();
 }
 
+/// Sends a request and reads the response. Returns `None` where the connection ends first.
 pub fn round_trip(
     stream: TcpStream,
     request_line: &str,
@@ -574,12 +625,13 @@
     read_message(&mut BufReader::new(stream))
 }
 
-pub fn wait_until(what: &str, done: impl Fn() -> bool) {
+/// Waits until a condition holds; panics with the name of the condition after 400 checks at intervals of 10 ms.
+pub fn wait_until(condition: &str, done: impl Fn() -> bool) {
     for _ in 0..400 {
         if done() {
             return;
         }
         sleep(Duration::from_millis(10));
     }
-    panic!("never came: {what}");
+    panic!("condition not met in 400 checks: {condition}");
 }
--- a/crates/gateway/tests/helper/process.rs
+++ b/crates/gateway/tests/helper/process.rs
@@ -1,4 +1,5 @@
-//! A stand-in engine process that records when each attempt was received, polled and ended.
+//! A fake engine process that records when it received each attempt, when it was last polled for it, and when the
+//! attempt ended.
 
 use super::{http_response, read_message, wait_until, ROWS};
 use std::io::{BufReader, Write};
@@ -7,9 +8,9 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Set by the protocol: an attempt that is not polled ends after this time.
+/// Set by the protocol: an engine ends an attempt that has not been polled for this long.
 const UNPOLLED_LIFETIME: Duration = Duration::from_secs(2);
-/// Set by the protocol: a poll of an attempt that still runs is answered after this time.
+/// Set by the protocol: an engine answers a poll of an attempt that still runs after this time.
 pub const POLL_HOLD_TIME: Duration = Duration::from_millis(250);
 
 pub fn ms(n: u64) -> Duration {
@@ -21,19 +22,22 @@
 pub struct ReceivedAttempt {
     pub id: String,
     pub statement: String,
-    /// The `X-Op-Key` field of the start.
+    /// The `X-Op-Key` field of the start, if there was one.
     pub idempotency_key: Option<String>,
     pub received_at: Instant,
+    /// Run time that the `/* runs MS */` directive asks for, or 0.
     pub run_time: Duration,
-    /// When its last poll ended.
+    /// Latest time at which a poll was in flight; before the first poll, the time of the start.
     pub last_polled_at: Instant,
     pub poll_in_flight: bool,
+    /// When a cancellation, a kill or a lack of polls ended the attempt.
     pub stopped_at: Option<Instant>,
 }
 
 impl ReceivedAttempt {
+    /// Returns when the attempt ended, or `None` while it runs.
     pub fn ended_at(&self) -> Option<Instant> {
-        // Progress that the engine has to report keeps the attempt running without polls.
+        // An attempt that reports progress keeps running without polls.
         let unpolled_end = (!self.poll_in_flight && !self.has_directive("notes"))
             .then_some(self.last_polled_at + UNPOLLED_LIFETIME);
         let ends = [
@@ -52,6 +56,7 @@
     }
 }
 
+/// State shared by all connections of a fake engine process.
 #[derive(Default)]
 pub struct ProcessState {
     pub attempts: Vec<ReceivedAttempt>,
@@ -61,8 +66,12 @@
     pub refuses_connections: bool,
 }
 
-/// An engine process that keeps to the protocol except where a directive in the statement's comment says otherwise. It can
-/// refuse new connections while it runs on, or be killed.
+/// A fake engine process that follows the protocol unless a directive in the statement says otherwise. It can be told
+/// to refuse new connections while its attempts run on, and it can be killed.
+///
+/// `runs MS` sets the run time. `notes` makes the attempt report progress when polled. `second news spoilt` corrupts
+/// the second response that the process gives to a poll. `delete reset`, `delete spoilt` and `delete silent` make the
+/// first cancellation fail.
 #[derive(Clone)]
 pub struct FakeEngineProcess {
     pub address: SocketAddr,
@@ -74,10 +83,12 @@
         FakeEngineProcess::at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
+    /// Starts a process at this address; panics where the address is still in use after 100 tries at intervals of 10
+    /// ms.
     pub fn at(address: SocketAddr) -> FakeEngineProcess {
         let listener = (0..100)
             .find_map(|_| TcpListener::bind(address).map_err(|_| sleep(ms(10))).ok())
-            .expect("the address is free");
+            .expect("the engine's address should become free");
         let process = FakeEngineProcess {
             address: listener.local_addr().unwrap(),
             state: Arc::default(),
@@ -104,15 +115,15 @@
         self.state.lock().unwrap()
     }
 
-    /// Refuses new connections; open ones continue.
+    /// Makes the process refuse new connections. Open connections and attempts continue.
     pub fn refuse_connections(&self) {
         self.state().refuses_connections = true;
-        wait_until("nobody listens", || {
+        wait_until("the engine process refuses connections", || {
             TcpStream::connect(self.address).is_err()
         });
     }
 
-    /// Ends the process and every attempt that it runs.
+    /// Ends the process with all its attempts and connections.
     pub fn kill(&self) {
         self.refuse_connections();
         let mut state = self.state();
@@ -127,7 +138,7 @@
             .for_each(|c| drop(c.shutdown(Shutdown::Both)));
     }
 
-    /// Breaks every open connection; the process and its attempts run on.
+    /// Shuts down every open connection, while the process and its attempts run on.
     pub fn break_connections(&self) {
         self.state()
             .connections
@@ -135,6 +146,7 @@
             .for_each(|c| drop(c.shutdown(Shutdown::Both)));
     }
 
+    /// Answers the requests of one connection until the connection ends or a directive closes it.
     pub fn serve(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(request) = read_message(&mut reader) {
@@ -174,6 +186,7 @@
         }
     }
 
+    /// Records an attempt, which runs from now on.
     pub fn start_attempt(&self, id: &str, statement: &str, idempotency_key: Option<String>) {
         let run_time = statement
             .split_once("/* runs ")
@@ -194,6 +207,7 @@
         self.state().attempts.push(new);
     }
 
+    /// Holds a poll until the attempt ends or [`POLL_HOLD_TIME`] has passed, and returns the response.
     pub fn poll(&self, id: &str) -> Option<String> {
         let poll_deadline = Instant::now() + POLL_HOLD_TIME;
         loop {
@@ -202,7 +216,7 @@
                 return Some(http_response("500 Oops", "", ""));
             };
             let (ended_at, now) = (attempt.ended_at(), Instant::now());
-            // An attempt that ended for lack of polls is not revived by this poll.
+            // A poll does not revive an attempt that ended for lack of polls.
             attempt.stopped_at = attempt
                 .stopped_at
                 .or(ended_at.filter(|at| *at < attempt.received_at + attempt.run_time));
@@ -231,6 +245,8 @@
         }
     }
 
+    /// Cancels an attempt and returns the response. A `delete` directive makes the first cancel call of the process
+    /// fail; `None` closes the connection.
     pub fn cancel(&self, id: &str) -> Option<String> {
         let mut state = self.state();
         state.cancel_requests += 1;
@@ -253,6 +269,7 @@
         Some(http_response("204 No Content", "", ""))
     }
 
+    /// Returns all attempts in the order received.
     pub fn attempts(&self) -> Vec<ReceivedAttempt> {
         self.state().attempts.clone()
     }
--- a/crates/gateway/tests/helper/scripted_log.rs
+++ b/crates/gateway/tests/helper/scripted_log.rs
@@ -1,4 +1,5 @@
-//! A change log that serves each connection by a script: late, in pieces, at a rate, silent or reset.
+//! A fake change log that serves each connection by a script. It can answer late, in pieces, at a limited rate or not
+//! at all, and it can reset a connection.
 
 use super::read_message;
 use serde_json::Value;
@@ -10,38 +11,40 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
+/// Response head of an event stream.
 pub const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+/// A comment of the event stream, which serves as a keep-alive.
 pub const COMMENT: &str = ":\n\n";
-/// Set by the protocol: a comment is sent each second.
+/// Set by the protocol: the log sends a comment each second.
 const COMMENT_PERIOD: Duration = Duration::from_secs(1);
-/// Length of the pieces in which text is written at a given rate.
+/// Bytes of each write when a text is sent at a given rate.
 const RATE_PIECE: usize = 4 << 10;
 
-/// Formats one event of the stream.
+/// Formats an event as the stream carries it, with its number as id.
 pub fn event_text(event: &Value) -> String {
     format!("id: {}\ndata: {event}\n\n", event["seq"])
 }
 
-/// Flags of `recv`: leave the data in the buffer, and don't block.
+/// Flags of `recv`: the data stays in the buffer, and the call does not block.
 const MSG_PEEK: i32 = 0x02;
 const MSG_DONTWAIT: i32 = 0x40;
 
-/// Connections of readers to the log.
+/// Counts of the connections that readers have opened to the log.
 #[derive(Default)]
 pub struct ReaderStatistics {
     connections: AtomicUsize,
-    /// Every connection whose script still runs.
+    /// Connections whose script has not ended.
     accepted: Mutex<Vec<Weak<TcpStream>>>,
     first_accepted_at: OnceLock<Instant>,
 }
 
 impl ReaderStatistics {
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted_connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Connections that their reader has not closed, whatever the script does.
+    /// Returns the number of connections whose script has not ended and that the reader has not closed.
     pub fn open_connections(&self) -> usize {
         let is_open = |stream: &Weak<TcpStream>| {
             let Some(stream) = stream.upgrade() else {
@@ -58,26 +61,26 @@
         accepted.len()
     }
 
-    /// When the first connection was accepted.
+    /// Returns when the first connection was accepted.
     pub fn first_accepted_at(&self) -> Option<Instant> {
         self.first_accepted_at.get().copied()
     }
 }
 
-/// One connection to the log whose request has been read and not answered.
+/// A connection to the log. Its request has been read, and the script writes the response.
 pub struct Connection {
     stream: Arc<TcpStream>,
-    /// Number of connections accepted before it.
+    /// Number of connections that the log accepted before this one.
     pub number: usize,
 }
 
 impl Connection {
-    /// Writes a text, or nothing where the reader has closed.
+    /// Writes a text, or nothing where the reader has closed the connection.
     pub fn write(&self, text: &str) {
         let _ = (&*self.stream).write_all(text.as_bytes());
     }
 
-    /// Writes a text in `pieces` pieces with a pause before each.
+    /// Writes a text in `pieces` parts with a pause before each.
     pub fn write_in_pieces(&self, text: &str, pieces: usize, pause: Duration) {
         for piece in text.as_bytes().chunks(text.len().div_ceil(pieces)) {
             sleep(pause);
@@ -97,20 +100,20 @@
         }
     }
 
-    /// Writes a comment each second until the reader closes.
+    /// Sends a comment each second until the reader closes the connection.
     pub fn send_keepalives(&self) {
         while (&*self.stream).write_all(COMMENT.as_bytes()).is_ok() {
             sleep(COMMENT_PERIOD);
         }
     }
 
-    /// Sends nothing until the reader closes.
+    /// Sends nothing, and returns when the reader has closed the connection.
     pub fn wait_for_close(&self) {
         let mut rest = [0; 64];
         while matches!((&*self.stream).read(&mut rest), Ok(read) if read > 0) {}
     }
 
-    /// Resets the connection when the script ends.
+    /// Makes the end of the script reset the connection instead of closing it.
     pub fn reset_on_end(&self) {
         SockRef::from(&*self.stream)
             .set_linger(Some(Duration::ZERO))
@@ -118,14 +121,14 @@
     }
 }
 
-/// A listening change log.
+/// A fake change log that runs a script for each connection.
 pub struct ScriptedChangeLog {
     pub address: SocketAddr,
     pub statistics: Arc<ReaderStatistics>,
 }
 
 impl ScriptedChangeLog {
-    /// Runs the script for each connection on its own thread.
+    /// Starts a log that runs `script` for each connection on a thread of its own.
     pub fn start(script: impl Fn(&Connection) + Send + Sync + 'static) -> ScriptedChangeLog {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let log = ScriptedChangeLog {
--- a/crates/gateway/tests/world.rs
+++ b/crates/gateway/tests/world.rs
@@ -1,9 +1,10 @@
-//! Simulates the controller and the ledger of one gateway without I/O: late endpoint lists, engines that drain before the
-//! list says so, addresses taken over while the old process runs on, resets, partitions, lost starts, corrupted responses,
-//! and pauses of the gateway process. The seven rules are checked against what really ran where, not against what the gateway
-//! believes. For each rule a bug injected on purpose must be found.
+//! Simulates a day of one gateway without I/O and checks that no rule is violated.
 //!
-//! The simulation does what the query task and the engine attempts do with sockets, in steps of 10 ms.
+//! The real controller and ledger run in the simulation. The simulation does what the query task and the engine
+//! attempts do with sockets, in steps of 10 ms. It draws late endpoint lists, engines that drain before the list says
+//! so, addresses that another process takes over while the old one runs on, resets, partitions, lost starts, corrupted
+//! responses and pauses of the gateway process. Seven rules are checked against what really ran on the engines, not
+//! against what the gateway believes. For each rule an injected bug has to be found.
 
 #[path = "world/mod.rs"]
 mod world;
@@ -21,8 +22,8 @@
     }
 }
 
-/// Found by the simulation: the gateway was paused for 2.4 s and its engine had ended an attempt that was not polled; the 500
-/// for the next poll counted as a failure, and the key was not paused.
+/// A seed on which the gateway was paused for 2.4 s, so that its engine ended an attempt for lack of polls. The
+/// engine's 500 to the next poll was taken for a failure of the query, and the key was not paused.
 #[test]
 fn key_is_paused_after_an_attempt_that_ended_for_lack_of_polls() {
     assert_eq!(
@@ -54,6 +55,9 @@
                 .iter()
                 .any(|(r, _)| *r == rule)
         });
-        assert!(found.is_some(), "{bug:?} breaks {rule:?} for no seed");
+        assert!(
+            found.is_some(),
+            "no seed of 300 shows that {bug:?} violates {rule:?}"
+        );
     }
 }
--- a/crates/gateway/tests/world/day.rs
+++ b/crates/gateway/tests/world/day.rs
@@ -1,4 +1,4 @@
-//! The simulated day: queries arrive, clients disconnect, endpoint lists change, until all queries have ended.
+//! The simulated day: queries arrive, clients disconnect and endpoint lists change, until all queries have ended.
 
 use super::figures::{ARRIVAL_PERIOD, TIME_STEP};
 use super::gateway::QueryRecord;
@@ -6,11 +6,13 @@
 use garnetwall::api::{ListScope, Query, QueryId};
 
 impl Simulation {
+    /// Queues a query that the gateway has not read yet, as class, ordering key and time of arrival.
     fn query_arrives(&mut self, waiting: &mut Vec<(usize, Option<u64>, u64)>) {
         let (class, key) = (self.rng.draw(3) as usize, self.rng.draw(3));
         waiting.push((class, (class != 0).then_some(key), self.now));
     }
 
+    /// Passes a query to the controller; `position` is its place in the order of arrival.
     fn admit(&mut self, position: usize, class: usize, key: Option<u64>, arrived_at: u64) {
         let id = self.queries.len() as QueryId;
         let deadline = arrived_at + if self.rng.one_in(6) { 900 } else { 5000 };
@@ -40,6 +42,7 @@
         self.controller.admit(seconds(self.now), query);
     }
 
+    /// Disconnects the client of a random query that is still active.
     fn client_disconnects(&mut self) {
         let n = self.rng.draw(self.queries.len() as u64) as usize;
         let record = &mut self.queries[n];
@@ -49,6 +52,7 @@
         }
     }
 
+    /// Runs the simulation to its end and returns the violations that were found.
     pub fn run(mut self) -> Vec<(Rule, String)> {
         let mut waiting = Vec::new();
         let mut positions = 0;
--- a/crates/gateway/tests/world/engines.rs
+++ b/crates/gateway/tests/world/engines.rs
@@ -1,25 +1,26 @@
-//! The true state of the engines: processes at addresses, what runs there, and what they answer.
+//! The true state of the engines: the processes at each address, the attempts that run there, and the replies to the
+//! gateway.
 
 use super::figures::{LONGEST_DEADLINE, POLL_HOLD, UNPOLLED_LIFETIME};
 use super::gateway::{Attempt, Call, Reply};
 use super::Simulation;
 use garnetwall::api::QueryId;
 
-/// A process of an engine. Its address is that of the slot; which process listens there depends on the time.
+/// An engine process. Its address is that of its slot; several processes may listen at one address, one after another.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Process {
     pub(super) slot: usize,
     pub(super) started_at: u64,
-    /// When it begins to refuse new connections; it runs on.
+    /// When the process begins to refuse new connections, while its attempts run on.
     pub(super) refuses_from: u64,
     pub(super) killed_at: u64,
-    /// When the endpoint list shows it as serving, draining and removed.
+    /// When the endpoint list shows the process as serving; the next two fields say when as draining and as removed.
     pub(super) listed_at: u64,
     pub(super) draining_listed_at: u64,
     pub(super) removal_listed_at: u64,
 }
 
-/// Partition and connection resets of an address.
+/// Times at which an address is partitioned and at which its connections are reset.
 #[derive(Clone, Debug)]
 pub(super) struct Slot {
     pub(super) partition: (u64, u64),
@@ -33,16 +34,16 @@
     pub(super) started_at: u64,
     pub(super) ends_at: u64,
     pub(super) polled_at: u64,
-    /// When it ends for lack of polls where progress reports keep it running.
+    /// When the attempt ends for lack of polls, if progress reports keep it running.
     pub(super) progress_until: u64,
-    /// Since when a poll is in flight.
+    /// When the poll in flight began, if there is one.
     pub(super) poll_since: Option<u64>,
     pub(super) ended_at: Option<u64>,
     pub(super) succeeded: bool,
 }
 
 impl Simulation {
-    /// Ends executions that complete, die with their process or are not polled.
+    /// Ends executions that complete, that die with their process or that are not polled, and breaks connections.
     pub(super) fn advance_engines(&mut self) {
         for run in self
             .executions
@@ -50,7 +51,7 @@
             .filter(|run| run.ended_at.is_none())
         {
             let process = &self.processes[run.process];
-            // The poll is answered by then, whether or not the answer is received.
+            // The poll is answered at the end of its hold time, whether or not the gateway receives the answer.
             if let Some(since) = run.poll_since.filter(|since| self.now >= since + POLL_HOLD) {
                 (run.polled_at, run.poll_since) = (since + POLL_HOLD, None);
             }
@@ -63,7 +64,7 @@
                 run.ended_at = Some(self.now);
             }
         }
-        // Connections lost by a partition, a reset or a dead process.
+        // Connections that a reset or the end of a process breaks.
         let broken_connections: Vec<usize> = (0..self.attempts.len())
             .filter(|n| self.connection_breaks(&self.attempts[*n]))
             .collect();
@@ -87,7 +88,7 @@
         })
     }
 
-    /// A complete request arrives at the connected process.
+    /// Handles a request that has arrived complete at the process of the attempt's connection. A start may be lost.
     pub(super) fn request_arrives(&mut self, n: usize, call: Call) {
         let (now, Some(process)) = (self.now, self.attempts[n].connected_to) else {
             return;
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The connected process's reply by now, if any.
+    /// Returns the reply that the connected process has sent by now, if any, to a call made at `since`.
     pub(super) fn reply(&mut self, n: usize, since: u64, call: Call) -> Option<Reply> {
         let (query, process) = (self.attempts[n].query, self.attempts[n].connected_to?);
         if self.is_partitioned(self.processes[process].slot) {
@@ -148,7 +149,7 @@
             _ if call == Call::Cancel => Reply::Cancelled,
             None if call == Call::Start => Reply::Rejected,
             None => Reply::Unknown,
-            // It was answered at its hold time, however late the gateway reads that.
+            // The poll was answered at the end of its hold time, however late the gateway reads the answer.
             Some(run) if run.ended_at.is_some_and(|to| to >= since + POLL_HOLD) => Reply::Running,
             Some(run) if run.succeeded => Reply::Succeeded,
             Some(run) if run.ended_at.is_some() => Reply::Unknown,
--- a/crates/gateway/tests/world/exchange.rs
+++ b/crates/gateway/tests/world/exchange.rs
@@ -7,6 +7,7 @@
 use garnetwall_ledger::{CallFailure, CancelStep, Evidence, PollStep, ReportVerdict, ReportedEnd};
 
 impl Simulation {
+    /// Advances an attempt by one time step.
     pub(super) fn advance_attempt(&mut self, n: usize) {
         if self.now >= self.attempts[n].response_timeout && !self.attempts[n].timed_out {
             (
@@ -74,6 +75,7 @@
         }
     }
 
+    /// Establishes the connection for a call if necessary, then sends the call.
     fn connect(&mut self, n: usize, since: u64, then: Call) {
         if then == Call::Start
             && self.attempts[n].cancel_requested
@@ -103,7 +105,7 @@
                 self.call_failed(n, then, CallFailure::Refused);
                 return;
             };
-            // Some connections are established late, and the query may be answered meanwhile.
+            // Some connections are established late, so that the query may be answered meanwhile.
             let delay = if self.rng.one_in(5) {
                 self.rng.between(TIME_STEP, CONNECT_TIMEOUT)
             } else {
@@ -124,7 +126,7 @@
             self.attempts[n].may_have_arrived = true;
             self.record_evidence(n, Evidence::RequestSent);
         }
-        // A partition swallows what is written; a reset may break the connection.
+        // A partition loses the request without a sign; otherwise a reset may break the connection.
         let is_lost = self.is_partitioned(slot) || self.rng.one_in(12);
         if is_lost && !self.is_partitioned(slot) {
             self.attempts[n].connected_to = None;
@@ -139,6 +141,7 @@
         }
     }
 
+    /// Handles the reply to a call, its absence beyond the time limit, or the loss of the connection.
     fn await_reply(&mut self, n: usize, since: u64, call: Call, reached: bool) {
         if self.attempts[n].connected_to.is_none() {
             self.record_evidence(n, Evidence::ConnectionLost(self.attempts[n].connection));
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Closes a connection; the engine's machine notices it unless it is partitioned.
+    /// Closes the connection of an attempt; the engine drops the poll that was in flight on it.
     fn close_connection(&mut self, n: usize) {
         self.record_evidence(n, Evidence::ConnectionUnusable(self.attempts[n].connection));
         let (query, process) = (self.attempts[n].query, self.attempts[n].connected_to.take());
@@ -235,6 +238,7 @@
         own_runs.for_each(|run| run.poll_since = None);
     }
 
+    /// Decides after a failed call whether the attempt polls again, is cancelled or ends.
     fn call_failed(&mut self, n: usize, call: Call, failure: CallFailure) {
         if call == Call::Cancel || self.attempts[n].end.is_some() {
             if failure != CallFailure::Refused {
--- a/crates/gateway/tests/world/figures.rs
+++ b/crates/gateway/tests/world/figures.rs
@@ -1,4 +1,5 @@
-//! Constants of the simulation: times in milliseconds of the simulated day, and the rules in force.
+//! Constants of the simulation, and the rules that are in force. Durations that are integers are in milliseconds,
+//! others in seconds.
 
 use garnetwall::api::{RetryBudget, SlowStart};
 use garnetwall_ledger::{ProgressEvents, ProtocolLimits};
@@ -6,19 +7,19 @@
 
 /// Time step of the simulation.
 pub(super) const TIME_STEP: u64 = 10;
-/// How long queries arrive.
+/// Time from the beginning during which queries arrive.
 pub(super) const ARRIVAL_PERIOD: u64 = 14_000;
 /// Time limit for establishing a connection.
 pub(super) const CONNECT_TIMEOUT: u64 = 250;
-/// How long an engine holds a poll back for the end of its attempt.
+/// Time for which an engine holds a poll of an attempt that still runs.
 pub(super) const POLL_HOLD: u64 = 250;
-/// An attempt that is not polled for this long is ended by its engine.
+/// An engine ends an attempt that has not been polled for this long.
 pub(super) const UNPOLLED_LIFETIME: u64 = 2000;
-/// Longest time for which progress reports keep an attempt running.
+/// Longest deadline of a query, and longest time for which progress reports keep an attempt running.
 pub(super) const LONGEST_DEADLINE: u64 = 5000;
-/// The protocol's tolerance for each deadline, plus two time steps.
+/// Tolerance that the protocol allows for each deadline, plus two time steps.
 pub(super) const DEADLINE_TOLERANCE: u64 = 50 + 2 * TIME_STEP;
-/// How long a key is paused after an attempt that did not succeed.
+/// Pause of a key after an attempt that did not succeed.
 pub(super) const KEY_PAUSE: u64 = 500;
 pub(super) const PROTOCOL_LIMITS: ProtocolLimits = ProtocolLimits {
     long_poll: Duration::from_millis(POLL_HOLD),
@@ -27,9 +28,9 @@
     cancel_pause: Duration::from_millis(50),
 };
 pub(super) const ENGINE_COUNT: usize = 4;
-/// The query class whose queries are not idempotent.
+/// Index of the query class whose queries are not idempotent.
 pub(super) const NON_IDEMPOTENT: usize = 1;
-/// How long engines remember an idempotency key, in seconds.
+/// Time for which engines remember an idempotency key.
 pub(super) const IDEMPOTENCY_WINDOW: f64 = 1.5;
 pub(super) const SLOW_START: SlowStart = SlowStart {
     initial_fraction: 0.4,
@@ -37,7 +38,6 @@
     overload_multiple: 3.0,
     window: 2.0,
 };
-/// Of an engine.
 pub(super) const CORES_PER_ENGINE: f64 = 2.0;
 pub(super) const RETRY_BUDGET: RetryBudget = RetryBudget {
     floor: 2.0,
--- a/crates/gateway/tests/world/gateway.rs
+++ b/crates/gateway/tests/world/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's side: the controller's actions, answers, and the attempts in flight.
+//! The gateway's side of the simulation: the controller's actions, the final answers, and the attempts in flight.
 
 use super::figures::{
     CONNECT_TIMEOUT, DEADLINE_TOLERANCE, LONGEST_DEADLINE, PROTOCOL_LIMITS, TIME_STEP,
@@ -8,6 +8,7 @@
 use garnetwall_ledger::{AttemptId, ConnectionId, Evidence, PollSchedule};
 use std::time::Duration;
 
+/// A request to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Call {
     Start,
@@ -15,6 +16,7 @@
     Cancel,
 }
 
+/// The current step of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum AttemptPhase {
     Connecting {
@@ -32,6 +34,7 @@
     Cancelling,
 }
 
+/// An engine's response as the gateway interprets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reply {
     Succeeded,
@@ -49,6 +52,7 @@
     pub(super) number: u32,
     pub(super) id: AttemptId,
     pub(super) sent: u64,
+    /// When the attempt times out.
     pub(super) response_timeout: u64,
     pub(super) phase: AttemptPhase,
     pub(super) poll_schedule: PollSchedule,
@@ -61,23 +65,26 @@
     pub(super) may_have_arrived: bool,
     pub(super) cancel_requested: bool,
     pub(super) timed_out: bool,
-    /// The end to report to the controller once it is proved.
+    /// The end to report to the controller once the ledger has proved that the attempt ended.
     pub(super) end: Option<AttemptEnd>,
 }
 
-/// An active or completed query.
+/// A query that is active or has ended.
 pub(super) struct QueryRecord {
     pub(super) class: usize,
     pub(super) key: Option<u64>,
-    /// Its position in the order of arrival.
+    /// Position of the query in the order of arrival.
     pub(super) position: usize,
     pub(super) deadline: u64,
     pub(super) client_left: bool,
+    /// When the query was answered, and whether it was rejected.
     pub(super) answered: Option<(u64, bool)>,
+    /// When each attempt was sent, and to which engine.
     pub(super) attempts: Vec<(u64, EngineId)>,
 }
 
 impl Simulation {
+    /// Advances all attempts by one step, then carries out what the controller asks for.
     pub(super) fn advance_gateway(&mut self) {
         for n in (0..self.attempts.len()).rev() {
             self.advance_attempt(n);
@@ -85,6 +92,7 @@
         self.run_actions();
     }
 
+    /// Carries out the controller's actions until it has no more for now.
     fn run_actions(&mut self) {
         loop {
             match self.controller.next_action(seconds(self.now)) {
@@ -115,6 +123,7 @@
         }
     }
 
+    /// Sends a final answer to the client, unless the injected bug drops it.
     pub(super) fn answer(&mut self, id: QueryId, answer: FinalAnswer) {
         let rejected = matches!(answer, FinalAnswer::Rejected { .. });
         if self.bug == InjectedBug::DropsAnswers && self.rng.one_in(20) {
@@ -123,6 +132,7 @@
         self.answered(id, rejected);
     }
 
+    /// Records that a query was answered, and checks that it is the only answer, in time and true.
     pub(super) fn answered(&mut self, id: QueryId, rejected: bool) {
         let (now, pause) = (self.now, self.pause);
         let record = &mut self.queries[id as usize];
@@ -133,7 +143,7 @@
             self.record_violation(Rule::Answer, format!("query {id} has two answers"));
             return;
         }
-        // A paused gateway answers as soon as it runs again.
+        // A gateway whose pause covers the deadline answers as soon as it runs again.
         let resumed_at = if (pause.0..=pause.1 + TIME_STEP).contains(&record.deadline) {
             pause.1 + TIME_STEP
         } else {
@@ -155,6 +165,7 @@
         }
     }
 
+    /// Begins an attempt at an engine.
     pub(super) fn send(&mut self, id: QueryId, engine: EngineId, response_timeout: f64) {
         self.check_send(id, engine);
         let now = self.now;
@@ -213,6 +224,7 @@
         }
     }
 
+    /// Tells the controller that the outcome of an attempt is unknown.
     pub(super) fn report_unknown_outcome(&mut self, n: usize, end: AttemptEnd) {
         let (id, outcome) = (self.attempts[n].query, self.outcome(n, end));
         if let FollowUp::Answer(answer) =
@@ -223,7 +235,7 @@
         }
     }
 
-    /// Ends the attempt, as far as the gateway can know.
+    /// Reports the proved end of an attempt to the controller and removes the attempt.
     pub(super) fn end_attempt(&mut self, n: usize, end: AttemptEnd) {
         let end = if self.attempts[n].timed_out && end != AttemptEnd::NotNeeded {
             AttemptEnd::TimedOut
@@ -244,11 +256,13 @@
         }
     }
 
+    /// Cancels an attempt that is to end as `end`.
     pub(super) fn start_cancelling(&mut self, n: usize, end: AttemptEnd) {
         self.attempts[n].end = Some(end);
         self.attempts[n].phase = AttemptPhase::Cancelling;
     }
 
+    /// Cancels an attempt whose connection is lost; its outcome is unknown until the cancellation is proved.
     pub(super) fn abandon_with_unknown_outcome(&mut self, n: usize) {
         if !self.attempts[n].cancel_requested {
             self.report_unknown_outcome(n, AttemptEnd::ConnectionLost);
--- a/crates/gateway/tests/world/judge.rs
+++ b/crates/gateway/tests/world/judge.rs
@@ -1,4 +1,4 @@
-//! Checks the rules against what really ran where.
+//! Checks of the rules against what really ran where.
 
 use super::engines::Execution;
 use super::figures::{
@@ -21,28 +21,35 @@
 }
 
 impl Simulation {
+    /// Adds a violation of a rule with the current time.
     pub(super) fn record_violation(&mut self, rule: Rule, description: String) {
         self.violations
             .push((rule, format!("at {} ms: {description}", self.now)));
     }
 
-    /// Checks the gateway's decision to send an attempt.
+    /// Checks the rules on sending when the gateway decides to send an attempt to an engine.
     pub(super) fn check_send(&mut self, id: QueryId, engine: EngineId) {
         let (now, record, process) = (self.now, &self.queries[id as usize], self.processes[engine]);
         let (class, first) = (record.class, record.attempts.is_empty());
         if record.answered.is_some() || record.client_left {
-            self.record_violation(Rule::Answer, format!("query {id} is sent after its end"));
+            self.record_violation(
+                Rule::Answer,
+                format!("query {id} is sent after its answer or its client's disconnect"),
+            );
         }
         if now >= process.draining_listed_at + 2000 || now >= process.removal_listed_at + 2000 {
             self.record_violation(
                 Rule::Draining,
-                format!("query {id} goes to engine {engine}, listed as draining"),
+                format!("query {id} is sent to engine {engine}, which is listed as draining"),
             );
         }
         if class == 0 && self.zone(engine) != 0 {
             self.record_violation(
                 Rule::Placement,
-                format!("query {id} goes to zone {}", self.zone(engine)),
+                format!(
+                    "query {id} is bound to zone 0 and is sent to zone {}",
+                    self.zone(engine)
+                ),
             );
         }
         if !first {
@@ -51,10 +58,13 @@
             let retries = self.retries.iter().filter(|t| **t >= since).count() as f64;
             let admitted = self.queries.len() as f64;
             if retries > RETRY_BUDGET.floor + RETRY_BUDGET.per_query * admitted {
-                self.record_violation(Rule::RetryBudget, format!("{retries} retries"));
+                self.record_violation(
+                    Rule::RetryBudget,
+                    format!("{retries} retries in the window exceed the budget"),
+                );
             }
         }
-        // Work of the first estimate for each query, with half as much again as tolerance.
+        // Each query counts with the first work estimate, 0.5 s, with half as much again as tolerance.
         let warm = process.started_at + (SLOW_START.duration * 1000.0) as u64;
         if process.started_at > 0 && now < warm {
             let since = now.saturating_sub((SLOW_START.window * 1000.0) as u64);
@@ -69,13 +79,13 @@
             {
                 self.record_violation(
                     Rule::SlowStart,
-                    format!("{sent} queries in a window to engine {engine}"),
+                    format!("{sent} queries in a window exceed the slow start of engine {engine}"),
                 );
             }
         }
     }
 
-    /// Checks a start when the complete request arrives at a process.
+    /// Checks the rules on answers, idempotency and order when a complete start arrives at a process.
     pub(super) fn check_start(&mut self, id: QueryId, process: usize) {
         let record = &self.queries[id as usize];
         let ended = record
@@ -124,7 +134,7 @@
         for (other, record) in earlier {
             if record.answered.is_none() && !record.client_left {
                 fault = Some(format!(
-                    "query {id} passes query {other}, which has not ended"
+                    "query {id} overtakes query {other}, which has not ended"
                 ));
             }
             for run in self
@@ -137,7 +147,7 @@
                     None => fault = Some(format!("query {id} overlaps query {other} of its key")),
                     Some(to) if cancelled && self.now + DEADLINE_TOLERANCE < to + KEY_PAUSE => {
                         fault = Some(format!(
-                            "query {id} starts before its key pause after {other}"
+                            "query {id} starts within the key pause after query {other}"
                         ));
                     }
                     Some(_) => {}
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! The state of the simulation, and look-ups in it.
+//! The state of the simulation, and functions that derive the current situation from it.
 
 mod day;
 mod engines;
@@ -19,29 +19,40 @@
 
 pub use judge::Rule;
 
-/// A bug that the simulated gateway has on purpose.
+/// A bug that the simulated gateway has on purpose. The rules must find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     None,
+    /// Some final answers are not sent.
     DropsAnswers,
+    /// A refused connection counts as a proof that the attempt has ended.
     TrustsConnectionRefused,
+    /// A process that does not know the attempt counts as a proof that the attempt has ended.
     TrustsAddresses,
+    /// Engines listed as draining count as ready.
     IgnoresDraining,
     IgnoresSlowStart,
+    /// The key pause is 0.
     PausesNoKeys,
+    /// Queries that arrive in one step are admitted in reverse order.
     ReordersArrivals,
+    /// The query class that is bound to a zone may run in any zone.
     IgnoresZones,
     IgnoresRetryBudget,
+    /// The ledger is told that engines do not report progress.
     IgnoresProgress,
+    /// A start whose connection is established after the answer is sent nevertheless.
     StartsAfterAnswer,
 }
 
+/// One gateway with its clients, its engines and its endpoint list. All times are in milliseconds of the simulated day.
 pub struct Simulation {
     bug: InjectedBug,
-    /// Whether engines report progress, which keeps an attempt running.
+    /// Whether engines report progress, which keeps an attempt running without polls.
     reports_progress: bool,
     rng: Rng,
     now: u64,
+    /// Beginning and end of the pause of the gateway process; both are 0 where there is none.
     pause: (u64, u64),
     controller: AdmissionController,
     ledger: Ledger,
@@ -50,20 +61,23 @@
     executions: Vec<Execution>,
     attempts: Vec<Attempt>,
     queries: Vec<QueryRecord>,
+    /// When each retry was sent.
     retries: Vec<u64>,
     violations: Vec<(Rule, String)>,
 }
 
+/// Returns the controller's time in seconds for a time of the simulated day.
 fn seconds(ms: u64) -> f64 {
     1000.0 + ms as f64 / 1000.0
 }
 
 impl Simulation {
+    /// Returns the zone of an engine; the slots alternate between two zones.
     pub(super) fn zone(&self, engine: EngineId) -> u32 {
         (self.processes[engine].slot % 2) as u32
     }
 
-    /// A process's entry in the endpoint list at a time.
+    /// Returns a process's entry in the endpoint list as published at a time, or `None` before it is listed.
     pub(super) fn endpoint_at(&self, engine: EngineId, at: u64) -> Option<Endpoint> {
         let process = &self.processes[engine];
         let state = match at {
@@ -86,6 +100,7 @@
         })
     }
 
+    /// Returns the process that accepts connections at a slot's address now, if there is one.
     pub(super) fn listening_process(&self, slot: usize) -> Option<usize> {
         let now = self.now;
         let is_listening = |process: &Process| {
--- a/crates/gateway/tests/world/start.rs
+++ b/crates/gateway/tests/world/start.rs
@@ -1,4 +1,5 @@
-//! The initial state: engines, partitions and resets, and the controller with its settings, all drawn from one seed.
+//! The initial state of the simulation: engines, partitions, resets, and the controller with its settings, all drawn
+//! from one seed.
 
 use super::engines::{Process, Slot};
 use super::figures::{
@@ -12,6 +13,7 @@
 use garnetwall_ledger::{Ledger, ProgressEvents, ProtocolLimits};
 
 impl Simulation {
+    /// Returns a simulation at time 0 whose gateway has the given bug.
     pub fn new(seed: u64, bug: InjectedBug) -> Simulation {
         let mut rng = Rng(seed ^ 0x9e37_79b9_7f4a_7c15);
         rng.draw(2);
@@ -39,7 +41,7 @@
                 removal_listed_at,
             });
             if !runs_on {
-                // It takes over the address, perhaps while the old process runs on.
+                // The successor takes over the address, possibly while the old process runs on.
                 let listed_at = successor_start + rng.draw(1000);
                 let successor = Process {
                     slot,
@@ -138,6 +140,7 @@
     }
 }
 
+/// Returns a query class with the idempotency `semantics`.
 fn class(semantics: Idempotency, in_order: bool) -> QueryClass {
     QueryClass {
         latency_objective: 2.0,
